--- a/cmd/yardwinch/explain.go
+++ b/cmd/yardwinch/explain.go
@@ -12,7 +12,7 @@
 
 	"github.com/urfave/cli/v3"
 
-	"yardwinch/bounds"
+	"yardwinch/constraints"
 	"yardwinch/internal/explain"
 	"yardwinch/internal/routing"
 	"yardwinch/internal/setup"
@@ -49,7 +49,7 @@
 		return cli.Exit("yardwinch: want one flow at the most", faultyConfiguration)
 	}
 	if f := c.Args().First(); f != "" {
-		var n bounds.Note
+		var n constraints.Note
 		if err := explain.Ask(at, "why "+f, &n); err != nil {
 			return err
 		}
@@ -73,7 +73,7 @@
 	return t.Flush()
 }
 
-func why(t *tabwriter.Writer, n bounds.Note) {
+func why(t *tabwriter.Writer, n constraints.Note) {
 	fmt.Fprintf(t, "flow\t%s\tcame at %.3f s\tgroup %s\n", cmp.Or(n.Name, string(n.Flow)), n.Came, cmp.Or(string(n.Group), "-"))
 	for i, x := range n.Sent {
 		fmt.Fprintf(t, "connect %d\t%s\tin %s\tat %.3f s\t%s\n", i+1, x.Name, x.Zone, x.At, x.Ended)
--- a/bounds/bench_test.go
+++ b/constraints/bench_test.go
@@ -1,11 +1,11 @@
-package bounds_test
+package constraints_test
 
 import (
 	"fmt"
 	"testing"
 	"time"
 
-	"yardwinch/bounds"
+	"yardwinch/constraints"
 	"yardwinch/decide"
 	"yardwinch/halls"
 )
@@ -35,10 +35,10 @@
 					d.StartPick(0.05, 0, true)
 					d.StartList("a", false, 10*time.Second, 250*time.Millisecond)
 				}
-				var m bounds.Module
+				var m constraints.Module
 				if with {
 					h := halls.New(1, "a", nil, 0.3, 0, 60, 10, 300*time.Millisecond, 250*time.Millisecond, 20*time.Second, 0)
-					m = bounds.New(1, mute{}, []bounds.Decider{h}, start)
+					m = constraints.New(1, mute{}, []constraints.Decider{h}, start)
 				} else {
 					d := decide.New(1, mute{})
 					start(d)
--- a/bounds/bounds.go
+++ b/constraints/bounds.go
@@ -1,7 +1,7 @@
-// Package bounds joins other deciders to the decisions. It stands round one instance of decide: each event goes to the
+// Package constraints joins other deciders to the decisions. It stands round one instance of decide: each event goes to the
 // deciders first and then to decide, each action goes out past them, and decide asks them by its own interface. Here
 // nothing is decided; deciders do no I/O, and time comes with the events.
-package bounds
+package constraints
 
 import (
 	"time"
--- a/bounds/notes.go
+++ b/constraints/notes.go
@@ -1,4 +1,4 @@
-package bounds
+package constraints
 
 import (
 	"slices"
--- a/fleet/signals/consensus.go
+++ b/fleet/signals/consensus.go
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"yardwinch/bounds"
+	"yardwinch/constraints"
 	"yardwinch/decide"
 )
 
@@ -175,7 +175,7 @@
 }
 
 // Server penalises a server that enough others found in trouble, unless this balancer itself saw it well a moment ago.
-func (s *Signals) Server(_ decide.FlowID, id decide.ServerID) (float64, bounds.Reason) {
+func (s *Signals) Server(_ decide.FlowID, id decide.ServerID) (float64, constraints.Reason) {
 	if !s.enabled {
 		return 0, ""
 	}
--- a/fleet/signals/signals.go
+++ b/fleet/signals/signals.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"yardwinch/bounds"
+	"yardwinch/constraints"
 	"yardwinch/decide"
 )
 
@@ -12,7 +12,7 @@
 
 // Signals is the decider of one balancer; see bounds.Decider.
 type Signals struct {
-	bounds.None
+	constraints.None
 	enabled      bool          // false: it publishes and hears, and bounds nothing
 	delayLimit   time.Duration // a message that takes longer is late
 	setupLimit   time.Duration // a set-up that takes longer is late
@@ -107,4 +107,4 @@
 // Away says that this process stood still. What it observed is as old as that; it publishes nothing of it as new.
 func (s *Signals) Away() { s.dirty = true }
 
-var _ bounds.Decider = (*Signals)(nil)
+var _ constraints.Decider = (*Signals)(nil)
--- a/halls/failover.go
+++ b/halls/failover.go
@@ -4,12 +4,12 @@
 	"slices"
 	"time"
 
-	"yardwinch/bounds"
+	"yardwinch/constraints"
 	"yardwinch/decide"
 )
 
 // turn makes every change of a hall's state.
-func (h *Halls) turn(x *hall, to State, why bounds.Reason) {
+func (h *Halls) turn(x *hall, to State, why constraints.Reason) {
 	if x.state == to {
 		return
 	}
--- a/halls/halls.go
+++ b/halls/halls.go
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"yardwinch/bounds"
+	"yardwinch/constraints"
 	"yardwinch/decide"
 )
 
@@ -70,7 +70,7 @@
 	name    decide.Zone
 	tier    int
 	state   State
-	why     bounds.Reason // of the state
+	why     constraints.Reason // of the state
 	servers map[decide.ServerID]*server
 	ready   int
 	size    float64 // of those ready
@@ -99,7 +99,7 @@
 
 // Halls is one balancer's view.
 type Halls struct {
-	bounds.None
+	constraints.None
 	now      time.Duration
 	rng      *rand.Rand
 	own      decide.Zone
--- a/halls/halls_test.go
+++ b/halls/halls_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"yardwinch/bounds"
+	"yardwinch/constraints"
 	"yardwinch/decide"
 )
 
@@ -84,7 +84,7 @@
 	}
 }
 
-func (s *scene) ask(id decide.ServerID) bounds.Reason {
+func (s *scene) ask(id decide.ServerID) constraints.Reason {
 	_, why := s.Server(s.flow(), id)
 	return why
 }
--- a/halls/questions.go
+++ b/halls/questions.go
@@ -6,21 +6,21 @@
 	"slices"
 	"time"
 
-	"yardwinch/bounds"
+	"yardwinch/constraints"
 	"yardwinch/decide"
 )
 
 const (
-	hallLost  bounds.Reason = "the hall is lost"
-	hallSteps bounds.Reason = "the hall returns in steps"
-	hallCold  bounds.Reason = "a cold server of another hall"
-	hallSpill bounds.Reason = "the spill into the hall is used up"
-	hallSurge bounds.Reason = "the own hall grows too fast"
-	hallHome  bounds.Reason = "moves home are used up"
+	hallLost  constraints.Reason = "the hall is lost"
+	hallSteps constraints.Reason = "the hall returns in steps"
+	hallCold  constraints.Reason = "a cold server of another hall"
+	hallSpill constraints.Reason = "the spill into the hall is used up"
+	hallSurge constraints.Reason = "the own hall grows too fast"
+	hallHome  constraints.Reason = "moves home are used up"
 )
 
 // Server bars the servers of halls that take nothing now, and makes those of halls farther off cost more.
-func (h *Halls) Server(f decide.FlowID, id decide.ServerID) (float64, bounds.Reason) {
+func (h *Halls) Server(f decide.FlowID, id decide.ServerID) (float64, constraints.Reason) {
 	s := h.servers[id]
 	if s == nil {
 		return 0, ""
@@ -61,7 +61,7 @@
 }
 
 // Move keeps a flow that spilled from going home beyond the budget.
-func (h *Halls) Move(f decide.FlowID) bounds.Reason {
+func (h *Halls) Move(f decide.FlowID) constraints.Reason {
 	x := h.flows[f]
 	if x != nil && x.server != nil && x.server.hall.tier > 0 && h.tokens < 1 {
 		return hallHome
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -8,18 +8,18 @@
 	"testing"
 	"time"
 
-	"yardwinch/bounds"
+	"yardwinch/constraints"
 	"yardwinch/decide"
 	"yardwinch/internal/routing"
 )
 
-type closed struct{ bounds.None }
+type closed struct{ constraints.None }
 
-func (closed) Name() string                      { return "closed" }
-func (closed) Admit(decide.FlowID) bounds.Reason { return "after hours" }
+func (closed) Name() string                           { return "closed" }
+func (closed) Admit(decide.FlowID) constraints.Reason { return "after hours" }
 
 func TestAskARunningBalancer(t *testing.T) {
-	r := routing.New(1, time.Second, false, false, []bounds.Decider{closed{}}, func(b *decide.Balancer) (map[string]decide.ServiceID, map[string]decide.CustomerID) {
+	r := routing.New(1, time.Second, false, false, []constraints.Decider{closed{}}, func(b *decide.Balancer) (map[string]decide.ServiceID, map[string]decide.CustomerID) {
 		b.StartFlows(1, time.Second)
 		b.StartService(decide.Repeatable, decide.ReachAll, time.Second, time.Second, 1)
 		b.StartCold(1, 1, 0, 0, 1)
@@ -43,7 +43,7 @@
 	if _, err := r.Open("abc", "x", "", "", "g", time.Second, 0); err != nil {
 		t.Fatal(err)
 	}
-	var n bounds.Note
+	var n constraints.Note
 	if err := Ask(path, "why abc", &n); err != nil || n.Answer != "rejected" || n.Barred["closed: after hours"] != 1 {
 		t.Errorf("%+v, %v", n, err)
 	}
--- a/internal/routing/explain.go
+++ b/internal/routing/explain.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"yardwinch/bounds"
+	"yardwinch/constraints"
 )
 
 // ServerState is what is told of one server to whoever asks.
@@ -48,11 +48,11 @@
 }
 
 // Why tells why a flow went where it did, by the id that its client gave; false where that is not known (any more).
-func (r *Router) Why(name string) (bounds.Note, bool) {
+func (r *Router) Why(name string) (constraints.Note, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.host == nil {
-		return bounds.Note{}, false
+		return constraints.Note{}, false
 	}
 	n, ok := r.host.Why(name)
 	for i, t := range n.Sent {
--- a/internal/routing/late_test.go
+++ b/internal/routing/late_test.go
@@ -9,7 +9,7 @@
 
 	"pgregory.net/rapid"
 
-	"yardwinch/bounds"
+	"yardwinch/constraints"
 	"yardwinch/decide"
 )
 
@@ -21,7 +21,7 @@
 
 // noteTaker stands before the module and keeps the delays that it is told.
 type noteTaker struct {
-	bounds.Module
+	constraints.Module
 	notes []noteTaken
 }
 
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -13,7 +13,7 @@
 	"sync"
 	"time"
 
-	"yardwinch/bounds"
+	"yardwinch/constraints"
 	"yardwinch/decide"
 )
 
@@ -47,8 +47,8 @@
 // is never held over I/O.
 type Router struct {
 	mu        sync.Mutex
-	b         bounds.Module
-	host      *bounds.Host // b, where other deciders stand round the module; else nil
+	b         constraints.Module
+	host      *constraints.Host // b, where other deciders stand round the module; else nil
 	start     time.Time
 	services  map[string]decide.ServiceID
 	customers map[string]decide.CustomerID
@@ -102,7 +102,7 @@
 // New makes the instance. start hands the module's parts their settings and tells what names stand for; lateFrom is
 // the delay of a message from which the module wants to hear of it, tellLoad and tellLag what servers tell. deciders, where
 // there are any, bound what the module may do.
-func New(seed uint64, lateFrom time.Duration, tellLoad, tellLag bool, deciders []bounds.Decider,
+func New(seed uint64, lateFrom time.Duration, tellLoad, tellLag bool, deciders []constraints.Decider,
 	start func(*decide.Balancer) (map[string]decide.ServiceID, map[string]decide.CustomerID)) *Router {
 	r := &Router{start: time.Now(), flows: map[decide.FlowID]*Flow{}, servers: map[decide.ServerID]*server{},
 		numbers: map[string]decide.ServerID{}, sooner: make(chan struct{}, 1),
@@ -112,7 +112,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(deciders) > 0 {
-		r.host = bounds.New(seed, actions{r}, deciders, func(b *decide.Balancer) { r.services, r.customers = start(b) })
+		r.host = constraints.New(seed, actions{r}, deciders, func(b *decide.Balancer) { r.services, r.customers = start(b) })
 		r.b = r.host
 		return r
 	}
--- a/internal/setup/halls.go
+++ b/internal/setup/halls.go
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"yardwinch/bounds"
+	"yardwinch/constraints"
 	"yardwinch/decide"
 	"yardwinch/halls"
 	"yardwinch/internal/strict"
@@ -99,4 +99,4 @@
 	return b.String()
 }
 
-var _ bounds.Decider = (*halls.Halls)(nil)
+var _ constraints.Decider = (*halls.Halls)(nil)
--- a/internal/setup/options.go
+++ b/internal/setup/options.go
@@ -7,7 +7,7 @@
 	"reflect"
 	"strings"
 
-	"yardwinch/bounds"
+	"yardwinch/constraints"
 	"yardwinch/fleet/signals"
 	"yardwinch/halls"
 	"yardwinch/internal/strict"
@@ -128,7 +128,7 @@
 }
 
 // Deciders are those that the file switches on, in the order in which they are asked: halls, signals.
-func (o *Options) Deciders(g Given, seed uint64) (list []bounds.Decider) {
+func (o *Options) Deciders(g Given, seed uint64) (list []constraints.Decider) {
 	if o.halls != nil {
 		o.running = o.halls.Decider(g, seed)
 		list = append(list, o.running)
--- a/internal/yard/play/board.go
+++ b/internal/yard/play/board.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"yardwinch/bounds"
+	"yardwinch/constraints"
 	"yardwinch/decide"
 	"yardwinch/fleet/signals"
 	"yardwinch/internal/setup"
@@ -39,7 +39,7 @@
 			b.runs = true
 			b.w.Agenda.After(boardTell, world.Book, b.tell)
 		}
-		return bounds.New(seed, act, []bounds.Decider{s}, func(dec *decide.Balancer) { setup.Start(g, dec) })
+		return constraints.New(seed, act, []constraints.Decider{s}, func(dec *decide.Balancer) { setup.Start(g, dec) })
 	}
 }
 
--- a/internal/yard/play/halls_test.go
+++ b/internal/yard/play/halls_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"yardwinch/bounds"
+	"yardwinch/constraints"
 	"yardwinch/decide"
 	"yardwinch/halls"
 	"yardwinch/internal/setup"
@@ -16,7 +16,7 @@
 // spilling looks at each connect that leaves the nearest tier: the balancer may not hold more there than its limit, but
 // for the one that rounds a part of a flow.
 type spilling struct {
-	bounds.None
+	constraints.None
 	t     *testing.T
 	own   decide.Zone
 	zones map[decide.ServerID]decide.Zone
@@ -70,7 +70,7 @@
 			g := setup.Pairs(d.Settings(b))
 			h := e.Halls.Decider(g, seed)
 			spy := &spilling{t: t, own: decide.Zone(g.Text("az", "")), zones: map[decide.ServerID]decide.Zone{}, h: h, seen: &seen, over: map[decide.FlowID]string{}}
-			return bounds.New(seed, act, []bounds.Decider{h, spy}, func(dec *decide.Balancer) { setup.Start(g, dec) })
+			return constraints.New(seed, act, []constraints.Decider{h, spy}, func(dec *decide.Balancer) { setup.Start(g, dec) })
 		})
 		dr.Run(nil)
 		for _, v := range ref.Violations() {
--- a/internal/yard/play/play.go
+++ b/internal/yard/play/play.go
@@ -11,7 +11,7 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"yardwinch/bounds"
+	"yardwinch/constraints"
 	"yardwinch/decide"
 	"yardwinch/internal/setup"
 	"yardwinch/internal/world"
@@ -34,7 +34,7 @@
 	if policy == "ours+halls" {
 		return func(seed uint64, b world.BalancerID, act decide.Act) virtual.Decider {
 			g := setup.Pairs(d.Settings(b))
-			return bounds.New(seed, act, []bounds.Decider{d.Experiment.Halls.Decider(g, seed)},
+			return constraints.New(seed, act, []constraints.Decider{d.Experiment.Halls.Decider(g, seed)},
 				func(dec *decide.Balancer) { setup.Start(g, dec) })
 		}, nil
 	}
--- a/internal/yard/virtual/virtual.go
+++ b/internal/yard/virtual/virtual.go
@@ -5,7 +5,7 @@
 import (
 	"time"
 
-	"yardwinch/bounds"
+	"yardwinch/constraints"
 	"yardwinch/decide"
 	"yardwinch/internal/world"
 	"yardwinch/internal/yard/experiment"
@@ -14,7 +14,7 @@
 
 // Decider makes the decisions of one balancer: the decision module, with or without others round it, or a baseline in
 // its place.
-type Decider = bounds.Module
+type Decider = constraints.Module
 
 // Maker makes the decider of a balancer that starts; it acts through act alone.
 type Maker func(seed uint64, b world.BalancerID, act decide.Act) Decider
