--- a/constraints/bench_test.go
+++ b/constraints/bench_test.go
@@ -7,7 +7,7 @@
 
 	"yardwinch/constraints"
 	"yardwinch/decide"
-	"yardwinch/halls"
+	"yardwinch/locality"
 )
 
 type mute struct{}
@@ -37,7 +37,7 @@
 				}
 				var m constraints.Module
 				if with {
-					h := halls.New(1, "a", nil, 0.3, 0, 60, 10, 300*time.Millisecond, 250*time.Millisecond, 20*time.Second, 0)
+					h := locality.New(1, "a", nil, 0.3, 0, 60, 10, 300*time.Millisecond, 250*time.Millisecond, 20*time.Second, 0)
 					m = constraints.New(1, mute{}, []constraints.Decider{h}, start)
 				} else {
 					d := decide.New(1, mute{})
--- a/internal/setup/halls.go
+++ b/internal/setup/halls.go
@@ -9,8 +9,8 @@
 
 	"yardwinch/constraints"
 	"yardwinch/decide"
-	"yardwinch/halls"
 	"yardwinch/internal/strict"
+	"yardwinch/locality"
 )
 
 // Halls is what an operators' file says of halls, read and checked; it makes the decider of any balancer.
@@ -70,14 +70,14 @@
 }
 
 // Decider makes that of a balancer that is told g and draws chance from seed.
-func (h Halls) Decider(g Given, seed uint64) *halls.Halls {
+func (h Halls) Decider(g Given, seed uint64) *locality.Halls {
 	own := g.Text("az", "")
-	return halls.New(seed, decide.Zone(own), h.tiers[own], h.spill, h.surge, h.homeward, int(g.Figure("peers-total", 1)),
+	return locality.New(seed, decide.Zone(own), h.tiers[own], h.spill, h.surge, h.homeward, int(g.Figure("peers-total", 1)),
 		ShortestTarget(g), MessageTarget(g), g.Span("guarantees.warm-after"), h.again)
 }
 
 // Change brings a decider that runs to what a newer file says.
-func (h Halls) Change(d *halls.Halls, g Given) {
+func (h Halls) Change(d *locality.Halls, g Given) {
 	d.Change(h.tiers[g.Text("az", "")], h.spill, h.surge, h.homeward, int(g.Figure("peers-total", 1)), h.again)
 }
 
@@ -99,4 +99,4 @@
 	return b.String()
 }
 
-var _ constraints.Decider = (*halls.Halls)(nil)
+var _ constraints.Decider = (*locality.Halls)(nil)
--- a/internal/setup/options.go
+++ b/internal/setup/options.go
@@ -9,15 +9,15 @@
 
 	"yardwinch/constraints"
 	"yardwinch/fleet/signals"
-	"yardwinch/halls"
 	"yardwinch/internal/strict"
+	"yardwinch/locality"
 )
 
 // Options is the operators' own file. What it does not name is off.
 type Options struct {
 	halls   *Halls
 	explain string
-	running *halls.Halls
+	running *locality.Halls
 	peers   *Peers
 	signals *signals.Signals
 }
--- a/internal/yard/play/halls_test.go
+++ b/internal/yard/play/halls_test.go
@@ -7,10 +7,10 @@
 
 	"yardwinch/constraints"
 	"yardwinch/decide"
-	"yardwinch/halls"
 	"yardwinch/internal/setup"
 	"yardwinch/internal/world"
 	"yardwinch/internal/yard/virtual"
+	"yardwinch/locality"
 )
 
 // spilling looks at each connect that leaves the nearest tier: the balancer may not hold more there than its limit, but
@@ -20,7 +20,7 @@
 	t     *testing.T
 	own   decide.Zone
 	zones map[decide.ServerID]decide.Zone
-	h     *halls.Halls
+	h     *locality.Halls
 	seen  *int
 	over  map[decide.FlowID]string // beyond the limit, unless it turns out to have been taken over
 }
@@ -32,7 +32,7 @@
 }
 
 func (s *spilling) Sent(f decide.FlowID, to decide.ServerID) {
-	if z := s.zones[to]; z != s.own && s.h.Of(z) == halls.Well {
+	if z := s.zones[to]; z != s.own && s.h.Of(z) == locality.Well {
 		*s.seen++
 		if n, limit := float64(s.h.Spilled(z)), s.h.SpillLimit(z); n > limit+1 {
 			s.over[f] = fmt.Sprintf("%v flows in hall %s, the limit is %.2f", n, z, limit)
--- a/halls/halls.go
+++ b/locality/halls.go
@@ -1,6 +1,6 @@
-// Package halls decides which halls a balancer's flows may go to: by preference, within a bounded spill, and gently when
+// Package locality decides which halls a balancer's flows may go to: by preference, within a bounded spill, and gently when
 // a hall comes back. It sees what its own balancer sees and nothing else, does no I/O and is told the time.
-package halls
+package locality
 
 import (
 	"cmp"
--- a/halls/questions.go
+++ b/locality/questions.go
@@ -1,4 +1,4 @@
-package halls
+package locality
 
 import (
 	"cmp"
