--- a/fleet/duties/duties.go
+++ b/fleet/lease/duties.go
@@ -1,7 +1,7 @@
-// Package duties says who does for all what one can do for all: which balancer probes which server. It does no I/O and has no clock.
+// Package lease says who does for all what one can do for all: which balancer probes which server. It does no I/O and has no clock.
 // Nobody grants anything: each reckons from the members that it sees who is first in line, and what the holder tells of its work is its
 // lease. Views may differ, so two may hold a duty for a while; that costs double work and nothing else, and the epoch settles it.
-package duties
+package lease
 
 import (
 	"cmp"
--- a/fleet/duties/duties_test.go
+++ b/fleet/lease/duties_test.go
@@ -1,4 +1,4 @@
-package duties
+package lease
 
 import (
 	"fmt"
--- a/internal/program/peers.go
+++ b/internal/program/peers.go
@@ -10,7 +10,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"yardwinch/decide"
-	"yardwinch/fleet/duties"
+	"yardwinch/fleet/lease"
 	"yardwinch/fleet/signals"
 	"yardwinch/internal/members"
 	"yardwinch/internal/routing"
@@ -29,7 +29,7 @@
 	group   *members.Group
 	signals *signals.Signals // under the router's lock
 	router  *routing.Router
-	duties  *duties.Duties // the same; nil: each probes for itself
+	duties  *lease.Duties // the same; nil: each probes for itself
 	name    string
 }
 
@@ -41,9 +41,9 @@
 	}
 	p := &peers{signals: o.Signals(), router: r, name: own.Name}
 	if own.Duties {
-		p.duties = duties.New(duties.Name(own.Name), leaseFor)
-		p.signals.ShareLoads(func(s decide.ServerID, now time.Duration) uint64 { return uint64(p.duties.Did(duties.Duty(s), now)) })
-		r.Probing(func(s decide.ServerID, now time.Duration) bool { return p.duties.Mine(duties.Duty(s), now) })
+		p.duties = lease.New(lease.Name(own.Name), leaseFor)
+		p.signals.ShareLoads(func(s decide.ServerID, now time.Duration) uint64 { return uint64(p.duties.Did(lease.Duty(s), now)) })
+		r.Probing(func(s decide.ServerID, now time.Duration) bool { return p.duties.Mine(lease.Duty(s), now) })
 	}
 	p.group = members.New(own.Program, members.Name(own.Name), own.Label, own.Bind, own.Advertise, own.Seeds, p)
 	return p
@@ -77,11 +77,11 @@
 	var r signals.Record
 	var due bool
 	seen := p.group.Seen()
-	var in []duties.Member
+	var in []lease.Member
 	var reporters []signals.Origin
 	for _, s := range seen {
 		if s.State == members.Alive {
-			in = append(in, duties.Member{Name: duties.Name(s.Name), Weight: 1, Since: s.Since})
+			in = append(in, lease.Member{Name: lease.Name(s.Name), Weight: 1, Since: s.Since})
 			reporters = append(reporters, signals.Origin(s.Name))
 		}
 	}
@@ -135,7 +135,7 @@
 	now := p.router.Now()
 	p.signals.Relay(func() {
 		for _, l := range r.LoadReports {
-			p.duties.Heard(duties.Duty(l.Server), duties.Epoch(l.Epoch), duties.Name(r.Origin), l.Age, now)
+			p.duties.Heard(lease.Duty(l.Server), lease.Epoch(l.Epoch), lease.Name(r.Origin), l.Age, now)
 			if l.Age < leaseFor {
 				p.router.Reported(l.Server, l.Load)
 			}
@@ -200,7 +200,7 @@
 type MembersView struct {
 	Name    string         `json:"name"`
 	Members []MemberView   `json:"members"`
-	Duties  []duties.Held  `json:"duties,omitempty"`
+	Duties  []lease.Held   `json:"duties,omitempty"`
 	Unread  map[string]int `json:"passed_over,omitempty"` // by kind
 }
 
@@ -213,7 +213,7 @@
 		var records []signals.Record
 		var ages []time.Duration
 		var own signals.Record
-		var held []duties.Held
+		var held []lease.Held
 		p.router.Tell(func() {
 			if p.duties != nil {
 				held = p.duties.All()
--- a/internal/yard/scale/control_sweep_leases.go
+++ b/internal/yard/scale/control_sweep_leases.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"yardwinch/decide"
-	"yardwinch/fleet/duties"
+	"yardwinch/fleet/lease"
 	"yardwinch/fleet/signals"
 	"yardwinch/internal/world"
 )
@@ -27,7 +27,7 @@
 	servedProbeEvery = time.Second
 )
 
-// leasesSweep measures fleet/duties: who does what for 10,000 servers, and what it costs to know.
+// leasesSweep measures fleet/lease: who does what for 10,000 servers, and what it costs to know.
 func leasesSweep(ctx context.Context, s Settings, progress Progress) ([]Series, []Check, error) {
 	book := newControlBook(s, roleLeases)
 	if s.Against == byServers {
@@ -52,9 +52,9 @@
 }
 
 // seenMembers are so many members, all seen for long.
-func seenMembers(count int) (list []duties.Member) {
+func seenMembers(count int) (list []lease.Member) {
 	for i := range count {
-		list = append(list, duties.Member{Name: duties.Name(memberName(i)), Weight: 1, Since: memberSettled})
+		list = append(list, lease.Member{Name: lease.Name(memberName(i)), Weight: 1, Since: memberSettled})
 	}
 	return list
 }
@@ -64,9 +64,9 @@
 	list := seenMembers(members)
 	sample := min(servers, reckonedServers)
 	before := liveMemory()
-	own := duties.New(duties.Name(memberName(0)), leaseFor)
+	own := lease.New(lease.Name(memberName(0)), leaseFor)
 	for i := range servers { // alone, so that it is quick
-		own.Mine(duties.Duty(serverNumber(i)), 0)
+		own.Mine(lease.Duty(serverNumber(i)), 0)
 	}
 	b.add("memory", "held for the duties", unitBytes, Measured, false, size, float64(liveMemory()-before))
 	gone := 0
@@ -74,7 +74,7 @@
 		gone++
 		own.Members(slices.Delete(slices.Clone(list), gone%members, gone%members+1))
 		for i := range sample {
-			own.Mine(duties.Duty(serverNumber(i)), 0)
+			own.Mine(lease.Duty(serverNumber(i)), 0)
 		}
 	})
 	all := used.processor.Seconds() * float64(servers) / float64(sample)
@@ -86,12 +86,12 @@
 
 // evenness notes how many duties the busiest member has.
 func (b *controlBook) evenness(size, members, servers int) {
-	own := duties.New(duties.Name(memberName(0)), leaseFor)
+	own := lease.New(lease.Name(memberName(0)), leaseFor)
 	own.Members(seenMembers(members))
 	for i := range servers {
-		own.Mine(duties.Duty(serverNumber(i)), 0)
+		own.Mine(lease.Duty(serverNumber(i)), 0)
 	}
-	of := map[duties.Name]int{}
+	of := map[lease.Name]int{}
 	most := 0
 	for _, held := range own.All() {
 		of[held.First]++
@@ -103,14 +103,14 @@
 
 // leaseMember is one of those who share a few duties.
 type leaseMember struct {
-	duties *duties.Duties
+	duties *lease.Duties
 	tellAt time.Duration
-	did    map[duties.Duty]leaseWord
+	did    map[lease.Duty]leaseWord
 }
 
 // leaseWord is what a member tells of a duty that it did.
 type leaseWord struct {
-	epoch duties.Epoch
+	epoch lease.Epoch
 	at    time.Duration
 }
 
@@ -133,7 +133,7 @@
 func newLeaseFleet(chance *rand.Rand, members int, rest time.Duration) (fleet []*leaseMember) {
 	list := seenMembers(members)
 	for i := range members {
-		m := &leaseMember{duties: duties.New(duties.Name(memberName(i)), leaseFor), did: map[duties.Duty]leaseWord{}}
+		m := &leaseMember{duties: lease.New(lease.Name(memberName(i)), leaseFor), did: map[lease.Duty]leaseWord{}}
 		m.tellAt = time.Duration(chance.Float64() * float64(rest)).Truncate(holdersStep)
 		m.duties.Members(list)
 		fleet = append(fleet, m)
@@ -145,7 +145,7 @@
 func leaseStep(fleet []*leaseMember, now, rest time.Duration) (holding int) {
 	for _, m := range fleet {
 		for k := range sampledServers {
-			duty := duties.Duty(serverNumber(k))
+			duty := lease.Duty(serverNumber(k))
 			if m.duties.Mine(duty, now) {
 				m.did[duty] = leaseWord{m.duties.Did(duty, now), now}
 				holding++
@@ -163,7 +163,7 @@
 // leaseTell has all others hear what one did of late.
 func leaseTell(fleet []*leaseMember, teller int, now time.Duration) {
 	m := fleet[teller]
-	by := duties.Name(memberName(teller))
+	by := lease.Name(memberName(teller))
 	for duty, word := range m.did {
 		age := now - word.at + wordTravels
 		if age >= leaseFor {
--- a/internal/yard/scale/control_views.go
+++ b/internal/yard/scale/control_views.go
@@ -10,7 +10,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"yardwinch/fleet/duties"
+	"yardwinch/fleet/lease"
 	"yardwinch/fleet/signals"
 	"yardwinch/internal/members"
 )
@@ -71,11 +71,11 @@
 }
 
 // handOver is what a balancer does with its view every tellEvery: the deciders hear who is alive.
-func handOver(list []members.Seen, decider *signals.Signals, leases *duties.Duties) {
-	var alive []duties.Member
+func handOver(list []members.Seen, decider *signals.Signals, leases *lease.Duties) {
+	var alive []lease.Member
 	var voices []signals.Origin
 	for _, s := range list {
-		alive = append(alive, duties.Member{Name: duties.Name(s.Name), Weight: 1, Since: s.Since})
+		alive = append(alive, lease.Member{Name: lease.Name(s.Name), Weight: 1, Since: s.Since})
 		voices = append(voices, signals.Origin(s.Name))
 	}
 	decider.SetReporters(voices)
--- a/internal/yard/scale/page_asked.go
+++ b/internal/yard/scale/page_asked.go
@@ -6,7 +6,7 @@
 const (
 	boundedCandidates = "bounded candidates, pruned rechecks (`decide`)"
 	decisionsAlone    = "decisions: " + boundedCandidates + "; signals, leases, engine: " + noMechanism
-	leasedProbes      = "leases, where switched on: one asks for all (`fleet/duties`)"
+	leasedProbes      = "leases, where switched on: one asks for all (`fleet/lease`)"
 	changesOnly       = "changes on an open watch, the whole list on a new one (`internal/protocol`)"
 	overflow          = "overload threshold: on to the next server by hash (`decide`)"
 	ownMemory         = "one buffer a connection (`internal/transport`)"
