--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -5,11 +5,11 @@
 	"fmt"
 	"os"
 
-	"yardwinch/simwire"
+	"yardwinch/internal/simulator"
 )
 
 func main() {
-	if err := simwire.Run(os.Stdin, os.Stdout); err != nil {
+	if err := simulator.Run(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "wirehost:", err)
 		os.Exit(1)
 	}
--- a/simwire/act.go
+++ b/internal/simulator/act.go
@@ -1,4 +1,4 @@
-package simwire
+package simulator
 
 import (
 	"strconv"
--- a/simwire/simwire.go
+++ b/internal/simulator/simwire.go
@@ -1,6 +1,6 @@
-// Package simwire joins the decision module to the simulator's wire. It decodes a field and passes it
+// Package simulator joins the decision module to the simulator's wire. It decodes a field and passes it
 // straight into a call; the wire's names end here, and nothing is decided here.
-package simwire
+package simulator
 
 import (
 	"bufio"
