--- a/cmd/yardwinch/main.go
+++ b/cmd/yardwinch/main.go
@@ -12,9 +12,9 @@
 
 	"github.com/urfave/cli/v3"
 
+	"yardwinch/internal/daemon"
 	_ "yardwinch/internal/hangup" // until the daemon has its own handler
 	"yardwinch/internal/logging"
-	"yardwinch/internal/program"
 )
 
 const (
@@ -58,19 +58,19 @@
 	log := logging.NewWriter(os.Stderr)
 	defer log.Close(logTimeout)
 	slog.SetDefault(slog.New(slog.NewTextHandler(log, &slog.HandlerOptions{Level: level})))
-	return coded(program.Run(c.String("config"), c.String("options"), os.Getenv))
+	return coded(daemon.Run(c.String("config"), c.String("options"), os.Getenv))
 }
 
 // coded gives a fault of a configuration its exit code.
 func coded(err error) error {
-	if errors.Is(err, program.ErrConfiguration) {
+	if errors.Is(err, daemon.ErrConfiguration) {
 		return cli.Exit(fmt.Sprint("yardwinch: ", err), faultyConfiguration)
 	}
 	return err
 }
 
 func check(_ context.Context, c *cli.Command) error {
-	if err := program.Check(c.String("config"), c.String("options"), os.Getenv); err != nil {
+	if err := daemon.Check(c.String("config"), c.String("options"), os.Getenv); err != nil {
 		return cli.Exit(fmt.Sprint("yardwinch: ", err), faultyConfiguration)
 	}
 	fmt.Println("the configuration can be served")
--- a/cmd/yardwinch/members.go
+++ b/cmd/yardwinch/members.go
@@ -11,8 +11,8 @@
 
 	"github.com/urfave/cli/v3"
 
+	"yardwinch/internal/daemon"
 	"yardwinch/internal/explain"
-	"yardwinch/internal/program"
 )
 
 func membersCommand(options cli.Flag) *cli.Command {
@@ -27,7 +27,7 @@
 	if err != nil {
 		return err
 	}
-	var v program.MembersView
+	var v daemon.MembersView
 	if err := explain.Ask(at, "members", &v); err != nil {
 		return err
 	}
--- a/cmd/yardwinch/migrate.go
+++ b/cmd/yardwinch/migrate.go
@@ -6,7 +6,7 @@
 
 	"github.com/urfave/cli/v3"
 
-	"yardwinch/internal/program"
+	"yardwinch/internal/daemon"
 )
 
 func migrateCommand() *cli.Command {
@@ -22,7 +22,7 @@
 			if c.NArg() != 2 {
 				return errors.New("migrate: want OLD.json and NEW.json")
 			}
-			return coded(program.Migrate(c.Root().Writer, c.String("shape"), c.Args().Get(0), c.Args().Get(1), c.Bool("dry-run"), c.Bool("force")))
+			return coded(daemon.Migrate(c.Root().Writer, c.String("shape"), c.Args().Get(0), c.Args().Get(1), c.Bool("dry-run"), c.Bool("force")))
 		},
 	}
 }
--- a/internal/program/program.go
+++ b/internal/daemon/program.go
@@ -1,5 +1,5 @@
-// Package program is the balancer as a process: one object that goes from loading to stopped.
-package program
+// Package daemon is the balancer as a process: one object that goes from loading to stopped.
+package daemon
 
 import (
 	"context"
--- a/internal/program/reload.go
+++ b/internal/daemon/reload.go
@@ -1,4 +1,4 @@
-package program
+package daemon
 
 import (
 	"context"
--- a/internal/yard/fleet/fleet_test.go
+++ b/internal/yard/fleet/fleet_test.go
@@ -11,7 +11,7 @@
 	"sync"
 	"testing"
 
-	"yardwinch/internal/program"
+	"yardwinch/internal/daemon"
 )
 
 // The test's own program stands for a balancer.
@@ -21,7 +21,7 @@
 		_ = os.Remove(filepath.Join(os.TempDir(), fmt.Sprintf("yardwinch-peer-test-%d", os.Getpid())))
 		os.Exit(code)
 	}
-	if err := program.Run(os.Getenv("PROXY_CONFIG"), os.Getenv("YARDWINCH_OPTIONS"), os.Getenv); err != nil {
+	if err := daemon.Run(os.Getenv("PROXY_CONFIG"), os.Getenv("YARDWINCH_OPTIONS"), os.Getenv); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
--- a/internal/yard/fleet/peers.go
+++ b/internal/yard/fleet/peers.go
@@ -11,10 +11,10 @@
 	"time"
 
 	"yardwinch/fleet/signals"
+	"yardwinch/internal/daemon"
 	"yardwinch/internal/explain"
 	"yardwinch/internal/freeaddr"
 	"yardwinch/internal/members"
-	"yardwinch/internal/program"
 	"yardwinch/internal/routing"
 	"yardwinch/internal/world"
 	"yardwinch/internal/yard/links"
@@ -69,7 +69,7 @@
 	beat := time.NewTicker(askEvery)
 	defer beat.Stop()
 	for {
-		var v program.MembersView
+		var v daemon.MembersView
 		err := explain.Ask(x.socket(), "members", &v)
 		r.dr.Do(func() {
 			if err != nil || x.state != runs && x.state != starved {
--- a/internal/yard/scale/real_test.go
+++ b/internal/yard/scale/real_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"yardwinch/internal/program"
+	"yardwinch/internal/daemon"
 )
 
 const standsForBalancer = "SCALE_TEST_BALANCER"
@@ -19,7 +19,7 @@
 	if os.Getenv(standsForBalancer) == "" {
 		return
 	}
-	if err := program.Run(os.Getenv("PROXY_CONFIG"), "", os.Getenv); err != nil {
+	if err := daemon.Run(os.Getenv("PROXY_CONFIG"), "", os.Getenv); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
