--- a/cmd/yardwinch/explain.go
+++ b/cmd/yardwinch/explain.go
@@ -13,9 +13,9 @@
 	"github.com/urfave/cli/v3"
 
 	"yardwinch/constraints"
+	"yardwinch/internal/config"
 	"yardwinch/internal/explain"
 	"yardwinch/internal/routing"
-	"yardwinch/internal/setup"
 )
 
 func explainCommand(options cli.Flag) *cli.Command {
@@ -30,7 +30,7 @@
 	if at = c.String("socket"); at != "" {
 		return at, nil
 	}
-	o, err := setup.ReadOptions(c.String("options"))
+	o, err := config.ReadOptions(c.String("options"))
 	if err != nil {
 		return "", cli.Exit(fmt.Sprint("yardwinch: ", err), faultyConfiguration)
 	}
--- a/internal/setup/given.go
+++ b/internal/config/given.go
@@ -1,5 +1,5 @@
-// Package setup is the only place that reads, checks and defaults what a balancer is told.
-package setup
+// Package config is the only place that reads, checks and defaults what a balancer is told.
+package config
 
 import (
 	"bytes"
--- a/internal/setup/options.go
+++ b/internal/config/options.go
@@ -1,4 +1,4 @@
-package setup
+package config
 
 import (
 	"fmt"
--- a/internal/daemon/load.go
+++ b/internal/daemon/load.go
@@ -8,13 +8,13 @@
 	"time"
 
 	"yardwinch/decide"
+	"yardwinch/internal/config"
 	"yardwinch/internal/control"
 	"yardwinch/internal/explain"
 	"yardwinch/internal/handover"
 	"yardwinch/internal/protocol"
 	"yardwinch/internal/retry"
 	"yardwinch/internal/routing"
-	"yardwinch/internal/setup"
 	"yardwinch/internal/transport"
 )
 
@@ -59,7 +59,7 @@
 // prepare takes all that the balancer is told, and opens nothing. A fault of the configuration names its key.
 func prepare(path, options string, env func(string) string) (*Program, error) {
 	p := unread(path, options, env)
-	g, known, err := setup.Open(path, env)
+	g, known, err := config.Open(path, env)
 	if err != nil {
 		return nil, err
 	}
@@ -70,35 +70,35 @@
 }
 
 // take goes through all that a configuration says.
-func (p *Program) take(g setup.Given, known []byte) (err error) {
+func (p *Program) take(g config.Given, known []byte) (err error) {
 	s := g.Settings()
-	p.told, p.listen, p.agent, p.calls = g, g.Addr("listen"), g.Addr("discovery"), setup.Control(g)
-	seed := setup.Seed(g)
-	p.handshake = setup.Handshake(s)
-	p.cores, p.memory, p.descriptors = setup.Limits(g)
-	p.longest, p.probing = setup.LongestWait(s), setup.Probing(s)
-	tellLoad, tellLag := setup.Tellings(s)
-	if p.own, err = setup.ReadOptions(p.options); err != nil {
+	p.told, p.listen, p.agent, p.calls = g, g.Addr("listen"), g.Addr("discovery"), config.Control(g)
+	seed := config.Seed(g)
+	p.handshake = config.Handshake(s)
+	p.cores, p.memory, p.descriptors = config.Limits(g)
+	p.longest, p.probing = config.LongestWait(s), config.Probing(s)
+	tellLoad, tellLag := config.Tellings(s)
+	if p.own, err = config.ReadOptions(p.options); err != nil {
 		return err
 	}
 	if p.own.Peers() != nil {
 		p.own.Speak(s, revision(), digest(s, p.own.Shared()), uint64(time.Now().UnixMilli()))
 	}
-	p.router = routing.New(seed, setup.MessageTarget(s)/3, tellLoad, tellLag, p.own.Deciders(s, seed),
+	p.router = routing.New(seed, config.MessageTarget(s)/3, tellLoad, tellLag, p.own.Deciders(s, seed),
 		func(b *decide.Balancer) (map[string]decide.ServiceID, map[string]decide.CustomerID) {
-			return setup.Start(s, b)
+			return config.Start(s, b)
 		})
 	if err := g.Fault(); err != nil {
 		return err
 	}
-	p.discovery = protocol.NewDiscovery(p.router, p.agent, seed, setup.Asking(s))
+	p.discovery = protocol.NewDiscovery(p.router, p.agent, seed, config.Asking(s))
 	if p.known = p.discovery.Known(known); p.known != nil {
 		p.known = fmt.Errorf("known: %w", p.known)
 	}
-	if c := setup.UnknownColumns(s); len(c) > 0 {
+	if c := config.UnknownColumns(s); len(c) > 0 {
 		slog.Info("columns of load reports that nobody knows are passed over", "columns", c)
 	}
-	p.front = protocol.NewFront(p.router, p.handshake, setup.RetryAfter(s))
+	p.front = protocol.NewFront(p.router, p.handshake, config.RetryAfter(s))
 	return nil
 }
 
@@ -113,7 +113,7 @@
 
 // checkText is Check for a configuration that is not written yet.
 func checkText(path string, text []byte, env func(string) string) error {
-	g, known, err := setup.Read(path, text, env)
+	g, known, err := config.Read(path, text, env)
 	if err != nil {
 		return err
 	}
--- a/internal/daemon/migrate.go
+++ b/internal/daemon/migrate.go
@@ -7,7 +7,7 @@
 	"os"
 	"path/filepath"
 
-	"yardwinch/internal/setup"
+	"yardwinch/internal/config"
 )
 
 // Migrate makes the counterpart of a configuration for another shape of deployment, and says what became of each key. It
@@ -35,7 +35,7 @@
 	} else if err != nil && !errors.Is(err, os.ErrNotExist) {
 		return fmt.Errorf("migrate: %w", err)
 	}
-	text, lines, alike, err := setup.Migrate(from, shape, old, wanted)
+	text, lines, alike, err := config.Migrate(from, shape, old, wanted)
 	if err != nil {
 		return fault{fmt.Errorf("migrate: %w", err)}
 	}
--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -12,9 +12,9 @@
 	"yardwinch/decide"
 	"yardwinch/fleet/lease"
 	"yardwinch/fleet/signals"
+	"yardwinch/internal/config"
 	"yardwinch/internal/members"
 	"yardwinch/internal/routing"
-	"yardwinch/internal/setup"
 )
 
 const (
@@ -34,7 +34,7 @@
 }
 
 // newPeers makes it where the operators' file names peers; nothing is opened before run.
-func newPeers(o *setup.Options, r *routing.Router) *peers {
+func newPeers(o *config.Options, r *routing.Router) *peers {
 	own := o.Peers()
 	if own == nil {
 		return nil
@@ -269,7 +269,7 @@
 }
 
 // digest names what a process was told, so that unlike ones can be seen; what each has of its own is left out.
-func digest(g setup.Given, shared string) string {
+func digest(g config.Given, shared string) string {
 	d := xxhash.New()
 	g.Each(func(key, value string) {
 		if key != "ordinal" && key != "az" {
--- a/internal/daemon/program.go
+++ b/internal/daemon/program.go
@@ -12,10 +12,10 @@
 	"syscall"
 	"time"
 
+	"yardwinch/internal/config"
 	"yardwinch/internal/explain"
 	"yardwinch/internal/protocol"
 	"yardwinch/internal/routing"
-	"yardwinch/internal/setup"
 	"yardwinch/internal/transport"
 )
 
@@ -57,10 +57,10 @@
 
 	path        string
 	options     string // the operators' own file; empty: none
-	own         *setup.Options
+	own         *config.Options
 	explainer   net.Listener
 	env         func(string) string
-	told        setup.Given // as of the start: what needs a restart still holds
+	told        config.Given // as of the start: what needs a restart still holds
 	listen      string
 	calls       string // the staff's address
 	agent       string // discovery's address
--- a/internal/protocol/probe.go
+++ b/internal/protocol/probe.go
@@ -5,8 +5,8 @@
 	"sync"
 	"time"
 
+	"yardwinch/internal/config"
 	"yardwinch/internal/routing"
-	"yardwinch/internal/setup"
 	"yardwinch/internal/transport"
 )
 
@@ -55,7 +55,7 @@
 	case word(line) != "PONG":
 		return routing.Error, -1
 	}
-	load, ok := setup.Report(line[len("PONG"):])
+	load, ok := config.Report(line[len("PONG"):])
 	if !ok {
 		load = -1
 	}
--- a/internal/simulator/start.go
+++ b/internal/simulator/start.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"yardwinch/decide"
-	"yardwinch/internal/setup"
+	"yardwinch/internal/config"
 )
 
 // spawn starts an instance with its settings, path by path.
@@ -22,8 +22,8 @@
 	}
 	in.start, in.split = h.now, map[decide.TimerMark]time.Duration{}
 	in.b = decide.New(uint64(seed), in)
-	g := setup.Pairs(given)
-	in.services, in.customers = setup.Start(g, in.b)
+	g := config.Pairs(given)
+	in.services, in.customers = config.Start(g, in.b)
 	if err := g.Fault(); err != nil && h.bad == nil {
 		h.bad = h.fault("SPAWN: %v", err)
 	}
--- a/internal/yard/experiment/experiment.go
+++ b/internal/yard/experiment/experiment.go
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"yardwinch/internal/setup"
+	"yardwinch/internal/config"
 	"yardwinch/internal/strict"
 	"yardwinch/internal/world"
 )
@@ -56,7 +56,7 @@
 	connectTimeout, retryAfter                                       time.Duration
 	whole, window, worstCustomer, worstService, crossing, moves, fee float64
 	troubles                                                         []trouble
-	Halls                                                            setup.Halls // of the policy ours+halls
+	Halls                                                            config.Halls // of the policy ours+halls
 }
 
 type trouble struct {
@@ -110,7 +110,7 @@
 	e.readServices(t)
 	e.readClients(t.Table("clients"))
 	e.readAround(t)
-	e.Halls = setup.ReadHalls(t.Table("halls"))
+	e.Halls = config.ReadHalls(t.Table("halls"))
 	c := t.Table("count")
 	e.whole, e.window = c.Number("whole", 0.6, 0, 1), c.Number("worst-window", 0.3, 0, 1)
 	e.worstCustomer, e.worstService = c.Number("worst-customer", 0.1, 0, 1), c.Number("worst-service", 0, 0, 1)
--- a/internal/yard/play/board.go
+++ b/internal/yard/play/board.go
@@ -7,7 +7,7 @@
 	"yardwinch/constraints"
 	"yardwinch/decide"
 	"yardwinch/fleet/signals"
-	"yardwinch/internal/setup"
+	"yardwinch/internal/config"
 	"yardwinch/internal/world"
 	"yardwinch/internal/yard/experiment"
 	"yardwinch/internal/yard/virtual"
@@ -31,15 +31,15 @@
 func tells(d *experiment.Day) virtual.Maker {
 	b := &board{w: d.World, all: map[world.BalancerID]*signals.Signals{}, last: map[world.BalancerID]signals.Incarnation{}}
 	return func(seed uint64, id world.BalancerID, act decide.Act) virtual.Decider {
-		g := setup.Pairs(d.Settings(id))
+		g := config.Pairs(d.Settings(id))
 		b.last[id]++
-		s := signals.New(signals.Origin(fmt.Sprintf("b%d", id)), b.last[id], "", "", setup.MessageTarget(g)/3, setup.ShortestTarget(g), true)
+		s := signals.New(signals.Origin(fmt.Sprintf("b%d", id)), b.last[id], "", "", config.MessageTarget(g)/3, config.ShortestTarget(g), true)
 		b.all[id] = s
 		if !b.runs {
 			b.runs = true
 			b.w.Agenda.After(boardTell, world.Book, b.tell)
 		}
-		return constraints.New(seed, act, []constraints.Decider{s}, func(dec *decide.Balancer) { setup.Start(g, dec) })
+		return constraints.New(seed, act, []constraints.Decider{s}, func(dec *decide.Balancer) { config.Start(g, dec) })
 	}
 }
 
--- a/internal/yard/play/halls_test.go
+++ b/internal/yard/play/halls_test.go
@@ -7,7 +7,7 @@
 
 	"yardwinch/constraints"
 	"yardwinch/decide"
-	"yardwinch/internal/setup"
+	"yardwinch/internal/config"
 	"yardwinch/internal/world"
 	"yardwinch/internal/yard/virtual"
 	"yardwinch/locality"
@@ -67,10 +67,10 @@
 		d := e.Day(seed)
 		ref := Referee(d, 8*time.Millisecond, 0)
 		dr := virtual.New(d, ref, func(seed uint64, b world.BalancerID, act decide.Act) virtual.Decider {
-			g := setup.Pairs(d.Settings(b))
+			g := config.Pairs(d.Settings(b))
 			h := e.Halls.Decider(g, seed)
 			spy := &spilling{t: t, own: decide.Zone(g.Text("az", "")), zones: map[decide.ServerID]decide.Zone{}, h: h, seen: &seen, over: map[decide.FlowID]string{}}
-			return constraints.New(seed, act, []constraints.Decider{h, spy}, func(dec *decide.Balancer) { setup.Start(g, dec) })
+			return constraints.New(seed, act, []constraints.Decider{h, spy}, func(dec *decide.Balancer) { config.Start(g, dec) })
 		})
 		dr.Run(nil)
 		for _, v := range ref.Violations() {
--- a/internal/yard/play/play.go
+++ b/internal/yard/play/play.go
@@ -13,7 +13,7 @@
 
 	"yardwinch/constraints"
 	"yardwinch/decide"
-	"yardwinch/internal/setup"
+	"yardwinch/internal/config"
 	"yardwinch/internal/world"
 	"yardwinch/internal/yard/baseline"
 	"yardwinch/internal/yard/count"
@@ -33,9 +33,9 @@
 func Maker(d *experiment.Day, policy string) (virtual.Maker, error) {
 	if policy == "ours+halls" {
 		return func(seed uint64, b world.BalancerID, act decide.Act) virtual.Decider {
-			g := setup.Pairs(d.Settings(b))
+			g := config.Pairs(d.Settings(b))
 			return constraints.New(seed, act, []constraints.Decider{d.Experiment.Halls.Decider(g, seed)},
-				func(dec *decide.Balancer) { setup.Start(g, dec) })
+				func(dec *decide.Balancer) { config.Start(g, dec) })
 		}, nil
 	}
 	if policy == "ours+signals" {
@@ -44,7 +44,7 @@
 	if policy == "ours" {
 		return func(seed uint64, b world.BalancerID, act decide.Act) virtual.Decider {
 			dec := decide.New(seed, act)
-			setup.Start(setup.Pairs(d.Settings(b)), dec)
+			config.Start(config.Pairs(d.Settings(b)), dec)
 			return dec
 		}, nil
 	}
