--- a/internal/control/control.go
+++ b/internal/admin/control.go
@@ -1,6 +1,6 @@
-// Package control takes the staff's calls on the second address: HTTP/1.1, one call to a connection. It decides nothing;
+// Package admin takes the staff's calls on the second address: HTTP/1.1, one call to a connection. It decides nothing;
 // each call is one method of Balancer.
-package control
+package admin
 
 import (
 	"container/list"
--- a/internal/control/control_test.go
+++ b/internal/admin/control_test.go
@@ -1,4 +1,4 @@
-package control
+package admin
 
 import (
 	"bufio"
--- a/internal/daemon/calls.go
+++ b/internal/daemon/calls.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"time"
 
-	"yardwinch/internal/control"
+	"yardwinch/internal/admin"
 	"yardwinch/internal/handover"
 	"yardwinch/internal/routing"
 )
@@ -22,10 +22,10 @@
 // Ready says whether this process can serve.
 func (c calls) Ready() error {
 	if is := c.p.is(); is != serving && is != emptying && is != empty {
-		return fmt.Errorf("%w: %s", control.ErrNotReady, is)
+		return fmt.Errorf("%w: %s", admin.ErrNotReady, is)
 	}
 	if !c.p.router.Listed() {
-		return fmt.Errorf("%w: no list of servers yet", control.ErrNotReady)
+		return fmt.Errorf("%w: no list of servers yet", admin.ErrNotReady)
 	}
 	return nil
 }
@@ -55,7 +55,7 @@
 	select {
 	case <-p.up:
 	case <-ctx.Done():
-		return fmt.Errorf("%w: %s", control.ErrNotReady, p.is())
+		return fmt.Errorf("%w: %s", admin.ErrNotReady, p.is())
 	}
 	for {
 		p.changing.Lock()
@@ -76,11 +76,11 @@
 		case errors.Is(err, handover.ErrGone): // this one decides again in a moment
 			select {
 			case <-ctx.Done():
-				return control.ErrNotReady
+				return admin.ErrNotReady
 			case <-time.After(retryGone):
 			}
 		case err == nil && unknown:
-			return fmt.Errorf("%w: %q", control.ErrUnknown, ch.Server)
+			return fmt.Errorf("%w: %q", admin.ErrUnknown, ch.Server)
 		default:
 			return err
 		}
@@ -119,7 +119,7 @@
 
 func (p *Program) move(to phase) error {
 	if !p.turn(to) {
-		return fmt.Errorf("%w: %s", control.ErrNotReady, p.is())
+		return fmt.Errorf("%w: %s", admin.ErrNotReady, p.is())
 	}
 	return nil
 }
@@ -128,7 +128,7 @@
 func (p *Program) byHand(server string, out bool) error {
 	was, known := p.router.Known(server)
 	if !known {
-		return fmt.Errorf("%w: %w: %q", control.ErrUnknown, routing.ErrUnknownServer, server)
+		return fmt.Errorf("%w: %w: %q", admin.ErrUnknown, routing.ErrUnknownServer, server)
 	}
 	if err := p.router.ByHand(server, out); err != nil {
 		return err
--- a/internal/daemon/calls_test.go
+++ b/internal/daemon/calls_test.go
@@ -15,7 +15,7 @@
 	"testing"
 	"time"
 
-	"yardwinch/internal/control"
+	"yardwinch/internal/admin"
 )
 
 // rig is a balancer with a second address, before servers that say UP and echo.
@@ -278,7 +278,7 @@
 			if is := x.p.is(); is != c.afterOut {
 				t.Errorf("out of service leads to %s", is)
 			}
-			if err := x.Ready(); err != nil && !errors.Is(err, control.ErrNotReady) {
+			if err := x.Ready(); err != nil && !errors.Is(err, admin.ErrNotReady) {
 				t.Error(err)
 			}
 		})
--- a/internal/daemon/handover_receiver.go
+++ b/internal/daemon/handover_receiver.go
@@ -11,7 +11,7 @@
 	"syscall"
 	"time"
 
-	"yardwinch/internal/control"
+	"yardwinch/internal/admin"
 	"yardwinch/internal/handover"
 	"yardwinch/internal/protocol"
 	"yardwinch/internal/retry"
@@ -257,7 +257,7 @@
 	// The predecessor hears of the change before it hears the answer, as what is said keeps its order.
 	_, err := p.change(change)
 	p.changing.Unlock()
-	if errors.Is(err, control.ErrUnknown) {
+	if errors.Is(err, admin.ErrUnknown) {
 		return true, nil, nil
 	}
 	p.awaitFolder(ctx)
--- a/internal/daemon/load.go
+++ b/internal/daemon/load.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"yardwinch/decide"
+	"yardwinch/internal/admin"
 	"yardwinch/internal/config"
-	"yardwinch/internal/control"
 	"yardwinch/internal/explain"
 	"yardwinch/internal/handover"
 	"yardwinch/internal/protocol"
@@ -40,7 +40,7 @@
 		n += protocol.ProbeDescriptors
 	}
 	if p.calls != "" {
-		n += control.Descriptors + handoverDescriptors
+		n += admin.Descriptors + handoverDescriptors
 	}
 	if p.own.Explain() != "" {
 		n += explain.Descriptors
--- a/internal/daemon/open.go
+++ b/internal/daemon/open.go
@@ -7,7 +7,7 @@
 	"net"
 	"time"
 
-	"yardwinch/internal/control"
+	"yardwinch/internal/admin"
 	"yardwinch/internal/explain"
 	"yardwinch/internal/retry"
 	"yardwinch/internal/transport"
@@ -83,7 +83,7 @@
 		return err
 	}
 	p.parts.Go(func() {
-		if err := control.Serve(ctx, p.control, calls{p}); err != nil {
+		if err := admin.Serve(ctx, p.control, calls{p}); err != nil {
 			slog.Error("no calls are taken any more", "error", err)
 		}
 	})
