--- a/cmd/yardwinch/main.go
+++ b/cmd/yardwinch/main.go
@@ -13,7 +13,7 @@
 	"github.com/urfave/cli/v3"
 
 	"yardwinch/internal/daemon"
-	_ "yardwinch/internal/hangup" // until the daemon has its own handler
+	_ "yardwinch/internal/sighup" // until the daemon has its own handler
 	"yardwinch/internal/logging"
 )
 
--- a/internal/hangup/ignore_cgo.go
+++ b/internal/sighup/ignore_cgo.go
@@ -1,6 +1,6 @@
 //go:build cgo
 
-package hangup
+package sighup
 
 /*
 #include <signal.h>
