--- a/cmd/yardwinch-peer/main.go
+++ b/cmd/yardwinch-peer/main.go
@@ -4,7 +4,7 @@
 import (
 	"os"
 
-	"yardwinch/internal/members/engine"
+	"yardwinch/internal/membership/engine"
 )
 
 func main() { os.Exit(engine.Main(os.Stdin, os.Stdout, os.Stderr)) }
--- a/cmd/yardwinch/main.go
+++ b/cmd/yardwinch/main.go
@@ -13,8 +13,8 @@
 	"github.com/urfave/cli/v3"
 
 	"yardwinch/internal/daemon"
-	_ "yardwinch/internal/sighup" // until the daemon has its own handler
 	"yardwinch/internal/logging"
+	_ "yardwinch/internal/sighup" // until the daemon has its own handler
 )
 
 const (
--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -13,7 +13,7 @@
 	"yardwinch/fleet/lease"
 	"yardwinch/fleet/signals"
 	"yardwinch/internal/config"
-	"yardwinch/internal/members"
+	"yardwinch/internal/membership"
 	"yardwinch/internal/routing"
 )
 
@@ -26,7 +26,7 @@
 
 // peers carries what the signals decider tells to the other balancers, and what they tell to it.
 type peers struct {
-	group   *members.Group
+	group   *membership.Group
 	signals *signals.Signals // under the router's lock
 	router  *routing.Router
 	duties  *lease.Duties // the same; nil: each probes for itself
@@ -45,7 +45,7 @@
 		p.signals.ShareLoads(func(s decide.ServerID, now time.Duration) uint64 { return uint64(p.duties.Did(lease.Duty(s), now)) })
 		r.Probing(func(s decide.ServerID, now time.Duration) bool { return p.duties.Mine(lease.Duty(s), now) })
 	}
-	p.group = members.New(own.Program, members.Name(own.Name), own.Label, own.Bind, own.Advertise, own.Seeds, p)
+	p.group = membership.New(own.Program, membership.Name(own.Name), own.Label, own.Bind, own.Advertise, own.Seeds, p)
 	return p
 }
 
@@ -80,7 +80,7 @@
 	var in []lease.Member
 	var reporters []signals.Origin
 	for _, s := range seen {
-		if s.State == members.Alive {
+		if s.State == membership.Alive {
 			in = append(in, lease.Member{Name: lease.Name(s.Name), Weight: 1, Since: s.Since})
 			reporters = append(reporters, signals.Origin(s.Name))
 		}
@@ -187,7 +187,7 @@
 
 // MemberView is what one balancer says of another, for whoever asks.
 type MemberView struct {
-	members.Seen
+	membership.Seen
 	Build       string  `json:"build,omitempty"`
 	Settings    string  `json:"settings,omitempty"`
 	Incarnation uint64  `json:"incarnation,omitempty"`
--- a/internal/members/child_test.go
+++ b/internal/membership/child_test.go
@@ -1,4 +1,4 @@
-package members_test
+package membership_test
 
 import (
 	"context"
@@ -14,8 +14,8 @@
 	"go.uber.org/goleak"
 
 	"yardwinch/internal/freeaddr"
-	"yardwinch/internal/members"
-	"yardwinch/internal/members/engine"
+	"yardwinch/internal/membership"
+	"yardwinch/internal/membership/engine"
 )
 
 // The test's own program stands for the engine: the real one, or one that fails in some way.
@@ -28,7 +28,7 @@
 	case "nonsense":
 		_, _ = os.Stdout.WriteString(strings.Repeat("\x9f\xff\x81\x00 no frame", 1000))
 	case "odd": // members of names that are no text, and what garbage left in the counts
-		_ = cbor.NewEncoder(os.Stdout).Encode([]any{members.FrameMembers, []any{[]any{"\xff\xfe", "127.0.0.1:1", "alive", uint64(5)},
+		_ = cbor.NewEncoder(os.Stdout).Encode([]any{membership.FrameMembers, []any{[]any{"\xff\xfe", "127.0.0.1:1", "alive", uint64(5)},
 			[]any{"b", "127.0.0.1:2", "alive", uint64(5)}, []any{"", "\xc3\x28", "", uint64(7)}}})
 		time.Sleep(time.Hour)
 	case "deaf":
@@ -59,7 +59,7 @@
 	return false
 }
 
-func begin(t *testing.T, way, name, ip string, seeds ...string) (*members.Group, *teller, string, func()) {
+func begin(t *testing.T, way, name, ip string, seeds ...string) (*membership.Group, *teller, string, func()) {
 	t.Helper()
 	at, err := freeaddr.UDP(ip)
 	if err != nil {
@@ -71,7 +71,7 @@
 		t.Fatal(err)
 	}
 	tell := &teller{}
-	g := members.New(self, members.Name(name), "one", at, at, seeds, tell)
+	g := membership.New(self, membership.Name(name), "one", at, at, seeds, tell)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
@@ -92,7 +92,7 @@
 	}
 }
 
-func state(g *members.Group, name members.Name) members.State {
+func state(g *membership.Group, name membership.Name) membership.State {
 	for _, s := range g.Seen() {
 		if s.Name == name {
 			return s.State
@@ -128,10 +128,12 @@
 func TestThroughTheEngine(t *testing.T) {
 	a, tellA, atA, _ := begin(t, "real", "a", "127.84.0.1")
 	a.Whole([]byte("all"))
-	within(t, "a is up", func() bool { return state(a, "a") == members.Alive })
+	within(t, "a is up", func() bool { return state(a, "a") == membership.Alive })
 	first := engines(t)
 	b, tellB, _, endB := begin(t, "real", "b", "127.84.0.2", atA)
-	within(t, "they see each other", func() bool { return state(a, "b") == members.Alive && state(b, "a") == members.Alive && a.Count() == 2 })
+	within(t, "they see each other", func() bool {
+		return state(a, "b") == membership.Alive && state(b, "a") == membership.Alive && a.Count() == 2
+	})
 	a.Say("a", []byte("late"))
 	within(t, "b hears a", func() bool { return tellB.has("late") })
 	within(t, "b is told all", func() bool { return tellB.has("all") })
@@ -141,9 +143,9 @@
 	}
 	within(t, "a has none, and says so", func() bool { return a.Count() == 1 && len(a.Unread()) > 0 })
 	b.Say("b", []byte("well"))
-	within(t, "a is back and hears b", func() bool { return tellA.has("well") || state(a, "b") == members.Alive })
+	within(t, "a is back and hears b", func() bool { return tellA.has("well") || state(a, "b") == membership.Alive })
 	endB()
-	within(t, "b has left", func() bool { return state(a, "b") == members.Left })
+	within(t, "b has left", func() bool { return state(a, "b") == membership.Left })
 }
 
 // What strangers call themselves does not end the engine's link: random datagrams did, by the label that the engine quoted.
--- a/internal/members/engine/delegate.go
+++ b/internal/membership/engine/delegate.go
@@ -9,7 +9,7 @@
 
 	"github.com/hashicorp/memberlist"
 
-	"yardwinch/internal/members"
+	"yardwinch/internal/membership"
 )
 
 // bound speaks from the address that it is bound to, so that whoever filters by address knows who speaks; the library's own
@@ -50,7 +50,7 @@
 	d.g.mu.Lock()
 	defer d.g.mu.Unlock()
 	if d.g.leaving {
-		return []byte(members.Left)
+		return []byte(membership.Left)
 	}
 	return nil
 }
@@ -68,18 +68,18 @@
 	return q.GetBroadcasts(overhead, limit)
 }
 
-func (d delegate) NotifyJoin(n *memberlist.Node)   { d.g.turn(n, members.Alive) }
-func (d delegate) NotifyUpdate(n *memberlist.Node) { d.g.turn(n, members.Alive) }
+func (d delegate) NotifyJoin(n *memberlist.Node)   { d.g.turn(n, membership.Alive) }
+func (d delegate) NotifyUpdate(n *memberlist.Node) { d.g.turn(n, membership.Alive) }
 func (d delegate) NotifyLeave(n *memberlist.Node) {
-	if string(n.Meta) == string(members.Left) {
-		d.g.turn(n, members.Left)
+	if string(n.Meta) == string(membership.Left) {
+		d.g.turn(n, membership.Left)
 	} else {
-		d.g.turn(n, members.Gone)
+		d.g.turn(n, membership.Gone)
 	}
 }
 
 func (d delegate) NotifyConflict(existing, other *memberlist.Node) {
-	e := &members.Error{Where: "peers.name", What: fmt.Sprintf("two members call themselves %s, at %s and at %s", existing.Name, existing.Address(), other.Address()),
+	e := &membership.Error{Where: "peers.name", What: fmt.Sprintf("two members call themselves %s, at %s and at %s", existing.Name, existing.Address(), other.Address()),
 		Do: "give each instance a name of its own and restart the one that came later"}
 	d.g.quiet.note("two members of one name", e.Error()+"; what helps: "+e.Advice())
 }
--- a/internal/members/engine/engine.go
+++ b/internal/membership/engine/engine.go
@@ -17,7 +17,7 @@
 	"github.com/cenkalti/backoff/v5"
 	"github.com/hashicorp/memberlist"
 
-	"yardwinch/internal/members"
+	"yardwinch/internal/membership"
 )
 
 // Teller is the balancer's side. It is called from the engine's goroutines and must not wait for anything.
@@ -48,7 +48,7 @@
 
 // Group is this instance among the members.
 type Group struct {
-	name      members.Name
+	name      membership.Name
 	label     string
 	bind      netip.AddrPort
 	advertise netip.AddrPort
@@ -59,7 +59,7 @@
 	mu    sync.Mutex
 	list  *memberlist.Memberlist // nil until the address is bound
 	queue *memberlist.TransmitLimitedQueue
-	seen  map[members.Name]*seen
+	seen  map[membership.Name]*seen
 	quiet quiet
 
 	leaving, silent bool
@@ -67,16 +67,16 @@
 
 type seen struct {
 	addr   string
-	state  members.State
+	state  membership.State
 	at     time.Duration
 	before time.Duration // of the state before
 }
 
 // New makes a member that speaks from bind, tells others advertise and begins by asking the seeds. Members of other labels are not
 // heard. Nothing is opened before Run.
-func New(name members.Name, label string, bind, advertise netip.AddrPort, seeds []string, tell Teller) *Group {
+func New(name membership.Name, label string, bind, advertise netip.AddrPort, seeds []string, tell Teller) *Group {
 	return &Group{name: name, label: label, bind: bind, advertise: advertise, seeds: seeds, tell: tell, start: time.Now(),
-		seen: map[members.Name]*seen{}, quiet: quiet{kinds: map[string]*told{}}}
+		seen: map[membership.Name]*seen{}, quiet: quiet{kinds: map[string]*told{}}}
 }
 
 // Run is the member from its start to its end, when it says that it leaves. An address that is taken is tried again: the process before
@@ -96,7 +96,7 @@
 		if now := time.Now(); !now.Before(next) && g.lonely() {
 			if err := g.join(); err != nil && !said {
 				said = true
-				e := &members.Error{Where: "peers", What: "none of the seeds answers; serving alone and asking on", Do: "check peers.seeds, that the others run, and that UDP and TCP of their ports are open here", Err: oneLine(err)}
+				e := &membership.Error{Where: "peers", What: "none of the seeds answers; serving alone and asking on", Do: "check peers.seeds, that the others run, and that UDP and TCP of their ports are open here", Err: oneLine(err)}
 				slog.Warn(e.Error(), "what helps", e.Advice())
 			} else if err == nil {
 				again, said = retries(), false
@@ -139,7 +139,7 @@
 		}
 		if !said {
 			said = true
-			e := &members.Error{Where: "peers.bind", What: "no member yet, serving alone", Do: "while the process before this one runs this is usual; else see who has the address, or name another", Err: err}
+			e := &membership.Error{Where: "peers.bind", What: "no member yet, serving alone", Do: "while the process before this one runs this is usual; else see who has the address, or name another", Err: err}
 			slog.Warn(e.Error(), "what helps", e.Advice())
 		}
 		select {
@@ -206,10 +206,10 @@
 	defer g.mu.Unlock()
 	alive := 0
 	for _, s := range g.seen {
-		if s.state == members.Gone {
+		if s.state == membership.Gone {
 			return true
 		}
-		if s.state == members.Alive {
+		if s.state == membership.Alive {
 			alive++
 		}
 	}
@@ -224,10 +224,10 @@
 	alive := 0
 	for _, name := range slices.Sorted(maps.Keys(g.seen)) {
 		s := g.seen[name]
-		if s.state == members.Gone && len(ask) < gossipTo {
+		if s.state == membership.Gone && len(ask) < gossipTo {
 			ask = append(ask, s.addr)
 		}
-		if s.state == members.Alive {
+		if s.state == membership.Alive {
 			alive++
 		}
 	}
@@ -248,7 +248,7 @@
 	defer g.mu.Unlock()
 	n := 0
 	for _, s := range g.seen {
-		if s.state == members.Alive {
+		if s.state == membership.Alive {
 			n++
 		}
 	}
@@ -266,23 +266,23 @@
 }
 
 // Seen is all members as they are seen now, by name.
-func (g *Group) Seen() []members.Seen {
+func (g *Group) Seen() []membership.Seen {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := time.Since(g.start)
-	var all []members.Seen
+	var all []membership.Seen
 	for name, s := range g.seen {
-		x := members.Seen{Name: name, Addr: s.addr, State: s.state, Since: now - s.at}
-		if x.State == members.Gone && x.Since < refuteWithin { // one who was cut off calls all others gone when it is back
-			x.State, x.Since = members.Alive, now-s.before
+		x := membership.Seen{Name: name, Addr: s.addr, State: s.state, Since: now - s.at}
+		if x.State == membership.Gone && x.Since < refuteWithin { // one who was cut off calls all others gone when it is back
+			x.State, x.Since = membership.Alive, now-s.before
 		}
 		all = append(all, x)
 	}
-	slices.SortFunc(all, func(a, b members.Seen) int { return compare(a.Name, b.Name) })
+	slices.SortFunc(all, func(a, b membership.Seen) int { return compare(a.Name, b.Name) })
 	return all
 }
 
-func compare(a, b members.Name) int {
+func compare(a, b membership.Name) int {
 	if a < b {
 		return -1
 	}
@@ -293,10 +293,10 @@
 func (g *Group) Unread() map[string]int { return g.quiet.counts() }
 
 // turn makes every change of how a member is seen.
-func (g *Group) turn(n *memberlist.Node, to members.State) {
+func (g *Group) turn(n *memberlist.Node, to membership.State) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	name := members.Name(n.Name)
+	name := membership.Name(n.Name)
 	s := g.seen[name]
 	if s == nil {
 		if len(g.seen) >= goneKept {
@@ -306,7 +306,7 @@
 		g.seen[name] = s
 	}
 	if s.state != to {
-		if now := time.Since(g.start); to == members.Alive && s.state == members.Gone && now-s.at < refuteWithin {
+		if now := time.Since(g.start); to == membership.Alive && s.state == membership.Gone && now-s.at < refuteWithin {
 			s.at = s.before // it was never gone for whoever asks
 		} else {
 			s.before, s.at = s.at, now
@@ -319,10 +319,10 @@
 
 // forget drops the one that has been gone for longest, where too many are: how many are here is no bound.
 func (g *Group) forget() {
-	var oldest members.Name
+	var oldest membership.Name
 	gone := 0
 	for name, s := range g.seen {
-		if s.state == members.Gone || s.state == members.Left {
+		if s.state == membership.Gone || s.state == membership.Left {
 			if gone++; oldest == "" || s.at < g.seen[oldest].at {
 				oldest = name
 			}
--- a/internal/members/engine/engine_test.go
+++ b/internal/membership/engine/engine_test.go
@@ -16,7 +16,7 @@
 	"go.uber.org/goleak"
 
 	"yardwinch/internal/freeaddr"
-	"yardwinch/internal/members"
+	"yardwinch/internal/membership"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -58,7 +58,7 @@
 	for _, s := range seeds {
 		texts = append(texts, s.String())
 	}
-	g := New(members.Name(name), label, at, at, texts, tell)
+	g := New(membership.Name(name), label, at, at, texts, tell)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
@@ -81,7 +81,7 @@
 	}
 }
 
-func (g *Group) is(name members.Name) members.State {
+func (g *Group) is(name membership.Name) membership.State {
 	for _, s := range g.Seen() {
 		if s.Name == name {
 			return s.State
@@ -94,10 +94,10 @@
 	atA, atB, atC := free(t, "127.83.0.1"), free(t, "127.83.0.2"), free(t, "127.83.0.3")
 	// Nobody answers a's seed yet: it runs alone and asks on.
 	a, tellA, _ := begin(t, "a", "one", atA, atB)
-	within(t, 5*time.Second, "a is bound", func() bool { return a.is("a") == members.Alive })
+	within(t, 5*time.Second, "a is bound", func() bool { return a.is("a") == membership.Alive })
 	b, tellB, endB := begin(t, "b", "one", atB)
 	c, _, _ := begin(t, "c", "two", atC, atA)
-	within(t, 15*time.Second, "a sees b", func() bool { return a.is("b") == members.Alive && b.is("a") == members.Alive })
+	within(t, 15*time.Second, "a sees b", func() bool { return a.is("b") == membership.Alive && b.is("a") == membership.Alive })
 	a.Say("a", []byte("late"))
 	within(t, 5*time.Second, "b hears a", func() bool { return tellB.has("late") })
 	within(t, 15*time.Second, "they told each other all", func() bool { return tellA.has("whole") && tellB.has("whole") })
@@ -106,7 +106,7 @@
 		t.Error("members of two labels see each other")
 	}
 	endB()
-	within(t, 10*time.Second, "a sees that b left", func() bool { return a.is("b") == members.Left })
+	within(t, 10*time.Second, "a sees that b left", func() bool { return a.is("b") == membership.Left })
 }
 
 // The address may still be another process's: the member comes up when it is free.
@@ -118,7 +118,7 @@
 	}
 	g, _, _ := begin(t, "a", "one", at)
 	time.AfterFunc(300*time.Millisecond, func() { _ = other.Close() })
-	within(t, 10*time.Second, "it is bound", func() bool { return g.is("a") == members.Alive })
+	within(t, 10*time.Second, "it is bound", func() bool { return g.is("a") == membership.Alive })
 }
 
 // A flood is counted by kind; each is logged once.
@@ -154,7 +154,7 @@
 }
 
 func TestErrorsSayWhatHelps(t *testing.T) {
-	e := &members.Error{Where: "peers.bind", What: "no member yet", Do: "see who has the address", Err: net.ErrClosed}
+	e := &membership.Error{Where: "peers.bind", What: "no member yet", Do: "see who has the address", Err: net.ErrClosed}
 	if !errors.Is(e, net.ErrClosed) || e.Advice() == "" || !strings.Contains(e.Error(), "peers.bind") {
 		t.Error(e, e.Advice())
 	}
@@ -162,19 +162,19 @@
 
 // How many are here takes nothing from what is known of those gone; of these the latest are kept.
 func TestGoneAmongMany(t *testing.T) {
-	g := &Group{seen: map[members.Name]*seen{}, start: time.Now()}
-	turn := func(name string, to members.State) {
+	g := &Group{seen: map[membership.Name]*seen{}, start: time.Now()}
+	turn := func(name string, to membership.State) {
 		g.turn(&memberlist.Node{Name: name}, to)
 	}
-	turn("first", members.Gone)
+	turn("first", membership.Gone)
 	for i := range 1024 {
-		turn(fmt.Sprint("here-", i), members.Alive)
+		turn(fmt.Sprint("here-", i), membership.Alive)
 	}
 	if g.seen["first"] == nil || len(g.seen) != 1025 {
 		t.Errorf("the one gone is forgotten, or not all are here: %d are known", len(g.seen))
 	}
 	for i := range goneKept {
-		turn(fmt.Sprint("gone-", i), members.Gone)
+		turn(fmt.Sprint("gone-", i), membership.Gone)
 	}
 	if g.seen["first"] != nil || g.seen["gone-0"] == nil || len(g.seen) != 1024+goneKept {
 		t.Errorf("%d are known, want those here and %d gone", len(g.seen), goneKept)
--- a/internal/members/engine/serve.go
+++ b/internal/membership/engine/serve.go
@@ -12,7 +12,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"yardwinch/internal/members"
+	"yardwinch/internal/membership"
 )
 
 const tellEvery = 100 * time.Millisecond // how the members are seen
@@ -30,9 +30,9 @@
 	_ = b.enc.Encode(f) // a balancer that is gone is seen by whoever reads from it
 }
 
-func (b *balancer) Hear(m []byte)          { b.send(members.FrameHear, m) }
-func (b *balancer) HearWhole(all []byte)   { b.send(members.FrameAll, all) }
-func (b *balancer) Away(gap time.Duration) { b.send(members.FrameAway, uint64(gap)) }
+func (b *balancer) Hear(m []byte)          { b.send(membership.FrameHear, m) }
+func (b *balancer) HearWhole(all []byte)   { b.send(membership.FrameAll, all) }
+func (b *balancer) Away(gap time.Duration) { b.send(membership.FrameAway, uint64(gap)) }
 func (b *balancer) Whole() []byte {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -71,12 +71,12 @@
 			return err
 		}
 		for f := range frames { // the balancer stood still, and runs on
-			if kind, _ := f[0].(uint64); kind == members.FrameLeave {
+			if kind, _ := f[0].(uint64); kind == membership.FrameLeave {
 				return nil
 			}
 			break
 		}
-		b.Away(members.BeatMost)
+		b.Away(membership.BeatMost)
 	}
 }
 
@@ -87,15 +87,15 @@
 		s, _ := x.(string)
 		text = append(text, s)
 	}
-	if kind, _ := f[0].(uint64); kind != members.FrameStart || len(text) < 4 {
-		return nil, &members.Error{Where: "peers", What: "the engine was not told who it is", Do: "it is started by yardwinch serve, not by hand"}
+	if kind, _ := f[0].(uint64); kind != membership.FrameStart || len(text) < 4 {
+		return nil, &membership.Error{Where: "peers", What: "the engine was not told who it is", Do: "it is started by yardwinch serve, not by hand"}
 	}
 	bind, err1 := netip.ParseAddrPort(text[2])
 	advertise, err2 := netip.ParseAddrPort(text[3])
 	if err := errors.Join(err1, err2); err != nil {
-		return nil, &members.Error{Where: "peers", What: "an address", Do: "it is started by yardwinch serve, not by hand", Err: err}
+		return nil, &membership.Error{Where: "peers", What: "an address", Do: "it is started by yardwinch serve, not by hand", Err: err}
 	}
-	return func() *Group { return New(members.Name(text[0]), text[1], bind, advertise, text[4:], b) }, nil
+	return func() *Group { return New(membership.Name(text[0]), text[1], bind, advertise, text[4:], b) }, nil
 }
 
 // runs is a member until its balancer stands still (again is true), leaves or ends.
@@ -109,7 +109,7 @@
 	defer func() { cancel(); <-done }()
 	told := time.NewTicker(tellEvery)
 	defer told.Stop()
-	still := time.NewTimer(members.BeatMost)
+	still := time.NewTimer(membership.BeatMost)
 	defer still.Stop()
 	for {
 		select {
@@ -117,23 +117,23 @@
 			if !ok {
 				return false, nil
 			}
-			still.Reset(members.BeatMost)
+			still.Reset(membership.BeatMost)
 			kind, _ := f[0].(uint64)
 			switch {
-			case kind == members.FrameLeave:
+			case kind == membership.FrameLeave:
 				return false, nil
-			case kind == members.FrameSay && len(f) == 3:
+			case kind == membership.FrameSay && len(f) == 3:
 				key, _ := f[1].(string)
 				m, _ := f[2].([]byte)
 				g.Say(key, m)
-			case kind == members.FrameWhole && len(f) == 2:
+			case kind == membership.FrameWhole && len(f) == 2:
 				whole, _ := f[1].([]byte)
 				b.mu.Lock()
 				b.whole = whole
 				b.mu.Unlock()
 			}
 		case <-told.C:
-			b.send(members.FrameMembers, g.frame())
+			b.send(membership.FrameMembers, g.frame())
 		case <-still.C:
 			slog.Warn("the balancer stands still: its member is silent until it runs on")
 			g.abandon()
--- a/internal/members/members.go
+++ b/internal/membership/members.go
@@ -1,6 +1,6 @@
-// Package members is what a balancer knows of the others: members and bytes, no meaning. The gossip engine itself runs in a process of
-// its own (internal/members/engine, cmd/yardwinch-peer), which this package starts, feeds and starts again.
-package members
+// Package membership is what a balancer knows of the others: members and bytes, no meaning. The gossip engine itself runs in a process of
+// its own (internal/membership/engine, cmd/yardwinch-peer), which this package starts, feeds and starts again.
+package membership
 
 import (
 	"slices"
--- a/internal/yard/dissemination/dissemination.go
+++ b/internal/yard/dissemination/dissemination.go
@@ -13,7 +13,7 @@
 	"yardwinch/internal/world"
 )
 
-// The gossip engine's rules, as internal/members/engine sets them.
+// The gossip engine's rules, as internal/membership/engine sets them.
 const (
 	gossipInterval       = 200 * time.Millisecond
 	gossipFanout         = 3
--- a/internal/yard/fleet/peers.go
+++ b/internal/yard/fleet/peers.go
@@ -14,7 +14,7 @@
 	"yardwinch/internal/daemon"
 	"yardwinch/internal/explain"
 	"yardwinch/internal/freeaddr"
-	"yardwinch/internal/members"
+	"yardwinch/internal/membership"
 	"yardwinch/internal/routing"
 	"yardwinch/internal/world"
 	"yardwinch/internal/yard/links"
@@ -183,7 +183,7 @@
 			}
 			asked++
 			if m.kind == keeps {
-				at, ever := x.saw(o, string(members.Gone), from, end)
+				at, ever := x.saw(o, string(membership.Gone), from, end)
 				worst(fmt.Sprintf("%s saw %s gone at %v", w, o, at.Round(time.Millisecond)), !ever)
 				continue
 			}
--- a/internal/yard/scale/control_real.go
+++ b/internal/yard/scale/control_real.go
@@ -14,8 +14,8 @@
 
 	"github.com/hashicorp/go-metrics"
 
-	"yardwinch/internal/members"
-	"yardwinch/internal/members/engine"
+	"yardwinch/internal/membership"
+	"yardwinch/internal/membership/engine"
 	"yardwinch/internal/world"
 )
 
@@ -61,7 +61,7 @@
 // Handle takes a line of an engine.
 func (c *goneCounter) Handle(_ context.Context, line slog.Record) error {
 	line.Attrs(func(a slog.Attr) bool {
-		if line.Message == "member" && a.Key == "is" && a.Value.String() == string(members.Gone) {
+		if line.Message == "member" && a.Key == "is" && a.Value.String() == string(membership.Gone) {
 			c.count.Add(1)
 		}
 		return true
@@ -130,7 +130,7 @@
 	for i := range count {
 		m := &realMember{number: i, whole: make([]byte, recordsBytes(count, recordBytes)), latest: map[uint32]uint64{}}
 		at := realAddr(i, port)
-		m.group = engine.New(members.Name(memberName(i)), realFleetLabel, at, at, []string{seed}, m)
+		m.group = engine.New(membership.Name(memberName(i)), realFleetLabel, at, at, []string{seed}, m)
 		fleet.members = append(fleet.members, m)
 		fleet.parts.Go(func() { m.group.Run(ctx) })
 		if err := pause(ctx, startPace); err != nil {
--- a/internal/yard/scale/control_views.go
+++ b/internal/yard/scale/control_views.go
@@ -12,39 +12,39 @@
 
 	"yardwinch/fleet/lease"
 	"yardwinch/fleet/signals"
-	"yardwinch/internal/members"
+	"yardwinch/internal/membership"
 )
 
 // memberView is how an engine sees so many members, and what it does for its balancer with that.
 type memberView struct {
-	seen map[members.Name]members.Seen
+	seen map[membership.Name]membership.Seen
 }
 
 func newMemberView(count int) memberView {
-	v := memberView{map[members.Name]members.Seen{}}
+	v := memberView{map[membership.Name]membership.Seen{}}
 	for i := range count {
-		name := members.Name(memberName(i))
+		name := membership.Name(memberName(i))
 		addr := memberAddr(i)
-		v.seen[name] = members.Seen{Name: name, Addr: fmt.Sprintf("%d.%d.%d.%d:%d", addr[0], addr[1], addr[2], addr[3], memberPort), State: members.Alive, Since: time.Hour}
+		v.seen[name] = membership.Seen{Name: name, Addr: fmt.Sprintf("%d.%d.%d.%d:%d", addr[0], addr[1], addr[2], addr[3], memberPort), State: membership.Alive, Since: time.Hour}
 	}
 	return v
 }
 
 // sorted is all members by name, as the engine lists them.
-func (v memberView) sorted() []members.Seen {
-	return slices.SortedFunc(maps.Values(v.seen), func(a, b members.Seen) int {
+func (v memberView) sorted() []membership.Seen {
+	return slices.SortedFunc(maps.Values(v.seen), func(a, b membership.Seen) int {
 		return strings.Compare(string(a.Name), string(b.Name))
 	})
 }
 
-// frame is the members as internal/members/engine writes them to its balancer, every membersFrameEvery.
+// frame is the members as internal/membership/engine writes them to its balancer, every membersFrameEvery.
 func (v memberView) frame() []byte {
 	list := []any{}
 	for _, s := range v.sorted() {
 		list = append(list, []any{string(s.Name), s.Addr, string(s.State), uint64(s.Since)})
 	}
 	var text bytes.Buffer
-	if err := cbor.NewEncoder(&text).Encode([]any{members.FrameMembers, list}); err != nil {
+	if err := cbor.NewEncoder(&text).Encode([]any{membership.FrameMembers, list}); err != nil {
 		panic(err) // a buffer takes all, and these types can be written
 	}
 	return text.Bytes()
@@ -57,21 +57,21 @@
 		return 0
 	}
 	list, _ := frame[1].([]any)
-	var seen []members.Seen
+	var seen []membership.Seen
 	for _, entry := range list {
 		fields, _ := entry.([]any)
 		name, _ := fields[0].(string)
 		addr, _ := fields[1].(string)
 		state, _ := fields[2].(string)
 		since, _ := fields[3].(uint64)
-		seen = append(seen, members.Seen{Name: members.Name(name), Addr: addr, State: members.State(state), Since: time.Duration(since)})
+		seen = append(seen, membership.Seen{Name: membership.Name(name), Addr: addr, State: membership.State(state), Since: time.Duration(since)})
 	}
-	slices.SortFunc(seen, func(a, b members.Seen) int { return strings.Compare(string(a.Name), string(b.Name)) })
+	slices.SortFunc(seen, func(a, b membership.Seen) int { return strings.Compare(string(a.Name), string(b.Name)) })
 	return len(seen)
 }
 
 // handOver is what a balancer does with its view every tellEvery: the deciders hear who is alive.
-func handOver(list []members.Seen, decider *signals.Signals, leases *lease.Duties) {
+func handOver(list []membership.Seen, decider *signals.Signals, leases *lease.Duties) {
 	var alive []lease.Member
 	var voices []signals.Origin
 	for _, s := range list {
--- a/internal/yard/scale/control_wire.go
+++ b/internal/yard/scale/control_wire.go
@@ -12,7 +12,7 @@
 	"yardwinch/fleet/signals"
 )
 
-// The gossip engine's settings, as internal/members/engine gives them to memberlist.
+// The gossip engine's settings, as internal/membership/engine gives them to memberlist.
 const (
 	gossipEvery         = 200 * time.Millisecond
 	gossipTo            = 3
