--- a/cmd/yard/agree.go
+++ b/cmd/yard/agree.go
@@ -12,7 +12,7 @@
 	"golang.org/x/sync/errgroup"
 
 	"yardwinch/decide"
-	"yardwinch/internal/world"
+	"yardwinch/internal/simulation"
 	"yardwinch/internal/yard/count"
 	"yardwinch/internal/yard/experiment"
 	"yardwinch/internal/yard/play"
@@ -138,7 +138,7 @@
 	p.Least = math.Inf(1)
 	for k := range uint64(chances) {
 		r, err := play.Day(e, p.Seed, policy, nil, func(m virtual.Maker) virtual.Maker {
-			return func(seed uint64, b world.BalancerID, act decide.Act) virtual.Decider { return m(seed+k, b, act) }
+			return func(seed uint64, b simulation.BalancerID, act decide.Act) virtual.Decider { return m(seed+k, b, act) }
 		})
 		if err != nil {
 			return err
--- a/cmd/yard/parts.go
+++ b/cmd/yard/parts.go
@@ -10,7 +10,7 @@
 
 	"github.com/urfave/cli/v3"
 
-	"yardwinch/internal/world"
+	"yardwinch/internal/simulation"
 	"yardwinch/internal/yard/count"
 	"yardwinch/internal/yard/experiment"
 	"yardwinch/internal/yard/play"
@@ -129,4 +129,4 @@
 	return r, nil
 }
 
-var _ world.Source = (*experiment.Steady)(nil)
+var _ simulation.Source = (*experiment.Steady)(nil)
--- a/internal/world/agenda.go
+++ b/internal/simulation/agenda.go
@@ -1,7 +1,7 @@
-// Package world models what a balancer stands in: clients, servers, a session store, halls, a network and a server
+// Package simulation models what a balancer stands in: clients, servers, a session store, halls, a network and a server
 // list. It does no I/O, starts no goroutine and reads no clock: time and chance are handed in, so that one seed gives
 // one run, and the same model stands behind virtual time and behind sockets.
-package world
+package simulation
 
 import (
 	"container/heap"
--- a/internal/world/world_test.go
+++ b/internal/simulation/world_test.go
@@ -1,4 +1,4 @@
-package world
+package simulation
 
 import (
 	"math"
--- a/internal/yard/baseline/baseline.go
+++ b/internal/yard/baseline/baseline.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"yardwinch/decide"
-	"yardwinch/internal/world"
+	"yardwinch/internal/simulation"
 )
 
 // Rule chooses among servers that the list calls ready; nil turns the flow away.
@@ -49,15 +49,15 @@
 	servers map[decide.ServerID]*server
 	ready   []*server
 	kind    decide.ListKind
-	truth   func(decide.ServerID) *world.Server
-	groups  func(decide.GroupKey) world.GroupID
-	world   *world.World // for the one that sees all, else nil
+	truth   func(decide.ServerID) *simulation.Server
+	groups  func(decide.GroupKey) simulation.GroupID
+	world   *simulation.World // for the one that sees all, else nil
 }
 
 // New makes one. connects is how many a flow may use, after what those turned away are told to wait, effects those of
 // the service types. w, truth and groups are for the one policy that sees all; for the others w is nil.
-func New(rule Rule, seed uint64, act decide.Act, connects int, after time.Duration, effects []decide.Effect, w *world.World,
-	truth func(decide.ServerID) *world.Server, groups func(decide.GroupKey) world.GroupID) *Plain {
+func New(rule Rule, seed uint64, act decide.Act, connects int, after time.Duration, effects []decide.Effect, w *simulation.World,
+	truth func(decide.ServerID) *simulation.Server, groups func(decide.GroupKey) simulation.GroupID) *Plain {
 	p := &Plain{act: act, rng: rand.New(rand.NewPCG(seed, 1)), rule: rule, most: connects, after: after, effects: effects,
 		flows: map[decide.FlowID]*flow{}, servers: map[decide.ServerID]*server{}, truth: truth, groups: groups, world: w}
 	if w != nil {
@@ -163,7 +163,7 @@
 }
 
 // use is what a server is asked for over what it can do, with what is being set up there counted as standing.
-func (p *Plain) use(t *world.Server) float64 {
+func (p *Plain) use(t *simulation.Server) float64 {
 	coming := float64(t.Held()-t.Standing()) * t.GroupLoad
 	return (t.Demand()+coming)/t.Can() + t.Late()
 }
--- a/internal/yard/count/count.go
+++ b/internal/yard/count/count.go
@@ -8,7 +8,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"yardwinch/internal/world"
+	"yardwinch/internal/simulation"
 )
 
 // Result is one day under one policy, as programs read it. Times are in seconds where a name says so.
@@ -76,7 +76,7 @@
 const windowSeconds = 10
 
 // Count fills in what books, totals and weights tell. Cut, a day's last part may be left out.
-func (r *Result) Count(b *world.Books, t *world.Totals, services, customers int, w Weights) {
+func (r *Result) Count(b *simulation.Books, t *simulation.Totals, services, customers int, w Weights) {
 	seconds := len(b.Asked[0])
 	asked, got := make([]float64, seconds), make([]float64, seconds)
 	byType, gotType := make([]float64, services), make([]float64, services)
@@ -146,7 +146,7 @@
 	r.setups(t, seconds)
 }
 
-func (r *Result) setups(t *world.Totals, seconds int) {
+func (r *Result) setups(t *simulation.Totals, seconds int) {
 	at := make([][]time.Duration, seconds)
 	for i, when := range t.SetupAt {
 		if s := int(when / time.Second); s < seconds {
--- a/internal/yard/count/count_test.go
+++ b/internal/yard/count/count_test.go
@@ -5,11 +5,11 @@
 	"testing"
 	"time"
 
-	"yardwinch/internal/world"
+	"yardwinch/internal/simulation"
 )
 
 func TestServiceIsValueServedOverValueAskedFor(t *testing.T) {
-	b := world.NewBooks(40*time.Second, 2, 2, 2, 0.5)
+	b := simulation.NewBooks(40*time.Second, 2, 2, 2, 0.5)
 	b.Wanted(0, 0, false, 0, 0, 40*time.Second, 1)
 	b.Wanted(1, 1, false, 0, 0, 40*time.Second, 3)
 	b.Wanted(0, 1, true, 0, 0, 40*time.Second, 2) // counts half
@@ -18,7 +18,7 @@
 	b.Served(0, 1, true, 0, 0, 20*time.Second, 2)
 	var r Result
 	r.Crossings = 5
-	tot := &world.Totals{Clients: 10, Setups: []time.Duration{10 * time.Millisecond, 30 * time.Millisecond}, SetupAt: []time.Duration{0, time.Second}}
+	tot := &simulation.Totals{Clients: 10, Setups: []time.Duration{10 * time.Millisecond, 30 * time.Millisecond}, SetupAt: []time.Duration{0, time.Second}}
 	r.Count(b, tot, 2, 2, Weights{Whole: 0.5, Window: 0.5, Crossing: 0.1})
 	for _, c := range []struct {
 		name      string
--- a/internal/yard/dissemination/dissemination.go
+++ b/internal/yard/dissemination/dissemination.go
@@ -10,7 +10,7 @@
 
 	"yardwinch/decide"
 	"yardwinch/fleet/signals"
-	"yardwinch/internal/world"
+	"yardwinch/internal/simulation"
 )
 
 // The gossip engine's rules, as internal/membership/engine sets them.
@@ -87,8 +87,8 @@
 	messages [][]byte
 }
 
-// simulation is a run under way.
-type simulation struct {
+// clusterRun is a run under way.
+type clusterRun struct {
 	config          Config
 	random          *rand.Rand
 	members         []*member
@@ -118,10 +118,10 @@
 	return s.result, nil
 }
 
-func newSimulation(config Config) *simulation {
-	s := &simulation{
+func newSimulation(config Config) *clusterRun {
+	s := &clusterRun{
 		config:          config,
-		random:          world.Chance(config.Seed, randomStream, config.Members),
+		random:          simulation.Chance(config.Seed, randomStream, config.Members),
 		retransmitLimit: retransmitMultiplier * int(math.Ceil(math.Log10(float64(config.Members+1)))),
 		deliveries:      map[time.Duration][]delivery{},
 		result:          &Result{Members: config.Members, Seed: config.Seed, Most: noDeadline, Half: noDeadline},
@@ -134,7 +134,7 @@
 }
 
 // deliver hands over the packets that arrive now; a record that is news is passed on.
-func (s *simulation) deliver() error {
+func (s *clusterRun) deliver() error {
 	for _, d := range s.deliveries[s.now] {
 		m := s.members[d.to]
 		m.signals.At(s.now)
@@ -156,7 +156,7 @@
 }
 
 // step has one member observe, publish and gossip what is due.
-func (s *simulation) step(i int) error {
+func (s *clusterRun) step(i int) error {
 	m := s.members[i]
 	m.signals.At(s.now)
 	if m.direct && s.now >= s.config.FaultAt && s.now%time.Second == observationPhase(i) {
@@ -174,7 +174,7 @@
 }
 
 // gossip sends what a member has queued to a few members drawn at random.
-func (s *simulation) gossip(from int) {
+func (s *clusterRun) gossip(from int) {
 	m := s.members[from]
 	for range min(gossipFanout, s.config.Members-1) {
 		if len(m.queue) == 0 {
@@ -194,7 +194,7 @@
 }
 
 // send puts a packet on its way, unless it is lost.
-func (s *simulation) send(from, to int, messages [][]byte) {
+func (s *clusterRun) send(from, to int, messages [][]byte) {
 	lost := s.random.Float64() < s.config.Network.Loss || s.partitioned(from, to)
 	jitter := time.Duration(s.random.Float64() * float64(s.config.Network.Jitter))
 	if lost {
@@ -205,11 +205,11 @@
 	s.deliveries[at] = append(s.deliveries[at], delivery{to, messages})
 }
 
-func (s *simulation) partitioned(a, b int) bool {
+func (s *clusterRun) partitioned(a, b int) bool {
 	return s.config.Partition && s.members[a].half != s.members[b].half && s.now < s.config.FaultAt+partitionPeriod
 }
 
-func (s *simulation) countSent(m *member, size int) {
+func (s *clusterRun) countSent(m *member, size int) {
 	switch {
 	case s.now < s.config.FaultAt:
 		m.quietBytes += size
@@ -220,7 +220,7 @@
 }
 
 // sampleKnowledge counts the members that know of the fault.
-func (s *simulation) sampleKnowledge() {
+func (s *clusterRun) sampleKnowledge() {
 	knowing := 0
 	for _, m := range s.members {
 		penalty, _ := m.signals.Server(flowOfQuestion, faultyServer)
@@ -247,7 +247,7 @@
 }
 
 // sumTraffic brings the members' traffic down to a member and a second.
-func (s *simulation) sumTraffic() {
+func (s *clusterRun) sumTraffic() {
 	quietSeconds := s.config.FaultAt.Seconds()
 	members := float64(s.config.Members)
 	quietBytes := 0
--- a/internal/yard/experiment/day.go
+++ b/internal/yard/experiment/day.go
@@ -7,7 +7,7 @@
 	"strconv"
 	"time"
 
-	"yardwinch/internal/world"
+	"yardwinch/internal/simulation"
 	"yardwinch/internal/yard/count"
 )
 
@@ -15,11 +15,11 @@
 type Day struct {
 	Experiment *Experiment
 	Seed       uint64
-	World      *world.World
-	Troubles   []world.Trouble
+	World      *simulation.World
+	Troubles   []simulation.Trouble
 
-	services  []world.Service
-	customers []world.Customer
+	services  []simulation.Service
+	customers []simulation.Customer
 	perCore   float64
 	groups    []groupOf // by customer
 	life      time.Duration
@@ -32,28 +32,28 @@
 }
 
 type groupOf struct {
-	first world.GroupID
-	zipf  world.Zipf
+	first simulation.GroupID
+	zipf  simulation.Zipf
 }
 
-func (s span) draw(r *rand.Rand) time.Duration { return world.BetweenTimes(r, s.lo, s.hi) }
-func (s reach) draw(r *rand.Rand) float64      { return world.Between(r, s.lo, s.hi) }
+func (s span) draw(r *rand.Rand) time.Duration { return simulation.BetweenTimes(r, s.lo, s.hi) }
+func (s reach) draw(r *rand.Rand) float64      { return simulation.Between(r, s.lo, s.hi) }
 func (s reach) whole(r *rand.Rand) int {
 	return int(s.lo) + r.IntN(int(s.hi)-int(s.lo)+1)
 }
 
 // Day draws the day of a seed. The same seed gives the same day to every policy.
 func (e *Experiment) Day(seed uint64) *Day {
-	r := world.Chance(seed, "day", 0)
-	d := &Day{Experiment: e, Seed: seed, services: append([]world.Service(nil), e.services...),
-		customers: append([]world.Customer(nil), e.customers...)}
+	r := simulation.Chance(seed, "day", 0)
+	d := &Day{Experiment: e, Seed: seed, services: append([]simulation.Service(nil), e.services...),
+		customers: append([]simulation.Customer(nil), e.customers...)}
 	d.perCore, d.sigma, d.load = e.perCore.draw(r), e.lifeSigma.draw(r), e.load.draw(r)
 	d.life = time.Duration(float64(e.life.lo) * math.Pow(float64(e.life.hi)/float64(e.life.lo), r.Float64()))
 	d.swing, d.spread = e.swing.draw(r), e.loadSpread.draw(r)
 	shortest := time.Duration(math.MaxInt64)
 	swing, every := e.loadSwing.draw(r), e.changeEvery.draw(r)
-	habit := map[string]world.Habit{"never": world.Never, "at-once": world.AtOnce, "fixed": world.Fixed,
-		"backoff": world.Backoff}[e.habits[r.IntN(len(e.habits))]]
+	habit := map[string]simulation.Habit{"never": simulation.Never, "at-once": simulation.AtOnce, "fixed": simulation.Fixed,
+		"backoff": simulation.Backoff}[e.habits[r.IntN(len(e.habits))]]
 	retries, wait, obeys, silence := e.retries.whole(r), e.wait.draw(r), e.obeys.draw(r), e.silence.draw(r)
 	for i := range d.services {
 		s := &d.services[i]
@@ -62,7 +62,7 @@
 		s.ReturnMin, s.ReturnMax = e.comeBack.lo, e.comeBack.hi
 		shortest = min(shortest, s.Message)
 	}
-	w := world.New(seed, e.Length, shortest/3)
+	w := simulation.New(seed, e.Length, shortest/3)
 	d.World = w
 	w.StartCold(e.coldLeast, e.multiple, e.fall, e.warmMost)
 	meanLoad := d.MeanLoad()
@@ -70,19 +70,19 @@
 	w.StartStanding(e.home)
 	w.StartNet(e.same.draw(r), e.cross.draw(r), e.client.draw(r))
 	w.StartFront(e.frontNotice.lo, e.frontNotice.hi)
-	w.StartDrains(map[string]world.Drain{"quiet": world.Quiet, "paced": world.Paced, "at-once": world.Flat}[e.drains])
+	w.StartDrains(map[string]simulation.Drain{"quiet": simulation.Quiet, "paced": simulation.Paced, "at-once": simulation.Flat}[e.drains])
 	d.fleet(r, meanLoad)
 	d.shares(r)
 	w.StartList(e.notice.lo, e.notice.hi, e.silentNotice.lo, e.silentNotice.hi, e.addNotice.lo, e.addNotice.hi,
 		e.spread.lo, e.spread.hi, e.asked)
 	w.List.Begin()
 	for _, t := range e.troubles {
-		x := world.Trouble{Kind: t.kind, Start: world.BetweenTimes(r, t.startLo, t.startHi),
-			Length: world.BetweenTimes(r, t.lengthLo, t.lengthHi), Share: world.Between(r, t.shareLo, t.shareHi),
-			Strength: world.Between(r, t.strengthLo, t.strengthHi), Extra: world.BetweenTimes(r, t.extraLo, t.extraHi), Hall: world.AnyHall}
+		x := simulation.Trouble{Kind: t.kind, Start: simulation.BetweenTimes(r, t.startLo, t.startHi),
+			Length: simulation.BetweenTimes(r, t.lengthLo, t.lengthHi), Share: simulation.Between(r, t.shareLo, t.shareHi),
+			Strength: simulation.Between(r, t.strengthLo, t.strengthHi), Extra: simulation.BetweenTimes(r, t.extraLo, t.extraHi), Hall: simulation.AnyHall}
 		for i, h := range e.halls {
 			if h == t.hall {
-				x.Hall = world.HallID(i)
+				x.Hall = simulation.HallID(i)
 			}
 		}
 		if r.Float64() < t.chance {
@@ -105,14 +105,14 @@
 		cores, speed := e.cores.whole(r), e.speed.draw(r)
 		size := 1.0
 		if e.sizes == "rough" {
-			size = float64(cores) * speed * world.Between(r, 0.85, 1.15)
+			size = float64(cores) * speed * simulation.Between(r, 0.85, 1.15)
 		}
 		full := float64(cores) * speed * d.perCore
-		w.AddServer(world.HallID(i%halls), world.CellID(i/e.cell), cores, speed, size, max(4, int(fillings*full)),
+		w.AddServer(simulation.HallID(i%halls), simulation.CellID(i/e.cell), cores, speed, size, max(4, int(fillings*full)),
 			int(queue*float64(cores)), buffer, group*meanLoad, coldFrom, e.warm.draw(r), byWork, false)
 	}
 	for i := range e.balancers.whole(r) {
-		w.AddBalancer(world.HallID(i % halls))
+		w.AddBalancer(simulation.HallID(i % halls))
 	}
 	d.capacity = w.Capacity()
 	skew := e.hallSkew.draw(r)
@@ -124,7 +124,7 @@
 // shares sets what each customer may hold, and its groups.
 func (d *Day) shares(r *rand.Rand) {
 	fills := d.capacity * d.perCore
-	next := world.GroupID(0)
+	next := simulation.GroupID(0)
 	size, zipf := d.Experiment.groupSize.draw(r), d.Experiment.zipf.draw(r)
 	for i := range max(1, len(d.customers)) {
 		part := 1.0
@@ -133,8 +133,8 @@
 			part = d.customers[i].Share
 		}
 		n := max(1, int(fills*d.load*part/size))
-		d.groups = append(d.groups, groupOf{next, world.NewZipf(n, zipf)})
-		next += world.GroupID(n)
+		d.groups = append(d.groups, groupOf{next, simulation.NewZipf(n, zipf)})
+		next += simulation.GroupID(n)
 	}
 }
 
@@ -170,19 +170,19 @@
 }
 
 // Source draws the load: who stands when the day begins, then arrivals by thinning at the highest rate.
-func (d *Day) Source() world.Source {
-	r := world.Chance(d.Seed, "load", 0)
+func (d *Day) Source() simulation.Source {
+	r := simulation.Chance(d.Seed, "load", 0)
 	first := d.standing()
-	if f := world.Rate(d.Troubles, 0); f > 1 {
+	if f := simulation.Rate(d.Troubles, 0); f > 1 {
 		for _, t := range d.Troubles { // an overload holds from the first second on, with all that stands
-			if t.Kind == world.Overload && t.Start == 0 {
+			if t.Kind == simulation.Overload && t.Start == 0 {
 				first *= t.Strength
 			}
 		}
 	}
 	most := 1.0
 	for _, t := range d.Troubles {
-		if t.Kind == world.Burst || t.Kind == world.Overload {
+		if t.Kind == simulation.Burst || t.Kind == simulation.Overload {
 			most *= math.Max(1, t.Strength)
 		}
 	}
@@ -198,7 +198,7 @@
 	phase    float64
 }
 
-func (s *source) Next() (world.Visit, bool) {
+func (s *source) Next() (simulation.Visit, bool) {
 	d := s.d
 	if s.standing > 0 {
 		s.standing--
@@ -212,9 +212,9 @@
 		s.at += s.r.ExpFloat64() / (d.rate() * s.most)
 		at := time.Duration(s.at * float64(time.Second))
 		if at > d.Experiment.Length {
-			return world.Visit{}, false
+			return simulation.Visit{}, false
 		}
-		if s.r.Float64()*s.most < world.Rate(d.Troubles, at)*s.curve(at) {
+		if s.r.Float64()*s.most < simulation.Rate(d.Troubles, at)*s.curve(at) {
 			v := s.visit()
 			v.At = at
 			return v, true
@@ -234,14 +234,14 @@
 	return 1
 }
 
-func (s *source) visit() (v world.Visit) {
+func (s *source) visit() (v simulation.Visit) {
 	d, r := s.d, s.r
-	v.Service = world.ServiceID(weighted(r, len(d.services), func(i int) float64 { return d.services[i].Share }))
+	v.Service = simulation.ServiceID(weighted(r, len(d.services), func(i int) float64 { return d.services[i].Share }))
 	svc := d.services[v.Service]
 	v.Customer = -1
 	group := d.groups[0]
 	if len(d.customers) > 0 {
-		v.Customer = world.CustomerID(weighted(r, len(d.customers), func(i int) float64 { return d.customers[i].Share * d.customers[i].Usage }))
+		v.Customer = simulation.CustomerID(weighted(r, len(d.customers), func(i int) float64 { return d.customers[i].Share * d.customers[i].Usage }))
 		group = d.groups[v.Customer]
 		c, all := d.customers[v.Customer], 0.0
 		for _, o := range d.customers {
@@ -250,10 +250,10 @@
 		asks := c.Share * c.Usage / all * d.standing()
 		v.Beyond = r.Float64() > c.Quota/math.Max(asks, 1e-9)
 	}
-	v.Group = group.first + world.GroupID(group.zipf.Draw(r))
-	v.Hall = world.HallID(weighted(r, len(d.skew), func(i int) float64 { return d.skew[i] }))
-	v.Load = svc.Load / d.perCore * world.Scatter(r, svc.LoadSpread)
-	v.Life = time.Duration(svc.Life * d.life.Seconds() * world.Scatter(r, svc.LifeSigma) * float64(time.Second))
+	v.Group = group.first + simulation.GroupID(group.zipf.Draw(r))
+	v.Hall = simulation.HallID(weighted(r, len(d.skew), func(i int) float64 { return d.skew[i] }))
+	v.Load = svc.Load / d.perCore * simulation.Scatter(r, svc.LoadSpread)
+	v.Life = time.Duration(svc.Life * d.life.Seconds() * simulation.Scatter(r, svc.LifeSigma) * float64(time.Second))
 	return v
 }
 
@@ -272,18 +272,18 @@
 }
 
 // ServerName is what a server is called outside the world, the same in both drives.
-func ServerName(s world.ServerID) string { return fmt.Sprintf("s-%03d", int(s)) }
+func ServerName(s simulation.ServerID) string { return fmt.Sprintf("s-%03d", int(s)) }
 
 // GroupName is what a group is called outside the world; empty for none.
-func GroupName(g world.GroupID) string {
-	if g == world.NoGroup {
+func GroupName(g simulation.GroupID) string {
+	if g == simulation.NoGroup {
 		return ""
 	}
 	return "g-" + strconv.Itoa(int(g))
 }
 
 // Settings are the terms on which balancer b decides, as the platform tells them: paths and plain values.
-func (d *Day) Settings(b world.BalancerID) map[string]string {
+func (d *Day) Settings(b simulation.BalancerID) map[string]string {
 	e := d.Experiment
 	ns := func(t time.Duration) string { return strconv.FormatInt(int64(t), 10) }
 	num := func(x float64) string { return strconv.FormatFloat(x, 'g', -1, 64) }
--- a/internal/yard/experiment/experiment.go
+++ b/internal/yard/experiment/experiment.go
@@ -10,8 +10,8 @@
 	"time"
 
 	"yardwinch/internal/config"
+	"yardwinch/internal/simulation"
 	"yardwinch/internal/strict"
-	"yardwinch/internal/world"
 )
 
 // Policies are ours and the baselines.
@@ -39,8 +39,8 @@
 	life, changeEvery                                                span
 	shape                                                            string
 	home                                                             float64
-	services                                                         []world.Service
-	customers                                                        []world.Customer
+	services                                                         []simulation.Service
+	customers                                                        []simulation.Customer
 	beyond                                                           float64
 	retries                                                          reach
 	habits                                                           []string
@@ -60,7 +60,7 @@
 }
 
 type trouble struct {
-	kind                                     world.Kind
+	kind                                     simulation.Kind
 	startLo, startHi, lengthLo, lengthHi     time.Duration
 	shareLo, shareHi, strengthLo, strengthHi float64
 	extraLo, extraHi                         time.Duration
@@ -177,7 +177,7 @@
 
 func (e *Experiment) readServices(t strict.Table) {
 	for _, s := range t.Tables("service") {
-		v := world.Service{Name: s.Text("name", ""), Share: s.Number("share", 1, 0.0001, 1e6),
+		v := simulation.Service{Name: s.Text("name", ""), Share: s.Number("share", 1, 0.0001, 1e6),
 			Load: s.Number("load", 1, 0.001, 1000), Life: s.Number("life", 1, 0.001, 1000),
 			Target: s.Span("setup-target", 300*time.Millisecond, hour), Timeout: s.Span("connect-timeout", 1800*time.Millisecond, hour),
 			Message: s.Span("message-target", 250*time.Millisecond, hour), Value: s.Number("value", 1, 0, 1e6),
@@ -193,12 +193,12 @@
 		e.services = append(e.services, v)
 	}
 	if len(e.services) == 0 {
-		e.services = []world.Service{{Name: "live", Share: 1, Load: 1, Life: 1, Target: 300 * time.Millisecond,
+		e.services = []simulation.Service{{Name: "live", Share: 1, Load: 1, Life: 1, Target: 300 * time.Millisecond,
 			Timeout: 1800 * time.Millisecond, Message: 250 * time.Millisecond, Value: 1, Effect: "free", Group: "all",
 			Window: 5 * time.Second, Work: 0.006, WorkSpread: 1, MessageWork: 5 * time.Millisecond}}
 	}
 	for _, c := range t.Tables("customer") {
-		v := world.Customer{Name: c.Text("name", ""), Share: c.Number("share", 0, 0.0001, 1), Usage: c.Number("usage", 1, 0, 1000)}
+		v := simulation.Customer{Name: c.Text("name", ""), Share: c.Number("share", 0, 0.0001, 1), Usage: c.Number("usage", 1, 0, 1000)}
 		if v.Name == "" {
 			c.Bad("name", "is missing")
 		}
@@ -246,10 +246,10 @@
 
 func (e *Experiment) readTrouble(t strict.Table) {
 	var kinds []string
-	for _, k := range world.Kinds {
+	for _, k := range simulation.Kinds {
 		kinds = append(kinds, string(k))
 	}
-	x := trouble{kind: world.Kind(t.Text("kind", "", kinds...)), hall: t.Text("hall", "", append([]string{""}, e.halls...)...)}
+	x := trouble{kind: simulation.Kind(t.Text("kind", "", kinds...)), hall: t.Text("hall", "", append([]string{""}, e.halls...)...)}
 	if x.kind == "" {
 		if !t.Has("kind") {
 			t.Bad("kind", "is missing; want one of %s", strings.Join(kinds, ", "))
@@ -262,25 +262,25 @@
 	x.strengthLo, x.strengthHi = t.Range("strength", 1, 1, 0, 1000)
 	x.extraLo, x.extraHi = t.Spans("extra", 3*time.Second, 3*time.Second, hour)
 	x.chance = t.Number("chance", 1, 0, 1)
-	if (x.kind == world.HallLost || x.kind == world.CutOff) && x.hall == "" {
+	if (x.kind == simulation.HallLost || x.kind == simulation.CutOff) && x.hall == "" {
 		t.Bad("hall", "is missing; want one of %s", strings.Join(e.halls, ", "))
 	}
 	if x.startLo >= e.Length {
 		t.Bad("start", "is not before the end of the day, %v", e.Length)
 	}
-	least := map[world.Kind]float64{world.Slow: 1, world.StoreSlow: 1, world.Burst: 0.01, world.Overload: 0.01, world.Grow: 1.01,
-		world.Errors: 0.01, world.Neighbour: 0.01, world.Deploy: 0.001, world.BalancerRoll: 0.001}[x.kind]
+	least := map[simulation.Kind]float64{simulation.Slow: 1, simulation.StoreSlow: 1, simulation.Burst: 0.01, simulation.Overload: 0.01, simulation.Grow: 1.01,
+		simulation.Errors: 0.01, simulation.Neighbour: 0.01, simulation.Deploy: 0.001, simulation.BalancerRoll: 0.001}[x.kind]
 	if x.strengthLo < least {
 		t.Bad("strength", "want %g at the least for %s", least, x.kind)
 	}
-	if (x.kind == world.Errors || x.kind == world.Neighbour) && x.strengthHi > 0.99 {
+	if (x.kind == simulation.Errors || x.kind == simulation.Neighbour) && x.strengthHi > 0.99 {
 		t.Bad("strength", "want 0.99 at the most for %s", x.kind)
 	}
 	e.troubles = append(e.troubles, x)
 }
 
 // Kinds are the kinds of trouble that the file names, and Without leaves one of them out: what a hunt cuts down by.
-func (e *Experiment) Kinds() (kinds []world.Kind) {
+func (e *Experiment) Kinds() (kinds []simulation.Kind) {
 	for _, t := range e.troubles {
 		kinds = append(kinds, t.kind)
 	}
--- a/internal/yard/experiment/experiment_test.go
+++ b/internal/yard/experiment/experiment_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"yardwinch/internal/world"
+	"yardwinch/internal/simulation"
 )
 
 func TestFaults(t *testing.T) {
@@ -57,7 +57,7 @@
 				outside++
 			}
 		}
-		if stand == 0 || d.World.Servers[0].Phase() != world.Serving {
+		if stand == 0 || d.World.Servers[0].Phase() != simulation.Serving {
 			t.Error("nobody stands when the day begins")
 		}
 	}
--- a/internal/yard/experiment/steady.go
+++ b/internal/yard/experiment/steady.go
@@ -4,7 +4,7 @@
 	"math/rand/v2"
 	"time"
 
-	"yardwinch/internal/world"
+	"yardwinch/internal/simulation"
 )
 
 // Steady is a source of load that needs no fleet: so many arrivals a second, at random, whatever becomes of them.
@@ -14,19 +14,19 @@
 	rate   float64
 	life   time.Duration
 	sigma  float64
-	groups world.Zipf
+	groups simulation.Zipf
 	halls  int
 }
 
 // NewSteady draws arrivals at a rate a second, of clients that want their connection for life on average.
 func NewSteady(seed uint64, rate float64, life time.Duration, sigma float64, groups, halls int) *Steady {
-	return &Steady{r: world.Chance(seed, "steady", 0), rate: rate, life: life, sigma: sigma, groups: world.NewZipf(max(groups, 1), 0.8), halls: halls}
+	return &Steady{r: simulation.Chance(seed, "steady", 0), rate: rate, life: life, sigma: sigma, groups: simulation.NewZipf(max(groups, 1), 0.8), halls: halls}
 }
 
 // Next never ends; the day does.
-func (s *Steady) Next() (world.Visit, bool) {
+func (s *Steady) Next() (simulation.Visit, bool) {
 	s.at += s.r.ExpFloat64() / s.rate
-	return world.Visit{At: time.Duration(s.at * float64(time.Second)), Customer: -1, Group: world.GroupID(s.groups.Draw(s.r)),
-		Hall: world.HallID(s.r.IntN(s.halls)), Load: 1,
-		Life: time.Duration(float64(s.life) * world.Scatter(s.r, s.sigma))}, true
+	return simulation.Visit{At: time.Duration(s.at * float64(time.Second)), Customer: -1, Group: simulation.GroupID(s.groups.Draw(s.r)),
+		Hall: simulation.HallID(s.r.IntN(s.halls)), Load: 1,
+		Life: time.Duration(float64(s.life) * simulation.Scatter(s.r, s.sigma))}, true
 }
--- a/internal/yard/fleet/cast.go
+++ b/internal/yard/fleet/cast.go
@@ -6,8 +6,8 @@
 	"strconv"
 	"strings"
 
+	"yardwinch/internal/simulation"
 	"yardwinch/internal/strict"
-	"yardwinch/internal/world"
 	"yardwinch/internal/yard/sockets"
 )
 
@@ -72,8 +72,8 @@
 			list = append(list, n)
 		}
 	}
-	balancer := func(i int) string { return string(sockets.BalancerName(world.BalancerID(i))) }
-	server := func(i int) string { return string(sockets.ServerName(world.ServerID(i))) }
+	balancer := func(i int) string { return string(sockets.BalancerName(simulation.BalancerID(i))) }
+	server := func(i int) string { return string(sockets.ServerName(simulation.ServerID(i))) }
 	for _, n := range names {
 		word, count, _ := strings.Cut(n, ":")
 		k, _ := strconv.Atoi(count)
@@ -123,13 +123,13 @@
 	return list
 }
 
-func balancerOf(end string) (world.BalancerID, bool) {
+func balancerOf(end string) (simulation.BalancerID, bool) {
 	from, to, ok := numbers(end)
-	return world.BalancerID(from), ok && from == to
+	return simulation.BalancerID(from), ok && from == to
 }
 
-func serverOf(end string) (world.ServerID, bool) {
+func serverOf(end string) (simulation.ServerID, bool) {
 	rest, ok := strings.CutPrefix(end, "s-")
 	n, err := strconv.Atoi(rest)
-	return world.ServerID(n), ok && err == nil
+	return simulation.ServerID(n), ok && err == nil
 }
--- a/internal/yard/fleet/disturb.go
+++ b/internal/yard/fleet/disturb.go
@@ -11,7 +11,7 @@
 	"syscall"
 	"time"
 
-	"yardwinch/internal/world"
+	"yardwinch/internal/simulation"
 )
 
 // Faults that come from signals in a row and from clients that only stand there.
@@ -28,7 +28,7 @@
 func (r *run) hangUp(x *process, times int, over time.Duration) {
 	round := x.round
 	for i := range max(times, 1) {
-		r.w.Agenda.After(over*time.Duration(i)/time.Duration(max(times, 1)), world.Cause, func() {
+		r.w.Agenda.After(over*time.Duration(i)/time.Duration(max(times, 1)), simulation.Cause, func() {
 			if x.round == round {
 				r.signal(x, syscall.SIGHUP)
 			}
--- a/internal/yard/fleet/plan.go
+++ b/internal/yard/fleet/plan.go
@@ -10,8 +10,8 @@
 	"time"
 
 	"yardwinch/internal/advice"
+	"yardwinch/internal/simulation"
 	"yardwinch/internal/strict"
-	"yardwinch/internal/world"
 	"yardwinch/internal/yard/experiment"
 	"yardwinch/internal/yard/links"
 )
@@ -61,7 +61,7 @@
 
 type span struct{ lo, hi time.Duration }
 
-func (s span) draw(r *rand.Rand) time.Duration { return world.BetweenTimes(r, s.lo, s.hi) }
+func (s span) draw(r *rand.Rand) time.Duration { return simulation.BetweenTimes(r, s.lo, s.hi) }
 
 // fault is one entry of the timeline as the file has it.
 type fault struct {
--- a/internal/yard/fleet/process.go
+++ b/internal/yard/fleet/process.go
@@ -13,7 +13,7 @@
 	"syscall"
 	"time"
 
-	"yardwinch/internal/world"
+	"yardwinch/internal/simulation"
 	"yardwinch/internal/yard/sockets"
 )
 
@@ -41,7 +41,7 @@
 
 // process is one balancer of the fleet; only turn changes its state.
 type process struct {
-	id      world.BalancerID
+	id      simulation.BalancerID
 	name    string
 	state   state
 	program string // of its next start: current or old
@@ -54,7 +54,7 @@
 	round   int // counts faults with a length, so that an earlier one's end does not undo a later one
 }
 
-func (r *run) newProcess(b world.BalancerID) (*process, error) {
+func (r *run) newProcess(b simulation.BalancerID) (*process, error) {
 	x := &process{id: b, name: string(sockets.BalancerName(b)), state: runs, program: "current", folder: filepath.Join(r.folder, fmt.Sprintf("b%d", b))}
 	l, err := net.Listen("tcp", fmt.Sprintf("127.78.%d.%d:0", int(b)/250, int(b)%250+1))
 	if err != nil {
@@ -83,7 +83,7 @@
 }
 
 // launch changes how a process is started: its user, its folder, its options, its program.
-func (r *run) launch(b world.BalancerID, _ int, cmd *exec.Cmd) ([]string, error) {
+func (r *run) launch(b simulation.BalancerID, _ int, cmd *exec.Cmd) ([]string, error) {
 	x := r.procs[b]
 	config := filepath.Join(r.folder, fmt.Sprintf("balancer-%d.json", b))
 	if err := os.Chmod(config, 0o644); err != nil {
@@ -143,7 +143,7 @@
 }
 
 // ended: a process ended that nobody ended. It is killed for the world, too.
-func (r *run) ended(b world.BalancerID, err error) {
+func (r *run) ended(b simulation.BalancerID, err error) {
 	x := r.procs[b]
 	if x.state == ending { // as it was asked to
 		return
--- a/internal/yard/fleet/result.go
+++ b/internal/yard/fleet/result.go
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"yardwinch/internal/world"
+	"yardwinch/internal/simulation"
 	"yardwinch/internal/yard/referee"
 )
 
@@ -220,7 +220,7 @@
 		}
 		v.Holds = v.Holds && holds
 	}
-	count := func(b world.BalancerID, k referee.Kind, servers map[int]bool) (n int) {
+	count := func(b simulation.BalancerID, k referee.Kind, servers map[int]bool) (n int) {
 		for _, e := range r.events {
 			if e.At >= from && e.At < to && e.Kind == k && e.Balancer == referee.Balancer(b) &&
 				(k != referee.Answered || e.Verdict == referee.Established) && (servers == nil || servers[int(e.Server)]) {
@@ -291,7 +291,7 @@
 	case probed:
 		for _, i := range r.serversOf(m.servers, from) {
 			last, gap := from, time.Duration(0)
-			for _, at := range append(slices.Clone(r.dr.Tally.ProbedAt[world.ServerID(i)]), to) {
+			for _, at := range append(slices.Clone(r.dr.Tally.ProbedAt[simulation.ServerID(i)]), to) {
 				if at >= from && at <= to {
 					gap, last = max(gap, at-last), at
 				}
--- a/internal/yard/fleet/run.go
+++ b/internal/yard/fleet/run.go
@@ -10,7 +10,7 @@
 	"slices"
 	"time"
 
-	"yardwinch/internal/world"
+	"yardwinch/internal/simulation"
 	"yardwinch/internal/yard/experiment"
 	"yardwinch/internal/yard/links"
 	"yardwinch/internal/yard/play"
@@ -37,7 +37,7 @@
 	seed    uint64
 	dr      *sockets.Drive
 	d       *experiment.Day
-	w       *world.World
+	w       *simulation.World
 	net     *links.Net
 	post    *links.Post // nil: nothing passes between balancers
 	ref     *referee.Referee
@@ -85,7 +85,7 @@
 			return nil, err
 		}
 	}
-	r.cast = &cast{r: world.Chance(seed, "cast", 0), balancers: len(r.w.Balancers), servers: len(r.w.Servers), named: map[string][]string{},
+	r.cast = &cast{r: simulation.Chance(seed, "cast", 0), balancers: len(r.w.Balancers), servers: len(r.w.Servers), named: map[string][]string{},
 		struck: func() (hit []int) {
 			for i, s := range r.w.Servers {
 				if s.Struck() {
@@ -96,7 +96,7 @@
 		}}
 	old0 := r.cast.ends(p.oldWho, nil)
 	for b := range r.w.Balancers {
-		x, err := r.newProcess(world.BalancerID(b))
+		x, err := r.newProcess(simulation.BalancerID(b))
 		if err != nil {
 			return nil, err
 		}
@@ -106,7 +106,7 @@
 		r.procs = append(r.procs, x)
 	}
 	r.w.FrontElsewhere()
-	r.dr.StandApart(&sockets.Apart{Net: r.net, Control: func(b world.BalancerID) string { return r.procs[b].control },
+	r.dr.StandApart(&sockets.Apart{Net: r.net, Control: func(b simulation.BalancerID) string { return r.procs[b].control },
 		Launch: r.launch, Ended: r.ended, See: func(e referee.Event) { r.events = append(r.events, e) }})
 	r.schedule()
 	fronts, stop := context.WithCancel(ctx)
--- a/internal/yard/fleet/strike.go
+++ b/internal/yard/fleet/strike.go
@@ -15,7 +15,7 @@
 	"syscall"
 	"time"
 
-	"yardwinch/internal/world"
+	"yardwinch/internal/simulation"
 	"yardwinch/internal/yard/links"
 	"yardwinch/internal/yard/referee"
 	"yardwinch/internal/yard/sockets"
@@ -24,11 +24,11 @@
 // schedule puts the timeline on the world's agenda.
 func (r *run) schedule() {
 	for i, f := range r.p.faults {
-		chance := world.Chance(r.seed, "fault", i)
+		chance := simulation.Chance(r.seed, "fault", i)
 		at, length := f.at.draw(chance), f.length.draw(chance)
-		r.w.Agenda.At(at, world.Cause, func() { r.strike(f, length) })
+		r.w.Agenda.At(at, simulation.Cause, func() { r.strike(f, length) })
 	}
-	r.w.Agenda.At(r.p.Experiment.Length-lastLook, world.Book, r.countDescriptors)
+	r.w.Agenda.At(r.p.Experiment.Length-lastLook, simulation.Book, r.countDescriptors)
 }
 
 // begin starts what goes on beside the timeline.
@@ -61,7 +61,7 @@
 				spans[len(spans)-1].To = r.dr.Elapsed()
 			}
 		}
-		r.w.Agenda.After(100*time.Millisecond, world.Book, look)
+		r.w.Agenda.After(100*time.Millisecond, simulation.Book, look)
 	}
 	r.dr.Do(look)
 }
@@ -76,7 +76,7 @@
 	r.note(strings.Join(who, ","), "%s", f.kindText(to))
 	later := func(do func()) {
 		if length > 0 {
-			r.w.Agenda.After(length, world.Cause, do)
+			r.w.Agenda.After(length, simulation.Cause, do)
 		}
 	}
 	switch f.kind {
@@ -119,7 +119,7 @@
 					r.signal(x, syscall.SIGTERM)
 				}
 				round := x.round
-				r.w.Agenda.After(r.w.StopWithin(), world.Cause, func() {
+				r.w.Agenda.After(r.w.StopWithin(), simulation.Cause, func() {
 					if x.round == round && r.turn(x, down) {
 						r.w.KillBalancer(b)
 						back()
@@ -204,9 +204,9 @@
 				s, part = syscall.SIGCONT, starvedSlice/4
 			}
 			r.signal(x, s)
-			r.w.Agenda.After(part, world.Cause, func() { slice(!on) })
+			r.w.Agenda.After(part, simulation.Cause, func() { slice(!on) })
 		}
-		r.w.Agenda.After(starvedSlice*3/4, world.Cause, func() { slice(true) })
+		r.w.Agenda.After(starvedSlice*3/4, simulation.Cause, func() { slice(true) })
 	}
 }
 
@@ -281,7 +281,7 @@
 	end := r.w.Books.Length
 	if length > 0 {
 		end = now + length
-		r.w.Agenda.After(length, world.Cause, func() { set(links.Condition{}) })
+		r.w.Agenda.After(length, simulation.Cause, func() { set(links.Condition{}) })
 	}
 	r.ways = append(r.ways, Span{now, end, f.kindText(nil) + ": " + strings.Join(f.who, ",") + " – " + strings.Join(f.to, ",")})
 }
--- a/internal/yard/play/board.go
+++ b/internal/yard/play/board.go
@@ -8,7 +8,7 @@
 	"yardwinch/decide"
 	"yardwinch/fleet/signals"
 	"yardwinch/internal/config"
-	"yardwinch/internal/world"
+	"yardwinch/internal/simulation"
 	"yardwinch/internal/yard/experiment"
 	"yardwinch/internal/yard/virtual"
 )
@@ -21,23 +21,23 @@
 // board stands in virtual time for the gossip between balancers: what one tells reaches all others a while later. yard spread and yard
 // fleet play what goes wrong on the way.
 type board struct {
-	w    *world.World
-	all  map[world.BalancerID]*signals.Signals
-	last map[world.BalancerID]signals.Incarnation
+	w    *simulation.World
+	all  map[simulation.BalancerID]*signals.Signals
+	last map[simulation.BalancerID]signals.Incarnation
 	runs bool
 }
 
 // tells makes the deciders of a day on which balancers tell each other what they see.
 func tells(d *experiment.Day) virtual.Maker {
-	b := &board{w: d.World, all: map[world.BalancerID]*signals.Signals{}, last: map[world.BalancerID]signals.Incarnation{}}
-	return func(seed uint64, id world.BalancerID, act decide.Act) virtual.Decider {
+	b := &board{w: d.World, all: map[simulation.BalancerID]*signals.Signals{}, last: map[simulation.BalancerID]signals.Incarnation{}}
+	return func(seed uint64, id simulation.BalancerID, act decide.Act) virtual.Decider {
 		g := config.Pairs(d.Settings(id))
 		b.last[id]++
 		s := signals.New(signals.Origin(fmt.Sprintf("b%d", id)), b.last[id], "", "", config.MessageTarget(g)/3, config.ShortestTarget(g), true)
 		b.all[id] = s
 		if !b.runs {
 			b.runs = true
-			b.w.Agenda.After(boardTell, world.Book, b.tell)
+			b.w.Agenda.After(boardTell, simulation.Book, b.tell)
 		}
 		return constraints.New(seed, act, []constraints.Decider{s}, func(dec *decide.Balancer) { config.Start(g, dec) })
 	}
@@ -46,7 +46,7 @@
 func (b *board) tell() {
 	now := b.w.Agenda.Now()
 	for i := range b.w.Balancers { // in order: chance must not come from a map
-		id := world.BalancerID(i)
+		id := simulation.BalancerID(i)
 		s := b.all[id]
 		if s == nil || !b.w.Balancers[id].Up {
 			continue
@@ -56,9 +56,9 @@
 		if !due {
 			continue
 		}
-		b.w.Agenda.After(boardLag, world.News, func() {
+		b.w.Agenda.After(boardLag, simulation.News, func() {
 			for k := range b.w.Balancers {
-				if o := b.all[world.BalancerID(k)]; o != nil && o != s && b.w.Balancers[k].Up {
+				if o := b.all[simulation.BalancerID(k)]; o != nil && o != s && b.w.Balancers[k].Up {
 					o.At(b.w.Agenda.Now())
 					o.Merge(r)
 				}
@@ -66,6 +66,6 @@
 		})
 	}
 	if now+boardTell <= b.w.Books.Length {
-		b.w.Agenda.After(boardTell, world.Book, b.tell)
+		b.w.Agenda.After(boardTell, simulation.Book, b.tell)
 	}
 }
--- a/internal/yard/play/halls_test.go
+++ b/internal/yard/play/halls_test.go
@@ -8,7 +8,7 @@
 	"yardwinch/constraints"
 	"yardwinch/decide"
 	"yardwinch/internal/config"
-	"yardwinch/internal/world"
+	"yardwinch/internal/simulation"
 	"yardwinch/internal/yard/virtual"
 	"yardwinch/locality"
 )
@@ -66,7 +66,7 @@
 	for seed := range days {
 		d := e.Day(seed)
 		ref := Referee(d, 8*time.Millisecond, 0)
-		dr := virtual.New(d, ref, func(seed uint64, b world.BalancerID, act decide.Act) virtual.Decider {
+		dr := virtual.New(d, ref, func(seed uint64, b simulation.BalancerID, act decide.Act) virtual.Decider {
 			g := config.Pairs(d.Settings(b))
 			h := e.Halls.Decider(g, seed)
 			spy := &spilling{t: t, own: decide.Zone(g.Text("az", "")), zones: map[decide.ServerID]decide.Zone{}, h: h, seen: &seen, over: map[decide.FlowID]string{}}
--- a/internal/yard/play/play.go
+++ b/internal/yard/play/play.go
@@ -14,7 +14,7 @@
 	"yardwinch/constraints"
 	"yardwinch/decide"
 	"yardwinch/internal/config"
-	"yardwinch/internal/world"
+	"yardwinch/internal/simulation"
 	"yardwinch/internal/yard/baseline"
 	"yardwinch/internal/yard/count"
 	"yardwinch/internal/yard/experiment"
@@ -32,7 +32,7 @@
 // Maker makes the deciders of a policy for a day.
 func Maker(d *experiment.Day, policy string) (virtual.Maker, error) {
 	if policy == "ours+halls" {
-		return func(seed uint64, b world.BalancerID, act decide.Act) virtual.Decider {
+		return func(seed uint64, b simulation.BalancerID, act decide.Act) virtual.Decider {
 			g := config.Pairs(d.Settings(b))
 			return constraints.New(seed, act, []constraints.Decider{d.Experiment.Halls.Decider(g, seed)},
 				func(dec *decide.Balancer) { config.Start(g, dec) })
@@ -42,7 +42,7 @@
 		return tells(d), nil
 	}
 	if policy == "ours" {
-		return func(seed uint64, b world.BalancerID, act decide.Act) virtual.Decider {
+		return func(seed uint64, b simulation.BalancerID, act decide.Act) virtual.Decider {
 			dec := decide.New(seed, act)
 			config.Start(config.Pairs(d.Settings(b)), dec)
 			return dec
@@ -57,21 +57,21 @@
 	for _, s := range d.World.Services {
 		of = append(of, effects[s.Effect])
 	}
-	group := func(g decide.GroupKey) world.GroupID {
+	group := func(g decide.GroupKey) simulation.GroupID {
 		if n, err := strconv.Atoi(strings.TrimPrefix(string(g), "g-")); err == nil {
-			return world.GroupID(n)
+			return simulation.GroupID(n)
 		}
-		return world.NoGroup
+		return simulation.NoGroup
 	}
 	_, _, _, _, connects, _ := d.Experiment.Terms()
 	numbers := virtual.Numbers(len(d.World.Servers) + 4096)
-	return func(seed uint64, _ world.BalancerID, act decide.Act) virtual.Decider {
-		var all *world.World
+	return func(seed uint64, _ simulation.BalancerID, act decide.Act) virtual.Decider {
+		var all *simulation.World
 		if policy == "top" {
 			all = d.World
 		}
 		return baseline.New(rule, seed, act, connects, d.Experiment.RetryAfter(), of, all,
-			func(id decide.ServerID) *world.Server { return d.World.Servers[numbers[id]] }, group)
+			func(id decide.ServerID) *simulation.Server { return d.World.Servers[numbers[id]] }, group)
 	}, nil
 }
 
@@ -110,7 +110,7 @@
 }
 
 // Loads gathers, each second, what is asked of every server over what it can do.
-func Loads(w *world.World) *[][]float64 {
+func Loads(w *simulation.World) *[][]float64 {
 	rows := &[][]float64{}
 	w.EverySecond(func() {
 		for i, s := range w.Servers {
--- a/internal/yard/play/play_test.go
+++ b/internal/yard/play/play_test.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"yardwinch/decide"
-	"yardwinch/internal/world"
+	"yardwinch/internal/simulation"
 	"yardwinch/internal/yard/count"
 	"yardwinch/internal/yard/experiment"
 	"yardwinch/internal/yard/referee"
@@ -260,7 +260,7 @@
 			found := 0
 			for seed := range uint64(3) {
 				r, err := Day(e, seed, "ours", nil, func(m virtual.Maker) virtual.Maker {
-					return func(s uint64, id world.BalancerID, act decide.Act) virtual.Decider {
+					return func(s uint64, id simulation.BalancerID, act decide.Act) virtual.Decider {
 						if c.way == "cold server flooded" {
 							return &herd{Decider: m(s, id, act), act: act}
 						}
--- a/internal/yard/sockets/agent.go
+++ b/internal/yard/sockets/agent.go
@@ -8,7 +8,7 @@
 	"net/http"
 	"time"
 
-	"yardwinch/internal/world"
+	"yardwinch/internal/simulation"
 	"yardwinch/internal/yard/experiment"
 	"yardwinch/internal/yard/links"
 	"yardwinch/internal/yard/referee"
@@ -19,20 +19,20 @@
 // agent is discovery on one balancer's machine: it has what it was sent, and tells that to its balancer.
 type agent struct {
 	dr       *Drive
-	balancer world.BalancerID
+	balancer simulation.BalancerID
 	l        net.Listener
 	server   *http.Server
 	revision int
-	has      map[world.ServerID]world.Entry
-	order    []world.ServerID
+	has      map[simulation.ServerID]simulation.Entry
+	order    []simulation.ServerID
 	watch    chan []byte // of the newest watch
 
 	gate   *links.Gate             // where its balancer has a way of its own to it
 	sinces map[int64]time.Duration // starts of servers by what was written of them
 }
 
-func newAgent(dr *Drive, b world.BalancerID) (*agent, error) {
-	a := &agent{dr: dr, balancer: b, has: map[world.ServerID]world.Entry{}, sinces: map[int64]time.Duration{}}
+func newAgent(dr *Drive, b simulation.BalancerID) (*agent, error) {
+	a := &agent{dr: dr, balancer: b, has: map[simulation.ServerID]simulation.Entry{}, sinces: map[int64]time.Duration{}}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("discovery: %w", err)
@@ -72,13 +72,13 @@
 }
 
 // whole is what the agent has at first.
-func (a *agent) whole(entries []world.Entry) {
+func (a *agent) whole(entries []simulation.Entry) {
 	for _, e := range entries {
 		a.take(e)
 	}
 }
 
-func (a *agent) take(e world.Entry) {
+func (a *agent) take(e simulation.Entry) {
 	if _, known := a.has[e.Server]; !known {
 		a.order = append(a.order, e.Server)
 	}
@@ -86,17 +86,17 @@
 }
 
 // News of the list, from the world.
-func (dr *Drive) News(b world.BalancerID, full bool, entries []world.Entry) {
+func (dr *Drive) News(b simulation.BalancerID, full bool, entries []simulation.Entry) {
 	a := dr.agents[b]
 	a.revision++
 	if full {
-		seen := map[world.ServerID]bool{}
+		seen := map[simulation.ServerID]bool{}
 		for _, e := range entries {
 			seen[e.Server] = true
 		}
 		for id, e := range a.has {
-			if !seen[id] && e.State != world.Gone {
-				e.State = world.Gone
+			if !seen[id] && e.State != simulation.Gone {
+				e.State = simulation.Gone
 				a.has[id] = e
 				entries = append(entries, e)
 			}
@@ -117,17 +117,17 @@
 }
 
 // told books what the balancer is told now. Over a way of its own it is told when that has brought it there.
-func (a *agent) told(entries []world.Entry) {
+func (a *agent) told(entries []simulation.Entry) {
 	if a.gate == nil {
 		a.book(entries)
 	}
 }
 
-func (a *agent) book(entries []world.Entry) {
-	states := [...]referee.State{world.Ready: referee.Ready, world.Draining: referee.Draining, world.Gone: referee.Gone}
+func (a *agent) book(entries []simulation.Entry) {
+	states := [...]referee.State{simulation.Ready: referee.Ready, simulation.Draining: referee.Draining, simulation.Gone: referee.Gone}
 	for _, e := range entries {
 		since := e.Since
-		if since == world.LongAgo {
+		if since == simulation.LongAgo {
 			since = referee.LongAgo
 		}
 		a.dr.see(referee.Event{Kind: referee.Told, Balancer: referee.Balancer(a.balancer), Server: referee.Server(e.Server),
@@ -136,9 +136,9 @@
 }
 
 // all is what the agent has, without who is gone.
-func (a *agent) all() (entries []world.Entry) {
+func (a *agent) all() (entries []simulation.Entry) {
 	for _, id := range a.order {
-		if e := a.has[id]; e.State != world.Gone {
+		if e := a.has[id]; e.State != simulation.Gone {
 			entries = append(entries, e)
 		}
 	}
@@ -146,13 +146,13 @@
 }
 
 // object is a list as discovery writes it, on one line.
-func (a *agent) object(complete bool, entries []world.Entry) []byte {
+func (a *agent) object(complete bool, entries []simulation.Entry) []byte {
 	dr := a.dr
-	phases := [...]string{world.Ready: "SERVING", world.Draining: "DRAINING", world.Gone: "DELETED"}
+	phases := [...]string{simulation.Ready: "SERVING", simulation.Draining: "DRAINING", simulation.Gone: "DELETED"}
 	members := []map[string]any{}
 	for _, e := range entries {
 		up := int64(0)
-		if e.Since != world.LongAgo {
+		if e.Since != simulation.LongAgo {
 			up = max(1, dr.start.Add(e.Since).UnixMilli())
 			a.sinces[up] = e.Since
 		}
--- a/internal/yard/sockets/apart.go
+++ b/internal/yard/sockets/apart.go
@@ -11,7 +11,7 @@
 	"sync"
 	"time"
 
-	"yardwinch/internal/world"
+	"yardwinch/internal/simulation"
 	"yardwinch/internal/yard/experiment"
 	"yardwinch/internal/yard/links"
 	"yardwinch/internal/yard/referee"
@@ -21,11 +21,11 @@
 // called with the drive locked.
 type Apart struct {
 	Net     *links.Net
-	Control func(world.BalancerID) string // where a balancer takes the staff's calls
+	Control func(simulation.BalancerID) string // where a balancer takes the staff's calls
 	// Launch changes how a process is started, and tells the program with its arguments.
-	Launch func(b world.BalancerID, life int, cmd *exec.Cmd) (program []string, err error)
-	Ended  func(world.BalancerID, error) // a process ended that nobody ended
-	See    func(referee.Event)           // hears of all that the referee hears
+	Launch func(b simulation.BalancerID, life int, cmd *exec.Cmd) (program []string, err error)
+	Ended  func(simulation.BalancerID, error) // a process ended that nobody ended
+	See    func(referee.Event)                // hears of all that the referee hears
 }
 
 // StandApart is called before Open.
@@ -35,10 +35,10 @@
 const Discovery, Operator links.Name = "discovery", "operator"
 
 // BalancerName is the near end of a balancer's ways.
-func BalancerName(b world.BalancerID) links.Name { return links.Name("b" + strconv.Itoa(int(b))) }
+func BalancerName(b simulation.BalancerID) links.Name { return links.Name("b" + strconv.Itoa(int(b))) }
 
 // ServerName is the far end of a server's ways.
-func ServerName(s world.ServerID) links.Name { return links.Name(experiment.ServerName(s)) }
+func ServerName(s simulation.ServerID) links.Name { return links.Name(experiment.ServerName(s)) }
 
 // Do does something to the world and the processes between two events.
 func (dr *Drive) Do(do func()) {
@@ -53,10 +53,10 @@
 func (dr *Drive) Elapsed() time.Duration { return dr.now() }
 
 // Address is where a balancer serves clients.
-func (dr *Drive) Address(b world.BalancerID) string { return dr.procs[b].addr }
+func (dr *Drive) Address(b simulation.BalancerID) string { return dr.procs[b].addr }
 
 // Process is the id of a balancer's process; 0 where none runs.
-func (dr *Drive) Process(b world.BalancerID) int {
+func (dr *Drive) Process(b simulation.BalancerID) int {
 	if p := dr.procs[b]; p.cmd != nil && p.cmd.Process != nil && p.up {
 		return p.cmd.Process.Pid
 	}
@@ -66,7 +66,7 @@
 // Doors brings what new connections meet to what the ways are now.
 func (dr *Drive) Doors() {
 	for s := range dr.servers {
-		dr.Changed(world.ServerID(s))
+		dr.Changed(simulation.ServerID(s))
 	}
 	for _, a := range dr.agents {
 		if err := a.door(); err != nil {
@@ -190,19 +190,19 @@
 	}
 	a.dr.enter()
 	defer a.dr.leave()
-	var entries []world.Entry
+	var entries []simulation.Entry
 	for _, m := range list.Members {
 		var n int
 		if _, err := fmt.Sscanf(m.ID, "s-%d", &n); err != nil {
 			continue
 		}
-		e := world.Entry{Server: world.ServerID(n), Since: world.LongAgo}
+		e := simulation.Entry{Server: simulation.ServerID(n), Since: simulation.LongAgo}
 		if s, ok := a.sinces[m.UpSince]; ok {
 			e.Since = s
 		}
-		e.State = map[string]world.Readiness{"SERVING": world.Ready, "DRAINING": world.Draining}[m.Phase]
+		e.State = map[string]simulation.Readiness{"SERVING": simulation.Ready, "DRAINING": simulation.Draining}[m.Phase]
 		if m.Phase == "DELETED" {
-			e.State = world.Gone
+			e.State = simulation.Gone
 		}
 		entries = append(entries, e)
 	}
--- a/internal/yard/sockets/client.go
+++ b/internal/yard/sockets/client.go
@@ -10,7 +10,7 @@
 	"syscall"
 	"time"
 
-	"yardwinch/internal/world"
+	"yardwinch/internal/simulation"
 	"yardwinch/internal/yard/experiment"
 	"yardwinch/internal/yard/referee"
 )
@@ -32,8 +32,8 @@
 // client is one try of a client on a socket; only turn changes its state, under the drive's lock.
 type client struct {
 	dr      *Drive
-	flow    world.FlowID
-	to      world.BalancerID
+	flow    simulation.FlowID
+	to      simulation.BalancerID
 	addr    string
 	line    string
 	due     time.Duration
@@ -65,13 +65,13 @@
 	}
 }
 
-func (dr *Drive) begin(f world.FlowID, v *world.Client, b world.BalancerID, left time.Duration, more string) *client {
+func (dr *Drive) begin(f simulation.FlowID, v *simulation.Client, b simulation.BalancerID, left time.Duration, more string) *client {
 	fields := "c=" + dr.w.Services[v.Service].Name
 	if v.Customer >= 0 {
 		fields += ",t=" + dr.w.Customers[v.Customer].Name
 	}
 	fields += ",d=" + strconv.FormatInt(left.Milliseconds(), 10)
-	if v.Group != world.NoGroup {
+	if v.Group != simulation.NoGroup {
 		fields += ",g=" + experiment.GroupName(v.Group)
 	}
 	c := &client{dr: dr, flow: f, to: b, due: dr.now() + left, line: fmt.Sprintf("OPEN %016x c%d %s%s\r\n", int64(f), int(v.ID), fields, more)}
@@ -84,7 +84,7 @@
 }
 
 // Ask opens a connection at a balancer. What it takes is counted from here, whatever keeps the machine from connecting.
-func (dr *Drive) Ask(f world.FlowID, v *world.Client, b world.BalancerID, left time.Duration, repeat, back bool) {
+func (dr *Drive) Ask(f simulation.FlowID, v *simulation.Client, b simulation.BalancerID, left time.Duration, repeat, back bool) {
 	if dr.over {
 		return
 	}
@@ -99,14 +99,14 @@
 }
 
 // Held brings up one that stands when the day begins.
-func (dr *Drive) Held(f world.FlowID, v *world.Client, b world.BalancerID, conn world.ConnID, s world.ServerID) {
+func (dr *Drive) Held(f simulation.FlowID, v *simulation.Client, b simulation.BalancerID, conn simulation.ConnID, s simulation.ServerID) {
 	dr.awaited[f] = conn
 	dr.begin(f, v, b, standWithin, ",at="+experiment.ServerName(s)).held = true
 }
 
 // Leave ends a client's connection. One that waited its time out stays a moment longer, so that an answer that is
 // on its way is seen.
-func (dr *Drive) Leave(f world.FlowID) {
+func (dr *Drive) Leave(f simulation.FlowID) {
 	c := dr.flows[f]
 	if c == nil {
 		return
@@ -156,7 +156,7 @@
 			dr.bad("a connection that stands at the beginning: %w", err)
 		} else if c.state != gone {
 			c.turn(gone)
-			dr.w.Answered(c.flow, world.Nobody, 0)
+			dr.w.Answered(c.flow, simulation.Nobody, 0)
 		}
 		dr.leave()
 		return
@@ -232,7 +232,7 @@
 				dr.Tally.MovedAt = append(dr.Tally.MovedAt, dr.now())
 			}
 			c.turn(gone)
-			dr.w.Broken(c.flow, world.Moved)
+			dr.w.Broken(c.flow, simulation.Moved)
 		}
 		return
 	}
@@ -249,7 +249,7 @@
 	}
 	if !dr.w.Balancers[c.to].Up { // said before its balancer was killed, and heard after: what it held is void
 		c.turn(gone)
-		dr.w.Broken(c.flow, world.Cut)
+		dr.w.Broken(c.flow, simulation.Cut)
 		return
 	}
 	c.answers++
@@ -267,12 +267,12 @@
 	switch word {
 	case "UP":
 		c.turn(holds)
-		dr.w.Answered(c.flow, world.Established, 0)
+		dr.w.Answered(c.flow, simulation.Established, 0)
 	case "BUSY":
 		ms, _ := strconv.ParseFloat(rest, 64) // none is no time to wait
-		dr.w.Answered(c.flow, world.Rejected, time.Duration(ms*float64(time.Millisecond)))
+		dr.w.Answered(c.flow, simulation.Rejected, time.Duration(ms*float64(time.Millisecond)))
 	default:
-		dr.w.Answered(c.flow, world.Aborted, 0)
+		dr.w.Answered(c.flow, simulation.Aborted, 0)
 	}
 }
 
@@ -292,15 +292,15 @@
 	c.turn(gone)
 	switch {
 	case was == holds && !c.left:
-		dr.w.Broken(c.flow, world.Cut)
+		dr.w.Broken(c.flow, simulation.Cut)
 	case was == asking && c.answers == 0 && !c.left && dr.others && !runs(c.addr):
 		dr.see(referee.Event{Kind: referee.Died, Balancer: referee.Balancer(c.to)}) // a rule binds a balancer that runs
-		dr.w.Broken(c.flow, world.Cut)
+		dr.w.Broken(c.flow, simulation.Cut)
 	case was == asking && c.answers == 0 && !c.left:
 		if p := dr.procs; int(c.to) < len(p) && p[c.to].up {
 			// Ended with no answer by a balancer that lives: a lost flow, unless its death is about to be heard of.
 			return
 		}
-		dr.w.Broken(c.flow, world.Cut)
+		dr.w.Broken(c.flow, simulation.Cut)
 	}
 }
--- a/internal/yard/sockets/drive.go
+++ b/internal/yard/sockets/drive.go
@@ -12,7 +12,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"yardwinch/internal/world"
+	"yardwinch/internal/simulation"
 	"yardwinch/internal/yard/experiment"
 	"yardwinch/internal/yard/referee"
 )
@@ -28,7 +28,7 @@
 // Drive is one run on sockets.
 type Drive struct {
 	d       *experiment.Day
-	w       *world.World
+	w       *simulation.World
 	ref     *referee.Referee
 	ctx     context.Context
 	cancel  context.CancelFunc
@@ -48,13 +48,13 @@
 	servers []*standIn
 	agents  []*agent
 	procs   []*process
-	flows   map[world.FlowID]*client
-	conns   map[world.ConnID]*served
-	awaited map[world.FlowID]world.ConnID // stand when the day begins
+	flows   map[simulation.FlowID]*client
+	conns   map[simulation.ConnID]*served
+	awaited map[simulation.FlowID]simulation.ConnID // stand when the day begins
 	late    *hdrhistogram.Histogram
 	fault   error // the first thing that went wrong with the drive itself
 	starts  chan func()
-	source  world.Source // in place of the day's own, where there is one
+	source  simulation.Source // in place of the day's own, where there is one
 
 	Tally Tally
 }
@@ -63,15 +63,15 @@
 func Load(parent context.Context, d *experiment.Day, ref *referee.Referee, addrs []string) *Drive {
 	dr := New(parent, d, ref, nil, "")
 	dr.others = true
-	dr.w.FirstFlow(world.FlowID(time.Now().UnixMicro()) << 10) // never those of an earlier load
+	dr.w.FirstFlow(simulation.FlowID(time.Now().UnixMicro()) << 10) // never those of an earlier load
 	for b, a := range addrs {
-		dr.procs = append(dr.procs, &process{dr: dr, id: world.BalancerID(b), addr: a, up: true})
+		dr.procs = append(dr.procs, &process{dr: dr, id: simulation.BalancerID(b), addr: a, up: true})
 	}
 	return dr
 }
 
 // RunLoad plays the load of a source to the end of the day.
-func (dr *Drive) RunLoad(s world.Source, progress func(time.Duration)) (void string, err error) {
+func (dr *Drive) RunLoad(s simulation.Source, progress func(time.Duration)) (void string, err error) {
 	defer dr.Close()
 	dr.mu.Lock()
 	dr.w.StartLoad(s)
@@ -100,7 +100,7 @@
 type Tally struct {
 	Connects, Crossings, Moves int
 	Probes                     int
-	ProbedAt                   map[world.ServerID][]time.Duration
+	ProbedAt                   map[simulation.ServerID][]time.Duration
 	MovedAt, ConnectAt         []time.Duration
 }
 
@@ -108,10 +108,10 @@
 // configurations and logs. An empty program leaves balancers out: servers and discovery alone.
 func New(parent context.Context, d *experiment.Day, ref *referee.Referee, program []string, folder string) *Drive {
 	dr := &Drive{d: d, w: d.World, ref: ref, program: program, folder: folder, poke: make(chan struct{}, 1),
-		flows: map[world.FlowID]*client{}, conns: map[world.ConnID]*served{}, awaited: map[world.FlowID]world.ConnID{},
+		flows: map[simulation.FlowID]*client{}, conns: map[simulation.ConnID]*served{}, awaited: map[simulation.FlowID]simulation.ConnID{},
 		late: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3), start: time.Now()}
 	dr.ctx, dr.cancel = context.WithCancel(parent)
-	dr.Tally.ProbedAt = map[world.ServerID][]time.Duration{}
+	dr.Tally.ProbedAt = map[simulation.ServerID][]time.Duration{}
 	d.World.Carrier = dr
 	dr.starts = make(chan func())
 	dr.parts.Go(dr.starter)
@@ -177,7 +177,7 @@
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
 	for b := range dr.w.Balancers {
-		a, err := newAgent(dr, world.BalancerID(b))
+		a, err := newAgent(dr, simulation.BalancerID(b))
 		if err != nil {
 			return err
 		}
@@ -213,7 +213,7 @@
 	}
 	for b := range dr.procs {
 		dr.mu.Lock()
-		dr.Start(world.BalancerID(b))
+		dr.Start(simulation.BalancerID(b))
 		dr.mu.Unlock()
 	}
 	for _, p := range dr.procs {
--- a/internal/yard/sockets/process.go
+++ b/internal/yard/sockets/process.go
@@ -15,7 +15,7 @@
 	"syscall"
 	"time"
 
-	"yardwinch/internal/world"
+	"yardwinch/internal/simulation"
 	"yardwinch/internal/yard/referee"
 )
 
@@ -28,7 +28,7 @@
 // process is one balancer.
 type process struct {
 	dr     *Drive
-	id     world.BalancerID
+	id     simulation.BalancerID
 	addr   string
 	config string
 	log    string
@@ -39,7 +39,7 @@
 	killed bool // outright; until it is started again
 }
 
-func newProcess(dr *Drive, b world.BalancerID) (*process, error) {
+func newProcess(dr *Drive, b simulation.BalancerID) (*process, error) {
 	l, err := net.Listen("tcp", fmt.Sprintf("127.78.%d.%d:0", int(b)/250, int(b)%250+1)) // see door.turn
 	if err != nil {
 		return nil, err
@@ -50,11 +50,11 @@
 }
 
 // Config writes what a balancer is told, as the platform does.
-func (dr *Drive) Config(b world.BalancerID, listen string, life int) ([]byte, error) {
+func (dr *Drive) Config(b simulation.BalancerID, listen string, life int) ([]byte, error) {
 	a := dr.agents[b]
 	told := map[string]any{
 		"name": fmt.Sprintf("n%d", b), "listen": listen, "discovery": a.addr(),
-		"seed":     fmt.Sprintf("%016x", world.Chance(dr.d.Seed, "balancer "+strconv.Itoa(life), int(b)).Uint64()),
+		"seed":     fmt.Sprintf("%016x", simulation.Chance(dr.d.Seed, "balancer "+strconv.Itoa(life), int(b)).Uint64()),
 		"limits":   map[string]any{"cores": 1, "memory_mb": memoryMB, "sockets": descriptors + 2*dr.most()/len(dr.w.Balancers)},
 		"known":    json.RawMessage(a.object(true, a.all())),
 		"settings": nested(dr.d.Settings(b)),
@@ -121,7 +121,7 @@
 }
 
 // Start starts a balancer's process; it is up when it answers.
-func (dr *Drive) Start(b world.BalancerID) {
+func (dr *Drive) Start(b simulation.BalancerID) {
 	if dr.over {
 		return
 	}
@@ -180,7 +180,7 @@
 }
 
 // Kill ends a balancer outright; Stop asks it to end in order.
-func (dr *Drive) Kill(b world.BalancerID) {
+func (dr *Drive) Kill(b simulation.BalancerID) {
 	p := dr.procs[b]
 	dr.see(referee.Event{Kind: referee.Died, Balancer: referee.Balancer(b)})
 	p.up = false
@@ -188,12 +188,12 @@
 }
 
 // Mark books that a balancer stops to run, or runs on; Signal does it.
-func (dr *Drive) Mark(b world.BalancerID, k referee.Kind) {
+func (dr *Drive) Mark(b simulation.BalancerID, k referee.Kind) {
 	dr.see(referee.Event{Kind: k, Balancer: referee.Balancer(b)})
 }
 
 // Signal sends one to a balancer's process.
-func (dr *Drive) Signal(b world.BalancerID, s syscall.Signal) error {
+func (dr *Drive) Signal(b simulation.BalancerID, s syscall.Signal) error {
 	p := dr.procs[b]
 	if p.cmd == nil || p.cmd.Process == nil {
 		return fmt.Errorf("balancer %d: no process", b)
@@ -202,7 +202,7 @@
 }
 
 // Stop asks a balancer to end in order.
-func (dr *Drive) Stop(b world.BalancerID) {
+func (dr *Drive) Stop(b simulation.BalancerID) {
 	if p := dr.procs[b]; p.cmd != nil {
 		_ = p.cmd.Process.Signal(syscall.SIGTERM) // it may have ended
 		p.up = false
--- a/internal/yard/sockets/server.go
+++ b/internal/yard/sockets/server.go
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"yardwinch/internal/world"
+	"yardwinch/internal/simulation"
 	"yardwinch/internal/yard/experiment"
 	"yardwinch/internal/yard/links"
 	"yardwinch/internal/yard/referee"
@@ -24,31 +24,31 @@
 // not for the other; where each balancer has ways of its own, a door for each balancer.
 type standIn struct {
 	dr    *Drive
-	id    world.ServerID
+	id    simulation.ServerID
 	doors []*door
 }
 
 type door struct {
 	*links.Gate
 	s    *standIn
-	hall world.HallID
-	by   world.BalancerID // who comes in here; nobody: all of the hall
+	hall simulation.HallID
+	by   simulation.BalancerID // who comes in here; nobody: all of the hall
 }
 
-const nobody world.BalancerID = -1
+const nobody simulation.BalancerID = -1
 
 // Changed brings a server's doors to what the world says of it.
-func (dr *Drive) Changed(id world.ServerID) {
+func (dr *Drive) Changed(id simulation.ServerID) {
 	if dr.over {
 		return
 	}
 	for len(dr.servers) <= int(id) {
-		s := &standIn{dr: dr, id: world.ServerID(len(dr.servers))}
+		s := &standIn{dr: dr, id: simulation.ServerID(len(dr.servers))}
 		// Not 127.0.0.1: connections that go out from there might take the port while the door is shut.
 		at := fmt.Sprintf("127.77.%d.%d:0", int(s.id)/250, int(s.id)%250+1)
 		if dr.apart == nil {
 			for h := range dr.w.Halls {
-				s.doors = append(s.doors, &door{links.NewGate(at), s, world.HallID(h), nobody})
+				s.doors = append(s.doors, &door{links.NewGate(at), s, simulation.HallID(h), nobody})
 			}
 		} else {
 			for _, b := range dr.w.Balancers {
@@ -65,7 +65,7 @@
 }
 
 // door is where a balancer reaches a server.
-func (dr *Drive) door(b world.BalancerID, s world.ServerID) *door {
+func (dr *Drive) door(b simulation.BalancerID, s simulation.ServerID) *door {
 	if dr.apart != nil {
 		return dr.servers[s].doors[b]
 	}
@@ -75,9 +75,9 @@
 func (dr *Drive) wants(d *door) links.State {
 	reach := dr.w.Knock(d.hall, d.s.id)
 	switch {
-	case reach == world.Silence || d.by != nobody && dr.apart.Net.Cut(BalancerName(d.by), ServerName(d.s.id)):
+	case reach == simulation.Silence || d.by != nobody && dr.apart.Net.Cut(BalancerName(d.by), ServerName(d.s.id)):
 		return links.Hole
-	case reach == world.Refused:
+	case reach == simulation.Refused:
 		return links.Shut
 	}
 	return links.Open
@@ -115,11 +115,11 @@
 type served struct {
 	dr   *Drive
 	conn net.Conn
-	id   world.ConnID
-	flow world.FlowID
-	from world.HallID
-	to   world.ServerID
-	by   world.BalancerID
+	id   simulation.ConnID
+	flow simulation.FlowID
+	from simulation.HallID
+	to   simulation.ServerID
+	by   simulation.BalancerID
 	done bool
 	up   bool
 	led  bool // over a way of its own, at whose near end the referee looks
@@ -205,9 +205,9 @@
 	return p[1], fields, true
 }
 
-func flowID(text string) (world.FlowID, bool) {
+func flowID(text string) (simulation.FlowID, bool) {
 	v, err := strconv.ParseInt(text, 16, 64)
-	return world.FlowID(v), err == nil
+	return simulation.FlowID(v), err == nil
 }
 
 // sent books what a balancer sent: the line that opens a connection. A client that has gone meanwhile leaves the id at nought.
@@ -259,7 +259,7 @@
 		return
 	}
 	s := dr.w.Servers[x.to]
-	if s.Since() != world.LongAgo && cl != nil {
+	if s.Since() != simulation.LongAgo && cl != nil {
 		dr.see(referee.Event{Kind: referee.Arrived, Balancer: referee.Balancer(x.by), Flow: referee.Flow(x.flow), Connect: referee.Connect(x.id),
 			Server: referee.Server(x.to), Since: s.Since(), Load: cl.Load(), Takes: s.TakesNow()})
 	}
@@ -303,7 +303,7 @@
 }
 
 // Up says that a connection stands, by the world's word.
-func (dr *Drive) Up(id world.ConnID) {
+func (dr *Drive) Up(id simulation.ConnID) {
 	x := dr.conns[id]
 	if x == nil || dr.w.Net.Blocked(dr.hall(x.to), x.from) {
 		return
@@ -313,24 +313,24 @@
 }
 
 // Turn tells a balancer, by the world's word, that its connection to a server is refused or ends.
-func (dr *Drive) Turn(id world.ConnID, how world.Refusal) {
+func (dr *Drive) Turn(id simulation.ConnID, how simulation.Refusal) {
 	x := dr.conns[id]
 	if x == nil || x.done {
 		return
 	}
 	ran := true
 	switch how {
-	case world.Full:
+	case simulation.Full:
 		ran = false
 		x.write("BUSY\r\n")
-	case world.Failed:
+	case simulation.Failed:
 		x.write("ERR it failed\r\n")
-	case world.Sent:
+	case simulation.Sent:
 		if c := dr.flows[x.flow]; c != nil {
 			c.sentAway = true
 		}
 		x.write("MOVE\r\n")
-	case world.Closed:
+	case simulation.Closed:
 		x.write("BYE\r\n")
 	}
 	x.done = true
@@ -338,12 +338,12 @@
 	if !x.led {
 		x.heard(ran)
 	}
-	x.close(how == world.Dropped)
+	x.close(how == simulation.Dropped)
 }
 
 // Late tells one connection of each balancer.
-func (dr *Drive) Late(s world.ServerID, delay time.Duration) {
-	told := map[world.BalancerID]*served{}
+func (dr *Drive) Late(s simulation.ServerID, delay time.Duration) {
+	told := map[simulation.BalancerID]*served{}
 	for _, id := range dr.w.Servers[s].Connections() {
 		if x := dr.conns[id]; x != nil && x.up && told[x.by] == nil && !dr.w.Net.Blocked(dr.hall(s), x.from) {
 			told[x.by] = x
@@ -353,18 +353,18 @@
 }
 
 // guest takes in a client that the yard did not start.
-func (dr *Drive) guest(fields map[string]string) (world.FlowID, *world.Client) {
-	service := world.ServiceID(0)
+func (dr *Drive) guest(fields map[string]string) (simulation.FlowID, *simulation.Client) {
+	service := simulation.ServiceID(0)
 	for i, s := range dr.w.Services {
 		if s.Name == fields["c"] {
-			service = world.ServiceID(i)
+			service = simulation.ServiceID(i)
 		}
 	}
-	group := world.NoGroup
+	group := simulation.NoGroup
 	if n, err := strconv.Atoi(strings.TrimPrefix(fields["g"], "g-")); err == nil {
-		group = world.GroupID(n)
+		group = simulation.GroupID(n)
 	}
 	return dr.w.Guest(service, group)
 }
 
-func (dr *Drive) hall(s world.ServerID) world.HallID { return dr.w.Servers[s].Hall }
+func (dr *Drive) hall(s simulation.ServerID) simulation.HallID { return dr.w.Servers[s].Hall }
--- a/internal/yard/virtual/act.go
+++ b/internal/yard/virtual/act.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"yardwinch/decide"
-	"yardwinch/internal/world"
+	"yardwinch/internal/simulation"
 	"yardwinch/internal/yard/referee"
 )
 
@@ -21,7 +21,7 @@
 	f.out = append(f.out, c)
 	dr.conns[c.id] = c
 	if f.sent > dr.connMax {
-		w.Agenda.After(0, world.Message, func() { in.finish(c, decide.NeverSent) })
+		w.Agenda.After(0, simulation.Message, func() { in.finish(c, decide.NeverSent) })
 		return
 	}
 	dr.Tally.Connects++
@@ -36,24 +36,24 @@
 	if limit > 0 {
 		ends = min(ends, now+limit)
 	}
-	w.Agenda.At(ends, world.Wake, func() {
+	w.Agenda.At(ends, simulation.Wake, func() {
 		if c.state == dialing || c.state == asked {
 			in.finish(c, decide.TimedOut)
 		}
 	})
 	way := w.Net.Way(in.hall, srv.Hall)
 	switch w.Knock(in.hall, s) {
-	case world.Refused:
-		w.Agenda.After(2*way, world.Message, func() { in.finish(c, decide.Unreachable) })
-	case world.Silence:
-		w.Agenda.After(dr.up, world.Message, func() { in.finish(c, decide.Unreachable) })
+	case simulation.Refused:
+		w.Agenda.After(2*way, simulation.Message, func() { in.finish(c, decide.Unreachable) })
+	case simulation.Silence:
+		w.Agenda.After(dr.up, simulation.Message, func() { in.finish(c, decide.Unreachable) })
 	default:
-		w.Agenda.After(3*way, world.Message, func() { dr.arrive(c) }) // there and back for the connection, then the line
+		w.Agenda.After(3*way, simulation.Message, func() { dr.arrive(c) }) // there and back for the connection, then the line
 	}
 }
 
 // answer is the balancer's own final word.
-func (in *instance) answer(name decide.FlowID, v referee.Verdict, a world.Answer, after time.Duration) {
+func (in *instance) answer(name decide.FlowID, v referee.Verdict, a simulation.Answer, after time.Duration) {
 	f, dr := in.flow(name), in.dr
 	if f == nil {
 		dr.see(referee.Event{Kind: referee.Answered, Balancer: referee.Balancer(in.id), Flow: -1, Verdict: v})
@@ -65,17 +65,17 @@
 	}
 	f.answered = true
 	in.forget(f)
-	dr.w.Agenda.After(dr.w.Net.Client, world.Message, func() { dr.w.Answered(f.id, a, after) })
+	dr.w.Agenda.After(dr.w.Net.Client, simulation.Message, func() { dr.w.Answered(f.id, a, after) })
 }
 
 func (in *instance) Reject(f decide.FlowID, after time.Duration) {
 	in.dr.Tally.Rejects++
-	in.answer(f, referee.Rejected, world.Rejected, after)
+	in.answer(f, referee.Rejected, simulation.Rejected, after)
 }
 
 func (in *instance) Abort(f decide.FlowID) {
 	in.dr.Tally.Aborts++
-	in.answer(f, referee.Aborted, world.Aborted, 0)
+	in.answer(f, referee.Aborted, simulation.Aborted, 0)
 }
 
 func (in *instance) Cancel(name decide.FlowID, n int) {
@@ -85,7 +85,7 @@
 	}
 	for _, c := range f.out {
 		if c.n == n && c.state != standing {
-			in.dr.w.Agenda.After(0, world.Message, func() { in.finish(c, decide.Cancelled) })
+			in.dr.w.Agenda.After(0, simulation.Message, func() { in.finish(c, decide.Cancelled) })
 		}
 	}
 }
@@ -95,7 +95,7 @@
 		in.dr.Tally.Moves++
 		in.dr.Tally.MovedAt = append(in.dr.Tally.MovedAt, in.dr.w.Agenda.Now())
 		c := f.stands
-		in.dr.w.Agenda.After(0, world.Message, func() {
+		in.dr.w.Agenda.After(0, simulation.Message, func() {
 			if c.state == standing && !f.left {
 				in.finish(c, decide.Cancelled)
 			}
@@ -112,12 +112,12 @@
 	life, w := in.life, in.dr.w
 	o, took := decide.OK, 2*w.Net.Way(in.hall, w.Servers[to].Hall)
 	switch w.Knock(in.hall, to) {
-	case world.Refused:
+	case simulation.Refused:
 		o = decide.Unreachable
-	case world.Silence:
+	case simulation.Silence:
 		o, took = decide.TimedOut, in.dr.up
 	}
-	w.Agenda.After(took, world.Message, func() {
+	w.Agenda.After(took, simulation.Message, func() {
 		if in.up && in.life == life {
 			in.event().Probed(s, o)
 		}
@@ -126,7 +126,7 @@
 
 func (in *instance) Timer(m decide.TimerMark, d time.Duration) {
 	life := in.life
-	in.dr.w.Agenda.After(max(d, time.Microsecond), world.Wake, func() {
+	in.dr.w.Agenda.After(max(d, time.Microsecond), simulation.Wake, func() {
 		if in.up && in.life == life {
 			in.event().Timer(m)
 		}
--- a/internal/yard/virtual/balancer.go
+++ b/internal/yard/virtual/balancer.go
@@ -7,30 +7,30 @@
 	"time"
 
 	"yardwinch/decide"
-	"yardwinch/internal/world"
+	"yardwinch/internal/simulation"
 	"yardwinch/internal/yard/referee"
 )
 
 type instance struct {
 	dr    *Drive
-	id    world.BalancerID
-	hall  world.HallID
+	id    simulation.BalancerID
+	hall  simulation.HallID
 	start time.Duration
 	life  int
 	up    bool
 	dec   Decider
-	held  map[world.ServerID][]*flow // standing, in the order of their coming up
-	flows map[world.FlowID]*flow
+	held  map[simulation.ServerID][]*flow // standing, in the order of their coming up
+	flows map[simulation.FlowID]*flow
 }
 
 // Start starts a balancer, with the server list as it last held it.
-func (dr *Drive) Start(b world.BalancerID) {
+func (dr *Drive) Start(b simulation.BalancerID) {
 	in := dr.inst[b]
 	in.life++
 	in.up, in.start = true, dr.w.Agenda.Now()
-	in.held, in.flows = map[world.ServerID][]*flow{}, map[world.FlowID]*flow{}
+	in.held, in.flows = map[simulation.ServerID][]*flow{}, map[simulation.FlowID]*flow{}
 	dr.see(referee.Event{Kind: referee.Began, Balancer: referee.Balancer(b)})
-	seed := world.Chance(dr.d.Seed, "balancer "+strconv.Itoa(in.life), int(b)).Uint64()
+	seed := simulation.Chance(dr.d.Seed, "balancer "+strconv.Itoa(in.life), int(b)).Uint64()
 	in.dec = dr.maker(seed, b, in)
 	in.dec.At(0)
 	in.list(decide.ListCached, dr.w.List.Known(b))
@@ -38,7 +38,7 @@
 
 // Stop has a balancer ask its clients to come again, spread evenly, as the program does from a little after the signal
 // until shortly before its end; who comes meanwhile is served and asked in turn.
-func (dr *Drive) Stop(b world.BalancerID) {
+func (dr *Drive) Stop(b simulation.BalancerID) {
 	in := dr.inst[b]
 	life, until := in.life, dr.w.Agenda.Now()+dr.w.StopWithin()-moveUntil
 	var step func()
@@ -57,13 +57,13 @@
 		for _, f := range all[:(len(all)+left-1)/left] {
 			in.finish(f.stands, decide.Cancelled)
 		}
-		dr.w.Agenda.After(moveEvery, world.Wake, step)
+		dr.w.Agenda.After(moveEvery, simulation.Wake, step)
 	}
-	dr.w.Agenda.After(moveFrom, world.Wake, step)
+	dr.w.Agenda.After(moveFrom, simulation.Wake, step)
 }
 
 // Kill ends a balancer at once.
-func (dr *Drive) Kill(b world.BalancerID) {
+func (dr *Drive) Kill(b simulation.BalancerID) {
 	in := dr.inst[b]
 	in.up = false
 	dr.see(referee.Event{Kind: referee.Died, Balancer: referee.Balancer(b)})
@@ -80,9 +80,9 @@
 		}
 		delete(dr.flows, f.id)
 		gone := f.left
-		dr.w.Agenda.After(dr.w.Net.Client, world.Message, func() {
+		dr.w.Agenda.After(dr.w.Net.Client, simulation.Message, func() {
 			if !gone {
-				dr.w.Broken(f.id, world.Cut)
+				dr.w.Broken(f.id, simulation.Cut)
 			}
 		})
 	}
@@ -92,11 +92,11 @@
 // close tells the server that a balancer has ended its connection.
 func (dr *Drive) close(c *connect) {
 	to := dr.w.Servers[c.server].Hall
-	dr.w.Agenda.After(dr.w.Net.Way(c.f.in.hall, to), world.Message, func() { dr.w.Closed(c.id) })
+	dr.w.Agenda.After(dr.w.Net.Way(c.f.in.hall, to), simulation.Message, func() { dr.w.Closed(c.id) })
 }
 
-func (in *instance) see(s world.ServerID, state world.Readiness, since time.Duration) {
-	if since == world.LongAgo {
+func (in *instance) see(s simulation.ServerID, state simulation.Readiness, since time.Duration) {
+	if since == simulation.LongAgo {
 		since = referee.LongAgo
 	}
 	in.dr.see(referee.Event{Kind: referee.Told, Balancer: referee.Balancer(in.id), Server: referee.Server(s), State: told[state], Since: since})
@@ -113,7 +113,7 @@
 	if err != nil {
 		return nil
 	}
-	return in.flows[world.FlowID(id)]
+	return in.flows[simulation.FlowID(id)]
 }
 
 // finish ends a connect: the one place where a decider hears of it.
@@ -134,11 +134,11 @@
 		in.drop(c.server, f)
 		dr.see(referee.Event{Kind: referee.Ended, Balancer: referee.Balancer(in.id), Flow: referee.Flow(f.id)})
 		if !f.left {
-			how := world.Cut
+			how := simulation.Cut
 			if o == decide.Cancelled || o == decide.Full {
-				how = world.Moved
+				how = simulation.Moved
 			}
-			dr.w.Agenda.After(dr.w.Net.Client, world.Message, func() { dr.w.Broken(f.id, how) })
+			dr.w.Agenda.After(dr.w.Net.Client, simulation.Message, func() { dr.w.Broken(f.id, how) })
 		}
 	}
 	finished := f.answered || f.left
@@ -148,7 +148,7 @@
 	in.event().Ended(f.name, o, dr.w.Agenda.Now()-c.sentAt, finished)
 }
 
-func (in *instance) drop(s world.ServerID, f *flow) {
+func (in *instance) drop(s simulation.ServerID, f *flow) {
 	in.held[s] = slices.DeleteFunc(in.held[s], func(x *flow) bool { return x == f })
 }
 
--- a/internal/yard/virtual/client.go
+++ b/internal/yard/virtual/client.go
@@ -6,13 +6,13 @@
 	"time"
 
 	"yardwinch/decide"
-	"yardwinch/internal/world"
+	"yardwinch/internal/simulation"
 	"yardwinch/internal/yard/experiment"
 	"yardwinch/internal/yard/referee"
 )
 
 type flow struct {
-	id       world.FlowID
+	id       simulation.FlowID
 	name     decide.FlowID
 	in       *instance
 	due      time.Duration
@@ -24,12 +24,12 @@
 }
 
 // Ask brings a client's flow to a balancer.
-func (dr *Drive) Ask(f world.FlowID, c *world.Client, to world.BalancerID, left time.Duration, repeat, back bool) {
+func (dr *Drive) Ask(f simulation.FlowID, c *simulation.Client, to simulation.BalancerID, left time.Duration, repeat, back bool) {
 	in := dr.inst[to]
 	service, customer, group := c.Service, c.Customer, c.Group
-	dr.w.Agenda.After(dr.w.Net.Client, world.Message, func() {
+	dr.w.Agenda.After(dr.w.Net.Client, simulation.Message, func() {
 		if !in.up {
-			dr.w.Agenda.After(dr.w.Net.Client, world.Message, func() { dr.w.Answered(f, world.Nobody, 0) })
+			dr.w.Agenda.After(dr.w.Net.Client, simulation.Message, func() { dr.w.Answered(f, simulation.Nobody, 0) })
 			return
 		}
 		if dr.w.Client(f) == nil {
@@ -58,7 +58,7 @@
 var reaches = map[string]referee.Reach{"all": referee.ReachAll, "zone": referee.ReachZone, "cell": referee.ReachCell}
 
 // Held begins with a connection that stands.
-func (dr *Drive) Held(f world.FlowID, c *world.Client, b world.BalancerID, id world.ConnID, s world.ServerID) {
+func (dr *Drive) Held(f simulation.FlowID, c *simulation.Client, b simulation.BalancerID, id simulation.ConnID, s simulation.ServerID) {
 	in := dr.inst[b]
 	x := &flow{id: f, name: decide.FlowID(strconv.FormatInt(int64(f), 36)), in: in, answered: true, sent: 1}
 	k := &connect{id: id, f: x, server: s, state: standing, sentAt: dr.w.Agenda.Now()}
@@ -70,8 +70,8 @@
 }
 
 // Leave takes a client's flow away from its balancer.
-func (dr *Drive) Leave(f world.FlowID) {
-	dr.w.Agenda.After(dr.w.Net.Client, world.Message, func() {
+func (dr *Drive) Leave(f simulation.FlowID) {
+	dr.w.Agenda.After(dr.w.Net.Client, simulation.Message, func() {
 		x := dr.flows[f]
 		if x == nil || x.left {
 			return
--- a/internal/yard/virtual/list.go
+++ b/internal/yard/virtual/list.go
@@ -5,28 +5,28 @@
 	"time"
 
 	"yardwinch/decide"
-	"yardwinch/internal/world"
+	"yardwinch/internal/simulation"
 	"yardwinch/internal/yard/experiment"
 	"yardwinch/internal/yard/referee"
 )
 
 // Numbers are the ids of the first n servers by their names alone, as balancers on sockets have them.
-func Numbers(n int) map[decide.ServerID]world.ServerID {
-	of := make(map[decide.ServerID]world.ServerID, n)
+func Numbers(n int) map[decide.ServerID]simulation.ServerID {
+	of := make(map[decide.ServerID]simulation.ServerID, n)
 	for s := range n {
 		h := fnv.New32a()
-		_, _ = h.Write([]byte(experiment.ServerName(world.ServerID(s))))
+		_, _ = h.Write([]byte(experiment.ServerName(simulation.ServerID(s))))
 		id := decide.ServerID(h.Sum32())
 		for _, taken := of[id]; taken; _, taken = of[id] {
 			id++
 		}
-		of[id] = world.ServerID(s)
+		of[id] = simulation.ServerID(s)
 	}
 	return of
 }
 
 // number is the id of a server; the list grows with the fleet.
-func (dr *Drive) number(s world.ServerID) decide.ServerID {
+func (dr *Drive) number(s simulation.ServerID) decide.ServerID {
 	if len(dr.numbers) <= int(s) {
 		dr.byNum = Numbers(2 * (int(s) + 32))
 		dr.numbers = make([]decide.ServerID, len(dr.byNum))
@@ -37,11 +37,11 @@
 	return dr.numbers[s]
 }
 
-var readiness = [...]decide.Readiness{world.Ready: decide.Ready, world.Draining: decide.Draining, world.Gone: decide.Gone}
-var told = [...]referee.State{world.Ready: referee.Ready, world.Draining: referee.Draining, world.Gone: referee.Gone}
+var readiness = [...]decide.Readiness{simulation.Ready: decide.Ready, simulation.Draining: decide.Draining, simulation.Gone: decide.Gone}
+var told = [...]referee.State{simulation.Ready: referee.Ready, simulation.Draining: referee.Draining, simulation.Gone: referee.Gone}
 
 // News brings a balancer a call of the server list.
-func (dr *Drive) News(b world.BalancerID, full bool, entries []world.Entry) {
+func (dr *Drive) News(b simulation.BalancerID, full bool, entries []simulation.Entry) {
 	in := dr.inst[b]
 	if !in.up {
 		return
@@ -53,14 +53,14 @@
 	in.list(k, entries)
 }
 
-func (in *instance) list(k decide.ListKind, entries []world.Entry) {
+func (in *instance) list(k decide.ListKind, entries []simulation.Entry) {
 	dr, b := in.dr, in.event()
 	b.ListBegin(k)
-	seen := map[world.ServerID]bool{}
+	seen := map[simulation.ServerID]bool{}
 	for _, e := range entries {
 		seen[e.Server] = true
 		since := decide.LongAgo
-		if e.Since != world.LongAgo {
+		if e.Since != simulation.LongAgo {
 			since = e.Since - in.start
 		}
 		in.see(e.Server, e.State, e.Since)
@@ -69,7 +69,7 @@
 	if k == decide.ListFull {
 		for _, s := range dr.w.Servers {
 			if !seen[s.ID] {
-				in.see(s.ID, world.Gone, world.LongAgo)
+				in.see(s.ID, simulation.Gone, simulation.LongAgo)
 			}
 		}
 	}
@@ -81,7 +81,7 @@
 		return
 	}
 	life := in.life
-	in.dr.w.Agenda.After(10*time.Millisecond, world.News, func() {
+	in.dr.w.Agenda.After(10*time.Millisecond, simulation.News, func() {
 		if in.up && in.life == life && !in.dr.w.List.Ask(in.id) {
 			in.event().ListBegin(decide.ListFailed)
 		}
--- a/internal/yard/virtual/server.go
+++ b/internal/yard/virtual/server.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"yardwinch/decide"
-	"yardwinch/internal/world"
+	"yardwinch/internal/simulation"
 	"yardwinch/internal/yard/referee"
 )
 
@@ -19,10 +19,10 @@
 )
 
 type connect struct {
-	id     world.ConnID
+	id     simulation.ConnID
 	f      *flow
 	n      int
-	server world.ServerID
+	server simulation.ServerID
 	state  connectState
 	sentAt time.Duration
 }
@@ -31,7 +31,7 @@
 func (c *connect) turn(to connectState) { c.state = to }
 
 // Up says that a server has set a connection up.
-func (dr *Drive) Up(id world.ConnID) {
+func (dr *Drive) Up(id simulation.ConnID) {
 	c := dr.conns[id]
 	if c == nil {
 		return
@@ -46,7 +46,7 @@
 		in.held[c.server] = append(in.held[c.server], f)
 		dr.see(referee.Event{Kind: referee.Answered, Balancer: referee.Balancer(in.id), Flow: referee.Flow(f.id), Verdict: referee.Established})
 		in.event().Established(f.name, dr.w.Agenda.Now()-c.sentAt)
-		dr.w.Agenda.After(dr.w.Net.Client, world.Message, func() { dr.w.Answered(f.id, world.Established, 0) })
+		dr.w.Agenda.After(dr.w.Net.Client, simulation.Message, func() { dr.w.Answered(f.id, simulation.Established, 0) })
 	})
 }
 
@@ -57,7 +57,7 @@
 		return
 	}
 	life := c.f.in.life
-	dr.w.Agenda.After(dr.w.Net.Way(from, to), world.Message, func() {
+	dr.w.Agenda.After(dr.w.Net.Way(from, to), simulation.Message, func() {
 		if c.f.in.up && c.f.in.life == life && c.state != over {
 			do()
 		}
@@ -65,27 +65,27 @@
 }
 
 // Turn ends a connection by its server's will.
-func (dr *Drive) Turn(id world.ConnID, how world.Refusal) {
+func (dr *Drive) Turn(id simulation.ConnID, how simulation.Refusal) {
 	c := dr.conns[id]
 	if c == nil {
 		return
 	}
 	dr.back(c, func() {
-		o := map[world.Refusal]decide.Outcome{world.Full: decide.Full, world.Failed: decide.Error, world.Dropped: decide.Reset,
-			world.Sent: decide.Full, world.Closed: decide.Cancelled}[how]
+		o := map[simulation.Refusal]decide.Outcome{simulation.Full: decide.Full, simulation.Failed: decide.Error, simulation.Dropped: decide.Reset,
+			simulation.Sent: decide.Full, simulation.Closed: decide.Cancelled}[how]
 		c.f.in.finish(c, o)
 	})
 }
 
 // Late tells the balancers that hold connections on a server how long its messages take.
-func (dr *Drive) Late(s world.ServerID, delay time.Duration) {
+func (dr *Drive) Late(s simulation.ServerID, delay time.Duration) {
 	hall := dr.w.Servers[s].Hall
 	for _, in := range dr.inst {
 		if !in.up || len(in.held[s]) == 0 || dr.w.Net.Blocked(hall, in.hall) {
 			continue
 		}
 		life := in.life
-		dr.w.Agenda.After(dr.w.Net.Way(hall, in.hall), world.Message, func() {
+		dr.w.Agenda.After(dr.w.Net.Way(hall, in.hall), simulation.Message, func() {
 			if in.up && in.life == life && len(in.held[s]) > 0 {
 				in.event().DelayNote(in.held[s][0].name, delay)
 			}
@@ -94,7 +94,7 @@
 }
 
 // Changed says that a server is in another phase; balancers hear of it from the list alone.
-func (dr *Drive) Changed(world.ServerID) {}
+func (dr *Drive) Changed(simulation.ServerID) {}
 
 func (dr *Drive) arrive(c *connect) {
 	if c.state != dialing {
@@ -107,7 +107,7 @@
 	}
 	c.turn(asked)
 	s := w.Servers[c.server]
-	if cl := w.Client(c.f.id); cl != nil && s.Since() != world.LongAgo {
+	if cl := w.Client(c.f.id); cl != nil && s.Since() != simulation.LongAgo {
 		dr.see(referee.Event{Kind: referee.Arrived, Balancer: referee.Balancer(in.id), Flow: referee.Flow(c.f.id), Connect: referee.Connect(c.id),
 			Server: referee.Server(c.server), Since: s.Since(), Load: cl.Load(), Takes: s.TakesNow()})
 	}
--- a/internal/yard/virtual/virtual.go
+++ b/internal/yard/virtual/virtual.go
@@ -7,7 +7,7 @@
 
 	"yardwinch/constraints"
 	"yardwinch/decide"
-	"yardwinch/internal/world"
+	"yardwinch/internal/simulation"
 	"yardwinch/internal/yard/experiment"
 	"yardwinch/internal/yard/referee"
 )
@@ -17,7 +17,7 @@
 type Decider = constraints.Module
 
 // Maker makes the decider of a balancer that starts; it acts through act alone.
-type Maker func(seed uint64, b world.BalancerID, act decide.Act) Decider
+type Maker func(seed uint64, b simulation.BalancerID, act decide.Act) Decider
 
 const (
 	lineCost  = 5 * time.Millisecond   // what a balancer keeps of a client's time for the way there and back
@@ -29,14 +29,14 @@
 // Drive is the network and the balancers between a world's clients and servers.
 type Drive struct {
 	d       *experiment.Day
-	w       *world.World
+	w       *simulation.World
 	ref     *referee.Referee
 	maker   Maker
 	inst    []*instance
-	flows   map[world.FlowID]*flow
-	conns   map[world.ConnID]*connect
+	flows   map[simulation.FlowID]*flow
+	conns   map[simulation.ConnID]*connect
 	numbers []decide.ServerID
-	byNum   map[decide.ServerID]world.ServerID
+	byNum   map[decide.ServerID]simulation.ServerID
 	connMax int
 	up      time.Duration
 	Tally   Tally
@@ -50,8 +50,8 @@
 
 // New prepares a drive; the day must not have begun.
 func New(d *experiment.Day, ref *referee.Referee, maker Maker) *Drive {
-	dr := &Drive{d: d, w: d.World, ref: ref, maker: maker, flows: map[world.FlowID]*flow{}, conns: map[world.ConnID]*connect{},
-		byNum: map[decide.ServerID]world.ServerID{}}
+	dr := &Drive{d: d, w: d.World, ref: ref, maker: maker, flows: map[simulation.FlowID]*flow{}, conns: map[simulation.ConnID]*connect{},
+		byNum: map[decide.ServerID]simulation.ServerID{}}
 	_, _, _, _, dr.connMax, dr.up = d.Experiment.Terms()
 	d.World.Carrier = dr
 	return dr
