--- a/cmd/yard/agree.go
+++ b/cmd/testbed/agree.go
@@ -13,10 +13,10 @@
 
 	"yardwinch/decide"
 	"yardwinch/internal/simulation"
-	"yardwinch/internal/yard/count"
-	"yardwinch/internal/yard/experiment"
-	"yardwinch/internal/yard/play"
-	"yardwinch/internal/yard/virtual"
+	"yardwinch/internal/testbed/count"
+	"yardwinch/internal/testbed/experiment"
+	"yardwinch/internal/testbed/scenario"
+	"yardwinch/internal/testbed/virtual"
 )
 
 const agreesWithin = 0.03
@@ -137,7 +137,7 @@
 func (p *pair) virtual(e *experiment.Experiment, policy string) error {
 	p.Least = math.Inf(1)
 	for k := range uint64(chances) {
-		r, err := play.Day(e, p.Seed, policy, nil, func(m virtual.Maker) virtual.Maker {
+		r, err := scenario.Day(e, p.Seed, policy, nil, func(m virtual.Maker) virtual.Maker {
 			return func(seed uint64, b simulation.BalancerID, act decide.Act) virtual.Decider { return m(seed+k, b, act) }
 		})
 		if err != nil {
--- a/cmd/yard/fleet.go
+++ b/cmd/testbed/fleet.go
@@ -14,7 +14,7 @@
 	"github.com/urfave/cli/v3"
 	"golang.org/x/sync/errgroup"
 
-	"yardwinch/internal/yard/fleet"
+	"yardwinch/internal/testbed/fleet"
 )
 
 func fleetCommand() *cli.Command {
--- a/cmd/yard/hunt.go
+++ b/cmd/testbed/hunt.go
@@ -10,9 +10,9 @@
 
 	"github.com/urfave/cli/v3"
 
-	"yardwinch/internal/yard/count"
-	"yardwinch/internal/yard/experiment"
-	"yardwinch/internal/yard/play"
+	"yardwinch/internal/testbed/count"
+	"yardwinch/internal/testbed/experiment"
+	"yardwinch/internal/testbed/scenario"
 )
 
 func huntCommand() *cli.Command {
@@ -52,9 +52,9 @@
 	if !strings.HasPrefix(whose, "ours") {
 		return fault(fmt.Errorf("--policy: want ours or ours+halls, got %q", whose))
 	}
-	jobs := play.Jobs([]string{whose, "top"}, c.Uint64("seed"), days)
+	jobs := scenario.Jobs([]string{whose, "top"}, c.Uint64("seed"), days)
 	step, end := bar("hunt "+e.Name, len(jobs))
-	results, err := play.All(ctx, e, jobs, c.Int("workers"), step)
+	results, err := scenario.All(ctx, e, jobs, c.Int("workers"), step)
 	end()
 	if err != nil {
 		return err
@@ -92,11 +92,11 @@
 	var f found
 	var last *count.Result
 	keep := func(x *experiment.Experiment) (bool, error) {
-		ours, err := play.Day(x, seed, whose, nil, nil)
+		ours, err := scenario.Day(x, seed, whose, nil, nil)
 		if err != nil {
 			return false, err
 		}
-		top, err := play.Day(x, seed, "top", nil, nil)
+		top, err := scenario.Day(x, seed, "top", nil, nil)
 		if err != nil {
 			return false, err
 		}
--- a/cmd/yard/logs.go
+++ b/cmd/testbed/logs.go
@@ -8,7 +8,7 @@
 
 	"github.com/urfave/cli/v3"
 
-	"yardwinch/internal/yard/logs"
+	"yardwinch/internal/testbed/logs"
 )
 
 func logsCommand() *cli.Command {
--- a/cmd/yard/parts.go
+++ b/cmd/testbed/parts.go
@@ -11,10 +11,10 @@
 	"github.com/urfave/cli/v3"
 
 	"yardwinch/internal/simulation"
-	"yardwinch/internal/yard/count"
-	"yardwinch/internal/yard/experiment"
-	"yardwinch/internal/yard/play"
-	"yardwinch/internal/yard/sockets"
+	"yardwinch/internal/testbed/count"
+	"yardwinch/internal/testbed/experiment"
+	"yardwinch/internal/testbed/scenario"
+	"yardwinch/internal/testbed/sockets"
 )
 
 func serversCommand() *cli.Command {
@@ -43,7 +43,7 @@
 	e = e.Sized(1, c.Int("servers")).Lasting(c.Duration("for"))
 	d := e.Day(c.Uint64("seed"))
 	slack, hold := sockets.HeldBack()
-	dr := sockets.New(ctx, d, play.Referee(d, slack, hold), nil, "")
+	dr := sockets.New(ctx, d, scenario.Referee(d, slack, hold), nil, "")
 	err = dr.Serve(func() error {
 		text, err := dr.Config(0, c.String("listen"), 1)
 		if err != nil {
@@ -117,14 +117,14 @@
 func Load(ctx context.Context, e *experiment.Experiment, seed uint64, addrs []string, rate float64, life time.Duration, groups int, progress func(time.Duration)) (*count.Result, error) {
 	d := e.Day(seed)
 	slack, hold := sockets.HeldBack()
-	ref := play.Referee(d, slack, hold)
+	ref := scenario.Referee(d, slack, hold)
 	dr := sockets.Load(ctx, d, ref, addrs)
 	void, err := dr.RunLoad(experiment.NewSteady(seed, rate, life, 1, groups, len(d.World.Halls)), progress)
 	if err != nil {
 		return nil, err
 	}
 	r := &count.Result{Policy: "ours", Seed: seed, Moves: dr.Tally.Moves, Void: void}
-	play.Finish(r, d, ref)
+	scenario.Finish(r, d, ref)
 	r.Whole, r.Window, r.Service = 0, 0, 0 // what servers made of it is not seen from here
 	return r, nil
 }
--- a/cmd/yard/run.go
+++ b/cmd/testbed/run.go
@@ -16,10 +16,10 @@
 	"github.com/vbauerster/mpb/v8"
 	"github.com/vbauerster/mpb/v8/decor"
 
-	"yardwinch/internal/yard/count"
-	"yardwinch/internal/yard/experiment"
-	"yardwinch/internal/yard/play"
-	"yardwinch/internal/yard/report"
+	"yardwinch/internal/testbed/count"
+	"yardwinch/internal/testbed/experiment"
+	"yardwinch/internal/testbed/report"
+	"yardwinch/internal/testbed/scenario"
 )
 
 var (
@@ -98,10 +98,10 @@
 	if compare && !slices.Contains(policies, "ours") {
 		policies = append([]string{"ours"}, policies...)
 	}
-	jobs := play.Jobs(policies, c.Uint64("seed"), seeds)
+	jobs := scenario.Jobs(policies, c.Uint64("seed"), seeds)
 	step, end := bar(e.Name, len(jobs))
 	began := time.Now()
-	results, err := play.All(ctx, e, jobs, c.Int("workers"), step)
+	results, err := scenario.All(ctx, e, jobs, c.Int("workers"), step)
 	end()
 	if err != nil {
 		return err
--- a/cmd/yard/scale.go
+++ b/cmd/testbed/scale.go
@@ -14,7 +14,7 @@
 	"github.com/vbauerster/mpb/v8"
 	"github.com/vbauerster/mpb/v8/decor"
 
-	"yardwinch/internal/yard/scale"
+	"yardwinch/internal/testbed/scale"
 )
 
 // scaleCommands are the subcommands of yard scale.
--- a/cmd/yard/scale_page.go
+++ b/cmd/testbed/scale_page.go
@@ -6,7 +6,7 @@
 
 	"github.com/urfave/cli/v3"
 
-	"yardwinch/internal/yard/scale"
+	"yardwinch/internal/testbed/scale"
 )
 
 const capacityPage = "docs/CAPACITY.md"
--- a/cmd/yard/soak.go
+++ b/cmd/testbed/soak.go
@@ -13,7 +13,7 @@
 	"github.com/urfave/cli/v3"
 	"golang.org/x/sync/errgroup"
 
-	"yardwinch/internal/yard/fleet"
+	"yardwinch/internal/testbed/fleet"
 )
 
 const mostSoakSeeds = 10_000
--- a/cmd/yard/spread.go
+++ b/cmd/testbed/spread.go
@@ -14,7 +14,7 @@
 	"github.com/urfave/cli/v3"
 	"golang.org/x/sync/errgroup"
 
-	"yardwinch/internal/yard/dissemination"
+	"yardwinch/internal/testbed/dissemination"
 )
 
 func spreadCommand() *cli.Command {
--- a/cmd/yard/try.go
+++ b/cmd/testbed/try.go
@@ -13,10 +13,10 @@
 	"github.com/urfave/cli/v3"
 
 	"yardwinch/internal/daemon"
-	"yardwinch/internal/yard/count"
-	"yardwinch/internal/yard/experiment"
-	"yardwinch/internal/yard/play"
-	"yardwinch/internal/yard/sockets"
+	"yardwinch/internal/testbed/count"
+	"yardwinch/internal/testbed/experiment"
+	"yardwinch/internal/testbed/scenario"
+	"yardwinch/internal/testbed/sockets"
 )
 
 //go:embed try.toml
@@ -111,7 +111,7 @@
 func Sockets(ctx context.Context, e *experiment.Experiment, seed uint64, policy string, start []string, folder string, progress func(time.Duration)) (*count.Result, error) {
 	d := e.Day(seed)
 	slack, hold := sockets.HeldBack()
-	ref := play.Referee(d, slack, hold)
+	ref := scenario.Referee(d, slack, hold)
 	dr := sockets.New(ctx, d, ref, start, folder)
 	switch policy {
 	case "ours":
@@ -122,7 +122,7 @@
 	default:
 		return nil, fmt.Errorf("on sockets only ours and ours+halls can be played, not %q", policy)
 	}
-	loads := play.Loads(d.World)
+	loads := scenario.Loads(d.World)
 	void, err := dr.Run(progress)
 	if err != nil {
 		return nil, err
@@ -130,7 +130,7 @@
 	r := &count.Result{Policy: policy, Seed: seed, Load: *loads, Crossings: dr.Tally.Crossings, Moves: dr.Tally.Moves, Connects: dr.Tally.Connects, Void: void}
 	seconds := len(d.World.Books.Asked[0])
 	r.MovesBy, r.ConnectsBy = count.PerSecond(dr.Tally.MovedAt, seconds), count.PerSecond(dr.Tally.ConnectAt, seconds)
-	play.Finish(r, d, ref)
+	scenario.Finish(r, d, ref)
 	return r, nil
 }
 
--- a/internal/yard/experiment/day.go
+++ b/internal/testbed/experiment/day.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"yardwinch/internal/simulation"
-	"yardwinch/internal/yard/count"
+	"yardwinch/internal/testbed/count"
 )
 
 // Day is one draw from an experiment's ranges: a world that has not begun, and what balancers are told of it.
--- a/internal/yard/fleet/cast.go
+++ b/internal/testbed/fleet/cast.go
@@ -8,7 +8,7 @@
 
 	"yardwinch/internal/simulation"
 	"yardwinch/internal/strict"
-	"yardwinch/internal/yard/sockets"
+	"yardwinch/internal/testbed/sockets"
 )
 
 // Ends that are no names of single ones.
--- a/internal/yard/fleet/plan.go
+++ b/internal/testbed/fleet/plan.go
@@ -12,8 +12,8 @@
 	"yardwinch/internal/advice"
 	"yardwinch/internal/simulation"
 	"yardwinch/internal/strict"
-	"yardwinch/internal/yard/experiment"
-	"yardwinch/internal/yard/links"
+	"yardwinch/internal/testbed/experiment"
+	"yardwinch/internal/testbed/netfault"
 )
 
 // Error is a fault of what a run was asked for, or of the run itself.
@@ -70,7 +70,7 @@
 	who, to    []string
 	folder     string // at a start: kept or gone
 	program    string // at a start: current or old
-	way        links.Condition
+	way        netfault.Condition
 	oneWay     string // out: only what `who` sends is struck; back: only what it is sent
 	method     string
 	path       string
@@ -229,7 +229,7 @@
 		if len(f.to) == 0 {
 			t.Bad("to", `is missing; want names such as ["servers", "s-001", "discovery", "others", "operator"]`)
 		}
-		if f.kind == link && f.way == (links.Condition{}) {
+		if f.kind == link && f.way == (netfault.Condition{}) {
 			t.Bad("kind", "nothing is wrong on this link; want delay, jitter, loss, repeat, reorder, garbage, rate, cut or mute")
 		}
 	case call:
--- a/internal/yard/fleet/process.go
+++ b/internal/testbed/fleet/process.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"yardwinch/internal/simulation"
-	"yardwinch/internal/yard/sockets"
+	"yardwinch/internal/testbed/sockets"
 )
 
 // state names where a process stands.
--- a/internal/yard/fleet/result.go
+++ b/internal/testbed/fleet/result.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"yardwinch/internal/simulation"
-	"yardwinch/internal/yard/referee"
+	"yardwinch/internal/testbed/invariants"
 )
 
 // Verdict is one thing that had to hold, and whether it did.
@@ -37,13 +37,13 @@
 
 // Process is what was seen of one balancer.
 type Process struct {
-	Name        string       `json:"name"`
-	Established int          `json:"established"`
-	Connects    int          `json:"connects"`
-	Cost        referee.Cost `json:"cost"`
-	Spans       []Span       `json:"spans"`
-	Front       []Span       `json:"front"`
-	PerSecond   []int        `json:"established_by_second"`
+	Name        string          `json:"name"`
+	Established int             `json:"established"`
+	Connects    int             `json:"connects"`
+	Cost        invariants.Cost `json:"cost"`
+	Spans       []Span          `json:"spans"`
+	Front       []Span          `json:"front"`
+	PerSecond   []int           `json:"established_by_second"`
 }
 
 // Result is one run, judged.
@@ -93,7 +93,7 @@
 				return list
 			}
 			for _, e := range r.events { // by time
-				if e.Kind != referee.Sent || e.At < s.From || e.At >= s.To {
+				if e.Kind != invariants.Sent || e.At < s.From || e.At >= s.To {
 					continue
 				}
 				all = append(young(all, e.At), e.At)
@@ -120,7 +120,7 @@
 func (r *run) result(void string) *Result {
 	end := r.w.Books.Length
 	res := &Result{Name: r.p.Name(), About: r.p.About(), Seed: r.seed, Length: end.Seconds(), Void: void, Unfit: r.unfit, Moments: r.moments, Ways: r.ways}
-	slices.SortStableFunc(r.events, func(a, b referee.Event) int { return cmp.Compare(a.At, b.At) })
+	slices.SortStableFunc(r.events, func(a, b invariants.Event) int { return cmp.Compare(a.At, b.At) })
 	for _, v := range r.ref.Violations() {
 		res.Violations = append(res.Violations, v.String())
 	}
@@ -130,17 +130,17 @@
 		Moved: t.Moved, NeverUp: len(t.NeverUp), Connects: r.dr.Tally.Connects, Probes: r.dr.Tally.Probes, Judged: r.ref.Judged, Broken: broken, Service: r.service()}
 	all := r.ref.Costs()
 	for _, x := range r.procs {
-		p := Process{Name: x.name, Cost: all[referee.Balancer(x.id)], Spans: closed(x.spans, end), Front: closed(r.fronts[x.name], end),
+		p := Process{Name: x.name, Cost: all[invariants.Balancer(x.id)], Spans: closed(x.spans, end), Front: closed(r.fronts[x.name], end),
 			PerSecond: make([]int, int(end/time.Second)+1)}
 		for _, e := range r.events {
-			if e.Balancer != referee.Balancer(x.id) {
+			if e.Balancer != invariants.Balancer(x.id) {
 				continue
 			}
 			switch {
-			case e.Kind == referee.Answered && e.Verdict == referee.Established:
+			case e.Kind == invariants.Answered && e.Verdict == invariants.Established:
 				p.Established++
 				p.PerSecond[min(int(e.At/time.Second), len(p.PerSecond)-1)]++
-			case e.Kind == referee.Sent:
+			case e.Kind == invariants.Sent:
 				p.Connects++
 			}
 		}
@@ -220,10 +220,10 @@
 		}
 		v.Holds = v.Holds && holds
 	}
-	count := func(b simulation.BalancerID, k referee.Kind, servers map[int]bool) (n int) {
+	count := func(b simulation.BalancerID, k invariants.Kind, servers map[int]bool) (n int) {
 		for _, e := range r.events {
-			if e.At >= from && e.At < to && e.Kind == k && e.Balancer == referee.Balancer(b) &&
-				(k != referee.Answered || e.Verdict == referee.Established) && (servers == nil || servers[int(e.Server)]) {
+			if e.At >= from && e.At < to && e.Kind == k && e.Balancer == invariants.Balancer(b) &&
+				(k != invariants.Answered || e.Verdict == invariants.Established) && (servers == nil || servers[int(e.Server)]) {
 				n++
 			}
 		}
@@ -236,10 +236,10 @@
 			worst(fmt.Sprintf("%s after %v", w, at.Round(time.Millisecond)), ok)
 		}
 	case serves, uses, avoids:
-		kind := referee.Answered
+		kind := invariants.Answered
 		var servers map[int]bool
 		if m.kind != serves {
-			kind, servers = referee.Sent, map[int]bool{}
+			kind, servers = invariants.Sent, map[int]bool{}
 			for _, s := range r.serversOf(m.servers, from) {
 				servers[s] = true
 			}
@@ -258,11 +258,11 @@
 			}
 		}
 	case established:
-		taken, up := map[referee.Flow]bool{}, 0
+		taken, up := map[invariants.Flow]bool{}, 0
 		for _, e := range r.events {
-			if e.Kind == referee.Taken && e.At >= from && e.At < to {
+			if e.Kind == invariants.Taken && e.At >= from && e.At < to {
 				taken[e.Flow] = true
-			} else if e.Kind == referee.Answered && e.Verdict == referee.Established && taken[e.Flow] {
+			} else if e.Kind == invariants.Answered && e.Verdict == invariants.Established && taken[e.Flow] {
 				up++
 			}
 		}
--- a/internal/yard/fleet/run.go
+++ b/internal/testbed/fleet/run.go
@@ -11,11 +11,11 @@
 	"time"
 
 	"yardwinch/internal/simulation"
-	"yardwinch/internal/yard/experiment"
-	"yardwinch/internal/yard/links"
-	"yardwinch/internal/yard/play"
-	"yardwinch/internal/yard/referee"
-	"yardwinch/internal/yard/sockets"
+	"yardwinch/internal/testbed/experiment"
+	"yardwinch/internal/testbed/invariants"
+	"yardwinch/internal/testbed/netfault"
+	"yardwinch/internal/testbed/scenario"
+	"yardwinch/internal/testbed/sockets"
 )
 
 // Span is a time in which something was so.
@@ -38,16 +38,16 @@
 	dr      *sockets.Drive
 	d       *experiment.Day
 	w       *simulation.World
-	net     *links.Net
-	post    *links.Post // nil: nothing passes between balancers
-	ref     *referee.Referee
+	net     *netfault.Net
+	post    *netfault.Post // nil: nothing passes between balancers
+	ref     *invariants.Referee
 	folder  string
 	program map[string][]string // current and old
 	procs   []*process
 	cast    *cast
 	ctx     context.Context
 
-	events      []referee.Event
+	events      []invariants.Event
 	at          map[string]time.Duration // of named faults
 	calls       map[string][]answer
 	moments     []Moment
@@ -66,15 +66,15 @@
 // Run plays a plan once. program starts the balancer, old the earlier build; folder keeps configurations, logs and the processes' own
 // folders. progress hears the time.
 func Run(ctx context.Context, p *Plan, seed uint64, program, old []string, folder string, progress func(time.Duration)) (*Result, error) {
-	r := &run{p: p, seed: seed, d: p.Experiment.Day(seed), net: links.New(seed), folder: folder, ctx: ctx, at: map[string]time.Duration{},
+	r := &run{p: p, seed: seed, d: p.Experiment.Day(seed), net: netfault.New(seed), folder: folder, ctx: ctx, at: map[string]time.Duration{},
 		calls: map[string][]answer{}, fronts: map[string][]Span{}, struck: map[int][]Span{}, program: map[string][]string{}, descriptors: map[string]int{}}
 	r.w = r.d.World
 	slack, hold := sockets.HeldBack()
 	slack = max(slack, p.late)
-	r.ref = play.Referee(r.d, slack, hold)
+	r.ref = scenario.Referee(r.d, slack, hold)
 	r.dr = sockets.New(ctx, r.d, r.ref, program, folder)
 	if p.peers {
-		r.post = links.NewPost(r.net)
+		r.post = netfault.NewPost(r.net)
 		defer r.post.Close()
 	}
 	for name, start := range map[string][]string{"current": program, "old": old} {
@@ -107,7 +107,7 @@
 	}
 	r.w.FrontElsewhere()
 	r.dr.StandApart(&sockets.Apart{Net: r.net, Control: func(b simulation.BalancerID) string { return r.procs[b].control },
-		Launch: r.launch, Ended: r.ended, See: func(e referee.Event) { r.events = append(r.events, e) }})
+		Launch: r.launch, Ended: r.ended, See: func(e invariants.Event) { r.events = append(r.events, e) }})
 	r.schedule()
 	fronts, stop := context.WithCancel(ctx)
 	began := false
--- a/internal/yard/fleet/strike.go
+++ b/internal/testbed/fleet/strike.go
@@ -16,9 +16,9 @@
 	"time"
 
 	"yardwinch/internal/simulation"
-	"yardwinch/internal/yard/links"
-	"yardwinch/internal/yard/referee"
-	"yardwinch/internal/yard/sockets"
+	"yardwinch/internal/testbed/invariants"
+	"yardwinch/internal/testbed/netfault"
+	"yardwinch/internal/testbed/sockets"
 )
 
 // schedule puts the timeline on the world's agenda.
@@ -183,12 +183,12 @@
 	if !r.turn(x, to) {
 		return
 	}
-	r.dr.Mark(x.id, referee.Stopped)
+	r.dr.Mark(x.id, invariants.Stopped)
 	r.signal(x, syscall.SIGSTOP)
 	round := x.round
 	later(func() {
 		if x.round == round && r.turn(x, runs) {
-			r.dr.Mark(x.id, referee.Thawed)
+			r.dr.Mark(x.id, invariants.Thawed)
 			r.signal(x, syscall.SIGCONT)
 			r.note(x.name, "runs on")
 		}
@@ -251,22 +251,22 @@
 
 // strikeWays changes the ways between two sets of ends, or breaks what stands on them.
 func (r *run) strikeWays(f fault, who, to []string, length time.Duration) {
-	each := func(do func(a, b links.Name)) {
+	each := func(do func(a, b netfault.Name)) {
 		for _, a := range who {
 			for _, b := range to {
 				if a != b {
-					do(links.Name(a), links.Name(b))
+					do(netfault.Name(a), netfault.Name(b))
 				}
 			}
 		}
 	}
 	if f.kind == reset {
-		go each(func(a, b links.Name) { r.net.Reset(a, b) }) // beside the drive's lock, which the end of each stream takes
+		go each(func(a, b netfault.Name) { r.net.Reset(a, b) }) // beside the drive's lock, which the end of each stream takes
 		return
 	}
-	set := func(c links.Condition) {
-		each(func(a, b links.Name) {
-			change := func(x *links.Condition) { x.Become(c) }
+	set := func(c netfault.Condition) {
+		each(func(a, b netfault.Name) {
+			change := func(x *netfault.Condition) { x.Become(c) }
 			if f.oneWay != "back" {
 				r.net.Change(a, b, change)
 			}
@@ -281,7 +281,7 @@
 	end := r.w.Books.Length
 	if length > 0 {
 		end = now + length
-		r.w.Agenda.After(length, simulation.Cause, func() { set(links.Condition{}) })
+		r.w.Agenda.After(length, simulation.Cause, func() { set(netfault.Condition{}) })
 	}
 	r.ways = append(r.ways, Span{now, end, f.kindText(nil) + ": " + strings.Join(f.who, ",") + " – " + strings.Join(f.to, ",")})
 }
@@ -294,8 +294,8 @@
 		if err != nil {
 			return nil, err
 		}
-		innerEnd, outerEnd := links.Pipe()
-		go r.net.Lead(sockets.Operator, links.Name(x.name), innerEnd, far, links.Tap{})
+		innerEnd, outerEnd := netfault.Pipe()
+		go r.net.Lead(sockets.Operator, netfault.Name(x.name), innerEnd, far, netfault.Tap{})
 		return outerEnd, nil
 	}}
 	ctx, done := context.WithTimeout(r.ctx, callWithin)
--- a/internal/yard/referee/queue.go
+++ b/internal/testbed/invariants/queue.go
@@ -1,4 +1,4 @@
-package referee
+package invariants
 
 import (
 	"cmp"
--- a/internal/yard/referee/referee.go
+++ b/internal/testbed/invariants/referee.go
@@ -1,6 +1,6 @@
-// Package referee judges a run by the four rules, from what was sent and told and from nothing else: it shares no code
+// Package invariants judges a run by the four rules, from what was sent and told and from nothing else: it shares no code
 // with a balancer, nor with the model behind the servers.
-package referee
+package invariants
 
 import (
 	"container/heap"
--- a/internal/yard/links/gate_test.go
+++ b/internal/testbed/netfault/gate_test.go
@@ -1,4 +1,4 @@
-package links
+package netfault
 
 import (
 	"errors"
--- a/internal/yard/links/net.go
+++ b/internal/testbed/netfault/net.go
@@ -1,7 +1,7 @@
-// Package links holds the ways between processes that the yard owns, and what goes wrong on them: delay and jitter, loss,
+// Package netfault holds the ways between processes that the yard owns, and what goes wrong on them: delay and jitter, loss,
 // repeats and overtaking of datagrams, a slow pipe, a cut in one direction or both, resets, silence, garbage. Programs under test
 // are led through by the addresses that they are told, and run as they are shipped.
-package links
+package netfault
 
 import (
 	"fmt"
--- a/internal/yard/report/report.go
+++ b/internal/testbed/report/report.go
@@ -12,7 +12,7 @@
 	"slices"
 	"strings"
 
-	"yardwinch/internal/yard/count"
+	"yardwinch/internal/testbed/count"
 )
 
 // JSON writes all results. The bytes depend on the results alone.
--- a/internal/yard/scale/faults.go
+++ b/internal/testbed/scale/faults.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"yardwinch/decide"
-	"yardwinch/internal/yard/referee"
+	"yardwinch/internal/testbed/invariants"
 )
 
 // When things happen in a fault's run.
@@ -116,7 +116,7 @@
 		old := f.servers
 		var young []*backend
 		for range old {
-			young = append(young, f.addServer(referee.LongAgo))
+			young = append(young, f.addServer(invariants.LongAgo))
 		}
 		for _, s := range old {
 			s.listed = decide.Gone
--- a/internal/yard/scale/fleet.go
+++ b/internal/testbed/scale/fleet.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"yardwinch/decide"
-	"yardwinch/internal/yard/referee"
+	"yardwinch/internal/testbed/invariants"
 )
 
 // What the network, servers and clients of a hollow fleet do.
@@ -39,7 +39,7 @@
 	chance    *rand.Rand
 	settings  Settings
 	peers     int
-	referee   *referee.Referee
+	referee   *invariants.Referee
 	servers   []*backend
 	balancers []*instance
 	clients   []*client
@@ -95,9 +95,9 @@
 func newFleet(s Settings, peers int, seed uint64) *fleet {
 	f := &fleet{chance: rand.New(rand.NewPCG(seed, 0)), settings: s, peers: peers}
 	f.figures.sent = map[sentKey]int{}
-	f.referee = referee.New(answerSlack, 0, drainGrace, coldMultiple, loadEach, coldWindow, warmAfter)
+	f.referee = invariants.New(answerSlack, 0, drainGrace, coldMultiple, loadEach, coldWindow, warmAfter)
 	for range s.Servers {
-		f.addServer(referee.LongAgo)
+		f.addServer(invariants.LongAgo)
 	}
 	for i := range s.Balancers {
 		f.balancers = append(f.balancers, &instance{fleet: f, id: i, zone: i % s.Zones})
@@ -143,13 +143,13 @@
 }
 
 // finish tells the rules that were broken.
-func (f *fleet) finish() []referee.Violation {
+func (f *fleet) finish() []invariants.Violation {
 	end := f.agenda.now
 	f.agenda.runTo(end + 5*time.Second) // what came before the end is answered after it
 	return f.referee.Finish(f.agenda.now)
 }
 
-func (f *fleet) see(e referee.Event) {
+func (f *fleet) see(e invariants.Event) {
 	e.At = f.agenda.now
 	f.referee.Observe(e)
 }
--- a/internal/yard/scale/fleet_client.go
+++ b/internal/testbed/scale/fleet_client.go
@@ -4,20 +4,20 @@
 	"slices"
 
 	"yardwinch/decide"
-	"yardwinch/internal/yard/referee"
+	"yardwinch/internal/testbed/invariants"
 )
 
 // serviceType is one of those that clients use in turn.
 type serviceType struct {
 	effect decide.Effect
-	seen   referee.Effect
+	seen   invariants.Effect
 }
 
 // services: what running a flow twice does.
 var services = [...]serviceType{
-	{decide.Repeatable, referee.Repeatable},
-	{decide.Referenced, referee.Referenced},
-	{decide.OnceOnly, referee.OnceOnly},
+	{decide.Repeatable, invariants.Repeatable},
+	{decide.Referenced, invariants.Referenced},
+	{decide.OnceOnly, invariants.OnceOnly},
 }
 
 // client holds one connection for good; when that ends it comes again.
@@ -101,7 +101,7 @@
 
 func (f *fleet) connect(x *flow, to *backend) *connect {
 	f.connects++
-	c := &connect{id: referee.Connect(f.connects), number: x.sent, flow: x, server: to, sentAt: f.agenda.now}
+	c := &connect{id: invariants.Connect(f.connects), number: x.sent, flow: x, server: to, sentAt: f.agenda.now}
 	x.out = append(x.out, c)
 	return c
 }
@@ -119,9 +119,9 @@
 		}
 		return
 	}
-	if s.since != referee.LongAgo {
-		f.see(referee.Event{Kind: referee.Arrived, Balancer: referee.Balancer(c.flow.in.id), Flow: c.flow.id, Connect: c.id,
-			Server: referee.Server(s.id), Since: s.since, Load: loadEach, Takes: s.takes(f)})
+	if s.since != invariants.LongAgo {
+		f.see(invariants.Event{Kind: invariants.Arrived, Balancer: invariants.Balancer(c.flow.in.id), Flow: c.flow.id, Connect: c.id,
+			Server: invariants.Server(s.id), Since: s.since, Load: loadEach, Takes: s.takes(f)})
 	}
 	since := s.since
 	f.agenda.after(f.between(fastestSetup, slowestSetup)+back, func() {
@@ -141,7 +141,7 @@
 	c.stands = true
 	x.stands, x.answered = c, true
 	c.server.held = append(c.server.held, c)
-	f.see(referee.Event{Kind: referee.Answered, Balancer: referee.Balancer(b.id), Flow: x.id, Verdict: referee.Established})
+	f.see(invariants.Event{Kind: invariants.Answered, Balancer: invariants.Balancer(b.id), Flow: x.id, Verdict: invariants.Established})
 	b.event().Established(x.name, f.agenda.now-c.sentAt)
 	x.client.stood()
 }
@@ -156,10 +156,10 @@
 	c.over = true
 	x.out = slices.DeleteFunc(x.out, func(other *connect) bool { return other == c })
 	f.drop(c)
-	f.see(referee.Event{Kind: referee.ConnectOver, Balancer: referee.Balancer(b.id), Flow: x.id, Connect: c.id, Ran: !o.NeverRan()})
+	f.see(invariants.Event{Kind: invariants.ConnectOver, Balancer: invariants.Balancer(b.id), Flow: x.id, Connect: c.id, Ran: !o.NeverRan()})
 	if c.stands {
 		x.stands = nil
-		f.see(referee.Event{Kind: referee.Ended, Balancer: referee.Balancer(b.id), Flow: x.id})
+		f.see(invariants.Event{Kind: invariants.Ended, Balancer: invariants.Balancer(b.id), Flow: x.id})
 		switch {
 		case x.left:
 		case o == decide.Cancelled:
--- a/internal/yard/scale/fleet_instance.go
+++ b/internal/testbed/scale/fleet_instance.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"yardwinch/decide"
-	"yardwinch/internal/yard/referee"
+	"yardwinch/internal/testbed/invariants"
 )
 
 // instance is one hollow balancer of a fleet: the real decisions, and connects that the fleet carries out.
@@ -24,7 +24,7 @@
 
 // flow is one try of a client.
 type flow struct {
-	id       referee.Flow
+	id       invariants.Flow
 	name     decide.FlowID
 	in       *instance
 	client   *client
@@ -39,7 +39,7 @@
 
 // connect is one connect of a flow, from its sending to its end.
 type connect struct {
-	id     referee.Connect
+	id     invariants.Connect
 	number int
 	flow   *flow
 	server *backend
@@ -56,7 +56,7 @@
 	b.life++
 	b.up, b.started = true, f.agenda.now
 	b.flows, b.inOrder = map[decide.FlowID]*flow{}, nil
-	f.see(referee.Event{Kind: referee.Began, Balancer: referee.Balancer(b.id)})
+	f.see(invariants.Event{Kind: invariants.Began, Balancer: invariants.Balancer(b.id)})
 	b.module = decide.New(f.chance.Uint64(), b)
 	startHollow(b.module, terms{peers: f.peers, inZone: b.zone})
 	b.module.At(0)
@@ -73,7 +73,7 @@
 func (b *instance) fall() {
 	f := b.fleet
 	b.up = false
-	f.see(referee.Event{Kind: referee.Died, Balancer: referee.Balancer(b.id)})
+	f.see(invariants.Event{Kind: invariants.Died, Balancer: invariants.Balancer(b.id)})
 	for _, x := range b.inOrder {
 		if b.flows[x.name] != x {
 			continue
@@ -97,7 +97,7 @@
 
 // ---- the list
 
-var toldStates = [...]referee.State{decide.Ready: referee.Ready, decide.Draining: referee.Draining, decide.Gone: referee.Gone}
+var toldStates = [...]invariants.State{decide.Ready: invariants.Ready, decide.Draining: invariants.Draining, decide.Gone: invariants.Gone}
 
 func (b *instance) list(kind decide.ListKind, list []server) {
 	m := b.event()
@@ -107,7 +107,7 @@
 		named[s.id] = true
 		b.told(s.id, s.state, s.since)
 		since := decide.LongAgo
-		if s.since != referee.LongAgo {
+		if s.since != invariants.LongAgo {
 			since = s.since - b.started
 		}
 		m.ListServer(s.id, zoneName(s.zone), decide.CellID(s.zone), 1, s.state, since)
@@ -115,7 +115,7 @@
 	if kind == decide.ListFull {
 		for _, s := range b.fleet.servers {
 			if !named[s.id] {
-				b.told(s.id, decide.Gone, referee.LongAgo)
+				b.told(s.id, decide.Gone, invariants.LongAgo)
 			}
 		}
 	}
@@ -123,7 +123,7 @@
 }
 
 func (b *instance) told(id decide.ServerID, state decide.Readiness, since time.Duration) {
-	b.fleet.see(referee.Event{Kind: referee.Told, Balancer: referee.Balancer(b.id), Server: referee.Server(id),
+	b.fleet.see(invariants.Event{Kind: invariants.Told, Balancer: invariants.Balancer(b.id), Server: invariants.Server(id),
 		State: toldStates[state], Since: since})
 }
 
@@ -132,7 +132,7 @@
 func (b *instance) add(c *client) *flow {
 	f := b.fleet
 	f.flows++
-	x := &flow{id: referee.Flow(f.flows), name: flowName(int(f.flows)), in: b, client: c, came: f.agenda.now}
+	x := &flow{id: invariants.Flow(f.flows), name: flowName(int(f.flows)), in: b, client: c, came: f.agenda.now}
 	b.flows[x.name] = x
 	b.inOrder = append(b.inOrder, x)
 	if len(b.inOrder) > 2*len(b.flows)+16 {
@@ -157,7 +157,7 @@
 	x, now := b.add(c), b.fleet.agenda.now
 	x.due = now + connectTimeout - relayReserve
 	t := services[c.service]
-	b.fleet.see(referee.Event{Kind: referee.Taken, Balancer: referee.Balancer(b.id), Flow: x.id, Due: now + connectTimeout,
+	b.fleet.see(invariants.Event{Kind: invariants.Taken, Balancer: invariants.Balancer(b.id), Flow: x.id, Due: now + connectTimeout,
 		Effect: t.seen, Window: repeatWindow})
 	b.event().Flow(x.name, decide.ServiceID(c.service), decide.NoCustomer, "", groupName(c.group), x.due-now, 0)
 }
@@ -175,19 +175,19 @@
 		return
 	}
 	x.left = true
-	x.in.fleet.see(referee.Event{Kind: referee.Left, Balancer: referee.Balancer(x.in.id), Flow: x.id})
+	x.in.fleet.see(invariants.Event{Kind: invariants.Left, Balancer: invariants.Balancer(x.in.id), Flow: x.id})
 	x.stands.finish(decide.OK)
 	x.client.cut()
 }
 
 // answer is a balancer's own final word.
-func (b *instance) answer(name decide.FlowID, verdict referee.Verdict) {
+func (b *instance) answer(name decide.FlowID, verdict invariants.Verdict) {
 	x := b.flows[name]
 	if x == nil {
-		b.fleet.see(referee.Event{Kind: referee.Answered, Balancer: referee.Balancer(b.id), Flow: -1, Verdict: verdict})
+		b.fleet.see(invariants.Event{Kind: invariants.Answered, Balancer: invariants.Balancer(b.id), Flow: -1, Verdict: verdict})
 		return
 	}
-	b.fleet.see(referee.Event{Kind: referee.Answered, Balancer: referee.Balancer(b.id), Flow: x.id, Verdict: verdict})
+	b.fleet.see(invariants.Event{Kind: invariants.Answered, Balancer: invariants.Balancer(b.id), Flow: x.id, Verdict: verdict})
 	if x.answered {
 		return
 	}
@@ -206,8 +206,8 @@
 	c := f.connect(x, f.server(to))
 	x.sent++
 	f.figures.sent[sentKey{b.id, f.agenda.now / time.Second}]++
-	f.see(referee.Event{Kind: referee.Sent, Balancer: referee.Balancer(b.id), Flow: x.id, Connect: c.id,
-		Server: referee.Server(to), Zone: c.server.zone, Cell: c.server.zone})
+	f.see(invariants.Event{Kind: invariants.Sent, Balancer: invariants.Balancer(b.id), Flow: x.id, Connect: c.id,
+		Server: invariants.Server(to), Zone: c.server.zone, Cell: c.server.zone})
 	ends := x.due
 	if limit > 0 {
 		ends = min(ends, f.agenda.now+limit)
@@ -234,12 +234,12 @@
 
 func (b *instance) Reject(name decide.FlowID, _ time.Duration) {
 	b.fleet.figures.rejected++
-	b.answer(name, referee.Rejected)
+	b.answer(name, invariants.Rejected)
 }
 
 func (b *instance) Abort(name decide.FlowID) {
 	b.fleet.figures.aborted++
-	b.answer(name, referee.Aborted)
+	b.answer(name, invariants.Aborted)
 }
 
 func (b *instance) Move(name decide.FlowID) {
--- a/internal/yard/scale/fleet_test.go
+++ b/internal/testbed/scale/fleet_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"yardwinch/decide"
-	"yardwinch/internal/yard/referee"
+	"yardwinch/internal/testbed/invariants"
 )
 
 // smallFaults are few connections before a short list and before one that decisions look at in part.
@@ -67,7 +67,7 @@
 }
 
 // brokenBy plays the list's news to the referee alone, or to the balancers with another content, and tells what broke.
-func brokenBy(t *testing.T, tell func(*fleet)) map[referee.Rule]bool {
+func brokenBy(t *testing.T, tell func(*fleet)) map[invariants.Rule]bool {
 	t.Helper()
 	f := newFleet(smallFaults[0], smallFaults[0].Balancers, 1)
 	f.agenda.at(faultAt, func() { tell(f) })
@@ -76,7 +76,7 @@
 		f.agenda.at(time.Duration(i)*4*time.Millisecond, c.come)
 	}
 	f.run(20*time.Second, func() bool { return false })
-	broken := map[referee.Rule]bool{}
+	broken := map[invariants.Rule]bool{}
 	for _, v := range f.finish() {
 		broken[v.Rule] = true
 	}
@@ -95,7 +95,7 @@
 			}
 		}
 	})
-	if !drained[referee.DrainsKept] {
+	if !drained[invariants.DrainsKept] {
 		t.Errorf("rules %v broken by balancers that were not told of drains", drained)
 	}
 	flooded := brokenBy(t, func(f *fleet) {
@@ -109,7 +109,7 @@
 			s.listed = decide.Gone
 		}
 		list := entries(f.servers)
-		list[0].since = referee.LongAgo
+		list[0].since = invariants.LongAgo
 		for _, b := range f.balancers {
 			m := b.event()
 			m.ListBegin(decide.ListFull)
@@ -117,7 +117,7 @@
 			m.ListEnd()
 		}
 	})
-	if !flooded[referee.NoneFloodedCold] {
+	if !flooded[invariants.NoneFloodedCold] {
 		t.Errorf("rules %v broken by balancers that were not told of cold servers", flooded)
 	}
 }
--- a/internal/yard/scale/real.go
+++ b/internal/testbed/scale/real.go
@@ -65,7 +65,7 @@
 	}
 	path := filepath.Join(filepath.Dir(self), "yardwinch")
 	if _, err := os.Stat(path); err != nil {
-		return nil, &ProcessError{"no program to measure", "build bin/yardwinch and bin/yard, and run bin/yard", err}
+		return nil, &ProcessError{"no program to measure", "build bin/yardwinch and bin/testbed, and run bin/testbed", err}
 	}
 	return []string{path, "serve"}, nil
 }
--- a/internal/yard/play/board.go
+++ b/internal/testbed/scenario/board.go
@@ -1,4 +1,4 @@
-package play
+package scenario
 
 import (
 	"fmt"
@@ -9,8 +9,8 @@
 	"yardwinch/fleet/signals"
 	"yardwinch/internal/config"
 	"yardwinch/internal/simulation"
-	"yardwinch/internal/yard/experiment"
-	"yardwinch/internal/yard/virtual"
+	"yardwinch/internal/testbed/experiment"
+	"yardwinch/internal/testbed/virtual"
 )
 
 const (
--- a/internal/yard/play/halls_test.go
+++ b/internal/testbed/scenario/halls_test.go
@@ -1,4 +1,4 @@
-package play
+package scenario
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	"yardwinch/decide"
 	"yardwinch/internal/config"
 	"yardwinch/internal/simulation"
-	"yardwinch/internal/yard/virtual"
+	"yardwinch/internal/testbed/virtual"
 	"yardwinch/locality"
 )
 
--- a/internal/yard/play/play.go
+++ b/internal/testbed/scenario/play.go
@@ -1,5 +1,5 @@
-// Package play runs days: one seed and one policy in virtual time, or many of them over all cores.
-package play
+// Package scenario runs days: one seed and one policy in virtual time, or many of them over all cores.
+package scenario
 
 import (
 	"context"
@@ -15,18 +15,18 @@
 	"yardwinch/decide"
 	"yardwinch/internal/config"
 	"yardwinch/internal/simulation"
-	"yardwinch/internal/yard/baseline"
-	"yardwinch/internal/yard/count"
-	"yardwinch/internal/yard/experiment"
-	"yardwinch/internal/yard/referee"
-	"yardwinch/internal/yard/virtual"
+	"yardwinch/internal/testbed/baseline"
+	"yardwinch/internal/testbed/count"
+	"yardwinch/internal/testbed/experiment"
+	"yardwinch/internal/testbed/invariants"
+	"yardwinch/internal/testbed/virtual"
 )
 
 // Referee makes the one that a day is judged by; slack is what the way of a message may take, hold how long events wait
 // to be put in order.
-func Referee(d *experiment.Day, slack, hold time.Duration) *referee.Referee {
+func Referee(d *experiment.Day, slack, hold time.Duration) *invariants.Referee {
 	grace, multiple, fall, warm, _, _ := d.Experiment.Terms()
-	return referee.New(slack, hold, grace, multiple, d.MeanLoad(), fall, warm)
+	return invariants.New(slack, hold, grace, multiple, d.MeanLoad(), fall, warm)
 }
 
 // Maker makes the deciders of a policy for a day.
@@ -97,7 +97,7 @@
 }
 
 // Finish counts a day that is over.
-func Finish(r *count.Result, d *experiment.Day, ref *referee.Referee) {
+func Finish(r *count.Result, d *experiment.Day, ref *invariants.Referee) {
 	for _, v := range ref.Violations() {
 		r.Violations = append(r.Violations, v.String())
 	}
--- a/internal/yard/play/play_test.go
+++ b/internal/testbed/scenario/play_test.go
@@ -1,4 +1,4 @@
-package play
+package scenario
 
 import (
 	"bytes"
@@ -13,11 +13,11 @@
 
 	"yardwinch/decide"
 	"yardwinch/internal/simulation"
-	"yardwinch/internal/yard/count"
-	"yardwinch/internal/yard/experiment"
-	"yardwinch/internal/yard/referee"
-	"yardwinch/internal/yard/report"
-	"yardwinch/internal/yard/virtual"
+	"yardwinch/internal/testbed/count"
+	"yardwinch/internal/testbed/experiment"
+	"yardwinch/internal/testbed/invariants"
+	"yardwinch/internal/testbed/report"
+	"yardwinch/internal/testbed/virtual"
 )
 
 func open(t *testing.T, name string) *experiment.Experiment {
@@ -66,12 +66,12 @@
 }
 
 func TestSoundOverRandomDays(t *testing.T) {
-	soundOverRandomDays(t, func(said string) bool { return !strings.Contains(said, referee.NoneFloodedCold.String()) })
+	soundOverRandomDays(t, func(said string) bool { return !strings.Contains(said, invariants.NoneFloodedCold.String()) })
 }
 
 // Apart from the other rules, so that what is known of it hides nothing of theirs.
 func TestNoneFloodedColdOverRandomDays(t *testing.T) {
-	soundOverRandomDays(t, func(said string) bool { return strings.Contains(said, referee.NoneFloodedCold.String()) })
+	soundOverRandomDays(t, func(said string) bool { return strings.Contains(said, invariants.NoneFloodedCold.String()) })
 }
 
 func TestSameBytesWhateverTheWorkers(t *testing.T) {
@@ -295,7 +295,7 @@
 	for _, f := range files {
 		switch filepath.Base(filepath.Dir(f)) {
 		case "fleet", "scale":
-			continue // plans of real processes and sweeps over sizes: internal/yard/fleet and internal/yard/scale read them
+			continue // plans of real processes and sweeps over sizes: internal/testbed/fleet and internal/testbed/scale read them
 		}
 		t.Run(filepath.Base(filepath.Dir(f))+"/"+filepath.Base(f), func(t *testing.T) {
 			t.Parallel()
--- a/internal/yard/sockets/agent.go
+++ b/internal/testbed/sockets/agent.go
@@ -9,9 +9,9 @@
 	"time"
 
 	"yardwinch/internal/simulation"
-	"yardwinch/internal/yard/experiment"
-	"yardwinch/internal/yard/links"
-	"yardwinch/internal/yard/referee"
+	"yardwinch/internal/testbed/experiment"
+	"yardwinch/internal/testbed/invariants"
+	"yardwinch/internal/testbed/netfault"
 )
 
 const heartbeat = 2 * time.Second
@@ -27,7 +27,7 @@
 	order    []simulation.ServerID
 	watch    chan []byte // of the newest watch
 
-	gate   *links.Gate             // where its balancer has a way of its own to it
+	gate   *netfault.Gate          // where its balancer has a way of its own to it
 	sinces map[int64]time.Duration // starts of servers by what was written of them
 }
 
@@ -124,13 +124,13 @@
 }
 
 func (a *agent) book(entries []simulation.Entry) {
-	states := [...]referee.State{simulation.Ready: referee.Ready, simulation.Draining: referee.Draining, simulation.Gone: referee.Gone}
+	states := [...]invariants.State{simulation.Ready: invariants.Ready, simulation.Draining: invariants.Draining, simulation.Gone: invariants.Gone}
 	for _, e := range entries {
 		since := e.Since
 		if since == simulation.LongAgo {
-			since = referee.LongAgo
+			since = invariants.LongAgo
 		}
-		a.dr.see(referee.Event{Kind: referee.Told, Balancer: referee.Balancer(a.balancer), Server: referee.Server(e.Server),
+		a.dr.see(invariants.Event{Kind: invariants.Told, Balancer: invariants.Balancer(a.balancer), Server: invariants.Server(e.Server),
 			State: states[e.State], Since: since})
 	}
 }
--- a/internal/yard/sockets/apart.go
+++ b/internal/testbed/sockets/apart.go
@@ -12,33 +12,35 @@
 	"time"
 
 	"yardwinch/internal/simulation"
-	"yardwinch/internal/yard/experiment"
-	"yardwinch/internal/yard/links"
-	"yardwinch/internal/yard/referee"
+	"yardwinch/internal/testbed/experiment"
+	"yardwinch/internal/testbed/invariants"
+	"yardwinch/internal/testbed/netfault"
 )
 
 // Apart is what changes where each process has ways, options and a folder of its own, and faults strike between them. All of it is
 // called with the drive locked.
 type Apart struct {
-	Net     *links.Net
+	Net     *netfault.Net
 	Control func(simulation.BalancerID) string // where a balancer takes the staff's calls
 	// Launch changes how a process is started, and tells the program with its arguments.
 	Launch func(b simulation.BalancerID, life int, cmd *exec.Cmd) (program []string, err error)
 	Ended  func(simulation.BalancerID, error) // a process ended that nobody ended
-	See    func(referee.Event)                // hears of all that the referee hears
+	See    func(invariants.Event)             // hears of all that the referee hears
 }
 
 // StandApart is called before Open.
 func (dr *Drive) StandApart(a *Apart) { dr.apart = a }
 
 // What the ends of ways are called.
-const Discovery, Operator links.Name = "discovery", "operator"
+const Discovery, Operator netfault.Name = "discovery", "operator"
 
 // BalancerName is the near end of a balancer's ways.
-func BalancerName(b simulation.BalancerID) links.Name { return links.Name("b" + strconv.Itoa(int(b))) }
+func BalancerName(b simulation.BalancerID) netfault.Name {
+	return netfault.Name("b" + strconv.Itoa(int(b)))
+}
 
 // ServerName is the far end of a server's ways.
-func ServerName(s simulation.ServerID) links.Name { return links.Name(experiment.ServerName(s)) }
+func ServerName(s simulation.ServerID) netfault.Name { return netfault.Name(experiment.ServerName(s)) }
 
 // Do does something to the world and the processes between two events.
 func (dr *Drive) Do(do func()) {
@@ -78,7 +80,7 @@
 // led takes a balancer's connection to a server over its way. The referee looks at the balancer's end: what is on its way has been
 // sent, and what has not come yet has not been told.
 func (dr *Drive) led(d *door, near net.Conn) {
-	innerEnd, outerEnd := links.Pipe()
+	innerEnd, outerEnd := netfault.Pipe()
 	x := &served{dr: dr, from: d.hall, to: d.s.id, by: d.by, led: true}
 	var sent, told line
 	heard := false // under the drive's lock
@@ -90,7 +92,7 @@
 	}
 	var parts sync.WaitGroup
 	parts.Go(func() { d.serve(outerEnd, x) })
-	dr.apart.Net.Lead(BalancerName(d.by), ServerName(d.s.id), near, innerEnd, links.Tap{
+	dr.apart.Net.Lead(BalancerName(d.by), ServerName(d.s.id), near, innerEnd, netfault.Tap{
 		Sent: func(b []byte) {
 			if text, ok := sent.first(b); ok {
 				if id, fields, ok := openLine(text); ok {
@@ -137,23 +139,23 @@
 
 // lead has the agent's balancer come over a way.
 func (a *agent) lead() error {
-	a.gate = links.NewGate("127.0.0.1:0")
+	a.gate = netfault.NewGate("127.0.0.1:0")
 	a.l = &handed{Listener: a.l, conns: make(chan net.Conn), over: make(chan struct{})}
 	return a.door()
 }
 
 func (a *agent) door() error {
-	to := links.Open
+	to := netfault.Open
 	if a.dr.apart.Net.Cut(BalancerName(a.balancer), Discovery) {
-		to = links.Hole
+		to = netfault.Hole
 	}
-	return a.gate.Turn(to, func(l net.Listener) { links.Accept(l, a.led) })
+	return a.gate.Turn(to, func(l net.Listener) { netfault.Accept(l, a.led) })
 }
 
 // led takes its balancer's call. What the list says is told when it has come to the balancer's end.
 func (a *agent) led(near net.Conn) {
 	h := a.l.(*handed)
-	innerEnd, outerEnd := links.Pipe()
+	innerEnd, outerEnd := netfault.Pipe()
 	select {
 	case h.conns <- outerEnd:
 	case <-h.over:
@@ -161,7 +163,7 @@
 		return
 	}
 	var rest []byte
-	a.dr.apart.Net.Lead(BalancerName(a.balancer), Discovery, near, innerEnd, links.Tap{Told: func(b []byte) {
+	a.dr.apart.Net.Lead(BalancerName(a.balancer), Discovery, near, innerEnd, netfault.Tap{Told: func(b []byte) {
 		rest = append(rest, b...)
 		for {
 			i := bytes.IndexByte(rest, '\n')
--- a/internal/yard/sockets/client.go
+++ b/internal/testbed/sockets/client.go
@@ -11,8 +11,8 @@
 	"time"
 
 	"yardwinch/internal/simulation"
-	"yardwinch/internal/yard/experiment"
-	"yardwinch/internal/yard/referee"
+	"yardwinch/internal/testbed/experiment"
+	"yardwinch/internal/testbed/invariants"
 )
 
 const lineEvery = 2 * time.Second
@@ -51,7 +51,7 @@
 func (c *client) turn(to clientState) {
 	if to == gone && c.state != gone {
 		if c.state == holds {
-			c.dr.see(referee.Event{Kind: referee.Ended, Balancer: referee.Balancer(c.to), Flow: referee.Flow(c.flow)})
+			c.dr.see(invariants.Event{Kind: invariants.Ended, Balancer: invariants.Balancer(c.to), Flow: invariants.Flow(c.flow)})
 		}
 		delete(c.dr.flows, c.flow)
 	}
@@ -113,7 +113,7 @@
 	}
 	c.left = true
 	if c.taken {
-		dr.see(referee.Event{Kind: referee.Left, Balancer: referee.Balancer(c.to), Flow: referee.Flow(f)})
+		dr.see(invariants.Event{Kind: invariants.Left, Balancer: invariants.Balancer(c.to), Flow: invariants.Flow(f)})
 	}
 	if c.state == asking && dr.now() >= c.due {
 		conn := c.conn
@@ -150,7 +150,7 @@
 			taken := c.takenEvent()
 			taken.Due = max(taken.Due, now+1)
 			dr.seeAt(wrote, taken)
-			dr.see(referee.Event{Kind: referee.Left, Balancer: referee.Balancer(c.to), Flow: referee.Flow(c.flow)})
+			dr.see(invariants.Event{Kind: invariants.Left, Balancer: invariants.Balancer(c.to), Flow: invariants.Flow(c.flow)})
 		}
 		if c.state != gone && c.held {
 			dr.bad("a connection that stands at the beginning: %w", err)
@@ -191,12 +191,12 @@
 }
 
 // takenEvent is what the referee hears of a line that was written whole.
-func (c *client) takenEvent() referee.Event {
-	e := referee.Event{Kind: referee.Taken, Balancer: referee.Balancer(c.to), Flow: referee.Flow(c.flow), Due: c.due}
+func (c *client) takenEvent() invariants.Event {
+	e := invariants.Event{Kind: invariants.Taken, Balancer: invariants.Balancer(c.to), Flow: invariants.Flow(c.flow), Due: c.due}
 	if v := c.dr.w.Client(c.flow); v != nil {
 		s := c.dr.w.Services[v.Service]
-		e.Effect = map[string]referee.Effect{"guarded": referee.Referenced, "single_shot": referee.OnceOnly}[s.Effect]
-		e.Reach = map[string]referee.Reach{"zone": referee.ReachZone, "cell": referee.ReachCell}[s.Group]
+		e.Effect = map[string]invariants.Effect{"guarded": invariants.Referenced, "single_shot": invariants.OnceOnly}[s.Effect]
+		e.Reach = map[string]invariants.Reach{"zone": invariants.ReachZone, "cell": invariants.ReachCell}[s.Group]
 		e.Window = s.Window
 	}
 	return e
@@ -253,12 +253,12 @@
 		return
 	}
 	c.answers++
-	e := referee.Event{Kind: referee.Answered, Balancer: referee.Balancer(c.to), Flow: referee.Flow(c.flow), Verdict: referee.Aborted}
+	e := invariants.Event{Kind: invariants.Answered, Balancer: invariants.Balancer(c.to), Flow: invariants.Flow(c.flow), Verdict: invariants.Aborted}
 	switch word {
 	case "UP":
-		e.Verdict = referee.Established
+		e.Verdict = invariants.Established
 	case "BUSY":
-		e.Verdict = referee.Rejected
+		e.Verdict = invariants.Rejected
 	}
 	dr.see(e)
 	if c.state != asking || c.answers > 1 {
@@ -294,7 +294,7 @@
 	case was == holds && !c.left:
 		dr.w.Broken(c.flow, simulation.Cut)
 	case was == asking && c.answers == 0 && !c.left && dr.others && !runs(c.addr):
-		dr.see(referee.Event{Kind: referee.Died, Balancer: referee.Balancer(c.to)}) // a rule binds a balancer that runs
+		dr.see(invariants.Event{Kind: invariants.Died, Balancer: invariants.Balancer(c.to)}) // a rule binds a balancer that runs
 		dr.w.Broken(c.flow, simulation.Cut)
 	case was == asking && c.answers == 0 && !c.left:
 		if p := dr.procs; int(c.to) < len(p) && p[c.to].up {
--- a/internal/yard/sockets/drive.go
+++ b/internal/testbed/sockets/drive.go
@@ -13,8 +13,8 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"yardwinch/internal/simulation"
-	"yardwinch/internal/yard/experiment"
-	"yardwinch/internal/yard/referee"
+	"yardwinch/internal/testbed/experiment"
+	"yardwinch/internal/testbed/invariants"
 )
 
 const (
@@ -29,7 +29,7 @@
 type Drive struct {
 	d       *experiment.Day
 	w       *simulation.World
-	ref     *referee.Referee
+	ref     *invariants.Referee
 	ctx     context.Context
 	cancel  context.CancelFunc
 	parts   sync.WaitGroup
@@ -60,7 +60,7 @@
 }
 
 // Load drives clients alone, against balancers at these addresses; w has as many balancers and no server.
-func Load(parent context.Context, d *experiment.Day, ref *referee.Referee, addrs []string) *Drive {
+func Load(parent context.Context, d *experiment.Day, ref *invariants.Referee, addrs []string) *Drive {
 	dr := New(parent, d, ref, nil, "")
 	dr.others = true
 	dr.w.FirstFlow(simulation.FlowID(time.Now().UnixMicro()) << 10) // never those of an earlier load
@@ -106,7 +106,7 @@
 
 // New prepares a run; program starts a balancer, with the path of its configuration in PROXY_CONFIG, and folder is for
 // configurations and logs. An empty program leaves balancers out: servers and discovery alone.
-func New(parent context.Context, d *experiment.Day, ref *referee.Referee, program []string, folder string) *Drive {
+func New(parent context.Context, d *experiment.Day, ref *invariants.Referee, program []string, folder string) *Drive {
 	dr := &Drive{d: d, w: d.World, ref: ref, program: program, folder: folder, poke: make(chan struct{}, 1),
 		flows: map[simulation.FlowID]*client{}, conns: map[simulation.ConnID]*served{}, awaited: map[simulation.FlowID]simulation.ConnID{},
 		late: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3), start: time.Now()}
@@ -151,11 +151,11 @@
 	}
 }
 
-func (dr *Drive) see(e referee.Event) { dr.seeAt(dr.now(), e) }
+func (dr *Drive) see(e invariants.Event) { dr.seeAt(dr.now(), e) }
 
-func (dr *Drive) seeAt(t time.Duration, e referee.Event) {
+func (dr *Drive) seeAt(t time.Duration, e invariants.Event) {
 	e.At = t
-	if dr.over || !dr.running && e.Kind != referee.Told && e.Kind != referee.Began {
+	if dr.over || !dr.running && e.Kind != invariants.Told && e.Kind != invariants.Began {
 		return
 	}
 	dr.longest = max(dr.longest, dr.now()-t)
--- a/internal/yard/sockets/process.go
+++ b/internal/testbed/sockets/process.go
@@ -16,7 +16,7 @@
 	"time"
 
 	"yardwinch/internal/simulation"
-	"yardwinch/internal/yard/referee"
+	"yardwinch/internal/testbed/invariants"
 )
 
 const (
@@ -127,7 +127,7 @@
 	}
 	p := dr.procs[b]
 	p.life++
-	dr.see(referee.Event{Kind: referee.Began, Balancer: referee.Balancer(b)})
+	dr.see(invariants.Event{Kind: invariants.Began, Balancer: invariants.Balancer(b)})
 	text, err := dr.Config(b, p.addr, p.life)
 	if err == nil {
 		err = os.WriteFile(p.config, text, 0o600)
@@ -182,14 +182,14 @@
 // Kill ends a balancer outright; Stop asks it to end in order.
 func (dr *Drive) Kill(b simulation.BalancerID) {
 	p := dr.procs[b]
-	dr.see(referee.Event{Kind: referee.Died, Balancer: referee.Balancer(b)})
+	dr.see(invariants.Event{Kind: invariants.Died, Balancer: invariants.Balancer(b)})
 	p.up = false
 	p.kill()
 }
 
 // Mark books that a balancer stops to run, or runs on; Signal does it.
-func (dr *Drive) Mark(b simulation.BalancerID, k referee.Kind) {
-	dr.see(referee.Event{Kind: k, Balancer: referee.Balancer(b)})
+func (dr *Drive) Mark(b simulation.BalancerID, k invariants.Kind) {
+	dr.see(invariants.Event{Kind: k, Balancer: invariants.Balancer(b)})
 }
 
 // Signal sends one to a balancer's process.
--- a/internal/yard/sockets/server.go
+++ b/internal/testbed/sockets/server.go
@@ -9,9 +9,9 @@
 	"time"
 
 	"yardwinch/internal/simulation"
-	"yardwinch/internal/yard/experiment"
-	"yardwinch/internal/yard/links"
-	"yardwinch/internal/yard/referee"
+	"yardwinch/internal/testbed/experiment"
+	"yardwinch/internal/testbed/invariants"
+	"yardwinch/internal/testbed/netfault"
 )
 
 const (
@@ -29,7 +29,7 @@
 }
 
 type door struct {
-	*links.Gate
+	*netfault.Gate
 	s    *standIn
 	hall simulation.HallID
 	by   simulation.BalancerID // who comes in here; nobody: all of the hall
@@ -48,11 +48,11 @@
 		at := fmt.Sprintf("127.77.%d.%d:0", int(s.id)/250, int(s.id)%250+1)
 		if dr.apart == nil {
 			for h := range dr.w.Halls {
-				s.doors = append(s.doors, &door{links.NewGate(at), s, simulation.HallID(h), nobody})
+				s.doors = append(s.doors, &door{netfault.NewGate(at), s, simulation.HallID(h), nobody})
 			}
 		} else {
 			for _, b := range dr.w.Balancers {
-				s.doors = append(s.doors, &door{links.NewGate(at), s, b.Hall, b.ID})
+				s.doors = append(s.doors, &door{netfault.NewGate(at), s, b.Hall, b.ID})
 			}
 		}
 		dr.servers = append(dr.servers, s)
@@ -72,15 +72,15 @@
 	return dr.servers[s].doors[dr.w.Balancers[b].Hall]
 }
 
-func (dr *Drive) wants(d *door) links.State {
+func (dr *Drive) wants(d *door) netfault.State {
 	reach := dr.w.Knock(d.hall, d.s.id)
 	switch {
 	case reach == simulation.Silence || d.by != nobody && dr.apart.Net.Cut(BalancerName(d.by), ServerName(d.s.id)):
-		return links.Hole
+		return netfault.Hole
 	case reach == simulation.Refused:
-		return links.Shut
+		return netfault.Shut
 	}
-	return links.Open
+	return netfault.Open
 }
 
 func (s *standIn) close() {
@@ -90,7 +90,7 @@
 }
 
 func (d *door) accept(l net.Listener) {
-	links.Accept(l, func(c net.Conn) {
+	netfault.Accept(l, func(c net.Conn) {
 		// Close waits for all parts, so that none may begin once it has.
 		d.s.dr.mu.Lock()
 		over := d.s.dr.over
@@ -241,8 +241,8 @@
 	if s.Hall != x.from {
 		dr.Tally.Crossings++
 	}
-	dr.see(referee.Event{Kind: referee.Sent, Balancer: referee.Balancer(x.by), Flow: referee.Flow(f), Connect: referee.Connect(x.id),
-		Server: referee.Server(x.to), Zone: int(s.Hall), Cell: int(s.Cell)})
+	dr.see(invariants.Event{Kind: invariants.Sent, Balancer: invariants.Balancer(x.by), Flow: invariants.Flow(f), Connect: invariants.Connect(x.id),
+		Server: invariants.Server(x.to), Zone: int(s.Hall), Cell: int(s.Cell)})
 }
 
 // arrive: the line has come to the server.
@@ -260,8 +260,8 @@
 	}
 	s := dr.w.Servers[x.to]
 	if s.Since() != simulation.LongAgo && cl != nil {
-		dr.see(referee.Event{Kind: referee.Arrived, Balancer: referee.Balancer(x.by), Flow: referee.Flow(x.flow), Connect: referee.Connect(x.id),
-			Server: referee.Server(x.to), Since: s.Since(), Load: cl.Load(), Takes: s.TakesNow()})
+		dr.see(invariants.Event{Kind: invariants.Arrived, Balancer: invariants.Balancer(x.by), Flow: invariants.Flow(x.flow), Connect: invariants.Connect(x.id),
+			Server: invariants.Server(x.to), Since: s.Since(), Load: cl.Load(), Takes: s.TakesNow()})
 	}
 	dr.w.Arrive(x.id, x.to, x.flow, x.from)
 }
@@ -284,8 +284,8 @@
 
 // heard: the balancer knows that the connect is over.
 func (x *served) heard(ran bool) {
-	x.dr.see(referee.Event{Kind: referee.ConnectOver, Balancer: referee.Balancer(x.by), Flow: referee.Flow(x.flow),
-		Connect: referee.Connect(x.id), Ran: ran})
+	x.dr.see(invariants.Event{Kind: invariants.ConnectOver, Balancer: invariants.Balancer(x.by), Flow: invariants.Flow(x.flow),
+		Connect: invariants.Connect(x.id), Ran: ran})
 }
 
 func (x *served) write(line string) {
--- a/internal/yard/sockets/sockets_test.go
+++ b/internal/testbed/sockets/sockets_test.go
@@ -13,8 +13,8 @@
 	"time"
 
 	"yardwinch/internal/daemon"
-	"yardwinch/internal/yard/experiment"
-	"yardwinch/internal/yard/referee"
+	"yardwinch/internal/testbed/experiment"
+	"yardwinch/internal/testbed/invariants"
 )
 
 // The test's own program stands for a balancer, sound or bent, as its environment says.
@@ -110,7 +110,7 @@
 length = "1s"
 `
 
-func drive(t *testing.T, text, way string) (*Drive, *referee.Referee, *experiment.Day) {
+func drive(t *testing.T, text, way string) (*Drive, *invariants.Referee, *experiment.Day) {
 	t.Helper()
 	e, err := experiment.Read("short.toml", []byte(text))
 	if err != nil {
@@ -119,7 +119,7 @@
 	d := e.Day(3)
 	grace, multiple, fall, warm, _, _ := e.Terms()
 	slack, hold := HeldBack()
-	ref := referee.New(slack, hold, grace, multiple, d.MeanLoad(), fall, warm)
+	ref := invariants.New(slack, hold, grace, multiple, d.MeanLoad(), fall, warm)
 	self, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
@@ -166,7 +166,7 @@
 			if _, err := dr.Run(nil); err != nil {
 				t.Fatal(err)
 			}
-			if v := ref.Violations(); len(v) == 0 || v[0].Rule != referee.OneAnswer || !strings.Contains(v[0].What, c.what) {
+			if v := ref.Violations(); len(v) == 0 || v[0].Rule != invariants.OneAnswer || !strings.Contains(v[0].What, c.what) {
 				t.Errorf("found %v, want %q", v, c.what)
 			}
 		})
@@ -185,7 +185,7 @@
 	}
 	d := e.Day(1)
 	slack, hold := HeldBack()
-	ref := referee.New(slack, hold, time.Second, 0, 0, time.Second, time.Second)
+	ref := invariants.New(slack, hold, time.Second, 0, 0, time.Second, time.Second)
 	dr := Load(context.Background(), d, ref, []string{l.Addr().String()})
 	if _, err := dr.RunLoad(experiment.NewSteady(1, 40, 2*time.Second, 0.5, 3, 1), nil); err != nil {
 		t.Fatal(err)
@@ -237,7 +237,7 @@
 	dr.running = true
 	c := &client{dr: dr, flow: 7, due: time.Second}
 	dr.flows[7] = c
-	dr.see(referee.Event{Kind: referee.Taken, Flow: 7, Due: time.Second})
+	dr.see(invariants.Event{Kind: invariants.Taken, Flow: 7, Due: time.Second})
 	c.turn(asking)
 	c.hear("UP 7")
 	c.turn(gone)
@@ -257,7 +257,7 @@
 		dr, _, _ := drive(t, fmt.Sprintf(shortDay, ""), "sound")
 		dr.mu.Lock()
 		dr.start, dr.running = time.Now().Add(-time.Minute), true
-		dr.seeAt(dr.now()-c.late, referee.Event{Kind: referee.Taken, Flow: 7, Due: time.Hour})
+		dr.seeAt(dr.now()-c.late, invariants.Event{Kind: invariants.Taken, Flow: 7, Due: time.Hour})
 		void := dr.void()
 		dr.mu.Unlock()
 		if (void != "") != c.void {
--- a/internal/yard/virtual/act.go
+++ b/internal/testbed/virtual/act.go
@@ -5,7 +5,7 @@
 
 	"yardwinch/decide"
 	"yardwinch/internal/simulation"
-	"yardwinch/internal/yard/referee"
+	"yardwinch/internal/testbed/invariants"
 )
 
 func (in *instance) Connect(name decide.FlowID, to decide.ServerID, limit time.Duration) {
@@ -30,8 +30,8 @@
 	if srv.Hall != in.hall {
 		dr.Tally.Crossings++
 	}
-	dr.see(referee.Event{Kind: referee.Sent, Balancer: referee.Balancer(in.id), Flow: referee.Flow(f.id), Connect: referee.Connect(c.id),
-		Server: referee.Server(s), Zone: int(srv.Hall), Cell: int(srv.Cell)})
+	dr.see(invariants.Event{Kind: invariants.Sent, Balancer: invariants.Balancer(in.id), Flow: invariants.Flow(f.id), Connect: invariants.Connect(c.id),
+		Server: invariants.Server(s), Zone: int(srv.Hall), Cell: int(srv.Cell)})
 	ends := f.due
 	if limit > 0 {
 		ends = min(ends, now+limit)
@@ -53,13 +53,13 @@
 }
 
 // answer is the balancer's own final word.
-func (in *instance) answer(name decide.FlowID, v referee.Verdict, a simulation.Answer, after time.Duration) {
+func (in *instance) answer(name decide.FlowID, v invariants.Verdict, a simulation.Answer, after time.Duration) {
 	f, dr := in.flow(name), in.dr
 	if f == nil {
-		dr.see(referee.Event{Kind: referee.Answered, Balancer: referee.Balancer(in.id), Flow: -1, Verdict: v})
+		dr.see(invariants.Event{Kind: invariants.Answered, Balancer: invariants.Balancer(in.id), Flow: -1, Verdict: v})
 		return
 	}
-	dr.see(referee.Event{Kind: referee.Answered, Balancer: referee.Balancer(in.id), Flow: referee.Flow(f.id), Verdict: v})
+	dr.see(invariants.Event{Kind: invariants.Answered, Balancer: invariants.Balancer(in.id), Flow: invariants.Flow(f.id), Verdict: v})
 	if f.answered {
 		return
 	}
@@ -70,12 +70,12 @@
 
 func (in *instance) Reject(f decide.FlowID, after time.Duration) {
 	in.dr.Tally.Rejects++
-	in.answer(f, referee.Rejected, simulation.Rejected, after)
+	in.answer(f, invariants.Rejected, simulation.Rejected, after)
 }
 
 func (in *instance) Abort(f decide.FlowID) {
 	in.dr.Tally.Aborts++
-	in.answer(f, referee.Aborted, simulation.Aborted, 0)
+	in.answer(f, invariants.Aborted, simulation.Aborted, 0)
 }
 
 func (in *instance) Cancel(name decide.FlowID, n int) {
--- a/internal/yard/virtual/client.go
+++ b/internal/testbed/virtual/client.go
@@ -7,8 +7,8 @@
 
 	"yardwinch/decide"
 	"yardwinch/internal/simulation"
-	"yardwinch/internal/yard/experiment"
-	"yardwinch/internal/yard/referee"
+	"yardwinch/internal/testbed/experiment"
+	"yardwinch/internal/testbed/invariants"
 )
 
 type flow struct {
@@ -47,15 +47,15 @@
 		x := &flow{id: f, name: name, in: in, due: now + left - lineCost}
 		dr.flows[f], in.flows[f] = x, x
 		s := dr.w.Services[service]
-		dr.see(referee.Event{Kind: referee.Taken, Balancer: referee.Balancer(in.id), Flow: referee.Flow(f), Due: now + left,
+		dr.see(invariants.Event{Kind: invariants.Taken, Balancer: invariants.Balancer(in.id), Flow: invariants.Flow(f), Due: now + left,
 			Effect: effects[s.Effect], Reach: reaches[s.Group], Window: s.Window})
 		in.event().Flow(name, decide.ServiceID(service), decide.CustomerID(customer), decide.FlowKey(""),
 			decide.GroupKey(experiment.GroupName(group)), x.due-now, marks)
 	})
 }
 
-var effects = map[string]referee.Effect{"free": referee.Repeatable, "guarded": referee.Referenced, "single_shot": referee.OnceOnly}
-var reaches = map[string]referee.Reach{"all": referee.ReachAll, "zone": referee.ReachZone, "cell": referee.ReachCell}
+var effects = map[string]invariants.Effect{"free": invariants.Repeatable, "guarded": invariants.Referenced, "single_shot": invariants.OnceOnly}
+var reaches = map[string]invariants.Reach{"all": invariants.ReachAll, "zone": invariants.ReachZone, "cell": invariants.ReachCell}
 
 // Held begins with a connection that stands.
 func (dr *Drive) Held(f simulation.FlowID, c *simulation.Client, b simulation.BalancerID, id simulation.ConnID, s simulation.ServerID) {
@@ -77,7 +77,7 @@
 			return
 		}
 		x.left = true
-		dr.see(referee.Event{Kind: referee.Left, Balancer: referee.Balancer(x.in.id), Flow: referee.Flow(f)})
+		dr.see(invariants.Event{Kind: invariants.Left, Balancer: invariants.Balancer(x.in.id), Flow: invariants.Flow(f)})
 		if x.stands != nil {
 			x.in.finish(x.stands, decide.OK)
 			return
--- a/internal/yard/virtual/list.go
+++ b/internal/testbed/virtual/list.go
@@ -6,8 +6,8 @@
 
 	"yardwinch/decide"
 	"yardwinch/internal/simulation"
-	"yardwinch/internal/yard/experiment"
-	"yardwinch/internal/yard/referee"
+	"yardwinch/internal/testbed/experiment"
+	"yardwinch/internal/testbed/invariants"
 )
 
 // Numbers are the ids of the first n servers by their names alone, as balancers on sockets have them.
@@ -38,7 +38,7 @@
 }
 
 var readiness = [...]decide.Readiness{simulation.Ready: decide.Ready, simulation.Draining: decide.Draining, simulation.Gone: decide.Gone}
-var told = [...]referee.State{simulation.Ready: referee.Ready, simulation.Draining: referee.Draining, simulation.Gone: referee.Gone}
+var told = [...]invariants.State{simulation.Ready: invariants.Ready, simulation.Draining: invariants.Draining, simulation.Gone: invariants.Gone}
 
 // News brings a balancer a call of the server list.
 func (dr *Drive) News(b simulation.BalancerID, full bool, entries []simulation.Entry) {
--- a/internal/yard/virtual/virtual.go
+++ b/internal/testbed/virtual/virtual.go
@@ -8,8 +8,8 @@
 	"yardwinch/constraints"
 	"yardwinch/decide"
 	"yardwinch/internal/simulation"
-	"yardwinch/internal/yard/experiment"
-	"yardwinch/internal/yard/referee"
+	"yardwinch/internal/testbed/experiment"
+	"yardwinch/internal/testbed/invariants"
 )
 
 // Decider makes the decisions of one balancer: the decision module, with or without others round it, or a baseline in
@@ -30,7 +30,7 @@
 type Drive struct {
 	d       *experiment.Day
 	w       *simulation.World
-	ref     *referee.Referee
+	ref     *invariants.Referee
 	maker   Maker
 	inst    []*instance
 	flows   map[simulation.FlowID]*flow
@@ -49,7 +49,7 @@
 }
 
 // New prepares a drive; the day must not have begun.
-func New(d *experiment.Day, ref *referee.Referee, maker Maker) *Drive {
+func New(d *experiment.Day, ref *invariants.Referee, maker Maker) *Drive {
 	dr := &Drive{d: d, w: d.World, ref: ref, maker: maker, flows: map[simulation.FlowID]*flow{}, conns: map[simulation.ConnID]*connect{},
 		byNum: map[decide.ServerID]simulation.ServerID{}}
 	_, _, _, _, dr.connMax, dr.up = d.Experiment.Terms()
@@ -79,7 +79,7 @@
 	dr.ref.Finish(w.Agenda.Now())
 }
 
-func (dr *Drive) see(e referee.Event) {
+func (dr *Drive) see(e invariants.Event) {
 	e.At = dr.w.Agenda.Now()
 	dr.ref.Observe(e)
 }
