--- a/internal/membership/child.go
+++ b/internal/membership/child.go
@@ -23,7 +23,7 @@
 	waiting                      = 256 // frames for the engine; beyond, what is said now is lost, and said again as state
 	logEvery                     = time.Minute
 	knownKept                    = 8
-	engineName                   = "yardwinch-peer"
+	engineName                   = "yardwinch-gossip"
 	endWithin                    = 900 * time.Millisecond
 )
 
--- a/internal/membership/engine/serve.go
+++ b/internal/membership/engine/serve.go
@@ -158,7 +158,7 @@
 func Main(in io.Reader, out, say io.Writer) int {
 	slog.SetDefault(slog.New(slog.NewTextHandler(say, nil)))
 	if err := Serve(in, out); err != nil {
-		fmt.Fprintln(say, "yardwinch-peer:", err)
+		fmt.Fprintln(say, "yardwinch-gossip:", err)
 		var advice interface{ Advice() string }
 		if errors.As(err, &advice) {
 			fmt.Fprintln(say, "what helps:", advice.Advice())
--- a/internal/membership/members.go
+++ b/internal/membership/members.go
@@ -1,5 +1,5 @@
 // Package membership is what a balancer knows of the others: members and bytes, no meaning. The gossip engine itself runs in a process of
-// its own (internal/membership/engine, cmd/yardwinch-peer), which this package starts, feeds and starts again.
+// its own (internal/membership/engine, cmd/yardwinch-gossip), which this package starts, feeds and starts again.
 package membership
 
 import (
--- a/internal/testbed/fleet/fleet_test.go
+++ b/internal/testbed/fleet/fleet_test.go
@@ -18,7 +18,7 @@
 func TestMain(m *testing.M) {
 	if os.Getenv("FLEET_TEST_BALANCER") == "" {
 		code := m.Run()
-		_ = os.Remove(filepath.Join(os.TempDir(), fmt.Sprintf("yardwinch-peer-test-%d", os.Getpid())))
+		_ = os.Remove(filepath.Join(os.TempDir(), fmt.Sprintf("yardwinch-gossip-test-%d", os.Getpid())))
 		os.Exit(code)
 	}
 	if err := daemon.Run(os.Getenv("PROXY_CONFIG"), os.Getenv("YARDWINCH_OPTIONS"), os.Getenv); err != nil {
@@ -73,8 +73,8 @@
 	return func(t *testing.T) string {
 		t.Helper()
 		once.Do(func() {
-			path = filepath.Join(os.TempDir(), fmt.Sprintf("yardwinch-peer-test-%d", os.Getpid()))
-			if text, err := exec.Command("go", "build", "-o", path, "yardwinch/cmd/yardwinch-peer").CombinedOutput(); err != nil {
+			path = filepath.Join(os.TempDir(), fmt.Sprintf("yardwinch-gossip-test-%d", os.Getpid()))
+			if text, err := exec.Command("go", "build", "-o", path, "yardwinch/cmd/yardwinch-gossip").CombinedOutput(); err != nil {
 				t.Fatalf("%v: %s", err, text)
 			}
 		})
--- a/internal/testbed/fleet/run.go
+++ b/internal/testbed/fleet/run.go
@@ -146,7 +146,7 @@
 	return err
 }
 
-const engineName = "yardwinch-peer" // where serve looks for it: beside itself
+const engineName = "yardwinch-gossip" // where serve looks for it: beside itself
 
 func (r *run) copied(name, from string) (to string, err error) {
 	to = filepath.Join(r.folder, name)
