--- a/cmd/testbed/main.go
+++ b/cmd/testbed/main.go
@@ -1,4 +1,4 @@
-// Yard is the proving yard: it plays days of trouble on yardwinch and on baselines, in virtual time or on sockets, and
+// Testbed is the proving yard: it plays days of trouble on yardwinch and on baselines, in virtual time or on sockets, and
 // judges them.
 package main
 
@@ -24,7 +24,7 @@
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	app := &cli.Command{
-		Name:           "yard",
+		Name:           "testbed",
 		Usage:          "prove yardwinch: play days of trouble, on sockets or in virtual time, and judge them by the four rules",
 		Commands:       []*cli.Command{tryCommand(), serversCommand(), loadCommand(), runCommand(), compareCommand(), huntCommand(), agreeCommand(), logsCommand(), fleetCommand(), spreadCommand(), scaleCommand(), balancerCommand()},
 		ExitErrHandler: func(context.Context, *cli.Command, error) {}, // said once, below
@@ -33,7 +33,7 @@
 	if err == nil {
 		return
 	}
-	fmt.Fprintln(os.Stderr, "yard:", err)
+	fmt.Fprintln(os.Stderr, "testbed:", err)
 	var advice interface{ Advice() string }
 	if errors.As(err, &advice) {
 		fmt.Fprintln(os.Stderr, "what helps:", advice.Advice())
--- a/cmd/testbed/scale.go
+++ b/cmd/testbed/scale.go
@@ -17,7 +17,7 @@
 	"yardwinch/internal/testbed/scale"
 )
 
-// scaleCommands are the subcommands of yard scale.
+// scaleCommands are the subcommands of testbed scale.
 var scaleCommands = []func() *cli.Command{
 	scaleRunCommand,
 	scaleListCommand,
--- a/cmd/testbed/scale_page_test.go
+++ b/cmd/testbed/scale_page_test.go
@@ -44,7 +44,7 @@
 		t.Fatal(err)
 	}
 	if string(written) != string(kept) {
-		t.Error("the page that is kept is not what the command writes; run yard scale page")
+		t.Error("the page that is kept is not what the command writes; run testbed scale page")
 	}
 }
 
--- a/cmd/testbed/scale_test.go
+++ b/cmd/testbed/scale_test.go
@@ -12,7 +12,7 @@
 	"github.com/urfave/cli/v3"
 )
 
-// scaleRun runs yard scale run on a text, into a folder that holds a report of that name.
+// scaleRun runs testbed scale run on a text, into a folder that holds a report of that name.
 func scaleRun(t *testing.T, text string) (before, after string, err error) {
 	t.Helper()
 	folder := t.TempDir()
--- a/cmd/testbed/soak.go
+++ b/cmd/testbed/soak.go
@@ -22,7 +22,7 @@
 	return &cli.Command{Name: "soak", Usage: "timelines drawn from seeds: restarts, signals in a row, crowds, failing folders, troubles of servers and discovery",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "seeds", Value: "1-5", Usage: "`FROM-TO`, a run each"},
-			&cli.StringFlag{Name: "keep", Value: ".", Usage: "`DIR` for the plans of runs that fail; yard fleet plays them again"},
+			&cli.StringFlag{Name: "keep", Value: ".", Usage: "`DIR` for the plans of runs that fail; testbed fleet plays them again"},
 			&cli.IntFlag{Name: "jobs", Value: 1, Usage: "runs side by side; more than the machine can carry make all of them void"},
 			&cli.IntFlag{Name: "again", Value: 2, Usage: "play a void run again so many times"}, programFlag, logsFlag},
 		Action: soak}
@@ -130,6 +130,6 @@
 	if err := os.WriteFile(path, []byte(fleet.SoakPlan(seed)), 0o644); err != nil {
 		return err
 	}
-	fmt.Fprintf(to, "  kept: yard fleet %s --seed %d\n", path, seed)
+	fmt.Fprintf(to, "  kept: testbed fleet %s --seed %d\n", path, seed)
 	return nil
 }
--- a/internal/testbed/fleet/fleet_test.go
+++ b/internal/testbed/fleet/fleet_test.go
@@ -248,7 +248,7 @@
 	}
 }
 
-// Timelines from fixed seeds, as yard fleet soak draws them; the long run is started by hand. The seeds are such with deadlines of 0.6 s and
+// Timelines from fixed seeds, as testbed fleet soak draws them; the long run is started by hand. The seeds are such with deadlines of 0.6 s and
 // more: at the end of 0.15 s several connects and the answer fall into one millisecond, in which two observers of the yard come in any order.
 func TestSoak(t *testing.T) {
 	for _, seed := range []uint64{1, 2, 3, 5} {
--- a/internal/testbed/scale/commit.go
+++ b/internal/testbed/scale/commit.go
@@ -46,5 +46,5 @@
 	if filepath.IsAbs(file) {
 		file = filepath.Join("experiments", "scale", filepath.Base(file))
 	}
-	return "yard scale run " + filepath.ToSlash(file)
+	return "testbed scale run " + filepath.ToSlash(file)
 }
--- a/internal/testbed/scale/page_read.go
+++ b/internal/testbed/scale/page_read.go
@@ -8,7 +8,7 @@
 
 const (
 	beforeFolder = "before" // inside the folder of results: the reports of the code before the mechanism
-	runAgain     = "run its experiment again: yard scale run writes reports whole"
+	runAgain     = "run its experiment again: testbed scale run writes reports whole"
 )
 
 // evidence is a series with where it came from.
--- a/internal/testbed/scale/page_test.go
+++ b/internal/testbed/scale/page_test.go
@@ -28,7 +28,7 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(got, want) {
-		t.Errorf("docs/CAPACITY.md disagrees with experiments/scale/results from line %d on; run yard scale page", differs(got, want))
+		t.Errorf("docs/CAPACITY.md disagrees with experiments/scale/results from line %d on; run testbed scale page", differs(got, want))
 	}
 }
 
@@ -95,7 +95,7 @@
 	return &Report{
 		Format:     reportFormat,
 		Experiment: "sample",
-		Command:    "yard scale run experiments/scale/sample.toml",
+		Command:    "testbed scale run experiments/scale/sample.toml",
 		Commit:     "0123456789abcdef0123456789abcdef01234567",
 		Series: []Series{
 			{Name: placementTime.name, Unit: "µs", Against: "servers", Origin: Measured, Points: pointsOf(decades, func(n float64) float64 { return 9 + 0.2*n })},
--- a/internal/testbed/scale/report.go
+++ b/internal/testbed/scale/report.go
@@ -46,7 +46,7 @@
 
 // ReadReport reads a report file. A fault is one *Error that names file and line.
 func ReadReport(file string) (*Report, error) {
-	const advice = "run its experiment again: yard scale run writes reports whole"
+	const advice = "run its experiment again: testbed scale run writes reports whole"
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return nil, &Error{Where: file, What: "can't be read", Do: advice, Err: err}
--- a/internal/testbed/scale/report_test.go
+++ b/internal/testbed/scale/report_test.go
@@ -10,7 +10,7 @@
 )
 
 func someReport() *Report {
-	return &Report{Format: reportFormat, Experiment: "x", Command: "yard scale run x.toml", Commit: "0123", Seed: 1,
+	return &Report{Format: reportFormat, Experiment: "x", Command: "testbed scale run x.toml", Commit: "0123", Seed: 1,
 		Series: oneSeries(1, 2, 3), Checks: []Check{{Name: "a check", Held: true}}}
 }
 
--- a/internal/testbed/scale/run.go
+++ b/internal/testbed/scale/run.go
@@ -12,7 +12,7 @@
 func Run(ctx context.Context, e *Experiment, bounds Bounds, progress Progress) (*Report, error) {
 	sweep := sweeps[e.Settings.Sweep]
 	if sweep == nil {
-		return nil, &Error{Where: e.File, What: fmt.Sprintf("sweep: no sweep %q", e.Settings.Sweep), Do: "see yard scale list"}
+		return nil, &Error{Where: e.File, What: fmt.Sprintf("sweep: no sweep %q", e.Settings.Sweep), Do: "see testbed scale list"}
 	}
 	began, commit := time.Now(), Commit()
 	watched, stop := bounds.watch(ctx, e.Name)
--- a/internal/testbed/scale/run_test.go
+++ b/internal/testbed/scale/run_test.go
@@ -107,7 +107,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if report.Command != "yard scale run experiments/scale/x.toml" || report.Commit == "" || report.Format != reportFormat {
+	if report.Command != "testbed scale run experiments/scale/x.toml" || report.Commit == "" || report.Format != reportFormat {
 		t.Errorf("report %+v", report)
 	}
 }
--- a/internal/testbed/scenario/board.go
+++ b/internal/testbed/scenario/board.go
@@ -15,10 +15,10 @@
 
 const (
 	boardTell = 250 * time.Millisecond
-	boardLag  = 600 * time.Millisecond // from one balancer to all: what half of a fleet of some hundred takes, see yard spread
+	boardLag  = 600 * time.Millisecond // from one balancer to all: what half of a fleet of some hundred takes, see testbed spread
 )
 
-// board stands in virtual time for the gossip between balancers: what one tells reaches all others a while later. yard spread and yard
+// board stands in virtual time for the gossip between balancers: what one tells reaches all others a while later. testbed spread and yard
 // fleet play what goes wrong on the way.
 type board struct {
 	w    *simulation.World
