--- a/cmd/testbed/agree.go
+++ b/cmd/testbed/agree.go
@@ -138,7 +138,9 @@
 	p.Least = math.Inf(1)
 	for k := range uint64(chances) {
 		r, err := scenario.Day(e, p.Seed, policy, nil, func(m virtual.Maker) virtual.Maker {
-			return func(seed uint64, b simulation.BalancerID, act decide.Act) virtual.Decider { return m(seed+k, b, act) }
+			return func(seed uint64, b simulation.BalancerID, act decide.Actions) virtual.Decider {
+				return m(seed+k, b, act)
+			}
 		})
 		if err != nil {
 			return err
--- a/cmd/testbed/fleet.go
+++ b/cmd/testbed/fleet.go
@@ -30,7 +30,7 @@
 
 func playFleet(ctx context.Context, c *cli.Command) error {
 	if c.Args().Len() == 0 {
-		return fault(&fleet.Error{Where: "fleet", What: "want one file at the least", Do: "name files of experiments/fleet"})
+		return fault(&fleet.Error{Where: "fleet", What: "want one file at the least", Remedy: "name files of experiments/fleet"})
 	}
 	var plans []*fleet.Plan
 	for _, f := range c.Args().Slice() {
--- a/cmd/testbed/scale.go
+++ b/cmd/testbed/scale.go
@@ -46,7 +46,7 @@
 
 func runScale(ctx context.Context, c *cli.Command) error {
 	if c.Args().Len() == 0 {
-		return fault(&scale.Error{Where: "scale run", What: "want one file at the least", Do: "name files of " + scaleFolder})
+		return fault(&scale.Error{Where: "scale run", What: "want one file at the least", Remedy: "name files of " + scaleFolder})
 	}
 	var experiments []*scale.Experiment
 	for _, file := range c.Args().Slice() {
@@ -79,7 +79,7 @@
 	defer end()
 	report, err := scale.Run(ctx, e, scale.OperatorsBounds, progress)
 	if errors.Is(err, context.Canceled) {
-		return nil, &scale.Error{Where: e.Name, What: "was stopped, and nothing is written", Do: "run it again", Err: err}
+		return nil, &scale.Error{Where: e.Name, What: "was stopped, and nothing is written", Remedy: "run it again", Err: err}
 	}
 	return report, err
 }
--- a/cmd/testbed/soak.go
+++ b/cmd/testbed/soak.go
@@ -39,7 +39,7 @@
 		to, err = strconv.ParseUint(last, 10, 64)
 	}
 	if err != nil || to < from || to-from >= mostSoakSeeds {
-		return 0, 0, fault(&fleet.Error{Where: "soak", What: fmt.Sprintf("seeds %q", text), Do: "give them as 1-50, 10,000 at the most"})
+		return 0, 0, fault(&fleet.Error{Where: "soak", What: fmt.Sprintf("seeds %q", text), Remedy: "give them as 1-50, 10,000 at the most"})
 	}
 	return from, to, nil
 }
--- a/cmd/yardwinch/explain.go
+++ b/cmd/yardwinch/explain.go
@@ -49,7 +49,7 @@
 		return cli.Exit("yardwinch: want one flow at the most", faultyConfiguration)
 	}
 	if f := c.Args().First(); f != "" {
-		var n constraints.Note
+		var n constraints.Explanation
 		if err := explain.Ask(at, "why "+f, &n); err != nil {
 			return err
 		}
@@ -73,19 +73,19 @@
 	return t.Flush()
 }
 
-func why(t *tabwriter.Writer, n constraints.Note) {
-	fmt.Fprintf(t, "flow\t%s\tcame at %.3f s\tgroup %s\n", cmp.Or(n.Name, string(n.Flow)), n.Came, cmp.Or(string(n.Group), "-"))
-	for i, x := range n.Sent {
-		fmt.Fprintf(t, "connect %d\t%s\tin %s\tat %.3f s\t%s\n", i+1, x.Name, x.Zone, x.At, x.Ended)
+func why(t *tabwriter.Writer, n constraints.Explanation) {
+	fmt.Fprintf(t, "flow\t%s\tcame at %.3f s\tgroup %s\n", cmp.Or(n.Name, string(n.Flow)), n.ArrivedAt, cmp.Or(string(n.Group), "-"))
+	for i, x := range n.Attempts {
+		fmt.Fprintf(t, "connect %d\t%s\tin %s\tat %.3f s\t%s\n", i+1, x.Name, x.Zone, x.At, x.Outcome)
 	}
-	for _, x := range n.Dearer {
-		fmt.Fprintf(t, "dearer\t%s\t%s\n", cmp.Or(x.Name, fmt.Sprint(x.Server)), x.Why)
+	for _, x := range n.ExtraCosts {
+		fmt.Fprintf(t, "dearer\t%s\t%s\n", cmp.Or(x.Name, fmt.Sprint(x.Server)), x.Reason)
 	}
-	for _, reason := range slices.Sorted(maps.Keys(n.Barred)) {
-		fmt.Fprintf(t, "barred\t%s\t%d times\n", reason, n.Barred[reason])
+	for _, reason := range slices.Sorted(maps.Keys(n.Excluded)) {
+		fmt.Fprintf(t, "barred\t%s\t%d times\n", reason, n.Excluded[reason])
 	}
 	fmt.Fprintf(t, "answer\t%s\n", cmp.Or(n.Answer, "none yet"))
-	if n.Moved {
+	if n.Migrated {
 		fmt.Fprintln(t, "moved\tasked to come again")
 	}
 }
--- a/constraints/actions.go
+++ b/constraints/actions.go
@@ -7,19 +7,19 @@
 )
 
 // actions is what decide does, past the deciders; see decide.Act.
-type actions struct{ *Host }
+type actions struct{ *ConstrainedBalancer }
 
 const triesKept = 8 // of one flow
 
 func (h actions) Connect(f decide.FlowID, s decide.ServerID, limit time.Duration) {
 	if l := h.flows[f]; l != nil {
 		l.server, l.out = s, true
-		if len(l.note.Sent) < triesKept {
-			l.note.Sent = append(l.note.Sent, Try{Server: s, Zone: h.zones[s], At: h.now.Seconds()})
+		if len(l.note.Attempts) < triesKept {
+			l.note.Attempts = append(l.note.Attempts, Attempt{Server: s, Zone: h.zones[s], At: h.now.Seconds()})
 		}
 	}
 	for _, d := range h.deciders {
-		d.Sent(f, s)
+		d.OnAttempt(f, s)
 	}
 	h.act.Connect(f, s, limit)
 }
@@ -34,19 +34,19 @@
 	h.answered(f, "aborted")
 }
 
-func (h actions) Move(f decide.FlowID) {
+func (h actions) Migrate(f decide.FlowID) {
 	if l := h.flows[f]; l != nil {
-		l.note.Moved = true
+		l.note.Migrated = true
 	}
 	for _, d := range h.deciders {
-		d.Moved(f)
+		d.OnMigration(f)
 	}
-	h.act.Move(f)
+	h.act.Migrate(f)
 }
 
-func (h actions) Cancel(f decide.FlowID, n int)                 { h.act.Cancel(f, n) }
-func (h actions) Probe(s decide.ServerID)                       { h.act.Probe(s) }
-func (h actions) Timer(m decide.TimerMark, after time.Duration) { h.act.Timer(m, after) }
-func (h actions) Watch(on bool)                                 { h.act.Watch(on) }
-func (h actions) Fetch()                                        { h.act.Fetch() }
-func (h actions) Log(s string)                                  { h.act.Log(s) }
+func (h actions) Cancel(f decide.FlowID, n int)                  { h.act.Cancel(f, n) }
+func (h actions) HealthCheck(s decide.ServerID)                  { h.act.HealthCheck(s) }
+func (h actions) SetTimer(m decide.TimerID, after time.Duration) { h.act.SetTimer(m, after) }
+func (h actions) WatchEndpoints(on bool)                         { h.act.WatchEndpoints(on) }
+func (h actions) FetchEndpoints()                                { h.act.FetchEndpoints() }
+func (h actions) Log(s string)                                   { h.act.Log(s) }
--- a/constraints/bench_test.go
+++ b/constraints/bench_test.go
@@ -16,11 +16,11 @@
 func (mute) Cancel(decide.FlowID, int)                             {}
 func (mute) Reject(decide.FlowID, time.Duration)                   {}
 func (mute) Abort(decide.FlowID)                                   {}
-func (mute) Move(decide.FlowID)                                    {}
-func (mute) Probe(decide.ServerID)                                 {}
-func (mute) Timer(decide.TimerMark, time.Duration)                 {}
-func (mute) Watch(bool)                                            {}
-func (mute) Fetch()                                                {}
+func (mute) Migrate(decide.FlowID)                                 {}
+func (mute) HealthCheck(decide.ServerID)                           {}
+func (mute) SetTimer(decide.TimerID, time.Duration)                {}
+func (mute) WatchEndpoints(bool)                                   {}
+func (mute) FetchEndpoints()                                       {}
 func (mute) Log(string)                                            {}
 
 // BenchmarkDecision is one flow from its coming to its end, by the number of servers, with and without halls.
@@ -29,34 +29,34 @@
 		for _, with := range []bool{false, true} {
 			b.Run(fmt.Sprintf("servers=%d/halls=%v", servers, with), func(b *testing.B) {
 				start := func(d *decide.Balancer) {
-					d.StartFlows(3, time.Second)
-					d.StartService(decide.Repeatable, decide.ReachAll, 300*time.Millisecond, 2*time.Second, 1)
-					d.StartCold(0.2, 3, 20*time.Second, 1500*time.Millisecond, 10)
-					d.StartPick(0.05, 0, true)
-					d.StartList("a", false, 10*time.Second, 250*time.Millisecond)
+					d.ConfigureFlows(3, time.Second)
+					d.AddService(decide.Idempotent, decide.DeduplicatedByFleet, 300*time.Millisecond, 2*time.Second, 1)
+					d.ConfigureSlowStart(0.2, 3, 20*time.Second, 1500*time.Millisecond, 10)
+					d.ConfigurePlacement(0.05, 0, true)
+					d.ConfigureEndpoints("a", false, 10*time.Second, 250*time.Millisecond)
 				}
-				var m constraints.Module
+				var m constraints.Balancer
 				if with {
 					h := locality.New(1, "a", nil, 0.3, 0, 60, 10, 300*time.Millisecond, 250*time.Millisecond, 20*time.Second, 0)
-					m = constraints.New(1, mute{}, []constraints.Decider{h}, start)
+					m = constraints.New(1, mute{}, []constraints.Constraint{h}, start)
 				} else {
 					d := decide.New(1, mute{})
 					start(d)
 					m = d
 				}
-				m.At(0)
-				m.ListBegin(decide.ListFull)
+				m.SetTime(0)
+				m.BeginEndpoints(decide.FullUpdate)
 				for s := range servers {
-					m.ListServer(decide.ServerID(s+1), decide.Zone([]string{"a", "b", "c"}[s%3]), 0, 1, decide.Ready, decide.LongAgo)
+					m.OnEndpoint(decide.ServerID(s+1), decide.Zone([]string{"a", "b", "c"}[s%3]), 0, 1, decide.Ready, decide.LongAgo)
 				}
-				m.ListEnd()
+				m.EndEndpoints()
 				b.ReportAllocs()
 				for i := 0; b.Loop(); i++ {
 					f := decide.FlowID(fmt.Sprint(i))
-					m.At(time.Duration(i) * time.Millisecond)
-					m.Flow(f, 0, -1, "", "g", time.Second, 0)
-					m.Established(f, time.Millisecond)
-					m.Ended(f, decide.OK, time.Millisecond, true)
+					m.SetTime(time.Duration(i) * time.Millisecond)
+					m.OnFlow(f, 0, -1, "", "g", time.Second, 0)
+					m.OnEstablished(f, time.Millisecond)
+					m.OnEnded(f, decide.OK, time.Millisecond, true)
 				}
 			})
 		}
--- a/constraints/none.go
+++ b/constraints/none.go
@@ -6,56 +6,57 @@
 	"yardwinch/decide"
 )
 
-// None objects to nothing.
-type None struct{}
+// Unconstrained objects to nothing.
+type Unconstrained struct{}
 
-// At needs no time.
-func (None) At(time.Duration) {}
+// SetTime needs no time.
+func (Unconstrained) SetTime(time.Duration) {}
 
-// Listed passes the list over.
-func (None) Listed(decide.ServerID, decide.Zone, float64, decide.Readiness, time.Duration) {}
+// OnEndpoint passes the list over.
+func (Unconstrained) OnEndpoint(decide.ServerID, decide.Zone, float64, decide.Readiness, time.Duration) {
+}
 
-// ListDone passes the end of a list call over.
-func (None) ListDone() {}
+// OnEndpointsUpdated passes the end of a list call over.
+func (Unconstrained) OnEndpointsUpdated() {}
 
-// Came passes new flows over.
-func (None) Came(decide.FlowID, decide.ServiceID, decide.CustomerID, decide.GroupKey) {}
+// OnFlow passes new flows over.
+func (Unconstrained) OnFlow(decide.FlowID, decide.ServiceID, decide.CustomerID, decide.GroupKey) {}
 
-// Sent passes connects over.
-func (None) Sent(decide.FlowID, decide.ServerID) {}
+// OnAttempt passes connects over.
+func (Unconstrained) OnAttempt(decide.FlowID, decide.ServerID) {}
 
-// Stood passes set-ups over.
-func (None) Stood(decide.FlowID, decide.ServerID, time.Duration) {}
+// OnEstablished passes set-ups over.
+func (Unconstrained) OnEstablished(decide.FlowID, decide.ServerID, time.Duration) {}
 
-// Over passes ends over.
-func (None) Over(decide.FlowID, decide.ServerID, decide.Outcome, bool) {}
+// OnEnded passes ends over.
+func (Unconstrained) OnEnded(decide.FlowID, decide.ServerID, decide.Outcome, bool) {}
 
-// Gone passes the end of flows over.
-func (None) Gone(decide.FlowID) {}
+// OnFlowRemoved passes the end of flows over.
+func (Unconstrained) OnFlowRemoved(decide.FlowID) {}
 
-// Late passes delays over.
-func (None) Late(decide.ServerID, time.Duration) {}
+// OnLatencySample passes delays over.
+func (Unconstrained) OnLatencySample(decide.ServerID, time.Duration) {}
 
-// Reported passes load reports over.
-func (None) Reported(decide.ServerID, float64) {}
+// OnLoadReport passes load reports over.
+func (Unconstrained) OnLoadReport(decide.ServerID, float64) {}
 
-// Moved passes moves over.
-func (None) Moved(decide.FlowID) {}
+// OnMigration passes moves over.
+func (Unconstrained) OnMigration(decide.FlowID) {}
 
-// Server bars no server and adds no cost.
-func (None) Server(decide.FlowID, decide.ServerID) (float64, Reason) { return 0, "" }
+// ServerCost bars no server and adds no cost.
+func (Unconstrained) ServerCost(decide.FlowID, decide.ServerID) (float64, Reason) { return 0, "" }
 
-// Admit lets everybody in.
-func (None) Admit(decide.FlowID) Reason { return "" }
+// AdmitFlow lets everybody in.
+func (Unconstrained) AdmitFlow(decide.FlowID) Reason { return "" }
 
-// Again leaves the wait as it was told.
-func (None) Again(_ decide.FlowID, told time.Duration) time.Duration { return told }
+// RetryAfter leaves the wait as it was told.
+func (Unconstrained) RetryAfter(_ decide.FlowID, told time.Duration) time.Duration { return told }
 
-// Move lets everybody move.
-func (None) Move(decide.FlowID) Reason { return "" }
+// AllowMigration lets everybody move.
+func (Unconstrained) AllowMigration(decide.FlowID) Reason { return "" }
 
-// First names no flow to move first.
-func (None) First() []decide.FlowID { return nil }
+// MigrateFirst names no flow to move first.
+func (Unconstrained) MigrateFirst() []decide.FlowID { return nil }
 
 // State has nothing to show.
-func (None) State() any { return nil }
+func (Unconstrained) State() any { return nil }
--- a/constraints/notes.go
+++ b/constraints/notes.go
@@ -8,40 +8,40 @@
 
 const notesKept = 4096 // of the last flows
 
-// Note is what is kept of one flow for whoever asks why it went where it did.
-type Note struct {
-	Flow   decide.FlowID   `json:"flow"`
-	Name   string          `json:"name,omitempty"` // as its client chose it
-	Came   float64         `json:"came_s"`
-	Group  decide.GroupKey `json:"group,omitempty"`
-	Sent   []Try           `json:"connects"`
-	Answer string          `json:"answer"`
-	Moved  bool            `json:"moved,omitempty"`
-	Dearer []Dearer        `json:"dearer,omitempty"` // servers that another decider made dearer, and why
-	Barred map[string]int  `json:"barred,omitempty"` // reasons, with how many servers each took out of view
+// Explanation is what is kept of one flow for whoever asks why it went where it did.
+type Explanation struct {
+	Flow       decide.FlowID   `json:"flow"`
+	Name       string          `json:"name,omitempty"` // as its client chose it
+	ArrivedAt  float64         `json:"came_s"`
+	Group      decide.GroupKey `json:"group,omitempty"`
+	Attempts   []Attempt       `json:"connects"`
+	Answer     string          `json:"answer"`
+	Migrated   bool            `json:"moved,omitempty"`
+	ExtraCosts []ExtraCost     `json:"dearer,omitempty"` // servers that another decider made dearer, and why
+	Excluded   map[string]int  `json:"barred,omitempty"` // reasons, with how many servers each took out of view
 }
 
-// Try is one connect.
-type Try struct {
-	Server decide.ServerID `json:"server"`
-	Name   string          `json:"name,omitempty"`
-	Zone   decide.Zone     `json:"zone"`
-	At     float64         `json:"at_s"`
-	Ended  string          `json:"ended,omitempty"`
+// Attempt is one connect.
+type Attempt struct {
+	Server  decide.ServerID `json:"server"`
+	Name    string          `json:"name,omitempty"`
+	Zone    decide.Zone     `json:"zone"`
+	At      float64         `json:"at_s"`
+	Outcome string          `json:"ended,omitempty"`
 }
 
-// Dearer is a server that a decider made dearer for a flow.
-type Dearer struct {
+// ExtraCost is a server that a decider made dearer for a flow.
+type ExtraCost struct {
 	Server decide.ServerID `json:"server"`
 	Name   string          `json:"name,omitempty"`
-	Why    string          `json:"why"`
+	Reason string          `json:"why"`
 }
 
 // Explainer is a decider that can say why it makes a server dearer; it is asked once for a flow and server.
-type Explainer interface{ Why(decide.ServerID) string }
+type Explainer interface{ ExplainCost(decide.ServerID) string }
 
-func (h *Host) note(f decide.FlowID, g decide.GroupKey) *live {
-	n := &Note{Flow: f, Name: h.nextName, Came: h.now.Seconds(), Group: g}
+func (h *ConstrainedBalancer) note(f decide.FlowID, g decide.GroupKey) *live {
+	n := &Explanation{Flow: f, Name: h.nextName, ArrivedAt: h.now.Seconds(), Group: g}
 	h.nextName = ""
 	if len(h.ring) < notesKept {
 		h.ring = append(h.ring, n)
@@ -55,30 +55,30 @@
 }
 
 // dearer keeps who made a server dearer for a flow that waits for its place, where that can be said.
-func (h *Host) dearer(f decide.FlowID, s decide.ServerID, d Decider) {
+func (h *ConstrainedBalancer) dearer(f decide.FlowID, s decide.ServerID, d Constraint) {
 	x, can := d.(Explainer)
 	l := h.flows[f]
-	if !can || l == nil || l.out || len(l.note.Dearer) >= triesKept ||
-		slices.ContainsFunc(l.note.Dearer, func(k Dearer) bool { return k.Server == s }) {
+	if !can || l == nil || l.out || len(l.note.ExtraCosts) >= triesKept ||
+		slices.ContainsFunc(l.note.ExtraCosts, func(k ExtraCost) bool { return k.Server == s }) {
 		return
 	}
 	h.acted[[2]string{d.Name(), "dearer"}]++
-	l.note.Dearer = append(l.note.Dearer, Dearer{Server: s, Why: d.Name() + ": " + x.Why(s)})
+	l.note.ExtraCosts = append(l.note.ExtraCosts, ExtraCost{Server: s, Reason: d.Name() + ": " + x.ExplainCost(s)})
 }
 
 // book counts a bound that acted; of a flow that waits for its place it is kept what stood in its way.
-func (h *Host) book(f decide.FlowID, d Decider, why Reason) {
+func (h *ConstrainedBalancer) book(f decide.FlowID, d Constraint, why Reason) {
 	h.acted[[2]string{d.Name(), string(why)}]++
 	if l := h.flows[f]; l != nil && !l.stands {
-		if l.note.Barred == nil {
-			l.note.Barred = map[string]int{}
+		if l.note.Excluded == nil {
+			l.note.Excluded = map[string]int{}
 		}
-		l.note.Barred[d.Name()+": "+string(why)]++
+		l.note.Excluded[d.Name()+": "+string(why)]++
 	}
 }
 
-// Acted is how often each bound acted, by decider and reason.
-func (h *Host) Acted() map[string]int {
+// Interventions is how often each bound acted, by decider and reason.
+func (h *ConstrainedBalancer) Interventions() map[string]int {
 	all := map[string]int{}
 	for k, n := range h.acted {
 		all[k[0]+": "+k[1]] += n
@@ -87,7 +87,7 @@
 }
 
 // States are what the deciders hold, by their names.
-func (h *Host) States() map[string]any {
+func (h *ConstrainedBalancer) States() map[string]any {
 	all := map[string]any{}
 	for _, d := range h.deciders {
 		all[d.Name()] = d.State()
@@ -95,20 +95,20 @@
 	return all
 }
 
-// Why is what is kept of a flow, by the module's id or by what its client called it; the newest where several fit.
-func (h *Host) Why(name string) (Note, bool) {
+// Explain is what is kept of a flow, by the module's id or by what its client called it; the newest where several fit.
+func (h *ConstrainedBalancer) Explain(name string) (Explanation, bool) {
 	for i := range h.ring {
 		n := h.ring[(h.oldest+len(h.ring)-1-i)%len(h.ring)]
 		if n.Name == name || string(n.Flow) == name {
 			c := *n
-			c.Sent, c.Dearer = slices.Clone(n.Sent), slices.Clone(n.Dearer)
+			c.Attempts, c.ExtraCosts = slices.Clone(n.Attempts), slices.Clone(n.ExtraCosts)
 			return c, true
 		}
 	}
-	return Note{}, false
+	return Explanation{}, false
 }
 
-func (h *Host) answered(f decide.FlowID, as string) {
+func (h *ConstrainedBalancer) answered(f decide.FlowID, as string) {
 	if l := h.flows[f]; l != nil {
 		l.note.Answer = as
 		if !l.out {
--- a/constraints/questions.go
+++ b/constraints/questions.go
@@ -7,11 +7,11 @@
 )
 
 // questions is what decide asks of the deciders; see decide.Bounds.
-type questions struct{ *Host }
+type questions struct{ *ConstrainedBalancer }
 
-func (h questions) Server(f decide.FlowID, s decide.ServerID) (extra float64, ok bool) {
+func (h questions) ServerCost(f decide.FlowID, s decide.ServerID) (extra float64, ok bool) {
 	for _, d := range h.deciders {
-		more, why := d.Server(f, s)
+		more, why := d.ServerCost(f, s)
 		if why != "" {
 			h.book(f, d, why)
 			return 0, false
@@ -23,9 +23,9 @@
 	return extra, true
 }
 
-func (h questions) Admit(f decide.FlowID) bool {
+func (h questions) AdmitFlow(f decide.FlowID) bool {
 	for _, d := range h.deciders {
-		if why := d.Admit(f); why != "" {
+		if why := d.AdmitFlow(f); why != "" {
 			h.book(f, d, why)
 			return false
 		}
@@ -33,20 +33,20 @@
 	return true
 }
 
-func (h questions) Again(f decide.FlowID, told time.Duration) time.Duration {
+func (h questions) RetryAfter(f decide.FlowID, told time.Duration) time.Duration {
 	if len(h.deciders) == 0 {
 		return told
 	}
 	after := time.Duration(0)
 	for _, d := range h.deciders {
-		after = max(after, d.Again(f, told))
+		after = max(after, d.RetryAfter(f, told))
 	}
 	return after
 }
 
-func (h questions) Move(f decide.FlowID) bool {
+func (h questions) AllowMigration(f decide.FlowID) bool {
 	for _, d := range h.deciders {
-		if why := d.Move(f); why != "" {
+		if why := d.AllowMigration(f); why != "" {
 			h.book(f, d, why)
 			return false
 		}
@@ -54,9 +54,9 @@
 	return true
 }
 
-func (h questions) First() (first []decide.FlowID) {
+func (h questions) MigrateFirst() (first []decide.FlowID) {
 	for _, d := range h.deciders {
-		first = append(first, d.First()...)
+		first = append(first, d.MigrateFirst()...)
 	}
 	return first
 }
--- a/decide/admission.go
+++ b/decide/admission.go
@@ -68,7 +68,7 @@
 		b.pace.pause = min(max(2*b.pace.pause, shortestGap*time.Duration(b.cold.peers)), longestPause)
 		least, most := min(b.pace.pause/2, longestShut*3/4), min(b.pace.pause*3/2, longestShut)
 		b.pace.opens = b.now + least + time.Duration(b.rng.unit()*float64(most-least))
-		b.act.Timer(lineMark, b.pace.opens-b.now)
+		b.actions.SetTimer(lineMark, b.pace.opens-b.now)
 	}
 }
 
--- a/decide/admission_test.go
+++ b/decide/admission_test.go
@@ -12,9 +12,9 @@
 // tells when connects went out, and when the first flow stood.
 func failing(t *testing.T, seed uint64, well, end time.Duration) (connects []time.Duration, stood time.Duration) {
 	const every, limit = 100 * ms, 90 * ms
-	s := start(t, Repeatable, ReachAll, 60)
+	s := start(t, Idempotent, DeduplicatedByFleet, 60)
 	s.b.rng = seeded(seed)
-	s.b.StartCold(0.2, 3, 20*sec, 1500*ms, 300)
+	s.b.ConfigureSlowStart(0.2, 3, 20*sec, 1500*ms, 300)
 	out := map[FlowID]time.Duration{}
 	for now := time.Duration(0); now < end; now += 10 * ms {
 		s.at(now)
@@ -22,17 +22,17 @@
 			if now >= sent+limit || now >= well {
 				delete(out, id)
 				if now >= well {
-					s.b.Established(id, now-sent)
+					s.b.OnEstablished(id, now-sent)
 					stood = max(stood, now)
 					return connects, stood
 				}
-				s.b.Ended(id, TimedOut, now-sent, false)
+				s.b.OnEnded(id, TimedOut, now-sent, false)
 			}
 		}
 		if now%every == 0 {
-			s.b.Flow(FlowID(fmt.Sprint(now)), 0, NoCustomer, "", "", limit, 0)
+			s.b.OnFlow(FlowID(fmt.Sprint(now)), 0, NoCustomer, "", "", limit, 0)
 		}
-		s.b.Timer(lineMark)
+		s.b.OnTimer(lineMark)
 		for id := range s.last {
 			if f := s.b.flows.byID[id]; f != nil && f.state == connecting && out[id] == 0 {
 				out[id] = now
@@ -86,26 +86,26 @@
 			s.b.health.limit.cut(0, 1)
 		}},
 		{"beyond their customer's share", Reset, func(s *script) {
-			s.b.StartCustomer(2)
+			s.b.AddCustomer(2)
 			for i := range 6 {
-				s.b.Held(FlowID(fmt.Sprint("o", i)), 0, 0, "", "", ServerID(1+i%3))
+				s.b.AdoptFlow(FlowID(fmt.Sprint("o", i)), 0, 0, "", "", ServerID(1+i%3))
 			}
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := start(t, Repeatable, ReachAll, 3)
+			s := start(t, Idempotent, DeduplicatedByFleet, 3)
 			c.before(s)
 			last, tries := time.Duration(0), 0
 			for at := time.Duration(0); at < trouble; at += 100 * ms {
 				s.at(at)
-				s.b.Timer(lineMark)
+				s.b.OnTimer(lineMark)
 				if at%tickEvery == 0 {
-					s.b.Timer(tickMark)
+					s.b.OnTimer(tickMark)
 				}
 				for i := range 3 { // where flows stand all servers are late
-					s.b.DelayNote(FlowID(fmt.Sprint("o", i)), 90*ms)
+					s.b.OnLatencySample(FlowID(fmt.Sprint("o", i)), 90*ms)
 				}
-				s.b.Flow(FlowID(fmt.Sprint("f", at)), 0, 0, "", "", sec, 0)
+				s.b.OnFlow(FlowID(fmt.Sprint("f", at)), 0, 0, "", "", sec, 0)
 				for len(s.last) > 0 {
 					for _, id := range slices.Sorted(maps.Keys(s.last)) {
 						if at-last > most {
@@ -114,7 +114,7 @@
 						last = at
 						tries++
 						delete(s.last, id)
-						s.b.Ended(id, c.end, ms, false)
+						s.b.OnEnded(id, c.end, ms, false)
 					}
 				}
 			}
--- a/decide/bookkeeping_test.go
+++ b/decide/bookkeeping_test.go
@@ -21,11 +21,11 @@
 }
 
 func newChanging(t *testing.T, servers int, probes bool, peers int, crossing float64) *changing {
-	c := &changing{script: start(t, Repeatable, ReachAll, servers), servers: servers}
-	c.b.StartCold(0.2, 3, 20*sec, 1500*ms, peers)
-	c.b.StartHealth(probes)
-	c.b.StartPick(crossing, 0.02, true)
-	c.list(ListFull, Ready, servers)
+	c := &changing{script: start(t, Idempotent, DeduplicatedByFleet, servers), servers: servers}
+	c.b.ConfigureSlowStart(0.2, 3, 20*sec, 1500*ms, peers)
+	c.b.ConfigureHealthChecks(probes)
+	c.b.ConfigurePlacement(crossing, 0.02, true)
+	c.list(FullUpdate, Ready, servers)
 	return c
 }
 
@@ -67,7 +67,7 @@
 
 func (c *changing) stands(id ServerID) {
 	if f, ok := takeFrom(&c.connecting, id); ok {
-		c.b.Established(f, 10*ms)
+		c.b.OnEstablished(f, 10*ms)
 		c.standing = append(c.standing, f)
 	}
 }
@@ -85,7 +85,7 @@
 func (c *changing) fails(id ServerID) {
 	if f, ok := takeFrom(&c.connecting, id); ok {
 		c.last = map[FlowID]ServerID{}
-		c.b.Ended(f, []Outcome{Error, Full, TimedOut, Unreachable}[int(id)%4], 10*ms, false)
+		c.b.OnEnded(f, []Outcome{Error, Full, TimedOut, Unreachable}[int(id)%4], 10*ms, false)
 		if c.last[f] != 0 {
 			c.connecting = append(c.connecting, f)
 		}
@@ -94,25 +94,25 @@
 
 func (c *changing) ends(id ServerID) {
 	if f, ok := takeFrom(&c.standing, id); ok {
-		c.b.Ended(f, []Outcome{OK, OK, Reset}[int(id)%3], sec, true)
+		c.b.OnEnded(f, []Outcome{OK, OK, Reset}[int(id)%3], sec, true)
 	}
 }
 
 func (c *changing) late(id ServerID) {
 	if len(c.standing) > 0 {
-		c.b.DelayNote(c.standing[int(id)%len(c.standing)], time.Duration(id%4)*200*ms)
+		c.b.OnLatencySample(c.standing[int(id)%len(c.standing)], time.Duration(id%4)*200*ms)
 	}
 }
 
 // tellAll tells a list that leaves one server out.
 func (c *changing) tellAll(without ServerID) {
-	c.b.ListBegin(ListFull)
+	c.b.BeginEndpoints(FullUpdate)
 	for id := ServerID(1); id <= ServerID(c.servers); id++ {
 		if id != without {
 			c.entry(id, Ready, LongAgo)
 		}
 	}
-	c.b.ListEnd()
+	c.b.EndEndpoints()
 }
 
 func (c *changing) actions() map[string]func(*rapid.T) {
@@ -128,21 +128,21 @@
 		"goes":     c.step(func(id ServerID) { c.change(id, Gone, LongAgo) }),
 		"restarts": c.step(func(id ServerID) { c.change(id, Ready, c.now) }),
 		"returns":  c.step(func(id ServerID) { c.change(id, Ready, LongAgo) }),
-		"banned":   c.step(func(id ServerID) { c.b.ByHand(id, true) }),
-		"unbanned": c.step(func(id ServerID) { c.b.ByHand(id, false) }),
+		"banned":   c.step(func(id ServerID) { c.b.SetDisabled(id, true) }),
+		"unbanned": c.step(func(id ServerID) { c.b.SetDisabled(id, false) }),
 		"whole":    c.step(c.tellAll),
 		"two lists in one tick": c.step(func(id ServerID) {
 			c.tellAll(id)
 			c.tellAll(1 + id%ServerID(c.servers))
 		}),
-		"reports": c.step(func(id ServerID) { c.b.Reported(id, float64(id%7)/5) }),
-		"tick":    c.step(func(ServerID) { c.b.Timer(tickMark); c.serveMoves() }),
+		"reports": c.step(func(id ServerID) { c.b.OnLoadReport(id, float64(id%7)/5) }),
+		"tick":    c.step(func(ServerID) { c.b.OnTimer(tickMark); c.serveMoves() }),
 		"all cold": c.step(func(ServerID) {
-			c.b.ListBegin(ListFull)
+			c.b.BeginEndpoints(FullUpdate)
 			for id := 1; id <= c.servers; id++ {
 				c.entry(ServerID(id), Ready, c.now)
 			}
-			c.b.ListEnd()
+			c.b.EndEndpoints()
 		}),
 	}
 }
@@ -153,7 +153,7 @@
 		var f FlowID
 		if n, _ := fmt.Sscanf(line, "move %s", &f); n == 1 {
 			c.standing = slices.DeleteFunc(c.standing, func(other FlowID) bool { return other == f })
-			c.b.Ended(f, OK, sec, true)
+			c.b.OnEnded(f, OK, sec, true)
 		}
 	}
 	c.did = c.did[:0]
--- a/decide/byhand_test.go
+++ b/decide/byhand_test.go
@@ -12,7 +12,7 @@
 func TestByHandWinsOverLists(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		const n = 4
-		s := start(t, Repeatable, ReachAll, n)
+		s := start(t, Idempotent, DeduplicatedByFleet, n)
 		var out [n + 1]bool
 		listed := [n + 1]Readiness{0, Ready, Ready, Ready, Ready}
 		now, flows := time.Duration(0), 0
@@ -25,7 +25,7 @@
 			}
 		}
 		whole := func(left int) { // a list that leaves one out
-			s.b.ListBegin(ListFull)
+			s.b.BeginEndpoints(FullUpdate)
 			for id := 1; id <= n; id++ {
 				if listed[id] = Ready; id == left {
 					listed[id] = Gone
@@ -33,16 +33,16 @@
 				}
 				s.entry(ServerID(id), Ready, LongAgo)
 			}
-			s.b.ListEnd()
+			s.b.EndEndpoints()
 		}
 		rt.Repeat(map[string]func(*rapid.T){
-			"out":      step(func(id int) { s.b.ByHand(ServerID(id), true); out[id] = true }),
-			"back":     step(func(id int) { s.b.ByHand(ServerID(id), false); out[id] = false }),
+			"out":      step(func(id int) { s.b.SetDisabled(ServerID(id), true); out[id] = true }),
+			"back":     step(func(id int) { s.b.SetDisabled(ServerID(id), false); out[id] = false }),
 			"drains":   step(func(id int) { s.change(ServerID(id), Draining, LongAgo); listed[id] = Draining }),
 			"goes":     step(func(id int) { s.change(ServerID(id), Gone, LongAgo); listed[id] = Gone }),
 			"restarts": step(func(id int) { s.change(ServerID(id), Ready, now); listed[id] = Ready }),
 			"whole":    step(whole),
-			"lost":     step(func(int) { s.b.ListBegin(ListFailed) }),
+			"lost":     step(func(int) { s.b.BeginEndpoints(FailedUpdate) }),
 			"flow": step(func(int) {
 				s.last = map[FlowID]ServerID{}
 				id := FlowID(fmt.Sprint(flows))
@@ -52,7 +52,7 @@
 					rt.Fatalf("sent to %d: out by hand %v, listed %d", to, out[to], listed[to])
 				}
 				if to != 0 {
-					s.b.Established(id, ms)
+					s.b.OnEstablished(id, ms)
 				}
 			}),
 			"": func(rt *rapid.T) {
@@ -69,14 +69,14 @@
 
 func TestByHand(t *testing.T) {
 	t.Run("standing flows leave", func(t *testing.T) {
-		s := start(t, Repeatable, ReachAll, 3)
+		s := start(t, Idempotent, DeduplicatedByFleet, 3)
 		s.held("o", 8, "", 1)
 		s.rest(2, 3)
-		s.b.ByHand(1, true)
+		s.b.SetDisabled(1, true)
 		moved := 0
 		for i := range 40 {
 			s.at(time.Duration(i) * tickEvery)
-			s.b.Timer(tickMark)
+			s.b.OnTimer(tickMark)
 			moved += s.count("move")
 		}
 		if moved < 8 {
@@ -84,22 +84,22 @@
 		}
 	})
 	t.Run("the return is cold, and health is forgotten", func(t *testing.T) {
-		s := start(t, Repeatable, ReachAll, 2)
+		s := start(t, Idempotent, DeduplicatedByFleet, 2)
 		s.held("o", 6, "", 1)
 		s.b.eject(s.b.list.byID[1])
-		s.b.ByHand(1, true)
-		s.b.ByHand(1, true) // two calls out need one back
+		s.b.SetDisabled(1, true)
+		s.b.SetDisabled(1, true) // two calls out need one back
 		s.at(5 * sec)
-		s.b.ByHand(1, false)
+		s.b.SetDisabled(1, false)
 		r := s.b.list.byID[1]
 		if w := s.b.warmth(r); w != 0.2 || r.ejected || r.open != 6 {
 			t.Errorf("warmth %v, ejected %v, %d open", w, r.ejected, r.open)
 		}
 	})
 	t.Run("all of them", func(t *testing.T) {
-		s := start(t, Repeatable, ReachAll, 2)
-		s.b.ByHand(1, true)
-		s.b.ByHand(2, true)
+		s := start(t, Idempotent, DeduplicatedByFleet, 2)
+		s.b.SetDisabled(1, true)
+		s.b.SetDisabled(2, true)
 		s.flow("a", "g", sec)
 		s.want("reject a")
 	})
--- a/decide/cost_test.go
+++ b/decide/cost_test.go
@@ -12,13 +12,13 @@
 func full(t *testing.T, servers, flows, groups int) *script {
 	s := &script{t: t, last: map[FlowID]ServerID{}, sent: map[ServerID]int{}}
 	s.b = New(7, s)
-	s.b.StartFlows(3, sec)
-	s.b.StartService(Repeatable, ReachAll, 300*ms, 2*sec, 1)
-	s.b.StartCold(0.2, 3, 20*sec, 1500*ms, 8100)
-	s.b.StartPick(0.02, 0.02, true)
-	s.b.StartList("z0", false, 10*sec, 100*ms)
+	s.b.ConfigureFlows(3, sec)
+	s.b.AddService(Idempotent, DeduplicatedByFleet, 300*ms, 2*sec, 1)
+	s.b.ConfigureSlowStart(0.2, 3, 20*sec, 1500*ms, 8100)
+	s.b.ConfigurePlacement(0.02, 0.02, true)
+	s.b.ConfigureEndpoints("z0", false, 10*sec, 100*ms)
 	s.at(0)
-	s.spread(ListCached, servers)
+	s.spread(CachedUpdate, servers)
 	for i := range flows {
 		s.come(i, groups)
 	}
@@ -26,20 +26,20 @@
 }
 
 // spread tells a whole list of so many servers in 25 zones.
-func (s *script) spread(k ListKind, servers int) {
-	s.b.ListBegin(k)
+func (s *script) spread(k UpdateKind, servers int) {
+	s.b.BeginEndpoints(k)
 	for i := 1; i <= servers; i++ {
-		s.b.ListServer(ServerID(i), Zone(fmt.Sprint("z", i%25)), CellID(i/8), 1, Ready, LongAgo)
+		s.b.OnEndpoint(ServerID(i), Zone(fmt.Sprint("z", i%25)), CellID(i/8), 1, Ready, LongAgo)
 	}
-	s.b.ListEnd()
+	s.b.EndEndpoints()
 }
 
 // come has one more flow of one of so many groups come and stand, a tenth of a millisecond after the last.
 func (s *script) come(i, groups int) FlowID {
 	f := FlowID(strconv.Itoa(i))
 	s.at(s.b.now + ms/10)
-	s.b.Flow(f, 0, NoCustomer, "", GroupKey(strconv.Itoa(i%groups)), sec, 0)
-	s.b.Established(f, 10*ms)
+	s.b.OnFlow(f, 0, NoCustomer, "", GroupKey(strconv.Itoa(i%groups)), sec, 0)
+	s.b.OnEstablished(f, 10*ms)
 	s.did = s.did[:0]
 	return f
 }
@@ -67,7 +67,7 @@
 			b.ReportAllocs()
 			from := processorTime()
 			for i := 0; b.Loop(); i++ {
-				s.b.Ended(s.come(flows+i, 15_000), OK, 10*ms, true)
+				s.b.OnEnded(s.come(flows+i, 15_000), OK, 10*ms, true)
 			}
 			reportProcessorTime(b, from)
 		})
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -42,7 +42,7 @@
 	shortestGap              = 8 * time.Millisecond    // between set-ups while all fail, over all balancers
 	firstPause, longestPause = time.Second, 16 * time.Second
 
-	tickMark, listMark, lineMark TimerMark = 1, 2, 3
+	tickMark, listMark, lineMark TimerID = 1, 2, 3
 )
 
 // transition makes every change of a flow's state, with the lease and the books that go with it.
@@ -79,20 +79,20 @@
 	}
 }
 
-// Flow takes a new flow.
-func (b *Balancer) Flow(id FlowID, s ServiceID, c CustomerID, _ FlowKey, g GroupKey, left time.Duration,
+// OnFlow takes a new flow.
+func (b *Balancer) OnFlow(id FlowID, s ServiceID, c CustomerID, _ FlowKey, g GroupKey, left time.Duration,
 	_ int) {
 	f := &flow{id: id, service: s, customer: c, group: g, came: b.now, due: b.now + left}
 	b.flows.byID[id] = f
-	if b.bounds != nil && !b.bounds.Admit(id) {
+	if b.constraints != nil && !b.constraints.AdmitFlow(id) {
 		b.answer(f)
 	} else {
 		b.place(f)
 	}
 }
 
-// Held takes over a connection that already stands on a server.
-func (b *Balancer) Held(id FlowID, s ServiceID, c CustomerID, _ FlowKey, g GroupKey, server ServerID) {
+// AdoptFlow takes over a connection that already stands on a server.
+func (b *Balancer) AdoptFlow(id FlowID, s ServiceID, c CustomerID, _ FlowKey, g GroupKey, server ServerID) {
 	f := &flow{id: id, service: s, customer: c, group: g, connects: 1, out: 1, server: b.list.server(server)}
 	b.flows.byID[id] = f
 	b.transition(f, established)
@@ -112,7 +112,7 @@
 	}
 	if !b.open() && !trial && b.now < b.patience(f) {
 		b.pace.line = append(b.pace.line, f)
-		b.act.Timer(lineMark, b.patience(f)-b.now)
+		b.actions.SetTimer(lineMark, b.patience(f)-b.now)
 		return
 	}
 	to := b.choose(f)
@@ -139,17 +139,17 @@
 	}
 	f.trial = to.ejected
 	b.transition(f, connecting)
-	b.act.Connect(f.id, to.id, b.connectLimit(f))
+	b.actions.Connect(f.id, to.id, b.connectLimit(f))
 }
 
 // connectLimit leaves half of the time for another connect, against a server that takes flows and never
 // answers. Less would cut off set-ups that are only slow, and what they share would do their work twice.
 func (b *Balancer) connectLimit(f *flow) time.Duration {
 	left, s := f.due-b.now, &b.services[f.service]
-	if f.mayRan && s.effect == Referenced {
+	if f.mayRan && s.effect == IdempotentByKey {
 		left = min(left, b.repeatUntil(f)-b.now) // a connection may come up late, and be sent on past the window
 	}
-	if s.effect == OnceOnly || f.connects >= b.flows.maxConnects {
+	if s.effect == NotIdempotent || f.connects >= b.flows.maxConnects {
 		return left
 	}
 	return max(left/2, min(left, s.target))
@@ -158,28 +158,28 @@
 // harmless says whether the client may be told that trying again does no harm.
 func (b *Balancer) harmless(f *flow) bool {
 	s := &b.services[f.service]
-	return s.effect == Repeatable || f.out == 0 && !f.mayRan || s.effect == Referenced && s.reach == ReachAll
+	return s.effect == Idempotent || f.out == 0 && !f.mayRan || s.effect == IdempotentByKey && s.reach == DeduplicatedByFleet
 }
 
 // answer gives the final answer at once; a flow given up on is never sat on.
 func (b *Balancer) answer(f *flow) {
 	again := b.flows.retryAfter
-	if b.bounds != nil && again > 0 {
-		again = min(b.bounds.Again(f.id, again), again)
+	if b.constraints != nil && again > 0 {
+		again = min(b.constraints.RetryAfter(f.id, again), again)
 	}
 	if f.connects == 0 {
 		b.pace.refused++
 	}
 	if b.harmless(f) {
-		b.act.Reject(f.id, again)
+		b.actions.Reject(f.id, again)
 	} else {
-		b.act.Abort(f.id)
+		b.actions.Abort(f.id)
 	}
 	b.transition(f, answered)
 }
 
-// Established: the connect stands.
-func (b *Balancer) Established(id FlowID, took time.Duration) {
+// OnEstablished: the connect stands.
+func (b *Balancer) OnEstablished(id FlowID, took time.Duration) {
 	f := b.flows.byID[id]
 	if f == nil || f.state != connecting {
 		return
@@ -194,8 +194,8 @@
 	}
 }
 
-// Ended: a connect or a connection came to its end. over tells that the client has its answer.
-func (b *Balancer) Ended(id FlowID, o Outcome, took time.Duration, over bool) {
+// OnEnded: a connect or a connection came to its end. over tells that the client has its answer.
+func (b *Balancer) OnEnded(id FlowID, o Outcome, took time.Duration, over bool) {
 	f := b.flows.byID[id]
 	if f == nil {
 		return
@@ -241,7 +241,7 @@
 func (b *Balancer) mayRepeat(f *flow) bool {
 	s := &b.services[f.service]
 	return f.out == 0 && b.now < f.due &&
-		(!f.mayRan || s.effect == Repeatable || s.effect == Referenced && b.now < b.repeatUntil(f))
+		(!f.mayRan || s.effect == Idempotent || s.effect == IdempotentByKey && b.now < b.repeatUntil(f))
 }
 
 // heldUp is how long a process may be held up between reading its clock and writing.
@@ -252,17 +252,17 @@
 	return f.ranAt + b.services[f.service].window - heldUp
 }
 
-func (b *Balancer) Left(id FlowID) {
+func (b *Balancer) OnClientLeft(id FlowID) {
 	if f := b.flows.byID[id]; f != nil {
 		b.transition(f, answered)
 	}
 }
 
-func (b *Balancer) Timer(m TimerMark) {
+func (b *Balancer) OnTimer(m TimerID) {
 	if m == tickMark {
 		b.tick()
 	} else if m == listMark {
-		b.act.Watch(true)
+		b.actions.WatchEndpoints(true)
 	}
 	b.serveLine()
 }
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -13,32 +13,32 @@
 	for _, c := range []struct {
 		name   string
 		effect Effect
-		reach  Reach
+		reach  DeduplicationScope
 		end    Outcome
 		at     time.Duration
 		want   string
 	}{
-		{"repeatable, error", Repeatable, ReachAll, Error, 10 * ms, again},
-		{"repeatable, timed out at its own limit", Repeatable, ReachAll, TimedOut, 300 * ms, again},
-		{"repeatable, at the connect timeout with over unset", Repeatable, ReachAll, TimedOut, 900 * ms, reject},
-		{"once-only, proved not run", OnceOnly, ReachAll, Full, 10 * ms, again},
-		{"once-only, unreachable", OnceOnly, ReachAll, Unreachable, 10 * ms, again},
-		{"once-only, never sent", OnceOnly, ReachAll, NeverSent, 10 * ms, again},
-		{"once-only, may have run", OnceOnly, ReachAll, Error, 10 * ms, abort},
-		{"once-only, reset", OnceOnly, ReachAll, Reset, 10 * ms, abort},
-		{"once-only, cancelled", OnceOnly, ReachAll, Cancelled, 10 * ms, abort},
-		{"once-only, at the connect timeout", OnceOnly, ReachAll, TimedOut, 900 * ms, abort},
-		{"once-only, not run, at the connect timeout", OnceOnly, ReachAll, Unreachable, 900 * ms, reject},
-		{"referenced, may have run", Referenced, ReachAll, Reset, 10 * ms, again},
-		{"referenced in a zone, at the connect timeout", Referenced, ReachZone, TimedOut, 900 * ms, abort},
-		{"referenced by all, at the connect timeout", Referenced, ReachAll, TimedOut, 900 * ms, reject},
+		{"repeatable, error", Idempotent, DeduplicatedByFleet, Error, 10 * ms, again},
+		{"repeatable, timed out at its own limit", Idempotent, DeduplicatedByFleet, TimedOut, 300 * ms, again},
+		{"repeatable, at the connect timeout with over unset", Idempotent, DeduplicatedByFleet, TimedOut, 900 * ms, reject},
+		{"once-only, proved not run", NotIdempotent, DeduplicatedByFleet, Full, 10 * ms, again},
+		{"once-only, unreachable", NotIdempotent, DeduplicatedByFleet, Unreachable, 10 * ms, again},
+		{"once-only, never sent", NotIdempotent, DeduplicatedByFleet, NeverSent, 10 * ms, again},
+		{"once-only, may have run", NotIdempotent, DeduplicatedByFleet, Error, 10 * ms, abort},
+		{"once-only, reset", NotIdempotent, DeduplicatedByFleet, Reset, 10 * ms, abort},
+		{"once-only, cancelled", NotIdempotent, DeduplicatedByFleet, Cancelled, 10 * ms, abort},
+		{"once-only, at the connect timeout", NotIdempotent, DeduplicatedByFleet, TimedOut, 900 * ms, abort},
+		{"once-only, not run, at the connect timeout", NotIdempotent, DeduplicatedByFleet, Unreachable, 900 * ms, reject},
+		{"referenced, may have run", IdempotentByKey, DeduplicatedByFleet, Reset, 10 * ms, again},
+		{"referenced in a zone, at the connect timeout", IdempotentByKey, DeduplicatedByZone, TimedOut, 900 * ms, abort},
+		{"referenced by all, at the connect timeout", IdempotentByKey, DeduplicatedByFleet, TimedOut, 900 * ms, reject},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := start(t, c.effect, c.reach, 6)
 			s.flow("a", "", 900*ms)
 			s.take()
 			s.at(c.at)
-			s.b.Ended("a", c.end, c.at, false)
+			s.b.OnEnded("a", c.end, c.at, false)
 			if got := s.take(); !strings.HasPrefix(got, c.want) || strings.Contains(got, ",") {
 				t.Errorf("did %q, want one %s", got, c.want)
 			}
@@ -49,29 +49,29 @@
 func TestWhereARepeatMayGo(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		reach Reach
-	}{{"zone", ReachZone}, {"cell", ReachCell}} {
+		reach DeduplicationScope
+	}{{"zone", DeduplicatedByZone}, {"cell", DeduplicatedByCell}} {
 		t.Run(c.name, func(t *testing.T) {
-			s := start(t, Referenced, c.reach, 8)
+			s := start(t, IdempotentByKey, c.reach, 8)
 			first := s.flow("a", "", 1900*ms)
 			for i := 1; i < 3; i++ {
 				s.at(time.Duration(i) * 10 * ms)
-				s.b.Ended("a", Error, 10*ms, false)
+				s.b.OnEnded("a", Error, 10*ms, false)
 				if got := s.last["a"]; (got-1)/2 != (first-1)/2 {
 					t.Fatalf("connect to %d after one at %d may have run", got, first)
 				}
 			}
 			s.take()
-			s.b.Ended("a", Error, 10*ms, false)
+			s.b.OnEnded("a", Error, 10*ms, false)
 			s.want("abort a")
 		})
 	}
 	t.Run("not past the window", func(t *testing.T) {
-		s := start(t, Referenced, ReachAll, 4)
+		s := start(t, IdempotentByKey, DeduplicatedByFleet, 4)
 		s.flow("a", "", 5*sec)
 		s.take()
 		s.at(2 * sec)
-		s.b.Ended("a", TimedOut, 2*sec, false)
+		s.b.OnEnded("a", TimedOut, 2*sec, false)
 		s.want("reject a")
 	})
 }
@@ -82,44 +82,44 @@
 		do   func(s *script)
 		want string
 	}{
-		{"no server at all", func(s *script) { s.list(ListFull, Gone, 4); s.flow("a", "", sec) }, "reject a"},
+		{"no server at all", func(s *script) { s.list(FullUpdate, Gone, 4); s.flow("a", "", sec) }, "reject a"},
 		{"connects used up", func(s *script) {
 			s.b.flows.maxConnects = 2
 			s.flow("a", "", sec)
 			for range 2 {
 				s.take()
-				s.b.Ended("a", Error, ms, false)
+				s.b.OnEnded("a", Error, ms, false)
 			}
 		}, "reject a"},
 		{"the client left: nothing more, and the late end is passed over", func(s *script) {
 			s.flow("a", "", sec)
 			s.take()
-			s.b.Left("a")
-			s.b.Ended("a", Error, ms, true)
-			s.b.Ended("a", Error, ms, true)
+			s.b.OnClientLeft("a")
+			s.b.OnEnded("a", Error, ms, true)
+			s.b.OnEnded("a", Error, ms, true)
 		}, ""},
 		{"left in the same batch as our answer", func(s *script) {
-			s.list(ListFull, Gone, 4)
+			s.list(FullUpdate, Gone, 4)
 			s.flow("a", "", sec)
 			s.take()
-			s.b.Left("a")
+			s.b.OnClientLeft("a")
 		}, ""},
 		{"over by the outcome", func(s *script) {
 			s.flow("a", "", sec)
 			s.take()
-			s.b.Ended("a", Reset, ms, true)
+			s.b.OnEnded("a", Reset, ms, true)
 		}, ""},
 		{"ids never held", func(s *script) {
-			s.b.Ended("x", OK, ms, true)
-			s.b.Established("x", ms)
-			s.b.DelayNote("x", sec)
-			s.b.LoadNote("x")
-			s.b.Left("x")
-			s.b.Probed(99, OK)
+			s.b.OnEnded("x", OK, ms, true)
+			s.b.OnEstablished("x", ms)
+			s.b.OnLatencySample("x", sec)
+			s.b.OnFlowLoad("x")
+			s.b.OnClientLeft("x")
+			s.b.OnHealthCheck(99, OK)
 		}, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := start(t, Repeatable, ReachAll, 4)
+			s := start(t, Idempotent, DeduplicatedByFleet, 4)
 			c.do(s)
 			s.want(c.want)
 		})
@@ -134,17 +134,17 @@
 		{"draining", func(s *script) { s.change(1, Draining, LongAgo) }},
 		{"gone", func(s *script) { s.change(1, Gone, LongAgo) }},
 		{"missing from a full list", func(s *script) {
-			s.b.ListBegin(ListFull)
+			s.b.BeginEndpoints(FullUpdate)
 			s.entry(2, Ready, LongAgo)
-			s.b.ListEnd()
+			s.b.EndEndpoints()
 		}},
 		{"still gone when the list fails", func(s *script) {
 			s.change(1, Gone, LongAgo)
-			s.b.ListBegin(ListFailed)
+			s.b.BeginEndpoints(FailedUpdate)
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := start(t, Repeatable, ReachAll, 2)
+			s := start(t, Idempotent, DeduplicatedByFleet, 2)
 			c.do(s)
 			for i := range 20 {
 				s.flow(FlowID(fmt.Sprint(i)), "g", sec)
@@ -155,31 +155,31 @@
 		})
 	}
 	t.Run("asked again after a failure", func(t *testing.T) {
-		s := start(t, Repeatable, ReachAll, 2)
-		s.b.StartList("z0", true, 10*sec, 100*ms)
+		s := start(t, Idempotent, DeduplicatedByFleet, 2)
+		s.b.ConfigureEndpoints("z0", true, 10*sec, 100*ms)
 		s.want("watch true")
-		s.b.ListBegin(ListFailed)
-		s.b.Timer(listMark)
+		s.b.BeginEndpoints(FailedUpdate)
+		s.b.OnTimer(listMark)
 		s.want("watch true")
 	})
 	t.Run("a restart in place leaves no ghost tally", func(t *testing.T) {
-		s := start(t, Repeatable, ReachAll, 2)
+		s := start(t, Idempotent, DeduplicatedByFleet, 2)
 		s.held("o", 5, "g", 1)
 		s.at(sec)
 		s.change(1, Ready, sec)
 		r := s.b.list.byID[1]
 		for i := range 5 {
-			s.b.Ended(FlowID(fmt.Sprint("o", i)), Reset, sec, true)
+			s.b.OnEnded(FlowID(fmt.Sprint("o", i)), Reset, sec, true)
 		}
 		if r.open != 0 || len(r.groups) != 0 || s.b.tallies.held != 0 {
 			t.Errorf("open %d, groups %v, held %d after the restart", r.open, r.groups, s.b.tallies.held)
 		}
 	})
 	t.Run("a lease that nobody confirms lapses", func(t *testing.T) {
-		s := start(t, Repeatable, ReachAll, 1)
+		s := start(t, Idempotent, DeduplicatedByFleet, 1)
 		s.flow("a", "g", sec)
 		s.at(12 * sec)
-		s.b.Timer(tickMark)
+		s.b.OnTimer(tickMark)
 		if r := s.b.list.byID[1]; r.open != 0 || len(r.groups) != 0 {
 			t.Errorf("open %d, groups %v", r.open, r.groups)
 		}
@@ -194,12 +194,12 @@
 	for _, within := range []time.Duration{2 * sec, 10 * sec, 60 * sec} {
 		least, most := told, time.Duration(0)
 		for seed := range uint64(50) {
-			s := start(t, Repeatable, ReachAll, 2)
-			s.b.StartList("z0", true, within, 100*ms)
+			s := start(t, Idempotent, DeduplicatedByFleet, 2)
+			s.b.ConfigureEndpoints("z0", true, within, 100*ms)
 			s.b.rng = seeded(seed)
 			for range 12 {
-				s.b.ListBegin(ListFailed)
-				s.b.ListEnd()
+				s.b.BeginEndpoints(FailedUpdate)
+				s.b.EndEndpoints()
 			}
 			least, most = min(least, s.wait[listMark]), max(most, s.wait[listMark])
 		}
@@ -222,7 +222,7 @@
 		{"half warm", 9 * sec, 11 * sec, 50},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := start(t, Repeatable, ReachAll, 3)
+			s := start(t, Idempotent, DeduplicatedByFleet, 3)
 			s.held("a", 20, "", 1)
 			s.held("b", 20, "", 2)
 			s.change(3, Ready, 0)
@@ -236,7 +236,7 @@
 		})
 	}
 	t.Run("what was not spent since the start is not spent at once", func(t *testing.T) {
-		s := start(t, Repeatable, ReachAll, 3)
+		s := start(t, Idempotent, DeduplicatedByFleet, 3)
 		s.b.cold.warmAfter = 60 * sec
 		s.held("a", 200, "", 1)
 		s.held("b", 200, "", 2)
@@ -245,7 +245,7 @@
 		for i := range 400 {
 			id := FlowID(fmt.Sprint("f", i))
 			s.flow(id, "", sec)
-			s.b.Established(id, ms)
+			s.b.OnEstablished(id, ms)
 		}
 		// A window of 1.5 s at three times a mean that rises from 140, and one flow by chance; all since the
 		// start is 100. Six windows pushed a server of cardiff-live over (hbf31a5): three balancers spent them at once.
@@ -254,7 +254,7 @@
 		}
 	})
 	t.Run("a part of one flow may lie longer, as few pass one of many", func(t *testing.T) {
-		s := start(t, Repeatable, ReachAll, 3)
+		s := start(t, Idempotent, DeduplicatedByFleet, 3)
 		s.held("a", 2, "", 1)
 		s.held("b", 2, "", 2)
 		s.change(3, Ready, 0)
@@ -265,7 +265,7 @@
 		}
 	})
 	t.Run("what came before it was heard of is not sent, nor twice by one that starts anew", func(t *testing.T) {
-		s := start(t, Repeatable, ReachAll, 2)
+		s := start(t, Idempotent, DeduplicatedByFleet, 2)
 		s.held("a", 200, "", 1)
 		s.held("b", 200, "", 2)
 		s.at(15 * sec)
@@ -280,8 +280,8 @@
 	t.Run("the customers' shares tell what a server of the usual fleet can do", func(t *testing.T) {
 		var sent [2]int
 		for i, quota := range []float64{0, 600} {
-			s := start(t, Repeatable, ReachAll, 2)
-			s.b.StartCustomer(quota)
+			s := start(t, Idempotent, DeduplicatedByFleet, 2)
+			s.b.AddCustomer(quota)
 			s.held("a", 3, "", 1)
 			s.held("b", 3, "", 2)
 			s.change(3, Ready, 0)
@@ -289,7 +289,7 @@
 				id := FlowID(fmt.Sprint("f", at))
 				s.at(at)
 				s.flow(id, "", sec)
-				s.b.Established(id, ms)
+				s.b.OnEstablished(id, ms)
 			}
 			sent[i] = s.sent[3]
 		}
@@ -301,19 +301,19 @@
 	t.Run("sizes told in another unit change nothing", func(t *testing.T) {
 		var sent [2]int
 		for i, unit := range []float64{1, 3} {
-			s := start(t, Repeatable, ReachAll, 0)
-			s.b.ListBegin(ListChanges)
+			s := start(t, Idempotent, DeduplicatedByFleet, 0)
+			s.b.BeginEndpoints(DeltaUpdate)
 			for id := ServerID(1); id <= 3; id++ {
-				s.b.ListServer(id, "z0", 0, unit, Ready, map[bool]time.Duration{true: 0, false: LongAgo}[id == 3])
+				s.b.OnEndpoint(id, "z0", 0, unit, Ready, map[bool]time.Duration{true: 0, false: LongAgo}[id == 3])
 			}
-			s.b.ListEnd()
+			s.b.EndEndpoints()
 			s.held("a", 20, "", 1)
 			s.held("b", 20, "", 2)
 			for at := 5 * sec; at < 14*sec; at += 100 * ms {
 				id := FlowID(fmt.Sprint("f", at))
 				s.at(at)
 				s.flow(id, "", sec)
-				s.b.Established(id, ms)
+				s.b.OnEstablished(id, ms)
 			}
 			sent[i] = s.sent[3]
 		}
@@ -324,7 +324,7 @@
 	t.Run("two hundred balancers with few flows each fill it by its warmth, together", func(t *testing.T) {
 		sent := 0
 		for n := range 200 {
-			s := start(t, Repeatable, ReachAll, 9)
+			s := start(t, Idempotent, DeduplicatedByFleet, 9)
 			s.b.rng = seeded(uint64(n))
 			s.held("a", 2, "", ServerID(1+n%9))
 			s.change(10, Ready, 0)
@@ -369,13 +369,13 @@
 			s.held("a", 8, "x", 1)
 			s.held("b", 8, "y", 2)
 			s.held("c", 8, "z", 3)
-			s.b.ListBegin(ListChanges)
-			s.b.ListServer(3, "z0", 0, 4, Ready, LongAgo)
-			s.b.ListEnd()
+			s.b.BeginEndpoints(DeltaUpdate)
+			s.b.OnEndpoint(3, "z0", 0, 4, Ready, LongAgo)
+			s.b.EndEndpoints()
 		}, 3},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := start(t, Repeatable, ReachAll, 3)
+			s := start(t, Idempotent, DeduplicatedByFleet, 3)
 			c.do(s)
 			if got := s.flow("f", "g", sec); got != c.want {
 				t.Errorf("placed on %d, want %d", got, c.want)
@@ -383,7 +383,7 @@
 		})
 	}
 	t.Run("all balancers agree on a new group's home", func(t *testing.T) {
-		a, b := start(t, Repeatable, ReachAll, 6), start(t, Repeatable, ReachAll, 6)
+		a, b := start(t, Idempotent, DeduplicatedByFleet, 6), start(t, Idempotent, DeduplicatedByFleet, 6)
 		b.b.rng = seeded(99)
 		for i := range 10 {
 			g := GroupKey(fmt.Sprint("g", i))
@@ -401,15 +401,15 @@
 		name string
 		turn func(s *script, g GroupKey, home ServerID)
 	}{
-		{"its connect failed there", func(s *script, g GroupKey, home ServerID) { s.b.Ended("a", Unreachable, 10*ms, false) }},
-		{"it answered with an error", func(s *script, g GroupKey, home ServerID) { s.b.Ended("a", Error, 10*ms, false) }},
+		{"its connect failed there", func(s *script, g GroupKey, home ServerID) { s.b.OnEnded("a", Unreachable, 10*ms, false) }},
+		{"it answered with an error", func(s *script, g GroupKey, home ServerID) { s.b.OnEnded("a", Error, 10*ms, false) }},
 		{"a standing flow was reset there", func(s *script, g GroupKey, home ServerID) {
-			s.b.Established("a", 10*ms)
-			s.b.Ended("a", Reset, sec, true)
+			s.b.OnEstablished("a", 10*ms)
+			s.b.OnEnded("a", Reset, sec, true)
 			s.flow("b", g, sec)
 		}},
 		{"a limit binds there", func(s *script, g GroupKey, home ServerID) {
-			s.b.Ended("a", Cancelled, 10*ms, true)
+			s.b.OnEnded("a", Cancelled, 10*ms, true)
 			s.b.list.byID[home].limit.cut(0, s.b.now)
 			s.flow("b", g, sec)
 		}},
@@ -419,8 +419,8 @@
 				g := GroupKey(fmt.Sprint("g", i))
 				next := map[ServerID]int{}
 				for seed := range uint64(20) {
-					s := start(t, Repeatable, ReachAll, 12)
-					s.b.StartCold(0.2, 3, 20*sec, 1500*ms, 200)
+					s := start(t, Idempotent, DeduplicatedByFleet, 12)
+					s.b.ConfigureSlowStart(0.2, 3, 20*sec, 1500*ms, 200)
 					s.b.rng = seeded(seed)
 					home := s.flow("a", g, sec)
 					s.at(10 * ms)
@@ -444,15 +444,15 @@
 
 // Where servers tell no delays a reset of a standing flow is all that one of many balancers hears of too much load.
 func TestResetsShowAShortFleet(t *testing.T) {
-	s := start(t, Repeatable, ReachAll, 6)
-	s.b.StartCold(0.2, 3, 20*sec, 1500*ms, 200)
+	s := start(t, Idempotent, DeduplicatedByFleet, 6)
+	s.b.ConfigureSlowStart(0.2, 3, 20*sec, 1500*ms, 200)
 	s.rest(1, 6)
-	s.b.Ended("r10", Reset, sec, true)
+	s.b.OnEnded("r10", Reset, sec, true)
 	if s.b.short() {
 		t.Error("one server of six makes the fleet short")
 	}
 	for _, id := range []FlowID{"r20", "r30", "r40"} {
-		s.b.Ended(id, Reset, sec, true)
+		s.b.OnEnded(id, Reset, sec, true)
 	}
 	if !s.b.short() {
 		t.Error("four servers of six that reset their flows leave the fleet in time")
@@ -471,16 +471,16 @@
 // Each case is a failure that was met; without its guard the count is far above.
 func TestTroubles(t *testing.T) {
 	t.Run("a meltdown of all set-ups is not fed by retries", func(t *testing.T) {
-		s := start(t, Repeatable, ReachAll, 6)
+		s := start(t, Idempotent, DeduplicatedByFleet, 6)
 		connects := 0
 		for i := range 400 {
 			s.at(time.Duration(i) * 10 * ms)
 			id := FlowID(fmt.Sprint(i))
 			s.flow(id, "", sec)
 			for range 4 {
-				s.b.Ended(id, Error, 5*ms, false)
+				s.b.OnEnded(id, Error, 5*ms, false)
 			}
-			s.b.Timer(lineMark)
+			s.b.OnTimer(lineMark)
 			connects += s.count("connect")
 		}
 		if connects > 400 {
@@ -488,13 +488,13 @@
 		}
 	})
 	t.Run("a server that sends its clients away looks the emptiest, and gets no newcomers", func(t *testing.T) {
-		s := start(t, Repeatable, ReachAll, 4)
+		s := start(t, Idempotent, DeduplicatedByFleet, 4)
 		s.held("a", 9, "", 1)
 		for r := ServerID(2); r <= 4; r++ {
 			s.held(fmt.Sprint("r", r), 9, "", r)
 		}
 		for i := range 9 {
-			s.b.Ended(FlowID(fmt.Sprint("a", i)), Full, sec, true)
+			s.b.OnEnded(FlowID(fmt.Sprint("a", i)), Full, sec, true)
 		}
 		for i := range 9 {
 			s.flow(FlowID(fmt.Sprint(i)), "", sec)
@@ -513,41 +513,41 @@
 			since time.Duration
 			want  bool
 		}{{OK, sec, false}, {OK, 3 * sec, true}, {TimedOut, 3 * sec, false}, {TimedOut, 13 * sec, true}} {
-			s := start(t, Repeatable, ReachAll, 4)
+			s := start(t, Idempotent, DeduplicatedByFleet, 4)
 			s.rest(2, 4)
 			s.held("a", 9, "", 1)
 			for i := range 9 {
 				s.flow(FlowID(fmt.Sprint(i)), "", sec)
-				s.b.Established(FlowID(fmt.Sprint(i)), 250*ms)
+				s.b.OnEstablished(FlowID(fmt.Sprint(i)), 250*ms)
 			}
 			if s.flow("last", "", sec); c.last == OK {
-				s.b.Established("last", 250*ms)
+				s.b.OnEstablished("last", 250*ms)
 			} else {
-				s.b.Ended("last", c.last, sec, true)
+				s.b.OnEnded("last", c.last, sec, true)
 			}
 			s.take()
 			s.at(c.since)
-			s.b.DelayNote("a0", 700*ms)
+			s.b.OnLatencySample("a0", 700*ms)
 			if n := s.count("move"); (n > 0) != c.want {
 				t.Errorf("%v after a set-up that ended %d, %d are moved", c.since, c.last, n)
 			}
 		}
 	})
 	t.Run("while all fail, a flow that failed is answered, not tried everywhere", func(t *testing.T) {
-		s := start(t, Repeatable, ReachAll, 6)
+		s := start(t, Idempotent, DeduplicatedByFleet, 6)
 		for i := range 3 {
 			s.flow(FlowID(fmt.Sprint(i)), "", sec)
 		}
-		s.b.Ended("0", Error, ms, false)
-		s.b.Ended("1", Error, ms, false)
+		s.b.OnEnded("0", Error, ms, false)
+		s.b.OnEnded("1", Error, ms, false)
 		s.take()
-		s.b.Ended("2", Error, ms, false)
+		s.b.OnEnded("2", Error, ms, false)
 		s.want("reject 2")
 	})
 	for _, c := range []struct{ peers, most int }{{1, 48}, {200, 1}} {
 		t.Run(fmt.Sprint("a mass return goes out in parts, balancers: ", c.peers), func(t *testing.T) {
-			s := start(t, Repeatable, ReachAll, 6)
-			s.b.StartCold(0.2, 3, 20*sec, 1500*ms, c.peers)
+			s := start(t, Idempotent, DeduplicatedByFleet, 6)
+			s.b.ConfigureSlowStart(0.2, 3, 20*sec, 1500*ms, c.peers)
 			for i := range 60 {
 				s.flow(FlowID(fmt.Sprint(i)), "", 2*sec)
 			}
@@ -556,7 +556,7 @@
 			}
 			s.at(400 * ms)
 			for id := range s.last { // one or all stand, later than wanted
-				s.b.Established(id, 400*ms)
+				s.b.OnEstablished(id, 400*ms)
 			}
 			if gap := s.b.pace.opens - 400*ms; c.peers > 1 && gap < 500*ms {
 				t.Errorf("the next after %v", gap)
@@ -564,84 +564,84 @@
 		})
 	}
 	t.Run("a server that takes flows and never answers leaves time for another", func(t *testing.T) {
-		s := start(t, Repeatable, ReachAll, 2)
+		s := start(t, Idempotent, DeduplicatedByFleet, 2)
 		first := s.flow("a", "", 2*sec)
 		if limit := s.b.connectLimit(s.b.flows.byID["a"]); limit > sec {
 			t.Fatalf("the connect may take %v of 2s", limit)
 		}
 		s.at(sec)
-		s.b.Ended("a", TimedOut, sec, false)
+		s.b.OnEnded("a", TimedOut, sec, false)
 		if s.last["a"] == first {
 			t.Errorf("sent to %d again", first)
 		}
 	})
 	t.Run("a given up flow in line is answered by its setup target", func(t *testing.T) {
-		s := start(t, Repeatable, ReachAll, 4)
+		s := start(t, Idempotent, DeduplicatedByFleet, 4)
 		s.b.pace.opens = 10 * sec
 		s.flow("a", "", 2*sec)
 		s.want("")
 		s.at(300 * ms)
-		s.b.Timer(lineMark)
+		s.b.OnTimer(lineMark)
 		s.want("reject a")
 	})
 	t.Run("a fast failing server does not draw the flows", func(t *testing.T) {
-		s := start(t, Repeatable, ReachAll, 4)
+		s := start(t, Idempotent, DeduplicatedByFleet, 4)
 		for i := range 100 {
 			s.at(time.Duration(i) * 50 * ms)
 			id := FlowID(fmt.Sprint(i))
-			for s.flow(id, "", sec); s.last[id] == 1; s.b.Ended(id, Error, ms, false) {
+			for s.flow(id, "", sec); s.last[id] == 1; s.b.OnEnded(id, Error, ms, false) {
 			}
-			s.b.Established(id, 10*ms)
+			s.b.OnEstablished(id, 10*ms)
 		}
 		if s.sent[1] > 15 {
 			t.Errorf("%d of 100 flows went to the failing server", s.sent[1])
 		}
 	})
 	t.Run("a silent server is left, a part at a time", func(t *testing.T) {
-		s := start(t, Repeatable, ReachAll, 4)
+		s := start(t, Idempotent, DeduplicatedByFleet, 4)
 		s.held("o", 16, "", 1)
 		s.b.list.byID[1].silent = 2
-		s.b.Timer(tickMark)
+		s.b.OnTimer(tickMark)
 		if n := s.count("move"); n != 3 {
 			t.Errorf("%d moves in one tick, want 3 of 16", n)
 		}
 	})
 	t.Run("a silent server is not hammered while the others are full, and comes back cold", func(t *testing.T) {
-		s := start(t, Repeatable, ReachAll, 2)
+		s := start(t, Idempotent, DeduplicatedByFleet, 2)
 		s.held("o", 8, "", 2)
 		s.b.tooMany(s.b.list.byID[2])
 		for i := range 100 {
 			s.at(time.Duration(i) * 20 * ms)
 			id := FlowID(fmt.Sprint(i))
 			s.flow(id, "", sec)
-			s.b.Ended(id, Unreachable, 10*ms, false)
+			s.b.OnEnded(id, Unreachable, 10*ms, false)
 		}
 		if s.sent[1] > 5 {
 			t.Errorf("%d connects to a server where nobody is", s.sent[1])
 		}
 		s.at(20 * sec)
 		s.flow("back", "", sec)
-		s.b.Established("back", ms)
+		s.b.OnEstablished("back", ms)
 		if r := s.b.list.byID[1]; s.b.warmth(r) > 0.3 {
 			t.Errorf("taken for %v warm when it answers again", s.b.warmth(r))
 		}
 	})
 	t.Run("a load note shows that a server lives", func(t *testing.T) {
-		s := start(t, Repeatable, ReachAll, 4)
+		s := start(t, Idempotent, DeduplicatedByFleet, 4)
 		for i := range 4 {
 			s.held(fmt.Sprint("o", i), 4, "", ServerID(i+1))
 		}
 		s.b.list.byID[1].silent = 2
-		s.b.LoadNote("o03")
-		s.b.Timer(tickMark)
+		s.b.OnFlowLoad("o03")
+		s.b.OnTimer(tickMark)
 		s.want("")
 	})
 	t.Run("a late server's smallest groups go first, a part at a time", func(t *testing.T) {
-		s := start(t, Repeatable, ReachAll, 6)
+		s := start(t, Idempotent, DeduplicatedByFleet, 6)
 		s.held("big", 8, "big", 1)
 		s.held("one", 1, "one", 1)
 		s.rest(2, 6)
-		s.b.DelayNote("big0", 300*ms)
+		s.b.OnLatencySample("big0", 300*ms)
 		if got := s.take(); !strings.HasPrefix(got, "move one0") || strings.Count(got, "move") > 2 {
 			t.Errorf("did %q", got)
 		}
@@ -658,12 +658,12 @@
 		t.Run("of many balancers, "+c.name, func(t *testing.T) {
 			moves := 0
 			for n := range 200 {
-				s := start(t, Repeatable, ReachAll, 6)
+				s := start(t, Idempotent, DeduplicatedByFleet, 6)
 				s.b.rng, s.b.cold.peers = seeded(uint64(n)), 200
 				s.held("o", 1, "", 1)
 				s.b.list.byID[1].delay = 200 * ms
 				s.at(sec)
-				s.b.DelayNote("o0", c.delay)
+				s.b.OnLatencySample("o0", c.delay)
 				moves += s.count("move")
 			}
 			if moves < c.from || moves > c.to {
@@ -672,25 +672,25 @@
 		})
 	}
 	t.Run("a server that was late is home to nobody for a while", func(t *testing.T) {
-		a := start(t, Repeatable, ReachAll, 6)
+		a := start(t, Idempotent, DeduplicatedByFleet, 6)
 		home := a.flow("a", "g", sec)
-		a.b.Established("a", ms)
+		a.b.OnEstablished("a", ms)
 		a.b.health.setups = []time.Duration{sec} // not calm: nothing is moved
 		a.at(ms)
-		a.b.DelayNote("a", 200*ms)
-		a.b.Ended("a", OK, sec, true)
+		a.b.OnLatencySample("a", 200*ms)
+		a.b.OnEnded("a", OK, sec, true)
 		a.at(5 * sec)
 		if x := a.flow("x", "g", sec); x == home {
 			t.Errorf("on %d, the late home", x)
 		}
 	})
 	t.Run("no move into a slowdown that all set-ups share", func(t *testing.T) {
-		s := start(t, Repeatable, ReachAll, 4)
+		s := start(t, Idempotent, DeduplicatedByFleet, 4)
 		s.held("o", 8, "", 1)
 		s.flow("a", "", sec)
-		s.b.Established("a", 290*ms)
+		s.b.OnEstablished("a", 290*ms)
 		s.take()
-		s.b.DelayNote("o0", 90*ms)
+		s.b.OnLatencySample("o0", 90*ms)
 		s.want("")
 	})
 	for _, c := range []struct {
@@ -699,12 +699,12 @@
 		room  bool
 	}{{"one late message may be a pause", 1, true}, {"a second is too much load", 2, false}} {
 		t.Run(c.name, func(t *testing.T) {
-			s := start(t, Repeatable, ReachAll, 6)
+			s := start(t, Idempotent, DeduplicatedByFleet, 6)
 			s.held("o", 10, "", 1)
 			s.rest(2, 6)
 			for i := range c.notes {
 				s.at(time.Duration(i) * sec)
-				s.b.DelayNote("o9", 150*ms)
+				s.b.OnLatencySample("o9", 150*ms)
 			}
 			if r := s.b.list.byID[1]; s.b.room(&flow{}, r, view{}) != c.room {
 				t.Errorf("room %v with %d open, limit %v", !c.room, r.open, r.limit.held)
@@ -712,7 +712,7 @@
 		})
 	}
 	t.Run("a fleet past what it bears rejects rather than tips", func(t *testing.T) {
-		s := start(t, Repeatable, ReachAll, 2)
+		s := start(t, Idempotent, DeduplicatedByFleet, 2)
 		for r := range 2 {
 			s.held(fmt.Sprint("o", r), 10, "", ServerID(r+1))
 			s.b.tooMany(s.b.list.byID[ServerID(r+1)])
@@ -725,12 +725,12 @@
 			peers, resets int
 			limited       bool
 		}{{2, 1, false}, {2, 2, true}, {40, 1, true}} {
-			s := start(t, Repeatable, ReachAll, 2)
-			s.b.StartCold(0.2, 3, 20*sec, 1500*ms, c.peers)
+			s := start(t, Idempotent, DeduplicatedByFleet, 2)
+			s.b.ConfigureSlowStart(0.2, 3, 20*sec, 1500*ms, c.peers)
 			s.held("a", 9, "", 1)
 			s.at(sec)
 			for i := range c.resets {
-				s.b.Ended(FlowID(fmt.Sprint("a", i)), Reset, sec, true)
+				s.b.OnEnded(FlowID(fmt.Sprint("a", i)), Reset, sec, true)
 			}
 			if got := s.b.list.byID[1].limit.at != 0; got != c.limited {
 				t.Errorf("%d balancers, %d resets: limited %v", c.peers, c.resets, got)
@@ -738,16 +738,16 @@
 		}
 	})
 	t.Run("a server that drops all newcomers doesn't draw them for ever", func(t *testing.T) {
-		s := start(t, Repeatable, ReachAll, 3)
+		s := start(t, Idempotent, DeduplicatedByFleet, 3)
 		s.held("b", 3, "x", 2)
 		s.held("c", 3, "y", 3)
 		for i := range 50 {
 			s.at(time.Duration(i) * 100 * ms)
 			id := FlowID(fmt.Sprint(i))
 			s.flow(id, "", sec)
-			s.b.Established(id, ms)
+			s.b.OnEstablished(id, ms)
 			if s.last[id] == 1 {
-				s.b.Ended(id, Reset, ms, true)
+				s.b.OnEnded(id, Reset, ms, true)
 			}
 		}
 		if s.sent[1] > 4 {
@@ -763,25 +763,25 @@
 		{"one whose backlog shrinks keeps them", 500 * ms, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := start(t, Repeatable, ReachAll, 2)
+			s := start(t, Idempotent, DeduplicatedByFleet, 2)
 			s.held("a", 8, "", 1)
 			s.held("b", 8, "", 2)
-			s.b.DelayNote("b0", 800*ms)
-			s.b.DelayNote("a0", 800*ms)
+			s.b.OnLatencySample("b0", 800*ms)
+			s.b.OnLatencySample("a0", 800*ms)
 			s.take()
 			s.at(sec)
-			s.b.DelayNote("a0", c.delay)
+			s.b.OnLatencySample("a0", c.delay)
 			if n := s.count("move"); n != c.moves {
 				t.Errorf("%d moves, want %d", n, c.moves)
 			}
 		})
 	}
 	t.Run("one of many is short only by more than chance, and then takes fewer in all", func(t *testing.T) {
-		s := start(t, Repeatable, ReachAll, 60)
+		s := start(t, Idempotent, DeduplicatedByFleet, 60)
 		s.b.cold.peers, s.b.health.setups = 200, []time.Duration{sec} // not calm: none is moved
 		s.rest(1, 8)
 		for i, short := range []bool{false, false, false, true, true, true, true, true} {
-			s.b.DelayNote(FlowID(fmt.Sprintf("r%d0", i+1)), 80*ms)
+			s.b.OnLatencySample(FlowID(fmt.Sprintf("r%d0", i+1)), 80*ms)
 			s.b.tooMany(s.b.list.byID[ServerID(i+1)])
 			if s.b.short() != short {
 				t.Errorf("short %v with %d of 8 late", !short, i+1)
@@ -792,17 +792,17 @@
 		s.want("reject a") // however many servers are left that it knows nothing of
 	})
 	t.Run("when short, traffic beyond a share goes first", func(t *testing.T) {
-		s := start(t, Repeatable, ReachAll, 3)
-		s.b.StartCustomer(2)
-		s.b.StartCustomer(50)
+		s := start(t, Idempotent, DeduplicatedByFleet, 3)
+		s.b.AddCustomer(2)
+		s.b.AddCustomer(50)
 		for i := range 3 {
-			s.b.Held(FlowID(fmt.Sprint("o", i)), 0, 0, "", "", 1)
+			s.b.AdoptFlow(FlowID(fmt.Sprint("o", i)), 0, 0, "", "", 1)
 		}
-		s.b.DelayNote("o0", 90*ms)
+		s.b.OnLatencySample("o0", 90*ms)
 		s.take()
-		s.b.Flow("over", 0, 0, "", "", sec, 0)
+		s.b.OnFlow("over", 0, 0, "", "", sec, 0)
 		s.want("reject over")
-		s.b.Flow("within", 0, 1, "", "", sec, 0)
+		s.b.OnFlow("within", 0, 1, "", "", sec, 0)
 		if got := s.take(); !strings.HasPrefix(got, "connect within") {
 			t.Errorf("did %q", got)
 		}
@@ -812,24 +812,27 @@
 // A repeat of a referenced flow that is decided within its window and whose connection comes up late must not be sent on past it: its time
 // ends with the window, however much of the client's is left.
 func TestRepeatEndsWithItsWindow(t *testing.T) {
-	s := start(t, Referenced, ReachAll, 4) // a window of 2 s
+	s := start(t, IdempotentByKey, DeduplicatedByFleet, 4) // a window of 2 s
 	s.at(sec)
-	s.b.Flow("a", 0, NoCustomer, "", "", 60*sec, 0)
+	s.b.OnFlow("a", 0, NoCustomer, "", "", 60*sec, 0)
 	s.at(2500 * ms)
 	var limit time.Duration
-	s.b.act = limits{s, &limit}
-	s.b.Ended("a", Reset, 1500*ms, false)
+	s.b.actions = limits{s, &limit}
+	s.b.OnEnded("a", Reset, 1500*ms, false)
 	if limit <= 0 || limit > 500*ms {
 		t.Errorf("the repeat has %v, 500 ms of the window are left", limit)
 	}
 }
 
 type limits struct {
-	Act
+	Actions
 	last *time.Duration
 }
 
-func (l limits) Connect(f FlowID, r ServerID, d time.Duration) { *l.last = d; l.Act.Connect(f, r, d) }
+func (l limits) Connect(f FlowID, r ServerID, d time.Duration) {
+	*l.last = d
+	l.Actions.Connect(f, r, d)
+}
 
 // What a flow took of a cold server's budget is given back once if nothing of it came there, whether its client went or it goes elsewhere; and
 // is not if anything did.
@@ -839,22 +842,26 @@
 		end  func(b *Balancer)
 		back bool
 	}{
-		{"the client went before the pick", func(b *Balancer) { b.Left("a"); b.Ended("a", NeverSent, 0, true) }, true},
-		{"the client went while the connect was out", func(b *Balancer) { b.Left("a"); b.Ended("a", NeverSent, ms, true); b.Ended("a", NeverSent, ms, true) }, true},
-		{"the server drains", func(b *Balancer) { b.Ended("a", NeverSent, ms, false) }, true},
-		{"nobody there", func(b *Balancer) { b.Ended("a", Unreachable, ms, false) }, false},
-		{"full", func(b *Balancer) { b.Ended("a", Full, ms, false) }, false},
-		{"the client went, the line did too", func(b *Balancer) { b.Left("a"); b.Ended("a", Cancelled, ms, true) }, false},
+		{"the client went before the pick", func(b *Balancer) { b.OnClientLeft("a"); b.OnEnded("a", NeverSent, 0, true) }, true},
+		{"the client went while the connect was out", func(b *Balancer) {
+			b.OnClientLeft("a")
+			b.OnEnded("a", NeverSent, ms, true)
+			b.OnEnded("a", NeverSent, ms, true)
+		}, true},
+		{"the server drains", func(b *Balancer) { b.OnEnded("a", NeverSent, ms, false) }, true},
+		{"nobody there", func(b *Balancer) { b.OnEnded("a", Unreachable, ms, false) }, false},
+		{"full", func(b *Balancer) { b.OnEnded("a", Full, ms, false) }, false},
+		{"the client went, the line did too", func(b *Balancer) { b.OnClientLeft("a"); b.OnEnded("a", Cancelled, ms, true) }, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := start(t, OnceOnly, ReachAll, 1)
-			s.b.StartFlows(1, 0)
+			s := start(t, NotIdempotent, DeduplicatedByFleet, 1)
+			s.b.ConfigureFlows(1, 0)
 			r := s.b.list.byID[1]
 			s.at(10 * sec)
 			s.b.coldStart(r, 10*sec)
 			s.at(15 * sec)
 			r.coldDue = 9
-			s.b.Flow("a", 0, NoCustomer, "", "", sec, 0)
+			s.b.OnFlow("a", 0, NoCustomer, "", "", sec, 0)
 			want := r.coldSent
 			if want == 0 || s.sent[1] != 1 {
 				t.Fatalf("%d spent after the connect: %v", r.coldSent, s.did)
--- a/decide/handedover_test.go
+++ b/decide/handedover_test.go
@@ -14,11 +14,11 @@
 			s.at(at)
 			id := FlowID(fmt.Sprint("f", at))
 			s.flow(id, "", sec)
-			s.b.Established(id, ms)
+			s.b.OnEstablished(id, ms)
 		}
 	}
 	begin := func() *script {
-		s := start(t, Repeatable, ReachAll, 3)
+		s := start(t, Idempotent, DeduplicatedByFleet, 3)
 		s.held("a", 200, "", 1)
 		s.held("b", 200, "", 2)
 		s.change(3, Ready, 0)
@@ -31,22 +31,22 @@
 		t.Fatal("the cold server is sent nothing in any case")
 	}
 	s := begin()
-	memory := s.b.Memory()
-	s.b.HandedOver(true)
+	memory := s.b.Snapshot()
+	s.b.SetHandedOver(true)
 	offer(s, 2*sec, 4*sec)
 	if s.sent[3] != 0 {
 		t.Errorf("the predecessor spends %d of a budget that it handed over", s.sent[3])
 	}
-	successor := start(t, Repeatable, ReachAll, 3)
+	successor := start(t, Idempotent, DeduplicatedByFleet, 3)
 	successor.at(2 * sec)
-	successor.b.Remember(memory)
+	successor.b.Restore(memory)
 	successor.held("a", 200, "", 1)
 	successor.held("b", 200, "", 2)
 	offer(successor, 2*sec, 4*sec)
 	if both := s.sent[3] + successor.sent[3]; both > alone.sent[3]+1 { // one by chance
 		t.Errorf("both send %d, one process sends %d", both, alone.sent[3])
 	}
-	s.b.HandedOver(false)
+	s.b.SetHandedOver(false)
 	offer(s, 4*sec, 4*sec+20*ms)
 	if s.sent[3] > 1 {
 		t.Errorf("as the successor is gone %d are sent at once", s.sent[3])
@@ -62,13 +62,13 @@
 	const window, heldUp = 2 * sec, 150 * ms
 	for _, left := range []time.Duration{500 * ms, 200 * ms, 160 * ms, 150 * ms, 100 * ms, ms} {
 		t.Run(left.String(), func(t *testing.T) {
-			s := start(t, Referenced, ReachAll, 4)
+			s := start(t, IdempotentByKey, DeduplicatedByFleet, 4)
 			s.at(sec)
-			s.b.Flow("a", 0, NoCustomer, "", "", 60*sec, 0)
+			s.b.OnFlow("a", 0, NoCustomer, "", "", 60*sec, 0)
 			s.at(sec + window - left)
 			limit := time.Duration(-1)
-			s.b.act = limits{s, &limit}
-			s.b.Ended("a", Reset, window-left, false)
+			s.b.actions = limits{s, &limit}
+			s.b.OnEnded("a", Reset, window-left, false)
 			if room := left - heldUp; room > 0 && (limit <= 0 || limit > room) || room <= 0 && limit >= 0 {
 				t.Errorf("with %v left the repeat has %v", left, limit)
 			}
--- a/decide/health.go
+++ b/decide/health.go
@@ -73,15 +73,15 @@
 	}
 }
 
-// LoadNote: a connection's load now. It swings too fast to place by, but shows that its server lives.
-func (b *Balancer) LoadNote(id FlowID) {
+// OnFlowLoad: a connection's load now. It swings too fast to place by, but shows that its server lives.
+func (b *Balancer) OnFlowLoad(id FlowID) {
 	if f := b.flows.byID[id]; f != nil && f.server != nil {
 		f.server.silent = 0
 	}
 }
 
-// DelayNote: a message takes that long at the flow's server. It stands for the page's emergency signal.
-func (b *Balancer) DelayNote(id FlowID, took time.Duration) {
+// OnLatencySample: a message takes that long at the flow's server. It stands for the page's emergency signal.
+func (b *Balancer) OnLatencySample(id FlowID, took time.Duration) {
 	f := b.flows.byID[id]
 	if f == nil || f.state != established {
 		return
@@ -120,15 +120,15 @@
 	return r.delay > 0 && b.now-r.delayAt < noteAge && r.delay > b.list.messageTarget/3
 }
 
-// Probed: a probe's result. A server that answers has its trickle started.
-func (b *Balancer) Probed(server ServerID, o Outcome) {
+// OnHealthCheck: a probe's result. A server that answers has its trickle started.
+func (b *Balancer) OnHealthCheck(server ServerID, o Outcome) {
 	if r := b.list.byID[server]; r != nil && o == OK {
 		r.silent, r.ejectedUntil = 0, min(r.ejectedUntil, b.now)
 	}
 }
 
-// Reported: a server's own word on its load over its capacity. Past 1 work piles up: the page's emergency.
-func (b *Balancer) Reported(server ServerID, load float64) {
+// OnLoadReport: a server's own word on its load over its capacity. Past 1 work piles up: the page's emergency.
+func (b *Balancer) OnLoadReport(server ServerID, load float64) {
 	r := b.list.server(server)
 	r.probed, r.probedAt = load, b.now
 	if load > 1 && b.calm() {
--- a/decide/help_test.go
+++ b/decide/help_test.go
@@ -18,7 +18,7 @@
 	did  []string
 	last map[FlowID]ServerID
 	sent map[ServerID]int
-	wait map[TimerMark]time.Duration // as last asked for
+	wait map[TimerID]time.Duration // as last asked for
 }
 
 func (s *script) note(format string, a ...any) { s.did = append(s.did, fmt.Sprintf(format, a...)) }
@@ -30,65 +30,65 @@
 func (s *script) Cancel(f FlowID, n int)           { s.note("cancel %s %d", f, n) }
 func (s *script) Reject(f FlowID, d time.Duration) { s.note("reject %s", f) }
 func (s *script) Abort(f FlowID)                   { s.note("abort %s", f) }
-func (s *script) Move(f FlowID)                    { s.note("move %s", f) }
-func (s *script) Probe(r ServerID)                 { s.note("probe %d", r) }
-func (s *script) Timer(m TimerMark, d time.Duration) {
+func (s *script) Migrate(f FlowID)                 { s.note("move %s", f) }
+func (s *script) HealthCheck(r ServerID)           { s.note("probe %d", r) }
+func (s *script) SetTimer(m TimerID, d time.Duration) {
 	if s.wait == nil {
-		s.wait = map[TimerMark]time.Duration{}
+		s.wait = map[TimerID]time.Duration{}
 	}
 	s.wait[m] = d
 }
-func (s *script) Watch(on bool) { s.note("watch %v", on) }
-func (s *script) Fetch()        { s.note("fetch") }
-func (s *script) Log(l string)  { s.note("log %s", l) }
+func (s *script) WatchEndpoints(on bool) { s.note("watch %v", on) }
+func (s *script) FetchEndpoints()        { s.note("fetch") }
+func (s *script) Log(l string)           { s.note("log %s", l) }
 
 // start makes a balancer with four connects a flow, one service type and warm servers 1 to n, two a zone
 // and a cell.
-func start(t *testing.T, e Effect, r Reach, n int) *script {
+func start(t *testing.T, e Effect, r DeduplicationScope, n int) *script {
 	s := &script{t: t, last: map[FlowID]ServerID{}, sent: map[ServerID]int{}}
 	s.b = New(7, s)
-	s.b.StartFlows(4, 0)
-	s.b.StartService(e, r, 300*ms, 2*sec, 1)
-	s.b.StartCold(0.2, 3, 20*sec, 1500*ms, 1)
-	s.b.StartHealth(false)
-	s.b.StartPick(0, 0, true)
-	s.b.StartList("z0", false, 10*sec, 100*ms)
+	s.b.ConfigureFlows(4, 0)
+	s.b.AddService(e, r, 300*ms, 2*sec, 1)
+	s.b.ConfigureSlowStart(0.2, 3, 20*sec, 1500*ms, 1)
+	s.b.ConfigureHealthChecks(false)
+	s.b.ConfigurePlacement(0, 0, true)
+	s.b.ConfigureEndpoints("z0", false, 10*sec, 100*ms)
 	s.at(0)
-	s.list(ListCached, Ready, n)
+	s.list(CachedUpdate, Ready, n)
 	return s
 }
 
-func (s *script) at(d time.Duration) { s.b.At(d) }
+func (s *script) at(d time.Duration) { s.b.SetTime(d) }
 
-func (s *script) list(k ListKind, st Readiness, n int) {
-	s.b.ListBegin(k)
+func (s *script) list(k UpdateKind, st Readiness, n int) {
+	s.b.BeginEndpoints(k)
 	for i := 1; i <= n; i++ {
 		s.entry(ServerID(i), st, LongAgo)
 	}
-	s.b.ListEnd()
+	s.b.EndEndpoints()
 }
 
 func (s *script) entry(id ServerID, st Readiness, since time.Duration) {
 	z := (int(id) - 1) / 2
-	s.b.ListServer(id, Zone(fmt.Sprint("z", z)), CellID(z), 1, st, since)
+	s.b.OnEndpoint(id, Zone(fmt.Sprint("z", z)), CellID(z), 1, st, since)
 }
 
 // change brings news of one server.
 func (s *script) change(id ServerID, st Readiness, since time.Duration) {
-	s.b.ListBegin(ListChanges)
+	s.b.BeginEndpoints(DeltaUpdate)
 	s.entry(id, st, since)
-	s.b.ListEnd()
+	s.b.EndEndpoints()
 }
 
 func (s *script) flow(id FlowID, g GroupKey, left time.Duration) ServerID {
-	s.b.Flow(id, 0, NoCustomer, "", g, left, 0)
+	s.b.OnFlow(id, 0, NoCustomer, "", g, left, 0)
 	return s.last[id]
 }
 
 // held opens n connections on a server, as handed over at the start.
 func (s *script) held(prefix string, n int, g GroupKey, r ServerID) {
 	for i := range n {
-		s.b.Held(FlowID(fmt.Sprint(prefix, i)), 0, NoCustomer, "", g, r)
+		s.b.AdoptFlow(FlowID(fmt.Sprint(prefix, i)), 0, NoCustomer, "", g, r)
 	}
 }
 
--- a/decide/index.go
+++ b/decide/index.go
@@ -87,13 +87,13 @@
 
 // reachable are those servers, or the ready ones of the zone or cell that a repeat is bound to.
 func (l *serverList) reachable(f *flow, s *service, servers []*server) []*server {
-	if !f.mayRan || s.effect == Repeatable || s.reach == ReachAll {
+	if !f.mayRan || s.effect == Idempotent || s.reach == DeduplicatedByFleet {
 		return servers
 	}
 	if l.zones == nil {
 		l.sortByPlace()
 	}
-	if s.reach == ReachZone {
+	if s.reach == DeduplicatedByZone {
 		return l.zones[f.ranZone]
 	}
 	return l.cells[f.ranCell]
--- a/decide/list.go
+++ b/decide/list.go
@@ -8,23 +8,23 @@
 	"time"
 )
 
-// ListBegin opens news of the list; ListServer brings each entry, ListEnd closes it.
-func (b *Balancer) ListBegin(k ListKind) {
+// BeginEndpoints opens news of the list; ListServer brings each entry, ListEnd closes it.
+func (b *Balancer) BeginEndpoints(k UpdateKind) {
 	b.list.kind = k
 	for _, r := range b.list.all {
 		r.seen = false
 	}
-	if k != ListFailed {
+	if k != FailedUpdate {
 		b.list.gap = 0
 	} else if b.list.ask {
 		// Well within the time after which we count as told, spread: a service just back must not be toppled.
 		b.list.gap = min(max(2*b.list.gap, tickEvery), b.list.askWithin/2, longestGap)
-		b.act.Timer(listMark, time.Duration(float64(b.list.gap)*(0.5+b.rng.unit()/2)))
+		b.actions.SetTimer(listMark, time.Duration(float64(b.list.gap)*(0.5+b.rng.unit()/2)))
 	}
 }
 
-// ListServer is one entry. A fresh start clears the tallies.
-func (b *Balancer) ListServer(id ServerID, z Zone, c CellID, size float64, st Readiness, at time.Duration) {
+// OnEndpoint is one entry. A fresh start clears the tallies.
+func (b *Balancer) OnEndpoint(id ServerID, z Zone, c CellID, size float64, st Readiness, at time.Duration) {
 	r := b.list.server(id)
 	if at > r.since && st == Ready {
 		b.forget(r)
@@ -48,9 +48,9 @@
 	r.state = listed
 }
 
-// ByHand takes a server out, or gives it back, whatever the list says. Given back it was likely restarted: it
+// SetDisabled takes a server out, or gives it back, whatever the list says. Given back it was likely restarted: it
 // is cold, its health of another life. Flows that outlive the time load it, so that the tallies stay.
-func (b *Balancer) ByHand(id ServerID, out bool) {
+func (b *Balancer) SetDisabled(id ServerID, out bool) {
 	r := b.list.server(id)
 	if r.byHand == out {
 		return
@@ -74,9 +74,9 @@
 	return r
 }
 
-func (b *Balancer) ListEnd() {
+func (b *Balancer) EndEndpoints() {
 	for _, r := range b.list.all {
-		if !r.seen && b.list.kind != ListChanges {
+		if !r.seen && b.list.kind != DeltaUpdate {
 			b.stand(r, Gone)
 		}
 	}
--- a/decide/longlist_test.go
+++ b/decide/longlist_test.go
@@ -12,10 +12,10 @@
 	looks := func(servers int) int {
 		s := full(t, servers, 2000, 1500)
 		a := &asked{}
-		s.b.StartBounds(a)
+		s.b.SetConstraints(a)
 		const flows = 50
 		for i := range flows {
-			s.b.Ended(s.come(2000+i, 1500), OK, 10*ms, true)
+			s.b.OnEnded(s.come(2000+i, 1500), OK, 10*ms, true)
 		}
 		return a.looks / flows
 	}
@@ -120,7 +120,7 @@
 				if to := s.flow(FlowID(strconv.Itoa(i)), GroupKey(strconv.Itoa(i)), sec); to != good {
 					t.Fatalf("flow %d went to %d, want %d: %s", i, to, good, s.take())
 				}
-				s.b.Established(FlowID(strconv.Itoa(i)), ms)
+				s.b.OnEstablished(FlowID(strconv.Itoa(i)), ms)
 			}
 		})
 	}
@@ -128,24 +128,24 @@
 
 // A repeat that only a server of the same zone or cell would drop goes there or nowhere, however long the list.
 func TestRepeatsStayInReach(t *testing.T) {
-	for reach, same := range map[Reach]func(a, b *server) bool{
-		ReachZone: func(a, b *server) bool { return a.zone == b.zone },
-		ReachCell: func(a, b *server) bool { return a.cell == b.cell },
+	for reach, same := range map[DeduplicationScope]func(a, b *server) bool{
+		DeduplicatedByZone: func(a, b *server) bool { return a.zone == b.zone },
+		DeduplicatedByCell: func(a, b *server) bool { return a.cell == b.cell },
 	} {
 		s := full(t, 1999, 0, 1) // each cell has several
-		s.b.services[0].effect, s.b.services[0].reach = Referenced, reach
+		s.b.services[0].effect, s.b.services[0].reach = IdempotentByKey, reach
 		for i := range 50 {
 			f := FlowID(strconv.Itoa(i))
 			for k := range 3 { // or all would seem to fail, and no repeat be made
 				s.come(1000*(i+1)+k, 1)
 			}
 			first := s.b.list.byID[s.flow(f, "", sec)]
-			s.b.Ended(f, Error, ms, false)
+			s.b.OnEnded(f, Error, ms, false)
 			again := s.b.list.byID[s.last[f]]
 			if first == again || !same(first, again) {
 				t.Errorf("reach %d: first to %d, then to %d", reach, first.id, again.id)
 			}
-			s.b.Established(f, ms)
+			s.b.OnEstablished(f, ms)
 		}
 	}
 }
@@ -164,7 +164,7 @@
 		if s.flow(f, group, sec) == 0 {
 			t.Fatalf("flow %d was turned away", i)
 		}
-		s.b.Established(f, ms)
+		s.b.OnEstablished(f, ms)
 	}
 	most := 0
 	for _, r := range s.b.list.ready {
@@ -181,15 +181,15 @@
 func TestListReplacedWhole(t *testing.T) {
 	const servers, flows = 400, 2000
 	s := full(t, servers, flows, 500)
-	s.b.ListBegin(ListFull)
+	s.b.BeginEndpoints(FullUpdate)
 	for id := servers + 1; id <= 2*servers; id++ {
 		s.entry(ServerID(id), Ready, LongAgo)
 	}
-	s.b.ListEnd()
+	s.b.EndEndpoints()
 	moved := 0
 	for range 400 {
 		s.at(s.b.now + tickEvery)
-		s.b.Timer(tickMark)
+		s.b.OnTimer(tickMark)
 		moved += s.count("move")
 	}
 	if moved != flows {
@@ -210,9 +210,9 @@
 		if s.flow(f, GroupKey(strconv.Itoa(i%30_000)), sec) == 0 {
 			t.Fatalf("flow %d was turned away", i)
 		}
-		s.b.Established(f, 5*ms)
+		s.b.OnEstablished(f, 5*ms)
 		if i%150 == 0 {
-			s.b.Timer(tickMark)
+			s.b.OnTimer(tickMark)
 		}
 		s.did = s.did[:0]
 	}
--- a/decide/placement.go
+++ b/decide/placement.go
@@ -93,8 +93,8 @@
 		return false
 	}
 	s := &b.services[f.service]
-	return !f.mayRan || s.effect == Repeatable || s.reach == ReachAll ||
-		s.reach == ReachZone && r.zone == f.ranZone || s.reach == ReachCell && r.cell == f.ranCell
+	return !f.mayRan || s.effect == Idempotent || s.reach == DeduplicatedByFleet ||
+		s.reach == DeduplicatedByZone && r.zone == f.ranZone || s.reach == DeduplicatedByCell && r.cell == f.ranCell
 }
 
 // rank sorts servers in trouble behind the others without ever leaving a flow without any.
@@ -205,15 +205,15 @@
 }
 
 func (b *Balancer) bound(f *flow, r *server) (extra float64, ok bool) {
-	if b.bounds == nil {
+	if b.constraints == nil {
 		return 0, true
 	}
-	return b.bounds.Server(f.id, r.id)
+	return b.constraints.ServerCost(f.id, r.id)
 }
 
 // leastExtra: servers that bounds make dearer are no measure: an empty one far off made near ones look full.
 func (b *Balancer) leastExtra(f *flow, candidates []*server) (least float64) {
-	if b.bounds == nil {
+	if b.constraints == nil {
 		return 0
 	}
 	least = math.Inf(1)
--- a/decide/rechecks.go
+++ b/decide/rechecks.go
@@ -22,7 +22,7 @@
 		return r != f.server && b.allowed(f, r, v) && b.rank(f, r) == 0 && b.cost(f, r, v) < here-need
 	}
 	if anyway = anyway || slices.ContainsFunc(v.candidates, wins); anyway {
-		b.act.Move(f.id)
+		b.actions.Migrate(f.id)
 		b.transition(f, leaving)
 	}
 	return anyway
@@ -31,7 +31,7 @@
 // settled tells that no server can win over the flow's: what it costs there at the most, less what must be
 // won, is no more than the least that any could cost, were it the home of the group.
 func (b *Balancer) settled(f *flow, need float64) bool {
-	if b.bounds != nil {
+	if b.constraints != nil {
 		return false
 	}
 	s, open := b.list.sums, f.server.open-1
@@ -57,7 +57,7 @@
 	for looks := mostLooks; due > 0 && looks > 0 && len(b.flows.open) > 0; due-- {
 		b.flows.next = (b.flows.next + 1) % len(b.flows.open)
 		f := b.flows.open[b.flows.next]
-		if f.server.state != Ready || b.settled(f, need) || b.bounds != nil && !b.bounds.Move(f.id) {
+		if f.server.state != Ready || b.settled(f, need) || b.constraints != nil && !b.constraints.AllowMigration(f.id) {
 			continue
 		}
 		looks--
@@ -69,14 +69,14 @@
 
 // tick keeps the preset interval: a slice of all established flows every time, so they don't beat.
 func (b *Balancer) tick() {
-	b.act.Timer(tickMark, tickEvery)
+	b.actions.SetTimer(tickMark, tickEvery)
 	b.reckon()
 	if b.calm() {
 		b.recheckSome()
 	}
-	if b.bounds != nil && b.calm() {
-		for _, id := range b.bounds.First() {
-			if f := b.flows.byID[id]; f != nil && f.state == established && b.bounds.Move(id) {
+	if b.constraints != nil && b.calm() {
+		for _, id := range b.constraints.MigrateFirst() {
+			if f := b.flows.byID[id]; f != nil && f.state == established && b.constraints.AllowMigration(id) {
 				b.recheck(f, 0, false)
 			}
 		}
@@ -111,7 +111,7 @@
 		slices.SortStableFunc(longest, func(x, y *server) int { return age(y) - age(x) })
 		for _, r := range longest[:int(min(most, h.credit))] {
 			h.credit, r.askedAt = h.credit-1, b.now
-			b.act.Probe(r.id)
+			b.actions.HealthCheck(r.id)
 		}
 	}
 }
--- a/decide/recorded_test.go
+++ b/decide/recorded_test.go
@@ -38,7 +38,7 @@
 	rate           int // flows in a second
 	life           time.Duration
 	effect         Effect
-	reach          Reach
+	reach          DeduplicationScope
 	probes, shares bool
 	crossing       float64
 	seconds        int
@@ -48,18 +48,18 @@
 	r := &recording{script: &script{t: t, last: map[FlowID]ServerID{}, sent: map[ServerID]int{}}, servers: day.servers,
 		rand: rand.New(rand.NewPCG(day.seed, 99)), standOn: map[FlowID]ServerID{}}
 	r.b = New(day.seed, r.script)
-	r.b.StartFlows(3, sec)
-	r.b.StartService(day.effect, day.reach, 300*ms, 2*sec, 1)
-	r.b.StartCold(0.2, 3, 20*sec, 1500*ms, day.peers)
-	r.b.StartHealth(day.probes)
-	r.b.StartPick(day.crossing, 0.02, true)
+	r.b.ConfigureFlows(3, sec)
+	r.b.AddService(day.effect, day.reach, 300*ms, 2*sec, 1)
+	r.b.ConfigureSlowStart(0.2, 3, 20*sec, 1500*ms, day.peers)
+	r.b.ConfigureHealthChecks(day.probes)
+	r.b.ConfigurePlacement(day.crossing, 0.02, true)
 	if day.shares {
-		r.b.StartCustomer(float64(day.rate) * 4)
-		r.b.StartCustomer(float64(day.rate))
+		r.b.AddCustomer(float64(day.rate) * 4)
+		r.b.AddCustomer(float64(day.rate))
 	}
-	r.b.StartList("z0", false, 10*sec, 100*ms)
+	r.b.ConfigureEndpoints("z0", false, 10*sec, 100*ms)
 	r.at(0)
-	r.list(ListCached, Ready, day.servers)
+	r.list(CachedUpdate, Ready, day.servers)
 	for step := range day.seconds * 20 {
 		r.now = time.Duration(step) * 50 * ms
 		r.at(r.now)
@@ -69,12 +69,12 @@
 			r.arrive(day)
 		}
 		if step%5 == 0 {
-			r.b.Timer(tickMark)
+			r.b.OnTimer(tickMark)
 		}
-		for _, mark := range []TimerMark{listMark, lineMark} {
+		for _, mark := range []TimerID{listMark, lineMark} {
 			if wait, asked := r.wait[mark]; asked && wait <= 50*ms {
 				delete(r.wait, mark)
-				r.b.Timer(mark)
+				r.b.OnTimer(mark)
 			}
 		}
 		r.answer(day)
@@ -93,7 +93,7 @@
 	if n := r.rand.IntN(day.groups + 1); n > 0 {
 		group = GroupKey(strconv.Itoa(n * n / day.groups))
 	}
-	r.b.Flow(FlowID(strconv.Itoa(r.flows)), 0, customer, "", group, 900*ms, 0)
+	r.b.OnFlow(FlowID(strconv.Itoa(r.flows)), 0, customer, "", group, 900*ms, 0)
 }
 
 // trouble changes the list now and then, and has servers late.
@@ -107,9 +107,9 @@
 	case 2:
 		r.change(id, Gone, LongAgo)
 	case 3:
-		r.b.ByHand(id, r.rand.IntN(2) == 0)
+		r.b.SetDisabled(id, r.rand.IntN(2) == 0)
 	case 4:
-		r.b.ListBegin(ListFailed)
+		r.b.BeginEndpoints(FailedUpdate)
 	}
 	if len(r.order) == 0 {
 		return
@@ -117,7 +117,7 @@
 	f := r.order[r.rand.IntN(len(r.order))]
 	switch r.rand.IntN(30) {
 	case 0, 1:
-		r.b.DelayNote(f, time.Duration(r.rand.IntN(700))*ms)
+		r.b.OnLatencySample(f, time.Duration(r.rand.IntN(700))*ms)
 	case 2:
 		r.end(f, Reset)
 	case 3, 4, 5, 6, 7:
@@ -131,7 +131,7 @@
 		if other == f {
 			r.order = append(r.order[:i], r.order[i+1:]...)
 			delete(r.standOn, f)
-			r.b.Ended(f, o, sec, true)
+			r.b.OnEnded(f, o, sec, true)
 			return
 		}
 	}
@@ -162,7 +162,7 @@
 			r.due = append(r.due, pending{r.now + 100*ms, func() { r.end(f, OK) }})
 		} else if n, _ := fmt.Sscanf(line, "probe %d", &to); n == 1 {
 			load := r.rand.Float64() * 1.2
-			r.due = append(r.due, pending{r.now + 30*ms, func() { r.b.Probed(to, OK); r.b.Reported(to, load) }})
+			r.due = append(r.due, pending{r.now + 30*ms, func() { r.b.OnHealthCheck(to, OK); r.b.OnLoadReport(to, load) }})
 		}
 	}
 	r.did = r.did[:0]
@@ -171,7 +171,7 @@
 // connected says how a connect ends: one server in eleven turns away, one in thirteen hangs, one in seventeen fails.
 func (r *recording) connected(day recordedDay, f FlowID, to ServerID) {
 	took := time.Duration(5+r.rand.IntN(60)) * ms
-	end := func(o Outcome) func() { return func() { r.b.Ended(f, o, took, false) } }
+	end := func(o Outcome) func() { return func() { r.b.OnEnded(f, o, took, false) } }
 	bad := r.now%(20*sec) < 8*sec
 	switch {
 	case bad && to%11 == 3:
@@ -183,7 +183,7 @@
 	default:
 		life := time.Duration(r.rand.Int64N(int64(2 * day.life)))
 		r.due = append(r.due, pending{r.now + took, func() {
-			r.b.Established(f, took)
+			r.b.OnEstablished(f, took)
 			r.standOn[f] = to
 			r.order = append(r.order, f)
 		}}, pending{r.now + took + life, func() { r.end(f, OK) }})
@@ -203,9 +203,9 @@
 		{recordedDay{seed: 2, servers: 5, peers: 3, groups: 12, rate: 60, life: 10 * sec, crossing: 0.08, seconds: 40}, "ed09218f26a5c7dab6e433d9f6a52304"},
 		{recordedDay{seed: 3, servers: 20, peers: 80, groups: 40, rate: 60, life: 10 * sec, crossing: 0.08, shares: true, seconds: 40}, "f341cf5f5ffcc2ebe074ca1fb4b3dc3a"},
 		{recordedDay{seed: 4, servers: 20, peers: 1, groups: 200, rate: 100, life: 10 * sec, probes: true, seconds: 40}, "08de30b2b88ca9d0cbce9ba3b82bc8e7"},
-		{recordedDay{seed: 5, servers: 60, peers: 300, groups: 500, rate: 100, life: 20 * sec, effect: Referenced, reach: ReachZone, crossing: 0.02, seconds: 40}, "179d68a70078de96812e273b14941441"},
-		{recordedDay{seed: 6, servers: 60, peers: 1, groups: 20, rate: 100, life: 30 * sec, effect: Referenced, reach: ReachCell, shares: true, seconds: 40}, "2b8b0c3496faedd643f1bd02abbad28b"},
-		{recordedDay{seed: 7, servers: 128, peers: 10, groups: 1000, rate: 100, life: 30 * sec, effect: OnceOnly, probes: true, crossing: 0.05, seconds: 30}, "6c4fe0f5fde41f83e2e7f60eb28aa073"},
+		{recordedDay{seed: 5, servers: 60, peers: 300, groups: 500, rate: 100, life: 20 * sec, effect: IdempotentByKey, reach: DeduplicatedByZone, crossing: 0.02, seconds: 40}, "179d68a70078de96812e273b14941441"},
+		{recordedDay{seed: 6, servers: 60, peers: 1, groups: 20, rate: 100, life: 30 * sec, effect: IdempotentByKey, reach: DeduplicatedByCell, shares: true, seconds: 40}, "2b8b0c3496faedd643f1bd02abbad28b"},
+		{recordedDay{seed: 7, servers: 128, peers: 10, groups: 1000, rate: 100, life: 30 * sec, effect: NotIdempotent, probes: true, crossing: 0.05, seconds: 30}, "6c4fe0f5fde41f83e2e7f60eb28aa073"},
 		{recordedDay{seed: 8, servers: 128, peers: 300, groups: 60, rate: 100, life: 30 * sec, shares: true, seconds: 30}, "295389bd2f206df169f68c733752a34f"},
 	} {
 		t.Run(fmt.Sprintf("%d servers, seed %d", c.day.servers, c.day.seed), func(t *testing.T) {
--- a/decide/reports_test.go
+++ b/decide/reports_test.go
@@ -12,14 +12,14 @@
 
 // reporting is one of many balancers before a fleet whose servers told their loads a second ago.
 func reporting(t *testing.T, loads ...float64) *script {
-	s := start(t, Repeatable, ReachAll, 0)
-	s.b.StartCold(0.2, 3, 20*sec, 1500*ms, 50)
-	s.b.StartHealth(true)
-	s.b.StartPick(0.012, 0, true)
-	s.list(ListFull, Ready, len(loads))
+	s := start(t, Idempotent, DeduplicatedByFleet, 0)
+	s.b.ConfigureSlowStart(0.2, 3, 20*sec, 1500*ms, 50)
+	s.b.ConfigureHealthChecks(true)
+	s.b.ConfigurePlacement(0.012, 0, true)
+	s.list(FullUpdate, Ready, len(loads))
 	s.at(20 * sec)
 	for i, load := range loads {
-		s.b.Reported(ServerID(i+1), load)
+		s.b.OnLoadReport(ServerID(i+1), load)
 	}
 	s.at(21 * sec)
 	return s
@@ -64,7 +64,7 @@
 	}
 	s := reporting(t, 0.6, 0.6)
 	s.change(2, Ready, 19*sec)
-	s.b.Reported(2, 0)
+	s.b.OnLoadReport(2, 0)
 	if _, ok := s.b.told(s.b.list.byID[2]); ok {
 		t.Error("a cold server's nought is taken for its word")
 	}
@@ -75,7 +75,7 @@
 		t.Run(fmt.Sprintf("past 1 a part of the flows leaves, with the other at %v at most %d", other, most), func(t *testing.T) {
 			s := reporting(t, 0.6, other)
 			s.held("o", 10, "", 1)
-			s.b.Reported(1, 1.5)
+			s.b.OnLoadReport(1, 1.5)
 			if n := s.count("move"); n > most || n < most-4 {
 				t.Errorf("%d of 10 moved", n)
 			}
@@ -97,18 +97,18 @@
 // Probes cost their server work and the balancer a price: they follow new flows, and no two balancers probe in step.
 func TestProbes(t *testing.T) {
 	run := func(seed uint64, flows int, d time.Duration) (probes []string) {
-		s := start(t, Repeatable, ReachAll, 0)
+		s := start(t, Idempotent, DeduplicatedByFleet, 0)
 		s.b.rng = seeded(seed)
-		s.b.StartHealth(true)
+		s.b.ConfigureHealthChecks(true)
 		s.at(sec)
-		s.list(ListCached, Ready, 12)
+		s.list(CachedUpdate, Ready, 12)
 		for at := sec; at <= sec+d; at += tickEvery {
 			s.at(at)
 			for i := range flows {
 				id := FlowID(fmt.Sprint("f", at, "-", i))
 				s.flow(id, "", sec)
-				s.b.Established(id, ms)
-				s.b.Ended(id, OK, sec, true)
+				s.b.OnEstablished(id, ms)
+				s.b.OnEnded(id, OK, sec, true)
 			}
 			s.take()
 			s.b.tick()
@@ -133,11 +133,11 @@
 
 // probed is what one of so many balancers before 80 servers asks in the time, which holds so many flows all the while.
 func probed(t *testing.T, peers, flows int, d time.Duration) int {
-	s := start(t, Repeatable, ReachAll, 0)
-	s.b.StartCold(0.2, 3, 20*sec, 1500*ms, peers)
-	s.b.StartHealth(true)
+	s := start(t, Idempotent, DeduplicatedByFleet, 0)
+	s.b.ConfigureSlowStart(0.2, 3, 20*sec, 1500*ms, peers)
+	s.b.ConfigureHealthChecks(true)
 	s.at(sec)
-	s.list(ListCached, Ready, 80)
+	s.list(CachedUpdate, Ready, 80)
 	for i := range flows {
 		s.held(fmt.Sprint(i, "-"), 1, "", ServerID(1+i%80))
 	}
@@ -188,8 +188,8 @@
 func TestProbesOfATickAreThoseOfAWalkForEach(t *testing.T) {
 	most := 0
 	rapid.Check(t, func(rt *rapid.T) {
-		s := start(t, Repeatable, ReachAll, rapid.IntRange(1, 40).Draw(rt, "servers"))
-		s.b.StartHealth(true)
+		s := start(t, Idempotent, DeduplicatedByFleet, rapid.IntRange(1, 40).Draw(rt, "servers"))
+		s.b.ConfigureHealthChecks(true)
 		s.at(100 * sec)
 		for _, r := range s.b.list.ready {
 			r.askedAt = time.Duration(rapid.IntRange(0, 20).Draw(rt, "asked")) * sec
--- a/decide/settings.go
+++ b/decide/settings.go
@@ -5,51 +5,51 @@
 import "time"
 
 // New makes an instance; nothing is known until the Start calls and the first list.
-func New(seed uint64, act Act) *Balancer {
-	b := &Balancer{act: act, rng: seeded(seed)}
+func New(seed uint64, act Actions) *Balancer {
+	b := &Balancer{actions: act, rng: seeded(seed)}
 	b.flows.byID = map[FlowID]*flow{}
 	b.tallies.holders = map[GroupKey][]*server{}
 	b.list.byID = map[ServerID]*server{}
 	b.fair = map[CustomerID]int{}
-	b.act.Timer(tickMark, tickEvery)
+	b.actions.SetTimer(tickMark, tickEvery)
 	return b
 }
 
-func (b *Balancer) At(now time.Duration) { b.now = now }
+func (b *Balancer) SetTime(now time.Duration) { b.now = now }
 
-// StartBounds sets what other deciders may say. Without it nothing is asked and nothing changes.
-func (b *Balancer) StartBounds(x Bounds) { b.bounds = x }
+// SetConstraints sets what other deciders may say. Without it nothing is asked and nothing changes.
+func (b *Balancer) SetConstraints(x Constraints) { b.constraints = x }
 
-// StartFlows sets how many connects a flow may use, and the retry-after that clients obey at most.
-func (b *Balancer) StartFlows(maxConnects int, retryAfter time.Duration) {
+// ConfigureFlows sets how many connects a flow may use, and the retry-after that clients obey at most.
+func (b *Balancer) ConfigureFlows(maxConnects int, retryAfter time.Duration) {
 	b.flows.maxConnects, b.flows.retryAfter = maxConnects, retryAfter
 }
 
-// StartService adds the next service type.
-func (b *Balancer) StartService(e Effect, r Reach, target, window time.Duration, value float64) {
+// AddService adds the next service type.
+func (b *Balancer) AddService(e Effect, r DeduplicationScope, target, window time.Duration, value float64) {
 	b.services = append(b.services, service{e, r, target, window, value})
 }
 
-func (b *Balancer) StartPick(p, move float64, sizes bool) { b.picks = pick{p, move, sizes} }
+func (b *Balancer) ConfigurePlacement(p, move float64, sizes bool) { b.picks = pick{p, move, sizes} }
 
-// StartHealth tells whether probes bring load reports.
-func (b *Balancer) StartHealth(pull bool) { b.health.pull = pull }
+// ConfigureHealthChecks tells whether probes bring load reports.
+func (b *Balancer) ConfigureHealthChecks(pull bool) { b.health.pull = pull }
 
-// StartCold sets the rule on cold servers, its window, and by how many balancers its budget is shared.
-func (b *Balancer) StartCold(from, multiple float64, warmAfter, window time.Duration, peers int) {
+// ConfigureSlowStart sets the rule on cold servers, its window, and by how many balancers its budget is shared.
+func (b *Balancer) ConfigureSlowStart(from, multiple float64, warmAfter, window time.Duration, peers int) {
 	b.cold = cold{from: from, multiple: multiple, warmAfter: warmAfter, window: window, peers: max(peers, 1), quota: b.cold.quota}
 	b.pace.window = b.widest()
 }
 
-// StartCustomer adds the next customer, with its share of all connections; 0: none was given.
-func (b *Balancer) StartCustomer(quota float64) { b.cold.quota = append(b.cold.quota, quota) }
+// AddCustomer adds the next customer, with its share of all connections; 0: none was given.
+func (b *Balancer) AddCustomer(quota float64) { b.cold.quota = append(b.cold.quota, quota) }
 
-// StartList sets this balancer's zone, whether the list must be asked for and how often at the least, the
+// ConfigureEndpoints sets this balancer's zone, whether the list must be asked for and how often at the least, the
 // grace after a drain is told, and the shortest time in which a message is wanted.
-func (b *Balancer) StartList(own Zone, ask bool, askWithin, messageTarget time.Duration) {
+func (b *Balancer) ConfigureEndpoints(own Zone, ask bool, askWithin, messageTarget time.Duration) {
 	l := &b.list
 	l.own, l.ask, l.askWithin, l.messageTarget = own, ask, askWithin, messageTarget
 	if ask {
-		b.act.Watch(true)
+		b.actions.WatchEndpoints(true)
 	}
 }
--- a/decide/size_test.go
+++ b/decide/size_test.go
@@ -10,16 +10,16 @@
 // asked counts what is asked of other deciders: for each server that a decision looks at, once a look.
 type asked struct{ looks int }
 
-func (a *asked) Server(FlowID, ServerID) (float64, bool)       { a.looks++; return 0, true }
-func (a *asked) Admit(FlowID) bool                             { return true }
-func (a *asked) Again(_ FlowID, d time.Duration) time.Duration { return d }
-func (a *asked) Move(FlowID) bool                              { return true }
-func (a *asked) First() []FlowID                               { return nil }
+func (a *asked) ServerCost(FlowID, ServerID) (float64, bool)        { a.looks++; return 0, true }
+func (a *asked) AdmitFlow(FlowID) bool                              { return true }
+func (a *asked) RetryAfter(_ FlowID, d time.Duration) time.Duration { return d }
+func (a *asked) AllowMigration(FlowID) bool                         { return true }
+func (a *asked) MigrateFirst() []FlowID                             { return nil }
 
 // many is one of 1,024 balancers before so many servers, which holds so many flows.
 func many(t *testing.T, servers, flows int) *script {
-	s := start(t, Repeatable, ReachAll, servers)
-	s.b.StartCold(0.2, 3, 20*sec, 1500*ms, 1024)
+	s := start(t, Idempotent, DeduplicatedByFleet, servers)
+	s.b.ConfigureSlowStart(0.2, 3, 20*sec, 1500*ms, 1024)
 	for i := range flows {
 		s.stand(i)
 	}
@@ -30,8 +30,8 @@
 func (s *script) stand(i int) FlowID {
 	f := FlowID(strconv.Itoa(i))
 	s.at(time.Duration(i) * ms)
-	s.b.Flow(f, 0, NoCustomer, "", GroupKey(strconv.Itoa(i%97)), sec, 0)
-	s.b.Established(f, 10*ms)
+	s.b.OnFlow(f, 0, NoCustomer, "", GroupKey(strconv.Itoa(i%97)), sec, 0)
+	s.b.OnEstablished(f, 10*ms)
 	s.did = s.did[:0]
 	return f
 }
@@ -44,8 +44,8 @@
 			t.Fatalf("%d of %d servers taken", n, servers)
 		}
 		a := &asked{}
-		s.b.StartBounds(a)
-		s.b.Ended(s.stand(servers), OK, 10*ms, true)
+		s.b.SetConstraints(a)
+		s.b.OnEnded(s.stand(servers), OK, 10*ms, true)
 		return a.looks
 	}
 	few, all := looks(64), looks(1024)
@@ -62,15 +62,15 @@
 		b.Run(fmt.Sprintf("flow/servers=%d", servers), func(b *testing.B) {
 			s := many(nil, servers, flows)
 			for i := 0; b.Loop(); i++ {
-				s.b.Ended(s.stand(flows+i), OK, 10*ms, true)
+				s.b.OnEnded(s.stand(flows+i), OK, 10*ms, true)
 			}
 		})
 		for _, probes := range []bool{false, true} {
 			b.Run(fmt.Sprintf("tick/probes=%v/servers=%d", probes, servers), func(b *testing.B) {
 				s := many(nil, servers, flows)
-				s.b.StartHealth(probes)
+				s.b.ConfigureHealthChecks(probes)
 				for b.Loop() {
-					s.b.At(s.b.now + tickEvery)
+					s.b.SetTime(s.b.now + tickEvery)
 					s.b.tick()
 					s.did = s.did[:0]
 				}
--- a/decide/statistics.go
+++ b/decide/statistics.go
@@ -11,12 +11,12 @@
 // where others bound them, a flow more counting there for as much less as they are fewer.
 func (b *Balancer) means(f *flow, candidates []*server, least float64) (mean, fair, told float64) {
 	s, more, long := b.list.sums, 1.0, b.list.long()
-	if !long || b.bounds != nil {
+	if !long || b.constraints != nil {
 		s = b.sum(f, candidates, least)
 	} else if f.leased && f.server.state == Ready {
 		s.open--
 	}
-	if long && b.bounds != nil {
+	if long && b.constraints != nil {
 		more = min(1, s.size/b.list.sums.size)
 	}
 	return s.open / s.size, (s.open + more) / s.size, s.load / s.told
--- a/decide/types.go
+++ b/decide/types.go
@@ -17,7 +17,7 @@
 	Zone       string
 	Kind       string
 	CellID     int
-	TimerMark  int64
+	TimerID    int64
 )
 
 // NoCustomer stands for a flow without a customer.
@@ -51,18 +51,18 @@
 type Effect int
 
 const (
-	Repeatable Effect = iota
-	Referenced
-	OnceOnly
+	Idempotent Effect = iota
+	IdempotentByKey
+	NotIdempotent
 )
 
-// Reach says which servers drop the repeats of a referenced flow.
-type Reach int
+// DeduplicationScope says which servers drop the repeats of a referenced flow.
+type DeduplicationScope int
 
 const (
-	ReachAll Reach = iota
-	ReachZone
-	ReachCell
+	DeduplicatedByFleet DeduplicationScope = iota
+	DeduplicatedByZone
+	DeduplicatedByCell
 )
 
 // Readiness is what the server list says of a server.
@@ -74,51 +74,51 @@
 	Gone
 )
 
-// ListKind says how the entries that follow relate to the list held so far.
-type ListKind int
+// UpdateKind says how the entries that follow relate to the list held so far.
+type UpdateKind int
 
 const (
-	ListChanges ListKind = iota
-	ListFull
-	ListCached
-	ListFailed
+	DeltaUpdate UpdateKind = iota
+	FullUpdate
+	CachedUpdate
+	FailedUpdate
 )
 
 // Marks of a flow as it arrives.
 const (
-	MarkHint    = 1
-	MarkRepeat  = 2
-	MarkMidFlow = 8
-	MarkBack    = 16
+	FlagLoadHint  = 1
+	FlagRetry     = 2
+	FlagMidStream = 8
+	FlagReturning = 16
 )
 
-// Act is all that the module can do. Every call takes effect at the time of the event in hand.
-type Act interface {
+// Actions is all that the module can do. Every call takes effect at the time of the event in hand.
+type Actions interface {
 	Connect(FlowID, ServerID, time.Duration)
 	Cancel(FlowID, int)
 	Reject(FlowID, time.Duration)
 	Abort(FlowID)
-	Move(FlowID)
-	Probe(ServerID)
-	Timer(TimerMark, time.Duration)
-	Watch(bool)
-	Fetch()
+	Migrate(FlowID)
+	HealthCheck(ServerID)
+	SetTimer(TimerID, time.Duration)
+	WatchEndpoints(bool)
+	FetchEndpoints()
 	Log(string)
 }
 
-// Bounds is what other deciders may say of a flow and a server; the module chooses within it. Each answer is given at
+// Constraints is what other deciders may say of a flow and a server; the module chooses within it. Each answer is given at
 // once, from what they were told before, and asking changes nothing. Moves off servers that are late, silent or leaving
 // are not asked for: no bound may hold a client there.
-type Bounds interface {
-	// Server says whether a flow may go to a server now, and at what extra cost.
-	Server(FlowID, ServerID) (extra float64, ok bool)
-	// Admit says whether a flow may be let in at all.
-	Admit(FlowID) bool
-	// Again is when the client of a flow that is turned away may come again; the other is what it would be told.
-	Again(FlowID, time.Duration) time.Duration
-	// Move says whether a standing flow may be moved to where it costs less; First which to look at before others.
-	Move(FlowID) bool
-	First() []FlowID
+type Constraints interface {
+	// ServerCost says whether a flow may go to a server now, and at what extra cost.
+	ServerCost(FlowID, ServerID) (extra float64, ok bool)
+	// AdmitFlow says whether a flow may be let in at all.
+	AdmitFlow(FlowID) bool
+	// RetryAfter is when the client of a flow that is turned away may come again; the other is what it would be told.
+	RetryAfter(FlowID, time.Duration) time.Duration
+	// AllowMigration says whether a standing flow may be moved to where it costs less; First which to look at before others.
+	AllowMigration(FlowID) bool
+	MigrateFirst() []FlowID
 }
 
 // state names where a flow stands.
@@ -158,7 +158,7 @@
 
 type service struct {
 	effect         Effect
-	reach          Reach
+	reach          DeduplicationScope
 	target, window time.Duration
 	value          float64
 }
@@ -204,10 +204,10 @@
 
 // Balancer is one instance: the parts, each owning its state, and what they share.
 type Balancer struct {
-	act    Act
-	now    time.Duration
-	rng    pcg
-	bounds Bounds // nil: none
+	actions     Actions
+	now         time.Duration
+	rng         pcg
+	constraints Constraints // nil: none
 
 	flows    flowBook
 	tallies  tallies
@@ -287,7 +287,7 @@
 	ask                bool
 	askWithin          time.Duration
 	gap, messageTarget time.Duration
-	kind               ListKind
+	kind               UpdateKind
 	usual              float64 // size in service: of the first list, or of the most warm servers since; 0: none
 }
 
--- a/fleet/lease/duties.go
+++ b/fleet/lease/duties.go
@@ -12,14 +12,14 @@
 )
 
 type (
-	Name  string // a balancer
-	Duty  uint32 // a server that is probed
-	Epoch uint64 // of a duty: grows with each change of its holder
+	Holder string // a balancer
+	Task   uint32 // a server that is probed
+	Epoch  uint64 // of a duty: grows with each change of its holder
 )
 
 // Member is one balancer as it is seen.
 type Member struct {
-	Name   Name
+	Name   Holder
 	Weight float64       // of its part of all duties; nought or less, or infinite: as 1
 	Since  time.Duration // for how long it has been seen alive
 }
@@ -46,30 +46,30 @@
 
 type duty struct {
 	state state
-	epoch Epoch // the highest heard of, or held in
-	by    Name  // who told it
+	epoch Epoch  // the highest heard of, or held in
+	by    Holder // who told it
 	heard time.Duration
 	rank  int // of this balancer; above inLine: not in line
-	first Name
+	first Holder
 }
 
-// Duties is what one balancer does for all.
-type Duties struct {
-	own     Name
+// Manager is what one balancer does for all.
+type Manager struct {
+	own     Holder
 	lease   time.Duration
 	members []Member
-	duties  map[Duty]*duty
+	duties  map[Task]*duty
 	round   int // counts views, so that lines are reckoned anew when one changes
-	ranked  map[Duty]int
+	ranked  map[Task]int
 }
 
 // New makes them for one balancer. Who has told nothing of a duty for a lease has lost it to the next in line.
-func New(own Name, lease time.Duration) *Duties {
-	return &Duties{own: own, lease: lease, duties: map[Duty]*duty{}, ranked: map[Duty]int{}, members: []Member{{own, 1, settleFor}}}
+func New(own Holder, lease time.Duration) *Manager {
+	return &Manager{own: own, lease: lease, duties: map[Task]*duty{}, ranked: map[Task]int{}, members: []Member{{own, 1, settleFor}}}
 }
 
-// Members is who is seen alive now; this balancer is always among them.
-func (d *Duties) Members(list []Member) {
+// SetMembers is who is seen alive now; this balancer is always among them.
+func (d *Manager) SetMembers(list []Member) {
 	var in []Member
 	self := false
 	for _, m := range list {
@@ -95,7 +95,7 @@
 }
 
 // score is weighted rendezvous hashing: of all members the highest has the duty, and when a member comes or goes only its own change.
-func score(m Member, k Duty) float64 {
+func score(m Member, k Task) float64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte{byte(k >> 24), byte(k >> 16), byte(k >> 8), byte(k)}) // a hash takes all
 	_, _ = h.Write([]byte(m.Name))
@@ -109,7 +109,7 @@
 }
 
 // line reckons this balancer's place in line for a duty.
-func (d *Duties) line(k Duty, x *duty) {
+func (d *Manager) line(k Task, x *duty) {
 	if d.ranked[k] == d.round+1 {
 		return
 	}
@@ -132,7 +132,7 @@
 	}
 }
 
-func (d *Duties) duty(k Duty, now time.Duration) *duty {
+func (d *Manager) duty(k Task, now time.Duration) *duty {
 	x := d.duties[k]
 	if x == nil {
 		x = &duty{state: unnamed, heard: now}
@@ -143,15 +143,15 @@
 }
 
 // turn makes every change of a duty's state.
-func (d *Duties) turn(x *duty, to state) {
+func (d *Manager) turn(x *duty, to state) {
 	if to == holds && x.state != holds {
 		x.epoch, x.by = x.epoch+1, d.own
 	}
 	x.state = to
 }
 
-// Mine tells whether this balancer is to do a duty now. It is asked last, just before acting.
-func (d *Duties) Mine(k Duty, now time.Duration) bool {
+// Holds tells whether this balancer is to do a duty now. It is asked last, just before acting.
+func (d *Manager) Holds(k Task, now time.Duration) bool {
 	x := d.duty(k, now)
 	quiet := now - x.heard
 	switch {
@@ -171,8 +171,8 @@
 	return x.state == holds
 }
 
-// Did records that this balancer has done its duty, and gives the epoch to tell with what came of it.
-func (d *Duties) Did(k Duty, now time.Duration) Epoch {
+// Renew records that this balancer has done its duty, and gives the epoch to tell with what came of it.
+func (d *Manager) Renew(k Task, now time.Duration) Epoch {
 	x := d.duty(k, now)
 	if x.by == d.own {
 		x.heard = now
@@ -180,8 +180,8 @@
 	return x.epoch
 }
 
-// Heard records that another balancer did a duty, so long ago, in an epoch.
-func (d *Duties) Heard(k Duty, e Epoch, by Name, age, now time.Duration) {
+// Observe records that another balancer did a duty, so long ago, in an epoch.
+func (d *Manager) Observe(k Task, e Epoch, by Holder, age, now time.Duration) {
 	if by == d.own || age > d.lease {
 		return
 	}
@@ -204,34 +204,34 @@
 	}
 }
 
-// Away says that this balancer stood still. What it held may be another's; it waits for a lease before it acts on any.
-func (d *Duties) Away(now time.Duration) {
+// OnSuspended says that this balancer stood still. What it held may be another's; it waits for a lease before it acts on any.
+func (d *Manager) OnSuspended(now time.Duration) {
 	for _, x := range d.duties {
 		d.turn(x, unsure)
 		x.heard = now
 	}
 }
 
-// Forget drops a duty that there is no more.
-func (d *Duties) Forget(k Duty) {
+// Remove drops a duty that there is no more.
+func (d *Manager) Remove(k Task) {
 	delete(d.duties, k)
 	delete(d.ranked, k)
 }
 
-// Held is a duty as it stands here, for whoever asks.
-type Held struct {
-	Duty  Duty   `json:"server"`
-	State string `json:"is"`
-	Epoch Epoch  `json:"epoch"`
-	By    Name   `json:"by,omitempty"`
-	First Name   `json:"first_in_line"`
+// Status is a duty as it stands here, for whoever asks.
+type Status struct {
+	Task      Task   `json:"server"`
+	State     string `json:"is"`
+	Epoch     Epoch  `json:"epoch"`
+	Holder    Holder `json:"by,omitempty"`
+	Preferred Holder `json:"first_in_line"`
 }
 
-// All is every duty, in order.
-func (d *Duties) All() (list []Held) {
+// Statuses is every duty, in order.
+func (d *Manager) Statuses() (list []Status) {
 	for k, x := range d.duties {
-		list = append(list, Held{k, x.state.String(), x.epoch, x.by, x.first})
+		list = append(list, Status{k, x.state.String(), x.epoch, x.by, x.first})
 	}
-	slices.SortFunc(list, func(a, b Held) int { return cmp.Compare(a.Duty, b.Duty) })
+	slices.SortFunc(list, func(a, b Status) int { return cmp.Compare(a.Task, b.Task) })
 	return list
 }
--- a/fleet/lease/duties_test.go
+++ b/fleet/lease/duties_test.go
@@ -13,7 +13,7 @@
 
 func members(names ...string) (list []Member) {
 	for _, n := range names {
-		list = append(list, Member{Name(n), 1, time.Minute})
+		list = append(list, Member{Holder(n), 1, time.Minute})
 	}
 	return list
 }
@@ -25,13 +25,13 @@
 		names = append(names, fmt.Sprintf("b%d", i))
 	}
 	const many = 2000
-	holders := func(in []string) map[Duty]string {
-		of := map[Duty]string{}
+	holders := func(in []string) map[Task]string {
+		of := map[Task]string{}
 		for _, n := range in {
-			d := New(Name(n), lease)
-			d.Members(members(in...))
-			for k := range Duty(many) {
-				if d.Mine(k, time.Minute) {
+			d := New(Holder(n), lease)
+			d.SetMembers(members(in...))
+			for k := range Task(many) {
+				if d.Holds(k, time.Minute) {
 					if was, two := of[k]; two {
 						t.Fatalf("%s and %s both hold %d", was, n, k)
 					}
@@ -67,9 +67,9 @@
 	t.Helper()
 	for place := range in {
 		for _, n := range in {
-			d := New(Name(n), lease)
-			d.Members(members(in...))
-			d.Mine(1, 0)
+			d := New(Holder(n), lease)
+			d.SetMembers(members(in...))
+			d.Holds(1, 0)
 			if d.duties[1].rank == place {
 				line = append(line, n)
 			}
@@ -82,38 +82,38 @@
 	in := []string{"a", "b", "c", "d", "e"}
 	line := find(t, in...)
 	at := func(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
-	second := New(Name(line[1]), lease)
-	second.Members(members(in...))
-	third := New(Name(line[2]), lease)
-	third.Members(members(in...))
-	second.Heard(1, 1, Name(line[0]), 0, at(1))
-	third.Heard(1, 1, Name(line[0]), 0, at(1))
-	if second.Mine(1, at(6.9)) || third.Mine(1, at(6.9)) {
+	second := New(Holder(line[1]), lease)
+	second.SetMembers(members(in...))
+	third := New(Holder(line[2]), lease)
+	third.SetMembers(members(in...))
+	second.Observe(1, 1, Holder(line[0]), 0, at(1))
+	third.Observe(1, 1, Holder(line[0]), 0, at(1))
+	if second.Holds(1, at(6.9)) || third.Holds(1, at(6.9)) {
 		t.Error("one stands in before the lease is over")
 	}
-	if !second.Mine(1, at(7.1)) || third.Mine(1, at(7.1)) {
+	if !second.Holds(1, at(7.1)) || third.Holds(1, at(7.1)) {
 		t.Error("the second is next after a lease, the third is not")
 	}
-	e := second.Did(1, at(7.1))
-	third.Heard(1, e, Name(line[1]), 0, at(7.2))
-	if third.Mine(1, at(12)) || !second.Mine(1, at(12)) {
+	e := second.Renew(1, at(7.1))
+	third.Observe(1, e, Holder(line[1]), 0, at(7.2))
+	if third.Holds(1, at(12)) || !second.Holds(1, at(12)) {
 		t.Error("who stands in goes on, and the third waits")
 	}
 	// The first is back: it hears of the later epoch, takes the next one, and the second gives way.
-	first := New(Name(line[0]), lease)
-	first.Members(members(in...))
-	first.Mine(1, at(11))
-	first.Heard(1, e, Name(line[1]), 0, at(12.1))
-	if !first.Mine(1, at(12.2)) || first.Did(1, at(12.2)) <= e {
+	first := New(Holder(line[0]), lease)
+	first.SetMembers(members(in...))
+	first.Holds(1, at(11))
+	first.Observe(1, e, Holder(line[1]), 0, at(12.1))
+	if !first.Holds(1, at(12.2)) || first.Renew(1, at(12.2)) <= e {
 		t.Error("the first in line takes a later epoch")
 	}
-	second.Heard(1, first.Did(1, at(12.2)), Name(line[0]), 0, at(12.3))
-	if second.Mine(1, at(12.4)) {
+	second.Observe(1, first.Renew(1, at(12.2)), Holder(line[0]), 0, at(12.3))
+	if second.Holds(1, at(12.4)) {
 		t.Error("the second goes on beside the first")
 	}
 	// What is told late by one that was given up changes nothing.
-	second.Heard(1, 1, Name(line[3]), 0, at(12.5))
-	if second.duties[1].by != Name(line[0]) {
+	second.Observe(1, 1, Holder(line[3]), 0, at(12.5))
+	if second.duties[1].by != Holder(line[0]) {
 		t.Error("an older epoch is obeyed")
 	}
 }
@@ -122,31 +122,31 @@
 func TestThawedBalancerWaits(t *testing.T) {
 	in := []string{"a", "b", "c"}
 	line := find(t, in...)
-	d := New(Name(line[0]), lease)
-	d.Members(members(in...))
-	if !d.Mine(1, time.Second) {
+	d := New(Holder(line[0]), lease)
+	d.SetMembers(members(in...))
+	if !d.Holds(1, time.Second) {
 		t.Fatal("the first in line does not hold it")
 	}
-	e := d.Did(1, time.Second)
-	d.Away(20 * time.Second)
-	if d.Mine(1, 20*time.Second) || d.Mine(1, 25*time.Second) {
+	e := d.Renew(1, time.Second)
+	d.OnSuspended(20 * time.Second)
+	if d.Holds(1, 20*time.Second) || d.Holds(1, 25*time.Second) {
 		t.Error("it goes on as if nothing had been")
 	}
-	d.Heard(1, e+1, Name(line[1]), 0, 21*time.Second)
-	if !d.Mine(1, 22*time.Second) || d.Did(1, 22*time.Second) <= e+1 {
+	d.Observe(1, e+1, Holder(line[1]), 0, 21*time.Second)
+	if !d.Holds(1, 22*time.Second) || d.Renew(1, 22*time.Second) <= e+1 {
 		t.Error("once it knows who has it, it takes it back under a later epoch")
 	}
 }
 
 func TestOddMembers(t *testing.T) {
-	var d *Duties
+	var d *Manager
 	for _, list := range [][]Member{nil, {{"b", math.Inf(1), time.Minute}, {"c", -1, time.Minute}, {"d", math.NaN(), time.Minute}},
 		{{"b", 1, time.Minute}, {"b", 1, time.Minute}, {"new", 1, time.Second}}} {
 		d = New("a", lease)
-		d.Members(list)
+		d.SetMembers(list)
 		mine := 0
-		for k := range Duty(300) {
-			if d.Mine(k, time.Minute) {
+		for k := range Task(300) {
+			if d.Holds(k, time.Minute) {
 				mine++
 			}
 		}
@@ -163,11 +163,11 @@
 func TestNoDutyIsLost(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names := []string{"a", "b", "c", "d"}
-		var all []*Duties
+		var all []*Manager
 		down := map[int]bool{}
 		for _, n := range names {
-			d := New(Name(n), lease)
-			d.Members(members(names...))
+			d := New(Holder(n), lease)
+			d.SetMembers(members(names...))
 			all = append(all, d)
 		}
 		now := time.Second
@@ -176,14 +176,14 @@
 				now += 500 * time.Millisecond
 				holding = nil
 				for i, d := range all {
-					if down[i] || !d.Mine(1, now) {
+					if down[i] || !d.Holds(1, now) {
 						continue
 					}
 					holding = append(holding, i)
-					e := d.Did(1, now)
+					e := d.Renew(1, now)
 					for j, o := range all {
 						if j != i && !down[j] && !(loss && rapid.IntRange(0, 2).Draw(t, "lost") == 0) {
-							o.Heard(1, e, Name(names[i]), 0, now)
+							o.Observe(1, e, Holder(names[i]), 0, now)
 						}
 					}
 				}
@@ -198,7 +198,7 @@
 		for range rapid.IntRange(1, 4).Draw(t, "faults") {
 			i := rapid.IntRange(0, 3).Draw(t, "who")
 			if down[i] = !down[i] && len(down) < 3; !down[i] {
-				all[i].Away(now)
+				all[i].OnSuspended(now)
 			}
 			settle(rapid.IntRange(1, 30).Draw(t, "steps"), true)
 		}
--- a/fleet/signals/consensus.go
+++ b/fleet/signals/consensus.go
@@ -34,7 +34,7 @@
 type consensus struct {
 	troubled       int // origins that report trouble, this one too
 	healthy        int // origins that hold connections there and report none
-	worst          Trouble
+	worst          Fault
 	origins        []Origin // some of those that report trouble
 	held           int      // connections of all
 	penalisedUntil time.Duration
@@ -61,7 +61,7 @@
 }
 
 // gather brings together what all report, at most once in a while: deciding must not pay for it.
-func (s *Signals) gather() {
+func (s *Exchange) gather() {
 	sinceLast := s.now - s.gatheredAt
 	if sinceLast < minGatherGap || !s.dirty && sinceLast < publishGap {
 		return
@@ -73,17 +73,17 @@
 }
 
 // countReports counts the reports of all origins anew.
-func (s *Signals) countReports() {
+func (s *Exchange) countReports() {
 	for _, c := range s.servers {
 		c.troubled = 0
 		c.healthy = 0
-		c.worst = Well
+		c.worst = Healthy
 		c.held = 0
 		c.origins = c.origins[:0]
 	}
 	for id, x := range s.observations {
 		trouble, age := x.trouble(s.now)
-		s.count(s.own.Origin, Report{Server: id, Trouble: trouble, Held: x.held}, age)
+		s.count(s.own.Origin, Report{Server: id, Fault: trouble, Connections: x.held}, age)
 	}
 	for _, origin := range slices.Sorted(maps.Keys(s.store.records)) { // origins are named in this order
 		if s.reporters != nil && !s.reporters[origin] {
@@ -97,29 +97,29 @@
 }
 
 // count counts one origin's report on a server: one each, whatever it claims to hold.
-func (s *Signals) count(origin Origin, report Report, age time.Duration) {
+func (s *Exchange) count(origin Origin, report Report, age time.Duration) {
 	c := s.servers[report.Server]
 	if c == nil {
 		c = &consensus{confirmedAt: never, penalisedUntil: never}
 		s.servers[report.Server] = c
 	}
 	if age < healthyValid+troubleValid {
-		c.held += report.Held
+		c.held += report.Connections
 	}
 	switch {
-	case report.Trouble != Well && age < troubleValid:
+	case report.Fault != Healthy && age < troubleValid:
 		c.troubled++
-		c.worst = max(c.worst, report.Trouble)
+		c.worst = max(c.worst, report.Fault)
 		if len(c.origins) < maxReporters {
 			c.origins = append(c.origins, origin)
 		}
-	case report.Trouble == Well && report.Held > 0 && age < healthyValid:
+	case report.Fault == Healthy && report.Connections > 0 && age < healthyValid:
 		c.healthy++
 	}
 }
 
 // updatePenalties says which servers are penalised from now on.
-func (s *Signals) updatePenalties() {
+func (s *Exchange) updatePenalties() {
 	penalised := 0
 	for id, c := range s.servers {
 		s.updatePenalty(id, c)
@@ -134,7 +134,7 @@
 	s.widespread = penalised > max(1, len(s.ready)/penalisedPart)
 }
 
-func (s *Signals) updatePenalty(id decide.ServerID, c *consensus) {
+func (s *Exchange) updatePenalty(id decide.ServerID, c *consensus) {
 	recurs := s.now < c.confirmedAt+recurrenceTime
 	switch {
 	case c.confirmed() || recurs && c.renewable(s.now):
@@ -145,7 +145,7 @@
 }
 
 // penalise begins a penalty, or lets it go on. One that recurs soon after its end lasts longer.
-func (s *Signals) penalise(id decide.ServerID, c *consensus, recurs bool) {
+func (s *Exchange) penalise(id decide.ServerID, c *consensus, recurs bool) {
 	switch {
 	case !recurs:
 		c.penaltyTime = firstPenaltyTime
@@ -161,7 +161,7 @@
 }
 
 // releaseDelay spreads the ends of all balancers' penalties, so that the first finds out for all whether the server is well again.
-func (s *Signals) releaseDelay(id decide.ServerID) time.Duration {
+func (s *Exchange) releaseDelay(id decide.ServerID) time.Duration {
 	fleet := float64(max(s.fleetSize, minReleaseFleet))
 	return time.Duration(releaseShare(s.own.Origin, id) * fleet * float64(releaseInterval))
 }
@@ -174,8 +174,8 @@
 	return float64(hash.Sum32()) / math.MaxUint32
 }
 
-// Server penalises a server that enough others found in trouble, unless this balancer itself saw it well a moment ago.
-func (s *Signals) Server(_ decide.FlowID, id decide.ServerID) (float64, constraints.Reason) {
+// ServerCost penalises a server that enough others found in trouble, unless this balancer itself saw it well a moment ago.
+func (s *Exchange) ServerCost(_ decide.FlowID, id decide.ServerID) (float64, constraints.Reason) {
 	if !s.enabled {
 		return 0, ""
 	}
@@ -188,17 +188,17 @@
 }
 
 // wellHere tells whether this balancer holds connections on a server and all is well, or one was set up well a moment ago.
-func (s *Signals) wellHere(id decide.ServerID) bool {
+func (s *Exchange) wellHere(id decide.ServerID) bool {
 	x := s.observations[id]
 	if x == nil {
 		return false
 	}
 	trouble, _ := x.trouble(s.now)
-	return trouble == Well && (x.held > 0 || s.now-x.goodAt < ownHealthyValid)
+	return trouble == Healthy && (x.held > 0 || s.now-x.goodAt < ownHealthyValid)
 }
 
-// Why names the trouble for which a server is penalised, with those who report it; empty where it is not.
-func (s *Signals) Why(id decide.ServerID) string {
+// ExplainCost names the trouble for which a server is penalised, with those who report it; empty where it is not.
+func (s *Exchange) ExplainCost(id decide.ServerID) string {
 	if c := s.servers[id]; c != nil && s.now < c.penalisedUntil {
 		return fmt.Sprintf("%s, say %v", c.worst, c.origins)
 	}
--- a/fleet/signals/loads.go
+++ b/fleet/signals/loads.go
@@ -19,12 +19,12 @@
 
 // ShareLoads has what servers report here published to the others; onLoad hears of each report that came here first and gives the epoch
 // of the duty.
-func (s *Signals) ShareLoads(onLoad func(decide.ServerID, time.Duration) (epoch uint64)) {
+func (s *Exchange) ShareLoads(onLoad func(decide.ServerID, time.Duration) (epoch uint64)) {
 	s.onLoad = onLoad
 }
 
-// Reported takes in a server's own report of its load. One that another balancer relayed is not published again as this balancer's own.
-func (s *Signals) Reported(id decide.ServerID, load float64) {
+// OnLoadReport takes in a server's own report of its load. One that another balancer relayed is not published again as this balancer's own.
+func (s *Exchange) OnLoadReport(id decide.ServerID, load float64) {
 	if s.onLoad == nil || s.relaying {
 		return
 	}
@@ -33,14 +33,14 @@
 }
 
 // Relay runs something while load reports are others'.
-func (s *Signals) Relay(do func()) {
+func (s *Exchange) Relay(do func()) {
 	s.relaying = true
 	defer func() { s.relaying = false }()
 	do()
 }
 
 // loadReports are those to publish now.
-func (s *Signals) loadReports() (reports []LoadReport) {
+func (s *Exchange) loadReports() (reports []LoadReport) {
 	for _, id := range slices.Sorted(maps.Keys(s.loads)) {
 		x := s.loads[id]
 		age := s.now - x.at
--- a/fleet/signals/observations.go
+++ b/fleet/signals/observations.go
@@ -31,7 +31,7 @@
 }
 
 // observation is that of a server, a new one where there was none.
-func (s *Signals) observation(id decide.ServerID) *observation {
+func (s *Exchange) observation(id decide.ServerID) *observation {
 	x := s.observations[id]
 	if x == nil {
 		x = &observation{lateAt: never, goodAt: never, silentAt: never}
@@ -40,13 +40,13 @@
 	return x
 }
 
-// Came counts a new flow.
-func (s *Signals) Came(decide.FlowID, decide.ServiceID, decide.CustomerID, decide.GroupKey) {
+// OnFlow counts a new flow.
+func (s *Exchange) OnFlow(decide.FlowID, decide.ServiceID, decide.CustomerID, decide.GroupKey) {
 	s.newFlows++
 }
 
-// Stood observes that a connection was set up, and in what time; below 0 where it stood before this process began.
-func (s *Signals) Stood(_ decide.FlowID, on decide.ServerID, took time.Duration) {
+// OnEstablished observes that a connection was set up, and in what time; below 0 where it stood before this process began.
+func (s *Exchange) OnEstablished(_ decide.FlowID, on decide.ServerID, took time.Duration) {
 	x := s.observation(on)
 	x.held++
 	if took < 0 {
@@ -68,8 +68,8 @@
 	x.samples = x.samples[max(0, len(x.samples)-keptSamples):]
 }
 
-// Over observes how a connection ended, or an attempt to set one up.
-func (s *Signals) Over(_ decide.FlowID, on decide.ServerID, outcome decide.Outcome, stood bool) {
+// OnEnded observes how a connection ended, or an attempt to set one up.
+func (s *Exchange) OnEnded(_ decide.FlowID, on decide.ServerID, outcome decide.Outcome, stood bool) {
 	x := s.observation(on)
 	switch {
 	case stood:
@@ -87,8 +87,8 @@
 	s.dirty = true
 }
 
-// Late observes how long a message took. Notes come while it is late, and once when it is so no more.
-func (s *Signals) Late(on decide.ServerID, delay time.Duration) {
+// OnLatencySample observes how long a message took. Notes come while it is late, and once when it is so no more.
+func (s *Exchange) OnLatencySample(on decide.ServerID, delay time.Duration) {
 	x := s.observation(on)
 	if delay > s.delayLimit {
 		x.lateAt = s.now
@@ -100,7 +100,7 @@
 }
 
 // trouble is what this balancer observes of a server now, and how old the evidence is.
-func (x *observation) trouble(now time.Duration) (Trouble, time.Duration) {
+func (x *observation) trouble(now time.Duration) (Fault, time.Duration) {
 	failures, lastFailure := x.failures(now)
 	switch {
 	case x.silent >= minSilent && now-x.silentAt < failureValid:
@@ -110,7 +110,7 @@
 	case now-x.lateAt < evidenceValid:
 		return Late, now - x.lateAt
 	}
-	return Well, now - x.goodAt
+	return Healthy, now - x.goodAt
 }
 
 // failures counts the samples that failed not long ago, and says when the last one did.
--- a/fleet/signals/publish.go
+++ b/fleet/signals/publish.go
@@ -19,7 +19,7 @@
 
 // Publish returns the record to publish now, if one is due: soon after something changed, and now and then, in a fleet of so many. It
 // goes out less often the larger the fleet is, and a trouble that enough others report already is no reason to hurry.
-func (s *Signals) Publish(fleet int) (Record, bool) {
+func (s *Exchange) Publish(fleet int) (Record, bool) {
 	s.fleetSize = fleet
 	elapsed := s.now - s.publishedAt
 	if elapsed < publishGap {
@@ -48,17 +48,17 @@
 }
 
 // reports are those to publish, in trouble first; urgent where one of them is worth publishing at once.
-func (s *Signals) reports() (list []Report, urgent bool) {
+func (s *Exchange) reports() (list []Report, urgent bool) {
 	before := map[decide.ServerID]Report{}
 	for _, report := range s.published {
 		before[report.Server] = report
 	}
 	for id, x := range s.observations {
 		trouble, age := x.trouble(s.now)
-		report := Report{Server: id, Trouble: trouble, Held: x.held, Age: age}
-		wasInTrouble := before[id].Trouble != Well
+		report := Report{Server: id, Fault: trouble, Connections: x.held, Age: age}
+		wasInTrouble := before[id].Fault != Healthy
 		switch {
-		case trouble != Well:
+		case trouble != Healthy:
 			list = append(list, report)
 			urgent = urgent || s.urgent(id, wasInTrouble)
 		case x.held > 0:
@@ -70,14 +70,14 @@
 		}
 	}
 	slices.SortFunc(list, func(a, b Report) int {
-		return cmp.Or(cmp.Compare(b.Trouble, a.Trouble), cmp.Compare(b.Held, a.Held), cmp.Compare(a.Server, b.Server))
+		return cmp.Or(cmp.Compare(b.Fault, a.Fault), cmp.Compare(b.Connections, a.Connections), cmp.Compare(a.Server, b.Server))
 	})
 	return list[:min(len(list), MaxReports)], urgent
 }
 
 // urgent tells whether trouble on a server is worth publishing at once: by some of those who observe it, where it is new or what was
 // published of it is about to fade.
-func (s *Signals) urgent(id decide.ServerID, published bool) bool {
+func (s *Exchange) urgent(id decide.ServerID, published bool) bool {
 	others := 0
 	if c := s.servers[id]; c != nil {
 		others = c.troubled - 1
@@ -86,4 +86,4 @@
 }
 
 // OwnRecord is what this balancer last published.
-func (s *Signals) OwnRecord() Record { return s.own }
+func (s *Exchange) OwnRecord() Record { return s.own }
--- a/fleet/signals/signals.go
+++ b/fleet/signals/signals.go
@@ -10,9 +10,9 @@
 // never is a time before all others.
 const never = -time.Hour
 
-// Signals is the decider of one balancer; see bounds.Decider.
-type Signals struct {
-	constraints.None
+// Exchange is the decider of one balancer; see bounds.Decider.
+type Exchange struct {
+	constraints.Unconstrained
 	enabled      bool          // false: it publishes and hears, and bounds nothing
 	delayLimit   time.Duration // a message that takes longer is late
 	setupLimit   time.Duration // a set-up that takes longer is late
@@ -41,8 +41,8 @@
 
 // New makes one that publishes as origin. A message that takes longer than delayLimit is late, and so is a set-up that takes longer than
 // setupLimit. One that is not enabled bounds nothing.
-func New(origin Origin, incarnation Incarnation, build, settings string, delayLimit, setupLimit time.Duration, enabled bool) *Signals {
-	return &Signals{
+func New(origin Origin, incarnation Incarnation, build, settings string, delayLimit, setupLimit time.Duration, enabled bool) *Exchange {
+	return &Exchange{
 		enabled:      enabled,
 		delayLimit:   delayLimit,
 		setupLimit:   setupLimit,
@@ -58,13 +58,13 @@
 }
 
 // Name is the name under which this decider is explained and counted.
-func (s *Signals) Name() string { return "signals" }
+func (s *Exchange) Name() string { return "signals" }
 
-// At sets the time of the calls that follow.
-func (s *Signals) At(now time.Duration) { s.now = now }
+// SetTime sets the time of the calls that follow.
+func (s *Exchange) SetTime(now time.Duration) { s.now = now }
 
-// Listed takes in a change of the server list.
-func (s *Signals) Listed(id decide.ServerID, _ decide.Zone, _ float64, readiness decide.Readiness, _ time.Duration) {
+// OnEndpoint takes in a change of the server list.
+func (s *Exchange) OnEndpoint(id decide.ServerID, _ decide.Zone, _ float64, readiness decide.Readiness, _ time.Duration) {
 	if readiness == decide.Ready {
 		s.ready[id] = true
 	} else {
@@ -82,7 +82,7 @@
 
 // Merge takes in what another balancer published; news is worth passing on. A record of this balancer's own, from before a restart or of
 // a namesake, has it publish as a later incarnation.
-func (s *Signals) Merge(record Record) (news bool) {
+func (s *Exchange) Merge(record Record) (news bool) {
 	if record.Origin == s.own.Origin {
 		if later(record, s.own) {
 			s.own.Incarnation = record.Incarnation + 1
@@ -97,14 +97,14 @@
 
 // SetReporters names the origins whose reports count from now on: members that are seen alive. Whoever only sends records under a name
 // is none, and the report of one that is gone is no news of anything. Without a call all count.
-func (s *Signals) SetReporters(alive []Origin) {
+func (s *Exchange) SetReporters(alive []Origin) {
 	s.reporters = map[Origin]bool{}
 	for _, origin := range alive {
 		s.reporters[origin] = true
 	}
 }
 
-// Away says that this process stood still. What it observed is as old as that; it publishes nothing of it as new.
-func (s *Signals) Away() { s.dirty = true }
+// OnSuspended says that this process stood still. What it observed is as old as that; it publishes nothing of it as new.
+func (s *Exchange) OnSuspended() { s.dirty = true }
 
-var _ constraints.Decider = (*Signals)(nil)
+var _ constraints.Constraint = (*Exchange)(nil)
--- a/fleet/signals/signals_test.go
+++ b/fleet/signals/signals_test.go
@@ -16,13 +16,13 @@
 
 func at(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-func fresh(origin Origin) *Signals {
+func fresh(origin Origin) *Exchange {
 	s := New(origin, 1, "b", "s", 80*time.Millisecond, 300*time.Millisecond, true)
-	s.At(at(100))
+	s.SetTime(at(100))
 	return s
 }
 
-func reported(o Origin, seq Sequence, what Trouble, held int) Record {
+func reported(o Origin, seq Sequence, what Fault, held int) Record {
 	return Record{Origin: o, Incarnation: 1, Sequence: seq, Reports: []Report{{server, what, held, 0}}}
 }
 
@@ -31,20 +31,20 @@
 	for _, x := range []struct {
 		name      string
 		records   []Record
-		own       func(*Signals)
+		own       func(*Exchange)
 		penalised bool
 	}{
 		{"one that lies or sits behind a bad link", []Record{reported("a", 1, Late, 3)}, nil, false},
 		{"two", []Record{reported("a", 1, Late, 3), reported("b", 1, Failing, 0)}, nil, true},
-		{"two, and as many say that it is well", []Record{reported("a", 1, Late, 3), reported("b", 1, Late, 3), reported("c", 1, Well, 1), reported("d", 1, Well, 1)}, nil, true},
-		{"two, and more say that it is well", []Record{reported("a", 1, Late, 3), reported("b", 1, Late, 3), reported("c", 1, Well, 1), reported("d", 1, Well, 1), reported("e", 1, Well, 9)}, nil, false},
-		{"a claim to hold much is one report", []Record{reported("a", 1, Late, 1<<20), reported("c", 1, Well, 1), reported("d", 1, Well, 1)}, nil, false},
-		{"one, and this balancer itself", []Record{reported("a", 1, Late, 3)}, func(s *Signals) {
-			s.Stood("f", server, 10*time.Millisecond)
-			s.Late(server, time.Second)
+		{"two, and as many say that it is well", []Record{reported("a", 1, Late, 3), reported("b", 1, Late, 3), reported("c", 1, Healthy, 1), reported("d", 1, Healthy, 1)}, nil, true},
+		{"two, and more say that it is well", []Record{reported("a", 1, Late, 3), reported("b", 1, Late, 3), reported("c", 1, Healthy, 1), reported("d", 1, Healthy, 1), reported("e", 1, Healthy, 9)}, nil, false},
+		{"a claim to hold much is one report", []Record{reported("a", 1, Late, 1<<20), reported("c", 1, Healthy, 1), reported("d", 1, Healthy, 1)}, nil, false},
+		{"one, and this balancer itself", []Record{reported("a", 1, Late, 3)}, func(s *Exchange) {
+			s.OnEstablished("f", server, 10*time.Millisecond)
+			s.OnLatencySample(server, time.Second)
 		}, true},
-		{"what is held here and is well is no matter of others'", []Record{reported("a", 1, Late, 3), reported("b", 1, Late, 3)}, func(s *Signals) {
-			s.Stood("f", server, 10*time.Millisecond)
+		{"what is held here and is well is no matter of others'", []Record{reported("a", 1, Late, 3), reported("b", 1, Late, 3)}, func(s *Exchange) {
+			s.OnEstablished("f", server, 10*time.Millisecond)
 		}, false},
 		{"own name", []Record{reported("me", 9, Late, 3), reported("b", 1, Late, 3)}, nil, false},
 	} {
@@ -56,16 +56,16 @@
 			for _, r := range x.records {
 				s.Merge(r)
 			}
-			s.At(at(100.3))
-			cost, why := s.Server("g", server)
+			s.SetTime(at(100.3))
+			cost, why := s.ServerCost("g", server)
 			if (cost > 0) != x.penalised || why != "" {
 				t.Errorf("cost %g, why %q, want it penalised: %v", cost, why, x.penalised)
 			}
-			if x.penalised && s.Why(server) == "" {
+			if x.penalised && s.ExplainCost(server) == "" {
 				t.Error("nothing explains it")
 			}
 			s.enabled = false
-			if cost, _ := s.Server("g", server); cost != 0 {
+			if cost, _ := s.ServerCost("g", server); cost != 0 {
 				t.Error("switched off it bounds")
 			}
 		})
@@ -76,12 +76,12 @@
 func TestTroubleFadesAndIsHeldLonger(t *testing.T) {
 	s := fresh("me")
 	penaltyTime := func(from float64, seq Sequence) float64 {
-		s.At(at(from))
+		s.SetTime(at(from))
 		s.Merge(reported("a", seq, Late, 1))
 		s.Merge(reported("b", seq, Late, 1))
 		for now := from; ; now += 0.05 {
-			s.At(at(now + 0.3))
-			if cost, _ := s.Server("g", server); cost == 0 {
+			s.SetTime(at(now + 0.3))
+			if cost, _ := s.ServerCost("g", server); cost == 0 {
 				return now - from
 			}
 		}
@@ -95,17 +95,17 @@
 		t.Errorf("held for %.1f s, then again for %.1f s: want longer", first, second)
 	}
 	// Two that hold connections there and say that all is well end it.
-	s.At(at(500))
+	s.SetTime(at(500))
 	s.Merge(reported("a", 3, Late, 1))
 	s.Merge(reported("b", 3, Late, 1))
-	s.At(at(500.3))
-	if cost, _ := s.Server("g", server); cost == 0 {
+	s.SetTime(at(500.3))
+	if cost, _ := s.ServerCost("g", server); cost == 0 {
 		t.Fatal("not found again")
 	}
-	s.Merge(reported("a", 4, Well, 1))
-	s.Merge(reported("b", 4, Well, 1))
-	s.At(at(500.6))
-	if cost, _ := s.Server("g", server); cost != 0 {
+	s.Merge(reported("a", 4, Healthy, 1))
+	s.Merge(reported("b", 4, Healthy, 1))
+	s.SetTime(at(500.6))
+	if cost, _ := s.ServerCost("g", server); cost != 0 {
 		t.Error("penalised though those who are there say that it is well")
 	}
 }
@@ -117,13 +117,13 @@
 	for _, o := range []Origin{"a", "a-2", "a-3", "gone"} {
 		s.Merge(reported(o, 1, Silent, 5))
 	}
-	s.At(at(100.3))
-	if cost, _ := s.Server("g", server); cost != 0 {
+	s.SetTime(at(100.3))
+	if cost, _ := s.ServerCost("g", server); cost != 0 {
 		t.Error("one member and three strangers had it penalised")
 	}
 	s.SetReporters([]Origin{"me", "a", "gone"})
-	s.At(at(100.6))
-	if cost, _ := s.Server("g", server); cost == 0 {
+	s.SetTime(at(100.6))
+	if cost, _ := s.ServerCost("g", server); cost == 0 {
 		t.Error("two members did not")
 	}
 }
@@ -136,7 +136,7 @@
 	}{{4, 1, true}, {4, 2, false}, {40, 4, true}, {40, 5, false}} {
 		s := fresh("me")
 		for i := range x.servers {
-			s.Listed(decide.ServerID(i), "a", 1, decide.Ready, 0)
+			s.OnEndpoint(decide.ServerID(i), "a", 1, decide.Ready, 0)
 		}
 		for _, o := range []Origin{"a", "b"} {
 			r := Record{Origin: o, Incarnation: 1, Sequence: 1}
@@ -145,59 +145,59 @@
 			}
 			s.Merge(r)
 		}
-		s.At(at(100.3))
-		if cost, _ := s.Server("f", 0); (cost > 0) != x.penalised {
+		s.SetTime(at(100.3))
+		if cost, _ := s.ServerCost("f", 0); (cost > 0) != x.penalised {
 			t.Errorf("%d of %d in trouble: cost %g, want it penalised: %v", x.ill, x.servers, cost, x.penalised)
 		}
 	}
 }
 
 func TestFirstHand(t *testing.T) {
-	fail := func(o decide.Outcome) func(*Signals) {
-		return func(s *Signals) {
-			s.Sent("f", server)
-			s.Over("f", server, o, false)
+	fail := func(o decide.Outcome) func(*Exchange) {
+		return func(s *Exchange) {
+			s.OnAttempt("f", server)
+			s.OnEnded("f", server, o, false)
 		}
 	}
-	up := func(took time.Duration) func(*Signals) {
-		return func(s *Signals) { s.Stood("f", server, took) }
+	up := func(took time.Duration) func(*Exchange) {
+		return func(s *Exchange) { s.OnEstablished("f", server, took) }
 	}
 	for _, x := range []struct {
 		name     string
-		do       []func(*Signals)
-		want     Trouble
+		do       []func(*Exchange)
+		want     Fault
 		reported bool
 	}{
-		{"nothing", nil, Well, false},
-		{"stands", []func(*Signals){up(20 * time.Millisecond)}, Well, true},
-		{"stands, set up late", []func(*Signals){up(time.Second)}, Late, true},
-		{"a late message", []func(*Signals){up(20 * time.Millisecond), func(s *Signals) { s.Late(server, time.Second) }}, Late, true},
-		{"late no more", []func(*Signals){up(20 * time.Millisecond), func(s *Signals) { s.Late(server, time.Second) }, func(s *Signals) { s.Late(server, time.Millisecond) }}, Well, true},
-		{"one failure is chance", []func(*Signals){fail(decide.Error)}, Well, false},
-		{"two failures", []func(*Signals){fail(decide.Error), fail(decide.Reset)}, Failing, true},
-		{"full is no trouble", []func(*Signals){fail(decide.Full), fail(decide.Full)}, Well, false},
-		{"nothing comes back", []func(*Signals){fail(decide.TimedOut), fail(decide.Unreachable)}, Silent, true},
+		{"nothing", nil, Healthy, false},
+		{"stands", []func(*Exchange){up(20 * time.Millisecond)}, Healthy, true},
+		{"stands, set up late", []func(*Exchange){up(time.Second)}, Late, true},
+		{"a late message", []func(*Exchange){up(20 * time.Millisecond), func(s *Exchange) { s.OnLatencySample(server, time.Second) }}, Late, true},
+		{"late no more", []func(*Exchange){up(20 * time.Millisecond), func(s *Exchange) { s.OnLatencySample(server, time.Second) }, func(s *Exchange) { s.OnLatencySample(server, time.Millisecond) }}, Healthy, true},
+		{"one failure is chance", []func(*Exchange){fail(decide.Error)}, Healthy, false},
+		{"two failures", []func(*Exchange){fail(decide.Error), fail(decide.Reset)}, Failing, true},
+		{"full is no trouble", []func(*Exchange){fail(decide.Full), fail(decide.Full)}, Healthy, false},
+		{"nothing comes back", []func(*Exchange){fail(decide.TimedOut), fail(decide.Unreachable)}, Silent, true},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			s := fresh("me")
 			for _, do := range x.do {
 				do(s)
 			}
-			s.At(at(100.3))
+			s.SetTime(at(100.3))
 			r, due := s.Publish(3)
-			if !due || (len(r.Reports) == 1) != x.reported || x.reported && r.Reports[0].Trouble != x.want {
+			if !due || (len(r.Reports) == 1) != x.reported || x.reported && r.Reports[0].Fault != x.want {
 				t.Errorf("published %v %+v, want %v", due, r.Reports, x.want)
 			}
 			// It was published: nothing new is due until something changes, or the rest is over.
-			s.At(at(100.6))
+			s.SetTime(at(100.6))
 			if _, due := s.Publish(3); due {
 				t.Error("published again at once")
 			}
-			s.At(at(103))
+			s.SetTime(at(103))
 			if _, due := s.Publish(3); !due {
 				t.Error("not published again")
 			}
-			s.At(at(106))
+			s.SetTime(at(106))
 			if _, due := s.Publish(300); due {
 				t.Error("a large fleet hears as often as a small one")
 			}
@@ -241,7 +241,7 @@
 
 func TestWire(t *testing.T) {
 	r := Record{Origin: "b3", Incarnation: 17, Sequence: 4, Build: "abc", Settings: "12", Rate: 3.5,
-		Reports: []Report{{7, Late, 3, 1500 * time.Millisecond}, {8, Well, 12, 0}}, LoadReports: []LoadReport{{7, 0.625, 3, 20 * time.Millisecond}}}
+		Reports: []Report{{7, Late, 3, 1500 * time.Millisecond}, {8, Healthy, 12, 0}}, LoadReports: []LoadReport{{7, 0.625, 3, 20 * time.Millisecond}}}
 	b, err := Encode(r)
 	if err != nil {
 		t.Fatal(err)
@@ -280,12 +280,12 @@
 		}), nil},
 		{"a later kind", later(func(m map[int]any) { m[keyKind] = 2 }), ErrKind},
 		{"a later version", later(func(m map[int]any) { m[keyVersion] = 2 }), ErrVersion},
-		{"no origin", later(func(m map[int]any) { delete(m, keyOrigin) }), ErrGarbled},
-		{"an origin that is a number", later(func(m map[int]any) { m[keyOrigin] = 5 }), ErrGarbled},
-		{"an incarnation beyond all", later(func(m map[int]any) { m[keyIncarnation] = uint64(1<<64 - 1) }), ErrGarbled},
-		{"cut", b[:len(b)/2], ErrGarbled},
-		{"empty", nil, ErrGarbled},
-		{"a megabyte", make([]byte, 1<<20), ErrGarbled},
+		{"no origin", later(func(m map[int]any) { delete(m, keyOrigin) }), ErrMalformed},
+		{"an origin that is a number", later(func(m map[int]any) { m[keyOrigin] = 5 }), ErrMalformed},
+		{"an incarnation beyond all", later(func(m map[int]any) { m[keyIncarnation] = uint64(1<<64 - 1) }), ErrMalformed},
+		{"cut", b[:len(b)/2], ErrMalformed},
+		{"empty", nil, ErrMalformed},
+		{"a megabyte", make([]byte, 1<<20), ErrMalformed},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			r, err := Decode(x.b)
@@ -308,7 +308,7 @@
 	for i := 1; i < many; i++ {
 		r := Record{Origin: Origin(fmt.Sprint("n", i)), Incarnation: 1, Sequence: 1}
 		for k := range 20 {
-			r.Reports = append(r.Reports, Report{decide.ServerID((i*20 + k) % many), Well, 1, 0})
+			r.Reports = append(r.Reports, Report{decide.ServerID((i*20 + k) % many), Healthy, 1, 0})
 		}
 		b, err := Encode(r)
 		if err != nil {
@@ -322,7 +322,7 @@
 			all[v.Server] = true
 		}
 	}
-	if list, _ := s.Known(); len(list) != many-1 || len(all) != many {
+	if list, _ := s.Records(); len(list) != many-1 || len(all) != many {
 		t.Errorf("%d origins and %d servers are known", len(list), len(all))
 	}
 	for range 2 * many / maxFullState * 2 {
@@ -349,7 +349,7 @@
 			asks.Merge(r)
 		}
 	}
-	if list, _ := asks.Known(); len(list) != many-1 {
+	if list, _ := asks.Records(); len(list) != many-1 {
 		t.Errorf("%d origins are known to who asks", len(list))
 	}
 }
@@ -368,8 +368,8 @@
 		}
 		s := fresh("me")
 		s.Merge(r)
-		s.At(at(101))
-		s.Server("f", server)
+		s.SetTime(at(101))
+		s.ServerCost("f", server)
 	})
 }
 
--- a/fleet/signals/state.go
+++ b/fleet/signals/state.go
@@ -11,7 +11,7 @@
 const maxFullState = 100 // records for a member that asks for the full state
 
 // State is what an operator is shown: servers that others find in trouble, with who says so, and how many origins are known.
-func (s *Signals) State() any {
+func (s *Exchange) State() any {
 	s.gather()
 	type server struct {
 		Server    decide.ServerID `json:"id"`
@@ -42,12 +42,12 @@
 	return map[string]any{"on": s.enabled, "servers": list, "origins": len(s.store.records)}
 }
 
-// Known is what each origin last published, and its age.
-func (s *Signals) Known() ([]Record, []time.Duration) { return s.store.All(s.now) }
+// Records is what each origin last published, and its age.
+func (s *Exchange) Records() ([]Record, []time.Duration) { return s.store.All(s.now) }
 
 // FullState is what another member that asks is sent: this balancer's own record and others', as old as they are now; of a large fleet
 // those that report trouble first and a part of the rest, another one each time, so that it costs the same in any fleet.
-func (s *Signals) FullState() []Record {
+func (s *Exchange) FullState() []Record {
 	list, ages := s.store.All(s.now)
 	if len(list) > maxFullState {
 		list, ages = s.selection(list, ages)
@@ -76,11 +76,11 @@
 
 // troubled tells whether a record reports trouble on any server.
 func (r *Record) troubled() bool {
-	return slices.ContainsFunc(r.Reports, func(report Report) bool { return report.Trouble != Well })
+	return slices.ContainsFunc(r.Reports, func(report Report) bool { return report.Fault != Healthy })
 }
 
 // selection takes so many records as a full state may have: up to a half of them with trouble, the others from another place each time.
-func (s *Signals) selection(all []Record, allAges []time.Duration) (list []Record, ages []time.Duration) {
+func (s *Exchange) selection(all []Record, allAges []time.Duration) (list []Record, ages []time.Duration) {
 	s.fullStates++
 	first := s.fullStates * maxFullState / 2 % len(all)
 	take := func(i int) {
--- a/fleet/signals/store.go
+++ b/fleet/signals/store.go
@@ -20,24 +20,24 @@
 	Sequence    uint64 // of what an origin told in one incarnation
 )
 
-// Trouble is what an origin observed of a server, the worst last.
-type Trouble int
+// Fault is what an origin observed of a server, the worst last.
+type Fault int
 
 const (
-	Well    Trouble = iota // connections stand there and nothing is wrong
-	Late                   // messages or set-ups take too long
-	Failing                // set-ups fail, or connections break
-	Silent                 // nothing comes back
+	Healthy Fault = iota // connections stand there and nothing is wrong
+	Late                 // messages or set-ups take too long
+	Failing              // set-ups fail, or connections break
+	Silent               // nothing comes back
 )
 
-func (t Trouble) String() string { return [...]string{"well", "late", "failing", "silent"}[t] }
+func (t Fault) String() string { return [...]string{"well", "late", "failing", "silent"}[t] }
 
 // Report is what an origin reports of one server.
 type Report struct {
-	Server  decide.ServerID
-	Trouble Trouble
-	Held    int           // connections that it holds there
-	Age     time.Duration // of the newest evidence, when it was published
+	Server      decide.ServerID
+	Fault       Fault
+	Connections int           // connections that it holds there
+	Age         time.Duration // of the newest evidence, when it was published
 }
 
 // LoadReport is the load that a server reported of itself to an origin that probed it for all.
--- a/fleet/signals/wire.go
+++ b/fleet/signals/wire.go
@@ -13,8 +13,8 @@
 
 // Error is why something that came was not taken. Do says what an operator can do.
 type Error struct {
-	What, Do string
-	Err      error
+	What, Remedy string
+	Err          error
 }
 
 func (e *Error) Error() string {
@@ -26,7 +26,7 @@
 func (e *Error) Unwrap() error { return e.Err }
 
 // Advice says what an operator can do.
-func (e *Error) Advice() string { return e.Do }
+func (e *Error) Advice() string { return e.Remedy }
 
 // Version of the messages. A later one may add keys and kinds, which an earlier one passes over; another number here means that the
 // old keys changed their meaning, and such a message is passed over whole.
@@ -83,9 +83,9 @@
 
 // Why a message is passed over; each is counted by the one who receives it.
 var (
-	ErrGarbled = errors.New("garbled")
-	ErrVersion = errors.New("another version")
-	ErrKind    = errors.New("an unknown kind")
+	ErrMalformed = errors.New("garbled")
+	ErrVersion   = errors.New("another version")
+	ErrKind      = errors.New("an unknown kind")
 )
 
 // Encode writes a record as a map of small numbers. Of one that would not fit into a datagram it leaves out reports, those of healthy
@@ -104,7 +104,7 @@
 	kept := func(n int) int { return int(part * float64(n)) }
 	reports := [][]int64{}
 	for _, x := range r.Reports[:kept(len(r.Reports))] {
-		reports = append(reports, []int64{int64(x.Server), int64(x.Trouble), int64(x.Held), x.Age.Milliseconds()})
+		reports = append(reports, []int64{int64(x.Server), int64(x.Fault), int64(x.Connections), x.Age.Milliseconds()})
 	}
 	message := map[int]any{
 		keyVersion:     Version,
@@ -133,7 +133,7 @@
 	if errors.Is(why, ErrVersion) || errors.Is(why, ErrKind) {
 		advice = "usual while builds are changed; afterwards bring all members to one build"
 	}
-	return &Error{What: what, Do: advice, Err: why}
+	return &Error{What: what, Remedy: advice, Err: why}
 }
 
 // message is one that is being read, with the first fault that was met.
@@ -149,7 +149,7 @@
 		return
 	}
 	if err := decoder.Unmarshal(raw, into); err != nil {
-		m.err = fmt.Errorf("%w: key %d: %w", ErrGarbled, key, err)
+		m.err = fmt.Errorf("%w: key %d: %w", ErrMalformed, key, err)
 	}
 }
 
@@ -157,11 +157,11 @@
 func Decode(b []byte) (Record, error) {
 	const unreadable = "a message that can't be read"
 	if len(b) > maxRecordBytes {
-		return Record{}, passedOver(ErrGarbled, fmt.Sprintf("a message of %d bytes", len(b)))
+		return Record{}, passedOver(ErrMalformed, fmt.Sprintf("a message of %d bytes", len(b)))
 	}
 	var m message
 	if err := decoder.Unmarshal(b, &m.raw); err != nil {
-		return Record{}, passedOver(fmt.Errorf("%w: %w", ErrGarbled, err), unreadable)
+		return Record{}, passedOver(fmt.Errorf("%w: %w", ErrMalformed, err), unreadable)
 	}
 	var version, kind int
 	m.get(keyVersion, &version)
@@ -194,7 +194,7 @@
 	m.get(keyReports, &reports)
 	m.get(keyLoadReports, &loads)
 	if m.err == nil && !r.possible() {
-		m.err = fmt.Errorf("%w: no origin, or a value that can't be", ErrGarbled)
+		m.err = fmt.Errorf("%w: no origin, or a value that can't be", ErrMalformed)
 	}
 	r.Rate = float64(max(rate, 0)) / rateParts
 	for _, x := range reports[:min(len(reports), MaxReports)] {
@@ -226,11 +226,11 @@
 	if len(x) < reportFields || !serverNumber(x[0]) || x[1] < 0 || x[2] < 0 || x[2] > maxHeld || x[3] < 0 {
 		return Report{}, false
 	}
-	trouble := Trouble(x[1])
+	trouble := Fault(x[1])
 	if trouble > Silent {
 		return Report{}, false // a trouble that this build does not know
 	}
-	return Report{Server: decide.ServerID(x[0]), Trouble: trouble, Held: int(x[2]), Age: decodeAge(x[3])}, true
+	return Report{Server: decide.ServerID(x[0]), Fault: trouble, Connections: int(x[2]), Age: decodeAge(x[3])}, true
 }
 
 // decodeLoadReport reads a load report; one of a later build, or nonsense, is not known.
@@ -253,7 +253,7 @@
 // DecodeAll takes them apart; what is beyond the bound of origins is left out.
 func DecodeAll(b []byte) (messages [][]byte, err error) {
 	if err := fullStateDecoder.Unmarshal(b, &messages); err != nil {
-		return nil, passedOver(fmt.Errorf("%w: %w", ErrGarbled, err), "what a member knows can't be read")
+		return nil, passedOver(fmt.Errorf("%w: %w", ErrMalformed, err), "what a member knows can't be read")
 	}
 	return messages, nil
 }
--- a/internal/advice/advice.go
+++ b/internal/advice/advice.go
@@ -3,10 +3,10 @@
 
 // Error is a fault with what helps.
 type Error struct {
-	Where string // the key, the file, or the part of the program
-	What  string // what is wrong there
-	Do    string // what an operator can do
-	Err   error  // the cause; nil: there is no other
+	Where  string // the key, the file, or the part of the program
+	What   string // what is wrong there
+	Remedy string // what an operator can do
+	Err    error  // the cause; nil: there is no other
 }
 
 func (e *Error) Error() string {
@@ -20,4 +20,4 @@
 func (e *Error) Unwrap() error { return e.Err }
 
 // Advice is what an operator can do.
-func (e *Error) Advice() string { return e.Do }
+func (e *Error) Advice() string { return e.Remedy }
--- a/internal/advice/advice_test.go
+++ b/internal/advice/advice_test.go
@@ -12,8 +12,8 @@
 		err  *Error
 		text string
 	}{
-		{"with a cause", &Error{Where: "peers.bind", What: "no member yet", Do: "see who has it", Err: net.ErrClosed}, "peers.bind: no member yet: " + net.ErrClosed.Error()},
-		{"without one", &Error{Where: "peers.bind", What: "no member yet", Do: "see who has it"}, "peers.bind: no member yet"},
+		{"with a cause", &Error{Where: "peers.bind", What: "no member yet", Remedy: "see who has it", Err: net.ErrClosed}, "peers.bind: no member yet: " + net.ErrClosed.Error()},
+		{"without one", &Error{Where: "peers.bind", What: "no member yet", Remedy: "see who has it"}, "peers.bind: no member yet"},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			if x.err.Error() != x.text || x.err.Advice() != "see who has it" {
--- a/internal/config/halls.go
+++ b/internal/config/halls.go
@@ -70,15 +70,15 @@
 }
 
 // Decider makes that of a balancer that is told g and draws chance from seed.
-func (h Halls) Decider(g Given, seed uint64) *locality.Halls {
+func (h Halls) Decider(g Given, seed uint64) *locality.Policy {
 	own := g.Text("az", "")
 	return locality.New(seed, decide.Zone(own), h.tiers[own], h.spill, h.surge, h.homeward, int(g.Figure("peers-total", 1)),
 		ShortestTarget(g), MessageTarget(g), g.Span("guarantees.warm-after"), h.again)
 }
 
 // Change brings a decider that runs to what a newer file says.
-func (h Halls) Change(d *locality.Halls, g Given) {
-	d.Change(h.tiers[g.Text("az", "")], h.spill, h.surge, h.homeward, int(g.Figure("peers-total", 1)), h.again)
+func (h Halls) Change(d *locality.Policy, g Given) {
+	d.Reconfigure(h.tiers[g.Text("az", "")], h.spill, h.surge, h.homeward, int(g.Figure("peers-total", 1)), h.again)
 }
 
 // Text is the table as an operators' file says it.
@@ -99,4 +99,4 @@
 	return b.String()
 }
 
-var _ constraints.Decider = (*locality.Halls)(nil)
+var _ constraints.Constraint = (*locality.Policy)(nil)
--- a/internal/config/options.go
+++ b/internal/config/options.go
@@ -17,9 +17,9 @@
 type Options struct {
 	halls   *Halls
 	explain string
-	running *locality.Halls
+	running *locality.Policy
 	peers   *Peers
-	signals *signals.Signals
+	signals *signals.Exchange
 }
 
 // Peers is what the file says of the other balancers: how this one is called among them, where it speaks and what it tells.
@@ -119,7 +119,7 @@
 }
 
 // Signals is the decider that others' words reach; nil where nothing passes.
-func (o *Options) Signals() *signals.Signals { return o.signals }
+func (o *Options) Signals() *signals.Exchange { return o.signals }
 
 // Speak makes that decider; the file must name peers. build and settings are what it tells of itself, inc tells this start from earlier
 // ones.
@@ -128,7 +128,7 @@
 }
 
 // Deciders are those that the file switches on, in the order in which they are asked: halls, signals.
-func (o *Options) Deciders(g Given, seed uint64) (list []constraints.Decider) {
+func (o *Options) Deciders(g Given, seed uint64) (list []constraints.Constraint) {
 	if o.halls != nil {
 		o.running = o.halls.Decider(g, seed)
 		list = append(list, o.running)
--- a/internal/config/setup_test.go
+++ b/internal/config/setup_test.go
@@ -47,10 +47,10 @@
 	return g, g.Fault()
 }
 
-type nobody struct{ decide.Act }
+type nobody struct{ decide.Actions }
 
-func (nobody) Timer(decide.TimerMark, time.Duration) {}
-func (nobody) Watch(bool)                            {}
+func (nobody) SetTimer(decide.TimerID, time.Duration) {}
+func (nobody) WatchEndpoints(bool)                    {}
 
 func none(string) string { return "" }
 
@@ -197,7 +197,7 @@
 	}
 }
 
-type nowhere struct{ decide.Act }
+type nowhere struct{ decide.Actions }
 
-func (nowhere) Timer(decide.TimerMark, time.Duration) {}
-func (nowhere) Watch(bool)                            {}
+func (nowhere) SetTimer(decide.TimerID, time.Duration) {}
+func (nowhere) WatchEndpoints(bool)                    {}
--- a/internal/config/start.go
+++ b/internal/config/start.go
@@ -9,27 +9,27 @@
 )
 
 var effects = map[string]decide.Effect{
-	"free": decide.Repeatable, "guarded": decide.Referenced, "single_shot": decide.OnceOnly}
-var reaches = map[string]decide.Reach{
-	"all": decide.ReachAll, "zone": decide.ReachZone, "cell": decide.ReachCell}
+	"free": decide.Idempotent, "guarded": decide.IdempotentByKey, "single_shot": decide.NotIdempotent}
+var reaches = map[string]decide.DeduplicationScope{
+	"all": decide.DeduplicatedByFleet, "zone": decide.DeduplicatedByZone, "cell": decide.DeduplicatedByCell}
 
 // Start hands each part of the module its own few settings, and tells which names stand for which ids. It serves
 // the simulator's wire and the real balancer alike, so that both decide on the same terms.
 func Start(g Given, b *decide.Balancer) (map[string]decide.ServiceID, map[string]decide.CustomerID) {
 	services, customers := map[string]decide.ServiceID{}, map[string]decide.CustomerID{}
-	b.StartFlows(int(g.Figure("policy-limits.max-connects", 1)), RetryAfter(g))
+	b.ConfigureFlows(int(g.Figure("policy-limits.max-connects", 1)), RetryAfter(g))
 	for i := range int(g.Figure("service-types.count", 0)) {
 		s := g.Under("service-types." + strconv.Itoa(i))
 		services[s.need("name")] = decide.ServiceID(i)
-		e := word(s, "effect", effects, decide.OnceOnly)
-		b.StartService(e, word(s, "group", reaches, decide.ReachCell), s.Span("setup-target"), s.Span("window"),
+		e := word(s, "effect", effects, decide.NotIdempotent)
+		b.AddService(e, word(s, "group", reaches, decide.DeduplicatedByCell), s.Span("setup-target"), s.Span("window"),
 			s.Figure("value", 1))
 	}
-	b.StartCold(g.Figure("guarantees.cold-from", 1), g.Figure("guarantees.fall-multiple", 1),
+	b.ConfigureSlowStart(g.Figure("guarantees.cold-from", 1), g.Figure("guarantees.fall-multiple", 1),
 		g.Span("guarantees.warm-after"), time.Duration(g.Figure("guarantees.fall", float64(1500*time.Millisecond))), int(g.Figure("peers-total", 1)))
-	b.StartHealth(Probing(g))
+	b.ConfigureHealthChecks(Probing(g))
 	checkNines(g)
-	b.StartPick(g.Figure("tariffs.cross-zone", 0),
+	b.ConfigurePlacement(g.Figure("tariffs.cross-zone", 0),
 		g.Figure("tariffs.moves", 0)+g.Figure("tariffs.handshake", 0),
 		g.Text("weights", "silent") != "silent")
 	quotas := g.Figures("family-info.tenant-quota-connections")
@@ -39,9 +39,9 @@
 		if i < len(quotas) && g.Figure("beyond-share-value", 1) < 1 {
 			q = quotas[i]
 		}
-		b.StartCustomer(q)
+		b.AddCustomer(q)
 	}
-	b.StartList(decide.Zone(g.Text("az", "")), Asking(g), g.Span("guarantees.must-ask-in"), MessageTarget(g))
+	b.ConfigureEndpoints(decide.Zone(g.Text("az", "")), Asking(g), g.Span("guarantees.must-ask-in"), MessageTarget(g))
 	return services, customers
 }
 
--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -27,9 +27,9 @@
 // peers carries what the signals decider tells to the other balancers, and what they tell to it.
 type peers struct {
 	group   *membership.Group
-	signals *signals.Signals // under the router's lock
+	signals *signals.Exchange // under the router's lock
 	router  *routing.Router
-	duties  *lease.Duties // the same; nil: each probes for itself
+	duties  *lease.Manager // the same; nil: each probes for itself
 	name    string
 }
 
@@ -41,9 +41,9 @@
 	}
 	p := &peers{signals: o.Signals(), router: r, name: own.Name}
 	if own.Duties {
-		p.duties = lease.New(lease.Name(own.Name), leaseFor)
-		p.signals.ShareLoads(func(s decide.ServerID, now time.Duration) uint64 { return uint64(p.duties.Did(lease.Duty(s), now)) })
-		r.Probing(func(s decide.ServerID, now time.Duration) bool { return p.duties.Mine(lease.Duty(s), now) })
+		p.duties = lease.New(lease.Holder(own.Name), leaseFor)
+		p.signals.ShareLoads(func(s decide.ServerID, now time.Duration) uint64 { return uint64(p.duties.Renew(lease.Task(s), now)) })
+		r.Probing(func(s decide.ServerID, now time.Duration) bool { return p.duties.Holds(lease.Task(s), now) })
 	}
 	p.group = membership.New(own.Program, membership.Name(own.Name), own.Label, own.Bind, own.Advertise, own.Seeds, p)
 	return p
@@ -81,14 +81,14 @@
 	var reporters []signals.Origin
 	for _, s := range seen {
 		if s.State == membership.Alive {
-			in = append(in, lease.Member{Name: lease.Name(s.Name), Weight: 1, Since: s.Since})
+			in = append(in, lease.Member{Name: lease.Holder(s.Name), Weight: 1, Since: s.Since})
 			reporters = append(reporters, signals.Origin(s.Name))
 		}
 	}
 	p.router.Tell(func() {
 		p.signals.SetReporters(reporters)
 		if p.duties != nil {
-			p.duties.Members(in)
+			p.duties.SetMembers(in)
 		}
 		r, due = p.signals.Publish(fleet)
 	})
@@ -135,7 +135,7 @@
 	now := p.router.Now()
 	p.signals.Relay(func() {
 		for _, l := range r.LoadReports {
-			p.duties.Heard(lease.Duty(l.Server), lease.Epoch(l.Epoch), lease.Name(r.Origin), l.Age, now)
+			p.duties.Observe(lease.Task(l.Server), lease.Epoch(l.Epoch), lease.Holder(r.Origin), l.Age, now)
 			if l.Age < leaseFor {
 				p.router.Reported(l.Server, l.Load)
 			}
@@ -178,9 +178,9 @@
 // Away: this process stood still.
 func (p *peers) Away(time.Duration) {
 	p.router.Tell(func() {
-		p.signals.Away()
+		p.signals.OnSuspended()
 		if p.duties != nil {
-			p.duties.Away(p.router.Now())
+			p.duties.OnSuspended(p.router.Now())
 		}
 	})
 }
@@ -200,7 +200,7 @@
 type MembersView struct {
 	Name    string         `json:"name"`
 	Members []MemberView   `json:"members"`
-	Duties  []lease.Held   `json:"duties,omitempty"`
+	Duties  []lease.Status `json:"duties,omitempty"`
 	Unread  map[string]int `json:"passed_over,omitempty"` // by kind
 }
 
@@ -213,12 +213,12 @@
 		var records []signals.Record
 		var ages []time.Duration
 		var own signals.Record
-		var held []lease.Held
+		var held []lease.Status
 		p.router.Tell(func() {
 			if p.duties != nil {
-				held = p.duties.All()
+				held = p.duties.Statuses()
 			}
-			records, ages = p.signals.Known()
+			records, ages = p.signals.Records()
 			own = p.signals.OwnRecord()
 		})
 		by := map[string]int{}
@@ -238,7 +238,7 @@
 			if m.Told >= 0 {
 				m.Build, m.Settings, m.Incarnation, m.Rate = r.Build, r.Settings, uint64(r.Incarnation), r.Rate
 				for _, x := range r.Reports {
-					if x.Trouble != signals.Well {
+					if x.Fault != signals.Healthy {
 						m.Troubles++
 					}
 				}
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -13,16 +13,16 @@
 	"yardwinch/internal/routing"
 )
 
-type closed struct{ constraints.None }
+type closed struct{ constraints.Unconstrained }
 
-func (closed) Name() string                           { return "closed" }
-func (closed) Admit(decide.FlowID) constraints.Reason { return "after hours" }
+func (closed) Name() string                               { return "closed" }
+func (closed) AdmitFlow(decide.FlowID) constraints.Reason { return "after hours" }
 
 func TestAskARunningBalancer(t *testing.T) {
-	r := routing.New(1, time.Second, false, false, []constraints.Decider{closed{}}, func(b *decide.Balancer) (map[string]decide.ServiceID, map[string]decide.CustomerID) {
-		b.StartFlows(1, time.Second)
-		b.StartService(decide.Repeatable, decide.ReachAll, time.Second, time.Second, 1)
-		b.StartCold(1, 1, 0, 0, 1)
+	r := routing.New(1, time.Second, false, false, []constraints.Constraint{closed{}}, func(b *decide.Balancer) (map[string]decide.ServiceID, map[string]decide.CustomerID) {
+		b.ConfigureFlows(1, time.Second)
+		b.AddService(decide.Idempotent, decide.DeduplicatedByFleet, time.Second, time.Second, 1)
+		b.ConfigureSlowStart(1, 1, 0, 0, 1)
 		return map[string]decide.ServiceID{"x": 0}, nil
 	})
 	path := filepath.Join(t.TempDir(), "s")
@@ -43,8 +43,8 @@
 	if _, err := r.Open("abc", "x", "", "", "g", time.Second, 0); err != nil {
 		t.Fatal(err)
 	}
-	var n constraints.Note
-	if err := Ask(path, "why abc", &n); err != nil || n.Answer != "rejected" || n.Barred["closed: after hours"] != 1 {
+	var n constraints.Explanation
+	if err := Ask(path, "why abc", &n); err != nil || n.Answer != "rejected" || n.Excluded["closed: after hours"] != 1 {
 		t.Errorf("%+v, %v", n, err)
 	}
 	var s routing.State
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -265,7 +265,7 @@
 
 func whole() State {
 	return State{Version: Version, IDsKey: []byte{1}, IDs: make([]byte, 16), Revision: 3, Memory: routing.Memory{
-		Servers: []routing.Server{{Name: "a"}}, Decided: decide.Memory{Now: time.Second, Servers: []decide.KnownServer{{Size: 1}}}}}
+		Servers: []routing.Server{{Name: "a"}}, Decided: decide.Snapshot{Now: time.Second, Servers: []decide.ServerSnapshot{{Size: 1}}}}}
 }
 
 func TestState(t *testing.T) {
--- a/internal/membership/child.go
+++ b/internal/membership/child.go
@@ -89,10 +89,10 @@
 			wait = firstRestart
 		}
 		e := &Error{
-			Where: "peers",
-			What:  "the engine of the members ended; serving alone until it runs again",
-			Do:    "see that " + engineName + " of this build lies beside yardwinch, or name it by peers.program",
-			Err:   err,
+			Where:  "peers",
+			What:   "the engine of the members ended; serving alone until it runs again",
+			Remedy: "see that " + engineName + " of this build lies beside yardwinch, or name it by peers.program",
+			Err:    err,
 		}
 		g.Note("the engine ended", e.Error()+"; what helps: "+e.Advice())
 		select {
--- a/internal/membership/engine/delegate.go
+++ b/internal/membership/engine/delegate.go
@@ -80,6 +80,6 @@
 
 func (d delegate) NotifyConflict(existing, other *memberlist.Node) {
 	e := &membership.Error{Where: "peers.name", What: fmt.Sprintf("two members call themselves %s, at %s and at %s", existing.Name, existing.Address(), other.Address()),
-		Do: "give each instance a name of its own and restart the one that came later"}
+		Remedy: "give each instance a name of its own and restart the one that came later"}
 	d.g.quiet.note("two members of one name", e.Error()+"; what helps: "+e.Advice())
 }
--- a/internal/membership/engine/engine.go
+++ b/internal/membership/engine/engine.go
@@ -96,7 +96,7 @@
 		if now := time.Now(); !now.Before(next) && g.lonely() {
 			if err := g.join(); err != nil && !said {
 				said = true
-				e := &membership.Error{Where: "peers", What: "none of the seeds answers; serving alone and asking on", Do: "check peers.seeds, that the others run, and that UDP and TCP of their ports are open here", Err: oneLine(err)}
+				e := &membership.Error{Where: "peers", What: "none of the seeds answers; serving alone and asking on", Remedy: "check peers.seeds, that the others run, and that UDP and TCP of their ports are open here", Err: oneLine(err)}
 				slog.Warn(e.Error(), "what helps", e.Advice())
 			} else if err == nil {
 				again, said = retries(), false
@@ -139,7 +139,7 @@
 		}
 		if !said {
 			said = true
-			e := &membership.Error{Where: "peers.bind", What: "no member yet, serving alone", Do: "while the process before this one runs this is usual; else see who has the address, or name another", Err: err}
+			e := &membership.Error{Where: "peers.bind", What: "no member yet, serving alone", Remedy: "while the process before this one runs this is usual; else see who has the address, or name another", Err: err}
 			slog.Warn(e.Error(), "what helps", e.Advice())
 		}
 		select {
--- a/internal/membership/engine/engine_test.go
+++ b/internal/membership/engine/engine_test.go
@@ -154,7 +154,7 @@
 }
 
 func TestErrorsSayWhatHelps(t *testing.T) {
-	e := &membership.Error{Where: "peers.bind", What: "no member yet", Do: "see who has the address", Err: net.ErrClosed}
+	e := &membership.Error{Where: "peers.bind", What: "no member yet", Remedy: "see who has the address", Err: net.ErrClosed}
 	if !errors.Is(e, net.ErrClosed) || e.Advice() == "" || !strings.Contains(e.Error(), "peers.bind") {
 		t.Error(e, e.Advice())
 	}
--- a/internal/membership/engine/serve.go
+++ b/internal/membership/engine/serve.go
@@ -88,12 +88,12 @@
 		text = append(text, s)
 	}
 	if kind, _ := f[0].(uint64); kind != membership.FrameStart || len(text) < 4 {
-		return nil, &membership.Error{Where: "peers", What: "the engine was not told who it is", Do: "it is started by yardwinch serve, not by hand"}
+		return nil, &membership.Error{Where: "peers", What: "the engine was not told who it is", Remedy: "it is started by yardwinch serve, not by hand"}
 	}
 	bind, err1 := netip.ParseAddrPort(text[2])
 	advertise, err2 := netip.ParseAddrPort(text[3])
 	if err := errors.Join(err1, err2); err != nil {
-		return nil, &membership.Error{Where: "peers", What: "an address", Do: "it is started by yardwinch serve, not by hand", Err: err}
+		return nil, &membership.Error{Where: "peers", What: "an address", Remedy: "it is started by yardwinch serve, not by hand", Err: err}
 	}
 	return func() *Group { return New(membership.Name(text[0]), text[1], bind, advertise, text[4:], b) }, nil
 }
--- a/internal/protocol/crossings_test.go
+++ b/internal/protocol/crossings_test.go
@@ -92,7 +92,7 @@
 		t.Run("the pick, "+name, func(t *testing.T) {
 			t.Parallel()
 			l := listen(t)
-			y := yardOf(t, decide.OnceOnly, all, 48, 200*ms, 2*sec, l.Addr().String()) // one set-up out at a time
+			y := yardOf(t, decide.NotIdempotent, all, 48, 200*ms, 2*sec, l.Addr().String()) // one set-up out at a time
 			y.serve()
 			first := y.client(strings.Replace(hello, "1a", "0e", 1))
 			server, _ := accept(t, l)
@@ -110,7 +110,7 @@
 		t.Run("the connect, "+name, func(t *testing.T) {
 			t.Parallel()
 			l := full(t)
-			y := yardOf(t, decide.OnceOnly, all, 1, 8*sec, 2*sec, l.Addr().String())
+			y := yardOf(t, decide.NotIdempotent, all, 1, 8*sec, 2*sec, l.Addr().String())
 			y.serve()
 			gone := y.client(strings.Replace(hello, "d=1500", "d=8000", 1))
 			y.free(all - 2)
@@ -133,7 +133,7 @@
 		t.Run("the pause before a retry, "+name, func(t *testing.T) {
 			t.Parallel()
 			l := listen(t)
-			y := newYard(t, decide.OnceOnly, all, l.Addr().String())
+			y := newYard(t, decide.NotIdempotent, all, l.Addr().String())
 			gone := y.client("OPEN 1a 2 c=live,at=s0\r\n")
 			server, _ := accept(t, l)
 			server.send("BUSY\r\n")
@@ -152,7 +152,7 @@
 		t.Run("in the queue, "+name, func(t *testing.T) {
 			t.Parallel()
 			l := listen(t)
-			y := yardOf(t, decide.OnceOnly, all, 1, 200*ms, 2*sec, l.Addr().String())
+			y := yardOf(t, decide.NotIdempotent, all, 1, 200*ms, 2*sec, l.Addr().String())
 			const many = 40
 			for i := range many { // all of them at once, as a hall that loses its way out
 				c := y.client(strings.Replace(hello, "1a", fmt.Sprint("q", i), 1))
@@ -223,7 +223,7 @@
 			t.Run(c.name+", "+way, func(t *testing.T) {
 				t.Parallel()
 				l, front := listen(t), listen(t)
-				y := yardOf(t, decide.Repeatable, 100, 1, 8*sec, 2*sec, l.Addr().String(), l.Addr().String())
+				y := yardOf(t, decide.Idempotent, 100, 1, 8*sec, 2*sec, l.Addr().String(), l.Addr().String())
 				raw, err := net.Dial("tcp", front.Addr().String())
 				client := newFar(t, raw, err)
 				taken, err := front.Accept()
@@ -282,7 +282,7 @@
 		<-q.Context().Done()
 	}))
 	defer agent.Close()
-	d := NewDiscovery(newYard(t, decide.Repeatable, 0).router, strings.TrimPrefix(agent.URL, "http://"), 1, false)
+	d := NewDiscovery(newYard(t, decide.Idempotent, 0).router, strings.TrimPrefix(agent.URL, "http://"), 1, false)
 	d.silent, d.answer = 30*ms, 30*ms
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -326,7 +326,7 @@
 		{"a process that had no core for long", true, true, true, toldWithin, 0, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			d := NewDiscovery(newYard(t, decide.Repeatable, 0).router, "", 1, c.asked)
+			d := NewDiscovery(newYard(t, decide.Idempotent, 0).router, "", 1, c.asked)
 			least, most := toldWithin, time.Duration(0)
 			for range 200 {
 				d.heard = c.heard
@@ -361,7 +361,7 @@
 		}
 	}))
 	defer agent.Close()
-	y := newYard(t, decide.Repeatable, 0)
+	y := newYard(t, decide.Idempotent, 0)
 	d := NewDiscovery(y.router, strings.TrimPrefix(agent.URL, "http://"), 1, false)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -386,7 +386,7 @@
 
 // An id that another process of this balancer has is no flow's here: it is kept as one that ended, and in time forgotten.
 func TestIDOfTheOtherProcess(t *testing.T) {
-	f := newYard(t, decide.Repeatable, 0).front
+	f := newYard(t, decide.Idempotent, 0).front
 	f.IDs(func(uint64) bool { return true })
 	for i := range 2 * spentKept {
 		if f.Begin(fmt.Sprint("x", i)) {
@@ -401,7 +401,7 @@
 // Told to stop, the balancer answers whoever waits: to come again where nothing ran, and with no promise where it may have.
 func TestStopAnswersWhoWaits(t *testing.T) {
 	l := listen(t)
-	y := yardOf(t, decide.OnceOnly, 100, 48, 200*ms, 2*sec, l.Addr().String())
+	y := yardOf(t, decide.NotIdempotent, 100, 48, 200*ms, 2*sec, l.Addr().String())
 	y.serve()
 	out := y.client(hello)
 	server, _ := accept(t, l) // the line went: it may run
@@ -424,7 +424,7 @@
 // take effect a second time.
 func TestRepeatThatComesUpPastItsWindow(t *testing.T) {
 	first, late := listen(t), full(t)
-	y := yardOf(t, decide.Referenced, 100, 1, 8*sec, 300*ms, first.Addr().String())
+	y := yardOf(t, decide.IdempotentByKey, 100, 1, 8*sec, 300*ms, first.Addr().String())
 	y.serve()
 	client := y.client(strings.Replace(hello, "d=1500", "d=8000", 1))
 	server, _ := accept(t, first)
@@ -461,7 +461,7 @@
 // A verdict that is picked up after its time: nothing is sent on, as the time counts from the verdict and not from when somebody came by.
 func TestVerdictPickedUpLate(t *testing.T) {
 	l := listen(t)
-	y := yardOf(t, decide.OnceOnly, 100, 1, 8*sec, 2*sec, l.Addr().String())
+	y := yardOf(t, decide.NotIdempotent, 100, 1, 8*sec, 2*sec, l.Addr().String())
 	flow, err := y.router.Open("", "live", "", "", "", 40*ms, 0)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/protocol/errno_test.go
+++ b/internal/protocol/errno_test.go
@@ -37,7 +37,7 @@
 			"all of a moment": func(int64) bool { return time.Since(start) < 150*ms },
 		} {
 			t.Run(fmt.Sprintf("%v, %s", errno, name), func(t *testing.T) {
-				y := newYard(t, decide.OnceOnly, 1000, echoing(t), echoing(t), echoing(t))
+				y := newYard(t, decide.NotIdempotent, 1000, echoing(t), echoing(t), echoing(t))
 				y.front.dialer = failing(errno, fails)
 				start = time.Now()
 				var all sync.WaitGroup
@@ -61,7 +61,7 @@
 				}
 				all.Wait()
 				for _, server := range y.router.Memory().Decided.Servers {
-					if server.Aside || server.Silent > 0 {
+					if server.Ejected || server.Silent > 0 {
 						t.Errorf("held against a server: %+v", server)
 					}
 				}
--- a/internal/protocol/lines_test.go
+++ b/internal/protocol/lines_test.go
@@ -124,7 +124,7 @@
 		{"another kind of thing", []string{one, `[1,2]`}, false, "at-a", 5},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r := newYard(t, decide.Repeatable, 0).router
+			r := newYard(t, decide.Idempotent, 0).router
 			d := NewDiscovery(r, "", 1, false)
 			for i, line := range c.lines {
 				if err := d.take([]byte(line), i == 0); (err == nil) != (c.good || i < len(c.lines)-1) {
@@ -152,7 +152,7 @@
 		}
 	}))
 	defer agent.Close()
-	r := newYard(t, decide.Repeatable, 0).router
+	r := newYard(t, decide.Idempotent, 0).router
 	d := NewDiscovery(r, "", 1, false)
 	if err := d.Known([]byte(object(5, true, member("a", "SERVING")))); err != nil {
 		t.Fatal(err)
@@ -190,7 +190,7 @@
 		}
 	}))
 	defer agent.Close()
-	d := NewDiscovery(newYard(t, decide.Repeatable, 0).router, strings.TrimPrefix(agent.URL, "http://"), 1, false)
+	d := NewDiscovery(newYard(t, decide.Idempotent, 0).router, strings.TrimPrefix(agent.URL, "http://"), 1, false)
 	d.silent = 50 * ms
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -220,7 +220,7 @@
 		var all sync.WaitGroup
 		for i := range callers {
 			r := routing.New(1, 0, false, false, nil, func(b *decide.Balancer) (map[string]decide.ServiceID, map[string]decide.CustomerID) {
-				b.StartList("", true, 10*sec, sec) // its own timers for the list must add nothing
+				b.ConfigureEndpoints("", true, 10*sec, sec) // its own timers for the list must add nothing
 				return nil, nil
 			})
 			d := NewDiscovery(r, "nowhere", uint64(i), true)
@@ -291,7 +291,7 @@
 	}
 	first, dumb := agent("first", object(41, true, member("a", "SERVING"))), agent("dumb", "")
 	third := agent("third", object(7, true, member("b", "SERVING")))
-	y := newYard(t, decide.Repeatable, 0)
+	y := newYard(t, decide.Idempotent, 0)
 	d := NewDiscovery(y.router, first, 1, false)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
--- a/internal/protocol/session_test.go
+++ b/internal/protocol/session_test.go
@@ -43,11 +43,11 @@
 	y := &yard{t: t, room: transport.NewRoom(descriptors, Parting)}
 	y.router = routing.New(1, 80*ms, true, true, nil,
 		func(b *decide.Balancer) (map[string]decide.ServiceID, map[string]decide.CustomerID) {
-			b.StartFlows(3, 700*ms)
-			b.StartService(effect, decide.ReachAll, 300*ms, window, 1)
-			b.StartCold(0.2, 3, 20*sec, 1500*ms, balancers)
-			b.StartPick(0, 0, true)
-			b.StartList("z", false, 10*sec, 240*ms)
+			b.ConfigureFlows(3, 700*ms)
+			b.AddService(effect, decide.DeduplicatedByFleet, 300*ms, window, 1)
+			b.ConfigureSlowStart(0.2, 3, 20*sec, 1500*ms, balancers)
+			b.ConfigurePlacement(0, 0, true)
+			b.ConfigureEndpoints("z", false, 10*sec, 240*ms)
 			return map[string]decide.ServiceID{"live": 0}, nil
 		})
 	l := y.router.List(true, false)
@@ -169,9 +169,9 @@
 		{"an end within a line", func(f *far) { f.send("UP 7"); f.Close() }, "ERR no answer"},
 		{"a reset", reset, "ERR no answer"},
 	} {
-		for _, effect := range []decide.Effect{decide.Repeatable, decide.OnceOnly} {
+		for _, effect := range []decide.Effect{decide.Idempotent, decide.NotIdempotent} {
 			want := c.onceOnly
-			if effect == decide.Repeatable && want != "UP 77" {
+			if effect == decide.Idempotent && want != "UP 77" {
 				want = "again"
 			}
 			t.Run(fmt.Sprint(c.name, " effect ", effect), func(t *testing.T) {
@@ -219,7 +219,7 @@
 func silentServer(t *testing.T) (inTime bool) {
 	const wait, told = 400 * ms, 400*ms - answerMargin
 	l := listen(t)
-	y := yardOf(t, decide.OnceOnly, 100, 1, time.Hour, time.Hour, l.Addr().String()) // no clock but the client's wait can end it
+	y := yardOf(t, decide.NotIdempotent, 100, 1, time.Hour, time.Hour, l.Addr().String()) // no clock but the client's wait can end it
 	y.serve()
 	type asked struct {
 		server *far
@@ -265,7 +265,7 @@
 // found nobody would empty it.
 func TestNoTimeLeft(t *testing.T) {
 	l := listen(t)
-	y := newYard(t, decide.Repeatable, 100, l.Addr().String())
+	y := newYard(t, decide.Idempotent, 100, l.Addr().String())
 	for i := range 4 {
 		f := y.client(fmt.Sprintf("OPEN %d 2 c=live,d=1\r\n", i))
 		if got := word(f.line()); got != "BUSY" && got != "ERR" {
@@ -285,13 +285,13 @@
 
 // No server at all: refused at once, with advice on when to come again.
 func TestNobody(t *testing.T) {
-	y := newYard(t, decide.Repeatable, 100)
+	y := newYard(t, decide.Idempotent, 100)
 	y.client(hello).want("BUSY 700")
 }
 
 // Whoever can't be served hears one line and an end, within 3 s of connecting and also while it goes on sending.
 func TestBadFirstLines(t *testing.T) {
-	y := newYard(t, decide.Repeatable, 100)
+	y := newYard(t, decide.Idempotent, 100)
 	const form = "ERR bad OPEN: want OPEN ID KEY LIST"
 	for _, c := range []struct{ name, line, want string }{
 		{"not a word of ours", "HELLO\r\n", form},
@@ -366,7 +366,7 @@
 // on, and one that speaks before its answer is cut off, which is no fault of its server's.
 func TestImpostors(t *testing.T) {
 	l := listen(t)
-	y := newYard(t, decide.Repeatable, 100, l.Addr().String())
+	y := newYard(t, decide.Idempotent, 100, l.Addr().String())
 	first := y.client(hello)
 	server, _ := accept(t, l)
 	y.client(hello).want("ERR " + errIDTaken.Error())
@@ -404,7 +404,7 @@
 // Silent connections by the hundred, and such as ask PING and stay, leave room for PING and for flows.
 func TestCrowd(t *testing.T) {
 	l := listen(t)
-	y := newYard(t, decide.Repeatable, 60, l.Addr().String())
+	y := newYard(t, decide.Idempotent, 60, l.Addr().String())
 	for i := range 300 {
 		y.client([]string{"", "PING\r\n"}[i%2])
 	}
@@ -438,7 +438,7 @@
 			}
 		}()
 	}
-	y := newYard(t, decide.Repeatable, 100, addrs...)
+	y := newYard(t, decide.Idempotent, 100, addrs...)
 	next := func() (*far, string) {
 		y.opened++
 		c := y.client(strings.Replace(hello, "1a", fmt.Sprint("s", y.opened), 1))
@@ -486,7 +486,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			l := listen(t)
-			y := newYard(t, decide.Repeatable, 100, l.Addr().String())
+			y := newYard(t, decide.Idempotent, 100, l.Addr().String())
 			client, server := up(t, y, l)
 			start := time.Now()
 			c.end(client, server)
@@ -515,7 +515,7 @@
 // Lines go both ways unchanged.
 func TestRelayedLines(t *testing.T) {
 	l := listen(t)
-	y := newYard(t, decide.Repeatable, 100, l.Addr().String())
+	y := newYard(t, decide.Idempotent, 100, l.Addr().String())
 	client := y.client(hello)
 	server, _ := accept(t, l)
 	server.send("UP 77\r\nLOAD 12.5\r\n")
@@ -532,7 +532,7 @@
 // A client that goes while its connect is out must not leave the server's connection behind.
 func TestClientGoesEarly(t *testing.T) {
 	l := listen(t)
-	y := newYard(t, decide.Repeatable, 100, l.Addr().String())
+	y := newYard(t, decide.Idempotent, 100, l.Addr().String())
 	client := y.client(hello)
 	server, _ := accept(t, l)
 	client.Close()
@@ -547,7 +547,7 @@
 // is tried again.
 func TestStanding(t *testing.T) {
 	a, b := listen(t), listen(t)
-	y := newYard(t, decide.OnceOnly, 100, a.Addr().String(), b.Addr().String())
+	y := newYard(t, decide.NotIdempotent, 100, a.Addr().String(), b.Addr().String())
 	news := y.router.List(false, false)
 	news.Server("s1", b.Addr().String(), "z", 0, 1, false, false, time.Time{}) // draining: what stands is nothing new
 	news.Done()
@@ -567,7 +567,7 @@
 // Short of descriptors for servers a client is told when to come again.
 func TestNoRoom(t *testing.T) {
 	l := listen(t)
-	y := newYard(t, decide.Repeatable, 27, l.Addr().String()) // of which 24 are for clients alone
+	y := newYard(t, decide.Idempotent, 27, l.Addr().String()) // of which 24 are for clients alone
 	client, server := up(t, y, l)
 	up2 := y.client(strings.Replace(hello, "1a", "5a", 1))
 	up2.want("BUSY 700")
@@ -580,7 +580,7 @@
 // When the balancer stops, clients are told to move, between two lines, spread over the time there is.
 func TestDrain(t *testing.T) {
 	l := listen(t)
-	y := newYard(t, decide.Repeatable, 100, l.Addr().String())
+	y := newYard(t, decide.Idempotent, 100, l.Addr().String())
 	const n, after, over = 8, 150 * ms, 550 * ms
 	moved := make(chan time.Duration, n)
 	start := time.Now()
--- a/internal/routing/delay.go
+++ b/internal/routing/delay.go
@@ -70,7 +70,7 @@
 
 func (r *Router) note(s *server, id decide.FlowID, delay time.Duration) {
 	slog.Debug("delay note", "server", s.name, "takes", delay)
-	r.b.DelayNote(id, delay)
+	r.b.OnLatencySample(id, delay)
 }
 
 // said is when a figure was told that may have been a delay, and on which connection.
@@ -109,7 +109,7 @@
 		return
 	}
 	r.late.load(amount)
-	r.b.LoadNote(f.id)
+	r.b.OnFlowLoad(f.id)
 }
 
 // beats tells whether a figure goes on with the beat of delays, or starts one with the figure a second before. A
--- a/internal/routing/explain.go
+++ b/internal/routing/explain.go
@@ -42,27 +42,27 @@
 		s.Servers = append(s.Servers, ServerState{x.name, x.addr, x.ready(), x.byHand, held[x]})
 	}
 	if r.host != nil {
-		s.Deciders, s.Acted = r.host.States(), r.host.Acted()
+		s.Deciders, s.Acted = r.host.States(), r.host.Interventions()
 	}
 	return s
 }
 
 // Why tells why a flow went where it did, by the id that its client gave; false where that is not known (any more).
-func (r *Router) Why(name string) (constraints.Note, bool) {
+func (r *Router) Why(name string) (constraints.Explanation, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.host == nil {
-		return constraints.Note{}, false
+		return constraints.Explanation{}, false
 	}
-	n, ok := r.host.Why(name)
-	for i, t := range n.Sent {
+	n, ok := r.host.Explain(name)
+	for i, t := range n.Attempts {
 		if s := r.servers[t.Server]; s != nil {
-			n.Sent[i].Name = s.name
+			n.Attempts[i].Name = s.name
 		}
 	}
-	for i, t := range n.Dearer {
+	for i, t := range n.ExtraCosts {
 		if s := r.servers[t.Server]; s != nil {
-			n.Dearer[i].Name = s.name
+			n.ExtraCosts[i].Name = s.name
 		}
 	}
 	return n, ok
--- a/internal/routing/flow.go
+++ b/internal/routing/flow.go
@@ -99,7 +99,7 @@
 		f.hold()
 		return
 	}
-	f.r.b.Established(f.id, now-f.sentAt)
+	f.r.b.OnEstablished(f.id, now-f.sentAt)
 }
 
 // Report tells how the connect or the connection ended. Unless the client has its answer, the next verdict follows.
@@ -116,7 +116,7 @@
 	}
 	f.up, f.asked = false, 0
 	over := f.over
-	f.r.b.Ended(f.id, o, now-f.sentAt, over)
+	f.r.b.OnEnded(f.id, o, now-f.sentAt, over)
 	if over {
 		delete(f.r.flows, f.id)
 	}
@@ -126,11 +126,11 @@
 func (f *Flow) Leave() {
 	f.r.enter()
 	defer f.r.mu.Unlock()
-	f.r.b.Left(f.id)
+	f.r.b.OnClientLeft(f.id)
 	select {
 	case c := <-f.choice:
 		if c.Verdict == Connect { // decided just now: nobody will send it
-			f.r.b.Ended(f.id, decide.NeverSent, 0, true)
+			f.r.b.OnEnded(f.id, decide.NeverSent, 0, true)
 		}
 	default:
 	}
@@ -142,7 +142,7 @@
 	f.r.enter()
 	defer f.r.mu.Unlock()
 	f.over = true
-	f.r.b.Left(f.id)
+	f.r.b.OnClientLeft(f.id)
 }
 
 // OnMove sets what asks the client to come again elsewhere; at once, if that has been decided already.
--- a/internal/routing/late_test.go
+++ b/internal/routing/late_test.go
@@ -21,13 +21,13 @@
 
 // noteTaker stands before the module and keeps the delays that it is told.
 type noteTaker struct {
-	constraints.Module
+	constraints.Balancer
 	notes []noteTaken
 }
 
-func (n *noteTaker) DelayNote(id decide.FlowID, took time.Duration) {
+func (n *noteTaker) OnLatencySample(id decide.FlowID, took time.Duration) {
 	n.notes = append(n.notes, noteTaken{id, took})
-	n.Module.DelayNote(id, took)
+	n.Balancer.OnLatencySample(id, took)
 }
 
 // plainNotes is the plain reckoning of what is told now, over all flows and all servers.
@@ -76,7 +76,7 @@
 			names[i] = fmt.Sprint("s", i)
 		}
 		r := router(t, true, true, names...)
-		taker := &noteTaker{Module: r.b}
+		taker := &noteTaker{Balancer: r.b}
 		r.b = taker
 		var up []*Flow
 		told := 0
--- a/internal/routing/list.go
+++ b/internal/routing/list.go
@@ -11,7 +11,7 @@
 // Listing gathers news of the server list; nothing of it counts before Done.
 type Listing struct {
 	r       *Router
-	kind    decide.ListKind
+	kind    decide.UpdateKind
 	entries []entry
 	zones   map[string]string // each name once: many servers share it
 }
@@ -28,19 +28,19 @@
 
 // List opens news: the whole list, or the entries that changed. Known is the list as last held before this start.
 func (r *Router) List(whole, known bool) *Listing {
-	l := &Listing{r: r, kind: decide.ListChanges, zones: map[string]string{}}
+	l := &Listing{r: r, kind: decide.DeltaUpdate, zones: map[string]string{}}
 	if known {
-		l.kind = decide.ListCached
+		l.kind = decide.CachedUpdate
 	} else if whole {
-		l.kind = decide.ListFull
+		l.kind = decide.FullUpdate
 	}
 	return l
 }
 
 // Whole says that the news are the whole list, for whoever knows it only once all entries are there.
 func (l *Listing) Whole() {
-	if l.kind == decide.ListChanges {
-		l.kind = decide.ListFull
+	if l.kind == decide.DeltaUpdate {
+		l.kind = decide.FullUpdate
 	}
 }
 
@@ -65,19 +65,19 @@
 	r := l.r
 	r.enter()
 	defer r.mu.Unlock()
-	if l.kind != decide.ListChanges { // whoever a whole list leaves out is gone
+	if l.kind != decide.DeltaUpdate { // whoever a whole list leaves out is gone
 		for _, s := range r.order {
 			s.listed = false
 		}
 	}
 	r.listed = true
-	r.b.ListBegin(l.kind)
+	r.b.BeginEndpoints(l.kind)
 	says := slog.Default().Enabled(context.Background(), slog.LevelDebug) // asked once: a list may be long
 	for i := range l.entries {
 		r.listEntry(&l.entries[i], says)
 	}
-	r.b.ListEnd()
-	if l.kind != decide.ListCached {
+	r.b.EndEndpoints()
+	if l.kind != decide.CachedUpdate {
 		r.heard = time.Since(r.start)
 	}
 }
@@ -92,7 +92,7 @@
 		slog.Debug("server list", "server", e.name, "ready", s.listed, "gone", e.state == decide.Gone, "since", e.since)
 	}
 	r.noteStart(s, e.since)
-	r.b.ListServer(id, e.zone, e.cell, e.size, e.state, s.started)
+	r.b.OnEndpoint(id, e.zone, e.cell, e.size, e.state, s.started)
 }
 
 // noteStart keeps when a server last started, by the router's clock. What is told is another machine's wall clock, and this machine's may be
--- a/internal/routing/memory.go
+++ b/internal/routing/memory.go
@@ -18,17 +18,17 @@
 // Memory is what a balancer knows, for the process that takes its place: the decisions' own part has the servers in the same
 // order.
 type Memory struct {
-	Servers []Server      `json:"servers"`
-	Decided decide.Memory `json:"decided"`
-	Loads   []float64     `json:"loads"`
-	Listed  bool          `json:"listed"`
+	Servers []Server        `json:"servers"`
+	Decided decide.Snapshot `json:"decided"`
+	Loads   []float64       `json:"loads"`
+	Listed  bool            `json:"listed"`
 }
 
 // Memory tells what is known now.
 func (r *Router) Memory() Memory {
 	r.enter()
 	defer r.mu.Unlock()
-	m := Memory{Decided: r.b.Memory(), Loads: append([]float64(nil), r.late.loads...), Listed: r.listed}
+	m := Memory{Decided: r.b.Snapshot(), Loads: append([]float64(nil), r.late.loads...), Listed: r.listed}
 	for _, k := range m.Decided.Servers {
 		s := r.servers[k.ID]
 		known := Server{Name: s.name, Addr: s.addr}
@@ -45,7 +45,7 @@
 	if len(m.Servers) != len(m.Decided.Servers) || len(m.Loads) > loadsKept {
 		return errors.New("servers that don't match")
 	}
-	return m.Decided.Check()
+	return m.Decided.Validate()
 }
 
 // Remember takes over what another process knew, before anything is decided here. The clock goes on from that one's, so that
@@ -59,13 +59,13 @@
 		r.timers[i].due += ahead
 	}
 	r.late.next += ahead
-	r.b.At(time.Since(r.start))
+	r.b.SetTime(time.Since(r.start))
 	for i, s := range m.Servers {
 		id := r.number(s.Name)
 		k := &m.Decided.Servers[i]
 		k.ID = id
 		x := r.servers[id]
-		x.addr, x.listed, x.byHand = s.Addr, k.Listed == decide.Ready, k.ByHand
+		x.addr, x.listed, x.byHand = s.Addr, k.Listed == decide.Ready, k.Disabled
 		if s.StartTold != 0 {
 			x.startTold, x.started = time.UnixMilli(s.StartTold), s.Started
 		}
@@ -73,7 +73,7 @@
 	if m.Listed {
 		r.heard = m.Decided.Now
 	}
-	r.b.Remember(m.Decided)
+	r.b.Restore(m.Decided)
 	r.late.loads, r.listed = m.Loads, m.Listed
 }
 
@@ -81,7 +81,7 @@
 func (r *Router) HandedOver(to bool) {
 	r.enter()
 	defer r.mu.Unlock()
-	r.b.HandedOver(to)
+	r.b.SetHandedOver(to)
 }
 
 // Out takes servers out by hand that no list may have named yet, as they were before this start.
@@ -91,7 +91,7 @@
 	for _, name := range names {
 		id := r.number(name)
 		r.servers[id].byHand = true
-		r.b.ByHand(id, true)
+		r.b.SetDisabled(id, true)
 	}
 }
 
