--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -33,9 +33,9 @@
 
 // Marks of a flow as it arrives.
 const (
-	MarkHint   = decide.MarkHint
-	MarkRepeat = decide.MarkRepeat
-	MarkBack   = decide.MarkBack
+	MarkHint   = decide.FlagLoadHint
+	MarkRepeat = decide.FlagRetry
+	MarkBack   = decide.FlagReturning
 )
 
 var ErrUnknownService = errors.New("unknown service type")
@@ -47,8 +47,8 @@
 // is never held over I/O.
 type Router struct {
 	mu        sync.Mutex
-	b         constraints.Module
-	host      *constraints.Host // b, where other deciders stand round the module; else nil
+	b         constraints.Balancer
+	host      *constraints.ConstrainedBalancer // b, where other deciders stand round the module; else nil
 	start     time.Time
 	services  map[string]decide.ServiceID
 	customers map[string]decide.CustomerID
@@ -102,7 +102,7 @@
 // New makes the instance. start hands the module's parts their settings and tells what names stand for; lateFrom is
 // the delay of a message from which the module wants to hear of it, tellLoad and tellLag what servers tell. deciders, where
 // there are any, bound what the module may do.
-func New(seed uint64, lateFrom time.Duration, tellLoad, tellLag bool, deciders []constraints.Decider,
+func New(seed uint64, lateFrom time.Duration, tellLoad, tellLag bool, deciders []constraints.Constraint,
 	start func(*decide.Balancer) (map[string]decide.ServiceID, map[string]decide.CustomerID)) *Router {
 	r := &Router{start: time.Now(), flows: map[decide.FlowID]*Flow{}, servers: map[decide.ServerID]*server{},
 		numbers: map[string]decide.ServerID{}, sooner: make(chan struct{}, 1),
@@ -126,7 +126,7 @@
 func (r *Router) enter() time.Duration {
 	r.mu.Lock()
 	now := time.Since(r.start)
-	r.b.At(now)
+	r.b.SetTime(now)
 	return now
 }
 
@@ -173,7 +173,7 @@
 	now := r.enter()
 	defer r.mu.Unlock()
 	for len(r.timers) > 0 && r.timers[0].due <= now {
-		r.b.Timer(heap.Pop(&r.timers).(timer).mark)
+		r.b.OnTimer(heap.Pop(&r.timers).(timer).mark)
 	}
 	if now >= r.late.next {
 		r.noteDelays(now)
@@ -184,7 +184,7 @@
 // timer and timers are a heap by the time due.
 type timer struct {
 	due  time.Duration
-	mark decide.TimerMark
+	mark decide.TimerID
 }
 type timers []timer
 
@@ -220,7 +220,7 @@
 	if s := r.servers[id]; s.byHand != out {
 		s.byHand = out
 		slog.Info("server by hand", "server", name, "out", out)
-		r.b.ByHand(id, out)
+		r.b.SetDisabled(id, out)
 	}
 	return nil
 }
@@ -229,7 +229,7 @@
 func (r *Router) ListLost() {
 	r.enter()
 	defer r.mu.Unlock()
-	r.b.ListBegin(decide.ListFailed)
+	r.b.BeginEndpoints(decide.FailedUpdate)
 }
 
 // Fetch signals that the module wants the list brought once as a whole.
@@ -248,9 +248,9 @@
 				r.enter()
 				defer r.mu.Unlock()
 				if load >= 0 {
-					r.b.Reported(id, load)
+					r.b.OnLoadReport(id, load)
 				}
-				r.b.Probed(id, o)
+				r.b.OnHealthCheck(id, o)
 			}, nil
 		}
 	}
@@ -282,7 +282,7 @@
 }
 
 // Reported takes a server's word on its load that another balancer was told.
-func (r *Router) Reported(s decide.ServerID, load float64) { r.b.Reported(s, load) }
+func (r *Router) Reported(s decide.ServerID, load float64) { r.b.OnLoadReport(s, load) }
 
 // Now is the router's time, for those that Tell runs.
 func (r *Router) Now() time.Duration { return time.Since(r.start) }
@@ -312,13 +312,13 @@
 		f.decided(Choice{Verdict: Abort})
 	}
 }
-func (a actions) Move(id decide.FlowID) {
+func (a actions) Migrate(id decide.FlowID) {
 	if f := a.r.flows[id]; f != nil {
 		slog.Debug("move", "flow", id, "server", f.server.name)
 		f.move()
 	}
 }
-func (a actions) Probe(s decide.ServerID) {
+func (a actions) HealthCheck(s decide.ServerID) {
 	if a.r.mayProbe != nil && !a.r.mayProbe(s, time.Since(a.r.start)) {
 		return // another asks for all
 	}
@@ -328,7 +328,7 @@
 		signal(a.r.toProbe)
 	}
 }
-func (a actions) Timer(m decide.TimerMark, d time.Duration) {
+func (a actions) SetTimer(m decide.TimerID, d time.Duration) {
 	r := a.r
 	t := timer{time.Since(r.start) + d, m}
 	if len(r.timers) == 0 || t.due < r.timers[0].due {
@@ -337,11 +337,11 @@
 	heap.Push(&r.timers, t)
 }
 
-// Watch is no news: the list is always watched, and a watch that fails is opened again by whoever follows it. A second
+// WatchEndpoints is no news: the list is always watched, and a watch that fails is opened again by whoever follows it. A second
 // timer for the same, set at each failure, made the attempts of a balancer grow without end.
-func (a actions) Watch(bool)   {}
-func (a actions) Fetch()       { signal(a.r.fetch) }
-func (a actions) Log(s string) { slog.Info("module", "says", s) }
+func (a actions) WatchEndpoints(bool) {}
+func (a actions) FetchEndpoints()     { signal(a.r.fetch) }
+func (a actions) Log(s string)        { slog.Info("module", "says", s) }
 
 func signal(c chan struct{}) {
 	select {
@@ -360,9 +360,9 @@
 	defer r.mu.Unlock()
 	r.flows[f.id] = f
 	if r.host != nil {
-		r.host.Named(name)
+		r.host.NameNextFlow(name)
 	}
-	r.b.Flow(f.id, s, c, decide.FlowKey(key), decide.GroupKey(group), left, marks)
+	r.b.OnFlow(f.id, s, c, decide.FlowKey(key), decide.GroupKey(group), left, marks)
 	return f, nil
 }
 
@@ -381,7 +381,7 @@
 	f.server = r.servers[id]
 	f.hold = func() {
 		r.flows[f.id] = f
-		r.b.Held(f.id, s, c, decide.FlowKey(key), decide.GroupKey(group), id)
+		r.b.AdoptFlow(f.id, s, c, decide.FlowKey(key), decide.GroupKey(group), id)
 	}
 	return f, f.server.addr, nil
 }
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -15,11 +15,11 @@
 	t.Helper()
 	r := New(7, 80*ms, tellLoad, tellLag, nil,
 		func(b *decide.Balancer) (map[string]decide.ServiceID, map[string]decide.CustomerID) {
-			b.StartFlows(3, 0)
-			b.StartService(decide.Repeatable, decide.ReachAll, 300*ms, 2*sec, 1)
-			b.StartCold(0.2, 3, 20*sec, 1500*ms, 1)
-			b.StartPick(0, 0, true)
-			b.StartList("z", false, 10*sec, 240*ms)
+			b.ConfigureFlows(3, 0)
+			b.AddService(decide.Idempotent, decide.DeduplicatedByFleet, 300*ms, 2*sec, 1)
+			b.ConfigureSlowStart(0.2, 3, 20*sec, 1500*ms, 1)
+			b.ConfigurePlacement(0, 0, true)
+			b.ConfigureEndpoints("z", false, 10*sec, 240*ms)
 			return map[string]decide.ServiceID{"live": 0}, nil
 		})
 	list(r, true, servers...)
@@ -181,7 +181,7 @@
 	var last time.Duration
 	for d := 50 * ms; d <= 5*sec; d += 50 * ms {
 		r.mu.Lock()
-		r.b.At(base + d)
+		r.b.SetTime(base + d)
 		r.noteDelays(base + d)
 		if n := f.server.lines.noted; n != last {
 			last = n
@@ -258,7 +258,7 @@
 	r.mu.Lock()
 	for range 2 {
 		for _, s := range names {
-			actions{r}.Probe(r.numbers[s])
+			actions{r}.HealthCheck(r.numbers[s])
 		}
 	}
 	r.mu.Unlock()
@@ -276,7 +276,7 @@
 		t.Error("one came twice, or something is held at rest")
 	}
 	r.mu.Lock()
-	actions{r}.Probe(r.numbers["s30"])
+	actions{r}.HealthCheck(r.numbers["s30"])
 	r.mu.Unlock()
 	if addr, _, err := r.NextProbe(ctx); err != nil || addr != "at-s30" {
 		t.Errorf("wanted again: probe of %q, %v", addr, err)
--- a/internal/simulator/act.go
+++ b/internal/simulator/act.go
@@ -32,22 +32,22 @@
 func (in *instance) Reject(f decide.FlowID, after time.Duration) {
 	in.say("OVERLOAD_REPLY\t" + string(f) + "\t" + num(after))
 }
-func (in *instance) Abort(f decide.FlowID)   { in.say("DROP_REQUEST\t" + string(f)) }
-func (in *instance) Move(f decide.FlowID)    { in.say("SHIFT\t" + string(f)) }
-func (in *instance) Probe(s decide.ServerID) { in.say("HEALTH_CHECK\t" + num(s)) }
-func (in *instance) Timer(m decide.TimerMark, d time.Duration) {
+func (in *instance) Abort(f decide.FlowID)         { in.say("DROP_REQUEST\t" + string(f)) }
+func (in *instance) Migrate(f decide.FlowID)       { in.say("SHIFT\t" + string(f)) }
+func (in *instance) HealthCheck(s decide.ServerID) { in.say("HEALTH_CHECK\t" + num(s)) }
+func (in *instance) SetTimer(m decide.TimerID, d time.Duration) {
 	if d > longestTimer {
 		in.split[m] = d - longestTimer
 		d = longestTimer
 	}
 	in.say("TIMER\t" + num(m) + "\t" + num(d))
 }
-func (in *instance) Watch(on bool) {
+func (in *instance) WatchEndpoints(on bool) {
 	if on {
 		in.say("TAIL\t1")
 	} else {
 		in.say("TAIL\t0")
 	}
 }
-func (in *instance) Fetch()       { in.say("REFRESH") }
-func (in *instance) Log(s string) { in.say("WRITE_LOG\t" + strings.Map(plain, s)) }
+func (in *instance) FetchEndpoints() { in.say("REFRESH") }
+func (in *instance) Log(s string)    { in.say("WRITE_LOG\t" + strings.Map(plain, s)) }
--- a/internal/simulator/list.go
+++ b/internal/simulator/list.go
@@ -36,7 +36,7 @@
 			if since != 0 {
 				age = time.Duration(since - in.start)
 			}
-			in.b.ListServer(server, zone, cell, size, st, age)
+			in.b.OnEndpoint(server, zone, cell, size, st, age)
 		})
 	}
 	h.lists[ref] = list
@@ -49,8 +49,8 @@
 	if h.bad != nil {
 		return h.bad
 	}
-	in.b.ListBegin(k)
-	if k == decide.ListFailed {
+	in.b.BeginEndpoints(k)
+	if k == decide.FailedUpdate {
 		return nil
 	}
 	ref := h.needWhole(3)
@@ -63,6 +63,6 @@
 	for _, e := range h.lists[ref] {
 		e(in)
 	}
-	in.b.ListEnd()
+	in.b.EndEndpoints()
 	return nil
 }
--- a/internal/simulator/simwire.go
+++ b/internal/simulator/simwire.go
@@ -41,7 +41,7 @@
 	start     int64
 	services  map[string]decide.ServiceID
 	customers map[string]decide.CustomerID
-	split     map[decide.TimerMark]time.Duration
+	split     map[decide.TimerID]time.Duration
 }
 
 // Run serves until the input ends. A returned error names the line and its fault.
@@ -162,8 +162,8 @@
 	"CANCELLED": decide.Cancelled, "TOO_LATE": decide.NeverSent,
 }
 var readiness = map[string]decide.Readiness{"IN": decide.Ready, "LAME": decide.Draining, "OUT": decide.Gone}
-var listKinds = map[string]decide.ListKind{
-	"D": decide.ListChanges, "F": decide.ListFull, "C": decide.ListCached, "X": decide.ListFailed}
+var listKinds = map[string]decide.UpdateKind{
+	"D": decide.DeltaUpdate, "F": decide.FullUpdate, "C": decide.CachedUpdate, "X": decide.FailedUpdate}
 
 // word looks a field up in the words that it may hold.
 func word[T any](h *host, words map[string]T, i int) T {
@@ -243,7 +243,7 @@
 		return in.spawn()
 	}
 	b := in.b
-	b.At(time.Duration(h.now - in.start))
+	b.SetTime(time.Duration(h.now - in.start))
 	switch h.f[0] {
 	case "KILL":
 		in.b = nil
@@ -256,15 +256,15 @@
 		if h.f[0] == "OPEN" {
 			server := h.server(9)
 			if h.bad == nil {
-				b.Held(id, s, c, k, g, server)
+				b.AdoptFlow(id, s, c, k, g, server)
 			}
 		} else if h.need(5); h.bad == nil {
-			b.Flow(id, s, c, k, g, left, marks)
+			b.OnFlow(id, s, c, k, g, left, marks)
 		}
 	case "FIRST":
 		id, took := h.flow(), time.Duration(h.whole(4))
 		if h.needWhole(2); h.bad == nil {
-			b.Established(id, took)
+			b.OnEstablished(id, took)
 		}
 	case "CHANGE":
 		id, what, amount := h.flow(), h.needWhole(4), h.real(5)
@@ -273,38 +273,38 @@
 		}
 		switch what {
 		case 1:
-			b.LoadNote(id)
+			b.OnFlowLoad(id)
 		case 2:
-			b.DelayNote(id, time.Duration(amount*float64(time.Millisecond)))
+			b.OnLatencySample(id, time.Duration(amount*float64(time.Millisecond)))
 		}
 	case "CLOSED_ATTEMPT":
 		id, server, o := h.flow(), h.server(3), word(h, outcomes, 4)
 		took, over := time.Duration(h.whole(5)), h.whole(6) != 0
 		if h.needWhole(2); h.bad == nil {
 			if load, ok := config.Report(h.str(7)); ok {
-				b.Reported(server, load)
+				b.OnLoadReport(server, load)
 			}
-			b.Ended(id, o, took, over)
+			b.OnEnded(id, o, took, over)
 		}
 	case "HANGUP":
 		if id := h.flow(); h.bad == nil {
-			b.Left(id)
+			b.OnClientLeft(id)
 		}
 	case "WAKE":
-		m := decide.TimerMark(h.needWhole(1))
+		m := decide.TimerID(h.needWhole(1))
 		if rest := in.split[m]; rest > 0 {
 			delete(in.split, m)
-			in.Timer(m, rest)
+			in.SetTimer(m, rest)
 		} else if h.bad == nil {
-			b.Timer(m)
+			b.OnTimer(m)
 		}
 	case "HEALTH_RESULT":
 		server, o := h.server(1), word(h, outcomes, 2)
 		if h.bad == nil {
 			if load, ok := config.Report(h.str(4)); ok {
-				b.Reported(server, load)
+				b.OnLoadReport(server, load)
 			}
-			b.Probed(server, o)
+			b.OnHealthCheck(server, o)
 		}
 	case "NEIGHBOUR_SAYS": // nobody is told anything here, and whoever tells is not heard
 	default:
--- a/internal/simulator/start.go
+++ b/internal/simulator/start.go
@@ -20,7 +20,7 @@
 			return h.fault("SPAWN: no path=value pair: %q", p)
 		}
 	}
-	in.start, in.split = h.now, map[decide.TimerMark]time.Duration{}
+	in.start, in.split = h.now, map[decide.TimerID]time.Duration{}
 	in.b = decide.New(uint64(seed), in)
 	g := config.Pairs(given)
 	in.services, in.customers = config.Start(g, in.b)
--- a/internal/testbed/baseline/baseline.go
+++ b/internal/testbed/baseline/baseline.go
@@ -38,7 +38,7 @@
 
 // Plain is one balancer with a textbook rule.
 type Plain struct {
-	act     decide.Act
+	act     decide.Actions
 	now     time.Duration
 	rng     *rand.Rand
 	rule    Rule
@@ -48,7 +48,7 @@
 	flows   map[decide.FlowID]*flow
 	servers map[decide.ServerID]*server
 	ready   []*server
-	kind    decide.ListKind
+	kind    decide.UpdateKind
 	truth   func(decide.ServerID) *simulation.Server
 	groups  func(decide.GroupKey) simulation.GroupID
 	world   *simulation.World // for the one that sees all, else nil
@@ -56,12 +56,12 @@
 
 // New makes one. connects is how many a flow may use, after what those turned away are told to wait, effects those of
 // the service types. w, truth and groups are for the one policy that sees all; for the others w is nil.
-func New(rule Rule, seed uint64, act decide.Act, connects int, after time.Duration, effects []decide.Effect, w *simulation.World,
+func New(rule Rule, seed uint64, act decide.Actions, connects int, after time.Duration, effects []decide.Effect, w *simulation.World,
 	truth func(decide.ServerID) *simulation.Server, groups func(decide.GroupKey) simulation.GroupID) *Plain {
 	p := &Plain{act: act, rng: rand.New(rand.NewPCG(seed, 1)), rule: rule, most: connects, after: after, effects: effects,
 		flows: map[decide.FlowID]*flow{}, servers: map[decide.ServerID]*server{}, truth: truth, groups: groups, world: w}
 	if w != nil {
-		act.Timer(topMark, topTick)
+		act.SetTimer(topMark, topTick)
 	}
 	return p
 }
@@ -128,7 +128,7 @@
 const (
 	topUse   = 0.95 // of what a server can do, that Top fills it to
 	topTick  = 250 * time.Millisecond
-	topMark  = decide.TimerMark(1)
+	topMark  = decide.TimerID(1)
 	topQueue = 0.25 // seconds of the store's work that may wait
 )
 
@@ -170,7 +170,7 @@
 
 // relieve moves what a server is asked for beyond what it can do, each balancer its part.
 func (p *Plain) relieve() {
-	p.act.Timer(topMark, topTick)
+	p.act.SetTimer(topMark, topTick)
 	over := map[*server]float64{}
 	for _, s := range p.servers {
 		t := p.truth(s.id)
@@ -196,23 +196,23 @@
 	slices.Sort(ids)
 	for _, id := range ids {
 		if f := p.flows[id]; p.rng.Float64() < over[f.on] {
-			p.act.Move(id)
+			p.act.Migrate(id)
 		}
 	}
 }
 
-// At sets the time of the calls that follow.
-func (p *Plain) At(now time.Duration) { p.now = now }
+// SetTime sets the time of the calls that follow.
+func (p *Plain) SetTime(now time.Duration) { p.now = now }
 
-// Flow places a new flow.
-func (p *Plain) Flow(id decide.FlowID, s decide.ServiceID, _ decide.CustomerID, _ decide.FlowKey, g decide.GroupKey, left time.Duration, _ int) {
+// OnFlow places a new flow.
+func (p *Plain) OnFlow(id decide.FlowID, s decide.ServiceID, _ decide.CustomerID, _ decide.FlowKey, g decide.GroupKey, left time.Duration, _ int) {
 	f := &flow{id: id, group: g, due: p.now + left, effect: p.effects[s]}
 	p.flows[id] = f
 	p.place(f)
 }
 
-// Held takes in a flow that stands already.
-func (p *Plain) Held(id decide.FlowID, s decide.ServiceID, _ decide.CustomerID, _ decide.FlowKey, g decide.GroupKey, to decide.ServerID) {
+// AdoptFlow takes in a flow that stands already.
+func (p *Plain) AdoptFlow(id decide.FlowID, s decide.ServiceID, _ decide.CustomerID, _ decide.FlowKey, g decide.GroupKey, to decide.ServerID) {
 	f := &flow{id: id, group: g, effect: p.effects[s], on: p.server(to), stands: true}
 	f.on.open++
 	p.flows[id] = f
@@ -228,7 +228,7 @@
 	if len(ready) == 0 {
 		ready = p.ready
 	}
-	if f.connects >= p.most || p.now >= f.due || len(ready) == 0 || f.mayRan && f.effect != decide.Repeatable {
+	if f.connects >= p.most || p.now >= f.due || len(ready) == 0 || f.mayRan && f.effect != decide.Idempotent {
 		p.answer(f)
 		return
 	}
@@ -250,22 +250,22 @@
 
 func (p *Plain) answer(f *flow) {
 	delete(p.flows, f.id)
-	if f.mayRan && f.effect != decide.Repeatable {
+	if f.mayRan && f.effect != decide.Idempotent {
 		p.act.Abort(f.id)
 	} else {
 		p.act.Reject(f.id, p.after)
 	}
 }
 
-// Established takes in that a flow stands.
-func (p *Plain) Established(id decide.FlowID, _ time.Duration) {
+// OnEstablished takes in that a flow stands.
+func (p *Plain) OnEstablished(id decide.FlowID, _ time.Duration) {
 	if f := p.flows[id]; f != nil {
 		f.stands = true
 	}
 }
 
-// Ended takes in how a connect or a connection ended, and tries another server where that is harmless.
-func (p *Plain) Ended(id decide.FlowID, o decide.Outcome, _ time.Duration, over bool) {
+// OnEnded takes in how a connect or a connection ended, and tries another server where that is harmless.
+func (p *Plain) OnEnded(id decide.FlowID, o decide.Outcome, _ time.Duration, over bool) {
 	f := p.flows[id]
 	if f == nil {
 		return
@@ -279,8 +279,8 @@
 	p.place(f)
 }
 
-// Left takes in that a flow's client has gone.
-func (p *Plain) Left(id decide.FlowID) {
+// OnClientLeft takes in that a flow's client has gone.
+func (p *Plain) OnClientLeft(id decide.FlowID) {
 	if f := p.flows[id]; f != nil {
 		delete(p.flows, id)
 		if f.on != nil {
@@ -289,32 +289,32 @@
 	}
 }
 
-// DelayNote does nothing: no textbook rule hears of delays.
-func (p *Plain) DelayNote(decide.FlowID, time.Duration) {}
+// OnLatencySample does nothing: no textbook rule hears of delays.
+func (p *Plain) OnLatencySample(decide.FlowID, time.Duration) {}
 
-// LoadNote does nothing: no textbook rule hears of loads.
-func (p *Plain) LoadNote(decide.FlowID) {}
+// OnFlowLoad does nothing: no textbook rule hears of loads.
+func (p *Plain) OnFlowLoad(decide.FlowID) {}
 
-// Reported does nothing, as LoadNote.
-func (p *Plain) Reported(decide.ServerID, float64) {}
+// OnLoadReport does nothing, as LoadNote.
+func (p *Plain) OnLoadReport(decide.ServerID, float64) {}
 
-// Probed does nothing: none probes.
-func (p *Plain) Probed(decide.ServerID, decide.Outcome) {}
+// OnHealthCheck does nothing: none probes.
+func (p *Plain) OnHealthCheck(decide.ServerID, decide.Outcome) {}
 
-// Timer has the policy that sees all move flows off overloaded servers.
-func (p *Plain) Timer(decide.TimerMark) { p.relieve() }
+// OnTimer has the policy that sees all move flows off overloaded servers.
+func (p *Plain) OnTimer(decide.TimerID) { p.relieve() }
 
-// ByHand does nothing: no textbook has it.
-func (p *Plain) ByHand(decide.ServerID, bool) {}
+// SetDisabled does nothing: no textbook has it.
+func (p *Plain) SetDisabled(decide.ServerID, bool) {}
 
-// Memory is empty.
-func (p *Plain) Memory() decide.Memory { return decide.Memory{} }
+// Snapshot is empty.
+func (p *Plain) Snapshot() decide.Snapshot { return decide.Snapshot{} }
 
-// Remember does nothing.
-func (p *Plain) Remember(decide.Memory) {}
+// Restore does nothing.
+func (p *Plain) Restore(decide.Snapshot) {}
 
-// HandedOver does nothing: a plain rule has no budget to hand over.
-func (p *Plain) HandedOver(bool) {}
+// SetHandedOver does nothing: a plain rule has no budget to hand over.
+func (p *Plain) SetHandedOver(bool) {}
 
 func (p *Plain) server(id decide.ServerID) *server {
 	s := p.servers[id]
@@ -325,25 +325,25 @@
 	return s
 }
 
-// ListBegin begins a call of the server list.
-func (p *Plain) ListBegin(k decide.ListKind) {
+// BeginEndpoints begins a call of the server list.
+func (p *Plain) BeginEndpoints(k decide.UpdateKind) {
 	p.kind = k
 	for _, s := range p.servers {
 		s.seen = false
 	}
 }
 
-// ListServer takes in one server of the call.
-func (p *Plain) ListServer(id decide.ServerID, z decide.Zone, _ decide.CellID, _ float64, st decide.Readiness, _ time.Duration) {
+// OnEndpoint takes in one server of the call.
+func (p *Plain) OnEndpoint(id decide.ServerID, z decide.Zone, _ decide.CellID, _ float64, st decide.Readiness, _ time.Duration) {
 	s := p.server(id)
 	s.zone, s.state, s.seen = z, st, true
 }
 
-// ListEnd takes the call as a whole.
-func (p *Plain) ListEnd() {
+// EndEndpoints takes the call as a whole.
+func (p *Plain) EndEndpoints() {
 	p.ready = p.ready[:0]
 	for _, s := range p.servers {
-		if !s.seen && p.kind == decide.ListFull {
+		if !s.seen && p.kind == decide.FullUpdate {
 			s.state = decide.Gone
 		}
 		if s.state == decide.Ready {
--- a/internal/testbed/dissemination/dissemination.go
+++ b/internal/testbed/dissemination/dissemination.go
@@ -137,7 +137,7 @@
 func (s *clusterRun) deliver() error {
 	for _, d := range s.deliveries[s.now] {
 		m := s.members[d.to]
-		m.signals.At(s.now)
+		m.signals.SetTime(s.now)
 		for _, message := range d.messages {
 			if s.now < s.config.FaultAt {
 				m.quietMessages++
@@ -158,9 +158,9 @@
 // step has one member observe, publish and gossip what is due.
 func (s *clusterRun) step(i int) error {
 	m := s.members[i]
-	m.signals.At(s.now)
+	m.signals.SetTime(s.now)
 	if m.direct && s.now >= s.config.FaultAt && s.now%time.Second == observationPhase(i) {
-		m.signals.Late(faultyServer, observedDelay)
+		m.signals.OnLatencySample(faultyServer, observedDelay)
 	}
 	if s.now%publishInterval == m.publishPhase {
 		if err := m.publish(s.config.Members); err != nil {
@@ -223,7 +223,7 @@
 func (s *clusterRun) sampleKnowledge() {
 	knowing := 0
 	for _, m := range s.members {
-		penalty, _ := m.signals.Server(flowOfQuestion, faultyServer)
+		penalty, _ := m.signals.ServerCost(flowOfQuestion, faultyServer)
 		// One that observes it needs nobody's report.
 		knows := penalty > 0 || m.direct && s.now >= s.config.FaultAt+time.Second
 		if !knows {
--- a/internal/testbed/dissemination/member.go
+++ b/internal/testbed/dissemination/member.go
@@ -22,7 +22,7 @@
 
 // member is one balancer of the fleet.
 type member struct {
-	signals      *signals.Signals
+	signals      *signals.Exchange
 	queue        []*message
 	gossipPhase  time.Duration // within the interval
 	publishPhase time.Duration
@@ -45,14 +45,14 @@
 		direct:       direct,
 		half:         number % 2,
 	}
-	m.signals.At(0)
+	m.signals.SetTime(0)
 	for k := range healthyServers {
 		if random.Float64() < connectedShare {
-			m.signals.Stood(flowOfOthers, faultyServer+1+decide.ServerID(k), fastSetup)
+			m.signals.OnEstablished(flowOfOthers, faultyServer+1+decide.ServerID(k), fastSetup)
 		}
 	}
 	if m.direct {
-		m.signals.Stood(flowOfFault, faultyServer, fastSetup)
+		m.signals.OnEstablished(flowOfFault, faultyServer, fastSetup)
 	}
 	return m
 }
--- a/internal/testbed/fleet/build.go
+++ b/internal/testbed/fleet/build.go
@@ -17,10 +17,10 @@
 func Build(ctx context.Context, dir, revision string) (program string, err error) {
 	fail := func(what string, err error) error {
 		return &Error{
-			Where: "old build " + revision,
-			What:  what,
-			Do:    "check that git knows the revision here, or name a program with --old",
-			Err:   err,
+			Where:  "old build " + revision,
+			What:   what,
+			Remedy: "check that git knows the revision here, or name a program with --old",
+			Err:    err,
 		}
 	}
 	name, err := exec.CommandContext(ctx, "git", "-C", dir, "rev-parse", "--verify", "--quiet", revision+"^{commit}").Output()
--- a/internal/testbed/fleet/plan.go
+++ b/internal/testbed/fleet/plan.go
@@ -126,10 +126,10 @@
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, &Error{
-			Where: "fleet",
-			What:  "the file can't be read",
-			Do:    "name a file of experiments/fleet, or write one after docs/fleet-use.md",
-			Err:   err,
+			Where:  "fleet",
+			What:   "the file can't be read",
+			Remedy: "name a file of experiments/fleet, or write one after docs/fleet-use.md",
+			Err:    err,
 		}
 	}
 	return Read(path, text)
@@ -141,10 +141,10 @@
 func Read(name string, text []byte) (*Plan, error) {
 	bad := func(err error) error {
 		return &Error{
-			Where: "fleet",
-			What:  "the file can't be played",
-			Do:    "mend the key that is named; docs/fleet-use.md has them all",
-			Err:   err,
+			Where:  "fleet",
+			What:   "the file can't be played",
+			Remedy: "mend the key that is named; docs/fleet-use.md has them all",
+			Err:    err,
 		}
 	}
 	t, err := strict.Parse(name, text)
--- a/internal/testbed/fleet/run.go
+++ b/internal/testbed/fleet/run.go
@@ -123,10 +123,10 @@
 	stop()
 	if err != nil {
 		return nil, &Error{
-			Where: "fleet",
-			What:  "the run could not be played to its end",
-			Do:    "look into the logs that it names; with --logs DIR they are kept",
-			Err:   err,
+			Where:  "fleet",
+			What:   "the run could not be played to its end",
+			Remedy: "look into the logs that it names; with --logs DIR they are kept",
+			Err:    err,
 		}
 	}
 	return r.result(void), nil
@@ -152,10 +152,10 @@
 	to = filepath.Join(r.folder, name)
 	fail := func(err error) (string, error) {
 		return "", &Error{
-			Where: "fleet",
-			What:  "the program " + name,
-			Do:    "build it (README, \"See it work\") and name it with --yardwinch",
-			Err:   err,
+			Where:  "fleet",
+			What:   "the program " + name,
+			Remedy: "build it (README, \"See it work\") and name it with --yardwinch",
+			Err:    err,
 		}
 	}
 	if err := os.Chmod(r.folder, 0o755); err != nil {
--- a/internal/testbed/scale/bounds.go
+++ b/internal/testbed/scale/bounds.go
@@ -54,7 +54,7 @@
 	processes := descendants(os.Getpid())
 	if n := len(processes); n > b.Processes {
 		return &Error{Where: where, What: fmt.Sprintf("%d processes, and the bound is %d", n, b.Processes),
-			Do: "ask for fewer real processes; hollow balancers share one"}
+			Remedy: "ask for fewer real processes; hollow balancers share one"}
 	}
 	resident := int64(0)
 	for _, p := range processes {
@@ -62,7 +62,7 @@
 	}
 	if resident > b.Memory {
 		return &Error{Where: where, What: fmt.Sprintf("%d MiB of memory in use, and the bound is %d MiB", resident>>20, b.Memory>>20),
-			Do: "ask for a smaller largest size, or for fewer connections a balancer"}
+			Remedy: "ask for a smaller largest size, or for fewer connections a balancer"}
 	}
 	return nil
 }
--- a/internal/testbed/scale/control_members.go
+++ b/internal/testbed/scale/control_members.go
@@ -146,7 +146,7 @@
 	b.add("frame-processor", "processor time for the list of members between the engine and its balancer", unitCorePart, Measured, false, size,
 		perSecond*(written.processor+read.processor).Seconds())
 	decider := signals.New(signals.Origin(memberName(0)), 1, "", "", lateFrom, setupTime, true)
-	leases := lease.New(lease.Name(memberName(0)), leaseFor)
+	leases := lease.New(lease.Holder(memberName(0)), leaseFor)
 	list := view.sorted()
 	handed := measure(viewRounds, 1, func() { handOver(list, decider, leases) })
 	b.add("view-processor", "processor time for telling the deciders who is alive", unitCorePart, Measured, false, size, handed.processor.Seconds()/tellEvery.Seconds())
--- a/internal/testbed/scale/control_real.go
+++ b/internal/testbed/scale/control_real.go
@@ -175,7 +175,7 @@
 		}
 		if time.Now().After(until) {
 			return &Error{Where: "members-real", What: fmt.Sprintf("%d engines see %.1f %% of each other after %v", len(f.members), 100*float64(seen)/float64(all), meetWithin),
-				Do: "run it when the machine is less busy, or ask for fewer"}
+				Remedy: "run it when the machine is less busy, or ask for fewer"}
 		}
 		if err := pause(ctx, lookForMeeting); err != nil {
 			return err
@@ -222,7 +222,7 @@
 func realSweep(ctx context.Context, s Settings, progress Progress) ([]Series, []Check, error) {
 	length, err := time.ParseDuration(s.Length)
 	if err != nil {
-		return nil, nil, &Error{Where: "length", What: "no time", Do: `give one such as "20s"`, Err: err}
+		return nil, nil, &Error{Where: "length", What: "no time", Remedy: `give one such as "20s"`, Err: err}
 	}
 	counter := countSent()
 	defer metrics.NewGlobal(metrics.DefaultConfig(""), &metrics.BlackholeSink{}) //nolint:errcheck // a sink that takes all
--- a/internal/testbed/scale/control_sweep_leases.go
+++ b/internal/testbed/scale/control_sweep_leases.go
@@ -54,7 +54,7 @@
 // seenMembers are so many members, all seen for long.
 func seenMembers(count int) (list []lease.Member) {
 	for i := range count {
-		list = append(list, lease.Member{Name: lease.Name(memberName(i)), Weight: 1, Since: memberSettled})
+		list = append(list, lease.Member{Name: lease.Holder(memberName(i)), Weight: 1, Since: memberSettled})
 	}
 	return list
 }
@@ -64,17 +64,17 @@
 	list := seenMembers(members)
 	sample := min(servers, reckonedServers)
 	before := liveMemory()
-	own := lease.New(lease.Name(memberName(0)), leaseFor)
+	own := lease.New(lease.Holder(memberName(0)), leaseFor)
 	for i := range servers { // alone, so that it is quick
-		own.Mine(lease.Duty(serverNumber(i)), 0)
+		own.Holds(lease.Task(serverNumber(i)), 0)
 	}
 	b.add("memory", "held for the duties", unitBytes, Measured, false, size, float64(liveMemory()-before))
 	gone := 0
 	used := measure(leaseRounds, 1, func() {
 		gone++
-		own.Members(slices.Delete(slices.Clone(list), gone%members, gone%members+1))
+		own.SetMembers(slices.Delete(slices.Clone(list), gone%members, gone%members+1))
 		for i := range sample {
-			own.Mine(lease.Duty(serverNumber(i)), 0)
+			own.Holds(lease.Task(serverNumber(i)), 0)
 		}
 	})
 	all := used.processor.Seconds() * float64(servers) / float64(sample)
@@ -86,16 +86,16 @@
 
 // evenness notes how many duties the busiest member has.
 func (b *controlBook) evenness(size, members, servers int) {
-	own := lease.New(lease.Name(memberName(0)), leaseFor)
-	own.Members(seenMembers(members))
+	own := lease.New(lease.Holder(memberName(0)), leaseFor)
+	own.SetMembers(seenMembers(members))
 	for i := range servers {
-		own.Mine(lease.Duty(serverNumber(i)), 0)
+		own.Holds(lease.Task(serverNumber(i)), 0)
 	}
-	of := map[lease.Name]int{}
+	of := map[lease.Holder]int{}
 	most := 0
-	for _, held := range own.All() {
-		of[held.First]++
-		most = max(most, of[held.First])
+	for _, held := range own.Statuses() {
+		of[held.Preferred]++
+		most = max(most, of[held.Preferred])
 	}
 	b.add("most-duties", "servers that the busiest member probes for all", "servers", Simulated, true, size, float64(most))
 	b.add("mean-duties", "servers that a member probes for all, on average", "servers", Simulated, true, size, float64(servers)/float64(members))
@@ -103,9 +103,9 @@
 
 // leaseMember is one of those who share a few duties.
 type leaseMember struct {
-	duties *lease.Duties
+	duties *lease.Manager
 	tellAt time.Duration
-	did    map[lease.Duty]leaseWord
+	did    map[lease.Task]leaseWord
 }
 
 // leaseWord is what a member tells of a duty that it did.
@@ -133,9 +133,9 @@
 func newLeaseFleet(chance *rand.Rand, members int, rest time.Duration) (fleet []*leaseMember) {
 	list := seenMembers(members)
 	for i := range members {
-		m := &leaseMember{duties: lease.New(lease.Name(memberName(i)), leaseFor), did: map[lease.Duty]leaseWord{}}
+		m := &leaseMember{duties: lease.New(lease.Holder(memberName(i)), leaseFor), did: map[lease.Task]leaseWord{}}
 		m.tellAt = time.Duration(chance.Float64() * float64(rest)).Truncate(holdersStep)
-		m.duties.Members(list)
+		m.duties.SetMembers(list)
 		fleet = append(fleet, m)
 	}
 	return fleet
@@ -145,9 +145,9 @@
 func leaseStep(fleet []*leaseMember, now, rest time.Duration) (holding int) {
 	for _, m := range fleet {
 		for k := range sampledServers {
-			duty := lease.Duty(serverNumber(k))
-			if m.duties.Mine(duty, now) {
-				m.did[duty] = leaseWord{m.duties.Did(duty, now), now}
+			duty := lease.Task(serverNumber(k))
+			if m.duties.Holds(duty, now) {
+				m.did[duty] = leaseWord{m.duties.Renew(duty, now), now}
 				holding++
 			}
 		}
@@ -163,7 +163,7 @@
 // leaseTell has all others hear what one did of late.
 func leaseTell(fleet []*leaseMember, teller int, now time.Duration) {
 	m := fleet[teller]
-	by := lease.Name(memberName(teller))
+	by := lease.Holder(memberName(teller))
 	for duty, word := range m.did {
 		age := now - word.at + wordTravels
 		if age >= leaseFor {
@@ -172,7 +172,7 @@
 		}
 		for i, other := range fleet {
 			if i != teller {
-				other.duties.Heard(duty, word.epoch, by, age, now+wordTravels)
+				other.duties.Observe(duty, word.epoch, by, age, now+wordTravels)
 			}
 		}
 	}
--- a/internal/testbed/scale/control_sweep_signals.go
+++ b/internal/testbed/scale/control_sweep_signals.go
@@ -53,17 +53,17 @@
 }
 
 // newTeller is a decider that holds connections on all servers and sees some of them late.
-func newTeller(chance *rand.Rand, name, servers, troubled int) *signals.Signals {
+func newTeller(chance *rand.Rand, name, servers, troubled int) *signals.Exchange {
 	s := signals.New(signals.Origin(memberName(name)), 1764652800, "0123456789ab", "0123456789abcdef", lateFrom, setupTime, true)
-	s.At(tellersStart)
+	s.SetTime(tellersStart)
 	for i := range servers {
 		id := serverNumber(i)
-		s.Listed(id, "", 1, decide.Ready, decide.LongAgo)
+		s.OnEndpoint(id, "", 1, decide.Ready, decide.LongAgo)
 		for range 1 + chance.IntN(mostOnOne) {
-			s.Stood("", id, time.Millisecond)
+			s.OnEstablished("", id, time.Millisecond)
 		}
 		if i < troubled {
-			s.Late(id, troubleSeen)
+			s.OnLatencySample(id, troubleSeen)
 		}
 	}
 	return s
@@ -101,9 +101,9 @@
 	if err := mergeAll(here, records); err != nil {
 		return err
 	}
-	here.Server("", serverNumber(0)) // it brings together what all say
+	here.ServerCost("", serverNumber(0)) // it brings together what all say
 	b.add("heard-memory", "held of what others tell", unitBytes, Measured, false, size, float64(liveMemory()-before))
-	kept, _ := here.Known()
+	kept, _ := here.Records()
 	b.add("records-kept", "records of others that are kept", "records", Measured, true, size, float64(len(kept)))
 	b.add("sights-walked", "sights walked each time that what all say is brought together", "sights", Reckoned, true, size, float64(len(kept)*len(records[0].Reports)))
 	b.told(size, servers, troubled, records)
@@ -111,7 +111,7 @@
 }
 
 // mergeAll has a decider hear records as they come over the network.
-func mergeAll(here *signals.Signals, records []signals.Record) error {
+func mergeAll(here *signals.Exchange, records []signals.Record) error {
 	for _, record := range records {
 		text, err := signals.Encode(record)
 		if err != nil {
@@ -129,16 +129,16 @@
 // told notes how many of the servers in trouble a balancer that sees none of them would avoid by what is told.
 func (b *controlBook) told(size, servers, troubled int, records []signals.Record) {
 	stranger := signals.New("stranger", 1, "", "", lateFrom, setupTime, true)
-	stranger.At(tellersStart)
+	stranger.SetTime(tellersStart)
 	for i := range servers {
-		stranger.Listed(serverNumber(i), "", 1, decide.Ready, decide.LongAgo)
+		stranger.OnEndpoint(serverNumber(i), "", 1, decide.Ready, decide.LongAgo)
 	}
 	for _, record := range records {
 		stranger.Merge(record)
 	}
 	avoided := 0
 	for i := range troubled {
-		if extra, _ := stranger.Server("", serverNumber(i)); extra > 0 {
+		if extra, _ := stranger.ServerCost("", serverNumber(i)); extra > 0 {
 			avoided++
 		}
 	}
@@ -146,7 +146,7 @@
 }
 
 // signalsWork measures the four pieces of work: to hear a record, to bring all together, to tell, and to hand all on.
-func (b *controlBook) signalsWork(here *signals.Signals, text []byte, size, members int) error {
+func (b *controlBook) signalsWork(here *signals.Exchange, text []byte, size, members int) error {
 	now := tellersStart
 	var fault error
 	hear := func() {
@@ -159,12 +159,12 @@
 	heard := measure(signalRounds, 100, hear)
 	gathered := measure(signalRounds, 1, func() {
 		now += betweenSignalWork
-		here.At(now)
-		here.Server("", serverNumber(0))
+		here.SetTime(now)
+		here.ServerCost("", serverNumber(0))
 	})
 	told := measure(signalRounds, 1, func() {
 		now += betweenSignalWork
-		here.At(now)
+		here.SetTime(now)
 		here.Publish(members)
 	})
 	handed := measure(signalRounds, 1, func() { fault = handOn(here) })
@@ -178,7 +178,7 @@
 }
 
 // handOn writes what a member that asks is told.
-func handOn(here *signals.Signals) error {
+func handOn(here *signals.Exchange) error {
 	var messages [][]byte
 	for _, record := range here.FullState() {
 		text, err := signals.Encode(record)
--- a/internal/testbed/scale/control_taker.go
+++ b/internal/testbed/scale/control_taker.go
@@ -55,11 +55,11 @@
 		coldEvery = 1500 * time.Millisecond
 		balancers = 8100
 	)
-	b.StartFlows(connects, 0)
-	b.StartService(decide.Repeatable, decide.ReachAll, setupTime, window, 1)
-	b.StartCold(0.2, 3, coldFor, coldEvery, balancers)
-	b.StartPick(0.08, 0.026, true)
-	b.StartList("zone-00", false, within, message)
+	b.ConfigureFlows(connects, 0)
+	b.AddService(decide.Idempotent, decide.DeduplicatedByFleet, setupTime, window, 1)
+	b.ConfigureSlowStart(0.2, 3, coldFor, coldEvery, balancers)
+	b.ConfigurePlacement(0.08, 0.026, true)
+	b.ConfigureEndpoints("zone-00", false, within, message)
 	return map[string]decide.ServiceID{"chat": 0}, nil
 }
 
@@ -105,7 +105,7 @@
 
 func (t *listTaker) notTaken(revision int) error {
 	return &Error{Where: "server list", What: fmt.Sprintf("revision %d was not in force within %v", revision, takeWithin),
-		Do: "see the log for a list that was refused, or run it when the machine is less busy"}
+		Remedy: "see the log for a list that was refused, or run it when the machine is less busy"}
 }
 
 func (t *listTaker) close() {
--- a/internal/testbed/scale/control_views.go
+++ b/internal/testbed/scale/control_views.go
@@ -71,13 +71,13 @@
 }
 
 // handOver is what a balancer does with its view every tellEvery: the deciders hear who is alive.
-func handOver(list []membership.Seen, decider *signals.Signals, leases *lease.Duties) {
+func handOver(list []membership.Seen, decider *signals.Exchange, leases *lease.Manager) {
 	var alive []lease.Member
 	var voices []signals.Origin
 	for _, s := range list {
-		alive = append(alive, lease.Member{Name: lease.Name(s.Name), Weight: 1, Since: s.Since})
+		alive = append(alive, lease.Member{Name: lease.Holder(s.Name), Weight: 1, Since: s.Since})
 		voices = append(voices, signals.Origin(s.Name))
 	}
 	decider.SetReporters(voices)
-	leases.Members(alive)
+	leases.SetMembers(alive)
 }
--- a/internal/testbed/scale/control_wire.go
+++ b/internal/testbed/scale/control_wire.go
@@ -154,7 +154,7 @@
 	record := signals.Record{Origin: signals.Origin(memberName(origin)), Incarnation: 1764652800, Sequence: signals.Sequence(sequence),
 		Build: "0123456789ab", Settings: "0123456789abcdef", Rate: 8}
 	for i := range sights {
-		record.Reports = append(record.Reports, signals.Report{Server: serverNumber(origin + i), Held: heldOnEach})
+		record.Reports = append(record.Reports, signals.Report{Server: serverNumber(origin + i), Connections: heldOnEach})
 	}
 	return record
 }
--- a/internal/testbed/scale/experiment.go
+++ b/internal/testbed/scale/experiment.go
@@ -68,7 +68,7 @@
 func Open(file string) (*Experiment, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
-		return nil, &Error{Where: file, What: "can't be read", Do: "name a file of experiments/scale", Err: err}
+		return nil, &Error{Where: file, What: "can't be read", Remedy: "name a file of experiments/scale", Err: err}
 	}
 	return Read(file, text)
 }
@@ -78,13 +78,13 @@
 	const advice = "mend the file; docs/scale-use.md has a line for each key"
 	table, err := strict.Parse(file, text)
 	if err != nil {
-		return nil, &Error{Where: file, What: "no experiment", Do: advice, Err: err}
+		return nil, &Error{Where: file, What: "no experiment", Remedy: advice, Err: err}
 	}
 	settings := readSettings(table)
 	if err := table.Fault(); err != nil {
 		// The fault opens with file and line.
 		where, what, _ := strings.Cut(err.Error(), ": ")
-		return nil, &Error{Where: where, What: what, Do: advice}
+		return nil, &Error{Where: where, What: what, Remedy: advice}
 	}
 	name := strings.TrimSuffix(filepath.Base(file), filepath.Ext(file))
 	return &Experiment{Name: name, File: file, Settings: settings}, nil
--- a/internal/testbed/scale/faults.go
+++ b/internal/testbed/scale/faults.go
@@ -121,7 +121,7 @@
 		for _, s := range old {
 			s.listed = decide.Gone
 		}
-		f.tellAll(decide.ListFull, entries(young))
+		f.tellAll(decide.FullUpdate, entries(young))
 		f.agenda.at(mendedAt, func() {
 			for _, s := range old {
 				f.fall(s, false)
@@ -133,8 +133,8 @@
 // twoLists brings two whole lists within one tick, each second: one without half of the servers, and one with all.
 func twoLists(f *fleet) {
 	for at := faultAt; at < mendedAt; at += time.Second {
-		f.agenda.at(at, func() { f.tellAll(decide.ListFull, entries(f.servers[len(f.servers)/2:])) })
-		f.agenda.at(at+betweenTwo, func() { f.tellAll(decide.ListFull, entries(f.servers)) })
+		f.agenda.at(at, func() { f.tellAll(decide.FullUpdate, entries(f.servers[len(f.servers)/2:])) })
+		f.agenda.at(at+betweenTwo, func() { f.tellAll(decide.FullUpdate, entries(f.servers)) })
 	}
 }
 
--- a/internal/testbed/scale/fleet.go
+++ b/internal/testbed/scale/fleet.go
@@ -217,14 +217,14 @@
 		b.newsAt = max(b.newsAt, f.agenda.now+f.between(soonest, latest)) // news keep their order
 		f.agenda.at(b.newsAt, func() {
 			if b.up && b.life == life {
-				b.list(decide.ListChanges, list)
+				b.list(decide.DeltaUpdate, list)
 			}
 		})
 	}
 }
 
 // tellAll hands every balancer a list at once.
-func (f *fleet) tellAll(kind decide.ListKind, list []server) {
+func (f *fleet) tellAll(kind decide.UpdateKind, list []server) {
 	for _, b := range f.balancers {
 		if b.up {
 			b.list(kind, list)
--- a/internal/testbed/scale/fleet_client.go
+++ b/internal/testbed/scale/fleet_client.go
@@ -15,9 +15,9 @@
 
 // services: what running a flow twice does.
 var services = [...]serviceType{
-	{decide.Repeatable, invariants.Repeatable},
-	{decide.Referenced, invariants.Referenced},
-	{decide.OnceOnly, invariants.OnceOnly},
+	{decide.Idempotent, invariants.Repeatable},
+	{decide.IdempotentByKey, invariants.Referenced},
+	{decide.NotIdempotent, invariants.OnceOnly},
 }
 
 // client holds one connection for good; when that ends it comes again.
@@ -142,7 +142,7 @@
 	x.stands, x.answered = c, true
 	c.server.held = append(c.server.held, c)
 	f.see(invariants.Event{Kind: invariants.Answered, Balancer: invariants.Balancer(b.id), Flow: x.id, Verdict: invariants.Established})
-	b.event().Established(x.name, f.agenda.now-c.sentAt)
+	b.event().OnEstablished(x.name, f.agenda.now-c.sentAt)
 	x.client.stood()
 }
 
@@ -172,7 +172,7 @@
 	if c.stands || finished {
 		x.forget()
 	}
-	b.event().Ended(x.name, o, f.agenda.now-c.sentAt, finished)
+	b.event().OnEnded(x.name, o, f.agenda.now-c.sentAt, finished)
 }
 
 // drop takes a connect off its server.
--- a/internal/testbed/scale/fleet_instance.go
+++ b/internal/testbed/scale/fleet_instance.go
@@ -59,14 +59,14 @@
 	f.see(invariants.Event{Kind: invariants.Began, Balancer: invariants.Balancer(b.id)})
 	b.module = decide.New(f.chance.Uint64(), b)
 	startHollow(b.module, terms{peers: f.peers, inZone: b.zone})
-	b.module.At(0)
+	b.module.SetTime(0)
 	var listed []*backend
 	for _, s := range f.servers {
 		if s.listed != decide.Gone {
 			listed = append(listed, s)
 		}
 	}
-	b.list(decide.ListFull, entries(listed))
+	b.list(decide.FullUpdate, entries(listed))
 }
 
 // fall ends a life; clients hear nothing but the end of their connections.
@@ -91,7 +91,7 @@
 
 // event opens an event: what is decided in it happens now.
 func (b *instance) event() *decide.Balancer {
-	b.module.At(b.fleet.agenda.now - b.started)
+	b.module.SetTime(b.fleet.agenda.now - b.started)
 	return b.module
 }
 
@@ -99,10 +99,10 @@
 
 var toldStates = [...]invariants.State{decide.Ready: invariants.Ready, decide.Draining: invariants.Draining, decide.Gone: invariants.Gone}
 
-func (b *instance) list(kind decide.ListKind, list []server) {
+func (b *instance) list(kind decide.UpdateKind, list []server) {
 	m := b.event()
 	named := map[decide.ServerID]bool{}
-	m.ListBegin(kind)
+	m.BeginEndpoints(kind)
 	for _, s := range list {
 		named[s.id] = true
 		b.told(s.id, s.state, s.since)
@@ -110,16 +110,16 @@
 		if s.since != invariants.LongAgo {
 			since = s.since - b.started
 		}
-		m.ListServer(s.id, zoneName(s.zone), decide.CellID(s.zone), 1, s.state, since)
+		m.OnEndpoint(s.id, zoneName(s.zone), decide.CellID(s.zone), 1, s.state, since)
 	}
-	if kind == decide.ListFull {
+	if kind == decide.FullUpdate {
 		for _, s := range b.fleet.servers {
 			if !named[s.id] {
 				b.told(s.id, decide.Gone, invariants.LongAgo)
 			}
 		}
 	}
-	m.ListEnd()
+	m.EndEndpoints()
 }
 
 func (b *instance) told(id decide.ServerID, state decide.Readiness, since time.Duration) {
@@ -149,7 +149,7 @@
 	x.stands = b.fleet.connect(x, s)
 	x.stands.stands = true
 	s.held = append(s.held, x.stands)
-	b.event().Held(x.name, decide.ServiceID(c.service), decide.NoCustomer, "", groupName(c.group), s.id)
+	b.event().AdoptFlow(x.name, decide.ServiceID(c.service), decide.NoCustomer, "", groupName(c.group), s.id)
 }
 
 // take has a client come.
@@ -159,7 +159,7 @@
 	t := services[c.service]
 	b.fleet.see(invariants.Event{Kind: invariants.Taken, Balancer: invariants.Balancer(b.id), Flow: x.id, Due: now + connectTimeout,
 		Effect: t.seen, Window: repeatWindow})
-	b.event().Flow(x.name, decide.ServiceID(c.service), decide.NoCustomer, "", groupName(c.group), x.due-now, 0)
+	b.event().OnFlow(x.name, decide.ServiceID(c.service), decide.NoCustomer, "", groupName(c.group), x.due-now, 0)
 }
 
 // forget drops a flow of which nothing more comes.
@@ -242,7 +242,7 @@
 	b.answer(name, invariants.Aborted)
 }
 
-func (b *instance) Move(name decide.FlowID) {
+func (b *instance) Migrate(name decide.FlowID) {
 	x := b.flows[name]
 	if x == nil || x.stands == nil {
 		return
@@ -256,16 +256,16 @@
 	})
 }
 
-func (b *instance) Timer(mark decide.TimerMark, in time.Duration) {
+func (b *instance) SetTimer(mark decide.TimerID, in time.Duration) {
 	life := b.life
 	b.fleet.agenda.after(max(in, time.Microsecond), func() {
 		if b.up && b.life == life {
-			b.event().Timer(mark)
+			b.event().OnTimer(mark)
 		}
 	})
 }
 
-func (b *instance) Probe(decide.ServerID) {}
-func (b *instance) Watch(bool)            {}
-func (b *instance) Fetch()                {}
-func (b *instance) Log(string)            {}
+func (b *instance) HealthCheck(decide.ServerID) {}
+func (b *instance) WatchEndpoints(bool)         {}
+func (b *instance) FetchEndpoints()             {}
+func (b *instance) Log(string)                  {}
--- a/internal/testbed/scale/fleet_test.go
+++ b/internal/testbed/scale/fleet_test.go
@@ -112,9 +112,9 @@
 		list[0].since = invariants.LongAgo
 		for _, b := range f.balancers {
 			m := b.event()
-			m.ListBegin(decide.ListFull)
-			m.ListServer(list[0].id, zoneName(0), 0, 1, decide.Ready, decide.LongAgo)
-			m.ListEnd()
+			m.BeginEndpoints(decide.FullUpdate)
+			m.OnEndpoint(list[0].id, zoneName(0), 0, 1, decide.Ready, decide.LongAgo)
+			m.EndEndpoints()
 		}
 	})
 	if !flooded[invariants.NoneFloodedCold] {
--- a/internal/testbed/scale/hollow.go
+++ b/internal/testbed/scale/hollow.go
@@ -51,20 +51,20 @@
 	h := &hollow{asked: map[decide.FlowID]decide.ServerID{}}
 	h.module = decide.New(seed, h)
 	startHollow(h.module, t)
-	h.module.At(0)
+	h.module.SetTime(0)
 	return h
 }
 
 // startHollow hands over the terms.
 func startHollow(b *decide.Balancer, t terms) {
-	b.StartFlows(maxConnects, 0)
+	b.ConfigureFlows(maxConnects, 0)
 	for _, s := range services {
-		b.StartService(s.effect, decide.ReachAll, setupTarget, repeatWindow, 1)
+		b.AddService(s.effect, decide.DeduplicatedByFleet, setupTarget, repeatWindow, 1)
 	}
-	b.StartCold(coldFrom, coldMultiple, warmAfter, coldWindow, t.peers)
-	b.StartHealth(t.pulls)
-	b.StartPick(crossingPrice, movePrice, true)
-	b.StartList(zoneName(t.inZone), false, askWithin, messageTarget)
+	b.ConfigureSlowStart(coldFrom, coldMultiple, warmAfter, coldWindow, t.peers)
+	b.ConfigureHealthChecks(t.pulls)
+	b.ConfigurePlacement(crossingPrice, movePrice, true)
+	b.ConfigureEndpoints(zoneName(t.inZone), false, askWithin, messageTarget)
 }
 
 // zoneNames are made once, so that balancers that share a process share them.
@@ -99,22 +99,22 @@
 }
 
 // list hands over a list, or changes of it.
-func (h *hollow) list(kind decide.ListKind, servers []server) {
-	h.module.At(h.now)
-	h.module.ListBegin(kind)
+func (h *hollow) list(kind decide.UpdateKind, servers []server) {
+	h.module.SetTime(h.now)
+	h.module.BeginEndpoints(kind)
 	for _, s := range servers {
-		h.module.ListServer(s.id, zoneName(s.zone), decide.CellID(s.zone), 1, s.state, s.since)
+		h.module.OnEndpoint(s.id, zoneName(s.zone), decide.CellID(s.zone), 1, s.state, s.since)
 	}
-	h.module.ListEnd()
+	h.module.EndEndpoints()
 }
 
 // hold has connections stand evenly on warm servers, each group on as few of them as that allows: what is there once all
 // is at rest.
 func (h *hollow) hold(connections, servers, groups int) {
-	h.module.At(h.now)
+	h.module.SetTime(h.now)
 	for i := range connections {
 		at := i % servers
-		h.module.Held(flowName(i), 0, decide.NoCustomer, "", groupName(restingGroup(i, at, servers, groups)), decide.ServerID(at+1))
+		h.module.AdoptFlow(flowName(i), 0, decide.NoCustomer, "", groupName(restingGroup(i, at, servers, groups)), decide.ServerID(at+1))
 	}
 }
 
@@ -130,26 +130,26 @@
 
 // place has one flow come and stand. It tells where, and false where it was turned away or waits.
 func (h *hollow) place(id decide.FlowID, group decide.GroupKey) (decide.ServerID, bool) {
-	h.module.At(h.now)
-	h.module.Flow(id, 0, decide.NoCustomer, "", group, connectTimeout, 0)
+	h.module.SetTime(h.now)
+	h.module.OnFlow(id, 0, decide.NoCustomer, "", group, connectTimeout, 0)
 	at, ok := h.asked[id]
 	if ok {
 		delete(h.asked, id)
-		h.module.Established(id, usualSetup)
+		h.module.OnEstablished(id, usualSetup)
 	}
 	return at, ok
 }
 
 // end has a standing flow go.
 func (h *hollow) end(id decide.FlowID) {
-	h.module.At(h.now)
-	h.module.Ended(id, decide.OK, usualSetup, true)
+	h.module.SetTime(h.now)
+	h.module.OnEnded(id, decide.OK, usualSetup, true)
 }
 
 // rest goes on to when nothing that the start brought counts any more, as if no timer had come due by then.
 func (h *hollow) rest() {
 	h.now = beginning
-	h.module.At(h.now)
+	h.module.SetTime(h.now)
 	for i := range h.timers {
 		h.timers[i].at += beginning
 	}
@@ -160,11 +160,11 @@
 	for len(h.timers) > 0 && h.timers[0].at <= to {
 		t := heap.Pop(&h.timers).(timer)
 		h.now = t.at
-		h.module.At(h.now)
-		h.module.Timer(t.mark)
+		h.module.SetTime(h.now)
+		h.module.OnTimer(t.mark)
 	}
 	h.now = to
-	h.module.At(h.now)
+	h.module.SetTime(h.now)
 }
 
 // What the decisions ask for; see decide.Act.
@@ -173,19 +173,19 @@
 func (h *hollow) Cancel(decide.FlowID, int)                                    {}
 func (h *hollow) Reject(decide.FlowID, time.Duration)                          { h.turned++ }
 func (h *hollow) Abort(decide.FlowID)                                          { h.turned++ }
-func (h *hollow) Move(f decide.FlowID)                                         { h.moved = append(h.moved, f) }
-func (h *hollow) Probe(s decide.ServerID)                                      { h.probed = append(h.probed, s) }
-func (h *hollow) Watch(bool)                                                   {}
-func (h *hollow) Fetch()                                                       {}
+func (h *hollow) Migrate(f decide.FlowID)                                      { h.moved = append(h.moved, f) }
+func (h *hollow) HealthCheck(s decide.ServerID)                                { h.probed = append(h.probed, s) }
+func (h *hollow) WatchEndpoints(bool)                                          {}
+func (h *hollow) FetchEndpoints()                                              {}
 func (h *hollow) Log(string)                                                   {}
-func (h *hollow) Timer(mark decide.TimerMark, in time.Duration) {
+func (h *hollow) SetTimer(mark decide.TimerID, in time.Duration) {
 	heap.Push(&h.timers, timer{h.now + in, mark})
 }
 
 // timer is one that was asked for.
 type timer struct {
 	at   time.Duration
-	mark decide.TimerMark
+	mark decide.TimerID
 }
 
 type timers []timer
@@ -204,20 +204,20 @@
 // looks counts the servers that decisions look at: each asks the other deciders of every server it considers.
 type looks struct{ count int }
 
-func (l *looks) Server(decide.FlowID, decide.ServerID) (float64, bool) {
+func (l *looks) ServerCost(decide.FlowID, decide.ServerID) (float64, bool) {
 	l.count++
 	return 0, true
 }
-func (l *looks) Admit(decide.FlowID) bool                                { return true }
-func (l *looks) Again(_ decide.FlowID, told time.Duration) time.Duration { return told }
-func (l *looks) Move(decide.FlowID) bool                                 { return true }
-func (l *looks) First() []decide.FlowID                                  { return nil }
+func (l *looks) AdmitFlow(decide.FlowID) bool                                 { return true }
+func (l *looks) RetryAfter(_ decide.FlowID, told time.Duration) time.Duration { return told }
+func (l *looks) AllowMigration(decide.FlowID) bool                            { return true }
+func (l *looks) MigrateFirst() []decide.FlowID                                { return nil }
 
 // looksOf counts the servers looked at during a piece of work.
 func (h *hollow) looksOf(work func()) int {
 	var l looks
-	h.module.StartBounds(&l)
+	h.module.SetConstraints(&l)
 	work()
-	h.module.StartBounds(nil)
+	h.module.SetConstraints(nil)
 	return l.count
 }
--- a/internal/testbed/scale/page.go
+++ b/internal/testbed/scale/page.go
@@ -51,7 +51,7 @@
 	const advice = "mend capacity.md.tmpl beside the package"
 	parsed, err := template.New("capacity.md.tmpl").Funcs(p.functions()).Parse(text)
 	if err != nil {
-		return nil, &Error{Where: "capacity.md.tmpl", What: "is no template", Do: advice, Err: err}
+		return nil, &Error{Where: "capacity.md.tmpl", What: "is no template", Remedy: advice, Err: err}
 	}
 	var out bytes.Buffer
 	err = parsed.Execute(&out, nil)
@@ -59,7 +59,7 @@
 		return nil, p.err
 	}
 	if err != nil {
-		return nil, &Error{Where: "capacity.md.tmpl", What: "can't be filled in", Do: advice, Err: err}
+		return nil, &Error{Where: "capacity.md.tmpl", What: "can't be filled in", Remedy: advice, Err: err}
 	}
 	return out.Bytes(), nil
 }
@@ -131,7 +131,7 @@
 // replaceFile writes a file beside the one that it then takes the place of.
 func replaceFile(file string, text []byte) error {
 	fail := func(err error) error {
-		return &Error{Where: file, What: "the page can't be written", Do: "name a file that can be written with --out", Err: err}
+		return &Error{Where: file, What: "the page can't be written", Remedy: "name a file that can be written with --out", Err: err}
 	}
 	temporary, err := os.CreateTemp(filepath.Dir(file), ".page-*")
 	if err != nil {
--- a/internal/testbed/scale/page_catalog.go
+++ b/internal/testbed/scale/page_catalog.go
@@ -134,7 +134,7 @@
 	if found == nil {
 		if !of.awaited {
 			p.fail(&Error{Where: p.after.folder + ": series " + of.name, What: "is missing",
-				Do: "run the experiment that gives it; testbed scale list names them"})
+				Remedy: "run the experiment that gives it; testbed scale list names them"})
 		}
 		return unmeasured(of.name)
 	}
--- a/internal/testbed/scale/page_read.go
+++ b/internal/testbed/scale/page_read.go
@@ -40,7 +40,7 @@
 func readResults(folder string) (*results, error) {
 	files, err := filepath.Glob(filepath.Join(folder, "*.json"))
 	if err != nil {
-		return nil, &Error{Where: folder, What: "can't be searched", Do: "name a folder of reports", Err: err}
+		return nil, &Error{Where: folder, What: "can't be searched", Remedy: "name a folder of reports", Err: err}
 	}
 	slices.Sort(files)
 	all := &results{folder: folder, series: map[string]*evidence{}}
@@ -60,10 +60,10 @@
 	for _, series := range report.Series {
 		where := file + ": series " + series.Name
 		if first := r.series[series.Name]; first != nil {
-			return &Error{Where: where, What: "stands in " + first.File + " too", Do: "give one of both another name, or take one report away"}
+			return &Error{Where: where, What: "stands in " + first.File + " too", Remedy: "give one of both another name, or take one report away"}
 		}
 		if !slices.Contains([]Origin{Measured, Simulated, Reckoned}, series.Origin) {
-			return &Error{Where: where + ": origin", What: fmt.Sprintf("%q is not known", series.Origin), Do: runAgain}
+			return &Error{Where: where + ": origin", What: fmt.Sprintf("%q is not known", series.Origin), Remedy: runAgain}
 		}
 		entry := &evidence{Series: series, File: filepath.Base(file), Command: report.Command, Commit: report.Commit}
 		entry.Points = meanBySize(series.Points)
--- a/internal/testbed/scale/page_terms_test.go
+++ b/internal/testbed/scale/page_terms_test.go
@@ -9,7 +9,7 @@
 		h.list(0, warmServers(100, 5))
 		h.advance(beginning)
 		for i := range 100 {
-			h.module.Flow(flowName(i), 0, -1, "", groupName(i), connectTimeout, 0)
+			h.module.OnFlow(flowName(i), 0, -1, "", groupName(i), connectTimeout, 0)
 		}
 		want := max(1, allSetupsOut/balancers)
 		if got := len(h.asked); got != want {
--- a/internal/testbed/scale/real_compare.go
+++ b/internal/testbed/scale/real_compare.go
@@ -217,7 +217,7 @@
 // has them, nearly all of them are found settled without a look.
 func placedHollow(s realSettings, servers, connections int) *hollow {
 	h := newHollow(s.Seed, terms{peers: s.Balancers})
-	h.list(decide.ListFull, warmServers(servers, s.Zones))
+	h.list(decide.FullUpdate, warmServers(servers, s.Zones))
 	for i := range connections {
 		h.advance(h.now + time.Millisecond)
 		h.place(flowName(i), groupName(i%s.Groups))
--- a/internal/testbed/scale/report.go
+++ b/internal/testbed/scale/report.go
@@ -18,7 +18,7 @@
 // Write writes a report to NAME.json in a folder, whole or not at all, and tells where.
 func Write(folder string, r *Report) (file string, err error) {
 	fail := func(err error) (string, error) {
-		return "", &Error{Where: folder, What: "the report can't be written", Do: "name a folder that can be written to with --out", Err: err}
+		return "", &Error{Where: folder, What: "the report can't be written", Remedy: "name a folder that can be written to with --out", Err: err}
 	}
 	text, err := json.MarshalIndent(r, "", " ")
 	if err != nil {
@@ -49,7 +49,7 @@
 	const advice = "run its experiment again: testbed scale run writes reports whole"
 	text, err := os.ReadFile(file)
 	if err != nil {
-		return nil, &Error{Where: file, What: "can't be read", Do: advice, Err: err}
+		return nil, &Error{Where: file, What: "can't be read", Remedy: advice, Err: err}
 	}
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	decoder.DisallowUnknownFields()
@@ -62,13 +62,13 @@
 		}
 	}
 	if err != nil {
-		return nil, &Error{Where: fmt.Sprintf("%s:%d", file, line(text, place(err, end))), What: "no whole report", Do: advice, Err: err}
+		return nil, &Error{Where: fmt.Sprintf("%s:%d", file, line(text, place(err, end))), What: "no whole report", Remedy: advice, Err: err}
 	}
 	if r.Format != reportFormat {
-		return nil, &Error{Where: file, What: fmt.Sprintf("format: want %d, got %d", reportFormat, r.Format), Do: advice}
+		return nil, &Error{Where: file, What: fmt.Sprintf("format: want %d, got %d", reportFormat, r.Format), Remedy: advice}
 	}
 	if err := valid(r.Series); err != nil {
-		return nil, &Error{Where: file, What: "series", Do: advice, Err: err}
+		return nil, &Error{Where: file, What: "series", Remedy: advice, Err: err}
 	}
 	return &r, nil
 }
--- a/internal/testbed/scale/run.go
+++ b/internal/testbed/scale/run.go
@@ -12,7 +12,7 @@
 func Run(ctx context.Context, e *Experiment, bounds Bounds, progress Progress) (*Report, error) {
 	sweep := sweeps[e.Settings.Sweep]
 	if sweep == nil {
-		return nil, &Error{Where: e.File, What: fmt.Sprintf("sweep: no sweep %q", e.Settings.Sweep), Do: "see testbed scale list"}
+		return nil, &Error{Where: e.File, What: fmt.Sprintf("sweep: no sweep %q", e.Settings.Sweep), Remedy: "see testbed scale list"}
 	}
 	began, commit := time.Now(), Commit()
 	watched, stop := bounds.watch(ctx, e.Name)
@@ -25,7 +25,7 @@
 		return nil, err
 	}
 	if err := valid(series); err != nil {
-		return nil, &Error{Where: e.Name, What: "the sweep gave no sound series", Do: "mend the sweep", Err: err}
+		return nil, &Error{Where: e.Name, What: "the sweep gave no sound series", Remedy: "mend the sweep", Err: err}
 	}
 	return &Report{
 		Format:     reportFormat,
--- a/internal/testbed/scale/sweep_balancers.go
+++ b/internal/testbed/scale/sweep_balancers.go
@@ -51,7 +51,7 @@
 		}
 		chance := rand.New(rand.NewPCG(s.Seed, uint64(b)))
 		h := newHollow(chance.Uint64(), terms{peers: s.Balancers, inZone: b % s.Zones})
-		h.list(decide.ListFull, servers)
+		h.list(decide.FullUpdate, servers)
 		for i := range s.Connections {
 			h.now += betweenPlacements
 			if at, stands := h.place(flowName(i), groupName(chance.IntN(s.Groups))); stands {
--- a/internal/testbed/scale/sweep_groups.go
+++ b/internal/testbed/scale/sweep_groups.go
@@ -31,7 +31,7 @@
 		one := s.at(size)
 		before := liveMemory()
 		h := newHollow(s.Seed, terms{peers: peers})
-		h.list(decide.ListFull, warmServers(one.Servers, one.Zones))
+		h.list(decide.FullUpdate, warmServers(one.Servers, one.Zones))
 		placed, err := fill(ctx, h, one)
 		if err != nil {
 			return nil, nil, err
--- a/internal/testbed/scale/sweep_rechecks.go
+++ b/internal/testbed/scale/sweep_rechecks.go
@@ -74,7 +74,7 @@
 	chance := rand.New(rand.NewPCG(s.Seed, uint64(s.Servers)))
 	for i := range s.Connections {
 		at := decide.ServerID(1 + chance.IntN(s.Servers))
-		h.module.Held(flowName(i), 0, decide.NoCustomer, "", groupName(chance.IntN(s.Groups)), at)
+		h.module.AdoptFlow(flowName(i), 0, decide.NoCustomer, "", groupName(chance.IntN(s.Groups)), at)
 	}
 	h.rest()
 	return h
@@ -87,7 +87,7 @@
 		return
 	}
 	for _, id := range h.moved {
-		h.module.Ended(id, decide.Cancelled, usualSetup, true)
+		h.module.OnEnded(id, decide.Cancelled, usualSetup, true)
 		h.place(id, unevenGroup)
 	}
 	h.moved = h.moved[:0]
--- a/internal/testbed/scale/sweep_topic.go
+++ b/internal/testbed/scale/sweep_topic.go
@@ -50,7 +50,7 @@
 func listen(s Settings, balancer int, all, listeners []int) (turned int) {
 	chance := rand.New(rand.NewPCG(s.Seed, uint64(balancer)))
 	h := newHollow(chance.Uint64(), terms{peers: peers, inZone: balancer % s.Zones})
-	h.list(decide.ListFull, warmServers(s.Servers, s.Zones))
+	h.list(decide.FullUpdate, warmServers(s.Servers, s.Zones))
 	h.hold(s.Connections, s.Servers, s.Groups)
 	h.rest()
 	for i := range s.Connections {
--- a/internal/testbed/scenario/board.go
+++ b/internal/testbed/scenario/board.go
@@ -22,15 +22,15 @@
 // fleet play what goes wrong on the way.
 type board struct {
 	w    *simulation.World
-	all  map[simulation.BalancerID]*signals.Signals
+	all  map[simulation.BalancerID]*signals.Exchange
 	last map[simulation.BalancerID]signals.Incarnation
 	runs bool
 }
 
 // tells makes the deciders of a day on which balancers tell each other what they see.
 func tells(d *experiment.Day) virtual.Maker {
-	b := &board{w: d.World, all: map[simulation.BalancerID]*signals.Signals{}, last: map[simulation.BalancerID]signals.Incarnation{}}
-	return func(seed uint64, id simulation.BalancerID, act decide.Act) virtual.Decider {
+	b := &board{w: d.World, all: map[simulation.BalancerID]*signals.Exchange{}, last: map[simulation.BalancerID]signals.Incarnation{}}
+	return func(seed uint64, id simulation.BalancerID, act decide.Actions) virtual.Decider {
 		g := config.Pairs(d.Settings(id))
 		b.last[id]++
 		s := signals.New(signals.Origin(fmt.Sprintf("b%d", id)), b.last[id], "", "", config.MessageTarget(g)/3, config.ShortestTarget(g), true)
@@ -39,7 +39,7 @@
 			b.runs = true
 			b.w.Agenda.After(boardTell, simulation.Book, b.tell)
 		}
-		return constraints.New(seed, act, []constraints.Decider{s}, func(dec *decide.Balancer) { config.Start(g, dec) })
+		return constraints.New(seed, act, []constraints.Constraint{s}, func(dec *decide.Balancer) { config.Start(g, dec) })
 	}
 }
 
@@ -51,7 +51,7 @@
 		if s == nil || !b.w.Balancers[id].Up {
 			continue
 		}
-		s.At(now)
+		s.SetTime(now)
 		r, due := s.Publish(len(b.w.Balancers))
 		if !due {
 			continue
@@ -59,7 +59,7 @@
 		b.w.Agenda.After(boardLag, simulation.News, func() {
 			for k := range b.w.Balancers {
 				if o := b.all[simulation.BalancerID(k)]; o != nil && o != s && b.w.Balancers[k].Up {
-					o.At(b.w.Agenda.Now())
+					o.SetTime(b.w.Agenda.Now())
 					o.Merge(r)
 				}
 			}
--- a/internal/testbed/scenario/halls_test.go
+++ b/internal/testbed/scenario/halls_test.go
@@ -16,23 +16,23 @@
 // spilling looks at each connect that leaves the nearest tier: the balancer may not hold more there than its limit, but
 // for the one that rounds a part of a flow.
 type spilling struct {
-	constraints.None
+	constraints.Unconstrained
 	t     *testing.T
 	own   decide.Zone
 	zones map[decide.ServerID]decide.Zone
-	h     *locality.Halls
+	h     *locality.Policy
 	seen  *int
 	over  map[decide.FlowID]string // beyond the limit, unless it turns out to have been taken over
 }
 
 func (s *spilling) Name() string { return "spy" }
 
-func (s *spilling) Listed(id decide.ServerID, z decide.Zone, _ float64, _ decide.Readiness, _ time.Duration) {
+func (s *spilling) OnEndpoint(id decide.ServerID, z decide.Zone, _ float64, _ decide.Readiness, _ time.Duration) {
 	s.zones[id] = z
 }
 
-func (s *spilling) Sent(f decide.FlowID, to decide.ServerID) {
-	if z := s.zones[to]; z != s.own && s.h.Of(z) == locality.Well {
+func (s *spilling) OnAttempt(f decide.FlowID, to decide.ServerID) {
+	if z := s.zones[to]; z != s.own && s.h.StateOf(z) == locality.Healthy {
 		*s.seen++
 		if n, limit := float64(s.h.Spilled(z)), s.h.SpillLimit(z); n > limit+1 {
 			s.over[f] = fmt.Sprintf("%v flows in hall %s, the limit is %.2f", n, z, limit)
@@ -40,14 +40,14 @@
 	}
 }
 
-func (s *spilling) Stood(f decide.FlowID, _ decide.ServerID, took time.Duration) {
+func (s *spilling) OnEstablished(f decide.FlowID, _ decide.ServerID, took time.Duration) {
 	if took >= 0 {
 		s.report(f)
 	}
 	delete(s.over, f)
 }
 
-func (s *spilling) Over(f decide.FlowID, _ decide.ServerID, _ decide.Outcome, _ bool) { s.report(f) }
+func (s *spilling) OnEnded(f decide.FlowID, _ decide.ServerID, _ decide.Outcome, _ bool) { s.report(f) }
 
 func (s *spilling) report(f decide.FlowID) {
 	if what := s.over[f]; what != "" {
@@ -66,11 +66,11 @@
 	for seed := range days {
 		d := e.Day(seed)
 		ref := Referee(d, 8*time.Millisecond, 0)
-		dr := virtual.New(d, ref, func(seed uint64, b simulation.BalancerID, act decide.Act) virtual.Decider {
+		dr := virtual.New(d, ref, func(seed uint64, b simulation.BalancerID, act decide.Actions) virtual.Decider {
 			g := config.Pairs(d.Settings(b))
 			h := e.Halls.Decider(g, seed)
 			spy := &spilling{t: t, own: decide.Zone(g.Text("az", "")), zones: map[decide.ServerID]decide.Zone{}, h: h, seen: &seen, over: map[decide.FlowID]string{}}
-			return constraints.New(seed, act, []constraints.Decider{h, spy}, func(dec *decide.Balancer) { config.Start(g, dec) })
+			return constraints.New(seed, act, []constraints.Constraint{h, spy}, func(dec *decide.Balancer) { config.Start(g, dec) })
 		})
 		dr.Run(nil)
 		for _, v := range ref.Violations() {
--- a/internal/testbed/scenario/play.go
+++ b/internal/testbed/scenario/play.go
@@ -32,9 +32,9 @@
 // Maker makes the deciders of a policy for a day.
 func Maker(d *experiment.Day, policy string) (virtual.Maker, error) {
 	if policy == "ours+halls" {
-		return func(seed uint64, b simulation.BalancerID, act decide.Act) virtual.Decider {
+		return func(seed uint64, b simulation.BalancerID, act decide.Actions) virtual.Decider {
 			g := config.Pairs(d.Settings(b))
-			return constraints.New(seed, act, []constraints.Decider{d.Experiment.Halls.Decider(g, seed)},
+			return constraints.New(seed, act, []constraints.Constraint{d.Experiment.Halls.Decider(g, seed)},
 				func(dec *decide.Balancer) { config.Start(g, dec) })
 		}, nil
 	}
@@ -42,7 +42,7 @@
 		return tells(d), nil
 	}
 	if policy == "ours" {
-		return func(seed uint64, b simulation.BalancerID, act decide.Act) virtual.Decider {
+		return func(seed uint64, b simulation.BalancerID, act decide.Actions) virtual.Decider {
 			dec := decide.New(seed, act)
 			config.Start(config.Pairs(d.Settings(b)), dec)
 			return dec
@@ -52,7 +52,7 @@
 	if rule == nil {
 		return nil, fmt.Errorf("unknown policy %q; want one of %s", policy, strings.Join(experiment.Policies, ", "))
 	}
-	effects := map[string]decide.Effect{"free": decide.Repeatable, "guarded": decide.Referenced, "single_shot": decide.OnceOnly}
+	effects := map[string]decide.Effect{"free": decide.Idempotent, "guarded": decide.IdempotentByKey, "single_shot": decide.NotIdempotent}
 	var of []decide.Effect
 	for _, s := range d.World.Services {
 		of = append(of, effects[s.Effect])
@@ -65,7 +65,7 @@
 	}
 	_, _, _, _, connects, _ := d.Experiment.Terms()
 	numbers := virtual.Numbers(len(d.World.Servers) + 4096)
-	return func(seed uint64, _ simulation.BalancerID, act decide.Act) virtual.Decider {
+	return func(seed uint64, _ simulation.BalancerID, act decide.Actions) virtual.Decider {
 		var all *simulation.World
 		if policy == "top" {
 			all = d.World
--- a/internal/testbed/scenario/play_test.go
+++ b/internal/testbed/scenario/play_test.go
@@ -96,7 +96,7 @@
 
 // bent passes the actions of a sound balancer on, but for one way of breaking a rule.
 type bent struct {
-	decide.Act
+	decide.Actions
 	way   string
 	now   time.Duration
 	later []func()
@@ -112,12 +112,12 @@
 	*bent
 }
 
-func (h heard) Timer(m decide.TimerMark) { h.Decider.Timer(m) }
+func (h heard) OnTimer(m decide.TimerID) { h.Decider.OnTimer(m) }
 
-func (h heard) At(now time.Duration) {
+func (h heard) SetTime(now time.Duration) {
 	b := h.bent
 	b.now = now
-	h.Decider.At(now)
+	h.Decider.SetTime(now)
 	for len(b.due) > 0 && b.due[0] <= now {
 		do := b.later[0]
 		b.due, b.later = b.due[1:], b.later[1:]
@@ -129,17 +129,17 @@
 	b.due, b.later = append(b.due, b.now+d), append(b.later, do)
 }
 
-func (h heard) ListServer(id decide.ServerID, z decide.Zone, c decide.CellID, size float64, st decide.Readiness, since time.Duration) {
+func (h heard) OnEndpoint(id decide.ServerID, z decide.Zone, c decide.CellID, size float64, st decide.Readiness, since time.Duration) {
 	if st == decide.Draining {
 		h.lame, h.lameA = id, h.now
 	}
-	h.Decider.ListServer(id, z, c, size, st, since)
+	h.Decider.OnEndpoint(id, z, c, size, st, since)
 }
 
-func (h heard) Ended(id decide.FlowID, o decide.Outcome, took time.Duration, over bool) {
-	h.Decider.Ended(id, o, took, over)
+func (h heard) OnEnded(id decide.FlowID, o decide.Outcome, took time.Duration, over bool) {
+	h.Decider.OnEnded(id, o, took, over)
 	if h.way == "answer after the end" && over && o == decide.OK {
-		h.bent.Act.Abort(id)
+		h.bent.Actions.Abort(id)
 	}
 }
 
@@ -147,9 +147,9 @@
 	if b.way == "send after the grace" && b.lame != 0 && b.now > b.lameA+2*time.Second {
 		s = b.lame
 	}
-	b.Act.Connect(f, s, d)
+	b.Actions.Connect(f, s, d)
 	if b.way == "two connects" && b.last != 0 && b.last != s {
-		b.Act.Connect(f, b.last, d)
+		b.Actions.Connect(f, b.last, d)
 	}
 	b.last = s
 }
@@ -159,46 +159,46 @@
 	case "no answer":
 		return
 	case "late answer":
-		b.after(3*time.Second, func() { b.Act.Reject(f, d) })
+		b.after(3*time.Second, func() { b.Actions.Reject(f, d) })
 		return
 	case "two answers":
-		b.Act.Reject(f, d)
+		b.Actions.Reject(f, d)
 	}
-	b.Act.Reject(f, d)
+	b.Actions.Reject(f, d)
 }
 
 func (b *bent) Abort(f decide.FlowID) {
 	if b.way == "once-only resent" && b.last != 0 {
-		b.Act.Connect(f, b.last, time.Second)
+		b.Actions.Connect(f, b.last, time.Second)
 		return
 	}
-	b.Act.Abort(f)
+	b.Actions.Abort(f)
 }
 
 // herd sends all newcomers to the server that started last: a few from each balancer.
 type herd struct {
 	virtual.Decider
-	act   decide.Act
+	act   decide.Actions
 	fresh decide.ServerID
 	since time.Duration
 	sent  int
 	now   time.Duration
 }
 
-func (h *herd) At(now time.Duration) { h.now = now; h.Decider.At(now) }
-func (h *herd) ListServer(id decide.ServerID, z decide.Zone, c decide.CellID, size float64, st decide.Readiness, since time.Duration) {
+func (h *herd) SetTime(now time.Duration) { h.now = now; h.Decider.SetTime(now) }
+func (h *herd) OnEndpoint(id decide.ServerID, z decide.Zone, c decide.CellID, size float64, st decide.Readiness, since time.Duration) {
 	if since != decide.LongAgo && st == decide.Ready && since > h.since {
 		h.fresh, h.since, h.sent = id, since, 0
 	}
-	h.Decider.ListServer(id, z, c, size, st, since)
+	h.Decider.OnEndpoint(id, z, c, size, st, since)
 }
-func (h *herd) Flow(f decide.FlowID, s decide.ServiceID, c decide.CustomerID, k decide.FlowKey, g decide.GroupKey, left time.Duration, m int) {
+func (h *herd) OnFlow(f decide.FlowID, s decide.ServiceID, c decide.CustomerID, k decide.FlowKey, g decide.GroupKey, left time.Duration, m int) {
 	if h.fresh != 0 && h.sent < 3 { // what is a lone balancer's part of it
 		h.sent++
 		h.act.Connect(f, h.fresh, left)
 		return
 	}
-	h.Decider.Flow(f, s, c, k, g, left, m)
+	h.Decider.OnFlow(f, s, c, k, g, left, m)
 }
 
 const bentDay = `name = "bent"
@@ -260,11 +260,11 @@
 			found := 0
 			for seed := range uint64(3) {
 				r, err := Day(e, seed, "ours", nil, func(m virtual.Maker) virtual.Maker {
-					return func(s uint64, id simulation.BalancerID, act decide.Act) virtual.Decider {
+					return func(s uint64, id simulation.BalancerID, act decide.Actions) virtual.Decider {
 						if c.way == "cold server flooded" {
 							return &herd{Decider: m(s, id, act), act: act}
 						}
-						b := &bent{Act: act, way: c.way}
+						b := &bent{Actions: act, way: c.way}
 						return heard{m(s, id, b), b}
 					}
 				})
--- a/internal/testbed/virtual/act.go
+++ b/internal/testbed/virtual/act.go
@@ -90,7 +90,7 @@
 	}
 }
 
-func (in *instance) Move(name decide.FlowID) {
+func (in *instance) Migrate(name decide.FlowID) {
 	if f := in.flow(name); f != nil && f.stands != nil {
 		in.dr.Tally.Moves++
 		in.dr.Tally.MovedAt = append(in.dr.Tally.MovedAt, in.dr.w.Agenda.Now())
@@ -103,7 +103,7 @@
 	}
 }
 
-func (in *instance) Probe(s decide.ServerID) {
+func (in *instance) HealthCheck(s decide.ServerID) {
 	to, known := in.dr.byNum[s]
 	if !known {
 		return
@@ -119,16 +119,16 @@
 	}
 	w.Agenda.After(took, simulation.Message, func() {
 		if in.up && in.life == life {
-			in.event().Probed(s, o)
+			in.event().OnHealthCheck(s, o)
 		}
 	})
 }
 
-func (in *instance) Timer(m decide.TimerMark, d time.Duration) {
+func (in *instance) SetTimer(m decide.TimerID, d time.Duration) {
 	life := in.life
 	in.dr.w.Agenda.After(max(d, time.Microsecond), simulation.Wake, func() {
 		if in.up && in.life == life {
-			in.event().Timer(m)
+			in.event().OnTimer(m)
 		}
 	})
 }
--- a/internal/testbed/virtual/balancer.go
+++ b/internal/testbed/virtual/balancer.go
@@ -32,8 +32,8 @@
 	dr.see(invariants.Event{Kind: invariants.Began, Balancer: invariants.Balancer(b)})
 	seed := simulation.Chance(dr.d.Seed, "balancer "+strconv.Itoa(in.life), int(b)).Uint64()
 	in.dec = dr.maker(seed, b, in)
-	in.dec.At(0)
-	in.list(decide.ListCached, dr.w.List.Known(b))
+	in.dec.SetTime(0)
+	in.list(decide.CachedUpdate, dr.w.List.Known(b))
 }
 
 // Stop has a balancer ask its clients to come again, spread evenly, as the program does from a little after the signal
@@ -104,7 +104,7 @@
 
 // event opens an event: what is decided in it happens now.
 func (in *instance) event() Decider {
-	in.dec.At(in.dr.w.Agenda.Now() - in.start)
+	in.dec.SetTime(in.dr.w.Agenda.Now() - in.start)
 	return in.dec
 }
 
@@ -145,7 +145,7 @@
 	if was == standing || finished {
 		in.forget(f)
 	}
-	in.event().Ended(f.name, o, dr.w.Agenda.Now()-c.sentAt, finished)
+	in.event().OnEnded(f.name, o, dr.w.Agenda.Now()-c.sentAt, finished)
 }
 
 func (in *instance) drop(s simulation.ServerID, f *flow) {
--- a/internal/testbed/virtual/client.go
+++ b/internal/testbed/virtual/client.go
@@ -37,10 +37,10 @@
 		}
 		marks := 0
 		if repeat {
-			marks |= decide.MarkRepeat
+			marks |= decide.FlagRetry
 		}
 		if back {
-			marks |= decide.MarkBack
+			marks |= decide.FlagReturning
 		}
 		name := decide.FlowID(strconv.FormatInt(int64(f), 36))
 		now := dr.w.Agenda.Now()
@@ -49,7 +49,7 @@
 		s := dr.w.Services[service]
 		dr.see(invariants.Event{Kind: invariants.Taken, Balancer: invariants.Balancer(in.id), Flow: invariants.Flow(f), Due: now + left,
 			Effect: effects[s.Effect], Reach: reaches[s.Group], Window: s.Window})
-		in.event().Flow(name, decide.ServiceID(service), decide.CustomerID(customer), decide.FlowKey(""),
+		in.event().OnFlow(name, decide.ServiceID(service), decide.CustomerID(customer), decide.FlowKey(""),
 			decide.GroupKey(experiment.GroupName(group)), x.due-now, marks)
 	})
 }
@@ -65,7 +65,7 @@
 	x.out, x.stands = []*connect{k}, k
 	dr.flows[f], in.flows[f], dr.conns[id] = x, x, k
 	in.held[s] = append(in.held[s], x)
-	in.event().Held(x.name, decide.ServiceID(c.Service), decide.CustomerID(c.Customer), "",
+	in.event().AdoptFlow(x.name, decide.ServiceID(c.Service), decide.CustomerID(c.Customer), "",
 		decide.GroupKey(experiment.GroupName(c.Group)), dr.number(s))
 }
 
@@ -83,7 +83,7 @@
 			return
 		}
 		if !x.answered {
-			x.in.event().Left(x.name)
+			x.in.event().OnClientLeft(x.name)
 		}
 		for _, c := range slices.Clone(x.out) {
 			x.in.finish(c, decide.Cancelled)
--- a/internal/testbed/virtual/list.go
+++ b/internal/testbed/virtual/list.go
@@ -46,16 +46,16 @@
 	if !in.up {
 		return
 	}
-	k := decide.ListChanges
+	k := decide.DeltaUpdate
 	if full {
-		k = decide.ListFull
+		k = decide.FullUpdate
 	}
 	in.list(k, entries)
 }
 
-func (in *instance) list(k decide.ListKind, entries []simulation.Entry) {
+func (in *instance) list(k decide.UpdateKind, entries []simulation.Entry) {
 	dr, b := in.dr, in.event()
-	b.ListBegin(k)
+	b.BeginEndpoints(k)
 	seen := map[simulation.ServerID]bool{}
 	for _, e := range entries {
 		seen[e.Server] = true
@@ -64,28 +64,28 @@
 			since = e.Since - in.start
 		}
 		in.see(e.Server, e.State, e.Since)
-		b.ListServer(dr.number(e.Server), decide.Zone(dr.w.Halls[e.Hall]), decide.CellID(e.Cell), e.Size, readiness[e.State], since)
+		b.OnEndpoint(dr.number(e.Server), decide.Zone(dr.w.Halls[e.Hall]), decide.CellID(e.Cell), e.Size, readiness[e.State], since)
 	}
-	if k == decide.ListFull {
+	if k == decide.FullUpdate {
 		for _, s := range dr.w.Servers {
 			if !seen[s.ID] {
 				in.see(s.ID, simulation.Gone, simulation.LongAgo)
 			}
 		}
 	}
-	b.ListEnd()
+	b.EndEndpoints()
 }
 
-func (in *instance) Watch(on bool) {
+func (in *instance) WatchEndpoints(on bool) {
 	if !on {
 		return
 	}
 	life := in.life
 	in.dr.w.Agenda.After(10*time.Millisecond, simulation.News, func() {
 		if in.up && in.life == life && !in.dr.w.List.Ask(in.id) {
-			in.event().ListBegin(decide.ListFailed)
+			in.event().BeginEndpoints(decide.FailedUpdate)
 		}
 	})
 }
 
-func (in *instance) Fetch() { in.Watch(true) }
+func (in *instance) FetchEndpoints() { in.WatchEndpoints(true) }
--- a/internal/testbed/virtual/server.go
+++ b/internal/testbed/virtual/server.go
@@ -45,7 +45,7 @@
 		f.stands, f.answered = c, true
 		in.held[c.server] = append(in.held[c.server], f)
 		dr.see(invariants.Event{Kind: invariants.Answered, Balancer: invariants.Balancer(in.id), Flow: invariants.Flow(f.id), Verdict: invariants.Established})
-		in.event().Established(f.name, dr.w.Agenda.Now()-c.sentAt)
+		in.event().OnEstablished(f.name, dr.w.Agenda.Now()-c.sentAt)
 		dr.w.Agenda.After(dr.w.Net.Client, simulation.Message, func() { dr.w.Answered(f.id, simulation.Established, 0) })
 	})
 }
@@ -87,7 +87,7 @@
 		life := in.life
 		dr.w.Agenda.After(dr.w.Net.Way(hall, in.hall), simulation.Message, func() {
 			if in.up && in.life == life && len(in.held[s]) > 0 {
-				in.event().DelayNote(in.held[s][0].name, delay)
+				in.event().OnLatencySample(in.held[s][0].name, delay)
 			}
 		})
 	}
--- a/internal/testbed/virtual/virtual.go
+++ b/internal/testbed/virtual/virtual.go
@@ -14,10 +14,10 @@
 
 // Decider makes the decisions of one balancer: the decision module, with or without others round it, or a baseline in
 // its place.
-type Decider = constraints.Module
+type Decider = constraints.Balancer
 
 // Maker makes the decider of a balancer that starts; it acts through act alone.
-type Maker func(seed uint64, b simulation.BalancerID, act decide.Act) Decider
+type Maker func(seed uint64, b simulation.BalancerID, act decide.Actions) Decider
 
 const (
 	lineCost  = 5 * time.Millisecond   // what a balancer keeps of a client's time for the way there and back
--- a/locality/facts.go
+++ b/locality/facts.go
@@ -6,8 +6,8 @@
 	"yardwinch/decide"
 )
 
-// Listed takes in a change of the server list.
-func (h *Halls) Listed(id decide.ServerID, z decide.Zone, size float64, st decide.Readiness, since time.Duration) {
+// OnEndpoint takes in a change of the server list.
+func (h *Policy) OnEndpoint(id decide.ServerID, z decide.Zone, size float64, st decide.Readiness, since time.Duration) {
 	s := h.servers[id]
 	if s == nil {
 		s = &server{id: id, hall: h.hall(z), state: decide.Gone}
@@ -31,9 +31,9 @@
 	s.size, s.state, s.since = size, st, since
 }
 
-// ListDone looks at every hall anew. That the list says nothing is no news of a hall; that it calls all of a hall's
+// OnEndpointsUpdated looks at every hall anew. That the list says nothing is no news of a hall; that it calls all of a hall's
 // servers gone is, and so is that most of them started since the hall was lost.
-func (h *Halls) ListDone() {
+func (h *Policy) OnEndpointsUpdated() {
 	h.begun = true
 	for _, x := range h.order {
 		x.ready, x.size = 0, 0
@@ -49,11 +49,11 @@
 		}
 		switch {
 		case x.ready == 0 && x.listed:
-			h.turn(x, Lost, "the list has no server of it")
-		case x.state == Lost && x.ready > 0 && x.why == "the list has no server of it":
-			h.turn(x, Returning, "the list has servers of it again")
-		case x.state == Lost && 2*fresh > x.ready:
-			h.turn(x, Returning, "most of its servers started anew")
+			h.turn(x, Unavailable, "the list has no server of it")
+		case x.state == Unavailable && x.ready > 0 && x.why == "the list has no server of it":
+			h.turn(x, Recovering, "the list has servers of it again")
+		case x.state == Unavailable && 2*fresh > x.ready:
+			h.turn(x, Recovering, "most of its servers started anew")
 		}
 		x.listed = x.listed || x.ready > 0
 	}
@@ -65,13 +65,13 @@
 	}
 }
 
-// Came takes in a new flow.
-func (h *Halls) Came(f decide.FlowID, _ decide.ServiceID, _ decide.CustomerID, g decide.GroupKey) {
+// OnFlow takes in a new flow.
+func (h *Policy) OnFlow(f decide.FlowID, _ decide.ServiceID, _ decide.CustomerID, g decide.GroupKey) {
 	h.flows[f] = &flow{group: g}
 }
 
-// Sent takes in that a connect for a flow went out to a server.
-func (h *Halls) Sent(f decide.FlowID, to decide.ServerID) {
+// OnAttempt takes in that a connect for a flow went out to a server.
+func (h *Policy) OnAttempt(f decide.FlowID, to decide.ServerID) {
 	x, s := h.flows[f], h.servers[to]
 	if x == nil || s == nil {
 		return
@@ -79,15 +79,15 @@
 	x.server = s
 	s.hall.own++
 	switch s.hall.state {
-	case Lost:
+	case Unavailable:
 		s.hall.trial, s.hall.trialAt = f, h.now
-	case Returning:
+	case Recovering:
 		s.hall.sent++
 	}
 }
 
-// Stood takes in that a connection was set up, and in what time.
-func (h *Halls) Stood(f decide.FlowID, on decide.ServerID, took time.Duration) {
+// OnEstablished takes in that a connection was set up, and in what time.
+func (h *Policy) OnEstablished(f decide.FlowID, on decide.ServerID, took time.Duration) {
 	x := h.flows[f]
 	if x == nil || x.server == nil {
 		return
@@ -101,14 +101,14 @@
 	}
 	hall := x.server.hall
 	h.see(hall, result{h.now, on, true, false, took})
-	if hall.state == Lost {
-		h.turn(hall, Returning, "a trial stood")
+	if hall.state == Unavailable {
+		h.turn(hall, Recovering, "a trial stood")
 		hall.sent = 1
 	}
 }
 
-// Over takes in how a connection ended, or an attempt to set one up.
-func (h *Halls) Over(f decide.FlowID, on decide.ServerID, o decide.Outcome, stood bool) {
+// OnEnded takes in how a connection ended, or an attempt to set one up.
+func (h *Policy) OnEnded(f decide.FlowID, on decide.ServerID, o decide.Outcome, stood bool) {
 	x := h.flows[f]
 	if x == nil || x.server == nil {
 		return
@@ -117,7 +117,7 @@
 	hall.own--
 	x.server, x.stands = nil, false
 	bad := o == decide.Unreachable || o == decide.Reset || o == decide.TimedOut && !stood
-	if hall.trial == f && hall.state == Lost {
+	if hall.trial == f && hall.state == Unavailable {
 		hall.trial = ""
 		if bad || o == decide.Cancelled {
 			most := mostPause
@@ -127,7 +127,7 @@
 			hall.pause = min(2*hall.pause, most)
 			hall.retryAt = h.now + h.jitter(hall.pause)
 		} else if o == decide.Full || o == decide.Error { // somebody was met
-			h.turn(hall, Returning, "a trial met somebody")
+			h.turn(hall, Recovering, "a trial met somebody")
 		}
 	}
 	switch {
@@ -138,23 +138,23 @@
 	}
 }
 
-// Gone forgets a flow.
-func (h *Halls) Gone(f decide.FlowID) {
+// OnFlowRemoved forgets a flow.
+func (h *Policy) OnFlowRemoved(f decide.FlowID) {
 	if x := h.flows[f]; x != nil && x.server != nil {
 		x.server.hall.own--
 	}
 	delete(h.flows, f)
 }
 
-// Late takes in how long a message to a server took.
-func (h *Halls) Late(on decide.ServerID, delay time.Duration) {
+// OnLatencySample takes in how long a message to a server took.
+func (h *Policy) OnLatencySample(on decide.ServerID, delay time.Duration) {
 	if s := h.servers[on]; s != nil && delay > h.late {
 		s.lateAt = max(h.now, 1)
 	}
 }
 
-// Moved takes in that a flow's client was asked to move.
-func (h *Halls) Moved(f decide.FlowID) {
+// OnMigration takes in that a flow's client was asked to move.
+func (h *Policy) OnMigration(f decide.FlowID) {
 	if x := h.flows[f]; x != nil && x.server != nil && x.server.hall.tier > 0 && h.tokens >= 1 {
 		h.tokens--
 		h.moved++
--- a/locality/halls.go
+++ b/locality/halls.go
@@ -17,9 +17,9 @@
 
 // States of a hall.
 const (
-	Well      State = "well"
-	Lost      State = "lost"      // nobody is met there; one flow now and then is let through to see
-	Returning State = "returning" // takes a growing part of its usual flows
+	Healthy     State = "well"
+	Unavailable State = "lost"      // nobody is met there; one flow now and then is let through to see
+	Recovering  State = "returning" // takes a growing part of its usual flows
 )
 
 const (
@@ -97,9 +97,9 @@
 	stood  time.Duration
 }
 
-// Halls is one balancer's view.
-type Halls struct {
-	constraints.None
+// Policy is one balancer's view.
+type Policy struct {
+	constraints.Unconstrained
 	now      time.Duration
 	rng      *rand.Rand
 	own      decide.Zone
@@ -129,14 +129,14 @@
 // peers. target and late are what set-ups and messages are wanted within, warm how long a server warms; again, those
 // turned away come again by, spread by chance.
 func New(seed uint64, own decide.Zone, tiers [][]decide.Zone, spill, surge, homeward float64, peers int,
-	target, late, warm, again time.Duration) *Halls {
-	return &Halls{rng: rand.New(rand.NewPCG(seed, 0x68616c6c)), own: own, tiers: tiers, spill: spill, surge: surge,
+	target, late, warm, again time.Duration) *Policy {
+	return &Policy{rng: rand.New(rand.NewPCG(seed, 0x68616c6c)), own: own, tiers: tiers, spill: spill, surge: surge,
 		home: homeward / 60 / float64(max(peers, 1)), target: target, late: late, warm: max(warm, time.Second), again: again,
 		halls: map[decide.Zone]*hall{}, servers: map[decide.ServerID]*server{}, flows: map[decide.FlowID]*flow{}}
 }
 
-// Change takes in what may change while the balancer runs.
-func (h *Halls) Change(tiers [][]decide.Zone, spill, surge, homeward float64, peers int, again time.Duration) {
+// Reconfigure takes in what may change while the balancer runs.
+func (h *Policy) Reconfigure(tiers [][]decide.Zone, spill, surge, homeward float64, peers int, again time.Duration) {
 	h.tiers, h.spill, h.surge, h.again = tiers, spill, surge, again
 	h.home = homeward / 60 / float64(max(peers, 1))
 	for _, x := range h.order {
@@ -145,9 +145,9 @@
 }
 
 // Name is the name under which this decider is explained and counted.
-func (h *Halls) Name() string { return "halls" }
+func (h *Policy) Name() string { return "halls" }
 
-func (h *Halls) tierOf(z decide.Zone) int {
+func (h *Policy) tierOf(z decide.Zone) int {
 	for i, t := range h.tiers {
 		if slices.Contains(t, z) {
 			return i
@@ -159,10 +159,10 @@
 	return max(len(h.tiers), 1)
 }
 
-func (h *Halls) hall(z decide.Zone) *hall {
+func (h *Policy) hall(z decide.Zone) *hall {
 	x := h.halls[z]
 	if x == nil {
-		x = &hall{name: z, tier: h.tierOf(z), state: Well, servers: map[decide.ServerID]*server{}, gentler: 1, since: h.now, coin: h.rng.Float64()}
+		x = &hall{name: z, tier: h.tierOf(z), state: Healthy, servers: map[decide.ServerID]*server{}, gentler: 1, since: h.now, coin: h.rng.Float64()}
 		h.halls[z] = x
 		h.order = append(h.order, x)
 		slices.SortFunc(h.order, func(a, b *hall) int { return cmp.Compare(a.name, b.name) })
@@ -170,8 +170,8 @@
 	return x
 }
 
-// At sets the time of the calls that follow, and does what is due by it.
-func (h *Halls) At(now time.Duration) {
+// SetTime sets the time of the calls that follow, and does what is due by it.
+func (h *Policy) SetTime(now time.Duration) {
 	h.now = now
 	if h.begun {
 		h.tokens = min(tokens, h.tokens+h.home*(now-h.learntAt).Seconds())
@@ -179,11 +179,11 @@
 	}
 	h.learntAt = now
 	for _, x := range h.order {
-		if x.state == Returning {
+		if x.state == Recovering {
 			h.goOn(x)
 		}
 	}
 }
 
-// Of tells the state of a hall.
-func (h *Halls) Of(z decide.Zone) State { return h.hall(z).state }
+// StateOf tells the state of a hall.
+func (h *Policy) StateOf(z decide.Zone) State { return h.hall(z).state }
--- a/locality/halls_test.go
+++ b/locality/halls_test.go
@@ -13,7 +13,7 @@
 
 // scene is three halls of four servers seen from the first, with some usual flows at home.
 type scene struct {
-	*Halls
+	*Policy
 	t    *testing.T
 	now  time.Duration
 	next int
@@ -21,7 +21,7 @@
 
 func at(t *testing.T, spill, surge, homeward float64) *scene {
 	t.Helper()
-	s := &scene{t: t, Halls: New(1, "a", [][]decide.Zone{{"a"}, {"b"}, {"c"}}, spill, surge, homeward, 1, 300*time.Millisecond,
+	s := &scene{t: t, Policy: New(1, "a", [][]decide.Zone{{"a"}, {"b"}, {"c"}}, spill, surge, homeward, 1, 300*time.Millisecond,
 		250*time.Millisecond, 20*second, 500*time.Millisecond)}
 	s.list(decide.LongAgo)
 	for i := range 40 {
@@ -38,54 +38,54 @@
 		if i/4 == 1 {
 			since = b
 		}
-		s.Listed(decide.ServerID(1+i), decide.Zone([]string{"a", "b", "c"}[i/4]), 1, decide.Ready, since)
+		s.OnEndpoint(decide.ServerID(1+i), decide.Zone([]string{"a", "b", "c"}[i/4]), 1, decide.Ready, since)
 	}
-	s.ListDone()
+	s.OnEndpointsUpdated()
 }
 
 func (s *scene) gone(from, to int, z decide.Zone) {
 	for i := from; i <= to; i++ {
-		s.Listed(decide.ServerID(i), z, 1, decide.Gone, decide.LongAgo)
+		s.OnEndpoint(decide.ServerID(i), z, 1, decide.Gone, decide.LongAgo)
 	}
-	s.ListDone()
+	s.OnEndpointsUpdated()
 }
 
 func (s *scene) pass(d time.Duration) {
 	for end := s.now + d; s.now < end; {
 		s.now += 100 * time.Millisecond
-		s.At(s.now)
+		s.SetTime(s.now)
 	}
 }
 
 func (s *scene) flow() decide.FlowID {
 	s.next++
 	f := decide.FlowID(fmt.Sprint("f", s.next))
-	s.Came(f, 0, 0, "")
+	s.OnFlow(f, 0, 0, "")
 	return f
 }
 
 func (s *scene) stand(f decide.FlowID, on decide.ServerID, took time.Duration) {
-	s.Sent(f, on)
-	s.Stood(f, on, took)
+	s.OnAttempt(f, on)
+	s.OnEstablished(f, on, took)
 }
 
 // meet sends a flow and tells how it ended; it is let go then.
 func (s *scene) meet(on decide.ServerID, o decide.Outcome) {
 	f := s.flow()
-	s.Sent(f, on)
-	s.Over(f, on, o, false)
-	s.Gone(f)
+	s.OnAttempt(f, on)
+	s.OnEnded(f, on, o, false)
+	s.OnFlowRemoved(f)
 }
 
 func (s *scene) want(z decide.Zone, st State) {
 	s.t.Helper()
-	if got := s.Of(z); got != st {
+	if got := s.StateOf(z); got != st {
 		s.t.Errorf("at %v hall %s is %s, want %s", s.now, z, got, st)
 	}
 }
 
 func (s *scene) ask(id decide.ServerID) constraints.Reason {
-	_, why := s.Server(s.flow(), id)
+	_, why := s.ServerCost(s.flow(), id)
 	return why
 }
 
@@ -104,33 +104,33 @@
 		do   func(*scene)
 		want State
 	}{
-		{"nobody at two of four", func(s *scene) { s.meet(1, decide.Unreachable); s.meet(2, decide.Unreachable) }, Lost},
+		{"nobody at two of four", func(s *scene) { s.meet(1, decide.Unreachable); s.meet(2, decide.Unreachable) }, Unavailable},
 		{"one bad server", func(s *scene) {
 			s.meet(1, decide.Unreachable)
 			s.meet(1, decide.Unreachable)
 			s.meet(1, decide.Unreachable)
-		}, Well},
+		}, Healthy},
 		{"others stand there", func(s *scene) {
 			s.meet(1, decide.Unreachable)
 			s.stand(s.flow(), 3, 10*time.Millisecond)
 			s.meet(2, decide.Unreachable)
-		}, Well},
-		{"long apart", func(s *scene) { s.meet(1, decide.Unreachable); s.pass(6 * second); s.meet(2, decide.Unreachable) }, Well},
-		{"slow everywhere", func(s *scene) { s.meet(1, decide.TimedOut); s.meet(2, decide.TimedOut); s.meet(3, decide.TimedOut) }, Well},
+		}, Healthy},
+		{"long apart", func(s *scene) { s.meet(1, decide.Unreachable); s.pass(6 * second); s.meet(2, decide.Unreachable) }, Healthy},
+		{"slow everywhere", func(s *scene) { s.meet(1, decide.TimedOut); s.meet(2, decide.TimedOut); s.meet(3, decide.TimedOut) }, Healthy},
 		{"slow here alone", func(s *scene) {
 			s.stand(s.flow(), 9, 10*time.Millisecond)
 			s.meet(1, decide.TimedOut)
 			s.meet(2, decide.TimedOut)
-		}, Lost},
-		{"errors", func(s *scene) { s.meet(1, decide.Error); s.meet(2, decide.Error); s.meet(3, decide.Full) }, Well},
-		{"the list has none", func(s *scene) { s.gone(1, 4, "a") }, Lost},
-		{"the list is dark", func(s *scene) { s.pass(60 * second) }, Well},
-		{"the list has a few less", func(s *scene) { s.gone(1, 3, "a") }, Well},
+		}, Unavailable},
+		{"errors", func(s *scene) { s.meet(1, decide.Error); s.meet(2, decide.Error); s.meet(3, decide.Full) }, Healthy},
+		{"the list has none", func(s *scene) { s.gone(1, 4, "a") }, Unavailable},
+		{"the list is dark", func(s *scene) { s.pass(60 * second) }, Healthy},
+		{"the list has a few less", func(s *scene) { s.gone(1, 3, "a") }, Healthy},
 		{"only one server left there, and nobody at it", func(s *scene) {
 			s.gone(1, 3, "a")
 			s.meet(4, decide.Unreachable)
 			s.meet(4, decide.Unreachable)
-		}, Lost},
+		}, Unavailable},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := at(t, 0.3, 0, 60)
@@ -181,7 +181,7 @@
 	if trials < 6 || trials > 16 {
 		t.Errorf("%d trials in a minute", trials)
 	}
-	s.want("a", Lost)
+	s.want("a", Unavailable)
 	if s.now-last > 15*second {
 		t.Errorf("the last trial was %v ago", s.now-last)
 	}
@@ -189,7 +189,7 @@
 		s.pass(100 * time.Millisecond)
 	}
 	s.stand(s.flow(), 3, 10*time.Millisecond)
-	s.want("a", Returning)
+	s.want("a", Recovering)
 }
 
 func TestAReturnGoesInSteps(t *testing.T) {
@@ -199,10 +199,10 @@
 	s.flows = map[decide.FlowID]*flow{} // what it held has broken
 	s.hall("a").own = 0
 	for i := range 4 {
-		s.Listed(decide.ServerID(1+i), "a", 1, decide.Ready, s.now)
+		s.OnEndpoint(decide.ServerID(1+i), "a", 1, decide.Ready, s.now)
 	}
-	s.ListDone()
-	s.want("a", Returning)
+	s.OnEndpointsUpdated()
+	s.want("a", Recovering)
 	last := -1
 	sum := 0
 	for i, most := range []int{4, 10, 20, 30} {
@@ -214,14 +214,14 @@
 		s.pass(4*second + 200*time.Millisecond)
 	}
 	s.pass(4*second + 200*time.Millisecond)
-	s.want("a", Well)
+	s.want("a", Healthy)
 }
 
 func TestAReturnWaitsWhileSetUpsAreSlow(t *testing.T) {
 	s := at(t, 0.3, 0, 0)
 	s.gone(1, 4, "a")
 	s.list(decide.LongAgo)
-	s.want("a", Returning)
+	s.want("a", Recovering)
 	for range 8 { // 8 s: beyond a step, below the longest wait
 		s.pass(second)
 		s.see(s.hall("a"), result{s.now, 1, true, false, 900 * time.Millisecond})
@@ -263,16 +263,16 @@
 	}
 	s.list(decide.LongAgo)
 	s.pass(100 * second)
-	s.want("a", Well)
+	s.want("a", Healthy)
 	moved, from := 0, s.now
 	for s.now-from < 60*second {
 		s.pass(250 * time.Millisecond)
-		for _, f := range s.First() {
-			if s.Move(f) == "" {
+		for _, f := range s.MigrateFirst() {
+			if s.AllowMigration(f) == "" {
 				moved++
-				s.Moved(f)
-				s.Over(f, 5, decide.Cancelled, true)
-				s.Gone(f)
+				s.OnMigration(f)
+				s.OnEnded(f, 5, decide.Cancelled, true)
+				s.OnFlowRemoved(f)
 			}
 		}
 	}
@@ -288,7 +288,7 @@
 		most int
 	}{{"nothing taken over: no limit of its own yet", 0, 1000}, {"forty", 40, 12}} {
 		t.Run(c.name, func(t *testing.T) {
-			s := &scene{t: t, Halls: New(1, "a", nil, 0.3, 0, 0, 1, 300*time.Millisecond, 250*time.Millisecond, 20*second, 0)}
+			s := &scene{t: t, Policy: New(1, "a", nil, 0.3, 0, 0, 1, 300*time.Millisecond, 250*time.Millisecond, 20*second, 0)}
 			s.list(decide.LongAgo)
 			for i := range c.held {
 				s.stand(s.flow(), decide.ServerID(1+i%4), -1)
@@ -318,8 +318,8 @@
 
 func TestAServerThatChangesHallTakesItsFlowsAlong(t *testing.T) {
 	s := at(t, 0.3, 0, 0)
-	s.Listed(1, "b", 1, decide.Ready, decide.LongAgo)
-	s.ListDone()
+	s.OnEndpoint(1, "b", 1, decide.Ready, decide.LongAgo)
+	s.OnEndpointsUpdated()
 	if a, b := s.Spilled("a"), s.Spilled("b"); a != 30 || b != 10 {
 		t.Errorf("%d flows in a, %d in b: want 30 and 10", a, b)
 	}
@@ -329,7 +329,7 @@
 	all := 0
 	for seed := range uint64(400) {
 		h := New(seed, "a", [][]decide.Zone{{"a"}, {"b"}}, 0.3, 0, 0, 400, 300*time.Millisecond, 250*time.Millisecond, 20*second, 0)
-		s := &scene{Halls: h, t: t}
+		s := &scene{Policy: h, t: t}
 		s.list(decide.LongAgo)
 		s.stand(s.flow(), 1, -1) // one usual flow each
 		s.pass(20 * second)
--- a/locality/questions.go
+++ b/locality/questions.go
@@ -19,8 +19,8 @@
 	hallHome  constraints.Reason = "moves home are used up"
 )
 
-// Server bars the servers of halls that take nothing now, and makes those of halls farther off cost more.
-func (h *Halls) Server(f decide.FlowID, id decide.ServerID) (float64, constraints.Reason) {
+// ServerCost bars the servers of halls that take nothing now, and makes those of halls farther off cost more.
+func (h *Policy) ServerCost(f decide.FlowID, id decide.ServerID) (float64, constraints.Reason) {
 	s := h.servers[id]
 	if s == nil {
 		return 0, ""
@@ -30,11 +30,11 @@
 		return extra, "" // it is there already
 	}
 	switch x.state {
-	case Lost:
+	case Unavailable:
 		if x.trial != "" && h.now-x.trialAt < trialWithin || h.now < x.retryAt {
 			return 0, hallLost
 		}
-	case Returning:
+	case Recovering:
 		if float64(x.sent)+x.coin >= h.usual(x)*shares[x.step]/x.gentler+b2f(x.step == steps-1) {
 			return 0, hallSteps
 		}
@@ -52,16 +52,16 @@
 	return extra, ""
 }
 
-// Again spreads those turned away for want of a hall, or they would return together.
-func (h *Halls) Again(_ decide.FlowID, told time.Duration) time.Duration {
+// RetryAfter spreads those turned away for want of a hall, or they would return together.
+func (h *Policy) RetryAfter(_ decide.FlowID, told time.Duration) time.Duration {
 	if h.again == 0 {
 		return told
 	}
 	return h.jitter(h.again)
 }
 
-// Move keeps a flow that spilled from going home beyond the budget.
-func (h *Halls) Move(f decide.FlowID) constraints.Reason {
+// AllowMigration keeps a flow that spilled from going home beyond the budget.
+func (h *Policy) AllowMigration(f decide.FlowID) constraints.Reason {
 	x := h.flows[f]
 	if x != nil && x.server != nil && x.server.hall.tier > 0 && h.tokens < 1 {
 		return hallHome
@@ -69,14 +69,14 @@
 	return ""
 }
 
-// First are those that spilled, the oldest first and those of one group together, while a nearer hall would have them.
-func (h *Halls) First() (first []decide.FlowID) {
+// MigrateFirst are those that spilled, the oldest first and those of one group together, while a nearer hall would have them.
+func (h *Policy) MigrateFirst() (first []decide.FlowID) {
 	if h.tokens < 1 {
 		return nil
 	}
 	nearest := math.MaxInt
 	for _, x := range h.order {
-		if x.ready > 0 && (x.state == Well || x.state == Returning) {
+		if x.ready > 0 && (x.state == Healthy || x.state == Recovering) {
 			nearest = min(nearest, x.tier)
 		}
 	}
@@ -97,7 +97,7 @@
 }
 
 // State is what whoever asks is told.
-func (h *Halls) State() any {
+func (h *Policy) State() any {
 	type told struct {
 		Hall    string  `json:"hall"`
 		Tier    int     `json:"tier"`
@@ -115,7 +115,7 @@
 	for _, x := range h.order {
 		t := told{string(x.name), x.tier, string(x.state), string(x.why), x.since.Seconds(), x.ready, x.own, h.usual(x), 0, 0, 0}
 		switch {
-		case x.state == Returning:
+		case x.state == Recovering:
 			t.Limit, t.Step, t.Gentler = h.usual(x)*shares[x.step]/x.gentler, x.step+1, x.gentler
 		case x.tier > 0:
 			t.Limit = h.spill * h.usual(x)
--- a/locality/spill.go
+++ b/locality/spill.go
@@ -9,7 +9,7 @@
 
 // learn follows what is usual: all own flows a unit of size in the nearest tier, where they belong. A rise counts only
 // while that tier is in time, or an overload would soon be held to be usual; nothing is learnt while it is not well.
-func (h *Halls) learn(dt time.Duration) {
+func (h *Policy) learn(dt time.Duration) {
 	at, ok := h.now0()
 	if !ok || dt <= 0 {
 		return
@@ -25,20 +25,20 @@
 }
 
 // now0 is own flows a unit of size in the nearest tier now; false while that is not well.
-func (h *Halls) now0() (float64, bool) {
+func (h *Policy) now0() (float64, bool) {
 	n, size, ok := 0, 0.0, true
 	for _, x := range h.order {
 		n += x.own
 		if x.tier == 0 {
 			size += x.size
-			ok = ok && x.state == Well
+			ok = ok && x.state == Healthy
 		}
 	}
 	return float64(n) / max(size, 1e-9), ok && size > 0
 }
 
 // hotShare is how many of the servers of a tier that hold own flows were late a moment ago.
-func (h *Halls) hotShare(tier int) float64 {
+func (h *Policy) hotShare(tier int) float64 {
 	hot, all := 0.0, 0.0
 	for _, x := range h.order {
 		if x.tier != tier {
@@ -65,7 +65,7 @@
 
 // usual is what this balancer would hold in a hall of that size if it were its own. One that started of late knows only
 // what it holds by now.
-func (h *Halls) usual(x *hall) float64 {
+func (h *Policy) usual(x *hall) float64 {
 	at := h.perSize
 	if !h.known() {
 		n := 0
@@ -77,11 +77,11 @@
 	return at * x.size
 }
 
-func (h *Halls) known() bool { return h.learnt >= knownAfter }
+func (h *Policy) known() bool { return h.learnt >= knownAfter }
 
 // SpillLimit is how many flows this balancer may have in another hall. While it does not know what is usual it has none
 // of its own: the halls carried the same clients before they came here.
-func (h *Halls) SpillLimit(z decide.Zone) float64 {
+func (h *Policy) SpillLimit(z decide.Zone) float64 {
 	if !h.known() {
 		return math.Inf(1)
 	}
@@ -89,9 +89,9 @@
 }
 
 // Spilled is how many it has there.
-func (h *Halls) Spilled(z decide.Zone) int { return h.hall(z).own }
+func (h *Policy) Spilled(z decide.Zone) int { return h.hall(z).own }
 
-func (h *Halls) nearest() (n float64) {
+func (h *Policy) nearest() (n float64) {
 	for _, x := range h.order {
 		if x.tier == 0 {
 			n += float64(x.own)
@@ -100,7 +100,7 @@
 	return n
 }
 
-func (h *Halls) nearSize() (n float64) {
+func (h *Policy) nearSize() (n float64) {
 	for _, x := range h.order {
 		if x.tier == 0 {
 			n += x.size
