--- a/cmd/yardwinch/explain.go
+++ b/cmd/yardwinch/explain.go
@@ -34,7 +34,7 @@
 	if err != nil {
 		return "", cli.Exit(fmt.Sprint("yardwinch: ", err), faultyConfiguration)
 	}
-	if at = o.Explain(); at == "" {
+	if at = o.ExplainSocket(); at == "" {
 		return "", cli.Exit("yardwinch: give --socket, or --options with a file that names explain.socket", faultyConfiguration)
 	}
 	return at, nil
@@ -95,18 +95,18 @@
 	if s.Processes != "" {
 		fmt.Fprintf(t, "processes: %s\n", s.Processes)
 	}
-	if s.Folder != "" {
-		fmt.Fprintf(t, "folder: %s\n", s.Folder)
+	if s.StoreFault != "" {
+		fmt.Fprintf(t, "folder: %s\n", s.StoreFault)
 	}
 	fmt.Fprint(t, "\nserver\taddress\tready\tby hand\tflows\n")
 	for _, x := range s.Servers {
 		hand := "-"
-		if x.Out {
+		if x.Disabled {
 			hand = "out"
 		}
 		fmt.Fprintf(t, "%s\t%s\t%v\t%s\t%d\n", x.Name, x.Addr, x.Ready, hand, x.Flows)
 	}
-	if h, ok := s.Deciders["halls"].(map[string]any); ok {
+	if h, ok := s.Constraints["halls"].(map[string]any); ok {
 		fmt.Fprintln(t, "\nhall\ttier\tstate\tservers\town flows\tusual\tlimit\twhy")
 		list, _ := h["halls"].([]any)
 		for _, x := range list {
@@ -115,10 +115,10 @@
 			}
 		}
 	}
-	if len(s.Acted) > 0 {
+	if len(s.Interventions) > 0 {
 		fmt.Fprintln(t, "\nbound\ttimes it acted")
-		for _, k := range slices.Sorted(maps.Keys(s.Acted)) {
-			fmt.Fprintf(t, "%s\t%d\n", k, s.Acted[k])
+		for _, k := range slices.Sorted(maps.Keys(s.Interventions)) {
+			fmt.Fprintf(t, "%s\t%d\n", k, s.Interventions[k])
 		}
 	}
 }
--- a/cmd/yardwinch/members.go
+++ b/cmd/yardwinch/members.go
@@ -35,22 +35,22 @@
 		fmt.Fprintf(t, "as seen by %s\n\nmember\tis\tfor\tat\ttold\tbuild\tsettings\tflows/s\tservers in trouble\n", v.Name)
 		for _, m := range v.Members {
 			told := "nothing"
-			if m.Told >= 0 {
-				told = fmt.Sprintf("%.1f s ago", m.Told)
+			if m.LastHeard >= 0 {
+				told = fmt.Sprintf("%.1f s ago", m.LastHeard)
 			}
-			fmt.Fprintf(t, "%s\t%s\t%v\t%s\t%s\t%s\t%s\t%.1f\t%d\n", m.Name, m.State, m.Since.Round(time.Second), m.Addr, told, cmp.Or(m.Build, "-"), cmp.Or(m.Settings, "-"), m.Rate, m.Troubles)
+			fmt.Fprintf(t, "%s\t%s\t%v\t%s\t%s\t%s\t%s\t%.1f\t%d\n", m.Name, m.State, m.Since.Round(time.Second), m.Addr, told, cmp.Or(m.Build, "-"), cmp.Or(m.Settings, "-"), m.Rate, m.FaultyServers)
 		}
 		mine := 0
-		for _, d := range v.Duties {
+		for _, d := range v.Leases {
 			if d.State == "held" {
 				mine++
 			}
 		}
-		if len(v.Duties) > 0 {
-			fmt.Fprintf(t, "probes for all\t%d of %d servers\n", mine, len(v.Duties))
+		if len(v.Leases) > 0 {
+			fmt.Fprintf(t, "probes for all\t%d of %d servers\n", mine, len(v.Leases))
 		}
-		for _, k := range slices.Sorted(maps.Keys(v.Unread)) {
-			fmt.Fprintf(t, "passed over\t%s\t%d times\n", k, v.Unread[k])
+		for _, k := range slices.Sorted(maps.Keys(v.Dropped)) {
+			fmt.Fprintf(t, "passed over\t%s\t%d times\n", k, v.Dropped[k])
 		}
 	})
 }
--- a/internal/config/halls.go
+++ b/internal/config/halls.go
@@ -13,8 +13,8 @@
 	"yardwinch/locality"
 )
 
-// Halls is what an operators' file says of halls, read and checked; it makes the decider of any balancer.
-type Halls struct {
+// Locality is what an operators' file says of halls, read and checked; it makes the decider of any balancer.
+type Locality struct {
 	tiers       map[string][][]decide.Zone // by the hall that a balancer is in
 	spill       float64
 	surge       float64
@@ -23,21 +23,21 @@
 	namedInFile []string
 }
 
-// ReadHalls takes the table [halls].
-func ReadHalls(t strict.Table) Halls {
-	h := Halls{tiers: map[string][][]decide.Zone{}}
-	h.spill = t.Number("spill", 0.3, 0, 10)
-	h.surge = t.Number("surge", 0, 0, 100)
-	h.homeward = t.Number("home-per-minute", 60, 0, 1e6)
-	h.again = t.Span("again", 500*time.Millisecond, time.Minute)
+// ReadLocality takes the table [halls].
+func ReadLocality(t strict.Table) Locality {
+	h := Locality{tiers: map[string][][]decide.Zone{}}
+	h.spill = t.Float("spill", 0.3, 0, 10)
+	h.surge = t.Float("surge", 0, 0, 100)
+	h.homeward = t.Float("home-per-minute", 60, 0, 1e6)
+	h.again = t.Duration("again", 500*time.Millisecond, time.Minute)
 	for _, x := range t.Tables("from") {
-		hall := x.Text("hall", "")
+		hall := x.String("hall", "")
 		if hall == "" {
-			x.Bad("hall", "is missing")
+			x.Fail("hall", "is missing")
 			continue
 		}
 		if slices.Contains(h.namedInFile, hall) {
-			x.Bad("hall", "%q has an order already", hall)
+			x.Fail("hall", "%q has an order already", hall)
 		}
 		h.namedInFile = append(h.namedInFile, hall)
 		var seen []string
@@ -45,7 +45,7 @@
 			var zones []decide.Zone
 			for _, z := range tier {
 				if slices.Contains(seen, z) {
-					x.Bad("tiers", "names %q twice", z)
+					x.Fail("tiers", "names %q twice", z)
 				}
 				seen = append(seen, z)
 				zones = append(zones, decide.Zone(z))
@@ -53,36 +53,36 @@
 			h.tiers[hall] = append(h.tiers[hall], zones)
 		}
 		if len(h.tiers[hall]) == 0 {
-			x.Bad("tiers", `is missing; want lists of halls, the nearest first, such as [["a"], ["b", "c"]]`)
+			x.Fail("tiers", `is missing; want lists of halls, the nearest first, such as [["a"], ["b", "c"]]`)
 		}
 	}
 	return h
 }
 
-// ShortestTarget is the set-up target that is shortest of all service types.
-func ShortestTarget(g Given) (target time.Duration) {
-	for i := range int(g.Figure("service-types.count", 0)) {
-		if t := g.Under("service-types." + strconv.Itoa(i)).Span("setup-target"); target == 0 || t < target {
+// MinSetupTarget is the set-up target that is shortest of all service types.
+func MinSetupTarget(g Values) (target time.Duration) {
+	for i := range int(g.Float("service-types.count", 0)) {
+		if t := g.Sub("service-types." + strconv.Itoa(i)).Duration("setup-target"); target == 0 || t < target {
 			target = t
 		}
 	}
 	return target
 }
 
-// Decider makes that of a balancer that is told g and draws chance from seed.
-func (h Halls) Decider(g Given, seed uint64) *locality.Policy {
-	own := g.Text("az", "")
-	return locality.New(seed, decide.Zone(own), h.tiers[own], h.spill, h.surge, h.homeward, int(g.Figure("peers-total", 1)),
-		ShortestTarget(g), MessageTarget(g), g.Span("guarantees.warm-after"), h.again)
+// NewPolicy makes that of a balancer that is told g and draws chance from seed.
+func (h Locality) NewPolicy(g Values, seed uint64) *locality.Policy {
+	own := g.String("az", "")
+	return locality.New(seed, decide.Zone(own), h.tiers[own], h.spill, h.surge, h.homeward, int(g.Float("peers-total", 1)),
+		MinSetupTarget(g), MessageTarget(g), g.Duration("guarantees.warm-after"), h.again)
 }
 
-// Change brings a decider that runs to what a newer file says.
-func (h Halls) Change(d *locality.Policy, g Given) {
-	d.Reconfigure(h.tiers[g.Text("az", "")], h.spill, h.surge, h.homeward, int(g.Figure("peers-total", 1)), h.again)
+// Apply brings a decider that runs to what a newer file says.
+func (h Locality) Apply(d *locality.Policy, g Values) {
+	d.Reconfigure(h.tiers[g.String("az", "")], h.spill, h.surge, h.homeward, int(g.Float("peers-total", 1)), h.again)
 }
 
 // Text is the table as an operators' file says it.
-func (h Halls) Text() string {
+func (h Locality) Text() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "[halls]\nspill = %g\nsurge = %g\nhome-per-minute = %g\nagain = %q\n", h.spill, h.surge, h.homeward, h.again)
 	for _, hall := range h.namedInFile {
--- a/internal/config/options_test.go
+++ b/internal/config/options_test.go
@@ -28,7 +28,7 @@
 			}
 			o, err := ReadOptions(path)
 			if c.want == "" {
-				if err != nil || (len(o.Deciders(Pairs(map[string]string{"az": "a"}), 1)) > 0) != strings.Contains(c.text, "halls") {
+				if err != nil || (len(o.Constraints(FromPairs(map[string]string{"az": "a"}), 1)) > 0) != strings.Contains(c.text, "halls") {
 					t.Errorf("%+v, %v", o, err)
 				}
 			} else if err == nil || !strings.HasPrefix(err.Error(), path+c.want) {
@@ -36,7 +36,7 @@
 			}
 		})
 	}
-	if o, err := ReadOptions(""); err != nil || len(o.Deciders(Pairs(nil), 1)) != 0 || o.Explain() != "" {
+	if o, err := ReadOptions(""); err != nil || len(o.Constraints(FromPairs(nil), 1)) != 0 || o.ExplainSocket() != "" {
 		t.Errorf("without a file something is on: %+v, %v", o, err)
 	}
 }
@@ -53,16 +53,16 @@
 		}
 		return o
 	}
-	g := Pairs(map[string]string{"az": "a"})
+	g := FromPairs(map[string]string{"az": "a"})
 	on := read("[halls]\nspill = 0.2\n")
-	on.Deciders(g, 1)
+	on.Constraints(g, 1)
 	for _, c := range []struct{ name, text, want string }{
 		{"figures of halls", "[halls]\nspill = 0.9\n", ""},
 		{"halls off", "", "halls"},
 		{"a socket", "[halls]\n[explain]\nsocket = \"/x\"\n", "explain.socket"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			if keys := strings.Join(on.Take(read(c.text), g), " "); keys != c.want {
+			if keys := strings.Join(on.Apply(read(c.text), g), " "); keys != c.want {
 				t.Errorf("needs a restart: %q, want %q", keys, c.want)
 			}
 		})
@@ -83,7 +83,7 @@
 		return o, err
 	}
 	o, err := read(good + "[signals]\n")
-	if err != nil || o.Peers() == nil || !o.Peers().Signals || o.Peers().Duties || o.Peers().Advertise != o.Peers().Bind {
+	if err != nil || o.Peers() == nil || !o.Peers().Signals || o.Peers().Leases || o.Peers().Advertise != o.Peers().Bind {
 		t.Fatalf("%+v, %v", o.Peers(), err)
 	}
 	if o, err := read("[explain]\nsocket = \"/x\"\n"); err != nil || o.Peers() != nil || o.Signals() != nil {
--- a/internal/config/report.go
+++ b/internal/config/report.go
@@ -9,10 +9,10 @@
 // loadColumn is the one figure of a report that the decisions go by; README's table says what the others are.
 const loadColumn = "x0"
 
-// Report takes a server's load over its capacity out of a load report, from the simulator's wire and from a socket alike.
+// ParseLoadReport takes a server's load over its capacity out of a load report, from the simulator's wire and from a socket alike.
 // How pairs are set apart on sockets is not stated, so each usual way is taken. A figure that is cut, no number, negative,
 // endless or told twice counts as absent: a server must not move flows by a word that can't be true.
-func Report(s string) (load float64, ok bool) {
+func ParseLoadReport(s string) (load float64, ok bool) {
 	told := 0
 	for _, pair := range strings.FieldsFunc(s, func(r rune) bool { return strings.ContainsRune(" ,;\t{}", r) }) {
 		i := strings.LastIndexAny(pair, ":=")
--- a/internal/config/report_test.go
+++ b/internal/config/report_test.go
@@ -22,7 +22,7 @@
 		{"another figure spoilt", "backlog:x,x0:0.4", 0.4, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			if load, ok := Report(c.text); ok != c.ok || ok && load != c.load {
+			if load, ok := ParseLoadReport(c.text); ok != c.ok || ok && load != c.load {
 				t.Errorf("%v, %v", load, ok)
 			}
 		})
--- a/internal/config/setup_test.go
+++ b/internal/config/setup_test.go
@@ -25,26 +25,26 @@
 	"peer_listen":"127.0.0.1:7946","peers":["127.0.1.1:7946","127.0.1.2:7946"],"peers_all":"127.0.1.9:7946",` + settings + "}"
 
 // read goes through all that a balancer reads, and gives the first fault.
-func read(t *testing.T, text string, env func(string) string) (Given, error) {
+func read(t *testing.T, text string, env func(string) string) (Values, error) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	g, _, err := Open(path, env)
+	g, _, err := Load(path, env)
 	if err != nil {
 		return g, err
 	}
-	s := g.Settings()
+	s := g.DecisionSettings()
 	g.Addr("listen")
 	g.Addr("discovery")
-	Control(g)
+	AdminAddress(g)
 	Seed(g)
-	Limits(g)
-	Handshake(s)
-	LongestWait(s)
-	Start(s, decide.New(1, nobody{}))
-	return g, g.Fault()
+	ResourceLimits(g)
+	ConnectTimeout(s)
+	MaxClientTimeout(s)
+	ConfigureBalancer(s, decide.New(1, nobody{}))
+	return g, g.Err()
 }
 
 type nobody struct{ decide.Actions }
@@ -59,9 +59,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := g.Settings()
-	cores, memory, descriptors := Limits(g)
-	load, delay := Tellings(s)
+	s := g.DecisionSettings()
+	cores, memory, descriptors := ResourceLimits(g)
+	load, delay := ServerMetrics(s)
 	for _, c := range []struct {
 		name      string
 		got, want any
@@ -70,11 +70,11 @@
 		{"cores", cores, 2},
 		{"memory", memory, int64(192 << 20)},
 		{"descriptors", descriptors, 1436},
-		{"handshake", Handshake(s), 200 * time.Millisecond},
-		{"longest wait", LongestWait(s), 2500 * time.Millisecond},
+		{"handshake", ConnectTimeout(s), 200 * time.Millisecond},
+		{"longest wait", MaxClientTimeout(s), 2500 * time.Millisecond},
 		{"message target", MessageTarget(s), 60 * time.Millisecond},
-		{"probing", Probing(s), true},
-		{"asking", Asking(s), true},
+		{"probing", HealthChecksEnabled(s), true},
+		{"asking", DiscoveryIsPolled(s), true},
 		{"tellings", load && delay, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -84,7 +84,7 @@
 		})
 	}
 	t.Run("names", func(t *testing.T) {
-		services, customers := Start(s, decide.New(1, nobody{}))
+		services, customers := ConfigureBalancer(s, decide.New(1, nobody{}))
 		if services["pay"] != 1 || len(services) != 2 || customers["acme"] != 0 || len(customers) != 1 {
 			t.Errorf("%v, %v", services, customers)
 		}
@@ -124,7 +124,7 @@
 	}
 	t.Run("no file", func(t *testing.T) {
 		for _, path := range []string{"", filepath.Join(t.TempDir(), "none")} {
-			if _, _, err := Open(path, none); err == nil || !strings.HasPrefix(err.Error(), "PROXY_CONFIG: ") {
+			if _, _, err := Load(path, none); err == nil || !strings.HasPrefix(err.Error(), "PROXY_CONFIG: ") {
 				t.Errorf("fault %v", err)
 			}
 		}
@@ -133,14 +133,14 @@
 
 // The wire's flat pairs and the nested JSON are one and the same to what reads them.
 func TestFlatten(t *testing.T) {
-	g, err := JSON([]byte(`{"a":{"b":[1,null,"x"],"c":true},"d":[{"e":1.50},{"e":12345678901234567890}],"f":null,"g":[]}`))
+	g, err := FromJSON([]byte(`{"a":{"b":[1,null,"x"],"c":true},"d":[{"e":1.50},{"e":12345678901234567890}],"f":null,"g":[]}`))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for path, want := range map[string]string{"a.b": "1,null,x", "a.c": "true", "d.count": "2", "d.0.e": "1.50",
 		"d.1.e": "12345678901234567890", "f": "absent", "g": "absent", "g.count": "0"} {
 		t.Run(path, func(t *testing.T) {
-			if got := g.Text(path, "absent"); got != want {
+			if got := g.String(path, "absent"); got != want {
 				t.Errorf("%q, want %q", got, want)
 			}
 		})
@@ -163,7 +163,7 @@
 			if err != nil || err2 != nil {
 				t.Fatal(err, err2)
 			}
-			if got := strings.Join(old.Changed(now), " "); got != c.want {
+			if got := strings.Join(old.ChangedKeys(now), " "); got != c.want {
 				t.Errorf("%q, want %q", got, c.want)
 			}
 		})
@@ -185,13 +185,13 @@
 			{"name":"a","setup-target":1}],"tenants":[{"name":"null"},{"name":"true"}]}`, 1, "0 A a null"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			g, err := JSON([]byte(c.text))
+			g, err := FromJSON([]byte(c.text))
 			if err != nil {
 				t.Fatal(err)
 			}
-			services, _ := Start(g, decide.New(1, nowhere{}))
-			if names := strings.Join(slices.Sorted(maps.Keys(services)), " "); names != c.services || MessageTarget(g) != c.target || g.Fault() != nil {
-				t.Errorf("service types %q, target %v, fault %v", names, MessageTarget(g), g.Fault())
+			services, _ := ConfigureBalancer(g, decide.New(1, nowhere{}))
+			if names := strings.Join(slices.Sorted(maps.Keys(services)), " "); names != c.services || MessageTarget(g) != c.target || g.Err() != nil {
+				t.Errorf("service types %q, target %v, fault %v", names, MessageTarget(g), g.Err())
 			}
 		})
 	}
--- a/internal/config/start.go
+++ b/internal/config/start.go
@@ -13,44 +13,44 @@
 var reaches = map[string]decide.DeduplicationScope{
 	"all": decide.DeduplicatedByFleet, "zone": decide.DeduplicatedByZone, "cell": decide.DeduplicatedByCell}
 
-// Start hands each part of the module its own few settings, and tells which names stand for which ids. It serves
+// ConfigureBalancer hands each part of the module its own few settings, and tells which names stand for which ids. It serves
 // the simulator's wire and the real balancer alike, so that both decide on the same terms.
-func Start(g Given, b *decide.Balancer) (map[string]decide.ServiceID, map[string]decide.CustomerID) {
+func ConfigureBalancer(g Values, b *decide.Balancer) (map[string]decide.ServiceID, map[string]decide.CustomerID) {
 	services, customers := map[string]decide.ServiceID{}, map[string]decide.CustomerID{}
-	b.ConfigureFlows(int(g.Figure("policy-limits.max-connects", 1)), RetryAfter(g))
-	for i := range int(g.Figure("service-types.count", 0)) {
-		s := g.Under("service-types." + strconv.Itoa(i))
+	b.ConfigureFlows(int(g.Float("policy-limits.max-connects", 1)), RetryAfter(g))
+	for i := range int(g.Float("service-types.count", 0)) {
+		s := g.Sub("service-types." + strconv.Itoa(i))
 		services[s.need("name")] = decide.ServiceID(i)
 		e := word(s, "effect", effects, decide.NotIdempotent)
-		b.AddService(e, word(s, "group", reaches, decide.DeduplicatedByCell), s.Span("setup-target"), s.Span("window"),
-			s.Figure("value", 1))
+		b.AddService(e, word(s, "group", reaches, decide.DeduplicatedByCell), s.Duration("setup-target"), s.Duration("window"),
+			s.Float("value", 1))
 	}
-	b.ConfigureSlowStart(g.Figure("guarantees.cold-from", 1), g.Figure("guarantees.fall-multiple", 1),
-		g.Span("guarantees.warm-after"), time.Duration(g.Figure("guarantees.fall", float64(1500*time.Millisecond))), int(g.Figure("peers-total", 1)))
-	b.ConfigureHealthChecks(Probing(g))
+	b.ConfigureSlowStart(g.Float("guarantees.cold-from", 1), g.Float("guarantees.fall-multiple", 1),
+		g.Duration("guarantees.warm-after"), time.Duration(g.Float("guarantees.fall", float64(1500*time.Millisecond))), int(g.Float("peers-total", 1)))
+	b.ConfigureHealthChecks(HealthChecksEnabled(g))
 	checkNines(g)
-	b.ConfigurePlacement(g.Figure("tariffs.cross-zone", 0),
-		g.Figure("tariffs.moves", 0)+g.Figure("tariffs.handshake", 0),
-		g.Text("weights", "silent") != "silent")
-	quotas := g.Figures("family-info.tenant-quota-connections")
-	for i := range int(g.Figure("tenants.count", 0)) {
+	b.ConfigurePlacement(g.Float("tariffs.cross-zone", 0),
+		g.Float("tariffs.moves", 0)+g.Float("tariffs.handshake", 0),
+		g.String("weights", "silent") != "silent")
+	quotas := g.Floats("family-info.tenant-quota-connections")
+	for i := range int(g.Float("tenants.count", 0)) {
 		customers[g.need("tenants."+strconv.Itoa(i)+".name")] = decide.CustomerID(i)
 		q := 0.0
-		if i < len(quotas) && g.Figure("beyond-share-value", 1) < 1 {
+		if i < len(quotas) && g.Float("beyond-share-value", 1) < 1 {
 			q = quotas[i]
 		}
 		b.AddCustomer(q)
 	}
-	b.ConfigureEndpoints(decide.Zone(g.Text("az", "")), Asking(g), g.Span("guarantees.must-ask-in"), MessageTarget(g))
+	b.ConfigureEndpoints(decide.Zone(g.String("az", "")), DiscoveryIsPolled(g), g.Duration("guarantees.must-ask-in"), MessageTarget(g))
 	return services, customers
 }
 
 // RetryAfter is what refused clients are told to wait; 0 where they are told none.
-func RetryAfter(g Given) time.Duration {
-	if !g.Flag("policy-limits.retry-after") {
+func RetryAfter(g Values) time.Duration {
+	if !g.Bool("policy-limits.retry-after") {
 		return 0
 	}
-	return g.Span("policy-limits.max-retry-after")
+	return g.Duration("policy-limits.max-retry-after")
 }
 
 // pulled says of each way in which servers report their load whether it takes a probe.
@@ -59,22 +59,22 @@
 // columns are the figures that a report may have.
 var columns = []string{"outstanding", "backlog", "utilization", "recent_ms", "throughput", "errors_per_s", loadColumn, "x1"}
 
-// Probing tells whether probes are allowed and bring what the decisions go by. Where the columns are not stated they may
+// HealthChecksEnabled tells whether probes are allowed and bring what the decisions go by. Where the columns are not stated they may
 // be any; a column of an unknown name is passed over.
-func Probing(g Given) bool {
+func HealthChecksEnabled(g Values) bool {
 	pull, listed := word(g, "reporting.how", pulled, false), g.texts("reporting.columns")
-	return pull && g.Flag("policy-limits.probes") && (listed == nil || slices.Contains(listed, loadColumn))
+	return pull && g.Bool("policy-limits.probes") && (listed == nil || slices.Contains(listed, loadColumn))
 }
 
 // UnknownColumns are named in a report without anybody knowing what they mean.
-func UnknownColumns(g Given) []string {
+func UnknownColumns(g Values) []string {
 	return slices.DeleteFunc(g.texts("reporting.columns"), func(c string) bool { return slices.Contains(columns, c) })
 }
 
 // checkNines reads the weight of the nines in what a day is worth, and how many of them earn it in full. No decision
 // hangs on them (docs/assumptions.md says why); they are read so that a bad one is named.
-func checkNines(g Given) {
-	part, full := g.Figure("goal.nines-part", 0), g.Figure("goal.top-nines", 0)
+func checkNines(g Values) {
+	part, full := g.Float("goal.nines-part", 0), g.Float("goal.top-nines", 0)
 	if part < 0 {
 		g.bad("goal.nines-part", "must not be below 0")
 	}
@@ -83,14 +83,14 @@
 	}
 }
 
-// Asking tells whether the server list comes only when it is asked for.
-func Asking(g Given) bool { return g.Text("discovery", "") == "ask" }
+// DiscoveryIsPolled tells whether the server list comes only when it is asked for.
+func DiscoveryIsPolled(g Values) bool { return g.String("discovery", "") == "ask" }
 
 // MessageTarget is the shortest time in which a message is wanted.
-func MessageTarget(g Given) (shortest time.Duration) {
-	messages := g.Figures("family-info.message-aim")
-	for i := range int(g.Figure("service-types.count", 0)) {
-		message := g.Span("service-types." + strconv.Itoa(i) + ".setup-target")
+func MessageTarget(g Values) (shortest time.Duration) {
+	messages := g.Floats("family-info.message-aim")
+	for i := range int(g.Float("service-types.count", 0)) {
+		message := g.Duration("service-types." + strconv.Itoa(i) + ".setup-target")
 		if len(messages) == 1 {
 			message = time.Duration(messages[0])
 		} else if i < len(messages) && messages[i] > 0 { // one that is not stated is no time of nought, in which every message would be late
@@ -103,7 +103,7 @@
 	return shortest
 }
 
-// Tellings are whether servers tell the loads of connections, and the delay of messages.
-func Tellings(g Given) (load, delay bool) {
-	return g.Flag("family-info.tells-load"), g.Flag("family-info.tells-delay")
+// ServerMetrics are whether servers tell the loads of connections, and the delay of messages.
+func ServerMetrics(g Values) (load, delay bool) {
+	return g.Bool("family-info.tells-load"), g.Bool("family-info.tells-delay")
 }
--- a/internal/daemon/bans.go
+++ b/internal/daemon/bans.go
@@ -24,7 +24,7 @@
 // banKeeper has the folder hold which servers are out by hand, for a process that starts after this one was killed. What is owed to a folder
 // that fails is tried again until it is there. Nothing is written before it is known what an earlier process left.
 type banKeeper struct {
-	folder *handover.Folder
+	folder *handover.Directory
 	out    func() []string // the servers out by hand now
 
 	mu      sync.Mutex
@@ -38,7 +38,7 @@
 	wake    chan struct{} // something is owed
 }
 
-func newBanKeeper(folder *handover.Folder, out func() []string) *banKeeper {
+func newBanKeeper(folder *handover.Directory, out func() []string) *banKeeper {
 	return &banKeeper{folder: folder, out: out, called: map[string]bool{}, attempt: make(chan struct{}), wake: make(chan struct{}, 1)}
 }
 
@@ -140,7 +140,7 @@
 		k.note(nil)
 		return false
 	}
-	err := k.folder.Keep(k.out())
+	err := k.folder.SaveDisabled(k.out())
 	k.mu.Lock()
 	if k.writing = false; err == nil {
 		k.kept = max(k.kept, changes)
@@ -159,7 +159,7 @@
 	if read {
 		return nil
 	}
-	servers, err := k.folder.Kept()
+	servers, err := k.folder.LoadDisabled()
 	var content *handover.ContentError
 	if errors.As(err, &content) {
 		slog.Error("who was out by hand is not known", "error", err, "what helps", content.Advice())
--- a/internal/daemon/calls.go
+++ b/internal/daemon/calls.go
@@ -17,14 +17,14 @@
 )
 
 // calls are what the staff can ask of the program.
-type calls struct{ p *Program }
+type calls struct{ p *Daemon }
 
 // Ready says whether this process can serve.
 func (c calls) Ready() error {
 	if is := c.p.is(); is != serving && is != emptying && is != empty {
 		return fmt.Errorf("%w: %s", admin.ErrNotReady, is)
 	}
-	if !c.p.router.Listed() {
+	if !c.p.router.HasEndpoints() {
 		return fmt.Errorf("%w: no list of servers yet", admin.ErrNotReady)
 	}
 	return nil
@@ -49,7 +49,7 @@
 }
 
 // do has a change be made by whichever process decides, and returns when both have made it.
-func (p *Program) do(ctx context.Context, ch handover.Change) error {
+func (p *Daemon) do(ctx context.Context, ch handover.Change) error {
 	ctx, done := context.WithTimeout(ctx, callTimeout)
 	defer done()
 	select {
@@ -73,7 +73,7 @@
 		var unknown bool
 		_, err := l.Ask(messageAsk, ch)(ctx, &unknown)
 		switch {
-		case errors.Is(err, handover.ErrGone): // this one decides again in a moment
+		case errors.Is(err, handover.ErrPeerGone): // this one decides again in a moment
 			select {
 			case <-ctx.Done():
 				return admin.ErrNotReady
@@ -89,7 +89,7 @@
 
 // change makes a change here, where this process decides, and tells the one before of it. The caller holds changes; the
 // wait, without it, is for that one.
-func (p *Program) change(ch handover.Change) (wait func(context.Context) error, err error) {
+func (p *Daemon) change(ch handover.Change) (wait func(context.Context) error, err error) {
 	switch ch.Kind {
 	case handover.Offline, handover.Online:
 		err = p.byHand(ch.Server, ch.Kind == handover.Offline)
@@ -110,14 +110,14 @@
 	answer := p.predecessor.Ask(messageSet, ch)
 	return func(ctx context.Context) error {
 		_, err := answer(ctx, nil)
-		if errors.Is(err, handover.ErrGone) {
+		if errors.Is(err, handover.ErrPeerGone) {
 			return nil // it sends nothing any more
 		}
 		return err
 	}, nil
 }
 
-func (p *Program) move(to phase) error {
+func (p *Daemon) move(to phase) error {
 	if !p.turn(to) {
 		return fmt.Errorf("%w: %s", admin.ErrNotReady, p.is())
 	}
@@ -125,12 +125,12 @@
 }
 
 // byHand takes a server out or gives it back. It is in force at once, whatever becomes of the folder; the caller awaits the folder.
-func (p *Program) byHand(server string, out bool) error {
-	was, known := p.router.Known(server)
+func (p *Daemon) byHand(server string, out bool) error {
+	was, known := p.router.IsDisabled(server)
 	if !known {
 		return fmt.Errorf("%w: %w: %q", admin.ErrUnknown, routing.ErrUnknownServer, server)
 	}
-	if err := p.router.ByHand(server, out); err != nil {
+	if err := p.router.SetDisabled(server, out); err != nil {
 		return err
 	}
 	if p.bans != nil && was != out {
@@ -140,7 +140,7 @@
 }
 
 // awaitFolder waits until what was called for here outlasts a kill, for as long as an answer may wait for it.
-func (p *Program) awaitFolder(ctx context.Context) {
+func (p *Daemon) awaitFolder(ctx context.Context) {
 	if p.bans != nil {
 		p.bans.await(ctx)
 	}
--- a/internal/daemon/calls_test.go
+++ b/internal/daemon/calls_test.go
@@ -21,7 +21,7 @@
 // rig is a balancer with a second address, before servers that say UP and echo.
 type rig struct {
 	t             *testing.T
-	p             *Program
+	p             *Daemon
 	addr, calls   string
 	path          string
 	stop          context.CancelFunc
@@ -91,7 +91,7 @@
 	return g
 }
 
-func (g *rig) start(env func(string) string, before ...func(p *Program)) *rig {
+func (g *rig) start(env func(string) string, before ...func(p *Daemon)) *rig {
 	g.t.Helper()
 	var err error
 	if g.p, err = Load(g.path, "", env); err != nil {
--- a/internal/daemon/folder_test.go
+++ b/internal/daemon/folder_test.go
@@ -69,7 +69,7 @@
 		g.t.Fatal(err)
 	}
 	for end := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
-		got, err := folder.Kept()
+		got, err := folder.LoadDisabled()
 		if err == nil && slices.Equal(got, want) {
 			return
 		}
--- a/internal/daemon/handover.go
+++ b/internal/daemon/handover.go
@@ -13,7 +13,7 @@
 
 const (
 	// The socket where others find this process, two links and one more that knocks, two opened in the folder, and copies of what is passed on.
-	handoverDescriptors = 6 + 2*protocol.CarriedAtOnce
+	handoverDescriptors = 6 + 2*protocol.MaxConcurrentTransfers
 	takeOverTimeout     = 5500 * time.Millisecond // for all that passes with the predecessor until this process serves: a new one has 6 s
 	retryInterval       = 50 * time.Millisecond   // while the predecessor can't hand over yet
 	findTimeout         = time.Second             // for a folder that can't be read for a moment, before this process counts as alone
@@ -49,10 +49,10 @@
 
 // handoverLinks is what a process has of its predecessor, from which it takes over, and of its successor, which takes over from it.
 type handoverLinks struct {
-	folder              *handover.Folder // nil: this process is alone
-	bans                *banKeeper       // nil with the folder
-	reservedDescriptors int              // kept from clients
-	upOnce              sync.Once        // closes up
+	folder              *handover.Directory // nil: this process is alone
+	bans                *banKeeper          // nil with the folder
+	reservedDescriptors int                 // kept from clients
+	upOnce              sync.Once           // closes up
 
 	changing    sync.Mutex     // one change after another, and none while the state is passed on
 	predecessor *handover.Link // nil: none lives
@@ -62,7 +62,7 @@
 
 // inherited is what the predecessor handed over; nothing where there is none.
 type inherited struct {
-	listener  *transport.Gate
+	listener  *transport.PausableListener
 	explainer net.Listener
 	files     []*os.File
 }
@@ -85,19 +85,19 @@
 }
 
 // usedDescriptors is how many descriptors this process has in use.
-func (p *Program) usedDescriptors() int {
-	return p.room.Used(p.descriptors-p.reservedDescriptors) + p.reservedDescriptors
+func (p *Daemon) usedDescriptors() int {
+	return p.room.MaxInUse(p.descriptors-p.reservedDescriptors) + p.reservedDescriptors
 }
 
 // outOfService tells whether this balancer was told to go out of service.
-func (p *Program) outOfService() bool {
+func (p *Daemon) outOfService() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return !p.since.IsZero()
 }
 
 // phaseWithoutSuccessor is the phase of a process that serves, or that serves again.
-func (p *Program) phaseWithoutSuccessor() phase {
+func (p *Daemon) phaseWithoutSuccessor() phase {
 	if p.outOfService() {
 		return emptying
 	}
--- a/internal/daemon/handover_receiver.go
+++ b/internal/daemon/handover_receiver.go
@@ -26,11 +26,11 @@
 // receiveHandover takes over from the process that serves now, if one does and will. Whatever goes wrong, this process starts
 // alone; the other then goes on as if nothing had been. Nothing is waited for once starting ends, nor for longer than takeOverTimeout
 // in all.
-func (p *Program) receiveHandover(ctx, starting context.Context) *inherited {
+func (p *Daemon) receiveHandover(ctx, starting context.Context) *inherited {
 	if p.folder == nil {
 		return &inherited{}
 	}
-	defer p.parts.Go(func() { p.bans.run(ctx, p.router.Out) })
+	defer p.parts.Go(func() { p.bans.run(ctx, p.router.DisableAll) })
 	waiting, done := context.WithTimeout(starting, takeOverTimeout)
 	defer done()
 	link, err := p.awaitPredecessor(ctx, waiting)
@@ -51,10 +51,10 @@
 }
 
 // awaitPredecessor asks the process that serves now until it is ready to hand over; nil where there is none.
-func (p *Program) awaitPredecessor(ctx, waiting context.Context) (*handover.Link, error) {
+func (p *Daemon) awaitPredecessor(ctx, waiting context.Context) (*handover.Link, error) {
 	for start := time.Now(); ; {
 		link, err := p.connectPredecessor(ctx, waiting)
-		passing := retry.Passing(err) && time.Since(start) < findTimeout // alone beside one that serves it would break rules
+		passing := retry.IsTransient(err) && time.Since(start) < findTimeout // alone beside one that serves it would break rules
 		if !errors.Is(err, errNotYet) && !passing {
 			return link, err
 		}
@@ -68,12 +68,12 @@
 
 // restoreOutByHand takes out the servers that an earlier process had out by hand. A folder that can't be read is waited for: whoever comes
 // meanwhile would be sent to them. One that is not there is not; it may come later.
-func (p *Program) restoreOutByHand(starting context.Context) {
+func (p *Daemon) restoreOutByHand(starting context.Context) {
 	ctx, done := context.WithTimeout(starting, readBansTimeout)
 	defer done()
 	waits := retry.Backoff{First: firstFolderRetry, Longest: longestFolderRetry}
 	for {
-		err := p.bans.readKept(p.router.Out)
+		err := p.bans.readKept(p.router.DisableAll)
 		p.bans.note(err)
 		if err == nil || errors.Is(err, fs.ErrNotExist) || waits.Wait(ctx) != nil {
 			return
@@ -83,7 +83,7 @@
 
 // connectPredecessor finds the process that serves now and greets it; nil where there is none. The link ends with ctx, the greeting
 // with waiting.
-func (p *Program) connectPredecessor(ctx, waiting context.Context) (*handover.Link, error) {
+func (p *Daemon) connectPredecessor(ctx, waiting context.Context) (*handover.Link, error) {
 	conn, err := p.folder.Find()
 	if conn == nil || err != nil {
 		return nil, err
@@ -110,7 +110,7 @@
 }
 
 // greetPredecessor asks whether this process may take over.
-func (p *Program) greetPredecessor(ctx context.Context, link *handover.Link) error {
+func (p *Daemon) greetPredecessor(ctx context.Context, link *handover.Link) error {
 	ctx, done := context.WithTimeout(ctx, requestTimeout)
 	defer done()
 	var later bool
@@ -125,14 +125,14 @@
 }
 
 // takeOver is the moment in which one process stands in for the other. A state that can't be taken whole changes nothing.
-func (p *Program) takeOver(ctx context.Context, link *handover.Link) (*inherited, error) {
+func (p *Daemon) takeOver(ctx context.Context, link *handover.Link) (*inherited, error) {
 	ctx, done := context.WithTimeout(ctx, requestTimeout)
 	defer done()
 	var state handover.State
 	files, err := link.Ask(messageGive, nil)(ctx, &state)
 	received := &inherited{files: files}
 	if err == nil {
-		err = state.Check()
+		err = state.Validate()
 	}
 	if err == nil {
 		err = p.openSockets(received, state.Files)
@@ -145,16 +145,16 @@
 	p.changing.Lock()
 	defer p.changing.Unlock()
 	p.predecessor = link
-	if state.Out {
+	if state.OutOfService {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		p.since = time.Now().Add(-state.Emptying)
+		p.since = time.Now().Add(-state.DrainingFor)
 	}
 	return received, nil
 }
 
 // openSockets opens the sockets that came, by their names.
-func (p *Program) openSockets(received *inherited, names []string) error {
+func (p *Daemon) openSockets(received *inherited, names []string) error {
 	if len(received.files) != len(names) {
 		return errors.New("descriptors that don't match")
 	}
@@ -164,7 +164,7 @@
 		case clientsSocket:
 			received.listener, err = clientsListener(received.files[i])
 		case explainSocket:
-			if p.own.Explain() != "" {
+			if p.own.ExplainSocket() != "" {
 				received.explainer, err = net.FileListener(received.files[i])
 			}
 		}
@@ -179,23 +179,23 @@
 }
 
 // clientsListener is the socket on which clients connect; nil where it is no TCP one.
-func clientsListener(file *os.File) (*transport.Gate, error) {
+func clientsListener(file *os.File) (*transport.PausableListener, error) {
 	listener, err := net.FileListener(file)
 	if err != nil {
 		return nil, err
 	}
 	if tcp, ok := listener.(*net.TCPListener); ok {
-		return transport.NewGate(tcp), nil
+		return transport.NewPausableListener(tcp), nil
 	}
 	return nil, nil
 }
 
 // restore goes on where the predecessor stood.
-func (p *Program) restore(state handover.State) {
-	p.router.Remember(state.Memory)
-	p.front.TakeIDs(state.IDsKey, state.IDs)
-	p.discovery.GoOn(state.Agent, state.Revision)
-	p.room.Lend(state.Held)
+func (p *Daemon) restore(state handover.State) {
+	p.router.Restore(state.Router)
+	p.front.ImportIDs(state.IDsKey, state.IDs)
+	p.discovery.Resume(state.DiscoveryAddress, state.Revision)
+	p.room.SetLent(state.Connections)
 	p.goal(bothProcesses)
 	p.bans.known()
 	p.bans.owe() // the predecessor may have held some in memory alone
@@ -203,7 +203,7 @@
 
 // startServing begins to serve, and tells the predecessor of it, from when on this process decides for both. The answer is waited for
 // while starting lasts.
-func (p *Program) startServing(ctx, starting context.Context) {
+func (p *Daemon) startServing(ctx, starting context.Context) {
 	p.changing.Lock()
 	link := p.predecessor
 	p.changing.Unlock() // what the other one says meanwhile needs it
@@ -217,7 +217,7 @@
 }
 
 // releasePredecessor tells the predecessor that this process serves.
-func (p *Program) releasePredecessor(ctx context.Context, link *handover.Link) {
+func (p *Daemon) releasePredecessor(ctx context.Context, link *handover.Link) {
 	ctx, done := context.WithTimeout(ctx, requestTimeout)
 	defer done()
 	if _, err := link.Ask(messageHave, nil)(ctx, nil); err != nil {
@@ -229,19 +229,19 @@
 }
 
 // predecessorGone is the end of the predecessor.
-func (p *Program) predecessorGone(link *handover.Link) {
+func (p *Daemon) predecessorGone(link *handover.Link) {
 	p.changing.Lock()
 	defer p.changing.Unlock()
 	if p.predecessor == link {
 		p.predecessor = nil
-		p.room.Lend(0)
+		p.room.SetLent(0)
 		p.goal(oneProcess)
 		slog.Info("the predecessor has ended")
 	}
 }
 
 // answerChange makes a change that was called for at the predecessor.
-func (p *Program) answerChange(body []byte, _ []*os.File) (any, []syscall.Conn, error) {
+func (p *Daemon) answerChange(body []byte, _ []*os.File) (any, []syscall.Conn, error) {
 	var change handover.Change
 	if err := json.Unmarshal(body, &change); err != nil {
 		return nil, nil, err
@@ -265,16 +265,16 @@
 }
 
 // answerClaim takes an id for the predecessor, and tells whether it was taken before.
-func (p *Program) answerClaim(body []byte, _ []*os.File) (any, []syscall.Conn, error) {
+func (p *Daemon) answerClaim(body []byte, _ []*os.File) (any, []syscall.Conn, error) {
 	var hash uint64
 	if err := json.Unmarshal(body, &hash); err != nil {
 		return nil, nil, err
 	}
-	return p.front.Claim(hash), nil, nil
+	return p.front.ClaimHash(hash), nil, nil
 }
 
 // notePredecessorUsage takes in how many descriptors the predecessor has in use.
-func (p *Program) notePredecessorUsage(body []byte, _ []*os.File) (any, []syscall.Conn, error) {
+func (p *Daemon) notePredecessorUsage(body []byte, _ []*os.File) (any, []syscall.Conn, error) {
 	var count int
 	if err := json.Unmarshal(body, &count); err != nil || count < 0 {
 		return nil, nil, errors.New("no count")
@@ -282,18 +282,18 @@
 	p.changing.Lock()
 	defer p.changing.Unlock()
 	if p.predecessor != nil {
-		p.room.Lend(count)
+		p.room.SetLent(count)
 	}
 	return nil, nil, nil
 }
 
 // receiveConnection goes on with a connection of the predecessor.
-func (p *Program) receiveConnection(body []byte, files []*os.File) (any, []syscall.Conn, error) {
-	var standing protocol.Standing
+func (p *Daemon) receiveConnection(body []byte, files []*os.File) (any, []syscall.Conn, error) {
+	var standing protocol.EstablishedConnection
 	if err := json.Unmarshal(body, &standing); err != nil {
 		return nil, nil, err
 	}
-	if !standing.Sound() || len(files) != 2 {
+	if !standing.IsValid() || len(files) != 2 {
 		return nil, nil, errors.New("no connection")
 	}
 	if p.outOfService() { // the predecessor empties itself; here nobody may see to it any more
@@ -307,7 +307,7 @@
 		}
 		ends[i] = conn
 	}
-	serve, drop, err := p.front.Adopt(standing, ends[0], ends[1], p.room)
+	serve, drop, err := p.front.AdoptConnection(standing, ends[0], ends[1], p.room)
 	if err != nil {
 		return nil, nil, errors.Join(err, closeAll(ends[:]))
 	}
--- a/internal/daemon/handover_sender.go
+++ b/internal/daemon/handover_sender.go
@@ -22,7 +22,7 @@
 
 // awaitSuccessors waits for a process that takes over from this one, again when one has gone. A folder that fails is tried again: until it
 // works no other process finds this one.
-func (p *Program) awaitSuccessors(ctx context.Context) {
+func (p *Daemon) awaitSuccessors(ctx context.Context) {
 	waits := retry.Backoff{First: firstFolderRetry, Longest: longestFolderRetry}
 	for failed := false; ; {
 		listener, err := p.folder.Listen()
@@ -31,7 +31,7 @@
 			failed = false
 			waits.Reset()
 			p.acceptSuccessors(ctx, listener)
-		case !retry.Passing(err) && !errors.Is(err, fs.ErrNotExist):
+		case !retry.IsTransient(err) && !errors.Is(err, fs.ErrNotExist):
 			slog.Error("no other process can take over from this one", "error", err)
 			return
 		default:
@@ -48,7 +48,7 @@
 }
 
 // acceptSuccessors deals with the processes that want to take over, until the socket where they find this one is another's.
-func (p *Program) acceptSuccessors(ctx context.Context, listener *net.UnixListener) {
+func (p *Daemon) acceptSuccessors(ctx context.Context, listener *net.UnixListener) {
 	stop := context.AfterFunc(ctx, func() { _ = listener.Close() })
 	defer stop()
 	var links sync.WaitGroup
@@ -70,7 +70,7 @@
 }
 
 // serveSuccessor deals with one process that wants to take over.
-func (p *Program) serveSuccessor(ctx context.Context, conn *net.UnixConn) {
+func (p *Daemon) serveSuccessor(ctx context.Context, conn *net.UnixConn) {
 	var link *handover.Link
 	greeted := false
 	sending, stopSending := context.WithCancel(ctx)
@@ -113,7 +113,7 @@
 }
 
 // answerGreeting tells whether a process may take over from this one; later: not yet.
-func (p *Program) answerGreeting(body []byte) (later bool, err error) {
+func (p *Daemon) answerGreeting(body []byte) (later bool, err error) {
 	var hello handover.Hello
 	if err := json.Unmarshal(body, &hello); err != nil {
 		return false, err
@@ -127,7 +127,7 @@
 }
 
 // sendState stops the accepting and passes on what makes both processes one balancer. Until the link ends the successor decides.
-func (p *Program) sendState(link *handover.Link) (any, []syscall.Conn, error) {
+func (p *Daemon) sendState(link *handover.Link) (any, []syscall.Conn, error) {
 	p.changing.Lock()
 	defer p.changing.Unlock()
 	if p.predecessor != nil || p.successor != nil {
@@ -141,25 +141,25 @@
 	}
 	p.successor = link
 	p.bans.release()
-	p.listener.Shut()
+	p.listener.Pause()
 	state := handover.State{
-		Version: handover.Version,
-		Out:     !since.IsZero(),
-		Held:    p.usedDescriptors(),
-		Files:   []string{clientsSocket},
+		Version:      handover.Version,
+		OutOfService: !since.IsZero(),
+		Connections:  p.usedDescriptors(),
+		Files:        []string{clientsSocket},
 	}
-	if state.Out {
-		state.Emptying = time.Since(since)
+	if state.OutOfService {
+		state.DrainingFor = time.Since(since)
 	}
 	sockets := []syscall.Conn{p.listener}
 	if explainer, ok := p.explainer.(syscall.Conn); ok {
 		state.Files = append(state.Files, explainSocket)
 		sockets = append(sockets, explainer)
 	}
-	state.IDsKey, state.IDs = p.front.IDs(func(hash uint64) (taken bool) { return claimID(link, hash) })
-	state.Agent, state.Revision = p.discovery.Position()
-	p.router.HandedOver(true) // before the state is taken: nothing is spent in between
-	state.Memory = p.router.Memory()
+	state.IDsKey, state.IDs = p.front.ShareIDs(func(hash uint64) (taken bool) { return claimID(link, hash) })
+	state.DiscoveryAddress, state.Revision = p.discovery.Position()
+	p.router.SetHandedOver(true) // before the state is taken: nothing is spent in between
+	state.Router = p.router.Snapshot()
 	p.goal(bothProcesses)
 	return state, sockets, nil
 }
@@ -173,7 +173,7 @@
 }
 
 // isSuccessor tells whether the process at the other end has taken over.
-func (p *Program) isSuccessor(link *handover.Link) bool {
+func (p *Daemon) isSuccessor(link *handover.Link) bool {
 	p.changing.Lock()
 	defer p.changing.Unlock()
 	return p.successor == link
@@ -181,22 +181,22 @@
 
 // successorGone is the end of a process that took over, or began to: this one is what it was, with the changes made since. One
 // told to end meanwhile still ends.
-func (p *Program) successorGone(link *handover.Link) {
+func (p *Daemon) successorGone(link *handover.Link) {
 	p.changing.Lock()
 	defer p.changing.Unlock()
 	if p.successor != link {
 		return
 	}
 	p.successor = nil
-	p.front.IDs(nil)
+	p.front.ShareIDs(nil)
 	p.goal(oneProcess)
 	if !p.turn(p.phaseWithoutSuccessor()) {
 		return
 	}
 	slog.Warn("the successor has ended: serving again")
 	p.bans.owe()
-	p.router.HandedOver(false)
-	p.listener.Open()
+	p.router.SetHandedOver(false)
+	p.listener.Resume()
 	select {
 	case p.relisten <- struct{}{}:
 	default:
@@ -204,7 +204,7 @@
 }
 
 // releaseExplainer closes what the successor reads from now on: both would get a part of it.
-func (p *Program) releaseExplainer() {
+func (p *Daemon) releaseExplainer() {
 	if unix, ok := p.explainer.(*net.UnixListener); ok {
 		unix.SetUnlinkOnClose(false)
 		_ = unix.Close()
@@ -212,7 +212,7 @@
 }
 
 // applyChange does what the successor decided.
-func (p *Program) applyChange(body []byte, _ []*os.File) (any, []syscall.Conn, error) {
+func (p *Daemon) applyChange(body []byte, _ []*os.File) (any, []syscall.Conn, error) {
 	var change handover.Change
 	if err := json.Unmarshal(body, &change); err != nil {
 		return nil, nil, err
@@ -221,9 +221,9 @@
 	defer p.changing.Unlock()
 	switch change.Kind {
 	case handover.Offline:
-		p.router.Out([]string{change.Server})
+		p.router.DisableAll([]string{change.Server})
 	case handover.Online:
-		_ = p.router.ByHand(change.Server, false) // one unknown here is not out
+		_ = p.router.SetDisabled(change.Server, false) // one unknown here is not out
 	case handover.OutOfService, handover.InService:
 		p.applyService(change.Kind == handover.InService)
 	}
@@ -231,7 +231,7 @@
 }
 
 // applyService goes out of service or back into it, while the successor serves.
-func (p *Program) applyService(in bool) {
+func (p *Daemon) applyService(in bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch {
@@ -245,7 +245,7 @@
 }
 
 // sendUsage tells the successor how many descriptors are in use here.
-func (p *Program) sendUsage(ctx context.Context, link *handover.Link) {
+func (p *Daemon) sendUsage(ctx context.Context, link *handover.Link) {
 	ticker := time.NewTicker(usageInterval)
 	defer ticker.Stop()
 	for last := -1; ; {
@@ -267,16 +267,16 @@
 
 // sendConnections passes standing connections on. An answer is waited for without an end but the link's: given up on, a connection
 // could be gone on with by both.
-func (p *Program) sendConnections(ctx context.Context, link *handover.Link) {
-	send := func(standing protocol.Standing, client, server syscall.Conn) bool {
+func (p *Daemon) sendConnections(ctx context.Context, link *handover.Link) {
+	send := func(standing protocol.EstablishedConnection, client, server syscall.Conn) bool {
 		_, err := link.Ask(messageCarry, standing, client, server)(context.WithoutCancel(ctx), nil)
 		return err == nil || p.ctx.Err() != nil // at our own end it is not known; the successor may go on with it
 	}
 	for total := 0; ; {
-		sent, tried := p.front.Carry(ctx, send)
+		sent, tried := p.front.TransferConnections(ctx, send)
 		total += sent
 		if sent > 0 {
-			slog.Info("connections handed over", "number", total, "still here", p.front.Held())
+			slog.Info("connections handed over", "number", total, "still here", p.front.ConnectionCount())
 		}
 		if sent == 0 && tried > 0 { // whatever stands in the way stands there for the next as well
 			return
--- a/internal/daemon/handover_test.go
+++ b/internal/daemon/handover_test.go
@@ -68,8 +68,8 @@
 		at.want("POST", "servers/b/online", 404)
 		for _, call := range []string{"online", "offline"} {
 			at.want("POST", "servers/a/"+call, 200)
-			for _, p := range []*Program{old.p, fresh.p} {
-				if out, _ := p.router.Known("a"); out != (call == "offline") {
+			for _, p := range []*Daemon{old.p, fresh.p} {
+				if out, _ := p.router.IsDisabled("a"); out != (call == "offline") {
 					t.Errorf("%s at one process leaves it out at the other: %v", call, out)
 				}
 			}
@@ -78,7 +78,7 @@
 	old.end()
 	say(" more\r\nM 3\r\n", "M 2 and more\r\n")
 	say("", "M 3\r\n")
-	for fresh.p.front.Held() != 1 { // those turned away linger for a moment
+	for fresh.p.front.ConnectionCount() != 1 { // those turned away linger for a moment
 		time.Sleep(time.Millisecond)
 	}
 	fresh.want("POST", "servers/a/online", 200)
@@ -116,10 +116,10 @@
 	if _, got := fresh.says("OPEN " + id + " 2 c=live,d=800"); got != "UP 1" {
 		t.Fatalf("at the new process: %q", got)
 	}
-	if free := old.p.front.Begin(id); free {
+	if free := old.p.front.ClaimID(id); free {
 		t.Error("an id taken at the new process is free at the old one")
 	}
-	if free := old.p.front.Begin(id + "y"); !free {
+	if free := old.p.front.ClaimID(id + "y"); !free {
 		t.Error("an id that nobody has is taken")
 	}
 	old.end()
@@ -211,7 +211,7 @@
 		t.Fatal(err)
 	}
 	fresh.want("POST", "servers/a/online", 200) // in force, whether or not it could be kept
-	if out, _ := fresh.p.router.Known("a"); out {
+	if out, _ := fresh.p.router.IsDisabled("a"); out {
 		t.Error("a call answered yes took no effect")
 	}
 	if got := fresh.p.bans.state(); !strings.HasSuffix(got, "0 servers out by hand are held in memory alone") {
@@ -325,7 +325,7 @@
 		if lost, ok := answer.(handover.After); ok {
 			lost(false)
 		}
-		if n := g.p.front.Held(); n != 0 {
+		if n := g.p.front.ConnectionCount(); n != 0 {
 			t.Fatalf("connection %d: %d held after all", i, n)
 		}
 		if _, err := io.WriteString(old, "M 2\r\n"); err != nil { // giving up ended neither side
--- a/internal/daemon/load.go
+++ b/internal/daemon/load.go
@@ -34,15 +34,15 @@
 const readTimeout = 3 * time.Second // at the start, for a configuration that can't be read for a moment
 
 // owned adds up what this process may need.
-func (p *Program) owned() int {
+func (p *Daemon) owned() int {
 	n := standardDescriptors + runtimeDescriptors + clientDescriptors + watchDescriptors + fileDescriptors + closingDescriptors
 	if p.probing {
-		n += protocol.ProbeDescriptors
+		n += protocol.HealthCheckDescriptors
 	}
 	if p.calls != "" {
 		n += admin.Descriptors + handoverDescriptors
 	}
-	if p.own.Explain() != "" {
+	if p.own.ExplainSocket() != "" {
 		n += explain.Descriptors
 	}
 	if p.peers != nil {
@@ -51,15 +51,15 @@
 	return n
 }
 
-func unread(path, options string, env func(string) string) *Program {
-	return &Program{path: path, options: options, env: env, phase: loading, ctx: context.Background(), leave: func() {}, up: make(chan struct{}),
+func unread(path, options string, env func(string) string) *Daemon {
+	return &Daemon{path: path, options: options, env: env, phase: loading, ctx: context.Background(), leave: func() {}, up: make(chan struct{}),
 		handoverLinks: handoverLinks{relisten: make(chan struct{}, 1)}}
 }
 
 // prepare takes all that the balancer is told, and opens nothing. A fault of the configuration names its key.
-func prepare(path, options string, env func(string) string) (*Program, error) {
+func prepare(path, options string, env func(string) string) (*Daemon, error) {
 	p := unread(path, options, env)
-	g, known, err := config.Open(path, env)
+	g, known, err := config.Load(path, env)
 	if err != nil {
 		return nil, err
 	}
@@ -70,35 +70,35 @@
 }
 
 // take goes through all that a configuration says.
-func (p *Program) take(g config.Given, known []byte) (err error) {
-	s := g.Settings()
-	p.told, p.listen, p.agent, p.calls = g, g.Addr("listen"), g.Addr("discovery"), config.Control(g)
+func (p *Daemon) take(g config.Values, known []byte) (err error) {
+	s := g.DecisionSettings()
+	p.told, p.listen, p.agent, p.calls = g, g.Addr("listen"), g.Addr("discovery"), config.AdminAddress(g)
 	seed := config.Seed(g)
-	p.handshake = config.Handshake(s)
-	p.cores, p.memory, p.descriptors = config.Limits(g)
-	p.longest, p.probing = config.LongestWait(s), config.Probing(s)
-	tellLoad, tellLag := config.Tellings(s)
+	p.handshake = config.ConnectTimeout(s)
+	p.cores, p.memory, p.descriptors = config.ResourceLimits(g)
+	p.longest, p.probing = config.MaxClientTimeout(s), config.HealthChecksEnabled(s)
+	tellLoad, tellLag := config.ServerMetrics(s)
 	if p.own, err = config.ReadOptions(p.options); err != nil {
 		return err
 	}
 	if p.own.Peers() != nil {
-		p.own.Speak(s, revision(), digest(s, p.own.Shared()), uint64(time.Now().UnixMilli()))
+		p.own.EnableSignals(s, revision(), digest(s, p.own.SharedText()), uint64(time.Now().UnixMilli()))
 	}
-	p.router = routing.New(seed, config.MessageTarget(s)/3, tellLoad, tellLag, p.own.Deciders(s, seed),
+	p.router = routing.New(seed, config.MessageTarget(s)/3, tellLoad, tellLag, p.own.Constraints(s, seed),
 		func(b *decide.Balancer) (map[string]decide.ServiceID, map[string]decide.CustomerID) {
-			return config.Start(s, b)
+			return config.ConfigureBalancer(s, b)
 		})
-	if err := g.Fault(); err != nil {
+	if err := g.Err(); err != nil {
 		return err
 	}
-	p.discovery = protocol.NewDiscovery(p.router, p.agent, seed, config.Asking(s))
-	if p.known = p.discovery.Known(known); p.known != nil {
+	p.discovery = protocol.NewDiscovery(p.router, p.agent, seed, config.DiscoveryIsPolled(s))
+	if p.known = p.discovery.LoadCached(known); p.known != nil {
 		p.known = fmt.Errorf("known: %w", p.known)
 	}
 	if c := config.UnknownColumns(s); len(c) > 0 {
 		slog.Info("columns of load reports that nobody knows are passed over", "columns", c)
 	}
-	p.front = protocol.NewFront(p.router, p.handshake, config.RetryAfter(s))
+	p.front = protocol.NewFrontend(p.router, p.handshake, config.RetryAfter(s))
 	return nil
 }
 
@@ -113,7 +113,7 @@
 
 // checkText is Check for a configuration that is not written yet.
 func checkText(path string, text []byte, env func(string) string) error {
-	g, known, err := config.Read(path, text, env)
+	g, known, err := config.Parse(path, text, env)
 	if err != nil {
 		return err
 	}
@@ -125,7 +125,7 @@
 }
 
 // Load prepares the balancer. Its addresses are opened, or taken over, by Serve.
-func Load(path, options string, env func(string) string) (p *Program, err error) {
+func Load(path, options string, env func(string) string) (p *Daemon, err error) {
 	reading, done := context.WithTimeout(context.Background(), readTimeout)
 	defer done()
 	waits := retry.Backoff{First: firstReloadRetry, Longest: longestReloadRetry}
@@ -149,7 +149,7 @@
 		slog.Warn("limits.sockets: too few; some of what the process does for itself may find none", "are", p.descriptors, "needs", least)
 		p.reservedDescriptors = max(0, p.descriptors-leastRoom)
 	}
-	p.room = transport.NewRoom(p.descriptors-p.reservedDescriptors, protocol.Parting)
+	p.room = transport.NewDescriptorBudget(p.descriptors-p.reservedDescriptors, protocol.BusyReply)
 	if p.calls == "" {
 		return p, nil
 	}
@@ -157,6 +157,6 @@
 		slog.Warn("no hand-over to or from another process, and who is out by hand is forgotten at the end", "error", err)
 		return p, nil
 	}
-	p.bans = newBanKeeper(p.folder, p.router.OutByHand)
+	p.bans = newBanKeeper(p.folder, p.router.DisabledServers)
 	return p, nil
 }
--- a/internal/daemon/open.go
+++ b/internal/daemon/open.go
@@ -22,7 +22,7 @@
 )
 
 // listenWithRetries opens an address that may not be free, or for which the system may have nothing left, as the process starts. The key names it.
-func (p *Program) listenWithRetries(ctx context.Context, key string, listen func() error) error {
+func (p *Daemon) listenWithRetries(ctx context.Context, key string, listen func() error) error {
 	waits := retry.Backoff{First: firstListenRetry, Longest: longestListenRetry}
 	err := retry.Do(ctx, waits, func(err error) {
 		slog.Warn("an address can't be opened yet", "key", key, "error", err)
@@ -49,15 +49,15 @@
 
 // begin opens what clients and others reach, or takes it over from the process that serves now, unless starting ends first. An address that
 // is not free is waited for while opening lasts.
-func (p *Program) begin(ctx, starting, opening context.Context) (err error) {
+func (p *Daemon) begin(ctx, starting, opening context.Context) (err error) {
 	received := p.receiveHandover(ctx, starting)
 	defer received.closeFiles()
 	if starting.Err() != nil { // nobody is sent here yet; what was taken over the other process takes back
 		received.closeSockets()
 		return errToldToEnd
 	}
-	if p.explainer = received.explainer; p.own.Explain() != "" && p.explainer == nil {
-		if p.explainer, err = explain.Listen(p.own.Explain()); err != nil {
+	if p.explainer = received.explainer; p.own.ExplainSocket() != "" && p.explainer == nil {
+		if p.explainer, err = explain.Listen(p.own.ExplainSocket()); err != nil {
 			return fmt.Errorf("explain.socket: %w", err)
 		}
 	}
@@ -71,7 +71,7 @@
 }
 
 // openControl opens the staff's address, where there is one, and takes calls.
-func (p *Program) openControl(ctx, opening context.Context) error {
+func (p *Daemon) openControl(ctx, opening context.Context) error {
 	if p.calls == "" {
 		return nil
 	}
--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -40,12 +40,12 @@
 		return nil
 	}
 	p := &peers{signals: o.Signals(), router: r, name: own.Name}
-	if own.Duties {
+	if own.Leases {
 		p.duties = lease.New(lease.Holder(own.Name), leaseFor)
 		p.signals.ShareLoads(func(s decide.ServerID, now time.Duration) uint64 { return uint64(p.duties.Renew(lease.Task(s), now)) })
-		r.Probing(func(s decide.ServerID, now time.Duration) bool { return p.duties.Holds(lease.Task(s), now) })
+		r.SetHealthCheckFilter(func(s decide.ServerID, now time.Duration) bool { return p.duties.Holds(lease.Task(s), now) })
 	}
-	p.group = membership.New(own.Program, membership.Name(own.Name), own.Label, own.Bind, own.Advertise, own.Seeds, p)
+	p.group = membership.New(own.Engine, membership.Name(own.Name), own.Label, own.Bind, own.Advertise, own.Seeds, p)
 	return p
 }
 
@@ -73,10 +73,10 @@
 
 // publish sends this balancer's record where one is due.
 func (p *peers) publish() {
-	fleet := p.group.Count()
+	fleet := p.group.AliveCount()
 	var r signals.Record
 	var due bool
-	seen := p.group.Seen()
+	seen := p.group.Members()
 	var in []lease.Member
 	var reporters []signals.Origin
 	for _, s := range seen {
@@ -85,7 +85,7 @@
 			reporters = append(reporters, signals.Origin(s.Name))
 		}
 	}
-	p.router.Tell(func() {
+	p.router.WithLock(func() {
 		p.signals.SetReporters(reporters)
 		if p.duties != nil {
 			p.duties.SetMembers(in)
@@ -97,16 +97,16 @@
 	}
 	b, err := signals.Encode(r)
 	if err != nil {
-		p.group.Note("what is told here can't be written", err.Error())
+		p.group.CountDropped("what is told here can't be written", err.Error())
 		return
 	}
-	p.group.Say(string(r.Origin), b)
+	p.group.Publish(string(r.Origin), b)
 }
 
 // Hear takes what a member says; what is news is passed on, as gossip is.
 func (p *peers) Hear(b []byte) {
 	if origin, news := p.take(b); news {
-		p.group.Say(string(origin), b)
+		p.group.Publish(string(origin), b)
 	}
 }
 
@@ -119,10 +119,10 @@
 				kind = k.Error()
 			}
 		}
-		p.group.Note(kind, err.Error())
+		p.group.CountDropped(kind, err.Error())
 		return "", false
 	}
-	p.router.Tell(func() {
+	p.router.WithLock(func() {
 		if news = p.signals.Merge(r); news && p.duties != nil {
 			p.loads(r)
 		}
@@ -137,7 +137,7 @@
 		for _, l := range r.LoadReports {
 			p.duties.Observe(lease.Task(l.Server), lease.Epoch(l.Epoch), lease.Holder(r.Origin), l.Age, now)
 			if l.Age < leaseFor {
-				p.router.Reported(l.Server, l.Load)
+				p.router.OnLoadReport(l.Server, l.Load)
 			}
 		}
 	})
@@ -146,7 +146,7 @@
 // fullState renews what members that ask are sent.
 func (p *peers) fullState() {
 	var all []signals.Record
-	p.router.Tell(func() {
+	p.router.WithLock(func() {
 		all = p.signals.FullState()
 	})
 	var messages [][]byte
@@ -157,17 +157,17 @@
 	}
 	b, err := signals.EncodeAll(messages)
 	if err != nil {
-		p.group.Note("what is known here can't be written", err.Error())
+		p.group.CountDropped("what is known here can't be written", err.Error())
 		return
 	}
-	p.group.Whole(b)
+	p.group.SetFullState(b)
 }
 
 // HearWhole takes all that a member knows. It is not passed on: each member asks another for itself.
 func (p *peers) HearWhole(b []byte) {
 	messages, err := signals.DecodeAll(b)
 	if err != nil {
-		p.group.Note("garbled", err.Error())
+		p.group.CountDropped("garbled", err.Error())
 		return
 	}
 	for _, m := range messages {
@@ -177,7 +177,7 @@
 
 // Away: this process stood still.
 func (p *peers) Away(time.Duration) {
-	p.router.Tell(func() {
+	p.router.WithLock(func() {
 		p.signals.OnSuspended()
 		if p.duties != nil {
 			p.duties.OnSuspended(p.router.Now())
@@ -187,21 +187,21 @@
 
 // MemberView is what one balancer says of another, for whoever asks.
 type MemberView struct {
-	membership.Seen
-	Build       string  `json:"build,omitempty"`
-	Settings    string  `json:"settings,omitempty"`
-	Incarnation uint64  `json:"incarnation,omitempty"`
-	Told        float64 `json:"told_s_ago"` // below 0: it has told nothing
-	Rate        float64 `json:"flows_a_second"`
-	Troubles    int     `json:"servers_in_trouble"`
+	membership.Member
+	Build         string  `json:"build,omitempty"`
+	Settings      string  `json:"settings,omitempty"`
+	Incarnation   uint64  `json:"incarnation,omitempty"`
+	LastHeard     float64 `json:"told_s_ago"` // below 0: it has told nothing
+	Rate          float64 `json:"flows_a_second"`
+	FaultyServers int     `json:"servers_in_trouble"`
 }
 
 // MembersView is all that is told of members.
 type MembersView struct {
 	Name    string         `json:"name"`
 	Members []MemberView   `json:"members"`
-	Duties  []lease.Status `json:"duties,omitempty"`
-	Unread  map[string]int `json:"passed_over,omitempty"` // by kind
+	Leases  []lease.Status `json:"duties,omitempty"`
+	Dropped map[string]int `json:"passed_over,omitempty"` // by kind
 }
 
 // asked is what answers who asks for the members; nil where there are none.
@@ -214,7 +214,7 @@
 		var ages []time.Duration
 		var own signals.Record
 		var held []lease.Status
-		p.router.Tell(func() {
+		p.router.WithLock(func() {
 			if p.duties != nil {
 				held = p.duties.Statuses()
 			}
@@ -225,21 +225,21 @@
 		for i, r := range records {
 			by[string(r.Origin)] = i
 		}
-		v := MembersView{Name: p.name, Duties: held, Unread: p.group.Unread()}
-		for _, s := range p.group.Seen() {
-			m := MemberView{Seen: s, Told: -1}
+		v := MembersView{Name: p.name, Leases: held, Dropped: p.group.Dropped()}
+		for _, s := range p.group.Members() {
+			m := MemberView{Member: s, LastHeard: -1}
 			i, known := by[string(s.Name)]
 			r := own
 			if known {
-				r, m.Told = records[i], ages[i].Seconds()
+				r, m.LastHeard = records[i], ages[i].Seconds()
 			} else if string(s.Name) == p.name {
-				m.Told = 0
+				m.LastHeard = 0
 			}
-			if m.Told >= 0 {
+			if m.LastHeard >= 0 {
 				m.Build, m.Settings, m.Incarnation, m.Rate = r.Build, r.Settings, uint64(r.Incarnation), r.Rate
 				for _, x := range r.Reports {
 					if x.Fault != signals.Healthy {
-						m.Troubles++
+						m.FaultyServers++
 					}
 				}
 			}
@@ -269,7 +269,7 @@
 }
 
 // digest names what a process was told, so that unlike ones can be seen; what each has of its own is left out.
-func digest(g config.Given, shared string) string {
+func digest(g config.Values, shared string) string {
 	d := xxhash.New()
 	g.Each(func(key, value string) {
 		if key != "ordinal" && key != "az" {
--- a/internal/daemon/phase.go
+++ b/internal/daemon/phase.go
@@ -34,7 +34,7 @@
 
 // turn makes every change of phase, and tells whether it may be made. What the phase before kept running ends with it.
 // A balancer out of service still says so while it ends.
-func (p *Program) turn(to phase) bool {
+func (p *Daemon) turn(to phase) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !slices.Contains(next[p.phase], to) {
@@ -48,17 +48,17 @@
 	switch to {
 	case serving:
 		p.since = time.Time{}
-		p.front.Away(false, false)
+		p.front.SetOutOfService(false, false)
 	case emptying:
 		if p.since.IsZero() {
 			p.since = time.Now()
 		}
-		p.front.Away(true, time.Since(p.since) > noMoreSent)
+		p.front.SetOutOfService(true, time.Since(p.since) > noMoreSent)
 		p.empty(ctx, stillSentTo)
 		since := p.since
 		p.parts.Go(func() { p.settle(ctx, since) })
 	case empty:
-		p.front.Away(true, true)
+		p.front.SetOutOfService(true, true)
 	case handing:
 		if !p.since.IsZero() {
 			p.empty(ctx, 0) // the emptying goes on: the new process has none of these clients
@@ -71,19 +71,19 @@
 }
 
 // empty asks all clients to move in what is left of the time for it, from some time after the call.
-func (p *Program) empty(ctx context.Context, after time.Duration) {
+func (p *Daemon) empty(ctx context.Context, after time.Duration) {
 	gone := time.Since(p.since)
 	p.parts.Go(func() { p.front.Drain(ctx, max(0, after-gone), max(drainAtOnce, emptyIn-gone)) })
 }
 
-func (p *Program) is() phase {
+func (p *Daemon) is() phase {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.phase
 }
 
 // stands says where the program stands, for whoever asks.
-func (p *Program) stands() explain.Process {
+func (p *Daemon) stands() explain.Process {
 	p.changing.Lock()
 	defer p.changing.Unlock()
 	process := explain.Process{Phase: string(p.is())}
@@ -94,13 +94,13 @@
 		process.Processes = "the one before has not ended"
 	}
 	if p.bans != nil {
-		process.Folder = p.bans.state()
+		process.StoreFault = p.bans.state()
 	}
 	return process
 }
 
 // settle sees the emptying through to its end.
-func (p *Program) settle(ctx context.Context, start time.Time) {
+func (p *Daemon) settle(ctx context.Context, start time.Time) {
 	check := time.NewTicker(emptyCheck)
 	defer check.Stop()
 	for {
@@ -113,7 +113,7 @@
 			continue
 		}
 		p.shut(ctx)
-		if p.front.Held() == 0 {
+		if p.front.ConnectionCount() == 0 {
 			p.turn(empty)
 			return
 		}
@@ -121,10 +121,10 @@
 }
 
 // shut turns newcomers away, if the emptying still goes on.
-func (p *Program) shut(ctx context.Context) {
+func (p *Daemon) shut(ctx context.Context) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if ctx.Err() == nil {
-		p.front.Away(true, true)
+		p.front.SetOutOfService(true, true)
 	}
 }
--- a/internal/daemon/program.go
+++ b/internal/daemon/program.go
@@ -36,8 +36,8 @@
 	drainAtOnce = 50 * time.Millisecond
 )
 
-// Program is one balancer.
-type Program struct {
+// Daemon is one balancer.
+type Daemon struct {
 	mu      sync.Mutex // guards the phase and what ends with it
 	phase   phase
 	leave   context.CancelFunc
@@ -49,18 +49,18 @@
 	handoverLinks
 
 	router    *routing.Router
-	front     *protocol.Front
+	front     *protocol.Frontend
 	discovery *protocol.Discovery
-	listener  *transport.Gate
+	listener  *transport.PausableListener
 	control   net.Listener
-	room      *transport.Room
+	room      *transport.DescriptorBudget
 
 	path        string
 	options     string // the operators' own file; empty: none
 	own         *config.Options
 	explainer   net.Listener
 	env         func(string) string
-	told        config.Given // as of the start: what needs a restart still holds
+	told        config.Values // as of the start: what needs a restart still holds
 	listen      string
 	calls       string // the staff's address
 	agent       string // discovery's address
@@ -75,7 +75,7 @@
 }
 
 // goal sets what the collector aims at, by how many processes share the limit.
-func (p *Program) goal(processes int64) {
+func (p *Daemon) goal(processes int64) {
 	debug.SetMemoryLimit(int64(float64(p.memory)*memoryShare) / processes)
 }
 
@@ -106,7 +106,7 @@
 
 // Serve runs until stop ends, then answers and moves all clients, and returns when nothing is held. Each word of again
 // has the configuration read anew.
-func (p *Program) Serve(stop context.Context, again <-chan os.Signal) error {
+func (p *Daemon) Serve(stop context.Context, again <-chan os.Signal) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	p.ctx = ctx
 	parts := &p.parts
@@ -146,14 +146,14 @@
 		parts.Go(func() { p.peers.run(ctx) })
 	}
 	if p.probing {
-		parts.Go(func() { protocol.Probe(ctx, p.router, p.handshake) })
+		parts.Go(func() { protocol.RunHealthChecks(ctx, p.router, p.handshake) })
 	}
 	accepting, refuse := context.WithCancel(ctx)
 	defer refuse()
 	listening := make(chan error, 1)
 	parts.Go(func() {
-		err := transport.Listen(accepting, p.listener, p.room, p.front.Serve)
-		for p.front.Held() > 0 && ctx.Err() == nil { // what was taken over from another process was never accepted here
+		err := transport.Serve(accepting, p.listener, p.room, p.front.Serve)
+		for p.front.ConnectionCount() > 0 && ctx.Err() == nil { // what was taken over from another process was never accepted here
 			time.Sleep(heldCheck)
 		}
 		listening <- err
@@ -184,7 +184,7 @@
 	case <-drain.Done():
 	}
 	held = true
-	if p.room.Owed() == 0 {
+	if p.room.Unanswered() == 0 {
 		return nil // all have had their last word; some may not have read it yet
 	}
 	return errHeld
--- a/internal/daemon/program_test.go
+++ b/internal/daemon/program_test.go
@@ -163,7 +163,7 @@
 		{"a client in the middle of its line", "PING\r\nOPEN 1 2 c=live", errHeld},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			g := newRig(t).start(folder(t), func(p *Program) { p.longest = -drainBeyond })
+			g := newRig(t).start(folder(t), func(p *Daemon) { p.longest = -drainBeyond })
 			if c.say != "" {
 				client, err := net.Dial("tcp", g.addr)
 				if err != nil {
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -23,7 +23,7 @@
 
 // reloads has the configuration read anew at each word of again, until the context ends. One that can't be read or served as the word comes is
 // tried again: it may be about to be written, and its address of discovery counts soon. A new word begins anew.
-func (p *Program) reloads(ctx context.Context, again <-chan os.Signal) {
+func (p *Daemon) reloads(ctx context.Context, again <-chan os.Signal) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -34,7 +34,7 @@
 	}
 }
 
-func (p *Program) reloadWithRetries(ctx context.Context, again <-chan os.Signal) {
+func (p *Daemon) reloadWithRetries(ctx context.Context, again <-chan os.Signal) {
 	waits := retry.Backoff{First: firstReloadRetry, Longest: longestReloadRetry}
 	asked := time.Now()
 	for first := true; ; first = false {
@@ -66,15 +66,15 @@
 
 // reload is the one owner of what is told anew while the balancer runs, be it serving or draining. A file that can't be
 // served changes nothing: half a change could not be told from a fault of the balancer.
-func (p *Program) reload() error {
+func (p *Daemon) reload() error {
 	next, err := prepare(p.path, p.options, p.env)
 	if err != nil {
 		return err
 	}
-	moved := p.discovery.Move(next.agent)
+	moved := p.discovery.SetAddress(next.agent)
 	slog.Info("configuration read anew", "discovery", next.agent, "moved", moved)
-	keys := p.told.Changed(next.told)
-	p.router.Tell(func() { keys = append(keys, p.own.Take(next.own, p.told.Settings())...) })
+	keys := p.told.ChangedKeys(next.told)
+	p.router.WithLock(func() { keys = append(keys, p.own.Apply(next.own, p.told.DecisionSettings())...) })
 	if len(keys) > 0 {
 		slog.Warn("these changes need a restart", "keys", keys[:min(len(keys), mostKeys)], "in all", len(keys))
 	}
--- a/internal/daemon/size_test.go
+++ b/internal/daemon/size_test.go
@@ -66,7 +66,7 @@
 				}
 			})
 			for _, name := range names {
-				if _, known := p.router.Known(name); !known {
+				if _, known := p.router.IsDisabled(name); !known {
 					t.Fatalf("%s is not known", name)
 				}
 			}
@@ -78,14 +78,14 @@
 				<-q.Context().Done()
 			}))
 			defer agent.Close()
-			p.discovery.Move(strings.TrimPrefix(agent.URL, "http://"))
+			p.discovery.SetAddress(strings.TrimPrefix(agent.URL, "http://"))
 			ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second) // a test that hangs is to fail
 			done := make(chan struct{})
 			go func() { p.discovery.Run(ctx); close(done) }()
 			defer func() { cancel(); <-done }()
 			for _, name := range names {
 				for name = strings.Replace(name, "s-", "fresh-", 1); ; time.Sleep(time.Millisecond) {
-					if _, known := p.router.Known(name); known {
+					if _, known := p.router.IsDisabled(name); known {
 						break
 					}
 					if ctx.Err() != nil {
--- a/internal/daemon/upgrades_test.go
+++ b/internal/daemon/upgrades_test.go
@@ -82,7 +82,7 @@
 		for fresh.hasPredecessor() {
 			time.Sleep(time.Millisecond)
 		}
-		if n := fresh.p.room.Left(); n > fresh.p.descriptors-fresh.p.reservedDescriptors || n < 0 {
+		if n := fresh.p.room.Free(); n > fresh.p.descriptors-fresh.p.reservedDescriptors || n < 0 {
 			t.Errorf("upgrade %d: %d descriptors are free", i, n)
 		}
 		now = fresh
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -49,9 +49,9 @@
 
 // Process is what the process tells of itself.
 type Process struct {
-	Phase     string
-	Processes string // of this balancer beside this one; empty: none
-	Folder    string // what is amiss with the folder of the processes; empty: nothing
+	Phase      string
+	Processes  string // of this balancer beside this one; empty: none
+	StoreFault string // what is amiss with the folder of the processes; empty: nothing
 }
 
 // Serve answers until the context ends. More is what is told of the balancer's state beside what routing knows; members is what is told of
@@ -97,10 +97,10 @@
 	case "state":
 		s := r.State()
 		process := more()
-		s.Phase, s.Processes, s.Folder = process.Phase, process.Processes, process.Folder
+		s.Phase, s.Processes, s.StoreFault = process.Phase, process.Processes, process.StoreFault
 		told = s
 	case "why":
-		note, ok := r.Why(name)
+		note, ok := r.Explain(name)
 		if told = note; !ok {
 			told = failure{"nothing is known of this flow (any more)"}
 		}
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -40,7 +40,7 @@
 		close(done)
 	}()
 	defer func() { cancel(); <-done }()
-	if _, err := r.Open("abc", "x", "", "", "g", time.Second, 0); err != nil {
+	if _, err := r.OpenFlow("abc", "x", "", "", "g", time.Second, 0); err != nil {
 		t.Fatal(err)
 	}
 	var n constraints.Explanation
@@ -48,7 +48,7 @@
 		t.Errorf("%+v, %v", n, err)
 	}
 	var s routing.State
-	if err := Ask(path, "state", &s); err != nil || s.Acted["closed: after hours"] != 1 {
+	if err := Ask(path, "state", &s); err != nil || s.Interventions["closed: after hours"] != 1 {
 		t.Errorf("%+v, %v", s, err)
 	}
 	for question, want := range map[string]string{"why nobody": "nothing is known", "reboot": "want state"} {
--- a/internal/handover/folder.go
+++ b/internal/handover/folder.go
@@ -19,15 +19,15 @@
 	dialWithin = time.Second
 )
 
-// Folder is where the processes of one balancer meet, and what outlasts them is kept.
-type Folder struct {
+// Directory is where the processes of one balancer meet, and what outlasts them is kept.
+type Directory struct {
 	path  string
 	name  string // of this balancer's files
 	files fileSystem
 }
 
 // Open names a folder, which may fail for a while, as it may at any later time; name tells this balancer's files from others'.
-func Open(path, name string) (*Folder, error) {
+func Open(path, name string) (*Directory, error) {
 	if path == "" {
 		return nil, errors.New("no folder is named")
 	}
@@ -37,13 +37,13 @@
 		}
 		return '_'
 	}, strings.ToLower(name))
-	return &Folder{path: path, name: "yardwinch-" + safe, files: systemFiles{}}, nil
+	return &Directory{path: path, name: "yardwinch-" + safe, files: systemFiles{}}, nil
 }
 
-func (f *Folder) at(ending string) string { return filepath.Join(f.path, f.name+ending) }
+func (f *Directory) at(ending string) string { return filepath.Join(f.path, f.name+ending) }
 
 // near runs something with a short path to a file: a socket's may have 107 bytes, the folder's own path more.
-func (f *Folder) near(file string, do func(path string) error) error {
+func (f *Directory) near(file string, do func(path string) error) error {
 	d, err := os.Open(f.path)
 	if err != nil {
 		return err
@@ -57,7 +57,7 @@
 
 // Find connects to the process that serves now; nil where none does. What another user put there, or what is no socket, is
 // left alone and reported.
-func (f *Folder) Find() (c *net.UnixConn, err error) {
+func (f *Directory) Find() (c *net.UnixConn, err error) {
 	s, err := os.Lstat(f.at(".sock"))
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
@@ -82,7 +82,7 @@
 }
 
 // Listen is where the next process finds this one; it stands in the place of whoever was found there before.
-func (f *Folder) Listen() (l *net.UnixListener, err error) {
+func (f *Directory) Listen() (l *net.UnixListener, err error) {
 	if s, err := os.Lstat(f.at(".sock")); err == nil && s.Mode().Type() != fs.ModeSocket {
 		return nil, fmt.Errorf("%s: %w", f.at(".sock"), errForeign)
 	}
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -110,7 +110,7 @@
 			t.Errorf("the link ended with an error: %v", err)
 		}
 	}
-	if _, err := near.Ask("set", 1)(ctx, nil); !errors.Is(err, ErrGone) {
+	if _, err := near.Ask("set", 1)(ctx, nil); !errors.Is(err, ErrPeerGone) {
 		t.Errorf("after the end: %v", err)
 	}
 }
@@ -141,7 +141,7 @@
 	if err := os.Mkdir(deep, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	open := func() *Folder {
+	open := func() *Directory {
 		t.Helper()
 		f, err := Open(deep, "127.0.0.1:8080")
 		if err != nil {
@@ -187,10 +187,10 @@
 	})
 	t.Run("out by hand is kept", func(t *testing.T) {
 		for _, want := range [][]string{{"a", "b/c \""}, nil} {
-			if err := f.Keep(want); err != nil {
+			if err := f.SaveDisabled(want); err != nil {
 				t.Fatal(err)
 			}
-			if got, err := open().Kept(); err != nil || !reflect.DeepEqual(got, want) {
+			if got, err := open().LoadDisabled(); err != nil || !reflect.DeepEqual(got, want) {
 				t.Errorf("kept %q, %v, want %q", got, err, want)
 			}
 		}
@@ -207,8 +207,8 @@
 			t.Errorf("found %v, %v", c, err)
 		}
 		_, errListen := missing.Listen()
-		_, errKept := missing.Kept()
-		for what, err := range map[string]error{"listen": errListen, "keep": missing.Keep(nil), "read": errKept} {
+		_, errKept := missing.LoadDisabled()
+		for what, err := range map[string]error{"listen": errListen, "keep": missing.SaveDisabled(nil), "read": errKept} {
 			if !errors.Is(err, fs.ErrNotExist) {
 				t.Errorf("%s in a folder that is not there: %v", what, err)
 			}
@@ -235,14 +235,14 @@
 		if err := os.Symlink("/etc/hostname", f.at(".out")); err != nil {
 			t.Fatal(err)
 		}
-		if got, err := f.Kept(); got != nil || err == nil {
+		if got, err := f.LoadDisabled(); got != nil || err == nil {
 			t.Errorf("kept %q, %v", got, err)
 		}
 	})
 }
 
 var badlyKept = []string{"", "{", `{"version":2,"out_by_hand":["a"]}`, `{"version":1,"out_by_hand":["a"]}x`, `{"version":1,"out_by_hand":[""]}`,
-	`{"version":1,"more":1}`, `{"version":1,"out_by_hand":["` + strings.Repeat("x", routing.LongestID+1) + `"]}`, `{"version":1,"out_by_hand":[1]}`}
+	`{"version":1,"more":1}`, `{"version":1,"out_by_hand":["` + strings.Repeat("x", routing.MaxIDLength+1) + `"]}`, `{"version":1,"out_by_hand":[1]}`}
 
 func TestBadlyKept(t *testing.T) {
 	for _, text := range append(badlyKept, strings.Repeat(" ", longestFile+1)) {
@@ -264,8 +264,8 @@
 }
 
 func whole() State {
-	return State{Version: Version, IDsKey: []byte{1}, IDs: make([]byte, 16), Revision: 3, Memory: routing.Memory{
-		Servers: []routing.Server{{Name: "a"}}, Decided: decide.Snapshot{Now: time.Second, Servers: []decide.ServerSnapshot{{Size: 1}}}}}
+	return State{Version: Version, IDsKey: []byte{1}, IDs: make([]byte, 16), Revision: 3, Router: routing.Snapshot{
+		Servers: []routing.EndpointSnapshot{{Name: "a"}}, Decisions: decide.Snapshot{Now: time.Second, Servers: []decide.ServerSnapshot{{Size: 1}}}}}
 }
 
 func TestState(t *testing.T) {
@@ -278,16 +278,16 @@
 		{"a later version", func(s *State) { s.Version++ }, false},
 		{"ids cut", func(s *State) { s.IDs = s.IDs[:9] }, false},
 		{"no key", func(s *State) { s.IDsKey = nil }, false},
-		{"descriptors below nought", func(s *State) { s.Held = -1 }, false},
-		{"a server without a name", func(s *State) { s.Memory.Servers[0].Name = "" }, false},
-		{"servers that don't match", func(s *State) { s.Memory.Servers = nil }, false},
-		{"a word the list has not", func(s *State) { s.Memory.Decided.Servers[0].Listed = 7 }, false},
-		{"more sent than none", func(s *State) { s.Memory.Decided.Servers[0].ColdSent = -1 }, false},
+		{"descriptors below nought", func(s *State) { s.Connections = -1 }, false},
+		{"a server without a name", func(s *State) { s.Router.Servers[0].Name = "" }, false},
+		{"servers that don't match", func(s *State) { s.Router.Servers = nil }, false},
+		{"a word the list has not", func(s *State) { s.Router.Decisions.Servers[0].Listed = 7 }, false},
+		{"more sent than none", func(s *State) { s.Router.Decisions.Servers[0].ColdSent = -1 }, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := whole()
 			c.do(&s)
-			if err := s.Check(); (err == nil) != c.ok {
+			if err := s.Validate(); (err == nil) != c.ok {
 				t.Errorf("%v", err)
 			}
 		})
@@ -303,10 +303,10 @@
 	f.Add([]byte(`{"version":1}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		var s State
-		if json.Unmarshal(text, &s) == nil && s.Check() == nil {
+		if json.Unmarshal(text, &s) == nil && s.Validate() == nil {
 			routing.New(1, time.Second, false, false, nil, func(*decide.Balancer) (map[string]decide.ServiceID, map[string]decide.CustomerID) {
 				return nil, nil
-			}).Remember(s.Memory) // whatever passes the check can be taken over
+			}).Restore(s.Router) // whatever passes the check can be taken over
 		}
 	})
 }
@@ -337,7 +337,7 @@
 	if !<-did {
 		t.Error("an answer that arrived counts as lost")
 	}
-	if _, err := near.Ask("lose", nil)(ctx, nil); !errors.Is(err, ErrGone) {
+	if _, err := near.Ask("lose", nil)(ctx, nil); !errors.Is(err, ErrPeerGone) {
 		t.Errorf("an answer that was lost: %v", err)
 	}
 	if <-did {
--- a/internal/handover/kept.go
+++ b/internal/handover/kept.go
@@ -20,17 +20,17 @@
 	Out     []string `json:"out_by_hand"`
 }
 
-// FolderError says that the folder could not be read or written.
-type FolderError struct {
-	Doing string
-	Err   error
+// DirectoryError says that the folder could not be read or written.
+type DirectoryError struct {
+	Operation string
+	Err       error
 }
 
-func (e *FolderError) Error() string { return e.Doing + ": " + e.Err.Error() }
-func (e *FolderError) Unwrap() error { return e.Err }
+func (e *DirectoryError) Error() string { return e.Operation + ": " + e.Err.Error() }
+func (e *DirectoryError) Unwrap() error { return e.Err }
 
 // Advice says what an operator can do about it.
-func (e *FolderError) Advice() string {
+func (e *DirectoryError) Advice() string {
 	return "see that the folder that $TMPDIR names is there, is writable and has room; it is tried again until it works"
 }
 
@@ -48,8 +48,8 @@
 	return "call out again the servers that are to be out by hand; the next such call writes the file anew"
 }
 
-// Keep writes who is out by hand, whole or not at all, so that it is there after a kill and after a loss of power.
-func (f *Folder) Keep(out []string) error {
+// SaveDisabled writes who is out by hand, whole or not at all, so that it is there after a kill and after a loss of power.
+func (f *Directory) SaveDisabled(out []string) error {
 	text, err := json.Marshal(kept{Version, out})
 	if err != nil {
 		return err
@@ -66,29 +66,29 @@
 }
 
 // write brings a file to its place, each step on the disk before the next one.
-func (f *Folder) write(temporary string, text []byte) error {
+func (f *Directory) write(temporary string, text []byte) error {
 	file, err := f.files.Create(temporary)
 	if err != nil {
-		return &FolderError{"create a file of who is out by hand", err}
+		return &DirectoryError{"create a file of who is out by hand", err}
 	}
 	_, err = file.Write(text)
 	if err == nil {
 		err = whereKnown(file.Sync())
 	}
 	if err = errors.Join(err, file.Close()); err != nil {
-		return &FolderError{"write who is out by hand", err}
+		return &DirectoryError{"write who is out by hand", err}
 	}
 	if err := f.files.Rename(temporary, f.at(".out")); err != nil {
-		return &FolderError{"put the file of who is out by hand in its place", err}
+		return &DirectoryError{"put the file of who is out by hand in its place", err}
 	}
 	if err := f.files.SyncFolder(f.path); err != nil {
-		return &FolderError{"sync the folder", err}
+		return &DirectoryError{"sync the folder", err}
 	}
 	return nil
 }
 
 // RemoveUnfinished removes what processes that were killed had begun to write. It is for one that is alone.
-func (f *Folder) RemoveUnfinished() {
+func (f *Directory) RemoveUnfinished() {
 	begun, err := f.files.Glob(f.at(".out.") + "*")
 	if err != nil {
 		return // the pattern is ours; nothing else can be wrong with it
@@ -98,17 +98,17 @@
 	}
 }
 
-// Kept reads who was out by hand. What can't be read whole counts for nothing.
-func (f *Folder) Kept() ([]string, error) {
+// LoadDisabled reads who was out by hand. What can't be read whole counts for nothing.
+func (f *Directory) LoadDisabled() ([]string, error) {
 	out, err := f.read()
 	var content *ContentError
 	if err == nil || errors.As(err, &content) {
 		return out, err
 	}
-	return nil, &FolderError{"read who is out by hand", err}
+	return nil, &DirectoryError{"read who is out by hand", err}
 }
 
-func (f *Folder) read() ([]string, error) {
+func (f *Directory) read() ([]string, error) {
 	info, err := f.files.Lstat(f.at(".out"))
 	if errors.Is(err, fs.ErrNotExist) {
 		_, err := f.files.Lstat(f.path) // without the folder it is not known whether there is such a file
@@ -168,8 +168,8 @@
 }
 
 func sound(name string) error {
-	if name == "" || len(name) > routing.LongestID {
-		return fmt.Errorf("an id of %d bytes, 1 to %d may be", len(name), routing.LongestID)
+	if name == "" || len(name) > routing.MaxIDLength {
+		return fmt.Errorf("an id of %d bytes, 1 to %d may be", len(name), routing.MaxIDLength)
 	}
 	return nil
 }
--- a/internal/handover/kept_test.go
+++ b/internal/handover/kept_test.go
@@ -97,12 +97,12 @@
 					if errOpen != nil {
 						t.Fatal(errOpen)
 					}
-					if err := folder.Keep(before); err != nil {
+					if err := folder.SaveDisabled(before); err != nil {
 						t.Fatal(err)
 					}
 					folder.files = &faulty{step: step, err: err, killed: killed}
-					var failed *FolderError
-					if got := folder.Keep(after); !errors.As(got, &failed) || !errors.Is(got, err) || failed.Advice() == "" {
+					var failed *DirectoryError
+					if got := folder.SaveDisabled(after); !errors.As(got, &failed) || !errors.Is(got, err) || failed.Advice() == "" {
 						t.Errorf("fails with %v", got)
 					}
 					folder.files = systemFiles{}
@@ -110,13 +110,13 @@
 					if step == "sync folder" {
 						want = after // it stands in its place; that it lasts is not sure
 					}
-					if got, err := folder.Kept(); err != nil || !reflect.DeepEqual(got, want) {
+					if got, err := folder.LoadDisabled(); err != nil || !reflect.DeepEqual(got, want) {
 						t.Errorf("kept are %q, %v; want %q", got, err, want)
 					}
-					if err := folder.Keep(after); err != nil {
+					if err := folder.SaveDisabled(after); err != nil {
 						t.Error(err)
 					}
-					if got, err := folder.Kept(); err != nil || !reflect.DeepEqual(got, after) {
+					if got, err := folder.LoadDisabled(); err != nil || !reflect.DeepEqual(got, after) {
 						t.Errorf("afterwards kept are %q, %v", got, err)
 					}
 					folder.RemoveUnfinished()
@@ -132,7 +132,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := folder.Keep(after); err != nil {
+		if err := folder.SaveDisabled(after); err != nil {
 			t.Fatal(err)
 		}
 		whole, err := os.ReadFile(folder.at(".out"))
@@ -144,7 +144,7 @@
 				t.Fatal(err)
 			}
 			var content *ContentError
-			if got, err := folder.Kept(); got != nil || !errors.As(err, &content) {
+			if got, err := folder.LoadDisabled(); got != nil || !errors.As(err, &content) {
 				t.Errorf("cut after %d bytes it is read as %q, %v", n, got, err)
 			}
 		}
@@ -155,8 +155,8 @@
 			t.Fatal(err)
 		}
 		folder.files = &faulty{step: "look", err: syscall.EIO}
-		var failed *FolderError
-		if got, err := folder.Kept(); got != nil || !errors.As(err, &failed) || !errors.Is(err, syscall.EIO) {
+		var failed *DirectoryError
+		if got, err := folder.LoadDisabled(); got != nil || !errors.As(err, &failed) || !errors.Is(err, syscall.EIO) {
 			t.Errorf("read as %q, %v", got, err)
 		}
 	})
--- a/internal/handover/link.go
+++ b/internal/handover/link.go
@@ -23,8 +23,8 @@
 )
 
 var (
-	// ErrGone says that the other process ended, or can't be understood.
-	ErrGone = errors.New("the other process is gone")
+	// ErrPeerGone says that the other process ended, or can't be understood.
+	ErrPeerGone = errors.New("the other process is gone")
 	// ErrRefused is the other process's no, with its reason.
 	ErrRefused = errors.New("refused by the other process")
 )
@@ -164,7 +164,7 @@
 	w := make(chan frame, 1)
 	l.mu.Lock()
 	if l.waiting == nil {
-		err = errors.Join(err, ErrGone)
+		err = errors.Join(err, ErrPeerGone)
 	}
 	l.last++
 	f := frame{Kind: kind, Number: l.last, Body: text, beside: beside}
@@ -195,7 +195,7 @@
 		case a, ok := <-w:
 			switch {
 			case !ok:
-				return nil, ErrGone
+				return nil, ErrPeerGone
 			case a.Bad != "":
 				return nil, fmt.Errorf("%w: %s", ErrRefused, a.Bad)
 			case into != nil:
--- a/internal/handover/state.go
+++ b/internal/handover/state.go
@@ -12,35 +12,35 @@
 type State struct {
 	Version int `json:"version"`
 
-	Out      bool          `json:"out_of_service"`
-	Emptying time.Duration `json:"emptying"` // for how long it has been told to go out of service
+	OutOfService bool          `json:"out_of_service"`
+	DrainingFor  time.Duration `json:"emptying"` // for how long it has been told to go out of service
 
-	Agent    string `json:"discovery"` // of which the revision is
-	Revision int64  `json:"revision"`
-	IDsKey   []byte `json:"ids_key"`
-	IDs      []byte `json:"ids"` // hashes, eight bytes each
-	Held     int    `json:"held"`
+	DiscoveryAddress string `json:"discovery"` // of which the revision is
+	Revision         int64  `json:"revision"`
+	IDsKey           []byte `json:"ids_key"`
+	IDs              []byte `json:"ids"` // hashes, eight bytes each
+	Connections      int    `json:"held"`
 
-	Memory routing.Memory `json:"memory"`
-	Files  []string       `json:"files"` // what the descriptors beside it are
+	Router routing.Snapshot `json:"memory"`
+	Files  []string         `json:"files"` // what the descriptors beside it are
 }
 
-// Check tells whether a state can be taken over. Nothing of one that can't is.
-func (s *State) Check() error {
+// Validate tells whether a state can be taken over. Nothing of one that can't is.
+func (s *State) Validate() error {
 	switch {
 	case s.Version != Version:
 		return fmt.Errorf("version %d, want %d", s.Version, Version)
-	case s.Held < 0 || s.Emptying < 0 || s.Revision < -1:
+	case s.Connections < 0 || s.DrainingFor < 0 || s.Revision < -1:
 		return errors.New("a count below nought")
 	case len(s.IDs)%8 != 0 || len(s.IDsKey) == 0:
 		return errors.New("ids that are none")
 	}
-	for _, x := range s.Memory.Servers {
+	for _, x := range s.Router.Servers {
 		if err := sound(x.Name); err != nil {
 			return err
 		}
 	}
-	return s.Memory.Check()
+	return s.Router.Validate()
 }
 
 // Change is what staff ask for that both processes must do.
--- a/internal/membership/child.go
+++ b/internal/membership/child.go
@@ -30,8 +30,8 @@
 // frames takes names as they came over the network: one that is no text must not end the engine's link.
 var frames, _ = cbor.DecOptions{UTF8: cbor.UTF8DecodeInvalid}.DecMode() // the options are sound
 
-// Teller knows the meaning of what passes. It is called from one goroutine and must not wait for anything.
-type Teller interface {
+// Subscriber knows the meaning of what passes. It is called from one goroutine and must not wait for anything.
+type Subscriber interface {
 	Hear(message []byte)
 	HearWhole(all []byte)
 	Away(gap time.Duration) // the engine, or the balancer, stood still for so long
@@ -45,11 +45,11 @@
 	bind      netip.AddrPort
 	advertise netip.AddrPort
 	seeds     []string
-	tell      Teller
+	tell      Subscriber
 	out       chan []any
 
 	mu     sync.Mutex
-	seen   []Seen
+	seen   []Member
 	at     time.Time // of seen
 	known  []string  // addresses that an engine which ended saw
 	unread map[string]int
@@ -63,7 +63,7 @@
 
 // New makes a member that speaks from bind, tells others advertise and begins by asking the seeds. Members of other labels are not
 // heard. program is the engine; empty: the one beside this program. Nothing is started before Run.
-func New(program string, name Name, label string, bind, advertise netip.AddrPort, seeds []string, tell Teller) *Group {
+func New(program string, name Name, label string, bind, advertise netip.AddrPort, seeds []string, tell Subscriber) *Group {
 	return &Group{program: program, name: name, label: label, bind: bind, advertise: advertise, seeds: seeds, tell: tell,
 		out: make(chan []any, waiting), own: map[string]*noted{}}
 }
@@ -94,7 +94,7 @@
 			Remedy: "see that " + engineName + " of this build lies beside yardwinch, or name it by peers.program",
 			Err:    err,
 		}
-		g.Note("the engine ended", e.Error()+"; what helps: "+e.Advice())
+		g.CountDropped("the engine ended", e.Error()+"; what helps: "+e.Advice())
 		select {
 		case <-ctx.Done():
 		case <-time.After(wait):
@@ -163,7 +163,7 @@
 	if enc.Encode(start) != nil {
 		return // the reader sees the end
 	}
-	beat := time.NewTicker(BeatEvery)
+	beat := time.NewTicker(HeartbeatInterval)
 	defer beat.Stop()
 	for {
 		var f []any
@@ -175,7 +175,7 @@
 			return
 		case f = <-g.out:
 		case <-beat.C:
-			f = []any{FrameBeat}
+			f = []any{FrameHeartbeat}
 		}
 		if enc.Encode(f) != nil {
 			return
@@ -194,13 +194,13 @@
 		kind, _ := f[0].(uint64)
 		switch x := f[1].(type) {
 		case []byte:
-			if kind == FrameHear {
+			if kind == FrameReceive {
 				g.tell.Hear(x)
-			} else if kind == FrameAll {
+			} else if kind == FrameRemoteState {
 				g.tell.HearWhole(x)
 			}
 		case uint64:
-			if kind == FrameAway {
+			if kind == FrameSuspended {
 				g.tell.Away(time.Duration(x))
 			}
 		case []any:
@@ -213,7 +213,7 @@
 
 // take is the members as the engine sees them, and what it passed over.
 func (g *Group) take(list []any) {
-	var seen []Seen
+	var seen []Member
 	unread := map[string]int{}
 	for _, x := range list {
 		m, ok := x.([]any)
@@ -227,7 +227,7 @@
 		if name == "" {
 			unread[addr] = int(n)
 		} else {
-			seen = append(seen, Seen{Name(name), addr, State(state), time.Duration(n)})
+			seen = append(seen, Member{Name(name), addr, State(state), time.Duration(n)})
 		}
 	}
 	g.mu.Lock()
@@ -243,17 +243,17 @@
 	}
 }
 
-// Say spreads a message; a later one of the same key takes the place of an earlier one that still waits.
-func (g *Group) Say(key string, message []byte) { g.send(FrameSay, key, message) }
+// Publish spreads a message; a later one of the same key takes the place of an earlier one that still waits.
+func (g *Group) Publish(key string, message []byte) { g.send(FramePublish, key, message) }
 
-// Whole is what another member that asks is told from now on.
-func (g *Group) Whole(all []byte) { g.send(FrameWhole, all) }
+// SetFullState is what another member that asks is told from now on.
+func (g *Group) SetFullState(all []byte) { g.send(FrameFullState, all) }
 
-// Seen is all members as they are seen now, by name.
-func (g *Group) Seen() []Seen {
+// Members is all members as they are seen now, by name.
+func (g *Group) Members() []Member {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	var all []Seen
+	var all []Member
 	for _, s := range g.seen {
 		s.Since += time.Since(g.at)
 		all = append(all, s)
@@ -261,8 +261,8 @@
 	return all
 }
 
-// Count is how many are alive, this one too.
-func (g *Group) Count() (n int) {
+// AliveCount is how many are alive, this one too.
+func (g *Group) AliveCount() (n int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, s := range g.seen {
@@ -273,8 +273,8 @@
 	return max(n, 1)
 }
 
-// Note counts something that was passed over; each kind is logged once a minute at most.
-func (g *Group) Note(kind, line string) {
+// CountDropped counts something that was passed over; each kind is logged once a minute at most.
+func (g *Group) CountDropped(kind, line string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	t := g.own[kind]
@@ -289,8 +289,8 @@
 	}
 }
 
-// Unread counts what came and could not be taken, by kind.
-func (g *Group) Unread() map[string]int {
+// Dropped counts what came and could not be taken, by kind.
+func (g *Group) Dropped() map[string]int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	all := map[string]int{}
--- a/internal/membership/child_test.go
+++ b/internal/membership/child_test.go
@@ -93,7 +93,7 @@
 }
 
 func state(g *membership.Group, name membership.Name) membership.State {
-	for _, s := range g.Seen() {
+	for _, s := range g.Members() {
 		if s.Name == name {
 			return s.State
 		}
@@ -127,22 +127,22 @@
 
 func TestThroughTheEngine(t *testing.T) {
 	a, tellA, atA, _ := begin(t, "real", "a", "127.84.0.1")
-	a.Whole([]byte("all"))
+	a.SetFullState([]byte("all"))
 	within(t, "a is up", func() bool { return state(a, "a") == membership.Alive })
 	first := engines(t)
 	b, tellB, _, endB := begin(t, "real", "b", "127.84.0.2", atA)
 	within(t, "they see each other", func() bool {
-		return state(a, "b") == membership.Alive && state(b, "a") == membership.Alive && a.Count() == 2
+		return state(a, "b") == membership.Alive && state(b, "a") == membership.Alive && a.AliveCount() == 2
 	})
-	a.Say("a", []byte("late"))
+	a.Publish("a", []byte("late"))
 	within(t, "b hears a", func() bool { return tellB.has("late") })
 	within(t, "b is told all", func() bool { return tellB.has("all") })
 	// An engine that is killed is started again, and the member is back.
 	if len(first) != 1 || syscall.Kill(first[0], syscall.SIGKILL) != nil {
 		t.Fatalf("engines %v", first)
 	}
-	within(t, "a has none, and says so", func() bool { return a.Count() == 1 && len(a.Unread()) > 0 })
-	b.Say("b", []byte("well"))
+	within(t, "a has none, and says so", func() bool { return a.AliveCount() == 1 && len(a.Dropped()) > 0 })
+	b.Publish("b", []byte("well"))
 	within(t, "a is back and hears b", func() bool { return tellA.has("well") || state(a, "b") == membership.Alive })
 	endB()
 	within(t, "b has left", func() bool { return state(a, "b") == membership.Left })
@@ -151,7 +151,7 @@
 // What strangers call themselves does not end the engine's link: random datagrams did, by the label that the engine quoted.
 func TestNamesThatAreNoText(t *testing.T) {
 	g, _, _, _ := begin(t, "odd", "a", "127.84.0.4")
-	within(t, "all are seen", func() bool { return len(g.Seen()) == 2 && len(g.Unread()) == 1 })
+	within(t, "all are seen", func() bool { return len(g.Members()) == 2 && len(g.Dropped()) == 1 })
 }
 
 // An engine that can't run, or runs wrong, leaves the balancer alone; and it ends with it.
@@ -160,12 +160,12 @@
 		t.Run(way, func(t *testing.T) {
 			g, _, _, end := begin(t, way, "a", "127.84.0.3")
 			for i := range 1000 { // more than waits: nobody is held up
-				g.Say("a", []byte{byte(i)})
+				g.Publish("a", []byte{byte(i)})
 			}
 			if way == "nonsense" {
-				within(t, "it is noted", func() bool { return len(g.Unread()) > 0 })
+				within(t, "it is noted", func() bool { return len(g.Dropped()) > 0 })
 			}
-			if n := len(g.Seen()); n != 0 || g.Count() != 1 {
+			if n := len(g.Members()); n != 0 || g.AliveCount() != 1 {
 				t.Errorf("%d members seen", n)
 			}
 			end()
--- a/internal/membership/engine/engine.go
+++ b/internal/membership/engine/engine.go
@@ -20,8 +20,8 @@
 	"yardwinch/internal/membership"
 )
 
-// Teller is the balancer's side. It is called from the engine's goroutines and must not wait for anything.
-type Teller interface {
+// Subscriber is the balancer's side. It is called from the engine's goroutines and must not wait for anything.
+type Subscriber interface {
 	Hear(message []byte)
 	Whole() []byte // all that is known there, for a member that asks for it
 	HearWhole(all []byte)
@@ -53,7 +53,7 @@
 	bind      netip.AddrPort
 	advertise netip.AddrPort
 	seeds     []string
-	tell      Teller
+	tell      Subscriber
 	start     time.Time
 
 	mu    sync.Mutex
@@ -74,7 +74,7 @@
 
 // New makes a member that speaks from bind, tells others advertise and begins by asking the seeds. Members of other labels are not
 // heard. Nothing is opened before Run.
-func New(name membership.Name, label string, bind, advertise netip.AddrPort, seeds []string, tell Teller) *Group {
+func New(name membership.Name, label string, bind, advertise netip.AddrPort, seeds []string, tell Subscriber) *Group {
 	return &Group{name: name, label: label, bind: bind, advertise: advertise, seeds: seeds, tell: tell, start: time.Now(),
 		seen: map[membership.Name]*seen{}, quiet: quiet{kinds: map[string]*told{}}}
 }
@@ -180,7 +180,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.list = list
-	g.queue = &memberlist.TransmitLimitedQueue{NumNodes: g.Count, RetransmitMult: 3}
+	g.queue = &memberlist.TransmitLimitedQueue{NumNodes: g.AliveCount, RetransmitMult: 3}
 	return nil
 }
 
@@ -242,8 +242,8 @@
 	return err
 }
 
-// Count is how many are alive, this one too.
-func (g *Group) Count() int {
+// AliveCount is how many are alive, this one too.
+func (g *Group) AliveCount() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	n := 0
@@ -255,8 +255,8 @@
 	return max(n, 1)
 }
 
-// Say spreads a message; a later one of the same key takes the place of an earlier one that still waits.
-func (g *Group) Say(key string, message []byte) {
+// Publish spreads a message; a later one of the same key takes the place of an earlier one that still waits.
+func (g *Group) Publish(key string, message []byte) {
 	g.mu.Lock()
 	q := g.queue
 	g.mu.Unlock()
@@ -265,20 +265,20 @@
 	}
 }
 
-// Seen is all members as they are seen now, by name.
-func (g *Group) Seen() []membership.Seen {
+// Members is all members as they are seen now, by name.
+func (g *Group) Members() []membership.Member {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := time.Since(g.start)
-	var all []membership.Seen
+	var all []membership.Member
 	for name, s := range g.seen {
-		x := membership.Seen{Name: name, Addr: s.addr, State: s.state, Since: now - s.at}
+		x := membership.Member{Name: name, Addr: s.addr, State: s.state, Since: now - s.at}
 		if x.State == membership.Gone && x.Since < refuteWithin { // one who was cut off calls all others gone when it is back
 			x.State, x.Since = membership.Alive, now-s.before
 		}
 		all = append(all, x)
 	}
-	slices.SortFunc(all, func(a, b membership.Seen) int { return compare(a.Name, b.Name) })
+	slices.SortFunc(all, func(a, b membership.Member) int { return compare(a.Name, b.Name) })
 	return all
 }
 
@@ -289,8 +289,8 @@
 	return 1
 }
 
-// Unread counts what came and could not be taken, by kind.
-func (g *Group) Unread() map[string]int { return g.quiet.counts() }
+// Dropped counts what came and could not be taken, by kind.
+func (g *Group) Dropped() map[string]int { return g.quiet.counts() }
 
 // turn makes every change of how a member is seen.
 func (g *Group) turn(n *memberlist.Node, to membership.State) {
--- a/internal/membership/engine/engine_test.go
+++ b/internal/membership/engine/engine_test.go
@@ -82,7 +82,7 @@
 }
 
 func (g *Group) is(name membership.Name) membership.State {
-	for _, s := range g.Seen() {
+	for _, s := range g.Members() {
 		if s.Name == name {
 			return s.State
 		}
@@ -98,10 +98,10 @@
 	b, tellB, endB := begin(t, "b", "one", atB)
 	c, _, _ := begin(t, "c", "two", atC, atA)
 	within(t, 15*time.Second, "a sees b", func() bool { return a.is("b") == membership.Alive && b.is("a") == membership.Alive })
-	a.Say("a", []byte("late"))
+	a.Publish("a", []byte("late"))
 	within(t, 5*time.Second, "b hears a", func() bool { return tellB.has("late") })
 	within(t, 15*time.Second, "they told each other all", func() bool { return tellA.has("whole") && tellB.has("whole") })
-	within(t, 15*time.Second, "c has asked in vain", func() bool { return len(a.Unread()) > 0 })
+	within(t, 15*time.Second, "c has asked in vain", func() bool { return len(a.Dropped()) > 0 })
 	if a.is("c") != "" || c.is("a") != "" {
 		t.Error("members of two labels see each other")
 	}
--- a/internal/membership/engine/serve.go
+++ b/internal/membership/engine/serve.go
@@ -30,9 +30,9 @@
 	_ = b.enc.Encode(f) // a balancer that is gone is seen by whoever reads from it
 }
 
-func (b *balancer) Hear(m []byte)          { b.send(membership.FrameHear, m) }
-func (b *balancer) HearWhole(all []byte)   { b.send(membership.FrameAll, all) }
-func (b *balancer) Away(gap time.Duration) { b.send(membership.FrameAway, uint64(gap)) }
+func (b *balancer) Hear(m []byte)          { b.send(membership.FrameReceive, m) }
+func (b *balancer) HearWhole(all []byte)   { b.send(membership.FrameRemoteState, all) }
+func (b *balancer) Away(gap time.Duration) { b.send(membership.FrameSuspended, uint64(gap)) }
 func (b *balancer) Whole() []byte {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -76,7 +76,7 @@
 			}
 			break
 		}
-		b.Away(membership.BeatMost)
+		b.Away(membership.HeartbeatTimeout)
 	}
 }
 
@@ -109,7 +109,7 @@
 	defer func() { cancel(); <-done }()
 	told := time.NewTicker(tellEvery)
 	defer told.Stop()
-	still := time.NewTimer(membership.BeatMost)
+	still := time.NewTimer(membership.HeartbeatTimeout)
 	defer still.Stop()
 	for {
 		select {
@@ -117,16 +117,16 @@
 			if !ok {
 				return false, nil
 			}
-			still.Reset(membership.BeatMost)
+			still.Reset(membership.HeartbeatTimeout)
 			kind, _ := f[0].(uint64)
 			switch {
 			case kind == membership.FrameLeave:
 				return false, nil
-			case kind == membership.FrameSay && len(f) == 3:
+			case kind == membership.FramePublish && len(f) == 3:
 				key, _ := f[1].(string)
 				m, _ := f[2].([]byte)
-				g.Say(key, m)
-			case kind == membership.FrameWhole && len(f) == 2:
+				g.Publish(key, m)
+			case kind == membership.FrameFullState && len(f) == 2:
 				whole, _ := f[1].([]byte)
 				b.mu.Lock()
 				b.whole = whole
@@ -145,10 +145,10 @@
 // frame is how the members are seen, and what was passed over, as a frame has them.
 func (g *Group) frame() (all []any) {
 	all = []any{}
-	for _, s := range g.Seen() {
+	for _, s := range g.Members() {
 		all = append(all, []any{string(s.Name), s.Addr, string(s.State), uint64(s.Since)})
 	}
-	for kind, n := range g.Unread() {
+	for kind, n := range g.Dropped() {
 		all = append(all, []any{"", kind, "", uint64(n)})
 	}
 	return all
--- a/internal/membership/members.go
+++ b/internal/membership/members.go
@@ -24,8 +24,8 @@
 	Left  State = "left"  // said that it goes
 )
 
-// Seen is one member as it is seen from here.
-type Seen struct {
+// Member is one member as it is seen from here.
+type Member struct {
 	Name  Name          `json:"name"`
 	Addr  string        `json:"addr"`
 	State State         `json:"state"`
@@ -34,26 +34,26 @@
 
 // Frames pass between the balancer and its engine, each a CBOR list: a kind, and what goes with it. Both are of one build.
 const (
-	FrameStart uint64 = iota + 1 // name, label, bind, advertise, then the seeds
-	FrameSay                     // key, message
-	FrameWhole                   // all that is known
-	FrameBeat                    // the balancer runs
+	FrameStart     uint64 = iota + 1 // name, label, bind, advertise, then the seeds
+	FramePublish                     // key, message
+	FrameFullState                   // all that is known
+	FrameHeartbeat                   // the balancer runs
 	FrameLeave
-	FrameHear    // message
-	FrameAll     // all that another member knows
-	FrameMembers // of each: name, address, state, nanoseconds since; of each kind passed over: nothing, kind, number
-	FrameAway    // nanoseconds
+	FrameReceive     // message
+	FrameRemoteState // all that another member knows
+	FrameMembers     // of each: name, address, state, nanoseconds since; of each kind passed over: nothing, kind, number
+	FrameSuspended   // nanoseconds
 )
 
 // BeatEvery is how often the balancer says that it runs, and BeatMost after how long without the engine falls silent: a frozen balancer
 // must not look alive because its engine answers.
 const (
-	BeatEvery = 250 * time.Millisecond
-	BeatMost  = time.Second
+	HeartbeatInterval = 250 * time.Millisecond
+	HeartbeatTimeout  = time.Second
 )
 
-func sorted(all []Seen) []Seen {
-	slices.SortFunc(all, func(a, b Seen) int {
+func sorted(all []Member) []Member {
+	slices.SortFunc(all, func(a, b Member) int {
 		if a.Name < b.Name {
 			return -1
 		}
--- a/internal/protocol/carry.go
+++ b/internal/protocol/carry.go
@@ -13,39 +13,39 @@
 
 // How a standing connection goes from one process of a balancer to the next.
 
-// CarriedAtOnce is how many are passed on at a time: each is held twice for a moment.
-const CarriedAtOnce = 4
+// MaxConcurrentTransfers is how many are passed on at a time: each is held twice for a moment.
+const MaxConcurrentTransfers = 4
 
-// Side is one side's end of a connection as it is passed on.
-type Side struct {
+// StreamState is one side's end of a connection as it is passed on.
+type StreamState struct {
 	Unread []byte `json:"unread,omitempty"`
 	Passed int    `json:"passed,omitempty"`
 	Within bool   `json:"within,omitempty"`
 }
 
-// Standing is a connection that stands, but for its two sockets.
-type Standing struct {
-	Facts  Facts  `json:"facts"`
-	At     string `json:"at"`
-	Client Side   `json:"client"`
-	Server Side   `json:"server"`
+// EstablishedConnection is a connection that stands, but for its two sockets.
+type EstablishedConnection struct {
+	Flow       FlowInfo    `json:"facts"`
+	ServerName string      `json:"at"`
+	Client     StreamState `json:"client"`
+	Server     StreamState `json:"server"`
 }
 
-// Sound tells whether it can be taken over.
-func (s Standing) Sound() bool {
-	for _, x := range []Side{s.Client, s.Server} {
+// IsValid tells whether it can be taken over.
+func (s EstablishedConnection) IsValid() bool {
+	for _, x := range []StreamState{s.Client, s.Server} {
 		if x.Passed < 0 || x.Passed > len(x.Unread) || len(x.Unread) > 8<<10 {
 			return false
 		}
 	}
-	return s.At != "" && s.Facts.ID != ""
+	return s.ServerName != "" && s.Flow.ID != ""
 }
 
-// Carry passes all standing connections on, a few at a time, until the context ends. pass returns whether the other process
+// TransferConnections passes all standing connections on, a few at a time, until the context ends. pass returns whether the other process
 // has one; one that it has not goes on here.
-func (f *Front) Carry(ctx context.Context, pass func(s Standing, client, server syscall.Conn) bool) (passed, of int) {
+func (f *Frontend) TransferConnections(ctx context.Context, pass func(s EstablishedConnection, client, server syscall.Conn) bool) (passed, of int) {
 	f.mu.Lock()
-	f.pass = func(s Standing, client, server syscall.Conn) bool {
+	f.pass = func(s EstablishedConnection, client, server syscall.Conn) bool {
 		if ctx.Err() != nil || !pass(s, client, server) {
 			return false
 		}
@@ -57,7 +57,7 @@
 	all := append([]*session(nil), f.standing...)
 	f.mu.Unlock()
 	var now sync.WaitGroup
-	room := make(chan struct{}, CarriedAtOnce)
+	room := make(chan struct{}, MaxConcurrentTransfers)
 	for _, s := range all {
 		select {
 		case <-ctx.Done():
@@ -108,13 +108,13 @@
 		return true
 	}
 	s.tellCarried()
-	s.server.ReadBy(time.Time{})
+	s.server.SetReadDeadline(time.Time{})
 	if over {
-		s.server.ReadBy(time.Now().Add(endWithin))
+		s.server.SetReadDeadline(time.Now().Add(endWithin))
 	}
 	if s.parked {
 		s.parked = false
-		s.client.ReadBy(time.Time{})
+		s.client.SetReadDeadline(time.Time{})
 		s.clientDone = make(chan struct{})
 		go s.fromClient(func(error) {})
 	}
@@ -127,16 +127,16 @@
 // leave is the end of a connection here that the other process has: a close here ends neither side of it.
 func (s *session) leave() {
 	s.turn(ended)
-	s.flow.Report(routing.Cancelled)
+	s.flow.OnEnded(routing.Cancelled)
 	s.server.Close() // first: the descriptors of both are the client's to give back
 	s.client.Close()
 }
 
-func (s *session) gaveTo(pass func(Standing, syscall.Conn, syscall.Conn) bool, at string) bool {
-	var x Standing
-	x.Facts, x.At = s.facts, at
-	x.Client.Unread, x.Client.Passed, x.Client.Within = s.client.Rest()
-	x.Server.Unread, x.Server.Passed, x.Server.Within = s.server.Rest()
+func (s *session) gaveTo(pass func(EstablishedConnection, syscall.Conn, syscall.Conn) bool, at string) bool {
+	var x EstablishedConnection
+	x.Flow, x.ServerName = s.facts, at
+	x.Client.Unread, x.Client.Passed, x.Client.Within = s.client.RelayState()
+	x.Server.Unread, x.Server.Passed, x.Server.Within = s.server.RelayState()
 	if !pass(x, s.client.Socket(), s.server.Socket()) {
 		return false
 	}
@@ -153,14 +153,14 @@
 	}
 }
 
-// Adopt takes over a connection that another process passes on. It returns once the balancer holds it; serve has it
+// AdoptConnection takes over a connection that another process passes on. It returns once the balancer holds it; serve has it
 // served to its end, drop leaves it to the other process after all. One of them is called, once.
-func (f *Front) Adopt(x Standing, client, server net.Conn, room *transport.Room) (serve, drop func(), err error) {
-	flow, err := f.router.Adopt(x.Facts.Service, x.Facts.Customer, x.Facts.Key, x.Facts.Group, x.At)
+func (f *Frontend) AdoptConnection(x EstablishedConnection, client, server net.Conn, room *transport.DescriptorBudget) (serve, drop func(), err error) {
+	flow, err := f.router.AdoptFlow(x.Flow.Service, x.Flow.Customer, x.Flow.Key, x.Flow.Group, x.ServerName)
 	if err != nil {
 		return nil, nil, err
 	}
-	s := &session{front: f, flow: flow, facts: x.Facts, up: make(chan struct{}), clientDone: make(chan struct{}),
+	s := &session{front: f, flow: flow, facts: x.Flow, up: make(chan struct{}), clientDone: make(chan struct{}),
 		client: transport.Adopt(client, x.Client.Unread, x.Client.Passed, x.Client.Within, room),
 		server: transport.Adopt(server, x.Server.Unread, x.Server.Passed, x.Server.Within, nil)}
 	s.answered.Store(true)
@@ -169,7 +169,7 @@
 	serve = func() {
 		defer f.count(-1)
 		go s.fromClient(func(error) {})
-		flow.OnMove(s.server.Stop)
+		flow.OnMigrate(s.server.Stop)
 		s.relay()
 	}
 	drop = func() {
--- a/internal/protocol/crossings_test.go
+++ b/internal/protocol/crossings_test.go
@@ -31,9 +31,9 @@
 // free waits until a balancer holds so many descriptors fewer than all.
 func (y *yard) free(want int) {
 	y.t.Helper()
-	for end := time.Now().Add(10 * sec); y.room.Left() != want; time.Sleep(ms) {
+	for end := time.Now().Add(10 * sec); y.room.Free() != want; time.Sleep(ms) {
 		if time.Now().After(end) {
-			y.t.Fatalf("%d descriptors are free, want %d", y.room.Left(), want)
+			y.t.Fatalf("%d descriptors are free, want %d", y.room.Free(), want)
 		}
 	}
 }
@@ -194,7 +194,7 @@
 func (s *starved) SyscallConn() (syscall.RawConn, error) {
 	if s.looks++; s.looks == s.look {
 		s.leave()
-		for transport.NewConn(s.TCPConn).Quiet() { // until it has come
+		for transport.NewConn(s.TCPConn).IsIdle() { // until it has come
 			time.Sleep(ms)
 		}
 		defer close(s.held)
@@ -387,9 +387,9 @@
 // An id that another process of this balancer has is no flow's here: it is kept as one that ended, and in time forgotten.
 func TestIDOfTheOtherProcess(t *testing.T) {
 	f := newYard(t, decide.Idempotent, 0).front
-	f.IDs(func(uint64) bool { return true })
+	f.ShareIDs(func(uint64) bool { return true })
 	for i := range 2 * spentKept {
-		if f.Begin(fmt.Sprint("x", i)) {
+		if f.ClaimID(fmt.Sprint("x", i)) {
 			t.Fatal("an id that the other process has is free here")
 		}
 	}
@@ -428,9 +428,9 @@
 	y.serve()
 	client := y.client(strings.Replace(hello, "d=1500", "d=8000", 1))
 	server, _ := accept(t, first)
-	news := y.router.List(false, false)
-	news.Server("late", late.Addr().String(), "z", 0, 1, true, false, time.Time{})
-	news.Done()
+	news := y.router.BeginUpdate(false, false)
+	news.AddEndpoint("late", late.Addr().String(), "z", 0, 1, true, false, time.Time{})
+	news.Commit()
 	leave["a reset"](server) // it may have run
 	knocks(t, late)
 	if _, err := late.Accept(); err != nil { // there is room from now on: the connection comes up when it is asked for again, a second later
@@ -462,12 +462,12 @@
 func TestVerdictPickedUpLate(t *testing.T) {
 	l := listen(t)
 	y := yardOf(t, decide.NotIdempotent, 100, 1, 8*sec, 2*sec, l.Addr().String())
-	flow, err := y.router.Open("", "live", "", "", "", 40*ms, 0)
+	flow, err := y.router.OpenFlow("", "live", "", "", "", 40*ms, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	time.Sleep(50 * ms) // past its time
-	choice, err := flow.Pick(context.Background(), nil)
+	choice, err := flow.AwaitDecision(context.Background(), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -475,7 +475,7 @@
 	defer a.Close()
 	defer b.Close()
 	s := &session{front: y.front, client: transport.NewConn(a), line: strings.TrimSpace(hello), flow: flow, up: make(chan struct{})}
-	if up, o := s.connect(context.Background(), choice.Addr, choice.By); up != "" || o != decide.NeverSent {
+	if up, o := s.connect(context.Background(), choice.Addr, choice.Deadline); up != "" || o != decide.NeverSent {
 		t.Errorf("outcome %v", o)
 	}
 }
--- a/internal/protocol/discovery.go
+++ b/internal/protocol/discovery.go
@@ -71,8 +71,8 @@
 
 func listAt(addr string) string { return "http://" + addr + "/discovery/hosts" }
 
-// Move says that the list is to be had at another address from now on. It tells whether that is news.
-func (d *Discovery) Move(addr string) bool {
+// SetAddress says that the list is to be had at another address from now on. It tells whether that is news.
+func (d *Discovery) SetAddress(addr string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.url == listAt(addr) {
@@ -91,8 +91,8 @@
 	return strings.TrimSuffix(strings.TrimPrefix(d.url, "http://"), "/discovery/hosts"), d.revision.Load()
 }
 
-// GoOn watches from a revision on whose list was taken over; one of another address counts for nothing.
-func (d *Discovery) GoOn(addr string, revision int64) {
+// Resume watches from a revision on whose list was taken over; one of another address counts for nothing.
+func (d *Discovery) Resume(addr string, revision int64) {
 	if here, _ := d.Position(); here == addr {
 		d.revision.Store(revision)
 	}
@@ -106,8 +106,8 @@
 	return d.url
 }
 
-// Known takes the list as this balancer last had it.
-func (d *Discovery) Known(list []byte) error {
+// LoadCached takes the list as this balancer last had it.
+func (d *Discovery) LoadCached(list []byte) error {
 	if len(list) == 0 {
 		return nil
 	}
@@ -138,10 +138,10 @@
 			slog.Warn("server list lost, the last one is kept", "error", fmt.Errorf("discovery at %s: %w", url, err))
 		}
 		d.lost = true
-		d.router.ListLost()
+		d.router.OnWatchLost()
 		select {
 		case <-ctx.Done():
-		case <-d.router.Fetch():
+		case <-d.router.FetchRequests():
 			d.fetch(ctx, url)
 		case <-time.After(wait):
 		}
@@ -198,7 +198,7 @@
 	in := &heard{from: body, blank: func() {
 		first = false
 		d.back()
-		d.router.Heard()
+		d.router.OnDiscoveryContact()
 		alive()
 	}, begun: func() { // its other bytes are no sign of life: an object that trickles on for ever tells nothing
 		d.heard = true
@@ -218,7 +218,7 @@
 			in.begun()
 		}
 		select {
-		case <-d.router.Fetch():
+		case <-d.router.FetchRequests():
 			d.fetch(ctx, at)
 		default:
 		}
@@ -279,7 +279,7 @@
 	}
 	if err != nil {
 		slog.Warn("server list not fetched", "error", fmt.Errorf("discovery at %s: %w", at, err))
-		d.router.ListLost()
+		d.router.OnWatchLost()
 	}
 }
 
--- a/internal/protocol/discovery_test.go
+++ b/internal/protocol/discovery_test.go
@@ -161,7 +161,7 @@
 func tellAfter(t *testing.T, seed uint64, asked bool, before []call) (took time.Duration) {
 	synctest.Test(t, func(t *testing.T) {
 		d := follower(seed, "discovery:80", asked)
-		if err := d.Known([]byte(object(5, true, member("a", "SERVING")))); err != nil {
+		if err := d.LoadCached([]byte(object(5, true, member("a", "SERVING")))); err != nil {
 			t.Fatal(err)
 		}
 		var since instant
@@ -290,7 +290,7 @@
 			if d.silent, d.answer = time.Minute, time.Minute; c.names == errSilent.Error() {
 				d.silent, d.answer = 50*ms, 50*ms
 			}
-			if err := d.Known([]byte(object(5, true, member("a", "SERVING")))); err != nil {
+			if err := d.LoadCached([]byte(object(5, true, member("a", "SERVING")))); err != nil {
 				t.Fatal(err)
 			}
 			defer run(d)()
--- a/internal/protocol/errno_test.go
+++ b/internal/protocol/errno_test.go
@@ -60,7 +60,7 @@
 					})
 				}
 				all.Wait()
-				for _, server := range y.router.Memory().Decided.Servers {
+				for _, server := range y.router.Snapshot().Decisions.Servers {
 					if server.Ejected || server.Silent > 0 {
 						t.Errorf("held against a server: %+v", server)
 					}
--- a/internal/protocol/front.go
+++ b/internal/protocol/front.go
@@ -25,7 +25,7 @@
 	spentKept       = 4096
 	drainStep       = 20 * time.Millisecond
 
-	Parting = "BUSY\r\n" // for who must make room: it was promised nothing and may try again
+	BusyReply = "BUSY\r\n" // for who must make room: it was promised nothing and may try again
 )
 
 var (
@@ -37,8 +37,8 @@
 	errAway    = errors.New("out of service")
 )
 
-// Front serves the clients' connections.
-type Front struct {
+// Frontend serves the clients' connections.
+type Frontend struct {
 	router  *routing.Router
 	dialer  transport.Dialer
 	connect time.Duration // a handshake that takes longer finds nobody
@@ -51,34 +51,34 @@
 	closed atomic.Bool // and what still comes is told to come again
 
 	mu       sync.Mutex
-	pass     func(s Standing, client, server syscall.Conn) bool // to another process; nil: there is none
-	held     int                                                // sessions not yet ended
-	standing []*session                                         // those not yet asked to move
-	ids      map[uint64]struct{}                                // hashes of the ids of all flows not yet ended, and of the last that were
-	spent    []uint64                                           // the latter, a ring
+	pass     func(s EstablishedConnection, client, server syscall.Conn) bool // to another process; nil: there is none
+	held     int                                                             // sessions not yet ended
+	standing []*session                                                      // those not yet asked to move
+	ids      map[uint64]struct{}                                             // hashes of the ids of all flows not yet ended, and of the last that were
+	spent    []uint64                                                        // the latter, a ring
 	oldest   int
 	key      []byte                         // of the hashes: clients choose ids, and must not choose which are alike
 	asks     func(hash uint64) (taken bool) // another process keeps the ids taken since; nil: none does
 }
 
-// NewFront makes one that gives a server so long to come up, and tells clients that are turned away to come again after that long.
-func NewFront(r *routing.Router, connect, again time.Duration) *Front {
-	f := &Front{router: r, connect: connect, again: again, ids: map[uint64]struct{}{}, key: make([]byte, 16)}
+// NewFrontend makes one that gives a server so long to come up, and tells clients that are turned away to come again after that long.
+func NewFrontend(r *routing.Router, connect, again time.Duration) *Frontend {
+	f := &Frontend{router: r, connect: connect, again: again, ids: map[uint64]struct{}{}, key: make([]byte, 16)}
 	_, _ = rand.Read(f.key) // it never fails
 	f.ctx, f.cancel = context.WithCancel(context.Background())
 	return f
 }
 
 // Serve takes one client's connection from its first line to its end.
-func (f *Front) Serve(client *transport.Conn) {
+func (f *Frontend) Serve(client *transport.Conn) {
 	line, err := f.firstLine(client)
 	if err == nil && f.closed.Load() {
 		err = errAway
 	}
-	if err == nil && client.Pending() {
+	if err == nil && client.HasUnread() {
 		err = errSpoke // whoever does not wait for an answer speaks something else
 	}
-	if !client.Claim() {
+	if !client.MarkActive() {
 		return // it was closed to make room
 	}
 	if err != nil {
@@ -91,7 +91,7 @@
 	f.count(-1)
 }
 
-func (f *Front) count(n int) {
+func (f *Frontend) count(n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.held += n
@@ -99,21 +99,21 @@
 
 // turnAway gives who can't be served one line and an end, however much it still sends. One that went without a word
 // has no use for either.
-func (f *Front) turnAway(client *transport.Conn, err error) {
+func (f *Frontend) turnAway(client *transport.Conn, err error) {
 	switch {
 	case errors.Is(err, errNoRoom), errors.Is(err, errAway):
 		f.busy(client)
-	case errors.Is(err, io.EOF) && !client.Pending():
+	case errors.Is(err, io.EOF) && !client.HasUnread():
 		client.Close()
 		return
 	default:
 		_ = writeLine(client, "ERR %v", err) // its client may be gone, here and below
 	}
-	client.Finish()
+	client.CloseGracefully()
 }
 
 // busy tells a client to come again: nothing was done for it.
-func (f *Front) busy(client *transport.Conn) {
+func (f *Frontend) busy(client *transport.Conn) {
 	if f.again > 0 {
 		_ = writeLine(client, "BUSY %d", f.again.Milliseconds())
 	} else {
@@ -122,9 +122,9 @@
 }
 
 // firstLine answers PING until something else comes.
-func (f *Front) firstLine(client *transport.Conn) (string, error) {
-	client.ReadBy(time.Now().Add(firstLineWithin))
-	defer context.AfterFunc(f.ctx, func() { client.ReadBy(time.Unix(1, 0)) })()
+func (f *Frontend) firstLine(client *transport.Conn) (string, error) {
+	client.SetReadDeadline(time.Now().Add(firstLineWithin))
+	defer context.AfterFunc(f.ctx, func() { client.SetReadDeadline(time.Unix(1, 0)) })()
 	for range mostPings {
 		line, err := readLine(client)
 		switch {
@@ -135,7 +135,7 @@
 		case err != nil:
 			return "", err
 		case line != "PING":
-			client.ReadBy(time.Time{})
+			client.SetReadDeadline(time.Time{})
 			return line, nil
 		}
 		answer := "PONG"
@@ -149,9 +149,9 @@
 	return "", errPings
 }
 
-// Begin and end keep the ids of all flows: one that is open is refused the second time, and the first goes on. So is
+// ClaimID and end keep the ids of all flows: one that is open is refused the second time, and the first goes on. So is
 // one that ended of late, as every connection brings a new id: whoever comes with it read it from another client.
-func (f *Front) Begin(id string) bool {
+func (f *Frontend) ClaimID(id string) bool {
 	f.mu.Lock()
 	h, asks := f.hash(id), f.asks
 	free := f.take(h)
@@ -165,13 +165,13 @@
 	return false
 }
 
-func (f *Front) hash(id string) uint64 {
+func (f *Frontend) hash(id string) uint64 {
 	sum := sha256.Sum256(append(f.key[:len(f.key):len(f.key)], id...))
 	return binary.BigEndian.Uint64(sum[:])
 }
 
 // take has an id be taken from now on; the mutex is held.
-func (f *Front) take(h uint64) bool {
+func (f *Frontend) take(h uint64) bool {
 	if _, ok := f.ids[h]; ok {
 		return false
 	}
@@ -179,7 +179,7 @@
 	return true
 }
 
-func (f *Front) end(id string) {
+func (f *Frontend) end(id string) {
 	if id == "" {
 		return // it was another's, or could not be read
 	}
@@ -189,7 +189,7 @@
 }
 
 // spend keeps an id among the last that ended; the mutex is held.
-func (f *Front) spend(h uint64) {
+func (f *Frontend) spend(h uint64) {
 	if len(f.spent) < spentKept {
 		f.spent = append(f.spent, h)
 		return
@@ -199,9 +199,9 @@
 	f.oldest = (f.oldest + 1) % spentKept
 }
 
-// IDs tells which ids are taken, by hashes under a key, for another process that takes them over. From then on that one is
+// ShareIDs tells which ids are taken, by hashes under a key, for another process that takes them over. From then on that one is
 // asked for each new one; nil ends it.
-func (f *Front) IDs(asks func(hash uint64) (taken bool)) (key, ids []byte) {
+func (f *Frontend) ShareIDs(asks func(hash uint64) (taken bool)) (key, ids []byte) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.asks = asks
@@ -211,8 +211,8 @@
 	return f.key, ids
 }
 
-// TakeIDs takes them over, before any client is served: as ids that ended, the longest kept.
-func (f *Front) TakeIDs(key, ids []byte) {
+// ImportIDs takes them over, before any client is served: as ids that ended, the longest kept.
+func (f *Frontend) ImportIDs(key, ids []byte) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.key = key
@@ -223,8 +223,8 @@
 	}
 }
 
-// Claim takes an id for the other process; it tells whether it was taken already.
-func (f *Front) Claim(h uint64) (taken bool) {
+// ClaimHash takes an id for the other process; it tells whether it was taken already.
+func (f *Frontend) ClaimHash(h uint64) (taken bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if !f.take(h) {
@@ -234,35 +234,35 @@
 	return false
 }
 
-// Away says whether the layer before the balancers is to send here: PING is answered no while it is not. Closed says that
+// SetOutOfService says whether the layer before the balancers is to send here: PING is answered no while it is not. Closed says that
 // it had the time to notice, so that whoever comes is told at once to come again.
-func (f *Front) Away(away, closed bool) {
+func (f *Frontend) SetOutOfService(away, closed bool) {
 	f.away.Store(away)
 	f.closed.Store(closed)
 }
 
-// Held is how many clients' connections are served now.
-func (f *Front) Held() int {
+// ConnectionCount is how many clients' connections are served now.
+func (f *Frontend) ConnectionCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.held
 }
 
 // add and drop keep the book of standing connections, which Drain asks to move.
-func (f *Front) add(s *session) {
+func (f *Frontend) add(s *session) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s.place = len(f.standing)
 	f.standing = append(f.standing, s)
 }
 
-func (f *Front) drop(s *session) {
+func (f *Frontend) drop(s *session) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.remove(s)
 }
 
-func (f *Front) remove(s *session) {
+func (f *Frontend) remove(s *session) {
 	if s.place < 0 {
 		return
 	}
@@ -277,7 +277,7 @@
 // on the other balancers and on what all set-ups share. Those that come meanwhile are served and asked in turn; while
 // the layer before the balancers still sends here none is asked, as half of them would come straight back. It returns
 // when the context ends.
-func (f *Front) Drain(ctx context.Context, after, over time.Duration) {
+func (f *Frontend) Drain(ctx context.Context, after, over time.Duration) {
 	select {
 	case <-ctx.Done():
 		return
@@ -301,7 +301,7 @@
 		}
 		f.mu.Unlock()
 		for _, s := range moved {
-			s.flow.Move()
+			s.flow.RequestMigration()
 		}
 		select {
 		case <-ctx.Done():
@@ -312,4 +312,4 @@
 }
 
 // Stop ends what still waits for an answer, with one.
-func (f *Front) Stop() { f.cancel() }
+func (f *Frontend) Stop() { f.cancel() }
--- a/internal/protocol/lines.go
+++ b/internal/protocol/lines.go
@@ -101,14 +101,14 @@
 				return fmt.Errorf("%w: bad d", errBadOpen)
 			}
 		case "h":
-			marks |= routing.MarkHint
+			marks |= routing.FlagLoadHint
 		case "r":
 			if value == "1" {
-				marks |= routing.MarkRepeat
+				marks |= routing.FlagRetry
 			}
 		case "again":
 			if value == "1" {
-				marks |= routing.MarkBack
+				marks |= routing.FlagReturning
 			}
 		}
 	}
--- a/internal/protocol/lines_test.go
+++ b/internal/protocol/lines_test.go
@@ -119,8 +119,8 @@
 		{"one bad entry", []string{one, object(6, true, member("b", "SERVING"), `{"id":7}`)}, false, "at-a", 5},
 		{"an unknown phase", []string{one, object(6, false, member("a", "ASLEEP"))}, false, "at-a", 5},
 		{"no id", []string{one, object(6, true, member("", "SERVING"))}, false, "at-a", 5},
-		{"an id too long", []string{one, object(6, true, member("b", "SERVING"), member(strings.Repeat("x", routing.LongestID+1), "SERVING"))}, false, "at-a", 5},
-		{"the longest id", []string{one, object(6, true, member(strings.Repeat("x", routing.LongestID), "DRAINING"), member("b", "SERVING"))}, true, "at-b", 6},
+		{"an id too long", []string{one, object(6, true, member("b", "SERVING"), member(strings.Repeat("x", routing.MaxIDLength+1), "SERVING"))}, false, "at-a", 5},
+		{"the longest id", []string{one, object(6, true, member(strings.Repeat("x", routing.MaxIDLength), "DRAINING"), member("b", "SERVING"))}, true, "at-b", 6},
 		{"another kind of thing", []string{one, `[1,2]`}, false, "at-a", 5},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -131,11 +131,11 @@
 					t.Errorf("line %d: %v", i, err)
 				}
 			}
-			f, err := r.Open("", "live", "", "", "", sec, 0)
+			f, err := r.OpenFlow("", "live", "", "", "", sec, 0)
 			if err != nil {
 				t.Fatal(err)
 			}
-			got, err := f.Pick(context.Background(), nil)
+			got, err := f.AwaitDecision(context.Background(), nil)
 			if err != nil || got.Addr != c.at || d.revision.Load() != c.index {
 				t.Errorf("goes to %q at revision %d, %v; want %q at %d", got.Addr, d.revision.Load(), err, c.at, c.index)
 			}
@@ -154,14 +154,14 @@
 	defer agent.Close()
 	r := newYard(t, decide.Idempotent, 0).router
 	d := NewDiscovery(r, "", 1, false)
-	if err := d.Known([]byte(object(5, true, member("a", "SERVING")))); err != nil {
+	if err := d.LoadCached([]byte(object(5, true, member("a", "SERVING")))); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := d.watch(t.Context(), agent.URL); err == nil || !strings.Contains(err.Error(), fmt.Sprint(longestList)) {
 		t.Errorf("%v, want it to name the bound of %d bytes", err, longestList)
 	}
 	d.fetch(t.Context(), agent.URL)
-	if _, known := r.Known("b"); known || d.revision.Load() != 5 {
+	if _, known := r.IsDisabled("b"); known || d.revision.Load() != 5 {
 		t.Errorf("some of it counts: b is known %v, revision %d", known, d.revision.Load())
 	}
 }
@@ -311,16 +311,16 @@
 		t.Helper()
 		got := ""
 		for end := time.Now().Add(10 * sec); got != want && time.Now().Before(end); time.Sleep(ms) { // a list was sent, not yet read
-			f, err := y.router.Open("", "live", "", "", "", sec, 0)
+			f, err := y.router.OpenFlow("", "live", "", "", "", sec, 0)
 			if err != nil {
 				t.Fatal(err)
 			}
-			c, err := f.Pick(ctx, nil)
+			c, err := f.AwaitDecision(ctx, nil)
 			if err != nil {
 				t.Fatal(err)
 			}
 			if got = c.Addr; c.Verdict == routing.Connect {
-				f.Report(routing.NeverSent)
+				f.OnEnded(routing.NeverSent)
 			}
 		}
 		if got != want {
@@ -329,14 +329,14 @@
 	}
 	wait(asked, "first stream=1")
 	goesTo("at-a")
-	if d.Move(first) {
+	if d.SetAddress(first) {
 		t.Error("the same address is no news")
 	}
-	d.Move(dumb)
+	d.SetAddress(dumb)
 	wait(asked, "dumb stream=1")
 	wait(ended, "first")
 	goesTo("at-a")
-	d.Move(third)
+	d.SetAddress(third)
 	wait(asked, "third stream=1")
 	wait(ended, "dumb")
 	goesTo("at-b")
--- a/internal/protocol/list.go
+++ b/internal/protocol/list.go
@@ -48,20 +48,20 @@
 	return err
 }
 
-func (d *Discovery) accept(list *routing.Listing, revision float64) {
-	list.Done()
+func (d *Discovery) accept(list *routing.EndpointUpdate, revision float64) {
+	list.Commit()
 	d.revision.Store(int64(revision)) // after it: whoever reads both in between hears the same news twice, not never
 }
 
 // list reads one object, member by member, so that a long one is never in memory as text. Nothing of it counts yet, and if
 // anything in it is wrong nothing of it will. An object may be indented: the end of a line is not its end.
-func (d *Discovery) list(objects *json.Decoder, known bool) (*routing.Listing, float64, error) {
+func (d *Discovery) list(objects *json.Decoder, known bool) (*routing.EndpointUpdate, float64, error) {
 	if opening, err := objects.Token(); err != nil {
 		return nil, 0, err
 	} else if opening != json.Delim('{') {
 		return nil, 0, fmt.Errorf("server list: %w", errNotObject)
 	}
-	list, head := d.router.List(false, known), map[string]any{}
+	list, head := d.router.BeginUpdate(false, known), map[string]any{}
 	var members int
 	var bad error
 	for objects.More() {
@@ -95,7 +95,7 @@
 		return nil, 0, fmt.Errorf("server list: %w", bad)
 	}
 	if whole {
-		list.Whole()
+		list.MarkComplete()
 	}
 	return list, revision, nil
 }
@@ -115,7 +115,7 @@
 
 // readMembers gathers the members of a list. What comes back stands for the list in place of its members: true where there
 // is one. Those past the bound are counted and not kept.
-func readMembers(objects *json.Decoder, list *routing.Listing, count *int, bad *error) (any, error) {
+func readMembers(objects *json.Decoder, list *routing.EndpointUpdate, count *int, bad *error) (any, error) {
 	opening, err := objects.Token()
 	if err != nil {
 		return nil, err
@@ -154,7 +154,7 @@
 }
 
 // gather adds one member to the news.
-func gather(list *routing.Listing, member any) (bad error) {
+func gather(list *routing.EndpointUpdate, member any) (bad error) {
 	m, _ := member.(map[string]any) // a nil map has no fields, and says so
 	phase := value[string](m, "phase", &bad)
 	if phase != "SERVING" && phase != "DRAINING" && phase != "DELETED" && bad == nil {
@@ -168,10 +168,10 @@
 	if id == "" && bad == nil {
 		bad = errors.New("an entry without an id")
 	}
-	if len(id) > routing.LongestID && bad == nil {
-		bad = fmt.Errorf("an id of %d bytes, %d at most", len(id), routing.LongestID)
+	if len(id) > routing.MaxIDLength && bad == nil {
+		bad = fmt.Errorf("an id of %d bytes, %d at most", len(id), routing.MaxIDLength)
 	}
-	list.Server(id, optional(m, "host_port", "", &bad), optional(m, "locality", "", &bad),
+	list.AddEndpoint(id, optional(m, "host_port", "", &bad), optional(m, "locality", "", &bad),
 		int(optional(m, "cell", 0.0, &bad)), optional(m, "size", 1.0, &bad), phase == "SERVING",
 		phase == "DELETED", since)
 	return bad
--- a/internal/protocol/probe.go
+++ b/internal/protocol/probe.go
@@ -13,18 +13,18 @@
 const (
 	probeWithin = 250 * time.Millisecond
 
-	// ProbeDescriptors is how many probes go out at once: each holds one.
-	ProbeDescriptors = 4
+	// HealthCheckDescriptors is how many probes go out at once: each holds one.
+	HealthCheckDescriptors = 4
 )
 
-// Probe asks servers for their load, as the module wants it, until the context ends. A connection may take as long to
+// RunHealthChecks asks servers for their load, as the module wants it, until the context ends. A connection may take as long to
 // come up as any other to a server.
-func Probe(ctx context.Context, r *routing.Router, handshake time.Duration) {
+func RunHealthChecks(ctx context.Context, r *routing.Router, handshake time.Duration) {
 	var all sync.WaitGroup
-	for range ProbeDescriptors {
+	for range HealthCheckDescriptors {
 		all.Go(func() {
 			for {
-				addr, done, err := r.NextProbe(ctx)
+				addr, done, err := r.NextHealthCheck(ctx)
 				if err != nil {
 					return
 				}
@@ -45,7 +45,7 @@
 	if err := writeLine(c, "STATS"); err != nil {
 		return routing.Unreachable, -1
 	}
-	c.ReadBy(end)
+	c.SetReadDeadline(end)
 	line, err := readLine(c)
 	switch {
 	case err != nil && time.Now().After(end):
@@ -55,7 +55,7 @@
 	case word(line) != "PONG":
 		return routing.Error, -1
 	}
-	load, ok := config.Report(line[len("PONG"):])
+	load, ok := config.ParseLoadReport(line[len("PONG"):])
 	if !ok {
 		load = -1
 	}
--- a/internal/protocol/session.go
+++ b/internal/protocol/session.go
@@ -29,11 +29,11 @@
 
 // session is one client's connection; only turn changes its state.
 type session struct {
-	front  *Front
+	front  *Frontend
 	client *transport.Conn
 	server *transport.Conn
 	line   string
-	facts  Facts
+	facts  FlowInfo
 	flow   *routing.Flow
 	state  state
 	place  int // in front.standing; below nought: not there
@@ -48,8 +48,8 @@
 	carried    chan struct{} // closed once it was, or goes on here; guarded by front.mu
 }
 
-// Facts are what is known of a flow apart from its connections.
-type Facts struct {
+// FlowInfo are what is known of a flow apart from its connections.
+type FlowInfo struct {
 	ID       string `json:"id"` // as its client chose it; empty: it was another's
 	Service  string `json:"service"`
 	Customer string `json:"customer,omitempty"`
@@ -99,24 +99,24 @@
 	var server string
 	var wait time.Duration
 	bad := opened(s.line, func(id, key, service, customer, group, at string, w time.Duration, marks int) {
-		if !s.front.Begin(id) {
+		if !s.front.ClaimID(id) {
 			err = errIDTaken
 			return
 		}
-		s.facts = Facts{id, service, customer, key, group}
-		if !s.client.TakeSecond() {
+		s.facts = FlowInfo{id, service, customer, key, group}
+		if !s.client.AcquireServerSlot() {
 			err = errNoRoom
 			return
 		}
 		if wait = w; at != "" {
-			s.flow, server, err = s.front.router.Standing(service, customer, key, group, at)
+			s.flow, server, err = s.front.router.ResumeFlow(service, customer, key, group, at)
 			return
 		}
-		s.flow, err = s.front.router.Open(id, service, customer, key, group, max(w-answerMargin, w/2), marks)
+		s.flow, err = s.front.router.OpenFlow(id, service, customer, key, group, max(w-answerMargin, w/2), marks)
 	})
 	if err = errors.Join(bad, err); err != nil {
 		s.turn(ended)
-		s.client.FreeSecond()
+		s.client.ReleaseServerSlot()
 		s.front.turnAway(s.client, err)
 		return
 	}
@@ -144,7 +144,7 @@
 
 // finish closes the client's side once what was sent last has arrived.
 func (s *session) finish() {
-	s.client.FreeSecond()
+	s.client.ReleaseServerSlot()
 	s.client.Linger()
 	<-s.clientDone
 	s.client.Drain()
@@ -158,37 +158,37 @@
 	for {
 		s.turn(picking)
 		attempt, cancel := context.WithCancelCause(ctx)
-		c, err := s.flow.Pick(attempt, func() { cancel(errTakenBack) })
+		c, err := s.flow.AwaitDecision(attempt, func() { cancel(errTakenBack) })
 		if err != nil { // the client went, its time is over, or this balancer must stop
-			s.flow.Leave()
+			s.flow.Abandon()
 			s.giveUp(ctx)
 			cancel(nil)
 			return
 		}
 		switch c.Verdict {
 		case routing.Reject:
-			if c.After > 0 {
-				s.answer("BUSY %d", c.After.Milliseconds())
+			if c.RetryAfter > 0 {
+				s.answer("BUSY %d", c.RetryAfter.Milliseconds())
 			} else {
 				s.answer("BUSY")
 			}
 		case routing.Abort:
 			s.answer("ERR no answer")
 		default:
-			up, o := s.connect(attempt, c.Addr, c.By)
+			up, o := s.connect(attempt, c.Addr, c.Deadline)
 			if up != "" {
 				cancel(nil)
 				s.stand(up)
 				return
 			}
 			if base := context.Cause(ctx); base != nil && !errors.Is(base, context.DeadlineExceeded) {
-				s.flow.Left()
-				s.flow.Report(o)
+				s.flow.OnClientLeft()
+				s.flow.OnEnded(o)
 				s.giveUp(ctx)
 				cancel(nil)
 				return
 			}
-			s.flow.Report(o)
+			s.flow.OnEnded(o)
 			cancel(nil)
 			continue
 		}
@@ -204,7 +204,7 @@
 	ctx, cancel := context.WithDeadline(ctx, by)
 	defer cancel()
 	server, err := s.front.dialer.Dial(ctx, addr, s.front.connect, func() bool { return s.meant(ctx) })
-	if errors.Is(err, transport.ErrOwnLack) || errors.Is(err, transport.ErrUnwanted) || err != nil && ctx.Err() != nil {
+	if errors.Is(err, transport.ErrLocalResources) || errors.Is(err, transport.ErrNoLongerWanted) || err != nil && ctx.Err() != nil {
 		return "", routing.NeverSent // our own lack, nobody who wants it, or too little time left: no fault of the server's
 	}
 	if err != nil {
@@ -216,11 +216,11 @@
 	}
 	end, _ := ctx.Deadline()
 	if err := writeLine(server, "%s", withWait(s.line, time.Until(end))); err != nil {
-		server.Break()
+		server.Reset()
 		return "", routing.Unreachable // the last byte wasn't written
 	}
 	s.turn(asking)
-	stop := context.AfterFunc(ctx, func() { server.ReadBy(time.Unix(1, 0)) })
+	stop := context.AfterFunc(ctx, func() { server.SetReadDeadline(time.Unix(1, 0)) })
 	reply, err := readLine(server)
 	if !stop() || err != nil && ctx.Err() != nil {
 		server.Close()
@@ -241,10 +241,10 @@
 // the client may have gone, in an instant after which nothing here ran but this, the time may be over, and the server may have been told to
 // drain.
 func (s *session) meant(ctx context.Context) bool {
-	if !s.client.Quiet() {
+	if !s.client.IsIdle() {
 		<-ctx.Done() // fromClient is about to say why
 	}
-	return ctx.Err() == nil && s.flow.Wanted()
+	return ctx.Err() == nil && s.flow.StillAllowed()
 }
 
 // notUp is what a server's first words other than UP mean.
@@ -290,19 +290,19 @@
 
 // stand passes the receipt on; from here on the connection belongs to the server.
 func (s *session) stand(up string) {
-	s.flow.Up()
+	s.flow.OnEstablished()
 	s.answered.Store(true)
 	if err := writeLine(s.client, "%s", up); err != nil {
 		s.clientEnd.Store(true) // the relay finds it broken
 	}
 	s.turn(standing)
-	s.flow.OnMove(s.server.Stop)
+	s.flow.OnMigrate(s.server.Stop)
 }
 
 // fromClient reads the client's side: before the connection stands only to notice that the client went.
 func (s *session) fromClient(gone context.CancelCauseFunc) {
 	defer close(s.clientDone)
-	if err := s.client.Await(); errors.Is(err, transport.ErrParked) {
+	if err := s.client.WaitReadable(); errors.Is(err, transport.ErrParked) {
 		s.parked = true
 		return
 	} else if err != nil {
@@ -321,7 +321,7 @@
 	if s.server == nil {
 		return
 	}
-	err := transport.Relay(s.server, s.client, func([]byte) { s.flow.Asked() })
+	err := transport.Relay(s.server, s.client, func([]byte) { s.flow.OnRequest() })
 	if s.parked = errors.Is(err, transport.ErrParked); !s.parked {
 		s.passEnd(err)
 	}
@@ -335,14 +335,14 @@
 		s.deaf.Store(true)
 		s.server.Stop() // it takes no lines: the client is asked to come again
 	case errors.As(err, &side) && side.Written:
-		s.server.ReadBy(time.Now().Add(endWithin)) // it ended; what it sent last is still to be read
+		s.server.SetReadDeadline(time.Now().Add(endWithin)) // it ended; what it sent last is still to be read
 	case errors.Is(err, io.EOF):
 		s.clientEnd.Store(true)
 		s.server.CloseWrite()
-		s.server.ReadBy(time.Now().Add(endWithin))
+		s.server.SetReadDeadline(time.Now().Add(endWithin))
 	default:
 		s.clientEnd.Store(true)
-		s.server.Break()
+		s.server.Reset()
 	}
 }
 
@@ -355,12 +355,12 @@
 	seen := func(line []byte) {
 		var rest string
 		if last, rest, _ = strings.Cut(string(line), " "); last != "LOAD" {
-			s.flow.Replied()
+			s.flow.OnReply()
 			if last == "BYE" || last == "MOVE" {
-				s.server.ReadBy(time.Now().Add(endWithin)) // its last word, whether or not an end follows
+				s.server.SetReadDeadline(time.Now().Add(endWithin)) // its last word, whether or not an end follows
 			}
 		} else if x, err := strconv.ParseFloat(rest, 64); err == nil && x >= 0 {
-			s.flow.Told(x)
+			s.flow.OnServerMetric(x)
 		}
 	}
 	err := transport.Relay(s.client, s.server, seen)
@@ -379,7 +379,7 @@
 			o = routing.Reset
 		}
 	case s.clientEnd.Load():
-	case errors.As(err, &side) && side.Written, errors.Is(err, transport.ErrTorn):
+	case errors.As(err, &side) && side.Written, errors.Is(err, transport.ErrMidLine):
 		broken = true
 	case last == "BYE":
 		o = routing.OK
@@ -394,10 +394,10 @@
 	}
 	slog.Debug("relay ended", "error", err, "last", last, "client ended", s.clientEnd.Load())
 	s.turn(ended)
-	s.flow.Report(o)
+	s.flow.OnEnded(o)
 	if broken {
-		s.server.Break() // first: the descriptors of both are the client's to give back
-		s.client.Break()
+		s.server.Reset() // first: the descriptors of both are the client's to give back
+		s.client.Reset()
 		<-s.clientDone
 		return
 	}
--- a/internal/protocol/session_test.go
+++ b/internal/protocol/session_test.go
@@ -22,9 +22,9 @@
 type yard struct {
 	t      *testing.T
 	router *routing.Router
-	front  *Front
+	front  *Frontend
 	addr   string
-	room   *transport.Room
+	room   *transport.DescriptorBudget
 	opened int
 	serve  func() // begins to accept
 	stop   func()
@@ -40,7 +40,7 @@
 // yardOf is a balancer that does not accept yet, one of some, which gives servers a time to come up and has a window for repeats.
 func yardOf(t *testing.T, effect decide.Effect, descriptors, balancers int, connect, window time.Duration, servers ...string) *yard {
 	t.Helper()
-	y := &yard{t: t, room: transport.NewRoom(descriptors, Parting)}
+	y := &yard{t: t, room: transport.NewDescriptorBudget(descriptors, BusyReply)}
 	y.router = routing.New(1, 80*ms, true, true, nil,
 		func(b *decide.Balancer) (map[string]decide.ServiceID, map[string]decide.CustomerID) {
 			b.ConfigureFlows(3, 700*ms)
@@ -50,12 +50,12 @@
 			b.ConfigureEndpoints("z", false, 10*sec, 240*ms)
 			return map[string]decide.ServiceID{"live": 0}, nil
 		})
-	l := y.router.List(true, false)
+	l := y.router.BeginUpdate(true, false)
 	for i, s := range servers {
-		l.Server(fmt.Sprint("s", i), s, "z", 0, 1, true, false, time.Time{})
+		l.AddEndpoint(fmt.Sprint("s", i), s, "z", 0, 1, true, false, time.Time{})
 	}
-	l.Done()
-	y.front = NewFront(y.router, connect, 700*ms)
+	l.Commit()
+	y.front = NewFrontend(y.router, connect, 700*ms)
 	listener := listen(t)
 	y.addr = listener.Addr().String()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -69,7 +69,7 @@
 		case <-ctx.Done():
 			return
 		}
-		_ = transport.Listen(ctx, transport.NewGate(listener.(*net.TCPListener)), y.room, y.front.Serve)
+		_ = transport.Serve(ctx, transport.NewPausableListener(listener.(*net.TCPListener)), y.room, y.front.Serve)
 	}()
 	go func() {
 		for y.router.Tick(ctx) == nil {
@@ -349,7 +349,7 @@
 	}
 	t.Cleanup(func() {
 		y.stop()
-		if left := y.room.Left(); left != 100 {
+		if left := y.room.Free(); left != 100 {
 			t.Errorf("%d descriptors of 100 were given back", left)
 		}
 	})
@@ -391,12 +391,12 @@
 	up(t, y, l)
 	for i := range spentKept { // what is kept of old ids is bounded
 		id := fmt.Sprint("x", i)
-		if !y.front.Begin(id) {
+		if !y.front.ClaimID(id) {
 			t.Fatalf("%s is taken", id)
 		}
 		y.front.end(id)
 	}
-	if n := len(y.front.ids); n > spentKept+1 || !y.front.Begin("1a") || y.front.Begin("x9") {
+	if n := len(y.front.ids); n > spentKept+1 || !y.front.ClaimID("1a") || y.front.ClaimID("x9") {
 		t.Errorf("%d ids are kept, or not the last", n)
 	}
 }
@@ -502,7 +502,7 @@
 			}
 			other.Close()
 			y.stop()
-			if left := y.room.Left(); left != 100 {
+			if left := y.room.Free(); left != 100 {
 				t.Errorf("%d descriptors of 100 were given back", left)
 			}
 			if took := time.Since(start); took > sec {
@@ -548,9 +548,9 @@
 func TestStanding(t *testing.T) {
 	a, b := listen(t), listen(t)
 	y := newYard(t, decide.NotIdempotent, 100, a.Addr().String(), b.Addr().String())
-	news := y.router.List(false, false)
-	news.Server("s1", b.Addr().String(), "z", 0, 1, false, false, time.Time{}) // draining: what stands is nothing new
-	news.Done()
+	news := y.router.BeginUpdate(false, false)
+	news.AddEndpoint("s1", b.Addr().String(), "z", 0, 1, false, false, time.Time{}) // draining: what stands is nothing new
+	news.Commit()
 	client := y.client("OPEN 1 2 c=live,d=900000,at=s1\r\n")
 	server, line := accept(t, b)
 	if !strings.HasSuffix(line, ",at=s1") {
--- a/internal/protocol/starts_test.go
+++ b/internal/protocol/starts_test.go
@@ -49,20 +49,20 @@
 				}
 			}
 			first := time.Now().Add(step)
-			before := d.router.Memory().Decided.Now
+			before := d.router.Snapshot().Decisions.Now
 			tell(true, member("a", "SERVING"))
 			tell(false, startedAt("b", first))
 			started := since(t, d.router, "b")
-			if now := d.router.Memory().Decided.Now; started < before || started > now {
+			if now := d.router.Snapshot().Decisions.Now; started < before || started > now {
 				t.Errorf("a start told between %v and %v is taken for one at %v", before, now, started)
 			}
-			before = d.router.Memory().Decided.Now
+			before = d.router.Snapshot().Decisions.Now
 			tell(true, member("a", "SERVING"), startedAt("b", first))
 			if got := since(t, d.router, "b"); got != started {
 				t.Errorf("told again, the start at %v is taken for another at %v", started, got)
 			}
 			successor := follower(1, "", false)
-			successor.router.Remember(d.router.Memory())
+			successor.router.Restore(d.router.Snapshot())
 			if err := successor.take([]byte(object(1, true, member("a", "SERVING"), startedAt("b", first))), false); err != nil {
 				t.Fatal(err)
 			}
@@ -80,10 +80,10 @@
 // since is when a server started, by the router's clock.
 func since(t *testing.T, r *routing.Router, name string) time.Duration {
 	t.Helper()
-	memory := r.Memory()
+	memory := r.Snapshot()
 	for i, server := range memory.Servers {
 		if server.Name == name {
-			return memory.Decided.Servers[i].Since
+			return memory.Decisions.Servers[i].Since
 		}
 	}
 	t.Fatalf("%s is not known", name)
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -42,8 +42,8 @@
 	syscall.EADDRINUSE, syscall.EADDRNOTAVAIL, syscall.ENETDOWN, syscall.ENETUNREACH,
 }
 
-// Passing tells whether an error may be gone a moment later.
-func Passing(err error) bool {
+// IsTransient tells whether an error may be gone a moment later.
+func IsTransient(err error) bool {
 	for _, one := range passing {
 		if errors.Is(err, one) {
 			return true
@@ -57,7 +57,7 @@
 func Do(ctx context.Context, waits Backoff, before func(error), attempt func() error) error {
 	for first := true; ; first = false {
 		err := attempt()
-		if err == nil || !Passing(err) {
+		if err == nil || !IsTransient(err) {
 			return err
 		}
 		if first {
--- a/internal/routing/delay.go
+++ b/internal/routing/delay.go
@@ -96,9 +96,9 @@
 	return s.point != 0 && gap < pointKept && (gap+beatWithin)%noteEvery <= 2*beatWithin
 }
 
-// Told takes a figure that the server sent among its lines: the connection's load, or the delay of a message at the
+// OnServerMetric takes a figure that the server sent among its lines: the connection's load, or the delay of a message at the
 // server. Only where servers tell both is it to be found out which.
-func (f *Flow) Told(amount float64) {
+func (f *Flow) OnServerMetric(amount float64) {
 	now := f.r.enter()
 	r, s := f.r, f.server
 	defer r.mu.Unlock()
--- a/internal/routing/explain.go
+++ b/internal/routing/explain.go
@@ -8,23 +8,23 @@
 
 // ServerState is what is told of one server to whoever asks.
 type ServerState struct {
-	Name  string `json:"name"`
-	Addr  string `json:"addr"`
-	Ready bool   `json:"ready"`
-	Out   bool   `json:"out_by_hand,omitempty"`
-	Flows int    `json:"flows"`
+	Name     string `json:"name"`
+	Addr     string `json:"addr"`
+	Ready    bool   `json:"ready"`
+	Disabled bool   `json:"out_by_hand,omitempty"`
+	Flows    int    `json:"flows"`
 }
 
 // State is what the balancer holds: servers, flows, and what the deciders round the module say of themselves.
 type State struct {
-	Phase     string         `json:"phase"`
-	Processes string         `json:"processes,omitempty"` // of this balancer beside this one
-	Folder    string         `json:"folder,omitempty"`    // what is amiss with the folder of the processes
-	Running   float64        `json:"running_s"`
-	Flows     int            `json:"flows"`
-	Servers   []ServerState  `json:"servers"`
-	Deciders  map[string]any `json:"deciders,omitempty"`
-	Acted     map[string]int `json:"bounds_acted,omitempty"` // by decider and reason, how often
+	Phase         string         `json:"phase"`
+	Processes     string         `json:"processes,omitempty"` // of this balancer beside this one
+	StoreFault    string         `json:"folder,omitempty"`    // what is amiss with the folder of the processes
+	Running       float64        `json:"running_s"`
+	Flows         int            `json:"flows"`
+	Servers       []ServerState  `json:"servers"`
+	Constraints   map[string]any `json:"deciders,omitempty"`
+	Interventions map[string]int `json:"bounds_acted,omitempty"` // by decider and reason, how often
 }
 
 // State tells what it holds now.
@@ -42,13 +42,13 @@
 		s.Servers = append(s.Servers, ServerState{x.name, x.addr, x.ready(), x.byHand, held[x]})
 	}
 	if r.host != nil {
-		s.Deciders, s.Acted = r.host.States(), r.host.Interventions()
+		s.Constraints, s.Interventions = r.host.States(), r.host.Interventions()
 	}
 	return s
 }
 
-// Why tells why a flow went where it did, by the id that its client gave; false where that is not known (any more).
-func (r *Router) Why(name string) (constraints.Explanation, bool) {
+// Explain tells why a flow went where it did, by the id that its client gave; false where that is not known (any more).
+func (r *Router) Explain(name string) (constraints.Explanation, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.host == nil {
@@ -68,8 +68,8 @@
 	return n, ok
 }
 
-// Tell runs something while no decision is made: what changes a decider's terms.
-func (r *Router) Tell(do func()) {
+// WithLock runs something while no decision is made: what changes a decider's terms.
+func (r *Router) WithLock(do func()) {
 	r.enter()
 	defer r.mu.Unlock()
 	do()
--- a/internal/routing/flow.go
+++ b/internal/routing/flow.go
@@ -17,20 +17,20 @@
 	Abort           // nothing is promised
 )
 
-// Choice is a verdict with what goes with it: where to connect and until when, or when to come again. It is a point in time, as the verdict
+// Decision is a verdict with what goes with it: where to connect and until when, or when to come again. It is a point in time, as the verdict
 // may be picked up late.
-type Choice struct {
-	Verdict Verdict
-	Addr    string
-	By      time.Time
-	After   time.Duration
+type Decision struct {
+	Verdict    Verdict
+	Addr       string
+	Deadline   time.Time
+	RetryAfter time.Duration
 }
 
 // Flow is one client's connection as the network code holds it.
 type Flow struct {
 	r      *Router
 	id     decide.FlowID
-	choice chan Choice // the verdict not yet picked up; the module gives one at a time
+	choice chan Decision // the verdict not yet picked up; the module gives one at a time
 	server *server
 	sentAt time.Duration
 	hold   func() // a standing connection's first report
@@ -47,15 +47,15 @@
 	place int     // in server.up
 }
 
-func (f *Flow) decided(c Choice) {
+func (f *Flow) decided(c Decision) {
 	select {
 	case f.choice <- c:
 	default: // the flow was given up before it picked the last one up
 	}
 }
 
-// Pick waits for the verdict. cancel is called if the module takes the connect back.
-func (f *Flow) Pick(ctx context.Context, cancel func()) (Choice, error) {
+// AwaitDecision waits for the verdict. cancel is called if the module takes the connect back.
+func (f *Flow) AwaitDecision(ctx context.Context, cancel func()) (Decision, error) {
 	select {
 	case c := <-f.choice: // before the context: at the very end both are there, and the answer is still owed
 		return f.picked(c, cancel), nil
@@ -63,33 +63,33 @@
 	}
 	select {
 	case <-ctx.Done():
-		return Choice{}, ctx.Err()
+		return Decision{}, ctx.Err()
 	case c := <-f.choice:
 		return f.picked(c, cancel), nil
 	}
 }
 
-func (f *Flow) picked(c Choice, cancel func()) Choice {
+func (f *Flow) picked(c Decision, cancel func()) Decision {
 	f.r.mu.Lock()
 	defer f.r.mu.Unlock()
 	f.cancel = cancel
 	if c.Verdict != Connect {
-		slog.Debug("answered", "flow", f.id, "verdict", int(c.Verdict), "after", c.After)
+		slog.Debug("answered", "flow", f.id, "verdict", int(c.Verdict), "after", c.RetryAfter)
 		delete(f.r.flows, f.id)
 	}
 	return c
 }
 
-// Wanted tells, just before the first byte, whether the server still takes flows: it may have been told to drain
+// StillAllowed tells, just before the first byte, whether the server still takes flows: it may have been told to drain
 // while the connection came up. One that was open there before the start is nothing new.
-func (f *Flow) Wanted() bool {
+func (f *Flow) StillAllowed() bool {
 	f.r.mu.Lock()
 	defer f.r.mu.Unlock()
 	return f.server.ready() || f.hold != nil
 }
 
-// Up reports that the connection stands.
-func (f *Flow) Up() {
+// OnEstablished reports that the connection stands.
+func (f *Flow) OnEstablished() {
 	now := f.r.enter()
 	defer f.r.mu.Unlock()
 	f.over, f.up, f.heard = true, true, now
@@ -102,8 +102,8 @@
 	f.r.b.OnEstablished(f.id, now-f.sentAt)
 }
 
-// Report tells how the connect or the connection ended. Unless the client has its answer, the next verdict follows.
-func (f *Flow) Report(o Outcome) {
+// OnEnded tells how the connect or the connection ended. Unless the client has its answer, the next verdict follows.
+func (f *Flow) OnEnded(o Outcome) {
 	now := f.r.enter()
 	defer f.r.mu.Unlock()
 	slog.Debug("ended", "flow", f.id, "server", f.server.name, "outcome", int(o), "stood", f.up, "took", now-f.sentAt)
@@ -122,8 +122,8 @@
 	}
 }
 
-// Leave says that the client went, or that its time is over, before any verdict was picked up.
-func (f *Flow) Leave() {
+// Abandon says that the client went, or that its time is over, before any verdict was picked up.
+func (f *Flow) Abandon() {
 	f.r.enter()
 	defer f.r.mu.Unlock()
 	f.r.b.OnClientLeft(f.id)
@@ -137,16 +137,16 @@
 	delete(f.r.flows, f.id)
 }
 
-// Left says the same while a connect is out, whose end is still to be reported.
-func (f *Flow) Left() {
+// OnClientLeft says the same while a connect is out, whose end is still to be reported.
+func (f *Flow) OnClientLeft() {
 	f.r.enter()
 	defer f.r.mu.Unlock()
 	f.over = true
 	f.r.b.OnClientLeft(f.id)
 }
 
-// OnMove sets what asks the client to come again elsewhere; at once, if that has been decided already.
-func (f *Flow) OnMove(do func()) {
+// OnMigrate sets what asks the client to come again elsewhere; at once, if that has been decided already.
+func (f *Flow) OnMigrate(do func()) {
 	f.r.mu.Lock()
 	f.onMove = do
 	already := f.moving
@@ -163,8 +163,8 @@
 	return f.server.name, f.moving
 }
 
-// Move asks for it from outside, as when this balancer stops.
-func (f *Flow) Move() {
+// RequestMigration asks for it from outside, as when this balancer stops.
+func (f *Flow) RequestMigration() {
 	f.r.mu.Lock()
 	defer f.r.mu.Unlock()
 	f.move()
--- a/internal/routing/late.go
+++ b/internal/routing/late.go
@@ -83,8 +83,8 @@
 	}
 }
 
-// Asked notes that a line goes to the server; the oldest unanswered one counts.
-func (f *Flow) Asked() {
+// OnRequest notes that a line goes to the server; the oldest unanswered one counts.
+func (f *Flow) OnRequest() {
 	f.r.mu.Lock()
 	defer f.r.mu.Unlock()
 	f.heard = time.Since(f.r.start)
@@ -100,8 +100,8 @@
 	}
 }
 
-// Replied notes that a line came back.
-func (f *Flow) Replied() {
+// OnReply notes that a line came back.
+func (f *Flow) OnReply() {
 	f.r.mu.Lock()
 	defer f.r.mu.Unlock()
 	if f.asked == 0 {
--- a/internal/routing/late_test.go
+++ b/internal/routing/late_test.go
@@ -83,19 +83,19 @@
 		for range rapid.IntRange(1, 200).Draw(rt, "events") {
 			switch event := rapid.IntRange(0, 9).Draw(rt, "event"); {
 			case event == 0 || len(up) == 0:
-				f, err := r.Adopt("live", "", "", rapid.SampledFrom([]string{"", "g", "h"}).Draw(rt, "group"), rapid.SampledFrom(names).Draw(rt, "server"))
+				f, err := r.AdoptFlow("live", "", "", rapid.SampledFrom([]string{"", "g", "h"}).Draw(rt, "group"), rapid.SampledFrom(names).Draw(rt, "server"))
 				if err != nil {
 					rt.Fatal(err)
 				}
 				up = append(up, f)
 			case event <= 3:
-				rapid.SampledFrom(up).Draw(rt, "asks").Asked()
+				rapid.SampledFrom(up).Draw(rt, "asks").OnRequest()
 			case event <= 5:
-				rapid.SampledFrom(up).Draw(rt, "hears").Replied()
+				rapid.SampledFrom(up).Draw(rt, "hears").OnReply()
 			case event == 6:
 				i := rapid.IntRange(0, len(up)-1).Draw(rt, "ends")
-				up[i].Report(Cancelled)
-				up[i].Asked() // a last line may cross its end
+				up[i].OnEnded(Cancelled)
+				up[i].OnRequest() // a last line may cross its end
 				up = slices.Delete(up, i, i+1)
 			default:
 				passes := rapid.SampledFrom([]time.Duration{10 * ms, 90 * ms, 250 * ms, 990 * ms, 3 * sec, 20 * sec}).Draw(rt, "passes")
--- a/internal/routing/list.go
+++ b/internal/routing/list.go
@@ -8,8 +8,8 @@
 	"yardwinch/decide"
 )
 
-// Listing gathers news of the server list; nothing of it counts before Done.
-type Listing struct {
+// EndpointUpdate gathers news of the server list; nothing of it counts before Done.
+type EndpointUpdate struct {
 	r       *Router
 	kind    decide.UpdateKind
 	entries []entry
@@ -26,9 +26,9 @@
 	since      time.Time // the zero time: long ago
 }
 
-// List opens news: the whole list, or the entries that changed. Known is the list as last held before this start.
-func (r *Router) List(whole, known bool) *Listing {
-	l := &Listing{r: r, kind: decide.DeltaUpdate, zones: map[string]string{}}
+// BeginUpdate opens news: the whole list, or the entries that changed. Known is the list as last held before this start.
+func (r *Router) BeginUpdate(whole, known bool) *EndpointUpdate {
+	l := &EndpointUpdate{r: r, kind: decide.DeltaUpdate, zones: map[string]string{}}
 	if known {
 		l.kind = decide.CachedUpdate
 	} else if whole {
@@ -37,15 +37,15 @@
 	return l
 }
 
-// Whole says that the news are the whole list, for whoever knows it only once all entries are there.
-func (l *Listing) Whole() {
+// MarkComplete says that the news are the whole list, for whoever knows it only once all entries are there.
+func (l *EndpointUpdate) MarkComplete() {
 	if l.kind == decide.DeltaUpdate {
 		l.kind = decide.FullUpdate
 	}
 }
 
-// Server adds an entry: where it is reached from here, and since when it runs (the zero time: long ago).
-func (l *Listing) Server(name, addr, zone string, cell int, size float64, ready, gone bool, since time.Time) {
+// AddEndpoint adds an entry: where it is reached from here, and since when it runs (the zero time: long ago).
+func (l *EndpointUpdate) AddEndpoint(name, addr, zone string, cell int, size float64, ready, gone bool, since time.Time) {
 	state := decide.Draining
 	if gone {
 		state = decide.Gone
@@ -60,8 +60,8 @@
 	l.entries = append(l.entries, entry{name, addr, decide.Zone(shared), decide.CellID(cell), size, state, since})
 }
 
-// Done hands the news to the module.
-func (l *Listing) Done() {
+// Commit hands the news to the module.
+func (l *EndpointUpdate) Commit() {
 	r := l.r
 	r.enter()
 	defer r.mu.Unlock()
@@ -110,8 +110,8 @@
 	s.startTold, s.started = told, min(at, now)
 }
 
-// Heard notes a sign of life of discovery: by now all that changed has been told.
-func (r *Router) Heard() {
+// OnDiscoveryContact notes a sign of life of discovery: by now all that changed has been told.
+func (r *Router) OnDiscoveryContact() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.heard = time.Since(r.start)
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -33,15 +33,15 @@
 
 // Marks of a flow as it arrives.
 const (
-	MarkHint   = decide.FlagLoadHint
-	MarkRepeat = decide.FlagRetry
-	MarkBack   = decide.FlagReturning
+	FlagLoadHint  = decide.FlagLoadHint
+	FlagRetry     = decide.FlagRetry
+	FlagReturning = decide.FlagReturning
 )
 
 var ErrUnknownService = errors.New("unknown service type")
 
-// LongestID is how many bytes a server's id may have. Who told it names the bound.
-const LongestID = 4 << 10
+// MaxIDLength is how many bytes a server's id may have. Who told it names the bound.
+const MaxIDLength = 4 << 10
 
 // Router keeps the one instance of the module that a balancer has. The mutex guards all of it and the module, and
 // is never held over I/O.
@@ -130,8 +130,8 @@
 	return now
 }
 
-// Number is the id that a server's name comes to at every balancer, unless another name has it there already.
-func Number(name string) decide.ServerID {
+// ServerID is the id that a server's name comes to at every balancer, unless another name has it there already.
+func ServerID(name string) decide.ServerID {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(name)) // a hash takes all
 	return decide.ServerID(h.Sum32())
@@ -143,7 +143,7 @@
 	if id, ok := r.numbers[name]; ok {
 		return id
 	}
-	id := Number(name)
+	id := ServerID(name)
 	for r.servers[id] != nil {
 		id++
 	}
@@ -199,8 +199,8 @@
 	return x
 }
 
-// Listed tells whether any list was taken so far.
-func (r *Router) Listed() bool {
+// HasEndpoints tells whether any list was taken so far.
+func (r *Router) HasEndpoints() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.listed
@@ -209,8 +209,8 @@
 // ErrUnknownServer says that no list ever named a server.
 var ErrUnknownServer = errors.New("no list has named this server")
 
-// ByHand takes a server out by hand, or gives it back. It is in force on return, also for connects coming up.
-func (r *Router) ByHand(name string, out bool) error {
+// SetDisabled takes a server out by hand, or gives it back. It is in force on return, also for connects coming up.
+func (r *Router) SetDisabled(name string, out bool) error {
 	r.enter()
 	defer r.mu.Unlock()
 	id, ok := r.numbers[name]
@@ -225,18 +225,18 @@
 	return nil
 }
 
-// ListLost says that the watch broke; the module may want it again at a time of its own.
-func (r *Router) ListLost() {
+// OnWatchLost says that the watch broke; the module may want it again at a time of its own.
+func (r *Router) OnWatchLost() {
 	r.enter()
 	defer r.mu.Unlock()
 	r.b.BeginEndpoints(decide.FailedUpdate)
 }
 
-// Fetch signals that the module wants the list brought once as a whole.
-func (r *Router) Fetch() <-chan struct{} { return r.fetch }
+// FetchRequests signals that the module wants the list brought once as a whole.
+func (r *Router) FetchRequests() <-chan struct{} { return r.fetch }
 
-// NextProbe waits for a server that the module wants probed. The load it told is below nought where none came.
-func (r *Router) NextProbe(ctx context.Context) (string, func(o Outcome, load float64), error) {
+// NextHealthCheck waits for a server that the module wants probed. The load it told is below nought where none came.
+func (r *Router) NextHealthCheck(ctx context.Context) (string, func(o Outcome, load float64), error) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -274,15 +274,15 @@
 	return id, addr, ok
 }
 
-// Probing has somebody else say, with the router locked and before each probe, whether this balancer is to ask a server.
-func (r *Router) Probing(may func(s decide.ServerID, now time.Duration) bool) {
+// SetHealthCheckFilter has somebody else say, with the router locked and before each probe, whether this balancer is to ask a server.
+func (r *Router) SetHealthCheckFilter(may func(s decide.ServerID, now time.Duration) bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.mayProbe = may
 }
 
-// Reported takes a server's word on its load that another balancer was told.
-func (r *Router) Reported(s decide.ServerID, load float64) { r.b.OnLoadReport(s, load) }
+// OnLoadReport takes a server's word on its load that another balancer was told.
+func (r *Router) OnLoadReport(s decide.ServerID, load float64) { r.b.OnLoadReport(s, load) }
 
 // Now is the router's time, for those that Tell runs.
 func (r *Router) Now() time.Duration { return time.Since(r.start) }
@@ -294,7 +294,7 @@
 	if f := a.r.flows[id]; f != nil {
 		f.sentAt = time.Since(a.r.start)
 		f.server = a.r.servers[s]
-		f.decided(Choice{Verdict: Connect, Addr: f.server.addr, By: a.r.start.Add(f.sentAt + limit)})
+		f.decided(Decision{Verdict: Connect, Addr: f.server.addr, Deadline: a.r.start.Add(f.sentAt + limit)})
 	}
 }
 func (a actions) Cancel(id decide.FlowID, _ int) {
@@ -304,12 +304,12 @@
 }
 func (a actions) Reject(id decide.FlowID, after time.Duration) {
 	if f := a.r.flows[id]; f != nil {
-		f.decided(Choice{Verdict: Reject, After: after})
+		f.decided(Decision{Verdict: Reject, RetryAfter: after})
 	}
 }
 func (a actions) Abort(id decide.FlowID) {
 	if f := a.r.flows[id]; f != nil {
-		f.decided(Choice{Verdict: Abort})
+		f.decided(Decision{Verdict: Abort})
 	}
 }
 func (a actions) Migrate(id decide.FlowID) {
@@ -350,8 +350,8 @@
 	}
 }
 
-// Open takes a new flow that its client gives up after left; name is what the client calls it.
-func (r *Router) Open(name, service, customer, key, group string, left time.Duration, marks int) (*Flow, error) {
+// OpenFlow takes a new flow that its client gives up after left; name is what the client calls it.
+func (r *Router) OpenFlow(name, service, customer, key, group string, left time.Duration, marks int) (*Flow, error) {
 	f, s, c, err := r.newFlow(service, customer)
 	if err != nil {
 		return nil, err
@@ -366,8 +366,8 @@
 	return f, nil
 }
 
-// Standing takes over a connection that was open at a server before this start, and tells where that is.
-func (r *Router) Standing(service, customer, key, group, name string) (*Flow, string, error) {
+// ResumeFlow takes over a connection that was open at a server before this start, and tells where that is.
+func (r *Router) ResumeFlow(service, customer, key, group, name string) (*Flow, string, error) {
 	f, s, c, err := r.newFlow(service, customer)
 	if err != nil {
 		return nil, "", err
@@ -386,11 +386,11 @@
 	return f, f.server.addr, nil
 }
 
-// Adopt takes over a connection that stands at a server, from another process.
-func (r *Router) Adopt(service, customer, key, group, name string) (*Flow, error) {
-	f, _, err := r.Standing(service, customer, key, group, name)
+// AdoptFlow takes over a connection that stands at a server, from another process.
+func (r *Router) AdoptFlow(service, customer, key, group, name string) (*Flow, error) {
+	f, _, err := r.ResumeFlow(service, customer, key, group, name)
 	if err == nil {
-		f.Up()
+		f.OnEstablished()
 	}
 	return f, err
 }
@@ -407,5 +407,5 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.lastFlow++ // clients choose their ids: two alike must not meet in the module
-	return &Flow{r: r, id: decide.FlowID(strconv.FormatInt(r.lastFlow, 10)), choice: make(chan Choice, 1)}, s, c, nil
+	return &Flow{r: r, id: decide.FlowID(strconv.FormatInt(r.lastFlow, 10)), choice: make(chan Decision, 1)}, s, c, nil
 }
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -27,27 +27,27 @@
 }
 
 func list(r *Router, ready bool, servers ...string) {
-	l := r.List(ready, false)
+	l := r.BeginUpdate(ready, false)
 	for _, s := range servers {
-		l.Server(s, "at-"+s, "z", 0, 1, ready, false, time.Time{})
+		l.AddEndpoint(s, "at-"+s, "z", 0, 1, ready, false, time.Time{})
 	}
-	l.Done()
+	l.Commit()
 }
 
 func open(t *testing.T, r *Router) *Flow {
 	t.Helper()
-	f, err := r.Open("", "live", "", "", "", 2*sec, 0)
+	f, err := r.OpenFlow("", "live", "", "", "", 2*sec, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return f
 }
 
-func pick(t *testing.T, f *Flow) Choice {
+func pick(t *testing.T, f *Flow) Decision {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 5*sec)
 	defer cancel()
-	c, err := f.Pick(ctx, nil)
+	c, err := f.AwaitDecision(ctx, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -70,10 +70,10 @@
 			r := router(t, true, true, "a", "b", "c")
 			f := open(t, r)
 			for _, o := range c.ends {
-				if got := pick(t, f); got.Verdict != Connect || got.Addr == "" || time.Until(got.By) <= 0 {
+				if got := pick(t, f); got.Verdict != Connect || got.Addr == "" || time.Until(got.Deadline) <= 0 {
 					t.Fatalf("chose %+v", got)
 				}
-				f.Report(o)
+				f.OnEnded(o)
 			}
 			if got := pick(t, f); got.Verdict != c.want {
 				t.Errorf("chose %+v", got)
@@ -84,7 +84,7 @@
 		})
 	}
 	t.Run("an unknown service type", func(t *testing.T) {
-		if _, err := router(t, true, true).Open("", "dead", "", "", "", sec, 0); !errors.Is(err, ErrUnknownService) {
+		if _, err := router(t, true, true).OpenFlow("", "dead", "", "", "", sec, 0); !errors.Is(err, ErrUnknownService) {
 			t.Errorf("error %v", err)
 		}
 	})
@@ -96,9 +96,9 @@
 		name  string
 		leave func(*testing.T, *Flow)
 	}{
-		{"before the verdict is picked up", func(t *testing.T, f *Flow) { f.Leave() }},
-		{"with a connect out", func(t *testing.T, f *Flow) { pick(t, f); f.Left(); f.Report(Cancelled) }},
-		{"from a connection", func(t *testing.T, f *Flow) { pick(t, f); f.Up(); f.Report(Cancelled) }},
+		{"before the verdict is picked up", func(t *testing.T, f *Flow) { f.Abandon() }},
+		{"with a connect out", func(t *testing.T, f *Flow) { pick(t, f); f.OnClientLeft(); f.OnEnded(Cancelled) }},
+		{"from a connection", func(t *testing.T, f *Flow) { pick(t, f); f.OnEstablished(); f.OnEnded(Cancelled) }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := router(t, true, true, "a")
@@ -135,15 +135,15 @@
 	r := router(t, true, true, "a")
 	f := open(t, r)
 	pick(t, f)
-	if !f.Wanted() {
+	if !f.StillAllowed() {
 		t.Error("not wanted while in service")
 	}
 	list(r, false, "a")
-	if f.Wanted() {
+	if f.StillAllowed() {
 		t.Error("still wanted when draining")
 	}
 	list(r, true, "b") // a whole list without it
-	if f.Wanted() {
+	if f.StillAllowed() {
 		t.Error("still wanted when gone")
 	}
 }
@@ -153,8 +153,8 @@
 		name string
 		do   func(f *Flow, moved func())
 	}{
-		{"asked before anybody listens", func(f *Flow, moved func()) { f.Move(); f.OnMove(moved) }},
-		{"asked twice", func(f *Flow, moved func()) { f.OnMove(moved); f.Move(); f.Move() }},
+		{"asked before anybody listens", func(f *Flow, moved func()) { f.RequestMigration(); f.OnMigrate(moved) }},
+		{"asked twice", func(f *Flow, moved func()) { f.OnMigrate(moved); f.RequestMigration(); f.RequestMigration() }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f, n := open(t, router(t, true, true, "a")), 0
@@ -172,10 +172,10 @@
 	r := router(t, true, true, "a")
 	f := open(t, r)
 	pick(t, f)
-	f.Up()
+	f.OnEstablished()
 	moved := 0
-	f.OnMove(func() { moved++ })
-	f.Asked()
+	f.OnMigrate(func() { moved++ })
+	f.OnRequest()
 	base := f.asked
 	var notes []time.Duration
 	var last time.Duration
@@ -205,9 +205,9 @@
 	r := router(t, true, true, "a")
 	f := open(t, r)
 	pick(t, f)
-	f.Up()
+	f.OnEstablished()
 	moved := 0
-	f.OnMove(func() { moved++ })
+	f.OnMigrate(func() { moved++ })
 	for _, c := range []struct {
 		after time.Duration
 		want  int
@@ -266,7 +266,7 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 10*sec) // a test that hangs is to fail
 	defer cancel()
 	for _, s := range names[24:] {
-		addr, done, err := r.NextProbe(ctx)
+		addr, done, err := r.NextHealthCheck(ctx)
 		if err != nil || addr != "at-"+s {
 			t.Fatalf("probe of %q, %v, want %s", addr, err, s)
 		}
@@ -278,12 +278,12 @@
 	r.mu.Lock()
 	actions{r}.HealthCheck(r.numbers["s30"])
 	r.mu.Unlock()
-	if addr, _, err := r.NextProbe(ctx); err != nil || addr != "at-s30" {
+	if addr, _, err := r.NextHealthCheck(ctx); err != nil || addr != "at-s30" {
 		t.Errorf("wanted again: probe of %q, %v", addr, err)
 	}
 	over, end := context.WithCancel(ctx)
 	end()
-	if _, _, err := r.NextProbe(over); !errors.Is(err, context.Canceled) {
+	if _, _, err := r.NextHealthCheck(over); !errors.Is(err, context.Canceled) {
 		t.Errorf("at the end: %v", err)
 	}
 }
--- a/internal/routing/size_test.go
+++ b/internal/routing/size_test.go
@@ -15,14 +15,14 @@
 	}
 	r := router(t, false, false, names...)
 	for i := range flows {
-		f, _, err := r.Standing("live", "", "", fmt.Sprint("g", i%997), names[i%servers])
+		f, _, err := r.ResumeFlow("live", "", "", fmt.Sprint("g", i%997), names[i%servers])
 		if err != nil {
 			t.Fatal(err)
 		}
 		f.server = r.servers[r.numbers[names[i%servers]]]
-		f.Up()
-		f.Asked()
-		f.Replied()
+		f.OnEstablished()
+		f.OnRequest()
+		f.OnReply()
 	}
 	return r
 }
--- a/internal/simulator/simwire.go
+++ b/internal/simulator/simwire.go
@@ -281,7 +281,7 @@
 		id, server, o := h.flow(), h.server(3), word(h, outcomes, 4)
 		took, over := time.Duration(h.whole(5)), h.whole(6) != 0
 		if h.needWhole(2); h.bad == nil {
-			if load, ok := config.Report(h.str(7)); ok {
+			if load, ok := config.ParseLoadReport(h.str(7)); ok {
 				b.OnLoadReport(server, load)
 			}
 			b.OnEnded(id, o, took, over)
@@ -301,7 +301,7 @@
 	case "HEALTH_RESULT":
 		server, o := h.server(1), word(h, outcomes, 2)
 		if h.bad == nil {
-			if load, ok := config.Report(h.str(4)); ok {
+			if load, ok := config.ParseLoadReport(h.str(4)); ok {
 				b.OnLoadReport(server, load)
 			}
 			b.OnHealthCheck(server, o)
--- a/internal/simulator/start.go
+++ b/internal/simulator/start.go
@@ -22,9 +22,9 @@
 	}
 	in.start, in.split = h.now, map[decide.TimerID]time.Duration{}
 	in.b = decide.New(uint64(seed), in)
-	g := config.Pairs(given)
-	in.services, in.customers = config.Start(g, in.b)
-	if err := g.Fault(); err != nil && h.bad == nil {
+	g := config.FromPairs(given)
+	in.services, in.customers = config.ConfigureBalancer(g, in.b)
+	if err := g.Err(); err != nil && h.bad == nil {
 		h.bad = h.fault("SPAWN: %v", err)
 	}
 	return h.bad
--- a/internal/strict/strict.go
+++ b/internal/strict/strict.go
@@ -92,8 +92,8 @@
 
 func (t Table) key(k string) string { return t.path + k }
 
-// Bad notes a fault of a key's value.
-func (t Table) Bad(k, format string, a ...any) {
+// Fail notes a fault of a key's value.
+func (t Table) Fail(k, format string, a ...any) {
 	key := t.key(k)
 	line := t.file.lines[key]
 	for above := key; line == 0 && above != ""; { // an absent key is faulted at its table
@@ -113,8 +113,8 @@
 // Has tells whether a key stands there.
 func (t Table) Has(k string) bool { _, ok := t.at[k]; return ok }
 
-// Fault is the first fault by line, unknown keys among them; call it when all has been read.
-func (t Table) Fault() error {
+// Err is the first fault by line, unknown keys among them; call it when all has been read.
+func (t Table) Err() error {
 	t.unknown(t.at, "")
 	if len(t.file.faults) == 0 {
 		return nil
@@ -157,36 +157,36 @@
 	return 0, false
 }
 
-// Number is one number from least to most.
-func (t Table) Number(k string, absent, least, most float64) float64 {
+// Float is one number from least to most.
+func (t Table) Float(k string, absent, least, most float64) float64 {
 	v, ok := t.get(k)
 	if !ok {
 		return absent
 	}
 	x, ok := number(v)
 	if !ok || !(x >= least && x <= most) {
-		t.Bad(k, "want a number from %g to %g, got %v", least, most, v)
+		t.Fail(k, "want a number from %g to %g, got %v", least, most, v)
 		return absent
 	}
 	return x
 }
 
-// Whole is one whole number from least to most.
-func (t Table) Whole(k string, absent, least, most int) int {
+// Int is one whole number from least to most.
+func (t Table) Int(k string, absent, least, most int) int {
 	v, ok := t.get(k)
 	if !ok {
 		return absent
 	}
 	x, ok := v.(int64)
 	if !ok || x < int64(least) || x > int64(most) {
-		t.Bad(k, "want a whole number from %d to %d, got %v", least, most, v)
+		t.Fail(k, "want a whole number from %d to %d, got %v", least, most, v)
 		return absent
 	}
 	return int(x)
 }
 
-// Rising is a list of whole numbers from least to most, each above the one before it.
-func (t Table) Rising(k string, least, most int) (numbers []int) {
+// IncreasingInts is a list of whole numbers from least to most, each above the one before it.
+func (t Table) IncreasingInts(k string, least, most int) (numbers []int) {
 	v, ok := t.get(k)
 	if !ok {
 		return nil
@@ -199,7 +199,7 @@
 		numbers = append(numbers, int(n))
 	}
 	if !ok || len(numbers) == 0 {
-		t.Bad(k, "want a list of whole numbers from %d to %d, each above the one before it, got %v", least, most, v)
+		t.Fail(k, "want a list of whole numbers from %d to %d, each above the one before it, got %v", least, most, v)
 		return nil
 	}
 	return numbers
@@ -221,7 +221,7 @@
 			return a, b
 		}
 	}
-	t.Bad(k, "want a number from %g to %g, or two such, the smaller first, got %v", least, most, v)
+	t.Fail(k, "want a number from %g to %g, or two such, the smaller first, got %v", least, most, v)
 	return lo, hi
 }
 
@@ -234,14 +234,14 @@
 	return d, err == nil && d >= 0
 }
 
-// Span is a time such as "250ms".
-func (t Table) Span(k string, absent, most time.Duration) time.Duration {
-	lo, _ := t.Spans(k, absent, absent, most)
+// Duration is a time such as "250ms".
+func (t Table) Duration(k string, absent, most time.Duration) time.Duration {
+	lo, _ := t.DurationRange(k, absent, absent, most)
 	return lo
 }
 
-// Spans is a time such as "250ms", or a list of the two that it lies between.
-func (t Table) Spans(k string, lo, hi, most time.Duration) (time.Duration, time.Duration) {
+// DurationRange is a time such as "250ms", or a list of the two that it lies between.
+func (t Table) DurationRange(k string, lo, hi, most time.Duration) (time.Duration, time.Duration) {
 	v, ok := t.get(k)
 	if !ok {
 		return lo, hi
@@ -256,12 +256,12 @@
 			return a, b
 		}
 	}
-	t.Bad(k, `want a time of at most %v such as "250ms", or two such, the shorter first, got %v`, most, v)
+	t.Fail(k, `want a time of at most %v such as "250ms", or two such, the shorter first, got %v`, most, v)
 	return lo, hi
 }
 
-// Text is any text; with words, one of them.
-func (t Table) Text(k, absent string, words ...string) string {
+// String is any text; with words, one of them.
+func (t Table) String(k, absent string, words ...string) string {
 	v, ok := t.get(k)
 	if !ok {
 		return absent
@@ -269,17 +269,17 @@
 	s, ok := v.(string)
 	if !ok || len(words) > 0 && !slices.Contains(words, s) {
 		if len(words) > 0 {
-			t.Bad(k, "want one of %s, got %v", strings.Join(words, ", "), v)
+			t.Fail(k, "want one of %s, got %v", strings.Join(words, ", "), v)
 		} else {
-			t.Bad(k, "want a text, got %v", v)
+			t.Fail(k, "want a text, got %v", v)
 		}
 		return absent
 	}
 	return s
 }
 
-// Texts is a list of texts, each one of the words where there are any.
-func (t Table) Texts(k string, absent []string, words ...string) []string {
+// Strings is a list of texts, each one of the words where there are any.
+func (t Table) Strings(k string, absent []string, words ...string) []string {
 	v, ok := t.get(k)
 	if !ok {
 		return absent
@@ -298,21 +298,21 @@
 		if len(words) > 0 {
 			want = "a list of " + strings.Join(words, ", ")
 		}
-		t.Bad(k, "want %s, got %v", want, v)
+		t.Fail(k, "want %s, got %v", want, v)
 		return absent
 	}
 	return texts
 }
 
-// Flag is true or false.
-func (t Table) Flag(k string, absent bool) bool {
+// Bool is true or false.
+func (t Table) Bool(k string, absent bool) bool {
 	v, ok := t.get(k)
 	if !ok {
 		return absent
 	}
 	b, ok := v.(bool)
 	if !ok {
-		t.Bad(k, "want true or false, got %v", v)
+		t.Fail(k, "want true or false, got %v", v)
 		return absent
 	}
 	return b
@@ -323,7 +323,7 @@
 	v, ok := t.get(k)
 	m, isTable := v.(map[string]any)
 	if ok && !isTable {
-		t.Bad(k, "want a table [%s]", t.key(k))
+		t.Fail(k, "want a table [%s]", t.key(k))
 	}
 	return Table{path: t.key(k) + ".", at: m, file: t.file}
 }
@@ -344,7 +344,7 @@
 		tables = append(tables, Table{path: fmt.Sprintf("%s.%d.", t.key(k), i), at: m, file: t.file})
 	}
 	if !isList {
-		t.Bad(k, "want tables [[%s]]", t.key(k))
+		t.Fail(k, "want tables [[%s]]", t.key(k))
 		return nil
 	}
 	return tables
@@ -369,7 +369,7 @@
 		lists = append(lists, texts)
 	}
 	if !ok || len(lists) == 0 {
-		t.Bad(k, `want lists of texts such as [["a"], ["b", "c"]], got %v`, v)
+		t.Fail(k, `want lists of texts such as [["a"], ["b", "c"]], got %v`, v)
 		return nil
 	}
 	return lists
--- a/internal/strict/strict_test.go
+++ b/internal/strict/strict_test.go
@@ -25,17 +25,17 @@
 		t.Run(c.name, func(t *testing.T) {
 			x, err := Parse("f.toml", []byte(c.text))
 			if err == nil {
-				x.Number("a", 0, 0, 9)
+				x.Float("a", 0, 0, 9)
 				s := x.Table("t")
-				if d := s.Span("d", time.Second, time.Minute); c.name == "sound" && d != 2*time.Second {
+				if d := s.Duration("d", time.Second, time.Minute); c.name == "sound" && d != 2*time.Second {
 					t.Errorf("read %v", d)
 				}
 				s.Range("r", 0, 1, 0, 9)
-				s.Text("w", "x", "x", "y")
+				s.String("w", "x", "x", "y")
 				for _, l := range x.Tables("l") {
-					l.Flag("f", false)
+					l.Bool("f", false)
 				}
-				err = x.Fault()
+				err = x.Err()
 			}
 			if c.want == "" && err != nil || c.want != "" && (err == nil || !strings.HasPrefix(err.Error(), c.want)) {
 				t.Errorf("error %v, want %q", err, c.want)
