--- a/internal/testbed/experiment/experiment.go
+++ b/internal/testbed/experiment/experiment.go
@@ -56,7 +56,7 @@
 	connectTimeout, retryAfter                                       time.Duration
 	whole, window, worstCustomer, worstService, crossing, moves, fee float64
 	troubles                                                         []trouble
-	Halls                                                            config.Halls // of the policy ours+halls
+	Halls                                                            config.Locality // of the policy ours+halls
 }
 
 type trouble struct {
@@ -86,7 +86,7 @@
 		return nil, err
 	}
 	e := From(t)
-	if err := t.Fault(); err != nil {
+	if err := t.Err(); err != nil {
 		return nil, err
 	}
 	return e, nil
@@ -95,30 +95,30 @@
 // From takes what a file says of an experiment; whoever reads the rest of the file looks for its faults.
 func From(t strict.Table) *Experiment {
 	e := &Experiment{}
-	e.Name, e.About = t.Text("name", ""), t.Text("about", "")
+	e.Name, e.About = t.String("name", ""), t.String("about", "")
 	if e.Name == "" {
-		t.Bad("name", "is missing")
+		t.Fail("name", "is missing")
 	}
-	e.Length = t.Span("length", time.Minute, hour)
+	e.Length = t.Duration("length", time.Minute, hour)
 	if e.Length < time.Second {
-		t.Bad("length", "want 1s at the least, got %v", e.Length)
+		t.Fail("length", "want 1s at the least, got %v", e.Length)
 	}
-	e.Seeds = int(t.Number("seeds", 5, 1, 10000))
-	e.Policies = t.Texts("policies", []string{"ours", "random"}, Policies...)
+	e.Seeds = int(t.Float("seeds", 5, 1, 10000))
+	e.Policies = t.Strings("policies", []string{"ours", "random"}, Policies...)
 	e.readFleet(t.Table("fleet"))
 	e.readLoad(t.Table("load"))
 	e.readServices(t)
 	e.readClients(t.Table("clients"))
 	e.readAround(t)
-	e.Halls = config.ReadHalls(t.Table("halls"))
+	e.Halls = config.ReadLocality(t.Table("halls"))
 	c := t.Table("count")
-	e.whole, e.window = c.Number("whole", 0.6, 0, 1), c.Number("worst-window", 0.3, 0, 1)
-	e.worstCustomer, e.worstService = c.Number("worst-customer", 0.1, 0, 1), c.Number("worst-service", 0, 0, 1)
-	e.crossing, e.moves = c.Number("crossing", 0, 0, 10), c.Number("moves", 0, 0, 10)
-	e.fee = c.Number("connects", 0, 0, 10)
-	e.beyond = c.Number("beyond-share", 0.2, 0, 1)
+	e.whole, e.window = c.Float("whole", 0.6, 0, 1), c.Float("worst-window", 0.3, 0, 1)
+	e.worstCustomer, e.worstService = c.Float("worst-customer", 0.1, 0, 1), c.Float("worst-service", 0, 0, 1)
+	e.crossing, e.moves = c.Float("crossing", 0, 0, 10), c.Float("moves", 0, 0, 10)
+	e.fee = c.Float("connects", 0, 0, 10)
+	e.beyond = c.Float("beyond-share", 0.2, 0, 1)
 	if e.whole+e.window+e.worstCustomer+e.worstService <= 0 {
-		c.Bad("whole", "all weights are 0")
+		c.Fail("whole", "all weights are 0")
 	}
 	for _, x := range t.Tables("trouble") {
 		e.readTrouble(x)
@@ -134,10 +134,10 @@
 }
 
 func (e *Experiment) readFleet(t strict.Table) {
-	e.halls = t.Texts("halls", []string{"north", "middle", "south"})
+	e.halls = t.Strings("halls", []string{"north", "middle", "south"})
 	for _, h := range e.halls {
 		if h == "" || strings.ContainsAny(h, " ,\t") {
-			t.Bad("halls", "want names without spaces and commas, got %q", h)
+			t.Fail("halls", "want names without spaces and commas, got %q", h)
 		}
 	}
 	at := rangesOf(t)
@@ -150,11 +150,11 @@
 	at(&e.coldFrom, "cold-from", 0.16, 0.3, 0.01, 1)
 	at(&e.warmByWork, "warm-by-work", 0.5, 0.5, 0, 1)
 	at(&e.groupLoad, "group-load", 2, 2, 0, 100)
-	e.warm.lo, e.warm.hi = t.Spans("warm", 10*time.Second, 20*time.Second, hour)
-	e.buffer.lo, e.buffer.hi = t.Spans("buffer", 1500*time.Millisecond, 3*time.Second, hour)
-	e.drains = t.Text("drain", "paced", "quiet", "paced", "at-once")
-	e.sizes = t.Text("sizes", "rough", "rough", "silent")
-	e.cell = int(t.Number("cell", 4, 1, 10000))
+	e.warm.lo, e.warm.hi = t.DurationRange("warm", 10*time.Second, 20*time.Second, hour)
+	e.buffer.lo, e.buffer.hi = t.DurationRange("buffer", 1500*time.Millisecond, 3*time.Second, hour)
+	e.drains = t.String("drain", "paced", "quiet", "paced", "at-once")
+	e.sizes = t.String("sizes", "rough", "rough", "silent")
+	e.cell = int(t.Float("cell", 4, 1, 10000))
 	at(&e.headroom, "store-headroom", 5, 5, 0, 10000)
 }
 
@@ -169,26 +169,26 @@
 	at(&e.zipf, "group-zipf", 0.5, 1, 0, 3)
 	at(&e.lifeSigma, "life-sigma", 0.8, 1.4, 0, 3)
 	at(&e.hallSkew, "hall-skew", 0.1, 0.4, 0, 5)
-	e.life.lo, e.life.hi = t.Spans("life", 25*time.Second, 200*time.Second, 24*hour)
-	e.changeEvery.lo, e.changeEvery.hi = t.Spans("change-every", 7*time.Second, 15*time.Second, hour)
-	e.home = t.Number("home", 3, 1, 1e6)
-	e.shape = t.Text("shape", "steady", "steady", "wave", "daily")
+	e.life.lo, e.life.hi = t.DurationRange("life", 25*time.Second, 200*time.Second, 24*hour)
+	e.changeEvery.lo, e.changeEvery.hi = t.DurationRange("change-every", 7*time.Second, 15*time.Second, hour)
+	e.home = t.Float("home", 3, 1, 1e6)
+	e.shape = t.String("shape", "steady", "steady", "wave", "daily")
 }
 
 func (e *Experiment) readServices(t strict.Table) {
 	for _, s := range t.Tables("service") {
-		v := simulation.Service{Name: s.Text("name", ""), Share: s.Number("share", 1, 0.0001, 1e6),
-			Load: s.Number("load", 1, 0.001, 1000), Life: s.Number("life", 1, 0.001, 1000),
-			Target: s.Span("setup-target", 300*time.Millisecond, hour), Timeout: s.Span("connect-timeout", 1800*time.Millisecond, hour),
-			Message: s.Span("message-target", 250*time.Millisecond, hour), Value: s.Number("value", 1, 0, 1e6),
-			Effect: s.Text("effect", "free", "free", "guarded", "single_shot"), Group: s.Text("group", "all", "all", "zone", "cell"),
-			Window: s.Span("window", 5*time.Second, hour), Work: s.Span("work", 6*time.Millisecond, time.Minute).Seconds(),
-			WorkSpread: s.Number("work-spread", 1, 0, 5), MessageWork: s.Span("message-work", 5*time.Millisecond, time.Minute)}
+		v := simulation.Service{Name: s.String("name", ""), Share: s.Float("share", 1, 0.0001, 1e6),
+			Load: s.Float("load", 1, 0.001, 1000), Life: s.Float("life", 1, 0.001, 1000),
+			Target: s.Duration("setup-target", 300*time.Millisecond, hour), Timeout: s.Duration("connect-timeout", 1800*time.Millisecond, hour),
+			Message: s.Duration("message-target", 250*time.Millisecond, hour), Value: s.Float("value", 1, 0, 1e6),
+			Effect: s.String("effect", "free", "free", "guarded", "single_shot"), Group: s.String("group", "all", "all", "zone", "cell"),
+			Window: s.Duration("window", 5*time.Second, hour), Work: s.Duration("work", 6*time.Millisecond, time.Minute).Seconds(),
+			WorkSpread: s.Float("work-spread", 1, 0, 5), MessageWork: s.Duration("message-work", 5*time.Millisecond, time.Minute)}
 		if v.Name == "" {
-			s.Bad("name", "is missing")
+			s.Fail("name", "is missing")
 		}
 		if v.Target > v.Timeout {
-			s.Bad("setup-target", "is longer than the connect timeout, %v", v.Timeout)
+			s.Fail("setup-target", "is longer than the connect timeout, %v", v.Timeout)
 		}
 		e.services = append(e.services, v)
 	}
@@ -198,9 +198,9 @@
 			Window: 5 * time.Second, Work: 0.006, WorkSpread: 1, MessageWork: 5 * time.Millisecond}}
 	}
 	for _, c := range t.Tables("customer") {
-		v := simulation.Customer{Name: c.Text("name", ""), Share: c.Number("share", 0, 0.0001, 1), Usage: c.Number("usage", 1, 0, 1000)}
+		v := simulation.Customer{Name: c.String("name", ""), Share: c.Float("share", 0, 0.0001, 1), Usage: c.Float("usage", 1, 0, 1000)}
 		if v.Name == "" {
-			c.Bad("name", "is missing")
+			c.Fail("name", "is missing")
 		}
 		e.customers = append(e.customers, v)
 	}
@@ -208,40 +208,40 @@
 
 func (e *Experiment) readClients(t strict.Table) {
 	e.retries.lo, e.retries.hi = t.Range("retries", 2, 3, 0, 1000)
-	e.habits = t.Texts("habit", []string{"at-once", "fixed"}, "never", "at-once", "fixed", "backoff")
-	e.wait.lo, e.wait.hi = t.Spans("wait", 15*time.Millisecond, 120*time.Millisecond, hour)
-	e.comeBack.lo, e.comeBack.hi = t.Spans("come-back", 70*time.Millisecond, 680*time.Millisecond, hour)
-	e.silence.lo, e.silence.hi = t.Spans("silence", 4500*time.Millisecond, 4500*time.Millisecond, hour)
+	e.habits = t.Strings("habit", []string{"at-once", "fixed"}, "never", "at-once", "fixed", "backoff")
+	e.wait.lo, e.wait.hi = t.DurationRange("wait", 15*time.Millisecond, 120*time.Millisecond, hour)
+	e.comeBack.lo, e.comeBack.hi = t.DurationRange("come-back", 70*time.Millisecond, 680*time.Millisecond, hour)
+	e.silence.lo, e.silence.hi = t.DurationRange("silence", 4500*time.Millisecond, 4500*time.Millisecond, hour)
 	e.obeys.lo, e.obeys.hi = t.Range("obey", 0.5, 0.85, 0, 1)
 }
 
 func (e *Experiment) readAround(t strict.Table) {
 	ms := time.Millisecond
 	n := t.Table("net")
-	e.same.lo, e.same.hi = n.Spans("same", 110*time.Microsecond, 350*time.Microsecond, time.Second)
-	e.cross.lo, e.cross.hi = n.Spans("cross", 700*time.Microsecond, 1300*time.Microsecond, time.Second)
-	e.client.lo, e.client.hi = n.Spans("client", 200*time.Microsecond, 1200*time.Microsecond, time.Second)
-	e.frontNotice.lo, e.frontNotice.hi = n.Spans("front-notice", 940*ms, 3*time.Second, hour)
+	e.same.lo, e.same.hi = n.DurationRange("same", 110*time.Microsecond, 350*time.Microsecond, time.Second)
+	e.cross.lo, e.cross.hi = n.DurationRange("cross", 700*time.Microsecond, 1300*time.Microsecond, time.Second)
+	e.client.lo, e.client.hi = n.DurationRange("client", 200*time.Microsecond, 1200*time.Microsecond, time.Second)
+	e.frontNotice.lo, e.frontNotice.hi = n.DurationRange("front-notice", 940*ms, 3*time.Second, hour)
 	l := t.Table("list")
-	e.notice.lo, e.notice.hi = l.Spans("notice", 1600*ms, 6800*ms, hour)
-	e.silentNotice.lo, e.silentNotice.hi = l.Spans("silent-notice", 5100*ms, 13*time.Second, hour)
-	e.addNotice.lo, e.addNotice.hi = l.Spans("add", 1100*ms, 2900*ms, hour)
-	e.spread.lo, e.spread.hi = l.Spans("spread", 30*ms, 1300*ms, hour)
-	e.asked = l.Text("mode", "push", "push", "ask") == "ask"
+	e.notice.lo, e.notice.hi = l.DurationRange("notice", 1600*ms, 6800*ms, hour)
+	e.silentNotice.lo, e.silentNotice.hi = l.DurationRange("silent-notice", 5100*ms, 13*time.Second, hour)
+	e.addNotice.lo, e.addNotice.hi = l.DurationRange("add", 1100*ms, 2900*ms, hour)
+	e.spread.lo, e.spread.hi = l.DurationRange("spread", 30*ms, 1300*ms, hour)
+	e.asked = l.String("mode", "push", "push", "ask") == "ask"
 	r := t.Table("rules")
-	e.grace = r.Span("drain-grace", 750*ms, time.Minute)
-	e.multiple = r.Number("fall-multiple", 3, 0, 100)
-	e.fall = r.Span("fall", 1500*ms, time.Minute)
-	e.warmMost = r.Span("warm-after", 23*time.Second, hour)
-	e.coldLeast = r.Number("cold-from", 0.16, 0.001, 1)
+	e.grace = r.Duration("drain-grace", 750*ms, time.Minute)
+	e.multiple = r.Float("fall-multiple", 3, 0, 100)
+	e.fall = r.Duration("fall", 1500*ms, time.Minute)
+	e.warmMost = r.Duration("warm-after", 23*time.Second, hour)
+	e.coldLeast = r.Float("cold-from", 0.16, 0.001, 1)
 	if e.warmMost < e.warm.hi {
-		r.Bad("warm-after", "is shorter than the longest warm-up of the fleet, %v", e.warm.hi)
+		r.Fail("warm-after", "is shorter than the longest warm-up of the fleet, %v", e.warm.hi)
 	}
 	i := t.Table("limits")
-	e.connects = int(i.Number("connects", 6, 1, 100))
-	e.connectTimeout = i.Span("connect-timeout", 200*ms, time.Minute)
-	e.probes = i.Flag("probes", false)
-	e.retryAfter = i.Span("retry-after", time.Second, hour)
+	e.connects = int(i.Float("connects", 6, 1, 100))
+	e.connectTimeout = i.Duration("connect-timeout", 200*ms, time.Minute)
+	e.probes = i.Bool("probes", false)
+	e.retryAfter = i.Duration("retry-after", time.Second, hour)
 }
 
 func (e *Experiment) readTrouble(t strict.Table) {
@@ -249,32 +249,32 @@
 	for _, k := range simulation.Kinds {
 		kinds = append(kinds, string(k))
 	}
-	x := trouble{kind: simulation.Kind(t.Text("kind", "", kinds...)), hall: t.Text("hall", "", append([]string{""}, e.halls...)...)}
+	x := trouble{kind: simulation.Kind(t.String("kind", "", kinds...)), hall: t.String("hall", "", append([]string{""}, e.halls...)...)}
 	if x.kind == "" {
 		if !t.Has("kind") {
-			t.Bad("kind", "is missing; want one of %s", strings.Join(kinds, ", "))
+			t.Fail("kind", "is missing; want one of %s", strings.Join(kinds, ", "))
 		}
 		return
 	}
-	x.startLo, x.startHi = t.Spans("start", 0, 0, hour)
-	x.lengthLo, x.lengthHi = t.Spans("length", 10*time.Second, 10*time.Second, hour)
+	x.startLo, x.startHi = t.DurationRange("start", 0, 0, hour)
+	x.lengthLo, x.lengthHi = t.DurationRange("length", 10*time.Second, 10*time.Second, hour)
 	x.shareLo, x.shareHi = t.Range("share", 0.2, 0.2, 0, 1)
 	x.strengthLo, x.strengthHi = t.Range("strength", 1, 1, 0, 1000)
-	x.extraLo, x.extraHi = t.Spans("extra", 3*time.Second, 3*time.Second, hour)
-	x.chance = t.Number("chance", 1, 0, 1)
+	x.extraLo, x.extraHi = t.DurationRange("extra", 3*time.Second, 3*time.Second, hour)
+	x.chance = t.Float("chance", 1, 0, 1)
 	if (x.kind == simulation.HallLost || x.kind == simulation.CutOff) && x.hall == "" {
-		t.Bad("hall", "is missing; want one of %s", strings.Join(e.halls, ", "))
+		t.Fail("hall", "is missing; want one of %s", strings.Join(e.halls, ", "))
 	}
 	if x.startLo >= e.Length {
-		t.Bad("start", "is not before the end of the day, %v", e.Length)
+		t.Fail("start", "is not before the end of the day, %v", e.Length)
 	}
 	least := map[simulation.Kind]float64{simulation.Slow: 1, simulation.StoreSlow: 1, simulation.Burst: 0.01, simulation.Overload: 0.01, simulation.Grow: 1.01,
 		simulation.Errors: 0.01, simulation.Neighbour: 0.01, simulation.Deploy: 0.001, simulation.BalancerRoll: 0.001}[x.kind]
 	if x.strengthLo < least {
-		t.Bad("strength", "want %g at the least for %s", least, x.kind)
+		t.Fail("strength", "want %g at the least for %s", least, x.kind)
 	}
 	if (x.kind == simulation.Errors || x.kind == simulation.Neighbour) && x.strengthHi > 0.99 {
-		t.Bad("strength", "want 0.99 at the most for %s", x.kind)
+		t.Fail("strength", "want 0.99 at the most for %s", x.kind)
 	}
 	e.troubles = append(e.troubles, x)
 }
--- a/internal/testbed/fleet/cast.go
+++ b/internal/testbed/fleet/cast.go
@@ -51,7 +51,7 @@
 func (p *Plan) checkNames(t strict.Table, key string, list []string, names map[string]bool) {
 	for _, n := range list {
 		if !known(n) && !names[n] {
-			t.Bad(key, "nobody is called %q", n)
+			t.Fail(key, "nobody is called %q", n)
 		}
 	}
 }
--- a/internal/testbed/fleet/peers.go
+++ b/internal/testbed/fleet/peers.go
@@ -125,7 +125,7 @@
 		for _, name := range as {
 			rec := signals.Record{Origin: signals.Origin(name), Incarnation: 1<<50 + signals.Incarnation(sequence), Sequence: 1}
 			for i := range r.w.Servers {
-				rec.Reports = append(rec.Reports, signals.Report{Server: routing.Number(serverName(i)), Fault: signals.Late, Connections: 1000})
+				rec.Reports = append(rec.Reports, signals.Report{Server: routing.ServerID(serverName(i)), Fault: signals.Late, Connections: 1000})
 			}
 			b, err := signals.Encode(rec)
 			if err != nil {
--- a/internal/testbed/fleet/plan.go
+++ b/internal/testbed/fleet/plan.go
@@ -153,24 +153,24 @@
 	}
 	p := &Plan{Experiment: experiment.From(t)}
 	f := t.Table("front")
-	p.askEvery = f.Span("ask-every", 200*time.Millisecond, time.Minute)
-	p.wait = f.Span("wait", 400*time.Millisecond, time.Minute)
-	p.misses = int(f.Number("misses", 2, 1, 100))
+	p.askEvery = f.Duration("ask-every", 200*time.Millisecond, time.Minute)
+	p.wait = f.Duration("wait", 400*time.Millisecond, time.Minute)
+	p.misses = int(f.Float("misses", 2, 1, 100))
 	if p.askEvery < 10*time.Millisecond || p.wait < 10*time.Millisecond {
-		f.Bad("ask-every", "want 10ms at the least, for wait too")
+		f.Fail("ask-every", "want 10ms at the least, for wait too")
 	}
-	p.late = t.Table("judge").Span("late", 0, time.Second)
+	p.late = t.Table("judge").Duration("late", 0, time.Second)
 	x := t.Table("process")
-	p.folders = x.Flag("folder", true)
-	p.peers, p.signals = x.Flag("peers", false), x.Flag("signals", false)
-	p.duties = x.Flag("duties", false)
+	p.folders = x.Bool("folder", true)
+	p.peers, p.signals = x.Bool("peers", false), x.Bool("signals", false)
+	p.duties = x.Bool("duties", false)
 	if (p.signals || p.duties) && !p.peers {
-		x.Bad("peers", "signals and duties need it")
+		x.Fail("peers", "signals and duties need it")
 	}
-	p.Old = x.Text("old", "")
-	p.oldWho = x.Texts("old-who", nil)
+	p.Old = x.String("old", "")
+	p.oldWho = x.Strings("old-who", nil)
 	if len(p.oldWho) > 0 && p.Old == "" {
-		x.Bad("old-who", "needs old, the revision that is built")
+		x.Fail("old-who", "needs old, the revision that is built")
 	}
 	names := map[string]bool{}
 	for _, x := range t.Tables("fault") {
@@ -179,77 +179,77 @@
 	for _, x := range t.Tables("must") {
 		p.readMust(x, names)
 	}
-	if err := t.Fault(); err != nil {
+	if err := t.Err(); err != nil {
 		return nil, bad(err)
 	}
 	return p, nil
 }
 
 func (p *Plan) readFault(t strict.Table, names map[string]bool) {
-	f := fault{as: t.Text("as", ""), kind: t.Text("kind", "", kinds...)}
-	f.at.lo, f.at.hi = t.Spans("at", 0, 0, hour)
-	f.length.lo, f.length.hi = t.Spans("for", 0, 0, hour)
-	f.who, f.to = t.Texts("who", nil), t.Texts("to", nil)
-	f.folder = t.Text("folder", "kept", "kept", "gone")
-	f.program = t.Text("program", "", "", "current", "old")
-	f.oneWay = t.Text("one-way", "", "", "out", "back")
+	f := fault{as: t.String("as", ""), kind: t.String("kind", "", kinds...)}
+	f.at.lo, f.at.hi = t.DurationRange("at", 0, 0, hour)
+	f.length.lo, f.length.hi = t.DurationRange("for", 0, 0, hour)
+	f.who, f.to = t.Strings("who", nil), t.Strings("to", nil)
+	f.folder = t.String("folder", "kept", "kept", "gone")
+	f.program = t.String("program", "", "", "current", "old")
+	f.oneWay = t.String("one-way", "", "", "out", "back")
 	c := &f.way
-	c.Delay, c.Jitter = t.Span("delay", 0, time.Minute), t.Span("jitter", 0, time.Minute)
-	c.Loss, c.Repeat, c.Reorder = t.Number("loss", 0, 0, 1), t.Number("repeat", 0, 0, 1), t.Number("reorder", 0, 0, 1)
-	c.Garbage, c.Rate = t.Number("garbage", 0, 0, 1), int(t.Number("rate", 0, 0, 1e9))
-	c.Cut, c.Mute = t.Flag("cut", false), t.Flag("mute", false)
+	c.Delay, c.Jitter = t.Duration("delay", 0, time.Minute), t.Duration("jitter", 0, time.Minute)
+	c.Loss, c.Repeat, c.Reorder = t.Float("loss", 0, 0, 1), t.Float("repeat", 0, 0, 1), t.Float("reorder", 0, 0, 1)
+	c.Garbage, c.Rate = t.Float("garbage", 0, 0, 1), int(t.Float("rate", 0, 0, 1e9))
+	c.Cut, c.Mute = t.Bool("cut", false), t.Bool("mute", false)
 	f.rate = c.Rate
-	f.times = t.Whole("times", 1, 1, mostSignals)
-	f.method, f.path = t.Text("method", "POST", "GET", "POST"), t.Text("path", "")
+	f.times = t.Int("times", 1, 1, mostSignals)
+	f.method, f.path = t.String("method", "POST", "GET", "POST"), t.String("path", "")
 	if f.kind == "" {
 		if !t.Has("kind") {
-			t.Bad("kind", "is missing; want one of %s", strings.Join(kinds, ", "))
+			t.Fail("kind", "is missing; want one of %s", strings.Join(kinds, ", "))
 		}
 		return
 	}
 	if f.at.lo >= p.Experiment.Length {
-		t.Bad("at", "is not before the end, %v", p.Experiment.Length)
+		t.Fail("at", "is not before the end, %v", p.Experiment.Length)
 	}
 	if len(f.who) == 0 {
-		t.Bad("who", `is missing; want names such as ["b0", "b3..5", "any:2", "all"]`)
+		t.Fail("who", `is missing; want names such as ["b0", "b3..5", "any:2", "all"]`)
 	}
 	if f.program == "old" && p.Old == "" {
-		t.Bad("program", "needs process.old, the revision that is built")
+		t.Fail("program", "needs process.old, the revision that is built")
 	}
 	switch f.kind {
 	case lie:
 		if !p.peers || len(f.to) == 0 || f.length.hi == 0 {
-			t.Bad("kind", "needs process.peers, to (who lies) and for")
+			t.Fail("kind", "needs process.peers, to (who lies) and for")
 		}
 	case garbage:
 		if !p.peers || len(f.to) == 0 || f.rate < 1 || f.rate > 5000 || f.length.hi == 0 {
-			t.Bad("kind", "needs process.peers, to (as from whom), for, and a rate from 1 to 5000 a second")
+			t.Fail("kind", "needs process.peers, to (as from whom), for, and a rate from 1 to 5000 a second")
 		}
 	case link, reset:
 		if len(f.to) == 0 {
-			t.Bad("to", `is missing; want names such as ["servers", "s-001", "discovery", "others", "operator"]`)
+			t.Fail("to", `is missing; want names such as ["servers", "s-001", "discovery", "others", "operator"]`)
 		}
 		if f.kind == link && f.way == (netfault.Condition{}) {
-			t.Bad("kind", "nothing is wrong on this link; want delay, jitter, loss, repeat, reorder, garbage, rate, cut or mute")
+			t.Fail("kind", "nothing is wrong on this link; want delay, jitter, loss, repeat, reorder, garbage, rate, cut or mute")
 		}
 	case call:
 		if !strings.HasPrefix(f.path, "/control/") {
-			t.Bad("path", `want a call such as "/control/out-of-service", got %q`, f.path)
+			t.Fail("path", `want a call such as "/control/out-of-service", got %q`, f.path)
 		}
 	case crowd:
 		if f.rate < 1 || f.rate > mostIdle || f.length.hi == 0 {
-			t.Bad("kind", "needs for, and a rate of 1 to %d clients", mostIdle)
+			t.Fail("kind", "needs for, and a rate of 1 to %d clients", mostIdle)
 		}
 	case freeze, starve, folderFull, folderReadOnly:
 		if f.length.hi == 0 {
-			t.Bad("for", "is missing: for how long?")
+			t.Fail("for", "is missing: for how long?")
 		}
 	}
 	p.checkNames(t, "who", f.who, names)
 	p.checkNames(t, "to", f.to, names)
 	if f.as != "" {
 		if names[f.as] || known(f.as) {
-			t.Bad("as", "%q is taken", f.as)
+			t.Fail("as", "%q is taken", f.as)
 		}
 		names[f.as] = true
 	}
@@ -257,27 +257,27 @@
 }
 
 func (p *Plan) readMust(t strict.Table, names map[string]bool) {
-	m := must{kind: t.Text("kind", "", mustKinds...), after: t.Text("after", ""), who: t.Texts("who", []string{"all"}),
-		servers: t.Texts("servers", []string{"servers"}), from: t.Span("from", 0, hour), to: t.Span("to", 0, hour), within: t.Span("within", 0, hour),
-		atLeast: t.Number("at-least", 0, 0, 1e9), atMost: t.Number("at-most", 0, 0, 1e9), yes: t.Text("says", "yes", "yes", "no") == "yes",
-		whom: t.Texts("whom", nil), status: t.Text("status", "alive", "alive", "gone", "left")}
+	m := must{kind: t.String("kind", "", mustKinds...), after: t.String("after", ""), who: t.Strings("who", []string{"all"}),
+		servers: t.Strings("servers", []string{"servers"}), from: t.Duration("from", 0, hour), to: t.Duration("to", 0, hour), within: t.Duration("within", 0, hour),
+		atLeast: t.Float("at-least", 0, 0, 1e9), atMost: t.Float("at-most", 0, 0, 1e9), yes: t.String("says", "yes", "yes", "no") == "yes",
+		whom: t.Strings("whom", nil), status: t.String("status", "alive", "alive", "gone", "left")}
 	if m.kind == "" {
 		if !t.Has("kind") {
-			t.Bad("kind", "is missing; want one of %s", strings.Join(mustKinds, ", "))
+			t.Fail("kind", "is missing; want one of %s", strings.Join(mustKinds, ", "))
 		}
 		return
 	}
 	if m.after != "" && !names[m.after] {
-		t.Bad("after", "no fault is called %q", m.after)
+		t.Fail("after", "no fault is called %q", m.after)
 	}
 	if m.kind == answered && m.after == "" {
-		t.Bad("after", "is missing: which call's answer?")
+		t.Fail("after", "is missing: which call's answer?")
 	}
 	if (m.kind == leftOut || m.kind == takenBack || m.kind == sees || m.kind == probed) && m.within == 0 {
-		t.Bad("within", "is missing")
+		t.Fail("within", "is missing")
 	}
 	if (m.kind == sees || m.kind == keeps) && (len(m.whom) == 0 || !p.peers) {
-		t.Bad("whom", "is missing, or process.peers is off")
+		t.Fail("whom", "is missing, or process.peers is off")
 	}
 	p.checkNames(t, "who", m.who, names)
 	p.checkNames(t, "whom", m.whom, names)
--- a/internal/testbed/scale/control_real.go
+++ b/internal/testbed/scale/control_real.go
@@ -104,7 +104,7 @@
 	}
 	m.mu.Unlock()
 	if news && int(origin) != m.number {
-		m.group.Say(memberName(int(origin)), message)
+		m.group.Publish(memberName(int(origin)), message)
 	}
 }
 
@@ -168,7 +168,7 @@
 	for until := time.Now().Add(meetWithin); ; {
 		seen := 0
 		for _, m := range f.members {
-			seen += m.group.Count()
+			seen += m.group.AliveCount()
 		}
 		if seen == all {
 			return nil
@@ -213,7 +213,7 @@
 			binary.BigEndian.PutUint32(message, uint32(i))
 			binary.BigEndian.PutUint64(message[4:], sequence)
 			sequence++
-			m.group.Say(memberName(i), message)
+			m.group.Publish(memberName(i), message)
 		}
 	}
 }
--- a/internal/testbed/scale/control_views.go
+++ b/internal/testbed/scale/control_views.go
@@ -17,22 +17,22 @@
 
 // memberView is how an engine sees so many members, and what it does for its balancer with that.
 type memberView struct {
-	seen map[membership.Name]membership.Seen
+	seen map[membership.Name]membership.Member
 }
 
 func newMemberView(count int) memberView {
-	v := memberView{map[membership.Name]membership.Seen{}}
+	v := memberView{map[membership.Name]membership.Member{}}
 	for i := range count {
 		name := membership.Name(memberName(i))
 		addr := memberAddr(i)
-		v.seen[name] = membership.Seen{Name: name, Addr: fmt.Sprintf("%d.%d.%d.%d:%d", addr[0], addr[1], addr[2], addr[3], memberPort), State: membership.Alive, Since: time.Hour}
+		v.seen[name] = membership.Member{Name: name, Addr: fmt.Sprintf("%d.%d.%d.%d:%d", addr[0], addr[1], addr[2], addr[3], memberPort), State: membership.Alive, Since: time.Hour}
 	}
 	return v
 }
 
 // sorted is all members by name, as the engine lists them.
-func (v memberView) sorted() []membership.Seen {
-	return slices.SortedFunc(maps.Values(v.seen), func(a, b membership.Seen) int {
+func (v memberView) sorted() []membership.Member {
+	return slices.SortedFunc(maps.Values(v.seen), func(a, b membership.Member) int {
 		return strings.Compare(string(a.Name), string(b.Name))
 	})
 }
@@ -57,21 +57,21 @@
 		return 0
 	}
 	list, _ := frame[1].([]any)
-	var seen []membership.Seen
+	var seen []membership.Member
 	for _, entry := range list {
 		fields, _ := entry.([]any)
 		name, _ := fields[0].(string)
 		addr, _ := fields[1].(string)
 		state, _ := fields[2].(string)
 		since, _ := fields[3].(uint64)
-		seen = append(seen, membership.Seen{Name: membership.Name(name), Addr: addr, State: membership.State(state), Since: time.Duration(since)})
+		seen = append(seen, membership.Member{Name: membership.Name(name), Addr: addr, State: membership.State(state), Since: time.Duration(since)})
 	}
-	slices.SortFunc(seen, func(a, b membership.Seen) int { return strings.Compare(string(a.Name), string(b.Name)) })
+	slices.SortFunc(seen, func(a, b membership.Member) int { return strings.Compare(string(a.Name), string(b.Name)) })
 	return len(seen)
 }
 
 // handOver is what a balancer does with its view every tellEvery: the deciders hear who is alive.
-func handOver(list []membership.Seen, decider *signals.Exchange, leases *lease.Manager) {
+func handOver(list []membership.Member, decider *signals.Exchange, leases *lease.Manager) {
 	var alive []lease.Member
 	var voices []signals.Origin
 	for _, s := range list {
--- a/internal/testbed/scale/experiment.go
+++ b/internal/testbed/scale/experiment.go
@@ -81,7 +81,7 @@
 		return nil, &Error{Where: file, What: "no experiment", Remedy: advice, Err: err}
 	}
 	settings := readSettings(table)
-	if err := table.Fault(); err != nil {
+	if err := table.Err(); err != nil {
 		// The fault opens with file and line.
 		where, what, _ := strings.Cut(err.Error(), ": ")
 		return nil, &Error{Where: where, What: what, Remedy: advice}
@@ -91,40 +91,40 @@
 }
 
 func readSettings(t strict.Table) Settings {
-	s := Settings{Sweep: t.Text("sweep", "", Names()...)}
+	s := Settings{Sweep: t.String("sweep", "", Names()...)}
 	if s.Sweep == "" && !t.Has("sweep") {
-		t.Bad("sweep", "is missing; want one of %s", strings.Join(Names(), ", "))
+		t.Fail("sweep", "is missing; want one of %s", strings.Join(Names(), ", "))
 	}
-	s.Seed = uint64(t.Whole("seed", 1, 0, math.MaxInt64))
+	s.Seed = uint64(t.Int("seed", 1, 0, math.MaxInt64))
 	in, stated := inputs[s.Sweep]
 	if stated {
-		s.Against = t.Text("against", in.against[0], in.against...)
+		s.Against = t.String("against", in.against[0], in.against...)
 		readKeys(t, s, in)
 	} else {
-		s.Against = t.Text("against", "")
+		s.Against = t.String("against", "")
 	}
 	mostSize := most[bySize]
 	if m, ok := most[s.Against]; ok {
 		mostSize = m
 	}
-	s.Sizes = t.Rising(bySize, 1, mostSize)
+	s.Sizes = t.IncreasingInts(bySize, 1, mostSize)
 	if s.Sizes == nil && !t.Has(bySize) {
-		t.Bad(bySize, "is missing")
+		t.Fail(bySize, "is missing")
 	}
-	s.Servers = t.Whole(byServers, 0, 1, most[byServers])
-	s.Balancers = t.Whole(byBalancers, 0, 1, most[byBalancers])
-	s.Connections = t.Whole(byConnections, 0, 1, most[byConnections])
-	s.Groups = t.Whole(byGroups, 0, 1, most[byGroups])
-	s.Zones = t.Whole(byZones, 0, 1, most[byZones])
-	s.Rate = t.Number(byRate, 0, math.SmallestNonzeroFloat64, mostRate)
-	if length := t.Span(byLength, 0, longestLength); length > 0 {
+	s.Servers = t.Int(byServers, 0, 1, most[byServers])
+	s.Balancers = t.Int(byBalancers, 0, 1, most[byBalancers])
+	s.Connections = t.Int(byConnections, 0, 1, most[byConnections])
+	s.Groups = t.Int(byGroups, 0, 1, most[byGroups])
+	s.Zones = t.Int(byZones, 0, 1, most[byZones])
+	s.Rate = t.Float(byRate, 0, math.SmallestNonzeroFloat64, mostRate)
+	if length := t.Duration(byLength, 0, longestLength); length > 0 {
 		s.Length = length.String()
 	} else if t.Has(byLength) {
-		t.Bad(byLength, "want a time above nought")
+		t.Fail(byLength, "want a time above nought")
 	}
 	if in.check != nil && len(s.Sizes) > 0 {
 		if key, fault := in.check(s); key != "" {
-			t.Bad(key, "%s", fault)
+			t.Fail(key, "%s", fault)
 		}
 	}
 	return s
@@ -136,11 +136,11 @@
 		needed := slices.Contains(in.keys, key) && key != s.Against
 		switch {
 		case needed && !t.Has(key):
-			t.Bad(key, "is missing; the sweep %s needs it", s.Sweep)
+			t.Fail(key, "is missing; the sweep %s needs it", s.Sweep)
 		case !needed && key == s.Against && t.Has(key):
-			t.Bad(key, "must be left out, as the sizes go over it")
+			t.Fail(key, "must be left out, as the sizes go over it")
 		case !needed && t.Has(key):
-			t.Bad(key, "must be left out, as the sweep %s does not use it", s.Sweep)
+			t.Fail(key, "must be left out, as the sweep %s does not use it", s.Sweep)
 		}
 	}
 }
--- a/internal/testbed/scale/sweep_list.go
+++ b/internal/testbed/scale/sweep_list.go
@@ -64,13 +64,13 @@
 	}
 	before := liveMemory()
 	discovery := protocol.NewDiscovery(hollowRouter(seed), "localhost:0", seed, false)
-	if err := discovery.Known(text); err != nil {
+	if err := discovery.LoadCached(text); err != nil {
 		return err
 	}
 	routed.add(len(servers), float64(liveMemory()-before))
 	var failed error
 	c := measure(listBatches, 1, func() {
-		if err := discovery.Known(text); err != nil {
+		if err := discovery.LoadCached(text); err != nil {
 			failed = err
 		}
 	})
--- a/internal/testbed/scenario/board.go
+++ b/internal/testbed/scenario/board.go
@@ -31,15 +31,15 @@
 func tells(d *experiment.Day) virtual.Maker {
 	b := &board{w: d.World, all: map[simulation.BalancerID]*signals.Exchange{}, last: map[simulation.BalancerID]signals.Incarnation{}}
 	return func(seed uint64, id simulation.BalancerID, act decide.Actions) virtual.Decider {
-		g := config.Pairs(d.Settings(id))
+		g := config.FromPairs(d.Settings(id))
 		b.last[id]++
-		s := signals.New(signals.Origin(fmt.Sprintf("b%d", id)), b.last[id], "", "", config.MessageTarget(g)/3, config.ShortestTarget(g), true)
+		s := signals.New(signals.Origin(fmt.Sprintf("b%d", id)), b.last[id], "", "", config.MessageTarget(g)/3, config.MinSetupTarget(g), true)
 		b.all[id] = s
 		if !b.runs {
 			b.runs = true
 			b.w.Agenda.After(boardTell, simulation.Book, b.tell)
 		}
-		return constraints.New(seed, act, []constraints.Constraint{s}, func(dec *decide.Balancer) { config.Start(g, dec) })
+		return constraints.New(seed, act, []constraints.Constraint{s}, func(dec *decide.Balancer) { config.ConfigureBalancer(g, dec) })
 	}
 }
 
--- a/internal/testbed/scenario/halls_test.go
+++ b/internal/testbed/scenario/halls_test.go
@@ -67,10 +67,10 @@
 		d := e.Day(seed)
 		ref := Referee(d, 8*time.Millisecond, 0)
 		dr := virtual.New(d, ref, func(seed uint64, b simulation.BalancerID, act decide.Actions) virtual.Decider {
-			g := config.Pairs(d.Settings(b))
-			h := e.Halls.Decider(g, seed)
-			spy := &spilling{t: t, own: decide.Zone(g.Text("az", "")), zones: map[decide.ServerID]decide.Zone{}, h: h, seen: &seen, over: map[decide.FlowID]string{}}
-			return constraints.New(seed, act, []constraints.Constraint{h, spy}, func(dec *decide.Balancer) { config.Start(g, dec) })
+			g := config.FromPairs(d.Settings(b))
+			h := e.Halls.NewPolicy(g, seed)
+			spy := &spilling{t: t, own: decide.Zone(g.String("az", "")), zones: map[decide.ServerID]decide.Zone{}, h: h, seen: &seen, over: map[decide.FlowID]string{}}
+			return constraints.New(seed, act, []constraints.Constraint{h, spy}, func(dec *decide.Balancer) { config.ConfigureBalancer(g, dec) })
 		})
 		dr.Run(nil)
 		for _, v := range ref.Violations() {
--- a/internal/testbed/scenario/play.go
+++ b/internal/testbed/scenario/play.go
@@ -33,9 +33,9 @@
 func Maker(d *experiment.Day, policy string) (virtual.Maker, error) {
 	if policy == "ours+halls" {
 		return func(seed uint64, b simulation.BalancerID, act decide.Actions) virtual.Decider {
-			g := config.Pairs(d.Settings(b))
-			return constraints.New(seed, act, []constraints.Constraint{d.Experiment.Halls.Decider(g, seed)},
-				func(dec *decide.Balancer) { config.Start(g, dec) })
+			g := config.FromPairs(d.Settings(b))
+			return constraints.New(seed, act, []constraints.Constraint{d.Experiment.Halls.NewPolicy(g, seed)},
+				func(dec *decide.Balancer) { config.ConfigureBalancer(g, dec) })
 		}, nil
 	}
 	if policy == "ours+signals" {
@@ -44,7 +44,7 @@
 	if policy == "ours" {
 		return func(seed uint64, b simulation.BalancerID, act decide.Actions) virtual.Decider {
 			dec := decide.New(seed, act)
-			config.Start(config.Pairs(d.Settings(b)), dec)
+			config.ConfigureBalancer(config.FromPairs(d.Settings(b)), dec)
 			return dec
 		}, nil
 	}
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -33,7 +33,7 @@
 var (
 	ErrTooLong = errors.New("line is longer than 4 KiB")
 	ErrStopped = errors.New("relay stopped between two lines")
-	ErrTorn    = errors.New("relay stopped within a line")
+	ErrMidLine = errors.New("relay stopped within a line")
 	ErrParked  = errors.New("relay parked")
 )
 
@@ -49,9 +49,9 @@
 	parking  atomic.Bool
 	once     sync.Once
 
-	room  *Room // that a client's connection is counted in; the rest is guarded by its mutex
-	held  int   // descriptors counted for it
-	owed  bool  // it has not had its last word
+	room  *DescriptorBudget // that a client's connection is counted in; the rest is guarded by its mutex
+	held  int               // descriptors counted for it
+	owed  bool              // it has not had its last word
 	spot  *list.Element
 	since time.Time
 }
@@ -106,29 +106,29 @@
 	return c.raw.Write(p)
 }
 
-// ReadBy bounds all reading; the zero time takes the bound away.
-func (c *Conn) ReadBy(t time.Time) { _ = c.raw.SetReadDeadline(t) } // fails on a closed connection only
+// SetReadDeadline bounds all reading; the zero time takes the bound away.
+func (c *Conn) SetReadDeadline(t time.Time) { _ = c.raw.SetReadDeadline(t) } // fails on a closed connection only
 
 // Stop ends a relay from this connection at the next end of a line. It does not wait.
 func (c *Conn) Stop() {
 	c.stopping.Store(true)
-	c.ReadBy(time.Unix(1, 0))
+	c.SetReadDeadline(time.Unix(1, 0))
 }
 
 // Park ends a relay from this connection, or the wait for its first line, at any byte, so that it can go on later or
 // elsewhere. It does not wait.
 func (c *Conn) Park() {
 	c.parking.Store(true)
-	c.ReadBy(time.Unix(1, 0))
+	c.SetReadDeadline(time.Unix(1, 0))
 }
 
-// Rest is what a relay that was parked left: what is unread, how much of it went on, whether a line went on in part.
-func (c *Conn) Rest() (unread []byte, passed int, within bool) {
+// RelayState is what a relay that was parked left: what is unread, how much of it went on, whether a line went on in part.
+func (c *Conn) RelayState() (unread []byte, passed int, within bool) {
 	return c.buf[c.from:c.to], c.passed, c.within
 }
 
 // Adopt is a connection that another process relayed, with what Rest said there. A client's is counted as a pair.
-func Adopt(raw net.Conn, unread []byte, passed int, within bool, r *Room) *Conn {
+func Adopt(raw net.Conn, unread []byte, passed int, within bool, r *DescriptorBudget) *Conn {
 	c := &Conn{raw: raw, buf: unread, to: len(unread), passed: passed, within: within, room: r}
 	if r != nil {
 		r.mu.Lock()
@@ -150,9 +150,9 @@
 	}
 }
 
-// Finish ends the connection so that what was sent last still arrives: closed with something unread, it would be
+// CloseGracefully ends the connection so that what was sent last still arrives: closed with something unread, it would be
 // reset, and the reset overtakes the last line.
-func (c *Conn) Finish() {
+func (c *Conn) CloseGracefully() {
 	c.Linger()
 	c.Drain()
 }
@@ -160,7 +160,7 @@
 // Linger ends the sending and bounds what is still read.
 func (c *Conn) Linger() {
 	c.CloseWrite()
-	c.ReadBy(time.Now().Add(lingerLimit))
+	c.SetReadDeadline(time.Now().Add(lingerLimit))
 	c.spare()
 }
 
@@ -176,8 +176,8 @@
 	c.Close()
 }
 
-// Break ends the connection the way a lost process does: with a reset.
-func (c *Conn) Break() {
+// Reset ends the connection the way a lost process does: with a reset.
+func (c *Conn) Reset() {
 	if h, ok := c.raw.(interface{ SetLinger(int) error }); ok {
 		_ = h.SetLinger(0)
 	}
@@ -248,7 +248,7 @@
 			if !src.within {
 				return ErrStopped
 			}
-			src.ReadBy(time.Now().Add(restOfLine))
+			src.SetReadDeadline(time.Now().Add(restOfLine))
 			defer src.stopping.Store(false)
 			if err := finishLine(dst, src); err != nil {
 				return err
@@ -281,16 +281,16 @@
 		}
 		if src.fill() != nil {
 			if src.parking.CompareAndSwap(true, false) { // the client is about to be moved: it is not passed on
-				src.ReadBy(time.Now().Add(restOfLine))
+				src.SetReadDeadline(time.Now().Add(restOfLine))
 				continue
 			}
-			return ErrTorn
+			return ErrMidLine
 		}
 	}
 }
 
-// Await returns when something unread is there, or the connection ended, or was parked.
-func (c *Conn) Await() error {
+// WaitReadable returns when something unread is there, or the connection ended, or was parked.
+func (c *Conn) WaitReadable() error {
 	if c.from < c.to {
 		return nil
 	}
@@ -302,9 +302,9 @@
 	return err
 }
 
-// Quiet tells whether the other side has neither ended the connection nor sent more by now. It takes no byte: another goroutine may be
+// IsIdle tells whether the other side has neither ended the connection nor sent more by now. It takes no byte: another goroutine may be
 // waiting for just that, and not have run since it came.
-func (c *Conn) Quiet() bool {
+func (c *Conn) IsIdle() bool {
 	s, ok := c.raw.(syscall.Conn)
 	if !ok {
 		return true
@@ -324,5 +324,5 @@
 	return quiet && err == nil
 }
 
-// Pending tells whether something is unread.
-func (c *Conn) Pending() bool { return c.from < c.to }
+// HasUnread tells whether something is unread.
+func (c *Conn) HasUnread() bool { return c.from < c.to }
--- a/internal/transport/dial.go
+++ b/internal/transport/dial.go
@@ -11,8 +11,8 @@
 	"yardwinch/internal/retry"
 )
 
-// ErrOwnLack says that a connect failed for want of something on this machine; it tells nothing of the server.
-var ErrOwnLack = errors.New("lack of descriptors, ports, memory or a way out on this machine")
+// ErrLocalResources says that a connect failed for want of something on this machine; it tells nothing of the server.
+var ErrLocalResources = errors.New("lack of descriptors, ports, memory or a way out on this machine")
 
 const (
 	firstConnectRetry   = time.Millisecond
@@ -20,8 +20,8 @@
 	ownLackTimeout      = 250 * time.Millisecond // for a lack to pass: after that another server is as good, and a final answer may be due
 )
 
-// ErrUnwanted says that the last look before a connect found that nobody wants it any more: nothing of it went out, no SYN either.
-var ErrUnwanted = errors.New("not wanted any more")
+// ErrNoLongerWanted says that the last look before a connect found that nobody wants it any more: nothing of it went out, no SYN either.
+var ErrNoLongerWanted = errors.New("not wanted any more")
 
 // Dialer connects to servers. The zero value asks the system.
 type Dialer struct {
@@ -36,14 +36,14 @@
 	if wanted != nil {
 		by.Control = func(_, _ string, _ syscall.RawConn) error {
 			if !wanted() {
-				return ErrUnwanted
+				return ErrNoLongerWanted
 			}
 			return nil
 		}
 	}
 	raw, err := d.connectWithRetries(ctx, &by, addr, time.Now().Add(min(within, ownLackTimeout)))
 	if ownLack(err) {
-		return nil, fmt.Errorf("dial: %w: %w", ErrOwnLack, err)
+		return nil, fmt.Errorf("dial: %w: %w", ErrLocalResources, err)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("dial: %w", err)
--- a/internal/transport/end_test.go
+++ b/internal/transport/end_test.go
@@ -15,7 +15,7 @@
 
 // refusing is a listener whose accept the system refuses until it is told otherwise; it counts how often it is asked.
 type refusing struct {
-	*Gate
+	*PausableListener
 	over  atomic.Bool
 	asked atomic.Int64
 }
@@ -25,7 +25,7 @@
 		r.asked.Add(1)
 		return nil, &net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", syscall.ENFILE)}
 	}
-	return r.Gate.Accept()
+	return r.PausableListener.Accept()
 }
 
 // What answers a line with itself.
@@ -33,7 +33,7 @@
 	line := make([]byte, 64)
 	n, _ := c.Read(line)
 	_, _ = c.Write(line[:n])
-	c.Finish()
+	c.CloseGracefully()
 }
 
 // The system refuses accepts as the accepting ends, and for a while longer than the last look at the queue takes: those in the queue were taken
@@ -44,7 +44,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := &refusing{Gate: NewGate(inner.(*net.TCPListener))}
+	l := &refusing{PausableListener: NewPausableListener(inner.(*net.TCPListener))}
 	var fars []net.Conn
 	for range clients {
 		far, err := net.Dial("tcp", inner.Addr().String())
@@ -58,7 +58,7 @@
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error, 1)
-	go func() { done <- Listen(ctx, l, NewRoom(100, ""), echoLine) }()
+	go func() { done <- Serve(ctx, l, NewDescriptorBudget(100, ""), echoLine) }()
 	cancel()
 	time.Sleep(fails) // the term's own: a moment
 	if n := l.asked.Load(); n > int64(fails/time.Millisecond) {
@@ -87,7 +87,7 @@
 		addr := gate.Addr().String()
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan error, 1)
-		go func() { done <- Listen(ctx, gate, NewRoom(10_000, ""), echoLine) }()
+		go func() { done <- Serve(ctx, gate, NewDescriptorBudget(10_000, ""), echoLine) }()
 		var all sync.WaitGroup
 		var served atomic.Int64
 		for range clients {
@@ -132,7 +132,7 @@
 	accepted := make(chan struct{}, 2)
 	done := make(chan error, 1)
 	go func() {
-		done <- Listen(ctx, NewGate(inner.(*net.TCPListener)), NewRoom(1, word), func(c *Conn) {
+		done <- Serve(ctx, NewPausableListener(inner.(*net.TCPListener)), NewDescriptorBudget(1, word), func(c *Conn) {
 			accepted <- struct{}{}
 			<-ctx.Done() // the process has no core to read with
 			c.Close()
--- a/internal/transport/listen.go
+++ b/internal/transport/listen.go
@@ -23,13 +23,13 @@
 	lastRefusals = 2 * time.Second
 )
 
-// Listen accepts until the context ends and the queue is empty, each connection in a goroutine of its own, and returns when all of those
+// Serve accepts until the context ends and the queue is empty, each connection in a goroutine of its own, and returns when all of those
 // have. While there is no room at all the kernel keeps what comes.
-func Listen(ctx context.Context, l Ending, r *Room, serve func(*Conn)) error {
+func Serve(ctx context.Context, l FinishingListener, r *DescriptorBudget, serve func(*Conn)) error {
 	var all sync.WaitGroup
 	defer all.Wait()
 	defer func() { _ = l.Close() }()
-	defer context.AfterFunc(ctx, l.End)()
+	defer context.AfterFunc(ctx, l.Finish)()
 	var refusedSince time.Time // at the end; zero: not
 	for {
 		raw, err := l.Accept()
@@ -49,7 +49,7 @@
 				refusedSince = time.Now()
 			}
 			if time.Since(refusedSince) < lastRefusals {
-				l.End()
+				l.Finish()
 			}
 			continue
 		}
@@ -58,17 +58,17 @@
 	}
 }
 
-// Ending is a listener that can be told that no more is to be accepted than what is there. Told again it looks for it again.
-type Ending interface {
+// FinishingListener is a listener that can be told that no more is to be accepted than what is there. Told again it looks for it again.
+type FinishingListener interface {
 	net.Listener
-	End()
+	Finish()
 }
 
 var errEnded = errors.New("no more is accepted")
 
-// Gate is a listener that can be shut for a while: what comes waits in the system's queue, which another process may
+// PausableListener is a listener that can be shut for a while: what comes waits in the system's queue, which another process may
 // share.
-type Gate struct {
+type PausableListener struct {
 	*net.TCPListener
 	mu     sync.Mutex
 	open   chan struct{} // closed while it is open
@@ -77,15 +77,15 @@
 	once   sync.Once
 }
 
-// NewGate is open.
-func NewGate(l *net.TCPListener) *Gate {
-	g := &Gate{TCPListener: l, open: make(chan struct{}), ending: make(chan struct{})}
+// NewPausableListener is open.
+func NewPausableListener(l *net.TCPListener) *PausableListener {
+	g := &PausableListener{TCPListener: l, open: make(chan struct{}), ending: make(chan struct{})}
 	close(g.open)
 	return g
 }
 
 // ListenShared listens on an address that another process of this user's may listen on as well.
-func ListenShared(addr string, shared bool) (*Gate, error) {
+func ListenShared(addr string, shared bool) (*PausableListener, error) {
 	c := net.ListenConfig{KeepAlive: -1} // as in Dial: of tens of thousands that are idle, each would be probed four times a minute
 	if shared {
 		c.Control = func(_, _ string, raw syscall.RawConn) (err error) {
@@ -99,11 +99,11 @@
 	if err != nil {
 		return nil, err
 	}
-	return NewGate(l.(*net.TCPListener)), nil
+	return NewPausableListener(l.(*net.TCPListener)), nil
 }
 
-// Shut has nothing accepted any more, Open has it accepted again.
-func (g *Gate) Shut() {
+// Pause has nothing accepted any more, Open has it accepted again.
+func (g *PausableListener) Pause() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	select {
@@ -114,8 +114,8 @@
 	_ = g.SetDeadline(time.Unix(1, 0)) // fails on a closed listener only
 }
 
-// Open has connections accepted again.
-func (g *Gate) Open() {
+// Resume has connections accepted again.
+func (g *PausableListener) Resume() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	_ = g.SetDeadline(time.Time{})
@@ -126,9 +126,9 @@
 	}
 }
 
-// End has what is in the queue accepted, and no more: from then on the system takes no new connection, which would be reset as the listener
+// Finish has what is in the queue accepted, and no more: from then on the system takes no new connection, which would be reset as the listener
 // closes. A gate that is shut leaves all of it to the other process. Said again it has the queue looked at for as long again.
-func (g *Gate) End() {
+func (g *PausableListener) Finish() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.last = time.Now().Add(lastLooks)
@@ -142,7 +142,7 @@
 }
 
 // Accept fails with errEnded once the gate has ended. Until then a deadline that passed is the work of Shut, or of Open since.
-func (g *Gate) Accept() (net.Conn, error) {
+func (g *PausableListener) Accept() (net.Conn, error) {
 	for {
 		g.mu.Lock()
 		open := g.open
--- a/internal/transport/room.go
+++ b/internal/transport/room.go
@@ -22,10 +22,10 @@
 	mostDiscarded = 16 // reads of what came unread: against one that goes on sending
 )
 
-// Room counts the file descriptors that connections may use, and knows which of them hold one for nothing: those that
+// DescriptorBudget counts the file descriptors that connections may use, and knows which of them hold one for nothing: those that
 // have asked for nothing yet, and those that have their last word. Short of room the longest of these goes first; a
 // crowd that says nothing must neither stop the accepts nor take the place of usual clients.
-type Room struct {
+type DescriptorBudget struct {
 	parting string
 	kept    int // from servers' connections
 
@@ -37,20 +37,20 @@
 	freed chan struct{}
 }
 
-// NewRoom is room for n descriptors; parting is what a connection is sent that must go.
-func NewRoom(n int, parting string) *Room {
-	return &Room{parting: parting, kept: min(forClients, n/4), left: n, freed: make(chan struct{}, 1)}
+// NewDescriptorBudget is room for n descriptors; parting is what a connection is sent that must go.
+func NewDescriptorBudget(n int, parting string) *DescriptorBudget {
+	return &DescriptorBudget{parting: parting, kept: min(forClients, n/4), left: n, freed: make(chan struct{}, 1)}
 }
 
-// Left is how many descriptors are free.
-func (r *Room) Left() int {
+// Free is how many descriptors are free.
+func (r *DescriptorBudget) Free() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.left
 }
 
-// Lend sets how many descriptors another process of this balancer uses of what there is.
-func (r *Room) Lend(n int) {
+// SetLent sets how many descriptors another process of this balancer uses of what there is.
+func (r *DescriptorBudget) SetLent(n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.left -= n - r.lent
@@ -61,16 +61,16 @@
 	}
 }
 
-// Used is how many descriptors may come to be in use where nobody is admitted any more: a client whose line is still to
+// MaxInUse is how many descriptors may come to be in use where nobody is admitted any more: a client whose line is still to
 // come has one, and needs another for its server.
-func (r *Room) Used(all int) int {
+func (r *DescriptorBudget) MaxInUse(all int) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return all - r.left - r.lent + r.idle.Len()
 }
 
-// Owed is how many connections have not had their last word.
-func (r *Room) Owed() int {
+// Unanswered is how many connections have not had their last word.
+func (r *DescriptorBudget) Unanswered() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.owed
@@ -91,7 +91,7 @@
 
 // admit counts a connection that was accepted, and waits until there is room for it, or the accepting ends: then it is counted nowhere,
 // and has the answer of all that come at the end.
-func (r *Room) admit(ctx context.Context, raw net.Conn) *Conn {
+func (r *DescriptorBudget) admit(ctx context.Context, raw net.Conn) *Conn {
 	c := &Conn{raw: raw, room: r}
 	for {
 		r.mu.Lock()
@@ -124,7 +124,7 @@
 // makeRoom sees to a free descriptor where more than kept are free or held for nothing. An idle connection that must go
 // for it is given back to be ended by the caller, outside the mutex; wait tells when to try again where none has been
 // idle for as long as is fair.
-func (r *Room) makeRoom(kept int, fair time.Duration) (wait time.Duration, out *Conn) {
+func (r *DescriptorBudget) makeRoom(kept int, fair time.Duration) (wait time.Duration, out *Conn) {
 	if r.left+r.idle.Len() <= kept {
 		return time.Hour, nil
 	}
@@ -190,8 +190,8 @@
 	})
 }
 
-// Claim says that a connection asks for something: it is no longer closed to make room. False where it was already.
-func (c *Conn) Claim() bool {
+// MarkActive says that a connection asks for something: it is no longer closed to make room. False where it was already.
+func (c *Conn) MarkActive() bool {
 	if c.room == nil {
 		return true
 	}
@@ -205,8 +205,8 @@
 	return true
 }
 
-// TakeSecond counts a descriptor for the server's connection of this client's. False where all are in use.
-func (c *Conn) TakeSecond() bool {
+// AcquireServerSlot counts a descriptor for the server's connection of this client's. False where all are in use.
+func (c *Conn) AcquireServerSlot() bool {
 	if c.room == nil {
 		return true
 	}
@@ -223,8 +223,8 @@
 	return wait == 0
 }
 
-// FreeSecond gives it back.
-func (c *Conn) FreeSecond() {
+// ReleaseServerSlot gives it back.
+func (c *Conn) ReleaseServerSlot() {
 	if c.room == nil {
 		return
 	}
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -146,24 +146,24 @@
 	if _, err := io.WriteString(far, "unread\r\n"); err != nil {
 		t.Fatal(err)
 	}
-	room := NewRoom(2, "")
+	room := NewDescriptorBudget(2, "")
 	c := room.admit(context.Background(), raw)
 	_, _ = c.Write([]byte("MOVE\r\n"))
 	done := make(chan struct{})
-	go func() { c.Finish(); c.Close(); close(done) }()
+	go func() { c.CloseGracefully(); c.Close(); close(done) }()
 	if got, err := io.ReadAll(far); err != nil || string(got) != "MOVE\r\n" {
 		t.Errorf("got %q, %v", got, err)
 	}
 	far.Close()
 	<-done
-	if left := room.Left(); left != 2 {
+	if left := room.Free(); left != 2 {
 		t.Errorf("%d descriptors are free of 2", left)
 	}
 }
 
 // shaky is a listener that fails in the ways a full machine does.
 type shaky struct {
-	*Gate
+	*PausableListener
 	fail []error
 }
 
@@ -173,7 +173,7 @@
 		s.fail = s.fail[1:]
 		return nil, err
 	}
-	return s.Gate.Accept()
+	return s.PausableListener.Accept()
 }
 
 // The accept loop outlives a lack of descriptors. Hundreds that say nothing, or have their last word, stop neither the
@@ -183,14 +183,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := &shaky{NewGate(inner.(*net.TCPListener)), []error{syscall.EMFILE, syscall.ECONNABORTED}}
+	l := &shaky{NewPausableListener(inner.(*net.TCPListener)), []error{syscall.EMFILE, syscall.ECONNABORTED}}
 	const all = 4 * forClients
-	r := NewRoom(all, "GO\n")
+	r := NewDescriptorBudget(all, "GO\n")
 	ctx, cancel := context.WithCancel(context.Background())
 	in := make(chan *Conn, 1)
 	var fars []net.Conn
 	done := make(chan error, 1)
-	go func() { done <- Listen(ctx, l, r, func(c *Conn) { in <- c; <-ctx.Done(); c.Close() }) }()
+	go func() { done <- Serve(ctx, l, r, func(c *Conn) { in <- c; <-ctx.Done(); c.Close() }) }()
 	dial := func() (net.Conn, *Conn) {
 		c, err := net.Dial("tcp", inner.Addr().String())
 		if err != nil {
@@ -207,7 +207,7 @@
 		}
 	}
 	_, busy := dial()
-	if !busy.Claim() || !busy.TakeSecond() {
+	if !busy.MarkActive() || !busy.AcquireServerSlot() {
 		t.Fatal("no room for the first flow")
 	}
 	var idle []net.Conn
@@ -221,19 +221,19 @@
 	if took := time.Since(start); took > 5*fairTime {
 		t.Errorf("accepted after %v", took)
 	}
-	if !late.Claim() || !late.TakeSecond() {
+	if !late.MarkActive() || !late.AcquireServerSlot() {
 		t.Error("idle connections stood in a flow's way")
 	}
 	gone(idle[1])
 	const flows = (all - forClients) / 2 // make the servers' part full
 	for n := 3; n <= flows+1; n++ {
 		_, c := dial()
-		if got := c.Claim() && c.TakeSecond(); got != (n <= flows) {
+		if got := c.MarkActive() && c.AcquireServerSlot(); got != (n <= flows) {
 			t.Errorf("flow %d has room: %v", n, got)
 		}
 	}
-	late.FreeSecond()
-	late.Finish()
+	late.ReleaseServerSlot()
+	late.CloseGracefully()
 	r.mu.Lock()
 	if late.held != 0 || late.spot != nil || busy.spot != nil || busy.held != 2 {
 		t.Error("what ended still counts, or what is in use was given up")
@@ -257,7 +257,7 @@
 		t.Fatal(err)
 	}
 	l.Close()
-	if _, err := dialer.Dial(context.Background(), l.Addr().String(), time.Second, nil); err == nil || errors.Is(err, ErrOwnLack) {
+	if _, err := dialer.Dial(context.Background(), l.Addr().String(), time.Second, nil); err == nil || errors.Is(err, ErrLocalResources) {
 		t.Errorf("nobody there: %v", err)
 	}
 	var old syscall.Rlimit
@@ -271,7 +271,7 @@
 	if again := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &old); again != nil {
 		t.Fatal(again)
 	}
-	if !errors.Is(err, ErrOwnLack) {
+	if !errors.Is(err, ErrLocalResources) {
 		t.Errorf("no descriptor left: %v", err)
 	}
 }
@@ -300,13 +300,13 @@
 			}
 			ctx, cancel := context.WithCancel(context.Background())
 			cancel() // before the first is accepted
-			g := NewGate(inner.(*net.TCPListener))
-			g.End()
-			err = Listen(ctx, g, NewRoom(c.room, ""), func(c *Conn) {
+			g := NewPausableListener(inner.(*net.TCPListener))
+			g.Finish()
+			err = Serve(ctx, g, NewDescriptorBudget(c.room, ""), func(c *Conn) {
 				p := make([]byte, 8)
 				n, _ := c.Read(p)
 				_, _ = c.Write(p[:n])
-				c.Finish()
+				c.CloseGracefully()
 			})
 			if err != nil {
 				t.Errorf("ended with %v", err)
@@ -340,9 +340,9 @@
 		defer far.Close()
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
-		g := NewGate(inner.(*net.TCPListener))
-		g.Shut()
-		if err := Listen(ctx, g, NewRoom(9, ""), func(*Conn) { t.Error("it was taken") }); err != nil {
+		g := NewPausableListener(inner.(*net.TCPListener))
+		g.Pause()
+		if err := Serve(ctx, g, NewDescriptorBudget(9, ""), func(*Conn) { t.Error("it was taken") }); err != nil {
 			t.Errorf("ended with %v", err)
 		}
 		_ = other.(*net.TCPListener).SetDeadline(time.Now().Add(10 * time.Second))
