--- a/constraints/bench_test.go
+++ b/constraints/bench_test.go
@@ -30,10 +30,10 @@
 			b.Run(fmt.Sprintf("servers=%d/halls=%v", servers, with), func(b *testing.B) {
 				start := func(d *decide.Balancer) {
 					d.ConfigureFlows(3, time.Second)
-					d.AddService(decide.Idempotent, decide.DeduplicatedByFleet, 300*time.Millisecond, 2*time.Second, 1)
-					d.ConfigureSlowStart(0.2, 3, 20*time.Second, 1500*time.Millisecond, 10)
+					d.AddService(decide.ServiceType{Effect: decide.Idempotent, Deduplication: decide.DeduplicatedByFleet, SetupTarget: 300 * time.Millisecond, RetryWindow: 2 * time.Second, Value: 1})
+					d.ConfigureSlowStart(decide.SlowStart{InitialCapacity: 0.2, OverloadMultiple: 3, WarmUp: 20 * time.Second, Window: 1500 * time.Millisecond, Balancers: 10})
 					d.ConfigurePlacement(0.05, 0, true)
-					d.ConfigureEndpoints("a", false, 10*time.Second, 250*time.Millisecond)
+					d.ConfigureEndpoints(decide.EndpointSettings{Zone: "a", Polled: false, MaxPollInterval: 10 * time.Second, MessageTarget: 250 * time.Millisecond})
 				}
 				var m constraints.Balancer
 				if with {
@@ -47,14 +47,14 @@
 				m.SetTime(0)
 				m.BeginEndpoints(decide.FullUpdate)
 				for s := range servers {
-					m.OnEndpoint(decide.ServerID(s+1), decide.Zone([]string{"a", "b", "c"}[s%3]), 0, 1, decide.Ready, decide.LongAgo)
+					m.OnEndpoint(decide.Endpoint{ID: decide.ServerID(s + 1), Zone: decide.Zone([]string{"a", "b", "c"}[s%3]), Size: 1, Readiness: decide.Ready, StartedAt: decide.LongAgo})
 				}
 				m.EndEndpoints()
 				b.ReportAllocs()
 				for i := 0; b.Loop(); i++ {
 					f := decide.FlowID(fmt.Sprint(i))
 					m.SetTime(time.Duration(i) * time.Millisecond)
-					m.OnFlow(f, 0, -1, "", "g", time.Second, 0)
+					m.OnFlow(decide.FlowRequest{ID: f, Customer: -1, Group: "g", Timeout: time.Second})
 					m.OnEstablished(f, time.Millisecond)
 					m.OnEnded(f, decide.OK, time.Millisecond, true)
 				}
--- a/constraints/bounds.go
+++ b/constraints/bounds.go
@@ -12,8 +12,8 @@
 // Balancer is an instance of the decisions as a program drives it: decide alone, or with deciders round it.
 type Balancer interface {
 	SetTime(now time.Duration)
-	OnFlow(decide.FlowID, decide.ServiceID, decide.CustomerID, decide.FlowKey, decide.GroupKey, time.Duration, int)
-	AdoptFlow(decide.FlowID, decide.ServiceID, decide.CustomerID, decide.FlowKey, decide.GroupKey, decide.ServerID)
+	OnFlow(decide.FlowRequest)
+	AdoptFlow(decide.FlowRequest, decide.ServerID)
 	OnEstablished(decide.FlowID, time.Duration)
 	OnEnded(decide.FlowID, decide.Outcome, time.Duration, bool)
 	OnClientLeft(decide.FlowID)
@@ -22,7 +22,7 @@
 	OnHealthCheck(decide.ServerID, decide.Outcome)
 	OnLoadReport(server decide.ServerID, load float64)
 	BeginEndpoints(decide.UpdateKind)
-	OnEndpoint(decide.ServerID, decide.Zone, decide.CellID, float64, decide.Readiness, time.Duration)
+	OnEndpoint(decide.Endpoint)
 	EndEndpoints()
 	SetDisabled(s decide.ServerID, out bool)
 	Snapshot() decide.Snapshot
@@ -40,9 +40,9 @@
 	Name() string
 
 	SetTime(now time.Duration)
-	OnEndpoint(s decide.ServerID, z decide.Zone, size float64, st decide.Readiness, since time.Duration)
+	OnEndpoint(endpoint decide.Endpoint)
 	OnEndpointsUpdated()
-	OnFlow(f decide.FlowID, s decide.ServiceID, c decide.CustomerID, g decide.GroupKey)
+	OnFlow(request decide.FlowRequest)
 	OnAttempt(f decide.FlowID, to decide.ServerID)
 	OnEstablished(f decide.FlowID, on decide.ServerID, took time.Duration) // below 0: it stood before the start
 	OnEnded(f decide.FlowID, on decide.ServerID, o decide.Outcome, stood bool)
@@ -124,26 +124,26 @@
 }
 
 // OnFlow brings a new flow, of which the deciders hear first.
-func (h *ConstrainedBalancer) OnFlow(f decide.FlowID, s decide.ServiceID, c decide.CustomerID, k decide.FlowKey, g decide.GroupKey, left time.Duration, marks int) {
-	h.note(f, g)
+func (h *ConstrainedBalancer) OnFlow(request decide.FlowRequest) {
+	h.note(request.ID, request.Group)
 	for _, d := range h.deciders {
-		d.OnFlow(f, s, c, g)
+		d.OnFlow(request)
 	}
-	h.dec.OnFlow(f, s, c, k, g, left, marks)
+	h.dec.OnFlow(request)
 }
 
 // AdoptFlow brings a flow that stands already.
-func (h *ConstrainedBalancer) AdoptFlow(f decide.FlowID, s decide.ServiceID, c decide.CustomerID, k decide.FlowKey, g decide.GroupKey, to decide.ServerID) {
-	l := h.note(f, g)
+func (h *ConstrainedBalancer) AdoptFlow(request decide.FlowRequest, to decide.ServerID) {
+	l := h.note(request.ID, request.Group)
 	l.server, l.stands, l.out = to, true, true
 	l.note.Answer = "stood before the start"
 	l.note.Attempts = []Attempt{{Server: to, Zone: h.zones[to]}}
 	for _, d := range h.deciders {
-		d.OnFlow(f, s, c, g)
-		d.OnAttempt(f, to)
-		d.OnEstablished(f, to, -1)
+		d.OnFlow(request)
+		d.OnAttempt(request.ID, to)
+		d.OnEstablished(request.ID, to, -1)
 	}
-	h.dec.AdoptFlow(f, s, c, k, g, to)
+	h.dec.AdoptFlow(request, to)
 }
 
 // OnEstablished says that a connect came up.
@@ -218,11 +218,12 @@
 func (h *ConstrainedBalancer) BeginEndpoints(k decide.UpdateKind) { h.dec.BeginEndpoints(k) }
 
 // OnEndpoint brings one server of the call.
-func (h *ConstrainedBalancer) OnEndpoint(s decide.ServerID, z decide.Zone, c decide.CellID, size float64, st decide.Readiness, since time.Duration) {
-	h.zones[s] = z
-	h.listed[s] = listing{size, st, since, h.listed[s].byHand}
+func (h *ConstrainedBalancer) OnEndpoint(endpoint decide.Endpoint) {
+	s := endpoint.ID
+	h.zones[s] = endpoint.Zone
+	h.listed[s] = listing{endpoint.Size, endpoint.Readiness, endpoint.StartedAt, h.listed[s].byHand}
 	h.tell(s)
-	h.dec.OnEndpoint(s, z, c, size, st, since)
+	h.dec.OnEndpoint(endpoint)
 }
 
 // tell has the deciders know a server as the module does: one out by hand is never ready.
@@ -232,7 +233,7 @@
 		l.st = max(l.st, decide.Draining)
 	}
 	for _, d := range h.deciders {
-		d.OnEndpoint(s, h.zones[s], l.size, l.st, l.since)
+		d.OnEndpoint(decide.Endpoint{ID: s, Zone: h.zones[s], Size: l.size, Readiness: l.st, StartedAt: l.since})
 	}
 }
 
--- a/constraints/bounds_test.go
+++ b/constraints/bounds_test.go
@@ -75,10 +75,10 @@
 // settle tells the decisions their settings.
 func settle(b *decide.Balancer) {
 	b.ConfigureFlows(3, time.Second)
-	b.AddService(decide.Idempotent, decide.DeduplicatedByFleet, 300*time.Millisecond, 2*time.Second, 1)
-	b.ConfigureSlowStart(0.2, 3, 20*time.Second, 1500*time.Millisecond, 1)
+	b.AddService(decide.ServiceType{Effect: decide.Idempotent, Deduplication: decide.DeduplicatedByFleet, SetupTarget: 300 * time.Millisecond, RetryWindow: 2 * time.Second, Value: 1})
+	b.ConfigureSlowStart(decide.SlowStart{InitialCapacity: 0.2, OverloadMultiple: 3, WarmUp: 20 * time.Second, Window: 1500 * time.Millisecond, Balancers: 1})
 	b.ConfigurePlacement(0, 0, true)
-	b.ConfigureEndpoints("a", false, 10*time.Second, 250*time.Millisecond)
+	b.ConfigureEndpoints(decide.EndpointSettings{Zone: "a", Polled: false, MaxPollInterval: 10 * time.Second, MessageTarget: 250 * time.Millisecond})
 }
 
 // listThree lists servers 1 to 3, warm and ready.
@@ -86,12 +86,14 @@
 	m.SetTime(0)
 	m.BeginEndpoints(decide.FullUpdate)
 	for s := range decide.ServerID(3) {
-		m.OnEndpoint(s+1, "a", 0, 1, decide.Ready, decide.LongAgo)
+		m.OnEndpoint(decide.Endpoint{ID: s + 1, Zone: "a", Size: 1, Readiness: decide.Ready, StartedAt: decide.LongAgo})
 	}
 	m.EndEndpoints()
 }
 
-func flow(h *ConstrainedBalancer, f decide.FlowID) { h.OnFlow(f, 0, -1, "", "", 2*time.Second, 0) }
+func flow(h *ConstrainedBalancer, f decide.FlowID) {
+	h.OnFlow(decide.FlowRequest{ID: f, Customer: -1, Timeout: 2 * time.Second})
+}
 
 func TestBoundsCompose(t *testing.T) {
 	for _, c := range []struct {
@@ -136,7 +138,7 @@
 		h, l := host(far{})
 		h.BeginEndpoints(decide.DeltaUpdate)
 		for s := range dear {
-			h.OnEndpoint(s+4, "b", 0, 1, decide.Ready, decide.LongAgo)
+			h.OnEndpoint(decide.Endpoint{ID: s + 4, Zone: "b", Size: 1, Readiness: decide.Ready, StartedAt: decide.LongAgo})
 		}
 		h.EndEndpoints()
 		for i := range 400 {
@@ -144,11 +146,11 @@
 			h.SetTime(now)
 			if i == 100 { // one of the near ones starts anew, cold
 				h.BeginEndpoints(decide.DeltaUpdate)
-				h.OnEndpoint(3, "a", 0, 1, decide.Ready, now)
+				h.OnEndpoint(decide.Endpoint{ID: 3, Zone: "a", Size: 1, Readiness: decide.Ready, StartedAt: now})
 				h.EndEndpoints()
 			}
 			f := decide.FlowID(fmt.Sprint(i))
-			h.OnFlow(f, 0, -1, "", decide.GroupKey(fmt.Sprint("g", i%12)), time.Second, 0)
+			h.OnFlow(decide.FlowRequest{ID: f, Customer: -1, Group: decide.GroupKey(fmt.Sprint("g", i%12)), Timeout: time.Second})
 			h.OnEstablished(f, time.Millisecond)
 			if i%5 == 0 {
 				h.OnTimer(1)
@@ -223,7 +225,7 @@
 			now := time.Duration(i) * 10 * time.Millisecond
 			for _, m := range []Balancer{h, plain} {
 				m.SetTime(now)
-				m.OnFlow(f, 0, -1, "", decide.GroupKey(fmt.Sprint(i%7)), 2*time.Second, 0)
+				m.OnFlow(decide.FlowRequest{ID: f, Customer: -1, Group: decide.GroupKey(fmt.Sprint(i % 7)), Timeout: 2 * time.Second})
 				switch i % 5 {
 				case 0:
 					m.OnEnded(f, decide.Unreachable, time.Millisecond, false)
--- a/constraints/none.go
+++ b/constraints/none.go
@@ -13,14 +13,13 @@
 func (Unconstrained) SetTime(time.Duration) {}
 
 // OnEndpoint passes the list over.
-func (Unconstrained) OnEndpoint(decide.ServerID, decide.Zone, float64, decide.Readiness, time.Duration) {
-}
+func (Unconstrained) OnEndpoint(decide.Endpoint) {}
 
 // OnEndpointsUpdated passes the end of a list call over.
 func (Unconstrained) OnEndpointsUpdated() {}
 
 // OnFlow passes new flows over.
-func (Unconstrained) OnFlow(decide.FlowID, decide.ServiceID, decide.CustomerID, decide.GroupKey) {}
+func (Unconstrained) OnFlow(decide.FlowRequest) {}
 
 // OnAttempt passes connects over.
 func (Unconstrained) OnAttempt(decide.FlowID, decide.ServerID) {}
--- a/decide/admission.go
+++ b/decide/admission.go
@@ -27,7 +27,7 @@
 
 // patience ends with the setup target: a flow without a turn by then is given up and answered at once.
 func (b *Balancer) patience(f *flow) time.Duration {
-	return min(f.due, f.came+b.services[f.service].target)
+	return min(f.due, f.came+b.services[f.service].SetupTarget)
 }
 
 // serveLine gives turns while set-ups may go out, and answers those whose patience is over.
@@ -56,7 +56,7 @@
 }
 
 // widest: in a mass return all balancers send at once, to what all set-ups share.
-func (b *Balancer) widest() float64 { return max(1, allSetups/float64(b.cold.peers)) }
+func (b *Balancer) widest() float64 { return max(1, allSetups/float64(b.cold.Balancers)) }
 
 // narrow halves the set-ups that may be out, then spaces them, against a meltdown of what all of them share.
 func (b *Balancer) narrow() {
@@ -65,7 +65,7 @@
 	}
 	b.pace.last, b.pace.window = b.now, max(1, b.pace.window/2)
 	if b.pace.window == 1 {
-		b.pace.pause = min(max(2*b.pace.pause, shortestGap*time.Duration(b.cold.peers)), longestPause)
+		b.pace.pause = min(max(2*b.pace.pause, shortestGap*time.Duration(b.cold.Balancers)), longestPause)
 		least, most := min(b.pace.pause/2, longestShut*3/4), min(b.pace.pause*3/2, longestShut)
 		b.pace.opens = b.now + least + time.Duration(b.rng.unit()*float64(most-least))
 		b.actions.SetTimer(lineMark, b.pace.opens-b.now)
@@ -79,8 +79,8 @@
 	if c < 0 || c >= len(b.cold.quota) || b.cold.quota[c] == 0 || !b.short() {
 		return false
 	}
-	own := b.cold.quota[c] / float64(b.cold.peers)
-	return float64(b.fair[f.customer]) >= own+2*math.Sqrt(own*(1-1/float64(b.cold.peers)))
+	own := b.cold.quota[c] / float64(b.cold.Balancers)
+	return float64(b.fair[f.customer]) >= own+2*math.Sqrt(own*(1-1/float64(b.cold.Balancers)))
 }
 
 func (l *limit) cut(to float64, now time.Duration) {
--- a/decide/admission_test.go
+++ b/decide/admission_test.go
@@ -14,7 +14,7 @@
 	const every, limit = 100 * ms, 90 * ms
 	s := start(t, Idempotent, DeduplicatedByFleet, 60)
 	s.b.rng = seeded(seed)
-	s.b.ConfigureSlowStart(0.2, 3, 20*sec, 1500*ms, 300)
+	s.b.ConfigureSlowStart(SlowStart{InitialCapacity: 0.2, OverloadMultiple: 3, WarmUp: 20 * sec, Window: 1500 * ms, Balancers: 300})
 	out := map[FlowID]time.Duration{}
 	for now := time.Duration(0); now < end; now += 10 * ms {
 		s.at(now)
@@ -30,7 +30,7 @@
 			}
 		}
 		if now%every == 0 {
-			s.b.OnFlow(FlowID(fmt.Sprint(now)), 0, NoCustomer, "", "", limit, 0)
+			s.b.OnFlow(FlowRequest{ID: FlowID(fmt.Sprint(now)), Customer: NoCustomer, Timeout: limit})
 		}
 		s.b.OnTimer(lineMark)
 		for id := range s.last {
@@ -88,7 +88,7 @@
 		{"beyond their customer's share", Reset, func(s *script) {
 			s.b.AddCustomer(2)
 			for i := range 6 {
-				s.b.AdoptFlow(FlowID(fmt.Sprint("o", i)), 0, 0, "", "", ServerID(1+i%3))
+				s.b.AdoptFlow(FlowRequest{ID: FlowID(fmt.Sprint("o", i))}, ServerID(1+i%3))
 			}
 		}},
 	} {
@@ -105,7 +105,7 @@
 				for i := range 3 { // where flows stand all servers are late
 					s.b.OnLatencySample(FlowID(fmt.Sprint("o", i)), 90*ms)
 				}
-				s.b.OnFlow(FlowID(fmt.Sprint("f", at)), 0, 0, "", "", sec, 0)
+				s.b.OnFlow(FlowRequest{ID: FlowID(fmt.Sprint("f", at)), Timeout: sec})
 				for len(s.last) > 0 {
 					for _, id := range slices.Sorted(maps.Keys(s.last)) {
 						if at-last > most {
--- a/decide/bookkeeping_test.go
+++ b/decide/bookkeeping_test.go
@@ -22,7 +22,7 @@
 
 func newChanging(t *testing.T, servers int, probes bool, peers int, crossing float64) *changing {
 	c := &changing{script: start(t, Idempotent, DeduplicatedByFleet, servers), servers: servers}
-	c.b.ConfigureSlowStart(0.2, 3, 20*sec, 1500*ms, peers)
+	c.b.ConfigureSlowStart(SlowStart{InitialCapacity: 0.2, OverloadMultiple: 3, WarmUp: 20 * sec, Window: 1500 * ms, Balancers: peers})
 	c.b.ConfigureHealthChecks(probes)
 	c.b.ConfigurePlacement(crossing, 0.02, true)
 	c.list(FullUpdate, Ready, servers)
--- a/decide/cost_test.go
+++ b/decide/cost_test.go
@@ -13,10 +13,10 @@
 	s := &script{t: t, last: map[FlowID]ServerID{}, sent: map[ServerID]int{}}
 	s.b = New(7, s)
 	s.b.ConfigureFlows(3, sec)
-	s.b.AddService(Idempotent, DeduplicatedByFleet, 300*ms, 2*sec, 1)
-	s.b.ConfigureSlowStart(0.2, 3, 20*sec, 1500*ms, 8100)
+	s.b.AddService(ServiceType{Effect: Idempotent, Deduplication: DeduplicatedByFleet, SetupTarget: 300 * ms, RetryWindow: 2 * sec, Value: 1})
+	s.b.ConfigureSlowStart(SlowStart{InitialCapacity: 0.2, OverloadMultiple: 3, WarmUp: 20 * sec, Window: 1500 * ms, Balancers: 8100})
 	s.b.ConfigurePlacement(0.02, 0.02, true)
-	s.b.ConfigureEndpoints("z0", false, 10*sec, 100*ms)
+	s.b.ConfigureEndpoints(EndpointSettings{Zone: "z0", Polled: false, MaxPollInterval: 10 * sec, MessageTarget: 100 * ms})
 	s.at(0)
 	s.spread(CachedUpdate, servers)
 	for i := range flows {
@@ -29,7 +29,7 @@
 func (s *script) spread(k UpdateKind, servers int) {
 	s.b.BeginEndpoints(k)
 	for i := 1; i <= servers; i++ {
-		s.b.OnEndpoint(ServerID(i), Zone(fmt.Sprint("z", i%25)), CellID(i/8), 1, Ready, LongAgo)
+		s.b.OnEndpoint(Endpoint{ID: ServerID(i), Zone: Zone(fmt.Sprint("z", i%25)), Cell: CellID(i / 8), Size: 1, Readiness: Ready, StartedAt: LongAgo})
 	}
 	s.b.EndEndpoints()
 }
@@ -38,7 +38,7 @@
 func (s *script) come(i, groups int) FlowID {
 	f := FlowID(strconv.Itoa(i))
 	s.at(s.b.now + ms/10)
-	s.b.OnFlow(f, 0, NoCustomer, "", GroupKey(strconv.Itoa(i%groups)), sec, 0)
+	s.b.OnFlow(FlowRequest{ID: f, Customer: NoCustomer, Group: GroupKey(strconv.Itoa(i % groups)), Timeout: sec})
 	s.b.OnEstablished(f, 10*ms)
 	s.did = s.did[:0]
 	return f
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -80,27 +80,32 @@
 }
 
 // OnFlow takes a new flow.
-func (b *Balancer) OnFlow(id FlowID, s ServiceID, c CustomerID, _ FlowKey, g GroupKey, left time.Duration,
-	_ int) {
-	f := &flow{id: id, service: s, customer: c, group: g, came: b.now, due: b.now + left}
-	b.flows.byID[id] = f
-	if b.constraints != nil && !b.constraints.AdmitFlow(id) {
+func (b *Balancer) OnFlow(request FlowRequest) {
+	f := newFlow(request)
+	f.came, f.due = b.now, b.now+request.Timeout
+	b.flows.byID[f.id] = f
+	if b.constraints != nil && !b.constraints.AdmitFlow(f.id) {
 		b.answer(f)
 	} else {
 		b.place(f)
 	}
 }
 
-// AdoptFlow takes over a connection that already stands on a server.
-func (b *Balancer) AdoptFlow(id FlowID, s ServiceID, c CustomerID, _ FlowKey, g GroupKey, server ServerID) {
-	f := &flow{id: id, service: s, customer: c, group: g, connects: 1, out: 1, server: b.list.server(server)}
-	b.flows.byID[id] = f
+// AdoptFlow takes over a connection that is already established at a server.
+func (b *Balancer) AdoptFlow(request FlowRequest, server ServerID) {
+	f := newFlow(request)
+	f.connects, f.out, f.server = 1, 1, b.list.server(server)
+	b.flows.byID[f.id] = f
 	b.transition(f, established)
 	if f.server.state != Ready && f.server.open == 1 {
 		b.sortList() // it leaves: its flows are to be asked
 	}
 }
 
+func newFlow(request FlowRequest) *flow {
+	return &flow{id: request.ID, service: request.Service, customer: request.Customer, group: request.Group}
+}
+
 // place gives a waiting flow its next connect, a place in line, or the final answer when no connect is left;
 // none is after a failure that all share, as the next would feed it.
 func (b *Balancer) place(f *flow) {
@@ -146,19 +151,19 @@
 // answers. Less would cut off set-ups that are only slow, and what they share would do their work twice.
 func (b *Balancer) connectLimit(f *flow) time.Duration {
 	left, s := f.due-b.now, &b.services[f.service]
-	if f.mayRan && s.effect == IdempotentByKey {
+	if f.mayRan && s.Effect == IdempotentByKey {
 		left = min(left, b.repeatUntil(f)-b.now) // a connection may come up late, and be sent on past the window
 	}
-	if s.effect == NotIdempotent || f.connects >= b.flows.maxConnects {
+	if s.Effect == NotIdempotent || f.connects >= b.flows.maxConnects {
 		return left
 	}
-	return max(left/2, min(left, s.target))
+	return max(left/2, min(left, s.SetupTarget))
 }
 
 // harmless says whether the client may be told that trying again does no harm.
 func (b *Balancer) harmless(f *flow) bool {
 	s := &b.services[f.service]
-	return s.effect == Idempotent || f.out == 0 && !f.mayRan || s.effect == IdempotentByKey && s.reach == DeduplicatedByFleet
+	return s.Effect == Idempotent || f.out == 0 && !f.mayRan || s.Effect == IdempotentByKey && s.Deduplication == DeduplicatedByFleet
 }
 
 // answer gives the final answer at once; a flow given up on is never sat on.
@@ -187,7 +192,7 @@
 	b.health.setups, b.health.setupAt = keep(b.health.setups, took, keptSamples), b.now
 	b.judge(f, false)
 	b.transition(f, established)
-	if took > b.services[f.service].target {
+	if took > b.services[f.service].SetupTarget {
 		b.narrow() // it stands, but later than wanted
 	} else {
 		b.widen(f.server)
@@ -209,8 +214,8 @@
 		if o == Reset && f.life == f.server.life {
 			b.judge(f, true)
 			bad, n := failedShare(f.server.samples, b.now-noteAge)
-			if bad*float64(n) >= 2 || b.hot(f.server) || b.cold.peers > 3 { // one of many balancers hears of few
-				f.server.delay, f.server.delayAt = max(f.server.delay, b.list.messageTarget), b.now // as sure as a note
+			if bad*float64(n) >= 2 || b.hot(f.server) || b.cold.Balancers > 3 { // one of many balancers hears of few
+				f.server.delay, f.server.delayAt = max(f.server.delay, b.list.MessageTarget), b.now // as sure as a note
 				b.tooMany(f.server)
 			}
 		} else if o == Full && f.life == f.server.life && b.now >= f.server.ejectedUntil {
@@ -241,7 +246,7 @@
 func (b *Balancer) mayRepeat(f *flow) bool {
 	s := &b.services[f.service]
 	return f.out == 0 && b.now < f.due &&
-		(!f.mayRan || s.effect == Idempotent || s.effect == IdempotentByKey && b.now < b.repeatUntil(f))
+		(!f.mayRan || s.Effect == Idempotent || s.Effect == IdempotentByKey && b.now < b.repeatUntil(f))
 }
 
 // heldUp is how long a process may be held up between reading its clock and writing.
@@ -249,7 +254,7 @@
 
 // repeatUntil is until when a flow of which a connect may have run may be repeated where servers drop repeats for a while.
 func (b *Balancer) repeatUntil(f *flow) time.Duration {
-	return f.ranAt + b.services[f.service].window - heldUp
+	return f.ranAt + b.services[f.service].RetryWindow - heldUp
 }
 
 func (b *Balancer) OnClientLeft(id FlowID) {
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -156,7 +156,7 @@
 	}
 	t.Run("asked again after a failure", func(t *testing.T) {
 		s := start(t, Idempotent, DeduplicatedByFleet, 2)
-		s.b.ConfigureEndpoints("z0", true, 10*sec, 100*ms)
+		s.b.ConfigureEndpoints(EndpointSettings{Zone: "z0", Polled: true, MaxPollInterval: 10 * sec, MessageTarget: 100 * ms})
 		s.want("watch true")
 		s.b.BeginEndpoints(FailedUpdate)
 		s.b.OnTimer(listMark)
@@ -195,7 +195,7 @@
 		least, most := told, time.Duration(0)
 		for seed := range uint64(50) {
 			s := start(t, Idempotent, DeduplicatedByFleet, 2)
-			s.b.ConfigureEndpoints("z0", true, within, 100*ms)
+			s.b.ConfigureEndpoints(EndpointSettings{Zone: "z0", Polled: true, MaxPollInterval: within, MessageTarget: 100 * ms})
 			s.b.rng = seeded(seed)
 			for range 12 {
 				s.b.BeginEndpoints(FailedUpdate)
@@ -237,7 +237,7 @@
 	}
 	t.Run("what was not spent since the start is not spent at once", func(t *testing.T) {
 		s := start(t, Idempotent, DeduplicatedByFleet, 3)
-		s.b.cold.warmAfter = 60 * sec
+		s.b.cold.WarmUp = 60 * sec
 		s.held("a", 200, "", 1)
 		s.held("b", 200, "", 2)
 		s.change(3, Ready, 0)
@@ -304,7 +304,7 @@
 			s := start(t, Idempotent, DeduplicatedByFleet, 0)
 			s.b.BeginEndpoints(DeltaUpdate)
 			for id := ServerID(1); id <= 3; id++ {
-				s.b.OnEndpoint(id, "z0", 0, unit, Ready, map[bool]time.Duration{true: 0, false: LongAgo}[id == 3])
+				s.b.OnEndpoint(Endpoint{ID: id, Zone: "z0", Size: unit, Readiness: Ready, StartedAt: map[bool]time.Duration{true: 0, false: LongAgo}[id == 3]})
 			}
 			s.b.EndEndpoints()
 			s.held("a", 20, "", 1)
@@ -356,7 +356,7 @@
 			s.held("c", 3, "y", 3)
 		}, 2},
 		{"also above the guard by what may be chance, being one of four", func(s *script) {
-			s.b.cold.peers = 4
+			s.b.cold.Balancers = 4
 			s.held("a", 6, "g", 2)
 			s.held("b", 3, "x", 1)
 			s.held("c", 3, "y", 3)
@@ -370,7 +370,7 @@
 			s.held("b", 8, "y", 2)
 			s.held("c", 8, "z", 3)
 			s.b.BeginEndpoints(DeltaUpdate)
-			s.b.OnEndpoint(3, "z0", 0, 4, Ready, LongAgo)
+			s.b.OnEndpoint(Endpoint{ID: 3, Zone: "z0", Size: 4, Readiness: Ready, StartedAt: LongAgo})
 			s.b.EndEndpoints()
 		}, 3},
 	} {
@@ -420,7 +420,7 @@
 				next := map[ServerID]int{}
 				for seed := range uint64(20) {
 					s := start(t, Idempotent, DeduplicatedByFleet, 12)
-					s.b.ConfigureSlowStart(0.2, 3, 20*sec, 1500*ms, 200)
+					s.b.ConfigureSlowStart(SlowStart{InitialCapacity: 0.2, OverloadMultiple: 3, WarmUp: 20 * sec, Window: 1500 * ms, Balancers: 200})
 					s.b.rng = seeded(seed)
 					home := s.flow("a", g, sec)
 					s.at(10 * ms)
@@ -445,7 +445,7 @@
 // Where servers tell no delays a reset of a standing flow is all that one of many balancers hears of too much load.
 func TestResetsShowAShortFleet(t *testing.T) {
 	s := start(t, Idempotent, DeduplicatedByFleet, 6)
-	s.b.ConfigureSlowStart(0.2, 3, 20*sec, 1500*ms, 200)
+	s.b.ConfigureSlowStart(SlowStart{InitialCapacity: 0.2, OverloadMultiple: 3, WarmUp: 20 * sec, Window: 1500 * ms, Balancers: 200})
 	s.rest(1, 6)
 	s.b.OnEnded("r10", Reset, sec, true)
 	if s.b.short() {
@@ -547,7 +547,7 @@
 	for _, c := range []struct{ peers, most int }{{1, 48}, {200, 1}} {
 		t.Run(fmt.Sprint("a mass return goes out in parts, balancers: ", c.peers), func(t *testing.T) {
 			s := start(t, Idempotent, DeduplicatedByFleet, 6)
-			s.b.ConfigureSlowStart(0.2, 3, 20*sec, 1500*ms, c.peers)
+			s.b.ConfigureSlowStart(SlowStart{InitialCapacity: 0.2, OverloadMultiple: 3, WarmUp: 20 * sec, Window: 1500 * ms, Balancers: c.peers})
 			for i := range 60 {
 				s.flow(FlowID(fmt.Sprint(i)), "", 2*sec)
 			}
@@ -659,7 +659,7 @@
 			moves := 0
 			for n := range 200 {
 				s := start(t, Idempotent, DeduplicatedByFleet, 6)
-				s.b.rng, s.b.cold.peers = seeded(uint64(n)), 200
+				s.b.rng, s.b.cold.Balancers = seeded(uint64(n)), 200
 				s.held("o", 1, "", 1)
 				s.b.list.byID[1].delay = 200 * ms
 				s.at(sec)
@@ -726,7 +726,7 @@
 			limited       bool
 		}{{2, 1, false}, {2, 2, true}, {40, 1, true}} {
 			s := start(t, Idempotent, DeduplicatedByFleet, 2)
-			s.b.ConfigureSlowStart(0.2, 3, 20*sec, 1500*ms, c.peers)
+			s.b.ConfigureSlowStart(SlowStart{InitialCapacity: 0.2, OverloadMultiple: 3, WarmUp: 20 * sec, Window: 1500 * ms, Balancers: c.peers})
 			s.held("a", 9, "", 1)
 			s.at(sec)
 			for i := range c.resets {
@@ -778,7 +778,7 @@
 	}
 	t.Run("one of many is short only by more than chance, and then takes fewer in all", func(t *testing.T) {
 		s := start(t, Idempotent, DeduplicatedByFleet, 60)
-		s.b.cold.peers, s.b.health.setups = 200, []time.Duration{sec} // not calm: none is moved
+		s.b.cold.Balancers, s.b.health.setups = 200, []time.Duration{sec} // not calm: none is moved
 		s.rest(1, 8)
 		for i, short := range []bool{false, false, false, true, true, true, true, true} {
 			s.b.OnLatencySample(FlowID(fmt.Sprintf("r%d0", i+1)), 80*ms)
@@ -796,13 +796,13 @@
 		s.b.AddCustomer(2)
 		s.b.AddCustomer(50)
 		for i := range 3 {
-			s.b.AdoptFlow(FlowID(fmt.Sprint("o", i)), 0, 0, "", "", 1)
+			s.b.AdoptFlow(FlowRequest{ID: FlowID(fmt.Sprint("o", i))}, 1)
 		}
 		s.b.OnLatencySample("o0", 90*ms)
 		s.take()
-		s.b.OnFlow("over", 0, 0, "", "", sec, 0)
+		s.b.OnFlow(FlowRequest{ID: "over", Timeout: sec})
 		s.want("reject over")
-		s.b.OnFlow("within", 0, 1, "", "", sec, 0)
+		s.b.OnFlow(FlowRequest{ID: "within", Customer: 1, Timeout: sec})
 		if got := s.take(); !strings.HasPrefix(got, "connect within") {
 			t.Errorf("did %q", got)
 		}
@@ -814,7 +814,7 @@
 func TestRepeatEndsWithItsWindow(t *testing.T) {
 	s := start(t, IdempotentByKey, DeduplicatedByFleet, 4) // a window of 2 s
 	s.at(sec)
-	s.b.OnFlow("a", 0, NoCustomer, "", "", 60*sec, 0)
+	s.b.OnFlow(FlowRequest{ID: "a", Customer: NoCustomer, Timeout: 60 * sec})
 	s.at(2500 * ms)
 	var limit time.Duration
 	s.b.actions = limits{s, &limit}
@@ -861,7 +861,7 @@
 			s.b.coldStart(r, 10*sec)
 			s.at(15 * sec)
 			r.coldDue = 9
-			s.b.OnFlow("a", 0, NoCustomer, "", "", sec, 0)
+			s.b.OnFlow(FlowRequest{ID: "a", Customer: NoCustomer, Timeout: sec})
 			want := r.coldSent
 			if want == 0 || s.sent[1] != 1 {
 				t.Fatalf("%d spent after the connect: %v", r.coldSent, s.did)
--- a/decide/handedover_test.go
+++ b/decide/handedover_test.go
@@ -64,7 +64,7 @@
 		t.Run(left.String(), func(t *testing.T) {
 			s := start(t, IdempotentByKey, DeduplicatedByFleet, 4)
 			s.at(sec)
-			s.b.OnFlow("a", 0, NoCustomer, "", "", 60*sec, 0)
+			s.b.OnFlow(FlowRequest{ID: "a", Customer: NoCustomer, Timeout: 60 * sec})
 			s.at(sec + window - left)
 			limit := time.Duration(-1)
 			s.b.actions = limits{s, &limit}
--- a/decide/health.go
+++ b/decide/health.go
@@ -86,11 +86,11 @@
 	if f == nil || f.state != established {
 		return
 	}
-	r, late, need := f.server, took > b.list.messageTarget, 0.0
+	r, late, need := f.server, took > b.list.MessageTarget, 0.0
 	if late {
 		need = anyhow // what is late is worth nothing, whatever a move costs
 	}
-	again := r.delay > b.list.messageTarget && b.now-r.delayAt < noteAge
+	again := r.delay > b.list.MessageTarget && b.now-r.delayAt < noteAge
 	// What stops the backlog's growth and drains it: a fixed part would fit neither a slow server nor a pause.
 	part := took.Seconds() / drainIn.Seconds()
 	if again {
@@ -117,7 +117,7 @@
 
 // hot: messages take over a third of the shortest time wanted; notes start there, and one says when it ends.
 func (b *Balancer) hot(r *server) bool {
-	return r.delay > 0 && b.now-r.delayAt < noteAge && r.delay > b.list.messageTarget/3
+	return r.delay > 0 && b.now-r.delayAt < noteAge && r.delay > b.list.MessageTarget/3
 }
 
 // OnHealthCheck: a probe's result. A server that answers has its trickle started.
--- a/decide/help_test.go
+++ b/decide/help_test.go
@@ -48,11 +48,11 @@
 	s := &script{t: t, last: map[FlowID]ServerID{}, sent: map[ServerID]int{}}
 	s.b = New(7, s)
 	s.b.ConfigureFlows(4, 0)
-	s.b.AddService(e, r, 300*ms, 2*sec, 1)
-	s.b.ConfigureSlowStart(0.2, 3, 20*sec, 1500*ms, 1)
+	s.b.AddService(ServiceType{Effect: e, Deduplication: r, SetupTarget: 300 * ms, RetryWindow: 2 * sec, Value: 1})
+	s.b.ConfigureSlowStart(SlowStart{InitialCapacity: 0.2, OverloadMultiple: 3, WarmUp: 20 * sec, Window: 1500 * ms, Balancers: 1})
 	s.b.ConfigureHealthChecks(false)
 	s.b.ConfigurePlacement(0, 0, true)
-	s.b.ConfigureEndpoints("z0", false, 10*sec, 100*ms)
+	s.b.ConfigureEndpoints(EndpointSettings{Zone: "z0", Polled: false, MaxPollInterval: 10 * sec, MessageTarget: 100 * ms})
 	s.at(0)
 	s.list(CachedUpdate, Ready, n)
 	return s
@@ -70,7 +70,7 @@
 
 func (s *script) entry(id ServerID, st Readiness, since time.Duration) {
 	z := (int(id) - 1) / 2
-	s.b.OnEndpoint(id, Zone(fmt.Sprint("z", z)), CellID(z), 1, st, since)
+	s.b.OnEndpoint(Endpoint{ID: id, Zone: Zone(fmt.Sprint("z", z)), Cell: CellID(z), Size: 1, Readiness: st, StartedAt: since})
 }
 
 // change brings news of one server.
@@ -81,14 +81,14 @@
 }
 
 func (s *script) flow(id FlowID, g GroupKey, left time.Duration) ServerID {
-	s.b.OnFlow(id, 0, NoCustomer, "", g, left, 0)
+	s.b.OnFlow(FlowRequest{ID: id, Customer: NoCustomer, Group: g, Timeout: left})
 	return s.last[id]
 }
 
 // held opens n connections on a server, as handed over at the start.
 func (s *script) held(prefix string, n int, g GroupKey, r ServerID) {
 	for i := range n {
-		s.b.AdoptFlow(FlowID(fmt.Sprint(prefix, i)), 0, NoCustomer, "", g, r)
+		s.b.AdoptFlow(FlowRequest{ID: FlowID(fmt.Sprint(prefix, i)), Customer: NoCustomer, Group: g}, r)
 	}
 }
 
--- a/decide/index.go
+++ b/decide/index.go
@@ -86,14 +86,14 @@
 }
 
 // reachable are those servers, or the ready ones of the zone or cell that a repeat is bound to.
-func (l *serverList) reachable(f *flow, s *service, servers []*server) []*server {
-	if !f.mayRan || s.effect == Idempotent || s.reach == DeduplicatedByFleet {
+func (l *serverList) reachable(f *flow, s *ServiceType, servers []*server) []*server {
+	if !f.mayRan || s.Effect == Idempotent || s.Deduplication == DeduplicatedByFleet {
 		return servers
 	}
 	if l.zones == nil {
 		l.sortByPlace()
 	}
-	if s.reach == DeduplicatedByZone {
+	if s.Deduplication == DeduplicatedByZone {
 		return l.zones[f.ranZone]
 	}
 	return l.cells[f.ranCell]
@@ -116,7 +116,7 @@
 		return
 	}
 	for _, r := range l.ready {
-		if r.zone == l.own {
+		if r.zone == l.Zone {
 			l.near = append(l.near, r)
 		}
 	}
--- a/decide/list.go
+++ b/decide/list.go
@@ -16,27 +16,27 @@
 	}
 	if k != FailedUpdate {
 		b.list.gap = 0
-	} else if b.list.ask {
+	} else if b.list.Polled {
 		// Well within the time after which we count as told, spread: a service just back must not be toppled.
-		b.list.gap = min(max(2*b.list.gap, tickEvery), b.list.askWithin/2, longestGap)
+		b.list.gap = min(max(2*b.list.gap, tickEvery), b.list.MaxPollInterval/2, longestGap)
 		b.actions.SetTimer(listMark, time.Duration(float64(b.list.gap)*(0.5+b.rng.unit()/2)))
 	}
 }
 
 // OnEndpoint is one entry. A fresh start clears the tallies.
-func (b *Balancer) OnEndpoint(id ServerID, z Zone, c CellID, size float64, st Readiness, at time.Duration) {
-	r := b.list.server(id)
-	if at > r.since && st == Ready {
+func (b *Balancer) OnEndpoint(endpoint Endpoint) {
+	r := b.list.server(endpoint.ID)
+	if endpoint.StartedAt > r.since && endpoint.Readiness == Ready {
 		b.forget(r)
-		*r = server{id: id, flows: r.flows, life: r.life, byHand: r.byHand}
-		b.coldStart(r, at)
+		*r = server{id: endpoint.ID, flows: r.flows, life: r.life, byHand: r.byHand}
+		b.coldStart(r, endpoint.StartedAt)
 	}
 	if b.health.pull && r.askedAt == 0 { // as good as asked, at a time of its own; but one probe is due
 		r.askedAt = b.now - time.Duration(b.rng.unit()*float64(recheckEvery))
 		b.health.credit++
 	}
-	r.zone, r.cell, r.size, r.seen = z, c, size, true
-	b.stand(r, st)
+	r.zone, r.cell, r.size, r.seen = endpoint.Zone, endpoint.Cell, endpoint.Size, true
+	b.stand(r, endpoint.Readiness)
 }
 
 // stand makes of the list's word and the staff's what a server may be sent: out by hand wins over any list.
--- a/decide/longlist_test.go
+++ b/decide/longlist_test.go
@@ -133,7 +133,7 @@
 		DeduplicatedByCell: func(a, b *server) bool { return a.cell == b.cell },
 	} {
 		s := full(t, 1999, 0, 1) // each cell has several
-		s.b.services[0].effect, s.b.services[0].reach = IdempotentByKey, reach
+		s.b.services[0].Effect, s.b.services[0].Deduplication = IdempotentByKey, reach
 		for i := range 50 {
 			f := FlowID(strconv.Itoa(i))
 			for k := range 3 { // or all would seem to fail, and no repeat be made
--- a/decide/placement.go
+++ b/decide/placement.go
@@ -93,8 +93,8 @@
 		return false
 	}
 	s := &b.services[f.service]
-	return !f.mayRan || s.effect == Idempotent || s.reach == DeduplicatedByFleet ||
-		s.reach == DeduplicatedByZone && r.zone == f.ranZone || s.reach == DeduplicatedByCell && r.cell == f.ranCell
+	return !f.mayRan || s.Effect == Idempotent || s.Deduplication == DeduplicatedByFleet ||
+		s.Deduplication == DeduplicatedByZone && r.zone == f.ranZone || s.Deduplication == DeduplicatedByCell && r.cell == f.ranCell
 }
 
 // rank sorts servers in trouble behind the others without ever leaving a flow without any.
@@ -136,7 +136,7 @@
 		if wasHot { // behind all others: forgiven at once, it would draw back what made it late
 			h *= 1e-6
 		}
-		if r.zone == b.list.own {
+		if r.zone == b.list.Zone {
 			h *= b.nearWeight()
 		}
 		if h > top {
@@ -160,7 +160,7 @@
 	if load, ok := b.told(r); ok {
 		return load > max(guard*v.told, ample)
 	}
-	fair, chance := v.mean*b.size(r), 1-1/float64(b.cold.peers)
+	fair, chance := v.mean*b.size(r), 1-1/float64(b.cold.Balancers)
 	return float64(open) > guard*fair+2*math.Sqrt(fair*chance)+chance*float64(group)
 }
 
@@ -197,7 +197,7 @@
 	} else if f.group != "" {
 		c += groupWeight * b.distance()
 	}
-	if r.zone != b.list.own {
+	if r.zone != b.list.Zone {
 		c += priceWeight * b.picks.crossing
 	}
 	extra, _ := b.bound(f, r)
--- a/decide/rechecks.go
+++ b/decide/rechecks.go
@@ -11,7 +11,7 @@
 // that are only slow say nothing for long: after a mass return a server far behind would keep all it holds.
 func (b *Balancer) calm() bool {
 	over := b.now-b.health.setupAt > noteAge
-	return len(b.services) > 0 && (over || median(b.health.setups) < b.services[0].target/2)
+	return len(b.services) > 0 && (over || median(b.health.setups) < b.services[0].SetupTarget/2)
 }
 
 // recheck moves an established flow when another server, in no trouble, wins by need, or anyway.
@@ -43,7 +43,7 @@
 	} else if f.group != "" {
 		here, least = here+groupWeight*b.distance(), least-groupWeight
 	}
-	if f.server.zone != b.list.own {
+	if f.server.zone != b.list.Zone {
 		here += priceWeight * b.picks.crossing
 	}
 	return here-need < least-1e-9
@@ -101,7 +101,7 @@
 // or its part of a round need is never saved. It asks whom it asked longest ago, sooner where flows are.
 func (b *Balancer) probe() {
 	h, round, held := &b.health, float64(len(b.list.ready)), float64(len(b.flows.open))
-	part := round / float64(b.cold.peers)
+	part := round / float64(b.cold.Balancers)
 	h.credit += min(round, max(held, part)) * float64(tickEvery) / float64(reportAge)
 	h.credit = min(h.credit, round, 1+held+part)
 	most := 1 + 4*round*float64(tickEvery)/float64(recheckEvery) // by all at once: it would turn most away
--- a/decide/recorded_test.go
+++ b/decide/recorded_test.go
@@ -49,15 +49,15 @@
 		rand: rand.New(rand.NewPCG(day.seed, 99)), standOn: map[FlowID]ServerID{}}
 	r.b = New(day.seed, r.script)
 	r.b.ConfigureFlows(3, sec)
-	r.b.AddService(day.effect, day.reach, 300*ms, 2*sec, 1)
-	r.b.ConfigureSlowStart(0.2, 3, 20*sec, 1500*ms, day.peers)
+	r.b.AddService(ServiceType{Effect: day.effect, Deduplication: day.reach, SetupTarget: 300 * ms, RetryWindow: 2 * sec, Value: 1})
+	r.b.ConfigureSlowStart(SlowStart{InitialCapacity: 0.2, OverloadMultiple: 3, WarmUp: 20 * sec, Window: 1500 * ms, Balancers: day.peers})
 	r.b.ConfigureHealthChecks(day.probes)
 	r.b.ConfigurePlacement(day.crossing, 0.02, true)
 	if day.shares {
 		r.b.AddCustomer(float64(day.rate) * 4)
 		r.b.AddCustomer(float64(day.rate))
 	}
-	r.b.ConfigureEndpoints("z0", false, 10*sec, 100*ms)
+	r.b.ConfigureEndpoints(EndpointSettings{Zone: "z0", Polled: false, MaxPollInterval: 10 * sec, MessageTarget: 100 * ms})
 	r.at(0)
 	r.list(CachedUpdate, Ready, day.servers)
 	for step := range day.seconds * 20 {
@@ -93,7 +93,7 @@
 	if n := r.rand.IntN(day.groups + 1); n > 0 {
 		group = GroupKey(strconv.Itoa(n * n / day.groups))
 	}
-	r.b.OnFlow(FlowID(strconv.Itoa(r.flows)), 0, customer, "", group, 900*ms, 0)
+	r.b.OnFlow(FlowRequest{ID: FlowID(strconv.Itoa(r.flows)), Customer: customer, Group: group, Timeout: 900 * ms})
 }
 
 // trouble changes the list now and then, and has servers late.
--- a/decide/reports_test.go
+++ b/decide/reports_test.go
@@ -13,7 +13,7 @@
 // reporting is one of many balancers before a fleet whose servers told their loads a second ago.
 func reporting(t *testing.T, loads ...float64) *script {
 	s := start(t, Idempotent, DeduplicatedByFleet, 0)
-	s.b.ConfigureSlowStart(0.2, 3, 20*sec, 1500*ms, 50)
+	s.b.ConfigureSlowStart(SlowStart{InitialCapacity: 0.2, OverloadMultiple: 3, WarmUp: 20 * sec, Window: 1500 * ms, Balancers: 50})
 	s.b.ConfigureHealthChecks(true)
 	s.b.ConfigurePlacement(0.012, 0, true)
 	s.list(FullUpdate, Ready, len(loads))
@@ -134,7 +134,7 @@
 // probed is what one of so many balancers before 80 servers asks in the time, which holds so many flows all the while.
 func probed(t *testing.T, peers, flows int, d time.Duration) int {
 	s := start(t, Idempotent, DeduplicatedByFleet, 0)
-	s.b.ConfigureSlowStart(0.2, 3, 20*sec, 1500*ms, peers)
+	s.b.ConfigureSlowStart(SlowStart{InitialCapacity: 0.2, OverloadMultiple: 3, WarmUp: 20 * sec, Window: 1500 * ms, Balancers: peers})
 	s.b.ConfigureHealthChecks(true)
 	s.at(sec)
 	s.list(CachedUpdate, Ready, 80)
--- a/decide/settings.go
+++ b/decide/settings.go
@@ -26,8 +26,8 @@
 }
 
 // AddService adds the next service type.
-func (b *Balancer) AddService(e Effect, r DeduplicationScope, target, window time.Duration, value float64) {
-	b.services = append(b.services, service{e, r, target, window, value})
+func (b *Balancer) AddService(service ServiceType) {
+	b.services = append(b.services, service)
 }
 
 func (b *Balancer) ConfigurePlacement(p, move float64, sizes bool) { b.picks = pick{p, move, sizes} }
@@ -36,8 +36,9 @@
 func (b *Balancer) ConfigureHealthChecks(pull bool) { b.health.pull = pull }
 
 // ConfigureSlowStart sets the rule on cold servers, its window, and by how many balancers its budget is shared.
-func (b *Balancer) ConfigureSlowStart(from, multiple float64, warmAfter, window time.Duration, peers int) {
-	b.cold = cold{from: from, multiple: multiple, warmAfter: warmAfter, window: window, peers: max(peers, 1), quota: b.cold.quota}
+func (b *Balancer) ConfigureSlowStart(settings SlowStart) {
+	settings.Balancers = max(settings.Balancers, 1)
+	b.cold = cold{SlowStart: settings, quota: b.cold.quota}
 	b.pace.window = b.widest()
 }
 
@@ -46,10 +47,9 @@
 
 // ConfigureEndpoints sets this balancer's zone, whether the list must be asked for and how often at the least, the
 // grace after a drain is told, and the shortest time in which a message is wanted.
-func (b *Balancer) ConfigureEndpoints(own Zone, ask bool, askWithin, messageTarget time.Duration) {
-	l := &b.list
-	l.own, l.ask, l.askWithin, l.messageTarget = own, ask, askWithin, messageTarget
-	if ask {
+func (b *Balancer) ConfigureEndpoints(settings EndpointSettings) {
+	b.list.EndpointSettings = settings
+	if settings.Polled {
 		b.actions.WatchEndpoints(true)
 	}
 }
--- a/decide/size_test.go
+++ b/decide/size_test.go
@@ -19,7 +19,7 @@
 // many is one of 1,024 balancers before so many servers, which holds so many flows.
 func many(t *testing.T, servers, flows int) *script {
 	s := start(t, Idempotent, DeduplicatedByFleet, servers)
-	s.b.ConfigureSlowStart(0.2, 3, 20*sec, 1500*ms, 1024)
+	s.b.ConfigureSlowStart(SlowStart{InitialCapacity: 0.2, OverloadMultiple: 3, WarmUp: 20 * sec, Window: 1500 * ms, Balancers: 1024})
 	for i := range flows {
 		s.stand(i)
 	}
@@ -30,7 +30,7 @@
 func (s *script) stand(i int) FlowID {
 	f := FlowID(strconv.Itoa(i))
 	s.at(time.Duration(i) * ms)
-	s.b.OnFlow(f, 0, NoCustomer, "", GroupKey(strconv.Itoa(i%97)), sec, 0)
+	s.b.OnFlow(FlowRequest{ID: f, Customer: NoCustomer, Group: GroupKey(strconv.Itoa(i % 97)), Timeout: sec})
 	s.b.OnEstablished(f, 10*ms)
 	s.did = s.did[:0]
 	return f
--- a/decide/types.go
+++ b/decide/types.go
@@ -156,11 +156,51 @@
 	seat          int // in its server's flows, while established
 }
 
-type service struct {
-	effect         Effect
-	reach          DeduplicationScope
-	target, window time.Duration
-	value          float64
+// FlowRequest describes a flow that a client asks for.
+type FlowRequest struct {
+	ID       FlowID
+	Service  ServiceID
+	Customer CustomerID
+	Key      FlowKey
+	Group    GroupKey
+	Timeout  time.Duration // until the client gives up; of no meaning for a flow that is adopted
+	Flags    int           // of the Flag constants
+}
+
+// Endpoint is one server as the endpoint list describes it.
+type Endpoint struct {
+	ID        ServerID
+	Zone      Zone
+	Cell      CellID
+	Size      float64 // relative to the sizes of other servers
+	Readiness Readiness
+	StartedAt time.Duration // LongAgo if the list gives no start
+}
+
+// ServiceType is the terms on which flows of one service type are served.
+type ServiceType struct {
+	Effect        Effect
+	Deduplication DeduplicationScope
+	SetupTarget   time.Duration // an attempt established within it is in time
+	RetryWindow   time.Duration // for how long servers drop repeats of an idempotency key
+	Value         float64       // priority weight of a second of an established flow
+}
+
+// SlowStart is the rule that protects servers that are warming up.
+type SlowStart struct {
+	InitialCapacity  float64       // share of its capacity that a server has when it starts
+	OverloadMultiple float64       // load over capacity at which a warming server fails
+	WarmUp           time.Duration // from a server's start to its full capacity
+	Window           time.Duration // for how long the overload has to last
+	Balancers        int           // that share the budget of each warming server
+}
+
+// EndpointSettings says how the endpoint list reaches this balancer.
+type EndpointSettings struct {
+	Zone            Zone          // of this balancer
+	Polled          bool          // the list comes only when it is asked for
+	MaxPollInterval time.Duration // a polled list has to be asked for at least this often
+	MessageTarget   time.Duration // the shortest latency objective of a message
 }
 
 // server is one real server as this balancer knows it; each part keeps its own share of it.
@@ -216,7 +256,7 @@
 	health   health
 	cold     cold
 	list     serverList
-	services []service
+	services []ServiceType
 	fair     map[CustomerID]int // open flows of each customer
 }
 
@@ -262,33 +302,28 @@
 }
 
 type cold struct {
-	from, multiple float64
-	warmAfter      time.Duration
-	window         time.Duration
-	peers          int
-	quota          []float64 // of customers, in connections over all balancers
-	handedOver     bool      // another process spends the budgets
+	SlowStart
+	quota      []float64 // of customers, in connections over all balancers
+	handedOver bool      // another process spends the budgets
 }
 
 type serverList struct {
-	byID               map[ServerID]*server
-	all                []*server // by id, but for those that came since the last sorting
-	unsorted           bool
-	ready, leaving     []*server // by id
-	near               []*server // ready, in the own zone
-	zones              map[Zone][]*server
-	cells              map[CellID][]*server
-	homes              serverIndex // of a long list: where groups are at home
-	sums               sums        // over ready: flows at all times, the rest as of the last tick or list
-	lowest             float64     // least load of any server that a flow could be moved to, as of the last tick
-	selections         uint64
-	candidates         []*server // the last selection from a long list
-	own                Zone
-	ask                bool
-	askWithin          time.Duration
-	gap, messageTarget time.Duration
-	kind               UpdateKind
-	usual              float64 // size in service: of the first list, or of the most warm servers since; 0: none
+	byID           map[ServerID]*server
+	all            []*server // by id, but for those that came since the last sorting
+	unsorted       bool
+	ready, leaving []*server // by id
+	near           []*server // ready, in the own zone
+	zones          map[Zone][]*server
+	cells          map[CellID][]*server
+	homes          serverIndex // of a long list: where groups are at home
+	sums           sums        // over ready: flows at all times, the rest as of the last tick or list
+	lowest         float64     // least load of any server that a flow could be moved to, as of the last tick
+	selections     uint64
+	candidates     []*server // the last selection from a long list
+	EndpointSettings
+	gap   time.Duration
+	kind  UpdateKind
+	usual float64 // size in service: of the first list, or of the most warm servers since; 0: none
 }
 
 // sums are figures added up over servers.
--- a/decide/warmup.go
+++ b/decide/warmup.go
@@ -11,8 +11,8 @@
 func (b *Balancer) warmth(r *server) float64 { return b.warmthAt(r, b.now) }
 
 func (b *Balancer) warmthAt(r *server, at time.Duration) float64 {
-	if age := at - r.since; r.since != LongAgo && age < b.cold.warmAfter {
-		return b.cold.from + (1-b.cold.from)*max(0, age.Seconds())/b.cold.warmAfter.Seconds()
+	if age := at - r.since; r.since != LongAgo && age < b.cold.WarmUp {
+		return b.cold.InitialCapacity + (1-b.cold.InitialCapacity)*max(0, age.Seconds())/b.cold.WarmUp.Seconds()
 	}
 	return 1
 }
@@ -29,9 +29,9 @@
 // return would spend it at once. A part of one flow is rounded by chance: one each would be too much.
 func (b *Balancer) coldDue(r *server, v view) (due float64, sent int) {
 	c, w, was := &b.cold, b.warmth(r), b.warmthAt(r, r.coldAt)
-	full := c.multiple * max(v.fair/2, cmp.Or(b.meant(), v.fair)) * b.size(r) / w
-	due = r.coldDue + full*(w*w-was*was)/(2-2*c.from)
-	part := full * w * c.window.Seconds() / c.warmAfter.Seconds() // of one of the rule's windows
+	full := c.OverloadMultiple * max(v.fair/2, cmp.Or(b.meant(), v.fair)) * b.size(r) / w
+	due = r.coldDue + full*(w*w-was*was)/(2-2*c.InitialCapacity)
+	part := full * w * c.Window.Seconds() / c.WarmUp.Seconds() // of one of the rule's windows
 	return due, max(r.coldSent, int(due-max(savedWindows*part, min(3*savedWindows*part, 1))))
 }
 
@@ -42,7 +42,7 @@
 	for _, q := range b.cold.quota {
 		sum += q
 	}
-	return sum / float64(b.cold.peers) / max(b.list.usual, 1e-9)
+	return sum / float64(b.cold.Balancers) / max(b.list.usual, 1e-9)
 }
 
 func (b *Balancer) coldRoom(r *server, v view) bool {
--- a/fleet/signals/observations.go
+++ b/fleet/signals/observations.go
@@ -41,7 +41,7 @@
 }
 
 // OnFlow counts a new flow.
-func (s *Exchange) OnFlow(decide.FlowID, decide.ServiceID, decide.CustomerID, decide.GroupKey) {
+func (s *Exchange) OnFlow(decide.FlowRequest) {
 	s.newFlows++
 }
 
--- a/fleet/signals/signals.go
+++ b/fleet/signals/signals.go
@@ -64,7 +64,8 @@
 func (s *Exchange) SetTime(now time.Duration) { s.now = now }
 
 // OnEndpoint takes in a change of the server list.
-func (s *Exchange) OnEndpoint(id decide.ServerID, _ decide.Zone, _ float64, readiness decide.Readiness, _ time.Duration) {
+func (s *Exchange) OnEndpoint(endpoint decide.Endpoint) {
+	id, readiness := endpoint.ID, endpoint.Readiness
 	if readiness == decide.Ready {
 		s.ready[id] = true
 	} else {
--- a/fleet/signals/signals_test.go
+++ b/fleet/signals/signals_test.go
@@ -136,7 +136,7 @@
 	}{{4, 1, true}, {4, 2, false}, {40, 4, true}, {40, 5, false}} {
 		s := fresh("me")
 		for i := range x.servers {
-			s.OnEndpoint(decide.ServerID(i), "a", 1, decide.Ready, 0)
+			s.OnEndpoint(decide.Endpoint{ID: decide.ServerID(i), Zone: "a", Size: 1, Readiness: decide.Ready})
 		}
 		for _, o := range []Origin{"a", "b"} {
 			r := Record{Origin: o, Incarnation: 1, Sequence: 1}
--- a/internal/config/start.go
+++ b/internal/config/start.go
@@ -22,11 +22,21 @@
 		s := g.Sub("service-types." + strconv.Itoa(i))
 		services[s.need("name")] = decide.ServiceID(i)
 		e := word(s, "effect", effects, decide.NotIdempotent)
-		b.AddService(e, word(s, "group", reaches, decide.DeduplicatedByCell), s.Duration("setup-target"), s.Duration("window"),
-			s.Float("value", 1))
+		b.AddService(decide.ServiceType{
+			Effect:        e,
+			Deduplication: word(s, "group", reaches, decide.DeduplicatedByCell),
+			SetupTarget:   s.Duration("setup-target"),
+			RetryWindow:   s.Duration("window"),
+			Value:         s.Float("value", 1),
+		})
 	}
-	b.ConfigureSlowStart(g.Float("guarantees.cold-from", 1), g.Float("guarantees.fall-multiple", 1),
-		g.Duration("guarantees.warm-after"), time.Duration(g.Float("guarantees.fall", float64(1500*time.Millisecond))), int(g.Float("peers-total", 1)))
+	b.ConfigureSlowStart(decide.SlowStart{
+		InitialCapacity:  g.Float("guarantees.cold-from", 1),
+		OverloadMultiple: g.Float("guarantees.fall-multiple", 1),
+		WarmUp:           g.Duration("guarantees.warm-after"),
+		Window:           time.Duration(g.Float("guarantees.fall", float64(1500*time.Millisecond))),
+		Balancers:        int(g.Float("peers-total", 1)),
+	})
 	b.ConfigureHealthChecks(HealthChecksEnabled(g))
 	checkNines(g)
 	b.ConfigurePlacement(g.Float("tariffs.cross-zone", 0),
@@ -41,7 +51,12 @@
 		}
 		b.AddCustomer(q)
 	}
-	b.ConfigureEndpoints(decide.Zone(g.String("az", "")), DiscoveryIsPolled(g), g.Duration("guarantees.must-ask-in"), MessageTarget(g))
+	b.ConfigureEndpoints(decide.EndpointSettings{
+		Zone:            decide.Zone(g.String("az", "")),
+		Polled:          DiscoveryIsPolled(g),
+		MaxPollInterval: g.Duration("guarantees.must-ask-in"),
+		MessageTarget:   MessageTarget(g),
+	})
 	return services, customers
 }
 
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -21,8 +21,8 @@
 func TestAskARunningBalancer(t *testing.T) {
 	r := routing.New(1, time.Second, false, false, []constraints.Constraint{closed{}}, func(b *decide.Balancer) (map[string]decide.ServiceID, map[string]decide.CustomerID) {
 		b.ConfigureFlows(1, time.Second)
-		b.AddService(decide.Idempotent, decide.DeduplicatedByFleet, time.Second, time.Second, 1)
-		b.ConfigureSlowStart(1, 1, 0, 0, 1)
+		b.AddService(decide.ServiceType{Effect: decide.Idempotent, Deduplication: decide.DeduplicatedByFleet, SetupTarget: time.Second, RetryWindow: time.Second, Value: 1})
+		b.ConfigureSlowStart(decide.SlowStart{InitialCapacity: 1, OverloadMultiple: 1, Balancers: 1})
 		return map[string]decide.ServiceID{"x": 0}, nil
 	})
 	path := filepath.Join(t.TempDir(), "s")
--- a/internal/protocol/discovery_test.go
+++ b/internal/protocol/discovery_test.go
@@ -27,7 +27,7 @@
 // follower is a Discovery whose balancer takes lists and serves nobody.
 func follower(seed uint64, addr string, asked bool) *Discovery {
 	return NewDiscovery(routing.New(1, 0, false, false, nil, func(b *decide.Balancer) (map[string]decide.ServiceID, map[string]decide.CustomerID) {
-		b.ConfigureEndpoints("", asked, 10*sec, sec)
+		b.ConfigureEndpoints(decide.EndpointSettings{Polled: asked, MaxPollInterval: 10 * sec, MessageTarget: sec})
 		return nil, nil
 	}), addr, seed, asked)
 }
--- a/internal/protocol/lines_test.go
+++ b/internal/protocol/lines_test.go
@@ -220,7 +220,7 @@
 		var all sync.WaitGroup
 		for i := range callers {
 			r := routing.New(1, 0, false, false, nil, func(b *decide.Balancer) (map[string]decide.ServiceID, map[string]decide.CustomerID) {
-				b.ConfigureEndpoints("", true, 10*sec, sec) // its own timers for the list must add nothing
+				b.ConfigureEndpoints(decide.EndpointSettings{Polled: true, MaxPollInterval: 10 * sec, MessageTarget: sec}) // its own timers for the list must add nothing
 				return nil, nil
 			})
 			d := NewDiscovery(r, "nowhere", uint64(i), true)
--- a/internal/protocol/session_test.go
+++ b/internal/protocol/session_test.go
@@ -44,10 +44,10 @@
 	y.router = routing.New(1, 80*ms, true, true, nil,
 		func(b *decide.Balancer) (map[string]decide.ServiceID, map[string]decide.CustomerID) {
 			b.ConfigureFlows(3, 700*ms)
-			b.AddService(effect, decide.DeduplicatedByFleet, 300*ms, window, 1)
-			b.ConfigureSlowStart(0.2, 3, 20*sec, 1500*ms, balancers)
+			b.AddService(decide.ServiceType{Effect: effect, Deduplication: decide.DeduplicatedByFleet, SetupTarget: 300 * ms, RetryWindow: window, Value: 1})
+			b.ConfigureSlowStart(decide.SlowStart{InitialCapacity: 0.2, OverloadMultiple: 3, WarmUp: 20 * sec, Window: 1500 * ms, Balancers: balancers})
 			b.ConfigurePlacement(0, 0, true)
-			b.ConfigureEndpoints("z", false, 10*sec, 240*ms)
+			b.ConfigureEndpoints(decide.EndpointSettings{Zone: "z", Polled: false, MaxPollInterval: 10 * sec, MessageTarget: 240 * ms})
 			return map[string]decide.ServiceID{"live": 0}, nil
 		})
 	l := y.router.BeginUpdate(true, false)
--- a/internal/routing/list.go
+++ b/internal/routing/list.go
@@ -92,7 +92,7 @@
 		slog.Debug("server list", "server", e.name, "ready", s.listed, "gone", e.state == decide.Gone, "since", e.since)
 	}
 	r.noteStart(s, e.since)
-	r.b.OnEndpoint(id, e.zone, e.cell, e.size, e.state, s.started)
+	r.b.OnEndpoint(decide.Endpoint{ID: id, Zone: e.zone, Cell: e.cell, Size: e.size, Readiness: e.state, StartedAt: s.started})
 }
 
 // noteStart keeps when a server last started, by the router's clock. What is told is another machine's wall clock, and this machine's may be
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -362,7 +362,7 @@
 	if r.host != nil {
 		r.host.NameNextFlow(name)
 	}
-	r.b.OnFlow(f.id, s, c, decide.FlowKey(key), decide.GroupKey(group), left, marks)
+	r.b.OnFlow(decide.FlowRequest{ID: f.id, Service: s, Customer: c, Key: decide.FlowKey(key), Group: decide.GroupKey(group), Timeout: left, Flags: marks})
 	return f, nil
 }
 
@@ -381,7 +381,7 @@
 	f.server = r.servers[id]
 	f.hold = func() {
 		r.flows[f.id] = f
-		r.b.AdoptFlow(f.id, s, c, decide.FlowKey(key), decide.GroupKey(group), id)
+		r.b.AdoptFlow(decide.FlowRequest{ID: f.id, Service: s, Customer: c, Key: decide.FlowKey(key), Group: decide.GroupKey(group)}, id)
 	}
 	return f, f.server.addr, nil
 }
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -16,10 +16,10 @@
 	r := New(7, 80*ms, tellLoad, tellLag, nil,
 		func(b *decide.Balancer) (map[string]decide.ServiceID, map[string]decide.CustomerID) {
 			b.ConfigureFlows(3, 0)
-			b.AddService(decide.Idempotent, decide.DeduplicatedByFleet, 300*ms, 2*sec, 1)
-			b.ConfigureSlowStart(0.2, 3, 20*sec, 1500*ms, 1)
+			b.AddService(decide.ServiceType{Effect: decide.Idempotent, Deduplication: decide.DeduplicatedByFleet, SetupTarget: 300 * ms, RetryWindow: 2 * sec, Value: 1})
+			b.ConfigureSlowStart(decide.SlowStart{InitialCapacity: 0.2, OverloadMultiple: 3, WarmUp: 20 * sec, Window: 1500 * ms, Balancers: 1})
 			b.ConfigurePlacement(0, 0, true)
-			b.ConfigureEndpoints("z", false, 10*sec, 240*ms)
+			b.ConfigureEndpoints(decide.EndpointSettings{Zone: "z", Polled: false, MaxPollInterval: 10 * sec, MessageTarget: 240 * ms})
 			return map[string]decide.ServiceID{"live": 0}, nil
 		})
 	list(r, true, servers...)
--- a/internal/simulator/list.go
+++ b/internal/simulator/list.go
@@ -36,7 +36,7 @@
 			if since != 0 {
 				age = time.Duration(since - in.start)
 			}
-			in.b.OnEndpoint(server, zone, cell, size, st, age)
+			in.b.OnEndpoint(decide.Endpoint{ID: server, Zone: zone, Cell: cell, Size: size, Readiness: st, StartedAt: age})
 		})
 	}
 	h.lists[ref] = list
--- a/internal/simulator/simwire.go
+++ b/internal/simulator/simwire.go
@@ -256,10 +256,10 @@
 		if h.f[0] == "OPEN" {
 			server := h.server(9)
 			if h.bad == nil {
-				b.AdoptFlow(id, s, c, k, g, server)
+				b.AdoptFlow(decide.FlowRequest{ID: id, Service: s, Customer: c, Key: k, Group: g}, server)
 			}
 		} else if h.need(5); h.bad == nil {
-			b.OnFlow(id, s, c, k, g, left, marks)
+			b.OnFlow(decide.FlowRequest{ID: id, Service: s, Customer: c, Key: k, Group: g, Timeout: left, Flags: marks})
 		}
 	case "FIRST":
 		id, took := h.flow(), time.Duration(h.whole(4))
--- a/internal/testbed/baseline/baseline.go
+++ b/internal/testbed/baseline/baseline.go
@@ -205,17 +205,17 @@
 func (p *Plain) SetTime(now time.Duration) { p.now = now }
 
 // OnFlow places a new flow.
-func (p *Plain) OnFlow(id decide.FlowID, s decide.ServiceID, _ decide.CustomerID, _ decide.FlowKey, g decide.GroupKey, left time.Duration, _ int) {
-	f := &flow{id: id, group: g, due: p.now + left, effect: p.effects[s]}
-	p.flows[id] = f
+func (p *Plain) OnFlow(request decide.FlowRequest) {
+	f := &flow{id: request.ID, group: request.Group, due: p.now + request.Timeout, effect: p.effects[request.Service]}
+	p.flows[request.ID] = f
 	p.place(f)
 }
 
 // AdoptFlow takes in a flow that stands already.
-func (p *Plain) AdoptFlow(id decide.FlowID, s decide.ServiceID, _ decide.CustomerID, _ decide.FlowKey, g decide.GroupKey, to decide.ServerID) {
-	f := &flow{id: id, group: g, effect: p.effects[s], on: p.server(to), stands: true}
+func (p *Plain) AdoptFlow(request decide.FlowRequest, to decide.ServerID) {
+	f := &flow{id: request.ID, group: request.Group, effect: p.effects[request.Service], on: p.server(to), stands: true}
 	f.on.open++
-	p.flows[id] = f
+	p.flows[request.ID] = f
 }
 
 func (p *Plain) place(f *flow) {
@@ -334,9 +334,9 @@
 }
 
 // OnEndpoint takes in one server of the call.
-func (p *Plain) OnEndpoint(id decide.ServerID, z decide.Zone, _ decide.CellID, _ float64, st decide.Readiness, _ time.Duration) {
-	s := p.server(id)
-	s.zone, s.state, s.seen = z, st, true
+func (p *Plain) OnEndpoint(endpoint decide.Endpoint) {
+	s := p.server(endpoint.ID)
+	s.zone, s.state, s.seen = endpoint.Zone, endpoint.Readiness, true
 }
 
 // EndEndpoints takes the call as a whole.
--- a/internal/testbed/scale/control_sweep_signals.go
+++ b/internal/testbed/scale/control_sweep_signals.go
@@ -58,7 +58,7 @@
 	s.SetTime(tellersStart)
 	for i := range servers {
 		id := serverNumber(i)
-		s.OnEndpoint(id, "", 1, decide.Ready, decide.LongAgo)
+		s.OnEndpoint(decide.Endpoint{ID: id, Size: 1, Readiness: decide.Ready, StartedAt: decide.LongAgo})
 		for range 1 + chance.IntN(mostOnOne) {
 			s.OnEstablished("", id, time.Millisecond)
 		}
@@ -131,7 +131,7 @@
 	stranger := signals.New("stranger", 1, "", "", lateFrom, setupTime, true)
 	stranger.SetTime(tellersStart)
 	for i := range servers {
-		stranger.OnEndpoint(serverNumber(i), "", 1, decide.Ready, decide.LongAgo)
+		stranger.OnEndpoint(decide.Endpoint{ID: serverNumber(i), Size: 1, Readiness: decide.Ready, StartedAt: decide.LongAgo})
 	}
 	for _, record := range records {
 		stranger.Merge(record)
--- a/internal/testbed/scale/control_taker.go
+++ b/internal/testbed/scale/control_taker.go
@@ -56,10 +56,10 @@
 		balancers = 8100
 	)
 	b.ConfigureFlows(connects, 0)
-	b.AddService(decide.Idempotent, decide.DeduplicatedByFleet, setupTime, window, 1)
-	b.ConfigureSlowStart(0.2, 3, coldFor, coldEvery, balancers)
+	b.AddService(decide.ServiceType{Effect: decide.Idempotent, Deduplication: decide.DeduplicatedByFleet, SetupTarget: setupTime, RetryWindow: window, Value: 1})
+	b.ConfigureSlowStart(decide.SlowStart{InitialCapacity: 0.2, OverloadMultiple: 3, WarmUp: coldFor, Window: coldEvery, Balancers: balancers})
 	b.ConfigurePlacement(0.08, 0.026, true)
-	b.ConfigureEndpoints("zone-00", false, within, message)
+	b.ConfigureEndpoints(decide.EndpointSettings{Zone: "zone-00", Polled: false, MaxPollInterval: within, MessageTarget: message})
 	return map[string]decide.ServiceID{"chat": 0}, nil
 }
 
--- a/internal/testbed/scale/fleet_instance.go
+++ b/internal/testbed/scale/fleet_instance.go
@@ -110,7 +110,7 @@
 		if s.since != invariants.LongAgo {
 			since = s.since - b.started
 		}
-		m.OnEndpoint(s.id, zoneName(s.zone), decide.CellID(s.zone), 1, s.state, since)
+		m.OnEndpoint(decide.Endpoint{ID: s.id, Zone: zoneName(s.zone), Cell: decide.CellID(s.zone), Size: 1, Readiness: s.state, StartedAt: since})
 	}
 	if kind == decide.FullUpdate {
 		for _, s := range b.fleet.servers {
@@ -149,7 +149,7 @@
 	x.stands = b.fleet.connect(x, s)
 	x.stands.stands = true
 	s.held = append(s.held, x.stands)
-	b.event().AdoptFlow(x.name, decide.ServiceID(c.service), decide.NoCustomer, "", groupName(c.group), s.id)
+	b.event().AdoptFlow(decide.FlowRequest{ID: x.name, Service: decide.ServiceID(c.service), Customer: decide.NoCustomer, Group: groupName(c.group)}, s.id)
 }
 
 // take has a client come.
@@ -159,7 +159,7 @@
 	t := services[c.service]
 	b.fleet.see(invariants.Event{Kind: invariants.Taken, Balancer: invariants.Balancer(b.id), Flow: x.id, Due: now + connectTimeout,
 		Effect: t.seen, Window: repeatWindow})
-	b.event().OnFlow(x.name, decide.ServiceID(c.service), decide.NoCustomer, "", groupName(c.group), x.due-now, 0)
+	b.event().OnFlow(decide.FlowRequest{ID: x.name, Service: decide.ServiceID(c.service), Customer: decide.NoCustomer, Group: groupName(c.group), Timeout: x.due - now})
 }
 
 // forget drops a flow of which nothing more comes.
--- a/internal/testbed/scale/fleet_test.go
+++ b/internal/testbed/scale/fleet_test.go
@@ -113,7 +113,7 @@
 		for _, b := range f.balancers {
 			m := b.event()
 			m.BeginEndpoints(decide.FullUpdate)
-			m.OnEndpoint(list[0].id, zoneName(0), 0, 1, decide.Ready, decide.LongAgo)
+			m.OnEndpoint(decide.Endpoint{ID: list[0].id, Zone: zoneName(0), Size: 1, Readiness: decide.Ready, StartedAt: decide.LongAgo})
 			m.EndEndpoints()
 		}
 	})
--- a/internal/testbed/scale/hollow.go
+++ b/internal/testbed/scale/hollow.go
@@ -59,12 +59,12 @@
 func startHollow(b *decide.Balancer, t terms) {
 	b.ConfigureFlows(maxConnects, 0)
 	for _, s := range services {
-		b.AddService(s.effect, decide.DeduplicatedByFleet, setupTarget, repeatWindow, 1)
+		b.AddService(decide.ServiceType{Effect: s.effect, Deduplication: decide.DeduplicatedByFleet, SetupTarget: setupTarget, RetryWindow: repeatWindow, Value: 1})
 	}
-	b.ConfigureSlowStart(coldFrom, coldMultiple, warmAfter, coldWindow, t.peers)
+	b.ConfigureSlowStart(decide.SlowStart{InitialCapacity: coldFrom, OverloadMultiple: coldMultiple, WarmUp: warmAfter, Window: coldWindow, Balancers: t.peers})
 	b.ConfigureHealthChecks(t.pulls)
 	b.ConfigurePlacement(crossingPrice, movePrice, true)
-	b.ConfigureEndpoints(zoneName(t.inZone), false, askWithin, messageTarget)
+	b.ConfigureEndpoints(decide.EndpointSettings{Zone: zoneName(t.inZone), Polled: false, MaxPollInterval: askWithin, MessageTarget: messageTarget})
 }
 
 // zoneNames are made once, so that balancers that share a process share them.
@@ -103,7 +103,7 @@
 	h.module.SetTime(h.now)
 	h.module.BeginEndpoints(kind)
 	for _, s := range servers {
-		h.module.OnEndpoint(s.id, zoneName(s.zone), decide.CellID(s.zone), 1, s.state, s.since)
+		h.module.OnEndpoint(decide.Endpoint{ID: s.id, Zone: zoneName(s.zone), Cell: decide.CellID(s.zone), Size: 1, Readiness: s.state, StartedAt: s.since})
 	}
 	h.module.EndEndpoints()
 }
@@ -114,7 +114,7 @@
 	h.module.SetTime(h.now)
 	for i := range connections {
 		at := i % servers
-		h.module.AdoptFlow(flowName(i), 0, decide.NoCustomer, "", groupName(restingGroup(i, at, servers, groups)), decide.ServerID(at+1))
+		h.module.AdoptFlow(decide.FlowRequest{ID: flowName(i), Customer: decide.NoCustomer, Group: groupName(restingGroup(i, at, servers, groups))}, decide.ServerID(at+1))
 	}
 }
 
@@ -131,7 +131,7 @@
 // place has one flow come and stand. It tells where, and false where it was turned away or waits.
 func (h *hollow) place(id decide.FlowID, group decide.GroupKey) (decide.ServerID, bool) {
 	h.module.SetTime(h.now)
-	h.module.OnFlow(id, 0, decide.NoCustomer, "", group, connectTimeout, 0)
+	h.module.OnFlow(decide.FlowRequest{ID: id, Customer: decide.NoCustomer, Group: group, Timeout: connectTimeout})
 	at, ok := h.asked[id]
 	if ok {
 		delete(h.asked, id)
--- a/internal/testbed/scale/page_terms_test.go
+++ b/internal/testbed/scale/page_terms_test.go
@@ -1,6 +1,10 @@
 package scale
 
-import "testing"
+import (
+	"testing"
+
+	"yardwinch/decide"
+)
 
 // The page says how many set-ups one balancer may have out in the fleet; the real decisions let out as many.
 func TestSetupsOutAsTheDecisionsHaveThem(t *testing.T) {
@@ -9,7 +13,7 @@
 		h.list(0, warmServers(100, 5))
 		h.advance(beginning)
 		for i := range 100 {
-			h.module.OnFlow(flowName(i), 0, -1, "", groupName(i), connectTimeout, 0)
+			h.module.OnFlow(decide.FlowRequest{ID: flowName(i), Customer: -1, Group: groupName(i), Timeout: connectTimeout})
 		}
 		want := max(1, allSetupsOut/balancers)
 		if got := len(h.asked); got != want {
--- a/internal/testbed/scale/sweep_rechecks.go
+++ b/internal/testbed/scale/sweep_rechecks.go
@@ -74,7 +74,7 @@
 	chance := rand.New(rand.NewPCG(s.Seed, uint64(s.Servers)))
 	for i := range s.Connections {
 		at := decide.ServerID(1 + chance.IntN(s.Servers))
-		h.module.AdoptFlow(flowName(i), 0, decide.NoCustomer, "", groupName(chance.IntN(s.Groups)), at)
+		h.module.AdoptFlow(decide.FlowRequest{ID: flowName(i), Customer: decide.NoCustomer, Group: groupName(chance.IntN(s.Groups))}, at)
 	}
 	h.rest()
 	return h
--- a/internal/testbed/scenario/halls_test.go
+++ b/internal/testbed/scenario/halls_test.go
@@ -27,8 +27,8 @@
 
 func (s *spilling) Name() string { return "spy" }
 
-func (s *spilling) OnEndpoint(id decide.ServerID, z decide.Zone, _ float64, _ decide.Readiness, _ time.Duration) {
-	s.zones[id] = z
+func (s *spilling) OnEndpoint(endpoint decide.Endpoint) {
+	s.zones[endpoint.ID] = endpoint.Zone
 }
 
 func (s *spilling) OnAttempt(f decide.FlowID, to decide.ServerID) {
--- a/internal/testbed/scenario/play_test.go
+++ b/internal/testbed/scenario/play_test.go
@@ -129,11 +129,11 @@
 	b.due, b.later = append(b.due, b.now+d), append(b.later, do)
 }
 
-func (h heard) OnEndpoint(id decide.ServerID, z decide.Zone, c decide.CellID, size float64, st decide.Readiness, since time.Duration) {
-	if st == decide.Draining {
-		h.lame, h.lameA = id, h.now
+func (h heard) OnEndpoint(endpoint decide.Endpoint) {
+	if endpoint.Readiness == decide.Draining {
+		h.lame, h.lameA = endpoint.ID, h.now
 	}
-	h.Decider.OnEndpoint(id, z, c, size, st, since)
+	h.Decider.OnEndpoint(endpoint)
 }
 
 func (h heard) OnEnded(id decide.FlowID, o decide.Outcome, took time.Duration, over bool) {
@@ -186,19 +186,19 @@
 }
 
 func (h *herd) SetTime(now time.Duration) { h.now = now; h.Decider.SetTime(now) }
-func (h *herd) OnEndpoint(id decide.ServerID, z decide.Zone, c decide.CellID, size float64, st decide.Readiness, since time.Duration) {
-	if since != decide.LongAgo && st == decide.Ready && since > h.since {
-		h.fresh, h.since, h.sent = id, since, 0
+func (h *herd) OnEndpoint(endpoint decide.Endpoint) {
+	if since := endpoint.StartedAt; since != decide.LongAgo && endpoint.Readiness == decide.Ready && since > h.since {
+		h.fresh, h.since, h.sent = endpoint.ID, since, 0
 	}
-	h.Decider.OnEndpoint(id, z, c, size, st, since)
+	h.Decider.OnEndpoint(endpoint)
 }
-func (h *herd) OnFlow(f decide.FlowID, s decide.ServiceID, c decide.CustomerID, k decide.FlowKey, g decide.GroupKey, left time.Duration, m int) {
+func (h *herd) OnFlow(request decide.FlowRequest) {
 	if h.fresh != 0 && h.sent < 3 { // what is a lone balancer's part of it
 		h.sent++
-		h.act.Connect(f, h.fresh, left)
+		h.act.Connect(request.ID, h.fresh, request.Timeout)
 		return
 	}
-	h.Decider.OnFlow(f, s, c, k, g, left, m)
+	h.Decider.OnFlow(request)
 }
 
 const bentDay = `name = "bent"
--- a/internal/testbed/virtual/client.go
+++ b/internal/testbed/virtual/client.go
@@ -49,8 +49,7 @@
 		s := dr.w.Services[service]
 		dr.see(invariants.Event{Kind: invariants.Taken, Balancer: invariants.Balancer(in.id), Flow: invariants.Flow(f), Due: now + left,
 			Effect: effects[s.Effect], Reach: reaches[s.Group], Window: s.Window})
-		in.event().OnFlow(name, decide.ServiceID(service), decide.CustomerID(customer), decide.FlowKey(""),
-			decide.GroupKey(experiment.GroupName(group)), x.due-now, marks)
+		in.event().OnFlow(decide.FlowRequest{ID: name, Service: decide.ServiceID(service), Customer: decide.CustomerID(customer), Key: decide.FlowKey(""), Group: decide.GroupKey(experiment.GroupName(group)), Timeout: x.due - now, Flags: marks})
 	})
 }
 
@@ -65,8 +64,7 @@
 	x.out, x.stands = []*connect{k}, k
 	dr.flows[f], in.flows[f], dr.conns[id] = x, x, k
 	in.held[s] = append(in.held[s], x)
-	in.event().AdoptFlow(x.name, decide.ServiceID(c.Service), decide.CustomerID(c.Customer), "",
-		decide.GroupKey(experiment.GroupName(c.Group)), dr.number(s))
+	in.event().AdoptFlow(decide.FlowRequest{ID: x.name, Service: decide.ServiceID(c.Service), Customer: decide.CustomerID(c.Customer), Group: decide.GroupKey(experiment.GroupName(c.Group))}, dr.number(s))
 }
 
 // Leave takes a client's flow away from its balancer.
--- a/internal/testbed/virtual/list.go
+++ b/internal/testbed/virtual/list.go
@@ -64,7 +64,7 @@
 			since = e.Since - in.start
 		}
 		in.see(e.Server, e.State, e.Since)
-		b.OnEndpoint(dr.number(e.Server), decide.Zone(dr.w.Halls[e.Hall]), decide.CellID(e.Cell), e.Size, readiness[e.State], since)
+		b.OnEndpoint(decide.Endpoint{ID: dr.number(e.Server), Zone: decide.Zone(dr.w.Halls[e.Hall]), Cell: decide.CellID(e.Cell), Size: e.Size, Readiness: readiness[e.State], StartedAt: since})
 	}
 	if k == decide.FullUpdate {
 		for _, s := range dr.w.Servers {
--- a/locality/facts.go
+++ b/locality/facts.go
@@ -7,7 +7,9 @@
 )
 
 // OnEndpoint takes in a change of the server list.
-func (h *Policy) OnEndpoint(id decide.ServerID, z decide.Zone, size float64, st decide.Readiness, since time.Duration) {
+func (h *Policy) OnEndpoint(endpoint decide.Endpoint) {
+	id, z, size := endpoint.ID, endpoint.Zone, endpoint.Size
+	st, since := endpoint.Readiness, endpoint.StartedAt
 	s := h.servers[id]
 	if s == nil {
 		s = &server{id: id, hall: h.hall(z), state: decide.Gone}
@@ -66,8 +68,8 @@
 }
 
 // OnFlow takes in a new flow.
-func (h *Policy) OnFlow(f decide.FlowID, _ decide.ServiceID, _ decide.CustomerID, g decide.GroupKey) {
-	h.flows[f] = &flow{group: g}
+func (h *Policy) OnFlow(request decide.FlowRequest) {
+	h.flows[request.ID] = &flow{group: request.Group}
 }
 
 // OnAttempt takes in that a connect for a flow went out to a server.
--- a/locality/halls_test.go
+++ b/locality/halls_test.go
@@ -38,14 +38,14 @@
 		if i/4 == 1 {
 			since = b
 		}
-		s.OnEndpoint(decide.ServerID(1+i), decide.Zone([]string{"a", "b", "c"}[i/4]), 1, decide.Ready, since)
+		s.OnEndpoint(decide.Endpoint{ID: decide.ServerID(1 + i), Zone: decide.Zone([]string{"a", "b", "c"}[i/4]), Size: 1, Readiness: decide.Ready, StartedAt: since})
 	}
 	s.OnEndpointsUpdated()
 }
 
 func (s *scene) gone(from, to int, z decide.Zone) {
 	for i := from; i <= to; i++ {
-		s.OnEndpoint(decide.ServerID(i), z, 1, decide.Gone, decide.LongAgo)
+		s.OnEndpoint(decide.Endpoint{ID: decide.ServerID(i), Zone: z, Size: 1, Readiness: decide.Gone, StartedAt: decide.LongAgo})
 	}
 	s.OnEndpointsUpdated()
 }
@@ -60,7 +60,7 @@
 func (s *scene) flow() decide.FlowID {
 	s.next++
 	f := decide.FlowID(fmt.Sprint("f", s.next))
-	s.OnFlow(f, 0, 0, "")
+	s.OnFlow(decide.FlowRequest{ID: f})
 	return f
 }
 
@@ -199,7 +199,7 @@
 	s.flows = map[decide.FlowID]*flow{} // what it held has broken
 	s.hall("a").own = 0
 	for i := range 4 {
-		s.OnEndpoint(decide.ServerID(1+i), "a", 1, decide.Ready, s.now)
+		s.OnEndpoint(decide.Endpoint{ID: decide.ServerID(1 + i), Zone: "a", Size: 1, Readiness: decide.Ready, StartedAt: s.now})
 	}
 	s.OnEndpointsUpdated()
 	s.want("a", Recovering)
@@ -318,7 +318,7 @@
 
 func TestAServerThatChangesHallTakesItsFlowsAlong(t *testing.T) {
 	s := at(t, 0.3, 0, 0)
-	s.OnEndpoint(1, "b", 1, decide.Ready, decide.LongAgo)
+	s.OnEndpoint(decide.Endpoint{ID: 1, Zone: "b", Size: 1, Readiness: decide.Ready, StartedAt: decide.LongAgo})
 	s.OnEndpointsUpdated()
 	if a, b := s.Spilled("a"), s.Spilled("b"); a != 30 || b != 10 {
 		t.Errorf("%d flows in a, %d in b: want 30 and 10", a, b)
