--- a/decide/decide.go
+++ b/decide/decide.go
@@ -1,9 +1,5 @@
 package decide
 
-// How to call: New(seed, act), then one Start... call per part, then per event At(now) and the method
-// named for the event. The module acts only through Act; that interface and all id types are in types.go.
-// The order of one instance's events is all it knows; the same events give the same actions.
-
 import (
 	"math"
 	"time"
@@ -183,7 +179,7 @@
 	b.transition(f, answered)
 }
 
-// OnEstablished: the connect stands.
+// OnEstablished takes in that an attempt was established, and how long that took.
 func (b *Balancer) OnEstablished(id FlowID, took time.Duration) {
 	f := b.flows.byID[id]
 	if f == nil || f.state != connecting {
@@ -199,7 +195,7 @@
 	}
 }
 
-// OnEnded: a connect or a connection came to its end. over tells that the client has its answer.
+// OnEnded takes in that an attempt or a connection ended; over tells that the client has its answer.
 func (b *Balancer) OnEnded(id FlowID, o Outcome, took time.Duration, over bool) {
 	f := b.flows.byID[id]
 	if f == nil {
@@ -257,12 +253,14 @@
 	return f.ranAt + b.services[f.service].RetryWindow - heldUp
 }
 
+// OnClientLeft takes in that the client of a flow left; nothing more is owed to it.
 func (b *Balancer) OnClientLeft(id FlowID) {
 	if f := b.flows.byID[id]; f != nil {
 		b.transition(f, answered)
 	}
 }
 
+// OnTimer takes in that a timer set by Actions.SetTimer is due.
 func (b *Balancer) OnTimer(m TimerID) {
 	if m == tickMark {
 		b.tick()
--- a/decide/health.go
+++ b/decide/health.go
@@ -73,14 +73,15 @@
 	}
 }
 
-// OnFlowLoad: a connection's load now. It swings too fast to place by, but shows that its server lives.
+// OnFlowLoad takes in that the load of a connection was reported. The load swings too fast to place by, but shows that the
+// server is alive.
 func (b *Balancer) OnFlowLoad(id FlowID) {
 	if f := b.flows.byID[id]; f != nil && f.server != nil {
 		f.server.silent = 0
 	}
 }
 
-// OnLatencySample: a message takes that long at the flow's server. It stands for the page's emergency signal.
+// OnLatencySample takes in how long a message takes at the flow's server.
 func (b *Balancer) OnLatencySample(id FlowID, took time.Duration) {
 	f := b.flows.byID[id]
 	if f == nil || f.state != established {
@@ -120,14 +121,14 @@
 	return r.delay > 0 && b.now-r.delayAt < noteAge && r.delay > b.list.MessageTarget/3
 }
 
-// OnHealthCheck: a probe's result. A server that answers has its trickle started.
+// OnHealthCheck takes in how a health check ended. A server that answers enters probation.
 func (b *Balancer) OnHealthCheck(server ServerID, o Outcome) {
 	if r := b.list.byID[server]; r != nil && o == OK {
 		r.silent, r.ejectedUntil = 0, min(r.ejectedUntil, b.now)
 	}
 }
 
-// OnLoadReport: a server's own word on its load over its capacity. Past 1 work piles up: the page's emergency.
+// OnLoadReport takes in a server's load over its capacity, as it reports it. Above 1 its work piles up.
 func (b *Balancer) OnLoadReport(server ServerID, load float64) {
 	r := b.list.server(server)
 	r.probed, r.probedAt = load, b.now
--- a/decide/list.go
+++ b/decide/list.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// BeginEndpoints opens news of the list; ListServer brings each entry, ListEnd closes it.
+// BeginEndpoints begins an update of the endpoint list; OnEndpoint brings each entry, EndEndpoints closes it.
 func (b *Balancer) BeginEndpoints(k UpdateKind) {
 	b.list.kind = k
 	for _, r := range b.list.all {
@@ -74,6 +74,7 @@
 	return r
 }
 
+// EndEndpoints ends an update of the endpoint list.
 func (b *Balancer) EndEndpoints() {
 	for _, r := range b.list.all {
 		if !r.seen && b.list.kind != DeltaUpdate {
--- a/decide/settings.go
+++ b/decide/settings.go
@@ -4,7 +4,7 @@
 
 import "time"
 
-// New makes an instance; nothing is known until the Start calls and the first list.
+// New returns a Balancer that knows no settings and no servers yet.
 func New(seed uint64, act Actions) *Balancer {
 	b := &Balancer{actions: act, rng: seeded(seed)}
 	b.flows.byID = map[FlowID]*flow{}
@@ -15,6 +15,7 @@
 	return b
 }
 
+// SetTime sets the time of the calls that follow.
 func (b *Balancer) SetTime(now time.Duration) { b.now = now }
 
 // SetConstraints sets what other deciders may say. Without it nothing is asked and nothing changes.
@@ -30,7 +31,11 @@
 	b.services = append(b.services, service)
 }
 
-func (b *Balancer) ConfigurePlacement(p, move float64, sizes bool) { b.picks = pick{p, move, sizes} }
+// ConfigurePlacement sets the prices of a flow that crosses zones and of a migration, and whether the listed sizes of
+// servers mean something.
+func (b *Balancer) ConfigurePlacement(crossing, migration float64, sizes bool) {
+	b.picks = pick{crossing, migration, sizes}
+}
 
 // ConfigureHealthChecks tells whether probes bring load reports.
 func (b *Balancer) ConfigureHealthChecks(pull bool) { b.health.pull = pull }
--- a/fleet/lease/duties.go
+++ b/fleet/lease/duties.go
@@ -12,9 +12,12 @@
 )
 
 type (
-	Holder string // a balancer
-	Task   uint32 // a server that is probed
-	Epoch  uint64 // of a duty: grows with each change of its holder
+	// Holder names a balancer.
+	Holder string
+	// Task is what one balancer does for all: the health checks of one server.
+	Task uint32
+	// Epoch counts the changes of a task's lease holder.
+	Epoch uint64
 )
 
 // Member is one balancer as it is seen.
--- a/fleet/signals/store.go
+++ b/fleet/signals/store.go
@@ -15,14 +15,18 @@
 
 // Each kind of id is a type of its own.
 type (
-	Origin      string // a balancer
-	Incarnation uint64 // of an origin's starts; only its order counts, no clock is trusted for it
-	Sequence    uint64 // of what an origin told in one incarnation
+	// Origin names a balancer.
+	Origin string
+	// Incarnation tells the starts of an origin apart; only its order counts, no clock is trusted for it.
+	Incarnation uint64
+	// Sequence orders what an origin published in one incarnation.
+	Sequence uint64
 )
 
 // Fault is what an origin observed of a server, the worst last.
 type Fault int
 
+// Faults.
 const (
 	Healthy Fault = iota // connections stand there and nothing is wrong
 	Late                 // messages or set-ups take too long
--- a/internal/membership/members.go
+++ b/internal/membership/members.go
@@ -18,6 +18,7 @@
 // State is how a member is seen.
 type State string
 
+// States of a member.
 const (
 	Alive State = "alive" // the engine tells nobody whom it suspects
 	Gone  State = "gone"  // given up
--- a/internal/protocol/front.go
+++ b/internal/protocol/front.go
@@ -24,10 +24,11 @@
 	mostPings       = 16 // on one connection: hundreds at once are no question whether we live
 	spentKept       = 4096
 	drainStep       = 20 * time.Millisecond
-
-	BusyReply = "BUSY\r\n" // for who must make room: it was promised nothing and may try again
 )
 
+// BusyReply is sent to a connection that is closed to free its descriptor: it was promised nothing and may try again.
+const BusyReply = "BUSY\r\n"
+
 var (
 	errIDTaken = errors.New("this id was another connection's")
 	errNoRoom  = errors.New("no descriptor left")
--- a/internal/routing/flow.go
+++ b/internal/routing/flow.go
@@ -11,6 +11,7 @@
 // Verdict is what the module says of a flow that waits.
 type Verdict int
 
+// Verdicts.
 const (
 	Connect Verdict = iota
 	Reject          // trying again does no harm
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -20,6 +20,7 @@
 // Outcome says how a connect, a connection or a probe ended.
 type Outcome = decide.Outcome
 
+// Outcomes, for packages that must not see the decisions.
 const (
 	OK          = decide.OK
 	Error       = decide.Error
@@ -38,6 +39,7 @@
 	FlagReturning = decide.FlagReturning
 )
 
+// ErrUnknownService says that the configuration names no such service type.
 var ErrUnknownService = errors.New("unknown service type")
 
 // MaxIDLength is how many bytes a server's id may have. Who told it names the bound.
--- a/internal/simulation/agenda.go
+++ b/internal/simulation/agenda.go
@@ -11,6 +11,7 @@
 // Rank orders what happens at one instant: causes before those who see them, and the books last.
 type Rank int8
 
+// Ranks.
 const (
 	Cause   Rank = iota // a trouble begins or ends
 	Work                // a server or the store finishes something
--- a/internal/simulation/drain.go
+++ b/internal/simulation/drain.go
@@ -8,6 +8,7 @@
 // Drain is what a draining server does with its connections.
 type Drain int
 
+// Ways to drain.
 const (
 	Quiet Drain = iota // keeps them until it stops
 	Paced              // sends them away evenly over the drain
--- a/internal/simulation/trouble.go
+++ b/internal/simulation/trouble.go
@@ -9,6 +9,7 @@
 // Kind is one way in which a day goes wrong.
 type Kind string
 
+// Kinds of trouble.
 const (
 	Slow          Kind = "slow"           // a share of servers is Strength times slower
 	Errors        Kind = "errors"         // a share of servers fails Strength of its set-ups fast
--- a/internal/simulation/types.go
+++ b/internal/simulation/types.go
@@ -4,15 +4,25 @@
 
 // Each kind of id is a type of its own.
 type (
-	ServerID   int
-	HallID     int
-	CellID     int
+	// ServerID numbers a server.
+	ServerID int
+	// HallID numbers a locality.
+	HallID int
+	// CellID numbers the servers that drop each other's repeats.
+	CellID int
+	// BalancerID numbers a balancer.
 	BalancerID int
-	ClientID   int
-	FlowID     int64 // one try of a client; new with each
-	ConnID     int64 // one connect of a balancer; new with each
-	GroupID    int
-	ServiceID  int
+	// ClientID numbers a client.
+	ClientID int
+	// FlowID numbers one attempt of a client; each has a new one.
+	FlowID int64
+	// ConnID numbers one connect of a balancer; each has a new one.
+	ConnID int64
+	// GroupID numbers a group of clients that share work.
+	GroupID int
+	// ServiceID numbers a service type.
+	ServiceID int
+	// CustomerID numbers a customer.
 	CustomerID int
 )
 
@@ -36,6 +46,7 @@
 // Ending is how a standing connection ended for its client, other than by itself.
 type Ending int
 
+// Endings.
 const (
 	Moved Ending = iota // asked to come again
 	Cut                 // reset, or its balancer died
@@ -44,6 +55,7 @@
 // Refusal is what a connect meets before any work is done for it, or in place of its end.
 type Refusal int
 
+// Refusals.
 const (
 	Full    Refusal = iota // turned away unseen
 	Failed                 // an error; it may have run
--- a/internal/testbed/invariants/event.go
+++ b/internal/testbed/invariants/event.go
@@ -8,6 +8,7 @@
 // Kind says what was seen. At one instant causes come before effects, in this order.
 type Kind int
 
+// Kinds of events.
 const (
 	Began       Kind = iota // a balancer started
 	Died                    // a balancer ended: what it held is void
@@ -67,11 +68,15 @@
 	Aborted
 )
 
-// Ids are the drive's own; a flow is one try of a client.
+// Ids are the driver's own.
 type (
-	Flow     int64
-	Connect  int64
-	Server   int
+	// Flow numbers one attempt of a client.
+	Flow int64
+	// Connect numbers one attempt of a balancer.
+	Connect int64
+	// Server numbers a server.
+	Server int
+	// Balancer numbers a balancer.
 	Balancer int
 )
 
--- a/internal/testbed/netfault/gate.go
+++ b/internal/testbed/netfault/gate.go
@@ -15,6 +15,7 @@
 // State names what a new connection meets at a gate.
 type State int
 
+// States of a gate.
 const (
 	Shut State = iota // refused
 	Open              // let in
--- a/internal/testbed/sockets/apart.go
+++ b/internal/testbed/sockets/apart.go
@@ -31,8 +31,11 @@
 // StandApart is called before Open.
 func (dr *Drive) StandApart(a *Apart) { dr.apart = a }
 
-// What the ends of ways are called.
-const Discovery, Operator netfault.Name = "discovery", "operator"
+// Names of the ends of network paths.
+const (
+	Discovery netfault.Name = "discovery"
+	Operator  netfault.Name = "operator"
+)
 
 // BalancerName is the near end of a balancer's ways.
 func BalancerName(b simulation.BalancerID) netfault.Name {
