--- /dev/null
+++ b/internal/compatibility/control_test.go
@@ -0,0 +1,86 @@
+package compatibility
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"net"
+	"strings"
+	"testing"
+	"time"
+)
+
+// Scripts of operators go by status and text of each call, in this order of calls.
+func TestOperatorsCalls(t *testing.T) {
+	t.Parallel()
+	d := newDaemon(t, echo(t))
+	d.start()
+	d.ready()
+	var all strings.Builder
+	for _, call := range []string{
+		"GET /control/ready", "HEAD /control/ready", "POST /control/ready", "GET /control/ready/", "GET /control/ready?x=1",
+		"POST /control/servers/a/offline", "POST /control/servers/a/offline", "POST /control/servers/a/online", "POST /control/servers/a/online",
+		"GET /control/servers/a/offline", "PUT /control/servers/a/online", "DELETE /control/servers/a/offline",
+		"POST /control/servers/nobody/offline", "POST /control/servers/nobody/online", "POST /control/servers/a%2Fb/offline",
+		"POST /control/servers/%61/offline", "POST /control/servers/%61/online", "POST /control/servers//offline", "POST /control/servers/a/away",
+		"POST /control/servers/a", "POST /control/servers/a/offline/", "GET /control//ready", "GET /control/../control/ready", "GET /", "GET /control", "GET /metrics",
+		"GET /control/out-of-service", "GET /control/in-service", "POST /control/in-service",
+		"POST /control/out-of-service", "POST /control/out-of-service", "GET /control/ready", "POST /control/servers/a/offline", "POST /control/servers/a/online",
+		"POST /control/in-service", "POST /control/in-service", "GET /control/ready",
+	} {
+		method, path, _ := strings.Cut(call, " ")
+		_, answer := d.call(method, path)
+		fmt.Fprintf(&all, "%s: %s", call, answer)
+	}
+	for _, raw := range []string{"nonsense\r\n\r\n", "GET /control/ready HTTP/1.1\r\n\r\n", "GET /control/ready HTTP/1.0\r\n\r\n", "GET /control/ready HTTP/3.0\r\n\r\n",
+		"POST /control/servers/" + strings.Repeat("x", 5000) + "/offline HTTP/1.1\r\nHost: a\r\n\r\n",
+		"GET /control/ready HTTP/1.1\r\nHost: a\r\nX: " + strings.Repeat("x", 40000) + "\r\n\r\n"} {
+		fmt.Fprintf(&all, "%.60q: %q\n", raw, d.raw(raw))
+	}
+	golden(t, "control/calls.txt", all.String())
+}
+
+// raw sends bytes to the operators' address and gives the first line of the answer.
+func (d *daemon) raw(text string) string {
+	d.t.Helper()
+	conn, err := net.DialTimeout("tcp", d.control(), patience)
+	if err != nil {
+		d.t.Fatal(err)
+	}
+	defer conn.Close()
+	_ = conn.SetDeadline(time.Now().Add(patience))
+	go func() { _, _ = io.WriteString(conn, text) }() // an answer may come before all of it is read
+	line, _ := bufio.NewReader(conn).ReadString('\n')
+	return line
+}
+
+// Without a list the daemon runs and is not ready, and says why.
+func TestOperatorsCallsWithoutList(t *testing.T) {
+	t.Parallel()
+	d := newDaemon(t, "")
+	d.write(d.config, strings.Replace(read(t, d.config), `"known":{"revision":7,"complete":true,"members":[]},`, "", 1))
+	d.start()
+	d.until("it takes calls", func() bool { code, _ := d.call("GET", "/control/ready"); return code != 0 })
+	var all strings.Builder
+	for _, call := range []string{"GET /control/ready", "POST /control/servers/a/offline"} {
+		method, path, _ := strings.Cut(call, " ")
+		_, answer := d.call(method, path)
+		fmt.Fprintf(&all, "%s: %s", call, answer)
+	}
+	golden(t, "control/without-list.txt", all.String())
+}
+
+// Clients go by the words of the first lines.
+func TestClientsLines(t *testing.T) {
+	t.Parallel()
+	d := newDaemon(t, echo(t))
+	d.start()
+	d.ready()
+	var all strings.Builder
+	for _, line := range []string{"PING", "OPEN 1 k c=live,d=800", "OPEN 2 k c=live,d=800,g=one", "OPEN 3 k c=none,d=800", "OPEN 4 k", "OPEN", "nonsense", "OPEN 5 k c=live,d=0", "OPEN 6 k c=live,d=x"} {
+		conn, answer := d.says(line)
+		fmt.Fprintf(&all, "%s: %q\n", line, answer)
+		_ = conn.Close()
+	}
+	golden(t, "control/clients.txt", all.String())
+}
--- /dev/null
+++ b/internal/compatibility/passed_test.go
@@ -0,0 +1,102 @@
+package compatibility
+
+import (
+	"encoding/hex"
+	"fmt"
+	"strings"
+	"testing"
+
+	"github.com/fxamacker/cbor/v2"
+)
+
+// A state that a process of an earlier build handed over is read whole, and written with the same keys in the same order.
+func TestStateIsTheSameThere(t *testing.T) {
+	for _, file := range []string{"handover/state.json", "handover/state-full.json"} {
+		t.Run(file, func(t *testing.T) {
+			text := read(t, "testdata/"+file)
+			anew, err := throughState([]byte(text))
+			if err != nil {
+				t.Fatal(err)
+			}
+			same(t, file, text, string(anew))
+		})
+	}
+}
+
+// A state that can't be is refused whole.
+func TestStatesRefused(t *testing.T) {
+	text := read(t, "testdata/handover/state-full.json")
+	var all strings.Builder
+	for _, c := range []struct{ name, from, to string }{
+		{"another version", `"version":1`, `"version":2`},
+		{"held below nought", `"held":76`, `"held":-1`},
+		{"no key of ids", `"ids_key":"`, `"ids_kez":"`},
+		{"a server without a name", `"name":"d"`, `"name":""`},
+		{"a server more", `"servers":[{"name"`, `"servers":[{"name":"z","addr":""},{"name"`},
+		{"a readiness that is none", `"listed":1`, `"listed":3`},
+		{"a start to come", `"since":-1500000000`, `"since":9000000000000`},
+		{"no clock", `"now":`, `"now":-`},
+	} {
+		changed := strings.Replace(text, c.from, c.to, 1)
+		if changed == text {
+			t.Errorf("%s: nothing is changed", c.name)
+		}
+		_, err := throughState([]byte(changed))
+		fmt.Fprintf(&all, "%s: %v\n", c.name, err)
+	}
+	golden(t, "handover/refused.txt", all.String())
+}
+
+// records are messages of balancers as the build before the renaming sent them, with what that build made of them. They are written here as
+// the maps of numbers that they are, so that no name of the module stands for a key.
+var records = []struct {
+	name    string
+	message any
+}{
+	{"all keys", map[int]any{0: 1, 1: 1, 2: "north-1", 3: uint64(1796282120637), 4: 17, 5: "c807eb3a11bc+", 6: "cbbd1d45bc1e1f", 7: 123,
+		8: [][]int64{{3826002220, 0, 12, 40}, {3859557458, 1, 3, 0}, {3876335077, 2, 0, 1500}, {3775669363, 3, 1, 999}}, 9: [][]int64{{3826002220, 412, 3, 20}, {3859557458, 1999, 1, 0}}}},
+	{"nothing to report", map[int]any{0: 1, 1: 1, 2: "n", 3: uint64(1), 4: 1, 5: "", 6: "", 7: 0, 8: [][]int64{}}},
+	{"keys and kinds of a later build", map[int]any{0: 1, 1: 1, 2: "n", 3: uint64(1), 4: 1, 5: "b", 6: "s", 7: 5, 8: [][]int64{{1, 4, 0, 0}, {2, 1, 0, 0, 7}}, 9: [][]int64{{1, 2}}, 77: "more"}},
+	{"another version", map[int]any{0: 2, 1: 1, 2: "n", 3: uint64(1), 4: 1}},
+	{"another kind", map[int]any{0: 1, 1: 2, 2: "n", 3: uint64(1), 4: 1}},
+	{"no origin", map[int]any{0: 1, 1: 1, 3: uint64(1), 4: 1}},
+	{"no sequence", map[int]any{0: 1, 1: 1, 2: "n", 3: uint64(1)}},
+	{"a word for a number", map[int]any{0: 1, 1: 1, 2: "n", 3: "x", 4: 1}},
+	{"impossible reports", map[int]any{0: 1, 1: 1, 2: "n", 3: uint64(1), 4: 1, 8: [][]int64{{-1, 0, 0, 0}, {1 << 32, 0, 0, 0}, {5, -1, 0, 0}, {5, 0, 1 << 21, 0}, {5, 0, 0, -1}, {5, 0, 0, 1 << 40}}}},
+	{"no map", []int{1, 2}},
+	{"too long", map[int]any{0: 1, 1: 1, 2: "n", 3: uint64(1), 4: 1, 77: strings.Repeat("x", 1300)}},
+}
+
+// What balancers tell each other is understood between builds, in both directions.
+func TestRecordsOfAnEarlierBuild(t *testing.T) {
+	mode, err := cbor.CoreDetEncOptions().EncMode()
+	if err != nil {
+		t.Fatal(err)
+	}
+	var all strings.Builder
+	for _, c := range records {
+		message, err := mode.Marshal(c.message)
+		if err != nil {
+			t.Fatal(err)
+		}
+		anew, told, err := throughRecord(message)
+		fmt.Fprintf(&all, "== %s\n", c.name)
+		if err != nil {
+			fmt.Fprintf(&all, "%v\n", err)
+			continue
+		}
+		fmt.Fprintf(&all, "%x\n%s\n%x\n", message, told, anew)
+	}
+	garbled, _ := hex.DecodeString("a1ff")
+	_, _, err = throughRecord(garbled)
+	fmt.Fprintf(&all, "== half a message\n%v\n", err)
+	whole, err := mode.Marshal([][]byte{{1, 2}, {3}})
+	if err != nil {
+		t.Fatal(err)
+	}
+	anew, n, err := throughWhole(whole)
+	fmt.Fprintf(&all, "== all that a member knows\n%x\n%d %v\n%x\n", whole, n, err, anew)
+	_, _, err = throughWhole([]byte{0x61})
+	fmt.Fprintf(&all, "== all that a member knows, garbled\n%v\n", err)
+	golden(t, "gossip/records.txt", all.String())
+}
