--- /dev/null
+++ b/internal/compatibility/commands_test.go
@@ -0,0 +1,161 @@
+package compatibility
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+	"regexp"
+	"strings"
+	"testing"
+)
+
+// helpOf is what --help says of a command and all below it.
+func helpOf(t *testing.T, name string, path ...string) string {
+	t.Helper()
+	r := ran(t, name, "", "", append(path, "--help")...)
+	text := fmt.Sprintf("== %s: exit code %d\n%s%s", strings.Join(path, " "), r.code, r.out, r.err)
+	if len(path) > 0 && path[len(path)-1] == "help" {
+		return text
+	}
+	for _, sub := range subcommands(r.out) {
+		if sub != "help" {
+			text += helpOf(t, name, append(append([]string{}, path...), sub)...)
+		}
+	}
+	return text
+}
+
+var (
+	commandLine = regexp.MustCompile(`(?m)^   ([a-z][a-z-]*)(, [a-z])?  `)
+	flagLine    = regexp.MustCompile(`(?m)^   (--[a-z][a-z-]*(?:, -[a-z])?(?: [A-Za-z]+)?)`)
+	headLine    = regexp.MustCompile(`(?m)^== .*$`)
+	sourceLine  = regexp.MustCompile(`\[\$[A-Z_, $]+\]`)
+)
+
+// subcommands are those that a help text names.
+func subcommands(help string) (names []string) {
+	_, list, found := strings.Cut(help, "\nCOMMANDS:\n")
+	if !found {
+		return nil
+	}
+	list, _, _ = strings.Cut(list, "\n\n")
+	for _, m := range commandLine.FindAllStringSubmatch(list+"\n", -1) {
+		names = append(names, m[1])
+	}
+	return names
+}
+
+// names are the commands, flags and variables of a help text, without its prose.
+func names(help string) string {
+	var all strings.Builder
+	for _, line := range strings.Split(help, "\n") {
+		switch {
+		case headLine.MatchString(line):
+			fmt.Fprintln(&all, line)
+		case flagLine.MatchString(line):
+			fmt.Fprintln(&all, "  ", flagLine.FindStringSubmatch(line)[1], sourceLine.FindString(line))
+		}
+	}
+	return all.String()
+}
+
+// Deploy files and scripts name commands, flags and variables. The daemon's prose is held, too, as operators read it; the test bed's is not.
+func TestHelp(t *testing.T) {
+	t.Parallel()
+	daemon := helpOf(t, "daemon")
+	golden(t, "commands/daemon-help.txt", daemon)
+	golden(t, "commands/daemon-names.txt", names(daemon))
+	golden(t, "commands/testbed-names.txt", names(helpOf(t, "testbed")))
+}
+
+// put writes files into a folder of their own.
+func put(t *testing.T, files map[string]string) string {
+	t.Helper()
+	folder := t.TempDir()
+	for name, text := range files {
+		if err := os.WriteFile(filepath.Join(folder, name), []byte(text), 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	return folder
+}
+
+// unnamed is what a command says with its file's name taken out, which may change; what follows may not.
+func unnamed(name, said string) string {
+	own := filepath.Base(sources[name]) + ":"
+	lines := strings.Split(said, "\n")
+	for i, line := range lines {
+		if rest, found := strings.CutPrefix(line, own); found && name != "daemon" {
+			lines[i] = name + ":" + rest
+		}
+	}
+	return strings.Join(lines, "\n")
+}
+
+// Whoever starts a command goes by its exit code, and staff by what it says.
+func TestExitCodes(t *testing.T) {
+	t.Parallel()
+	sound := `{"listen":"127.0.0.1:18080","discovery":"127.0.0.1:1","limits":{"cores":1,"memory_mb":64,"sockets":200},"settings":{"service-types":[{"name":"live","effect":"free","group":"all","hard-limit":800000000}]}}`
+	folder := put(t, map[string]string{
+		"sound.json": sound, "broken.json": "{", "empty.json": "", "unserved.json": `{"listen":"127.0.0.1:18080"}`,
+		"word.json":    strings.Replace(sound, `"free"`, `"maybe"`, 1),
+		"options.toml": read(t, "testdata/options/all.toml"), "unknown.toml": "[hals]\nspill = 1\n", "key.toml": "[explain]\nsoket = \"/x\"\n",
+		"relative.toml": "[explain]\nsocket = \"x\"\n", "nopeers.toml": "[signals]\non = true\n", "noduties.toml": "[duties]\non = true\n",
+		"badpeer.toml": "[peers]\nname = \"a b\"\nlabel = \"x\"\nbind = \"here\"\n", "nosocket.toml": "[halls]\n", "broken.toml": "[",
+		"halls.toml": "[halls]\nspill = 7\n", "plan.toml": "name = \"x\"\n", "fewer.toml": "name = \"x\"\n[fleet]\nservers = -1\n", "word.toml": "name = 1\n",
+	})
+	var all strings.Builder
+	for _, line := range []string{
+		"daemon nonsense", "daemon serve --nonsense", "daemon serve", "daemon serve --config none.json", "daemon serve --config broken.json", "daemon serve --config unserved.json",
+		"daemon serve --config sound.json --options none.toml", "daemon serve --config sound.json --options unknown.toml",
+		"daemon check", "daemon check --config none.json", "daemon check --config broken.json", "daemon check --config empty.json", "daemon check --config unserved.json",
+		"daemon check --config word.json", "daemon check --config sound.json", "daemon check --config sound.json --options options.toml", "daemon check --config sound.json --options none.toml",
+		"daemon check --config sound.json --options unknown.toml", "daemon check --config sound.json --options key.toml", "daemon check --config sound.json --options relative.toml",
+		"daemon check --config sound.json --options nopeers.toml", "daemon check --config sound.json --options noduties.toml", "daemon check --config sound.json --options badpeer.toml",
+		"daemon check --config sound.json --options broken.toml", "daemon check --config sound.json --options halls.toml",
+		"daemon explain", "daemon explain --socket none", "daemon explain --options none.toml", "daemon explain --options nosocket.toml", "daemon explain --socket none a b",
+		"daemon members", "daemon members --socket none", "daemon migrate", "daemon migrate --shape sound.json a", "daemon migrate --shape none.json none.json new.json",
+		"testbed nonsense", "testbed run", "testbed run none.toml", "testbed run fewer.toml", "testbed run word.toml", "testbed run --policy none plan.toml", "testbed compare none.toml",
+		"testbed fleet", "testbed fleet none.toml", "testbed fleet word.toml", "testbed fleet soak --seeds x", "testbed fleet soak --seeds 5-1", "testbed hunt", "testbed agree", "testbed logs", "testbed logs none",
+		"testbed load", "testbed load 10.0.0.1:80", "testbed load --rate 0 127.0.0.1:1", "testbed servers --listen here", "testbed servers --for 1ms", "testbed servers none.toml",
+		"testbed scale run none.toml", "testbed scale nonsense",
+	} {
+		words := strings.Fields(line)
+		r := ran(t, words[0], folder, "", words[1:]...)
+		fmt.Fprintf(&all, "== %s: exit code %d\n%s%s", line, r.code, r.out, unnamed(words[0], r.err))
+	}
+	golden(t, "commands/exit-codes.txt", all.String())
+}
+
+// An earlier configuration is brought to another shape with the same bytes.
+func TestMigrateAnEarlierConfiguration(t *testing.T) {
+	t.Parallel()
+	old, shape := read(t, "testdata/migrate/old.json"), read(t, "testdata/migrate/shape.json")
+	for _, c := range []struct {
+		name      string
+		arguments string
+	}{
+		{"written", "old.json new.json"},
+		{"dry", "--dry-run old.json new.json"},
+		{"over-another", "old.json there.json"},
+		{"by-force", "--force old.json there.json"},
+		{"over-itself", "--force old.json old.json"},
+		{"broken", "broken.json new.json"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			folder := put(t, map[string]string{"old.json": old, "shape.json": shape, "there.json": "precious", "broken.json": "{"})
+			r := ran(t, "daemon", folder, "", append([]string{"migrate", "--shape", "shape.json"}, strings.Fields(c.arguments)...)...)
+			text := fmt.Sprintf("exit code %d\n%s%s", r.code, r.out, r.err)
+			for _, name := range []string{"old.json", "new.json", "there.json"} {
+				written, err := os.ReadFile(filepath.Join(folder, name))
+				if os.IsNotExist(err) {
+					written = []byte("is not there")
+				}
+				if s := string(written); s != old {
+					text += fmt.Sprintf("== %s\n%s\n", name, s)
+				}
+			}
+			golden(t, "migrate/"+c.name+".txt", text)
+		})
+	}
+}
--- a/internal/compatibility/gossip_test.go
+++ b/internal/compatibility/gossip_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"io"
 	"net"
 	"os/exec"
 	"strings"
@@ -30,7 +29,6 @@
 type gossiper struct {
 	t       *testing.T
 	process *exec.Cmd
-	in      io.WriteCloser
 	say     chan []any // to the engine
 	heard   chan []any // from it
 	log     logged
@@ -182,7 +180,7 @@
 			t.Fatal(err)
 		}
 		r := ran(t, "gossip", "", string(text))
-		fmt.Fprintf(&all, "== %s: exit code %d\n%s%s", c.name, r.code, r.out, strings.ReplaceAll(r.err, "yardwinch-peer:", "PROGRAM:"))
+		fmt.Fprintf(&all, "== %s: exit code %d\n%s%s", c.name, r.code, r.out, unnamed("gossip", r.err))
 	}
 	r := ran(t, "gossip", "", "")
 	fmt.Fprintf(&all, "== nothing: exit code %d\n%s%s", r.code, r.out, r.err)
