--- a/internal/compatibility/main_test.go
+++ b/internal/compatibility/main_test.go
@@ -18,8 +18,8 @@
 var sources = map[string]string{
 	"wirehost": "./cmd/wirehost",
 	"daemon":   "./cmd/yardwinch",
-	"testbed":  "./cmd/yard",
-	"gossip":   "./cmd/yardwinch-peer",
+	"testbed":  "./cmd/testbed",
+	"gossip":   "./cmd/yardwinch-gossip",
 }
 
 const moduleRoot = "../.."
--- a/internal/compatibility/reach_test.go
+++ b/internal/compatibility/reach_test.go
@@ -7,7 +7,7 @@
 
 	"yardwinch/fleet/signals"
 	"yardwinch/internal/handover"
-	"yardwinch/internal/yard/fleet"
+	"yardwinch/internal/testbed/fleet"
 )
 
 // All of the module's own names that these tests use are in this file: a renaming touches it and nothing else of the package.
@@ -18,7 +18,7 @@
 	if err := json.Unmarshal(text, &s); err != nil {
 		return nil, err
 	}
-	if err := s.Check(); err != nil {
+	if err := s.Validate(); err != nil {
 		return nil, err
 	}
 	return json.Marshal(s)
