--- a/internal/compatibility/gossip_test.go
+++ b/internal/compatibility/gossip_test.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"net"
 	"os/exec"
+	"slices"
 	"strings"
 	"testing"
 	"time"
@@ -31,6 +32,7 @@
 	process *exec.Cmd
 	say     chan []any // to the engine
 	heard   chan []any // from it
+	kept    [][]any    // heard, and not yet what a test waited for: frames come in no fixed order
 	log     logged
 }
 
@@ -102,12 +104,18 @@
 // hears waits for a frame that is meant.
 func (g *gossiper) hears(what string, meant func(f []any) bool) []any {
 	g.t.Helper()
+	if i := slices.IndexFunc(g.kept, meant); i >= 0 {
+		f := g.kept[i]
+		g.kept = slices.Delete(g.kept, i, i+1)
+		return f
+	}
 	for late := time.After(patience); ; {
 		select {
 		case f := <-g.heard:
 			if meant(f) {
 				return f
 			}
+			g.kept = append(g.kept, f)
 		case <-late:
 			g.t.Fatalf("not within %v: %s", patience, what)
 		}
