--- a/internal/protocol/crossings_test.go
+++ b/internal/protocol/crossings_test.go
@@ -18,7 +18,7 @@
 	"yardwinch/internal/transport"
 )
 
-// Orders of two events that seldom come about by themselves; docs/crossings.md is the map.
+// Orders of two events that seldom come about by themselves; docs/races.md is the map.
 
 // leave is a way in which a client goes.
 var leave = map[string]func(c *far){
--- a/internal/testbed/scale/control_wire.go
+++ b/internal/testbed/scale/control_wire.go
@@ -84,7 +84,7 @@
 
 var engineVersions = []uint8{1, 5, 2, 0, 0, 0}
 
-// memberName is the name of a member, as long as those of docs/peers-use.md.
+// memberName is the name of a member, as long as those of docs/membership-use.md.
 func memberName(i int) string { return fmt.Sprintf("balancer-%05d", i) }
 
 // memberAddr is an address of its own for each.
--- a/internal/testbed/scale/page_fleet.go
+++ b/internal/testbed/scale/page_fleet.go
@@ -87,7 +87,7 @@
 	recheckRound      = 5.0                     // seconds; decide recheckEvery
 	tickSeconds       = 0.250                   // decide tickEvery
 	heapGrowth        = 2.0                     // of live memory before it is collected, as the Go runtime does by itself
-	leaseLength       = 6.0                     // seconds; docs/peers.md
+	leaseLength       = 6.0                     // seconds; docs/membership.md
 	probesAFlow       = 4.0                     // decide probesAFlow
 	guardFactor       = 1.25                    // decide guard
 )
