--- a/constraints/bounds.go
+++ b/constraints/bounds.go
@@ -267,7 +267,7 @@
 func (h *ConstrainedBalancer) Restore(m decide.Snapshot) {
 	for _, k := range m.Servers {
 		h.zones[k.ID] = k.Zone
-		h.listed[k.ID] = listing{k.Size, k.Listed, k.Since, k.Disabled}
+		h.listed[k.ID] = listing{k.Size, k.Readiness, k.StartedAt, k.Disabled}
 		h.tell(k.ID)
 	}
 	for _, d := range h.deciders {
--- a/decide/admission.go
+++ b/decide/admission.go
@@ -1,118 +1,159 @@
 package decide
 
-// How many connects may be out and how many flows may be held.
-
 import (
 	"math"
 	"time"
 )
 
-const longestShut = 3500 * time.Millisecond // with no trial set-up, which tells when the trouble is over
+// How many attempts may be out, which flows wait in the admission queue, and how many flows may be held.
 
-// Who turned so many away and for so long sent nobody on sends the next one as a trial: nobody shuts for 4 s on end.
 const (
-	trialAfter   = 3 * time.Second
-	trialRefused = 8
+	fleetSetupLimit = 48.0                    // attempts out at once while set-ups succeed, over all balancers
+	minSetupSpacing = 8 * time.Millisecond    // between attempts while set-ups fail, over all balancers
+	maxSetupSpacing = 16 * time.Second        // between attempts while set-ups fail
+	maxClosedTime   = 3500 * time.Millisecond // without any attempt, each of which could show a recovery
+
+	// Forced attempts keep a balancer from rejecting for 4 s on end.
+	forcedAttemptAfter      = 3 * time.Second // since the last attempt
+	forcedAttemptRejections = 8               // since the last attempt
+
+	sharedFailureShare  = 0.5 // of recent set-ups
+	sharedFailureSample = 3   // recent set-ups needed to infer a shared failure
+
+	deviations = 2 // standard deviations of a sample that are put down to chance
+
+	limitReduction = 0.7 // share of its flows that an overloaded server keeps
+	// The limit on all flows falls from no reduction where scarceShare of the servers are overloaded to
+	// limitReduction where all are.
+	overloadScale  = 1.25
+	overloadOffset = 0.25
 )
 
-// trialDue tells whether the next flow is to be sent on whatever is feared of the servers. Rules bind it.
-func (b *Balancer) trialDue() bool {
-	return b.pace.refused >= trialRefused && b.now >= b.pace.sent+trialAfter
+// admission is the concurrency limit on attempts, with additive increase and multiplicative decrease, and its queue.
+type admission struct {
+	concurrencyLimit float64
+	queue            []*flow       // waiting, oldest first
+	spacing          time.Duration // between attempts once the limit is 1
+	reopensAt        time.Duration
+	decreasedAt      time.Duration
+	recentSetups     []sample // over all servers
+	lastConnectAt    time.Duration
+	rejectedSince    int // flows without any attempt that were rejected since lastConnectAt
 }
 
-// open tells whether one more set-up may go out.
-func (b *Balancer) open() bool {
-	return b.now >= b.pace.opens && float64(len(b.flows.connecting)) < b.pace.window
+// forcedAttemptDue reports whether the next flow is to be attempted although no server looks fit for it. Where it may
+// run is restricted as always.
+func (b *Balancer) forcedAttemptDue() bool {
+	return b.admission.rejectedSince >= forcedAttemptRejections && b.now >= b.admission.lastConnectAt+forcedAttemptAfter
 }
 
-// patience ends with the setup target: a flow without a turn by then is given up and answered at once.
-func (b *Balancer) patience(f *flow) time.Duration {
-	return min(f.due, f.came+b.services[f.service].SetupTarget)
+// mayConnect reports whether the concurrency limit allows one more attempt.
+func (b *Balancer) mayConnect() bool {
+	return b.now >= b.admission.reopensAt && float64(len(b.flows.connecting)) < b.admission.concurrencyLimit
 }
 
-// serveLine gives turns while set-ups may go out, and answers those whose patience is over.
-func (b *Balancer) serveLine() {
-	line := b.pace.line
-	b.pace.line = nil
-	for _, f := range line {
-		if f.state == waiting && (b.open() || b.trialDue() || b.now >= b.patience(f)) {
+// queueDeadline is when a flow that is still in the admission queue is answered.
+func (b *Balancer) queueDeadline(f *flow) time.Duration {
+	return min(f.deadline, f.arrivedAt+b.services[f.service].SetupTarget)
+}
+
+func (b *Balancer) enqueue(f *flow) {
+	b.admission.queue = append(b.admission.queue, f)
+	b.actions.SetTimer(queueTimer, b.queueDeadline(f)-b.now)
+}
+
+// serveQueue places flows from the admission queue while attempts are allowed, and answers those past their deadline.
+func (b *Balancer) serveQueue() {
+	queue := b.admission.queue
+	b.admission.queue = nil
+	for _, f := range queue {
+		if f.state != waiting {
+			continue
+		}
+		if b.mayConnect() || b.forcedAttemptDue() || b.now >= b.queueDeadline(f) {
 			b.place(f)
-		} else if f.state == waiting {
-			b.pace.line = append(b.pace.line, f)
+		} else {
+			b.admission.queue = append(b.admission.queue, f)
 		}
 	}
 }
 
-func (b *Balancer) widen(r *server) {
-	b.pace.results = keep(b.pace.results, sample{r, b.now, false}, keptSamples)
-	b.pace.window, b.pace.pause = min(b.pace.window+1, b.widest()), b.pace.pause/2
-	b.serveLine()
+// increaseConcurrency follows a set-up in time.
+func (b *Balancer) increaseConcurrency(server *serverState) {
+	b.addSetup(server, false)
+	b.admission.concurrencyLimit = min(b.admission.concurrencyLimit+1, b.maxConcurrency())
+	b.admission.spacing /= 2
+	b.serveQueue()
 }
 
-// sharedFailure: half of the last set-ups failed, and at more than half of the servers heard from.
+func (b *Balancer) addSetup(server *serverState, failed bool) {
+	b.admission.recentSetups = appendWindow(b.admission.recentSetups, sample{server, b.now, failed}, sampleWindow)
+}
+
+// sharedFailure reports whether half of the recent set-ups failed, and at more than half of the observed servers.
 func (b *Balancer) sharedFailure() bool {
-	share, n := failedShare(b.pace.results, b.now-evidenceAge)
-	return n >= 3 && share >= 0.5 && b.medianFailures() > 0
+	share, n := failedShare(b.admission.recentSetups, b.now-outcomeMaxAge)
+	return n >= sharedFailureSample && share >= sharedFailureShare && b.medianFailures() > 0
 }
 
-// widest: in a mass return all balancers send at once, to what all set-ups share.
-func (b *Balancer) widest() float64 { return max(1, allSetups/float64(b.cold.Balancers)) }
+// maxConcurrency is this balancer's part of fleetSetupLimit: when all clients reconnect, all balancers connect at once to
+// what all set-ups share.
+func (b *Balancer) maxConcurrency() float64 {
+	return max(1, fleetSetupLimit/float64(b.slowStart.Balancers))
+}
 
-// narrow halves the set-ups that may be out, then spaces them, against a meltdown of what all of them share.
-func (b *Balancer) narrow() {
-	if b.now < b.pace.last+min(median(b.health.setups), tickEvery) {
+// decreaseConcurrency halves the attempts that may be out, and spaces them once only one may be, against a collapse of
+// what all set-ups share.
+func (b *Balancer) decreaseConcurrency() {
+	a := &b.admission
+	if b.now < a.decreasedAt+min(median(b.health.setupTimes), tickInterval) {
 		return
 	}
-	b.pace.last, b.pace.window = b.now, max(1, b.pace.window/2)
-	if b.pace.window == 1 {
-		b.pace.pause = min(max(2*b.pace.pause, shortestGap*time.Duration(b.cold.Balancers)), longestPause)
-		least, most := min(b.pace.pause/2, longestShut*3/4), min(b.pace.pause*3/2, longestShut)
-		b.pace.opens = b.now + least + time.Duration(b.rng.unit()*float64(most-least))
-		b.actions.SetTimer(lineMark, b.pace.opens-b.now)
+	a.decreasedAt = b.now
+	a.concurrencyLimit = max(1, a.concurrencyLimit/2)
+	if a.concurrencyLimit != 1 {
+		return
 	}
+	a.spacing = min(max(2*a.spacing, minSetupSpacing*time.Duration(b.slowStart.Balancers)), maxSetupSpacing)
+	shortest := min(a.spacing/2, maxClosedTime*3/4)
+	longest := min(a.spacing*3/2, maxClosedTime)
+	a.reopensAt = b.now + shortest + time.Duration(b.random.uniform()*float64(longest-shortest))
+	b.actions.SetTimer(queueTimer, a.reopensAt-b.now)
 }
 
-// beyondShare: the fleet is short and the flow's customer holds this balancer's part of its share. Let in, a
-// mass return beyond it spends at once what cold servers have saved of their budget, and pushes them over.
-func (b *Balancer) beyondShare(f *flow) bool {
-	c := int(f.customer)
-	if c < 0 || c >= len(b.cold.quota) || b.cold.quota[c] == 0 || !b.short() {
+// isOverQuota reports whether capacity is scarce and the flow's customer has used this balancer's part of its quota.
+// Admitted in a mass reconnect, such flows would spend at once what warming servers have saved of their budgets.
+func (b *Balancer) isOverQuota(f *flow) bool {
+	customer := int(f.customer)
+	if customer < 0 || customer >= len(b.slowStart.quotas) || b.slowStart.quotas[customer] == 0 || !b.isCapacityScarce() {
 		return false
 	}
-	own := b.cold.quota[c] / float64(b.cold.Balancers)
-	return float64(b.fair[f.customer]) >= own+2*math.Sqrt(own*(1-1/float64(b.cold.Balancers)))
-}
-
-func (l *limit) cut(to float64, now time.Duration) {
-	if l.at == 0 || now-l.at > cutEvery {
-		if l.at == 0 || now-l.at > regrowth {
-			l.was = to
-		}
-		l.held, l.at = to, max(now, 1)
-	}
+	balancers := float64(b.slowStart.Balancers)
+	own := b.slowStart.quotas[customer] / balancers
+	return float64(b.customerFlows[f.customer]) >= own+deviations*math.Sqrt(own*(1-1/balancers))
 }
 
-func (l *limit) room(n int, step float64, now time.Duration) bool {
-	t := (now - l.at).Seconds() / regrowth.Seconds()
-	return l.at == 0 || float64(n+1) <= l.held+max(l.was, step, 1)*t*t
-}
-
-// tooMany limits a server that holds more than it can bear: what it drops comes again, and tips the next. One
-// of many balancers hears of few; while it is short it limits all that it holds, by the part late.
-func (b *Balancer) tooMany(r *server) {
-	r.limit.cut(deepCut*float64(r.open), b.now)
-	if s := b.survey(); b.short() {
-		b.health.limit.cut((1-(1-deepCut)*max(0, 1.25*s.hot/s.heard-0.25))*float64(len(b.flows.open)), b.now)
+// reduceLimit limits an overloaded server, as the flows that it drops would overload the next one. While capacity is
+// scarce all flows of this balancer are limited too, by the share of overloaded servers.
+func (b *Balancer) reduceLimit(server *serverState) {
+	server.limit.reduce(limitReduction*float64(server.openFlows), b.now)
+	overview := b.fleetOverview()
+	if !b.isCapacityScarce() {
+		return
 	}
+	excess := max(0, overloadScale*overview.overloaded/overview.observed-overloadOffset)
+	b.health.flowLimit.reduce((1-(1-limitReduction)*excess)*float64(len(b.flows.established)), b.now)
 }
 
-// room is for one more on the server, by the mean at the least: one that drops all would always have room for
-// one. The limit on all flows binds those that would open a group on a warm server, which pays for it. What
-// notes made guess does not bind where a server tells of room, but does in a fleet that has none.
-func (b *Balancer) room(f *flow, r *server, v view) bool {
-	load, ok := b.told(r)
-	light := ok && load < ample
-	all := light && v.told < ample || b.health.limit.room(len(b.flows.open), 1, b.now)
-	step := float64(len(b.flows.open)) / float64(len(b.list.ready)+1)
-	return (light || r.limit.room(r.open, step, b.now)) && (all || v.count(r, f.group) > 0 || b.warmth(r) < 1)
+// hasCapacity reports whether the server may take one more flow. The limit on all flows binds those that would open a
+// group on a warm server, which costs it extra work. A low load report overrides limits that were inferred from
+// latency, except in a fleet without spare capacity.
+func (b *Balancer) hasCapacity(f *flow, server *serverState, against comparison) bool {
+	load, isReported := b.reportedLoad(server)
+	isLight := isReported && load < lightLoad
+	held := len(b.flows.established)
+	fleetAllows := isLight && against.meanLoad < lightLoad || b.health.flowLimit.hasCapacity(held, 1, b.now)
+	meanFlows := float64(held) / float64(len(b.list.ready)+1)
+	serverAllows := isLight || server.limit.hasCapacity(server.openFlows, meanFlows, b.now)
+	return serverAllows && (fleetAllows || against.groupFlows(server, f.group) > 0 || b.capacityShare(server) < 1)
 }
--- a/decide/admission_test.go
+++ b/decide/admission_test.go
@@ -13,7 +13,7 @@
 func failing(t *testing.T, seed uint64, well, end time.Duration) (connects []time.Duration, stood time.Duration) {
 	const every, limit = 100 * ms, 90 * ms
 	s := start(t, Idempotent, DeduplicatedByFleet, 60)
-	s.b.rng = seeded(seed)
+	s.b.random = seeded(seed)
 	s.b.ConfigureSlowStart(SlowStart{InitialCapacity: 0.2, OverloadMultiple: 3, WarmUp: 20 * sec, Window: 1500 * ms, Balancers: 300})
 	out := map[FlowID]time.Duration{}
 	for now := time.Duration(0); now < end; now += 10 * ms {
@@ -32,7 +32,7 @@
 		if now%every == 0 {
 			s.b.OnFlow(FlowRequest{ID: FlowID(fmt.Sprint(now)), Customer: NoCustomer, Timeout: limit})
 		}
-		s.b.OnTimer(lineMark)
+		s.b.OnTimer(queueTimer)
 		for id := range s.last {
 			if f := s.b.flows.byID[id]; f != nil && f.state == connecting && out[id] == 0 {
 				out[id] = now
@@ -83,7 +83,7 @@
 		{"all reset", Reset, func(*script) {}},
 		{"a limit on all flows", Full, func(s *script) {
 			s.held("o", 3, "g", 1)
-			s.b.health.limit.cut(0, 1)
+			s.b.health.flowLimit.reduce(0, 1)
 		}},
 		{"beyond their customer's share", Reset, func(s *script) {
 			s.b.AddCustomer(2)
@@ -98,9 +98,9 @@
 			last, tries := time.Duration(0), 0
 			for at := time.Duration(0); at < trouble; at += 100 * ms {
 				s.at(at)
-				s.b.OnTimer(lineMark)
-				if at%tickEvery == 0 {
-					s.b.OnTimer(tickMark)
+				s.b.OnTimer(queueTimer)
+				if at%tickInterval == 0 {
+					s.b.OnTimer(tickTimer)
 				}
 				for i := range 3 { // where flows stand all servers are late
 					s.b.OnLatencySample(FlowID(fmt.Sprint("o", i)), 90*ms)
--- /dev/null
+++ b/decide/balancer.go
@@ -0,0 +1,58 @@
+package decide
+
+import "time"
+
+// Timers of an instance.
+const (
+	tickTimer  TimerID = 1 // rechecks, health checks and the sums over servers
+	listTimer  TimerID = 2 // the next poll of the endpoint list
+	queueTimer TimerID = 3 // the admission queue
+)
+
+const tickInterval = 250 * time.Millisecond
+
+// Balancer is one instance: the concerns, each owning its state, and what they share.
+type Balancer struct {
+	actions     Actions
+	now         time.Duration
+	random      pcg
+	constraints Constraints // nil: none
+
+	flows         flowTable
+	tallies       tallies
+	admission     admission
+	placement     placementCosts
+	health        health
+	slowStart     slowStart
+	list          endpointList
+	services      []ServiceType
+	customerFlows map[CustomerID]int // established flows of each customer
+}
+
+// New returns a Balancer that knows no settings and no servers yet.
+func New(seed uint64, act Actions) *Balancer {
+	b := &Balancer{actions: act, random: seeded(seed)}
+	b.flows.byID = map[FlowID]*flow{}
+	b.tallies.holders = map[GroupKey][]*serverState{}
+	b.list.byID = map[ServerID]*serverState{}
+	b.customerFlows = map[CustomerID]int{}
+	b.actions.SetTimer(tickTimer, tickInterval)
+	return b
+}
+
+// SetTime sets the time of the calls that follow.
+func (b *Balancer) SetTime(now time.Duration) { b.now = now }
+
+// SetConstraints sets what other deciders may say. Without it nothing is asked and nothing changes.
+func (b *Balancer) SetConstraints(constraints Constraints) { b.constraints = constraints }
+
+// OnTimer handles a timer set by Actions.SetTimer.
+func (b *Balancer) OnTimer(timer TimerID) {
+	switch timer {
+	case tickTimer:
+		b.tick()
+	case listTimer:
+		b.actions.WatchEndpoints(true)
+	}
+	b.serveQueue()
+}
--- a/decide/bookkeeping_test.go
+++ b/decide/bookkeeping_test.go
@@ -136,7 +136,7 @@
 			c.tellAll(1 + id%ServerID(c.servers))
 		}),
 		"reports": c.step(func(id ServerID) { c.b.OnLoadReport(id, float64(id%7)/5) }),
-		"tick":    c.step(func(ServerID) { c.b.OnTimer(tickMark); c.serveMoves() }),
+		"tick":    c.step(func(ServerID) { c.b.OnTimer(tickTimer); c.serveMoves() }),
 		"all cold": c.step(func(ServerID) {
 			c.b.BeginEndpoints(FullUpdate)
 			for id := 1; id <= c.servers; id++ {
@@ -168,10 +168,10 @@
 func (c *changing) counted(rt fataler) {
 	open, held := 0.0, 0
 	for _, r := range c.b.list.all {
-		if r.state == Ready {
-			open += float64(r.open)
+		if r.readiness == Ready {
+			open += float64(r.openFlows)
 		}
-		for g, n := range r.groups {
+		for g, n := range r.groupTallies {
 			if held++; n <= 0 || !slices.Contains(c.b.tallies.holders[g], r) {
 				rt.Fatalf("server %d holds %d of group %q and is not among its holders", r.id, n, g)
 			}
@@ -181,49 +181,49 @@
 	for _, list := range c.b.tallies.holders {
 		holders += len(list)
 	}
-	if held != holders || held != c.b.tallies.held {
-		rt.Fatalf("%d groups held on servers, %d holders, %d counted", held, holders, c.b.tallies.held)
+	if held != holders || held != c.b.tallies.pairs {
+		rt.Fatalf("%d groups held on servers, %d holders, %d counted", held, holders, c.b.tallies.pairs)
 	}
-	if c.b.list.sums.open != open {
-		rt.Fatalf("%g flows on ready servers, counted %g", open, c.b.list.sums.open)
+	if c.b.list.totals.openFlows != open {
+		rt.Fatalf("%g flows on ready servers, counted %g", open, c.b.list.totals.openFlows)
 	}
 	states := map[state]int{}
 	for _, f := range c.b.flows.byID {
 		states[f.state]++
-		if f.state == connecting && c.b.flows.connecting[f.place] != f || f.state == established && c.b.flows.open[f.place] != f {
+		if f.state == connecting && c.b.flows.connecting[f.listIndex] != f || f.state == established && c.b.flows.established[f.listIndex] != f {
 			rt.Fatalf("flow %s is not in its place", f.id)
 		}
-		if f.state == established && f.server.flows[f.seat] != f {
+		if f.state == established && f.server.established[f.serverIndex] != f {
 			rt.Fatalf("flow %s is not among those of its server", f.id)
 		}
 	}
 	here := 0
 	for _, r := range c.b.list.all {
-		here += len(r.flows)
+		here += len(r.established)
 	}
-	if n := states[established]; n != len(c.b.flows.open) || n != here || states[connecting] != len(c.b.flows.connecting) {
-		rt.Fatalf("%d established, %d and %d kept; %d connecting, %d kept", n, len(c.b.flows.open), here, states[connecting], len(c.b.flows.connecting))
+	if n := states[established]; n != len(c.b.flows.established) || n != here || states[connecting] != len(c.b.flows.connecting) {
+		rt.Fatalf("%d established, %d and %d kept; %d connecting, %d kept", n, len(c.b.flows.established), here, states[connecting], len(c.b.flows.connecting))
 	}
 }
 
 // noneWins holds each recheck that is left out against a look at every server, each as if it were the group's home.
 func (c *changing) noneWins(rt fataler) (left, made int) {
-	c.b.reckon()
-	need := margin + priceWeight*c.b.picks.moving
-	for _, f := range c.b.flows.open {
-		if f.server.state != Ready {
+	c.b.updateTotals()
+	need := migrationMargin + transferCostWeight*c.b.placement.migration
+	for _, f := range c.b.flows.established {
+		if f.server.readiness != Ready {
 			continue
 		}
-		if !c.b.settled(f, need) {
+		if !c.b.cannotImprove(f, need) {
 			made++
 			continue
 		}
 		left++
-		v := c.b.view(f, c.b.list.ready)
+		v := c.b.compare(f, c.b.list.ready)
 		here := c.b.cost(f, f.server, v)
 		for _, r := range c.b.list.ready {
 			homed := v
-			homed.home = r
+			homed.preferred = r
 			if r != f.server && c.b.allowed(f, r, homed) && c.b.rank(f, r) == 0 && c.b.cost(f, r, homed) < here-need {
 				rt.Fatalf("flow %s on %d is settled, and %d costs %g less", f.id, f.server.id, r.id, here-c.b.cost(f, r, homed))
 			}
@@ -237,7 +237,7 @@
 func TestKeptFiguresAreCounted(t *testing.T) {
 	left, made := 0, 0
 	rapid.Check(t, func(rt *rapid.T) {
-		servers := rapid.SampledFrom([]int{1, 3, 20, wholeList + 30}).Draw(rt, "servers")
+		servers := rapid.SampledFrom([]int{1, 3, 20, fullScanServers + 30}).Draw(rt, "servers")
 		c := newChanging(t, servers, rapid.Bool().Draw(rt, "reports"), rapid.SampledFrom([]int{1, 300}).Draw(rt, "balancers"),
 			rapid.SampledFrom([]float64{0, 0.02, 0.2}).Draw(rt, "crossing"))
 		actions := c.actions()
--- a/decide/cost_test.go
+++ b/decide/cost_test.go
@@ -83,7 +83,7 @@
 				s.at(s.b.now + 3*sec)
 				from := processorTime()
 				for b.Loop() {
-					s.at(s.b.now + tickEvery)
+					s.at(s.b.now + tickInterval)
 					s.b.tick()
 					s.did = s.did[:0]
 				}
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -84,7 +84,7 @@
 	}{
 		{"no server at all", func(s *script) { s.list(FullUpdate, Gone, 4); s.flow("a", "", sec) }, "reject a"},
 		{"connects used up", func(s *script) {
-			s.b.flows.maxConnects = 2
+			s.b.flows.maxAttempts = 2
 			s.flow("a", "", sec)
 			for range 2 {
 				s.take()
@@ -159,7 +159,7 @@
 		s.b.ConfigureEndpoints(EndpointSettings{Zone: "z0", Polled: true, MaxPollInterval: 10 * sec, MessageTarget: 100 * ms})
 		s.want("watch true")
 		s.b.BeginEndpoints(FailedUpdate)
-		s.b.OnTimer(listMark)
+		s.b.OnTimer(listTimer)
 		s.want("watch true")
 	})
 	t.Run("a restart in place leaves no ghost tally", func(t *testing.T) {
@@ -171,17 +171,17 @@
 		for i := range 5 {
 			s.b.OnEnded(FlowID(fmt.Sprint("o", i)), Reset, sec, true)
 		}
-		if r.open != 0 || len(r.groups) != 0 || s.b.tallies.held != 0 {
-			t.Errorf("open %d, groups %v, held %d after the restart", r.open, r.groups, s.b.tallies.held)
+		if r.openFlows != 0 || len(r.groupTallies) != 0 || s.b.tallies.pairs != 0 {
+			t.Errorf("open %d, groups %v, held %d after the restart", r.openFlows, r.groupTallies, s.b.tallies.pairs)
 		}
 	})
 	t.Run("a lease that nobody confirms lapses", func(t *testing.T) {
 		s := start(t, Idempotent, DeduplicatedByFleet, 1)
 		s.flow("a", "g", sec)
 		s.at(12 * sec)
-		s.b.OnTimer(tickMark)
-		if r := s.b.list.byID[1]; r.open != 0 || len(r.groups) != 0 {
-			t.Errorf("open %d, groups %v", r.open, r.groups)
+		s.b.OnTimer(tickTimer)
+		if r := s.b.list.byID[1]; r.openFlows != 0 || len(r.groupTallies) != 0 {
+			t.Errorf("open %d, groups %v", r.openFlows, r.groupTallies)
 		}
 	})
 }
@@ -196,12 +196,12 @@
 		for seed := range uint64(50) {
 			s := start(t, Idempotent, DeduplicatedByFleet, 2)
 			s.b.ConfigureEndpoints(EndpointSettings{Zone: "z0", Polled: true, MaxPollInterval: within, MessageTarget: 100 * ms})
-			s.b.rng = seeded(seed)
+			s.b.random = seeded(seed)
 			for range 12 {
 				s.b.BeginEndpoints(FailedUpdate)
 				s.b.EndEndpoints()
 			}
-			least, most = min(least, s.wait[listMark]), max(most, s.wait[listMark])
+			least, most = min(least, s.wait[listTimer]), max(most, s.wait[listTimer])
 		}
 		if most > told-2*call {
 			t.Errorf("asked within %v: a gap of %v", within, most)
@@ -237,7 +237,7 @@
 	}
 	t.Run("what was not spent since the start is not spent at once", func(t *testing.T) {
 		s := start(t, Idempotent, DeduplicatedByFleet, 3)
-		s.b.cold.WarmUp = 60 * sec
+		s.b.slowStart.WarmUp = 60 * sec
 		s.held("a", 200, "", 1)
 		s.held("b", 200, "", 2)
 		s.change(3, Ready, 0)
@@ -258,9 +258,9 @@
 		s.held("a", 2, "", 1)
 		s.held("b", 2, "", 2)
 		s.change(3, Ready, 0)
-		s.b.list.byID[3].coldDue = 0.99 // by chance
+		s.b.list.byID[3].budgetDue = 0.99 // by chance
 		s.at(6 * sec)
-		if !s.b.coldRoom(s.b.list.byID[3], s.b.view(&flow{}, s.b.list.ready)) {
+		if !s.b.hasSlowStartBudget(s.b.list.byID[3], s.b.compare(&flow{}, s.b.list.ready)) {
 			t.Error("it lapsed within four windows")
 		}
 	})
@@ -325,11 +325,11 @@
 		sent := 0
 		for n := range 200 {
 			s := start(t, Idempotent, DeduplicatedByFleet, 9)
-			s.b.rng = seeded(uint64(n))
+			s.b.random = seeded(uint64(n))
 			s.held("a", 2, "", ServerID(1+n%9))
 			s.change(10, Ready, 0)
 			for i := range 9 {
-				s.b.tooMany(s.b.list.byID[ServerID(i+1)]) // nowhere else to go
+				s.b.reduceLimit(s.b.list.byID[ServerID(i+1)]) // nowhere else to go
 			}
 			for i := range 50 {
 				s.at(time.Duration(i) * 100 * ms)
@@ -356,7 +356,7 @@
 			s.held("c", 3, "y", 3)
 		}, 2},
 		{"also above the guard by what may be chance, being one of four", func(s *script) {
-			s.b.cold.Balancers = 4
+			s.b.slowStart.Balancers = 4
 			s.held("a", 6, "g", 2)
 			s.held("b", 3, "x", 1)
 			s.held("c", 3, "y", 3)
@@ -384,7 +384,7 @@
 	}
 	t.Run("all balancers agree on a new group's home", func(t *testing.T) {
 		a, b := start(t, Idempotent, DeduplicatedByFleet, 6), start(t, Idempotent, DeduplicatedByFleet, 6)
-		b.b.rng = seeded(99)
+		b.b.random = seeded(99)
 		for i := range 10 {
 			g := GroupKey(fmt.Sprint("g", i))
 			if x, y := a.flow(FlowID(g), g, sec), b.flow(FlowID(g), g, sec); x != y {
@@ -410,7 +410,7 @@
 		}},
 		{"a limit binds there", func(s *script, g GroupKey, home ServerID) {
 			s.b.OnEnded("a", Cancelled, 10*ms, true)
-			s.b.list.byID[home].limit.cut(0, s.b.now)
+			s.b.list.byID[home].limit.reduce(0, s.b.now)
 			s.flow("b", g, sec)
 		}},
 	} {
@@ -421,7 +421,7 @@
 				for seed := range uint64(20) {
 					s := start(t, Idempotent, DeduplicatedByFleet, 12)
 					s.b.ConfigureSlowStart(SlowStart{InitialCapacity: 0.2, OverloadMultiple: 3, WarmUp: 20 * sec, Window: 1500 * ms, Balancers: 200})
-					s.b.rng = seeded(seed)
+					s.b.random = seeded(seed)
 					home := s.flow("a", g, sec)
 					s.at(10 * ms)
 					c.turn(s, g, home)
@@ -448,22 +448,22 @@
 	s.b.ConfigureSlowStart(SlowStart{InitialCapacity: 0.2, OverloadMultiple: 3, WarmUp: 20 * sec, Window: 1500 * ms, Balancers: 200})
 	s.rest(1, 6)
 	s.b.OnEnded("r10", Reset, sec, true)
-	if s.b.short() {
+	if s.b.isCapacityScarce() {
 		t.Error("one server of six makes the fleet short")
 	}
 	for _, id := range []FlowID{"r20", "r30", "r40"} {
 		s.b.OnEnded(id, Reset, sec, true)
 	}
-	if !s.b.short() {
+	if !s.b.isCapacityScarce() {
 		t.Error("four servers of six that reset their flows leave the fleet in time")
 	}
 	s.take()
 	s.flow("new", "", sec)
-	if s.b.health.limit.at == 0 || s.last["new"] >= 1 && s.last["new"] <= 4 {
+	if s.b.health.flowLimit.reducedAt == 0 || s.last["new"] >= 1 && s.last["new"] <= 4 {
 		t.Errorf("the flows have no limit, or one more goes to %d", s.last["new"])
 	}
-	s.at(noteAge + ms)
-	if s.b.short() {
+	s.at(latencyMaxAge + ms)
+	if s.b.isCapacityScarce() {
 		t.Error("short for longer than a note lasts")
 	}
 }
@@ -480,7 +480,7 @@
 			for range 4 {
 				s.b.OnEnded(id, Error, 5*ms, false)
 			}
-			s.b.OnTimer(lineMark)
+			s.b.OnTimer(queueTimer)
 			connects += s.count("connect")
 		}
 		if connects > 400 {
@@ -502,7 +502,7 @@
 		if s.sent[1] > 0 {
 			t.Errorf("%d were sent there", s.sent[1])
 		}
-		s.at(firstPause) // many ends are one sign: it is tried again soon, as it may have been wrong
+		s.at(firstEjectionTime) // many ends are one sign: it is tried again soon, as it may have been wrong
 		if got := s.flow("later", "", sec); got != 1 {
 			t.Errorf("then goes to %d", got)
 		}
@@ -558,7 +558,7 @@
 			for id := range s.last { // one or all stand, later than wanted
 				s.b.OnEstablished(id, 400*ms)
 			}
-			if gap := s.b.pace.opens - 400*ms; c.peers > 1 && gap < 500*ms {
+			if gap := s.b.admission.reopensAt - 400*ms; c.peers > 1 && gap < 500*ms {
 				t.Errorf("the next after %v", gap)
 			}
 		})
@@ -566,7 +566,7 @@
 	t.Run("a server that takes flows and never answers leaves time for another", func(t *testing.T) {
 		s := start(t, Idempotent, DeduplicatedByFleet, 2)
 		first := s.flow("a", "", 2*sec)
-		if limit := s.b.connectLimit(s.b.flows.byID["a"]); limit > sec {
+		if limit := s.b.attemptTimeout(s.b.flows.byID["a"]); limit > sec {
 			t.Fatalf("the connect may take %v of 2s", limit)
 		}
 		s.at(sec)
@@ -577,11 +577,11 @@
 	})
 	t.Run("a given up flow in line is answered by its setup target", func(t *testing.T) {
 		s := start(t, Idempotent, DeduplicatedByFleet, 4)
-		s.b.pace.opens = 10 * sec
+		s.b.admission.reopensAt = 10 * sec
 		s.flow("a", "", 2*sec)
 		s.want("")
 		s.at(300 * ms)
-		s.b.OnTimer(lineMark)
+		s.b.OnTimer(queueTimer)
 		s.want("reject a")
 	})
 	t.Run("a fast failing server does not draw the flows", func(t *testing.T) {
@@ -600,8 +600,8 @@
 	t.Run("a silent server is left, a part at a time", func(t *testing.T) {
 		s := start(t, Idempotent, DeduplicatedByFleet, 4)
 		s.held("o", 16, "", 1)
-		s.b.list.byID[1].silent = 2
-		s.b.OnTimer(tickMark)
+		s.b.list.byID[1].unreachableInRow = 2
+		s.b.OnTimer(tickTimer)
 		if n := s.count("move"); n != 3 {
 			t.Errorf("%d moves in one tick, want 3 of 16", n)
 		}
@@ -609,7 +609,7 @@
 	t.Run("a silent server is not hammered while the others are full, and comes back cold", func(t *testing.T) {
 		s := start(t, Idempotent, DeduplicatedByFleet, 2)
 		s.held("o", 8, "", 2)
-		s.b.tooMany(s.b.list.byID[2])
+		s.b.reduceLimit(s.b.list.byID[2])
 		for i := range 100 {
 			s.at(time.Duration(i) * 20 * ms)
 			id := FlowID(fmt.Sprint(i))
@@ -622,8 +622,8 @@
 		s.at(20 * sec)
 		s.flow("back", "", sec)
 		s.b.OnEstablished("back", ms)
-		if r := s.b.list.byID[1]; s.b.warmth(r) > 0.3 {
-			t.Errorf("taken for %v warm when it answers again", s.b.warmth(r))
+		if r := s.b.list.byID[1]; s.b.capacityShare(r) > 0.3 {
+			t.Errorf("taken for %v warm when it answers again", s.b.capacityShare(r))
 		}
 	})
 	t.Run("a load note shows that a server lives", func(t *testing.T) {
@@ -631,9 +631,9 @@
 		for i := range 4 {
 			s.held(fmt.Sprint("o", i), 4, "", ServerID(i+1))
 		}
-		s.b.list.byID[1].silent = 2
+		s.b.list.byID[1].unreachableInRow = 2
 		s.b.OnFlowLoad("o03")
-		s.b.OnTimer(tickMark)
+		s.b.OnTimer(tickTimer)
 		s.want("")
 	})
 	t.Run("a late server's smallest groups go first, a part at a time", func(t *testing.T) {
@@ -659,9 +659,9 @@
 			moves := 0
 			for n := range 200 {
 				s := start(t, Idempotent, DeduplicatedByFleet, 6)
-				s.b.rng, s.b.cold.Balancers = seeded(uint64(n)), 200
+				s.b.random, s.b.slowStart.Balancers = seeded(uint64(n)), 200
 				s.held("o", 1, "", 1)
-				s.b.list.byID[1].delay = 200 * ms
+				s.b.list.byID[1].latency = 200 * ms
 				s.at(sec)
 				s.b.OnLatencySample("o0", c.delay)
 				moves += s.count("move")
@@ -675,7 +675,7 @@
 		a := start(t, Idempotent, DeduplicatedByFleet, 6)
 		home := a.flow("a", "g", sec)
 		a.b.OnEstablished("a", ms)
-		a.b.health.setups = []time.Duration{sec} // not calm: nothing is moved
+		a.b.health.setupTimes = []time.Duration{sec} // not calm: nothing is moved
 		a.at(ms)
 		a.b.OnLatencySample("a", 200*ms)
 		a.b.OnEnded("a", OK, sec, true)
@@ -706,8 +706,8 @@
 				s.at(time.Duration(i) * sec)
 				s.b.OnLatencySample("o9", 150*ms)
 			}
-			if r := s.b.list.byID[1]; s.b.room(&flow{}, r, view{}) != c.room {
-				t.Errorf("room %v with %d open, limit %v", !c.room, r.open, r.limit.held)
+			if r := s.b.list.byID[1]; s.b.hasCapacity(&flow{}, r, comparison{}) != c.room {
+				t.Errorf("room %v with %d open, limit %v", !c.room, r.openFlows, r.limit.flows)
 			}
 		})
 	}
@@ -715,7 +715,7 @@
 		s := start(t, Idempotent, DeduplicatedByFleet, 2)
 		for r := range 2 {
 			s.held(fmt.Sprint("o", r), 10, "", ServerID(r+1))
-			s.b.tooMany(s.b.list.byID[ServerID(r+1)])
+			s.b.reduceLimit(s.b.list.byID[ServerID(r+1)])
 		}
 		s.flow("a", "", sec)
 		s.want("reject a")
@@ -732,7 +732,7 @@
 			for i := range c.resets {
 				s.b.OnEnded(FlowID(fmt.Sprint("a", i)), Reset, sec, true)
 			}
-			if got := s.b.list.byID[1].limit.at != 0; got != c.limited {
+			if got := s.b.list.byID[1].limit.reducedAt != 0; got != c.limited {
 				t.Errorf("%d balancers, %d resets: limited %v", c.peers, c.resets, got)
 			}
 		}
@@ -778,12 +778,12 @@
 	}
 	t.Run("one of many is short only by more than chance, and then takes fewer in all", func(t *testing.T) {
 		s := start(t, Idempotent, DeduplicatedByFleet, 60)
-		s.b.cold.Balancers, s.b.health.setups = 200, []time.Duration{sec} // not calm: none is moved
+		s.b.slowStart.Balancers, s.b.health.setupTimes = 200, []time.Duration{sec} // not calm: none is moved
 		s.rest(1, 8)
 		for i, short := range []bool{false, false, false, true, true, true, true, true} {
 			s.b.OnLatencySample(FlowID(fmt.Sprintf("r%d0", i+1)), 80*ms)
-			s.b.tooMany(s.b.list.byID[ServerID(i+1)])
-			if s.b.short() != short {
+			s.b.reduceLimit(s.b.list.byID[ServerID(i+1)])
+			if s.b.isCapacityScarce() != short {
 				t.Errorf("short %v with %d of 8 late", !short, i+1)
 			}
 		}
@@ -858,19 +858,19 @@
 			s.b.ConfigureFlows(1, 0)
 			r := s.b.list.byID[1]
 			s.at(10 * sec)
-			s.b.coldStart(r, 10*sec)
+			s.b.beginSlowStart(r, 10*sec)
 			s.at(15 * sec)
-			r.coldDue = 9
+			r.budgetDue = 9
 			s.b.OnFlow(FlowRequest{ID: "a", Customer: NoCustomer, Timeout: sec})
-			want := r.coldSent
+			want := r.budgetSpent
 			if want == 0 || s.sent[1] != 1 {
-				t.Fatalf("%d spent after the connect: %v", r.coldSent, s.did)
+				t.Fatalf("%d spent after the connect: %v", r.budgetSpent, s.did)
 			}
 			if c.end(s.b); c.back {
 				want--
 			}
-			if r.coldSent != want || r.open != 0 || len(s.b.flows.connecting) != 0 {
-				t.Errorf("%d spent, want %d; %d on the tally, %d out", r.coldSent, want, r.open, len(s.b.flows.connecting))
+			if r.budgetSpent != want || r.openFlows != 0 || len(s.b.flows.connecting) != 0 {
+				t.Errorf("%d spent, want %d; %d on the tally, %d out", r.budgetSpent, want, r.openFlows, len(s.b.flows.connecting))
 			}
 		})
 	}
--- a/decide/byhand_test.go
+++ b/decide/disabled_test.go
@@ -58,8 +58,8 @@
 			"": func(rt *rapid.T) {
 				for id := 1; id <= n; id++ {
 					r := s.b.list.byID[ServerID(id)]
-					if (r.state == Ready) != (!out[id] && listed[id] == Ready) {
-						rt.Fatalf("%d: state %d, out by hand %v, listed %d", id, r.state, out[id], listed[id])
+					if (r.readiness == Ready) != (!out[id] && listed[id] == Ready) {
+						rt.Fatalf("%d: state %d, out by hand %v, listed %d", id, r.readiness, out[id], listed[id])
 					}
 				}
 			},
@@ -75,8 +75,8 @@
 		s.b.SetDisabled(1, true)
 		moved := 0
 		for i := range 40 {
-			s.at(time.Duration(i) * tickEvery)
-			s.b.OnTimer(tickMark)
+			s.at(time.Duration(i) * tickInterval)
+			s.b.OnTimer(tickTimer)
 			moved += s.count("move")
 		}
 		if moved < 8 {
@@ -92,8 +92,8 @@
 		s.at(5 * sec)
 		s.b.SetDisabled(1, false)
 		r := s.b.list.byID[1]
-		if w := s.b.warmth(r); w != 0.2 || r.ejected || r.open != 6 {
-			t.Errorf("warmth %v, ejected %v, %d open", w, r.ejected, r.open)
+		if w := s.b.capacityShare(r); w != 0.2 || r.ejected || r.openFlows != 6 {
+			t.Errorf("warmth %v, ejected %v, %d open", w, r.ejected, r.openFlows)
 		}
 	})
 	t.Run("all of them", func(t *testing.T) {
--- a/decide/health.go
+++ b/decide/health.go
@@ -1,138 +1,257 @@
 package decide
 
-// What is learnt of servers from results, delays and load reports.
-
 import (
 	"math"
+	"slices"
 	"time"
 )
 
-func (b *Balancer) resting(r *server) bool {
-	return r.ejected && (b.now < r.ejectedUntil || r.trying >= r.trickle)
+// What is learned of servers from outcomes, latencies, health checks and load reports: outlier detection, ejection and
+// overload.
+
+const (
+	outcomeMaxAge = 10 * time.Second
+	latencyMaxAge = 2500 * time.Millisecond // latency samples come every second while a server is slow
+
+	serverSampleWindow = 4   // outcomes kept of each server
+	outlierSample      = 2   // recent outcomes needed to eject a server
+	outlierMargin      = 0.5 // share of failures above the fleet's median
+
+	firstEjectionTime  = time.Second
+	maxEjectionTime    = 16 * time.Second
+	maxUnreachable     = 2  // attempts in a row that reached nobody, from which a server is silent
+	maxProbationLimit  = 16 // flows out at once
+	provenProbation    = 8  // probation limit beyond which a server is no longer ejected
+	probationFirstFlow = 1
+
+	backlogDrainTime   = 1400 * time.Millisecond // in which a backlog is to be gone
+	overloadedFraction = 3                       // latency above objective/3 is overload
+	scarceFraction     = 5                       // capacity is scarce when servers/5 are overloaded
+
+	loadReportMaxAge   = 3 * recheckInterval
+	checksPerConnect   = 4.0 // health checks that one attempt pays for
+	checksPerRound     = 4   // of each server, at most, in a round of rechecks
+	lightLoad          = 0.7 // load over capacity up to which a server meets its objectives, whatever others have
+	fullLoad           = 1.0 // load over capacity beyond which work piles up
+	loadedServerWeight = 1   // added to the weight of a report's age where flows are open
+)
+
+// health is what is known of the fleet as a whole.
+type health struct {
+	setupTimes  []time.Duration // of the last set-ups, over all servers
+	lastSetupAt time.Duration   // when the last of them ended
+	checksLoad  bool            // health checks bring load reports
+	checkCredit float64         // health checks that may be sent
+	flowLimit   flowLimit       // on all flows
+
+	// The last figures over all servers; see isCurrent.
+	overview       fleetOverview
+	medianFailures failureMedian
+	healthy        serverSubset
+}
+
+func (h *health) addSetupTime(took, endedAt time.Duration) {
+	h.setupTimes = appendWindow(h.setupTimes, took, sampleWindow)
+	h.lastSetupAt = endedAt
 }
 
-// judge takes one sample for the flow's server and ejects it, or lets its trickle grow.
-func (b *Balancer) judge(f *flow, failed bool) {
-	r := f.server
-	if f.life != r.life {
+// isEjected reports whether the server gets no flows now: it is ejected, or on probation with its probation limit used.
+func (b *Balancer) isEjected(server *serverState) bool {
+	return server.ejected && (b.now < server.ejectedUntil || server.probationFlows >= server.probationLimit)
+}
+
+// isSilent reports whether the last attempts found nobody there.
+func (s *serverState) isSilent() bool { return s.unreachableInRow >= maxUnreachable }
+
+// recordOutcome records an outcome at the flow's server, and ejects the server or raises its probation limit.
+func (b *Balancer) recordOutcome(f *flow, failed bool) {
+	server := f.server
+	if f.incarnation != server.incarnation {
 		return
 	}
-	r.samples = keep(r.samples, sample{r, b.now, failed}, 4)
+	server.samples = appendWindow(server.samples, sample{server, b.now, failed}, serverSampleWindow)
 	switch {
 	case !failed:
-		if r.silent >= 2 { // it was down, whatever the list says so far, and comes back cold
-			b.coldStart(r, b.now)
-		}
-		r.silent, r.trickle = 0, min(2*r.trickle, 16)
-		r.ejected = r.ejected && r.trickle <= 8
-	case r.ejected && b.now >= r.ejectedUntil:
-		b.eject(r)
-	case !r.ejected:
-		// Against the fleet's median: when all fail the cause is shared, and the rest would get their load too.
-		share, n := failedShare(r.samples, b.now-evidenceAge)
-		if n >= 2 && share >= b.medianFailures()+0.5 && 2*(b.survey().ejected+1) <= len(b.list.ready) {
-			b.eject(r) // half of the servers stay at the least, so that the rest don't topple
+		if server.isSilent() { // it was down, whatever the list says so far, and must warm up
+			b.beginSlowStart(server, b.now)
 		}
+		server.unreachableInRow = 0
+		server.probationLimit = min(2*server.probationLimit, maxProbationLimit)
+		server.ejected = server.ejected && server.probationLimit <= provenProbation
+	case server.ejected && b.now >= server.ejectedUntil:
+		b.eject(server)
+	case !server.ejected && b.isOutlier(server):
+		b.eject(server)
 	}
 }
 
-func (b *Balancer) eject(r *server) {
-	if r.pause = min(2*r.pause, longestPause); r.pause == 0 || b.now > r.ejectedUntil+evidenceAge {
-		r.pause = firstPause
+// isOutlier compares a server with the fleet's median: where all fail the cause is shared, and ejecting some would
+// overload the rest. At least half of the servers stay.
+func (b *Balancer) isOutlier(server *serverState) bool {
+	share, n := failedShare(server.samples, b.now-outcomeMaxAge)
+	return n >= outlierSample && share >= b.medianFailures()+outlierMargin &&
+		2*(b.fleetOverview().ejected+1) <= len(b.list.ready)
+}
+
+// eject ejects a server, for longer each time while ejections follow on each other.
+func (b *Balancer) eject(server *serverState) {
+	server.ejectionTime = min(2*server.ejectionTime, maxEjectionTime)
+	if server.ejectionTime == 0 || b.now > server.ejectedUntil+outcomeMaxAge {
+		server.ejectionTime = firstEjectionTime
 	}
-	if !r.ejected {
-		b.health.survey.ejected++
+	if !server.ejected {
+		b.health.overview.ejected++
 	}
-	r.ejected, r.trickle, r.ejectedUntil = true, 1, b.now+r.pause
+	server.ejected = true
+	server.probationLimit = probationFirstFlow
+	server.ejectedUntil = b.now + server.ejectionTime
 }
 
-// short: a fifth of the servers heard of, and two deviations more, answer late: silence is no good news.
-func (b *Balancer) short() bool {
-	s := b.survey()
-	few := s.heard / 5
-	return s.hot > 0 && s.hot >= few+2*math.Sqrt(few*(1-s.heard/float64(len(b.list.ready)+1)))
+// isCapacityScarce reports whether a fifth of the observed servers, and more than chance explains, are overloaded.
+func (b *Balancer) isCapacityScarce() bool {
+	overview := b.fleetOverview()
+	few := overview.observed / scarceFraction
+	return overview.overloaded > 0 &&
+		overview.overloaded >= few+deviations*math.Sqrt(few*(1-overview.observed/float64(len(b.list.ready)+1)))
 }
 
-// failed takes what a failed set-up tells.
-func (b *Balancer) failed(f *flow, o Outcome, took time.Duration) {
-	switch o {
+// onSetupFailed handles a failed set-up.
+func (b *Balancer) onSetupFailed(f *flow, outcome Outcome, took time.Duration) {
+	server := f.server
+	switch outcome {
 	case Unreachable:
-		// What all set-ups share isn't even reached, so this needs no look at the fleet.
-		if f.server.silent++; f.server.silent >= 2 && !f.server.ejected {
-			b.eject(f.server)
+		// The attempt did not get as far as what all set-ups share, so that the rest of the fleet does not matter.
+		server.unreachableInRow++
+		if server.isSilent() && !server.ejected {
+			b.eject(server)
 		}
 	case Full:
-		b.tooMany(f.server)
+		b.reduceLimit(server)
 	case TimedOut:
-		b.health.setups, b.health.setupAt = keep(b.health.setups, took, keptSamples), b.now+evidenceAge
+		b.health.addSetupTime(took, b.now+outcomeMaxAge)
 	}
-	b.judge(f, true)
-	b.pace.results = keep(b.pace.results, sample{f.server, b.now, true}, keptSamples)
+	b.recordOutcome(f, true)
+	b.addSetup(server, true)
 	if b.sharedFailure() {
-		b.narrow()
+		b.decreaseConcurrency()
 	}
 }
 
-// OnFlowLoad takes in that the load of a connection was reported. The load swings too fast to place by, but shows that the
-// server is alive.
+// OnFlowLoad handles a report of a connection's load. It fluctuates too fast for placement, but shows that the server is
+// alive.
 func (b *Balancer) OnFlowLoad(id FlowID) {
 	if f := b.flows.byID[id]; f != nil && f.server != nil {
-		f.server.silent = 0
+		f.server.unreachableInRow = 0
 	}
 }
 
-// OnLatencySample takes in how long a message takes at the flow's server.
+// latencyTrend is what a latency sample says beside the one before it.
+type latencyTrend struct {
+	isLate     bool // beyond the objective
+	isRepeated bool // so was the last sample
+	isGrowing  bool
+	excess     float64 // share of the flows whose migration stops and drains the backlog
+}
+
+// OnLatencySample handles how long a message takes at the flow's server.
 func (b *Balancer) OnLatencySample(id FlowID, took time.Duration) {
 	f := b.flows.byID[id]
 	if f == nil || f.state != established {
 		return
 	}
-	r, late, need := f.server, took > b.list.MessageTarget, 0.0
-	if late {
-		need = anyhow // what is late is worth nothing, whatever a move costs
+	server := f.server
+	trend := b.latencyTrend(server, took)
+	server.unreachableInRow = 0
+	server.latency = took
+	server.latencyAt = b.now
+	if b.isOverloaded(server) {
+		server.overloadedAt = b.now
 	}
-	again := r.delay > b.list.MessageTarget && b.now-r.delayAt < noteAge
-	// What stops the backlog's growth and drains it: a fixed part would fit neither a slow server nor a pause.
-	part := took.Seconds() / drainIn.Seconds()
-	if again {
-		part += (took - r.delay).Seconds() / max(b.now-r.delayAt, tickEvery).Seconds()
+	// One late message in a fleet within its objective may be a pause; a second, or one among many, is overload.
+	if trend.isLate && (trend.isGrowing || !trend.isRepeated && b.isCapacityScarce()) {
+		b.reduceLimit(server)
 	}
-	grows := again && took >= r.delay
-	r.silent, r.delay, r.delayAt = 0, took, b.now
-	if b.hot(r) {
-		r.hotAt = b.now
+	minSaving := 0.0
+	if trend.isLate {
+		minSaving = atAnyCost
 	}
-	// One late message on a fleet in time may be a pause; a second, or one among many, is too much load.
-	if late && (grows || !again && b.short()) {
-		b.tooMany(r)
+	// Without spare capacity, fewer flows within the objective are worth more than all of them late.
+	isShedding := trend.isLate && trend.isGrowing && b.isCapacityScarce()
+	excess := trend.excess
+	if isShedding {
+		excess = min(excess, migrationShare)
 	}
-	// With nowhere to go, fewer flows in time are worth more than all of them late.
-	shed := late && grows && b.short()
-	if shed {
-		part = min(part, smallPart)
+	if isShedding || b.isOverloaded(server) && b.areSetupsWithinObjective() {
+		b.migrateAway(server, minSaving, excess, isShedding)
 	}
-	if shed || b.hot(r) && b.calm() {
-		b.evacuate(r, need, part, shed)
+}
+
+func (b *Balancer) latencyTrend(server *serverState, took time.Duration) latencyTrend {
+	objective := b.list.MessageTarget
+	trend := latencyTrend{isLate: took > objective, excess: took.Seconds() / backlogDrainTime.Seconds()}
+	trend.isRepeated = server.latency > objective && b.now-server.latencyAt < latencyMaxAge
+	if trend.isRepeated {
+		trend.isGrowing = took >= server.latency
+		trend.excess += (took - server.latency).Seconds() / max(b.now-server.latencyAt, tickInterval).Seconds()
 	}
+	return trend
 }
 
-// hot: messages take over a third of the shortest time wanted; notes start there, and one says when it ends.
-func (b *Balancer) hot(r *server) bool {
-	return r.delay > 0 && b.now-r.delayAt < noteAge && r.delay > b.list.MessageTarget/3
+// isOverloaded reports whether the last latency exceeds a third of the shortest objective. Samples are sent from there on,
+// and one says when it ends.
+func (b *Balancer) isOverloaded(server *serverState) bool {
+	return server.latency > 0 && b.now-server.latencyAt < latencyMaxAge &&
+		server.latency > b.list.MessageTarget/overloadedFraction
 }
 
-// OnHealthCheck takes in how a health check ended. A server that answers enters probation.
-func (b *Balancer) OnHealthCheck(server ServerID, o Outcome) {
-	if r := b.list.byID[server]; r != nil && o == OK {
-		r.silent, r.ejectedUntil = 0, min(r.ejectedUntil, b.now)
+// OnHealthCheck handles the result of a health check. A server that answers enters probation.
+func (b *Balancer) OnHealthCheck(server ServerID, outcome Outcome) {
+	if state := b.list.byID[server]; state != nil && outcome == OK {
+		state.unreachableInRow = 0
+		state.ejectedUntil = min(state.ejectedUntil, b.now)
 	}
 }
 
-// OnLoadReport takes in a server's load over its capacity, as it reports it. Above 1 its work piles up.
+// OnLoadReport handles a server's report of its load over its capacity.
 func (b *Balancer) OnLoadReport(server ServerID, load float64) {
-	r := b.list.server(server)
-	r.probed, r.probedAt = load, b.now
-	if load > 1 && b.calm() {
-		b.evacuate(r, 0, 1-ample/load, false)
+	state := b.list.server(server)
+	state.reportedLoad = load
+	state.loadReportedAt = b.now
+	if load > fullLoad && b.areSetupsWithinObjective() {
+		b.migrateAway(state, 0, 1-lightLoad/load, false)
+	}
+}
+
+// reportedLoad is the last report of a warm server. One that is warming up would, with a load near 0, attract a flow of
+// each group.
+func (b *Balancer) reportedLoad(server *serverState) (load float64, ok bool) {
+	isRecent := server.loadReportedAt > 0 && b.now-server.loadReportedAt < loadReportMaxAge
+	return server.reportedLoad, isRecent && b.capacityShare(server) == 1
+}
+
+// sendHealthChecks spends the credit that attempts, new servers and the passing of time bring. No more is saved than
+// the flows held and this balancer's part of the servers need. Servers are checked in the order of the age of their
+// last check, which counts double where flows are open.
+func (b *Balancer) sendHealthChecks() {
+	h := &b.health
+	servers := float64(len(b.list.ready))
+	held := float64(len(b.flows.established))
+	part := servers / float64(b.slowStart.Balancers)
+	h.checkCredit += min(servers, max(held, part)) * float64(tickInterval) / float64(loadReportMaxAge)
+	h.checkCredit = min(h.checkCredit, servers, 1+held+part)
+	// Servers reject most of the checks that all balancers send at once.
+	most := 1 + checksPerRound*servers*float64(tickInterval)/float64(recheckInterval)
+	if !h.checksLoad || h.checkCredit < 1 {
+		return
+	}
+	age := func(server *serverState) int {
+		return int(b.now-server.healthCheckedAt) * (1 + min(server.openFlows, loadedServerWeight))
+	}
+	oldest := slices.Clone(b.list.ready)
+	slices.SortStableFunc(oldest, func(one, other *serverState) int { return age(other) - age(one) })
+	for _, server := range oldest[:int(min(most, h.checkCredit))] {
+		h.checkCredit--
+		server.healthCheckedAt = b.now
+		b.actions.HealthCheck(server.id)
 	}
 }
--- a/decide/list.go
+++ b/decide/list.go
@@ -1,115 +1,178 @@
 package decide
 
-// The server list: news of it, and servers taken out by hand.
-
 import (
 	"cmp"
 	"slices"
 	"time"
 )
 
+// The endpoint list, its updates, and servers that operators disable.
+
+// maxPollBackoff bounds the time between polls that fail. With polls of 2 s each, a change is known within 6 s.
+const maxPollBackoff = 1600 * time.Millisecond
+
+// endpointList holds the servers, and figures and indexes over them.
+type endpointList struct {
+	EndpointSettings
+	byID       map[ServerID]*serverState
+	all        []*serverState // by id, but for those added since the last sorting
+	unsorted   bool
+	ready      []*serverState // by id
+	departing  []*serverState // not ready, with open flows; by id
+	updateKind UpdateKind     // of the update in hand
+
+	pollBackoff time.Duration // 0: the last poll succeeded
+
+	totals     fleetTotals // over ready: flows at all times, the rest as of the last tick or update
+	lowestLoad float64     // of any server that a flow could be migrated to, as of the last tick or update
+	usualSize  float64     // in service: of the first list, or of the most warm servers since; 0: none
+
+	// The selection from a long list; see isLong.
+	local          []*serverState // ready, in the own zone
+	zones          map[Zone][]*serverState
+	cells          map[CellID][]*serverState
+	preferredIndex bucketIndex
+	selection      uint64         // counts selections
+	candidates     []*serverState // of the last selection
+}
+
+// server returns what is known of a server, also of one that the list does not name, so that every flow has its server.
+func (l *endpointList) server(id ServerID) *serverState {
+	state := l.byID[id]
+	if state == nil {
+		state = &serverState{id: id, readiness: Gone, listedReadiness: Gone, startedAt: LongAgo}
+		l.byID[id] = state
+		l.all = append(l.all, state)
+		l.unsorted = true
+	}
+	return state
+}
+
 // BeginEndpoints begins an update of the endpoint list; OnEndpoint brings each entry, EndEndpoints closes it.
-func (b *Balancer) BeginEndpoints(k UpdateKind) {
-	b.list.kind = k
-	for _, r := range b.list.all {
-		r.seen = false
+func (b *Balancer) BeginEndpoints(kind UpdateKind) {
+	b.list.updateKind = kind
+	for _, server := range b.list.all {
+		server.inUpdate = false
 	}
-	if k != FailedUpdate {
-		b.list.gap = 0
+	if kind != FailedUpdate {
+		b.list.pollBackoff = 0
 	} else if b.list.Polled {
-		// Well within the time after which we count as told, spread: a service just back must not be toppled.
-		b.list.gap = min(max(2*b.list.gap, tickEvery), b.list.MaxPollInterval/2, longestGap)
-		b.actions.SetTimer(listMark, time.Duration(float64(b.list.gap)*(0.5+b.rng.unit()/2)))
+		b.pollAfterBackoff()
 	}
 }
 
-// OnEndpoint is one entry. A fresh start clears the tallies.
+// pollAfterBackoff waits well below the interval at which the list has to be polled. The wait is spread, so that
+// balancers do not overload a service that has just recovered.
+func (b *Balancer) pollAfterBackoff() {
+	b.list.pollBackoff = min(max(2*b.list.pollBackoff, tickInterval), b.list.MaxPollInterval/2, maxPollBackoff)
+	b.actions.SetTimer(listTimer, time.Duration(float64(b.list.pollBackoff)*(0.5+b.random.uniform()/2)))
+}
+
+// OnEndpoint handles one entry. A later start than the one known is a restart.
 func (b *Balancer) OnEndpoint(endpoint Endpoint) {
-	r := b.list.server(endpoint.ID)
-	if endpoint.StartedAt > r.since && endpoint.Readiness == Ready {
-		b.forget(r)
-		*r = server{id: endpoint.ID, flows: r.flows, life: r.life, byHand: r.byHand}
-		b.coldStart(r, endpoint.StartedAt)
+	server := b.list.server(endpoint.ID)
+	if endpoint.StartedAt > server.startedAt && endpoint.Readiness == Ready {
+		b.clearTallies(server)
+		*server = serverState{
+			id:          endpoint.ID,
+			established: server.established,
+			incarnation: server.incarnation,
+			disabled:    server.disabled,
+		}
+		b.beginSlowStart(server, endpoint.StartedAt)
 	}
-	if b.health.pull && r.askedAt == 0 { // as good as asked, at a time of its own; but one probe is due
-		r.askedAt = b.now - time.Duration(b.rng.unit()*float64(recheckEvery))
-		b.health.credit++
+	if b.health.checksLoad && server.healthCheckedAt == 0 { // a check is due, at a time of its own
+		server.healthCheckedAt = b.now - time.Duration(b.random.uniform()*float64(recheckInterval))
+		b.health.checkCredit++
 	}
-	r.zone, r.cell, r.size, r.seen = endpoint.Zone, endpoint.Cell, endpoint.Size, true
-	b.stand(r, endpoint.Readiness)
+	server.zone = endpoint.Zone
+	server.cell = endpoint.Cell
+	server.size = endpoint.Size
+	server.inUpdate = true
+	b.setReadiness(server, endpoint.Readiness)
 }
 
-// stand makes of the list's word and the staff's what a server may be sent: out by hand wins over any list.
-func (b *Balancer) stand(r *server, listed Readiness) {
-	r.listed = listed
-	if r.byHand {
-		listed = max(listed, Draining)
+// setReadiness combines the list with what operators decided: a disabled server takes no new flows.
+func (b *Balancer) setReadiness(server *serverState, listed Readiness) {
+	server.listedReadiness = listed
+	server.readiness = listed
+	if server.disabled {
+		server.readiness = max(listed, Draining)
 	}
-	r.state = listed
 }
 
-// SetDisabled takes a server out, or gives it back, whatever the list says. Given back it was likely restarted: it
-// is cold, its health of another life. Flows that outlive the time load it, so that the tallies stay.
-func (b *Balancer) SetDisabled(id ServerID, out bool) {
-	r := b.list.server(id)
-	if r.byHand == out {
+// SetDisabled takes a server out of service or gives it back, whatever the list says. One that is given back was likely
+// restarted: it warms up, and its health is unknown. Flows that stayed on it remain in its tallies.
+func (b *Balancer) SetDisabled(id ServerID, disabled bool) {
+	server := b.list.server(id)
+	if server.disabled == disabled {
 		return
 	}
-	if r.byHand = out; !out {
-		*r = server{id: id, zone: r.zone, cell: r.cell, size: r.size, state: r.state, life: r.life,
-			open: r.open, groups: r.groups, flows: r.flows, trying: r.trying, listed: r.listed}
-		b.coldStart(r, b.now)
-	}
-	b.stand(r, r.listed)
-	b.sortList()
-}
-
-// server keeps a place for a server even before the list names it, so that no flow is without one.
-func (l *serverList) server(id ServerID) *server {
-	r := l.byID[id]
-	if r == nil {
-		r = &server{id: id, state: Gone, listed: Gone, since: LongAgo}
-		l.byID[id], l.all, l.unsorted = r, append(l.all, r), true
+	server.disabled = disabled
+	if !disabled {
+		*server = serverState{
+			id:              id,
+			zone:            server.zone,
+			cell:            server.cell,
+			size:            server.size,
+			readiness:       server.readiness,
+			listedReadiness: server.listedReadiness,
+			incarnation:     server.incarnation,
+			openFlows:       server.openFlows,
+			groupTallies:    server.groupTallies,
+			established:     server.established,
+			probationFlows:  server.probationFlows,
+		}
+		b.beginSlowStart(server, b.now)
 	}
-	return r
+	b.setReadiness(server, server.listedReadiness)
+	b.rebuildList()
 }
 
 // EndEndpoints ends an update of the endpoint list.
 func (b *Balancer) EndEndpoints() {
-	for _, r := range b.list.all {
-		if !r.seen && b.list.kind != DeltaUpdate {
-			b.stand(r, Gone)
+	for _, server := range b.list.all {
+		if !server.inUpdate && b.list.updateKind != DeltaUpdate {
+			b.setReadiness(server, Gone)
 		}
 	}
-	b.sortList()
+	b.rebuildList()
 }
 
-// sortList sorts servers by what they may be sent, each sort by id: nothing may hang on the order of news.
-func (b *Balancer) sortList() {
+// rebuildList computes what depends on the readiness of servers. All lists are sorted by id, so that decisions do not
+// depend on the order of updates.
+func (b *Balancer) rebuildList() {
 	l := &b.list
 	if l.unsorted {
-		slices.SortFunc(l.all, func(x, y *server) int { return cmp.Compare(x.id, y.id) })
+		slices.SortFunc(l.all, func(one, other *serverState) int { return cmp.Compare(one.id, other.id) })
 		l.unsorted = false
 	}
-	l.ready, l.leaving = l.ready[:0], l.leaving[:0]
-	for _, r := range l.all {
-		if r.state == Ready {
-			l.ready = append(l.ready, r)
-		} else if r.open > 0 {
-			l.leaving = append(l.leaving, r)
+	l.ready = l.ready[:0]
+	l.departing = l.departing[:0]
+	for _, server := range l.all {
+		if server.readiness == Ready {
+			l.ready = append(l.ready, server)
+		} else if server.openFlows > 0 {
+			l.departing = append(l.departing, server)
 		}
 	}
+	b.updateUsualSize()
+	l.buildIndexes(b.localWeight())
+	b.updateTotals()
+}
+
+func (b *Balancer) updateUsualSize() {
 	all, warm := 0.0, 0.0
-	for _, r := range l.ready {
-		size := b.size(r) / b.warmth(r)
-		if all += size; b.warmth(r) == 1 {
+	for _, server := range b.list.ready {
+		share := b.capacityShare(server)
+		size := b.size(server) / share
+		all += size
+		if share == 1 {
 			warm += size
 		}
 	}
-	if l.usual == 0 {
-		l.usual = all
+	if b.list.usualSize == 0 {
+		b.list.usualSize = all
 	}
-	l.usual = max(l.usual, warm)
-	l.arrange(b.nearWeight())
-	b.reckon()
+	b.list.usualSize = max(b.list.usualSize, warm)
 }
--- a/decide/longlist_test.go
+++ b/decide/longlist_test.go
@@ -34,18 +34,18 @@
 			s := full(t, c.servers, c.flows, 15_000)
 			s.at(s.b.now + 3*sec)
 			looked, visited := 0, 0
-			selections := s.b.list.selections
-			for range recheckEvery / tickEvery {
-				s.at(s.b.now + tickEvery)
-				before := s.b.flows.next
+			selections := s.b.list.selection
+			for range recheckInterval / tickInterval {
+				s.at(s.b.now + tickInterval)
+				before := s.b.flows.lastRechecked
 				s.b.tick()
-				visited += (s.b.flows.next - before + c.flows) % c.flows
+				visited += (s.b.flows.lastRechecked - before + c.flows) % c.flows
 			}
-			looked = int(s.b.list.selections - selections)
+			looked = int(s.b.list.selection - selections)
 			if visited < c.flows {
 				t.Errorf("%d of %d flows visited in a round's time", visited, c.flows)
 			}
-			if most := mostLooks * int(recheckEvery/tickEvery); looked > most {
+			if most := maxRechecksPerTick * int(recheckInterval/tickInterval); looked > most {
 				t.Errorf("%d looks at a long list in a round, want %d at the most", looked, most)
 			}
 		})
@@ -58,8 +58,8 @@
 	s.held("f", 6000, "", 1) // all on one server
 	s.at(3 * sec)
 	s.b.tick()
-	if n := s.count("move"); n == 0 || n > mostLooks {
-		t.Errorf("%d moves in a tick, want some and at most %d", n, mostLooks)
+	if n := s.count("move"); n == 0 || n > maxRechecksPerTick {
+		t.Errorf("%d moves in a tick, want some and at most %d", n, maxRechecksPerTick)
 	}
 }
 
@@ -73,7 +73,7 @@
 	differ, homes := 0, map[ServerID]int{}
 	for i := range groups {
 		f := &flow{group: GroupKey(strconv.Itoa(i))}
-		a, b := one.b.view(f, one.b.list.ready).home, other.b.view(f, other.b.list.ready).home
+		a, b := one.b.compare(f, one.b.list.ready).preferred, other.b.compare(f, other.b.list.ready).preferred
 		if a == nil || b == nil {
 			t.Fatalf("group %d has no home", i)
 		}
@@ -98,13 +98,13 @@
 // Where nearly all servers of a long list are in trouble, flows still find one that is not.
 func TestFewGoodOfALongList(t *testing.T) {
 	const servers, good = 1000, 7
-	trouble := map[string]func(b *Balancer, r *server){
-		"silent":     func(b *Balancer, r *server) { r.silent = 2; b.eject(r) },
-		"ejected":    func(b *Balancer, r *server) { b.eject(r) },
-		"late":       func(b *Balancer, r *server) { r.delay, r.delayAt = sec, b.now },
-		"full":       func(b *Balancer, r *server) { r.limit.cut(0, b.now) },
-		"cold":       func(b *Balancer, r *server) { r.since, r.coldAt, r.coldDue = b.now, b.now, 0 },
-		"not listed": func(b *Balancer, r *server) { b.stand(r, Gone) },
+	trouble := map[string]func(b *Balancer, r *serverState){
+		"silent":     func(b *Balancer, r *serverState) { r.unreachableInRow = 2; b.eject(r) },
+		"ejected":    func(b *Balancer, r *serverState) { b.eject(r) },
+		"late":       func(b *Balancer, r *serverState) { r.latency, r.latencyAt = sec, b.now },
+		"full":       func(b *Balancer, r *serverState) { r.limit.reduce(0, b.now) },
+		"cold":       func(b *Balancer, r *serverState) { r.startedAt, r.budgetAt, r.budgetDue = b.now, b.now, 0 },
+		"not listed": func(b *Balancer, r *serverState) { b.setReadiness(r, Gone) },
 	}
 	for name, befall := range trouble {
 		t.Run(name, func(t *testing.T) {
@@ -115,7 +115,7 @@
 					befall(s.b, r)
 				}
 			}
-			s.b.sortList()
+			s.b.rebuildList()
 			for i := range 20 {
 				if to := s.flow(FlowID(strconv.Itoa(i)), GroupKey(strconv.Itoa(i)), sec); to != good {
 					t.Fatalf("flow %d went to %d, want %d: %s", i, to, good, s.take())
@@ -128,9 +128,9 @@
 
 // A repeat that only a server of the same zone or cell would drop goes there or nowhere, however long the list.
 func TestRepeatsStayInReach(t *testing.T) {
-	for reach, same := range map[DeduplicationScope]func(a, b *server) bool{
-		DeduplicatedByZone: func(a, b *server) bool { return a.zone == b.zone },
-		DeduplicatedByCell: func(a, b *server) bool { return a.cell == b.cell },
+	for reach, same := range map[DeduplicationScope]func(a, b *serverState) bool{
+		DeduplicatedByZone: func(a, b *serverState) bool { return a.zone == b.zone },
+		DeduplicatedByCell: func(a, b *serverState) bool { return a.cell == b.cell },
 	} {
 		s := full(t, 1999, 0, 1) // each cell has several
 		s.b.services[0].Effect, s.b.services[0].Deduplication = IdempotentByKey, reach
@@ -168,7 +168,7 @@
 	}
 	most := 0
 	for _, r := range s.b.list.ready {
-		most = max(most, r.open)
+		most = max(most, r.openFlows)
 	}
 	holders := len(s.b.tallies.holders["large"])
 	if mean := flows / servers; most > 6*mean || holders < 20 || holders > servers*3/4 {
@@ -188,8 +188,8 @@
 	s.b.EndEndpoints()
 	moved := 0
 	for range 400 {
-		s.at(s.b.now + tickEvery)
-		s.b.OnTimer(tickMark)
+		s.at(s.b.now + tickInterval)
+		s.b.OnTimer(tickTimer)
 		moved += s.count("move")
 	}
 	if moved != flows {
@@ -212,13 +212,13 @@
 		}
 		s.b.OnEstablished(f, 5*ms)
 		if i%150 == 0 {
-			s.b.OnTimer(tickMark)
+			s.b.OnTimer(tickTimer)
 		}
 		s.did = s.did[:0]
 	}
 	most := 0
 	for _, r := range s.b.list.ready {
-		most = max(most, r.open)
+		most = max(most, r.openFlows)
 	}
 	if most > 2*flows/servers {
 		t.Errorf("%d flows on one server, %d on average", most, flows/servers)
--- a/decide/placement.go
+++ b/decide/placement.go
@@ -1,224 +1,322 @@
 package decide
 
-// Which server a flow goes to: the guarded least-cost pick.
+import (
+	"math"
+	"slices"
+)
 
-import "math"
+// Which server a flow goes to: the guarded least-cost choice.
 
-// choose is the guarded least-cost pick. Where the candidates from a long list are all in trouble, others are
-// drawn from those that were in none at the last tick.
-func (b *Balancer) choose(f *flow) *server {
-	best, rank := b.cheapest(f, b.view(f, b.list.ready))
-	if b.list.long() && (best == nil || rank > 0) {
-		if other, least := b.cheapest(f, b.view(f, b.healthy())); least < rank {
+const (
+	groupingWeight     = 1.0 // of grouping in the cost
+	loadWeight         = 1.0 // of the load in the cost
+	transferCostWeight = 10.0
+	openFlowsPrior     = 2.0  // flows that a load is computed from at least, as few flows say little
+	loadPrior          = 0.2  // the same for load reports, or a mean near 0 would make all look full
+	groupingGuard      = 1.25 // times the mean, above which a server attracts no groups
+	costTolerance      = 1e-9 // costs within it are equal
+
+	randomCandidates = 24 // of a long list, half of them local
+	preferredBuckets = 8  // of servers that may be preferred by a group
+	holderCandidates = 8  // servers that hold the group already
+
+	recentOverload       = 2 * limitRecoveryTime
+	recentOverloadWeight = 1e-6 // of a server as preferred, behind all others
+
+	// Ranks add up. Servers of a higher rank are chosen only where there is no other.
+	overloadedRank = 1
+	ejectedRank    = 2
+	attemptedRank  = 4 // for each attempt of the flow there
+)
+
+// placementCosts are the prices of placement.
+type placementCosts struct {
+	zoneCrossing float64
+	migration    float64
+	hasSizes     bool // the sizes in the list mean something
+}
+
+// comparison is what one placement or recheck compares servers with.
+type comparison struct {
+	candidates        []*serverState
+	preferredCount    int            // so many of the candidates, the first, may be preferred
+	holders           []*serverState // of the group, at this balancer
+	meanOpen          float64        // open flows of this balancer per unit of size
+	meanWithFlow      float64        // the same with the flow in hand
+	meanLoad          float64        // over capacity, of servers that report it
+	hasRoomBelowGuard bool           // some server is below the guard
+	groupHasRoom      bool           // such a server holds the group
+	preferred         *serverState   // by rendezvous hashing; nil: none
+}
+
+// groupFlows is how many flows of the group the server holds.
+func (c comparison) groupFlows(server *serverState, group GroupKey) int {
+	if len(c.holders) <= fewHolders && !slices.Contains(c.holders, server) {
+		return 0
+	}
+	return server.groupTallies[group]
+}
+
+// choose is the guarded least-cost choice. Where the candidates from a long list all have faults, others are drawn from
+// the servers that had none at the last tick.
+func (b *Balancer) choose(f *flow) *serverState {
+	best, rank := b.cheapest(f, b.compare(f, b.list.ready))
+	if b.list.isLong() && (best == nil || rank > 0) {
+		if other, otherRank := b.cheapest(f, b.compare(f, b.healthyServers())); otherRank < rank {
 			best = other
 		}
 	}
 	return best
 }
 
-// cheapest: rules bind first (readiness, cold budget, where a repeat may go), then servers in trouble
-// stand behind all others, then cost decides, and chance among equals.
-func (b *Balancer) cheapest(f *flow, v view) (best *server, bestRank int) {
-	bestRank, bestCost, ties := math.MaxInt, 0.0, 0.0
-	for _, r := range v.candidates {
-		if !b.allowed(f, r, v) {
+// cheapest is the allowed candidate of the lowest rank, among those the one of the lowest cost, and among equals one
+// by chance.
+func (b *Balancer) cheapest(f *flow, against comparison) (best *serverState, bestRank int) {
+	bestRank = math.MaxInt
+	bestCost, ties := 0.0, 0.0
+	for _, server := range against.candidates {
+		if !b.allowed(f, server, against) {
 			continue
 		}
-		rank, cost := b.rank(f, r), b.cost(f, r, v)
+		rank := b.rank(f, server)
+		cost := b.cost(f, server, against)
 		switch {
-		case rank < bestRank || rank == bestRank && cost < bestCost-1e-9:
-			best, bestRank, bestCost, ties = r, rank, cost, 1
-		case rank == bestRank && cost < bestCost+1e-9:
-			if ties++; b.rng.unit()*ties < 1 {
-				best = r
+		case rank < bestRank || rank == bestRank && cost < bestCost-costTolerance:
+			best = server
+			bestRank = rank
+			bestCost = cost
+			ties = 1
+		case rank == bestRank && cost < bestCost+costTolerance:
+			if ties++; b.random.uniform()*ties < 1 {
+				best = server
 			}
 		}
 	}
 	return best, bestRank
 }
 
-// chooseTrial is the server of a trial: the least troubled to which rules let the flow go, and by chance among equals.
-func (b *Balancer) chooseTrial(f *flow) (best *server) {
-	v := b.view(f, b.list.ready)
-	bestRank, ties := math.MaxInt, 0.0
-	for _, r := range v.candidates {
-		if !b.permitted(f, r, v) {
+// chooseForced is the server of a forced attempt: a permitted one of the lowest rank, by chance among equals.
+func (b *Balancer) chooseForced(f *flow) (best *serverState) {
+	against := b.compare(f, b.list.ready)
+	bestRank := math.MaxInt
+	ties := 0.0
+	for _, server := range against.candidates {
+		if !b.permitted(f, server, against) {
 			continue
 		}
-		switch rank := b.rank(f, r); {
+		switch rank := b.rank(f, server); {
 		case rank < bestRank:
-			best, bestRank, ties = r, rank, 1
+			best = server
+			bestRank = rank
+			ties = 1
 		case rank == bestRank:
-			if ties++; b.rng.unit()*ties < 1 {
-				best = r
+			if ties++; b.random.uniform()*ties < 1 {
+				best = server
 			}
 		}
 	}
 	return best
 }
 
-// candidates are the servers that a decision looks at: all of a short list. Of a long one they are those
-// where all balancers expect the group, some that hold it here, and some by chance.
-func (b *Balancer) candidates(f *flow, holders, from []*server) (all []*server, homes int) {
+// candidates are the servers that a decision looks at: all of a short list. Of a long one they are those that the group
+// prefers at all balancers, some that hold it here, and some by chance.
+func (b *Balancer) candidates(f *flow, holders, from []*serverState) (all []*serverState, preferredCount int) {
 	l := &b.list
-	if !l.long() {
+	if !l.isLong() {
 		return l.ready, len(l.ready)
 	}
-	from, near := l.reachable(f, &b.services[f.service], from), l.near
-	if b.picks.crossing == 0 || len(from) < len(l.ready) {
-		near = from
+	from = l.retryScope(f, &b.services[f.service], from)
+	local := l.local
+	if b.placement.zoneCrossing == 0 || len(from) < len(l.ready) {
+		local = from
 	}
-	l.selections++
+	l.selection++
 	l.candidates = l.candidates[:0]
 	if f.group != "" {
-		homes = l.selectHomes(f.group.hash(), homeDraws)
-		l.selectDrawn(holders, min(drawnHolders, len(holders)), &b.rng)
+		preferredCount = l.selectPreferred(f.group.hash(), preferredBuckets)
+		l.selectRandom(holders, min(holderCandidates, len(holders)), &b.random)
 	}
-	l.selectDrawn(near, drawn/2, &b.rng)
-	l.selectDrawn(from, drawn/2, &b.rng)
-	return l.candidates, homes
+	l.selectRandom(local, randomCandidates/2, &b.random)
+	l.selectRandom(from, randomCandidates/2, &b.random)
+	return l.candidates, preferredCount
 }
 
-func (b *Balancer) allowed(f *flow, r *server, v view) bool {
-	// Nobody at a silent server: with all others full, every flow would fall upon it as it comes back.
-	return r.state == Ready && !(r.silent >= 2 && b.resting(r)) && b.room(f, r, v) && b.permitted(f, r, v)
+// allowed reports whether the flow may go to the server now. Silent servers are excluded outright: with all others full,
+// every flow would go there as soon as they return.
+func (b *Balancer) allowed(f *flow, server *serverState, against comparison) bool {
+	return server.readiness == Ready && (!server.isSilent() || !b.isEjected(server)) &&
+		b.hasCapacity(f, server, against) && b.permitted(f, server, against)
 }
 
-// permitted are the rules alone, without what is only feared of a server.
-func (b *Balancer) permitted(f *flow, r *server, v view) bool {
-	if r.state != Ready || !b.coldRoom(r, v) {
+// permitted reports whether the flow may go to the server whatever its health and load.
+func (b *Balancer) permitted(f *flow, server *serverState, against comparison) bool {
+	if server.readiness != Ready || !b.hasSlowStartBudget(server, against) {
 		return false
 	}
-	if _, ok := b.bound(f, r); !ok {
+	if _, ok := b.serverCost(f, server); !ok {
+		return false
+	}
+	service := &b.services[f.service]
+	if !f.isConfined(service) {
+		return true
+	}
+	switch service.Deduplication {
+	case DeduplicatedByZone:
+		return server.zone == f.firstRunZone
+	case DeduplicatedByCell:
+		return server.cell == f.firstRunCell
+	default:
 		return false
 	}
-	s := &b.services[f.service]
-	return !f.mayRan || s.Effect == Idempotent || s.Deduplication == DeduplicatedByFleet ||
-		s.Deduplication == DeduplicatedByZone && r.zone == f.ranZone || s.Deduplication == DeduplicatedByCell && r.cell == f.ranCell
 }
 
-// rank sorts servers in trouble behind the others without ever leaving a flow without any.
-func (b *Balancer) rank(f *flow, r *server) int {
-	n := 0
-	for _, id := range f.tried {
-		if id == r.id {
-			n += 4
+// rank orders servers by their faults, so that a flow goes to a faulty server rather than to none.
+func (b *Balancer) rank(f *flow, server *serverState) int {
+	rank := 0
+	for _, id := range f.attempted {
+		if id == server.id {
+			rank += attemptedRank
 		}
 	}
-	if b.resting(r) {
-		n += 2
+	if b.isEjected(server) {
+		rank += ejectedRank
 	}
-	if b.hot(r) {
-		n++
+	if b.isOverloaded(server) {
+		rank += overloadedRank
 	}
-	return n
+	return rank
 }
 
-// view leaves the flow in hand out of the mean. The home is where all balancers expect a group: highest
-// by a hash of group and id below the guard. Tallies alone would spread it over as many as the balancers.
-func (b *Balancer) view(f *flow, from []*server) (v view) {
-	v.holders = b.tallies.holders[f.group]
-	v.candidates, v.homes = b.candidates(f, v.holders, from)
-	least, top, group := b.leastExtra(f, v.candidates), 0.0, f.group.hash()
-	v.mean, v.fair, v.told = b.means(f, v.candidates, least)
-	for i, r := range v.candidates {
-		// One that could not be chosen is no home: those sent on from it would open its groups all over the fleet.
-		if extra, _ := b.bound(f, r); extra > least || r.ejected || b.rank(f, r) > 0 ||
-			!b.allowed(f, r, v) || b.crowded(r, r.open, v.count(r, f.group), v) {
+// compare prepares a placement of the flow among these servers or a part of them. The flow itself is left out of the
+// means. By tallies alone each balancer would hold a group at a server of its own; the preferred server, the highest by
+// a hash of group and id of those below the guard, is the same at all.
+func (b *Balancer) compare(f *flow, from []*serverState) (c comparison) {
+	c.holders = b.tallies.holders[f.group]
+	c.candidates, c.preferredCount = b.candidates(f, c.holders, from)
+	least := b.leastExtra(f, c.candidates)
+	b.setMeans(&c, f, least)
+	highest := 0.0
+	group := f.group.hash()
+	for i, server := range c.candidates {
+		if !b.mayAttractGroup(f, server, c, least) {
 			continue
 		}
-		wasHot := r.hotAt > 0 && b.now-r.hotAt < 2*regrowth
-		v.relief, v.held = true, v.held || v.count(r, f.group) > 0 && !wasHot
-		if i >= v.homes || f.group == "" {
+		wasOverloaded := server.overloadedAt > 0 && b.now-server.overloadedAt < recentOverload
+		c.hasRoomBelowGuard = true
+		c.groupHasRoom = c.groupHasRoom || c.groupFlows(server, f.group) > 0 && !wasOverloaded
+		if i >= c.preferredCount || f.group == "" {
 			continue
 		}
-		h := homeRank(group, r.id) * b.size(r)
-		if wasHot { // behind all others: forgiven at once, it would draw back what made it late
-			h *= 1e-6
-		}
-		if r.zone == b.list.Zone {
-			h *= b.nearWeight()
-		}
-		if h > top {
-			v.home, top = r, h
+		if weight := b.preferredWeight(group, server, wasOverloaded); weight > highest {
+			c.preferred = server
+			highest = weight
 		}
 	}
-	if v.held && v.told == 0 {
-		v.home = nil
+	if c.groupHasRoom && c.meanLoad == 0 {
+		c.preferred = nil
+	}
+	return c
+}
+
+// mayAttractGroup reports whether a server below the guard could be chosen. Flows forwarded from one that could not
+// would spread its groups over the fleet.
+func (b *Balancer) mayAttractGroup(f *flow, server *serverState, against comparison, leastExtra float64) bool {
+	if extra, _ := b.serverCost(f, server); extra > leastExtra {
+		return false
+	}
+	return !server.ejected && b.rank(f, server) == 0 && b.allowed(f, server, against) &&
+		!b.isAboveGuard(server, server.openFlows, against.groupFlows(server, f.group), against)
+}
+
+// preferredWeight is the rendezvous weight of a server. One that was overloaded recently would, as preferred, attract
+// again what overloaded it.
+func (b *Balancer) preferredWeight(group uint64, server *serverState, wasOverloaded bool) float64 {
+	weight := rendezvousWeight(group, server.id) * b.size(server)
+	if wasOverloaded {
+		weight *= recentOverloadWeight
+	}
+	if server.zone == b.list.Zone {
+		weight *= b.localWeight()
 	}
-	return v
+	return weight
 }
 
-// nearWeight is what a server of the own zone counts for as a home beside one elsewhere.
-func (b *Balancer) nearWeight() float64 {
-	return (1 + priceWeight*b.picks.crossing) * (1 + priceWeight*b.picks.crossing)
+// localWeight is the weight of a server of the own zone as preferred, beside 1 of one elsewhere.
+func (b *Balancer) localWeight() float64 {
+	factor := 1 + transferCostWeight*b.placement.zoneCrossing
+	return factor * factor
 }
 
-// crowded: passed over for grouping. By its own word where a server tells its load, though never under ample.
-// Else by own connections, with two standard deviations of a sample: a single balancer's count needs none.
-func (b *Balancer) crowded(r *server, open, group int, v view) bool {
-	if load, ok := b.told(r); ok {
-		return load > max(guard*v.told, ample)
+// isAboveGuard reports whether a server attracts no groups: by its load report, though not while it is lightly loaded,
+// or else by this balancer's flows and what chance may add to them where balancers are many.
+func (b *Balancer) isAboveGuard(server *serverState, open, group int, against comparison) bool {
+	if load, ok := b.reportedLoad(server); ok {
+		return load > max(groupingGuard*against.meanLoad, lightLoad)
 	}
-	fair, chance := v.mean*b.size(r), 1-1/float64(b.cold.Balancers)
-	return float64(open) > guard*fair+2*math.Sqrt(fair*chance)+chance*float64(group)
+	fair := against.meanOpen * b.size(server)
+	chance := 1 - 1/float64(b.slowStart.Balancers)
+	return float64(open) > groupingGuard*fair+deviations*math.Sqrt(fair*chance)+chance*float64(group)
 }
 
-// size is the list's, where it means anything: a mean per server fills small ones first. By warmth if cold.
-func (b *Balancer) size(r *server) float64 {
-	if b.picks.sizes && r.size > 0 {
-		return r.size * b.warmth(r)
+// size is what a server counts for in means: its listed size, where sizes mean something, times its capacity share.
+func (b *Balancer) size(server *serverState) float64 {
+	if b.placement.hasSizes && server.size > 0 {
+		return server.size * b.capacityShare(server)
 	}
-	return b.warmth(r)
+	return b.capacityShare(server)
 }
 
-// load is the page's, of a server with so many open.
-func (b *Balancer) load(r *server, open int, v view) float64 {
-	if told, ok := b.told(r); ok {
-		return (told + toldPrior) / (v.told + toldPrior)
+// load is the load of a server with so many open flows, relative to the mean.
+func (b *Balancer) load(server *serverState, open int, against comparison) float64 {
+	if load, ok := b.reportedLoad(server); ok {
+		return (load + loadPrior) / (against.meanLoad + loadPrior)
 	}
-	if b.warmth(r) < 1 { // what the rule lets all send it is no mean; the budget holds back the rest
-		return float64(open) / (v.mean*b.size(r) + prior)
+	mean := against.meanOpen*b.size(server) + openFlowsPrior
+	if b.capacityShare(server) < 1 { // its budget holds it back; the prior would do so again
+		return float64(open) / mean
 	}
-	return (float64(open) + prior) / (v.mean*b.size(r) + prior)
+	return (float64(open) + openFlowsPrior) / mean
 }
 
-// cost is the page's: w0·(−g) + w1·Load, with the price of a crossing.
-func (b *Balancer) cost(f *flow, r *server, v view) float64 {
-	all := v.count(r, f.group)
-	open, group := r.open, all
-	if f.leased && f.server == r {
-		open, group = open-1, group-1
+// cost is the cost of the flow at the server, by grouping, load, the price of a zone crossing and constraints.
+func (b *Balancer) cost(f *flow, server *serverState, against comparison) float64 {
+	held := against.groupFlows(server, f.group)
+	open, group := server.openFlows, held
+	if f.leased && f.server == server { // without the flow itself
+		open--
+		group--
 	}
-	c := loadWeight * b.load(r, open, v)
-	near := !b.crowded(r, open, all, v) || !v.relief
-	if f.group != "" && near && (group > 0 || r == v.home) {
-		c -= groupWeight
+	cost := loadWeight * b.load(server, open, against)
+	mayGroup := !b.isAboveGuard(server, open, held, against) || !against.hasRoomBelowGuard
+	if f.group != "" && mayGroup && (group > 0 || server == against.preferred) {
+		cost -= groupingWeight
 	} else if f.group != "" {
-		c += groupWeight * b.distance()
+		cost += groupingWeight * b.groupSpread()
 	}
-	if r.zone != b.list.Zone {
-		c += priceWeight * b.picks.crossing
+	if server.zone != b.list.Zone {
+		cost += transferCostWeight * b.placement.zoneCrossing
 	}
-	extra, _ := b.bound(f, r)
-	return c + extra
+	extra, _ := b.serverCost(f, server) // its ok is checked where the server becomes a candidate
+	return cost + extra
 }
 
-func (b *Balancer) bound(f *flow, r *server) (extra float64, ok bool) {
+// serverCost is the extra cost that constraints give a server, or false where they exclude it.
+func (b *Balancer) serverCost(f *flow, server *serverState) (extra float64, ok bool) {
 	if b.constraints == nil {
 		return 0, true
 	}
-	return b.constraints.ServerCost(f.id, r.id)
+	return b.constraints.ServerCost(f.id, server.id)
 }
 
-// leastExtra: servers that bounds make dearer are no measure: an empty one far off made near ones look full.
-func (b *Balancer) leastExtra(f *flow, candidates []*server) (least float64) {
+// leastExtra is the least extra cost of any candidate. Servers that cost more are left out of the means: empty ones far
+// off would make near ones look full.
+func (b *Balancer) leastExtra(f *flow, candidates []*serverState) (least float64) {
 	if b.constraints == nil {
 		return 0
 	}
 	least = math.Inf(1)
-	for _, r := range candidates {
-		if extra, ok := b.bound(f, r); ok {
+	for _, server := range candidates {
+		if extra, ok := b.serverCost(f, server); ok {
 			least = min(least, extra)
 		}
 	}
--- a/decide/rechecks.go
+++ b/decide/rechecks.go
@@ -1,135 +1,144 @@
 package decide
 
-// Standing flows: rechecks, moves off servers in trouble, and the probes that inform them.
-
 import (
 	"cmp"
+	"math"
 	"slices"
+	"time"
+)
+
+// The re-evaluation of established flows, and their migration away from overloaded, silent and departing servers.
+
+const (
+	recheckInterval    = 5 * time.Second // of one round over all established flows
+	maxRechecksPerTick = 128             // of those that look at other servers
+	migrationMargin    = 1.75            // cost that a migration has to save: more than grouping is ever worth
+	migrationShare     = 1.0 / 8         // of a server's flows, at a time, where nothing says how many
+	atAnyCost          = -math.MaxFloat64
+	slowSetupFraction  = 2 // set-ups beyond target/2 are slow
 )
 
-// calm: no move into a store slowdown; a moved client pays its set-up again, through what is slow. Set-ups
-// that are only slow say nothing for long: after a mass return a server far behind would keep all it holds.
-func (b *Balancer) calm() bool {
-	over := b.now-b.health.setupAt > noteAge
-	return len(b.services) > 0 && (over || median(b.health.setups) < b.services[0].SetupTarget/2)
+// areSetupsWithinObjective reports whether migrations are affordable: the client of a migrated flow pays its set-up
+// again. Slow set-ups count only while they are recent, or a mass reconnect would hold flows on slow servers.
+func (b *Balancer) areSetupsWithinObjective() bool {
+	if len(b.services) == 0 {
+		return false
+	}
+	isOld := b.now-b.health.lastSetupAt > latencyMaxAge
+	return isOld || median(b.health.setupTimes) < b.services[0].SetupTarget/slowSetupFraction
 }
 
-// recheck moves an established flow when another server, in no trouble, wins by need, or anyway.
-func (b *Balancer) recheck(f *flow, need float64, anyway bool) bool {
-	v := b.view(f, b.list.ready)
-	here := b.cost(f, f.server, v)
-	wins := func(r *server) bool {
-		return r != f.server && b.allowed(f, r, v) && b.rank(f, r) == 0 && b.cost(f, r, v) < here-need
+// recheck migrates an established flow if another server without faults costs less by minSaving, or if forced.
+func (b *Balancer) recheck(f *flow, minSaving float64, forced bool) (migrated bool) {
+	against := b.compare(f, b.list.ready)
+	here := b.cost(f, f.server, against)
+	isBetter := func(server *serverState) bool {
+		return server != f.server && b.allowed(f, server, against) && b.rank(f, server) == 0 &&
+			b.cost(f, server, against) < here-minSaving
 	}
-	if anyway = anyway || slices.ContainsFunc(v.candidates, wins); anyway {
-		b.actions.Migrate(f.id)
-		b.transition(f, leaving)
+	if !forced && !slices.ContainsFunc(against.candidates, isBetter) {
+		return false
 	}
-	return anyway
+	b.actions.Migrate(f.id)
+	b.transition(f, migrating)
+	return true
 }
 
-// settled tells that no server can win over the flow's: what it costs there at the most, less what must be
-// won, is no more than the least that any could cost, were it the home of the group.
-func (b *Balancer) settled(f *flow, need float64) bool {
+// cannotImprove reports, without a look at other servers, that none can cost less by minSaving: what the flow costs at
+// its server at the most, less minSaving, is no more than the least that any could cost if it were preferred.
+func (b *Balancer) cannotImprove(f *flow, minSaving float64) bool {
 	if b.constraints != nil {
 		return false
 	}
-	s, open := b.list.sums, f.server.open-1
-	s.open--
-	v := s.means()
-	here, least := b.load(f.server, open, v), b.list.lowest
-	if group := f.server.groups[f.group]; group > 1 && !b.crowded(f.server, open, group, v) {
-		here, least = here-groupWeight, least-groupWeight
+	totals := b.list.totals
+	totals.openFlows--
+	against := totals.means()
+	others := f.server.openFlows - 1
+	here := b.load(f.server, others, against)
+	least := b.list.lowestLoad
+	if group := f.server.groupTallies[f.group]; group > 1 && !b.isAboveGuard(f.server, others, group, against) {
+		here -= groupingWeight
+		least -= groupingWeight
 	} else if f.group != "" {
-		here, least = here+groupWeight*b.distance(), least-groupWeight
+		here += groupingWeight * b.groupSpread()
+		least -= groupingWeight
 	}
 	if f.server.zone != b.list.Zone {
-		here += priceWeight * b.picks.crossing
+		here += transferCostWeight * b.placement.zoneCrossing
 	}
-	return here-need < least-1e-9
+	return here-minSaving < least-costTolerance
 }
 
-// recheckSome goes on with the round. What needs a look at other servers is bounded in each tick: the round
-// takes longer then.
-func (b *Balancer) recheckSome() {
-	due := int(float64(len(b.flows.open))*float64(tickEvery)/float64(recheckEvery)) + 1
-	need := margin + priceWeight*b.picks.moving
-	for looks := mostLooks; due > 0 && looks > 0 && len(b.flows.open) > 0; due-- {
-		b.flows.next = (b.flows.next + 1) % len(b.flows.open)
-		f := b.flows.open[b.flows.next]
-		if f.server.state != Ready || b.settled(f, need) || b.constraints != nil && !b.constraints.AllowMigration(f.id) {
+// recheckSlice goes on with the round of rechecks.
+func (b *Balancer) recheckSlice() {
+	due := int(float64(len(b.flows.established))*float64(tickInterval)/float64(recheckInterval)) + 1
+	minSaving := migrationMargin + transferCostWeight*b.placement.migration
+	for looks := maxRechecksPerTick; due > 0 && looks > 0 && len(b.flows.established) > 0; due-- {
+		b.flows.lastRechecked = (b.flows.lastRechecked + 1) % len(b.flows.established)
+		f := b.flows.established[b.flows.lastRechecked]
+		if f.server.readiness != Ready || b.cannotImprove(f, minSaving) || !b.allowsMigration(f.id) {
 			continue
 		}
 		looks--
-		if on := f.server; b.recheck(f, need, false) {
-			b.list.lowest = min(b.list.lowest, b.load(on, on.open, b.list.sums.means()))
+		server := f.server
+		if b.recheck(f, minSaving, false) {
+			b.list.lowestLoad = min(b.list.lowestLoad, b.load(server, server.openFlows, b.list.totals.means()))
 		}
 	}
 }
 
-// tick keeps the preset interval: a slice of all established flows every time, so they don't beat.
+func (b *Balancer) allowsMigration(id FlowID) bool {
+	return b.constraints == nil || b.constraints.AllowMigration(id)
+}
+
+// tick does all periodic work. Each tick rechecks another slice of the established flows, so that balancers do not
+// migrate flows in step.
 func (b *Balancer) tick() {
-	b.actions.SetTimer(tickMark, tickEvery)
-	b.reckon()
-	if b.calm() {
-		b.recheckSome()
+	b.actions.SetTimer(tickTimer, tickInterval)
+	b.updateTotals()
+	if b.areSetupsWithinObjective() {
+		b.recheckSlice()
 	}
-	if b.constraints != nil && b.calm() {
-		for _, id := range b.constraints.MigrateFirst() {
-			if f := b.flows.byID[id]; f != nil && f.state == established && b.constraints.AllowMigration(id) {
-				b.recheck(f, 0, false)
-			}
-		}
+	if b.constraints != nil && b.areSetupsWithinObjective() {
+		b.recheckFirst(b.constraints.MigrateFirst())
 	}
 	for _, f := range b.flows.connecting {
-		if b.now > f.due+evidenceAge {
-			b.release(f) // a lease that nobody confirmed lapses
+		if b.now > f.deadline+outcomeMaxAge {
+			b.release(f) // its end was lost
 		}
 	}
-	for _, r := range b.list.leaving {
-		b.evacuate(r, anyhow, smallPart, false)
+	for _, server := range b.list.departing {
+		b.migrateAway(server, atAnyCost, migrationShare, false)
 	}
-	for _, r := range b.list.ready {
-		if r.silent >= 2 {
-			b.evacuate(r, anyhow, smallPart, false)
+	for _, server := range b.list.ready {
+		if server.isSilent() {
+			b.migrateAway(server, atAnyCost, migrationShare, false)
 		}
 	}
-	b.probe()
+	b.sendHealthChecks()
 }
 
-// probe spends on reports what flows and new servers brought, and on a slow round; more than the flows held
-// or its part of a round need is never saved. It asks whom it asked longest ago, sooner where flows are.
-func (b *Balancer) probe() {
-	h, round, held := &b.health, float64(len(b.list.ready)), float64(len(b.flows.open))
-	part := round / float64(b.cold.Balancers)
-	h.credit += min(round, max(held, part)) * float64(tickEvery) / float64(reportAge)
-	h.credit = min(h.credit, round, 1+held+part)
-	most := 1 + 4*round*float64(tickEvery)/float64(recheckEvery) // by all at once: it would turn most away
-	if h.pull && h.credit >= 1 {
-		age := func(r *server) int { return int(b.now-r.askedAt) * (1 + min(r.open, 1)) }
-		longest := slices.Clone(b.list.ready)
-		slices.SortStableFunc(longest, func(x, y *server) int { return age(y) - age(x) })
-		for _, r := range longest[:int(min(most, h.credit))] {
-			h.credit, r.askedAt = h.credit-1, b.now
-			b.actions.HealthCheck(r.id)
+func (b *Balancer) recheckFirst(ids []FlowID) {
+	for _, id := range ids {
+		if f := b.flows.byID[id]; f != nil && f.state == established && b.constraints.AllowMigration(id) {
+			b.recheck(f, 0, false)
 		}
 	}
 }
 
-// told is what a warm server told of late: a cold one's nought would draw a flow of each group, at a price.
-func (b *Balancer) told(r *server) (load float64, ok bool) {
-	return r.probed, r.probedAt > 0 && b.now-r.probedAt < reportAge && b.warmth(r) == 1
-}
-
-// evacuate rechecks a part of a server's flows, rounded by chance: one signal must not move them all together
-// (the page's weak spot), and of two hundred balancers with one flow each, one more each is everything.
-func (b *Balancer) evacuate(r *server, need, part float64, shed bool) {
-	// Smallest groups first: a server pays for a group as long as it holds any of it.
-	here := slices.SortedFunc(slices.Values(r.flows), func(x, y *flow) int {
-		return cmp.Or(r.groups[x.group]-r.groups[y.group], x.place-y.place)
+// migrateAway rechecks a share of a server's flows. Their number is rounded by chance: rounded up, it would be all flows
+// of a server at which each of many balancers holds one.
+func (b *Balancer) migrateAway(server *serverState, minSaving, share float64, forced bool) {
+	// Smallest groups first: a group costs its server extra work as long as one of its flows is there.
+	here := slices.SortedFunc(slices.Values(server.established), func(one, other *flow) int {
+		return cmp.Or(server.groupTallies[one.group]-server.groupTallies[other.group], one.listIndex-other.listIndex)
 	})
-	for i, left := 0, int(float64(r.open)*min(part, 1)+b.rng.unit()); i < len(here) && left > 0; i++ {
-		if b.recheck(here[i], need, shed) {
+	left := int(float64(server.openFlows)*min(share, 1) + b.random.uniform())
+	for _, f := range here {
+		if left <= 0 {
+			return
+		}
+		if b.recheck(f, minSaving, forced) {
 			left--
 		}
 	}
--- a/decide/recorded_test.go
+++ b/decide/recorded_test.go
@@ -69,9 +69,9 @@
 			r.arrive(day)
 		}
 		if step%5 == 0 {
-			r.b.OnTimer(tickMark)
+			r.b.OnTimer(tickTimer)
 		}
-		for _, mark := range []TimerID{listMark, lineMark} {
+		for _, mark := range []TimerID{listTimer, queueTimer} {
 			if wait, asked := r.wait[mark]; asked && wait <= 50*ms {
 				delete(r.wait, mark)
 				r.b.OnTimer(mark)
--- a/decide/reports_test.go
+++ b/decide/reports_test.go
@@ -43,7 +43,7 @@
 		to, never ServerID
 	}{
 		{"an own flow is no load beside what is told", []float64{0.9, 0.1}, 2, 0, "", 2, 0},
-		{"an old report says nothing", []float64{0.9, 0.1}, 2, reportAge, "", 1, 0},
+		{"an old report says nothing", []float64{0.9, 0.1}, 2, loadReportMaxAge, "", 1, 0},
 		{"the home takes its group although others stand lower", at(0.65, 0.3), 0, 0, "g", home, 0},
 		{"a home past the guard overflows", at(0.8, 0.3), 0, 0, "g", second, home},
 		{"the home counts beside own tallies", at(0.2, 0.5), home%4 + 1, 0, "g", home, 0},
@@ -65,7 +65,7 @@
 	s := reporting(t, 0.6, 0.6)
 	s.change(2, Ready, 19*sec)
 	s.b.OnLoadReport(2, 0)
-	if _, ok := s.b.told(s.b.list.byID[2]); ok {
+	if _, ok := s.b.reportedLoad(s.b.list.byID[2]); ok {
 		t.Error("a cold server's nought is taken for its word")
 	}
 }
@@ -85,7 +85,7 @@
 		t.Run(fmt.Sprintf("a limit from a late note, the server tells %v: %s", load, want), func(t *testing.T) {
 			s := reporting(t, load)
 			s.held("o", 2, "", 1)
-			s.b.tooMany(s.b.list.byID[1])
+			s.b.reduceLimit(s.b.list.byID[1])
 			s.flow("a", "", sec)
 			if got := s.take(); !strings.HasPrefix(got, want) {
 				t.Errorf("did %q", got)
@@ -98,11 +98,11 @@
 func TestProbes(t *testing.T) {
 	run := func(seed uint64, flows int, d time.Duration) (probes []string) {
 		s := start(t, Idempotent, DeduplicatedByFleet, 0)
-		s.b.rng = seeded(seed)
+		s.b.random = seeded(seed)
 		s.b.ConfigureHealthChecks(true)
 		s.at(sec)
 		s.list(CachedUpdate, Ready, 12)
-		for at := sec; at <= sec+d; at += tickEvery {
+		for at := sec; at <= sec+d; at += tickInterval {
 			s.at(at)
 			for i := range flows {
 				id := FlowID(fmt.Sprint("f", at, "-", i))
@@ -142,7 +142,7 @@
 		s.held(fmt.Sprint(i, "-"), 1, "", ServerID(1+i%80))
 	}
 	s.take()
-	for at := sec; at <= sec+d; at += tickEvery {
+	for at := sec; at <= sec+d; at += tickInterval {
 		s.at(at)
 		s.b.tick()
 	}
@@ -169,13 +169,13 @@
 func walked(b *Balancer, n int) (probes []string) {
 	askedAt := map[ServerID]time.Duration{}
 	for _, r := range b.list.ready {
-		askedAt[r.id] = r.askedAt
+		askedAt[r.id] = r.healthCheckedAt
 	}
 	for range n {
-		var next *server
+		var next *serverState
 		longest := -1.0
 		for _, r := range b.list.ready {
-			if age := (b.now - askedAt[r.id]).Seconds() * (1 + float64(min(r.open, 1))); age > longest {
+			if age := (b.now - askedAt[r.id]).Seconds() * (1 + float64(min(r.openFlows, 1))); age > longest {
 				next, longest = r, age
 			}
 		}
@@ -192,13 +192,13 @@
 		s.b.ConfigureHealthChecks(true)
 		s.at(100 * sec)
 		for _, r := range s.b.list.ready {
-			r.askedAt = time.Duration(rapid.IntRange(0, 20).Draw(rt, "asked")) * sec
+			r.healthCheckedAt = time.Duration(rapid.IntRange(0, 20).Draw(rt, "asked")) * sec
 			s.held(fmt.Sprint("f", r.id, "-"), rapid.IntRange(0, 2).Draw(rt, "flows"), "", r.id)
 		}
-		s.b.health.credit = float64(rapid.IntRange(0, 40).Draw(rt, "credit"))
+		s.b.health.checkCredit = float64(rapid.IntRange(0, 40).Draw(rt, "credit"))
 		s.take()
 		before := walked(s.b, len(s.b.list.ready))
-		s.b.probe()
+		s.b.sendHealthChecks()
 		most = max(most, len(s.did))
 		want := strings.Join(before[:len(s.did)], ", ")
 		if got := s.take(); got != want {
--- a/decide/samples.go
+++ b/decide/samples.go
@@ -6,41 +6,47 @@
 	"time"
 )
 
-// What is measured is kept as the last few samples; figures are worked out from them when needed.
+// Bounded windows of samples, and figures computed from them when needed.
 
-// sample is the end of one set-up, or of a connection that was reset.
+// sampleWindow is how many set-ups over all servers are kept.
+const sampleWindow = 16
+
+// sample is the end of a set-up, or of a connection that was reset.
 type sample struct {
-	server *server
+	server *serverState
 	at     time.Duration
 	failed bool
 }
 
-// keep adds a sample and drops the oldest past n.
-func keep[T any](s []T, v T, n int) []T {
-	if len(s) >= n {
-		s = append(s[:0], s[len(s)-n+1:]...)
+// appendWindow adds an item to a window of at most size items, and drops the oldest.
+func appendWindow[T any](window []T, item T, size int) []T {
+	if len(window) >= size {
+		window = append(window[:0], window[len(window)-size+1:]...)
 	}
-	return append(s, v)
+	return append(window, item)
 }
 
-// median is the zero value where there is nothing to go by.
-func median[T cmp.Ordered](s []T) (m T) {
-	if len(s) == 0 {
-		return m
+// median is the zero value where there are no values.
+func median[T cmp.Ordered](values []T) (middle T) {
+	if len(values) == 0 {
+		return middle
 	}
-	s = slices.Clone(s)
-	slices.Sort(s)
-	return s[len(s)/2]
+	values = slices.Clone(values)
+	slices.Sort(values)
+	return values[len(values)/2]
 }
 
-// failedShare is the share of failures among the samples since then, and how many those are.
-func failedShare(s []sample, since time.Duration) (share float64, n int) {
-	for _, x := range s {
-		if x.at > since {
-			if n++; x.failed {
-				share++
-			}
+// failedShare is the share of failures among the samples since then, and the number of these samples.
+func failedShare(samples []sample, since time.Duration) (share float64, n int) {
+	failed := 0.0
+	for _, one := range samples {
+		if one.at <= since {
+			continue
+		}
+		n++
+		if one.failed {
+			failed++
 		}
 	}
-	return share / float64(max(n, 1)), n
+	return failed / float64(max(n, 1)), n
 }
--- /dev/null
+++ b/decide/selection.go
@@ -0,0 +1,82 @@
+package decide
+
+// The selection of candidates from a long endpoint list.
+
+// fullScanServers is the length of a list up to which decisions look at all of it.
+const fullScanServers = 128
+
+// isLong reports whether decisions look at a part of the list only.
+func (l *endpointList) isLong() bool { return len(l.ready) > fullScanServers }
+
+// addCandidate adds a ready server to the selection in hand, once.
+func (l *endpointList) addCandidate(server *serverState) {
+	if server.lastSelection != l.selection && server.readiness == Ready {
+		server.lastSelection = l.selection
+		l.candidates = append(l.candidates, server)
+	}
+}
+
+// selectPreferred adds the servers that a group may prefer at all balancers, and returns how many were selected.
+func (l *endpointList) selectPreferred(group uint64, buckets int) int {
+	for range buckets {
+		group++
+		for _, server := range l.preferredIndex.bucket(group) {
+			l.addCandidate(server)
+		}
+	}
+	return len(l.candidates)
+}
+
+// selectRandom adds servers by chance. One that is drawn twice counts once.
+func (l *endpointList) selectRandom(from []*serverState, draws int, random *pcg) {
+	for range draws {
+		if len(from) > 0 {
+			l.addCandidate(from[int(random.uniform()*float64(len(from)))])
+		}
+	}
+}
+
+// retryScope is these servers, or the ready ones of the zone or cell that a repeat is confined to.
+func (l *endpointList) retryScope(f *flow, service *ServiceType, servers []*serverState) []*serverState {
+	if !f.isConfined(service) {
+		return servers
+	}
+	if l.zones == nil {
+		l.groupByPlace()
+	}
+	if service.Deduplication == DeduplicatedByZone {
+		return l.zones[f.firstRunZone]
+	}
+	return l.cells[f.firstRunCell]
+}
+
+// groupByPlace is done when a repeat first needs it after an update.
+func (l *endpointList) groupByPlace() {
+	l.zones = map[Zone][]*serverState{}
+	l.cells = map[CellID][]*serverState{}
+	for _, server := range l.ready {
+		l.zones[server.zone] = append(l.zones[server.zone], server)
+		l.cells[server.cell] = append(l.cells[server.cell], server)
+	}
+}
+
+// buildIndexes prepares the selection from a long list. Groups prefer any server, or only local ones where these, with
+// their weight, are preferred more often than all others.
+func (l *endpointList) buildIndexes(localWeight float64) {
+	l.local = l.local[:0]
+	l.zones = nil
+	l.cells = nil
+	if !l.isLong() {
+		return
+	}
+	for _, server := range l.ready {
+		if server.zone == l.Zone {
+			l.local = append(l.local, server)
+		}
+	}
+	preferable := l.ready
+	if local := float64(len(l.local)); localWeight*local > float64(len(l.ready))-local {
+		preferable = l.local
+	}
+	l.preferredIndex.build(preferable)
+}
--- a/decide/size_test.go
+++ b/decide/size_test.go
@@ -70,7 +70,7 @@
 				s := many(nil, servers, flows)
 				s.b.ConfigureHealthChecks(probes)
 				for b.Loop() {
-					s.b.SetTime(s.b.now + tickEvery)
+					s.b.SetTime(s.b.now + tickInterval)
 					s.b.tick()
 					s.did = s.did[:0]
 				}
--- a/decide/statistics.go
+++ b/decide/statistics.go
@@ -1,145 +1,175 @@
 package decide
 
-// Figures over many servers, reckoned from what is kept of each.
-
 import (
 	"math"
 	"time"
 )
 
-// means are over the servers that cost the flow least: of a long list over all, or over the candidates
-// where others bound them, a flow more counting there for as much less as they are fewer.
-func (b *Balancer) means(f *flow, candidates []*server, least float64) (mean, fair, told float64) {
-	s, more, long := b.list.sums, 1.0, b.list.long()
-	if !long || b.constraints != nil {
-		s = b.sum(f, candidates, least)
-	} else if f.leased && f.server.state == Ready {
-		s.open--
+// Figures over many servers, computed from what is kept of each.
+
+const minSize = 1e-9 // a divisor where there are no servers
+
+// fleetTotals are sums over servers.
+type fleetTotals struct {
+	openFlows    float64 // of this balancer
+	size         float64
+	reportedLoad float64 // times size
+	reportedSize float64 // of the servers that reported their load
+}
+
+// noServers are the totals over no servers. They can be divided by.
+var noServers = fleetTotals{size: minSize, reportedSize: minSize}
+
+// means are what loads are compared with.
+func (t fleetTotals) means() comparison {
+	mean := max(t.openFlows, 0) / t.size
+	return comparison{meanOpen: mean, meanWithFlow: mean, meanLoad: t.reportedLoad / t.reportedSize}
+}
+
+func (b *Balancer) addToTotals(totals *fleetTotals, server *serverState) {
+	totals.openFlows += float64(server.openFlows)
+	totals.size += b.size(server)
+	if load, ok := b.reportedLoad(server); ok {
+		totals.reportedLoad += load * b.size(server)
+		totals.reportedSize += b.size(server)
+	}
+}
+
+// setMeans computes the means over the servers that cost the flow least. Of a long list these are all servers, or with
+// constraints the candidates, where one more flow counts for as much less as they are fewer.
+func (b *Balancer) setMeans(against *comparison, f *flow, least float64) {
+	totals := b.list.totals
+	isLong := b.list.isLong()
+	if !isLong || b.constraints != nil {
+		totals = b.totalsFor(f, against.candidates, least)
+	} else if f.leased && f.server.readiness == Ready {
+		totals.openFlows--
 	}
-	if long && b.constraints != nil {
-		more = min(1, s.size/b.list.sums.size)
+	oneFlow := 1.0
+	if isLong && b.constraints != nil {
+		oneFlow = min(1, totals.size/b.list.totals.size)
 	}
-	return s.open / s.size, (s.open + more) / s.size, s.load / s.told
+	against.meanOpen = totals.openFlows / totals.size
+	against.meanWithFlow = (totals.openFlows + oneFlow) / totals.size
+	against.meanLoad = totals.reportedLoad / totals.reportedSize
 }
 
-// sum adds up servers, but for those that cost the flow in hand more, and without that flow.
-func (b *Balancer) sum(f *flow, servers []*server, least float64) sums {
-	s := nothing
-	for _, r := range servers {
-		if extra, ok := b.bound(f, r); !ok || extra > least {
+// totalsFor are the totals over the servers that cost the flow least, without that flow.
+func (b *Balancer) totalsFor(f *flow, servers []*serverState, least float64) fleetTotals {
+	totals := noServers
+	for _, server := range servers {
+		if extra, ok := b.serverCost(f, server); !ok || extra > least {
 			continue
 		}
-		b.count(&s, r)
-		if f.leased && f.server == r {
-			s.open--
+		b.addToTotals(&totals, server)
+		if f.leased && f.server == server {
+			totals.openFlows--
 		}
 	}
-	return s
+	return totals
 }
 
-// nothing is the sum over no servers; it can be divided by.
-var nothing = sums{size: 1e-9, told: 1e-9}
-
-func (b *Balancer) count(s *sums, r *server) {
-	s.open += float64(r.open)
-	s.size += b.size(r)
-	if load, ok := b.told(r); ok {
-		s.load += load * b.size(r)
-		s.told += b.size(r)
-	}
-}
-
-// reckon works out once what the decisions until the next tick share. Other deciders are not asked: what they say
-// differs from flow to flow.
-func (b *Balancer) reckon() {
+// updateTotals computes what the decisions until the next tick share. Constraints are left out: their answers differ
+// from flow to flow.
+func (b *Balancer) updateTotals() {
 	l := &b.list
-	l.sums, l.lowest = nothing, math.Inf(1)
-	for _, r := range l.ready {
-		b.count(&l.sums, r)
+	l.totals = noServers
+	for _, server := range l.ready {
+		b.addToTotals(&l.totals, server)
 	}
-	v := l.sums.means()
-	for _, r := range l.ready {
-		if b.mayMoveTo(r, v) {
-			l.lowest = min(l.lowest, b.load(r, r.open, v))
+	l.lowestLoad = math.Inf(1)
+	against := l.totals.means()
+	for _, server := range l.ready {
+		if b.isMigrationTarget(server, against) {
+			l.lowestLoad = min(l.lowestLoad, b.load(server, server.openFlows, against))
 		}
 	}
 }
 
-// mayMoveTo tells whether some flow could be moved to the server within this tick: not while it is late, ejected, or
-// cold with no budget left.
-func (b *Balancer) mayMoveTo(r *server, v view) bool {
-	return !b.hot(r) && !(r.ejected && b.now < r.ejectedUntil) && b.coldRoom(r, v)
+// isMigrationTarget reports whether some flow could be migrated to the server before the next tick.
+func (b *Balancer) isMigrationTarget(server *serverState, against comparison) bool {
+	isEjected := server.ejected && b.now < server.ejectedUntil
+	return !b.isOverloaded(server) && !isEjected && b.hasSlowStartBudget(server, against)
 }
 
-// means is what loads are measured against.
-func (s sums) means() view {
-	mean := max(s.open, 0) / s.size
-	return view{mean: mean, fair: mean, told: s.load / s.told}
+// isCurrent reports whether a figure computed at that time still counts: for a long list each is computed at most once in
+// a tick.
+func (b *Balancer) isCurrent(at time.Duration) bool {
+	return b.list.isLong() && at > 0 && b.now-at < tickInterval
 }
 
-// fresh tells whether a figure over all servers still counts: of a long list it is worked out once a tick at the most.
-func (b *Balancer) fresh(at time.Duration) bool {
-	return b.list.long() && at > 0 && b.now-at < tickEvery
+// serverSubset is a set of servers as of a time.
+type serverSubset struct {
+	at      time.Duration
+	servers []*serverState
 }
 
-// healthy are the servers in no trouble, which have room.
-func (b *Balancer) healthy() []*server {
+// healthyServers are the servers without faults that have capacity.
+func (b *Balancer) healthyServers() []*serverState {
 	last := &b.health.healthy
-	if b.fresh(last.at) {
+	if b.isCurrent(last.at) {
 		return last.servers
 	}
-	last.at, last.servers = b.now, last.servers[:0]
-	v, anyFlow := b.list.sums.means(), &flow{}
-	for _, r := range b.list.ready {
-		if b.rank(anyFlow, r) == 0 && b.room(anyFlow, r, v) && b.coldRoom(r, v) {
-			last.servers = append(last.servers, r)
+	last.at = b.now
+	last.servers = last.servers[:0]
+	against := b.list.totals.means()
+	anyFlow := &flow{}
+	for _, server := range b.list.ready {
+		if b.rank(anyFlow, server) == 0 && b.hasCapacity(anyFlow, server, against) && b.hasSlowStartBudget(server, against) {
+			last.servers = append(last.servers, server)
 		}
 	}
 	return last.servers
 }
 
-// medianFailures is the median over servers of their share of failed connects.
+// failureMedian is the median over servers of their share of failures, as of a time.
+type failureMedian struct {
+	at     time.Duration
+	median float64
+}
+
+// medianFailures is the median over servers of their share of failures.
 func (b *Balancer) medianFailures() float64 {
-	last := &b.health.failures
-	if b.fresh(last.at) {
+	last := &b.health.medianFailures
+	if b.isCurrent(last.at) {
 		return last.median
 	}
 	var shares []float64
-	for _, r := range b.list.ready {
-		if share, n := failedShare(r.samples, b.now-evidenceAge); n > 0 {
+	for _, server := range b.list.ready {
+		if share, n := failedShare(server.samples, b.now-outcomeMaxAge); n > 0 {
 			shares = append(shares, share)
 		}
 	}
-	*last = failures{b.now, median(shares)}
+	last.at = b.now
+	last.median = median(shares)
 	return last.median
 }
 
-// survey counts what is heard of servers.
-func (b *Balancer) survey() survey {
-	last := &b.health.survey
-	if b.fresh(last.at) {
+// fleetOverview counts what is observed of all ready servers, as of a time.
+type fleetOverview struct {
+	at         time.Duration
+	overloaded float64
+	observed   float64 // overloaded, or with flows of this balancer
+	ejected    int
+}
+
+func (b *Balancer) fleetOverview() fleetOverview {
+	last := &b.health.overview
+	if b.isCurrent(last.at) {
 		return *last
 	}
-	*last = survey{at: b.now}
-	for _, r := range b.list.ready {
-		if b.hot(r) {
-			last.hot++
+	*last = fleetOverview{at: b.now}
+	for _, server := range b.list.ready {
+		isOverloaded := b.isOverloaded(server)
+		if isOverloaded {
+			last.overloaded++
 		}
-		if b.hot(r) || r.open > 0 {
-			last.heard++
+		if isOverloaded || server.openFlows > 0 {
+			last.observed++
 		}
-		if r.ejected {
+		if server.ejected {
 			last.ejected++
 		}
 	}
 	return *last
 }
-
-// distance is the page's: half the gap between the ideal count of groups per server and the average one,
-// here as a share of the average so that it weighs the same at any number of groups.
-func (b *Balancer) distance() float64 {
-	if b.tallies.held == 0 {
-		return 0
-	}
-	return (1 - float64(len(b.tallies.holders))/float64(b.tallies.held)) / 2
-}
--- a/decide/tallies.go
+++ b/decide/tallies.go
@@ -1,54 +1,95 @@
 package decide
 
-// Leased tallies: the connections that this balancer booked, by server and group.
+import "slices"
 
-// book takes the lease on a tally; release gives it back once, whether refused, failed, moved or closed.
-func (b *Balancer) book(f *flow) {
-	f.leased, f.life = true, f.server.life
-	b.add(f.server, f.group, 1)
-	if f.trial {
-		f.server.trying++
+// tallies are the leased tallies over all servers: flows that this balancer placed, by group.
+type tallies struct {
+	holders map[GroupKey][]*serverState // servers on which the tally of the group is above 0
+	pairs   int                         // of group and holder
+}
+
+// fewHolders is how many holders of a group are searched faster than the tallies of a server.
+const fewHolders = 4
+
+// lease counts the flow at its server. Its counterpart is release.
+func (b *Balancer) lease(f *flow) {
+	f.leased = true
+	f.incarnation = f.server.incarnation
+	b.addToTally(f.server, f.group, 1)
+	if f.onProbation {
+		f.server.probationFlows++
 	}
 }
 
+// release ends a lease once, whether its flow was rejected, failed, migrated or closed.
 func (b *Balancer) release(f *flow) {
-	// A server that restarted since had its tallies cleared then: a ghost must not be taken off twice.
-	if f.leased && f.life == f.server.life {
-		b.add(f.server, f.group, -1)
-		if f.trial {
-			f.server.trying--
+	// The tallies of a server that restarted since were cleared then.
+	if f.leased && f.incarnation == f.server.incarnation {
+		b.addToTally(f.server, f.group, -1)
+		if f.onProbation {
+			f.server.probationFlows--
 		}
 	}
 	f.leased = false
 }
 
-func (b *Balancer) add(r *server, g GroupKey, n int) {
-	r.open += n
-	if r.state == Ready {
-		b.list.sums.open += float64(n)
+func (b *Balancer) addToTally(server *serverState, group GroupKey, n int) {
+	server.openFlows += n
+	if server.readiness == Ready {
+		b.list.totals.openFlows += float64(n)
 	}
-	if g == "" {
+	if group == "" {
 		return
 	}
-	if r.groups == nil {
-		r.groups = map[GroupKey]int{}
+	if server.groupTallies == nil {
+		server.groupTallies = map[GroupKey]int{}
 	}
-	before := r.groups[g]
-	if r.groups[g] += n; r.groups[g] == 0 {
-		delete(r.groups, g)
+	before := server.groupTallies[group]
+	after := before + n
+	server.groupTallies[group] = after
+	if after == 0 {
+		delete(server.groupTallies, group)
 	}
-	switch after := before + n; {
+	switch {
 	case before == 0 && after != 0:
-		b.tallies.begin(g, r)
+		b.tallies.addHolder(group, server)
 	case before != 0 && after == 0:
-		b.tallies.end(g, r)
+		b.tallies.removeHolder(group, server)
+	}
+}
+
+// clearTallies forgets the flows of a server that restarted in place.
+func (b *Balancer) clearTallies(server *serverState) {
+	for group, n := range server.groupTallies {
+		b.addToTally(server, group, -n)
+	}
+	server.incarnation++
+}
+
+// addHolder records that the server holds the group.
+func (t *tallies) addHolder(group GroupKey, server *serverState) {
+	t.pairs++
+	t.holders[group] = append(t.holders[group], server)
+}
+
+// removeHolder records that the server no longer holds the group.
+func (t *tallies) removeHolder(group GroupKey, server *serverState) {
+	t.pairs--
+	holders := t.holders[group]
+	if len(holders) == 1 {
+		delete(t.holders, group)
+		return
 	}
+	i := slices.Index(holders, server)
+	holders[i] = holders[len(holders)-1]
+	t.holders[group] = holders[:len(holders)-1]
 }
 
-// forget clears a server's tallies when it restarted in place.
-func (b *Balancer) forget(r *server) {
-	for g, n := range r.groups {
-		b.add(r, g, -n)
+// groupSpread is half the gap between the ideal count of servers per group, which is 1, and the average one, as a share
+// of the average, so that it weighs the same at any number of groups.
+func (b *Balancer) groupSpread() float64 {
+	if b.tallies.pairs == 0 {
+		return 0
 	}
-	r.life++
+	return (1 - float64(len(b.tallies.holders))/float64(b.tallies.pairs)) / 2
 }
--- a/decide/warmup.go
+++ b/decide/warmup.go
@@ -1,57 +1,101 @@
 package decide
 
-// Slow start: what a server that started lately may be sent.
-
 import (
 	"cmp"
 	"time"
 )
 
-// warmth is the part of its full capacity that a server can do by now, at the least.
-func (b *Balancer) warmth(r *server) float64 { return b.warmthAt(r, b.now) }
+// Slow start: how many attempts a server that started recently may get.
+
+const (
+	budgetWindows     = 1.0 // of a warming server's budget that may be saved
+	smallBudgetFactor = 3   // times budgetWindows, of which up to one attempt may be saved
+)
+
+// slowStart is the rule on warming servers and what their budgets are computed from.
+type slowStart struct {
+	SlowStart
+	quotas     []float64 // of customers, in connections over all balancers
+	handedOver bool      // another process spends the budgets
+}
+
+// capacityShare is the share of its full capacity that a server has reached by now.
+func (b *Balancer) capacityShare(server *serverState) float64 {
+	return b.capacityShareAt(server, b.now)
+}
 
-func (b *Balancer) warmthAt(r *server, at time.Duration) float64 {
-	if age := at - r.since; r.since != LongAgo && age < b.cold.WarmUp {
-		return b.cold.InitialCapacity + (1-b.cold.InitialCapacity)*max(0, age.Seconds())/b.cold.WarmUp.Seconds()
+func (b *Balancer) capacityShareAt(server *serverState, at time.Duration) float64 {
+	rule := &b.slowStart
+	if age := at - server.startedAt; server.startedAt != LongAgo && age < rule.WarmUp {
+		return rule.InitialCapacity + (1-rule.InitialCapacity)*max(0, age.Seconds())/rule.WarmUp.Seconds()
 	}
 	return 1
 }
 
-// coldStart: a part of one by chance is due from the first. What came before this balancer heard of the start
-// is not: all hear of it at once, and one that starts anew would spend it a second time.
-func (b *Balancer) coldStart(r *server, since time.Duration) {
-	r.since, r.coldAt, r.coldSent, r.coldDue = since, b.now, 0, b.rng.unit()
+// beginSlowStart starts a server's budget now, with a random part of one attempt. What was due before this balancer
+// learned of the start is excluded: all balancers learn of it at once, and one that restarts would spend it again.
+func (b *Balancer) beginSlowStart(server *serverState, startedAt time.Duration) {
+	server.startedAt = startedAt
+	server.budgetAt = b.now
+	server.budgetSpent = 0
+	server.budgetDue = b.random.uniform()
 }
 
-// coldDue is what a warming server may have got by now, and what of that was spent or has lapsed. It grows by
-// the rule's multiple of what would fill the server over the warm-up. The mean stands for a capacity nobody
-// tells, half of it where shares tell one: flows weigh unevenly. Unspent, it lapses soon, or a mass
-// return would spend it at once. A part of one flow is rounded by chance: one each would be too much.
-func (b *Balancer) coldDue(r *server, v view) (due float64, sent int) {
-	c, w, was := &b.cold, b.warmth(r), b.warmthAt(r, r.coldAt)
-	full := c.OverloadMultiple * max(v.fair/2, cmp.Or(b.meant(), v.fair)) * b.size(r) / w
-	due = r.coldDue + full*(w*w-was*was)/(2-2*c.InitialCapacity)
-	part := full * w * c.Window.Seconds() / c.WarmUp.Seconds() // of one of the rule's windows
-	return due, max(r.coldSent, int(due-max(savedWindows*part, min(3*savedWindows*part, 1))))
+// slowStartBudget is how many attempts a warming server was due by now, and how many of them were spent or have
+// expired. The budget grows by OverloadMultiple times what would fill the server during its warm-up. The mean stands
+// for its full capacity, or half of it where quotas give a capacity, as flows weigh unevenly. What is not spent expires
+// soon, or a mass reconnect would spend it at once.
+func (b *Balancer) slowStartBudget(server *serverState, against comparison) (due float64, spent int) {
+	rule := &b.slowStart
+	now := b.capacityShare(server)
+	before := b.capacityShareAt(server, server.budgetAt)
+	capacity := max(against.meanWithFlow/2, cmp.Or(b.quotaPerSize(), against.meanWithFlow))
+	full := rule.OverloadMultiple * capacity * b.size(server) / now
+	due = server.budgetDue + full*(now*now-before*before)/(2-2*rule.InitialCapacity)
+	window := full * now * rule.Window.Seconds() / rule.WarmUp.Seconds()
+	savable := max(budgetWindows*window, min(smallBudgetFactor*budgetWindows*window, 1))
+	return due, max(server.budgetSpent, int(due-savable))
 }
 
-// meant is this balancer's part of the connections that a unit of size is meant to bear, by the shares that
-// customers were given of what the fleet can do: of a fleet half full, the mean would stand for half of that.
-func (b *Balancer) meant() float64 {
+// quotaPerSize is this balancer's part of the connections that a unit of size is meant to bear, by the customers'
+// quotas. The mean would be too low where the fleet is not fully used.
+func (b *Balancer) quotaPerSize() float64 {
 	sum := 0.0
-	for _, q := range b.cold.quota {
-		sum += q
+	for _, quota := range b.slowStart.quotas {
+		sum += quota
 	}
-	return sum / float64(b.cold.Balancers) / max(b.list.usual, 1e-9)
+	return sum / float64(b.slowStart.Balancers) / max(b.list.usualSize, minSize)
 }
 
-func (b *Balancer) coldRoom(r *server, v view) bool {
-	if b.warmth(r) == 1 {
+func (b *Balancer) hasSlowStartBudget(server *serverState, against comparison) bool {
+	if b.capacityShare(server) == 1 {
 		return true
 	}
-	if b.cold.handedOver {
+	if b.slowStart.handedOver {
 		return false
 	}
-	due, sent := b.coldDue(r, v)
-	return float64(sent+1) <= due
+	due, spent := b.slowStartBudget(server, against)
+	return float64(spent+1) <= due
+}
+
+// refundBudget gives back what a flow took of a slow-start budget if nothing of it reached the server.
+func (b *Balancer) refundBudget(f *flow) {
+	server := f.server
+	if f.inSlowStart && f.incarnation == server.incarnation {
+		server.budgetSpent = max(0, server.budgetSpent-1)
+	}
+}
+
+// SetHandedOver says that another instance continues from a snapshot of this one and spends the slow-start budgets of
+// both, or that it has ended. What it spent is then unknown: all that was due counts as spent.
+func (b *Balancer) SetHandedOver(handedOver bool) {
+	b.slowStart.handedOver = handedOver
+	if handedOver {
+		return
+	}
+	for _, server := range b.list.all {
+		server.budgetAt = b.now
+		server.budgetDue = 0
+		server.budgetSpent = 0
+	}
 }
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -281,8 +281,8 @@
 		{"descriptors below nought", func(s *State) { s.Connections = -1 }, false},
 		{"a server without a name", func(s *State) { s.Router.Servers[0].Name = "" }, false},
 		{"servers that don't match", func(s *State) { s.Router.Servers = nil }, false},
-		{"a word the list has not", func(s *State) { s.Router.Decisions.Servers[0].Listed = 7 }, false},
-		{"more sent than none", func(s *State) { s.Router.Decisions.Servers[0].ColdSent = -1 }, false},
+		{"a word the list has not", func(s *State) { s.Router.Decisions.Servers[0].Readiness = 7 }, false},
+		{"more sent than none", func(s *State) { s.Router.Decisions.Servers[0].BudgetSpent = -1 }, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := whole()
--- a/internal/protocol/errno_test.go
+++ b/internal/protocol/errno_test.go
@@ -61,7 +61,7 @@
 				}
 				all.Wait()
 				for _, server := range y.router.Snapshot().Decisions.Servers {
-					if server.Ejected || server.Silent > 0 {
+					if server.Ejected || server.UnreachableInRow > 0 {
 						t.Errorf("held against a server: %+v", server)
 					}
 				}
--- a/internal/protocol/starts_test.go
+++ b/internal/protocol/starts_test.go
@@ -83,7 +83,7 @@
 	memory := r.Snapshot()
 	for i, server := range memory.Servers {
 		if server.Name == name {
-			return memory.Decisions.Servers[i].Since
+			return memory.Decisions.Servers[i].StartedAt
 		}
 	}
 	t.Fatalf("%s is not known", name)
--- a/internal/routing/memory.go
+++ b/internal/routing/memory.go
@@ -65,7 +65,7 @@
 		k := &m.Decisions.Servers[i]
 		k.ID = id
 		x := r.servers[id]
-		x.addr, x.listed, x.byHand = s.Addr, k.Listed == decide.Ready, k.Disabled
+		x.addr, x.listed, x.byHand = s.Addr, k.Readiness == decide.Ready, k.Disabled
 		if s.StartReported != 0 {
 			x.startTold, x.started = time.UnixMilli(s.StartReported), s.Started
 		}
