--- a/decide/admission_test.go
+++ b/decide/admission_test.go
@@ -8,49 +8,49 @@
 	"time"
 )
 
-// failing is one of 300 balancers that gets a flow every 100 ms and none of whose set-ups comes up before `well`; it
+// runFailing is one of 300 balancers that gets a flow every 100 ms and none of whose set-ups comes up before `well`; it
 // tells when connects went out, and when the first flow stood.
-func failing(t *testing.T, seed uint64, well, end time.Duration) (connects []time.Duration, stood time.Duration) {
+func runFailing(t *testing.T, seed uint64, well, end time.Duration) (connects []time.Duration, stood time.Duration) {
 	const every, limit = 100 * ms, 90 * ms
-	s := start(t, Idempotent, DeduplicatedByFleet, 60)
-	s.b.random = seeded(seed)
-	s.b.ConfigureSlowStart(SlowStart{InitialCapacity: 0.2, OverloadMultiple: 3, WarmUp: 20 * sec, Window: 1500 * ms, Balancers: 300})
+	s := newHarness(t, Idempotent, DeduplicatedByFleet, 60)
+	s.balancer.random = seeded(seed)
+	s.balancer.ConfigureSlowStart(slowStartRule(300))
 	out := map[FlowID]time.Duration{}
 	for now := time.Duration(0); now < end; now += 10 * ms {
-		s.at(now)
+		s.setTime(now)
 		for id, sent := range out {
 			if now >= sent+limit || now >= well {
 				delete(out, id)
 				if now >= well {
-					s.b.OnEstablished(id, now-sent)
+					s.balancer.OnEstablished(id, now-sent)
 					stood = max(stood, now)
 					return connects, stood
 				}
-				s.b.OnEnded(id, TimedOut, now-sent, false)
+				s.balancer.OnEnded(id, TimedOut, now-sent, false)
 			}
 		}
 		if now%every == 0 {
-			s.b.OnFlow(FlowRequest{ID: FlowID(fmt.Sprint(now)), Customer: NoCustomer, Timeout: limit})
+			s.balancer.OnFlow(FlowRequest{ID: FlowID(fmt.Sprint(now)), Customer: NoCustomer, Timeout: limit})
 		}
-		s.b.OnTimer(queueTimer)
-		for id := range s.last {
-			if f := s.b.flows.byID[id]; f != nil && f.state == connecting && out[id] == 0 {
+		s.balancer.OnTimer(queueTimer)
+		for id := range s.targets {
+			if f := s.balancer.flows.byID[id]; f != nil && f.state == connecting && out[id] == 0 {
 				out[id] = now
 				connects = append(connects, now)
 			}
 		}
-		clear(s.last)
+		clear(s.targets)
 	}
 	return connects, stood
 }
 
 // While all set-ups fail, what all share is spared: a balancer sends one at a time and seldom. It stays a trial every
 // few seconds, so that nobody turns everything away for 4 s on end, and who was shut soon learns that it is over.
-func TestATrialGoesOutWhileAllSetUpsFail(t *testing.T) {
+func TestForcedAttemptWhileAllSetupsFail(t *testing.T) {
 	const trouble = 30 * sec
 	sum := 0
 	for seed := range uint64(40) {
-		connects, stood := failing(t, seed, trouble, trouble+5*sec)
+		connects, stood := runFailing(t, seed, trouble, trouble+5*sec)
 		for i, at := range connects[1:] {
 			if gap := at - connects[i]; gap > 3700*ms {
 				t.Errorf("seed %d: none went out for %v after %v", seed, gap, connects[i])
@@ -71,50 +71,50 @@
 // Whatever shuts a balancer, it does not turn away all that it gets for 4 s on end with no attempt in between: servers that are refused, or say
 // that they are full, limits set by them, or clients beyond their customer's share. Where a rule forbids it nothing is sent: to cold servers whose
 // budget is spent.
-func TestATrialGoesOutWhateverShuts(t *testing.T) {
+func TestForcedAttemptWhateverRejects(t *testing.T) {
 	const trouble, most = 40 * sec, 3900 * ms
 	for _, c := range []struct {
 		name   string
 		end    Outcome
-		before func(s *script)
+		before func(s *harness)
 	}{
-		{"nobody is there", Unreachable, func(*script) {}},
-		{"all are full", Full, func(*script) {}},
-		{"all reset", Reset, func(*script) {}},
-		{"a limit on all flows", Full, func(s *script) {
-			s.held("o", 3, "g", 1)
-			s.b.health.flowLimit.reduce(0, 1)
+		{"nobody is there", Unreachable, func(*harness) {}},
+		{"all are full", Full, func(*harness) {}},
+		{"all reset", Reset, func(*harness) {}},
+		{"a limit on all flows", Full, func(s *harness) {
+			s.adopt("o", 3, "g", 1)
+			s.balancer.health.flowLimit.reduce(0, 1)
 		}},
-		{"beyond their customer's share", Reset, func(s *script) {
-			s.b.AddCustomer(2)
+		{"beyond their customer's share", Reset, func(s *harness) {
+			s.balancer.AddCustomer(2)
 			for i := range 6 {
-				s.b.AdoptFlow(FlowRequest{ID: FlowID(fmt.Sprint("o", i))}, ServerID(1+i%3))
+				s.balancer.AdoptFlow(FlowRequest{ID: FlowID(fmt.Sprint("o", i))}, ServerID(1+i%3))
 			}
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := start(t, Idempotent, DeduplicatedByFleet, 3)
+			s := newHarness(t, Idempotent, DeduplicatedByFleet, 3)
 			c.before(s)
 			last, tries := time.Duration(0), 0
 			for at := time.Duration(0); at < trouble; at += 100 * ms {
-				s.at(at)
-				s.b.OnTimer(queueTimer)
+				s.setTime(at)
+				s.balancer.OnTimer(queueTimer)
 				if at%tickInterval == 0 {
-					s.b.OnTimer(tickTimer)
+					s.balancer.OnTimer(tickTimer)
 				}
 				for i := range 3 { // where flows stand all servers are late
-					s.b.OnLatencySample(FlowID(fmt.Sprint("o", i)), 90*ms)
+					s.balancer.OnLatencySample(FlowID(fmt.Sprint("o", i)), 90*ms)
 				}
-				s.b.OnFlow(FlowRequest{ID: FlowID(fmt.Sprint("f", at)), Timeout: sec})
-				for len(s.last) > 0 {
-					for _, id := range slices.Sorted(maps.Keys(s.last)) {
+				s.balancer.OnFlow(FlowRequest{ID: FlowID(fmt.Sprint("f", at)), Timeout: sec})
+				for len(s.targets) > 0 {
+					for _, id := range slices.Sorted(maps.Keys(s.targets)) {
 						if at-last > most {
 							t.Errorf("none went out for %v after %v", at-last, last)
 						}
 						last = at
 						tries++
-						delete(s.last, id)
-						s.b.OnEnded(id, c.end, ms, false)
+						delete(s.targets, id)
+						s.balancer.OnEnded(id, c.end, ms, false)
 					}
 				}
 			}
@@ -125,3 +125,69 @@
 		})
 	}
 }
+
+// A failure that all set-ups share is not made worse by retries.
+func TestSharedFailureIsNotRetried(t *testing.T) {
+	s := newHarness(t, Idempotent, DeduplicatedByFleet, 6)
+	connects := 0
+	for i := range 400 {
+		s.setTime(time.Duration(i) * 10 * ms)
+		id := FlowID(fmt.Sprint(i))
+		s.request(id, "", sec)
+		for range 4 {
+			s.balancer.OnEnded(id, Error, 5*ms, false)
+		}
+		s.balancer.OnTimer(queueTimer)
+		connects += s.countActions("connect")
+	}
+	if connects > 400 {
+		t.Errorf("%d connects for 400 flows", connects)
+	}
+}
+
+// While all attempts fail, a flow whose attempt failed is answered and not attempted everywhere.
+func TestFailedFlowIsAnsweredWhileAllFail(t *testing.T) {
+	s := newHarness(t, Idempotent, DeduplicatedByFleet, 6)
+	for i := range 3 {
+		s.request(FlowID(fmt.Sprint(i)), "", sec)
+	}
+	s.balancer.OnEnded("0", Error, ms, false)
+	s.balancer.OnEnded("1", Error, ms, false)
+	s.takeActions()
+	s.balancer.OnEnded("2", Error, ms, false)
+	s.expect("reject 2")
+}
+
+// A mass reconnect goes out in parts.
+func TestMassReconnectIsSpread(t *testing.T) {
+	for _, c := range []struct{ peers, most int }{{1, 48}, {200, 1}} {
+		t.Run(fmt.Sprint("a mass return goes out in parts, balancers: ", c.peers), func(t *testing.T) {
+			s := newHarness(t, Idempotent, DeduplicatedByFleet, 6)
+			s.balancer.ConfigureSlowStart(slowStartRule(c.peers))
+			for i := range 60 {
+				s.request(FlowID(fmt.Sprint(i)), "", 2*sec)
+			}
+			if n := s.countActions("connect"); n != c.most {
+				t.Errorf("%d connects at once, want %d", n, c.most)
+			}
+			s.setTime(400 * ms)
+			for id := range s.targets { // one or all stand, later than wanted
+				s.balancer.OnEstablished(id, 400*ms)
+			}
+			if gap := s.balancer.admission.reopensAt - 400*ms; c.peers > 1 && gap < 500*ms {
+				t.Errorf("the next after %v", gap)
+			}
+		})
+	}
+}
+
+// A flow in the admission queue is answered by its set-up target.
+func TestQueueDeadline(t *testing.T) {
+	s := newHarness(t, Idempotent, DeduplicatedByFleet, 4)
+	s.balancer.admission.reopensAt = 10 * sec
+	s.request("a", "", 2*sec)
+	s.expect("")
+	s.setTime(300 * ms)
+	s.balancer.OnTimer(queueTimer)
+	s.expect("reject a")
+}
--- /dev/null
+++ b/decide/attempts_test.go
@@ -0,0 +1,165 @@
+package decide
+
+import (
+	"strings"
+	"testing"
+	"time"
+)
+
+// One final answer for each flow, and no effect twice, after every end of the first connect.
+func TestAfterFailedAttempt(t *testing.T) {
+	again, reject, abort := "connect", "reject", "abort"
+	for _, c := range []struct {
+		name   string
+		effect Effect
+		reach  DeduplicationScope
+		end    Outcome
+		at     time.Duration
+		want   string
+	}{
+		{"repeatable, error", Idempotent, DeduplicatedByFleet, Error, 10 * ms, again},
+		{"repeatable, timed out at its own limit", Idempotent, DeduplicatedByFleet, TimedOut, 300 * ms, again},
+		{"repeatable, at the connect timeout with over unset", Idempotent, DeduplicatedByFleet, TimedOut, 900 * ms, reject},
+		{"once-only, proved not run", NotIdempotent, DeduplicatedByFleet, Full, 10 * ms, again},
+		{"once-only, unreachable", NotIdempotent, DeduplicatedByFleet, Unreachable, 10 * ms, again},
+		{"once-only, never sent", NotIdempotent, DeduplicatedByFleet, NeverSent, 10 * ms, again},
+		{"once-only, may have run", NotIdempotent, DeduplicatedByFleet, Error, 10 * ms, abort},
+		{"once-only, reset", NotIdempotent, DeduplicatedByFleet, Reset, 10 * ms, abort},
+		{"once-only, cancelled", NotIdempotent, DeduplicatedByFleet, Cancelled, 10 * ms, abort},
+		{"once-only, at the connect timeout", NotIdempotent, DeduplicatedByFleet, TimedOut, 900 * ms, abort},
+		{"once-only, not run, at the connect timeout", NotIdempotent, DeduplicatedByFleet, Unreachable, 900 * ms, reject},
+		{"referenced, may have run", IdempotentByKey, DeduplicatedByFleet, Reset, 10 * ms, again},
+		{"referenced in a zone, at the connect timeout", IdempotentByKey, DeduplicatedByZone, TimedOut, 900 * ms, abort},
+		{"referenced by all, at the connect timeout", IdempotentByKey, DeduplicatedByFleet, TimedOut, 900 * ms, reject},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			s := newHarness(t, c.effect, c.reach, 6)
+			s.request("a", "", 900*ms)
+			s.takeActions()
+			s.setTime(c.at)
+			s.balancer.OnEnded("a", c.end, c.at, false)
+			if got := s.takeActions(); !strings.HasPrefix(got, c.want) || strings.Contains(got, ",") {
+				t.Errorf("did %q, want one %s", got, c.want)
+			}
+		})
+	}
+}
+
+func TestRepeatTargets(t *testing.T) {
+	for _, c := range []struct {
+		name  string
+		reach DeduplicationScope
+	}{{"zone", DeduplicatedByZone}, {"cell", DeduplicatedByCell}} {
+		t.Run(c.name, func(t *testing.T) {
+			s := newHarness(t, IdempotentByKey, c.reach, 8)
+			first := s.request("a", "", 1900*ms)
+			for i := 1; i < 3; i++ {
+				s.setTime(time.Duration(i) * 10 * ms)
+				s.balancer.OnEnded("a", Error, 10*ms, false)
+				if got := s.targets["a"]; (got-1)/2 != (first-1)/2 {
+					t.Fatalf("connect to %d after one at %d may have run", got, first)
+				}
+			}
+			s.takeActions()
+			s.balancer.OnEnded("a", Error, 10*ms, false)
+			s.expect("abort a")
+		})
+	}
+	t.Run("not past the window", func(t *testing.T) {
+		s := newHarness(t, IdempotentByKey, DeduplicatedByFleet, 4)
+		s.request("a", "", 5*sec)
+		s.takeActions()
+		s.setTime(2 * sec)
+		s.balancer.OnEnded("a", TimedOut, 2*sec, false)
+		s.expect("reject a")
+	})
+}
+
+func TestFinalAnswers(t *testing.T) {
+	for _, c := range []struct {
+		name string
+		do   func(s *harness)
+		want string
+	}{
+		{"no server at all", func(s *harness) { s.updateList(FullUpdate, Gone, 4); s.request("a", "", sec) }, "reject a"},
+		{"connects used up", func(s *harness) {
+			s.balancer.flows.maxAttempts = 2
+			s.request("a", "", sec)
+			for range 2 {
+				s.takeActions()
+				s.balancer.OnEnded("a", Error, ms, false)
+			}
+		}, "reject a"},
+		{"the client left: nothing more, and the late end is passed over", func(s *harness) {
+			s.request("a", "", sec)
+			s.takeActions()
+			s.balancer.OnClientLeft("a")
+			s.balancer.OnEnded("a", Error, ms, true)
+			s.balancer.OnEnded("a", Error, ms, true)
+		}, ""},
+		{"left in the same batch as our answer", func(s *harness) {
+			s.updateList(FullUpdate, Gone, 4)
+			s.request("a", "", sec)
+			s.takeActions()
+			s.balancer.OnClientLeft("a")
+		}, ""},
+		{"over by the outcome", func(s *harness) {
+			s.request("a", "", sec)
+			s.takeActions()
+			s.balancer.OnEnded("a", Reset, ms, true)
+		}, ""},
+		{"ids never held", func(s *harness) {
+			s.balancer.OnEnded("x", OK, ms, true)
+			s.balancer.OnEstablished("x", ms)
+			s.balancer.OnLatencySample("x", sec)
+			s.balancer.OnFlowLoad("x")
+			s.balancer.OnClientLeft("x")
+			s.balancer.OnHealthCheck(99, OK)
+		}, ""},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			s := newHarness(t, Idempotent, DeduplicatedByFleet, 4)
+			c.do(s)
+			s.expect(c.want)
+		})
+	}
+}
+
+// A repeat of a referenced flow that is decided within its window and whose connection comes up late must not be sent on past it: its time
+// ends with the window, however much of the client's is left.
+func TestRepeatEndsWithItsWindow(t *testing.T) {
+	s := newHarness(t, IdempotentByKey, DeduplicatedByFleet, 4) // a window of 2 s
+	s.setTime(sec)
+	s.balancer.OnFlow(FlowRequest{ID: "a", Customer: NoCustomer, Timeout: 60 * sec})
+	s.setTime(2500 * ms)
+	var limit time.Duration
+	s.balancer.actions = timeoutRecorder{s, &limit}
+	s.balancer.OnEnded("a", Reset, 1500*ms, false)
+	if limit <= 0 || limit > 500*ms {
+		t.Errorf("the repeat has %v, 500 ms of the window are left", limit)
+	}
+}
+
+type timeoutRecorder struct {
+	Actions
+	timeout *time.Duration
+}
+
+func (l timeoutRecorder) Connect(f FlowID, server ServerID, d time.Duration) {
+	*l.timeout = d
+	l.Actions.Connect(f, server, d)
+}
+
+// A server that accepts flows and never answers leaves time for another.
+func TestSilentAttemptLeavesTimeForAnother(t *testing.T) {
+	s := newHarness(t, Idempotent, DeduplicatedByFleet, 2)
+	first := s.request("a", "", 2*sec)
+	if limit := s.balancer.attemptTimeout(s.balancer.flows.byID["a"]); limit > sec {
+		t.Fatalf("the connect may take %v of 2s", limit)
+	}
+	s.setTime(sec)
+	s.balancer.OnEnded("a", TimedOut, sec, false)
+	if s.targets["a"] == first {
+		t.Errorf("sent to %d again", first)
+	}
+}
--- /dev/null
+++ b/decide/health_test.go
@@ -0,0 +1,91 @@
+package decide
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+// A server that closes its connections looks the least loaded, and gets no new flows.
+func TestServerThatClosesConnections(t *testing.T) {
+	s := newHarness(t, Idempotent, DeduplicatedByFleet, 4)
+	s.adopt("a", 9, "", 1)
+	for server := ServerID(2); server <= 4; server++ {
+		s.adopt(fmt.Sprint("r", server), 9, "", server)
+	}
+	for i := range 9 {
+		s.balancer.OnEnded(FlowID(fmt.Sprint("a", i)), Full, sec, true)
+	}
+	for i := range 9 {
+		s.request(FlowID(fmt.Sprint(i)), "", sec)
+	}
+	if s.attemptsTo[1] > 0 {
+		t.Errorf("%d were sent there", s.attemptsTo[1])
+	}
+	s.setTime(firstEjectionTime) // many ends are one sign: it is tried again soon, as it may have been wrong
+	if got := s.request("later", "", sec); got != 1 {
+		t.Errorf("then goes to %d", got)
+	}
+}
+
+// A server that fails fast does not attract the flows.
+func TestFastFailingServerAttractsFewFlows(t *testing.T) {
+	s := newHarness(t, Idempotent, DeduplicatedByFleet, 4)
+	for i := range 100 {
+		s.setTime(time.Duration(i) * 50 * ms)
+		id := FlowID(fmt.Sprint(i))
+		s.request(id, "", sec)
+		for s.targets[id] == 1 {
+			s.balancer.OnEnded(id, Error, ms, false)
+		}
+		s.balancer.OnEstablished(id, 10*ms)
+	}
+	if s.attemptsTo[1] > 15 {
+		t.Errorf("%d of 100 flows went to the failing server", s.attemptsTo[1])
+	}
+}
+
+// The flows of a silent server are migrated, a part at a time.
+func TestFlowsLeaveSilentServer(t *testing.T) {
+	s := newHarness(t, Idempotent, DeduplicatedByFleet, 4)
+	s.adopt("o", 16, "", 1)
+	s.balancer.list.byID[1].unreachableInRow = 2
+	s.balancer.OnTimer(tickTimer)
+	if n := s.countActions("move"); n != 3 {
+		t.Errorf("%d moves in one tick, want 3 of 16", n)
+	}
+}
+
+// A silent server gets few attempts while the others are full, and warms up when it returns.
+func TestSilentServerReturnsInSlowStart(t *testing.T) {
+	s := newHarness(t, Idempotent, DeduplicatedByFleet, 2)
+	s.adopt("o", 8, "", 2)
+	s.balancer.reduceLimit(s.balancer.list.byID[2])
+	for i := range 100 {
+		s.setTime(time.Duration(i) * 20 * ms)
+		id := FlowID(fmt.Sprint(i))
+		s.request(id, "", sec)
+		s.balancer.OnEnded(id, Unreachable, 10*ms, false)
+	}
+	if s.attemptsTo[1] > 5 {
+		t.Errorf("%d connects to a server where nobody is", s.attemptsTo[1])
+	}
+	s.setTime(20 * sec)
+	s.request("back", "", sec)
+	s.balancer.OnEstablished("back", ms)
+	if server := s.balancer.list.byID[1]; s.balancer.capacityShare(server) > 0.3 {
+		t.Errorf("taken for %v warm when it answers again", s.balancer.capacityShare(server))
+	}
+}
+
+// A report of a flow's load shows that its server is alive.
+func TestFlowLoadShowsLife(t *testing.T) {
+	s := newHarness(t, Idempotent, DeduplicatedByFleet, 4)
+	for i := range 4 {
+		s.adopt(fmt.Sprint("o", i), 4, "", ServerID(i+1))
+	}
+	s.balancer.list.byID[1].unreachableInRow = 2
+	s.balancer.OnFlowLoad("o03")
+	s.balancer.OnTimer(tickTimer)
+	s.expect("")
+}
--- /dev/null
+++ b/decide/list_test.go
@@ -0,0 +1,92 @@
+package decide
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+func TestEndpointUpdates(t *testing.T) {
+	for _, c := range []struct {
+		name string
+		do   func(s *harness)
+	}{
+		{"draining", func(s *harness) { s.updateServer(1, Draining, LongAgo) }},
+		{"gone", func(s *harness) { s.updateServer(1, Gone, LongAgo) }},
+		{"missing from a full list", func(s *harness) {
+			s.balancer.BeginEndpoints(FullUpdate)
+			s.listServer(2, Ready, LongAgo)
+			s.balancer.EndEndpoints()
+		}},
+		{"still gone when the list fails", func(s *harness) {
+			s.updateServer(1, Gone, LongAgo)
+			s.balancer.BeginEndpoints(FailedUpdate)
+		}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			s := newHarness(t, Idempotent, DeduplicatedByFleet, 2)
+			c.do(s)
+			for i := range 20 {
+				s.request(FlowID(fmt.Sprint(i)), "g", sec)
+			}
+			if s.attemptsTo[1] > 0 {
+				t.Errorf("%d connects to a server told to be out of service", s.attemptsTo[1])
+			}
+		})
+	}
+	t.Run("asked again after a failure", func(t *testing.T) {
+		s := newHarness(t, Idempotent, DeduplicatedByFleet, 2)
+		s.balancer.ConfigureEndpoints(EndpointSettings{Zone: "z0", Polled: true, MaxPollInterval: 10 * sec, MessageTarget: 100 * ms})
+		s.expect("watch true")
+		s.balancer.BeginEndpoints(FailedUpdate)
+		s.balancer.OnTimer(listTimer)
+		s.expect("watch true")
+	})
+	t.Run("a restart in place leaves no ghost tally", func(t *testing.T) {
+		s := newHarness(t, Idempotent, DeduplicatedByFleet, 2)
+		s.adopt("o", 5, "g", 1)
+		s.setTime(sec)
+		s.updateServer(1, Ready, sec)
+		server := s.balancer.list.byID[1]
+		for i := range 5 {
+			s.balancer.OnEnded(FlowID(fmt.Sprint("o", i)), Reset, sec, true)
+		}
+		if server.openFlows != 0 || len(server.groupTallies) != 0 || s.balancer.tallies.pairs != 0 {
+			t.Errorf("open %d, groups %v, held %d after the restart", server.openFlows, server.groupTallies, s.balancer.tallies.pairs)
+		}
+	})
+	t.Run("a lease that nobody confirms lapses", func(t *testing.T) {
+		s := newHarness(t, Idempotent, DeduplicatedByFleet, 1)
+		s.request("a", "g", sec)
+		s.setTime(12 * sec)
+		s.balancer.OnTimer(tickTimer)
+		if server := s.balancer.list.byID[1]; server.openFlows != 0 || len(server.groupTallies) != 0 {
+			t.Errorf("open %d, groups %v", server.openFlows, server.groupTallies)
+		}
+	})
+}
+
+// However many calls for the list failed, whatever has changed is acted on 6 s after discovery has it: a call under way misses it, and may
+// wait for 2 s to be told so, then come the gap and the next call.
+func TestPollBackoff(t *testing.T) {
+	const call, told = 2 * sec, 6 * sec
+	for _, within := range []time.Duration{2 * sec, 10 * sec, 60 * sec} {
+		least, most := told, time.Duration(0)
+		for seed := range uint64(50) {
+			s := newHarness(t, Idempotent, DeduplicatedByFleet, 2)
+			s.balancer.ConfigureEndpoints(EndpointSettings{Zone: "z0", Polled: true, MaxPollInterval: within, MessageTarget: 100 * ms})
+			s.balancer.random = seeded(seed)
+			for range 12 {
+				s.balancer.BeginEndpoints(FailedUpdate)
+				s.balancer.EndEndpoints()
+			}
+			least, most = min(least, s.timers[listTimer]), max(most, s.timers[listTimer])
+		}
+		if most > told-2*call {
+			t.Errorf("asked within %v: a gap of %v", within, most)
+		}
+		if most-least < most/3 {
+			t.Errorf("asked within %v: all gaps lie between %v and %v, so that all ask in step", within, least, most)
+		}
+	}
+}
--- a/decide/longlist_test.go
+++ b/decide/longlist_test.go
@@ -10,12 +10,12 @@
 // The cost of placing one flow, in looks at servers, grows by less than three times from 60 servers to 12,800.
 func TestPlacementCostIsBounded(t *testing.T) {
 	looks := func(servers int) int {
-		s := full(t, servers, 2000, 1500)
-		a := &asked{}
-		s.b.SetConstraints(a)
+		s := newFullBalancer(t, servers, 2000, 1500)
+		a := &countingConstraints{}
+		s.balancer.SetConstraints(a)
 		const flows = 50
 		for i := range flows {
-			s.b.OnEnded(s.come(2000+i, 1500), OK, 10*ms, true)
+			s.balancer.OnEnded(s.establishNext(2000+i, 1500), OK, 10*ms, true)
 		}
 		return a.looks / flows
 	}
@@ -28,20 +28,20 @@
 }
 
 // At rest a round of rechecks takes its 5 s however many flows there are, as nearly none needs a look at servers.
-func TestRoundAtRestIsWhole(t *testing.T) {
+func TestRecheckRoundIsComplete(t *testing.T) {
 	for _, c := range []struct{ servers, flows int }{{60, 800}, {60, 20_000}, {1000, 40_000}} {
 		t.Run(fmt.Sprintf("%d servers, %d flows", c.servers, c.flows), func(t *testing.T) {
-			s := full(t, c.servers, c.flows, 15_000)
-			s.at(s.b.now + 3*sec)
+			s := newFullBalancer(t, c.servers, c.flows, 15_000)
+			s.setTime(s.balancer.now + 3*sec)
 			looked, visited := 0, 0
-			selections := s.b.list.selection
+			selections := s.balancer.list.selection
 			for range recheckInterval / tickInterval {
-				s.at(s.b.now + tickInterval)
-				before := s.b.flows.lastRechecked
-				s.b.tick()
-				visited += (s.b.flows.lastRechecked - before + c.flows) % c.flows
+				s.setTime(s.balancer.now + tickInterval)
+				before := s.balancer.flows.lastRechecked
+				s.balancer.tick()
+				visited += (s.balancer.flows.lastRechecked - before + c.flows) % c.flows
 			}
-			looked = int(s.b.list.selection - selections)
+			looked = int(s.balancer.list.selection - selections)
 			if visited < c.flows {
 				t.Errorf("%d of %d flows visited in a round's time", visited, c.flows)
 			}
@@ -54,26 +54,26 @@
 
 // However many flows would win elsewhere, a tick makes no more than its rechecks.
 func TestRechecksOfATickAreBounded(t *testing.T) {
-	s := full(t, 200, 0, 1)
-	s.held("f", 6000, "", 1) // all on one server
-	s.at(3 * sec)
-	s.b.tick()
-	if n := s.count("move"); n == 0 || n > maxRechecksPerTick {
+	s := newFullBalancer(t, 200, 0, 1)
+	s.adopt("f", 6000, "", 1) // all on one server
+	s.setTime(3 * sec)
+	s.balancer.tick()
+	if n := s.countActions("move"); n == 0 || n > maxRechecksPerTick {
 		t.Errorf("%d moves in a tick, want some and at most %d", n, maxRechecksPerTick)
 	}
 }
 
 // Balancers of which one has not heard of the last change yet agree on the homes of nearly all groups, and homes are
 // spread evenly.
-func TestHomesAreAgreedOn(t *testing.T) {
+func TestPreferredServersAgree(t *testing.T) {
 	const servers, groups = 1000, 20_000
-	one, other := full(t, servers, 0, 1), full(t, servers, 0, 1)
-	other.change(17, Gone, LongAgo)
-	other.change(servers+1, Ready, LongAgo)
+	one, other := newFullBalancer(t, servers, 0, 1), newFullBalancer(t, servers, 0, 1)
+	other.updateServer(17, Gone, LongAgo)
+	other.updateServer(servers+1, Ready, LongAgo)
 	differ, homes := 0, map[ServerID]int{}
 	for i := range groups {
 		f := &flow{group: GroupKey(strconv.Itoa(i))}
-		a, b := one.b.compare(f, one.b.list.ready).preferred, other.b.compare(f, other.b.list.ready).preferred
+		a, b := one.balancer.compare(f, one.balancer.list.ready).preferred, other.balancer.compare(f, other.balancer.list.ready).preferred
 		if a == nil || b == nil {
 			t.Fatalf("group %d has no home", i)
 		}
@@ -96,81 +96,83 @@
 }
 
 // Where nearly all servers of a long list are in trouble, flows still find one that is not.
-func TestFewGoodOfALongList(t *testing.T) {
+func TestFewHealthyServersOfLongList(t *testing.T) {
 	const servers, good = 1000, 7
-	trouble := map[string]func(b *Balancer, r *serverState){
-		"silent":     func(b *Balancer, r *serverState) { r.unreachableInRow = 2; b.eject(r) },
-		"ejected":    func(b *Balancer, r *serverState) { b.eject(r) },
-		"late":       func(b *Balancer, r *serverState) { r.latency, r.latencyAt = sec, b.now },
-		"full":       func(b *Balancer, r *serverState) { r.limit.reduce(0, b.now) },
-		"cold":       func(b *Balancer, r *serverState) { r.startedAt, r.budgetAt, r.budgetDue = b.now, b.now, 0 },
-		"not listed": func(b *Balancer, r *serverState) { b.setReadiness(r, Gone) },
+	trouble := map[string]func(b *Balancer, server *serverState){
+		"silent":  func(b *Balancer, server *serverState) { server.unreachableInRow = 2; b.eject(server) },
+		"ejected": func(b *Balancer, server *serverState) { b.eject(server) },
+		"late":    func(b *Balancer, server *serverState) { server.latency, server.latencyAt = sec, b.now },
+		"full":    func(b *Balancer, server *serverState) { server.limit.reduce(0, b.now) },
+		"cold": func(b *Balancer, server *serverState) {
+			server.startedAt, server.budgetAt, server.budgetDue = b.now, b.now, 0
+		},
+		"not listed": func(b *Balancer, server *serverState) { b.setReadiness(server, Gone) },
 	}
 	for name, befall := range trouble {
 		t.Run(name, func(t *testing.T) {
-			s := full(t, servers, 0, 1)
-			s.at(sec)
-			for _, r := range s.b.list.all {
-				if r.id != good {
-					befall(s.b, r)
+			s := newFullBalancer(t, servers, 0, 1)
+			s.setTime(sec)
+			for _, server := range s.balancer.list.all {
+				if server.id != good {
+					befall(s.balancer, server)
 				}
 			}
-			s.b.rebuildList()
+			s.balancer.rebuildList()
 			for i := range 20 {
-				if to := s.flow(FlowID(strconv.Itoa(i)), GroupKey(strconv.Itoa(i)), sec); to != good {
-					t.Fatalf("flow %d went to %d, want %d: %s", i, to, good, s.take())
+				if to := s.request(FlowID(strconv.Itoa(i)), GroupKey(strconv.Itoa(i)), sec); to != good {
+					t.Fatalf("flow %d went to %d, want %d: %s", i, to, good, s.takeActions())
 				}
-				s.b.OnEstablished(FlowID(strconv.Itoa(i)), ms)
+				s.balancer.OnEstablished(FlowID(strconv.Itoa(i)), ms)
 			}
 		})
 	}
 }
 
 // A repeat that only a server of the same zone or cell would drop goes there or nowhere, however long the list.
-func TestRepeatsStayInReach(t *testing.T) {
+func TestRepeatsStayInDeduplicationScope(t *testing.T) {
 	for reach, same := range map[DeduplicationScope]func(a, b *serverState) bool{
 		DeduplicatedByZone: func(a, b *serverState) bool { return a.zone == b.zone },
 		DeduplicatedByCell: func(a, b *serverState) bool { return a.cell == b.cell },
 	} {
-		s := full(t, 1999, 0, 1) // each cell has several
-		s.b.services[0].Effect, s.b.services[0].Deduplication = IdempotentByKey, reach
+		s := newFullBalancer(t, 1999, 0, 1) // each cell has several
+		s.balancer.services[0].Effect, s.balancer.services[0].Deduplication = IdempotentByKey, reach
 		for i := range 50 {
 			f := FlowID(strconv.Itoa(i))
 			for k := range 3 { // or all would seem to fail, and no repeat be made
-				s.come(1000*(i+1)+k, 1)
+				s.establishNext(1000*(i+1)+k, 1)
 			}
-			first := s.b.list.byID[s.flow(f, "", sec)]
-			s.b.OnEnded(f, Error, ms, false)
-			again := s.b.list.byID[s.last[f]]
+			first := s.balancer.list.byID[s.request(f, "", sec)]
+			s.balancer.OnEnded(f, Error, ms, false)
+			again := s.balancer.list.byID[s.targets[f]]
 			if first == again || !same(first, again) {
 				t.Errorf("reach %d: first to %d, then to %d", reach, first.id, again.id)
 			}
-			s.b.OnEstablished(f, ms)
+			s.balancer.OnEstablished(f, ms)
 		}
 	}
 }
 
 // A group that is half of all connections is spread as far as its servers bear it, and no further than that.
-func TestGroupOfHalfOfAll(t *testing.T) {
+func TestGroupOfHalfOfAllFlows(t *testing.T) {
 	const servers, flows = 500, 10_000
-	s := full(t, servers, 0, 1)
+	s := newFullBalancer(t, servers, 0, 1)
 	for i := range flows {
 		group := GroupKey("large")
 		if i%2 > 0 {
 			group = GroupKey(strconv.Itoa(i))
 		}
 		f := FlowID(strconv.Itoa(i))
-		s.at(s.b.now + ms)
-		if s.flow(f, group, sec) == 0 {
+		s.setTime(s.balancer.now + ms)
+		if s.request(f, group, sec) == 0 {
 			t.Fatalf("flow %d was turned away", i)
 		}
-		s.b.OnEstablished(f, ms)
+		s.balancer.OnEstablished(f, ms)
 	}
 	most := 0
-	for _, r := range s.b.list.ready {
-		most = max(most, r.openFlows)
+	for _, server := range s.balancer.list.ready {
+		most = max(most, server.openFlows)
 	}
-	holders := len(s.b.tallies.holders["large"])
+	holders := len(s.balancer.tallies.holders["large"])
 	if mean := flows / servers; most > 6*mean || holders < 20 || holders > servers*3/4 {
 		t.Errorf("mean of %d a server, %d on one; %d of %d servers hold the group", mean, most, holders, servers)
 	}
@@ -178,47 +180,47 @@
 }
 
 // A list replaced whole leaves no flow without a server to go to: those that stand are moved to the new ones.
-func TestListReplacedWhole(t *testing.T) {
+func TestListReplacedCompletely(t *testing.T) {
 	const servers, flows = 400, 2000
-	s := full(t, servers, flows, 500)
-	s.b.BeginEndpoints(FullUpdate)
+	s := newFullBalancer(t, servers, flows, 500)
+	s.balancer.BeginEndpoints(FullUpdate)
 	for id := servers + 1; id <= 2*servers; id++ {
-		s.entry(ServerID(id), Ready, LongAgo)
+		s.listServer(ServerID(id), Ready, LongAgo)
 	}
-	s.b.EndEndpoints()
+	s.balancer.EndEndpoints()
 	moved := 0
 	for range 400 {
-		s.at(s.b.now + tickInterval)
-		s.b.OnTimer(tickTimer)
-		moved += s.count("move")
+		s.setTime(s.balancer.now + tickInterval)
+		s.balancer.OnTimer(tickTimer)
+		moved += s.countActions("move")
 	}
 	if moved != flows {
 		t.Errorf("%d of %d flows were asked to move", moved, flows)
 	}
-	if to := s.flow("next", "g", sec); to <= servers {
+	if to := s.request("next", "g", sec); to <= servers {
 		t.Errorf("a flow went to %d, which is gone", to)
 	}
 }
 
 // From nothing to many flows within a minute: each is placed at once, and servers are used evenly.
-func TestFromNothingWithinAMinute(t *testing.T) {
+func TestManyFlowsWithinMinute(t *testing.T) {
 	const servers, flows = 1000, 40_000
-	s := full(t, servers, 0, 1)
+	s := newFullBalancer(t, servers, 0, 1)
 	for i := range flows {
-		s.at(time.Duration(i) * time.Minute / flows)
+		s.setTime(time.Duration(i) * time.Minute / flows)
 		f := FlowID(strconv.Itoa(i))
-		if s.flow(f, GroupKey(strconv.Itoa(i%30_000)), sec) == 0 {
+		if s.request(f, GroupKey(strconv.Itoa(i%30_000)), sec) == 0 {
 			t.Fatalf("flow %d was turned away", i)
 		}
-		s.b.OnEstablished(f, 5*ms)
+		s.balancer.OnEstablished(f, 5*ms)
 		if i%150 == 0 {
-			s.b.OnTimer(tickTimer)
+			s.balancer.OnTimer(tickTimer)
 		}
-		s.did = s.did[:0]
+		s.performed = s.performed[:0]
 	}
 	most := 0
-	for _, r := range s.b.list.ready {
-		most = max(most, r.openFlows)
+	for _, server := range s.balancer.list.ready {
+		most = max(most, server.openFlows)
 	}
 	if most > 2*flows/servers {
 		t.Errorf("%d flows on one server, %d on average", most, flows/servers)
--- /dev/null
+++ b/decide/overload_test.go
@@ -0,0 +1,140 @@
+package decide
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+)
+
+// Without latency samples a reset of an established flow is all that one of many balancers observes of overload.
+func TestResetsShowScarceCapacity(t *testing.T) {
+	s := newHarness(t, Idempotent, DeduplicatedByFleet, 6)
+	s.balancer.ConfigureSlowStart(slowStartRule(200))
+	s.adoptEach(1, 6)
+	s.balancer.OnEnded("r10", Reset, sec, true)
+	if s.balancer.isCapacityScarce() {
+		t.Error("capacity is scarce by one server of six")
+	}
+	for _, id := range []FlowID{"r20", "r30", "r40"} {
+		s.balancer.OnEnded(id, Reset, sec, true)
+	}
+	if !s.balancer.isCapacityScarce() {
+		t.Error("capacity is not scarce although four servers of six reset their flows")
+	}
+	s.takeActions()
+	s.request("new", "", sec)
+	if s.balancer.health.flowLimit.reducedAt == 0 || s.targets["new"] >= 1 && s.targets["new"] <= 4 {
+		t.Errorf("the flows have no limit, or one more goes to %d", s.targets["new"])
+	}
+	s.setTime(latencyMaxAge + ms)
+	if s.balancer.isCapacityScarce() {
+		t.Error("capacity is scarce for longer than a latency sample counts")
+	}
+}
+
+// One late message may be a pause; a second limits the server.
+func TestOneLateMessageIsNoLimit(t *testing.T) {
+	for _, c := range []struct {
+		name  string
+		notes int
+		room  bool
+	}{{"one late message may be a pause", 1, true}, {"a second is too much load", 2, false}} {
+		t.Run(c.name, func(t *testing.T) {
+			s := newHarness(t, Idempotent, DeduplicatedByFleet, 6)
+			s.adopt("o", 10, "", 1)
+			s.adoptEach(2, 6)
+			for i := range c.notes {
+				s.setTime(time.Duration(i) * sec)
+				s.balancer.OnLatencySample("o9", 150*ms)
+			}
+			if server := s.balancer.list.byID[1]; s.balancer.hasCapacity(&flow{}, server, comparison{}) != c.room {
+				t.Errorf("room %v with %d open, limit %v", !c.room, server.openFlows, server.limit.flows)
+			}
+		})
+	}
+}
+
+// A fleet at its limits rejects new flows.
+func TestFullFleetRejects(t *testing.T) {
+	s := newHarness(t, Idempotent, DeduplicatedByFleet, 2)
+	for server := range 2 {
+		s.adopt(fmt.Sprint("o", server), 10, "", ServerID(server+1))
+		s.balancer.reduceLimit(s.balancer.list.byID[ServerID(server+1)])
+	}
+	s.request("a", "", sec)
+	s.expect("reject a")
+}
+
+// A lone reset of a server within its objective limits nothing, unless many balancers share the observations.
+func TestLoneReset(t *testing.T) {
+	for _, c := range []struct {
+		peers, resets int
+		limited       bool
+	}{{2, 1, false}, {2, 2, true}, {40, 1, true}} {
+		s := newHarness(t, Idempotent, DeduplicatedByFleet, 2)
+		s.balancer.ConfigureSlowStart(slowStartRule(c.peers))
+		s.adopt("a", 9, "", 1)
+		s.setTime(sec)
+		for i := range c.resets {
+			s.balancer.OnEnded(FlowID(fmt.Sprint("a", i)), Reset, sec, true)
+		}
+		if got := s.balancer.list.byID[1].limit.reducedAt != 0; got != c.limited {
+			t.Errorf("%d balancers, %d resets: limited %v", c.peers, c.resets, got)
+		}
+	}
+}
+
+// A server that drops all new flows stops attracting them.
+func TestServerThatDropsNewFlows(t *testing.T) {
+	s := newHarness(t, Idempotent, DeduplicatedByFleet, 3)
+	s.adopt("b", 3, "x", 2)
+	s.adopt("c", 3, "y", 3)
+	for i := range 50 {
+		s.setTime(time.Duration(i) * 100 * ms)
+		id := FlowID(fmt.Sprint(i))
+		s.request(id, "", sec)
+		s.balancer.OnEstablished(id, ms)
+		if s.targets[id] == 1 {
+			s.balancer.OnEnded(id, Reset, ms, true)
+		}
+	}
+	if s.attemptsTo[1] > 4 {
+		t.Errorf("%d of 50 flows sent to the server that drops them", s.attemptsTo[1])
+	}
+}
+
+// To one of many balancers capacity is scarce only by more than chance; then it holds fewer flows in all.
+func TestScarcityExceedsChance(t *testing.T) {
+	s := newHarness(t, Idempotent, DeduplicatedByFleet, 60)
+	s.balancer.slowStart.Balancers, s.balancer.health.setupTimes = 200, []time.Duration{sec} // beyond the target: none migrates
+	s.adoptEach(1, 8)
+	for i, short := range []bool{false, false, false, true, true, true, true, true} {
+		s.balancer.OnLatencySample(FlowID(fmt.Sprintf("r%d0", i+1)), 80*ms)
+		s.balancer.reduceLimit(s.balancer.list.byID[ServerID(i+1)])
+		if s.balancer.isCapacityScarce() != short {
+			t.Errorf("short %v with %d of 8 late", !short, i+1)
+		}
+	}
+	s.takeActions()
+	s.request("a", "", sec)
+	s.expect("reject a") // however many servers are left that it knows nothing of
+}
+
+// While capacity is scarce, flows over their customer's quota are shed first.
+func TestFlowsOverQuotaAreShedFirst(t *testing.T) {
+	s := newHarness(t, Idempotent, DeduplicatedByFleet, 3)
+	s.balancer.AddCustomer(2)
+	s.balancer.AddCustomer(50)
+	for i := range 3 {
+		s.balancer.AdoptFlow(FlowRequest{ID: FlowID(fmt.Sprint("o", i))}, 1)
+	}
+	s.balancer.OnLatencySample("o0", 90*ms)
+	s.takeActions()
+	s.balancer.OnFlow(FlowRequest{ID: "over", Timeout: sec})
+	s.expect("reject over")
+	s.balancer.OnFlow(FlowRequest{ID: "within", Customer: 1, Timeout: sec})
+	if got := s.takeActions(); !strings.HasPrefix(got, "connect within") {
+		t.Errorf("did %q", got)
+	}
+}
--- /dev/null
+++ b/decide/rechecks_test.go
@@ -0,0 +1,114 @@
+package decide
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+)
+
+// Slow set-ups of a mass reconnect that is over keep no flow at a late server.
+func TestOldSlowSetupsAllowMigration(t *testing.T) {
+	for _, c := range []struct {
+		last  Outcome
+		since time.Duration
+		want  bool
+	}{{OK, sec, false}, {OK, 3 * sec, true}, {TimedOut, 3 * sec, false}, {TimedOut, 13 * sec, true}} {
+		s := newHarness(t, Idempotent, DeduplicatedByFleet, 4)
+		s.adoptEach(2, 4)
+		s.adopt("a", 9, "", 1)
+		for i := range 9 {
+			s.request(FlowID(fmt.Sprint(i)), "", sec)
+			s.balancer.OnEstablished(FlowID(fmt.Sprint(i)), 250*ms)
+		}
+		if s.request("last", "", sec); c.last == OK {
+			s.balancer.OnEstablished("last", 250*ms)
+		} else {
+			s.balancer.OnEnded("last", c.last, sec, true)
+		}
+		s.takeActions()
+		s.setTime(c.since)
+		s.balancer.OnLatencySample("a0", 700*ms)
+		if n := s.countActions("move"); (n > 0) != c.want {
+			t.Errorf("%v after a set-up that ended %d, %d are moved", c.since, c.last, n)
+		}
+	}
+}
+
+// The smallest groups of a late server migrate first, a part at a time.
+func TestSmallestGroupsMigrateFirst(t *testing.T) {
+	s := newHarness(t, Idempotent, DeduplicatedByFleet, 6)
+	s.adopt("big", 8, "big", 1)
+	s.adopt("one", 1, "one", 1)
+	s.adoptEach(2, 6)
+	s.balancer.OnLatencySample("big0", 300*ms)
+	if got := s.takeActions(); !strings.HasPrefix(got, "move one0") || strings.Count(got, "move") > 2 {
+		t.Errorf("did %q", got)
+	}
+}
+
+// Of many balancers with one flow each, as many migrate as the backlog requires.
+func TestMigrationFollowsBacklog(t *testing.T) {
+	for _, c := range []struct {
+		name     string
+		delay    time.Duration // one second after a note of 200 ms
+		from, to int           // moves of 200 balancers with one flow each
+	}{
+		{"a backlog that grows fast sends most away", 500 * ms, 100, 170},
+		{"one that grows slowly a part", 220 * ms, 10, 50},
+		{"one that shrinks fast enough nobody", 60 * ms, 0, 0},
+	} {
+		t.Run("of many balancers, "+c.name, func(t *testing.T) {
+			moves := 0
+			for n := range 200 {
+				s := newHarness(t, Idempotent, DeduplicatedByFleet, 6)
+				s.balancer.random, s.balancer.slowStart.Balancers = seeded(uint64(n)), 200
+				s.adopt("o", 1, "", 1)
+				s.balancer.list.byID[1].latency = 200 * ms
+				s.setTime(sec)
+				s.balancer.OnLatencySample("o0", c.delay)
+				moves += s.countActions("move")
+			}
+			if moves < c.from || moves > c.to {
+				t.Errorf("%d moves, want %d to %d", moves, c.from, c.to)
+			}
+		})
+	}
+}
+
+// No flow migrates while all set-ups are slow.
+func TestNoMigrationIntoSharedSlowdown(t *testing.T) {
+	s := newHarness(t, Idempotent, DeduplicatedByFleet, 4)
+	s.adopt("o", 8, "", 1)
+	s.request("a", "", sec)
+	s.balancer.OnEstablished("a", 290*ms)
+	s.takeActions()
+	s.balancer.OnLatencySample("o0", 90*ms)
+	s.expect("")
+}
+
+// A late fleet sheds a part of its flows only while its backlog grows.
+func TestLateFleetSheds(t *testing.T) {
+	for _, c := range []struct {
+		name  string
+		delay time.Duration // of the last note
+		moves int
+	}{
+		{"a late fleet whose backlog grows sheds a part", 900 * ms, 1},
+		{"one whose backlog shrinks keeps them", 500 * ms, 0},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			s := newHarness(t, Idempotent, DeduplicatedByFleet, 2)
+			s.adopt("a", 8, "", 1)
+			s.adopt("b", 8, "", 2)
+			s.balancer.OnLatencySample("b0", 800*ms)
+			s.balancer.OnLatencySample("a0", 800*ms)
+			s.takeActions()
+			s.setTime(sec)
+			s.balancer.OnLatencySample("a0", c.delay)
+			if n := s.countActions("move"); n != c.moves {
+				t.Errorf("%d moves, want %d", n, c.moves)
+			}
+		})
+	}
+}
--- a/decide/recorded_test.go
+++ b/decide/recorded_test.go
@@ -13,15 +13,15 @@
 // recording is a made day that answers what the decisions do: connects come up, fail or hang by the state of their
 // server, servers are late, drain, restart and vanish, and timers go off as asked for.
 type recording struct {
-	*script
-	rand    *rand.Rand
-	servers int
-	now     time.Duration
-	due     []pending
-	standOn map[FlowID]ServerID
-	order   []FlowID // of standOn
-	flows   int
-	hash    []byte
+	*harness
+	rand        *rand.Rand
+	servers     int
+	now         time.Duration
+	due         []pending
+	connections map[FlowID]ServerID
+	established []FlowID // of standOn
+	flows       int
+	hash        []byte
 }
 
 // pending is something that happens to a flow at a time.
@@ -32,52 +32,52 @@
 
 // recordedDay is what a recording is made of.
 type recordedDay struct {
-	seed           uint64
-	servers, peers int
-	groups         int
-	rate           int // flows in a second
-	life           time.Duration
-	effect         Effect
-	reach          DeduplicationScope
-	probes, shares bool
-	crossing       float64
-	seconds        int
+	seed                 uint64
+	servers, balancers   int
+	groups               int
+	flowsPerSecond       int // flows in a second
+	lifetime             time.Duration
+	effect               Effect
+	deduplication        DeduplicationScope
+	healthChecks, quotas bool
+	crossing             float64
+	seconds              int
 }
 
 func record(t *testing.T, day recordedDay) *recording {
-	r := &recording{script: &script{t: t, last: map[FlowID]ServerID{}, sent: map[ServerID]int{}}, servers: day.servers,
-		rand: rand.New(rand.NewPCG(day.seed, 99)), standOn: map[FlowID]ServerID{}}
-	r.b = New(day.seed, r.script)
-	r.b.ConfigureFlows(3, sec)
-	r.b.AddService(ServiceType{Effect: day.effect, Deduplication: day.reach, SetupTarget: 300 * ms, RetryWindow: 2 * sec, Value: 1})
-	r.b.ConfigureSlowStart(SlowStart{InitialCapacity: 0.2, OverloadMultiple: 3, WarmUp: 20 * sec, Window: 1500 * ms, Balancers: day.peers})
-	r.b.ConfigureHealthChecks(day.probes)
-	r.b.ConfigurePlacement(day.crossing, 0.02, true)
-	if day.shares {
-		r.b.AddCustomer(float64(day.rate) * 4)
-		r.b.AddCustomer(float64(day.rate))
+	r := &recording{harness: &harness{t: t, targets: map[FlowID]ServerID{}, attemptsTo: map[ServerID]int{}}, servers: day.servers,
+		rand: rand.New(rand.NewPCG(day.seed, 99)), connections: map[FlowID]ServerID{}}
+	r.balancer = New(day.seed, r.harness)
+	r.balancer.ConfigureFlows(3, sec)
+	r.balancer.AddService(ServiceType{Effect: day.effect, Deduplication: day.deduplication, SetupTarget: 300 * ms, RetryWindow: 2 * sec, Value: 1})
+	r.balancer.ConfigureSlowStart(slowStartRule(day.balancers))
+	r.balancer.ConfigureHealthChecks(day.healthChecks)
+	r.balancer.ConfigurePlacement(day.crossing, 0.02, true)
+	if day.quotas {
+		r.balancer.AddCustomer(float64(day.flowsPerSecond) * 4)
+		r.balancer.AddCustomer(float64(day.flowsPerSecond))
 	}
-	r.b.ConfigureEndpoints(EndpointSettings{Zone: "z0", Polled: false, MaxPollInterval: 10 * sec, MessageTarget: 100 * ms})
-	r.at(0)
-	r.list(CachedUpdate, Ready, day.servers)
+	r.balancer.ConfigureEndpoints(EndpointSettings{Zone: "z0", Polled: false, MaxPollInterval: 10 * sec, MessageTarget: 100 * ms})
+	r.setTime(0)
+	r.updateList(CachedUpdate, Ready, day.servers)
 	for step := range day.seconds * 20 {
 		r.now = time.Duration(step) * 50 * ms
-		r.at(r.now)
-		r.happen()
-		r.trouble()
-		for range r.rand.IntN(day.rate/10 + 1) {
+		r.setTime(r.now)
+		r.runDue()
+		r.injectFaults()
+		for range r.rand.IntN(day.flowsPerSecond/10 + 1) {
 			r.arrive(day)
 		}
 		if step%5 == 0 {
-			r.b.OnTimer(tickTimer)
+			r.balancer.OnTimer(tickTimer)
 		}
 		for _, mark := range []TimerID{listTimer, queueTimer} {
-			if wait, asked := r.wait[mark]; asked && wait <= 50*ms {
-				delete(r.wait, mark)
-				r.b.OnTimer(mark)
+			if wait, asked := r.timers[mark]; asked && wait <= 50*ms {
+				delete(r.timers, mark)
+				r.balancer.OnTimer(mark)
 			}
 		}
-		r.answer(day)
+		r.simulateReplies(day)
 	}
 	return r
 }
@@ -86,38 +86,38 @@
 func (r *recording) arrive(day recordedDay) {
 	r.flows++
 	customer := NoCustomer
-	if day.shares {
+	if day.quotas {
 		customer = CustomerID(r.rand.IntN(2))
 	}
 	group := GroupKey("")
 	if n := r.rand.IntN(day.groups + 1); n > 0 {
 		group = GroupKey(strconv.Itoa(n * n / day.groups))
 	}
-	r.b.OnFlow(FlowRequest{ID: FlowID(strconv.Itoa(r.flows)), Customer: customer, Group: group, Timeout: 900 * ms})
+	r.balancer.OnFlow(FlowRequest{ID: FlowID(strconv.Itoa(r.flows)), Customer: customer, Group: group, Timeout: 900 * ms})
 }
 
-// trouble changes the list now and then, and has servers late.
-func (r *recording) trouble() {
+// injectFaults changes the list now and then, and has servers late.
+func (r *recording) injectFaults() {
 	id := ServerID(1 + r.rand.IntN(r.servers))
 	switch r.rand.IntN(60) {
 	case 0:
-		r.change(id, Draining, LongAgo)
+		r.updateServer(id, Draining, LongAgo)
 	case 1:
-		r.change(id, Ready, r.now)
+		r.updateServer(id, Ready, r.now)
 	case 2:
-		r.change(id, Gone, LongAgo)
+		r.updateServer(id, Gone, LongAgo)
 	case 3:
-		r.b.SetDisabled(id, r.rand.IntN(2) == 0)
+		r.balancer.SetDisabled(id, r.rand.IntN(2) == 0)
 	case 4:
-		r.b.BeginEndpoints(FailedUpdate)
+		r.balancer.BeginEndpoints(FailedUpdate)
 	}
-	if len(r.order) == 0 {
+	if len(r.established) == 0 {
 		return
 	}
-	f := r.order[r.rand.IntN(len(r.order))]
+	f := r.established[r.rand.IntN(len(r.established))]
 	switch r.rand.IntN(30) {
 	case 0, 1:
-		r.b.OnLatencySample(f, time.Duration(r.rand.IntN(700))*ms)
+		r.balancer.OnLatencySample(f, time.Duration(r.rand.IntN(700))*ms)
 	case 2:
 		r.end(f, Reset)
 	case 3, 4, 5, 6, 7:
@@ -127,18 +127,18 @@
 
 // end is the end of a standing flow.
 func (r *recording) end(f FlowID, o Outcome) {
-	for i, other := range r.order {
+	for i, other := range r.established {
 		if other == f {
-			r.order = append(r.order[:i], r.order[i+1:]...)
-			delete(r.standOn, f)
-			r.b.OnEnded(f, o, sec, true)
+			r.established = append(r.established[:i], r.established[i+1:]...)
+			delete(r.connections, f)
+			r.balancer.OnEnded(f, o, sec, true)
 			return
 		}
 	}
 }
 
-// happen has what is due happen, in the order in which it was asked for.
-func (r *recording) happen() {
+// runDue has what is due happen, in the order in which it was asked for.
+func (r *recording) runDue() {
 	due := r.due
 	r.due = nil
 	for _, p := range due {
@@ -150,28 +150,28 @@
 	}
 }
 
-// answer has the world answer the actions since the last call, and takes them into the hash.
-func (r *recording) answer(day recordedDay) {
-	for _, line := range r.did {
+// simulateReplies has the world answer the actions since the last call, and takes them into the hash.
+func (r *recording) simulateReplies(day recordedDay) {
+	for _, line := range r.performed {
 		r.hash = fmt.Appendf(r.hash, "%d %s\n", r.now, line)
 		var f FlowID
 		var to ServerID
 		if n, _ := fmt.Sscanf(line, "connect %s %d", &f, &to); n == 2 {
-			r.connected(day, f, to)
+			r.simulateConnect(day, f, to)
 		} else if n, _ := fmt.Sscanf(line, "move %s", &f); n == 1 {
 			r.due = append(r.due, pending{r.now + 100*ms, func() { r.end(f, OK) }})
 		} else if n, _ := fmt.Sscanf(line, "probe %d", &to); n == 1 {
 			load := r.rand.Float64() * 1.2
-			r.due = append(r.due, pending{r.now + 30*ms, func() { r.b.OnHealthCheck(to, OK); r.b.OnLoadReport(to, load) }})
+			r.due = append(r.due, pending{r.now + 30*ms, func() { r.balancer.OnHealthCheck(to, OK); r.balancer.OnLoadReport(to, load) }})
 		}
 	}
-	r.did = r.did[:0]
+	r.performed = r.performed[:0]
 }
 
-// connected says how a connect ends: one server in eleven turns away, one in thirteen hangs, one in seventeen fails.
-func (r *recording) connected(day recordedDay, f FlowID, to ServerID) {
+// simulateConnect says how a connect ends: one server in eleven turns away, one in thirteen hangs, one in seventeen fails.
+func (r *recording) simulateConnect(day recordedDay, f FlowID, to ServerID) {
 	took := time.Duration(5+r.rand.IntN(60)) * ms
-	end := func(o Outcome) func() { return func() { r.b.OnEnded(f, o, took, false) } }
+	end := func(o Outcome) func() { return func() { r.balancer.OnEnded(f, o, took, false) } }
 	bad := r.now%(20*sec) < 8*sec
 	switch {
 	case bad && to%11 == 3:
@@ -181,11 +181,11 @@
 	case bad && to%17 == 7:
 		r.due = append(r.due, pending{r.now + took, end(Error)})
 	default:
-		life := time.Duration(r.rand.Int64N(int64(2 * day.life)))
+		life := time.Duration(r.rand.Int64N(int64(2 * day.lifetime)))
 		r.due = append(r.due, pending{r.now + took, func() {
-			r.b.OnEstablished(f, took)
-			r.standOn[f] = to
-			r.order = append(r.order, f)
+			r.balancer.OnEstablished(f, took)
+			r.connections[f] = to
+			r.established = append(r.established, f)
 		}}, pending{r.now + took + life, func() { r.end(f, OK) }})
 	}
 }
@@ -193,20 +193,20 @@
 // The hashes are of what the decisions did while each looked at all servers and each recheck was made. A list up to
 // wholeList is decided the same, byte for byte: rechecks that are left out could not have moved anything.
 // The second was taken anew with the trial that goes out after 3 s of turning all away: without it that day hashes as it did.
-func TestShortListsAreDecidedAsBefore(t *testing.T) {
+func TestShortListsMatchRecordedDays(t *testing.T) {
 	did := map[string]int{}
 	for _, c := range []struct {
 		day  recordedDay
 		want string
 	}{
-		{recordedDay{seed: 1, servers: 1, peers: 1, groups: 3, rate: 40, life: 4 * sec, seconds: 40}, "5b244d609305866b8e8031cc5c1bfeff"},
-		{recordedDay{seed: 2, servers: 5, peers: 3, groups: 12, rate: 60, life: 10 * sec, crossing: 0.08, seconds: 40}, "ed09218f26a5c7dab6e433d9f6a52304"},
-		{recordedDay{seed: 3, servers: 20, peers: 80, groups: 40, rate: 60, life: 10 * sec, crossing: 0.08, shares: true, seconds: 40}, "f341cf5f5ffcc2ebe074ca1fb4b3dc3a"},
-		{recordedDay{seed: 4, servers: 20, peers: 1, groups: 200, rate: 100, life: 10 * sec, probes: true, seconds: 40}, "08de30b2b88ca9d0cbce9ba3b82bc8e7"},
-		{recordedDay{seed: 5, servers: 60, peers: 300, groups: 500, rate: 100, life: 20 * sec, effect: IdempotentByKey, reach: DeduplicatedByZone, crossing: 0.02, seconds: 40}, "179d68a70078de96812e273b14941441"},
-		{recordedDay{seed: 6, servers: 60, peers: 1, groups: 20, rate: 100, life: 30 * sec, effect: IdempotentByKey, reach: DeduplicatedByCell, shares: true, seconds: 40}, "2b8b0c3496faedd643f1bd02abbad28b"},
-		{recordedDay{seed: 7, servers: 128, peers: 10, groups: 1000, rate: 100, life: 30 * sec, effect: NotIdempotent, probes: true, crossing: 0.05, seconds: 30}, "6c4fe0f5fde41f83e2e7f60eb28aa073"},
-		{recordedDay{seed: 8, servers: 128, peers: 300, groups: 60, rate: 100, life: 30 * sec, shares: true, seconds: 30}, "295389bd2f206df169f68c733752a34f"},
+		{recordedDay{seed: 1, servers: 1, balancers: 1, groups: 3, flowsPerSecond: 40, lifetime: 4 * sec, seconds: 40}, "5b244d609305866b8e8031cc5c1bfeff"},
+		{recordedDay{seed: 2, servers: 5, balancers: 3, groups: 12, flowsPerSecond: 60, lifetime: 10 * sec, crossing: 0.08, seconds: 40}, "ed09218f26a5c7dab6e433d9f6a52304"},
+		{recordedDay{seed: 3, servers: 20, balancers: 80, groups: 40, flowsPerSecond: 60, lifetime: 10 * sec, crossing: 0.08, quotas: true, seconds: 40}, "f341cf5f5ffcc2ebe074ca1fb4b3dc3a"},
+		{recordedDay{seed: 4, servers: 20, balancers: 1, groups: 200, flowsPerSecond: 100, lifetime: 10 * sec, healthChecks: true, seconds: 40}, "08de30b2b88ca9d0cbce9ba3b82bc8e7"},
+		{recordedDay{seed: 5, servers: 60, balancers: 300, groups: 500, flowsPerSecond: 100, lifetime: 20 * sec, effect: IdempotentByKey, deduplication: DeduplicatedByZone, crossing: 0.02, seconds: 40}, "179d68a70078de96812e273b14941441"},
+		{recordedDay{seed: 6, servers: 60, balancers: 1, groups: 20, flowsPerSecond: 100, lifetime: 30 * sec, effect: IdempotentByKey, deduplication: DeduplicatedByCell, quotas: true, seconds: 40}, "2b8b0c3496faedd643f1bd02abbad28b"},
+		{recordedDay{seed: 7, servers: 128, balancers: 10, groups: 1000, flowsPerSecond: 100, lifetime: 30 * sec, effect: NotIdempotent, healthChecks: true, crossing: 0.05, seconds: 30}, "6c4fe0f5fde41f83e2e7f60eb28aa073"},
+		{recordedDay{seed: 8, servers: 128, balancers: 300, groups: 60, flowsPerSecond: 100, lifetime: 30 * sec, quotas: true, seconds: 30}, "295389bd2f206df169f68c733752a34f"},
 	} {
 		t.Run(fmt.Sprintf("%d servers, seed %d", c.day.servers, c.day.seed), func(t *testing.T) {
 			r := record(t, c.day)
