--- a/decide/admission_test.go
+++ b/decide/admission_test.go
@@ -8,23 +8,23 @@
 	"time"
 )
 
-// runFailing is one of 300 balancers that gets a flow every 100 ms and none of whose set-ups comes up before `well`; it
-// tells when connects went out, and when the first flow stood.
-func runFailing(t *testing.T, seed uint64, well, end time.Duration) (connects []time.Duration, stood time.Duration) {
+// runFailing runs one of 300 balancers that gets a flow every 100 ms and none of whose set-ups succeeds before recoversAt.
+// It returns when attempts were made, and when the first flow was established.
+func runFailing(t *testing.T, seed uint64, recoversAt, end time.Duration) (connects []time.Duration, establishedAt time.Duration) {
 	const every, limit = 100 * ms, 90 * ms
 	s := newHarness(t, Idempotent, DeduplicatedByFleet, 60)
 	s.balancer.random = seeded(seed)
 	s.balancer.ConfigureSlowStart(slowStartRule(300))
-	out := map[FlowID]time.Duration{}
+	sentAt := map[FlowID]time.Duration{}
 	for now := time.Duration(0); now < end; now += 10 * ms {
 		s.setTime(now)
-		for id, sent := range out {
-			if now >= sent+limit || now >= well {
-				delete(out, id)
-				if now >= well {
+		for id, sent := range sentAt {
+			if now >= sent+limit || now >= recoversAt {
+				delete(sentAt, id)
+				if now >= recoversAt {
 					s.balancer.OnEstablished(id, now-sent)
-					stood = max(stood, now)
-					return connects, stood
+					establishedAt = max(establishedAt, now)
+					return connects, establishedAt
 				}
 				s.balancer.OnEnded(id, TimedOut, now-sent, false)
 			}
@@ -34,58 +34,57 @@
 		}
 		s.balancer.OnTimer(queueTimer)
 		for id := range s.targets {
-			if f := s.balancer.flows.byID[id]; f != nil && f.state == connecting && out[id] == 0 {
-				out[id] = now
+			if f := s.balancer.flows.byID[id]; f != nil && f.state == connecting && sentAt[id] == 0 {
+				sentAt[id] = now
 				connects = append(connects, now)
 			}
 		}
 		clear(s.targets)
 	}
-	return connects, stood
+	return connects, establishedAt
 }
 
-// While all set-ups fail, what all share is spared: a balancer sends one at a time and seldom. It stays a trial every
-// few seconds, so that nobody turns everything away for 4 s on end, and who was shut soon learns that it is over.
+// While all set-ups fail, a balancer makes one attempt at a time and seldom, to spare what all set-ups share. One is made
+// every few seconds, so that no balancer rejects everything for 4 s on end, and each soon learns of a recovery.
 func TestForcedAttemptWhileAllSetupsFail(t *testing.T) {
-	const trouble = 30 * sec
+	const faultEnds = 30 * sec
 	sum := 0
 	for seed := range uint64(40) {
-		connects, stood := runFailing(t, seed, trouble, trouble+5*sec)
+		connects, establishedAt := runFailing(t, seed, faultEnds, faultEnds+5*sec)
 		for i, at := range connects[1:] {
 			if gap := at - connects[i]; gap > 3700*ms {
-				t.Errorf("seed %d: none went out for %v after %v", seed, gap, connects[i])
+				t.Errorf("seed %d: no attempt for %v after %v", seed, gap, connects[i])
 			}
 		}
-		if stood == 0 || stood > trouble+3700*ms {
-			t.Errorf("seed %d: the first stood at %v, well again at %v", seed, stood, trouble)
+		if establishedAt == 0 || establishedAt > faultEnds+3700*ms {
+			t.Errorf("seed %d: the first was established at %v, the fault ended at %v", seed, establishedAt, faultEnds)
 		}
 		sum += len(connects)
 	}
 	if most := 40 * 14; sum > most {
-		t.Errorf("%d set-ups of 40 balancers in 30 s, at most %d wanted: what all share is fed while it fails", sum, most)
+		t.Errorf("%d set-ups of 40 balancers in 30 s, want %d at the most", sum, most)
 	} else {
 		t.Logf("%d set-ups of 40 balancers in 30 s", sum)
 	}
 }
 
-// Whatever shuts a balancer, it does not turn away all that it gets for 4 s on end with no attempt in between: servers that are refused, or say
-// that they are full, limits set by them, or clients beyond their customer's share. Where a rule forbids it nothing is sent: to cold servers whose
-// budget is spent.
+// A balancer never rejects all flows for 4 s on end without an attempt, whatever the cause: servers that are unreachable
+// or full, limits, or clients over their customer's quota.
 func TestForcedAttemptWhateverRejects(t *testing.T) {
-	const trouble, most = 40 * sec, 3900 * ms
+	const duration, most = 40 * sec, 3900 * ms
 	for _, c := range []struct {
 		name   string
 		end    Outcome
 		before func(s *harness)
 	}{
-		{"nobody is there", Unreachable, func(*harness) {}},
+		{"unreachable", Unreachable, func(*harness) {}},
 		{"all are full", Full, func(*harness) {}},
 		{"all reset", Reset, func(*harness) {}},
 		{"a limit on all flows", Full, func(s *harness) {
 			s.adopt("o", 3, "g", 1)
 			s.balancer.health.flowLimit.reduce(0, 1)
 		}},
-		{"beyond their customer's share", Reset, func(s *harness) {
+		{"over their customer's quota", Reset, func(s *harness) {
 			s.balancer.AddCustomer(2)
 			for i := range 6 {
 				s.balancer.AdoptFlow(FlowRequest{ID: FlowID(fmt.Sprint("o", i))}, ServerID(1+i%3))
@@ -95,33 +94,33 @@
 		t.Run(c.name, func(t *testing.T) {
 			s := newHarness(t, Idempotent, DeduplicatedByFleet, 3)
 			c.before(s)
-			last, tries := time.Duration(0), 0
-			for at := time.Duration(0); at < trouble; at += 100 * ms {
+			last, attempts := time.Duration(0), 0
+			for at := time.Duration(0); at < duration; at += 100 * ms {
 				s.setTime(at)
 				s.balancer.OnTimer(queueTimer)
 				if at%tickInterval == 0 {
 					s.balancer.OnTimer(tickTimer)
 				}
-				for i := range 3 { // where flows stand all servers are late
+				for i := range 3 { // all servers with established flows are late
 					s.balancer.OnLatencySample(FlowID(fmt.Sprint("o", i)), 90*ms)
 				}
 				s.balancer.OnFlow(FlowRequest{ID: FlowID(fmt.Sprint("f", at)), Timeout: sec})
 				for len(s.targets) > 0 {
 					for _, id := range slices.Sorted(maps.Keys(s.targets)) {
 						if at-last > most {
-							t.Errorf("none went out for %v after %v", at-last, last)
+							t.Errorf("no attempt for %v after %v", at-last, last)
 						}
 						last = at
-						tries++
+						attempts++
 						delete(s.targets, id)
 						s.balancer.OnEnded(id, c.end, ms, false)
 					}
 				}
 			}
-			if trouble-last > most {
-				t.Errorf("none went out after %v", last)
+			if duration-last > most {
+				t.Errorf("no attempt after %v", last)
 			}
-			t.Logf("%d tries", tries)
+			t.Logf("%d attempts", attempts)
 		})
 	}
 }
--- a/decide/api.go
+++ b/decide/api.go
@@ -47,6 +47,7 @@
 	NeverSent                  // the attempt never went out
 )
 
+// String is a word or two for log lines and explanations.
 func (o Outcome) String() string {
 	return [...]string{"ok", "error", "full", "timed out", "unreachable", "reset", "cancelled", "never sent"}[o]
 }
@@ -135,7 +136,7 @@
 	ServerCost(FlowID, ServerID) (extra float64, ok bool)
 	// AdmitFlow says whether a flow may be admitted at all.
 	AdmitFlow(FlowID) bool
-	// RetryAfter is when the client of a rejected flow may come again; the duration is what it would be told otherwise.
+	// RetryAfter is when the client of a rejected flow may come again, given the default.
 	RetryAfter(FlowID, time.Duration) time.Duration
 	// AllowMigration says whether an established flow may be migrated to where it costs less.
 	AllowMigration(FlowID) bool
--- a/decide/attempts_test.go
+++ b/decide/attempts_test.go
@@ -8,7 +8,7 @@
 
 // One final answer for each flow, and no effect twice, after every end of the first connect.
 func TestAfterFailedAttempt(t *testing.T) {
-	again, reject, abort := "connect", "reject", "abort"
+	retried, reject, abort := "connect", "reject", "abort"
 	for _, c := range []struct {
 		name   string
 		effect Effect
@@ -17,20 +17,20 @@
 		at     time.Duration
 		want   string
 	}{
-		{"repeatable, error", Idempotent, DeduplicatedByFleet, Error, 10 * ms, again},
-		{"repeatable, timed out at its own limit", Idempotent, DeduplicatedByFleet, TimedOut, 300 * ms, again},
-		{"repeatable, at the connect timeout with over unset", Idempotent, DeduplicatedByFleet, TimedOut, 900 * ms, reject},
-		{"once-only, proved not run", NotIdempotent, DeduplicatedByFleet, Full, 10 * ms, again},
-		{"once-only, unreachable", NotIdempotent, DeduplicatedByFleet, Unreachable, 10 * ms, again},
-		{"once-only, never sent", NotIdempotent, DeduplicatedByFleet, NeverSent, 10 * ms, again},
-		{"once-only, may have run", NotIdempotent, DeduplicatedByFleet, Error, 10 * ms, abort},
-		{"once-only, reset", NotIdempotent, DeduplicatedByFleet, Reset, 10 * ms, abort},
-		{"once-only, cancelled", NotIdempotent, DeduplicatedByFleet, Cancelled, 10 * ms, abort},
-		{"once-only, at the connect timeout", NotIdempotent, DeduplicatedByFleet, TimedOut, 900 * ms, abort},
-		{"once-only, not run, at the connect timeout", NotIdempotent, DeduplicatedByFleet, Unreachable, 900 * ms, reject},
-		{"referenced, may have run", IdempotentByKey, DeduplicatedByFleet, Reset, 10 * ms, again},
-		{"referenced in a zone, at the connect timeout", IdempotentByKey, DeduplicatedByZone, TimedOut, 900 * ms, abort},
-		{"referenced by all, at the connect timeout", IdempotentByKey, DeduplicatedByFleet, TimedOut, 900 * ms, reject},
+		{"idempotent, error", Idempotent, DeduplicatedByFleet, Error, 10 * ms, retried},
+		{"idempotent, timed out at its own limit", Idempotent, DeduplicatedByFleet, TimedOut, 300 * ms, retried},
+		{"idempotent, at the deadline without an answer", Idempotent, DeduplicatedByFleet, TimedOut, 900 * ms, reject},
+		{"not idempotent, proved not run", NotIdempotent, DeduplicatedByFleet, Full, 10 * ms, retried},
+		{"not idempotent, unreachable", NotIdempotent, DeduplicatedByFleet, Unreachable, 10 * ms, retried},
+		{"not idempotent, never sent", NotIdempotent, DeduplicatedByFleet, NeverSent, 10 * ms, retried},
+		{"not idempotent, may have run", NotIdempotent, DeduplicatedByFleet, Error, 10 * ms, abort},
+		{"not idempotent, reset", NotIdempotent, DeduplicatedByFleet, Reset, 10 * ms, abort},
+		{"not idempotent, cancelled", NotIdempotent, DeduplicatedByFleet, Cancelled, 10 * ms, abort},
+		{"not idempotent, at the connect timeout", NotIdempotent, DeduplicatedByFleet, TimedOut, 900 * ms, abort},
+		{"not idempotent, not run, at the connect timeout", NotIdempotent, DeduplicatedByFleet, Unreachable, 900 * ms, reject},
+		{"by key, may have run", IdempotentByKey, DeduplicatedByFleet, Reset, 10 * ms, retried},
+		{"by key in a zone, at the connect timeout", IdempotentByKey, DeduplicatedByZone, TimedOut, 900 * ms, abort},
+		{"by key by all, at the connect timeout", IdempotentByKey, DeduplicatedByFleet, TimedOut, 900 * ms, reject},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := newHarness(t, c.effect, c.reach, 6)
@@ -57,7 +57,7 @@
 				s.setTime(time.Duration(i) * 10 * ms)
 				s.balancer.OnEnded("a", Error, 10*ms, false)
 				if got := s.targets["a"]; (got-1)/2 != (first-1)/2 {
-					t.Fatalf("connect to %d after one at %d may have run", got, first)
+					t.Fatalf("attempt at %d after one at %d may have run", got, first)
 				}
 			}
 			s.takeActions()
@@ -81,8 +81,8 @@
 		do   func(s *harness)
 		want string
 	}{
-		{"no server at all", func(s *harness) { s.updateList(FullUpdate, Gone, 4); s.request("a", "", sec) }, "reject a"},
-		{"connects used up", func(s *harness) {
+		{"no server", func(s *harness) { s.updateList(FullUpdate, Gone, 4); s.request("a", "", sec) }, "reject a"},
+		{"attempts used up", func(s *harness) {
 			s.balancer.flows.maxAttempts = 2
 			s.request("a", "", sec)
 			for range 2 {
@@ -90,25 +90,25 @@
 				s.balancer.OnEnded("a", Error, ms, false)
 			}
 		}, "reject a"},
-		{"the client left: nothing more, and the late end is passed over", func(s *harness) {
+		{"the client left: no answer, and a late end is ignored", func(s *harness) {
 			s.request("a", "", sec)
 			s.takeActions()
 			s.balancer.OnClientLeft("a")
 			s.balancer.OnEnded("a", Error, ms, true)
 			s.balancer.OnEnded("a", Error, ms, true)
 		}, ""},
-		{"left in the same batch as our answer", func(s *harness) {
+		{"the client left together with the answer", func(s *harness) {
 			s.updateList(FullUpdate, Gone, 4)
 			s.request("a", "", sec)
 			s.takeActions()
 			s.balancer.OnClientLeft("a")
 		}, ""},
-		{"over by the outcome", func(s *harness) {
+		{"ended with its answer", func(s *harness) {
 			s.request("a", "", sec)
 			s.takeActions()
 			s.balancer.OnEnded("a", Reset, ms, true)
 		}, ""},
-		{"ids never held", func(s *harness) {
+		{"unknown ids", func(s *harness) {
 			s.balancer.OnEnded("x", OK, ms, true)
 			s.balancer.OnEstablished("x", ms)
 			s.balancer.OnLatencySample("x", sec)
@@ -125,8 +125,8 @@
 	}
 }
 
-// A repeat of a referenced flow that is decided within its window and whose connection comes up late must not be sent on past it: its time
-// ends with the window, however much of the client's is left.
+// A repeat of a flow that is idempotent by its key must not be forwarded after the window, even if its connection comes
+// up late: its timeout ends with the window, however much time the client has left.
 func TestRepeatEndsWithItsWindow(t *testing.T) {
 	s := newHarness(t, IdempotentByKey, DeduplicatedByFleet, 4) // a window of 2 s
 	s.setTime(sec)
--- a/decide/cost_test.go
+++ b/decide/cost_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// newFullBalancer is one balancer of 8,100 that holds so many flows of so many groups before so many warm servers of 25 zones.
+// newFullBalancer returns one balancer of 8,100 that holds so many flows of so many groups, with warm servers in 25 zones.
 func newFullBalancer(t *testing.T, servers, flows, groups int) *harness {
 	s := &harness{t: t, targets: map[FlowID]ServerID{}, attemptsTo: map[ServerID]int{}}
 	s.balancer = New(7, s)
@@ -25,7 +25,7 @@
 	return s
 }
 
-// listInZones tells a whole list of so many servers in 25 zones.
+// listInZones updates the whole list with so many servers in 25 zones.
 func (s *harness) listInZones(k UpdateKind, servers int) {
 	s.balancer.BeginEndpoints(k)
 	for i := 1; i <= servers; i++ {
@@ -34,7 +34,7 @@
 	s.balancer.EndEndpoints()
 }
 
-// establishNext has one more flow of one of so many groups come and stand, a tenth of a millisecond after the last.
+// establishNext establishes one more flow of one of so many groups, a tenth of a millisecond after the last.
 func (s *harness) establishNext(i, groups int) FlowID {
 	f := FlowID(strconv.Itoa(i))
 	s.setTime(s.balancer.now + ms/10)
@@ -74,7 +74,7 @@
 	}
 }
 
-// BenchmarkTick is one tick at rest.
+// BenchmarkTick is one tick in balance.
 func BenchmarkTick(b *testing.B) {
 	for _, flows := range []int{800, 8_000, 79_012} {
 		for _, servers := range []int{60, 1000, 12800} {
--- a/decide/disabled_test.go
+++ b/decide/disabled_test.go
@@ -8,12 +8,12 @@
 	"pgregory.net/rapid"
 )
 
-// Out by hand wins over every list, whatever the order of calls and news; the model knows who may be sent what.
+// A disabled server gets no flows, whatever the list says and in whatever order calls and updates come.
 func TestDisabledWinsOverLists(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		const n = 4
 		s := newHarness(t, Idempotent, DeduplicatedByFleet, n)
-		var out [n + 1]bool
+		var disabled [n + 1]bool
 		listed := [n + 1]Readiness{0, Ready, Ready, Ready, Ready}
 		now, flows := time.Duration(0), 0
 		server := rapid.IntRange(1, n)
@@ -24,7 +24,7 @@
 				f(server.Draw(rt, "server"))
 			}
 		}
-		whole := func(left int) { // a list that leaves one out
+		listWithout := func(left int) { // a whole list that omits one server
 			s.balancer.BeginEndpoints(FullUpdate)
 			for id := 1; id <= n; id++ {
 				if listed[id] = Ready; id == left {
@@ -36,20 +36,20 @@
 			s.balancer.EndEndpoints()
 		}
 		rt.Repeat(map[string]func(*rapid.T){
-			"out":      step(func(id int) { s.balancer.SetDisabled(ServerID(id), true); out[id] = true }),
-			"back":     step(func(id int) { s.balancer.SetDisabled(ServerID(id), false); out[id] = false }),
+			"out":      step(func(id int) { s.balancer.SetDisabled(ServerID(id), true); disabled[id] = true }),
+			"back":     step(func(id int) { s.balancer.SetDisabled(ServerID(id), false); disabled[id] = false }),
 			"drains":   step(func(id int) { s.updateServer(ServerID(id), Draining, LongAgo); listed[id] = Draining }),
 			"goes":     step(func(id int) { s.updateServer(ServerID(id), Gone, LongAgo); listed[id] = Gone }),
 			"restarts": step(func(id int) { s.updateServer(ServerID(id), Ready, now); listed[id] = Ready }),
-			"whole":    step(whole),
+			"whole":    step(listWithout),
 			"lost":     step(func(int) { s.balancer.BeginEndpoints(FailedUpdate) }),
 			"flow": step(func(int) {
 				s.targets = map[FlowID]ServerID{}
 				id := FlowID(fmt.Sprint(flows))
 				flows++
 				to := s.request(id, GroupKey(fmt.Sprint(flows%3)), sec)
-				if to != 0 && (out[to] || listed[to] != Ready) {
-					rt.Fatalf("sent to %d: out by hand %v, listed %d", to, out[to], listed[to])
+				if to != 0 && (disabled[to] || listed[to] != Ready) {
+					rt.Fatalf("sent to %d: disabled %v, listed %d", to, disabled[to], listed[to])
 				}
 				if to != 0 {
 					s.balancer.OnEstablished(id, ms)
@@ -58,8 +58,8 @@
 			"": func(rt *rapid.T) {
 				for id := 1; id <= n; id++ {
 					state := s.balancer.list.byID[ServerID(id)]
-					if (state.readiness == Ready) != (!out[id] && listed[id] == Ready) {
-						rt.Fatalf("%d: state %d, out by hand %v, listed %d", id, state.readiness, out[id], listed[id])
+					if (state.readiness == Ready) != (!disabled[id] && listed[id] == Ready) {
+						rt.Fatalf("%d: state %d, disabled %v, listed %d", id, state.readiness, disabled[id], listed[id])
 					}
 				}
 			},
@@ -68,7 +68,7 @@
 }
 
 func TestDisabledServers(t *testing.T) {
-	t.Run("standing flows leave", func(t *testing.T) {
+	t.Run("established flows migrate", func(t *testing.T) {
 		s := newHarness(t, Idempotent, DeduplicatedByFleet, 3)
 		s.adopt("o", 8, "", 1)
 		s.adoptEach(2, 3)
@@ -80,23 +80,23 @@
 			moved += s.countActions("move")
 		}
 		if moved < 8 {
-			t.Errorf("%d of 8 flows were asked to move in 10 s", moved)
+			t.Errorf("%d of 8 flows were migrated in 10 s", moved)
 		}
 	})
-	t.Run("the return is cold, and health is forgotten", func(t *testing.T) {
+	t.Run("it returns in slow start, and its health is forgotten", func(t *testing.T) {
 		s := newHarness(t, Idempotent, DeduplicatedByFleet, 2)
 		s.adopt("o", 6, "", 1)
 		s.balancer.eject(s.balancer.list.byID[1])
 		s.balancer.SetDisabled(1, true)
-		s.balancer.SetDisabled(1, true) // two calls out need one back
+		s.balancer.SetDisabled(1, true) // two calls need one to enable it
 		s.setTime(5 * sec)
 		s.balancer.SetDisabled(1, false)
 		state := s.balancer.list.byID[1]
 		if w := s.balancer.capacityShare(state); w != 0.2 || state.ejected || state.openFlows != 6 {
-			t.Errorf("warmth %v, ejected %v, %d open", w, state.ejected, state.openFlows)
+			t.Errorf("capacity share %v, ejected %v, %d open", w, state.ejected, state.openFlows)
 		}
 	})
-	t.Run("all of them", func(t *testing.T) {
+	t.Run("all servers", func(t *testing.T) {
 		s := newHarness(t, Idempotent, DeduplicatedByFleet, 2)
 		s.balancer.SetDisabled(1, true)
 		s.balancer.SetDisabled(2, true)
--- a/decide/handover_test.go
+++ b/decide/handover_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Two processes are one balancer while one hands over to the other, and a cold server's budget is spent once: by the successor alone while it
-// lives, and once it is gone only as far as it grows from then on, as nobody knows what the successor had spent of it.
+// During a handover two processes are one balancer, and a slow-start budget is spent once: by the successor alone while it
+// runs, and if it ends only as far as the budget grows from then on, as what the successor spent is unknown.
 func TestSlowStartBudgetAcrossHandover(t *testing.T) {
 	offer := func(s *harness, from, to time.Duration) {
 		for at := from; at < to; at += 10 * ms {
@@ -28,10 +28,10 @@
 	alone := begin()
 	offer(alone, 2*sec, 4*sec)
 	if alone.attemptsTo[3] == 0 {
-		t.Fatal("the cold server is sent nothing in any case")
+		t.Fatal("the warming server gets nothing in any case")
 	}
 	s := begin()
-	memory := s.balancer.Snapshot()
+	snapshot := s.balancer.Snapshot()
 	s.balancer.SetHandedOver(true)
 	offer(s, 2*sec, 4*sec)
 	if s.attemptsTo[3] != 0 {
@@ -39,27 +39,28 @@
 	}
 	successor := newHarness(t, Idempotent, DeduplicatedByFleet, 3)
 	successor.setTime(2 * sec)
-	successor.balancer.Restore(memory)
+	successor.balancer.Restore(snapshot)
 	successor.adopt("a", 200, "", 1)
 	successor.adopt("b", 200, "", 2)
 	offer(successor, 2*sec, 4*sec)
-	if both := s.attemptsTo[3] + successor.attemptsTo[3]; both > alone.attemptsTo[3]+1 { // one by chance
+	if both := s.attemptsTo[3] + successor.attemptsTo[3]; both > alone.attemptsTo[3]+1 { // one by rounding
 		t.Errorf("both send %d, one process sends %d", both, alone.attemptsTo[3])
 	}
 	s.balancer.SetHandedOver(false)
 	offer(s, 4*sec, 4*sec+20*ms)
 	if s.attemptsTo[3] > 1 {
-		t.Errorf("as the successor is gone %d are sent at once", s.attemptsTo[3])
+		t.Errorf("after the end of the successor %d are sent at once", s.attemptsTo[3])
 	}
 	offer(s, 4*sec+20*ms, 6*sec)
 	if s.attemptsTo[3] == 0 {
-		t.Error("once the successor is gone nothing is sent any more")
+		t.Error("after the end of the successor nothing is sent any more")
 	}
 }
 
-// A repeat leaves time to be held up between the clock and the write: it is not sent on in the last 0.15 s of its window, nor decided then.
+// A repeat leaves time for a delay between the reading of the clock and the write: none is decided or forwarded in the last
+// 0.15 s of its window.
 func TestRepeatLeavesTimeForDelayedWrite(t *testing.T) {
-	const window, heldUp = 2 * sec, 150 * ms
+	const window, delayed = 2 * sec, 150 * ms
 	for _, left := range []time.Duration{500 * ms, 200 * ms, 160 * ms, 150 * ms, 100 * ms, ms} {
 		t.Run(left.String(), func(t *testing.T) {
 			s := newHarness(t, IdempotentByKey, DeduplicatedByFleet, 4)
@@ -69,7 +70,7 @@
 			limit := time.Duration(-1)
 			s.balancer.actions = timeoutRecorder{s, &limit}
 			s.balancer.OnEnded("a", Reset, window-left, false)
-			if room := left - heldUp; room > 0 && (limit <= 0 || limit > room) || room <= 0 && limit >= 0 {
+			if usable := left - delayed; usable > 0 && (limit <= 0 || limit > usable) || usable <= 0 && limit >= 0 {
 				t.Errorf("with %v left the repeat has %v", left, limit)
 			}
 		})
--- a/decide/harness_test.go
+++ b/decide/harness_test.go
@@ -121,7 +121,7 @@
 	}
 }
 
-func (s *harness) countActions(word string) int { return strings.Count(s.takeActions(), word) }
+func (s *harness) countActions(action string) int { return strings.Count(s.takeActions(), action) }
 
 // TestMain makes generated tests draw the same values each time.
 func TestMain(m *testing.M) {
--- a/decide/health_test.go
+++ b/decide/health_test.go
@@ -74,12 +74,12 @@
 	s.request("back", "", sec)
 	s.balancer.OnEstablished("back", ms)
 	if server := s.balancer.list.byID[1]; s.balancer.capacityShare(server) > 0.3 {
-		t.Errorf("taken for %v warm when it answers again", s.balancer.capacityShare(server))
+		t.Errorf("capacity share %v when it answers again", s.balancer.capacityShare(server))
 	}
 }
 
 // A report of a flow's load shows that its server is alive.
-func TestFlowLoadShowsLife(t *testing.T) {
+func TestFlowLoadShowsLiveness(t *testing.T) {
 	s := newHarness(t, Idempotent, DeduplicatedByFleet, 4)
 	for i := range 4 {
 		s.adopt(fmt.Sprint("o", i), 4, "", ServerID(i+1))
--- a/decide/list_test.go
+++ b/decide/list_test.go
@@ -30,11 +30,11 @@
 				s.request(FlowID(fmt.Sprint(i)), "g", sec)
 			}
 			if s.attemptsTo[1] > 0 {
-				t.Errorf("%d connects to a server told to be out of service", s.attemptsTo[1])
+				t.Errorf("%d attempts at a server that is out of service", s.attemptsTo[1])
 			}
 		})
 	}
-	t.Run("asked again after a failure", func(t *testing.T) {
+	t.Run("polled again after a failure", func(t *testing.T) {
 		s := newHarness(t, Idempotent, DeduplicatedByFleet, 2)
 		s.balancer.ConfigureEndpoints(EndpointSettings{Zone: "z0", Polled: true, MaxPollInterval: 10 * sec, MessageTarget: 100 * ms})
 		s.expect("watch true")
@@ -42,7 +42,7 @@
 		s.balancer.OnTimer(listTimer)
 		s.expect("watch true")
 	})
-	t.Run("a restart in place leaves no ghost tally", func(t *testing.T) {
+	t.Run("a restart in place clears the tallies", func(t *testing.T) {
 		s := newHarness(t, Idempotent, DeduplicatedByFleet, 2)
 		s.adopt("o", 5, "g", 1)
 		s.setTime(sec)
@@ -55,7 +55,7 @@
 			t.Errorf("open %d, groups %v, held %d after the restart", server.openFlows, server.groupTallies, s.balancer.tallies.pairs)
 		}
 	})
-	t.Run("a lease that nobody confirms lapses", func(t *testing.T) {
+	t.Run("a lease that is never confirmed expires", func(t *testing.T) {
 		s := newHarness(t, Idempotent, DeduplicatedByFleet, 1)
 		s.request("a", "g", sec)
 		s.setTime(12 * sec)
@@ -66,12 +66,12 @@
 	})
 }
 
-// However many calls for the list failed, whatever has changed is acted on 6 s after discovery has it: a call under way misses it, and may
-// wait for 2 s to be told so, then come the gap and the next call.
+// However many polls of the list failed, a change is known within 6 s: a poll under way may miss it and take 2 s to fail,
+// then come the backoff and the next poll.
 func TestPollBackoff(t *testing.T) {
-	const call, told = 2 * sec, 6 * sec
+	const call, knownWithin = 2 * sec, 6 * sec
 	for _, within := range []time.Duration{2 * sec, 10 * sec, 60 * sec} {
-		least, most := told, time.Duration(0)
+		least, most := knownWithin, time.Duration(0)
 		for seed := range uint64(50) {
 			s := newHarness(t, Idempotent, DeduplicatedByFleet, 2)
 			s.balancer.ConfigureEndpoints(EndpointSettings{Zone: "z0", Polled: true, MaxPollInterval: within, MessageTarget: 100 * ms})
@@ -82,11 +82,11 @@
 			}
 			least, most = min(least, s.timers[listTimer]), max(most, s.timers[listTimer])
 		}
-		if most > told-2*call {
-			t.Errorf("asked within %v: a gap of %v", within, most)
+		if most > knownWithin-2*call {
+			t.Errorf("polled within %v: a backoff of %v", within, most)
 		}
 		if most-least < most/3 {
-			t.Errorf("asked within %v: all gaps lie between %v and %v, so that all ask in step", within, least, most)
+			t.Errorf("polled within %v: all backoffs lie between %v and %v, so that balancers poll in step", within, least, most)
 		}
 	}
 }
--- a/decide/longlist_test.go
+++ b/decide/longlist_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// The cost of placing one flow, in looks at servers, grows by less than three times from 60 servers to 12,800.
+// The cost of placing one flow, in looks at servers, grows less than threefold from 60 servers to 12,800.
 func TestPlacementCostIsBounded(t *testing.T) {
 	looks := func(servers int) int {
 		s := newFullBalancer(t, servers, 2000, 1500)
@@ -27,7 +27,7 @@
 	}
 }
 
-// At rest a round of rechecks takes its 5 s however many flows there are, as nearly none needs a look at servers.
+// In balance a round of rechecks takes its 5 s however many flows there are, as few need a look at servers.
 func TestRecheckRoundIsComplete(t *testing.T) {
 	for _, c := range []struct{ servers, flows int }{{60, 800}, {60, 20_000}, {1000, 40_000}} {
 		t.Run(fmt.Sprintf("%d servers, %d flows", c.servers, c.flows), func(t *testing.T) {
@@ -52,7 +52,7 @@
 	}
 }
 
-// However many flows would win elsewhere, a tick makes no more than its rechecks.
+// However many flows would cost less elsewhere, the rechecks of a tick are bounded.
 func TestRechecksOfATickAreBounded(t *testing.T) {
 	s := newFullBalancer(t, 200, 0, 1)
 	s.adopt("f", 6000, "", 1) // all on one server
@@ -63,58 +63,58 @@
 	}
 }
 
-// Balancers of which one has not heard of the last change yet agree on the homes of nearly all groups, and homes are
+// Balancers of which one does not know the last change yet agree on the preferred servers of nearly all groups, which are
 // spread evenly.
 func TestPreferredServersAgree(t *testing.T) {
 	const servers, groups = 1000, 20_000
 	one, other := newFullBalancer(t, servers, 0, 1), newFullBalancer(t, servers, 0, 1)
 	other.updateServer(17, Gone, LongAgo)
 	other.updateServer(servers+1, Ready, LongAgo)
-	differ, homes := 0, map[ServerID]int{}
+	differ, groupsOf := 0, map[ServerID]int{}
 	for i := range groups {
 		f := &flow{group: GroupKey(strconv.Itoa(i))}
 		a, b := one.balancer.compare(f, one.balancer.list.ready).preferred, other.balancer.compare(f, other.balancer.list.ready).preferred
 		if a == nil || b == nil {
-			t.Fatalf("group %d has no home", i)
+			t.Fatalf("group %d has no preferred server", i)
 		}
-		homes[a.id]++
+		groupsOf[a.id]++
 		if a.id != b.id {
 			differ++
 		}
 	}
 	if most := groups / 200; differ > most { // two servers of 1,000, and a little more
-		t.Errorf("homes of %d of %d groups differ, want %d at the most", differ, groups, most)
+		t.Errorf("preferred servers of %d of %d groups differ, want %d at the most", differ, groups, most)
 	}
 	most := 0
-	for _, n := range homes {
+	for _, n := range groupsOf {
 		most = max(most, n)
 	}
-	if mean := float64(groups) / servers; float64(most) > 2.2*mean || len(homes) < servers*99/100 {
-		t.Errorf("%d servers are home to %g groups on average, one to %d", len(homes), mean, most)
+	if mean := float64(groups) / servers; float64(most) > 2.2*mean || len(groupsOf) < servers*99/100 {
+		t.Errorf("%d servers are preferred by %g groups on average, one by %d", len(groupsOf), mean, most)
 	}
-	t.Logf("%d of %d homes differ; of %d homes the most on one are %d", differ, groups, len(homes), most)
+	t.Logf("%d of %d groups differ; of %d servers one is preferred by %d groups", differ, groups, len(groupsOf), most)
 }
 
-// Where nearly all servers of a long list are in trouble, flows still find one that is not.
+// Where nearly all servers of a long list have faults, flows still find one that has none.
 func TestFewHealthyServersOfLongList(t *testing.T) {
 	const servers, good = 1000, 7
-	trouble := map[string]func(b *Balancer, server *serverState){
+	faults := map[string]func(b *Balancer, server *serverState){
 		"silent":  func(b *Balancer, server *serverState) { server.unreachableInRow = 2; b.eject(server) },
 		"ejected": func(b *Balancer, server *serverState) { b.eject(server) },
 		"late":    func(b *Balancer, server *serverState) { server.latency, server.latencyAt = sec, b.now },
 		"full":    func(b *Balancer, server *serverState) { server.limit.reduce(0, b.now) },
-		"cold": func(b *Balancer, server *serverState) {
+		"warming up": func(b *Balancer, server *serverState) {
 			server.startedAt, server.budgetAt, server.budgetDue = b.now, b.now, 0
 		},
 		"not listed": func(b *Balancer, server *serverState) { b.setReadiness(server, Gone) },
 	}
-	for name, befall := range trouble {
+	for name, cause := range faults {
 		t.Run(name, func(t *testing.T) {
 			s := newFullBalancer(t, servers, 0, 1)
 			s.setTime(sec)
 			for _, server := range s.balancer.list.all {
 				if server.id != good {
-					befall(s.balancer, server)
+					cause(s.balancer, server)
 				}
 			}
 			s.balancer.rebuildList()
@@ -128,7 +128,7 @@
 	}
 }
 
-// A repeat that only a server of the same zone or cell would drop goes there or nowhere, however long the list.
+// A repeat that only servers of the same zone or cell would drop goes there or nowhere, however long the list.
 func TestRepeatsStayInDeduplicationScope(t *testing.T) {
 	for reach, same := range map[DeduplicationScope]func(a, b *serverState) bool{
 		DeduplicatedByZone: func(a, b *serverState) bool { return a.zone == b.zone },
@@ -138,21 +138,21 @@
 		s.balancer.services[0].Effect, s.balancer.services[0].Deduplication = IdempotentByKey, reach
 		for i := range 50 {
 			f := FlowID(strconv.Itoa(i))
-			for k := range 3 { // or all would seem to fail, and no repeat be made
+			for k := range 3 { // else all set-ups would seem to fail, and nothing would be repeated
 				s.establishNext(1000*(i+1)+k, 1)
 			}
 			first := s.balancer.list.byID[s.request(f, "", sec)]
 			s.balancer.OnEnded(f, Error, ms, false)
-			again := s.balancer.list.byID[s.targets[f]]
-			if first == again || !same(first, again) {
-				t.Errorf("reach %d: first to %d, then to %d", reach, first.id, again.id)
+			next := s.balancer.list.byID[s.targets[f]]
+			if first == next || !same(first, next) {
+				t.Errorf("reach %d: first to %d, then to %d", reach, first.id, next.id)
 			}
 			s.balancer.OnEstablished(f, ms)
 		}
 	}
 }
 
-// A group that is half of all connections is spread as far as its servers bear it, and no further than that.
+// A group that is half of all connections is spread as far as its load requires, and no further.
 func TestGroupOfHalfOfAllFlows(t *testing.T) {
 	const servers, flows = 500, 10_000
 	s := newFullBalancer(t, servers, 0, 1)
@@ -164,7 +164,7 @@
 		f := FlowID(strconv.Itoa(i))
 		s.setTime(s.balancer.now + ms)
 		if s.request(f, group, sec) == 0 {
-			t.Fatalf("flow %d was turned away", i)
+			t.Fatalf("flow %d was rejected", i)
 		}
 		s.balancer.OnEstablished(f, ms)
 	}
@@ -179,7 +179,7 @@
 	t.Logf("%d flows on the fullest of %d servers, %d hold the group", most, servers, holders)
 }
 
-// A list replaced whole leaves no flow without a server to go to: those that stand are moved to the new ones.
+// A list that is replaced completely leaves no flow without a server: established ones migrate to the new servers.
 func TestListReplacedCompletely(t *testing.T) {
 	const servers, flows = 400, 2000
 	s := newFullBalancer(t, servers, flows, 500)
@@ -195,14 +195,14 @@
 		moved += s.countActions("move")
 	}
 	if moved != flows {
-		t.Errorf("%d of %d flows were asked to move", moved, flows)
+		t.Errorf("%d of %d flows were migrated", moved, flows)
 	}
 	if to := s.request("next", "g", sec); to <= servers {
 		t.Errorf("a flow went to %d, which is gone", to)
 	}
 }
 
-// From nothing to many flows within a minute: each is placed at once, and servers are used evenly.
+// From no flows to many within a minute: each is placed at once, and servers are used evenly.
 func TestManyFlowsWithinMinute(t *testing.T) {
 	const servers, flows = 1000, 40_000
 	s := newFullBalancer(t, servers, 0, 1)
@@ -210,7 +210,7 @@
 		s.setTime(time.Duration(i) * time.Minute / flows)
 		f := FlowID(strconv.Itoa(i))
 		if s.request(f, GroupKey(strconv.Itoa(i%30_000)), sec) == 0 {
-			t.Fatalf("flow %d was turned away", i)
+			t.Fatalf("flow %d was rejected", i)
 		}
 		s.balancer.OnEstablished(f, 5*ms)
 		if i%150 == 0 {
--- a/decide/placement.go
+++ b/decide/placement.go
@@ -38,15 +38,15 @@
 
 // comparison is what one placement or recheck compares servers with.
 type comparison struct {
-	candidates        []*serverState
-	preferredCount    int            // so many of the candidates, the first, may be preferred
-	holders           []*serverState // of the group, at this balancer
-	meanOpen          float64        // open flows of this balancer per unit of size
-	meanWithFlow      float64        // the same with the flow in hand
-	meanLoad          float64        // over capacity, of servers that report it
-	hasRoomBelowGuard bool           // some server is below the guard
-	groupHasRoom      bool           // such a server holds the group
-	preferred         *serverState   // by rendezvous hashing; nil: none
+	candidates       []*serverState
+	preferredCount   int            // so many of the candidates, the first, may be preferred
+	holders          []*serverState // of the group, at this balancer
+	meanOpen         float64        // open flows of this balancer per unit of size
+	meanWithFlow     float64        // the same with the flow in hand
+	meanLoad         float64        // over capacity, of servers that report it
+	someBelowGuard   bool           // some server is below the guard
+	holderBelowGuard bool           // such a server holds the group
+	preferred        *serverState   // by rendezvous hashing; nil: none
 }
 
 // groupFlows is how many flows of the group the server holds.
@@ -202,8 +202,8 @@
 			continue
 		}
 		wasOverloaded := server.overloadedAt > 0 && b.now-server.overloadedAt < recentOverload
-		c.hasRoomBelowGuard = true
-		c.groupHasRoom = c.groupHasRoom || c.groupFlows(server, f.group) > 0 && !wasOverloaded
+		c.someBelowGuard = true
+		c.holderBelowGuard = c.holderBelowGuard || c.groupFlows(server, f.group) > 0 && !wasOverloaded
 		if i >= c.preferredCount || f.group == "" {
 			continue
 		}
@@ -212,7 +212,7 @@
 			highest = weight
 		}
 	}
-	if c.groupHasRoom && c.meanLoad == 0 {
+	if c.holderBelowGuard && c.meanLoad == 0 {
 		c.preferred = nil
 	}
 	return c
@@ -287,7 +287,7 @@
 		group--
 	}
 	cost := loadWeight * b.load(server, open, against)
-	mayGroup := !b.isAboveGuard(server, open, held, against) || !against.hasRoomBelowGuard
+	mayGroup := !b.isAboveGuard(server, open, held, against) || !against.someBelowGuard
 	if f.group != "" && mayGroup && (group > 0 || server == against.preferred) {
 		cost -= groupingWeight
 	} else if f.group != "" {
--- a/decide/recorded_test.go
+++ b/decide/recorded_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// recording is a made day that answers what the decisions do: connects come up, fail or hang by the state of their
-// server, servers are late, drain, restart and vanish, and timers go off as asked for.
+// recording is a simulated run that answers the actions: attempts succeed, fail or time out by their server, servers are
+// late, drain, restart and vanish, and timers fire.
 type recording struct {
 	*harness
 	rand        *rand.Rand
@@ -24,13 +24,13 @@
 	hash        []byte
 }
 
-// pending is something that happens to a flow at a time.
+// pending is an event at a time.
 type pending struct {
 	at    time.Duration
 	event func()
 }
 
-// recordedDay is what a recording is made of.
+// recordedDay is the parameters of a recording.
 type recordedDay struct {
 	seed                 uint64
 	servers, balancers   int
@@ -71,10 +71,10 @@
 		if step%5 == 0 {
 			r.balancer.OnTimer(tickTimer)
 		}
-		for _, mark := range []TimerID{listTimer, queueTimer} {
-			if wait, asked := r.timers[mark]; asked && wait <= 50*ms {
-				delete(r.timers, mark)
-				r.balancer.OnTimer(mark)
+		for _, timer := range []TimerID{listTimer, queueTimer} {
+			if wait, isSet := r.timers[timer]; isSet && wait <= 50*ms {
+				delete(r.timers, timer)
+				r.balancer.OnTimer(timer)
 			}
 		}
 		r.simulateReplies(day)
@@ -96,7 +96,7 @@
 	r.balancer.OnFlow(FlowRequest{ID: FlowID(strconv.Itoa(r.flows)), Customer: customer, Group: group, Timeout: 900 * ms})
 }
 
-// injectFaults changes the list now and then, and has servers late.
+// injectFaults changes the list now and then, makes servers late and ends flows.
 func (r *recording) injectFaults() {
 	id := ServerID(1 + r.rand.IntN(r.servers))
 	switch r.rand.IntN(60) {
@@ -125,7 +125,7 @@
 	}
 }
 
-// end is the end of a standing flow.
+// end ends an established flow.
 func (r *recording) end(f FlowID, o Outcome) {
 	for i, other := range r.established {
 		if other == f {
@@ -137,7 +137,7 @@
 	}
 }
 
-// runDue has what is due happen, in the order in which it was asked for.
+// runDue runs the events that are due, in the order in which they were scheduled.
 func (r *recording) runDue() {
 	due := r.due
 	r.due = nil
@@ -150,7 +150,7 @@
 	}
 }
 
-// simulateReplies has the world answer the actions since the last call, and takes them into the hash.
+// simulateReplies schedules the results of the actions since the last call, and adds the actions to the hash.
 func (r *recording) simulateReplies(day recordedDay) {
 	for _, line := range r.performed {
 		r.hash = fmt.Appendf(r.hash, "%d %s\n", r.now, line)
@@ -168,7 +168,8 @@
 	r.performed = r.performed[:0]
 }
 
-// simulateConnect says how a connect ends: one server in eleven turns away, one in thirteen hangs, one in seventeen fails.
+// simulateConnect schedules the end of an attempt: one server in eleven rejects, one in thirteen times out, one in
+// seventeen fails.
 func (r *recording) simulateConnect(day recordedDay, f FlowID, to ServerID) {
 	took := time.Duration(5+r.rand.IntN(60)) * ms
 	end := func(o Outcome) func() { return func() { r.balancer.OnEnded(f, o, took, false) } }
@@ -181,18 +182,17 @@
 	case bad && to%17 == 7:
 		r.due = append(r.due, pending{r.now + took, end(Error)})
 	default:
-		life := time.Duration(r.rand.Int64N(int64(2 * day.lifetime)))
+		lifetime := time.Duration(r.rand.Int64N(int64(2 * day.lifetime)))
 		r.due = append(r.due, pending{r.now + took, func() {
 			r.balancer.OnEstablished(f, took)
 			r.connections[f] = to
 			r.established = append(r.established, f)
-		}}, pending{r.now + took + life, func() { r.end(f, OK) }})
+		}}, pending{r.now + took + lifetime, func() { r.end(f, OK) }})
 	}
 }
 
-// The hashes are of what the decisions did while each looked at all servers and each recheck was made. A list up to
-// wholeList is decided the same, byte for byte: rechecks that are left out could not have moved anything.
-// The second was taken anew with the trial that goes out after 3 s of turning all away: without it that day hashes as it did.
+// The hashes are of all actions of decisions that look at every server and make every recheck. With lists up to
+// fullScanServers the actions are the same, byte for byte: rechecks that are skipped could not have migrated anything.
 func TestShortListsMatchRecordedDays(t *testing.T) {
 	did := map[string]int{}
 	for _, c := range []struct {
@@ -211,23 +211,23 @@
 		t.Run(fmt.Sprintf("%d servers, seed %d", c.day.servers, c.day.seed), func(t *testing.T) {
 			r := record(t, c.day)
 			if r.flows < 100 || len(r.hash) < 1000 {
-				t.Fatalf("%d flows, %d bytes of actions: the recording does not reach the decisions", r.flows, len(r.hash))
+				t.Fatalf("%d flows, %d bytes of actions: the recording hardly exercises the decisions", r.flows, len(r.hash))
 			}
 			for _, word := range recordedActions {
 				did[word] += bytes.Count(r.hash, []byte(" "+word+" "))
 			}
 			if got := fmt.Sprintf("%x", sha256.Sum256(r.hash))[:32]; got != c.want {
-				t.Errorf("actions hash to %s, before to %s", got, c.want)
+				t.Errorf("actions hash to %s, recorded %s", got, c.want)
 			}
 		})
 	}
 	for _, word := range recordedActions {
 		if did[word] < 50 {
-			t.Errorf("%d times %q in all days: the recordings do not reach that decision", did[word], word)
+			t.Errorf("%d times %q in all days: the recordings hardly exercise that decision", did[word], word)
 		}
 	}
 	t.Logf("actions of all days: %v", did)
 }
 
-// recordedActions are those that the recordings must show.
+// recordedActions are the actions that the recordings must contain.
 var recordedActions = []string{"connect", "reject", "abort", "move", "probe"}
--- a/decide/reports_test.go
+++ b/decide/reports_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// newReportingFleet is one of many balancers before a fleet whose servers told their loads a second ago.
+// newReportingFleet is one of many balancers, with servers that reported their loads a second ago.
 func newReportingFleet(t *testing.T, loads ...float64) *harness {
 	s := newHarness(t, Idempotent, DeduplicatedByFleet, 0)
 	s.balancer.ConfigureSlowStart(slowStartRule(50))
@@ -25,29 +25,29 @@
 	return s
 }
 
-// Where a flow goes by what servers tell of themselves: own flows say next to nothing where many balancers share each.
+// Load reports decide the placement where many balancers share each server, as a balancer's own flows say little there.
 func TestPlacementByReportedLoad(t *testing.T) {
-	home := newReportingFleet(t, 0.3, 0.3, 0.3, 0.3).request("a", "g", sec)
+	preferred := newReportingFleet(t, 0.3, 0.3, 0.3, 0.3).request("a", "g", sec)
 	at := func(load, others float64) []float64 {
 		loads := []float64{others, others, others, others}
-		loads[home-1] = load
+		loads[preferred-1] = load
 		return loads
 	}
 	second := newReportingFleet(t, at(0.8, 0.3)...).request("a", "g", sec)
 	for _, c := range []struct {
 		name      string
 		loads     []float64
-		held      ServerID // where an own flow of the group stands
+		held      ServerID // a server that holds a flow of the group
 		after     time.Duration
 		group     GroupKey
 		to, never ServerID
 	}{
-		{"an own flow is no load beside what is told", []float64{0.9, 0.1}, 2, 0, "", 2, 0},
-		{"an old report says nothing", []float64{0.9, 0.1}, 2, loadReportMaxAge, "", 1, 0},
-		{"the home takes its group although others stand lower", at(0.65, 0.3), 0, 0, "g", home, 0},
-		{"a home past the guard overflows", at(0.8, 0.3), 0, 0, "g", second, home},
-		{"the home counts beside own tallies", at(0.2, 0.5), home%4 + 1, 0, "g", home, 0},
-		{"the own zone keeps its flows while it has room", []float64{0.3, 0.9, 0.25, 0.9}, 0, 0, "", 1, 0},
+		{"an own flow counts for nothing beside load reports", []float64{0.9, 0.1}, 2, 0, "", 2, 0},
+		{"an old report does not count", []float64{0.9, 0.1}, 2, loadReportMaxAge, "", 1, 0},
+		{"the preferred server gets its group although others have less load", at(0.65, 0.3), 0, 0, "g", preferred, 0},
+		{"a preferred server above the guard gets nothing", at(0.8, 0.3), 0, 0, "g", second, preferred},
+		{"the preferred server counts beside the tallies", at(0.2, 0.5), preferred%4 + 1, 0, "g", preferred, 0},
+		{"the own zone keeps its flows while it has capacity", []float64{0.3, 0.9, 0.25, 0.9}, 0, 0, "", 1, 0},
 		{"and spills when it is full", []float64{0.9, 0.9, 0.2, 0.9}, 0, 0, "", 3, 0},
 		{"a single zone costs nothing", []float64{0.3, 0.25}, 0, 0, "", 2, 0},
 	} {
@@ -66,13 +66,13 @@
 	s.updateServer(2, Ready, 19*sec)
 	s.balancer.OnLoadReport(2, 0)
 	if _, ok := s.balancer.reportedLoad(s.balancer.list.byID[2]); ok {
-		t.Error("a cold server's nought is taken for its word")
+		t.Error("the load report of a warming server counts")
 	}
 }
 
 func TestReactionToReportedLoad(t *testing.T) {
 	for other, most := range map[float64]int{0.1: 7, 1.6: 0} {
-		t.Run(fmt.Sprintf("past 1 a part of the flows leaves, with the other at %v at most %d", other, most), func(t *testing.T) {
+		t.Run(fmt.Sprintf("above 1 a part of the flows migrates, with the other server at %v at most %d", other, most), func(t *testing.T) {
 			s := newReportingFleet(t, 0.6, other)
 			s.adopt("o", 10, "", 1)
 			s.balancer.OnLoadReport(1, 1.5)
@@ -82,7 +82,7 @@
 		})
 	}
 	for load, want := range map[float64]string{0.3: "connect", 0.95: "reject"} {
-		t.Run(fmt.Sprintf("a limit from a late note, the server tells %v: %s", load, want), func(t *testing.T) {
+		t.Run(fmt.Sprintf("a limit from a late message, the server reports %v: %s", load, want), func(t *testing.T) {
 			s := newReportingFleet(t, load)
 			s.adopt("o", 2, "", 1)
 			s.balancer.reduceLimit(s.balancer.list.byID[1])
@@ -94,7 +94,7 @@
 	}
 }
 
-// Probes cost their server work and the balancer a price: they follow new flows, and no two balancers probe in step.
+// Health checks cost their server work: they follow new flows, and no two balancers check in step.
 func TestHealthChecksAreSpread(t *testing.T) {
 	run := func(seed uint64, flows int, d time.Duration) (probes []string) {
 		s := newHarness(t, Idempotent, DeduplicatedByFleet, 0)
@@ -120,10 +120,10 @@
 	}
 	first, other := run(1, 0, 2*sec), run(2, 0, 2*sec)
 	if n := len(slices.Compact(slices.Sorted(slices.Values(first)))); n != 12 {
-		t.Errorf("%d of 12 servers probed at first", n)
+		t.Errorf("%d of 12 servers checked at first", n)
 	}
 	if fmt.Sprint(first) == fmt.Sprint(other) {
-		t.Errorf("two balancers probe alike: %v", first)
+		t.Errorf("two balancers check alike: %v", first)
 	}
 	idle, busy, flooded := len(run(1, 0, 30*sec)), len(run(1, 1, 30*sec)), len(run(1, 40, 30*sec))
 	if idle > 40 || busy < 2*idle || flooded > 121*4 {
@@ -131,7 +131,7 @@
 	}
 }
 
-// countHealthChecks is what one of so many balancers before 80 servers asks in the time, which holds so many flows all the while.
+// countHealthChecks is how many checks of 80 servers one of so many balancers, which holds so many flows, makes.
 func countHealthChecks(t *testing.T, peers, flows int, d time.Duration) int {
 	s := newHarness(t, Idempotent, DeduplicatedByFleet, 0)
 	s.balancer.ConfigureSlowStart(slowStartRule(peers))
@@ -149,7 +149,7 @@
 	return s.countActions("probe")
 }
 
-// What a fleet asks grows with the flows that it holds and not with balancers times servers; who holds many asks as ever.
+// Health checks grow with the flows held and not with balancers times servers.
 func TestHealthChecksFollowFlowsHeld(t *testing.T) {
 	for _, c := range []struct{ peers, flows, least, most int }{
 		{1, 0, 230, 245}, // all at the list, and a round in 15 s
@@ -164,22 +164,22 @@
 	}
 }
 
-// checkOrderByWalk are the servers that a tick asked before it made one selection: a walk over all of them for each, which takes the
-// one that was asked longest ago, sooner where flows are.
+// checkOrderByWalk is the plain form of the order of checks: for each check a walk over all servers, for the one whose
+// last check is oldest by age, which counts double where flows are open.
 func checkOrderByWalk(b *Balancer, n int) (probes []string) {
-	askedAt := map[ServerID]time.Duration{}
+	checkedAt := map[ServerID]time.Duration{}
 	for _, server := range b.list.ready {
-		askedAt[server.id] = server.healthCheckedAt
+		checkedAt[server.id] = server.healthCheckedAt
 	}
 	for range n {
 		var next *serverState
 		longest := -1.0
 		for _, server := range b.list.ready {
-			if age := (b.now - askedAt[server.id]).Seconds() * (1 + float64(min(server.openFlows, 1))); age > longest {
+			if age := (b.now - checkedAt[server.id]).Seconds() * (1 + float64(min(server.openFlows, 1))); age > longest {
 				next, longest = server, age
 			}
 		}
-		askedAt[next.id] = b.now
+		checkedAt[next.id] = b.now
 		probes = append(probes, fmt.Sprint("probe ", next.id))
 	}
 	return probes
@@ -202,10 +202,10 @@
 		most = max(most, len(s.performed))
 		want := strings.Join(before[:len(s.performed)], ", ")
 		if got := s.takeActions(); got != want {
-			rt.Errorf("asked %q, a walk for each %q", got, want)
+			rt.Errorf("checked %q, a walk for each %q", got, want)
 		}
 	})
 	if most < 5 {
-		t.Errorf("at most %d probes in one tick: the order of few was seen", most)
+		t.Errorf("at most %d checks in one tick: the order was hardly checked", most)
 	}
 }
--- a/decide/size_test.go
+++ b/decide/size_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// countingConstraints counts what is asked of other deciders: for each server that a decision looks at, once a look.
+// countingConstraints constrain nothing, and count how often decisions look at a server.
 type countingConstraints struct{ looks int }
 
 func (a *countingConstraints) ServerCost(FlowID, ServerID) (float64, bool)        { a.looks++; return 0, true }
@@ -16,7 +16,7 @@
 func (a *countingConstraints) AllowMigration(FlowID) bool                         { return true }
 func (a *countingConstraints) MigrateFirst() []FlowID                             { return nil }
 
-// newLargeFleet is one of 1,024 balancers before so many servers, which holds so many flows.
+// newLargeFleet returns one of 1,024 balancers, with so many servers and flows.
 func newLargeFleet(t *testing.T, servers, flows int) *harness {
 	s := newHarness(t, Idempotent, DeduplicatedByFleet, servers)
 	s.balancer.ConfigureSlowStart(slowStartRule(1024))
@@ -26,7 +26,7 @@
 	return s
 }
 
-// establishNumber has one more flow stand.
+// establishNumber establishes one more flow.
 func (s *harness) establishNumber(i int) FlowID {
 	f := FlowID(strconv.Itoa(i))
 	s.setTime(time.Duration(i) * ms)
@@ -36,7 +36,7 @@
 	return f
 }
 
-// A decision looks at each server a few times, and at none again for each of the others.
+// The cost of a decision grows no faster than the list.
 func TestDecisionCostGrowsWithList(t *testing.T) {
 	looks := func(servers int) int {
 		s := newLargeFleet(t, servers, servers)
@@ -55,7 +55,8 @@
 	t.Logf("%d looks at 64 servers, %d at 1,024", few, all)
 }
 
-// BenchmarkSize is one flow from its coming to its end, and one tick, at one of 1,024 balancers that holds 200 flows, by the number of servers.
+// BenchmarkSize is one flow from its arrival to its end, and one tick, at one of 1,024 balancers that holds 200 flows, by
+// the number of servers.
 func BenchmarkSize(b *testing.B) {
 	const flows = 200
 	for _, servers := range []int{64, 256, 1024} {
--- a/decide/warmup_test.go
+++ b/decide/warmup_test.go
@@ -11,7 +11,7 @@
 	for _, c := range []struct {
 		name     string
 		from, to time.Duration
-		most     int // 3 times the mean, here 20 and what came, times the warmth so far, by the end
+		most     int // 3 times the mean, here 20 and new flows, times the capacity share so far, by the end
 	}{
 		{"burst at the start", 0, 1500 * ms, 3},
 		{"half warm", 9 * sec, 11 * sec, 50},
@@ -46,7 +46,7 @@
 		s.balancer.OnEstablished(id, ms)
 	}
 	// A window of 1.5 s at three times a mean that rises from 140, and one flow by chance; all since the
-	// start is 100. Six windows pushed a server of cardiff-live over (hbf31a5): three balancers spent them at once.
+	// start is 100. Six windows of three balancers, spent at once, would overload a server.
 	if s.attemptsTo[3] < 5 || s.attemptsTo[3] > 14 {
 		t.Errorf("%d connects", s.attemptsTo[3])
 	}
@@ -97,7 +97,7 @@
 		}
 		sent[i] = s.attemptsTo[3]
 	}
-	// The whole mean of 3 to 35, or 300 each: a server, of the two before the third came.
+	// The whole mean of 3 to 35, or 300 for each of the two servers before the third.
 	if sent[0] > 10 || sent[1] < 3*sent[0] || sent[1] > 60 {
 		t.Errorf("%d connects with no shares, %d with", sent[0], sent[1])
 	}
@@ -145,22 +145,22 @@
 		}
 		sent += s.attemptsTo[10]
 	}
-	// A full server holds 200 * 3 / 10 and what came since; its warmth is 0.4 by then.
+	// A full server holds 200 * 3 / 10 and the new flows; its capacity share is 0.4 by then.
 	if sent < 3 || sent > 60 {
 		t.Errorf("%d connects", sent)
 	}
 }
 
-// What a flow took of a cold server's budget is given back once if nothing of it came there, whether its client went or it goes elsewhere; and
-// is not if anything did.
+// What a flow took of a slow-start budget is refunded once if nothing of it reached the server, whether its client left or
+// it goes elsewhere, and is not if anything did.
 func TestBudgetOfUnsentAttemptIsRefunded(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		end  func(b *Balancer)
 		back bool
 	}{
-		{"the client went before the pick", func(b *Balancer) { b.OnClientLeft("a"); b.OnEnded("a", NeverSent, 0, true) }, true},
-		{"the client went while the connect was out", func(b *Balancer) {
+		{"the client left before the placement", func(b *Balancer) { b.OnClientLeft("a"); b.OnEnded("a", NeverSent, 0, true) }, true},
+		{"the client left during the attempt", func(b *Balancer) {
 			b.OnClientLeft("a")
 			b.OnEnded("a", NeverSent, ms, true)
 			b.OnEnded("a", NeverSent, ms, true)
@@ -168,7 +168,7 @@
 		{"the server drains", func(b *Balancer) { b.OnEnded("a", NeverSent, ms, false) }, true},
 		{"nobody there", func(b *Balancer) { b.OnEnded("a", Unreachable, ms, false) }, false},
 		{"full", func(b *Balancer) { b.OnEnded("a", Full, ms, false) }, false},
-		{"the client went, the line did too", func(b *Balancer) { b.OnClientLeft("a"); b.OnEnded("a", Cancelled, ms, true) }, false},
+		{"the client left, the connection was opened", func(b *Balancer) { b.OnClientLeft("a"); b.OnEnded("a", Cancelled, ms, true) }, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := newHarness(t, NotIdempotent, DeduplicatedByFleet, 1)
