--- a/constraints/actions.go
+++ b/constraints/actions.go
@@ -6,47 +6,46 @@
 	"yardwinch/decide"
 )
 
-// actions is what decide does, past the deciders; see decide.Act.
-type actions struct{ *ConstrainedBalancer }
-
-const triesKept = 8 // of one flow
-
-func (h actions) Connect(f decide.FlowID, s decide.ServerID, limit time.Duration) {
-	if l := h.flows[f]; l != nil {
-		l.server, l.out = s, true
-		if len(l.note.Attempts) < triesKept {
-			l.note.Attempts = append(l.note.Attempts, Attempt{Server: s, Zone: h.zones[s], At: h.now.Seconds()})
-		}
+// observedActions implements decide.Actions: it records each action, and passes it to the constraints and on.
+type observedActions struct{ *ConstrainedBalancer }
+
+func (a observedActions) Connect(id decide.FlowID, server decide.ServerID, timeout time.Duration) {
+	if flow := a.flows[id]; flow != nil {
+		flow.server = server
+		flow.isOutstanding = true
+		flow.explanation.addAttempt(Attempt{Server: server, Zone: a.zones[server], At: a.now.Seconds()})
 	}
-	for _, d := range h.deciders {
-		d.OnAttempt(f, s)
+	for _, constraint := range a.constraints {
+		constraint.OnAttempt(id, server)
 	}
-	h.act.Connect(f, s, limit)
+	a.actions.Connect(id, server, timeout)
 }
 
-func (h actions) Reject(f decide.FlowID, after time.Duration) {
-	h.act.Reject(f, after)
-	h.answered(f, "rejected")
+func (a observedActions) Reject(id decide.FlowID, after time.Duration) {
+	a.actions.Reject(id, after)
+	a.recordAnswer(id, answeredRejected)
 }
 
-func (h actions) Abort(f decide.FlowID) {
-	h.act.Abort(f)
-	h.answered(f, "aborted")
+func (a observedActions) Abort(id decide.FlowID) {
+	a.actions.Abort(id)
+	a.recordAnswer(id, answeredAborted)
 }
 
-func (h actions) Migrate(f decide.FlowID) {
-	if l := h.flows[f]; l != nil {
-		l.note.Migrated = true
+func (a observedActions) Migrate(id decide.FlowID) {
+	if flow := a.flows[id]; flow != nil {
+		flow.explanation.Migrated = true
 	}
-	for _, d := range h.deciders {
-		d.OnMigration(f)
+	for _, constraint := range a.constraints {
+		constraint.OnMigration(id)
 	}
-	h.act.Migrate(f)
+	a.actions.Migrate(id)
 }
 
-func (h actions) Cancel(f decide.FlowID, n int)                  { h.act.Cancel(f, n) }
-func (h actions) HealthCheck(s decide.ServerID)                  { h.act.HealthCheck(s) }
-func (h actions) SetTimer(m decide.TimerID, after time.Duration) { h.act.SetTimer(m, after) }
-func (h actions) WatchEndpoints(on bool)                         { h.act.WatchEndpoints(on) }
-func (h actions) FetchEndpoints()                                { h.act.FetchEndpoints() }
-func (h actions) Log(s string)                                   { h.act.Log(s) }
+func (a observedActions) Cancel(id decide.FlowID, attempt int) { a.actions.Cancel(id, attempt) }
+func (a observedActions) HealthCheck(server decide.ServerID)   { a.actions.HealthCheck(server) }
+func (a observedActions) SetTimer(timer decide.TimerID, after time.Duration) {
+	a.actions.SetTimer(timer, after)
+}
+func (a observedActions) WatchEndpoints(on bool) { a.actions.WatchEndpoints(on) }
+func (a observedActions) FetchEndpoints()        { a.actions.FetchEndpoints() }
+func (a observedActions) Log(line string)        { a.actions.Log(line) }
--- /dev/null
+++ b/constraints/balancer.go
@@ -0,0 +1,185 @@
+package constraints
+
+import (
+	"time"
+
+	"yardwinch/decide"
+)
+
+// trackedFlow is a flow whose events are not over.
+type trackedFlow struct {
+	explanation   *Explanation
+	server        decide.ServerID // of the last attempt
+	isEstablished bool
+	isOutstanding bool // its last attempt, or its connection, has not ended
+}
+
+// intervention names a constraint and its reason.
+type intervention struct {
+	constraint string
+	reason     Reason
+}
+
+// ConstrainedBalancer is an instance of decide with constraints.
+type ConstrainedBalancer struct {
+	balancer      *decide.Balancer
+	actions       decide.Actions
+	constraints   []Constraint
+	now           time.Duration
+	flows         map[decide.FlowID]*trackedFlow
+	zones         map[decide.ServerID]decide.Zone
+	listed        map[decide.ServerID]listing
+	explanations  explanationRing
+	interventions map[intervention]int
+	nextName      string // of the next flow, as its client calls it
+}
+
+// New puts constraints, queried in the order given, round an instance that start gives its settings. Where several
+// object the first is recorded; extra costs add up; the longest Retry-After holds.
+func New(seed uint64, actions decide.Actions, constraints []Constraint, start func(*decide.Balancer)) *ConstrainedBalancer {
+	b := &ConstrainedBalancer{
+		actions:       actions,
+		constraints:   constraints,
+		flows:         map[decide.FlowID]*trackedFlow{},
+		zones:         map[decide.ServerID]decide.Zone{},
+		listed:        map[decide.ServerID]listing{},
+		interventions: map[intervention]int{},
+	}
+	b.balancer = decide.New(seed, observedActions{b})
+	b.balancer.SetConstraints(queries{b})
+	start(b.balancer)
+	return b
+}
+
+// NameNextFlow sets what the client of the next flow calls it.
+func (b *ConstrainedBalancer) NameNextFlow(name string) { b.nextName = name }
+
+// track starts the explanation and the events of a flow.
+func (b *ConstrainedBalancer) track(request decide.FlowRequest) *trackedFlow {
+	flow := &trackedFlow{explanation: &Explanation{
+		Flow:      request.ID,
+		Name:      b.nextName,
+		ArrivedAt: b.now.Seconds(),
+		Group:     request.Group,
+	}}
+	b.nextName = ""
+	b.explanations.add(flow.explanation)
+	b.flows[request.ID] = flow
+	return flow
+}
+
+func (b *ConstrainedBalancer) remove(id decide.FlowID) {
+	if b.flows[id] == nil {
+		return
+	}
+	delete(b.flows, id)
+	for _, constraint := range b.constraints {
+		constraint.OnFlowRemoved(id)
+	}
+}
+
+// SetTime sets the time of the calls that follow.
+func (b *ConstrainedBalancer) SetTime(now time.Duration) {
+	b.now = now
+	for _, constraint := range b.constraints {
+		constraint.SetTime(now)
+	}
+	b.balancer.SetTime(now)
+}
+
+// OnFlow handles a new flow.
+func (b *ConstrainedBalancer) OnFlow(request decide.FlowRequest) {
+	b.track(request)
+	for _, constraint := range b.constraints {
+		constraint.OnFlow(request)
+	}
+	b.balancer.OnFlow(request)
+}
+
+// AdoptFlow takes over a connection that is already established at a server.
+func (b *ConstrainedBalancer) AdoptFlow(request decide.FlowRequest, server decide.ServerID) {
+	flow := b.track(request)
+	flow.server = server
+	flow.isEstablished = true
+	flow.isOutstanding = true
+	flow.explanation.Answer = answeredBeforeStart
+	flow.explanation.Attempts = []Attempt{{Server: server, Zone: b.zones[server]}}
+	for _, constraint := range b.constraints {
+		constraint.OnFlow(request)
+		constraint.OnAttempt(request.ID, server)
+		constraint.OnEstablished(request.ID, server, AdoptedFlow)
+	}
+	b.balancer.AdoptFlow(request, server)
+}
+
+// OnEstablished handles an attempt that was established, and how long that took.
+func (b *ConstrainedBalancer) OnEstablished(id decide.FlowID, took time.Duration) {
+	if flow := b.flows[id]; flow != nil && flow.isOutstanding {
+		flow.isEstablished = true
+		flow.explanation.Answer = answeredEstablished
+		for _, constraint := range b.constraints {
+			constraint.OnEstablished(id, flow.server, took)
+		}
+	}
+	b.balancer.OnEstablished(id, took)
+}
+
+// OnEnded handles the end of an attempt or a connection; over says that the client has its answer.
+func (b *ConstrainedBalancer) OnEnded(id decide.FlowID, outcome decide.Outcome, took time.Duration, over bool) {
+	flow := b.flows[id]
+	if flow != nil && flow.isOutstanding {
+		flow.isOutstanding = false
+		flow.explanation.endAttempt(outcome)
+		for _, constraint := range b.constraints {
+			constraint.OnEnded(id, flow.server, outcome, flow.isEstablished)
+		}
+	}
+	wasEstablished := flow != nil && flow.isEstablished
+	b.balancer.OnEnded(id, outcome, took, over)
+	if over || wasEstablished {
+		b.remove(id)
+	}
+}
+
+// OnClientLeft handles the departure of a flow's client.
+func (b *ConstrainedBalancer) OnClientLeft(id decide.FlowID) {
+	if flow := b.flows[id]; flow != nil && flow.explanation.Answer == "" {
+		flow.explanation.Answer = answeredClientLeft
+	}
+	b.balancer.OnClientLeft(id)
+	if flow := b.flows[id]; flow != nil && !flow.isOutstanding {
+		b.remove(id)
+	}
+}
+
+// OnFlowLoad handles a report of a connection's load.
+func (b *ConstrainedBalancer) OnFlowLoad(id decide.FlowID) { b.balancer.OnFlowLoad(id) }
+
+// OnLatencySample handles how long a message takes at the flow's server.
+func (b *ConstrainedBalancer) OnLatencySample(id decide.FlowID, took time.Duration) {
+	if flow := b.flows[id]; flow != nil && flow.isEstablished {
+		for _, constraint := range b.constraints {
+			constraint.OnLatencySample(flow.server, took)
+		}
+	}
+	b.balancer.OnLatencySample(id, took)
+}
+
+// OnHealthCheck handles the result of a health check.
+func (b *ConstrainedBalancer) OnHealthCheck(server decide.ServerID, outcome decide.Outcome) {
+	b.balancer.OnHealthCheck(server, outcome)
+}
+
+// OnLoadReport handles a server's report of its load over its capacity.
+func (b *ConstrainedBalancer) OnLoadReport(server decide.ServerID, load float64) {
+	for _, constraint := range b.constraints {
+		constraint.OnLoadReport(server, load)
+	}
+	b.balancer.OnLoadReport(server, load)
+}
+
+// SetHandedOver says that another instance continues from a snapshot of this one, or that it has ended.
+func (b *ConstrainedBalancer) SetHandedOver(handedOver bool) { b.balancer.SetHandedOver(handedOver) }
+
+// OnTimer handles a timer that the decisions set.
+func (b *ConstrainedBalancer) OnTimer(timer decide.TimerID) { b.balancer.OnTimer(timer) }
--- /dev/null
+++ b/constraints/balancer_test.go
@@ -0,0 +1,262 @@
+package constraints
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+
+	"yardwinch/decide"
+)
+
+// recorder is decide.Actions that records.
+type recorder struct{ performed []string }
+
+func (l *recorder) record(format string, a ...any) {
+	l.performed = append(l.performed, fmt.Sprintf(format, a...))
+}
+func (l *recorder) Connect(f decide.FlowID, s decide.ServerID, _ time.Duration) {
+	l.record("connect %s %d", f, s)
+}
+func (l *recorder) Cancel(decide.FlowID, int)               {}
+func (l *recorder) Reject(f decide.FlowID, d time.Duration) { l.record("reject %s %v", f, d) }
+func (l *recorder) Abort(f decide.FlowID)                   { l.record("abort %s", f) }
+func (l *recorder) Migrate(f decide.FlowID)                 { l.record("move %s", f) }
+func (l *recorder) HealthCheck(decide.ServerID)             {}
+func (l *recorder) SetTimer(decide.TimerID, time.Duration)  {}
+func (l *recorder) WatchEndpoints(bool)                     {}
+func (l *recorder) FetchEndpoints()                         {}
+func (l *recorder) Log(string)                              {}
+
+// objector excludes a server or adds to its cost, rejects all flows, or sets their Retry-After.
+type objector struct {
+	Unconstrained
+	name       string
+	server     decide.ServerID
+	extra      float64
+	admit      Reason
+	retryAfter time.Duration
+	events     []string
+}
+
+func (n *objector) Name() string { return n.name }
+func (n *objector) ServerCost(_ decide.FlowID, s decide.ServerID) (float64, Reason) {
+	if s == n.server && n.extra == 0 {
+		return 0, "not there"
+	}
+	if s == n.server {
+		return n.extra, ""
+	}
+	return 0, ""
+}
+func (n *objector) AdmitFlow(decide.FlowID) Reason { return n.admit }
+func (n *objector) RetryAfter(_ decide.FlowID, preset time.Duration) time.Duration {
+	if n.retryAfter > 0 {
+		return n.retryAfter
+	}
+	return preset
+}
+func (n *objector) OnAttempt(f decide.FlowID, s decide.ServerID) {
+	n.events = append(n.events, fmt.Sprint("attempt ", f, " ", s))
+}
+func (n *objector) OnEstablished(f decide.FlowID, s decide.ServerID, _ time.Duration) {
+	n.events = append(n.events, fmt.Sprint("established ", f, " ", s))
+}
+func (n *objector) OnEnded(f decide.FlowID, s decide.ServerID, o decide.Outcome, wasEstablished bool) {
+	n.events = append(n.events, fmt.Sprint("ended ", f, " ", s, " ", o, " ", wasEstablished))
+}
+func (n *objector) OnFlowRemoved(f decide.FlowID) {
+	n.events = append(n.events, fmt.Sprint("removed ", f))
+}
+
+func newBalancer(constraints ...Constraint) (*ConstrainedBalancer, *recorder) {
+	actions := &recorder{}
+	balancer := New(1, actions, constraints, configure)
+	listThree(balancer)
+	return balancer, actions
+}
+
+// configure gives the decisions their settings.
+func configure(b *decide.Balancer) {
+	b.ConfigureFlows(3, time.Second)
+	b.AddService(decide.ServiceType{Effect: decide.Idempotent, Deduplication: decide.DeduplicatedByFleet, SetupTarget: 300 * time.Millisecond, RetryWindow: 2 * time.Second, Value: 1})
+	b.ConfigureSlowStart(decide.SlowStart{InitialCapacity: 0.2, OverloadMultiple: 3, WarmUp: 20 * time.Second, Window: 1500 * time.Millisecond, Balancers: 1})
+	b.ConfigurePlacement(0, 0, true)
+	b.ConfigureEndpoints(decide.EndpointSettings{Zone: "a", Polled: false, MaxPollInterval: 10 * time.Second, MessageTarget: 250 * time.Millisecond})
+}
+
+// listThree lists servers 1 to 3, warm and ready.
+func listThree(m Balancer) {
+	m.SetTime(0)
+	m.BeginEndpoints(decide.FullUpdate)
+	for s := range decide.ServerID(3) {
+		m.OnEndpoint(decide.Endpoint{ID: s + 1, Zone: "a", Size: 1, Readiness: decide.Ready, StartedAt: decide.LongAgo})
+	}
+	m.EndEndpoints()
+}
+
+func requestFlow(balancer *ConstrainedBalancer, f decide.FlowID) {
+	balancer.OnFlow(decide.FlowRequest{ID: f, Customer: -1, Timeout: 2 * time.Second})
+}
+
+func TestConstraintsCompose(t *testing.T) {
+	for _, c := range []struct {
+		name         string
+		constraints  []Constraint
+		want         string // the action for the flow
+		intervention string
+	}{
+		{"one server left by two constraints", []Constraint{&objector{name: "x", server: 1}, &objector{name: "y", server: 3}}, "connect f 2", "x: not there"},
+		{"the first that objects is recorded", []Constraint{&objector{name: "x", admit: "full"}, &objector{name: "y", admit: "late"}}, "reject f 1s", "x: full"},
+		{"the longest Retry-After", []Constraint{&objector{name: "x", admit: "full", retryAfter: 300 * time.Millisecond}, &objector{name: "y", retryAfter: 700 * time.Millisecond}}, "reject f 700ms", "x: full"},
+		{"the longest, whichever sets it", []Constraint{&objector{name: "x", admit: "full", retryAfter: 700 * time.Millisecond}, &objector{name: "y", retryAfter: 300 * time.Millisecond}}, "reject f 700ms", "x: full"},
+		{"never longer than clients obey", []Constraint{&objector{name: "x", admit: "full", retryAfter: time.Hour}}, "reject f 1s", "x: full"},
+		{"costs add", []Constraint{&objector{name: "x", server: 1, extra: 5}, &objector{name: "y", server: 2, extra: 5}}, "connect f 3", ""},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			balancer, actions := newBalancer(c.constraints...)
+			requestFlow(balancer, "f")
+			if len(actions.performed) != 1 || actions.performed[0] != c.want {
+				t.Errorf("performed %v, want %q", actions.performed, c.want)
+			}
+			if c.intervention != "" && balancer.Interventions()[c.intervention] == 0 {
+				t.Errorf("interventions %v, want %q", balancer.Interventions(), c.intervention)
+			}
+		})
+	}
+}
+
+// farServers adds to the cost of all servers but the first three.
+type farServers struct{ Unconstrained }
+
+func (farServers) Name() string { return "far" }
+func (farServers) ServerCost(_ decide.FlowID, s decide.ServerID) (float64, Reason) {
+	if s > 3 {
+		return 4, ""
+	}
+	return 0, ""
+}
+
+func TestEmptyServersWithExtraCostChangeNothing(t *testing.T) {
+	run := func(costly decide.ServerID) []string {
+		balancer, actions := newBalancer(farServers{})
+		balancer.BeginEndpoints(decide.DeltaUpdate)
+		for s := range costly {
+			balancer.OnEndpoint(decide.Endpoint{ID: s + 4, Zone: "b", Size: 1, Readiness: decide.Ready, StartedAt: decide.LongAgo})
+		}
+		balancer.EndEndpoints()
+		for i := range 400 {
+			now := time.Duration(i) * 50 * time.Millisecond
+			balancer.SetTime(now)
+			if i == 100 { // one of the near ones restarts
+				balancer.BeginEndpoints(decide.DeltaUpdate)
+				balancer.OnEndpoint(decide.Endpoint{ID: 3, Zone: "a", Size: 1, Readiness: decide.Ready, StartedAt: now})
+				balancer.EndEndpoints()
+			}
+			f := decide.FlowID(fmt.Sprint(i))
+			balancer.OnFlow(decide.FlowRequest{ID: f, Customer: -1, Group: decide.GroupKey(fmt.Sprint("g", i%12)), Timeout: time.Second})
+			balancer.OnEstablished(f, time.Millisecond)
+			if i%5 == 0 {
+				balancer.OnTimer(1)
+			}
+		}
+		return actions.performed
+	}
+	with, without := run(6), run(0)
+	if len(without) < 400 || strings.Join(with, "\n") != strings.Join(without, "\n") {
+		t.Errorf("%d actions beside costly servers, %d without: not the same", len(with), len(without))
+	}
+}
+
+func TestFlowWithoutServersIsRejectedAtOnce(t *testing.T) {
+	balancer, actions := newBalancer(&objector{name: "x", server: 1}, &objector{name: "y", server: 2}, &objector{name: "z", server: 3})
+	balancer.NameNextFlow("client's own")
+	requestFlow(balancer, "f")
+	if len(actions.performed) != 1 || !strings.HasPrefix(actions.performed[0], "reject f") {
+		t.Errorf("performed %v, want a reject at once", actions.performed)
+	}
+	explanation, ok := balancer.Explain("client's own")
+	if !ok || explanation.Answer != "rejected" || explanation.Excluded["x: not there"] == 0 || explanation.Excluded["z: not there"] == 0 {
+		t.Errorf("explained by %+v, %v", explanation, ok)
+	}
+}
+
+func TestEventsComeInOrder(t *testing.T) {
+	constraint := &objector{name: "x", server: 9}
+	balancer, _ := newBalancer(constraint)
+	requestFlow(balancer, "f")
+	explanation, _ := balancer.Explain("f")
+	first := explanation.Attempts[0].Server
+	balancer.OnEnded("f", decide.Unreachable, time.Millisecond, false)
+	explanation, _ = balancer.Explain("f")
+	second := explanation.Attempts[1].Server
+	balancer.OnEstablished("f", time.Millisecond)
+	balancer.OnEnded("f", decide.Reset, time.Second, true)
+	want := fmt.Sprintf("attempt f %d, ended f %d unreachable false, attempt f %d, established f %d, ended f %d reset true, removed f",
+		first, first, second, second, second)
+	if got := strings.Join(constraint.events, ", "); got != want {
+		t.Errorf("events %s\nwant %s", got, want)
+	}
+	if len(balancer.flows) != 0 {
+		t.Errorf("%d flows are still tracked", len(balancer.flows))
+	}
+}
+
+func TestExplanationsAreBounded(t *testing.T) {
+	balancer, _ := newBalancer(&objector{name: "x", admit: "full"})
+	for i := range 3 * maxExplanations {
+		requestFlow(balancer, decide.FlowID(fmt.Sprint(i)))
+	}
+	if len(balancer.explanations.entries) != maxExplanations || len(balancer.flows) != 0 {
+		t.Errorf("%d explanations, %d flows", len(balancer.explanations.entries), len(balancer.flows))
+	}
+	if _, ok := balancer.Explain(fmt.Sprint(3*maxExplanations - 1)); !ok {
+		t.Error("the newest is not explained")
+	}
+	if _, ok := balancer.Explain("0"); ok {
+		t.Error("the oldest is still explained")
+	}
+}
+
+func TestUnconstrainedChangesNothing(t *testing.T) {
+	for _, constraints := range [][]Constraint{nil, {silentConstraint{}}} {
+		balancer, actions := newBalancer(constraints...)
+		plainActions := &recorder{}
+		plain := decide.New(1, plainActions)
+		configure(plain)
+		listThree(plain)
+		for i := range 500 {
+			f := decide.FlowID(fmt.Sprint(i))
+			now := time.Duration(i) * 10 * time.Millisecond
+			for _, m := range []Balancer{balancer, plain} {
+				m.SetTime(now)
+				m.OnFlow(decide.FlowRequest{ID: f, Customer: -1, Group: decide.GroupKey(fmt.Sprint(i % 7)), Timeout: 2 * time.Second})
+				switch i % 5 {
+				case 0:
+					m.OnEnded(f, decide.Unreachable, time.Millisecond, false)
+				case 1:
+					m.OnEnded(f, decide.TimedOut, time.Second, true)
+				default:
+					m.OnEstablished(f, time.Millisecond)
+				}
+				if i%25 == 0 {
+					m.OnTimer(1)
+				}
+			}
+		}
+		if strings.Join(actions.performed, "\n") != strings.Join(plainActions.performed, "\n") || len(actions.performed) < 400 {
+			for i := range actions.performed {
+				if actions.performed[i] != plainActions.performed[i] {
+					t.Errorf("first difference at %d: %s, %s", i, actions.performed[i], plainActions.performed[i])
+					break
+				}
+			}
+			t.Errorf("with %d silent constraints %d actions, %d without: not the same", len(constraints), len(actions.performed), len(plainActions.performed))
+		}
+	}
+}
+
+// silentConstraint objects to nothing.
+type silentConstraint struct{ Unconstrained }
+
+func (silentConstraint) Name() string { return "none" }
--- /dev/null
+++ b/constraints/endpoints.go
@@ -0,0 +1,94 @@
+package constraints
+
+import (
+	"time"
+
+	"yardwinch/decide"
+)
+
+// listing is the last entry of a server in the endpoint list, and whether operators have disabled it.
+type listing struct {
+	size      float64
+	readiness decide.Readiness
+	startedAt time.Duration
+	disabled  bool
+}
+
+// BeginEndpoints begins an update of the endpoint list; OnEndpoint brings each entry, EndEndpoints closes it.
+func (b *ConstrainedBalancer) BeginEndpoints(kind decide.UpdateKind) { b.balancer.BeginEndpoints(kind) }
+
+// OnEndpoint handles one entry.
+func (b *ConstrainedBalancer) OnEndpoint(endpoint decide.Endpoint) {
+	b.zones[endpoint.ID] = endpoint.Zone
+	b.listed[endpoint.ID] = listing{
+		size:      endpoint.Size,
+		readiness: endpoint.Readiness,
+		startedAt: endpoint.StartedAt,
+		disabled:  b.listed[endpoint.ID].disabled,
+	}
+	b.updateConstraints(endpoint.ID)
+	b.balancer.OnEndpoint(endpoint)
+}
+
+// updateConstraints passes a server to the constraints as decide sees it: a disabled one is never ready.
+func (b *ConstrainedBalancer) updateConstraints(server decide.ServerID) {
+	entry := b.listed[server]
+	if entry.disabled {
+		entry.readiness = max(entry.readiness, decide.Draining)
+	}
+	endpoint := decide.Endpoint{
+		ID:        server,
+		Zone:      b.zones[server],
+		Size:      entry.size,
+		Readiness: entry.readiness,
+		StartedAt: entry.startedAt,
+	}
+	for _, constraint := range b.constraints {
+		constraint.OnEndpoint(endpoint)
+	}
+}
+
+func (b *ConstrainedBalancer) endConstraintsUpdate() {
+	for _, constraint := range b.constraints {
+		constraint.OnEndpointsUpdated()
+	}
+}
+
+// SetDisabled takes a server out of service or gives it back, whatever the list says.
+func (b *ConstrainedBalancer) SetDisabled(server decide.ServerID, disabled bool) {
+	if entry, ok := b.listed[server]; ok && entry.disabled != disabled {
+		entry.disabled = disabled
+		if !disabled {
+			entry.startedAt = b.now // it returns in slow start
+		}
+		b.listed[server] = entry
+		b.updateConstraints(server)
+		b.endConstraintsUpdate()
+	}
+	b.balancer.SetDisabled(server, disabled)
+}
+
+// EndEndpoints ends an update of the endpoint list.
+func (b *ConstrainedBalancer) EndEndpoints() {
+	b.endConstraintsUpdate()
+	b.balancer.EndEndpoints()
+}
+
+// Snapshot returns what the decisions know now.
+func (b *ConstrainedBalancer) Snapshot() decide.Snapshot { return b.balancer.Snapshot() }
+
+// Restore continues from the snapshot of another instance. The constraints get its endpoint list and learn the rest anew.
+func (b *ConstrainedBalancer) Restore(snapshot decide.Snapshot) {
+	for _, known := range snapshot.Servers {
+		b.zones[known.ID] = known.Zone
+		b.listed[known.ID] = listing{
+			size:      known.Size,
+			readiness: known.Readiness,
+			startedAt: known.StartedAt,
+			disabled:  known.Disabled,
+		}
+		b.updateConstraints(known.ID)
+	}
+	b.endConstraintsUpdate()
+	b.balancer.Restore(snapshot)
+}
--- /dev/null
+++ b/constraints/explanations.go
@@ -0,0 +1,172 @@
+package constraints
+
+import (
+	"slices"
+
+	"yardwinch/decide"
+)
+
+const (
+	maxExplanations      = 4096 // the last flows
+	maxExplainedAttempts = 8    // of one flow
+	maxExplainedCosts    = 8    // of one flow
+)
+
+// Answers of explanations.
+const (
+	answeredEstablished = "established"
+	answeredRejected    = "rejected"
+	answeredAborted     = "aborted"
+	answeredClientLeft  = "the client left"
+	answeredBeforeStart = "stood before the start"
+)
+
+// extraCostAdded is the reason under which extra costs are counted.
+const extraCostAdded Reason = "dearer"
+
+// Explanation says why a flow went where it did.
+type Explanation struct {
+	Flow       decide.FlowID   `json:"flow"`
+	Name       string          `json:"name,omitempty"` // as its client calls it
+	ArrivedAt  float64         `json:"came_s"`
+	Group      decide.GroupKey `json:"group,omitempty"`
+	Attempts   []Attempt       `json:"connects"`
+	Answer     string          `json:"answer"`
+	Migrated   bool            `json:"moved,omitempty"`
+	ExtraCosts []ExtraCost     `json:"dearer,omitempty"`
+	Excluded   map[string]int  `json:"barred,omitempty"` // reasons, with how many servers each excluded
+}
+
+// Attempt is one attempt of a flow.
+type Attempt struct {
+	Server  decide.ServerID `json:"server"`
+	Name    string          `json:"name,omitempty"` // of the server
+	Zone    decide.Zone     `json:"zone"`
+	At      float64         `json:"at_s"`
+	Outcome string          `json:"ended,omitempty"`
+}
+
+// ExtraCost is a server to which a constraint gave an extra cost.
+type ExtraCost struct {
+	Server decide.ServerID `json:"server"`
+	Name   string          `json:"name,omitempty"` // of the server
+	Reason string          `json:"why"`
+}
+
+// Explainer is a constraint that can say why it adds an extra cost. It is asked once for each flow and server.
+type Explainer interface{ ExplainCost(decide.ServerID) string }
+
+func (e *Explanation) addAttempt(attempt Attempt) {
+	if len(e.Attempts) < maxExplainedAttempts {
+		e.Attempts = append(e.Attempts, attempt)
+	}
+}
+
+func (e *Explanation) endAttempt(outcome decide.Outcome) {
+	if n := len(e.Attempts); n > 0 {
+		e.Attempts[n-1].Outcome = outcome.String()
+	}
+}
+
+func (e *Explanation) exclude(constraint string, why Reason) {
+	if e.Excluded == nil {
+		e.Excluded = map[string]int{}
+	}
+	e.Excluded[constraint+": "+string(why)]++
+}
+
+func (e *Explanation) hasExtraCost(server decide.ServerID) bool {
+	return slices.ContainsFunc(e.ExtraCosts, func(cost ExtraCost) bool { return cost.Server == server })
+}
+
+// explanationRing holds the explanations of the last flows.
+type explanationRing struct {
+	entries []*Explanation
+	oldest  int // once it is full
+}
+
+func (r *explanationRing) add(explanation *Explanation) {
+	if len(r.entries) < maxExplanations {
+		r.entries = append(r.entries, explanation)
+		return
+	}
+	r.entries[r.oldest] = explanation
+	r.oldest = (r.oldest + 1) % maxExplanations
+}
+
+// find returns the newest explanation of a flow with this id, or with this name.
+func (r *explanationRing) find(name string) *Explanation {
+	for i := range r.entries {
+		explanation := r.entries[(r.oldest+len(r.entries)-1-i)%len(r.entries)]
+		if explanation.Name == name || string(explanation.Flow) == name {
+			return explanation
+		}
+	}
+	return nil
+}
+
+// addExtraCost records who gave a server an extra cost for a flow that waits for its placement.
+func (b *ConstrainedBalancer) addExtraCost(id decide.FlowID, server decide.ServerID, constraint Constraint) {
+	explainer, ok := constraint.(Explainer)
+	flow := b.flows[id]
+	if !ok || flow == nil || flow.isOutstanding {
+		return
+	}
+	explanation := flow.explanation
+	if len(explanation.ExtraCosts) >= maxExplainedCosts || explanation.hasExtraCost(server) {
+		return
+	}
+	b.interventions[intervention{constraint.Name(), extraCostAdded}]++
+	explanation.ExtraCosts = append(explanation.ExtraCosts,
+		ExtraCost{Server: server, Reason: constraint.Name() + ": " + explainer.ExplainCost(server)})
+}
+
+// recordObjection records that a constraint objected.
+func (b *ConstrainedBalancer) recordObjection(id decide.FlowID, constraint Constraint, why Reason) {
+	b.interventions[intervention{constraint.Name(), why}]++
+	if flow := b.flows[id]; flow != nil && !flow.isEstablished {
+		flow.explanation.exclude(constraint.Name(), why)
+	}
+}
+
+// recordAnswer records the final answer of a flow.
+func (b *ConstrainedBalancer) recordAnswer(id decide.FlowID, answer string) {
+	flow := b.flows[id]
+	if flow == nil {
+		return
+	}
+	flow.explanation.Answer = answer
+	if !flow.isOutstanding {
+		b.remove(id)
+	}
+}
+
+// Interventions is how often each constraint intervened, by its name and reason.
+func (b *ConstrainedBalancer) Interventions() map[string]int {
+	all := map[string]int{}
+	for key, n := range b.interventions {
+		all[key.constraint+": "+string(key.reason)] += n
+	}
+	return all
+}
+
+// States are what operators may see of the constraints, by their names.
+func (b *ConstrainedBalancer) States() map[string]any {
+	all := map[string]any{}
+	for _, constraint := range b.constraints {
+		all[constraint.Name()] = constraint.State()
+	}
+	return all
+}
+
+// Explain returns the explanation of a flow, by its id or by what its client called it; the newest where several match.
+func (b *ConstrainedBalancer) Explain(name string) (Explanation, bool) {
+	found := b.explanations.find(name)
+	if found == nil {
+		return Explanation{}, false
+	}
+	explanation := *found
+	explanation.Attempts = slices.Clone(found.Attempts)
+	explanation.ExtraCosts = slices.Clone(found.ExtraCosts)
+	return explanation, true
+}
--- /dev/null
+++ b/constraints/queries.go
@@ -0,0 +1,63 @@
+package constraints
+
+import (
+	"time"
+
+	"yardwinch/decide"
+)
+
+// queries implements decide.Constraints: it asks the constraints in turn, and records who objects.
+type queries struct{ *ConstrainedBalancer }
+
+func (q queries) ServerCost(id decide.FlowID, server decide.ServerID) (extra float64, ok bool) {
+	for _, constraint := range q.constraints {
+		cost, why := constraint.ServerCost(id, server)
+		if why != "" {
+			q.recordObjection(id, constraint, why)
+			return 0, false
+		}
+		extra += cost
+		if cost > 0 {
+			q.addExtraCost(id, server, constraint)
+		}
+	}
+	return extra, true
+}
+
+func (q queries) AdmitFlow(id decide.FlowID) bool {
+	for _, constraint := range q.constraints {
+		if why := constraint.AdmitFlow(id); why != "" {
+			q.recordObjection(id, constraint, why)
+			return false
+		}
+	}
+	return true
+}
+
+func (q queries) RetryAfter(id decide.FlowID, preset time.Duration) time.Duration {
+	if len(q.constraints) == 0 {
+		return preset
+	}
+	after := time.Duration(0)
+	for _, constraint := range q.constraints {
+		after = max(after, constraint.RetryAfter(id, preset))
+	}
+	return after
+}
+
+func (q queries) AllowMigration(id decide.FlowID) bool {
+	for _, constraint := range q.constraints {
+		if why := constraint.AllowMigration(id); why != "" {
+			q.recordObjection(id, constraint, why)
+			return false
+		}
+	}
+	return true
+}
+
+func (q queries) MigrateFirst() (first []decide.FlowID) {
+	for _, constraint := range q.constraints {
+		first = append(first, constraint.MigrateFirst()...)
+	}
+	return first
+}
--- a/constraints/none.go
+++ b/constraints/unconstrained.go
@@ -6,56 +6,56 @@
 	"yardwinch/decide"
 )
 
-// Unconstrained objects to nothing.
+// Unconstrained is a constraint that objects to nothing. Others embed it for the methods that they do not need.
 type Unconstrained struct{}
 
 // SetTime needs no time.
 func (Unconstrained) SetTime(time.Duration) {}
 
-// OnEndpoint passes the list over.
+// OnEndpoint ignores the endpoint list.
 func (Unconstrained) OnEndpoint(decide.Endpoint) {}
 
-// OnEndpointsUpdated passes the end of a list call over.
+// OnEndpointsUpdated ignores the end of an update.
 func (Unconstrained) OnEndpointsUpdated() {}
 
-// OnFlow passes new flows over.
+// OnFlow ignores new flows.
 func (Unconstrained) OnFlow(decide.FlowRequest) {}
 
-// OnAttempt passes connects over.
+// OnAttempt ignores attempts.
 func (Unconstrained) OnAttempt(decide.FlowID, decide.ServerID) {}
 
-// OnEstablished passes set-ups over.
+// OnEstablished ignores set-ups.
 func (Unconstrained) OnEstablished(decide.FlowID, decide.ServerID, time.Duration) {}
 
-// OnEnded passes ends over.
+// OnEnded ignores ends.
 func (Unconstrained) OnEnded(decide.FlowID, decide.ServerID, decide.Outcome, bool) {}
 
-// OnFlowRemoved passes the end of flows over.
+// OnFlowRemoved ignores the end of flows.
 func (Unconstrained) OnFlowRemoved(decide.FlowID) {}
 
-// OnLatencySample passes delays over.
+// OnLatencySample ignores latency samples.
 func (Unconstrained) OnLatencySample(decide.ServerID, time.Duration) {}
 
-// OnLoadReport passes load reports over.
+// OnLoadReport ignores load reports.
 func (Unconstrained) OnLoadReport(decide.ServerID, float64) {}
 
-// OnMigration passes moves over.
+// OnMigration ignores migrations.
 func (Unconstrained) OnMigration(decide.FlowID) {}
 
-// ServerCost bars no server and adds no cost.
+// ServerCost excludes no server and adds no cost.
 func (Unconstrained) ServerCost(decide.FlowID, decide.ServerID) (float64, Reason) { return 0, "" }
 
-// AdmitFlow lets everybody in.
+// AdmitFlow admits all flows.
 func (Unconstrained) AdmitFlow(decide.FlowID) Reason { return "" }
 
-// RetryAfter leaves the wait as it was told.
-func (Unconstrained) RetryAfter(_ decide.FlowID, told time.Duration) time.Duration { return told }
+// RetryAfter keeps the preset.
+func (Unconstrained) RetryAfter(_ decide.FlowID, preset time.Duration) time.Duration { return preset }
 
-// AllowMigration lets everybody move.
+// AllowMigration allows all migrations.
 func (Unconstrained) AllowMigration(decide.FlowID) Reason { return "" }
 
-// MigrateFirst names no flow to move first.
+// MigrateFirst names no flow.
 func (Unconstrained) MigrateFirst() []decide.FlowID { return nil }
 
-// State has nothing to show.
+// State is empty.
 func (Unconstrained) State() any { return nil }
