--- a/constraints/bench_test.go
+++ b/constraints/bench_test.go
@@ -10,6 +10,7 @@
 	"yardwinch/locality"
 )
 
+// mute is decide.Actions that does nothing.
 type mute struct{}
 
 func (mute) Connect(decide.FlowID, decide.ServerID, time.Duration) {}
@@ -23,11 +24,11 @@
 func (mute) FetchEndpoints()                                       {}
 func (mute) Log(string)                                            {}
 
-// BenchmarkDecision is one flow from its coming to its end, by the number of servers, with and without halls.
+// BenchmarkDecision is one flow from its arrival to its end, by the number of servers, with and without localities.
 func BenchmarkDecision(b *testing.B) {
 	for _, servers := range []int{100, 1000, 10000} {
-		for _, with := range []bool{false, true} {
-			b.Run(fmt.Sprintf("servers=%d/halls=%v", servers, with), func(b *testing.B) {
+		for _, hasPolicy := range []bool{false, true} {
+			b.Run(fmt.Sprintf("servers=%d/localities=%v", servers, hasPolicy), func(b *testing.B) {
 				start := func(d *decide.Balancer) {
 					d.ConfigureFlows(3, time.Second)
 					d.AddService(decide.ServiceType{Effect: decide.Idempotent, Deduplication: decide.DeduplicatedByFleet, SetupTarget: 300 * time.Millisecond, RetryWindow: 2 * time.Second, Value: 1})
@@ -36,9 +37,16 @@
 					d.ConfigureEndpoints(decide.EndpointSettings{Zone: "a", Polled: false, MaxPollInterval: 10 * time.Second, MessageTarget: 250 * time.Millisecond})
 				}
 				var m constraints.Balancer
-				if with {
-					h := locality.New(1, "a", nil, 0.3, 0, 60, 10, 300*time.Millisecond, 250*time.Millisecond, 20*time.Second, 0)
-					m = constraints.New(1, mute{}, []constraints.Constraint{h}, start)
+				if hasPolicy {
+					policy := locality.New(locality.Config{
+						Rules:         locality.Rules{Spill: 0.3, FailbackPerMinute: 60, Balancers: 10},
+						Seed:          1,
+						Zone:          "a",
+						SetupTarget:   300 * time.Millisecond,
+						MessageTarget: 250 * time.Millisecond,
+						WarmUp:        20 * time.Second,
+					})
+					m = constraints.New(1, mute{}, []constraints.Constraint{policy}, start)
 				} else {
 					d := decide.New(1, mute{})
 					start(d)
--- a/internal/config/halls.go
+++ b/internal/config/halls.go
@@ -72,13 +72,30 @@
 // NewPolicy makes that of a balancer that is told g and draws chance from seed.
 func (h Locality) NewPolicy(g Values, seed uint64) *locality.Policy {
 	own := g.String("az", "")
-	return locality.New(seed, decide.Zone(own), h.tiers[own], h.spill, h.surge, h.homeward, int(g.Float("peers-total", 1)),
-		MinSetupTarget(g), MessageTarget(g), g.Duration("guarantees.warm-after"), h.again)
+	return locality.New(locality.Config{
+		Rules:         h.rules(own, g),
+		Seed:          seed,
+		Zone:          decide.Zone(own),
+		SetupTarget:   MinSetupTarget(g),
+		MessageTarget: MessageTarget(g),
+		WarmUp:        g.Duration("guarantees.warm-after"),
+	})
 }
 
 // Apply brings a decider that runs to what a newer file says.
 func (h Locality) Apply(d *locality.Policy, g Values) {
-	d.Reconfigure(h.tiers[g.String("az", "")], h.spill, h.surge, h.homeward, int(g.Float("peers-total", 1)), h.again)
+	d.Reconfigure(h.rules(g.String("az", ""), g))
+}
+
+func (h Locality) rules(own string, g Values) locality.Rules {
+	return locality.Rules{
+		Tiers:             h.tiers[own],
+		Spill:             h.spill,
+		Surge:             h.surge,
+		FailbackPerMinute: h.homeward,
+		Balancers:         int(g.Float("peers-total", 1)),
+		RetryAfter:        h.again,
+	}
 }
 
 // Text is the table as an operators' file says it.
--- a/locality/failover.go
+++ b/locality/failover.go
@@ -4,109 +4,152 @@
 	"slices"
 	"time"
 
-	"yardwinch/constraints"
 	"yardwinch/decide"
 )
 
-// turn makes every change of a hall's state.
-func (h *Policy) turn(x *hall, to State, why constraints.Reason) {
-	if x.state == to {
-		return
-	}
-	was := x.state
-	x.state, x.why, x.since, x.coin = to, why, h.now, h.rng.Float64()
-	switch to {
-	case Unavailable:
-		// Lost again soon after its return: it comes back more gently each time.
-		if was == Recovering || x.lastReturn > 0 && h.now-x.lastReturn < flapAgain {
-			x.gentler = min(2*x.gentler, flapMost)
-		} else {
-			x.gentler = 1
-		}
-		x.pause = firstPause
-		x.retryAt, x.trial = h.now+h.jitter(x.pause), ""
-	case Recovering:
-		x.step, x.stepAt, x.sent, x.lastReturn = 0, h.now, 0, h.now
-		x.results = nil // what was seen before says nothing of those that came up now
-	case Healthy:
-		x.sent = 0
-	}
-}
+// When a locality becomes unavailable, and how it recovers.
 
-// jitter spreads what many balancers do for the same cause.
-func (h *Policy) jitter(d time.Duration) time.Duration {
-	return time.Duration(float64(d) * (0.5 + h.rng.Float64()))
-}
+const (
+	sampleMaxAge = 5 * time.Second
+	sampleWindow = 24 // of each locality
+
+	minFailedServers = 2 // of a locality, a third of whose ready servers must have failed,
+	maxFailedServers = 4 // but not more than this many
+	minFailures      = 2
 
-func (h *Policy) noneWell() bool {
-	return !slices.ContainsFunc(h.order, func(x *hall) bool { return x.state == Healthy })
+	firstProbeBackoff    = time.Second // between probes of an unavailable locality
+	maxProbeBackoff      = 8 * time.Second
+	maxProbeBackoffAlone = time.Second     // while no locality is healthy
+	probeTimeout         = 2 * time.Second // after which the next probe may go out
+
+	recoverySteps    = 5 // over the warm-up time
+	maxStepFactor    = 4 // times a step's length, while set-ups are slow
+	flappingInterval = time.Minute
+	maxSlowdown      = 4
+)
+
+// recoveryShares are the shares of its usual flows that a locality may take, by the steps of its recovery.
+var recoveryShares = [recoverySteps]float64{0.1, 0.25, 0.5, 0.75, 1}
+
+// sample is the result of one attempt, or a connection that broke.
+type sample struct {
+	at          time.Duration
+	server      decide.ServerID
+	isReached   bool
+	isAmbiguous bool          // a timeout: what all set-ups share may be the cause
+	took        time.Duration // to be established; 0: it was not
 }
 
-// see takes one result and judges its hall by those of the last seconds.
-func (h *Policy) see(x *hall, r result) {
-	if len(x.results) >= kept {
-		x.results = append(x.results[:0], x.results[len(x.results)-kept+1:]...)
+func (p *Policy) isRecent(s sample) bool { return p.now-s.at < sampleMaxAge }
+
+// addSample adds a sample, and checks whether its locality is still available.
+func (p *Policy) addSample(l *locality, s sample) {
+	if len(l.samples) >= sampleWindow {
+		l.samples = append(l.samples[:0], l.samples[len(l.samples)-sampleWindow+1:]...)
 	}
-	x.results = append(x.results, r)
-	if r.good || x.state == Unavailable {
-		return
+	l.samples = append(l.samples, s)
+	if !s.isReached && l.state != Unavailable && p.isUnreachable(l) {
+		p.transition(l, Unavailable, reasonNoReach)
 	}
-	// A few bad servers are not a bad hall: nobody at all must have been met there of late, at several servers, as
-	// many as a hall of its size can show.
-	bad, n := map[decide.ServerID]bool{}, 0
-	elsewhere := h.goodElsewhere(x)
-	for _, p := range slices.Backward(x.results) {
-		if p.good || h.now-p.at >= evidence {
+}
+
+// isUnreachable reports whether the last recent samples are failures at several servers, as many as a locality of its
+// size can show. A few outliers do not make a locality unavailable.
+func (p *Policy) isUnreachable(l *locality) bool {
+	failed := map[decide.ServerID]bool{}
+	failures := 0
+	countsTimeouts := p.succeedsElsewhere(l)
+	for _, s := range slices.Backward(l.samples) {
+		if s.isReached || !p.isRecent(s) {
 			break
 		}
-		if !p.weak || elsewhere { // else what all share may be slow
-			bad[p.server] = true
-			n++
+		if !s.isAmbiguous || countsTimeouts {
+			failed[s.server] = true
+			failures++
 		}
 	}
-	want := min(max((x.ready+2)/3, 2), 4)
-	if x.state == Recovering {
-		want = min(want, 2)
-	}
-	if len(bad) >= min(want, max(x.ready, 1)) && n >= 2 {
-		h.turn(x, Unavailable, "nobody was met there")
+	needed := min(max((l.ready+2)/3, minFailedServers), maxFailedServers)
+	if l.state == Recovering {
+		needed = min(needed, minFailedServers)
 	}
+	return len(failed) >= min(needed, max(l.ready, 1)) && failures >= minFailures
+}
+
+// succeedsElsewhere reports whether attempts reached servers of another locality recently.
+func (p *Policy) succeedsElsewhere(than *locality) bool {
+	isSuccess := func(s sample) bool { return s.isReached && p.isRecent(s) }
+	return slices.ContainsFunc(p.ordered, func(l *locality) bool {
+		return l != than && slices.ContainsFunc(l.samples, isSuccess)
+	})
 }
 
-// goodElsewhere: set-ups stand in another hall.
-func (h *Policy) goodElsewhere(than *hall) bool {
-	for _, x := range h.order {
-		if x != than && slices.ContainsFunc(x.results, func(r result) bool { return r.good && h.now-r.at < evidence }) {
-			return true
+func (p *Policy) noneHealthy() bool {
+	return !slices.ContainsFunc(p.ordered, func(l *locality) bool { return l.state == Healthy })
+}
+
+// endProbe handles the end of the probe of an unavailable locality.
+func (p *Policy) endProbe(l *locality, outcome decide.Outcome, isFailure bool) {
+	l.probe = ""
+	switch {
+	case isFailure || outcome == decide.Cancelled:
+		longest := maxProbeBackoff
+		if p.noneHealthy() {
+			longest = maxProbeBackoffAlone
 		}
+		l.probeBackoff = min(2*l.probeBackoff, longest)
+		l.nextProbeAt = p.now + p.jitter(l.probeBackoff)
+	case outcome == decide.Full || outcome == decide.Error:
+		p.transition(l, Recovering, reasonProbeMet)
 	}
-	return false
 }
 
-// goOn takes a returning hall to its next step when the time has come and set-ups there go well. While they are slow in
-// every hall that says nothing of this one, and it waits.
-func (h *Policy) goOn(x *hall) {
-	length := time.Duration(float64(h.warm) / steps * x.gentler)
-	in := h.now - x.stepAt
-	if in < length || in < holdMost*length && h.slowIn(x) {
+// mayProbe reports whether a probe flow may go to an unavailable locality.
+func (p *Policy) mayProbe(l *locality) bool {
+	isProbed := l.probe != "" && p.now-l.probeSentAt < probeTimeout
+	return !isProbed && p.now >= l.nextProbeAt
+}
+
+// advanceRecovery takes a recovering locality to its next step once its time has passed. The step is prolonged while
+// set-ups there are slow.
+func (p *Policy) advanceRecovery(l *locality) {
+	length := time.Duration(float64(p.config.WarmUp) / recoverySteps * l.slowdown)
+	elapsed := p.now - l.stepAt
+	if elapsed < length || elapsed < maxStepFactor*length && p.areSetupsSlow(l) {
 		return
 	}
-	x.stepAt = h.now
-	if x.step++; x.step == steps {
-		h.turn(x, Healthy, "")
+	l.stepAt = p.now
+	l.step++
+	if l.step == recoverySteps {
+		p.transition(l, Healthy, "")
 	}
 }
 
-// slowIn: most of the last set-ups in a hall took longer than wanted.
-func (h *Policy) slowIn(x *hall) bool {
+// areSetupsSlow reports whether most recent set-ups in a locality failed or missed their target.
+func (p *Policy) areSetupsSlow(l *locality) bool {
 	slow, n := 0, 0
-	for _, r := range x.results {
-		if h.now-r.at < evidence {
-			n++
-			if !r.good || r.took > h.target {
-				slow++
-			}
+	for _, s := range l.samples {
+		if !p.isRecent(s) {
+			continue
+		}
+		n++
+		if !s.isReached || s.took > p.config.SetupTarget {
+			slow++
 		}
 	}
 	return n > 0 && 2*slow > n
 }
+
+// recoveryLimit is how many flows a recovering locality may have admitted by its step.
+func (p *Policy) recoveryLimit(l *locality) float64 {
+	return p.usualFlows(l) * recoveryShares[l.step] / l.slowdown
+}
+
+// mayAdmit reports whether a recovering locality may admit one more flow. In its last step it gets one more, so that it
+// does not stay below what is usual.
+func (p *Policy) mayAdmit(l *locality) bool {
+	limit := p.recoveryLimit(l)
+	if l.step == recoverySteps-1 {
+		limit++
+	}
+	return float64(l.admitted)+l.rounding < limit
+}
--- /dev/null
+++ b/locality/queries.go
@@ -0,0 +1,136 @@
+package locality
+
+import (
+	"cmp"
+	"math"
+	"slices"
+	"time"
+
+	"yardwinch/constraints"
+	"yardwinch/decide"
+)
+
+// Reasons of objections.
+const (
+	reasonUnavailable constraints.Reason = "the hall is lost"
+	reasonRecovering  constraints.Reason = "the hall returns in steps"
+	reasonWarmingUp   constraints.Reason = "a cold server of another hall"
+	reasonSpill       constraints.Reason = "the spill into the hall is used up"
+	reasonSurge       constraints.Reason = "the own hall grows too fast"
+	reasonFailback    constraints.Reason = "moves home are used up"
+)
+
+// ServerCost excludes the servers of localities that take no flows now, and adds a cost for each tier.
+func (p *Policy) ServerCost(id decide.FlowID, target decide.ServerID) (float64, constraints.Reason) {
+	s := p.servers[target]
+	if s == nil {
+		return 0, ""
+	}
+	l := s.locality
+	extra := tierCost * float64(l.tier)
+	if f := p.flows[id]; f != nil && f.server != nil && f.server.locality == l {
+		return extra, "" // it is there already
+	}
+	if why := p.excludes(l); why != "" {
+		return 0, why
+	}
+	if why := p.exceedsTier(s); why != "" {
+		return 0, why
+	}
+	return extra, ""
+}
+
+// excludes says why a locality takes no flows by its state.
+func (p *Policy) excludes(l *locality) constraints.Reason {
+	switch l.state {
+	case Unavailable:
+		if !p.mayProbe(l) {
+			return reasonUnavailable
+		}
+	case Recovering:
+		if !p.mayAdmit(l) {
+			return reasonRecovering
+		}
+	}
+	return ""
+}
+
+// exceedsTier says why a server takes no flows by the limits on its tier. Warming servers are left to the balancers to
+// which they are nearest.
+func (p *Policy) exceedsTier(s *server) constraints.Reason {
+	l := s.locality
+	if l.tier == 0 {
+		if p.exceedsSurge() {
+			return reasonSurge
+		}
+		return ""
+	}
+	if s.isWarmingUp(p.now, p.config.WarmUp) {
+		return reasonWarmingUp
+	}
+	if float64(l.ownFlows)+l.rounding >= p.SpillLimit(l.name) {
+		return reasonSpill
+	}
+	return ""
+}
+
+// RetryAfter spreads the clients of rejected flows, so that they do not come again together.
+func (p *Policy) RetryAfter(_ decide.FlowID, preset time.Duration) time.Duration {
+	if p.config.RetryAfter == 0 {
+		return preset
+	}
+	return p.jitter(p.config.RetryAfter)
+}
+
+// AllowMigration bounds the rate at which spilled flows go back.
+func (p *Policy) AllowMigration(id decide.FlowID) constraints.Reason {
+	if p.isSpilled(p.flows[id]) && p.failbackTokens < 1 {
+		return reasonFailback
+	}
+	return ""
+}
+
+// isSpilled reports whether a flow is not in the nearest tier.
+func (p *Policy) isSpilled(f *flow) bool {
+	return f != nil && f.server != nil && f.server.locality.tier > 0
+}
+
+// MigrateFirst names the spilled flows that a nearer tier could take, those of the oldest group first.
+func (p *Policy) MigrateFirst() []decide.FlowID {
+	if p.failbackTokens < 1 {
+		return nil
+	}
+	nearest := p.nearestTier()
+	var first []decide.FlowID
+	oldest := map[decide.GroupKey]time.Duration{}
+	for id, f := range p.flows {
+		if !f.isEstablished || f.server == nil || f.server.locality.tier <= nearest {
+			continue
+		}
+		first = append(first, id)
+		if at, ok := oldest[f.group]; !ok || f.establishedAt < at {
+			oldest[f.group] = f.establishedAt
+		}
+	}
+	slices.SortFunc(first, func(one, other decide.FlowID) int {
+		x, y := p.flows[one], p.flows[other]
+		return cmp.Or(
+			cmp.Compare(oldest[x.group], oldest[y.group]),
+			cmp.Compare(x.group, y.group),
+			cmp.Compare(x.establishedAt, y.establishedAt),
+			cmp.Compare(one, other),
+		)
+	})
+	return first[:min(len(first), int(maxFailbackTokens)+2)]
+}
+
+// nearestTier is the nearest tier that takes flows.
+func (p *Policy) nearestTier() int {
+	nearest := math.MaxInt
+	for _, l := range p.ordered {
+		if l.ready > 0 && l.state != Unavailable {
+			nearest = min(nearest, l.tier)
+		}
+	}
+	return nearest
+}
