--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -1,4 +1,4 @@
-// Wirehost hosts balancer instances on the simulator's wire.
+// Wirehost runs instances of the decisions on the wire of the simulator, on standard input and output.
 package main
 
 import (
--- a/decide/balancer.go
+++ b/decide/balancer.go
@@ -45,14 +45,3 @@
 
 // SetConstraints sets what other deciders may say. Without it nothing is asked and nothing changes.
 func (b *Balancer) SetConstraints(constraints Constraints) { b.constraints = constraints }
-
-// OnTimer handles a timer set by Actions.SetTimer.
-func (b *Balancer) OnTimer(timer TimerID) {
-	switch timer {
-	case tickTimer:
-		b.tick()
-	case listTimer:
-		b.actions.WatchEndpoints(true)
-	}
-	b.serveQueue()
-}
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -277,3 +277,14 @@
 		b.transition(f, awaitingEnd)
 	}
 }
+
+// OnTimer handles a timer set by Actions.SetTimer.
+func (b *Balancer) OnTimer(timer TimerID) {
+	switch timer {
+	case tickTimer:
+		b.tick()
+	case listTimer:
+		b.actions.WatchEndpoints(true)
+	}
+	b.serveQueue()
+}
--- a/decide/flows.go
+++ b/decide/flows.go
@@ -44,11 +44,6 @@
 	return &flow{id: request.ID, service: request.Service, customer: request.Customer, group: request.Group}
 }
 
-// isConfined reports whether another attempt may go only where servers drop its repeats.
-func (f *flow) isConfined(service *ServiceType) bool {
-	return f.mayHaveRun && service.Effect != Idempotent && service.Deduplication != DeduplicatedByFleet
-}
-
 // flowTable holds all flows of this balancer.
 type flowTable struct {
 	byID          map[FlowID]*flow
--- a/decide/placement.go
+++ b/decide/placement.go
@@ -170,6 +170,11 @@
 	}
 }
 
+// isConfined reports whether another attempt may go only where servers drop its repeats.
+func (f *flow) isConfined(service *ServiceType) bool {
+	return f.mayHaveRun && service.Effect != Idempotent && service.Deduplication != DeduplicatedByFleet
+}
+
 // rank orders servers by their faults, so that a flow goes to a faulty server rather than to none.
 func (b *Balancer) rank(f *flow, server *serverState) int {
 	rank := 0
--- /dev/null
+++ b/internal/simulator/decoder.go
@@ -0,0 +1,136 @@
+package simulator
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"io"
+	"strconv"
+	"strings"
+
+	"yardwinch/decide"
+)
+
+// decoder reads lines and their fields. The methods for fields keep the first fault in bad, so that a message is decoded
+// first and checked once.
+type decoder struct {
+	in     *bufio.Reader
+	line   int
+	fields []string // of the current line
+	bad    error    // the first fault in the current batch
+}
+
+// next reads the next line that isn't empty; false at the end of the input.
+func (d *decoder) next() (bool, error) {
+	for {
+		d.line++
+		line, err := d.in.ReadString('\n')
+		isEnd := errors.Is(err, io.EOF)
+		line = strings.TrimRight(line, "\r\n")
+		if line == "" && isEnd {
+			return false, nil
+		}
+		if err != nil && !isEnd {
+			return false, fmt.Errorf("read line %d: %w", d.line, err)
+		}
+		if line != "" {
+			d.split(line)
+			return true, nil
+		}
+	}
+}
+
+// split reuses the fields of the last line.
+func (d *decoder) split(line string) {
+	d.fields = d.fields[:0]
+	for {
+		field, tail, more := strings.Cut(line, "\t")
+		d.fields = append(d.fields, field)
+		if !more {
+			return
+		}
+		line = tail
+	}
+}
+
+// messageType is the first field of the line.
+func (d *decoder) messageType() string { return d.fields[typeField] }
+
+// fault returns an error that names the line.
+func (d *decoder) fault(format string, a ...any) error {
+	return fmt.Errorf("line %d: %s", d.line, fmt.Sprintf(format, a...))
+}
+
+// reject keeps the first fault.
+func (d *decoder) reject(format string, a ...any) {
+	if d.bad == nil {
+		d.bad = d.fault(format, a...)
+	}
+}
+
+// text is a field, empty if it is absent.
+func (d *decoder) text(field int) string {
+	if field >= len(d.fields) || d.fields[field] == absentField {
+		return ""
+	}
+	return d.fields[field]
+}
+
+// required is a field that must not be absent.
+func (d *decoder) required(field int) string {
+	text := d.text(field)
+	if text == "" {
+		d.reject("%s: field %d is missing", d.messageType(), field)
+	}
+	return text
+}
+
+// integer is a number, 0 if it is absent.
+func (d *decoder) integer(field int) int64 {
+	text := d.text(field)
+	if text == "" {
+		return 0
+	}
+	n, err := strconv.ParseInt(text, 10, 64)
+	if err != nil {
+		d.reject("%s: field %d: bad number %q", d.messageType(), field, text)
+	}
+	return n
+}
+
+func (d *decoder) requiredInteger(field int) int64 {
+	d.required(field)
+	return d.integer(field)
+}
+
+// float is a number, 0 if it is absent.
+func (d *decoder) float(field int) float64 {
+	text := d.text(field)
+	if text == "" {
+		return 0
+	}
+	x, err := strconv.ParseFloat(text, 64)
+	if err != nil {
+		d.reject("%s: field %d: bad number %q", d.messageType(), field, text)
+	}
+	return x
+}
+
+func (d *decoder) flow() decide.FlowID { return decide.FlowID(d.required(flowField)) }
+
+func (d *decoder) server(field int) decide.ServerID {
+	n := d.requiredInteger(field)
+	if n < 0 || n >= 1<<32 {
+		d.reject("%s: field %d: no server number: %d", d.messageType(), field, n)
+	}
+	return decide.ServerID(n)
+}
+
+// oneOf looks a field up in the words that it may hold.
+func oneOf[T any](d *decoder, words map[string]T, field int) T {
+	value, ok := words[d.required(field)]
+	if !ok {
+		d.reject("%s: field %d: unknown word %q", d.messageType(), field, d.text(field))
+	}
+	return value
+}
--- /dev/null
+++ b/internal/simulator/endpoints.go
@@ -0,0 +1,92 @@
+package simulator
+
+import (
+	"time"
+
+	"yardwinch/decide"
+)
+
+const maxListCapacity = 4096 // entries for which memory is reserved before they are read
+
+// listEntry is one entry of a numbered list.
+type listEntry struct {
+	endpoint  decide.Endpoint // without its start
+	startedAt int64           // 0: not given
+}
+
+// list reads a numbered list.
+func (h *host) list() error {
+	number := h.requiredInteger(listField)
+	count := h.requiredInteger(listCountField)
+	if h.bad != nil {
+		return h.bad
+	}
+	if number < 0 || number >= int64(len(h.lists)) || count < 0 {
+		return h.fault("DIRECTORY: no such list or count: %d, %d", number, count)
+	}
+	list := make([]listEntry, 0, min(count, maxListCapacity))
+	for ; count > 0; count-- {
+		ok, err := h.next()
+		if err != nil {
+			return err
+		}
+		if !ok || h.messageType() != msgListEntry {
+			return h.fault("DIRECTORY: %d entries fewer than stated", count)
+		}
+		list = append(list, h.listEntry())
+		if h.bad != nil {
+			return h.bad
+		}
+	}
+	h.lists[number] = list
+	return nil
+}
+
+func (h *host) listEntry() listEntry {
+	entry := listEntry{endpoint: decide.Endpoint{Size: 1}}
+	endpoint := &entry.endpoint
+	endpoint.Zone = decide.Zone(h.text(entryZoneField))
+	endpoint.ID = h.server(entryServerField)
+	if h.text(entrySizeField) != "" {
+		endpoint.Size = h.float(entrySizeField)
+	}
+	endpoint.Readiness = oneOf(&h.decoder, readiness, entryReadinessField)
+	endpoint.Cell = decide.CellID(h.integer(entryCellField))
+	entry.startedAt = h.integer(entryStartField)
+	return entry
+}
+
+// at is the entry on the clock of an instance that started then.
+func (e listEntry) at(start int64) decide.Endpoint {
+	endpoint := e.endpoint
+	endpoint.StartedAt = decide.LongAgo
+	if e.startedAt != 0 {
+		endpoint.StartedAt = time.Duration(e.startedAt - start)
+	}
+	return endpoint
+}
+
+// update passes a numbered list to the decisions.
+func (in *instance) update() {
+	h := in.host
+	kind := oneOf(&h.decoder, updateKinds, updateKindField)
+	if h.bad != nil {
+		return
+	}
+	in.balancer.BeginEndpoints(kind)
+	if kind == decide.FailedUpdate {
+		return
+	}
+	number := h.requiredInteger(updateListField)
+	if h.bad != nil {
+		return
+	}
+	if number < 0 || number >= int64(len(h.lists)) || h.lists[number] == nil {
+		h.bad = h.fault("UPDATE: list %d was never sent", number)
+		return
+	}
+	for _, entry := range h.lists[number] {
+		in.balancer.OnEndpoint(entry.at(in.start))
+	}
+	in.balancer.EndEndpoints()
+}
--- /dev/null
+++ b/internal/simulator/events.go
@@ -0,0 +1,133 @@
+package simulator
+
+import (
+	"time"
+
+	"yardwinch/decide"
+	"yardwinch/internal/config"
+)
+
+// event decodes one event and passes it to the decisions, unless it is bad.
+func (in *instance) event() {
+	switch in.host.messageType() {
+	case msgStop:
+		in.balancer = nil
+	case msgUpdate:
+		in.update()
+	case msgFlow, msgAdopt:
+		in.flowArrived()
+	case msgEstablished:
+		in.established()
+	case msgSample:
+		in.sampled()
+	case msgEnded:
+		in.ended()
+	case msgClientLeft:
+		if id := in.host.flow(); in.host.bad == nil {
+			in.balancer.OnClientLeft(id)
+		}
+	case msgTimer:
+		in.timerFired()
+	case msgHealthResult:
+		in.healthChecked()
+	case msgGossip:
+	default:
+		in.host.bad = in.host.fault("unknown message %q", in.host.messageType())
+	}
+}
+
+func (in *instance) flowArrived() {
+	h := in.host
+	request := decide.FlowRequest{
+		ID:       h.flow(),
+		Service:  in.service(arrivalServiceField),
+		Customer: in.customer(arrivalCustomerField),
+		Key:      decide.FlowKey(h.text(arrivalKeyField)),
+		Group:    decide.GroupKey(h.text(arrivalGroupField)),
+	}
+	timeout := time.Duration(h.integer(arrivalTimeoutField))
+	flags := int(h.integer(arrivalFlagsField))
+	if h.messageType() == msgAdopt {
+		server := h.server(arrivalServerField)
+		if h.bad == nil {
+			in.balancer.AdoptFlow(request, server)
+		}
+		return
+	}
+	request.Timeout = timeout
+	request.Flags = flags
+	h.required(arrivalTimeoutField)
+	if h.bad == nil {
+		in.balancer.OnFlow(request)
+	}
+}
+
+func (in *instance) established() {
+	h := in.host
+	id := h.flow()
+	took := time.Duration(h.integer(establishedTookField))
+	h.requiredInteger(attemptField)
+	if h.bad == nil {
+		in.balancer.OnEstablished(id, took)
+	}
+}
+
+func (in *instance) sampled() {
+	h := in.host
+	id := h.flow()
+	kind := h.requiredInteger(sampleKindField)
+	amount := h.float(sampleAmountField)
+	h.required(sampleAmountField)
+	if h.bad != nil {
+		return
+	}
+	switch kind {
+	case loadSample:
+		in.balancer.OnFlowLoad(id)
+	case latencySample:
+		in.balancer.OnLatencySample(id, time.Duration(amount*float64(time.Millisecond)))
+	}
+}
+
+func (in *instance) ended() {
+	h := in.host
+	id := h.flow()
+	server := h.server(endedServerField)
+	outcome := oneOf(&h.decoder, outcomes, endedOutcomeField)
+	took := time.Duration(h.integer(endedTookField))
+	over := h.integer(endedOverField) != 0
+	h.requiredInteger(attemptField)
+	if h.bad != nil {
+		return
+	}
+	in.reportLoad(server, h.text(endedReportField))
+	in.balancer.OnEnded(id, outcome, took, over)
+}
+
+func (in *instance) timerFired() {
+	timer := decide.TimerID(in.host.requiredInteger(timerField))
+	if remaining := in.remaining[timer]; remaining > 0 {
+		delete(in.remaining, timer)
+		in.SetTimer(timer, remaining)
+	} else if in.host.bad == nil {
+		in.balancer.OnTimer(timer)
+	}
+}
+
+func (in *instance) healthChecked() {
+	h := in.host
+	server := h.server(checkServerField)
+	outcome := oneOf(&h.decoder, outcomes, checkOutcomeField)
+	if h.bad != nil {
+		return
+	}
+	in.reportLoad(server, h.text(checkReportField))
+	in.balancer.OnHealthCheck(server, outcome)
+}
+
+// reportLoad passes on the load report of a server, if there is one.
+func (in *instance) reportLoad(server decide.ServerID, report string) {
+	if load, ok := config.ParseLoadReport(report); ok {
+		in.balancer.OnLoadReport(server, load)
+	}
+}
--- a/internal/simulator/simwire_test.go
+++ b/internal/simulator/simulator_test.go
@@ -23,26 +23,26 @@
 }
 
 func TestReplies(t *testing.T) {
-	job := "JOB_IN\tt/a\tlive\t-\ts-k\t900000000\t-\tc:g\t0\n"
-	hello := "SPEAKING\t3\nTIMER\t1\t250000000\n"
+	arrival := "JOB_IN\tt/a\tlive\t-\ts-k\t900000000\t-\tc:g\t0\n"
+	greeting := "SPEAKING\t3\nTIMER\t1\t250000000\n"
 	for _, c := range []struct{ name, in, want string }{
 		{"nothing", "", ""},
 		{"an empty batch", "BEGIN_BATCH\t8\nFLUSH\n", "YIELD\n"},
-		{"a flow goes to the server in service", begin + job + "FLUSH\n",
-			hello + "FORWARD\tt/a\t51\t450000000\nYIELD\n"},
-		{"it stands and ends; nothing more is said", begin + job + "FLUSH\nBEGIN_BATCH\t2000\nFOR\t3\n" +
+		{"a flow goes to the server in service", begin + arrival + "FLUSH\n",
+			greeting + "FORWARD\tt/a\t51\t450000000\nYIELD\n"},
+		{"it is established and ends; nothing more is sent", begin + arrival + "FLUSH\nBEGIN_BATCH\t2000\nFOR\t3\n" +
 			"FIRST\tt/a\t0\t51\t1000\nCHANGE\tt/a\t0\t51\t1\t7.5\nCHANGE\tt/a\t0\t51\t2\t80\n" +
 			"CLOSED_ATTEMPT\tt/a\t0\t51\tOK\t1000\t1\tx0:0.5,x1:0.1\nHANGUP\tt/a\nWAKE\t9\nFLUSH\n",
-			hello + "FORWARD\tt/a\t51\t450000000\nYIELD\nYIELD\n"},
-		{"refused twice, then rejected with advice", begin + job + "CLOSED_ATTEMPT\tt/a\t0\t51\tUNAVAILABLE\t0\t0\t-\n" +
+			greeting + "FORWARD\tt/a\t51\t450000000\nYIELD\nYIELD\n"},
+		{"unreachable twice, then rejected with Retry-After", begin + arrival + "CLOSED_ATTEMPT\tt/a\t0\t51\tUNAVAILABLE\t0\t0\t-\n" +
 			"CLOSED_ATTEMPT\tt/a\t1\t51\tUNAVAILABLE\t0\t0\t-\nFLUSH\n",
-			hello + "FORWARD\tt/a\t51\t450000000\nFORWARD\tt/a\t51\t900000000\nOVERLOAD_REPLY\tt/a\t1000000000\nYIELD\n"},
-		{"a list number taken over within a batch", begin + "DIRECTORY\t0\t1\nSERVER\t1\thall-a\t51\tOUT\tlarge\t0\t-\n" +
-			"UPDATE\tD\t42\t0\n" + job + "FLUSH\n", hello + "OVERLOAD_REPLY\tt/a\t1000000000\nYIELD\n"},
-		{"killed and started again", begin + "KILL\nSPAWN\t1\t" + settings + "\nUPDATE\tC\t41\t0\n" + job + "FLUSH\n",
-			hello + "TIMER\t1\t250000000\nFORWARD\tt/a\t51\t450000000\nYIELD\n"},
-		{"other events are taken", begin + "HEALTH_RESULT\t51\tOK\t5\tx0:0.5\nNEIGHBOUR_SAYS\t1\taGkgNw==\nUPDATE\tX\t0\t-\nFLUSH\n",
-			hello + "YIELD\n"},
+			greeting + "FORWARD\tt/a\t51\t450000000\nFORWARD\tt/a\t51\t900000000\nOVERLOAD_REPLY\tt/a\t1000000000\nYIELD\n"},
+		{"a list number reused within a batch", begin + "DIRECTORY\t0\t1\nSERVER\t1\thall-a\t51\tOUT\tlarge\t0\t-\n" +
+			"UPDATE\tD\t42\t0\n" + arrival + "FLUSH\n", greeting + "OVERLOAD_REPLY\tt/a\t1000000000\nYIELD\n"},
+		{"stopped and started again", begin + "KILL\nSPAWN\t1\t" + settings + "\nUPDATE\tC\t41\t0\n" + arrival + "FLUSH\n",
+			greeting + "TIMER\t1\t250000000\nFORWARD\tt/a\t51\t450000000\nYIELD\n"},
+		{"other events are accepted", begin + "HEALTH_RESULT\t51\tOK\t5\tx0:0.5\nNEIGHBOUR_SAYS\t1\taGkgNw==\nUPDATE\tX\t0\t-\nFLUSH\n",
+			greeting + "YIELD\n"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			got, err := run(c.in)
@@ -87,18 +87,21 @@
 }
 
 func TestPanicBecomesFault(t *testing.T) {
-	h := strings.Replace(begin, "service-types.count=1", "service-types.count=0", 1)
-	in := strings.Replace(h, "UPDATE\tC\t41\t0\n", "UPDATE\tC\t41\t0\nFIRST\tt/none\t0\t51\t1\n", 1) + "FLUSH\n"
-	if got, err := run(in); err != nil || strings.Contains(got, "FAULT") {
-		t.Errorf("got %q, error %v for an id that isn't held", got, err)
+	withoutServices := strings.Replace(begin, "service-types.count=1", "service-types.count=0", 1)
+	input := strings.Replace(withoutServices, "UPDATE\tC\t41\t0\n", "UPDATE\tC\t41\t0\nFIRST\tt/none\t0\t51\t1\n", 1) + "FLUSH\n"
+	if got, err := run(input); err != nil || strings.Contains(got, "FAULT") {
+		t.Errorf("got %q, error %v for an unknown flow", got, err)
 	}
-	i := &instance{id: 4, h: &host{f: []string{"KILL"}, lists: [16][]entry{}}} // no module: the call panics
 	var out strings.Builder
-	i.h.out = newWriter(&out)
-	if err := i.guarded(); err != nil {
+	h := &host{decoder: decoder{fields: []string{msgStop}}, out: newWriter(&out)}
+	in := &instance{host: h, id: 4} // without a balancer, so that the call panics
+	in.handle()
+	if h.bad != nil {
+		t.Fatal(h.bad)
+	}
+	if err := h.out.Flush(); err != nil {
 		t.Fatal(err)
 	}
-	i.h.out.Flush()
 	if !strings.HasPrefix(out.String(), "SPEAKING\t4\nFAULT\t") {
 		t.Errorf("got %q", out.String())
 	}
--- /dev/null
+++ b/internal/simulator/wire.go
@@ -0,0 +1,133 @@
+package simulator
+
+import (
+	"time"
+
+	"yardwinch/decide"
+)
+
+// The message types of the simulator's wire, and what they mean here. A line is a type and its fields, separated by tabs;
+// "-" and a missing field are both absent. Times are in nanoseconds.
+
+const absentField = "-"
+
+// maxTimer is the longest timer that is set at once. The wire allows 71 minutes.
+const maxTimer = 70 * time.Minute
+
+// Messages of a batch.
+const (
+	msgBeginBatch = "BEGIN_BATCH" // a batch of events begins: time
+	msgEndBatch   = "FLUSH"       // a batch of events ends
+	msgInstance   = "FOR"         // the events that follow are for an instance: instance
+	msgList       = "DIRECTORY"   // a numbered list follows: list, entries
+	msgListEntry  = "SERVER"      // an entry of the list: see entry...Field
+)
+
+// Messages for an instance.
+const (
+	msgStart        = "SPAWN"          // starts it: seed, then settings as path=value
+	msgStop         = "KILL"           // ends it
+	msgUpdate       = "UPDATE"         // an update of the endpoint list: kind, stamp, list
+	msgFlow         = "JOB_IN"         // a flow arrives: see arrival...Field
+	msgAdopt        = "OPEN"           // an established flow is taken over: the same, and its server
+	msgEstablished  = "FIRST"          // an attempt is established: flow, attempt, server, time taken
+	msgSample       = "CHANGE"         // a sample of an established flow: flow, attempt, server, kind, amount
+	msgEnded        = "CLOSED_ATTEMPT" // an attempt or connection ends: see ended...Field
+	msgClientLeft   = "HANGUP"         // a client leaves: flow
+	msgTimer        = "WAKE"           // a timer fires: timer
+	msgHealthResult = "HEALTH_RESULT"  // a health check ends: server, outcome, time taken, load report
+	msgGossip       = "NEIGHBOUR_SAYS" // gossip, which instances here neither send nor use
+)
+
+// Answers.
+const (
+	msgAnswering = "SPEAKING"       // the actions that follow are of an instance: instance
+	msgAnswered  = "YIELD"          // all actions for the batch are sent
+	msgFault     = "FAULT"          // the decisions failed: what happened
+	msgConnect   = "FORWARD"        // makes an attempt: flow, server, timeout
+	msgCancel    = "RECALL"         // withdraws an attempt: flow, attempt
+	msgReject    = "OVERLOAD_REPLY" // rejects a flow: flow, Retry-After
+	msgAbort     = "DROP_REQUEST"   // aborts a flow: flow
+	msgMigrate   = "SHIFT"          // migrates a flow: flow
+	msgCheck     = "HEALTH_CHECK"   // checks the health of a server: server
+	msgSetTimer  = "TIMER"          // sets a timer: timer, duration
+	msgWatch     = "TAIL"           // watches the endpoint list, or stops: 1 or 0
+	msgFetch     = "REFRESH"        // asks for the whole endpoint list
+	msgLog       = "WRITE_LOG"      // writes a line for operators: line
+)
+
+// Positions of fields.
+const (
+	typeField = 0
+	flowField = 1 // of all messages about a flow
+
+	batchTimeField  = 1
+	instanceField   = 1
+	listField       = 1
+	listCountField  = 2
+	seedField       = 1
+	settingsField   = 2 // the first
+	updateKindField = 1
+	updateListField = 3
+	timerField      = 1
+
+	entrySizeField      = 1
+	entryZoneField      = 2
+	entryServerField    = 3
+	entryReadinessField = 4
+	entryCellField      = 6
+	entryStartField     = 7
+
+	arrivalServiceField  = 2
+	arrivalCustomerField = 3
+	arrivalKeyField      = 4
+	arrivalTimeoutField  = 5
+	arrivalGroupField    = 7
+	arrivalFlagsField    = 8
+	arrivalServerField   = 9 // of an adopted flow
+
+	attemptField         = 2 // of messages about an attempt
+	establishedTookField = 4
+	sampleKindField      = 4
+	sampleAmountField    = 5
+
+	endedServerField  = 3
+	endedOutcomeField = 4
+	endedTookField    = 5
+	endedOverField    = 6
+	endedReportField  = 7
+
+	checkServerField  = 1
+	checkOutcomeField = 2
+	checkReportField  = 4
+)
+
+// Kinds of samples of an established flow.
+const (
+	loadSample    = 1
+	latencySample = 2 // in milliseconds
+)
+
+var outcomes = map[string]decide.Outcome{
+	"OK":                 decide.OK,
+	"INTERNAL":           decide.Error,
+	"RESOURCE_EXHAUSTED": decide.Full,
+	"DEADLINE_EXCEEDED":  decide.TimedOut,
+	"UNAVAILABLE":        decide.Unreachable,
+	"ABORTED":            decide.Reset,
+	"CANCELLED":          decide.Cancelled,
+	"TOO_LATE":           decide.NeverSent,
+}
+
+var readiness = map[string]decide.Readiness{
+	"IN":   decide.Ready,
+	"LAME": decide.Draining,
+	"OUT":  decide.Gone,
+}
+
+var updateKinds = map[string]decide.UpdateKind{
+	"D": decide.DeltaUpdate,
+	"F": decide.FullUpdate,
+	"C": decide.CachedUpdate,
+	"X": decide.FailedUpdate,
+}
