--- a/constraints/balancer_test.go
+++ b/constraints/balancer_test.go
@@ -79,10 +79,26 @@
 // configure gives the decisions their settings.
 func configure(b *decide.Balancer) {
 	b.ConfigureFlows(3, time.Second)
-	b.AddService(decide.ServiceType{Effect: decide.Idempotent, Deduplication: decide.DeduplicatedByFleet, SetupTarget: 300 * time.Millisecond, RetryWindow: 2 * time.Second, Value: 1})
-	b.ConfigureSlowStart(decide.SlowStart{InitialCapacity: 0.2, OverloadMultiple: 3, WarmUp: 20 * time.Second, Window: 1500 * time.Millisecond, Balancers: 1})
+	b.AddService(decide.ServiceType{
+		Effect:        decide.Idempotent,
+		Deduplication: decide.DeduplicatedByFleet,
+		SetupTarget:   300 * time.Millisecond,
+		RetryWindow:   2 * time.Second,
+		Value:         1,
+	})
+	b.ConfigureSlowStart(decide.SlowStart{
+		InitialCapacity:  0.2,
+		OverloadMultiple: 3,
+		WarmUp:           20 * time.Second,
+		Window:           1500 * time.Millisecond,
+		Balancers:        1,
+	})
 	b.ConfigurePlacement(0, 0, true)
-	b.ConfigureEndpoints(decide.EndpointSettings{Zone: "a", Polled: false, MaxPollInterval: 10 * time.Second, MessageTarget: 250 * time.Millisecond})
+	b.ConfigureEndpoints(decide.EndpointSettings{
+		Zone:            "a",
+		MaxPollInterval: 10 * time.Second,
+		MessageTarget:   250 * time.Millisecond,
+	})
 }
 
 // listThree lists servers 1 to 3, warm and ready.
--- a/constraints/bench_test.go
+++ b/constraints/bench_test.go
@@ -31,10 +31,26 @@
 			b.Run(fmt.Sprintf("servers=%d/localities=%v", servers, hasPolicy), func(b *testing.B) {
 				start := func(d *decide.Balancer) {
 					d.ConfigureFlows(3, time.Second)
-					d.AddService(decide.ServiceType{Effect: decide.Idempotent, Deduplication: decide.DeduplicatedByFleet, SetupTarget: 300 * time.Millisecond, RetryWindow: 2 * time.Second, Value: 1})
-					d.ConfigureSlowStart(decide.SlowStart{InitialCapacity: 0.2, OverloadMultiple: 3, WarmUp: 20 * time.Second, Window: 1500 * time.Millisecond, Balancers: 10})
+					d.AddService(decide.ServiceType{
+						Effect:        decide.Idempotent,
+						Deduplication: decide.DeduplicatedByFleet,
+						SetupTarget:   300 * time.Millisecond,
+						RetryWindow:   2 * time.Second,
+						Value:         1,
+					})
+					d.ConfigureSlowStart(decide.SlowStart{
+						InitialCapacity:  0.2,
+						OverloadMultiple: 3,
+						WarmUp:           20 * time.Second,
+						Window:           1500 * time.Millisecond,
+						Balancers:        10,
+					})
 					d.ConfigurePlacement(0.05, 0, true)
-					d.ConfigureEndpoints(decide.EndpointSettings{Zone: "a", Polled: false, MaxPollInterval: 10 * time.Second, MessageTarget: 250 * time.Millisecond})
+					d.ConfigureEndpoints(decide.EndpointSettings{
+						Zone:            "a",
+						MaxPollInterval: 10 * time.Second,
+						MessageTarget:   250 * time.Millisecond,
+					})
 				}
 				var m constraints.Balancer
 				if hasPolicy {
--- a/decide/admission_test.go
+++ b/decide/admission_test.go
@@ -10,7 +10,7 @@
 
 // runFailing runs one of 300 balancers that gets a flow every 100 ms and none of whose set-ups succeeds before recoversAt.
 // It returns when attempts were made, and when the first flow was established.
-func runFailing(t *testing.T, seed uint64, recoversAt, end time.Duration) (connects []time.Duration, establishedAt time.Duration) {
+func runFailing(t *testing.T, seed uint64, recoversAt, end time.Duration) (attempts []time.Duration, establishedAt time.Duration) {
 	const every, limit = 100 * ms, 90 * ms
 	s := newHarness(t, Idempotent, DeduplicatedByFleet, 60)
 	s.balancer.random = seeded(seed)
@@ -24,7 +24,7 @@
 				if now >= recoversAt {
 					s.balancer.OnEstablished(id, now-sent)
 					establishedAt = max(establishedAt, now)
-					return connects, establishedAt
+					return attempts, establishedAt
 				}
 				s.balancer.OnEnded(id, TimedOut, now-sent, false)
 			}
@@ -36,12 +36,12 @@
 		for id := range s.targets {
 			if f := s.balancer.flows.byID[id]; f != nil && f.state == connecting && sentAt[id] == 0 {
 				sentAt[id] = now
-				connects = append(connects, now)
+				attempts = append(attempts, now)
 			}
 		}
 		clear(s.targets)
 	}
-	return connects, establishedAt
+	return attempts, establishedAt
 }
 
 // While all set-ups fail, a balancer makes one attempt at a time and seldom, to spare what all set-ups share. One is made
@@ -50,16 +50,16 @@
 	const faultEnds = 30 * sec
 	sum := 0
 	for seed := range uint64(40) {
-		connects, establishedAt := runFailing(t, seed, faultEnds, faultEnds+5*sec)
-		for i, at := range connects[1:] {
-			if gap := at - connects[i]; gap > 3700*ms {
-				t.Errorf("seed %d: no attempt for %v after %v", seed, gap, connects[i])
+		attempts, establishedAt := runFailing(t, seed, faultEnds, faultEnds+5*sec)
+		for i, at := range attempts[1:] {
+			if gap := at - attempts[i]; gap > 3700*ms {
+				t.Errorf("seed %d: no attempt for %v after %v", seed, gap, attempts[i])
 			}
 		}
 		if establishedAt == 0 || establishedAt > faultEnds+3700*ms {
 			t.Errorf("seed %d: the first was established at %v, the fault ended at %v", seed, establishedAt, faultEnds)
 		}
-		sum += len(connects)
+		sum += len(attempts)
 	}
 	if most := 40 * 14; sum > most {
 		t.Errorf("%d set-ups of 40 balancers in 30 s, want %d at the most", sum, most)
@@ -128,7 +128,7 @@
 // A failure that all set-ups share is not made worse by retries.
 func TestSharedFailureIsNotRetried(t *testing.T) {
 	s := newHarness(t, Idempotent, DeduplicatedByFleet, 6)
-	connects := 0
+	attempts := 0
 	for i := range 400 {
 		s.setTime(time.Duration(i) * 10 * ms)
 		id := FlowID(fmt.Sprint(i))
@@ -137,10 +137,10 @@
 			s.balancer.OnEnded(id, Error, 5*ms, false)
 		}
 		s.balancer.OnTimer(queueTimer)
-		connects += s.countActions("connect")
+		attempts += s.countActions("connect")
 	}
-	if connects > 400 {
-		t.Errorf("%d connects for 400 flows", connects)
+	if attempts > 400 {
+		t.Errorf("%d attempts for 400 flows", attempts)
 	}
 }
 
@@ -159,21 +159,21 @@
 
 // A mass reconnect goes out in parts.
 func TestMassReconnectIsSpread(t *testing.T) {
-	for _, c := range []struct{ peers, most int }{{1, 48}, {200, 1}} {
-		t.Run(fmt.Sprint("a mass return goes out in parts, balancers: ", c.peers), func(t *testing.T) {
+	for _, c := range []struct{ balancers, most int }{{1, 48}, {200, 1}} {
+		t.Run(fmt.Sprint("a mass return goes out in parts, balancers: ", c.balancers), func(t *testing.T) {
 			s := newHarness(t, Idempotent, DeduplicatedByFleet, 6)
-			s.balancer.ConfigureSlowStart(slowStartRule(c.peers))
+			s.balancer.ConfigureSlowStart(slowStartRule(c.balancers))
 			for i := range 60 {
 				s.request(FlowID(fmt.Sprint(i)), "", 2*sec)
 			}
 			if n := s.countActions("connect"); n != c.most {
-				t.Errorf("%d connects at once, want %d", n, c.most)
+				t.Errorf("%d attempts at once, want %d", n, c.most)
 			}
 			s.setTime(400 * ms)
 			for id := range s.targets { // one or all stand, later than wanted
 				s.balancer.OnEstablished(id, 400*ms)
 			}
-			if gap := s.balancer.admission.reopensAt - 400*ms; c.peers > 1 && gap < 500*ms {
+			if gap := s.balancer.admission.reopensAt - 400*ms; c.balancers > 1 && gap < 500*ms {
 				t.Errorf("the next after %v", gap)
 			}
 		})
--- a/decide/attempts_test.go
+++ b/decide/attempts_test.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// One final answer for each flow, and no effect twice, after every end of the first connect.
+// One final answer for each flow, and no effect twice, after every end of the first attempt.
 func TestAfterFailedAttempt(t *testing.T) {
 	retried, reject, abort := "connect", "reject", "abort"
 	for _, c := range []struct {
 		name   string
 		effect Effect
-		reach  DeduplicationScope
+		scope  DeduplicationScope
 		end    Outcome
 		at     time.Duration
 		want   string
@@ -26,14 +26,14 @@
 		{"not idempotent, may have run", NotIdempotent, DeduplicatedByFleet, Error, 10 * ms, abort},
 		{"not idempotent, reset", NotIdempotent, DeduplicatedByFleet, Reset, 10 * ms, abort},
 		{"not idempotent, cancelled", NotIdempotent, DeduplicatedByFleet, Cancelled, 10 * ms, abort},
-		{"not idempotent, at the connect timeout", NotIdempotent, DeduplicatedByFleet, TimedOut, 900 * ms, abort},
-		{"not idempotent, not run, at the connect timeout", NotIdempotent, DeduplicatedByFleet, Unreachable, 900 * ms, reject},
+		{"not idempotent, at the deadline", NotIdempotent, DeduplicatedByFleet, TimedOut, 900 * ms, abort},
+		{"not idempotent, not run, at the deadline", NotIdempotent, DeduplicatedByFleet, Unreachable, 900 * ms, reject},
 		{"by key, may have run", IdempotentByKey, DeduplicatedByFleet, Reset, 10 * ms, retried},
-		{"by key in a zone, at the connect timeout", IdempotentByKey, DeduplicatedByZone, TimedOut, 900 * ms, abort},
-		{"by key by all, at the connect timeout", IdempotentByKey, DeduplicatedByFleet, TimedOut, 900 * ms, reject},
+		{"by key in a zone, at the deadline", IdempotentByKey, DeduplicatedByZone, TimedOut, 900 * ms, abort},
+		{"by key by all, at the deadline", IdempotentByKey, DeduplicatedByFleet, TimedOut, 900 * ms, reject},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := newHarness(t, c.effect, c.reach, 6)
+			s := newHarness(t, c.effect, c.scope, 6)
 			s.request("a", "", 900*ms)
 			s.takeActions()
 			s.setTime(c.at)
@@ -48,10 +48,10 @@
 func TestRepeatTargets(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		reach DeduplicationScope
+		scope DeduplicationScope
 	}{{"zone", DeduplicatedByZone}, {"cell", DeduplicatedByCell}} {
 		t.Run(c.name, func(t *testing.T) {
-			s := newHarness(t, IdempotentByKey, c.reach, 8)
+			s := newHarness(t, IdempotentByKey, c.scope, 8)
 			first := s.request("a", "", 1900*ms)
 			for i := 1; i < 3; i++ {
 				s.setTime(time.Duration(i) * 10 * ms)
@@ -140,14 +140,15 @@
 	}
 }
 
+// timeoutRecorder records the timeout of the last attempt.
 type timeoutRecorder struct {
 	Actions
 	timeout *time.Duration
 }
 
-func (l timeoutRecorder) Connect(f FlowID, server ServerID, d time.Duration) {
-	*l.timeout = d
-	l.Actions.Connect(f, server, d)
+func (r timeoutRecorder) Connect(f FlowID, server ServerID, timeout time.Duration) {
+	*r.timeout = timeout
+	r.Actions.Connect(f, server, timeout)
 }
 
 // A server that accepts flows and never answers leaves time for another.
@@ -155,7 +156,7 @@
 	s := newHarness(t, Idempotent, DeduplicatedByFleet, 2)
 	first := s.request("a", "", 2*sec)
 	if limit := s.balancer.attemptTimeout(s.balancer.flows.byID["a"]); limit > sec {
-		t.Fatalf("the connect may take %v of 2s", limit)
+		t.Fatalf("the attempt may take %v of 2s", limit)
 	}
 	s.setTime(sec)
 	s.balancer.OnEnded("a", TimedOut, sec, false)
--- a/decide/cost_test.go
+++ b/decide/cost_test.go
@@ -13,7 +13,7 @@
 	s := &harness{t: t, targets: map[FlowID]ServerID{}, attemptsTo: map[ServerID]int{}}
 	s.balancer = New(7, s)
 	s.balancer.ConfigureFlows(3, sec)
-	s.balancer.AddService(ServiceType{Effect: Idempotent, Deduplication: DeduplicatedByFleet, SetupTarget: 300 * ms, RetryWindow: 2 * sec, Value: 1})
+	s.balancer.AddService(serviceType(Idempotent, DeduplicatedByFleet))
 	s.balancer.ConfigureSlowStart(slowStartRule(8100))
 	s.balancer.ConfigurePlacement(0.02, 0.02, true)
 	s.balancer.ConfigureEndpoints(EndpointSettings{Zone: "z0", Polled: false, MaxPollInterval: 10 * sec, MessageTarget: 100 * ms})
@@ -29,7 +29,14 @@
 func (s *harness) listInZones(k UpdateKind, servers int) {
 	s.balancer.BeginEndpoints(k)
 	for i := 1; i <= servers; i++ {
-		s.balancer.OnEndpoint(Endpoint{ID: ServerID(i), Zone: Zone(fmt.Sprint("z", i%25)), Cell: CellID(i / 8), Size: 1, Readiness: Ready, StartedAt: LongAgo})
+		s.balancer.OnEndpoint(Endpoint{
+			ID:        ServerID(i),
+			Zone:      Zone(fmt.Sprint("z", i%25)),
+			Cell:      CellID(i / 8),
+			Size:      1,
+			Readiness: Ready,
+			StartedAt: LongAgo,
+		})
 	}
 	s.balancer.EndEndpoints()
 }
--- a/decide/harness_test.go
+++ b/decide/harness_test.go
@@ -50,7 +50,7 @@
 	s := &harness{t: t, targets: map[FlowID]ServerID{}, attemptsTo: map[ServerID]int{}}
 	s.balancer = New(7, s)
 	s.balancer.ConfigureFlows(4, 0)
-	s.balancer.AddService(ServiceType{Effect: effect, Deduplication: deduplication, SetupTarget: 300 * ms, RetryWindow: 2 * sec, Value: 1})
+	s.balancer.AddService(serviceType(effect, deduplication))
 	s.balancer.ConfigureSlowStart(slowStartRule(1))
 	s.balancer.ConfigureHealthChecks(false)
 	s.balancer.ConfigurePlacement(0, 0, true)
@@ -60,6 +60,11 @@
 	return s
 }
 
+// serviceType is the service type of all tests.
+func serviceType(effect Effect, deduplication DeduplicationScope) ServiceType {
+	return ServiceType{Effect: effect, Deduplication: deduplication, SetupTarget: 300 * ms, RetryWindow: 2 * sec, Value: 1}
+}
+
 // slowStartRule is the rule of most tests, for so many balancers.
 func slowStartRule(balancers int) SlowStart {
 	return SlowStart{InitialCapacity: 0.2, OverloadMultiple: 3, WarmUp: 20 * sec, Window: 1500 * ms, Balancers: balancers}
@@ -77,7 +82,14 @@
 
 func (s *harness) listServer(id ServerID, readiness Readiness, startedAt time.Duration) {
 	place := (int(id) - 1) / 2
-	s.balancer.OnEndpoint(Endpoint{ID: id, Zone: Zone(fmt.Sprint("z", place)), Cell: CellID(place), Size: 1, Readiness: readiness, StartedAt: startedAt})
+	s.balancer.OnEndpoint(Endpoint{
+		ID:        id,
+		Zone:      Zone(fmt.Sprint("z", place)),
+		Cell:      CellID(place),
+		Size:      1,
+		Readiness: readiness,
+		StartedAt: startedAt,
+	})
 }
 
 // updateServer updates one server of the list.
--- a/decide/longlist_test.go
+++ b/decide/longlist_test.go
@@ -59,7 +59,7 @@
 	s.setTime(3 * sec)
 	s.balancer.tick()
 	if n := s.countActions("move"); n == 0 || n > maxRechecksPerTick {
-		t.Errorf("%d moves in a tick, want some and at most %d", n, maxRechecksPerTick)
+		t.Errorf("%d migrations in a tick, want some and at most %d", n, maxRechecksPerTick)
 	}
 }
 
--- a/decide/overload_test.go
+++ b/decide/overload_test.go
@@ -36,20 +36,20 @@
 // One late message may be a pause; a second limits the server.
 func TestOneLateMessageIsNoLimit(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		notes int
-		room  bool
-	}{{"one late message may be a pause", 1, true}, {"a second is too much load", 2, false}} {
+		name        string
+		samples     int
+		hasCapacity bool
+	}{{"one late message may be a pause", 1, true}, {"a second is overload", 2, false}} {
 		t.Run(c.name, func(t *testing.T) {
 			s := newHarness(t, Idempotent, DeduplicatedByFleet, 6)
 			s.adopt("o", 10, "", 1)
 			s.adoptEach(2, 6)
-			for i := range c.notes {
+			for i := range c.samples {
 				s.setTime(time.Duration(i) * sec)
 				s.balancer.OnLatencySample("o9", 150*ms)
 			}
-			if server := s.balancer.list.byID[1]; s.balancer.hasCapacity(&flow{}, server, comparison{}) != c.room {
-				t.Errorf("room %v with %d open, limit %v", !c.room, server.openFlows, server.limit.flows)
+			if server := s.balancer.list.byID[1]; s.balancer.hasCapacity(&flow{}, server, comparison{}) != c.hasCapacity {
+				t.Errorf("has capacity: %v with %d open, limit %v", !c.hasCapacity, server.openFlows, server.limit.flows)
 			}
 		})
 	}
@@ -69,18 +69,18 @@
 // A lone reset of a server within its objective limits nothing, unless many balancers share the observations.
 func TestLoneReset(t *testing.T) {
 	for _, c := range []struct {
-		peers, resets int
-		limited       bool
+		balancers, resets int
+		limited           bool
 	}{{2, 1, false}, {2, 2, true}, {40, 1, true}} {
 		s := newHarness(t, Idempotent, DeduplicatedByFleet, 2)
-		s.balancer.ConfigureSlowStart(slowStartRule(c.peers))
+		s.balancer.ConfigureSlowStart(slowStartRule(c.balancers))
 		s.adopt("a", 9, "", 1)
 		s.setTime(sec)
 		for i := range c.resets {
 			s.balancer.OnEnded(FlowID(fmt.Sprint("a", i)), Reset, sec, true)
 		}
 		if got := s.balancer.list.byID[1].limit.reducedAt != 0; got != c.limited {
-			t.Errorf("%d balancers, %d resets: limited %v", c.peers, c.resets, got)
+			t.Errorf("%d balancers, %d resets: limited %v", c.balancers, c.resets, got)
 		}
 	}
 }
@@ -107,18 +107,19 @@
 // To one of many balancers capacity is scarce only by more than chance; then it holds fewer flows in all.
 func TestScarcityExceedsChance(t *testing.T) {
 	s := newHarness(t, Idempotent, DeduplicatedByFleet, 60)
-	s.balancer.slowStart.Balancers, s.balancer.health.setupTimes = 200, []time.Duration{sec} // beyond the target: none migrates
+	s.balancer.slowStart.Balancers = 200
+	s.balancer.health.setupTimes = []time.Duration{sec} // beyond the target: none migrates
 	s.adoptEach(1, 8)
-	for i, short := range []bool{false, false, false, true, true, true, true, true} {
+	for i, isScarce := range []bool{false, false, false, true, true, true, true, true} {
 		s.balancer.OnLatencySample(FlowID(fmt.Sprintf("r%d0", i+1)), 80*ms)
 		s.balancer.reduceLimit(s.balancer.list.byID[ServerID(i+1)])
-		if s.balancer.isCapacityScarce() != short {
-			t.Errorf("short %v with %d of 8 late", !short, i+1)
+		if s.balancer.isCapacityScarce() != isScarce {
+			t.Errorf("scarce: %v with %d of 8 late", !isScarce, i+1)
 		}
 	}
 	s.takeActions()
 	s.request("a", "", sec)
-	s.expect("reject a") // however many servers are left that it knows nothing of
+	s.expect("reject a") // however many servers it has not observed
 }
 
 // While capacity is scarce, flows over their customer's quota are shed first.
--- a/decide/rechecks_test.go
+++ b/decide/rechecks_test.go
@@ -30,7 +30,7 @@
 		s.setTime(c.since)
 		s.balancer.OnLatencySample("a0", 700*ms)
 		if n := s.countActions("move"); (n > 0) != c.want {
-			t.Errorf("%v after a set-up that ended %d, %d are moved", c.since, c.last, n)
+			t.Errorf("%v after a set-up that ended %d, %d migrate", c.since, c.last, n)
 		}
 	}
 }
@@ -51,26 +51,27 @@
 func TestMigrationFollowsBacklog(t *testing.T) {
 	for _, c := range []struct {
 		name     string
-		delay    time.Duration // one second after a note of 200 ms
-		from, to int           // moves of 200 balancers with one flow each
+		latency  time.Duration // one second after a sample of 200 ms
+		from, to int           // migrations of 200 balancers with one flow each
 	}{
-		{"a backlog that grows fast sends most away", 500 * ms, 100, 170},
-		{"one that grows slowly a part", 220 * ms, 10, 50},
-		{"one that shrinks fast enough nobody", 60 * ms, 0, 0},
+		{"a backlog that grows fast makes most migrate", 500 * ms, 100, 170},
+		{"one that grows slowly makes some migrate", 220 * ms, 10, 50},
+		{"one that shrinks fast enough makes none migrate", 60 * ms, 0, 0},
 	} {
 		t.Run("of many balancers, "+c.name, func(t *testing.T) {
-			moves := 0
+			migrations := 0
 			for n := range 200 {
 				s := newHarness(t, Idempotent, DeduplicatedByFleet, 6)
-				s.balancer.random, s.balancer.slowStart.Balancers = seeded(uint64(n)), 200
+				s.balancer.random = seeded(uint64(n))
+				s.balancer.slowStart.Balancers = 200
 				s.adopt("o", 1, "", 1)
 				s.balancer.list.byID[1].latency = 200 * ms
 				s.setTime(sec)
-				s.balancer.OnLatencySample("o0", c.delay)
-				moves += s.countActions("move")
+				s.balancer.OnLatencySample("o0", c.latency)
+				migrations += s.countActions("move")
 			}
-			if moves < c.from || moves > c.to {
-				t.Errorf("%d moves, want %d to %d", moves, c.from, c.to)
+			if migrations < c.from || migrations > c.to {
+				t.Errorf("%d migrations, want %d to %d", migrations, c.from, c.to)
 			}
 		})
 	}
@@ -90,9 +91,9 @@
 // A late fleet sheds a part of its flows only while its backlog grows.
 func TestLateFleetSheds(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		delay time.Duration // of the last note
-		moves int
+		name       string
+		latency    time.Duration // of the last sample
+		migrations int
 	}{
 		{"a late fleet whose backlog grows sheds a part", 900 * ms, 1},
 		{"one whose backlog shrinks keeps them", 500 * ms, 0},
@@ -105,9 +106,9 @@
 			s.balancer.OnLatencySample("a0", 800*ms)
 			s.takeActions()
 			s.setTime(sec)
-			s.balancer.OnLatencySample("a0", c.delay)
-			if n := s.countActions("move"); n != c.moves {
-				t.Errorf("%d moves, want %d", n, c.moves)
+			s.balancer.OnLatencySample("a0", c.latency)
+			if n := s.countActions("move"); n != c.migrations {
+				t.Errorf("%d migrations, want %d", n, c.migrations)
 			}
 		})
 	}
--- a/decide/recorded_test.go
+++ b/decide/recorded_test.go
@@ -49,7 +49,7 @@
 		rand: rand.New(rand.NewPCG(day.seed, 99)), connections: map[FlowID]ServerID{}}
 	r.balancer = New(day.seed, r.harness)
 	r.balancer.ConfigureFlows(3, sec)
-	r.balancer.AddService(ServiceType{Effect: day.effect, Deduplication: day.deduplication, SetupTarget: 300 * ms, RetryWindow: 2 * sec, Value: 1})
+	r.balancer.AddService(serviceType(day.effect, day.deduplication))
 	r.balancer.ConfigureSlowStart(slowStartRule(day.balancers))
 	r.balancer.ConfigureHealthChecks(day.healthChecks)
 	r.balancer.ConfigurePlacement(day.crossing, 0.02, true)
--- a/decide/warmup_test.go
+++ b/decide/warmup_test.go
@@ -26,7 +26,7 @@
 				s.request(FlowID(fmt.Sprint("f", at)), "", sec)
 			}
 			if s.attemptsTo[3] > c.most {
-				t.Errorf("%d connects, at most %d", s.attemptsTo[3], c.most)
+				t.Errorf("%d attempts, at most %d", s.attemptsTo[3], c.most)
 			}
 		})
 	}
@@ -39,7 +39,7 @@
 	s.adopt("a", 200, "", 1)
 	s.adopt("b", 200, "", 2)
 	s.updateServer(3, Ready, 0)
-	s.setTime(45 * sec) // with nobody to send until then
+	s.setTime(45 * sec) // without any flow until then
 	for i := range 400 {
 		id := FlowID(fmt.Sprint("f", i))
 		s.request(id, "", sec)
@@ -48,7 +48,7 @@
 	// A window of 1.5 s at three times a mean that rises from 140, and one flow by chance; all since the
 	// start is 100. Six windows of three balancers, spent at once, would overload a server.
 	if s.attemptsTo[3] < 5 || s.attemptsTo[3] > 14 {
-		t.Errorf("%d connects", s.attemptsTo[3])
+		t.Errorf("%d attempts", s.attemptsTo[3])
 	}
 }
 
@@ -61,7 +61,7 @@
 	s.balancer.list.byID[3].budgetDue = 0.99 // by chance
 	s.setTime(6 * sec)
 	if !s.balancer.hasSlowStartBudget(s.balancer.list.byID[3], s.balancer.compare(&flow{}, s.balancer.list.ready)) {
-		t.Error("it lapsed within four windows")
+		t.Error("it expired within four windows")
 	}
 }
 
@@ -76,7 +76,7 @@
 		s.request(FlowID(fmt.Sprint("f", i)), "", sec)
 	}
 	if s.attemptsTo[3] > 0 {
-		t.Errorf("%d connects", s.attemptsTo[3])
+		t.Errorf("%d attempts", s.attemptsTo[3])
 	}
 }
 
@@ -99,7 +99,7 @@
 	}
 	// The whole mean of 3 to 35, or 300 for each of the two servers before the third.
 	if sent[0] > 10 || sent[1] < 3*sent[0] || sent[1] > 60 {
-		t.Errorf("%d connects with no shares, %d with", sent[0], sent[1])
+		t.Errorf("%d attempts without quotas, %d with", sent[0], sent[1])
 	}
 }
 
@@ -110,7 +110,11 @@
 		s := newHarness(t, Idempotent, DeduplicatedByFleet, 0)
 		s.balancer.BeginEndpoints(DeltaUpdate)
 		for id := ServerID(1); id <= 3; id++ {
-			s.balancer.OnEndpoint(Endpoint{ID: id, Zone: "z0", Size: unit, Readiness: Ready, StartedAt: map[bool]time.Duration{true: 0, false: LongAgo}[id == 3]})
+			startedAt := LongAgo
+			if id == 3 {
+				startedAt = 0
+			}
+			s.balancer.OnEndpoint(Endpoint{ID: id, Zone: "z0", Size: unit, Readiness: Ready, StartedAt: startedAt})
 		}
 		s.balancer.EndEndpoints()
 		s.adopt("a", 20, "", 1)
@@ -124,7 +128,7 @@
 		sent[i] = s.attemptsTo[3]
 	}
 	if sent[0] != sent[1] || sent[0] < 5 {
-		t.Errorf("%d connects where a server's size is 1, %d where it is 3", sent[0], sent[1])
+		t.Errorf("%d attempts where a server's size is 1, %d where it is 3", sent[0], sent[1])
 	}
 }
 
@@ -147,7 +151,7 @@
 	}
 	// A full server holds 200 * 3 / 10 and the new flows; its capacity share is 0.4 by then.
 	if sent < 3 || sent > 60 {
-		t.Errorf("%d connects", sent)
+		t.Errorf("%d attempts", sent)
 	}
 }
 
@@ -155,9 +159,9 @@
 // it goes elsewhere, and is not if anything did.
 func TestBudgetOfUnsentAttemptIsRefunded(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		end  func(b *Balancer)
-		back bool
+		name       string
+		end        func(b *Balancer)
+		isRefunded bool
 	}{
 		{"the client left before the placement", func(b *Balancer) { b.OnClientLeft("a"); b.OnEnded("a", NeverSent, 0, true) }, true},
 		{"the client left during the attempt", func(b *Balancer) {
@@ -181,13 +185,13 @@
 			s.balancer.OnFlow(FlowRequest{ID: "a", Customer: NoCustomer, Timeout: sec})
 			want := server.budgetSpent
 			if want == 0 || s.attemptsTo[1] != 1 {
-				t.Fatalf("%d spent after the connect: %v", server.budgetSpent, s.performed)
+				t.Fatalf("%d spent after the attempt: %v", server.budgetSpent, s.performed)
 			}
-			if c.end(s.balancer); c.back {
+			if c.end(s.balancer); c.isRefunded {
 				want--
 			}
 			if server.budgetSpent != want || server.openFlows != 0 || len(s.balancer.flows.connecting) != 0 {
-				t.Errorf("%d spent, want %d; %d on the tally, %d out", server.budgetSpent, want, server.openFlows, len(s.balancer.flows.connecting))
+				t.Errorf("%d spent, want %d; %d on the tally, %d connecting", server.budgetSpent, want, server.openFlows, len(s.balancer.flows.connecting))
 			}
 		})
 	}
