--- a/constraints/balancer_test.go
+++ b/constraints/balancer_test.go
@@ -76,30 +76,7 @@
 	return balancer, actions
 }
 
-// configure gives the decisions their settings.
-func configure(b *decide.Balancer) {
-	b.ConfigureFlows(3, time.Second)
-	b.AddService(decide.ServiceType{
-		Effect:        decide.Idempotent,
-		Deduplication: decide.DeduplicatedByFleet,
-		SetupTarget:   300 * time.Millisecond,
-		RetryWindow:   2 * time.Second,
-		Value:         1,
-	})
-	b.ConfigureSlowStart(decide.SlowStart{
-		InitialCapacity:  0.2,
-		OverloadMultiple: 3,
-		WarmUp:           20 * time.Second,
-		Window:           1500 * time.Millisecond,
-		Balancers:        1,
-	})
-	b.ConfigurePlacement(0, 0, true)
-	b.ConfigureEndpoints(decide.EndpointSettings{
-		Zone:            "a",
-		MaxPollInterval: 10 * time.Second,
-		MessageTarget:   250 * time.Millisecond,
-	})
-}
+func configure(b *decide.Balancer) { Configure(b, 1, 0) }
 
 // listThree lists servers 1 to 3, warm and ready.
 func listThree(m Balancer) {
--- a/constraints/bench_test.go
+++ b/constraints/bench_test.go
@@ -29,29 +29,7 @@
 	for _, servers := range []int{100, 1000, 10000} {
 		for _, hasPolicy := range []bool{false, true} {
 			b.Run(fmt.Sprintf("servers=%d/localities=%v", servers, hasPolicy), func(b *testing.B) {
-				start := func(d *decide.Balancer) {
-					d.ConfigureFlows(3, time.Second)
-					d.AddService(decide.ServiceType{
-						Effect:        decide.Idempotent,
-						Deduplication: decide.DeduplicatedByFleet,
-						SetupTarget:   300 * time.Millisecond,
-						RetryWindow:   2 * time.Second,
-						Value:         1,
-					})
-					d.ConfigureSlowStart(decide.SlowStart{
-						InitialCapacity:  0.2,
-						OverloadMultiple: 3,
-						WarmUp:           20 * time.Second,
-						Window:           1500 * time.Millisecond,
-						Balancers:        10,
-					})
-					d.ConfigurePlacement(0.05, 0, true)
-					d.ConfigureEndpoints(decide.EndpointSettings{
-						Zone:            "a",
-						MaxPollInterval: 10 * time.Second,
-						MessageTarget:   250 * time.Millisecond,
-					})
-				}
+				start := func(b *decide.Balancer) { constraints.Configure(b, 10, 0.05) }
 				var m constraints.Balancer
 				if hasPolicy {
 					policy := locality.New(locality.Config{
--- a/decide/admission.go
+++ b/decide/admission.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// How many attempts may be out, which flows wait in the admission queue, and how many flows may be held.
+// How many attempts may be out, and which flows wait in the admission queue or are shed.
 
 const (
 	fleetSetupLimit = 48.0                    // attempts out at once while set-ups succeed, over all balancers
@@ -21,12 +21,6 @@
 	sharedFailureSample = 3   // recent set-ups needed to infer a shared failure
 
 	deviations = 2 // standard deviations of a sample that are put down to chance
-
-	limitReduction = 0.7 // share of its flows that an overloaded server keeps
-	// The limit on all flows falls from no reduction where scarceShare of the servers are overloaded to
-	// limitReduction where all are.
-	overloadScale  = 1.25
-	overloadOffset = 0.25
 )
 
 // admission is the concurrency limit on attempts, with additive increase and multiplicative decrease, and its queue.
@@ -132,28 +126,3 @@
 	own := b.slowStart.quotas[customer] / balancers
 	return float64(b.customerFlows[f.customer]) >= own+deviations*math.Sqrt(own*(1-1/balancers))
 }
-
-// reduceLimit limits an overloaded server, as the flows that it drops would overload the next one. While capacity is
-// scarce all flows of this balancer are limited too, by the share of overloaded servers.
-func (b *Balancer) reduceLimit(server *serverState) {
-	server.limit.reduce(limitReduction*float64(server.openFlows), b.now)
-	overview := b.fleetOverview()
-	if !b.isCapacityScarce() {
-		return
-	}
-	excess := max(0, overloadScale*overview.overloaded/overview.observed-overloadOffset)
-	b.health.flowLimit.reduce((1-(1-limitReduction)*excess)*float64(len(b.flows.established)), b.now)
-}
-
-// hasCapacity reports whether the server may take one more flow. The limit on all flows binds those that would open a
-// group on a warm server, which costs it extra work. A low load report overrides limits that were inferred from
-// latency, except in a fleet without spare capacity.
-func (b *Balancer) hasCapacity(f *flow, server *serverState, against comparison) bool {
-	load, isReported := b.reportedLoad(server)
-	isLight := isReported && load < lightLoad
-	held := len(b.flows.established)
-	fleetAllows := isLight && against.meanLoad < lightLoad || b.health.flowLimit.hasCapacity(held, 1, b.now)
-	meanFlows := float64(held) / float64(len(b.list.ready)+1)
-	serverAllows := isLight || server.limit.hasCapacity(server.openFlows, meanFlows, b.now)
-	return serverAllows && (fleetAllows || against.groupFlows(server, f.group) > 0 || b.capacityShare(server) < 1)
-}
--- a/decide/health.go
+++ b/decide/health.go
@@ -17,23 +17,23 @@
 	outlierSample      = 2   // recent outcomes needed to eject a server
 	outlierMargin      = 0.5 // share of failures above the fleet's median
 
-	firstEjectionTime  = time.Second
-	maxEjectionTime    = 16 * time.Second
-	maxUnreachable     = 2  // attempts in a row that reached nobody, from which a server is silent
-	maxProbationLimit  = 16 // flows out at once
-	provenProbation    = 8  // probation limit beyond which a server is no longer ejected
-	probationFirstFlow = 1
+	firstEjectionTime   = time.Second
+	maxEjectionTime     = 16 * time.Second
+	maxUnreachable      = 2  // attempts in a row that reached nobody, from which a server is silent
+	maxProbationLimit   = 16 // flows out at once
+	provenProbation     = 8  // probation limit beyond which probation ends
+	firstProbationLimit = 1  // flows out at once
 
 	backlogDrainTime   = 1400 * time.Millisecond // in which a backlog is to be gone
 	overloadedFraction = 3                       // latency above objective/3 is overload
 	scarceFraction     = 5                       // capacity is scarce when servers/5 are overloaded
 
-	loadReportMaxAge   = 3 * recheckInterval
-	checksPerConnect   = 4.0 // health checks that one attempt pays for
-	checksPerRound     = 4   // of each server, at most, in a round of rechecks
-	lightLoad          = 0.7 // load over capacity up to which a server meets its objectives, whatever others have
-	fullLoad           = 1.0 // load over capacity beyond which work piles up
-	loadedServerWeight = 1   // added to the weight of a report's age where flows are open
+	loadReportMaxAge = 3 * recheckInterval
+	checksPerConnect = 4.0 // health checks that one attempt pays for
+	checksPerRound   = 4   // of each server, at most, in a round of rechecks
+	lightLoad        = 0.7 // load over capacity up to which a server meets its objectives, whatever others have
+	fullLoad         = 1.0 // load over capacity beyond which work piles up
+	openFlowsWeight  = 1   // added to the weight of a check's age where flows are open
 )
 
 // health is what is known of the fleet as a whole.
@@ -103,7 +103,7 @@
 		b.health.overview.ejected++
 	}
 	server.ejected = true
-	server.probationLimit = probationFirstFlow
+	server.probationLimit = firstProbationLimit
 	server.ejectedUntil = b.now + server.ejectionTime
 }
 
@@ -245,7 +245,7 @@
 		return
 	}
 	age := func(server *serverState) int {
-		return int(b.now-server.healthCheckedAt) * (1 + min(server.openFlows, loadedServerWeight))
+		return int(b.now-server.healthCheckedAt) * (1 + min(server.openFlows, openFlowsWeight))
 	}
 	oldest := slices.Clone(b.list.ready)
 	slices.SortStableFunc(oldest, func(one, other *serverState) int { return age(other) - age(one) })
