--- a/cmd/testbed/agree.go
+++ b/cmd/testbed/agree.go
@@ -53,7 +53,7 @@
 		if folder, err = os.MkdirTemp("", "yard"); err != nil {
 			return err
 		}
-		defer os.RemoveAll(folder)
+		defer func() { _ = os.RemoveAll(folder) }() // what is left of a temporary directory harms nobody
 	}
 	var pairs []*pair
 	var files []*experiment.Experiment
@@ -103,7 +103,7 @@
 		}
 	}
 	t := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(t, "day\tseed\tservice virtual (least, most)\tsockets\tworst 10 s virtual\tsockets\tconnects virtual\tsockets\tbroken virtual\tsockets\tagrees")
+	printf(t, "day\tseed\tservice virtual (least, most)\tsockets\tworst 10 s virtual\tsockets\tconnects virtual\tsockets\tbroken virtual\tsockets\tagrees\n")
 	differ, void := 0, 0
 	for _, p := range pairs {
 		v, s := p.Virtual, p.Sockets
@@ -115,10 +115,10 @@
 			word = "NO"
 			differ++
 		}
-		fmt.Fprintf(t, "%s\t%d\t%.3f (%.3f, %.3f)\t%.3f\t%.3f\t%.3f\t%d\t%d\t%d\t%d\t%s\n", p.Name, p.Seed, p.Mean, p.Least, p.Most, s.Service, v.Window, s.Window,
+		printf(t, "%s\t%d\t%.3f (%.3f, %.3f)\t%.3f\t%.3f\t%.3f\t%d\t%d\t%d\t%d\t%s\n", p.Name, p.Seed, p.Mean, p.Least, p.Most, s.Service, v.Window, s.Window,
 			v.Connects, s.Connects, v.Broken, s.Broken, word)
 		if s.Broken > 0 {
-			fmt.Fprintf(t, "\t\t%s\n", s.Violations[0])
+			printf(t, "\t\t%s\n", s.Violations[0])
 		}
 	}
 	_ = t.Flush()
--- a/cmd/testbed/fleet.go
+++ b/cmd/testbed/fleet.go
@@ -139,7 +139,7 @@
 		if folder, err = os.MkdirTemp("", "fleet"); err != nil {
 			return nil, err
 		}
-		defer os.RemoveAll(folder)
+		defer func() { _ = os.RemoveAll(folder) }() // what is left of a temporary directory harms nobody
 	} else {
 		folder = filepath.Join(folder, fmt.Sprintf("%s-%d", p.Name(), seed))
 		if err = os.MkdirAll(folder, 0o755); err != nil {
@@ -157,14 +157,14 @@
 		word = "FAILS"
 	}
 	f := r.Figures
-	fmt.Fprintf(to, "%s, seed %d: %s\n", r.Name, r.Seed, word)
-	fmt.Fprintf(to, "  %d processes, %d clients (%d never up), %d flows: %d established, %d rejected, %d aborted; %d cut, %d moved; service %.3f over %v\n",
+	printf(to, "%s, seed %d: %s\n", r.Name, r.Seed, word)
+	printf(to, "  %d processes, %d clients (%d never up), %d flows: %d established, %d rejected, %d aborted; %d cut, %d moved; service %.3f over %v\n",
 		len(r.Processes), f.Clients, f.NeverUp, f.Flows, f.Established, f.Rejected, f.Aborted, f.Cut, f.Moved, f.Service, time.Duration(r.Length*float64(time.Second)))
 	if f.Probes > 0 {
-		fmt.Fprintf(to, "  %d probes of servers\n", f.Probes)
+		printf(to, "  %d probes of servers\n", f.Probes)
 	}
 	for _, x := range r.Troubles {
-		fmt.Fprintf(to, "  %s in trouble from %.1fs: the last balancer stopped choosing it after %.2fs, %d connects went to it meanwhile\n", x.Server, x.From, x.LastStops, x.Sent)
+		printf(to, "  %s in trouble from %.1fs: the last balancer stopped choosing it after %.2fs, %d connects went to it meanwhile\n", x.Server, x.From, x.LastStops, x.Sent)
 	}
 	t := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
 	for _, m := range r.Musts {
@@ -172,13 +172,13 @@
 		if !m.Holds {
 			word = "FAILS"
 		}
-		fmt.Fprintf(t, "  %s\t%s\t%s\n", word, m.Must, m.Seen)
+		printf(t, "  %s\t%s\t%s\n", word, m.Must, m.Seen)
 	}
 	_ = t.Flush()
 	for i, v := range r.Violations {
 		if i == 3 {
 			break
 		}
-		fmt.Fprintln(to, "  broken:", v)
+		printf(to, "  broken: %s\n", v)
 	}
 }
--- a/cmd/testbed/main.go
+++ b/cmd/testbed/main.go
@@ -6,6 +6,7 @@
 	"context"
 	"errors"
 	"fmt"
+	"io"
 	"os"
 	"os/signal"
 	"syscall"
@@ -45,6 +46,10 @@
 	os.Exit(ruleBroken)
 }
 
+// printf writes for the operator. Where the reader of the output is gone there is nobody to tell of it, and the exit code still says
+// what the run found.
+func printf(to io.Writer, format string, values ...any) { _, _ = fmt.Fprintf(to, format, values...) }
+
 // fault is an error of what was asked for.
 func fault(err error) error { return coded{err, badInput} }
 
--- a/cmd/testbed/run.go
+++ b/cmd/testbed/run.go
@@ -156,13 +156,13 @@
 
 // table prints a line a policy: means over the seeds.
 func table(to io.Writer, e *experiment.Experiment, policies []string, results []*count.Result, compare bool) {
-	fmt.Fprintf(to, "%s: %s\n", e.Name, e.About)
+	printf(to, "%s: %s\n", e.Name, e.About)
 	t := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
 	head := "policy\tservice\twhole\tworst 10 s\tcustomer\tset-up p50/p99 ms\tconnects/client\tmoves\trejects\tbroken rules"
 	if compare {
 		head += "\tours better by"
 	}
-	fmt.Fprintln(t, head)
+	printf(t, "%s\n", head)
 	var ours []float64
 	for _, r := range results {
 		if r.Policy == "ours" {
@@ -197,7 +197,7 @@
 	}
 	slices.SortStableFunc(lines, func(a, b line) int { return cmp.Compare(b.service, a.service) })
 	for _, l := range lines {
-		fmt.Fprintln(t, l.text)
+		printf(t, "%s\n", l.text)
 	}
 	_ = t.Flush()
 }
--- a/cmd/testbed/scale.go
+++ b/cmd/testbed/scale.go
@@ -93,7 +93,7 @@
 		for _, p := range s.Points {
 			points = append(points, fmt.Sprintf("%g: %.4g", p.Size, p.Value))
 		}
-		fmt.Fprintf(t, "  %s\t%s\t%s\n", s.Name, s.Unit, strings.Join(points, "  "))
+		printf(t, "  %s\t%s\t%s\n", s.Name, s.Unit, strings.Join(points, "  "))
 	}
 	for _, check := range r.Checks {
 		word := "holds"
@@ -101,7 +101,7 @@
 			word = "FAILS"
 			failed++
 		}
-		fmt.Fprintf(t, "  %s\t%s\t%s\n", check.Name, word, check.Detail)
+		printf(t, "  %s\t%s\t%s\n", check.Name, word, check.Detail)
 	}
 	_ = t.Flush()
 	return failed
@@ -139,13 +139,13 @@
 		return err
 	}
 	t := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(t, "file\tsweep\tsizes")
+	printf(t, "file\tsweep\tsizes\n")
 	for _, file := range files {
 		e, err := scale.Open(file)
 		if err != nil {
 			return fault(err)
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s %v\n", file, e.Settings.Sweep, e.Settings.Against, e.Settings.Sizes)
+		printf(t, "%s\t%s\t%s %v\n", file, e.Settings.Sweep, e.Settings.Against, e.Settings.Sizes)
 	}
 	return t.Flush()
 }
--- a/cmd/testbed/soak.go
+++ b/cmd/testbed/soak.go
@@ -113,23 +113,23 @@
 	} else if !r.Holds {
 		word = "FAILS"
 	}
-	fmt.Fprintf(to, "seed %d: %s; %d flows: %d established, %d rejected, %d aborted; %d cut, %d moved\n",
+	printf(to, "seed %d: %s; %d flows: %d established, %d rejected, %d aborted; %d cut, %d moved\n",
 		seed, word, f.Flows, f.Established, f.Rejected, f.Aborted, f.Cut, f.Moved)
 	if r.Holds || r.Void != "" {
 		return nil
 	}
 	for _, must := range r.Musts {
 		if !must.Holds {
-			fmt.Fprintf(to, "  %s: %s\n", must.Must, must.Seen)
+			printf(to, "  %s: %s\n", must.Must, must.Seen)
 		}
 	}
 	if len(r.Violations) > 0 {
-		fmt.Fprintln(to, "  first:", r.Violations[0])
+		printf(to, "  first: %s\n", r.Violations[0])
 	}
 	path := filepath.Join(keep, fmt.Sprintf("soak-%d.toml", seed))
 	if err := os.WriteFile(path, []byte(fleet.SoakPlan(seed)), 0o644); err != nil {
 		return err
 	}
-	fmt.Fprintf(to, "  kept: testbed fleet %s --seed %d\n", path, seed)
+	printf(to, "  kept: testbed fleet %s --seed %d\n", path, seed)
 	return nil
 }
--- a/cmd/testbed/spread.go
+++ b/cmd/testbed/spread.go
@@ -94,12 +94,12 @@
 		return nil
 	}
 	t := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(t, "members\tseed\thalf know after\t99 % after\tquiet: bytes/s, packets/s, messages heard/s\tfirst 5 s: bytes/s, the most\tdear before")
+	printf(t, "members\tseed\thalf know after\t99 %% after\tquiet: bytes/s, packets/s, messages heard/s\tfirst 5 s: bytes/s, the most\tdear before\n")
 	for _, r := range results {
-		fmt.Fprintf(t, "%d\t%d\t%s\t%s\t%.0f  %.1f  %.0f\t%.0f  %.0f\t%d\n", r.Members, r.Seed, orNever(r.Half), orNever(r.Most),
+		printf(t, "%d\t%d\t%s\t%s\t%.0f  %.1f  %.0f\t%.0f  %.0f\t%d\n", r.Members, r.Seed, orNever(r.Half), orNever(r.Most),
 			r.QuietBytes, r.QuietPackets, r.QuietMessages, r.BusyBytes, r.MaxBusyBytes, r.FalsePenalties)
 	}
-	fmt.Fprintln(t, "all simulated; an instance's own figures")
+	printf(t, "all simulated; an instance's own figures\n")
 	return t.Flush()
 }
 
--- a/cmd/testbed/try.go
+++ b/cmd/testbed/try.go
@@ -83,7 +83,7 @@
 		if folder, err = os.MkdirTemp("", "yard"); err != nil {
 			return nil, err
 		}
-		defer os.RemoveAll(folder)
+		defer func() { _ = os.RemoveAll(folder) }() // what is left of a temporary directory harms nobody
 	} else if err := os.MkdirAll(folder, 0o755); err != nil {
 		return nil, err
 	}
@@ -139,7 +139,7 @@
 	if s, err := to.Stat(); err != nil || s.Mode()&os.ModeCharDevice == 0 {
 		return func(now time.Duration) {
 			if now%(5*time.Second) < 500*time.Millisecond {
-				fmt.Fprintf(to, "%s: %v of %v\n", e.Name, now.Truncate(time.Second), e.Length)
+				printf(to, "%s: %v of %v\n", e.Name, now.Truncate(time.Second), e.Length)
 			}
 		}
 	}
--- a/internal/compatibility/daemon_test.go
+++ b/internal/compatibility/daemon_test.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"bytes"
+	"context"
 	"errors"
 	"fmt"
 	"io"
@@ -97,7 +98,7 @@
 // start starts the daemon; it is killed with the test, and its log is shown where the test failed.
 func (d *daemon) start() {
 	d.t.Helper()
-	d.process = exec.Command(command(d.t, "daemon"), "serve", "--verbose", "--config", d.config, "--options", d.options)
+	d.process = exec.CommandContext(context.Background(), command(d.t, "daemon"), "serve", "--verbose", "--config", d.config, "--options", d.options)
 	d.process.Env = append(environment(d.t), "TMPDIR="+d.folder)
 	d.process.Stderr = &d.log
 	if err := d.process.Start(); err != nil {
@@ -120,7 +121,8 @@
 	}
 	_ = d.process.Process.Signal(s) // it may have ended
 	select {
-	case <-d.ended:
+	case err := <-d.ended:
+		d.t.Logf("the daemon ended after %v: %v", s, err)
 	case <-time.After(patience):
 		d.t.Error("the daemon does not end")
 	}
@@ -160,7 +162,7 @@
 	if err != nil {
 		return 0, err.Error()
 	}
-	defer response.Body.Close()
+	defer func() { _ = response.Body.Close() }()
 	text, err := io.ReadAll(response.Body)
 	if err != nil {
 		return 0, err.Error()
@@ -177,7 +179,7 @@
 // says is a client that says a line, and what it is answered; its connection lasts as long as the test.
 func (d *daemon) says(line string) (net.Conn, string) {
 	d.t.Helper()
-	conn, err := net.DialTimeout("tcp", d.clients(), patience)
+	conn, err := (&net.Dialer{Timeout: patience}).DialContext(d.t.Context(), "tcp", d.clients())
 	if err != nil {
 		d.t.Fatal(err)
 	}
@@ -196,7 +198,7 @@
 // echo is a server that takes every connection and tells its load to probes.
 func echo(t *testing.T) string {
 	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -216,7 +218,7 @@
 }
 
 func echoing(conn net.Conn) {
-	defer conn.Close()
+	defer func() { _ = conn.Close() }()
 	in := bufio.NewReader(conn)
 	switch line, _ := in.ReadString('\n'); {
 	case strings.HasPrefix(line, "OPEN "):
--- a/internal/compatibility/days_test.go
+++ b/internal/compatibility/days_test.go
@@ -459,7 +459,7 @@
 func (p *played) load(s *madeServer) float64 {
 	load := float64(s.open) / (s.size * float64(p.d.capacity))
 	if s.mood == "slow" {
-		load += 1
+		load++
 	}
 	return load
 }
--- a/internal/compatibility/gossip_test.go
+++ b/internal/compatibility/gossip_test.go
@@ -1,6 +1,7 @@
 package compatibility
 
 import (
+	"context"
 	"fmt"
 	"net"
 	"os/exec"
@@ -38,7 +39,7 @@
 func newGossiper(t *testing.T, name, bind string, seeds ...any) *gossiper {
 	t.Helper()
 	g := &gossiper{t: t, say: make(chan []any), heard: make(chan []any, 1000)}
-	g.process = exec.Command(command(t, "gossip"))
+	g.process = exec.CommandContext(context.Background(), command(t, "gossip")) // it outlives the test's context: it is to leave in order
 	g.process.Stderr = &g.log
 	in, err := g.process.StdinPipe()
 	if err != nil {
@@ -54,7 +55,7 @@
 	over, written, read := make(chan struct{}), make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(written)
-		defer in.Close()
+		defer func() { _ = in.Close() }()
 		to := cbor.NewEncoder(in)
 		beat := time.NewTicker(beatEvery)
 		defer beat.Stop()
@@ -114,15 +115,15 @@
 	}
 }
 
-// sees tells whether a frame names a member in a state.
-func sees(name, state string) func(f []any) bool {
+// sees tells whether a frame names a member that is alive.
+func sees(name string) func(f []any) bool {
 	return func(f []any) bool {
 		if f[0] != uint64(frameMembers) {
 			return false
 		}
 		all, _ := f[1].([]any)
 		for _, x := range all {
-			if m, _ := x.([]any); len(m) == 4 && m[0] == name && m[2] == state {
+			if m, _ := x.([]any); len(m) == 4 && m[0] == name && m[2] == "alive" {
 				return true
 			}
 		}
@@ -146,14 +147,14 @@
 	atA, atB := ownHost()+":17946", ownHost()+":17946"
 	a := newGossiper(t, "a", atA)
 	a.say <- []any{frameWhole, []byte("all of a")}
-	a.hears("a sees itself", sees("a", "alive"))
+	a.hears("a sees itself", sees("a"))
 	b := newGossiper(t, "b", atB, atA)
-	b.hears("b sees a", sees("a", "alive"))
+	b.hears("b sees a", sees("a"))
 	b.hears("b is told all of a", says(frameAll, "all of a"))
-	a.hears("a sees b", sees("b", "alive"))
+	a.hears("a sees b", sees("b"))
 	a.say <- []any{frameSay, "a", []byte("news")}
 	b.hears("b hears a", says(frameHear, "news"))
-	f := a.hears("a sees b", sees("b", "alive"))
+	f := a.hears("a sees b", sees("b"))
 	var shown strings.Builder
 	for _, x := range f[1].([]any) {
 		for _, field := range x.([]any) {
@@ -202,7 +203,7 @@
 	}
 	d.start()
 	d.ready()
-	other.hears("the daemon is a member", sees("north-3", "alive"))
+	other.hears("the daemon is a member", sees("north-3"))
 	other.say <- []any{frameSay, "north-1", record}
 	d.until("the record is shown", func() bool {
 		r := ran(t, "daemon", "", "", "members", "--socket", d.socket)
--- a/internal/compatibility/handover_test.go
+++ b/internal/compatibility/handover_test.go
@@ -177,9 +177,9 @@
 	if err != nil {
 		d.t.Fatal(err)
 	}
-	defer folder.Close()
+	defer func() { _ = folder.Close() }()
 	name := d.kept(".sock")[len(d.folder):]
-	conn, err := net.Dial("unix", fmt.Sprintf("/proc/self/fd/%d%s", folder.Fd(), name))
+	conn, err := (&net.Dialer{}).DialContext(d.t.Context(), "unix", fmt.Sprintf("/proc/self/fd/%d%s", folder.Fd(), name))
 	if err != nil {
 		d.t.Fatal(err)
 	}
@@ -235,7 +235,7 @@
 	t.Parallel()
 	d := newDaemon(t, echo(t))
 	state := read(t, "testdata/handover/state.json")
-	listener, err := net.Listen("tcp", d.clients())
+	listener, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", d.clients())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -244,7 +244,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _, _ = file.Close(), listener.Close() })
-	socket, err := net.Listen("unix", d.kept(".sock"))
+	socket, err := (&net.ListenConfig{}).Listen(t.Context(), "unix", d.kept(".sock"))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/freeaddr/freeaddr_test.go
+++ b/internal/freeaddr/freeaddr_test.go
@@ -6,16 +6,16 @@
 )
 
 func TestUDP(t *testing.T) {
-	address, err := UDP("127.77.0.1")
+	address, err := UDP(t.Context(), "127.77.0.1")
 	if err != nil || address.Addr().String() != "127.77.0.1" || address.Port() == 0 {
 		t.Fatalf("%v, %v", address, err)
 	}
-	conn, err := net.ListenPacket("udp", address.String())
+	conn, err := (&net.ListenConfig{}).ListenPacket(t.Context(), "udp", address.String())
 	if err != nil {
-		t.Fatalf("it is not free: %v", err)
+		t.Fatalf("the port is not free: %v", err)
 	}
 	_ = conn.Close()
-	if address, err := UDP("192.0.2.1"); err == nil {
-		t.Errorf("%v of a network that is not here", address)
+	if address, err := UDP(t.Context(), "192.0.2.1"); err == nil {
+		t.Errorf("got %v of a network that this machine does not have", address)
 	}
 }
--- a/internal/knownred/knownred.go
+++ b/internal/knownred/knownred.go
@@ -1,9 +1,8 @@
-// Package knownred judges a run of all tests where a few are known to fail for a real fault that is still to be mended: they run, are shown,
-// and they alone are passed over.
+// Package knownred judges a run of all tests of which a few are listed as known to fail for a real fault that isn't fixed yet. Listed
+// tests run and are shown, and the run passes over their failures and no others.
 package knownred
 
 import (
-	"bufio"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -11,122 +10,143 @@
 	"strings"
 )
 
-const most = 3 // more would be a habit
+// ErrFailed says that the run does not pass. Errors of Judge that wrap it name each reason on a line of its own.
+var ErrFailed = errors.New("the tests do not pass")
 
-// Red is a test that is known to fail.
-type Red struct{ Test, Cause, Issue string }
+// event is a line of the output of go test -json, with the names of its keys.
+type event struct{ Action, Package, Test, Output string }
 
-// LineError is a line of the list that can't be followed.
-type LineError struct {
-	Line int
-	Why  string
-}
+func (e event) test() string { return e.Package + " " + e.Test }
 
-func (e *LineError) Error() string { return fmt.Sprintf("line %d: %s", e.Line, e.Why) }
+func (e event) topLevelTest() string {
+	name, _, _ := strings.Cut(e.Test, "/")
+	return name
+}
 
-// List reads one test a line, with its cause and its issue: TestName — cause — issue.
-func List(r io.Reader) (reds []Red, err error) {
-	in := bufio.NewScanner(r)
-	for n := 1; in.Scan(); n++ {
-		part := strings.Split(in.Text(), " — ")
-		if len(part) != 3 || !strings.HasPrefix(part[0], "Test") || strings.ContainsAny(part[0], " /") ||
-			strings.TrimSpace(part[1]) == "" || strings.TrimSpace(part[2]) == "" {
-			return nil, &LineError{n, "want TestName — cause — issue"}
-		}
-		if n > most {
-			return nil, &LineError{n, fmt.Sprintf("%d tests are listed at most", most)}
-		}
-		for _, x := range reds {
-			if x.Test == part[0] {
-				return nil, &LineError{n, x.Test + " is listed twice"}
-			}
-		}
-		reds = append(reds, Red{part[0], part[1], part[2]})
-	}
-	return reds, in.Err()
+// packageRun is what a package's tests have shown so far.
+type packageRun struct {
+	failed         bool // the package as a whole
+	panicked       bool
+	listedFailed   int
+	unlistedFailed int
 }
 
-// event is one of go test -json.
-type event struct{ Action, Package, Test, Output string }
+// run is what go test has told so far.
+type run struct {
+	entries  []Entry
+	show     io.Writer
+	outcomes map[string]string // the last action of each listed test; a failure in any package stays
+	outputs  map[string]string // of tests that have not ended
+	packages map[string]*packageRun
+	ended    int // packages that have passed or failed
+	faults   []string
+}
 
-// ErrRed says that the run does not pass.
-var ErrRed = errors.New("the tests do not pass")
-
-// Judge reads what go test -json says, shows what is worth seeing and says whether the run passes.
-func Judge(run io.Reader, reds []Red, show io.Writer) error {
-	ended := map[string]string{} // a listed test's end, with failing before all others
-	said := map[string]string{}
-	badTests, badPackages, panicked := map[string]int{}, map[string]bool{}, map[string]bool{} // by package: tests that fail and are not listed
-	listed := map[string]int{}                                                                // and those that are
-	packages := 0
-	var faults []string
-	in := json.NewDecoder(run)
+// Judge reads the output of go test -json and writes the output of failed tests and packages to show. It returns an error that wraps
+// ErrFailed unless all tests pass but for the listed ones, each of which has to run and to fail. An entry that no longer fails is a fault
+// too: it hides the next failure.
+func Judge(goTestJSON io.Reader, entries []Entry, show io.Writer) error {
+	r := &run{entries: entries, show: show, outcomes: map[string]string{}, outputs: map[string]string{}, packages: map[string]*packageRun{}}
+	events := json.NewDecoder(goTestJSON)
 	for {
 		var e event
-		if err := in.Decode(&e); errors.Is(err, io.EOF) {
+		err := events.Decode(&e)
+		if errors.Is(err, io.EOF) {
 			break
-		} else if err != nil {
-			return fmt.Errorf("what the tests say can't be read: %w", err)
 		}
-		test := e.Package + " " + e.Test
-		top, _, _ := strings.Cut(e.Test, "/")
-		red := false
-		for _, x := range reds {
-			red = red || x.Test == top
-		}
-		switch e.Action {
-		case "output", "build-output":
-			if panicked[e.Package] = panicked[e.Package] || strings.HasPrefix(e.Output, "panic: "); e.Test == "" {
-				fmt.Fprint(show, e.Output)
-			} else {
-				said[test] += e.Output
-			}
-		case "fail":
-			switch {
-			case e.Test == "":
-				packages++
-				badPackages[e.Package] = true
-			case red:
-				listed[e.Package]++
-			default:
-				badTests[e.Package]++
-				faults = append(faults, test+" fails")
-			}
-			fmt.Fprint(show, said[test])
-		case "pass":
-			if e.Test == "" {
-				packages++
-			}
-		}
-		if e.Action == "pass" || e.Action == "fail" || e.Action == "skip" {
-			if red && e.Test == top && ended[top] != "fail" {
-				ended[top] = e.Action
-			}
-			delete(said, test)
+		if err != nil {
+			return fmt.Errorf("read the output of go test: %w", err)
 		}
+		r.observe(e)
 	}
-	for p := range badPackages {
-		if badTests[p] == 0 && (listed[p] == 0 || panicked[p]) { // it did not build, or ended before all of its tests had run
-			faults = append(faults, p+" fails as a whole")
+	r.checkPackages()
+	r.checkEntries()
+	if len(r.faults) > 0 {
+		return fmt.Errorf("%w:\n%s", ErrFailed, strings.Join(r.faults, "\n"))
+	}
+	return nil
+}
+
+func (r *run) observe(e event) {
+	switch e.Action {
+	case "output", "build-output":
+		r.observeOutput(e)
+	case "fail":
+		r.observeFailure(e)
+		r.observeEnd(e)
+	case "pass", "skip":
+		r.observeEnd(e)
+	}
+}
+
+func (r *run) observeOutput(e event) {
+	if strings.HasPrefix(e.Output, "panic: ") {
+		r.packageRun(e.Package).panicked = true
+	}
+	if e.Test == "" {
+		r.print(e.Output)
+		return
+	}
+	r.outputs[e.test()] += e.Output
+}
+
+func (r *run) observeFailure(e event) {
+	tests := r.packageRun(e.Package)
+	switch {
+	case e.Test == "":
+		tests.failed = true
+	case isListed(r.entries, e.topLevelTest()):
+		tests.listedFailed++
+	default:
+		tests.unlistedFailed++
+		r.faults = append(r.faults, e.test()+" fails")
+	}
+	r.print(r.outputs[e.test()])
+}
+
+func (r *run) observeEnd(e event) {
+	if e.Test == "" && e.Action != "skip" { // a package without tests is skipped
+		r.ended++
+	}
+	if isListed(r.entries, e.Test) && r.outcomes[e.Test] != "fail" {
+		r.outcomes[e.Test] = e.Action
+	}
+	delete(r.outputs, e.test())
+}
+
+// checkPackages finds packages whose failure no test explains: they did not build, or ended before all of their tests had run.
+func (r *run) checkPackages() {
+	for name, tests := range r.packages {
+		if tests.failed && tests.unlistedFailed == 0 && (tests.listedFailed == 0 || tests.panicked) {
+			r.faults = append(r.faults, name+" fails as a whole")
 		}
 	}
-	if packages == 0 {
-		faults = append(faults, "no package was tested")
+	if r.ended == 0 {
+		r.faults = append(r.faults, "no package was tested")
 	}
-	for _, x := range reds {
-		switch ended[x.Test] {
+}
+
+func (r *run) checkEntries() {
+	for _, entry := range r.entries {
+		switch r.outcomes[entry.Test] {
 		case "fail":
-			fmt.Fprintf(show, "known red, passed over: %s — %s — %s\n", x.Test, x.Cause, x.Issue)
+			r.print(fmt.Sprintf("known red, passed over: %s — %s — %s\n", entry.Test, entry.Cause, entry.Issue))
 		case "pass":
-			faults = append(faults, x.Test+" is listed as known red and passes: strike it")
+			r.faults = append(r.faults, entry.Test+" is listed as known red and passes: strike it")
 		case "skip":
-			faults = append(faults, x.Test+" is listed as known red and was skipped")
+			r.faults = append(r.faults, entry.Test+" is listed as known red and was skipped")
 		default:
-			faults = append(faults, x.Test+" is listed as known red and no test has that name")
+			r.faults = append(r.faults, entry.Test+" is listed as known red and no test has that name")
 		}
 	}
-	if len(faults) > 0 {
-		return fmt.Errorf("%w:\n%s", ErrRed, strings.Join(faults, "\n"))
+}
+
+func (r *run) packageRun(name string) *packageRun {
+	if r.packages[name] == nil {
+		r.packages[name] = &packageRun{}
 	}
-	return nil
+	return r.packages[name]
 }
+
+// print drops the error of a reader that is gone: the verdict doesn't depend on who reads the output.
+func (r *run) print(text string) { _, _ = io.WriteString(r.show, text) }
--- a/internal/knownred/verdict/main.go
+++ b/internal/knownred/verdict/main.go
@@ -1,4 +1,5 @@
-// Verdict reads go test -json and ends with 1 unless all tests pass but for those that the file named as its argument lists.
+// Verdict reads the output of go test -json from standard input and ends with exit code 1 unless all tests pass but for those that the
+// list named as its argument holds. A list that doesn't exist is empty.
 package main
 
 import (
@@ -11,22 +12,36 @@
 )
 
 func main() {
-	if err := run(os.Args[1]); err != nil {
+	if len(os.Args) != 2 {
+		fmt.Fprintln(os.Stderr, "want one argument: the list of tests that are known to fail")
+		os.Exit(1)
+	}
+	if err := judge(os.Args[1]); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
 }
 
-func run(path string) error {
-	var reds []knownred.Red
-	f, err := os.Open(path)
-	if err == nil {
-		defer f.Close()
-		if reds, err = knownred.List(f); err != nil {
-			return fmt.Errorf("%s: %w", path, err)
-		}
-	} else if !errors.Is(err, fs.ErrNotExist) {
+func judge(listPath string) error {
+	entries, err := readList(listPath)
+	if err != nil {
 		return err
 	}
-	return knownred.Judge(os.Stdin, reds, os.Stdout)
+	return knownred.Judge(os.Stdin, entries, os.Stdout)
+}
+
+func readList(path string) ([]knownred.Entry, error) {
+	file, err := os.Open(path)
+	if errors.Is(err, fs.ErrNotExist) {
+		return nil, nil
+	}
+	if err != nil {
+		return nil, err
+	}
+	defer func() { _ = file.Close() }() // it was only read
+	entries, err := knownred.ReadList(file)
+	if err != nil {
+		return nil, fmt.Errorf("%s: %w", path, err)
+	}
+	return entries, nil
 }
--- a/internal/membership/child_test.go
+++ b/internal/membership/child_test.go
@@ -61,7 +61,7 @@
 
 func begin(t *testing.T, way, name, ip string, seeds ...string) (*membership.Group, *teller, string, func()) {
 	t.Helper()
-	at, err := freeaddr.UDP(ip)
+	at, err := freeaddr.UDP(t.Context(), ip)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/membership/engine/engine_test.go
+++ b/internal/membership/engine/engine_test.go
@@ -43,7 +43,7 @@
 
 func free(t *testing.T, ip string) netip.AddrPort {
 	t.Helper()
-	at, err := freeaddr.UDP(ip)
+	at, err := freeaddr.UDP(t.Context(), ip)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/simulation/client.go
+++ b/internal/simulation/client.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// clientState names where a client stands.
-type clientState int
+// ClientState names where a client stands.
+type ClientState int
 
 // States of a client.
 const (
-	Coming clientState = iota
+	Coming ClientState = iota
 	Asking             // a try is out
 	Held               // its connection stands
 	Pausing
@@ -23,7 +23,7 @@
 	ID ClientID
 	Visit
 	w       *World
-	state   clientState
+	state   ClientState
 	flow    FlowID
 	tried   int // tries in a row that came to nothing
 	turns   int // changes of state; what was noted for an earlier one is void
@@ -47,7 +47,7 @@
 func (c *Client) On() (*Server, bool) { return c.at, c.at != nil }
 
 // State is where it stands.
-func (c *Client) State() clientState { return c.state }
+func (c *Client) State() ClientState { return c.state }
 
 // Flow is its last try.
 func (c *Client) Flow() FlowID { return c.flow }
@@ -57,7 +57,7 @@
 func (c *Client) service() *Service    { return &c.w.Services[c.Service] }
 
 // turn makes every change of a client's state.
-func (c *Client) turn(to clientState) {
+func (c *Client) turn(to ClientState) {
 	c.turns++
 	c.state = to
 	if to == Done {
--- a/internal/simulation/queue.go
+++ b/internal/simulation/queue.go
@@ -13,12 +13,13 @@
 	room    int     // how many may wait; below 0: any number
 	pace    float64 // work that one core does in a second
 	settled time.Duration
-	busy    []*job
-	line    []*job
+	busy    []*Job
+	line    []*Job
 	turn    uint64 // the next end noted last is the only one that counts
 }
 
-type job struct {
+// Job is work that a queue has taken in.
+type Job struct {
 	left float64 // work
 	done func()
 }
@@ -29,9 +30,9 @@
 }
 
 // Put takes work in; it is turned away where the line is full. The returned job can be dropped.
-func (q *Queue) Put(work float64, done func()) (*job, bool) {
+func (q *Queue) Put(work float64, done func()) (*Job, bool) {
 	q.settle()
-	j := &job{left: work, done: done}
+	j := &Job{left: work, done: done}
 	switch {
 	case len(q.busy) < q.cores:
 		q.busy = append(q.busy, j)
@@ -45,7 +46,7 @@
 }
 
 // Drop gives a job up, wherever it is; one that is done already is passed over.
-func (q *Queue) Drop(j *job) {
+func (q *Queue) Drop(j *Job) {
 	q.settle()
 	if i := slices.Index(q.line, j); i >= 0 {
 		q.line = slices.Delete(q.line, i, i+1)
@@ -111,8 +112,8 @@
 			return
 		}
 		q.settle()
-		var over []*job
-		q.busy = slices.DeleteFunc(q.busy, func(j *job) bool {
+		var over []*Job
+		q.busy = slices.DeleteFunc(q.busy, func(j *Job) bool {
 			if j.left <= 0 {
 				over = append(over, j)
 				return true
--- a/internal/simulation/setup.go
+++ b/internal/simulation/setup.go
@@ -20,7 +20,7 @@
 	client *Client
 	from   HallID // of its balancer
 	stage  stage
-	job    *job
+	job    *Job
 	place  int // in Server.conns
 }
 
--- a/internal/simulation/world_test.go
+++ b/internal/simulation/world_test.go
@@ -66,7 +66,7 @@
 }
 
 // connect brings the newest flow to a server, and its answer to the client.
-func (s *still) connect(to ServerID) ConnID {
+func (s *still) connect(to ServerID) {
 	w := s.w
 	id := w.NextConn()
 	w.Arrive(id, to, s.asked[len(s.asked)-1], 0)
@@ -74,7 +74,6 @@
 	if len(s.up) > 0 && s.up[len(s.up)-1] == id {
 		w.Answered(s.asked[len(s.asked)-1], Established, 0)
 	}
-	return id
 }
 
 func sum(rows [][]float64) (all float64) {
--- a/internal/testbed/baseline/baseline.go
+++ b/internal/testbed/baseline/baseline.go
@@ -67,13 +67,13 @@
 }
 
 // Rules by name.
-var Rules = map[string]Rule{"random": Random, "least": Least, "two-choices": TwoChoices, "hashing": Hashing, "top": Top}
+var Rules = map[string]Rule{"random": randomServer, "least": leastConnections, "two-choices": twoChoices, "hashing": boundedHashing, "top": omniscient}
 
-// Random takes any.
-func Random(p *Plain, _ *flow, ready []*server) *server { return ready[p.rng.IntN(len(ready))] }
+// randomServer takes any.
+func randomServer(p *Plain, _ *flow, ready []*server) *server { return ready[p.rng.IntN(len(ready))] }
 
-// Least takes the one with the fewest own connections, any of those.
-func Least(p *Plain, _ *flow, ready []*server) *server {
+// leastConnections takes the one with the fewest own connections, any of those.
+func leastConnections(p *Plain, _ *flow, ready []*server) *server {
 	least := slices.MinFunc(ready, func(a, b *server) int { return a.open - b.open }).open
 	var of []*server
 	for _, s := range ready {
@@ -84,8 +84,8 @@
 	return of[p.rng.IntN(len(of))]
 }
 
-// TwoChoices draws two and takes the one with fewer own connections.
-func TwoChoices(p *Plain, _ *flow, ready []*server) *server {
+// twoChoices draws two and takes the one with fewer own connections.
+func twoChoices(p *Plain, _ *flow, ready []*server) *server {
 	a, b := ready[p.rng.IntN(len(ready))], ready[p.rng.IntN(len(ready))]
 	if b.open < a.open {
 		return b
@@ -95,8 +95,8 @@
 
 const bound = 1.25 // times the mean, in consistent hashing with bounded load
 
-// Hashing takes the servers in the order of a hash with the flow's group, the first that holds less than the bound.
-func Hashing(p *Plain, f *flow, ready []*server) *server {
+// boundedHashing takes the servers in the order of a hash with the flow's group, the first that holds less than the bound.
+func boundedHashing(p *Plain, f *flow, ready []*server) *server {
 	open := 1
 	for _, s := range p.servers {
 		open += s.open
@@ -120,7 +120,7 @@
 		}
 	}
 	if best == nil {
-		return Least(p, f, ready)
+		return leastConnections(p, f, ready)
 	}
 	return best
 }
@@ -132,10 +132,10 @@
 	topQueue = 0.25 // seconds of the store's work that may wait
 )
 
-// Top sees the true state of all servers, of the store and of what others send: it takes the server that is left with
+// omniscient sees the true state of all servers, of the store and of what others send: it takes the server that is left with
 // most to spare, pays a group once where it can, keeps cold servers within what they take, turns away what would make
 // others late, and moves flows off servers that are. No real balancer knows as much.
-func Top(p *Plain, f *flow, ready []*server) *server {
+func omniscient(p *Plain, f *flow, ready []*server) *server {
 	if p.world.StoreWait() > topQueue {
 		return nil
 	}
--- a/internal/testbed/fleet/build.go
+++ b/internal/testbed/fleet/build.go
@@ -48,7 +48,7 @@
 	if err != nil {
 		return "", fail("no place for it", err)
 	}
-	defer os.RemoveAll(src)
+	defer func() { _ = os.RemoveAll(src) }() // what is left of it lies in the directory of builds, and harms nobody
 	archive := exec.CommandContext(ctx, "git", "-C", strings.TrimSpace(string(top)), "archive", "--format=tar", commit, ":(exclude)journal")
 	out, err := archive.StdoutPipe()
 	if err == nil {
--- a/internal/testbed/fleet/disturb.go
+++ b/internal/testbed/fleet/disturb.go
@@ -98,7 +98,7 @@
 	if err != nil {
 		return // the balancer is down, or full
 	}
-	defer conn.Close()
+	defer func() { _ = conn.Close() }()
 	defer context.AfterFunc(ctx, func() { _ = conn.Close() })()
 	_, _ = io.Copy(io.Discard, conn)
 }
--- a/internal/testbed/fleet/fleet_test.go
+++ b/internal/testbed/fleet/fleet_test.go
@@ -54,7 +54,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer os.RemoveAll(folder)
+		defer func() { _ = os.RemoveAll(folder) }()
 		if r, err = Run(context.Background(), p, seed, []string{self}, old, folder, nil); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/testbed/fleet/front.go
+++ b/internal/testbed/fleet/front.go
@@ -41,7 +41,7 @@
 	if err != nil {
 		return false
 	}
-	defer c.Close()
+	defer func() { _ = c.Close() }()
 	_ = c.SetDeadline(time.Now().Add(wait))
 	if _, err := c.Write([]byte("PING\r\n")); err != nil {
 		return false
--- a/internal/testbed/fleet/peers.go
+++ b/internal/testbed/fleet/peers.go
@@ -36,7 +36,7 @@
 // address finds a process where it speaks, and opens what it tells the others. Both are loopback addresses of its own: 127.79 and 127.80.
 func (r *run) address(x *process) error {
 	at := func(net int) string { return fmt.Sprintf("127.%d.%d.%d", net, int(x.id)/250, int(x.id)%250+1) }
-	bound, err := freeaddr.UDP(at(79))
+	bound, err := freeaddr.UDP(r.ctx, at(79))
 	if err != nil {
 		return err
 	}
--- a/internal/testbed/fleet/process.go
+++ b/internal/testbed/fleet/process.go
@@ -56,7 +56,7 @@
 
 func (r *run) newProcess(b simulation.BalancerID) (*process, error) {
 	x := &process{id: b, name: string(sockets.BalancerName(b)), state: runs, program: "current", folder: filepath.Join(r.folder, fmt.Sprintf("b%d", b))}
-	l, err := net.Listen("tcp", fmt.Sprintf("127.78.%d.%d:0", int(b)/250, int(b)%250+1))
+	l, err := (&net.ListenConfig{}).Listen(r.ctx, "tcp", fmt.Sprintf("127.78.%d.%d:0", int(b)/250, int(b)%250+1))
 	if err != nil {
 		return nil, err
 	}
--- a/internal/testbed/fleet/run.go
+++ b/internal/testbed/fleet/run.go
@@ -165,7 +165,7 @@
 	if err != nil {
 		return fail(err)
 	}
-	defer in.Close()
+	defer func() { _ = in.Close() }()
 	_ = os.Remove(to) // of an earlier run in the same folder, which may still be in use
 	f, err := os.OpenFile(to, os.O_CREATE|os.O_WRONLY|os.O_TRUNC, 0o755)
 	if err != nil {
--- a/internal/testbed/fleet/strike.go
+++ b/internal/testbed/fleet/strike.go
@@ -239,7 +239,7 @@
 	if on {
 		soft = "0"
 	}
-	c := exec.Command("prlimit", "--pid", strconv.Itoa(pid), "--fsize="+soft+":unlimited")
+	c := exec.CommandContext(context.Background(), "prlimit", "--pid", strconv.Itoa(pid), "--fsize="+soft+":unlimited")
 	if os.Getuid() == 0 {
 		c.SysProcAttr = &syscall.SysProcAttr{Credential: &syscall.Credential{Uid: nobodyID, Gid: nobodyID}}
 	}
--- a/internal/testbed/invariants/flow.go
+++ b/internal/testbed/invariants/flow.go
@@ -84,7 +84,7 @@
 			r.broken(OneAnswer, e.Balancer, e.Flow, 0, e.At, "answered late", f.taken, e)
 		}
 		if e.Verdict == Rejected && f.ran != nil && f.taken.Effect != Repeatable &&
-			!(f.taken.Effect == Referenced && f.taken.Reach == ReachAll) {
+			(f.taken.Effect != Referenced || f.taken.Reach != ReachAll) {
 			r.broken(NoSecondEffect, e.Balancer, e.Flow, 0, e.At, "rejected as harmless though it may have run", f.taken, *f.ran, e)
 		}
 		f.answer = e
@@ -165,12 +165,12 @@
 	f.out = slices.DeleteFunc(f.out, func(x Event) bool { return x.Connect == e.Connect })
 	// One in doubt is cleared when those before it ended soon after it was sent.
 	f.doubt = slices.DeleteFunc(f.doubt, func(x Event) bool {
-		clear := x.Connect != e.Connect && e.At <= x.At+r.sendSlack &&
+		cleared := x.Connect != e.Connect && e.At <= x.At+r.sendSlack &&
 			!slices.ContainsFunc(f.out, func(o Event) bool { return o.Connect < x.Connect })
-		if clear && f.ran != nil {
+		if cleared && f.ran != nil {
 			r.again(x, f)
 		}
-		return clear
+		return cleared
 	})
 	if known && e.Ran && f.ran == nil {
 		f.ran = &s
--- a/internal/testbed/netfault/gate.go
+++ b/internal/testbed/netfault/gate.go
@@ -1,6 +1,7 @@
 package netfault
 
 import (
+	"context"
 	"errors"
 	"net"
 	"os"
@@ -65,7 +66,7 @@
 // listen tries for a moment: a port that was just closed may not be free yet.
 func listen(at string) (l net.Listener, err error) {
 	for range 50 {
-		if l, err = net.Listen("tcp", at); err == nil || !errors.Is(err, syscall.EADDRINUSE) {
+		if l, err = (&net.ListenConfig{}).Listen(context.Background(), "tcp", at); err == nil || !errors.Is(err, syscall.EADDRINUSE) {
 			return l, err
 		}
 		time.Sleep(2 * time.Millisecond)
--- a/internal/testbed/netfault/gate_test.go
+++ b/internal/testbed/netfault/gate_test.go
@@ -31,7 +31,7 @@
 			if to != Hole {
 				within = 5 * time.Second // a machine may be busy
 			}
-			c, err := net.DialTimeout("tcp", g.Addr, within)
+			c, err := (&net.Dialer{Timeout: within}).DialContext(t.Context(), "tcp", g.Addr)
 			if c != nil {
 				_ = c.Close()
 			}
--- a/internal/testbed/netfault/links_test.go
+++ b/internal/testbed/netfault/links_test.go
@@ -19,7 +19,7 @@
 		Accept(l, func(c net.Conn) {
 			in, out := Pipe()
 			parts.Go(func() {
-				defer out.Close()
+				defer func() { _ = out.Close() }()
 				_, _ = io.Copy(out, out)
 			})
 			n.Lead("a", "b", c, in, Tap{})
@@ -33,7 +33,7 @@
 
 func dial(t *testing.T, addr string) net.Conn {
 	t.Helper()
-	c, err := net.Dial("tcp", addr)
+	c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -130,7 +130,7 @@
 		if err := g.Turn(x.to, serve); err != nil {
 			t.Fatal(err)
 		}
-		c, err := net.DialTimeout("tcp", g.Addr, 150*time.Millisecond)
+		c, err := (&net.Dialer{Timeout: 150 * time.Millisecond}).DialContext(t.Context(), "tcp", g.Addr)
 		var late net.Error
 		timeout := errors.As(err, &late) && late.Timeout()
 		if timeout != x.silent || (err != nil && !timeout) != x.refused {
--- a/internal/testbed/netfault/post.go
+++ b/internal/testbed/netfault/post.go
@@ -1,6 +1,7 @@
 package netfault
 
 import (
+	"context"
 	"errors"
 	"net"
 	"net/netip"
@@ -40,7 +41,7 @@
 		if e.udp, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(netip.AddrPortFrom(told, 0))); err != nil {
 			return netip.AddrPort{}, err
 		}
-		if e.tcp, err = net.Listen("tcp", e.udp.LocalAddr().String()); err == nil {
+		if e.tcp, err = (&net.ListenConfig{}).Listen(context.Background(), "tcp", e.udp.LocalAddr().String()); err == nil {
 			break
 		}
 		_ = e.udp.Close()
@@ -111,7 +112,7 @@
 		_ = near.Close()
 		return
 	}
-	far, err := net.DialTimeout("tcp", to.bound.String(), time.Second)
+	far, err := (&net.Dialer{Timeout: time.Second}).DialContext(context.Background(), "tcp", to.bound.String())
 	if err != nil { // nobody is there
 		setLinger(near)
 		_ = near.Close()
--- a/internal/testbed/scale/commit.go
+++ b/internal/testbed/scale/commit.go
@@ -1,6 +1,7 @@
 package scale
 
 import (
+	"context"
 	"os/exec"
 	"path/filepath"
 	"runtime/debug"
@@ -28,11 +29,11 @@
 		}
 	}
 	if revision == "" {
-		head, err := exec.Command("git", "rev-parse", "HEAD").Output()
+		head, err := exec.CommandContext(context.Background(), "git", "rev-parse", "HEAD").Output()
 		if err != nil {
 			return unknownCommit
 		}
-		changed, err := exec.Command("git", "status", "--porcelain").Output()
+		changed, err := exec.CommandContext(context.Background(), "git", "status", "--porcelain").Output()
 		revision, dirty = strings.TrimSpace(string(head)), err != nil || len(changed) > 0
 	}
 	if dirty {
--- a/internal/testbed/scale/control_members.go
+++ b/internal/testbed/scale/control_members.go
@@ -98,13 +98,13 @@
 	if size < 2 {
 		return 0
 	}
-	message := len(exchangeMessage(size, nil)) + records
+	message := len(exchangeMessage(size)) + records
 	return 2 * float64(onStream(message)) / exchangeInterval(size).Seconds()
 }
 
 // engine measures the real engine that knows so many members.
 func (b *controlBook) engine(size int) error {
-	message := exchangeMessage(size, nil)
+	message := exchangeMessage(size)
 	before := liveMemory()
 	copies := max(1, memoryCopiesOf/size)
 	for range copies - 1 {
--- a/internal/testbed/scale/control_real.go
+++ b/internal/testbed/scale/control_real.go
@@ -120,7 +120,7 @@
 }
 
 func startRealFleet(parent context.Context, count, recordBytes int) (*realFleet, error) {
-	port, err := freePort()
+	port, err := freePort(parent)
 	if err != nil {
 		return nil, err
 	}
@@ -148,8 +148,8 @@
 }
 
 // freePort is a port that nobody has at the first address.
-func freePort() (uint16, error) {
-	l, err := net.Listen("tcp", netip.AddrPortFrom(realAddr(0, 0).Addr(), 0).String())
+func freePort(ctx context.Context) (uint16, error) {
+	l, err := (&net.ListenConfig{}).Listen(ctx, "tcp", netip.AddrPortFrom(realAddr(0, 0).Addr(), 0).String())
 	if err != nil {
 		return 0, err
 	}
@@ -293,7 +293,7 @@
 	b.against("datagram-bytes-out", "sent by a member in datagrams, headers too", unitBytesSecond, size,
 		(to.datagramBytes-from.datagramBytes+(to.datagrams-from.datagrams)*(datagramHeaders+labelHeader+float64(len(fleetLabel))))/per, model.bytes())
 	b.against("datagrams-out", "datagrams sent by a member", unitPerSecond, size, (to.datagrams-from.datagrams)/per, model.recordDatagrams+model.probeDatagrams)
-	message := len(exchangeMessage(size, nil)) + recordsBytes(size, recordBytes)
+	message := len(exchangeMessage(size)) + recordsBytes(size, recordBytes)
 	b.against("stream-bytes-out", "sent by a member in exchanges, without headers", unitBytesSecond, size,
 		(to.streamBytes-from.streamBytes)/per, 2*float64(message)/exchangeInterval(size).Seconds())
 	b.add("taken-as-gone", "times that a real engine takes a living member as gone: the machine was too busy to answer in time", unitPerSecond, Measured, false, size, (to.gone-from.gone)/per)
--- a/internal/testbed/scale/control_replaced.go
+++ b/internal/testbed/scale/control_replaced.go
@@ -21,7 +21,7 @@
 		if err != nil {
 			return nil, nil, err
 		}
-		join := float64(onStream(len(exchangeMessage(s.Balancers, nil))+recordsBytes(s.Balancers, recordBytes))) * run.replaced / float64(s.Balancers)
+		join := float64(onStream(len(exchangeMessage(s.Balancers))+recordsBytes(s.Balancers, recordBytes))) * run.replaced / float64(s.Balancers)
 		book.add("bytes-out", "sent by a member in datagrams", unitBytesSecond, Simulated, true, size, result.bytes())
 		book.add("join-bytes-out", "sent by a member to those that join, in exchanges of all", unitBytesSecond, Simulated, true, size, join)
 		book.add("states-heard", "news of members gone or alive, heard by a member, repeats too", unitPerSecond, Simulated, true, size, result.states)
--- a/internal/testbed/scale/control_sweep_cut.go
+++ b/internal/testbed/scale/control_sweep_cut.go
@@ -61,7 +61,7 @@
 		bytes += len(text)
 	}
 	b.add(name+"-bytes", "of the changes that were missed, "+what, unitBytes, Measured, true, size, float64(bytes))
-	used, err := b.takeMissed(ctx, size, objects)
+	used, err := b.takeMissed(ctx, objects)
 	if err != nil {
 		return err
 	}
@@ -85,7 +85,7 @@
 }
 
 // takeMissed has a real balancer that holds a list take the objects, some times over.
-func (b *controlBook) takeMissed(ctx context.Context, size int, objects func(int) ([][]byte, int)) (cost, error) {
+func (b *controlBook) takeMissed(ctx context.Context, objects func(int) ([][]byte, int)) (cost, error) {
 	const rounds = 3
 	taker, err := newListTaker(ctx, b.settings.Seed)
 	if err != nil {
--- a/internal/testbed/scale/control_taker.go
+++ b/internal/testbed/scale/control_taker.go
@@ -30,7 +30,7 @@
 }
 
 func newListTaker(parent context.Context, seed uint64) (*listTaker, error) {
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := (&net.ListenConfig{}).Listen(parent, "tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
--- a/internal/testbed/scale/control_test.go
+++ b/internal/testbed/scale/control_test.go
@@ -89,19 +89,19 @@
 		overhead, length    = 3, 4
 	)
 	chance := rand.New(rand.NewPCG(1, 1))
-	real := memberlist.TransmitLimitedQueue{NumNodes: func() int { return members }, RetransmitMult: multiplier}
+	engine := memberlist.TransmitLimitedQueue{NumNodes: func() int { return members }, RetransmitMult: multiplier}
 	model := newBroadcastQueue(retransmits(multiplier, members))
 	size := func(broadcastID) int { return length }
 	all := func(broadcastID) bool { return true }
 	for step, next := 0, broadcastID(0); step < 2000; step++ {
 		for range chance.IntN(3) {
 			next++
-			real.QueueBroadcast(queuedText(fmt.Sprintf("%04d", next)))
+			engine.QueueBroadcast(queuedText(fmt.Sprintf("%04d", next)))
 			model.add(next)
 		}
 		room := chance.IntN(60)
 		var want, got []string
-		for _, text := range real.GetBroadcasts(overhead, room) {
+		for _, text := range engine.GetBroadcasts(overhead, room) {
 			want = append(want, string(text))
 		}
 		ids, free := model.take(nil, room, overhead, size, all)
@@ -111,8 +111,8 @@
 		if !slices.Equal(got, want) || free != room-len(ids)*(overhead+length) {
 			t.Fatalf("step %d, room for %d bytes: %v, memberlist %v; %d free", step, room, got, want, free)
 		}
-		if model.waiting != real.NumQueued() {
-			t.Fatalf("step %d: %d wait, at memberlist %d", step, model.waiting, real.NumQueued())
+		if model.waiting != engine.NumQueued() {
+			t.Fatalf("step %d: %d wait, at memberlist %d", step, model.waiting, engine.NumQueued())
 		}
 	}
 }
@@ -129,7 +129,7 @@
 // The sizes that the model reckons with are those that the engine itself writes.
 func TestExchangeIsWrittenAsTheEngineDoes(t *testing.T) {
 	const count = 40
-	message := exchangeMessage(count, nil)
+	message := exchangeMessage(count)
 	engine, err := joinedEngine(message)
 	if err != nil {
 		t.Fatal(err)
@@ -145,7 +145,7 @@
 }
 
 func TestControlBytesGrowAsTheirRowsSay(t *testing.T) {
-	at := func(n int) float64 { return float64(len(exchangeMessage(n, nil))) }
+	at := func(n int) float64 { return float64(len(exchangeMessage(n))) }
 	steeper(t, "bytes of an exchange", 200, 2000, at(200), at(2000), 1)
 	frame := func(n int) float64 { return float64(len(newMemberView(n).frame())) }
 	steeper(t, "bytes of a list of members", 200, 2000, frame(200), frame(2000), 1)
--- a/internal/testbed/scale/control_wire.go
+++ b/internal/testbed/scale/control_wire.go
@@ -118,14 +118,14 @@
 }
 
 // exchangeMessage is what a member of so many sends to another when they tell each other all.
-func exchangeMessage(members int, records []byte) []byte {
+func exchangeMessage(members int) []byte {
 	const exchangeKind = 6
 	text := []byte{exchangeKind}
-	text = append(text, packed(engineExchange{Nodes: members, UserStateLen: len(records)})...)
+	text = append(text, packed(engineExchange{Nodes: members})...)
 	for i := range members {
 		text = append(text, packed(engineNode{Name: memberName(i), Addr: memberAddr(i), Port: memberPort, Incarnation: 1, Vsn: engineVersions})...)
 	}
-	return append(text, records...)
+	return text
 }
 
 // exchangeInterval is how often a member of so many tells another all, as memberlist scales it.
--- a/internal/testbed/scale/page.go
+++ b/internal/testbed/scale/page.go
@@ -137,7 +137,7 @@
 	if err != nil {
 		return fail(err)
 	}
-	defer os.Remove(temporary.Name()) // nothing there once it was renamed
+	defer func() { _ = os.Remove(temporary.Name()) }() // nothing there once it was renamed
 	_, err = temporary.Write(text)
 	err = errors.Join(err, temporary.Chmod(resultMode), temporary.Sync(), temporary.Close())
 	if err != nil {
--- a/internal/testbed/scale/page_hollow.go
+++ b/internal/testbed/scale/page_hollow.go
@@ -28,13 +28,13 @@
 	t := newTable("quantity", "at", "hollow", "real", "hollow over real", "apart by more than 20 %")
 	for _, pair := range append(p.comparedPairs(), p.modelPairs()...) {
 		for _, point := range p.after.series[pair.real.name].Points {
-			hollow, real := p.at(pair.hollow, point.Size), p.at(pair.real, point.Size)
-			if hollow.value == 0 && real.value == 0 {
+			hollow, realFigure := p.at(pair.hollow, point.Size), p.at(pair.real, point.Size)
+			if hollow.value == 0 && realFigure.value == 0 {
 				continue // the smallest size of a growth
 			}
-			ratio := hollow.value / real.value
+			ratio := hollow.value / realFigure.value
 			at := digits(point.Size) + " " + p.after.series[pair.real.name].Against
-			t.row(pair.what, at, hollow.String(), real.String(), digits(ratio), pair.apart(ratio))
+			t.row(pair.what, at, hollow.String(), realFigure.String(), digits(ratio), pair.apart(ratio))
 		}
 	}
 	return t
@@ -43,9 +43,9 @@
 // comparedPairs are those of the sweep that measures real processes and hollow balancers side by side.
 func (p *page) comparedPairs() (pairs []heldAgainst) {
 	for _, c := range comparisons {
-		hollow, real := slope{name: "compare." + c.name + ".hollow"}, slope{name: "compare." + c.name + ".real"}
-		if p.after.series[hollow.name] != nil && p.after.series[real.name] != nil {
-			pairs = append(pairs, heldAgainst{what: c.quantity, hollow: hollow, real: real, less: c.less, more: c.more})
+		hollow, realSlope := slope{name: "compare." + c.name + ".hollow"}, slope{name: "compare." + c.name + ".real"}
+		if p.after.series[hollow.name] != nil && p.after.series[realSlope.name] != nil {
+			pairs = append(pairs, heldAgainst{what: c.quantity, hollow: hollow, real: realSlope, less: c.less, more: c.more})
 		}
 	}
 	return pairs
--- a/internal/testbed/scale/real_clients.go
+++ b/internal/testbed/scale/real_clients.go
@@ -67,7 +67,7 @@
 func (c *standInClients) open(ctx context.Context) error {
 	var last string
 	for range standInTries {
-		conn, answer, err := c.try()
+		conn, answer, err := c.try(ctx)
 		if err != nil {
 			return &ProcessError{"a client can't connect", "check that it runs, and the limit of descriptors", err}
 		}
@@ -91,8 +91,8 @@
 	lines *bufio.Reader
 }
 
-func (c *standInClients) try() (*clientConn, string, error) {
-	conn, err := net.Dial("tcp", c.to)
+func (c *standInClients) try(ctx context.Context) (*clientConn, string, error) {
+	conn, err := (&net.Dialer{}).DialContext(ctx, "tcp", c.to)
 	if err != nil {
 		return nil, "", err
 	}
--- a/internal/testbed/scale/real_compare.go
+++ b/internal/testbed/scale/real_compare.go
@@ -52,7 +52,7 @@
 	var smallest [2]float64 // of the list's memory, real and hollow
 	for i, n := range s.Sizes {
 		progress(i, len(s.Sizes))
-		real, err := comparedReal(ctx, s, n)
+		realFigures, err := comparedReal(ctx, s, n)
 		if err != nil {
 			return nil, nil, err
 		}
@@ -61,15 +61,15 @@
 			return nil, nil, err
 		}
 		if i == 0 {
-			smallest = [2]float64{real["list-memory"][0], hollow["list-memory"][0]}
+			smallest = [2]float64{realFigures["list-memory"][0], hollow["list-memory"][0]}
 		}
-		real["list-memory"][0] -= smallest[0]
+		realFigures["list-memory"][0] -= smallest[0]
 		hollow["list-memory"][0] -= smallest[1]
 		for _, c := range comparisons {
-			set.add("compare."+c.name+".real", c.quantity+", a real process", c.unit, n, real[c.name][0])
+			set.add("compare."+c.name+".real", c.quantity+", a real process", c.unit, n, realFigures[c.name][0])
 			set.add("compare."+c.name+".hollow", c.quantity+", hollow", c.unit, n, median(hollow[c.name]))
 			if i > 0 || c.name != "list-memory" {
-				checks = append(checks, c.check(n, real[c.name][0], hollow[c.name]))
+				checks = append(checks, c.check(n, realFigures[c.name][0], hollow[c.name]))
 			}
 		}
 	}
@@ -78,13 +78,13 @@
 }
 
 // check tells whether two figures are close, or apart for a reason that is known.
-func (c comparison) check(servers int, real float64, hollow []float64) Check {
+func (c comparison) check(servers int, realFigure float64, hollow []float64) Check {
 	least, most := slices.Min(hollow), slices.Max(hollow)
 	check := Check{Name: fmt.Sprintf("%s at %d servers: hollow is within 20 %% of real, or why not is known", c.name, servers),
-		Held:   real >= least*(1-compareWithin) && real <= most*(1+compareWithin),
-		Detail: fmt.Sprintf("real %.4g %s, hollow %.4g to %.4g, %+.0f %% in the middle", real, c.unit, least, most, 100*(median(hollow)/real-1))}
+		Held:   realFigure >= least*(1-compareWithin) && realFigure <= most*(1+compareWithin),
+		Detail: fmt.Sprintf("real %.4g %s, hollow %.4g to %.4g, %+.0f %% in the middle", realFigure, c.unit, least, most, 100*(median(hollow)/realFigure-1))}
 	why := c.more
-	if real > most {
+	if realFigure > most {
 		why = c.less
 	}
 	if !check.Held && why != "" {
--- a/internal/testbed/scale/real_held.go
+++ b/internal/testbed/scale/real_held.go
@@ -56,7 +56,7 @@
 	set := &realSeries{role: realRoleDataPath, against: "connections",
 		held: map[string]float64{"servers": float64(s.Servers), "groups": float64(s.Groups), "zones": float64(s.Zones)}}
 	prefix := fmt.Sprintf("real.connections.%d-servers", s.Servers)
-	checks, err := withHeld(ctx, s, progress, func(p *realProcess, c *standInClients, n int) error {
+	checks, err := withHeld(ctx, s, progress, func(p *realProcess, _ *standInClients, n int) error {
 		share, err := p.processorShare(ctx, s.quiet)
 		if err != nil {
 			return err
--- a/internal/testbed/scale/real_process.go
+++ b/internal/testbed/scale/real_process.go
@@ -57,25 +57,25 @@
 	if p.folder, err = os.MkdirTemp("", "yard-scale"); err != nil {
 		return p, &ProcessError{"no folder for it", "make room in the folder for temporary files", err}
 	}
-	if p.servers, err = openStandInServers(); err != nil {
+	if p.servers, err = openStandInServers(ctx); err != nil {
 		return p, err
 	}
-	if p.list, err = openStandInList(p.servers.addresses(), servers, s.Zones); err != nil {
+	if p.list, err = openStandInList(ctx, p.servers.addresses(), servers, s.Zones); err != nil {
 		return p, err
 	}
-	if p.listen, err = freeAddress(); err != nil {
+	if p.listen, err = freeAddress(ctx); err != nil {
 		return p, err
 	}
-	if p.control, err = freeAddress(); err != nil {
+	if p.control, err = freeAddress(ctx); err != nil {
 		return p, err
 	}
-	if err := p.launch(program, s); err != nil {
+	if err := p.launch(ctx, program, s); err != nil {
 		return p, err
 	}
 	return p, p.awaitReady(ctx)
 }
 
-func (p *realProcess) launch(program []string, s realSettings) error {
+func (p *realProcess) launch(ctx context.Context, program []string, s realSettings) error {
 	config := filepath.Join(p.folder, "config.json")
 	text, err := json.Marshal(p.configuration(s))
 	if err != nil {
@@ -88,9 +88,9 @@
 	if err != nil {
 		return err
 	}
-	defer log.Close()
-	p.cmd = exec.Command(program[0], program[1:]...)
-	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // it must not outlive its measurement
+	defer func() { _ = log.Close() }()                                                  // the process has its own descriptor
+	p.cmd = exec.CommandContext(context.WithoutCancel(ctx), program[0], program[1:]...) // end kills it, whatever became of the context
+	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}                // it must not outlive its measurement
 	p.cmd.Stdout, p.cmd.Stderr = log, log
 	p.cmd.Env = append(os.Environ(), "PROXY_CONFIG="+config, "TMPDIR="+p.folder)
 	began := make(chan error, 1)
@@ -127,12 +127,12 @@
 	}
 }
 
-func freeAddress() (string, error) {
-	l, err := net.Listen("tcp", "127.78.1.1:0") // not 127.0.0.1, from which connections go out
+func freeAddress(ctx context.Context) (string, error) {
+	l, err := (&net.ListenConfig{}).Listen(ctx, "tcp", "127.78.1.1:0") // not 127.0.0.1, from which connections go out
 	if err != nil {
 		return "", &ProcessError{"no free port on loopback", "end other runs", err}
 	}
-	defer l.Close()
+	defer func() { _ = l.Close() }()
 	return l.Addr().String(), nil
 }
 
@@ -140,7 +140,7 @@
 func (p *realProcess) awaitReady(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, realReadyWithin)
 	defer cancel()
-	if err := p.until(ctx, func() bool { return p.call(http.MethodGet, "/control/ready") == http.StatusOK }); err != nil {
+	if err := p.until(ctx, func() bool { return p.call(ctx, http.MethodGet, "/control/ready") == http.StatusOK }); err != nil {
 		return err
 	}
 	return p.awaitServer(ctx, p.list.lastName())
@@ -149,7 +149,7 @@
 // awaitServer waits until a server is known, as it is once the news that names it are in force.
 func (p *realProcess) awaitServer(ctx context.Context, name string) error {
 	return p.until(ctx, func() bool {
-		return p.call(http.MethodPost, "/control/servers/"+name+"/online") == http.StatusOK // it is online: nothing changes
+		return p.call(ctx, http.MethodPost, "/control/servers/"+name+"/online") == http.StatusOK // it is online: nothing changes
 	})
 }
 
@@ -175,8 +175,8 @@
 }
 
 // call makes an operator's call; nought where there was no answer.
-func (p *realProcess) call(method, path string) int {
-	q, err := http.NewRequest(method, "http://"+p.control+path, nil)
+func (p *realProcess) call(ctx context.Context, method, path string) int {
+	q, err := http.NewRequestWithContext(ctx, method, "http://"+p.control+path, nil)
 	if err != nil {
 		return 0
 	}
--- a/internal/testbed/scale/real_standins.go
+++ b/internal/testbed/scale/real_standins.go
@@ -35,8 +35,8 @@
 	watches  map[chan []byte]bool
 }
 
-func openStandInList(doors []string, servers, zones int) (*standInList, error) {
-	listener, err := net.Listen("tcp", "127.78.1.2:0")
+func openStandInList(ctx context.Context, doors []string, servers, zones int) (*standInList, error) {
+	listener, err := (&net.ListenConfig{}).Listen(ctx, "tcp", "127.78.1.2:0")
 	if err != nil {
 		return nil, &ProcessError{"discovery can't listen", "end other runs", err}
 	}
@@ -168,10 +168,10 @@
 	over bool
 }
 
-func openStandInServers() (*standInServers, error) {
+func openStandInServers(ctx context.Context) (*standInServers, error) {
 	s := &standInServers{open: map[net.Conn]bool{}}
 	for i := range standInDoors {
-		l, err := net.Listen("tcp", fmt.Sprintf("127.77.0.%d:0", i+1))
+		l, err := (&net.ListenConfig{}).Listen(ctx, "tcp", fmt.Sprintf("127.77.0.%d:0", i+1))
 		if err != nil {
 			s.close()
 			return nil, &ProcessError{"a stand-in server can't listen", "end other runs", err}
--- a/internal/testbed/scale/real_test.go
+++ b/internal/testbed/scale/real_test.go
@@ -60,7 +60,7 @@
 		t.Run(x.name, func(t *testing.T) {
 			x.settings.Length = "300ms"
 			steps := 0
-			list, checks, err := sweeps[x.name](ctx, x.settings, func(done, all int) { steps++ })
+			list, checks, err := sweeps[x.name](ctx, x.settings, func(_, _ int) { steps++ })
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/testbed/scale/report.go
+++ b/internal/testbed/scale/report.go
@@ -31,7 +31,7 @@
 	if err != nil {
 		return fail(err)
 	}
-	defer os.Remove(temporary.Name()) // nothing there once it was renamed
+	defer func() { _ = os.Remove(temporary.Name()) }() // nothing there once it was renamed
 	_, err = temporary.Write(append(text, '\n'))
 	err = errors.Join(err, temporary.Chmod(resultMode), temporary.Sync(), temporary.Close())
 	if err != nil {
--- a/internal/testbed/scenario/play_test.go
+++ b/internal/testbed/scenario/play_test.go
@@ -139,7 +139,7 @@
 func (h heard) OnEnded(id decide.FlowID, o decide.Outcome, took time.Duration, over bool) {
 	h.Decider.OnEnded(id, o, took, over)
 	if h.way == "answer after the end" && over && o == decide.OK {
-		h.bent.Actions.Abort(id)
+		h.Actions.Abort(id)
 	}
 }
 
--- a/internal/testbed/sockets/agent.go
+++ b/internal/testbed/sockets/agent.go
@@ -33,7 +33,7 @@
 
 func newAgent(dr *Drive, b simulation.BalancerID) (*agent, error) {
 	a := &agent{dr: dr, balancer: b, has: map[simulation.ServerID]simulation.Entry{}, sinces: map[int64]time.Duration{}}
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	l, err := (&net.ListenConfig{}).Listen(dr.ctx, "tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("discovery: %w", err)
 	}
--- a/internal/testbed/sockets/client.go
+++ b/internal/testbed/sockets/client.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"context"
 	"errors"
 	"fmt"
 	"net"
@@ -135,7 +136,7 @@
 	}
 	dr.enter()
 	if conn != nil {
-		defer conn.Close()
+		defer func() { _ = conn.Close() }()
 	}
 	if dr.over {
 		dr.leave()
@@ -278,7 +279,7 @@
 
 // runs tells whether anybody listens at an address on this machine.
 func runs(addr string) bool {
-	c, err := net.DialTimeout("tcp", addr, 50*time.Millisecond)
+	c, err := (&net.Dialer{Timeout: 50 * time.Millisecond}).DialContext(context.Background(), "tcp", addr)
 	if c != nil {
 		_ = c.Close()
 	}
--- a/internal/testbed/sockets/process.go
+++ b/internal/testbed/sockets/process.go
@@ -40,7 +40,7 @@
 }
 
 func newProcess(dr *Drive, b simulation.BalancerID) (*process, error) {
-	l, err := net.Listen("tcp", fmt.Sprintf("127.78.%d.%d:0", int(b)/250, int(b)%250+1)) // see door.turn
+	l, err := (&net.ListenConfig{}).Listen(dr.ctx, "tcp", fmt.Sprintf("127.78.%d.%d:0", int(b)/250, int(b)%250+1)) // see door.turn
 	if err != nil {
 		return nil, err
 	}
@@ -147,7 +147,7 @@
 		dr.bad("balancer %d: %w", b, err)
 		return
 	}
-	found := exec.Command(program[0], program[1:]...)
+	found := exec.CommandContext(dr.ctx, program[0], program[1:]...)
 	cmd.Path, cmd.Args, cmd.Err = found.Path, found.Args, found.Err
 	began := make(chan error, 1)
 	select {
@@ -220,7 +220,7 @@
 func (p *process) ready(ctx context.Context) error {
 	until := time.Now().Add(readyWithin)
 	for time.Now().Before(until) && ctx.Err() == nil {
-		c, err := net.DialTimeout("tcp", p.addr, time.Second)
+		c, err := (&net.Dialer{Timeout: time.Second}).DialContext(ctx, "tcp", p.addr)
 		if err == nil {
 			_ = c.SetDeadline(time.Now().Add(time.Second))
 			_, err = c.Write([]byte("PING\r\n"))
--- a/internal/testbed/sockets/server.go
+++ b/internal/testbed/sockets/server.go
@@ -128,7 +128,7 @@
 // serve speaks the server's side of one connection. x is it where its beginning was seen on the way already.
 func (d *door) serve(c net.Conn, x *served) {
 	dr := d.s.dr
-	defer c.Close()
+	defer func() { _ = c.Close() }()
 	r := bufio.NewReaderSize(c, longestLine)
 	_ = c.SetReadDeadline(time.Now().Add(readFirst))
 	line, err := r.ReadString('\n')
@@ -155,7 +155,7 @@
 	}
 	x.conn = c
 	if x.id != 0 {
-		x.arrive(fields)
+		x.arrive()
 	}
 	dr.leave()
 	if x.id == 0 {
@@ -246,7 +246,7 @@
 }
 
 // arrive: the line has come to the server.
-func (x *served) arrive(fields map[string]string) {
+func (x *served) arrive() {
 	dr := x.dr
 	cl := dr.w.Client(x.flow)
 	if dr.over || cl == nil && x.led { // its client has gone while it was on its way
--- a/internal/testbed/sockets/sockets_test.go
+++ b/internal/testbed/sockets/sockets_test.go
@@ -42,7 +42,7 @@
 	if err != nil {
 		panic(err)
 	}
-	l, err := net.Listen("tcp", told.Listen)
+	l, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", told.Listen)
 	if err != nil {
 		panic(err)
 	}
@@ -52,7 +52,7 @@
 			return
 		}
 		go func() {
-			defer c.Close()
+			defer func() { _ = c.Close() }()
 			line, _ := bufio.NewReader(c).ReadString('\n')
 			switch {
 			case strings.HasPrefix(line, "PING"):
@@ -174,11 +174,11 @@
 }
 
 func TestOpenLoopShowsABalancerThatStopped(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	l, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close() // takes connections in the system's queue and never a word more
+	defer func() { _ = l.Close() }() // takes connections in the system's queue and never a word more
 	e, err := experiment.Read("load", []byte("name = \"load\"\nlength = \"3s\"\n[fleet]\nservers = 1\nbalancers = 1\n[[service]]\nname = \"x\"\nsetup-target=\"1ms\"\nconnect-timeout = \"500ms\"\n"))
 	if err != nil {
 		t.Fatal(err)
