--- a/internal/testbed/fleet/peers.go
+++ b/internal/testbed/fleet/peers.go
@@ -41,7 +41,7 @@
 		return err
 	}
 	x.bound = bound
-	x.told, err = r.post.Add(netfault.Name(x.name), netip.MustParseAddr(at(80)), x.bound)
+	x.told, err = r.post.Add(netfault.Endpoint(x.name), netip.MustParseAddr(at(80)), x.bound)
 	return err
 }
 
@@ -103,7 +103,7 @@
 			for i := range m {
 				m[i] = byte(chance.Uint32())
 			}
-			r.post.Inject(netfault.Name(as[chance.IntN(len(as))]), netfault.Name(who[chance.IntN(len(who))]), m)
+			r.post.Inject(netfault.Endpoint(as[chance.IntN(len(as))]), netfault.Endpoint(who[chance.IntN(len(who))]), m)
 		}
 		if r.dr.Elapsed()+floodBeat < end {
 			r.w.Agenda.After(floodBeat, simulation.Cause, beat)
@@ -134,7 +134,7 @@
 			}
 			m := append(append([]byte{labelMark, byte(len(label))}, label...), append([]byte{userMark}, b...)...)
 			for _, w := range who {
-				r.post.Inject(netfault.Name(name), netfault.Name(w), m)
+				r.post.Inject(netfault.Endpoint(name), netfault.Endpoint(w), m)
 			}
 		}
 		if r.dr.Elapsed()+lieBeat < end {
--- a/internal/testbed/fleet/plan.go
+++ b/internal/testbed/fleet/plan.go
@@ -195,9 +195,9 @@
 	f.oneWay = t.String("one-way", "", "", "out", "back")
 	c := &f.way
 	c.Delay, c.Jitter = t.Duration("delay", 0, time.Minute), t.Duration("jitter", 0, time.Minute)
-	c.Loss, c.Repeat, c.Reorder = t.Float("loss", 0, 0, 1), t.Float("repeat", 0, 0, 1), t.Float("reorder", 0, 0, 1)
-	c.Garbage, c.Rate = t.Float("garbage", 0, 0, 1), int(t.Float("rate", 0, 0, 1e9))
-	c.Cut, c.Mute = t.Bool("cut", false), t.Bool("mute", false)
+	c.Loss, c.Duplicate, c.Reorder = t.Float("loss", 0, 0, 1), t.Float("repeat", 0, 0, 1), t.Float("reorder", 0, 0, 1)
+	c.Corruption, c.Rate = t.Float("garbage", 0, 0, 1), int(t.Float("rate", 0, 0, 1e9))
+	c.Cut, c.Stalled = t.Bool("cut", false), t.Bool("mute", false)
 	f.rate = c.Rate
 	f.times = t.Int("times", 1, 1, mostSignals)
 	f.method, f.path = t.String("method", "POST", "GET", "POST"), t.String("path", "")
--- a/internal/testbed/fleet/run.go
+++ b/internal/testbed/fleet/run.go
@@ -38,8 +38,8 @@
 	dr      *sockets.Drive
 	d       *experiment.Day
 	w       *simulation.World
-	net     *netfault.Net
-	post    *netfault.Post // nil: nothing passes between balancers
+	net     *netfault.Network
+	post    *netfault.Proxy // nil: nothing passes between balancers
 	ref     *invariants.Referee
 	folder  string
 	program map[string][]string // current and old
@@ -74,7 +74,7 @@
 	r.ref = scenario.Referee(r.d, slack, hold)
 	r.dr = sockets.New(ctx, r.d, r.ref, program, folder)
 	if p.peers {
-		r.post = netfault.NewPost(r.net)
+		r.post = netfault.NewProxy(ctx, r.net)
 		defer r.post.Close()
 	}
 	for name, start := range map[string][]string{"current": program, "old": old} {
--- a/internal/testbed/fleet/strike.go
+++ b/internal/testbed/fleet/strike.go
@@ -221,7 +221,7 @@
 		if pid == 0 {
 			return errors.New("no process runs")
 		}
-		return limitFiles(pid, on)
+		return limitFiles(r.ctx, pid, on)
 	}
 	do := func(on bool) {
 		if err := set(on); err != nil {
@@ -234,12 +234,12 @@
 
 // limitFiles lets no file of a process grow, or lifts that. It is asked for as the process's own user, who may; root may not
 // everywhere.
-func limitFiles(pid int, on bool) error {
+func limitFiles(ctx context.Context, pid int, on bool) error {
 	soft := "unlimited"
 	if on {
 		soft = "0"
 	}
-	c := exec.CommandContext(context.Background(), "prlimit", "--pid", strconv.Itoa(pid), "--fsize="+soft+":unlimited")
+	c := exec.CommandContext(ctx, "prlimit", "--pid", strconv.Itoa(pid), "--fsize="+soft+":unlimited")
 	if os.Getuid() == 0 {
 		c.SysProcAttr = &syscall.SysProcAttr{Credential: &syscall.Credential{Uid: nobodyID, Gid: nobodyID}}
 	}
@@ -251,27 +251,26 @@
 
 // strikeWays changes the ways between two sets of ends, or breaks what stands on them.
 func (r *run) strikeWays(f fault, who, to []string, length time.Duration) {
-	each := func(do func(a, b netfault.Name)) {
+	each := func(do func(a, b netfault.Endpoint)) {
 		for _, a := range who {
 			for _, b := range to {
 				if a != b {
-					do(netfault.Name(a), netfault.Name(b))
+					do(netfault.Endpoint(a), netfault.Endpoint(b))
 				}
 			}
 		}
 	}
 	if f.kind == reset {
-		go each(func(a, b netfault.Name) { r.net.Reset(a, b) }) // beside the drive's lock, which the end of each stream takes
+		go each(func(a, b netfault.Endpoint) { r.net.Reset(a, b) }) // beside the drive's lock, which the end of each stream takes
 		return
 	}
 	set := func(c netfault.Condition) {
-		each(func(a, b netfault.Name) {
-			change := func(x *netfault.Condition) { x.Become(c) }
+		each(func(a, b netfault.Endpoint) {
 			if f.oneWay != "back" {
-				r.net.Change(a, b, change)
+				r.net.SetCondition(a, b, c)
 			}
 			if f.oneWay != "out" {
-				r.net.Change(b, a, change)
+				r.net.SetCondition(b, a, c)
 			}
 		})
 		r.dr.Doors()
@@ -295,7 +294,7 @@
 			return nil, err
 		}
 		innerEnd, outerEnd := netfault.Pipe()
-		go r.net.Lead(sockets.Operator, netfault.Name(x.name), innerEnd, far, netfault.Tap{})
+		go r.net.Forward(sockets.Operator, netfault.Endpoint(x.name), innerEnd, far, netfault.Tap{})
 		return outerEnd, nil
 	}}
 	ctx, done := context.WithTimeout(r.ctx, callWithin)
--- /dev/null
+++ b/internal/testbed/netfault/listener_test.go
@@ -0,0 +1,68 @@
+package netfault
+
+import (
+	"net"
+	"testing"
+	"time"
+)
+
+func closeAll(l net.Listener) { Serve(l, func(conn net.Conn) { _ = conn.Close() }) }
+
+// connect tries a connection and closes it.
+func connect(t *testing.T, address string, timeout time.Duration) error {
+	t.Helper()
+	conn, err := (&net.Dialer{Timeout: timeout}).DialContext(t.Context(), "tcp", address)
+	if err == nil {
+		_ = conn.Close()
+	}
+	return err
+}
+
+func TestListenerStates(t *testing.T) {
+	l := NewListener("127.0.0.1:0")
+	defer l.Close()
+	for _, step := range []struct {
+		to      ListenerState
+		refused bool
+		silent  bool
+	}{{to: Open}, {to: Unresponsive, silent: true}, {to: Closed, refused: true}, {to: Open}} {
+		if err := l.Transition(t.Context(), step.to, closeAll); err != nil {
+			t.Fatal(err)
+		}
+		err := connect(t, l.Address, 150*time.Millisecond)
+		if isTimeout(err) != step.silent || (err != nil && !isTimeout(err)) != step.refused {
+			t.Errorf("state %d: %v", step.to, err)
+		}
+	}
+}
+
+// A machine with many listeners goes silent at once: none of them answers, and all accept connections again after that.
+func TestManyListenersBecomeUnresponsive(t *testing.T) {
+	const count, silence = 40, 20 * time.Millisecond
+	var listeners []*Listener
+	for range count {
+		l := NewListener("127.77.250.1:0")
+		defer l.Close()
+		if err := l.Transition(t.Context(), Open, closeAll); err != nil {
+			t.Fatal(err)
+		}
+		listeners = append(listeners, l)
+	}
+	for _, to := range []ListenerState{Unresponsive, Open, Unresponsive, Closed, Open} {
+		for _, l := range listeners {
+			if err := l.Transition(t.Context(), to, closeAll); err != nil {
+				t.Fatal(err)
+			}
+		}
+		for _, l := range listeners {
+			timeout := silence
+			if to != Unresponsive {
+				timeout = patience
+			}
+			err := connect(t, l.Address, timeout)
+			if (to == Open) != (err == nil) || (to == Unresponsive) != isTimeout(err) {
+				t.Errorf("%s is in state %v: %v", l.Address, to, err)
+			}
+		}
+	}
+}
--- a/internal/testbed/sockets/agent.go
+++ b/internal/testbed/sockets/agent.go
@@ -27,7 +27,7 @@
 	order    []simulation.ServerID
 	watch    chan []byte // of the newest watch
 
-	gate   *netfault.Gate          // where its balancer has a way of its own to it
+	gate   *netfault.Listener      // where its balancer has a way of its own to it
 	sinces map[int64]time.Duration // starts of servers by what was written of them
 }
 
@@ -58,7 +58,7 @@
 
 func (a *agent) close() {
 	if a.gate != nil {
-		a.gate.End()
+		a.gate.Close()
 	}
 	_ = a.server.Close()
 }
@@ -66,7 +66,7 @@
 // addr is where its balancer asks it.
 func (a *agent) addr() string {
 	if a.gate != nil {
-		return a.gate.Addr
+		return a.gate.Address
 	}
 	return a.l.Addr().String()
 }
@@ -156,7 +156,7 @@
 			up = max(1, dr.start.Add(e.Since).UnixMilli())
 			a.sinces[up] = e.Since
 		}
-		members = append(members, map[string]any{"id": experiment.ServerName(e.Server), "host_port": dr.door(a.balancer, e.Server).Addr,
+		members = append(members, map[string]any{"id": experiment.ServerName(e.Server), "host_port": dr.door(a.balancer, e.Server).Address,
 			"locality": dr.w.Halls[e.Hall], "flavor": "stand-in", "cell": int(e.Cell), "phase": phases[e.State], "size": e.Size, "up_since_ms": up})
 	}
 	text, err := json.Marshal(map[string]any{"revision": a.revision, "complete": complete, "members": members})
--- a/internal/testbed/sockets/apart.go
+++ b/internal/testbed/sockets/apart.go
@@ -20,7 +20,7 @@
 // Apart is what changes where each process has ways, options and a folder of its own, and faults strike between them. All of it is
 // called with the drive locked.
 type Apart struct {
-	Net     *netfault.Net
+	Net     *netfault.Network
 	Control func(simulation.BalancerID) string // where a balancer takes the staff's calls
 	// Launch changes how a process is started, and tells the program with its arguments.
 	Launch func(b simulation.BalancerID, life int, cmd *exec.Cmd) (program []string, err error)
@@ -33,17 +33,19 @@
 
 // Names of the ends of network paths.
 const (
-	Discovery netfault.Name = "discovery"
-	Operator  netfault.Name = "operator"
+	Discovery netfault.Endpoint = "discovery"
+	Operator  netfault.Endpoint = "operator"
 )
 
 // BalancerName is the near end of a balancer's ways.
-func BalancerName(b simulation.BalancerID) netfault.Name {
-	return netfault.Name("b" + strconv.Itoa(int(b)))
+func BalancerName(b simulation.BalancerID) netfault.Endpoint {
+	return netfault.Endpoint("b" + strconv.Itoa(int(b)))
 }
 
 // ServerName is the far end of a server's ways.
-func ServerName(s simulation.ServerID) netfault.Name { return netfault.Name(experiment.ServerName(s)) }
+func ServerName(s simulation.ServerID) netfault.Endpoint {
+	return netfault.Endpoint(experiment.ServerName(s))
+}
 
 // Do does something to the world and the processes between two events.
 func (dr *Drive) Do(do func()) {
@@ -95,7 +97,7 @@
 	}
 	var parts sync.WaitGroup
 	parts.Go(func() { d.serve(outerEnd, x) })
-	dr.apart.Net.Lead(BalancerName(d.by), ServerName(d.s.id), near, innerEnd, netfault.Tap{
+	dr.apart.Net.Forward(BalancerName(d.by), ServerName(d.s.id), near, innerEnd, netfault.Tap{
 		Sent: func(b []byte) {
 			if text, ok := sent.first(b); ok {
 				if id, fields, ok := openLine(text); ok {
@@ -107,14 +109,14 @@
 				}
 			}
 		},
-		Told: func(b []byte) {
+		Received: func(b []byte) {
 			if text, ok := told.first(b); ok && !strings.HasPrefix(text, "UP") {
 				dr.enter()
 				hear(!strings.HasPrefix(text, "BUSY"))
 				dr.leave()
 			}
 		},
-		Ended: func(bool) {
+		Closed: func() {
 			dr.enter()
 			hear(true)
 			dr.leave()
@@ -142,17 +144,17 @@
 
 // lead has the agent's balancer come over a way.
 func (a *agent) lead() error {
-	a.gate = netfault.NewGate("127.0.0.1:0")
+	a.gate = netfault.NewListener("127.0.0.1:0")
 	a.l = &handed{Listener: a.l, conns: make(chan net.Conn), over: make(chan struct{})}
 	return a.door()
 }
 
 func (a *agent) door() error {
 	to := netfault.Open
-	if a.dr.apart.Net.Cut(BalancerName(a.balancer), Discovery) {
-		to = netfault.Hole
+	if a.dr.apart.Net.IsCut(BalancerName(a.balancer), Discovery) {
+		to = netfault.Unresponsive
 	}
-	return a.gate.Turn(to, func(l net.Listener) { netfault.Accept(l, a.led) })
+	return a.gate.Transition(a.dr.ctx, to, func(l net.Listener) { netfault.Serve(l, a.led) })
 }
 
 // led takes its balancer's call. What the list says is told when it has come to the balancer's end.
@@ -166,7 +168,7 @@
 		return
 	}
 	var rest []byte
-	a.dr.apart.Net.Lead(BalancerName(a.balancer), Discovery, near, innerEnd, netfault.Tap{Told: func(b []byte) {
+	a.dr.apart.Net.Forward(BalancerName(a.balancer), Discovery, near, innerEnd, netfault.Tap{Received: func(b []byte) {
 		rest = append(rest, b...)
 		for {
 			i := bytes.IndexByte(rest, '\n')
--- a/internal/testbed/sockets/server.go
+++ b/internal/testbed/sockets/server.go
@@ -29,7 +29,7 @@
 }
 
 type door struct {
-	*netfault.Gate
+	*netfault.Listener
 	s    *standIn
 	hall simulation.HallID
 	by   simulation.BalancerID // who comes in here; nobody: all of the hall
@@ -48,17 +48,17 @@
 		at := fmt.Sprintf("127.77.%d.%d:0", int(s.id)/250, int(s.id)%250+1)
 		if dr.apart == nil {
 			for h := range dr.w.Halls {
-				s.doors = append(s.doors, &door{netfault.NewGate(at), s, simulation.HallID(h), nobody})
+				s.doors = append(s.doors, &door{netfault.NewListener(at), s, simulation.HallID(h), nobody})
 			}
 		} else {
 			for _, b := range dr.w.Balancers {
-				s.doors = append(s.doors, &door{netfault.NewGate(at), s, b.Hall, b.ID})
+				s.doors = append(s.doors, &door{netfault.NewListener(at), s, b.Hall, b.ID})
 			}
 		}
 		dr.servers = append(dr.servers, s)
 	}
 	for _, d := range dr.servers[id].doors {
-		if err := d.Turn(dr.wants(d), d.accept); err != nil {
+		if err := d.Transition(dr.ctx, dr.wants(d), d.accept); err != nil {
 			dr.bad("stand-in server %s: %w", experiment.ServerName(id), err)
 		}
 	}
@@ -72,25 +72,25 @@
 	return dr.servers[s].doors[dr.w.Balancers[b].Hall]
 }
 
-func (dr *Drive) wants(d *door) netfault.State {
+func (dr *Drive) wants(d *door) netfault.ListenerState {
 	reach := dr.w.Knock(d.hall, d.s.id)
 	switch {
-	case reach == simulation.Silence || d.by != nobody && dr.apart.Net.Cut(BalancerName(d.by), ServerName(d.s.id)):
-		return netfault.Hole
+	case reach == simulation.Silence || d.by != nobody && dr.apart.Net.IsCut(BalancerName(d.by), ServerName(d.s.id)):
+		return netfault.Unresponsive
 	case reach == simulation.Refused:
-		return netfault.Shut
+		return netfault.Closed
 	}
 	return netfault.Open
 }
 
 func (s *standIn) close() {
 	for _, d := range s.doors {
-		d.End()
+		d.Close()
 	}
 }
 
 func (d *door) accept(l net.Listener) {
-	netfault.Accept(l, func(c net.Conn) {
+	netfault.Serve(l, func(c net.Conn) {
 		// Close waits for all parts, so that none may begin once it has.
 		d.s.dr.mu.Lock()
 		over := d.s.dr.over
