--- a/cmd/testbed/parts.go
+++ b/cmd/testbed/parts.go
@@ -43,7 +43,7 @@
 	e = e.Sized(1, c.Int("servers")).Lasting(c.Duration("for"))
 	d := e.Day(c.Uint64("seed"))
 	slack, hold := sockets.HeldBack()
-	dr := sockets.New(ctx, d, scenario.Referee(d, slack, hold), nil, "")
+	dr := sockets.New(ctx, d, scenario.NewChecker(d, slack, hold), nil, "")
 	err = dr.Serve(func() error {
 		text, err := dr.Config(0, c.String("listen"), 1)
 		if err != nil {
@@ -117,7 +117,7 @@
 func Load(ctx context.Context, e *experiment.Experiment, seed uint64, addrs []string, rate float64, life time.Duration, groups int, progress func(time.Duration)) (*count.Result, error) {
 	d := e.Day(seed)
 	slack, hold := sockets.HeldBack()
-	ref := scenario.Referee(d, slack, hold)
+	ref := scenario.NewChecker(d, slack, hold)
 	dr := sockets.Load(ctx, d, ref, addrs)
 	void, err := dr.RunLoad(experiment.NewSteady(seed, rate, life, 1, groups, len(d.World.Halls)), progress)
 	if err != nil {
--- a/cmd/testbed/try.go
+++ b/cmd/testbed/try.go
@@ -111,7 +111,7 @@
 func Sockets(ctx context.Context, e *experiment.Experiment, seed uint64, policy string, start []string, folder string, progress func(time.Duration)) (*count.Result, error) {
 	d := e.Day(seed)
 	slack, hold := sockets.HeldBack()
-	ref := scenario.Referee(d, slack, hold)
+	ref := scenario.NewChecker(d, slack, hold)
 	dr := sockets.New(ctx, d, ref, start, folder)
 	switch policy {
 	case "ours":
--- a/internal/testbed/experiment/day.go
+++ b/internal/testbed/experiment/day.go
@@ -334,10 +334,20 @@
 	return s
 }
 
-// Terms are what a referee and a drive go by: the drain grace, the rule on cold servers, the connects a flow may use, a
-// connection's time to come up, and whether balancers may talk.
-func (e *Experiment) Terms() (grace time.Duration, multiple float64, fall, warm time.Duration, connects int, up time.Duration) {
-	return e.grace, e.multiple, e.fall, e.warmMost, e.connects, e.connectTimeout
+// Terms are the limits that an invariant checker and a driver hold a run to.
+type Terms struct {
+	DrainGrace        time.Duration // from the announcement of a drain until no connect may be sent
+	SlowStartMultiple float64       // of its capacity that a starting server may be sent over a window
+	SlowStartWindow   time.Duration
+	SlowStart         time.Duration // how long a server starts at the most
+	MaxConnects       int           // that a flow may use
+	ConnectTimeout    time.Duration
+}
+
+// Terms of the experiment.
+func (e *Experiment) Terms() Terms {
+	return Terms{DrainGrace: e.grace, SlowStartMultiple: e.multiple, SlowStartWindow: e.fall, SlowStart: e.warmMost,
+		MaxConnects: e.connects, ConnectTimeout: e.connectTimeout}
 }
 
 // Probes tells whether servers report their load to those that probe.
--- a/internal/testbed/fleet/fleet_test.go
+++ b/internal/testbed/fleet/fleet_test.go
@@ -102,7 +102,7 @@
 	}
 	r := played(t, p, 1)
 	holds(t, r)
-	if c := r.Processes[0].Cost.Cut + r.Processes[0].Cost.Waiting; c == 0 {
+	if c := r.Processes[0].Cost.Cut + r.Processes[0].Cost.Unanswered; c == 0 {
 		t.Error("a killed process cost nobody anything: it held nothing, or nobody counted")
 	}
 }
--- a/internal/testbed/fleet/result.go
+++ b/internal/testbed/fleet/result.go
@@ -93,7 +93,7 @@
 				return list
 			}
 			for _, e := range r.events { // by time
-				if e.Kind != invariants.Sent || e.At < s.From || e.At >= s.To {
+				if e.Kind != invariants.ConnectSent || e.At < s.From || e.At >= s.To {
 					continue
 				}
 				all = append(young(all, e.At), e.At)
@@ -121,14 +121,14 @@
 	end := r.w.Books.Length
 	res := &Result{Name: r.p.Name(), About: r.p.About(), Seed: r.seed, Length: end.Seconds(), Void: void, Unfit: r.unfit, Moments: r.moments, Ways: r.ways}
 	slices.SortStableFunc(r.events, func(a, b invariants.Event) int { return cmp.Compare(a.At, b.At) })
-	for _, v := range r.ref.Violations() {
+	for _, v := range r.checker.Violations() {
 		res.Violations = append(res.Violations, v.String())
 	}
-	broken := len(res.Violations) + r.ref.More()
+	broken := len(res.Violations) + r.checker.Omitted()
 	t := &r.w.Totals
 	res.Figures = Figures{Clients: t.Clients, Flows: t.Tries, Established: t.Established, Rejected: t.Rejected, Aborted: t.Aborted, Cut: t.Cut,
-		Moved: t.Moved, NeverUp: len(t.NeverUp), Connects: r.dr.Tally.Connects, Probes: r.dr.Tally.Probes, Judged: r.ref.Judged, Broken: broken, Service: r.service()}
-	all := r.ref.Costs()
+		Moved: t.Moved, NeverUp: len(t.NeverUp), Connects: r.dr.Tally.Connects, Probes: r.dr.Tally.Probes, Judged: r.checker.Judged, Broken: broken, Service: r.service()}
+	all := r.checker.Costs()
 	for _, x := range r.procs {
 		p := Process{Name: x.name, Cost: all[invariants.Balancer(x.id)], Spans: closed(x.spans, end), Front: closed(r.fronts[x.name], end),
 			PerSecond: make([]int, int(end/time.Second)+1)}
@@ -137,10 +137,10 @@
 				continue
 			}
 			switch {
-			case e.Kind == invariants.Answered && e.Verdict == invariants.Established:
+			case e.Kind == invariants.FlowAnswered && e.Answer == invariants.Established:
 				p.Established++
 				p.PerSecond[min(int(e.At/time.Second), len(p.PerSecond)-1)]++
-			case e.Kind == invariants.Sent:
+			case e.Kind == invariants.ConnectSent:
 				p.Connects++
 			}
 		}
@@ -152,7 +152,7 @@
 		}
 	}
 	res.Troubles = r.troubles()
-	rules := Verdict{Must: "no rule broken by any balancer that runs", Holds: broken == 0, Seen: fmt.Sprintf("%d flows judged, %d breaches", r.ref.Judged, broken)}
+	rules := Verdict{Must: "no rule broken by any balancer that runs", Holds: broken == 0, Seen: fmt.Sprintf("%d flows judged, %d breaches", r.checker.Judged, broken)}
 	res.Musts = append(res.Musts, rules)
 	alone := Verdict{Must: "no process ends by itself", Holds: true, Seen: "none did"}
 	for _, m := range r.moments {
@@ -223,7 +223,7 @@
 	count := func(b simulation.BalancerID, k invariants.Kind, servers map[int]bool) (n int) {
 		for _, e := range r.events {
 			if e.At >= from && e.At < to && e.Kind == k && e.Balancer == invariants.Balancer(b) &&
-				(k != invariants.Answered || e.Verdict == invariants.Established) && (servers == nil || servers[int(e.Server)]) {
+				(k != invariants.FlowAnswered || e.Answer == invariants.Established) && (servers == nil || servers[int(e.Server)]) {
 				n++
 			}
 		}
@@ -236,10 +236,10 @@
 			worst(fmt.Sprintf("%s after %v", w, at.Round(time.Millisecond)), ok)
 		}
 	case serves, uses, avoids:
-		kind := invariants.Answered
+		kind := invariants.FlowAnswered
 		var servers map[int]bool
 		if m.kind != serves {
-			kind, servers = invariants.Sent, map[int]bool{}
+			kind, servers = invariants.ConnectSent, map[int]bool{}
 			for _, s := range r.serversOf(m.servers, from) {
 				servers[s] = true
 			}
@@ -260,9 +260,9 @@
 	case established:
 		taken, up := map[invariants.Flow]bool{}, 0
 		for _, e := range r.events {
-			if e.Kind == invariants.Taken && e.At >= from && e.At < to {
+			if e.Kind == invariants.FlowAccepted && e.At >= from && e.At < to {
 				taken[e.Flow] = true
-			} else if e.Kind == invariants.Answered && e.Verdict == invariants.Established && taken[e.Flow] {
+			} else if e.Kind == invariants.FlowAnswered && e.Answer == invariants.Established && taken[e.Flow] {
 				up++
 			}
 		}
@@ -313,7 +313,7 @@
 		sum := 0
 		for _, p := range res.Processes {
 			c := p.Cost
-			sum += c.Cut + c.Waiting + c.Unheard + c.Sent
+			sum += c.Cut + c.Unanswered + c.Expired + c.SentLate
 		}
 		worst(fmt.Sprint(sum), float64(sum) <= m.atMost)
 	}
--- a/internal/testbed/fleet/run.go
+++ b/internal/testbed/fleet/run.go
@@ -40,7 +40,7 @@
 	w       *simulation.World
 	net     *netfault.Network
 	post    *netfault.Proxy // nil: nothing passes between balancers
-	ref     *invariants.Referee
+	checker *invariants.Checker
 	folder  string
 	program map[string][]string // current and old
 	procs   []*process
@@ -71,8 +71,8 @@
 	r.w = r.d.World
 	slack, hold := sockets.HeldBack()
 	slack = max(slack, p.late)
-	r.ref = scenario.Referee(r.d, slack, hold)
-	r.dr = sockets.New(ctx, r.d, r.ref, program, folder)
+	r.checker = scenario.NewChecker(r.d, slack, hold)
+	r.dr = sockets.New(ctx, r.d, r.checker, program, folder)
 	if p.peers {
 		r.post = netfault.NewProxy(ctx, r.net)
 		defer r.post.Close()
--- a/internal/testbed/fleet/strike.go
+++ b/internal/testbed/fleet/strike.go
@@ -183,12 +183,12 @@
 	if !r.turn(x, to) {
 		return
 	}
-	r.dr.Mark(x.id, invariants.Stopped)
+	r.dr.Mark(x.id, invariants.BalancerFrozen)
 	r.signal(x, syscall.SIGSTOP)
 	round := x.round
 	later(func() {
 		if x.round == round && r.turn(x, runs) {
-			r.dr.Mark(x.id, invariants.Thawed)
+			r.dr.Mark(x.id, invariants.BalancerResumed)
 			r.signal(x, syscall.SIGCONT)
 			r.note(x.name, "runs on")
 		}
--- /dev/null
+++ b/internal/testbed/invariants/checker_test.go
@@ -0,0 +1,202 @@
+package invariants
+
+import (
+	"cmp"
+	"fmt"
+	"math"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+)
+
+const ms = time.Millisecond
+
+const testWindow = 1500 * ms
+
+func testLimits(multiple, meanLoad float64) Limits {
+	return Limits{Slack: 50 * ms, Reordering: 100 * ms, DrainGrace: 750 * ms, SlowStartMultiple: multiple, SlowStartWindow: testWindow,
+		SlowStart: 20 * time.Second, MeanLoad: meanLoad}
+}
+
+func eventAt(t time.Duration, k Kind) Event {
+	return Event{At: t, Kind: k, Flow: 7, Server: 1, Balancer: 0}
+}
+
+func acceptedAt(t time.Duration, effect Effect) Event {
+	e := eventAt(t, FlowAccepted)
+	e.Deadline, e.Effect, e.KeyWindow = t+time.Second, effect, 500*ms
+	return e
+}
+
+func withScope(scope KeyScope, e Event) Event {
+	e.KeyScope = scope
+	return e
+}
+
+// sentAt is a connect to a server that has a zone and a cell to itself.
+func sentAt(t time.Duration, c Connect, s Server) Event {
+	e := eventAt(t, ConnectSent)
+	e.Connect, e.Server, e.Zone, e.Cell = c, s, int(s), int(s)
+	return e
+}
+
+// firstEnded is the end of connect 1.
+func firstEnded(t time.Duration, mayHaveRun bool) Event {
+	e := eventAt(t, ConnectEnded)
+	e.Connect, e.MayHaveRun = 1, mayHaveRun
+	return e
+}
+
+func answeredAt(t time.Duration, a Answer) Event {
+	e := eventAt(t, FlowAnswered)
+	e.Answer = a
+	return e
+}
+
+// announced tells a balancer of server 1.
+func announced(t time.Duration, b Balancer, readiness Readiness, startedAt time.Duration) Event {
+	return Event{At: t, Kind: ServerAnnounced, Balancer: b, Server: 1, Readiness: readiness, StartedAt: startedAt}
+}
+
+// flood is connects of many balancers to a starting server, one of each: little for any single one of them.
+func flood(balancers int, areInformed bool) (events []Event) {
+	for b := range Balancer(balancers) {
+		if areInformed {
+			events = append(events, announced(10*ms, b, Ready, 5*ms))
+		}
+		events = append(events, Event{At: 100*ms + time.Duration(b)*ms, Kind: ConnectArrived, Balancer: b, Server: 1, StartedAt: 5 * ms, Load: 1, Capacity: 2})
+	}
+	slices.SortStableFunc(events, func(a, b Event) int { return cmp.Compare(a.At, b.At) })
+	return events
+}
+
+// judge observes events as they happen and returns the violations.
+func judge(events []Event) []Violation {
+	c := New(testLimits(3, 1))
+	for _, e := range events {
+		c.Observe(e)
+		c.Advance(e.At)
+	}
+	return c.Finish(10 * time.Second)
+}
+
+func TestSoundRunsBreakNoRule(t *testing.T) {
+	for _, test := range []struct {
+		name   string
+		events []Event
+	}{
+		{"established and ended", []Event{acceptedAt(0, Idempotent), sentAt(ms, 1, 1), answeredAt(20*ms, Established), eventAt(5*time.Second, ClientLeft)}},
+		{"refused by one, established at the next", []Event{acceptedAt(0, NotIdempotent), sentAt(ms, 1, 1), firstEnded(5*ms, false), sentAt(6*ms, 2, 2), answeredAt(20*ms, Established)}},
+		{"rejected", []Event{acceptedAt(0, Idempotent), answeredAt(ms, Rejected)}},
+		{"the client left first", []Event{acceptedAt(0, Idempotent), eventAt(300*ms, ClientLeft)}},
+		{"its balancer died", []Event{acceptedAt(0, Idempotent), eventAt(300*ms, BalancerDied)}},
+		{"an answer seen before the line that caused it", []Event{answeredAt(5*ms, Rejected), acceptedAt(0, Idempotent)}},
+		{"an end seen just after the next send", []Event{acceptedAt(0, Idempotent), sentAt(ms, 1, 1), sentAt(100*ms, 2, 2), firstEnded(110*ms, true), answeredAt(200*ms, Established)}},
+		{"idempotent by key, within its window and zone", []Event{withScope(ZoneServers, acceptedAt(0, IdempotentByKey)), sentAt(ms, 1, 1), firstEnded(5*ms, true), sentAt(6*ms, 2, 1), answeredAt(20*ms, Established)}},
+		{"sent within the grace", []Event{announced(0, 0, Draining, 0), acceptedAt(0, Idempotent), sentAt(700*ms, 1, 1), answeredAt(720*ms, Established)}},
+		{"sent to one that is back", []Event{announced(0, 0, Gone, 0), announced(500*ms, 0, Ready, 400*ms), acceptedAt(1900*ms, Idempotent), sentAt(2*time.Second, 1, 1), answeredAt(2100*ms, Established)}},
+		{"a starting server pushed by balancers that can't know", flood(20, false)},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			if violations := judge(test.events); len(violations) > 0 {
+				t.Errorf("a sound run is called broken: %v", violations[0])
+			}
+		})
+	}
+}
+
+func TestViolationsAreFoundAndProved(t *testing.T) {
+	for _, test := range []struct {
+		name   string
+		events []Event
+		rule   Rule
+		what   string
+	}{
+		{"no answer", []Event{acceptedAt(0, Idempotent), sentAt(ms, 1, 1)}, OneAnswer, "no answer in time"},
+		{"two answers", []Event{acceptedAt(0, Idempotent), answeredAt(ms, Rejected), answeredAt(2*ms, Aborted)}, OneAnswer, "answered twice"},
+		{"rejected after established", []Event{acceptedAt(0, Idempotent), answeredAt(ms, Established), answeredAt(20*ms, Rejected)}, OneAnswer, "answered twice"},
+		{"late", []Event{acceptedAt(0, Idempotent), answeredAt(1200*ms, Rejected)}, OneAnswer, "no answer in time"},
+		{"after the end", []Event{acceptedAt(0, Idempotent), answeredAt(ms, Established), eventAt(time.Second, FlowEnded), answeredAt(2*time.Second, Aborted)}, OneAnswer, "an answer after the end"},
+		{"after its client left", []Event{acceptedAt(0, Idempotent), eventAt(100*ms, ClientLeft), answeredAt(800*ms, Rejected)}, OneAnswer, "an answer after the end"},
+		{"never accepted", []Event{answeredAt(ms, Rejected)}, OneAnswer, "not held"},
+		{"sent after the answer", []Event{acceptedAt(0, Idempotent), answeredAt(ms, Rejected), sentAt(100*ms, 1, 1)}, OneAnswer, "sent after the answer"},
+		{"two connects out", []Event{acceptedAt(0, Idempotent), sentAt(ms, 1, 1), sentAt(2*ms, 2, 2), firstEnded(400*ms, true), answeredAt(500*ms, Established)}, NoDuplicateEffect, "two connects out"},
+		{"not idempotent, again", []Event{acceptedAt(0, NotIdempotent), sentAt(ms, 1, 1), firstEnded(5*ms, true), sentAt(6*ms, 2, 2), answeredAt(20*ms, Established)}, NoDuplicateEffect, "once-only"},
+		{"not idempotent, rejected", []Event{acceptedAt(0, NotIdempotent), sentAt(ms, 1, 1), firstEnded(5*ms, true), answeredAt(20*ms, Rejected)}, NoDuplicateEffect, "rejected as harmless"},
+		{"idempotent by key, window over", []Event{acceptedAt(0, IdempotentByKey), sentAt(ms, 1, 1), firstEnded(700*ms, true), sentAt(701*ms, 2, 1), answeredAt(720*ms, Established)}, NoDuplicateEffect, "window"},
+		{"idempotent by key, other zone", []Event{withScope(ZoneServers, acceptedAt(0, IdempotentByKey)), sentAt(ms, 1, 1), firstEnded(5*ms, true), sentAt(6*ms, 2, 2), answeredAt(20*ms, Established)}, NoDuplicateEffect, "group"},
+		{"sent after the grace", []Event{announced(0, 0, Draining, 0), acceptedAt(900*ms, Idempotent), sentAt(901*ms, 1, 1), answeredAt(920*ms, Established)}, DrainsRespected, "after the grace"},
+		{"the grace runs from the first announcement", []Event{announced(0, 0, Draining, 0), announced(800*ms, 0, Gone, 0), acceptedAt(900*ms, Idempotent), sentAt(901*ms, 1, 1), answeredAt(920*ms, Established)}, DrainsRespected, "after the grace"},
+		{"a starting server flooded by many, each within its part", flood(20, true), SlowStartRespected, "times what it can take"},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			violations := judge(test.events)
+			if len(violations) == 0 || violations[0].Rule != test.rule || !strings.Contains(violations[0].What, test.what) {
+				t.Fatalf("found %v, want rule %d, %s", violations, test.rule, test.what)
+			}
+			if len(violations[0].Proof) == 0 || !strings.Contains(violations[0].String(), "seen: ") {
+				t.Error("no event proves it")
+			}
+		})
+	}
+}
+
+// A starting server is judged by what all balancers send it together: beyond a budget of N connects 2√N + 2 are chance, one more is not.
+func TestSlowStartBoundsTheSumOfAllBalancers(t *testing.T) {
+	const multiple, mean = 3, 0.04
+	for _, n := range []float64{0.3, 1.2, 2.5, 4.3, 9.1, 30} {
+		for _, balancers := range []int{3, 20, 30, 300} {
+			t.Run(fmt.Sprintf("%v connects, %d balancers", n, balancers), func(t *testing.T) {
+				allowed := int(n + 2*math.Sqrt(n) + 2)
+				for _, sent := range []int{allowed, allowed + 1} {
+					c := New(testLimits(multiple, mean))
+					for b := range balancers {
+						c.Observe(announced(10*ms, Balancer(b), Ready, 5*ms))
+					}
+					for i := range sent {
+						c.Observe(Event{At: 100*ms + time.Duration(i)*10*ms, Kind: ConnectArrived, Balancer: Balancer(i % balancers), Server: 1, StartedAt: 5 * ms,
+							Load: mean, Capacity: n * mean / multiple / testWindow.Seconds()})
+					}
+					if found := c.Finish(10 * time.Second); (len(found) > 0) != (sent > allowed) {
+						t.Errorf("%d connects: %d rules broken", sent, len(found))
+					}
+				}
+			})
+		}
+	}
+}
+
+// The rule counts requests of mean work: light ones count in full, and one whose load nobody could know counts as one. Two
+// such ones are judged by what they bring.
+func TestSlowStartCountsRequestsOfMeanWork(t *testing.T) {
+	const multiple, mean = 3, 0.04
+	const budget = 9.1 // connects of the mean load; the rule bears 9.1 + 2√9.1 + 2 of them: 17
+	many := func(n int, load float64) []float64 { return slices.Repeat([]float64{load}, n) }
+	for _, test := range []struct {
+		name   string
+		loads  []float64 // in mean loads
+		broken bool
+	}{
+		{"as many light ones as it bears", many(17, 0.1), false},
+		{"one light one more", many(18, 0.1), true},
+		{"one heavy one alone", []float64{40}, false},
+		{"a heavy one among few", []float64{1, 0.3, 40, 1}, false},
+		{"a heavy one among as much as it bears", append(many(16, 1), 40), false},
+		{"a heavy one among more", append(many(17, 1), 40), true},
+		{"two heavy ones", []float64{20, 20}, true},
+		{"few, heavier than it bears together", many(7, 3), true},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			c := New(testLimits(multiple, mean))
+			c.Observe(announced(10*ms, 1, Ready, 5*ms))
+			for i, load := range test.loads {
+				c.Observe(Event{At: 100*ms + time.Duration(i)*10*ms, Kind: ConnectArrived, Balancer: 1, Server: 1, StartedAt: 5 * ms,
+					Load: load * mean, Capacity: budget * mean / multiple / testWindow.Seconds()})
+			}
+			if found := c.Finish(10 * time.Second); (len(found) > 0) != test.broken {
+				t.Errorf("broken: %v, wanted %v: %v", len(found) > 0, test.broken, found)
+			}
+		})
+	}
+}
--- a/internal/testbed/invariants/event.go
+++ b/internal/testbed/invariants/event.go
@@ -10,65 +10,70 @@
 
 // Kinds of events.
 const (
-	Began       Kind = iota // a balancer started
-	Died                    // a balancer ended: what it held is void
-	Stopped                 // a balancer was frozen: it runs no further, and no rule binds it
-	Thawed                  // it runs on
-	Told                    // a balancer was told of a server: State, and Since of its start
-	Taken                   // a balancer took a flow: Due is by when it must answer
-	Left                    // the client of a flow went
-	ConnectOver             // a connect ended: Ran says whether it may have run
-	Sent                    // a connect went out to a server
-	Arrived                 // a connect came in at a server: Load it brings, and Takes what the server can take a second
-	Answered                // the balancer's final answer
-	Ended                   // an established flow ended
+	BalancerStarted Kind = iota // a balancer's process started
+	BalancerDied                // a balancer's process ended: what it held is void
+	BalancerFrozen              // a balancer's process was stopped: no rule binds it while it is
+	BalancerResumed             // a frozen balancer runs on
+	ServerAnnounced             // a balancer was told of a server: its Readiness, and when it StartedAt
+	FlowAccepted                // a balancer accepted a flow, which it has to answer by Deadline
+	ClientLeft                  // the client of a flow ended it
+	ConnectEnded                // a connect ended: MayHaveRun says whether the server may have run the flow
+	ConnectSent                 // a balancer sent a connect to a server
+	ConnectArrived              // a connect arrived at a server: the Load that it brings, and the server's Capacity
+	FlowAnswered                // a balancer gave its final Answer
+	FlowEnded                   // an established flow ended
 )
 
 var kinds = [...]string{"began", "died", "stopped", "thawed", "told", "taken", "left", "connect over", "sent", "arrived", "answered", "ended"}
 
+// String is the kind in the words of reports.
 func (k Kind) String() string { return kinds[k] }
 
-// State of a server as a balancer was told.
-type State int
+// Readiness is a server's state as a balancer was told it.
+type Readiness int
 
 // States of a server.
 const (
-	Ready State = iota
-	Draining
-	Gone
+	Ready    Readiness = iota // it takes connects
+	Draining                  // it takes none after a grace
+	Gone                      // it is no longer listed
 )
 
+var readinessNames = [...]string{"ready", "draining", "gone"}
+
 // Effect says what running a flow twice would do.
 type Effect int
 
 // Effects of a flow.
 const (
-	Repeatable Effect = iota // none: it may run again anywhere
-	Referenced               // none within its window, where its reference reaches
-	OnceOnly                 // a second one
+	Idempotent      Effect = iota // none: it may run again anywhere
+	IdempotentByKey               // none within Event.KeyWindow, on the servers of Event.KeyScope
+	NotIdempotent                 // a second effect
 )
 
-// Reach says which servers drop repeats of a referenced flow.
-type Reach int
+// KeyScope says which servers drop repeats of a flow with an idempotency key.
+type KeyScope int
 
-// Reaches of a reference, from the server that ran the flow first.
+// Scopes of a key, from the server that ran the flow first.
 const (
-	ReachAll  Reach = iota // all servers
-	ReachZone              // those of its zone
-	ReachCell              // those of its cell
+	AllServers  KeyScope = iota // all servers
+	ZoneServers                 // those of its zone
+	CellServers                 // those of its cell
 )
 
-// Verdict is the answer that was given.
-type Verdict int
+// Answer is a balancer's final answer to a flow.
+type Answer int
 
-// Verdicts on a flow.
+// Answers to a flow.
 const (
-	Established Verdict = iota
-	Rejected
-	Aborted
+	Established Answer = iota // it is connected to a server
+	Rejected                  // it was not run
+	Aborted                   // it may have run
 )
 
-// Ids are the driver's own.
+var answerNames = [...]string{"established", "rejected", "aborted"}
+
+// The driver of a run chooses the ids.
 type (
 	// Flow numbers one attempt of a client.
 	Flow int64
@@ -80,47 +85,48 @@
 	Balancer int
 )
 
-// Event is one thing seen.
+// Event is one thing seen. Which fields count beside At, Kind and Balancer is said with the kinds.
 type Event struct {
-	At       time.Duration
-	Kind     Kind
-	Balancer Balancer
-	Flow     Flow
-	Connect  Connect
-	Server   Server
-	Zone     int
-	Cell     int
-	Due      time.Duration
-	Effect   Effect
-	Reach    Reach
-	Window   time.Duration
-	State    State
-	Since    time.Duration // start of a server; LongAgo: before anybody asked
-	Ran      bool
-	Load     float64
-	Takes    float64
-	Verdict  Verdict
+	At         time.Duration // since the run's beginning
+	Kind       Kind
+	Balancer   Balancer
+	Flow       Flow
+	Connect    Connect
+	Server     Server
+	Zone       int // of the server
+	Cell       int // of the server
+	Deadline   time.Duration
+	Effect     Effect
+	KeyScope   KeyScope
+	KeyWindow  time.Duration // for which a server remembers an idempotency key
+	Readiness  Readiness
+	StartedAt  time.Duration // of a server; LongAgo: before the run
+	MayHaveRun bool
+	Load       float64
+	Capacity   float64 // load that the server can take a second
+	Answer     Answer
 }
 
-// LongAgo is the start of a server that nobody was told of.
+// LongAgo is the start of a server that runs since before the run.
 const LongAgo = time.Duration(-1 << 62)
 
+// String is the event in the words of reports.
 func (e Event) String() string {
-	s := fmt.Sprintf("%.3fs %s balancer %d", e.At.Seconds(), e.Kind, e.Balancer)
-	if e.Kind >= Taken {
-		s += fmt.Sprintf(" flow %d", e.Flow)
+	text := fmt.Sprintf("%.3fs %s balancer %d", e.At.Seconds(), e.Kind, e.Balancer)
+	if e.Kind >= FlowAccepted {
+		text += fmt.Sprintf(" flow %d", e.Flow)
 	}
 	switch e.Kind {
-	case Told:
-		s += fmt.Sprintf(" server %d is %s", e.Server, [...]string{"ready", "draining", "gone"}[e.State])
-	case Sent, Arrived:
-		s += fmt.Sprintf(" connect %d server %d", e.Connect, e.Server)
-	case ConnectOver:
-		s += fmt.Sprintf(" connect %d may have run: %v", e.Connect, e.Ran)
-	case Taken:
-		s += fmt.Sprintf(" due %.3fs", e.Due.Seconds())
-	case Answered:
-		s += " " + [...]string{"established", "rejected", "aborted"}[e.Verdict]
+	case ServerAnnounced:
+		text += fmt.Sprintf(" server %d is %s", e.Server, readinessNames[e.Readiness])
+	case ConnectSent, ConnectArrived:
+		text += fmt.Sprintf(" connect %d server %d", e.Connect, e.Server)
+	case ConnectEnded:
+		text += fmt.Sprintf(" connect %d may have run: %v", e.Connect, e.MayHaveRun)
+	case FlowAccepted:
+		text += fmt.Sprintf(" due %.3fs", e.Deadline.Seconds())
+	case FlowAnswered:
+		text += " " + answerNames[e.Answer]
 	}
-	return s
+	return text
 }
--- a/internal/testbed/invariants/flow.go
+++ b/internal/testbed/invariants/flow.go
@@ -6,187 +6,146 @@
 	"time"
 )
 
-// state names where a flow stands, as seen from outside.
-type state int
+const (
+	settledFor  = 10 * time.Second // after which nothing more is expected of a flow that is over
+	reviewDelay = 11 * time.Second // for flows that can't be forgotten yet
+)
+
+// flowState is what is known of a flow from outside.
+type flowState int
 
 const (
-	open state = iota // owed an answer
-	stands
-	answered
-	gone // its client left
+	awaitingAnswer flowState = iota
+	established
+	answered  // rejected or aborted, or its answer is missing
+	abandoned // its client left before the answer
 	over
 )
 
 type flow struct {
-	state   state
-	taken   Event
-	left    time.Duration
-	answer  Event
-	out     []Event // connects out
-	doubt   []Event // sent while another was out: broken unless that one ends within the slack
-	ran     *Event  // the send of the first connect that may have run
-	sends   map[Connect]Event
-	settled time.Duration
-	excused bool // came due while its balancer was frozen
+	state        flowState
+	changedAt    time.Duration // of the state
+	accepted     Event
+	answer       Event // At is 0 where there was none
+	clientLeftAt time.Duration
+	excused      bool // its deadline passed while its balancer was frozen
+
+	outstanding []Event           // connects that were sent and have not ended
+	overlapping []Event           // connects sent while another was outstanding: a violation unless that one ends within the slack
+	sends       map[Connect]Event // of all connects
+	firstRun    *Event            // the send of the first connect that may have run
 }
 
-func sortedFlows(m map[Flow]*flow) (ids []Flow) {
-	for id := range m {
+// transition makes every change of a flow's state.
+func (f *flow) transition(to flowState, at time.Duration) { f.state, f.changedAt = to, at }
+
+func sortedFlows(flows map[Flow]*flow) []Flow {
+	ids := make([]Flow, 0, len(flows))
+	for id := range flows {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
 	return ids
 }
 
-// turn makes every change of a flow's state.
-func (r *Referee) turn(id Flow, f *flow, to state) {
-	f.state = to
-	f.settled = r.now
+// forget drops a flow of which nothing more is expected, so that the memory of a long run is bounded.
+func (c *Checker) forget(id Flow, f *flow) {
+	isDone := f.state == over || f.state == answered || f.state == abandoned
+	isQuiet := c.now > f.changedAt+settledFor && c.now > f.accepted.Deadline+settledFor
+	if isDone && isQuiet && len(f.outstanding) == 0 && len(f.overlapping) == 0 {
+		delete(c.flows, id)
+		delete(c.byBalancer[f.accepted.Balancer], id)
+	} else if f.state != established {
+		c.scheduleReview(id, c.now+reviewDelay)
+	}
 }
 
-// forget drops a flow that nothing more can be said of, so that a long run stays small.
-func (r *Referee) forget(id Flow, f *flow) {
-	if (f.state == over || f.state == answered || f.state == gone) && len(f.out) == 0 && len(f.doubt) == 0 &&
-		r.now > f.settled+10*time.Second && r.now > f.taken.Due+10*time.Second {
-		delete(r.flows, id)
-		delete(r.byBalancer[f.taken.Balancer], id)
-	} else if f.state != stands {
-		heap.Push(&r.due, due{r.now + 11*time.Second, id, false})
-	}
+func (c *Checker) scheduleReview(id Flow, at time.Duration) {
+	heap.Push(&c.deadlines, deadline{at: at, flow: id})
 }
 
-func (r *Referee) take(e Event) {
-	if f := r.flows[e.Flow]; f != nil {
-		r.broken(OneAnswer, e.Balancer, e.Flow, 0, e.At, "taken twice", f.taken, e)
+func (c *Checker) acceptFlow(e Event) {
+	if f := c.flows[e.Flow]; f != nil {
+		c.reportAnswer(e, OneAnswer, "taken twice", f.accepted, e)
 		return
 	}
-	r.Judged++
-	f := &flow{taken: e, sends: map[Connect]Event{}}
-	r.flows[e.Flow] = f
-	if a := r.away[e.Balancer]; len(a) > 0 && a[len(a)-1].to == stillAway {
-		r.cost(e.Balancer).AskedFor++
+	c.Judged++
+	f := &flow{accepted: e, sends: map[Connect]Event{}}
+	c.flows[e.Flow] = f
+	if c.isFrozen(e.Balancer) {
+		c.cost(e.Balancer).AcceptedFrozen++
+	}
+	if c.byBalancer[e.Balancer] == nil {
+		c.byBalancer[e.Balancer] = map[Flow]*flow{}
+	}
+	c.byBalancer[e.Balancer][e.Flow] = f
+	heap.Push(&c.deadlines, deadline{at: e.Deadline + c.limits.Slack, flow: e.Flow, ofAnswer: true})
+}
+
+// leaveFlow notes that a client left. One that waited until the deadline left because no answer came: that answer is still owed.
+func (c *Checker) leaveFlow(e Event, f *flow) {
+	switch {
+	case f == nil:
+	case f.state == awaitingAnswer && e.At < f.accepted.Deadline:
+		f.clientLeftAt = e.At
+		f.transition(abandoned, c.now)
+	case f.state == established:
+		f.transition(over, c.now)
 	}
-	if r.byBalancer[e.Balancer] == nil {
-		r.byBalancer[e.Balancer] = map[Flow]*flow{}
+}
+
+func (c *Checker) endFlow(e Event, f *flow) {
+	if f == nil {
+		return
 	}
-	r.byBalancer[e.Balancer][e.Flow] = f
-	heap.Push(&r.due, due{e.Due + r.answerSlack, e.Flow, true})
+	f.transition(over, e.At)
+	c.scheduleReview(e.Flow, e.At+reviewDelay)
 }
 
-func (r *Referee) answered(e Event, f *flow) {
+func (c *Checker) answerFlow(e Event, f *flow) {
 	if f == nil {
-		r.broken(OneAnswer, e.Balancer, e.Flow, 0, e.At, "an answer for a flow not held", e)
+		c.reportAnswer(e, OneAnswer, "an answer for a flow not held", e)
 		return
 	}
 	switch f.state {
-	case open:
-		if e.At > f.taken.Due+r.answerSlack {
-			r.broken(OneAnswer, e.Balancer, e.Flow, 0, e.At, "answered late", f.taken, e)
-		}
-		if e.Verdict == Rejected && f.ran != nil && f.taken.Effect != Repeatable &&
-			(f.taken.Effect != Referenced || f.taken.Reach != ReachAll) {
-			r.broken(NoSecondEffect, e.Balancer, e.Flow, 0, e.At, "rejected as harmless though it may have run", f.taken, *f.ran, e)
-		}
-		f.answer = e
-		if e.Verdict == Established {
-			r.turn(e.Flow, f, stands)
-		} else {
-			r.turn(e.Flow, f, answered)
-		}
-	case gone: // it may have been on its way
-		if f.excused {
-			r.cost(e.Balancer).TooLate++
-		} else if e.At > r.ranOn(e.Balancer, f.left)+r.answerSlack {
-			r.broken(OneAnswer, e.Balancer, e.Flow, 0, e.At, "an answer after the end", f.taken, e)
-		}
-		f.answer = e
-		r.turn(e.Flow, f, answered)
+	case awaitingAnswer:
+		c.judgeFirstAnswer(e, f)
+	case abandoned:
+		c.judgeAnswerAfterLeaving(e, f)
 	case over:
-		r.broken(OneAnswer, e.Balancer, e.Flow, 0, e.At, "an answer after the end", f.taken, f.answer, e)
+		c.reportAnswer(e, OneAnswer, "an answer after the end", f.accepted, f.answer, e)
 	default:
 		what := "answered twice"
 		if f.answer.At == 0 {
 			what = "answered late"
 		}
-		r.broken(OneAnswer, e.Balancer, e.Flow, 0, e.At, what, f.taken, f.answer, e)
+		c.reportAnswer(e, OneAnswer, what, f.accepted, f.answer, e)
 	}
 }
 
-func (r *Referee) sent(e Event, f *flow) {
-	if t, ok := r.told[toldKey{e.Balancer, e.Server}]; ok && t.state != Ready && e.At > t.at+r.grace+r.sendSlack {
-		r.broken(DrainsKept, e.Balancer, e.Flow, e.Server, e.At, "sent after the grace", t.event, e)
+func (c *Checker) judgeFirstAnswer(e Event, f *flow) {
+	if e.At > f.accepted.Deadline+c.limits.Slack {
+		c.reportAnswer(e, OneAnswer, "answered late", f.accepted, e)
 	}
-	if f == nil {
-		r.broken(OneAnswer, e.Balancer, e.Flow, e.Server, e.At, "sent for a flow not held", e)
-		return
-	}
-	switch {
-	case f.state == answered || f.state == stands || f.state == over:
-		r.broken(OneAnswer, e.Balancer, e.Flow, e.Server, e.At, "sent after the answer", f.taken, f.answer, e)
-	case f.state == gone && e.At > r.ranOn(e.Balancer, f.left)+r.sendSlack:
-		r.broken(OneAnswer, e.Balancer, e.Flow, e.Server, e.At, "sent after the end", f.taken, e)
-	}
-	if f.state == gone && f.excused {
-		r.cost(e.Balancer).Sent++
-	}
-	if len(f.out) > 0 {
-		f.doubt = append(f.doubt, e)
-		heap.Push(&r.due, due{e.At + r.sendSlack + 1, e.Flow, false})
-	} else if f.ran != nil {
-		r.again(e, f)
-	}
-	f.out = append(f.out, e)
-	f.sends[e.Connect] = e
-}
-
-// again judges a connect after one that may have run.
-func (r *Referee) again(e Event, f *flow) {
-	t := f.taken
-	bad := ""
-	switch {
-	case t.Effect == OnceOnly:
-		bad = "a once-only flow sent again though it may have run"
-	case t.Effect == Referenced && e.At > f.ran.At+t.Window+r.sendSlack:
-		bad = "a referenced flow sent again after its window"
-	case t.Effect == Referenced && t.Reach == ReachZone && e.Zone != f.ran.Zone,
-		t.Effect == Referenced && t.Reach == ReachCell && e.Cell != f.ran.Cell:
-		bad = "a referenced flow sent again outside its group"
+	isHarmless := f.accepted.Effect == Idempotent || f.accepted.Effect == IdempotentByKey && f.accepted.KeyScope == AllServers
+	if e.Answer == Rejected && f.firstRun != nil && !isHarmless {
+		c.reportAnswer(e, NoDuplicateEffect, "rejected as harmless though it may have run", f.accepted, *f.firstRun, e)
 	}
-	if bad != "" {
-		r.broken(NoSecondEffect, e.Balancer, e.Flow, e.Server, e.At, bad, t, *f.ran, e)
+	f.answer = e
+	if e.Answer == Established {
+		f.transition(established, c.now)
+	} else {
+		f.transition(answered, c.now)
 	}
 }
 
-func (r *Referee) connectOver(e Event, f *flow) {
-	if f == nil {
-		return
-	}
-	s, known := f.sends[e.Connect]
-	f.out = slices.DeleteFunc(f.out, func(x Event) bool { return x.Connect == e.Connect })
-	// One in doubt is cleared when those before it ended soon after it was sent.
-	f.doubt = slices.DeleteFunc(f.doubt, func(x Event) bool {
-		cleared := x.Connect != e.Connect && e.At <= x.At+r.sendSlack &&
-			!slices.ContainsFunc(f.out, func(o Event) bool { return o.Connect < x.Connect })
-		if cleared && f.ran != nil {
-			r.again(x, f)
-		}
-		return cleared
-	})
-	if known && e.Ran && f.ran == nil {
-		f.ran = &s
-	}
-}
-
-func (r *Referee) settleDoubt(id Flow, f *flow, now time.Duration) {
-	f.doubt = slices.DeleteFunc(f.doubt, func(x Event) bool {
-		if now <= x.At+r.sendSlack {
-			return false
-		}
-		first := x
-		if len(f.out) > 0 {
-			first = f.out[0]
-		}
-		r.broken(NoSecondEffect, x.Balancer, id, x.Server, x.At, "two connects out", f.taken, first, x)
-		return true
-	})
+// judgeAnswerAfterLeaving allows an answer that was on its way when the client left, or when its balancer was frozen.
+func (c *Checker) judgeAnswerAfterLeaving(e Event, f *flow) {
+	if f.excused {
+		c.cost(e.Balancer).AnsweredLate++
+	} else if e.At > c.resumedAt(e.Balancer, f.clientLeftAt)+c.limits.Slack {
+		c.reportAnswer(e, OneAnswer, "an answer after the end", f.accepted, e)
+	}
+	f.answer = e
+	f.transition(answered, c.now)
 }
--- a/internal/testbed/invariants/queue.go
+++ b/internal/testbed/invariants/queue.go
@@ -5,42 +5,62 @@
 	"time"
 )
 
-type waitingEvent struct {
+// queuedEvent is an event that is held back.
+type queuedEvent struct {
 	Event
-	seq uint64
+	sequence uint64
 }
 
-type held []waitingEvent
+// eventQueue is a heap of events by time; at one instant causes come before effects, as kinds are ordered.
+type eventQueue []queuedEvent
 
-func (h held) Len() int { return len(h) }
-func (h held) Less(i, j int) bool {
-	return cmp.Or(cmp.Compare(h[i].At, h[j].At), cmp.Compare(h[i].Kind, h[j].Kind), cmp.Compare(h[i].seq, h[j].seq)) < 0
-}
-func (h held) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *held) Push(x any)   { *h = append(*h, x.(waitingEvent)) }
-func (h *held) Pop() any {
-	last := len(*h) - 1
-	x := (*h)[last]
-	*h = (*h)[:last]
-	return x
+// Len is of heap.Interface.
+func (q eventQueue) Len() int { return len(q) }
+
+// Less orders by time, kind and order of observation.
+func (q eventQueue) Less(i, j int) bool {
+	return cmp.Or(cmp.Compare(q[i].At, q[j].At), cmp.Compare(q[i].Kind, q[j].Kind), cmp.Compare(q[i].sequence, q[j].sequence)) < 0
 }
 
-type due struct {
-	at     time.Duration
-	flow   Flow
-	answer bool
+// Swap is of heap.Interface.
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+
+// Push is of heap.Interface.
+func (q *eventQueue) Push(x any) { *q = append(*q, x.(queuedEvent)) }
+
+// Pop is of heap.Interface.
+func (q *eventQueue) Pop() any { return popLast((*[]queuedEvent)(q)) }
+
+// deadline is a time at which a flow is looked at again.
+type deadline struct {
+	at       time.Duration
+	flow     Flow
+	ofAnswer bool // the flow's answer is due
 }
-type dues []due
 
-func (h dues) Len() int { return len(h) }
-func (h dues) Less(i, j int) bool {
-	return cmp.Or(cmp.Compare(h[i].at, h[j].at), cmp.Compare(h[i].flow, h[j].flow)) < 0
+// deadlineQueue is a heap of deadlines by time.
+type deadlineQueue []deadline
+
+// Len is of heap.Interface.
+func (q deadlineQueue) Len() int { return len(q) }
+
+// Less orders by time and flow.
+func (q deadlineQueue) Less(i, j int) bool {
+	return cmp.Or(cmp.Compare(q[i].at, q[j].at), cmp.Compare(q[i].flow, q[j].flow)) < 0
 }
-func (h dues) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *dues) Push(x any)   { *h = append(*h, x.(due)) }
-func (h *dues) Pop() any {
-	last := len(*h) - 1
-	x := (*h)[last]
-	*h = (*h)[:last]
-	return x
+
+// Swap is of heap.Interface.
+func (q deadlineQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+
+// Push is of heap.Interface.
+func (q *deadlineQueue) Push(x any) { *q = append(*q, x.(deadline)) }
+
+// Pop is of heap.Interface.
+func (q *deadlineQueue) Pop() any { return popLast((*[]deadline)(q)) }
+
+func popLast[T any](items *[]T) T {
+	last := len(*items) - 1
+	item := (*items)[last]
+	*items = (*items)[:last]
+	return item
 }
--- a/internal/testbed/invariants/violation.go
+++ b/internal/testbed/invariants/violation.go
@@ -11,17 +11,18 @@
 
 // The four rules.
 const (
-	OneAnswer Rule = iota + 1
-	NoSecondEffect
-	DrainsKept
-	NoneFloodedCold
+	OneAnswer          Rule = iota + 1 // each flow gets one final answer, by its deadline
+	NoDuplicateEffect                  // nothing runs twice that must not
+	DrainsRespected                    // no connect is sent to a server after the grace of its drain
+	SlowStartRespected                 // no starting server is sent more than it can bear
 )
 
+// String is the rule in the words of reports.
 func (r Rule) String() string {
 	return [...]string{"", "one final answer in time", "no effect twice", "drains kept", "no cold server pushed over"}[r]
 }
 
-// Violation names what was broken, and by which events.
+// Violation says which rule was broken, and which events prove it.
 type Violation struct {
 	Rule     Rule
 	At       time.Duration
@@ -32,6 +33,7 @@
 	Proof    []Event
 }
 
+// String is the violation with its proof, on one line.
 func (v Violation) String() string {
 	var proof []string
 	for _, e := range v.Proof {
@@ -41,18 +43,29 @@
 		v.At.Seconds(), v.Balancer, v.Flow, v.Server, strings.Join(proof, "; "))
 }
 
-const kept = 200 // violations in full; more are counted
+const maxViolations = 200 // listed in full; further ones are counted
 
-// Violations found so far.
-func (r *Referee) Violations() []Violation { return r.found }
+// Violations found so far, up to a bound; Omitted counts the others.
+func (c *Checker) Violations() []Violation { return c.violations }
 
-// More are violations beyond those kept in full.
-func (r *Referee) More() int { return r.more }
+// Omitted is the number of violations that Violations does not list.
+func (c *Checker) Omitted() int { return c.omitted }
 
-func (r *Referee) broken(rule Rule, b Balancer, f Flow, s Server, at time.Duration, what string, proof ...Event) {
-	if len(r.found) >= kept {
-		r.more++
+func (c *Checker) report(v Violation, proof ...Event) {
+	if len(c.violations) >= maxViolations {
+		c.omitted++
 		return
 	}
-	r.found = append(r.found, Violation{rule, at, b, f, s, what, proof})
+	v.Proof = proof
+	c.violations = append(c.violations, v)
+}
+
+// reportOf reports a violation by the event that shows it, with its server.
+func (c *Checker) reportOf(e Event, rule Rule, what string, proof ...Event) {
+	c.report(Violation{Rule: rule, At: e.At, Balancer: e.Balancer, Flow: e.Flow, Server: e.Server, What: what}, proof...)
+}
+
+// reportAnswer reports a violation by an event that has no server.
+func (c *Checker) reportAnswer(e Event, rule Rule, what string, proof ...Event) {
+	c.report(Violation{Rule: rule, At: e.At, Balancer: e.Balancer, Flow: e.Flow, What: what}, proof...)
 }
--- a/internal/testbed/scale/fleet.go
+++ b/internal/testbed/scale/fleet.go
@@ -39,7 +39,7 @@
 	chance    *rand.Rand
 	settings  Settings
 	peers     int
-	referee   *invariants.Referee
+	checker   *invariants.Checker
 	servers   []*backend
 	balancers []*instance
 	clients   []*client
@@ -95,7 +95,8 @@
 func newFleet(s Settings, peers int, seed uint64) *fleet {
 	f := &fleet{chance: rand.New(rand.NewPCG(seed, 0)), settings: s, peers: peers}
 	f.figures.sent = map[sentKey]int{}
-	f.referee = invariants.New(answerSlack, 0, drainGrace, coldMultiple, loadEach, coldWindow, warmAfter)
+	f.checker = invariants.New(invariants.Limits{Slack: answerSlack, DrainGrace: drainGrace,
+		SlowStartMultiple: coldMultiple, SlowStartWindow: coldWindow, SlowStart: warmAfter, MeanLoad: loadEach})
 	for range s.Servers {
 		f.addServer(invariants.LongAgo)
 	}
@@ -138,7 +139,7 @@
 		from := processorTime()
 		f.agenda.runTo(now)
 		f.busiestSecond = max(f.busiestSecond, processorTime()-from)
-		f.referee.Advance(now)
+		f.checker.Advance(now)
 	}
 }
 
@@ -146,12 +147,12 @@
 func (f *fleet) finish() []invariants.Violation {
 	end := f.agenda.now
 	f.agenda.runTo(end + 5*time.Second) // what came before the end is answered after it
-	return f.referee.Finish(f.agenda.now)
+	return f.checker.Finish(f.agenda.now)
 }
 
 func (f *fleet) see(e invariants.Event) {
 	e.At = f.agenda.now
-	f.referee.Observe(e)
+	f.checker.Observe(e)
 }
 
 // between draws a time.
--- a/internal/testbed/scale/fleet_client.go
+++ b/internal/testbed/scale/fleet_client.go
@@ -15,9 +15,9 @@
 
 // services: what running a flow twice does.
 var services = [...]serviceType{
-	{decide.Idempotent, invariants.Repeatable},
-	{decide.IdempotentByKey, invariants.Referenced},
-	{decide.NotIdempotent, invariants.OnceOnly},
+	{decide.Idempotent, invariants.Idempotent},
+	{decide.IdempotentByKey, invariants.IdempotentByKey},
+	{decide.NotIdempotent, invariants.NotIdempotent},
 }
 
 // client holds one connection for good; when that ends it comes again.
@@ -120,8 +120,8 @@
 		return
 	}
 	if s.since != invariants.LongAgo {
-		f.see(invariants.Event{Kind: invariants.Arrived, Balancer: invariants.Balancer(c.flow.in.id), Flow: c.flow.id, Connect: c.id,
-			Server: invariants.Server(s.id), Since: s.since, Load: loadEach, Takes: s.takes(f)})
+		f.see(invariants.Event{Kind: invariants.ConnectArrived, Balancer: invariants.Balancer(c.flow.in.id), Flow: c.flow.id, Connect: c.id,
+			Server: invariants.Server(s.id), StartedAt: s.since, Load: loadEach, Capacity: s.takes(f)})
 	}
 	since := s.since
 	f.agenda.after(f.between(fastestSetup, slowestSetup)+back, func() {
@@ -141,7 +141,7 @@
 	c.stands = true
 	x.stands, x.answered = c, true
 	c.server.held = append(c.server.held, c)
-	f.see(invariants.Event{Kind: invariants.Answered, Balancer: invariants.Balancer(b.id), Flow: x.id, Verdict: invariants.Established})
+	f.see(invariants.Event{Kind: invariants.FlowAnswered, Balancer: invariants.Balancer(b.id), Flow: x.id, Answer: invariants.Established})
 	b.event().OnEstablished(x.name, f.agenda.now-c.sentAt)
 	x.client.stood()
 }
@@ -156,10 +156,10 @@
 	c.over = true
 	x.out = slices.DeleteFunc(x.out, func(other *connect) bool { return other == c })
 	f.drop(c)
-	f.see(invariants.Event{Kind: invariants.ConnectOver, Balancer: invariants.Balancer(b.id), Flow: x.id, Connect: c.id, Ran: !o.NeverRan()})
+	f.see(invariants.Event{Kind: invariants.ConnectEnded, Balancer: invariants.Balancer(b.id), Flow: x.id, Connect: c.id, MayHaveRun: !o.NeverRan()})
 	if c.stands {
 		x.stands = nil
-		f.see(invariants.Event{Kind: invariants.Ended, Balancer: invariants.Balancer(b.id), Flow: x.id})
+		f.see(invariants.Event{Kind: invariants.FlowEnded, Balancer: invariants.Balancer(b.id), Flow: x.id})
 		switch {
 		case x.left:
 		case o == decide.Cancelled:
--- a/internal/testbed/scale/fleet_instance.go
+++ b/internal/testbed/scale/fleet_instance.go
@@ -56,7 +56,7 @@
 	b.life++
 	b.up, b.started = true, f.agenda.now
 	b.flows, b.inOrder = map[decide.FlowID]*flow{}, nil
-	f.see(invariants.Event{Kind: invariants.Began, Balancer: invariants.Balancer(b.id)})
+	f.see(invariants.Event{Kind: invariants.BalancerStarted, Balancer: invariants.Balancer(b.id)})
 	b.module = decide.New(f.chance.Uint64(), b)
 	startHollow(b.module, terms{peers: f.peers, inZone: b.zone})
 	b.module.SetTime(0)
@@ -73,7 +73,7 @@
 func (b *instance) fall() {
 	f := b.fleet
 	b.up = false
-	f.see(invariants.Event{Kind: invariants.Died, Balancer: invariants.Balancer(b.id)})
+	f.see(invariants.Event{Kind: invariants.BalancerDied, Balancer: invariants.Balancer(b.id)})
 	for _, x := range b.inOrder {
 		if b.flows[x.name] != x {
 			continue
@@ -97,7 +97,7 @@
 
 // ---- the list
 
-var toldStates = [...]invariants.State{decide.Ready: invariants.Ready, decide.Draining: invariants.Draining, decide.Gone: invariants.Gone}
+var toldStates = [...]invariants.Readiness{decide.Ready: invariants.Ready, decide.Draining: invariants.Draining, decide.Gone: invariants.Gone}
 
 func (b *instance) list(kind decide.UpdateKind, list []server) {
 	m := b.event()
@@ -123,8 +123,8 @@
 }
 
 func (b *instance) told(id decide.ServerID, state decide.Readiness, since time.Duration) {
-	b.fleet.see(invariants.Event{Kind: invariants.Told, Balancer: invariants.Balancer(b.id), Server: invariants.Server(id),
-		State: toldStates[state], Since: since})
+	b.fleet.see(invariants.Event{Kind: invariants.ServerAnnounced, Balancer: invariants.Balancer(b.id), Server: invariants.Server(id),
+		Readiness: toldStates[state], StartedAt: since})
 }
 
 // ---- flows
@@ -157,8 +157,8 @@
 	x, now := b.add(c), b.fleet.agenda.now
 	x.due = now + connectTimeout - relayReserve
 	t := services[c.service]
-	b.fleet.see(invariants.Event{Kind: invariants.Taken, Balancer: invariants.Balancer(b.id), Flow: x.id, Due: now + connectTimeout,
-		Effect: t.seen, Window: repeatWindow})
+	b.fleet.see(invariants.Event{Kind: invariants.FlowAccepted, Balancer: invariants.Balancer(b.id), Flow: x.id, Deadline: now + connectTimeout,
+		Effect: t.seen, KeyWindow: repeatWindow})
 	b.event().OnFlow(decide.FlowRequest{ID: x.name, Service: decide.ServiceID(c.service), Customer: decide.NoCustomer, Group: groupName(c.group), Timeout: x.due - now})
 }
 
@@ -175,19 +175,19 @@
 		return
 	}
 	x.left = true
-	x.in.fleet.see(invariants.Event{Kind: invariants.Left, Balancer: invariants.Balancer(x.in.id), Flow: x.id})
+	x.in.fleet.see(invariants.Event{Kind: invariants.ClientLeft, Balancer: invariants.Balancer(x.in.id), Flow: x.id})
 	x.stands.finish(decide.OK)
 	x.client.cut()
 }
 
 // answer is a balancer's own final word.
-func (b *instance) answer(name decide.FlowID, verdict invariants.Verdict) {
+func (b *instance) answer(name decide.FlowID, verdict invariants.Answer) {
 	x := b.flows[name]
 	if x == nil {
-		b.fleet.see(invariants.Event{Kind: invariants.Answered, Balancer: invariants.Balancer(b.id), Flow: -1, Verdict: verdict})
+		b.fleet.see(invariants.Event{Kind: invariants.FlowAnswered, Balancer: invariants.Balancer(b.id), Flow: -1, Answer: verdict})
 		return
 	}
-	b.fleet.see(invariants.Event{Kind: invariants.Answered, Balancer: invariants.Balancer(b.id), Flow: x.id, Verdict: verdict})
+	b.fleet.see(invariants.Event{Kind: invariants.FlowAnswered, Balancer: invariants.Balancer(b.id), Flow: x.id, Answer: verdict})
 	if x.answered {
 		return
 	}
@@ -206,7 +206,7 @@
 	c := f.connect(x, f.server(to))
 	x.sent++
 	f.figures.sent[sentKey{b.id, f.agenda.now / time.Second}]++
-	f.see(invariants.Event{Kind: invariants.Sent, Balancer: invariants.Balancer(b.id), Flow: x.id, Connect: c.id,
+	f.see(invariants.Event{Kind: invariants.ConnectSent, Balancer: invariants.Balancer(b.id), Flow: x.id, Connect: c.id,
 		Server: invariants.Server(to), Zone: c.server.zone, Cell: c.server.zone})
 	ends := x.due
 	if limit > 0 {
--- a/internal/testbed/scale/fleet_test.go
+++ b/internal/testbed/scale/fleet_test.go
@@ -84,7 +84,7 @@
 }
 
 // The drive shows the referee what it judges by: with balancers that are not told what it is told, rules break.
-func TestRefereeSeesTheDrive(t *testing.T) {
+func TestCheckerSeesTheDriver(t *testing.T) {
 	if broken := brokenBy(t, func(*fleet) {}); len(broken) > 0 {
 		t.Errorf("rules %v broken though nothing was kept back", broken)
 	}
@@ -95,7 +95,7 @@
 			}
 		}
 	})
-	if !drained[invariants.DrainsKept] {
+	if !drained[invariants.DrainsRespected] {
 		t.Errorf("rules %v broken by balancers that were not told of drains", drained)
 	}
 	flooded := brokenBy(t, func(f *fleet) {
@@ -117,7 +117,7 @@
 			m.EndEndpoints()
 		}
 	})
-	if !flooded[invariants.NoneFloodedCold] {
+	if !flooded[invariants.SlowStartRespected] {
 		t.Errorf("rules %v broken by balancers that were not told of cold servers", flooded)
 	}
 }
--- a/internal/testbed/scale/sweep_faults.go
+++ b/internal/testbed/scale/sweep_faults.go
@@ -66,7 +66,7 @@
 	for _, v := range f.finish() {
 		o.broken = append(o.broken, v.String())
 	}
-	o.judged = f.referee.Judged
+	o.judged = f.checker.Judged
 	o.processor = processorTime() - from
 	return o, nil
 }
--- a/internal/testbed/scale/sweep_zone.go
+++ b/internal/testbed/scale/sweep_zone.go
@@ -48,7 +48,7 @@
 		busiest.add(size, float64(figures.busiest()))
 		processor.add(size, f.busiestSecond.Seconds()/float64(left))
 		unserved.add(size, float64(f.out()))
-		checks = append(checks, outcome{judged: f.referee.Judged, broken: broken}.check("lost zone", size))
+		checks = append(checks, outcome{judged: f.checker.Judged, broken: broken}.check("lost zone", size))
 		progress(i+1, len(s.Sizes))
 	}
 	return []Series{*returning, *half, *most, *turned, *slowest, *busiest, *processor, *unserved}, checks, nil
--- a/internal/testbed/scenario/halls_test.go
+++ b/internal/testbed/scenario/halls_test.go
@@ -65,7 +65,7 @@
 	seen := 0
 	for seed := range days {
 		d := e.Day(seed)
-		ref := Referee(d, 8*time.Millisecond, 0)
+		ref := NewChecker(d, 8*time.Millisecond, 0)
 		dr := virtual.New(d, ref, func(seed uint64, b simulation.BalancerID, act decide.Actions) virtual.Decider {
 			g := config.FromPairs(d.Settings(b))
 			h := e.Halls.NewPolicy(g, seed)
--- a/internal/testbed/scenario/play.go
+++ b/internal/testbed/scenario/play.go
@@ -22,11 +22,12 @@
 	"yardwinch/internal/testbed/virtual"
 )
 
-// Referee makes the one that a day is judged by; slack is what the way of a message may take, hold how long events wait
+// NewChecker makes the one that a day is judged by; slack is what the way of a message may take, hold how long events wait
 // to be put in order.
-func Referee(d *experiment.Day, slack, hold time.Duration) *invariants.Referee {
-	grace, multiple, fall, warm, _, _ := d.Experiment.Terms()
-	return invariants.New(slack, hold, grace, multiple, d.MeanLoad(), fall, warm)
+func NewChecker(d *experiment.Day, slack, hold time.Duration) *invariants.Checker {
+	terms := d.Experiment.Terms()
+	return invariants.New(invariants.Limits{Slack: slack, Reordering: hold, DrainGrace: terms.DrainGrace,
+		SlowStartMultiple: terms.SlowStartMultiple, SlowStartWindow: terms.SlowStartWindow, SlowStart: terms.SlowStart, MeanLoad: d.MeanLoad()})
 }
 
 // Maker makes the deciders of a policy for a day.
@@ -63,7 +64,7 @@
 		}
 		return simulation.NoGroup
 	}
-	_, _, _, _, connects, _ := d.Experiment.Terms()
+	connects := d.Experiment.Terms().MaxConnects
 	numbers := virtual.Numbers(len(d.World.Servers) + 4096)
 	return func(seed uint64, _ simulation.BalancerID, act decide.Actions) virtual.Decider {
 		var all *simulation.World
@@ -85,7 +86,7 @@
 	if wrap != nil {
 		maker = wrap(maker)
 	}
-	ref := Referee(d, 8*time.Millisecond, 0)
+	ref := NewChecker(d, 8*time.Millisecond, 0)
 	dr := virtual.New(d, ref, maker)
 	loads := Loads(d.World)
 	dr.Run(progress)
@@ -97,11 +98,11 @@
 }
 
 // Finish counts a day that is over.
-func Finish(r *count.Result, d *experiment.Day, ref *invariants.Referee) {
+func Finish(r *count.Result, d *experiment.Day, ref *invariants.Checker) {
 	for _, v := range ref.Violations() {
 		r.Violations = append(r.Violations, v.String())
 	}
-	r.Broken, r.Judged, r.Fell = len(r.Violations)+ref.More(), ref.Judged, len(d.World.Fell)
+	r.Broken, r.Judged, r.Fell = len(r.Violations)+ref.Omitted(), ref.Judged, len(d.World.Fell)
 	r.Pushed = d.World.MostPushed
 	for _, t := range d.Troubles {
 		r.Troubles = append(r.Troubles, count.Trouble{Kind: string(t.Kind), Start: t.Start.Seconds(), End: t.End().Seconds()})
--- a/internal/testbed/scenario/play_test.go
+++ b/internal/testbed/scenario/play_test.go
@@ -66,12 +66,12 @@
 }
 
 func TestSoundOverRandomDays(t *testing.T) {
-	soundOverRandomDays(t, func(said string) bool { return !strings.Contains(said, invariants.NoneFloodedCold.String()) })
+	soundOverRandomDays(t, func(said string) bool { return !strings.Contains(said, invariants.SlowStartRespected.String()) })
 }
 
 // Apart from the other rules, so that what is known of it hides nothing of theirs.
-func TestNoneFloodedColdOverRandomDays(t *testing.T) {
-	soundOverRandomDays(t, func(said string) bool { return strings.Contains(said, invariants.NoneFloodedCold.String()) })
+func TestSlowStartRespectedOverRandomDays(t *testing.T) {
+	soundOverRandomDays(t, func(said string) bool { return strings.Contains(said, invariants.SlowStartRespected.String()) })
 }
 
 func TestSameBytesWhateverTheWorkers(t *testing.T) {
@@ -232,7 +232,7 @@
 share = 0.8
 `
 
-func TestTheRefereeBites(t *testing.T) {
+func TestCheckerFindsEachViolation(t *testing.T) {
 	for _, c := range []struct {
 		way, effect string
 		rule        string
--- a/internal/testbed/sockets/agent.go
+++ b/internal/testbed/sockets/agent.go
@@ -124,14 +124,14 @@
 }
 
 func (a *agent) book(entries []simulation.Entry) {
-	states := [...]invariants.State{simulation.Ready: invariants.Ready, simulation.Draining: invariants.Draining, simulation.Gone: invariants.Gone}
+	states := [...]invariants.Readiness{simulation.Ready: invariants.Ready, simulation.Draining: invariants.Draining, simulation.Gone: invariants.Gone}
 	for _, e := range entries {
 		since := e.Since
 		if since == simulation.LongAgo {
 			since = invariants.LongAgo
 		}
-		a.dr.see(invariants.Event{Kind: invariants.Told, Balancer: invariants.Balancer(a.balancer), Server: invariants.Server(e.Server),
-			State: states[e.State], Since: since})
+		a.dr.see(invariants.Event{Kind: invariants.ServerAnnounced, Balancer: invariants.Balancer(a.balancer), Server: invariants.Server(e.Server),
+			Readiness: states[e.State], StartedAt: since})
 	}
 }
 
--- a/internal/testbed/sockets/client.go
+++ b/internal/testbed/sockets/client.go
@@ -52,7 +52,7 @@
 func (c *client) turn(to clientState) {
 	if to == gone && c.state != gone {
 		if c.state == holds {
-			c.dr.see(invariants.Event{Kind: invariants.Ended, Balancer: invariants.Balancer(c.to), Flow: invariants.Flow(c.flow)})
+			c.dr.see(invariants.Event{Kind: invariants.FlowEnded, Balancer: invariants.Balancer(c.to), Flow: invariants.Flow(c.flow)})
 		}
 		delete(c.dr.flows, c.flow)
 	}
@@ -114,7 +114,7 @@
 	}
 	c.left = true
 	if c.taken {
-		dr.see(invariants.Event{Kind: invariants.Left, Balancer: invariants.Balancer(c.to), Flow: invariants.Flow(f)})
+		dr.see(invariants.Event{Kind: invariants.ClientLeft, Balancer: invariants.Balancer(c.to), Flow: invariants.Flow(f)})
 	}
 	if c.state == asking && dr.now() >= c.due {
 		conn := c.conn
@@ -149,9 +149,9 @@
 		if err == nil && !c.held { // it went as its line was written: the balancer may have read it, and owes it nothing
 			now := dr.now()
 			taken := c.takenEvent()
-			taken.Due = max(taken.Due, now+1)
+			taken.Deadline = max(taken.Deadline, now+1)
 			dr.seeAt(wrote, taken)
-			dr.see(invariants.Event{Kind: invariants.Left, Balancer: invariants.Balancer(c.to), Flow: invariants.Flow(c.flow)})
+			dr.see(invariants.Event{Kind: invariants.ClientLeft, Balancer: invariants.Balancer(c.to), Flow: invariants.Flow(c.flow)})
 		}
 		if c.state != gone && c.held {
 			dr.bad("a connection that stands at the beginning: %w", err)
@@ -193,12 +193,12 @@
 
 // takenEvent is what the referee hears of a line that was written whole.
 func (c *client) takenEvent() invariants.Event {
-	e := invariants.Event{Kind: invariants.Taken, Balancer: invariants.Balancer(c.to), Flow: invariants.Flow(c.flow), Due: c.due}
+	e := invariants.Event{Kind: invariants.FlowAccepted, Balancer: invariants.Balancer(c.to), Flow: invariants.Flow(c.flow), Deadline: c.due}
 	if v := c.dr.w.Client(c.flow); v != nil {
 		s := c.dr.w.Services[v.Service]
-		e.Effect = map[string]invariants.Effect{"guarded": invariants.Referenced, "single_shot": invariants.OnceOnly}[s.Effect]
-		e.Reach = map[string]invariants.Reach{"zone": invariants.ReachZone, "cell": invariants.ReachCell}[s.Group]
-		e.Window = s.Window
+		e.Effect = map[string]invariants.Effect{"guarded": invariants.IdempotentByKey, "single_shot": invariants.NotIdempotent}[s.Effect]
+		e.KeyScope = map[string]invariants.KeyScope{"zone": invariants.ZoneServers, "cell": invariants.CellServers}[s.Group]
+		e.KeyWindow = s.Window
 	}
 	return e
 }
@@ -254,12 +254,12 @@
 		return
 	}
 	c.answers++
-	e := invariants.Event{Kind: invariants.Answered, Balancer: invariants.Balancer(c.to), Flow: invariants.Flow(c.flow), Verdict: invariants.Aborted}
+	e := invariants.Event{Kind: invariants.FlowAnswered, Balancer: invariants.Balancer(c.to), Flow: invariants.Flow(c.flow), Answer: invariants.Aborted}
 	switch word {
 	case "UP":
-		e.Verdict = invariants.Established
+		e.Answer = invariants.Established
 	case "BUSY":
-		e.Verdict = invariants.Rejected
+		e.Answer = invariants.Rejected
 	}
 	dr.see(e)
 	if c.state != asking || c.answers > 1 {
@@ -295,7 +295,7 @@
 	case was == holds && !c.left:
 		dr.w.Broken(c.flow, simulation.Cut)
 	case was == asking && c.answers == 0 && !c.left && dr.others && !runs(c.addr):
-		dr.see(invariants.Event{Kind: invariants.Died, Balancer: invariants.Balancer(c.to)}) // a rule binds a balancer that runs
+		dr.see(invariants.Event{Kind: invariants.BalancerDied, Balancer: invariants.Balancer(c.to)}) // a rule binds a balancer that runs
 		dr.w.Broken(c.flow, simulation.Cut)
 	case was == asking && c.answers == 0 && !c.left:
 		if p := dr.procs; int(c.to) < len(p) && p[c.to].up {
--- a/internal/testbed/sockets/drive.go
+++ b/internal/testbed/sockets/drive.go
@@ -29,7 +29,7 @@
 type Drive struct {
 	d       *experiment.Day
 	w       *simulation.World
-	ref     *invariants.Referee
+	checker *invariants.Checker
 	ctx     context.Context
 	cancel  context.CancelFunc
 	parts   sync.WaitGroup
@@ -60,7 +60,7 @@
 }
 
 // Load drives clients alone, against balancers at these addresses; w has as many balancers and no server.
-func Load(parent context.Context, d *experiment.Day, ref *invariants.Referee, addrs []string) *Drive {
+func Load(parent context.Context, d *experiment.Day, ref *invariants.Checker, addrs []string) *Drive {
 	dr := New(parent, d, ref, nil, "")
 	dr.others = true
 	dr.w.FirstFlow(simulation.FlowID(time.Now().UnixMicro()) << 10) // never those of an earlier load
@@ -106,8 +106,8 @@
 
 // New prepares a run; program starts a balancer, with the path of its configuration in PROXY_CONFIG, and folder is for
 // configurations and logs. An empty program leaves balancers out: servers and discovery alone.
-func New(parent context.Context, d *experiment.Day, ref *invariants.Referee, program []string, folder string) *Drive {
-	dr := &Drive{d: d, w: d.World, ref: ref, program: program, folder: folder, poke: make(chan struct{}, 1),
+func New(parent context.Context, d *experiment.Day, ref *invariants.Checker, program []string, folder string) *Drive {
+	dr := &Drive{d: d, w: d.World, checker: ref, program: program, folder: folder, poke: make(chan struct{}, 1),
 		flows: map[simulation.FlowID]*client{}, conns: map[simulation.ConnID]*served{}, awaited: map[simulation.FlowID]simulation.ConnID{},
 		late: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3), start: time.Now()}
 	dr.ctx, dr.cancel = context.WithCancel(parent)
@@ -155,11 +155,11 @@
 
 func (dr *Drive) seeAt(t time.Duration, e invariants.Event) {
 	e.At = t
-	if dr.over || !dr.running && e.Kind != invariants.Told && e.Kind != invariants.Began {
+	if dr.over || !dr.running && e.Kind != invariants.ServerAnnounced && e.Kind != invariants.BalancerStarted {
 		return
 	}
 	dr.longest = max(dr.longest, dr.now()-t)
-	dr.ref.Observe(e)
+	dr.checker.Observe(e)
 	if dr.apart != nil && dr.apart.See != nil {
 		dr.apart.See(e)
 	}
@@ -272,7 +272,7 @@
 			_ = dr.late.RecordValue(max(1, int64((now-due)/time.Microsecond))) // a minute is more than lateMost
 		}
 		dr.w.Agenda.RunTo(min(now, end))
-		dr.ref.Advance(now)
+		dr.checker.Advance(now)
 		next, ok := dr.w.Agenda.Next()
 		fault := dr.fault
 		dr.mu.Unlock()
@@ -303,7 +303,7 @@
 	now := dr.now()
 	// What was taken in the last moments is not owed an answer that nobody waits for.
 	dr.over = true
-	dr.ref.Finish(now - heldBack)
+	dr.checker.Finish(now - heldBack)
 	if dr.fault != nil {
 		return "", dr.fault
 	}
--- a/internal/testbed/sockets/process.go
+++ b/internal/testbed/sockets/process.go
@@ -127,7 +127,7 @@
 	}
 	p := dr.procs[b]
 	p.life++
-	dr.see(invariants.Event{Kind: invariants.Began, Balancer: invariants.Balancer(b)})
+	dr.see(invariants.Event{Kind: invariants.BalancerStarted, Balancer: invariants.Balancer(b)})
 	text, err := dr.Config(b, p.addr, p.life)
 	if err == nil {
 		err = os.WriteFile(p.config, text, 0o600)
@@ -182,7 +182,7 @@
 // Kill ends a balancer outright; Stop asks it to end in order.
 func (dr *Drive) Kill(b simulation.BalancerID) {
 	p := dr.procs[b]
-	dr.see(invariants.Event{Kind: invariants.Died, Balancer: invariants.Balancer(b)})
+	dr.see(invariants.Event{Kind: invariants.BalancerDied, Balancer: invariants.Balancer(b)})
 	p.up = false
 	p.kill()
 }
--- a/internal/testbed/sockets/server.go
+++ b/internal/testbed/sockets/server.go
@@ -241,7 +241,7 @@
 	if s.Hall != x.from {
 		dr.Tally.Crossings++
 	}
-	dr.see(invariants.Event{Kind: invariants.Sent, Balancer: invariants.Balancer(x.by), Flow: invariants.Flow(f), Connect: invariants.Connect(x.id),
+	dr.see(invariants.Event{Kind: invariants.ConnectSent, Balancer: invariants.Balancer(x.by), Flow: invariants.Flow(f), Connect: invariants.Connect(x.id),
 		Server: invariants.Server(x.to), Zone: int(s.Hall), Cell: int(s.Cell)})
 }
 
@@ -260,8 +260,8 @@
 	}
 	s := dr.w.Servers[x.to]
 	if s.Since() != simulation.LongAgo && cl != nil {
-		dr.see(invariants.Event{Kind: invariants.Arrived, Balancer: invariants.Balancer(x.by), Flow: invariants.Flow(x.flow), Connect: invariants.Connect(x.id),
-			Server: invariants.Server(x.to), Since: s.Since(), Load: cl.Load(), Takes: s.TakesNow()})
+		dr.see(invariants.Event{Kind: invariants.ConnectArrived, Balancer: invariants.Balancer(x.by), Flow: invariants.Flow(x.flow), Connect: invariants.Connect(x.id),
+			Server: invariants.Server(x.to), StartedAt: s.Since(), Load: cl.Load(), Capacity: s.TakesNow()})
 	}
 	dr.w.Arrive(x.id, x.to, x.flow, x.from)
 }
@@ -284,8 +284,8 @@
 
 // heard: the balancer knows that the connect is over.
 func (x *served) heard(ran bool) {
-	x.dr.see(invariants.Event{Kind: invariants.ConnectOver, Balancer: invariants.Balancer(x.by), Flow: invariants.Flow(x.flow),
-		Connect: invariants.Connect(x.id), Ran: ran})
+	x.dr.see(invariants.Event{Kind: invariants.ConnectEnded, Balancer: invariants.Balancer(x.by), Flow: invariants.Flow(x.flow),
+		Connect: invariants.Connect(x.id), MayHaveRun: ran})
 }
 
 func (x *served) write(line string) {
--- a/internal/testbed/sockets/sockets_test.go
+++ b/internal/testbed/sockets/sockets_test.go
@@ -110,16 +110,17 @@
 length = "1s"
 `
 
-func drive(t *testing.T, text, way string) (*Drive, *invariants.Referee, *experiment.Day) {
+func drive(t *testing.T, text, way string) (*Drive, *invariants.Checker, *experiment.Day) {
 	t.Helper()
 	e, err := experiment.Read("short.toml", []byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
 	d := e.Day(3)
-	grace, multiple, fall, warm, _, _ := e.Terms()
+	terms := e.Terms()
 	slack, hold := HeldBack()
-	ref := invariants.New(slack, hold, grace, multiple, d.MeanLoad(), fall, warm)
+	ref := invariants.New(invariants.Limits{Slack: slack, Reordering: hold, DrainGrace: terms.DrainGrace,
+		SlowStartMultiple: terms.SlowStartMultiple, SlowStartWindow: terms.SlowStartWindow, SlowStart: terms.SlowStart, MeanLoad: d.MeanLoad()})
 	self, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
@@ -185,7 +186,7 @@
 	}
 	d := e.Day(1)
 	slack, hold := HeldBack()
-	ref := invariants.New(slack, hold, time.Second, 0, 0, time.Second, time.Second)
+	ref := invariants.New(invariants.Limits{Slack: slack, Reordering: hold, DrainGrace: time.Second})
 	dr := Load(context.Background(), d, ref, []string{l.Addr().String()})
 	if _, err := dr.RunLoad(experiment.NewSteady(1, 40, 2*time.Second, 0.5, 3, 1), nil); err != nil {
 		t.Fatal(err)
@@ -237,7 +238,7 @@
 	dr.running = true
 	c := &client{dr: dr, flow: 7, due: time.Second}
 	dr.flows[7] = c
-	dr.see(invariants.Event{Kind: invariants.Taken, Flow: 7, Due: time.Second})
+	dr.see(invariants.Event{Kind: invariants.FlowAccepted, Flow: 7, Deadline: time.Second})
 	c.turn(asking)
 	c.hear("UP 7")
 	c.turn(gone)
@@ -257,7 +258,7 @@
 		dr, _, _ := drive(t, fmt.Sprintf(shortDay, ""), "sound")
 		dr.mu.Lock()
 		dr.start, dr.running = time.Now().Add(-time.Minute), true
-		dr.seeAt(dr.now()-c.late, invariants.Event{Kind: invariants.Taken, Flow: 7, Due: time.Hour})
+		dr.seeAt(dr.now()-c.late, invariants.Event{Kind: invariants.FlowAccepted, Flow: 7, Deadline: time.Hour})
 		void := dr.void()
 		dr.mu.Unlock()
 		if (void != "") != c.void {
--- a/internal/testbed/virtual/act.go
+++ b/internal/testbed/virtual/act.go
@@ -30,7 +30,7 @@
 	if srv.Hall != in.hall {
 		dr.Tally.Crossings++
 	}
-	dr.see(invariants.Event{Kind: invariants.Sent, Balancer: invariants.Balancer(in.id), Flow: invariants.Flow(f.id), Connect: invariants.Connect(c.id),
+	dr.see(invariants.Event{Kind: invariants.ConnectSent, Balancer: invariants.Balancer(in.id), Flow: invariants.Flow(f.id), Connect: invariants.Connect(c.id),
 		Server: invariants.Server(s), Zone: int(srv.Hall), Cell: int(srv.Cell)})
 	ends := f.due
 	if limit > 0 {
@@ -53,13 +53,13 @@
 }
 
 // answer is the balancer's own final word.
-func (in *instance) answer(name decide.FlowID, v invariants.Verdict, a simulation.Answer, after time.Duration) {
+func (in *instance) answer(name decide.FlowID, v invariants.Answer, a simulation.Answer, after time.Duration) {
 	f, dr := in.flow(name), in.dr
 	if f == nil {
-		dr.see(invariants.Event{Kind: invariants.Answered, Balancer: invariants.Balancer(in.id), Flow: -1, Verdict: v})
+		dr.see(invariants.Event{Kind: invariants.FlowAnswered, Balancer: invariants.Balancer(in.id), Flow: -1, Answer: v})
 		return
 	}
-	dr.see(invariants.Event{Kind: invariants.Answered, Balancer: invariants.Balancer(in.id), Flow: invariants.Flow(f.id), Verdict: v})
+	dr.see(invariants.Event{Kind: invariants.FlowAnswered, Balancer: invariants.Balancer(in.id), Flow: invariants.Flow(f.id), Answer: v})
 	if f.answered {
 		return
 	}
--- a/internal/testbed/virtual/balancer.go
+++ b/internal/testbed/virtual/balancer.go
@@ -29,7 +29,7 @@
 	in.life++
 	in.up, in.start = true, dr.w.Agenda.Now()
 	in.held, in.flows = map[simulation.ServerID][]*flow{}, map[simulation.FlowID]*flow{}
-	dr.see(invariants.Event{Kind: invariants.Began, Balancer: invariants.Balancer(b)})
+	dr.see(invariants.Event{Kind: invariants.BalancerStarted, Balancer: invariants.Balancer(b)})
 	seed := simulation.Chance(dr.d.Seed, "balancer "+strconv.Itoa(in.life), int(b)).Uint64()
 	in.dec = dr.maker(seed, b, in)
 	in.dec.SetTime(0)
@@ -66,7 +66,7 @@
 func (dr *Drive) Kill(b simulation.BalancerID) {
 	in := dr.inst[b]
 	in.up = false
-	dr.see(invariants.Event{Kind: invariants.Died, Balancer: invariants.Balancer(b)})
+	dr.see(invariants.Event{Kind: invariants.BalancerDied, Balancer: invariants.Balancer(b)})
 	var all []*flow
 	for _, f := range in.flows {
 		all = append(all, f)
@@ -99,7 +99,7 @@
 	if since == simulation.LongAgo {
 		since = invariants.LongAgo
 	}
-	in.dr.see(invariants.Event{Kind: invariants.Told, Balancer: invariants.Balancer(in.id), Server: invariants.Server(s), State: told[state], Since: since})
+	in.dr.see(invariants.Event{Kind: invariants.ServerAnnounced, Balancer: invariants.Balancer(in.id), Server: invariants.Server(s), Readiness: told[state], StartedAt: since})
 }
 
 // event opens an event: what is decided in it happens now.
@@ -127,12 +127,12 @@
 	delete(dr.conns, c.id)
 	f.out = slices.DeleteFunc(f.out, func(x *connect) bool { return x == c })
 	dr.close(c)
-	dr.see(invariants.Event{Kind: invariants.ConnectOver, Balancer: invariants.Balancer(in.id), Flow: invariants.Flow(f.id),
-		Connect: invariants.Connect(c.id), Ran: !o.NeverRan()})
+	dr.see(invariants.Event{Kind: invariants.ConnectEnded, Balancer: invariants.Balancer(in.id), Flow: invariants.Flow(f.id),
+		Connect: invariants.Connect(c.id), MayHaveRun: !o.NeverRan()})
 	if was == standing {
 		f.stands = nil
 		in.drop(c.server, f)
-		dr.see(invariants.Event{Kind: invariants.Ended, Balancer: invariants.Balancer(in.id), Flow: invariants.Flow(f.id)})
+		dr.see(invariants.Event{Kind: invariants.FlowEnded, Balancer: invariants.Balancer(in.id), Flow: invariants.Flow(f.id)})
 		if !f.left {
 			how := simulation.Cut
 			if o == decide.Cancelled || o == decide.Full {
--- a/internal/testbed/virtual/client.go
+++ b/internal/testbed/virtual/client.go
@@ -47,14 +47,14 @@
 		x := &flow{id: f, name: name, in: in, due: now + left - lineCost}
 		dr.flows[f], in.flows[f] = x, x
 		s := dr.w.Services[service]
-		dr.see(invariants.Event{Kind: invariants.Taken, Balancer: invariants.Balancer(in.id), Flow: invariants.Flow(f), Due: now + left,
-			Effect: effects[s.Effect], Reach: reaches[s.Group], Window: s.Window})
+		dr.see(invariants.Event{Kind: invariants.FlowAccepted, Balancer: invariants.Balancer(in.id), Flow: invariants.Flow(f), Deadline: now + left,
+			Effect: effects[s.Effect], KeyScope: reaches[s.Group], KeyWindow: s.Window})
 		in.event().OnFlow(decide.FlowRequest{ID: name, Service: decide.ServiceID(service), Customer: decide.CustomerID(customer), Key: decide.FlowKey(""), Group: decide.GroupKey(experiment.GroupName(group)), Timeout: x.due - now, Flags: marks})
 	})
 }
 
-var effects = map[string]invariants.Effect{"free": invariants.Repeatable, "guarded": invariants.Referenced, "single_shot": invariants.OnceOnly}
-var reaches = map[string]invariants.Reach{"all": invariants.ReachAll, "zone": invariants.ReachZone, "cell": invariants.ReachCell}
+var effects = map[string]invariants.Effect{"free": invariants.Idempotent, "guarded": invariants.IdempotentByKey, "single_shot": invariants.NotIdempotent}
+var reaches = map[string]invariants.KeyScope{"all": invariants.AllServers, "zone": invariants.ZoneServers, "cell": invariants.CellServers}
 
 // Held begins with a connection that stands.
 func (dr *Drive) Held(f simulation.FlowID, c *simulation.Client, b simulation.BalancerID, id simulation.ConnID, s simulation.ServerID) {
@@ -75,7 +75,7 @@
 			return
 		}
 		x.left = true
-		dr.see(invariants.Event{Kind: invariants.Left, Balancer: invariants.Balancer(x.in.id), Flow: invariants.Flow(f)})
+		dr.see(invariants.Event{Kind: invariants.ClientLeft, Balancer: invariants.Balancer(x.in.id), Flow: invariants.Flow(f)})
 		if x.stands != nil {
 			x.in.finish(x.stands, decide.OK)
 			return
--- a/internal/testbed/virtual/list.go
+++ b/internal/testbed/virtual/list.go
@@ -38,7 +38,7 @@
 }
 
 var readiness = [...]decide.Readiness{simulation.Ready: decide.Ready, simulation.Draining: decide.Draining, simulation.Gone: decide.Gone}
-var told = [...]invariants.State{simulation.Ready: invariants.Ready, simulation.Draining: invariants.Draining, simulation.Gone: invariants.Gone}
+var told = [...]invariants.Readiness{simulation.Ready: invariants.Ready, simulation.Draining: invariants.Draining, simulation.Gone: invariants.Gone}
 
 // News brings a balancer a call of the server list.
 func (dr *Drive) News(b simulation.BalancerID, full bool, entries []simulation.Entry) {
--- a/internal/testbed/virtual/server.go
+++ b/internal/testbed/virtual/server.go
@@ -44,7 +44,7 @@
 		in, f := c.f.in, c.f
 		f.stands, f.answered = c, true
 		in.held[c.server] = append(in.held[c.server], f)
-		dr.see(invariants.Event{Kind: invariants.Answered, Balancer: invariants.Balancer(in.id), Flow: invariants.Flow(f.id), Verdict: invariants.Established})
+		dr.see(invariants.Event{Kind: invariants.FlowAnswered, Balancer: invariants.Balancer(in.id), Flow: invariants.Flow(f.id), Answer: invariants.Established})
 		in.event().OnEstablished(f.name, dr.w.Agenda.Now()-c.sentAt)
 		dr.w.Agenda.After(dr.w.Net.Client, simulation.Message, func() { dr.w.Answered(f.id, simulation.Established, 0) })
 	})
@@ -108,8 +108,8 @@
 	c.turn(asked)
 	s := w.Servers[c.server]
 	if cl := w.Client(c.f.id); cl != nil && s.Since() != simulation.LongAgo {
-		dr.see(invariants.Event{Kind: invariants.Arrived, Balancer: invariants.Balancer(in.id), Flow: invariants.Flow(c.f.id), Connect: invariants.Connect(c.id),
-			Server: invariants.Server(c.server), Since: s.Since(), Load: cl.Load(), Takes: s.TakesNow()})
+		dr.see(invariants.Event{Kind: invariants.ConnectArrived, Balancer: invariants.Balancer(in.id), Flow: invariants.Flow(c.f.id), Connect: invariants.Connect(c.id),
+			Server: invariants.Server(c.server), StartedAt: s.Since(), Load: cl.Load(), Capacity: s.TakesNow()})
 	}
 	w.Arrive(c.id, c.server, c.f.id, in.hall)
 }
--- a/internal/testbed/virtual/virtual.go
+++ b/internal/testbed/virtual/virtual.go
@@ -30,7 +30,7 @@
 type Drive struct {
 	d       *experiment.Day
 	w       *simulation.World
-	ref     *invariants.Referee
+	checker *invariants.Checker
 	maker   Maker
 	inst    []*instance
 	flows   map[simulation.FlowID]*flow
@@ -49,10 +49,11 @@
 }
 
 // New prepares a drive; the day must not have begun.
-func New(d *experiment.Day, ref *invariants.Referee, maker Maker) *Drive {
-	dr := &Drive{d: d, w: d.World, ref: ref, maker: maker, flows: map[simulation.FlowID]*flow{}, conns: map[simulation.ConnID]*connect{},
+func New(d *experiment.Day, ref *invariants.Checker, maker Maker) *Drive {
+	dr := &Drive{d: d, w: d.World, checker: ref, maker: maker, flows: map[simulation.FlowID]*flow{}, conns: map[simulation.ConnID]*connect{},
 		byNum: map[decide.ServerID]simulation.ServerID{}}
-	_, _, _, _, dr.connMax, dr.up = d.Experiment.Terms()
+	terms := d.Experiment.Terms()
+	dr.connMax, dr.up = terms.MaxConnects, terms.ConnectTimeout
 	d.World.Carrier = dr
 	return dr
 }
@@ -68,7 +69,7 @@
 	end := w.Books.Length
 	for t := time.Duration(0); t < end; t += time.Second {
 		w.Agenda.RunTo(min(t+time.Second, end))
-		dr.ref.Advance(w.Agenda.Now())
+		dr.checker.Advance(w.Agenda.Now())
 		if progress != nil {
 			progress(w.Agenda.Now())
 		}
@@ -76,10 +77,10 @@
 	// What was taken before the end is answered after it.
 	w.Agenda.RunTo(end + 5*time.Second)
 	w.End()
-	dr.ref.Finish(w.Agenda.Now())
+	dr.checker.Finish(w.Agenda.Now())
 }
 
 func (dr *Drive) see(e invariants.Event) {
 	e.At = dr.w.Agenda.Now()
-	dr.ref.Observe(e)
+	dr.checker.Observe(e)
 }
