--- a/cmd/testbed/parts.go
+++ b/cmd/testbed/parts.go
@@ -119,7 +119,7 @@
 	slack, hold := sockets.HeldBack()
 	ref := scenario.NewChecker(d, slack, hold)
 	dr := sockets.Load(ctx, d, ref, addrs)
-	void, err := dr.RunLoad(experiment.NewSteady(seed, rate, life, 1, groups, len(d.World.Halls)), progress)
+	void, err := dr.RunLoad(experiment.NewSteady(seed, rate, life, 1, groups, len(d.World.Localities)), progress)
 	if err != nil {
 		return nil, err
 	}
@@ -129,4 +129,4 @@
 	return r, nil
 }
 
-var _ simulation.Source = (*experiment.Steady)(nil)
+var _ simulation.ArrivalSource = (*experiment.Steady)(nil)
--- a/cmd/testbed/try.go
+++ b/cmd/testbed/try.go
@@ -128,7 +128,7 @@
 		return nil, err
 	}
 	r := &count.Result{Policy: policy, Seed: seed, Load: *loads, Crossings: dr.Tally.Crossings, Moves: dr.Tally.Moves, Connects: dr.Tally.Connects, Void: void}
-	seconds := len(d.World.Books.Asked[0])
+	seconds := len(d.World.Accounting.Requested[0])
 	r.MovesBy, r.ConnectsBy = count.PerSecond(dr.Tally.MovedAt, seconds), count.PerSecond(dr.Tally.ConnectAt, seconds)
 	scenario.Finish(r, d, ref)
 	return r, nil
--- a/internal/simulation/agenda.go
+++ b/internal/simulation/agenda.go
@@ -22,12 +22,12 @@
 	Book                // what is counted
 )
 
-// Agenda is all that is still to happen. Things due at one instant go by rank, then in the order in which they were
+// Schedule is all that is still to happen. Things due at one instant go by rank, then in the order in which they were
 // noted; the order is part of what a seed stands for.
-type Agenda struct {
-	now   time.Duration
-	seq   uint64
-	items items
+type Schedule struct {
+	now      time.Duration
+	sequence uint64
+	items    items
 }
 
 type item struct {
@@ -38,19 +38,19 @@
 }
 
 // Now is the time.
-func (a *Agenda) Now() time.Duration { return a.now }
+func (a *Schedule) Now() time.Duration { return a.now }
 
 // At notes something for a time; what is noted for the past happens now.
-func (a *Agenda) At(t time.Duration, r Rank, do func()) {
-	a.seq++
-	heap.Push(&a.items, item{max(t, a.now), r, a.seq, do})
+func (a *Schedule) At(t time.Duration, r Rank, do func()) {
+	a.sequence++
+	heap.Push(&a.items, item{max(t, a.now), r, a.sequence, do})
 }
 
 // After notes something for so long from now.
-func (a *Agenda) After(d time.Duration, r Rank, do func()) { a.At(a.now+d, r, do) }
+func (a *Schedule) After(d time.Duration, r Rank, do func()) { a.At(a.now+d, r, do) }
 
 // Next is when the next thing is due.
-func (a *Agenda) Next() (time.Duration, bool) {
+func (a *Schedule) Next() (time.Duration, bool) {
 	if len(a.items) == 0 {
 		return 0, false
 	}
@@ -58,7 +58,7 @@
 }
 
 // RunTo does all that is due up to a time, that included, and leaves the time there.
-func (a *Agenda) RunTo(t time.Duration) {
+func (a *Schedule) RunTo(t time.Duration) {
 	for len(a.items) > 0 && a.items[0].at <= t {
 		x := heap.Pop(&a.items).(item)
 		a.now = x.at
--- a/internal/simulation/books.go
+++ b/internal/simulation/books.go
@@ -2,47 +2,47 @@
 
 import "time"
 
-// Books count what was asked for and what was served, by seconds of the day, service types and customers. A figure
+// Accounting count what was asked for and what was served, by seconds of the day, service types and customers. A figure
 // that spans seconds is spread over them evenly.
-type Books struct {
-	Length time.Duration
-	Beyond float64 // what a value is worth beyond a customer's share
-	Asked  [][]float64
-	Got    [][]float64
-	nCust  int
+type Accounting struct {
+	Length           time.Duration
+	BeyondShareValue float64 // what a value is worth beyond a customer's share
+	Requested        [][]float64
+	Served           [][]float64
+	customers        int
 
-	HallAsked, HallGot [][]float64 // by the hall of the clients
+	RequestedByLocality, ServedByLocality [][]float64 // by the hall of the clients
 }
 
-// NewBooks keeps a line a service type and customer, and a column a second.
-func NewBooks(length time.Duration, services, customers, halls int, beyond float64) *Books {
-	b := &Books{Length: length, Beyond: beyond, nCust: max(customers, 1)}
+// NewAccounting keeps a line a service type and customer, and a column a second.
+func NewAccounting(length time.Duration, services, customers, halls int, beyond float64) *Accounting {
+	b := &Accounting{Length: length, BeyondShareValue: beyond, customers: max(customers, 1)}
 	seconds := int((length + time.Second - 1) / time.Second)
 	for range halls {
-		b.HallAsked = append(b.HallAsked, make([]float64, seconds))
-		b.HallGot = append(b.HallGot, make([]float64, seconds))
+		b.RequestedByLocality = append(b.RequestedByLocality, make([]float64, seconds))
+		b.ServedByLocality = append(b.ServedByLocality, make([]float64, seconds))
 	}
-	for range services * b.nCust * 2 {
-		b.Asked = append(b.Asked, make([]float64, seconds))
-		b.Got = append(b.Got, make([]float64, seconds))
+	for range services * b.customers * 2 {
+		b.Requested = append(b.Requested, make([]float64, seconds))
+		b.Served = append(b.Served, make([]float64, seconds))
 	}
 	return b
 }
 
-func (b *Books) row(s ServiceID, c CustomerID, beyond bool) int {
-	i := (int(s)*b.nCust + max(int(c), 0)) * 2
+func (b *Accounting) row(s ServiceID, c CustomerID, beyond bool) int {
+	i := (int(s)*b.customers + max(int(c), 0)) * 2
 	if beyond {
 		i++
 	}
 	return i
 }
 
-// Of says what a row stands for.
-func (b *Books) Of(row int) (s ServiceID, c CustomerID, beyond bool) {
-	return ServiceID(row / 2 / b.nCust), CustomerID(row / 2 % b.nCust), row%2 == 1
+// RowOf says what a row stands for.
+func (b *Accounting) RowOf(row int) (s ServiceID, c CustomerID, beyond bool) {
+	return ServiceID(row / 2 / b.customers), CustomerID(row / 2 % b.customers), row%2 == 1
 }
 
-func (b *Books) spread(row []float64, from, to time.Duration, rate float64) {
+func (b *Accounting) spread(row []float64, from, to time.Duration, rate float64) {
 	from, to = max(from, 0), min(to, b.Length)
 	for from < to {
 		sec := int(from / time.Second)
@@ -52,20 +52,20 @@
 	}
 }
 
-// Wanted books that a client wants its connection from one time to another, at so much value a second.
-func (b *Books) Wanted(s ServiceID, c CustomerID, beyond bool, hall HallID, from, to time.Duration, value float64) {
+// AddRequested books that a client wants its connection from one time to another, at so much value a second.
+func (b *Accounting) AddRequested(s ServiceID, c CustomerID, beyond bool, hall LocalityID, from, to time.Duration, value float64) {
 	if beyond {
-		value *= b.Beyond
+		value *= b.BeyondShareValue
 	}
-	b.spread(b.Asked[b.row(s, c, beyond)], from, to, value)
-	b.spread(b.HallAsked[hall], from, to, value)
+	b.spread(b.Requested[b.row(s, c, beyond)], from, to, value)
+	b.spread(b.RequestedByLocality[hall], from, to, value)
 }
 
-// Served books that so much value a second was had.
-func (b *Books) Served(s ServiceID, c CustomerID, beyond bool, hall HallID, from, to time.Duration, value float64) {
+// AddServed books that so much value a second was had.
+func (b *Accounting) AddServed(s ServiceID, c CustomerID, beyond bool, hall LocalityID, from, to time.Duration, value float64) {
 	if beyond {
-		value *= b.Beyond
+		value *= b.BeyondShareValue
 	}
-	b.spread(b.Got[b.row(s, c, beyond)], from, to, value)
-	b.spread(b.HallGot[hall], from, to, value)
+	b.spread(b.Served[b.row(s, c, beyond)], from, to, value)
+	b.spread(b.ServedByLocality[hall], from, to, value)
 }
--- a/internal/simulation/chance.go
+++ b/internal/simulation/chance.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Chance is a stream of its own for each thing that draws: what one draws more must not shift what others draw, or
+// RandomSource is a stream of its own for each thing that draws: what one draws more must not shift what others draw, or
 // two policies would not be compared on the same day.
-func Chance(seed uint64, what string, i int) *rand.Rand {
+func RandomSource(seed uint64, what string, i int) *rand.Rand {
 	h := uint64(14695981039346656037)
 	for k := range len(what) {
 		h = (h ^ uint64(what[k])) * 1099511628211
@@ -16,16 +16,16 @@
 	return rand.New(rand.NewPCG(seed, h^uint64(i)*0x9e3779b97f4a7c15))
 }
 
-// Between is uniform from lo to hi.
-func Between(r *rand.Rand, lo, hi float64) float64 { return lo + (hi-lo)*r.Float64() }
+// Uniform is uniform from lo to hi.
+func Uniform(r *rand.Rand, lo, hi float64) float64 { return lo + (hi-lo)*r.Float64() }
 
-// BetweenTimes is uniform from lo to hi.
-func BetweenTimes(r *rand.Rand, lo, hi time.Duration) time.Duration {
+// UniformDuration is uniform from lo to hi.
+func UniformDuration(r *rand.Rand, lo, hi time.Duration) time.Duration {
 	return lo + time.Duration(float64(hi-lo)*r.Float64())
 }
 
-// Scatter is log-normal with mean 1.
-func Scatter(r *rand.Rand, sigma float64) float64 {
+// LogNormal is log-normal with mean 1.
+func LogNormal(r *rand.Rand, sigma float64) float64 {
 	return math.Exp(sigma*r.NormFloat64() - sigma*sigma/2)
 }
 
@@ -44,10 +44,10 @@
 }
 
 // Draw draws the index of one.
-func (z Zipf) Draw(r *rand.Rand) int { return pickBy(r, z.sums) }
+func (z Zipf) Draw(r *rand.Rand) int { return pickWeighted(r, z.sums) }
 
-// pickBy draws an index by running sums of weights.
-func pickBy(r *rand.Rand, sums []float64) int {
+// pickWeighted draws an index by running sums of weights.
+func pickWeighted(r *rand.Rand, sums []float64) int {
 	x := r.Float64() * sums[len(sums)-1]
 	lo, hi := 0, len(sums)-1
 	for lo < hi {
--- a/internal/simulation/drain.go
+++ b/internal/simulation/drain.go
@@ -15,23 +15,23 @@
 	Flat               // sends all away at once
 )
 
-// die ends the process or cuts it off. Those connected are told, or left in silence.
-func (s *Server) die(to Phase) {
+// goDown ends the process or cuts it off. Those connected are told, or left in silence.
+func (s *Server) goDown(to Phase) {
 	s.settle()
 	s.phase = to
 	if to != Silent {
-		s.lose(Dropped)
+		s.dropAll(Dropped)
 	}
 	s.changed()
-	s.w.Carrier.Changed(s.ID)
+	s.w.Driver.ServerChanged(s.ID)
 }
 
-// lose ends all connections.
-func (s *Server) lose(how Refusal) {
+// dropAll ends all connections.
+func (s *Server) dropAll(how EndReason) {
 	for len(s.conns) > 0 {
 		k := s.conns[len(s.conns)-1]
 		s.end(k)
-		s.w.Carrier.Turn(k.id, how)
+		s.w.Driver.EndConnect(k.id, how)
 	}
 	s.setups.Clear()
 	s.backlog = 0
@@ -40,12 +40,12 @@
 // boot starts a process anew, cold.
 func (s *Server) boot() {
 	s.settle()
-	s.lose(Dropped)
-	s.phase, s.since, s.worked, s.pushed, s.pushedLoad = Serving, s.w.Agenda.now, 0, nil, 0
-	s.told = false
-	s.life++
+	s.dropAll(Dropped)
+	s.phase, s.startedAt, s.worked, s.recentConnects, s.recentLoad = Serving, s.w.Schedule.now, 0, nil, 0
+	s.delayReported = false
+	s.incarnation++
 	s.changed()
-	s.w.Carrier.Changed(s.ID)
+	s.w.Driver.ServerChanged(s.ID)
 }
 
 // drainFor begins a drain that ends in a stop.
@@ -55,7 +55,7 @@
 	}
 	s.settle()
 	s.phase = Leaving
-	life, now := s.life, s.w.Agenda.now
+	life, now := s.incarnation, s.w.Schedule.now
 	all := slices.Clone(s.conns)
 	for i, k := range all {
 		at := now
@@ -63,18 +63,18 @@
 			at += time.Duration(float64(d) * 0.9 * float64(i+1) / float64(len(all)+1))
 		}
 		if kind != Quiet {
-			s.w.Agenda.At(at, Work, func() {
-				if k.stage == standing && s.life == life && s.Alive() {
+			s.w.Schedule.At(at, Work, func() {
+				if k.stage == established && s.incarnation == life && s.IsServing() {
 					s.end(k)
-					s.w.Carrier.Turn(k.id, Sent)
+					s.w.Driver.EndConnect(k.id, MoveRequested)
 				}
 			})
 		}
 	}
-	s.w.Carrier.Changed(s.ID)
-	s.w.Agenda.After(d, Cause, func() {
-		if s.life == life && s.phase == Leaving {
-			s.die(Down)
+	s.w.Driver.ServerChanged(s.ID)
+	s.w.Schedule.After(d, Cause, func() {
+		if s.incarnation == life && s.phase == Leaving {
+			s.goDown(Down)
 			then()
 		}
 	})
--- a/internal/simulation/list.go
+++ b/internal/simulation/list.go
@@ -9,9 +9,9 @@
 type List struct {
 	w              *World
 	entries        []Entry
-	revised        []int // revision at which each entry last changed
+	changedIn      []int // revision at which each entry last changed
 	revision       int
-	heldBy         []holding
+	subscribers    []subscriber
 	noticeMin      time.Duration
 	noticeMax      time.Duration
 	silentMin      time.Duration
@@ -19,45 +19,45 @@
 	addMin, addMax time.Duration
 	spreadMin      time.Duration
 	spreadMax      time.Duration
-	dark           int // troubles that keep it silent
-	late           time.Duration
-	asked          bool
-	chance         *rand.Rand
+	outages        int // troubles that keep it silent
+	extraDelay     time.Duration
+	mustSubscribe  bool
+	random         *rand.Rand
 }
 
-// holding is what one balancer has been told.
-type holding struct {
-	revision int
-	asked    bool
-	full     bool // the next news is the whole list
-	pending  bool
+// subscriber is what one balancer has been told.
+type subscriber struct {
+	revision   int
+	subscribed bool
+	needsFull  bool // the next news is the whole list
+	pending    bool
 }
 
-func newList(w *World) *List { return &List{w: w, chance: Chance(w.Seed, "list", 0)} }
+func newList(w *World) *List { return &List{w: w, random: RandomSource(w.Seed, "list", 0)} }
 
-// StartList sets how late changes are noticed (of processes that run and say so, that went silent, that started), how
+// ConfigureList sets how late changes are noticed (of processes that run and say so, that went silent, that started), how
 // long news takes from there, and whether balancers must ask.
-func (w *World) StartList(noticeMin, noticeMax, silentMin, silentMax, addMin, addMax, spreadMin, spreadMax time.Duration, asked bool) {
+func (w *World) ConfigureList(noticeMin, noticeMax, silentMin, silentMax, addMin, addMax, spreadMin, spreadMax time.Duration, asked bool) {
 	l := w.List
 	l.noticeMin, l.noticeMax, l.silentMin, l.silentMax = noticeMin, noticeMax, silentMin, silentMax
-	l.addMin, l.addMax, l.spreadMin, l.spreadMax, l.asked = addMin, addMax, spreadMin, spreadMax, asked
-	for i := range l.heldBy {
-		l.heldBy[i].asked = !asked
+	l.addMin, l.addMax, l.spreadMin, l.spreadMax, l.mustSubscribe = addMin, addMax, spreadMin, spreadMax, asked
+	for i := range l.subscribers {
+		l.subscribers[i].subscribed = !asked
 	}
 }
 
-func (l *List) notice() time.Duration {
-	return BetweenTimes(l.chance, l.noticeMin, l.noticeMax) + l.late
+func (l *List) noticeDelay() time.Duration {
+	return UniformDuration(l.random, l.noticeMin, l.noticeMax) + l.extraDelay
 }
 
 // entry is what the list would say of a server if it knew all.
 func entry(s *Server) Entry {
-	e := Entry{Server: s.ID, Hall: s.Hall, Cell: s.Cell, Size: s.Size, Since: s.since}
+	e := Entry{Server: s.ID, Locality: s.Locality, Cell: s.Cell, Size: s.Size, StartedAt: s.startedAt}
 	switch s.phase {
 	case Leaving:
-		e.State = Draining
-	case Down, Silent, Fallen:
-		e.State = Gone
+		e.Readiness = Draining
+	case Down, Silent, Collapsed:
+		e.Readiness = Gone
 	}
 	return e
 }
@@ -66,106 +66,108 @@
 func (l *List) changed(s *Server) {
 	l.revision++
 	if int(s.ID) < len(l.entries) {
-		l.entries[s.ID], l.revised[s.ID] = entry(s), l.revision
+		l.entries[s.ID], l.changedIn[s.ID] = entry(s), l.revision
 		return
 	}
-	l.entries, l.revised = append(l.entries, entry(s)), append(l.revised, l.revision)
+	l.entries, l.changedIn = append(l.entries, entry(s)), append(l.changedIn, l.revision)
 }
 
-// noticed has the list take in a server as it is by then.
-func (l *List) noticed(s *Server, after time.Duration) {
-	l.w.Agenda.After(after, News, func() {
+// updateAfter has the list take in a server as it is by then.
+func (l *List) updateAfter(s *Server, after time.Duration) {
+	l.w.Schedule.After(after, News, func() {
 		if l.entries[s.ID] == entry(s) {
 			return
 		}
 		l.changed(s)
-		for b := range l.heldBy {
-			l.spread(BalancerID(b))
+		for b := range l.subscribers {
+			l.scheduleSend(BalancerID(b))
 		}
 	})
 }
 
-// added is when a server that starts is seen, silent when one that only stopped answering is.
-func (l *List) added() time.Duration { return BetweenTimes(l.chance, l.addMin, l.addMax) + l.late }
-func (l *List) silent() time.Duration {
-	return BetweenTimes(l.chance, l.silentMin, l.silentMax) + l.late
+// addDelay is when a server that starts is seen, silent when one that only stopped answering is.
+func (l *List) addDelay() time.Duration {
+	return UniformDuration(l.random, l.addMin, l.addMax) + l.extraDelay
+}
+func (l *List) silentDelay() time.Duration {
+	return UniformDuration(l.random, l.silentMin, l.silentMax) + l.extraDelay
 }
 
-// spread sends a balancer what it lacks, a little later.
-func (l *List) spread(b BalancerID) {
-	if l.heldBy[b].pending || !l.heldBy[b].asked {
+// scheduleSend sends a balancer what it lacks, a little later.
+func (l *List) scheduleSend(b BalancerID) {
+	if l.subscribers[b].pending || !l.subscribers[b].subscribed {
 		return
 	}
-	l.heldBy[b].pending = true
-	l.w.Agenda.After(BetweenTimes(l.chance, l.spreadMin, l.spreadMax), News, func() { l.tell(b) })
+	l.subscribers[b].pending = true
+	l.w.Schedule.After(UniformDuration(l.random, l.spreadMin, l.spreadMax), News, func() { l.send(b) })
 }
 
-func (l *List) tell(b BalancerID) {
-	h := &l.heldBy[b]
+func (l *List) send(b BalancerID) {
+	h := &l.subscribers[b]
 	h.pending = false
-	if l.dark > 0 || !l.w.Balancers[b].Up || !h.asked || h.revision == l.revision && !h.full {
+	if l.outages > 0 || !l.w.Balancers[b].IsUp || !h.subscribed || h.revision == l.revision && !h.needsFull {
 		return
 	}
 	var news []Entry
 	for i, e := range l.entries {
-		if h.full && e.State != Gone || !h.full && l.revised[i] > h.revision {
+		if h.needsFull && e.Readiness != Gone || !h.needsFull && l.changedIn[i] > h.revision {
 			news = append(news, e)
 		}
 	}
-	full := h.full
-	h.revision, h.full = l.revision, false
-	l.w.Carrier.News(b, full, news)
+	full := h.needsFull
+	h.revision, h.needsFull = l.revision, false
+	l.w.Driver.UpdateList(b, full, news)
 }
 
 // Known is what a balancer that starts has: the list as it last held it.
 func (l *List) Known(b BalancerID) (known []Entry) {
 	for i, e := range l.entries {
-		if l.revised[i] <= l.heldBy[b].revision && e.State != Gone {
+		if l.changedIn[i] <= l.subscribers[b].revision && e.Readiness != Gone {
 			known = append(known, e)
 		}
 	}
 	return known
 }
 
-// Whole is the list as it is now.
-func (l *List) Whole() (revision int, all []Entry) {
+// Snapshot is the list as it is now.
+func (l *List) Snapshot() (revision int, all []Entry) {
 	for _, e := range l.entries {
-		if e.State != Gone {
+		if e.Readiness != Gone {
 			all = append(all, e)
 		}
 	}
 	return l.revision, all
 }
 
-// Dark tells whether the list answers nobody now.
-func (l *List) Dark() bool { return l.dark > 0 }
+// IsUnavailable tells whether the list answers nobody now.
+func (l *List) IsUnavailable() bool { return l.outages > 0 }
 
-// Ask has a balancer subscribe, or want the list once. False: the call fails.
-func (l *List) Ask(b BalancerID) bool {
-	if l.dark > 0 {
+// Subscribe has a balancer subscribe, or want the list once. False: the call fails.
+func (l *List) Subscribe(b BalancerID) bool {
+	if l.outages > 0 {
 		return false
 	}
-	l.heldBy[b].asked, l.heldBy[b].full = true, true
-	l.spread(b)
+	l.subscribers[b].subscribed, l.subscribers[b].needsFull = true, true
+	l.scheduleSend(b)
 	return true
 }
 
 // restart: a balancer that starts anew is told all, where it need not ask.
 func (l *List) restart(b BalancerID) {
-	l.heldBy[b].full, l.heldBy[b].asked = true, !l.asked
-	l.spread(b)
+	l.subscribers[b].needsFull, l.subscribers[b].subscribed = true, !l.mustSubscribe
+	l.scheduleSend(b)
 }
 
 // catchUp tells all what they missed.
 func (l *List) catchUp() {
-	for b := range l.heldBy {
-		l.spread(BalancerID(b))
+	for b := range l.subscribers {
+		l.scheduleSend(BalancerID(b))
 	}
 }
 
 // Begin tells every balancer the list as it stands: a day starts from what is known.
 func (l *List) Begin() {
-	for b := range l.heldBy {
-		l.heldBy[b].revision = l.revision
+	for b := range l.subscribers {
+		l.subscribers[b].revision = l.revision
 	}
 }
--- a/internal/simulation/load.go
+++ b/internal/simulation/load.go
@@ -4,74 +4,74 @@
 	"time"
 )
 
-// Visit is one client as a source of load tells it: when it comes, how long it wants its connection, and whose it is.
-type Visit struct {
-	At       time.Duration
-	Life     time.Duration
-	Service  ServiceID
-	Customer CustomerID
-	Group    GroupID
-	Hall     HallID
-	Load     float64 // usual, work a second
-	Beyond   bool    // comes on top of its customer's share
-	Standing bool    // stands already when the day begins
+// Arrival is one client as a source of load tells it: when it comes, how long it wants its connection, and whose it is.
+type Arrival struct {
+	At            time.Duration
+	Life          time.Duration
+	Service       ServiceID
+	Customer      CustomerID
+	Group         GroupID
+	Locality      LocalityID
+	Load          float64 // usual, work a second
+	Beyond        bool    // comes on top of its customer's share
+	IsEstablished bool    // stands already when the day begins
 }
 
-// Source tells visits in the order of their coming. It must not depend on what balancers do: arrivals never wait for
+// ArrivalSource tells visits in the order of their coming. It must not depend on what balancers do: arrivals never wait for
 // answers, or a balancer that stops would lower its own load.
-type Source interface {
-	Next() (Visit, bool)
+type ArrivalSource interface {
+	Next() (Arrival, bool)
 }
 
 // StartLoad begins to draw visits from a source.
-func (w *World) StartLoad(s Source) {
+func (w *World) StartLoad(s ArrivalSource) {
 	w.source = s
-	w.nextVisit()
+	w.scheduleNextArrival()
 }
 
-func (w *World) nextVisit() {
+func (w *World) scheduleNextArrival() {
 	v, ok := w.source.Next()
-	if !ok || v.At >= w.Books.Length {
+	if !ok || v.At >= w.Accounting.Length {
 		return
 	}
-	w.Agenda.At(v.At, Arrive, func() {
-		w.come(v)
-		w.nextVisit()
+	w.Schedule.At(v.At, Arrive, func() {
+		w.addClient(v)
+		w.scheduleNextArrival()
 	})
 }
 
-func (w *World) come(v Visit) {
-	c := &Client{ID: ClientID(w.Totals.Clients), Visit: v, w: w, load: v.Load, until: v.At + v.Life, place: len(w.clients)}
+func (w *World) addClient(v Arrival) {
+	c := &Client{ID: ClientID(w.Totals.Clients), Arrival: v, w: w, load: v.Load, until: v.At + v.Life, place: len(w.clients)}
 	w.Totals.Clients++
 	w.clients = append(w.clients, c)
-	c.chance = Chance(w.Seed, "client", int(c.ID))
+	c.random = RandomSource(w.Seed, "client", int(c.ID))
 	s := c.service()
-	c.obeys = c.chance.Float64() < s.Obeys
-	w.Books.Wanted(v.Service, v.Customer, v.Beyond, v.Hall, v.At, c.until, s.Value)
-	w.Agenda.At(c.until, Arrive, c.leave)
-	c.swing()
-	if v.Standing {
-		w.stand(c)
+	c.obeysRetryAfter = c.random.Float64() < s.ObeysRetryAfter
+	w.Accounting.AddRequested(v.Service, v.Customer, v.Beyond, v.Locality, v.At, c.until, s.Value)
+	w.Schedule.At(c.until, Arrive, c.leave)
+	c.scheduleLoadChange()
+	if v.IsEstablished {
+		w.establishInitially(c)
 		return
 	}
-	c.ask()
+	c.attempt()
 }
 
-// swing lets a client's load change while it lasts.
-func (c *Client) swing() {
+// scheduleLoadChange lets a client's load change while it lasts.
+func (c *Client) scheduleLoadChange() {
 	s := c.service()
 	if s.ChangeEvery <= 0 || s.Swing <= 0 {
 		return
 	}
-	c.w.Agenda.After(time.Duration(c.chance.ExpFloat64()*float64(s.ChangeEvery)), Arrive, func() {
-		if c.state == Done {
+	c.w.Schedule.After(time.Duration(c.random.ExpFloat64()*float64(s.ChangeEvery)), Arrive, func() {
+		if c.state == Finished {
 			return
 		}
-		to := c.Visit.Load * Scatter(c.chance, s.Swing)
-		if c.at != nil {
-			c.at.ask(to - c.load)
+		to := c.Arrival.Load * LogNormal(c.random, s.Swing)
+		if c.server != nil {
+			c.server.addDemand(to - c.load)
 		}
 		c.load = to
-		c.swing()
+		c.scheduleLoadChange()
 	})
 }
--- a/internal/simulation/queue.go
+++ b/internal/simulation/queue.go
@@ -8,14 +8,14 @@
 // Queue is one waiting line before some cores that all work at the same pace; the pace may change at any time, as a
 // server that warms, slows or is crowded keeps what it has begun.
 type Queue struct {
-	agenda  *Agenda
-	cores   int
-	room    int     // how many may wait; below 0: any number
-	pace    float64 // work that one core does in a second
-	settled time.Duration
-	busy    []*Job
-	line    []*Job
-	turn    uint64 // the next end noted last is the only one that counts
+	schedule   *Schedule
+	cores      int
+	maxWaiting int     // how many may wait; below 0: any number
+	speed      float64 // work that one core does in a second
+	settled    time.Duration
+	running    []*Job
+	waiting    []*Job
+	version    uint64 // the next end noted last is the only one that counts
 }
 
 // Job is work that a queue has taken in.
@@ -25,8 +25,8 @@
 }
 
 // NewQueue makes an empty one of so many cores, each doing pace of work a second, with room for so many that wait.
-func NewQueue(a *Agenda, cores, room int, pace float64) *Queue {
-	return &Queue{agenda: a, cores: cores, room: room, pace: pace}
+func NewQueue(a *Schedule, cores, room int, pace float64) *Queue {
+	return &Queue{schedule: a, cores: cores, maxWaiting: room, speed: pace}
 }
 
 // Put takes work in; it is turned away where the line is full. The returned job can be dropped.
@@ -34,94 +34,94 @@
 	q.settle()
 	j := &Job{left: work, done: done}
 	switch {
-	case len(q.busy) < q.cores:
-		q.busy = append(q.busy, j)
-	case q.room >= 0 && len(q.line) >= q.room:
+	case len(q.running) < q.cores:
+		q.running = append(q.running, j)
+	case q.maxWaiting >= 0 && len(q.waiting) >= q.maxWaiting:
 		return nil, false
 	default:
-		q.line = append(q.line, j)
+		q.waiting = append(q.waiting, j)
 	}
-	q.note()
+	q.scheduleNextEnd()
 	return j, true
 }
 
 // Drop gives a job up, wherever it is; one that is done already is passed over.
 func (q *Queue) Drop(j *Job) {
 	q.settle()
-	if i := slices.Index(q.line, j); i >= 0 {
-		q.line = slices.Delete(q.line, i, i+1)
-	} else if i := slices.Index(q.busy, j); i >= 0 {
-		q.busy = slices.Delete(q.busy, i, i+1)
-		q.fill()
+	if i := slices.Index(q.waiting, j); i >= 0 {
+		q.waiting = slices.Delete(q.waiting, i, i+1)
+	} else if i := slices.Index(q.running, j); i >= 0 {
+		q.running = slices.Delete(q.running, i, i+1)
+		q.startWaiting()
 	}
-	q.note()
+	q.scheduleNextEnd()
 }
 
 // Clear drops all.
 func (q *Queue) Clear() {
 	q.settle()
-	q.busy, q.line = nil, nil
-	q.note()
+	q.running, q.waiting = nil, nil
+	q.scheduleNextEnd()
 }
 
-// Pace sets how fast each core works from now on.
-func (q *Queue) Pace(p float64) {
-	if p == q.pace {
+// SetSpeed sets how fast each core works from now on.
+func (q *Queue) SetSpeed(p float64) {
+	if p == q.speed {
 		return
 	}
 	q.settle()
-	q.pace = p
-	q.note()
+	q.speed = p
+	q.scheduleNextEnd()
 }
 
-// Held is how many are in work or wait.
-func (q *Queue) Held() int { return len(q.busy) + len(q.line) }
+// Jobs is how many are in work or wait.
+func (q *Queue) Jobs() int { return len(q.running) + len(q.waiting) }
 
 // Busy is how many are in work.
-func (q *Queue) Busy() int { return len(q.busy) }
+func (q *Queue) Busy() int { return len(q.running) }
 
 func (q *Queue) settle() {
-	did := q.pace * (q.agenda.now - q.settled).Seconds()
-	for _, j := range q.busy {
+	did := q.speed * (q.schedule.now - q.settled).Seconds()
+	for _, j := range q.running {
 		j.left -= did
 	}
-	q.settled = q.agenda.now
+	q.settled = q.schedule.now
 }
 
-func (q *Queue) fill() {
-	for len(q.busy) < q.cores && len(q.line) > 0 {
-		q.busy = append(q.busy, q.line[0])
-		q.line = q.line[1:]
+func (q *Queue) startWaiting() {
+	for len(q.running) < q.cores && len(q.waiting) > 0 {
+		q.running = append(q.running, q.waiting[0])
+		q.waiting = q.waiting[1:]
 	}
 }
 
-// note has the next end looked at. Times are whole nanoseconds: what is left below one of them counts as done.
-func (q *Queue) note() {
-	q.turn++
-	if len(q.busy) == 0 || q.pace <= 0 {
+// scheduleNextEnd has the next end looked at. Times are whole nanoseconds: what is left below one of them counts as done.
+func (q *Queue) scheduleNextEnd() {
+	q.version++
+	if len(q.running) == 0 || q.speed <= 0 {
 		return
 	}
-	least := q.busy[0].left
-	for _, j := range q.busy[1:] {
+	least := q.running[0].left
+	for _, j := range q.running[1:] {
 		least = min(least, j.left)
 	}
-	turn := q.turn
-	in := min(max(0, least/q.pace), 1e9) // seconds; a core that all but stands still is asked again when its pace changes
-	q.agenda.After(time.Duration(in*float64(time.Second))+1, Work, func() {
-		if turn != q.turn {
+	turn := q.version
+	in := min(max(0, least/q.speed), 1e9) // seconds; a core that all but stands still is asked again when its pace changes
+	q.schedule.After(time.Duration(in*float64(time.Second))+1, Work, func() {
+		if turn != q.version {
 			return
 		}
 		q.settle()
 		var over []*Job
-		q.busy = slices.DeleteFunc(q.busy, func(j *Job) bool {
+		q.running = slices.DeleteFunc(q.running, func(j *Job) bool {
 			if j.left <= 0 {
 				over = append(over, j)
 				return true
 			}
 			return false
 		})
-		q.fill()
-		q.note()
+		q.startWaiting()
+		q.scheduleNextEnd()
 		for _, j := range over {
 			j.done()
 		}
--- a/internal/simulation/queue_test.go
+++ b/internal/simulation/queue_test.go
@@ -26,7 +26,7 @@
 	}{{1, 0.5, 400_000}, {1, 0.8, 2_500_000}, {4, 0.7, 800_000}, {8, 0.85, 1_600_000}} {
 		t.Run(fmt.Sprintf("%d cores at %.2f", c.cores, c.use), func(t *testing.T) {
 			t.Parallel()
-			a, r := &Agenda{}, Chance(7, "closed forms", c.cores)
+			a, r := &Schedule{}, RandomSource(7, "closed forms", c.cores)
 			q := NewQueue(a, c.cores, -1, 10) // mean service 0.1 s
 			var waited float64
 			n, rate := 0, c.use*float64(c.cores)*10
@@ -55,7 +55,7 @@
 }
 
 func TestQueueKeepsWhatIsBegunAcrossAPaceChange(t *testing.T) {
-	a := &Agenda{}
+	a := &Schedule{}
 	q := NewQueue(a, 1, 1, 1)
 	var ends []time.Duration
 	end := func() { ends = append(ends, a.Now().Round(time.Millisecond)) }
@@ -65,7 +65,7 @@
 		t.Error("a third was taken with room for one to wait")
 	}
 	a.RunTo(time.Second)
-	q.Pace(0.5) // a core second is left: two more seconds
+	q.SetSpeed(0.5) // a core second is left: two more seconds
 	a.RunTo(2 * time.Second)
 	q.Drop(second)
 	q.Put(0.5, end)
@@ -76,7 +76,7 @@
 }
 
 func TestThingsAtOneInstantGoByRankThenOrder(t *testing.T) {
-	a, got := &Agenda{}, ""
+	a, got := &Schedule{}, ""
 	say := func(s string) func() { return func() { got += s } }
 	a.At(time.Second, Book, say("e"))
 	a.At(time.Second, Message, say("c"))
--- a/internal/simulation/setup.go
+++ b/internal/simulation/setup.go
@@ -10,80 +10,80 @@
 
 const (
 	queued stage = iota
-	storing
-	standing
+	callingStore
+	established
 	over
 )
 
 type conn struct {
-	id     ConnID
-	client *Client
-	from   HallID // of its balancer
-	stage  stage
-	job    *Job
-	place  int // in Server.conns
+	id               ConnID
+	client           *Client
+	balancerLocality LocalityID // of its balancer
+	stage            stage
+	job              *Job
+	place            int // in Server.conns
 }
 
-type push struct {
+type recentConnect struct {
 	at   time.Duration
 	load float64
 }
 
 // Arrive: the line of a connect has come to a server that takes connections.
-func (s *Server) arrive(id ConnID, c *Client, from HallID) {
+func (s *Server) arrive(id ConnID, c *Client, from LocalityID) {
 	w := s.w
 	s.settle()
-	s.push(c.load)
-	if !s.Alive() { // fell over under this very connect
-		w.Carrier.Turn(id, Dropped)
+	s.recordSlowStartLoad(c.load)
+	if !s.IsServing() { // fell over under this very connect
+		w.Driver.EndConnect(id, Dropped)
 		return
 	}
-	if s.phase == Leaving || len(s.conns) >= s.Cap {
-		w.Carrier.Turn(id, Full)
+	if s.phase == Leaving || len(s.conns) >= s.MaxConnections {
+		w.Driver.EndConnect(id, Full)
 		return
 	}
-	if s.errors > 0 && s.chance.Float64() < s.errors {
-		w.Carrier.Turn(id, Failed)
+	if s.errorShare > 0 && s.chance.Float64() < s.errorShare {
+		w.Driver.EndConnect(id, Failed)
 		return
 	}
-	k := &conn{id: id, client: c, from: from, place: len(s.conns)}
-	j, ok := s.setups.Put(w.setupWork(c.Service, s.chance), func() { s.toStore(k) })
+	k := &conn{id: id, client: c, balancerLocality: from, place: len(s.conns)}
+	j, ok := s.setups.Put(w.setupWork(c.Service, s.chance), func() { s.callStore(k) })
 	if !ok {
-		w.Carrier.Turn(id, Full)
+		w.Driver.EndConnect(id, Full)
 		return
 	}
 	k.job = j
 	s.conns = append(s.conns, k)
-	s.held[id] = k
+	s.connByID[id] = k
 	w.conns[id] = s
 	s.changed()
 }
 
-func (s *Server) toStore(k *conn) {
-	k.stage = storing
+func (s *Server) callStore(k *conn) {
+	k.stage = callingStore
 	s.settle()
 	if s.w.Store == nil {
-		s.up(k)
+		s.finishSetup(k)
 		return
 	}
-	k.job, _ = s.w.Store.Put(Between(s.w.storeChance, 0.7, 1.3), func() { s.up(k) })
+	k.job, _ = s.w.Store.Put(Uniform(s.w.storeRandom, 0.7, 1.3), func() { s.finishSetup(k) })
 }
 
-func (s *Server) up(k *conn) {
+func (s *Server) finishSetup(k *conn) {
 	if k.stage == over {
 		return
 	}
-	s.stand(k)
-	s.w.Carrier.Up(k.id)
+	s.establish(k)
+	s.w.Driver.Establish(k.id)
 }
 
-// stand lets a connection ask for work from now on.
-func (s *Server) stand(k *conn) {
+// establish lets a connection ask for work from now on.
+func (s *Server) establish(k *conn) {
 	s.settle()
-	k.stage, k.job = standing, nil
-	s.standingNow++
+	k.stage, k.job = established, nil
+	s.established++
 	c := k.client
-	c.at, c.atConn = s, k
+	c.server, c.conn = s, k
 	s.demand += c.load
 	if c.Group != NoGroup {
 		if s.groups[c.Group]++; s.groups[c.Group] == 1 {
@@ -103,12 +103,12 @@
 	switch k.stage {
 	case queued:
 		s.setups.Drop(k.job)
-	case storing:
+	case callingStore:
 		if s.w.Store != nil {
 			s.w.Store.Drop(k.job)
 		}
-	case standing:
-		s.standingNow--
+	case established:
+		s.established--
 		c := k.client
 		s.demand = math.Max(0, s.demand-c.load)
 		if c.Group != NoGroup {
@@ -118,36 +118,36 @@
 			}
 		}
 		s.count(k, -1)
-		c.at, c.atConn = nil, nil
+		c.server, c.conn = nil, nil
 	}
 	k.stage = over
 	last := s.conns[len(s.conns)-1]
 	s.conns[k.place], last.place = last, k.place
 	s.conns = s.conns[:len(s.conns)-1]
-	delete(s.held, k.id)
+	delete(s.connByID, k.id)
 	delete(s.w.conns, k.id)
-	if s.standingNow == 0 {
+	if s.established == 0 {
 		s.demand = 0 // what rounding left
 	}
 	s.changed()
 }
 
-// push books a connect against a cold server: more than a multiple of what it can take over a window tips it.
-func (s *Server) push(load float64) {
-	if s.since == LongAgo || s.w.fallMultiple == 0 || s.Warmth() >= 1 {
+// recordSlowStartLoad books a connect against a cold server: more than a multiple of what it can take over a window tips it.
+func (s *Server) recordSlowStartLoad(load float64) {
+	if s.startedAt == LongAgo || s.w.collapseMultiple == 0 || s.WarmFraction() >= 1 {
 		return
 	}
-	now := s.w.Agenda.now
-	s.pushed = append(s.pushed, push{now, load})
-	s.pushedLoad += load
-	for len(s.pushed) > 0 && s.pushed[0].at <= now-s.w.fallWindow {
-		s.pushedLoad -= s.pushed[0].load
-		s.pushed = s.pushed[1:]
+	now := s.w.Schedule.now
+	s.recentConnects = append(s.recentConnects, recentConnect{now, load})
+	s.recentLoad += load
+	for len(s.recentConnects) > 0 && s.recentConnects[0].at <= now-s.w.collapseWindow {
+		s.recentLoad -= s.recentConnects[0].load
+		s.recentConnects = s.recentConnects[1:]
 	}
-	takes := s.TakesNow() * s.w.fallWindow.Seconds()
-	budget := takes * s.w.fallMultiple
-	s.w.MostPushed = max(s.w.MostPushed, (s.pushedLoad-s.w.chance(budget))/takes)
-	if s.pushedLoad > budget+s.w.chance(budget) {
-		s.w.fall(s)
+	takes := s.SlowStartRate() * s.w.collapseWindow.Seconds()
+	budget := takes * s.w.collapseMultiple
+	s.w.MaxSlowStartExcess = max(s.w.MaxSlowStartExcess, (s.recentLoad-s.w.chanceAllowance(budget))/takes)
+	if s.recentLoad > budget+s.w.chanceAllowance(budget) {
+		s.w.collapse(s)
 	}
 }
--- a/internal/simulation/types.go
+++ b/internal/simulation/types.go
@@ -6,8 +6,8 @@
 type (
 	// ServerID numbers a server.
 	ServerID int
-	// HallID numbers a locality.
-	HallID int
+	// LocalityID numbers a locality.
+	LocalityID int
 	// CellID numbers the servers that drop each other's repeats.
 	CellID int
 	// BalancerID numbers a balancer.
@@ -40,7 +40,7 @@
 	Established Answer = iota
 	Rejected           // trying again is harmless
 	Aborted
-	Nobody // no balancer took it
+	NoBalancer // no balancer took it
 )
 
 // Ending is how a standing connection ended for its client, other than by itself.
@@ -48,20 +48,20 @@
 
 // Endings.
 const (
-	Moved Ending = iota // asked to come again
-	Cut                 // reset, or its balancer died
+	Migrated Ending = iota // asked to come again
+	Cut                    // reset, or its balancer died
 )
 
-// Refusal is what a connect meets before any work is done for it, or in place of its end.
-type Refusal int
+// EndReason is what a connect meets before any work is done for it, or in place of its end.
+type EndReason int
 
 // Refusals.
 const (
-	Full    Refusal = iota // turned away unseen
-	Failed                 // an error; it may have run
-	Dropped                // the connection broke
-	Sent                   // a server that drains sends its client away
-	Closed                 // a server that stops ends it in order
+	Full          EndReason = iota // turned away unseen
+	Failed                         // an error; it may have run
+	Dropped                        // the connection broke
+	MoveRequested                  // a server that drains sends its client away
+	ServerStopped                  // a server that stops ends it in order
 )
 
 // Reach is what a new connection to a server meets.
@@ -69,9 +69,9 @@
 
 // What a new connection may meet.
 const (
-	Open    Reach = iota
-	Refused       // nobody listens: told at once
-	Silence       // nothing comes back
+	Open         Reach = iota
+	Refused            // nobody listens: told at once
+	Unresponsive       // nothing comes back
 )
 
 // Readiness is what the server list says.
@@ -86,72 +86,72 @@
 
 // Entry is one server as the list tells it.
 type Entry struct {
-	Server ServerID
-	Hall   HallID
-	Cell   CellID
-	Size   float64
-	State  Readiness
-	Since  time.Duration
+	Server    ServerID
+	Locality  LocalityID
+	Cell      CellID
+	Size      float64
+	Readiness Readiness
+	StartedAt time.Duration
 }
 
-// Carrier takes what the world does to its surroundings: the balancers and the network before them. Each call says
+// Driver takes what the world does to its surroundings: the balancers and the network before them. Each call says
 // what happened at the time of the agenda; how long it takes to be heard of is the carrier's to say.
-type Carrier interface {
-	// Ask: a client opens a connection at a balancer and sends its line.
-	Ask(f FlowID, c *Client, to BalancerID, left time.Duration, repeat, back bool)
-	// Leave: a client ends its connection, standing or not.
-	Leave(f FlowID)
-	// Up, Turn: a server's word on a connect or a standing connection.
-	Up(c ConnID)
-	Turn(c ConnID, how Refusal)
-	// Late: a message takes that long at a server; told once a second of a server.
-	Late(s ServerID, delay time.Duration)
-	// News of the list, to one balancer.
-	News(b BalancerID, full bool, entries []Entry)
-	// Kill and Start a balancer; Stop asks it to end in order.
-	Kill(b BalancerID)
-	Stop(b BalancerID)
-	Start(b BalancerID)
-	// Changed: what new connections meet at a server may have changed; those it had have been told by Turn.
-	Changed(s ServerID)
+type Driver interface {
+	// OpenFlow: a client opens a connection at a balancer and sends its line.
+	OpenFlow(f FlowID, c *Client, to BalancerID, left time.Duration, repeat, back bool)
+	// LeaveFlow: a client ends its connection, standing or not.
+	LeaveFlow(f FlowID)
+	// Establish, Turn: a server's word on a connect or a standing connection.
+	Establish(c ConnID)
+	EndConnect(c ConnID, how EndReason)
+	// ReportDelay: a message takes that long at a server; told once a second of a server.
+	ReportDelay(s ServerID, delay time.Duration)
+	// UpdateList of the list, to one balancer.
+	UpdateList(b BalancerID, full bool, entries []Entry)
+	// KillBalancer and Start a balancer; Stop asks it to end in order.
+	KillBalancer(b BalancerID)
+	StopBalancer(b BalancerID)
+	StartBalancer(b BalancerID)
+	// ServerChanged: what new connections meet at a server may have changed; those it had have been told by Turn.
+	ServerChanged(s ServerID)
 }
 
 // Service is one service type.
 type Service struct {
-	Name           string
-	Share          float64 // of new connections
-	Load, Life     float64 // times the usual
-	Target         time.Duration
-	Timeout        time.Duration // connect timeout
-	Message        time.Duration // a message is wanted within this
-	Value          float64       // a second
-	Effect, Group  string        // as the settings have them
-	Window         time.Duration
-	Work           float64 // of a set-up, core seconds of speed 1
-	WorkSpread     float64 // coefficient of variation; 1 is exponential
-	LoadSpread     float64 // sigma of the usual load over clients
-	Swing          float64 // sigma of a client's load over time
-	ChangeEvery    time.Duration
-	MessageWork    time.Duration // of one message on a core of speed 1
-	LifeSigma      float64
-	RetriesInARow  int
-	Habit          Habit
-	Wait           time.Duration // of the habit
-	ReturnMin      time.Duration // after a break
-	ReturnMax      time.Duration
-	Obeys          float64 // share of clients that wait when told to
-	SilenceNoticed time.Duration
+	Name            string
+	Share           float64 // of new connections
+	Load, Life      float64 // times the usual
+	Target          time.Duration
+	Timeout         time.Duration // connect timeout
+	Message         time.Duration // a message is wanted within this
+	Value           float64       // a second
+	Effect, Group   string        // as the settings have them
+	Window          time.Duration
+	Work            float64 // of a set-up, core seconds of speed 1
+	WorkSpread      float64 // coefficient of variation; 1 is exponential
+	LoadSpread      float64 // sigma of the usual load over clients
+	Swing           float64 // sigma of a client's load over time
+	ChangeEvery     time.Duration
+	MessageWork     time.Duration // of one message on a core of speed 1
+	LifeSigma       float64
+	RetriesInARow   int
+	Retry           RetryPolicy
+	RetryDelay      time.Duration // of the habit
+	ReturnMin       time.Duration // after a break
+	ReturnMax       time.Duration
+	ObeysRetryAfter float64 // share of clients that wait when told to
+	SilenceNoticed  time.Duration
 }
 
-// Habit is when a client whose try came to nothing tries again.
-type Habit int
+// RetryPolicy is when a client whose try came to nothing tries again.
+type RetryPolicy int
 
 // Habits of a client.
 const (
-	Never Habit = iota
-	AtOnce
-	Fixed
-	Backoff // doubled each time, with jitter
+	NeverRetry RetryPolicy = iota
+	RetryAtOnce
+	RetryAfterFixedDelay
+	RetryWithBackoff // doubled each time, with jitter
 )
 
 // Customer shares the fleet.
--- a/internal/testbed/baseline/baseline.go
+++ b/internal/testbed/baseline/baseline.go
@@ -144,18 +144,18 @@
 	g := p.groups(f.group)
 	for _, s := range ready {
 		t := p.truth(s.id)
-		if !t.Alive() || t.Room() < 2*t.GroupLoad {
+		if !t.IsServing() || t.SlowStartBudget() < 2*t.GroupLoad {
 			continue
 		}
 		use := p.use(t)
 		more := 0.0
 		if !t.HoldsGroup(g) {
-			more = t.GroupLoad / t.Can()
+			more = t.GroupLoad / t.CurrentCapacity()
 		}
 		if use+more > topUse {
 			continue
 		}
-		if c := use + 2*more + 2*t.Late(); c < least {
+		if c := use + 2*more + 2*t.QueueDelay(); c < least {
 			best, least = s, c
 		}
 	}
@@ -164,8 +164,8 @@
 
 // use is what a server is asked for over what it can do, with what is being set up there counted as standing.
 func (p *Plain) use(t *simulation.Server) float64 {
-	coming := float64(t.Held()-t.Standing()) * t.GroupLoad
-	return (t.Demand()+coming)/t.Can() + t.Late()
+	coming := float64(t.ConnectionCount()-t.Established()) * t.GroupLoad
+	return (t.Demand()+coming)/t.CurrentCapacity() + t.QueueDelay()
 }
 
 // relieve moves what a server is asked for beyond what it can do, each balancer its part.
@@ -174,8 +174,8 @@
 	over := map[*server]float64{}
 	for _, s := range p.servers {
 		t := p.truth(s.id)
-		if !t.Alive() || s.state != decide.Ready {
-			if s.open > 0 && !t.Alive() {
+		if !t.IsServing() || s.state != decide.Ready {
+			if s.open > 0 && !t.IsServing() {
 				over[s] = 0.25 // nobody there: come again elsewhere
 			}
 			continue
--- a/internal/testbed/count/count.go
+++ b/internal/testbed/count/count.go
@@ -76,15 +76,15 @@
 const windowSeconds = 10
 
 // Count fills in what books, totals and weights tell. Cut, a day's last part may be left out.
-func (r *Result) Count(b *simulation.Books, t *simulation.Totals, services, customers int, w Weights) {
-	seconds := len(b.Asked[0])
+func (r *Result) Count(b *simulation.Accounting, t *simulation.Totals, services, customers int, w Weights) {
+	seconds := len(b.Requested[0])
 	asked, got := make([]float64, seconds), make([]float64, seconds)
 	byType, gotType := make([]float64, services), make([]float64, services)
 	byCust, gotCust := make([]float64, max(customers, 1)), make([]float64, max(customers, 1))
-	for row := range b.Asked {
-		s, c, beyond := b.Of(row)
+	for row := range b.Requested {
+		s, c, beyond := b.RowOf(row)
 		for i := range seconds {
-			a, g := b.Asked[row][i], b.Got[row][i]
+			a, g := b.Requested[row][i], b.Served[row][i]
 			asked[i] += a
 			got[i] += g
 			byType[s] += a
@@ -127,10 +127,10 @@
 	for i := range asked {
 		r.BySecond = append(r.BySecond, share(got[i], asked[i]))
 	}
-	for h := range b.HallAsked {
+	for h := range b.RequestedByLocality {
 		row := make([]float64, seconds)
 		for i := range row {
-			row[i] = share(b.HallGot[h][i], b.HallAsked[h][i])
+			row[i] = share(b.ServedByLocality[h][i], b.RequestedByLocality[h][i])
 		}
 		r.ByHall = append(r.ByHall, row)
 	}
@@ -138,17 +138,17 @@
 	r.Service = (w.Whole*r.Whole + w.Window*r.Window + w.Customer*r.Customer + w.Type*r.Type) / all
 	clients := math.Max(1, float64(t.Clients))
 	r.Service -= w.Crossing*float64(r.Crossings)/clients + w.Moves*float64(r.Moves)/clients + w.Connects*float64(r.Connects)/clients
-	r.Clients, r.Tries, r.Retries, r.Establish, r.Rejected = t.Clients, t.Tries, t.Retries, t.Established, t.Rejected
-	r.Aborted, r.Nobody, r.GaveUp, r.Cut = t.Aborted, t.Nobody, t.GaveUp, t.Cut
+	r.Clients, r.Tries, r.Retries, r.Establish, r.Rejected = t.Clients, t.Attempts, t.Retries, t.Established, t.Rejected
+	r.Aborted, r.Nobody, r.GaveUp, r.Cut = t.Aborted, t.NoBalancer, t.TimedOut, t.Cut
 	r.Setup = quantiles(t.Setups)
-	r.First, r.Never = quantiles(append(slices.Clone(t.FirstUp), t.NeverUp...)), len(t.NeverUp)
-	r.Rejects, r.TriesBy = PerSecond(t.RejectedAt, seconds), PerSecond(t.TriedAt, seconds)
+	r.First, r.Never = quantiles(append(slices.Clone(t.FirstEstablished), t.NeverEstablished...)), len(t.NeverEstablished)
+	r.Rejects, r.TriesBy = PerSecond(t.RejectedAt, seconds), PerSecond(t.AttemptedAt, seconds)
 	r.setups(t, seconds)
 }
 
 func (r *Result) setups(t *simulation.Totals, seconds int) {
 	at := make([][]time.Duration, seconds)
-	for i, when := range t.SetupAt {
+	for i, when := range t.EstablishedAt {
 		if s := int(when / time.Second); s < seconds {
 			at[s] = append(at[s], t.Setups[i])
 		}
--- a/internal/testbed/count/count_test.go
+++ b/internal/testbed/count/count_test.go
@@ -9,16 +9,16 @@
 )
 
 func TestServiceIsValueServedOverValueAskedFor(t *testing.T) {
-	b := simulation.NewBooks(40*time.Second, 2, 2, 2, 0.5)
-	b.Wanted(0, 0, false, 0, 0, 40*time.Second, 1)
-	b.Wanted(1, 1, false, 0, 0, 40*time.Second, 3)
-	b.Wanted(0, 1, true, 0, 0, 40*time.Second, 2) // counts half
-	b.Served(0, 0, false, 0, 0, 40*time.Second, 1)
-	b.Served(1, 1, false, 0, 5*time.Second, 25*time.Second, 3)
-	b.Served(0, 1, true, 0, 0, 20*time.Second, 2)
+	b := simulation.NewAccounting(40*time.Second, 2, 2, 2, 0.5)
+	b.AddRequested(0, 0, false, 0, 0, 40*time.Second, 1)
+	b.AddRequested(1, 1, false, 0, 0, 40*time.Second, 3)
+	b.AddRequested(0, 1, true, 0, 0, 40*time.Second, 2) // counts half
+	b.AddServed(0, 0, false, 0, 0, 40*time.Second, 1)
+	b.AddServed(1, 1, false, 0, 5*time.Second, 25*time.Second, 3)
+	b.AddServed(0, 1, true, 0, 0, 20*time.Second, 2)
 	var r Result
 	r.Crossings = 5
-	tot := &simulation.Totals{Clients: 10, Setups: []time.Duration{10 * time.Millisecond, 30 * time.Millisecond}, SetupAt: []time.Duration{0, time.Second}}
+	tot := &simulation.Totals{Clients: 10, Setups: []time.Duration{10 * time.Millisecond, 30 * time.Millisecond}, EstablishedAt: []time.Duration{0, time.Second}}
 	r.Count(b, tot, 2, 2, Weights{Whole: 0.5, Window: 0.5, Crossing: 0.1})
 	for _, c := range []struct {
 		name      string
--- a/internal/testbed/dissemination/dissemination.go
+++ b/internal/testbed/dissemination/dissemination.go
@@ -121,7 +121,7 @@
 func newSimulation(config Config) *clusterRun {
 	s := &clusterRun{
 		config:          config,
-		random:          simulation.Chance(config.Seed, randomStream, config.Members),
+		random:          simulation.RandomSource(config.Seed, randomStream, config.Members),
 		retransmitLimit: retransmitMultiplier * int(math.Ceil(math.Log10(float64(config.Members+1)))),
 		deliveries:      map[time.Duration][]delivery{},
 		result:          &Result{Members: config.Members, Seed: config.Seed, Most: noDeadline, Half: noDeadline},
--- a/internal/testbed/experiment/day.go
+++ b/internal/testbed/experiment/day.go
@@ -16,7 +16,7 @@
 	Experiment *Experiment
 	Seed       uint64
 	World      *simulation.World
-	Troubles   []simulation.Trouble
+	Troubles   []simulation.Fault
 
 	services  []simulation.Service
 	customers []simulation.Customer
@@ -36,15 +36,15 @@
 	zipf  simulation.Zipf
 }
 
-func (s span) draw(r *rand.Rand) time.Duration { return simulation.BetweenTimes(r, s.lo, s.hi) }
-func (s reach) draw(r *rand.Rand) float64      { return simulation.Between(r, s.lo, s.hi) }
+func (s span) draw(r *rand.Rand) time.Duration { return simulation.UniformDuration(r, s.lo, s.hi) }
+func (s reach) draw(r *rand.Rand) float64      { return simulation.Uniform(r, s.lo, s.hi) }
 func (s reach) whole(r *rand.Rand) int {
 	return int(s.lo) + r.IntN(int(s.hi)-int(s.lo)+1)
 }
 
 // Day draws the day of a seed. The same seed gives the same day to every policy.
 func (e *Experiment) Day(seed uint64) *Day {
-	r := simulation.Chance(seed, "day", 0)
+	r := simulation.RandomSource(seed, "day", 0)
 	d := &Day{Experiment: e, Seed: seed, services: append([]simulation.Service(nil), e.services...),
 		customers: append([]simulation.Customer(nil), e.customers...)}
 	d.perCore, d.sigma, d.load = e.perCore.draw(r), e.lifeSigma.draw(r), e.load.draw(r)
@@ -52,37 +52,37 @@
 	d.swing, d.spread = e.swing.draw(r), e.loadSpread.draw(r)
 	shortest := time.Duration(math.MaxInt64)
 	swing, every := e.loadSwing.draw(r), e.changeEvery.draw(r)
-	habit := map[string]simulation.Habit{"never": simulation.Never, "at-once": simulation.AtOnce, "fixed": simulation.Fixed,
-		"backoff": simulation.Backoff}[e.habits[r.IntN(len(e.habits))]]
+	habit := map[string]simulation.RetryPolicy{"never": simulation.NeverRetry, "at-once": simulation.RetryAtOnce, "fixed": simulation.RetryAfterFixedDelay,
+		"backoff": simulation.RetryWithBackoff}[e.habits[r.IntN(len(e.habits))]]
 	retries, wait, obeys, silence := e.retries.whole(r), e.wait.draw(r), e.obeys.draw(r), e.silence.draw(r)
 	for i := range d.services {
 		s := &d.services[i]
 		s.LoadSpread, s.Swing, s.ChangeEvery, s.LifeSigma = d.spread, swing, every, d.sigma
-		s.RetriesInARow, s.Habit, s.Wait, s.Obeys, s.SilenceNoticed = retries, habit, wait, obeys, silence
+		s.RetriesInARow, s.Retry, s.RetryDelay, s.ObeysRetryAfter, s.SilenceNoticed = retries, habit, wait, obeys, silence
 		s.ReturnMin, s.ReturnMax = e.comeBack.lo, e.comeBack.hi
 		shortest = min(shortest, s.Message)
 	}
 	w := simulation.New(seed, e.Length, shortest/3)
 	d.World = w
-	w.StartCold(e.coldLeast, e.multiple, e.fall, e.warmMost)
+	w.ConfigureSlowStart(e.coldLeast, e.multiple, e.fall, e.warmMost)
 	meanLoad := d.MeanLoad()
-	w.StartServices(d.services, d.customers, e.halls, e.beyond, meanLoad, d.services[0].MessageWork)
-	w.StartStanding(e.home)
-	w.StartNet(e.same.draw(r), e.cross.draw(r), e.client.draw(r))
-	w.StartFront(e.frontNotice.lo, e.frontNotice.hi)
-	w.StartDrains(map[string]simulation.Drain{"quiet": simulation.Quiet, "paced": simulation.Paced, "at-once": simulation.Flat}[e.drains])
+	w.ConfigureServices(d.services, d.customers, e.halls, e.beyond, meanLoad, d.services[0].MessageWork)
+	w.ConfigureEstablished(e.home)
+	w.ConfigureNetwork(e.same.draw(r), e.cross.draw(r), e.client.draw(r))
+	w.ConfigureFront(e.frontNotice.lo, e.frontNotice.hi)
+	w.ConfigureDrains(map[string]simulation.Drain{"quiet": simulation.Quiet, "paced": simulation.Paced, "at-once": simulation.Flat}[e.drains])
 	d.fleet(r, meanLoad)
 	d.shares(r)
-	w.StartList(e.notice.lo, e.notice.hi, e.silentNotice.lo, e.silentNotice.hi, e.addNotice.lo, e.addNotice.hi,
+	w.ConfigureList(e.notice.lo, e.notice.hi, e.silentNotice.lo, e.silentNotice.hi, e.addNotice.lo, e.addNotice.hi,
 		e.spread.lo, e.spread.hi, e.asked)
 	w.List.Begin()
 	for _, t := range e.troubles {
-		x := simulation.Trouble{Kind: t.kind, Start: simulation.BetweenTimes(r, t.startLo, t.startHi),
-			Length: simulation.BetweenTimes(r, t.lengthLo, t.lengthHi), Share: simulation.Between(r, t.shareLo, t.shareHi),
-			Strength: simulation.Between(r, t.strengthLo, t.strengthHi), Extra: simulation.BetweenTimes(r, t.extraLo, t.extraHi), Hall: simulation.AnyHall}
+		x := simulation.Fault{Kind: t.kind, Start: simulation.UniformDuration(r, t.startLo, t.startHi),
+			Length: simulation.UniformDuration(r, t.lengthLo, t.lengthHi), Share: simulation.Uniform(r, t.shareLo, t.shareHi),
+			Strength: simulation.Uniform(r, t.strengthLo, t.strengthHi), Extra: simulation.UniformDuration(r, t.extraLo, t.extraHi), Locality: simulation.AnyLocality}
 		for i, h := range e.halls {
 			if h == t.hall {
-				x.Hall = simulation.HallID(i)
+				x.Locality = simulation.LocalityID(i)
 			}
 		}
 		if r.Float64() < t.chance {
@@ -91,7 +91,7 @@
 	}
 	if h := e.headroom.draw(r); h > 0 {
 		// The usual rate of set-ups is that of arrivals, as everybody comes once.
-		w.StartStore(h * d.rate())
+		w.ConfigureStore(h * d.rate())
 	}
 	return d
 }
@@ -105,14 +105,14 @@
 		cores, speed := e.cores.whole(r), e.speed.draw(r)
 		size := 1.0
 		if e.sizes == "rough" {
-			size = float64(cores) * speed * simulation.Between(r, 0.85, 1.15)
+			size = float64(cores) * speed * simulation.Uniform(r, 0.85, 1.15)
 		}
 		full := float64(cores) * speed * d.perCore
-		w.AddServer(simulation.HallID(i%halls), simulation.CellID(i/e.cell), cores, speed, size, max(4, int(fillings*full)),
+		w.AddServer(simulation.LocalityID(i%halls), simulation.CellID(i/e.cell), cores, speed, size, max(4, int(fillings*full)),
 			int(queue*float64(cores)), buffer, group*meanLoad, coldFrom, e.warm.draw(r), byWork, false)
 	}
 	for i := range e.balancers.whole(r) {
-		w.AddBalancer(simulation.HallID(i % halls))
+		w.AddBalancer(simulation.LocalityID(i % halls))
 	}
 	d.capacity = w.Capacity()
 	skew := e.hallSkew.draw(r)
@@ -165,15 +165,15 @@
 
 // Begin puts the whole day on its agenda. The carrier must be set.
 func (d *Day) Begin() {
-	d.World.StartTroubles(d.Troubles)
+	d.World.ScheduleFaults(d.Troubles)
 	d.World.StartLoad(d.Source())
 }
 
 // Source draws the load: who stands when the day begins, then arrivals by thinning at the highest rate.
-func (d *Day) Source() simulation.Source {
-	r := simulation.Chance(d.Seed, "load", 0)
+func (d *Day) Source() simulation.ArrivalSource {
+	r := simulation.RandomSource(d.Seed, "load", 0)
 	first := d.standing()
-	if f := simulation.Rate(d.Troubles, 0); f > 1 {
+	if f := simulation.ArrivalRate(d.Troubles, 0); f > 1 {
 		for _, t := range d.Troubles { // an overload holds from the first second on, with all that stands
 			if t.Kind == simulation.Overload && t.Start == 0 {
 				first *= t.Strength
@@ -198,23 +198,23 @@
 	phase    float64
 }
 
-func (s *source) Next() (simulation.Visit, bool) {
+func (s *source) Next() (simulation.Arrival, bool) {
 	d := s.d
 	if s.standing > 0 {
 		s.standing--
 		v := s.visit()
 		// Who is met standing has a long life the likelier, and is somewhere within it.
 		v.Life = time.Duration(float64(v.Life) * math.Exp(d.sigma*d.sigma) * s.r.Float64())
-		v.Standing = true
+		v.IsEstablished = true
 		return v, true
 	}
 	for {
 		s.at += s.r.ExpFloat64() / (d.rate() * s.most)
 		at := time.Duration(s.at * float64(time.Second))
 		if at > d.Experiment.Length {
-			return simulation.Visit{}, false
+			return simulation.Arrival{}, false
 		}
-		if s.r.Float64()*s.most < simulation.Rate(d.Troubles, at)*s.curve(at) {
+		if s.r.Float64()*s.most < simulation.ArrivalRate(d.Troubles, at)*s.curve(at) {
 			v := s.visit()
 			v.At = at
 			return v, true
@@ -234,7 +234,7 @@
 	return 1
 }
 
-func (s *source) visit() (v simulation.Visit) {
+func (s *source) visit() (v simulation.Arrival) {
 	d, r := s.d, s.r
 	v.Service = simulation.ServiceID(weighted(r, len(d.services), func(i int) float64 { return d.services[i].Share }))
 	svc := d.services[v.Service]
@@ -251,9 +251,9 @@
 		v.Beyond = r.Float64() > c.Quota/math.Max(asks, 1e-9)
 	}
 	v.Group = group.first + simulation.GroupID(group.zipf.Draw(r))
-	v.Hall = simulation.HallID(weighted(r, len(d.skew), func(i int) float64 { return d.skew[i] }))
-	v.Load = svc.Load / d.perCore * simulation.Scatter(r, svc.LoadSpread)
-	v.Life = time.Duration(svc.Life * d.life.Seconds() * simulation.Scatter(r, svc.LifeSigma) * float64(time.Second))
+	v.Locality = simulation.LocalityID(weighted(r, len(d.skew), func(i int) float64 { return d.skew[i] }))
+	v.Load = svc.Load / d.perCore * simulation.LogNormal(r, svc.LoadSpread)
+	v.Life = time.Duration(svc.Life * d.life.Seconds() * simulation.LogNormal(r, svc.LifeSigma) * float64(time.Second))
 	return v
 }
 
@@ -288,7 +288,7 @@
 	ns := func(t time.Duration) string { return strconv.FormatInt(int64(t), 10) }
 	num := func(x float64) string { return strconv.FormatFloat(x, 'g', -1, 64) }
 	s := map[string]string{
-		"az": e.halls[d.World.Balancers[b].Hall], "discovery": "push", "weights": e.sizes, "ordinal": strconv.Itoa(int(b)),
+		"az": e.halls[d.World.Balancers[b].Locality], "discovery": "push", "weights": e.sizes, "ordinal": strconv.Itoa(int(b)),
 		"peers-total":                   strconv.Itoa(len(d.World.Balancers)),
 		"family-info.mode":              "proxy",
 		"family-info.tells-delay":       "true",
--- a/internal/testbed/experiment/experiment.go
+++ b/internal/testbed/experiment/experiment.go
@@ -60,7 +60,7 @@
 }
 
 type trouble struct {
-	kind                                     simulation.Kind
+	kind                                     simulation.FaultKind
 	startLo, startHi, lengthLo, lengthHi     time.Duration
 	shareLo, shareHi, strengthLo, strengthHi float64
 	extraLo, extraHi                         time.Duration
@@ -246,10 +246,10 @@
 
 func (e *Experiment) readTrouble(t strict.Table) {
 	var kinds []string
-	for _, k := range simulation.Kinds {
+	for _, k := range simulation.FaultKinds {
 		kinds = append(kinds, string(k))
 	}
-	x := trouble{kind: simulation.Kind(t.String("kind", "", kinds...)), hall: t.String("hall", "", append([]string{""}, e.halls...)...)}
+	x := trouble{kind: simulation.FaultKind(t.String("kind", "", kinds...)), hall: t.String("hall", "", append([]string{""}, e.halls...)...)}
 	if x.kind == "" {
 		if !t.Has("kind") {
 			t.Fail("kind", "is missing; want one of %s", strings.Join(kinds, ", "))
@@ -262,13 +262,13 @@
 	x.strengthLo, x.strengthHi = t.Range("strength", 1, 1, 0, 1000)
 	x.extraLo, x.extraHi = t.DurationRange("extra", 3*time.Second, 3*time.Second, hour)
 	x.chance = t.Float("chance", 1, 0, 1)
-	if (x.kind == simulation.HallLost || x.kind == simulation.CutOff) && x.hall == "" {
+	if (x.kind == simulation.LocalityLost || x.kind == simulation.Partition) && x.hall == "" {
 		t.Fail("hall", "is missing; want one of %s", strings.Join(e.halls, ", "))
 	}
 	if x.startLo >= e.Length {
 		t.Fail("start", "is not before the end of the day, %v", e.Length)
 	}
-	least := map[simulation.Kind]float64{simulation.Slow: 1, simulation.StoreSlow: 1, simulation.Burst: 0.01, simulation.Overload: 0.01, simulation.Grow: 1.01,
+	least := map[simulation.FaultKind]float64{simulation.Slow: 1, simulation.StoreSlow: 1, simulation.Burst: 0.01, simulation.Overload: 0.01, simulation.Grow: 1.01,
 		simulation.Errors: 0.01, simulation.Neighbour: 0.01, simulation.Deploy: 0.001, simulation.BalancerRoll: 0.001}[x.kind]
 	if x.strengthLo < least {
 		t.Fail("strength", "want %g at the least for %s", least, x.kind)
@@ -280,7 +280,7 @@
 }
 
 // Kinds are the kinds of trouble that the file names, and Without leaves one of them out: what a hunt cuts down by.
-func (e *Experiment) Kinds() (kinds []simulation.Kind) {
+func (e *Experiment) Kinds() (kinds []simulation.FaultKind) {
 	for _, t := range e.troubles {
 		kinds = append(kinds, t.kind)
 	}
--- a/internal/testbed/experiment/experiment_test.go
+++ b/internal/testbed/experiment/experiment_test.go
@@ -49,7 +49,7 @@
 		s := d.Source()
 		for v, ok := s.Next(); ok; v, ok = s.Next() {
 			switch {
-			case v.Standing:
+			case v.IsEstablished:
 				stand++
 			case v.At >= 10*time.Second && v.At < 20*time.Second:
 				inBurst++
--- a/internal/testbed/fleet/disturb.go
+++ b/internal/testbed/fleet/disturb.go
@@ -28,7 +28,7 @@
 func (r *run) hangUp(x *process, times int, over time.Duration) {
 	round := x.round
 	for i := range max(times, 1) {
-		r.w.Agenda.After(over*time.Duration(i)/time.Duration(max(times, 1)), simulation.Cause, func() {
+		r.w.Schedule.After(over*time.Duration(i)/time.Duration(max(times, 1)), simulation.Cause, func() {
 			if x.round == round {
 				r.signal(x, syscall.SIGHUP)
 			}
--- a/internal/testbed/fleet/peers.go
+++ b/internal/testbed/fleet/peers.go
@@ -93,7 +93,7 @@
 
 // flood sends what nobody can read, as if members did.
 func (r *run) flood(f fault, who, as []string, length time.Duration) {
-	chance := simulation.Chance(r.seed, "flood", 0)
+	chance := simulation.RandomSource(r.seed, "flood", 0)
 	end := r.dr.Elapsed() + length
 	each := max(1, int(float64(f.rate)*floodBeat.Seconds()))
 	var beat func()
@@ -106,7 +106,7 @@
 			r.post.Inject(netfault.Endpoint(as[chance.IntN(len(as))]), netfault.Endpoint(who[chance.IntN(len(who))]), m)
 		}
 		if r.dr.Elapsed()+floodBeat < end {
-			r.w.Agenda.After(floodBeat, simulation.Cause, beat)
+			r.w.Schedule.After(floodBeat, simulation.Cause, beat)
 		}
 	}
 	beat()
@@ -138,7 +138,7 @@
 			}
 		}
 		if r.dr.Elapsed()+lieBeat < end {
-			r.w.Agenda.After(lieBeat, simulation.Cause, beat)
+			r.w.Schedule.After(lieBeat, simulation.Cause, beat)
 		}
 	}
 	beat()
--- a/internal/testbed/fleet/plan.go
+++ b/internal/testbed/fleet/plan.go
@@ -61,7 +61,7 @@
 
 type span struct{ lo, hi time.Duration }
 
-func (s span) draw(r *rand.Rand) time.Duration { return simulation.BetweenTimes(r, s.lo, s.hi) }
+func (s span) draw(r *rand.Rand) time.Duration { return simulation.UniformDuration(r, s.lo, s.hi) }
 
 // fault is one entry of the timeline as the file has it.
 type fault struct {
--- a/internal/testbed/fleet/result.go
+++ b/internal/testbed/fleet/result.go
@@ -80,7 +80,7 @@
 // troubles measures those that began in the run and lasted for long enough to be noticed.
 func (r *run) troubles() (list []Trouble) {
 	for i := range r.w.Servers {
-		for _, s := range closed(r.struck[i], r.w.Books.Length) {
+		for _, s := range closed(r.struck[i], r.w.Accounting.Length) {
 			if s.From < time.Second || s.To-s.From < 2*lookBack {
 				continue
 			}
@@ -118,7 +118,7 @@
 }
 
 func (r *run) result(void string) *Result {
-	end := r.w.Books.Length
+	end := r.w.Accounting.Length
 	res := &Result{Name: r.p.Name(), About: r.p.About(), Seed: r.seed, Length: end.Seconds(), Void: void, Unfit: r.unfit, Moments: r.moments, Ways: r.ways}
 	slices.SortStableFunc(r.events, func(a, b invariants.Event) int { return cmp.Compare(a.At, b.At) })
 	for _, v := range r.checker.Violations() {
@@ -126,8 +126,8 @@
 	}
 	broken := len(res.Violations) + r.checker.Omitted()
 	t := &r.w.Totals
-	res.Figures = Figures{Clients: t.Clients, Flows: t.Tries, Established: t.Established, Rejected: t.Rejected, Aborted: t.Aborted, Cut: t.Cut,
-		Moved: t.Moved, NeverUp: len(t.NeverUp), Connects: r.dr.Tally.Connects, Probes: r.dr.Tally.Probes, Judged: r.checker.Judged, Broken: broken, Service: r.service()}
+	res.Figures = Figures{Clients: t.Clients, Flows: t.Attempts, Established: t.Established, Rejected: t.Rejected, Aborted: t.Aborted, Cut: t.Cut,
+		Moved: t.Migrated, NeverUp: len(t.NeverEstablished), Connects: r.dr.Tally.Connects, Probes: r.dr.Tally.Probes, Judged: r.checker.Judged, Broken: broken, Service: r.service()}
 	all := r.checker.Costs()
 	for _, x := range r.procs {
 		p := Process{Name: x.name, Cost: all[invariants.Balancer(x.id)], Spans: closed(x.spans, end), Front: closed(r.fronts[x.name], end),
@@ -174,10 +174,10 @@
 // service is the share of all seconds asked for in which a client's messages were answered in time.
 func (r *run) service() float64 {
 	got, want := 0.0, 0.0
-	for i, row := range r.w.Books.Asked {
+	for i, row := range r.w.Accounting.Requested {
 		for s, x := range row {
 			want += x
-			got += r.w.Books.Got[i][s]
+			got += r.w.Accounting.Served[i][s]
 		}
 	}
 	if want == 0 {
@@ -209,7 +209,7 @@
 		}
 		base = at
 	}
-	from, to := base+m.from, r.w.Books.Length
+	from, to := base+m.from, r.w.Accounting.Length
 	if m.to > 0 {
 		to = base + m.to
 	}
@@ -354,7 +354,7 @@
 			return at - from, at-from <= within
 		}
 	}
-	return r.w.Books.Length - from, false
+	return r.w.Accounting.Length - from, false
 }
 
 func (m must) text() string {
--- a/internal/testbed/fleet/run.go
+++ b/internal/testbed/fleet/run.go
@@ -85,10 +85,10 @@
 			return nil, err
 		}
 	}
-	r.cast = &cast{r: simulation.Chance(seed, "cast", 0), balancers: len(r.w.Balancers), servers: len(r.w.Servers), named: map[string][]string{},
+	r.cast = &cast{r: simulation.RandomSource(seed, "cast", 0), balancers: len(r.w.Balancers), servers: len(r.w.Servers), named: map[string][]string{},
 		struck: func() (hit []int) {
 			for i, s := range r.w.Servers {
-				if s.Struck() {
+				if s.IsFaulty() {
 					hit = append(hit, i)
 				}
 			}
--- a/internal/testbed/fleet/soak.go
+++ b/internal/testbed/fleet/soak.go
@@ -41,7 +41,7 @@
 
 // SoakPlan is the text of a seed's plan.
 func SoakPlan(seed uint64) string {
-	chance := simulation.Chance(seed, "soak", 0)
+	chance := simulation.RandomSource(seed, "soak", 0)
 	shape := soakShape{
 		deadline: pick(chance, soakDeadlines),
 		window:   pick(chance, soakWindows),
@@ -128,5 +128,5 @@
 
 // between draws a time of whole milliseconds.
 func between(chance *rand.Rand, least, most time.Duration) time.Duration {
-	return simulation.BetweenTimes(chance, least, most).Round(time.Millisecond)
+	return simulation.UniformDuration(chance, least, most).Round(time.Millisecond)
 }
--- a/internal/testbed/fleet/strike.go
+++ b/internal/testbed/fleet/strike.go
@@ -24,11 +24,11 @@
 // schedule puts the timeline on the world's agenda.
 func (r *run) schedule() {
 	for i, f := range r.p.faults {
-		chance := simulation.Chance(r.seed, "fault", i)
+		chance := simulation.RandomSource(r.seed, "fault", i)
 		at, length := f.at.draw(chance), f.length.draw(chance)
-		r.w.Agenda.At(at, simulation.Cause, func() { r.strike(f, length) })
+		r.w.Schedule.At(at, simulation.Cause, func() { r.strike(f, length) })
 	}
-	r.w.Agenda.At(r.p.Experiment.Length-lastLook, simulation.Book, r.countDescriptors)
+	r.w.Schedule.At(r.p.Experiment.Length-lastLook, simulation.Book, r.countDescriptors)
 }
 
 // begin starts what goes on beside the timeline.
@@ -36,7 +36,7 @@
 	for _, x := range r.procs {
 		go watch(ctx, r.dr.Address(x.id), r.p.askEvery, r.p.wait, r.p.misses, func(alive bool) {
 			r.dr.Do(func() {
-				r.w.Believe(x.id, alive)
+				r.w.SetFrontBelief(x.id, alive)
 				now, spans := r.dr.Elapsed(), r.fronts[x.name]
 				if alive {
 					spans[len(spans)-1].To = now
@@ -55,13 +55,13 @@
 		for i, s := range r.w.Servers {
 			spans := r.struck[i]
 			open := len(spans) > 0 && spans[len(spans)-1].To == 0
-			if s.Struck() && !open {
+			if s.IsFaulty() && !open {
 				r.struck[i] = append(spans, Span{r.dr.Elapsed(), 0, "struck"})
-			} else if !s.Struck() && open {
+			} else if !s.IsFaulty() && open {
 				spans[len(spans)-1].To = r.dr.Elapsed()
 			}
 		}
-		r.w.Agenda.After(100*time.Millisecond, simulation.Book, look)
+		r.w.Schedule.After(100*time.Millisecond, simulation.Book, look)
 	}
 	r.dr.Do(look)
 }
@@ -76,7 +76,7 @@
 	r.note(strings.Join(who, ","), "%s", f.kindText(to))
 	later := func(do func()) {
 		if length > 0 {
-			r.w.Agenda.After(length, simulation.Cause, do)
+			r.w.Schedule.After(length, simulation.Cause, do)
 		}
 	}
 	switch f.kind {
@@ -114,12 +114,12 @@
 			}
 		case term:
 			if r.turn(x, ending) {
-				r.dr.Stop(b)
+				r.dr.StopBalancer(b)
 				for i := 1; i < f.times; i++ {
 					r.signal(x, syscall.SIGTERM)
 				}
 				round := x.round
-				r.w.Agenda.After(r.w.StopWithin(), simulation.Cause, func() {
+				r.w.Schedule.After(r.w.StopWithin(), simulation.Cause, func() {
 					if x.round == round && r.turn(x, down) {
 						r.w.KillBalancer(b)
 						back()
@@ -204,9 +204,9 @@
 				s, part = syscall.SIGCONT, starvedSlice/4
 			}
 			r.signal(x, s)
-			r.w.Agenda.After(part, simulation.Cause, func() { slice(!on) })
+			r.w.Schedule.After(part, simulation.Cause, func() { slice(!on) })
 		}
-		r.w.Agenda.After(starvedSlice*3/4, simulation.Cause, func() { slice(true) })
+		r.w.Schedule.After(starvedSlice*3/4, simulation.Cause, func() { slice(true) })
 	}
 }
 
@@ -277,10 +277,10 @@
 	}
 	set(f.way)
 	now := r.dr.Elapsed()
-	end := r.w.Books.Length
+	end := r.w.Accounting.Length
 	if length > 0 {
 		end = now + length
-		r.w.Agenda.After(length, simulation.Cause, func() { set(netfault.Condition{}) })
+		r.w.Schedule.After(length, simulation.Cause, func() { set(netfault.Condition{}) })
 	}
 	r.ways = append(r.ways, Span{now, end, f.kindText(nil) + ": " + strings.Join(f.who, ",") + " – " + strings.Join(f.to, ",")})
 }
--- a/internal/testbed/scale/control_gossip.go
+++ b/internal/testbed/scale/control_gossip.go
@@ -94,7 +94,7 @@
 }
 
 func newGossipModel(run gossipRun) *gossipModel {
-	m := &gossipModel{run: run, sizes: measureEngineSizes(), chance: simulation.Chance(run.seed, "scale members", run.members),
+	m := &gossipModel{run: run, sizes: measureEngineSizes(), chance: simulation.RandomSource(run.seed, "scale members", run.members),
 		due: make([][]gossipPacket, gossipDelay+1)}
 	m.messages = []gossipMessage{{}, oldRecord: {size: int32(run.recordBytes)}, oldState: {origin: -1, size: int32(m.sizes.alive)}}
 	m.rest = restOf(run.members)
--- a/internal/testbed/scale/control_real.go
+++ b/internal/testbed/scale/control_real.go
@@ -197,7 +197,7 @@
 
 // tell has each member tell a record as often as a balancer in such a fleet does, until ctx ends.
 func (f *realFleet) tell(ctx context.Context, recordBytes int, seed uint64) {
-	chance := simulation.Chance(seed, "real members", len(f.members))
+	chance := simulation.RandomSource(seed, "real members", len(f.members))
 	rest := restOf(len(f.members))
 	var next []time.Time
 	for range f.members {
--- a/internal/testbed/scale/control_sweep_cut.go
+++ b/internal/testbed/scale/control_sweep_cut.go
@@ -43,7 +43,7 @@
 
 // missed are the objects that tell so many changes, the first with the given revision, and the last one's.
 func (b *controlBook) missed(mode missedMode, size, revision int) ([][]byte, int) {
-	which := changedServers(simulation.Chance(b.settings.Seed, "scale cut", size), b.settings.Servers, size)
+	which := changedServers(simulation.RandomSource(b.settings.Seed, "scale cut", size), b.settings.Servers, size)
 	last := revision + size - 1
 	switch mode {
 	case missedOneByOne:
--- a/internal/testbed/scale/control_sweep_leases.go
+++ b/internal/testbed/scale/control_sweep_leases.go
@@ -116,7 +116,7 @@
 
 // holders notes by how many members a server is probed at a time, when each tells of it as often as records go out.
 func (b *controlBook) holders(size, members int) {
-	chance := simulation.Chance(b.settings.Seed, "scale leases", members)
+	chance := simulation.RandomSource(b.settings.Seed, "scale leases", members)
 	rest := max(restOf(members).Truncate(holdersStep), holdersStep)
 	fleet := newLeaseFleet(chance, members, rest)
 	holding, looks := 0, 0
--- a/internal/testbed/scale/control_sweep_signals.go
+++ b/internal/testbed/scale/control_sweep_signals.go
@@ -71,7 +71,7 @@
 
 // tellerRecords are what so many members tell, each under its own name.
 func tellerRecords(seed uint64, members, servers, troubled int) (records []signals.Record) {
-	chance := simulation.Chance(seed, "scale signals", servers)
+	chance := simulation.RandomSource(seed, "scale signals", servers)
 	var kinds []signals.Record
 	for i := range min(tellersPlayed, members) {
 		record, _ := newTeller(chance, i, servers, troubled).Publish(members)
@@ -94,7 +94,7 @@
 	}
 	b.add("record-bytes", "of a record as it is told", unitBytes, Measured, true, size, float64(len(text)))
 	before := liveMemory()
-	chance := simulation.Chance(b.settings.Seed, "scale signals here", servers)
+	chance := simulation.RandomSource(b.settings.Seed, "scale signals here", servers)
 	here := newTeller(chance, members, servers, 0)
 	b.add("own-memory", "held of what a balancer itself sees, connections on all servers", unitBytes, Measured, false, size, float64(liveMemory()-before))
 	before = liveMemory()
--- a/internal/testbed/scenario/board.go
+++ b/internal/testbed/scenario/board.go
@@ -37,18 +37,18 @@
 		b.all[id] = s
 		if !b.runs {
 			b.runs = true
-			b.w.Agenda.After(boardTell, simulation.Book, b.tell)
+			b.w.Schedule.After(boardTell, simulation.Book, b.tell)
 		}
 		return constraints.New(seed, act, []constraints.Constraint{s}, func(dec *decide.Balancer) { config.ConfigureBalancer(g, dec) })
 	}
 }
 
 func (b *board) tell() {
-	now := b.w.Agenda.Now()
+	now := b.w.Schedule.Now()
 	for i := range b.w.Balancers { // in order: chance must not come from a map
 		id := simulation.BalancerID(i)
 		s := b.all[id]
-		if s == nil || !b.w.Balancers[id].Up {
+		if s == nil || !b.w.Balancers[id].IsUp {
 			continue
 		}
 		s.SetTime(now)
@@ -56,16 +56,16 @@
 		if !due {
 			continue
 		}
-		b.w.Agenda.After(boardLag, simulation.News, func() {
+		b.w.Schedule.After(boardLag, simulation.News, func() {
 			for k := range b.w.Balancers {
-				if o := b.all[simulation.BalancerID(k)]; o != nil && o != s && b.w.Balancers[k].Up {
-					o.SetTime(b.w.Agenda.Now())
+				if o := b.all[simulation.BalancerID(k)]; o != nil && o != s && b.w.Balancers[k].IsUp {
+					o.SetTime(b.w.Schedule.Now())
 					o.Merge(r)
 				}
 			}
 		})
 	}
-	if now+boardTell <= b.w.Books.Length {
-		b.w.Agenda.After(boardTell, simulation.Book, b.tell)
+	if now+boardTell <= b.w.Accounting.Length {
+		b.w.Schedule.After(boardTell, simulation.Book, b.tell)
 	}
 }
--- a/internal/testbed/scenario/play.go
+++ b/internal/testbed/scenario/play.go
@@ -91,7 +91,7 @@
 	loads := Loads(d.World)
 	dr.Run(progress)
 	r := &count.Result{Policy: policy, Seed: seed, Load: *loads, Crossings: dr.Tally.Crossings, Moves: dr.Tally.Moves, Connects: dr.Tally.Connects}
-	seconds := len(d.World.Books.Asked[0])
+	seconds := len(d.World.Accounting.Requested[0])
 	r.MovesBy, r.ConnectsBy = count.PerSecond(dr.Tally.MovedAt, seconds), count.PerSecond(dr.Tally.ConnectAt, seconds)
 	Finish(r, d, ref)
 	return r, nil
@@ -102,12 +102,12 @@
 	for _, v := range ref.Violations() {
 		r.Violations = append(r.Violations, v.String())
 	}
-	r.Broken, r.Judged, r.Fell = len(r.Violations)+ref.Omitted(), ref.Judged, len(d.World.Fell)
-	r.Pushed = d.World.MostPushed
+	r.Broken, r.Judged, r.Fell = len(r.Violations)+ref.Omitted(), ref.Judged, len(d.World.Collapsed)
+	r.Pushed = d.World.MaxSlowStartExcess
 	for _, t := range d.Troubles {
 		r.Troubles = append(r.Troubles, count.Trouble{Kind: string(t.Kind), Start: t.Start.Seconds(), End: t.End().Seconds()})
 	}
-	r.Count(d.World.Books, &d.World.Totals, len(d.World.Services), len(d.World.Customers), d.Experiment.Weights())
+	r.Count(d.World.Accounting, &d.World.Totals, len(d.World.Services), len(d.World.Customers), d.Experiment.Weights())
 }
 
 // Loads gathers, each second, what is asked of every server over what it can do.
@@ -119,10 +119,10 @@
 				*rows = append(*rows, nil)
 			}
 			load := -1.0 // no process
-			if s.Alive() {
-				load = min(s.Demand()/max(s.Can(), 1e-9)+s.Late(), 9)
+			if s.IsServing() {
+				load = min(s.Demand()/max(s.CurrentCapacity(), 1e-9)+s.QueueDelay(), 9)
 			}
-			sec := int(w.Agenda.Now()/time.Second) - 1
+			sec := int(w.Schedule.Now()/time.Second) - 1
 			for len((*rows)[i]) < sec {
 				(*rows)[i] = append((*rows)[i], -1)
 			}
--- a/internal/testbed/sockets/agent.go
+++ b/internal/testbed/sockets/agent.go
@@ -85,8 +85,8 @@
 	a.has[e.Server] = e
 }
 
-// News of the list, from the world.
-func (dr *Drive) News(b simulation.BalancerID, full bool, entries []simulation.Entry) {
+// UpdateList of the list, from the world.
+func (dr *Drive) UpdateList(b simulation.BalancerID, full bool, entries []simulation.Entry) {
 	a := dr.agents[b]
 	a.revision++
 	if full {
@@ -95,8 +95,8 @@
 			seen[e.Server] = true
 		}
 		for id, e := range a.has {
-			if !seen[id] && e.State != simulation.Gone {
-				e.State = simulation.Gone
+			if !seen[id] && e.Readiness != simulation.Gone {
+				e.Readiness = simulation.Gone
 				a.has[id] = e
 				entries = append(entries, e)
 			}
@@ -126,19 +126,19 @@
 func (a *agent) book(entries []simulation.Entry) {
 	states := [...]invariants.Readiness{simulation.Ready: invariants.Ready, simulation.Draining: invariants.Draining, simulation.Gone: invariants.Gone}
 	for _, e := range entries {
-		since := e.Since
+		since := e.StartedAt
 		if since == simulation.LongAgo {
 			since = invariants.LongAgo
 		}
 		a.dr.see(invariants.Event{Kind: invariants.ServerAnnounced, Balancer: invariants.Balancer(a.balancer), Server: invariants.Server(e.Server),
-			Readiness: states[e.State], StartedAt: since})
+			Readiness: states[e.Readiness], StartedAt: since})
 	}
 }
 
 // all is what the agent has, without who is gone.
 func (a *agent) all() (entries []simulation.Entry) {
 	for _, id := range a.order {
-		if e := a.has[id]; e.State != simulation.Gone {
+		if e := a.has[id]; e.Readiness != simulation.Gone {
 			entries = append(entries, e)
 		}
 	}
@@ -152,12 +152,12 @@
 	members := []map[string]any{}
 	for _, e := range entries {
 		up := int64(0)
-		if e.Since != simulation.LongAgo {
-			up = max(1, dr.start.Add(e.Since).UnixMilli())
-			a.sinces[up] = e.Since
+		if e.StartedAt != simulation.LongAgo {
+			up = max(1, dr.start.Add(e.StartedAt).UnixMilli())
+			a.sinces[up] = e.StartedAt
 		}
 		members = append(members, map[string]any{"id": experiment.ServerName(e.Server), "host_port": dr.door(a.balancer, e.Server).Address,
-			"locality": dr.w.Halls[e.Hall], "flavor": "stand-in", "cell": int(e.Cell), "phase": phases[e.State], "size": e.Size, "up_since_ms": up})
+			"locality": dr.w.Localities[e.Locality], "flavor": "stand-in", "cell": int(e.Cell), "phase": phases[e.Readiness], "size": e.Size, "up_since_ms": up})
 	}
 	text, err := json.Marshal(map[string]any{"revision": a.revision, "complete": complete, "members": members})
 	if err != nil {
@@ -226,5 +226,5 @@
 func (dr *Drive) dark() bool {
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
-	return dr.w.List.Dark()
+	return dr.w.List.IsUnavailable()
 }
--- a/internal/testbed/sockets/apart.go
+++ b/internal/testbed/sockets/apart.go
@@ -73,7 +73,7 @@
 // Doors brings what new connections meet to what the ways are now.
 func (dr *Drive) Doors() {
 	for s := range dr.servers {
-		dr.Changed(simulation.ServerID(s))
+		dr.ServerChanged(simulation.ServerID(s))
 	}
 	for _, a := range dr.agents {
 		if err := a.door(); err != nil {
@@ -203,13 +203,13 @@
 		if _, err := fmt.Sscanf(m.ID, "s-%d", &n); err != nil {
 			continue
 		}
-		e := simulation.Entry{Server: simulation.ServerID(n), Since: simulation.LongAgo}
+		e := simulation.Entry{Server: simulation.ServerID(n), StartedAt: simulation.LongAgo}
 		if s, ok := a.sinces[m.UpSince]; ok {
-			e.Since = s
+			e.StartedAt = s
 		}
-		e.State = map[string]simulation.Readiness{"SERVING": simulation.Ready, "DRAINING": simulation.Draining}[m.Phase]
+		e.Readiness = map[string]simulation.Readiness{"SERVING": simulation.Ready, "DRAINING": simulation.Draining}[m.Phase]
 		if m.Phase == "DELETED" {
-			e.State = simulation.Gone
+			e.Readiness = simulation.Gone
 		}
 		entries = append(entries, e)
 	}
--- a/internal/testbed/sockets/client.go
+++ b/internal/testbed/sockets/client.go
@@ -84,8 +84,8 @@
 	return c
 }
 
-// Ask opens a connection at a balancer. What it takes is counted from here, whatever keeps the machine from connecting.
-func (dr *Drive) Ask(f simulation.FlowID, v *simulation.Client, b simulation.BalancerID, left time.Duration, repeat, back bool) {
+// OpenFlow opens a connection at a balancer. What it takes is counted from here, whatever keeps the machine from connecting.
+func (dr *Drive) OpenFlow(f simulation.FlowID, v *simulation.Client, b simulation.BalancerID, left time.Duration, repeat, back bool) {
 	if dr.over {
 		return
 	}
@@ -99,15 +99,15 @@
 	dr.begin(f, v, b, left, more)
 }
 
-// Held brings up one that stands when the day begins.
-func (dr *Drive) Held(f simulation.FlowID, v *simulation.Client, b simulation.BalancerID, conn simulation.ConnID, s simulation.ServerID) {
+// AdoptFlow brings up one that stands when the day begins.
+func (dr *Drive) AdoptFlow(f simulation.FlowID, v *simulation.Client, b simulation.BalancerID, conn simulation.ConnID, s simulation.ServerID) {
 	dr.awaited[f] = conn
 	dr.begin(f, v, b, standWithin, ",at="+experiment.ServerName(s)).held = true
 }
 
-// Leave ends a client's connection. One that waited its time out stays a moment longer, so that an answer that is
+// LeaveFlow ends a client's connection. One that waited its time out stays a moment longer, so that an answer that is
 // on its way is seen.
-func (dr *Drive) Leave(f simulation.FlowID) {
+func (dr *Drive) LeaveFlow(f simulation.FlowID) {
 	c := dr.flows[f]
 	if c == nil {
 		return
@@ -142,7 +142,7 @@
 		dr.leave()
 		return
 	}
-	if b := dr.w.Balancers[c.to]; err == nil && !b.Up {
+	if b := dr.w.Balancers[c.to]; err == nil && !b.IsUp {
 		err = errDead // a process that is being killed still lets the system take connections for it
 	}
 	if err != nil || c.state == gone {
@@ -157,7 +157,7 @@
 			dr.bad("a connection that stands at the beginning: %w", err)
 		} else if c.state != gone {
 			c.turn(gone)
-			dr.w.Answered(c.flow, simulation.Nobody, 0)
+			dr.w.AnswerFlow(c.flow, simulation.NoBalancer, 0)
 		}
 		dr.leave()
 		return
@@ -233,7 +233,7 @@
 				dr.Tally.MovedAt = append(dr.Tally.MovedAt, dr.now())
 			}
 			c.turn(gone)
-			dr.w.Broken(c.flow, simulation.Moved)
+			dr.w.BreakFlow(c.flow, simulation.Migrated)
 		}
 		return
 	}
@@ -248,9 +248,9 @@
 		c.turn(holds)
 		return
 	}
-	if !dr.w.Balancers[c.to].Up { // said before its balancer was killed, and heard after: what it held is void
+	if !dr.w.Balancers[c.to].IsUp { // said before its balancer was killed, and heard after: what it held is void
 		c.turn(gone)
-		dr.w.Broken(c.flow, simulation.Cut)
+		dr.w.BreakFlow(c.flow, simulation.Cut)
 		return
 	}
 	c.answers++
@@ -268,12 +268,12 @@
 	switch word {
 	case "UP":
 		c.turn(holds)
-		dr.w.Answered(c.flow, simulation.Established, 0)
+		dr.w.AnswerFlow(c.flow, simulation.Established, 0)
 	case "BUSY":
 		ms, _ := strconv.ParseFloat(rest, 64) // none is no time to wait
-		dr.w.Answered(c.flow, simulation.Rejected, time.Duration(ms*float64(time.Millisecond)))
+		dr.w.AnswerFlow(c.flow, simulation.Rejected, time.Duration(ms*float64(time.Millisecond)))
 	default:
-		dr.w.Answered(c.flow, simulation.Aborted, 0)
+		dr.w.AnswerFlow(c.flow, simulation.Aborted, 0)
 	}
 }
 
@@ -293,15 +293,15 @@
 	c.turn(gone)
 	switch {
 	case was == holds && !c.left:
-		dr.w.Broken(c.flow, simulation.Cut)
+		dr.w.BreakFlow(c.flow, simulation.Cut)
 	case was == asking && c.answers == 0 && !c.left && dr.others && !runs(c.addr):
 		dr.see(invariants.Event{Kind: invariants.BalancerDied, Balancer: invariants.Balancer(c.to)}) // a rule binds a balancer that runs
-		dr.w.Broken(c.flow, simulation.Cut)
+		dr.w.BreakFlow(c.flow, simulation.Cut)
 	case was == asking && c.answers == 0 && !c.left:
 		if p := dr.procs; int(c.to) < len(p) && p[c.to].up {
 			// Ended with no answer by a balancer that lives: a lost flow, unless its death is about to be heard of.
 			return
 		}
-		dr.w.Broken(c.flow, simulation.Cut)
+		dr.w.BreakFlow(c.flow, simulation.Cut)
 	}
 }
--- a/internal/testbed/sockets/drive.go
+++ b/internal/testbed/sockets/drive.go
@@ -54,7 +54,7 @@
 	late    *hdrhistogram.Histogram
 	fault   error // the first thing that went wrong with the drive itself
 	starts  chan func()
-	source  simulation.Source // in place of the day's own, where there is one
+	source  simulation.ArrivalSource // in place of the day's own, where there is one
 
 	Tally Tally
 }
@@ -71,7 +71,7 @@
 }
 
 // RunLoad plays the load of a source to the end of the day.
-func (dr *Drive) RunLoad(s simulation.Source, progress func(time.Duration)) (void string, err error) {
+func (dr *Drive) RunLoad(s simulation.ArrivalSource, progress func(time.Duration)) (void string, err error) {
 	defer dr.Close()
 	dr.mu.Lock()
 	dr.w.StartLoad(s)
@@ -90,7 +90,7 @@
 		return err
 	}
 	dr.mu.Lock()
-	dr.w.StartTroubles(dr.d.Troubles)
+	dr.w.ScheduleFaults(dr.d.Troubles)
 	dr.mu.Unlock()
 	_, err := dr.play(nil)
 	return err
@@ -112,7 +112,7 @@
 		late: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3), start: time.Now()}
 	dr.ctx, dr.cancel = context.WithCancel(parent)
 	dr.Tally.ProbedAt = map[simulation.ServerID][]time.Duration{}
-	d.World.Carrier = dr
+	d.World.Driver = dr
 	dr.starts = make(chan func())
 	dr.parts.Go(dr.starter)
 	return dr
@@ -139,7 +139,7 @@
 func (dr *Drive) enter() {
 	dr.mu.Lock()
 	if !dr.over {
-		dr.w.Agenda.RunTo(dr.now())
+		dr.w.Schedule.RunTo(dr.now())
 	}
 }
 
@@ -184,7 +184,7 @@
 		dr.agents = append(dr.agents, a)
 	}
 	for _, s := range dr.w.Servers {
-		dr.Changed(s.ID)
+		dr.ServerChanged(s.ID)
 	}
 	if dr.fault != nil {
 		return dr.fault
@@ -213,7 +213,7 @@
 	}
 	for b := range dr.procs {
 		dr.mu.Lock()
-		dr.Start(simulation.BalancerID(b))
+		dr.StartBalancer(simulation.BalancerID(b))
 		dr.mu.Unlock()
 	}
 	for _, p := range dr.procs {
@@ -233,9 +233,9 @@
 	if dr.source == nil {
 		dr.source = dr.d.Source()
 	}
-	dr.w.StartTroubles(dr.d.Troubles)
+	dr.w.ScheduleFaults(dr.d.Troubles)
 	dr.w.StartLoad(dr.source)
-	dr.w.Agenda.RunTo(0)
+	dr.w.Schedule.RunTo(0)
 	dr.mu.Unlock()
 	until := time.Now().Add(standWithin)
 	for {
@@ -260,7 +260,7 @@
 
 // play lets the time run to the end of the day.
 func (dr *Drive) play(progress func(time.Duration)) (string, error) {
-	end := dr.w.Books.Length
+	end := dr.w.Accounting.Length
 	dr.mu.Lock()
 	dr.start, dr.running = time.Now(), true
 	dr.mu.Unlock()
@@ -268,12 +268,12 @@
 	for {
 		dr.mu.Lock()
 		now := dr.now()
-		if due, ok := dr.w.Agenda.Next(); ok && due < now {
+		if due, ok := dr.w.Schedule.Next(); ok && due < now {
 			_ = dr.late.RecordValue(max(1, int64((now-due)/time.Microsecond))) // a minute is more than lateMost
 		}
-		dr.w.Agenda.RunTo(min(now, end))
+		dr.w.Schedule.RunTo(min(now, end))
 		dr.checker.Advance(now)
-		next, ok := dr.w.Agenda.Next()
+		next, ok := dr.w.Schedule.Next()
 		fault := dr.fault
 		dr.mu.Unlock()
 		if progress != nil && now-said >= 500*time.Millisecond {
--- a/internal/testbed/sockets/process.go
+++ b/internal/testbed/sockets/process.go
@@ -54,7 +54,7 @@
 	a := dr.agents[b]
 	told := map[string]any{
 		"name": fmt.Sprintf("n%d", b), "listen": listen, "discovery": a.addr(),
-		"seed":     fmt.Sprintf("%016x", simulation.Chance(dr.d.Seed, "balancer "+strconv.Itoa(life), int(b)).Uint64()),
+		"seed":     fmt.Sprintf("%016x", simulation.RandomSource(dr.d.Seed, "balancer "+strconv.Itoa(life), int(b)).Uint64()),
 		"limits":   map[string]any{"cores": 1, "memory_mb": memoryMB, "sockets": descriptors + 2*dr.most()/len(dr.w.Balancers)},
 		"known":    json.RawMessage(a.object(true, a.all())),
 		"settings": nested(dr.d.Settings(b)),
@@ -120,8 +120,8 @@
 	return s
 }
 
-// Start starts a balancer's process; it is up when it answers.
-func (dr *Drive) Start(b simulation.BalancerID) {
+// StartBalancer starts a balancer's process; it is up when it answers.
+func (dr *Drive) StartBalancer(b simulation.BalancerID) {
 	if dr.over {
 		return
 	}
@@ -172,15 +172,15 @@
 			p.up = false
 			if dr.apart != nil && dr.apart.Ended != nil {
 				dr.apart.Ended(b, err)
-			} else if dr.w.Balancers[b].Up {
+			} else if dr.w.Balancers[b].IsUp {
 				dr.bad("balancer %d ended by itself (%v); its log is %s", b, err, p.log)
 			}
 		}
 	})
 }
 
-// Kill ends a balancer outright; Stop asks it to end in order.
-func (dr *Drive) Kill(b simulation.BalancerID) {
+// KillBalancer ends a balancer outright; Stop asks it to end in order.
+func (dr *Drive) KillBalancer(b simulation.BalancerID) {
 	p := dr.procs[b]
 	dr.see(invariants.Event{Kind: invariants.BalancerDied, Balancer: invariants.Balancer(b)})
 	p.up = false
@@ -201,8 +201,8 @@
 	return p.cmd.Process.Signal(s)
 }
 
-// Stop asks a balancer to end in order.
-func (dr *Drive) Stop(b simulation.BalancerID) {
+// StopBalancer asks a balancer to end in order.
+func (dr *Drive) StopBalancer(b simulation.BalancerID) {
 	if p := dr.procs[b]; p.cmd != nil {
 		_ = p.cmd.Process.Signal(syscall.SIGTERM) // it may have ended
 		p.up = false
@@ -263,7 +263,7 @@
 // most is how many connections all servers take.
 func (dr *Drive) most() (n int) {
 	for _, s := range dr.w.Servers {
-		n += s.Cap
+		n += s.MaxConnections
 	}
 	return n
 }
--- a/internal/testbed/sockets/server.go
+++ b/internal/testbed/sockets/server.go
@@ -31,14 +31,14 @@
 type door struct {
 	*netfault.Listener
 	s    *standIn
-	hall simulation.HallID
+	hall simulation.LocalityID
 	by   simulation.BalancerID // who comes in here; nobody: all of the hall
 }
 
 const nobody simulation.BalancerID = -1
 
-// Changed brings a server's doors to what the world says of it.
-func (dr *Drive) Changed(id simulation.ServerID) {
+// ServerChanged brings a server's doors to what the world says of it.
+func (dr *Drive) ServerChanged(id simulation.ServerID) {
 	if dr.over {
 		return
 	}
@@ -47,12 +47,12 @@
 		// Not 127.0.0.1: connections that go out from there might take the port while the door is shut.
 		at := fmt.Sprintf("127.77.%d.%d:0", int(s.id)/250, int(s.id)%250+1)
 		if dr.apart == nil {
-			for h := range dr.w.Halls {
-				s.doors = append(s.doors, &door{netfault.NewListener(at), s, simulation.HallID(h), nobody})
+			for h := range dr.w.Localities {
+				s.doors = append(s.doors, &door{netfault.NewListener(at), s, simulation.LocalityID(h), nobody})
 			}
 		} else {
 			for _, b := range dr.w.Balancers {
-				s.doors = append(s.doors, &door{netfault.NewListener(at), s, b.Hall, b.ID})
+				s.doors = append(s.doors, &door{netfault.NewListener(at), s, b.Locality, b.ID})
 			}
 		}
 		dr.servers = append(dr.servers, s)
@@ -69,13 +69,13 @@
 	if dr.apart != nil {
 		return dr.servers[s].doors[b]
 	}
-	return dr.servers[s].doors[dr.w.Balancers[b].Hall]
+	return dr.servers[s].doors[dr.w.Balancers[b].Locality]
 }
 
 func (dr *Drive) wants(d *door) netfault.ListenerState {
-	reach := dr.w.Knock(d.hall, d.s.id)
+	reach := dr.w.Reach(d.hall, d.s.id)
 	switch {
-	case reach == simulation.Silence || d.by != nobody && dr.apart.Net.IsCut(BalancerName(d.by), ServerName(d.s.id)):
+	case reach == simulation.Unresponsive || d.by != nobody && dr.apart.Net.IsCut(BalancerName(d.by), ServerName(d.s.id)):
 		return netfault.Unresponsive
 	case reach == simulation.Refused:
 		return netfault.Closed
@@ -117,7 +117,7 @@
 	conn net.Conn
 	id   simulation.ConnID
 	flow simulation.FlowID
-	from simulation.HallID
+	from simulation.LocalityID
 	to   simulation.ServerID
 	by   simulation.BalancerID
 	done bool
@@ -167,7 +167,7 @@
 			break
 		}
 		dr.mu.Lock()
-		if s := dr.w.Servers[x.to]; x.up && !x.done && s.Alive() && !dr.w.Net.Blocked(dr.hall(x.to), x.from) {
+		if s := dr.w.Servers[x.to]; x.up && !x.done && s.IsServing() && !dr.w.Network.IsBlocked(dr.hall(x.to), x.from) {
 			x.write(line)
 		}
 		dr.mu.Unlock()
@@ -185,10 +185,10 @@
 	dr.Tally.Probes++
 	dr.Tally.ProbedAt[d.s.id] = append(dr.Tally.ProbedAt[d.s.id], dr.now())
 	s := dr.w.Servers[d.s.id]
-	if !s.Alive() {
+	if !s.IsServing() {
 		return "NO"
 	}
-	return fmt.Sprintf("PONG x0=%.3f", s.Demand()/max(s.Can(), 1e-9)+s.Late())
+	return fmt.Sprintf("PONG x0=%.3f", s.Demand()/max(s.CurrentCapacity(), 1e-9)+s.QueueDelay())
 }
 
 // openLine takes the id and the names of an OPEN line.
@@ -233,16 +233,16 @@
 			return
 		}
 	}
-	x.id = dr.w.NextConn()
+	x.id = dr.w.NewConnID()
 	now := dr.now()
 	s := dr.w.Servers[x.to]
 	dr.Tally.Connects++
 	dr.Tally.ConnectAt = append(dr.Tally.ConnectAt, now)
-	if s.Hall != x.from {
+	if s.Locality != x.from {
 		dr.Tally.Crossings++
 	}
 	dr.see(invariants.Event{Kind: invariants.ConnectSent, Balancer: invariants.Balancer(x.by), Flow: invariants.Flow(f), Connect: invariants.Connect(x.id),
-		Server: invariants.Server(x.to), Zone: int(s.Hall), Cell: int(s.Cell)})
+		Server: invariants.Server(x.to), Zone: int(s.Locality), Cell: int(s.Cell)})
 }
 
 // arrive: the line has come to the server.
@@ -259,11 +259,11 @@
 		return
 	}
 	s := dr.w.Servers[x.to]
-	if s.Since() != simulation.LongAgo && cl != nil {
+	if s.StartedAt() != simulation.LongAgo && cl != nil {
 		dr.see(invariants.Event{Kind: invariants.ConnectArrived, Balancer: invariants.Balancer(x.by), Flow: invariants.Flow(x.flow), Connect: invariants.Connect(x.id),
-			Server: invariants.Server(x.to), StartedAt: s.Since(), Load: cl.Load(), Capacity: s.TakesNow()})
+			Server: invariants.Server(x.to), StartedAt: s.StartedAt(), Load: cl.Load(), Capacity: s.SlowStartRate()})
 	}
-	dr.w.Arrive(x.id, x.to, x.flow, x.from)
+	dr.w.ArriveConnect(x.id, x.to, x.flow, x.from)
 }
 
 // over ends the connection's books; closed says that the balancer ended it.
@@ -275,7 +275,7 @@
 	dr := x.dr
 	delete(dr.conns, x.id)
 	if closed && !dr.over {
-		dr.w.Closed(x.id)
+		dr.w.CloseConnect(x.id)
 	}
 	if !x.led {
 		x.heard(true)
@@ -302,18 +302,18 @@
 	_ = x.conn.Close()
 }
 
-// Up says that a connection stands, by the world's word.
-func (dr *Drive) Up(id simulation.ConnID) {
+// Establish says that a connection stands, by the world's word.
+func (dr *Drive) Establish(id simulation.ConnID) {
 	x := dr.conns[id]
-	if x == nil || dr.w.Net.Blocked(dr.hall(x.to), x.from) {
+	if x == nil || dr.w.Network.IsBlocked(dr.hall(x.to), x.from) {
 		return
 	}
 	x.up = true
 	x.write(fmt.Sprintf("UP %d\r\n", id))
 }
 
-// Turn tells a balancer, by the world's word, that its connection to a server is refused or ends.
-func (dr *Drive) Turn(id simulation.ConnID, how simulation.Refusal) {
+// EndConnect tells a balancer, by the world's word, that its connection to a server is refused or ends.
+func (dr *Drive) EndConnect(id simulation.ConnID, how simulation.EndReason) {
 	x := dr.conns[id]
 	if x == nil || x.done {
 		return
@@ -325,12 +325,12 @@
 		x.write("BUSY\r\n")
 	case simulation.Failed:
 		x.write("ERR it failed\r\n")
-	case simulation.Sent:
+	case simulation.MoveRequested:
 		if c := dr.flows[x.flow]; c != nil {
 			c.sentAway = true
 		}
 		x.write("MOVE\r\n")
-	case simulation.Closed:
+	case simulation.ServerStopped:
 		x.write("BYE\r\n")
 	}
 	x.done = true
@@ -341,11 +341,11 @@
 	x.close(how == simulation.Dropped)
 }
 
-// Late tells one connection of each balancer.
-func (dr *Drive) Late(s simulation.ServerID, delay time.Duration) {
+// ReportDelay tells one connection of each balancer.
+func (dr *Drive) ReportDelay(s simulation.ServerID, delay time.Duration) {
 	told := map[simulation.BalancerID]*served{}
 	for _, id := range dr.w.Servers[s].Connections() {
-		if x := dr.conns[id]; x != nil && x.up && told[x.by] == nil && !dr.w.Net.Blocked(dr.hall(s), x.from) {
+		if x := dr.conns[id]; x != nil && x.up && told[x.by] == nil && !dr.w.Network.IsBlocked(dr.hall(s), x.from) {
 			told[x.by] = x
 			x.write(fmt.Sprintf("LOAD %.1f\r\n", float64(delay)/float64(time.Millisecond)))
 		}
@@ -364,7 +364,7 @@
 	if n, err := strconv.Atoi(strings.TrimPrefix(fields["g"], "g-")); err == nil {
 		group = simulation.GroupID(n)
 	}
-	return dr.w.Guest(service, group)
+	return dr.w.AddGuest(service, group)
 }
 
-func (dr *Drive) hall(s simulation.ServerID) simulation.HallID { return dr.w.Servers[s].Hall }
+func (dr *Drive) hall(s simulation.ServerID) simulation.LocalityID { return dr.w.Servers[s].Locality }
--- a/internal/testbed/sockets/sockets_test.go
+++ b/internal/testbed/sockets/sockets_test.go
@@ -192,11 +192,11 @@
 		t.Fatal(err)
 	}
 	n := d.World.Totals
-	if n.Clients < 80 || n.Established != 0 || len(n.NeverUp) != n.Clients {
-		t.Errorf("%d clients, %d established, %d never up: arrivals must not wait, nor vanish", n.Clients, n.Established, len(n.NeverUp))
+	if n.Clients < 80 || n.Established != 0 || len(n.NeverEstablished) != n.Clients {
+		t.Errorf("%d clients, %d established, %d never up: arrivals must not wait, nor vanish", n.Clients, n.Established, len(n.NeverEstablished))
 	}
-	if n.GaveUp < n.Clients/2 {
-		t.Errorf("%d tries were given up at their timeout", n.GaveUp)
+	if n.TimedOut < n.Clients/2 {
+		t.Errorf("%d tries were given up at their timeout", n.TimedOut)
 	}
 }
 
--- a/internal/testbed/virtual/act.go
+++ b/internal/testbed/virtual/act.go
@@ -15,40 +15,40 @@
 		return
 	}
 	w := dr.w
-	now := w.Agenda.Now()
-	c := &connect{id: w.NextConn(), f: f, n: f.sent, server: s, state: dialing, sentAt: now}
+	now := w.Schedule.Now()
+	c := &connect{id: w.NewConnID(), f: f, n: f.sent, server: s, state: dialing, sentAt: now}
 	f.sent++
 	f.out = append(f.out, c)
 	dr.conns[c.id] = c
 	if f.sent > dr.connMax {
-		w.Agenda.After(0, simulation.Message, func() { in.finish(c, decide.NeverSent) })
+		w.Schedule.After(0, simulation.Message, func() { in.finish(c, decide.NeverSent) })
 		return
 	}
 	dr.Tally.Connects++
 	dr.Tally.ConnectAt = append(dr.Tally.ConnectAt, now)
 	srv := w.Servers[s]
-	if srv.Hall != in.hall {
+	if srv.Locality != in.hall {
 		dr.Tally.Crossings++
 	}
 	dr.see(invariants.Event{Kind: invariants.ConnectSent, Balancer: invariants.Balancer(in.id), Flow: invariants.Flow(f.id), Connect: invariants.Connect(c.id),
-		Server: invariants.Server(s), Zone: int(srv.Hall), Cell: int(srv.Cell)})
+		Server: invariants.Server(s), Zone: int(srv.Locality), Cell: int(srv.Cell)})
 	ends := f.due
 	if limit > 0 {
 		ends = min(ends, now+limit)
 	}
-	w.Agenda.At(ends, simulation.Wake, func() {
+	w.Schedule.At(ends, simulation.Wake, func() {
 		if c.state == dialing || c.state == asked {
 			in.finish(c, decide.TimedOut)
 		}
 	})
-	way := w.Net.Way(in.hall, srv.Hall)
-	switch w.Knock(in.hall, s) {
+	way := w.Network.Delay(in.hall, srv.Locality)
+	switch w.Reach(in.hall, s) {
 	case simulation.Refused:
-		w.Agenda.After(2*way, simulation.Message, func() { in.finish(c, decide.Unreachable) })
-	case simulation.Silence:
-		w.Agenda.After(dr.up, simulation.Message, func() { in.finish(c, decide.Unreachable) })
+		w.Schedule.After(2*way, simulation.Message, func() { in.finish(c, decide.Unreachable) })
+	case simulation.Unresponsive:
+		w.Schedule.After(dr.up, simulation.Message, func() { in.finish(c, decide.Unreachable) })
 	default:
-		w.Agenda.After(3*way, simulation.Message, func() { dr.arrive(c) }) // there and back for the connection, then the line
+		w.Schedule.After(3*way, simulation.Message, func() { dr.arrive(c) }) // there and back for the connection, then the line
 	}
 }
 
@@ -65,7 +65,7 @@
 	}
 	f.answered = true
 	in.forget(f)
-	dr.w.Agenda.After(dr.w.Net.Client, simulation.Message, func() { dr.w.Answered(f.id, a, after) })
+	dr.w.Schedule.After(dr.w.Network.Client, simulation.Message, func() { dr.w.AnswerFlow(f.id, a, after) })
 }
 
 func (in *instance) Reject(f decide.FlowID, after time.Duration) {
@@ -85,7 +85,7 @@
 	}
 	for _, c := range f.out {
 		if c.n == n && c.state != standing {
-			in.dr.w.Agenda.After(0, simulation.Message, func() { in.finish(c, decide.Cancelled) })
+			in.dr.w.Schedule.After(0, simulation.Message, func() { in.finish(c, decide.Cancelled) })
 		}
 	}
 }
@@ -93,9 +93,9 @@
 func (in *instance) Migrate(name decide.FlowID) {
 	if f := in.flow(name); f != nil && f.stands != nil {
 		in.dr.Tally.Moves++
-		in.dr.Tally.MovedAt = append(in.dr.Tally.MovedAt, in.dr.w.Agenda.Now())
+		in.dr.Tally.MovedAt = append(in.dr.Tally.MovedAt, in.dr.w.Schedule.Now())
 		c := f.stands
-		in.dr.w.Agenda.After(0, simulation.Message, func() {
+		in.dr.w.Schedule.After(0, simulation.Message, func() {
 			if c.state == standing && !f.left {
 				in.finish(c, decide.Cancelled)
 			}
@@ -110,14 +110,14 @@
 	}
 	in.dr.Tally.Probes++
 	life, w := in.life, in.dr.w
-	o, took := decide.OK, 2*w.Net.Way(in.hall, w.Servers[to].Hall)
-	switch w.Knock(in.hall, to) {
+	o, took := decide.OK, 2*w.Network.Delay(in.hall, w.Servers[to].Locality)
+	switch w.Reach(in.hall, to) {
 	case simulation.Refused:
 		o = decide.Unreachable
-	case simulation.Silence:
+	case simulation.Unresponsive:
 		o, took = decide.TimedOut, in.dr.up
 	}
-	w.Agenda.After(took, simulation.Message, func() {
+	w.Schedule.After(took, simulation.Message, func() {
 		if in.up && in.life == life {
 			in.event().OnHealthCheck(s, o)
 		}
@@ -126,7 +126,7 @@
 
 func (in *instance) SetTimer(m decide.TimerID, d time.Duration) {
 	life := in.life
-	in.dr.w.Agenda.After(max(d, time.Microsecond), simulation.Wake, func() {
+	in.dr.w.Schedule.After(max(d, time.Microsecond), simulation.Wake, func() {
 		if in.up && in.life == life {
 			in.event().OnTimer(m)
 		}
--- a/internal/testbed/virtual/balancer.go
+++ b/internal/testbed/virtual/balancer.go
@@ -14,7 +14,7 @@
 type instance struct {
 	dr    *Drive
 	id    simulation.BalancerID
-	hall  simulation.HallID
+	hall  simulation.LocalityID
 	start time.Duration
 	life  int
 	up    bool
@@ -23,24 +23,24 @@
 	flows map[simulation.FlowID]*flow
 }
 
-// Start starts a balancer, with the server list as it last held it.
-func (dr *Drive) Start(b simulation.BalancerID) {
+// StartBalancer starts a balancer, with the server list as it last held it.
+func (dr *Drive) StartBalancer(b simulation.BalancerID) {
 	in := dr.inst[b]
 	in.life++
-	in.up, in.start = true, dr.w.Agenda.Now()
+	in.up, in.start = true, dr.w.Schedule.Now()
 	in.held, in.flows = map[simulation.ServerID][]*flow{}, map[simulation.FlowID]*flow{}
 	dr.see(invariants.Event{Kind: invariants.BalancerStarted, Balancer: invariants.Balancer(b)})
-	seed := simulation.Chance(dr.d.Seed, "balancer "+strconv.Itoa(in.life), int(b)).Uint64()
+	seed := simulation.RandomSource(dr.d.Seed, "balancer "+strconv.Itoa(in.life), int(b)).Uint64()
 	in.dec = dr.maker(seed, b, in)
 	in.dec.SetTime(0)
 	in.list(decide.CachedUpdate, dr.w.List.Known(b))
 }
 
-// Stop has a balancer ask its clients to come again, spread evenly, as the program does from a little after the signal
+// StopBalancer has a balancer ask its clients to come again, spread evenly, as the program does from a little after the signal
 // until shortly before its end; who comes meanwhile is served and asked in turn.
-func (dr *Drive) Stop(b simulation.BalancerID) {
+func (dr *Drive) StopBalancer(b simulation.BalancerID) {
 	in := dr.inst[b]
-	life, until := in.life, dr.w.Agenda.Now()+dr.w.StopWithin()-moveUntil
+	life, until := in.life, dr.w.Schedule.Now()+dr.w.StopWithin()-moveUntil
 	var step func()
 	step = func() {
 		if in.life != life || !in.up {
@@ -53,17 +53,17 @@
 			}
 		}
 		slices.SortFunc(all, func(x, y *flow) int { return cmp.Compare(x.id, y.id) })
-		left := max(1, int((until-dr.w.Agenda.Now())/moveEvery))
+		left := max(1, int((until-dr.w.Schedule.Now())/moveEvery))
 		for _, f := range all[:(len(all)+left-1)/left] {
 			in.finish(f.stands, decide.Cancelled)
 		}
-		dr.w.Agenda.After(moveEvery, simulation.Wake, step)
+		dr.w.Schedule.After(moveEvery, simulation.Wake, step)
 	}
-	dr.w.Agenda.After(moveFrom, simulation.Wake, step)
+	dr.w.Schedule.After(moveFrom, simulation.Wake, step)
 }
 
-// Kill ends a balancer at once.
-func (dr *Drive) Kill(b simulation.BalancerID) {
+// KillBalancer ends a balancer at once.
+func (dr *Drive) KillBalancer(b simulation.BalancerID) {
 	in := dr.inst[b]
 	in.up = false
 	dr.see(invariants.Event{Kind: invariants.BalancerDied, Balancer: invariants.Balancer(b)})
@@ -80,9 +80,9 @@
 		}
 		delete(dr.flows, f.id)
 		gone := f.left
-		dr.w.Agenda.After(dr.w.Net.Client, simulation.Message, func() {
+		dr.w.Schedule.After(dr.w.Network.Client, simulation.Message, func() {
 			if !gone {
-				dr.w.Broken(f.id, simulation.Cut)
+				dr.w.BreakFlow(f.id, simulation.Cut)
 			}
 		})
 	}
@@ -91,8 +91,8 @@
 
 // close tells the server that a balancer has ended its connection.
 func (dr *Drive) close(c *connect) {
-	to := dr.w.Servers[c.server].Hall
-	dr.w.Agenda.After(dr.w.Net.Way(c.f.in.hall, to), simulation.Message, func() { dr.w.Closed(c.id) })
+	to := dr.w.Servers[c.server].Locality
+	dr.w.Schedule.After(dr.w.Network.Delay(c.f.in.hall, to), simulation.Message, func() { dr.w.CloseConnect(c.id) })
 }
 
 func (in *instance) see(s simulation.ServerID, state simulation.Readiness, since time.Duration) {
@@ -104,7 +104,7 @@
 
 // event opens an event: what is decided in it happens now.
 func (in *instance) event() Decider {
-	in.dec.SetTime(in.dr.w.Agenda.Now() - in.start)
+	in.dec.SetTime(in.dr.w.Schedule.Now() - in.start)
 	return in.dec
 }
 
@@ -136,16 +136,16 @@
 		if !f.left {
 			how := simulation.Cut
 			if o == decide.Cancelled || o == decide.Full {
-				how = simulation.Moved
+				how = simulation.Migrated
 			}
-			dr.w.Agenda.After(dr.w.Net.Client, simulation.Message, func() { dr.w.Broken(f.id, how) })
+			dr.w.Schedule.After(dr.w.Network.Client, simulation.Message, func() { dr.w.BreakFlow(f.id, how) })
 		}
 	}
 	finished := f.answered || f.left
 	if was == standing || finished {
 		in.forget(f)
 	}
-	in.event().OnEnded(f.name, o, dr.w.Agenda.Now()-c.sentAt, finished)
+	in.event().OnEnded(f.name, o, dr.w.Schedule.Now()-c.sentAt, finished)
 }
 
 func (in *instance) drop(s simulation.ServerID, f *flow) {
--- a/internal/testbed/virtual/client.go
+++ b/internal/testbed/virtual/client.go
@@ -23,13 +23,13 @@
 	stands   *connect
 }
 
-// Ask brings a client's flow to a balancer.
-func (dr *Drive) Ask(f simulation.FlowID, c *simulation.Client, to simulation.BalancerID, left time.Duration, repeat, back bool) {
+// OpenFlow brings a client's flow to a balancer.
+func (dr *Drive) OpenFlow(f simulation.FlowID, c *simulation.Client, to simulation.BalancerID, left time.Duration, repeat, back bool) {
 	in := dr.inst[to]
 	service, customer, group := c.Service, c.Customer, c.Group
-	dr.w.Agenda.After(dr.w.Net.Client, simulation.Message, func() {
+	dr.w.Schedule.After(dr.w.Network.Client, simulation.Message, func() {
 		if !in.up {
-			dr.w.Agenda.After(dr.w.Net.Client, simulation.Message, func() { dr.w.Answered(f, simulation.Nobody, 0) })
+			dr.w.Schedule.After(dr.w.Network.Client, simulation.Message, func() { dr.w.AnswerFlow(f, simulation.NoBalancer, 0) })
 			return
 		}
 		if dr.w.Client(f) == nil {
@@ -43,7 +43,7 @@
 			marks |= decide.FlagReturning
 		}
 		name := decide.FlowID(strconv.FormatInt(int64(f), 36))
-		now := dr.w.Agenda.Now()
+		now := dr.w.Schedule.Now()
 		x := &flow{id: f, name: name, in: in, due: now + left - lineCost}
 		dr.flows[f], in.flows[f] = x, x
 		s := dr.w.Services[service]
@@ -56,20 +56,20 @@
 var effects = map[string]invariants.Effect{"free": invariants.Idempotent, "guarded": invariants.IdempotentByKey, "single_shot": invariants.NotIdempotent}
 var reaches = map[string]invariants.KeyScope{"all": invariants.AllServers, "zone": invariants.ZoneServers, "cell": invariants.CellServers}
 
-// Held begins with a connection that stands.
-func (dr *Drive) Held(f simulation.FlowID, c *simulation.Client, b simulation.BalancerID, id simulation.ConnID, s simulation.ServerID) {
+// AdoptFlow begins with a connection that stands.
+func (dr *Drive) AdoptFlow(f simulation.FlowID, c *simulation.Client, b simulation.BalancerID, id simulation.ConnID, s simulation.ServerID) {
 	in := dr.inst[b]
 	x := &flow{id: f, name: decide.FlowID(strconv.FormatInt(int64(f), 36)), in: in, answered: true, sent: 1}
-	k := &connect{id: id, f: x, server: s, state: standing, sentAt: dr.w.Agenda.Now()}
+	k := &connect{id: id, f: x, server: s, state: standing, sentAt: dr.w.Schedule.Now()}
 	x.out, x.stands = []*connect{k}, k
 	dr.flows[f], in.flows[f], dr.conns[id] = x, x, k
 	in.held[s] = append(in.held[s], x)
 	in.event().AdoptFlow(decide.FlowRequest{ID: x.name, Service: decide.ServiceID(c.Service), Customer: decide.CustomerID(c.Customer), Group: decide.GroupKey(experiment.GroupName(c.Group))}, dr.number(s))
 }
 
-// Leave takes a client's flow away from its balancer.
-func (dr *Drive) Leave(f simulation.FlowID) {
-	dr.w.Agenda.After(dr.w.Net.Client, simulation.Message, func() {
+// LeaveFlow takes a client's flow away from its balancer.
+func (dr *Drive) LeaveFlow(f simulation.FlowID) {
+	dr.w.Schedule.After(dr.w.Network.Client, simulation.Message, func() {
 		x := dr.flows[f]
 		if x == nil || x.left {
 			return
--- a/internal/testbed/virtual/list.go
+++ b/internal/testbed/virtual/list.go
@@ -40,8 +40,8 @@
 var readiness = [...]decide.Readiness{simulation.Ready: decide.Ready, simulation.Draining: decide.Draining, simulation.Gone: decide.Gone}
 var told = [...]invariants.Readiness{simulation.Ready: invariants.Ready, simulation.Draining: invariants.Draining, simulation.Gone: invariants.Gone}
 
-// News brings a balancer a call of the server list.
-func (dr *Drive) News(b simulation.BalancerID, full bool, entries []simulation.Entry) {
+// UpdateList brings a balancer a call of the server list.
+func (dr *Drive) UpdateList(b simulation.BalancerID, full bool, entries []simulation.Entry) {
 	in := dr.inst[b]
 	if !in.up {
 		return
@@ -60,11 +60,11 @@
 	for _, e := range entries {
 		seen[e.Server] = true
 		since := decide.LongAgo
-		if e.Since != simulation.LongAgo {
-			since = e.Since - in.start
+		if e.StartedAt != simulation.LongAgo {
+			since = e.StartedAt - in.start
 		}
-		in.see(e.Server, e.State, e.Since)
-		b.OnEndpoint(decide.Endpoint{ID: dr.number(e.Server), Zone: decide.Zone(dr.w.Halls[e.Hall]), Cell: decide.CellID(e.Cell), Size: e.Size, Readiness: readiness[e.State], StartedAt: since})
+		in.see(e.Server, e.Readiness, e.StartedAt)
+		b.OnEndpoint(decide.Endpoint{ID: dr.number(e.Server), Zone: decide.Zone(dr.w.Localities[e.Locality]), Cell: decide.CellID(e.Cell), Size: e.Size, Readiness: readiness[e.Readiness], StartedAt: since})
 	}
 	if k == decide.FullUpdate {
 		for _, s := range dr.w.Servers {
@@ -81,8 +81,8 @@
 		return
 	}
 	life := in.life
-	in.dr.w.Agenda.After(10*time.Millisecond, simulation.News, func() {
-		if in.up && in.life == life && !in.dr.w.List.Ask(in.id) {
+	in.dr.w.Schedule.After(10*time.Millisecond, simulation.News, func() {
+		if in.up && in.life == life && !in.dr.w.List.Subscribe(in.id) {
 			in.event().BeginEndpoints(decide.FailedUpdate)
 		}
 	})
--- a/internal/testbed/virtual/server.go
+++ b/internal/testbed/virtual/server.go
@@ -30,8 +30,8 @@
 // turn makes every change of a connect's state.
 func (c *connect) turn(to connectState) { c.state = to }
 
-// Up says that a server has set a connection up.
-func (dr *Drive) Up(id simulation.ConnID) {
+// Establish says that a server has set a connection up.
+func (dr *Drive) Establish(id simulation.ConnID) {
 	c := dr.conns[id]
 	if c == nil {
 		return
@@ -45,47 +45,47 @@
 		f.stands, f.answered = c, true
 		in.held[c.server] = append(in.held[c.server], f)
 		dr.see(invariants.Event{Kind: invariants.FlowAnswered, Balancer: invariants.Balancer(in.id), Flow: invariants.Flow(f.id), Answer: invariants.Established})
-		in.event().OnEstablished(f.name, dr.w.Agenda.Now()-c.sentAt)
-		dr.w.Agenda.After(dr.w.Net.Client, simulation.Message, func() { dr.w.Answered(f.id, simulation.Established, 0) })
+		in.event().OnEstablished(f.name, dr.w.Schedule.Now()-c.sentAt)
+		dr.w.Schedule.After(dr.w.Network.Client, simulation.Message, func() { dr.w.AnswerFlow(f.id, simulation.Established, 0) })
 	})
 }
 
 // back brings something from a server to its balancer, unless the network is cut.
 func (dr *Drive) back(c *connect, do func()) {
-	from, to := dr.w.Servers[c.server].Hall, c.f.in.hall
-	if dr.w.Net.Blocked(from, to) {
+	from, to := dr.w.Servers[c.server].Locality, c.f.in.hall
+	if dr.w.Network.IsBlocked(from, to) {
 		return
 	}
 	life := c.f.in.life
-	dr.w.Agenda.After(dr.w.Net.Way(from, to), simulation.Message, func() {
+	dr.w.Schedule.After(dr.w.Network.Delay(from, to), simulation.Message, func() {
 		if c.f.in.up && c.f.in.life == life && c.state != over {
 			do()
 		}
 	})
 }
 
-// Turn ends a connection by its server's will.
-func (dr *Drive) Turn(id simulation.ConnID, how simulation.Refusal) {
+// EndConnect ends a connection by its server's will.
+func (dr *Drive) EndConnect(id simulation.ConnID, how simulation.EndReason) {
 	c := dr.conns[id]
 	if c == nil {
 		return
 	}
 	dr.back(c, func() {
-		o := map[simulation.Refusal]decide.Outcome{simulation.Full: decide.Full, simulation.Failed: decide.Error, simulation.Dropped: decide.Reset,
-			simulation.Sent: decide.Full, simulation.Closed: decide.Cancelled}[how]
+		o := map[simulation.EndReason]decide.Outcome{simulation.Full: decide.Full, simulation.Failed: decide.Error, simulation.Dropped: decide.Reset,
+			simulation.MoveRequested: decide.Full, simulation.ServerStopped: decide.Cancelled}[how]
 		c.f.in.finish(c, o)
 	})
 }
 
-// Late tells the balancers that hold connections on a server how long its messages take.
-func (dr *Drive) Late(s simulation.ServerID, delay time.Duration) {
-	hall := dr.w.Servers[s].Hall
+// ReportDelay tells the balancers that hold connections on a server how long its messages take.
+func (dr *Drive) ReportDelay(s simulation.ServerID, delay time.Duration) {
+	hall := dr.w.Servers[s].Locality
 	for _, in := range dr.inst {
-		if !in.up || len(in.held[s]) == 0 || dr.w.Net.Blocked(hall, in.hall) {
+		if !in.up || len(in.held[s]) == 0 || dr.w.Network.IsBlocked(hall, in.hall) {
 			continue
 		}
 		life := in.life
-		dr.w.Agenda.After(dr.w.Net.Way(hall, in.hall), simulation.Message, func() {
+		dr.w.Schedule.After(dr.w.Network.Delay(hall, in.hall), simulation.Message, func() {
 			if in.up && in.life == life && len(in.held[s]) > 0 {
 				in.event().OnLatencySample(in.held[s][0].name, delay)
 			}
@@ -93,23 +93,23 @@
 	}
 }
 
-// Changed says that a server is in another phase; balancers hear of it from the list alone.
-func (dr *Drive) Changed(simulation.ServerID) {}
+// ServerChanged says that a server is in another phase; balancers hear of it from the list alone.
+func (dr *Drive) ServerChanged(simulation.ServerID) {}
 
 func (dr *Drive) arrive(c *connect) {
 	if c.state != dialing {
 		return
 	}
 	w, in := dr.w, c.f.in
-	if !w.Servers[c.server].Alive() {
+	if !w.Servers[c.server].IsServing() {
 		in.finish(c, decide.Unreachable)
 		return
 	}
 	c.turn(asked)
 	s := w.Servers[c.server]
-	if cl := w.Client(c.f.id); cl != nil && s.Since() != simulation.LongAgo {
+	if cl := w.Client(c.f.id); cl != nil && s.StartedAt() != simulation.LongAgo {
 		dr.see(invariants.Event{Kind: invariants.ConnectArrived, Balancer: invariants.Balancer(in.id), Flow: invariants.Flow(c.f.id), Connect: invariants.Connect(c.id),
-			Server: invariants.Server(c.server), StartedAt: s.Since(), Load: cl.Load(), Capacity: s.TakesNow()})
+			Server: invariants.Server(c.server), StartedAt: s.StartedAt(), Load: cl.Load(), Capacity: s.SlowStartRate()})
 	}
-	w.Arrive(c.id, c.server, c.f.id, in.hall)
+	w.ArriveConnect(c.id, c.server, c.f.id, in.hall)
 }
--- a/internal/testbed/virtual/virtual.go
+++ b/internal/testbed/virtual/virtual.go
@@ -54,7 +54,7 @@
 		byNum: map[decide.ServerID]simulation.ServerID{}}
 	terms := d.Experiment.Terms()
 	dr.connMax, dr.up = terms.MaxConnects, terms.ConnectTimeout
-	d.World.Carrier = dr
+	d.World.Driver = dr
 	return dr
 }
 
@@ -62,25 +62,25 @@
 func (dr *Drive) Run(progress func(time.Duration)) {
 	w := dr.w
 	for _, b := range w.Balancers {
-		dr.inst = append(dr.inst, &instance{dr: dr, id: b.ID, hall: b.Hall})
-		dr.Start(b.ID)
+		dr.inst = append(dr.inst, &instance{dr: dr, id: b.ID, hall: b.Locality})
+		dr.StartBalancer(b.ID)
 	}
 	dr.d.Begin()
-	end := w.Books.Length
+	end := w.Accounting.Length
 	for t := time.Duration(0); t < end; t += time.Second {
-		w.Agenda.RunTo(min(t+time.Second, end))
-		dr.checker.Advance(w.Agenda.Now())
+		w.Schedule.RunTo(min(t+time.Second, end))
+		dr.checker.Advance(w.Schedule.Now())
 		if progress != nil {
-			progress(w.Agenda.Now())
+			progress(w.Schedule.Now())
 		}
 	}
 	// What was taken before the end is answered after it.
-	w.Agenda.RunTo(end + 5*time.Second)
+	w.Schedule.RunTo(end + 5*time.Second)
 	w.End()
-	dr.checker.Finish(w.Agenda.Now())
+	dr.checker.Finish(w.Schedule.Now())
 }
 
 func (dr *Drive) see(e invariants.Event) {
-	e.At = dr.w.Agenda.Now()
+	e.At = dr.w.Schedule.Now()
 	dr.checker.Observe(e)
 }
