--- a/cmd/testbed/agree.go
+++ b/cmd/testbed/agree.go
@@ -137,7 +137,7 @@
 func (p *pair) virtual(e *experiment.Experiment, policy string) error {
 	p.Least = math.Inf(1)
 	for k := range uint64(chances) {
-		r, err := scenario.Day(e, p.Seed, policy, nil, func(m virtual.Maker) virtual.Maker {
+		r, err := scenario.Day(e, p.Seed, policy, nil, func(m virtual.NewDecider) virtual.NewDecider {
 			return func(seed uint64, b simulation.BalancerID, act decide.Actions) virtual.Decider {
 				return m(seed+k, b, act)
 			}
--- a/internal/simulation/client.go
+++ b/internal/simulation/client.go
@@ -170,7 +170,7 @@
 		w.Driver.LeaveFlow(c.endFlow())
 		c.scheduleRetry(0)
 	})
-	w.Driver.OpenFlow(c.flow, c, to, s.Timeout, c.failedInARow > 0, c.Retried > 0)
+	w.Driver.OpenFlow(Attempt{Flow: c.flow, Client: c, Balancer: to, Timeout: s.Timeout, IsRetry: c.failedInARow > 0, IsReturning: c.Retried > 0})
 }
 
 // endFlow ends the flow in hand.
--- a/internal/simulation/types.go
+++ b/internal/simulation/types.go
@@ -94,11 +94,21 @@
 	StartedAt time.Duration
 }
 
+// Attempt is a client's attempt to have a flow established by a balancer.
+type Attempt struct {
+	Flow        FlowID
+	Client      *Client
+	Balancer    BalancerID
+	Timeout     time.Duration
+	IsRetry     bool // of an attempt that came to nothing
+	IsReturning bool // the client has had or tried a connection before
+}
+
 // Driver takes what the world does to its surroundings: the balancers and the network before them. Each call says
 // what happened at the time of the agenda; how long it takes to be heard of is the carrier's to say.
 type Driver interface {
 	// OpenFlow: a client opens a connection at a balancer and sends its line.
-	OpenFlow(f FlowID, c *Client, to BalancerID, left time.Duration, repeat, back bool)
+	OpenFlow(a Attempt)
 	// LeaveFlow: a client ends its connection, standing or not.
 	LeaveFlow(f FlowID)
 	// Establish, Turn: a server's word on a connect or a standing connection.
--- a/internal/simulation/world_test.go
+++ b/internal/simulation/world_test.go
@@ -17,8 +17,8 @@
 	gone  []FlowID
 }
 
-func (s *still) OpenFlow(f FlowID, _ *Client, _ BalancerID, _ time.Duration, _, _ bool) {
-	s.asked = append(s.asked, f)
+func (s *still) OpenFlow(a Attempt) {
+	s.asked = append(s.asked, a.Flow)
 }
 func (s *still) LeaveFlow(f FlowID)                   { s.gone = append(s.gone, f) }
 func (s *still) Establish(c ConnID)                   { s.up = append(s.up, c) }
--- a/internal/testbed/scenario/board.go
+++ b/internal/testbed/scenario/board.go
@@ -28,7 +28,7 @@
 }
 
 // tells makes the deciders of a day on which balancers tell each other what they see.
-func tells(d *experiment.Day) virtual.Maker {
+func tells(d *experiment.Day) virtual.NewDecider {
 	b := &board{w: d.World, all: map[simulation.BalancerID]*signals.Exchange{}, last: map[simulation.BalancerID]signals.Incarnation{}}
 	return func(seed uint64, id simulation.BalancerID, act decide.Actions) virtual.Decider {
 		g := config.FromPairs(d.Settings(id))
--- a/internal/testbed/scenario/play.go
+++ b/internal/testbed/scenario/play.go
@@ -31,7 +31,7 @@
 }
 
 // Maker makes the deciders of a policy for a day.
-func Maker(d *experiment.Day, policy string) (virtual.Maker, error) {
+func Maker(d *experiment.Day, policy string) (virtual.NewDecider, error) {
 	if policy == "ours+halls" {
 		return func(seed uint64, b simulation.BalancerID, act decide.Actions) virtual.Decider {
 			g := config.FromPairs(d.Settings(b))
@@ -65,7 +65,7 @@
 		return simulation.NoGroup
 	}
 	connects := d.Experiment.Terms().MaxConnects
-	numbers := virtual.Numbers(len(d.World.Servers) + 4096)
+	numbers := virtual.ServerIDs(len(d.World.Servers) + 4096)
 	return func(seed uint64, _ simulation.BalancerID, act decide.Actions) virtual.Decider {
 		var all *simulation.World
 		if policy == "top" {
@@ -77,7 +77,7 @@
 }
 
 // Day plays one seed under one policy. wrap, where there is one, stands between the policy and its balancer.
-func Day(e *experiment.Experiment, seed uint64, policy string, progress func(time.Duration), wrap func(virtual.Maker) virtual.Maker) (*count.Result, error) {
+func Day(e *experiment.Experiment, seed uint64, policy string, progress func(time.Duration), wrap func(virtual.NewDecider) virtual.NewDecider) (*count.Result, error) {
 	d := e.Day(seed)
 	maker, err := Maker(d, policy)
 	if err != nil {
@@ -90,9 +90,9 @@
 	dr := virtual.New(d, ref, maker)
 	loads := Loads(d.World)
 	dr.Run(progress)
-	r := &count.Result{Policy: policy, Seed: seed, Load: *loads, Crossings: dr.Tally.Crossings, Moves: dr.Tally.Moves, Connects: dr.Tally.Connects}
+	r := &count.Result{Policy: policy, Seed: seed, Load: *loads, Crossings: dr.Tally.Crossings, Moves: dr.Tally.Migrations, Connects: dr.Tally.Connects}
 	seconds := len(d.World.Accounting.Requested[0])
-	r.MovesBy, r.ConnectsBy = count.PerSecond(dr.Tally.MovedAt, seconds), count.PerSecond(dr.Tally.ConnectAt, seconds)
+	r.MovesBy, r.ConnectsBy = count.PerSecond(dr.Tally.MigratedAt, seconds), count.PerSecond(dr.Tally.ConnectedAt, seconds)
 	Finish(r, d, ref)
 	return r, nil
 }
--- a/internal/testbed/scenario/play_test.go
+++ b/internal/testbed/scenario/play_test.go
@@ -259,7 +259,7 @@
 			}
 			found := 0
 			for seed := range uint64(3) {
-				r, err := Day(e, seed, "ours", nil, func(m virtual.Maker) virtual.Maker {
+				r, err := Day(e, seed, "ours", nil, func(m virtual.NewDecider) virtual.NewDecider {
 					return func(s uint64, id simulation.BalancerID, act decide.Actions) virtual.Decider {
 						if c.way == "cold server flooded" {
 							return &herd{Decider: m(s, id, act), act: act}
--- a/internal/testbed/sockets/client.go
+++ b/internal/testbed/sockets/client.go
@@ -85,18 +85,18 @@
 }
 
 // OpenFlow opens a connection at a balancer. What it takes is counted from here, whatever keeps the machine from connecting.
-func (dr *Drive) OpenFlow(f simulation.FlowID, v *simulation.Client, b simulation.BalancerID, left time.Duration, repeat, back bool) {
+func (dr *Drive) OpenFlow(a simulation.Attempt) {
 	if dr.over {
 		return
 	}
 	more := ""
-	if repeat {
+	if a.IsRetry {
 		more += ",r=1"
 	}
-	if back {
+	if a.IsReturning {
 		more += ",again=1"
 	}
-	dr.begin(f, v, b, left, more)
+	dr.begin(a.Flow, a.Client, a.Balancer, a.Timeout, more)
 }
 
 // AdoptFlow brings up one that stands when the day begins.
--- /dev/null
+++ b/internal/testbed/virtual/actions.go
@@ -0,0 +1,160 @@
+package virtual
+
+import (
+	"time"
+
+	"yardwinch/decide"
+	"yardwinch/internal/simulation"
+	"yardwinch/internal/testbed/invariants"
+)
+
+// balancer carries out the decisions of its decider.
+var _ decide.Actions = (*balancer)(nil)
+
+// Connect sends a flow to a server.
+func (b *balancer) Connect(id decide.FlowID, to decide.ServerID, limit time.Duration) {
+	d, f := b.driver, b.flow(id)
+	server, known := d.serverOf[to]
+	if f == nil || !known {
+		return
+	}
+	c := b.newConnect(f, server)
+	if f.sentCount > d.maxConnects {
+		d.world.Schedule.After(0, simulation.Message, func() { b.endConnect(c, decide.NeverSent) })
+		return
+	}
+	b.countConnect(c)
+	deadline := f.deadline
+	if limit > 0 {
+		deadline = min(deadline, c.sentAt+limit)
+	}
+	d.world.Schedule.At(deadline, simulation.Wake, func() {
+		if c.state == dialing || c.state == awaitingReply {
+			b.endConnect(c, decide.TimedOut)
+		}
+	})
+	b.dial(c)
+}
+
+func (b *balancer) newConnect(f *flow, server simulation.ServerID) *connect {
+	d := b.driver
+	c := &connect{id: d.world.NewConnID(), flow: f, number: f.sentCount, server: server, state: dialing, sentAt: d.world.Schedule.Now()}
+	f.sentCount++
+	f.outstanding = append(f.outstanding, c)
+	d.connects[c.id] = c
+	return c
+}
+
+func (b *balancer) countConnect(c *connect) {
+	d, server := b.driver, b.driver.world.Servers[c.server]
+	d.Tally.Connects++
+	d.Tally.ConnectedAt = append(d.Tally.ConnectedAt, c.sentAt)
+	if server.Locality != b.locality {
+		d.Tally.Crossings++
+	}
+	e := b.connectEvent(invariants.ConnectSent, c)
+	e.Server, e.Zone, e.Cell = invariants.Server(c.server), int(server.Locality), int(server.Cell)
+	d.observe(e)
+}
+
+// dial has a connect reach its server, or fail as the server's state has it.
+func (b *balancer) dial(c *connect) {
+	w := b.driver.world
+	oneWay := w.Network.Delay(b.locality, w.Servers[c.server].Locality)
+	fail := func() { b.endConnect(c, decide.Unreachable) }
+	switch w.Reach(b.locality, c.server) {
+	case simulation.Refused:
+		w.Schedule.After(2*oneWay, simulation.Message, fail)
+	case simulation.Unresponsive:
+		w.Schedule.After(b.driver.connectTimeout, simulation.Message, fail)
+	default: // there and back to connect, then the line
+		w.Schedule.After(3*oneWay, simulation.Message, func() { b.driver.arriveConnect(c) })
+	}
+}
+
+// Reject gives a final answer: the flow did not run.
+func (b *balancer) Reject(id decide.FlowID, retryAfter time.Duration) {
+	b.driver.Tally.Rejects++
+	b.answer(id, invariants.Rejected, simulation.Rejected, retryAfter)
+}
+
+// Abort gives a final answer: the flow may have run.
+func (b *balancer) Abort(id decide.FlowID) {
+	b.driver.Tally.Aborts++
+	b.answer(id, invariants.Aborted, simulation.Aborted, 0)
+}
+
+// answer tells the checker each answer, and the client the first one.
+func (b *balancer) answer(id decide.FlowID, observed invariants.Answer, answer simulation.Answer, retryAfter time.Duration) {
+	const unknownFlow = -1
+	d, f := b.driver, b.flow(id)
+	e := b.flowEvent(invariants.FlowAnswered, unknownFlow)
+	e.Answer = observed
+	if f == nil {
+		d.observe(e)
+		return
+	}
+	e.Flow = invariants.Flow(f.id)
+	d.observe(e)
+	if f.isAnswered {
+		return
+	}
+	f.isAnswered = true
+	b.forget(f)
+	d.sendToClient(func() { d.world.AnswerFlow(f.id, answer, retryAfter) })
+}
+
+// Cancel ends a connect of a flow that is not established.
+func (b *balancer) Cancel(id decide.FlowID, number int) {
+	f := b.flow(id)
+	if f == nil {
+		return
+	}
+	for _, c := range f.outstanding {
+		if c.number == number && c.state != established {
+			b.driver.world.Schedule.After(0, simulation.Message, func() { b.endConnect(c, decide.Cancelled) })
+		}
+	}
+}
+
+// Migrate asks an established flow's client to reconnect.
+func (b *balancer) Migrate(id decide.FlowID) {
+	f := b.flow(id)
+	if f == nil || f.established == nil {
+		return
+	}
+	d, c := b.driver, f.established
+	d.Tally.Migrations++
+	d.Tally.MigratedAt = append(d.Tally.MigratedAt, d.world.Schedule.Now())
+	d.world.Schedule.After(0, simulation.Message, func() {
+		if c.state == established && !f.clientLeft {
+			b.endConnect(c, decide.Cancelled)
+		}
+	})
+}
+
+// HealthCheck finds what a new connection meets at a server.
+func (b *balancer) HealthCheck(id decide.ServerID) {
+	server, known := b.driver.serverOf[id]
+	if !known {
+		return
+	}
+	w := b.driver.world
+	b.driver.Tally.HealthChecks++
+	outcome, took := decide.OK, 2*w.Network.Delay(b.locality, w.Servers[server].Locality)
+	switch w.Reach(b.locality, server) {
+	case simulation.Refused:
+		outcome = decide.Unreachable
+	case simulation.Unresponsive:
+		outcome, took = decide.TimedOut, b.driver.connectTimeout
+	}
+	w.Schedule.After(took, simulation.Message, b.whileRunning(func() { b.decide().OnHealthCheck(id, outcome) }))
+}
+
+// SetTimer has the decider woken, in a microsecond at the soonest.
+func (b *balancer) SetTimer(id decide.TimerID, delay time.Duration) {
+	b.driver.world.Schedule.After(max(delay, time.Microsecond), simulation.Wake, b.whileRunning(func() { b.decide().OnTimer(id) }))
+}
+
+// Log drops what a decider logs: results come from what it does.
+func (b *balancer) Log(string) {}
--- a/internal/testbed/virtual/list.go
+++ b/internal/testbed/virtual/list.go
@@ -10,82 +10,107 @@
 	"yardwinch/internal/testbed/invariants"
 )
 
-// Numbers are the ids of the first n servers by their names alone, as balancers on sockets have them.
-func Numbers(n int) map[decide.ServerID]simulation.ServerID {
-	of := make(map[decide.ServerID]simulation.ServerID, n)
+const (
+	subscribeDelay = 10 * time.Millisecond // until a call for the list has arrived
+	spareIDs       = 32                    // of servers that may be added
+)
+
+var (
+	decideReadiness  = [...]decide.Readiness{simulation.Ready: decide.Ready, simulation.Draining: decide.Draining, simulation.Gone: decide.Gone}
+	checkerReadiness = [...]invariants.Readiness{simulation.Ready: invariants.Ready, simulation.Draining: invariants.Draining, simulation.Gone: invariants.Gone}
+)
+
+// ServerIDs are the ids of the first n servers by their names alone, as balancers on sockets have them.
+func ServerIDs(n int) map[decide.ServerID]simulation.ServerID {
+	servers := make(map[decide.ServerID]simulation.ServerID, n)
 	for s := range n {
-		h := fnv.New32a()
-		_, _ = h.Write([]byte(experiment.ServerName(simulation.ServerID(s))))
-		id := decide.ServerID(h.Sum32())
-		for _, taken := of[id]; taken; _, taken = of[id] {
+		hash := fnv.New32a()
+		_, _ = hash.Write([]byte(experiment.ServerName(simulation.ServerID(s)))) // a hash takes all
+		id := decide.ServerID(hash.Sum32())
+		for _, taken := servers[id]; taken; _, taken = servers[id] {
 			id++
 		}
-		of[id] = simulation.ServerID(s)
+		servers[id] = simulation.ServerID(s)
 	}
-	return of
+	return servers
 }
 
-// number is the id of a server; the list grows with the fleet.
-func (dr *Drive) number(s simulation.ServerID) decide.ServerID {
-	if len(dr.numbers) <= int(s) {
-		dr.byNum = Numbers(2 * (int(s) + 32))
-		dr.numbers = make([]decide.ServerID, len(dr.byNum))
-		for id, at := range dr.byNum {
-			dr.numbers[at] = id
+// decideID is the id of a server at the deciders. The table grows with the fleet.
+func (d *Driver) decideID(s simulation.ServerID) decide.ServerID {
+	if len(d.ids) <= int(s) {
+		d.serverOf = ServerIDs(2 * (int(s) + spareIDs))
+		d.ids = make([]decide.ServerID, len(d.serverOf))
+		for id, server := range d.serverOf {
+			d.ids[server] = id
 		}
 	}
-	return dr.numbers[s]
+	return d.ids[s]
 }
 
-var readiness = [...]decide.Readiness{simulation.Ready: decide.Ready, simulation.Draining: decide.Draining, simulation.Gone: decide.Gone}
-var told = [...]invariants.Readiness{simulation.Ready: invariants.Ready, simulation.Draining: invariants.Draining, simulation.Gone: invariants.Gone}
-
-// UpdateList brings a balancer a call of the server list.
-func (dr *Drive) UpdateList(b simulation.BalancerID, full bool, entries []simulation.Entry) {
-	in := dr.inst[b]
-	if !in.up {
+// UpdateList brings a balancer an update of the server list.
+func (d *Driver) UpdateList(to simulation.BalancerID, isFull bool, entries []simulation.Entry) {
+	b := d.balancers[to]
+	if !b.isUp {
 		return
 	}
-	k := decide.DeltaUpdate
-	if full {
-		k = decide.FullUpdate
+	kind := decide.DeltaUpdate
+	if isFull {
+		kind = decide.FullUpdate
 	}
-	in.list(k, entries)
+	b.updateList(kind, entries)
 }
 
-func (in *instance) list(k decide.UpdateKind, entries []simulation.Entry) {
-	dr, b := in.dr, in.event()
-	b.BeginEndpoints(k)
-	seen := map[simulation.ServerID]bool{}
-	for _, e := range entries {
-		seen[e.Server] = true
-		since := decide.LongAgo
-		if e.StartedAt != simulation.LongAgo {
-			since = e.StartedAt - in.start
-		}
-		in.see(e.Server, e.Readiness, e.StartedAt)
-		b.OnEndpoint(decide.Endpoint{ID: dr.number(e.Server), Zone: decide.Zone(dr.w.Localities[e.Locality]), Cell: decide.CellID(e.Cell), Size: e.Size, Readiness: readiness[e.Readiness], StartedAt: since})
+func (b *balancer) updateList(kind decide.UpdateKind, entries []simulation.Entry) {
+	d, decider := b.driver, b.decide()
+	decider.BeginEndpoints(kind)
+	listed := map[simulation.ServerID]bool{}
+	for _, entry := range entries {
+		listed[entry.Server] = true
+		b.announce(entry.Server, entry.Readiness, entry.StartedAt)
+		decider.OnEndpoint(b.endpoint(entry))
 	}
-	if k == decide.FullUpdate {
-		for _, s := range dr.w.Servers {
-			if !seen[s.ID] {
-				in.see(s.ID, simulation.Gone, simulation.LongAgo)
+	if kind == decide.FullUpdate {
+		for _, s := range d.world.Servers {
+			if !listed[s.ID] {
+				b.announce(s.ID, simulation.Gone, simulation.LongAgo)
 			}
 		}
 	}
-	b.EndEndpoints()
+	decider.EndEndpoints()
+}
+
+// endpoint is an entry as the decider has it, with the times of its own clock.
+func (b *balancer) endpoint(entry simulation.Entry) decide.Endpoint {
+	d := b.driver
+	startedAt := decide.LongAgo
+	if entry.StartedAt != simulation.LongAgo {
+		startedAt = entry.StartedAt - b.startedAt
+	}
+	return decide.Endpoint{ID: d.decideID(entry.Server), Zone: decide.Zone(d.world.Localities[entry.Locality]), Cell: decide.CellID(entry.Cell),
+		Size: entry.Size, Readiness: decideReadiness[entry.Readiness], StartedAt: startedAt}
+}
+
+// announce tells the checker what the balancer is told of a server.
+func (b *balancer) announce(s simulation.ServerID, readiness simulation.Readiness, startedAt time.Duration) {
+	if startedAt == simulation.LongAgo {
+		startedAt = invariants.LongAgo
+	}
+	e := b.event(invariants.ServerAnnounced)
+	e.Server, e.Readiness, e.StartedAt = invariants.Server(s), checkerReadiness[readiness], startedAt
+	b.driver.observe(e)
 }
 
-func (in *instance) WatchEndpoints(on bool) {
+// WatchEndpoints subscribes to the list. A watch that ends needs nothing.
+func (b *balancer) WatchEndpoints(on bool) {
 	if !on {
 		return
 	}
-	life := in.life
-	in.dr.w.Schedule.After(10*time.Millisecond, simulation.News, func() {
-		if in.up && in.life == life && !in.dr.w.List.Subscribe(in.id) {
-			in.event().BeginEndpoints(decide.FailedUpdate)
+	b.driver.world.Schedule.After(subscribeDelay, simulation.News, b.whileRunning(func() {
+		if !b.driver.world.List.Subscribe(b.id) {
+			b.decide().BeginEndpoints(decide.FailedUpdate)
 		}
-	})
+	}))
 }
 
-func (in *instance) FetchEndpoints() { in.WatchEndpoints(true) }
+// FetchEndpoints asks for the list once, which the model's list answers as a watch.
+func (b *balancer) FetchEndpoints() { b.WatchEndpoints(true) }
