--- a/internal/testbed/count/count_test.go
+++ b/internal/testbed/count/count_test.go
@@ -8,48 +8,48 @@
 	"yardwinch/internal/simulation"
 )
 
-func TestServiceIsValueServedOverValueAskedFor(t *testing.T) {
-	b := simulation.NewAccounting(40*time.Second, 2, 2, 2, 0.5)
-	b.AddRequested(0, 0, false, 0, 0, 40*time.Second, 1)
-	b.AddRequested(1, 1, false, 0, 0, 40*time.Second, 3)
-	b.AddRequested(0, 1, true, 0, 0, 40*time.Second, 2) // counts half
-	b.AddServed(0, 0, false, 0, 0, 40*time.Second, 1)
-	b.AddServed(1, 1, false, 0, 5*time.Second, 25*time.Second, 3)
-	b.AddServed(0, 1, true, 0, 0, 20*time.Second, 2)
+func TestServiceIsServedOverRequestedValue(t *testing.T) {
+	accounting := simulation.NewAccounting(40*time.Second, 2, 2, 2, 0.5)
+	accounting.AddRequested(0, 0, false, 0, 0, 40*time.Second, 1)
+	accounting.AddRequested(1, 1, false, 0, 0, 40*time.Second, 3)
+	accounting.AddRequested(0, 1, true, 0, 0, 40*time.Second, 2) // counts half
+	accounting.AddServed(0, 0, false, 0, 0, 40*time.Second, 1)
+	accounting.AddServed(1, 1, false, 0, 5*time.Second, 25*time.Second, 3)
+	accounting.AddServed(0, 1, true, 0, 0, 20*time.Second, 2)
 	var r Result
 	r.Crossings = 5
-	tot := &simulation.Totals{Clients: 10, Setups: []time.Duration{10 * time.Millisecond, 30 * time.Millisecond}, EstablishedAt: []time.Duration{0, time.Second}}
-	r.Count(b, tot, 2, 2, Weights{ServedShare: 0.5, WorstWindow: 0.5, Crossing: 0.1})
-	for _, c := range []struct {
+	totals := &simulation.Totals{Clients: 10, Setups: []time.Duration{10 * time.Millisecond, 30 * time.Millisecond}, EstablishedAt: []time.Duration{0, time.Second}}
+	r.Count(accounting, totals, 2, 2, Weights{ServedShare: 0.5, WorstWindow: 0.5, Crossing: 0.1})
+	for _, test := range []struct {
 		name      string
 		got, want float64
 	}{
-		{"whole", r.ServedShare, (40 + 60 + 20) / 200.},
+		{"of the day", r.ServedShare, (40 + 60 + 20) / 200.},
 		{"worst 10 s", r.WorstWindow, 10 / 50.},
-		{"where", r.WorstWindowAt, 25},
+		{"worst 10 s from", r.WorstWindowAt, 25},
 		{"worst customer", r.WorstCustomer, 0.5},
-		{"worst type", r.WorstServiceType, 0.5},
+		{"worst service type", r.WorstServiceType, 0.5},
 		{"service", r.Service, 0.5*0.6 + 0.5*0.2 - 0.05},
 		{"p50", r.SetupTimes.P50, 10},
 		{"the longest", r.SetupTimes.Max, 30},
 		{"second 26", r.BySecond[26], 0.2},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			if math.Abs(c.got-c.want) > 0.01 {
-				t.Errorf("%.4f, want %.4f", c.got, c.want)
+		t.Run(test.name, func(t *testing.T) {
+			if math.Abs(test.got-test.want) > 0.01 {
+				t.Errorf("%.4f, want %.4f", test.got, test.want)
 			}
 		})
 	}
 }
 
-func TestPairedInterval(t *testing.T) {
+func TestPairedDifference(t *testing.T) {
 	mean, half := PairedDifference([]float64{0.9, 0.8, 0.7, 0.95, 0.85}, []float64{0.8, 0.75, 0.68, 0.85, 0.7})
 	// Differences 0.10 0.05 0.02 0.10 0.15: mean 0.084, deviation 0.0503, t(4) 2.776.
 	if math.Abs(mean-0.084) > 1e-9 || math.Abs(half-2.776*0.05030/math.Sqrt(5)) > 0.002 {
 		t.Errorf("%.4f ± %.4f", mean, half)
 	}
 	if _, half := PairedDifference([]float64{1}, []float64{0}); !math.IsInf(half, 1) {
-		t.Errorf("one pair tells no interval, got %v", half)
+		t.Errorf("one pair gives no interval, got %v", half)
 	}
 	if q := studentQuantile(2); math.Abs(q-4.303) > 0.01 {
 		t.Errorf("t(2) %v", q)
--- /dev/null
+++ b/internal/testbed/count/result.go
@@ -0,0 +1,58 @@
+// Package count works out what a day's service comes to, from the world's accounting.
+package count
+
+// Result is one day under one policy, as programs read it. Keys say the unit of a time.
+type Result struct {
+	Policy              string       `json:"policy"`
+	Seed                uint64       `json:"seed"`
+	Service             float64      `json:"service"`    // the weighted shares that the experiment asks for, less its prices
+	ServedShare         float64      `json:"whole"`      // value of served seconds over the value of all requested ones
+	WorstWindow         float64      `json:"worst_10s"`  // the same over the worst 10 s
+	WorstWindowAt       float64      `json:"worst_at_s"` // where that began
+	WorstCustomer       float64      `json:"worst_customer"`
+	WorstServiceType    float64      `json:"worst_service_type"`
+	ByServiceType       []float64    `json:"by_service_type"`
+	ByCustomer          []float64    `json:"by_customer"`
+	BySecond            []float64    `json:"by_second"`
+	BySecondAndLocality [][]float64  `json:"by_hall_second"` // the same by the clients' halls
+	SetupTimes          Quantiles    `json:"setup_ms"`
+	FirstSetupTimes     Quantiles    `json:"first_up_ms"` // from a client's arrival to its first connection; those that never had one count with their wait
+	NeverEstablished    int          `json:"never_up"`
+	Clients             int          `json:"clients"`
+	Attempts            int          `json:"tries"`
+	Retries             int          `json:"retries"`
+	Established         int          `json:"established"`
+	Rejected            int          `json:"rejected"`
+	Aborted             int          `json:"aborted"`
+	NoBalancer          int          `json:"no_balancer"`
+	TimedOut            int          `json:"gave_up"`
+	Cut                 int          `json:"cut"`
+	Connects            int          `json:"connects"`
+	Crossings           int          `json:"crossings"`
+	Migrations          int          `json:"moves"`
+	Violations          []string     `json:"violations"`
+	Broken              int          `json:"broken"`
+	Judged              int          `json:"flows_judged"`
+	Collapsed           int          `json:"servers_pushed_over"`
+	MaxSlowStartExcess  float64      `json:"most_pushed"` // onto a starting server over the rule's window, in times what it can bear
+	Faults              []Fault      `json:"troubles"`
+	LoadByServer        [][]float64  `json:"load_by_server,omitempty"` // a row a server, a column a second: demand over capacity
+	RejectsBySecond     []int        `json:"rejects_by_second,omitempty"`
+	MigrationsBySecond  []int        `json:"moves_by_second,omitempty"`
+	ConnectsBySecond    []int        `json:"connects_by_second,omitempty"`
+	AttemptsBySecond    []int        `json:"tries_by_second,omitempty"`
+	SetupTimesBySecond  [][3]float64 `json:"setup_by_second_ms,omitempty"` // p50, p90, p99
+	Void                string       `json:"void,omitempty"`               // why the run says nothing
+}
+
+// Quantiles of the time from a client's attempt to its answer, over the flows that were established.
+type Quantiles struct {
+	P50, P90, P99, Max float64
+}
+
+// Fault is one entry of the timeline as it was drawn.
+type Fault struct {
+	Kind  string  `json:"kind"`
+	Start float64 `json:"start_s"`
+	End   float64 `json:"end_s"`
+}
--- /dev/null
+++ b/internal/testbed/count/statistics.go
@@ -0,0 +1,98 @@
+package count
+
+import (
+	"math"
+	"slices"
+	"time"
+
+	"github.com/HdrHistogram/hdrhistogram-go"
+)
+
+const (
+	longestTime        = time.Hour // in a histogram; more than any connect timeout
+	significantFigures = 3         // of a histogram
+)
+
+// PerSecond counts times by their second; those outside of the seconds are left out.
+func PerSecond(times []time.Duration, seconds int) []int {
+	counts := make([]int, seconds)
+	for _, t := range times {
+		if second := int(t / time.Second); second >= 0 && second < seconds {
+			counts[second]++
+		}
+	}
+	return counts
+}
+
+// quantiles are in milliseconds; 0 where there are no times.
+func quantiles(times []time.Duration) Quantiles {
+	const microsecondsEach = 1000
+	if len(times) == 0 {
+		return Quantiles{}
+	}
+	histogram := hdrhistogram.New(1, longestTime.Microseconds(), significantFigures)
+	for _, t := range times {
+		_ = histogram.RecordValue(max(1, t.Microseconds())) // a time beyond the longest is left out
+	}
+	at := func(percent float64) float64 { return float64(histogram.ValueAtQuantile(percent)) / microsecondsEach }
+	longest := float64(slices.Max(times).Microseconds()) / microsecondsEach
+	return Quantiles{P50: at(50), P90: at(90), P99: at(99), Max: longest}
+}
+
+// PairedDifference is the mean of a's figures less b's over the same seeds, and half of the width of its 95 % confidence interval.
+func PairedDifference(a, b []float64) (mean, half float64) {
+	n := float64(len(a))
+	if n == 0 {
+		return 0, 0
+	}
+	for i := range a {
+		mean += (a[i] - b[i]) / n
+	}
+	if n < 2 {
+		return mean, math.Inf(1)
+	}
+	squares := 0.0
+	for i := range a {
+		deviation := a[i] - b[i] - mean
+		squares += deviation * deviation
+	}
+	return mean, studentQuantile(len(a)-1) * math.Sqrt(squares/(n-1)/n)
+}
+
+// studentQuantile is the 97.5 % quantile of Student's t, by the Cornish-Fisher expansion round the normal distribution's, which is too
+// coarse for one and two degrees of freedom.
+func studentQuantile(degreesOfFreedom int) float64 {
+	if exact := [...]float64{0, 12.706, 4.303}; degreesOfFreedom < len(exact) {
+		return exact[degreesOfFreedom]
+	}
+	z, v := 1.959964, float64(degreesOfFreedom)
+	z3, z5, z7 := z*z*z, math.Pow(z, 5), math.Pow(z, 7)
+	return z + (z3+z)/(4*v) + (5*z5+16*z3+3*z)/(96*v*v) + (3*z7+19*z5+17*z3-15*z)/(384*v*v*v)
+}
+
+// Mean is a policy's mean over its days; counts of things are sums, and days how many they are over.
+func Mean(results []*Result, policy string) (m Result, days int) {
+	m.Policy = policy
+	for _, r := range results {
+		if r.Policy != policy {
+			continue
+		}
+		days++
+		m.Service += r.Service
+		m.ServedShare += r.ServedShare
+		m.WorstWindow += r.WorstWindow
+		m.WorstCustomer += r.WorstCustomer
+		m.SetupTimes.P50 += r.SetupTimes.P50
+		m.SetupTimes.P99 += r.SetupTimes.P99
+		m.Connects += r.Connects
+		m.Clients += r.Clients
+		m.Migrations += r.Migrations
+		m.Rejected += r.Rejected
+		m.Broken += r.Broken
+	}
+	n := float64(max(days, 1))
+	for _, sum := range []*float64{&m.Service, &m.ServedShare, &m.WorstWindow, &m.WorstCustomer, &m.SetupTimes.P50, &m.SetupTimes.P99} {
+		*sum /= n
+	}
+	return m, days
+}
