--- a/internal/testbed/dissemination/dissemination_test.go
+++ b/internal/testbed/dissemination/dissemination_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestAReportReachesAllMembers(t *testing.T) {
+func TestReportReachesAllMembers(t *testing.T) {
 	simulate := func(c Config) *Result {
 		t.Helper()
 		c.FaultAt, c.Duration, c.DirectShare, c.Network.Delay = 10*time.Second, 18*time.Second, 0.1, 2*time.Millisecond
--- a/internal/testbed/scenario/spill_test.go
+++ b/internal/testbed/scenario/spill_test.go
@@ -13,46 +13,48 @@
 	"yardwinch/locality"
 )
 
-// spilling looks at each connect that leaves the nearest tier: the balancer may not hold more there than its limit, but
+// spillObserver looks at each connect that leaves the nearest tier: the balancer may not hold more there than its limit, but
 // for the one that rounds a part of a flow.
-type spilling struct {
+type spillObserver struct {
 	constraints.Unconstrained
-	t     *testing.T
-	own   decide.Zone
-	zones map[decide.ServerID]decide.Zone
-	h     *locality.Policy
-	seen  *int
-	over  map[decide.FlowID]string // beyond the limit, unless it turns out to have been taken over
+	t         *testing.T
+	ownZone   decide.Zone
+	zones     map[decide.ServerID]decide.Zone
+	policy    *locality.Policy
+	seenCount *int
+	exceeded  map[decide.FlowID]string // beyond the limit, unless it turns out to have been taken over
 }
 
-func (s *spilling) Name() string { return "spy" }
+func (s *spillObserver) Name() string { return "spy" }
 
-func (s *spilling) OnEndpoint(endpoint decide.Endpoint) {
+func (s *spillObserver) OnEndpoint(endpoint decide.Endpoint) {
 	s.zones[endpoint.ID] = endpoint.Zone
 }
 
-func (s *spilling) OnAttempt(f decide.FlowID, to decide.ServerID) {
-	if z := s.zones[to]; z != s.own && s.h.StateOf(z) == locality.Healthy {
-		*s.seen++
-		if n, limit := float64(s.h.Spilled(z)), s.h.SpillLimit(z); n > limit+1 {
-			s.over[f] = fmt.Sprintf("%v flows in hall %s, the limit is %.2f", n, z, limit)
+func (s *spillObserver) OnAttempt(f decide.FlowID, to decide.ServerID) {
+	if z := s.zones[to]; z != s.ownZone && s.policy.StateOf(z) == locality.Healthy {
+		*s.seenCount++
+		if n, limit := float64(s.policy.Spilled(z)), s.policy.SpillLimit(z); n > limit+1 {
+			s.exceeded[f] = fmt.Sprintf("%v flows in hall %s, the limit is %.2f", n, z, limit)
 		}
 	}
 }
 
-func (s *spilling) OnEstablished(f decide.FlowID, _ decide.ServerID, took time.Duration) {
+func (s *spillObserver) OnEstablished(f decide.FlowID, _ decide.ServerID, took time.Duration) {
 	if took >= 0 {
 		s.report(f)
 	}
-	delete(s.over, f)
+	delete(s.exceeded, f)
 }
 
-func (s *spilling) OnEnded(f decide.FlowID, _ decide.ServerID, _ decide.Outcome, _ bool) { s.report(f) }
+func (s *spillObserver) OnEnded(f decide.FlowID, _ decide.ServerID, _ decide.Outcome, _ bool) {
+	s.report(f)
+}
 
-func (s *spilling) report(f decide.FlowID) {
-	if what := s.over[f]; what != "" {
+func (s *spillObserver) report(f decide.FlowID) {
+	if what := s.exceeded[f]; what != "" {
 		s.t.Error(what)
-		delete(s.over, f)
+		delete(s.exceeded, f)
 	}
 }
 
@@ -69,7 +71,7 @@
 		dr := virtual.New(d, ref, func(seed uint64, b simulation.BalancerID, act decide.Actions) virtual.Decider {
 			g := config.FromPairs(d.Settings(b))
 			h := e.Halls.NewPolicy(g, seed)
-			spy := &spilling{t: t, own: decide.Zone(g.String("az", "")), zones: map[decide.ServerID]decide.Zone{}, h: h, seen: &seen, over: map[decide.FlowID]string{}}
+			spy := &spillObserver{t: t, ownZone: decide.Zone(g.String("az", "")), zones: map[decide.ServerID]decide.Zone{}, policy: h, seenCount: &seen, exceeded: map[decide.FlowID]string{}}
 			return constraints.New(seed, act, []constraints.Constraint{h, spy}, func(dec *decide.Balancer) { config.ConfigureBalancer(g, dec) })
 		})
 		dr.Run(nil)
