--- a/internal/testbed/fleet/fleet_test.go
+++ b/internal/testbed/fleet/fleet_test.go
@@ -54,7 +54,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer os.RemoveAll(folder)
+		defer func() { _ = os.RemoveAll(folder) }()
 		if r, err = Run(context.Background(), p, seed, []string{self}, old, folder, nil); err != nil {
 			t.Fatal(err)
 		}
@@ -102,7 +102,7 @@
 	}
 	r := played(t, p, 1)
 	holds(t, r)
-	if c := r.Processes[0].Cost.Cut + r.Processes[0].Cost.Waiting; c == 0 {
+	if c := r.Processes[0].Cost.Cut + r.Processes[0].Cost.Unanswered; c == 0 {
 		t.Error("a killed process cost nobody anything: it held nothing, or nobody counted")
 	}
 }
--- a/internal/testbed/fleet/peers.go
+++ b/internal/testbed/fleet/peers.go
@@ -36,12 +36,12 @@
 // address finds a process where it speaks, and opens what it tells the others. Both are loopback addresses of its own: 127.79 and 127.80.
 func (r *run) address(x *process) error {
 	at := func(net int) string { return fmt.Sprintf("127.%d.%d.%d", net, int(x.id)/250, int(x.id)%250+1) }
-	bound, err := freeaddr.UDP(at(79))
+	bound, err := freeaddr.UDP(r.ctx, at(79))
 	if err != nil {
 		return err
 	}
 	x.bound = bound
-	x.told, err = r.post.Add(netfault.Name(x.name), netip.MustParseAddr(at(80)), x.bound)
+	x.told, err = r.post.Add(netfault.Endpoint(x.name), netip.MustParseAddr(at(80)), x.bound)
 	return err
 }
 
@@ -93,7 +93,7 @@
 
 // flood sends what nobody can read, as if members did.
 func (r *run) flood(f fault, who, as []string, length time.Duration) {
-	chance := simulation.Chance(r.seed, "flood", 0)
+	chance := simulation.RandomSource(r.seed, "flood", 0)
 	end := r.dr.Elapsed() + length
 	each := max(1, int(float64(f.rate)*floodBeat.Seconds()))
 	var beat func()
@@ -103,10 +103,10 @@
 			for i := range m {
 				m[i] = byte(chance.Uint32())
 			}
-			r.post.Inject(netfault.Name(as[chance.IntN(len(as))]), netfault.Name(who[chance.IntN(len(who))]), m)
+			r.post.Inject(netfault.Endpoint(as[chance.IntN(len(as))]), netfault.Endpoint(who[chance.IntN(len(who))]), m)
 		}
 		if r.dr.Elapsed()+floodBeat < end {
-			r.w.Agenda.After(floodBeat, simulation.Cause, beat)
+			r.w.Schedule.After(floodBeat, simulation.Cause, beat)
 		}
 	}
 	beat()
@@ -134,11 +134,11 @@
 			}
 			m := append(append([]byte{labelMark, byte(len(label))}, label...), append([]byte{userMark}, b...)...)
 			for _, w := range who {
-				r.post.Inject(netfault.Name(name), netfault.Name(w), m)
+				r.post.Inject(netfault.Endpoint(name), netfault.Endpoint(w), m)
 			}
 		}
 		if r.dr.Elapsed()+lieBeat < end {
-			r.w.Agenda.After(lieBeat, simulation.Cause, beat)
+			r.w.Schedule.After(lieBeat, simulation.Cause, beat)
 		}
 	}
 	beat()
--- a/internal/testbed/fleet/result.go
+++ b/internal/testbed/fleet/result.go
@@ -80,7 +80,7 @@
 // troubles measures those that began in the run and lasted for long enough to be noticed.
 func (r *run) troubles() (list []Trouble) {
 	for i := range r.w.Servers {
-		for _, s := range closed(r.struck[i], r.w.Books.Length) {
+		for _, s := range closed(r.struck[i], r.w.Accounting.Length) {
 			if s.From < time.Second || s.To-s.From < 2*lookBack {
 				continue
 			}
@@ -93,7 +93,7 @@
 				return list
 			}
 			for _, e := range r.events { // by time
-				if e.Kind != invariants.Sent || e.At < s.From || e.At >= s.To {
+				if e.Kind != invariants.ConnectSent || e.At < s.From || e.At >= s.To {
 					continue
 				}
 				all = append(young(all, e.At), e.At)
@@ -118,17 +118,17 @@
 }
 
 func (r *run) result(void string) *Result {
-	end := r.w.Books.Length
+	end := r.w.Accounting.Length
 	res := &Result{Name: r.p.Name(), About: r.p.About(), Seed: r.seed, Length: end.Seconds(), Void: void, Unfit: r.unfit, Moments: r.moments, Ways: r.ways}
 	slices.SortStableFunc(r.events, func(a, b invariants.Event) int { return cmp.Compare(a.At, b.At) })
-	for _, v := range r.ref.Violations() {
+	for _, v := range r.checker.Violations() {
 		res.Violations = append(res.Violations, v.String())
 	}
-	broken := len(res.Violations) + r.ref.More()
+	broken := len(res.Violations) + r.checker.Omitted()
 	t := &r.w.Totals
-	res.Figures = Figures{Clients: t.Clients, Flows: t.Tries, Established: t.Established, Rejected: t.Rejected, Aborted: t.Aborted, Cut: t.Cut,
-		Moved: t.Moved, NeverUp: len(t.NeverUp), Connects: r.dr.Tally.Connects, Probes: r.dr.Tally.Probes, Judged: r.ref.Judged, Broken: broken, Service: r.service()}
-	all := r.ref.Costs()
+	res.Figures = Figures{Clients: t.Clients, Flows: t.Attempts, Established: t.Established, Rejected: t.Rejected, Aborted: t.Aborted, Cut: t.Cut,
+		Moved: t.Migrated, NeverUp: len(t.NeverEstablished), Connects: r.dr.Tally.Connects, Probes: r.dr.Tally.Probes, Judged: r.checker.Judged, Broken: broken, Service: r.service()}
+	all := r.checker.Costs()
 	for _, x := range r.procs {
 		p := Process{Name: x.name, Cost: all[invariants.Balancer(x.id)], Spans: closed(x.spans, end), Front: closed(r.fronts[x.name], end),
 			PerSecond: make([]int, int(end/time.Second)+1)}
@@ -137,10 +137,10 @@
 				continue
 			}
 			switch {
-			case e.Kind == invariants.Answered && e.Verdict == invariants.Established:
+			case e.Kind == invariants.FlowAnswered && e.Answer == invariants.Established:
 				p.Established++
 				p.PerSecond[min(int(e.At/time.Second), len(p.PerSecond)-1)]++
-			case e.Kind == invariants.Sent:
+			case e.Kind == invariants.ConnectSent:
 				p.Connects++
 			}
 		}
@@ -152,7 +152,7 @@
 		}
 	}
 	res.Troubles = r.troubles()
-	rules := Verdict{Must: "no rule broken by any balancer that runs", Holds: broken == 0, Seen: fmt.Sprintf("%d flows judged, %d breaches", r.ref.Judged, broken)}
+	rules := Verdict{Must: "no rule broken by any balancer that runs", Holds: broken == 0, Seen: fmt.Sprintf("%d flows judged, %d breaches", r.checker.Judged, broken)}
 	res.Musts = append(res.Musts, rules)
 	alone := Verdict{Must: "no process ends by itself", Holds: true, Seen: "none did"}
 	for _, m := range r.moments {
@@ -174,10 +174,10 @@
 // service is the share of all seconds asked for in which a client's messages were answered in time.
 func (r *run) service() float64 {
 	got, want := 0.0, 0.0
-	for i, row := range r.w.Books.Asked {
+	for i, row := range r.w.Accounting.Requested {
 		for s, x := range row {
 			want += x
-			got += r.w.Books.Got[i][s]
+			got += r.w.Accounting.Served[i][s]
 		}
 	}
 	if want == 0 {
@@ -209,7 +209,7 @@
 		}
 		base = at
 	}
-	from, to := base+m.from, r.w.Books.Length
+	from, to := base+m.from, r.w.Accounting.Length
 	if m.to > 0 {
 		to = base + m.to
 	}
@@ -223,7 +223,7 @@
 	count := func(b simulation.BalancerID, k invariants.Kind, servers map[int]bool) (n int) {
 		for _, e := range r.events {
 			if e.At >= from && e.At < to && e.Kind == k && e.Balancer == invariants.Balancer(b) &&
-				(k != invariants.Answered || e.Verdict == invariants.Established) && (servers == nil || servers[int(e.Server)]) {
+				(k != invariants.FlowAnswered || e.Answer == invariants.Established) && (servers == nil || servers[int(e.Server)]) {
 				n++
 			}
 		}
@@ -236,10 +236,10 @@
 			worst(fmt.Sprintf("%s after %v", w, at.Round(time.Millisecond)), ok)
 		}
 	case serves, uses, avoids:
-		kind := invariants.Answered
+		kind := invariants.FlowAnswered
 		var servers map[int]bool
 		if m.kind != serves {
-			kind, servers = invariants.Sent, map[int]bool{}
+			kind, servers = invariants.ConnectSent, map[int]bool{}
 			for _, s := range r.serversOf(m.servers, from) {
 				servers[s] = true
 			}
@@ -260,9 +260,9 @@
 	case established:
 		taken, up := map[invariants.Flow]bool{}, 0
 		for _, e := range r.events {
-			if e.Kind == invariants.Taken && e.At >= from && e.At < to {
+			if e.Kind == invariants.FlowAccepted && e.At >= from && e.At < to {
 				taken[e.Flow] = true
-			} else if e.Kind == invariants.Answered && e.Verdict == invariants.Established && taken[e.Flow] {
+			} else if e.Kind == invariants.FlowAnswered && e.Answer == invariants.Established && taken[e.Flow] {
 				up++
 			}
 		}
@@ -313,7 +313,7 @@
 		sum := 0
 		for _, p := range res.Processes {
 			c := p.Cost
-			sum += c.Cut + c.Waiting + c.Unheard + c.Sent
+			sum += c.Cut + c.Unanswered + c.Expired + c.SentLate
 		}
 		worst(fmt.Sprint(sum), float64(sum) <= m.atMost)
 	}
@@ -354,7 +354,7 @@
 			return at - from, at-from <= within
 		}
 	}
-	return r.w.Books.Length - from, false
+	return r.w.Accounting.Length - from, false
 }
 
 func (m must) text() string {
--- a/internal/testbed/fleet/run.go
+++ b/internal/testbed/fleet/run.go
@@ -38,9 +38,9 @@
 	dr      *sockets.Drive
 	d       *experiment.Day
 	w       *simulation.World
-	net     *netfault.Net
-	post    *netfault.Post // nil: nothing passes between balancers
-	ref     *invariants.Referee
+	net     *netfault.Network
+	post    *netfault.Proxy // nil: nothing passes between balancers
+	checker *invariants.Checker
 	folder  string
 	program map[string][]string // current and old
 	procs   []*process
@@ -71,10 +71,10 @@
 	r.w = r.d.World
 	slack, hold := sockets.HeldBack()
 	slack = max(slack, p.late)
-	r.ref = scenario.Referee(r.d, slack, hold)
-	r.dr = sockets.New(ctx, r.d, r.ref, program, folder)
+	r.checker = scenario.NewChecker(r.d, slack, hold)
+	r.dr = sockets.New(ctx, r.d, r.checker, program, folder)
 	if p.peers {
-		r.post = netfault.NewPost(r.net)
+		r.post = netfault.NewProxy(ctx, r.net)
 		defer r.post.Close()
 	}
 	for name, start := range map[string][]string{"current": program, "old": old} {
@@ -85,10 +85,10 @@
 			return nil, err
 		}
 	}
-	r.cast = &cast{r: simulation.Chance(seed, "cast", 0), balancers: len(r.w.Balancers), servers: len(r.w.Servers), named: map[string][]string{},
+	r.cast = &cast{r: simulation.RandomSource(seed, "cast", 0), balancers: len(r.w.Balancers), servers: len(r.w.Servers), named: map[string][]string{},
 		struck: func() (hit []int) {
 			for i, s := range r.w.Servers {
-				if s.Struck() {
+				if s.IsFaulty() {
 					hit = append(hit, i)
 				}
 			}
@@ -165,7 +165,7 @@
 	if err != nil {
 		return fail(err)
 	}
-	defer in.Close()
+	defer func() { _ = in.Close() }()
 	_ = os.Remove(to) // of an earlier run in the same folder, which may still be in use
 	f, err := os.OpenFile(to, os.O_CREATE|os.O_WRONLY|os.O_TRUNC, 0o755)
 	if err != nil {
--- a/internal/testbed/fleet/strike.go
+++ b/internal/testbed/fleet/strike.go
@@ -24,11 +24,11 @@
 // schedule puts the timeline on the world's agenda.
 func (r *run) schedule() {
 	for i, f := range r.p.faults {
-		chance := simulation.Chance(r.seed, "fault", i)
+		chance := simulation.RandomSource(r.seed, "fault", i)
 		at, length := f.at.draw(chance), f.length.draw(chance)
-		r.w.Agenda.At(at, simulation.Cause, func() { r.strike(f, length) })
+		r.w.Schedule.At(at, simulation.Cause, func() { r.strike(f, length) })
 	}
-	r.w.Agenda.At(r.p.Experiment.Length-lastLook, simulation.Book, r.countDescriptors)
+	r.w.Schedule.At(r.p.Experiment.Length-lastLook, simulation.Book, r.countDescriptors)
 }
 
 // begin starts what goes on beside the timeline.
@@ -36,7 +36,7 @@
 	for _, x := range r.procs {
 		go watch(ctx, r.dr.Address(x.id), r.p.askEvery, r.p.wait, r.p.misses, func(alive bool) {
 			r.dr.Do(func() {
-				r.w.Believe(x.id, alive)
+				r.w.SetFrontBelief(x.id, alive)
 				now, spans := r.dr.Elapsed(), r.fronts[x.name]
 				if alive {
 					spans[len(spans)-1].To = now
@@ -55,13 +55,13 @@
 		for i, s := range r.w.Servers {
 			spans := r.struck[i]
 			open := len(spans) > 0 && spans[len(spans)-1].To == 0
-			if s.Struck() && !open {
+			if s.IsFaulty() && !open {
 				r.struck[i] = append(spans, Span{r.dr.Elapsed(), 0, "struck"})
-			} else if !s.Struck() && open {
+			} else if !s.IsFaulty() && open {
 				spans[len(spans)-1].To = r.dr.Elapsed()
 			}
 		}
-		r.w.Agenda.After(100*time.Millisecond, simulation.Book, look)
+		r.w.Schedule.After(100*time.Millisecond, simulation.Book, look)
 	}
 	r.dr.Do(look)
 }
@@ -76,7 +76,7 @@
 	r.note(strings.Join(who, ","), "%s", f.kindText(to))
 	later := func(do func()) {
 		if length > 0 {
-			r.w.Agenda.After(length, simulation.Cause, do)
+			r.w.Schedule.After(length, simulation.Cause, do)
 		}
 	}
 	switch f.kind {
@@ -114,12 +114,12 @@
 			}
 		case term:
 			if r.turn(x, ending) {
-				r.dr.Stop(b)
+				r.dr.StopBalancer(b)
 				for i := 1; i < f.times; i++ {
 					r.signal(x, syscall.SIGTERM)
 				}
 				round := x.round
-				r.w.Agenda.After(r.w.StopWithin(), simulation.Cause, func() {
+				r.w.Schedule.After(r.w.StopWithin(), simulation.Cause, func() {
 					if x.round == round && r.turn(x, down) {
 						r.w.KillBalancer(b)
 						back()
@@ -183,12 +183,12 @@
 	if !r.turn(x, to) {
 		return
 	}
-	r.dr.Mark(x.id, invariants.Stopped)
+	r.dr.Mark(x.id, invariants.BalancerFrozen)
 	r.signal(x, syscall.SIGSTOP)
 	round := x.round
 	later(func() {
 		if x.round == round && r.turn(x, runs) {
-			r.dr.Mark(x.id, invariants.Thawed)
+			r.dr.Mark(x.id, invariants.BalancerResumed)
 			r.signal(x, syscall.SIGCONT)
 			r.note(x.name, "runs on")
 		}
@@ -204,9 +204,9 @@
 				s, part = syscall.SIGCONT, starvedSlice/4
 			}
 			r.signal(x, s)
-			r.w.Agenda.After(part, simulation.Cause, func() { slice(!on) })
+			r.w.Schedule.After(part, simulation.Cause, func() { slice(!on) })
 		}
-		r.w.Agenda.After(starvedSlice*3/4, simulation.Cause, func() { slice(true) })
+		r.w.Schedule.After(starvedSlice*3/4, simulation.Cause, func() { slice(true) })
 	}
 }
 
@@ -221,7 +221,7 @@
 		if pid == 0 {
 			return errors.New("no process runs")
 		}
-		return limitFiles(pid, on)
+		return limitFiles(r.ctx, pid, on)
 	}
 	do := func(on bool) {
 		if err := set(on); err != nil {
@@ -234,12 +234,12 @@
 
 // limitFiles lets no file of a process grow, or lifts that. It is asked for as the process's own user, who may; root may not
 // everywhere.
-func limitFiles(pid int, on bool) error {
+func limitFiles(ctx context.Context, pid int, on bool) error {
 	soft := "unlimited"
 	if on {
 		soft = "0"
 	}
-	c := exec.Command("prlimit", "--pid", strconv.Itoa(pid), "--fsize="+soft+":unlimited")
+	c := exec.CommandContext(ctx, "prlimit", "--pid", strconv.Itoa(pid), "--fsize="+soft+":unlimited")
 	if os.Getuid() == 0 {
 		c.SysProcAttr = &syscall.SysProcAttr{Credential: &syscall.Credential{Uid: nobodyID, Gid: nobodyID}}
 	}
@@ -251,37 +251,36 @@
 
 // strikeWays changes the ways between two sets of ends, or breaks what stands on them.
 func (r *run) strikeWays(f fault, who, to []string, length time.Duration) {
-	each := func(do func(a, b netfault.Name)) {
+	each := func(do func(a, b netfault.Endpoint)) {
 		for _, a := range who {
 			for _, b := range to {
 				if a != b {
-					do(netfault.Name(a), netfault.Name(b))
+					do(netfault.Endpoint(a), netfault.Endpoint(b))
 				}
 			}
 		}
 	}
 	if f.kind == reset {
-		go each(func(a, b netfault.Name) { r.net.Reset(a, b) }) // beside the drive's lock, which the end of each stream takes
+		go each(func(a, b netfault.Endpoint) { r.net.Reset(a, b) }) // beside the drive's lock, which the end of each stream takes
 		return
 	}
 	set := func(c netfault.Condition) {
-		each(func(a, b netfault.Name) {
-			change := func(x *netfault.Condition) { x.Become(c) }
+		each(func(a, b netfault.Endpoint) {
 			if f.oneWay != "back" {
-				r.net.Change(a, b, change)
+				r.net.SetCondition(a, b, c)
 			}
 			if f.oneWay != "out" {
-				r.net.Change(b, a, change)
+				r.net.SetCondition(b, a, c)
 			}
 		})
 		r.dr.Doors()
 	}
 	set(f.way)
 	now := r.dr.Elapsed()
-	end := r.w.Books.Length
+	end := r.w.Accounting.Length
 	if length > 0 {
 		end = now + length
-		r.w.Agenda.After(length, simulation.Cause, func() { set(netfault.Condition{}) })
+		r.w.Schedule.After(length, simulation.Cause, func() { set(netfault.Condition{}) })
 	}
 	r.ways = append(r.ways, Span{now, end, f.kindText(nil) + ": " + strings.Join(f.who, ",") + " – " + strings.Join(f.to, ",")})
 }
@@ -295,7 +294,7 @@
 			return nil, err
 		}
 		innerEnd, outerEnd := netfault.Pipe()
-		go r.net.Lead(sockets.Operator, netfault.Name(x.name), innerEnd, far, netfault.Tap{})
+		go r.net.Forward(sockets.Operator, netfault.Endpoint(x.name), innerEnd, far, netfault.Tap{})
 		return outerEnd, nil
 	}}
 	ctx, done := context.WithTimeout(r.ctx, callWithin)
--- a/internal/testbed/sockets/client.go
+++ b/internal/testbed/sockets/client.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"context"
 	"errors"
 	"fmt"
 	"net"
@@ -51,7 +52,7 @@
 func (c *client) turn(to clientState) {
 	if to == gone && c.state != gone {
 		if c.state == holds {
-			c.dr.see(invariants.Event{Kind: invariants.Ended, Balancer: invariants.Balancer(c.to), Flow: invariants.Flow(c.flow)})
+			c.dr.see(invariants.Event{Kind: invariants.FlowEnded, Balancer: invariants.Balancer(c.to), Flow: invariants.Flow(c.flow)})
 		}
 		delete(c.dr.flows, c.flow)
 	}
@@ -83,37 +84,37 @@
 	return c
 }
 
-// Ask opens a connection at a balancer. What it takes is counted from here, whatever keeps the machine from connecting.
-func (dr *Drive) Ask(f simulation.FlowID, v *simulation.Client, b simulation.BalancerID, left time.Duration, repeat, back bool) {
+// OpenFlow opens a connection at a balancer. What it takes is counted from here, whatever keeps the machine from connecting.
+func (dr *Drive) OpenFlow(a simulation.Attempt) {
 	if dr.over {
 		return
 	}
 	more := ""
-	if repeat {
+	if a.IsRetry {
 		more += ",r=1"
 	}
-	if back {
+	if a.IsReturning {
 		more += ",again=1"
 	}
-	dr.begin(f, v, b, left, more)
+	dr.begin(a.Flow, a.Client, a.Balancer, a.Timeout, more)
 }
 
-// Held brings up one that stands when the day begins.
-func (dr *Drive) Held(f simulation.FlowID, v *simulation.Client, b simulation.BalancerID, conn simulation.ConnID, s simulation.ServerID) {
+// AdoptFlow brings up one that stands when the day begins.
+func (dr *Drive) AdoptFlow(f simulation.FlowID, v *simulation.Client, b simulation.BalancerID, conn simulation.ConnID, s simulation.ServerID) {
 	dr.awaited[f] = conn
 	dr.begin(f, v, b, standWithin, ",at="+experiment.ServerName(s)).held = true
 }
 
-// Leave ends a client's connection. One that waited its time out stays a moment longer, so that an answer that is
+// LeaveFlow ends a client's connection. One that waited its time out stays a moment longer, so that an answer that is
 // on its way is seen.
-func (dr *Drive) Leave(f simulation.FlowID) {
+func (dr *Drive) LeaveFlow(f simulation.FlowID) {
 	c := dr.flows[f]
 	if c == nil {
 		return
 	}
 	c.left = true
 	if c.taken {
-		dr.see(invariants.Event{Kind: invariants.Left, Balancer: invariants.Balancer(c.to), Flow: invariants.Flow(f)})
+		dr.see(invariants.Event{Kind: invariants.ClientLeft, Balancer: invariants.Balancer(c.to), Flow: invariants.Flow(f)})
 	}
 	if c.state == asking && dr.now() >= c.due {
 		conn := c.conn
@@ -135,28 +136,28 @@
 	}
 	dr.enter()
 	if conn != nil {
-		defer conn.Close()
+		defer func() { _ = conn.Close() }()
 	}
 	if dr.over {
 		dr.leave()
 		return
 	}
-	if b := dr.w.Balancers[c.to]; err == nil && !b.Up {
+	if b := dr.w.Balancers[c.to]; err == nil && !b.IsUp {
 		err = errDead // a process that is being killed still lets the system take connections for it
 	}
 	if err != nil || c.state == gone {
 		if err == nil && !c.held { // it went as its line was written: the balancer may have read it, and owes it nothing
 			now := dr.now()
 			taken := c.takenEvent()
-			taken.Due = max(taken.Due, now+1)
+			taken.Deadline = max(taken.Deadline, now+1)
 			dr.seeAt(wrote, taken)
-			dr.see(invariants.Event{Kind: invariants.Left, Balancer: invariants.Balancer(c.to), Flow: invariants.Flow(c.flow)})
+			dr.see(invariants.Event{Kind: invariants.ClientLeft, Balancer: invariants.Balancer(c.to), Flow: invariants.Flow(c.flow)})
 		}
 		if c.state != gone && c.held {
 			dr.bad("a connection that stands at the beginning: %w", err)
 		} else if c.state != gone {
 			c.turn(gone)
-			dr.w.Answered(c.flow, simulation.Nobody, 0)
+			dr.w.AnswerFlow(c.flow, simulation.NoBalancer, 0)
 		}
 		dr.leave()
 		return
@@ -192,12 +193,12 @@
 
 // takenEvent is what the referee hears of a line that was written whole.
 func (c *client) takenEvent() invariants.Event {
-	e := invariants.Event{Kind: invariants.Taken, Balancer: invariants.Balancer(c.to), Flow: invariants.Flow(c.flow), Due: c.due}
+	e := invariants.Event{Kind: invariants.FlowAccepted, Balancer: invariants.Balancer(c.to), Flow: invariants.Flow(c.flow), Deadline: c.due}
 	if v := c.dr.w.Client(c.flow); v != nil {
 		s := c.dr.w.Services[v.Service]
-		e.Effect = map[string]invariants.Effect{"guarded": invariants.Referenced, "single_shot": invariants.OnceOnly}[s.Effect]
-		e.Reach = map[string]invariants.Reach{"zone": invariants.ReachZone, "cell": invariants.ReachCell}[s.Group]
-		e.Window = s.Window
+		e.Effect = map[string]invariants.Effect{"guarded": invariants.IdempotentByKey, "single_shot": invariants.NotIdempotent}[s.Effect]
+		e.KeyScope = map[string]invariants.KeyScope{"zone": invariants.ZoneServers, "cell": invariants.CellServers}[s.Group]
+		e.KeyWindow = s.Window
 	}
 	return e
 }
@@ -232,7 +233,7 @@
 				dr.Tally.MovedAt = append(dr.Tally.MovedAt, dr.now())
 			}
 			c.turn(gone)
-			dr.w.Broken(c.flow, simulation.Moved)
+			dr.w.BreakFlow(c.flow, simulation.Migrated)
 		}
 		return
 	}
@@ -247,18 +248,18 @@
 		c.turn(holds)
 		return
 	}
-	if !dr.w.Balancers[c.to].Up { // said before its balancer was killed, and heard after: what it held is void
+	if !dr.w.Balancers[c.to].IsUp { // said before its balancer was killed, and heard after: what it held is void
 		c.turn(gone)
-		dr.w.Broken(c.flow, simulation.Cut)
+		dr.w.BreakFlow(c.flow, simulation.Cut)
 		return
 	}
 	c.answers++
-	e := invariants.Event{Kind: invariants.Answered, Balancer: invariants.Balancer(c.to), Flow: invariants.Flow(c.flow), Verdict: invariants.Aborted}
+	e := invariants.Event{Kind: invariants.FlowAnswered, Balancer: invariants.Balancer(c.to), Flow: invariants.Flow(c.flow), Answer: invariants.Aborted}
 	switch word {
 	case "UP":
-		e.Verdict = invariants.Established
+		e.Answer = invariants.Established
 	case "BUSY":
-		e.Verdict = invariants.Rejected
+		e.Answer = invariants.Rejected
 	}
 	dr.see(e)
 	if c.state != asking || c.answers > 1 {
@@ -267,18 +268,18 @@
 	switch word {
 	case "UP":
 		c.turn(holds)
-		dr.w.Answered(c.flow, simulation.Established, 0)
+		dr.w.AnswerFlow(c.flow, simulation.Established, 0)
 	case "BUSY":
 		ms, _ := strconv.ParseFloat(rest, 64) // none is no time to wait
-		dr.w.Answered(c.flow, simulation.Rejected, time.Duration(ms*float64(time.Millisecond)))
+		dr.w.AnswerFlow(c.flow, simulation.Rejected, time.Duration(ms*float64(time.Millisecond)))
 	default:
-		dr.w.Answered(c.flow, simulation.Aborted, 0)
+		dr.w.AnswerFlow(c.flow, simulation.Aborted, 0)
 	}
 }
 
 // runs tells whether anybody listens at an address on this machine.
 func runs(addr string) bool {
-	c, err := net.DialTimeout("tcp", addr, 50*time.Millisecond)
+	c, err := (&net.Dialer{Timeout: 50 * time.Millisecond}).DialContext(context.Background(), "tcp", addr)
 	if c != nil {
 		_ = c.Close()
 	}
@@ -292,15 +293,15 @@
 	c.turn(gone)
 	switch {
 	case was == holds && !c.left:
-		dr.w.Broken(c.flow, simulation.Cut)
+		dr.w.BreakFlow(c.flow, simulation.Cut)
 	case was == asking && c.answers == 0 && !c.left && dr.others && !runs(c.addr):
-		dr.see(invariants.Event{Kind: invariants.Died, Balancer: invariants.Balancer(c.to)}) // a rule binds a balancer that runs
-		dr.w.Broken(c.flow, simulation.Cut)
+		dr.see(invariants.Event{Kind: invariants.BalancerDied, Balancer: invariants.Balancer(c.to)}) // a rule binds a balancer that runs
+		dr.w.BreakFlow(c.flow, simulation.Cut)
 	case was == asking && c.answers == 0 && !c.left:
 		if p := dr.procs; int(c.to) < len(p) && p[c.to].up {
 			// Ended with no answer by a balancer that lives: a lost flow, unless its death is about to be heard of.
 			return
 		}
-		dr.w.Broken(c.flow, simulation.Cut)
+		dr.w.BreakFlow(c.flow, simulation.Cut)
 	}
 }
--- a/internal/testbed/sockets/drive.go
+++ b/internal/testbed/sockets/drive.go
@@ -29,7 +29,7 @@
 type Drive struct {
 	d       *experiment.Day
 	w       *simulation.World
-	ref     *invariants.Referee
+	checker *invariants.Checker
 	ctx     context.Context
 	cancel  context.CancelFunc
 	parts   sync.WaitGroup
@@ -54,13 +54,13 @@
 	late    *hdrhistogram.Histogram
 	fault   error // the first thing that went wrong with the drive itself
 	starts  chan func()
-	source  simulation.Source // in place of the day's own, where there is one
+	source  simulation.ArrivalSource // in place of the day's own, where there is one
 
 	Tally Tally
 }
 
 // Load drives clients alone, against balancers at these addresses; w has as many balancers and no server.
-func Load(parent context.Context, d *experiment.Day, ref *invariants.Referee, addrs []string) *Drive {
+func Load(parent context.Context, d *experiment.Day, ref *invariants.Checker, addrs []string) *Drive {
 	dr := New(parent, d, ref, nil, "")
 	dr.others = true
 	dr.w.FirstFlow(simulation.FlowID(time.Now().UnixMicro()) << 10) // never those of an earlier load
@@ -71,7 +71,7 @@
 }
 
 // RunLoad plays the load of a source to the end of the day.
-func (dr *Drive) RunLoad(s simulation.Source, progress func(time.Duration)) (void string, err error) {
+func (dr *Drive) RunLoad(s simulation.ArrivalSource, progress func(time.Duration)) (void string, err error) {
 	defer dr.Close()
 	dr.mu.Lock()
 	dr.w.StartLoad(s)
@@ -90,7 +90,7 @@
 		return err
 	}
 	dr.mu.Lock()
-	dr.w.StartTroubles(dr.d.Troubles)
+	dr.w.ScheduleFaults(dr.d.Troubles)
 	dr.mu.Unlock()
 	_, err := dr.play(nil)
 	return err
@@ -106,13 +106,13 @@
 
 // New prepares a run; program starts a balancer, with the path of its configuration in PROXY_CONFIG, and folder is for
 // configurations and logs. An empty program leaves balancers out: servers and discovery alone.
-func New(parent context.Context, d *experiment.Day, ref *invariants.Referee, program []string, folder string) *Drive {
-	dr := &Drive{d: d, w: d.World, ref: ref, program: program, folder: folder, poke: make(chan struct{}, 1),
+func New(parent context.Context, d *experiment.Day, ref *invariants.Checker, program []string, folder string) *Drive {
+	dr := &Drive{d: d, w: d.World, checker: ref, program: program, folder: folder, poke: make(chan struct{}, 1),
 		flows: map[simulation.FlowID]*client{}, conns: map[simulation.ConnID]*served{}, awaited: map[simulation.FlowID]simulation.ConnID{},
 		late: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3), start: time.Now()}
 	dr.ctx, dr.cancel = context.WithCancel(parent)
 	dr.Tally.ProbedAt = map[simulation.ServerID][]time.Duration{}
-	d.World.Carrier = dr
+	d.World.Driver = dr
 	dr.starts = make(chan func())
 	dr.parts.Go(dr.starter)
 	return dr
@@ -139,7 +139,7 @@
 func (dr *Drive) enter() {
 	dr.mu.Lock()
 	if !dr.over {
-		dr.w.Agenda.RunTo(dr.now())
+		dr.w.Schedule.RunTo(dr.now())
 	}
 }
 
@@ -155,11 +155,11 @@
 
 func (dr *Drive) seeAt(t time.Duration, e invariants.Event) {
 	e.At = t
-	if dr.over || !dr.running && e.Kind != invariants.Told && e.Kind != invariants.Began {
+	if dr.over || !dr.running && e.Kind != invariants.ServerAnnounced && e.Kind != invariants.BalancerStarted {
 		return
 	}
 	dr.longest = max(dr.longest, dr.now()-t)
-	dr.ref.Observe(e)
+	dr.checker.Observe(e)
 	if dr.apart != nil && dr.apart.See != nil {
 		dr.apart.See(e)
 	}
@@ -184,7 +184,7 @@
 		dr.agents = append(dr.agents, a)
 	}
 	for _, s := range dr.w.Servers {
-		dr.Changed(s.ID)
+		dr.ServerChanged(s.ID)
 	}
 	if dr.fault != nil {
 		return dr.fault
@@ -213,7 +213,7 @@
 	}
 	for b := range dr.procs {
 		dr.mu.Lock()
-		dr.Start(simulation.BalancerID(b))
+		dr.StartBalancer(simulation.BalancerID(b))
 		dr.mu.Unlock()
 	}
 	for _, p := range dr.procs {
@@ -233,9 +233,9 @@
 	if dr.source == nil {
 		dr.source = dr.d.Source()
 	}
-	dr.w.StartTroubles(dr.d.Troubles)
+	dr.w.ScheduleFaults(dr.d.Troubles)
 	dr.w.StartLoad(dr.source)
-	dr.w.Agenda.RunTo(0)
+	dr.w.Schedule.RunTo(0)
 	dr.mu.Unlock()
 	until := time.Now().Add(standWithin)
 	for {
@@ -260,7 +260,7 @@
 
 // play lets the time run to the end of the day.
 func (dr *Drive) play(progress func(time.Duration)) (string, error) {
-	end := dr.w.Books.Length
+	end := dr.w.Accounting.Length
 	dr.mu.Lock()
 	dr.start, dr.running = time.Now(), true
 	dr.mu.Unlock()
@@ -268,12 +268,12 @@
 	for {
 		dr.mu.Lock()
 		now := dr.now()
-		if due, ok := dr.w.Agenda.Next(); ok && due < now {
+		if due, ok := dr.w.Schedule.Next(); ok && due < now {
 			_ = dr.late.RecordValue(max(1, int64((now-due)/time.Microsecond))) // a minute is more than lateMost
 		}
-		dr.w.Agenda.RunTo(min(now, end))
-		dr.ref.Advance(now)
-		next, ok := dr.w.Agenda.Next()
+		dr.w.Schedule.RunTo(min(now, end))
+		dr.checker.Advance(now)
+		next, ok := dr.w.Schedule.Next()
 		fault := dr.fault
 		dr.mu.Unlock()
 		if progress != nil && now-said >= 500*time.Millisecond {
@@ -303,7 +303,7 @@
 	now := dr.now()
 	// What was taken in the last moments is not owed an answer that nobody waits for.
 	dr.over = true
-	dr.ref.Finish(now - heldBack)
+	dr.checker.Finish(now - heldBack)
 	if dr.fault != nil {
 		return "", dr.fault
 	}
--- a/internal/testbed/sockets/process.go
+++ b/internal/testbed/sockets/process.go
@@ -40,7 +40,7 @@
 }
 
 func newProcess(dr *Drive, b simulation.BalancerID) (*process, error) {
-	l, err := net.Listen("tcp", fmt.Sprintf("127.78.%d.%d:0", int(b)/250, int(b)%250+1)) // see door.turn
+	l, err := (&net.ListenConfig{}).Listen(dr.ctx, "tcp", fmt.Sprintf("127.78.%d.%d:0", int(b)/250, int(b)%250+1)) // see door.turn
 	if err != nil {
 		return nil, err
 	}
@@ -54,7 +54,7 @@
 	a := dr.agents[b]
 	told := map[string]any{
 		"name": fmt.Sprintf("n%d", b), "listen": listen, "discovery": a.addr(),
-		"seed":     fmt.Sprintf("%016x", simulation.Chance(dr.d.Seed, "balancer "+strconv.Itoa(life), int(b)).Uint64()),
+		"seed":     fmt.Sprintf("%016x", simulation.RandomSource(dr.d.Seed, "balancer "+strconv.Itoa(life), int(b)).Uint64()),
 		"limits":   map[string]any{"cores": 1, "memory_mb": memoryMB, "sockets": descriptors + 2*dr.most()/len(dr.w.Balancers)},
 		"known":    json.RawMessage(a.object(true, a.all())),
 		"settings": nested(dr.d.Settings(b)),
@@ -120,14 +120,14 @@
 	return s
 }
 
-// Start starts a balancer's process; it is up when it answers.
-func (dr *Drive) Start(b simulation.BalancerID) {
+// StartBalancer starts a balancer's process; it is up when it answers.
+func (dr *Drive) StartBalancer(b simulation.BalancerID) {
 	if dr.over {
 		return
 	}
 	p := dr.procs[b]
 	p.life++
-	dr.see(invariants.Event{Kind: invariants.Began, Balancer: invariants.Balancer(b)})
+	dr.see(invariants.Event{Kind: invariants.BalancerStarted, Balancer: invariants.Balancer(b)})
 	text, err := dr.Config(b, p.addr, p.life)
 	if err == nil {
 		err = os.WriteFile(p.config, text, 0o600)
@@ -147,7 +147,7 @@
 		dr.bad("balancer %d: %w", b, err)
 		return
 	}
-	found := exec.Command(program[0], program[1:]...)
+	found := exec.CommandContext(dr.ctx, program[0], program[1:]...)
 	cmd.Path, cmd.Args, cmd.Err = found.Path, found.Args, found.Err
 	began := make(chan error, 1)
 	select {
@@ -172,17 +172,17 @@
 			p.up = false
 			if dr.apart != nil && dr.apart.Ended != nil {
 				dr.apart.Ended(b, err)
-			} else if dr.w.Balancers[b].Up {
+			} else if dr.w.Balancers[b].IsUp {
 				dr.bad("balancer %d ended by itself (%v); its log is %s", b, err, p.log)
 			}
 		}
 	})
 }
 
-// Kill ends a balancer outright; Stop asks it to end in order.
-func (dr *Drive) Kill(b simulation.BalancerID) {
+// KillBalancer ends a balancer outright; Stop asks it to end in order.
+func (dr *Drive) KillBalancer(b simulation.BalancerID) {
 	p := dr.procs[b]
-	dr.see(invariants.Event{Kind: invariants.Died, Balancer: invariants.Balancer(b)})
+	dr.see(invariants.Event{Kind: invariants.BalancerDied, Balancer: invariants.Balancer(b)})
 	p.up = false
 	p.kill()
 }
@@ -201,8 +201,8 @@
 	return p.cmd.Process.Signal(s)
 }
 
-// Stop asks a balancer to end in order.
-func (dr *Drive) Stop(b simulation.BalancerID) {
+// StopBalancer asks a balancer to end in order.
+func (dr *Drive) StopBalancer(b simulation.BalancerID) {
 	if p := dr.procs[b]; p.cmd != nil {
 		_ = p.cmd.Process.Signal(syscall.SIGTERM) // it may have ended
 		p.up = false
@@ -220,7 +220,7 @@
 func (p *process) ready(ctx context.Context) error {
 	until := time.Now().Add(readyWithin)
 	for time.Now().Before(until) && ctx.Err() == nil {
-		c, err := net.DialTimeout("tcp", p.addr, time.Second)
+		c, err := (&net.Dialer{Timeout: time.Second}).DialContext(ctx, "tcp", p.addr)
 		if err == nil {
 			_ = c.SetDeadline(time.Now().Add(time.Second))
 			_, err = c.Write([]byte("PING\r\n"))
@@ -263,7 +263,7 @@
 // most is how many connections all servers take.
 func (dr *Drive) most() (n int) {
 	for _, s := range dr.w.Servers {
-		n += s.Cap
+		n += s.MaxConnections
 	}
 	return n
 }
--- a/internal/testbed/sockets/sockets_test.go
+++ b/internal/testbed/sockets/sockets_test.go
@@ -42,7 +42,7 @@
 	if err != nil {
 		panic(err)
 	}
-	l, err := net.Listen("tcp", told.Listen)
+	l, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", told.Listen)
 	if err != nil {
 		panic(err)
 	}
@@ -52,7 +52,7 @@
 			return
 		}
 		go func() {
-			defer c.Close()
+			defer func() { _ = c.Close() }()
 			line, _ := bufio.NewReader(c).ReadString('\n')
 			switch {
 			case strings.HasPrefix(line, "PING"):
@@ -110,16 +110,17 @@
 length = "1s"
 `
 
-func drive(t *testing.T, text, way string) (*Drive, *invariants.Referee, *experiment.Day) {
+func drive(t *testing.T, text, way string) (*Drive, *invariants.Checker, *experiment.Day) {
 	t.Helper()
 	e, err := experiment.Read("short.toml", []byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
 	d := e.Day(3)
-	grace, multiple, fall, warm, _, _ := e.Terms()
+	terms := e.Terms()
 	slack, hold := HeldBack()
-	ref := invariants.New(slack, hold, grace, multiple, d.MeanLoad(), fall, warm)
+	ref := invariants.New(invariants.Limits{Slack: slack, Reordering: hold, DrainGrace: terms.DrainGrace,
+		SlowStartMultiple: terms.SlowStartMultiple, SlowStartWindow: terms.SlowStartWindow, SlowStart: terms.SlowStart, MeanLoad: d.MeanLoad()})
 	self, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
@@ -174,28 +175,28 @@
 }
 
 func TestOpenLoopShowsABalancerThatStopped(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	l, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close() // takes connections in the system's queue and never a word more
+	defer func() { _ = l.Close() }() // takes connections in the system's queue and never a word more
 	e, err := experiment.Read("load", []byte("name = \"load\"\nlength = \"3s\"\n[fleet]\nservers = 1\nbalancers = 1\n[[service]]\nname = \"x\"\nsetup-target=\"1ms\"\nconnect-timeout = \"500ms\"\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	d := e.Day(1)
 	slack, hold := HeldBack()
-	ref := invariants.New(slack, hold, time.Second, 0, 0, time.Second, time.Second)
+	ref := invariants.New(invariants.Limits{Slack: slack, Reordering: hold, DrainGrace: time.Second})
 	dr := Load(context.Background(), d, ref, []string{l.Addr().String()})
 	if _, err := dr.RunLoad(experiment.NewSteady(1, 40, 2*time.Second, 0.5, 3, 1), nil); err != nil {
 		t.Fatal(err)
 	}
 	n := d.World.Totals
-	if n.Clients < 80 || n.Established != 0 || len(n.NeverUp) != n.Clients {
-		t.Errorf("%d clients, %d established, %d never up: arrivals must not wait, nor vanish", n.Clients, n.Established, len(n.NeverUp))
+	if n.Clients < 80 || n.Established != 0 || len(n.NeverEstablished) != n.Clients {
+		t.Errorf("%d clients, %d established, %d never up: arrivals must not wait, nor vanish", n.Clients, n.Established, len(n.NeverEstablished))
 	}
-	if n.GaveUp < n.Clients/2 {
-		t.Errorf("%d tries were given up at their timeout", n.GaveUp)
+	if n.TimedOut < n.Clients/2 {
+		t.Errorf("%d tries were given up at their timeout", n.TimedOut)
 	}
 }
 
@@ -237,7 +238,7 @@
 	dr.running = true
 	c := &client{dr: dr, flow: 7, due: time.Second}
 	dr.flows[7] = c
-	dr.see(invariants.Event{Kind: invariants.Taken, Flow: 7, Due: time.Second})
+	dr.see(invariants.Event{Kind: invariants.FlowAccepted, Flow: 7, Deadline: time.Second})
 	c.turn(asking)
 	c.hear("UP 7")
 	c.turn(gone)
@@ -257,7 +258,7 @@
 		dr, _, _ := drive(t, fmt.Sprintf(shortDay, ""), "sound")
 		dr.mu.Lock()
 		dr.start, dr.running = time.Now().Add(-time.Minute), true
-		dr.seeAt(dr.now()-c.late, invariants.Event{Kind: invariants.Taken, Flow: 7, Due: time.Hour})
+		dr.seeAt(dr.now()-c.late, invariants.Event{Kind: invariants.FlowAccepted, Flow: 7, Deadline: time.Hour})
 		void := dr.void()
 		dr.mu.Unlock()
 		if (void != "") != c.void {
