--- a/internal/testbed/scale/control_lists.go
+++ b/internal/testbed/scale/control_lists.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// wholeList is a list of so many servers.
-func wholeList(servers, revision int) listObject {
+// fullList is a list of so many servers.
+func fullList(servers, revision int) listObject {
 	o := listObject{Revision: revision, Complete: true}
 	for i := range servers {
 		o.Members = append(o.Members, entryOf(i))
@@ -56,11 +56,11 @@
 
 // changedServers draws which server each of so many changes is about.
 func changedServers(chance *rand.Rand, servers, changes int) []int {
-	which := make([]int, changes)
-	for i := range which {
-		which[i] = chance.IntN(servers)
+	changed := make([]int, changes)
+	for i := range changed {
+		changed[i] = chance.IntN(servers)
 	}
-	return which
+	return changed
 }
 
 // changesOneByOne is an object a change, which takes a server out or gives it back.
@@ -80,10 +80,10 @@
 		draining[server] = !draining[server]
 	}
 	o := listObject{Revision: revision + len(which) - 1}
-	told := map[int]bool{}
+	published := map[int]bool{}
 	for _, server := range which {
-		if !told[server] {
-			told[server] = true
+		if !published[server] {
+			published[server] = true
 			o.Members = append(o.Members, changedEntry(server, draining[server]))
 		}
 	}
@@ -116,7 +116,7 @@
 
 // listSizes are the bytes of what is written of a list of so many servers.
 type listSizes struct {
-	whole, head, entry int // a whole list; an object of changes without any, and each of them
+	full, header, entry int // a whole list; an object of changes without any, and each of them
 }
 
 func measureListSizes(servers int) listSizes {
@@ -124,8 +124,8 @@
 	one := listObject{Revision: revision, Members: []listEntry{entryOf(servers - 1)}}
 	two := listObject{Revision: revision, Members: []listEntry{entryOf(servers - 1), entryOf(servers - 1)}}
 	entry := len(two.line()) - len(one.line())
-	return listSizes{whole: len(wholeList(servers, revision).line()), head: len(one.line()) - entry, entry: entry}
+	return listSizes{full: len(fullList(servers, revision).line()), header: len(one.line()) - entry, entry: entry}
 }
 
 // changes is the size of an object with so many of them.
-func (s listSizes) changes(count int) int { return s.head + count*s.entry }
+func (s listSizes) changes(count int) int { return s.header + count*s.entry }
--- /dev/null
+++ b/internal/testbed/scale/control_measurements.go
@@ -0,0 +1,39 @@
+package scale
+
+// controlMeasurements gathers the series and checks of a sweep.
+type controlMeasurements struct {
+	settings                 Settings
+	role                     string
+	suffix                   string // of the names, where several files have the same sweep
+	series                   map[string]*Series
+	names                    []string
+	checks                   []Check
+	recordsReceivedPerSecond float64 // records a second at the last size, of the largest kind
+}
+
+func newControlMeasurements(s Settings, role string) *controlMeasurements {
+	return &controlMeasurements{settings: s, role: role, series: map[string]*Series{}}
+}
+
+// add notes a point of a series, which it makes with its first.
+func (b *controlMeasurements) add(name, quantity, unit string, origin Origin, counted bool, size int, value float64) {
+	s := b.series[name]
+	if s == nil {
+		s = &Series{Name: b.settings.Sweep + "." + name + b.suffix, Role: b.role, Quantity: quantity, Unit: unit,
+			Against: b.settings.Against, Origin: origin, Counted: counted, Held: b.settings.held()}
+		b.series[name] = s
+		b.names = append(b.names, name)
+	}
+	s.addPoint(size, value)
+}
+
+func (b *controlMeasurements) check(name string, held bool, detail string) {
+	b.checks = append(b.checks, Check{Name: name, Held: held, Detail: detail})
+}
+
+func (b *controlMeasurements) all() (list []Series) {
+	for _, name := range b.names {
+		list = append(list, *b.series[name])
+	}
+	return list
+}
--- a/internal/testbed/scale/control_members.go
+++ b/internal/testbed/scale/control_members.go
@@ -17,59 +17,59 @@
 	unitCorePart    = "part of a core"
 	unitPart        = "part"
 
-	fewSights  = 4 // of a record, in a small fleet with few servers
-	lateFrom   = 80 * time.Millisecond
-	setupTime  = 300 * time.Millisecond
-	leaseFor   = 6 * time.Second
-	viewRounds = 3
+	fewReports        = 4 // of a record, in a small fleet with few servers
+	latencyObjective  = 80 * time.Millisecond
+	setupObjective    = 300 * time.Millisecond
+	leaseDuration     = 6 * time.Second
+	measurementRounds = 3
 
 	memoryCopiesOf = 1000 // members over all engines whose memory is measured together
 )
 
 // recordBytesOf is the size of an encoded record with so many sights.
-func recordBytesOf(sights int) (int, error) {
-	text, err := signals.Encode(sampleRecord(1, 1000, sights))
+func recordBytesOf(reports int) (int, error) {
+	text, err := signals.Encode(sampleRecord(1, 1000, reports))
 	return len(text), err
 }
 
 // membersSweep measures what one member of a fleet sends, hears, works and keeps, against the members.
 func membersSweep(ctx context.Context, s Settings, progress Progress) ([]Series, []Check, error) {
-	book := newControlBook(s, roleMembership)
+	measurements := newControlMeasurements(s, roleMembership)
 	for i, size := range s.Sizes {
-		if err := book.gossip(ctx, size); err != nil {
+		if err := measurements.measureGossip(ctx, size); err != nil {
 			return nil, nil, err
 		}
-		if err := book.engine(size); err != nil {
+		if err := measurements.measureEngine(size); err != nil {
 			return nil, nil, err
 		}
-		if err := book.views(size); err != nil {
+		if err := measurements.measureViews(size); err != nil {
 			return nil, nil, err
 		}
 		progress(i+1, len(s.Sizes))
 	}
-	return book.all(), book.checks, nil
+	return measurements.all(), measurements.checks, nil
 }
 
-// gossip plays the model with records of few servers and of as many as they may have.
-func (b *controlBook) gossip(ctx context.Context, size int) error {
-	for _, sights := range []int{fewSights, signals.MaxReports} {
+// measureGossip plays the model with records of few servers and of as many as they may have.
+func (b *controlMeasurements) measureGossip(ctx context.Context, size int) error {
+	for _, sights := range []int{fewReports, signals.MaxReports} {
 		recordBytes, err := recordBytesOf(sights)
 		if err != nil {
 			return err
 		}
-		result, err := playGossip(ctx, gossipRun{members: size, recordBytes: recordBytes, replaced: b.settings.Rate, seed: b.settings.Seed})
+		result, err := simulateGossip(ctx, gossipRun{members: size, recordBytes: recordBytes, replaced: b.settings.Rate, seed: b.settings.Seed})
 		if err != nil {
 			return err
 		}
 		b.gossipPoints(size, sights, recordBytes, result)
-		b.heard = result.records
+		b.recordsReceivedPerSecond = result.records
 	}
 	return nil
 }
 
-func (b *controlBook) gossipPoints(size, sights, recordBytes int, r gossipResult) {
-	kind := fmt.Sprintf("-at-%d-sights", sights)
-	what := fmt.Sprintf(", records of %d sights (%d bytes)", sights, recordBytes)
+func (b *controlMeasurements) gossipPoints(size, reports, recordBytes int, r gossipResult) {
+	kind := fmt.Sprintf("-at-%d-sights", reports)
+	what := fmt.Sprintf(", records of %d sights (%d bytes)", reports, recordBytes)
 	point := func(name, quantity, unit string, value float64) {
 		b.add(name+kind, quantity+what, unit, Simulated, true, size, value)
 	}
@@ -81,9 +81,9 @@
 	point("exchange-bytes-out", "sent by a member in exchanges of all members", unitBytesSecond, exchange)
 	point("datagrams-out", "datagrams sent by a member", unitPerSecond, r.recordDatagrams+r.probeDatagrams)
 	point("records-heard", "records heard by a member", unitPerSecond, r.records)
-	point("records-new", "records heard by a member that were news", unitPerSecond, r.news)
-	point("reach", "of the others have a record within 5 s of its telling", unitPart, r.reach)
-	point("waiting", "messages that wait in a member's queue after 25 s", "messages", r.waiting)
+	point("records-new", "records heard by a member that were news", unitPerSecond, r.newRecords)
+	point("reach", "of the others have a record within 5 s of its telling", unitPart, r.reachedShare)
+	point("waiting", "messages that wait in a member's queue after 25 s", "messages", r.queued)
 }
 
 // recordsBytes is the size of all records that a member hands on in an exchange.
@@ -99,11 +99,11 @@
 		return 0
 	}
 	message := len(exchangeMessage(size)) + records
-	return 2 * float64(onStream(message)) / exchangeInterval(size).Seconds()
+	return 2 * float64(streamBytes(message)) / exchangeInterval(size).Seconds()
 }
 
-// engine measures the real engine that knows so many members.
-func (b *controlBook) engine(size int) error {
+// measureEngine measures the real engine that knows so many members.
+func (b *controlMeasurements) measureEngine(size int) error {
 	message := exchangeMessage(size)
 	before := liveMemory()
 	copies := max(1, memoryCopiesOf/size)
@@ -126,7 +126,7 @@
 	}
 	known := engine.list.NumMembers()
 	b.checks = append(b.checks, Check{Name: fmt.Sprintf("the engine knows %d members after one exchange", size), Held: known == size, Detail: fmt.Sprintf("%d are known", known)})
-	used := measure(viewRounds, 1, func() { _, _ = engine.exchange(message) })
+	used := measure(measurementRounds, 1, func() { _, _ = engine.exchange(message) })
 	b.add("engine-memory", "held by the engine once it has joined, with what it has to pass on", unitBytes, Measured, false, size, float64(held))
 	b.add("exchange-bytes", "of one exchange, one way, without records", unitBytes, Measured, true, size, float64(len(answer)))
 	b.add("exchange-processor", "processor time of the engine for exchanges, each way", unitCorePart, Measured, false, size,
@@ -135,32 +135,32 @@
 	return nil
 }
 
-// views measures what the list of members costs between the engine and its balancer, and the records in it.
-func (b *controlBook) views(size int) error {
+// measureViews measures what the list of members costs between the engine and its balancer, and the records in it.
+func (b *controlMeasurements) measureViews(size int) error {
 	view := newMemberView(size)
 	frame := view.frame()
-	perSecond := 1 / membersFrameEvery.Seconds()
-	written := measure(viewRounds, 1, func() { view.frame() })
-	read := measure(viewRounds, 1, func() { readFrame(frame) })
+	perSecond := 1 / membersFrameInterval.Seconds()
+	written := measure(measurementRounds, 1, func() { view.frame() })
+	read := measure(measurementRounds, 1, func() { readFrame(frame) })
 	b.add("frame-bytes", "list of members written from the engine to its balancer, through a pipe", unitBytesSecond, Measured, true, size, perSecond*float64(len(frame)))
 	b.add("frame-processor", "processor time for the list of members between the engine and its balancer", unitCorePart, Measured, false, size,
 		perSecond*(written.processor+read.processor).Seconds())
-	decider := signals.New(signals.Origin(memberName(0)), 1, "", "", lateFrom, setupTime, true)
-	leases := lease.New(lease.Holder(memberName(0)), leaseFor)
+	decider := signals.New(signals.Origin(memberName(0)), 1, "", "", latencyObjective, setupObjective, true)
+	leases := lease.New(lease.Holder(memberName(0)), leaseDuration)
 	list := view.sorted()
-	handed := measure(viewRounds, 1, func() { handOver(list, decider, leases) })
-	b.add("view-processor", "processor time for telling the deciders who is alive", unitCorePart, Measured, false, size, handed.processor.Seconds()/tellEvery.Seconds())
-	return b.recordsCost(size)
+	handed := measure(measurementRounds, 1, func() { applyMembership(list, decider, leases) })
+	b.add("view-processor", "processor time for telling the deciders who is alive", unitCorePart, Measured, false, size, handed.processor.Seconds()/publishCheckInterval.Seconds())
+	return b.measureRecords(size)
 }
 
-// recordsCost measures the records that are heard at this size.
-func (b *controlBook) recordsCost(size int) error {
+// measureRecords measures the records that are heard at this size.
+func (b *controlMeasurements) measureRecords(size int) error {
 	text, err := signals.Encode(sampleRecord(1, 1000, signals.MaxReports))
 	if err != nil {
 		return err
 	}
 	const times = 200
-	used := measure(viewRounds, times, func() { _, err = signals.Decode(text) })
-	b.add("record-processor", "processor time for reading the records that a member hears, of 48 sights", unitCorePart, Measured, false, size, b.heard*used.processor.Seconds())
+	used := measure(measurementRounds, times, func() { _, err = signals.Decode(text) })
+	b.add("record-processor", "processor time for reading the records that a member hears, of 48 sights", unitCorePart, Measured, false, size, b.recordsReceivedPerSecond*used.processor.Seconds())
 	return err
 }
--- a/internal/testbed/scale/control_views.go
+++ b/internal/testbed/scale/control_membership_view.go
@@ -17,7 +17,7 @@
 
 // memberView is how an engine sees so many members, and what it does for its balancer with that.
 type memberView struct {
-	seen map[membership.Name]membership.Member
+	members map[membership.Name]membership.Member
 }
 
 func newMemberView(count int) memberView {
@@ -25,14 +25,14 @@
 	for i := range count {
 		name := membership.Name(memberName(i))
 		addr := memberAddr(i)
-		v.seen[name] = membership.Member{Name: name, Addr: fmt.Sprintf("%d.%d.%d.%d:%d", addr[0], addr[1], addr[2], addr[3], memberPort), State: membership.Alive, Since: time.Hour}
+		v.members[name] = membership.Member{Name: name, Addr: fmt.Sprintf("%d.%d.%d.%d:%d", addr[0], addr[1], addr[2], addr[3], memberPort), State: membership.Alive, Since: time.Hour}
 	}
 	return v
 }
 
 // sorted is all members by name, as the engine lists them.
 func (v memberView) sorted() []membership.Member {
-	return slices.SortedFunc(maps.Values(v.seen), func(a, b membership.Member) int {
+	return slices.SortedFunc(maps.Values(v.members), func(a, b membership.Member) int {
 		return strings.Compare(string(a.Name), string(b.Name))
 	})
 }
@@ -70,14 +70,14 @@
 	return len(seen)
 }
 
-// handOver is what a balancer does with its view every tellEvery: the deciders hear who is alive.
-func handOver(list []membership.Member, decider *signals.Exchange, leases *lease.Manager) {
+// applyMembership is what a balancer does with its view every tellEvery: the deciders hear who is alive.
+func applyMembership(list []membership.Member, decider *signals.Exchange, leases *lease.Manager) {
 	var alive []lease.Member
-	var voices []signals.Origin
+	var reporters []signals.Origin
 	for _, s := range list {
 		alive = append(alive, lease.Member{Name: lease.Holder(s.Name), Weight: 1, Since: s.Since})
-		voices = append(voices, signals.Origin(s.Name))
+		reporters = append(reporters, signals.Origin(s.Name))
 	}
-	decider.SetReporters(voices)
+	decider.SetReporters(reporters)
 	leases.SetMembers(alive)
 }
--- a/internal/testbed/scale/control_push.go
+++ b/internal/testbed/scale/control_push.go
@@ -9,98 +9,98 @@
 
 // How the control machines are taken to be. None of it is the letter's; see docs/CAPACITY.md.
 const (
-	controlMachines   = 20
-	controlBandwidth  = 125e6 // bytes a second out of one
-	toControl         = 75 * time.Millisecond
-	toBalancer        = time.Millisecond
-	toFarBalancer     = 75 * time.Millisecond // of a balancer whose control machine is lost
-	noticeLost        = 2800 * time.Millisecond
-	askAgainSpread    = 800 * time.Millisecond // both by internal/protocol, after a machine that fell silent
-	takeListEach      = 5 * time.Microsecond   // processor time by server of a whole list, by the sweep lists
-	takeChangeEach    = 100 * time.Nanosecond  // the same by server of the list that one object changes
-	startedADay       = 2300
-	letterChangesADay = 17_000
-	letterWithin      = 16 * time.Second
-	letterBytes       = 10_000 // a second, of a balancer for control
-	letterCore        = 0.036
+	controlMachines       = 20
+	controlBandwidth      = 125e6 // bytes a second out of one
+	controlDelay          = 75 * time.Millisecond
+	nearBalancerDelay     = time.Millisecond
+	farBalancerDelay      = 75 * time.Millisecond // of a balancer whose control machine is lost
+	lossDetection         = 2800 * time.Millisecond
+	reconnectSpread       = 800 * time.Millisecond // both by internal/protocol, after a machine that fell silent
+	fullListTimePerServer = 5 * time.Microsecond   // processor time by server of a whole list, by the sweep lists
+	changeTimePerServer   = 100 * time.Nanosecond  // the same by server of the list that one object changes
+	startsPerDay          = 2300
+	requiredChangesPerDay = 17_000
+	requiredLatency       = 16 * time.Second
+	bandwidthBudget       = 10_000 // a second, of a balancer for control
+	processorBudget       = 0.036
 )
 
 // pushPlan is how changes are brought from one control machine to its balancers.
 type pushPlan struct {
-	servers   int
-	balancers int  // of this machine
-	lost      int  // more of another machine, lost when the play begins
-	resumed   bool // who asks again tells what it has, and is sent what changed since
-	whole     bool
-	rate      float64 // changes a second
-	length    time.Duration
-	missed    int // changes that wait when the play begins
-	missedBy  missedMode
-	seed      uint64
+	servers    int
+	balancers  int  // of this machine
+	takenOver  int  // more of another machine, lost when the play begins
+	resumes    bool // who asks again tells what it has, and is sent what changed since
+	fullLists  bool
+	rate       float64 // changes a second
+	length     time.Duration
+	missed     int // changes that wait when the play begins
+	missedMode catchUpMode
+	seed       uint64
 }
 
-// missedMode is how changes that were missed are told.
-type missedMode int
+// catchUpMode is how changes that were missed are told.
+type catchUpMode int
 
 const (
-	missedMerged missedMode = iota
-	missedOneByOne
-	missedWhole
+	catchUpMerged catchUpMode = iota
+	catchUpOneByOne
+	missedFullList
 )
 
 // pushResult is what came of it.
 type pushResult struct {
-	times    []time.Duration // from each change until in force, at each balancer, sorted
-	first    []time.Duration // until one that starts with nothing has its list
-	bytes    float64         // out of the machine
-	busy     float64         // part of the time that it sent
-	played   time.Duration   // from the beginning until nothing was left to send
-	recovery time.Duration   // until all have what was missed, or all lost ones are served
+	changeLatencies []time.Duration // from each change until in force, at each balancer, sorted
+	startLatencies  []time.Duration // until one that starts with nothing has its list
+	bytes           float64         // out of the machine
+	utilization     float64         // part of the time that it sent
+	duration        time.Duration   // from the beginning until nothing was left to send
+	recovery        time.Duration   // until all have what was missed, or all lost ones are served
 }
 
 func (r pushResult) quantile(q float64) time.Duration {
-	if len(r.times) == 0 {
+	if len(r.changeLatencies) == 0 {
 		return 0
 	}
-	return r.times[min(len(r.times)-1, int(q*float64(len(r.times))))]
+	return r.changeLatencies[min(len(r.changeLatencies)-1, int(q*float64(len(r.changeLatencies))))]
 }
 
 // pushBalancer is one as its control machine knows it.
 type pushBalancer struct {
-	has  int           // changes that it was told
-	ask  time.Duration // from when it listens here
-	from time.Duration // since when it wants a whole list
-	all  bool          // wants one
-	far  bool
-	back bool // its machine was lost, and it was sent nothing since
+	received        int           // changes that it was told
+	connectsAt      time.Duration // from when it listens here
+	awaitsListSince time.Duration // since when it wants a whole list
+	needsFullList   bool          // wants one
+	far             bool
+	recovering      bool // its machine was lost, and it was sent nothing since
 }
 
 type pushModel struct {
-	plan      pushPlan
-	sizes     listSizes
-	changes   []time.Duration // when each was made
-	starts    []time.Duration // of balancers with nothing
-	balancers []pushBalancer
-	now       time.Duration
-	arrived   int
-	started   int
-	chance    *rand.Rand
-	result    pushResult
+	plan        pushPlan
+	sizes       listSizes
+	changeTimes []time.Duration // when each was made
+	startTimes  []time.Duration // of balancers with nothing
+	balancers   []pushBalancer
+	now         time.Duration
+	arrived     int
+	started     int
+	random      *rand.Rand
+	result      pushResult
 }
 
 func newPushModel(plan pushPlan) *pushModel {
-	m := &pushModel{plan: plan, sizes: measureListSizes(plan.servers), chance: rand.New(rand.NewPCG(plan.seed, uint64(plan.balancers)))}
-	m.changes = append(make([]time.Duration, plan.missed), m.arrivals(plan.rate)...)
-	m.starts = m.arrivals(startedADay / float64(secondsPerDay) * float64(plan.balancers) / letterBalancers)
-	m.balancers = make([]pushBalancer, plan.balancers+plan.lost)
+	m := &pushModel{plan: plan, sizes: measureListSizes(plan.servers), random: rand.New(rand.NewPCG(plan.seed, uint64(plan.balancers)))}
+	m.changeTimes = append(make([]time.Duration, plan.missed), m.arrivals(plan.rate)...)
+	m.startTimes = m.arrivals(startsPerDay / float64(secondsPerDay) * float64(plan.balancers) / requiredBalancers)
+	m.balancers = make([]pushBalancer, plan.balancers+plan.takenOver)
 	for i := plan.balancers; i < len(m.balancers); i++ {
-		ask := noticeLost + time.Duration(m.chance.Float64()*float64(askAgainSpread))
-		m.balancers[i] = pushBalancer{ask: ask, from: ask, all: !plan.resumed, far: true, back: true}
+		ask := lossDetection + time.Duration(m.random.Float64()*float64(reconnectSpread))
+		m.balancers[i] = pushBalancer{connectsAt: ask, awaitsListSince: ask, needsFullList: !plan.resumes, far: true, recovering: true}
 	}
 	return m
 }
 
-const letterBalancers = 8100
+const requiredBalancers = 8100
 
 // arrivals draws instants at a rate.
 func (m *pushModel) arrivals(rate float64) (at []time.Duration) {
@@ -108,7 +108,7 @@
 		return nil
 	}
 	for t := 0.0; ; {
-		t += m.chance.ExpFloat64() / rate
+		t += m.random.ExpFloat64() / rate
 		if t >= m.plan.length.Seconds() {
 			return at
 		}
@@ -116,8 +116,8 @@
 	}
 }
 
-// playPush plays a plan: the machine goes round its balancers and sends each what it lacks.
-func playPush(ctx context.Context, plan pushPlan) (pushResult, error) {
+// simulatePush plays a plan: the machine goes round its balancers and sends each what it lacks.
+func simulatePush(ctx context.Context, plan pushPlan) (pushResult, error) {
 	m := newPushModel(plan)
 	sent := time.Duration(0)
 	for idle := 0; ; {
@@ -126,7 +126,7 @@
 		}
 		idle = 0
 		for i := range m.balancers {
-			m.notice()
+			m.collectArrivals()
 			took := m.serve(&m.balancers[i])
 			if took == 0 {
 				idle++
@@ -134,47 +134,47 @@
 			m.now += took
 			sent += took
 		}
-		if idle == len(m.balancers) && !m.wait() {
+		if idle == len(m.balancers) && !m.advanceToNext() {
 			break
 		}
 	}
-	m.result.played = max(m.now, plan.length)
-	m.result.busy = sent.Seconds() / m.result.played.Seconds()
-	slices.Sort(m.result.times)
-	slices.Sort(m.result.first)
+	m.result.duration = max(m.now, plan.length)
+	m.result.utilization = sent.Seconds() / m.result.duration.Seconds()
+	slices.Sort(m.result.changeLatencies)
+	slices.Sort(m.result.startLatencies)
 	return m.result, nil
 }
 
-// notice takes in what was made by now: changes, and balancers that start.
-func (m *pushModel) notice() {
-	for m.arrived < len(m.changes) && (m.arrived < m.plan.missed || m.changes[m.arrived]+toControl <= m.now) {
+// collectArrivals takes in what was made by now: changes, and balancers that start.
+func (m *pushModel) collectArrivals() {
+	for m.arrived < len(m.changeTimes) && (m.arrived < m.plan.missed || m.changeTimes[m.arrived]+controlDelay <= m.now) {
 		m.arrived++
 	}
-	for m.started < len(m.starts) && m.starts[m.started] <= m.now {
-		b := &m.balancers[m.chance.IntN(len(m.balancers))]
-		if !b.all {
-			b.all, b.from = true, m.starts[m.started]
+	for m.started < len(m.startTimes) && m.startTimes[m.started] <= m.now {
+		b := &m.balancers[m.random.IntN(len(m.balancers))]
+		if !b.needsFullList {
+			b.needsFullList, b.awaitsListSince = true, m.startTimes[m.started]
 		}
 		m.started++
 	}
 }
 
-// wait goes on to the next thing that will come, if any.
-func (m *pushModel) wait() bool {
+// advanceToNext goes on to the next thing that will come, if any.
+func (m *pushModel) advanceToNext() bool {
 	next := time.Duration(-1)
 	sooner := func(at time.Duration) {
 		if at > m.now && (next < 0 || at < next) {
 			next = at
 		}
 	}
-	if m.arrived < len(m.changes) {
-		sooner(m.changes[m.arrived] + toControl)
+	if m.arrived < len(m.changeTimes) {
+		sooner(m.changeTimes[m.arrived] + controlDelay)
 	}
-	if m.started < len(m.starts) {
-		sooner(m.starts[m.started])
+	if m.started < len(m.startTimes) {
+		sooner(m.startTimes[m.started])
 	}
 	for _, b := range m.balancers {
-		sooner(b.ask)
+		sooner(b.connectsAt)
 	}
 	m.now = max(m.now, next)
 	return next >= 0
@@ -182,45 +182,45 @@
 
 // serve sends a balancer what it lacks, and gives how long that takes the machine.
 func (m *pushModel) serve(b *pushBalancer) time.Duration {
-	if b.ask > m.now || !b.all && !b.back && b.has >= m.arrived {
+	if b.connectsAt > m.now || !b.needsFullList && !b.recovering && b.received >= m.arrived {
 		return 0
 	}
-	bytes, taking := m.message(b)
+	bytes, taking := m.nextMessage(b)
 	took := time.Duration(float64(bytes) / controlBandwidth * float64(time.Second))
 	m.result.bytes += float64(bytes)
-	way := toBalancer
+	way := nearBalancerDelay
 	if b.far {
-		way = toFarBalancer
+		way = farBalancerDelay
 	}
 	inForce := m.now + took + way + taking
-	m.book(b, inForce)
+	m.recordDelivery(b, inForce)
 	return max(took, 1)
 }
 
-// message is what a balancer is sent: its bytes, and the processor time of taking it.
-func (m *pushModel) message(b *pushBalancer) (bytes int, taking time.Duration) {
-	lacks := m.arrived - b.has
+// nextMessage is what a balancer is sent: its bytes, and the processor time of taking it.
+func (m *pushModel) nextMessage(b *pushBalancer) (bytes int, taking time.Duration) {
+	lacks := m.arrived - b.received
 	perList := time.Duration(m.plan.servers)
-	missed := b.has < m.plan.missed
+	missed := b.received < m.plan.missed
 	switch {
-	case b.all || m.plan.whole || missed && m.plan.missedBy == missedWhole:
-		return m.sizes.whole, perList * takeListEach
-	case missed && m.plan.missedBy == missedOneByOne:
-		return lacks * m.sizes.changes(1), time.Duration(lacks) * perList * takeChangeEach
+	case b.needsFullList || m.plan.fullLists || missed && m.plan.missedMode == missedFullList:
+		return m.sizes.full, perList * fullListTimePerServer
+	case missed && m.plan.missedMode == catchUpOneByOne:
+		return lacks * m.sizes.changes(1), time.Duration(lacks) * perList * changeTimePerServer
 	}
-	return m.sizes.changes(lacks), perList*takeChangeEach + time.Duration(lacks)*takeListEach
+	return m.sizes.changes(lacks), perList*changeTimePerServer + time.Duration(lacks)*fullListTimePerServer
 }
 
-// book notes that a balancer has all from an instant on.
-func (m *pushModel) book(b *pushBalancer, inForce time.Duration) {
-	if b.has < m.plan.missed || b.back {
+// recordDelivery notes that a balancer has all from an instant on.
+func (m *pushModel) recordDelivery(b *pushBalancer, inForce time.Duration) {
+	if b.received < m.plan.missed || b.recovering {
 		m.result.recovery = max(m.result.recovery, inForce)
 	}
-	if b.all {
-		m.result.first = append(m.result.first, inForce-b.from)
+	if b.needsFullList {
+		m.result.startLatencies = append(m.result.startLatencies, inForce-b.awaitsListSince)
 	}
-	for ; b.has < m.arrived; b.has++ {
-		m.result.times = append(m.result.times, inForce-m.changes[b.has])
+	for ; b.received < m.arrived; b.received++ {
+		m.result.changeLatencies = append(m.result.changeLatencies, inForce-m.changeTimes[b.received])
 	}
-	b.all, b.back = false, false
+	b.needsFullList, b.recovering = false, false
 }
--- a/internal/testbed/scale/control_real.go
+++ b/internal/testbed/scale/control_real.go
@@ -20,22 +20,22 @@
 )
 
 const (
-	mostRealMembers  = 200
-	realRecordSights = 4
-	meetWithin       = 3 * time.Minute // on a busy machine engines suspect each other meanwhile
-	startPace        = 25 * time.Millisecond
-	settleFor        = 15 * time.Second // those who joined pass on all that they heard of
-	lookForMeeting   = 100 * time.Millisecond
-	paceOfTelling    = 10 * time.Millisecond
-	modelWithin      = 0.2 // of the measured figure
-	realFleetLabel   = fleetLabel
+	maxRealMembers        = 200
+	realRecordReports     = 4
+	discoveryTimeout      = 3 * time.Minute // on a busy machine engines suspect each other meanwhile
+	startInterval         = 25 * time.Millisecond
+	settlingTime          = 15 * time.Second // those who joined pass on all that they heard of
+	discoveryPollInterval = 100 * time.Millisecond
+	publishPollInterval   = 10 * time.Millisecond
+	modelTolerance        = 0.2 // of the measured figure
+	realFleetLabel        = fleetLabel
 )
 
 // sentCounter counts what all engines of this process send, as memberlist itself counts it: without headers and label.
 type sentCounter struct {
 	metrics.BlackholeSink
 	datagrams, datagramBytes, streamBytes atomic.Int64
-	gone                                  goneCounter
+	departures                            departureCounter
 }
 
 // IncrCounterWithLabels takes memberlist's count of one message that was sent.
@@ -52,14 +52,14 @@
 	}
 }
 
-// goneCounter is a log that counts how often an engine takes a member as gone, and drops all else.
-type goneCounter struct {
+// departureCounter is a log that counts how often an engine takes a member as gone, and drops all else.
+type departureCounter struct {
 	slog.Handler
 	count atomic.Int64
 }
 
 // Handle takes a line of an engine.
-func (c *goneCounter) Handle(_ context.Context, line slog.Record) error {
+func (c *departureCounter) Handle(_ context.Context, line slog.Record) error {
 	line.Attrs(func(a slog.Attr) bool {
 		if line.Message == "member" && a.Key == "is" && a.Value.String() == string(membership.Gone) {
 			c.count.Add(1)
@@ -76,47 +76,47 @@
 }
 
 func (c *sentCounter) figures() sentFigures {
-	return sentFigures{float64(c.datagrams.Load()), float64(c.datagramBytes.Load()), float64(c.streamBytes.Load()), float64(c.gone.count.Load()), processorTime()}
+	return sentFigures{float64(c.datagrams.Load()), float64(c.datagramBytes.Load()), float64(c.streamBytes.Load()), float64(c.departures.count.Load()), processorTime()}
 }
 
 // realMember is one real engine and, in place of its balancer, what passes records on as a balancer does.
 type realMember struct {
-	number int
-	group  *engine.Group
-	whole  []byte
+	number    int
+	group     *engine.Group
+	fullState []byte
 
 	mu     sync.Mutex
 	latest map[uint32]uint64
 }
 
-const recordHead = 12 // origin and sequence
+const recordHeaderBytes = 12 // origin and sequence
 
 // Hear passes on what is news.
 func (m *realMember) Hear(message []byte) {
-	if len(message) < recordHead {
+	if len(message) < recordHeaderBytes {
 		return
 	}
 	origin, sequence := binary.BigEndian.Uint32(message), binary.BigEndian.Uint64(message[4:])
 	m.mu.Lock()
-	news := sequence > m.latest[origin]
-	if news {
+	isNew := sequence > m.latest[origin]
+	if isNew {
 		m.latest[origin] = sequence
 	}
 	m.mu.Unlock()
-	if news && int(origin) != m.number {
+	if isNew && int(origin) != m.number {
 		m.group.Publish(memberName(int(origin)), message)
 	}
 }
 
-func (m *realMember) Whole() []byte      { return m.whole }
+func (m *realMember) Whole() []byte      { return m.fullState }
 func (m *realMember) HearWhole([]byte)   {}
 func (m *realMember) Away(time.Duration) {}
 
 // realFleet is many real engines in this process.
 type realFleet struct {
 	members []*realMember
-	end     context.CancelFunc
-	parts   sync.WaitGroup
+	cancel  context.CancelFunc
+	running sync.WaitGroup
 }
 
 func startRealFleet(parent context.Context, count, recordBytes int) (*realFleet, error) {
@@ -125,15 +125,15 @@
 		return nil, err
 	}
 	ctx, cancel := context.WithCancel(parent)
-	fleet := &realFleet{end: cancel}
+	fleet := &realFleet{cancel: cancel}
 	seed := realAddr(0, port).String()
 	for i := range count {
-		m := &realMember{number: i, whole: make([]byte, recordsBytes(count, recordBytes)), latest: map[uint32]uint64{}}
+		m := &realMember{number: i, fullState: make([]byte, recordsBytes(count, recordBytes)), latest: map[uint32]uint64{}}
 		at := realAddr(i, port)
 		m.group = engine.New(membership.Name(memberName(i)), realFleetLabel, at, at, []string{seed}, m)
 		fleet.members = append(fleet.members, m)
-		fleet.parts.Go(func() { m.group.Run(ctx) })
-		if err := pause(ctx, startPace); err != nil {
+		fleet.running.Go(func() { m.group.Run(ctx) })
+		if err := pause(ctx, startInterval); err != nil {
 			fleet.stop()
 			return nil, err
 		}
@@ -158,14 +158,14 @@
 }
 
 func (f *realFleet) stop() {
-	f.end()
-	f.parts.Wait()
+	f.cancel()
+	f.running.Wait()
 }
 
-// meet waits until each sees all.
-func (f *realFleet) meet(ctx context.Context) error {
+// awaitDiscovery waits until each sees all.
+func (f *realFleet) awaitDiscovery(ctx context.Context) error {
 	all := len(f.members) * len(f.members)
-	for until := time.Now().Add(meetWithin); ; {
+	for until := time.Now().Add(discoveryTimeout); ; {
 		seen := 0
 		for _, m := range f.members {
 			seen += m.group.AliveCount()
@@ -174,10 +174,10 @@
 			return nil
 		}
 		if time.Now().After(until) {
-			return &Error{Where: "members-real", What: fmt.Sprintf("%d engines see %.1f %% of each other after %v", len(f.members), 100*float64(seen)/float64(all), meetWithin),
+			return &Error{Where: "members-real", What: fmt.Sprintf("%d engines see %.1f %% of each other after %v", len(f.members), 100*float64(seen)/float64(all), discoveryTimeout),
 				Remedy: "run it when the machine is less busy, or ask for fewer"}
 		}
-		if err := pause(ctx, lookForMeeting); err != nil {
+		if err := pause(ctx, discoveryPollInterval); err != nil {
 			return err
 		}
 	}
@@ -195,20 +195,20 @@
 	}
 }
 
-// tell has each member tell a record as often as a balancer in such a fleet does, until ctx ends.
-func (f *realFleet) tell(ctx context.Context, recordBytes int, seed uint64) {
+// publishRecords has each member tell a record as often as a balancer in such a fleet does, until ctx ends.
+func (f *realFleet) publishRecords(ctx context.Context, recordBytes int, seed uint64) {
 	chance := simulation.RandomSource(seed, "real members", len(f.members))
-	rest := restOf(len(f.members))
+	interval := recordIntervalOf(len(f.members))
 	var next []time.Time
 	for range f.members {
-		next = append(next, time.Now().Add(time.Duration(chance.Float64()*float64(rest))))
+		next = append(next, time.Now().Add(time.Duration(chance.Float64()*float64(interval))))
 	}
-	for sequence := uint64(1); pause(ctx, paceOfTelling) == nil; {
+	for sequence := uint64(1); pause(ctx, publishPollInterval) == nil; {
 		for i, m := range f.members {
 			if time.Now().Before(next[i]) {
 				continue
 			}
-			next[i] = next[i].Add(rest)
+			next[i] = next[i].Add(interval)
 			message := make([]byte, recordBytes)
 			binary.BigEndian.PutUint32(message, uint32(i))
 			binary.BigEndian.PutUint64(message[4:], sequence)
@@ -227,28 +227,28 @@
 	counter := countSent()
 	defer metrics.NewGlobal(metrics.DefaultConfig(""), &metrics.BlackholeSink{}) //nolint:errcheck // a sink that takes all
 	was := slog.Default()
-	slog.SetDefault(slog.New(&counter.gone)) // engines log each member that comes or goes
+	slog.SetDefault(slog.New(&counter.departures)) // engines log each member that comes or goes
 	defer slog.SetDefault(was)
-	book := newControlBook(s, roleMembership)
+	measurements := newControlMeasurements(s, roleMembership)
 	for i, size := range s.Sizes {
-		if err := book.real(ctx, counter, size, length); err != nil {
+		if err := measurements.measureReal(ctx, counter, size, length); err != nil {
 			return nil, nil, err
 		}
 		progress(i+1, len(s.Sizes))
 	}
-	return book.all(), book.checks, nil
+	return measurements.all(), measurements.checks, nil
 }
 
-// fewRealMembers refuses more real engines than one process bears.
-func fewRealMembers(s Settings) (key, fault string) {
-	if s.Sizes[len(s.Sizes)-1] <= mostRealMembers {
+// checkRealMembers refuses more real engines than one process bears.
+func checkRealMembers(s Settings) (key, fault string) {
+	if s.Sizes[len(s.Sizes)-1] <= maxRealMembers {
 		return "", ""
 	}
-	return bySize, fmt.Sprintf("want %d real members at the most; the sweep members has no such bound", mostRealMembers)
+	return bySize, fmt.Sprintf("want %d real members at the most; the sweep members has no such bound", maxRealMembers)
 }
 
 func countSent() *sentCounter {
-	counter := &sentCounter{gone: goneCounter{Handler: slog.NewTextHandler(io.Discard, nil)}}
+	counter := &sentCounter{departures: departureCounter{Handler: slog.NewTextHandler(io.Discard, nil)}}
 	config := metrics.DefaultConfig("")
 	config.EnableHostname, config.EnableRuntimeMetrics = false, false
 	if _, err := metrics.NewGlobal(config, counter); err != nil {
@@ -257,9 +257,9 @@
 	return counter
 }
 
-// real measures one size, and the model at the same.
-func (b *controlBook) real(ctx context.Context, counter *sentCounter, size int, length time.Duration) error {
-	recordBytes, err := recordBytesOf(realRecordSights)
+// measureReal measures one size, and the model at the same.
+func (b *controlMeasurements) measureReal(ctx context.Context, counter *sentCounter, size int, length time.Duration) error {
+	recordBytes, err := recordBytesOf(realRecordReports)
 	if err != nil {
 		return err
 	}
@@ -269,32 +269,32 @@
 		return err
 	}
 	defer fleet.stop()
-	if err := fleet.meet(ctx); err != nil {
+	if err := fleet.awaitDiscovery(ctx); err != nil {
 		return err
 	}
 	telling, end := context.WithCancel(ctx)
-	var teller sync.WaitGroup
-	teller.Go(func() { fleet.tell(telling, recordBytes, b.settings.Seed) })
-	defer teller.Wait()
+	var publisher sync.WaitGroup
+	publisher.Go(func() { fleet.publishRecords(telling, recordBytes, b.settings.Seed) })
+	defer publisher.Wait()
 	defer end()
-	if err := pause(ctx, settleFor); err != nil {
+	if err := pause(ctx, settlingTime); err != nil {
 		return err
 	}
 	from, began := counter.figures(), time.Now()
-	if err := pause(ctx, wholeExchanges(size, length)); err != nil {
+	if err := pause(ctx, fullExchangeCycles(size, length)); err != nil {
 		return err
 	}
 	to, took := counter.figures(), time.Since(began)
-	model, err := playGossip(ctx, gossipRun{members: size, recordBytes: recordBytes, seed: b.settings.Seed})
+	model, err := simulateGossip(ctx, gossipRun{members: size, recordBytes: recordBytes, seed: b.settings.Seed})
 	if err != nil {
 		return err
 	}
 	per := took.Seconds() * float64(size)
-	b.against("datagram-bytes-out", "sent by a member in datagrams, headers too", unitBytesSecond, size,
+	b.compareWithModel("datagram-bytes-out", "sent by a member in datagrams, headers too", unitBytesSecond, size,
 		(to.datagramBytes-from.datagramBytes+(to.datagrams-from.datagrams)*(datagramHeaders+labelHeader+float64(len(fleetLabel))))/per, model.bytes())
-	b.against("datagrams-out", "datagrams sent by a member", unitPerSecond, size, (to.datagrams-from.datagrams)/per, model.recordDatagrams+model.probeDatagrams)
+	b.compareWithModel("datagrams-out", "datagrams sent by a member", unitPerSecond, size, (to.datagrams-from.datagrams)/per, model.recordDatagrams+model.probeDatagrams)
 	message := len(exchangeMessage(size)) + recordsBytes(size, recordBytes)
-	b.against("stream-bytes-out", "sent by a member in exchanges, without headers", unitBytesSecond, size,
+	b.compareWithModel("stream-bytes-out", "sent by a member in exchanges, without headers", unitBytesSecond, size,
 		(to.streamBytes-from.streamBytes)/per, 2*float64(message)/exchangeInterval(size).Seconds())
 	b.add("taken-as-gone", "times that a real engine takes a living member as gone: the machine was too busy to answer in time", unitPerSecond, Measured, false, size, (to.gone-from.gone)/per)
 	b.add("engine-processor", "processor time of a real engine, this process shared by all", unitCorePart, Measured, false, size, (to.processor-from.processor).Seconds()/per)
@@ -302,18 +302,18 @@
 	return nil
 }
 
-// wholeExchanges is the shortest time from length on in which each member begins equally many exchanges: all that began
+// fullExchangeCycles is the shortest time from length on in which each member begins equally many exchanges: all that began
 // together exchange in the same few seconds of an interval.
-func wholeExchanges(size int, length time.Duration) time.Duration {
+func fullExchangeCycles(size int, length time.Duration) time.Duration {
 	interval := exchangeInterval(size)
 	return (length + interval - 1) / interval * interval
 }
 
-// against notes a quantity measured and of the model, and whether they agree.
-func (b *controlBook) against(name, quantity, unit string, size int, measured, model float64) {
+// compareWithModel notes a quantity measured and of the model, and whether they agree.
+func (b *controlMeasurements) compareWithModel(name, quantity, unit string, size int, measured, model float64) {
 	b.add(name, quantity+", real engines", unit, Measured, false, size, measured)
 	b.add(name+"-of-model", quantity+", the model", unit, Simulated, true, size, model)
 	off := model/measured - 1
 	b.checks = append(b.checks, Check{Name: fmt.Sprintf("%s at %d members: the model is within 20 %%", name, size),
-		Held: off < modelWithin && off > -modelWithin, Detail: fmt.Sprintf("real %.0f, model %.0f, %+.0f %%", measured, model, 100*off)})
+		Held: off < modelTolerance && off > -modelTolerance, Detail: fmt.Sprintf("real %.0f, model %.0f, %+.0f %%", measured, model, 100*off)})
 }
--- a/internal/testbed/scale/control_sweep_changes.go
+++ b/internal/testbed/scale/control_sweep_changes.go
@@ -7,30 +7,30 @@
 )
 
 const (
-	mostChangesPlayed = 600
-	longestPush       = 10 * time.Minute
-	shortestPush      = 30 * time.Second
+	maxSimulatedChanges = 600
+	longestPush         = 10 * time.Minute
+	shortestPush        = 30 * time.Second
 )
 
 // changesSweep plays how changes reach all balancers from the control machines, by how many there are a day.
 func changesSweep(ctx context.Context, s Settings, progress Progress) ([]Series, []Check, error) {
-	book := newControlBook(s, roleControlHosts)
+	measurements := newControlMeasurements(s, roleControlHosts)
 	if s.Against == byServers {
-		book.suffix = "-by-servers"
+		measurements.suffix = "-by-servers"
 	}
 	for i, size := range s.Sizes {
-		for _, whole := range []bool{false, true} {
-			if err := book.changes(ctx, size, whole); err != nil {
+		for _, fullLists := range []bool{false, true} {
+			if err := measurements.measureChanges(ctx, size, fullLists); err != nil {
 				return nil, nil, err
 			}
 		}
 		progress(i+1, len(s.Sizes))
 	}
-	return book.all(), book.checks, nil
+	return measurements.all(), measurements.checks, nil
 }
 
-// enoughBalancers refuses a fleet that leaves a control machine without any.
-func enoughBalancers(s Settings) (key, fault string) {
+// checkBalancers refuses a fleet that leaves a control machine without any.
+func checkBalancers(s Settings) (key, fault string) {
 	if s.Balancers >= controlMachines {
 		return "", ""
 	}
@@ -38,62 +38,62 @@
 }
 
 // pushPlanOf is what one control machine has to do at a number of changes a day.
-func pushPlanOf(s Settings, changesADay int, whole bool) pushPlan {
+func pushPlanOf(s Settings, changesADay int, fullLists bool) pushPlan {
 	rate := float64(changesADay) / secondsPerDay
-	length := time.Duration(mostChangesPlayed / rate * float64(time.Second))
-	return pushPlan{servers: s.Servers, balancers: s.Balancers / controlMachines, whole: whole, rate: rate,
+	length := time.Duration(maxSimulatedChanges / rate * float64(time.Second))
+	return pushPlan{servers: s.Servers, balancers: s.Balancers / controlMachines, fullLists: fullLists, rate: rate,
 		length: min(max(length, shortestPush), longestPush), seed: s.Seed}
 }
 
-func (b *controlBook) changes(ctx context.Context, size int, whole bool) error {
+func (b *controlMeasurements) measureChanges(ctx context.Context, size int, fullLists bool) error {
 	kind, what := "changes", "changes alone are told"
-	if whole {
+	if fullLists {
 		kind, what = "whole", "whole lists are told"
 	}
-	plan := pushPlanOf(b.settings.at(size), letterChangesADay, whole)
+	plan := pushPlanOf(b.settings.at(size), requiredChangesPerDay, fullLists)
 	if b.settings.Against == byChanges {
-		plan = pushPlanOf(b.settings, size, whole)
+		plan = pushPlanOf(b.settings, size, fullLists)
 	}
-	result, err := playPush(ctx, plan)
+	result, err := simulatePush(ctx, plan)
 	if err != nil {
 		return err
 	}
 	point := func(name, quantity, unit string, value float64) {
 		b.add(kind+"-"+name, quantity+"; "+what, unit, Simulated, true, size, value)
 	}
-	seconds := result.played.Seconds()
+	seconds := result.duration.Seconds()
 	point("bytes-out", "sent by one control machine", unitBytesSecond, result.bytes/seconds)
 	point("bytes-in", "read by a balancer", unitBytesSecond, result.bytes/seconds/float64(plan.balancers))
-	point("busy", "of the time a control machine sends", unitPart, result.busy)
+	point("busy", "of the time a control machine sends", unitPart, result.utilization)
 	point("p50", "from a change until in force at half of the balancers", unitTime, result.quantile(0.5).Seconds())
 	point("p99", "from a change until in force at 99 in 100", unitTime, result.quantile(0.99).Seconds())
 	point("last", "from a change until in force at the last", unitTime, result.quantile(1).Seconds())
-	if len(result.first) > 0 {
-		point("start-last", "until a balancer that starts with nothing has its list, the longest", unitTime, result.first[len(result.first)-1].Seconds())
+	if len(result.startLatencies) > 0 {
+		point("start-last", "until a balancer that starts with nothing has its list, the longest", unitTime, result.startLatencies[len(result.startLatencies)-1].Seconds())
 	}
-	afterLoss, err := b.halfLost(ctx, plan, point)
+	afterLoss, err := b.measureHalfLost(ctx, plan, point)
 	if err != nil {
 		return err
 	}
-	if whole {
+	if fullLists {
 		return nil
 	}
-	plan.resumed = true
+	plan.resumes = true
 	resumed := func(name, quantity, unit string, value float64) {
 		point("resumed-"+name, quantity+" and tells what it has", unit, value)
 	}
-	if _, err := b.halfLost(ctx, plan, resumed); err != nil {
+	if _, err := b.measureHalfLost(ctx, plan, resumed); err != nil {
 		return err
 	}
-	b.inTime(fmt.Sprintf("at %d %s changes are in force within 16 s", size, b.settings.Against), result.quantile(1))
-	b.inTime(fmt.Sprintf("at %d %s they are with half of the control machines lost", size, b.settings.Against), max(afterLoss.quantile(1), afterLoss.recovery))
+	b.checkLatency(fmt.Sprintf("at %d %s changes are in force within 16 s", size, b.settings.Against), result.quantile(1))
+	b.checkLatency(fmt.Sprintf("at %d %s they are with half of the control machines lost", size, b.settings.Against), max(afterLoss.quantile(1), afterLoss.recovery))
 	return nil
 }
 
-// halfLost plays a control machine that gets the balancers of one that is lost, too.
-func (b *controlBook) halfLost(ctx context.Context, plan pushPlan, point func(name, quantity, unit string, value float64)) (pushResult, error) {
-	plan.lost = plan.balancers
-	result, err := playPush(ctx, plan)
+// measureHalfLost plays a control machine that gets the balancers of one that is lost, too.
+func (b *controlMeasurements) measureHalfLost(ctx context.Context, plan pushPlan, point func(name, quantity, unit string, value float64)) (pushResult, error) {
+	plan.takenOver = plan.balancers
+	result, err := simulatePush(ctx, plan)
 	if err != nil {
 		return pushResult{}, err
 	}
@@ -102,7 +102,7 @@
 	return result, nil
 }
 
-// inTime notes whether the last balancer has a change in the letter's time.
-func (b *controlBook) inTime(what string, last time.Duration) {
-	b.check(what, last <= letterWithin, fmt.Sprintf("the last after %.1f s", last.Seconds()))
+// checkLatency notes whether the last balancer has a change in the letter's time.
+func (b *controlMeasurements) checkLatency(what string, last time.Duration) {
+	b.check(what, last <= requiredLatency, fmt.Sprintf("the last after %.1f s", last.Seconds()))
 }
--- a/internal/testbed/scale/control_sweep_leases.go
+++ b/internal/testbed/scale/control_sweep_leases.go
@@ -13,58 +13,58 @@
 )
 
 const (
-	roleLeases       = "balancer control: leases"
-	reckonedServers  = 400 // of which a reckoning is measured, and multiplied
-	leaseRounds      = 3
-	viewChangesADay  = 2 * startedADay // one goes, one comes
-	sampledServers   = 4               // whose holders are counted
-	longestAskedFor  = 15 * time.Second
-	holdersStep      = time.Second
-	holdersPlayed    = time.Minute
-	holdersCounted   = 20 * time.Second // at its end
-	wordTravels      = time.Second      // until all have heard a record: the best case
-	memberSettled    = time.Hour
-	servedProbeEvery = time.Second
+	roleLeases              = "balancer control: leases"
+	scoredServers           = 400 // of which a reckoning is measured, and multiplied
+	leaseRounds             = 3
+	membershipChangesPerDay = 2 * startsPerDay // one goes, one comes
+	sampledTasks            = 4                // whose holders are counted
+	longestReassignment     = 15 * time.Second
+	holderStep              = time.Second
+	holdersDuration         = time.Minute
+	holdersCountedAtEnd     = 20 * time.Second // at its end
+	recordDelay             = time.Second      // until all have heard a record: the best case
+	settledMembership       = time.Hour
+	loadReportAge           = time.Second
 )
 
 // leasesSweep measures fleet/lease: who does what for 10,000 servers, and what it costs to know.
 func leasesSweep(ctx context.Context, s Settings, progress Progress) ([]Series, []Check, error) {
-	book := newControlBook(s, roleLeases)
+	measurements := newControlMeasurements(s, roleLeases)
 	if s.Against == byServers {
-		book.suffix = "-by-servers"
+		measurements.suffix = "-by-servers"
 	}
 	for i, size := range s.Sizes {
 		if err := ctx.Err(); err != nil {
 			return nil, nil, err
 		}
 		one := s.at(size)
-		book.reckoning(size, one.Balancers, one.Servers)
+		measurements.measureScoring(size, one.Balancers, one.Servers)
 		if s.Against == byBalancers {
-			book.evenness(size, one.Balancers, one.Servers)
-			book.holders(size, one.Balancers)
-			if err := book.loadsTold(size, one.Balancers, one.Servers); err != nil {
+			measurements.measureEvenness(size, one.Balancers, one.Servers)
+			measurements.countHolders(size, one.Balancers)
+			if err := measurements.measurePublishedLoads(size, one.Balancers, one.Servers); err != nil {
 				return nil, nil, err
 			}
 		}
 		progress(i+1, len(s.Sizes))
 	}
-	return book.all(), book.checks, nil
+	return measurements.all(), measurements.checks, nil
 }
 
-// seenMembers are so many members, all seen for long.
-func seenMembers(count int) (list []lease.Member) {
+// longStandingMembers are so many members, all seen for long.
+func longStandingMembers(count int) (list []lease.Member) {
 	for i := range count {
-		list = append(list, lease.Member{Name: lease.Holder(memberName(i)), Weight: 1, Since: memberSettled})
+		list = append(list, lease.Member{Name: lease.Holder(memberName(i)), Weight: 1, Since: settledMembership})
 	}
 	return list
 }
 
-// reckoning measures how long it takes to see anew whose all duties are, once the members changed.
-func (b *controlBook) reckoning(size, members, servers int) {
-	list := seenMembers(members)
-	sample := min(servers, reckonedServers)
+// measureScoring measures how long it takes to see anew whose all duties are, once the members changed.
+func (b *controlMeasurements) measureScoring(size, members, servers int) {
+	list := longStandingMembers(members)
+	sample := min(servers, scoredServers)
 	before := liveMemory()
-	own := lease.New(lease.Holder(memberName(0)), leaseFor)
+	own := lease.New(lease.Holder(memberName(0)), leaseDuration)
 	for i := range servers { // alone, so that it is quick
 		own.Holds(lease.Task(serverNumber(i)), 0)
 	}
@@ -78,16 +78,16 @@
 		}
 	})
 	all := used.processor.Seconds() * float64(servers) / float64(sample)
-	b.add("scores", "scores reckoned once the members changed", "scores", Reckoned, true, size, float64(members)*float64(servers))
+	b.add("scores", "scores reckoned once the members changed", "scores", Calculated, true, size, float64(members)*float64(servers))
 	b.add("reckoning-processor", "processor time of seeing whose all duties are, once the members changed", unitMicroseconds, Measured, false, size, all*1e6)
-	often := min(float64(viewChangesADay)/secondsPerDay, 1/longestAskedFor.Seconds())
-	b.add("reckoning-core", "the same, 2,300 members replaced a day", unitCorePart, Reckoned, false, size, often*all)
+	often := min(float64(membershipChangesPerDay)/secondsPerDay, 1/longestReassignment.Seconds())
+	b.add("reckoning-core", "the same, 2,300 members replaced a day", unitCorePart, Calculated, false, size, often*all)
 }
 
-// evenness notes how many duties the busiest member has.
-func (b *controlBook) evenness(size, members, servers int) {
-	own := lease.New(lease.Holder(memberName(0)), leaseFor)
-	own.SetMembers(seenMembers(members))
+// measureEvenness notes how many duties the busiest member has.
+func (b *controlMeasurements) measureEvenness(size, members, servers int) {
+	own := lease.New(lease.Holder(memberName(0)), leaseDuration)
+	own.SetMembers(longStandingMembers(members))
 	for i := range servers {
 		own.Holds(lease.Task(serverNumber(i)), 0)
 	}
@@ -103,98 +103,98 @@
 
 // leaseMember is one of those who share a few duties.
 type leaseMember struct {
-	duties *lease.Manager
-	tellAt time.Duration
-	did    map[lease.Task]leaseWord
+	manager      *lease.Manager
+	publishPhase time.Duration
+	renewals     map[lease.Task]leaseRenewal
 }
 
-// leaseWord is what a member tells of a duty that it did.
-type leaseWord struct {
+// leaseRenewal is what a member tells of a duty that it did.
+type leaseRenewal struct {
 	epoch lease.Epoch
 	at    time.Duration
 }
 
-// holders notes by how many members a server is probed at a time, when each tells of it as often as records go out.
-func (b *controlBook) holders(size, members int) {
+// countHolders notes by how many members a server is probed at a time, when each tells of it as often as records go out.
+func (b *controlMeasurements) countHolders(size, members int) {
 	chance := simulation.RandomSource(b.settings.Seed, "scale leases", members)
-	rest := max(restOf(members).Truncate(holdersStep), holdersStep)
-	fleet := newLeaseFleet(chance, members, rest)
+	interval := max(recordIntervalOf(members).Truncate(holderStep), holderStep)
+	fleet := newLeaseFleet(chance, members, interval)
 	holding, looks := 0, 0
-	for now := time.Duration(0); now < holdersPlayed; now += holdersStep {
-		count := leaseStep(fleet, now, rest)
-		if now >= holdersPlayed-holdersCounted {
+	for now := time.Duration(0); now < holdersDuration; now += holderStep {
+		count := leaseStep(fleet, now, interval)
+		if now >= holdersDuration-holdersCountedAtEnd {
 			holding += count
-			looks += sampledServers
+			looks += sampledTasks
 		}
 	}
 	b.add("holders", "members that probe one server for all at a time", "members", Simulated, true, size, float64(holding)/float64(looks))
 }
 
-func newLeaseFleet(chance *rand.Rand, members int, rest time.Duration) (fleet []*leaseMember) {
-	list := seenMembers(members)
+func newLeaseFleet(chance *rand.Rand, members int, interval time.Duration) (fleet []*leaseMember) {
+	list := longStandingMembers(members)
 	for i := range members {
-		m := &leaseMember{duties: lease.New(lease.Holder(memberName(i)), leaseFor), did: map[lease.Task]leaseWord{}}
-		m.tellAt = time.Duration(chance.Float64() * float64(rest)).Truncate(holdersStep)
-		m.duties.SetMembers(list)
+		m := &leaseMember{manager: lease.New(lease.Holder(memberName(i)), leaseDuration), renewals: map[lease.Task]leaseRenewal{}}
+		m.publishPhase = time.Duration(chance.Float64() * float64(interval)).Truncate(holderStep)
+		m.manager.SetMembers(list)
 		fleet = append(fleet, m)
 	}
 	return fleet
 }
 
 // leaseStep has all members do what they hold, tell what is due, and hear it. It counts who holds a duty.
-func leaseStep(fleet []*leaseMember, now, rest time.Duration) (holding int) {
+func leaseStep(fleet []*leaseMember, now, interval time.Duration) (holding int) {
 	for _, m := range fleet {
-		for k := range sampledServers {
-			duty := lease.Task(serverNumber(k))
-			if m.duties.Holds(duty, now) {
-				m.did[duty] = leaseWord{m.duties.Renew(duty, now), now}
+		for k := range sampledTasks {
+			task := lease.Task(serverNumber(k))
+			if m.manager.Holds(task, now) {
+				m.renewals[task] = leaseRenewal{m.manager.Renew(task, now), now}
 				holding++
 			}
 		}
 	}
 	for i, m := range fleet {
-		if now%rest == m.tellAt {
-			leaseTell(fleet, i, now)
+		if now%interval == m.publishPhase {
+			publishRenewals(fleet, i, now)
 		}
 	}
 	return holding
 }
 
-// leaseTell has all others hear what one did of late.
-func leaseTell(fleet []*leaseMember, teller int, now time.Duration) {
-	m := fleet[teller]
-	by := lease.Holder(memberName(teller))
-	for duty, word := range m.did {
-		age := now - word.at + wordTravels
-		if age >= leaseFor {
-			delete(m.did, duty)
+// publishRenewals has all others hear what one did of late.
+func publishRenewals(fleet []*leaseMember, publisher int, now time.Duration) {
+	m := fleet[publisher]
+	by := lease.Holder(memberName(publisher))
+	for duty, word := range m.renewals {
+		age := now - word.at + recordDelay
+		if age >= leaseDuration {
+			delete(m.renewals, duty)
 			continue
 		}
 		for i, other := range fleet {
-			if i != teller {
-				other.duties.Observe(duty, word.epoch, by, age, now+wordTravels)
+			if i != publisher {
+				other.manager.Observe(duty, word.epoch, by, age, now+recordDelay)
 			}
 		}
 	}
 }
 
-// loadsTold notes how much of what a member probed for all fits into its record.
-func (b *controlBook) loadsTold(size, members, servers int) error {
+// measurePublishedLoads notes how much of what a member probed for all fits into its record.
+func (b *controlMeasurements) measurePublishedLoads(size, members, servers int) error {
 	mean := (servers + members - 1) / members
 	record := sampleRecord(1, 1000, signals.MaxReports)
 	for i := range min(mean, signals.MaxLoadReports) {
-		record.LoadReports = append(record.LoadReports, signals.LoadReport{Server: decide.ServerID(serverNumber(i)), Load: 0.6, Epoch: 3, Age: servedProbeEvery})
+		record.LoadReports = append(record.LoadReports, signals.LoadReport{Server: decide.ServerID(serverNumber(i)), Load: 0.6, Epoch: 3, Age: loadReportAge})
 	}
 	text, err := signals.Encode(record)
 	if err != nil {
 		return err
 	}
-	heard, err := signals.Decode(text)
+	decoded, err := signals.Decode(text)
 	if err != nil {
 		return err
 	}
 	b.add("record-bytes", "of a record with 48 sights and the loads that were probed for all", unitBytes, Measured, true, size, float64(len(text)))
-	b.add("loads-told", "of the loads that a member probed for all, told by its record", unitPart, Measured, true, size, float64(len(heard.LoadReports))/float64(mean))
-	b.add("load-age", "of a load when it is told again, at the least", unitTime, Reckoned, true, size, restOf(members).Seconds())
+	b.add("loads-told", "of the loads that a member probed for all, told by its record", unitPart, Measured, true, size, float64(len(decoded.LoadReports))/float64(mean))
+	b.add("load-age", "of a load when it is told again, at the least", unitTime, Calculated, true, size, recordIntervalOf(members).Seconds())
 	return nil
 }
--- a/internal/testbed/scale/control_sweep_signals.go
+++ b/internal/testbed/scale/control_sweep_signals.go
@@ -11,70 +11,70 @@
 )
 
 const (
-	roleSignals       = "balancer control: signals"
-	tellersPlayed     = 5  // that really see servers; the others tell the same under their own names
-	mostOnOne         = 15 // connections of a teller on a server
-	usualTroubled     = 2  // servers, where the sizes do not count them
-	gathersASecond    = 20 // at most, by fleet/signals
-	signalRounds      = 5
-	troubleSeen       = time.Second
-	betweenSignalWork = 300 * time.Millisecond
-	tellersStart      = time.Minute
+	roleSignals              = "balancer control: signals"
+	distinctPublishers       = 5  // that really see servers; the others tell the same under their own names
+	maxConnectionsPerServer  = 15 // connections of a teller on a server
+	defaultFaulty            = 2  // servers, where the sizes do not count them
+	maxAggregationsPerSecond = 20 // at most, by fleet/signals
+	signalRounds             = 5
+	faultyLatency            = time.Second
+	signalWorkInterval       = 300 * time.Millisecond
+	publishersStart          = time.Minute
 )
 
 // signalsSweep measures fleet/signals against how many tell, or against how many servers all of them see in trouble.
 func signalsSweep(ctx context.Context, s Settings, progress Progress) ([]Series, []Check, error) {
-	book := newControlBook(s, roleSignals)
-	if s.Against == byTroubled {
-		book.suffix = "-by-troubled"
+	measurements := newControlMeasurements(s, roleSignals)
+	if s.Against == byFaulty {
+		measurements.suffix = "-by-troubled"
 	}
 	for i, size := range s.Sizes {
 		if err := ctx.Err(); err != nil {
 			return nil, nil, err
 		}
-		members, troubled := size, usualTroubled
-		if s.Against == byTroubled {
-			members, troubled = s.Balancers, size
+		members, faulty := size, defaultFaulty
+		if s.Against == byFaulty {
+			members, faulty = s.Balancers, size
 		}
-		if err := book.signals(size, members, troubled); err != nil {
+		if err := measurements.signals(size, members, faulty); err != nil {
 			return nil, nil, err
 		}
 		progress(i+1, len(s.Sizes))
 	}
-	return book.all(), book.checks, nil
+	return measurements.all(), measurements.checks, nil
 }
 
-// troubledAreServers refuses more servers in trouble than there are.
-func troubledAreServers(s Settings) (key, fault string) {
-	if s.Against != byTroubled || s.Sizes[len(s.Sizes)-1] <= s.Servers {
+// checkFaultyServers refuses more servers in trouble than there are.
+func checkFaultyServers(s Settings) (key, fault string) {
+	if s.Against != byFaulty || s.Sizes[len(s.Sizes)-1] <= s.Servers {
 		return "", ""
 	}
 	return bySize, "want no more servers in trouble than there are servers"
 }
 
-// newTeller is a decider that holds connections on all servers and sees some of them late.
-func newTeller(chance *rand.Rand, name, servers, troubled int) *signals.Exchange {
-	s := signals.New(signals.Origin(memberName(name)), 1764652800, "0123456789ab", "0123456789abcdef", lateFrom, setupTime, true)
-	s.SetTime(tellersStart)
+// newPublisher is a decider that holds connections on all servers and sees some of them late.
+func newPublisher(chance *rand.Rand, name, servers, faulty int) *signals.Exchange {
+	s := signals.New(signals.Origin(memberName(name)), 1764652800, "0123456789ab", "0123456789abcdef", latencyObjective, setupObjective, true)
+	s.SetTime(publishersStart)
 	for i := range servers {
 		id := serverNumber(i)
 		s.OnEndpoint(decide.Endpoint{ID: id, Size: 1, Readiness: decide.Ready, StartedAt: decide.LongAgo})
-		for range 1 + chance.IntN(mostOnOne) {
+		for range 1 + chance.IntN(maxConnectionsPerServer) {
 			s.OnEstablished("", id, time.Millisecond)
 		}
-		if i < troubled {
-			s.OnLatencySample(id, troubleSeen)
+		if i < faulty {
+			s.OnLatencySample(id, faultyLatency)
 		}
 	}
 	return s
 }
 
-// tellerRecords are what so many members tell, each under its own name.
-func tellerRecords(seed uint64, members, servers, troubled int) (records []signals.Record) {
+// publishedRecords are what so many members tell, each under its own name.
+func publishedRecords(seed uint64, members, servers, faulty int) (records []signals.Record) {
 	chance := simulation.RandomSource(seed, "scale signals", servers)
 	var kinds []signals.Record
-	for i := range min(tellersPlayed, members) {
-		record, _ := newTeller(chance, i, servers, troubled).Publish(members)
+	for i := range min(distinctPublishers, members) {
+		record, _ := newPublisher(chance, i, servers, faulty).Publish(members)
 		kinds = append(kinds, record)
 	}
 	for i := range members {
@@ -85,9 +85,9 @@
 	return records
 }
 
-func (b *controlBook) signals(size, members, troubled int) error {
+func (b *controlMeasurements) signals(size, members, faulty int) error {
 	servers := b.settings.Servers
-	records := tellerRecords(b.settings.Seed, members, servers, troubled)
+	records := publishedRecords(b.settings.Seed, members, servers, faulty)
 	text, err := signals.Encode(records[0])
 	if err != nil {
 		return err
@@ -95,7 +95,7 @@
 	b.add("record-bytes", "of a record as it is told", unitBytes, Measured, true, size, float64(len(text)))
 	before := liveMemory()
 	chance := simulation.RandomSource(b.settings.Seed, "scale signals here", servers)
-	here := newTeller(chance, members, servers, 0)
+	here := newPublisher(chance, members, servers, 0)
 	b.add("own-memory", "held of what a balancer itself sees, connections on all servers", unitBytes, Measured, false, size, float64(liveMemory()-before))
 	before = liveMemory()
 	if err := mergeAll(here, records); err != nil {
@@ -103,11 +103,11 @@
 	}
 	here.ServerCost("", serverNumber(0)) // it brings together what all say
 	b.add("heard-memory", "held of what others tell", unitBytes, Measured, false, size, float64(liveMemory()-before))
-	kept, _ := here.Records()
-	b.add("records-kept", "records of others that are kept", "records", Measured, true, size, float64(len(kept)))
-	b.add("sights-walked", "sights walked each time that what all say is brought together", "sights", Reckoned, true, size, float64(len(kept)*len(records[0].Reports)))
-	b.told(size, servers, troubled, records)
-	return b.signalsWork(here, text, size, members)
+	retained, _ := here.Records()
+	b.add("records-kept", "records of others that are kept", "records", Measured, true, size, float64(len(retained)))
+	b.add("sights-walked", "sights walked each time that what all say is brought together", "sights", Calculated, true, size, float64(len(retained)*len(records[0].Reports)))
+	b.measureAvoided(size, servers, faulty, records)
+	return b.measureSignalWork(here, text, size, members)
 }
 
 // mergeAll has a decider hear records as they come over the network.
@@ -117,19 +117,19 @@
 		if err != nil {
 			return err
 		}
-		heard, err := signals.Decode(text)
+		decoded, err := signals.Decode(text)
 		if err != nil {
 			return err
 		}
-		here.Merge(heard)
+		here.Merge(decoded)
 	}
 	return nil
 }
 
-// told notes how many of the servers in trouble a balancer that sees none of them would avoid by what is told.
-func (b *controlBook) told(size, servers, troubled int, records []signals.Record) {
-	stranger := signals.New("stranger", 1, "", "", lateFrom, setupTime, true)
-	stranger.SetTime(tellersStart)
+// measureAvoided notes how many of the servers in trouble a balancer that sees none of them would avoid by what is told.
+func (b *controlMeasurements) measureAvoided(size, servers, faulty int, records []signals.Record) {
+	stranger := signals.New("stranger", 1, "", "", latencyObjective, setupObjective, true)
+	stranger.SetTime(publishersStart)
 	for i := range servers {
 		stranger.OnEndpoint(decide.Endpoint{ID: serverNumber(i), Size: 1, Readiness: decide.Ready, StartedAt: decide.LongAgo})
 	}
@@ -137,48 +137,48 @@
 		stranger.Merge(record)
 	}
 	avoided := 0
-	for i := range troubled {
+	for i := range faulty {
 		if extra, _ := stranger.ServerCost("", serverNumber(i)); extra > 0 {
 			avoided++
 		}
 	}
-	b.add("avoided", "of the servers in trouble that a balancer without connections there avoids", unitPart, Simulated, true, size, float64(avoided)/float64(troubled))
+	b.add("avoided", "of the servers in trouble that a balancer without connections there avoids", unitPart, Simulated, true, size, float64(avoided)/float64(faulty))
 }
 
-// signalsWork measures the four pieces of work: to hear a record, to bring all together, to tell, and to hand all on.
-func (b *controlBook) signalsWork(here *signals.Exchange, text []byte, size, members int) error {
-	now := tellersStart
+// measureSignalWork measures the four pieces of work: to hear a record, to bring all together, to tell, and to hand all on.
+func (b *controlMeasurements) measureSignalWork(here *signals.Exchange, text []byte, size, members int) error {
+	now := publishersStart
 	var fault error
-	hear := func() {
+	receive := func() {
 		record, err := signals.Decode(text)
 		if err != nil {
 			fault = err
 		}
 		here.Merge(record)
 	}
-	heard := measure(signalRounds, 100, hear)
-	gathered := measure(signalRounds, 1, func() {
-		now += betweenSignalWork
+	receiveCost := measure(signalRounds, 100, receive)
+	aggregateCost := measure(signalRounds, 1, func() {
+		now += signalWorkInterval
 		here.SetTime(now)
 		here.ServerCost("", serverNumber(0))
 	})
-	told := measure(signalRounds, 1, func() {
-		now += betweenSignalWork
+	publishCost := measure(signalRounds, 1, func() {
+		now += signalWorkInterval
 		here.SetTime(now)
 		here.Publish(members)
 	})
-	handed := measure(signalRounds, 1, func() { fault = handOn(here) })
-	b.add("hear-processor", "processor time of a record heard", unitMicroseconds, Measured, false, size, microseconds(heard.processor))
-	b.add("hear-allocations", "allocations of a record heard", unitAllocations, Measured, true, size, heard.allocations)
-	b.add("gather-processor", "processor time of bringing together what all say", unitMicroseconds, Measured, false, size, microseconds(gathered.processor))
-	b.add("gather-core", "the same as often as it may be, 20 times a second", unitCorePart, Reckoned, false, size, gathersASecond*gathered.processor.Seconds())
-	b.add("tell-core", "processor time of seeing what is to be told, 4 times a second", unitCorePart, Measured, false, size, told.processor.Seconds()/tellEvery.Seconds())
-	b.add("hand-on-core", "processor time of writing all for a member that asks, each 2 s", unitCorePart, Measured, false, size, handed.processor.Seconds()/recordsWrittenEvery.Seconds())
+	exchangeCost := measure(signalRounds, 1, func() { fault = encodeFullState(here) })
+	b.add("hear-processor", "processor time of a record heard", unitMicroseconds, Measured, false, size, microseconds(receiveCost.processor))
+	b.add("hear-allocations", "allocations of a record heard", unitAllocations, Measured, true, size, receiveCost.allocations)
+	b.add("gather-processor", "processor time of bringing together what all say", unitMicroseconds, Measured, false, size, microseconds(aggregateCost.processor))
+	b.add("gather-core", "the same as often as it may be, 20 times a second", unitCorePart, Calculated, false, size, maxAggregationsPerSecond*aggregateCost.processor.Seconds())
+	b.add("tell-core", "processor time of seeing what is to be told, 4 times a second", unitCorePart, Measured, false, size, publishCost.processor.Seconds()/publishCheckInterval.Seconds())
+	b.add("hand-on-core", "processor time of writing all for a member that asks, each 2 s", unitCorePart, Measured, false, size, exchangeCost.processor.Seconds()/fullStateInterval.Seconds())
 	return fault
 }
 
-// handOn writes what a member that asks is told.
-func handOn(here *signals.Exchange) error {
+// encodeFullState writes what a member that asks is told.
+func encodeFullState(here *signals.Exchange) error {
 	var messages [][]byte
 	for _, record := range here.FullState() {
 		text, err := signals.Encode(record)
--- a/internal/testbed/scale/control_wire.go
+++ b/internal/testbed/scale/control_wire.go
@@ -14,17 +14,17 @@
 
 // The gossip engine's settings, as internal/membership/engine gives them to memberlist.
 const (
-	gossipEvery         = 200 * time.Millisecond
-	gossipTo            = 3
-	longestPacket       = 1400
-	probeEvery          = 500 * time.Millisecond
-	exchangeEvery       = 10 * time.Second
-	recordRetransmits   = 3 // times the logarithm of the members
-	stateRetransmits    = 4 // the same for what the engine itself tells; memberlist's default
-	exchangeScaledFrom  = 32
-	membersFrameEvery   = 100 * time.Millisecond // members as seen, from the engine to its balancer
-	recordsWrittenEvery = 2 * time.Second        // all that is known, from the balancer to its engine
-	tellEvery           = 250 * time.Millisecond
+	gossipInterval           = 200 * time.Millisecond
+	gossipFanout             = 3
+	maxPacketBytes           = 1400
+	probeInterval            = 500 * time.Millisecond
+	baseExchangeInterval     = 10 * time.Second
+	recordRetransmits        = 3 // times the logarithm of the members
+	stateRetransmits         = 4 // the same for what the engine itself tells; memberlist's default
+	exchangeScalingThreshold = 32
+	membersFrameInterval     = 100 * time.Millisecond // members as seen, from the engine to its balancer
+	fullStateInterval        = 2 * time.Second        // all that is known, from the balancer to its engine
+	publishCheckInterval     = 250 * time.Millisecond
 )
 
 // What memberlist and the network put round messages, in bytes.
@@ -101,15 +101,15 @@
 	return text.Bytes()
 }
 
-// engineSizes are the sizes of what the engine itself sends, in bytes.
-type engineSizes struct {
+// messageSizes are the sizes of what the engine itself sends, in bytes.
+type messageSizes struct {
 	ping, ack, alive, dead int
 }
 
-func measureEngineSizes() engineSizes {
+func measureMessageSizes() messageSizes {
 	const one = 4711
 	name, addr := memberName(one), memberAddr(one)
-	return engineSizes{
+	return messageSizes{
 		ping:  1 + len(packed(enginePing{SeqNo: math.MaxUint16, Node: name, SourceAddr: addr, SourcePort: memberPort, SourceNode: name})),
 		ack:   1 + len(packed(engineAck{SeqNo: math.MaxUint16})),
 		alive: 1 + len(packed(engineAlive{Incarnation: 1, Node: name, Addr: addr, Port: memberPort, Vsn: engineVersions})),
@@ -130,11 +130,11 @@
 
 // exchangeInterval is how often a member of so many tells another all, as memberlist scales it.
 func exchangeInterval(members int) time.Duration {
-	if members <= exchangeScaledFrom {
-		return exchangeEvery
+	if members <= exchangeScalingThreshold {
+		return baseExchangeInterval
 	}
-	steps := math.Ceil(math.Log2(float64(members))-math.Log2(exchangeScaledFrom)) + 1
-	return time.Duration(steps) * exchangeEvery
+	steps := math.Ceil(math.Log2(float64(members))-math.Log2(exchangeScalingThreshold)) + 1
+	return time.Duration(steps) * baseExchangeInterval
 }
 
 // retransmits is how often memberlist sends a message on in a fleet of so many.
@@ -142,18 +142,18 @@
 	return multiplier * int(math.Ceil(math.Log10(float64(members+1))))
 }
 
-// onStream is what a message costs on a connection of its own, with headers of both ways' segments that this side sends.
-func onStream(message int) int {
+// streamBytes is what a message costs on a connection of its own, with headers of both ways' segments that this side sends.
+func streamBytes(message int) int {
 	segments := streamSegments + (message+segmentBytes-1)/segmentBytes
 	return message + segments*segmentHeaders
 }
 
 // sampleRecord is a balancer's record that tells of so many servers, of which it holds connections on each.
-func sampleRecord(origin int, sequence uint64, sights int) signals.Record {
+func sampleRecord(origin int, sequence uint64, reports int) signals.Record {
 	const heldOnEach = 8
 	record := signals.Record{Origin: signals.Origin(memberName(origin)), Incarnation: 1764652800, Sequence: signals.Sequence(sequence),
 		Build: "0123456789ab", Settings: "0123456789abcdef", Rate: 8}
-	for i := range sights {
+	for i := range reports {
 		record.Reports = append(record.Reports, signals.Report{Server: serverNumber(origin + i), Connections: heldOnEach})
 	}
 	return record
--- a/internal/testbed/scale/faults.go
+++ b/internal/testbed/scale/faults.go
@@ -9,63 +9,63 @@
 
 // When things happen in a fault's run.
 const (
-	faultAt     = 5 * time.Second
-	mendedAt    = 25 * time.Second
-	faultLength = 60 * time.Second
-	racksAZone  = 5
-	restartTook = 2 * time.Second
-	listEvery   = 50 * time.Millisecond // changes of a list that changes faster than it is taken
-	spreadLeast = 30 * time.Millisecond
-	spreadMost  = 1300 * time.Millisecond
-	betweenTwo  = 100 * time.Millisecond // two lists within one tick
-	surgeLength = 50 * time.Second
-	heldByOne   = 79_012 // connections
+	faultAt                  = 5 * time.Second
+	recoveryAt               = 25 * time.Second
+	faultLength              = 60 * time.Second
+	racksPerZone             = 5
+	restartTime              = 2 * time.Second
+	listChangeInterval       = 50 * time.Millisecond // changes of a list that changes faster than it is taken
+	minSpreadDelay           = 30 * time.Millisecond
+	maxSpreadDelay           = 1300 * time.Millisecond
+	twoListsInterval         = 100 * time.Millisecond // two lists within one tick
+	surgeLength              = 50 * time.Second
+	connectionsOfOneBalancer = 79_012 // connections
 )
 
 // fault is one trouble of a hollow fleet.
 type fault struct {
-	name  string
-	shape func(Settings) Settings // nil: as the file says
-	fill  func(*fleet)            // nil: at rest
-	begin func(*fleet)
+	name     string
+	settings func(Settings) Settings // nil: as the file says
+	fill     func(*fleet)            // nil: at rest
+	begin    func(*fleet)
 }
 
 // faults are those that no rule may break under.
 var faults = []fault{
 	{name: "calm", begin: func(*fleet) {}},
-	{name: "zone", begin: func(f *fleet) { f.lose(inZone) }},
-	{name: "rack", begin: func(f *fleet) { f.lose(inRack) }},
+	{name: "zone", begin: func(f *fleet) { f.loseAndRecover(inZone) }},
+	{name: "rack", begin: func(f *fleet) { f.loseAndRecover(inRack) }},
 	{name: "restart", begin: restartOne},
 	{name: "fast-list", begin: fastList},
 	{name: "whole-list", begin: replaceAll},
 	{name: "two-lists", begin: twoLists},
-	{name: "surge", shape: oneBalancer, fill: func(*fleet) {}, begin: surge},
-	{name: "all-cold", begin: allCold},
+	{name: "surge", settings: oneBalancer, fill: func(*fleet) {}, begin: surge},
+	{name: "all-cold", begin: restartAllServers},
 	{name: "all-but-one-out", begin: allButOneOut},
-	{name: "list-of-one", shape: oneServer, begin: restartOne},
-	{name: "half-group", fill: halfInOneGroup, begin: func(f *fleet) { f.lose(inZone) }},
+	{name: "list-of-one", settings: oneServer, begin: restartOne},
+	{name: "half-group", fill: halfInOneGroup, begin: func(f *fleet) { f.loseAndRecover(inZone) }},
 }
 
 // inZone and inRack tell whether the n-th server or balancer of a zone goes.
 func inZone(zone, _ int) bool { return zone == 0 }
-func inRack(zone, n int) bool { return zone == 0 && n%racksAZone == 0 }
+func inRack(zone, n int) bool { return zone == 0 && n%racksPerZone == 0 }
 
-// lose has servers and balancers go without a word, and come back cold.
-func (f *fleet) lose(gone func(zone, n int) bool) {
-	servers, balancers := f.takeAway(gone)
-	f.agenda.at(mendedAt, func() {
+// loseAndRecover has servers and balancers go without a word, and come back cold.
+func (f *fleet) loseAndRecover(gone func(zone, n int) bool) {
+	servers, balancers := f.scheduleLoss(gone)
+	f.schedule.at(recoveryAt, func() {
 		for _, s := range servers {
-			f.rise(s)
+			f.startServer(s)
 		}
-		f.set(decide.Ready, servers, startNewsFirst, startNewsLatest)
+		f.updateList(decide.Ready, servers, minStartListDelay, maxStartListDelay)
 		for _, b := range balancers {
 			b.start()
 		}
 	})
 }
 
-// takeAway has servers and balancers go without a word.
-func (f *fleet) takeAway(gone func(zone, n int) bool) (servers []*backend, balancers []*instance) {
+// scheduleLoss has servers and balancers go without a word.
+func (f *fleet) scheduleLoss(gone func(zone, n int) bool) (servers []*backend, balancers []*instance) {
 	for i, s := range f.servers {
 		if gone(s.zone, i/f.settings.Zones) {
 			servers = append(servers, s)
@@ -76,14 +76,14 @@
 			balancers = append(balancers, b)
 		}
 	}
-	f.agenda.at(faultAt, func() {
+	f.schedule.at(faultAt, func() {
 		for _, s := range servers {
-			f.fall(s, true)
+			f.stopServer(s, true)
 		}
 		for _, b := range balancers {
-			b.fall()
+			b.stop()
 		}
-		f.set(decide.Gone, servers, newsSoonest, newsLatest)
+		f.updateList(decide.Gone, servers, minListDelay, maxListDelay)
 	})
 	return servers, balancers
 }
@@ -91,40 +91,40 @@
 // restartOne has a balancer end and start again with nothing.
 func restartOne(f *fleet) {
 	b := f.balancers[0]
-	f.agenda.at(faultAt, b.fall)
-	f.agenda.at(faultAt+restartTook, b.start)
+	f.schedule.at(faultAt, b.stop)
+	f.schedule.at(faultAt+restartTime, b.start)
 }
 
 // fastList has the list change faster than news of it arrive.
 func fastList(f *fleet) {
-	for at := faultAt; at < mendedAt; at += listEvery {
-		f.agenda.at(at, func() {
-			s := f.servers[f.chance.IntN(len(f.servers))]
+	for at := faultAt; at < recoveryAt; at += listChangeInterval {
+		f.schedule.at(at, func() {
+			s := f.servers[f.random.IntN(len(f.servers))]
 			to := decide.Draining
-			if s.listed == decide.Draining {
+			if s.listedState == decide.Draining {
 				to = decide.Ready
 			}
-			f.set(to, []*backend{s}, spreadLeast, spreadMost)
+			f.updateList(to, []*backend{s}, minSpreadDelay, maxSpreadDelay)
 		})
 	}
-	f.agenda.at(mendedAt, func() { f.set(decide.Ready, f.servers, spreadLeast, spreadMost) })
+	f.schedule.at(recoveryAt, func() { f.updateList(decide.Ready, f.servers, minSpreadDelay, maxSpreadDelay) })
 }
 
 // replaceAll brings a list in one message of which no server was there before.
 func replaceAll(f *fleet) {
-	f.agenda.at(faultAt, func() {
+	f.schedule.at(faultAt, func() {
 		old := f.servers
 		var young []*backend
 		for range old {
 			young = append(young, f.addServer(invariants.LongAgo))
 		}
 		for _, s := range old {
-			s.listed = decide.Gone
+			s.listedState = decide.Gone
 		}
-		f.tellAll(decide.FullUpdate, entries(young))
-		f.agenda.at(mendedAt, func() {
+		f.publishList(decide.FullUpdate, entries(young))
+		f.schedule.at(recoveryAt, func() {
 			for _, s := range old {
-				f.fall(s, false)
+				f.stopServer(s, false)
 			}
 		})
 	})
@@ -132,15 +132,15 @@
 
 // twoLists brings two whole lists within one tick, each second: one without half of the servers, and one with all.
 func twoLists(f *fleet) {
-	for at := faultAt; at < mendedAt; at += time.Second {
-		f.agenda.at(at, func() { f.tellAll(decide.FullUpdate, entries(f.servers[len(f.servers)/2:])) })
-		f.agenda.at(at+betweenTwo, func() { f.tellAll(decide.FullUpdate, entries(f.servers)) })
+	for at := faultAt; at < recoveryAt; at += time.Second {
+		f.schedule.at(at, func() { f.publishList(decide.FullUpdate, entries(f.servers[len(f.servers)/2:])) })
+		f.schedule.at(at+twoListsInterval, func() { f.publishList(decide.FullUpdate, entries(f.servers)) })
 	}
 }
 
 // oneBalancer takes what all of them hold, up to what one holds in the fleet ahead.
 func oneBalancer(s Settings) Settings {
-	s.Connections = min(s.Connections*s.Balancers, heldByOne)
+	s.Connections = min(s.Connections*s.Balancers, connectionsOfOneBalancer)
 	s.Balancers = 1
 	return s
 }
@@ -149,29 +149,29 @@
 func surge(f *fleet) {
 	for i := range f.settings.Connections {
 		c := f.addClient(f.balancers[0], i%f.settings.Groups)
-		f.agenda.at(time.Duration(i)*surgeLength/time.Duration(f.settings.Connections), c.come)
+		f.schedule.at(time.Duration(i)*surgeLength/time.Duration(f.settings.Connections), c.arrive)
 	}
 }
 
-// allCold has all servers end at once and start again.
-func allCold(f *fleet) {
-	f.agenda.at(faultAt, func() {
+// restartAllServers has all servers end at once and start again.
+func restartAllServers(f *fleet) {
+	f.schedule.at(faultAt, func() {
 		for _, s := range f.servers {
-			f.fall(s, false)
+			f.stopServer(s, false)
 		}
 	})
-	f.agenda.at(faultAt+restartTook, func() {
+	f.schedule.at(faultAt+restartTime, func() {
 		for _, s := range f.servers {
-			f.rise(s)
+			f.startServer(s)
 		}
-		f.set(decide.Ready, f.servers, startNewsFirst, startNewsLatest)
+		f.updateList(decide.Ready, f.servers, minStartListDelay, maxStartListDelay)
 	})
 }
 
 // allButOneOut drains all servers but one.
 func allButOneOut(f *fleet) {
-	f.agenda.at(faultAt, func() { f.set(decide.Draining, f.servers[1:], spreadLeast, spreadMost) })
-	f.agenda.at(mendedAt, func() { f.set(decide.Ready, f.servers[1:], spreadLeast, spreadMost) })
+	f.schedule.at(faultAt, func() { f.updateList(decide.Draining, f.servers[1:], minSpreadDelay, maxSpreadDelay) })
+	f.schedule.at(recoveryAt, func() { f.updateList(decide.Ready, f.servers[1:], minSpreadDelay, maxSpreadDelay) })
 }
 
 func oneServer(s Settings) Settings {
@@ -185,6 +185,6 @@
 		if i/len(f.servers)%2 == 0 {
 			return 0
 		}
-		return 1 + restingGroup(i, server, len(f.servers), f.settings.Groups)
+		return 1 + settledGroup(i, server, len(f.servers), f.settings.Groups)
 	})
 }
--- a/internal/testbed/scale/fleet.go
+++ b/internal/testbed/scale/fleet.go
@@ -12,50 +12,50 @@
 
 // What the network, servers and clients of a hollow fleet do.
 const (
-	sameZoneWay  = 300 * time.Microsecond // one way
-	crossZoneWay = time.Millisecond
-	fastestSetup = 2 * time.Millisecond
-	slowestSetup = 8 * time.Millisecond
-	answerSlack  = 8 * time.Millisecond // an answer may come late by the way it travels
-	relayReserve = 5 * time.Millisecond // what a balancer keeps of a client's time for the way there and back
-	drainGrace   = 750 * time.Millisecond
-	halfFull     = 2   // what a server can bear over what it holds on average
-	loadEach     = 1.0 // of a connection
-
-	returnSoonest   = 70 * time.Millisecond // a client that was cut or moved comes again
-	returnLatest    = 680 * time.Millisecond
-	retryAfter      = time.Second // one that was turned away
-	silenceSoonest  = 4 * time.Second
-	silenceLatest   = 5 * time.Second // a client gives up a connection that says nothing
-	newsSoonest     = 1600 * time.Millisecond
-	newsLatest      = 6800 * time.Millisecond // from a change to its being told
-	startNewsLatest = 2900 * time.Millisecond // the same for a server that is back
-	startNewsFirst  = 1100 * time.Millisecond
+	sameZoneDelay    = 300 * time.Microsecond // one way
+	crossZoneDelay   = time.Millisecond
+	minSetup         = 2 * time.Millisecond
+	maxSetup         = 8 * time.Millisecond
+	answerTolerance  = 8 * time.Millisecond // an answer may come late by the way it travels
+	relayTime        = 5 * time.Millisecond // what a balancer keeps of a client's time for the way there and back
+	drainGrace       = 750 * time.Millisecond
+	capacityMultiple = 2   // what a server can bear over what it holds on average
+	connectionLoad   = 1.0 // of a connection
+
+	minReturnDelay    = 70 * time.Millisecond // a client that was cut or moved comes again
+	maxReturnDelay    = 680 * time.Millisecond
+	retryAfter        = time.Second // one that was turned away
+	minSilenceTimeout = 4 * time.Second
+	maxSilenceTimeout = 5 * time.Second // a client gives up a connection that says nothing
+	minListDelay      = 1600 * time.Millisecond
+	maxListDelay      = 6800 * time.Millisecond // from a change to its being told
+	maxStartListDelay = 2900 * time.Millisecond // the same for a server that is back
+	minStartListDelay = 1100 * time.Millisecond
 )
 
 // fleet is hollow balancers, servers and clients in virtual time: one goroutine, one seed, one result.
 type fleet struct {
-	agenda    agenda
-	chance    *rand.Rand
-	settings  Settings
-	peers     int
-	checker   *invariants.Checker
-	servers   []*backend
-	balancers []*instance
-	clients   []*client
-	flows     int64
-	connects  int64
-	figures   figures
+	schedule     schedule
+	random       *rand.Rand
+	settings     Settings
+	peers        int
+	checker      *invariants.Checker
+	servers      []*backend
+	balancers    []*instance
+	clients      []*client
+	flowCount    int64
+	connectCount int64
+	figures      figures
 
 	busiestSecond time.Duration // the most processor time of one second: all balancers, and the model round them
 }
 
 // figures are what a run of a fleet came to.
 type figures struct {
-	cut, moved, rejected, aborted int
-	slowestSetup                  time.Duration   // from a flow's coming to its standing
-	back                          []time.Duration // of each client that was cut after the fault: from the fault to its standing again
-	sent                          map[sentKey]int // connects by balancer and second
+	disconnected, migrated, rejected, aborted int
+	slowestSetup                              time.Duration   // from a flow's coming to its standing
+	recoveryTimes                             []time.Duration // of each client that was cut after the fault: from the fault to its standing again
+	connectsSent                              map[sentKey]int // connects by balancer and second
 }
 
 type sentKey struct {
@@ -63,40 +63,40 @@
 	second   time.Duration
 }
 
-// busiest is the most connects that one balancer sent in one second.
-func (f figures) busiest() (connects int) {
-	for _, n := range f.sent {
+// busiestConnects is the most connects that one balancer sent in one second.
+func (f figures) busiestConnects() (connects int) {
+	for _, n := range f.connectsSent {
 		connects = max(connects, n)
 	}
 	return connects
 }
 
-// backAfter is the time after which so large a share of all cut clients stood again; nought where none was cut.
-func (f figures) backAfter(share float64) time.Duration {
-	if len(f.back) == 0 {
+// recoveryQuantile is the time after which so large a share of all cut clients stood again; nought where none was cut.
+func (f figures) recoveryQuantile(share float64) time.Duration {
+	if len(f.recoveryTimes) == 0 {
 		return 0
 	}
-	sorted := slices.Sorted(slices.Values(f.back))
+	sorted := slices.Sorted(slices.Values(f.recoveryTimes))
 	return sorted[min(int(share*float64(len(sorted))), len(sorted)-1)]
 }
 
 // backend is a server.
 type backend struct {
-	id     decide.ServerID
-	zone   int
-	alive  bool
-	silent bool // while it is not alive: it does not even refuse
-	since  time.Duration
-	listed decide.Readiness
-	held   []*connect
+	id          decide.ServerID
+	zone        int
+	alive       bool
+	silent      bool // while it is not alive: it does not even refuse
+	since       time.Duration
+	listedState decide.Readiness
+	connects    []*connect
 }
 
 // newFleet starts a fleet. Its balancers are told that there are so many.
 func newFleet(s Settings, peers int, seed uint64) *fleet {
-	f := &fleet{chance: rand.New(rand.NewPCG(seed, 0)), settings: s, peers: peers}
-	f.figures.sent = map[sentKey]int{}
-	f.checker = invariants.New(invariants.Limits{Slack: answerSlack, DrainGrace: drainGrace,
-		SlowStartMultiple: coldMultiple, SlowStartWindow: coldWindow, SlowStart: warmAfter, MeanLoad: loadEach})
+	f := &fleet{random: rand.New(rand.NewPCG(seed, 0)), settings: s, peers: peers}
+	f.figures.connectsSent = map[sentKey]int{}
+	f.checker = invariants.New(invariants.Limits{Slack: answerTolerance, DrainGrace: drainGrace,
+		SlowStartMultiple: overloadMultiple, SlowStartWindow: slowStartWindow, SlowStart: warmUp, MeanLoad: connectionLoad})
 	for range s.Servers {
 		f.addServer(invariants.LongAgo)
 	}
@@ -120,84 +120,84 @@
 		for i := range f.settings.Connections {
 			at := i % len(f.servers)
 			c := f.addClient(b, group(b.id, i, at))
-			b.hold(c, f.servers[at])
+			b.adopt(c, f.servers[at])
 		}
 	}
 }
 
-// restingFill is that of hold: a group has as few servers as its connections need.
-func (f *fleet) restingFill() {
+// fillEvenly is that of hold: a group has as few servers as its connections need.
+func (f *fleet) fillEvenly() {
 	f.fill(func(_, i, server int) int {
-		return restingGroup(i, server, len(f.servers), f.settings.Groups)
+		return settledGroup(i, server, len(f.servers), f.settings.Groups)
 	})
 }
 
 // run goes on to a time; it stops within a second of virtual time when told to.
 func (f *fleet) run(end time.Duration, stopped func() bool) {
-	for now := f.agenda.now; now < end && !stopped(); {
+	for now := f.schedule.now; now < end && !stopped(); {
 		now = min(now+time.Second, end)
 		from := processorTime()
-		f.agenda.runTo(now)
+		f.schedule.runTo(now)
 		f.busiestSecond = max(f.busiestSecond, processorTime()-from)
 		f.checker.Advance(now)
 	}
 }
 
-// finish tells the rules that were broken.
-func (f *fleet) finish() []invariants.Violation {
-	end := f.agenda.now
-	f.agenda.runTo(end + 5*time.Second) // what came before the end is answered after it
-	return f.checker.Finish(f.agenda.now)
+// violations tells the rules that were broken.
+func (f *fleet) violations() []invariants.Violation {
+	end := f.schedule.now
+	f.schedule.runTo(end + 5*time.Second) // what came before the end is answered after it
+	return f.checker.Finish(f.schedule.now)
 }
 
-func (f *fleet) see(e invariants.Event) {
-	e.At = f.agenda.now
+func (f *fleet) observe(e invariants.Event) {
+	e.At = f.schedule.now
 	f.checker.Observe(e)
 }
 
-// between draws a time.
-func (f *fleet) between(least, most time.Duration) time.Duration {
-	return least + time.Duration(f.chance.Float64()*float64(most-least))
+// randomDelay draws a time.
+func (f *fleet) randomDelay(least, most time.Duration) time.Duration {
+	return least + time.Duration(f.random.Float64()*float64(most-least))
 }
 
 // ---- servers
 
-// fall ends a server. A silent one tells nobody: clients notice in their time.
-func (f *fleet) fall(s *backend, silent bool) {
+// stopServer ends a server. A silent one tells nobody: clients notice in their time.
+func (f *fleet) stopServer(s *backend, silent bool) {
 	s.alive, s.silent = false, silent
-	held := s.held
-	s.held = nil
+	held := s.connects
+	s.connects = nil
 	for _, c := range held {
 		if silent {
-			f.agenda.after(f.between(silenceSoonest, silenceLatest), func() { c.flow.leave() })
+			f.schedule.after(f.randomDelay(minSilenceTimeout, maxSilenceTimeout), func() { c.flow.leave() })
 		} else {
-			f.agenda.after(f.way(s.zone, c.flow.in.zone), func() { c.finish(decide.Reset) })
+			f.schedule.after(f.delay(s.zone, c.flow.balancer.zone), func() { c.finish(decide.Reset) })
 		}
 	}
 }
 
-// rise starts a server anew, cold.
-func (f *fleet) rise(s *backend) { s.alive, s.silent, s.since = true, false, f.agenda.now }
+// startServer starts a server anew, cold.
+func (f *fleet) startServer(s *backend) { s.alive, s.silent, s.since = true, false, f.schedule.now }
 
-// takes is the load that a cold server can take a second: so much that it is full once it is warm.
-func (s *backend) takes(f *fleet) float64 {
-	full := halfFull * float64(f.settings.Connections*f.settings.Balancers) / float64(f.settings.Servers)
-	warmth := coldFrom + (1-coldFrom)*min((f.agenda.now-s.since).Seconds()/warmAfter.Seconds(), 1)
-	return full / warmAfter.Seconds() * warmth
+// capacity is the load that a cold server can take a second: so much that it is full once it is warm.
+func (s *backend) capacity(f *fleet) float64 {
+	full := capacityMultiple * float64(f.settings.Connections*f.settings.Balancers) / float64(f.settings.Servers)
+	warmth := initialCapacity + (1-initialCapacity)*min((f.schedule.now-s.since).Seconds()/warmUp.Seconds(), 1)
+	return full / warmUp.Seconds() * warmth
 }
 
-func (f *fleet) way(from, to int) time.Duration {
+func (f *fleet) delay(from, to int) time.Duration {
 	if from == to {
-		return sameZoneWay
+		return sameZoneDelay
 	}
-	return crossZoneWay
+	return crossZoneDelay
 }
 
 // ---- news of the list
 
 // entry is what the list says of a server.
 func (s *backend) entry() server {
-	return server{id: s.id, zone: s.zone, state: s.listed, since: s.since}
+	return server{id: s.id, zone: s.zone, state: s.listedState, since: s.since}
 }
 
 func entries(servers []*backend) (list []server) {
@@ -207,25 +207,25 @@
 	return list
 }
 
-// set changes what the list says of servers, and tells each balancer after a time of its own.
-func (f *fleet) set(state decide.Readiness, servers []*backend, soonest, latest time.Duration) {
+// updateList changes what the list says of servers, and tells each balancer after a time of its own.
+func (f *fleet) updateList(state decide.Readiness, servers []*backend, soonest, latest time.Duration) {
 	for _, s := range servers {
-		s.listed = state
+		s.listedState = state
 	}
 	list := entries(servers)
 	for _, b := range f.balancers {
-		life := b.life
-		b.newsAt = max(b.newsAt, f.agenda.now+f.between(soonest, latest)) // news keep their order
-		f.agenda.at(b.newsAt, func() {
-			if b.up && b.life == life {
+		incarnation := b.incarnation
+		b.lastUpdateAt = max(b.lastUpdateAt, f.schedule.now+f.randomDelay(soonest, latest)) // news keep their order
+		f.schedule.at(b.lastUpdateAt, func() {
+			if b.up && b.incarnation == incarnation {
 				b.list(decide.DeltaUpdate, list)
 			}
 		})
 	}
 }
 
-// tellAll hands every balancer a list at once.
-func (f *fleet) tellAll(kind decide.UpdateKind, list []server) {
+// publishList hands every balancer a list at once.
+func (f *fleet) publishList(kind decide.UpdateKind, list []server) {
 	for _, b := range f.balancers {
 		if b.up {
 			b.list(kind, list)
--- a/internal/testbed/scale/fleet_client.go
+++ b/internal/testbed/scale/fleet_client.go
@@ -22,31 +22,31 @@
 
 // client holds one connection for good; when that ends it comes again.
 type client struct {
-	fleet   *fleet
-	near    *instance // the balancer it comes to while that is up
-	group   int
-	service int
-	flow    *flow
-	wasCut  bool // and has not stood since
+	fleet           *fleet
+	preferred       *instance // the balancer it comes to while that is up
+	group           int
+	service         int
+	flow            *flow
+	wasDisconnected bool // and has not stood since
 }
 
 func (f *fleet) addClient(near *instance, group int) *client {
-	c := &client{fleet: f, near: near, group: group, service: len(f.clients) % len(services)}
+	c := &client{fleet: f, preferred: near, group: group, service: len(f.clients) % len(services)}
 	f.clients = append(f.clients, c)
 	return c
 }
 
-// come goes to the client's balancer, or to any other where that one is down.
-func (c *client) come() {
-	to := c.near
+// arrive goes to the client's balancer, or to any other where that one is down.
+func (c *client) arrive() {
+	to := c.preferred
 	if !to.up {
 		to = c.fleet.anyUp()
 	}
 	if to == nil {
-		c.fleet.agenda.after(retryAfter, c.come)
+		c.fleet.schedule.after(retryAfter, c.arrive)
 		return
 	}
-	to.take(c)
+	to.accept(c)
 }
 
 func (f *fleet) anyUp() *instance {
@@ -59,38 +59,38 @@
 	if len(up) == 0 {
 		return nil
 	}
-	return up[f.chance.IntN(len(up))]
+	return up[f.random.IntN(len(up))]
 }
 
-// cut: its connection ended, and not by its will.
-func (c *client) cut() {
-	c.fleet.figures.cut++
-	c.wasCut = true
-	c.again()
+// onDisconnected: its connection ended, and not by its will.
+func (c *client) onDisconnected() {
+	c.fleet.figures.disconnected++
+	c.wasDisconnected = true
+	c.scheduleReturn()
 }
 
-func (c *client) again() {
-	c.fleet.agenda.after(c.fleet.between(returnSoonest, returnLatest), c.come)
+func (c *client) scheduleReturn() {
+	c.fleet.schedule.after(c.fleet.randomDelay(minReturnDelay, maxReturnDelay), c.arrive)
 }
 
-func (c *client) turnedAway() {
-	c.fleet.agenda.after(retryAfter+c.fleet.between(0, returnLatest), c.come)
+func (c *client) onRejected() {
+	c.fleet.schedule.after(retryAfter+c.fleet.randomDelay(0, maxReturnDelay), c.arrive)
 }
 
-// stood: it is served.
-func (c *client) stood() {
-	now, figures := c.fleet.agenda.now, &c.fleet.figures
-	if c.wasCut {
-		figures.back = append(figures.back, now-faultAt)
+// onEstablished: it is served.
+func (c *client) onEstablished() {
+	now, figures := c.fleet.schedule.now, &c.fleet.figures
+	if c.wasDisconnected {
+		figures.recoveryTimes = append(figures.recoveryTimes, now-faultAt)
 	}
-	c.wasCut = false
-	figures.slowestSetup = max(figures.slowestSetup, now-c.flow.came)
+	c.wasDisconnected = false
+	figures.slowestSetup = max(figures.slowestSetup, now-c.flow.arrivedAt)
 }
 
-// out is how many clients have no connection.
-func (f *fleet) out() (clients int) {
+// unservedClients is how many clients have no connection.
+func (f *fleet) unservedClients() (clients int) {
 	for _, c := range f.clients {
-		if c.flow == nil || c.flow.stands == nil {
+		if c.flow == nil || c.flow.current == nil {
 			clients++
 		}
 	}
@@ -100,84 +100,84 @@
 // ---- connects
 
 func (f *fleet) connect(x *flow, to *backend) *connect {
-	f.connects++
-	c := &connect{id: invariants.Connect(f.connects), number: x.sent, flow: x, server: to, sentAt: f.agenda.now}
-	x.out = append(x.out, c)
+	f.connectCount++
+	c := &connect{id: invariants.Connect(f.connectCount), number: x.attempts, flow: x, server: to, sentAt: f.schedule.now}
+	x.connects = append(x.connects, c)
 	return c
 }
 
 // arrive is when a connect comes in at its server.
 func (c *connect) arrive() {
-	f, s := c.flow.in.fleet, c.server
-	if c.over {
+	f, s := c.flow.balancer.fleet, c.server
+	if c.ended {
 		return
 	}
-	back := f.way(s.zone, c.flow.in.zone)
+	back := f.delay(s.zone, c.flow.balancer.zone)
 	if !s.alive {
 		if !s.silent {
-			f.agenda.after(back, func() { c.finish(decide.Unreachable) })
+			f.schedule.after(back, func() { c.finish(decide.Unreachable) })
 		}
 		return
 	}
 	if s.since != invariants.LongAgo {
-		f.see(invariants.Event{Kind: invariants.ConnectArrived, Balancer: invariants.Balancer(c.flow.in.id), Flow: c.flow.id, Connect: c.id,
-			Server: invariants.Server(s.id), StartedAt: s.since, Load: loadEach, Capacity: s.takes(f)})
+		f.observe(invariants.Event{Kind: invariants.ConnectArrived, Balancer: invariants.Balancer(c.flow.balancer.id), Flow: c.flow.id, Connect: c.id,
+			Server: invariants.Server(s.id), StartedAt: s.since, Load: connectionLoad, Capacity: s.capacity(f)})
 	}
 	since := s.since
-	f.agenda.after(f.between(fastestSetup, slowestSetup)+back, func() {
+	f.schedule.after(f.randomDelay(minSetup, maxSetup)+back, func() {
 		if s.alive && s.since == since {
-			c.stand()
+			c.establish()
 		}
 	})
 }
 
-// stand is when a balancer hears that its connect is up.
-func (c *connect) stand() {
+// establish is when a balancer hears that its connect is up.
+func (c *connect) establish() {
 	x := c.flow
-	b, f := x.in, x.in.fleet
-	if c.over || !b.up || b.flows[x.name] != x {
+	b, f := x.balancer, x.balancer.fleet
+	if c.ended || !b.up || b.flows[x.name] != x {
 		return
 	}
-	c.stands = true
-	x.stands, x.answered = c, true
-	c.server.held = append(c.server.held, c)
-	f.see(invariants.Event{Kind: invariants.FlowAnswered, Balancer: invariants.Balancer(b.id), Flow: x.id, Answer: invariants.Established})
-	b.event().OnEstablished(x.name, f.agenda.now-c.sentAt)
-	x.client.stood()
+	c.established = true
+	x.current, x.answered = c, true
+	c.server.connects = append(c.server.connects, c)
+	f.observe(invariants.Event{Kind: invariants.FlowAnswered, Balancer: invariants.Balancer(b.id), Flow: x.id, Answer: invariants.Established})
+	b.event().OnEstablished(x.name, f.schedule.now-c.sentAt)
+	x.client.onEstablished()
 }
 
 // finish ends a connect: the one place where the decisions hear of it.
 func (c *connect) finish(o decide.Outcome) {
 	x := c.flow
-	b, f := x.in, x.in.fleet
-	if c.over || !b.up || b.flows[x.name] != x {
+	b, f := x.balancer, x.balancer.fleet
+	if c.ended || !b.up || b.flows[x.name] != x {
 		return
 	}
-	c.over = true
-	x.out = slices.DeleteFunc(x.out, func(other *connect) bool { return other == c })
-	f.drop(c)
-	f.see(invariants.Event{Kind: invariants.ConnectEnded, Balancer: invariants.Balancer(b.id), Flow: x.id, Connect: c.id, MayHaveRun: !o.NeverRan()})
-	if c.stands {
-		x.stands = nil
-		f.see(invariants.Event{Kind: invariants.FlowEnded, Balancer: invariants.Balancer(b.id), Flow: x.id})
+	c.ended = true
+	x.connects = slices.DeleteFunc(x.connects, func(other *connect) bool { return other == c })
+	f.removeConnect(c)
+	f.observe(invariants.Event{Kind: invariants.ConnectEnded, Balancer: invariants.Balancer(b.id), Flow: x.id, Connect: c.id, MayHaveRun: !o.NeverRan()})
+	if c.established {
+		x.current = nil
+		f.observe(invariants.Event{Kind: invariants.FlowEnded, Balancer: invariants.Balancer(b.id), Flow: x.id})
 		switch {
-		case x.left:
+		case x.clientLeft:
 		case o == decide.Cancelled:
-			x.client.again()
+			x.client.scheduleReturn()
 		default:
-			x.client.cut()
+			x.client.onDisconnected()
 		}
 	}
-	finished := x.answered || x.left
-	if c.stands || finished {
+	finished := x.answered || x.clientLeft
+	if c.established || finished {
 		x.forget()
 	}
-	b.event().OnEnded(x.name, o, f.agenda.now-c.sentAt, finished)
+	b.event().OnEnded(x.name, o, f.schedule.now-c.sentAt, finished)
 }
 
-// drop takes a connect off its server.
-func (f *fleet) drop(c *connect) {
-	if c.stands {
-		c.server.held = slices.DeleteFunc(c.server.held, func(other *connect) bool { return other == c })
+// removeConnect takes a connect off its server.
+func (f *fleet) removeConnect(c *connect) {
+	if c.established {
+		c.server.connects = slices.DeleteFunc(c.server.connects, func(other *connect) bool { return other == c })
 	}
 }
--- a/internal/testbed/scale/fleet_instance.go
+++ b/internal/testbed/scale/fleet_instance.go
@@ -10,42 +10,42 @@
 
 // instance is one hollow balancer of a fleet: the real decisions, and connects that the fleet carries out.
 type instance struct {
-	fleet   *fleet
-	id      int
-	zone    int
-	up      bool
-	life    int
-	started time.Duration
-	newsAt  time.Duration // of the last news on their way
-	module  *decide.Balancer
-	flows   map[decide.FlowID]*flow
-	inOrder []*flow // as they came; those that are over are swept out now and then
+	fleet        *fleet
+	id           int
+	zone         int
+	up           bool
+	incarnation  int
+	started      time.Duration
+	lastUpdateAt time.Duration // of the last news on their way
+	module       *decide.Balancer
+	flows        map[decide.FlowID]*flow
+	flowsInOrder []*flow // as they came; those that are over are swept out now and then
 }
 
 // flow is one try of a client.
 type flow struct {
-	id       invariants.Flow
-	name     decide.FlowID
-	in       *instance
-	client   *client
-	came     time.Duration
-	due      time.Duration
-	sent     int
-	out      []*connect
-	stands   *connect
-	answered bool
-	left     bool
+	id         invariants.Flow
+	name       decide.FlowID
+	balancer   *instance
+	client     *client
+	arrivedAt  time.Duration
+	deadline   time.Duration
+	attempts   int
+	connects   []*connect
+	current    *connect
+	answered   bool
+	clientLeft bool
 }
 
 // connect is one connect of a flow, from its sending to its end.
 type connect struct {
-	id     invariants.Connect
-	number int
-	flow   *flow
-	server *backend
-	sentAt time.Duration
-	stands bool
-	over   bool
+	id          invariants.Connect
+	number      int
+	flow        *flow
+	server      *backend
+	sentAt      time.Duration
+	established bool
+	ended       bool
 }
 
 // ---- lives
@@ -53,51 +53,51 @@
 // start begins a life that knows nothing but the list.
 func (b *instance) start() {
 	f := b.fleet
-	b.life++
-	b.up, b.started = true, f.agenda.now
-	b.flows, b.inOrder = map[decide.FlowID]*flow{}, nil
-	f.see(invariants.Event{Kind: invariants.BalancerStarted, Balancer: invariants.Balancer(b.id)})
-	b.module = decide.New(f.chance.Uint64(), b)
-	startHollow(b.module, terms{peers: f.peers, inZone: b.zone})
+	b.incarnation++
+	b.up, b.started = true, f.schedule.now
+	b.flows, b.flowsInOrder = map[decide.FlowID]*flow{}, nil
+	f.observe(invariants.Event{Kind: invariants.BalancerStarted, Balancer: invariants.Balancer(b.id)})
+	b.module = decide.New(f.random.Uint64(), b)
+	configureSimulatedBalancer(b.module, simulatedSettings{peers: f.peers, zone: b.zone})
 	b.module.SetTime(0)
 	var listed []*backend
 	for _, s := range f.servers {
-		if s.listed != decide.Gone {
+		if s.listedState != decide.Gone {
 			listed = append(listed, s)
 		}
 	}
 	b.list(decide.FullUpdate, entries(listed))
 }
 
-// fall ends a life; clients hear nothing but the end of their connections.
-func (b *instance) fall() {
+// stop ends a life; clients hear nothing but the end of their connections.
+func (b *instance) stop() {
 	f := b.fleet
 	b.up = false
-	f.see(invariants.Event{Kind: invariants.BalancerDied, Balancer: invariants.Balancer(b.id)})
-	for _, x := range b.inOrder {
+	f.observe(invariants.Event{Kind: invariants.BalancerDied, Balancer: invariants.Balancer(b.id)})
+	for _, x := range b.flowsInOrder {
 		if b.flows[x.name] != x {
 			continue
 		}
-		for _, c := range x.out {
-			c.over = true
-			f.drop(c)
+		for _, c := range x.connects {
+			c.ended = true
+			f.removeConnect(c)
 		}
-		if owed := x.stands != nil || !x.answered; owed && !x.left {
-			x.client.cut()
+		if owed := x.current != nil || !x.answered; owed && !x.clientLeft {
+			x.client.onDisconnected()
 		}
 	}
-	b.flows, b.inOrder = nil, nil
+	b.flows, b.flowsInOrder = nil, nil
 }
 
 // event opens an event: what is decided in it happens now.
 func (b *instance) event() *decide.Balancer {
-	b.module.SetTime(b.fleet.agenda.now - b.started)
+	b.module.SetTime(b.fleet.schedule.now - b.started)
 	return b.module
 }
 
 // ---- the list
 
-var toldStates = [...]invariants.Readiness{decide.Ready: invariants.Ready, decide.Draining: invariants.Draining, decide.Gone: invariants.Gone}
+var observedStates = [...]invariants.Readiness{decide.Ready: invariants.Ready, decide.Draining: invariants.Draining, decide.Gone: invariants.Gone}
 
 func (b *instance) list(kind decide.UpdateKind, list []server) {
 	m := b.event()
@@ -105,7 +105,7 @@
 	m.BeginEndpoints(kind)
 	for _, s := range list {
 		named[s.id] = true
-		b.told(s.id, s.state, s.since)
+		b.observeListed(s.id, s.state, s.since)
 		since := decide.LongAgo
 		if s.since != invariants.LongAgo {
 			since = s.since - b.started
@@ -115,85 +115,85 @@
 	if kind == decide.FullUpdate {
 		for _, s := range b.fleet.servers {
 			if !named[s.id] {
-				b.told(s.id, decide.Gone, invariants.LongAgo)
+				b.observeListed(s.id, decide.Gone, invariants.LongAgo)
 			}
 		}
 	}
 	m.EndEndpoints()
 }
 
-func (b *instance) told(id decide.ServerID, state decide.Readiness, since time.Duration) {
-	b.fleet.see(invariants.Event{Kind: invariants.ServerAnnounced, Balancer: invariants.Balancer(b.id), Server: invariants.Server(id),
-		Readiness: toldStates[state], StartedAt: since})
+func (b *instance) observeListed(id decide.ServerID, state decide.Readiness, since time.Duration) {
+	b.fleet.observe(invariants.Event{Kind: invariants.ServerAnnounced, Balancer: invariants.Balancer(b.id), Server: invariants.Server(id),
+		Readiness: observedStates[state], StartedAt: since})
 }
 
 // ---- flows
 
 func (b *instance) add(c *client) *flow {
 	f := b.fleet
-	f.flows++
-	x := &flow{id: invariants.Flow(f.flows), name: flowName(int(f.flows)), in: b, client: c, came: f.agenda.now}
+	f.flowCount++
+	x := &flow{id: invariants.Flow(f.flowCount), name: flowName(int(f.flowCount)), balancer: b, client: c, arrivedAt: f.schedule.now}
 	b.flows[x.name] = x
-	b.inOrder = append(b.inOrder, x)
-	if len(b.inOrder) > 2*len(b.flows)+16 {
-		b.inOrder = slices.DeleteFunc(b.inOrder, func(x *flow) bool { return b.flows[x.name] != x })
+	b.flowsInOrder = append(b.flowsInOrder, x)
+	if len(b.flowsInOrder) > 2*len(b.flows)+16 {
+		b.flowsInOrder = slices.DeleteFunc(b.flowsInOrder, func(x *flow) bool { return b.flows[x.name] != x })
 	}
 	c.flow = x
 	return x
 }
 
-// hold begins with a connection that stands.
-func (b *instance) hold(c *client, s *backend) {
+// adopt begins with a connection that stands.
+func (b *instance) adopt(c *client, s *backend) {
 	x := b.add(c)
-	x.answered, x.sent = true, 1
-	x.stands = b.fleet.connect(x, s)
-	x.stands.stands = true
-	s.held = append(s.held, x.stands)
+	x.answered, x.attempts = true, 1
+	x.current = b.fleet.connect(x, s)
+	x.current.established = true
+	s.connects = append(s.connects, x.current)
 	b.event().AdoptFlow(decide.FlowRequest{ID: x.name, Service: decide.ServiceID(c.service), Customer: decide.NoCustomer, Group: groupName(c.group)}, s.id)
 }
 
-// take has a client come.
-func (b *instance) take(c *client) {
-	x, now := b.add(c), b.fleet.agenda.now
-	x.due = now + connectTimeout - relayReserve
+// accept has a client come.
+func (b *instance) accept(c *client) {
+	x, now := b.add(c), b.fleet.schedule.now
+	x.deadline = now + connectTimeout - relayTime
 	t := services[c.service]
-	b.fleet.see(invariants.Event{Kind: invariants.FlowAccepted, Balancer: invariants.Balancer(b.id), Flow: x.id, Deadline: now + connectTimeout,
-		Effect: t.seen, KeyWindow: repeatWindow})
-	b.event().OnFlow(decide.FlowRequest{ID: x.name, Service: decide.ServiceID(c.service), Customer: decide.NoCustomer, Group: groupName(c.group), Timeout: x.due - now})
+	b.fleet.observe(invariants.Event{Kind: invariants.FlowAccepted, Balancer: invariants.Balancer(b.id), Flow: x.id, Deadline: now + connectTimeout,
+		Effect: t.seen, KeyWindow: retryWindow})
+	b.event().OnFlow(decide.FlowRequest{ID: x.name, Service: decide.ServiceID(c.service), Customer: decide.NoCustomer, Group: groupName(c.group), Timeout: x.deadline - now})
 }
 
 // forget drops a flow of which nothing more comes.
 func (x *flow) forget() {
-	if len(x.out) == 0 {
-		delete(x.in.flows, x.name)
+	if len(x.connects) == 0 {
+		delete(x.balancer.flows, x.name)
 	}
 }
 
 // leave has the client of a standing connection go, and come again.
 func (x *flow) leave() {
-	if x.left || x.stands == nil || !x.in.up || x.in.flows[x.name] != x {
+	if x.clientLeft || x.current == nil || !x.balancer.up || x.balancer.flows[x.name] != x {
 		return
 	}
-	x.left = true
-	x.in.fleet.see(invariants.Event{Kind: invariants.ClientLeft, Balancer: invariants.Balancer(x.in.id), Flow: x.id})
-	x.stands.finish(decide.OK)
-	x.client.cut()
+	x.clientLeft = true
+	x.balancer.fleet.observe(invariants.Event{Kind: invariants.ClientLeft, Balancer: invariants.Balancer(x.balancer.id), Flow: x.id})
+	x.current.finish(decide.OK)
+	x.client.onDisconnected()
 }
 
 // answer is a balancer's own final word.
 func (b *instance) answer(name decide.FlowID, verdict invariants.Answer) {
 	x := b.flows[name]
 	if x == nil {
-		b.fleet.see(invariants.Event{Kind: invariants.FlowAnswered, Balancer: invariants.Balancer(b.id), Flow: -1, Answer: verdict})
+		b.fleet.observe(invariants.Event{Kind: invariants.FlowAnswered, Balancer: invariants.Balancer(b.id), Flow: -1, Answer: verdict})
 		return
 	}
-	b.fleet.see(invariants.Event{Kind: invariants.FlowAnswered, Balancer: invariants.Balancer(b.id), Flow: x.id, Answer: verdict})
+	b.fleet.observe(invariants.Event{Kind: invariants.FlowAnswered, Balancer: invariants.Balancer(b.id), Flow: x.id, Answer: verdict})
 	if x.answered {
 		return
 	}
 	x.answered = true
 	x.forget()
-	x.client.turnedAway()
+	x.client.onRejected()
 }
 
 // ---- what the decisions ask for; see decide.Act
@@ -204,20 +204,20 @@
 		return
 	}
 	c := f.connect(x, f.server(to))
-	x.sent++
-	f.figures.sent[sentKey{b.id, f.agenda.now / time.Second}]++
-	f.see(invariants.Event{Kind: invariants.ConnectSent, Balancer: invariants.Balancer(b.id), Flow: x.id, Connect: c.id,
+	x.attempts++
+	f.figures.connectsSent[sentKey{b.id, f.schedule.now / time.Second}]++
+	f.observe(invariants.Event{Kind: invariants.ConnectSent, Balancer: invariants.Balancer(b.id), Flow: x.id, Connect: c.id,
 		Server: invariants.Server(to), Zone: c.server.zone, Cell: c.server.zone})
-	ends := x.due
+	ends := x.deadline
 	if limit > 0 {
-		ends = min(ends, f.agenda.now+limit)
+		ends = min(ends, f.schedule.now+limit)
 	}
-	f.agenda.at(ends, func() {
-		if !c.stands {
+	f.schedule.at(ends, func() {
+		if !c.established {
 			c.finish(decide.TimedOut)
 		}
 	})
-	f.agenda.after(f.way(b.zone, c.server.zone), c.arrive)
+	f.schedule.after(f.delay(b.zone, c.server.zone), c.arrive)
 }
 
 func (b *instance) Cancel(name decide.FlowID, n int) {
@@ -225,9 +225,9 @@
 	if x == nil {
 		return
 	}
-	for _, c := range x.out {
-		if c.number == n && !c.stands {
-			b.fleet.agenda.after(0, func() { c.finish(decide.Cancelled) })
+	for _, c := range x.connects {
+		if c.number == n && !c.established {
+			b.fleet.schedule.after(0, func() { c.finish(decide.Cancelled) })
 		}
 	}
 }
@@ -244,22 +244,22 @@
 
 func (b *instance) Migrate(name decide.FlowID) {
 	x := b.flows[name]
-	if x == nil || x.stands == nil {
+	if x == nil || x.current == nil {
 		return
 	}
-	b.fleet.figures.moved++
-	c := x.stands
-	b.fleet.agenda.after(0, func() {
-		if !c.over && !x.left {
+	b.fleet.figures.migrated++
+	c := x.current
+	b.fleet.schedule.after(0, func() {
+		if !c.ended && !x.clientLeft {
 			c.finish(decide.Cancelled)
 		}
 	})
 }
 
 func (b *instance) SetTimer(mark decide.TimerID, in time.Duration) {
-	life := b.life
-	b.fleet.agenda.after(max(in, time.Microsecond), func() {
-		if b.up && b.life == life {
+	incarnation := b.incarnation
+	b.fleet.schedule.after(max(in, time.Microsecond), func() {
+		if b.up && b.incarnation == incarnation {
 			b.event().OnTimer(mark)
 		}
 	})
--- a/internal/testbed/scale/fleet_agenda.go
+++ b/internal/testbed/scale/fleet_schedule.go
@@ -6,32 +6,32 @@
 	"time"
 )
 
-// agenda is what is to happen in virtual time, in the order of its times and, at one instant, in that of its being asked for.
-type agenda struct {
-	now    time.Duration
-	events events
-	asked  uint64
+// schedule is what is to happen in virtual time, in the order of its times and, at one instant, in that of its being asked for.
+type schedule struct {
+	now       time.Duration
+	events    events
+	lastOrder uint64
 }
 
 type event struct {
 	at    time.Duration
 	order uint64
-	do    func()
+	run   func()
 }
 
-func (a *agenda) at(t time.Duration, do func()) {
-	a.asked++
-	heap.Push(&a.events, event{max(t, a.now), a.asked, do})
+func (a *schedule) at(t time.Duration, do func()) {
+	a.lastOrder++
+	heap.Push(&a.events, event{max(t, a.now), a.lastOrder, do})
 }
 
-func (a *agenda) after(d time.Duration, do func()) { a.at(a.now+d, do) }
+func (a *schedule) after(d time.Duration, do func()) { a.at(a.now+d, do) }
 
 // runTo lets all happen that is due until then.
-func (a *agenda) runTo(end time.Duration) {
+func (a *schedule) runTo(end time.Duration) {
 	for len(a.events) > 0 && a.events[0].at <= end {
 		e := heap.Pop(&a.events).(event)
 		a.now = e.at
-		e.do()
+		e.run()
 	}
 	a.now = end
 }
--- a/internal/testbed/scale/fleet_test.go
+++ b/internal/testbed/scale/fleet_test.go
@@ -19,18 +19,18 @@
 func TestNoFaultBreaksARule(t *testing.T) {
 	for _, s := range smallFaults {
 		for _, one := range faults {
-			o, err := one.play(context.Background(), s, 1)
+			o, err := one.run(context.Background(), s, 1)
 			if err != nil {
 				t.Fatal(err)
 			}
-			for _, broken := range o.broken[:min(len(o.broken), 3)] {
+			for _, broken := range o.violations[:min(len(o.violations), 3)] {
 				t.Errorf("%s before %d servers: %s", one.name, s.Servers, broken)
 			}
-			if disturbs := one.name != "calm" && one.name != "two-lists" && one.name != "list-of-one"; disturbs && o.judged == 0 {
+			if disturbs := one.name != "calm" && one.name != "two-lists" && one.name != "list-of-one"; disturbs && o.judgedFlows == 0 {
 				t.Errorf("%s before %d servers: no flow came", one.name, s.Servers)
 			}
-			if one.name == "calm" && (o.judged > 0 || o.figures.moved > 0) {
-				t.Errorf("calm: %d flows came and %d were asked to move", o.judged, o.figures.moved)
+			if one.name == "calm" && (o.judgedFlows > 0 || o.figures.migrated > 0) {
+				t.Errorf("calm: %d flows came and %d were asked to move", o.judgedFlows, o.figures.migrated)
 			}
 		}
 	}
@@ -39,7 +39,7 @@
 func TestOneSeedGivesOneFault(t *testing.T) {
 	zone := faults[1]
 	play := func(seed uint64) outcome {
-		o, err := zone.play(context.Background(), smallFaults[0], seed)
+		o, err := zone.run(context.Background(), smallFaults[0], seed)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -53,31 +53,31 @@
 	if other := play(2); reflect.DeepEqual(first.figures, other.figures) {
 		t.Error("seed 2 gave the same as seed 1")
 	}
-	if first.figures.cut == 0 || first.figures.backAfter(0.99) == 0 || first.unserved > 0 {
-		t.Errorf("a lost zone cut %d, who stood again after %v but for %d", first.figures.cut, first.figures.backAfter(0.99), first.unserved)
+	if first.figures.disconnected == 0 || first.figures.recoveryQuantile(0.99) == 0 || first.unserved > 0 {
+		t.Errorf("a lost zone cut %d, who stood again after %v but for %d", first.figures.disconnected, first.figures.recoveryQuantile(0.99), first.unserved)
 	}
 }
 
-func TestFaultStopsWhenTold(t *testing.T) {
+func TestFaultStopsWithItsContext(t *testing.T) {
 	ctx, stop := context.WithCancel(context.Background())
 	stop()
-	if _, err := faults[0].play(ctx, smallFaults[0], 1); err == nil {
+	if _, err := faults[0].run(ctx, smallFaults[0], 1); err == nil {
 		t.Error("it went on")
 	}
 }
 
 // brokenBy plays the list's news to the referee alone, or to the balancers with another content, and tells what broke.
-func brokenBy(t *testing.T, tell func(*fleet)) map[invariants.Rule]bool {
+func brokenBy(t *testing.T, announce func(*fleet)) map[invariants.Rule]bool {
 	t.Helper()
 	f := newFleet(smallFaults[0], smallFaults[0].Balancers, 1)
-	f.agenda.at(faultAt, func() { tell(f) })
+	f.schedule.at(faultAt, func() { announce(f) })
 	for i := range 4000 {
 		c := f.addClient(f.balancers[i%len(f.balancers)], i)
-		f.agenda.at(time.Duration(i)*4*time.Millisecond, c.come)
+		f.schedule.at(time.Duration(i)*4*time.Millisecond, c.arrive)
 	}
 	f.run(20*time.Second, func() bool { return false })
 	broken := map[invariants.Rule]bool{}
-	for _, v := range f.finish() {
+	for _, v := range f.violations() {
 		broken[v.Rule] = true
 	}
 	return broken
@@ -91,7 +91,7 @@
 	drained := brokenBy(t, func(f *fleet) {
 		for _, b := range f.balancers {
 			for _, s := range f.servers[:10] {
-				b.told(s.id, decide.Draining, s.since)
+				b.observeListed(s.id, decide.Draining, s.since)
 			}
 		}
 	})
@@ -100,13 +100,13 @@
 	}
 	flooded := brokenBy(t, func(f *fleet) {
 		for _, s := range f.servers {
-			f.rise(s)
+			f.startServer(s)
 			for _, b := range f.balancers {
-				b.told(s.id, decide.Ready, s.since)
+				b.observeListed(s.id, decide.Ready, s.since)
 			}
 		}
 		for _, s := range f.servers[1:] { // all that comes goes to the first, which they take for warm
-			s.listed = decide.Gone
+			s.listedState = decide.Gone
 		}
 		list := entries(f.servers)
 		list[0].since = invariants.LongAgo
--- a/internal/testbed/scale/page.go
+++ b/internal/testbed/scale/page.go
@@ -15,9 +15,9 @@
 
 // page is docs/CAPACITY.md while it is made.
 type page struct {
-	after  *results // of the code as it is
-	before *results // of the code before the mechanism
-	err    error    // the first fault that a row met
+	current  *reportSet // of the code as it is
+	baseline *reportSet // of the code before the mechanism
+	err      error      // the first fault that a row met
 }
 
 // Page makes docs/CAPACITY.md from a folder of reports. It is the same for the same reports, byte for byte.
@@ -26,11 +26,11 @@
 	if err != nil {
 		return nil, err
 	}
-	before, err := readResults(filepath.Join(folder, beforeFolder))
+	before, err := readResults(filepath.Join(folder, baselineDirectory))
 	if err != nil {
 		return nil, err
 	}
-	p := &page{after: after, before: before}
+	p := &page{current: after, baseline: before}
 	text, err := p.render(pageText)
 	if err != nil {
 		return nil, err
@@ -67,18 +67,18 @@
 // functions are what the template can call.
 func (p *page) functions() template.FuncMap {
 	tables := p.dayTables()
-	tables["limits"] = p.limitsTable()
-	tables["own terms"] = tableOf(p.ownTerms())
+	tables["limits"] = p.requirementsTable()
+	tables["own terms"] = requirementsTableOf(p.designRequirements())
 	tables["zoned"] = p.zonedTable()
-	tables["missing"] = p.missingTable()
+	tables["missing"] = p.unmetRequirementsTable()
 	tables["assumptions"] = p.assumptionsTable()
 	tables["situations"] = situationsTable()
 	tables["faults"] = p.faultsTable()
-	tables["hollow"] = p.hollowTable()
+	tables["hollow"] = p.simulatedAgainstRealTable()
 	tables["sizes"] = p.sizesTable()
 	tables["slopes"] = p.slopesTable()
-	tables["slopes before"] = slopesOf(p.before)
-	tables["mechanism"] = p.mechanismTable()
+	tables["slopes before"] = slopesOf(p.baseline)
+	tables["mechanism"] = p.comparisonWithBaseline()
 	tables["checks"] = p.checksTable()
 	tables["runs"] = p.runsTable()
 	return template.FuncMap{
@@ -91,41 +91,41 @@
 		},
 		"roles": p.roles,
 		"part":  p.partTable,
-		"say":   say,
+		"say":   proseFigure,
 	}
 }
 
-// say is a figure of the operators' sizes for the prose.
-func say(name string) (string, error) {
-	f, ok := facts[name]
+// proseFigure is a figure of the operators' sizes for the prose.
+func proseFigure(name string) (string, error) {
+	f, ok := proseFigures[name]
 	if !ok {
 		return "", fmt.Errorf("no figure %q", name)
 	}
 	return f.String(), nil
 }
 
-var facts = map[string]figure{
-	"connections":        reckoned(heldConnections, inCount),
-	"servers least":      reckoned(smallestServers, inCount),
-	"servers likely":     reckoned(likelyServers, inCount),
-	"servers most":       reckoned(largestServers, inCount),
-	"balancers":          reckoned(fleetBalancers, inCount),
-	"set-ups out":        reckoned(setupsOut(), inCount),
-	"zone heirs":         reckoned(zoneHeirs, inCount),
-	"zone share":         reckoned(zoneShare, inCount),
-	"zone more":          reckoned(zoneShare/heldConnections, inShare),
-	"zone serial":        reckoned(zoneShare*setupSeconds/setupsOut(), inSeconds),
-	"missed changes":     reckoned(missedChanges, inCount),
-	"listeners":          reckoned(heldListeners, inCount),
+var proseFigures = map[string]figure{
+	"connections":        calculated(connectionsPerBalancer, inCount),
+	"servers least":      calculated(smallestServers, inCount),
+	"servers likely":     calculated(likelyServers, inCount),
+	"servers most":       calculated(largestServers, inCount),
+	"balancers":          calculated(fleetBalancers, inCount),
+	"set-ups out":        calculated(setupLimit(), inCount),
+	"zone heirs":         calculated(zoneSuccessors, inCount),
+	"zone share":         calculated(zoneShare, inCount),
+	"zone more":          calculated(zoneShare/connectionsPerBalancer, inShare),
+	"zone serial":        calculated(zoneShare*setupSeconds/setupLimit(), inSeconds),
+	"missed changes":     calculated(missedChanges, inCount),
+	"listeners":          calculated(listenersPerBalancer, inCount),
 	"topic at least":     topicFills(smallestServers),
 	"topic at most":      topicFills(largestServers),
-	"machine balancers":  reckoned(balancersAMachine, inCount),
-	"probes at a server": reckoned(fleetBalancers/probeRound, inRate),
-	"change every":       reckoned(changeEvery, inSeconds),
-	"replacement every":  reckoned(replacementSeconds, inSeconds),
-	"reconnects":         reckoned(fleetReconnects, inRate),
-	"cut":                reckoned(cutSeconds, inSeconds),
-	"change limit":       reckoned(changeSeconds, inSeconds),
+	"machine balancers":  calculated(balancersPerMachine, inCount),
+	"probes at a server": calculated(fleetBalancers/probeRound, inRate),
+	"change every":       calculated(changeInterval, inSeconds),
+	"replacement every":  calculated(replacementSeconds, inSeconds),
+	"reconnects":         calculated(fleetReconnects, inRate),
+	"cut":                calculated(partitionSeconds, inSeconds),
+	"change limit":       calculated(changeSeconds, inSeconds),
 }
 
 // replaceFile writes a file beside the one that it then takes the place of.
--- a/internal/testbed/scale/page_assume.go
+++ b/internal/testbed/scale/page_assumptions.go
@@ -4,15 +4,15 @@
 
 // assumptionsTable is what the operators' words leave open, what is taken for it, and what changes when that is wrong.
 func (p *page) assumptionsTable() *table {
-	const ordinarySetups = restingPlacements + replacedPlacements
+	const ordinarySetups = ordinaryPlacements + replacedPlacements
 	t := newTable("assumption", "taken", "when it is wrong")
 	t.row("connections a server, so servers",
 		fmt.Sprintf("%s, %s and %s, so %s, %s and %s servers; one figure is for %s", digits(fleetConnections/smallestServers), digits(fleetConnections/likelyServers),
 			digits(fleetConnections/largestServers), digits(smallestServers), digits(likelyServers), digits(largestServers), digits(likelyServers)),
-		fmt.Sprintf("past %s servers the list is refused; probes, leases and bytes of a list grow with the servers", digits(mostListedServers)))
+		fmt.Sprintf("past %s servers the list is refused; probes, leases and bytes of a list grow with the servers", digits(maxListedServers)))
 	t.row("mean length of a connection", seconds(connectionSeconds),
 		fmt.Sprintf("%s placements a second at each balancer at a length of 1 min, %s at %s, %s at 2 h; processor time of placements goes with it",
-			digits(heldConnections/60), digits(restingPlacements), seconds(connectionSeconds), digits(heldConnections/7200)))
+			digits(connectionsPerBalancer/60), digits(ordinaryPlacements), seconds(connectionSeconds), digits(connectionsPerBalancer/7200)))
 	t.row("clients of what was lost come back", "evenly over "+seconds(reconnectSeconds),
 		fmt.Sprintf("a lost zone brings each heir %s a second; over 10 s %s, over 2 min %s", digits(zoneShare/reconnectSeconds), digits(zoneShare/10), digits(zoneShare/120)))
 	t.row("clients of a lost zone", "come back to balancers of their own region",
@@ -20,13 +20,13 @@
 	t.row("regions, zones and balancers", fmt.Sprintf("even: %s balancers a region, %s a zone", digits(regionBalancers), digits(zoneBalancers)),
 		"a region of two zones loses half; its heirs take twice what they held")
 	t.row("balancers on one rack or switch", digits(rackBalancers),
-		fmt.Sprintf("each heir takes %s; with 40 on a rack %s", digits(rackShare), digits(40*heldConnections/(regionBalancers-40))))
+		fmt.Sprintf("each heir takes %s; with 40 on a rack %s", digits(rackShare), digits(40*connectionsPerBalancer/(regionBalancers-40))))
 	t.row("a set-up takes", seconds(setupSeconds),
 		fmt.Sprintf("on the ordinary day a balancer has %s out on average; at 50 ms %s, at the setup target of 300 ms %s",
 			digits(ordinarySetups*setupSeconds), digits(ordinarySetups*0.050), digits(ordinarySetups*0.300)))
-	t.row("groups a balancer sees of the shards", fmt.Sprintf("%s: each connection in one shard, drawn evenly over all", digits(groupsSeen())),
-		fmt.Sprintf("%s if a shard's listeners are all of one region; fewer if a few shards hold most listeners", digits(groupsOfRegion())))
-	t.row("size of an entry of the list", "as the stand-in's discovery writes it", "bytes of whole lists and changes go with it; a list of more than "+show(longestListBytes, inBytes)+" is refused")
+	t.row("groups a balancer sees of the shards", fmt.Sprintf("%s: each connection in one shard, drawn evenly over all", digits(groupsPerBalancer())),
+		fmt.Sprintf("%s if a shard's listeners are all of one region; fewer if a few shards hold most listeners", digits(groupsPerRegion())))
+	t.row("size of an entry of the list", "as the stand-in's discovery writes it", "bytes of whole lists and changes go with it; a list of more than "+show(maxListBytes, inBytes)+" is refused")
 	t.row("bytes of one probe", fmt.Sprintf("%s: a connection of ten packets, asked, answered and ended", digits(probeBytes)), "traffic of probes goes with it")
 	t.row("control's traffic", "what one balancer sends, and what it hears, each for itself", "both together would be twice")
 	t.row("control's memory", "live, as the sweeps measure it", "the heap of a process grows to twice that before it is collected, unless `limits.memory_mb` holds it down")
--- a/internal/testbed/scale/page_catalog.go
+++ b/internal/testbed/scale/page_catalog.go
@@ -7,88 +7,88 @@
 	"gonum.org/v1/gonum/interp"
 )
 
-// slope is a series that rows of the page rest on.
-type slope struct {
-	name    string
-	awaited bool // its rows say "not measured" while no report has it; any other series must be there
+// seriesReference is a series that rows of the page rest on.
+type seriesReference struct {
+	name     string
+	optional bool // its rows say "not measured" while no report has it; any other series must be there
 }
 
 // The series of hollow balancers and of the members' model.
 var (
-	placementTime     = slope{"placement.processor-time.by-servers", false}
-	placementTimeHeld = slope{"placement.processor-time.by-connections-at-1000-servers", false}
-	restTime          = slope{"rechecks.core-share.by-servers", false}
-	restTimeHeld      = slope{"rechecks.core-share.by-connections-at-1000-servers", false}
-	unevenTime        = slope{"rechecks.core-share-uneven.by-servers", false}
-	unevenTimeHeld    = slope{"rechecks.core-share-uneven.by-connections-at-1000-servers", false}
-	lostHalfBack      = slope{"lost-zone.half-back.by-connections-at-1000-servers", false}
-	lostMostBack      = slope{"lost-zone.most-back.by-connections-at-1000-servers", false}
-	lostTurnedAway    = slope{"lost-zone.turned-away.by-connections-at-1000-servers", false}
-	lostUnserved      = slope{"lost-zone.unserved.by-connections-at-1000-servers", false}
-	lostBusiest       = slope{"lost-zone.busiest.by-connections-at-1000-servers", false}
-	lostClients       = slope{"lost-zone.clients.by-connections-at-1000-servers", false}
-	lostProcessor     = slope{"lost-zone.processor-share.by-connections-at-1000-servers", false}
-	decidedGroups     = slope{"groups.memory.by-groups-at-1000-servers", false}
-	decidedList       = slope{"list.memory.by-servers", false}
-	topicUneven       = slope{"topic.unevenness.by-balancers-at-1000-servers", false}
-	topicServers      = slope{"topic.servers.by-balancers-at-1000-servers", false}
-	topicFullest      = slope{"topic.share-of-the-fullest.by-balancers-at-1000-servers", false}
-
-	listMemory       = slope{"lists.memory", false}
-	listBytes        = slope{"lists.whole-bytes", false}
-	listTime         = slope{"lists.whole-processor", false}
-	changeBytes      = slope{"lists.change-bytes", false}
-	changeTime       = slope{"lists.change-processor", false}
-	changesMost      = slope{"changes.changes-p99", false}
-	changesLast      = slope{"changes.changes-last", false}
-	changesLastList  = slope{"changes.changes-last-by-servers", false}
-	wholeLastList    = slope{"changes.whole-last-by-servers", false}
-	changesServed    = slope{"changes.changes-half-lost-served", false}
-	machineBusy      = slope{"changes.changes-busy", false}
-	machineBusyWhole = slope{"changes.whole-busy", false}
-	wholeLast        = slope{"changes.whole-last", false}
-	changesHalved    = slope{"changes.changes-half-lost-last", false}
-	startLast        = slope{"changes.changes-start-last", true}
-	machineTraffic   = slope{"changes.changes-bytes-out", false}
-	wholeTraffic     = slope{"changes.whole-bytes-out", false}
-	cutBytes         = slope{"cut.merged-bytes", false}
-	cutOneByOne      = slope{"cut.one-by-one-bytes", false}
-	cutTime          = slope{"cut.merged-processor", false}
-	cutInForce       = slope{"cut.merged-in-force", false}
-
-	signalTraffic    = slope{"members.gossip-bytes-out-at-48-sights", false}
-	signalMessages   = slope{"members.records-heard-at-48-sights", false}
-	signalHear       = slope{"signals.hear-processor", false}
-	signalGather     = slope{"signals.gather-core", false}
-	signalTell       = slope{"signals.tell-core", false}
-	signalHandOn     = slope{"signals.hand-on-core", false}
-	signalOwn        = slope{"signals.own-memory", false}
-	signalHeard      = slope{"signals.heard-memory", false}
-	leaseTime        = slope{"leases.reckoning-core", false}
-	leaseTimeServers = slope{"leases.reckoning-core-by-servers", false}
-	leaseView        = slope{"members.view-processor", false}
-	leaseMemory      = slope{"leases.memory", false}
-	loadAge          = slope{"leases.load-age", false}
-	signalReach      = slope{"members.reach-at-48-sights", false}
-	zonedTraffic     = slope{"members-zoned.bytes-out", false}
-	zonedReach       = slope{"members-zoned.reach", false}
-	recordsKept      = slope{"signals.records-kept", false}
-	leaseHolders     = slope{"leases.holders", false}
-	engineMessages   = slope{"members.datagrams-out-at-48-sights", false}
-	probeTraffic     = slope{"members.probe-bytes-out-at-48-sights", false}
-	exchangeTraffic  = slope{"members.exchange-bytes-out-at-48-sights", false}
-	exchangeTime     = slope{"members.exchange-processor", false}
-	frameTime        = slope{"members.frame-processor", false}
-	engineMemory     = slope{"members.engine-memory", false}
+	placementTime                  = seriesReference{"placement.processor-time.by-servers", false}
+	placementTimeByConnections     = seriesReference{"placement.processor-time.by-connections-at-1000-servers", false}
+	idleRecheckTime                = seriesReference{"rechecks.core-share.by-servers", false}
+	idleRecheckTimeByConnections   = seriesReference{"rechecks.core-share.by-connections-at-1000-servers", false}
+	unevenRecheckTime              = seriesReference{"rechecks.core-share-uneven.by-servers", false}
+	unevenRecheckTimeByConnections = seriesReference{"rechecks.core-share-uneven.by-connections-at-1000-servers", false}
+	lostZoneHalfRecovered          = seriesReference{"lost-zone.half-back.by-connections-at-1000-servers", false}
+	lostZoneMostRecovered          = seriesReference{"lost-zone.most-back.by-connections-at-1000-servers", false}
+	lostZoneRejections             = seriesReference{"lost-zone.turned-away.by-connections-at-1000-servers", false}
+	lostZoneUnserved               = seriesReference{"lost-zone.unserved.by-connections-at-1000-servers", false}
+	lostZoneBusiest                = seriesReference{"lost-zone.busiest.by-connections-at-1000-servers", false}
+	lostZoneClients                = seriesReference{"lost-zone.clients.by-connections-at-1000-servers", false}
+	lostZoneProcessor              = seriesReference{"lost-zone.processor-share.by-connections-at-1000-servers", false}
+	decisionGroupMemory            = seriesReference{"groups.memory.by-groups-at-1000-servers", false}
+	decisionListMemory             = seriesReference{"list.memory.by-servers", false}
+	topicUnevenness                = seriesReference{"topic.unevenness.by-balancers-at-1000-servers", false}
+	topicServers                   = seriesReference{"topic.servers.by-balancers-at-1000-servers", false}
+	topicLargestShare              = seriesReference{"topic.share-of-the-fullest.by-balancers-at-1000-servers", false}
+
+	listMemory                  = seriesReference{"lists.memory", false}
+	listBytes                   = seriesReference{"lists.whole-bytes", false}
+	listTime                    = seriesReference{"lists.whole-processor", false}
+	changeBytes                 = seriesReference{"lists.change-bytes", false}
+	changeTime                  = seriesReference{"lists.change-processor", false}
+	changeP99Latency            = seriesReference{"changes.changes-p99", false}
+	changeMaxLatency            = seriesReference{"changes.changes-last", false}
+	changeMaxLatencyByServers   = seriesReference{"changes.changes-last-by-servers", false}
+	fullListMaxLatencyByServers = seriesReference{"changes.whole-last-by-servers", false}
+	changeTakeoverTime          = seriesReference{"changes.changes-half-lost-served", false}
+	machineUtilization          = seriesReference{"changes.changes-busy", false}
+	machineFullListUtilization  = seriesReference{"changes.whole-busy", false}
+	fullListMaxLatency          = seriesReference{"changes.whole-last", false}
+	changeHalfLostLatency       = seriesReference{"changes.changes-half-lost-last", false}
+	startMaxLatency             = seriesReference{"changes.changes-start-last", true}
+	machineChangeTraffic        = seriesReference{"changes.changes-bytes-out", false}
+	machineFullListTraffic      = seriesReference{"changes.whole-bytes-out", false}
+	catchUpBytes                = seriesReference{"cut.merged-bytes", false}
+	catchUpOneByOneBytes        = seriesReference{"cut.one-by-one-bytes", false}
+	catchUpTime                 = seriesReference{"cut.merged-processor", false}
+	catchUpLatency              = seriesReference{"cut.merged-in-force", false}
+
+	signalTraffic             = seriesReference{"members.gossip-bytes-out-at-48-sights", false}
+	signalRecords             = seriesReference{"members.records-heard-at-48-sights", false}
+	signalReceiveTime         = seriesReference{"signals.hear-processor", false}
+	signalAggregateTime       = seriesReference{"signals.gather-core", false}
+	signalPublishTime         = seriesReference{"signals.tell-core", false}
+	signalExchangeTime        = seriesReference{"signals.hand-on-core", false}
+	signalOwnMemory           = seriesReference{"signals.own-memory", false}
+	signalReceivedMemory      = seriesReference{"signals.heard-memory", false}
+	leaseScoringTime          = seriesReference{"leases.reckoning-core", false}
+	leaseScoringTimeByServers = seriesReference{"leases.reckoning-core-by-servers", false}
+	leaseMembershipTime       = seriesReference{"members.view-processor", false}
+	leaseMemory               = seriesReference{"leases.memory", false}
+	loadAge                   = seriesReference{"leases.load-age", false}
+	signalReachedShare        = seriesReference{"members.reach-at-48-sights", false}
+	zonedTraffic              = seriesReference{"members-zoned.bytes-out", false}
+	zonedReachedShare         = seriesReference{"members-zoned.reach", false}
+	retainedRecords           = seriesReference{"signals.records-kept", false}
+	leaseHolders              = seriesReference{"leases.holders", false}
+	engineMessages            = seriesReference{"members.datagrams-out-at-48-sights", false}
+	probeTraffic              = seriesReference{"members.probe-bytes-out-at-48-sights", false}
+	exchangeTraffic           = seriesReference{"members.exchange-bytes-out-at-48-sights", false}
+	exchangeTime              = seriesReference{"members.exchange-processor", false}
+	frameTime                 = seriesReference{"members.frame-processor", false}
+	engineMemory              = seriesReference{"members.engine-memory", false}
 )
 
 // The series of real processes.
 var (
-	realListStart      = slope{"real.servers.start", false}
-	realHeldMemory     = slope{"real.connections.1000-servers.private", false}
-	realHeldTime       = slope{"real.connections.1000-servers.processor", false}
-	realDeliveryTime   = slope{"real.deliveries.processor", false}
-	realPlacementsTime = slope{"real.placements.processor", false}
+	realStartTime        = seriesReference{"real.servers.start", false}
+	realConnectionMemory = seriesReference{"real.connections.1000-servers.private", false}
+	realConnectionTime   = seriesReference{"real.connections.1000-servers.processor", false}
+	realDeliveryTime     = seriesReference{"real.deliveries.processor", false}
+	realPlacementsTime   = seriesReference{"real.placements.processor", false}
 )
 
 const (
@@ -127,13 +127,13 @@
 	"servers":        {1, inCount},
 }
 
-// at is the value of a series at a size: as measured inside the range that was, on the line between the neighbours; by the
+// valueAt is the value of a series at a size: as measured inside the range that was, on the line between the neighbours; by the
 // fit outside of it. One that was measured before the mechanism alone is marked so. The first fault is kept in p.err.
-func (p *page) at(of slope, size float64) figure {
-	found, old := p.find(of.name)
+func (p *page) valueAt(of seriesReference, size float64) figure {
+	found, old := p.findSeries(of.name)
 	if found == nil {
-		if !of.awaited {
-			p.fail(&Error{Where: p.after.folder + ": series " + of.name, What: "is missing",
+		if !of.optional {
+			p.fail(&Error{Where: p.current.folder + ": series " + of.name, What: "is missing",
 				Remedy: "run the experiment that gives it; testbed scale list names them"})
 		}
 		return unmeasured(of.name)
@@ -142,7 +142,7 @@
 	if !ok {
 		known = pageUnit{1, unit(found.Unit)}
 	}
-	result := figure{unit: known.unit, origin: found.Origin, series: []string{of.name}, old: old}
+	result := figure{unit: known.unit, origin: found.Origin, series: []string{of.name}, fromBaseline: old}
 	if value, ok := found.measuredAt(size); ok {
 		result.value = value * known.factor
 		return result
@@ -158,26 +158,26 @@
 		return unmeasured(of.name)
 	}
 	result.value = found.Fit.At(size) * known.factor
-	result.doubt = found.Fit.doubt()
-	return result.worked()
+	result.fitError = found.Fit.absoluteError()
+	return result.derived()
 }
 
 // between is on the line between the two points around a size.
-func (e *evidence) between(size float64) float64 {
+func (e *reportedSeries) between(size float64) float64 {
 	var lines interp.PiecewiseLinear
-	sizes, values := columns(e.Points)
+	sizes, values := pointColumns(e.Points)
 	if err := lines.Fit(sizes, values); err != nil { // a single point, which is at that size
 		return values[0]
 	}
 	return lines.Predict(size)
 }
 
-// find is a series with the mechanism, else from before.
-func (p *page) find(name string) (found *evidence, old bool) {
-	if now := p.after.series[name]; now != nil {
+// findSeries is a series with the mechanism, else from before.
+func (p *page) findSeries(name string) (found *reportedSeries, old bool) {
+	if now := p.current.series[name]; now != nil {
 		return now, false
 	}
-	return p.before.series[name], true
+	return p.baseline.series[name], true
 }
 
 func (p *page) fail(err error) {
@@ -186,7 +186,7 @@
 	}
 }
 
-func (e *evidence) measuredAt(size float64) (value float64, ok bool) {
+func (e *reportedSeries) measuredAt(size float64) (value float64, ok bool) {
 	for _, point := range e.Points {
 		if point.Size == size {
 			return point.Value, true
@@ -195,11 +195,11 @@
 	return 0, false
 }
 
-func (e *evidence) largest() float64 { return e.Points[len(e.Points)-1].Size }
+func (e *reportedSeries) largest() float64 { return e.Points[len(e.Points)-1].Size }
 
-func (e *evidence) rangeText() string {
+func (e *reportedSeries) rangeText() string {
 	return fmt.Sprintf("%s to %s %s", digits(e.Points[0].Size), digits(e.largest()), e.Against)
 }
 
 // unmeasured is a figure that rests on what is not there.
-func unmeasured(what string) figure { return figure{origin: Reckoned, missing: []string{what}} }
+func unmeasured(what string) figure { return figure{origin: Calculated, missing: []string{what}} }
--- a/internal/testbed/scale/page_control.go
+++ b/internal/testbed/scale/page_control.go
@@ -3,50 +3,50 @@
 import "math"
 
 // ordinaryDay is the situation of that name.
-func ordinaryDay(servers float64) situation { return situations(servers)[onOrdinaryDay] }
+func ordinaryDay(servers float64) situation { return situations(servers)[situationOrdinaryDay] }
 
-// heldMemory is the memory of the data path for connections held.
-func (p *page) heldMemory(held float64) figure { return p.at(realHeldMemory, held) }
+// connectionMemory is the memory of the data path for connections held.
+func (p *page) connectionMemory(held float64) figure { return p.valueAt(realConnectionMemory, held) }
 
 // groupMemory is the memory of tallies for the groups that a balancer sees, with those of its connections.
-func (p *page) groupMemory() figure { return p.decisionMemory(heldConnections) }
+func (p *page) groupMemory() figure { return p.decisionMemory(connectionsPerBalancer) }
 
 // controlProcessor is the processor time of all parts of control.
 func (p *page) controlProcessor(s situation, servers float64) figure {
-	return p.sumOfControl(controlParts, s, servers, func(l load) figure { return l.processor }, inCores)
+	return p.sumControlParts(controlParts, s, servers, func(l load) figure { return l.processor }, inCores)
 }
 
 // controlTrafficOf is what all parts of control send.
 func (p *page) controlTrafficOf(s situation, servers float64) figure {
-	sent := p.sumOfControl(controlParts, s, servers, func(l load) figure { return l.bytesOut }, inTraffic)
-	heard := p.sumOfControl(controlParts, s, servers, func(l load) figure { return l.bytesIn }, inTraffic)
-	if heard.value > sent.value {
-		return heard
+	sent := p.sumControlParts(controlParts, s, servers, func(l load) figure { return l.bytesOut }, inTraffic)
+	received := p.sumControlParts(controlParts, s, servers, func(l load) figure { return l.bytesIn }, inTraffic)
+	if received.value > sent.value {
+		return received
 	}
 	return sent
 }
 
 // controlMemory is the memory of all parts of control at rest.
 func (p *page) controlMemory(servers float64) figure {
-	return p.sumOfControl(controlParts, situations(servers)[atRest], servers, func(l load) figure { return l.memory }, inBytes)
+	return p.sumControlParts(controlParts, situations(servers)[situationIdle], servers, func(l load) figure { return l.memory }, inBytes)
 }
 
-// aloneProcessor and aloneMemory are those of a balancer that has no peers and asks servers for no load.
-func (p *page) aloneProcessor(s situation, servers float64) figure {
-	return p.sumOfControl(controlParts[:aloneParts], s, servers, func(l load) figure { return l.processor }, inCores)
+// standaloneProcessor and aloneMemory are those of a balancer that has no peers and asks servers for no load.
+func (p *page) standaloneProcessor(s situation, servers float64) figure {
+	return p.sumControlParts(controlParts[:standaloneParts], s, servers, func(l load) figure { return l.processor }, inCores)
 }
 
-func (p *page) aloneMemory(servers float64) figure {
-	return p.sumOfControl(controlParts[:aloneParts], situations(servers)[atRest], servers, func(l load) figure { return l.memory }, inBytes)
+func (p *page) standaloneMemory(servers float64) figure {
+	return p.sumControlParts(controlParts[:standaloneParts], situations(servers)[situationIdle], servers, func(l load) figure { return l.memory }, inBytes)
 }
 
-// sumOfControl adds a quantity over the parts of control, and notes the parts of which nothing was measured.
-func (p *page) sumOfControl(parts []part, s situation, servers float64, of func(load) figure, in unit) figure {
-	sum := reckoned(0, in)
+// sumControlParts adds a quantity over the parts of control, and notes the parts of which nothing was measured.
+func (p *page) sumControlParts(parts []part, s situation, servers float64, of func(load) figure, in unit) figure {
+	sum := calculated(0, in)
 	for _, part := range parts {
-		sum = sum.plusKnown(part.name, of(part.load(p, s, servers)))
+		sum = sum.plusIfKnown(part.name, of(part.load(p, s, servers)))
 	}
-	if len(sum.without) == len(parts) {
+	if len(sum.omitted) == len(parts) {
 		return unmeasured("control")
 	}
 	return sum
@@ -54,20 +54,20 @@
 
 // replacementProcessor is the processor time of decisions for the clients of replaced and failed balancers.
 func (p *page) replacementProcessor(servers float64) figure {
-	failed := failedADay * heldConnections / daySeconds / fleetBalancers
-	return p.placementTime(heldConnections, servers).times(replacedPlacements+failed, inCores)
+	failed := failuresPerDay * connectionsPerBalancer / daySeconds / fleetBalancers
+	return p.placementProcessor(connectionsPerBalancer, servers).times(replacedPlacements+failed, inCores)
 }
 
 // burstProcessor is the processor time of decisions while so many connections come back.
 func (p *page) burstProcessor(connections, servers float64) figure {
-	return p.placementTime(heldConnections+connections, servers).times(connections/reconnectSeconds, inCores)
+	return p.placementProcessor(connectionsPerBalancer+connections, servers).times(connections/reconnectSeconds, inCores)
 }
 
 // sizesTable is what control costs a balancer on the ordinary day, by part and size of the list.
 func (p *page) sizesTable() *table {
 	t := newTable("part", "servers", "processor time", "memory", "bytes in, out", "origin", "slopes")
 	for _, part := range controlParts {
-		for _, servers := range pageServers {
+		for _, servers := range serverCounts {
 			l := part.load(p, ordinaryDay(servers), servers)
 			all := l.processor.plus(l.memory, l.bytesIn, l.bytesOut)
 			t.row(part.name, digits(servers), l.processor.String(), l.memory.String(), pair(l.bytesIn, l.bytesOut), l.origins(), all.Slopes())
@@ -76,20 +76,20 @@
 	return t
 }
 
-// partLimits are control's limits for each part alone, as far as one is over: what the list of the missing needs.
-func (p *page) partLimits() (list []limit) {
+// partRequirements are control's limits for each part alone, as far as one is over: what the list of the missing needs.
+func (p *page) partRequirements() (list []requirement) {
 	for _, part := range controlParts {
-		of := func(quantity func(load) figure) []variant {
-			return byServersOf(func(servers float64) figure { return quantity(part.load(p, ordinaryDay(servers), servers)) })
+		variants := func(quantity func(load) figure) []variant {
+			return forEachServerCount(func(servers float64) figure { return quantity(part.load(p, ordinaryDay(servers), servers)) })
 		}
-		alone := []limit{
-			{name: "processor time", allowed: reckoned(controlCores, inCores), worked: of(func(l load) figure { return l.processor })},
-			{name: "memory", allowed: reckoned(controlBytes, inBytes), worked: of(func(l load) figure { return l.memory })},
-			{name: "traffic", allowed: reckoned(controlTraffic, inTraffic), worked: of(func(l load) figure { return l.bytesOut })},
+		requirements := []requirement{
+			{quantity: "processor time", bound: calculated(controlCores, inCores), values: variants(func(l load) figure { return l.processor })},
+			{quantity: "memory", bound: calculated(controlBytes, inBytes), values: variants(func(l load) figure { return l.memory })},
+			{quantity: "traffic", bound: calculated(controlTraffic, inTraffic), values: variants(func(l load) figure { return l.bytesOut })},
 		}
-		for _, l := range alone {
-			l.name, l.mechanism, l.rests = "of control, "+part.name+" alone: "+l.name, part.carried, part.rests
-			l.wants = part.wants
+		for _, l := range requirements {
+			l.quantity, l.mechanism, l.dependents = "of control, "+part.name+" alone: "+l.quantity, part.mechanism, part.dependents
+			l.proposal = part.proposal
 			if ratio, ok := l.ratio(); ok && ratio > 1 {
 				list = append(list, l)
 			}
@@ -102,7 +102,7 @@
 func (p *page) zonedTable() *table {
 	t := newTable("members of a group", "sent by a member", "of control's traffic", "have a record within 5 s", "origin")
 	for _, members := range []float64{zoneBalancers, math.Floor(regionBalancers)} {
-		sent, reach := p.at(zonedTraffic, members), p.at(zonedReach, members)
+		sent, reach := p.valueAt(zonedTraffic, members), p.valueAt(zonedReachedShare, members)
 		part := sent.times(1/controlTraffic, inShare)
 		t.row(digits(members), sent.String(), part.String(), reach.String(), sent.Origin())
 	}
--- a/internal/testbed/scale/page_faults.go
+++ b/internal/testbed/scale/page_faults.go
@@ -22,7 +22,7 @@
 
 // faultNames are the faults that some report has.
 func (p *page) faultNames() (names []string) {
-	for _, name := range slices.Concat(slices.Collect(maps.Keys(p.after.series)), slices.Collect(maps.Keys(p.before.series))) {
+	for _, name := range slices.Concat(slices.Collect(maps.Keys(p.current.series)), slices.Collect(maps.Keys(p.baseline.series))) {
 		if rest, ok := strings.CutPrefix(name, faultPrefix); ok {
 			fault, _, _ := strings.Cut(rest, ".")
 			names = append(names, fault)
@@ -35,7 +35,7 @@
 func (p *page) faultRow(fault string) []string {
 	size, against := 0.0, ""
 	var cells []string
-	all := figure{}
+	first := figure{}
 	for i, quantity := range faultQuantities {
 		found := p.faultSeries(fault, quantity)
 		if found == nil {
@@ -43,14 +43,14 @@
 			continue
 		}
 		size, against = found.largest(), found.Against
-		value := p.at(slope{name: found.Name}, size)
+		value := p.valueAt(seriesReference{name: found.Name}, size)
 		cells = append(cells, show(value.value, shownUnit(value.unit)))
 		if i == 0 {
-			all = value
+			first = value
 		}
 	}
 	row := append([]string{fault, digits(size) + " " + against}, cells...)
-	return append(row, p.rulesOf(fault), all.Origin())
+	return append(row, p.invariantsCell(fault), first.Origin())
 }
 
 // shownUnit leaves out what the head of a column says.
@@ -61,9 +61,9 @@
 	return inCount
 }
 
-func (p *page) faultSeries(fault, quantity string) *evidence {
+func (p *page) faultSeries(fault, quantity string) *reportedSeries {
 	prefix := faultPrefix + fault + "." + quantity + "."
-	for _, all := range []*results{p.after, p.before} {
+	for _, all := range []*reportSet{p.current, p.baseline} {
 		for _, name := range slices.Sorted(maps.Keys(all.series)) {
 			if strings.HasPrefix(name, prefix) {
 				return all.series[name]
@@ -73,11 +73,11 @@
 	return nil
 }
 
-// rulesOf tells whether the referee saw a rule broken in any run of a fault.
-func (p *page) rulesOf(fault string) string {
-	runs, broken := faultRuns(p.after, fault)
+// invariantsCell tells whether the referee saw a rule broken in any run of a fault.
+func (p *page) invariantsCell(fault string) string {
+	runs, broken := faultRuns(p.current, fault)
 	if runs == 0 {
-		runs, broken = faultRuns(p.before, fault)
+		runs, broken = faultRuns(p.baseline, fault)
 	}
 	all := digits(float64(runs))
 	switch {
@@ -91,7 +91,7 @@
 }
 
 // faultRuns counts the runs of a fault that the referee judged, and those that broke a rule.
-func faultRuns(all *results, fault string) (runs, broken int) {
+func faultRuns(all *reportSet, fault string) (runs, broken int) {
 	for _, r := range all.reports {
 		for _, check := range r.checks {
 			if !strings.HasPrefix(check.Name, fault+", ") {
--- a/internal/testbed/scale/page_figure.go
+++ b/internal/testbed/scale/page_figure.go
@@ -9,21 +9,21 @@
 )
 
 const (
-	notMeasured = "not measured"
-	poorFit     = 0.20 // an error of the held-out point that a row says
+	notMeasured  = "not measured"
+	poorFitError = 0.20 // an error of the held-out point that a row says
 )
 
 // figure is a value of the page with where it comes from. One that rests on a series which is not there has no value.
 type figure struct {
-	value   float64
-	unit    unit
-	origin  Origin
-	bases   []Origin // what a reckoned figure was worked out from, beside the operators' sizes
-	series  []string
-	missing []string
-	without []string // parts that are not in a sum, as nothing was measured of them
-	old     bool     // a series behind it was measured before the mechanism alone
-	doubt   float64  // the largest error of a held-out point among the fits behind it
+	value        float64
+	unit         unit
+	origin       Origin
+	derivedFrom  []Origin // what a reckoned figure was worked out from, beside the operators' sizes
+	series       []string
+	missing      []string
+	omitted      []string // parts that are not in a sum, as nothing was measured of them
+	fromBaseline bool     // a series behind it was measured before the mechanism alone
+	fitError     float64  // the largest error of a held-out point among the fits behind it
 }
 
 // unit is what a figure counts, in the base that it is held in.
@@ -39,68 +39,68 @@
 	inShare   unit = "share"
 )
 
-// reckoned is a figure of the operators' sizes and the assumptions alone.
-func reckoned(value float64, in unit) figure {
-	return figure{value: value, unit: in, origin: Reckoned}
+// calculated is a figure of the operators' sizes and the assumptions alone.
+func calculated(value float64, in unit) figure {
+	return figure{value: value, unit: in, origin: Calculated}
 }
 
 // times is the figure multiplied by a size.
 func (f figure) times(factor float64, in unit) figure {
 	f.value *= factor
 	f.unit = in
-	return f.worked()
+	return f.derived()
 }
 
 // plus is the sum of figures of one unit; it is known when all of them are.
 func (f figure) plus(others ...figure) figure {
 	for _, other := range others {
 		f.value += other.value
-		f.join(other)
+		f.addSources(other)
 	}
-	return f.worked()
+	return f.derived()
 }
 
-// plusKnown adds the figure of a named part, or notes that it is not there.
-func (f figure) plusKnown(name string, part figure) figure {
+// plusIfKnown adds the figure of a named part, or notes that it is not there.
+func (f figure) plusIfKnown(name string, part figure) figure {
 	if !part.known() {
-		f.without = union(f.without, []string{name})
+		f.omitted = unionOf(f.omitted, []string{name})
 		return f
 	}
-	f.without = union(f.without, part.without)
+	f.omitted = unionOf(f.omitted, part.omitted)
 	return f.plus(part)
 }
 
-// scaled is the figure times another that has no unit.
-func (f figure) scaled(by figure) figure {
+// multipliedBy is the figure times another that has no unit.
+func (f figure) multipliedBy(by figure) figure {
 	f.value *= by.value
-	f.join(by)
-	return f.worked()
+	f.addSources(by)
+	return f.derived()
 }
 
-// over is the figure divided by another.
-func (f figure) over(by figure, in unit) figure {
+// dividedBy is the figure divided by another.
+func (f figure) dividedBy(by figure, in unit) figure {
 	f.value /= by.value
 	f.unit = in
-	f.join(by)
-	return f.worked()
+	f.addSources(by)
+	return f.derived()
 }
 
-func (f *figure) join(other figure) {
-	f.series = union(f.series, other.series)
-	f.missing = union(f.missing, other.missing)
-	f.bases = union(f.bases, other.bases)
-	f.doubt = max(f.doubt, other.doubt)
-	f.old = f.old || other.old
-	if other.origin != Reckoned {
-		f.bases = union(f.bases, []Origin{other.origin})
+func (f *figure) addSources(other figure) {
+	f.series = unionOf(f.series, other.series)
+	f.missing = unionOf(f.missing, other.missing)
+	f.derivedFrom = unionOf(f.derivedFrom, other.derivedFrom)
+	f.fitError = max(f.fitError, other.fitError)
+	f.fromBaseline = f.fromBaseline || other.fromBaseline
+	if other.origin != Calculated {
+		f.derivedFrom = unionOf(f.derivedFrom, []Origin{other.origin})
 	}
 }
 
-// worked marks the figure as worked out from what it was.
-func (f figure) worked() figure {
-	if f.origin != Reckoned {
-		f.bases = union(f.bases, []Origin{f.origin})
-		f.origin = Reckoned
+// derived marks the figure as worked out from what it was.
+func (f figure) derived() figure {
+	if f.origin != Calculated {
+		f.derivedFrom = unionOf(f.derivedFrom, []Origin{f.origin})
+		f.origin = Calculated
 	}
 	return f
 }
@@ -108,15 +108,15 @@
 func (f figure) known() bool { return len(f.missing) == 0 }
 
 func (f figure) String() string {
-	text := f.sum()
-	if f.known() && len(f.without) > 0 {
-		text += atLeast + ", without " + strings.Join(f.without, ", ")
+	text := f.valueText()
+	if f.known() && len(f.omitted) > 0 {
+		text += atLeast + ", without " + strings.Join(f.omitted, ", ")
 	}
 	return text
 }
 
-// sum is the figure without the names of what it lacks.
-func (f figure) sum() string {
+// valueText is the figure without the names of what it lacks.
+func (f figure) valueText() string {
 	if !f.known() {
 		return notMeasured
 	}
@@ -129,18 +129,18 @@
 		return notMeasured
 	}
 	text := string(f.origin)
-	if len(f.bases) > 0 {
+	if len(f.derivedFrom) > 0 {
 		var bases []string
-		for _, base := range f.bases {
+		for _, base := range f.derivedFrom {
 			bases = append(bases, string(base))
 		}
 		text += " from " + strings.Join(bases, ", ")
 	}
-	if f.old {
+	if f.fromBaseline {
 		text += "; **before the mechanism**"
 	}
-	if f.doubt > poorFit {
-		text += fmt.Sprintf("; its fit misses the largest point by %s", show(f.doubt, inShare))
+	if f.fitError > poorFitError {
+		text += fmt.Sprintf("; its fit misses the largest point by %s", show(f.fitError, inShare))
 	}
 	return text
 }
@@ -154,13 +154,13 @@
 	return strings.Join(names, ", ")
 }
 
-func union[T ~string](a, b []T) []T {
+func unionOf[T ~string](a, b []T) []T {
 	both := slices.Concat(a, b)
 	slices.Sort(both)
 	return slices.Compact(both)
 }
 
-const significant = 3 // digits of a figure
+const significantDigits = 3 // digits of a figure
 
 // show prints three digits of a value with a unit that fits its size.
 func show(value float64, in unit) string {
@@ -184,26 +184,26 @@
 	}
 }
 
-type step struct {
+type unitStep struct {
 	from float64
 	name string
 }
 
 func showBytes(value float64) string {
-	return stepped(value, []step{{1e12, "TB"}, {1e9, "GB"}, {1e6, "MB"}, {1e3, "KB"}, {1, "B"}})
+	return scaleUnit(value, []unitStep{{1e12, "TB"}, {1e9, "GB"}, {1e6, "MB"}, {1e3, "KB"}, {1, "B"}})
 }
 
 func showSeconds(value float64) string {
 	if value == 0 {
 		return "0 s"
 	}
-	if value >= 2*cutSeconds {
-		return digits(value/cutSeconds) + " h"
+	if value >= 2*partitionSeconds {
+		return digits(value/partitionSeconds) + " h"
 	}
-	return stepped(value, []step{{1, "s"}, {1e-3, "ms"}, {1e-6, "µs"}, {1e-9, "ns"}})
+	return scaleUnit(value, []unitStep{{1, "s"}, {1e-3, "ms"}, {1e-6, "µs"}, {1e-9, "ns"}})
 }
 
-func stepped(value float64, steps []step) string {
+func scaleUnit(value float64, steps []unitStep) string {
 	size := math.Abs(value)
 	for _, s := range steps {
 		if size >= s.from {
@@ -221,28 +221,28 @@
 	}
 	magnitude := math.Floor(math.Log10(math.Abs(value)))
 	if magnitude < -4 {
-		return strconv.FormatFloat(value, 'e', significant-1, 64)
+		return strconv.FormatFloat(value, 'e', significantDigits-1, 64)
 	}
-	decimals := max(0, significant-1-int(magnitude))
+	decimals := max(0, significantDigits-1-int(magnitude))
 	text := strconv.FormatFloat(value, 'f', decimals, 64)
 	if strings.Contains(text, ".") {
 		text = strings.TrimRight(strings.TrimRight(text, "0"), ".")
 	}
-	return grouped(text)
+	return groupThousands(text)
 }
 
-// grouped puts a comma before each three digits of the whole part.
-func grouped(text string) string {
-	whole, rest, _ := strings.Cut(text, ".")
+// groupThousands puts a comma before each three digits of the whole part.
+func groupThousands(text string) string {
+	integer, fraction, _ := strings.Cut(text, ".")
 	sign := ""
-	if strings.HasPrefix(whole, "-") {
-		sign, whole = "-", whole[1:]
+	if strings.HasPrefix(integer, "-") {
+		sign, integer = "-", integer[1:]
 	}
-	for i := len(whole) - 3; i > 0; i -= 3 {
-		whole = whole[:i] + "," + whole[i:]
+	for i := len(integer) - 3; i > 0; i -= 3 {
+		integer = integer[:i] + "," + integer[i:]
 	}
-	if rest != "" {
-		whole += "." + rest
+	if fraction != "" {
+		integer += "." + fraction
 	}
-	return sign + whole
+	return sign + integer
 }
--- a/internal/testbed/scale/page_figure_test.go
+++ b/internal/testbed/scale/page_figure_test.go
@@ -13,29 +13,29 @@
 		got   float64
 		shown string
 	}{
-		{"connections a balancer holds", heldConnections, "79,012"},
+		{"connections a balancer holds", connectionsPerBalancer, "79,012"},
 		{"seconds between replacements", replacementSeconds, "37.6"},
 		{"reconnects a second over the fleet", fleetReconnects, "2,103"},
 		{"balancers of a zone", zoneBalancers, "324"},
 		{"connections of a zone", zoneConnections, "25,600,000"},
-		{"seconds between changes", changeEvery, "5.08"},
+		{"seconds between changes", changeInterval, "5.08"},
 		{"messages a second for changes", changeMessages, "1,594"},
 		{"changes missed in an hour", missedChanges, "708"},
-		{"deliveries a second at each", heldDeliveries, "6,049"},
-		{"listeners of the largest topic at each", heldListeners, "370"},
+		{"deliveries a second at each", deliveriesPerBalancer, "6,049"},
+		{"listeners of the largest topic at each", listenersPerBalancer, "370"},
 		{"probes a second at each server", fleetBalancers / probeRound, "540"},
-		{"balancers a control machine", balancersAMachine, "405"},
+		{"balancers a control machine", balancersPerMachine, "405"},
 		{"share of a lost zone for each heir", zoneShare, "37,182"},
 	} {
 		if got := digits(c.got); got != c.shown {
 			t.Errorf("%s: %s, want %s", c.what, got, c.shown)
 		}
 	}
-	if all := zoneShare * zoneHeirs; math.Abs(all-zoneConnections) > 1 {
+	if all := zoneShare * zoneSuccessors; math.Abs(all-zoneConnections) > 1 {
 		t.Errorf("the heirs of a zone take %v of %v", all, zoneConnections)
 	}
-	if seen := groupsSeen(); seen > heldConnections || seen < groupsOfRegion() {
-		t.Errorf("%v groups seen by %v connections, %v of one region", seen, heldConnections, groupsOfRegion())
+	if seen := groupsPerBalancer(); seen > connectionsPerBalancer || seen < groupsPerRegion() {
+		t.Errorf("%v groups seen by %v connections, %v of one region", seen, connectionsPerBalancer, groupsPerRegion())
 	}
 }
 
@@ -86,17 +86,17 @@
 		{"as it was", measured, 2, "measured"},
 		{"times a size", measured.times(10, inCount), 20, "reckoned from measured"},
 		{"sum of both", measured.plus(simulated), 5, "reckoned from measured, simulated"},
-		{"product", measured.scaled(simulated), 6, "reckoned from measured, simulated"},
-		{"ratio", simulated.over(measured, inCount), 1.5, "reckoned from measured, simulated"},
-		{"of the operators' sizes", reckoned(7, inCount).plus(reckoned(1, inCount)), 8, "reckoned"},
+		{"product", measured.multipliedBy(simulated), 6, "reckoned from measured, simulated"},
+		{"ratio", simulated.dividedBy(measured, inCount), 1.5, "reckoned from measured, simulated"},
+		{"of the operators' sizes", calculated(7, inCount).plus(calculated(1, inCount)), 8, "reckoned"},
 		{"with one that is not there", measured.plus(absent), 2, notMeasured},
-		{"that part left out", measured.plusKnown("part", absent), 2, "measured"},
+		{"that part left out", measured.plusIfKnown("part", absent), 2, "measured"},
 	} {
 		if c.figure.value != c.value || c.figure.Origin() != c.origin {
 			t.Errorf("%s: %v, %s", c.what, c.figure.value, c.figure.Origin())
 		}
 	}
-	if text := measured.plusKnown("part", absent).String(); !strings.Contains(text, "at the least, without part") {
+	if text := measured.plusIfKnown("part", absent).String(); !strings.Contains(text, "at the least, without part") {
 		t.Errorf("%q does not name the part that is left out", text)
 	}
 	if text := measured.plus(absent).String(); text != notMeasured {
@@ -112,10 +112,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	known := &evidence{Series: Series{Name: "one", Unit: "µs", Origin: Simulated, Points: points}, Fit: fit}
-	old := &evidence{Series: Series{Name: "two", Unit: "bytes", Origin: Measured, Points: points}, Fit: fit}
-	p := &page{after: &results{series: map[string]*evidence{"one": known}}, before: &results{series: map[string]*evidence{"one": old, "two": old}}}
-	if got := p.at(slope{"two", false}, decades[0]); got.Origin() != "measured; **before the mechanism**" {
+	known := &reportedSeries{Series: Series{Name: "one", Unit: "µs", Origin: Simulated, Points: points}, Fit: fit}
+	old := &reportedSeries{Series: Series{Name: "two", Unit: "bytes", Origin: Measured, Points: points}, Fit: fit}
+	p := &page{current: &reportSet{series: map[string]*reportedSeries{"one": known}}, baseline: &reportSet{series: map[string]*reportedSeries{"one": old, "two": old}}}
+	if got := p.valueAt(seriesReference{"two", false}, decades[0]); got.Origin() != "measured; **before the mechanism**" {
 		t.Errorf("a series of before alone: %s", got.Origin())
 	}
 	for _, c := range []struct {
@@ -126,7 +126,7 @@
 		{2000, (points[3].Value + points[4].Value) / 2 * microsecond, "simulated"},
 		{50_000, fit.At(50_000) * microsecond, "reckoned from simulated"},
 	} {
-		got := p.at(slope{"one", false}, c.size)
+		got := p.valueAt(seriesReference{"one", false}, c.size)
 		near(t, digits(c.size), got.value, c.want, 1e-9)
 		if got.Origin() != c.origin || got.unit != inSeconds {
 			t.Errorf("%v: %s, %s", c.size, got.Origin(), got.unit)
@@ -137,9 +137,9 @@
 	if known.Fit, err = FitPoints(known.Points); err != nil {
 		t.Fatal(err)
 	}
-	near(t, "between neighbours", p.at(slope{"one", false}, 9400).value, (points[5].Value+points[6].Value)/2*microsecond, 1e-9)
-	want := "misses the largest point by " + show(known.Fit.doubt(), inShare)
-	if text := p.at(slope{"one", false}, 50_000).Origin(); known.Fit.doubt() < 0.6 || !strings.Contains(text, want) {
+	near(t, "between neighbours", p.valueAt(seriesReference{"one", false}, 9400).value, (points[5].Value+points[6].Value)/2*microsecond, 1e-9)
+	want := "misses the largest point by " + show(known.Fit.absoluteError(), inShare)
+	if text := p.valueAt(seriesReference{"one", false}, 50_000).Origin(); known.Fit.absoluteError() < 0.6 || !strings.Contains(text, want) {
 		t.Errorf("%q does not say that its fit %s", text, want)
 	}
 }
@@ -147,21 +147,21 @@
 func TestVerdicts(t *testing.T) {
 	for _, c := range []struct {
 		what   string
-		limit  limit
+		limit  requirement
 		want   verdict
 		ratio  string
 		listed bool
 	}{
-		{"under", limit{allowed: reckoned(10, inCount), worked: onlyOne(reckoned(5, inCount)), mechanism: "m"}, verdictHolds, "0.5", false},
-		{"over", limit{allowed: reckoned(10, inCount), worked: onlyOne(reckoned(50, inCount)), mechanism: "m"}, verdictBreaks, "5", true},
-		{"both", limit{allowed: reckoned(10, inCount), worked: []variant{{"a", reckoned(5, inCount)}, {"b", reckoned(20, inCount)}}}, verdictPartly, "0.5 / 2", true},
-		{"not there", limit{allowed: reckoned(10, inCount), worked: onlyOne(unmeasured("x")), mechanism: "m"}, verdictUnknown, notMeasured, false},
-		{"not there and nothing carries it", limit{allowed: reckoned(10, inCount), worked: onlyOne(unmeasured("x"))}, verdictUnknown, notMeasured, true},
-		{"under, a part left out", limit{allowed: reckoned(10, inCount), worked: onlyOne(reckoned(5, inCount).plusKnown("p", unmeasured("x"))), mechanism: "m"}, verdictUnknown, "0.5 at the least", false},
-		{"over, a part left out", limit{allowed: reckoned(10, inCount), worked: onlyOne(reckoned(50, inCount).plusKnown("p", unmeasured("x"))), mechanism: "m"}, verdictBreaks, "5 at the least", true},
-		{"no bound", limit{worked: onlyOne(reckoned(5, inCount))}, verdictUnbounded, "–", false},
-		{"a bound that is not known", limit{allowed: unmeasured("x"), worked: onlyOne(reckoned(5, inCount)), mechanism: "m"}, verdictUnknown, "–", false},
-		{"never", limit{allowed: reckoned(1, inCount), never: true, worked: onlyOne(reckoned(5, inCount))}, verdictNever, "5", false},
+		{"under", requirement{bound: calculated(10, inCount), values: single(calculated(5, inCount)), mechanism: "m"}, verdictHolds, "0.5", false},
+		{"over", requirement{bound: calculated(10, inCount), values: single(calculated(50, inCount)), mechanism: "m"}, verdictBreaks, "5", true},
+		{"both", requirement{bound: calculated(10, inCount), values: []variant{{"a", calculated(5, inCount)}, {"b", calculated(20, inCount)}}}, verdictPartly, "0.5 / 2", true},
+		{"not there", requirement{bound: calculated(10, inCount), values: single(unmeasured("x")), mechanism: "m"}, verdictUnknown, notMeasured, false},
+		{"not there and nothing carries it", requirement{bound: calculated(10, inCount), values: single(unmeasured("x"))}, verdictUnknown, notMeasured, true},
+		{"under, a part left out", requirement{bound: calculated(10, inCount), values: single(calculated(5, inCount).plusIfKnown("p", unmeasured("x"))), mechanism: "m"}, verdictUnknown, "0.5 at the least", false},
+		{"over, a part left out", requirement{bound: calculated(10, inCount), values: single(calculated(50, inCount).plusIfKnown("p", unmeasured("x"))), mechanism: "m"}, verdictBreaks, "5 at the least", true},
+		{"no bound", requirement{values: single(calculated(5, inCount))}, verdictUnbounded, "–", false},
+		{"a bound that is not known", requirement{bound: unmeasured("x"), values: single(calculated(5, inCount)), mechanism: "m"}, verdictUnknown, "–", false},
+		{"never", requirement{bound: calculated(1, inCount), infeasible: true, values: single(calculated(5, inCount))}, verdictNever, "5", false},
 	} {
 		if got := c.limit.verdict(); got != c.want {
 			t.Errorf("%s: %s, want %s", c.what, got, c.want)
@@ -169,7 +169,7 @@
 		if got := c.limit.ratioText(); got != c.ratio {
 			t.Errorf("%s: ratio %q, want %q", c.what, got, c.ratio)
 		}
-		if got := c.limit.isMissing(); got != c.listed {
+		if got := c.limit.isUnmet(); got != c.listed {
 			t.Errorf("%s: listed as missing: %v", c.what, got)
 		}
 	}
@@ -177,15 +177,15 @@
 
 // The list of what is missing falls by how far over the limit each is, with what is not known last.
 func TestMissingFalls(t *testing.T) {
-	absent := &results{series: map[string]*evidence{}}
-	p := &page{after: absent, before: absent}
-	list := p.missing()
+	absent := &reportSet{series: map[string]*reportedSeries{}}
+	p := &page{current: absent, baseline: absent}
+	list := p.unmetRequirements()
 	if len(list) < 2 {
 		t.Fatalf("%d limits are missing", len(list))
 	}
 	for i := range list[1:] {
-		if list[i].order() < list[i+1].order() {
-			t.Errorf("%s (%v) before %s (%v)", list[i].name, list[i].order(), list[i+1].name, list[i+1].order())
+		if list[i].excess() < list[i+1].excess() {
+			t.Errorf("%s (%v) before %s (%v)", list[i].quantity, list[i].excess(), list[i+1].quantity, list[i+1].excess())
 		}
 	}
 }
--- a/internal/testbed/scale/page_fit.go
+++ b/internal/testbed/scale/page_fit.go
@@ -21,15 +21,15 @@
 	FormPower     Form = "a·n^b"
 )
 
-// slopes are the forms that go with the size.
-var slopes = []Form{FormLinear, FormLogLinear, FormPower}
+// slopeForms are the forms that go with the size.
+var slopeForms = []Form{FormLinear, FormLogLinear, FormPower}
 
 const (
-	slopeLeaves   = 0.5  // of the scatter round the mean: a slope that explains less may be noise of few points
-	fewestSizes   = 4    // three for the fit and the one that is held out
-	leastScale    = 0.01 // of the largest value: what residuals are divided by where a value is near nought
-	rounding      = 1e-9 // of the largest value: coefficients below it are none
-	leastResidual = 1e-3 // closer than that, two forms fit alike and the simpler one is taken
+	slopeScatterShare = 0.5  // of the scatter round the mean: a slope that explains less may be noise of few points
+	minFitSizes       = 4    // three for the fit and the one that is held out
+	minRelativeScale  = 0.01 // of the largest value: what residuals are divided by where a value is near nought
+	roundingShare     = 1e-9 // of the largest value: coefficients below it are none
+	minResidual       = 1e-3 // closer than that, two forms fit alike and the simpler one is taken
 )
 
 // Fit is a curve through all points of a series but the largest, which it predicts.
@@ -69,7 +69,7 @@
 	return f.Predicted/f.HeldOut.Value - 1
 }
 
-func (f Fit) doubt() float64 { return math.Abs(f.HeldOutError()) }
+func (f Fit) absoluteError() float64 { return math.Abs(f.HeldOutError()) }
 
 // TooFewPointsError says that a series has too few sizes for a fit with its largest held out.
 type TooFewPointsError struct {
@@ -77,7 +77,7 @@
 }
 
 func (e *TooFewPointsError) Error() string {
-	return fmt.Sprintf("%d sizes, %d are needed for a fit with the largest held out", e.Sizes, fewestSizes)
+	return fmt.Sprintf("%d sizes, %d are needed for a fit with the largest held out", e.Sizes, minFitSizes)
 }
 
 // Advice says what helps.
@@ -88,17 +88,17 @@
 // FitPoints fits the form that explains all points but the largest best, with a price on each coefficient. It is the mean
 // unless a slope takes away half of the scatter round it.
 func FitPoints(points []Point) (Fit, error) {
-	points = meanBySize(points)
-	if len(points) < fewestSizes {
+	points = averageBySize(points)
+	if len(points) < minFitSizes {
 		return Fit{}, &TooFewPointsError{Sizes: len(points)}
 	}
 	fitted := points[:len(points)-1]
 	heldOut := points[len(points)-1]
 	best, _ := fitForm(FormConstant, fitted)
 	least, scatter := bayesianCriterion(best), best.Residual
-	for _, form := range slopes {
+	for _, form := range slopeForms {
 		fit, ok := fitForm(form, fitted)
-		if !ok || fit.Residual > slopeLeaves*scatter {
+		if !ok || fit.Residual > slopeScatterShare*scatter {
 			continue
 		}
 		if criterion := bayesianCriterion(fit); criterion < least {
@@ -117,12 +117,12 @@
 		coefficients = 1
 	}
 	count := float64(fit.Fitted)
-	return 2*count*math.Log(max(fit.Residual, leastResidual)) + coefficients*math.Log(count)
+	return 2*count*math.Log(max(fit.Residual, minResidual)) + coefficients*math.Log(count)
 }
 
 func fitForm(form Form, points []Point) (Fit, bool) {
 	fit := Fit{Form: form, Fitted: len(points)}
-	sizes, values := columns(points)
+	sizes, values := pointColumns(points)
 	weights := relativeWeights(values)
 	switch form {
 	case FormConstant:
@@ -130,7 +130,7 @@
 	case FormLinear:
 		fit.A, fit.B = stat.LinearRegression(sizes, values, weights, false)
 	case FormLogLinear:
-		fit.A, fit.B = stat.LinearRegression(mapped(sizes, logLinear), values, weights, false)
+		fit.A, fit.B = stat.LinearRegression(mapValues(sizes, logLinear), values, weights, false)
 	case FormPower:
 		var ok bool
 		if fit.A, fit.B, ok = fitPower(sizes, values, weights); !ok {
@@ -138,7 +138,7 @@
 		}
 	}
 	fit.dropNoise(sizes, values)
-	estimates := mapped(sizes, fit.value)
+	estimates := mapValues(sizes, fit.value)
 	fit.R2 = stat.RSquaredFrom(estimates, values, weights)
 	fit.Residual = weightedResidual(estimates, values, weights)
 	return fit, !math.IsNaN(fit.Residual)
@@ -149,10 +149,10 @@
 	if f.Form != FormLinear && f.Form != FormLogLinear {
 		return
 	}
-	if math.Abs(f.A) < rounding*slices.Max(values) {
+	if math.Abs(f.A) < roundingShare*slices.Max(values) {
 		f.A = 0
 	}
-	if math.Abs(f.B)*slices.Max(sizes) < rounding*slices.Max(values) {
+	if math.Abs(f.B)*slices.Max(sizes) < roundingShare*slices.Max(values) {
 		f.B = 0
 	}
 }
@@ -163,10 +163,10 @@
 	if slices.Min(sizes) <= 0 || slices.Min(values) <= 0 {
 		return 0, 0, false
 	}
-	logA, b := stat.LinearRegression(mapped(sizes, math.Log), mapped(values, math.Log), nil, false)
+	logA, b := stat.LinearRegression(mapValues(sizes, math.Log), mapValues(values, math.Log), nil, false)
 	residual := func(x []float64) float64 {
 		power := Fit{Form: FormPower, A: math.Exp(x[0]), B: x[1]}
-		return weightedResidual(mapped(sizes, power.value), values, weights)
+		return weightedResidual(mapValues(sizes, power.value), values, weights)
 	}
 	start := []float64{logA, b}
 	result, err := optimize.Minimize(optimize.Problem{Func: residual}, start, nil, &optimize.NelderMead{})
@@ -185,7 +185,7 @@
 	weights := make([]float64, len(values))
 	for i, value := range values {
 		weights[i] = 1
-		if scale := max(math.Abs(value), leastScale*largest); scale > 0 {
+		if scale := max(math.Abs(value), minRelativeScale*largest); scale > 0 {
 			weights[i] = 1 / (scale * scale)
 		}
 	}
@@ -200,8 +200,8 @@
 	return math.Sqrt(sum / float64(len(values)))
 }
 
-// meanBySize sorts by size and takes the mean where a size was measured more than once.
-func meanBySize(points []Point) []Point {
+// averageBySize sorts by size and takes the mean where a size was measured more than once.
+func averageBySize(points []Point) []Point {
 	bySize := map[float64][]float64{}
 	for _, point := range points {
 		bySize[point.Size] = append(bySize[point.Size], point.Value)
@@ -214,7 +214,7 @@
 	return means
 }
 
-func columns(points []Point) (sizes, values []float64) {
+func pointColumns(points []Point) (sizes, values []float64) {
 	for _, point := range points {
 		sizes = append(sizes, point.Size)
 		values = append(values, point.Value)
@@ -222,7 +222,7 @@
 	return sizes, values
 }
 
-func mapped(values []float64, by func(float64) float64) []float64 {
+func mapValues(values []float64, by func(float64) float64) []float64 {
 	result := make([]float64, len(values))
 	for i, value := range values {
 		result[i] = by(value)
--- a/internal/testbed/scale/page_fit_test.go
+++ b/internal/testbed/scale/page_fit_test.go
@@ -78,7 +78,7 @@
 }
 
 func TestTooFewSizes(t *testing.T) {
-	for _, count := range []int{0, 1, fewestSizes - 1} {
+	for _, count := range []int{0, 1, minFitSizes - 1} {
 		_, err := FitPoints(pointsOf(decades[:count], func(n float64) float64 { return n }))
 		var few *TooFewPointsError
 		if !errors.As(err, &few) || few.Sizes != count || few.Advice() == "" {
--- a/internal/testbed/scale/page_fleet.go
+++ b/internal/testbed/scale/page_fleet.go
@@ -12,15 +12,15 @@
 	deliverySeconds      = 0.210
 	fleetRegions         = 8.0
 	fleetZones           = 25.0
-	changesADay          = 17_000.0
+	changesPerDay        = 17_000.0
 	changeSeconds        = 16.0
 	controlCores         = 0.036 // of a core, a balancer
 	controlBytes         = 64e6  // of memory, a balancer
 	controlTraffic       = 10e3  // bytes a second, a balancer
 	fleetControlMachines = 20.0
-	failedADay           = 47.0
-	replacedADay         = 2_300.0
-	cutSeconds           = 3_600.0
+	failuresPerDay       = 47.0
+	replacementsPerDay   = 2_300.0
+	partitionSeconds     = 3_600.0
 	daySeconds           = 86_400.0
 	smallestServers      = 1_000.0
 	likelyServers        = 6_400.0
@@ -41,62 +41,62 @@
 
 // What follows from both.
 const (
-	heldConnections     = fleetConnections / fleetBalancers // by one balancer
-	zoneBalancers       = fleetBalancers / fleetZones
-	zoneConnections     = fleetConnections / fleetZones
-	regionBalancers     = fleetBalancers / fleetRegions
-	zoneHeirs           = regionBalancers - zoneBalancers // the balancers of the region that are left
-	zoneShare           = zoneConnections / zoneHeirs     // connections that each of them takes
-	rackShare           = rackBalancers * heldConnections / (regionBalancers - rackBalancers)
-	replacementSeconds  = daySeconds / replacedADay // from one replacement to the next
-	fleetReconnects     = replacedADay * heldConnections / daySeconds
-	changeEvery         = daySeconds / changesADay // seconds
-	changeRate          = changesADay / daySeconds
-	changeMessages      = changeRate * fleetBalancers // a second over the fleet
-	missedChanges       = changeRate * cutSeconds
-	heldDeliveries      = fleetDeliveries / fleetBalancers
-	heldListeners       = largestTopic / fleetBalancers
-	restingPlacements   = heldConnections / connectionSeconds
-	replacedPlacements  = fleetReconnects / fleetBalancers
-	balancersAMachine   = fleetBalancers / fleetControlMachines
-	failureSeconds      = daySeconds / failedADay
-	replacedAnHour      = replacedADay * cutSeconds / daySeconds
-	memberChangesAtRest = 2 * replacedADay / daySeconds // a leave and a join each
+	connectionsPerBalancer    = fleetConnections / fleetBalancers // by one balancer
+	zoneBalancers             = fleetBalancers / fleetZones
+	zoneConnections           = fleetConnections / fleetZones
+	regionBalancers           = fleetBalancers / fleetRegions
+	zoneSuccessors            = regionBalancers - zoneBalancers  // the balancers of the region that are left
+	zoneShare                 = zoneConnections / zoneSuccessors // connections that each of them takes
+	rackShare                 = rackBalancers * connectionsPerBalancer / (regionBalancers - rackBalancers)
+	replacementSeconds        = daySeconds / replacementsPerDay // from one replacement to the next
+	fleetReconnects           = replacementsPerDay * connectionsPerBalancer / daySeconds
+	changeInterval            = daySeconds / changesPerDay // seconds
+	changeRate                = changesPerDay / daySeconds
+	changeMessages            = changeRate * fleetBalancers // a second over the fleet
+	missedChanges             = changeRate * partitionSeconds
+	deliveriesPerBalancer     = fleetDeliveries / fleetBalancers
+	listenersPerBalancer      = largestTopic / fleetBalancers
+	ordinaryPlacements        = connectionsPerBalancer / connectionSeconds
+	replacedPlacements        = fleetReconnects / fleetBalancers
+	balancersPerMachine       = fleetBalancers / fleetControlMachines
+	failureSeconds            = daySeconds / failuresPerDay
+	replacementsPerHour       = replacementsPerDay * partitionSeconds / daySeconds
+	ordinaryMembershipChanges = 2 * replacementsPerDay / daySeconds // a leave and a join each
 )
 
-// groupsSeen is how many of the fleet's shards a balancer has a listener of when each of its connections is in one
+// groupsPerBalancer is how many of the fleet's shards a balancer has a listener of when each of its connections is in one
 // shard, drawn evenly.
-func groupsSeen() float64 {
-	return fleetShards * -math.Expm1(-heldConnections/fleetShards)
+func groupsPerBalancer() float64 {
+	return fleetShards * -math.Expm1(-connectionsPerBalancer/fleetShards)
 }
 
-// groupsOfRegion is the same when a shard's listeners are all in one region.
-func groupsOfRegion() float64 {
+// groupsPerRegion is the same when a shard's listeners are all in one region.
+func groupsPerRegion() float64 {
 	ofRegion := fleetShards / fleetRegions
-	return ofRegion * -math.Expm1(-heldConnections/ofRegion)
+	return ofRegion * -math.Expm1(-connectionsPerBalancer/ofRegion)
 }
 
 // Terms of the code that the fleet's size meets. TestTermsOfTheCode compares them with their sources.
 const (
-	mostListedServers = 16_384.0                // internal/protocol mostServers
-	longestListBytes  = mostListedServers * 256 // bytes; internal/protocol longestList
-	allSetupsOut      = 48.0                    // decide allSetups
-	gapABalancer      = 0.008                   // seconds; decide shortestGap
-	longestGap        = 16.0                    // seconds; decide longestPause
-	probeRound        = 15.0                    // seconds; decide reportAge
-	recheckRound      = 5.0                     // seconds; decide recheckEvery
-	tickSeconds       = 0.250                   // decide tickEvery
-	heapGrowth        = 2.0                     // of live memory before it is collected, as the Go runtime does by itself
-	leaseLength       = 6.0                     // seconds; docs/membership.md
-	probesAFlow       = 4.0                     // decide probesAFlow
-	guardFactor       = 1.25                    // decide guard
+	maxListedServers = 16_384.0               // internal/protocol mostServers
+	maxListBytes     = maxListedServers * 256 // bytes; internal/protocol longestList
+	fleetSetupLimit  = 48.0                   // decide allSetups
+	gapPerBalancer   = 0.008                  // seconds; decide shortestGap
+	maxSetupGap      = 16.0                   // seconds; decide longestPause
+	probeRound       = 15.0                   // seconds; decide reportAge
+	recheckRound     = 5.0                    // seconds; decide recheckEvery
+	tickSeconds      = 0.250                  // decide tickEvery
+	heapGrowth       = 2.0                    // of live memory before it is collected, as the Go runtime does by itself
+	leaseLength      = 6.0                    // seconds; docs/membership.md
+	probesPerFlow    = 4.0                    // decide probesAFlow
+	overloadFactor   = 1.25                   // decide guard
 )
 
-// setupsOut is how many set-ups one balancer may have out at once in the fleet.
-func setupsOut() float64 { return max(1, allSetupsOut/fleetBalancers) }
+// setupLimit is how many set-ups one balancer may have out at once in the fleet.
+func setupLimit() float64 { return max(1, fleetSetupLimit/fleetBalancers) }
 
-// probesAlone is how many probes a second one balancer sends where no other asks for it: each server once a round, as it
+// probeRateWithoutLeases is how many probes a second one balancer sends where no other asks for it: each server once a round, as it
 // holds more flows than there are servers, and some for each placement.
-func probesAlone(servers, placements float64) float64 {
-	return servers/probeRound + probesAFlow*placements
+func probeRateWithoutLeases(servers, placements float64) float64 {
+	return servers/probeRound + probesPerFlow*placements
 }
