--- a/internal/testbed/scale/page_limits.go
+++ b/internal/testbed/scale/page_limits.go
@@ -13,19 +13,19 @@
 	figure
 }
 
-// limit is one of the operators' limits with what is worked out for it.
-type limit struct {
-	asked     string // in the operators' words
-	name      string // of the quantity that is held against it
-	allowed   figure // its zero value: the operators state no bound
-	worked    []variant
-	mechanism string // empty: none
-	rests     string // what rests on it, said where it is missing
-	wants     string // what would carry it, said where it is missing; not built
-	never     bool   // nothing that can be built would hold it
+// requirement is one of the operators' limits with what is worked out for it.
+type requirement struct {
+	statement  string // in the operators' words
+	quantity   string // of the quantity that is held against it
+	bound      figure // its zero value: the operators state no bound
+	values     []variant
+	mechanism  string // empty: none
+	dependents string // what rests on it, said where it is missing
+	proposal   string // what would carry it, said where it is missing; not built
+	infeasible bool   // nothing that can be built would hold it
 }
 
-func (l limit) bounded() bool { return l.allowed.origin != "" && l.allowed.known() }
+func (l requirement) isBounded() bool { return l.bound.origin != "" && l.bound.known() }
 
 // verdict is whether the limit holds under every assumption.
 type verdict string
@@ -42,33 +42,33 @@
 )
 
 // ratio is the largest of what is worked out to what is allowed; ok tells whether anything is known.
-func (l limit) ratio() (largest float64, ok bool) {
-	for _, v := range l.worked {
-		if v.known() && l.bounded() {
-			largest, ok = max(largest, v.value/l.allowed.value), true
+func (l requirement) ratio() (largest float64, ok bool) {
+	for _, v := range l.values {
+		if v.known() && l.isBounded() {
+			largest, ok = max(largest, v.value/l.bound.value), true
 		}
 	}
 	return largest, ok
 }
 
-func (l limit) verdict() verdict {
-	if l.never {
+func (l requirement) verdict() verdict {
+	if l.infeasible {
 		return verdictNever
 	}
-	if !l.allowed.known() {
+	if !l.bound.known() {
 		return verdictUnknown
 	}
-	if !l.bounded() {
+	if !l.isBounded() {
 		return verdictUnbounded
 	}
 	over, under, open := 0, 0, 0
-	for _, v := range l.worked {
+	for _, v := range l.values {
 		switch {
 		case !v.known():
 			open++
-		case v.value > l.allowed.value:
+		case v.value > l.bound.value:
 			over++
-		case len(v.without) > 0:
+		case len(v.omitted) > 0:
 			open++
 		default:
 			under++
@@ -86,11 +86,11 @@
 	}
 }
 
-func (l limit) workedText() string {
-	text := joinVariants(l.worked, figure.sum)
+func (l requirement) valuesText() string {
+	text := joinVariants(l.values, figure.valueText)
 	var without []string
-	for _, v := range l.worked {
-		without = union(without, v.without)
+	for _, v := range l.values {
+		without = unionOf(without, v.omitted)
 	}
 	if len(without) > 0 {
 		text += atLeast + ", without " + strings.Join(without, ", ")
@@ -98,17 +98,17 @@
 	return text
 }
 
-func (l limit) ratioText() string {
-	if !l.bounded() {
+func (l requirement) ratioText() string {
+	if !l.isBounded() {
 		return "–"
 	}
 	partial := false
-	text := joinVariants(l.worked, func(f figure) string {
+	text := joinVariants(l.values, func(f figure) string {
 		if !f.known() {
 			return notMeasured
 		}
-		partial = partial || len(f.without) > 0
-		return digits(f.value / l.allowed.value)
+		partial = partial || len(f.omitted) > 0
+		return digits(f.value / l.bound.value)
 	})
 	if partial {
 		text += atLeast
@@ -116,11 +116,11 @@
 	return text
 }
 
-func (l limit) originText() string {
-	return joinVariants(l.worked, figure.Origin)
+func (l requirement) originText() string {
+	return joinVariants(l.values, figure.Origin)
 }
 
-func (l limit) mechanismText() string {
+func (l requirement) mechanismText() string {
 	if l.mechanism == "" {
 		return noMechanism
 	}
@@ -143,66 +143,66 @@
 	return strings.Join(texts, " / ")
 }
 
-// pageServers are the sizes of the list that the page is worked out for.
-var pageServers = []float64{smallestServers, likelyServers, largestServers}
+// serverCounts are the sizes of the list that the page is worked out for.
+var serverCounts = []float64{smallestServers, likelyServers, largestServers}
 
-// byServersOf works a figure out for each size of the list.
-func byServersOf(work func(servers float64) figure) (list []variant) {
-	for _, servers := range pageServers {
+// forEachServerCount works a figure out for each size of the list.
+func forEachServerCount(work func(servers float64) figure) (list []variant) {
+	for _, servers := range serverCounts {
 		list = append(list, variant{digits(servers) + " servers", work(servers)})
 	}
 	return list
 }
 
-func onlyOne(f figure) []variant { return []variant{{"", f}} }
+func single(f figure) []variant { return []variant{{"", f}} }
 
-// limitsTable is the table that is read in a minute.
-func (p *page) limitsTable() *table { return tableOf(p.limits()) }
+// requirementsTable is the table that is read in a minute.
+func (p *page) requirementsTable() *table { return requirementsTableOf(p.requirements()) }
 
-func tableOf(limits []limit) *table {
+func requirementsTableOf(limits []requirement) *table {
 	t := newTable("asked for", "quantity", "limit", "worked out", "ratio", "verdict", "mechanism", "origin")
-	before := ""
+	previous := ""
 	for _, l := range limits {
-		asked := l.asked
-		if asked == before {
-			asked = ""
+		statement := l.statement
+		if statement == previous {
+			statement = ""
 		}
-		before = l.asked
-		t.row(asked, l.name, l.allowedText(), l.workedText(), l.ratioText(), string(l.verdict()), l.mechanismText(), l.originText())
+		previous = l.statement
+		t.row(statement, l.quantity, l.boundText(), l.valuesText(), l.ratioText(), string(l.verdict()), l.mechanismText(), l.originText())
 	}
 	return t
 }
 
-func (l limit) allowedText() string {
-	if !l.bounded() {
+func (l requirement) boundText() string {
+	if !l.isBounded() {
 		return "–"
 	}
-	return l.allowed.String()
+	return l.bound.String()
 }
 
-// missingTable lists limits that no mechanism carries or that the mechanism does not keep, furthest over first.
-func (p *page) missingTable() *table {
+// unmetRequirementsTable lists limits that no mechanism carries or that the mechanism does not keep, furthest over first.
+func (p *page) unmetRequirementsTable() *table {
 	t := newTable("", "missing", "times its limit", "carried today by", "what would carry it, not built", "what rests on it")
 	place := 0
-	for _, l := range p.missing() {
+	for _, l := range p.unmetRequirements() {
 		place++
 		over := notMeasured
 		if ratio, ok := l.ratio(); ok {
 			over = digits(ratio)
 		}
-		t.row(digits(float64(place)), l.name, over, l.mechanismText(), orDash(l.wants), l.rests)
+		t.row(digits(float64(place)), l.quantity, over, l.mechanismText(), orDash(l.proposal), l.dependents)
 	}
 	return t
 }
 
-func (p *page) missing() []limit {
-	var list []limit
-	for _, l := range slices.Concat(p.limits(), p.partLimits(), p.ownTerms()) {
-		if l.isMissing() {
+func (p *page) unmetRequirements() []requirement {
+	var list []requirement
+	for _, l := range slices.Concat(p.requirements(), p.partRequirements(), p.designRequirements()) {
+		if l.isUnmet() {
 			list = append(list, l)
 		}
 	}
-	slices.SortStableFunc(list, func(a, b limit) int { return cmp.Compare(b.order(), a.order()) })
+	slices.SortStableFunc(list, func(a, b requirement) int { return cmp.Compare(b.excess(), a.excess()) })
 	return list
 }
 
@@ -213,8 +213,8 @@
 	return text
 }
 
-// isMissing tells whether a limit does not hold, or is not known to hold by anything that carries it.
-func (l limit) isMissing() bool {
+// isUnmet tells whether a limit does not hold, or is not known to hold by anything that carries it.
+func (l requirement) isUnmet() bool {
 	switch l.verdict() {
 	case verdictBreaks, verdictPartly:
 		return true
@@ -225,8 +225,8 @@
 	}
 }
 
-// order is how far over its limit one is; one that is not known comes after all that are.
-func (l limit) order() float64 {
+// excess is how far over its limit one is; one that is not known comes after all that are.
+func (l requirement) excess() float64 {
 	ratio, ok := l.ratio()
 	if !ok {
 		return math.Inf(-1)
--- a/internal/testbed/scale/page_read.go
+++ b/internal/testbed/scale/page_read.go
@@ -7,12 +7,12 @@
 )
 
 const (
-	beforeFolder = "before" // inside the folder of results: the reports of the code before the mechanism
-	runAgain     = "run its experiment again: testbed scale run writes reports whole"
+	baselineDirectory = "before" // inside the folder of results: the reports of the code before the mechanism
+	rerunAdvice       = "run its experiment again: testbed scale run writes reports whole"
 )
 
-// evidence is a series with where it came from.
-type evidence struct {
+// reportedSeries is a series with where it came from.
+type reportedSeries struct {
 	Series
 	File    string
 	Command string
@@ -21,10 +21,10 @@
 	FitErr  error // why there is no fit
 }
 
-// results are the reports of a folder, and all their series by name.
-type results struct {
+// reportSet are the reports of a folder, and all their series by name.
+type reportSet struct {
 	folder  string
-	series  map[string]*evidence
+	series  map[string]*reportedSeries
 	reports []reportRun
 }
 
@@ -37,13 +37,13 @@
 }
 
 // readResults reads each report of a folder, not of the folders in it.
-func readResults(folder string) (*results, error) {
+func readResults(folder string) (*reportSet, error) {
 	files, err := filepath.Glob(filepath.Join(folder, "*.json"))
 	if err != nil {
 		return nil, &Error{Where: folder, What: "can't be searched", Remedy: "name a folder of reports", Err: err}
 	}
 	slices.Sort(files)
-	all := &results{folder: folder, series: map[string]*evidence{}}
+	all := &reportSet{folder: folder, series: map[string]*reportedSeries{}}
 	for _, file := range files {
 		report, err := ReadReport(file)
 		if err != nil {
@@ -56,17 +56,17 @@
 	return all, nil
 }
 
-func (r *results) add(file string, report *Report) error {
+func (r *reportSet) add(file string, report *Report) error {
 	for _, series := range report.Series {
 		where := file + ": series " + series.Name
 		if first := r.series[series.Name]; first != nil {
 			return &Error{Where: where, What: "stands in " + first.File + " too", Remedy: "give one of both another name, or take one report away"}
 		}
-		if !slices.Contains([]Origin{Measured, Simulated, Reckoned}, series.Origin) {
-			return &Error{Where: where + ": origin", What: fmt.Sprintf("%q is not known", series.Origin), Remedy: runAgain}
+		if !slices.Contains([]Origin{Measured, Simulated, Calculated}, series.Origin) {
+			return &Error{Where: where + ": origin", What: fmt.Sprintf("%q is not known", series.Origin), Remedy: rerunAdvice}
 		}
-		entry := &evidence{Series: series, File: filepath.Base(file), Command: report.Command, Commit: report.Commit}
-		entry.Points = meanBySize(series.Points)
+		entry := &reportedSeries{Series: series, File: filepath.Base(file), Command: report.Command, Commit: report.Commit}
+		entry.Points = averageBySize(series.Points)
 		entry.Fit, entry.FitErr = FitPoints(series.Points)
 		r.series[series.Name] = entry
 	}
--- /dev/null
+++ b/internal/testbed/scale/page_requirements.go
@@ -0,0 +1,317 @@
+package scale
+
+import "fmt"
+
+// What carries a limit today.
+const (
+	mechanismCandidates        = "bounded candidates, pruned rechecks (`decide`)"
+	mechanismDecisionsOnly     = "decisions: " + mechanismCandidates + "; signals, leases, engine: " + noMechanism
+	mechanismLeasedProbes      = "leases, where switched on: one asks for all (`fleet/lease`)"
+	mechanismChanges           = "changes on an open watch, the whole list on a new one (`internal/protocol`)"
+	mechanismOverflow          = "overload threshold: on to the next server by hash (`decide`)"
+	mechanismConnectionBuffers = "one buffer a connection (`internal/transport`)"
+	mechanismSetupLimit        = "48 out over all balancers, one at the least (`decide`)"
+	mechanismLineRelay         = "relay of lines (`internal/session`)"
+	mechanismLocalTallies      = "tallies of groups held here alone (`decide`)"
+)
+
+// requirements are the operators' limits, in the order of their words.
+func (p *page) requirements() []requirement {
+	list := p.connectionRequirements()
+	list = append(list, p.changeRequirements()...)
+	list = append(list, p.controlRequirements()...)
+	return append(list, p.failureRequirements()...)
+}
+
+func (p *page) connectionRequirements() []requirement {
+	held := fmt.Sprintf("%s balancers, %s connections", digits(fleetBalancers), digits(fleetConnections))
+	topics := fmt.Sprintf("%s shards, %s listeners of the largest topic", digits(fleetShards), digits(largestTopic))
+	delivered := fmt.Sprintf("%s deliveries a second, 99 in 100 within %s", digits(fleetDeliveries), seconds(deliverySeconds))
+	return []requirement{
+		{
+			statement:  held,
+			quantity:   "servers in a list",
+			bound:      calculated(maxListedServers, inCount),
+			values:     forEachServerCount(func(servers float64) figure { return calculated(servers, inCount) }),
+			mechanism:  "the list's own bound (`internal/protocol`)",
+			dependents: "every decision: a longer list is refused whole (`mostServers`)",
+		},
+		{
+			statement: held,
+			quantity:  fmt.Sprintf("memory of the data path at %s connections", digits(connectionsPerBalancer)),
+			values:    single(p.connectionMemory(connectionsPerBalancer)),
+			mechanism: mechanismConnectionBuffers,
+		},
+		{
+			statement:  held,
+			quantity:   "set-ups out at once at a balancer",
+			bound:      calculated(setupLimit(), inCount),
+			values:     single(calculated((ordinaryPlacements+replacedPlacements)*setupSeconds, inCount)),
+			mechanism:  mechanismSetupLimit,
+			proposal:   "shares of the 48 by need, leased",
+			dependents: "every arrival: those beyond wait, and are turned away at their setup target",
+		},
+		{
+			statement:  topics,
+			quantity:   fmt.Sprintf("memory of tallies for %s groups at a balancer", digits(groupsPerBalancer())),
+			bound:      calculated(controlBytes, inBytes),
+			values:     single(p.groupMemory()),
+			mechanism:  mechanismLocalTallies,
+			dependents: "groups kept together",
+		},
+		{
+			statement:  topics,
+			quantity:   "the fullest server over the mean, with the largest topic, servers that tell no load",
+			bound:      calculated(overloadFactor, inCount),
+			values:     single(p.valueAt(topicUnevenness, fleetBalancers)),
+			mechanism:  mechanismOverflow,
+			proposal:   "a share of one topic for each of several homes, by its told size",
+			dependents: "the largest topics",
+		},
+		{
+			statement: delivered,
+			quantity:  fmt.Sprintf("processor time of %s at a balancer", show(deliveriesPerBalancer, inRate)),
+			values:    single(p.valueAt(realDeliveryTime, connectionsPerBalancer).times(deliveriesPerBalancer, inCores)),
+			mechanism: mechanismLineRelay,
+		},
+		{
+			statement:  delivered,
+			quantity:   "delay of 99 in 100",
+			bound:      calculated(deliverySeconds, inSeconds),
+			values:     single(unmeasured("delay of deliveries")),
+			proposal:   "to be measured first, through a real process under load",
+			dependents: "the promise to listeners; only the balancer's part of it can be measured here",
+		},
+	}
+}
+
+func (p *page) changeRequirements() []requirement {
+	statement := fmt.Sprintf("%s changes a day in force everywhere within %s", digits(changesPerDay), seconds(changeSeconds))
+	return []requirement{
+		{
+			statement:  statement,
+			quantity:   "99 in 100 in force, told by 20 machines that push",
+			bound:      calculated(changeSeconds, inSeconds),
+			values:     single(p.valueAt(changeP99Latency, changesPerDay)),
+			mechanism:  mechanismChanges,
+			dependents: "bans, drains and each roll of servers",
+		},
+		{
+			statement:  statement,
+			quantity:   "the last in force, told so",
+			bound:      calculated(changeSeconds, inSeconds),
+			values:     single(p.valueAt(changeMaxLatency, changesPerDay)),
+			mechanism:  mechanismChanges,
+			dependents: "bans, drains and each roll of servers",
+		},
+		{
+			statement: statement,
+			quantity:  fmt.Sprintf("a whole list for a balancer that starts with nothing, within %s", show(controlTraffic, inTraffic)),
+			bound:     calculated(changeSeconds, inSeconds),
+			values: forEachServerCount(func(servers float64) figure {
+				return p.valueAt(listBytes, servers).times(1/controlTraffic, inSeconds)
+			}),
+			proposal:   "a list kept over the restart and changes against its version; the traffic's limit as an average",
+			dependents: fmt.Sprintf("%s starts a day", digits(replacementsPerDay)),
+		},
+		{
+			statement:  statement,
+			quantity:   "the last in force while regions are apart for an hour",
+			bound:      calculated(changeSeconds, inSeconds),
+			values:     single(calculated(partitionSeconds, inSeconds)),
+			infeasible: true,
+		},
+	}
+}
+
+func (p *page) controlRequirements() []requirement {
+	statement := fmt.Sprintf("control: %s, %s and %s a balancer", show(controlCores, inCores), show(controlBytes, inBytes), show(controlTraffic, inTraffic))
+	return []requirement{
+		{
+			statement: statement,
+			quantity:  "processor time at rest, no peers, servers that tell no load (as shipped)",
+			bound:     calculated(controlCores, inCores),
+			values: forEachServerCount(func(servers float64) figure {
+				return p.standaloneProcessor(situations(servers)[situationIdle], servers)
+			}),
+			mechanism:  mechanismCandidates,
+			dependents: "every balancer, at all times",
+		},
+		{
+			statement:  statement,
+			quantity:   "the same on the ordinary day",
+			bound:      calculated(controlCores, inCores),
+			values:     forEachServerCount(func(servers float64) figure { return p.standaloneProcessor(ordinaryDay(servers), servers) }),
+			mechanism:  mechanismCandidates,
+			dependents: "every balancer, at all times",
+		},
+		{
+			statement: statement,
+			quantity:  fmt.Sprintf("a real process with 1,000 servers and %s idle connections, its data path too; past 6,000 by its fit, while rechecks are bounded", digits(connectionsPerBalancer)),
+			values:    single(p.valueAt(realConnectionTime, connectionsPerBalancer)),
+			mechanism: mechanismCandidates,
+		},
+		{
+			statement:  statement,
+			quantity:   "memory at rest, no peers",
+			bound:      calculated(controlBytes, inBytes),
+			values:     forEachServerCount(p.standaloneMemory),
+			mechanism:  mechanismLocalTallies,
+			dependents: "every balancer, at all times",
+		},
+		{
+			statement:  statement,
+			quantity:   "memory at rest, no peers, as a heap that has grown to twice its live part before it is collected",
+			bound:      calculated(controlBytes, inBytes),
+			values:     forEachServerCount(func(servers float64) figure { return p.standaloneMemory(servers).times(heapGrowth, inBytes) }),
+			mechanism:  "`limits.memory_mb` collects sooner, at a price in processor time",
+			proposal:   "records of a flow in fewer bytes",
+			dependents: "every balancer, at all times",
+		},
+		{
+			statement:  statement,
+			quantity:   "processor time with peers, signals and leases, ordinary day",
+			bound:      calculated(controlCores, inCores),
+			values:     forEachServerCount(func(servers float64) figure { return p.controlProcessor(ordinaryDay(servers), servers) }),
+			mechanism:  mechanismDecisionsOnly,
+			proposal:   "see its parts",
+			dependents: "all decisions: placement after a loss, rechecks, moves",
+		},
+		{
+			statement:  statement,
+			quantity:   "rechecks alone where connections stand evenly, so that none can win",
+			bound:      calculated(controlCores, inCores),
+			values:     forEachServerCount(func(servers float64) figure { return p.idleRecheckProcessor(connectionsPerBalancer, servers) }),
+			mechanism:  mechanismCandidates,
+			dependents: "every balancer, at all times",
+		},
+		{
+			statement:  statement,
+			quantity:   "memory with peers, signals and leases",
+			bound:      calculated(controlBytes, inBytes),
+			values:     forEachServerCount(p.controlMemory),
+			proposal:   "see its parts",
+			dependents: "the list, the tallies and the members at each balancer",
+		},
+		{
+			statement:  statement,
+			quantity:   "traffic with peers, signals and leases",
+			bound:      calculated(controlTraffic, inTraffic),
+			values:     forEachServerCount(func(servers float64) figure { return p.controlTrafficOf(ordinaryDay(servers), servers) }),
+			proposal:   "gossip in groups of a zone, sums on the way up",
+			dependents: "members, signals, leases of probes",
+		},
+		{
+			statement: statement,
+			quantity:  "traffic of probes alone, without leases",
+			bound:     calculated(controlTraffic, inTraffic),
+			values: forEachServerCount(func(servers float64) figure {
+				return calculated(probeRateWithoutLeases(servers, ordinaryPlacements+replacedPlacements)*probeBytes/2, inTraffic)
+			}),
+			mechanism:  mechanismLeasedProbes,
+			proposal:   "leases that hold at this size",
+			dependents: "told loads, where servers tell them to probes",
+		},
+		{
+			statement:  fmt.Sprintf("%s machines for control", digits(fleetControlMachines)),
+			quantity:   fmt.Sprintf("processor time and memory of one, for %s balancers", digits(balancersPerMachine)),
+			values:     single(unmeasured("control machines")),
+			dependents: "the feed of changes, whole lists for those that start, catching up after a cut",
+		},
+	}
+}
+
+func (p *page) failureRequirements() []requirement {
+	zone := "a zone lost once or twice a year"
+	back := fmt.Sprintf("while %s connections come back to a balancer within %s", digits(zoneShare), seconds(reconnectSeconds))
+	return []requirement{
+		{
+			statement:  fmt.Sprintf("%s machines fail, %s are replaced a day", digits(failuresPerDay), digits(replacementsPerDay)),
+			quantity:   "processor time of decisions for their clients",
+			bound:      calculated(controlCores, inCores),
+			values:     forEachServerCount(p.replacementProcessor),
+			mechanism:  mechanismCandidates,
+			dependents: "the ordinary day",
+		},
+		{
+			statement:  "a rack or switch lost weekly",
+			quantity:   fmt.Sprintf("processor time of decisions while %s come back to a balancer", digits(rackShare)),
+			bound:      calculated(1, inCores),
+			values:     forEachServerCount(func(servers float64) figure { return p.burstProcessor(rackShare, servers) }),
+			mechanism:  mechanismCandidates,
+			dependents: "each week's loss",
+		},
+		{
+			statement: zone,
+			quantity:  "all of control's processor time " + back,
+			bound:     calculated(1, inCores),
+			values: forEachServerCount(func(servers float64) figure {
+				return p.controlProcessor(situations(servers)[situationZoneLost], servers)
+			}),
+			mechanism:  mechanismDecisionsOnly,
+			proposal:   "see its parts",
+			dependents: "the loss of a zone",
+		},
+		{
+			statement:  zone,
+			quantity:   "set-ups out at once " + back,
+			bound:      calculated(setupLimit(), inCount),
+			values:     single(calculated(zoneShare/reconnectSeconds*setupSeconds, inCount)),
+			proposal:   "shares of the 48 by need, leased; a bound by what the servers' store answers",
+			dependents: "the loss of a zone or a rack, a cold start, each mass return",
+		},
+	}
+}
+
+// topicFills is how many servers the listeners of the largest topic fill, at the mean of connections a server.
+func topicFills(servers float64) figure {
+	return calculated(largestTopic/(fleetConnections/servers), inCount)
+}
+
+// designRequirements are terms of this design that its own parts can't keep at the size.
+func (p *page) designRequirements() []requirement {
+	statement := "the design's own terms"
+	zoned := "gossip in groups of a zone, sums on the way up"
+	return []requirement{
+		{
+			statement:  statement,
+			quantity:   "time between two words of the holder of a lease, which lasts 6 s",
+			bound:      calculated(leaseLength, inSeconds),
+			values:     single(p.valueAt(loadAge, fleetBalancers)),
+			proposal:   "a word to its zone at once, not with the next record",
+			dependents: "one probes for all: nobody hears of a lease in time, and others stand in",
+		},
+		{
+			statement:  statement,
+			quantity:   "age of a load that one member probed for all, when it is told again",
+			bound:      calculated(probeRound, inSeconds),
+			values:     single(p.valueAt(loadAge, fleetBalancers)),
+			proposal:   "a word to its zone at once, not with the next record",
+			dependents: "told loads with leases: the word lapses long before the next one",
+		},
+		{
+			statement:  statement,
+			quantity:   "members that hold one lease at a time",
+			bound:      calculated(1, inCount),
+			values:     single(p.valueAt(leaseHolders, fleetBalancers)),
+			proposal:   "a word to its zone at once, not with the next record",
+			dependents: "one probes for all",
+		},
+		{
+			statement:  statement,
+			quantity:   "members for each one that has a record within 5 s of its telling",
+			bound:      calculated(1, inCount),
+			values:     single(calculated(1, inCount).dividedBy(p.valueAt(signalReachedShare, fleetBalancers), inCount)),
+			proposal:   zoned,
+			dependents: "words of trouble, which count for 5 s",
+		},
+		{
+			statement:  statement,
+			quantity:   "members, for the records that one keeps",
+			bound:      p.valueAt(retainedRecords, fleetBalancers),
+			values:     single(calculated(fleetBalancers, inCount)),
+			proposal:   zoned,
+			dependents: "what a balancer knows of all others",
+		},
+	}
+}
--- a/internal/testbed/scale/page_slopes.go
+++ b/internal/testbed/scale/page_slopes.go
@@ -8,12 +8,12 @@
 	"strings"
 )
 
-const hashShown = 12 // of a commit
+const shownHashDigits = 12 // of a commit
 
 // slopesTable has each series of the reports with its fit and what that predicts for the point it did not see.
-func (p *page) slopesTable() *table { return slopesOf(p.after) }
+func (p *page) slopesTable() *table { return slopesOf(p.current) }
 
-func slopesOf(all *results) *table {
+func slopesOf(all *reportSet) *table {
 	t := newTable("series", "what", "unit", "origin", "range, points", "held", "fit on all but the largest", "R², residual", "largest: measured, predicted", "error", "run")
 	for _, name := range slices.Sorted(maps.Keys(all.series)) {
 		t.row(slopeRow(all.series[name])...)
@@ -21,7 +21,7 @@
 	return t
 }
 
-func slopeRow(e *evidence) []string {
+func slopeRow(e *reportedSeries) []string {
 	origin := string(e.Origin)
 	if e.Counted {
 		origin += ", counted"
@@ -55,23 +55,23 @@
 
 // quality is R² where the values differ, and the residual.
 func (f Fit) quality() string {
-	residual := show(roundedAway(f.Residual), inShare)
+	residual := show(withoutRounding(f.Residual), inShare)
 	if math.IsNaN(f.R2) || f.Form == FormConstant {
 		return "–, " + residual
 	}
 	return fmt.Sprintf("%.4f, %s", f.R2, residual)
 }
 
-// roundedAway is nought where a share is no more than rounding.
-func roundedAway(share float64) float64 {
-	if math.Abs(share) < rounding {
+// withoutRounding is nought where a share is no more than rounding.
+func withoutRounding(share float64) float64 {
+	if math.Abs(share) < roundingShare {
 		return 0
 	}
 	return share
 }
 
 func signed(share float64) string {
-	share = roundedAway(share)
+	share = withoutRounding(share)
 	text := show(share, inShare)
 	if share > 0 {
 		return "+" + text
@@ -101,10 +101,10 @@
 // runsTable has each report with the command that gives it again and the commit that was measured.
 func (p *page) runsTable() *table {
 	t := newTable("run", "command", "commit")
-	for _, r := range p.after.reports {
+	for _, r := range p.current.reports {
 		t.row(r.name, "`"+r.command+"`", shortCommit(r.commit))
 	}
-	for _, r := range p.before.reports {
+	for _, r := range p.baseline.reports {
 		t.row(r.name+", before the mechanism", "`"+r.command+"`", shortCommit(r.commit))
 	}
 	return t
@@ -112,8 +112,8 @@
 
 func shortCommit(commit string) string {
 	hash, dirty, _ := strings.Cut(commit, "-")
-	if len(hash) > hashShown {
-		hash = hash[:hashShown]
+	if len(hash) > shownHashDigits {
+		hash = hash[:shownHashDigits]
 	}
 	if dirty != "" {
 		return hash + "-" + dirty
@@ -124,7 +124,7 @@
 // checksTable has what had to hold during the runs: how many checks of each run held, and each that did not.
 func (p *page) checksTable() *table {
 	t := newTable("run", "checks that held", "checks that did not")
-	for _, r := range p.after.reports {
+	for _, r := range p.current.reports {
 		var failed []string
 		for _, check := range r.checks {
 			if !check.Held {
@@ -132,31 +132,31 @@
 			}
 		}
 		if len(r.checks) > 0 {
-			t.row(r.name, fmt.Sprintf("%d of %d", len(r.checks)-len(failed), len(r.checks)), orNone(failed))
+			t.row(r.name, fmt.Sprintf("%d of %d", len(r.checks)-len(failed), len(r.checks)), joinOrNone(failed))
 		}
 	}
 	return t
 }
 
-func orNone(texts []string) string {
+func joinOrNone(texts []string) string {
 	if len(texts) == 0 {
 		return "none"
 	}
 	return strings.Join(texts, "; ")
 }
 
-// mechanismTable has each series that was measured before the mechanism, and what it is with it at the same sizes.
-func (p *page) mechanismTable() *table {
+// comparisonWithBaseline has each series that was measured before the mechanism, and what it is with it at the same sizes.
+func (p *page) comparisonWithBaseline() *table {
 	t := newTable("series", "unit", "at", "before", "with it", "with it over before")
-	for _, name := range slices.Sorted(maps.Keys(p.before.series)) {
+	for _, name := range slices.Sorted(maps.Keys(p.baseline.series)) {
 		if strings.HasPrefix(name, faultPrefix) {
 			continue // they have a table of their own
 		}
-		before := p.before.series[name]
+		before := p.baseline.series[name]
 		var sizes, was, is, ratios []string
 		for _, point := range before.Points {
 			sizes, was = append(sizes, digits(point.Size)), append(was, digits(point.Value))
-			value, ratio := p.nowAt(name, point)
+			value, ratio := p.currentAt(name, point)
 			is, ratios = append(is, value), append(ratios, ratio)
 		}
 		t.row("`"+name+"`", before.Unit, strings.Join(sizes, " / ")+" "+before.Against, strings.Join(was, " / "), joinAlike(is), joinAlike(ratios))
@@ -164,11 +164,11 @@
 	return t
 }
 
-// nowAt is a series with the mechanism at the size of a point from before, and its ratio to that.
-func (p *page) nowAt(name string, was Point) (value, ratio string) {
-	if now := p.after.series[name]; now != nil {
-		if is, ok := now.measuredAt(was.Size); ok {
-			return digits(is), ratioText(is, was.Value)
+// currentAt is a series with the mechanism at the size of a point from before, and its ratio to that.
+func (p *page) currentAt(name string, baseline Point) (value, ratio string) {
+	if now := p.current.series[name]; now != nil {
+		if is, ok := now.measuredAt(baseline.Size); ok {
+			return digits(is), ratioText(is, baseline.Value)
 		}
 	}
 	return notMeasured, "–"
--- a/internal/testbed/scale/page_tables_test.go
+++ b/internal/testbed/scale/page_tables_test.go
@@ -8,14 +8,14 @@
 // pageOf is a page of the given series, before and with the mechanism.
 func pageOf(t *testing.T, before, after []Series, checks ...Check) *page {
 	t.Helper()
-	read := func(file string, series []Series) *results {
-		all := &results{folder: "results", series: map[string]*evidence{}}
+	read := func(file string, series []Series) *reportSet {
+		all := &reportSet{folder: "results", series: map[string]*reportedSeries{}}
 		if err := all.add(file, &Report{Experiment: strings.TrimSuffix(file, ".json"), Series: series, Checks: checks}); err != nil {
 			t.Fatal(err)
 		}
 		return all
 	}
-	return &page{before: read("before.json", before), after: read("after.json", after)}
+	return &page{baseline: read("before.json", before), current: read("after.json", after)}
 }
 
 func seriesOver(name, unit, against string, origin Origin, sizes []float64, value func(float64) float64) Series {
@@ -38,10 +38,10 @@
 	p := pageOf(t,
 		[]Series{seriesOver("a", "µs", "servers", Measured, sizes, line(1)), seriesOver("b", "µs", "servers", Measured, sizes, line(1))},
 		[]Series{seriesOver("a", "µs", "servers", Measured, sizes, line(0.1)), seriesOver("c", "µs", "servers", Measured, sizes, line(1))})
-	wantRows(t, p.mechanismTable(),
+	wantRows(t, p.comparisonWithBaseline(),
 		"| `a` | µs | 60 / 1,000 / 12,800 servers | 60 / 1,000 / 12,800 | 6 / 100 / 1,280 | 0.1 |",
 		"| `b` | µs | 60 / 1,000 / 12,800 servers | 60 / 1,000 / 12,800 | not measured | – |")
-	if rows := len(p.mechanismTable().rows); rows != 2 {
+	if rows := len(p.comparisonWithBaseline().rows); rows != 2 {
 		t.Errorf("%d rows, want one for each series of before", rows)
 	}
 }
@@ -76,9 +76,9 @@
 		seriesOver("members-real.bytes", "bytes/s", "balancers", Measured, []float64{10, 200}, func(float64) float64 { return 100 }),
 		seriesOver("members-real.bytes"+modelSuffix, "bytes/s", "balancers", Simulated, []float64{10, 200}, func(float64) float64 { return 99 }),
 	})
-	made := p.hollowTable()
+	made := p.simulatedAgainstRealTable()
 	wantRows(t, made,
-		"| processor time of a change of one entry, of twenty told together | 1,000 servers | 60 µs | 130 µs | 0.462 | "+unexplained+" |",
+		"| processor time of a change of one entry, of twenty told together | 1,000 servers | 60 µs | 130 µs | 0.462 | "+unexplainedDifference+" |",
 		"| memory that the list takes beyond that of the smallest size | 8,000 servers | 3.97 MB | 7.94 MB | 0.5 | a heap grows to twice what lives on it before it is collected |")
 	text := made.String()
 	if strings.Count(text, "| 99 B/s | 100 B/s | 0.99 | no |") != 2 {
@@ -95,7 +95,7 @@
 // Each part of control has a row for each size of the list, and each situation a row or a part of one.
 func TestRolesAreWhole(t *testing.T) {
 	p := pageOf(t, nil, nil)
-	if got, want := len(p.sizesTable().rows), len(controlParts)*len(pageServers); got != want {
+	if got, want := len(p.sizesTable().rows), len(controlParts)*len(serverCounts); got != want {
 		t.Errorf("%d rows of control, want %d", got, want)
 	}
 	for _, role := range p.roles() {
@@ -116,10 +116,10 @@
 // With nothing measured no row has a figure that rests on a measurement.
 func TestNothingMeasuredIsSaid(t *testing.T) {
 	p := pageOf(t, nil, nil)
-	for _, l := range p.limits() {
-		for _, v := range l.worked {
-			if v.known() && len(v.bases) > 0 {
-				t.Errorf("%s: %s, %s", l.name, v, v.Origin())
+	for _, l := range p.requirements() {
+		for _, v := range l.values {
+			if v.known() && len(v.derivedFrom) > 0 {
+				t.Errorf("%s: %s, %s", l.quantity, v, v.Origin())
 			}
 		}
 	}
--- a/internal/testbed/scale/page_test.go
+++ b/internal/testbed/scale/page_test.go
@@ -99,7 +99,7 @@
 		Commit:     "0123456789abcdef0123456789abcdef01234567",
 		Series: []Series{
 			{Name: placementTime.name, Unit: "µs", Against: "servers", Origin: Measured, Points: pointsOf(decades, func(n float64) float64 { return 9 + 0.2*n })},
-			{Name: placementTimeHeld.name, Unit: "µs", Against: "connections", Origin: Measured,
+			{Name: placementTimeByConnections.name, Unit: "µs", Against: "connections", Origin: Measured,
 				Points: pointsOf([]float64{800, 2500, 8000, 25000, 79012}, func(n float64) float64 { return 200 + n/1000 })},
 		},
 		Checks: []Check{{Name: "every flow is placed", Held: true}, {Name: "a rule", Held: false, Detail: "broken twice"}},
@@ -195,24 +195,24 @@
 func TestFaultBeforeTheMechanism(t *testing.T) {
 	folder := t.TempDir()
 	put(t, folder, sampleReport())
-	if err := os.Mkdir(filepath.Join(folder, beforeFolder), 0o755); err != nil {
+	if err := os.Mkdir(filepath.Join(folder, baselineDirectory), 0o755); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(filepath.Join(folder, beforeFolder, "old.json"), []byte(`{"format":1,`), 0o644); err != nil {
+	if err := os.WriteFile(filepath.Join(folder, baselineDirectory, "old.json"), []byte(`{"format":1,`), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	refused(t, folder, "old.json", beforeFolder)
+	refused(t, folder, "old.json", baselineDirectory)
 }
 
 // A series that must be there and is not is an error; one that is awaited makes its figures "not measured".
 func TestMissingSeries(t *testing.T) {
-	absent := &results{folder: "results", series: map[string]*evidence{}}
-	p := &page{after: absent, before: absent}
-	if got := p.at(slope{"awaited.one", true}, 5); got.String() != notMeasured || got.Origin() != notMeasured || p.err != nil {
+	absent := &reportSet{folder: "results", series: map[string]*reportedSeries{}}
+	p := &page{current: absent, baseline: absent}
+	if got := p.valueAt(seriesReference{"awaited.one", true}, 5); got.String() != notMeasured || got.Origin() != notMeasured || p.err != nil {
 		t.Errorf("awaited: %v, %v, %v", got, got.Origin(), p.err)
 	}
-	p.at(slope{"needed.one", false}, 5)
-	p.at(slope{"needed.two", false}, 5)
+	p.valueAt(seriesReference{"needed.one", false}, 5)
+	p.valueAt(seriesReference{"needed.two", false}, 5)
 	var bad *Error
 	if !errors.As(p.err, &bad) || !strings.Contains(bad.Error(), "results: series needed.one: is missing") {
 		t.Errorf("got %v", p.err)
@@ -228,7 +228,7 @@
 	if err := os.Remove(filepath.Join(folder, "placement-servers.json")); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.RemoveAll(filepath.Join(folder, beforeFolder)); err != nil {
+	if err := os.RemoveAll(filepath.Join(folder, baselineDirectory)); err != nil {
 		t.Fatal(err)
 	}
 	refused(t, folder, folder, placementTime.name)
@@ -248,11 +248,11 @@
 		folder, name string
 		want         float64
 	}{
-		{"../../protocol", "mostServers", mostListedServers},
-		{"../../../decide", "allSetups", allSetupsOut},
-		{"../../../decide", "shortestGap", gapABalancer * 1000},
-		{"../../../decide", "guard", guardFactor},
-		{"../../../decide", "probesAFlow", probesAFlow},
+		{"../../protocol", "mostServers", maxListedServers},
+		{"../../../decide", "fleetSetupLimit", fleetSetupLimit},
+		{"../../../decide", "minSetupSpacing", gapPerBalancer * 1000},
+		{"../../../decide", "groupingGuard", overloadFactor},
+		{"../../../decide", "checksPerConnect", probesPerFlow},
 	} {
 		pattern := regexp.MustCompile(`(?m)^\s*` + c.name + `\s*=\s*([0-9._]+)`)
 		if got := termOf(t, c.folder, pattern); got != c.want {
--- a/internal/testbed/scale/real.go
+++ b/internal/testbed/scale/real.go
@@ -16,22 +16,22 @@
 	sweeps["real-connections"] = realConnections
 	sweeps["real-deliveries"] = realDeliveries
 	sweeps["real-placements"] = realPlacements
-	sweeps["compare"] = compareWithHollow
+	sweeps["compare"] = compareWithSimulated
 }
 
 const (
-	mostRealServers     = 16_384 // servers that a list may have
-	mostRealConnections = 9_950  // of one process of 20,000 descriptors, of which each connection takes two
-	mostQuiet           = 25 * time.Second
-	realQuiet           = 20 * time.Second
-	realZones           = 25
-	realBalancers       = 8_100
+	maxRealServers           = 16_384 // servers that a list may have
+	maxRealConnections       = 9_950  // of one process of 20,000 descriptors, of which each connection takes two
+	maxMeasurementPeriod     = 25 * time.Second
+	defaultMeasurementPeriod = 20 * time.Second
+	defaultRealZones         = 25
+	defaultRealBalancers     = 8_100
 )
 
 // ProcessError says what went wrong with a real process and what helps.
 type ProcessError struct {
-	What, Do string
-	Err      error
+	What, Remedy string
+	Err          error
 }
 
 func (e *ProcessError) Error() string {
@@ -45,7 +45,7 @@
 func (e *ProcessError) Unwrap() error { return e.Err }
 
 // Advice says what an operator can do.
-func (e *ProcessError) Advice() string { return e.Do }
+func (e *ProcessError) Advice() string { return e.Remedy }
 
 type programKey struct{}
 
@@ -73,17 +73,17 @@
 // realSettings are settings with the defaults of the sweeps on real processes.
 type realSettings struct {
 	Settings
-	quiet time.Duration // how long each time at rest is measured
+	period time.Duration // how long each time at rest is measured
 }
 
-// settle is how long a process is left alone before a time of quiet is measured.
-func (s realSettings) settle() time.Duration { return s.quiet / 4 }
+// settlingTime is how long a process is left alone before a time of quiet is measured.
+func (s realSettings) settlingTime() time.Duration { return s.period / 4 }
 
-func readReal(s Settings, sizes, mostSize int, of string) (realSettings, error) {
+func newRealSettings(s Settings, sizes, mostSize int, of string) (realSettings, error) {
 	bad := func(key, format string, a ...any) (realSettings, error) {
-		return realSettings{}, &ProcessError{What: key + ": " + fmt.Sprintf(format, a...), Do: "mend the key in the experiment's file"}
+		return realSettings{}, &ProcessError{What: key + ": " + fmt.Sprintf(format, a...), Remedy: "mend the key in the experiment's file"}
 	}
-	r := realSettings{Settings: s, quiet: realQuiet}
+	r := realSettings{Settings: s, period: defaultMeasurementPeriod}
 	if len(s.Sizes) < sizes {
 		return bad("sizes", "want %d or more numbers of %s", sizes, of)
 	}
@@ -92,23 +92,23 @@
 			return bad("sizes", "want rising numbers of %s from 1 to %d, got %d", of, mostSize, n)
 		}
 	}
-	if s.Servers < 0 || s.Servers > mostRealServers {
-		return bad("servers", "want 1 to %d, got %d", mostRealServers, s.Servers)
+	if s.Servers < 0 || s.Servers > maxRealServers {
+		return bad("servers", "want 1 to %d, got %d", maxRealServers, s.Servers)
 	}
-	if s.Connections < 0 || s.Connections > mostRealConnections {
-		return bad("connections", "want 0 to %d, got %d", mostRealConnections, s.Connections)
+	if s.Connections < 0 || s.Connections > maxRealConnections {
+		return bad("connections", "want 0 to %d, got %d", maxRealConnections, s.Connections)
 	}
 	if s.Length != "" {
 		length, err := time.ParseDuration(s.Length)
-		if err != nil || length < 100*time.Millisecond || length > mostQuiet {
-			return bad("length", "want a time from 100ms to %v, after which clients that say nothing count as gone, got %q", mostQuiet, s.Length)
+		if err != nil || length < 100*time.Millisecond || length > maxMeasurementPeriod {
+			return bad("length", "want a time from 100ms to %v, after which clients that say nothing count as gone, got %q", maxMeasurementPeriod, s.Length)
 		}
-		r.quiet = length
+		r.period = length
 	}
 	for _, v := range []struct {
 		value  *int
 		absent int
-	}{{&r.Zones, realZones}, {&r.Balancers, realBalancers}, {&r.Groups, mostRealConnections}, {&r.Servers, 1000}} {
+	}{{&r.Zones, defaultRealZones}, {&r.Balancers, defaultRealBalancers}, {&r.Groups, maxRealConnections}, {&r.Servers, 1000}} {
 		if *v.value == 0 {
 			*v.value = v.absent
 		}
--- a/internal/testbed/scale/real_compare.go
+++ b/internal/testbed/scale/real_compare.go
@@ -10,36 +10,36 @@
 )
 
 const (
-	compareWithin = 0.2 // of the real figure, beyond the scatter of the hollow one
-	compareRounds = 3   // of each measurement
-	compareTimes  = 5   // so often a hollow figure is measured: the same work varies on a busy machine
+	compareTolerance   = 0.2 // of the real figure, beyond the scatter of the hollow one
+	compareRounds      = 3   // of each measurement
+	compareRepetitions = 5   // so often a hollow figure is measured: the same work varies on a busy machine
 )
 
 // comparison is a quantity that hollow balancers and real processes both give.
 type comparison struct {
 	name, quantity, unit string
-	less, more           string // why the hollow one may be far below the real one, or above it; empty: it may not
+	whyBelow, whyAbove   string // why the hollow one may be far below the real one, or above it; empty: it may not
 }
 
-const standInToo = "the stand-in that writes the list is in the hollow one's process"
+const stubSharesProcess = "the stand-in that writes the list is in the hollow one's process"
 
 // comparisons are in the order of the report.
 var comparisons = []comparison{
 	{name: "rest", quantity: "processor time at rest that held idle connections add", unit: "cores"},
 	{name: "change", quantity: "processor time of a change of one entry, each told alone to the real one and twenty together to the hollow one", unit: "s",
-		less: "a process at rest is woken for each change; see changes", more: standInToo},
-	{name: "changes", quantity: "processor time of a change of one entry, of twenty told together", unit: "s", more: standInToo},
-	{name: "whole-list", quantity: "processor time of a whole list, told again", unit: "s", more: standInToo},
+		whyBelow: "a process at rest is woken for each change; see changes", whyAbove: stubSharesProcess},
+	{name: "changes", quantity: "processor time of a change of one entry, of twenty told together", unit: "s", whyAbove: stubSharesProcess},
+	{name: "whole-list", quantity: "processor time of a whole list, told again", unit: "s", whyAbove: stubSharesProcess},
 	{name: "list-memory", quantity: "memory that the list takes beyond that of the smallest size", unit: "bytes",
-		less: "a heap grows to twice what lives on it before it is collected"},
+		whyBelow: "a heap grows to twice what lives on it before it is collected"},
 }
 
 // comparedFigures are the values of comparisons, by name; a hollow one is measured several times.
 type comparedFigures map[string][]float64
 
-// compareWithHollow measures the same of a real process and of hollow balancers, against the servers on the list.
-func compareWithHollow(ctx context.Context, settings Settings, progress Progress) ([]Series, []Check, error) {
-	s, err := readReal(settings, 2, mostRealServers-realListsTold, "servers")
+// compareWithSimulated measures the same of a real process and of hollow balancers, against the servers on the list.
+func compareWithSimulated(ctx context.Context, settings Settings, progress Progress) ([]Series, []Check, error) {
+	s, err := newRealSettings(settings, 2, maxRealServers-realListsPublished, "servers")
 	if err != nil {
 		return nil, nil, err
 	}
@@ -52,24 +52,24 @@
 	var smallest [2]float64 // of the list's memory, real and hollow
 	for i, n := range s.Sizes {
 		progress(i, len(s.Sizes))
-		realFigures, err := comparedReal(ctx, s, n)
+		realFigures, err := measureReal(ctx, s, n)
 		if err != nil {
 			return nil, nil, err
 		}
-		hollow, err := comparedHollow(ctx, s, n)
+		simulated, err := measureSimulated(ctx, s, n)
 		if err != nil {
 			return nil, nil, err
 		}
 		if i == 0 {
-			smallest = [2]float64{realFigures["list-memory"][0], hollow["list-memory"][0]}
+			smallest = [2]float64{realFigures["list-memory"][0], simulated["list-memory"][0]}
 		}
 		realFigures["list-memory"][0] -= smallest[0]
-		hollow["list-memory"][0] -= smallest[1]
+		simulated["list-memory"][0] -= smallest[1]
 		for _, c := range comparisons {
 			set.add("compare."+c.name+".real", c.quantity+", a real process", c.unit, n, realFigures[c.name][0])
-			set.add("compare."+c.name+".hollow", c.quantity+", hollow", c.unit, n, median(hollow[c.name]))
+			set.add("compare."+c.name+".hollow", c.quantity+", hollow", c.unit, n, median(simulated[c.name]))
 			if i > 0 || c.name != "list-memory" {
-				checks = append(checks, c.check(n, realFigures[c.name][0], hollow[c.name]))
+				checks = append(checks, c.check(n, realFigures[c.name][0], simulated[c.name]))
 			}
 		}
 	}
@@ -78,14 +78,14 @@
 }
 
 // check tells whether two figures are close, or apart for a reason that is known.
-func (c comparison) check(servers int, realFigure float64, hollow []float64) Check {
-	least, most := slices.Min(hollow), slices.Max(hollow)
+func (c comparison) check(servers int, realFigure float64, simulated []float64) Check {
+	least, most := slices.Min(simulated), slices.Max(simulated)
 	check := Check{Name: fmt.Sprintf("%s at %d servers: hollow is within 20 %% of real, or why not is known", c.name, servers),
-		Held:   realFigure >= least*(1-compareWithin) && realFigure <= most*(1+compareWithin),
-		Detail: fmt.Sprintf("real %.4g %s, hollow %.4g to %.4g, %+.0f %% in the middle", realFigure, c.unit, least, most, 100*(median(hollow)/realFigure-1))}
-	why := c.more
+		Held:   realFigure >= least*(1-compareTolerance) && realFigure <= most*(1+compareTolerance),
+		Detail: fmt.Sprintf("real %.4g %s, hollow %.4g to %.4g, %+.0f %% in the middle", realFigure, c.unit, least, most, 100*(median(simulated)/realFigure-1))}
+	why := c.whyAbove
 	if realFigure > most {
-		why = c.less
+		why = c.whyBelow
 	}
 	if !check.Held && why != "" {
 		check.Held = true
@@ -94,16 +94,16 @@
 	return check
 }
 
-func comparedReal(ctx context.Context, s realSettings, servers int) (comparedFigures, error) {
+func measureReal(ctx context.Context, s realSettings, servers int) (comparedFigures, error) {
 	p, err := startReal(ctx, s, servers)
 	if err != nil {
 		return nil, err
 	}
 	defer p.end()
-	if err := pause(ctx, s.settle()); err != nil {
+	if err := pause(ctx, s.settlingTime()); err != nil {
 		return nil, err
 	}
-	empty, err := p.processorShare(ctx, s.quiet)
+	empty, err := p.processorShare(ctx, s.period)
 	if err != nil {
 		return nil, err
 	}
@@ -111,50 +111,50 @@
 	if err != nil {
 		return nil, err
 	}
-	change, err := p.costOf(ctx, empty, realChangesTold, realChangeEvery, func(i int) { p.list.toggle(i * 7) })
+	changeCost, err := p.processorCost(ctx, empty, realChangesPublished, realChangeInterval, func(i int) { p.list.toggleCell(i * 7) })
 	if err != nil {
 		return nil, err
 	}
-	together, err := p.costOf(ctx, empty, realListsTold, 4*realChangeEvery, func(i int) {
-		for j := range changesAtATime {
-			p.list.toggle(i*changesAtATime + j)
+	batchCost, err := p.processorCost(ctx, empty, realListsPublished, 4*realChangeInterval, func(i int) {
+		for j := range changesPerBatch {
+			p.list.toggleCell(i*changesPerBatch + j)
 		}
 	})
 	if err != nil {
 		return nil, err
 	}
-	whole, err := p.costOf(ctx, empty, realListsTold, 4*realChangeEvery, func(int) { p.list.tellWhole() })
+	fullListCost, err := p.processorCost(ctx, empty, realListsPublished, 4*realChangeInterval, func(int) { p.list.publishFullList() })
 	if err != nil {
 		return nil, err
 	}
-	held, err := restWithHeld(ctx, s, p)
+	held, err := idleShareWithConnections(ctx, s, p)
 	if err != nil {
 		return nil, err
 	}
-	return comparedFigures{"rest": {held - empty}, "change": {change.Seconds()}, "changes": {together.Seconds() / changesAtATime},
-		"whole-list": {whole.Seconds()}, "list-memory": {memory.private}}, nil
+	return comparedFigures{"rest": {held - empty}, "change": {changeCost.Seconds()}, "changes": {batchCost.Seconds() / changesPerBatch},
+		"whole-list": {fullListCost.Seconds()}, "list-memory": {memory.private}}, nil
 }
 
-// restWithHeld is the part of a core that a process uses while it holds idle connections.
-func restWithHeld(ctx context.Context, s realSettings, p *realProcess) (float64, error) {
-	c := &standInClients{to: p.listen, groups: s.Groups}
+// idleShareWithConnections is the part of a core that a process uses while it holds idle connections.
+func idleShareWithConnections(ctx context.Context, s realSettings, p *realProcess) (float64, error) {
+	c := &stubClients{address: p.listen, groups: s.Groups}
 	defer c.close()
-	if err := c.grow(ctx, s.Connections); err != nil {
+	if err := c.openUpTo(ctx, s.Connections); err != nil {
 		return 0, err
 	}
-	if err := pause(ctx, s.settle()); err != nil {
+	if err := pause(ctx, s.settlingTime()); err != nil {
 		return 0, err
 	}
-	if err := c.speak(ctx); err != nil {
+	if err := c.exchangeLines(ctx); err != nil {
 		return 0, err
 	}
-	return p.processorShare(ctx, s.quiet)
+	return p.processorShare(ctx, s.period)
 }
 
-func comparedHollow(ctx context.Context, s realSettings, servers int) (comparedFigures, error) {
+func measureSimulated(ctx context.Context, s realSettings, servers int) (comparedFigures, error) {
 	figures := comparedFigures{}
-	bare, held := placedHollow(s, servers, 0), placedHollow(s, servers, s.Connections)
-	for range compareTimes {
+	bare, held := newPlacedBalancer(s, servers, 0), newPlacedBalancer(s, servers, s.Connections)
+	for range compareRepetitions {
 		without, _, err := tickCost(ctx, bare)
 		if err != nil {
 			return nil, err
@@ -165,63 +165,63 @@
 		}
 		figures["rest"] = append(figures["rest"], (with-without).Seconds()/ticksEvery.Seconds())
 	}
-	return figures, figures.takeLists(ctx, s.Seed, servers)
+	return figures, figures.measureListUpdates(ctx, s.Seed, servers)
 }
 
-// takeLists measures what the real reading of the list and the decisions behind it cost in this process.
-func (f comparedFigures) takeLists(ctx context.Context, seed uint64, servers int) error {
-	taker, err := newListTaker(ctx, seed)
+// measureListUpdates measures what the real reading of the list and the decisions behind it cost in this process.
+func (f comparedFigures) measureListUpdates(ctx context.Context, seed uint64, servers int) error {
+	subscriber, err := newListSubscriber(ctx, seed)
 	if err != nil {
 		return err
 	}
-	defer taker.close()
+	defer subscriber.close()
 	before := liveMemory()
 	revision := 1
-	if err := taker.take(ctx, [][]byte{wholeList(servers, revision).line()}, revision); err != nil {
+	if err := subscriber.apply(ctx, [][]byte{fullList(servers, revision).line()}, revision); err != nil {
 		return err
 	}
 	f["list-memory"] = []float64{float64(liveMemory() - before)}
 	var fault error
-	take := func(objects [][]byte) {
+	apply := func(objects [][]byte) {
 		if fault == nil {
-			fault = taker.take(ctx, objects, revision)
+			fault = subscriber.apply(ctx, objects, revision)
 		}
 	}
-	for range compareTimes {
-		whole := measure(compareRounds, 1, func() {
+	for range compareRepetitions {
+		fullListCost := measure(compareRounds, 1, func() {
 			revision++
-			take([][]byte{wholeList(servers, revision).line()})
+			apply([][]byte{fullList(servers, revision).line()})
 		})
-		written := measure(compareRounds, 1, func() { wholeList(servers, revision).line() })
+		written := measure(compareRounds, 1, func() { fullList(servers, revision).line() })
 		change := measure(compareRounds, 1, func() {
-			objects := lines(changesOneByOne(spreadOver(servers), revision+1))
-			revision += changesAtATime
-			take(objects)
+			objects := lines(changesOneByOne(spreadServers(servers), revision+1))
+			revision += changesPerBatch
+			apply(objects)
 		})
-		each := change.processor.Seconds() / changesAtATime
+		each := change.processor.Seconds() / changesPerBatch
 		f["change"], f["changes"] = append(f["change"], each), append(f["changes"], each)
-		f["whole-list"] = append(f["whole-list"], (whole.processor - written.processor).Seconds())
+		f["whole-list"] = append(f["whole-list"], (fullListCost.processor - written.processor).Seconds())
 	}
 	return fault
 }
 
-// spreadOver are as many servers as changes are told together.
-func spreadOver(servers int) (which []int) {
-	for i := range changesAtATime {
-		which = append(which, i*servers/changesAtATime)
+// spreadServers are as many servers as changes are told together.
+func spreadServers(servers int) (which []int) {
+	for i := range changesPerBatch {
+		which = append(which, i*servers/changesPerBatch)
 	}
 	return which
 }
 
-// placedHollow holds connections where its own decisions placed them one by one, as a real process does: spread evenly, as restingHollow
+// newPlacedBalancer holds connections where its own decisions placed them one by one, as a real process does: spread evenly, as restingHollow
 // has them, nearly all of them are found settled without a look.
-func placedHollow(s realSettings, servers, connections int) *hollow {
-	h := newHollow(s.Seed, terms{peers: s.Balancers})
+func newPlacedBalancer(s realSettings, servers, connections int) *simulatedBalancer {
+	h := newSimulatedBalancer(s.Seed, simulatedSettings{peers: s.Balancers})
 	h.list(decide.FullUpdate, warmServers(servers, s.Zones))
 	for i := range connections {
 		h.advance(h.now + time.Millisecond)
-		h.place(flowName(i), groupName(i%s.Groups))
+		h.placeFlow(flowName(i), groupName(i%s.Groups))
 	}
-	h.advance(h.now + beginning)
+	h.advance(h.now + settlingPeriod)
 	return h
 }
--- a/internal/testbed/scale/real_held.go
+++ b/internal/testbed/scale/real_held.go
@@ -8,56 +8,56 @@
 )
 
 const (
-	realDeliveryRate    = 6_050 // a second at each balancer at the size ahead
-	deliveryLength      = 200   // bytes, with its end
-	realPlacementsTimed = 400
-	realHeldBesides     = 200 // connections while placements are measured
+	realDeliveryRate      = 6_050 // a second at each balancer at the size ahead
+	deliveryLength        = 200   // bytes, with its end
+	realPlacementCount    = 400
+	backgroundConnections = 200 // connections while placements are measured
 )
 
-// withHeld starts a process and has it hold more and more connections; at is called at each size, once it is quiet.
-func withHeld(ctx context.Context, s realSettings, progress Progress, at func(p *realProcess, c *standInClients, size int) error) ([]Check, error) {
+// atEachSize starts a process and has it hold more and more connections; at is called at each size, once it is quiet.
+func atEachSize(ctx context.Context, s realSettings, progress Progress, measureSize func(p *realProcess, c *stubClients, size int) error) ([]Check, error) {
 	p, err := startReal(ctx, s, s.Servers)
 	if err != nil {
 		return nil, err
 	}
 	defer p.end()
-	c := &standInClients{to: p.listen, groups: s.Groups}
+	c := &stubClients{address: p.listen, groups: s.Groups}
 	defer c.close()
 	for i, n := range s.Sizes {
 		progress(i, len(s.Sizes))
-		if err := c.speak(ctx); err != nil {
+		if err := c.exchangeLines(ctx); err != nil {
 			return nil, err
 		}
-		if err := c.grow(ctx, n); err != nil {
+		if err := c.openUpTo(ctx, n); err != nil {
 			return nil, err
 		}
-		if err := pause(ctx, s.settle()); err != nil {
+		if err := pause(ctx, s.settlingTime()); err != nil {
 			return nil, err
 		}
-		if err := c.speak(ctx); err != nil {
+		if err := c.exchangeLines(ctx); err != nil {
 			return nil, err
 		}
-		if err := at(p, c, n); err != nil {
+		if err := measureSize(p, c, n); err != nil {
 			return nil, err
 		}
 	}
 	progress(len(s.Sizes), len(s.Sizes))
-	lost, moved := c.ended.Load(), c.moved.Load()
+	lost, moved := c.ended.Load(), c.migrated.Load()
 	return []Check{{Name: "all connections held to the end", Held: lost == 0,
 		Detail: fmt.Sprintf("%d of %d ended, %d asked to move", lost, c.held(), moved)}}, nil
 }
 
 // realConnections measures a process that holds idle connections, against their number.
 func realConnections(ctx context.Context, settings Settings, progress Progress) ([]Series, []Check, error) {
-	s, err := readReal(settings, 2, mostRealConnections, "connections")
+	s, err := newRealSettings(settings, 2, maxRealConnections, "connections")
 	if err != nil {
 		return nil, nil, err
 	}
 	set := &realSeries{role: realRoleDataPath, against: "connections",
 		held: map[string]float64{"servers": float64(s.Servers), "groups": float64(s.Groups), "zones": float64(s.Zones)}}
 	prefix := fmt.Sprintf("real.connections.%d-servers", s.Servers)
-	checks, err := withHeld(ctx, s, progress, func(p *realProcess, _ *standInClients, n int) error {
-		share, err := p.processorShare(ctx, s.quiet)
+	checks, err := atEachSize(ctx, s, progress, func(p *realProcess, _ *stubClients, n int) error {
+		share, err := p.processorShare(ctx, s.period)
 		if err != nil {
 			return err
 		}
@@ -74,7 +74,7 @@
 
 // realDeliveries measures what a line from a server to a client costs, against the connections held. All get lines in turn.
 func realDeliveries(ctx context.Context, settings Settings, progress Progress) ([]Series, []Check, error) {
-	s, err := readReal(settings, 2, mostRealConnections, "connections")
+	s, err := newRealSettings(settings, 2, maxRealConnections, "connections")
 	if err != nil {
 		return nil, nil, err
 	}
@@ -84,8 +84,8 @@
 	set := &realSeries{role: realRoleDataPath, against: "connections",
 		held: map[string]float64{"servers": float64(s.Servers), "lines a second": s.Rate, "bytes a line": deliveryLength}}
 	line := []byte(strings.Repeat("x", deliveryLength-2) + "\r\n")
-	checks, err := withHeld(ctx, s, progress, func(p *realProcess, c *standInClients, n int) error {
-		cost, err := p.costOfLine(ctx, c, s, line)
+	checks, err := atEachSize(ctx, s, progress, func(p *realProcess, c *stubClients, n int) error {
+		cost, err := p.lineCost(ctx, c, s, line)
 		if err != nil {
 			return err
 		}
@@ -95,8 +95,8 @@
 	return set.list, checks, err
 }
 
-func (p *realProcess) costOfLine(ctx context.Context, c *standInClients, s realSettings, line []byte) (time.Duration, error) {
-	atRest, err := p.processorShare(ctx, s.quiet/2)
+func (p *realProcess) lineCost(ctx context.Context, c *stubClients, s realSettings, line []byte) (time.Duration, error) {
+	idleShare, err := p.processorShare(ctx, s.period/2)
 	if err != nil {
 		return 0, err
 	}
@@ -104,18 +104,18 @@
 	if err != nil {
 		return 0, err
 	}
-	start, had := time.Now(), c.lines.Load()
-	within, cancel := context.WithTimeout(ctx, s.quiet)
+	start, had := time.Now(), c.linesReceived.Load()
+	within, cancel := context.WithTimeout(ctx, s.period)
 	sent, err := p.servers.deliver(within, s.Rate, line)
 	cancel()
 	if err != nil {
 		return 0, err
 	}
-	for wait := 0; c.lines.Load()-had < int64(sent); wait++ {
+	for wait := 0; c.linesReceived.Load()-had < int64(sent); wait++ {
 		if wait > 1000 {
-			return 0, &ProcessError{What: fmt.Sprintf("%d of %d lines came", c.lines.Load()-had, sent), Do: "run fewer things at once"}
+			return 0, &ProcessError{What: fmt.Sprintf("%d of %d lines came", c.linesReceived.Load()-had, sent), Remedy: "run fewer things at once"}
 		}
-		if err := pause(ctx, realAskAgain); err != nil {
+		if err := pause(ctx, realPollInterval); err != nil {
 			return 0, err
 		}
 	}
@@ -123,23 +123,23 @@
 	if err != nil {
 		return 0, err
 	}
-	used := after - before - time.Duration(atRest*float64(time.Since(start)))
+	used := after - before - time.Duration(idleShare*float64(time.Since(start)))
 	return used / time.Duration(max(sent, 1)), nil
 }
 
 // realPlacements measures one connection from its coming to its end, sockets included, against the servers on the list.
 func realPlacements(ctx context.Context, settings Settings, progress Progress) ([]Series, []Check, error) {
-	s, err := readReal(settings, 2, mostRealServers, "servers")
+	s, err := newRealSettings(settings, 2, maxRealServers, "servers")
 	if err != nil {
 		return nil, nil, err
 	}
 	if s.Connections == 0 {
-		s.Connections = realHeldBesides
+		s.Connections = backgroundConnections
 	}
 	set := &realSeries{role: realRoleControl, against: "servers", held: map[string]float64{"connections": float64(s.Connections)}}
 	for i, n := range s.Sizes {
 		progress(i, len(s.Sizes))
-		cost, err := placementsOf(ctx, s, n)
+		cost, err := measurePlacement(ctx, s, n)
 		if err != nil {
 			return nil, nil, err
 		}
@@ -149,21 +149,21 @@
 	return set.list, nil, nil
 }
 
-func placementsOf(ctx context.Context, s realSettings, servers int) (time.Duration, error) {
+func measurePlacement(ctx context.Context, s realSettings, servers int) (time.Duration, error) {
 	p, err := startReal(ctx, s, servers)
 	if err != nil {
 		return 0, err
 	}
 	defer p.end()
-	held := &standInClients{to: p.listen, groups: s.Groups}
+	held := &stubClients{address: p.listen, groups: s.Groups}
 	defer held.close()
-	if err := held.grow(ctx, s.Connections); err != nil {
+	if err := held.openUpTo(ctx, s.Connections); err != nil {
 		return 0, err
 	}
-	if err := pause(ctx, s.settle()); err != nil {
+	if err := pause(ctx, s.settlingTime()); err != nil {
 		return 0, err
 	}
-	atRest, err := p.processorShare(ctx, s.quiet/2)
+	idleShare, err := p.processorShare(ctx, s.period/2)
 	if err != nil {
 		return 0, err
 	}
@@ -172,10 +172,10 @@
 		return 0, err
 	}
 	start := time.Now()
-	comers := &standInClients{to: p.listen, groups: s.Groups}
-	comers.nextID.Store(mostRealConnections) // ids of their own
-	err = comers.grow(ctx, realPlacementsTimed)
-	comers.close()
+	arrivals := &stubClients{address: p.listen, groups: s.Groups}
+	arrivals.nextID.Store(maxRealConnections) // ids of their own
+	err = arrivals.openUpTo(ctx, realPlacementCount)
+	arrivals.close()
 	if err != nil {
 		return 0, err
 	}
@@ -183,6 +183,6 @@
 		return 0, err
 	}
 	after, err := p.processorTime()
-	used := after - before - time.Duration(atRest*float64(time.Since(start)))
-	return used / realPlacementsTimed, err
+	used := after - before - time.Duration(idleShare*float64(time.Since(start)))
+	return used / realPlacementCount, err
 }
--- a/internal/testbed/scale/real_lists.go
+++ b/internal/testbed/scale/real_lists.go
@@ -8,14 +8,14 @@
 )
 
 const (
-	realChangesTold   = 40 // whose processor time is read together
-	realChangeEvery   = 100 * time.Millisecond
-	realChangesTimed  = 11
-	realListsTold     = 5
-	realInForceWithin = 5 * time.Second
-	realRoleControl   = "balancer control"
-	realRoleDataPath  = "balancer data path"
-	realRolesList     = "balancer control: list"
+	realChangesPublished = 40 // whose processor time is read together
+	realChangeInterval   = 100 * time.Millisecond
+	realChangesTimed     = 11
+	realListsPublished   = 5
+	propagationTimeout   = 5 * time.Second
+	realRoleControl      = "balancer control"
+	realRoleDataPath     = "balancer data path"
+	realRolesList        = "balancer control: list"
 )
 
 // realSeries collects the points of several series over the same sizes.
@@ -43,14 +43,14 @@
 
 // realServers measures a process at rest that holds no connection, against the servers on its list.
 func realServers(ctx context.Context, settings Settings, progress Progress) ([]Series, []Check, error) {
-	s, err := readReal(settings, 2, mostRealServers, "servers")
+	s, err := newRealSettings(settings, 2, maxRealServers, "servers")
 	if err != nil {
 		return nil, nil, err
 	}
 	set := &realSeries{role: realRolesList, against: "servers", held: map[string]float64{"connections": 0, "zones": float64(s.Zones)}}
 	for i, n := range s.Sizes {
 		progress(i, len(s.Sizes))
-		if err := measureAtRest(ctx, s, n, set); err != nil {
+		if err := measureIdle(ctx, s, n, set); err != nil {
 			return nil, nil, err
 		}
 	}
@@ -58,7 +58,7 @@
 	return set.list, nil, nil
 }
 
-func measureAtRest(ctx context.Context, s realSettings, servers int, set *realSeries) error {
+func measureIdle(ctx context.Context, s realSettings, servers int, set *realSeries) error {
 	p, err := startReal(ctx, s, servers)
 	if err != nil {
 		return err
@@ -68,10 +68,10 @@
 	if err != nil {
 		return err
 	}
-	if err := pause(ctx, s.settle()); err != nil {
+	if err := pause(ctx, s.settlingTime()); err != nil {
 		return err
 	}
-	share, err := p.processorShare(ctx, s.quiet)
+	share, err := p.processorShare(ctx, s.period)
 	if err != nil {
 		return err
 	}
@@ -87,14 +87,14 @@
 
 // realChanges measures what news of the list cost and how soon they are in force, against the servers on it.
 func realChanges(ctx context.Context, settings Settings, progress Progress) ([]Series, []Check, error) {
-	s, err := readReal(settings, 2, mostRealServers-realChangesTimed-realListsTold, "servers")
+	s, err := newRealSettings(settings, 2, maxRealServers-realChangesTimed-realListsPublished, "servers")
 	if err != nil {
 		return nil, nil, err
 	}
 	set := &realSeries{role: realRolesList, against: "servers", held: map[string]float64{"connections": 0, "zones": float64(s.Zones)}}
 	for i, n := range s.Sizes {
 		progress(i, len(s.Sizes))
-		if err := changesOf(ctx, s, n, set); err != nil {
+		if err := measureListChanges(ctx, s, n, set); err != nil {
 			return nil, nil, err
 		}
 	}
@@ -102,32 +102,32 @@
 	return set.list, nil, nil
 }
 
-func changesOf(ctx context.Context, s realSettings, servers int, set *realSeries) error {
+func measureListChanges(ctx context.Context, s realSettings, servers int, set *realSeries) error {
 	p, err := startReal(ctx, s, servers)
 	if err != nil {
 		return err
 	}
 	defer p.end()
-	if err := pause(ctx, s.settle()); err != nil {
+	if err := pause(ctx, s.settlingTime()); err != nil {
 		return err
 	}
-	atRest, err := p.processorShare(ctx, s.quiet)
+	idleShare, err := p.processorShare(ctx, s.period)
 	if err != nil {
 		return err
 	}
-	one, err := p.costOf(ctx, atRest, realChangesTold, realChangeEvery, func(i int) { p.list.toggle(i * 7) })
+	changeCost, err := p.processorCost(ctx, idleShare, realChangesPublished, realChangeInterval, func(i int) { p.list.toggleCell(i * 7) })
 	if err != nil {
 		return err
 	}
-	whole, err := p.costOf(ctx, atRest, realListsTold, 4*realChangeEvery, func(int) { p.list.tellWhole() })
+	fullListCost, err := p.processorCost(ctx, idleShare, realListsPublished, 4*realChangeInterval, func(int) { p.list.publishFullList() })
 	if err != nil {
 		return err
 	}
-	soon, last, err := p.inForce(ctx, realChangesTimed, p.list.add)
+	changeMedian, changeLongest, err := p.propagationTime(ctx, realChangesTimed, p.list.addServer)
 	if err != nil {
 		return err
 	}
-	wholeSoon, wholeLast, err := p.inForce(ctx, realListsTold, p.list.tellWhole)
+	fullListMedian, fullListLongest, err := p.propagationTime(ctx, realListsPublished, p.list.publishFullList)
 	if err != nil {
 		return err
 	}
@@ -135,18 +135,18 @@
 	if err != nil {
 		return err
 	}
-	set.add("real.change.processor", "processor time of a change of one entry", "s", servers, one.Seconds())
-	set.add("real.change.in-force", "time from the telling of a change of one entry until it is in force, median", "s", servers, soon.Seconds())
-	set.add("real.change.in-force-last", fmt.Sprintf("the same, longest of %d", realChangesTimed), "s", servers, last.Seconds())
-	set.add("real.whole-list.processor", "processor time of a whole list, told again", "s", servers, whole.Seconds())
-	set.add("real.whole-list.in-force", "time from the telling of a whole list until it is in force, median", "s", servers, wholeSoon.Seconds())
-	set.add("real.whole-list.in-force-last", fmt.Sprintf("the same, longest of %d", realListsTold), "s", servers, wholeLast.Seconds())
+	set.add("real.change.processor", "processor time of a change of one entry", "s", servers, changeCost.Seconds())
+	set.add("real.change.in-force", "time from the telling of a change of one entry until it is in force, median", "s", servers, changeMedian.Seconds())
+	set.add("real.change.in-force-last", fmt.Sprintf("the same, longest of %d", realChangesTimed), "s", servers, changeLongest.Seconds())
+	set.add("real.whole-list.processor", "processor time of a whole list, told again", "s", servers, fullListCost.Seconds())
+	set.add("real.whole-list.in-force", "time from the telling of a whole list until it is in force, median", "s", servers, fullListMedian.Seconds())
+	set.add("real.whole-list.in-force-last", fmt.Sprintf("the same, longest of %d", realListsPublished), "s", servers, fullListLongest.Seconds())
 	set.addMemory("real.changes", "after its list was told whole several times", servers, m)
 	return nil
 }
 
-// costOf is the processor time of one of n events told at an interval, beyond what is used at rest.
-func (p *realProcess) costOf(ctx context.Context, atRest float64, n int, every time.Duration, event func(i int)) (time.Duration, error) {
+// processorCost is the processor time of one of n events told at an interval, beyond what is used at rest.
+func (p *realProcess) processorCost(ctx context.Context, idleShare float64, n int, every time.Duration, event func(i int)) (time.Duration, error) {
 	before, err := p.processorTime()
 	if err != nil {
 		return 0, err
@@ -165,23 +165,23 @@
 	if err != nil {
 		return 0, err
 	}
-	return (after - before - time.Duration(atRest*float64(time.Since(start)))) / time.Duration(n), nil
+	return (after - before - time.Duration(idleShare*float64(time.Since(start)))) / time.Duration(n), nil
 }
 
-// inForce is how long news take until they are in force: in the middle and at the longest. tell names a server that they bring.
-func (p *realProcess) inForce(ctx context.Context, n int, tell func() string) (median, longest time.Duration, err error) {
+// propagationTime is how long news take until they are in force: in the middle and at the longest. tell names a server that they bring.
+func (p *realProcess) propagationTime(ctx context.Context, n int, publish func() string) (median, longest time.Duration, err error) {
 	var took []time.Duration
 	for range n {
 		start := time.Now()
-		name := tell()
-		within, cancel := context.WithTimeout(ctx, realInForceWithin)
+		name := publish()
+		within, cancel := context.WithTimeout(ctx, propagationTimeout)
 		err := p.awaitServer(within, name)
 		cancel()
 		if err != nil {
 			return 0, 0, err
 		}
 		took = append(took, time.Since(start))
-		if err := pause(ctx, realChangeEvery); err != nil {
+		if err := pause(ctx, realChangeInterval); err != nil {
 			return 0, 0, err
 		}
 	}
--- a/internal/testbed/scale/real_process.go
+++ b/internal/testbed/scale/real_process.go
@@ -23,23 +23,23 @@
 )
 
 const (
-	realReadyWithin = 20 * time.Second
-	realAskAgain    = 2 * time.Millisecond
-	realEndWithin   = 5 * time.Second
-	realService     = "chat"
+	readyTimeout     = 20 * time.Second
+	realPollInterval = 2 * time.Millisecond
+	exitTimeout      = 5 * time.Second
+	realService      = "chat"
 )
 
 // realProcess is one balancer under measurement, with the stand-ins round it.
 type realProcess struct {
-	cmd     *exec.Cmd
-	pid     int
-	listen  string
-	control string
-	folder  string
-	dead    chan struct{}
-	list    *standInList
-	servers *standInServers
-	caller  *http.Client
+	cmd       *exec.Cmd
+	pid       int
+	listen    string
+	control   string
+	directory string
+	exited    chan struct{}
+	list      *stubDiscovery
+	servers   *stubServers
+	client    *http.Client
 }
 
 // startReal starts a balancer that is told of so many servers. The caller ends it.
@@ -48,19 +48,19 @@
 	if err != nil {
 		return nil, err
 	}
-	p = &realProcess{dead: make(chan struct{}), caller: &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}}
+	p = &realProcess{exited: make(chan struct{}), client: &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}}
 	defer func() {
 		if err != nil {
 			p.end()
 		}
 	}()
-	if p.folder, err = os.MkdirTemp("", "yard-scale"); err != nil {
+	if p.directory, err = os.MkdirTemp("", "yard-scale"); err != nil {
 		return p, &ProcessError{"no folder for it", "make room in the folder for temporary files", err}
 	}
-	if p.servers, err = openStandInServers(ctx); err != nil {
+	if p.servers, err = openStubServers(ctx); err != nil {
 		return p, err
 	}
-	if p.list, err = openStandInList(ctx, p.servers.addresses(), servers, s.Zones); err != nil {
+	if p.list, err = openStubDiscovery(ctx, p.servers.addresses(), servers, s.Zones); err != nil {
 		return p, err
 	}
 	if p.listen, err = freeAddress(ctx); err != nil {
@@ -76,7 +76,7 @@
 }
 
 func (p *realProcess) launch(ctx context.Context, program []string, s realSettings) error {
-	config := filepath.Join(p.folder, "config.json")
+	config := filepath.Join(p.directory, "config.json")
 	text, err := json.Marshal(p.configuration(s))
 	if err != nil {
 		return err
@@ -84,7 +84,7 @@
 	if err := os.WriteFile(config, text, 0o600); err != nil {
 		return err
 	}
-	log, err := os.Create(filepath.Join(p.folder, "log"))
+	log, err := os.Create(filepath.Join(p.directory, "log"))
 	if err != nil {
 		return err
 	}
@@ -92,7 +92,7 @@
 	p.cmd = exec.CommandContext(context.WithoutCancel(ctx), program[0], program[1:]...) // end kills it, whatever became of the context
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}                // it must not outlive its measurement
 	p.cmd.Stdout, p.cmd.Stderr = log, log
-	p.cmd.Env = append(os.Environ(), "PROXY_CONFIG="+config, "TMPDIR="+p.folder)
+	p.cmd.Env = append(os.Environ(), "PROXY_CONFIG="+config, "TMPDIR="+p.directory)
 	began := make(chan error, 1)
 	go func() { // the system ends a process with the thread that started it
 		runtime.LockOSThread()
@@ -101,7 +101,7 @@
 		began <- err
 		if err == nil {
 			_ = p.cmd.Wait() // its log tells why it ended
-			close(p.dead)
+			close(p.exited)
 		}
 	}()
 	if err := <-began; err != nil {
@@ -116,11 +116,11 @@
 func (p *realProcess) configuration(s realSettings) map[string]any {
 	return map[string]any{
 		"name": "n0", "listen": p.listen, "discovery": p.list.address(), "control": p.control, "seed": strconv.FormatUint(s.Seed+1, 16),
-		"known":  p.list.whole(),
+		"known":  p.list.fullList(),
 		"limits": map[string]any{"cores": 1, "memory_mb": 1024, "sockets": 20_000},
 		"settings": map[string]any{
 			"az": realZone(0), "peers-total": s.Balancers, "policy-limits": map[string]any{"max-connects": 3},
-			"tariffs": map[string]any{"cross-zone": crossingPrice, "moves": movePrice}, "weights": "stated", // as hollow balancers are told
+			"tariffs": map[string]any{"cross-zone": crossZoneCost, "moves": migrationCost}, "weights": "stated", // as hollow balancers are told
 			"service-types": []any{map[string]any{"name": realService, "effect": "free", "group": "all",
 				"hard-limit": int64(20 * time.Second), "setup-target": int64(5 * time.Second)}},
 		},
@@ -138,9 +138,9 @@
 
 // awaitReady waits until it serves, and has taken the list as it was at first.
 func (p *realProcess) awaitReady(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, realReadyWithin)
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
-	if err := p.until(ctx, func() bool { return p.call(ctx, http.MethodGet, "/control/ready") == http.StatusOK }); err != nil {
+	if err := p.poll(ctx, func() bool { return p.call(ctx, http.MethodGet, "/control/ready") == http.StatusOK }); err != nil {
 		return err
 	}
 	return p.awaitServer(ctx, p.list.lastName())
@@ -148,21 +148,21 @@
 
 // awaitServer waits until a server is known, as it is once the news that names it are in force.
 func (p *realProcess) awaitServer(ctx context.Context, name string) error {
-	return p.until(ctx, func() bool {
+	return p.poll(ctx, func() bool {
 		return p.call(ctx, http.MethodPost, "/control/servers/"+name+"/online") == http.StatusOK // it is online: nothing changes
 	})
 }
 
-func (p *realProcess) until(ctx context.Context, done func() bool) error {
-	for !done() {
+func (p *realProcess) poll(ctx context.Context, condition func() bool) error {
+	for !condition() {
 		select {
-		case <-p.dead:
-			log, _ := os.ReadFile(filepath.Join(p.folder, "log"))
-			return &ProcessError{What: "it ended by itself: " + string(lastBytes(log, 400)), Do: "run the same configuration by hand"}
+		case <-p.exited:
+			log, _ := os.ReadFile(filepath.Join(p.directory, "log"))
+			return &ProcessError{What: "it ended by itself: " + string(lastBytes(log, 400)), Remedy: "run the same configuration by hand"}
 		default:
 		}
-		if err := pause(ctx, realAskAgain); errors.Is(err, context.DeadlineExceeded) {
-			return &ProcessError{What: "it did not take its list in time", Do: "run fewer things at once, or ask for a smaller size", Err: err}
+		if err := pause(ctx, realPollInterval); errors.Is(err, context.DeadlineExceeded) {
+			return &ProcessError{What: "it did not take its list in time", Remedy: "run fewer things at once, or ask for a smaller size", Err: err}
 		} else if err != nil {
 			return err
 		}
@@ -180,7 +180,7 @@
 	if err != nil {
 		return 0
 	}
-	a, err := p.caller.Do(q)
+	a, err := p.client.Do(q)
 	if err != nil {
 		return 0
 	}
@@ -194,8 +194,8 @@
 	if p.cmd != nil {
 		_ = p.cmd.Process.Kill() // it may have ended
 		select {
-		case <-p.dead:
-		case <-time.After(realEndWithin):
+		case <-p.exited:
+		case <-time.After(exitTimeout):
 		}
 	}
 	if p.list != nil {
@@ -204,8 +204,8 @@
 	if p.servers != nil {
 		p.servers.close()
 	}
-	if p.folder != "" {
-		_ = os.RemoveAll(p.folder)
+	if p.directory != "" {
+		_ = os.RemoveAll(p.directory)
 	}
 }
 
--- a/internal/testbed/scale/real_standins.go
+++ b/internal/testbed/scale/real_stubs.go
@@ -15,19 +15,19 @@
 )
 
 const (
-	standInHeartbeat = 2 * time.Second // of discovery's watches
-	standInDoors     = 8               // addresses that the listed servers share
-	standInBuffer    = 256
+	stubHeartbeat   = 2 * time.Second // of discovery's watches
+	stubServerCount = 8               // addresses that the listed servers share
+	lineBufferBytes = 256
 )
 
 func realZone(i int) string { return fmt.Sprintf("z-%02d", i) }
 
-// standInList is discovery: it has a list, tells it whole to each new watch, and its changes after that.
-type standInList struct {
-	listener net.Listener
-	server   *http.Server
-	doors    []string
-	zones    int
+// stubDiscovery is discovery: it has a list, tells it whole to each new watch, and its changes after that.
+type stubDiscovery struct {
+	listener  net.Listener
+	server    *http.Server
+	addresses []string
+	zones     int
 
 	mu       sync.Mutex
 	revision int
@@ -35,38 +35,38 @@
 	watches  map[chan []byte]bool
 }
 
-func openStandInList(ctx context.Context, doors []string, servers, zones int) (*standInList, error) {
+func openStubDiscovery(ctx context.Context, addresses []string, servers, zones int) (*stubDiscovery, error) {
 	listener, err := (&net.ListenConfig{}).Listen(ctx, "tcp", "127.78.1.2:0")
 	if err != nil {
 		return nil, &ProcessError{"discovery can't listen", "end other runs", err}
 	}
-	l := &standInList{listener: listener, doors: doors, zones: zones, revision: 1, watches: map[chan []byte]bool{}}
+	l := &stubDiscovery{listener: listener, addresses: addresses, zones: zones, revision: 1, watches: map[chan []byte]bool{}}
 	for range servers {
-		l.members = append(l.members, l.next())
+		l.members = append(l.members, l.nextEntry())
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /discovery/hosts", l.hosts)
+	mux.HandleFunc("GET /discovery/hosts", l.serveHosts)
 	l.server = &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second}
 	go func() { _ = l.server.Serve(listener) }() // it ends with close
 	return l, nil
 }
 
-func (l *standInList) address() string { return l.listener.Addr().String() }
+func (l *stubDiscovery) address() string { return l.listener.Addr().String() }
 
-// next is the server that is listed next, with names that lie apart as a hash's do.
-func (l *standInList) next() listEntry {
+// nextEntry is the server that is listed next, with names that lie apart as a hash's do.
+func (l *stubDiscovery) nextEntry() listEntry {
 	n := len(l.members)
-	return listEntry{ID: fmt.Sprintf("s-%08x", uint32(n)*2654435761), HostPort: l.doors[n%len(l.doors)], Locality: realZone(n % l.zones), Flavor: "m2",
+	return listEntry{ID: fmt.Sprintf("s-%08x", uint32(n)*2654435761), HostPort: l.addresses[n%len(l.addresses)], Locality: realZone(n % l.zones), Flavor: "m2",
 		Cell: n % 16, Phase: "SERVING", Size: 1}
 }
 
-func (l *standInList) lastName() string {
+func (l *stubDiscovery) lastName() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.members[len(l.members)-1].ID
 }
 
-func (l *standInList) text(o listObject) []byte {
+func (l *stubDiscovery) encode(o listObject) []byte {
 	text, err := json.Marshal(o)
 	if err != nil {
 		panic(err) // of plain fields: it can't be
@@ -74,81 +74,81 @@
 	return append(text, '\n')
 }
 
-// whole is the list as it is now.
-func (l *standInList) whole() listObject {
+// fullList is the list as it is now.
+func (l *stubDiscovery) fullList() listObject {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return listObject{l.revision, true, slices.Clone(l.members)}
 }
 
-// add lists one more server and tells it as a change; the name is known once the change is in force.
-func (l *standInList) add() (name string) {
+// addServer lists one more server and tells it as a change; the name is known once the change is in force.
+func (l *stubDiscovery) addServer() (name string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	m := l.next()
+	m := l.nextEntry()
 	l.members = append(l.members, m)
-	l.change(m)
+	l.publishChange(m)
 	return m.ID
 }
 
-// toggle tells a change of one server's cell.
-func (l *standInList) toggle(i int) {
+// toggleCell tells a change of one server's cell.
+func (l *stubDiscovery) toggleCell(i int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	m := &l.members[i%len(l.members)]
 	m.Cell = (m.Cell + 1) % 16
-	l.change(*m)
+	l.publishChange(*m)
 }
 
-// change tells one entry; the mutex is held.
-func (l *standInList) change(m listEntry) {
+// publishChange tells one entry; the mutex is held.
+func (l *stubDiscovery) publishChange(m listEntry) {
 	l.revision++
-	l.tell(l.text(listObject{l.revision, false, []listEntry{m}}))
+	l.broadcast(l.encode(listObject{l.revision, false, []listEntry{m}}))
 }
 
-// tellWhole tells the whole list again, with one more server on it.
-func (l *standInList) tellWhole() (name string) {
+// publishFullList tells the whole list again, with one more server on it.
+func (l *stubDiscovery) publishFullList() (name string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	m := l.next()
+	m := l.nextEntry()
 	l.members = append(l.members, m)
 	l.revision++
-	l.tell(l.text(listObject{l.revision, true, l.members}))
+	l.broadcast(l.encode(listObject{l.revision, true, l.members}))
 	return m.ID
 }
 
-func (l *standInList) tell(text []byte) {
+func (l *stubDiscovery) broadcast(text []byte) {
 	for w := range l.watches {
 		w <- text
 	}
 }
 
-func (l *standInList) hosts(w http.ResponseWriter, q *http.Request) {
-	news := make(chan []byte, 1024)
+func (l *stubDiscovery) serveHosts(w http.ResponseWriter, q *http.Request) {
+	updates := make(chan []byte, 1024)
 	l.mu.Lock()
-	first := l.text(listObject{l.revision, true, l.members})
+	first := l.encode(listObject{l.revision, true, l.members})
 	if q.FormValue("stream") == "1" {
-		l.watches[news] = true
+		l.watches[updates] = true
 	}
 	l.mu.Unlock()
 	defer func() {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		delete(l.watches, news)
+		delete(l.watches, updates)
 	}()
 	out := http.NewResponseController(w)
 	if _, err := w.Write(first); err != nil || out.Flush() != nil || q.FormValue("stream") != "1" {
 		return
 	}
-	beat := time.NewTicker(standInHeartbeat)
-	defer beat.Stop()
+	heartbeat := time.NewTicker(stubHeartbeat)
+	defer heartbeat.Stop()
 	for {
 		text := []byte("\n")
 		select {
 		case <-q.Context().Done():
 			return
-		case text = <-news:
-		case <-beat.C:
+		case text = <-updates:
+		case <-heartbeat.C:
 		}
 		if _, err := w.Write(text); err != nil || out.Flush() != nil {
 			return
@@ -156,41 +156,41 @@
 	}
 }
 
-func (l *standInList) close() { _ = l.server.Close() }
+func (l *stubDiscovery) close() { _ = l.server.Close() }
 
-// standInServers answer for all listed servers: a few addresses that they share.
-type standInServers struct {
+// stubServers answer for all listed servers: a few addresses that they share.
+type stubServers struct {
 	listeners []net.Listener
-	parts     sync.WaitGroup
+	running   sync.WaitGroup
 
-	mu   sync.Mutex
-	open map[net.Conn]bool // of those that stand
-	over bool
+	mu          sync.Mutex
+	connections map[net.Conn]bool // of those that stand
+	closed      bool
 }
 
-func openStandInServers(ctx context.Context) (*standInServers, error) {
-	s := &standInServers{open: map[net.Conn]bool{}}
-	for i := range standInDoors {
+func openStubServers(ctx context.Context) (*stubServers, error) {
+	s := &stubServers{connections: map[net.Conn]bool{}}
+	for i := range stubServerCount {
 		l, err := (&net.ListenConfig{}).Listen(ctx, "tcp", fmt.Sprintf("127.77.0.%d:0", i+1))
 		if err != nil {
 			s.close()
 			return nil, &ProcessError{"a stand-in server can't listen", "end other runs", err}
 		}
 		s.listeners = append(s.listeners, l)
-		s.parts.Go(func() {
+		s.running.Go(func() {
 			for {
 				c, err := l.Accept()
 				if err != nil {
 					return
 				}
-				s.parts.Go(func() { s.serve(c) })
+				s.running.Go(func() { s.serve(c) })
 			}
 		})
 	}
 	return s, nil
 }
 
-func (s *standInServers) addresses() (list []string) {
+func (s *stubServers) addresses() (list []string) {
 	for _, l := range s.listeners {
 		list = append(list, l.Addr().String())
 	}
@@ -198,12 +198,12 @@
 }
 
 // serve lets a connection stand, and answers each of its lines by one.
-func (s *standInServers) serve(c net.Conn) {
+func (s *stubServers) serve(c net.Conn) {
 	if !s.add(c) {
 		return
 	}
 	defer s.drop(c)
-	r := bufio.NewReaderSize(c, standInBuffer)
+	r := bufio.NewReaderSize(c, lineBufferBytes)
 	for {
 		line, err := r.ReadString('\n')
 		if err != nil {
@@ -219,34 +219,34 @@
 	}
 }
 
-func (s *standInServers) add(c net.Conn) bool {
+func (s *stubServers) add(c net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.over {
+	if s.closed {
 		_ = c.Close()
 		return false
 	}
-	s.open[c] = true
+	s.connections[c] = true
 	return true
 }
 
-func (s *standInServers) drop(c net.Conn) {
+func (s *stubServers) drop(c net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.open, c)
+	delete(s.connections, c)
 	_ = c.Close()
 }
 
 // deliver sends lines on all connections in turn, so many a second, until the context ends. It tells how many were sent.
-func (s *standInServers) deliver(ctx context.Context, rate float64, line []byte) (sent int, err error) {
+func (s *stubServers) deliver(ctx context.Context, rate float64, line []byte) (sent int, err error) {
 	s.mu.Lock()
 	var all []net.Conn
-	for c := range s.open {
+	for c := range s.connections {
 		all = append(all, c)
 	}
 	s.mu.Unlock()
 	if len(all) == 0 {
-		return 0, &ProcessError{What: "no connection to deliver on", Do: "ask for one connection or more"}
+		return 0, &ProcessError{What: "no connection to deliver on", Remedy: "ask for one connection or more"}
 	}
 	start := time.Now()
 	for step := time.NewTicker(10 * time.Millisecond); ; {
@@ -265,17 +265,17 @@
 	}
 }
 
-func (s *standInServers) close() {
+func (s *stubServers) close() {
 	s.mu.Lock()
-	s.over = true
-	for c := range s.open {
+	s.closed = true
+	for c := range s.connections {
 		_ = c.Close()
 	}
 	s.mu.Unlock()
 	for _, l := range s.listeners {
 		_ = l.Close()
 	}
-	s.parts.Wait()
+	s.running.Wait()
 }
 
 var errNotUp = errors.New("a connection did not come up")
--- a/internal/testbed/scale/real_test.go
+++ b/internal/testbed/scale/real_test.go
@@ -12,11 +12,11 @@
 	"yardwinch/internal/daemon"
 )
 
-const standsForBalancer = "SCALE_TEST_BALANCER"
+const balancerEnvironment = "SCALE_TEST_BALANCER"
 
-// balancerAsked has the test's own program stand for a balancer where it was started as one.
-func balancerAsked() {
-	if os.Getenv(standsForBalancer) == "" {
+// runAsBalancer has the test's own program stand for a balancer where it was started as one.
+func runAsBalancer() {
+	if os.Getenv(balancerEnvironment) == "" {
 		return
 	}
 	if err := daemon.Run(os.Getenv("PROXY_CONFIG"), "", os.Getenv); err != nil {
@@ -27,14 +27,14 @@
 }
 
 func TestMain(m *testing.M) {
-	balancerAsked()
+	runAsBalancer()
 	os.Exit(m.Run())
 }
 
-// onSelf has sweeps measure the test's own program.
-func onSelf(t *testing.T) context.Context {
+// withOwnProgram has sweeps measure the test's own program.
+func withOwnProgram(t *testing.T) context.Context {
 	t.Helper()
-	t.Setenv(standsForBalancer, "yes")
+	t.Setenv(balancerEnvironment, "yes")
 	self, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
@@ -46,7 +46,7 @@
 
 // Each sweep on a real process gives sound points at every size, and nothing that it held is lost.
 func TestRealSweeps(t *testing.T) {
-	ctx := onSelf(t)
+	ctx := withOwnProgram(t)
 	for _, x := range []struct {
 		name     string
 		settings Settings
@@ -73,13 +73,13 @@
 				t.Errorf("%d steps told, %d series", steps, len(list))
 			}
 			for _, s := range list {
-				soundSeries(t, s, x.settings.Sizes)
+				checkSeries(t, s, x.settings.Sizes)
 			}
 		})
 	}
 }
 
-func soundSeries(t *testing.T, s Series, sizes []int) {
+func checkSeries(t *testing.T, s Series, sizes []int) {
 	t.Helper()
 	if s.Name == "" || s.Role == "" || s.Quantity == "" || s.Unit == "" || s.Against == "" || s.Origin != Measured || s.Counted {
 		t.Errorf("%+v is not told whole", s)
@@ -99,11 +99,11 @@
 
 // The processor time that is read off a process is that of a process which works.
 func TestRealProcessorTimeOfAnotherProcess(t *testing.T) {
-	s, err := readReal(Settings{Sizes: []int{10, 20}}, 2, mostRealServers, "servers")
+	s, err := newRealSettings(Settings{Sizes: []int{10, 20}}, 2, maxRealServers, "servers")
 	if err != nil {
 		t.Fatal(err)
 	}
-	p, err := startReal(onSelf(t), s, 10)
+	p, err := startReal(withOwnProgram(t), s, 10)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -113,7 +113,7 @@
 		t.Fatalf("%v, %v", before, err)
 	}
 	for range 200 {
-		p.list.tellWhole()
+		p.list.publishFullList()
 	}
 	if err := p.awaitServer(t.Context(), p.list.lastName()); err != nil {
 		t.Fatal(err)
@@ -124,7 +124,7 @@
 }
 
 // What an experiment can't ask for is told with its key, before anything is started.
-func TestRealSettingsThatCannotBe(t *testing.T) {
+func TestInvalidRealSettings(t *testing.T) {
 	for _, x := range []struct {
 		settings Settings
 		want     string
@@ -132,9 +132,9 @@
 		{Settings{Sizes: []int{10}}, "sizes: want 2 or more"},
 		{Settings{Sizes: []int{0, 10}}, "sizes: want rising numbers of servers from 1 to"},
 		{Settings{Sizes: []int{20, 10}}, "sizes: want rising"},
-		{Settings{Sizes: []int{10, mostRealServers + 1}}, "sizes: want rising"},
+		{Settings{Sizes: []int{10, maxRealServers + 1}}, "sizes: want rising"},
 		{Settings{Sizes: []int{10, 20}, Servers: -1}, "servers: want"},
-		{Settings{Sizes: []int{10, 20}, Connections: mostRealConnections + 1}, "connections: want"},
+		{Settings{Sizes: []int{10, 20}, Connections: maxRealConnections + 1}, "connections: want"},
 		{Settings{Sizes: []int{10, 20}, Length: "2h"}, "length: want a time"},
 	} {
 		_, _, err := realServers(t.Context(), x.settings, func(int, int) {})
@@ -146,8 +146,8 @@
 }
 
 // A sweep that is stopped ends with its context's error and leaves no process behind.
-func TestRealSweepStops(t *testing.T) {
-	ctx, cancel := context.WithCancel(onSelf(t))
+func TestRealSweepStopsWithItsContext(t *testing.T) {
+	ctx, cancel := context.WithCancel(withOwnProgram(t))
 	began := false
 	_, _, err := realServers(ctx, Settings{Sizes: []int{10, 20}}, func(int, int) {
 		began = true
@@ -159,7 +159,7 @@
 }
 
 // A program that can't serve is told with what it said.
-func TestRealProcessThatEndsByItself(t *testing.T) {
+func TestRealProcessExitsEarly(t *testing.T) {
 	ctx := WithProgram(t.Context(), []string{"/bin/sh", "-c", "echo it has no wheels; exit 3"})
 	_, _, err := realServers(ctx, Settings{Sizes: []int{10, 20}}, func(int, int) {})
 	var e *ProcessError
@@ -172,17 +172,17 @@
 // whole again and again.
 func TestRealMemoryOfTheLongestList(t *testing.T) {
 	const servers, most = 12_800, raceFactor * 48e6
-	s, err := readReal(Settings{Sizes: []int{1, servers}}, 2, mostRealServers, "servers")
+	s, err := newRealSettings(Settings{Sizes: []int{1, servers}}, 2, maxRealServers, "servers")
 	if err != nil {
 		t.Fatal(err)
 	}
-	p, err := startReal(onSelf(t), s, servers)
+	p, err := startReal(withOwnProgram(t), s, servers)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer p.end()
 	for range 5 {
-		if err := p.awaitServer(t.Context(), p.list.tellWhole()); err != nil {
+		if err := p.awaitServer(t.Context(), p.list.publishFullList()); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -197,7 +197,7 @@
 }
 
 // A hollow figure is held against a real one within its own scatter; beyond it a reason must be known.
-func TestCompared(t *testing.T) {
+func TestComparisonTolerance(t *testing.T) {
 	for _, x := range []struct {
 		real   float64
 		hollow []float64
@@ -211,7 +211,7 @@
 		{1.4, []float64{0.9, 1, 1.1}, "it sleeps", true},
 		{0.7, []float64{0.9, 1, 1.1}, "it sleeps", false},
 	} {
-		c := comparison{name: "rest", unit: "cores", less: x.less}.check(60, x.real, x.hollow)
+		c := comparison{name: "rest", unit: "cores", whyBelow: x.less}.check(60, x.real, x.hollow)
 		if c.Held != x.held {
 			t.Errorf("real %v, hollow %v, reason %q: held %v, %s", x.real, x.hollow, x.less, c.Held, c.Detail)
 		}
--- a/internal/testbed/scale/run_test.go
+++ b/internal/testbed/scale/run_test.go
@@ -69,7 +69,7 @@
 func oneSeries(values ...float64) []Series {
 	s := Series{Name: "one", Unit: "looks"}
 	for i, v := range values {
-		s.add(i+1, v)
+		s.addPoint(i+1, v)
 	}
 	return []Series{s}
 }
--- a/internal/testbed/scale/scale.go
+++ b/internal/testbed/scale/scale.go
@@ -13,9 +13,9 @@
 
 // The origins of a figure.
 const (
-	Measured  Origin = "measured"  // read off real processes or real code at that size
-	Simulated Origin = "simulated" // from hollow balancers in virtual time
-	Reckoned  Origin = "reckoned"  // worked out from other figures
+	Measured   Origin = "measured"  // read off real processes or real code at that size
+	Simulated  Origin = "simulated" // from hollow balancers in virtual time
+	Calculated Origin = "reckoned"  // worked out from other figures
 )
 
 // Point is a quantity at one size.
--- a/internal/testbed/scale/series.go
+++ b/internal/testbed/scale/series.go
@@ -53,6 +53,6 @@
 	}
 }
 
-func (s *Series) add(size int, value float64) {
+func (s *Series) addPoint(size int, value float64) {
 	s.Points = append(s.Points, Point{Size: float64(size), Value: value})
 }
--- /dev/null
+++ b/internal/testbed/scale/simulated_balancer.go
@@ -0,0 +1,229 @@
+package scale
+
+import (
+	"container/heap"
+	"strconv"
+	"time"
+
+	"yardwinch/decide"
+)
+
+// Terms of the hollow balancers, as deployments set them.
+const (
+	peers            = 8_100 // balancers that share the budget of a cold server
+	maxConnects      = 4
+	connectTimeout   = 1800 * time.Millisecond // of a flow: by then its client has an answer
+	setupTarget      = 300 * time.Millisecond
+	retryWindow      = 2 * time.Second
+	messageTarget    = 100 * time.Millisecond
+	maxPollInterval  = 10 * time.Second
+	initialCapacity  = 0.2
+	overloadMultiple = 3
+	warmUp           = 20 * time.Second
+	slowStartWindow  = 1500 * time.Millisecond
+	crossZoneCost    = 0.08
+	migrationCost    = 0.026
+	typicalSetup     = 10 * time.Millisecond
+	settlingPeriod   = 10 * time.Second // by then nothing that the start brought counts any more
+)
+
+// simulatedSettings are what one hollow balancer is told at its start.
+type simulatedSettings struct {
+	peers        int
+	healthChecks bool // load reports come by probes
+	zone         int
+}
+
+// simulatedBalancer is a balancer without sockets: the real decisions, its timers in virtual time. Connects are written down for
+// whoever drives it.
+type simulatedBalancer struct {
+	module         *decide.Balancer
+	now            time.Duration
+	timers         timers
+	connecting     map[decide.FlowID]decide.ServerID // connects out
+	migrated       []decide.FlowID                   // asked to move since last taken
+	rejected       int                               // flows turned away
+	migratedReturn bool                              // those asked to move come again at the next tick
+	healthChecked  []decide.ServerID                 // probes wanted since last taken
+}
+
+func newSimulatedBalancer(seed uint64, t simulatedSettings) *simulatedBalancer {
+	h := &simulatedBalancer{connecting: map[decide.FlowID]decide.ServerID{}}
+	h.module = decide.New(seed, h)
+	configureSimulatedBalancer(h.module, t)
+	h.module.SetTime(0)
+	return h
+}
+
+// configureSimulatedBalancer hands over the terms.
+func configureSimulatedBalancer(b *decide.Balancer, t simulatedSettings) {
+	b.ConfigureFlows(maxConnects, 0)
+	for _, s := range services {
+		b.AddService(decide.ServiceType{Effect: s.effect, Deduplication: decide.DeduplicatedByFleet, SetupTarget: setupTarget, RetryWindow: retryWindow, Value: 1})
+	}
+	b.ConfigureSlowStart(decide.SlowStart{InitialCapacity: initialCapacity, OverloadMultiple: overloadMultiple, WarmUp: warmUp, Window: slowStartWindow, Balancers: t.peers})
+	b.ConfigureHealthChecks(t.healthChecks)
+	b.ConfigurePlacement(crossZoneCost, migrationCost, true)
+	b.ConfigureEndpoints(decide.EndpointSettings{Zone: zoneName(t.zone), Polled: false, MaxPollInterval: maxPollInterval, MessageTarget: messageTarget})
+}
+
+// zoneNames are made once, so that balancers that share a process share them.
+var zoneNames = func() (names []decide.Zone) {
+	for n := range most[byZones] {
+		names = append(names, decide.Zone("zone-"+strconv.Itoa(n)))
+	}
+	return names
+}()
+
+func zoneName(n int) decide.Zone { return zoneNames[n] }
+
+func groupName(n int) decide.GroupKey { return decide.GroupKey("group-" + strconv.Itoa(n)) }
+
+func flowName(n int) decide.FlowID { return decide.FlowID(strconv.FormatInt(int64(n), 36)) }
+
+// server is an entry of a list, numbered from 1.
+type server struct {
+	id    decide.ServerID
+	zone  int
+	state decide.Readiness
+	since time.Duration
+}
+
+// warmServers are the servers of a list that has run for long, spread over zones.
+func warmServers(count, zones int) []server {
+	servers := make([]server, count)
+	for i := range servers {
+		servers[i] = server{id: decide.ServerID(i + 1), zone: i % zones, since: decide.LongAgo}
+	}
+	return servers
+}
+
+// list hands over a list, or changes of it.
+func (h *simulatedBalancer) list(kind decide.UpdateKind, servers []server) {
+	h.module.SetTime(h.now)
+	h.module.BeginEndpoints(kind)
+	for _, s := range servers {
+		h.module.OnEndpoint(decide.Endpoint{ID: s.id, Zone: zoneName(s.zone), Cell: decide.CellID(s.zone), Size: 1, Readiness: s.state, StartedAt: s.since})
+	}
+	h.module.EndEndpoints()
+}
+
+// adoptConnections has connections stand evenly on warm servers, each group on as few of them as that allows: what is there once all
+// is at rest.
+func (h *simulatedBalancer) adoptConnections(connections, servers, groups int) {
+	h.module.SetTime(h.now)
+	for i := range connections {
+		at := i % servers
+		h.module.AdoptFlow(decide.FlowRequest{ID: flowName(i), Customer: decide.NoCustomer, Group: groupName(settledGroup(i, at, servers, groups))}, decide.ServerID(at+1))
+	}
+}
+
+// settledGroup is the group of the i-th connection, which stands at a server: a group has one server where there are as
+// many groups as servers or more, else a server has one group.
+func settledGroup(i, at, servers, groups int) int {
+	if groups <= servers {
+		return at % groups
+	}
+	layers := groups / servers
+	return at + servers*(i/servers%layers)
+}
+
+// placeFlow has one flow come and stand. It tells where, and false where it was turned away or waits.
+func (h *simulatedBalancer) placeFlow(id decide.FlowID, group decide.GroupKey) (decide.ServerID, bool) {
+	h.module.SetTime(h.now)
+	h.module.OnFlow(decide.FlowRequest{ID: id, Customer: decide.NoCustomer, Group: group, Timeout: connectTimeout})
+	at, ok := h.connecting[id]
+	if ok {
+		delete(h.connecting, id)
+		h.module.OnEstablished(id, typicalSetup)
+	}
+	return at, ok
+}
+
+// endFlow has a standing flow go.
+func (h *simulatedBalancer) endFlow(id decide.FlowID) {
+	h.module.SetTime(h.now)
+	h.module.OnEnded(id, decide.OK, typicalSetup, true)
+}
+
+// settle goes on to when nothing that the start brought counts any more, as if no timer had come due by then.
+func (h *simulatedBalancer) settle() {
+	h.now = settlingPeriod
+	h.module.SetTime(h.now)
+	for i := range h.timers {
+		h.timers[i].at += settlingPeriod
+	}
+}
+
+// advance lets virtual time go on; timers that come due fire in order.
+func (h *simulatedBalancer) advance(to time.Duration) {
+	for len(h.timers) > 0 && h.timers[0].at <= to {
+		t := heap.Pop(&h.timers).(timer)
+		h.now = t.at
+		h.module.SetTime(h.now)
+		h.module.OnTimer(t.id)
+	}
+	h.now = to
+	h.module.SetTime(h.now)
+}
+
+// What the decisions ask for; see decide.Act.
+
+func (h *simulatedBalancer) Connect(f decide.FlowID, to decide.ServerID, _ time.Duration) {
+	h.connecting[f] = to
+}
+func (h *simulatedBalancer) Cancel(decide.FlowID, int)           {}
+func (h *simulatedBalancer) Reject(decide.FlowID, time.Duration) { h.rejected++ }
+func (h *simulatedBalancer) Abort(decide.FlowID)                 { h.rejected++ }
+func (h *simulatedBalancer) Migrate(f decide.FlowID)             { h.migrated = append(h.migrated, f) }
+func (h *simulatedBalancer) HealthCheck(s decide.ServerID) {
+	h.healthChecked = append(h.healthChecked, s)
+}
+func (h *simulatedBalancer) WatchEndpoints(bool) {}
+func (h *simulatedBalancer) FetchEndpoints()     {}
+func (h *simulatedBalancer) Log(string)          {}
+func (h *simulatedBalancer) SetTimer(mark decide.TimerID, in time.Duration) {
+	heap.Push(&h.timers, timer{h.now + in, mark})
+}
+
+// timer is one that was asked for.
+type timer struct {
+	at time.Duration
+	id decide.TimerID
+}
+
+type timers []timer
+
+func (t timers) Len() int           { return len(t) }
+func (t timers) Less(i, j int) bool { return t[i].at < t[j].at }
+func (t timers) Swap(i, j int)      { t[i], t[j] = t[j], t[i] }
+func (t *timers) Push(x any)        { *t = append(*t, x.(timer)) }
+func (t *timers) Pop() any {
+	last := len(*t) - 1
+	x := (*t)[last]
+	*t = (*t)[:last]
+	return x
+}
+
+// costCounter counts the servers that decisions look at: each asks the other deciders of every server it considers.
+type costCounter struct{ count int }
+
+func (l *costCounter) ServerCost(decide.FlowID, decide.ServerID) (float64, bool) {
+	l.count++
+	return 0, true
+}
+func (l *costCounter) AdmitFlow(decide.FlowID) bool { return true }
+func (l *costCounter) RetryAfter(_ decide.FlowID, suggested time.Duration) time.Duration {
+	return suggested
+}
+func (l *costCounter) AllowMigration(decide.FlowID) bool { return true }
+func (l *costCounter) MigrateFirst() []decide.FlowID     { return nil }
+
+// countLooks counts the servers looked at during a piece of work.
+func (h *simulatedBalancer) countLooks(work func()) int {
+	var l costCounter
+	h.module.SetConstraints(&l)
+	work()
+	h.module.SetConstraints(nil)
+	return l.count
+}
--- a/internal/testbed/scale/sweep_balancers.go
+++ b/internal/testbed/scale/sweep_balancers.go
@@ -29,10 +29,10 @@
 		if err != nil {
 			return nil, nil, err
 		}
-		memory.add(size, float64(liveMemory()-before)/float64(size))
-		uneven.add(size, unevenness(onServer))
+		memory.addPoint(size, float64(liveMemory()-before)/float64(size))
+		uneven.addPoint(size, unevenness(onServer))
 		for _, h := range fleet {
-			turned += h.turned
+			turned += h.rejected
 		}
 		runtime.KeepAlive(fleet)
 		progress(i+1, len(s.Sizes))
@@ -42,7 +42,7 @@
 }
 
 // smallFleet has connections of groups drawn by chance come to each balancer, and counts where they stand.
-func smallFleet(ctx context.Context, s Settings) (fleet []*hollow, onServer []int, err error) {
+func smallFleet(ctx context.Context, s Settings) (fleet []*simulatedBalancer, onServer []int, err error) {
 	servers := warmServers(s.Servers, s.Zones)
 	onServer = make([]int, s.Servers)
 	for b := range s.Balancers {
@@ -50,11 +50,11 @@
 			return nil, nil, err
 		}
 		chance := rand.New(rand.NewPCG(s.Seed, uint64(b)))
-		h := newHollow(chance.Uint64(), terms{peers: s.Balancers, inZone: b % s.Zones})
+		h := newSimulatedBalancer(chance.Uint64(), simulatedSettings{peers: s.Balancers, zone: b % s.Zones})
 		h.list(decide.FullUpdate, servers)
 		for i := range s.Connections {
 			h.now += betweenPlacements
-			if at, stands := h.place(flowName(i), groupName(chance.IntN(s.Groups))); stands {
+			if at, stands := h.placeFlow(flowName(i), groupName(chance.IntN(s.Groups))); stands {
 				onServer[at-1]++
 			}
 		}
--- a/internal/testbed/scale/sweep_faults.go
+++ b/internal/testbed/scale/sweep_faults.go
@@ -15,11 +15,11 @@
 
 // outcome is what a fault came to.
 type outcome struct {
-	figures   figures
-	processor time.Duration // of the whole run: all balancers, the model of what is round them, and the referee
-	unserved  int           // clients without a connection at the end
-	judged    int
-	broken    []string
+	figures     figures
+	processor   time.Duration // of the whole run: all balancers, the model of what is round them, and the referee
+	unserved    int           // clients without a connection at the end
+	judgedFlows int
+	violations  []string
 }
 
 // faultsSweep plays each fault on a hollow fleet that holds so many connections a balancer, under the referee.
@@ -29,7 +29,7 @@
 	for i, one := range faults {
 		points := seriesOfFault(s, one.name)
 		for j, size := range s.Sizes {
-			o, err := one.play(ctx, s.at(size), s.Seed)
+			o, err := one.run(ctx, s.at(size), s.Seed)
 			if err != nil {
 				return nil, nil, err
 			}
@@ -44,29 +44,29 @@
 	return all, checks, nil
 }
 
-// play runs a fault of one size.
-func (x fault) play(ctx context.Context, s Settings, seed uint64) (o outcome, err error) {
+// run runs a fault of one size.
+func (x fault) run(ctx context.Context, s Settings, seed uint64) (o outcome, err error) {
 	all := s.Balancers // the decisions go by how many the fleet has, also where one is played alone
-	if x.shape != nil {
-		s = x.shape(s)
+	if x.settings != nil {
+		s = x.settings(s)
 	}
 	from := processorTime()
 	f := newFleet(s, all, seed)
 	if x.fill != nil {
 		x.fill(f)
 	} else {
-		f.restingFill()
+		f.fillEvenly()
 	}
 	x.begin(f)
 	f.run(faultLength, func() bool { return ctx.Err() != nil })
 	if err := ctx.Err(); err != nil {
 		return o, err
 	}
-	o.figures, o.unserved = f.figures, f.out()
-	for _, v := range f.finish() {
-		o.broken = append(o.broken, v.String())
+	o.figures, o.unserved = f.figures, f.unservedClients()
+	for _, v := range f.violations() {
+		o.violations = append(o.violations, v.String())
 	}
-	o.judged = f.checker.Judged
+	o.judgedFlows = f.checker.Judged
 	o.processor = processorTime() - from
 	return o, nil
 }
@@ -74,11 +74,11 @@
 func (o outcome) check(name string, size int) Check {
 	c := Check{
 		Name:   fmt.Sprintf("%s, %d connections a balancer: no rule is broken", name, size),
-		Held:   len(o.broken) == 0,
-		Detail: fmt.Sprintf("%d flows judged", o.judged),
+		Held:   len(o.violations) == 0,
+		Detail: fmt.Sprintf("%d flows judged", o.judgedFlows),
 	}
 	if !c.Held {
-		c.Detail = fmt.Sprintf("%d of %d flows judged; the first: %s", len(o.broken), o.judged, o.broken[0])
+		c.Detail = fmt.Sprintf("%d of %d flows judged; the first: %s", len(o.violations), o.judgedFlows, o.violations[0])
 	}
 	return c
 }
@@ -102,15 +102,15 @@
 
 func (f faultSeries) add(size int, o outcome) {
 	for i, value := range []float64{
-		float64(o.figures.cut),
-		float64(o.figures.moved),
+		float64(o.figures.disconnected),
+		float64(o.figures.migrated),
 		float64(o.figures.rejected + o.figures.aborted),
-		o.figures.backAfter(0.99).Seconds(),
+		o.figures.recoveryQuantile(0.99).Seconds(),
 		o.figures.slowestSetup.Seconds(),
-		float64(o.figures.busiest()),
+		float64(o.figures.busiestConnects()),
 		float64(o.unserved),
 		o.processor.Seconds(),
 	} {
-		f[i].add(size, value)
+		f[i].addPoint(size, value)
 	}
 }
--- a/internal/testbed/scale/sweep_groups.go
+++ b/internal/testbed/scale/sweep_groups.go
@@ -30,18 +30,18 @@
 	for i, size := range s.Sizes {
 		one := s.at(size)
 		before := liveMemory()
-		h := newHollow(s.Seed, terms{peers: peers})
+		h := newSimulatedBalancer(s.Seed, simulatedSettings{peers: peers})
 		h.list(decide.FullUpdate, warmServers(one.Servers, one.Zones))
 		placed, err := fill(ctx, h, one)
 		if err != nil {
 			return nil, nil, err
 		}
-		memory.add(size, float64(liveMemory()-before))
-		spread.add(size, placed.meanSpread())
-		widest.add(size, float64(placed.widest()))
-		uneven.add(size, unevenness(placed.onServer))
-		processor.add(size, microseconds(measure(placementBatches, placementFlows, visitor(h, s.Seed, one.Groups)).processor))
-		turned += h.turned
+		memory.addPoint(size, float64(liveMemory()-before))
+		spread.addPoint(size, placed.meanSpread())
+		widest.addPoint(size, float64(placed.widest()))
+		uneven.addPoint(size, unevenness(placed.onServer))
+		processor.addPoint(size, microseconds(measure(placementBatches, placementFlows, visitor(h, s.Seed, one.Groups)).processor))
+		turned += h.rejected
 		runtime.KeepAlive(h)
 		progress(i+1, len(s.Sizes))
 	}
@@ -56,7 +56,7 @@
 }
 
 // fill has connections come one by one, of each group in turn.
-func fill(ctx context.Context, h *hollow, s Settings) (placements, error) {
+func fill(ctx context.Context, h *simulatedBalancer, s Settings) (placements, error) {
 	all := placements{onServer: make([]int, s.Servers), holders: make([]map[decide.ServerID]bool, s.Groups)}
 	for i := range s.Connections {
 		if i%placedBetweenLooks == 0 && ctx.Err() != nil {
@@ -64,7 +64,7 @@
 		}
 		group := i % s.Groups
 		h.now += betweenPlacements
-		at, stands := h.place(flowName(i), groupName(group))
+		at, stands := h.placeFlow(flowName(i), groupName(group))
 		if !stands {
 			continue
 		}
--- a/internal/testbed/scale/sweep_list.go
+++ b/internal/testbed/scale/sweep_list.go
@@ -38,14 +38,14 @@
 		}
 		servers := warmServers(size, s.Zones)
 		before := liveMemory()
-		h := newHollow(s.Seed, terms{peers: peers})
+		h := newSimulatedBalancer(s.Seed, simulatedSettings{peers: peers})
 		h.list(decide.FullUpdate, servers)
-		memory.add(size, float64(liveMemory()-before))
+		memory.addPoint(size, float64(liveMemory()-before))
 		times := min(max(listWork/size, 1), mostLists)
-		whole.add(size, microseconds(measure(listBatches, times, func() { h.list(decide.FullUpdate, servers) }).processor))
+		whole.addPoint(size, microseconds(measure(listBatches, times, func() { h.list(decide.FullUpdate, servers) }).processor))
 		one := measure(listBatches, times, func() { h.list(decide.DeltaUpdate, servers[:1]) })
-		change.add(size, microseconds(one.processor))
-		objects.add(size, one.allocations)
+		change.addPoint(size, microseconds(one.processor))
+		objects.addPoint(size, one.allocations)
 		runtime.KeepAlive(h)
 		if err := addParsed(parsed, garbage, routed, s.Seed, servers); err != nil {
 			refused = fmt.Sprintf("%d servers: %v", size, err)
@@ -63,28 +63,28 @@
 		return err
 	}
 	before := liveMemory()
-	discovery := protocol.NewDiscovery(hollowRouter(seed), "localhost:0", seed, false)
+	discovery := protocol.NewDiscovery(newSimulatedRouter(seed), "localhost:0", seed, false)
 	if err := discovery.LoadCached(text); err != nil {
 		return err
 	}
-	routed.add(len(servers), float64(liveMemory()-before))
+	routed.addPoint(len(servers), float64(liveMemory()-before))
 	var failed error
 	c := measure(listBatches, 1, func() {
 		if err := discovery.LoadCached(text); err != nil {
 			failed = err
 		}
 	})
-	parsed.add(len(servers), microseconds(c.processor))
-	garbage.add(len(servers), c.bytes)
+	parsed.addPoint(len(servers), microseconds(c.processor))
+	garbage.addPoint(len(servers), c.bytes)
 	runtime.KeepAlive(discovery)
 	return failed
 }
 
-// hollowRouter has the same terms as a hollow balancer.
-func hollowRouter(seed uint64) *routing.Router {
+// newSimulatedRouter has the same terms as a hollow balancer.
+func newSimulatedRouter(seed uint64) *routing.Router {
 	return routing.New(seed, messageTarget, false, true, nil,
 		func(b *decide.Balancer) (map[string]decide.ServiceID, map[string]decide.CustomerID) {
-			startHollow(b, terms{peers: peers})
+			configureSimulatedBalancer(b, simulatedSettings{peers: peers})
 			return map[string]decide.ServiceID{}, map[string]decide.CustomerID{}
 		})
 }
--- a/internal/testbed/scale/sweep_placement.go
+++ b/internal/testbed/scale/sweep_placement.go
@@ -38,17 +38,17 @@
 			return nil, nil, err
 		}
 		one := s.at(size)
-		h := restingHollow(one)
+		h := newSettledBalancer(one)
 		visit := visitor(h, s.Seed, one.Groups)
 		c := measure(placementBatches, placementFlows, visit)
-		processor.add(size, microseconds(c.processor))
-		objects.add(size, c.allocations)
-		looked.add(size, float64(h.looksOf(func() {
+		processor.addPoint(size, microseconds(c.processor))
+		objects.addPoint(size, c.allocations)
+		looked.addPoint(size, float64(h.countLooks(func() {
 			for range placementLooks {
 				visit()
 			}
 		}))/placementLooks)
-		turned += h.turned
+		turned += h.rejected
 		progress(i+1, len(s.Sizes))
 	}
 	check := Check{Name: "every flow is placed", Held: turned == 0, Detail: fmt.Sprintf("%d turned away", turned)}
@@ -56,15 +56,15 @@
 }
 
 // visitor gives a piece of work: one flow of a group drawn by chance comes, stands, and ends.
-func visitor(h *hollow, seed uint64, groups int) func() {
+func visitor(h *simulatedBalancer, seed uint64, groups int) func() {
 	chance := rand.New(rand.NewPCG(seed, uint64(groups)))
 	next := mostHeld
 	return func() {
 		next++
 		h.now += betweenPlacements
 		id := flowName(next)
-		if _, stands := h.place(id, groupName(chance.IntN(groups))); stands {
-			h.end(id)
+		if _, stands := h.placeFlow(id, groupName(chance.IntN(groups))); stands {
+			h.endFlow(id)
 		}
 	}
 }
--- a/internal/testbed/scale/sweep_rechecks.go
+++ b/internal/testbed/scale/sweep_rechecks.go
@@ -38,63 +38,63 @@
 	moved := 0
 	for i, size := range s.Sizes {
 		one := s.at(size)
-		h := restingHollow(one)
+		h := newSettledBalancer(one)
 		processor, made, err := tickCost(ctx, h)
 		if err != nil {
 			return nil, nil, err
 		}
-		share.add(size, processor.Seconds()/ticksEvery.Seconds())
-		objects.add(size, made)
-		looked.add(size, float64(h.looksOf(h.tick)))
-		moved += len(h.moved)
-		if processor, _, err = tickCost(ctx, unevenHollow(one)); err != nil {
+		share.addPoint(size, processor.Seconds()/ticksEvery.Seconds())
+		objects.addPoint(size, made)
+		looked.addPoint(size, float64(h.countLooks(h.tick)))
+		moved += len(h.migrated)
+		if processor, _, err = tickCost(ctx, newUnevenBalancer(one)); err != nil {
 			return nil, nil, err
 		}
-		uneven.add(size, processor.Seconds()/ticksEvery.Seconds())
+		uneven.addPoint(size, processor.Seconds()/ticksEvery.Seconds())
 		progress(i+1, len(s.Sizes))
 	}
 	check := Check{Name: "no flow is moved at rest", Held: moved == 0, Detail: fmt.Sprintf("%d asked to move", moved)}
 	return []Series{*share, *objects, *looked, *uneven}, []Check{check}, nil
 }
 
-// restingHollow is a balancer that holds connections at rest.
-func restingHollow(s Settings) *hollow {
-	h := newHollow(s.Seed, terms{peers: peers})
+// newSettledBalancer is a balancer that holds connections at rest.
+func newSettledBalancer(s Settings) *simulatedBalancer {
+	h := newSimulatedBalancer(s.Seed, simulatedSettings{peers: peers})
 	h.list(0, warmServers(s.Servers, s.Zones))
-	h.hold(s.Connections, s.Servers, s.Groups)
-	h.rest()
+	h.adoptConnections(s.Connections, s.Servers, s.Groups)
+	h.settle()
 	return h
 }
 
-// unevenHollow is a balancer that holds connections which stand anywhere.
-func unevenHollow(s Settings) *hollow {
-	h := newHollow(s.Seed, terms{peers: peers})
-	h.returns = true
+// newUnevenBalancer is a balancer that holds connections which stand anywhere.
+func newUnevenBalancer(s Settings) *simulatedBalancer {
+	h := newSimulatedBalancer(s.Seed, simulatedSettings{peers: peers})
+	h.migratedReturn = true
 	h.list(0, warmServers(s.Servers, s.Zones))
 	chance := rand.New(rand.NewPCG(s.Seed, uint64(s.Servers)))
 	for i := range s.Connections {
 		at := decide.ServerID(1 + chance.IntN(s.Servers))
 		h.module.AdoptFlow(decide.FlowRequest{ID: flowName(i), Customer: decide.NoCustomer, Group: groupName(chance.IntN(s.Groups))}, at)
 	}
-	h.rest()
+	h.settle()
 	return h
 }
 
 // tick goes on by one tick.
-func (h *hollow) tick() {
+func (h *simulatedBalancer) tick() {
 	h.advance(h.now + ticksEvery)
-	if !h.returns {
+	if !h.migratedReturn {
 		return
 	}
-	for _, id := range h.moved {
-		h.module.OnEnded(id, decide.Cancelled, usualSetup, true)
-		h.place(id, unevenGroup)
+	for _, id := range h.migrated {
+		h.module.OnEnded(id, decide.Cancelled, typicalSetup, true)
+		h.placeFlow(id, unevenGroup)
 	}
-	h.moved = h.moved[:0]
+	h.migrated = h.migrated[:0]
 }
 
 // tickCost is the processor time and the fewest allocations of one tick. Where one takes long few are measured.
-func tickCost(ctx context.Context, h *hollow) (time.Duration, float64, error) {
+func tickCost(ctx context.Context, h *simulatedBalancer) (time.Duration, float64, error) {
 	runtime.GC()
 	var spent []time.Duration
 	var made []float64
--- a/internal/testbed/scale/sweep_topic.go
+++ b/internal/testbed/scale/sweep_topic.go
@@ -37,9 +37,9 @@
 			}
 			turned += listen(one, b, all, listeners)
 		}
-		uneven.add(size, unevenness(all))
-		bearing.add(size, float64(holding(listeners)))
-		fullest.add(size, unevenness(listeners)/float64(one.Servers))
+		uneven.addPoint(size, unevenness(all))
+		bearing.addPoint(size, float64(holding(listeners)))
+		fullest.addPoint(size, unevenness(listeners)/float64(one.Servers))
 		progress(i+1, len(s.Sizes))
 	}
 	check := Check{Name: "every flow is placed", Held: turned == 0, Detail: fmt.Sprintf("%d turned away", turned)}
@@ -49,21 +49,21 @@
 // listen has the topic come to one balancer.
 func listen(s Settings, balancer int, all, listeners []int) (turned int) {
 	chance := rand.New(rand.NewPCG(s.Seed, uint64(balancer)))
-	h := newHollow(chance.Uint64(), terms{peers: peers, inZone: balancer % s.Zones})
+	h := newSimulatedBalancer(chance.Uint64(), simulatedSettings{peers: peers, zone: balancer % s.Zones})
 	h.list(decide.FullUpdate, warmServers(s.Servers, s.Zones))
-	h.hold(s.Connections, s.Servers, s.Groups)
-	h.rest()
+	h.adoptConnections(s.Connections, s.Servers, s.Groups)
+	h.settle()
 	for i := range s.Connections {
 		all[i%s.Servers]++
 	}
 	for i := range listenersEach {
 		h.now += betweenPlacements
-		if at, stands := h.place(flowName(mostHeld+i), theTopic); stands {
+		if at, stands := h.placeFlow(flowName(mostHeld+i), theTopic); stands {
 			all[at-1]++
 			listeners[at-1]++
 		}
 	}
-	return h.turned
+	return h.rejected
 }
 
 func holding(counts []int) (servers int) {
--- a/internal/testbed/scale/sweep_zone.go
+++ b/internal/testbed/scale/sweep_zone.go
@@ -40,15 +40,15 @@
 				left++
 			}
 		}
-		returning.add(size, float64(figures.cut)/float64(left))
-		half.add(size, figures.backAfter(0.5).Seconds())
-		most.add(size, figures.backAfter(0.99).Seconds())
-		turned.add(size, float64(figures.rejected+figures.aborted)/float64(max(figures.cut, 1)))
-		slowest.add(size, figures.slowestSetup.Seconds())
-		busiest.add(size, float64(figures.busiest()))
-		processor.add(size, f.busiestSecond.Seconds()/float64(left))
-		unserved.add(size, float64(f.out()))
-		checks = append(checks, outcome{judged: f.checker.Judged, broken: broken}.check("lost zone", size))
+		returning.addPoint(size, float64(figures.disconnected)/float64(left))
+		half.addPoint(size, figures.recoveryQuantile(0.5).Seconds())
+		most.addPoint(size, figures.recoveryQuantile(0.99).Seconds())
+		turned.addPoint(size, float64(figures.rejected+figures.aborted)/float64(max(figures.disconnected, 1)))
+		slowest.addPoint(size, figures.slowestSetup.Seconds())
+		busiest.addPoint(size, float64(figures.busiestConnects()))
+		processor.addPoint(size, f.busiestSecond.Seconds()/float64(left))
+		unserved.addPoint(size, float64(f.unservedClients()))
+		checks = append(checks, outcome{judgedFlows: f.checker.Judged, violations: broken}.check("lost zone", size))
 		progress(i+1, len(s.Sizes))
 	}
 	return []Series{*returning, *half, *most, *turned, *slowest, *busiest, *processor, *unserved}, checks, nil
@@ -57,13 +57,13 @@
 // loseZone plays the loss of a zone.
 func loseZone(ctx context.Context, s Settings) (f *fleet, broken []string, err error) {
 	f = newFleet(s, peers, s.Seed)
-	f.restingFill()
-	f.takeAway(inZone)
+	f.fillEvenly()
+	f.scheduleLoss(inZone)
 	f.run(lostZoneLength, func() bool { return ctx.Err() != nil })
 	if err := ctx.Err(); err != nil {
 		return nil, nil, err
 	}
-	for _, v := range f.finish() {
+	for _, v := range f.violations() {
 		broken = append(broken, v.String())
 	}
 	return f, broken, nil
