--- a/internal/testbed/scale/control_test.go
+++ b/internal/testbed/scale/control_test.go
@@ -17,12 +17,12 @@
 	"yardwinch/fleet/signals"
 )
 
-// growth is the exponent of a quantity that goes from one value to another while a size does.
+// growth is the exponent of a quantity's growth with a size.
 func growth(fromSize, toSize, from, to float64) float64 {
 	return math.Log(to/from) / math.Log(toSize/fromSize)
 }
 
-// checkGrowth fails the test where a quantity grows faster than its row of docs/CAPACITY.md says.
+// checkGrowth fails the test if a quantity grows faster than with the given power of the size.
 func checkGrowth(t *testing.T, what string, fromSize, toSize, from, to, exponent float64) {
 	t.Helper()
 	const tolerance = 0.08
@@ -75,14 +75,14 @@
 	}
 }
 
-// queuedText is a message as memberlist's own queue has it.
+// queuedText is a message of memberlist's own queue.
 type queuedText string
 
 func (t queuedText) Invalidates(memberlist.Broadcast) bool { return false }
 func (t queuedText) Message() []byte                       { return []byte(t) }
 func (t queuedText) Finished()                             {}
 
-// For messages of one size the model's queue gives what memberlist's does.
+// For messages of one size the model's queue gives the same as memberlist's.
 func TestBroadcastQueueMatchesMemberlist(t *testing.T) {
 	const (
 		members, multiplier = 200, 2
@@ -126,7 +126,7 @@
 	}
 }
 
-// The sizes that the model reckons with are those that the engine itself writes.
+// The model's sizes are those of the messages that the engine writes.
 func TestExchangeMessageMatchesTheEngine(t *testing.T) {
 	const count = 40
 	message := exchangeMessage(count)
@@ -230,7 +230,7 @@
 	if len(few.changeLatencies) == 0 || len(few.changeLatencies)%405 != 0 {
 		t.Errorf("%d times in force, want each change at each of 405 balancers", len(few.changeLatencies))
 	}
-	// The lists of those that start with nothing are all that grows with the servers.
+	// Only the lists of balancers that start without state grow with the servers.
 	starts := float64(len(many.startLatencies)) * float64(measureListSizes(10_000).full)
 	checkGrowth(t, "bytes of changes", 1000, 10_000, few.bytes-float64(len(few.startLatencies))*float64(measureListSizes(1000).full), many.bytes-starts, 0)
 	fullLists := play(pushPlan{servers: 10_000, rate: rate, fullLists: true})
@@ -247,7 +247,7 @@
 	}
 }
 
-// What is told of changes comes to the same list, however it is told.
+// Changes lead to the same list in each form.
 func TestCatchUpFormsAgree(t *testing.T) {
 	changed := changedServers(newGossipModel(gossipRun{members: 1, seed: 3}).random, 50, 200)
 	last := map[string]string{}
--- a/internal/testbed/scale/fleet_test.go
+++ b/internal/testbed/scale/fleet_test.go
@@ -10,7 +10,7 @@
 	"yardwinch/internal/testbed/invariants"
 )
 
-// smallFaults are few connections before a short list and before one that decisions look at in part.
+// smallFaults are few connections with a short list, and with one of which decisions consider a part.
 var smallFaults = []Settings{
 	{Balancers: 10, Servers: 20, Connections: 40, Groups: 50, Zones: 5},
 	{Balancers: 5, Servers: 200, Connections: 120, Groups: 50, Zones: 5},
@@ -66,7 +66,8 @@
 	}
 }
 
-// violatedRules plays the list's news to the referee alone, or to the balancers with another content, and tells what broke.
+// violatedRules runs a fleet whose invariant checker, or whose balancers, announce changes the list, and returns the
+// violated rules.
 func violatedRules(t *testing.T, announce func(*fleet)) map[invariants.Rule]bool {
 	t.Helper()
 	f := newFleet(smallFaults[0], smallFaults[0].Balancers, 1)
@@ -83,7 +84,7 @@
 	return broken
 }
 
-// The drive shows the referee what it judges by: with balancers that are not told what it is told, rules break.
+// The fleet feeds the invariant checker: rules are violated when balancers are not told what the checker is told.
 func TestInvariantCheckerObservesTheFleet(t *testing.T) {
 	if broken := violatedRules(t, func(*fleet) {}); len(broken) > 0 {
 		t.Errorf("rules %v broken though nothing was kept back", broken)
--- a/internal/testbed/scale/page.go
+++ b/internal/testbed/scale/page.go
@@ -13,14 +13,14 @@
 //go:embed capacity.md.tmpl
 var pageText string
 
-// page is docs/CAPACITY.md while it is made.
+// page holds what docs/CAPACITY.md is generated from.
 type page struct {
-	current  *reportSet // of the code as it is
-	baseline *reportSet // of the code before the mechanism
-	err      error      // the first fault that a row met
+	current  *reportSet // of the current code
+	baseline *reportSet // of the code before the bounded-candidates mechanism
+	err      error      // the first fault of a table row
 }
 
-// Page makes docs/CAPACITY.md from a folder of reports. It is the same for the same reports, byte for byte.
+// Page generates docs/CAPACITY.md from a directory of reports. The same reports give the same bytes.
 func Page(folder string) ([]byte, error) {
 	after, err := readResults(folder)
 	if err != nil {
@@ -38,7 +38,7 @@
 	return text, nil
 }
 
-// WritePage makes the page and writes it, whole or not at all.
+// WritePage generates docs/CAPACITY.md and writes it atomically to file.
 func WritePage(folder, file string) error {
 	text, err := Page(folder)
 	if err != nil {
@@ -64,7 +64,7 @@
 	return out.Bytes(), nil
 }
 
-// functions are what the template can call.
+// functions are the functions that the template calls.
 func (p *page) functions() template.FuncMap {
 	tables := p.dayTables()
 	tables["limits"] = p.requirementsTable()
@@ -95,7 +95,7 @@
 	}
 }
 
-// proseFigure is a figure of the operators' sizes for the prose.
+// proseFigure is a figure of the fleet's sizes, for the template's prose.
 func proseFigure(name string) (string, error) {
 	f, ok := proseFigures[name]
 	if !ok {
@@ -128,7 +128,7 @@
 	"change limit":       calculated(changeSeconds, inSeconds),
 }
 
-// replaceFile writes a file beside the one that it then takes the place of.
+// replaceFile replaces a file atomically.
 func replaceFile(file string, text []byte) error {
 	fail := func(err error) error {
 		return &Error{Where: file, What: "the page can't be written", Remedy: "name a file that can be written with --out", Err: err}
@@ -137,7 +137,7 @@
 	if err != nil {
 		return fail(err)
 	}
-	defer func() { _ = os.Remove(temporary.Name()) }() // nothing there once it was renamed
+	defer func() { _ = os.Remove(temporary.Name()) }() // a renamed file is no longer there
 	_, err = temporary.Write(text)
 	err = errors.Join(err, temporary.Chmod(fileMode), temporary.Sync(), temporary.Close())
 	if err != nil {
--- a/internal/testbed/scale/page_assumptions.go
+++ b/internal/testbed/scale/page_assumptions.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// assumptionsTable is what the operators' words leave open, what is taken for it, and what changes when that is wrong.
+// assumptionsTable lists what the requirements leave open, what is assumed, and the effect of a wrong assumption.
 func (p *page) assumptionsTable() *table {
 	const ordinarySetups = ordinaryPlacements + replacedPlacements
 	t := newTable("assumption", "taken", "when it is wrong")
--- a/internal/testbed/scale/page_catalog.go
+++ b/internal/testbed/scale/page_catalog.go
@@ -7,13 +7,13 @@
 	"gonum.org/v1/gonum/interp"
 )
 
-// seriesReference is a series that rows of the page rest on.
+// seriesReference names a series that figures are derived from.
 type seriesReference struct {
 	name     string
-	optional bool // its rows say "not measured" while no report has it; any other series must be there
+	optional bool // without the series its figures are "not measured"; any other series is required
 }
 
-// The series of hollow balancers and of the members' model.
+// The series of simulated balancers and of the gossip model.
 var (
 	placementTime                  = seriesReference{"placement.processor-time.by-servers", false}
 	placementTimeByConnections     = seriesReference{"placement.processor-time.by-connections-at-1000-servers", false}
@@ -95,10 +95,10 @@
 	millisecond = 1e-3
 	kibibyte    = 1024.0
 	percent     = 0.01
-	sameSize    = 1e-3 // of a size: two that are nearer are the same
+	sameSize    = 1e-3 // relative distance within which two sizes are equal
 )
 
-// pageUnit is a unit that a series may have, with what one of it is in a unit of the page.
+// pageUnit converts a unit of a series to a unit of a figure.
 type pageUnit struct {
 	factor float64
 	unit   unit
@@ -127,8 +127,8 @@
 	"servers":        {1, inCount},
 }
 
-// valueAt is the value of a series at a size: as measured inside the range that was, on the line between the neighbours; by the
-// fit outside of it. One that was measured before the mechanism alone is marked so. The first fault is kept in p.err.
+// valueAt is the value of a series at a size: interpolated between neighbouring points inside the range of sizes, by
+// the fit outside of it. A series that only the baseline has is marked so. The first fault is kept in p.err.
 func (p *page) valueAt(of seriesReference, size float64) figure {
 	found, old := p.findSeries(of.name)
 	if found == nil {
@@ -162,17 +162,17 @@
 	return result.derived()
 }
 
-// between is on the line between the two points around a size.
+// between interpolates linearly between the two points around a size.
 func (e *reportedSeries) between(size float64) float64 {
 	var lines interp.PiecewiseLinear
 	sizes, values := pointColumns(e.Points)
-	if err := lines.Fit(sizes, values); err != nil { // a single point, which is at that size
+	if err := lines.Fit(sizes, values); err != nil { // there is a single point, which is at that size
 		return values[0]
 	}
 	return lines.Predict(size)
 }
 
-// findSeries is a series with the mechanism, else from before.
+// findSeries returns a series of the current code, else of the baseline.
 func (p *page) findSeries(name string) (found *reportedSeries, old bool) {
 	if now := p.current.series[name]; now != nil {
 		return now, false
@@ -201,5 +201,5 @@
 	return fmt.Sprintf("%s to %s %s", digits(e.Points[0].Size), digits(e.largest()), e.Against)
 }
 
-// unmeasured is a figure that rests on what is not there.
+// unmeasured is a figure without a value, for lack of a series.
 func unmeasured(what string) figure { return figure{origin: Calculated, missing: []string{what}} }
--- a/internal/testbed/scale/page_comparison.go
+++ b/internal/testbed/scale/page_comparison.go
@@ -8,22 +8,22 @@
 )
 
 const (
-	agreementTolerance    = 0.20        // apart at the most, of the real figure
-	modelSuffix           = "-of-model" // of a series that stands beside one of real engines
+	agreementTolerance    = 0.20        // share of the real figure
+	modelSuffix           = "-of-model" // of a model's series, beside the series of real engines
 	busyEngines           = "the machine was too busy at that size: engines that answer late are suspected, probed by others and asked anew"
-	unexplainedDifference = "not traced" // why two figures are apart
+	unexplainedDifference = "not traced" // reason for a difference
 )
 
-// comparedPair is a quantity of hollow balancers beside the same of real processes.
+// comparedPair is a quantity of simulated balancers and of real processes.
 type comparedPair struct {
 	quantity  string
 	simulated seriesReference
 	real      seriesReference
-	whyBelow  string // why the hollow one may be far below the real one, where that is known
-	whyAbove  string // why it may be far above
+	whyBelow  string // known reason for a simulated figure far below the real one
+	whyAbove  string // known reason for one far above
 }
 
-// simulatedAgainstRealTable has hollow and real figures at the sizes of the real ones that the hollow ones reach over.
+// simulatedAgainstRealTable compares figures at the sizes of the real ones that the simulated ones cover.
 func (p *page) simulatedAgainstRealTable() *table {
 	t := newTable("quantity", "at", "hollow", "real", "hollow over real", "apart by more than 20 %")
 	for _, pair := range append(p.comparedPairs(), p.modelPairs()...) {
@@ -40,7 +40,7 @@
 	return t
 }
 
-// comparedPairs are those of the sweep that measures real processes and hollow balancers side by side.
+// comparedPairs are the pairs of the sweep that runs real processes and simulated balancers side by side.
 func (p *page) comparedPairs() (pairs []comparedPair) {
 	for _, c := range comparisons {
 		simulated, realSlope := seriesReference{name: "compare." + c.name + ".hollow"}, seriesReference{name: "compare." + c.name + ".real"}
@@ -51,7 +51,7 @@
 	return pairs
 }
 
-// difference says why two figures differ, where they differ by much.
+// difference gives the reason why two figures differ by more than agreementTolerance.
 func (h comparedPair) difference(ratio float64) string {
 	why := h.whyAbove
 	if ratio < 1 {
@@ -67,7 +67,7 @@
 	}
 }
 
-// modelPairs are the series of real engines that have the model's beside them.
+// modelPairs are the series of real engines beside those of the gossip model.
 func (p *page) modelPairs() (pairs []comparedPair) {
 	for _, name := range slices.Sorted(maps.Keys(p.current.series)) {
 		of, isModel := strings.CutSuffix(name, modelSuffix)
--- a/internal/testbed/scale/page_control.go
+++ b/internal/testbed/scale/page_control.go
@@ -2,13 +2,13 @@
 
 import "math"
 
-// ordinaryDay is the situation of that name.
+// ordinaryDay is the situation of an ordinary day.
 func ordinaryDay(servers float64) situation { return situations(servers)[situationOrdinaryDay] }
 
-// connectionMemory is the memory of the data path for connections held.
+// connectionMemory is the memory of the data path for so many connections.
 func (p *page) connectionMemory(held float64) figure { return p.valueAt(realConnectionMemory, held) }
 
-// groupMemory is the memory of tallies for the groups that a balancer sees, with those of its connections.
+// groupMemory is the memory of the tallies for a balancer's groups and connections.
 func (p *page) groupMemory() figure { return p.decisionMemory(connectionsPerBalancer) }
 
 // controlProcessor is the processor time of all parts of control.
@@ -16,7 +16,7 @@
 	return p.sumControlParts(controlParts, s, servers, func(l load) figure { return l.processor }, inCores)
 }
 
-// controlTrafficOf is what all parts of control send.
+// controlTrafficOf is what all parts of control send or receive, whichever is more.
 func (p *page) controlTrafficOf(s situation, servers float64) figure {
 	sent := p.sumControlParts(controlParts, s, servers, func(l load) figure { return l.bytesOut }, inTraffic)
 	received := p.sumControlParts(controlParts, s, servers, func(l load) figure { return l.bytesIn }, inTraffic)
@@ -26,12 +26,12 @@
 	return sent
 }
 
-// controlMemory is the memory of all parts of control at rest.
+// controlMemory is the memory of all parts of control in an idle balancer.
 func (p *page) controlMemory(servers float64) figure {
 	return p.sumControlParts(controlParts, situations(servers)[situationIdle], servers, func(l load) figure { return l.memory }, inBytes)
 }
 
-// standaloneProcessor and aloneMemory are those of a balancer that has no peers and asks servers for no load.
+// standaloneProcessor and standaloneMemory are those of a balancer without peers and without health checks.
 func (p *page) standaloneProcessor(s situation, servers float64) figure {
 	return p.sumControlParts(controlParts[:standaloneParts], s, servers, func(l load) figure { return l.processor }, inCores)
 }
@@ -40,7 +40,7 @@
 	return p.sumControlParts(controlParts[:standaloneParts], situations(servers)[situationIdle], servers, func(l load) figure { return l.memory }, inBytes)
 }
 
-// sumControlParts adds a quantity over the parts of control, and notes the parts of which nothing was measured.
+// sumControlParts adds a quantity over the parts of control, and records the parts without figures.
 func (p *page) sumControlParts(parts []part, s situation, servers float64, of func(load) figure, in unit) figure {
 	sum := calculated(0, in)
 	for _, part := range parts {
@@ -58,12 +58,12 @@
 	return p.placementProcessor(connectionsPerBalancer, servers).times(replacedPlacements+failed, inCores)
 }
 
-// burstProcessor is the processor time of decisions while so many connections come back.
+// burstProcessor is the processor time of decisions while so many connections return.
 func (p *page) burstProcessor(connections, servers float64) figure {
 	return p.placementProcessor(connectionsPerBalancer+connections, servers).times(connections/reconnectSeconds, inCores)
 }
 
-// sizesTable is what control costs a balancer on the ordinary day, by part and size of the list.
+// sizesTable is the cost of control for a balancer on an ordinary day, by part and number of servers.
 func (p *page) sizesTable() *table {
 	t := newTable("part", "servers", "processor time", "memory", "bytes in, out", "origin", "slopes")
 	for _, part := range controlParts {
@@ -76,7 +76,7 @@
 	return t
 }
 
-// partRequirements are control's limits for each part alone, as far as one is over: what the list of the missing needs.
+// partRequirements are the requirements on control that a single part exceeds.
 func (p *page) partRequirements() (list []requirement) {
 	for _, part := range controlParts {
 		variants := func(quantity func(load) figure) []variant {
@@ -98,7 +98,7 @@
 	return list
 }
 
-// zonedTable is what gossip in groups of a zone or a region would cost, which is not built.
+// zonedTable is the cost of gossip in groups of a zone or a region, which is not implemented.
 func (p *page) zonedTable() *table {
 	t := newTable("members of a group", "sent by a member", "of control's traffic", "have a record within 5 s", "origin")
 	for _, members := range []float64{zoneBalancers, math.Floor(regionBalancers)} {
--- a/internal/testbed/scale/page_day.go
+++ b/internal/testbed/scale/page_day.go
@@ -5,7 +5,7 @@
 	"math"
 )
 
-// dayTables are the tables of the day, by the names that the template calls them by.
+// dayTables are the tables of a day by their names in the template.
 func (p *page) dayTables() map[string]*table {
 	return map[string]*table{
 		"replacements": p.replacementsTable(),
@@ -32,7 +32,7 @@
 	return t
 }
 
-// quantityRowsByServers is a line for each size of the list.
+// quantityRowsByServers returns a row for each number of servers.
 func quantityRowsByServers(label string, figureFor func(servers float64) figure) (lines []quantityRow) {
 	for _, servers := range serverCounts {
 		lines = append(lines, quantityRow{fmt.Sprintf("%s, %s servers", label, digits(servers)), figureFor(servers)})
@@ -85,7 +85,8 @@
 	return quantityTable(lines...)
 }
 
-// lostZoneRows are what a hollow fleet did that lost one zone of 25, each balancer left taking an even part.
+// lostZoneRows are the results of a simulated fleet that lost one zone of 25, whose connections all others took
+// evenly.
 func (p *page) lostZoneRows() []quantityRow {
 	const prefix = "hollow fleet of 25 balancers, one lost with its servers, all others taking an even part: "
 	busiest := p.valueAt(lostZoneBusiest, connectionsPerBalancer)
@@ -169,8 +170,8 @@
 	)
 }
 
-// topicTable is how the listeners of the largest topic lie on servers, as more and more balancers hold their part. It ends with
-// the sweep: how many servers hold some is bounded by their number, which no form knows.
+// topicTable shows how the listeners of the largest topic spread over servers, as more balancers hold their part. It
+// ends at the sweep's largest size, as the number of servers bounds the spread, which no fit accounts for.
 func (p *page) topicTable() *table {
 	t := newTable("balancers", "listeners", "servers that hold some", "share of the topic on the fullest of them", "fullest server over the mean, all connections", "origin")
 	found, _ := p.findSeries(topicUnevenness.name)
@@ -184,7 +185,7 @@
 	return t
 }
 
-// topicFillsTable is what the largest topic is to one server.
+// topicFillsTable is the load of the largest topic on one server.
 func topicFillsTable() *table {
 	t := newTable("servers", "connections a server", "servers that the topic fills", "one home would bear, of what a server has on average", "origin")
 	for _, servers := range serverCounts {
--- a/internal/testbed/scale/page_faults.go
+++ b/internal/testbed/scale/page_faults.go
@@ -8,10 +8,10 @@
 
 const faultPrefix = "faults."
 
-// faultQuantities are the series of a fault that the page shows, in the order of its columns.
+// faultQuantities are the series of a fault, in the order of the table's columns.
 var faultQuantities = []string{"cut", "turned-away", "back-after", "slowest-setup", "unserved"}
 
-// faultsTable has what each fault of a hollow fleet came to at its largest size.
+// faultsTable shows the results of each fault of a simulated fleet at its largest size.
 func (p *page) faultsTable() *table {
 	t := newTable("fault", "at, a balancer", "clients cut off", "turned away", "99 in 100 of them stand again", "longest set-up", "without a connection at the end", "the four rules", "origin")
 	for _, name := range p.faultNames() {
@@ -20,7 +20,7 @@
 	return t
 }
 
-// faultNames are the faults that some report has.
+// faultNames are the faults in the reports.
 func (p *page) faultNames() (names []string) {
 	for _, name := range slices.Concat(slices.Collect(maps.Keys(p.current.series)), slices.Collect(maps.Keys(p.baseline.series))) {
 		if rest, ok := strings.CutPrefix(name, faultPrefix); ok {
@@ -53,7 +53,7 @@
 	return append(row, p.invariantsCell(fault), first.Origin())
 }
 
-// shownUnit leaves out what the head of a column says.
+// shownUnit omits the units that the table's head states.
 func shownUnit(of unit) unit {
 	if of == inSeconds {
 		return of
@@ -73,7 +73,7 @@
 	return nil
 }
 
-// invariantsCell tells whether the referee saw a rule broken in any run of a fault.
+// invariantsCell states in how many runs of a fault an invariant was violated.
 func (p *page) invariantsCell(fault string) string {
 	runs, broken := faultRuns(p.current, fault)
 	if runs == 0 {
@@ -90,7 +90,7 @@
 	}
 }
 
-// faultRuns counts the runs of a fault that the referee judged, and those that broke a rule.
+// faultRuns counts the checked runs of a fault, and those that violated an invariant.
 func faultRuns(all *reportSet, fault string) (runs, broken int) {
 	for _, r := range all.reports {
 		for _, check := range r.checks {
--- a/internal/testbed/scale/page_figure.go
+++ b/internal/testbed/scale/page_figure.go
@@ -10,23 +10,23 @@
 
 const (
 	notMeasured  = "not measured"
-	poorFitError = 0.20 // an error of the held-out point that a row says
+	poorFitError = 0.20 // relative error of the held-out point from which a row states it
 )
 
-// figure is a value of the page with where it comes from. One that rests on a series which is not there has no value.
+// figure is a value with its origin. One without a required series has no value.
 type figure struct {
 	value        float64
 	unit         unit
 	origin       Origin
-	derivedFrom  []Origin // what a reckoned figure was worked out from, beside the operators' sizes
+	derivedFrom  []Origin // origins that a calculated figure was derived from, besides the fleet's sizes
 	series       []string
 	missing      []string
-	omitted      []string // parts that are not in a sum, as nothing was measured of them
-	fromBaseline bool     // a series behind it was measured before the mechanism alone
-	fitError     float64  // the largest error of a held-out point among the fits behind it
+	omitted      []string // parts missing in a sum for lack of a series
+	fromBaseline bool     // one of its series exists in the baseline only
+	fitError     float64  // the largest error of a held-out point among its fits
 }
 
-// unit is what a figure counts, in the base that it is held in.
+// unit is what a figure counts, in base units.
 type unit string
 
 const (
@@ -35,23 +35,23 @@
 	inTraffic unit = "B/s"
 	inRate    unit = "/s"
 	inSeconds unit = "s"
-	inCores   unit = "cores" // seconds of processor time a second
+	inCores   unit = "cores" // seconds of processor time per second
 	inShare   unit = "share"
 )
 
-// calculated is a figure of the operators' sizes and the assumptions alone.
+// calculated is a figure of the fleet's sizes and the assumptions only.
 func calculated(value float64, in unit) figure {
 	return figure{value: value, unit: in, origin: Calculated}
 }
 
-// times is the figure multiplied by a size.
+// times multiplies the figure by a factor; the result is in the given unit.
 func (f figure) times(factor float64, in unit) figure {
 	f.value *= factor
 	f.unit = in
 	return f.derived()
 }
 
-// plus is the sum of figures of one unit; it is known when all of them are.
+// plus adds figures of one unit; the sum is known if all of them are.
 func (f figure) plus(others ...figure) figure {
 	for _, other := range others {
 		f.value += other.value
@@ -60,7 +60,7 @@
 	return f.derived()
 }
 
-// plusIfKnown adds the figure of a named part, or notes that it is not there.
+// plusIfKnown adds the figure of a named part, or records that the part is omitted.
 func (f figure) plusIfKnown(name string, part figure) figure {
 	if !part.known() {
 		f.omitted = unionOf(f.omitted, []string{name})
@@ -70,14 +70,14 @@
 	return f.plus(part)
 }
 
-// multipliedBy is the figure times another that has no unit.
+// multipliedBy multiplies the figure by a dimensionless figure.
 func (f figure) multipliedBy(by figure) figure {
 	f.value *= by.value
 	f.addSources(by)
 	return f.derived()
 }
 
-// dividedBy is the figure divided by another.
+// dividedBy divides the figure by another; the result is in the given unit.
 func (f figure) dividedBy(by figure, in unit) figure {
 	f.value /= by.value
 	f.unit = in
@@ -96,7 +96,7 @@
 	}
 }
 
-// derived marks the figure as worked out from what it was.
+// derived marks the figure as calculated from its origin.
 func (f figure) derived() figure {
 	if f.origin != Calculated {
 		f.derivedFrom = unionOf(f.derivedFrom, []Origin{f.origin})
@@ -115,7 +115,7 @@
 	return text
 }
 
-// valueText is the figure without the names of what it lacks.
+// valueText is the figure without the names of omitted parts.
 func (f figure) valueText() string {
 	if !f.known() {
 		return notMeasured
@@ -123,7 +123,7 @@
 	return show(f.value, f.unit)
 }
 
-// Origin tells measured, simulated and reckoned apart.
+// Origin states whether the figure is measured, simulated or calculated, and from what.
 func (f figure) Origin() string {
 	if !f.known() {
 		return notMeasured
@@ -145,7 +145,7 @@
 	return text
 }
 
-// Slopes names the series behind a figure.
+// Slopes names the figure's series.
 func (f figure) Slopes() string {
 	var names []string
 	for _, name := range f.series {
@@ -160,9 +160,9 @@
 	return slices.Compact(both)
 }
 
-const significantDigits = 3 // digits of a figure
+const significantDigits = 3 // of a printed figure
 
-// show prints three digits of a value with a unit that fits its size.
+// show prints a value with significantDigits and a unit that fits its size.
 func show(value float64, in unit) string {
 	switch in {
 	case inBytes:
@@ -214,7 +214,7 @@
 	return digits(value/last.from) + " " + last.name
 }
 
-// digits prints a number to three digits, whole where it has more, with a comma before each three.
+// digits prints a number with significantDigits, without fraction if it has more, and with commas between thousands.
 func digits(value float64) string {
 	if value == 0 {
 		return "0"
@@ -231,7 +231,7 @@
 	return groupThousands(text)
 }
 
-// groupThousands puts a comma before each three digits of the whole part.
+// groupThousands puts commas between the thousands of a number's integer part.
 func groupThousands(text string) string {
 	integer, fraction, _ := strings.Cut(text, ".")
 	sign := ""
--- a/internal/testbed/scale/page_figure_test.go
+++ b/internal/testbed/scale/page_figure_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// What follows from the operators' sizes is what the task reckoned by hand.
+// Figures derived from the fleet's sizes match values computed by hand.
 func TestDerivedFleetFigures(t *testing.T) {
 	for _, c := range []struct {
 		what  string
@@ -72,7 +72,7 @@
 	}
 }
 
-// A figure tells measured, simulated and reckoned apart, whatever was done with it.
+// A figure keeps measured, simulated and calculated origins apart, through all operations.
 func TestFigureOrigins(t *testing.T) {
 	measured := figure{value: 2, origin: Measured, series: []string{"a"}}
 	simulated := figure{value: 3, origin: Simulated, series: []string{"b"}}
@@ -104,7 +104,8 @@
 	}
 }
 
-// A series gives what it measured at that size, the line between neighbours, and the fit past its sizes, and says which.
+// A series gives its value at a size, interpolates between neighbours and extrapolates by the fit, with the origin of
+// each.
 func TestFigureFromSeries(t *testing.T) {
 	points := pointsOf(decades, func(n float64) float64 { return 10 + 2*n })
 	points[2].Value *= 1.01
@@ -132,7 +133,7 @@
 			t.Errorf("%v: %s, %s", c.size, got.Origin(), got.unit)
 		}
 	}
-	// Past the range a figure says how far off its fit is.
+	// Outside of the range a figure states the error of its fit.
 	known.Points[len(points)-1].Value *= 3
 	if known.Fit, err = FitPoints(known.Points); err != nil {
 		t.Fatal(err)
@@ -175,7 +176,7 @@
 	}
 }
 
-// The list of what is missing falls by how far over the limit each is, with what is not known last.
+// Unmet requirements are sorted by decreasing excess, unknown ones last.
 func TestUnmetRequirementsAreSorted(t *testing.T) {
 	absent := &reportSet{series: map[string]*reportedSeries{}}
 	p := &page{current: absent, baseline: absent}
--- a/internal/testbed/scale/page_fit.go
+++ b/internal/testbed/scale/page_fit.go
@@ -13,7 +13,7 @@
 // Form is the shape of a fitted curve over the size n.
 type Form string
 
-// The forms that are tried, from the simplest on.
+// The forms of a fit, from the simplest on.
 const (
 	FormConstant  Form = "a"
 	FormLinear    Form = "a + b·n"
@@ -21,29 +21,29 @@
 	FormPower     Form = "a·n^b"
 )
 
-// slopeForms are the forms that go with the size.
+// slopeForms are the forms that depend on the size.
 var slopeForms = []Form{FormLinear, FormLogLinear, FormPower}
 
 const (
-	slopeScatterShare = 0.5  // of the scatter round the mean: a slope that explains less may be noise of few points
-	minFitSizes       = 4    // three for the fit and the one that is held out
-	minRelativeScale  = 0.01 // of the largest value: what residuals are divided by where a value is near nought
-	roundingShare     = 1e-9 // of the largest value: coefficients below it are none
-	minResidual       = 1e-3 // closer than that, two forms fit alike and the simpler one is taken
+	slopeScatterShare = 0.5  // of the scatter round the mean; a slope that leaves more may be noise of few points
+	minFitSizes       = 4    // three for the fit and the held-out one
+	minRelativeScale  = 0.01 // of the largest value: the least divisor of a residual
+	roundingShare     = 1e-9 // of the largest value; smaller coefficients are dropped
+	minResidual       = 1e-3 // below which two forms fit equally well and the simpler one is chosen
 )
 
 // Fit is a curve through all points of a series but the largest, which it predicts.
 type Fit struct {
 	Form      Form
 	A, B      float64
-	Fitted    int     // sizes that it goes through
-	R2        float64 // of the fitted points, weighted as they were fitted
-	Residual  float64 // root of the mean square of the relative residuals
+	Fitted    int     // number of sizes
+	R2        float64 // of the fitted points, with the weights of the fit
+	Residual  float64 // root mean square of the relative residuals
 	HeldOut   Point
-	Predicted float64 // for the size of HeldOut
+	Predicted float64 // at the size of HeldOut
 }
 
-// At is the fitted value at a size, never below nought.
+// At is the fitted value at a size, at least 0.
 func (f Fit) At(size float64) float64 {
 	return max(0, f.value(size))
 }
@@ -61,7 +61,7 @@
 	}
 }
 
-// HeldOutError is how far the prediction of the largest point lies from it, as a share of the measured value.
+// HeldOutError is the relative error of the predicted largest point.
 func (f Fit) HeldOutError() float64 {
 	if f.HeldOut.Value == 0 {
 		return f.Predicted
@@ -71,7 +71,7 @@
 
 func (f Fit) absoluteError() float64 { return math.Abs(f.HeldOutError()) }
 
-// TooFewPointsError says that a series has too few sizes for a fit with its largest held out.
+// TooFewPointsError reports that a series has too few sizes for a fit with its largest held out.
 type TooFewPointsError struct {
 	Sizes int
 }
@@ -80,13 +80,13 @@
 	return fmt.Sprintf("%d sizes, %d are needed for a fit with the largest held out", e.Sizes, minFitSizes)
 }
 
-// Advice says what helps.
+// Advice says what an operator can do.
 func (e *TooFewPointsError) Advice() string {
 	return "add sizes to the experiment's file and run it again"
 }
 
-// FitPoints fits the form that explains all points but the largest best, with a price on each coefficient. It is the mean
-// unless a slope takes away half of the scatter round it.
+// FitPoints fits the form that explains all points but the largest best, by bayesianCriterion. It is the mean unless a
+// slope removes half of the scatter round it.
 func FitPoints(points []Point) (Fit, error) {
 	points = averageBySize(points)
 	if len(points) < minFitSizes {
@@ -110,7 +110,7 @@
 	return best, nil
 }
 
-// bayesianCriterion is Schwarz's: the lower, the better the form, of relative residuals.
+// bayesianCriterion is Schwarz's criterion for relative residuals; the lowest is best.
 func bayesianCriterion(fit Fit) float64 {
 	coefficients := 2.0
 	if fit.Form == FormConstant {
@@ -144,7 +144,7 @@
 	return fit, !math.IsNaN(fit.Residual)
 }
 
-// dropNoise takes out a coefficient that adds nothing but rounding.
+// dropNoise drops a coefficient that contributes only rounding errors.
 func (f *Fit) dropNoise(sizes, values []float64) {
 	if f.Form != FormLinear && f.Form != FormLogLinear {
 		return
@@ -157,8 +157,7 @@
 	}
 }
 
-// fitPower starts from the line through the logarithms and then makes the relative residuals least, as the other forms
-// do.
+// fitPower starts from a line through the logarithms and then minimizes the relative residuals, as the other forms do.
 func fitPower(sizes, values, weights []float64) (a, b float64, ok bool) {
 	if slices.Min(sizes) <= 0 || slices.Min(values) <= 0 {
 		return 0, 0, false
@@ -176,7 +175,7 @@
 	return math.Exp(result.X[0]), result.X[1], true
 }
 
-// relativeWeights make a residual count by its share of the value, as the sizes span decades.
+// relativeWeights weigh a residual relative to its value, as the sizes span decades.
 func relativeWeights(values []float64) []float64 {
 	largest := 0.0
 	for _, value := range values {
@@ -200,7 +199,7 @@
 	return math.Sqrt(sum / float64(len(values)))
 }
 
-// averageBySize sorts by size and takes the mean where a size was measured more than once.
+// averageBySize sorts by size and averages the values of equal sizes.
 func averageBySize(points []Point) []Point {
 	bySize := map[float64][]float64{}
 	for _, point := range points {
--- a/internal/testbed/scale/page_fit_test.go
+++ b/internal/testbed/scale/page_fit_test.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// Each form is found again from exact points, and predicts the one that it did not see.
+// Each form is found from exact points, and predicts the held-out one.
 func TestFitSelectsTheForm(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -59,7 +59,7 @@
 	}
 }
 
-// The largest point has no part in the fit: whatever it is, the curve stays, and the error tells how far off it is.
+// The largest point does not influence the fit: the curve stays, and the error states the distance.
 func TestLargestPointIsHeldOut(t *testing.T) {
 	points := pointsOf(decades, func(n float64) float64 { return 10 + 2*n })
 	fit, err := FitPoints(points)
@@ -113,7 +113,7 @@
 	})
 }
 
-// Scatter of a few points is no slope, whatever line goes through them.
+// A slope through few scattered points is not accepted.
 func TestNoiseIsNotFittedAsASlope(t *testing.T) {
 	sizes := []float64{800, 2500, 8000, 25000, 79012}
 	values := []float64{341, 288, 402, 235, 240}
@@ -130,7 +130,7 @@
 	}
 }
 
-// Values of nought, alike and falling have fits that are numbers.
+// Zero, equal and decreasing values have finite fits.
 func TestFitOfDegeneratePoints(t *testing.T) {
 	for name, value := range map[string]func(float64) float64{
 		"nought":      func(float64) float64 { return 0 },
--- a/internal/testbed/scale/page_fleet.go
+++ b/internal/testbed/scale/page_fleet.go
@@ -2,21 +2,21 @@
 
 import "math"
 
-// The fleet ahead, as the operators state it.
+// The fleet that the operators require.
 const (
 	fleetBalancers       = 8_100.0
 	fleetConnections     = 640e6
 	fleetShards          = 1.9e6
 	largestTopic         = 3e6  // listeners
-	fleetDeliveries      = 49e6 // a second
+	fleetDeliveries      = 49e6 // per second
 	deliverySeconds      = 0.210
 	fleetRegions         = 8.0
 	fleetZones           = 25.0
 	changesPerDay        = 17_000.0
 	changeSeconds        = 16.0
-	controlCores         = 0.036 // of a core, a balancer
-	controlBytes         = 64e6  // of memory, a balancer
-	controlTraffic       = 10e3  // bytes a second, a balancer
+	controlCores         = 0.036 // of a core, per balancer
+	controlBytes         = 64e6  // of memory, per balancer
+	controlTraffic       = 10e3  // bytes per second, per balancer
 	fleetControlMachines = 20.0
 	failuresPerDay       = 47.0
 	replacementsPerDay   = 2_300.0
@@ -29,30 +29,30 @@
 	nanosecond           = 1e-9
 )
 
-// What the operators' words leave open. Each stands in the table of assumptions with what changes when it is wrong.
+// Assumptions where the requirements leave something open; assumptionsTable states the effect of each.
 const (
-	connectionSeconds = 1_200.0 // mean length of a connection
-	reconnectSeconds  = 30.0    // in which the clients of a lost balancer come back
-	rackBalancers     = 20.0    // that share a rack or a switch
-	setupSeconds      = 0.010   // from the connect to the server's answer, as the hollow balancers have it
-	lineBytes         = 200.0   // of a delivery, as the run on real processes sends them
-	probeBytes        = 500.0   // of one probe: a connection of ten packets, asked, answered and ended
+	connectionSeconds = 1_200.0 // mean duration of a connection
+	reconnectSeconds  = 30.0    // in which the clients of a lost balancer return
+	rackBalancers     = 20.0    // behind one rack or switch
+	setupSeconds      = 0.010   // from the connect to the server's answer, as in the simulation
+	lineBytes         = 200.0   // of a delivery, as in the sweeps on real processes
+	probeBytes        = 500.0   // of one health check: a connection of ten packets
 )
 
-// What follows from both.
+// Values derived from both.
 const (
-	connectionsPerBalancer    = fleetConnections / fleetBalancers // by one balancer
+	connectionsPerBalancer    = fleetConnections / fleetBalancers
 	zoneBalancers             = fleetBalancers / fleetZones
 	zoneConnections           = fleetConnections / fleetZones
 	regionBalancers           = fleetBalancers / fleetRegions
-	zoneSuccessors            = regionBalancers - zoneBalancers  // the balancers of the region that are left
-	zoneShare                 = zoneConnections / zoneSuccessors // connections that each of them takes
+	zoneSuccessors            = regionBalancers - zoneBalancers  // the other balancers of the region
+	zoneShare                 = zoneConnections / zoneSuccessors // connections that each of them takes over
 	rackShare                 = rackBalancers * connectionsPerBalancer / (regionBalancers - rackBalancers)
-	replacementSeconds        = daySeconds / replacementsPerDay // from one replacement to the next
+	replacementSeconds        = daySeconds / replacementsPerDay // between two replacements
 	fleetReconnects           = replacementsPerDay * connectionsPerBalancer / daySeconds
 	changeInterval            = daySeconds / changesPerDay // seconds
 	changeRate                = changesPerDay / daySeconds
-	changeMessages            = changeRate * fleetBalancers // a second over the fleet
+	changeMessages            = changeRate * fleetBalancers // per second over the fleet
 	missedChanges             = changeRate * partitionSeconds
 	deliveriesPerBalancer     = fleetDeliveries / fleetBalancers
 	listenersPerBalancer      = largestTopic / fleetBalancers
@@ -61,11 +61,11 @@
 	balancersPerMachine       = fleetBalancers / fleetControlMachines
 	failureSeconds            = daySeconds / failuresPerDay
 	replacementsPerHour       = replacementsPerDay * partitionSeconds / daySeconds
-	ordinaryMembershipChanges = 2 * replacementsPerDay / daySeconds // a leave and a join each
+	ordinaryMembershipChanges = 2 * replacementsPerDay / daySeconds // per second; a departure and an arrival each
 )
 
-// groupsPerBalancer is how many of the fleet's shards a balancer has a listener of when each of its connections is in one
-// shard, drawn evenly.
+// groupsPerBalancer is the number of shards with a listener at a balancer, when each connection is in one shard at
+// random.
 func groupsPerBalancer() float64 {
 	return fleetShards * -math.Expm1(-connectionsPerBalancer/fleetShards)
 }
@@ -76,25 +76,25 @@
 	return ofRegion * -math.Expm1(-connectionsPerBalancer/ofRegion)
 }
 
-// Terms of the code that the fleet's size meets. TestTermsOfTheCode compares them with their sources.
+// Constants of the code that matter at the fleet's size. TestCodeConstantsMatch compares them with their sources.
 const (
 	maxListedServers = 16_384.0               // internal/protocol mostServers
 	maxListBytes     = maxListedServers * 256 // bytes; internal/protocol longestList
-	fleetSetupLimit  = 48.0                   // decide allSetups
-	gapPerBalancer   = 0.008                  // seconds; decide shortestGap
-	maxSetupGap      = 16.0                   // seconds; decide longestPause
-	probeRound       = 15.0                   // seconds; decide reportAge
-	heapGrowth       = 2.0                    // of live memory before it is collected, as the Go runtime does by itself
+	fleetSetupLimit  = 48.0                   // decide fleetSetupLimit
+	gapPerBalancer   = 0.008                  // seconds; decide minSetupSpacing
+	maxSetupGap      = 16.0                   // seconds; decide maxSetupSpacing
+	probeRound       = 15.0                   // seconds; decide loadReportMaxAge
+	heapGrowth       = 2.0                    // of the live heap before it is collected, by the Go runtime's default
 	leaseLength      = 6.0                    // seconds; docs/membership.md
-	probesPerFlow    = 4.0                    // decide probesAFlow
-	overloadFactor   = 1.25                   // decide guard
+	probesPerFlow    = 4.0                    // decide checksPerConnect
+	overloadFactor   = 1.25                   // decide groupingGuard
 )
 
-// setupLimit is how many set-ups one balancer may have out at once in the fleet.
+// setupLimit is how many set-ups one balancer of the fleet may have in flight.
 func setupLimit() float64 { return max(1, fleetSetupLimit/fleetBalancers) }
 
-// probeRateWithoutLeases is how many probes a second one balancer sends where no other asks for it: each server once a round, as it
-// holds more flows than there are servers, and some for each placement.
+// probeRateWithoutLeases is the health checks per second of one balancer when balancers don't share them: each server
+// once a round, as it holds more flows than there are servers, and some for each placement.
 func probeRateWithoutLeases(servers, placements float64) float64 {
 	return servers/probeRound + probesPerFlow*placements
 }
--- a/internal/testbed/scale/page_limits.go
+++ b/internal/testbed/scale/page_limits.go
@@ -7,27 +7,27 @@
 	"strings"
 )
 
-// variant is a figure under one of the assumptions that the page is worked out for.
+// variant is a figure under one of the assumptions.
 type variant struct {
 	label string
 	figure
 }
 
-// requirement is one of the operators' limits with what is worked out for it.
+// requirement is one of the operators' requirements with the figures that are held against it.
 type requirement struct {
-	statement  string // in the operators' words
-	quantity   string // of the quantity that is held against it
-	bound      figure // its zero value: the operators state no bound
+	statement  string // as the operators put it
+	quantity   string // that is compared with the bound
+	bound      figure // zero: none is stated
 	values     []variant
-	mechanism  string // empty: none
-	dependents string // what rests on it, said where it is missing
-	proposal   string // what would carry it, said where it is missing; not built
-	infeasible bool   // nothing that can be built would hold it
+	mechanism  string // that keeps the bound; empty: none
+	dependents string // what depends on the requirement
+	proposal   string // a mechanism that would keep it, not implemented
+	infeasible bool   // no mechanism could keep it
 }
 
 func (l requirement) isBounded() bool { return l.bound.origin != "" && l.bound.known() }
 
-// verdict is whether the limit holds under every assumption.
+// verdict states whether a requirement holds under every assumption.
 type verdict string
 
 const (
@@ -38,10 +38,10 @@
 	verdictPartly    verdict = "**holds in part**"
 	verdictNever     verdict = "**can't hold**"
 	noMechanism              = "**none**"
-	atLeast                  = " at the least" // said of a sum of which parts are not measured
+	atLeast                  = " at the least" // follows a sum with omitted parts
 )
 
-// ratio is the largest of what is worked out to what is allowed; ok tells whether anything is known.
+// ratio is the largest ratio of a value to the bound; ok reports whether any is known.
 func (l requirement) ratio() (largest float64, ok bool) {
 	for _, v := range l.values {
 		if v.known() && l.isBounded() {
@@ -127,7 +127,7 @@
 	return l.mechanism
 }
 
-// joinVariants has the text of each variant, and alike ones once.
+// joinVariants joins the variants' texts, equal ones only once.
 func joinVariants(variants []variant, text func(figure) string) string {
 	var texts []string
 	for _, v := range variants {
@@ -143,10 +143,10 @@
 	return strings.Join(texts, " / ")
 }
 
-// serverCounts are the sizes of the list that the page is worked out for.
+// serverCounts are the numbers of servers that figures are calculated for.
 var serverCounts = []float64{smallestServers, likelyServers, largestServers}
 
-// forEachServerCount works a figure out for each size of the list.
+// forEachServerCount calculates a figure for each number of servers.
 func forEachServerCount(work func(servers float64) figure) (list []variant) {
 	for _, servers := range serverCounts {
 		list = append(list, variant{digits(servers) + " servers", work(servers)})
@@ -156,7 +156,7 @@
 
 func single(f figure) []variant { return []variant{{"", f}} }
 
-// requirementsTable is the table that is read in a minute.
+// requirementsTable is the summary of all requirements.
 func (p *page) requirementsTable() *table { return requirementsTableOf(p.requirements()) }
 
 func requirementsTableOf(limits []requirement) *table {
@@ -180,7 +180,8 @@
 	return l.bound.String()
 }
 
-// unmetRequirementsTable lists limits that no mechanism carries or that the mechanism does not keep, furthest over first.
+// unmetRequirementsTable lists requirements that have no mechanism or that the mechanism does not keep, sorted by
+// excess.
 func (p *page) unmetRequirementsTable() *table {
 	t := newTable("", "missing", "times its limit", "carried today by", "what would carry it, not built", "what rests on it")
 	place := 0
@@ -213,7 +214,7 @@
 	return text
 }
 
-// isUnmet tells whether a limit does not hold, or is not known to hold by anything that carries it.
+// isUnmet reports whether a requirement does not hold, or is unknown and has no mechanism.
 func (l requirement) isUnmet() bool {
 	switch l.verdict() {
 	case verdictBreaks, verdictPartly:
@@ -225,7 +226,7 @@
 	}
 }
 
-// excess is how far over its limit one is; one that is not known comes after all that are.
+// excess is the ratio to the bound; unknown ones sort last.
 func (l requirement) excess() float64 {
 	ratio, ok := l.ratio()
 	if !ok {
--- a/internal/testbed/scale/page_loads.go
+++ b/internal/testbed/scale/page_loads.go
@@ -3,8 +3,8 @@
 import "math"
 
 const (
-	heartbeatRate    = 0.5      // a second; internal/protocol heartbeat
-	sweepConnections = 20_000.0 // connections that the sweeps over servers hold
+	heartbeatRate    = 0.5      // per second; internal/protocol heartbeat
+	sweepConnections = 20_000.0 // held in the sweeps over servers
 )
 
 func listLoad(p *page, s situation, servers float64) load {
@@ -31,35 +31,35 @@
 	return l
 }
 
-// decisionMemory is what the decisions have beside the list, for the groups that a balancer sees; it goes with the
-// connections held.
+// decisionMemory is the decisions' memory besides the list, for a balancer's groups; it is proportional to the
+// connections.
 func (p *page) decisionMemory(held float64) figure {
 	list := p.valueAt(decisionListMemory, smallestServers)
 	flows := p.valueAt(decisionGroupMemory, math.Round(groupsPerBalancer())).plus(list.times(-1, inBytes))
 	return flows.times(held/connectionsPerBalancer, inBytes)
 }
 
-// placementProcessor is the processor time of one flow placed and ended: by servers, corrected by what the connections held
-// change.
+// placementProcessor is the processor time of one flow placed and ended: by servers, corrected for the connections
+// held.
 func (p *page) placementProcessor(held, servers float64) figure {
 	more := p.valueAt(placementTimeByConnections, held).dividedBy(p.valueAt(placementTimeByConnections, sweepConnections), inCount)
 	return p.valueAt(placementTime, servers).multipliedBy(more)
 }
 
-// idleRecheckProcessor is the processor time a second that flows cost which only stand, evenly: no recheck of them can win.
+// idleRecheckProcessor is the processor time per second of evenly spread flows, whose rechecks are all skipped.
 func (p *page) idleRecheckProcessor(held, servers float64) figure {
 	more := p.valueAt(idleRecheckTimeByConnections, held).dividedBy(p.valueAt(idleRecheckTimeByConnections, sweepConnections), inCount)
 	return p.valueAt(idleRecheckTime, servers).multipliedBy(more)
 }
 
-// unevenRecheckProcessor is the same where connections stand anywhere, so that rechecks are made, as many as a tick may have. It is what
-// a real process comes to whose connections stand where decisions placed them.
+// unevenRecheckProcessor is the same for flows on random servers, with as many rechecks as a tick allows: the cost of
+// a real process, whose connections stand where decisions placed them.
 func (p *page) unevenRecheckProcessor(held, servers float64) figure {
 	more := p.valueAt(unevenRecheckTimeByConnections, held).dividedBy(p.valueAt(unevenRecheckTimeByConnections, sweepConnections), inCount)
 	return p.valueAt(unevenRecheckTime, servers).multipliedBy(more)
 }
 
-// probeLoad is with leases: those who hold a server's lease at a time, as they see it, ask it once a round.
+// probeLoad is with leases: each holder of a server's lease checks it once a round.
 func probeLoad(p *page, s situation, servers float64) load {
 	l := zeroLoad()
 	rate := p.valueAt(leaseHolders, s.members).times(servers/probeRound/s.members, inRate)
@@ -70,7 +70,7 @@
 	return l
 }
 
-// signalLoad is without the datagrams that records travel in, which are the engine's.
+// signalLoad is without the datagrams that carry records, which are the engine's.
 func signalLoad(p *page, s situation, _ float64) load {
 	l := zeroLoad()
 	l.messagesIn = p.valueAt(signalRecords, s.members)
@@ -85,7 +85,8 @@
 func leaseLoad(p *page, s situation, servers float64) load {
 	l := zeroLoad()
 	fleetFactor := p.valueAt(leaseScoringTime, s.members).dividedBy(p.valueAt(leaseScoringTime, fleetBalancers), inCount)
-	// The series are for the ordinary day's changes of members; at the most, all is reckoned anew in each round of probes.
+	// The series are for an ordinary day's membership changes; at most, all is scored again in each round of health
+	// checks.
 	changeRatio := min(s.membershipChanges, 1/probeRound) / ordinaryMembershipChanges
 	l.processor = p.valueAt(leaseScoringTimeByServers, servers).multipliedBy(fleetFactor).times(changeRatio, inCores).plus(p.valueAt(leaseMembershipTime, s.members))
 	l.memory = p.valueAt(leaseMemory, s.members)
@@ -114,7 +115,7 @@
 	return l
 }
 
-// controlMachineLoad is one of the machines that tell the balancers of changes, with all balancers split evenly.
+// controlMachineLoad is one of the machines that publish changes, with the balancers split evenly.
 func controlMachineLoad(p *page, s situation, servers float64) load {
 	l := unknownLoad()
 	balancers := fleetBalancers / s.controlMachines
@@ -136,7 +137,7 @@
 	return l
 }
 
-// serverLoad is what one server hears of probes, and what it delivers.
+// serverLoad is one server's health checks and deliveries.
 func serverLoad(p *page, s situation, servers float64) load {
 	l := unknownLoad()
 	probes := p.valueAt(leaseHolders, s.members).times(fleetBalancers/s.members/probeRound, inRate)
--- a/internal/testbed/scale/page_parts.go
+++ b/internal/testbed/scale/page_parts.go
@@ -9,11 +9,11 @@
 type part struct {
 	name       string
 	state      string // that it holds
-	owner      string // who has that state for good
-	onFailure  string // what becomes of it in failures, in words
-	mechanism  string // by what its cost is held
-	dependents string // what rests on that
-	proposal   string // what would hold it, not built
+	owner      string // of that state
+	onFailure  string // effect of failures, in prose
+	mechanism  string // that bounds its cost
+	dependents string // what depends on it
+	proposal   string // a mechanism that would bound it, not implemented
 	load       func(p *page, s situation, servers float64) load
 }
 
@@ -23,7 +23,7 @@
 	Parts []part
 }
 
-// roles are all roles, in the order of the page.
+// roles are all roles in the document's order.
 func (p *page) roles() []role {
 	return []role{
 		{"Balancer: data path", []part{dataPathPart}},
@@ -35,8 +35,8 @@
 	}
 }
 
-// partTable is what a part takes and gives in each situation, at the likely number of servers. Situations that are alike
-// to it share a row.
+// partTable is the load of a part in each situation, at the likely number of servers. Situations with equal loads
+// share a row.
 func (p *page) partTable(of part) string {
 	t := newTable("situation", "messages in, out", "bytes in, out", "processor time", "memory", "origin")
 	places := map[string]int{}
@@ -60,7 +60,7 @@
 	return []string{pair(l.messagesIn, l.messagesOut), pair(l.bytesIn, l.bytesOut), l.processor.String(), l.memory.String(), l.origins()}
 }
 
-// origins says where each quantity of a load comes from, by origin.
+// origins states the origin of each quantity of a load, grouped by origin.
 func (l load) origins() string {
 	var order []string
 	quantities := map[string][]string{}
@@ -85,11 +85,11 @@
 	return strings.Join(order, "; ")
 }
 
-// standaloneParts are how many of controlParts a balancer has without the operators' file: it tells others nothing and asks
-// servers for no load.
+// standaloneParts is how many of controlParts run without the options file: such a balancer has no peers and checks no
+// loads.
 const standaloneParts = 2
 
-// controlParts are the parts of balancer control, in the order of the operators' words.
+// controlParts are the parts of balancer control in the order of the requirements.
 var controlParts = []part{
 	{
 		name:       "server list",
--- a/internal/testbed/scale/page_read.go
+++ b/internal/testbed/scale/page_read.go
@@ -7,11 +7,11 @@
 )
 
 const (
-	baselineDirectory = "before" // inside the folder of results: the reports of the code before the mechanism
+	baselineDirectory = "before" // inside the directory of results: reports of the code before the bounded-candidates mechanism
 	rerunAdvice       = "run its experiment again: testbed scale run writes reports whole"
 )
 
-// reportedSeries is a series with where it came from.
+// reportedSeries is a series with its source and fit.
 type reportedSeries struct {
 	Series
 	File    string
@@ -21,14 +21,14 @@
 	FitErr  error // why there is no fit
 }
 
-// reportSet are the reports of a folder, and all their series by name.
+// reportSet holds the reports of a directory, and all their series by name.
 type reportSet struct {
 	folder  string
 	series  map[string]*reportedSeries
 	reports []reportRun
 }
 
-// reportRun is how one report came about, and what had to hold in it.
+// reportRun is the run of one report, with its checks.
 type reportRun struct {
 	name    string
 	command string
@@ -36,7 +36,7 @@
 	checks  []Check
 }
 
-// readResults reads each report of a folder, not of the folders in it.
+// readResults reads each report of a directory, not of its subdirectories.
 func readResults(folder string) (*reportSet, error) {
 	files, err := filepath.Glob(filepath.Join(folder, "*.json"))
 	if err != nil {
--- a/internal/testbed/scale/page_requirements.go
+++ b/internal/testbed/scale/page_requirements.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// What carries a limit today.
+// Mechanisms that keep requirements.
 const (
 	mechanismCandidates        = "bounded candidates, pruned rechecks (`decide`)"
 	mechanismDecisionsOnly     = "decisions: " + mechanismCandidates + "; signals, leases, engine: " + noMechanism
@@ -15,7 +15,7 @@
 	mechanismLocalTallies      = "tallies of groups held here alone (`decide`)"
 )
 
-// requirements are the operators' limits, in the order of their words.
+// requirements are the operators' requirements in their order.
 func (p *page) requirements() []requirement {
 	list := p.connectionRequirements()
 	list = append(list, p.changeRequirements()...)
@@ -263,12 +263,12 @@
 	}
 }
 
-// topicFills is how many servers the listeners of the largest topic fill, at the mean of connections a server.
+// topicFills is how many servers the listeners of the largest topic fill at the mean number of connections.
 func topicFills(servers float64) figure {
 	return calculated(largestTopic/(fleetConnections/servers), inCount)
 }
 
-// designRequirements are terms of this design that its own parts can't keep at the size.
+// designRequirements are terms of the design that it can't keep at this size.
 func (p *page) designRequirements() []requirement {
 	statement := "the design's own terms"
 	zoned := "gossip in groups of a zone, sums on the way up"
--- a/internal/testbed/scale/page_situations.go
+++ b/internal/testbed/scale/page_situations.go
@@ -1,20 +1,20 @@
 package scale
 
-// situation is what one balancer bears while something lasts.
+// situation is the load on one balancer while something lasts; all rates are per second.
 type situation struct {
 	name              string
-	connections       float64 // connections
-	placements        float64 // a second
-	changes           float64 // of the list, a second
-	membershipChanges float64 // members that come or go, a second
-	members           float64 // that are seen alive
-	deliveries        float64 // a second
-	fullLists         float64 // taken whole, a second
+	connections       float64 // held
+	placements        float64
+	changes           float64 // of the list
+	membershipChanges float64 // members that join or leave
+	members           float64 // observed as alive
+	deliveries        float64
+	fullLists         float64 // received
 	duration          string
-	controlMachines   float64 // for control, that are there
+	controlMachines   float64 // available
 }
 
-// Places among the situations.
+// Indices of situations.
 const (
 	situationIdle = iota
 	situationOrdinaryDay
@@ -23,7 +23,7 @@
 	situationZoneLost
 )
 
-// situations are at rest, the ordinary day and each failure, for a balancer that lives on in the region that is struck.
+// situations are an idle and an ordinary day and each failure, for a surviving balancer of the affected region.
 func situations(servers float64) []situation {
 	idle := situation{name: "at rest", connections: connectionsPerBalancer, members: fleetBalancers, controlMachines: fleetControlMachines, duration: "no connection comes or goes"}
 	day := idle
@@ -68,19 +68,19 @@
 	return []situation{idle, day, machine, rack, zone, partitioned, halfControl, restarted}
 }
 
-const startupSeconds = 60.0 // in which a balancer that starts with nothing is full
+const startupSeconds = 60.0 // in which a balancer that starts without state fills up
 
 func seconds(value float64) string { return show(value, inSeconds) }
 
-// load is what a part takes and gives while a situation lasts.
+// load is the cost of a part in a situation.
 type load struct {
-	messagesIn, messagesOut figure // a second
-	bytesIn, bytesOut       figure // a second
+	messagesIn, messagesOut figure // per second
+	bytesIn, bytesOut       figure // per second
 	processor               figure
 	memory                  figure
 }
 
-// zeroLoad is a load of nought, for a part that does nothing then.
+// zeroLoad is the load of a part that does nothing in a situation.
 func zeroLoad() load {
 	return load{
 		messagesIn:  calculated(0, inRate),
@@ -92,13 +92,13 @@
 	}
 }
 
-// unknownLoad is the load of a part of which nothing was measured.
+// unknownLoad is the load of a part without figures.
 func unknownLoad() load {
 	absent := unmeasured("")
 	return load{absent, absent, absent, absent, absent, absent}
 }
 
-// situationsTable is what one balancer bears in each situation.
+// situationsTable shows the load on one balancer in each situation.
 func situationsTable() *table {
 	t := newTable("situation", "lasts", "connections held", "placements a second", "changes of the list a second", "members that come or go a second", "members seen", "deliveries a second")
 	for _, s := range situations(likelyServers) {
--- a/internal/testbed/scale/page_slopes.go
+++ b/internal/testbed/scale/page_slopes.go
@@ -10,7 +10,7 @@
 
 const shownHashDigits = 12 // of a commit
 
-// slopesTable has each series of the reports with its fit and what that predicts for the point it did not see.
+// slopesTable shows each series with its fit and the fit's prediction of the held-out point.
 func (p *page) slopesTable() *table { return slopesOf(p.current) }
 
 func slopesOf(all *reportSet) *table {
@@ -62,7 +62,7 @@
 	return fmt.Sprintf("%.4f, %s", f.R2, residual)
 }
 
-// withoutRounding is nought where a share is no more than rounding.
+// withoutRounding is 0 for a share that is only a rounding error.
 func withoutRounding(share float64) float64 {
 	if math.Abs(share) < roundingShare {
 		return 0
@@ -98,7 +98,7 @@
 	return strings.Join(texts, "; ")
 }
 
-// runsTable has each report with the command that gives it again and the commit that was measured.
+// runsTable shows each report with the command that reproduces it and its commit.
 func (p *page) runsTable() *table {
 	t := newTable("run", "command", "commit")
 	for _, r := range p.current.reports {
@@ -121,7 +121,7 @@
 	return hash
 }
 
-// checksTable has what had to hold during the runs: how many checks of each run held, and each that did not.
+// checksTable shows how many checks of each run held, and each that did not.
 func (p *page) checksTable() *table {
 	t := newTable("run", "checks that held", "checks that did not")
 	for _, r := range p.current.reports {
@@ -145,7 +145,7 @@
 	return strings.Join(texts, "; ")
 }
 
-// comparisonWithBaseline has each series that was measured before the mechanism, and what it is with it at the same sizes.
+// comparisonWithBaseline shows each series of the baseline, and the current series at the same sizes.
 func (p *page) comparisonWithBaseline() *table {
 	t := newTable("series", "unit", "at", "before", "with it", "with it over before")
 	for _, name := range slices.Sorted(maps.Keys(p.baseline.series)) {
@@ -164,7 +164,7 @@
 	return t
 }
 
-// currentAt is a series with the mechanism at the size of a point from before, and its ratio to that.
+// currentAt is the current value of a series at the size of a baseline point, and its ratio to that.
 func (p *page) currentAt(name string, baseline Point) (value, ratio string) {
 	if now := p.current.series[name]; now != nil {
 		if is, ok := now.measuredAt(baseline.Size); ok {
--- a/internal/testbed/scale/page_table.go
+++ b/internal/testbed/scale/page_table.go
@@ -4,7 +4,7 @@
 	"strings"
 )
 
-// table is a table of the page.
+// table is a Markdown table.
 type table struct {
 	head []string
 	rows [][]string
@@ -41,7 +41,7 @@
 	to.WriteString("|\n")
 }
 
-// pair is two cells in one, "in, out".
+// pair is two figures in one cell, "in, out".
 func pair(in, out figure) string {
 	if in.known() == out.known() && in.String() == out.String() {
 		return in.String()
--- a/internal/testbed/scale/page_tables_test.go
+++ b/internal/testbed/scale/page_tables_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// pageOf is a page of the given series, before and with the mechanism.
+// pageOf is a page of the given series of the baseline and of the current code.
 func pageOf(t *testing.T, before, after []Series, checks ...Check) *page {
 	t.Helper()
 	read := func(file string, series []Series) *reportSet {
@@ -62,7 +62,7 @@
 		"| zone | 500 connections | 12 | not measured | 5.4 s | not measured | not measured | **broken** in 1 of 2 runs | simulated |")
 }
 
-// Hollow and real figures stand side by side at the sizes of both, and more than a fifth apart is said.
+// Simulated and real figures are compared at the sizes of both, and differences of more than a fifth are marked.
 func TestSimulatedAgainstRealTable(t *testing.T) {
 	sizes := []float64{60, 1000, 8000}
 	of := func(name, unit string, value func(float64) float64) Series {
@@ -92,7 +92,7 @@
 	}
 }
 
-// Each part of control has a row for each size of the list, and each situation a row or a part of one.
+// Each part of control has a row for each number of servers, and each situation a row or a share of one.
 func TestRolesAreComplete(t *testing.T) {
 	p := pageOf(t, nil, nil)
 	if got, want := len(p.sizesTable().rows), len(controlParts)*len(serverCounts); got != want {
@@ -113,7 +113,7 @@
 	}
 }
 
-// With nothing measured no row has a figure that rests on a measurement.
+// Without series no row has a figure derived from one.
 func TestMissingMeasurementsAreMarked(t *testing.T) {
 	p := pageOf(t, nil, nil)
 	for _, l := range p.requirements() {
--- a/internal/testbed/scale/page_terms_test.go
+++ b/internal/testbed/scale/page_terms_test.go
@@ -6,7 +6,7 @@
 	"yardwinch/decide"
 )
 
-// The page says how many set-ups one balancer may have out in the fleet; the real decisions let out as many.
+// The document states how many set-ups one balancer may have in flight; the real decisions allow as many.
 func TestSetupLimitMatchesDecide(t *testing.T) {
 	for _, balancers := range []int{1, 48, int(fleetBalancers)} {
 		h := newSimulatedBalancer(1, simulatedSettings{peers: balancers})
--- a/internal/testbed/scale/page_test.go
+++ b/internal/testbed/scale/page_test.go
@@ -17,7 +17,7 @@
 	writtenPage   = "../../../docs/CAPACITY.md"
 )
 
-// The page is what the reports say, byte for byte.
+// The document matches the reports, byte for byte.
 func TestPageAgreesWithTheReports(t *testing.T) {
 	want, err := Page(reportsFolder)
 	if err != nil {
@@ -42,7 +42,7 @@
 	return min(len(linesA), len(linesB)) + 1
 }
 
-// shippedReports is a copy of the reports that the page is made from.
+// shippedReports is a copy of the reports that the document is generated from.
 func shippedReports(t *testing.T) (folder string) {
 	t.Helper()
 	folder = t.TempDir()
@@ -69,7 +69,7 @@
 	}
 }
 
-// A report that changes by one figure makes another page, so that the test above can fail.
+// A changed figure changes the document, which shows that the test above can fail.
 func TestPageDependsOnItsReports(t *testing.T) {
 	folder := shippedReports(t)
 	report, err := ReadReport(filepath.Join(folder, "placement-servers.json"))
@@ -117,7 +117,7 @@
 	}
 }
 
-// Each fault is one error that names file and key, and the page that was there stays as it was.
+// Each fault is one error that names file and key, and an existing document stays unchanged.
 func TestInvalidReportsOverwriteNothing(t *testing.T) {
 	complete, err := json.Marshal(sampleReport())
 	if err != nil {
@@ -204,7 +204,7 @@
 	checkRejected(t, folder, "old.json", baselineDirectory)
 }
 
-// A series that must be there and is not is an error; one that is awaited makes its figures "not measured".
+// A missing required series is an error; a missing optional one makes its figures "not measured".
 func TestMissingSeries(t *testing.T) {
 	absent := &reportSet{folder: "results", series: map[string]*reportedSeries{}}
 	p := &page{current: absent, baseline: absent}
@@ -222,7 +222,7 @@
 	}
 }
 
-// A report that is gone is named by a series that only it has.
+// A missing report is named by a series that only it has.
 func TestMissingReport(t *testing.T) {
 	folder := shippedReports(t)
 	if err := os.Remove(filepath.Join(folder, "placement-servers.json")); err != nil {
@@ -242,7 +242,7 @@
 	}
 }
 
-// The terms of the code that the page reckons with are those in the code.
+// The constants copied from the code match their sources.
 func TestCodeConstantsMatch(t *testing.T) {
 	for _, c := range []struct {
 		folder, name string
--- a/internal/testbed/scale/real_norace_test.go
+++ b/internal/testbed/scale/real_norace_test.go
@@ -2,5 +2,5 @@
 
 package scale
 
-// raceFactor is how many times the memory of a plain build a process with the race detector in it may take.
+// raceFactor is the memory of a process relative to a build without the race detector.
 const raceFactor = 1
--- a/internal/testbed/scale/real_race_test.go
+++ b/internal/testbed/scale/real_race_test.go
@@ -2,5 +2,5 @@
 
 package scale
 
-// raceFactor is how many times the memory of a plain build a process with the race detector in it may take.
+// raceFactor is the memory of a process with the race detector relative to a build without it.
 const raceFactor = 3
--- a/internal/testbed/scale/real_test.go
+++ b/internal/testbed/scale/real_test.go
@@ -14,7 +14,7 @@
 
 const balancerEnvironment = "SCALE_TEST_BALANCER"
 
-// runAsBalancer has the test's own program stand for a balancer where it was started as one.
+// runAsBalancer runs the test's own program as a balancer if it was started as one.
 func runAsBalancer() {
 	if os.Getenv(balancerEnvironment) == "" {
 		return
@@ -31,7 +31,7 @@
 	os.Exit(m.Run())
 }
 
-// withOwnProgram has sweeps measure the test's own program.
+// withOwnProgram makes sweeps start the test's own program.
 func withOwnProgram(t *testing.T) context.Context {
 	t.Helper()
 	t.Setenv(balancerEnvironment, "yes")
@@ -44,7 +44,7 @@
 	return WithProgram(ctx, []string{self})
 }
 
-// Each sweep on a real process gives sound points at every size, and nothing that it held is lost.
+// Each sweep on a real process gives valid points at every size, and no connection is lost.
 func TestRealSweeps(t *testing.T) {
 	ctx := withOwnProgram(t)
 	for _, x := range []struct {
@@ -97,7 +97,7 @@
 	}
 }
 
-// The processor time that is read off a process is that of a process which works.
+// The processor time read from a process grows while it works.
 func TestRealProcessorTimeOfAnotherProcess(t *testing.T) {
 	s, err := newRealSettings(Settings{Sizes: []int{10, 20}}, 2, maxRealServers, "servers")
 	if err != nil {
@@ -123,7 +123,7 @@
 	}
 }
 
-// What an experiment can't ask for is told with its key, before anything is started.
+// Invalid settings are reported with their key before anything is started.
 func TestInvalidRealSettings(t *testing.T) {
 	for _, x := range []struct {
 		settings Settings
@@ -145,7 +145,7 @@
 	}
 }
 
-// A sweep that is stopped ends with its context's error and leaves no process behind.
+// A cancelled sweep ends with its context's error and leaves no process behind.
 func TestRealSweepStopsWithItsContext(t *testing.T) {
 	ctx, cancel := context.WithCancel(withOwnProgram(t))
 	began := false
@@ -158,7 +158,7 @@
 	}
 }
 
-// A program that can't serve is told with what it said.
+// A program that exits early is reported with its output.
 func TestRealProcessExitsEarly(t *testing.T) {
 	ctx := WithProgram(t.Context(), []string{"/bin/sh", "-c", "echo it has no wheels; exit 3"})
 	_, _, err := realServers(ctx, Settings{Sizes: []int{10, 20}}, func(int, int) {})
@@ -168,8 +168,8 @@
 	}
 }
 
-// Of the 64 MB of control the list of the size ahead takes three quarters at the most, the program's own pages included, while it is told
-// whole again and again.
+// The largest list takes at most three quarters of control's 64 MB, the program's own pages included, while it is
+// published again and again.
 func TestRealMemoryOfTheLongestList(t *testing.T) {
 	const servers, most = 12_800, raceFactor * 48e6
 	s, err := newRealSettings(Settings{Sizes: []int{1, servers}}, 2, maxRealServers, "servers")
@@ -196,7 +196,7 @@
 	}
 }
 
-// A hollow figure is held against a real one within its own scatter; beyond it a reason must be known.
+// A simulated figure is compared with a real one within its own range; beyond it a reason must be known.
 func TestComparisonTolerance(t *testing.T) {
 	for _, x := range []struct {
 		real   float64
--- a/internal/testbed/scale/report_test.go
+++ b/internal/testbed/scale/report_test.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// A report that can't be written leaves the one before as it was, and nothing else.
+// A failed write leaves the existing report unchanged, and no other file.
 func TestReportIsWrittenAtomically(t *testing.T) {
 	folder := t.TempDir()
 	file, err := Write(folder, sampleRunReport())
--- a/internal/testbed/scale/run_test.go
+++ b/internal/testbed/scale/run_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// testExperiment is an experiment whose sweep is given.
+// testExperiment is an experiment with the given sweep.
 func testExperiment(t *testing.T, sweep Sweep) *Experiment {
 	name := "stand-in of " + t.Name()
 	sweeps[name] = sweep
@@ -18,7 +18,7 @@
 
 func noProgress(int, int) {}
 
-// blockUntilCancelled is a sweep that ends only when it is told to.
+// blockUntilCancelled is a sweep that ends only with its context.
 func blockUntilCancelled(ctx context.Context, _ Settings, _ Progress) ([]Series, []Check, error) {
 	<-ctx.Done()
 	return nil, nil, ctx.Err()
@@ -43,7 +43,7 @@
 	}
 }
 
-// A sweep that looks away from its context gives no report either once a bound is passed.
+// A sweep that ignores its context gives no report either once a bound is exceeded.
 func TestBoundExceededAtTheEnd(t *testing.T) {
 	passed := func(ctx context.Context, _ Settings, _ Progress) ([]Series, []Check, error) {
 		<-ctx.Done()
--- a/internal/testbed/scale/sweeps_test.go
+++ b/internal/testbed/scale/sweeps_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// row is how steeply a counted quantity may grow: by size to the power of steepest, between the smallest and the largest.
+// row bounds the growth of a counted quantity: by size to the power of steepest, between the smallest and the largest
+// size.
 type row struct {
 	series   string
 	steepest float64
@@ -16,12 +17,13 @@
 const (
 	tolerance = 0.05 // of an exponent: odd ends of lists, of maps that double and of samples drawn by chance
 
-	// A decision looks at a bounded number of candidates; of 150 servers some of them coincide, of thousands hardly any.
+	// A decision considers a bounded number of candidates; of 150 servers some of them coincide, of thousands hardly
+	// any.
 	fewCoincide = 0.15
 )
 
-// Each sweep in a short form, and the rows that rest on it. Lists are long ones, of which decisions look at a part; a short
-// one is walked whole.
+// Each sweep in a short form, with the bounds on its growth. Lists are long, so that decisions consider a part of
+// them; a short one is scanned in full.
 var shortSweeps = []struct {
 	settings Settings
 	rows     []row
@@ -60,7 +62,7 @@
 	},
 }
 
-// A sweep's counted work grows no faster than its row says: the same on every machine, and the same each time.
+// A sweep's counted work grows within its bound: it is the same on every machine and in every run.
 func TestGrowthStaysWithinItsBound(t *testing.T) {
 	for _, short := range shortSweeps {
 		short.settings.Seed = 1
@@ -96,14 +98,14 @@
 	return nil
 }
 
-// steepness is the power of the size by which a quantity grows from the first point to the last. One that is nought at
-// either end grows from one thing on.
+// steepness is the power of the size by which a quantity grows from the first point to the last. Values below one
+// count as one.
 func steepness(points []Point) float64 {
 	first, last := points[0], points[len(points)-1]
 	return math.Log(max(last.Value, 1)/max(first.Value, 1)) / math.Log(last.Size/first.Size)
 }
 
-// What is counted of decisions, as against memory and allocations, is the same from one seed.
+// Counted work, unlike memory and allocations, is the same for the same seed.
 func TestSweepsAreDeterministic(t *testing.T) {
 	for _, s := range []Settings{
 		{Sweep: "placement", Against: byServers, Sizes: []int{20, 200}, Connections: 400, Groups: 30, Zones: 5, Seed: 3},
