--- a/internal/testbed/scale/control_measurements.go
+++ b/internal/testbed/scale/control_measurements.go
@@ -15,14 +15,31 @@
 	return &controlMeasurements{settings: s, role: role, series: map[string]*Series{}}
 }
 
-// add notes a point of a series, which it makes with its first.
-func (b *controlMeasurements) add(name, quantity, unit string, origin Origin, counted bool, size int, value float64) {
-	series := b.series[name]
+// seriesKind identifies a series of a control sweep.
+type seriesKind struct {
+	name     string // without the sweep's
+	quantity string
+	unit     string
+	origin   Origin
+	counted  bool
+}
+
+// add appends a point to a series, which the first point creates.
+func (b *controlMeasurements) add(kind seriesKind, size int, value float64) {
+	series := b.series[kind.name]
 	if series == nil {
-		series = &Series{Name: b.settings.Sweep + "." + name + b.suffix, Role: b.role, Quantity: quantity, Unit: unit,
-			Against: b.settings.Against, Origin: origin, Counted: counted, Held: b.settings.held()}
-		b.series[name] = series
-		b.names = append(b.names, name)
+		series = &Series{
+			Name:     b.settings.Sweep + "." + kind.name + b.suffix,
+			Role:     b.role,
+			Quantity: kind.quantity,
+			Unit:     kind.unit,
+			Against:  b.settings.Against,
+			Origin:   kind.origin,
+			Counted:  kind.counted,
+			Held:     b.settings.held(),
+		}
+		b.series[kind.name] = series
+		b.names = append(b.names, kind.name)
 	}
 	series.addPoint(size, value)
 }
--- a/internal/testbed/scale/control_sweep_catchup.go
+++ b/internal/testbed/scale/control_sweep_catchup.go
@@ -4,6 +4,7 @@
 	"context"
 	"errors"
 	"fmt"
+	"time"
 
 	"yardwinch/internal/simulation"
 )
@@ -20,21 +21,25 @@
 	return measurements.all(), measurements.checks, nil
 }
 
-// catchUpForms are the forms in which missed changes can be published.
-var catchUpForms = []struct {
-	mode catchUpMode
-	name string
-	what string
-}{
-	{catchUpOneByOne, "one-by-one", "told one by one"},
-	{catchUpMerged, "merged", "told as one object with the last word on each server"},
-	{missedFullList, "whole", "told as a whole list"},
+// catchUpForm is a form in which missed changes can be published.
+type catchUpForm struct {
+	mode        catchUpMode
+	name        string // in the names of series
+	description string
+}
+
+var catchUpForms = []catchUpForm{
+	{mode: catchUpOneByOne, name: "one-by-one", description: "told one by one"},
+	{mode: catchUpMerged, name: "merged", description: "told as one object with the last word on each server"},
+	{mode: missedFullList, name: "whole", description: "told as a whole list"},
 }
 
 func (b *controlMeasurements) measureCatchUps(ctx context.Context, size int) error {
 	for _, form := range catchUpForms {
-		objects := func(revision int) ([][]byte, int) { return b.missedObjects(form.mode, size, revision) }
-		if err := b.measureCatchUp(ctx, size, form.mode, form.name, form.what, objects); err != nil {
+		if err := b.measureApplying(ctx, size, form); err != nil {
+			return err
+		}
+		if err := b.simulateCatchUp(ctx, size, form); err != nil {
 			return err
 		}
 	}
@@ -54,33 +59,46 @@
 	return [][]byte{fullList(b.settings.Servers, last).line()}, last
 }
 
-func (b *controlMeasurements) measureCatchUp(ctx context.Context, size int, mode catchUpMode, name, what string, objects func(int) ([][]byte, int)) error {
+// measureApplying measures the objects of a form, and a real balancer that applies them.
+func (b *controlMeasurements) measureApplying(ctx context.Context, size int, form catchUpForm) error {
+	objects := func(revision int) ([][]byte, int) { return b.missedObjects(form.mode, size, revision) }
 	texts, _ := objects(2)
 	bytes := 0
 	for _, text := range texts {
 		bytes += len(text)
 	}
-	b.add(name+"-bytes", "of the changes that were missed, "+what, unitBytes, Measured, true, size, float64(bytes))
+	point := func(name, quantity, unit string, counted bool, value float64) {
+		b.add(seriesKind{name: form.name + name, quantity: quantity + form.description, unit: unit, origin: Measured, counted: counted}, size, value)
+	}
+	point("-bytes", "of the changes that were missed, ", unitBytes, true, float64(bytes))
 	used, err := b.applyMissed(ctx, objects)
 	if err != nil {
 		return err
 	}
-	b.add(name+"-processor", "processor time of a balancer that takes them, "+what, unitMicroseconds, Measured, false, size, microseconds(used.processor))
-	b.add(name+"-allocations", "allocations of a balancer that takes them, "+what, unitAllocations, Measured, true, size, used.allocations)
+	point("-processor", "processor time of a balancer that takes them, ", unitMicroseconds, false, microseconds(used.processor))
+	point("-allocations", "allocations of a balancer that takes them, ", unitAllocations, true, used.allocations)
+	return nil
+}
+
+// simulateCatchUp simulates the control machines that publish the changes in a form.
+func (b *controlMeasurements) simulateCatchUp(ctx context.Context, size int, form catchUpForm) error {
+	point := func(name, quantity string, value time.Duration) {
+		b.add(seriesKind{name: form.name + name, quantity: quantity + form.description, unit: unitTime, origin: Simulated, counted: true}, size, value.Seconds())
+	}
 	plan := pushPlanOf(b.settings, requiredChangesPerDay, false)
-	plan.missed, plan.missedMode, plan.length = size, mode, shortestPush
+	plan.missed, plan.missedMode, plan.length = size, form.mode, shortestPush
 	result, err := simulatePush(ctx, plan)
 	if err != nil {
 		return err
 	}
-	b.add(name+"-in-force", "until the last balancer has them, "+what, unitTime, Simulated, true, size, result.recovery.Seconds())
+	point("-in-force", "until the last balancer has them, ", result.recovery)
 	plan.takenOver = plan.balancers
 	lost, err := simulatePush(ctx, plan)
 	if err != nil {
 		return err
 	}
-	b.add(name+"-in-force-half-lost", "the same with half of the control machines lost, "+what, unitTime, Simulated, true, size, lost.recovery.Seconds())
-	b.checkLatency(fmt.Sprintf("%d missed changes, %s, are in force within 16 s of the heal", size, what), result.recovery)
+	point("-in-force-half-lost", "the same with half of the control machines lost, ", lost.recovery)
+	b.checkLatency(fmt.Sprintf("%d missed changes, %s, are in force within 16 s of the heal", size, form.description), result.recovery)
 	return nil
 }
 
--- a/internal/testbed/scale/control_sweep_lists.go
+++ b/internal/testbed/scale/control_sweep_lists.go
@@ -29,11 +29,11 @@
 func (b *controlMeasurements) measureList(ctx context.Context, size int) error {
 	sizes := measureListSizes(size)
 	rate := b.settings.Rate
-	b.add("whole-bytes", "of a whole list", unitBytes, Measured, true, size, float64(sizes.full))
-	b.add("change-bytes", "of an object with one change", unitBytes, Measured, true, size, float64(sizes.changes(1)))
-	b.add("whole-bytes-in", "read by a balancer, were each change told as a whole list", unitBytesSecond, Calculated, true, size, rate*float64(sizes.full))
-	b.add("change-bytes-in", "read by a balancer, each change told as one", unitBytesSecond, Calculated, true, size, rate*float64(sizes.changes(1)))
-	b.add("whole-at-budget", "time in which a balancer reads a whole list, of 10 KB a second", unitTime, Calculated, true, size, float64(sizes.full)/bandwidthBudget)
+	b.add(seriesKind{name: "whole-bytes", quantity: "of a whole list", unit: unitBytes, origin: Measured, counted: true}, size, float64(sizes.full))
+	b.add(seriesKind{name: "change-bytes", quantity: "of an object with one change", unit: unitBytes, origin: Measured, counted: true}, size, float64(sizes.changes(1)))
+	b.add(seriesKind{name: "whole-bytes-in", quantity: "read by a balancer, were each change told as a whole list", unit: unitBytesSecond, origin: Calculated, counted: true}, size, rate*float64(sizes.full))
+	b.add(seriesKind{name: "change-bytes-in", quantity: "read by a balancer, each change told as one", unit: unitBytesSecond, origin: Calculated, counted: true}, size, rate*float64(sizes.changes(1)))
+	b.add(seriesKind{name: "whole-at-budget", quantity: "time in which a balancer reads a whole list, of 10 KB a second", unit: unitTime, origin: Calculated, counted: true}, size, float64(sizes.full)/bandwidthBudget)
 	subscriber, err := newListSubscriber(ctx, b.settings.Seed)
 	if err != nil {
 		return err
@@ -49,7 +49,7 @@
 	if applyErr != nil {
 		return applyErr
 	}
-	b.add("memory", "held by a balancer for the list, no connections", unitBytes, Measured, false, size, float64(liveMemory()-before))
+	b.add(seriesKind{name: "memory", quantity: "held by a balancer for the list, no connections", unit: unitBytes, origin: Measured}, size, float64(liveMemory()-before))
 	return b.measureUpdates(ctx, subscriber, size)
 }
 
@@ -77,11 +77,11 @@
 	}
 	fullTime, fullAllocations := full.processor-written.processor, full.allocations-written.allocations
 	oneTime := changes.processor / changesPerBatch
-	b.add("whole-processor", "processor time of taking a whole list", unitMicroseconds, Measured, false, size, microseconds(fullTime))
-	b.add("whole-allocations", "allocations of taking a whole list", unitAllocations, Measured, true, size, fullAllocations)
-	b.add("change-processor", "processor time of taking one change", unitMicroseconds, Measured, false, size, microseconds(oneTime))
-	b.add("change-allocations", "allocations of taking one change", unitAllocations, Measured, true, size, changes.allocations/changesPerBatch)
-	b.add("whole-core", "processor time, were each change told as a whole list", unitCorePart, Calculated, false, size, b.settings.Rate*fullTime.Seconds())
-	b.add("change-core", "processor time, each change told as one", unitCorePart, Calculated, false, size, b.settings.Rate*oneTime.Seconds())
+	b.add(seriesKind{name: "whole-processor", quantity: "processor time of taking a whole list", unit: unitMicroseconds, origin: Measured}, size, microseconds(fullTime))
+	b.add(seriesKind{name: "whole-allocations", quantity: "allocations of taking a whole list", unit: unitAllocations, origin: Measured, counted: true}, size, fullAllocations)
+	b.add(seriesKind{name: "change-processor", quantity: "processor time of taking one change", unit: unitMicroseconds, origin: Measured}, size, microseconds(oneTime))
+	b.add(seriesKind{name: "change-allocations", quantity: "allocations of taking one change", unit: unitAllocations, origin: Measured, counted: true}, size, changes.allocations/changesPerBatch)
+	b.add(seriesKind{name: "whole-core", quantity: "processor time, were each change told as a whole list", unit: unitCorePart, origin: Calculated}, size, b.settings.Rate*fullTime.Seconds())
+	b.add(seriesKind{name: "change-core", quantity: "processor time, each change told as one", unit: unitCorePart, origin: Calculated}, size, b.settings.Rate*oneTime.Seconds())
 	return nil
 }
--- a/internal/testbed/scale/fleet_client.go
+++ b/internal/testbed/scale/fleet_client.go
@@ -26,7 +26,7 @@
 	preferred       *instance // the balancer it uses while that is up
 	group           int
 	service         int
-	flow            *flow
+	flow            *flowState
 	wasDisconnected bool // and is not established again
 }
 
@@ -99,10 +99,10 @@
 
 // ---- connects
 
-func (f *fleet) connect(x *flow, to *backend) *connect {
+func (f *fleet) connect(flow *flowState, to *backend) *connect {
 	f.connectCount++
-	c := &connect{id: invariants.Connect(f.connectCount), number: x.attempts, flow: x, server: to, sentAt: f.schedule.now}
-	x.connects = append(x.connects, c)
+	c := &connect{id: invariants.Connect(f.connectCount), number: flow.attempts, flow: flow, server: to, sentAt: f.schedule.now}
+	flow.connects = append(flow.connects, c)
 	return c
 }
 
@@ -133,46 +133,46 @@
 
 // establish runs when a balancer learns that its connect succeeded.
 func (c *connect) establish() {
-	x := c.flow
-	b, f := x.balancer, x.balancer.fleet
-	if c.ended || !b.up || b.flows[x.name] != x {
+	flow := c.flow
+	b, f := flow.balancer, flow.balancer.fleet
+	if c.ended || !b.up || b.flows[flow.name] != flow {
 		return
 	}
 	c.established = true
-	x.current, x.answered = c, true
+	flow.current, flow.answered = c, true
 	c.server.connects = append(c.server.connects, c)
-	f.observe(invariants.Event{Kind: invariants.FlowAnswered, Balancer: invariants.Balancer(b.id), Flow: x.id, Answer: invariants.Established})
-	b.event().OnEstablished(x.name, f.schedule.now-c.sentAt)
-	x.client.onEstablished()
+	f.observe(invariants.Event{Kind: invariants.FlowAnswered, Balancer: invariants.Balancer(b.id), Flow: flow.id, Answer: invariants.Established})
+	b.event().OnEstablished(flow.name, f.schedule.now-c.sentAt)
+	flow.client.onEstablished()
 }
 
 // finish ends a connect. It is the only place that tells the decisions so.
 func (c *connect) finish(outcome decide.Outcome) {
-	x := c.flow
-	b, f := x.balancer, x.balancer.fleet
-	if c.ended || !b.up || b.flows[x.name] != x {
+	flow := c.flow
+	b, f := flow.balancer, flow.balancer.fleet
+	if c.ended || !b.up || b.flows[flow.name] != flow {
 		return
 	}
 	c.ended = true
-	x.connects = slices.DeleteFunc(x.connects, func(other *connect) bool { return other == c })
+	flow.connects = slices.DeleteFunc(flow.connects, func(other *connect) bool { return other == c })
 	f.removeConnect(c)
-	f.observe(invariants.Event{Kind: invariants.ConnectEnded, Balancer: invariants.Balancer(b.id), Flow: x.id, Connect: c.id, MayHaveRun: !outcome.NeverRan()})
+	f.observe(invariants.Event{Kind: invariants.ConnectEnded, Balancer: invariants.Balancer(b.id), Flow: flow.id, Connect: c.id, MayHaveRun: !outcome.NeverRan()})
 	if c.established {
-		x.current = nil
-		f.observe(invariants.Event{Kind: invariants.FlowEnded, Balancer: invariants.Balancer(b.id), Flow: x.id})
+		flow.current = nil
+		f.observe(invariants.Event{Kind: invariants.FlowEnded, Balancer: invariants.Balancer(b.id), Flow: flow.id})
 		switch {
-		case x.clientLeft:
+		case flow.clientLeft:
 		case outcome == decide.Cancelled:
-			x.client.scheduleReturn()
+			flow.client.scheduleReturn()
 		default:
-			x.client.onDisconnected()
+			flow.client.onDisconnected()
 		}
 	}
-	finished := x.answered || x.clientLeft
+	finished := flow.answered || flow.clientLeft
 	if c.established || finished {
-		x.forget()
+		flow.forget()
 	}
-	b.event().OnEnded(x.name, outcome, f.schedule.now-c.sentAt, finished)
+	b.event().OnEnded(flow.name, outcome, f.schedule.now-c.sentAt, finished)
 }
 
 // removeConnect removes a connect from its server.
--- a/internal/testbed/scale/fleet_instance.go
+++ b/internal/testbed/scale/fleet_instance.go
@@ -18,12 +18,12 @@
 	started      time.Duration
 	lastUpdateAt time.Duration // when the last list update arrives
 	decider      *decide.Balancer
-	flows        map[decide.FlowID]*flow
-	flowsInOrder []*flow // of arrival; ended ones are removed now and then
+	flows        map[decide.FlowID]*flowState
+	flowsInOrder []*flowState // of arrival; ended ones are removed now and then
 }
 
-// flow is one attempt of a client.
-type flow struct {
+// flowState is one attempt of a client.
+type flowState struct {
 	id         invariants.Flow
 	name       decide.FlowID
 	balancer   *instance
@@ -41,7 +41,7 @@
 type connect struct {
 	id          invariants.Connect
 	number      int
-	flow        *flow
+	flow        *flowState
 	server      *backend
 	sentAt      time.Duration
 	established bool
@@ -55,7 +55,7 @@
 	f := b.fleet
 	b.incarnation++
 	b.up, b.started = true, f.schedule.now
-	b.flows, b.flowsInOrder = map[decide.FlowID]*flow{}, nil
+	b.flows, b.flowsInOrder = map[decide.FlowID]*flowState{}, nil
 	f.observe(invariants.Event{Kind: invariants.BalancerStarted, Balancer: invariants.Balancer(b.id)})
 	b.decider = decide.New(f.random.Uint64(), b)
 	configureSimulatedBalancer(b.decider, simulatedSettings{peers: f.peers, zone: b.zone})
@@ -74,16 +74,16 @@
 	f := b.fleet
 	b.up = false
 	f.observe(invariants.Event{Kind: invariants.BalancerDied, Balancer: invariants.Balancer(b.id)})
-	for _, x := range b.flowsInOrder {
-		if b.flows[x.name] != x {
+	for _, flow := range b.flowsInOrder {
+		if b.flows[flow.name] != flow {
 			continue
 		}
-		for _, c := range x.connects {
+		for _, c := range flow.connects {
 			c.ended = true
 			f.removeConnect(c)
 		}
-		if owed := x.current != nil || !x.answered; owed && !x.clientLeft {
-			x.client.onDisconnected()
+		if owed := flow.current != nil || !flow.answered; owed && !flow.clientLeft {
+			flow.client.onDisconnected()
 		}
 	}
 	b.flows, b.flowsInOrder = nil, nil
@@ -129,86 +129,86 @@
 
 // ---- flows
 
-func (b *instance) add(c *client) *flow {
+func (b *instance) add(c *client) *flowState {
 	f := b.fleet
 	f.flowCount++
-	x := &flow{id: invariants.Flow(f.flowCount), name: flowName(int(f.flowCount)), balancer: b, client: c, arrivedAt: f.schedule.now}
-	b.flows[x.name] = x
-	b.flowsInOrder = append(b.flowsInOrder, x)
+	flow := &flowState{id: invariants.Flow(f.flowCount), name: flowName(int(f.flowCount)), balancer: b, client: c, arrivedAt: f.schedule.now}
+	b.flows[flow.name] = flow
+	b.flowsInOrder = append(b.flowsInOrder, flow)
 	if len(b.flowsInOrder) > 2*len(b.flows)+16 {
-		b.flowsInOrder = slices.DeleteFunc(b.flowsInOrder, func(x *flow) bool { return b.flows[x.name] != x })
+		b.flowsInOrder = slices.DeleteFunc(b.flowsInOrder, func(flow *flowState) bool { return b.flows[flow.name] != flow })
 	}
-	c.flow = x
-	return x
+	c.flow = flow
+	return flow
 }
 
 // adopt starts with an established connection.
 func (b *instance) adopt(c *client, s *backend) {
-	x := b.add(c)
-	x.answered, x.attempts = true, 1
-	x.current = b.fleet.connect(x, s)
-	x.current.established = true
-	s.connects = append(s.connects, x.current)
-	b.event().AdoptFlow(decide.FlowRequest{ID: x.name, Service: decide.ServiceID(c.service), Customer: decide.NoCustomer, Group: groupName(c.group)}, s.id)
+	flow := b.add(c)
+	flow.answered, flow.attempts = true, 1
+	flow.current = b.fleet.connect(flow, s)
+	flow.current.established = true
+	s.connects = append(s.connects, flow.current)
+	b.event().AdoptFlow(decide.FlowRequest{ID: flow.name, Service: decide.ServiceID(c.service), Customer: decide.NoCustomer, Group: groupName(c.group)}, s.id)
 }
 
 // accept handles the arrival of a client.
 func (b *instance) accept(c *client) {
-	x, now := b.add(c), b.fleet.schedule.now
-	x.deadline = now + connectTimeout - relayTime
+	flow, now := b.add(c), b.fleet.schedule.now
+	flow.deadline = now + connectTimeout - relayTime
 	t := services[c.service]
-	b.fleet.observe(invariants.Event{Kind: invariants.FlowAccepted, Balancer: invariants.Balancer(b.id), Flow: x.id, Deadline: now + connectTimeout,
+	b.fleet.observe(invariants.Event{Kind: invariants.FlowAccepted, Balancer: invariants.Balancer(b.id), Flow: flow.id, Deadline: now + connectTimeout,
 		Effect: t.seen, KeyWindow: retryWindow})
-	b.event().OnFlow(decide.FlowRequest{ID: x.name, Service: decide.ServiceID(c.service), Customer: decide.NoCustomer, Group: groupName(c.group), Timeout: x.deadline - now})
+	b.event().OnFlow(decide.FlowRequest{ID: flow.name, Service: decide.ServiceID(c.service), Customer: decide.NoCustomer, Group: groupName(c.group), Timeout: flow.deadline - now})
 }
 
 // forget removes a flow that has ended.
-func (x *flow) forget() {
-	if len(x.connects) == 0 {
-		delete(x.balancer.flows, x.name)
+func (flow *flowState) forget() {
+	if len(flow.connects) == 0 {
+		delete(flow.balancer.flows, flow.name)
 	}
 }
 
 // leave disconnects the client of an established connection; it returns later.
-func (x *flow) leave() {
-	if x.clientLeft || x.current == nil || !x.balancer.up || x.balancer.flows[x.name] != x {
+func (flow *flowState) leave() {
+	if flow.clientLeft || flow.current == nil || !flow.balancer.up || flow.balancer.flows[flow.name] != flow {
 		return
 	}
-	x.clientLeft = true
-	x.balancer.fleet.observe(invariants.Event{Kind: invariants.ClientLeft, Balancer: invariants.Balancer(x.balancer.id), Flow: x.id})
-	x.current.finish(decide.OK)
-	x.client.onDisconnected()
+	flow.clientLeft = true
+	flow.balancer.fleet.observe(invariants.Event{Kind: invariants.ClientLeft, Balancer: invariants.Balancer(flow.balancer.id), Flow: flow.id})
+	flow.current.finish(decide.OK)
+	flow.client.onDisconnected()
 }
 
 // answer is the balancer's final answer to a flow.
 func (b *instance) answer(name decide.FlowID, verdict invariants.Answer) {
-	x := b.flows[name]
-	if x == nil {
+	flow := b.flows[name]
+	if flow == nil {
 		b.fleet.observe(invariants.Event{Kind: invariants.FlowAnswered, Balancer: invariants.Balancer(b.id), Flow: -1, Answer: verdict})
 		return
 	}
-	b.fleet.observe(invariants.Event{Kind: invariants.FlowAnswered, Balancer: invariants.Balancer(b.id), Flow: x.id, Answer: verdict})
-	if x.answered {
+	b.fleet.observe(invariants.Event{Kind: invariants.FlowAnswered, Balancer: invariants.Balancer(b.id), Flow: flow.id, Answer: verdict})
+	if flow.answered {
 		return
 	}
-	x.answered = true
-	x.forget()
-	x.client.onRejected()
+	flow.answered = true
+	flow.forget()
+	flow.client.onRejected()
 }
 
 // ---- actions of the decisions; see decide.Act
 
 func (b *instance) Connect(name decide.FlowID, to decide.ServerID, limit time.Duration) {
-	x, f := b.flows[name], b.fleet
-	if x == nil {
+	flow, f := b.flows[name], b.fleet
+	if flow == nil {
 		return
 	}
-	c := f.connect(x, f.server(to))
-	x.attempts++
+	c := f.connect(flow, f.server(to))
+	flow.attempts++
 	f.figures.connectsSent[connectKey{b.id, f.schedule.now / time.Second}]++
-	f.observe(invariants.Event{Kind: invariants.ConnectSent, Balancer: invariants.Balancer(b.id), Flow: x.id, Connect: c.id,
+	f.observe(invariants.Event{Kind: invariants.ConnectSent, Balancer: invariants.Balancer(b.id), Flow: flow.id, Connect: c.id,
 		Server: invariants.Server(to), Zone: c.server.zone, Cell: c.server.zone})
-	ends := x.deadline
+	ends := flow.deadline
 	if limit > 0 {
 		ends = min(ends, f.schedule.now+limit)
 	}
@@ -221,11 +221,11 @@
 }
 
 func (b *instance) Cancel(name decide.FlowID, n int) {
-	x := b.flows[name]
-	if x == nil {
+	flow := b.flows[name]
+	if flow == nil {
 		return
 	}
-	for _, c := range x.connects {
+	for _, c := range flow.connects {
 		if c.number == n && !c.established {
 			b.fleet.schedule.after(0, func() { c.finish(decide.Cancelled) })
 		}
@@ -243,14 +243,14 @@
 }
 
 func (b *instance) Migrate(name decide.FlowID) {
-	x := b.flows[name]
-	if x == nil || x.current == nil {
+	flow := b.flows[name]
+	if flow == nil || flow.current == nil {
 		return
 	}
 	b.fleet.figures.migrated++
-	c := x.current
+	c := flow.current
 	b.fleet.schedule.after(0, func() {
-		if !c.ended && !x.clientLeft {
+		if !c.ended && !flow.clientLeft {
 			c.finish(decide.Cancelled)
 		}
 	})
--- a/internal/testbed/scale/page_faults.go
+++ b/internal/testbed/scale/page_faults.go
@@ -23,8 +23,8 @@
 // faultNames are the faults in the reports.
 func (p *page) faultNames() (names []string) {
 	for _, name := range slices.Concat(slices.Collect(maps.Keys(p.current.series)), slices.Collect(maps.Keys(p.baseline.series))) {
-		if rest, ok := strings.CutPrefix(name, faultPrefix); ok {
-			fault, _, _ := strings.Cut(rest, ".")
+		if suffix, ok := strings.CutPrefix(name, faultPrefix); ok {
+			fault, _, _ := strings.Cut(suffix, ".")
 			names = append(names, fault)
 		}
 	}
--- a/internal/testbed/scale/page_fit.go
+++ b/internal/testbed/scale/page_fit.go
@@ -15,10 +15,10 @@
 
 // The forms of a fit, from the simplest on.
 const (
-	FormConstant  Form = "a"
-	FormLinear    Form = "a + b·n"
-	FormLogLinear Form = "a + b·n·ln n"
-	FormPower     Form = "a·n^b"
+	FormConstant  Form = "a"            // the mean, whatever the size
+	FormLinear    Form = "a + b·n"      // grows with n
+	FormLogLinear Form = "a + b·n·ln n" // grows with n·ln n
+	FormPower     Form = "a·n^b"        // grows with a power of n
 )
 
 // slopeForms are the forms that depend on the size.
@@ -76,6 +76,7 @@
 	Sizes int
 }
 
+// Error states the number of sizes.
 func (e *TooFewPointsError) Error() string {
 	return fmt.Sprintf("%d sizes, %d are needed for a fit with the largest held out", e.Sizes, minFitSizes)
 }
--- a/internal/testbed/scale/page_requirements.go
+++ b/internal/testbed/scale/page_requirements.go
@@ -1,6 +1,9 @@
 package scale
 
-import "fmt"
+import (
+	"fmt"
+	"slices"
+)
 
 // Mechanisms that keep requirements.
 const (
@@ -17,19 +20,23 @@
 
 // requirements are the operators' requirements in their order.
 func (p *page) requirements() []requirement {
-	list := p.connectionRequirements()
-	list = append(list, p.changeRequirements()...)
-	list = append(list, p.controlRequirements()...)
-	return append(list, p.failureRequirements()...)
+	return slices.Concat(
+		p.connectionRequirements(),
+		p.topicRequirements(),
+		p.deliveryRequirements(),
+		p.changeRequirements(),
+		p.standaloneRequirements(),
+		p.peerRequirements(),
+		p.failureRequirements(),
+	)
 }
 
+// connectionRequirements are those on the connections that a balancer holds.
 func (p *page) connectionRequirements() []requirement {
-	held := fmt.Sprintf("%s balancers, %s connections", digits(fleetBalancers), digits(fleetConnections))
-	topics := fmt.Sprintf("%s shards, %s listeners of the largest topic", digits(fleetShards), digits(largestTopic))
-	delivered := fmt.Sprintf("%s deliveries a second, 99 in 100 within %s", digits(fleetDeliveries), seconds(deliverySeconds))
+	statement := fmt.Sprintf("%s balancers, %s connections", digits(fleetBalancers), digits(fleetConnections))
 	return []requirement{
 		{
-			statement:  held,
+			statement:  statement,
 			quantity:   "servers in a list",
 			bound:      calculated(maxListedServers, inCount),
 			values:     forEachServerCount(func(servers float64) figure { return calculated(servers, inCount) }),
@@ -37,13 +44,13 @@
 			dependents: "every decision: a longer list is refused whole (`mostServers`)",
 		},
 		{
-			statement: held,
+			statement: statement,
 			quantity:  fmt.Sprintf("memory of the data path at %s connections", digits(connectionsPerBalancer)),
 			values:    single(p.connectionMemory(connectionsPerBalancer)),
 			mechanism: mechanismConnectionBuffers,
 		},
 		{
-			statement:  held,
+			statement:  statement,
 			quantity:   "set-ups out at once at a balancer",
 			bound:      calculated(setupLimit(), inCount),
 			values:     single(calculated((ordinaryPlacements+replacedPlacements)*setupSeconds, inCount)),
@@ -51,8 +58,15 @@
 			proposal:   "shares of the 48 by need, leased",
 			dependents: "every arrival: those beyond wait, and are turned away at their setup target",
 		},
+	}
+}
+
+// topicRequirements are those on groups and the largest topic.
+func (p *page) topicRequirements() []requirement {
+	statement := fmt.Sprintf("%s shards, %s listeners of the largest topic", digits(fleetShards), digits(largestTopic))
+	return []requirement{
 		{
-			statement:  topics,
+			statement:  statement,
 			quantity:   fmt.Sprintf("memory of tallies for %s groups at a balancer", digits(groupsPerBalancer())),
 			bound:      calculated(controlBytes, inBytes),
 			values:     single(p.groupMemory()),
@@ -60,7 +74,7 @@
 			dependents: "groups kept together",
 		},
 		{
-			statement:  topics,
+			statement:  statement,
 			quantity:   "the fullest server over the mean, with the largest topic, servers that tell no load",
 			bound:      calculated(overloadFactor, inCount),
 			values:     single(p.valueAt(topicUnevenness, fleetBalancers)),
@@ -68,14 +82,21 @@
 			proposal:   "a share of one topic for each of several homes, by its told size",
 			dependents: "the largest topics",
 		},
+	}
+}
+
+// deliveryRequirements are those on the data path.
+func (p *page) deliveryRequirements() []requirement {
+	statement := fmt.Sprintf("%s deliveries a second, 99 in 100 within %s", digits(fleetDeliveries), seconds(deliverySeconds))
+	return []requirement{
 		{
-			statement: delivered,
+			statement: statement,
 			quantity:  fmt.Sprintf("processor time of %s at a balancer", show(deliveriesPerBalancer, inRate)),
 			values:    single(p.valueAt(realDeliveryTime, connectionsPerBalancer).times(deliveriesPerBalancer, inCores)),
 			mechanism: mechanismLineRelay,
 		},
 		{
-			statement:  delivered,
+			statement:  statement,
 			quantity:   "delay of 99 in 100",
 			bound:      calculated(deliverySeconds, inSeconds),
 			values:     single(unmeasured("delay of deliveries")),
@@ -124,8 +145,14 @@
 	}
 }
 
-func (p *page) controlRequirements() []requirement {
-	statement := fmt.Sprintf("control: %s, %s and %s a balancer", show(controlCores, inCores), show(controlBytes, inBytes), show(controlTraffic, inTraffic))
+// controlStatement is the operators' statement of a balancer's budget for control.
+func controlStatement() string {
+	return fmt.Sprintf("control: %s, %s and %s a balancer", show(controlCores, inCores), show(controlBytes, inBytes), show(controlTraffic, inTraffic))
+}
+
+// standaloneRequirements are those on a balancer without peers.
+func (p *page) standaloneRequirements() []requirement {
+	statement := controlStatement()
 	return []requirement{
 		{
 			statement: statement,
@@ -168,6 +195,13 @@
 			proposal:   "records of a flow in fewer bytes",
 			dependents: "every balancer, at all times",
 		},
+	}
+}
+
+// peerRequirements are those on a balancer with peers, and on control machines.
+func (p *page) peerRequirements() []requirement {
+	statement := controlStatement()
+	return []requirement{
 		{
 			statement:  statement,
 			quantity:   "processor time with peers, signals and leases, ordinary day",
--- a/internal/testbed/scale/real.go
+++ b/internal/testbed/scale/real.go
@@ -1,6 +1,7 @@
 package scale
 
 import (
+	"cmp"
 	"context"
 	"fmt"
 	"os"
@@ -20,12 +21,15 @@
 }
 
 const (
+	minRealSizes             = 2
 	maxRealServers           = 16_384 // in a list
 	maxRealConnections       = 9_950  // of a process with 20,000 descriptors; each connection takes two
+	minMeasurementPeriod     = 100 * time.Millisecond
 	maxMeasurementPeriod     = 25 * time.Second
 	defaultMeasurementPeriod = 20 * time.Second
 	defaultRealZones         = 25
 	defaultRealBalancers     = 8_100
+	defaultRealServers       = 1_000
 )
 
 // ProcessError is a fault of a real process, with what an operator can do about it.
@@ -34,6 +38,7 @@
 	Err          error
 }
 
+// Error describes the fault and its cause.
 func (e *ProcessError) Error() string {
 	if e.Err == nil {
 		return "real process: " + e.What
@@ -79,39 +84,54 @@
 // settlingTime is how long a process is left alone before a measurement.
 func (s realSettings) settlingTime() time.Duration { return s.period / 4 }
 
-func newRealSettings(s Settings, sizes, mostSize int, of string) (realSettings, error) {
-	bad := func(key, format string, a ...any) (realSettings, error) {
-		return realSettings{}, &ProcessError{What: key + ": " + fmt.Sprintf(format, a...), Remedy: "mend the key in the experiment's file"}
-	}
-	r := realSettings{Settings: s, period: defaultMeasurementPeriod}
-	if len(s.Sizes) < sizes {
-		return bad("sizes", "want %d or more numbers of %s", sizes, of)
-	}
-	for i, n := range s.Sizes {
-		if n < 1 || n > mostSize || i > 0 && n <= s.Sizes[i-1] {
-			return bad("sizes", "want rising numbers of %s from 1 to %d, got %d", of, mostSize, n)
-		}
+// newRealSettings validates a sweep's settings, which want minRealSizes sizes of what, none above maxSize, and
+// sets defaults.
+func newRealSettings(s Settings, maxSize int, what string) (realSettings, error) {
+	if err := checkRealSizes(s.Sizes, maxSize, what); err != nil {
+		return realSettings{}, err
 	}
 	if s.Servers < 0 || s.Servers > maxRealServers {
-		return bad("servers", "want 1 to %d, got %d", maxRealServers, s.Servers)
+		return realSettings{}, invalidKey("servers", "want 1 to %d, got %d", maxRealServers, s.Servers)
 	}
 	if s.Connections < 0 || s.Connections > maxRealConnections {
-		return bad("connections", "want 0 to %d, got %d", maxRealConnections, s.Connections)
+		return realSettings{}, invalidKey("connections", "want 0 to %d, got %d", maxRealConnections, s.Connections)
 	}
-	if s.Length != "" {
-		length, err := time.ParseDuration(s.Length)
-		if err != nil || length < 100*time.Millisecond || length > maxMeasurementPeriod {
-			return bad("length", "want a time from 100ms to %v, after which clients that say nothing count as gone, got %q", maxMeasurementPeriod, s.Length)
-		}
-		r.period = length
+	period, err := measurementPeriod(s.Length)
+	if err != nil {
+		return realSettings{}, err
+	}
+	s.Zones = cmp.Or(s.Zones, defaultRealZones)
+	s.Balancers = cmp.Or(s.Balancers, defaultRealBalancers)
+	s.Groups = cmp.Or(s.Groups, maxRealConnections)
+	s.Servers = cmp.Or(s.Servers, defaultRealServers)
+	return realSettings{Settings: s, period: period}, nil
+}
+
+// invalidKey is the error of an invalid key of an experiment file.
+func invalidKey(key, format string, values ...any) error {
+	return &ProcessError{What: key + ": " + fmt.Sprintf(format, values...), Remedy: "mend the key in the experiment's file"}
+}
+
+func checkRealSizes(sizes []int, maxSize int, what string) error {
+	if len(sizes) < minRealSizes {
+		return invalidKey("sizes", "want %d or more numbers of %s", minRealSizes, what)
 	}
-	for _, v := range []struct {
-		value  *int
-		absent int
-	}{{&r.Zones, defaultRealZones}, {&r.Balancers, defaultRealBalancers}, {&r.Groups, maxRealConnections}, {&r.Servers, 1000}} {
-		if *v.value == 0 {
-			*v.value = v.absent
+	for i, size := range sizes {
+		if size < 1 || size > maxSize || i > 0 && size <= sizes[i-1] {
+			return invalidKey("sizes", "want rising numbers of %s from 1 to %d, got %d", what, maxSize, size)
 		}
 	}
-	return r, nil
+	return nil
+}
+
+// measurementPeriod parses the key length; it is defaultMeasurementPeriod if the key is absent.
+func measurementPeriod(length string) (time.Duration, error) {
+	if length == "" {
+		return defaultMeasurementPeriod, nil
+	}
+	period, err := time.ParseDuration(length)
+	if err != nil || period < minMeasurementPeriod || period > maxMeasurementPeriod {
+		return 0, invalidKey("length", "want a time from 100ms to %v, after which clients that say nothing count as gone, got %q", maxMeasurementPeriod, length)
+	}
+	return period, nil
 }
--- a/internal/testbed/scale/real_compare.go
+++ b/internal/testbed/scale/real_compare.go
@@ -39,7 +39,7 @@
 
 // compareWithSimulated compares a real process with simulated balancers, against the servers on the list.
 func compareWithSimulated(ctx context.Context, settings Settings, progress Progress) ([]Series, []Check, error) {
-	s, err := newRealSettings(settings, 2, maxRealServers-realListsPublished, "servers")
+	s, err := newRealSettings(settings, maxRealServers-realListsPublished, "servers")
 	if err != nil {
 		return nil, nil, err
 	}
--- a/internal/testbed/scale/real_held.go
+++ b/internal/testbed/scale/real_held.go
@@ -50,7 +50,7 @@
 
 // realConnections measures a process with idle connections, against their number.
 func realConnections(ctx context.Context, settings Settings, progress Progress) ([]Series, []Check, error) {
-	s, err := newRealSettings(settings, 2, maxRealConnections, "connections")
+	s, err := newRealSettings(settings, maxRealConnections, "connections")
 	if err != nil {
 		return nil, nil, err
 	}
@@ -76,7 +76,7 @@
 // realDeliveries measures a line from a server to a client, against the connections held. All of them receive lines in
 // turn.
 func realDeliveries(ctx context.Context, settings Settings, progress Progress) ([]Series, []Check, error) {
-	s, err := newRealSettings(settings, 2, maxRealConnections, "connections")
+	s, err := newRealSettings(settings, maxRealConnections, "connections")
 	if err != nil {
 		return nil, nil, err
 	}
@@ -132,7 +132,7 @@
 // realPlacements measures one connection from its arrival to its end, sockets included, against the servers on the
 // list.
 func realPlacements(ctx context.Context, settings Settings, progress Progress) ([]Series, []Check, error) {
-	s, err := newRealSettings(settings, 2, maxRealServers, "servers")
+	s, err := newRealSettings(settings, maxRealServers, "servers")
 	if err != nil {
 		return nil, nil, err
 	}
--- a/internal/testbed/scale/real_lists.go
+++ b/internal/testbed/scale/real_lists.go
@@ -43,7 +43,7 @@
 
 // realServers measures an idle process without connections, against the servers on its list.
 func realServers(ctx context.Context, settings Settings, progress Progress) ([]Series, []Check, error) {
-	s, err := newRealSettings(settings, 2, maxRealServers, "servers")
+	s, err := newRealSettings(settings, maxRealServers, "servers")
 	if err != nil {
 		return nil, nil, err
 	}
@@ -87,7 +87,7 @@
 
 // realChanges measures the cost and the propagation time of list updates, against the servers on the list.
 func realChanges(ctx context.Context, settings Settings, progress Progress) ([]Series, []Check, error) {
-	s, err := newRealSettings(settings, 2, maxRealServers-realChangesTimed-realListsPublished, "servers")
+	s, err := newRealSettings(settings, maxRealServers-realChangesTimed-realListsPublished, "servers")
 	if err != nil {
 		return nil, nil, err
 	}
--- a/internal/testbed/scale/real_process.go
+++ b/internal/testbed/scale/real_process.go
@@ -253,15 +253,15 @@
 			return m, &ProcessError{"its memory can't be read", "check that it runs, and that /proc is there", err}
 		}
 		for lines := bufio.NewScanner(bytes.NewReader(text)); lines.Scan(); {
-			w := strings.Fields(lines.Text())
-			if len(w) < 2 || f.to[w[0]] == nil {
+			fields := strings.Fields(lines.Text())
+			if len(fields) < 2 || f.to[fields[0]] == nil {
 				continue
 			}
-			kib, err := strconv.ParseFloat(w[1], 64)
+			kib, err := strconv.ParseFloat(fields[1], 64)
 			if err != nil {
 				return m, &ProcessError{"its memory can't be read", "tell the developers the kernel's version", err}
 			}
-			*f.to[w[0]] += kib * 1024
+			*f.to[fields[0]] += kib * 1024
 		}
 	}
 	return m, nil
--- a/internal/testbed/scale/real_test.go
+++ b/internal/testbed/scale/real_test.go
@@ -99,7 +99,7 @@
 
 // The processor time read from a process grows while it works.
 func TestRealProcessorTimeOfAnotherProcess(t *testing.T) {
-	s, err := newRealSettings(Settings{Sizes: []int{10, 20}}, 2, maxRealServers, "servers")
+	s, err := newRealSettings(Settings{Sizes: []int{10, 20}}, maxRealServers, "servers")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -172,7 +172,7 @@
 // published again and again.
 func TestRealMemoryOfTheLongestList(t *testing.T) {
 	const servers, most = 12_800, raceFactor * 48e6
-	s, err := newRealSettings(Settings{Sizes: []int{1, servers}}, 2, maxRealServers, "servers")
+	s, err := newRealSettings(Settings{Sizes: []int{1, servers}}, maxRealServers, "servers")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/testbed/scale/sweep_rechecks.go
+++ b/internal/testbed/scale/sweep_rechecks.go
@@ -22,7 +22,7 @@
 	tickInterval       = 250 * time.Millisecond // of virtual time, as the decisions request
 	minTicks           = 5
 	maxTicks           = 20
-	sufficientTickTime = time.Second // of processor time, after which no more ticks are measured
+	sufficientTickTime = time.Second // of processor time, after which no more ticks are run
 	unevenGroup        = "group-0"   // of flows that return after a migration
 )
 
