--- a/internal/testbed/scale/control_engine.go
+++ b/internal/testbed/scale/control_engine.go
@@ -23,7 +23,9 @@
 	config.Name = memberName(0)
 	config.Transport = isolatedTransport{streams: e.streams, packets: make(chan *memberlist.Packet)}
 	config.Logger = log.New(io.Discard, "", 0)
-	config.GossipInterval, config.ProbeInterval, config.PushPullInterval = 0, 0, 0
+	config.GossipInterval = 0
+	config.ProbeInterval = 0
+	config.PushPullInterval = 0
 	config.EnableCompression = false
 	list, err := memberlist.Create(config)
 	e.list = list
--- a/internal/testbed/scale/control_gossip.go
+++ b/internal/testbed/scale/control_gossip.go
@@ -94,33 +94,33 @@
 }
 
 func newGossipModel(run gossipRun) *gossipModel {
-	m := &gossipModel{run: run, sizes: measureMessageSizes(), random: simulation.RandomSource(run.seed, "scale members", run.members),
+	model := &gossipModel{run: run, sizes: measureMessageSizes(), random: simulation.RandomSource(run.seed, "scale members", run.members),
 		inTransit: make([][]gossipPacket, gossipDelay+1)}
-	m.messages = []gossipMessage{{}, oldRecord: {size: int32(run.recordBytes)}, oldState: {origin: -1, size: int32(m.sizes.alive)}}
-	m.recordInterval = recordIntervalOf(run.members)
+	model.messages = []gossipMessage{{}, oldRecord: {size: int32(run.recordBytes)}, oldState: {origin: -1, size: int32(model.sizes.alive)}}
+	model.recordInterval = recordIntervalOf(run.members)
 	if run.intervalMultiple > 0 {
-		m.recordInterval = time.Duration(run.intervalMultiple * float64(m.recordInterval)).Truncate(gossipStep)
+		model.recordInterval = time.Duration(run.intervalMultiple * float64(model.recordInterval)).Truncate(gossipStep)
 	}
-	m.fanout = cmp.Or(run.fanout, gossipFanout)
-	m.members = make([]gossipMember, run.members)
-	for i := range m.members {
-		m.members[i] = gossipMember{
+	model.fanout = cmp.Or(run.fanout, gossipFanout)
+	model.members = make([]gossipMember, run.members)
+	for i := range model.members {
+		model.members[i] = gossipMember{
 			records:       newBroadcastQueue(retransmits(recordRetransmits, run.members)),
 			states:        newBroadcastQueue(retransmits(stateRetransmits, run.members)),
 			latestRecords: make([]broadcastID, run.members),
 			seenStates:    map[broadcastID]bool{},
-			gossipPhase:   m.phase(gossipInterval),
-			probePhase:    m.phase(probeInterval),
-			publishPhase:  m.phase(m.recordInterval),
+			gossipPhase:   model.phase(gossipInterval),
+			probePhase:    model.phase(probeInterval),
+			publishPhase:  model.phase(model.recordInterval),
 		}
-		m.learnMembers(i)
+		model.learnMembers(i)
 	}
 	if run.firstJustJoined {
 		for range run.members {
-			m.members[0].states.add(oldState)
+			model.members[0].states.add(oldState)
 		}
 	}
-	return m
+	return model
 }
 
 // learnMembers makes a member know as many others as it may, chosen at random.
--- a/internal/testbed/scale/control_measurements.go
+++ b/internal/testbed/scale/control_measurements.go
@@ -15,15 +15,6 @@
 	return &controlMeasurements{settings: s, role: role, series: map[string]*Series{}}
 }
 
-// seriesKind identifies a series of a control sweep.
-type seriesKind struct {
-	name     string // without the sweep's
-	quantity string
-	unit     string
-	origin   Origin
-	counted  bool
-}
-
 // add appends a point to a series, which the first point creates.
 func (b *controlMeasurements) add(kind seriesKind, size int, value float64) {
 	series := b.series[kind.name]
--- a/internal/testbed/scale/control_members.go
+++ b/internal/testbed/scale/control_members.go
@@ -52,8 +52,8 @@
 
 // measureGossip runs the model with records of few reports and of signals.MaxReports.
 func (b *controlMeasurements) measureGossip(ctx context.Context, size int) error {
-	for _, sights := range []int{fewReports, signals.MaxReports} {
-		recordBytes, err := recordBytesOf(sights)
+	for _, reports := range []int{fewReports, signals.MaxReports} {
+		recordBytes, err := recordBytesOf(reports)
 		if err != nil {
 			return err
 		}
@@ -61,7 +61,7 @@
 		if err != nil {
 			return err
 		}
-		b.gossipPoints(size, sights, recordBytes, result)
+		b.gossipPoints(size, reports, recordBytes, result)
 		b.recordsReceivedPerSecond = result.records
 	}
 	return nil
@@ -151,7 +151,7 @@
 	return b.measureRecords(size)
 }
 
-// measureRecords measures the records that are heard at this size.
+// measureRecords measures the records received at this size.
 func (b *controlMeasurements) measureRecords(size int) error {
 	text, err := signals.Encode(sampleRecord(1, 1000, signals.MaxReports))
 	if err != nil {
--- a/internal/testbed/scale/control_push.go
+++ b/internal/testbed/scale/control_push.go
@@ -32,7 +32,7 @@
 	resumes    bool // reconnecting balancers send their revision and receive only later changes
 	fullLists  bool
 	rate       float64 // changes per second
-	length     time.Duration
+	duration   time.Duration
 	missed     int // changes that are pending at the start
 	missedMode catchUpMode
 	seed       uint64
@@ -44,7 +44,7 @@
 const (
 	catchUpMerged catchUpMode = iota
 	catchUpOneByOne
-	missedFullList
+	catchUpFullList
 )
 
 // pushResult is the outcome of a simulated plan.
@@ -108,7 +108,7 @@
 	}
 	for t := 0.0; ; {
 		t += m.random.ExpFloat64() / rate
-		if t >= m.plan.length.Seconds() {
+		if t >= m.plan.duration.Seconds() {
 			return at
 		}
 		at = append(at, time.Duration(t*float64(time.Second)))
@@ -137,7 +137,7 @@
 			break
 		}
 	}
-	m.result.duration = max(m.now, plan.length)
+	m.result.duration = max(m.now, plan.duration)
 	m.result.utilization = sent.Seconds() / m.result.duration.Seconds()
 	slices.Sort(m.result.changeLatencies)
 	slices.Sort(m.result.startLatencies)
@@ -152,7 +152,8 @@
 	for m.started < len(m.startTimes) && m.startTimes[m.started] <= m.now {
 		b := &m.balancers[m.random.IntN(len(m.balancers))]
 		if !b.needsFullList {
-			b.needsFullList, b.awaitsListSince = true, m.startTimes[m.started]
+			b.needsFullList = true
+			b.awaitsListSince = m.startTimes[m.started]
 		}
 		m.started++
 	}
@@ -187,11 +188,11 @@
 	bytes, taking := m.nextMessage(b)
 	took := time.Duration(float64(bytes) / controlBandwidth * float64(time.Second))
 	m.result.bytes += float64(bytes)
-	way := nearBalancerDelay
+	delay := nearBalancerDelay
 	if b.far {
-		way = farBalancerDelay
+		delay = farBalancerDelay
 	}
-	inForce := m.now + took + way + taking
+	inForce := m.now + took + delay + taking
 	m.recordDelivery(b, inForce)
 	return max(took, 1)
 }
@@ -202,7 +203,7 @@
 	perList := time.Duration(m.plan.servers)
 	missed := b.received < m.plan.missed
 	switch {
-	case b.needsFullList || m.plan.fullLists || missed && m.plan.missedMode == missedFullList:
+	case b.needsFullList || m.plan.fullLists || missed && m.plan.missedMode == catchUpFullList:
 		return m.sizes.full, perList * fullListTimePerServer
 	case missed && m.plan.missedMode == catchUpOneByOne:
 		return lacks * m.sizes.changes(1), time.Duration(lacks) * perList * changeTimePerServer
@@ -221,5 +222,6 @@
 	for ; b.received < m.arrived; b.received++ {
 		m.result.changeLatencies = append(m.result.changeLatencies, inForce-m.changeTimes[b.received])
 	}
-	b.needsFullList, b.recovering = false, false
+	b.needsFullList = false
+	b.recovering = false
 }
--- a/internal/testbed/scale/control_real.go
+++ b/internal/testbed/scale/control_real.go
@@ -250,7 +250,8 @@
 func countSent() *sentCounter {
 	counter := &sentCounter{departures: departureCounter{Handler: slog.NewTextHandler(io.Discard, nil)}}
 	config := metrics.DefaultConfig("")
-	config.EnableHostname, config.EnableRuntimeMetrics = false, false
+	config.EnableHostname = false
+	config.EnableRuntimeMetrics = false
 	if _, err := metrics.NewGlobal(config, counter); err != nil {
 		panic(err) // the options are valid
 	}
--- a/internal/testbed/scale/control_sweep_catchup.go
+++ b/internal/testbed/scale/control_sweep_catchup.go
@@ -31,7 +31,7 @@
 var catchUpForms = []catchUpForm{
 	{mode: catchUpOneByOne, name: "one-by-one", description: "told one by one"},
 	{mode: catchUpMerged, name: "merged", description: "told as one object with the last word on each server"},
-	{mode: missedFullList, name: "whole", description: "told as a whole list"},
+	{mode: catchUpFullList, name: "whole", description: "told as a whole list"},
 }
 
 func (b *controlMeasurements) measureCatchUps(ctx context.Context, size int) error {
@@ -86,7 +86,7 @@
 		b.add(seriesKind{name: form.name + name, quantity: quantity + form.description, unit: unitTime, origin: Simulated, counted: true}, size, value.Seconds())
 	}
 	plan := pushPlanOf(b.settings, requiredChangesPerDay, false)
-	plan.missed, plan.missedMode, plan.length = size, form.mode, shortestPush
+	plan.missed, plan.missedMode, plan.duration = size, form.mode, minPushDuration
 	result, err := simulatePush(ctx, plan)
 	if err != nil {
 		return err
--- a/internal/testbed/scale/control_sweep_changes.go
+++ b/internal/testbed/scale/control_sweep_changes.go
@@ -8,8 +8,8 @@
 
 const (
 	maxSimulatedChanges = 600
-	longestPush         = 10 * time.Minute
-	shortestPush        = 30 * time.Second
+	maxPushDuration     = 10 * time.Minute
+	minPushDuration     = 30 * time.Second
 )
 
 // changesSweep simulates how changes reach all balancers from the control machines, against their number in a day.
@@ -42,7 +42,7 @@
 	rate := float64(changesADay) / secondsPerDay
 	length := time.Duration(maxSimulatedChanges / rate * float64(time.Second))
 	return pushPlan{servers: s.Servers, balancers: s.Balancers / controlMachines, fullLists: fullLists, rate: rate,
-		length: min(max(length, shortestPush), longestPush), seed: s.Seed}
+		duration: min(max(length, minPushDuration), maxPushDuration), seed: s.Seed}
 }
 
 func (b *controlMeasurements) measureChanges(ctx context.Context, size int, fullLists bool) error {
--- a/internal/testbed/scale/control_sweep_lists.go
+++ b/internal/testbed/scale/control_sweep_lists.go
@@ -75,7 +75,8 @@
 	if fault != nil {
 		return fault
 	}
-	fullTime, fullAllocations := full.processor-written.processor, full.allocations-written.allocations
+	fullTime := full.processor - written.processor
+	fullAllocations := full.allocations - written.allocations
 	oneTime := changes.processor / changesPerBatch
 	b.add(seriesKind{name: "whole-processor", quantity: "processor time of taking a whole list", unit: unitMicroseconds, origin: Measured}, size, microseconds(fullTime))
 	b.add(seriesKind{name: "whole-allocations", quantity: "allocations of taking a whole list", unit: unitAllocations, origin: Measured, counted: true}, size, fullAllocations)
--- a/internal/testbed/scale/control_test.go
+++ b/internal/testbed/scale/control_test.go
@@ -32,7 +32,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	result, err := simulateGossip(context.Background(), gossipRun{members: members, recordBytes: size, replaced: 1, firstJustJoined: true, seed: 1})
+	result, err := simulateGossip(t.Context(), gossipRun{members: members, recordBytes: size, replaced: 1, firstJustJoined: true, seed: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -155,7 +155,7 @@
 func TestListUpdateAllocationsGrowth(t *testing.T) {
 	allocations := func(servers int) (fullList, change float64) {
 		measurements := newControlMeasurements(Settings{Sweep: "lists", Against: byServers, Rate: 0.2, Seed: 1}, roleList)
-		if err := measurements.measureList(context.Background(), servers); err != nil {
+		if err := measurements.measureList(t.Context(), servers); err != nil {
 			t.Fatal(err)
 		}
 		return measurements.series["whole-allocations"].Points[0].Value, measurements.series["change-allocations"].Points[0].Value
@@ -171,7 +171,7 @@
 		t.Skip("waits until the list was not taken")
 	}
 	measurements := newControlMeasurements(Settings{Sweep: "lists", Against: byServers, Rate: 0.2, Seed: 1}, roleList)
-	if err := measurements.measureList(context.Background(), 20_000); err != nil {
+	if err := measurements.measureList(t.Context(), 20_000); err != nil {
 		t.Fatal(err)
 	}
 	if len(measurements.checks) != 1 || measurements.checks[0].Held || measurements.series["memory"] != nil {
@@ -208,19 +208,19 @@
 }
 
 func TestPushSimulation(t *testing.T) {
-	play := func(plan pushPlan) pushResult {
+	simulate := func(plan pushPlan) pushResult {
 		t.Helper()
-		plan.balancers, plan.length, plan.seed = 405, 60*time.Second, 1
-		result, err := simulatePush(context.Background(), plan)
+		plan.balancers, plan.duration, plan.seed = 405, 60*time.Second, 1
+		result, err := simulatePush(t.Context(), plan)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return result
 	}
 	const rate = 0.2
-	few, many := play(pushPlan{servers: 1000, rate: rate}), play(pushPlan{servers: 10_000, rate: rate})
-	if !reflect.DeepEqual(few, play(pushPlan{servers: 1000, rate: rate})) {
-		t.Error("one seed gives two plays")
+	few, many := simulate(pushPlan{servers: 1000, rate: rate}), simulate(pushPlan{servers: 10_000, rate: rate})
+	if !reflect.DeepEqual(few, simulate(pushPlan{servers: 1000, rate: rate})) {
+		t.Error("one seed gives two results")
 	}
 	if len(few.changeLatencies) == 0 || len(few.changeLatencies)%405 != 0 {
 		t.Errorf("%d times in force, want each change at each of 405 balancers", len(few.changeLatencies))
@@ -228,15 +228,15 @@
 	// Only the lists of balancers that start without state grow with the servers.
 	starts := float64(len(many.startLatencies)) * float64(measureListSizes(10_000).full)
 	checkGrowth(t, "bytes of changes", Point{Size: 1000, Value: few.bytes - float64(len(few.startLatencies))*float64(measureListSizes(1000).full)}, Point{Size: 10_000, Value: many.bytes - starts}, 0)
-	fullLists := play(pushPlan{servers: 10_000, rate: rate, fullLists: true})
+	fullLists := simulate(pushPlan{servers: 10_000, rate: rate, fullLists: true})
 	if fullLists.bytes < 100*many.bytes {
 		t.Errorf("whole lists of 10,000 servers are %.0f bytes, changes %.0f", fullLists.bytes, many.bytes)
 	}
-	lost := play(pushPlan{servers: 10_000, rate: rate, takenOver: 405})
+	lost := simulate(pushPlan{servers: 10_000, rate: rate, takenOver: 405})
 	if lost.recovery < lossDetection || len(lost.startLatencies) < 405 {
 		t.Errorf("those whose machine is lost have their list after %v, %d of them", lost.recovery, len(lost.startLatencies))
 	}
-	missed := play(pushPlan{servers: 1000, missed: 700, missedMode: catchUpMerged})
+	missed := simulate(pushPlan{servers: 1000, missed: 700, missedMode: catchUpMerged})
 	if missed.recovery <= 0 || len(missed.changeLatencies) != 405*700 {
 		t.Errorf("missed changes come in after %v, %d of them", missed.recovery, len(missed.changeLatencies))
 	}
@@ -287,7 +287,7 @@
 }
 
 func TestControlSweepsStopWithTheirContext(t *testing.T) {
-	ctx, cancel := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	for _, s := range []Settings{
 		{Sweep: "members", Against: byBalancers, Sizes: []int{30}, Rate: 1},
--- a/internal/testbed/scale/fleet.go
+++ b/internal/testbed/scale/fleet.go
@@ -166,7 +166,8 @@
 
 // stopServer stops a server. If silent, clients notice only by their timeouts.
 func (f *fleet) stopServer(s *backend, silent bool) {
-	s.alive, s.silent = false, silent
+	s.alive = false
+	s.silent = silent
 	held := s.connects
 	s.connects = nil
 	for _, c := range held {
--- a/internal/testbed/scale/fleet_client.go
+++ b/internal/testbed/scale/fleet_client.go
@@ -79,7 +79,8 @@
 
 // onEstablished runs when the client is served.
 func (c *client) onEstablished() {
-	now, figures := c.fleet.schedule.now, &c.fleet.figures
+	now := c.fleet.schedule.now
+	figures := &c.fleet.figures
 	if c.wasDisconnected {
 		figures.recoveryTimes = append(figures.recoveryTimes, now-faultAt)
 	}
@@ -108,7 +109,8 @@
 
 // arrive runs when a connect reaches its server.
 func (c *connect) arrive() {
-	f, s := c.flow.balancer.fleet, c.server
+	f := c.flow.balancer.fleet
+	s := c.server
 	if c.ended {
 		return
 	}
@@ -139,7 +141,8 @@
 		return
 	}
 	c.established = true
-	flow.current, flow.answered = c, true
+	flow.current = c
+	flow.answered = true
 	c.server.connects = append(c.server.connects, c)
 	f.observe(invariants.Event{Kind: invariants.FlowAnswered, Balancer: invariants.Balancer(b.id), Flow: flow.id, Answer: invariants.Established})
 	b.event().OnEstablished(flow.name, f.schedule.now-c.sentAt)
--- a/internal/testbed/scale/fleet_instance.go
+++ b/internal/testbed/scale/fleet_instance.go
@@ -54,8 +54,10 @@
 func (b *instance) start() {
 	f := b.fleet
 	b.incarnation++
-	b.up, b.started = true, f.schedule.now
-	b.flows, b.flowsInOrder = map[decide.FlowID]*flowState{}, nil
+	b.up = true
+	b.started = f.schedule.now
+	b.flows = map[decide.FlowID]*flowState{}
+	b.flowsInOrder = nil
 	f.observe(invariants.Event{Kind: invariants.BalancerStarted, Balancer: invariants.Balancer(b.id)})
 	b.decider = decide.New(f.random.Uint64(), b)
 	configureSimulatedBalancer(b.decider, simulatedSettings{peers: f.peers, zone: b.zone})
@@ -86,7 +88,8 @@
 			flow.client.onDisconnected()
 		}
 	}
-	b.flows, b.flowsInOrder = nil, nil
+	b.flows = nil
+	b.flowsInOrder = nil
 }
 
 // event begins an event of the decisions at the current time.
@@ -145,7 +148,8 @@
 // adopt starts with an established connection.
 func (b *instance) adopt(c *client, s *backend) {
 	flow := b.add(c)
-	flow.answered, flow.attempts = true, 1
+	flow.answered = true
+	flow.attempts = 1
 	flow.current = b.fleet.connect(flow, s)
 	flow.current.established = true
 	s.connects = append(s.connects, flow.current)
@@ -199,7 +203,8 @@
 // ---- actions of the decisions; see decide.Act
 
 func (b *instance) Connect(name decide.FlowID, to decide.ServerID, limit time.Duration) {
-	flow, f := b.flows[name], b.fleet
+	flow := b.flows[name]
+	f := b.fleet
 	if flow == nil {
 		return
 	}
--- a/internal/testbed/scale/fleet_test.go
+++ b/internal/testbed/scale/fleet_test.go
@@ -19,7 +19,7 @@
 func TestFaultsViolateNoInvariant(t *testing.T) {
 	for _, s := range smallFaults {
 		for _, one := range faults {
-			o, err := one.run(context.Background(), s, 1)
+			o, err := one.run(t.Context(), s, 1)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -39,7 +39,7 @@
 func TestFaultRunsAreDeterministic(t *testing.T) {
 	zone := faults[1]
 	run := func(seed uint64) faultOutcome {
-		o, err := zone.run(context.Background(), smallFaults[0], seed)
+		o, err := zone.run(t.Context(), smallFaults[0], seed)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -59,7 +59,7 @@
 }
 
 func TestFaultStopsWithItsContext(t *testing.T) {
-	ctx, stop := context.WithCancel(context.Background())
+	ctx, stop := context.WithCancel(t.Context())
 	stop()
 	if _, err := faults[0].run(ctx, smallFaults[0], 1); err == nil {
 		t.Error("it went on")
@@ -84,7 +84,7 @@
 	return broken
 }
 
-// The fleet feeds the invariant checker: rules are violated when balancers are not told what the checker is told.
+// The fleet feeds the invariant checker: rules are violated when balancers don't receive what the checker receives.
 func TestInvariantCheckerObservesTheFleet(t *testing.T) {
 	if broken := violatedRules(t, func(*fleet) {}); len(broken) > 0 {
 		t.Errorf("rules %v broken though nothing was kept back", broken)
--- a/internal/testbed/scale/page_comparison.go
+++ b/internal/testbed/scale/page_comparison.go
@@ -43,9 +43,10 @@
 // comparedPairs are the pairs of the sweep that runs real processes and simulated balancers side by side.
 func (p *page) comparedPairs() (pairs []comparedPair) {
 	for _, c := range comparisons {
-		simulated, realSlope := seriesReference{name: "compare." + c.name + ".hollow"}, seriesReference{name: "compare." + c.name + ".real"}
-		if p.current.series[simulated.name] != nil && p.current.series[realSlope.name] != nil {
-			pairs = append(pairs, comparedPair{quantity: c.quantity, simulated: simulated, real: realSlope, whyBelow: c.whyBelow, whyAbove: c.whyAbove})
+		simulated := seriesReference{name: "compare." + c.name + ".hollow"}
+		realSeries := seriesReference{name: "compare." + c.name + ".real"}
+		if p.current.series[simulated.name] != nil && p.current.series[realSeries.name] != nil {
+			pairs = append(pairs, comparedPair{quantity: c.quantity, simulated: simulated, real: realSeries, whyBelow: c.whyBelow, whyAbove: c.whyAbove})
 		}
 	}
 	return pairs
--- a/internal/testbed/scale/page_situations.go
+++ b/internal/testbed/scale/page_situations.go
@@ -27,23 +27,29 @@
 func situations(servers float64) []situation {
 	idle := situation{name: "at rest", connections: connectionsPerBalancer, members: fleetBalancers, controlMachines: fleetControlMachines, duration: "no connection comes or goes"}
 	day := idle
-	day.name, day.duration = "ordinary day", "all day"
+	day.name = "ordinary day"
+	day.duration = "all day"
 	day.placements = ordinaryPlacements + replacedPlacements
-	day.changes, day.membershipChanges, day.deliveries = changeRate, ordinaryMembershipChanges, deliveriesPerBalancer
+	day.changes = changeRate
+	day.membershipChanges = ordinaryMembershipChanges
+	day.deliveries = deliveriesPerBalancer
 
 	machine := day
-	machine.name, machine.duration = "one balancer's machine fails", seconds(reconnectSeconds)
+	machine.name = "one balancer's machine fails"
+	machine.duration = seconds(reconnectSeconds)
 	machine.placements += connectionsPerBalancer / (regionBalancers - 1) / reconnectSeconds
 
 	rack := day
-	rack.name, rack.duration = "a rack or switch goes", seconds(reconnectSeconds)
+	rack.name = "a rack or switch goes"
+	rack.duration = seconds(reconnectSeconds)
 	rack.connections += rackShare
 	rack.placements += rackShare / reconnectSeconds
 	rack.membershipChanges += rackBalancers / reconnectSeconds
 	rack.members -= rackBalancers
 
 	zone := day
-	zone.name, zone.duration = "a zone goes", seconds(reconnectSeconds)
+	zone.name = "a zone goes"
+	zone.duration = seconds(reconnectSeconds)
 	zone.connections += zoneShare
 	zone.placements += zoneShare / reconnectSeconds
 	zone.changes += servers / fleetZones / reconnectSeconds
@@ -52,16 +58,20 @@
 	zone.deliveries *= zone.connections / connectionsPerBalancer
 
 	partitioned := day
-	partitioned.name, partitioned.duration = "regions apart", seconds(partitionSeconds)
-	partitioned.changes, partitioned.members = 0, regionBalancers
+	partitioned.name = "regions apart"
+	partitioned.duration = seconds(partitionSeconds)
+	partitioned.changes = 0
+	partitioned.members = regionBalancers
 	partitioned.membershipChanges /= fleetRegions
 
 	halfControl := day
-	halfControl.name, halfControl.duration = "half of the control machines lost", "until they are back"
+	halfControl.name = "half of the control machines lost"
+	halfControl.duration = "until they are back"
 	halfControl.controlMachines /= 2
 
 	restarted := day
-	restarted.name, restarted.duration = "it starts with nothing", seconds(startupSeconds)
+	restarted.name = "it starts with nothing"
+	restarted.duration = seconds(startupSeconds)
 	restarted.placements = connectionsPerBalancer / startupSeconds
 	restarted.fullLists = 1 / startupSeconds
 	restarted.membershipChanges += fleetBalancers / startupSeconds
--- a/internal/testbed/scale/real_test.go
+++ b/internal/testbed/scale/real_test.go
@@ -199,10 +199,10 @@
 // A simulated figure is compared with a real one within its own range; beyond it a reason must be known.
 func TestComparisonTolerance(t *testing.T) {
 	for _, x := range []struct {
-		real   float64
-		hollow []float64
-		less   string
-		held   bool
+		real      float64
+		simulated []float64
+		less      string
+		held      bool
 	}{
 		{1, []float64{0.9, 1, 1.1}, "", true},
 		{1.3, []float64{0.9, 1, 1.1}, "", true},
@@ -211,9 +211,9 @@
 		{1.4, []float64{0.9, 1, 1.1}, "it sleeps", true},
 		{0.7, []float64{0.9, 1, 1.1}, "it sleeps", false},
 	} {
-		c := comparison{name: "rest", unit: "cores", whyBelow: x.less}.check(60, x.real, x.hollow)
+		c := comparison{name: "rest", unit: "cores", whyBelow: x.less}.check(60, x.real, x.simulated)
 		if c.Held != x.held {
-			t.Errorf("real %v, hollow %v, reason %q: held %v, %s", x.real, x.hollow, x.less, c.Held, c.Detail)
+			t.Errorf("real %v, simulated %v, reason %q: held %v, %s", x.real, x.simulated, x.less, c.Held, c.Detail)
 		}
 	}
 }
--- a/internal/testbed/scale/run_test.go
+++ b/internal/testbed/scale/run_test.go
@@ -34,7 +34,7 @@
 		{"processes", Bounds{Memory: 12 << 30, Processes: 0}, "1 processes, and the bound is 0"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			report, err := Run(context.Background(), testExperiment(t, blockUntilCancelled), c.bounds, noProgress)
+			report, err := Run(t.Context(), testExperiment(t, blockUntilCancelled), c.bounds, noProgress)
 			var typed *Error
 			if report != nil || !errors.As(err, &typed) || !strings.Contains(err.Error(), c.want) || typed.Advice() == "" {
 				t.Errorf("report %v, error %v, want an Error with %q", report, err, c.want)
@@ -49,13 +49,13 @@
 		<-ctx.Done()
 		return oneSeries(1), nil, nil
 	}
-	if report, err := Run(context.Background(), testExperiment(t, passed), Bounds{Memory: 1, Processes: 1}, noProgress); report != nil || err == nil {
+	if report, err := Run(t.Context(), testExperiment(t, passed), Bounds{Memory: 1, Processes: 1}, noProgress); report != nil || err == nil {
 		t.Errorf("report %v, error %v", report, err)
 	}
 }
 
 func TestCancelledRunGivesNoReport(t *testing.T) {
-	ctx, stop := context.WithCancel(context.Background())
+	ctx, stop := context.WithCancel(t.Context())
 	stops := func(ctx context.Context, s Settings, p Progress) ([]Series, []Check, error) {
 		stop()
 		return blockUntilCancelled(ctx, s, p)
@@ -90,7 +90,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			gives := func(context.Context, Settings, Progress) ([]Series, []Check, error) { return series, nil, nil }
-			report, err := Run(context.Background(), testExperiment(t, gives), OperatorsBounds, noProgress)
+			report, err := Run(t.Context(), testExperiment(t, gives), OperatorsBounds, noProgress)
 			var typed *Error
 			if report != nil || !errors.As(err, &typed) {
 				t.Errorf("report %v, error %v", report, err)
@@ -103,7 +103,7 @@
 	gives := func(context.Context, Settings, Progress) ([]Series, []Check, error) { return oneSeries(1, 2), nil, nil }
 	e := testExperiment(t, gives)
 	e.File = "/somewhere/of/this/machine/x.toml"
-	report, err := Run(context.Background(), e, OperatorsBounds, noProgress)
+	report, err := Run(t.Context(), e, OperatorsBounds, noProgress)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/testbed/scale/series.go
+++ b/internal/testbed/scale/series.go
@@ -32,22 +32,31 @@
 	return held
 }
 
-// seriesFactory returns a function that makes the series of a sweep. A name states what the sizes count, and the
-// number of servers where they count something else, so that several files can use one sweep.
-func seriesFactory(s Settings, sweep, role string) func(name, quantity, unit string, origin Origin, counted bool) *Series {
+// seriesKind describes a series of a sweep.
+type seriesKind struct {
+	name     string // without the sweep's
+	quantity string
+	unit     string
+	origin   Origin
+	counted  bool
+}
+
+// seriesFactory returns a function that makes the series of a sweep. A name states what the sizes count, and the number
+// of servers where they count something else, so that several files can use one sweep.
+func seriesFactory(s Settings, sweep, role string) func(kind seriesKind) *Series {
 	suffix := "by-" + s.Against
 	if s.Against != byServers && s.Servers > 0 {
 		suffix += fmt.Sprintf("-at-%d-servers", s.Servers)
 	}
-	return func(name, quantity, unit string, origin Origin, counted bool) *Series {
+	return func(kind seriesKind) *Series {
 		return &Series{
-			Name:     sweep + "." + name + "." + suffix,
+			Name:     sweep + "." + kind.name + "." + suffix,
 			Role:     role,
-			Quantity: quantity,
-			Unit:     unit,
+			Quantity: kind.quantity,
+			Unit:     kind.unit,
 			Against:  s.Against,
-			Origin:   origin,
-			Counted:  counted,
+			Origin:   kind.origin,
+			Counted:  kind.counted,
 			Held:     s.held(),
 		}
 	}
--- a/internal/testbed/scale/sweep_balancers.go
+++ b/internal/testbed/scale/sweep_balancers.go
@@ -18,9 +18,9 @@
 
 // balancersSweep runs many small simulated balancers with the same servers.
 func balancersSweep(ctx context.Context, s Settings, progress Progress) ([]Series, []Check, error) {
-	form := seriesFactory(s, "balancers", roleControl)
-	memory := form("memory", "live memory of one hollow balancer", "bytes", Simulated, true)
-	uneven := form("unevenness", "connections of the fullest server over the mean, all balancers together", "ratio", Simulated, true)
+	newSeries := seriesFactory(s, "balancers", roleControl)
+	memory := newSeries(seriesKind{name: "memory", quantity: "live memory of one hollow balancer", unit: "bytes", origin: Simulated, counted: true})
+	uneven := newSeries(seriesKind{name: "unevenness", quantity: "connections of the fullest server over the mean, all balancers together", unit: "ratio", origin: Simulated, counted: true})
 	rejected := 0
 	for i, size := range s.Sizes {
 		one := s.at(size)
--- a/internal/testbed/scale/sweep_faults.go
+++ b/internal/testbed/scale/sweep_faults.go
@@ -62,7 +62,8 @@
 	if err := ctx.Err(); err != nil {
 		return o, err
 	}
-	o.figures, o.unserved = f.figures, f.unservedClients()
+	o.figures = f.figures
+	o.unserved = f.unservedClients()
 	for _, v := range f.violations() {
 		o.violations = append(o.violations, v.String())
 	}
@@ -87,16 +88,16 @@
 type faultSeries []*Series
 
 func seriesOfFault(s Settings, name string) faultSeries {
-	form := seriesFactory(s, "faults."+name, roleControl)
+	newSeries := seriesFactory(s, "faults."+name, roleControl)
 	return faultSeries{
-		form("cut", "clients cut off", "clients", Simulated, true),
-		form("moved", "connections asked to move", "connections", Simulated, true),
-		form("turned-away", "flows rejected or aborted", "flows", Simulated, true),
-		form("back-after", "from the fault until 99 in 100 of the clients that were cut stood again", "s", Simulated, true),
-		form("slowest-setup", "the longest set-up of all that came to stand", "s", Simulated, true),
-		form("busiest", "connects that the busiest balancer sent in one second", "connects", Simulated, true),
-		form("unserved", "clients without a connection at the end", "clients", Simulated, true),
-		form("processor-time", "processor time of the whole run of 60 s, model and referee included", "s", Simulated, false),
+		newSeries(seriesKind{name: "cut", quantity: "clients cut off", unit: "clients", origin: Simulated, counted: true}),
+		newSeries(seriesKind{name: "moved", quantity: "connections asked to move", unit: "connections", origin: Simulated, counted: true}),
+		newSeries(seriesKind{name: "turned-away", quantity: "flows rejected or aborted", unit: "flows", origin: Simulated, counted: true}),
+		newSeries(seriesKind{name: "back-after", quantity: "from the fault until 99 in 100 of the clients that were cut stood again", unit: "s", origin: Simulated, counted: true}),
+		newSeries(seriesKind{name: "slowest-setup", quantity: "the longest set-up of all that came to stand", unit: "s", origin: Simulated, counted: true}),
+		newSeries(seriesKind{name: "busiest", quantity: "connects that the busiest balancer sent in one second", unit: "connects", origin: Simulated, counted: true}),
+		newSeries(seriesKind{name: "unserved", quantity: "clients without a connection at the end", unit: "clients", origin: Simulated, counted: true}),
+		newSeries(seriesKind{name: "processor-time", quantity: "processor time of the whole run of 60 s, model and referee included", unit: "s", origin: Simulated}),
 	}
 }
 
--- a/internal/testbed/scale/sweep_groups.go
+++ b/internal/testbed/scale/sweep_groups.go
@@ -20,12 +20,12 @@
 
 // groupsSweep places connections of distinct groups at one balancer.
 func groupsSweep(ctx context.Context, s Settings, progress Progress) ([]Series, []Check, error) {
-	form := seriesFactory(s, "groups", roleControl)
-	memory := form("memory", "live memory of the decisions that hold the list and all connections", "bytes", Measured, true)
-	processor := form("processor-time", "processor time "+quantityOfPlacement, unitMicroseconds, Measured, false)
-	spread := form("servers-a-group", "servers that a group is spread over, on average", "servers", Simulated, true)
-	widest := form("servers-of-the-widest", "servers that the most widely spread group is on", "servers", Simulated, true)
-	uneven := form("unevenness", "connections of the fullest server over the mean", "ratio", Simulated, true)
+	newSeries := seriesFactory(s, "groups", roleControl)
+	memory := newSeries(seriesKind{name: "memory", quantity: "live memory of the decisions that hold the list and all connections", unit: "bytes", origin: Measured, counted: true})
+	processor := newSeries(seriesKind{name: "processor-time", quantity: "processor time " + quantityOfPlacement, unit: unitMicroseconds, origin: Measured})
+	spread := newSeries(seriesKind{name: "servers-a-group", quantity: "servers that a group is spread over, on average", unit: "servers", origin: Simulated, counted: true})
+	widest := newSeries(seriesKind{name: "servers-of-the-widest", quantity: "servers that the most widely spread group is on", unit: "servers", origin: Simulated, counted: true})
+	uneven := newSeries(seriesKind{name: "unevenness", quantity: "connections of the fullest server over the mean", unit: "ratio", origin: Simulated, counted: true})
 	rejected := 0
 	for i, size := range s.Sizes {
 		one := s.at(size)
--- a/internal/testbed/scale/sweep_list.go
+++ b/internal/testbed/scale/sweep_list.go
@@ -23,14 +23,14 @@
 
 // listSweep measures the server list: applying a full list, applying one change, and holding it.
 func listSweep(ctx context.Context, s Settings, progress Progress) ([]Series, []Check, error) {
-	form := seriesFactory(s, "list", roleControl)
-	fullListTime := form("whole-time", "processor time of one whole list taken by the decisions", unitMicroseconds, Measured, false)
-	change := form("change-time", "processor time of one change taken by the decisions", unitMicroseconds, Measured, false)
-	objects := form("change-allocations", "allocations of one change taken by the decisions", unitAllocations, Measured, true)
-	memory := form("memory", "live memory of the decisions that hold a list", "bytes", Measured, true)
-	parsed := form("parse-time", "processor time of one whole list from its text on: discovery, routing and decisions", unitMicroseconds, Measured, false)
-	garbage := form("parse-bytes", "bytes allocated to take one whole list from its text on", "bytes", Measured, true)
-	routed := form("routed-memory", "live memory of routing and decisions that hold a list", "bytes", Measured, true)
+	newSeries := seriesFactory(s, "list", roleControl)
+	fullListTime := newSeries(seriesKind{name: "whole-time", quantity: "processor time of one whole list taken by the decisions", unit: unitMicroseconds, origin: Measured})
+	change := newSeries(seriesKind{name: "change-time", quantity: "processor time of one change taken by the decisions", unit: unitMicroseconds, origin: Measured})
+	objects := newSeries(seriesKind{name: "change-allocations", quantity: "allocations of one change taken by the decisions", unit: unitAllocations, origin: Measured, counted: true})
+	memory := newSeries(seriesKind{name: "memory", quantity: "live memory of the decisions that hold a list", unit: "bytes", origin: Measured, counted: true})
+	parsed := newSeries(seriesKind{name: "parse-time", quantity: "processor time of one whole list from its text on: discovery, routing and decisions", unit: unitMicroseconds, origin: Measured})
+	garbage := newSeries(seriesKind{name: "parse-bytes", quantity: "bytes allocated to take one whole list from its text on", unit: "bytes", origin: Measured, counted: true})
+	routed := newSeries(seriesKind{name: "routed-memory", quantity: "live memory of routing and decisions that hold a list", unit: "bytes", origin: Measured, counted: true})
 	refused := ""
 	for i, size := range s.Sizes {
 		if err := ctx.Err(); err != nil {
--- a/internal/testbed/scale/sweep_placement.go
+++ b/internal/testbed/scale/sweep_placement.go
@@ -28,10 +28,10 @@
 
 // placementSweep measures one flow that is placed, established and ended at a balancer with settled connections.
 func placementSweep(ctx context.Context, s Settings, progress Progress) ([]Series, []Check, error) {
-	form := seriesFactory(s, "placement", roleControl)
-	processor := form("processor-time", "processor time "+quantityOfPlacement, unitMicroseconds, Measured, false)
-	objects := form("allocations", "allocations "+quantityOfPlacement, unitAllocations, Measured, true)
-	looked := form("servers-looked-at", "servers looked at for one flow, with another decider asked", unitLooks, Measured, true)
+	newSeries := seriesFactory(s, "placement", roleControl)
+	processor := newSeries(seriesKind{name: "processor-time", quantity: "processor time " + quantityOfPlacement, unit: unitMicroseconds, origin: Measured})
+	objects := newSeries(seriesKind{name: "allocations", quantity: "allocations " + quantityOfPlacement, unit: unitAllocations, origin: Measured, counted: true})
+	looked := newSeries(seriesKind{name: "servers-looked-at", quantity: "servers looked at for one flow, with another decider asked", unit: unitLooks, origin: Measured, counted: true})
 	rejected := 0
 	for i, size := range s.Sizes {
 		if err := ctx.Err(); err != nil {
--- a/internal/testbed/scale/sweep_rechecks.go
+++ b/internal/testbed/scale/sweep_rechecks.go
@@ -29,12 +29,11 @@
 // rechecksSweep measures a balancer's ticks, with settled connections, and with connections of all groups on random
 // servers, many of which could be placed better.
 func rechecksSweep(ctx context.Context, s Settings, progress Progress) ([]Series, []Check, error) {
-	form := seriesFactory(s, "rechecks", roleControl)
-	share := form("core-share", "share of a core that ticks take at rest", "cores", Measured, false)
-	objects := form("allocations", "allocations of one tick at rest", unitAllocations, Measured, true)
-	looked := form("servers-looked-at", "servers looked at in one tick at rest, with another decider asked", unitLooks, Measured, true)
-	uneven := form("core-share-uneven", "share of a core that ticks take where connections stand anywhere, those asked to move placed anew",
-		"cores", Measured, false)
+	newSeries := seriesFactory(s, "rechecks", roleControl)
+	share := newSeries(seriesKind{name: "core-share", quantity: "share of a core that ticks take at rest", unit: "cores", origin: Measured})
+	objects := newSeries(seriesKind{name: "allocations", quantity: "allocations of one tick at rest", unit: unitAllocations, origin: Measured, counted: true})
+	looked := newSeries(seriesKind{name: "servers-looked-at", quantity: "servers looked at in one tick at rest, with another decider asked", unit: unitLooks, origin: Measured, counted: true})
+	uneven := newSeries(seriesKind{name: "core-share-uneven", quantity: "share of a core that ticks take where connections stand anywhere, those asked to move placed anew", unit: "cores", origin: Measured})
 	moved := 0
 	for i, size := range s.Sizes {
 		one := s.at(size)
--- a/internal/testbed/scale/sweep_topic.go
+++ b/internal/testbed/scale/sweep_topic.go
@@ -23,10 +23,10 @@
 // topicSweep gives each balancer settled connections of many groups and then the listeners of one group. Servers
 // report no load, so that balancers don't influence each other and can be simulated one after the other.
 func topicSweep(ctx context.Context, s Settings, progress Progress) ([]Series, []Check, error) {
-	form := seriesFactory(s, "topic", "server")
-	uneven := form("unevenness", "connections of the fullest server over the mean, with the topic", "ratio", Simulated, true)
-	bearing := form("servers", "servers that hold some of the topic", "servers", Simulated, true)
-	fullest := form("share-of-the-fullest", "share of the topic that its fullest server holds", "share", Simulated, true)
+	newSeries := seriesFactory(s, "topic", "server")
+	uneven := newSeries(seriesKind{name: "unevenness", quantity: "connections of the fullest server over the mean, with the topic", unit: "ratio", origin: Simulated, counted: true})
+	bearing := newSeries(seriesKind{name: "servers", quantity: "servers that hold some of the topic", unit: "servers", origin: Simulated, counted: true})
+	fullest := newSeries(seriesKind{name: "share-of-the-fullest", quantity: "share of the topic that its fullest server holds", unit: "share", origin: Simulated, counted: true})
 	rejected := 0
 	for i, size := range s.Sizes {
 		one := s.at(size)
--- a/internal/testbed/scale/sweep_zone.go
+++ b/internal/testbed/scale/sweep_zone.go
@@ -17,16 +17,15 @@
 // lostZoneSweep loses a zone for good and measures when its clients are established again. Its balancers are
 // configured for the largest fleet, so that as many set-ups are in flight as there.
 func lostZoneSweep(ctx context.Context, s Settings, progress Progress) ([]Series, []Check, error) {
-	form := seriesFactory(s, "lost-zone", roleControl)
-	returning := form("clients", "clients cut off, by each balancer that is left", "clients", Simulated, true)
-	half := form("half-back", "from the loss until half of the clients that were cut stood again", "s", Simulated, true)
-	most := form("most-back", "from the loss until 99 in 100 of them did", "s", Simulated, true)
-	rejections := form("turned-away", "tries that were rejected or aborted, by each client that was cut", "tries", Simulated, true)
-	slowest := form("slowest-setup", "the longest set-up of all that came to stand", "s", Simulated, true)
-	busiest := form("busiest", "connects that the busiest balancer sent in one second", "connects", Simulated, true)
-	processor := form("processor-share", "of a core in the busiest second, by each balancer, with the model round it: at most that",
-		"cores", Simulated, false)
-	unserved := form("unserved", "clients without a connection at the end", "clients", Simulated, true)
+	newSeries := seriesFactory(s, "lost-zone", roleControl)
+	returning := newSeries(seriesKind{name: "clients", quantity: "clients cut off, by each balancer that is left", unit: "clients", origin: Simulated, counted: true})
+	half := newSeries(seriesKind{name: "half-back", quantity: "from the loss until half of the clients that were cut stood again", unit: "s", origin: Simulated, counted: true})
+	most := newSeries(seriesKind{name: "most-back", quantity: "from the loss until 99 in 100 of them did", unit: "s", origin: Simulated, counted: true})
+	rejections := newSeries(seriesKind{name: "turned-away", quantity: "tries that were rejected or aborted, by each client that was cut", unit: "tries", origin: Simulated, counted: true})
+	slowest := newSeries(seriesKind{name: "slowest-setup", quantity: "the longest set-up of all that came to stand", unit: "s", origin: Simulated, counted: true})
+	busiest := newSeries(seriesKind{name: "busiest", quantity: "connects that the busiest balancer sent in one second", unit: "connects", origin: Simulated, counted: true})
+	processor := newSeries(seriesKind{name: "processor-share", quantity: "of a core in the busiest second, by each balancer, with the model round it: at most that", unit: "cores", origin: Simulated})
+	unserved := newSeries(seriesKind{name: "unserved", quantity: "clients without a connection at the end", unit: "clients", origin: Simulated, counted: true})
 	var checks []Check
 	for i, size := range s.Sizes {
 		f, broken, err := simulateZoneLoss(ctx, s.at(size))
--- a/internal/testbed/scale/sweeps_test.go
+++ b/internal/testbed/scale/sweeps_test.go
@@ -66,7 +66,7 @@
 func TestGrowthStaysWithinItsBound(t *testing.T) {
 	for _, short := range shortSweeps {
 		short.settings.Seed = 1
-		series, checks, err := sweeps[short.settings.Sweep](context.Background(), short.settings, noProgress)
+		series, checks, err := sweeps[short.settings.Sweep](t.Context(), short.settings, noProgress)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -116,7 +116,7 @@
 		{Sweep: "lost-zone", Against: byConnections, Sizes: []int{20, 60}, Balancers: 5, Servers: 150, Groups: 50, Zones: 5, Seed: 3},
 	} {
 		run := func() (counted []Series) {
-			series, _, err := sweeps[s.Sweep](context.Background(), s, noProgress)
+			series, _, err := sweeps[s.Sweep](t.Context(), s, noProgress)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -134,7 +134,7 @@
 }
 
 func TestDecisionSweepsStopWithTheirContext(t *testing.T) {
-	ctx, stop := context.WithCancel(context.Background())
+	ctx, stop := context.WithCancel(t.Context())
 	stop()
 	for _, short := range shortSweeps {
 		if _, _, err := sweeps[short.settings.Sweep](ctx, short.settings, noProgress); err == nil {
