--- a/internal/testbed/scale/control_members.go
+++ b/internal/testbed/scale/control_members.go
@@ -127,10 +127,22 @@
 	known := engine.list.NumMembers()
 	b.checks = append(b.checks, Check{Name: fmt.Sprintf("the engine knows %d members after one exchange", size), Held: known == size, Detail: fmt.Sprintf("%d are known", known)})
 	used := measure(measurementRounds, 1, func() { _, _ = engine.exchange(message) })
-	b.add(seriesKind{name: "engine-memory", quantity: "held by the engine once it has joined, with what it has to pass on", unit: unitBytes, origin: Measured}, size, float64(held))
-	b.add(seriesKind{name: "exchange-bytes", quantity: "of one exchange, one way, without records", unit: unitBytes, origin: Measured, counted: true}, size, float64(len(answer)))
-	b.add(seriesKind{name: "exchange-processor", quantity: "processor time of the engine for exchanges, each way", unit: unitCorePart, origin: Measured}, size, 2*used.processor.Seconds()/exchangeInterval(size).Seconds())
-	b.add(seriesKind{name: "exchange-allocations", quantity: "allocations of the engine for one exchange", unit: "allocations", origin: Measured, counted: true}, size, used.allocations)
+	b.add(seriesKind{
+		name: "engine-memory", unit: unitBytes, origin: Measured,
+		quantity: "held by the engine once it has joined, with what it has to pass on",
+	}, size, float64(held))
+	b.add(seriesKind{
+		name: "exchange-bytes", unit: unitBytes, origin: Measured, counted: true,
+		quantity: "of one exchange, one way, without records",
+	}, size, float64(len(answer)))
+	b.add(seriesKind{
+		name: "exchange-processor", unit: unitCorePart, origin: Measured,
+		quantity: "processor time of the engine for exchanges, each way",
+	}, size, 2*used.processor.Seconds()/exchangeInterval(size).Seconds())
+	b.add(seriesKind{
+		name: "exchange-allocations", unit: "allocations", origin: Measured, counted: true,
+		quantity: "allocations of the engine for one exchange",
+	}, size, used.allocations)
 	return nil
 }
 
@@ -141,13 +153,22 @@
 	perSecond := 1 / membersFrameInterval.Seconds()
 	written := measure(measurementRounds, 1, func() { view.frame() })
 	read := measure(measurementRounds, 1, func() { readFrame(frame) })
-	b.add(seriesKind{name: "frame-bytes", quantity: "list of members written from the engine to its balancer, through a pipe", unit: unitBytesSecond, origin: Measured, counted: true}, size, perSecond*float64(len(frame)))
-	b.add(seriesKind{name: "frame-processor", quantity: "processor time for the list of members between the engine and its balancer", unit: unitCorePart, origin: Measured}, size, perSecond*(written.processor+read.processor).Seconds())
+	b.add(seriesKind{
+		name: "frame-bytes", unit: unitBytesSecond, origin: Measured, counted: true,
+		quantity: "list of members written from the engine to its balancer, through a pipe",
+	}, size, perSecond*float64(len(frame)))
+	b.add(seriesKind{
+		name: "frame-processor", unit: unitCorePart, origin: Measured,
+		quantity: "processor time for the list of members between the engine and its balancer",
+	}, size, perSecond*(written.processor+read.processor).Seconds())
 	decider := signals.New(signals.Origin(memberName(0)), 1, "", "", latencyObjective, setupObjective, true)
 	leases := lease.New(lease.Holder(memberName(0)), leaseDuration)
 	list := view.sorted()
 	handed := measure(measurementRounds, 1, func() { applyMembership(list, decider, leases) })
-	b.add(seriesKind{name: "view-processor", quantity: "processor time for telling the deciders who is alive", unit: unitCorePart, origin: Measured}, size, handed.processor.Seconds()/publishCheckInterval.Seconds())
+	b.add(seriesKind{
+		name: "view-processor", unit: unitCorePart, origin: Measured,
+		quantity: "processor time for telling the deciders who is alive",
+	}, size, handed.processor.Seconds()/publishCheckInterval.Seconds())
 	return b.measureRecords(size)
 }
 
@@ -159,6 +180,9 @@
 	}
 	const times = 200
 	used := measure(measurementRounds, times, func() { _, err = signals.Decode(text) })
-	b.add(seriesKind{name: "record-processor", quantity: "processor time for reading the records that a member hears, of 48 sights", unit: unitCorePart, origin: Measured}, size, b.recordsReceivedPerSecond*used.processor.Seconds())
+	b.add(seriesKind{
+		name: "record-processor", unit: unitCorePart, origin: Measured,
+		quantity: "processor time for reading the records that a member hears, of 48 sights",
+	}, size, b.recordsReceivedPerSecond*used.processor.Seconds())
 	return err
 }
--- a/internal/testbed/scale/control_real.go
+++ b/internal/testbed/scale/control_real.go
@@ -297,9 +297,18 @@
 	message := len(exchangeMessage(size)) + recordsBytes(size, recordBytes)
 	b.compareWithModel("stream-bytes-out", "sent by a member in exchanges, without headers", unitBytesSecond, size,
 		(to.streamBytes-from.streamBytes)/per, 2*float64(message)/exchangeInterval(size).Seconds())
-	b.add(seriesKind{name: "taken-as-gone", quantity: "times that a real engine takes a living member as gone: the machine was too busy to answer in time", unit: unitPerSecond, origin: Measured}, size, (to.gone-from.gone)/per)
-	b.add(seriesKind{name: "engine-processor", quantity: "processor time of a real engine, this process shared by all", unit: unitCorePart, origin: Measured}, size, (to.processor-from.processor).Seconds()/per)
-	b.add(seriesKind{name: "engine-memory", quantity: "held by a real engine and its stand-in", unit: unitBytes, origin: Measured}, size, float64(liveMemory()-before)/float64(size))
+	b.add(seriesKind{
+		name: "taken-as-gone", unit: unitPerSecond, origin: Measured,
+		quantity: "times that a real engine takes a living member as gone: the machine was too busy to answer in time",
+	}, size, (to.gone-from.gone)/per)
+	b.add(seriesKind{
+		name: "engine-processor", unit: unitCorePart, origin: Measured,
+		quantity: "processor time of a real engine, this process shared by all",
+	}, size, (to.processor-from.processor).Seconds()/per)
+	b.add(seriesKind{
+		name: "engine-memory", unit: unitBytes, origin: Measured,
+		quantity: "held by a real engine and its stand-in",
+	}, size, float64(liveMemory()-before)/float64(size))
 	return nil
 }
 
@@ -313,7 +322,10 @@
 // compareWithModel adds a quantity of the real engines and of the model, and checks that they agree.
 func (b *controlMeasurements) compareWithModel(name, quantity, unit string, size int, measured, model float64) {
 	b.add(seriesKind{name: name, quantity: quantity + ", real engines", unit: unit, origin: Measured}, size, measured)
-	b.add(seriesKind{name: name + "-of-model", quantity: quantity + ", the model", unit: unit, origin: Simulated, counted: true}, size, model)
+	b.add(seriesKind{
+		name: name + "-of-model", unit: unit, origin: Simulated, counted: true,
+		quantity: quantity + ", the model",
+	}, size, model)
 	off := model/measured - 1
 	b.checks = append(b.checks, Check{Name: fmt.Sprintf("%s at %d members: the model is within 20 %%", name, size),
 		Held: off < modelTolerance && off > -modelTolerance, Detail: fmt.Sprintf("real %.0f, model %.0f, %+.0f %%", measured, model, 100*off)})
--- a/internal/testbed/scale/control_sweep_catchup.go
+++ b/internal/testbed/scale/control_sweep_catchup.go
@@ -68,7 +68,10 @@
 		bytes += len(text)
 	}
 	point := func(name, quantity, unit string, counted bool, value float64) {
-		b.add(seriesKind{name: form.name + name, quantity: quantity + form.description, unit: unit, origin: Measured, counted: counted}, size, value)
+		b.add(seriesKind{
+			name: form.name + name, unit: unit, origin: Measured, counted: counted,
+			quantity: quantity + form.description,
+		}, size, value)
 	}
 	point("-bytes", "of the changes that were missed, ", unitBytes, true, float64(bytes))
 	used, err := b.applyMissed(ctx, objects)
@@ -83,7 +86,10 @@
 // simulateCatchUp simulates the control machines that publish the changes in a form.
 func (b *controlMeasurements) simulateCatchUp(ctx context.Context, size int, form catchUpForm) error {
 	point := func(name, quantity string, value time.Duration) {
-		b.add(seriesKind{name: form.name + name, quantity: quantity + form.description, unit: unitTime, origin: Simulated, counted: true}, size, value.Seconds())
+		b.add(seriesKind{
+			name: form.name + name, unit: unitTime, origin: Simulated, counted: true,
+			quantity: quantity + form.description,
+		}, size, value.Seconds())
 	}
 	plan := pushPlanOf(b.settings, requiredChangesPerDay, false)
 	plan.missed, plan.missedMode, plan.duration = size, form.mode, minPushDuration
--- a/internal/testbed/scale/control_sweep_changes.go
+++ b/internal/testbed/scale/control_sweep_changes.go
@@ -59,7 +59,10 @@
 		return err
 	}
 	point := func(name, quantity, unit string, value float64) {
-		b.add(seriesKind{name: kind + "-" + name, quantity: quantity + "; " + what, unit: unit, origin: Simulated, counted: true}, size, value)
+		b.add(seriesKind{
+			name: kind + "-" + name, unit: unit, origin: Simulated, counted: true,
+			quantity: quantity + "; " + what,
+		}, size, value)
 	}
 	seconds := result.duration.Seconds()
 	point("bytes-out", "sent by one control machine", unitBytesSecond, result.bytes/seconds)
--- a/internal/testbed/scale/control_sweep_leases.go
+++ b/internal/testbed/scale/control_sweep_leases.go
@@ -68,7 +68,10 @@
 	for i := range servers { // without other members, which is fast
 		own.Holds(lease.Task(serverNumber(i)), 0)
 	}
-	b.add(seriesKind{name: "memory", quantity: "held for the duties", unit: unitBytes, origin: Measured}, size, float64(liveMemory()-before))
+	b.add(seriesKind{
+		name: "memory", unit: unitBytes, origin: Measured,
+		quantity: "held for the duties",
+	}, size, float64(liveMemory()-before))
 	gone := 0
 	used := measure(leaseRounds, 1, func() {
 		gone++
@@ -78,10 +81,19 @@
 		}
 	})
 	all := used.processor.Seconds() * float64(servers) / float64(sample)
-	b.add(seriesKind{name: "scores", quantity: "scores reckoned once the members changed", unit: "scores", origin: Calculated, counted: true}, size, float64(members)*float64(servers))
-	b.add(seriesKind{name: "reckoning-processor", quantity: "processor time of seeing whose all duties are, once the members changed", unit: unitMicroseconds, origin: Measured}, size, all*1e6)
+	b.add(seriesKind{
+		name: "scores", unit: "scores", origin: Calculated, counted: true,
+		quantity: "scores reckoned once the members changed",
+	}, size, float64(members)*float64(servers))
+	b.add(seriesKind{
+		name: "reckoning-processor", unit: unitMicroseconds, origin: Measured,
+		quantity: "processor time of seeing whose all duties are, once the members changed",
+	}, size, all*1e6)
 	often := min(float64(membershipChangesPerDay)/secondsPerDay, 1/longestReassignment.Seconds())
-	b.add(seriesKind{name: "reckoning-core", quantity: "the same, 2,300 members replaced a day", unit: unitCorePart, origin: Calculated}, size, often*all)
+	b.add(seriesKind{
+		name: "reckoning-core", unit: unitCorePart, origin: Calculated,
+		quantity: "the same, 2,300 members replaced a day",
+	}, size, often*all)
 }
 
 // measureEvenness counts the tasks of the busiest member.
@@ -97,8 +109,14 @@
 		of[held.Preferred]++
 		most = max(most, of[held.Preferred])
 	}
-	b.add(seriesKind{name: "most-duties", quantity: "servers that the busiest member probes for all", unit: "servers", origin: Simulated, counted: true}, size, float64(most))
-	b.add(seriesKind{name: "mean-duties", quantity: "servers that a member probes for all, on average", unit: "servers", origin: Simulated, counted: true}, size, float64(servers)/float64(members))
+	b.add(seriesKind{
+		name: "most-duties", unit: "servers", origin: Simulated, counted: true,
+		quantity: "servers that the busiest member probes for all",
+	}, size, float64(most))
+	b.add(seriesKind{
+		name: "mean-duties", unit: "servers", origin: Simulated, counted: true,
+		quantity: "servers that a member probes for all, on average",
+	}, size, float64(servers)/float64(members))
 }
 
 // leaseMember is one of the members that share a few tasks.
@@ -127,7 +145,10 @@
 			looks += sampledTasks
 		}
 	}
-	b.add(seriesKind{name: "holders", quantity: "members that probe one server for all at a time", unit: "members", origin: Simulated, counted: true}, size, float64(holding)/float64(looks))
+	b.add(seriesKind{
+		name: "holders", unit: "members", origin: Simulated, counted: true,
+		quantity: "members that probe one server for all at a time",
+	}, size, float64(holding)/float64(looks))
 }
 
 func newLeaseFleet(chance *rand.Rand, members int, interval time.Duration) (fleet []*leaseMember) {
@@ -193,8 +214,17 @@
 	if err != nil {
 		return err
 	}
-	b.add(seriesKind{name: "record-bytes", quantity: "of a record with 48 sights and the loads that were probed for all", unit: unitBytes, origin: Measured, counted: true}, size, float64(len(text)))
-	b.add(seriesKind{name: "loads-told", quantity: "of the loads that a member probed for all, told by its record", unit: unitPart, origin: Measured, counted: true}, size, float64(len(decoded.LoadReports))/float64(mean))
-	b.add(seriesKind{name: "load-age", quantity: "of a load when it is told again, at the least", unit: unitTime, origin: Calculated, counted: true}, size, recordIntervalOf(members).Seconds())
+	b.add(seriesKind{
+		name: "record-bytes", unit: unitBytes, origin: Measured, counted: true,
+		quantity: "of a record with 48 sights and the loads that were probed for all",
+	}, size, float64(len(text)))
+	b.add(seriesKind{
+		name: "loads-told", unit: unitPart, origin: Measured, counted: true,
+		quantity: "of the loads that a member probed for all, told by its record",
+	}, size, float64(len(decoded.LoadReports))/float64(mean))
+	b.add(seriesKind{
+		name: "load-age", unit: unitTime, origin: Calculated, counted: true,
+		quantity: "of a load when it is told again, at the least",
+	}, size, recordIntervalOf(members).Seconds())
 	return nil
 }
--- a/internal/testbed/scale/control_sweep_lists.go
+++ b/internal/testbed/scale/control_sweep_lists.go
@@ -29,11 +29,26 @@
 func (b *controlMeasurements) measureList(ctx context.Context, size int) error {
 	sizes := measureListSizes(size)
 	rate := b.settings.Rate
-	b.add(seriesKind{name: "whole-bytes", quantity: "of a whole list", unit: unitBytes, origin: Measured, counted: true}, size, float64(sizes.full))
-	b.add(seriesKind{name: "change-bytes", quantity: "of an object with one change", unit: unitBytes, origin: Measured, counted: true}, size, float64(sizes.changes(1)))
-	b.add(seriesKind{name: "whole-bytes-in", quantity: "read by a balancer, were each change told as a whole list", unit: unitBytesSecond, origin: Calculated, counted: true}, size, rate*float64(sizes.full))
-	b.add(seriesKind{name: "change-bytes-in", quantity: "read by a balancer, each change told as one", unit: unitBytesSecond, origin: Calculated, counted: true}, size, rate*float64(sizes.changes(1)))
-	b.add(seriesKind{name: "whole-at-budget", quantity: "time in which a balancer reads a whole list, of 10 KB a second", unit: unitTime, origin: Calculated, counted: true}, size, float64(sizes.full)/bandwidthBudget)
+	b.add(seriesKind{
+		name: "whole-bytes", unit: unitBytes, origin: Measured, counted: true,
+		quantity: "of a whole list",
+	}, size, float64(sizes.full))
+	b.add(seriesKind{
+		name: "change-bytes", unit: unitBytes, origin: Measured, counted: true,
+		quantity: "of an object with one change",
+	}, size, float64(sizes.changes(1)))
+	b.add(seriesKind{
+		name: "whole-bytes-in", unit: unitBytesSecond, origin: Calculated, counted: true,
+		quantity: "read by a balancer, were each change told as a whole list",
+	}, size, rate*float64(sizes.full))
+	b.add(seriesKind{
+		name: "change-bytes-in", unit: unitBytesSecond, origin: Calculated, counted: true,
+		quantity: "read by a balancer, each change told as one",
+	}, size, rate*float64(sizes.changes(1)))
+	b.add(seriesKind{
+		name: "whole-at-budget", unit: unitTime, origin: Calculated, counted: true,
+		quantity: "time in which a balancer reads a whole list, of 10 KB a second",
+	}, size, float64(sizes.full)/bandwidthBudget)
 	subscriber, err := newListSubscriber(ctx, b.settings.Seed)
 	if err != nil {
 		return err
@@ -49,7 +64,10 @@
 	if applyErr != nil {
 		return applyErr
 	}
-	b.add(seriesKind{name: "memory", quantity: "held by a balancer for the list, no connections", unit: unitBytes, origin: Measured}, size, float64(liveMemory()-before))
+	b.add(seriesKind{
+		name: "memory", unit: unitBytes, origin: Measured,
+		quantity: "held by a balancer for the list, no connections",
+	}, size, float64(liveMemory()-before))
 	return b.measureUpdates(ctx, subscriber, size)
 }
 
@@ -78,11 +96,29 @@
 	fullTime := full.processor - written.processor
 	fullAllocations := full.allocations - written.allocations
 	oneTime := changes.processor / changesPerBatch
-	b.add(seriesKind{name: "whole-processor", quantity: "processor time of taking a whole list", unit: unitMicroseconds, origin: Measured}, size, microseconds(fullTime))
-	b.add(seriesKind{name: "whole-allocations", quantity: "allocations of taking a whole list", unit: unitAllocations, origin: Measured, counted: true}, size, fullAllocations)
-	b.add(seriesKind{name: "change-processor", quantity: "processor time of taking one change", unit: unitMicroseconds, origin: Measured}, size, microseconds(oneTime))
-	b.add(seriesKind{name: "change-allocations", quantity: "allocations of taking one change", unit: unitAllocations, origin: Measured, counted: true}, size, changes.allocations/changesPerBatch)
-	b.add(seriesKind{name: "whole-core", quantity: "processor time, were each change told as a whole list", unit: unitCorePart, origin: Calculated}, size, b.settings.Rate*fullTime.Seconds())
-	b.add(seriesKind{name: "change-core", quantity: "processor time, each change told as one", unit: unitCorePart, origin: Calculated}, size, b.settings.Rate*oneTime.Seconds())
+	b.add(seriesKind{
+		name: "whole-processor", unit: unitMicroseconds, origin: Measured,
+		quantity: "processor time of taking a whole list",
+	}, size, microseconds(fullTime))
+	b.add(seriesKind{
+		name: "whole-allocations", unit: unitAllocations, origin: Measured, counted: true,
+		quantity: "allocations of taking a whole list",
+	}, size, fullAllocations)
+	b.add(seriesKind{
+		name: "change-processor", unit: unitMicroseconds, origin: Measured,
+		quantity: "processor time of taking one change",
+	}, size, microseconds(oneTime))
+	b.add(seriesKind{
+		name: "change-allocations", unit: unitAllocations, origin: Measured, counted: true,
+		quantity: "allocations of taking one change",
+	}, size, changes.allocations/changesPerBatch)
+	b.add(seriesKind{
+		name: "whole-core", unit: unitCorePart, origin: Calculated,
+		quantity: "processor time, were each change told as a whole list",
+	}, size, b.settings.Rate*fullTime.Seconds())
+	b.add(seriesKind{
+		name: "change-core", unit: unitCorePart, origin: Calculated,
+		quantity: "processor time, each change told as one",
+	}, size, b.settings.Rate*oneTime.Seconds())
 	return nil
 }
--- a/internal/testbed/scale/control_sweep_replaced.go
+++ b/internal/testbed/scale/control_sweep_replaced.go
@@ -22,11 +22,26 @@
 			return nil, nil, err
 		}
 		join := float64(streamBytes(len(exchangeMessage(s.Balancers))+recordsBytes(s.Balancers, recordBytes))) * run.replaced / float64(s.Balancers)
-		measurements.add(seriesKind{name: "bytes-out", quantity: "sent by a member in datagrams", unit: unitBytesSecond, origin: Simulated, counted: true}, size, result.totalBytes())
-		measurements.add(seriesKind{name: "join-bytes-out", quantity: "sent by a member to those that join, in exchanges of all", unit: unitBytesSecond, origin: Simulated, counted: true}, size, join)
-		measurements.add(seriesKind{name: "states-heard", quantity: "news of members gone or alive, heard by a member, repeats too", unit: unitPerSecond, origin: Simulated, counted: true}, size, result.states)
-		measurements.add(seriesKind{name: "reach", quantity: "of the others have a record within 5 s of its telling", unit: unitPart, origin: Simulated, counted: true}, size, result.reachedShare)
-		measurements.add(seriesKind{name: "joiner-bytes-out", quantity: "sent by a member that has just joined, which passes on every member that it heard of", unit: unitBytesSecond, origin: Simulated, counted: true}, size, result.joinerBytes)
+		measurements.add(seriesKind{
+			name: "bytes-out", unit: unitBytesSecond, origin: Simulated, counted: true,
+			quantity: "sent by a member in datagrams",
+		}, size, result.totalBytes())
+		measurements.add(seriesKind{
+			name: "join-bytes-out", unit: unitBytesSecond, origin: Simulated, counted: true,
+			quantity: "sent by a member to those that join, in exchanges of all",
+		}, size, join)
+		measurements.add(seriesKind{
+			name: "states-heard", unit: unitPerSecond, origin: Simulated, counted: true,
+			quantity: "news of members gone or alive, heard by a member, repeats too",
+		}, size, result.states)
+		measurements.add(seriesKind{
+			name: "reach", unit: unitPart, origin: Simulated, counted: true,
+			quantity: "of the others have a record within 5 s of its telling",
+		}, size, result.reachedShare)
+		measurements.add(seriesKind{
+			name: "joiner-bytes-out", unit: unitBytesSecond, origin: Simulated, counted: true,
+			quantity: "sent by a member that has just joined, which passes on every member that it heard of",
+		}, size, result.joinerBytes)
 		progress(i+1, len(s.Sizes))
 	}
 	return measurements.all(), measurements.checks, nil
@@ -52,8 +67,14 @@
 			return nil, nil, err
 		}
 		exchange := exchangeBytesPerSecond(size, recordsBytes(size, recordBytes))
-		measurements.add(seriesKind{name: "bytes-out", quantity: "sent by a member of a group, were gossip cut down: gossip, probes and exchanges", unit: unitBytesSecond, origin: Simulated, counted: true}, size, result.totalBytes()+exchange)
-		measurements.add(seriesKind{name: "reach", quantity: "of the others in the group have a record within 5 s of its telling", unit: unitPart, origin: Simulated, counted: true}, size, result.reachedShare)
+		measurements.add(seriesKind{
+			name: "bytes-out", unit: unitBytesSecond, origin: Simulated, counted: true,
+			quantity: "sent by a member of a group, were gossip cut down: gossip, probes and exchanges",
+		}, size, result.totalBytes()+exchange)
+		measurements.add(seriesKind{
+			name: "reach", unit: unitPart, origin: Simulated, counted: true,
+			quantity: "of the others in the group have a record within 5 s of its telling",
+		}, size, result.reachedShare)
 		progress(i+1, len(s.Sizes))
 	}
 	return measurements.all(), measurements.checks, nil
--- a/internal/testbed/scale/control_sweep_signals.go
+++ b/internal/testbed/scale/control_sweep_signals.go
@@ -92,20 +92,35 @@
 	if err != nil {
 		return err
 	}
-	b.add(seriesKind{name: "record-bytes", quantity: "of a record as it is told", unit: unitBytes, origin: Measured, counted: true}, size, float64(len(text)))
+	b.add(seriesKind{
+		name: "record-bytes", unit: unitBytes, origin: Measured, counted: true,
+		quantity: "of a record as it is told",
+	}, size, float64(len(text)))
 	before := liveMemory()
 	chance := simulation.RandomSource(b.settings.Seed, "scale signals here", servers)
 	here := newPublisher(chance, members, servers, 0)
-	b.add(seriesKind{name: "own-memory", quantity: "held of what a balancer itself sees, connections on all servers", unit: unitBytes, origin: Measured}, size, float64(liveMemory()-before))
+	b.add(seriesKind{
+		name: "own-memory", unit: unitBytes, origin: Measured,
+		quantity: "held of what a balancer itself sees, connections on all servers",
+	}, size, float64(liveMemory()-before))
 	before = liveMemory()
 	if err := mergeAll(here, records); err != nil {
 		return err
 	}
 	here.ServerCost("", serverNumber(0)) // aggregates all records
-	b.add(seriesKind{name: "heard-memory", quantity: "held of what others tell", unit: unitBytes, origin: Measured}, size, float64(liveMemory()-before))
+	b.add(seriesKind{
+		name: "heard-memory", unit: unitBytes, origin: Measured,
+		quantity: "held of what others tell",
+	}, size, float64(liveMemory()-before))
 	retained, _ := here.Records()
-	b.add(seriesKind{name: "records-kept", quantity: "records of others that are kept", unit: "records", origin: Measured, counted: true}, size, float64(len(retained)))
-	b.add(seriesKind{name: "sights-walked", quantity: "sights walked each time that what all say is brought together", unit: "sights", origin: Calculated, counted: true}, size, float64(len(retained)*len(records[0].Reports)))
+	b.add(seriesKind{
+		name: "records-kept", unit: "records", origin: Measured, counted: true,
+		quantity: "records of others that are kept",
+	}, size, float64(len(retained)))
+	b.add(seriesKind{
+		name: "sights-walked", unit: "sights", origin: Calculated, counted: true,
+		quantity: "sights walked each time that what all say is brought together",
+	}, size, float64(len(retained)*len(records[0].Reports)))
 	b.measureAvoided(size, servers, faulty, records)
 	return b.measureSignalWork(here, text, size, members)
 }
@@ -142,7 +157,10 @@
 			avoided++
 		}
 	}
-	b.add(seriesKind{name: "avoided", quantity: "of the servers in trouble that a balancer without connections there avoids", unit: unitPart, origin: Simulated, counted: true}, size, float64(avoided)/float64(faulty))
+	b.add(seriesKind{
+		name: "avoided", unit: unitPart, origin: Simulated, counted: true,
+		quantity: "of the servers in trouble that a balancer without connections there avoids",
+	}, size, float64(avoided)/float64(faulty))
 }
 
 // measureSignalWork measures receiving a record, aggregating all records, publishing, and encoding the full state.
@@ -168,12 +186,30 @@
 		here.Publish(members)
 	})
 	exchangeCost := measure(signalRounds, 1, func() { fault = encodeFullState(here) })
-	b.add(seriesKind{name: "hear-processor", quantity: "processor time of a record heard", unit: unitMicroseconds, origin: Measured}, size, microseconds(receiveCost.processor))
-	b.add(seriesKind{name: "hear-allocations", quantity: "allocations of a record heard", unit: unitAllocations, origin: Measured, counted: true}, size, receiveCost.allocations)
-	b.add(seriesKind{name: "gather-processor", quantity: "processor time of bringing together what all say", unit: unitMicroseconds, origin: Measured}, size, microseconds(aggregateCost.processor))
-	b.add(seriesKind{name: "gather-core", quantity: "the same as often as it may be, 20 times a second", unit: unitCorePart, origin: Calculated}, size, maxAggregationsPerSecond*aggregateCost.processor.Seconds())
-	b.add(seriesKind{name: "tell-core", quantity: "processor time of seeing what is to be told, 4 times a second", unit: unitCorePart, origin: Measured}, size, publishCost.processor.Seconds()/publishCheckInterval.Seconds())
-	b.add(seriesKind{name: "hand-on-core", quantity: "processor time of writing all for a member that asks, each 2 s", unit: unitCorePart, origin: Measured}, size, exchangeCost.processor.Seconds()/fullStateInterval.Seconds())
+	b.add(seriesKind{
+		name: "hear-processor", unit: unitMicroseconds, origin: Measured,
+		quantity: "processor time of a record heard",
+	}, size, microseconds(receiveCost.processor))
+	b.add(seriesKind{
+		name: "hear-allocations", unit: unitAllocations, origin: Measured, counted: true,
+		quantity: "allocations of a record heard",
+	}, size, receiveCost.allocations)
+	b.add(seriesKind{
+		name: "gather-processor", unit: unitMicroseconds, origin: Measured,
+		quantity: "processor time of bringing together what all say",
+	}, size, microseconds(aggregateCost.processor))
+	b.add(seriesKind{
+		name: "gather-core", unit: unitCorePart, origin: Calculated,
+		quantity: "the same as often as it may be, 20 times a second",
+	}, size, maxAggregationsPerSecond*aggregateCost.processor.Seconds())
+	b.add(seriesKind{
+		name: "tell-core", unit: unitCorePart, origin: Measured,
+		quantity: "processor time of seeing what is to be told, 4 times a second",
+	}, size, publishCost.processor.Seconds()/publishCheckInterval.Seconds())
+	b.add(seriesKind{
+		name: "hand-on-core", unit: unitCorePart, origin: Measured,
+		quantity: "processor time of writing all for a member that asks, each 2 s",
+	}, size, exchangeCost.processor.Seconds()/fullStateInterval.Seconds())
 	return fault
 }
 
--- a/internal/testbed/scale/page_catalog.go
+++ b/internal/testbed/scale/page_catalog.go
@@ -7,88 +7,88 @@
 	"gonum.org/v1/gonum/interp"
 )
 
-// seriesReference names a series that figures are derived from.
-type seriesReference struct {
-	name     string
-	optional bool // without the series its figures are "not measured"; any other series is required
-}
+// seriesName is the name of a series that figures are derived from.
+type seriesName string
+
+// optionalSeries are "not measured" while no report has them; any other series is required.
+var optionalSeries = map[seriesName]bool{startMaxLatency: true}
 
 // The series of simulated balancers and of the gossip model.
-var (
-	placementTime                  = seriesReference{"placement.processor-time.by-servers", false}
-	placementTimeByConnections     = seriesReference{"placement.processor-time.by-connections-at-1000-servers", false}
-	idleRecheckTime                = seriesReference{"rechecks.core-share.by-servers", false}
-	idleRecheckTimeByConnections   = seriesReference{"rechecks.core-share.by-connections-at-1000-servers", false}
-	unevenRecheckTime              = seriesReference{"rechecks.core-share-uneven.by-servers", false}
-	unevenRecheckTimeByConnections = seriesReference{"rechecks.core-share-uneven.by-connections-at-1000-servers", false}
-	lostZoneHalfRecovered          = seriesReference{"lost-zone.half-back.by-connections-at-1000-servers", false}
-	lostZoneMostRecovered          = seriesReference{"lost-zone.most-back.by-connections-at-1000-servers", false}
-	lostZoneRejections             = seriesReference{"lost-zone.turned-away.by-connections-at-1000-servers", false}
-	lostZoneUnserved               = seriesReference{"lost-zone.unserved.by-connections-at-1000-servers", false}
-	lostZoneBusiest                = seriesReference{"lost-zone.busiest.by-connections-at-1000-servers", false}
-	lostZoneClients                = seriesReference{"lost-zone.clients.by-connections-at-1000-servers", false}
-	lostZoneProcessor              = seriesReference{"lost-zone.processor-share.by-connections-at-1000-servers", false}
-	decisionGroupMemory            = seriesReference{"groups.memory.by-groups-at-1000-servers", false}
-	decisionListMemory             = seriesReference{"list.memory.by-servers", false}
-	topicUnevenness                = seriesReference{"topic.unevenness.by-balancers-at-1000-servers", false}
-	topicServers                   = seriesReference{"topic.servers.by-balancers-at-1000-servers", false}
-	topicLargestShare              = seriesReference{"topic.share-of-the-fullest.by-balancers-at-1000-servers", false}
-
-	listMemory                  = seriesReference{"lists.memory", false}
-	listBytes                   = seriesReference{"lists.whole-bytes", false}
-	listTime                    = seriesReference{"lists.whole-processor", false}
-	changeBytes                 = seriesReference{"lists.change-bytes", false}
-	changeTime                  = seriesReference{"lists.change-processor", false}
-	changeP99Latency            = seriesReference{"changes.changes-p99", false}
-	changeMaxLatency            = seriesReference{"changes.changes-last", false}
-	changeMaxLatencyByServers   = seriesReference{"changes.changes-last-by-servers", false}
-	fullListMaxLatencyByServers = seriesReference{"changes.whole-last-by-servers", false}
-	changeTakeoverTime          = seriesReference{"changes.changes-half-lost-served", false}
-	machineUtilization          = seriesReference{"changes.changes-busy", false}
-	machineFullListUtilization  = seriesReference{"changes.whole-busy", false}
-	fullListMaxLatency          = seriesReference{"changes.whole-last", false}
-	changeHalfLostLatency       = seriesReference{"changes.changes-half-lost-last", false}
-	startMaxLatency             = seriesReference{"changes.changes-start-last", true}
-	machineChangeTraffic        = seriesReference{"changes.changes-bytes-out", false}
-	machineFullListTraffic      = seriesReference{"changes.whole-bytes-out", false}
-	catchUpBytes                = seriesReference{"cut.merged-bytes", false}
-	catchUpOneByOneBytes        = seriesReference{"cut.one-by-one-bytes", false}
-	catchUpTime                 = seriesReference{"cut.merged-processor", false}
-	catchUpLatency              = seriesReference{"cut.merged-in-force", false}
-
-	signalTraffic             = seriesReference{"members.gossip-bytes-out-at-48-sights", false}
-	signalRecords             = seriesReference{"members.records-heard-at-48-sights", false}
-	signalReceiveTime         = seriesReference{"signals.hear-processor", false}
-	signalAggregateTime       = seriesReference{"signals.gather-core", false}
-	signalPublishTime         = seriesReference{"signals.tell-core", false}
-	signalExchangeTime        = seriesReference{"signals.hand-on-core", false}
-	signalOwnMemory           = seriesReference{"signals.own-memory", false}
-	signalReceivedMemory      = seriesReference{"signals.heard-memory", false}
-	leaseScoringTime          = seriesReference{"leases.reckoning-core", false}
-	leaseScoringTimeByServers = seriesReference{"leases.reckoning-core-by-servers", false}
-	leaseMembershipTime       = seriesReference{"members.view-processor", false}
-	leaseMemory               = seriesReference{"leases.memory", false}
-	loadAge                   = seriesReference{"leases.load-age", false}
-	signalReachedShare        = seriesReference{"members.reach-at-48-sights", false}
-	zonedTraffic              = seriesReference{"members-zoned.bytes-out", false}
-	zonedReachedShare         = seriesReference{"members-zoned.reach", false}
-	retainedRecords           = seriesReference{"signals.records-kept", false}
-	leaseHolders              = seriesReference{"leases.holders", false}
-	engineMessages            = seriesReference{"members.datagrams-out-at-48-sights", false}
-	probeTraffic              = seriesReference{"members.probe-bytes-out-at-48-sights", false}
-	exchangeTraffic           = seriesReference{"members.exchange-bytes-out-at-48-sights", false}
-	exchangeTime              = seriesReference{"members.exchange-processor", false}
-	frameTime                 = seriesReference{"members.frame-processor", false}
-	engineMemory              = seriesReference{"members.engine-memory", false}
+const (
+	placementTime                  seriesName = "placement.processor-time.by-servers"
+	placementTimeByConnections     seriesName = "placement.processor-time.by-connections-at-1000-servers"
+	idleRecheckTime                seriesName = "rechecks.core-share.by-servers"
+	idleRecheckTimeByConnections   seriesName = "rechecks.core-share.by-connections-at-1000-servers"
+	unevenRecheckTime              seriesName = "rechecks.core-share-uneven.by-servers"
+	unevenRecheckTimeByConnections seriesName = "rechecks.core-share-uneven.by-connections-at-1000-servers"
+	lostZoneHalfRecovered          seriesName = "lost-zone.half-back.by-connections-at-1000-servers"
+	lostZoneMostRecovered          seriesName = "lost-zone.most-back.by-connections-at-1000-servers"
+	lostZoneRejections             seriesName = "lost-zone.turned-away.by-connections-at-1000-servers"
+	lostZoneUnserved               seriesName = "lost-zone.unserved.by-connections-at-1000-servers"
+	lostZoneBusiest                seriesName = "lost-zone.busiest.by-connections-at-1000-servers"
+	lostZoneClients                seriesName = "lost-zone.clients.by-connections-at-1000-servers"
+	lostZoneProcessor              seriesName = "lost-zone.processor-share.by-connections-at-1000-servers"
+	decisionGroupMemory            seriesName = "groups.memory.by-groups-at-1000-servers"
+	decisionListMemory             seriesName = "list.memory.by-servers"
+	topicUnevenness                seriesName = "topic.unevenness.by-balancers-at-1000-servers"
+	topicServers                   seriesName = "topic.servers.by-balancers-at-1000-servers"
+	topicLargestShare              seriesName = "topic.share-of-the-fullest.by-balancers-at-1000-servers"
+
+	listMemory                  seriesName = "lists.memory"
+	listBytes                   seriesName = "lists.whole-bytes"
+	listTime                    seriesName = "lists.whole-processor"
+	changeBytes                 seriesName = "lists.change-bytes"
+	changeTime                  seriesName = "lists.change-processor"
+	changeP99Latency            seriesName = "changes.changes-p99"
+	changeMaxLatency            seriesName = "changes.changes-last"
+	changeMaxLatencyByServers   seriesName = "changes.changes-last-by-servers"
+	fullListMaxLatencyByServers seriesName = "changes.whole-last-by-servers"
+	changeTakeoverTime          seriesName = "changes.changes-half-lost-served"
+	machineUtilization          seriesName = "changes.changes-busy"
+	machineFullListUtilization  seriesName = "changes.whole-busy"
+	fullListMaxLatency          seriesName = "changes.whole-last"
+	changeHalfLostLatency       seriesName = "changes.changes-half-lost-last"
+	startMaxLatency             seriesName = "changes.changes-start-last"
+	machineChangeTraffic        seriesName = "changes.changes-bytes-out"
+	machineFullListTraffic      seriesName = "changes.whole-bytes-out"
+	catchUpBytes                seriesName = "cut.merged-bytes"
+	catchUpOneByOneBytes        seriesName = "cut.one-by-one-bytes"
+	catchUpTime                 seriesName = "cut.merged-processor"
+	catchUpLatency              seriesName = "cut.merged-in-force"
+
+	signalTraffic             seriesName = "members.gossip-bytes-out-at-48-sights"
+	signalRecords             seriesName = "members.records-heard-at-48-sights"
+	signalReceiveTime         seriesName = "signals.hear-processor"
+	signalAggregateTime       seriesName = "signals.gather-core"
+	signalPublishTime         seriesName = "signals.tell-core"
+	signalExchangeTime        seriesName = "signals.hand-on-core"
+	signalOwnMemory           seriesName = "signals.own-memory"
+	signalReceivedMemory      seriesName = "signals.heard-memory"
+	leaseScoringTime          seriesName = "leases.reckoning-core"
+	leaseScoringTimeByServers seriesName = "leases.reckoning-core-by-servers"
+	leaseMembershipTime       seriesName = "members.view-processor"
+	leaseMemory               seriesName = "leases.memory"
+	loadAge                   seriesName = "leases.load-age"
+	signalReachedShare        seriesName = "members.reach-at-48-sights"
+	zonedTraffic              seriesName = "members-zoned.bytes-out"
+	zonedReachedShare         seriesName = "members-zoned.reach"
+	retainedRecords           seriesName = "signals.records-kept"
+	leaseHolders              seriesName = "leases.holders"
+	engineMessages            seriesName = "members.datagrams-out-at-48-sights"
+	probeTraffic              seriesName = "members.probe-bytes-out-at-48-sights"
+	exchangeTraffic           seriesName = "members.exchange-bytes-out-at-48-sights"
+	exchangeTime              seriesName = "members.exchange-processor"
+	frameTime                 seriesName = "members.frame-processor"
+	engineMemory              seriesName = "members.engine-memory"
 )
 
 // The series of real processes.
-var (
-	realStartTime        = seriesReference{"real.servers.start", false}
-	realConnectionMemory = seriesReference{"real.connections.1000-servers.private", false}
-	realConnectionTime   = seriesReference{"real.connections.1000-servers.processor", false}
-	realDeliveryTime     = seriesReference{"real.deliveries.processor", false}
-	realPlacementsTime   = seriesReference{"real.placements.processor", false}
+const (
+	realStartTime        seriesName = "real.servers.start"
+	realConnectionMemory seriesName = "real.connections.1000-servers.private"
+	realConnectionTime   seriesName = "real.connections.1000-servers.processor"
+	realDeliveryTime     seriesName = "real.deliveries.processor"
+	realPlacementsTime   seriesName = "real.placements.processor"
 )
 
 const (
@@ -129,20 +129,20 @@
 
 // valueAt is the value of a series at a size: interpolated between neighbouring points inside the range of sizes, by
 // the fit outside of it. A series that only the baseline has is marked so. The first fault is kept in p.err.
-func (p *page) valueAt(of seriesReference, size float64) figure {
-	found, old := p.findSeries(of.name)
+func (p *page) valueAt(name seriesName, size float64) figure {
+	found, old := p.findSeries(name)
 	if found == nil {
-		if !of.optional {
-			p.fail(&Error{Where: p.current.folder + ": series " + of.name, What: "is missing",
+		if !optionalSeries[name] {
+			p.fail(&Error{Where: p.current.folder + ": series " + string(name), What: "is missing",
 				Remedy: "run the experiment that gives it; testbed scale list names them"})
 		}
-		return unmeasured(of.name)
+		return unmeasured(string(name))
 	}
 	known, ok := pageUnits[found.Unit]
 	if !ok {
 		known = pageUnit{1, unit(found.Unit)}
 	}
-	result := figure{unit: known.unit, origin: found.Origin, series: []string{of.name}, fromBaseline: old}
+	result := figure{unit: known.unit, origin: found.Origin, series: []string{string(name)}, fromBaseline: old}
 	if value, ok := found.measuredAt(size); ok {
 		result.value = value * known.factor
 		return result
@@ -155,7 +155,7 @@
 		return result
 	}
 	if found.FitErr != nil {
-		return unmeasured(of.name)
+		return unmeasured(string(name))
 	}
 	result.value = found.Fit.At(size) * known.factor
 	result.fitError = found.Fit.absoluteError()
@@ -173,11 +173,11 @@
 }
 
 // findSeries returns a series of the current code, else of the baseline.
-func (p *page) findSeries(name string) (found *reportedSeries, old bool) {
-	if now := p.current.series[name]; now != nil {
+func (p *page) findSeries(name seriesName) (found *reportedSeries, old bool) {
+	if now := p.current.series[string(name)]; now != nil {
 		return now, false
 	}
-	return p.baseline.series[name], true
+	return p.baseline.series[string(name)], true
 }
 
 func (p *page) fail(err error) {
--- a/internal/testbed/scale/page_comparison.go
+++ b/internal/testbed/scale/page_comparison.go
@@ -17,8 +17,8 @@
 // comparedPair is a quantity of simulated balancers and of real processes.
 type comparedPair struct {
 	quantity  string
-	simulated seriesReference
-	real      seriesReference
+	simulated seriesName
+	real      seriesName
 	whyBelow  string // known reason for a simulated figure far below the real one
 	whyAbove  string // known reason for one far above
 }
@@ -27,13 +27,13 @@
 func (p *page) simulatedAgainstRealTable() *table {
 	t := newTable("quantity", "at", "hollow", "real", "hollow over real", "apart by more than 20 %")
 	for _, pair := range append(p.comparedPairs(), p.modelPairs()...) {
-		for _, point := range p.current.series[pair.real.name].Points {
+		for _, point := range p.current.series[string(pair.real)].Points {
 			simulated, realFigure := p.valueAt(pair.simulated, point.Size), p.valueAt(pair.real, point.Size)
 			if simulated.value == 0 && realFigure.value == 0 {
 				continue // the smallest size of a growth
 			}
 			ratio := simulated.value / realFigure.value
-			at := digits(point.Size) + " " + p.current.series[pair.real.name].Against
+			at := digits(point.Size) + " " + p.current.series[string(pair.real)].Against
 			t.row(pair.quantity, at, simulated.String(), realFigure.String(), digits(ratio), pair.difference(ratio))
 		}
 	}
@@ -43,9 +43,9 @@
 // comparedPairs are the pairs of the sweep that runs real processes and simulated balancers side by side.
 func (p *page) comparedPairs() (pairs []comparedPair) {
 	for _, c := range comparisons {
-		simulated := seriesReference{name: "compare." + c.name + ".hollow"}
-		realSeries := seriesReference{name: "compare." + c.name + ".real"}
-		if p.current.series[simulated.name] != nil && p.current.series[realSeries.name] != nil {
+		simulated := seriesName("compare." + c.name + ".hollow")
+		realSeries := seriesName("compare." + c.name + ".real")
+		if p.current.series[string(simulated)] != nil && p.current.series[string(realSeries)] != nil {
 			pairs = append(pairs, comparedPair{quantity: c.quantity, simulated: simulated, real: realSeries, whyBelow: c.whyBelow, whyAbove: c.whyAbove})
 		}
 	}
@@ -73,7 +73,12 @@
 	for _, name := range slices.Sorted(maps.Keys(p.current.series)) {
 		of, isModel := strings.CutSuffix(name, modelSuffix)
 		if isModel && p.current.series[of] != nil {
-			pairs = append(pairs, comparedPair{quantity: p.current.series[of].Quantity, simulated: seriesReference{name, false}, real: seriesReference{of, false}, whyBelow: busyEngines})
+			pairs = append(pairs, comparedPair{
+				quantity:  p.current.series[of].Quantity,
+				simulated: seriesName(name),
+				real:      seriesName(of),
+				whyBelow:  busyEngines,
+			})
 		}
 	}
 	return pairs
--- a/internal/testbed/scale/page_day.go
+++ b/internal/testbed/scale/page_day.go
@@ -174,7 +174,7 @@
 // ends at the sweep's largest size, as the number of servers bounds the spread, which no fit accounts for.
 func (p *page) topicTable() *table {
 	t := newTable("balancers", "listeners", "servers that hold some", "share of the topic on the fullest of them", "fullest server over the mean, all connections", "origin")
-	found, _ := p.findSeries(topicUnevenness.name)
+	found, _ := p.findSeries(topicUnevenness)
 	if found == nil {
 		return t
 	}
--- a/internal/testbed/scale/page_faults.go
+++ b/internal/testbed/scale/page_faults.go
@@ -43,7 +43,7 @@
 			continue
 		}
 		size, against = found.largest(), found.Against
-		value := p.valueAt(seriesReference{name: found.Name}, size)
+		value := p.valueAt(seriesName(found.Name), size)
 		cells = append(cells, show(value.value, shownUnit(value.unit)))
 		if i == 0 {
 			first = value
--- a/internal/testbed/scale/page_figure_test.go
+++ b/internal/testbed/scale/page_figure_test.go
@@ -116,7 +116,7 @@
 	known := &reportedSeries{Series: Series{Name: "one", Unit: "µs", Origin: Simulated, Points: points}, Fit: fit}
 	old := &reportedSeries{Series: Series{Name: "two", Unit: "bytes", Origin: Measured, Points: points}, Fit: fit}
 	p := &page{current: &reportSet{series: map[string]*reportedSeries{"one": known}}, baseline: &reportSet{series: map[string]*reportedSeries{"one": old, "two": old}}}
-	if got := p.valueAt(seriesReference{"two", false}, decades[0]); got.Origin() != "measured; **before the mechanism**" {
+	if got := p.valueAt("two", decades[0]); got.Origin() != "measured; **before the mechanism**" {
 		t.Errorf("a series of before alone: %s", got.Origin())
 	}
 	for _, c := range []struct {
@@ -127,7 +127,7 @@
 		{2000, (points[3].Value + points[4].Value) / 2 * microsecond, "simulated"},
 		{50_000, fit.At(50_000) * microsecond, "reckoned from simulated"},
 	} {
-		got := p.valueAt(seriesReference{"one", false}, c.size)
+		got := p.valueAt("one", c.size)
 		near(t, digits(c.size), got.value, c.want, 1e-9)
 		if got.Origin() != c.origin || got.unit != inSeconds {
 			t.Errorf("%v: %s, %s", c.size, got.Origin(), got.unit)
@@ -138,9 +138,9 @@
 	if known.Fit, err = FitPoints(known.Points); err != nil {
 		t.Fatal(err)
 	}
-	near(t, "between neighbours", p.valueAt(seriesReference{"one", false}, 9400).value, (points[5].Value+points[6].Value)/2*microsecond, 1e-9)
+	near(t, "between neighbours", p.valueAt("one", 9400).value, (points[5].Value+points[6].Value)/2*microsecond, 1e-9)
 	want := "misses the largest point by " + show(known.Fit.absoluteError(), inShare)
-	if text := p.valueAt(seriesReference{"one", false}, 50_000).Origin(); known.Fit.absoluteError() < 0.6 || !strings.Contains(text, want) {
+	if text := p.valueAt("one", 50_000).Origin(); known.Fit.absoluteError() < 0.6 || !strings.Contains(text, want) {
 		t.Errorf("%q does not say that its fit %s", text, want)
 	}
 }
--- a/internal/testbed/scale/page_test.go
+++ b/internal/testbed/scale/page_test.go
@@ -98,8 +98,8 @@
 		Command:    "testbed scale run experiments/scale/sample.toml",
 		Commit:     "0123456789abcdef0123456789abcdef01234567",
 		Series: []Series{
-			{Name: placementTime.name, Unit: "µs", Against: "servers", Origin: Measured, Points: pointsOf(decades, func(n float64) float64 { return 9 + 0.2*n })},
-			{Name: placementTimeByConnections.name, Unit: "µs", Against: "connections", Origin: Measured,
+			{Name: string(placementTime), Unit: "µs", Against: "servers", Origin: Measured, Points: pointsOf(decades, func(n float64) float64 { return 9 + 0.2*n })},
+			{Name: string(placementTimeByConnections), Unit: "µs", Against: "connections", Origin: Measured,
 				Points: pointsOf([]float64{800, 2500, 8000, 25000, 79012}, func(n float64) float64 { return 200 + n/1000 })},
 		},
 		Checks: []Check{{Name: "every flow is placed", Held: true}, {Name: "a rule", Held: false, Detail: "broken twice"}},
@@ -132,9 +132,9 @@
 		{"empty", "bad.json", nil},
 		{"unknown format", "format", changed(`"format":1`, `"format":7`)},
 		{"unknown key", "bad.json", changed(`"format":1`, `"format":1,"shape":2`)},
-		{"no points", placementTime.name, bytes.Replace(complete, mustJSON(t, sampleReport().Series[0].Points), []byte("[]"), 1)},
+		{"no points", string(placementTime), bytes.Replace(complete, mustJSON(t, sampleReport().Series[0].Points), []byte("[]"), 1)},
 		{"unknown origin", "origin", changed(`"origin":"measured"`, `"origin":"guessed"`)},
-		{"no name", "series", changed(`"name":"`+placementTime.name+`"`, `"name":""`)},
+		{"no name", "series", changed(`"name":"`+string(placementTime)+`"`, `"name":""`)},
 		{"text after it", "bad.json", append(bytes.Clone(complete), '{')},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -189,7 +189,7 @@
 	writeReport(t, folder, report)
 	report.Experiment = "twice"
 	writeReport(t, folder, report)
-	checkRejected(t, folder, "twice.json", placementTime.name)
+	checkRejected(t, folder, "twice.json", string(placementTime))
 }
 
 func TestInvalidBaselineReport(t *testing.T) {
@@ -208,11 +208,11 @@
 func TestMissingSeries(t *testing.T) {
 	absent := &reportSet{folder: "results", series: map[string]*reportedSeries{}}
 	p := &page{current: absent, baseline: absent}
-	if got := p.valueAt(seriesReference{"awaited.one", true}, 5); got.String() != notMeasured || got.Origin() != notMeasured || p.err != nil {
+	if got := p.valueAt(startMaxLatency, 5); got.String() != notMeasured || got.Origin() != notMeasured || p.err != nil {
 		t.Errorf("awaited: %v, %v, %v", got, got.Origin(), p.err)
 	}
-	p.valueAt(seriesReference{"needed.one", false}, 5)
-	p.valueAt(seriesReference{"needed.two", false}, 5)
+	p.valueAt("needed.one", 5)
+	p.valueAt("needed.two", 5)
 	var bad *Error
 	if !errors.As(p.err, &bad) || !strings.Contains(bad.Error(), "results: series needed.one: is missing") {
 		t.Errorf("got %v", p.err)
@@ -231,7 +231,7 @@
 	if err := os.RemoveAll(filepath.Join(folder, baselineDirectory)); err != nil {
 		t.Fatal(err)
 	}
-	checkRejected(t, folder, folder, placementTime.name)
+	checkRejected(t, folder, folder, string(placementTime))
 }
 
 func TestUnwritablePage(t *testing.T) {
--- a/internal/testbed/scale/sweep_balancers.go
+++ b/internal/testbed/scale/sweep_balancers.go
@@ -19,8 +19,14 @@
 // balancersSweep runs many small simulated balancers with the same servers.
 func balancersSweep(ctx context.Context, s Settings, progress Progress) ([]Series, []Check, error) {
 	newSeries := seriesFactory(s, "balancers", roleControl)
-	memory := newSeries(seriesKind{name: "memory", quantity: "live memory of one hollow balancer", unit: "bytes", origin: Simulated, counted: true})
-	uneven := newSeries(seriesKind{name: "unevenness", quantity: "connections of the fullest server over the mean, all balancers together", unit: "ratio", origin: Simulated, counted: true})
+	memory := newSeries(seriesKind{
+		name: "memory", unit: "bytes", origin: Simulated, counted: true,
+		quantity: "live memory of one hollow balancer",
+	})
+	uneven := newSeries(seriesKind{
+		name: "unevenness", unit: "ratio", origin: Simulated, counted: true,
+		quantity: "connections of the fullest server over the mean, all balancers together",
+	})
 	rejected := 0
 	for i, size := range s.Sizes {
 		one := s.at(size)
--- a/internal/testbed/scale/sweep_faults.go
+++ b/internal/testbed/scale/sweep_faults.go
@@ -93,11 +93,26 @@
 		newSeries(seriesKind{name: "cut", quantity: "clients cut off", unit: "clients", origin: Simulated, counted: true}),
 		newSeries(seriesKind{name: "moved", quantity: "connections asked to move", unit: "connections", origin: Simulated, counted: true}),
 		newSeries(seriesKind{name: "turned-away", quantity: "flows rejected or aborted", unit: "flows", origin: Simulated, counted: true}),
-		newSeries(seriesKind{name: "back-after", quantity: "from the fault until 99 in 100 of the clients that were cut stood again", unit: "s", origin: Simulated, counted: true}),
-		newSeries(seriesKind{name: "slowest-setup", quantity: "the longest set-up of all that came to stand", unit: "s", origin: Simulated, counted: true}),
-		newSeries(seriesKind{name: "busiest", quantity: "connects that the busiest balancer sent in one second", unit: "connects", origin: Simulated, counted: true}),
-		newSeries(seriesKind{name: "unserved", quantity: "clients without a connection at the end", unit: "clients", origin: Simulated, counted: true}),
-		newSeries(seriesKind{name: "processor-time", quantity: "processor time of the whole run of 60 s, model and referee included", unit: "s", origin: Simulated}),
+		newSeries(seriesKind{
+			name: "back-after", unit: "s", origin: Simulated, counted: true,
+			quantity: "from the fault until 99 in 100 of the clients that were cut stood again",
+		}),
+		newSeries(seriesKind{
+			name: "slowest-setup", unit: "s", origin: Simulated, counted: true,
+			quantity: "the longest set-up of all that came to stand",
+		}),
+		newSeries(seriesKind{
+			name: "busiest", unit: "connects", origin: Simulated, counted: true,
+			quantity: "connects that the busiest balancer sent in one second",
+		}),
+		newSeries(seriesKind{
+			name: "unserved", unit: "clients", origin: Simulated, counted: true,
+			quantity: "clients without a connection at the end",
+		}),
+		newSeries(seriesKind{
+			name: "processor-time", unit: "s", origin: Simulated,
+			quantity: "processor time of the whole run of 60 s, model and referee included",
+		}),
 	}
 }
 
--- a/internal/testbed/scale/sweep_groups.go
+++ b/internal/testbed/scale/sweep_groups.go
@@ -21,11 +21,26 @@
 // groupsSweep places connections of distinct groups at one balancer.
 func groupsSweep(ctx context.Context, s Settings, progress Progress) ([]Series, []Check, error) {
 	newSeries := seriesFactory(s, "groups", roleControl)
-	memory := newSeries(seriesKind{name: "memory", quantity: "live memory of the decisions that hold the list and all connections", unit: "bytes", origin: Measured, counted: true})
-	processor := newSeries(seriesKind{name: "processor-time", quantity: "processor time " + quantityOfPlacement, unit: unitMicroseconds, origin: Measured})
-	spread := newSeries(seriesKind{name: "servers-a-group", quantity: "servers that a group is spread over, on average", unit: "servers", origin: Simulated, counted: true})
-	widest := newSeries(seriesKind{name: "servers-of-the-widest", quantity: "servers that the most widely spread group is on", unit: "servers", origin: Simulated, counted: true})
-	uneven := newSeries(seriesKind{name: "unevenness", quantity: "connections of the fullest server over the mean", unit: "ratio", origin: Simulated, counted: true})
+	memory := newSeries(seriesKind{
+		name: "memory", unit: "bytes", origin: Measured, counted: true,
+		quantity: "live memory of the decisions that hold the list and all connections",
+	})
+	processor := newSeries(seriesKind{
+		name: "processor-time", unit: unitMicroseconds, origin: Measured,
+		quantity: "processor time " + quantityOfPlacement,
+	})
+	spread := newSeries(seriesKind{
+		name: "servers-a-group", unit: "servers", origin: Simulated, counted: true,
+		quantity: "servers that a group is spread over, on average",
+	})
+	widest := newSeries(seriesKind{
+		name: "servers-of-the-widest", unit: "servers", origin: Simulated, counted: true,
+		quantity: "servers that the most widely spread group is on",
+	})
+	uneven := newSeries(seriesKind{
+		name: "unevenness", unit: "ratio", origin: Simulated, counted: true,
+		quantity: "connections of the fullest server over the mean",
+	})
 	rejected := 0
 	for i, size := range s.Sizes {
 		one := s.at(size)
--- a/internal/testbed/scale/sweep_list.go
+++ b/internal/testbed/scale/sweep_list.go
@@ -24,13 +24,34 @@
 // listSweep measures the server list: applying a full list, applying one change, and holding it.
 func listSweep(ctx context.Context, s Settings, progress Progress) ([]Series, []Check, error) {
 	newSeries := seriesFactory(s, "list", roleControl)
-	fullListTime := newSeries(seriesKind{name: "whole-time", quantity: "processor time of one whole list taken by the decisions", unit: unitMicroseconds, origin: Measured})
-	change := newSeries(seriesKind{name: "change-time", quantity: "processor time of one change taken by the decisions", unit: unitMicroseconds, origin: Measured})
-	objects := newSeries(seriesKind{name: "change-allocations", quantity: "allocations of one change taken by the decisions", unit: unitAllocations, origin: Measured, counted: true})
-	memory := newSeries(seriesKind{name: "memory", quantity: "live memory of the decisions that hold a list", unit: "bytes", origin: Measured, counted: true})
-	parsed := newSeries(seriesKind{name: "parse-time", quantity: "processor time of one whole list from its text on: discovery, routing and decisions", unit: unitMicroseconds, origin: Measured})
-	garbage := newSeries(seriesKind{name: "parse-bytes", quantity: "bytes allocated to take one whole list from its text on", unit: "bytes", origin: Measured, counted: true})
-	routed := newSeries(seriesKind{name: "routed-memory", quantity: "live memory of routing and decisions that hold a list", unit: "bytes", origin: Measured, counted: true})
+	fullListTime := newSeries(seriesKind{
+		name: "whole-time", unit: unitMicroseconds, origin: Measured,
+		quantity: "processor time of one whole list taken by the decisions",
+	})
+	change := newSeries(seriesKind{
+		name: "change-time", unit: unitMicroseconds, origin: Measured,
+		quantity: "processor time of one change taken by the decisions",
+	})
+	objects := newSeries(seriesKind{
+		name: "change-allocations", unit: unitAllocations, origin: Measured, counted: true,
+		quantity: "allocations of one change taken by the decisions",
+	})
+	memory := newSeries(seriesKind{
+		name: "memory", unit: "bytes", origin: Measured, counted: true,
+		quantity: "live memory of the decisions that hold a list",
+	})
+	parsed := newSeries(seriesKind{
+		name: "parse-time", unit: unitMicroseconds, origin: Measured,
+		quantity: "processor time of one whole list from its text on: discovery, routing and decisions",
+	})
+	garbage := newSeries(seriesKind{
+		name: "parse-bytes", unit: "bytes", origin: Measured, counted: true,
+		quantity: "bytes allocated to take one whole list from its text on",
+	})
+	routed := newSeries(seriesKind{
+		name: "routed-memory", unit: "bytes", origin: Measured, counted: true,
+		quantity: "live memory of routing and decisions that hold a list",
+	})
 	refused := ""
 	for i, size := range s.Sizes {
 		if err := ctx.Err(); err != nil {
--- a/internal/testbed/scale/sweep_placement.go
+++ b/internal/testbed/scale/sweep_placement.go
@@ -29,9 +29,18 @@
 // placementSweep measures one flow that is placed, established and ended at a balancer with settled connections.
 func placementSweep(ctx context.Context, s Settings, progress Progress) ([]Series, []Check, error) {
 	newSeries := seriesFactory(s, "placement", roleControl)
-	processor := newSeries(seriesKind{name: "processor-time", quantity: "processor time " + quantityOfPlacement, unit: unitMicroseconds, origin: Measured})
-	objects := newSeries(seriesKind{name: "allocations", quantity: "allocations " + quantityOfPlacement, unit: unitAllocations, origin: Measured, counted: true})
-	looked := newSeries(seriesKind{name: "servers-looked-at", quantity: "servers looked at for one flow, with another decider asked", unit: unitLooks, origin: Measured, counted: true})
+	processor := newSeries(seriesKind{
+		name: "processor-time", unit: unitMicroseconds, origin: Measured,
+		quantity: "processor time " + quantityOfPlacement,
+	})
+	objects := newSeries(seriesKind{
+		name: "allocations", unit: unitAllocations, origin: Measured, counted: true,
+		quantity: "allocations " + quantityOfPlacement,
+	})
+	looked := newSeries(seriesKind{
+		name: "servers-looked-at", unit: unitLooks, origin: Measured, counted: true,
+		quantity: "servers looked at for one flow, with another decider asked",
+	})
 	rejected := 0
 	for i, size := range s.Sizes {
 		if err := ctx.Err(); err != nil {
--- a/internal/testbed/scale/sweep_rechecks.go
+++ b/internal/testbed/scale/sweep_rechecks.go
@@ -31,9 +31,18 @@
 func rechecksSweep(ctx context.Context, s Settings, progress Progress) ([]Series, []Check, error) {
 	newSeries := seriesFactory(s, "rechecks", roleControl)
 	share := newSeries(seriesKind{name: "core-share", quantity: "share of a core that ticks take at rest", unit: "cores", origin: Measured})
-	objects := newSeries(seriesKind{name: "allocations", quantity: "allocations of one tick at rest", unit: unitAllocations, origin: Measured, counted: true})
-	looked := newSeries(seriesKind{name: "servers-looked-at", quantity: "servers looked at in one tick at rest, with another decider asked", unit: unitLooks, origin: Measured, counted: true})
-	uneven := newSeries(seriesKind{name: "core-share-uneven", quantity: "share of a core that ticks take where connections stand anywhere, those asked to move placed anew", unit: "cores", origin: Measured})
+	objects := newSeries(seriesKind{
+		name: "allocations", unit: unitAllocations, origin: Measured, counted: true,
+		quantity: "allocations of one tick at rest",
+	})
+	looked := newSeries(seriesKind{
+		name: "servers-looked-at", unit: unitLooks, origin: Measured, counted: true,
+		quantity: "servers looked at in one tick at rest, with another decider asked",
+	})
+	uneven := newSeries(seriesKind{
+		name: "core-share-uneven", unit: "cores", origin: Measured,
+		quantity: "share of a core that ticks take where connections stand anywhere, those asked to move placed anew",
+	})
 	moved := 0
 	for i, size := range s.Sizes {
 		one := s.at(size)
--- a/internal/testbed/scale/sweep_topic.go
+++ b/internal/testbed/scale/sweep_topic.go
@@ -24,9 +24,18 @@
 // report no load, so that balancers don't influence each other and can be simulated one after the other.
 func topicSweep(ctx context.Context, s Settings, progress Progress) ([]Series, []Check, error) {
 	newSeries := seriesFactory(s, "topic", "server")
-	uneven := newSeries(seriesKind{name: "unevenness", quantity: "connections of the fullest server over the mean, with the topic", unit: "ratio", origin: Simulated, counted: true})
-	bearing := newSeries(seriesKind{name: "servers", quantity: "servers that hold some of the topic", unit: "servers", origin: Simulated, counted: true})
-	fullest := newSeries(seriesKind{name: "share-of-the-fullest", quantity: "share of the topic that its fullest server holds", unit: "share", origin: Simulated, counted: true})
+	uneven := newSeries(seriesKind{
+		name: "unevenness", unit: "ratio", origin: Simulated, counted: true,
+		quantity: "connections of the fullest server over the mean, with the topic",
+	})
+	bearing := newSeries(seriesKind{
+		name: "servers", unit: "servers", origin: Simulated, counted: true,
+		quantity: "servers that hold some of the topic",
+	})
+	fullest := newSeries(seriesKind{
+		name: "share-of-the-fullest", unit: "share", origin: Simulated, counted: true,
+		quantity: "share of the topic that its fullest server holds",
+	})
 	rejected := 0
 	for i, size := range s.Sizes {
 		one := s.at(size)
--- a/internal/testbed/scale/sweep_zone.go
+++ b/internal/testbed/scale/sweep_zone.go
@@ -18,14 +18,38 @@
 // configured for the largest fleet, so that as many set-ups are in flight as there.
 func lostZoneSweep(ctx context.Context, s Settings, progress Progress) ([]Series, []Check, error) {
 	newSeries := seriesFactory(s, "lost-zone", roleControl)
-	returning := newSeries(seriesKind{name: "clients", quantity: "clients cut off, by each balancer that is left", unit: "clients", origin: Simulated, counted: true})
-	half := newSeries(seriesKind{name: "half-back", quantity: "from the loss until half of the clients that were cut stood again", unit: "s", origin: Simulated, counted: true})
-	most := newSeries(seriesKind{name: "most-back", quantity: "from the loss until 99 in 100 of them did", unit: "s", origin: Simulated, counted: true})
-	rejections := newSeries(seriesKind{name: "turned-away", quantity: "tries that were rejected or aborted, by each client that was cut", unit: "tries", origin: Simulated, counted: true})
-	slowest := newSeries(seriesKind{name: "slowest-setup", quantity: "the longest set-up of all that came to stand", unit: "s", origin: Simulated, counted: true})
-	busiest := newSeries(seriesKind{name: "busiest", quantity: "connects that the busiest balancer sent in one second", unit: "connects", origin: Simulated, counted: true})
-	processor := newSeries(seriesKind{name: "processor-share", quantity: "of a core in the busiest second, by each balancer, with the model round it: at most that", unit: "cores", origin: Simulated})
-	unserved := newSeries(seriesKind{name: "unserved", quantity: "clients without a connection at the end", unit: "clients", origin: Simulated, counted: true})
+	returning := newSeries(seriesKind{
+		name: "clients", unit: "clients", origin: Simulated, counted: true,
+		quantity: "clients cut off, by each balancer that is left",
+	})
+	half := newSeries(seriesKind{
+		name: "half-back", unit: "s", origin: Simulated, counted: true,
+		quantity: "from the loss until half of the clients that were cut stood again",
+	})
+	most := newSeries(seriesKind{
+		name: "most-back", unit: "s", origin: Simulated, counted: true,
+		quantity: "from the loss until 99 in 100 of them did",
+	})
+	rejections := newSeries(seriesKind{
+		name: "turned-away", unit: "tries", origin: Simulated, counted: true,
+		quantity: "tries that were rejected or aborted, by each client that was cut",
+	})
+	slowest := newSeries(seriesKind{
+		name: "slowest-setup", unit: "s", origin: Simulated, counted: true,
+		quantity: "the longest set-up of all that came to stand",
+	})
+	busiest := newSeries(seriesKind{
+		name: "busiest", unit: "connects", origin: Simulated, counted: true,
+		quantity: "connects that the busiest balancer sent in one second",
+	})
+	processor := newSeries(seriesKind{
+		name: "processor-share", unit: "cores", origin: Simulated,
+		quantity: "of a core in the busiest second, by each balancer, with the model round it: at most that",
+	})
+	unserved := newSeries(seriesKind{
+		name: "unserved", unit: "clients", origin: Simulated, counted: true,
+		quantity: "clients without a connection at the end",
+	})
 	var checks []Check
 	for i, size := range s.Sizes {
 		f, broken, err := simulateZoneLoss(ctx, s.at(size))
