--- a/internal/testbed/scale/bounds.go
+++ b/internal/testbed/scale/bounds.go
@@ -62,8 +62,11 @@
 		resident += residentOf(p)
 	}
 	if resident > b.Memory {
-		return &Error{Where: where, What: fmt.Sprintf("%d MiB of memory in use, and the bound is %d MiB", resident>>20, b.Memory>>20),
-			Remedy: "ask for a smaller largest size, or for fewer connections a balancer"}
+		return &Error{
+			Where:  where,
+			What:   fmt.Sprintf("%d MiB of memory in use, and the bound is %d MiB", resident>>20, b.Memory>>20),
+			Remedy: "ask for a smaller largest size, or for fewer connections a balancer",
+		}
 	}
 	return nil
 }
--- a/internal/testbed/scale/control.go
+++ b/internal/testbed/scale/control.go
@@ -8,13 +8,29 @@
 )
 
 func init() {
-	register("changes", changesSweep, sweepInput{against: []string{byChanges, byServers}, keys: []string{byServers, byBalancers}, check: checkBalancers})
-	register("cut", catchUpSweep, sweepInput{against: []string{byChanges}, keys: []string{byServers, byBalancers}, check: checkBalancers})
+	register("changes", changesSweep, sweepInput{
+		against: []string{byChanges, byServers},
+		keys:    []string{byServers, byBalancers},
+		check:   checkBalancers,
+	})
+	register("cut", catchUpSweep, sweepInput{
+		against: []string{byChanges},
+		keys:    []string{byServers, byBalancers},
+		check:   checkBalancers,
+	})
 	register("leases", leasesSweep, sweepInput{against: []string{byBalancers, byServers}, keys: []string{byServers, byBalancers}})
 	register("lists", listsSweep, sweepInput{against: []string{byServers}, keys: []string{byRate}})
 	register("members", membersSweep, sweepInput{against: []string{byBalancers}, keys: []string{byRate}})
-	register("members-real", realSweep, sweepInput{against: []string{byBalancers}, keys: []string{byLength}, check: checkRealMembers})
+	register("members-real", realSweep, sweepInput{
+		against: []string{byBalancers},
+		keys:    []string{byLength},
+		check:   checkRealMembers,
+	})
 	register("members-replaced", replacedSweep, sweepInput{against: []string{byReplacements}, keys: []string{byBalancers}})
 	register("members-zoned", zonedSweep, sweepInput{against: []string{byBalancers}})
-	register("signals", signalsSweep, sweepInput{against: []string{byBalancers, byFaulty}, keys: []string{byServers, byBalancers}, check: checkFaultyServers})
+	register("signals", signalsSweep, sweepInput{
+		against: []string{byBalancers, byFaulty},
+		keys:    []string{byServers, byBalancers},
+		check:   checkFaultyServers,
+	})
 }
--- a/internal/testbed/scale/control_gossip.go
+++ b/internal/testbed/scale/control_gossip.go
@@ -94,8 +94,12 @@
 }
 
 func newGossipModel(run gossipRun) *gossipModel {
-	model := &gossipModel{run: run, sizes: measureMessageSizes(), random: simulation.RandomSource(run.seed, "scale members", run.members),
-		inTransit: make([][]gossipPacket, gossipDelay+1)}
+	model := &gossipModel{
+		run:       run,
+		sizes:     measureMessageSizes(),
+		random:    simulation.RandomSource(run.seed, "scale members", run.members),
+		inTransit: make([][]gossipPacket, gossipDelay+1),
+	}
 	model.messages = []gossipMessage{{}, oldRecord: {size: int32(run.recordBytes)}, oldState: {origin: -1, size: int32(model.sizes.alive)}}
 	model.recordInterval = recordIntervalOf(run.members)
 	if run.intervalMultiple > 0 {
--- a/internal/testbed/scale/control_members.go
+++ b/internal/testbed/scale/control_members.go
@@ -57,7 +57,12 @@
 		if err != nil {
 			return err
 		}
-		result, err := simulateGossip(ctx, gossipRun{members: size, recordBytes: recordBytes, replaced: b.settings.Rate, seed: b.settings.Seed})
+		result, err := simulateGossip(ctx, gossipRun{
+			members:     size,
+			recordBytes: recordBytes,
+			replaced:    b.settings.Rate,
+			seed:        b.settings.Seed,
+		})
 		if err != nil {
 			return err
 		}
@@ -125,7 +130,11 @@
 		return err
 	}
 	known := engine.list.NumMembers()
-	b.checks = append(b.checks, Check{Name: fmt.Sprintf("the engine knows %d members after one exchange", size), Held: known == size, Detail: fmt.Sprintf("%d are known", known)})
+	b.checks = append(b.checks, Check{
+		Name:   fmt.Sprintf("the engine knows %d members after one exchange", size),
+		Held:   known == size,
+		Detail: fmt.Sprintf("%d are known", known),
+	})
 	used := measure(measurementRounds, 1, func() { _, _ = engine.exchange(message) })
 	b.add(seriesKind{
 		name: "engine-memory", unit: unitBytes, origin: Measured,
--- a/internal/testbed/scale/control_membership_view.go
+++ b/internal/testbed/scale/control_membership_view.go
@@ -25,7 +25,12 @@
 	for i := range count {
 		name := membership.Name(memberName(i))
 		addr := memberAddr(i)
-		v.members[name] = membership.Member{Name: name, Addr: fmt.Sprintf("%d.%d.%d.%d:%d", addr[0], addr[1], addr[2], addr[3], memberPort), State: membership.Alive, Since: time.Hour}
+		v.members[name] = membership.Member{
+			Name:  name,
+			Addr:  fmt.Sprintf("%d.%d.%d.%d:%d", addr[0], addr[1], addr[2], addr[3], memberPort),
+			State: membership.Alive,
+			Since: time.Hour,
+		}
 	}
 	return v
 }
@@ -64,7 +69,12 @@
 		addr, _ := fields[1].(string)
 		state, _ := fields[2].(string)
 		since, _ := fields[3].(uint64)
-		seen = append(seen, membership.Member{Name: membership.Name(name), Addr: addr, State: membership.State(state), Since: time.Duration(since)})
+		seen = append(seen, membership.Member{
+			Name:  membership.Name(name),
+			Addr:  addr,
+			State: membership.State(state),
+			Since: time.Duration(since),
+		})
 	}
 	slices.SortFunc(seen, func(a, b membership.Member) int { return strings.Compare(string(a.Name), string(b.Name)) })
 	return len(seen)
--- a/internal/testbed/scale/control_real.go
+++ b/internal/testbed/scale/control_real.go
@@ -76,7 +76,13 @@
 }
 
 func (c *sentCounter) figures() sentFigures {
-	return sentFigures{float64(c.datagrams.Load()), float64(c.datagramBytes.Load()), float64(c.streamBytes.Load()), float64(c.departures.count.Load()), processorTime()}
+	return sentFigures{
+		datagrams:     float64(c.datagrams.Load()),
+		datagramBytes: float64(c.datagramBytes.Load()),
+		streamBytes:   float64(c.streamBytes.Load()),
+		gone:          float64(c.departures.count.Load()),
+		processor:     processorTime(),
+	}
 }
 
 // realMember is a real engine whose stub of a balancer passes records on.
@@ -174,8 +180,11 @@
 			return nil
 		}
 		if time.Now().After(until) {
-			return &Error{Where: "members-real", What: fmt.Sprintf("%d engines see %.1f %% of each other after %v", len(f.members), 100*float64(seen)/float64(all), discoveryTimeout),
-				Remedy: "run it when the machine is less busy, or ask for fewer"}
+			return &Error{
+				Where:  "members-real",
+				What:   fmt.Sprintf("%d engines see %.1f %% of each other after %v", len(f.members), 100*float64(seen)/float64(all), discoveryTimeout),
+				Remedy: "run it when the machine is less busy, or ask for fewer",
+			}
 		}
 		if err := pause(ctx, discoveryPollInterval); err != nil {
 			return err
@@ -327,6 +336,9 @@
 		quantity: quantity + ", the model",
 	}, size, model)
 	off := model/measured - 1
-	b.checks = append(b.checks, Check{Name: fmt.Sprintf("%s at %d members: the model is within 20 %%", name, size),
-		Held: off < modelTolerance && off > -modelTolerance, Detail: fmt.Sprintf("real %.0f, model %.0f, %+.0f %%", measured, model, 100*off)})
+	b.checks = append(b.checks, Check{
+		Name:   fmt.Sprintf("%s at %d members: the model is within 20 %%", name, size),
+		Held:   off < modelTolerance && off > -modelTolerance,
+		Detail: fmt.Sprintf("real %.0f, model %.0f, %+.0f %%", measured, model, 100*off),
+	})
 }
--- a/internal/testbed/scale/control_subscriber.go
+++ b/internal/testbed/scale/control_subscriber.go
@@ -56,10 +56,27 @@
 		balancers        = 8100
 	)
 	b.ConfigureFlows(connectLimit, 0)
-	b.AddService(decide.ServiceType{Effect: decide.Idempotent, Deduplication: decide.DeduplicatedByFleet, SetupTarget: setupObjective, RetryWindow: retryWindow, Value: 1})
-	b.ConfigureSlowStart(decide.SlowStart{InitialCapacity: 0.2, OverloadMultiple: 3, WarmUp: warmUp, Window: slowStartWindow, Balancers: balancers})
+	b.AddService(decide.ServiceType{
+		Effect:        decide.Idempotent,
+		Deduplication: decide.DeduplicatedByFleet,
+		SetupTarget:   setupObjective,
+		RetryWindow:   retryWindow,
+		Value:         1,
+	})
+	b.ConfigureSlowStart(decide.SlowStart{
+		InitialCapacity:  0.2,
+		OverloadMultiple: 3,
+		WarmUp:           warmUp,
+		Window:           slowStartWindow,
+		Balancers:        balancers,
+	})
 	b.ConfigurePlacement(0.08, 0.026, true)
-	b.ConfigureEndpoints(decide.EndpointSettings{Zone: "zone-00", Polled: false, MaxPollInterval: maxPollInterval, MessageTarget: messageObjective})
+	b.ConfigureEndpoints(decide.EndpointSettings{
+		Zone:            "zone-00",
+		Polled:          false,
+		MaxPollInterval: maxPollInterval,
+		MessageTarget:   messageObjective,
+	})
 	return map[string]decide.ServiceID{"chat": 0}, nil
 }
 
--- a/internal/testbed/scale/control_sweep_leases.go
+++ b/internal/testbed/scale/control_sweep_leases.go
@@ -204,7 +204,12 @@
 	mean := (servers + members - 1) / members
 	record := sampleRecord(1, 1000, signals.MaxReports)
 	for i := range min(mean, signals.MaxLoadReports) {
-		record.LoadReports = append(record.LoadReports, signals.LoadReport{Server: decide.ServerID(serverNumber(i)), Load: 0.6, Epoch: 3, Age: loadReportAge})
+		record.LoadReports = append(record.LoadReports, signals.LoadReport{
+			Server: decide.ServerID(serverNumber(i)),
+			Load:   0.6,
+			Epoch:  3,
+			Age:    loadReportAge,
+		})
 	}
 	text, err := signals.Encode(record)
 	if err != nil {
--- a/internal/testbed/scale/control_sweep_replaced.go
+++ b/internal/testbed/scale/control_sweep_replaced.go
@@ -16,7 +16,13 @@
 		return nil, nil, err
 	}
 	for i, size := range s.Sizes {
-		run := gossipRun{members: s.Balancers, recordBytes: recordBytes, replaced: float64(size) / secondsPerDay, firstJustJoined: true, seed: s.Seed}
+		run := gossipRun{
+			members:         s.Balancers,
+			recordBytes:     recordBytes,
+			replaced:        float64(size) / secondsPerDay,
+			firstJustJoined: true,
+			seed:            s.Seed,
+		}
 		result, err := simulateGossip(ctx, run)
 		if err != nil {
 			return nil, nil, err
@@ -62,7 +68,13 @@
 		return nil, nil, err
 	}
 	for i, size := range s.Sizes {
-		result, err := simulateGossip(ctx, gossipRun{members: size, recordBytes: recordBytes, intervalMultiple: zonedIntervalMultiple, fanout: zonedFanout, seed: s.Seed})
+		result, err := simulateGossip(ctx, gossipRun{
+			members:          size,
+			recordBytes:      recordBytes,
+			intervalMultiple: zonedIntervalMultiple,
+			fanout:           zonedFanout,
+			seed:             s.Seed,
+		})
 		if err != nil {
 			return nil, nil, err
 		}
--- a/internal/testbed/scale/control_test.go
+++ b/internal/testbed/scale/control_test.go
@@ -32,7 +32,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	result, err := simulateGossip(t.Context(), gossipRun{members: members, recordBytes: size, replaced: 1, firstJustJoined: true, seed: 1})
+	result, err := simulateGossip(t.Context(), gossipRun{
+		members:         members,
+		recordBytes:     size,
+		replaced:        1,
+		firstJustJoined: true,
+		seed:            1,
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/testbed/scale/fleet_client.go
+++ b/internal/testbed/scale/fleet_client.go
@@ -122,8 +122,16 @@
 		return
 	}
 	if s.since != invariants.LongAgo {
-		f.observe(invariants.Event{Kind: invariants.ConnectArrived, Balancer: invariants.Balancer(c.flow.balancer.id), Flow: c.flow.id, Connect: c.id,
-			Server: invariants.Server(s.id), StartedAt: s.since, Load: connectionLoad, Capacity: s.capacity(f)})
+		f.observe(invariants.Event{
+			Kind:      invariants.ConnectArrived,
+			Balancer:  invariants.Balancer(c.flow.balancer.id),
+			Flow:      c.flow.id,
+			Connect:   c.id,
+			Server:    invariants.Server(s.id),
+			StartedAt: s.since,
+			Load:      connectionLoad,
+			Capacity:  s.capacity(f),
+		})
 	}
 	since := s.since
 	f.schedule.after(f.randomDelay(minSetup, maxSetup)+back, func() {
@@ -144,7 +152,12 @@
 	flow.current = c
 	flow.answered = true
 	c.server.connects = append(c.server.connects, c)
-	f.observe(invariants.Event{Kind: invariants.FlowAnswered, Balancer: invariants.Balancer(b.id), Flow: flow.id, Answer: invariants.Established})
+	f.observe(invariants.Event{
+		Kind:     invariants.FlowAnswered,
+		Balancer: invariants.Balancer(b.id),
+		Flow:     flow.id,
+		Answer:   invariants.Established,
+	})
 	b.event().OnEstablished(flow.name, f.schedule.now-c.sentAt)
 	flow.client.onEstablished()
 }
@@ -159,7 +172,13 @@
 	c.ended = true
 	flow.connects = slices.DeleteFunc(flow.connects, func(other *connect) bool { return other == c })
 	f.removeConnect(c)
-	f.observe(invariants.Event{Kind: invariants.ConnectEnded, Balancer: invariants.Balancer(b.id), Flow: flow.id, Connect: c.id, MayHaveRun: !outcome.NeverRan()})
+	f.observe(invariants.Event{
+		Kind:       invariants.ConnectEnded,
+		Balancer:   invariants.Balancer(b.id),
+		Flow:       flow.id,
+		Connect:    c.id,
+		MayHaveRun: !outcome.NeverRan(),
+	})
 	if c.established {
 		flow.current = nil
 		f.observe(invariants.Event{Kind: invariants.FlowEnded, Balancer: invariants.Balancer(b.id), Flow: flow.id})
--- a/internal/testbed/scale/fleet_instance.go
+++ b/internal/testbed/scale/fleet_instance.go
@@ -113,7 +113,14 @@
 		if s.since != invariants.LongAgo {
 			since = s.since - b.started
 		}
-		m.OnEndpoint(decide.Endpoint{ID: s.id, Zone: zoneName(s.zone), Cell: decide.CellID(s.zone), Size: 1, Readiness: s.state, StartedAt: since})
+		m.OnEndpoint(decide.Endpoint{
+			ID:        s.id,
+			Zone:      zoneName(s.zone),
+			Cell:      decide.CellID(s.zone),
+			Size:      1,
+			Readiness: s.state,
+			StartedAt: since,
+		})
 	}
 	if kind == decide.FullUpdate {
 		for _, s := range b.fleet.servers {
@@ -126,8 +133,13 @@
 }
 
 func (b *instance) observeListed(id decide.ServerID, state decide.Readiness, since time.Duration) {
-	b.fleet.observe(invariants.Event{Kind: invariants.ServerAnnounced, Balancer: invariants.Balancer(b.id), Server: invariants.Server(id),
-		Readiness: observedStates[state], StartedAt: since})
+	b.fleet.observe(invariants.Event{
+		Kind:      invariants.ServerAnnounced,
+		Balancer:  invariants.Balancer(b.id),
+		Server:    invariants.Server(id),
+		Readiness: observedStates[state],
+		StartedAt: since,
+	})
 }
 
 // ---- flows
@@ -153,7 +165,12 @@
 	flow.current = b.fleet.connect(flow, s)
 	flow.current.established = true
 	s.connects = append(s.connects, flow.current)
-	b.event().AdoptFlow(decide.FlowRequest{ID: flow.name, Service: decide.ServiceID(c.service), Customer: decide.NoCustomer, Group: groupName(c.group)}, s.id)
+	b.event().AdoptFlow(decide.FlowRequest{
+		ID:       flow.name,
+		Service:  decide.ServiceID(c.service),
+		Customer: decide.NoCustomer,
+		Group:    groupName(c.group),
+	}, s.id)
 }
 
 // accept handles the arrival of a client.
@@ -161,9 +178,21 @@
 	flow, now := b.add(c), b.fleet.schedule.now
 	flow.deadline = now + connectTimeout - relayTime
 	t := services[c.service]
-	b.fleet.observe(invariants.Event{Kind: invariants.FlowAccepted, Balancer: invariants.Balancer(b.id), Flow: flow.id, Deadline: now + connectTimeout,
-		Effect: t.seen, KeyWindow: retryWindow})
-	b.event().OnFlow(decide.FlowRequest{ID: flow.name, Service: decide.ServiceID(c.service), Customer: decide.NoCustomer, Group: groupName(c.group), Timeout: flow.deadline - now})
+	b.fleet.observe(invariants.Event{
+		Kind:      invariants.FlowAccepted,
+		Balancer:  invariants.Balancer(b.id),
+		Flow:      flow.id,
+		Deadline:  now + connectTimeout,
+		Effect:    t.seen,
+		KeyWindow: retryWindow,
+	})
+	b.event().OnFlow(decide.FlowRequest{
+		ID:       flow.name,
+		Service:  decide.ServiceID(c.service),
+		Customer: decide.NoCustomer,
+		Group:    groupName(c.group),
+		Timeout:  flow.deadline - now,
+	})
 }
 
 // forget removes a flow that has ended.
@@ -179,7 +208,11 @@
 		return
 	}
 	flow.clientLeft = true
-	flow.balancer.fleet.observe(invariants.Event{Kind: invariants.ClientLeft, Balancer: invariants.Balancer(flow.balancer.id), Flow: flow.id})
+	flow.balancer.fleet.observe(invariants.Event{
+		Kind:     invariants.ClientLeft,
+		Balancer: invariants.Balancer(flow.balancer.id),
+		Flow:     flow.id,
+	})
 	flow.current.finish(decide.OK)
 	flow.client.onDisconnected()
 }
@@ -188,10 +221,20 @@
 func (b *instance) answer(name decide.FlowID, verdict invariants.Answer) {
 	flow := b.flows[name]
 	if flow == nil {
-		b.fleet.observe(invariants.Event{Kind: invariants.FlowAnswered, Balancer: invariants.Balancer(b.id), Flow: -1, Answer: verdict})
+		b.fleet.observe(invariants.Event{
+			Kind:     invariants.FlowAnswered,
+			Balancer: invariants.Balancer(b.id),
+			Flow:     -1,
+			Answer:   verdict,
+		})
 		return
 	}
-	b.fleet.observe(invariants.Event{Kind: invariants.FlowAnswered, Balancer: invariants.Balancer(b.id), Flow: flow.id, Answer: verdict})
+	b.fleet.observe(invariants.Event{
+		Kind:     invariants.FlowAnswered,
+		Balancer: invariants.Balancer(b.id),
+		Flow:     flow.id,
+		Answer:   verdict,
+	})
 	if flow.answered {
 		return
 	}
--- a/internal/testbed/scale/fleet_test.go
+++ b/internal/testbed/scale/fleet_test.go
@@ -114,7 +114,13 @@
 		for _, b := range f.balancers {
 			m := b.event()
 			m.BeginEndpoints(decide.FullUpdate)
-			m.OnEndpoint(decide.Endpoint{ID: list[0].id, Zone: zoneName(0), Size: 1, Readiness: decide.Ready, StartedAt: decide.LongAgo})
+			m.OnEndpoint(decide.Endpoint{
+				ID:        list[0].id,
+				Zone:      zoneName(0),
+				Size:      1,
+				Readiness: decide.Ready,
+				StartedAt: decide.LongAgo,
+			})
 			m.EndEndpoints()
 		}
 	})
--- a/internal/testbed/scale/page.go
+++ b/internal/testbed/scale/page.go
@@ -131,7 +131,12 @@
 // replaceFile replaces a file atomically.
 func replaceFile(file string, text []byte) error {
 	fail := func(err error) error {
-		return &Error{Where: file, What: "the page can't be written", Remedy: "name a file that can be written with --out", Err: err}
+		return &Error{
+			Where:  file,
+			What:   "the page can't be written",
+			Remedy: "name a file that can be written with --out",
+			Err:    err,
+		}
 	}
 	temporary, err := os.CreateTemp(filepath.Dir(file), ".page-*")
 	if err != nil {
--- a/internal/testbed/scale/page_comparison.go
+++ b/internal/testbed/scale/page_comparison.go
@@ -46,7 +46,13 @@
 		simulated := seriesName("compare." + c.name + ".hollow")
 		realSeries := seriesName("compare." + c.name + ".real")
 		if p.current.series[string(simulated)] != nil && p.current.series[string(realSeries)] != nil {
-			pairs = append(pairs, comparedPair{quantity: c.quantity, simulated: simulated, real: realSeries, whyBelow: c.whyBelow, whyAbove: c.whyAbove})
+			pairs = append(pairs, comparedPair{
+				quantity:  c.quantity,
+				simulated: simulated,
+				real:      realSeries,
+				whyBelow:  c.whyBelow,
+				whyAbove:  c.whyAbove,
+			})
 		}
 	}
 	return pairs
--- a/internal/testbed/scale/page_read.go
+++ b/internal/testbed/scale/page_read.go
@@ -60,7 +60,11 @@
 	for _, series := range report.Series {
 		where := file + ": series " + series.Name
 		if first := r.series[series.Name]; first != nil {
-			return &Error{Where: where, What: "stands in " + first.File + " too", Remedy: "give one of both another name, or take one report away"}
+			return &Error{
+				Where:  where,
+				What:   "stands in " + first.File + " too",
+				Remedy: "give one of both another name, or take one report away",
+			}
 		}
 		if !slices.Contains([]Origin{Measured, Simulated, Calculated}, series.Origin) {
 			return &Error{Where: where + ": origin", What: fmt.Sprintf("%q is not known", series.Origin), Remedy: rerunAdvice}
--- a/internal/testbed/scale/page_situations.go
+++ b/internal/testbed/scale/page_situations.go
@@ -25,7 +25,13 @@
 
 // situations are an idle and an ordinary day and each failure, for a surviving balancer of the affected region.
 func situations(servers float64) []situation {
-	idle := situation{name: "at rest", connections: connectionsPerBalancer, members: fleetBalancers, controlMachines: fleetControlMachines, duration: "no connection comes or goes"}
+	idle := situation{
+		name:            "at rest",
+		connections:     connectionsPerBalancer,
+		members:         fleetBalancers,
+		controlMachines: fleetControlMachines,
+		duration:        "no connection comes or goes",
+	}
 	day := idle
 	day.name = "ordinary day"
 	day.duration = "all day"
--- a/internal/testbed/scale/real_held.go
+++ b/internal/testbed/scale/real_held.go
@@ -115,7 +115,10 @@
 	}
 	for wait := 0; c.linesReceived.Load()-had < int64(sent); wait++ {
 		if wait > 1000 {
-			return 0, &ProcessError{What: fmt.Sprintf("%d of %d lines came", c.linesReceived.Load()-had, sent), Remedy: "run fewer things at once"}
+			return 0, &ProcessError{
+				What:   fmt.Sprintf("%d of %d lines came", c.linesReceived.Load()-had, sent),
+				Remedy: "run fewer things at once",
+			}
 		}
 		if err := pause(ctx, realPollInterval); err != nil {
 			return 0, err
--- a/internal/testbed/scale/real_process.go
+++ b/internal/testbed/scale/real_process.go
@@ -158,11 +158,18 @@
 		select {
 		case <-p.exited:
 			output, _ := os.ReadFile(filepath.Join(p.directory, "log"))
-			return &ProcessError{What: "it ended by itself: " + string(lastBytes(output, 400)), Remedy: "run the same configuration by hand"}
+			return &ProcessError{
+				What:   "it ended by itself: " + string(lastBytes(output, 400)),
+				Remedy: "run the same configuration by hand",
+			}
 		default:
 		}
 		if err := pause(ctx, realPollInterval); errors.Is(err, context.DeadlineExceeded) {
-			return &ProcessError{What: "it did not take its list in time", Remedy: "run fewer things at once, or ask for a smaller size", Err: err}
+			return &ProcessError{
+				What:   "it did not take its list in time",
+				Remedy: "run fewer things at once, or ask for a smaller size",
+				Err:    err,
+			}
 		} else if err != nil {
 			return err
 		}
--- a/internal/testbed/scale/real_stubs.go
+++ b/internal/testbed/scale/real_stubs.go
@@ -56,8 +56,15 @@
 // nextEntry is the next server to list; its name is spread as a hash is.
 func (l *stubDiscovery) nextEntry() listEntry {
 	n := len(l.members)
-	return listEntry{ID: fmt.Sprintf("s-%08x", uint32(n)*2654435761), HostPort: l.addresses[n%len(l.addresses)], Locality: realZone(n % l.zones), Flavor: "m2",
-		Cell: n % 16, Phase: "SERVING", Size: 1}
+	return listEntry{
+		ID:       fmt.Sprintf("s-%08x", uint32(n)*2654435761),
+		HostPort: l.addresses[n%len(l.addresses)],
+		Locality: realZone(n % l.zones),
+		Flavor:   "m2",
+		Cell:     n % 16,
+		Phase:    "SERVING",
+		Size:     1,
+	}
 }
 
 func (l *stubDiscovery) lastName() string {
--- a/internal/testbed/scale/report.go
+++ b/internal/testbed/scale/report.go
@@ -18,7 +18,12 @@
 // Write writes a report atomically to NAME.json in a directory, and returns the file.
 func Write(folder string, r *Report) (file string, err error) {
 	fail := func(err error) (string, error) {
-		return "", &Error{Where: folder, What: "the report can't be written", Remedy: "name a folder that can be written to with --out", Err: err}
+		return "", &Error{
+			Where:  folder,
+			What:   "the report can't be written",
+			Remedy: "name a folder that can be written to with --out",
+			Err:    err,
+		}
 	}
 	text, err := json.MarshalIndent(r, "", " ")
 	if err != nil {
@@ -62,7 +67,12 @@
 		}
 	}
 	if err != nil {
-		return nil, &Error{Where: fmt.Sprintf("%s:%d", file, lineNumber(text, failureOffset(err, end))), What: "no whole report", Remedy: advice, Err: err}
+		return nil, &Error{
+			Where:  fmt.Sprintf("%s:%d", file, lineNumber(text, failureOffset(err, end))),
+			What:   "no whole report",
+			Remedy: advice,
+			Err:    err,
+		}
 	}
 	if r.Format != reportFormat {
 		return nil, &Error{Where: file, What: fmt.Sprintf("format: want %d, got %d", reportFormat, r.Format), Remedy: advice}
--- a/internal/testbed/scale/run.go
+++ b/internal/testbed/scale/run.go
@@ -12,7 +12,11 @@
 func Run(ctx context.Context, e *Experiment, bounds Bounds, progress Progress) (*Report, error) {
 	sweep := sweeps[e.Settings.Sweep]
 	if sweep == nil {
-		return nil, &Error{Where: e.File, What: fmt.Sprintf("sweep: no sweep %q", e.Settings.Sweep), Remedy: "see testbed scale list"}
+		return nil, &Error{
+			Where:  e.File,
+			What:   fmt.Sprintf("sweep: no sweep %q", e.Settings.Sweep),
+			Remedy: "see testbed scale list",
+		}
 	}
 	began, commit := time.Now(), Commit()
 	watched, stop := bounds.watch(ctx, e.Name)
--- a/internal/testbed/scale/simulated_balancer.go
+++ b/internal/testbed/scale/simulated_balancer.go
@@ -59,12 +59,29 @@
 func configureSimulatedBalancer(b *decide.Balancer, t simulatedSettings) {
 	b.ConfigureFlows(maxConnects, 0)
 	for _, s := range services {
-		b.AddService(decide.ServiceType{Effect: s.effect, Deduplication: decide.DeduplicatedByFleet, SetupTarget: setupTarget, RetryWindow: retryWindow, Value: 1})
+		b.AddService(decide.ServiceType{
+			Effect:        s.effect,
+			Deduplication: decide.DeduplicatedByFleet,
+			SetupTarget:   setupTarget,
+			RetryWindow:   retryWindow,
+			Value:         1,
+		})
 	}
-	b.ConfigureSlowStart(decide.SlowStart{InitialCapacity: initialCapacity, OverloadMultiple: overloadMultiple, WarmUp: warmUp, Window: slowStartWindow, Balancers: t.peers})
+	b.ConfigureSlowStart(decide.SlowStart{
+		InitialCapacity:  initialCapacity,
+		OverloadMultiple: overloadMultiple,
+		WarmUp:           warmUp,
+		Window:           slowStartWindow,
+		Balancers:        t.peers,
+	})
 	b.ConfigureHealthChecks(t.healthChecks)
 	b.ConfigurePlacement(crossZoneCost, migrationCost, true)
-	b.ConfigureEndpoints(decide.EndpointSettings{Zone: zoneName(t.zone), Polled: false, MaxPollInterval: maxPollInterval, MessageTarget: messageTarget})
+	b.ConfigureEndpoints(decide.EndpointSettings{
+		Zone:            zoneName(t.zone),
+		Polled:          false,
+		MaxPollInterval: maxPollInterval,
+		MessageTarget:   messageTarget,
+	})
 }
 
 // zoneNames are shared by the balancers of a process.
@@ -103,7 +120,14 @@
 	h.decider.SetTime(h.now)
 	h.decider.BeginEndpoints(kind)
 	for _, s := range servers {
-		h.decider.OnEndpoint(decide.Endpoint{ID: s.id, Zone: zoneName(s.zone), Cell: decide.CellID(s.zone), Size: 1, Readiness: s.state, StartedAt: s.since})
+		h.decider.OnEndpoint(decide.Endpoint{
+			ID:        s.id,
+			Zone:      zoneName(s.zone),
+			Cell:      decide.CellID(s.zone),
+			Size:      1,
+			Readiness: s.state,
+			StartedAt: s.since,
+		})
 	}
 	h.decider.EndEndpoints()
 }
@@ -114,7 +138,11 @@
 	h.decider.SetTime(h.now)
 	for i := range connections {
 		at := i % servers
-		h.decider.AdoptFlow(decide.FlowRequest{ID: flowName(i), Customer: decide.NoCustomer, Group: groupName(settledGroup(i, at, servers, groups))}, decide.ServerID(at+1))
+		h.decider.AdoptFlow(decide.FlowRequest{
+			ID:       flowName(i),
+			Customer: decide.NoCustomer,
+			Group:    groupName(settledGroup(i, at, servers, groups)),
+		}, decide.ServerID(at+1))
 	}
 }
 
--- a/internal/testbed/scale/sweep_rechecks.go
+++ b/internal/testbed/scale/sweep_rechecks.go
@@ -82,7 +82,11 @@
 	chance := rand.New(rand.NewPCG(s.Seed, uint64(s.Servers)))
 	for i := range s.Connections {
 		at := decide.ServerID(1 + chance.IntN(s.Servers))
-		h.decider.AdoptFlow(decide.FlowRequest{ID: flowName(i), Customer: decide.NoCustomer, Group: groupName(chance.IntN(s.Groups))}, at)
+		h.decider.AdoptFlow(decide.FlowRequest{
+			ID:       flowName(i),
+			Customer: decide.NoCustomer,
+			Group:    groupName(chance.IntN(s.Groups)),
+		}, at)
 	}
 	h.settle()
 	return h
