--- a/internal/testbed/scale/control_measurements.go
+++ b/internal/testbed/scale/control_measurements.go
@@ -45,3 +45,14 @@
 	}
 	return list
 }
+
+// overSizes measures each size of the settings and returns all series and checks.
+func (b *controlMeasurements) overSizes(progress Progress, measureSize func(size int) error) ([]Series, []Check, error) {
+	for i, size := range b.settings.Sizes {
+		if err := measureSize(size); err != nil {
+			return nil, nil, err
+		}
+		progress(i+1, len(b.settings.Sizes))
+	}
+	return b.all(), b.checks, nil
+}
--- a/internal/testbed/scale/control_members.go
+++ b/internal/testbed/scale/control_members.go
@@ -35,19 +35,15 @@
 // membersSweep measures what one member sends, receives, computes and stores, against the number of members.
 func membersSweep(ctx context.Context, s Settings, progress Progress) ([]Series, []Check, error) {
 	measurements := newControlMeasurements(s, roleMembership)
-	for i, size := range s.Sizes {
+	return measurements.overSizes(progress, func(size int) error {
 		if err := measurements.measureGossip(ctx, size); err != nil {
-			return nil, nil, err
+			return err
 		}
 		if err := measurements.measureEngine(size); err != nil {
-			return nil, nil, err
-		}
-		if err := measurements.measureViews(size); err != nil {
-			return nil, nil, err
+			return err
 		}
-		progress(i+1, len(s.Sizes))
-	}
-	return measurements.all(), measurements.checks, nil
+		return measurements.measureViews(size)
+	})
 }
 
 // measureGossip runs the model with records of few reports and of signals.MaxReports.
--- a/internal/testbed/scale/control_real.go
+++ b/internal/testbed/scale/control_real.go
@@ -239,13 +239,9 @@
 	slog.SetDefault(slog.New(&counter.departures)) // engines log each arrival and departure
 	defer slog.SetDefault(was)
 	measurements := newControlMeasurements(s, roleMembership)
-	for i, size := range s.Sizes {
-		if err := measurements.measureReal(ctx, counter, size, length); err != nil {
-			return nil, nil, err
-		}
-		progress(i+1, len(s.Sizes))
-	}
-	return measurements.all(), measurements.checks, nil
+	return measurements.overSizes(progress, func(size int) error {
+		return measurements.measureReal(ctx, counter, size, length)
+	})
 }
 
 // checkRealMembers rejects more real engines than one process can run.
--- a/internal/testbed/scale/control_sweep_catchup.go
+++ b/internal/testbed/scale/control_sweep_catchup.go
@@ -12,13 +12,9 @@
 // catchUpSweep measures how a region catches up with the changes it missed during a partition.
 func catchUpSweep(ctx context.Context, s Settings, progress Progress) ([]Series, []Check, error) {
 	measurements := newControlMeasurements(s, roleList)
-	for i, size := range s.Sizes {
-		if err := measurements.measureCatchUps(ctx, size); err != nil {
-			return nil, nil, err
-		}
-		progress(i+1, len(s.Sizes))
-	}
-	return measurements.all(), measurements.checks, nil
+	return measurements.overSizes(progress, func(size int) error {
+		return measurements.measureCatchUps(ctx, size)
+	})
 }
 
 // catchUpForm is a form in which missed changes can be published.
--- a/internal/testbed/scale/control_sweep_changes.go
+++ b/internal/testbed/scale/control_sweep_changes.go
@@ -18,15 +18,14 @@
 	if s.Against == byServers {
 		measurements.suffix = "-by-servers"
 	}
-	for i, size := range s.Sizes {
+	return measurements.overSizes(progress, func(size int) error {
 		for _, fullLists := range []bool{false, true} {
 			if err := measurements.measureChanges(ctx, size, fullLists); err != nil {
-				return nil, nil, err
+				return err
 			}
 		}
-		progress(i+1, len(s.Sizes))
-	}
-	return measurements.all(), measurements.checks, nil
+		return nil
+	})
 }
 
 // checkBalancers rejects a fleet that leaves a control machine without balancers.
--- a/internal/testbed/scale/control_sweep_leases.go
+++ b/internal/testbed/scale/control_sweep_leases.go
@@ -33,9 +33,9 @@
 	if s.Against == byServers {
 		measurements.suffix = "-by-servers"
 	}
-	for i, size := range s.Sizes {
+	return measurements.overSizes(progress, func(size int) error {
 		if err := ctx.Err(); err != nil {
-			return nil, nil, err
+			return err
 		}
 		one := s.at(size)
 		measurements.measureScoring(size, one.Balancers, one.Servers)
@@ -43,12 +43,11 @@
 			measurements.measureEvenness(size, one.Balancers, one.Servers)
 			measurements.countHolders(size, one.Balancers)
 			if err := measurements.measurePublishedLoads(size, one.Balancers, one.Servers); err != nil {
-				return nil, nil, err
+				return err
 			}
 		}
-		progress(i+1, len(s.Sizes))
-	}
-	return measurements.all(), measurements.checks, nil
+		return nil
+	})
 }
 
 // settledMembers are so many members that joined long ago.
--- a/internal/testbed/scale/control_sweep_lists.go
+++ b/internal/testbed/scale/control_sweep_lists.go
@@ -16,13 +16,9 @@
 // listsSweep measures a real balancer's handling of a list and its changes, against the servers in it.
 func listsSweep(ctx context.Context, s Settings, progress Progress) ([]Series, []Check, error) {
 	measurements := newControlMeasurements(s, roleList)
-	for i, size := range s.Sizes {
-		if err := measurements.measureList(ctx, size); err != nil {
-			return nil, nil, err
-		}
-		progress(i+1, len(s.Sizes))
-	}
-	return measurements.all(), measurements.checks, nil
+	return measurements.overSizes(progress, func(size int) error {
+		return measurements.measureList(ctx, size)
+	})
 }
 
 // measureList measures one size. A rejected list is a failed check without points.
--- a/internal/testbed/scale/control_sweep_replaced.go
+++ b/internal/testbed/scale/control_sweep_replaced.go
@@ -15,7 +15,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	for i, size := range s.Sizes {
+	return measurements.overSizes(progress, func(size int) error {
 		run := gossipRun{
 			members:         s.Balancers,
 			recordBytes:     recordBytes,
@@ -25,7 +25,7 @@
 		}
 		result, err := simulateGossip(ctx, run)
 		if err != nil {
-			return nil, nil, err
+			return err
 		}
 		join := float64(streamBytes(len(exchangeMessage(s.Balancers))+recordsBytes(s.Balancers, recordBytes))) * run.replaced / float64(s.Balancers)
 		measurements.add(seriesKind{
@@ -48,9 +48,8 @@
 			name: "joiner-bytes-out", unit: unitBytesSecond, origin: Simulated, counted: true,
 			quantity: "sent by a member that has just joined, which passes on every member that it heard of",
 		}, size, result.joinerBytes)
-		progress(i+1, len(s.Sizes))
-	}
-	return measurements.all(), measurements.checks, nil
+		return nil
+	})
 }
 
 // Gossip reduced to a balancer's budget: in groups of a zone or a region, with records of faulty servers only,
@@ -67,7 +66,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	for i, size := range s.Sizes {
+	return measurements.overSizes(progress, func(size int) error {
 		result, err := simulateGossip(ctx, gossipRun{
 			members:          size,
 			recordBytes:      recordBytes,
@@ -76,7 +75,7 @@
 			seed:             s.Seed,
 		})
 		if err != nil {
-			return nil, nil, err
+			return err
 		}
 		exchange := exchangeBytesPerSecond(size, recordsBytes(size, recordBytes))
 		measurements.add(seriesKind{
@@ -87,7 +86,6 @@
 			name: "reach", unit: unitPart, origin: Simulated, counted: true,
 			quantity: "of the others in the group have a record within 5 s of its telling",
 		}, size, result.reachedShare)
-		progress(i+1, len(s.Sizes))
-	}
-	return measurements.all(), measurements.checks, nil
+		return nil
+	})
 }
--- a/internal/testbed/scale/control_sweep_signals.go
+++ b/internal/testbed/scale/control_sweep_signals.go
@@ -28,20 +28,16 @@
 	if s.Against == byFaulty {
 		measurements.suffix = "-by-troubled"
 	}
-	for i, size := range s.Sizes {
+	return measurements.overSizes(progress, func(size int) error {
 		if err := ctx.Err(); err != nil {
-			return nil, nil, err
+			return err
 		}
 		members, faulty := size, defaultFaulty
 		if s.Against == byFaulty {
 			members, faulty = s.Balancers, size
 		}
-		if err := measurements.signals(size, members, faulty); err != nil {
-			return nil, nil, err
-		}
-		progress(i+1, len(s.Sizes))
-	}
-	return measurements.all(), measurements.checks, nil
+		return measurements.signals(size, members, faulty)
+	})
 }
 
 // checkFaultyServers rejects more faulty servers than there are servers.
--- a/internal/testbed/scale/page.go
+++ b/internal/testbed/scale/page.go
@@ -3,9 +3,7 @@
 import (
 	"bytes"
 	_ "embed"
-	"errors"
 	"fmt"
-	"os"
 	"path/filepath"
 	"text/template"
 )
@@ -44,7 +42,10 @@
 	if err != nil {
 		return err
 	}
-	return replaceFile(file, text)
+	if err := replaceFile(file, text); err != nil {
+		return &Error{Where: file, What: "the page can't be written", Remedy: "name a file that can be written with --out", Err: err}
+	}
+	return nil
 }
 
 func (p *page) render(text string) ([]byte, error) {
@@ -127,29 +128,3 @@
 	"cut":                calculated(partitionSeconds, inSeconds),
 	"change limit":       calculated(changeSeconds, inSeconds),
 }
-
-// replaceFile replaces a file atomically.
-func replaceFile(file string, text []byte) error {
-	fail := func(err error) error {
-		return &Error{
-			Where:  file,
-			What:   "the page can't be written",
-			Remedy: "name a file that can be written with --out",
-			Err:    err,
-		}
-	}
-	temporary, err := os.CreateTemp(filepath.Dir(file), ".page-*")
-	if err != nil {
-		return fail(err)
-	}
-	defer func() { _ = os.Remove(temporary.Name()) }() // a renamed file is no longer there
-	_, err = temporary.Write(text)
-	err = errors.Join(err, temporary.Chmod(fileMode), temporary.Sync(), temporary.Close())
-	if err != nil {
-		return fail(err)
-	}
-	if err := os.Rename(temporary.Name(), file); err != nil {
-		return fail(err)
-	}
-	return nil
-}
--- a/internal/testbed/scale/real_stubs.go
+++ b/internal/testbed/scale/real_stubs.go
@@ -26,6 +26,7 @@
 type stubDiscovery struct {
 	listener  net.Listener
 	server    *http.Server
+	running   sync.WaitGroup
 	addresses []string
 	zones     int
 
@@ -47,7 +48,7 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /discovery/hosts", l.serveHosts)
 	l.server = &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second}
-	go func() { _ = l.server.Serve(listener) }() // it returns when close closes the server
+	l.running.Go(func() { _ = l.server.Serve(listener) }) // it returns when close closes the server
 	return l, nil
 }
 
@@ -163,7 +164,10 @@
 	}
 }
 
-func (l *stubDiscovery) close() { _ = l.server.Close() }
+func (l *stubDiscovery) close() {
+	_ = l.server.Close() // nobody reads any more
+	l.running.Wait()
+}
 
 // stubServers answer for all listed servers on a few shared addresses.
 type stubServers struct {
--- a/internal/testbed/scale/report.go
+++ b/internal/testbed/scale/report.go
@@ -32,21 +32,26 @@
 	if err := os.MkdirAll(folder, directoryMode); err != nil {
 		return fail(err)
 	}
-	temporary, err := os.CreateTemp(folder, ".report-*")
-	if err != nil {
+	file = filepath.Join(folder, r.Experiment+".json")
+	if err := replaceFile(file, append(text, '\n')); err != nil {
 		return fail(err)
 	}
+	return file, nil
+}
+
+// replaceFile replaces a file atomically, by a temporary file in the same directory.
+func replaceFile(file string, text []byte) error {
+	temporary, err := os.CreateTemp(filepath.Dir(file), ".new-*")
+	if err != nil {
+		return err
+	}
 	defer func() { _ = os.Remove(temporary.Name()) }() // a renamed file is no longer there
-	_, err = temporary.Write(append(text, '\n'))
+	_, err = temporary.Write(text)
 	err = errors.Join(err, temporary.Chmod(fileMode), temporary.Sync(), temporary.Close())
 	if err != nil {
-		return fail(err)
-	}
-	file = filepath.Join(folder, r.Experiment+".json")
-	if err := os.Rename(temporary.Name(), file); err != nil {
-		return fail(err)
+		return err
 	}
-	return file, nil
+	return os.Rename(temporary.Name(), file)
 }
 
 // ReadReport reads a report file. Its error is an *Error that names file and line.
--- a/internal/testbed/scale/series.go
+++ b/internal/testbed/scale/series.go
@@ -65,3 +65,20 @@
 func (s *Series) addPoint(size int, value float64) {
 	s.Points = append(s.Points, Point{Size: float64(size), Value: value})
 }
+
+// seriesSet is several series over the same sizes.
+type seriesSet []*Series
+
+// add appends a point to each series, with its value in the order of the set.
+func (set seriesSet) add(size int, values ...float64) {
+	for i, value := range values {
+		set[i].addPoint(size, value)
+	}
+}
+
+func (set seriesSet) all() (list []Series) {
+	for _, series := range set {
+		list = append(list, *series)
+	}
+	return list
+}
--- a/internal/testbed/scale/sweep_faults.go
+++ b/internal/testbed/scale/sweep_faults.go
@@ -27,19 +27,17 @@
 	var all []Series
 	var checks []Check
 	for i, one := range faults {
-		points := seriesOfFault(s, one.name)
+		set := newFaultSeries(s, one.name)
 		for j, size := range s.Sizes {
 			o, err := one.run(ctx, s.at(size), s.Seed)
 			if err != nil {
 				return nil, nil, err
 			}
-			points.addPoints(size, o)
+			set.add(size, o.values()...)
 			checks = append(checks, o.check(one.name, size))
 			progress(i*len(s.Sizes)+j+1, len(faults)*len(s.Sizes))
 		}
-		for _, series := range points {
-			all = append(all, *series)
-		}
+		all = append(all, set.all()...)
 	}
 	return all, checks, nil
 }
@@ -84,12 +82,10 @@
 	return c
 }
 
-// faultSeries are the series of one fault.
-type faultSeries []*Series
-
-func seriesOfFault(s Settings, name string) faultSeries {
+// newFaultSeries makes the series of one fault, in the order of an outcome's values.
+func newFaultSeries(s Settings, name string) seriesSet {
 	newSeries := seriesFactory(s, "faults."+name, roleControl)
-	return faultSeries{
+	return seriesSet{
 		newSeries(seriesKind{name: "cut", quantity: "clients cut off", unit: "clients", origin: Simulated, counted: true}),
 		newSeries(seriesKind{name: "moved", quantity: "connections asked to move", unit: "connections", origin: Simulated, counted: true}),
 		newSeries(seriesKind{name: "turned-away", quantity: "flows rejected or aborted", unit: "flows", origin: Simulated, counted: true}),
@@ -116,8 +112,8 @@
 	}
 }
 
-func (f faultSeries) addPoints(size int, o faultOutcome) {
-	for i, value := range []float64{
+func (o faultOutcome) values() []float64 {
+	return []float64{
 		float64(o.figures.disconnected),
 		float64(o.figures.migrated),
 		float64(o.figures.rejected + o.figures.aborted),
@@ -126,7 +122,5 @@
 		float64(o.figures.busiestConnects()),
 		float64(o.unserved),
 		o.processor.Seconds(),
-	} {
-		f[i].addPoint(size, value)
 	}
 }
--- a/internal/testbed/scale/sweep_zone.go
+++ b/internal/testbed/scale/sweep_zone.go
@@ -14,42 +14,49 @@
 
 const lostZoneLength = 90 * time.Second
 
+// newLostZoneSeries makes the sweep's series, in the order of its values.
+func newLostZoneSeries(s Settings) seriesSet {
+	newSeries := seriesFactory(s, "lost-zone", roleControl)
+	return seriesSet{
+		newSeries(seriesKind{
+			name: "clients", unit: "clients", origin: Simulated, counted: true,
+			quantity: "clients cut off, by each balancer that is left",
+		}),
+		newSeries(seriesKind{
+			name: "half-back", unit: "s", origin: Simulated, counted: true,
+			quantity: "from the loss until half of the clients that were cut stood again",
+		}),
+		newSeries(seriesKind{
+			name: "most-back", unit: "s", origin: Simulated, counted: true,
+			quantity: "from the loss until 99 in 100 of them did",
+		}),
+		newSeries(seriesKind{
+			name: "turned-away", unit: "tries", origin: Simulated, counted: true,
+			quantity: "tries that were rejected or aborted, by each client that was cut",
+		}),
+		newSeries(seriesKind{
+			name: "slowest-setup", unit: "s", origin: Simulated, counted: true,
+			quantity: "the longest set-up of all that came to stand",
+		}),
+		newSeries(seriesKind{
+			name: "busiest", unit: "connects", origin: Simulated, counted: true,
+			quantity: "connects that the busiest balancer sent in one second",
+		}),
+		newSeries(seriesKind{
+			name: "processor-share", unit: "cores", origin: Simulated,
+			quantity: "of a core in the busiest second, by each balancer, with the model round it: at most that",
+		}),
+		newSeries(seriesKind{
+			name: "unserved", unit: "clients", origin: Simulated, counted: true,
+			quantity: "clients without a connection at the end",
+		}),
+	}
+}
+
 // lostZoneSweep loses a zone for good and measures when its clients are established again. Its balancers are
 // configured for the largest fleet, so that as many set-ups are in flight as there.
 func lostZoneSweep(ctx context.Context, s Settings, progress Progress) ([]Series, []Check, error) {
-	newSeries := seriesFactory(s, "lost-zone", roleControl)
-	returning := newSeries(seriesKind{
-		name: "clients", unit: "clients", origin: Simulated, counted: true,
-		quantity: "clients cut off, by each balancer that is left",
-	})
-	half := newSeries(seriesKind{
-		name: "half-back", unit: "s", origin: Simulated, counted: true,
-		quantity: "from the loss until half of the clients that were cut stood again",
-	})
-	most := newSeries(seriesKind{
-		name: "most-back", unit: "s", origin: Simulated, counted: true,
-		quantity: "from the loss until 99 in 100 of them did",
-	})
-	rejections := newSeries(seriesKind{
-		name: "turned-away", unit: "tries", origin: Simulated, counted: true,
-		quantity: "tries that were rejected or aborted, by each client that was cut",
-	})
-	slowest := newSeries(seriesKind{
-		name: "slowest-setup", unit: "s", origin: Simulated, counted: true,
-		quantity: "the longest set-up of all that came to stand",
-	})
-	busiest := newSeries(seriesKind{
-		name: "busiest", unit: "connects", origin: Simulated, counted: true,
-		quantity: "connects that the busiest balancer sent in one second",
-	})
-	processor := newSeries(seriesKind{
-		name: "processor-share", unit: "cores", origin: Simulated,
-		quantity: "of a core in the busiest second, by each balancer, with the model round it: at most that",
-	})
-	unserved := newSeries(seriesKind{
-		name: "unserved", unit: "clients", origin: Simulated, counted: true,
-		quantity: "clients without a connection at the end",
-	})
+	set := newLostZoneSeries(s)
 	var checks []Check
 	for i, size := range s.Sizes {
 		f, broken, err := simulateZoneLoss(ctx, s.at(size))
@@ -63,18 +70,20 @@
 				left++
 			}
 		}
-		returning.addPoint(size, float64(figures.disconnected)/float64(left))
-		half.addPoint(size, figures.recoveryQuantile(0.5).Seconds())
-		most.addPoint(size, figures.recoveryQuantile(0.99).Seconds())
-		rejections.addPoint(size, float64(figures.rejected+figures.aborted)/float64(max(figures.disconnected, 1)))
-		slowest.addPoint(size, figures.slowestSetup.Seconds())
-		busiest.addPoint(size, float64(figures.busiestConnects()))
-		processor.addPoint(size, f.busiestSecond.Seconds()/float64(left))
-		unserved.addPoint(size, float64(f.unservedClients()))
+		set.add(size,
+			float64(figures.disconnected)/float64(left),
+			figures.recoveryQuantile(0.5).Seconds(),
+			figures.recoveryQuantile(0.99).Seconds(),
+			float64(figures.rejected+figures.aborted)/float64(max(figures.disconnected, 1)),
+			figures.slowestSetup.Seconds(),
+			float64(figures.busiestConnects()),
+			f.busiestSecond.Seconds()/float64(left),
+			float64(f.unservedClients()),
+		)
 		checks = append(checks, faultOutcome{judgedFlows: f.checker.Judged, violations: broken}.check("lost zone", size))
 		progress(i+1, len(s.Sizes))
 	}
-	return []Series{*returning, *half, *most, *rejections, *slowest, *busiest, *processor, *unserved}, checks, nil
+	return set.all(), checks, nil
 }
 
 // simulateZoneLoss runs the loss of a zone.
