--- a/internal/testbed/scale/control_members.go
+++ b/internal/testbed/scale/control_members.go
@@ -126,11 +126,7 @@
 		return err
 	}
 	known := engine.list.NumMembers()
-	b.checks = append(b.checks, Check{
-		Name:   fmt.Sprintf("the engine knows %d members after one exchange", size),
-		Held:   known == size,
-		Detail: fmt.Sprintf("%d are known", known),
-	})
+	b.check(fmt.Sprintf("the engine knows %d members after one exchange", size), known == size, fmt.Sprintf("%d are known", known))
 	used := measure(measurementRounds, 1, func() { _, _ = engine.exchange(message) })
 	b.add(seriesKind{
 		name: "engine-memory", unit: unitBytes, origin: Measured,
--- a/internal/testbed/scale/control_sweep_changes.go
+++ b/internal/testbed/scale/control_sweep_changes.go
@@ -37,8 +37,8 @@
 }
 
 // pushPlanOf is the plan of one control machine for a number of changes in a day.
-func pushPlanOf(s Settings, changesADay int, fullLists bool) pushPlan {
-	rate := float64(changesADay) / secondsPerDay
+func pushPlanOf(s Settings, changesPerDay int, fullLists bool) pushPlan {
+	rate := float64(changesPerDay) / secondsPerDay
 	length := time.Duration(maxSimulatedChanges / rate * float64(time.Second))
 	return pushPlan{servers: s.Servers, balancers: s.Balancers / controlMachines, fullLists: fullLists, rate: rate,
 		duration: min(max(length, minPushDuration), maxPushDuration), seed: s.Seed}
--- a/internal/testbed/scale/control_sweep_signals.go
+++ b/internal/testbed/scale/control_sweep_signals.go
@@ -36,7 +36,7 @@
 		if s.Against == byFaulty {
 			members, faulty = s.Balancers, size
 		}
-		return measurements.signals(size, members, faulty)
+		return measurements.measureSignals(size, members, faulty)
 	})
 }
 
@@ -81,7 +81,7 @@
 	return records
 }
 
-func (b *controlMeasurements) signals(size, members, faulty int) error {
+func (b *controlMeasurements) measureSignals(size, members, faulty int) error {
 	servers := b.settings.Servers
 	records := publishedRecords(b.settings.Seed, members, servers, faulty)
 	text, err := signals.Encode(records[0])
--- a/internal/testbed/scale/control_test.go
+++ b/internal/testbed/scale/control_test.go
@@ -188,7 +188,7 @@
 func TestSignalCostIsIndependentOfFleetSize(t *testing.T) {
 	at := func(members int) map[string]*Series {
 		measurements := newControlMeasurements(Settings{Sweep: "signals", Against: byBalancers, Servers: 300, Seed: 1}, roleSignals)
-		if err := measurements.signals(members, members, 2); err != nil {
+		if err := measurements.measureSignals(members, members, 2); err != nil {
 			t.Fatal(err)
 		}
 		return measurements.series
--- a/internal/testbed/scale/page.go
+++ b/internal/testbed/scale/page.go
@@ -19,12 +19,12 @@
 }
 
 // Page generates docs/CAPACITY.md from a directory of reports. The same reports give the same bytes.
-func Page(folder string) ([]byte, error) {
-	after, err := readResults(folder)
+func Page(directory string) ([]byte, error) {
+	after, err := readResults(directory)
 	if err != nil {
 		return nil, err
 	}
-	before, err := readResults(filepath.Join(folder, baselineDirectory))
+	before, err := readResults(filepath.Join(directory, baselineDirectory))
 	if err != nil {
 		return nil, err
 	}
@@ -37,8 +37,8 @@
 }
 
 // WritePage generates docs/CAPACITY.md and writes it atomically to file.
-func WritePage(folder, file string) error {
-	text, err := Page(folder)
+func WritePage(directory, file string) error {
+	text, err := Page(directory)
 	if err != nil {
 		return err
 	}
--- a/internal/testbed/scale/page_catalog.go
+++ b/internal/testbed/scale/page_catalog.go
@@ -133,7 +133,7 @@
 	found, old := p.findSeries(name)
 	if found == nil {
 		if !optionalSeries[name] {
-			p.fail(&Error{Where: p.current.folder + ": series " + string(name), What: "is missing",
+			p.fail(&Error{Where: p.current.directory + ": series " + string(name), What: "is missing",
 				Remedy: "run the experiment that gives it; testbed scale list names them"})
 		}
 		return unmeasured(string(name))
--- a/internal/testbed/scale/page_read.go
+++ b/internal/testbed/scale/page_read.go
@@ -23,9 +23,9 @@
 
 // reportSet holds the reports of a directory, and all their series by name.
 type reportSet struct {
-	folder  string
-	series  map[string]*reportedSeries
-	reports []reportRun
+	directory string
+	series    map[string]*reportedSeries
+	reports   []reportRun
 }
 
 // reportRun is the run of one report, with its checks.
@@ -37,13 +37,13 @@
 }
 
 // readResults reads each report of a directory, not of its subdirectories.
-func readResults(folder string) (*reportSet, error) {
-	files, err := filepath.Glob(filepath.Join(folder, "*.json"))
+func readResults(directory string) (*reportSet, error) {
+	files, err := filepath.Glob(filepath.Join(directory, "*.json"))
 	if err != nil {
-		return nil, &Error{Where: folder, What: "can't be searched", Remedy: "name a folder of reports", Err: err}
+		return nil, &Error{Where: directory, What: "can't be searched", Remedy: "name a folder of reports", Err: err}
 	}
 	slices.Sort(files)
-	all := &reportSet{folder: folder, series: map[string]*reportedSeries{}}
+	all := &reportSet{directory: directory, series: map[string]*reportedSeries{}}
 	for _, file := range files {
 		report, err := ReadReport(file)
 		if err != nil {
--- a/internal/testbed/scale/page_tables_test.go
+++ b/internal/testbed/scale/page_tables_test.go
@@ -9,7 +9,7 @@
 func pageOf(t *testing.T, before, after []Series, checks ...Check) *page {
 	t.Helper()
 	read := func(file string, series []Series) *reportSet {
-		all := &reportSet{folder: "results", series: map[string]*reportedSeries{}}
+		all := &reportSet{directory: "results", series: map[string]*reportedSeries{}}
 		if err := all.addReport(file, &Report{Experiment: strings.TrimSuffix(file, ".json"), Series: series, Checks: checks}); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/testbed/scale/page_test.go
+++ b/internal/testbed/scale/page_test.go
@@ -13,17 +13,17 @@
 )
 
 const (
-	reportsFolder = "../../../experiments/scale/results"
-	writtenPage   = "../../../docs/CAPACITY.md"
+	reportsDirectory = "../../../experiments/scale/results"
+	committedPage    = "../../../docs/CAPACITY.md"
 )
 
 // The document matches the reports, byte for byte.
 func TestPageAgreesWithTheReports(t *testing.T) {
-	want, err := Page(reportsFolder)
+	want, err := Page(reportsDirectory)
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, err := os.ReadFile(writtenPage)
+	got, err := os.ReadFile(committedPage)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -43,23 +43,23 @@
 }
 
 // shippedReports is a copy of the reports that the document is generated from.
-func shippedReports(t *testing.T) (folder string) {
+func shippedReports(t *testing.T) (directory string) {
 	t.Helper()
-	folder = t.TempDir()
-	if err := os.CopyFS(folder, os.DirFS(reportsFolder)); err != nil {
+	directory = t.TempDir()
+	if err := os.CopyFS(directory, os.DirFS(reportsDirectory)); err != nil {
 		t.Fatal(err)
 	}
-	return folder
+	return directory
 }
 
 func TestPageIsDeterministic(t *testing.T) {
-	folder := shippedReports(t)
-	first, err := Page(folder)
+	directory := shippedReports(t)
+	first, err := Page(directory)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for range 5 {
-		second, err := Page(folder)
+		second, err := Page(directory)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -71,18 +71,18 @@
 
 // A changed figure changes the document, which shows that the test above can fail.
 func TestPageDependsOnItsReports(t *testing.T) {
-	folder := shippedReports(t)
-	report, err := ReadReport(filepath.Join(folder, "placement-servers.json"))
+	directory := shippedReports(t)
+	report, err := ReadReport(filepath.Join(directory, "placement-servers.json"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	first, err := Page(folder)
+	first, err := Page(directory)
 	if err != nil {
 		t.Fatal(err)
 	}
 	report.Series[0].Points[0].Value *= 1.5
-	writeReport(t, folder, report)
-	second, err := Page(folder)
+	writeReport(t, directory, report)
+	second, err := Page(directory)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -106,13 +106,13 @@
 	}
 }
 
-func writeReport(t *testing.T, folder string, r *Report) {
+func writeReport(t *testing.T, directory string, r *Report) {
 	t.Helper()
 	text, err := json.Marshal(r)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(filepath.Join(folder, r.Experiment+".json"), text, 0o644); err != nil {
+	if err := os.WriteFile(filepath.Join(directory, r.Experiment+".json"), text, 0o644); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -138,11 +138,11 @@
 		{"text after it", "bad.json", append(bytes.Clone(complete), '{')},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			folder := t.TempDir()
-			if err := os.WriteFile(filepath.Join(folder, "bad.json"), c.text, 0o644); err != nil {
+			directory := t.TempDir()
+			if err := os.WriteFile(filepath.Join(directory, "bad.json"), c.text, 0o644); err != nil {
 				t.Fatal(err)
 			}
-			checkRejected(t, folder, "bad.json", c.key)
+			checkRejected(t, directory, "bad.json", c.key)
 		})
 	}
 }
@@ -157,13 +157,13 @@
 }
 
 // checkRejected wants one *Error that names file and key, and nothing written.
-func checkRejected(t *testing.T, folder, file, key string) {
+func checkRejected(t *testing.T, directory, file, key string) {
 	t.Helper()
 	out := filepath.Join(t.TempDir(), "CAPACITY.md")
 	if err := os.WriteFile(out, []byte("as it was"), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	err := WritePage(folder, out)
+	err := WritePage(directory, out)
 	var bad *Error
 	if !errors.As(err, &bad) {
 		t.Fatalf("got %v, want an *Error", err)
@@ -184,29 +184,29 @@
 }
 
 func TestSeriesInTwoReports(t *testing.T) {
-	folder := t.TempDir()
+	directory := t.TempDir()
 	report := sampleReport()
-	writeReport(t, folder, report)
+	writeReport(t, directory, report)
 	report.Experiment = "twice"
-	writeReport(t, folder, report)
-	checkRejected(t, folder, "twice.json", string(placementTime))
+	writeReport(t, directory, report)
+	checkRejected(t, directory, "twice.json", string(placementTime))
 }
 
 func TestInvalidBaselineReport(t *testing.T) {
-	folder := t.TempDir()
-	writeReport(t, folder, sampleReport())
-	if err := os.Mkdir(filepath.Join(folder, baselineDirectory), 0o755); err != nil {
+	directory := t.TempDir()
+	writeReport(t, directory, sampleReport())
+	if err := os.Mkdir(filepath.Join(directory, baselineDirectory), 0o755); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(filepath.Join(folder, baselineDirectory, "old.json"), []byte(`{"format":1,`), 0o644); err != nil {
+	if err := os.WriteFile(filepath.Join(directory, baselineDirectory, "old.json"), []byte(`{"format":1,`), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	checkRejected(t, folder, "old.json", baselineDirectory)
+	checkRejected(t, directory, "old.json", baselineDirectory)
 }
 
 // A missing required series is an error; a missing optional one makes its figures "not measured".
 func TestMissingSeries(t *testing.T) {
-	absent := &reportSet{folder: "results", series: map[string]*reportedSeries{}}
+	absent := &reportSet{directory: "results", series: map[string]*reportedSeries{}}
 	p := &page{current: absent, baseline: absent}
 	if got := p.valueAt(startMaxLatency, 5); got.String() != notMeasured || got.Origin() != notMeasured || p.err != nil {
 		t.Errorf("awaited: %v, %v, %v", got, got.Origin(), p.err)
@@ -224,20 +224,20 @@
 
 // A missing report is named by a series that only it has.
 func TestMissingReport(t *testing.T) {
-	folder := shippedReports(t)
-	if err := os.Remove(filepath.Join(folder, "placement-servers.json")); err != nil {
+	directory := shippedReports(t)
+	if err := os.Remove(filepath.Join(directory, "placement-servers.json")); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.RemoveAll(filepath.Join(folder, baselineDirectory)); err != nil {
+	if err := os.RemoveAll(filepath.Join(directory, baselineDirectory)); err != nil {
 		t.Fatal(err)
 	}
-	checkRejected(t, folder, folder, string(placementTime))
+	checkRejected(t, directory, directory, string(placementTime))
 }
 
 func TestUnwritablePage(t *testing.T) {
-	folder := shippedReports(t)
+	directory := shippedReports(t)
 	var bad *Error
-	if err := WritePage(folder, filepath.Join(folder, "absent", "CAPACITY.md")); !errors.As(err, &bad) {
+	if err := WritePage(directory, filepath.Join(directory, "absent", "CAPACITY.md")); !errors.As(err, &bad) {
 		t.Errorf("got %v", err)
 	}
 }
@@ -255,13 +255,13 @@
 		{"../../../decide", "checksPerConnect", probesPerFlow},
 	} {
 		pattern := regexp.MustCompile(`(?m)^\s*` + c.name + `\s*=\s*([0-9._]+)`)
-		if got := termOf(t, c.folder, pattern); got != c.want {
+		if got := constantIn(t, c.folder, pattern); got != c.want {
 			t.Errorf("%s: %v in the code, %v on the page", c.name, got, c.want)
 		}
 	}
 }
 
-func termOf(t *testing.T, folder string, pattern *regexp.Regexp) float64 {
+func constantIn(t *testing.T, folder string, pattern *regexp.Regexp) float64 {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join(folder, "*.go"))
 	if err != nil {
--- a/internal/testbed/scale/real_held.go
+++ b/internal/testbed/scale/real_held.go
@@ -11,7 +11,9 @@
 	realDeliveryRate      = 6_050 // per second, at each balancer of the largest fleet
 	deliveryLength        = 200   // bytes, with the line's end
 	realPlacementCount    = 400
-	backgroundConnections = 200 // held while connections are placed
+	maxLinePolls          = 1000        // at realPollInterval, until all lines arrived
+	connectionEndTime     = time.Second // in which the last connections end
+	backgroundConnections = 200         // held while connections are placed
 )
 
 // atEachSize starts a process and makes it hold more and more connections; measureSize is called at each size once the
@@ -97,39 +99,43 @@
 	return set.list, checks, err
 }
 
+// lineCost is the processor time of one line delivered to a client.
 func (p *realProcess) lineCost(ctx context.Context, c *stubClients, s realSettings, line []byte) (time.Duration, error) {
 	idleShare, err := p.processorShare(ctx, s.period/2)
 	if err != nil {
 		return 0, err
 	}
-	before, err := p.processorTime()
-	if err != nil {
-		return 0, err
-	}
-	start, had := time.Now(), c.linesReceived.Load()
-	within, cancel := context.WithTimeout(ctx, s.period)
-	sent, err := p.servers.deliver(within, s.Rate, line)
-	cancel()
+	sent := 0
+	used, err := p.processorBeyondIdle(idleShare, func() (err error) {
+		receivedBefore := c.linesReceived.Load()
+		within, cancel := context.WithTimeout(ctx, s.period)
+		sent, err = p.servers.deliver(within, s.Rate, line)
+		cancel()
+		if err != nil {
+			return err
+		}
+		return c.awaitLines(ctx, receivedBefore, sent)
+	})
 	if err != nil {
 		return 0, err
 	}
-	for wait := 0; c.linesReceived.Load()-had < int64(sent); wait++ {
-		if wait > 1000 {
-			return 0, &ProcessError{
-				What:   fmt.Sprintf("%d of %d lines came", c.linesReceived.Load()-had, sent),
+	return used / time.Duration(max(sent, 1)), nil
+}
+
+// awaitLines waits until clients received all sent lines since there were receivedBefore.
+func (c *stubClients) awaitLines(ctx context.Context, receivedBefore int64, sent int) error {
+	for polls := 0; c.linesReceived.Load()-receivedBefore < int64(sent); polls++ {
+		if polls > maxLinePolls {
+			return &ProcessError{
+				What:   fmt.Sprintf("%d of %d lines came", c.linesReceived.Load()-receivedBefore, sent),
 				Remedy: "run fewer things at once",
 			}
 		}
 		if err := pause(ctx, realPollInterval); err != nil {
-			return 0, err
+			return err
 		}
 	}
-	after, err := p.processorTime()
-	if err != nil {
-		return 0, err
-	}
-	used := after - before - time.Duration(idleShare*float64(time.Since(start)))
-	return used / time.Duration(max(sent, 1)), nil
+	return nil
 }
 
 // realPlacements measures one connection from its arrival to its end, sockets included, against the servers on the
@@ -173,22 +179,15 @@
 	if err != nil {
 		return 0, err
 	}
-	before, err := p.processorTime()
-	if err != nil {
-		return 0, err
-	}
-	start := time.Now()
-	arrivals := &stubClients{address: p.listen, groups: s.Groups}
-	arrivals.nextID.Store(maxRealConnections) // unique ids
-	err = arrivals.openUpTo(ctx, realPlacementCount)
-	arrivals.close()
-	if err != nil {
-		return 0, err
-	}
-	if err := pause(ctx, time.Second); err != nil { // in which the last connections end
-		return 0, err
-	}
-	after, err := p.processorTime()
-	used := after - before - time.Duration(idleShare*float64(time.Since(start)))
+	used, err := p.processorBeyondIdle(idleShare, func() error {
+		arrivals := &stubClients{address: p.listen, groups: s.Groups}
+		arrivals.nextID.Store(maxRealConnections) // unique ids
+		err := arrivals.openUpTo(ctx, realPlacementCount)
+		arrivals.close()
+		if err != nil {
+			return err
+		}
+		return pause(ctx, connectionEndTime)
+	})
 	return used / realPlacementCount, err
 }
--- a/internal/testbed/scale/real_lists.go
+++ b/internal/testbed/scale/real_lists.go
@@ -147,25 +147,16 @@
 
 // processorCost is the processor time of one of n events published at an interval, beyond an idle process's use.
 func (p *realProcess) processorCost(ctx context.Context, idleShare float64, n int, every time.Duration, event func(i int)) (time.Duration, error) {
-	before, err := p.processorTime()
-	if err != nil {
-		return 0, err
-	}
-	start := time.Now()
-	for i := range n {
-		event(i)
-		if err := pause(ctx, every); err != nil {
-			return 0, err
+	used, err := p.processorBeyondIdle(idleShare, func() error {
+		for i := range n {
+			event(i)
+			if err := pause(ctx, every); err != nil {
+				return err
+			}
 		}
-	}
-	if err := pause(ctx, every); err != nil { // in which the last event is handled
-		return 0, err
-	}
-	after, err := p.processorTime()
-	if err != nil {
-		return 0, err
-	}
-	return (after - before - time.Duration(idleShare*float64(time.Since(start)))) / time.Duration(n), nil
+		return pause(ctx, every) // in which the last event is handled
+	})
+	return used / time.Duration(n), err
 }
 
 // propagationTime is the median and the longest time until updates are in force. publish returns a server that the
--- a/internal/testbed/scale/real_process.go
+++ b/internal/testbed/scale/real_process.go
@@ -240,6 +240,23 @@
 	return float64(after-before) / float64(time.Since(start)), err
 }
 
+// processorBeyondIdle is the processor time of the process during work, beyond an idle process's share of a core.
+func (p *realProcess) processorBeyondIdle(idleShare float64, work func() error) (time.Duration, error) {
+	before, err := p.processorTime()
+	if err != nil {
+		return 0, err
+	}
+	start := time.Now()
+	if err := work(); err != nil {
+		return 0, err
+	}
+	after, err := p.processorTime()
+	if err != nil {
+		return 0, err
+	}
+	return after - before - time.Duration(idleShare*float64(time.Since(start))), nil
+}
+
 // realMemory is the memory of the process in bytes.
 type realMemory struct {
 	private  float64 // in anonymous pages: heap, stacks and the runtime's own
--- a/internal/testbed/scale/report.go
+++ b/internal/testbed/scale/report.go
@@ -16,10 +16,10 @@
 )
 
 // Write writes a report atomically to NAME.json in a directory, and returns the file.
-func Write(folder string, r *Report) (file string, err error) {
+func Write(directory string, r *Report) (file string, err error) {
 	fail := func(err error) (string, error) {
 		return "", &Error{
-			Where:  folder,
+			Where:  directory,
 			What:   "the report can't be written",
 			Remedy: "name a folder that can be written to with --out",
 			Err:    err,
@@ -29,10 +29,10 @@
 	if err != nil {
 		return fail(err)
 	}
-	if err := os.MkdirAll(folder, directoryMode); err != nil {
+	if err := os.MkdirAll(directory, directoryMode); err != nil {
 		return fail(err)
 	}
-	file = filepath.Join(folder, r.Experiment+".json")
+	file = filepath.Join(directory, r.Experiment+".json")
 	if err := replaceFile(file, append(text, '\n')); err != nil {
 		return fail(err)
 	}
--- a/internal/testbed/scale/report_test.go
+++ b/internal/testbed/scale/report_test.go
@@ -15,8 +15,8 @@
 }
 
 func TestReportRoundTrip(t *testing.T) {
-	folder := filepath.Join(t.TempDir(), "new", "folder")
-	file, err := Write(folder, sampleRunReport())
+	directory := filepath.Join(t.TempDir(), "new", "folder")
+	file, err := Write(directory, sampleRunReport())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -24,30 +24,30 @@
 	if err != nil || !reflect.DeepEqual(read, sampleRunReport()) {
 		t.Errorf("read %+v, error %v", read, err)
 	}
-	if files, _ := os.ReadDir(folder); len(files) != 1 {
+	if files, _ := os.ReadDir(directory); len(files) != 1 {
 		t.Errorf("%d files in the folder, want the report alone", len(files))
 	}
 }
 
 // A failed write leaves the existing report unchanged, and no other file.
 func TestReportIsWrittenAtomically(t *testing.T) {
-	folder := t.TempDir()
-	file, err := Write(folder, sampleRunReport())
+	directory := t.TempDir()
+	file, err := Write(directory, sampleRunReport())
 	if err != nil {
 		t.Fatal(err)
 	}
 	before, _ := os.ReadFile(file)
 	bad := sampleRunReport()
 	bad.Series[0].Points[0].Value = nan()
-	if _, err := Write(folder, bad); err == nil {
+	if _, err := Write(directory, bad); err == nil {
 		t.Error("a report with no number was written")
 	}
-	taken := sampleRunReport()
-	taken.Experiment = "taken"
-	if err := os.Mkdir(filepath.Join(folder, "taken.json"), 0o755); err != nil {
+	blocked := sampleRunReport()
+	blocked.Experiment = "taken"
+	if err := os.Mkdir(filepath.Join(directory, "taken.json"), 0o755); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Write(folder, taken); err == nil {
+	if _, err := Write(directory, blocked); err == nil {
 		t.Error("a report was written over a folder")
 	}
 	var typed *Error
@@ -57,7 +57,7 @@
 	if after, _ := os.ReadFile(file); string(after) != string(before) {
 		t.Error("the report before was changed")
 	}
-	if files, _ := os.ReadDir(folder); len(files) != 2 {
+	if files, _ := os.ReadDir(directory); len(files) != 2 {
 		t.Errorf("%d files in the folder, want the report and the folder alone", len(files))
 	}
 }
