--- a/internal/testbed/scale/control_measurements.go
+++ b/internal/testbed/scale/control_measurements.go
@@ -16,43 +16,43 @@
 }
 
 // add appends a point to a series, which the first point creates.
-func (b *controlMeasurements) add(kind seriesKind, size int, value float64) {
-	series := b.series[kind.name]
+func (m *controlMeasurements) add(kind seriesKind, size int, value float64) {
+	series := m.series[kind.name]
 	if series == nil {
 		series = &Series{
-			Name:     b.settings.Sweep + "." + kind.name + b.suffix,
-			Role:     b.role,
+			Name:     m.settings.Sweep + "." + kind.name + m.suffix,
+			Role:     m.role,
 			Quantity: kind.quantity,
 			Unit:     kind.unit,
-			Against:  b.settings.Against,
+			Against:  m.settings.Against,
 			Origin:   kind.origin,
 			Counted:  kind.counted,
-			Held:     b.settings.held(),
+			Held:     m.settings.held(),
 		}
-		b.series[kind.name] = series
-		b.names = append(b.names, kind.name)
+		m.series[kind.name] = series
+		m.names = append(m.names, kind.name)
 	}
 	series.addPoint(size, value)
 }
 
-func (b *controlMeasurements) check(name string, held bool, detail string) {
-	b.checks = append(b.checks, Check{Name: name, Held: held, Detail: detail})
+func (m *controlMeasurements) check(name string, held bool, detail string) {
+	m.checks = append(m.checks, Check{Name: name, Held: held, Detail: detail})
 }
 
-func (b *controlMeasurements) all() (list []Series) {
-	for _, name := range b.names {
-		list = append(list, *b.series[name])
+func (m *controlMeasurements) all() (list []Series) {
+	for _, name := range m.names {
+		list = append(list, *m.series[name])
 	}
 	return list
 }
 
 // overSizes measures each size of the settings and returns all series and checks.
-func (b *controlMeasurements) overSizes(progress Progress, measureSize func(size int) error) ([]Series, []Check, error) {
-	for i, size := range b.settings.Sizes {
+func (m *controlMeasurements) overSizes(progress Progress, measureSize func(size int) error) ([]Series, []Check, error) {
+	for i, size := range m.settings.Sizes {
 		if err := measureSize(size); err != nil {
 			return nil, nil, err
 		}
-		progress(i+1, len(b.settings.Sizes))
+		progress(i+1, len(m.settings.Sizes))
 	}
-	return b.all(), b.checks, nil
+	return m.all(), m.checks, nil
 }
--- a/internal/testbed/scale/control_members.go
+++ b/internal/testbed/scale/control_members.go
@@ -47,7 +47,7 @@
 }
 
 // measureGossip runs the model with records of few reports and of signals.MaxReports.
-func (b *controlMeasurements) measureGossip(ctx context.Context, size int) error {
+func (m *controlMeasurements) measureGossip(ctx context.Context, size int) error {
 	for _, reports := range []int{fewReports, signals.MaxReports} {
 		recordBytes, err := recordBytesOf(reports)
 		if err != nil {
@@ -56,23 +56,23 @@
 		result, err := simulateGossip(ctx, gossipRun{
 			members:     size,
 			recordBytes: recordBytes,
-			replaced:    b.settings.Rate,
-			seed:        b.settings.Seed,
+			replaced:    m.settings.Rate,
+			seed:        m.settings.Seed,
 		})
 		if err != nil {
 			return err
 		}
-		b.gossipPoints(size, reports, recordBytes, result)
-		b.recordsReceivedPerSecond = result.records
+		m.gossipPoints(size, reports, recordBytes, result)
+		m.recordsReceivedPerSecond = result.records
 	}
 	return nil
 }
 
-func (b *controlMeasurements) gossipPoints(size, reports, recordBytes int, r gossipResult) {
+func (m *controlMeasurements) gossipPoints(size, reports, recordBytes int, r gossipResult) {
 	kind := fmt.Sprintf("-at-%d-sights", reports)
 	what := fmt.Sprintf(", records of %d sights (%d bytes)", reports, recordBytes)
 	point := func(name, quantity, unit string, value float64) {
-		b.add(seriesKind{name: name + kind, quantity: quantity + what, unit: unit, origin: Simulated, counted: true}, size, value)
+		m.add(seriesKind{name: name + kind, quantity: quantity + what, unit: unit, origin: Simulated, counted: true}, size, value)
 	}
 	records := recordsBytes(size, recordBytes)
 	exchange := exchangeBytesPerSecond(size, records)
@@ -104,7 +104,7 @@
 }
 
 // measureEngine measures a real engine that knows so many members.
-func (b *controlMeasurements) measureEngine(size int) error {
+func (m *controlMeasurements) measureEngine(size int) error {
 	message := exchangeMessage(size)
 	before := liveMemory()
 	copies := max(1, memoryCopiesOf/size)
@@ -126,21 +126,21 @@
 		return err
 	}
 	known := engine.list.NumMembers()
-	b.check(fmt.Sprintf("the engine knows %d members after one exchange", size), known == size, fmt.Sprintf("%d are known", known))
+	m.check(fmt.Sprintf("the engine knows %d members after one exchange", size), known == size, fmt.Sprintf("%d are known", known))
 	used := measure(measurementRounds, 1, func() { _, _ = engine.exchange(message) })
-	b.add(seriesKind{
+	m.add(seriesKind{
 		name: "engine-memory", unit: unitBytes, origin: Measured,
 		quantity: "held by the engine once it has joined, with what it has to pass on",
 	}, size, float64(held))
-	b.add(seriesKind{
+	m.add(seriesKind{
 		name: "exchange-bytes", unit: unitBytes, origin: Measured, counted: true,
 		quantity: "of one exchange, one way, without records",
 	}, size, float64(len(answer)))
-	b.add(seriesKind{
+	m.add(seriesKind{
 		name: "exchange-processor", unit: unitCorePart, origin: Measured,
 		quantity: "processor time of the engine for exchanges, each way",
 	}, size, 2*used.processor.Seconds()/exchangeInterval(size).Seconds())
-	b.add(seriesKind{
+	m.add(seriesKind{
 		name: "exchange-allocations", unit: "allocations", origin: Measured, counted: true,
 		quantity: "allocations of the engine for one exchange",
 	}, size, used.allocations)
@@ -148,17 +148,17 @@
 }
 
 // measureViews measures passing the list of members from the engine to its balancer.
-func (b *controlMeasurements) measureViews(size int) error {
+func (m *controlMeasurements) measureViews(size int) error {
 	view := newMemberView(size)
 	frame := view.frame()
 	perSecond := 1 / membersFrameInterval.Seconds()
 	written := measure(measurementRounds, 1, func() { view.frame() })
 	read := measure(measurementRounds, 1, func() { readFrame(frame) })
-	b.add(seriesKind{
+	m.add(seriesKind{
 		name: "frame-bytes", unit: unitBytesSecond, origin: Measured, counted: true,
 		quantity: "list of members written from the engine to its balancer, through a pipe",
 	}, size, perSecond*float64(len(frame)))
-	b.add(seriesKind{
+	m.add(seriesKind{
 		name: "frame-processor", unit: unitCorePart, origin: Measured,
 		quantity: "processor time for the list of members between the engine and its balancer",
 	}, size, perSecond*(written.processor+read.processor).Seconds())
@@ -166,24 +166,24 @@
 	leases := lease.New(lease.Holder(memberName(0)), leaseDuration)
 	list := view.sorted()
 	handed := measure(measurementRounds, 1, func() { applyMembership(list, decider, leases) })
-	b.add(seriesKind{
+	m.add(seriesKind{
 		name: "view-processor", unit: unitCorePart, origin: Measured,
 		quantity: "processor time for telling the deciders who is alive",
 	}, size, handed.processor.Seconds()/publishCheckInterval.Seconds())
-	return b.measureRecords(size)
+	return m.measureRecords(size)
 }
 
 // measureRecords measures the records received at this size.
-func (b *controlMeasurements) measureRecords(size int) error {
+func (m *controlMeasurements) measureRecords(size int) error {
 	text, err := signals.Encode(sampleRecord(1, 1000, signals.MaxReports))
 	if err != nil {
 		return err
 	}
 	const times = 200
 	used := measure(measurementRounds, times, func() { _, err = signals.Decode(text) })
-	b.add(seriesKind{
+	m.add(seriesKind{
 		name: "record-processor", unit: unitCorePart, origin: Measured,
 		quantity: "processor time for reading the records that a member hears, of 48 sights",
-	}, size, b.recordsReceivedPerSecond*used.processor.Seconds())
+	}, size, m.recordsReceivedPerSecond*used.processor.Seconds())
 	return err
 }
--- a/internal/testbed/scale/control_real.go
+++ b/internal/testbed/scale/control_real.go
@@ -264,7 +264,7 @@
 }
 
 // measureReal measures one size with real engines and compares the model's figures.
-func (b *controlMeasurements) measureReal(ctx context.Context, counter *sentCounter, size int, length time.Duration) error {
+func (m *controlMeasurements) measureReal(ctx context.Context, counter *sentCounter, size int, length time.Duration) error {
 	recordBytes, err := recordBytesOf(realRecordReports)
 	if err != nil {
 		return err
@@ -280,7 +280,7 @@
 	}
 	telling, end := context.WithCancel(ctx)
 	var publisher sync.WaitGroup
-	publisher.Go(func() { fleet.publishRecords(telling, recordBytes, b.settings.Seed) })
+	publisher.Go(func() { fleet.publishRecords(telling, recordBytes, m.settings.Seed) })
 	defer publisher.Wait()
 	defer end()
 	if err := pause(ctx, settlingTime); err != nil {
@@ -291,26 +291,26 @@
 		return err
 	}
 	to, took := counter.figures(), time.Since(began)
-	model, err := simulateGossip(ctx, gossipRun{members: size, recordBytes: recordBytes, seed: b.settings.Seed})
+	model, err := simulateGossip(ctx, gossipRun{members: size, recordBytes: recordBytes, seed: m.settings.Seed})
 	if err != nil {
 		return err
 	}
 	per := took.Seconds() * float64(size)
-	b.compareWithModel("datagram-bytes-out", "sent by a member in datagrams, headers too", unitBytesSecond, size,
+	m.compareWithModel("datagram-bytes-out", "sent by a member in datagrams, headers too", unitBytesSecond, size,
 		(to.datagramBytes-from.datagramBytes+(to.datagrams-from.datagrams)*(datagramHeaders+labelHeader+float64(len(fleetLabel))))/per, model.totalBytes())
-	b.compareWithModel("datagrams-out", "datagrams sent by a member", unitPerSecond, size, (to.datagrams-from.datagrams)/per, model.recordDatagrams+model.probeDatagrams)
+	m.compareWithModel("datagrams-out", "datagrams sent by a member", unitPerSecond, size, (to.datagrams-from.datagrams)/per, model.recordDatagrams+model.probeDatagrams)
 	message := len(exchangeMessage(size)) + recordsBytes(size, recordBytes)
-	b.compareWithModel("stream-bytes-out", "sent by a member in exchanges, without headers", unitBytesSecond, size,
+	m.compareWithModel("stream-bytes-out", "sent by a member in exchanges, without headers", unitBytesSecond, size,
 		(to.streamBytes-from.streamBytes)/per, 2*float64(message)/exchangeInterval(size).Seconds())
-	b.add(seriesKind{
+	m.add(seriesKind{
 		name: "taken-as-gone", unit: unitPerSecond, origin: Measured,
 		quantity: "times that a real engine takes a living member as gone: the machine was too busy to answer in time",
 	}, size, (to.gone-from.gone)/per)
-	b.add(seriesKind{
+	m.add(seriesKind{
 		name: "engine-processor", unit: unitCorePart, origin: Measured,
 		quantity: "processor time of a real engine, this process shared by all",
 	}, size, (to.processor-from.processor).Seconds()/per)
-	b.add(seriesKind{
+	m.add(seriesKind{
 		name: "engine-memory", unit: unitBytes, origin: Measured,
 		quantity: "held by a real engine and its stand-in",
 	}, size, float64(liveMemory()-before)/float64(size))
@@ -325,14 +325,14 @@
 }
 
 // compareWithModel adds a quantity of the real engines and of the model, and checks that they agree.
-func (b *controlMeasurements) compareWithModel(name, quantity, unit string, size int, measured, model float64) {
-	b.add(seriesKind{name: name, quantity: quantity + ", real engines", unit: unit, origin: Measured}, size, measured)
-	b.add(seriesKind{
+func (m *controlMeasurements) compareWithModel(name, quantity, unit string, size int, measured, model float64) {
+	m.add(seriesKind{name: name, quantity: quantity + ", real engines", unit: unit, origin: Measured}, size, measured)
+	m.add(seriesKind{
 		name: name + "-of-model", unit: unit, origin: Simulated, counted: true,
 		quantity: quantity + ", the model",
 	}, size, model)
 	off := model/measured - 1
-	b.checks = append(b.checks, Check{
+	m.checks = append(m.checks, Check{
 		Name:   fmt.Sprintf("%s at %d members: the model is within 20 %%", name, size),
 		Held:   off < modelTolerance && off > -modelTolerance,
 		Detail: fmt.Sprintf("real %.0f, model %.0f, %+.0f %%", measured, model, 100*off),
--- a/internal/testbed/scale/control_sweep_catchup.go
+++ b/internal/testbed/scale/control_sweep_catchup.go
@@ -30,12 +30,12 @@
 	{mode: catchUpFullList, name: "whole", description: "told as a whole list"},
 }
 
-func (b *controlMeasurements) measureCatchUps(ctx context.Context, size int) error {
+func (m *controlMeasurements) measureCatchUps(ctx context.Context, size int) error {
 	for _, form := range catchUpForms {
-		if err := b.measureApplying(ctx, size, form); err != nil {
+		if err := m.measureApplying(ctx, size, form); err != nil {
 			return err
 		}
-		if err := b.simulateCatchUp(ctx, size, form); err != nil {
+		if err := m.simulateCatchUp(ctx, size, form); err != nil {
 			return err
 		}
 	}
@@ -43,8 +43,8 @@
 }
 
 // missedObjects returns the objects that publish so many changes from a revision on, and the last revision.
-func (b *controlMeasurements) missedObjects(mode catchUpMode, size, revision int) ([][]byte, int) {
-	which := changedServers(simulation.RandomSource(b.settings.Seed, "scale cut", size), b.settings.Servers, size)
+func (m *controlMeasurements) missedObjects(mode catchUpMode, size, revision int) ([][]byte, int) {
+	which := changedServers(simulation.RandomSource(m.settings.Seed, "scale cut", size), m.settings.Servers, size)
 	last := revision + size - 1
 	switch mode {
 	case catchUpOneByOne:
@@ -52,25 +52,25 @@
 	case catchUpMerged:
 		return [][]byte{changesMerged(which, revision).line()}, last
 	}
-	return [][]byte{fullList(b.settings.Servers, last).line()}, last
+	return [][]byte{fullList(m.settings.Servers, last).line()}, last
 }
 
 // measureApplying measures the objects of a form, and a real balancer that applies them.
-func (b *controlMeasurements) measureApplying(ctx context.Context, size int, form catchUpForm) error {
-	objects := func(revision int) ([][]byte, int) { return b.missedObjects(form.mode, size, revision) }
+func (m *controlMeasurements) measureApplying(ctx context.Context, size int, form catchUpForm) error {
+	objects := func(revision int) ([][]byte, int) { return m.missedObjects(form.mode, size, revision) }
 	texts, _ := objects(2)
 	bytes := 0
 	for _, text := range texts {
 		bytes += len(text)
 	}
 	point := func(name, quantity, unit string, counted bool, value float64) {
-		b.add(seriesKind{
+		m.add(seriesKind{
 			name: form.name + name, unit: unit, origin: Measured, counted: counted,
 			quantity: quantity + form.description,
 		}, size, value)
 	}
 	point("-bytes", "of the changes that were missed, ", unitBytes, true, float64(bytes))
-	used, err := b.applyMissed(ctx, objects)
+	used, err := m.applyMissed(ctx, objects)
 	if err != nil {
 		return err
 	}
@@ -80,14 +80,14 @@
 }
 
 // simulateCatchUp simulates the control machines that publish the changes in a form.
-func (b *controlMeasurements) simulateCatchUp(ctx context.Context, size int, form catchUpForm) error {
+func (m *controlMeasurements) simulateCatchUp(ctx context.Context, size int, form catchUpForm) error {
 	point := func(name, quantity string, value time.Duration) {
-		b.add(seriesKind{
+		m.add(seriesKind{
 			name: form.name + name, unit: unitTime, origin: Simulated, counted: true,
 			quantity: quantity + form.description,
 		}, size, value.Seconds())
 	}
-	plan := pushPlanOf(b.settings, requiredChangesPerDay, false)
+	plan := pushPlanOf(m.settings, requiredChangesPerDay, false)
 	plan.missed, plan.missedMode, plan.duration = size, form.mode, minPushDuration
 	result, err := simulatePush(ctx, plan)
 	if err != nil {
@@ -100,19 +100,19 @@
 		return err
 	}
 	point("-in-force-half-lost", "the same with half of the control machines lost, ", lost.recovery)
-	b.checkLatency(fmt.Sprintf("%d missed changes, %s, are in force within 16 s of the heal", size, form.description), result.recovery)
+	m.checkLatency(fmt.Sprintf("%d missed changes, %s, are in force within 16 s of the heal", size, form.description), result.recovery)
 	return nil
 }
 
 // applyMissed measures a real balancer with a list that applies the objects, several times.
-func (b *controlMeasurements) applyMissed(ctx context.Context, objects func(int) ([][]byte, int)) (cost, error) {
+func (m *controlMeasurements) applyMissed(ctx context.Context, objects func(int) ([][]byte, int)) (cost, error) {
 	const rounds = 3
-	subscriber, err := newListSubscriber(ctx, b.settings.Seed)
+	subscriber, err := newListSubscriber(ctx, m.settings.Seed)
 	if err != nil {
 		return cost{}, err
 	}
 	defer subscriber.close()
-	if err := subscriber.apply(ctx, [][]byte{fullList(b.settings.Servers, 1).line()}, 1); err != nil {
+	if err := subscriber.apply(ctx, [][]byte{fullList(m.settings.Servers, 1).line()}, 1); err != nil {
 		return cost{}, err
 	}
 	var fault error
--- a/internal/testbed/scale/control_sweep_changes.go
+++ b/internal/testbed/scale/control_sweep_changes.go
@@ -44,21 +44,21 @@
 		duration: min(max(length, minPushDuration), maxPushDuration), seed: s.Seed}
 }
 
-func (b *controlMeasurements) measureChanges(ctx context.Context, size int, fullLists bool) error {
+func (m *controlMeasurements) measureChanges(ctx context.Context, size int, fullLists bool) error {
 	kind, what := "changes", "changes alone are told"
 	if fullLists {
 		kind, what = "whole", "whole lists are told"
 	}
-	plan := pushPlanOf(b.settings.at(size), requiredChangesPerDay, fullLists)
-	if b.settings.Against == byChanges {
-		plan = pushPlanOf(b.settings, size, fullLists)
+	plan := pushPlanOf(m.settings.at(size), requiredChangesPerDay, fullLists)
+	if m.settings.Against == byChanges {
+		plan = pushPlanOf(m.settings, size, fullLists)
 	}
 	result, err := simulatePush(ctx, plan)
 	if err != nil {
 		return err
 	}
 	point := func(name, quantity, unit string, value float64) {
-		b.add(seriesKind{
+		m.add(seriesKind{
 			name: kind + "-" + name, unit: unit, origin: Simulated, counted: true,
 			quantity: quantity + "; " + what,
 		}, size, value)
@@ -73,7 +73,7 @@
 	if len(result.startLatencies) > 0 {
 		point("start-last", "until a balancer that starts with nothing has its list, the longest", unitTime, result.startLatencies[len(result.startLatencies)-1].Seconds())
 	}
-	afterLoss, err := b.measureHalfLost(ctx, plan, point)
+	afterLoss, err := m.measureHalfLost(ctx, plan, point)
 	if err != nil {
 		return err
 	}
@@ -84,16 +84,16 @@
 	resumed := func(name, quantity, unit string, value float64) {
 		point("resumed-"+name, quantity+" and tells what it has", unit, value)
 	}
-	if _, err := b.measureHalfLost(ctx, plan, resumed); err != nil {
+	if _, err := m.measureHalfLost(ctx, plan, resumed); err != nil {
 		return err
 	}
-	b.checkLatency(fmt.Sprintf("at %d %s changes are in force within 16 s", size, b.settings.Against), result.quantile(1))
-	b.checkLatency(fmt.Sprintf("at %d %s they are with half of the control machines lost", size, b.settings.Against), max(afterLoss.quantile(1), afterLoss.recovery))
+	m.checkLatency(fmt.Sprintf("at %d %s changes are in force within 16 s", size, m.settings.Against), result.quantile(1))
+	m.checkLatency(fmt.Sprintf("at %d %s they are with half of the control machines lost", size, m.settings.Against), max(afterLoss.quantile(1), afterLoss.recovery))
 	return nil
 }
 
 // measureHalfLost simulates a control machine that takes over the balancers of a lost one.
-func (b *controlMeasurements) measureHalfLost(ctx context.Context, plan pushPlan, point func(name, quantity, unit string, value float64)) (pushResult, error) {
+func (m *controlMeasurements) measureHalfLost(ctx context.Context, plan pushPlan, point func(name, quantity, unit string, value float64)) (pushResult, error) {
 	plan.takenOver = plan.balancers
 	result, err := simulatePush(ctx, plan)
 	if err != nil {
@@ -105,6 +105,6 @@
 }
 
 // checkLatency checks that the last balancer has a change within requiredLatency.
-func (b *controlMeasurements) checkLatency(what string, last time.Duration) {
-	b.check(what, last <= requiredLatency, fmt.Sprintf("the last after %.1f s", last.Seconds()))
+func (m *controlMeasurements) checkLatency(what string, last time.Duration) {
+	m.check(what, last <= requiredLatency, fmt.Sprintf("the last after %.1f s", last.Seconds()))
 }
--- a/internal/testbed/scale/control_sweep_leases.go
+++ b/internal/testbed/scale/control_sweep_leases.go
@@ -59,7 +59,7 @@
 }
 
 // measureScoring measures finding the holders of all tasks after the membership changed.
-func (b *controlMeasurements) measureScoring(size, members, servers int) {
+func (m *controlMeasurements) measureScoring(size, members, servers int) {
 	list := settledMembers(members)
 	sample := min(servers, scoredServers)
 	before := liveMemory()
@@ -67,7 +67,7 @@
 	for i := range servers { // without other members, which is fast
 		own.Holds(lease.Task(serverNumber(i)), 0)
 	}
-	b.add(seriesKind{
+	m.add(seriesKind{
 		name: "memory", unit: unitBytes, origin: Measured,
 		quantity: "held for the duties",
 	}, size, float64(liveMemory()-before))
@@ -80,23 +80,23 @@
 		}
 	})
 	all := used.processor.Seconds() * float64(servers) / float64(sample)
-	b.add(seriesKind{
+	m.add(seriesKind{
 		name: "scores", unit: "scores", origin: Calculated, counted: true,
 		quantity: "scores reckoned once the members changed",
 	}, size, float64(members)*float64(servers))
-	b.add(seriesKind{
+	m.add(seriesKind{
 		name: "reckoning-processor", unit: unitMicroseconds, origin: Measured,
 		quantity: "processor time of seeing whose all duties are, once the members changed",
 	}, size, all*1e6)
 	often := min(float64(membershipChangesPerDay)/secondsPerDay, 1/longestReassignment.Seconds())
-	b.add(seriesKind{
+	m.add(seriesKind{
 		name: "reckoning-core", unit: unitCorePart, origin: Calculated,
 		quantity: "the same, 2,300 members replaced a day",
 	}, size, often*all)
 }
 
 // measureEvenness counts the tasks of the busiest member.
-func (b *controlMeasurements) measureEvenness(size, members, servers int) {
+func (m *controlMeasurements) measureEvenness(size, members, servers int) {
 	own := lease.New(lease.Holder(memberName(0)), leaseDuration)
 	own.SetMembers(settledMembers(members))
 	for i := range servers {
@@ -108,11 +108,11 @@
 		of[held.Preferred]++
 		most = max(most, of[held.Preferred])
 	}
-	b.add(seriesKind{
+	m.add(seriesKind{
 		name: "most-duties", unit: "servers", origin: Simulated, counted: true,
 		quantity: "servers that the busiest member probes for all",
 	}, size, float64(most))
-	b.add(seriesKind{
+	m.add(seriesKind{
 		name: "mean-duties", unit: "servers", origin: Simulated, counted: true,
 		quantity: "servers that a member probes for all, on average",
 	}, size, float64(servers)/float64(members))
@@ -132,8 +132,8 @@
 }
 
 // countHolders counts the members that hold one task at a time, where each publishes renewals with its records.
-func (b *controlMeasurements) countHolders(size, members int) {
-	chance := simulation.RandomSource(b.settings.Seed, "scale leases", members)
+func (m *controlMeasurements) countHolders(size, members int) {
+	chance := simulation.RandomSource(m.settings.Seed, "scale leases", members)
 	interval := max(recordIntervalOf(members).Truncate(holderStep), holderStep)
 	fleet := newLeaseFleet(chance, members, interval)
 	holding, looks := 0, 0
@@ -144,7 +144,7 @@
 			looks += sampledTasks
 		}
 	}
-	b.add(seriesKind{
+	m.add(seriesKind{
 		name: "holders", unit: "members", origin: Simulated, counted: true,
 		quantity: "members that probe one server for all at a time",
 	}, size, float64(holding)/float64(looks))
@@ -199,7 +199,7 @@
 }
 
 // measurePublishedLoads measures the share of a member's load reports that fits into its record.
-func (b *controlMeasurements) measurePublishedLoads(size, members, servers int) error {
+func (m *controlMeasurements) measurePublishedLoads(size, members, servers int) error {
 	mean := (servers + members - 1) / members
 	record := sampleRecord(1, 1000, signals.MaxReports)
 	for i := range min(mean, signals.MaxLoadReports) {
@@ -218,15 +218,15 @@
 	if err != nil {
 		return err
 	}
-	b.add(seriesKind{
+	m.add(seriesKind{
 		name: "record-bytes", unit: unitBytes, origin: Measured, counted: true,
 		quantity: "of a record with 48 sights and the loads that were probed for all",
 	}, size, float64(len(text)))
-	b.add(seriesKind{
+	m.add(seriesKind{
 		name: "loads-told", unit: unitPart, origin: Measured, counted: true,
 		quantity: "of the loads that a member probed for all, told by its record",
 	}, size, float64(len(decoded.LoadReports))/float64(mean))
-	b.add(seriesKind{
+	m.add(seriesKind{
 		name: "load-age", unit: unitTime, origin: Calculated, counted: true,
 		quantity: "of a load when it is told again, at the least",
 	}, size, recordIntervalOf(members).Seconds())
--- a/internal/testbed/scale/control_sweep_lists.go
+++ b/internal/testbed/scale/control_sweep_lists.go
@@ -22,37 +22,37 @@
 }
 
 // measureList measures one size. A rejected list is a failed check without points.
-func (b *controlMeasurements) measureList(ctx context.Context, size int) error {
+func (m *controlMeasurements) measureList(ctx context.Context, size int) error {
 	sizes := measureListSizes(size)
-	rate := b.settings.Rate
-	b.add(seriesKind{
+	rate := m.settings.Rate
+	m.add(seriesKind{
 		name: "whole-bytes", unit: unitBytes, origin: Measured, counted: true,
 		quantity: "of a whole list",
 	}, size, float64(sizes.full))
-	b.add(seriesKind{
+	m.add(seriesKind{
 		name: "change-bytes", unit: unitBytes, origin: Measured, counted: true,
 		quantity: "of an object with one change",
 	}, size, float64(sizes.changes(1)))
-	b.add(seriesKind{
+	m.add(seriesKind{
 		name: "whole-bytes-in", unit: unitBytesSecond, origin: Calculated, counted: true,
 		quantity: "read by a balancer, were each change told as a whole list",
 	}, size, rate*float64(sizes.full))
-	b.add(seriesKind{
+	m.add(seriesKind{
 		name: "change-bytes-in", unit: unitBytesSecond, origin: Calculated, counted: true,
 		quantity: "read by a balancer, each change told as one",
 	}, size, rate*float64(sizes.changes(1)))
-	b.add(seriesKind{
+	m.add(seriesKind{
 		name: "whole-at-budget", unit: unitTime, origin: Calculated, counted: true,
 		quantity: "time in which a balancer reads a whole list, of 10 KB a second",
 	}, size, float64(sizes.full)/bandwidthBudget)
-	subscriber, err := newListSubscriber(ctx, b.settings.Seed)
+	subscriber, err := newListSubscriber(ctx, m.settings.Seed)
 	if err != nil {
 		return err
 	}
 	defer subscriber.close()
 	before := liveMemory()
 	applyErr := subscriber.apply(ctx, [][]byte{fullList(size, 1).line()}, 1)
-	b.check(fmt.Sprintf("a list of %d servers is taken", size), applyErr == nil, "")
+	m.check(fmt.Sprintf("a list of %d servers is taken", size), applyErr == nil, "")
 	var refused *Error
 	if errors.As(applyErr, &refused) {
 		return ctx.Err()
@@ -60,15 +60,15 @@
 	if applyErr != nil {
 		return applyErr
 	}
-	b.add(seriesKind{
+	m.add(seriesKind{
 		name: "memory", unit: unitBytes, origin: Measured,
 		quantity: "held by a balancer for the list, no connections",
 	}, size, float64(liveMemory()-before))
-	return b.measureUpdates(ctx, subscriber, size)
+	return m.measureUpdates(ctx, subscriber, size)
 }
 
 // measureUpdates measures applying a repeated list, and changes.
-func (b *controlMeasurements) measureUpdates(ctx context.Context, subscriber *listSubscriber, size int) error {
+func (m *controlMeasurements) measureUpdates(ctx context.Context, subscriber *listSubscriber, size int) error {
 	const rounds = 5
 	revision := 1
 	var fault error
@@ -92,29 +92,29 @@
 	fullTime := full.processor - written.processor
 	fullAllocations := full.allocations - written.allocations
 	oneTime := changes.processor / changesPerBatch
-	b.add(seriesKind{
+	m.add(seriesKind{
 		name: "whole-processor", unit: unitMicroseconds, origin: Measured,
 		quantity: "processor time of taking a whole list",
 	}, size, microseconds(fullTime))
-	b.add(seriesKind{
+	m.add(seriesKind{
 		name: "whole-allocations", unit: unitAllocations, origin: Measured, counted: true,
 		quantity: "allocations of taking a whole list",
 	}, size, fullAllocations)
-	b.add(seriesKind{
+	m.add(seriesKind{
 		name: "change-processor", unit: unitMicroseconds, origin: Measured,
 		quantity: "processor time of taking one change",
 	}, size, microseconds(oneTime))
-	b.add(seriesKind{
+	m.add(seriesKind{
 		name: "change-allocations", unit: unitAllocations, origin: Measured, counted: true,
 		quantity: "allocations of taking one change",
 	}, size, changes.allocations/changesPerBatch)
-	b.add(seriesKind{
+	m.add(seriesKind{
 		name: "whole-core", unit: unitCorePart, origin: Calculated,
 		quantity: "processor time, were each change told as a whole list",
-	}, size, b.settings.Rate*fullTime.Seconds())
-	b.add(seriesKind{
+	}, size, m.settings.Rate*fullTime.Seconds())
+	m.add(seriesKind{
 		name: "change-core", unit: unitCorePart, origin: Calculated,
 		quantity: "processor time, each change told as one",
-	}, size, b.settings.Rate*oneTime.Seconds())
+	}, size, m.settings.Rate*oneTime.Seconds())
 	return nil
 }
--- a/internal/testbed/scale/control_sweep_signals.go
+++ b/internal/testbed/scale/control_sweep_signals.go
@@ -81,21 +81,21 @@
 	return records
 }
 
-func (b *controlMeasurements) measureSignals(size, members, faulty int) error {
-	servers := b.settings.Servers
-	records := publishedRecords(b.settings.Seed, members, servers, faulty)
+func (m *controlMeasurements) measureSignals(size, members, faulty int) error {
+	servers := m.settings.Servers
+	records := publishedRecords(m.settings.Seed, members, servers, faulty)
 	text, err := signals.Encode(records[0])
 	if err != nil {
 		return err
 	}
-	b.add(seriesKind{
+	m.add(seriesKind{
 		name: "record-bytes", unit: unitBytes, origin: Measured, counted: true,
 		quantity: "of a record as it is told",
 	}, size, float64(len(text)))
 	before := liveMemory()
-	chance := simulation.RandomSource(b.settings.Seed, "scale signals here", servers)
+	chance := simulation.RandomSource(m.settings.Seed, "scale signals here", servers)
 	here := newPublisher(chance, members, servers, 0)
-	b.add(seriesKind{
+	m.add(seriesKind{
 		name: "own-memory", unit: unitBytes, origin: Measured,
 		quantity: "held of what a balancer itself sees, connections on all servers",
 	}, size, float64(liveMemory()-before))
@@ -104,21 +104,21 @@
 		return err
 	}
 	here.ServerCost("", serverNumber(0)) // aggregates all records
-	b.add(seriesKind{
+	m.add(seriesKind{
 		name: "heard-memory", unit: unitBytes, origin: Measured,
 		quantity: "held of what others tell",
 	}, size, float64(liveMemory()-before))
 	retained, _ := here.Records()
-	b.add(seriesKind{
+	m.add(seriesKind{
 		name: "records-kept", unit: "records", origin: Measured, counted: true,
 		quantity: "records of others that are kept",
 	}, size, float64(len(retained)))
-	b.add(seriesKind{
+	m.add(seriesKind{
 		name: "sights-walked", unit: "sights", origin: Calculated, counted: true,
 		quantity: "sights walked each time that what all say is brought together",
 	}, size, float64(len(retained)*len(records[0].Reports)))
-	b.measureAvoided(size, servers, faulty, records)
-	return b.measureSignalWork(here, text, size, members)
+	m.measureAvoided(size, servers, faulty, records)
+	return m.measureSignalWork(here, text, size, members)
 }
 
 // mergeAll makes a decider receive records in their encoded form.
@@ -138,7 +138,7 @@
 }
 
 // measureAvoided measures the share of faulty servers that a balancer avoids on others' reports alone.
-func (b *controlMeasurements) measureAvoided(size, servers, faulty int, records []signals.Record) {
+func (m *controlMeasurements) measureAvoided(size, servers, faulty int, records []signals.Record) {
 	stranger := signals.New("stranger", 1, "", "", latencyObjective, setupObjective, true)
 	stranger.SetTime(publishersStart)
 	for i := range servers {
@@ -153,14 +153,14 @@
 			avoided++
 		}
 	}
-	b.add(seriesKind{
+	m.add(seriesKind{
 		name: "avoided", unit: unitPart, origin: Simulated, counted: true,
 		quantity: "of the servers in trouble that a balancer without connections there avoids",
 	}, size, float64(avoided)/float64(faulty))
 }
 
 // measureSignalWork measures receiving a record, aggregating all records, publishing, and encoding the full state.
-func (b *controlMeasurements) measureSignalWork(here *signals.Exchange, text []byte, size, members int) error {
+func (m *controlMeasurements) measureSignalWork(here *signals.Exchange, text []byte, size, members int) error {
 	now := publishersStart
 	var fault error
 	receive := func() {
@@ -182,27 +182,27 @@
 		here.Publish(members)
 	})
 	exchangeCost := measure(signalRounds, 1, func() { fault = encodeFullState(here) })
-	b.add(seriesKind{
+	m.add(seriesKind{
 		name: "hear-processor", unit: unitMicroseconds, origin: Measured,
 		quantity: "processor time of a record heard",
 	}, size, microseconds(receiveCost.processor))
-	b.add(seriesKind{
+	m.add(seriesKind{
 		name: "hear-allocations", unit: unitAllocations, origin: Measured, counted: true,
 		quantity: "allocations of a record heard",
 	}, size, receiveCost.allocations)
-	b.add(seriesKind{
+	m.add(seriesKind{
 		name: "gather-processor", unit: unitMicroseconds, origin: Measured,
 		quantity: "processor time of bringing together what all say",
 	}, size, microseconds(aggregateCost.processor))
-	b.add(seriesKind{
+	m.add(seriesKind{
 		name: "gather-core", unit: unitCorePart, origin: Calculated,
 		quantity: "the same as often as it may be, 20 times a second",
 	}, size, maxAggregationsPerSecond*aggregateCost.processor.Seconds())
-	b.add(seriesKind{
+	m.add(seriesKind{
 		name: "tell-core", unit: unitCorePart, origin: Measured,
 		quantity: "processor time of seeing what is to be told, 4 times a second",
 	}, size, publishCost.processor.Seconds()/publishCheckInterval.Seconds())
-	b.add(seriesKind{
+	m.add(seriesKind{
 		name: "hand-on-core", unit: unitCorePart, origin: Measured,
 		quantity: "processor time of writing all for a member that asks, each 2 s",
 	}, size, exchangeCost.processor.Seconds()/fullStateInterval.Seconds())
--- a/internal/testbed/scale/real.go
+++ b/internal/testbed/scale/real.go
@@ -66,11 +66,11 @@
 	}
 	self, err := os.Executable()
 	if err != nil {
-		return nil, &ProcessError{"no program", "name one", err}
+		return nil, &ProcessError{What: "no program", Remedy: "name one", Err: err}
 	}
 	path := filepath.Join(filepath.Dir(self), "yardwinch")
 	if _, err := os.Stat(path); err != nil {
-		return nil, &ProcessError{"no program to measure", "build bin/yardwinch and bin/testbed, and run bin/testbed", err}
+		return nil, &ProcessError{What: "no program to measure", Remedy: "build bin/yardwinch and bin/testbed, and run bin/testbed", Err: err}
 	}
 	return []string{path, "serve"}, nil
 }
--- a/internal/testbed/scale/real_clients.go
+++ b/internal/testbed/scale/real_clients.go
@@ -69,7 +69,7 @@
 	for range openAttempts {
 		conn, answer, err := c.attempt(ctx)
 		if err != nil {
-			return &ProcessError{"a client can't connect", "check that it runs, and the limit of descriptors", err}
+			return &ProcessError{What: "a client can't connect", Remedy: "check that it runs, and the limit of descriptors", Err: err}
 		}
 		if conn != nil {
 			c.mu.Lock()
@@ -83,7 +83,7 @@
 			return err
 		}
 	}
-	return &ProcessError{"a client was answered " + last, "ask for fewer connections, or check the limits of descriptors", errNotUp}
+	return &ProcessError{What: "a client was answered " + last, Remedy: "ask for fewer connections, or check the limits of descriptors", Err: errNotUp}
 }
 
 type clientConn struct {
@@ -145,7 +145,7 @@
 	defer cancel()
 	for c.linesReceived.Load() < expected {
 		if err := pause(ctx, 10*time.Millisecond); err != nil {
-			return &ProcessError{"its clients' lines were not answered", "run fewer things at once", err}
+			return &ProcessError{What: "its clients' lines were not answered", Remedy: "run fewer things at once", Err: err}
 		}
 	}
 	return pause(ctx, lineSettlingTime)
--- a/internal/testbed/scale/real_process.go
+++ b/internal/testbed/scale/real_process.go
@@ -55,7 +55,7 @@
 		}
 	}()
 	if p.directory, err = os.MkdirTemp("", "yard-scale"); err != nil {
-		return p, &ProcessError{"no folder for it", "make room in the folder for temporary files", err}
+		return p, &ProcessError{What: "no folder for it", Remedy: "make room in the folder for temporary files", Err: err}
 	}
 	if p.servers, err = openStubServers(ctx); err != nil {
 		return p, err
@@ -106,7 +106,7 @@
 	}()
 	if err := <-began; err != nil {
 		p.cmd = nil
-		return &ProcessError{"it can't be started", "check " + program[0], err}
+		return &ProcessError{What: "it can't be started", Remedy: "check " + program[0], Err: err}
 	}
 	p.pid = p.cmd.Process.Pid
 	return nil
@@ -130,7 +130,7 @@
 func freeAddress(ctx context.Context) (string, error) {
 	l, err := (&net.ListenConfig{}).Listen(ctx, "tcp", "127.78.1.1:0") // not 127.0.0.1, which outgoing connections use
 	if err != nil {
-		return "", &ProcessError{"no free port on loopback", "end other runs", err}
+		return "", &ProcessError{What: "no free port on loopback", Remedy: "end other runs", Err: err}
 	}
 	defer func() { _ = l.Close() }()
 	return l.Addr().String(), nil
@@ -221,7 +221,7 @@
 	var t unix.Timespec
 	clock := int32(^p.pid<<3 | 2) // the clock of a process, as clock_getcpuclockid computes it
 	if err := unix.ClockGettime(clock, &t); err != nil {
-		return 0, &ProcessError{"its processor time can't be read", "check that it runs", err}
+		return 0, &ProcessError{What: "its processor time can't be read", Remedy: "check that it runs", Err: err}
 	}
 	return time.Duration(t.Nano()), nil
 }
@@ -274,7 +274,7 @@
 	} {
 		text, err := os.ReadFile(fmt.Sprintf("/proc/%d/%s", p.pid, f.file))
 		if err != nil {
-			return m, &ProcessError{"its memory can't be read", "check that it runs, and that /proc is there", err}
+			return m, &ProcessError{What: "its memory can't be read", Remedy: "check that it runs, and that /proc is there", Err: err}
 		}
 		for lines := bufio.NewScanner(bytes.NewReader(text)); lines.Scan(); {
 			fields := strings.Fields(lines.Text())
@@ -283,7 +283,7 @@
 			}
 			kib, err := strconv.ParseFloat(fields[1], 64)
 			if err != nil {
-				return m, &ProcessError{"its memory can't be read", "tell the developers the kernel's version", err}
+				return m, &ProcessError{What: "its memory can't be read", Remedy: "tell the developers the kernel's version", Err: err}
 			}
 			*f.to[fields[0]] += kib * 1024
 		}
--- a/internal/testbed/scale/real_stubs.go
+++ b/internal/testbed/scale/real_stubs.go
@@ -39,7 +39,7 @@
 func openStubDiscovery(ctx context.Context, addresses []string, servers, zones int) (*stubDiscovery, error) {
 	listener, err := (&net.ListenConfig{}).Listen(ctx, "tcp", "127.78.1.2:0")
 	if err != nil {
-		return nil, &ProcessError{"discovery can't listen", "end other runs", err}
+		return nil, &ProcessError{What: "discovery can't listen", Remedy: "end other runs", Err: err}
 	}
 	l := &stubDiscovery{listener: listener, addresses: addresses, zones: zones, revision: 1, watches: map[chan []byte]bool{}}
 	for range servers {
@@ -185,7 +185,7 @@
 		l, err := (&net.ListenConfig{}).Listen(ctx, "tcp", fmt.Sprintf("127.77.0.%d:0", i+1))
 		if err != nil {
 			s.close()
-			return nil, &ProcessError{"a stand-in server can't listen", "end other runs", err}
+			return nil, &ProcessError{What: "a stand-in server can't listen", Remedy: "end other runs", Err: err}
 		}
 		s.listeners = append(s.listeners, l)
 		s.running.Go(func() {
