--- a/internal/daemon/calls_test.go
+++ b/internal/daemon/admin_calls_test.go
@@ -18,25 +18,25 @@
 	"yardwinch/internal/admin"
 )
 
-// rig is a balancer with a second address, before servers that say UP and echo.
-type rig struct {
-	t             *testing.T
-	p             *Daemon
-	addr, calls   string
-	path          string
-	stop          context.CancelFunc
-	done          chan error
-	opened        int
-	config        string
-	serverAddress string
-	conn          net.Conn // the last client's
-	held          int      // descriptors that the system lets its process have; 0: as many as the test has
+// harness is a balancer with a second address, before servers that say UP and echo.
+type harness struct {
+	t                           *testing.T
+	daemon                      *Daemon
+	listenAddress, adminAddress string
+	path                        string
+	stop                        context.CancelFunc
+	done                        chan error
+	openedFlows                 int
+	config                      string
+	serverAddress               string
+	lastClient                  net.Conn // the last client's
+	descriptorLimit             int      // descriptors that the system lets its process have; 0: as many as the test has
 }
 
-// free is an address that refuses connections until the program listens there, and until the test's end is nobody else's: it is bound
+// reservedAddress is an address that refuses connections until the program listens there, and until the test's end is nobody else's: it is bound
 // and not listened on, which lets an explicit bind in and keeps the system from giving it away. One that is merely free may come to be
 // another test's own listener, which then takes this balancer's call to discovery for the connection that it waits for.
-func free(t *testing.T) string {
+func reservedAddress(t *testing.T) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -54,9 +54,9 @@
 	return fmt.Sprintf("127.0.0.1:%d", at.(*syscall.SockaddrInet4).Port)
 }
 
-// echo is a server that sends back what it is sent; asked, where given, hears of each probe.
-func echo(t *testing.T, asked ...chan<- struct{}) string {
-	server := listen(t)
+// startEchoServer is a server that sends back what it is sent; asked, where given, hears of each probe.
+func startEchoServer(t *testing.T, asked ...chan<- struct{}) string {
+	server := listenLocal(t)
 	go func() {
 		for {
 			c, err := server.Accept()
@@ -79,35 +79,35 @@
 	return server.Addr().String()
 }
 
-func newRig(t *testing.T) *rig {
-	g := &rig{t: t, addr: free(t), calls: free(t), serverAddress: echo(t), path: filepath.Join(t.TempDir(), "config.json")}
+func newHarness(t *testing.T) *harness {
+	g := &harness{t: t, listenAddress: reservedAddress(t), adminAddress: reservedAddress(t), serverAddress: startEchoServer(t), path: filepath.Join(t.TempDir(), "config.json")}
 	g.config = fmt.Sprintf(`{"listen":%q,"control":%q,"discovery":%q,"seed":"1","limits":{"cores":1,"memory_mb":64,"sockets":400},
 		"known":{"revision":1,"complete":true,"members":[{"id":"a","host_port":%q,"phase":"SERVING"}]},
 		"settings":{"policy-limits":{"max-connects":3,"retry-after":true,"max-retry-after":700000000},"service-types":[{"name":"live",
-		"effect":"free","group":"all","hard-limit":800000000,"setup-target":300000000}]}}`, g.addr, g.calls, free(t), g.serverAddress)
+		"effect":"free","group":"all","hard-limit":800000000,"setup-target":300000000}]}}`, g.listenAddress, g.adminAddress, reservedAddress(t), g.serverAddress)
 	if err := os.WriteFile(g.path, []byte(g.config), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	return g
 }
 
-func (g *rig) start(env func(string) string, before ...func(p *Daemon)) *rig {
+func (g *harness) start(env func(string) string, before ...func(p *Daemon)) *harness {
 	g.t.Helper()
 	var err error
-	if g.p, err = Load(g.path, "", env); err != nil {
+	if g.daemon, err = Load(g.path, "", env); err != nil {
 		g.t.Fatal(err)
 	}
 	for _, do := range before {
-		do(g.p)
+		do(g.daemon)
 	}
 	stop, cancel := context.WithCancel(context.Background())
 	g.stop, g.done = cancel, make(chan error, 1)
-	go func() { g.done <- g.p.Serve(stop, nil) }()
-	g.until("GET", "ready", 200)
+	go func() { g.done <- g.daemon.Serve(stop, nil) }()
+	g.awaitStatus("GET", "ready", 200)
 	return g
 }
 
-func (g *rig) end() {
+func (g *harness) end() {
 	g.t.Helper()
 	g.stop()
 	if err := <-g.done; err != nil {
@@ -115,9 +115,9 @@
 	}
 }
 
-func (g *rig) ask(method, what string) int {
+func (g *harness) callAdmin(method, what string) int {
 	g.t.Helper()
-	q, err := http.NewRequest(method, "http://"+g.calls+"/control/"+what, nil)
+	q, err := http.NewRequest(method, "http://"+g.adminAddress+"/control/"+what, nil)
 	if err != nil {
 		g.t.Fatal(err)
 	}
@@ -129,11 +129,11 @@
 	return a.StatusCode
 }
 
-// until asks again until the answer is the one wanted; a test that hangs is to fail.
-func (g *rig) until(method, what string, code int) {
+// awaitStatus asks again until the answer is the one wanted; a test that hangs is to fail.
+func (g *harness) awaitStatus(method, what string, code int) {
 	g.t.Helper()
 	for end := time.Now().Add(10 * time.Second); ; time.Sleep(5 * time.Millisecond) {
-		got := g.ask(method, what)
+		got := g.callAdmin(method, what)
 		if got == code {
 			return
 		}
@@ -143,17 +143,17 @@
 	}
 }
 
-func (g *rig) want(method, what string, code int) {
+func (g *harness) wantStatus(method, what string, code int) {
 	g.t.Helper()
-	if got := g.ask(method, what); got != code {
+	if got := g.callAdmin(method, what); got != code {
 		g.t.Errorf("%s %s: %d, want %d", method, what, got, code)
 	}
 }
 
-// says opens a client's connection with a line and gives the first line that comes back.
-func (g *rig) says(line string) (*bufio.Reader, string) {
+// openWith opens a client's connection with a line and gives the first line that comes back.
+func (g *harness) openWith(line string) (*bufio.Reader, string) {
 	g.t.Helper()
-	c, err := net.Dial("tcp", g.addr)
+	c, err := net.Dial("tcp", g.listenAddress)
 	if err != nil {
 		g.t.Fatal(err)
 	}
@@ -164,109 +164,109 @@
 	}
 	in := bufio.NewReader(c)
 	got, _ := in.ReadString('\n')
-	g.conn = c
+	g.lastClient = c
 	return in, strings.TrimSpace(got)
 }
 
-func (g *rig) flow() (*bufio.Reader, string) {
-	g.opened++
-	return g.says(fmt.Sprintf("OPEN %p-%d 2 c=live,d=800", g, g.opened))
+func (g *harness) openFlow() (*bufio.Reader, string) {
+	g.openedFlows++
+	return g.openWith(fmt.Sprintf("OPEN %p-%d 2 c=live,d=800", g, g.openedFlows))
 }
 
-func rest(in *bufio.Reader) string {
+func restOfStream(in *bufio.Reader) string {
 	text, err := io.ReadAll(in)
 	return strings.TrimSpace(fmt.Sprint(string(text), errors.Join(err)))[:min(4, len(text))]
 }
 
 // Out of service PING is answered no from the next one on, what still comes is served and moved, and afterwards whoever comes
 // is told when to come again; back in service all is as before, half-way too.
-func TestEmptying(t *testing.T) {
-	g := newRig(t).start(os.Getenv)
-	held, up := g.flow()
+func TestOutOfServiceDrains(t *testing.T) {
+	g := newHarness(t).start(os.Getenv)
+	held, up := g.openFlow()
 	if up != "UP 1" {
 		t.Fatalf("before: %q", up)
 	}
 	ping := func(want string) {
 		t.Helper()
-		if _, got := g.says("PING"); got != want {
+		if _, got := g.openWith("PING"); got != want {
 			t.Errorf("PING is answered %q, want %q", got, want)
 		}
 	}
 	ping("PONG")
-	g.want("POST", "out-of-service", 200)
+	g.wantStatus("POST", "out-of-service", 200)
 	start := time.Now()
 	ping("BUSY")
-	late, up := g.flow()
+	late, up := g.openFlow()
 	if up != "UP 1" {
 		t.Errorf("a flow that the front still sent: %q", up)
 	}
-	g.want("POST", "out-of-service", 200) // twice does no harm
-	g.want("GET", "ready", 200)
+	g.wantStatus("POST", "out-of-service", 200) // twice does no harm
+	g.wantStatus("GET", "ready", 200)
 	for _, in := range []*bufio.Reader{held, late} {
-		if got := rest(in); got != "MOVE" {
+		if got := restOfStream(in); got != "MOVE" {
 			t.Errorf("a client held hears %q", got)
 		}
 	}
 	if took := time.Since(start); took > 4*time.Second {
 		t.Errorf("emptied after %v", took)
 	}
-	for g.p.is() != empty {
+	for g.daemon.currentPhase() != drained {
 		time.Sleep(time.Millisecond)
 	}
-	if _, got := g.flow(); got != "BUSY 700" {
+	if _, got := g.openFlow(); got != "BUSY 700" {
 		t.Errorf("out of service a flow hears %q", got)
 	}
-	g.want("POST", "in-service", 200)
+	g.wantStatus("POST", "in-service", 200)
 	ping("PONG")
-	if _, got := g.flow(); got != "UP 1" {
+	if _, got := g.openFlow(); got != "UP 1" {
 		t.Errorf("back in service a flow hears %q", got)
 	}
-	g.want("POST", "out-of-service", 200)
-	g.want("POST", "in-service", 200) // half-way
+	g.wantStatus("POST", "out-of-service", 200)
+	g.wantStatus("POST", "in-service", 200) // half-way
 	ping("PONG")
-	kept, got := g.flow()
+	kept, got := g.openFlow()
 	if got != "UP 1" {
 		t.Errorf("back half-way a flow hears %q", got)
 	}
-	g.want("POST", "out-of-service", 200)
+	g.wantStatus("POST", "out-of-service", 200)
 	g.stop()
-	g.until("GET", "ready", 503)
+	g.awaitStatus("GET", "ready", 503)
 	ping("BUSY") // told to end it is out of service all the same
-	if got := rest(kept); got != "MOVE" {
+	if got := restOfStream(kept); got != "MOVE" {
 		t.Errorf("at the end a client hears %q", got)
 	}
 	g.end()
 }
 
 // What may be asked in each phase.
-func TestCallsByPhase(t *testing.T) {
+func TestAdminCallsByPhase(t *testing.T) {
 	for _, c := range []struct {
 		in               phase
 		ready, out, back bool
 		afterOut         phase
 	}{
 		{loading, false, false, false, loading},
-		{serving, true, true, true, emptying},
-		{emptying, true, true, true, emptying},
-		{empty, true, true, true, empty},
-		{handing, false, true, true, emptying}, // where the process that took over is gone again
-		{draining, false, false, false, draining},
+		{serving, true, true, true, draining},
+		{draining, true, true, true, draining},
+		{drained, true, true, true, drained},
+		{handingOver, false, true, true, draining}, // where the process that took over is gone again
+		{shuttingDown, false, false, false, shuttingDown},
 		{stopped, false, false, false, stopped},
 	} {
 		t.Run(string(c.in), func(t *testing.T) {
-			at := func() calls {
-				g := newRig(t)
+			at := func() adminCalls {
+				g := newHarness(t)
 				p, err := prepare(g.path, "", os.Getenv)
 				if err != nil {
 					t.Fatal(err)
 				}
 				ctx, cancel := context.WithCancel(context.Background())
 				if p.ctx, p.phase = ctx, c.in; c.in != loading {
-					close(p.up)
-					p.upOnce.Do(func() {})
+					close(p.started)
+					p.startedOnce.Do(func() {})
 				}
-				t.Cleanup(func() { cancel(); p.parts.Wait() })
-				return calls{p}
+				t.Cleanup(func() { cancel(); p.goroutines.Wait() })
+				return adminCalls{p}
 			}
 			x := at()
 			for what, got := range map[string][2]bool{"ready": {x.Ready() == nil, c.ready},
@@ -275,7 +275,7 @@
 					t.Errorf("%s is answered yes: %v", what, got[0])
 				}
 			}
-			if is := x.p.is(); is != c.afterOut {
+			if is := x.daemon.currentPhase(); is != c.afterOut {
 				t.Errorf("out of service leads to %s", is)
 			}
 			if err := x.Ready(); err != nil && !errors.Is(err, admin.ErrNotReady) {
@@ -286,17 +286,17 @@
 }
 
 // A ban is in force before the yes: whoever comes next hears when to come again if no other server is left.
-func TestServersByHand(t *testing.T) {
-	g := newRig(t).start(os.Getenv)
-	g.want("POST", "servers/b/offline", 404)
-	g.want("POST", "servers/a/offline", 200)
-	if _, got := g.flow(); got != "BUSY 700" {
+func TestDisabledServers(t *testing.T) {
+	g := newHarness(t).start(os.Getenv)
+	g.wantStatus("POST", "servers/b/offline", 404)
+	g.wantStatus("POST", "servers/a/offline", 200)
+	if _, got := g.openFlow(); got != "BUSY 700" {
 		t.Errorf("with its only server out by hand a flow hears %q", got)
 	}
-	g.want("POST", "servers/a/offline", 200)
-	g.want("POST", "servers/a/online", 200)
+	g.wantStatus("POST", "servers/a/offline", 200)
+	g.wantStatus("POST", "servers/a/online", 200)
 	for range 1000 { // a cold server takes its first flow within seconds
-		if _, got := g.flow(); got == "UP 1" {
+		if _, got := g.openFlow(); got == "UP 1" {
 			g.end()
 			return
 		}
--- a/internal/daemon/load.go
+++ b/internal/daemon/configure.go
@@ -28,77 +28,77 @@
 	fileDescriptors     = 1 // the configuration as it is read anew
 	closingDescriptors  = 8 // given back and not gone yet: one that is waited on goes once whoever waits has woken
 
-	leastRoom = 8 // for clients and their servers, if the platform gives no more
+	minClientDescriptors = 8 // for clients and their servers, if the platform gives no more
 )
 
 const readTimeout = 3 * time.Second // at the start, for a configuration that can't be read for a moment
 
-// owned adds up what this process may need.
-func (p *Daemon) owned() int {
+// reservedForProcess adds up what this process may need.
+func (p *Daemon) reservedForProcess() int {
 	n := standardDescriptors + runtimeDescriptors + clientDescriptors + watchDescriptors + fileDescriptors + closingDescriptors
-	if p.probing {
+	if p.healthChecks {
 		n += protocol.HealthCheckDescriptors
 	}
-	if p.calls != "" {
+	if p.adminAddress != "" {
 		n += admin.Descriptors + handoverDescriptors
 	}
-	if p.own.ExplainSocket() != "" {
+	if p.options.ExplainSocket() != "" {
 		n += explain.Descriptors
 	}
-	if p.peers != nil {
-		n += peersDescriptors
+	if p.gossip != nil {
+		n += gossipDescriptors
 	}
 	return n
 }
 
-func unread(path, options string, env func(string) string) *Daemon {
-	return &Daemon{path: path, options: options, env: env, phase: loading, ctx: context.Background(), leave: func() {}, up: make(chan struct{}),
+func newDaemon(path, options string, env func(string) string) *Daemon {
+	return &Daemon{configPath: path, optionsPath: options, environment: env, phase: loading, ctx: context.Background(), leave: func() {}, started: make(chan struct{}),
 		handoverLinks: handoverLinks{relisten: make(chan struct{}, 1)}}
 }
 
 // prepare takes all that the balancer is told, and opens nothing. A fault of the configuration names its key.
 func prepare(path, options string, env func(string) string) (*Daemon, error) {
-	p := unread(path, options, env)
+	p := newDaemon(path, options, env)
 	g, known, err := config.Load(path, env)
 	if err != nil {
 		return nil, err
 	}
-	if err := p.take(g, known); err != nil {
+	if err := p.configure(g, known); err != nil {
 		return nil, err
 	}
 	return p, nil
 }
 
-// take goes through all that a configuration says.
-func (p *Daemon) take(g config.Values, known []byte) (err error) {
+// configure goes through all that a configuration says.
+func (p *Daemon) configure(g config.Values, known []byte) (err error) {
 	s := g.DecisionSettings()
-	p.told, p.listen, p.agent, p.calls = g, g.Addr("listen"), g.Addr("discovery"), config.AdminAddress(g)
+	p.values, p.listenAddress, p.discoveryAddress, p.adminAddress = g, g.Addr("listen"), g.Addr("discovery"), config.AdminAddress(g)
 	seed := config.Seed(g)
-	p.handshake = config.ConnectTimeout(s)
-	p.cores, p.memory, p.descriptors = config.ResourceLimits(g)
-	p.longest, p.probing = config.MaxClientTimeout(s), config.HealthChecksEnabled(s)
+	p.connectTimeout = config.ConnectTimeout(s)
+	p.cores, p.memoryLimit, p.descriptorLimit = config.ResourceLimits(g)
+	p.maxClientTimeout, p.healthChecks = config.MaxClientTimeout(s), config.HealthChecksEnabled(s)
 	tellLoad, tellLag := config.ServerMetrics(s)
-	if p.own, err = config.ReadOptions(p.options); err != nil {
+	if p.options, err = config.ReadOptions(p.optionsPath); err != nil {
 		return err
 	}
-	if p.own.Peers() != nil {
-		p.own.EnableSignals(s, revision(), digest(s, p.own.SharedText()), uint64(time.Now().UnixMilli()))
+	if p.options.Peers() != nil {
+		p.options.EnableSignals(s, revision(), digest(s, p.options.SharedText()), uint64(time.Now().UnixMilli()))
 	}
-	p.router = routing.New(seed, config.MessageTarget(s)/3, tellLoad, tellLag, p.own.Constraints(s, seed),
+	p.router = routing.New(seed, config.MessageTarget(s)/3, tellLoad, tellLag, p.options.Constraints(s, seed),
 		func(b *decide.Balancer) (map[string]decide.ServiceID, map[string]decide.CustomerID) {
 			return config.ConfigureBalancer(s, b)
 		})
 	if err := g.Err(); err != nil {
 		return err
 	}
-	p.discovery = protocol.NewDiscovery(p.router, p.agent, seed, config.DiscoveryIsPolled(s))
-	if p.known = p.discovery.LoadCached(known); p.known != nil {
-		p.known = fmt.Errorf("known: %w", p.known)
+	p.discovery = protocol.NewDiscovery(p.router, p.discoveryAddress, seed, config.DiscoveryIsPolled(s))
+	if p.cachedListError = p.discovery.LoadCached(known); p.cachedListError != nil {
+		p.cachedListError = fmt.Errorf("known: %w", p.cachedListError)
 	}
 	if c := config.UnknownColumns(s); len(c) > 0 {
 		slog.Info("columns of load reports that nobody knows are passed over", "columns", c)
 	}
-	p.front = protocol.NewFrontend(p.router, p.handshake, config.RetryAfter(s))
+	p.frontend = protocol.NewFrontend(p.router, p.connectTimeout, config.RetryAfter(s))
 	return nil
 }
 
@@ -108,7 +108,7 @@
 	if err != nil {
 		return err
 	}
-	return p.known
+	return p.cachedListError
 }
 
 // checkText is Check for a configuration that is not written yet.
@@ -117,11 +117,11 @@
 	if err != nil {
 		return err
 	}
-	p := unread(path, "", env)
-	if err := p.take(g, known); err != nil {
+	p := newDaemon(path, "", env)
+	if err := p.configure(g, known); err != nil {
 		return err
 	}
-	return p.known
+	return p.cachedListError
 }
 
 // Load prepares the balancer. Its addresses are opened, or taken over, by Serve.
@@ -138,25 +138,25 @@
 	if err != nil {
 		return nil, err
 	}
-	if p.known != nil {
-		slog.Warn("old list not taken", "error", p.known) // discovery brings a better one
+	if p.cachedListError != nil {
+		slog.Warn("old list not taken", "error", p.cachedListError) // discovery brings a better one
 	}
 	runtime.GOMAXPROCS(p.cores)
-	p.goal(oneProcess)
-	p.peers = newPeers(p.own, p.router)
-	p.reservedDescriptors = p.owned()
-	if least := p.reservedDescriptors + leastRoom; p.descriptors < least {
-		slog.Warn("limits.sockets: too few; some of what the process does for itself may find none", "are", p.descriptors, "needs", least)
-		p.reservedDescriptors = max(0, p.descriptors-leastRoom)
-	}
-	p.room = transport.NewDescriptorBudget(p.descriptors-p.reservedDescriptors, protocol.BusyReply)
-	if p.calls == "" {
+	p.setMemoryGoal(oneProcess)
+	p.gossip = newGossip(p.options, p.router)
+	p.reservedDescriptors = p.reservedForProcess()
+	if least := p.reservedDescriptors + minClientDescriptors; p.descriptorLimit < least {
+		slog.Warn("limits.sockets: too few; some of what the process does for itself may find none", "are", p.descriptorLimit, "needs", least)
+		p.reservedDescriptors = max(0, p.descriptorLimit-minClientDescriptors)
+	}
+	p.descriptorBudget = transport.NewDescriptorBudget(p.descriptorLimit-p.reservedDescriptors, protocol.BusyReply)
+	if p.adminAddress == "" {
 		return p, nil
 	}
-	if p.folder, err = handover.Open(env("TMPDIR"), p.listen); err != nil {
+	if p.directory, err = handover.Open(env("TMPDIR"), p.listenAddress); err != nil {
 		slog.Warn("no hand-over to or from another process, and who is out by hand is forgotten at the end", "error", err)
 		return p, nil
 	}
-	p.bans = newBanKeeper(p.folder, p.router.DisabledServers)
+	p.disabled = newDisabledStore(p.directory, p.router.DisabledServers)
 	return p, nil
 }
--- a/internal/daemon/upgrades_test.go
+++ b/internal/daemon/consecutive_upgrades_test.go
@@ -14,11 +14,11 @@
 
 // Upgrades in a row, with clients that stand and talk and others that come all the time: none is turned back unheard,
 // none that stands notices anything.
-func TestUpgradesInARow(t *testing.T) {
+func TestConsecutiveUpgrades(t *testing.T) {
 	const upgrades, talkers = 20, 30
-	env := folder(t)
-	now := newRig(t).start(env)
-	addr := now.addr
+	env := directoryEnvironment(t)
+	now := newHarness(t).start(env)
+	addr := now.listenAddress
 	var wrong []string
 	var mu sync.Mutex
 	note := func(format string, a ...any) {
@@ -77,12 +77,12 @@
 		}
 	})
 	for i := range upgrades {
-		fresh := now.beside().start(env)
+		fresh := now.successor().start(env)
 		now.end()
 		for fresh.hasPredecessor() {
 			time.Sleep(time.Millisecond)
 		}
-		if n := fresh.p.room.Free(); n > fresh.p.descriptors-fresh.p.reservedDescriptors || n < 0 {
+		if n := fresh.daemon.descriptorBudget.Free(); n > fresh.daemon.descriptorLimit-fresh.daemon.reservedDescriptors || n < 0 {
 			t.Errorf("upgrade %d: %d descriptors are free", i, n)
 		}
 		now = fresh
--- a/internal/daemon/program_test.go
+++ b/internal/daemon/daemon_test.go
@@ -19,8 +19,8 @@
 
 // A balancer from its configuration to its exit: it serves, and when told to stop it goes on serving what comes,
 // moves its clients, and holds nothing at the end.
-func TestLife(t *testing.T) {
-	server := echo(t)
+func TestLifecycle(t *testing.T) {
+	server := startEchoServer(t)
 	watched := make(chan string, 16)
 	agent := func(name string) string {
 		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
@@ -32,7 +32,7 @@
 		return strings.TrimPrefix(s.URL, "http://")
 	}
 	old, renewed := agent("old"), agent("renewed")
-	free := listen(t)
+	free := listenLocal(t)
 	addr := free.Addr().String()
 	free.Close()
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -111,7 +111,7 @@
 	if err := <-done; err != nil {
 		t.Errorf("ended with %v", err)
 	}
-	if took := time.Since(start); took > 800*time.Millisecond+drainBeyond {
+	if took := time.Since(start); took > 800*time.Millisecond+shutdownDrainSlack {
 		t.Errorf("stopped after %v", took)
 	}
 	if p.phase != stopped {
@@ -120,19 +120,19 @@
 }
 
 // However short a client's wait is, whoever is sent here for a while after the signal still finds the socket open.
-func TestShortWaitsAtTheEnd(t *testing.T) {
+func TestShutdownWithShortClientTimeouts(t *testing.T) {
 	for {
-		g := newRig(t)
+		g := newHarness(t)
 		g.config = strings.Replace(g.config, `"hard-limit":800000000`, `"hard-limit":20000000`, 1)
 		if err := os.WriteFile(g.path, []byte(g.config), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		g.start(folder(t))
+		g.start(directoryEnvironment(t))
 		start := time.Now()
 		g.stop()
-		time.Sleep(stillSentTo - 50*time.Millisecond)
-		c, err := net.Dial("tcp", g.addr)
-		inTime := time.Since(start) < stillSentTo
+		time.Sleep(newClientsWindow - 50*time.Millisecond)
+		c, err := net.Dial("tcp", g.listenAddress)
+		inTime := time.Since(start) < newClientsWindow
 		answer := ""
 		if err == nil {
 			_ = c.SetDeadline(time.Now().Add(10 * time.Second))
@@ -152,20 +152,20 @@
 }
 
 // At the end of the drain's time, which is over here as it begins, what counts is whether anything is held.
-func TestEndOfTheDrain(t *testing.T) {
+func TestConnectionsLeftAfterShutdown(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		say  string
 		want error
 	}{
 		{"nobody", "", nil},
-		{"a client that stands", "OPEN 1 2 c=live,d=800\r\n", errHeld},
-		{"a client in the middle of its line", "PING\r\nOPEN 1 2 c=live", errHeld},
+		{"a client that stands", "OPEN 1 2 c=live,d=800\r\n", errConnectionsRemain},
+		{"a client in the middle of its line", "PING\r\nOPEN 1 2 c=live", errConnectionsRemain},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			g := newRig(t).start(folder(t), func(p *Daemon) { p.longest = -drainBeyond })
+			g := newHarness(t).start(directoryEnvironment(t), func(p *Daemon) { p.maxClientTimeout = -shutdownDrainSlack })
 			if c.say != "" {
-				client, err := net.Dial("tcp", g.addr)
+				client, err := net.Dial("tcp", g.listenAddress)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -186,7 +186,7 @@
 	}
 }
 
-func listen(t *testing.T) net.Listener {
+func listenLocal(t *testing.T) net.Listener {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/daemon/descriptors_test.go
+++ b/internal/daemon/descriptors_test.go
@@ -11,34 +11,34 @@
 	"time"
 )
 
-// crowd is idle clients: so many stand at any time or wait to be accepted, as each that is closed comes again. One that grew whatever
+// idleClients is idle clients: so many stand at any time or wait to be accepted, as each that is closed comes again. One that grew whatever
 // the balancer lets in would put a usual client behind ever more of them in the system's queue, which serves in turn.
-type crowd struct {
-	over chan struct{}
-	full chan string // what the first that was ended had heard
-	all  sync.WaitGroup
+type idleClients struct {
+	stopped     chan struct{}
+	firstAnswer chan string // what the first that was ended had heard
+	clients     sync.WaitGroup
 }
 
-func newCrowd(t *testing.T, addr string, n int) *crowd {
-	w := &crowd{over: make(chan struct{}), full: make(chan string, 1)}
+func newIdleClients(t *testing.T, addr string, n int) *idleClients {
+	w := &idleClients{stopped: make(chan struct{}), firstAnswer: make(chan string, 1)}
 	for range n {
-		w.all.Go(func() {
-			for w.stands(addr) {
+		w.clients.Go(func() {
+			for w.holdOne(addr) {
 			}
 		})
 	}
-	t.Cleanup(func() { close(w.over); w.all.Wait() })
+	t.Cleanup(func() { close(w.stopped); w.clients.Wait() })
 	return w
 }
 
-// stands has one idle client come and stay until it is ended, and tells whether it is to come again.
-func (w *crowd) stands(addr string) bool {
+// holdOne has one idle client come and stay until it is ended, and tells whether it is to come again.
+func (w *idleClients) holdOne(addr string) bool {
 	c, err := net.Dial("tcp", addr)
 	if err == nil {
 		heard := make(chan struct{})
 		go func() {
 			select {
-			case <-w.over:
+			case <-w.stopped:
 			case <-heard:
 			}
 			c.Close()
@@ -46,23 +46,23 @@
 		got, _ := bufio.NewReader(c).ReadString('\n')
 		close(heard)
 		select {
-		case w.full <- got:
+		case w.firstAnswer <- got:
 		default:
 		}
 	}
 	select {
-	case <-w.over:
+	case <-w.stopped:
 		return false
 	case <-time.After(10 * time.Millisecond): // as a client that comes again does
 		return true
 	}
 }
 
-// wantFull waits until one had to make room: all is full.
-func (w *crowd) wantFull(t *testing.T) {
+// awaitFull waits until one had to make room: all is full.
+func (w *idleClients) awaitFull(t *testing.T) {
 	t.Helper()
 	select {
-	case got := <-w.full:
+	case got := <-w.firstAnswer:
 		if got != "BUSY\r\n" {
 			t.Fatalf("the first idle one hears %q", got)
 		}
@@ -79,17 +79,17 @@
 	for limit, usual := range map[int]int{66: 2, 72: 4, 80: 8, 120: 8, 400: 8} {
 		t.Run(fmt.Sprint(limit), func(t *testing.T) {
 			probed := make(chan struct{}, 1000)
-			late, at := echo(t, probed), free(t)
-			g := newRig(t)
+			late, at := startEchoServer(t, probed), reservedAddress(t)
+			g := newHarness(t)
 			g.config = discovery.ReplaceAllLiteralString(g.config, fmt.Sprintf(`"discovery":%q`, at))
 			g.config = strings.NewReplacer(`"sockets":400`, fmt.Sprintf(`"sockets":%d`, limit), `"retry-after":true`,
 				`"retry-after":true,"probes":true`, `"settings":{`, `"settings":{"reporting":{"how":"pull"},`).Replace(g.config)
-			g.held = limit
+			g.descriptorLimit = limit
 			g.process()
-			crowd := newCrowd(t, g.addr, 2*limit)
-			crowd.wantFull(t)
+			crowd := newIdleClients(t, g.listenAddress, 2*limit)
+			crowd.awaitFull(t)
 			for range 32 { // callers of the staff's address who say nothing
-				if c, err := net.Dial("tcp", g.calls); err == nil {
+				if c, err := net.Dial("tcp", g.adminAddress); err == nil {
 					t.Cleanup(func() { c.Close() })
 				}
 			}
@@ -116,14 +116,14 @@
 			case <-time.After(10 * time.Second):
 				t.Fatal("not watched")
 			}
-			g.until("POST", "servers/b/online", 200) // its news count
+			g.awaitStatus("POST", "servers/b/online", 200) // its news count
 			if took := time.Since(back); took > counts {
 				t.Errorf("its news count after %v", took)
 			}
 			for _, what := range []string{"offline", "online"} {
 				var calls sync.WaitGroup
 				for range 4 {
-					calls.Go(func() { g.want("POST", "servers/b/"+what, 200) })
+					calls.Go(func() { g.wantStatus("POST", "servers/b/"+what, 200) })
 				}
 				calls.Wait()
 			}
@@ -132,7 +132,7 @@
 			for i := range usual {
 				flows.Go(func() {
 					for n := 0; ; n++ { // a cold server takes flows one by one, and who is turned away comes again
-						c, err := net.Dial("tcp", g.addr)
+						c, err := net.Dial("tcp", g.listenAddress)
 						if err != nil {
 							t.Error(err)
 							return
@@ -159,7 +159,7 @@
 			case <-time.After(10 * time.Second):
 				t.Error("no probe came")
 			}
-			g.want("GET", "ready", 200)
+			g.wantStatus("GET", "ready", 200)
 			for close(stay); ; {
 				c, ok := <-stay
 				if !ok {
--- a/internal/daemon/folder_test.go
+++ b/internal/daemon/disabled_store_test.go
@@ -12,7 +12,7 @@
 
 // A server is taken out by hand while the folder of the processes fails. The rule on drains binds from then on whatever was answered, so that
 // the call takes effect; and once the folder works again it is kept, so that a process that starts after a kill sends nothing there.
-func TestBanWhileTheFolderFails(t *testing.T) {
+func TestDisableWhileDirectoryFails(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		atStart bool // the folder fails as the process starts, and still does as the call comes
@@ -32,39 +32,39 @@
 					t.Fatal(err)
 				}
 			}
-			g := newRig(t)
+			g := newHarness(t)
 			if c.atStart {
 				move(dir, away)
 			}
 			p := g.processIn(dir)
-			g.until("GET", "ready", 200)
+			g.awaitStatus("GET", "ready", 200)
 			if !c.atStart {
 				move(dir, away)
 			}
-			g.want("POST", "servers/a/offline", 200)
-			if _, got := g.flow(); got != "BUSY 700" {
+			g.wantStatus("POST", "servers/a/offline", 200)
+			if _, got := g.openFlow(); got != "BUSY 700" {
 				t.Errorf("after the call, while the folder fails, a flow hears %q", got)
 			}
 			move(away, dir)
-			g.keeps(dir, "a")
+			g.awaitSaved(dir, "a")
 			_ = p.cmd.Process.Kill()
 			_ = p.cmd.Wait()
-			next := g.beside()
+			next := g.successor()
 			next.processIn(dir)
-			next.until("GET", "ready", 200)
-			if _, got := next.flow(); got != "BUSY 700" {
+			next.awaitStatus("GET", "ready", 200)
+			if _, got := next.openFlow(); got != "BUSY 700" {
 				t.Errorf("after a kill a flow hears %q", got)
 			}
-			next.want("POST", "servers/a/online", 200)
-			next.keeps(dir)
+			next.wantStatus("POST", "servers/a/online", 200)
+			next.awaitSaved(dir)
 		})
 	}
 }
 
-// keeps waits until the folder has just these servers as out by hand; a test that hangs is to fail.
-func (g *rig) keeps(dir string, want ...string) {
+// awaitSaved waits until the folder has just these servers as out by hand; a test that hangs is to fail.
+func (g *harness) awaitSaved(dir string, want ...string) {
 	g.t.Helper()
-	folder, err := handover.Open(dir, g.addr)
+	folder, err := handover.Open(dir, g.listenAddress)
 	if err != nil {
 		g.t.Fatal(err)
 	}
--- a/internal/daemon/peers.go
+++ b/internal/daemon/gossip.go
@@ -18,38 +18,38 @@
 )
 
 const (
-	publishInterval  = 250 * time.Millisecond
-	fullStateEach    = 8               // of those, all that is known is written anew for members that ask
-	leaseFor         = 6 * time.Second // of a duty: three records of a small fleet
-	peersDescriptors = 8               // descriptors: two that listen, and streams now and then
+	publishInterval   = 250 * time.Millisecond
+	fullStateInterval = 8               // of those, all that is known is written anew for members that ask
+	leaseDuration     = 6 * time.Second // of a duty: three records of a small fleet
+	gossipDescriptors = 8               // descriptors: two that listen, and streams now and then
 )
 
-// peers carries what the signals decider tells to the other balancers, and what they tell to it.
-type peers struct {
+// gossip carries what the signals decider tells to the other balancers, and what they tell to it.
+type gossip struct {
 	group   *membership.Group
 	signals *signals.Exchange // under the router's lock
 	router  *routing.Router
-	duties  *lease.Manager // the same; nil: each probes for itself
+	leases  *lease.Manager // the same; nil: each probes for itself
 	name    string
 }
 
-// newPeers makes it where the operators' file names peers; nothing is opened before run.
-func newPeers(o *config.Options, r *routing.Router) *peers {
+// newGossip makes it where the operators' file names peers; nothing is opened before run.
+func newGossip(o *config.Options, r *routing.Router) *gossip {
 	own := o.Peers()
 	if own == nil {
 		return nil
 	}
-	p := &peers{signals: o.Signals(), router: r, name: own.Name}
+	p := &gossip{signals: o.Signals(), router: r, name: own.Name}
 	if own.Leases {
-		p.duties = lease.New(lease.Holder(own.Name), leaseFor)
-		p.signals.ShareLoads(func(s decide.ServerID, now time.Duration) uint64 { return uint64(p.duties.Renew(lease.Task(s), now)) })
-		r.SetHealthCheckFilter(func(s decide.ServerID, now time.Duration) bool { return p.duties.Holds(lease.Task(s), now) })
+		p.leases = lease.New(lease.Holder(own.Name), leaseDuration)
+		p.signals.ShareLoads(func(s decide.ServerID, now time.Duration) uint64 { return uint64(p.leases.Renew(lease.Task(s), now)) })
+		r.SetHealthCheckFilter(func(s decide.ServerID, now time.Duration) bool { return p.leases.Holds(lease.Task(s), now) })
 	}
 	p.group = membership.New(own.Engine, membership.Name(own.Name), own.Label, own.Bind, own.Advertise, own.Seeds, p)
 	return p
 }
 
-func (p *peers) run(ctx context.Context) {
+func (p *gossip) run(ctx context.Context) {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -64,7 +64,7 @@
 			return
 		case <-t.C:
 			p.publish()
-			if n%fullStateEach == 0 {
+			if n%fullStateInterval == 0 {
 				p.fullState()
 			}
 		}
@@ -72,7 +72,7 @@
 }
 
 // publish sends this balancer's record where one is due.
-func (p *peers) publish() {
+func (p *gossip) publish() {
 	fleet := p.group.AliveCount()
 	var r signals.Record
 	var due bool
@@ -87,8 +87,8 @@
 	}
 	p.router.WithLock(func() {
 		p.signals.SetReporters(reporters)
-		if p.duties != nil {
-			p.duties.SetMembers(in)
+		if p.leases != nil {
+			p.leases.SetMembers(in)
 		}
 		r, due = p.signals.Publish(fleet)
 	})
@@ -104,13 +104,13 @@
 }
 
 // Hear takes what a member says; what is news is passed on, as gossip is.
-func (p *peers) Hear(b []byte) {
-	if origin, news := p.take(b); news {
+func (p *gossip) Hear(b []byte) {
+	if origin, news := p.merge(b); news {
 		p.group.Publish(string(origin), b)
 	}
 }
 
-func (p *peers) take(b []byte) (origin signals.Origin, news bool) {
+func (p *gossip) merge(b []byte) (origin signals.Origin, news bool) {
 	r, err := signals.Decode(b)
 	if err != nil {
 		kind := "garbled"
@@ -123,20 +123,20 @@
 		return "", false
 	}
 	p.router.WithLock(func() {
-		if news = p.signals.Merge(r); news && p.duties != nil {
-			p.loads(r)
+		if news = p.signals.Merge(r); news && p.leases != nil {
+			p.observeLoads(r)
 		}
 	})
 	return r.Origin, news
 }
 
-// loads takes what servers told another that probes for all. The router is locked.
-func (p *peers) loads(r signals.Record) {
+// observeLoads takes what servers told another that probes for all. The router is locked.
+func (p *gossip) observeLoads(r signals.Record) {
 	now := p.router.Now()
 	p.signals.Relay(func() {
 		for _, l := range r.LoadReports {
-			p.duties.Observe(lease.Task(l.Server), lease.Epoch(l.Epoch), lease.Holder(r.Origin), l.Age, now)
-			if l.Age < leaseFor {
+			p.leases.Observe(lease.Task(l.Server), lease.Epoch(l.Epoch), lease.Holder(r.Origin), l.Age, now)
+			if l.Age < leaseDuration {
 				p.router.OnLoadReport(l.Server, l.Load)
 			}
 		}
@@ -144,7 +144,7 @@
 }
 
 // fullState renews what members that ask are sent.
-func (p *peers) fullState() {
+func (p *gossip) fullState() {
 	var all []signals.Record
 	p.router.WithLock(func() {
 		all = p.signals.FullState()
@@ -164,23 +164,23 @@
 }
 
 // HearWhole takes all that a member knows. It is not passed on: each member asks another for itself.
-func (p *peers) HearWhole(b []byte) {
+func (p *gossip) HearWhole(b []byte) {
 	messages, err := signals.DecodeAll(b)
 	if err != nil {
 		p.group.CountDropped("garbled", err.Error())
 		return
 	}
 	for _, m := range messages {
-		p.take(m)
+		p.merge(m)
 	}
 }
 
 // Away: this process stood still.
-func (p *peers) Away(time.Duration) {
+func (p *gossip) Away(time.Duration) {
 	p.router.WithLock(func() {
 		p.signals.OnSuspended()
-		if p.duties != nil {
-			p.duties.OnSuspended(p.router.Now())
+		if p.leases != nil {
+			p.leases.OnSuspended(p.router.Now())
 		}
 	})
 }
@@ -204,8 +204,8 @@
 	Dropped map[string]int `json:"passed_over,omitempty"` // by kind
 }
 
-// asked is what answers who asks for the members; nil where there are none.
-func (p *peers) asked() func() any {
+// membersView is what answers who asks for the members; nil where there are none.
+func (p *gossip) membersView() func() any {
 	if p == nil {
 		return nil
 	}
@@ -215,8 +215,8 @@
 		var own signals.Record
 		var held []lease.Status
 		p.router.WithLock(func() {
-			if p.duties != nil {
-				held = p.duties.Statuses()
+			if p.leases != nil {
+				held = p.leases.Statuses()
 			}
 			records, ages = p.signals.Records()
 			own = p.signals.OwnRecord()
--- a/internal/daemon/open.go
+++ b/internal/daemon/listeners.go
@@ -54,16 +54,16 @@
 	defer received.closeFiles()
 	if starting.Err() != nil { // nobody is sent here yet; what was taken over the other process takes back
 		received.closeSockets()
-		return errToldToEnd
+		return errStoppedBeforeServing
 	}
-	if p.explainer = received.explainer; p.own.ExplainSocket() != "" && p.explainer == nil {
-		if p.explainer, err = explain.Listen(p.own.ExplainSocket()); err != nil {
+	if p.explainer = received.explainer; p.options.ExplainSocket() != "" && p.explainer == nil {
+		if p.explainer, err = explain.Listen(p.options.ExplainSocket()); err != nil {
 			return fmt.Errorf("explain.socket: %w", err)
 		}
 	}
 	if p.listener = received.listener; p.listener == nil {
 		return p.listenWithRetries(opening, "listen", func() (err error) {
-			p.listener, err = transport.ListenShared(p.listen, p.calls != "")
+			p.listener, err = transport.ListenShared(p.listenAddress, p.adminAddress != "")
 			return err
 		})
 	}
@@ -72,18 +72,18 @@
 
 // openControl opens the staff's address, where there is one, and takes calls.
 func (p *Daemon) openControl(ctx, opening context.Context) error {
-	if p.calls == "" {
+	if p.adminAddress == "" {
 		return nil
 	}
 	err := p.listenWithRetries(opening, "control", func() (err error) {
-		p.control, err = net.Listen("tcp", p.calls)
+		p.adminListener, err = net.Listen("tcp", p.adminAddress)
 		return err
 	})
 	if err != nil {
 		return err
 	}
-	p.parts.Go(func() {
-		if err := admin.Serve(ctx, p.control, calls{p}); err != nil {
+	p.goroutines.Go(func() {
+		if err := admin.Serve(ctx, p.adminListener, adminCalls{p}); err != nil {
 			slog.Error("no calls are taken any more", "error", err)
 		}
 	})
--- a/internal/daemon/migrate.go
+++ b/internal/daemon/migrate.go
@@ -26,7 +26,7 @@
 		return fmt.Errorf("migrate: %w", err)
 	}
 	for _, path := range []string{from, shape} {
-		if same(path, to) {
+		if isSameFile(path, to) {
 			return fmt.Errorf("migrate: %s: would be written over, and is never changed", path)
 		}
 	}
@@ -37,13 +37,13 @@
 	}
 	text, lines, alike, err := config.Migrate(from, shape, old, wanted)
 	if err != nil {
-		return fault{fmt.Errorf("migrate: %w", err)}
+		return configurationError{fmt.Errorf("migrate: %w", err)}
 	}
 	if err := checkText(to, text, os.Getenv); err != nil {
-		return fault{fmt.Errorf("migrate: what would be written can't be served: %w", err)}
+		return configurationError{fmt.Errorf("migrate: what would be written can't be served: %w", err)}
 	}
 	if !dry {
-		if err := replace(to, text, info.Mode().Perm()); err != nil {
+		if err := replaceFile(to, text, info.Mode().Perm()); err != nil {
 			return fmt.Errorf("migrate: %w", err)
 		}
 	}
@@ -56,7 +56,7 @@
 	return nil
 }
 
-func same(a, b string) bool {
+func isSameFile(a, b string) bool {
 	x, err := os.Stat(a)
 	if err != nil {
 		return false
@@ -65,8 +65,8 @@
 	return err == nil && os.SameFile(x, y)
 }
 
-// replace puts a file in its place whole, whatever happens meanwhile: a balancer that starts reads the one or the other.
-func replace(path string, text []byte, mode os.FileMode) (err error) {
+// replaceFile puts a file in its place whole, whatever happens meanwhile: a balancer that starts reads the one or the other.
+func replaceFile(path string, text []byte, mode os.FileMode) (err error) {
 	f, err := os.CreateTemp(filepath.Dir(path), ".migrate-*")
 	if err != nil {
 		return err
--- a/internal/daemon/migrate_test.go
+++ b/internal/daemon/migrate_test.go
@@ -14,9 +14,9 @@
 	"time"
 )
 
-const files = "testdata/migrate/"
+const migrateFiles = "testdata/migrate/"
 
-func read(t *testing.T, path string) string {
+func readFile(t *testing.T, path string) string {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
@@ -24,14 +24,14 @@
 	return string(text)
 }
 
-// moved is a folder with the files of a move; all tells what it holds, names, modes and texts.
-type moved string
+// migrationDirectory is a folder with the files of a move; all tells what it holds, names, modes and texts.
+type migrationDirectory string
 
-func (m moved) at(name string) string { return filepath.Join(string(m), name) }
+func (m migrationDirectory) path(name string) string { return filepath.Join(string(m), name) }
 
-func (m moved) all(t *testing.T) string {
+func (m migrationDirectory) contents(t *testing.T) string {
 	var b strings.Builder
-	files, err := filepath.Glob(m.at("*"))
+	files, err := filepath.Glob(m.path("*"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -40,14 +40,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		fmt.Fprintln(&b, f, info.Mode(), info.ModTime(), read(t, f))
+		fmt.Fprintln(&b, f, info.Mode(), info.ModTime(), readFile(t, f))
 	}
 	return b.String()
 }
 
 // Whatever goes wrong, one line names file and key and nothing is written; what goes well is written whole.
 func TestMigrate(t *testing.T) {
-	old, shape, fresh, list := read(t, files+"old.json"), read(t, files+"shape.json"), read(t, files+"new.json"), read(t, files+"list.txt")
+	old, shape, fresh, list := readFile(t, migrateFiles+"old.json"), readFile(t, migrateFiles+"shape.json"), readFile(t, migrateFiles+"new.json"), readFile(t, migrateFiles+"list.txt")
 	for _, c := range []struct {
 		name, old, shape, to string
 		dry, force           bool
@@ -72,15 +72,15 @@
 		{name: "no service types", old: strings.Replace(old, `"service-types"`, `"service-kinds"`, 1), fault: "settings.service-types: is missing"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			m := moved(t.TempDir())
+			m := migrationDirectory(t.TempDir())
 			for name, text := range map[string]string{"old.json": cmp.Or(c.old, old), "shape.json": cmp.Or(c.shape, shape), "there.json": "precious"} {
-				if err := os.WriteFile(m.at(name), []byte(text), 0o640); err != nil {
+				if err := os.WriteFile(m.path(name), []byte(text), 0o640); err != nil {
 					t.Fatal(err)
 				}
 			}
-			to := m.at(cmp.Or(c.to, "new.json"))
-			before, said := m.all(t), bytes.Buffer{}
-			err := Migrate(&said, m.at("shape.json"), m.at("old.json"), to, c.dry, c.force)
+			to := m.path(cmp.Or(c.to, "new.json"))
+			before, said := m.contents(t), bytes.Buffer{}
+			err := Migrate(&said, m.path("shape.json"), m.path("old.json"), to, c.dry, c.force)
 			if c.fault != "" {
 				if err == nil || !strings.Contains(err.Error(), c.fault) || strings.Contains(err.Error(), "\n") || errors.Is(err, ErrConfiguration) != (c.to == "") || said.Len() > 0 {
 					t.Errorf("%v, said %q, want %s", err, said.String(), c.fault)
@@ -89,22 +89,22 @@
 				t.Errorf("%v, said %s", err, said.String())
 			}
 			if c.fault != "" || c.dry {
-				if after := m.all(t); after != before {
+				if after := m.contents(t); after != before {
 					t.Errorf("was %s, is %s", before, after)
 				}
 				return
 			}
-			if info, err := os.Stat(to); err != nil || info.Mode() != 0o640 || read(t, to) != fresh {
-				t.Errorf("%v, wrote %s", err, read(t, to))
+			if info, err := os.Stat(to); err != nil || info.Mode() != 0o640 || readFile(t, to) != fresh {
+				t.Errorf("%v, wrote %s", err, readFile(t, to))
 			}
 		})
 	}
 }
 
 // A daemon serves from the written file: it finds its server through discovery, asks it for its load, and holds a flow.
-func TestServeFromTheWrittenFile(t *testing.T) {
+func TestServeMigratedConfiguration(t *testing.T) {
 	asked := make(chan struct{}, 1000)
-	server := echo(t, asked)
+	server := startEchoServer(t, asked)
 	agent := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		fmt.Fprintf(w, `{"revision":1,"complete":true,"members":[{"id":"a","host_port":%q,"phase":"SERVING"}]}`+"\n", server)
 		w.(http.Flusher).Flush()
@@ -113,19 +113,19 @@
 		}
 	}))
 	t.Cleanup(agent.Close)
-	g := newRig(t)
-	at := strings.NewReplacer("127.0.0.1:8080", g.addr, "127.0.0.2:8500", strings.TrimPrefix(agent.URL, "http://"), `"seed"`, fmt.Sprintf(`"control":%q,"seed"`, g.calls))
-	if err := os.WriteFile(g.path, []byte(at.Replace(read(t, files+"old.json"))), 0o600); err != nil {
+	g := newHarness(t)
+	at := strings.NewReplacer("127.0.0.1:8080", g.listenAddress, "127.0.0.2:8500", strings.TrimPrefix(agent.URL, "http://"), `"seed"`, fmt.Sprintf(`"control":%q,"seed"`, g.adminAddress))
+	if err := os.WriteFile(g.path, []byte(at.Replace(readFile(t, migrateFiles+"old.json"))), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	from := g.path
 	g.path += ".new"
-	if err := Migrate(&bytes.Buffer{}, files+"shape.json", from, g.path, false, false); err != nil {
+	if err := Migrate(&bytes.Buffer{}, migrateFiles+"shape.json", from, g.path, false, false); err != nil {
 		t.Fatal(err)
 	}
 	g.start(func(string) string { return "" })
 	defer g.end()
-	if _, up := g.flow(); up != "UP 1" {
+	if _, up := g.openFlow(); up != "UP 1" {
 		t.Errorf("a client hears %q", up)
 	}
 	select {
--- a/internal/daemon/moment_test.go
+++ b/internal/daemon/outage_test.go
@@ -12,11 +12,11 @@
 	"time"
 )
 
-const moment = 300 * time.Millisecond // for so long the system refuses a call: the term's own
+const outageDuration = 300 * time.Millisecond // for so long the system refuses a call: the term's own
 
 // The configuration can't be read, or is only half there, in the moment in which SIGHUP comes, once or in a row: its new address of discovery is
 // asked all the same, within the 4 s after which what it tells counts.
-func TestConfigurationNotReadableForAMoment(t *testing.T) {
+func TestReloadOfUnreadableConfiguration(t *testing.T) {
 	const counts = 4 * time.Second
 	for _, c := range []struct {
 		name    string
@@ -43,7 +43,7 @@
 			}))
 			t.Cleanup(agent.Close)
 			t.Cleanup(agent.CloseClientConnections)
-			g := newRig(t)
+			g := newHarness(t)
 			p := g.process()
 			renewed := discovery.ReplaceAllLiteralString(g.config, fmt.Sprintf(`"discovery":%q`, strings.TrimPrefix(agent.URL, "http://")))
 			if err := c.spoil(g.path, renewed); err != nil {
@@ -53,7 +53,7 @@
 			for range c.hangups {
 				p.signal(syscall.SIGHUP)
 			}
-			time.Sleep(moment)
+			time.Sleep(outageDuration)
 			if err := os.RemoveAll(g.path); err != nil {
 				t.Fatal(err)
 			}
@@ -72,24 +72,24 @@
 
 // An address is another's in the moment in which the process starts, or for a moment the system has nothing left for its socket: it serves there
 // once it can, and is ready in time. What lasts ends it with an error that names the key.
-func TestAddressNotThereForAMoment(t *testing.T) {
+func TestAddressInUseAtStart(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		addr func(g *rig) string
+		addr func(g *harness) string
 	}{
-		{"clients'", func(g *rig) string { return g.addr }},
-		{"staff's", func(g *rig) string { return g.calls }},
+		{"clients'", func(g *harness) string { return g.listenAddress }},
+		{"staff's", func(g *harness) string { return g.adminAddress }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			g := newRig(t)
+			g := newHarness(t)
 			other, err := net.Listen("tcp", c.addr(g))
 			if err != nil {
 				t.Fatal(err)
 			}
-			time.AfterFunc(moment, func() { _ = other.Close() })
+			time.AfterFunc(outageDuration, func() { _ = other.Close() })
 			g.processIn(t.TempDir())
-			g.until("GET", "ready", 200)
-			if _, got := g.flow(); got != "UP 1" {
+			g.awaitStatus("GET", "ready", 200)
+			if _, got := g.openFlow(); got != "UP 1" {
 				t.Errorf("a flow hears %q", got)
 			}
 		})
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -21,9 +21,9 @@
 	mostKeys            = 16 // named in the log where a new file changes what needs a restart
 )
 
-// reloads has the configuration read anew at each word of again, until the context ends. One that can't be read or served as the word comes is
+// watchReloads has the configuration read anew at each word of again, until the context ends. One that can't be read or served as the word comes is
 // tried again: it may be about to be written, and its address of discovery counts soon. A new word begins anew.
-func (p *Daemon) reloads(ctx context.Context, again <-chan os.Signal) {
+func (p *Daemon) watchReloads(ctx context.Context, again <-chan os.Signal) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -67,14 +67,14 @@
 // reload is the one owner of what is told anew while the balancer runs, be it serving or draining. A file that can't be
 // served changes nothing: half a change could not be told from a fault of the balancer.
 func (p *Daemon) reload() error {
-	next, err := prepare(p.path, p.options, p.env)
+	next, err := prepare(p.configPath, p.optionsPath, p.environment)
 	if err != nil {
 		return err
 	}
-	moved := p.discovery.SetAddress(next.agent)
-	slog.Info("configuration read anew", "discovery", next.agent, "moved", moved)
-	keys := p.told.ChangedKeys(next.told)
-	p.router.WithLock(func() { keys = append(keys, p.own.Apply(next.own, p.told.DecisionSettings())...) })
+	moved := p.discovery.SetAddress(next.discoveryAddress)
+	slog.Info("configuration read anew", "discovery", next.discoveryAddress, "moved", moved)
+	keys := p.values.ChangedKeys(next.values)
+	p.router.WithLock(func() { keys = append(keys, p.options.Apply(next.options, p.values.DecisionSettings())...) })
 	if len(keys) > 0 {
 		slog.Warn("these changes need a restart", "keys", keys[:min(len(keys), mostKeys)], "in all", len(keys))
 	}
--- a/internal/daemon/size_test.go
+++ b/internal/daemon/size_test.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// fleetOf has a rig's configuration tell of so many servers, all but one of which nobody listens for, and of so many balancers.
-func (g *rig) fleetOf(servers, balancers int) (names []string) {
+// configureFleet has a rig's configuration tell of so many servers, all but one of which nobody listens for, and of so many balancers.
+func (g *harness) configureFleet(servers, balancers int) (names []string) {
 	var known, peers []string
 	for i := range servers {
 		names = append(names, fmt.Sprintf("s-%08x", i*2654435761))
@@ -34,15 +34,15 @@
 	return names
 }
 
-// mostAServer is what each listed server may cost at rest: a list twice as long as any that runs still leaves control most of its 64 MB.
-const mostAServer = 1 << 10
+// maxBytesPerServer is what each listed server may cost at rest: a list twice as long as any that runs still leaves control most of its 64 MB.
+const maxBytesPerServer = 1 << 10
 
 // A fleet of 12,800 servers and 1,024 balancers is taken whole, from the configuration and from discovery; what it costs at rest is bounded.
-func TestSize(t *testing.T) {
+func TestMemoryPerServer(t *testing.T) {
 	for _, servers := range []int{64, 256, 1024, 12_800} {
 		t.Run(fmt.Sprint(servers), func(t *testing.T) {
-			g := newRig(t)
-			names := g.fleetOf(servers, 1024)
+			g := newHarness(t)
+			names := g.configureFleet(servers, 1024)
 			heap := func() int64 {
 				var m runtime.MemStats
 				runtime.GC()
@@ -52,15 +52,15 @@
 			}
 			before := heap()
 			p, err := prepare(g.path, "", os.Getenv)
-			if err != nil || p.known != nil {
-				t.Fatalf("%v, %v", err, p.known)
+			if err != nil || p.cachedListError != nil {
+				t.Fatalf("%v, %v", err, p.cachedListError)
 			}
 			kept := heap() - before
 			t.Logf("%d servers: %d KB at rest", servers, kept>>10)
-			if each := kept / int64(servers); each > mostAServer {
-				t.Errorf("%d bytes a server, at most %d", each, mostAServer)
+			if each := kept / int64(servers); each > maxBytesPerServer {
+				t.Errorf("%d bytes a server, at most %d", each, maxBytesPerServer)
 			}
-			p.told.Each(func(key, _ string) {
+			p.values.Each(func(key, _ string) {
 				if strings.HasPrefix(key, "known") {
 					t.Fatalf("%s is kept twice: the router has it", key)
 				}
--- a/internal/daemon/start_test.go
+++ b/internal/daemon/start_test.go
@@ -27,7 +27,7 @@
 
 // A process told to end while it waits for the one before ends without having served, wherever the other one is silent or not ready; it
 // does not first wait to serve alone.
-func TestToldToEndBeforeItServes(t *testing.T) {
+func TestStoppedBeforeServing(t *testing.T) {
 	for _, c := range []struct {
 		name, at string
 		later    bool
@@ -37,8 +37,8 @@
 		{"it gives nothing", "give", false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			env := folder(t)
-			g := newRig(t)
+			env := directoryEnvironment(t)
+			g := newHarness(t)
 			reached, over := make(chan struct{}, 1), make(chan struct{})
 			said := func(at string) handover.Handler {
 				return func([]byte, []*os.File) (any, []syscall.Conn, error) {
@@ -54,7 +54,7 @@
 					return c.later, nil, nil
 				}
 			}
-			f, err := handover.Open(env("TMPDIR"), g.addr)
+			f, err := handover.Open(env("TMPDIR"), g.listenAddress)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -74,19 +74,19 @@
 					go func() { _ = l.Run() }()
 				}
 			}()
-			if g.p, err = Load(g.path, "", env); err != nil {
+			if g.daemon, err = Load(g.path, "", env); err != nil {
 				t.Fatal(err)
 			}
 			stop, term := context.WithCancel(context.Background())
 			done := make(chan error, 1)
-			go func() { done <- g.p.Serve(stop, nil) }()
+			go func() { done <- g.daemon.Serve(stop, nil) }()
 			<-reached
 			term()
 			if err := <-done; err != nil {
 				t.Errorf("ended with %v", err)
 			}
 			select {
-			case <-g.p.up:
+			case <-g.daemon.started:
 				t.Error("it served first")
 			default:
 			}
@@ -95,15 +95,15 @@
 }
 
 // All that a new process may wait for before it serves fits into what an operator allows it.
-func TestWaitsBeforeServing(t *testing.T) {
+func TestTimeoutsBeforeServing(t *testing.T) {
 	const allowed = 10 * time.Second
 	if all := takeOverTimeout + requestTimeout; all >= allowed { // receiveHandover in all, then the word to the predecessor
 		t.Errorf("a new process may wait for %v, %v are allowed", all, allowed)
 	}
 }
 
-// hears sends a line on ever new connections until one of them brings the answer: those that the system gives to a frozen process bring none.
-func (p *process) hears(ctx context.Context, line, want string) error {
+// awaitAnswer sends a line on ever new connections until one of them brings the answer: those that the system gives to a frozen process bring none.
+func (p *process) awaitAnswer(ctx context.Context, line, want string) error {
 	answers := make(chan string)
 	again := time.NewTicker(50 * time.Millisecond)
 	defer again.Stop()
@@ -112,7 +112,7 @@
 	last := ""
 	for n := 0; ; n++ {
 		go func() {
-			c, err := net.Dial("tcp", p.addr)
+			c, err := net.Dial("tcp", p.listenAddress)
 			if err != nil {
 				return
 			}
@@ -140,22 +140,22 @@
 	}
 }
 
-// ready is when this process serves, PING is answered and a client has a server of the known list. Until it serves, the process before may
+// awaitReady is when this process serves, PING is answered and a client has a server of the known list. Until it serves, the process before may
 // answer at the same address.
-func (p *process) ready(ctx context.Context) error {
-	for p.ask("GET", "ready") != http.StatusOK {
+func (p *process) awaitReady(ctx context.Context) error {
+	for p.callAdmin("GET", "ready") != http.StatusOK {
 		select {
 		case <-time.After(5 * time.Millisecond):
 		case <-ctx.Done():
 			return fmt.Errorf("%s does not serve: %w", p.path, ctx.Err())
 		}
 	}
-	return errors.Join(p.hears(ctx, "PING", "PONG"), p.hears(ctx, "OPEN ready-ID 2 c=live,d=800", "UP 1"))
+	return errors.Join(p.awaitAnswer(ctx, "PING", "PONG"), p.awaitAnswer(ctx, "OPEN ready-ID 2 c=live,d=800", "UP 1"))
 }
 
 // The agents a new process may meet, which say nothing of the list before all processes are ready, or never.
-func silentAgent(t *testing.T) (addr string, speak func()) {
-	l := listen(t)
+func startSilentAgent(t *testing.T) (addr string, speak func()) {
+	l := listenLocal(t)
 	spoken := make(chan struct{})
 	go func() {
 		for {
@@ -165,7 +165,7 @@
 			}
 			t.Cleanup(func() { c.Close() })
 			go func() {
-				if _, err := http11(c); err != nil {
+				if _, err := readRequestHead(c); err != nil {
 					return
 				}
 				<-spoken
@@ -177,8 +177,8 @@
 	return l.Addr().String(), func() { close(spoken) }
 }
 
-// http11 reads a request's head.
-func http11(c net.Conn) (head string, err error) {
+// readRequestHead reads a request's head.
+func readRequestHead(c net.Conn) (head string, err error) {
 	in := bufio.NewReader(c)
 	for !strings.HasSuffix(head, "\r\n\r\n") && err == nil {
 		var line string
@@ -191,18 +191,18 @@
 // Restarted processes, all at once, serve the list that they know whatever their agent does, and whatever the process before them does,
 // which shares their address and folder. How long each took is logged; what is asked is that they are ready while the agent has not spoken
 // and the one before is as it was.
-func TestReady(t *testing.T) {
+func TestReadyAfterRestart(t *testing.T) {
 	const within = 10 * time.Second
 	runtime.LockOSThread() // see processIn
 	defer runtime.UnlockOSThread()
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute) // a test that hangs is to fail
 	defer cancel()
-	silent, _ := silentAgent(t)
-	late, speak := silentAgent(t)
+	silent, _ := startSilentAgent(t)
+	late, speak := startSilentAgent(t)
 	agents := []struct{ name, addr string }{{"silent", silent}, {"refusing", ""}, {"late", late}}
 	befores := []string{"none", "killed", "frozen", "slow to end"}
 	type start struct {
-		g             *rig
+		g             *harness
 		agent, before string
 		tmp           string
 		old, now      *process
@@ -212,7 +212,7 @@
 	all := make([]*start, *processes)
 	for i := range all {
 		agent, before := agents[i%len(agents)], befores[i/len(agents)%len(befores)]
-		s := &start{g: newRig(t), agent: agent.name, before: before, tmp: t.TempDir()}
+		s := &start{g: newHarness(t), agent: agent.name, before: before, tmp: t.TempDir()}
 		var told map[string]any
 		if err := json.Unmarshal([]byte(s.g.config), &told); err != nil {
 			t.Fatal(err)
@@ -238,11 +238,11 @@
 		if s.old == nil {
 			continue
 		}
-		if err := s.old.ready(ctx); err != nil {
+		if err := s.old.awaitReady(ctx); err != nil {
 			t.Fatalf("the process before: %v", err)
 		}
 		for { // it is to be found before it is struck
-			if _, err := os.Lstat(filepath.Join(s.tmp, "yardwinch-"+strings.ReplaceAll(s.g.addr, ":", "_")+".sock")); err == nil {
+			if _, err := os.Lstat(filepath.Join(s.tmp, "yardwinch-"+strings.ReplaceAll(s.g.listenAddress, ":", "_")+".sock")); err == nil {
 				break
 			}
 			if ctx.Err() != nil {
@@ -252,7 +252,7 @@
 		}
 		signal := map[string]syscall.Signal{"killed": syscall.SIGKILL, "frozen": syscall.SIGSTOP, "slow to end": syscall.SIGTERM}[s.before]
 		if signal == syscall.SIGTERM { // somebody who stays has it take all its time
-			if _, got := s.g.says("OPEN stays 2 c=live,d=800"); got != "UP 1" {
+			if _, got := s.g.openWith("OPEN stays 2 c=live,d=800"); got != "UP 1" {
 				t.Fatalf("at the process before: %q", got)
 			}
 		}
@@ -264,7 +264,7 @@
 	for _, s := range all {
 		g := s.g
 		if s.old != nil {
-			g = g.beside()
+			g = g.successor()
 		}
 		s.began = time.Now()
 		s.now = g.processIn(s.tmp)
@@ -272,7 +272,7 @@
 	done := make(chan error)
 	for _, s := range all {
 		go func() {
-			err := s.now.ready(ctx)
+			err := s.now.awaitReady(ctx)
 			s.took = time.Since(s.began)
 			if err != nil {
 				err = fmt.Errorf("agent %s, the one before %s: %w", s.agent, s.before, err)
@@ -288,7 +288,7 @@
 	speak() // an agent that speaks in the end is heard: the list it brings is empty
 	for _, s := range all {
 		if s.agent == "late" && !t.Failed() {
-			if err := s.now.hears(ctx, "OPEN late-ID 2 c=live,d=800", "BUSY 700"); err != nil {
+			if err := s.now.awaitAnswer(ctx, "OPEN late-ID 2 c=live,d=800", "BUSY 700"); err != nil {
 				t.Errorf("the one before %s, after the agent spoke: %v", s.before, err)
 			}
 		}
--- a/internal/daemon/leavers_test.go
+++ b/internal/daemon/suspended_test.go
@@ -19,7 +19,7 @@
 
 // A burst of clients leaves while the process has nothing of its core, and 0.1 s later it has it again: no connection is asked for on their
 // behalf, whether they were in the queue or waited for their turn.
-func TestBurstOfLeavers(t *testing.T) {
+func TestClientsLeaveWhileSuspended(t *testing.T) {
 	const many, late = 40, 100 * time.Millisecond
 	for _, c := range []struct {
 		name      string
@@ -38,7 +38,7 @@
 		} {
 			t.Run(c.name+", "+way, func(t *testing.T) {
 				t.Parallel()
-				server := listen(t)
+				server := listenLocal(t)
 				var mu sync.Mutex
 				var came []net.Conn
 				go func() {
@@ -67,14 +67,14 @@
 					<-q.Context().Done()
 				}))
 				t.Cleanup(agent.CloseClientConnections)
-				g := newRig(t)
+				g := newHarness(t)
 				g.config = discovery.ReplaceAllLiteralString(g.config, fmt.Sprintf(`"discovery":%q`, strings.TrimPrefix(agent.URL, "http://")))
 				g.config = strings.NewReplacer(g.serverAddress, server.Addr().String(), `"hard-limit":800000000`, `"hard-limit":8000000000`,
 					`"settings":{`, fmt.Sprintf(`"settings":{"peers-total":%d,"guarantees":{"cold-from":0.2,"fall-multiple":3,"warm-after":20000000000,
 					"fall":1500000000},`, c.balancers)).Replace(g.config)
 				p := g.process()
 				client := func(id string) *net.TCPConn {
-					x, err := net.Dial("tcp", g.addr)
+					x, err := net.Dial("tcp", g.listenAddress)
 					if err != nil {
 						t.Fatal(err)
 					}
@@ -84,22 +84,22 @@
 					return x.(*net.TCPConn)
 				}
 				first := client("first")
-				p.is("sent on", count(1))
+				p.awaitProcess("sent on", count(1))
 				var gone []*net.TCPConn
 				for i := range many - c.queued {
 					gone = append(gone, client(fmt.Sprint("w", i)))
 				}
-				if _, got := g.says("PING"); got != "PONG" { // all that stood before it in the queue were taken out
+				if _, got := g.openWith("PING"); got != "PONG" { // all that stood before it in the queue were taken out
 					t.Fatalf("PING is answered %q", got)
 				}
-				g.conn.Close()
+				g.lastClient.Close()
 				select {
 				case <-watched:
 				case <-time.After(10 * time.Second):
 					t.Fatal("the list is not watched")
 				}
 				p.signal(syscall.SIGSTOP)
-				p.is("stopped", func(proc string) bool {
+				p.awaitProcess("stopped", func(proc string) bool {
 					stat, _ := os.ReadFile(proc + "stat")
 					return strings.Contains(string(stat), ") T ")
 				})
@@ -118,7 +118,7 @@
 						return came[len(came)-1].RemoteAddr().String() == last.LocalAddr().String()
 					}
 				}
-				p.is("all taken in", taken(own))
+				p.awaitProcess("all taken in", taken(own))
 				for _, x := range gone {
 					leave(x)
 				}
@@ -146,7 +146,7 @@
 					t.Fatal(err)
 				}
 				defer behind.Close()
-				p.is("all taken in", taken(behind))
+				p.awaitProcess("all taken in", taken(behind))
 				mu.Lock()
 				defer mu.Unlock()
 				if n := len(came) - before - 1; n != want {
--- a/internal/daemon/handover.go
+++ b/internal/daemon/upgrade.go
@@ -31,14 +31,14 @@
 
 // Kinds of messages between two processes. Versions of this program that run side by side have them in common.
 const (
-	messageHello = "hello" // from the successor: may it take over
-	messageGive  = "give"  // from the successor: it asks for the state and the sockets
-	messageHave  = "have"  // from the successor: it serves
-	messageSet   = "set"   // from the successor: it made a change
-	messageAsk   = "ask"   // from the predecessor: a change that was called for there
-	messageClaim = "claim" // from the predecessor: may it use an id
-	messageCarry = "carry" // from the predecessor: a standing connection
-	messageInUse = "held"  // from the predecessor: how many descriptors it has in use
+	messageHello           = "hello" // from the successor: may it take over
+	messageGetState        = "give"  // from the successor: it asks for the state and the sockets
+	messageServing         = "have"  // from the successor: it serves
+	messageApplyChange     = "set"   // from the successor: it made a change
+	messageRequestChange   = "ask"   // from the predecessor: a change that was called for there
+	messageClaimID         = "claim" // from the predecessor: may it use an id
+	messageTransfer        = "carry" // from the predecessor: a standing connection
+	messageDescriptorUsage = "held"  // from the predecessor: how many descriptors it has in use
 )
 
 // Processes that share the limit of memory.
@@ -49,10 +49,10 @@
 
 // handoverLinks is what a process has of its predecessor, from which it takes over, and of its successor, which takes over from it.
 type handoverLinks struct {
-	folder              *handover.Directory // nil: this process is alone
-	bans                *banKeeper          // nil with the folder
+	directory           *handover.Directory // nil: this process is alone
+	disabled            *disabledStore      // nil with the folder
 	reservedDescriptors int                 // kept from clients
-	upOnce              sync.Once           // closes up
+	startedOnce         sync.Once           // closes up
 
 	changing    sync.Mutex     // one change after another, and none while the state is passed on
 	predecessor *handover.Link // nil: none lives
@@ -86,20 +86,20 @@
 
 // usedDescriptors is how many descriptors this process has in use.
 func (p *Daemon) usedDescriptors() int {
-	return p.room.MaxInUse(p.descriptors-p.reservedDescriptors) + p.reservedDescriptors
+	return p.descriptorBudget.MaxInUse(p.descriptorLimit-p.reservedDescriptors) + p.reservedDescriptors
 }
 
 // outOfService tells whether this balancer was told to go out of service.
 func (p *Daemon) outOfService() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return !p.since.IsZero()
+	return !p.drainingSince.IsZero()
 }
 
 // phaseWithoutSuccessor is the phase of a process that serves, or that serves again.
 func (p *Daemon) phaseWithoutSuccessor() phase {
 	if p.outOfService() {
-		return emptying
+		return draining
 	}
 	return serving
 }
--- a/internal/daemon/handover_sender.go
+++ b/internal/daemon/upgrade_predecessor.go
@@ -23,9 +23,9 @@
 // awaitSuccessors waits for a process that takes over from this one, again when one has gone. A folder that fails is tried again: until it
 // works no other process finds this one.
 func (p *Daemon) awaitSuccessors(ctx context.Context) {
-	waits := retry.Backoff{First: firstFolderRetry, Longest: longestFolderRetry}
+	waits := retry.Backoff{First: firstStoreRetry, Longest: longestStoreRetry}
 	for failed := false; ; {
-		listener, err := p.folder.Listen()
+		listener, err := p.directory.Listen()
 		switch {
 		case err == nil:
 			failed = false
@@ -81,22 +81,22 @@
 			greeted = err == nil && !later
 			return later, nil, err
 		},
-		messageGive: func([]byte, []*os.File) (any, []syscall.Conn, error) {
+		messageGetState: func([]byte, []*os.File) (any, []syscall.Conn, error) {
 			if !greeted {
 				return nil, nil, errors.New("no greeting")
 			}
 			return p.sendState(link)
 		},
-		messageHave: func([]byte, []*os.File) (any, []syscall.Conn, error) {
+		messageServing: func([]byte, []*os.File) (any, []syscall.Conn, error) {
 			if !p.isSuccessor(link) {
 				return nil, nil, errors.New("nothing was given")
 			}
 			p.releaseExplainer()
-			p.parts.Go(func() { p.sendUsage(sending, link) })
-			p.parts.Go(func() { p.sendConnections(sending, link) })
+			p.goroutines.Go(func() { p.sendUsage(sending, link) })
+			p.goroutines.Go(func() { p.sendConnections(sending, link) })
 			return nil, nil, nil
 		},
-		messageSet: p.applyChange,
+		messageApplyChange: p.applyChange,
 	})
 	defer context.AfterFunc(ctx, link.Close)()
 	silent := time.AfterFunc(requestTimeout, func() { // whoever comes and says nothing
@@ -118,12 +118,12 @@
 	if err := json.Unmarshal(body, &hello); err != nil {
 		return false, err
 	}
-	if hello.Version != handover.Version || hello.Listen != p.listen {
-		return false, fmt.Errorf("version %d for %s here, not %d for %s", handover.Version, p.listen, hello.Version, hello.Listen)
+	if hello.Version != handover.Version || hello.Listen != p.listenAddress {
+		return false, fmt.Errorf("version %d for %s here, not %d for %s", handover.Version, p.listenAddress, hello.Version, hello.Listen)
 	}
 	p.changing.Lock()
 	defer p.changing.Unlock()
-	return p.predecessor != nil || p.successor != nil || p.is() == draining, nil
+	return p.predecessor != nil || p.successor != nil || p.currentPhase() == shuttingDown, nil
 }
 
 // sendState stops the accepting and passes on what makes both processes one balancer. Until the link ends the successor decides.
@@ -134,13 +134,13 @@
 		return nil, nil, errors.New("another process has it")
 	}
 	p.mu.Lock()
-	since := p.since
+	since := p.drainingSince
 	p.mu.Unlock()
-	if !p.turn(handing) {
-		return nil, nil, fmt.Errorf("%s", p.is())
+	if !p.transition(handingOver) {
+		return nil, nil, fmt.Errorf("%s", p.currentPhase())
 	}
 	p.successor = link
-	p.bans.release()
+	p.disabled.release()
 	p.listener.Pause()
 	state := handover.State{
 		Version:      handover.Version,
@@ -156,11 +156,11 @@
 		state.Files = append(state.Files, explainSocket)
 		sockets = append(sockets, explainer)
 	}
-	state.IDsKey, state.IDs = p.front.ShareIDs(func(hash uint64) (taken bool) { return claimID(link, hash) })
+	state.IDsKey, state.IDs = p.frontend.ShareIDs(func(hash uint64) (taken bool) { return claimID(link, hash) })
 	state.DiscoveryAddress, state.Revision = p.discovery.Position()
 	p.router.SetHandedOver(true) // before the state is taken: nothing is spent in between
 	state.Router = p.router.Snapshot()
-	p.goal(bothProcesses)
+	p.setMemoryGoal(bothProcesses)
 	return state, sockets, nil
 }
 
@@ -168,7 +168,7 @@
 func claimID(link *handover.Link, hash uint64) (taken bool) {
 	ctx, done := context.WithTimeout(context.Background(), claimTimeout)
 	defer done()
-	_, err := link.Ask(messageClaim, hash)(ctx, &taken)
+	_, err := link.Ask(messageClaimID, hash)(ctx, &taken)
 	return err == nil && taken
 }
 
@@ -188,13 +188,13 @@
 		return
 	}
 	p.successor = nil
-	p.front.ShareIDs(nil)
-	p.goal(oneProcess)
-	if !p.turn(p.phaseWithoutSuccessor()) {
+	p.frontend.ShareIDs(nil)
+	p.setMemoryGoal(oneProcess)
+	if !p.transition(p.phaseWithoutSuccessor()) {
 		return
 	}
 	slog.Warn("the successor has ended: serving again")
-	p.bans.owe()
+	p.disabled.requestSave()
 	p.router.SetHandedOver(false)
 	p.listener.Resume()
 	select {
@@ -235,12 +235,12 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch {
-	case p.phase != handing:
+	case p.phase != handingOver:
 	case in:
-		p.since = time.Time{}
-	case p.since.IsZero():
-		p.since = time.Now()
-		p.empty(p.inPhase, 0)
+		p.drainingSince = time.Time{}
+	case p.drainingSince.IsZero():
+		p.drainingSince = time.Now()
+		p.startDrain(p.inPhase, 0)
 	}
 }
 
@@ -251,7 +251,7 @@
 	for last := -1; ; {
 		if used := p.usedDescriptors(); used != last {
 			last = used
-			if link.Say(messageInUse, used) != nil {
+			if link.Say(messageDescriptorUsage, used) != nil {
 				return
 			}
 		}
@@ -269,14 +269,14 @@
 // could be gone on with by both.
 func (p *Daemon) sendConnections(ctx context.Context, link *handover.Link) {
 	send := func(standing protocol.EstablishedConnection, client, server syscall.Conn) bool {
-		_, err := link.Ask(messageCarry, standing, client, server)(context.WithoutCancel(ctx), nil)
+		_, err := link.Ask(messageTransfer, standing, client, server)(context.WithoutCancel(ctx), nil)
 		return err == nil || p.ctx.Err() != nil // at our own end it is not known; the successor may go on with it
 	}
 	for total := 0; ; {
-		sent, tried := p.front.TransferConnections(ctx, send)
+		sent, tried := p.frontend.TransferConnections(ctx, send)
 		total += sent
 		if sent > 0 {
-			slog.Info("connections handed over", "number", total, "still here", p.front.ConnectionCount())
+			slog.Info("connections handed over", "number", total, "still here", p.frontend.ConnectionCount())
 		}
 		if sent == 0 && tried > 0 { // whatever stands in the way stands there for the next as well
 			return
--- a/internal/daemon/handover_receiver.go
+++ b/internal/daemon/upgrade_successor.go
@@ -27,10 +27,10 @@
 // alone; the other then goes on as if nothing had been. Nothing is waited for once starting ends, nor for longer than takeOverTimeout
 // in all.
 func (p *Daemon) receiveHandover(ctx, starting context.Context) *inherited {
-	if p.folder == nil {
+	if p.directory == nil {
 		return &inherited{}
 	}
-	defer p.parts.Go(func() { p.bans.run(ctx, p.router.DisableAll) })
+	defer p.goroutines.Go(func() { p.disabled.run(ctx, p.router.DisableAll) })
 	waiting, done := context.WithTimeout(starting, takeOverTimeout)
 	defer done()
 	link, err := p.awaitPredecessor(ctx, waiting)
@@ -45,8 +45,8 @@
 		link.Close()
 		slog.Warn("not taken over from the process that serves", "error", err)
 	}
-	p.folder.RemoveUnfinished()
-	p.restoreOutByHand(starting)
+	p.directory.RemoveUnfinished()
+	p.restoreDisabled(starting)
 	return &inherited{}
 }
 
@@ -66,15 +66,15 @@
 	}
 }
 
-// restoreOutByHand takes out the servers that an earlier process had out by hand. A folder that can't be read is waited for: whoever comes
+// restoreDisabled takes out the servers that an earlier process had out by hand. A folder that can't be read is waited for: whoever comes
 // meanwhile would be sent to them. One that is not there is not; it may come later.
-func (p *Daemon) restoreOutByHand(starting context.Context) {
-	ctx, done := context.WithTimeout(starting, readBansTimeout)
+func (p *Daemon) restoreDisabled(starting context.Context) {
+	ctx, done := context.WithTimeout(starting, loadTimeout)
 	defer done()
-	waits := retry.Backoff{First: firstFolderRetry, Longest: longestFolderRetry}
+	waits := retry.Backoff{First: firstStoreRetry, Longest: longestStoreRetry}
 	for {
-		err := p.bans.readKept(p.router.DisableAll)
-		p.bans.note(err)
+		err := p.disabled.load(p.router.DisableAll)
+		p.disabled.recordResult(err)
 		if err == nil || errors.Is(err, fs.ErrNotExist) || waits.Wait(ctx) != nil {
 			return
 		}
@@ -84,19 +84,19 @@
 // connectPredecessor finds the process that serves now and greets it; nil where there is none. The link ends with ctx, the greeting
 // with waiting.
 func (p *Daemon) connectPredecessor(ctx, waiting context.Context) (*handover.Link, error) {
-	conn, err := p.folder.Find()
+	conn, err := p.directory.Find()
 	if conn == nil || err != nil {
 		return nil, err
 	}
 	requests := map[string]handover.Handler{
-		messageAsk:   p.answerChange,
-		messageClaim: p.answerClaim,
-		messageCarry: p.receiveConnection,
+		messageRequestChange: p.answerChange,
+		messageClaimID:       p.answerClaim,
+		messageTransfer:      p.receiveConnection,
 	}
-	notices := map[string]handover.Handler{messageInUse: p.notePredecessorUsage}
+	notices := map[string]handover.Handler{messageDescriptorUsage: p.notePredecessorUsage}
 	link := handover.NewLink(conn, requests, notices)
 	context.AfterFunc(ctx, link.Close)
-	p.parts.Go(func() {
+	p.goroutines.Go(func() {
 		if err := link.Run(); err != nil {
 			slog.Warn("hand-over broken off", "error", err)
 		}
@@ -114,7 +114,7 @@
 	ctx, done := context.WithTimeout(ctx, requestTimeout)
 	defer done()
 	var later bool
-	hello := handover.Hello{Version: handover.Version, Listen: p.listen}
+	hello := handover.Hello{Version: handover.Version, Listen: p.listenAddress}
 	if _, err := link.Ask(messageHello, hello)(ctx, &later); err != nil {
 		return err
 	}
@@ -129,7 +129,7 @@
 	ctx, done := context.WithTimeout(ctx, requestTimeout)
 	defer done()
 	var state handover.State
-	files, err := link.Ask(messageGive, nil)(ctx, &state)
+	files, err := link.Ask(messageGetState, nil)(ctx, &state)
 	received := &inherited{files: files}
 	if err == nil {
 		err = state.Validate()
@@ -148,7 +148,7 @@
 	if state.OutOfService {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		p.since = time.Now().Add(-state.DrainingFor)
+		p.drainingSince = time.Now().Add(-state.DrainingFor)
 	}
 	return received, nil
 }
@@ -164,7 +164,7 @@
 		case clientsSocket:
 			received.listener, err = clientsListener(received.files[i])
 		case explainSocket:
-			if p.own.ExplainSocket() != "" {
+			if p.options.ExplainSocket() != "" {
 				received.explainer, err = net.FileListener(received.files[i])
 			}
 		}
@@ -193,12 +193,12 @@
 // restore goes on where the predecessor stood.
 func (p *Daemon) restore(state handover.State) {
 	p.router.Restore(state.Router)
-	p.front.ImportIDs(state.IDsKey, state.IDs)
+	p.frontend.ImportIDs(state.IDsKey, state.IDs)
 	p.discovery.Resume(state.DiscoveryAddress, state.Revision)
-	p.room.SetLent(state.Connections)
-	p.goal(bothProcesses)
-	p.bans.known()
-	p.bans.owe() // the predecessor may have held some in memory alone
+	p.descriptorBudget.SetLent(state.Connections)
+	p.setMemoryGoal(bothProcesses)
+	p.disabled.markLoaded()
+	p.disabled.requestSave() // the predecessor may have held some in memory alone
 }
 
 // startServing begins to serve, and tells the predecessor of it, from when on this process decides for both. The answer is waited for
@@ -210,9 +210,9 @@
 	if link != nil {
 		p.releasePredecessor(starting, link)
 	}
-	p.turn(p.phaseWithoutSuccessor())
-	if p.folder != nil {
-		p.parts.Go(func() { p.awaitSuccessors(ctx) })
+	p.transition(p.phaseWithoutSuccessor())
+	if p.directory != nil {
+		p.goroutines.Go(func() { p.awaitSuccessors(ctx) })
 	}
 }
 
@@ -220,7 +220,7 @@
 func (p *Daemon) releasePredecessor(ctx context.Context, link *handover.Link) {
 	ctx, done := context.WithTimeout(ctx, requestTimeout)
 	defer done()
-	if _, err := link.Ask(messageHave, nil)(ctx, nil); err != nil {
+	if _, err := link.Ask(messageServing, nil)(ctx, nil); err != nil {
 		link.Close() // it takes back what it gave, or is gone; what is taken over stays right
 		<-link.Gone()
 		p.predecessorGone(link) // it may have gone before it was known as the predecessor
@@ -234,8 +234,8 @@
 	defer p.changing.Unlock()
 	if p.predecessor == link {
 		p.predecessor = nil
-		p.room.SetLent(0)
-		p.goal(oneProcess)
+		p.descriptorBudget.SetLent(0)
+		p.setMemoryGoal(oneProcess)
 		slog.Info("the predecessor has ended")
 	}
 }
@@ -249,18 +249,18 @@
 	ctx, done := context.WithTimeout(p.ctx, callTimeout)
 	defer done()
 	select {
-	case <-p.up:
+	case <-p.started:
 	case <-ctx.Done():
 		return nil, nil, errors.New("not ready")
 	}
 	p.changing.Lock()
 	// The predecessor hears of the change before it hears the answer, as what is said keeps its order.
-	_, err := p.change(change)
+	_, err := p.decideChange(change)
 	p.changing.Unlock()
 	if errors.Is(err, admin.ErrUnknown) {
 		return true, nil, nil
 	}
-	p.awaitFolder(ctx)
+	p.awaitSaved(ctx)
 	return false, nil, err
 }
 
@@ -270,7 +270,7 @@
 	if err := json.Unmarshal(body, &hash); err != nil {
 		return nil, nil, err
 	}
-	return p.front.ClaimHash(hash), nil, nil
+	return p.frontend.ClaimHash(hash), nil, nil
 }
 
 // notePredecessorUsage takes in how many descriptors the predecessor has in use.
@@ -282,7 +282,7 @@
 	p.changing.Lock()
 	defer p.changing.Unlock()
 	if p.predecessor != nil {
-		p.room.SetLent(count)
+		p.descriptorBudget.SetLent(count)
 	}
 	return nil, nil, nil
 }
@@ -307,14 +307,14 @@
 		}
 		ends[i] = conn
 	}
-	serve, drop, err := p.front.AdoptConnection(standing, ends[0], ends[1], p.room)
+	serve, drop, err := p.frontend.AdoptConnection(standing, ends[0], ends[1], p.descriptorBudget)
 	if err != nil {
 		return nil, nil, errors.Join(err, closeAll(ends[:]))
 	}
 	// Not a byte is passed before the predecessor is told: should this process end in between, that one goes on where it stood.
 	return handover.After(func(written bool) {
 		if written {
-			p.parts.Go(serve)
+			p.goroutines.Go(serve)
 		} else {
 			drop()
 		}
