--- a/cmd/yardwinch/explain.go
+++ b/cmd/yardwinch/explain.go
@@ -3,12 +3,10 @@
 import (
 	"cmp"
 	"context"
-	"encoding/json"
+	"errors"
 	"fmt"
 	"maps"
-	"os"
 	"slices"
-	"text/tabwriter"
 
 	"github.com/urfave/cli/v3"
 
@@ -18,117 +16,121 @@
 	"yardwinch/internal/routing"
 )
 
+// queryFlags are those of the commands that ask a running balancer.
+func queryFlags(options cli.Flag) []cli.Flag {
+	return []cli.Flag{
+		options,
+		&cli.StringFlag{Name: "socket", Usage: "the balancer's `SOCKET`, in place of the one that the options name"},
+		&cli.BoolFlag{Name: "json", Usage: "print it as JSON"},
+	}
+}
+
 func explainCommand(options cli.Flag) *cli.Command {
 	return &cli.Command{Name: "explain", ArgsUsage: "[FLOW]", Usage: "ask a running balancer what it holds, or why a flow went where it did",
-		Flags: []cli.Flag{options, &cli.StringFlag{Name: "socket", Usage: "the balancer's `SOCKET`, in place of the one that the options name"},
-			&cli.BoolFlag{Name: "json", Usage: "print it as JSON"}},
-		Action: explainIt}
+		Flags: queryFlags(options), Action: explainAction}
 }
 
-// socket is where a running balancer is asked.
-func socket(c *cli.Command) (at string, err error) {
-	if at = c.String("socket"); at != "" {
-		return at, nil
+// socketPath is where a running balancer is asked.
+func socketPath(command *cli.Command) (string, error) {
+	if path := command.String("socket"); path != "" {
+		return path, nil
 	}
-	o, err := config.ReadOptions(c.String("options"))
+	options, err := config.ReadOptions(command.String("options"))
 	if err != nil {
-		return "", cli.Exit(fmt.Sprint("yardwinch: ", err), faultyConfiguration)
+		return "", usageError(err)
 	}
-	if at = o.ExplainSocket(); at == "" {
-		return "", cli.Exit("yardwinch: give --socket, or --options with a file that names explain.socket", faultyConfiguration)
+	path := options.ExplainSocket()
+	if path == "" {
+		return "", usageError(errors.New("give --socket, or --options with a file that names explain.socket"))
 	}
-	return at, nil
+	return path, nil
 }
 
-func explainIt(_ context.Context, c *cli.Command) error {
-	at, err := socket(c)
+func explainAction(ctx context.Context, command *cli.Command) error {
+	socket, err := socketPath(command)
 	if err != nil {
 		return err
 	}
-	if c.Args().Len() > 1 {
-		return cli.Exit("yardwinch: want one flow at the most", faultyConfiguration)
+	if command.Args().Len() > 1 {
+		return usageError(errors.New("want one flow at the most"))
 	}
-	if f := c.Args().First(); f != "" {
-		var n constraints.Explanation
-		if err := explain.Ask(at, "why "+f, &n); err != nil {
+	if flow := command.Args().First(); flow != "" {
+		var explanation constraints.Explanation
+		if err := explain.Why(ctx, socket, flow, &explanation); err != nil {
 			return err
 		}
-		return show(c, n, func(t *tabwriter.Writer) { why(t, n) })
+		return show(command, explanation, func(t table) { t.addExplanation(explanation) })
 	}
-	var s routing.State
-	if err := explain.Ask(at, "state", &s); err != nil {
+	var state routing.State
+	if err := explain.State(ctx, socket, &state); err != nil {
 		return err
 	}
-	return show(c, s, func(t *tabwriter.Writer) { state(t, s) })
-}
-
-func show(c *cli.Command, v any, table func(*tabwriter.Writer)) error {
-	if c.Bool("json") {
-		enc := json.NewEncoder(os.Stdout)
-		enc.SetIndent("", "  ")
-		return enc.Encode(v)
-	}
-	t := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
-	table(t)
-	return t.Flush()
+	return show(command, state, func(t table) { t.addState(state) })
 }
 
-func why(t *tabwriter.Writer, n constraints.Explanation) {
-	fmt.Fprintf(t, "flow\t%s\tcame at %.3f s\tgroup %s\n", cmp.Or(n.Name, string(n.Flow)), n.ArrivedAt, cmp.Or(string(n.Group), "-"))
-	for i, x := range n.Attempts {
-		fmt.Fprintf(t, "connect %d\t%s\tin %s\tat %.3f s\t%s\n", i+1, x.Name, x.Zone, x.At, x.Outcome)
+func (t table) addExplanation(e constraints.Explanation) {
+	t.line("flow\t%s\tcame at %.3f s\tgroup %s", cmp.Or(e.Name, string(e.Flow)), e.ArrivedAt, cmp.Or(string(e.Group), "-"))
+	for i, attempt := range e.Attempts {
+		t.line("connect %d\t%s\tin %s\tat %.3f s\t%s", i+1, attempt.Name, attempt.Zone, attempt.At, attempt.Outcome)
 	}
-	for _, x := range n.ExtraCosts {
-		fmt.Fprintf(t, "dearer\t%s\t%s\n", cmp.Or(x.Name, fmt.Sprint(x.Server)), x.Reason)
+	for _, extra := range e.ExtraCosts {
+		t.line("dearer\t%s\t%s", cmp.Or(extra.Name, fmt.Sprint(extra.Server)), extra.Reason)
 	}
-	for _, reason := range slices.Sorted(maps.Keys(n.Excluded)) {
-		fmt.Fprintf(t, "barred\t%s\t%d times\n", reason, n.Excluded[reason])
+	for _, reason := range slices.Sorted(maps.Keys(e.Excluded)) {
+		t.line("barred\t%s\t%d times", reason, e.Excluded[reason])
 	}
-	fmt.Fprintf(t, "answer\t%s\n", cmp.Or(n.Answer, "none yet"))
-	if n.Migrated {
-		fmt.Fprintln(t, "moved\tasked to come again")
+	t.line("answer\t%s", cmp.Or(e.Answer, "none yet"))
+	if e.Migrated {
+		t.line("moved\tasked to come again")
 	}
 }
 
-func state(t *tabwriter.Writer, s routing.State) {
-	fmt.Fprintf(t, "%s, running for %.0f s, %d flows\n", s.Phase, s.Running, s.Flows)
-	if s.Processes != "" {
-		fmt.Fprintf(t, "processes: %s\n", s.Processes)
-	}
-	if s.StoreFault != "" {
-		fmt.Fprintf(t, "folder: %s\n", s.StoreFault)
-	}
-	fmt.Fprint(t, "\nserver\taddress\tready\tby hand\tflows\n")
-	for _, x := range s.Servers {
-		hand := "-"
-		if x.Disabled {
-			hand = "out"
+func (t table) addState(state routing.State) {
+	t.line("%s, running for %.0f s, %d flows", state.Phase, state.Running, state.Flows)
+	if state.Processes != "" {
+		t.line("processes: %s", state.Processes)
+	}
+	if state.StoreFault != "" {
+		t.line("folder: %s", state.StoreFault)
+	}
+	t.line("\nserver\taddress\tready\tby hand\tflows")
+	for _, server := range state.Servers {
+		disabled := "-"
+		if server.Disabled {
+			disabled = "out"
 		}
-		fmt.Fprintf(t, "%s\t%s\t%v\t%s\t%d\n", x.Name, x.Addr, x.Ready, hand, x.Flows)
-	}
-	if h, ok := s.Constraints["halls"].(map[string]any); ok {
-		fmt.Fprintln(t, "\nhall\ttier\tstate\tservers\town flows\tusual\tlimit\twhy")
-		list, _ := h["halls"].([]any)
-		for _, x := range list {
-			if m, ok := x.(map[string]any); ok {
-				fmt.Fprintf(t, "%v\t%v\t%v\t%v\t%v\t%.1f\t%s\t%s\n", m["hall"], m["tier"], m["state"], m["servers_ready"], m["own_flows"], m["usual"], orDash(m["limit"]), orDash(m["why"]))
-			}
+		t.line("%s\t%s\t%v\t%s\t%d", server.Name, server.Addr, server.Ready, disabled, server.Flows)
+	}
+	if localities, ok := state.Constraints["halls"].(map[string]any); ok {
+		t.addLocalities(localities)
+	}
+	if len(state.Interventions) > 0 {
+		t.line("\nbound\ttimes it acted")
+		for _, constraint := range slices.Sorted(maps.Keys(state.Interventions)) {
+			t.line("%s\t%d", constraint, state.Interventions[constraint])
 		}
 	}
-	if len(s.Interventions) > 0 {
-		fmt.Fprintln(t, "\nbound\ttimes it acted")
-		for _, k := range slices.Sorted(maps.Keys(s.Interventions)) {
-			fmt.Fprintf(t, "%s\t%d\n", k, s.Interventions[k])
+}
+
+// addLocalities adds the state of locality failover, by the keys of its JSON.
+func (t table) addLocalities(state map[string]any) {
+	t.line("\nhall\ttier\tstate\tservers\town flows\tusual\tlimit\twhy")
+	list, _ := state["halls"].([]any)
+	for _, entry := range list {
+		if l, ok := entry.(map[string]any); ok {
+			t.line("%v\t%v\t%v\t%v\t%v\t%.1f\t%s\t%s", l["hall"], l["tier"], l["state"], l["servers_ready"], l["own_flows"], l["usual"],
+				orDash(l["limit"]), orDash(l["why"]))
 		}
 	}
 }
 
-func orDash(v any) string {
-	switch v := v.(type) {
+// orDash formats a value that may be missing.
+func orDash(value any) string {
+	switch value := value.(type) {
 	case nil:
 		return "-"
 	case float64:
-		return fmt.Sprintf("%.1f", v)
+		return fmt.Sprintf("%.1f", value)
 	}
-	return fmt.Sprint(v)
+	return fmt.Sprint(value)
 }
--- a/cmd/yardwinch/main.go
+++ b/cmd/yardwinch/main.go
@@ -14,79 +14,91 @@
 
 	"yardwinch/internal/daemon"
 	"yardwinch/internal/logging"
-	_ "yardwinch/internal/sighup" // until the daemon has its own handler
+	_ "yardwinch/internal/sighup" // ignores SIGHUP until the daemon has its own handler
 )
 
 const (
-	faultyConfiguration = 2                     // exit code
-	logTimeout          = 50 * time.Millisecond // for the last lines at the end of the process
+	exitFailure             = 1
+	exitFaultyConfiguration = 2
+	logTimeout              = 50 * time.Millisecond // for the last lines, at the end of the process
+	programName             = "yardwinch"
 )
 
 func main() {
+	if err := newCommand().Run(context.Background(), os.Args); err != nil {
+		fmt.Fprintln(os.Stderr, "yardwinch:", err)
+		var advice interface{ Advice() string }
+		if errors.As(err, &advice) {
+			fmt.Fprintln(os.Stderr, "what helps:", advice.Advice())
+		}
+		os.Exit(exitFailure)
+	}
+}
+
+// newCommand is the whole command line.
+func newCommand() *cli.Command {
 	config := &cli.StringFlag{Name: "config", Usage: "read the configuration from `FILE`",
 		Sources: cli.EnvVars("PROXY_CONFIG")}
 	options := &cli.StringFlag{Name: "options", Usage: "the operators' own `FILE` (TOML); nothing of it is on without",
 		Sources: cli.EnvVars("YARDWINCH_OPTIONS")}
 	verbose := &cli.BoolFlag{Name: "verbose", Usage: "log each connection's end"}
-	app := &cli.Command{
-		Name:  "yardwinch",
+	return &cli.Command{
+		Name:  programName,
 		Usage: "balance long-lived connections",
 		Commands: []*cli.Command{
-			{Name: "serve", Usage: "serve until SIGTERM or SIGINT; SIGHUP reads the configuration anew", Flags: []cli.Flag{config, options, verbose}, Action: serve},
+			{Name: "serve", Usage: "serve until SIGTERM or SIGINT; SIGHUP reads the configuration anew",
+				Flags: []cli.Flag{config, options, verbose}, Action: serve},
 			{Name: "check", Usage: "check the configuration and exit", Flags: []cli.Flag{config, options}, Action: check},
 			explainCommand(options),
 			membersCommand(options),
 			migrateCommand(),
-			{Name: "version", Usage: "print the version", Action: version},
+			{Name: "version", Usage: "print the version", Action: printVersion},
 		},
 	}
-	if err := app.Run(context.Background(), os.Args); err != nil {
-		fmt.Fprintln(os.Stderr, "yardwinch:", err)
-		var advice interface{ Advice() string }
-		if errors.As(err, &advice) {
-			fmt.Fprintln(os.Stderr, "what helps:", advice.Advice())
-		}
-		os.Exit(1)
-	}
 }
 
-func serve(_ context.Context, c *cli.Command) error {
+func serve(ctx context.Context, command *cli.Command) error {
 	level := slog.LevelInfo
-	if c.Bool("verbose") {
+	if command.Bool("verbose") {
 		level = slog.LevelDebug
 	}
 	log := logging.NewWriter(os.Stderr)
 	defer log.Close(logTimeout)
 	slog.SetDefault(slog.New(slog.NewTextHandler(log, &slog.HandlerOptions{Level: level})))
-	return coded(daemon.Run(c.String("config"), c.String("options"), os.Getenv))
+	return withExitCode(daemon.Run(ctx, command.String("config"), command.String("options"), os.Getenv))
 }
 
-// coded gives a fault of a configuration its exit code.
-func coded(err error) error {
+// withExitCode gives the error of a configuration that can't be served its exit code.
+func withExitCode(err error) error {
 	if errors.Is(err, daemon.ErrConfiguration) {
-		return cli.Exit(fmt.Sprint("yardwinch: ", err), faultyConfiguration)
+		return usageError(err)
 	}
 	return err
 }
 
-func check(_ context.Context, c *cli.Command) error {
-	if err := daemon.Check(c.String("config"), c.String("options"), os.Getenv); err != nil {
-		return cli.Exit(fmt.Sprint("yardwinch: ", err), faultyConfiguration)
+// usageError is an error of what the operator gave, with its exit code.
+func usageError(err error) error {
+	return cli.Exit(fmt.Sprint("yardwinch: ", err), exitFaultyConfiguration)
+}
+
+func check(ctx context.Context, command *cli.Command) error {
+	if err := daemon.Check(ctx, command.String("config"), command.String("options"), os.Getenv); err != nil {
+		return usageError(err)
 	}
 	fmt.Println("the configuration can be served")
 	return nil
 }
 
-func version(context.Context, *cli.Command) error {
-	v := "unknown"
-	if b, ok := debug.ReadBuildInfo(); ok {
-		v = b.Main.Version
-		for _, s := range b.Settings {
-			if s.Key == "vcs.revision" {
-				v += " " + s.Value
+func printVersion(context.Context, *cli.Command) error {
+	version := "unknown"
+	if info, ok := debug.ReadBuildInfo(); ok {
+		version = info.Main.Version
+		for _, setting := range info.Settings {
+			if setting.Key == "vcs.revision" {
+				version += " " + setting.Value
 			}
 		}
 	}
-	fmt.Println("yardwinch", v)
+	fmt.Println(programName, version)
 	return nil
 }
--- a/cmd/yardwinch/members.go
+++ b/cmd/yardwinch/members.go
@@ -6,7 +6,6 @@
 	"fmt"
 	"maps"
 	"slices"
-	"text/tabwriter"
 	"time"
 
 	"github.com/urfave/cli/v3"
@@ -15,42 +14,46 @@
 	"yardwinch/internal/explain"
 )
 
+// leaseHeld is the state of a lease that the balancer itself holds, as its answer has it.
+const leaseHeld = "held"
+
 func membersCommand(options cli.Flag) *cli.Command {
 	return &cli.Command{Name: "members", Usage: "ask a running balancer whom of the others it sees, and how",
-		Flags: []cli.Flag{options, &cli.StringFlag{Name: "socket", Usage: "the balancer's `SOCKET`, in place of the one that the options name"},
-			&cli.BoolFlag{Name: "json", Usage: "print it as JSON"}},
-		Action: membersIt}
+		Flags: queryFlags(options), Action: membersAction}
 }
 
-func membersIt(_ context.Context, c *cli.Command) error {
-	at, err := socket(c)
+func membersAction(ctx context.Context, command *cli.Command) error {
+	socket, err := socketPath(command)
 	if err != nil {
 		return err
 	}
-	var v daemon.MembersView
-	if err := explain.Ask(at, "members", &v); err != nil {
+	var view daemon.MembersView
+	if err := explain.Members(ctx, socket, &view); err != nil {
 		return err
 	}
-	return show(c, v, func(t *tabwriter.Writer) {
-		fmt.Fprintf(t, "as seen by %s\n\nmember\tis\tfor\tat\ttold\tbuild\tsettings\tflows/s\tservers in trouble\n", v.Name)
-		for _, m := range v.Members {
-			told := "nothing"
-			if m.LastHeard >= 0 {
-				told = fmt.Sprintf("%.1f s ago", m.LastHeard)
-			}
-			fmt.Fprintf(t, "%s\t%s\t%v\t%s\t%s\t%s\t%s\t%.1f\t%d\n", m.Name, m.State, m.Since.Round(time.Second), m.Addr, told, cmp.Or(m.Build, "-"), cmp.Or(m.Settings, "-"), m.Rate, m.FaultyServers)
+	return show(command, view, func(t table) { t.addMembers(view) })
+}
+
+func (t table) addMembers(view daemon.MembersView) {
+	t.line("as seen by %s\n\nmember\tis\tfor\tat\ttold\tbuild\tsettings\tflows/s\tservers in trouble", view.Name)
+	for _, m := range view.Members {
+		lastHeard := "nothing"
+		if m.LastHeard >= 0 {
+			lastHeard = fmt.Sprintf("%.1f s ago", m.LastHeard)
 		}
-		mine := 0
-		for _, d := range v.Leases {
-			if d.State == "held" {
-				mine++
+		t.line("%s\t%s\t%v\t%s\t%s\t%s\t%s\t%.1f\t%d", m.Name, m.State, m.Since.Round(time.Second), m.Addr, lastHeard, cmp.Or(m.Build, "-"),
+			cmp.Or(m.Settings, "-"), m.Rate, m.FaultyServers)
+	}
+	if len(view.Leases) > 0 {
+		own := 0
+		for _, lease := range view.Leases {
+			if lease.State == leaseHeld {
+				own++
 			}
 		}
-		if len(v.Leases) > 0 {
-			fmt.Fprintf(t, "probes for all\t%d of %d servers\n", mine, len(v.Leases))
-		}
-		for _, k := range slices.Sorted(maps.Keys(v.Dropped)) {
-			fmt.Fprintf(t, "passed over\t%s\t%d times\n", k, v.Dropped[k])
-		}
-	})
+		t.line("probes for all\t%d of %d servers", own, len(view.Leases))
+	}
+	for _, kind := range slices.Sorted(maps.Keys(view.Dropped)) {
+		t.line("passed over\t%s\t%d times", kind, view.Dropped[kind])
+	}
 }
--- a/cmd/yardwinch/migrate.go
+++ b/cmd/yardwinch/migrate.go
@@ -18,11 +18,19 @@
 			&cli.BoolFlag{Name: "dry-run", Usage: "print what would become of each key; create and change no file"},
 			&cli.BoolFlag{Name: "force", Usage: "write over NEW.json where it exists"},
 		},
-		Action: func(_ context.Context, c *cli.Command) error {
-			if c.NArg() != 2 {
-				return errors.New("migrate: want OLD.json and NEW.json")
-			}
-			return coded(daemon.Migrate(c.Root().Writer, c.String("shape"), c.Args().Get(0), c.Args().Get(1), c.Bool("dry-run"), c.Bool("force")))
-		},
+		Action: migrate,
+	}
+}
+
+func migrate(ctx context.Context, command *cli.Command) error {
+	if command.NArg() != 2 {
+		return errors.New("migrate: want OLD.json and NEW.json")
 	}
+	return withExitCode(daemon.Migrate(ctx, command.Root().Writer, daemon.Migration{
+		ShapePath: command.String("shape"),
+		OldPath:   command.Args().Get(0),
+		NewPath:   command.Args().Get(1),
+		DryRun:    command.Bool("dry-run"),
+		Overwrite: command.Bool("force"),
+	}))
 }
--- a/internal/daemon/admin_calls.go
+++ b/internal/daemon/admin_calls.go
@@ -12,17 +12,19 @@
 )
 
 const (
-	callTimeout = 750 * time.Millisecond // for both processes to do what is asked
-	retryGone   = time.Millisecond
+	callTimeout         = 750 * time.Millisecond // for both processes to make a change
+	successorGonePeriod = time.Millisecond       // between the end of a successor and this process deciding again
 )
 
-// adminCalls are what the staff can ask of the program.
+// adminCalls are the operators' calls. The texts of their errors are the answers that operators get.
 type adminCalls struct{ daemon *Daemon }
 
-// Ready says whether this process can serve.
+// Ready says why this process can't serve, or nil.
 func (c adminCalls) Ready() error {
-	if is := c.daemon.currentPhase(); is != serving && is != draining && is != drained {
-		return fmt.Errorf("%w: %s", admin.ErrNotReady, is)
+	switch now := c.daemon.currentPhase(); now {
+	case serving, draining, drained:
+	default:
+		return fmt.Errorf("%w: %s", admin.ErrNotReady, now)
 	}
 	if !c.daemon.router.HasEndpoints() {
 		return fmt.Errorf("%w: no list of servers yet", admin.ErrNotReady)
@@ -30,118 +32,136 @@
 	return nil
 }
 
-// Offline takes a server out by hand, Online gives it back. Two calls out need one back.
+// Offline disables a server; a second call has no further effect.
 func (c adminCalls) Offline(ctx context.Context, server string) error {
 	return c.daemon.requestChange(ctx, handover.Change{Kind: handover.Offline, Server: server})
 }
+
+// Online enables a server, however often it was disabled.
 func (c adminCalls) Online(ctx context.Context, server string) error {
 	return c.daemon.requestChange(ctx, handover.Change{Kind: handover.Online, Server: server})
 }
 
-// OutOfService empties the balancer. Said again it changes nothing: what is asked for is under way, or done.
+// OutOfService drains the balancer; a second call has no further effect.
 func (c adminCalls) OutOfService(ctx context.Context) error {
 	return c.daemon.requestChange(ctx, handover.Change{Kind: handover.OutOfService})
 }
 
-// InService takes clients again, whatever is left of the emptying.
+// InService has the balancer accept clients again, whether or not it is drained by now.
 func (c adminCalls) InService(ctx context.Context) error {
 	return c.daemon.requestChange(ctx, handover.Change{Kind: handover.InService})
 }
 
-// requestChange has a change be made by whichever process decides, and returns when both have made it.
-func (p *Daemon) requestChange(ctx context.Context, ch handover.Change) error {
+// requestChange has a change decided by the process that serves, this one or its successor, and returns when both have made it.
+func (d *Daemon) requestChange(ctx context.Context, change handover.Change) error {
 	ctx, done := context.WithTimeout(ctx, callTimeout)
 	defer done()
 	select {
-	case <-p.started:
+	case <-d.started:
 	case <-ctx.Done():
-		return fmt.Errorf("%w: %s", admin.ErrNotReady, p.currentPhase())
+		return fmt.Errorf("%w: %s", admin.ErrNotReady, d.currentPhase())
 	}
 	for {
-		p.changing.Lock()
-		l := p.successor
-		if l == nil {
-			wait, err := p.decideChange(ch)
-			p.changing.Unlock()
-			if err != nil {
-				return err
-			}
-			p.awaitSaved(ctx)
-			return wait(ctx)
-		}
-		p.changing.Unlock()
-		var unknown bool
-		_, err := l.Ask(messageRequestChange, ch)(ctx, &unknown)
-		switch {
-		case errors.Is(err, handover.ErrPeerGone): // this one decides again in a moment
-			select {
-			case <-ctx.Done():
-				return admin.ErrNotReady
-			case <-time.After(retryGone):
-			}
-		case err == nil && unknown:
-			return fmt.Errorf("%w: %q", admin.ErrUnknown, ch.Server)
-		default:
+		err := d.attemptChange(ctx, change)
+		if !errors.Is(err, handover.ErrPeerGone) {
 			return err
 		}
+		select { // the successor has ended; this process decides again in a moment
+		case <-ctx.Done():
+			return admin.ErrNotReady
+		case <-time.After(successorGonePeriod):
+		}
+	}
+}
+
+// attemptChange has a change decided once. ErrPeerGone says that the successor ended before it answered.
+func (d *Daemon) attemptChange(ctx context.Context, change handover.Change) error {
+	d.changing.Lock()
+	successor := d.successor
+	if successor != nil {
+		d.changing.Unlock()
+		return forwardChange(ctx, successor, change)
+	}
+	notified, err := d.decideChange(ctx, change)
+	d.changing.Unlock()
+	if err != nil {
+		return err
 	}
+	d.awaitSaved(ctx)
+	return awaitNotified(ctx, notified)
 }
 
-// decideChange makes a change here, where this process decides, and tells the one before of it. The caller holds changes; the
-// wait, without it, is for that one.
-func (p *Daemon) decideChange(ch handover.Change) (wait func(context.Context) error, err error) {
-	switch ch.Kind {
+// forwardChange has the successor decide on a change.
+func forwardChange(ctx context.Context, successor *handover.Link, change handover.Change) error {
+	var unknown bool
+	_, err := successor.Request(messageRequestChange, change).Wait(ctx, &unknown)
+	if err == nil && unknown {
+		return fmt.Errorf("%w: %q", admin.ErrUnknown, change.Server)
+	}
+	return err
+}
+
+// decideChange makes a change in this process, which serves, and notifies the predecessor of it. The caller holds changing; it may let go of
+// it while it waits for the predecessor with awaitNotified.
+func (d *Daemon) decideChange(ctx context.Context, change handover.Change) (notified *handover.PendingReply, err error) {
+	switch change.Kind {
 	case handover.Offline, handover.Online:
-		err = p.setDisabled(ch.Server, ch.Kind == handover.Offline)
+		err = d.setDisabled(change.Server, change.Kind == handover.Offline)
 	case handover.OutOfService:
-		if is := p.currentPhase(); is != draining && is != drained {
-			err = p.tryTransition(draining)
+		if now := d.currentPhase(); now != draining && now != drained {
+			err = d.tryTransition(ctx, draining)
 		}
 	case handover.InService:
-		if p.currentPhase() != serving {
-			err = p.tryTransition(serving)
+		if d.currentPhase() != serving {
+			err = d.tryTransition(ctx, serving)
 		}
 	default:
-		err = fmt.Errorf("unknown change %q", ch.Kind)
+		err = fmt.Errorf("unknown change %q", change.Kind)
 	}
-	if err != nil || p.predecessor == nil {
-		return func(context.Context) error { return nil }, err
+	if err != nil || d.predecessor == nil {
+		return nil, err
 	}
-	answer := p.predecessor.Ask(messageApplyChange, ch)
-	return func(ctx context.Context) error {
-		_, err := answer(ctx, nil)
-		if errors.Is(err, handover.ErrPeerGone) {
-			return nil // it sends nothing any more
-		}
-		return err
-	}, nil
+	return d.predecessor.Request(messageApplyChange, change), nil
+}
+
+// awaitNotified waits until the predecessor has made a change; nil stands for no predecessor.
+func awaitNotified(ctx context.Context, notified *handover.PendingReply) error {
+	if notified == nil {
+		return nil
+	}
+	_, err := notified.Wait(ctx, nil)
+	if errors.Is(err, handover.ErrPeerGone) {
+		return nil // it serves nobody any more
+	}
+	return err
 }
 
-func (p *Daemon) tryTransition(to phase) error {
-	if !p.transition(to) {
-		return fmt.Errorf("%w: %s", admin.ErrNotReady, p.currentPhase())
+// tryTransition is a transition that an operator called for.
+func (d *Daemon) tryTransition(ctx context.Context, to phase) error {
+	if !d.transition(ctx, to) {
+		return fmt.Errorf("%w: %s", admin.ErrNotReady, d.currentPhase())
 	}
 	return nil
 }
 
-// setDisabled takes a server out or gives it back. It is in force at once, whatever becomes of the folder; the caller awaits the folder.
-func (p *Daemon) setDisabled(server string, out bool) error {
-	was, known := p.router.IsDisabled(server)
+// setDisabled disables or enables a server. That is in force at once, whether or not it can be saved; the caller awaits the save.
+func (d *Daemon) setDisabled(server string, disabled bool) error {
+	before, known := d.router.IsDisabled(server)
 	if !known {
 		return fmt.Errorf("%w: %w: %q", admin.ErrUnknown, routing.ErrUnknownServer, server)
 	}
-	if err := p.router.SetDisabled(server, out); err != nil {
+	if err := d.router.SetDisabled(server, disabled); err != nil {
 		return err
 	}
-	if p.disabled != nil && was != out {
-		p.disabled.onChange(server)
+	if d.disabled != nil && before != disabled {
+		d.disabled.onChange(server)
 	}
 	return nil
 }
 
-// awaitSaved waits until what was called for here outlasts a kill, for as long as an answer may wait for it.
-func (p *Daemon) awaitSaved(ctx context.Context) {
-	if p.disabled != nil {
-		p.disabled.awaitSaved(ctx)
+// awaitSaved waits until the changes made here survive a kill, for as long as an operator's answer may wait for it.
+func (d *Daemon) awaitSaved(ctx context.Context) {
+	if d.disabled != nil {
+		d.disabled.awaitSaved(ctx)
 	}
 }
--- a/internal/daemon/configure.go
+++ b/internal/daemon/configure.go
@@ -8,155 +8,181 @@
 	"time"
 
 	"yardwinch/decide"
-	"yardwinch/internal/admin"
 	"yardwinch/internal/config"
-	"yardwinch/internal/explain"
 	"yardwinch/internal/handover"
 	"yardwinch/internal/protocol"
 	"yardwinch/internal/retry"
 	"yardwinch/internal/routing"
+	"yardwinch/internal/store"
 	"yardwinch/internal/transport"
 )
 
-// Descriptors that the process has for itself, each at its most. They are kept from clients whatever there is: a crowd of idle ones would else
-// take the watch's next one, or a caller's, and nothing says when one comes free again. Addresses are numbers: nothing is open to look names up.
-const (
-	standardDescriptors = 3 // input, output, and the log
-	runtimeDescriptors  = 5 // the poller and its wake-up, the two files that tell its share of the core, one that is opened for a moment
-	clientDescriptors   = 2 // their socket, and one taken from its queue that waits for room
-	watchDescriptors    = 3 // the list's watch, the one before as it closes, and the list fetched beside it
-	fileDescriptors     = 1 // the configuration as it is read anew
-	closingDescriptors  = 8 // given back and not gone yet: one that is waited on goes once whoever waits has woken
-
-	minClientDescriptors = 8 // for clients and their servers, if the platform gives no more
-)
+// readTimeout is for a configuration that can't be read for a moment as the process starts.
+const readTimeout = 3 * time.Second
 
-const readTimeout = 3 * time.Second // at the start, for a configuration that can't be read for a moment
+// configuration is what a process was configured with as it started. A reload applies to options, and to the parts that it concerns; for
+// all else a restart is needed.
+type configuration struct {
+	configPath  string
+	optionsPath string // empty: none
+	environment func(string) string
 
-// reservedForProcess adds up what this process may need.
-func (p *Daemon) reservedForProcess() int {
-	n := standardDescriptors + runtimeDescriptors + clientDescriptors + watchDescriptors + fileDescriptors + closingDescriptors
-	if p.healthChecks {
-		n += protocol.HealthCheckDescriptors
-	}
-	if p.adminAddress != "" {
-		n += admin.Descriptors + handoverDescriptors
-	}
-	if p.options.ExplainSocket() != "" {
-		n += explain.Descriptors
-	}
-	if p.gossip != nil {
-		n += gossipDescriptors
-	}
-	return n
+	values  config.Values
+	options *config.Options
+
+	listenAddress    string // for clients
+	adminAddress     string // for operators; empty: none
+	discoveryAddress string
+	seed             uint64
+	cachedListError  error // what is wrong with the endpoint list in the configuration; nil: nothing
+
+	cores            int
+	memoryLimit      int64 // bytes
+	descriptorLimit  int
+	healthChecks     bool
+	reportsLoad      bool          // servers report the load of their connections
+	reportsLatency   bool          // and the latency of messages
+	connectTimeout   time.Duration // for the handshake with a server
+	maxClientTimeout time.Duration // the longest that a client waits
 }
 
-func newDaemon(path, options string, env func(string) string) *Daemon {
-	return &Daemon{configPath: path, optionsPath: options, environment: env, phase: loading, ctx: context.Background(), leave: func() {}, started: make(chan struct{}),
-		handoverLinks: handoverLinks{relisten: make(chan struct{}, 1)}}
+// newDaemon is a daemon that has read no configuration yet.
+func newDaemon(configPath, optionsPath string, environment func(string) string) *Daemon {
+	return &Daemon{
+		configuration: configuration{configPath: configPath, optionsPath: optionsPath, environment: environment},
+		phase:         loading,
+		started:       make(chan struct{}),
+		relisten:      make(chan struct{}, 1),
+	}
 }
 
-// prepare takes all that the balancer is told, and opens nothing. A fault of the configuration names its key.
-func prepare(path, options string, env func(string) string) (*Daemon, error) {
-	p := newDaemon(path, options, env)
-	g, known, err := config.Load(path, env)
+// prepare reads a configuration, and opens nothing. An error names the key at fault.
+func prepare(ctx context.Context, configPath, optionsPath string, environment func(string) string) (*Daemon, error) {
+	d := newDaemon(configPath, optionsPath, environment)
+	values, cachedList, err := config.Load(configPath, environment)
 	if err != nil {
 		return nil, err
 	}
-	if err := p.configure(g, known); err != nil {
+	if err := d.configure(ctx, values, cachedList); err != nil {
 		return nil, err
 	}
-	return p, nil
+	return d, nil
 }
 
-// configure goes through all that a configuration says.
-func (p *Daemon) configure(g config.Values, known []byte) (err error) {
-	s := g.DecisionSettings()
-	p.values, p.listenAddress, p.discoveryAddress, p.adminAddress = g, g.Addr("listen"), g.Addr("discovery"), config.AdminAddress(g)
-	seed := config.Seed(g)
-	p.connectTimeout = config.ConnectTimeout(s)
-	p.cores, p.memoryLimit, p.descriptorLimit = config.ResourceLimits(g)
-	p.maxClientTimeout, p.healthChecks = config.MaxClientTimeout(s), config.HealthChecksEnabled(s)
-	tellLoad, tellLag := config.ServerMetrics(s)
-	if p.options, err = config.ReadOptions(p.optionsPath); err != nil {
+// configure makes the parts of the daemon from a configuration and the endpoint list in it.
+func (d *Daemon) configure(ctx context.Context, values config.Values, cachedList []byte) (err error) {
+	settings := values.DecisionSettings()
+	d.readConfiguration(values, settings)
+	if d.options, err = config.ReadOptions(d.optionsPath); err != nil {
 		return err
 	}
-	if p.options.Peers() != nil {
-		p.options.EnableSignals(s, revision(), digest(s, p.options.SharedText()), uint64(time.Now().UnixMilli()))
+	if d.options.Peers() != nil {
+		incarnation := uint64(time.Now().UnixMilli())
+		d.options.EnableSignals(settings, buildRevision(), settingsDigest(settings, d.options.SharedText()), incarnation)
 	}
-	p.router = routing.New(seed, config.MessageTarget(s)/3, tellLoad, tellLag, p.options.Constraints(s, seed),
-		func(b *decide.Balancer) (map[string]decide.ServiceID, map[string]decide.CustomerID) {
-			return config.ConfigureBalancer(s, b)
-		})
-	if err := g.Err(); err != nil {
+	d.router = d.newRouter(settings)
+	if err := values.Err(); err != nil {
 		return err
 	}
-	p.discovery = protocol.NewDiscovery(p.router, p.discoveryAddress, seed, config.DiscoveryIsPolled(s))
-	if p.cachedListError = p.discovery.LoadCached(known); p.cachedListError != nil {
-		p.cachedListError = fmt.Errorf("known: %w", p.cachedListError)
+	d.discovery = protocol.NewDiscovery(d.router, d.discoveryAddress, d.seed, config.DiscoveryIsPolled(settings))
+	if err := d.discovery.LoadCached(cachedList); err != nil { //nolint:contextcheck // it waits for nothing
+		d.cachedListError = fmt.Errorf("known: %w", err)
 	}
-	if c := config.UnknownColumns(s); len(c) > 0 {
-		slog.Info("columns of load reports that nobody knows are passed over", "columns", c)
+	if columns := config.UnknownColumns(settings); len(columns) > 0 {
+		slog.InfoContext(ctx, "unknown columns of load reports ignored", "columns", columns)
 	}
-	p.frontend = protocol.NewFrontend(p.router, p.connectTimeout, config.RetryAfter(s))
+	d.frontend = protocol.NewFrontend(d.router, d.connectTimeout, config.RetryAfter(settings))
 	return nil
 }
 
-// Check tells whether a configuration can be served.
-func Check(path, options string, env func(string) string) error {
-	p, err := prepare(path, options, env)
+// readConfiguration reads what the process itself needs of a configuration. The order matters: of several faults the first is reported.
+func (d *Daemon) readConfiguration(values, settings config.Values) {
+	d.values = values
+	d.listenAddress = values.Addr("listen")
+	d.discoveryAddress = values.Addr("discovery")
+	d.adminAddress = config.AdminAddress(values)
+	d.seed = config.Seed(values)
+	d.connectTimeout = config.ConnectTimeout(settings)
+	d.cores, d.memoryLimit, d.descriptorLimit = config.ResourceLimits(values)
+	d.maxClientTimeout = config.MaxClientTimeout(settings)
+	d.healthChecks = config.HealthChecksEnabled(settings)
+	d.reportsLoad, d.reportsLatency = config.ServerMetrics(settings)
+}
+
+// decisionPart is the part of the target for the time of a message that one decision may take.
+const decisionPart = 3
+
+func (d *Daemon) newRouter(settings config.Values) *routing.Router {
+	decisionTarget := config.MessageTarget(settings) / decisionPart
+	return routing.New(d.seed, decisionTarget, d.reportsLoad, d.reportsLatency, d.options.Constraints(settings, d.seed),
+		func(balancer *decide.Balancer) (map[string]decide.ServiceID, map[string]decide.CustomerID) {
+			return config.ConfigureBalancer(settings, balancer)
+		})
+}
+
+// Check tells what keeps a configuration from being served; nil: nothing. The paths are as for Run.
+func Check(ctx context.Context, configPath, optionsPath string, environment func(string) string) error {
+	d, err := prepare(ctx, configPath, optionsPath, environment)
 	if err != nil {
 		return err
 	}
-	return p.cachedListError
+	return d.cachedListError
 }
 
 // checkText is Check for a configuration that is not written yet.
-func checkText(path string, text []byte, env func(string) string) error {
-	g, known, err := config.Parse(path, text, env)
+func checkText(ctx context.Context, configPath string, text []byte, environment func(string) string) error {
+	values, cachedList, err := config.Parse(configPath, text, environment)
 	if err != nil {
 		return err
 	}
-	p := newDaemon(path, "", env)
-	if err := p.configure(g, known); err != nil {
+	d := newDaemon(configPath, "", environment)
+	if err := d.configure(ctx, values, cachedList); err != nil {
 		return err
 	}
-	return p.cachedListError
+	return d.cachedListError
 }
 
-// Load prepares the balancer. Its addresses are opened, or taken over, by Serve.
-func Load(path, options string, env func(string) string) (p *Daemon, err error) {
-	reading, done := context.WithTimeout(context.Background(), readTimeout)
-	defer done()
-	waits := retry.Backoff{First: firstReloadRetry, Longest: longestReloadRetry}
-	err = retry.Do(reading, waits, func(err error) {
-		slog.Warn("the configuration can't be read yet", "error", err)
-	}, func() (err error) {
-		p, err = prepare(path, options, env)
-		return err
-	})
+// Load prepares a balancer from its configuration. Its addresses are opened, or taken over, by Serve. The paths are as for Run.
+func Load(ctx context.Context, configPath, optionsPath string, environment func(string) string) (*Daemon, error) {
+	d, err := prepareWithRetries(ctx, configPath, optionsPath, environment)
 	if err != nil {
 		return nil, err
 	}
-	if p.cachedListError != nil {
-		slog.Warn("old list not taken", "error", p.cachedListError) // discovery brings a better one
+	if d.cachedListError != nil {
+		slog.Warn("cached endpoint list not loaded", "error", d.cachedListError) // discovery brings a newer one
 	}
-	runtime.GOMAXPROCS(p.cores)
-	p.setMemoryGoal(oneProcess)
-	p.gossip = newGossip(p.options, p.router)
-	p.reservedDescriptors = p.reservedForProcess()
-	if least := p.reservedDescriptors + minClientDescriptors; p.descriptorLimit < least {
-		slog.Warn("limits.sockets: too few; some of what the process does for itself may find none", "are", p.descriptorLimit, "needs", least)
-		p.reservedDescriptors = max(0, p.descriptorLimit-minClientDescriptors)
+	runtime.GOMAXPROCS(d.cores)
+	d.setMemoryGoal(oneProcess)
+	d.gossip = newGossip(d.options, d.router)
+	d.reserveDescriptors()
+	d.descriptorBudget = transport.NewDescriptorBudget(d.descriptorLimit-d.reservedDescriptors, protocol.BusyReply)
+	if d.adminAddress != "" {
+		d.useDirectory(environment("TMPDIR"))
 	}
-	p.descriptorBudget = transport.NewDescriptorBudget(p.descriptorLimit-p.reservedDescriptors, protocol.BusyReply)
-	if p.adminAddress == "" {
-		return p, nil
-	}
-	if p.directory, err = handover.Open(env("TMPDIR"), p.listenAddress); err != nil {
-		slog.Warn("no hand-over to or from another process, and who is out by hand is forgotten at the end", "error", err)
-		return p, nil
+	return d, nil
+}
+
+func prepareWithRetries(ctx context.Context, configPath, optionsPath string, environment func(string) string) (d *Daemon, err error) {
+	reading, done := context.WithTimeout(ctx, readTimeout)
+	defer done()
+	backoff := retry.Backoff{First: firstReloadRetry, Longest: longestReloadRetry}
+	err = retry.Do(reading, backoff, func(err error) {
+		slog.Warn("configuration not read yet", "error", err)
+	}, func() (err error) {
+		d, err = prepare(ctx, configPath, optionsPath, environment)
+		return err
+	})
+	return d, err
+}
+
+// useDirectory names the directory that this process shares with its predecessor and its successor.
+func (d *Daemon) useDirectory(root string) {
+	directory, err := store.Open(root, d.listenAddress)
+	if err != nil {
+		slog.Warn("no hand-over, and disabled servers are not saved", "error", err)
+		return
 	}
-	p.disabled = newDisabledStore(p.directory, p.router.DisabledServers)
-	return p, nil
+	d.directory = directory
+	d.socket = handover.NewSocket(directory)
+	d.disabled = newDisabledStore(directory, d.router.DisabledServers)
 }
--- a/internal/daemon/consecutive_upgrades_test.go
+++ b/internal/daemon/consecutive_upgrades_test.go
@@ -12,89 +12,92 @@
 	"time"
 )
 
-// Upgrades in a row, with clients that stand and talk and others that come all the time: none is turned back unheard,
-// none that stands notices anything.
-func TestConsecutiveUpgrades(t *testing.T) {
-	const upgrades, talkers = 20, 30
-	env := directoryEnvironment(t)
-	now := newHarness(t).start(env)
-	addr := now.listenAddress
-	var wrong []string
-	var mu sync.Mutex
-	note := func(format string, a ...any) {
-		mu.Lock()
-		defer mu.Unlock()
-		wrong = append(wrong, fmt.Sprintf(format, a...))
+// upgradeClients are clients during upgrades, and all that is wrong for them.
+type upgradeClients struct {
+	t       *testing.T
+	address string
+	over    atomic.Bool
+	opened  atomic.Int64
+	lines   atomic.Int64 // that came back
+	clients sync.WaitGroup
+}
+
+// open opens a flow; in is nil if it is not accepted.
+func (c *upgradeClients) open(id string) (conn net.Conn, in *bufio.Reader) {
+	conn, err := tryDial(c.t, c.address)
+	if err != nil {
+		c.t.Errorf("%s can't connect: %v", id, err)
+		return nil, nil
+	}
+	_ = conn.SetDeadline(time.Now().Add(time.Minute))
+	_, _ = fmt.Fprintf(conn, "OPEN %s 2 c=live,d=800\r\n", id) // an error shows in the answer
+	in = bufio.NewReader(conn)
+	if got, err := in.ReadString('\n'); got != "UP 1\r\n" {
+		c.t.Errorf("%s is rejected: %q, %v", id, got, err)
+		return conn, nil
 	}
-	var clients sync.WaitGroup
-	var over atomic.Bool
-	var came, lines atomic.Int64
-	open := func(id string) (net.Conn, *bufio.Reader, bool) {
-		c, err := net.Dial("tcp", addr)
-		if err != nil {
-			note("%s is not let in: %v", id, err)
-			return nil, nil, false
+	return conn, in
+}
+
+// talk keeps one flow and sends line after line, each in two parts.
+func (c *upgradeClients) talk(number int) {
+	conn, in := c.open(fmt.Sprintf("talks-%d", number))
+	if conn != nil {
+		defer func() { _ = conn.Close() }()
+	}
+	for n := 0; in != nil && !c.over.Load(); n++ {
+		line := fmt.Sprintf("M %d %s\r\n", n, strings.Repeat("x", 100*(number%8)))
+		_, err := io.WriteString(conn, line[:len(line)/2])
+		if number%2 == 0 {
+			time.Sleep(time.Duration(number) * 100 * time.Microsecond) // so that an upgrade falls anywhere in a line
+		}
+		if err == nil {
+			_, err = io.WriteString(conn, line[len(line)/2:])
+		}
+		if got, errRead := in.ReadString('\n'); err != nil || errRead != nil || got != line {
+			c.t.Errorf("talks-%d: line %d came back as %.40q, %v, %v", number, n, got, err, errRead)
+			return
 		}
-		_ = c.SetDeadline(time.Now().Add(60 * time.Second))
-		_, _ = fmt.Fprintf(c, "OPEN %s 2 c=live,d=800\r\n", id)
-		in := bufio.NewReader(c)
-		if got, err := in.ReadString('\n'); got != "UP 1\r\n" {
-			note("%s is turned back: %q, %v", id, got, err)
-			return c, in, false
+		c.lines.Add(1)
+	}
+}
+
+// comeAndGo opens one flow after the other.
+func (c *upgradeClients) comeAndGo() {
+	for !c.over.Load() {
+		if conn, _ := c.open(fmt.Sprintf("comes-%d", c.opened.Add(1))); conn != nil {
+			_ = conn.Close()
 		}
-		return c, in, true
+		time.Sleep(time.Millisecond)
 	}
+}
+
+// Upgrades in a row, with clients that talk all the time and others that come and go: none is rejected, and none that is established notices
+// anything.
+func TestConsecutiveUpgrades(t *testing.T) {
+	const upgrades, talkers = 20, 30
+	environment := directoryEnvironment(t)
+	current := newHarness(t).start(environment)
+	c := &upgradeClients{t: t, address: current.listenAddress}
 	for i := range talkers {
-		clients.Go(func() {
-			c, in, ok := open(fmt.Sprintf("talks-%d", i))
-			if c != nil {
-				defer c.Close()
-			}
-			for n := 0; ok && !over.Load(); n++ {
-				line := fmt.Sprintf("M %d %s\r\n", n, strings.Repeat("x", 100*(i%8)))
-				_, err := io.WriteString(c, line[:len(line)/2])
-				if i%2 == 0 {
-					time.Sleep(time.Duration(i) * 100 * time.Microsecond) // cut anywhere
-				}
-				if err == nil {
-					_, err = io.WriteString(c, line[len(line)/2:])
-				}
-				if got, bad := in.ReadString('\n'); err != nil || bad != nil || got != line {
-					note("talks-%d: line %d came back as %.40q, %v, %v", i, n, got, err, bad)
-					return
-				}
-				lines.Add(1)
-			}
-		})
+		c.clients.Go(func() { c.talk(i) })
 	}
-	clients.Go(func() {
-		for !over.Load() {
-			c, _, _ := open(fmt.Sprintf("comes-%d", came.Add(1)))
-			if c != nil {
-				_ = c.Close()
-			}
-			time.Sleep(time.Millisecond)
-		}
-	})
+	c.clients.Go(c.comeAndGo)
 	for i := range upgrades {
-		fresh := now.successor().start(env)
-		now.end()
-		for fresh.hasPredecessor() {
-			time.Sleep(time.Millisecond)
+		next := current.successor().start(environment)
+		current.end()
+		next.awaitPredecessorGone()
+		forClients := next.daemon.descriptorLimit - next.daemon.reservedDescriptors
+		if free := next.daemon.descriptorBudget.Free(); free > forClients || free < 0 {
+			t.Errorf("upgrade %d: %d descriptors are free", i, free)
 		}
-		if n := fresh.daemon.descriptorBudget.Free(); n > fresh.daemon.descriptorLimit-fresh.daemon.reservedDescriptors || n < 0 {
-			t.Errorf("upgrade %d: %d descriptors are free", i, n)
-		}
-		now = fresh
-	}
-	over.Store(true)
-	clients.Wait()
-	now.end()
-	for _, w := range wrong {
-		t.Error(w)
+		current = next
 	}
-	if came.Load() < upgrades || lines.Load() < upgrades*talkers {
-		t.Errorf("only %d came and %d lines went", came.Load(), lines.Load())
+	c.over.Store(true)
+	c.clients.Wait()
+	current.end()
+	if c.opened.Load() < upgrades || c.lines.Load() < upgrades*talkers {
+		t.Errorf("only %d flows were opened and %d lines came back", c.opened.Load(), c.lines.Load())
 	}
-	t.Logf("%d upgrades, %d clients came, %d lines came back", upgrades, came.Load(), lines.Load())
+	t.Logf("%d upgrades, %d flows were opened, %d lines came back", upgrades, c.opened.Load(), c.lines.Load())
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,4 +1,4 @@
-// Package daemon is the balancer as a process: one object that goes from loading to stopped.
+// Package daemon is the balancer as a process: it loads a configuration, serves, reloads, hands over to a successor, and shuts down.
 package daemon
 
 import (
@@ -12,182 +12,170 @@
 	"syscall"
 	"time"
 
-	"yardwinch/internal/config"
 	"yardwinch/internal/explain"
+	"yardwinch/internal/handover"
 	"yardwinch/internal/protocol"
 	"yardwinch/internal/routing"
+	"yardwinch/internal/store"
 	"yardwinch/internal/transport"
 )
 
 const (
-	// After the signal to stop the platform waits for the longest time that a client waits, this at the most, and
-	// a little more.
-	maxShutdownDrain   = 3 * time.Second
-	shutdownDrainSlack = 700 * time.Millisecond
-	migrationMargin    = 450 * time.Millisecond // so much earlier all clients have been asked to move
-	exitMargin         = 150 * time.Millisecond // and so much earlier nothing is held
-	newClientsWindow   = 400 * time.Millisecond // after the signal, new connections come for that long at the most
-
-	memoryGoalShare         = 0.75                    // of the limit is the collector's goal: stacks and the kernel's part come on top
-	drainDuration           = 2600 * time.Millisecond // after the call to go out of service all clients have been asked to move: 4 s are allowed
-	newClientsDeadline      = time.Second             // after it nobody is sent here any more, with some slack
-	drainedCheckInterval    = 50 * time.Millisecond
+	// memoryGoalShare is the part of the memory limit at which the garbage collector aims: stacks and the kernel's buffers come on top.
+	memoryGoalShare = 0.75
+
 	connectionCheckInterval = 5 * time.Millisecond
-	minDrainSpread          = 50 * time.Millisecond
 )
 
-// Daemon is one balancer.
+// Daemon is one balancer as a process.
 type Daemon struct {
-	mu            sync.Mutex // guards the phase and what ends with it
-	phase         phase
-	leave         context.CancelFunc
-	inPhase       context.Context // ends with the phase
-	drainingSince time.Time       // when it was told to go out of service; zero: it is in service
-	ctx           context.Context // of all that runs
-	goroutines    sync.WaitGroup
-	started       chan struct{} // closed once this process serves
-	handoverLinks
+	configuration
 
 	router           *routing.Router
 	frontend         *protocol.Frontend
 	discovery        *protocol.Discovery
-	listener         *transport.PausableListener
-	adminListener    net.Listener
 	descriptorBudget *transport.DescriptorBudget
-
-	configPath       string
-	optionsPath      string // the operators' own file; empty: none
-	options          *config.Options
-	explainer        net.Listener
-	environment      func(string) string
-	values           config.Values // as of the start: what needs a restart still holds
-	listenAddress    string
-	adminAddress     string // the staff's address
-	discoveryAddress string // discovery's address
-	cachedListError  error  // what was wrong with the list as last held
-	cores            int
-	memoryLimit      int64
-	descriptorLimit  int
 	gossip           *gossip // nil: nothing passes between balancers
-	healthChecks     bool
-	connectTimeout   time.Duration
-	maxClientTimeout time.Duration
-}
 
-// setMemoryGoal sets what the collector aims at, by how many processes share the limit.
-func (p *Daemon) setMemoryGoal(processes int64) {
-	debug.SetMemoryLimit(int64(float64(p.memoryLimit)*memoryGoalShare) / processes)
+	directory           *store.Directory // shared with predecessor and successor; nil: this process has neither
+	socket              *handover.Socket // nil with the directory
+	disabled            *disabledStore   // nil with the directory
+	reservedDescriptors int              // kept from clients
+
+	listener        *transport.PausableListener // for clients
+	explainListener net.Listener                // nil: none is configured
+
+	goroutines  sync.WaitGroup // all that Serve starts, and waits for at its end
+	started     chan struct{}  // closed once this process serves
+	startedOnce sync.Once      // closes started
+	relisten    chan struct{}  // receives once the socket for a successor belongs to another process
+
+	// changing serialises operators' changes, and excludes them while the state is handed over. It is taken before mu, and guards the fields
+	// below it.
+	changing    sync.Mutex
+	predecessor *handover.Link // nil: there is none, or it has ended
+	successor   *handover.Link // nil: none has taken over
+
+	mu            sync.Mutex // guards the fields below
+	phase         phase
+	endPhase      []context.CancelFunc // end what runs until the phase does
+	drainingSince time.Time            // the call to go out of service; zero: in service
 }
 
-var errStoppedBeforeServing = errors.New("told to end before it served")
+// errStoppedBeforeServing says that the signal to stop came while the process still started.
+var errStoppedBeforeServing = errors.New("told to stop before it served")
+
+// errConnectionsRemain says that the shutdown ended before all connections did.
+var errConnectionsRemain = errors.New("connections were still held at the end of the drain")
 
-// ErrConfiguration marks what can't be served as it is told.
+// ErrConfiguration marks the error of a configuration that can't be served.
 var ErrConfiguration = errors.New("the configuration can't be served")
 
-// Run is the process from its start to its end: SIGTERM and SIGINT end it in order, SIGHUP has the configuration read
-// anew.
-func Run(path, options string, env func(string) string) error {
-	stop, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
+// configurationError has the text of its cause, and is ErrConfiguration too.
+type configurationError struct{ cause error }
+
+func (e configurationError) Error() string        { return e.cause.Error() }
+func (e configurationError) Unwrap() error        { return e.cause }
+func (e configurationError) Is(target error) bool { return target == ErrConfiguration }
+
+// Run is the process from its start to its end: SIGTERM, SIGINT and the end of the context shut it down, SIGHUP reloads the configuration. The paths are those of
+// the configuration and of the operators' options; an empty one stands for none. A configuration that can't be served is ErrConfiguration.
+func Run(ctx context.Context, configPath, optionsPath string, environment func(string) string) error {
+	stop, cancel := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 	defer cancel()
-	again := make(chan os.Signal, 1)     // one that waits stands for all that came meanwhile
-	signal.Notify(again, syscall.SIGHUP) // to the very end: the process must not die of one that comes as it ends in order
-	p, err := Load(path, options, env)
+	reloads := make(chan os.Signal, 1) // one that waits stands for all that came meanwhile
+	// Until the very end: without a handler the process would die of a signal that comes while it shuts down.
+	signal.Notify(reloads, syscall.SIGHUP)
+	d, err := Load(ctx, configPath, optionsPath, environment)
 	if err != nil {
 		return configurationError{err}
 	}
-	return p.Serve(stop, again)
+	return d.Serve(stop, reloads)
 }
 
-// configurationError is said as it is and known by its mark.
-type configurationError struct{ error }
-
-func (f configurationError) Is(target error) bool { return target == ErrConfiguration }
-func (f configurationError) Unwrap() error        { return f.error }
-
-// Serve runs until stop ends, then answers and moves all clients, and returns when nothing is held. Each word of again
-// has the configuration read anew.
-func (p *Daemon) Serve(stop context.Context, again <-chan os.Signal) error {
-	ctx, cancel := context.WithCancel(context.Background())
-	p.ctx = ctx
-	parts := &p.goroutines
-	held := false
+// Serve runs until stop ends, then shuts down: it migrates all clients, and returns once none is left or their time is over. Each value of
+// reloads reloads the configuration. The error says why the process could not serve, or that connections were still open at the end.
+func (d *Daemon) Serve(stop context.Context, reloads <-chan os.Signal) error {
+	ctx, cancel := context.WithCancel(context.WithoutCancel(stop)) // it outlasts stop by the shutdown
+	timedOut := false
 	defer func() {
-		p.transition(stopped) // nothing begins any more
+		d.transition(ctx, stopped)
 		cancel()
-		if !held { // else the end of the process is the end of what is left: it must come in time
-			parts.Wait()
+		if !timedOut { // else what is left ends with the process, which must exit in time
+			d.goroutines.Wait()
 		}
 	}()
-	starting, begun := context.WithCancel(ctx)
-	defer begun()
-	defer context.AfterFunc(stop, begun)()
-	opening, opened := context.WithTimeout(starting, openTimeout)
-	defer opened()
-	err := p.openControl(ctx, opening)
-	if err == nil {
-		err = p.begin(ctx, starting, opening)
-	}
+	starting, endStart := context.WithCancel(ctx)
+	defer endStart()
+	defer context.AfterFunc(stop, endStart)()
+	err := d.open(ctx, starting)
 	switch {
 	case err != nil && starting.Err() != nil:
-		return nil // told to end before it served
+		return nil // told to stop before it served
 	case err != nil:
 		return err
 	}
-	parts.Go(func() {
-		for p.router.Tick(ctx) == nil {
-		}
-	})
-	parts.Go(func() { p.discovery.Run(ctx) })
-	parts.Go(func() { p.watchReloads(ctx, again) })
-	if p.explainer != nil {
-		parts.Go(func() { explain.Serve(ctx, p.explainer, p.router, p.processState, p.gossip.membersView()) })
-	}
-	if p.gossip != nil {
-		parts.Go(func() { p.gossip.run(ctx) })
-	}
-	if p.healthChecks {
-		parts.Go(func() { protocol.RunHealthChecks(ctx, p.router, p.connectTimeout) })
-	}
-	accepting, refuse := context.WithCancel(ctx)
-	defer refuse()
-	listening := make(chan error, 1)
-	parts.Go(func() {
-		err := transport.Serve(accepting, p.listener, p.descriptorBudget, p.frontend.Serve)
-		for p.frontend.ConnectionCount() > 0 && ctx.Err() == nil { // what was taken over from another process was never accepted here
-			time.Sleep(connectionCheckInterval)
-		}
-		listening <- err
-	})
-	p.startServing(ctx, starting)
+	d.startBackground(ctx, reloads)
+	accepting, stopAccepting := context.WithCancel(ctx)
+	defer stopAccepting()
+	finished := d.serveClients(ctx, accepting)
+	d.startServing(ctx, starting)
 	select {
-	case err := <-listening:
+	case err := <-finished:
 		return err
 	case <-stop.Done():
 	}
-	handed := p.currentPhase() == handingOver
-	p.transition(shuttingDown)
-	all := min(p.maxClientTimeout, maxShutdownDrain) + shutdownDrainSlack
-	drain, done := context.WithTimeout(ctx, all-exitMargin)
-	defer done()
-	over := all - migrationMargin - exitMargin
-	after := min(newClientsWindow, over/3)
-	if handed { // nobody is sent here, nothing waits in a queue of ours, and those that stand may still be passed on
-		refuse()
+	timedOut, err = d.shutDown(ctx, stopAccepting, finished)
+	return err
+}
+
+// startBackground starts all that runs beside the clients' connections.
+func (d *Daemon) startBackground(ctx context.Context, reloads <-chan os.Signal) {
+	d.goroutines.Go(func() { d.runTicks(ctx) })
+	d.goroutines.Go(func() { d.discovery.Run(ctx) })
+	d.goroutines.Go(func() { d.watchReloads(ctx, reloads) })
+	if d.explainListener != nil {
+		server := explain.Server{Router: d.router, Process: d.processState, Members: d.gossip.membersView()}
+		d.goroutines.Go(func() { server.Serve(ctx, d.explainListener) })
 	}
-	parts.Go(func() { p.frontend.Drain(drain, after, over) })
-	// New connections are taken until all that come have been: the front goes on sending for a while, however short a client's wait is.
-	late := time.AfterFunc(max(all-migrationMargin, newClientsWindow+minDrainSpread), func() { refuse(); p.frontend.Stop() })
-	defer late.Stop()
-	select {
-	case err := <-listening: // all that was held has ended
-		return err
-	case <-drain.Done():
+	if d.gossip != nil {
+		d.goroutines.Go(func() { d.gossip.run(ctx) })
 	}
-	held = true
-	if p.descriptorBudget.Unanswered() == 0 {
-		return nil // all have had their last word; some may not have read it yet
+	if d.healthChecks {
+		d.goroutines.Go(func() { protocol.RunHealthChecks(ctx, d.router, d.connectTimeout) })
 	}
-	return errConnectionsRemain
 }
 
-var errConnectionsRemain = errors.New("connections were still held at the end of the drain")
+// runTicks runs the router's periodic work until the context ends.
+func (d *Daemon) runTicks(ctx context.Context) {
+	for {
+		if err := d.router.Tick(ctx); err != nil {
+			return // the context ended
+		}
+	}
+}
+
+// serveClients accepts clients until accepting ends. The channel then receives the listener's error, once no connection is left: those taken
+// over from a predecessor were never accepted here, so that the listener doesn't wait for them.
+func (d *Daemon) serveClients(ctx, accepting context.Context) (finished <-chan error) {
+	result := make(chan error, 1)
+	d.goroutines.Go(func() {
+		err := transport.Serve(accepting, d.listener, d.descriptorBudget, d.frontend.Serve)
+		for d.frontend.ConnectionCount() > 0 && ctx.Err() == nil {
+			time.Sleep(connectionCheckInterval)
+		}
+		result <- err
+	})
+	return result
+}
+
+// Processes that share the limit of memory.
+const (
+	oneProcess    = 1
+	bothProcesses = 2
+)
+
+// setMemoryGoal sets the size of the heap at which the garbage collector aims, by how many processes share the limit.
+func (d *Daemon) setMemoryGoal(processes int64) {
+	debug.SetMemoryLimit(int64(float64(d.memoryLimit)*memoryGoalShare) / processes)
+}
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -2,11 +2,9 @@
 
 import (
 	"bufio"
-	"context"
 	"errors"
 	"fmt"
 	"io"
-	"net"
 	"net/http"
 	"net/http/httptest"
 	"os"
@@ -17,198 +15,161 @@
 	"time"
 )
 
-// A balancer from its configuration to its exit: it serves, and when told to stop it goes on serving what comes,
-// moves its clients, and holds nothing at the end.
-func TestLifecycle(t *testing.T) {
-	server := startEchoServer(t)
-	watched := make(chan string, 16)
-	agent := func(name string) string {
-		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-			w.(http.Flusher).Flush()
-			watched <- name
-			<-q.Context().Done()
-		}))
-		t.Cleanup(s.Close)
-		return strings.TrimPrefix(s.URL, "http://")
-	}
-	old, renewed := agent("old"), agent("renewed")
-	free := listenLocal(t)
-	addr := free.Addr().String()
-	free.Close()
-	path := filepath.Join(t.TempDir(), "config.json")
-	text := fmt.Sprintf(`{"listen":%q,"discovery":%q,"seed":"1","limits":{"cores":1,"memory_mb":64,"sockets":200},
-		"known":{"revision":1,"complete":true,"members":[{"id":"a","host_port":%q,"phase":"SERVING"}]},
-		"settings":{"policy-limits":{"max-connects":3},"service-types":[{"name":"live","effect":"free","group":"all",
-		"hard-limit":800000000,"setup-target":300000000}]}}`, addr, old, server)
-	write := func(text string) {
-		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-			t.Fatal(err)
+// startAgent starts a discovery agent that says nothing of the list. The channel receives the name at each watch.
+func startAgent(t *testing.T, name string, watched chan<- string) (address string) {
+	t.Helper()
+	agent := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		w.(http.Flusher).Flush()
+		select {
+		case watched <- name:
+			<-r.Context().Done()
+		case <-r.Context().Done():
 		}
+	}))
+	t.Cleanup(agent.Close)
+	t.Cleanup(agent.CloseClientConnections)
+	return strings.TrimPrefix(agent.URL, "http://")
+}
+
+// openTalkingFlow opens a flow through which a line comes back.
+func (h *harness) openTalkingFlow() *bufio.Reader {
+	h.t.Helper()
+	in := h.wantFlow("of a client that talks", "UP 1")
+	if _, err := io.WriteString(h.lastClient, "M 1\r\n"); err != nil {
+		h.t.Fatal(err)
 	}
-	write(text)
-	if err := Check(path, "", os.Getenv); err != nil {
-		t.Fatal(err)
-	}
-	p, err := Load(path, "", os.Getenv)
-	if err != nil {
-		t.Fatal(err)
+	if got, err := in.ReadString('\n'); got != "M 1\r\n" {
+		h.t.Fatalf("got %q, %v", got, err)
 	}
-	stop, term := context.WithCancel(context.Background())
-	done := make(chan error, 1)
-	again := make(chan os.Signal)
-	go func() { done <- p.Serve(stop, again) }()
-	watching := func(want string) {
+	return in
+}
+
+// A balancer from its configuration to its exit: it serves, reloads, and when it is told to stop goes on serving clients that come, migrates all,
+// and holds nothing at the end.
+func TestLifecycle(t *testing.T) {
+	watched := make(chan string, 16)
+	old, renewed := startAgent(t, "old", watched), startAgent(t, "renewed", watched)
+	wantWatched := func(want string) {
 		t.Helper()
 		select {
 		case got := <-watched:
 			if got != want {
 				t.Errorf("watches %s, want %s", got, want)
 			}
-		case <-time.After(10 * time.Second):
+		case <-time.After(testTimeout):
 			t.Errorf("%s is not watched", want)
 		}
 	}
-	watching("old")
-	id := 0
-	dial := func() *bufio.Reader {
-		id++
-		c, err := net.Dial("tcp", addr)
-		if err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(func() { c.Close() })
-		_ = c.SetDeadline(time.Now().Add(10 * time.Second))
-		in := bufio.NewReader(c)
-		for _, x := range [][2]string{{fmt.Sprintf("OPEN %d 2 c=live,d=800\r\n", id), "UP 1\r\n"}, {"M 1\r\n", "M 1\r\n"}} {
-			if _, err := io.WriteString(c, x[0]); err != nil {
-				t.Fatal(err)
-			}
-			if got, err := in.ReadString('\n'); got != x[1] {
-				t.Fatalf("got %q, %v", got, err)
-			}
-		}
-		return in
+	h := newHarness(t)
+	h.setDiscovery(old)
+	h.config = strings.Replace(h.config, fmt.Sprintf(`"control":%q,`, h.adminAddress), "", 1)
+	writeConfig(t, h.path, h.config)
+	if err := Check(t.Context(), h.path, "", os.Getenv); err != nil {
+		t.Fatal(err)
 	}
-	first := dial()
-	for _, bad := range []string{"{", `{}`, strings.Replace(text, old, "nowhere", 1)} { // none changes anything
-		write(bad)
-		again <- syscall.SIGHUP
+	reloads := make(chan os.Signal)
+	h.startWithReloads(reloads)
+	wantWatched("old")
+	first := h.openTalkingFlow()
+	for _, invalid := range []string{"{", `{}`, strings.Replace(h.config, old, "nowhere", 1)} { // none changes anything
+		writeConfig(t, h.path, invalid)
+		reloads <- syscall.SIGHUP
 	}
-	write(strings.Replace(text, old, renewed, 1))
-	again <- syscall.SIGHUP
-	watching("renewed")
-	again <- syscall.SIGHUP
-	dial()
-	term()
-	again <- syscall.SIGHUP // neither twice nor while draining does it harm
+	writeConfig(t, h.path, strings.Replace(h.config, old, renewed, 1))
+	reloads <- syscall.SIGHUP
+	wantWatched("renewed")
+	reloads <- syscall.SIGHUP
+	h.openTalkingFlow()
+
+	h.stop()
+	reloads <- syscall.SIGHUP // a further reload does no harm, nor does one during the shutdown
 	start := time.Now()
-	late := dial() // the front sends on for a while
-	for _, in := range []*bufio.Reader{first, late} {
-		if rest, err := io.ReadAll(in); err != nil || string(rest) != "MOVE\r\n" {
-			t.Errorf("heard %q, %v", rest, err)
-		}
+	late := h.openTalkingFlow() // the platform sends clients for a while
+	for _, client := range []*bufio.Reader{first, late} {
+		wantMigration(t, client)
 	}
-	if err := <-done; err != nil {
+	if err := <-h.done; err != nil {
 		t.Errorf("ended with %v", err)
 	}
-	if took := time.Since(start); took > 800*time.Millisecond+shutdownDrainSlack {
+	const clientTimeout = 800 * time.Millisecond // of the configuration
+	if took := time.Since(start); took > clientTimeout+shutdownDrainSlack {
 		t.Errorf("stopped after %v", took)
 	}
-	if p.phase != stopped {
-		t.Errorf("phase %s", p.phase)
+	if now := h.daemon.currentPhase(); now != stopped {
+		t.Errorf("phase %s", now)
 	}
 }
 
-// However short a client's wait is, whoever is sent here for a while after the signal still finds the socket open.
+// However short the clients' timeouts are, the socket is open for all that the platform sends after the signal to stop.
 func TestShutdownWithShortClientTimeouts(t *testing.T) {
 	for {
-		g := newHarness(t)
-		g.config = strings.Replace(g.config, `"hard-limit":800000000`, `"hard-limit":20000000`, 1)
-		if err := os.WriteFile(g.path, []byte(g.config), 0o600); err != nil {
-			t.Fatal(err)
-		}
-		g.start(directoryEnvironment(t))
+		h := newHarness(t)
+		h.config = strings.Replace(h.config, `"hard-limit":800000000`, `"hard-limit":20000000`, 1)
+		writeConfig(t, h.path, h.config)
+		h.start(directoryEnvironment(t))
 		start := time.Now()
-		g.stop()
-		time.Sleep(newClientsWindow - 50*time.Millisecond)
-		c, err := net.Dial("tcp", g.listenAddress)
+		h.stop()
+		time.Sleep(newClientsWindow - 50*time.Millisecond) // just before the end of that time
+		conn, err := tryDial(t, h.listenAddress)
 		inTime := time.Since(start) < newClientsWindow
 		answer := ""
 		if err == nil {
-			_ = c.SetDeadline(time.Now().Add(10 * time.Second))
-			_, _ = io.WriteString(c, "PING\r\n")
-			answer, _ = bufio.NewReader(c).ReadString('\n')
-			c.Close()
+			_, _ = io.WriteString(conn, "PING\r\n") // an error gives no answer
+			answer, _ = bufio.NewReader(conn).ReadString('\n')
+			_ = conn.Close()
 		}
-		<-g.done
+		t.Logf("ended with %v", <-h.done) // another test is about that
 		if !inTime {
-			continue // the machine was late: it was no new connection of that while
+			continue // the machine was late: the platform would not have sent this connection
 		}
 		if err != nil || answer == "" {
-			t.Errorf("a connection of that while: %q, %v", answer, err)
+			t.Errorf("a connection of that time: %q, %v", answer, err)
 		}
 		return
 	}
 }
 
-// At the end of the drain's time, which is over here as it begins, what counts is whether anything is held.
+// At the end of the shutdown's time, which here is over as it begins, it matters whether any connection is left.
 func TestConnectionsLeftAfterShutdown(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		say  string
+		sent string
 		want error
 	}{
-		{"nobody", "", nil},
-		{"a client that stands", "OPEN 1 2 c=live,d=800\r\n", errConnectionsRemain},
+		{"none", "", nil},
+		{"an established client", "OPEN 1 2 c=live,d=800\r\n", errConnectionsRemain},
 		{"a client in the middle of its line", "PING\r\nOPEN 1 2 c=live", errConnectionsRemain},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			g := newHarness(t).start(directoryEnvironment(t), func(p *Daemon) { p.maxClientTimeout = -shutdownDrainSlack })
-			if c.say != "" {
-				client, err := net.Dial("tcp", g.listenAddress)
-				if err != nil {
-					t.Fatal(err)
-				}
-				defer client.Close()
-				_ = client.SetDeadline(time.Now().Add(10 * time.Second)) // a test that hangs is to fail
-				if _, err := io.WriteString(client, c.say); err != nil {
+			h := newHarness(t).start(directoryEnvironment(t), func(d *Daemon) { d.maxClientTimeout = -shutdownDrainSlack })
+			if c.sent != "" {
+				client := dial(t, h.listenAddress)
+				if _, err := io.WriteString(client, c.sent); err != nil {
 					t.Fatal(err)
 				}
 				if got, err := bufio.NewReader(client).ReadString('\n'); err != nil {
-					t.Fatalf("hears %q, %v", got, err)
+					t.Fatalf("received %q, %v", got, err)
 				}
 			}
-			g.stop()
-			if err := <-g.done; !errors.Is(err, c.want) {
+			h.stop()
+			if err := <-h.done; !errors.Is(err, c.want) {
 				t.Errorf("ended with %v, want %v", err, c.want)
 			}
 		})
 	}
 }
 
-func listenLocal(t *testing.T) net.Listener {
-	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { l.Close() })
-	return l
-}
-
 func TestFaultyConfiguration(t *testing.T) {
 	for _, c := range []struct{ name, text, want string }{
 		{"no address", `{}`, "listen: is missing"},
-		{"a list that is none", `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","known":[],
+		{"an invalid endpoint list", `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","known":[],
 			"settings":{"service-types":[{"name":"x"}]}}`, "known: "},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			path := filepath.Join(t.TempDir(), "config.json")
-			if err := os.WriteFile(path, []byte(c.text), 0o600); err != nil {
-				t.Fatal(err)
-			}
-			if err := Check(path, "", os.Getenv); err == nil || !strings.HasPrefix(err.Error(), c.want) {
-				t.Errorf("fault %v, want %s", err, c.want)
+			writeConfig(t, path, c.text)
+			if err := Check(t.Context(), path, "", os.Getenv); err == nil || !strings.HasPrefix(err.Error(), c.want) {
+				t.Errorf("%v, want %s", err, c.want)
 			}
 		})
 	}
--- a/internal/daemon/descriptors_test.go
+++ b/internal/daemon/descriptors_test.go
@@ -2,7 +2,9 @@
 
 import (
 	"bufio"
+	"context"
 	"fmt"
+	"io"
 	"net"
 	"net/http"
 	"strings"
@@ -11,162 +13,176 @@
 	"time"
 )
 
-// idleClients is idle clients: so many stand at any time or wait to be accepted, as each that is closed comes again. One that grew whatever
-// the balancer lets in would put a usual client behind ever more of them in the system's queue, which serves in turn.
+// idleClients are a number of clients that say nothing; each that is closed comes again. Were there ever more of them, whatever the balancer
+// accepts, a usual client would stand behind all of them in the system's queue.
 type idleClients struct {
+	t           *testing.T
+	address     string
 	stopped     chan struct{}
-	firstAnswer chan string // what the first that was ended had heard
+	firstAnswer chan string // what the first one received that was closed
 	clients     sync.WaitGroup
 }
 
-func newIdleClients(t *testing.T, addr string, n int) *idleClients {
-	w := &idleClients{stopped: make(chan struct{}), firstAnswer: make(chan string, 1)}
-	for range n {
-		w.clients.Go(func() {
-			for w.holdOne(addr) {
+func startIdleClients(t *testing.T, address string, number int) *idleClients {
+	t.Helper()
+	c := &idleClients{t: t, address: address, stopped: make(chan struct{}), firstAnswer: make(chan string, 1)}
+	for range number {
+		c.clients.Go(func() {
+			for c.holdOne() {
 			}
 		})
 	}
-	t.Cleanup(func() { close(w.stopped); w.clients.Wait() })
-	return w
+	t.Cleanup(func() {
+		close(c.stopped)
+		c.clients.Wait()
+	})
+	return c
 }
 
-// holdOne has one idle client come and stay until it is ended, and tells whether it is to come again.
-func (w *idleClients) holdOne(addr string) bool {
-	c, err := net.Dial("tcp", addr)
+// holdOne has one idle client come and stay until it is closed, and tells whether it is to come again.
+func (c *idleClients) holdOne() (continues bool) {
+	var dialer net.Dialer
+	conn, err := dialer.DialContext(context.WithoutCancel(c.t.Context()), "tcp", c.address)
 	if err == nil {
-		heard := make(chan struct{})
-		go func() {
-			select {
-			case <-w.stopped:
-			case <-heard:
-			}
-			c.Close()
-		}()
-		got, _ := bufio.NewReader(c).ReadString('\n')
-		close(heard)
-		select {
-		case w.firstAnswer <- got:
-		default:
-		}
+		c.awaitClosed(conn)
 	}
 	select {
-	case <-w.stopped:
+	case <-c.stopped:
 		return false
-	case <-time.After(10 * time.Millisecond): // as a client that comes again does
+	case <-time.After(flowInterval):
 		return true
 	}
 }
 
-// awaitFull waits until one had to make room: all is full.
-func (w *idleClients) awaitFull(t *testing.T) {
-	t.Helper()
+func (c *idleClients) awaitClosed(conn net.Conn) {
+	received := make(chan struct{})
+	go func() {
+		select {
+		case <-c.stopped:
+		case <-received:
+		}
+		_ = conn.Close()
+	}()
+	got, _ := bufio.NewReader(conn).ReadString('\n')
+	close(received)
+	select {
+	case c.firstAnswer <- got:
+	default:
+	}
+}
+
+// awaitFull waits until one is closed to free its descriptor.
+func (c *idleClients) awaitFull() {
+	c.t.Helper()
 	select {
-	case got := <-w.firstAnswer:
+	case got := <-c.firstAnswer:
 		if got != "BUSY\r\n" {
-			t.Fatalf("the first idle one hears %q", got)
+			c.t.Fatalf("the first idle client that is closed receives %q", got)
 		}
-	case <-time.After(10 * time.Second):
-		t.Fatal("no idle one made room")
+	case <-time.After(testTimeout):
+		c.t.Fatal("no idle client is closed")
 	}
 }
 
-// Idle clients fill all descriptors there are while discovery is down. Once it is back its news count in time, usual clients are served by the
-// new server, the staff's calls are answered and probes go out, though the idle ones go on coming. The system itself holds the process to what
-// its platform allows, so that one that was not set aside is missing.
+// Idle clients use up all descriptors while discovery is down. Once it is back its list counts in time, usual clients are served by the new
+// server, operators' calls are answered and health checks are made, though idle clients go on coming. The system itself limits the process to
+// its descriptors, so that one that was not reserved would be missing.
 func TestDescriptorsWhileDiscoveryIsDown(t *testing.T) {
-	const counts = 6 * time.Second // the term's own
 	for limit, usual := range map[int]int{66: 2, 72: 4, 80: 8, 120: 8, 400: 8} {
-		t.Run(fmt.Sprint(limit), func(t *testing.T) {
-			probed := make(chan struct{}, 1000)
-			late, at := startEchoServer(t, probed), reservedAddress(t)
-			g := newHarness(t)
-			g.config = discovery.ReplaceAllLiteralString(g.config, fmt.Sprintf(`"discovery":%q`, at))
-			g.config = strings.NewReplacer(`"sockets":400`, fmt.Sprintf(`"sockets":%d`, limit), `"retry-after":true`,
-				`"retry-after":true,"probes":true`, `"settings":{`, `"settings":{"reporting":{"how":"pull"},`).Replace(g.config)
-			g.descriptorLimit = limit
-			g.process()
-			crowd := newIdleClients(t, g.listenAddress, 2*limit)
-			crowd.awaitFull(t)
-			for range 32 { // callers of the staff's address who say nothing
-				if c, err := net.Dial("tcp", g.adminAddress); err == nil {
-					t.Cleanup(func() { c.Close() })
-				}
-			}
-			watched := make(chan time.Time, 100)
-			l, err := net.Listen("tcp", at)
-			if err != nil {
-				t.Fatal(err)
-			}
-			agent := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-				_, _ = fmt.Fprintf(w, `{"revision":2,"complete":true,"members":[{"id":"b","host_port":%q,"phase":"SERVING"}]}`+"\n", late)
-				w.(http.Flusher).Flush()
-				watched <- time.Now()
-				<-q.Context().Done()
-			})}
-			back := time.Now()
-			go func() { _ = agent.Serve(l) }()
-			defer agent.Close()
-			select {
-			case stands := <-watched:
-				t.Logf("watched after %v", stands.Sub(back))
-				if stands.Sub(back) > counts {
-					t.Errorf("watched after %v", stands.Sub(back))
-				}
-			case <-time.After(10 * time.Second):
-				t.Fatal("not watched")
-			}
-			g.awaitStatus("POST", "servers/b/online", 200) // its news count
-			if took := time.Since(back); took > counts {
-				t.Errorf("its news count after %v", took)
-			}
-			for _, what := range []string{"offline", "online"} {
-				var calls sync.WaitGroup
-				for range 4 {
-					calls.Go(func() { g.wantStatus("POST", "servers/b/"+what, 200) })
-				}
-				calls.Wait()
-			}
-			var flows sync.WaitGroup
-			stay := make(chan net.Conn, usual)
-			for i := range usual {
-				flows.Go(func() {
-					for n := 0; ; n++ { // a cold server takes flows one by one, and who is turned away comes again
-						c, err := net.Dial("tcp", g.listenAddress)
-						if err != nil {
-							t.Error(err)
-							return
-						}
-						_ = c.SetDeadline(time.Now().Add(10 * time.Second))
-						_, _ = fmt.Fprintf(c, "OPEN u%d-%d 2 c=live,d=800\r\n", i, n)
-						got, err := bufio.NewReader(c).ReadString('\n')
-						if got == "UP 1\r\n" {
-							stay <- c
-							return
-						}
-						c.Close()
-						if err != nil || !strings.HasPrefix(got, "BUSY") || n > 20 {
-							t.Errorf("a usual client hears %q, %v at attempt %d", got, err, n)
-							return
-						}
-						time.Sleep(50 * time.Millisecond)
-					}
-				})
-			}
-			flows.Wait()
-			select {
-			case <-probed:
-			case <-time.After(10 * time.Second):
-				t.Error("no probe came")
-			}
-			g.wantStatus("GET", "ready", 200)
-			for close(stay); ; {
-				c, ok := <-stay
-				if !ok {
-					break
-				}
-				c.Close()
-			}
-		})
+		t.Run(fmt.Sprint(limit), func(t *testing.T) { testDescriptorLimit(t, limit, usual) })
+	}
+}
+
+func testDescriptorLimit(t *testing.T, limit, usualClients int) {
+	checked := make(chan struct{}, 1000)
+	newServer, agentAddress := startEchoServer(t, checked), reservedAddress(t)
+	h := newHarness(t)
+	h.setDiscovery(agentAddress)
+	h.config = strings.NewReplacer(`"sockets":400`, fmt.Sprintf(`"sockets":%d`, limit), `"retry-after":true`,
+		`"retry-after":true,"probes":true`, `"settings":{`, `"settings":{"reporting":{"how":"pull"},`).Replace(h.config)
+	h.descriptorLimit = limit
+	h.process()
+	startIdleClients(t, h.listenAddress, 2*limit).awaitFull()
+	for range 32 { // idle at the address for operators
+		_, _ = tryDial(t, h.adminAddress) // some are refused
+	}
+	back := time.Now()
+	wantListInTime(t, h, startListAgent(t, agentAddress, newServer), back)
+	for _, call := range []string{"offline", "online"} {
+		var calls sync.WaitGroup
+		for range 4 {
+			calls.Go(func() { h.wantStatus("POST", "servers/b/"+call, http.StatusOK) })
+		}
+		calls.Wait()
+	}
+	var clients sync.WaitGroup
+	for i := range usualClients {
+		clients.Go(func() { h.awaitUsualClient(i) })
+	}
+	clients.Wait()
+	select {
+	case <-checked:
+	case <-time.After(testTimeout):
+		t.Error("no health check is made")
+	}
+	h.wantStatus("GET", "ready", http.StatusOK)
+}
+
+// startListAgent starts a discovery agent whose list has one server, b. The channel receives the time of each watch.
+func startListAgent(t *testing.T, address, server string) <-chan time.Time {
+	t.Helper()
+	watched := make(chan time.Time, 100)
+	agent := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		_, _ = fmt.Fprintf(w, `{"revision":2,"complete":true,"members":[{"id":"b","host_port":%q,"phase":"SERVING"}]}`+"\n", server)
+		w.(http.Flusher).Flush()
+		watched <- time.Now()
+		<-r.Context().Done()
+	})}
+	listener := listenAt(t, address)
+	go func() { _ = agent.Serve(listener) }() // until it is closed
+	t.Cleanup(func() { _ = agent.Close() })
+	return watched
+}
+
+// wantListInTime checks that the list is watched, and that it counts, within the time that operators allow.
+func wantListInTime(t *testing.T, h *harness, watched <-chan time.Time, back time.Time) {
+	t.Helper()
+	const allowed = 6 * time.Second
+	select {
+	case at := <-watched:
+		t.Logf("watched after %v", at.Sub(back))
+		if at.Sub(back) > allowed {
+			t.Errorf("watched after %v", at.Sub(back))
+		}
+	case <-time.After(testTimeout):
+		t.Fatal("not watched")
+	}
+	h.awaitStatus("POST", "servers/b/online", http.StatusOK) // the list counts
+	if took := time.Since(back); took > allowed {
+		t.Errorf("the list counts after %v", took)
+	}
+}
+
+// awaitUsualClient opens a flow that stays to the end of the test. In slow start a server takes flows one by one; a client that is rejected
+// comes again.
+func (h *harness) awaitUsualClient(number int) {
+	const maxAttempts = 20
+	for attempt := 0; ; attempt++ {
+		conn, err := tryDial(h.t, h.listenAddress)
+		if err != nil {
+			h.t.Error(err)
+			return
+		}
+		_, _ = io.WriteString(conn, fmt.Sprintf("OPEN u%d-%d 2 c=live,d=800\r\n", number, attempt)) // an error shows in the answer
+		got, err := bufio.NewReader(conn).ReadString('\n')
+		if got == "UP 1\r\n" {
+			return
+		}
+		_ = conn.Close()
+		if err != nil || !strings.HasPrefix(got, "BUSY") || attempt > maxAttempts {
+			h.t.Errorf("a usual client receives %q, %v at attempt %d", got, err, attempt)
+			return
+		}
+		time.Sleep(5 * flowInterval)
 	}
 }
--- a/internal/daemon/disabled_store.go
+++ b/internal/daemon/disabled_store.go
@@ -9,203 +9,219 @@
 	"sync"
 	"time"
 
-	"yardwinch/internal/handover"
 	"yardwinch/internal/retry"
+	"yardwinch/internal/store"
 )
 
 const (
 	firstStoreRetry   = 20 * time.Millisecond
 	longestStoreRetry = 250 * time.Millisecond
-	saveTimeout       = 300 * time.Millisecond // that an answer waits for the folder: what is called for is in force by then
-	loadTimeout       = 2 * time.Second        // that a process waits before it serves for a folder that can't be read
-	releaseTimeout    = 200 * time.Millisecond // for a write under way as another process takes over
+	saveTimeout       = 300 * time.Millisecond // for the answer to an operator: the change is in force before it is saved
+	loadTimeout       = 2 * time.Second        // for a directory that can't be read, before the process serves without it
+	releaseTimeout    = 200 * time.Millisecond // for a write in progress while a successor takes over
 )
 
-// disabledStore has the folder hold which servers are out by hand, for a process that starts after this one was killed. What is owed to a folder
-// that fails is tried again until it is there. Nothing is written before it is known what an earlier process left.
+// disabledStore keeps the administratively disabled servers on disk, for a process that starts after this one was killed. What could not be
+// written is retried until it is. Nothing is written before the servers that an earlier process saved are known: a write would lose them.
 type disabledStore struct {
-	directory         *handover.Directory
-	currentlyDisabled func() []string // the servers out by hand now
-
-	mu                sync.Mutex
-	loaded            bool            // what an earlier process left is known
-	changedBeforeLoad map[string]bool // servers called out or back before that: the call is the later word
-	changes           int             // that were made
-	saved             int             // of them, as of the last write
-	writing           bool
+	directory         *store.Directory
+	currentlyDisabled func() []string // the servers to save
+	wake              chan struct{}   // receives once there is something to save
+
+	mu                sync.Mutex // guards the fields below
+	loaded            bool       // what an earlier process saved is known
+	changedBeforeLoad map[string]bool
+	changes           int           // the number of changes made
+	saved             int           // of those, the number that the file has
+	writing           bool          // a write is in progress
 	attempt           chan struct{} // closed at the end of the next attempt
-	failingSince      time.Time     // since when the folder fails; zero: it does not
-	wake              chan struct{} // something is owed
+	failingSince      time.Time     // zero: the last attempt succeeded
 }
 
-func newDisabledStore(folder *handover.Directory, out func() []string) *disabledStore {
-	return &disabledStore{directory: folder, currentlyDisabled: out, changedBeforeLoad: map[string]bool{}, attempt: make(chan struct{}), wake: make(chan struct{}, 1)}
+func newDisabledStore(directory *store.Directory, currentlyDisabled func() []string) *disabledStore {
+	return &disabledStore{
+		directory:         directory,
+		currentlyDisabled: currentlyDisabled,
+		changedBeforeLoad: map[string]bool{},
+		attempt:           make(chan struct{}),
+		wake:              make(chan struct{}, 1),
+	}
 }
 
-// onChange says that a server was called out or back.
-func (k *disabledStore) onChange(server string) {
-	k.mu.Lock()
-	if !k.loaded {
-		k.changedBeforeLoad[server] = true
+// onChange notes that an operator disabled or enabled a server. A change made before the load overrides what an earlier process saved.
+func (s *disabledStore) onChange(server string) {
+	s.mu.Lock()
+	if !s.loaded {
+		s.changedBeforeLoad[server] = true
 	}
-	k.mu.Unlock()
-	k.requestSave()
+	s.mu.Unlock()
+	s.requestSave()
 }
 
-// requestSave has all that is out by hand written anew.
-func (k *disabledStore) requestSave() {
-	k.mu.Lock()
-	k.changes++
-	k.mu.Unlock()
+// requestSave has all disabled servers written anew.
+func (s *disabledStore) requestSave() {
+	s.mu.Lock()
+	s.changes++
+	s.mu.Unlock()
 	select {
-	case k.wake <- struct{}{}:
+	case s.wake <- struct{}{}:
 	default:
 	}
 }
 
-// markLoaded says that what an earlier process left is known, from itself.
-func (k *disabledStore) markLoaded() {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.loaded = true
+// markLoaded says that this process knows the disabled servers from its predecessor, and need not load them.
+func (s *disabledStore) markLoaded() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.loaded = true
 }
 
-// release leaves the folder to another process.
-func (k *disabledStore) release() {
-	k.mu.Lock()
-	k.saved, k.failingSince = k.changes, time.Time{}
-	writing, attempt := k.writing, k.attempt
-	k.mu.Unlock()
+// release leaves the directory to the successor, after a write in progress.
+func (s *disabledStore) release(ctx context.Context) {
+	s.mu.Lock()
+	s.saved = s.changes
+	s.failingSince = time.Time{}
+	writing, attempt := s.writing, s.attempt
+	s.mu.Unlock()
 	if writing {
-		waitFor(context.Background(), attempt, releaseTimeout)
+		waitFor(ctx, attempt, releaseTimeout)
 	}
 }
 
-// awaitSaved waits until the changes made so far are in the folder, or it is known to fail.
-func (k *disabledStore) awaitSaved(ctx context.Context) {
+// awaitSaved waits until the changes made so far are saved, the directory is known to fail, or the time for it is over.
+func (s *disabledStore) awaitSaved(ctx context.Context) {
 	ctx, done := context.WithTimeout(ctx, saveTimeout)
 	defer done()
-	k.mu.Lock()
-	changes := k.changes
-	k.mu.Unlock()
+	s.mu.Lock()
+	changes := s.changes
+	s.mu.Unlock()
 	for ctx.Err() == nil {
-		k.mu.Lock()
-		over, attempt := k.saved >= changes || !k.failingSince.IsZero(), k.attempt
-		k.mu.Unlock()
-		if over {
+		s.mu.Lock()
+		settled, attempt := s.saved >= changes || !s.failingSince.IsZero(), s.attempt
+		s.mu.Unlock()
+		if settled {
 			return
 		}
 		waitFor(ctx, attempt, saveTimeout)
 	}
 }
 
-func waitFor(ctx context.Context, done <-chan struct{}, most time.Duration) {
+func waitFor(ctx context.Context, done <-chan struct{}, timeout time.Duration) {
 	select {
 	case <-done:
 	case <-ctx.Done():
-	case <-time.After(most):
+	case <-time.After(timeout):
 	}
 }
 
-// run writes what is owed until the context ends. take is given the servers that an earlier process left out, once that is known.
-func (k *disabledStore) run(ctx context.Context, take func([]string)) {
-	waits := retry.Backoff{First: firstStoreRetry, Longest: longestStoreRetry}
+// run saves what is to be saved until the context ends. restore gets the servers that an earlier process saved, once they are known.
+func (s *disabledStore) run(ctx context.Context, restore func(servers []string)) {
+	backoff := retry.Backoff{First: firstStoreRetry, Longest: longestStoreRetry}
 	for {
-		again := k.reconcile(take)
-		if !again {
-			waits.Reset()
+		if s.synchronise(restore) {
+			backoff.Reset()
 			select {
 			case <-ctx.Done():
 				return
-			case <-k.wake:
+			case <-s.wake:
 			}
-		} else if waits.Wait(ctx) != nil {
+		} else if backoff.Wait(ctx) != nil {
 			return
 		}
 	}
 }
 
-// reconcile reads what is not known and writes what is owed; again: it failed, or more is owed by now.
-func (k *disabledStore) reconcile(take func([]string)) (again bool) {
-	if err := k.load(take); err != nil {
-		k.recordResult(err)
-		return true
-	}
-	k.mu.Lock()
-	changes := k.changes
-	owed := changes > k.saved
-	k.writing = owed
-	k.mu.Unlock()
-	if !owed {
-		k.recordResult(nil)
+// synchronise loads what is not loaded and saves what is not saved. done: neither failed, and no change came meanwhile.
+func (s *disabledStore) synchronise(restore func(servers []string)) (done bool) {
+	if err := s.load(restore); err != nil {
+		s.recordResult(err)
 		return false
 	}
-	err := k.directory.SaveDisabled(k.currentlyDisabled())
-	k.mu.Lock()
-	if k.writing = false; err == nil {
-		k.saved = max(k.saved, changes)
+	s.mu.Lock()
+	changes := s.changes
+	unsaved := changes > s.saved
+	s.writing = unsaved
+	s.mu.Unlock()
+	if !unsaved {
+		s.recordResult(nil)
+		return true
+	}
+	err := s.directory.SaveDisabled(s.currentlyDisabled())
+	s.mu.Lock()
+	s.writing = false
+	if err == nil {
+		s.saved = max(s.saved, changes)
 	}
-	again = k.saved < k.changes
-	k.mu.Unlock()
-	k.recordResult(err)
-	return again
+	done = s.saved >= s.changes
+	s.mu.Unlock()
+	s.recordResult(err)
+	return done
 }
 
-// load takes what an earlier process left, unless that is known.
-func (k *disabledStore) load(take func([]string)) error {
-	k.mu.Lock()
-	read := k.loaded
-	k.mu.Unlock()
-	if read {
+// load restores what an earlier process saved, unless it is known already. Invalid content counts as none, and is not read again.
+func (s *disabledStore) load(restore func(servers []string)) error {
+	s.mu.Lock()
+	loaded := s.loaded
+	s.mu.Unlock()
+	if loaded {
 		return nil
 	}
-	servers, err := k.directory.LoadDisabled()
-	var content *handover.ContentError
-	if errors.As(err, &content) {
-		slog.Error("who was out by hand is not known", "error", err, "what helps", content.Advice())
+	servers, err := s.directory.LoadDisabled()
+	var invalid *store.ContentError
+	if errors.As(err, &invalid) {
+		slog.Error("disabled servers not restored", "error", err, "advice", invalid.Advice())
 	} else if err != nil {
 		return err
 	}
-	k.mu.Lock()
-	k.loaded = true
-	servers = slices.DeleteFunc(servers, func(server string) bool { return k.changedBeforeLoad[server] })
-	k.mu.Unlock()
+	s.mu.Lock()
+	s.loaded = true
+	servers = slices.DeleteFunc(servers, func(server string) bool { return s.changedBeforeLoad[server] })
+	s.mu.Unlock()
 	if len(servers) > 0 {
-		take(servers)
-		slog.Info("out by hand as before", "servers", len(servers))
+		restore(servers)
+		slog.Info("disabled servers restored", "servers", len(servers))
 	}
 	return nil
 }
 
-// recordResult keeps since when the folder fails, and says so once at each beginning and end.
-func (k *disabledStore) recordResult(err error) {
-	k.mu.Lock()
-	began, since := err != nil && k.failingSince.IsZero(), k.failingSince
-	if began {
-		k.failingSince = time.Now()
-	} else if err == nil {
-		k.failingSince = time.Time{}
-	}
-	close(k.attempt)
-	k.attempt = make(chan struct{})
-	k.mu.Unlock()
-	var advice interface{ Advice() string }
+// recordResult takes in how an attempt ended, and logs the beginning and the end of a failure.
+func (s *disabledStore) recordResult(err error) {
+	s.mu.Lock()
+	since := s.failingSince
+	begins := err != nil && since.IsZero()
+	ends := err == nil && !since.IsZero()
+	if begins {
+		s.failingSince = time.Now()
+	} else if ends {
+		s.failingSince = time.Time{}
+	}
+	close(s.attempt)
+	s.attempt = make(chan struct{})
+	s.mu.Unlock()
 	switch {
-	case began && errors.As(err, &advice):
-		slog.Warn("the folder fails: servers out by hand are held in memory alone", "error", err, "what helps", advice.Advice())
-	case began:
-		slog.Warn("the folder fails: servers out by hand are held in memory alone", "error", err)
-	case err == nil && !since.IsZero():
-		slog.Info("the folder works again", "after", time.Since(since).Round(time.Millisecond))
+	case begins:
+		logStoreFailure(err)
+	case ends:
+		slog.Info("directory works again", "failed_for_ms", time.Since(since).Milliseconds())
+	}
+}
+
+func logStoreFailure(err error) {
+	attributes := []any{"error", err}
+	var advice interface{ Advice() string }
+	if errors.As(err, &advice) {
+		attributes = append(attributes, "advice", advice.Advice())
 	}
+	slog.Warn("directory failed, disabled servers are held in memory only", attributes...)
 }
 
-// fault says what is amiss, for whoever asks; nothing where all is kept.
-func (k *disabledStore) fault() string {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.failingSince.IsZero() {
+// fault is the text of explain's answer while the directory fails; else it is empty.
+func (s *disabledStore) fault() string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.failingSince.IsZero() {
 		return ""
 	}
-	return fmt.Sprintf("the folder fails since %.0f s; %d servers out by hand are held in memory alone", time.Since(k.failingSince).Seconds(), len(k.currentlyDisabled()))
+	seconds := time.Since(s.failingSince).Seconds()
+	return fmt.Sprintf("the folder fails since %.0f s; %d servers out by hand are held in memory alone", seconds, len(s.currentlyDisabled()))
 }
--- a/internal/daemon/disabled_store_test.go
+++ b/internal/daemon/disabled_store_test.go
@@ -1,80 +1,78 @@
 package daemon
 
 import (
+	"net/http"
 	"os"
 	"path/filepath"
 	"slices"
 	"testing"
 	"time"
 
-	"yardwinch/internal/handover"
+	"yardwinch/internal/store"
 )
 
-// A server is taken out by hand while the folder of the processes fails. The rule on drains binds from then on whatever was answered, so that
-// the call takes effect; and once the folder works again it is kept, so that a process that starts after a kill sends nothing there.
+// A server is disabled while the directory fails. It gets no flows from then on, and once the directory works again the change is saved, so
+// that a process that starts after a kill sends nothing there either.
 func TestDisableWhileDirectoryFails(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		atStart bool // the folder fails as the process starts, and still does as the call comes
+		atStart bool // the directory fails from the start of the process on, and still does at the call
 	}{
-		{"as the call comes", false},
-		{"as the process starts", true},
+		{"at the call", false},
+		{"at the start", true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			dir := filepath.Join(t.TempDir(), "tmp")
-			away := dir + "-away"
-			if err := os.Mkdir(dir, 0o700); err != nil {
+			directory := filepath.Join(t.TempDir(), "tmp")
+			movedDirectory := directory + "-moved"
+			if err := os.Mkdir(directory, 0o700); err != nil {
 				t.Fatal(err)
 			}
-			move := func(from, to string) {
-				t.Helper()
-				if err := os.Rename(from, to); err != nil {
-					t.Fatal(err)
-				}
-			}
-			g := newHarness(t)
+			h := newHarness(t)
 			if c.atStart {
-				move(dir, away)
+				rename(t, directory, movedDirectory)
 			}
-			p := g.processIn(dir)
-			g.awaitStatus("GET", "ready", 200)
+			p := h.processIn(directory)
+			h.awaitStatus("GET", "ready", http.StatusOK)
 			if !c.atStart {
-				move(dir, away)
-			}
-			g.wantStatus("POST", "servers/a/offline", 200)
-			if _, got := g.openFlow(); got != "BUSY 700" {
-				t.Errorf("after the call, while the folder fails, a flow hears %q", got)
+				rename(t, directory, movedDirectory)
 			}
-			move(away, dir)
-			g.awaitSaved(dir, "a")
+			h.wantStatus("POST", "servers/a/offline", http.StatusOK)
+			h.wantFlow("after the call, while the directory fails,", "BUSY 700")
+			rename(t, movedDirectory, directory)
+			h.awaitSaved(directory, "a")
 			_ = p.cmd.Process.Kill()
-			_ = p.cmd.Wait()
-			next := g.successor()
-			next.processIn(dir)
-			next.awaitStatus("GET", "ready", 200)
-			if _, got := next.openFlow(); got != "BUSY 700" {
-				t.Errorf("after a kill a flow hears %q", got)
-			}
-			next.wantStatus("POST", "servers/a/online", 200)
-			next.awaitSaved(dir)
+			_ = p.cmd.Wait() // it says that it was killed
+			next := h.successor()
+			next.processIn(directory)
+			next.awaitStatus("GET", "ready", http.StatusOK)
+			next.wantFlow("after a kill", "BUSY 700")
+			next.wantStatus("POST", "servers/a/online", http.StatusOK)
+			next.awaitSaved(directory)
 		})
 	}
 }
 
-// awaitSaved waits until the folder has just these servers as out by hand; a test that hangs is to fail.
-func (g *harness) awaitSaved(dir string, want ...string) {
-	g.t.Helper()
-	folder, err := handover.Open(dir, g.listenAddress)
+func rename(t *testing.T, from, to string) {
+	t.Helper()
+	if err := os.Rename(from, to); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// awaitSaved waits until the directory has just these servers as disabled.
+func (h *harness) awaitSaved(root string, want ...string) {
+	h.t.Helper()
+	directory, err := store.Open(root, h.listenAddress)
 	if err != nil {
-		g.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	for end := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
-		got, err := folder.LoadDisabled()
+	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
+		got, err := directory.LoadDisabled()
 		if err == nil && slices.Equal(got, want) {
 			return
 		}
 		if time.Now().After(end) {
-			g.t.Fatalf("kept are %q, %v; want %q", got, err, want)
+			h.t.Fatalf("saved are %q, %v; want %q", got, err, want)
 		}
 	}
 }
--- a/internal/daemon/gossip.go
+++ b/internal/daemon/gossip.go
@@ -3,12 +3,9 @@
 import (
 	"context"
 	"errors"
-	"runtime/debug"
-	"strconv"
+	"sync"
 	"time"
 
-	"github.com/cespare/xxhash/v2"
-
 	"yardwinch/decide"
 	"yardwinch/fleet/lease"
 	"yardwinch/fleet/signals"
@@ -19,263 +16,186 @@
 
 const (
 	publishInterval   = 250 * time.Millisecond
-	fullStateInterval = 8               // of those, all that is known is written anew for members that ask
-	leaseDuration     = 6 * time.Second // of a duty: three records of a small fleet
-	gossipDescriptors = 8               // descriptors: two that listen, and streams now and then
+	fullStateInterval = 8 // in publishInterval: how often the full state for members that ask is written anew
+
+	// leaseDuration is how long a balancer that publishes nothing keeps a task: three records of a small fleet.
+	leaseDuration = 6 * time.Second
 )
 
-// gossip carries what the signals decider tells to the other balancers, and what they tell to it.
+// gossip exchanges signals with the other balancers: it publishes what the signals decider of this balancer records, and merges what they
+// publish.
 type gossip struct {
-	group   *membership.Group
-	signals *signals.Exchange // under the router's lock
-	router  *routing.Router
-	leases  *lease.Manager // the same; nil: each probes for itself
-	name    string
+	name   string
+	group  *membership.Group
+	router *routing.Router
+
+	// The router's lock guards the fields below.
+	signals *signals.Exchange
+	leases  *lease.Manager // nil: each balancer makes its own health checks
 }
 
-// newGossip makes it where the operators' file names peers; nothing is opened before run.
-func newGossip(o *config.Options, r *routing.Router) *gossip {
-	own := o.Peers()
-	if own == nil {
+// newGossip makes the exchange if the operators' options ask for it, else nil. Nothing is opened before run.
+func newGossip(options *config.Options, router *routing.Router) *gossip {
+	peers := options.Peers()
+	if peers == nil {
 		return nil
 	}
-	p := &gossip{signals: o.Signals(), router: r, name: own.Name}
-	if own.Leases {
-		p.leases = lease.New(lease.Holder(own.Name), leaseDuration)
-		p.signals.ShareLoads(func(s decide.ServerID, now time.Duration) uint64 { return uint64(p.leases.Renew(lease.Task(s), now)) })
-		r.SetHealthCheckFilter(func(s decide.ServerID, now time.Duration) bool { return p.leases.Holds(lease.Task(s), now) })
+	g := &gossip{name: peers.Name, router: router, signals: options.Signals()}
+	if peers.Leases {
+		g.shareHealthChecks()
 	}
-	p.group = membership.New(own.Engine, membership.Name(own.Name), own.Label, own.Bind, own.Advertise, own.Seeds, p)
-	return p
+	g.group = membership.New(peers.Engine, membership.Name(peers.Name), peers.Label, peers.Bind, peers.Advertise, peers.Seeds, g)
+	return g
 }
 
-func (p *gossip) run(ctx context.Context) {
-	done := make(chan struct{})
-	go func() {
-		defer close(done)
-		p.group.Run(ctx)
-	}()
-	t := time.NewTicker(publishInterval)
-	defer t.Stop()
+// shareHealthChecks has one balancer check each server for all: the one that holds the lease of that task.
+func (g *gossip) shareHealthChecks() {
+	g.leases = lease.New(lease.Holder(g.name), leaseDuration)
+	g.signals.ShareLoads(func(server decide.ServerID, now time.Duration) (epoch uint64) {
+		return uint64(g.leases.Renew(lease.Task(server), now))
+	})
+	g.router.SetHealthCheckFilter(func(server decide.ServerID, now time.Duration) bool {
+		return g.leases.Holds(lease.Task(server), now)
+	})
+}
+
+// run keeps the exchange going until the context ends.
+func (g *gossip) run(ctx context.Context) {
+	var group sync.WaitGroup
+	defer group.Wait()
+	group.Go(func() { g.group.Run(ctx) })
+	ticker := time.NewTicker(publishInterval)
+	defer ticker.Stop()
 	for n := 1; ; n++ {
 		select {
 		case <-ctx.Done():
-			<-done
 			return
-		case <-t.C:
-			p.publish()
+		case <-ticker.C:
+			g.publish()
 			if n%fullStateInterval == 0 {
-				p.fullState()
+				g.updateFullState()
 			}
 		}
 	}
 }
 
-// publish sends this balancer's record where one is due.
-func (p *gossip) publish() {
-	fleet := p.group.AliveCount()
-	var r signals.Record
-	var due bool
-	seen := p.group.Members()
-	var in []lease.Member
+// publish sends this balancer's record if one is due.
+func (g *gossip) publish() {
+	fleetSize := g.group.AliveCount()
+	var holders []lease.Member
 	var reporters []signals.Origin
-	for _, s := range seen {
-		if s.State == membership.Alive {
-			in = append(in, lease.Member{Name: lease.Holder(s.Name), Weight: 1, Since: s.Since})
-			reporters = append(reporters, signals.Origin(s.Name))
+	for _, member := range g.group.Members() {
+		if member.State == membership.Alive {
+			holders = append(holders, lease.Member{Name: lease.Holder(member.Name), Weight: 1, Since: member.Since})
+			reporters = append(reporters, signals.Origin(member.Name))
 		}
 	}
-	p.router.WithLock(func() {
-		p.signals.SetReporters(reporters)
-		if p.leases != nil {
-			p.leases.SetMembers(in)
+	var record signals.Record
+	var due bool
+	g.router.WithLock(func() {
+		g.signals.SetReporters(reporters)
+		if g.leases != nil {
+			g.leases.SetMembers(holders)
 		}
-		r, due = p.signals.Publish(fleet)
+		record, due = g.signals.Publish(fleetSize)
 	})
 	if !due {
 		return
 	}
-	b, err := signals.Encode(r)
+	message, err := signals.Encode(record)
 	if err != nil {
-		p.group.CountDropped("what is told here can't be written", err.Error())
+		g.group.CountDropped("what is told here can't be written", err.Error())
 		return
 	}
-	p.group.Publish(string(r.Origin), b)
+	g.group.Publish(string(record.Origin), message)
 }
 
-// Hear takes what a member says; what is news is passed on, as gossip is.
-func (p *gossip) Hear(b []byte) {
-	if origin, news := p.merge(b); news {
-		p.group.Publish(string(origin), b)
+// Hear takes in a member's message. If it is new it is passed on: that is how gossip spreads.
+func (g *gossip) Hear(message []byte) {
+	if origin, isNew := g.merge(message); isNew {
+		g.group.Publish(string(origin), message)
 	}
 }
 
-func (p *gossip) merge(b []byte) (origin signals.Origin, news bool) {
-	r, err := signals.Decode(b)
+// merge merges the record of a message.
+func (g *gossip) merge(message []byte) (origin signals.Origin, isNew bool) {
+	record, err := signals.Decode(message)
 	if err != nil {
-		kind := "garbled"
-		for _, k := range []error{signals.ErrVersion, signals.ErrKind} {
-			if errors.Is(err, k) {
-				kind = k.Error()
-			}
-		}
-		p.group.CountDropped(kind, err.Error())
+		g.group.CountDropped(dropReason(err), err.Error())
 		return "", false
 	}
-	p.router.WithLock(func() {
-		if news = p.signals.Merge(r); news && p.leases != nil {
-			p.observeLoads(r)
+	g.router.WithLock(func() {
+		isNew = g.signals.Merge(record)
+		if isNew && g.leases != nil {
+			g.takeLoads(record)
 		}
 	})
-	return r.Origin, news
+	return record.Origin, isNew
 }
 
-// observeLoads takes what servers told another that probes for all. The router is locked.
-func (p *gossip) observeLoads(r signals.Record) {
-	now := p.router.Now()
-	p.signals.Relay(func() {
-		for _, l := range r.LoadReports {
-			p.leases.Observe(lease.Task(l.Server), lease.Epoch(l.Epoch), lease.Holder(r.Origin), l.Age, now)
-			if l.Age < leaseDuration {
-				p.router.OnLoadReport(l.Server, l.Load)
+// garbled is the kind under which messages are counted that can't be decoded for no more specific reason.
+const garbled = "garbled"
+
+// dropReason is the kind under which a message that can't be decoded is counted.
+func dropReason(err error) string {
+	reason := garbled
+	for _, known := range []error{signals.ErrVersion, signals.ErrKind} {
+		if errors.Is(err, known) {
+			reason = known.Error()
+		}
+	}
+	return reason
+}
+
+// takeLoads takes in the loads that servers reported to the member that checks them for all. The caller holds the router's lock.
+func (g *gossip) takeLoads(record signals.Record) {
+	now := g.router.Now()
+	g.signals.Relay(func() {
+		for _, report := range record.LoadReports {
+			g.leases.Observe(lease.Task(report.Server), lease.Epoch(report.Epoch), lease.Holder(record.Origin), report.Age, now)
+			if report.Age < leaseDuration {
+				g.router.OnLoadReport(report.Server, report.Load)
 			}
 		}
 	})
 }
 
-// fullState renews what members that ask are sent.
-func (p *gossip) fullState() {
-	var all []signals.Record
-	p.router.WithLock(func() {
-		all = p.signals.FullState()
-	})
+// updateFullState writes anew what members get that ask for the full state.
+func (g *gossip) updateFullState() {
+	var records []signals.Record
+	g.router.WithLock(func() { records = g.signals.FullState() })
 	var messages [][]byte
-	for _, r := range all {
-		if b, err := signals.Encode(r); err == nil {
-			messages = append(messages, b)
+	for _, record := range records {
+		if message, err := signals.Encode(record); err == nil {
+			messages = append(messages, message)
 		}
 	}
-	b, err := signals.EncodeAll(messages)
+	all, err := signals.EncodeAll(messages)
 	if err != nil {
-		p.group.CountDropped("what is known here can't be written", err.Error())
+		g.group.CountDropped("what is known here can't be written", err.Error())
 		return
 	}
-	p.group.SetFullState(b)
+	g.group.SetFullState(all)
 }
 
-// HearWhole takes all that a member knows. It is not passed on: each member asks another for itself.
-func (p *gossip) HearWhole(b []byte) {
-	messages, err := signals.DecodeAll(b)
+// HearWhole takes in the full state of a member. It is not passed on: each member asks for it itself.
+func (g *gossip) HearWhole(all []byte) {
+	messages, err := signals.DecodeAll(all)
 	if err != nil {
-		p.group.CountDropped("garbled", err.Error())
+		g.group.CountDropped(garbled, err.Error())
 		return
 	}
-	for _, m := range messages {
-		p.merge(m)
-	}
-}
-
-// Away: this process stood still.
-func (p *gossip) Away(time.Duration) {
-	p.router.WithLock(func() {
-		p.signals.OnSuspended()
-		if p.leases != nil {
-			p.leases.OnSuspended(p.router.Now())
-		}
-	})
-}
-
-// MemberView is what one balancer says of another, for whoever asks.
-type MemberView struct {
-	membership.Member
-	Build         string  `json:"build,omitempty"`
-	Settings      string  `json:"settings,omitempty"`
-	Incarnation   uint64  `json:"incarnation,omitempty"`
-	LastHeard     float64 `json:"told_s_ago"` // below 0: it has told nothing
-	Rate          float64 `json:"flows_a_second"`
-	FaultyServers int     `json:"servers_in_trouble"`
-}
-
-// MembersView is all that is told of members.
-type MembersView struct {
-	Name    string         `json:"name"`
-	Members []MemberView   `json:"members"`
-	Leases  []lease.Status `json:"duties,omitempty"`
-	Dropped map[string]int `json:"passed_over,omitempty"` // by kind
-}
-
-// membersView is what answers who asks for the members; nil where there are none.
-func (p *gossip) membersView() func() any {
-	if p == nil {
-		return nil
-	}
-	return func() any {
-		var records []signals.Record
-		var ages []time.Duration
-		var own signals.Record
-		var held []lease.Status
-		p.router.WithLock(func() {
-			if p.leases != nil {
-				held = p.leases.Statuses()
-			}
-			records, ages = p.signals.Records()
-			own = p.signals.OwnRecord()
-		})
-		by := map[string]int{}
-		for i, r := range records {
-			by[string(r.Origin)] = i
-		}
-		v := MembersView{Name: p.name, Leases: held, Dropped: p.group.Dropped()}
-		for _, s := range p.group.Members() {
-			m := MemberView{Member: s, LastHeard: -1}
-			i, known := by[string(s.Name)]
-			r := own
-			if known {
-				r, m.LastHeard = records[i], ages[i].Seconds()
-			} else if string(s.Name) == p.name {
-				m.LastHeard = 0
-			}
-			if m.LastHeard >= 0 {
-				m.Build, m.Settings, m.Incarnation, m.Rate = r.Build, r.Settings, uint64(r.Incarnation), r.Rate
-				for _, x := range r.Reports {
-					if x.Fault != signals.Healthy {
-						m.FaultyServers++
-					}
-				}
-			}
-			v.Members = append(v.Members, m)
-		}
-		return v
-	}
-}
-
-// revision is the build that runs.
-func revision() string {
-	if b, ok := debug.ReadBuildInfo(); ok {
-		rev, dirty := "", ""
-		for _, s := range b.Settings {
-			switch {
-			case s.Key == "vcs.revision":
-				rev = s.Value[:min(len(s.Value), 12)]
-			case s.Key == "vcs.modified" && s.Value == "true":
-				dirty = "+"
-			}
-		}
-		if rev != "" {
-			return rev + dirty
-		}
+	for _, message := range messages {
+		g.merge(message)
 	}
-	return "unknown"
 }
 
-// digest names what a process was told, so that unlike ones can be seen; what each has of its own is left out.
-func digest(g config.Values, shared string) string {
-	d := xxhash.New()
-	g.Each(func(key, value string) {
-		if key != "ordinal" && key != "az" {
-			_, _ = d.WriteString(key + "=" + value + "\n") // a hash takes all
+// Away takes in that this process was suspended.
+func (g *gossip) Away(time.Duration) {
+	g.router.WithLock(func() {
+		g.signals.OnSuspended()
+		if g.leases != nil {
+			g.leases.OnSuspended(g.router.Now())
 		}
 	})
-	_, _ = d.WriteString(shared)
-	return strconv.FormatUint(d.Sum64(), 16)
 }
--- a/internal/daemon/listeners.go
+++ b/internal/daemon/listeners.go
@@ -13,33 +13,23 @@
 	"yardwinch/internal/transport"
 )
 
-// What the process opens for others to reach it.
-
 const (
-	openTimeout        = 9 * time.Second // for addresses that are not free, from the start on: a restarted process has 10 s to be ready
+	// openTimeout is for addresses that are in use, from the start on: operators allow a restarted process 10 s until it is ready.
+	openTimeout        = 9 * time.Second
 	firstListenRetry   = 10 * time.Millisecond
 	longestListenRetry = 200 * time.Millisecond
 )
 
-// listenWithRetries opens an address that may not be free, or for which the system may have nothing left, as the process starts. The key names it.
-func (p *Daemon) listenWithRetries(ctx context.Context, key string, listen func() error) error {
-	waits := retry.Backoff{First: firstListenRetry, Longest: longestListenRetry}
-	err := retry.Do(ctx, waits, func(err error) {
-		slog.Warn("an address can't be opened yet", "key", key, "error", err)
-	}, listen)
-	if err != nil {
-		return &ListenError{Key: key, Err: err}
-	}
-	return nil
-}
-
-// ListenError says that an address could not be opened, at once or for as long as a start may take.
+// ListenError says that an address of the configuration could not be opened, or not within the time that a start may take.
 type ListenError struct {
 	Key string // of the configuration
 	Err error
 }
 
+// Error names the key and the system's error.
 func (e *ListenError) Error() string { return e.Key + ": " + e.Err.Error() }
+
+// Unwrap gives the system's error.
 func (e *ListenError) Unwrap() error { return e.Err }
 
 // Advice says what an operator can do about it.
@@ -47,45 +37,81 @@
 	return "see that no other program has the address, that this machine has it, and that descriptors are left on it"
 }
 
-// begin opens what clients and others reach, or takes it over from the process that serves now, unless starting ends first. An address that
-// is not free is waited for while opening lasts.
-func (p *Daemon) begin(ctx, starting, opening context.Context) (err error) {
-	received := p.receiveHandover(ctx, starting)
+// open opens what operators and clients reach, or takes it over from a predecessor, unless starting ends first.
+func (d *Daemon) open(ctx, starting context.Context) error {
+	opening, done := context.WithTimeout(starting, openTimeout)
+	defer done()
+	if err := d.openAdmin(ctx, opening); err != nil {
+		return err
+	}
+	received := d.receiveHandover(ctx, starting)
 	defer received.closeFiles()
-	if starting.Err() != nil { // nobody is sent here yet; what was taken over the other process takes back
+	if starting.Err() != nil { // no client is sent here yet, and the predecessor takes back what it handed over
 		received.closeSockets()
 		return errStoppedBeforeServing
 	}
-	if p.explainer = received.explainer; p.options.ExplainSocket() != "" && p.explainer == nil {
-		if p.explainer, err = explain.Listen(p.options.ExplainSocket()); err != nil {
-			return fmt.Errorf("explain.socket: %w", err)
-		}
-	}
-	if p.listener = received.listener; p.listener == nil {
-		return p.listenWithRetries(opening, "listen", func() (err error) {
-			p.listener, err = transport.ListenShared(p.listenAddress, p.adminAddress != "")
-			return err
-		})
+	if err := d.openExplain(ctx, received.explainListener); err != nil {
+		return err
 	}
-	return nil
+	return d.openClients(opening, received.listener)
 }
 
-// openControl opens the staff's address, where there is one, and takes calls.
-func (p *Daemon) openControl(ctx, opening context.Context) error {
-	if p.adminAddress == "" {
+// openAdmin opens the address for operators, where one is configured, and takes their calls.
+func (d *Daemon) openAdmin(ctx, opening context.Context) error {
+	if d.adminAddress == "" {
 		return nil
 	}
-	err := p.listenWithRetries(opening, "control", func() (err error) {
-		p.adminListener, err = net.Listen("tcp", p.adminAddress)
+	var listener net.Listener
+	err := listenWithRetries(opening, "control", func() (err error) {
+		var config net.ListenConfig
+		listener, err = config.Listen(ctx, "tcp", d.adminAddress)
 		return err
 	})
 	if err != nil {
 		return err
 	}
-	p.goroutines.Go(func() {
-		if err := admin.Serve(ctx, p.adminListener, adminCalls{p}); err != nil {
-			slog.Error("no calls are taken any more", "error", err)
+	d.goroutines.Go(func() {
+		if err := admin.Serve(ctx, listener, adminCalls{d}); err != nil {
+			slog.Error("admin calls ended", "error", err)
 		}
 	})
 	return nil
 }
+
+// openExplain opens the socket for explain, where one is configured and the predecessor handed over none.
+func (d *Daemon) openExplain(ctx context.Context, received net.Listener) (err error) {
+	d.explainListener = received
+	path := d.options.ExplainSocket()
+	if path == "" || received != nil {
+		return nil
+	}
+	if d.explainListener, err = explain.Listen(ctx, path); err != nil {
+		return fmt.Errorf("explain.socket: %w", err)
+	}
+	return nil
+}
+
+// openClients opens the address for clients, unless the predecessor handed it over.
+func (d *Daemon) openClients(opening context.Context, received *transport.PausableListener) error {
+	if d.listener = received; received != nil {
+		return nil
+	}
+	shared := d.adminAddress != ""                                   // with a successor
+	return listenWithRetries(opening, "listen", func() (err error) { //nolint:contextcheck // the address is a number: there is nothing to wait for
+		d.listener, err = transport.ListenShared(d.listenAddress, shared)
+		return err
+	})
+}
+
+// listenWithRetries opens an address, and waits for one that is in use or for which the system has nothing left at the moment. The key names
+// it in the configuration.
+func listenWithRetries(ctx context.Context, key string, listen func() error) error {
+	backoff := retry.Backoff{First: firstListenRetry, Longest: longestListenRetry}
+	err := retry.Do(ctx, backoff, func(err error) {
+		slog.Warn("address not opened yet", "setting", key, "error", err)
+	}, listen)
+	if err != nil {
+		return &ListenError{Key: key, Err: err}
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/daemon/members.go
@@ -0,0 +1,79 @@
+package daemon
+
+import (
+	"time"
+
+	"yardwinch/fleet/lease"
+	"yardwinch/fleet/signals"
+	"yardwinch/internal/membership"
+)
+
+// MemberView is what one balancer knows of another.
+type MemberView struct {
+	membership.Member
+	Build         string  `json:"build,omitempty"`
+	Settings      string  `json:"settings,omitempty"` // a digest
+	Incarnation   uint64  `json:"incarnation,omitempty"`
+	LastHeard     float64 `json:"told_s_ago"` // seconds since it published its record; below 0: it never did
+	Rate          float64 `json:"flows_a_second"`
+	FaultyServers int     `json:"servers_in_trouble"`
+}
+
+// MembersView is what one balancer knows of all.
+type MembersView struct {
+	Name    string         `json:"name"`
+	Members []MemberView   `json:"members"`
+	Leases  []lease.Status `json:"duties,omitempty"`
+	Dropped map[string]int `json:"passed_over,omitempty"` // messages, by kind
+}
+
+// membersView is explain's answer to a question for the members; nil where nothing passes between balancers.
+func (g *gossip) membersView() func() any {
+	if g == nil {
+		return nil
+	}
+	return func() any { return g.viewMembers() }
+}
+
+// publishedRecord is the last record of a balancer.
+type publishedRecord struct {
+	signals.Record
+	age time.Duration
+}
+
+func (g *gossip) viewMembers() MembersView {
+	view := MembersView{Name: g.name}
+	published := map[string]publishedRecord{}
+	g.router.WithLock(func() {
+		if g.leases != nil {
+			view.Leases = g.leases.Statuses()
+		}
+		published[g.name] = publishedRecord{Record: g.signals.OwnRecord()}
+		records, ages := g.signals.Records()
+		for i, record := range records {
+			published[string(record.Origin)] = publishedRecord{Record: record, age: ages[i]}
+		}
+	})
+	view.Dropped = g.group.Dropped()
+	for _, member := range g.group.Members() {
+		m := MemberView{Member: member, LastHeard: -1}
+		if record, ok := published[string(member.Name)]; ok {
+			m.setRecord(record)
+		}
+		view.Members = append(view.Members, m)
+	}
+	return view
+}
+
+func (m *MemberView) setRecord(record publishedRecord) {
+	m.LastHeard = record.age.Seconds()
+	m.Build = record.Build
+	m.Settings = record.Settings
+	m.Incarnation = uint64(record.Incarnation)
+	m.Rate = record.Rate
+	for _, report := range record.Reports {
+		if report.Fault != signals.Healthy {
+			m.FaultyServers++
+		}
+	}
+}
--- a/internal/daemon/migrate.go
+++ b/internal/daemon/migrate.go
@@ -1,6 +1,7 @@
 package daemon
 
 import (
+	"context"
 	"errors"
 	"fmt"
 	"io"
@@ -10,84 +11,116 @@
 	"yardwinch/internal/config"
 )
 
-// Migrate makes the counterpart of a configuration for another shape of deployment, and says what became of each key. It
-// writes the file whole, or nothing at all: the code that serves it checks the text first.
-func Migrate(say io.Writer, shape, from, to string, dry, force bool) error {
-	old, err := os.ReadFile(from)
-	if err != nil {
-		return fmt.Errorf("migrate: %w", err)
-	}
-	wanted, err := os.ReadFile(shape)
-	if err != nil {
-		return fmt.Errorf("migrate: %w", err)
-	}
-	info, err := os.Stat(from)
+// Migration names the files of a migration of a configuration to another shape of deployment.
+type Migration struct {
+	ShapePath string // what only the new place can tell: a part of a configuration
+	OldPath   string
+	NewPath   string
+	DryRun    bool // write nothing
+	Overwrite bool // write over NewPath where it exists
+}
+
+// Migrate writes the counterpart of a configuration for another shape of deployment, and prints what became of each key. The new
+// configuration is checked by the code that serves it, and is written whole or not at all. One that can't be served is ErrConfiguration.
+func Migrate(ctx context.Context, output io.Writer, m Migration) error {
+	source, err := m.read()
 	if err != nil {
 		return fmt.Errorf("migrate: %w", err)
 	}
-	for _, path := range []string{from, shape} {
-		if isSameFile(path, to) {
-			return fmt.Errorf("migrate: %s: would be written over, and is never changed", path)
-		}
-	}
-	if _, err := os.Lstat(to); err == nil && !force {
-		return fmt.Errorf("migrate: %s: exists already, and --force is not given", to)
-	} else if err != nil && !errors.Is(err, os.ErrNotExist) {
+	if err := m.checkTarget(); err != nil {
 		return fmt.Errorf("migrate: %w", err)
 	}
-	text, lines, alike, err := config.Migrate(from, shape, old, wanted)
+	text, lines, unchanged, err := config.Migrate(m.OldPath, m.ShapePath, source.old, source.shape)
 	if err != nil {
 		return configurationError{fmt.Errorf("migrate: %w", err)}
 	}
-	if err := checkText(to, text, os.Getenv); err != nil {
+	if err := checkText(ctx, m.NewPath, text, os.Getenv); err != nil {
 		return configurationError{fmt.Errorf("migrate: what would be written can't be served: %w", err)}
 	}
-	if !dry {
-		if err := replaceFile(to, text, info.Mode().Perm()); err != nil {
+	if !m.DryRun {
+		if err := replaceFile(m.NewPath, text, source.mode); err != nil {
 			return fmt.Errorf("migrate: %w", err)
 		}
 	}
+	if unchanged {
+		lines = append(lines, "the old file is of the new shape already; it comes out as it is")
+	}
 	for _, line := range lines {
-		fmt.Fprintln(say, line)
+		_, _ = fmt.Fprintln(output, line) // the file is written, whether or not anybody reads this
 	}
-	if alike {
-		fmt.Fprintln(say, "the old file is of the new shape already; it comes out as it is")
+	return nil
+}
+
+// migrationSource is what a migration starts from.
+type migrationSource struct {
+	old, shape []byte
+	mode       os.FileMode // of the old file, and so of the new one
+}
+
+func (m Migration) read() (source migrationSource, err error) {
+	if source.old, err = os.ReadFile(m.OldPath); err != nil {
+		return source, err
+	}
+	if source.shape, err = os.ReadFile(m.ShapePath); err != nil {
+		return source, err
+	}
+	info, err := os.Stat(m.OldPath)
+	if err != nil {
+		return source, err
+	}
+	source.mode = info.Mode().Perm()
+	return source, nil
+}
+
+// checkTarget tells what forbids to write the new file.
+func (m Migration) checkTarget() error {
+	for _, path := range []string{m.OldPath, m.ShapePath} {
+		if isSameFile(path, m.NewPath) {
+			return fmt.Errorf("%s: would be written over, and is never changed", path)
+		}
+	}
+	_, err := os.Lstat(m.NewPath)
+	switch {
+	case err == nil && !m.Overwrite:
+		return fmt.Errorf("%s: exists already, and --force is not given", m.NewPath)
+	case err != nil && !errors.Is(err, os.ErrNotExist):
+		return err
 	}
 	return nil
 }
 
 func isSameFile(a, b string) bool {
-	x, err := os.Stat(a)
+	infoA, err := os.Stat(a)
 	if err != nil {
 		return false
 	}
-	y, err := os.Stat(b)
-	return err == nil && os.SameFile(x, y)
+	infoB, err := os.Stat(b)
+	return err == nil && os.SameFile(infoA, infoB)
 }
 
-// replaceFile puts a file in its place whole, whatever happens meanwhile: a balancer that starts reads the one or the other.
+// replaceFile replaces a file as a whole, whatever happens meanwhile: a balancer that starts reads the content before or the content after.
 func replaceFile(path string, text []byte, mode os.FileMode) (err error) {
-	f, err := os.CreateTemp(filepath.Dir(path), ".migrate-*")
+	file, err := os.CreateTemp(filepath.Dir(path), ".migrate-*")
 	if err != nil {
 		return err
 	}
 	defer func() {
 		if err != nil {
-			_ = f.Close()
-			_ = os.Remove(f.Name())
+			_ = file.Close() // it is removed, with whatever it has
+			_ = os.Remove(file.Name())
 		}
 	}()
-	if _, err = f.Write(text); err != nil {
+	if _, err = file.Write(text); err != nil {
 		return err
 	}
-	if err = f.Chmod(mode); err != nil {
+	if err = file.Chmod(mode); err != nil {
 		return err
 	}
-	if err = f.Sync(); err != nil {
+	if err = file.Sync(); err != nil {
 		return err
 	}
-	if err = f.Close(); err != nil {
+	if err = file.Close(); err != nil {
 		return err
 	}
-	return os.Rename(f.Name(), path)
+	return os.Rename(file.Name(), path)
 }
--- a/internal/daemon/migrate_test.go
+++ b/internal/daemon/migrate_test.go
@@ -5,6 +5,7 @@
 	"cmp"
 	"errors"
 	"fmt"
+	"io"
 	"net/http"
 	"net/http/httptest"
 	"os"
@@ -17,6 +18,7 @@
 const migrateFiles = "testdata/migrate/"
 
 func readFile(t *testing.T, path string) string {
+	t.Helper()
 	text, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
@@ -24,12 +26,14 @@
 	return string(text)
 }
 
-// migrationDirectory is a folder with the files of a move; all tells what it holds, names, modes and texts.
+// migrationDirectory is a directory with the files of a migration.
 type migrationDirectory string
 
 func (m migrationDirectory) path(name string) string { return filepath.Join(string(m), name) }
 
+// contents are names, modes, times and texts of all files.
 func (m migrationDirectory) contents(t *testing.T) string {
+	t.Helper()
 	var b strings.Builder
 	files, err := filepath.Glob(m.path("*"))
 	if err != nil {
@@ -40,97 +44,123 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		fmt.Fprintln(&b, f, info.Mode(), info.ModTime(), readFile(t, f))
+		_, _ = fmt.Fprintln(&b, f, info.Mode(), info.ModTime(), readFile(t, f)) // a builder never fails
 	}
 	return b.String()
 }
 
-// Whatever goes wrong, one line names file and key and nothing is written; what goes well is written whole.
+// migrationCase is one migration, and what comes of it.
+type migrationCase struct {
+	name, old, shape string // the texts, if not those in testdata
+	to               string // the name of the new file, if not new.json
+	dryRun, force    bool
+	output           string // its last lines, or its last line
+	err              string // a part of its text; empty: none
+}
+
+// Whatever goes wrong, one line names file and key and nothing is written; what goes well is written as a whole.
 func TestMigrate(t *testing.T) {
-	old, shape, fresh, list := readFile(t, migrateFiles+"old.json"), readFile(t, migrateFiles+"shape.json"), readFile(t, migrateFiles+"new.json"), readFile(t, migrateFiles+"list.txt")
-	for _, c := range []struct {
-		name, old, shape, to string
-		dry, force           bool
-		said, fault          string
-	}{
-		{name: "written", said: list},
-		{name: "a dry run", dry: true, said: list},
-		{name: "of the new shape already", old: fresh, said: "the old file is of the new shape already"},
-		{name: "over another file by force", to: "there.json", force: true, said: list},
-		{name: "over another file", to: "there.json", fault: "there.json: exists already"},
-		{name: "over the old file", to: "old.json", force: true, fault: "old.json: would be written over"},
-		{name: "an empty file", old: " ", fault: "old.json: is empty"},
-		{name: "no JSON", old: "{", fault: "old.json: the whole: no JSON"},
-		{name: "a key twice in a list", shape: `{"settings":{"tenants":[{"name":"a","name":"b"}]}}`, fault: "shape.json: settings.tenants.0.name: stands twice"},
-		{name: "an unknown key", shape: `{"settings":{"reporting":{"who":1}}}`, fault: "shape.json: settings.reporting.who: unknown key"},
-		{name: "an unknown key in a list", shape: `{"settings":{"tenants":[{"nmae":"a"}]}}`, fault: "shape.json: settings.tenants.0.nmae: unknown key"},
-		{name: "servers in the shape", shape: `{"known":{"members":[]}}`, fault: "shape.json: known: can't be taken over"},
-		{name: "a word for a number", shape: `{"settings":{"peers-total":"many"}}`, fault: `settings.peers-total: bad number "many"`},
-		{name: "a word for a yes", shape: `{"settings":{"reporting":{"how":"pull"},"policy-limits":{"probes":"maybe"}}}`, fault: `settings.policy-limits.probes: unknown word "maybe"`},
-		{name: "an unknown word", shape: `{"settings":{"reporting":{"how":"loudly"}}}`, fault: `settings.reporting.how: unknown word "loudly"`},
-		{name: "nines out of range", shape: `{"settings":{"goal":{"nines-part":0.3}}}`, fault: "settings.goal.top-nines: must be above 0"},
-		{name: "no service types", old: strings.Replace(old, `"service-types"`, `"service-kinds"`, 1), fault: "settings.service-types: is missing"},
+	old := readFile(t, migrateFiles+"old.json")
+	fresh := readFile(t, migrateFiles+"new.json")
+	list := readFile(t, migrateFiles+"list.txt")
+	for _, c := range []migrationCase{
+		{name: "written", output: list},
+		{name: "a dry run", dryRun: true, output: list},
+		{name: "of the new shape already", old: fresh, output: "the old file is of the new shape already"},
+		{name: "over another file by force", to: "there.json", force: true, output: list},
+		{name: "over another file", to: "there.json", err: "there.json: exists already"},
+		{name: "over the old file", to: "old.json", force: true, err: "old.json: would be written over"},
+		{name: "an empty file", old: " ", err: "old.json: is empty"},
+		{name: "no JSON", old: "{", err: "old.json: the whole: no JSON"},
+		{name: "a key twice in a list", shape: `{"settings":{"tenants":[{"name":"a","name":"b"}]}}`, err: "shape.json: settings.tenants.0.name: stands twice"},
+		{name: "an unknown key", shape: `{"settings":{"reporting":{"who":1}}}`, err: "shape.json: settings.reporting.who: unknown key"},
+		{name: "an unknown key in a list", shape: `{"settings":{"tenants":[{"nmae":"a"}]}}`, err: "shape.json: settings.tenants.0.nmae: unknown key"},
+		{name: "servers in the shape", shape: `{"known":{"members":[]}}`, err: "shape.json: known: can't be taken over"},
+		{name: "a word for a number", shape: `{"settings":{"peers-total":"many"}}`, err: `settings.peers-total: bad number "many"`},
+		{name: "a word for a yes", shape: `{"settings":{"reporting":{"how":"pull"},"policy-limits":{"probes":"maybe"}}}`, err: `settings.policy-limits.probes: unknown word "maybe"`},
+		{name: "an unknown word", shape: `{"settings":{"reporting":{"how":"loudly"}}}`, err: `settings.reporting.how: unknown word "loudly"`},
+		{name: "nines out of range", shape: `{"settings":{"goal":{"nines-part":0.3}}}`, err: "settings.goal.top-nines: must be above 0"},
+		{name: "no service types", old: strings.Replace(old, `"service-types"`, `"service-kinds"`, 1), err: "settings.service-types: is missing"},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			m := migrationDirectory(t.TempDir())
-			for name, text := range map[string]string{"old.json": cmp.Or(c.old, old), "shape.json": cmp.Or(c.shape, shape), "there.json": "precious"} {
-				if err := os.WriteFile(m.path(name), []byte(text), 0o640); err != nil {
-					t.Fatal(err)
-				}
-			}
-			to := m.path(cmp.Or(c.to, "new.json"))
-			before, said := m.contents(t), bytes.Buffer{}
-			err := Migrate(&said, m.path("shape.json"), m.path("old.json"), to, c.dry, c.force)
-			if c.fault != "" {
-				if err == nil || !strings.Contains(err.Error(), c.fault) || strings.Contains(err.Error(), "\n") || errors.Is(err, ErrConfiguration) != (c.to == "") || said.Len() > 0 {
-					t.Errorf("%v, said %q, want %s", err, said.String(), c.fault)
-				}
-			} else if err != nil || !strings.HasSuffix(said.String(), c.said) && !strings.Contains(said.String(), "\n"+c.said) {
-				t.Errorf("%v, said %s", err, said.String())
-			}
-			if c.fault != "" || c.dry {
-				if after := m.contents(t); after != before {
-					t.Errorf("was %s, is %s", before, after)
-				}
-				return
-			}
-			if info, err := os.Stat(to); err != nil || info.Mode() != 0o640 || readFile(t, to) != fresh {
-				t.Errorf("%v, wrote %s", err, readFile(t, to))
-			}
-		})
+		t.Run(c.name, func(t *testing.T) { c.test(t, fresh) })
 	}
 }
 
-// A daemon serves from the written file: it finds its server through discovery, asks it for its load, and holds a flow.
+func (c migrationCase) test(t *testing.T, fresh string) {
+	directory := migrationDirectory(t.TempDir())
+	for name, text := range map[string]string{
+		"old.json":   cmp.Or(c.old, readFile(t, migrateFiles+"old.json")),
+		"shape.json": cmp.Or(c.shape, readFile(t, migrateFiles+"shape.json")),
+		"there.json": "precious",
+	} {
+		if err := os.WriteFile(directory.path(name), []byte(text), 0o640); err != nil {
+			t.Fatal(err)
+		}
+	}
+	to := directory.path(cmp.Or(c.to, "new.json"))
+	before := directory.contents(t)
+	var output bytes.Buffer
+	err := Migrate(t.Context(), &output, Migration{
+		ShapePath: directory.path("shape.json"),
+		OldPath:   directory.path("old.json"),
+		NewPath:   to,
+		DryRun:    c.dryRun,
+		Overwrite: c.force,
+	})
+	if c.err != "" {
+		c.wantError(t, err, output.String())
+	} else if got := output.String(); err != nil || !strings.HasSuffix(got, c.output) && !strings.Contains(got, "\n"+c.output) {
+		t.Errorf("%v, output %s", err, got)
+	}
+	if c.err != "" || c.dryRun {
+		if after := directory.contents(t); after != before {
+			t.Errorf("the files were %s, are %s", before, after)
+		}
+		return
+	}
+	if info, err := os.Stat(to); err != nil || info.Mode() != 0o640 || readFile(t, to) != fresh {
+		t.Errorf("%v, wrote %s", err, readFile(t, to))
+	}
+}
+
+// wantError checks that a migration ended with one line, and that it counts as a fault of the configuration unless the target is at fault.
+func (c migrationCase) wantError(t *testing.T, err error, output string) {
+	t.Helper()
+	if err == nil || !strings.Contains(err.Error(), c.err) || strings.Contains(err.Error(), "\n") || output != "" {
+		t.Errorf("%v, output %q, want %s", err, output, c.err)
+	}
+	if got, want := errors.Is(err, ErrConfiguration), c.to == ""; got != want {
+		t.Errorf("%v is ErrConfiguration: %v", err, got)
+	}
+}
+
+// A daemon serves from the migrated file: it finds its server through discovery, asks it for its load, and serves a flow.
 func TestServeMigratedConfiguration(t *testing.T) {
-	asked := make(chan struct{}, 1000)
-	server := startEchoServer(t, asked)
-	agent := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-		fmt.Fprintf(w, `{"revision":1,"complete":true,"members":[{"id":"a","host_port":%q,"phase":"SERVING"}]}`+"\n", server)
+	checked := make(chan struct{}, 1000)
+	server := startEchoServer(t, checked)
+	agent := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		_, _ = io.WriteString(w, fmt.Sprintf(`{"revision":1,"complete":true,"members":[{"id":"a","host_port":%q,"phase":"SERVING"}]}`+"\n", server))
 		w.(http.Flusher).Flush()
-		if q.URL.Query().Get("stream") != "" {
-			<-q.Context().Done()
+		if r.URL.Query().Get("stream") != "" {
+			<-r.Context().Done()
 		}
 	}))
 	t.Cleanup(agent.Close)
-	g := newHarness(t)
-	at := strings.NewReplacer("127.0.0.1:8080", g.listenAddress, "127.0.0.2:8500", strings.TrimPrefix(agent.URL, "http://"), `"seed"`, fmt.Sprintf(`"control":%q,"seed"`, g.adminAddress))
-	if err := os.WriteFile(g.path, []byte(at.Replace(readFile(t, migrateFiles+"old.json"))), 0o600); err != nil {
-		t.Fatal(err)
-	}
-	from := g.path
-	g.path += ".new"
-	if err := Migrate(&bytes.Buffer{}, migrateFiles+"shape.json", from, g.path, false, false); err != nil {
+	h := newHarness(t)
+	addresses := strings.NewReplacer("127.0.0.1:8080", h.listenAddress, "127.0.0.2:8500", strings.TrimPrefix(agent.URL, "http://"),
+		`"seed"`, fmt.Sprintf(`"control":%q,"seed"`, h.adminAddress))
+	oldPath := h.path
+	h.path += ".new"
+	writeConfig(t, oldPath, addresses.Replace(readFile(t, migrateFiles+"old.json")))
+	if err := Migrate(t.Context(), io.Discard, Migration{ShapePath: migrateFiles + "shape.json", OldPath: oldPath, NewPath: h.path}); err != nil {
 		t.Fatal(err)
 	}
-	g.start(func(string) string { return "" })
-	defer g.end()
-	if _, up := g.openFlow(); up != "UP 1" {
-		t.Errorf("a client hears %q", up)
-	}
+	h.start(func(string) string { return "" })
+	defer h.end()
+	h.wantFlow("from the migrated file", "UP 1")
 	select {
-	case <-asked:
-	case <-time.After(20 * time.Second):
+	case <-checked:
+	case <-time.After(2 * testTimeout):
 		t.Error("the server was never asked for its load")
 	}
 }
--- a/internal/daemon/outage_test.go
+++ b/internal/daemon/outage_test.go
@@ -1,32 +1,29 @@
 package daemon
 
 import (
-	"fmt"
-	"net"
 	"net/http"
-	"net/http/httptest"
 	"os"
-	"strings"
 	"syscall"
 	"testing"
 	"time"
 )
 
-const outageDuration = 300 * time.Millisecond // for so long the system refuses a call: the term's own
+// outageDuration is for how long the system refuses something; it is the operators' own figure.
+const outageDuration = 300 * time.Millisecond
 
-// The configuration can't be read, or is only half there, in the moment in which SIGHUP comes, once or in a row: its new address of discovery is
-// asked all the same, within the 4 s after which what it tells counts.
+// The configuration can't be read, or is incomplete, at the moment of SIGHUP, once or in a row. Its new discovery address is watched all the same,
+// within the 4 s after which what it says counts.
 func TestReloadOfUnreadableConfiguration(t *testing.T) {
-	const counts = 4 * time.Second
+	const allowed = 4 * time.Second
 	for _, c := range []struct {
 		name    string
-		hangups int
-		spoil   func(path, text string) error // the new text is there after a moment
+		reloads int
+		spoil   func(path, text string) error // until the outage is over
 	}{
 		{"no file", 1, func(path, _ string) error { return os.Remove(path) }},
 		{"no file, twice", 2, func(path, _ string) error { return os.Remove(path) }},
 		{"half a file", 1, func(path, text string) error { return os.WriteFile(path, []byte(text[:len(text)/2]), 0o600) }},
-		{"a folder in its place", 1, func(path, _ string) error {
+		{"a directory in its place", 1, func(path, _ string) error {
 			if err := os.Remove(path); err != nil {
 				return err
 			}
@@ -35,63 +32,49 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			watched := make(chan struct{}, 100)
-			agent := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-				w.(http.Flusher).Flush()
-				watched <- struct{}{}
-				<-q.Context().Done()
-			}))
-			t.Cleanup(agent.Close)
-			t.Cleanup(agent.CloseClientConnections)
-			g := newHarness(t)
-			p := g.process()
-			renewed := discovery.ReplaceAllLiteralString(g.config, fmt.Sprintf(`"discovery":%q`, strings.TrimPrefix(agent.URL, "http://")))
-			if err := c.spoil(g.path, renewed); err != nil {
+			watched := make(chan string, 100)
+			agent := startAgent(t, "agent", watched)
+			h := newHarness(t)
+			p := h.process()
+			h.setDiscovery(agent)
+			if err := c.spoil(h.path, h.config); err != nil {
 				t.Fatal(err)
 			}
 			start := time.Now()
-			for range c.hangups {
+			for range c.reloads {
 				p.signal(syscall.SIGHUP)
 			}
 			time.Sleep(outageDuration)
-			if err := os.RemoveAll(g.path); err != nil {
-				t.Fatal(err)
-			}
-			if err := os.WriteFile(g.path, []byte(renewed), 0o600); err != nil {
+			if err := os.RemoveAll(h.path); err != nil {
 				t.Fatal(err)
 			}
+			writeConfig(t, h.path, h.config)
 			select {
 			case <-watched:
-				t.Logf("asked after %v", time.Since(start))
-			case <-time.After(counts - time.Since(start)):
-				t.Errorf("the new address is not asked within %v", counts)
+				t.Logf("watched after %v", time.Since(start))
+			case <-time.After(allowed - time.Since(start)):
+				t.Errorf("the new address is not watched within %v", allowed)
 			}
 		})
 	}
 }
 
-// An address is another's in the moment in which the process starts, or for a moment the system has nothing left for its socket: it serves there
-// once it can, and is ready in time. What lasts ends it with an error that names the key.
+// An address is another process's as the balancer starts: it serves there once the address is free, and is ready in time.
 func TestAddressInUseAtStart(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		addr func(g *harness) string
+		name    string
+		address func(*harness) string
 	}{
-		{"clients'", func(g *harness) string { return g.listenAddress }},
-		{"staff's", func(g *harness) string { return g.adminAddress }},
+		{"for clients", func(h *harness) string { return h.listenAddress }},
+		{"for operators", func(h *harness) string { return h.adminAddress }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			g := newHarness(t)
-			other, err := net.Listen("tcp", c.addr(g))
-			if err != nil {
-				t.Fatal(err)
-			}
+			h := newHarness(t)
+			other := listenAt(t, c.address(h))
 			time.AfterFunc(outageDuration, func() { _ = other.Close() })
-			g.processIn(t.TempDir())
-			g.awaitStatus("GET", "ready", 200)
-			if _, got := g.openFlow(); got != "UP 1" {
-				t.Errorf("a flow hears %q", got)
-			}
+			h.processIn(t.TempDir())
+			h.awaitStatus("GET", "ready", http.StatusOK)
+			h.wantFlow("afterwards", "UP 1")
 		})
 	}
 }
--- a/internal/daemon/phases.go
+++ b/internal/daemon/phases.go
@@ -9,20 +9,27 @@
 	"yardwinch/internal/explain"
 )
 
-// phase names where the program stands.
+const (
+	// drainDuration is within how much time of the call to go out of service all clients are asked to migrate: operators allow 4 s.
+	drainDuration = 2600 * time.Millisecond
+	// newClientsDeadline is how long after that call the platform may still send a client, newClientsWindow with some slack.
+	newClientsDeadline   = time.Second
+	drainedCheckInterval = 50 * time.Millisecond
+)
+
+// phase is the state of the process. The values are those of explain's answers and of the operators' calls.
 type phase string
 
 const (
 	loading      phase = "loading"
 	serving      phase = "serving"
-	draining     phase = "emptying"     // told to go out of service: clients are asked to come again elsewhere
-	drained      phase = "empty"        // none is held any more
-	handingOver  phase = "handing over" // another process accepts; this one goes on with what it has
-	shuttingDown phase = "draining"     // told to end
+	draining     phase = "emptying"     // out of service: clients are asked to migrate
+	drained      phase = "empty"        // out of service, and no client is left
+	handingOver  phase = "handing over" // a successor accepts clients; this process goes on with those it has
+	shuttingDown phase = "draining"     // told to stop
 	stopped      phase = "stopped"
 )
 
-// allowedTransitions says which phases may follow one.
 var allowedTransitions = map[phase][]phase{
 	loading:      {serving, draining, stopped},
 	serving:      {draining, handingOver, shuttingDown, stopped},
@@ -32,75 +39,68 @@
 	shuttingDown: {stopped},
 }
 
-// transition makes every change of phase, and tells whether it may be made. What the phase before kept running ends with it.
-// A balancer out of service still says so while it ends.
-func (p *Daemon) transition(to phase) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if !slices.Contains(allowedTransitions[p.phase], to) {
+// transition makes every change of phase, and tells whether it is allowed. What runs until the phase before ends is ended. A balancer out of
+// service remains so for its clients while it shuts down.
+func (d *Daemon) transition(ctx context.Context, to phase) bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if !slices.Contains(allowedTransitions[d.phase], to) {
 		return false
 	}
-	p.leave()
-	p.phase = to
-	ctx, leave := context.WithCancel(p.ctx)
-	p.leave, p.inPhase = leave, ctx
-	slog.Info("phase", "is", string(to))
+	for _, end := range d.endPhase {
+		end()
+	}
+	d.endPhase = nil
+	d.phase = to
+	slog.Info("phase changed", "phase", string(to))
+	d.enter(ctx, to)
+	if to != loading && to != stopped {
+		d.startedOnce.Do(func() { close(d.started) })
+	}
+	return true
+}
+
+// enter begins what a phase does. The caller holds mu.
+func (d *Daemon) enter(ctx context.Context, to phase) {
 	switch to {
 	case serving:
-		p.drainingSince = time.Time{}
-		p.frontend.SetOutOfService(false, false)
+		d.drainingSince = time.Time{}
+		d.frontend.SetOutOfService(false, false)
 	case draining:
-		if p.drainingSince.IsZero() {
-			p.drainingSince = time.Now()
+		if d.drainingSince.IsZero() {
+			d.drainingSince = time.Now()
 		}
-		p.frontend.SetOutOfService(true, time.Since(p.drainingSince) > newClientsDeadline)
-		p.startDrain(ctx, newClientsWindow)
-		since := p.drainingSince
-		p.goroutines.Go(func() { p.awaitDrained(ctx, since) })
+		since := d.drainingSince
+		d.frontend.SetOutOfService(true, time.Since(since) > newClientsDeadline)
+		d.startDrain(ctx, newClientsWindow)
+		d.runInPhase(ctx, func(ctx context.Context) { d.awaitDrained(ctx, since) })
 	case drained:
-		p.frontend.SetOutOfService(true, true)
+		d.frontend.SetOutOfService(true, true)
 	case handingOver:
-		if !p.drainingSince.IsZero() {
-			p.startDrain(ctx, 0) // the emptying goes on: the new process has none of these clients
+		if !d.drainingSince.IsZero() {
+			d.startDrain(ctx, 0) // the successor has none of the clients that are left here
 		}
 	}
-	if to != loading && to != stopped {
-		p.startedOnce.Do(func() { close(p.started) })
-	}
-	return true
 }
 
-// startDrain asks all clients to move in what is left of the time for it, from some time after the call.
-func (p *Daemon) startDrain(ctx context.Context, after time.Duration) {
-	gone := time.Since(p.drainingSince)
-	p.goroutines.Go(func() { p.frontend.Drain(ctx, max(0, after-gone), max(minDrainSpread, drainDuration-gone)) })
+// runInPhase runs something until the phase ends, whatever becomes of the call that led to it. The caller holds mu.
+func (d *Daemon) runInPhase(ctx context.Context, work func(context.Context)) {
+	inPhase, end := context.WithCancel(context.WithoutCancel(ctx))
+	d.endPhase = append(d.endPhase, end)
+	d.goroutines.Go(func() { work(inPhase) })
 }
 
-func (p *Daemon) currentPhase() phase {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.phase
+// startDrain asks all clients to migrate in what is left of the time for it, beginning some time after the call to go out of service. The
+// caller holds mu.
+func (d *Daemon) startDrain(ctx context.Context, after time.Duration) {
+	elapsed := time.Since(d.drainingSince)
+	d.runInPhase(ctx, func(ctx context.Context) {
+		d.frontend.Drain(ctx, max(0, after-elapsed), max(minDrainSpread, drainDuration-elapsed))
+	})
 }
 
-// processState says where the program stands, for whoever asks.
-func (p *Daemon) processState() explain.Process {
-	p.changing.Lock()
-	defer p.changing.Unlock()
-	process := explain.Process{Phase: string(p.currentPhase())}
-	switch {
-	case p.successor != nil:
-		process.Processes = "another has taken over"
-	case p.predecessor != nil:
-		process.Processes = "the one before has not ended"
-	}
-	if p.disabled != nil {
-		process.StoreFault = p.disabled.fault()
-	}
-	return process
-}
-
-// awaitDrained sees the emptying through to its end.
-func (p *Daemon) awaitDrained(ctx context.Context, start time.Time) {
+// awaitDrained waits until no client can come any more and none is left, while the phase is draining.
+func (d *Daemon) awaitDrained(ctx context.Context, since time.Time) {
 	check := time.NewTicker(drainedCheckInterval)
 	defer check.Stop()
 	for {
@@ -109,22 +109,60 @@
 			return
 		case <-check.C:
 		}
-		if time.Since(start) < newClientsDeadline {
+		if time.Since(since) < newClientsDeadline {
 			continue
 		}
-		p.rejectNewClients(ctx)
-		if p.frontend.ConnectionCount() == 0 {
-			p.transition(drained)
+		d.rejectNewClients(ctx)
+		if d.frontend.ConnectionCount() == 0 {
+			d.transition(ctx, drained)
 			return
 		}
 	}
 }
 
-// rejectNewClients turns newcomers away, if the emptying still goes on.
-func (p *Daemon) rejectNewClients(ctx context.Context) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+// rejectNewClients rejects new clients, unless the phase has ended meanwhile.
+func (d *Daemon) rejectNewClients(ctx context.Context) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
 	if ctx.Err() == nil {
-		p.frontend.SetOutOfService(true, true)
+		d.frontend.SetOutOfService(true, true)
+	}
+}
+
+func (d *Daemon) currentPhase() phase {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.phase
+}
+
+// isOutOfService tells whether this balancer was called out of service.
+func (d *Daemon) isOutOfService() bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return !d.drainingSince.IsZero()
+}
+
+// phaseWithoutSuccessor is the phase of a process that begins to serve, or serves again because its successor ended.
+func (d *Daemon) phaseWithoutSuccessor() phase {
+	if d.isOutOfService() {
+		return draining
+	}
+	return serving
+}
+
+// processState is what explain says of the process.
+func (d *Daemon) processState() explain.Process {
+	d.changing.Lock()
+	defer d.changing.Unlock()
+	state := explain.Process{Phase: string(d.currentPhase())}
+	switch {
+	case d.successor != nil:
+		state.Processes = "another has taken over"
+	case d.predecessor != nil:
+		state.Processes = "the one before has not ended"
+	}
+	if d.disabled != nil {
+		state.StoreFault = d.disabled.fault()
 	}
+	return state
 }
--- a/internal/daemon/process_test.go
+++ b/internal/daemon/process_test.go
@@ -1,7 +1,9 @@
 package daemon
 
 import (
+	"context"
 	"fmt"
+	"net/http"
 	"os"
 	"os/exec"
 	"strconv"
@@ -9,103 +11,103 @@
 	"sync/atomic"
 	"syscall"
 	"testing"
-	"time"
 )
 
-const serveEnvironment = "PROGRAM_TEST_SERVES" // names the configuration that the test's own program serves as a balancer
+const (
+	serveEnvironment           = "PROGRAM_TEST_SERVES" // names the configuration that the test's own program serves as a balancer
+	descriptorLimitEnvironment = serveEnvironment + "_FILES"
+)
 
 func TestMain(m *testing.M) {
 	path := os.Getenv(serveEnvironment)
 	if path == "" {
 		os.Exit(m.Run())
 	}
-	if n, err := strconv.ParseUint(os.Getenv(serveEnvironment+"_FILES"), 10, 64); err == nil {
-		if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &syscall.Rlimit{Cur: n, Max: n}); err != nil {
+	if limit, err := strconv.ParseUint(os.Getenv(descriptorLimitEnvironment), 10, 64); err == nil {
+		if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &syscall.Rlimit{Cur: limit, Max: limit}); err != nil {
 			panic(err)
 		}
 	}
-	if err := Run(path, "", os.Getenv); err != nil {
+	if err := Run(context.Background(), path, "", os.Getenv); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
 }
 
-// process is a rig's balancer as a process of its own.
+// process is a harness whose balancer is a process of its own.
 type process struct {
 	*harness
 	cmd *exec.Cmd
 }
 
-var addresses atomic.Int32
+var lastAddress atomic.Int32
 
-// process starts the balancer at an address of its own, and waits until it serves: a port that was free may be another client's near end
-// by the time the process listens there.
-func (g *harness) process() *process {
-	g.t.Helper()
+// process starts the balancer at an address of its own, and waits until it serves: a port that was free could be the near end of another
+// client's connection by the time the process listens there.
+func (h *harness) process() *process {
+	h.t.Helper()
 	id := os.Getpid()
-	own := fmt.Sprintf("127.%d.%d.%d", 2+id/250%250, 1+id%250, 1+addresses.Add(1)%250)
-	for _, addr := range []*string{&g.listenAddress, &g.adminAddress} {
-		moved := strings.Replace(*addr, "127.0.0.1", own, 1)
-		g.config = strings.Replace(g.config, *addr, moved, 1)
-		*addr = moved
-	}
-	if err := os.WriteFile(g.path, []byte(g.config), 0o600); err != nil {
-		g.t.Fatal(err)
+	own := fmt.Sprintf("127.%d.%d.%d", 2+id/250%250, 1+id%250, 1+lastAddress.Add(1)%250)
+	for _, address := range []*string{&h.listenAddress, &h.adminAddress} {
+		moved := strings.Replace(*address, "127.0.0.1", own, 1)
+		h.config = strings.Replace(h.config, *address, moved, 1)
+		*address = moved
 	}
-	p := g.startProcess(g.t.TempDir(), nil)
-	g.awaitStatus("GET", "ready", 200)
+	writeConfig(h.t, h.path, h.config)
+	p := h.startProcess(h.t.TempDir(), nil)
+	h.awaitStatus("GET", "ready", http.StatusOK)
 	return p
 }
 
-// processIn starts the balancer with a folder that it shares with others. It ends with the thread that starts it, whatever becomes of the
+// processIn starts the balancer with a directory that it shares with others. It ends with the thread that starts it, whatever becomes of the
 // test.
-func (g *harness) processIn(folder string) *process {
-	g.t.Helper()
-	return g.startProcess(folder, &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL})
+func (h *harness) processIn(directory string) *process {
+	h.t.Helper()
+	return h.startProcess(directory, &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL})
 }
 
 // startProcess starts the test's own program as the balancer. It ends with the test, and its log is shown where the test failed.
-func (g *harness) startProcess(folder string, attributes *syscall.SysProcAttr) *process {
-	g.t.Helper()
-	log, err := os.Create(g.path + ".log")
+func (h *harness) startProcess(directory string, attributes *syscall.SysProcAttr) *process {
+	h.t.Helper()
+	log, err := os.Create(h.path + ".log")
 	if err != nil {
-		g.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	p := &process{harness: g, cmd: exec.Command(os.Args[0])}
-	p.cmd.Env = append(os.Environ(), serveEnvironment+"="+g.path, "TMPDIR="+folder)
-	if g.descriptorLimit > 0 {
-		p.cmd.Env = append(p.cmd.Env, fmt.Sprint(serveEnvironment, "_FILES=", g.descriptorLimit))
+	// Not the test's context, which ends before the cleanup below.
+	cmd := exec.CommandContext(context.WithoutCancel(h.t.Context()), os.Args[0])
+	cmd.Env = append(os.Environ(), serveEnvironment+"="+h.path, "TMPDIR="+directory)
+	if h.descriptorLimit > 0 {
+		cmd.Env = append(cmd.Env, fmt.Sprintf("%s=%d", descriptorLimitEnvironment, h.descriptorLimit))
 	}
-	p.cmd.Stdout = log
-	p.cmd.Stderr = log
-	p.cmd.SysProcAttr = attributes
-	if err := p.cmd.Start(); err != nil {
-		g.t.Fatal(err)
+	cmd.Stdout = log
+	cmd.Stderr = log
+	cmd.SysProcAttr = attributes
+	if err := cmd.Start(); err != nil {
+		h.t.Fatal(err)
 	}
 	_ = log.Close() // the process has its own
-	g.t.Cleanup(func() {
-		_ = p.cmd.Process.Kill() // it may have ended
-		_ = p.cmd.Wait()
-		if text, err := os.ReadFile(g.path + ".log"); err == nil && g.t.Failed() {
-			g.t.Logf("%s: %s", g.path, text)
+	h.t.Cleanup(func() {
+		_ = cmd.Process.Kill() // it may have ended
+		_ = cmd.Wait()
+		if text, err := os.ReadFile(h.path + ".log"); err == nil && h.t.Failed() {
+			h.t.Logf("%s: %s", h.path, text)
 		}
 	})
-	return p
+	return &process{harness: h, cmd: cmd}
 }
 
-// awaitProcess waits until what the system tells of the process holds; a test that hangs is to fail.
-func (p *process) awaitProcess(what string, holds func(proc string) bool) {
+func (p *process) signal(signal syscall.Signal) {
 	p.t.Helper()
-	for end := time.Now().Add(10 * time.Second); !holds(fmt.Sprintf("/proc/%d/", p.cmd.Process.Pid)); time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
-			p.t.Fatal("not ", what)
-		}
+	if err := p.cmd.Process.Signal(signal); err != nil {
+		p.t.Fatal(err)
 	}
 }
 
-func (p *process) signal(s syscall.Signal) {
+// awaitSuspended waits until the system has stopped the process.
+func (p *process) awaitSuspended() {
 	p.t.Helper()
-	if err := p.cmd.Process.Signal(s); err != nil {
-		p.t.Fatal(err)
-	}
+	awaitThat(p.t, "the process is stopped", func() bool {
+		stat, _ := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.cmd.Process.Pid))
+		return strings.Contains(string(stat), ") T ")
+	})
 }
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -11,72 +11,78 @@
 	"yardwinch/internal/retry"
 )
 
-// The configuration as it is read anew while the process runs.
-
 const (
-	reloadTimeout       = 30 * time.Second // after SIGHUP, for one that can't be read
-	faultyReloadTimeout = 3 * time.Second  // and for one that can't be served: it may be half written
-	firstReloadRetry    = 20 * time.Millisecond
-	longestReloadRetry  = 500 * time.Millisecond
-	mostKeys            = 16 // named in the log where a new file changes what needs a restart
+	// unreadableReloadTimeout is for a configuration that can't be read: its directory may be about to be replaced.
+	unreadableReloadTimeout = 30 * time.Second
+	// invalidReloadTimeout is for one that can't be served: it may be half written.
+	invalidReloadTimeout = 3 * time.Second
+	firstReloadRetry     = 20 * time.Millisecond
+	longestReloadRetry   = 500 * time.Millisecond
+	maxLoggedKeys        = 16 // of the settings that need a restart
 )
 
-// watchReloads has the configuration read anew at each word of again, until the context ends. One that can't be read or served as the word comes is
-// tried again: it may be about to be written, and its address of discovery counts soon. A new word begins anew.
-func (p *Daemon) watchReloads(ctx context.Context, again <-chan os.Signal) {
+// watchReloads reloads the configuration at each value of reloads, until the context ends.
+func (d *Daemon) watchReloads(ctx context.Context, reloads <-chan os.Signal) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-again:
+		case <-reloads:
 		}
-		p.reloadWithRetries(ctx, again)
+		d.reloadWithRetries(ctx, reloads)
 	}
 }
 
-func (p *Daemon) reloadWithRetries(ctx context.Context, again <-chan os.Signal) {
-	waits := retry.Backoff{First: firstReloadRetry, Longest: longestReloadRetry}
-	asked := time.Now()
+// reloadWithRetries reloads the configuration. One that can't be read or served is retried for a while: it may be in the middle of a write, and
+// its new discovery address is to count soon. A further reload meanwhile begins anew.
+func (d *Daemon) reloadWithRetries(ctx context.Context, reloads <-chan os.Signal) {
+	backoff := retry.Backoff{First: firstReloadRetry, Longest: longestReloadRetry}
+	requested := time.Now()
 	for first := true; ; first = false {
-		err := p.reload()
+		err := d.reload(ctx)
 		if err == nil {
 			return
 		}
-		longest := faultyReloadTimeout
-		if unread := (*fs.PathError)(nil); errors.As(err, &unread) {
-			longest = reloadTimeout
-		}
 		if first {
-			slog.Warn("configuration not taken yet, the one before holds", "error", err)
+			slog.Warn("configuration not reloaded yet, the current one remains", "error", err)
 		}
-		if time.Since(asked) > longest {
-			slog.Error("configuration not taken, the one before holds", "error", err, "what helps", "mend the file and send SIGHUP again")
+		if time.Since(requested) > reloadTimeout(err) {
+			slog.Error("configuration not reloaded, the current one remains", "error", err, "advice", "correct the file and send SIGHUP again")
 			return
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-again:
-			waits.Reset()
-			asked = time.Now()
-		case <-time.After(waits.Next()):
+		case <-reloads:
+			backoff.Reset()
+			requested = time.Now()
+		case <-time.After(backoff.Next()):
 		}
 	}
 }
 
-// reload is the one owner of what is told anew while the balancer runs, be it serving or draining. A file that can't be
-// served changes nothing: half a change could not be told from a fault of the balancer.
-func (p *Daemon) reload() error {
-	next, err := prepare(p.configPath, p.optionsPath, p.environment)
+// reloadTimeout is for how long a reload that fails with an error is retried.
+func reloadTimeout(err error) time.Duration {
+	var unreadable *fs.PathError
+	if errors.As(err, &unreadable) {
+		return unreadableReloadTimeout
+	}
+	return invalidReloadTimeout
+}
+
+// reload applies what can change without a restart, whatever the phase. A configuration that can't be served changes nothing: half a change
+// would look like a fault of the balancer.
+func (d *Daemon) reload(ctx context.Context) error {
+	newer, err := prepare(ctx, d.configPath, d.optionsPath, d.environment)
 	if err != nil {
 		return err
 	}
-	moved := p.discovery.SetAddress(next.discoveryAddress)
-	slog.Info("configuration read anew", "discovery", next.discoveryAddress, "moved", moved)
-	keys := p.values.ChangedKeys(next.values)
-	p.router.WithLock(func() { keys = append(keys, p.options.Apply(next.options, p.values.DecisionSettings())...) })
+	moved := d.discovery.SetAddress(newer.discoveryAddress)
+	slog.Info("configuration reloaded", "discovery_address", newer.discoveryAddress, "discovery_moved", moved)
+	keys := d.values.ChangedKeys(newer.values)
+	d.router.WithLock(func() { keys = append(keys, d.options.Apply(newer.options, d.values.DecisionSettings())...) })
 	if len(keys) > 0 {
-		slog.Warn("these changes need a restart", "keys", keys[:min(len(keys), mostKeys)], "in all", len(keys))
+		slog.Warn("changed settings need a restart", "settings", keys[:min(len(keys), maxLoggedKeys)], "changed", len(keys))
 	}
 	return nil
 }
--- a/internal/daemon/size_test.go
+++ b/internal/daemon/size_test.go
@@ -13,86 +13,98 @@
 	"time"
 )
 
-// configureFleet has a rig's configuration tell of so many servers, all but one of which nobody listens for, and of so many balancers.
-func (g *harness) configureFleet(servers, balancers int) (names []string) {
+// configureFleet gives a harness's configuration a number of servers, at the address of its one server, and of balancers.
+func (h *harness) configureFleet(servers, balancers int) (names []string) {
 	var known, peers []string
 	for i := range servers {
 		names = append(names, fmt.Sprintf("s-%08x", i*2654435761))
 		known = append(known, fmt.Sprintf(`{"id":%q,"host_port":%q,"locality":"a","flavor":"m2","cell":%d,"phase":"SERVING","size":1.0,"up_since_ms":0}`,
-			names[i], g.serverAddress, i%16))
+			names[i], h.serverAddress, i%16))
 	}
 	for i := range balancers {
 		peers = append(peers, fmt.Sprintf(`"n%d"`, i))
 	}
 	list := `{"revision":1,"complete":true,"members":[` + strings.Join(known, ",") + `]}`
-	a, b := strings.Index(g.config, `{"revision"`), strings.Index(g.config, `"settings"`)
-	g.config = g.config[:a] + list + "," + strings.TrimSpace(g.config[b:])
-	g.config = strings.Replace(g.config, `"settings":{`, fmt.Sprintf(`"settings":{"peers-total":%d,"peers":[%s],`, balancers, strings.Join(peers, ",")), 1)
-	if err := os.WriteFile(g.path, []byte(g.config), 0o600); err != nil {
-		g.t.Fatal(err)
-	}
+	listBegin, listEnd := strings.Index(h.config, `{"revision"`), strings.Index(h.config, `"settings"`)
+	h.config = h.config[:listBegin] + list + "," + strings.TrimSpace(h.config[listEnd:])
+	h.config = strings.Replace(h.config, `"settings":{`, fmt.Sprintf(`"settings":{"peers-total":%d,"peers":[%s],`, balancers, strings.Join(peers, ",")), 1)
+	writeConfig(h.t, h.path, h.config)
 	return names
 }
 
-// maxBytesPerServer is what each listed server may cost at rest: a list twice as long as any that runs still leaves control most of its 64 MB.
+// maxBytesPerServer is what each listed server may cost at rest: a list twice as long as any in production leaves most of the 64 MB.
 const maxBytesPerServer = 1 << 10
 
-// A fleet of 12,800 servers and 1,024 balancers is taken whole, from the configuration and from discovery; what it costs at rest is bounded.
+// A fleet of 12,800 servers and 1,024 balancers is loaded completely, from the configuration and from discovery; what it costs at rest is bounded.
 func TestMemoryPerServer(t *testing.T) {
 	for _, servers := range []int{64, 256, 1024, 12_800} {
 		t.Run(fmt.Sprint(servers), func(t *testing.T) {
-			g := newHarness(t)
-			names := g.configureFleet(servers, 1024)
-			heap := func() int64 {
-				var m runtime.MemStats
-				runtime.GC()
-				runtime.GC()
-				runtime.ReadMemStats(&m)
-				return int64(m.HeapAlloc)
-			}
-			before := heap()
-			p, err := prepare(g.path, "", os.Getenv)
-			if err != nil || p.cachedListError != nil {
-				t.Fatalf("%v, %v", err, p.cachedListError)
+			h := newHarness(t)
+			names := h.configureFleet(servers, 1024)
+			before := heapBytes()
+			d, err := prepare(t.Context(), h.path, "", os.Getenv)
+			if err != nil || d.cachedListError != nil {
+				t.Fatalf("%v, %v", err, d.cachedListError)
 			}
-			kept := heap() - before
-			t.Logf("%d servers: %d KB at rest", servers, kept>>10)
-			if each := kept / int64(servers); each > maxBytesPerServer {
+			used := heapBytes() - before
+			t.Logf("%d servers: %d KB at rest", servers, used>>10)
+			if each := used / int64(servers); each > maxBytesPerServer {
 				t.Errorf("%d bytes a server, at most %d", each, maxBytesPerServer)
 			}
-			p.values.Each(func(key, _ string) {
+			d.values.Each(func(key, _ string) {
 				if strings.HasPrefix(key, "known") {
-					t.Fatalf("%s is kept twice: the router has it", key)
+					t.Fatalf("%s is stored twice: the router has it", key)
 				}
 			})
 			for _, name := range names {
-				if _, known := p.router.IsDisabled(name); !known {
+				if _, known := d.router.IsDisabled(name); !known {
 					t.Fatalf("%s is not known", name)
 				}
 			}
-			runtime.KeepAlive(p)
-			list := strings.ReplaceAll(g.config[strings.Index(g.config, `{"revision"`):strings.Index(g.config, `,"settings"`)], `"s-`, `"fresh-`)
-			agent := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-				_, _ = io.WriteString(w, list+"\n")
-				w.(http.Flusher).Flush()
-				<-q.Context().Done()
-			}))
-			defer agent.Close()
-			p.discovery.SetAddress(strings.TrimPrefix(agent.URL, "http://"))
-			ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second) // a test that hangs is to fail
-			done := make(chan struct{})
-			go func() { p.discovery.Run(ctx); close(done) }()
-			defer func() { cancel(); <-done }()
-			for _, name := range names {
-				for name = strings.Replace(name, "s-", "fresh-", 1); ; time.Sleep(time.Millisecond) {
-					if _, known := p.router.IsDisabled(name); known {
-						break
-					}
-					if ctx.Err() != nil {
-						t.Fatalf("%s did not come from discovery", name)
-					}
-				}
-			}
+			runtime.KeepAlive(d)
+			wantListFromDiscovery(t, d, h.config, names)
 		})
 	}
 }
+
+func heapBytes() int64 {
+	var stats runtime.MemStats
+	runtime.GC()
+	runtime.GC()
+	runtime.ReadMemStats(&stats)
+	return int64(stats.HeapAlloc)
+}
+
+// wantListFromDiscovery has discovery bring the same list under other names, and checks that all servers of it are known.
+func wantListFromDiscovery(t *testing.T, d *Daemon, config string, names []string) {
+	t.Helper()
+	list := config[strings.Index(config, `{"revision"`):strings.Index(config, `,"settings"`)]
+	list = strings.ReplaceAll(list, `"s-`, `"fresh-`)
+	agent := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		_, _ = io.WriteString(w, list+"\n")
+		w.(http.Flusher).Flush()
+		<-r.Context().Done()
+	}))
+	defer agent.Close()
+	d.discovery.SetAddress(strings.TrimPrefix(agent.URL, "http://"))
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
+	done := make(chan struct{})
+	go func() {
+		d.discovery.Run(ctx)
+		close(done)
+	}()
+	defer func() {
+		cancel()
+		<-done
+	}()
+	for _, name := range names {
+		for fresh := strings.Replace(name, "s-", "fresh-", 1); ; time.Sleep(time.Millisecond) {
+			if _, known := d.router.IsDisabled(fresh); known {
+				break
+			}
+			if ctx.Err() != nil {
+				t.Fatalf("%s did not come from discovery", fresh)
+			}
+		}
+	}
+}
--- a/internal/daemon/start_test.go
+++ b/internal/daemon/start_test.go
@@ -23,70 +23,32 @@
 	"yardwinch/internal/handover"
 )
 
-var processes = flag.Int("processes", 12, "how many real processes TestReady starts at once")
+var processes = flag.Int("processes", 12, "how many real processes TestReadyAfterRestart starts at once")
 
-// A process told to end while it waits for the one before ends without having served, wherever the other one is silent or not ready; it
-// does not first wait to serve alone.
+// A process that is told to stop while it waits for its predecessor ends without having served, whether the predecessor is silent or not ready;
+// it doesn't wait first to serve alone.
 func TestStoppedBeforeServing(t *testing.T) {
 	for _, c := range []struct {
-		name, at string
-		later    bool
+		name, silentAt string
+		notReady       bool
 	}{
-		{"the one before is itself new, or ends", "hello", true},
-		{"it does not answer the greeting", "hello", false},
-		{"it gives nothing", "give", false},
+		{"the predecessor is itself new, or ends", messageHello, true},
+		{"it does not answer the greeting", messageHello, false},
+		{"it does not hand over", messageGetState, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			env := directoryEnvironment(t)
-			g := newHarness(t)
-			reached, over := make(chan struct{}, 1), make(chan struct{})
-			said := func(at string) handover.Handler {
-				return func([]byte, []*os.File) (any, []syscall.Conn, error) {
-					if at == c.at {
-						select {
-						case reached <- struct{}{}:
-						default:
-						}
-						if !c.later {
-							<-over
-						}
-					}
-					return c.later, nil, nil
-				}
-			}
-			f, err := handover.Open(env("TMPDIR"), g.listenAddress)
-			if err != nil {
-				t.Fatal(err)
-			}
-			before, err := f.Listen()
-			if err != nil {
-				t.Fatal(err)
-			}
-			defer before.Close()
-			defer close(over)
-			go func() {
-				for {
-					conn, err := before.AcceptUnix()
-					if err != nil {
-						return
-					}
-					l := handover.NewLink(conn, map[string]handover.Handler{"hello": said("hello"), "give": said("give")}, nil)
-					go func() { _ = l.Run() }()
-				}
-			}()
-			if g.daemon, err = Load(g.path, "", env); err != nil {
+			environment := directoryEnvironment(t)
+			h := newHarness(t)
+			reached := startSilentPredecessor(t, openSocket(t, environment("TMPDIR"), h.listenAddress), c.silentAt, c.notReady)
+			var err error
+			if h.daemon, err = Load(t.Context(), h.path, "", environment); err != nil {
 				t.Fatal(err)
 			}
-			stop, term := context.WithCancel(context.Background())
-			done := make(chan error, 1)
-			go func() { done <- g.daemon.Serve(stop, nil) }()
+			h.serve(nil)
 			<-reached
-			term()
-			if err := <-done; err != nil {
-				t.Errorf("ended with %v", err)
-			}
+			h.end()
 			select {
-			case <-g.daemon.started:
+			case <-h.daemon.started:
 				t.Error("it served first")
 			default:
 			}
@@ -94,37 +56,72 @@
 	}
 }
 
-// All that a new process may wait for before it serves fits into what an operator allows it.
+// startSilentPredecessor starts a predecessor that answers requests up to one kind with whether it is not ready. At that kind the channel
+// receives; unless it is not ready it then says nothing.
+func startSilentPredecessor(t *testing.T, socket *handover.Socket, silentAt string, notReady bool) (reached <-chan struct{}) {
+	t.Helper()
+	listener, err := socket.Listen(t.Context())
+	if err != nil {
+		t.Fatal(err)
+	}
+	arrived, ended := make(chan struct{}, 1), make(chan struct{})
+	t.Cleanup(func() {
+		close(ended)
+		_ = listener.Close()
+	})
+	answer := func(kind string) handover.Handler {
+		return func(context.Context, handover.Request) (handover.Response, error) {
+			if kind == silentAt {
+				select {
+				case arrived <- struct{}{}:
+				default:
+				}
+				if !notReady {
+					<-ended
+				}
+			}
+			return handover.Response{Body: notReady}, nil
+		}
+	}
+	go func() {
+		for {
+			conn, err := listener.AcceptUnix()
+			if err != nil {
+				return
+			}
+			link := handover.NewLink(conn, map[string]handover.Handler{
+				messageHello: answer(messageHello), messageGetState: answer(messageGetState)}, nil)
+			go func() { _ = link.Run(t.Context()) }() // until the process under test ends
+		}
+	}()
+	return arrived
+}
+
+// All that a new process may wait for before it serves fits into what operators allow.
 func TestTimeoutsBeforeServing(t *testing.T) {
 	const allowed = 10 * time.Second
-	if all := takeOverTimeout + requestTimeout; all >= allowed { // receiveHandover in all, then the word to the predecessor
-		t.Errorf("a new process may wait for %v, %v are allowed", all, allowed)
+	if total := takeOverTimeout + requestTimeout; total >= allowed { // the hand-over, then the notice to the predecessor
+		t.Errorf("a new process may wait for %v, %v are allowed", total, allowed)
 	}
 }
 
-// awaitAnswer sends a line on ever new connections until one of them brings the answer: those that the system gives to a frozen process bring none.
+// awaitAnswer sends a line on ever new connections until one of them brings the answer: those that the system gives to a frozen process bring
+// none.
 func (p *process) awaitAnswer(ctx context.Context, line, want string) error {
-	answers := make(chan string)
-	again := time.NewTicker(50 * time.Millisecond)
-	defer again.Stop()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
+	answers := make(chan string)
+	ticker := time.NewTicker(50 * time.Millisecond)
+	defer ticker.Stop()
 	last := ""
 	for n := 0; ; n++ {
-		go func() {
-			c, err := net.Dial("tcp", p.listenAddress)
-			if err != nil {
-				return
-			}
-			defer c.Close()
-			defer context.AfterFunc(ctx, func() { c.Close() })()
-			if _, err := io.WriteString(c, strings.ReplaceAll(line, "ID", fmt.Sprint(n))+"\r\n"); err != nil {
-				return
-			}
-			got, _ := bufio.NewReader(c).ReadString('\n')
-			select {
-			case answers <- strings.TrimSpace(got):
-			case <-ctx.Done():
+		attempt := strings.ReplaceAll(line, "ID", fmt.Sprint(n))
+		go func() { // ends with ctx
+			if got, ok := exchange(ctx, p.listenAddress, attempt); ok {
+				select {
+				case answers <- got:
+				case <-ctx.Done():
+				}
 			}
 		}()
 		select {
@@ -133,19 +130,35 @@
 				return nil
 			}
 			last = cmp.Or(got, last)
-		case <-again.C:
+		case <-ticker.C:
 		case <-ctx.Done():
 			return fmt.Errorf("%s: %q, want %q: %w", line, last, want, ctx.Err())
 		}
 	}
 }
 
-// awaitReady is when this process serves, PING is answered and a client has a server of the known list. Until it serves, the process before may
-// answer at the same address.
+// exchange sends a line on a new connection and gives the line that comes back, if any; ok: the line was sent.
+func exchange(ctx context.Context, address, line string) (answer string, ok bool) {
+	var dialer net.Dialer
+	conn, err := dialer.DialContext(ctx, "tcp", address)
+	if err != nil {
+		return "", false
+	}
+	defer func() { _ = conn.Close() }()
+	defer context.AfterFunc(ctx, func() { _ = conn.Close() })()
+	if _, err := io.WriteString(conn, line+"\r\n"); err != nil {
+		return "", false
+	}
+	answer, _ = bufio.NewReader(conn).ReadString('\n') // a connection that ends instead has no answer
+	return strings.TrimSpace(answer), true
+}
+
+// awaitReady waits until this process serves, PING is answered and a client has a server of the cached list. Before it serves, its predecessor
+// may answer at the same address.
 func (p *process) awaitReady(ctx context.Context) error {
-	for p.callAdmin("GET", "ready") != http.StatusOK {
+	for p.callAdmin(ctx, "GET", "ready") != http.StatusOK {
 		select {
-		case <-time.After(5 * time.Millisecond):
+		case <-time.After(pollInterval):
 		case <-ctx.Done():
 			return fmt.Errorf("%s does not serve: %w", p.path, ctx.Err())
 		}
@@ -153,160 +166,195 @@
 	return errors.Join(p.awaitAnswer(ctx, "PING", "PONG"), p.awaitAnswer(ctx, "OPEN ready-ID 2 c=live,d=800", "UP 1"))
 }
 
-// The agents a new process may meet, which say nothing of the list before all processes are ready, or never.
-func startSilentAgent(t *testing.T) (addr string, speak func()) {
-	l := listenLocal(t)
-	spoken := make(chan struct{})
+// startSilentAgent starts a discovery agent that accepts requests and says nothing until it is told to speak; its list is empty.
+func startSilentAgent(t *testing.T) (address string, speak func()) {
+	t.Helper()
+	listener := listenLocal(t)
+	speaking := make(chan struct{})
 	go func() {
 		for {
-			c, err := l.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			t.Cleanup(func() { c.Close() })
+			t.Cleanup(func() { _ = conn.Close() })
 			go func() {
-				if _, err := readRequestHead(c); err != nil {
+				if err := readRequestHead(conn); err != nil {
 					return
 				}
-				<-spoken
-				_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"+
-					`{"revision":2,"complete":true,"members":[]}`+"\n")
+				<-speaking
+				_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"+
+					`{"revision":2,"complete":true,"members":[]}`+"\n") // the balancer may be gone
 			}()
 		}
 	}()
-	return l.Addr().String(), func() { close(spoken) }
+	return listener.Addr().String(), func() { close(speaking) }
 }
 
-// readRequestHead reads a request's head.
-func readRequestHead(c net.Conn) (head string, err error) {
-	in := bufio.NewReader(c)
-	for !strings.HasSuffix(head, "\r\n\r\n") && err == nil {
-		var line string
-		line, err = in.ReadString('\n')
-		head += line
+func readRequestHead(conn net.Conn) error {
+	in := bufio.NewReader(conn)
+	for line := ""; line != "\r\n"; {
+		var err error
+		if line, err = in.ReadString('\n'); err != nil {
+			return err
+		}
 	}
-	return head, err
+	return nil
+}
+
+// What a restarted process may find of its predecessor.
+const (
+	noPredecessor      = "none"
+	killedPredecessor  = "killed"
+	frozenPredecessor  = "frozen"
+	slowlyEnding       = "slow to end"
+	lateAgent          = "late"
+	longestClientLimit = 3 * time.Second
+)
+
+// restart is a process of TestReadyAfterRestart, with its discovery agent and its predecessor.
+type restart struct {
+	h                  *harness
+	agent, predecessor string
+	directory          string
+	before, after      *process // before: nil without predecessor
+	began              time.Time
+	took               time.Duration
 }
 
-// Restarted processes, all at once, serve the list that they know whatever their agent does, and whatever the process before them does,
-// which shares their address and folder. How long each took is logged; what is asked is that they are ready while the agent has not spoken
-// and the one before is as it was.
+// Restarted processes, all at once, serve the list that they have cached whatever their agent does, and whatever the predecessor does with
+// which they share their address and directory. How long each took is logged; required is that they are ready while the agent says nothing and
+// the predecessor stays as it is.
 func TestReadyAfterRestart(t *testing.T) {
-	const within = 10 * time.Second
 	runtime.LockOSThread() // see processIn
 	defer runtime.UnlockOSThread()
-	ctx, cancel := context.WithTimeout(t.Context(), time.Minute) // a test that hangs is to fail
+	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	defer cancel()
 	silent, _ := startSilentAgent(t)
 	late, speak := startSilentAgent(t)
-	agents := []struct{ name, addr string }{{"silent", silent}, {"refusing", ""}, {"late", late}}
-	befores := []string{"none", "killed", "frozen", "slow to end"}
-	type start struct {
-		g             *harness
-		agent, before string
-		tmp           string
-		old, now      *process
-		began         time.Time
-		took          time.Duration
-	}
-	all := make([]*start, *processes)
+	agents := []struct{ name, address string }{{"silent", silent}, {"refusing", ""}, {lateAgent, late}}
+	predecessors := []string{noPredecessor, killedPredecessor, frozenPredecessor, slowlyEnding}
+	all := make([]*restart, *processes)
 	for i := range all {
-		agent, before := agents[i%len(agents)], befores[i/len(agents)%len(befores)]
-		s := &start{g: newHarness(t), agent: agent.name, before: before, tmp: t.TempDir()}
-		var told map[string]any
-		if err := json.Unmarshal([]byte(s.g.config), &told); err != nil {
-			t.Fatal(err)
-		}
-		if agent.addr != "" {
-			told["discovery"] = agent.addr
-		}
-		told["settings"].(map[string]any)["service-types"].([]any)[0].(map[string]any)["hard-limit"] = 3 * time.Second
-		text, err := json.Marshal(told)
-		if err != nil {
-			t.Fatal(err)
-		}
-		s.g.config = string(text)
-		if err := os.WriteFile(s.g.path, text, 0o600); err != nil {
-			t.Fatal(err)
-		}
-		if before != "none" {
-			s.old = s.g.processIn(s.tmp)
+		agent := agents[i%len(agents)]
+		all[i] = newRestart(t, agent.address)
+		all[i].agent = agent.name
+		all[i].predecessor = predecessors[i/len(agents)%len(predecessors)]
+		if all[i].predecessor != noPredecessor {
+			all[i].before = all[i].h.processIn(all[i].directory)
 		}
-		all[i] = s
 	}
-	for _, s := range all {
-		if s.old == nil {
+	for _, r := range all {
+		if r.before == nil {
 			continue
 		}
-		if err := s.old.awaitReady(ctx); err != nil {
-			t.Fatalf("the process before: %v", err)
-		}
-		for { // it is to be found before it is struck
-			if _, err := os.Lstat(filepath.Join(s.tmp, "yardwinch-"+strings.ReplaceAll(s.g.listenAddress, ":", "_")+".sock")); err == nil {
-				break
-			}
-			if ctx.Err() != nil {
-				t.Fatal("the process before is not to be found")
-			}
-			time.Sleep(time.Millisecond)
-		}
-		signal := map[string]syscall.Signal{"killed": syscall.SIGKILL, "frozen": syscall.SIGSTOP, "slow to end": syscall.SIGTERM}[s.before]
-		if signal == syscall.SIGTERM { // somebody who stays has it take all its time
-			if _, got := s.g.openWith("OPEN stays 2 c=live,d=800"); got != "UP 1" {
-				t.Fatalf("at the process before: %q", got)
-			}
-		}
-		s.old.signal(signal)
-		if signal == syscall.SIGKILL {
-			_, _ = s.old.cmd.Process.Wait()
+		if err := r.before.awaitReady(ctx); err != nil {
+			t.Fatalf("the predecessor: %v", err)
 		}
+		r.strikePredecessor()
 	}
-	for _, s := range all {
-		g := s.g
-		if s.old != nil {
-			g = g.successor()
-		}
-		s.began = time.Now()
-		s.now = g.processIn(s.tmp)
+	for _, r := range all {
+		r.start()
 	}
 	done := make(chan error)
-	for _, s := range all {
-		go func() {
-			err := s.now.awaitReady(ctx)
-			s.took = time.Since(s.began)
-			if err != nil {
-				err = fmt.Errorf("agent %s, the one before %s: %w", s.agent, s.before, err)
-			}
-			done <- err
-		}()
+	for _, r := range all {
+		go func() { done <- r.awaitReady(ctx) }()
 	}
 	for range all {
 		if err := <-done; err != nil {
 			t.Error(err)
 		}
 	}
-	speak() // an agent that speaks in the end is heard: the list it brings is empty
-	for _, s := range all {
-		if s.agent == "late" && !t.Failed() {
-			if err := s.now.awaitAnswer(ctx, "OPEN late-ID 2 c=live,d=800", "BUSY 700"); err != nil {
-				t.Errorf("the one before %s, after the agent spoke: %v", s.before, err)
+	speak() // the late agent's list is empty: its processes are to follow it
+	for _, r := range all {
+		if r.agent == lateAgent && !t.Failed() {
+			if err := r.after.awaitAnswer(ctx, "OPEN late-ID 2 c=live,d=800", "BUSY 700"); err != nil {
+				t.Errorf("the predecessor %s, after the agent spoke: %v", r.predecessor, err)
 			}
 		}
 	}
+	logTimes(t, all, predecessors)
+}
+
+// newRestart configures a process. An empty address of the agent refuses connections.
+func newRestart(t *testing.T, agentAddress string) *restart {
+	t.Helper()
+	r := &restart{h: newHarness(t), directory: t.TempDir()}
+	var config map[string]any
+	if err := json.Unmarshal([]byte(r.h.config), &config); err != nil {
+		t.Fatal(err)
+	}
+	if agentAddress != "" {
+		config["discovery"] = agentAddress
+	}
+	config["settings"].(map[string]any)["service-types"].([]any)[0].(map[string]any)["hard-limit"] = longestClientLimit
+	text, err := json.Marshal(config)
+	if err != nil {
+		t.Fatal(err)
+	}
+	r.h.config = string(text)
+	writeConfig(t, r.h.path, r.h.config)
+	return r
+}
+
+// strikePredecessor does to the predecessor what its name says, once a successor could find it.
+func (r *restart) strikePredecessor() {
+	t := r.h.t
+	t.Helper()
+	socket := filepath.Join(r.directory, "yardwinch-"+strings.ReplaceAll(r.h.listenAddress, ":", "_")+".sock")
+	awaitThat(t, "the predecessor's socket is there", func() bool {
+		_, err := os.Lstat(socket)
+		return err == nil
+	})
+	switch r.predecessor {
+	case killedPredecessor:
+		r.before.signal(syscall.SIGKILL)
+		_, _ = r.before.cmd.Process.Wait() // it says that it was killed
+	case frozenPredecessor:
+		r.before.signal(syscall.SIGSTOP)
+	case slowlyEnding: // a client that stays has it take all its time
+		if _, got := r.h.openWith("OPEN stays 2 c=live,d=800"); got != "UP 1" {
+			t.Fatalf("at the predecessor: %q", got)
+		}
+		r.before.signal(syscall.SIGTERM)
+	}
+}
+
+func (r *restart) start() {
+	h := r.h
+	if r.before != nil {
+		h = h.successor()
+	}
+	r.began = time.Now()
+	r.after = h.processIn(r.directory)
+}
+
+func (r *restart) awaitReady(ctx context.Context) error {
+	err := r.after.awaitReady(ctx)
+	r.took = time.Since(r.began)
+	if err != nil {
+		return fmt.Errorf("agent %s, predecessor %s: %w", r.agent, r.predecessor, err)
+	}
+	return nil
+}
+
+func logTimes(t *testing.T, all []*restart, predecessors []string) {
+	t.Helper()
+	const allowed = 10 * time.Second
 	inTime := 0
-	slices.SortFunc(all, func(a, b *start) int { return cmp.Compare(a.took, b.took) })
-	for _, s := range all {
-		if s.took <= within {
+	for _, r := range all {
+		if r.took <= allowed {
 			inTime++
 		}
 	}
-	for _, before := range befores {
-		for _, s := range slices.Backward(all) {
-			if s.before == before {
-				t.Logf("the one before %s: the slowest took %v", before, s.took.Round(time.Millisecond))
+	slices.SortFunc(all, func(a, b *restart) int { return cmp.Compare(a.took, b.took) })
+	for _, predecessor := range predecessors {
+		for _, r := range slices.Backward(all) {
+			if r.predecessor == predecessor {
+				t.Logf("predecessor %s: the slowest took %v", predecessor, r.took.Round(time.Millisecond))
 				break
 			}
 		}
 	}
-	t.Logf("%d of %d ready within %v", inTime, len(all), within)
+	t.Logf("%d of %d ready within %v", inTime, len(all), allowed)
 }
