--- a/internal/daemon/upgrade_predecessor.go
+++ b/internal/daemon/upgrade_predecessor.go
@@ -8,7 +8,6 @@
 	"io/fs"
 	"log/slog"
 	"net"
-	"os"
 	"sync"
 	"syscall"
 	"time"
@@ -18,241 +17,238 @@
 	"yardwinch/internal/retry"
 )
 
-// The sender of a hand-over: this process as the predecessor of one that takes over.
+// This process as the predecessor of one that takes over.
 
-// awaitSuccessors waits for a process that takes over from this one, again when one has gone. A folder that fails is tried again: until it
-// works no other process finds this one.
-func (p *Daemon) awaitSuccessors(ctx context.Context) {
-	waits := retry.Backoff{First: firstStoreRetry, Longest: longestStoreRetry}
-	for failed := false; ; {
-		listener, err := p.directory.Listen()
+// awaitSuccessors waits for processes that take over from this one, one after the other. A directory that fails is retried: until it works
+// no other process finds this one.
+func (d *Daemon) awaitSuccessors(ctx context.Context) {
+	backoff := retry.Backoff{First: firstStoreRetry, Longest: longestStoreRetry}
+	for failing := false; ctx.Err() == nil; {
+		listener, err := d.socket.Listen(ctx)
 		switch {
 		case err == nil:
-			failed = false
-			waits.Reset()
-			p.acceptSuccessors(ctx, listener)
+			failing = false
+			backoff.Reset()
+			d.acceptSuccessors(ctx, listener)
 		case !retry.IsTransient(err) && !errors.Is(err, fs.ErrNotExist):
-			slog.Error("no other process can take over from this one", "error", err)
+			slog.Error("no hand-over to a successor", "error", err)
 			return
 		default:
-			if !failed {
-				slog.Warn("no other process can take over from this one for now", "error", err)
+			if !failing {
+				slog.Warn("no hand-over to a successor for now", "error", err)
 			}
-			failed = true
-			_ = waits.Wait(ctx) // its end is seen below
-		}
-		if ctx.Err() != nil {
-			return
+			failing = true
+			_ = backoff.Wait(ctx) // fails as the context ends, which ends the loop
 		}
 	}
 }
 
-// acceptSuccessors deals with the processes that want to take over, until the socket where they find this one is another's.
-func (p *Daemon) acceptSuccessors(ctx context.Context, listener *net.UnixListener) {
-	stop := context.AfterFunc(ctx, func() { _ = listener.Close() })
-	defer stop()
+// acceptSuccessors serves the processes that want to take over, until the socket for them belongs to another process.
+func (d *Daemon) acceptSuccessors(ctx context.Context, listener *net.UnixListener) {
+	closeListener := func() { _ = listener.Close() } // fails only where it is closed already
+	defer context.AfterFunc(ctx, closeListener)()
 	var links sync.WaitGroup
+	defer links.Wait()
 	links.Go(func() {
 		for {
 			conn, err := listener.AcceptUnix()
 			if err != nil {
 				return
 			}
-			links.Go(func() { p.serveSuccessor(ctx, conn) })
+			links.Go(func() { d.serveSuccessor(ctx, conn) })
 		}
 	})
 	select {
 	case <-ctx.Done():
-	case <-p.relisten:
-		_ = listener.Close()
+	case <-d.relisten:
+		closeListener()
 	}
-	links.Wait()
 }
 
-// serveSuccessor deals with one process that wants to take over.
-func (p *Daemon) serveSuccessor(ctx context.Context, conn *net.UnixConn) {
+// serveSuccessor serves one process that wants to take over, until its link ends.
+func (d *Daemon) serveSuccessor(ctx context.Context, conn *net.UnixConn) {
+	linkCtx, endLink := context.WithCancel(ctx)
+	defer endLink()
 	var link *handover.Link
 	greeted := false
-	sending, stopSending := context.WithCancel(ctx)
-	defer stopSending()
 	link = handover.NewLink(conn, nil, map[string]handover.Handler{
-		messageHello: func(body []byte, _ []*os.File) (any, []syscall.Conn, error) {
-			later, err := p.answerGreeting(body)
+		messageHello: func(_ context.Context, request handover.Request) (handover.Response, error) {
+			later, err := d.answerGreeting(request)
 			greeted = err == nil && !later
-			return later, nil, err
+			return handover.Response{Body: later}, err
 		},
-		messageGetState: func([]byte, []*os.File) (any, []syscall.Conn, error) {
+		messageGetState: func(ctx context.Context, _ handover.Request) (handover.Response, error) {
 			if !greeted {
-				return nil, nil, errors.New("no greeting")
+				return handover.Response{}, errors.New("no greeting")
 			}
-			return p.sendState(link)
+			return d.sendState(ctx, link)
 		},
-		messageServing: func([]byte, []*os.File) (any, []syscall.Conn, error) {
-			if !p.isSuccessor(link) {
-				return nil, nil, errors.New("nothing was given")
+		messageServing: func(linkCtx context.Context, _ handover.Request) (handover.Response, error) {
+			if !d.isSuccessor(link) {
+				return handover.Response{}, errors.New("nothing was given")
 			}
-			p.releaseExplainer()
-			p.goroutines.Go(func() { p.sendUsage(sending, link) })
-			p.goroutines.Go(func() { p.sendConnections(sending, link) })
-			return nil, nil, nil
+			d.releaseExplain()
+			d.goroutines.Go(func() { d.sendUsage(linkCtx, link) })
+			d.goroutines.Go(func() { d.sendConnections(ctx, linkCtx, link) })
+			return handover.Response{}, nil
 		},
-		messageApplyChange: p.applyChange,
+		messageApplyChange: d.applyChange,
 	})
-	defer context.AfterFunc(ctx, link.Close)()
-	silent := time.AfterFunc(requestTimeout, func() { // whoever comes and says nothing
-		if !p.isSuccessor(link) {
+	silent := time.AfterFunc(requestTimeout, func() { // a process that connects and then doesn't take over
+		if !d.isSuccessor(link) {
 			link.Close()
 		}
 	})
 	defer silent.Stop()
-	if err := link.Run(); err != nil {
-		slog.Warn("hand-over broken off", "error", err)
+	if err := link.Run(linkCtx); err != nil {
+		slog.Warn("hand-over link failed", "error", err)
 	}
-	stopSending()
-	p.successorGone(link)
+	endLink()
+	d.onSuccessorGone(ctx, link)
 }
 
 // answerGreeting tells whether a process may take over from this one; later: not yet.
-func (p *Daemon) answerGreeting(body []byte) (later bool, err error) {
+func (d *Daemon) answerGreeting(request handover.Request) (later bool, err error) {
 	var hello handover.Hello
-	if err := json.Unmarshal(body, &hello); err != nil {
-		return false, err
+	if err := json.Unmarshal(request.Body, &hello); err != nil {
+		return false, fmt.Errorf("decode a greeting: %w", err)
 	}
-	if hello.Version != handover.Version || hello.Listen != p.listenAddress {
-		return false, fmt.Errorf("version %d for %s here, not %d for %s", handover.Version, p.listenAddress, hello.Version, hello.Listen)
+	if hello.Version != handover.Version || hello.Listen != d.listenAddress {
+		return false, fmt.Errorf("version %d for %s here, not %d for %s", handover.Version, d.listenAddress, hello.Version, hello.Listen)
 	}
-	p.changing.Lock()
-	defer p.changing.Unlock()
-	return p.predecessor != nil || p.successor != nil || p.currentPhase() == shuttingDown, nil
+	d.changing.Lock()
+	defer d.changing.Unlock()
+	return d.predecessor != nil || d.successor != nil || d.currentPhase() == shuttingDown, nil
 }
 
-// sendState stops the accepting and passes on what makes both processes one balancer. Until the link ends the successor decides.
-func (p *Daemon) sendState(link *handover.Link) (any, []syscall.Conn, error) {
-	p.changing.Lock()
-	defer p.changing.Unlock()
-	if p.predecessor != nil || p.successor != nil {
-		return nil, nil, errors.New("another process has it")
+// sendState stops accepting clients and hands over all that makes both processes one balancer. Until the link ends the successor decides.
+func (d *Daemon) sendState(ctx context.Context, link *handover.Link) (handover.Response, error) {
+	d.changing.Lock()
+	defer d.changing.Unlock()
+	if d.predecessor != nil || d.successor != nil {
+		return handover.Response{}, errors.New("another process has it")
 	}
-	p.mu.Lock()
-	since := p.drainingSince
-	p.mu.Unlock()
-	if !p.transition(handingOver) {
-		return nil, nil, fmt.Errorf("%s", p.currentPhase())
+	d.mu.Lock()
+	drainingSince := d.drainingSince
+	d.mu.Unlock()
+	if !d.transition(ctx, handingOver) {
+		return handover.Response{}, fmt.Errorf("%s", d.currentPhase())
 	}
-	p.successor = link
-	p.disabled.release()
-	p.listener.Pause()
+	d.successor = link
+	ctx = context.WithoutCancel(ctx) // from here on the hand-over is completed, whether or not the successor still wants it
+	d.disabled.release(ctx)
+	d.listener.Pause()
 	state := handover.State{
 		Version:      handover.Version,
-		OutOfService: !since.IsZero(),
-		Connections:  p.usedDescriptors(),
+		OutOfService: !drainingSince.IsZero(),
+		Connections:  d.descriptorsInUse(),
 		Files:        []string{clientsSocket},
 	}
 	if state.OutOfService {
-		state.DrainingFor = time.Since(since)
+		state.DrainingFor = time.Since(drainingSince)
 	}
-	sockets := []syscall.Conn{p.listener}
-	if explainer, ok := p.explainer.(syscall.Conn); ok {
+	sockets := []syscall.Conn{d.listener}
+	if explainListener, ok := d.explainListener.(syscall.Conn); ok {
 		state.Files = append(state.Files, explainSocket)
-		sockets = append(sockets, explainer)
+		sockets = append(sockets, explainListener)
 	}
-	state.IDsKey, state.IDs = p.frontend.ShareIDs(func(hash uint64) (taken bool) { return claimID(link, hash) })
-	state.DiscoveryAddress, state.Revision = p.discovery.Position()
-	p.router.SetHandedOver(true) // before the state is taken: nothing is spent in between
-	state.Router = p.router.Snapshot()
-	p.setMemoryGoal(bothProcesses)
-	return state, sockets, nil
+	state.IDsKey, state.IDs = d.frontend.ShareIDs(func(hash uint64) (taken bool) { return claimID(ctx, link, hash) })
+	state.DiscoveryAddress, state.Revision = d.discovery.Position()
+	d.router.SetHandedOver(true) // before the snapshot, so that no quota is spent in between
+	state.Router = d.router.Snapshot()
+	d.setMemoryGoal(bothProcesses)
+	return handover.Response{Body: state, Descriptors: sockets}, nil
 }
 
-// claimID asks the successor for an id. Where it says nothing in time the id counts as free: nobody else will say.
-func claimID(link *handover.Link, hash uint64) (taken bool) {
-	ctx, done := context.WithTimeout(context.Background(), claimTimeout)
+// claimID asks the successor for an id. Without a reply in time the id counts as free: nobody else knows.
+func claimID(ctx context.Context, link *handover.Link, hash uint64) (taken bool) {
+	ctx, done := context.WithTimeout(ctx, claimTimeout)
 	defer done()
-	_, err := link.Ask(messageClaimID, hash)(ctx, &taken)
+	_, err := link.Request(messageClaimID, hash).Wait(ctx, &taken)
 	return err == nil && taken
 }
 
 // isSuccessor tells whether the process at the other end has taken over.
-func (p *Daemon) isSuccessor(link *handover.Link) bool {
-	p.changing.Lock()
-	defer p.changing.Unlock()
-	return p.successor == link
+func (d *Daemon) isSuccessor(link *handover.Link) bool {
+	d.changing.Lock()
+	defer d.changing.Unlock()
+	return d.successor == link
 }
 
-// successorGone is the end of a process that took over, or began to: this one is what it was, with the changes made since. One
-// told to end meanwhile still ends.
-func (p *Daemon) successorGone(link *handover.Link) {
-	p.changing.Lock()
-	defer p.changing.Unlock()
-	if p.successor != link {
+// onSuccessorGone takes in that a process that took over, or began to, has ended: this one serves again, with the changes made since. One
+// told to stop meanwhile still stops.
+func (d *Daemon) onSuccessorGone(ctx context.Context, link *handover.Link) {
+	d.changing.Lock()
+	defer d.changing.Unlock()
+	if d.successor != link {
 		return
 	}
-	p.successor = nil
-	p.frontend.ShareIDs(nil)
-	p.setMemoryGoal(oneProcess)
-	if !p.transition(p.phaseWithoutSuccessor()) {
+	d.successor = nil
+	d.frontend.ShareIDs(nil)
+	d.setMemoryGoal(oneProcess)
+	if !d.transition(ctx, d.phaseWithoutSuccessor()) {
 		return
 	}
-	slog.Warn("the successor has ended: serving again")
-	p.disabled.requestSave()
-	p.router.SetHandedOver(false)
-	p.listener.Resume()
+	slog.Warn("successor ended, serving again")
+	d.disabled.requestSave()
+	d.router.SetHandedOver(false)
+	d.listener.Resume()
 	select {
-	case p.relisten <- struct{}{}:
+	case d.relisten <- struct{}{}:
 	default:
 	}
 }
 
-// releaseExplainer closes what the successor reads from now on: both would get a part of it.
-func (p *Daemon) releaseExplainer() {
-	if unix, ok := p.explainer.(*net.UnixListener); ok {
-		unix.SetUnlinkOnClose(false)
-		_ = unix.Close()
+// releaseExplain closes the socket for explain, on which the successor answers from now on: each question reaches only one of the processes.
+func (d *Daemon) releaseExplain() {
+	if listener, ok := d.explainListener.(*net.UnixListener); ok {
+		listener.SetUnlinkOnClose(false)
+		_ = listener.Close() // fails only where it is closed already
 	}
 }
 
-// applyChange does what the successor decided.
-func (p *Daemon) applyChange(body []byte, _ []*os.File) (any, []syscall.Conn, error) {
+// applyChange makes a change that the successor decided on.
+func (d *Daemon) applyChange(ctx context.Context, request handover.Request) (handover.Response, error) {
 	var change handover.Change
-	if err := json.Unmarshal(body, &change); err != nil {
-		return nil, nil, err
+	if err := json.Unmarshal(request.Body, &change); err != nil {
+		return handover.Response{}, fmt.Errorf("decode a change: %w", err)
 	}
-	p.changing.Lock()
-	defer p.changing.Unlock()
+	d.changing.Lock()
+	defer d.changing.Unlock()
 	switch change.Kind {
 	case handover.Offline:
-		p.router.DisableAll([]string{change.Server})
+		d.router.DisableAll([]string{change.Server})
 	case handover.Online:
-		_ = p.router.SetDisabled(change.Server, false) // one unknown here is not out
+		_ = d.router.SetDisabled(change.Server, false) // a server unknown here is not disabled either
 	case handover.OutOfService, handover.InService:
-		p.applyService(change.Kind == handover.InService)
+		d.applyService(ctx, change.Kind == handover.InService)
 	}
-	return nil, nil, nil
+	return handover.Response{}, nil
 }
 
-// applyService goes out of service or back into it, while the successor serves.
-func (p *Daemon) applyService(in bool) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+// applyService goes out of service, or back into it, while the successor serves.
+func (d *Daemon) applyService(ctx context.Context, inService bool) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
 	switch {
-	case p.phase != handingOver:
-	case in:
-		p.drainingSince = time.Time{}
-	case p.drainingSince.IsZero():
-		p.drainingSince = time.Now()
-		p.startDrain(p.inPhase, 0)
+	case d.phase != handingOver:
+	case inService:
+		d.drainingSince = time.Time{}
+	case d.drainingSince.IsZero():
+		d.drainingSince = time.Now()
+		d.startDrain(ctx, 0)
 	}
 }
 
-// sendUsage tells the successor how many descriptors are in use here.
-func (p *Daemon) sendUsage(ctx context.Context, link *handover.Link) {
+// sendUsage tells the successor how many descriptors are in use here, at each change.
+func (d *Daemon) sendUsage(ctx context.Context, link *handover.Link) {
 	ticker := time.NewTicker(usageInterval)
 	defer ticker.Stop()
 	for last := -1; ; {
-		if used := p.usedDescriptors(); used != last {
+		if used := d.descriptorsInUse(); used != last {
 			last = used
-			if link.Say(messageDescriptorUsage, used) != nil {
-				return
+			if link.Notify(messageDescriptorUsage, used) != nil {
+				return // the link has ended
 			}
 		}
 		select {
@@ -265,26 +261,27 @@
 	}
 }
 
-// sendConnections passes standing connections on. An answer is waited for without an end but the link's: given up on, a connection
-// could be gone on with by both.
-func (p *Daemon) sendConnections(ctx context.Context, link *handover.Link) {
-	send := func(standing protocol.EstablishedConnection, client, server syscall.Conn) bool {
-		_, err := link.Ask(messageTransfer, standing, client, server)(context.WithoutCancel(ctx), nil)
-		return err == nil || p.ctx.Err() != nil // at our own end it is not known; the successor may go on with it
+// sendConnections transfers established connections until the link ends. There is no timeout for a reply: the successor may go on with a
+// connection whose reply is late, and both would.
+func (d *Daemon) sendConnections(processCtx, linkCtx context.Context, link *handover.Link) {
+	replyCtx := context.WithoutCancel(linkCtx)
+	transfer := func(connection protocol.EstablishedConnection, client, server syscall.Conn) bool {
+		_, err := link.Request(messageTransfer, connection, client, server).Wait(replyCtx, nil)
+		return err == nil || processCtx.Err() != nil // as this process ends a reply may be lost: the successor may go on with it
 	}
 	for total := 0; ; {
-		sent, tried := p.frontend.TransferConnections(ctx, send)
+		sent, attempted := d.frontend.TransferConnections(linkCtx, transfer)
 		total += sent
 		if sent > 0 {
-			slog.Info("connections handed over", "number", total, "still here", p.frontend.ConnectionCount())
+			slog.Info("connections handed over", "connections", total, "remaining", d.frontend.ConnectionCount())
 		}
-		if sent == 0 && tried > 0 { // whatever stands in the way stands there for the next as well
+		if sent == 0 && attempted > 0 { // the reason would hold for the next as well
 			return
 		}
 		select {
-		case <-ctx.Done():
+		case <-linkCtx.Done():
 			return
-		case <-time.After(resendInterval):
+		case <-time.After(transferRetryPeriod):
 		}
 	}
 }
--- a/internal/daemon/upgrade_test.go
+++ b/internal/daemon/upgrade_test.go
@@ -1,10 +1,12 @@
 package daemon
 
 import (
+	"bufio"
 	"errors"
 	"fmt"
 	"io"
 	"net"
+	"net/http"
 	"os"
 	"path/filepath"
 	"strings"
@@ -12,328 +14,334 @@
 	"time"
 
 	"yardwinch/internal/handover"
+	"yardwinch/internal/store"
 )
 
-// successor is a second process's part of the rig: the same addresses but for the staff's, and the same folder.
-func (g *harness) successor() *harness {
-	n := *g
-	n.adminAddress = reservedAddress(g.t)
-	n.path = filepath.Join(g.t.TempDir(), "config.json")
-	n.config = strings.Replace(g.config, g.adminAddress, n.adminAddress, 1)
-	if err := os.WriteFile(n.path, []byte(n.config), 0o600); err != nil {
-		g.t.Fatal(err)
-	}
-	return &n
+// successor is a second process's part of the harness: the same addresses but for the operators', and the same directory.
+func (h *harness) successor() *harness {
+	h.t.Helper()
+	next := *h
+	next.adminAddress = reservedAddress(h.t)
+	next.path = filepath.Join(h.t.TempDir(), "config.json")
+	next.config = strings.Replace(h.config, h.adminAddress, next.adminAddress, 1)
+	writeConfig(h.t, next.path, next.config)
+	return &next
 }
 
-func directoryEnvironment(t *testing.T) func(string) string {
-	dir := t.TempDir()
-	return func(name string) string { return map[string]string{"TMPDIR": dir}[name] }
+// directoryEnvironment is an environment whose TMPDIR is a directory of the test's own.
+func directoryEnvironment(t *testing.T) func(name string) string {
+	t.Helper()
+	directory := t.TempDir()
+	return func(name string) string { return map[string]string{"TMPDIR": directory}[name] }
 }
 
-// A call at either process binds both before its yes, the new one keeps what the old one was told, and
-// whoever stands notices nothing, within a line or between two.
-func TestUpgrade(t *testing.T) {
-	env := directoryEnvironment(t)
-	old := newHarness(t).start(env)
-	held, up := old.openFlow()
-	client := old.lastClient
-	say := func(part, want string) {
-		t.Helper()
-		if _, err := io.WriteString(client, part); err != nil {
-			t.Error(err)
-		}
-		if want == "" {
-			return
-		}
-		if got, err := held.ReadString('\n'); got != want {
-			t.Errorf("the standing client hears %q, %v, want %q", got, err, want)
-		}
+func openSocket(t *testing.T, root, listenAddress string) *handover.Socket {
+	t.Helper()
+	directory, err := store.Open(root, listenAddress)
+	if err != nil {
+		t.Fatal(err)
 	}
-	say("M 1\r\n", "M 1\r\n")
-	say("M 2 and", "") // quiet within a line
-	if up != "UP 1" {
-		t.Fatalf("before: %q", up)
+	return handover.NewSocket(directory)
+}
+
+// connectLink is the link of a process that wants to take over.
+func connectLink(t *testing.T, socket *handover.Socket) *handover.Link {
+	t.Helper()
+	conn, err := socket.Connect(t.Context())
+	if err != nil || conn == nil {
+		t.Fatalf("%v, %v", conn, err)
 	}
-	old.wantStatus("POST", "servers/a/offline", 200)
-	fresh := old.successor().start(env)
-	old.wantStatus("GET", "ready", 503)
-	if _, got := fresh.openFlow(); got != "BUSY 700" {
-		t.Errorf("a server out by hand before the upgrade: %q", got)
+	link := handover.NewLink(conn, nil, nil)
+	go func() { _ = link.Run(t.Context()) }() // what it ends with shows in the replies
+	t.Cleanup(link.Close)
+	return link
+}
+
+func (h *harness) hasPredecessor() bool {
+	h.daemon.changing.Lock()
+	defer h.daemon.changing.Unlock()
+	return h.daemon.predecessor != nil
+}
+
+func (h *harness) awaitPredecessorGone() {
+	h.t.Helper()
+	awaitThat(h.t, "the predecessor is gone", func() bool { return !h.hasPredecessor() })
+}
+
+// talkingClient is a client that sends parts of lines through its flow, and reads whole ones.
+type talkingClient struct {
+	t    *testing.T
+	conn net.Conn
+	in   *bufio.Reader
+}
+
+func (c *talkingClient) send(part string) {
+	c.t.Helper()
+	if _, err := io.WriteString(c.conn, part); err != nil {
+		c.t.Error(err)
 	}
+}
+
+func (c *talkingClient) want(line string) {
+	c.t.Helper()
+	if got, err := c.in.ReadString('\n'); got != line {
+		c.t.Errorf("the client receives %q, %v, want %q", got, err, line)
+	}
+}
+
+// An operator's call at either process binds both before its answer, the successor keeps what the predecessor was told, and established clients
+// notice nothing, within a line or between two.
+func TestUpgrade(t *testing.T) {
+	environment := directoryEnvironment(t)
+	old := newHarness(t).start(environment)
+	client := &talkingClient{t: t, in: old.wantFlow("before", "UP 1"), conn: old.lastClient}
+	client.send("M 1\r\n")
+	client.want("M 1\r\n")
+	client.send("M 2 and") // a pause within a line
+	old.wantStatus("POST", "servers/a/offline", http.StatusOK)
+	fresh := old.successor().start(environment)
+	old.wantStatus("GET", "ready", http.StatusServiceUnavailable)
+	fresh.wantFlow("with its server disabled before the upgrade", "BUSY 700")
 	if _, got := fresh.openWith(fmt.Sprintf("OPEN %p-1 2 c=live,d=800", old)); !strings.HasPrefix(got, "ERR this id") {
-		t.Errorf("an id taken at the old process: %q", got)
+		t.Errorf("an id taken at the predecessor: %q", got)
 	}
+	wantCallsBindBoth(t, old, fresh)
+	old.end()
+	client.send(" more\r\nM 3\r\n")
+	client.want("M 2 and more\r\n")
+	client.want("M 3\r\n")
+	awaitThat(t, "rejected clients are gone", func() bool { return fresh.daemon.frontend.ConnectionCount() == 1 })
+	fresh.wantStatus("POST", "servers/a/online", http.StatusOK)
+	fresh.awaitFlow()
+	fresh.awaitPredecessorGone()
+	third := fresh.successor().start(environment)
+	fresh.end()
+	client.send("M 4\r\n")
+	client.want("M 4\r\n")
+	third.end()
+	wantMigration(t, client.in)
+}
+
+// wantCallsBindBoth makes calls at either of two processes, and checks that both have made them. At the end the server is disabled.
+func wantCallsBindBoth(t *testing.T, old, fresh *harness) {
+	t.Helper()
 	for _, at := range []*harness{old, fresh} {
-		at.wantStatus("POST", "servers/b/online", 404)
+		at.wantStatus("POST", "servers/b/online", http.StatusNotFound)
 		for _, call := range []string{"online", "offline"} {
-			at.wantStatus("POST", "servers/a/"+call, 200)
-			for _, p := range []*Daemon{old.daemon, fresh.daemon} {
-				if out, _ := p.router.IsDisabled("a"); out != (call == "offline") {
-					t.Errorf("%s at one process leaves it out at the other: %v", call, out)
+			at.wantStatus("POST", "servers/a/"+call, http.StatusOK)
+			for _, d := range []*Daemon{old.daemon, fresh.daemon} {
+				if disabled, _ := d.router.IsDisabled("a"); disabled != (call == "offline") {
+					t.Errorf("%s at one process leaves it disabled at the other: %v", call, disabled)
 				}
 			}
 		}
 	}
-	old.end()
-	say(" more\r\nM 3\r\n", "M 2 and more\r\n")
-	say("", "M 3\r\n")
-	for fresh.daemon.frontend.ConnectionCount() != 1 { // those turned away linger for a moment
-		time.Sleep(time.Millisecond)
-	}
-	fresh.wantStatus("POST", "servers/a/online", 200)
-	for end := time.Now().Add(10 * time.Second); ; time.Sleep(10 * time.Millisecond) {
-		if _, got := fresh.openFlow(); got == "UP 1" {
-			break
-		} else if time.Now().After(end) {
-			t.Fatalf("the server given back: %q", got)
-		}
-	}
-	for fresh.hasPredecessor() {
-		time.Sleep(time.Millisecond)
-	}
-	third := fresh.successor().start(env)
-	fresh.end()
-	say("M 4\r\n", "M 4\r\n")
-	third.end()
-	if got := restOfStream(held); got != "MOVE" {
-		t.Errorf("at the end of the last process the client hears %q", got)
-	}
 }
 
-func (g *harness) hasPredecessor() bool {
-	g.daemon.changing.Lock()
-	defer g.daemon.changing.Unlock()
-	return g.daemon.predecessor != nil
-}
-
-// An id that the old process meets after the state was sent is asked for at the new one.
+// An id that the predecessor meets after it handed over is checked at the successor.
 func TestIDsDuringUpgrade(t *testing.T) {
-	env := directoryEnvironment(t)
-	old := newHarness(t).start(env)
-	fresh := old.successor().start(env)
+	environment := directoryEnvironment(t)
+	old := newHarness(t).start(environment)
+	fresh := old.successor().start(environment)
 	id := fmt.Sprintf("%p-x", old)
 	if _, got := fresh.openWith("OPEN " + id + " 2 c=live,d=800"); got != "UP 1" {
-		t.Fatalf("at the new process: %q", got)
+		t.Fatalf("at the successor: %q", got)
 	}
-	if free := old.daemon.frontend.ClaimID(id); free {
-		t.Error("an id taken at the new process is free at the old one")
+	if isFree := old.daemon.frontend.ClaimID(id); isFree {
+		t.Error("an id taken at the successor is free at the predecessor")
 	}
-	if free := old.daemon.frontend.ClaimID(id + "y"); !free {
+	if isFree := old.daemon.frontend.ClaimID(id + "y"); !isFree {
 		t.Error("an id that nobody has is taken")
 	}
 	old.end()
 	fresh.end()
 }
 
-// Who dies when: a new process that goes before it serves, and one that goes after; the old one then serves as if nothing
-// had been, with what was called since.
+// A successor that ends before it serves, or after, leaves the predecessor serving as before, with the changes made since.
 func TestSuccessorDies(t *testing.T) {
-	env := directoryEnvironment(t)
-	old := newHarness(t).start(env)
-	f, err := handover.Open(env("TMPDIR"), old.listenAddress)
-	if err != nil {
-		t.Fatal(err)
-	}
-	for _, steps := range [][]string{{}, {"hello"}, {"hello", "give"}, {"hello", "give", "have"}} {
+	environment := directoryEnvironment(t)
+	old := newHarness(t).start(environment)
+	socket := openSocket(t, environment("TMPDIR"), old.listenAddress)
+	for _, steps := range [][]string{
+		{},
+		{messageHello},
+		{messageHello, messageGetState},
+		{messageHello, messageGetState, messageServing},
+	} {
 		t.Run(strings.Join(steps, " "), func(t *testing.T) {
-			c, err := f.Find()
-			if err != nil || c == nil {
-				t.Fatalf("%v, %v", c, err)
-			}
-			l := handover.NewLink(c, nil, nil)
-			go func() { _ = l.Run() }()
-			for _, s := range steps {
-				files, err := l.Ask(s, handover.Hello{Version: handover.Version, Listen: old.listenAddress})(t.Context(), nil)
+			link := connectLink(t, socket)
+			for _, step := range steps {
+				hello := handover.Hello{Version: handover.Version, Listen: old.listenAddress}
+				files, err := link.Request(step, hello).Wait(t.Context(), nil)
 				if err != nil {
-					t.Fatal(s, err)
+					t.Fatal(step, err)
 				}
-				for _, x := range files {
-					_ = x.Close()
+				for _, file := range files {
+					_ = file.Close()
 				}
 			}
-			if len(steps) > 1 && old.daemon.currentPhase() != handingOver {
-				t.Errorf("phase %s", old.daemon.currentPhase())
-			}
-			l.Close()
-			old.awaitStatus("GET", "ready", 200)
-			if _, got := old.openFlow(); got != "UP 1" {
-				t.Errorf("a flow afterwards: %q", got)
+			if now := old.daemon.currentPhase(); len(steps) > 1 && now != handingOver {
+				t.Errorf("phase %s", now)
 			}
+			link.Close()
+			old.awaitStatus("GET", "ready", http.StatusOK)
+			old.wantFlow("afterwards", "UP 1")
 		})
 	}
-	fresh := old.successor().start(env)
-	old.awaitStatus("GET", "ready", 503)
-	fresh.wantStatus("POST", "out-of-service", 200)
+	fresh := old.successor().start(environment)
+	old.awaitStatus("GET", "ready", http.StatusServiceUnavailable)
+	fresh.wantStatus("POST", "out-of-service", http.StatusOK)
 	fresh.end()
-	old.awaitStatus("GET", "ready", 200)
-	if got := old.daemon.currentPhase(); got != draining && got != drained {
-		t.Errorf("phase %s after a call out of service at the process that died", got)
+	old.awaitStatus("GET", "ready", http.StatusOK)
+	if now := old.daemon.currentPhase(); now != draining && now != drained {
+		t.Errorf("phase %s after a call out of service at the process that died", now)
 	}
-	old.wantStatus("POST", "in-service", 200)
-	again := old.successor().start(env) // it is found again
+	old.wantStatus("POST", "in-service", http.StatusOK)
+	next := old.successor().start(environment) // it finds the predecessor again
 	old.end()
-	again.end()
+	next.end()
 }
 
-// Out of service holds over an upgrade, and a call while there are two empties both.
+// Out of service holds over an upgrade, and a call during one concerns both processes.
 func TestUpgradeOutOfService(t *testing.T) {
-	env := directoryEnvironment(t)
-	old := newHarness(t).start(env)
-	held, _ := old.openFlow()
-	old.wantStatus("POST", "out-of-service", 200)
-	fresh := old.successor().start(env)
-	if is := fresh.daemon.currentPhase(); is != draining && is != drained {
-		t.Errorf("the new process is %s", is)
-	}
-	if got := restOfStream(held); got != "MOVE" {
-		t.Errorf("a client of the old one hears %q", got)
-	}
-	old.wantStatus("POST", "in-service", 200)
-	if _, got := fresh.openWith("PING"); got != "PONG" {
-		t.Errorf("back in service: %q", got)
-	}
+	environment := directoryEnvironment(t)
+	old := newHarness(t).start(environment)
+	client, _ := old.openFlow()
+	old.wantStatus("POST", "out-of-service", http.StatusOK)
+	fresh := old.successor().start(environment)
+	if now := fresh.daemon.currentPhase(); now != draining && now != drained {
+		t.Errorf("the successor is %s", now)
+	}
+	wantMigration(t, client)
+	old.wantStatus("POST", "in-service", http.StatusOK)
+	fresh.wantPing("PONG")
 	old.end()
 	fresh.end()
 }
 
-// Who is out by hand outlasts a killed process, and a folder that is none costs nothing but that.
+// Disabled servers survive a process, and a directory that is missing costs nothing but that.
 func TestDisabledServersSurviveKill(t *testing.T) {
-	env := directoryEnvironment(t)
-	old := newHarness(t).start(env)
-	old.wantStatus("POST", "servers/a/offline", 200)
+	environment := directoryEnvironment(t)
+	root := environment("TMPDIR")
+	old := newHarness(t).start(environment)
+	old.wantStatus("POST", "servers/a/offline", http.StatusOK)
 	old.end()
-	fresh := old.successor().start(env)
-	if _, got := fresh.openFlow(); got != "BUSY 700" {
-		t.Errorf("a server out by hand before the end: %q", got)
-	}
-	if err := os.RemoveAll(env("TMPDIR")); err != nil {
+	fresh := old.successor().start(environment)
+	fresh.wantFlow("with its server disabled before the end", "BUSY 700")
+	if err := os.RemoveAll(root); err != nil {
 		t.Fatal(err)
 	}
-	fresh.wantStatus("POST", "servers/a/online", 200) // in force, whether or not it could be kept
-	if out, _ := fresh.daemon.router.IsDisabled("a"); out {
+	fresh.wantStatus("POST", "servers/a/online", http.StatusOK) // in force, whether or not it could be saved
+	if disabled, _ := fresh.daemon.router.IsDisabled("a"); disabled {
 		t.Error("a call answered yes took no effect")
 	}
 	if got := fresh.daemon.disabled.fault(); !strings.HasSuffix(got, "0 servers out by hand are held in memory alone") {
-		t.Errorf("beside a folder that fails the state is %q", got)
+		t.Errorf("while the directory fails the fault is %q", got)
 	}
-	fresh.wantStatus("POST", "servers/a/offline", 200)
-	if err := os.Mkdir(env("TMPDIR"), 0o700); err != nil {
+	fresh.wantStatus("POST", "servers/a/offline", http.StatusOK)
+	if err := os.Mkdir(root, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	fresh.awaitSaved(env("TMPDIR"), "a")
+	fresh.awaitSaved(root, "a")
 	fresh.end()
-	if err := os.RemoveAll(env("TMPDIR")); err != nil {
+	if err := os.RemoveAll(root); err != nil {
 		t.Fatal(err)
 	}
-	alone := fresh.successor().start(env)
-	alone.wantStatus("POST", "servers/a/offline", 200)
+	alone := fresh.successor().start(environment)
+	alone.wantStatus("POST", "servers/a/offline", http.StatusOK)
 	alone.end()
 }
 
-// Whoever does not speak as a process of this balancer gets nothing, and costs the one that serves nothing.
+// A process that is not one of this balancer gets nothing, and costs the one that serves nothing.
 func TestHandoverRejectsStrangers(t *testing.T) {
-	env := directoryEnvironment(t)
-	g := newHarness(t).start(env)
-	f, err := handover.Open(env("TMPDIR"), g.listenAddress)
-	if err != nil {
-		t.Fatal(err)
-	}
-	hello := handover.Hello{Version: handover.Version, Listen: g.listenAddress}
+	environment := directoryEnvironment(t)
+	h := newHarness(t).start(environment)
+	socket := openSocket(t, environment("TMPDIR"), h.listenAddress)
+	hello := handover.Hello{Version: handover.Version, Listen: h.listenAddress}
 	for _, c := range []struct {
 		name, kind string
 		body       any
 	}{
-		{"a later version", "hello", handover.Hello{Version: handover.Version + 1, Listen: g.listenAddress}},
-		{"another address", "hello", handover.Hello{Version: handover.Version, Listen: "127.0.0.1:1"}},
-		{"no greeting", "give", hello},
-		{"nothing given yet", "have", hello},
-		{"what nobody asks", "what", hello},
+		{"a later version", messageHello, handover.Hello{Version: handover.Version + 1, Listen: h.listenAddress}},
+		{"another address", messageHello, handover.Hello{Version: handover.Version, Listen: "127.0.0.1:1"}},
+		{"no greeting", messageGetState, hello},
+		{"no state yet", messageServing, hello},
+		{"an unknown kind", "what", hello},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			conn, err := f.Find()
-			if err != nil || conn == nil {
-				t.Fatalf("%v, %v", conn, err)
-			}
-			l := handover.NewLink(conn, nil, nil)
-			go func() { _ = l.Run() }()
-			if _, err := l.Ask(c.kind, c.body)(t.Context(), nil); !errors.Is(err, handover.ErrRefused) {
+			link := connectLink(t, socket)
+			if _, err := link.Request(c.kind, c.body).Wait(t.Context(), nil); !errors.Is(err, handover.ErrRefused) {
 				t.Errorf("answered %v", err)
 			}
-			l.Close()
 		})
 	}
-	conn, err := f.Find()
+	conn, err := socket.Connect(t.Context())
 	if err != nil || conn == nil {
 		t.Fatalf("%v, %v", conn, err)
 	}
 	_, _ = conn.Write([]byte("GET / HTTP/1.1\r\n\r\n"))
-	_, _ = io.Copy(io.Discard, conn) // it is sent away
+	_, _ = io.Copy(io.Discard, conn) // until the other end closes it
 	_ = conn.Close()
-	if is := g.daemon.currentPhase(); is != serving {
-		t.Errorf("phase %s", is)
+	if now := h.daemon.currentPhase(); now != serving {
+		t.Errorf("phase %s", now)
+	}
+	h.wantFlow("afterwards", "UP 1")
+	h.end()
+}
+
+// connectedTCP is a connection from both ends; the near one is a descriptor, as it passes from process to process.
+func connectedTCP(t *testing.T, listener net.Listener) (near *os.File, far net.Conn) {
+	t.Helper()
+	far = dial(t, listener.Addr().String())
+	conn, err := listener.Accept()
+	if err != nil {
+		t.Fatal(err)
 	}
-	if _, got := g.openFlow(); got != "UP 1" {
-		t.Errorf("a flow afterwards: %q", got)
+	defer func() { _ = conn.Close() }() // the descriptor is a copy
+	if near, err = conn.(*net.TCPConn).File(); err != nil {
+		t.Fatal(err)
 	}
-	g.end()
+	t.Cleanup(func() { _ = near.Close() })
+	return near, far
 }
 
-// A new process that took a connection and ends before its answer is written has touched nothing of it: the old one, which goes on
-// with it, reads every byte itself.
+// A successor that got a connection and ends before its reply is sent has read nothing of it: the predecessor, which goes on with it, reads
+// every byte itself.
 func TestTransferReadsNothingBeforeReply(t *testing.T) {
-	g := newHarness(t).start(directoryEnvironment(t))
-	defer g.end()
-	l := listenLocal(t)
-	both := func() (near *os.File, far net.Conn) {
-		far, err := net.Dial("tcp", l.Addr().String())
-		if err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(func() { far.Close() })
-		c, err := l.Accept()
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer c.Close()
-		if near, err = c.(*net.TCPConn).File(); err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(func() { near.Close() })
-		return near, far
-	}
+	h := newHarness(t).start(directoryEnvironment(t))
+	defer h.end()
+	listener := listenLocal(t)
 	for i := range 20 {
-		client, from := both()
-		server, _ := both()
+		clientFile, client := connectedTCP(t, listener)
+		serverFile, _ := connectedTCP(t, listener)
 		body := fmt.Sprintf(`{"facts":{"id":"c%d","service":"live","key":"2"},"at":"a"}`, i)
-		answer, _, err := g.daemon.receiveConnection([]byte(body), []*os.File{client, server})
+		response, err := h.daemon.receiveConnection(t.Context(), handover.Request{Body: []byte(body), Files: []*os.File{clientFile, serverFile}})
 		if err != nil {
 			t.Fatal(err)
 		}
-		old, err := net.FileConn(client) // the old process's own
+		old, err := net.FileConn(clientFile) // the predecessor's own
 		if err != nil {
 			t.Fatal(err)
 		}
-		_ = old.SetDeadline(time.Now().Add(10 * time.Second)) // a test that hangs is to fail
-		if _, err := io.WriteString(from, "M 1\r\n"); err != nil {
-			t.Fatal(err)
-		}
-		got := make([]byte, 5)
-		if _, err := io.ReadFull(old, got); err != nil || string(got) != "M 1\r\n" {
-			t.Fatalf("connection %d: the old process reads %q, %v", i, got, err)
+		_ = old.SetDeadline(time.Now().Add(testTimeout))
+		wantPassed(t, client, old, "M 1\r\n")
+		response.AfterSend(false)
+		if n := h.daemon.frontend.ConnectionCount(); n != 0 {
+			t.Fatalf("connection %d: %d are served after all", i, n)
 		}
-		if lost, ok := answer.(handover.After); ok {
-			lost(false)
-		}
-		if n := g.daemon.frontend.ConnectionCount(); n != 0 {
-			t.Fatalf("connection %d: %d held after all", i, n)
-		}
-		if _, err := io.WriteString(old, "M 2\r\n"); err != nil { // giving up ended neither side
-			t.Fatal(err)
-		}
-		if _, err := io.ReadFull(from, got); err != nil || string(got) != "M 2\r\n" {
-			t.Fatalf("connection %d: the client hears %q, %v", i, got, err)
-		}
-		old.Close()
+		wantPassed(t, old, client, "M 2\r\n") // dropping it ended neither side
+		_ = old.Close()
+	}
+}
+
+// wantPassed sends a line on one end of a connection and checks that the other end reads it.
+func wantPassed(t *testing.T, from, to net.Conn, line string) {
+	t.Helper()
+	if _, err := io.WriteString(from, line); err != nil {
+		t.Fatal(err)
+	}
+	got := make([]byte, len(line))
+	if _, err := io.ReadFull(to, got); err != nil || string(got) != line {
+		t.Fatalf("read %q, %v, want %q", got, err, line)
 	}
 }
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -13,57 +13,82 @@
 	"yardwinch/internal/routing"
 )
 
+// closed is a constraint that admits no flow.
 type closed struct{ constraints.Unconstrained }
 
 func (closed) Name() string                               { return "closed" }
 func (closed) AdmitFlow(decide.FlowID) constraints.Reason { return "after hours" }
 
-func TestAskARunningBalancer(t *testing.T) {
-	r := routing.New(1, time.Second, false, false, []constraints.Constraint{closed{}}, func(b *decide.Balancer) (map[string]decide.ServiceID, map[string]decide.CustomerID) {
+func newClosedRouter() *routing.Router {
+	return routing.New(1, time.Second, false, false, []constraints.Constraint{closed{}}, func(b *decide.Balancer) (map[string]decide.ServiceID, map[string]decide.CustomerID) {
 		b.ConfigureFlows(1, time.Second)
 		b.AddService(decide.ServiceType{Effect: decide.Idempotent, Deduplication: decide.DeduplicatedByFleet, SetupTarget: time.Second, RetryWindow: time.Second, Value: 1})
 		b.ConfigureSlowStart(decide.SlowStart{InitialCapacity: 1, OverloadMultiple: 1, Balancers: 1})
 		return map[string]decide.ServiceID{"x": 0}, nil
 	})
-	path := filepath.Join(t.TempDir(), "s")
-	l, err := Listen(path)
+}
+
+// serveAt answers on a socket until the test ends.
+func serveAt(t *testing.T, path string, server Server) {
+	t.Helper()
+	listener, err := Listen(t.Context(), path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Listen(path); err == nil {
-		t.Error("a second balancer took the socket over")
-	}
-	ctx, cancel := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() {
-		Serve(ctx, l, r, func() Process { return Process{Phase: "serving", Processes: "two"} }, nil)
+		server.Serve(ctx, listener)
 		close(done)
 	}()
-	defer func() { cancel(); <-done }()
-	if _, err := r.OpenFlow("abc", "x", "", "", "g", time.Second, 0); err != nil {
+	t.Cleanup(func() {
+		cancel()
+		<-done
+	})
+}
+
+func TestExplainRunningBalancer(t *testing.T) {
+	const reason = "closed: after hours"
+	router := newClosedRouter()
+	path := filepath.Join(t.TempDir(), "s")
+	serveAt(t, path, Server{Router: router, Process: func() Process { return Process{Phase: "serving", Processes: "two"} }})
+	if _, err := Listen(t.Context(), path); err == nil {
+		t.Error("a second balancer replaced the socket")
+	}
+	if _, err := router.OpenFlow("abc", "x", "", "", "g", time.Second, 0); err != nil {
 		t.Fatal(err)
 	}
-	var n constraints.Explanation
-	if err := Ask(path, "why abc", &n); err != nil || n.Answer != "rejected" || n.Excluded["closed: after hours"] != 1 {
-		t.Errorf("%+v, %v", n, err)
+	var explanation constraints.Explanation
+	if err := Why(t.Context(), path, "abc", &explanation); err != nil || explanation.Answer != "rejected" || explanation.Excluded[reason] != 1 {
+		t.Errorf("%+v, %v", explanation, err)
 	}
-	var s routing.State
-	if err := Ask(path, "state", &s); err != nil || s.Interventions["closed: after hours"] != 1 {
-		t.Errorf("%+v, %v", s, err)
+	var state routing.State
+	if err := State(t.Context(), path, &state); err != nil || state.Interventions[reason] != 1 || state.Processes != "two" {
+		t.Errorf("%+v, %v", state, err)
 	}
-	for question, want := range map[string]string{"why nobody": "nothing is known", "reboot": "want state"} {
-		if err := Ask(path, question, &n); err == nil || !strings.Contains(err.Error(), want) {
+}
+
+func TestQuestionsWithoutAnswer(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "s")
+	serveAt(t, path, Server{Router: newClosedRouter(), Process: func() Process { return Process{} }})
+	for question, want := range map[string]string{
+		"why nobody": answerUnknownFlow,
+		"members":    answerNoMembers,
+		"reboot":     answerBadQuestion,
+	} {
+		var answer any
+		if err := query(t.Context(), path, question, &answer); err == nil || err.Error() != want {
 			t.Errorf("%s: %v", question, err)
 		}
 	}
 }
 
-func TestWhatStandsInTheWayOfASocket(t *testing.T) {
+func TestFileInPlaceOfTheSocket(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "f")
 	if err := os.WriteFile(path, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Listen(path); err == nil || !strings.Contains(err.Error(), "no socket") {
+	if _, err := Listen(t.Context(), path); err == nil || !strings.Contains(err.Error(), "no socket") {
 		t.Errorf("%v: a file must not be removed", err)
 	}
 }
--- a/internal/handover/link.go
+++ b/internal/handover/link.go
@@ -1,10 +1,9 @@
-// Package handover is what passes between a running process and its successor, through a folder that both have. It decides
-// nothing: it carries frames, descriptors and a small file.
+// Package handover carries what passes between a running process and its successor: the socket by which they find each other, a link of
+// requests and replies with descriptors beside them, and the state that is handed over. It decides nothing.
 package handover
 
 import (
 	"context"
-	"encoding/binary"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -16,298 +15,254 @@
 	"time"
 )
 
-const (
-	longestFrame = 8 << 20
-	mostFiles    = 8
-	writeWithin  = 2 * time.Second // a process that takes nothing for longer is as good as gone
-)
+const writeTimeout = 2 * time.Second // a process that reads nothing for longer counts as gone
 
 var (
-	// ErrPeerGone says that the other process ended, or can't be understood.
+	// ErrPeerGone says that the other process ended, or closed the link.
 	ErrPeerGone = errors.New("the other process is gone")
-	// ErrRefused is the other process's no, with its reason.
+	// ErrRefused says that the other process refused a request; its reason follows.
 	ErrRefused = errors.New("refused by the other process")
 )
 
-// frame is one message. An answer carries the number of what it answers.
-type frame struct {
-	Kind   string          `json:"kind,omitempty"`
-	Number uint64          `json:"number,omitempty"` // 0: no answer is wanted
-	Answer bool            `json:"answer,omitempty"`
-	Bad    string          `json:"bad,omitempty"`
-	Body   json.RawMessage `json:"body,omitempty"`
-
-	files  []*os.File     // that came beside it
-	beside []syscall.Conn // whose descriptors go beside it
+// Request is what a Handler is asked.
+type Request struct {
+	Body  json.RawMessage
+	Files []*os.File // closed once the handler returns: what it keeps of them is a copy
 }
 
-// Handler answers one kind of question. What it returns is the answer, with what goes beside it, if anything. The files that
-// came are closed after it: what it keeps of them is a copy.
-type Handler func(body []byte, files []*os.File) (answer any, beside []syscall.Conn, err error)
+// Response is a Handler's reply.
+type Response struct {
+	Body        any            // encoded as JSON
+	Descriptors []syscall.Conn // passed on beside it
+	// AfterSend, if not nil, runs once the reply was sent or could not be. Unless it was sent the other process goes on as if it had not
+	// asked: nothing may have been done that it would do again.
+	AfterSend func(sent bool)
+}
 
-// After is an answer that says yes, and what is done once it is on its way. Where it could not be written the other process goes on as if
-// there had been no question, and nothing may have been done that it would do again.
-type After func(written bool)
+// Handler replies to one kind of request; an error refuses it, and its text is the reason that the other process gets.
+type Handler func(ctx context.Context, request Request) (Response, error)
 
-// Link joins two processes of one balancer. Questions of a kind in ordered are answered one after the other, as they
-// came, each before anything that came later is looked at; all others in a goroutine each.
+// Link joins two processes of one balancer. Both ends send requests and reply to them.
 type Link struct {
-	c       *net.UnixConn
-	kinds   map[string]Handler
-	ordered map[string]Handler
-	gone    chan struct{}
+	conn            *net.UnixConn
+	handlers        map[string]Handler
+	orderedHandlers map[string]Handler
+	gone            chan struct{} // closed as Run returns
 
-	writing sync.Mutex
-	mu      sync.Mutex
-	last    uint64
-	waiting map[uint64]chan frame
+	writing sync.Mutex // one frame is written at a time
+
+	mu         sync.Mutex // guards the fields below
+	lastNumber uint64
+	pending    map[uint64]chan frame // requests that await a reply; nil once the link ended
 }
 
-// NewLink is a link over a connection. Run makes it live; kinds are fixed from then on.
-func NewLink(c *net.UnixConn, kinds, ordered map[string]Handler) *Link {
-	return &Link{c: c, kinds: kinds, ordered: ordered, gone: make(chan struct{}), waiting: map[uint64]chan frame{}}
+// NewLink makes a link of a connection; Run makes it live. Handlers run beside each other. Ordered handlers run one after the other, each to
+// its end before anything that was sent later is looked at. Neither map may change afterwards.
+func NewLink(conn *net.UnixConn, handlers, orderedHandlers map[string]Handler) *Link {
+	return &Link{
+		conn:            conn,
+		handlers:        handlers,
+		orderedHandlers: orderedHandlers,
+		gone:            make(chan struct{}),
+		pending:         map[uint64]chan frame{},
+	}
 }
 
-// Gone is closed when the link ended, after all that came before the end was answered or given up.
+// Gone is closed when the link has ended and no handler runs any more.
 func (l *Link) Gone() <-chan struct{} { return l.gone }
 
 // Close ends the link.
-func (l *Link) Close() { _ = l.c.Close() }
+func (l *Link) Close() { _ = l.conn.Close() } // fails only where it is closed already
 
-// Run reads until the link ends.
-func (l *Link) Run() error {
-	var answers sync.WaitGroup
+// Run serves the link until it is closed, at either end, or ctx ends; handlers get ctx. The error is nil where the link ended in order.
+func (l *Link) Run(ctx context.Context) error {
 	defer close(l.gone)
-	defer answers.Wait()
+	var running sync.WaitGroup
+	defer running.Wait()
 	defer l.Close()
+	defer context.AfterFunc(ctx, l.Close)()
 	for {
-		f, err := readFrame(l.c)
+		f, err := readFrame(l.conn)
 		if err != nil {
-			l.mu.Lock()
-			waiting := l.waiting
-			l.waiting = nil
-			l.mu.Unlock()
-			for _, w := range waiting {
-				close(w)
-			}
+			l.failPending()
 			if errors.Is(err, io.EOF) || errors.Is(err, net.ErrClosed) || errors.Is(err, syscall.ECONNRESET) {
 				return nil
 			}
-			return err
+			return fmt.Errorf("read from the other process: %w", err)
 		}
+		ordered := l.orderedHandlers[f.Kind]
 		switch {
-		case f.Answer:
-			l.mu.Lock()
-			w := l.waiting[f.Number]
-			delete(l.waiting, f.Number)
-			l.mu.Unlock()
-			if w == nil { // given up meanwhile
-				closeAll(f.files)
-				continue
-			}
-			w <- f
-		case l.ordered[f.Kind] != nil:
-			l.answer(f, l.ordered[f.Kind])
+		case f.IsReply:
+			l.deliver(f)
+		case ordered != nil:
+			l.respond(ctx, f, ordered)
 		default:
-			answers.Go(func() { l.answer(f, l.kinds[f.Kind]) })
+			running.Go(func() { l.respond(ctx, f, l.handlers[f.Kind]) })
 		}
 	}
 }
 
-func (l *Link) answer(f frame, h Handler) {
-	defer closeAll(f.files)
-	var body any
-	var beside []syscall.Conn
-	err := fmt.Errorf("unknown question %q", f.Kind)
-	if h != nil {
-		body, beside, err = h(f.Body, f.files)
-	}
-	after, _ := body.(After)
-	if after != nil {
-		body = nil
+// failPending ends all requests that await a reply.
+func (l *Link) failPending() {
+	l.mu.Lock()
+	pending := l.pending
+	l.pending = nil
+	l.mu.Unlock()
+	for _, reply := range pending {
+		close(reply)
 	}
-	if f.Number == 0 {
-		if after != nil {
-			after(false) // nobody asked
-		}
+}
+
+// deliver gives a reply to whoever awaits it.
+func (l *Link) deliver(reply frame) {
+	l.mu.Lock()
+	waiting := l.pending[reply.Number]
+	delete(l.pending, reply.Number)
+	l.mu.Unlock()
+	if waiting == nil { // given up on meanwhile
+		closeFiles(reply.files)
 		return
 	}
-	a := frame{Number: f.Number, Answer: true, beside: beside}
-	if err == nil {
-		a.Body, err = json.Marshal(body)
+	waiting <- reply // has room for one, and gets no second
+}
+
+// respond runs the handler of a request and sends its reply, where one is expected.
+func (l *Link) respond(ctx context.Context, request frame, handler Handler) {
+	defer closeFiles(request.files)
+	var response Response
+	err := fmt.Errorf("unknown question %q", request.Kind)
+	if handler != nil {
+		response, err = handler(ctx, Request{Body: request.Body, Files: request.files})
 	}
-	if err != nil {
-		a.Bad, a.beside = err.Error(), nil
+	sent := false
+	if request.Number != 0 {
+		sent = l.reply(request.Number, response, err)
 	}
-	err = l.write(a)
-	if after != nil {
-		after(err == nil)
+	if response.AfterSend != nil {
+		response.AfterSend(sent)
 	}
-	if err != nil {
+	if request.Number != 0 && !sent {
 		l.Close()
 	}
 }
 
-// Say sends what wants no answer.
-func (l *Link) Say(kind string, body any) error {
-	text, err := json.Marshal(body)
-	if err != nil {
-		return err
+// reply sends a response, or the reason of a refusal, and tells whether it was sent.
+func (l *Link) reply(number uint64, response Response, refusal error) (sent bool) {
+	f := frame{Number: number, IsReply: true}
+	var body []byte
+	if refusal == nil {
+		body, refusal = json.Marshal(response.Body)
+	}
+	if refusal != nil {
+		f.Refusal = refusal.Error()
+	} else {
+		f.Body, f.descriptors = body, response.Descriptors
 	}
-	return l.write(frame{Kind: kind, Body: text})
+	return l.write(f) == nil
 }
 
-// Ask puts a question and returns at once; the answer is waited for with what it returns. All that is asked and said
-// arrives in the order of the calls.
-func (l *Link) Ask(kind string, body any, beside ...syscall.Conn) func(ctx context.Context, into any) ([]*os.File, error) {
+// Notify sends a message that expects no reply.
+func (l *Link) Notify(kind string, body any) error {
 	text, err := json.Marshal(body)
-	w := make(chan frame, 1)
-	l.mu.Lock()
-	if l.waiting == nil {
-		err = errors.Join(err, ErrPeerGone)
-	}
-	l.last++
-	f := frame{Kind: kind, Number: l.last, Body: text, beside: beside}
-	if err == nil {
-		l.waiting[f.Number] = w
-	}
-	l.mu.Unlock()
-	if err == nil && l.write(f) != nil {
-		l.Close()
+	if err != nil {
+		return fmt.Errorf("encode %s: %w", kind, err)
 	}
-	return func(ctx context.Context, into any) ([]*os.File, error) {
-		if err != nil {
-			return nil, err
-		}
-		select {
-		case <-ctx.Done():
-			l.mu.Lock()
-			if l.waiting != nil {
-				delete(l.waiting, f.Number)
-			}
-			l.mu.Unlock()
-			select { // files that came in this instant
-			case a := <-w:
-				closeAll(a.files)
-			default:
-			}
-			return nil, ctx.Err()
-		case a, ok := <-w:
-			switch {
-			case !ok:
-				return nil, ErrPeerGone
-			case a.Bad != "":
-				return nil, fmt.Errorf("%w: %s", ErrRefused, a.Bad)
-			case into != nil:
-				if err := json.Unmarshal(a.Body, into); err != nil {
-					closeAll(a.files)
-					return nil, fmt.Errorf("answer to %s: %w", kind, err)
-				}
-			}
-			return a.files, nil
-		}
+	if err := l.write(frame{Kind: kind, Body: text}); err != nil {
+		return fmt.Errorf("send %s: %w", kind, err)
 	}
+	return nil
 }
 
-func closeAll(files []*os.File) {
-	for _, f := range files {
-		_ = f.Close()
-	}
+// PendingReply is the reply to a request that was sent.
+type PendingReply struct {
+	link   *Link
+	kind   string
+	number uint64
+	reply  chan frame
+	err    error // why the request was not sent
 }
 
-// write sends a frame with its descriptors beside the first byte of it.
-func (l *Link) write(f frame) error {
-	text, err := json.Marshal(f)
+// Request sends a request, with descriptors beside it, and returns at once. Requests and notices arrive in the order of the calls. Wait
+// must be called on the result: it closes files that come too late.
+func (l *Link) Request(kind string, body any, descriptors ...syscall.Conn) *PendingReply {
+	pending := &PendingReply{link: l, kind: kind, reply: make(chan frame, 1)}
+	text, err := json.Marshal(body)
 	if err != nil {
-		return err
+		pending.err = fmt.Errorf("encode %s: %w", kind, err)
+		return pending
 	}
-	if len(text) > longestFrame {
-		return fmt.Errorf("a frame of %d bytes, %d at most", len(text), longestFrame)
+	if pending.number, pending.err = l.register(pending.reply); pending.err != nil {
+		return pending
 	}
-	var beside []byte
-	if len(f.beside) > 0 {
-		var fds []int
-		for _, x := range f.beside {
-			// Not by a copy from File: its descriptor would make the socket block for both of us.
-			raw, err := x.SyscallConn()
-			if err == nil {
-				err = raw.Control(func(fd uintptr) { fds = append(fds, int(fd)) })
-			}
-			if err != nil {
-				return err
-			}
-		}
-		beside = syscall.UnixRights(fds...)
-	}
-	l.writing.Lock()
-	defer l.writing.Unlock()
-	if err := l.c.SetWriteDeadline(time.Now().Add(writeWithin)); err != nil {
-		return err
+	request := frame{Kind: kind, Number: pending.number, Body: text, descriptors: descriptors}
+	if l.write(request) != nil {
+		l.Close() // which ends the wait with ErrPeerGone
 	}
-	if _, _, err := l.c.WriteMsgUnix(binary.BigEndian.AppendUint32(nil, uint32(len(text))), beside, nil); err != nil {
-		return err
+	return pending
+}
+
+// register takes the next number for a request whose reply goes to the channel.
+func (l *Link) register(reply chan frame) (number uint64, err error) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.pending == nil {
+		return 0, ErrPeerGone
 	}
-	_, err = l.c.Write(text)
-	return err
+	l.lastNumber++
+	l.pending[l.lastNumber] = reply
+	return l.lastNumber, nil
 }
 
-// readFrame reads one, whole or not at all.
-func readFrame(c *net.UnixConn) (f frame, err error) {
-	defer func() {
-		if err != nil {
-			closeAll(f.files)
-			f.files = nil
-		}
-	}()
-	head, beside := make([]byte, 4), make([]byte, syscall.CmsgSpace(4*mostFiles))
-	for got := 0; got < len(head); {
-		n, m, _, _, err := c.ReadMsgUnix(head[got:], beside)
-		files, bad := filesOf(beside[:m])
-		f.files = append(f.files, files...)
-		if err != nil {
-			return f, err
-		}
-		if bad != nil {
-			return f, bad
-		}
-		if n == 0 {
-			return f, io.EOF
+// Wait waits for the reply and decodes its body into a variable, unless that is nil. The files that came are the caller's to close. A
+// refusal is ErrRefused, the end of the link ErrPeerGone.
+func (p *PendingReply) Wait(ctx context.Context, into any) ([]*os.File, error) {
+	if p.err != nil {
+		return nil, p.err
+	}
+	select {
+	case <-ctx.Done():
+		p.abandon()
+		return nil, ctx.Err()
+	case reply, ok := <-p.reply:
+		if !ok {
+			return nil, ErrPeerGone
 		}
-		got += n
+		return p.decode(reply, into)
 	}
-	n := binary.BigEndian.Uint32(head)
-	if n > longestFrame {
-		return f, fmt.Errorf("a frame of %d bytes, %d at most", n, longestFrame)
+}
+
+// abandon gives up on the reply, and closes files that came in this instant.
+func (p *PendingReply) abandon() {
+	p.link.mu.Lock()
+	delete(p.link.pending, p.number)
+	p.link.mu.Unlock()
+	select {
+	case reply := <-p.reply:
+		closeFiles(reply.files)
+	default:
 	}
-	text, err := io.ReadAll(io.LimitReader(c, int64(n))) // it grows as bytes come: a length alone must not take memory
-	if err != nil {
-		return f, err
+}
+
+func (p *PendingReply) decode(reply frame, into any) ([]*os.File, error) {
+	if reply.Refusal != "" {
+		return nil, fmt.Errorf("%w: %s", ErrRefused, reply.Refusal)
 	}
-	if len(text) < int(n) {
-		return f, io.ErrUnexpectedEOF
+	if into == nil {
+		return reply.files, nil
 	}
-	if err := json.Unmarshal(text, &f); err != nil {
-		return f, fmt.Errorf("a frame that is none: %w", err)
+	if err := json.Unmarshal(reply.Body, into); err != nil {
+		closeFiles(reply.files)
+		return nil, fmt.Errorf("decode the reply to %s: %w", p.kind, err)
 	}
-	return f, nil
+	return reply.files, nil
 }
 
-func filesOf(beside []byte) (files []*os.File, err error) {
-	if len(beside) == 0 {
-		return nil, nil
-	}
-	messages, err := syscall.ParseSocketControlMessage(beside)
-	if err != nil {
-		return nil, fmt.Errorf("beside a frame: %w", err)
-	}
-	for _, m := range messages {
-		fds, err := syscall.ParseUnixRights(&m)
-		if err != nil {
-			return files, fmt.Errorf("beside a frame: %w", err)
-		}
-		for _, fd := range fds {
-			files = append(files, os.NewFile(uintptr(fd), "handed over"))
-		}
+// write sends a frame. A process that doesn't read fails it after a while.
+func (l *Link) write(f frame) error {
+	l.writing.Lock()
+	defer l.writing.Unlock()
+	if err := l.conn.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
+		return err
 	}
-	return files, nil
+	return writeFrame(l.conn, f)
 }
--- a/internal/handover/state.go
+++ b/internal/handover/state.go
@@ -6,59 +6,72 @@
 	"time"
 
 	"yardwinch/internal/routing"
+	"yardwinch/internal/store"
 )
 
-// State is what makes two processes one balancer.
+// Version is that of the messages and of the state. A process rejects a hand-over of another version as a whole.
+const Version = 1
+
+// idHashBytes is the length of one hash in State.IDs.
+const idHashBytes = 8
+
+// State is what a process hands over so that its successor goes on as the same balancer.
 type State struct {
 	Version int `json:"version"`
 
 	OutOfService bool          `json:"out_of_service"`
-	DrainingFor  time.Duration `json:"emptying"` // for how long it has been told to go out of service
+	DrainingFor  time.Duration `json:"emptying"` // since the call to go out of service
 
-	DiscoveryAddress string `json:"discovery"` // of which the revision is
-	Revision         int64  `json:"revision"`
-	IDsKey           []byte `json:"ids_key"`
-	IDs              []byte `json:"ids"` // hashes, eight bytes each
-	Connections      int    `json:"held"`
+	DiscoveryAddress string `json:"discovery"`
+	Revision         int64  `json:"revision"` // of the endpoint list, at that address; -1: none
+	IDsKey           []byte `json:"ids_key"`  // of the hash
+	IDs              []byte `json:"ids"`      // hashes of the connections' ids that are taken, one after the other
+	Connections      int    `json:"held"`     // descriptors that the predecessor has in use
 
 	Router routing.Snapshot `json:"memory"`
-	Files  []string         `json:"files"` // what the descriptors beside it are
+	Files  []string         `json:"files"` // the names of the descriptors beside the state, in their order
 }
 
-// Validate tells whether a state can be taken over. Nothing of one that can't is.
+// Validate tells whether a state can be taken over. Of one that can't be, nothing is used. The texts of its errors reach the other process.
 func (s *State) Validate() error {
 	switch {
 	case s.Version != Version:
 		return fmt.Errorf("version %d, want %d", s.Version, Version)
 	case s.Connections < 0 || s.DrainingFor < 0 || s.Revision < -1:
 		return errors.New("a count below nought")
-	case len(s.IDs)%8 != 0 || len(s.IDsKey) == 0:
+	case len(s.IDs)%idHashBytes != 0 || len(s.IDsKey) == 0:
 		return errors.New("ids that are none")
 	}
-	for _, x := range s.Router.Servers {
-		if err := sound(x.Name); err != nil {
+	for _, server := range s.Router.Servers {
+		if err := store.ValidateServerID(server.Name); err != nil {
 			return err
 		}
 	}
 	return s.Router.Validate()
 }
 
-// Change is what staff ask for that both processes must do.
+// Change is an operator's call that both processes must make.
 type Change struct {
-	Kind   string `json:"kind"`
-	Server string `json:"server,omitempty"`
+	Kind   ChangeKind `json:"kind"`
+	Server string     `json:"server,omitempty"` // of Offline and Online
 }
 
-// Kinds of changes.
+// ChangeKind says what changes; its values are those on the link.
+type ChangeKind string
+
 const (
-	Offline      = "offline"
-	Online       = "online"
-	OutOfService = "out-of-service"
-	InService    = "in-service"
+	// Offline disables a server.
+	Offline ChangeKind = "offline"
+	// Online enables it again.
+	Online ChangeKind = "online"
+	// OutOfService drains the balancer.
+	OutOfService ChangeKind = "out-of-service"
+	// InService has the balancer accept clients again.
+	InService ChangeKind = "in-service"
 )
 
-// Hello begins a hand-over: both must be processes of one balancer and speak alike.
+// Hello begins a hand-over: both processes must be of the same balancer and of the same version.
 type Hello struct {
 	Version int    `json:"version"`
-	Listen  string `json:"listen"`
+	Listen  string `json:"listen"` // the address for clients, which names the balancer
 }
--- /dev/null
+++ b/internal/store/disabled.go
@@ -0,0 +1,156 @@
+package store
+
+import (
+	"bytes"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"io/fs"
+	"os"
+
+	"yardwinch/internal/routing"
+)
+
+const (
+	formatVersion  = 1       // of the stored file; another one is rejected as a whole
+	maxFileBytes   = 1 << 20 // of the stored file
+	disabledSuffix = ".out"
+)
+
+// disabledFile is the stored form of the administratively disabled servers.
+type disabledFile struct {
+	Version int      `json:"version"`
+	Servers []string `json:"out_by_hand"`
+}
+
+// SaveDisabled writes the ids of the administratively disabled servers, whole or not at all, so that they survive a kill and a loss of power.
+// A step that fails gives a *DirectoryError.
+func (d *Directory) SaveDisabled(servers []string) error {
+	text, err := json.Marshal(disabledFile{Version: formatVersion, Servers: servers})
+	if err != nil {
+		return fmt.Errorf("encode the disabled servers: %w", err)
+	}
+	if len(text) > maxFileBytes {
+		return fmt.Errorf("%d bytes of disabled servers, %d at most", len(text), maxFileBytes)
+	}
+	temporary := fmt.Sprintf("%s.%d", d.Path(disabledSuffix), os.Getpid())
+	if err := d.replace(temporary, text); err != nil {
+		_ = d.files.Remove(temporary) // the step that failed may be the one that creates it
+		return err
+	}
+	return nil
+}
+
+// replace writes a temporary file and renames it. Each step is on the disk before the next one begins, so that the name never stands for an
+// incomplete file.
+func (d *Directory) replace(temporary string, text []byte) error {
+	file, err := d.files.Create(temporary)
+	if err != nil {
+		return &DirectoryError{Operation: "create a file for the disabled servers", Err: err}
+	}
+	_, err = file.Write(text)
+	if err == nil {
+		err = ignoreUnsupportedSync(file.Sync())
+	}
+	if err = errors.Join(err, file.Close()); err != nil {
+		return &DirectoryError{Operation: "write the disabled servers", Err: err}
+	}
+	if err := d.files.Rename(temporary, d.Path(disabledSuffix)); err != nil {
+		return &DirectoryError{Operation: "replace the file of disabled servers", Err: err}
+	}
+	if err := d.files.SyncDirectory(d.root); err != nil {
+		return &DirectoryError{Operation: "sync the directory", Err: err}
+	}
+	return nil
+}
+
+// RemoveUnfinished removes the temporary files of processes that were killed while they wrote. No other process of this balancer may run.
+func (d *Directory) RemoveUnfinished() {
+	unfinished, err := d.files.Glob(d.Path(disabledSuffix+".") + "*")
+	if err != nil {
+		return // the only possible error is a bad pattern, and this one is fixed
+	}
+	for _, path := range unfinished {
+		_ = d.files.Remove(path) // one that stays takes a little space and is never read
+	}
+}
+
+// LoadDisabled reads the ids of the administratively disabled servers; none if there is no file. Invalid content gives a *ContentError, and
+// nothing of it is used; a directory that can't be read gives a *DirectoryError.
+func (d *Directory) LoadDisabled() ([]string, error) {
+	servers, err := d.readDisabled()
+	var invalid *ContentError
+	if err == nil || errors.As(err, &invalid) {
+		return servers, err
+	}
+	return nil, &DirectoryError{Operation: "read the disabled servers", Err: err}
+}
+
+func (d *Directory) readDisabled() ([]string, error) {
+	path := d.Path(disabledSuffix)
+	info, err := d.files.Lstat(path)
+	if errors.Is(err, fs.ErrNotExist) {
+		_, err := d.files.Lstat(d.root) // without the directory it is unknown whether there is such a file
+		return nil, err
+	}
+	if err != nil {
+		return nil, err
+	}
+	if !info.Mode().IsRegular() {
+		return nil, &ContentError{Path: path, Err: errors.New("is not a regular file")}
+	}
+	file, err := d.files.Open(path)
+	if err != nil {
+		return nil, err
+	}
+	text, err := io.ReadAll(io.LimitReader(file, maxFileBytes+1)) // one byte more shows that the file is too long
+	if err = errors.Join(err, file.Close()); err != nil {
+		return nil, err
+	}
+	servers, err := decodeDisabled(text)
+	if err != nil {
+		return nil, &ContentError{Path: path, Err: err}
+	}
+	return servers, nil
+}
+
+func decodeDisabled(text []byte) ([]string, error) {
+	if len(text) > maxFileBytes {
+		return nil, fmt.Errorf("more than %d bytes", maxFileBytes)
+	}
+	var stored disabledFile
+	if err := decodeStrictly(text, &stored); err != nil {
+		return nil, err
+	}
+	if stored.Version != formatVersion {
+		return nil, fmt.Errorf("version %d, want %d", stored.Version, formatVersion)
+	}
+	for _, id := range stored.Servers {
+		if err := ValidateServerID(id); err != nil {
+			return nil, err
+		}
+	}
+	return stored.Servers, nil
+}
+
+// decodeStrictly decodes exactly one JSON object: unknown keys and trailing data are errors.
+func decodeStrictly(text []byte, into any) error {
+	decoder := json.NewDecoder(bytes.NewReader(text))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(into); err != nil {
+		return fmt.Errorf("decode: %w", err)
+	}
+	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
+		return errors.New("something follows its end")
+	}
+	return nil
+}
+
+// ValidateServerID tells whether an id that comes from another process, or from the disk, has a length that a server's id may have.
+func ValidateServerID(id string) error {
+	if id == "" || len(id) > routing.MaxIDLength {
+		return fmt.Errorf("an id of %d bytes, 1 to %d may be", len(id), routing.MaxIDLength)
+	}
+	return nil
+}
--- a/internal/testbed/fleet/peers.go
+++ b/internal/testbed/fleet/peers.go
@@ -70,7 +70,7 @@
 	defer beat.Stop()
 	for {
 		var v daemon.MembersView
-		err := explain.Ask(x.socket(), "members", &v)
+		err := explain.Members(ctx, x.socket(), &v)
 		r.dr.Do(func() {
 			if err != nil || x.state != runs && x.state != starved {
 				return // it can't be asked now: what it saw last is no news
--- /dev/null
+++ b/internal/testbed/logs/count.go
@@ -0,0 +1,114 @@
+// Package logs counts over all balancers, second by second, what their logs (`serve --verbose`) say one by one: load that is fine at each
+// balancer and too much together shows in no single log.
+package logs
+
+import (
+	"io/fs"
+	"maps"
+	"slices"
+	"strconv"
+	"time"
+
+	"yardwinch/decide"
+)
+
+// Second is what happened in one second over all balancers, and the flows at its end.
+type Second struct {
+	Events   map[string]int           // by what happened
+	Flows    map[string]int           // by server, at the end of the second
+	MaxDelay map[string]time.Duration // by server, of the latency samples of the second
+}
+
+// Count merges the logs of a directory, one file *.log a balancer, and counts by second since the first line. Lines of another form are passed
+// over; skipped is their number.
+func Count(directory fs.FS) (seconds []Second, skipped int, err error) {
+	events, skipped, err := readEvents(directory)
+	if err != nil || len(events) == 0 {
+		return nil, skipped, err
+	}
+	slices.SortStableFunc(events, func(x, y event) int { return x.at.Compare(y.at) })
+	c := counter{start: events[0].at, serverOf: map[flowKey]string{}, flows: map[string]int{}}
+	for _, e := range events {
+		c.advance(e.at)
+		c.count(e)
+	}
+	c.endSecond()
+	return c.seconds, skipped, nil
+}
+
+// flowKey identifies a flow over all balancers, whose ids are their own.
+type flowKey struct{ balancer, flow string }
+
+// counter counts events in the order of their times.
+type counter struct {
+	start    time.Time
+	seconds  []Second
+	serverOf map[flowKey]string // of the flows that are established
+	flows    map[string]int     // of those, by server
+}
+
+// advance begins seconds up to that of a time.
+func (c *counter) advance(at time.Time) {
+	for second := int(at.Sub(c.start) / time.Second); len(c.seconds) <= second; {
+		c.endSecond()
+		c.seconds = append(c.seconds, Second{Events: map[string]int{}, MaxDelay: map[string]time.Duration{}})
+	}
+}
+
+func (c *counter) endSecond() {
+	if len(c.seconds) > 0 {
+		c.seconds[len(c.seconds)-1].Flows = maps.Clone(c.flows)
+	}
+}
+
+func (c *counter) count(e event) {
+	second := &c.seconds[len(c.seconds)-1]
+	flow, server := flowKey{e.balancer, e.fields["flow"]}, e.fields["server"]
+	name := label(e.text)
+	switch e.text {
+	case flowEstablished:
+		c.serverOf[flow] = server
+		c.flows[server]++
+	case flowEnded:
+		if outcome, ok := describeOutcome(e); ok {
+			name = outcome
+		}
+		c.endFlow(flow)
+	case phaseChanged:
+		phase := e.fields["phase"]
+		name += " " + phase
+		if phase == "loading" {
+			c.endFlowsOf(e.balancer) // it has started anew
+		}
+	case latencySampled:
+		if delay, ok := e.milliseconds("delay_ms"); ok {
+			second.MaxDelay[server] = max(second.MaxDelay[server], delay)
+		}
+	}
+	second.Events[name]++
+}
+
+// describeOutcome says how an attempt to connect, or an established flow, ended.
+func describeOutcome(e event) (string, bool) {
+	number, err := strconv.Atoi(e.fields["outcome"])
+	if err != nil || number < 0 || number > int(decide.NeverSent) {
+		return "", false
+	}
+	ofWhat := map[string]string{"true": "flow ", "false": "connect "}[e.fields["established"]]
+	return ofWhat + decide.Outcome(number).String(), true
+}
+
+func (c *counter) endFlow(flow flowKey) {
+	if server, ok := c.serverOf[flow]; ok {
+		c.flows[server]--
+		delete(c.serverOf, flow)
+	}
+}
+
+func (c *counter) endFlowsOf(balancer string) {
+	for flow := range c.serverOf {
+		if flow.balancer == balancer {
+			c.endFlow(flow)
+		}
+	}
+}
