--- /dev/null
+++ b/internal/admin/server_test.go
@@ -0,0 +1,173 @@
+package admin
+
+import (
+	"bufio"
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"strings"
+	"testing"
+	"time"
+)
+
+const testTimeout = 10 * time.Second // a test that hangs fails
+
+// recorder records the calls that it gets, and answers all with one error.
+type recorder struct {
+	calls []string
+	err   error
+}
+
+func (r *recorder) record(call string) error {
+	r.calls = append(r.calls, call)
+	return r.err
+}
+
+func (r *recorder) Ready() error { return r.record("ready") }
+func (r *recorder) Offline(_ context.Context, server string) error {
+	return r.record("offline " + server)
+}
+func (r *recorder) Online(_ context.Context, server string) error {
+	return r.record("online " + server)
+}
+func (r *recorder) OutOfService(context.Context) error { return r.record("out") }
+func (r *recorder) InService(context.Context) error    { return r.record("in") }
+
+// serve serves a balancer until the test ends.
+func serve(t *testing.T, balancer Balancer) (address string) {
+	t.Helper()
+	var config net.ListenConfig
+	listener, err := config.Listen(t.Context(), "tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	ctx, cancel := context.WithCancel(t.Context())
+	done := make(chan error, 1)
+	go func() { done <- Serve(ctx, listener, balancer) }()
+	t.Cleanup(func() {
+		cancel()
+		if err := <-done; err != nil {
+			t.Errorf("ended with %v", err)
+		}
+	})
+	return listener.Addr().String()
+}
+
+func dial(t *testing.T, address string) net.Conn {
+	t.Helper()
+	var dialer net.Dialer
+	conn, err := dialer.DialContext(t.Context(), "tcp", address)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = conn.Close() })
+	_ = conn.SetDeadline(time.Now().Add(testTimeout))
+	return conn
+}
+
+// call sends a request as it stands, and gives the status of the answer.
+func call(t *testing.T, address, text string) (status int) {
+	t.Helper()
+	conn := dial(t, address)
+	if _, err := io.WriteString(conn, text); err != nil {
+		t.Fatal(err)
+	}
+	answer, err := http.ReadResponse(bufio.NewReader(conn), nil)
+	if err != nil {
+		t.Fatalf("%.60q: %v", text, err)
+	}
+	if _, err := io.ReadAll(answer.Body); err != nil || !answer.Close {
+		t.Errorf("%.60q: %v, one call to a connection: %v", text, err, answer.Close)
+	}
+	return answer.StatusCode
+}
+
+func TestCalls(t *testing.T) {
+	longID := strings.Repeat("%61", 4096)
+	for _, c := range []struct {
+		name, line string
+		err        error
+		status     int
+		calls      string
+	}{
+		{"ready", "GET /control/ready", nil, 200, "ready"},
+		{"not ready", "GET /control/ready", ErrNotReady, 503, "ready"},
+		{"offline", "POST /control/servers/s-1/offline", nil, 200, "offline s-1"},
+		{"offline of an unknown server", "POST /control/servers/s-1/offline", fmt.Errorf("%w: %q", ErrUnknown, "s-1"), 404, "offline s-1"},
+		{"online", "POST /control/servers/s-1/online", nil, 200, "online s-1"},
+		{"escapes", "POST /control/servers/a%2Fb%20c/online", nil, 200, "online a/b c"},
+		{"a long id", "POST /control/servers/" + longID + "/online", nil, 200, "online " + strings.Repeat("a", 4096)},
+		{"no id", "POST /control/servers//offline", nil, 404, ""},
+		{"out of service", "POST /control/out-of-service", nil, 200, "out"},
+		{"in service", "POST /control/in-service", errors.New("draining"), 503, "in"},
+		{"the wrong method", "GET /control/in-service", nil, 405, ""},
+		{"the wrong method for ready", "POST /control/ready", nil, 405, ""},
+		{"an unknown path", "POST /control/servers/s-1/away", nil, 404, ""},
+		{"a bad escape", "POST /control/servers/%zz/offline", nil, 400, ""},
+		{"no request", "OPEN 1 2 c=x", nil, 400, ""},
+		{"a head of a megabyte", "GET /control/ready HTTP/1.1\r\nX: " + strings.Repeat("x", 1<<20), nil, 431, ""},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			balancer := &recorder{err: c.err}
+			text := c.line
+			if !strings.Contains(text, "HTTP/") {
+				text += " HTTP/1.1\r\nHost: x\r\nContent-Length: 0"
+			}
+			text += "\r\n\r\n"
+			const maxRead = maxHeaderBytes + 4096 // what the server reads at most: bytes left unread would reset the answer
+			if len(text) > maxRead {
+				text = text[:maxRead]
+			}
+			status := call(t, serve(t, balancer), text)
+			if calls := strings.Join(balancer.calls, ","); status != c.status || calls != c.calls {
+				t.Errorf("%d and %q, want %d and %q", status, calls, c.status, c.calls)
+			}
+		})
+	}
+}
+
+// slowBalancer answers the call out of service when it is told to.
+type slowBalancer struct {
+	recorder
+	called, answer chan struct{}
+}
+
+func (s *slowBalancer) OutOfService(context.Context) error {
+	close(s.called)
+	<-s.answer
+	return nil
+}
+
+// Idle connections are closed for new ones, the oldest first; one with a call in flight never is.
+func TestIdleConnections(t *testing.T) {
+	balancer := &slowBalancer{called: make(chan struct{}), answer: make(chan struct{})}
+	address := serve(t, balancer)
+	inFlight := make(chan int, 1)
+	go func() {
+		inFlight <- call(t, address, "POST /control/out-of-service HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n")
+	}()
+	<-balancer.called
+	var idle []net.Conn
+	for i := range 3 * maxConnections {
+		conn := dial(t, address)
+		idle = append(idle, conn)
+		if i%2 == 0 {
+			_, _ = io.WriteString(conn, "G") // it may be closed by now
+		}
+	}
+	if status := call(t, address, "GET /control/ready HTTP/1.1\r\nHost: x\r\n\r\n"); status != http.StatusOK {
+		t.Errorf("a call behind idle connections is answered %d", status)
+	}
+	_ = idle[0].SetReadDeadline(time.Now().Add(requestTimeout / 2))
+	if _, err := idle[0].Read(make([]byte, 1)); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
+		t.Errorf("the oldest idle connection is still open: %v", err)
+	}
+	close(balancer.answer)
+	if status := <-inFlight; status != http.StatusOK {
+		t.Errorf("the call in flight is answered %d", status)
+	}
+}
