--- /dev/null
+++ b/cmd/yardwinch/process_test.go
@@ -0,0 +1,66 @@
+package main
+
+import (
+	"context"
+	"errors"
+	"net/http"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"testing"
+	"time"
+)
+
+// process is a started daemon.
+type process struct {
+	*os.Process
+	ended <-chan error // receives how it ended
+}
+
+// startProcess starts a command with a configuration, and has it killed at the end of the test.
+func startProcess(t *testing.T, cmd *exec.Cmd, config []byte) *process {
+	t.Helper()
+	path := filepath.Join(t.TempDir(), "config.json")
+	if err := os.WriteFile(path, config, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	cmd.Env = append(os.Environ(), "PROXY_CONFIG="+path, "TMPDIR="+t.TempDir())
+	if err := cmd.Start(); err != nil {
+		t.Fatal(err)
+	}
+	ended := make(chan error, 1)
+	go func() { ended <- cmd.Wait() }()
+	t.Cleanup(func() { _ = cmd.Process.Kill() }) // it may have ended
+	return &process{Process: cmd.Process, ended: ended}
+}
+
+// callAdmin makes an operator's call and gives the status of its answer.
+func callAdmin(ctx context.Context, method, adminAddress, call string) (status int, err error) {
+	request, err := http.NewRequestWithContext(ctx, method, "http://"+adminAddress+"/control/"+call, nil)
+	if err != nil {
+		return 0, err
+	}
+	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
+	answer, err := client.Do(request)
+	if err != nil {
+		return 0, err
+	}
+	_ = answer.Body.Close()
+	return answer.StatusCode, nil
+}
+
+// awaitAnswer waits until the process answers operators, or ends. isRunning: it has not ended; err is how it ended, or that it didn't answer.
+func (p *process) awaitAnswer(ctx context.Context, adminAddress string) (isRunning bool, err error) {
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); {
+		select {
+		case err := <-p.ended:
+			return false, err
+		case <-time.After(pollInterval):
+		}
+		// Without an endpoint list the answer is no, but there is one.
+		if _, err := callAdmin(ctx, http.MethodGet, adminAddress, "ready"); err == nil {
+			return true, nil
+		}
+	}
+	return true, errors.New("it neither serves nor ends")
+}
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,5 +1,5 @@
-// Package logging writes the process's log without ever holding up whoever logs: a pipe that nobody reads, or a disk that hangs, costs lines and no
-// answer.
+// Package logging writes the process's log without ever blocking whoever logs: a pipe that nobody reads, or a disk that hangs, costs lines and no
+// answer to a client.
 package logging
 
 import (
@@ -9,32 +9,32 @@
 	"time"
 )
 
-const mostHeld = 256 << 10 // bytes of lines that wait to be written
+const maxQueuedBytes = 256 << 10 // of lines that wait to be written
 
-// Writer takes lines at once and writes them in its own time. Lines for which there is no room are dropped, and their number is written in their
-// place.
+// Writer queues lines and writes them in a goroutine of its own, which ends after Close. Lines that don't fit into the queue are dropped, and
+// their number is written in their place.
 type Writer struct {
-	to   io.Writer
-	wake chan struct{}
-	done chan struct{} // closed once all is written after Close
+	output io.Writer
+	wake   chan struct{} // receives once there is something to write, or the writer is closed
+	done   chan struct{} // closed once all is written after Close
 
-	mu      sync.Mutex
+	mu      sync.Mutex // guards the fields below
 	lines   []byte
-	dropped int
+	dropped int // lines, since the last write
 	closed  bool
 }
 
-// NewWriter writes to where it may hang.
-func NewWriter(to io.Writer) *Writer {
-	w := &Writer{to: to, wake: make(chan struct{}, 1), done: make(chan struct{})}
+// NewWriter starts a writer to an output that may block.
+func NewWriter(output io.Writer) *Writer {
+	w := &Writer{output: output, wake: make(chan struct{}, 1), done: make(chan struct{})}
 	go w.run()
 	return w
 }
 
-// Write takes a line. It never fails and never waits.
+// Write queues a line. It never fails and never blocks.
 func (w *Writer) Write(line []byte) (int, error) {
 	w.mu.Lock()
-	if len(w.lines)+len(line) <= mostHeld {
+	if len(w.lines)+len(line) <= maxQueuedBytes {
 		w.lines = append(w.lines, line...)
 	} else {
 		w.dropped++
@@ -44,15 +44,15 @@
 	return len(line), nil
 }
 
-// Close writes what is left, for no longer than that takes within the time given.
-func (w *Writer) Close(within time.Duration) {
+// Close writes what is queued, and returns once that is done or the timeout is over. An output that blocks for longer keeps the goroutine.
+func (w *Writer) Close(timeout time.Duration) {
 	w.mu.Lock()
 	w.closed = true
 	w.mu.Unlock()
 	w.signal()
 	select {
 	case <-w.done:
-	case <-time.After(within):
+	case <-time.After(timeout):
 	}
 }
 
@@ -68,7 +68,7 @@
 	for {
 		lines, closed := w.take()
 		if len(lines) > 0 {
-			_, _ = w.to.Write(lines) // there is nowhere to say that a log can't be written
+			_, _ = w.output.Write(lines) // there is nowhere to report that the log can't be written
 			continue
 		}
 		if closed {
@@ -78,13 +78,13 @@
 	}
 }
 
-// take is all that waits to be written.
+// take empties the queue.
 func (w *Writer) take() (lines []byte, closed bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	lines, w.lines = w.lines, nil
 	if w.dropped > 0 {
-		lines = fmt.Appendf(lines, "level=WARN msg=\"lines of the log were dropped: nobody took them\" number=%d\n", w.dropped)
+		lines = fmt.Appendf(lines, "level=WARN msg=\"log lines dropped, the output is blocked\" lines=%d\n", w.dropped)
 		w.dropped = 0
 	}
 	return lines, w.closed
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -8,42 +8,42 @@
 	"time"
 )
 
-// Lines come in their order, and all of them, where somebody takes them.
+// Where the output takes them, all lines are written, in their order.
 func TestLinesAreWritten(t *testing.T) {
-	var out bytes.Buffer
-	w := NewWriter(&out)
+	var output bytes.Buffer
+	w := NewWriter(&output)
 	want := ""
 	for range 100 {
 		_, _ = io.WriteString(w, "a line\n")
 		want += "a line\n"
 	}
 	w.Close(10 * time.Second)
-	if got := out.String(); got != want {
+	if got := output.String(); got != want {
 		t.Errorf("wrote %q", got)
 	}
 }
 
-// Where nobody takes them lines are held up to a bound and then dropped, and that is said in their place.
-func TestLinesThatNobodyTakes(t *testing.T) {
-	from, to := io.Pipe()
-	w := NewWriter(to)
+// Where the output is blocked, lines are queued up to a bound and then dropped, and their number is written in their place.
+func TestBlockedOutput(t *testing.T) {
+	reader, output := io.Pipe()
+	w := NewWriter(output)
 	line := strings.Repeat("x", 1<<10-1) + "\n"
-	for range mostHeld>>10 + 300 {
+	for range maxQueuedBytes>>10 + 300 {
 		_, _ = io.WriteString(w, line)
 	}
-	w.Close(time.Millisecond) // does not wait for who takes nothing
+	w.Close(time.Millisecond) // does not wait for the output
 	got := make(chan string)
 	go func() {
-		text, _ := io.ReadAll(from)
+		text, _ := io.ReadAll(reader)
 		got <- string(text)
 	}()
 	<-w.done
-	_ = to.Close()
+	_ = output.Close()
 	text := <-got
-	if !strings.Contains(text, "were dropped") {
-		t.Error("it does not say that lines were dropped")
+	if !strings.Contains(text, "log lines dropped") {
+		t.Error("the dropped lines are not reported")
 	}
-	if n := strings.Count(text, line); n < mostHeld>>10 || n > 2*mostHeld>>10 {
-		t.Errorf("%d lines were held", n)
+	if n := strings.Count(text, line); n < maxQueuedBytes>>10 || n > 2*maxQueuedBytes>>10 {
+		t.Errorf("%d lines were queued", n)
 	}
 }
--- a/internal/sighup/ignore_cgo.go
+++ b/internal/sighup/ignore_cgo.go
@@ -6,8 +6,8 @@
 #include <signal.h>
 #include <string.h>
 
-// Runs before the runtime of the language, which keeps what it finds for this signal until it is told otherwise.
-__attribute__((constructor, used)) static void ignore_hangup(int argc, char **argv) {
+// Runs before the Go runtime, which leaves an ignored signal ignored until the program asks for it.
+__attribute__((constructor, used)) static void ignore_sighup(int argc, char **argv) {
 	if (argc > 1 && strcmp(argv[1], "serve") == 0) {
 		signal(SIGHUP, SIG_IGN);
 	}
