--- a/cmd/testbed/try.go
+++ b/cmd/testbed/try.go
@@ -31,7 +31,7 @@
 func balancerCommand() *cli.Command {
 	return &cli.Command{Name: "balancer", Hidden: true, Usage: "serve as yardwinch does; the configuration's path is in PROXY_CONFIG",
 		Action: func(context.Context, *cli.Command) error {
-			return daemon.Run(context.Background(), os.Getenv("PROXY_CONFIG"), os.Getenv("YARDWINCH_OPTIONS"), os.Getenv)
+			return daemon.Run(context.Background(), daemon.Source{ConfigPath: os.Getenv("PROXY_CONFIG"), OptionsPath: os.Getenv("YARDWINCH_OPTIONS"), Environment: os.Getenv})
 		}}
 }
 
--- a/cmd/yardwinch/main.go
+++ b/cmd/yardwinch/main.go
@@ -65,7 +65,11 @@
 	log := logging.NewWriter(os.Stderr)
 	defer log.Close(logTimeout)
 	slog.SetDefault(slog.New(slog.NewTextHandler(log, &slog.HandlerOptions{Level: level})))
-	return withExitCode(daemon.Run(ctx, command.String("config"), command.String("options"), os.Getenv))
+	return withExitCode(daemon.Run(ctx, sourceOf(command)))
+}
+
+func sourceOf(command *cli.Command) daemon.Source {
+	return daemon.Source{ConfigPath: command.String("config"), OptionsPath: command.String("options"), Environment: os.Getenv}
 }
 
 // withExitCode gives the error of a configuration that can't be served its exit code.
@@ -82,7 +86,7 @@
 }
 
 func check(ctx context.Context, command *cli.Command) error {
-	if err := daemon.Check(ctx, command.String("config"), command.String("options"), os.Getenv); err != nil {
+	if err := daemon.Check(ctx, sourceOf(command)); err != nil {
 		return usageError(err)
 	}
 	fmt.Println("the configuration can be served")
--- a/internal/daemon/admin_calls_test.go
+++ b/internal/daemon/admin_calls_test.go
@@ -93,7 +93,7 @@
 func callsInPhase(t *testing.T, in phase) adminCalls {
 	t.Helper()
 	h := newHarness(t)
-	d, err := prepare(t.Context(), h.path, "", os.Getenv)
+	d, err := prepare(t.Context(), Source{ConfigPath: h.path, Environment: os.Getenv})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/daemon/configure.go
+++ b/internal/daemon/configure.go
@@ -20,12 +20,17 @@
 // readTimeout is for a configuration that can't be read for a moment as the process starts.
 const readTimeout = 3 * time.Second
 
+// Source is where a balancer's configuration comes from.
+type Source struct {
+	ConfigPath  string                   // of the file that the platform gives
+	OptionsPath string                   // the operators' own file; empty: none
+	Environment func(name string) string // as os.Getenv
+}
+
 // configuration is what a process was configured with as it started. A reload applies to options, and to the parts that it concerns; for
 // all else a restart is needed.
 type configuration struct {
-	configPath  string
-	optionsPath string // empty: none
-	environment func(string) string
+	source Source
 
 	values  config.Values
 	options *config.Options
@@ -47,9 +52,9 @@
 }
 
 // newDaemon is a daemon that has read no configuration yet.
-func newDaemon(configPath, optionsPath string, environment func(string) string) *Daemon {
+func newDaemon(source Source) *Daemon {
 	return &Daemon{
-		configuration: configuration{configPath: configPath, optionsPath: optionsPath, environment: environment},
+		configuration: configuration{source: source},
 		phase:         loading,
 		started:       make(chan struct{}),
 		relisten:      make(chan struct{}, 1),
@@ -57,9 +62,9 @@
 }
 
 // prepare reads a configuration, and opens nothing. An error names the key at fault.
-func prepare(ctx context.Context, configPath, optionsPath string, environment func(string) string) (*Daemon, error) {
-	d := newDaemon(configPath, optionsPath, environment)
-	values, cachedList, err := config.Load(configPath, environment)
+func prepare(ctx context.Context, source Source) (*Daemon, error) {
+	d := newDaemon(source)
+	values, cachedList, err := config.Load(source.ConfigPath, source.Environment)
 	if err != nil {
 		return nil, err
 	}
@@ -73,7 +78,7 @@
 func (d *Daemon) configure(ctx context.Context, values config.Values, cachedList []byte) (err error) {
 	settings := values.DecisionSettings()
 	d.readConfiguration(values, settings)
-	if d.options, err = config.ReadOptions(d.optionsPath); err != nil {
+	if d.options, err = config.ReadOptions(d.source.OptionsPath); err != nil {
 		return err
 	}
 	if d.options.Peers() != nil {
@@ -120,9 +125,9 @@
 		})
 }
 
-// Check tells what keeps a configuration from being served; nil: nothing. The paths are as for Run.
-func Check(ctx context.Context, configPath, optionsPath string, environment func(string) string) error {
-	d, err := prepare(ctx, configPath, optionsPath, environment)
+// Check tells what keeps a configuration from being served; nil: nothing.
+func Check(ctx context.Context, source Source) error {
+	d, err := prepare(ctx, source)
 	if err != nil {
 		return err
 	}
@@ -130,21 +135,21 @@
 }
 
 // checkText is Check for a configuration that is not written yet.
-func checkText(ctx context.Context, configPath string, text []byte, environment func(string) string) error {
-	values, cachedList, err := config.Parse(configPath, text, environment)
+func checkText(ctx context.Context, source Source, text []byte) error {
+	values, cachedList, err := config.Parse(source.ConfigPath, text, source.Environment)
 	if err != nil {
 		return err
 	}
-	d := newDaemon(configPath, "", environment)
+	d := newDaemon(source)
 	if err := d.configure(ctx, values, cachedList); err != nil {
 		return err
 	}
 	return d.cachedListError
 }
 
-// Load prepares a balancer from its configuration. Its addresses are opened, or taken over, by Serve. The paths are as for Run.
-func Load(ctx context.Context, configPath, optionsPath string, environment func(string) string) (*Daemon, error) {
-	d, err := prepareWithRetries(ctx, configPath, optionsPath, environment)
+// Load prepares a balancer from its configuration. Its addresses are opened, or taken over, by Serve.
+func Load(ctx context.Context, source Source) (*Daemon, error) {
+	d, err := prepareWithRetries(ctx, source)
 	if err != nil {
 		return nil, err
 	}
@@ -157,19 +162,19 @@
 	d.reserveDescriptors()
 	d.descriptorBudget = transport.NewDescriptorBudget(d.descriptorLimit-d.reservedDescriptors, protocol.BusyReply)
 	if d.adminAddress != "" {
-		d.useDirectory(environment("TMPDIR"))
+		d.useDirectory(source.Environment("TMPDIR"))
 	}
 	return d, nil
 }
 
-func prepareWithRetries(ctx context.Context, configPath, optionsPath string, environment func(string) string) (d *Daemon, err error) {
+func prepareWithRetries(ctx context.Context, source Source) (d *Daemon, err error) {
 	reading, done := context.WithTimeout(ctx, readTimeout)
 	defer done()
 	backoff := retry.Backoff{First: firstReloadRetry, Longest: longestReloadRetry}
 	err = retry.Do(reading, backoff, func(err error) {
 		slog.Warn("configuration not read yet", "error", err)
 	}, func() (err error) {
-		d, err = prepare(ctx, configPath, optionsPath, environment)
+		d, err = prepare(ctx, source)
 		return err
 	})
 	return d, err
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -78,15 +78,15 @@
 func (e configurationError) Unwrap() error        { return e.cause }
 func (e configurationError) Is(target error) bool { return target == ErrConfiguration }
 
-// Run is the process from its start to its end: SIGTERM, SIGINT and the end of the context shut it down, SIGHUP reloads the configuration. The paths are those of
-// the configuration and of the operators' options; an empty one stands for none. A configuration that can't be served is ErrConfiguration.
-func Run(ctx context.Context, configPath, optionsPath string, environment func(string) string) error {
+// Run is the process from its start to its end: SIGTERM, SIGINT and the end of the context shut it down, SIGHUP reloads the
+// configuration. A configuration that can't be served is ErrConfiguration.
+func Run(ctx context.Context, source Source) error {
 	stop, cancel := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 	defer cancel()
 	reloads := make(chan os.Signal, 1) // one that waits stands for all that came meanwhile
 	// Until the very end: without a handler the process would die of a signal that comes while it shuts down.
 	signal.Notify(reloads, syscall.SIGHUP)
-	d, err := Load(ctx, configPath, optionsPath, environment)
+	d, err := Load(ctx, source)
 	if err != nil {
 		return configurationError{err}
 	}
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -64,7 +64,7 @@
 	h.setDiscovery(old)
 	h.config = strings.Replace(h.config, fmt.Sprintf(`"control":%q,`, h.adminAddress), "", 1)
 	writeConfig(t, h.path, h.config)
-	if err := Check(t.Context(), h.path, "", os.Getenv); err != nil {
+	if err := Check(t.Context(), Source{ConfigPath: h.path, Environment: os.Getenv}); err != nil {
 		t.Fatal(err)
 	}
 	reloads := make(chan os.Signal)
@@ -168,7 +168,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			path := filepath.Join(t.TempDir(), "config.json")
 			writeConfig(t, path, c.text)
-			if err := Check(t.Context(), path, "", os.Getenv); err == nil || !strings.HasPrefix(err.Error(), c.want) {
+			if err := Check(t.Context(), Source{ConfigPath: path, Environment: os.Getenv}); err == nil || !strings.HasPrefix(err.Error(), c.want) {
 				t.Errorf("%v, want %s", err, c.want)
 			}
 		})
--- a/internal/daemon/harness_test.go
+++ b/internal/daemon/harness_test.go
@@ -173,7 +173,7 @@
 func (h *harness) start(environment func(string) string, before ...func(*Daemon)) *harness {
 	h.t.Helper()
 	var err error
-	if h.daemon, err = Load(h.t.Context(), h.path, "", environment); err != nil {
+	if h.daemon, err = Load(h.t.Context(), Source{ConfigPath: h.path, Environment: environment}); err != nil {
 		h.t.Fatal(err)
 	}
 	for _, change := range before {
@@ -188,7 +188,7 @@
 func (h *harness) startWithReloads(reloads <-chan os.Signal) {
 	h.t.Helper()
 	var err error
-	if h.daemon, err = Load(h.t.Context(), h.path, "", os.Getenv); err != nil {
+	if h.daemon, err = Load(h.t.Context(), Source{ConfigPath: h.path, Environment: os.Getenv}); err != nil {
 		h.t.Fatal(err)
 	}
 	h.serve(reloads)
--- a/internal/daemon/migrate.go
+++ b/internal/daemon/migrate.go
@@ -34,7 +34,7 @@
 	if err != nil {
 		return configurationError{fmt.Errorf("migrate: %w", err)}
 	}
-	if err := checkText(ctx, m.NewPath, text, os.Getenv); err != nil {
+	if err := checkText(ctx, Source{ConfigPath: m.NewPath, Environment: os.Getenv}, text); err != nil {
 		return configurationError{fmt.Errorf("migrate: what would be written can't be served: %w", err)}
 	}
 	if !m.DryRun {
--- a/internal/daemon/process_test.go
+++ b/internal/daemon/process_test.go
@@ -28,7 +28,7 @@
 			panic(err)
 		}
 	}
-	if err := Run(context.Background(), path, "", os.Getenv); err != nil {
+	if err := Run(context.Background(), Source{ConfigPath: path, Environment: os.Getenv}); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -73,7 +73,7 @@
 // reload applies what can change without a restart, whatever the phase. A configuration that can't be served changes nothing: half a change
 // would look like a fault of the balancer.
 func (d *Daemon) reload(ctx context.Context) error {
-	newer, err := prepare(ctx, d.configPath, d.optionsPath, d.environment)
+	newer, err := prepare(ctx, d.source)
 	if err != nil {
 		return err
 	}
--- a/internal/daemon/size_test.go
+++ b/internal/daemon/size_test.go
@@ -42,7 +42,7 @@
 			h := newHarness(t)
 			names := h.configureFleet(servers, 1024)
 			before := heapBytes()
-			d, err := prepare(t.Context(), h.path, "", os.Getenv)
+			d, err := prepare(t.Context(), Source{ConfigPath: h.path, Environment: os.Getenv})
 			if err != nil || d.cachedListError != nil {
 				t.Fatalf("%v, %v", err, d.cachedListError)
 			}
--- a/internal/daemon/start_test.go
+++ b/internal/daemon/start_test.go
@@ -41,7 +41,7 @@
 			h := newHarness(t)
 			reached := startSilentPredecessor(t, openSocket(t, environment("TMPDIR"), h.listenAddress), c.silentAt, c.notReady)
 			var err error
-			if h.daemon, err = Load(t.Context(), h.path, "", environment); err != nil {
+			if h.daemon, err = Load(t.Context(), Source{ConfigPath: h.path, Environment: environment}); err != nil {
 				t.Fatal(err)
 			}
 			h.serve(nil)
--- a/internal/testbed/fleet/fleet_test.go
+++ b/internal/testbed/fleet/fleet_test.go
@@ -21,7 +21,7 @@
 		_ = os.Remove(filepath.Join(os.TempDir(), fmt.Sprintf("yardwinch-gossip-test-%d", os.Getpid())))
 		os.Exit(code)
 	}
-	if err := daemon.Run(context.Background(), os.Getenv("PROXY_CONFIG"), os.Getenv("YARDWINCH_OPTIONS"), os.Getenv); err != nil {
+	if err := daemon.Run(context.Background(), daemon.Source{ConfigPath: os.Getenv("PROXY_CONFIG"), OptionsPath: os.Getenv("YARDWINCH_OPTIONS"), Environment: os.Getenv}); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
--- a/internal/testbed/scale/real_test.go
+++ b/internal/testbed/scale/real_test.go
@@ -19,7 +19,7 @@
 	if os.Getenv(standsForBalancer) == "" {
 		return
 	}
-	if err := daemon.Run(context.Background(), os.Getenv("PROXY_CONFIG"), "", os.Getenv); err != nil {
+	if err := daemon.Run(context.Background(), daemon.Source{ConfigPath: os.Getenv("PROXY_CONFIG"), Environment: os.Getenv}); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
--- a/internal/testbed/sockets/sockets_test.go
+++ b/internal/testbed/sockets/sockets_test.go
@@ -23,7 +23,7 @@
 	case "":
 		os.Exit(m.Run())
 	case "sound":
-		if err := daemon.Run(context.Background(), os.Getenv("PROXY_CONFIG"), os.Getenv("YARDWINCH_OPTIONS"), os.Getenv); err != nil {
+		if err := daemon.Run(context.Background(), daemon.Source{ConfigPath: os.Getenv("PROXY_CONFIG"), OptionsPath: os.Getenv("YARDWINCH_OPTIONS"), Environment: os.Getenv}); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
 		}
