--- a/internal/daemon/admin_calls.go
+++ b/internal/daemon/admin_calls.go
@@ -21,7 +21,7 @@
 
 // Ready says why this process can't serve, or nil.
 func (c adminCalls) Ready() error {
-	switch now := c.daemon.currentPhase(); now {
+	switch now := c.daemon.lifecycle.current(); now {
 	case serving, draining, drained:
 	default:
 		return fmt.Errorf("%w: %s", admin.ErrNotReady, now)
@@ -57,9 +57,9 @@
 	ctx, done := context.WithTimeout(ctx, callTimeout)
 	defer done()
 	select {
-	case <-d.started:
+	case <-d.lifecycle.started:
 	case <-ctx.Done():
-		return fmt.Errorf("%w: %s", admin.ErrNotReady, d.currentPhase())
+		return fmt.Errorf("%w: %s", admin.ErrNotReady, d.lifecycle.current())
 	}
 	for {
 		err := d.attemptChange(ctx, change)
@@ -108,11 +108,11 @@
 	case handover.Offline, handover.Online:
 		err = d.setDisabled(change.Server, change.Kind == handover.Offline)
 	case handover.OutOfService:
-		if now := d.currentPhase(); now != draining && now != drained {
+		if now := d.lifecycle.current(); now != draining && now != drained {
 			err = d.tryTransition(ctx, draining)
 		}
 	case handover.InService:
-		if d.currentPhase() != serving {
+		if d.lifecycle.current() != serving {
 			err = d.tryTransition(ctx, serving)
 		}
 	default:
@@ -138,8 +138,8 @@
 
 // tryTransition is a transition that an operator called for.
 func (d *Daemon) tryTransition(ctx context.Context, to phase) error {
-	if !d.transition(ctx, to) {
-		return fmt.Errorf("%w: %s", admin.ErrNotReady, d.currentPhase())
+	if !d.lifecycle.transition(ctx, to) {
+		return fmt.Errorf("%w: %s", admin.ErrNotReady, d.lifecycle.current())
 	}
 	return nil
 }
--- a/internal/daemon/admin_calls_test.go
+++ b/internal/daemon/admin_calls_test.go
@@ -30,7 +30,7 @@
 	if took := time.Since(start); took > allowed {
 		t.Errorf("drained after %v, %v are allowed", took, allowed)
 	}
-	awaitThat(t, "drained", func() bool { return h.daemon.currentPhase() == drained })
+	awaitThat(t, "drained", func() bool { return h.daemon.lifecycle.current() == drained })
 	h.wantFlow("out of service", "BUSY 700")
 
 	h.wantStatus("POST", "in-service", http.StatusOK)
@@ -79,7 +79,7 @@
 					t.Errorf("%s gives %v", call, got.err)
 				}
 			}
-			if now := left.daemon.currentPhase(); now != c.afterLeaving {
+			if now := left.daemon.lifecycle.current(); now != c.afterLeaving {
 				t.Errorf("out of service leads to %s", now)
 			}
 			if err := left.Ready(); err != nil && !errors.Is(err, admin.ErrNotReady) {
@@ -97,13 +97,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.phase = in
+	d.lifecycle.phase = in
 	if in != loading {
-		d.startedOnce.Do(func() { close(d.started) })
+		d.lifecycle.startedOnce.Do(func() { close(d.lifecycle.started) })
 	}
 	t.Cleanup(func() {
-		d.transition(t.Context(), stopped)
-		d.goroutines.Wait()
+		d.lifecycle.transition(t.Context(), stopped)
+		d.lifecycle.work.Wait()
 	})
 	return adminCalls{d}
 }
--- a/internal/daemon/configure.go
+++ b/internal/daemon/configure.go
@@ -55,8 +55,6 @@
 func newDaemon(source Source) *Daemon {
 	return &Daemon{
 		configuration: configuration{source: source},
-		phase:         loading,
-		started:       make(chan struct{}),
 		relisten:      make(chan struct{}, 1),
 	}
 }
@@ -97,6 +95,7 @@
 		slog.InfoContext(ctx, "unknown columns of load reports ignored", "columns", columns)
 	}
 	d.frontend = protocol.NewFrontend(d.router, d.connectTimeout, config.RetryAfter(settings))
+	d.lifecycle = newLifecycle(d.frontend)
 	return nil
 }
 
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -45,21 +45,14 @@
 	listener        *transport.PausableListener // for clients
 	explainListener net.Listener                // nil: none is configured
 
-	goroutines  sync.WaitGroup // all that Serve starts, and waits for at its end
-	started     chan struct{}  // closed once this process serves
-	startedOnce sync.Once      // closes started
-	relisten    chan struct{}  // receives once the socket for a successor belongs to another process
+	lifecycle  *lifecycle     // the phases
+	goroutines sync.WaitGroup // all that Serve starts, and waits for at its end
+	relisten   chan struct{}  // receives once the socket for a successor belongs to another process
 
-	// changing serialises operators' changes, and excludes them while the state is handed over. It is taken before mu, and guards the fields
-	// below it.
+	// changing serialises operators' changes, and excludes them while the state is handed over. It guards the fields below.
 	changing    sync.Mutex
 	predecessor *handover.Link // nil: there is none, or it has ended
 	successor   *handover.Link // nil: none has taken over
-
-	mu            sync.Mutex // guards the fields below
-	phase         phase
-	endPhase      []context.CancelFunc // end what runs until the phase does
-	drainingSince time.Time            // the call to go out of service; zero: in service
 }
 
 // errStoppedBeforeServing says that the signal to stop came while the process still started.
@@ -99,9 +92,10 @@
 	ctx, cancel := context.WithCancel(context.WithoutCancel(stop)) // it outlasts stop by the shutdown
 	timedOut := false
 	defer func() {
-		d.transition(ctx, stopped)
+		d.lifecycle.transition(ctx, stopped)
 		cancel()
 		if !timedOut { // else what is left ends with the process, which must exit in time
+			d.lifecycle.work.Wait()
 			d.goroutines.Wait()
 		}
 	}()
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -95,7 +95,7 @@
 	if took := time.Since(start); took > clientTimeout+shutdownDrainSlack {
 		t.Errorf("stopped after %v", took)
 	}
-	if now := h.daemon.currentPhase(); now != stopped {
+	if now := h.daemon.lifecycle.current(); now != stopped {
 		t.Errorf("phase %s", now)
 	}
 }
--- /dev/null
+++ b/internal/daemon/process_state.go
@@ -0,0 +1,20 @@
+package daemon
+
+import "yardwinch/internal/explain"
+
+// processState is what explain says of the process.
+func (d *Daemon) processState() explain.Process {
+	d.changing.Lock()
+	defer d.changing.Unlock()
+	state := explain.Process{Phase: string(d.lifecycle.current())}
+	switch {
+	case d.successor != nil:
+		state.Processes = "another has taken over"
+	case d.predecessor != nil:
+		state.Processes = "the one before has not ended"
+	}
+	if d.disabled != nil {
+		state.StoreFault = d.disabled.fault()
+	}
+	return state
+}
--- a/internal/daemon/shutdown.go
+++ b/internal/daemon/shutdown.go
@@ -41,8 +41,8 @@
 // shutDown migrates all clients and returns once none is left, or when the schedule ends; timedOut tells which. Connections that are still
 // open when the schedule ends are errConnectionsRemain, unless all of them have had their last reply.
 func (d *Daemon) shutDown(ctx context.Context, stopAccepting context.CancelFunc, finished <-chan error) (timedOut bool, err error) {
-	handedOver := d.currentPhase() == handingOver
-	d.transition(ctx, shuttingDown)
+	handedOver := d.lifecycle.current() == handingOver
+	d.lifecycle.transition(ctx, shuttingDown)
 	schedule := newShutdownSchedule(d.maxClientTimeout)
 	draining, done := context.WithTimeout(ctx, schedule.exit)
 	defer done()
--- a/internal/daemon/start_test.go
+++ b/internal/daemon/start_test.go
@@ -48,7 +48,7 @@
 			<-reached
 			h.end()
 			select {
-			case <-h.daemon.started:
+			case <-h.daemon.lifecycle.started:
 				t.Error("it served first")
 			default:
 			}
--- a/internal/daemon/upgrade_predecessor.go
+++ b/internal/daemon/upgrade_predecessor.go
@@ -118,7 +118,7 @@
 	}
 	d.changing.Lock()
 	defer d.changing.Unlock()
-	return d.predecessor != nil || d.successor != nil || d.currentPhase() == shuttingDown, nil
+	return d.predecessor != nil || d.successor != nil || d.lifecycle.current() == shuttingDown, nil
 }
 
 // sendState stops accepting clients and hands over all that makes both processes one balancer. Until the link ends the successor decides.
@@ -128,11 +128,9 @@
 	if d.predecessor != nil || d.successor != nil {
 		return handover.Response{}, errors.New("another process has it")
 	}
-	d.mu.Lock()
-	drainingSince := d.drainingSince
-	d.mu.Unlock()
-	if !d.transition(ctx, handingOver) {
-		return handover.Response{}, fmt.Errorf("%s", d.currentPhase())
+	drainingSince := d.lifecycle.outOfServiceSince()
+	if !d.lifecycle.transition(ctx, handingOver) {
+		return handover.Response{}, fmt.Errorf("%s", d.lifecycle.current())
 	}
 	d.successor = link
 	ctx = context.WithoutCancel(ctx) // from here on the hand-over is completed, whether or not the successor still wants it
@@ -186,7 +184,7 @@
 	d.successor = nil
 	d.frontend.ShareIDs(nil)
 	d.setMemoryGoal(oneProcess)
-	if !d.transition(ctx, d.phaseWithoutSuccessor()) {
+	if !d.lifecycle.transition(ctx, d.lifecycle.phaseWithoutSuccessor()) {
 		return
 	}
 	slog.Warn("successor ended, serving again")
@@ -221,25 +219,11 @@
 	case handover.Online:
 		_ = d.router.SetDisabled(change.Server, false) // a server unknown here is not disabled either
 	case handover.OutOfService, handover.InService:
-		d.applyService(ctx, change.Kind == handover.InService)
+		d.lifecycle.setInServiceWhileHandingOver(ctx, change.Kind == handover.InService)
 	}
 	return handover.Response{}, nil
 }
 
-// applyService goes out of service, or back into it, while the successor serves.
-func (d *Daemon) applyService(ctx context.Context, inService bool) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	switch {
-	case d.phase != handingOver:
-	case inService:
-		d.drainingSince = time.Time{}
-	case d.drainingSince.IsZero():
-		d.drainingSince = time.Now()
-		d.startDrain(ctx, 0)
-	}
-}
-
 // sendUsage tells the successor how many descriptors are in use here, at each change.
 func (d *Daemon) sendUsage(ctx context.Context, link *handover.Link) {
 	ticker := time.NewTicker(usageInterval)
--- a/internal/daemon/upgrade_requests.go
+++ b/internal/daemon/upgrade_requests.go
@@ -23,7 +23,7 @@
 	ctx, done := context.WithTimeout(ctx, callTimeout)
 	defer done()
 	select {
-	case <-d.started:
+	case <-d.lifecycle.started:
 	case <-ctx.Done():
 		return handover.Response{}, errors.New("not ready")
 	}
@@ -70,7 +70,7 @@
 	if !established.IsValid() || len(request.Files) != 2 {
 		return handover.Response{}, errors.New("no connection")
 	}
-	if d.isOutOfService() { // the predecessor drains its own clients; here the drain may have passed this one
+	if d.lifecycle.isOutOfService() { // the predecessor drains its own clients; here the drain may have passed this one
 		return handover.Response{}, errors.New("out of service")
 	}
 	var ends [2]net.Conn
--- a/internal/daemon/upgrade_successor.go
+++ b/internal/daemon/upgrade_successor.go
@@ -146,9 +146,7 @@
 	defer d.changing.Unlock()
 	d.predecessor = link
 	if state.OutOfService {
-		d.mu.Lock()
-		defer d.mu.Unlock()
-		d.drainingSince = time.Now().Add(-state.DrainingFor)
+		d.lifecycle.setOutOfServiceSince(time.Now().Add(-state.DrainingFor))
 	}
 	return received, nil
 }
@@ -210,7 +208,7 @@
 	if link != nil {
 		d.releasePredecessor(starting, link)
 	}
-	d.transition(ctx, d.phaseWithoutSuccessor())
+	d.lifecycle.transition(ctx, d.lifecycle.phaseWithoutSuccessor())
 	if d.directory != nil {
 		d.goroutines.Go(func() { d.awaitSuccessors(ctx) })
 	}
--- a/internal/daemon/upgrade_test.go
+++ b/internal/daemon/upgrade_test.go
@@ -180,7 +180,7 @@
 					_ = file.Close()
 				}
 			}
-			if now := old.daemon.currentPhase(); len(steps) > 1 && now != handingOver {
+			if now := old.daemon.lifecycle.current(); len(steps) > 1 && now != handingOver {
 				t.Errorf("phase %s", now)
 			}
 			link.Close()
@@ -193,7 +193,7 @@
 	fresh.wantStatus("POST", "out-of-service", http.StatusOK)
 	fresh.end()
 	old.awaitStatus("GET", "ready", http.StatusOK)
-	if now := old.daemon.currentPhase(); now != draining && now != drained {
+	if now := old.daemon.lifecycle.current(); now != draining && now != drained {
 		t.Errorf("phase %s after a call out of service at the process that died", now)
 	}
 	old.wantStatus("POST", "in-service", http.StatusOK)
@@ -209,7 +209,7 @@
 	client, _ := old.openFlow()
 	old.wantStatus("POST", "out-of-service", http.StatusOK)
 	fresh := old.successor().start(environment)
-	if now := fresh.daemon.currentPhase(); now != draining && now != drained {
+	if now := fresh.daemon.lifecycle.current(); now != draining && now != drained {
 		t.Errorf("the successor is %s", now)
 	}
 	wantMigration(t, client)
@@ -282,7 +282,7 @@
 	_, _ = conn.Write([]byte("GET / HTTP/1.1\r\n\r\n"))
 	_, _ = io.Copy(io.Discard, conn) // until the other end closes it
 	_ = conn.Close()
-	if now := h.daemon.currentPhase(); now != serving {
+	if now := h.daemon.lifecycle.current(); now != serving {
 		t.Errorf("phase %s", now)
 	}
 	h.wantFlow("afterwards", "UP 1")
