--- a/fleet/signals/signals.go
+++ b/fleet/signals/signals.go
@@ -39,21 +39,36 @@
 	onLoad   func(decide.ServerID, time.Duration) (epoch uint64)
 }
 
-// New makes one that publishes as origin. A message that takes longer than delayLimit is late, and so is a set-up that takes longer than
-// setupLimit. One that is not enabled bounds nothing.
-func New(origin Origin, incarnation Incarnation, build, settings string, delayLimit, setupLimit time.Duration, enabled bool) *Exchange {
+// Config configures an Exchange.
+type Config struct {
+	Origin      Origin
+	Incarnation Incarnation
+	Build       string
+	Settings    string        // a digest of the settings that should be the same at all balancers
+	DelayLimit  time.Duration // a message that takes longer is late
+	SetupLimit  time.Duration // a set-up that takes longer is late
+	Enabled     bool          // false: the exchange publishes and merges, and penalises no server
+}
+
+// New makes the exchange of one balancer.
+func New(config Config) *Exchange {
 	return &Exchange{
-		enabled:      enabled,
-		delayLimit:   delayLimit,
-		setupLimit:   setupLimit,
+		enabled:      config.Enabled,
+		delayLimit:   config.DelayLimit,
+		setupLimit:   config.SetupLimit,
 		ready:        map[decide.ServerID]bool{},
 		observations: map[decide.ServerID]*observation{},
-		store:        NewStore(origin),
+		store:        NewStore(config.Origin),
 		servers:      map[decide.ServerID]*consensus{},
 		gatheredAt:   never,
-		own:          Record{Origin: origin, Incarnation: incarnation, Build: build, Settings: settings},
-		publishedAt:  never,
-		loads:        map[decide.ServerID]ownLoad{},
+		own: Record{
+			Origin:      config.Origin,
+			Incarnation: config.Incarnation,
+			Build:       config.Build,
+			Settings:    config.Settings,
+		},
+		publishedAt: never,
+		loads:       map[decide.ServerID]ownLoad{},
 	}
 }
 
--- a/fleet/signals/signals_test.go
+++ b/fleet/signals/signals_test.go
@@ -17,7 +17,15 @@
 func at(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
 func fresh(origin Origin) *Exchange {
-	s := New(origin, 1, "b", "s", 80*time.Millisecond, 300*time.Millisecond, true)
+	s := New(Config{
+		Origin:      origin,
+		Incarnation: 1,
+		Build:       "b",
+		Settings:    "s",
+		DelayLimit:  80 * time.Millisecond,
+		SetupLimit:  300 * time.Millisecond,
+		Enabled:     true,
+	})
 	s.SetTime(at(100))
 	return s
 }
--- /dev/null
+++ b/internal/config/json.go
@@ -0,0 +1,73 @@
+package config
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"strconv"
+	"strings"
+)
+
+// FromJSON flattens an object: a list of plain values is joined with commas, a list of objects becomes .count and .0, .1 and so on.
+func FromJSON(text []byte) (Values, error) {
+	values, _, err := fromJSONWithout(text, "")
+	return values, err
+}
+
+// fromJSONWithout flattens an object except one part, which it returns as it is: a flattened endpoint list would cost more memory than
+// everything else.
+func fromJSONWithout(text []byte, name string) (Values, []byte, error) {
+	var top map[string]json.RawMessage
+	if err := json.Unmarshal(text, &top); err != nil {
+		return Values{}, nil, fmt.Errorf("not a JSON object: %w", err)
+	}
+	excluded := top[name]
+	delete(top, name)
+	values := FromPairs(map[string]string{})
+	for key, raw := range top {
+		decoder := json.NewDecoder(bytes.NewReader(raw))
+		decoder.UseNumber() // a nanosecond count or a seed must not go through a float
+		var value any
+		if err := decoder.Decode(&value); err != nil {
+			return Values{}, nil, fmt.Errorf("not a JSON object: %w", err)
+		}
+		values.flatten(key, value)
+	}
+	return values, excluded, nil
+}
+
+func (v Values) flatten(path string, value any) {
+	switch value := value.(type) {
+	case map[string]any:
+		for key, member := range value {
+			v.flatten(strings.TrimPrefix(path+"."+key, "."), member)
+		}
+	case []any:
+		v.flattenList(path, value)
+	case nil:
+		v.byPath[path] = "" // not "null": a service type or a customer may have this name
+	default:
+		v.byPath[path] = plainText(value)
+	}
+}
+
+func (v Values) flattenList(path string, list []any) {
+	var plain []string
+	for i, item := range list {
+		switch item.(type) {
+		case map[string]any, []any:
+			v.flatten(path+"."+strconv.Itoa(i), item)
+		default:
+			plain = append(plain, plainText(item))
+		}
+	}
+	v.byPath[path+countSuffix] = strconv.Itoa(len(list))
+	v.byPath[path] = strings.Join(plain, ",")
+}
+
+func plainText(value any) string {
+	if value == nil {
+		return "null"
+	}
+	return fmt.Sprint(value)
+}
--- /dev/null
+++ b/internal/config/locality.go
@@ -0,0 +1,116 @@
+package config
+
+import (
+	"fmt"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+
+	"yardwinch/constraints"
+	"yardwinch/decide"
+	"yardwinch/internal/strict"
+	"yardwinch/locality"
+)
+
+// Bounds and defaults of the locality options.
+const (
+	defaultSpillover, maxSpillover         = 0.3, 10
+	defaultSurge, maxSurge                 = 0, 100
+	defaultFailbackRate, maxFailbackRate   = 60, 1e6 // flows a minute
+	defaultRetryInterval, maxRetryInterval = 500 * time.Millisecond, time.Minute
+)
+
+// Locality is the locality-aware part of an operators' file; it makes the policy of any balancer of the fleet.
+type Locality struct {
+	tiers         map[string][][]decide.Zone // by the zone of the balancer
+	spillover     float64
+	surge         float64
+	failbackRate  float64 // flows a minute, of the fleet
+	retryInterval time.Duration
+	zones         []string // that have tiers, in the order of the file
+}
+
+// ReadLocality reads the table [halls]; faults are kept in the table.
+func ReadLocality(table strict.Table) Locality {
+	l := Locality{tiers: map[string][][]decide.Zone{}}
+	l.spillover = table.Float(keySpilloverThreshold, defaultSpillover, 0, maxSpillover)
+	l.surge = table.Float(keySurge, defaultSurge, 0, maxSurge)
+	l.failbackRate = table.Float(keyFailbackRate, defaultFailbackRate, 0, maxFailbackRate)
+	l.retryInterval = table.Duration(keyRetryInterval, defaultRetryInterval, maxRetryInterval)
+	for _, entry := range table.Tables(tableTiers) {
+		l.readTiers(entry)
+	}
+	return l
+}
+
+// readTiers reads the order in which balancers of one zone prefer the zones.
+func (l *Locality) readTiers(entry strict.Table) {
+	from := entry.String(keyTiersZone, "")
+	if from == "" {
+		entry.Fail(keyTiersZone, "is missing")
+		return
+	}
+	if slices.Contains(l.zones, from) {
+		entry.Fail(keyTiersZone, "%q has an order already", from)
+	}
+	l.zones = append(l.zones, from)
+	var seen []string
+	for _, names := range entry.Lists(keyTiers) {
+		var tier []decide.Zone
+		for _, name := range names {
+			if slices.Contains(seen, name) {
+				entry.Fail(keyTiers, "names %q twice", name)
+			}
+			seen = append(seen, name)
+			tier = append(tier, decide.Zone(name))
+		}
+		l.tiers[from] = append(l.tiers[from], tier)
+	}
+	if len(l.tiers[from]) == 0 {
+		entry.Fail(keyTiers, `is missing; want lists of halls, the nearest first, such as [["a"], ["b", "c"]]`)
+	}
+}
+
+// NewPolicy makes the policy of a balancer with the given settings; seed starts its random generator.
+func (l Locality) NewPolicy(settings Values, seed uint64) *locality.Policy {
+	own := settings.String(keyZone, "")
+	return locality.New(seed, decide.Zone(own), l.tiers[own], l.spillover, l.surge, l.failbackRate, balancerCount(settings),
+		MinSetupTarget(settings), MessageTarget(settings), settings.Duration(keyWarmUp), l.retryInterval)
+}
+
+// Apply reconfigures a running policy.
+func (l Locality) Apply(policy *locality.Policy, settings Values) {
+	own := settings.String(keyZone, "")
+	policy.Reconfigure(l.tiers[own], l.spillover, l.surge, l.failbackRate, balancerCount(settings), l.retryInterval)
+}
+
+// Text is the table as an operators' file states it.
+func (l Locality) Text() string {
+	var b strings.Builder
+	fmt.Fprintf(&b, "[%s]\n", tableLocality)
+	fmt.Fprintf(&b, "%s = %g\n", keySpilloverThreshold, l.spillover)
+	fmt.Fprintf(&b, "%s = %g\n", keySurge, l.surge)
+	fmt.Fprintf(&b, "%s = %g\n", keyFailbackRate, l.failbackRate)
+	fmt.Fprintf(&b, "%s = %q\n", keyRetryInterval, l.retryInterval)
+	for _, from := range l.zones {
+		var tiers []string
+		for _, tier := range l.tiers[from] {
+			tiers = append(tiers, tierText(tier))
+		}
+		fmt.Fprintf(&b, "[[%s.%s]]\n", tableLocality, tableTiers)
+		fmt.Fprintf(&b, "%s = %q\n", keyTiersZone, from)
+		fmt.Fprintf(&b, "%s = [%s]\n", keyTiers, strings.Join(tiers, ", "))
+	}
+	return b.String()
+}
+
+func tierText(tier []decide.Zone) string {
+	var names []string
+	for _, zone := range tier {
+		names = append(names, strconv.Quote(string(zone)))
+	}
+	return "[" + strings.Join(names, ", ") + "]"
+}
+
+var _ constraints.Constraint = (*locality.Policy)(nil)
--- a/internal/config/options.go
+++ b/internal/config/options.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"net/netip"
 	"os"
 	"reflect"
 	"strings"
@@ -13,125 +12,108 @@
 	"yardwinch/locality"
 )
 
-// Options is the operators' own file. What it does not name is off.
-type Options struct {
-	halls   *Locality
-	explain string
-	running *locality.Policy
-	peers   *Peers
-	signals *signals.Exchange
-}
+// maxSocketPath bounds the path of a Unix socket in bytes, below the system's own limit of 108.
+const maxSocketPath = 100
 
-// Peers is what the file says of the other balancers: how this one is called among them, where it speaks and what it tells.
-type Peers struct {
-	Name            string
-	Label           string
-	Bind, Advertise netip.AddrPort
-	Seeds           []string
-	Engine          string // the engine's; empty: the one beside this program
-	Signals         bool   // what they tell bounds the decisions here
-	Leases          bool   // one probes for all
-}
+// delayLimitPart is the part of the message target from which a message counts as late for the other balancers.
+const delayLimitPart = 3
 
-const longestName = 64
-
-func readPeers(t strict.Table, signals, duties bool) *Peers {
-	p := &Peers{Name: t.String("name", ""), Label: t.String("label", ""), Signals: signals, Leases: duties}
-	for _, x := range []struct {
-		key   string
-		value string
-	}{{"name", p.Name}, {"label", p.Label}} {
-		if x.value == "" || len(x.value) > longestName || strings.ContainsAny(x.value, " \t\r\n") {
-			t.Fail(x.key, "want a name without spaces, of at most %d bytes, got %q", longestName, x.value)
-		}
-	}
-	address := func(key string, absent netip.AddrPort) netip.AddrPort {
-		text := t.String(key, "")
-		if text == "" && absent.IsValid() {
-			return absent
-		}
-		a, err := netip.ParseAddrPort(text)
-		if err != nil || a.Port() == 0 || a.Addr().IsUnspecified() {
-			t.Fail(key, "want an address that the others can reach, with its port, such as \"10.0.0.7:7946\", got %q", text)
-		}
-		return a
-	}
-	p.Bind = address("bind", netip.AddrPort{})
-	p.Advertise = address("advertise", p.Bind)
-	if p.Engine = t.String("program", ""); p.Engine != "" && !strings.HasPrefix(p.Engine, "/") {
-		t.Fail("program", "want an absolute path, got %q", p.Engine)
-	}
-	p.Seeds = t.Strings("seeds", nil)
-	for _, s := range p.Seeds {
-		if _, err := netip.ParseAddrPort(s); err != nil {
-			t.Fail("seeds", "want addresses with their ports, got %q", s)
-		}
-	}
-	return p
+// Options are the operators' options file. What the file does not name is off.
+type Options struct {
+	locality      *Locality // nil: off
+	explainSocket string
+	peers         *Peers // nil: off
+
+	policy  *locality.Policy  // made of locality by Constraints
+	signals *signals.Exchange // made by EnableSignals
 }
 
-// ReadOptions reads the file; an empty path stands for none. A fault names file, line and key.
+// ReadOptions reads the options file; an empty path stands for no options. An error names the file, the line and the key.
 func ReadOptions(path string) (*Options, error) {
-	o := &Options{}
 	if path == "" {
-		return o, nil
+		return &Options{}, nil
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("options: %w", err)
 	}
-	t, err := strict.Parse(path, text)
+	table, err := strict.Parse(path, text)
 	if err != nil {
 		return nil, err
 	}
-	if t.Has("halls") {
-		h := ReadLocality(t.Table("halls"))
-		o.halls = &h
+	options := &Options{}
+	options.read(table)
+	return options, table.Err()
+}
+
+func (o *Options) read(table strict.Table) {
+	if table.Has(tableLocality) {
+		l := ReadLocality(table.Table(tableLocality))
+		o.locality = &l
 	}
-	if t.Has("explain") {
-		x := t.Table("explain")
-		if o.explain = x.String("socket", ""); !strings.HasPrefix(o.explain, "/") || len(o.explain) > 100 {
-			x.Fail("socket", "want the absolute path of a socket, of at most 100 bytes, got %q", o.explain)
-		}
+	if table.Has(tableExplain) {
+		o.explainSocket = readExplainSocket(table.Table(tableExplain))
 	}
-	on := t.Table("signals").Bool("on", t.Has("signals"))
-	duties := t.Table("duties").Bool("on", t.Has("duties"))
+	sharesSignals := table.Table(tableSignals).Bool(keyEnabled, table.Has(tableSignals))
+	sharesTasks := table.Table(tableLeases).Bool(keyEnabled, table.Has(tableLeases))
 	switch {
-	case t.Has("peers"):
-		o.peers = readPeers(t.Table("peers"), on, duties)
-	case on:
-		t.Fail("signals", "needs [peers]: nobody else would tell any")
-	case duties:
-		t.Fail("duties", "needs [peers]: nobody else would do any")
+	case table.Has(tablePeers):
+		o.peers = readPeers(table.Table(tablePeers))
+		o.peers.Signals = sharesSignals
+		o.peers.Leases = sharesTasks
+	case sharesSignals:
+		table.Fail(tableSignals, "needs [peers]: nobody else would tell any")
+	case sharesTasks:
+		table.Fail(tableLeases, "needs [peers]: nobody else would do any")
+	}
+}
+
+func readExplainSocket(table strict.Table) string {
+	path := table.String(keyExplainSocket, "")
+	if !strings.HasPrefix(path, "/") || len(path) > maxSocketPath {
+		table.Fail(keyExplainSocket, "want the absolute path of a socket, of at most %d bytes, got %q", maxSocketPath, path)
 	}
-	return o, t.Err()
+	return path
 }
 
-// Peers is what the file says of other balancers; nil: nothing passes between them.
+// Peers are the options of the exchange with other balancers; nil where nothing is exchanged.
 func (o *Options) Peers() *Peers { return o.peers }
 
-// SharedText is what of the file should be the same at all balancers.
+// ExplainSocket is the path of the socket on which the balancer explains its decisions; empty: none.
+func (o *Options) ExplainSocket() string { return o.explainSocket }
+
+// SharedText is the part of the options that should be the same at all balancers, as a text to compare.
 func (o *Options) SharedText() (text string) {
-	if o.halls != nil {
-		text = o.halls.Text()
+	if o.locality != nil {
+		text = o.locality.Text()
 	}
-	return text + fmt.Sprintf("signals %v duties %v", o.peers != nil && o.peers.Signals, o.peers != nil && o.peers.Leases)
+	sharesSignals := o.peers != nil && o.peers.Signals
+	sharesTasks := o.peers != nil && o.peers.Leases
+	return text + fmt.Sprintf("%s %v %s %v", tableSignals, sharesSignals, tableLeases, sharesTasks)
 }
 
-// Signals is the decider that others' words reach; nil where nothing passes.
+// Signals is the exchange with other balancers; nil before EnableSignals.
 func (o *Options) Signals() *signals.Exchange { return o.signals }
 
-// EnableSignals makes that decider; the file must name peers. build and settings are what it tells of itself, inc tells this start from earlier
-// ones.
-func (o *Options) EnableSignals(g Values, build, settings string, inc uint64) {
-	o.signals = signals.New(signals.Origin(o.peers.Name), signals.Incarnation(inc), build, settings, MessageTarget(g)/3, MinSetupTarget(g), o.peers.Signals)
+// EnableSignals makes the exchange with other balancers; the file must name peers. It publishes the build and the digest of the settings;
+// the incarnation tells this start of the process from earlier ones.
+func (o *Options) EnableSignals(settings Values, build, settingsDigest string, incarnation uint64) {
+	o.signals = signals.New(signals.Config{
+		Origin:      signals.Origin(o.peers.Name),
+		Incarnation: signals.Incarnation(incarnation),
+		Build:       build,
+		Settings:    settingsDigest,
+		DelayLimit:  MessageTarget(settings) / delayLimitPart,
+		SetupLimit:  MinSetupTarget(settings),
+		Enabled:     o.peers.Signals,
+	})
 }
 
-// Constraints are those that the file switches on, in the order in which they are asked: halls, signals.
-func (o *Options) Constraints(g Values, seed uint64) (list []constraints.Constraint) {
-	if o.halls != nil {
-		o.running = o.halls.NewPolicy(g, seed)
-		list = append(list, o.running)
+// Constraints are those that the file enables, in the order in which they are evaluated; seed starts their random generators.
+func (o *Options) Constraints(settings Values, seed uint64) (list []constraints.Constraint) {
+	if o.locality != nil {
+		o.policy = o.locality.NewPolicy(settings, seed)
+		list = append(list, o.policy)
 	}
 	if o.signals != nil {
 		list = append(list, o.signals)
@@ -139,23 +121,20 @@
 	return list
 }
 
-// ExplainSocket is the socket on which the balancer tells what it holds; empty: none.
-func (o *Options) ExplainSocket() string { return o.explain }
-
-// Apply brings what runs to a newer reading, and names what needs a restart.
-func (o *Options) Apply(newer *Options, g Values) (keys []string) {
+// Apply takes up the parts of newer options that may change at run time, and names the changed keys that need a restart.
+func (o *Options) Apply(newer *Options, settings Values) (restartKeys []string) {
 	switch {
-	case (o.halls == nil) != (newer.halls == nil):
-		keys = append(keys, "halls")
-	case o.halls != nil && o.running != nil:
-		newer.halls.Apply(o.running, g)
-		o.halls = newer.halls
+	case (o.locality == nil) != (newer.locality == nil):
+		restartKeys = append(restartKeys, tableLocality)
+	case o.locality != nil && o.policy != nil:
+		newer.locality.Apply(o.policy, settings)
+		o.locality = newer.locality
 	}
 	if !reflect.DeepEqual(o.peers, newer.peers) {
-		keys = append(keys, "peers")
+		restartKeys = append(restartKeys, tablePeers)
 	}
-	if o.explain != newer.explain {
-		keys = append(keys, "explain.socket")
+	if o.explainSocket != newer.explainSocket {
+		restartKeys = append(restartKeys, tableExplain+"."+keyExplainSocket)
 	}
-	return keys
+	return restartKeys
 }
--- a/internal/config/options_test.go
+++ b/internal/config/options_test.go
@@ -8,88 +8,88 @@
 	"testing"
 )
 
+// writeOptions writes an options file and returns its path.
+func writeOptions(t *testing.T, text string) string {
+	t.Helper()
+	path := filepath.Join(t.TempDir(), "options.toml")
+	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	return path
+}
+
 func TestOptions(t *testing.T) {
 	for _, c := range []struct{ name, text, want string }{
 		{"nothing", "", ""},
 		{"all", "[halls]\nspill = 0.5\nhome-per-minute = 30\nagain = \"400ms\"\n[[halls.from]]\nhall = \"a\"\ntiers = [[\"a\"], [\"b\", \"c\"]]\n[explain]\nsocket = \"/run/y\"\n", ""},
-		{"unknown part", "[hall]\nspill = 1\n", ":1: hall: unknown key"},
+		{"unknown table", "[hall]\nspill = 1\n", ":1: hall: unknown key"},
 		{"unknown key", "[halls]\nspil = 1\n", ":2: halls.spil: unknown key"},
 		{"out of range", "[halls]\nspill = -1\n", ":2: halls.spill: want a number from 0 to 10, got -1"},
-		{"a hall twice in an order", "[halls]\n[[halls.from]]\nhall = \"a\"\ntiers = [[\"a\"], [\"a\"]]\n", ":4: halls.from.0.tiers: names \"a\" twice"},
-		{"two orders for a hall", "[[halls.from]]\nhall = \"a\"\ntiers = [[\"a\"]]\n[[halls.from]]\nhall = \"a\"\ntiers = [[\"a\"]]\n", ":5: halls.from.1.hall: \"a\" has an order already"},
-		{"no order", "[[halls.from]]\nhall = \"a\"\n", ":1: halls.from.0.tiers: is missing"},
-		{"a flat order", "[[halls.from]]\nhall = \"a\"\ntiers = [\"a\"]\n", ":3: halls.from.0.tiers: want lists of texts"},
-		{"a path that is none", "[explain]\nsocket = \"y\"\n", ":2: explain.socket: want the absolute path"},
+		{"a zone twice in its tiers", "[halls]\n[[halls.from]]\nhall = \"a\"\ntiers = [[\"a\"], [\"a\"]]\n", ":4: halls.from.0.tiers: names \"a\" twice"},
+		{"tiers of a zone twice", "[[halls.from]]\nhall = \"a\"\ntiers = [[\"a\"]]\n[[halls.from]]\nhall = \"a\"\ntiers = [[\"a\"]]\n", ":5: halls.from.1.hall: \"a\" has an order already"},
+		{"no tiers", "[[halls.from]]\nhall = \"a\"\n", ":1: halls.from.0.tiers: is missing"},
+		{"tiers that are not lists", "[[halls.from]]\nhall = \"a\"\ntiers = [\"a\"]\n", ":3: halls.from.0.tiers: want lists of texts"},
+		{"a relative path", "[explain]\nsocket = \"y\"\n", ":2: explain.socket: want the absolute path"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			path := filepath.Join(t.TempDir(), "own.toml")
-			if err := os.WriteFile(path, []byte(c.text), 0o600); err != nil {
-				t.Fatal(err)
-			}
-			o, err := ReadOptions(path)
+			path := writeOptions(t, c.text)
+			options, err := ReadOptions(path)
 			if c.want == "" {
-				if err != nil || (len(o.Constraints(FromPairs(map[string]string{"az": "a"}), 1)) > 0) != strings.Contains(c.text, "halls") {
-					t.Errorf("%+v, %v", o, err)
+				if err != nil || (len(options.Constraints(FromPairs(map[string]string{"az": "a"}), 1)) > 0) != strings.Contains(c.text, "halls") {
+					t.Errorf("%+v, %v", options, err)
 				}
 			} else if err == nil || !strings.HasPrefix(err.Error(), path+c.want) {
 				t.Errorf("error %v, want %s", err, c.want)
 			}
 		})
 	}
-	if o, err := ReadOptions(""); err != nil || len(o.Constraints(FromPairs(nil), 1)) != 0 || o.ExplainSocket() != "" {
-		t.Errorf("without a file something is on: %+v, %v", o, err)
+	if options, err := ReadOptions(""); err != nil || len(options.Constraints(FromPairs(nil), 1)) != 0 || options.ExplainSocket() != "" {
+		t.Errorf("without a file something is on: %+v, %v", options, err)
 	}
 }
 
-func TestWhatNewerOptionsChange(t *testing.T) {
+func TestApplyNewerOptions(t *testing.T) {
 	read := func(text string) *Options {
-		path := filepath.Join(t.TempDir(), "own.toml")
-		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-			t.Fatal(err)
-		}
-		o, err := ReadOptions(path)
+		options, err := ReadOptions(writeOptions(t, text))
 		if err != nil {
 			t.Fatal(err)
 		}
-		return o
+		return options
 	}
-	g := FromPairs(map[string]string{"az": "a"})
-	on := read("[halls]\nspill = 0.2\n")
-	on.Constraints(g, 1)
+	settings := FromPairs(map[string]string{"az": "a"})
+	running := read("[halls]\nspill = 0.2\n")
+	running.Constraints(settings, 1)
 	for _, c := range []struct{ name, text, want string }{
-		{"figures of halls", "[halls]\nspill = 0.9\n", ""},
-		{"halls off", "", "halls"},
+		{"figures of the locality policy", "[halls]\nspill = 0.9\n", ""},
+		{"locality off", "", "halls"},
 		{"a socket", "[halls]\n[explain]\nsocket = \"/x\"\n", "explain.socket"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			if keys := strings.Join(on.Apply(read(c.text), g), " "); keys != c.want {
+			if keys := strings.Join(running.Apply(read(c.text), settings), " "); keys != c.want {
 				t.Errorf("needs a restart: %q, want %q", keys, c.want)
 			}
 		})
 	}
 }
 
-func TestPeersOfTheFile(t *testing.T) {
+func TestPeerOptions(t *testing.T) {
 	const good = "[peers]\nname = \"a\"\nlabel = \"prod\"\nbind = \"10.0.0.1:7946\"\nseeds = [\"10.0.0.2:7946\"]\n"
 	read := func(text string) (*Options, error) {
-		path := filepath.Join(t.TempDir(), "o.toml")
-		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-			t.Fatal(err)
-		}
-		o, err := ReadOptions(path)
+		path := writeOptions(t, text)
+		options, err := ReadOptions(path)
 		if err != nil {
 			err = errors.New(strings.TrimPrefix(err.Error(), path))
 		}
-		return o, err
+		return options, err
 	}
-	o, err := read(good + "[signals]\n")
-	if err != nil || o.Peers() == nil || !o.Peers().Signals || o.Peers().Leases || o.Peers().Advertise != o.Peers().Bind {
-		t.Fatalf("%+v, %v", o.Peers(), err)
+	options, err := read(good + "[signals]\n")
+	if err != nil || options.Peers() == nil || !options.Peers().Signals || options.Peers().Leases || options.Peers().Advertise != options.Peers().Bind {
+		t.Fatalf("%+v, %v", options.Peers(), err)
 	}
-	if o, err := read("[explain]\nsocket = \"/x\"\n"); err != nil || o.Peers() != nil || o.Signals() != nil {
-		t.Errorf("%+v, %v", o.Peers(), err)
+	if options, err := read("[explain]\nsocket = \"/x\"\n"); err != nil || options.Peers() != nil || options.Signals() != nil {
+		t.Errorf("%+v, %v", options.Peers(), err)
 	}
-	for _, x := range []struct{ from, to, want string }{
+	for _, c := range []struct{ from, to, want string }{
 		{"name = \"a\"\n", "", ":1: peers.name: want a name"},
 		{"name = \"a\"", "name = \"a b\"", ":2: peers.name: want a name"},
 		{"bind = \"10.0.0.1:7946\"", "bind = \"0.0.0.0:7946\"", ":4: peers.bind: want an address that the others can reach"},
@@ -99,8 +99,8 @@
 		{good, "[signals]\non = true\n", ":1: signals: needs [peers]"},
 		{good, "[duties]\n", ":1: duties: needs [peers]"},
 	} {
-		if _, err := read(strings.Replace(good, x.from, x.to, 1)); err == nil || !strings.HasPrefix(err.Error(), x.want) {
-			t.Errorf("%q: got %v, want %q", x.to, err, x.want)
+		if _, err := read(strings.Replace(good, c.from, c.to, 1)); err == nil || !strings.HasPrefix(err.Error(), c.want) {
+			t.Errorf("%q: got %v, want %q", c.to, err, c.want)
 		}
 	}
 }
