--- a/cmd/yardwinch-gossip/main.go
+++ b/cmd/yardwinch-gossip/main.go
@@ -1,4 +1,4 @@
-// Yardwinch-peer is the gossip engine of one balancer; yardwinch serve starts it where the operators' file names peers.
+// Yardwinch-gossip is the gossip engine of one balancer. yardwinch serve starts it where the options file has a table [peers].
 package main
 
 import (
--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -45,7 +45,7 @@
 		p.signals.ShareLoads(func(s decide.ServerID, now time.Duration) uint64 { return uint64(p.duties.Renew(lease.Task(s), now)) })
 		r.SetHealthCheckFilter(func(s decide.ServerID, now time.Duration) bool { return p.duties.Holds(lease.Task(s), now) })
 	}
-	p.group = membership.New(own.Engine, membership.Name(own.Name), own.Label, own.Bind, own.Advertise, own.Seeds, p)
+	p.group = membership.New(own.Engine, membership.Instance{Name: membership.Name(own.Name), Label: own.Label, Bind: own.Bind, Advertise: own.Advertise, Seeds: own.Seeds}, p)
 	return p
 }
 
@@ -103,8 +103,8 @@
 	p.group.Publish(string(r.Origin), b)
 }
 
-// Hear takes what a member says; what is news is passed on, as gossip is.
-func (p *peers) Hear(b []byte) {
+// OnMessage takes what a member says; what is news is passed on, as gossip is.
+func (p *peers) OnMessage(b []byte) {
 	if origin, news := p.take(b); news {
 		p.group.Publish(string(origin), b)
 	}
@@ -163,8 +163,8 @@
 	p.group.SetFullState(b)
 }
 
-// HearWhole takes all that a member knows. It is not passed on: each member asks another for itself.
-func (p *peers) HearWhole(b []byte) {
+// OnRemoteState takes all that a member knows. It is not passed on: each member asks another for itself.
+func (p *peers) OnRemoteState(b []byte) {
 	messages, err := signals.DecodeAll(b)
 	if err != nil {
 		p.group.CountDropped("garbled", err.Error())
@@ -175,8 +175,8 @@
 	}
 }
 
-// Away: this process stood still.
-func (p *peers) Away(time.Duration) {
+// OnSuspended: this process stood still.
+func (p *peers) OnSuspended(time.Duration) {
 	p.router.WithLock(func() {
 		p.signals.OnSuspended()
 		if p.duties != nil {
--- a/internal/membership/engine/serve.go
+++ b/internal/membership/engine/serve.go
@@ -6,7 +6,6 @@
 	"fmt"
 	"io"
 	"log/slog"
-	"net/netip"
 	"sync"
 	"time"
 
@@ -15,155 +14,162 @@
 	"yardwinch/internal/membership"
 )
 
-const tellEvery = 100 * time.Millisecond // how the members are seen
+const (
+	membersInterval = 100 * time.Millisecond // between reports of the members to the balancer
+	frameQueue      = 64                     // frames of the balancer that were read and not handled
+)
 
-// balancer is the other side of the pipes.
-type balancer struct {
-	mu    sync.Mutex
-	enc   *cbor.Encoder
-	whole []byte
+// balancerLink is the Subscriber that passes everything on to the balancer.
+type balancerLink struct {
+	mu        sync.Mutex
+	encoder   *cbor.Encoder
+	fullState []byte
 }
 
-func (b *balancer) send(f ...any) {
+func (b *balancerLink) send(frame ...any) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	_ = b.enc.Encode(f) // a balancer that is gone is seen by whoever reads from it
+	_ = b.encoder.Encode(frame) // that the balancer is gone is found at the end of its frames
 }
 
-func (b *balancer) Hear(m []byte)          { b.send(membership.FrameReceive, m) }
-func (b *balancer) HearWhole(all []byte)   { b.send(membership.FrameRemoteState, all) }
-func (b *balancer) Away(gap time.Duration) { b.send(membership.FrameSuspended, uint64(gap)) }
-func (b *balancer) Whole() []byte {
+func (b *balancerLink) OnMessage(message []byte) { b.send(membership.FrameReceive, message) }
+
+func (b *balancerLink) OnRemoteState(state []byte) { b.send(membership.FrameRemoteState, state) }
+
+func (b *balancerLink) OnSuspended(gap time.Duration) { b.send(membership.FrameSuspended, uint64(gap)) }
+
+func (b *balancerLink) FullState() []byte {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.whole
+	return b.fullState
 }
 
-// Serve is the engine's process: what it reads comes from its balancer, what it writes goes there. It ends with either. While the balancer does not say
-// that it runs, the member is silent, as the balancer itself is.
+func (b *balancerLink) setFullState(state []byte) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.fullState = state
+}
+
+// Serve runs the engine for a balancer that writes frames to in and reads frames from out, until either ends or the balancer has it
+// leave. While the balancer is suspended the member is silent, as the balancer itself is. An error is of type *membership.Error.
 func Serve(in io.Reader, out io.Writer) error {
-	frames := make(chan []any, 64)
-	go func() {
-		defer close(frames)
-		dec := cbor.NewDecoder(in)
-		for {
-			var f []any
-			if err := dec.Decode(&f); err != nil {
-				return
-			}
-			if len(f) > 0 {
-				frames <- f
-			}
-		}
-	}()
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	frames := readFrames(ctx, in)
 	first, ok := <-frames
 	if !ok {
 		return nil
 	}
-	b := &balancer{enc: cbor.NewEncoder(out)}
-	begin, err := member(first, b)
+	instance, err := membership.ParseStart(first)
 	if err != nil {
 		return err
 	}
-	for {
-		again, err := runs(begin(), b, frames)
-		if err != nil || !again {
-			return err
+	link := &balancerLink{encoder: cbor.NewEncoder(out)}
+	for runMember(ctx, New(instance, link), link, frames) == balancerSuspended {
+		// The first frame after the silence only shows that the balancer runs again. The end of the frames is left to runMember.
+		if frame := <-frames; frameKind(frame) == membership.FrameLeave {
+			return nil
 		}
-		for f := range frames { // the balancer stood still, and runs on
-			if kind, _ := f[0].(uint64); kind == membership.FrameLeave {
-				return nil
+		link.OnSuspended(membership.HeartbeatTimeout)
+	}
+	return nil
+}
+
+// readFrames decodes the balancer's frames until the input or the context ends. A read that blocks lasts until the process ends.
+func readFrames(ctx context.Context, in io.Reader) <-chan []any {
+	frames := make(chan []any, frameQueue)
+	go func() {
+		defer close(frames)
+		decoder := cbor.NewDecoder(in)
+		for {
+			var frame []any
+			if err := decoder.Decode(&frame); err != nil {
+				return
+			}
+			if len(frame) == 0 {
+				continue
+			}
+			select {
+			case frames <- frame:
+			case <-ctx.Done():
+				return
 			}
-			break
 		}
-		b.Away(membership.HeartbeatTimeout)
-	}
+	}()
+	return frames
 }
 
-// member reads the first frame.
-func member(f []any, b *balancer) (func() *Group, error) {
-	var text []string
-	for _, x := range f[1:] {
-		s, _ := x.(string)
-		text = append(text, s)
-	}
-	if kind, _ := f[0].(uint64); kind != membership.FrameStart || len(text) < 4 {
-		return nil, &membership.Error{Where: "peers", What: "the engine was not told who it is", Remedy: "it is started by yardwinch serve, not by hand"}
-	}
-	bind, err1 := netip.ParseAddrPort(text[2])
-	advertise, err2 := netip.ParseAddrPort(text[3])
-	if err := errors.Join(err1, err2); err != nil {
-		return nil, &membership.Error{Where: "peers", What: "an address", Remedy: "it is started by yardwinch serve, not by hand", Err: err}
+// frameKind is the kind of a frame; 0 of none.
+func frameKind(frame []any) uint64 {
+	if len(frame) == 0 {
+		return 0
 	}
-	return func() *Group { return New(membership.Name(text[0]), text[1], bind, advertise, text[4:], b) }, nil
+	kind, _ := frame[0].(uint64)
+	return kind
 }
 
-// runs is a member until its balancer stands still (again is true), leaves or ends.
-func runs(g *Group, b *balancer, frames <-chan []any) (again bool, err error) {
-	ctx, cancel := context.WithCancel(context.Background())
-	done := make(chan struct{})
-	go func() {
-		defer close(done)
-		g.Run(ctx)
-	}()
-	defer func() { cancel(); <-done }()
-	told := time.NewTicker(tellEvery)
-	defer told.Stop()
-	still := time.NewTimer(membership.HeartbeatTimeout)
-	defer still.Stop()
+// memberEnd is why a member ended.
+type memberEnd int
+
+const (
+	balancerLeft      memberEnd = iota // it had the member leave, or ended
+	balancerSuspended                  // its heartbeats stopped
+)
+
+// runMember runs a member until its balancer leaves, ends or is suspended.
+func runMember(ctx context.Context, group *Group, link *balancerLink, frames <-chan []any) memberEnd {
+	ctx, cancel := context.WithCancel(ctx)
+	var running sync.WaitGroup
+	running.Go(func() { group.Run(ctx) })
+	defer running.Wait()
+	defer cancel()
+	reports := time.NewTicker(membersInterval)
+	defer reports.Stop()
+	heartbeat := time.NewTimer(membership.HeartbeatTimeout)
+	defer heartbeat.Stop()
 	for {
 		select {
-		case f, ok := <-frames:
-			if !ok {
-				return false, nil
-			}
-			still.Reset(membership.HeartbeatTimeout)
-			kind, _ := f[0].(uint64)
-			switch {
-			case kind == membership.FrameLeave:
-				return false, nil
-			case kind == membership.FramePublish && len(f) == 3:
-				key, _ := f[1].(string)
-				m, _ := f[2].([]byte)
-				g.Publish(key, m)
-			case kind == membership.FrameFullState && len(f) == 2:
-				whole, _ := f[1].([]byte)
-				b.mu.Lock()
-				b.whole = whole
-				b.mu.Unlock()
+		case frame, ok := <-frames:
+			if !ok || frameKind(frame) == membership.FrameLeave {
+				return balancerLeft
 			}
-		case <-told.C:
-			b.send(membership.FrameMembers, g.frame())
-		case <-still.C:
-			slog.Warn("the balancer stands still: its member is silent until it runs on")
-			g.abandon()
-			return true, nil
+			heartbeat.Reset(membership.HeartbeatTimeout)
+			handleFrame(frame, group, link)
+		case <-reports.C:
+			link.send(membership.FrameMembers, membership.EncodeMembers(group.Members(), group.Dropped()))
+		case <-heartbeat.C:
+			slog.Warn("balancer suspended; its member is silent until the balancer runs again")
+			group.silence()
+			return balancerSuspended
 		}
 	}
 }
 
-// frame is how the members are seen, and what was passed over, as a frame has them.
-func (g *Group) frame() (all []any) {
-	all = []any{}
-	for _, s := range g.Members() {
-		all = append(all, []any{string(s.Name), s.Addr, string(s.State), uint64(s.Since)})
-	}
-	for kind, n := range g.Dropped() {
-		all = append(all, []any{"", kind, "", uint64(n)})
+// handleFrame handles a frame of a running balancer; one of another kind or form is only a heartbeat.
+func handleFrame(frame []any, group *Group, link *balancerLink) {
+	switch kind := frameKind(frame); {
+	case kind == membership.FramePublish && len(frame) == 3:
+		key, _ := frame[1].(string)
+		message, _ := frame[2].([]byte)
+		group.Publish(key, message)
+	case kind == membership.FrameFullState && len(frame) == 2:
+		state, _ := frame[1].([]byte)
+		link.setFullState(state)
 	}
-	return all
 }
 
-// Main is the program: it says a fault with what helps.
-func Main(in io.Reader, out, say io.Writer) int {
-	slog.SetDefault(slog.New(slog.NewTextHandler(say, nil)))
-	if err := Serve(in, out); err != nil {
-		fmt.Fprintln(say, "yardwinch-gossip:", err)
-		var advice interface{ Advice() string }
-		if errors.As(err, &advice) {
-			fmt.Fprintln(say, "what helps:", advice.Advice())
-		}
-		return 1
+// Main is the engine's program. It returns the exit code; errors are written to errorOutput with what an operator can do.
+func Main(in io.Reader, out, errorOutput io.Writer) int {
+	slog.SetDefault(slog.New(slog.NewTextHandler(errorOutput, nil)))
+	err := Serve(in, out)
+	if err == nil {
+		return 0
+	}
+	text := fmt.Sprintln("yardwinch-gossip:", err)
+	var fault *membership.Error
+	if errors.As(err, &fault) {
+		text += fmt.Sprintln("what helps:", fault.Advice())
 	}
-	return 0
+	_, _ = io.WriteString(errorOutput, text) // the exit code tells too
+	return 1
 }
--- a/internal/testbed/scale/control_real.go
+++ b/internal/testbed/scale/control_real.go
@@ -91,8 +91,8 @@
 
 const recordHead = 12 // origin and sequence
 
-// Hear passes on what is news.
-func (m *realMember) Hear(message []byte) {
+// OnMessage passes on what is news.
+func (m *realMember) OnMessage(message []byte) {
 	if len(message) < recordHead {
 		return
 	}
@@ -108,9 +108,9 @@
 	}
 }
 
-func (m *realMember) Whole() []byte      { return m.whole }
-func (m *realMember) HearWhole([]byte)   {}
-func (m *realMember) Away(time.Duration) {}
+func (m *realMember) FullState() []byte      { return m.whole }
+func (m *realMember) OnRemoteState([]byte)   {}
+func (m *realMember) OnSuspended(time.Duration) {}
 
 // realFleet is many real engines in this process.
 type realFleet struct {
@@ -130,7 +130,7 @@
 	for i := range count {
 		m := &realMember{number: i, whole: make([]byte, recordsBytes(count, recordBytes)), latest: map[uint32]uint64{}}
 		at := realAddr(i, port)
-		m.group = engine.New(membership.Name(memberName(i)), realFleetLabel, at, at, []string{seed}, m)
+		m.group = engine.New(membership.Instance{Name: membership.Name(memberName(i)), Label: realFleetLabel, Bind: at, Advertise: at, Seeds: []string{seed}}, m)
 		fleet.members = append(fleet.members, m)
 		fleet.parts.Go(func() { m.group.Run(ctx) })
 		if err := pause(ctx, startPace); err != nil {
