--- a/fleet/signals/loads.go
+++ b/fleet/signals/loads.go
@@ -8,44 +8,44 @@
 	"yardwinch/decide"
 )
 
-const loadValid = 6 * time.Second // of a load report: one that was published thrice was heard, and what is older is no news
+const loadValidity = 6 * time.Second // of a load report: it has been published three times by then
 
-// ownLoad is a server's report of its load that came to this balancer first.
+// ownLoad is a server's load report that this balancer received itself.
 type ownLoad struct {
 	load  float64
 	epoch uint64
 	at    time.Duration
 }
 
-// ShareLoads has what servers report here published to the others; onLoad hears of each report that came here first and gives the epoch
-// of the duty.
-func (s *Exchange) ShareLoads(onLoad func(decide.ServerID, time.Duration) (epoch uint64)) {
-	s.onLoad = onLoad
+// ShareLoads has the load reports that this balancer receives itself published to the others. onLoadReport is called for each of them, and
+// returns the epoch of the lease on the server's health checks.
+func (e *Exchange) ShareLoads(onLoadReport func(decide.ServerID, time.Duration) (epoch uint64)) {
+	e.onLoadReport = onLoadReport
 }
 
-// OnLoadReport takes in a server's own report of its load. One that another balancer relayed is not published again as this balancer's own.
-func (s *Exchange) OnLoadReport(id decide.ServerID, load float64) {
-	if s.onLoad == nil || s.relaying {
+// OnLoadReport takes up a server's report of its load. One that another balancer published is not published again as this balancer's own.
+func (e *Exchange) OnLoadReport(id decide.ServerID, load float64) {
+	if e.onLoadReport == nil || e.isRelaying {
 		return
 	}
-	epoch := s.onLoad(id, s.now)
-	s.loads[id] = ownLoad{load: load, epoch: epoch, at: s.now}
+	epoch := e.onLoadReport(id, e.now)
+	e.loads[id] = ownLoad{load: load, epoch: epoch, at: e.now}
 }
 
-// Relay runs something while load reports are others'.
-func (s *Exchange) Relay(do func()) {
-	s.relaying = true
-	defer func() { s.relaying = false }()
+// Relay runs a function whose load reports come from another balancer.
+func (e *Exchange) Relay(do func()) {
+	e.isRelaying = true
+	defer func() { e.isRelaying = false }()
 	do()
 }
 
 // loadReports are those to publish now.
-func (s *Exchange) loadReports() (reports []LoadReport) {
-	for _, id := range slices.Sorted(maps.Keys(s.loads)) {
-		x := s.loads[id]
-		age := s.now - x.at
-		if age < loadValid && len(reports) < MaxLoadReports {
-			reports = append(reports, LoadReport{Server: id, Load: x.load, Epoch: x.epoch, Age: age})
+func (e *Exchange) loadReports() (reports []LoadReport) {
+	for _, id := range slices.Sorted(maps.Keys(e.loads)) {
+		own := e.loads[id]
+		age := e.now - own.at
+		if age < loadValidity && len(reports) < MaxLoadReports {
+			reports = append(reports, LoadReport{Server: id, Load: own.load, Epoch: own.epoch, Age: age})
 		}
 	}
 	return reports
--- a/fleet/signals/observations.go
+++ b/fleet/signals/observations.go
@@ -7,21 +7,21 @@
 )
 
 const (
-	evidenceValid = 2500 * time.Millisecond // own evidence, as late servers' notes come every second
-	failureValid  = 2 * evidenceValid       // of failed set-ups and broken connections, which come less often
-	keptSamples   = 4                       // of set-ups, by server
-	minFailures   = 2                       // one is chance
-	minSilent     = 2                       // connects in a row with nothing back
+	evidenceValidity = 2500 * time.Millisecond // of late messages, whose samples come every second
+	failureValidity  = 2 * evidenceValidity    // of failed set-ups and broken connections, which come less often
+	maxSamples       = 4                       // of set-ups, by server
+	minFailures      = 2                       // a single failure may be chance
+	minUnanswered    = 2                       // attempts in a row
 )
 
-// observation is what this balancer itself sees of a server.
+// observation is what this balancer itself observes of a server.
 type observation struct {
-	samples  []sample // of set-ups, newest last
-	lateAt   time.Duration
-	goodAt   time.Duration
-	held     int // connections
-	silent   int // connects in a row with nothing back
-	silentAt time.Duration
+	samples      []sample // of set-ups, newest last
+	lateAt       time.Duration
+	healthyAt    time.Duration
+	connections  int
+	unanswered   int // attempts in a row
+	unansweredAt time.Duration
 }
 
 // sample is how a set-up or a connection ended.
@@ -31,96 +31,107 @@
 }
 
 // observation is that of a server, a new one where there was none.
-func (s *Exchange) observation(id decide.ServerID) *observation {
-	x := s.observations[id]
-	if x == nil {
-		x = &observation{lateAt: never, goodAt: never, silentAt: never}
-		s.observations[id] = x
+func (e *Exchange) observation(id decide.ServerID) *observation {
+	observed := e.observations[id]
+	if observed == nil {
+		observed = &observation{lateAt: never, healthyAt: never, unansweredAt: never}
+		e.observations[id] = observed
 	}
-	return x
+	return observed
 }
 
 // OnFlow counts a new flow.
-func (s *Exchange) OnFlow(decide.FlowRequest) {
-	s.newFlows++
+func (e *Exchange) OnFlow(decide.FlowRequest) {
+	e.newFlows++
 }
 
-// OnEstablished observes that a connection was set up, and in what time; below 0 where it stood before this process began.
-func (s *Exchange) OnEstablished(_ decide.FlowID, on decide.ServerID, took time.Duration) {
-	x := s.observation(on)
-	x.held++
+// OnEstablished observes the set-up of a connection and how long it took. A negative time is that of a connection which was established
+// before this process started: its set-up was not observed.
+func (e *Exchange) OnEstablished(_ decide.FlowID, server decide.ServerID, took time.Duration) {
+	observed := e.observation(server)
+	observed.connections++
 	if took < 0 {
-		return // from before the start: nobody saw how it went
+		return
 	}
-	x.silent = 0
-	x.add(s.now, false)
-	if took > s.setupLimit {
-		x.lateAt = s.now
+	observed.unanswered = 0
+	observed.add(e.now, false)
+	if took > e.setupLimit {
+		observed.lateAt = e.now
 	} else {
-		x.goodAt = s.now
+		observed.healthyAt = e.now
 	}
-	s.dirty = true
+	e.changed = true
 }
 
-// add keeps one more sample, and the newest ones before it.
-func (x *observation) add(now time.Duration, failed bool) {
-	x.samples = append(x.samples, sample{at: now, failed: failed})
-	x.samples = x.samples[max(0, len(x.samples)-keptSamples):]
+// add adds a sample to the newest ones.
+func (o *observation) add(now time.Duration, failed bool) {
+	o.samples = append(o.samples, sample{at: now, failed: failed})
+	o.samples = o.samples[max(0, len(o.samples)-maxSamples):]
 }
 
-// OnEnded observes how a connection ended, or an attempt to set one up.
-func (s *Exchange) OnEnded(_ decide.FlowID, on decide.ServerID, outcome decide.Outcome, stood bool) {
-	x := s.observation(on)
+// OnEnded observes the end of a connection, or of an attempt to set one up.
+func (e *Exchange) OnEnded(_ decide.FlowID, server decide.ServerID, outcome decide.Outcome, established bool) {
+	observed := e.observation(server)
 	switch {
-	case stood:
-		x.held = max(0, x.held-1)
+	case established:
+		observed.connections = max(0, observed.connections-1)
 		if outcome == decide.Reset {
-			x.add(s.now, true)
+			observed.add(e.now, true)
 		}
 	case outcome == decide.Unreachable || outcome == decide.TimedOut:
-		x.silent++
-		x.silentAt = s.now
-		x.add(s.now, true)
+		observed.unanswered++
+		observed.unansweredAt = e.now
+		observed.add(e.now, true)
 	case outcome == decide.Error || outcome == decide.Reset:
-		x.add(s.now, true)
+		observed.add(e.now, true)
 	}
-	s.dirty = true
+	e.changed = true
 }
 
-// OnLatencySample observes how long a message took. Notes come while it is late, and once when it is so no more.
-func (s *Exchange) OnLatencySample(on decide.ServerID, delay time.Duration) {
-	x := s.observation(on)
-	if delay > s.delayLimit {
-		x.lateAt = s.now
+// OnLatencySample observes how long a message took. Samples come while messages are late, and once when they no longer are.
+func (e *Exchange) OnLatencySample(server decide.ServerID, delay time.Duration) {
+	observed := e.observation(server)
+	if delay > e.delayLimit {
+		observed.lateAt = e.now
 	} else {
-		x.lateAt = never
-		x.goodAt = s.now
+		observed.lateAt = never
+		observed.healthyAt = e.now
 	}
-	s.dirty = true
+	e.changed = true
 }
 
-// trouble is what this balancer observes of a server now, and how old the evidence is.
-func (x *observation) trouble(now time.Duration) (Fault, time.Duration) {
-	failures, lastFailure := x.failures(now)
+// fault is what this balancer observes of a server now, and the age of the evidence.
+func (o *observation) fault(now time.Duration) (Fault, time.Duration) {
+	failures, lastFailureAt := o.failures(now)
 	switch {
-	case x.silent >= minSilent && now-x.silentAt < failureValid:
-		return Silent, now - x.silentAt
-	case failures >= minFailures && 2*failures >= len(x.samples):
-		return Failing, now - lastFailure
-	case now-x.lateAt < evidenceValid:
-		return Late, now - x.lateAt
+	case o.unanswered >= minUnanswered && now-o.unansweredAt < failureValidity:
+		return Silent, now - o.unansweredAt
+	case failures >= minFailures && 2*failures >= len(o.samples):
+		return Failing, now - lastFailureAt
+	case now-o.lateAt < evidenceValidity:
+		return Late, now - o.lateAt
 	}
-	return Healthy, now - x.goodAt
+	return Healthy, now - o.healthyAt
 }
 
-// failures counts the samples that failed not long ago, and says when the last one did.
-func (x *observation) failures(now time.Duration) (count int, last time.Duration) {
-	last = never
-	for _, m := range x.samples {
-		if m.failed && now-m.at < failureValid {
+// failures counts the samples that failed recently, and returns when the last one did.
+func (o *observation) failures(now time.Duration) (count int, lastAt time.Duration) {
+	lastAt = never
+	for _, s := range o.samples {
+		if s.failed && now-s.at < failureValidity {
 			count++
-			last = m.at
+			lastAt = s.at
 		}
 	}
-	return count, last
+	return count, lastAt
+}
+
+// observesHealthy tells whether this balancer itself sees no fault of a server, by connections there or by a set-up a moment ago.
+func (e *Exchange) observesHealthy(id decide.ServerID) bool {
+	observed := e.observations[id]
+	if observed == nil {
+		return false
+	}
+	fault, _ := observed.fault(e.now)
+	return fault == Healthy && (observed.connections > 0 || e.now-observed.healthyAt < ownHealthyValidity)
 }
--- a/fleet/signals/publish.go
+++ b/fleet/signals/publish.go
@@ -10,80 +10,84 @@
 )
 
 const (
-	publishGap    = 250 * time.Millisecond // between two records of one origin
-	quietInterval = 2 * time.Second        // the same while nothing is wrong, in a small fleet
-	smallFleet    = 40                     // in a larger one it grows with the fleet, so that what passes stays the same
-	republishTime = troubleValid / 2       // trouble is published again before what was reported of it fades
-	minElapsed    = 0.001                  // seconds that a rate is reckoned over
+	minPublishInterval = 250 * time.Millisecond // between two records of one origin
+	steadyInterval     = 2 * time.Second        // the same while no fault begins or ends, in a small fleet
+	smallFleet         = 40                     // members; in a larger fleet the interval grows, so that the traffic stays the same
+	republishInterval  = faultValidity / 2      // a fault is published again before its report expires
+	minElapsed         = 0.001                  // seconds, to divide by
 )
 
-// Publish returns the record to publish now, if one is due: soon after something changed, and now and then, in a fleet of so many. It
-// goes out less often the larger the fleet is, and a trouble that enough others report already is no reason to hurry.
-func (s *Exchange) Publish(fleet int) (Record, bool) {
-	s.fleetSize = fleet
-	elapsed := s.now - s.publishedAt
-	if elapsed < publishGap {
+// Publish returns the record to publish now, if one is due in a fleet of the given size: soon after a fault begins or ends, else at an
+// interval that grows with the fleet. A fault that enough others report already is not urgent.
+func (e *Exchange) Publish(fleet int) (record Record, isDue bool) {
+	e.fleetSize = fleet
+	elapsed := e.now - e.publishedAt
+	if elapsed < minPublishInterval {
 		return Record{}, false
 	}
-	s.gather()
-	reports, urgent := s.reports()
-	if !urgent && elapsed < quietIntervalOf(fleet) {
+	e.gather()
+	reports, urgent := e.reports()
+	if !urgent && elapsed < steadyIntervalOf(fleet) {
 		return Record{}, false
 	}
-	if s.own.Sequence > 0 {
-		s.own.Rate = float64(s.newFlows) / math.Max(elapsed.Seconds(), minElapsed)
+	if e.own.Sequence > 0 {
+		e.own.Rate = float64(e.newFlows) / math.Max(elapsed.Seconds(), minElapsed)
 	}
-	s.own.Sequence++
-	s.own.Reports = reports
-	s.own.LoadReports = s.loadReports()
-	s.published = reports
-	s.publishedAt = s.now
-	s.newFlows = 0
-	return s.own, true
+	e.own.Sequence++
+	e.own.Reports = reports
+	e.own.LoadReports = e.loadReports()
+	e.published = reports
+	e.publishedAt = e.now
+	e.newFlows = 0
+	return e.own, true
 }
 
-// quietIntervalOf is the interval between records in a fleet of so many while nothing is wrong.
-func quietIntervalOf(fleet int) time.Duration {
-	return time.Duration(float64(quietInterval) * math.Max(1, float64(fleet)/smallFleet))
+// steadyIntervalOf is the interval between records in a fleet of the given size while no fault begins or ends.
+func steadyIntervalOf(fleet int) time.Duration {
+	return time.Duration(float64(steadyInterval) * math.Max(1, float64(fleet)/smallFleet))
 }
 
-// reports are those to publish, in trouble first; urgent where one of them is worth publishing at once.
-func (s *Exchange) reports() (list []Report, urgent bool) {
+// reports are those to publish, faulty servers first; urgent where one of them is worth publishing at once.
+func (e *Exchange) reports() (list []Report, urgent bool) {
 	before := map[decide.ServerID]Report{}
-	for _, report := range s.published {
+	for _, report := range e.published {
 		before[report.Server] = report
 	}
-	for id, x := range s.observations {
-		trouble, age := x.trouble(s.now)
-		report := Report{Server: id, Fault: trouble, Connections: x.held, Age: age}
-		wasInTrouble := before[id].Fault != Healthy
+	for id, observed := range e.observations {
+		fault, age := observed.fault(e.now)
+		report := Report{Server: id, Fault: fault, Connections: observed.connections, Age: age}
+		wasFaulty := before[id].Fault != Healthy
 		switch {
-		case trouble != Healthy:
+		case fault != Healthy:
 			list = append(list, report)
-			urgent = urgent || s.urgent(id, wasInTrouble)
-		case x.held > 0:
-			report.Age = 0 // connections stand there now
+			urgent = urgent || e.isUrgent(id, wasFaulty)
+		case observed.connections > 0:
+			report.Age = 0 // the connections are evidence of now
 			list = append(list, report)
-			urgent = urgent || wasInTrouble
-		case wasInTrouble && age < evidenceValid:
+			urgent = urgent || wasFaulty
+		case wasFaulty && age < evidenceValidity:
 			list = append(list, report)
 		}
 	}
-	slices.SortFunc(list, func(a, b Report) int {
-		return cmp.Or(cmp.Compare(b.Fault, a.Fault), cmp.Compare(b.Connections, a.Connections), cmp.Compare(a.Server, b.Server))
-	})
+	slices.SortFunc(list, compareReports)
 	return list[:min(len(list), MaxReports)], urgent
 }
 
-// urgent tells whether trouble on a server is worth publishing at once: by some of those who observe it, where it is new or what was
-// published of it is about to fade.
-func (s *Exchange) urgent(id decide.ServerID, published bool) bool {
+// compareReports orders reports by what others need most: the worst faults, then the most connections.
+func compareReports(a, b Report) int {
+	return cmp.Or(
+		cmp.Compare(b.Fault, a.Fault),
+		cmp.Compare(b.Connections, a.Connections),
+		cmp.Compare(a.Server, b.Server),
+	)
+}
+
+// isUrgent tells whether a fault of a server is worth publishing at once: only by some of those who observe it, and only where it is new or
+// what was published of it expires soon.
+func (e *Exchange) isUrgent(id decide.ServerID, wasPublished bool) bool {
 	others := 0
-	if c := s.servers[id]; c != nil {
-		others = c.troubled - 1
+	if c := e.servers[id]; c != nil {
+		others = c.faulty - 1
 	}
-	return others < maxReporters && (!published || s.now-s.publishedAt > republishTime)
+	return others < maxReporters && (!wasPublished || e.now-e.publishedAt > republishInterval)
 }
-
-// OwnRecord is what this balancer last published.
-func (s *Exchange) OwnRecord() Record { return s.own }
--- a/fleet/signals/wire.go
+++ b/fleet/signals/wire.go
@@ -11,28 +11,11 @@
 	"yardwinch/decide"
 )
 
-// Error is why something that came was not taken. Do says what an operator can do.
-type Error struct {
-	What, Remedy string
-	Err          error
-}
-
-func (e *Error) Error() string {
-	if e.Err != nil {
-		return "signals: " + e.What + ": " + e.Err.Error()
-	}
-	return "signals: " + e.What
-}
-func (e *Error) Unwrap() error { return e.Err }
-
-// Advice says what an operator can do.
-func (e *Error) Advice() string { return e.Remedy }
-
-// Version of the messages. A later one may add keys and kinds, which an earlier one passes over; another number here means that the
-// old keys changed their meaning, and such a message is passed over whole.
+// Version is the version of the messages. A later build may add keys and kinds, which earlier builds skip; another version means that
+// keys have another meaning, and such a message is rejected as a whole.
 const Version = 1
 
-// Kinds of messages.
+// kindRecord is the kind of a message that is a record.
 const kindRecord = 1
 
 // Keys of a message, and of a record in it.
@@ -49,27 +32,28 @@
 	keyLoadReports = 9
 )
 
-// Fractions travel as whole numbers of these parts.
+// Fractions are sent as whole numbers of these parts.
 const (
 	loadParts = 1000 // of a load
 	rateParts = 10   // of a rate
 )
 
 const (
-	maxRecordBytes = 1200 // one datagram
+	maxRecordBytes = 1200 // fits into one datagram
 	maxNameBytes   = 64
 	maxAge         = time.Hour
-	maxHeld        = 1 << 20
+	maxConnections = 1 << 20
 	maxNesting     = 4
 	maxMapPairs    = 64
-	reportFields   = 4    // of a report, and of a load report
-	shrinkFactor   = 0.75 // of the reports that are kept, until a record fits
+	reportFields   = 4    // of a report, and of a load report; a later build may add more
+	shrinkFactor   = 0.75 // of the part of the reports that is sent, until a record fits
 	minPart        = 0.01 // of the reports, below which a record is sent as it is
 )
 
 var (
-	encoder, _ = cbor.CoreDetEncOptions().EncMode() // the options are sound
-	// The datagram itself bounds every list in it: an element is a byte at the least. What a later build adds may be one byte for each of many servers.
+	encoder, _ = cbor.CoreDetEncOptions().EncMode() // the options are valid
+	// An element takes at least a byte, so the size of a message bounds every list in it. A later build may add a byte for each of many
+	// servers.
 	decoder, _ = cbor.DecOptions{
 		MaxNestedLevels:  maxNesting,
 		MaxArrayElements: maxRecordBytes,
@@ -81,137 +65,172 @@
 	}.DecMode()
 )
 
-// Why a message is passed over; each is counted by the one who receives it.
+// Why a message is rejected. The receiver counts rejected messages by these.
 var (
+	// ErrMalformed: it can't be read, or has a value that no member sends.
 	ErrMalformed = errors.New("garbled")
-	ErrVersion   = errors.New("another version")
-	ErrKind      = errors.New("an unknown kind")
+	// ErrVersion: it is of another version.
+	ErrVersion = errors.New("another version")
+	// ErrKind: it is of an unknown kind.
+	ErrKind = errors.New("an unknown kind")
 )
 
-// Encode writes a record as a map of small numbers. Of one that would not fit into a datagram it leaves out reports, those of healthy
-// servers first.
-func Encode(r Record) ([]byte, error) {
+// Error is a message that was rejected: it wraps ErrMalformed, ErrVersion or ErrKind.
+type Error struct {
+	What, Remedy string
+	Err          error
+}
+
+// Error names the message and the cause.
+func (e *Error) Error() string {
+	if e.Err != nil {
+		return "signals: " + e.What + ": " + e.Err.Error()
+	}
+	return "signals: " + e.What
+}
+
+// Unwrap is the cause.
+func (e *Error) Unwrap() error { return e.Err }
+
+// Advice is what an operator can do.
+func (e *Error) Advice() string { return e.Remedy }
+
+// rejected is the Error of a message.
+func rejected(cause error, what string) *Error {
+	advice := "it is passed over; if one member goes on sending such, see what runs there"
+	if errors.Is(cause, ErrVersion) || errors.Is(cause, ErrKind) {
+		advice = "usual while builds are changed; afterwards bring all members to one build"
+	}
+	return &Error{What: what, Remedy: advice, Err: cause}
+}
+
+// Encode writes a record as a map with numbers as keys. Where a record does not fit into a datagram, its last reports are left out, which
+// are those of healthy servers.
+func Encode(record Record) ([]byte, error) {
 	for part := 1.0; ; part *= shrinkFactor {
-		message, err := encoder.Marshal(fields(r, part))
-		if err != nil || len(message) <= maxRecordBytes || part < minPart {
-			return message, err
+		message, err := encoder.Marshal(fields(record, part))
+		if err != nil {
+			return nil, fmt.Errorf("encode the record of %s: %w", record.Origin, err)
+		}
+		if len(message) <= maxRecordBytes || part < minPart {
+			return message, nil
 		}
 	}
 }
 
-// fields is what goes into a message, with the first part of the reports.
-func fields(r Record, part float64) map[int]any {
-	kept := func(n int) int { return int(part * float64(n)) }
+// fields are the fields of a message, with the first part of the reports.
+func fields(record Record, part float64) map[int]any {
+	first := func(count int) int { return int(part * float64(count)) }
 	reports := [][]int64{}
-	for _, x := range r.Reports[:kept(len(r.Reports))] {
-		reports = append(reports, []int64{int64(x.Server), int64(x.Fault), int64(x.Connections), x.Age.Milliseconds()})
+	for _, report := range record.Reports[:first(len(record.Reports))] {
+		reports = append(reports, encodeReport(report))
+	}
+	loads := [][]int64{}
+	for _, report := range record.LoadReports[:first(len(record.LoadReports))] {
+		loads = append(loads, encodeLoadReport(report))
 	}
 	message := map[int]any{
 		keyVersion:     Version,
 		keyKind:        kindRecord,
-		keyOrigin:      string(r.Origin),
-		keyIncarnation: uint64(r.Incarnation),
-		keySequence:    uint64(r.Sequence),
-		keyBuild:       r.Build,
-		keySettings:    r.Settings,
-		keyRate:        int64(math.Round(r.Rate * rateParts)),
+		keyOrigin:      string(record.Origin),
+		keyIncarnation: uint64(record.Incarnation),
+		keySequence:    uint64(record.Sequence),
+		keyBuild:       record.Build,
+		keySettings:    record.Settings,
+		keyRate:        int64(math.Round(record.Rate * rateParts)),
 		keyReports:     reports,
 	}
-	loads := [][]int64{}
-	for _, x := range r.LoadReports[:kept(len(r.LoadReports))] {
-		loads = append(loads, []int64{int64(x.Server), int64(math.Round(x.Load * loadParts)), int64(x.Epoch), x.Age.Milliseconds()})
-	}
 	if len(loads) > 0 {
 		message[keyLoadReports] = loads
 	}
 	return message
 }
 
-// passedOver is the Error of a message that is not taken.
-func passedOver(why error, what string) *Error {
-	advice := "it is passed over; if one member goes on sending such, see what runs there"
-	if errors.Is(why, ErrVersion) || errors.Is(why, ErrKind) {
-		advice = "usual while builds are changed; afterwards bring all members to one build"
-	}
-	return &Error{What: what, Remedy: advice, Err: why}
+func encodeReport(report Report) []int64 {
+	return []int64{int64(report.Server), int64(report.Fault), int64(report.Connections), report.Age.Milliseconds()}
+}
+
+func encodeLoadReport(report LoadReport) []int64 {
+	load := int64(math.Round(report.Load * loadParts))
+	return []int64{int64(report.Server), load, int64(report.Epoch), report.Age.Milliseconds()}
 }
 
-// message is one that is being read, with the first fault that was met.
+// message is a message that is being read, and the first error.
 type message struct {
 	raw map[int]cbor.RawMessage
 	err error
 }
 
-// get reads the value of a key, where it is there.
-func (m *message) get(key int, into any) {
-	raw, there := m.raw[key]
-	if !there || m.err != nil {
+// read reads the value of a key, where the key is present.
+func (m *message) read(key int, value any) {
+	raw, present := m.raw[key]
+	if !present || m.err != nil {
 		return
 	}
-	if err := decoder.Unmarshal(raw, into); err != nil {
+	if err := decoder.Unmarshal(raw, value); err != nil {
 		m.err = fmt.Errorf("%w: key %d: %w", ErrMalformed, key, err)
 	}
 }
 
-// Decode reads a record. What is not known in it is passed over; a message that can't be read is an Error.
-func Decode(b []byte) (Record, error) {
+// Decode reads a record and skips what is unknown in it. An error is of type *Error.
+func Decode(encoded []byte) (Record, error) {
 	const unreadable = "a message that can't be read"
-	if len(b) > maxRecordBytes {
-		return Record{}, passedOver(ErrMalformed, fmt.Sprintf("a message of %d bytes", len(b)))
+	if len(encoded) > maxRecordBytes {
+		return Record{}, rejected(ErrMalformed, fmt.Sprintf("a message of %d bytes", len(encoded)))
 	}
 	var m message
-	if err := decoder.Unmarshal(b, &m.raw); err != nil {
-		return Record{}, passedOver(fmt.Errorf("%w: %w", ErrMalformed, err), unreadable)
+	if err := decoder.Unmarshal(encoded, &m.raw); err != nil {
+		return Record{}, rejected(fmt.Errorf("%w: %w", ErrMalformed, err), unreadable)
 	}
 	var version, kind int
-	m.get(keyVersion, &version)
-	m.get(keyKind, &kind)
+	m.read(keyVersion, &version)
+	m.read(keyKind, &kind)
 	switch {
 	case m.err != nil:
-		return Record{}, passedOver(m.err, unreadable)
+		return Record{}, rejected(m.err, unreadable)
 	case version != Version:
-		return Record{}, passedOver(ErrVersion, fmt.Sprintf("a message of version %d", version))
+		return Record{}, rejected(ErrVersion, fmt.Sprintf("a message of version %d", version))
 	case kind != kindRecord:
-		return Record{}, passedOver(ErrKind, fmt.Sprintf("a message of kind %d", kind))
+		return Record{}, rejected(ErrKind, fmt.Sprintf("a message of kind %d", kind))
 	}
 	record := m.record()
 	if m.err != nil {
-		return Record{}, passedOver(m.err, unreadable)
+		return Record{}, rejected(m.err, unreadable)
 	}
 	return record, nil
 }
 
 // record reads the fields of a record.
-func (m *message) record() (r Record) {
+func (m *message) record() (record Record) {
 	var rate int64
 	var reports, loads [][]int64
-	m.get(keyOrigin, (*string)(&r.Origin))
-	m.get(keyIncarnation, (*uint64)(&r.Incarnation))
-	m.get(keySequence, (*uint64)(&r.Sequence))
-	m.get(keyBuild, &r.Build)
-	m.get(keySettings, &r.Settings)
-	m.get(keyRate, &rate)
-	m.get(keyReports, &reports)
-	m.get(keyLoadReports, &loads)
-	if m.err == nil && !r.possible() {
+	m.read(keyOrigin, (*string)(&record.Origin))
+	m.read(keyIncarnation, (*uint64)(&record.Incarnation))
+	m.read(keySequence, (*uint64)(&record.Sequence))
+	m.read(keyBuild, &record.Build)
+	m.read(keySettings, &record.Settings)
+	m.read(keyRate, &rate)
+	m.read(keyReports, &reports)
+	m.read(keyLoadReports, &loads)
+	if m.err == nil && !record.isPlausible() {
 		m.err = fmt.Errorf("%w: no origin, or a value that can't be", ErrMalformed)
 	}
-	r.Rate = float64(max(rate, 0)) / rateParts
-	for _, x := range reports[:min(len(reports), MaxReports)] {
-		if report, known := decodeReport(x); known {
-			r.Reports = append(r.Reports, report)
+	record.Rate = float64(max(rate, 0)) / rateParts
+	for _, values := range reports[:min(len(reports), MaxReports)] {
+		if report, known := decodeReport(values); known {
+			record.Reports = append(record.Reports, report)
 		}
 	}
-	for _, x := range loads[:min(len(loads), MaxLoadReports)] {
-		if load, known := decodeLoadReport(x); known {
-			r.LoadReports = append(r.LoadReports, load)
+	for _, values := range loads[:min(len(loads), MaxLoadReports)] {
+		if load, known := decodeLoadReport(values); known {
+			record.LoadReports = append(record.LoadReports, load)
 		}
 	}
-	return r
+	return record
 }
 
-// possible tells whether a record may come from a member: it has an origin, and no value that none sends.
-func (r *Record) possible() bool {
+// isPlausible tells whether a record may come from a member: it has an origin, and no value that no member sends.
+func (r *Record) isPlausible() bool {
 	switch {
 	case r.Origin == "" || len(r.Origin) > maxNameBytes:
 		return false
@@ -221,39 +240,59 @@
 	return r.Sequence != 0 && r.Incarnation < math.MaxUint64-1
 }
 
-// decodeReport reads a report; one of a later build, or nonsense, is not known.
-func decodeReport(x []int64) (report Report, known bool) {
-	if len(x) < reportFields || !serverNumber(x[0]) || x[1] < 0 || x[2] < 0 || x[2] > maxHeld || x[3] < 0 {
+// decodeReport reads a report. An implausible one, or one with a fault that a later build added, is not known.
+func decodeReport(values []int64) (report Report, known bool) {
+	if len(values) < reportFields {
 		return Report{}, false
 	}
-	trouble := Fault(x[1])
-	if trouble > Silent {
-		return Report{}, false // a trouble that this build does not know
+	server, fault, connections, age := values[0], values[1], values[2], values[3]
+	if !isServerID(server) || fault < 0 || Fault(fault) > Silent || connections < 0 || connections > maxConnections || age < 0 {
+		return Report{}, false
 	}
-	return Report{Server: decide.ServerID(x[0]), Fault: trouble, Connections: int(x[2]), Age: decodeAge(x[3])}, true
+	return Report{
+		Server:      decide.ServerID(server),
+		Fault:       Fault(fault),
+		Connections: int(connections),
+		Age:         decodeAge(age),
+	}, true
 }
 
-// decodeLoadReport reads a load report; one of a later build, or nonsense, is not known.
-func decodeLoadReport(x []int64) (load LoadReport, known bool) {
-	if len(x) < reportFields || !serverNumber(x[0]) || x[1] < 0 || x[2] < 0 || x[3] < 0 {
+// decodeLoadReport reads a load report. An implausible one is not known.
+func decodeLoadReport(values []int64) (report LoadReport, known bool) {
+	if len(values) < reportFields {
+		return LoadReport{}, false
+	}
+	server, load, epoch, age := values[0], values[1], values[2], values[3]
+	if !isServerID(server) || load < 0 || epoch < 0 || age < 0 {
 		return LoadReport{}, false
 	}
-	return LoadReport{Server: decide.ServerID(x[0]), Load: float64(x[1]) / loadParts, Epoch: uint64(x[2]), Age: decodeAge(x[3])}, true
+	return LoadReport{
+		Server: decide.ServerID(server),
+		Load:   float64(load) / loadParts,
+		Epoch:  uint64(epoch),
+		Age:    decodeAge(age),
+	}, true
 }
 
-func serverNumber(x int64) bool { return x >= 0 && x <= math.MaxUint32 }
+func isServerID(number int64) bool { return number >= 0 && number <= math.MaxUint32 }
 
 func decodeAge(milliseconds int64) time.Duration {
 	return time.Duration(min(milliseconds, maxAge.Milliseconds())) * time.Millisecond
 }
 
-// EncodeAll writes messages as one, for a member that asks for the full state.
-func EncodeAll(messages [][]byte) ([]byte, error) { return encoder.Marshal(messages) }
+// EncodeAll joins messages to one, for a member that asks for the full state.
+func EncodeAll(messages [][]byte) ([]byte, error) {
+	joined, err := encoder.Marshal(messages)
+	if err != nil {
+		return nil, fmt.Errorf("encode the full state: %w", err)
+	}
+	return joined, nil
+}
 
-// DecodeAll takes them apart; what is beyond the bound of origins is left out.
-func DecodeAll(b []byte) (messages [][]byte, err error) {
-	if err := fullStateDecoder.Unmarshal(b, &messages); err != nil {
-		return nil, passedOver(fmt.Errorf("%w: %w", ErrMalformed, err), "what a member knows can't be read")
+// DecodeAll separates joined messages. An error is of type *Error.
+func DecodeAll(joined []byte) (messages [][]byte, err error) {
+	if err := fullStateDecoder.Unmarshal(joined, &messages); err != nil {
+		return nil, rejected(fmt.Errorf("%w: %w", ErrMalformed, err), "what a member knows can't be read")
 	}
 	return messages, nil
 }
