--- /dev/null
+++ b/fleet/lease/manager_test.go
@@ -0,0 +1,186 @@
+package lease
+
+import (
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+)
+
+const (
+	term     = 6 * time.Second
+	task     = Task(1)
+	aliveFor = time.Minute // of the members of a test
+)
+
+func newManager(own Holder, members ...Holder) *Manager {
+	m := New(own, term)
+	m.SetMembers(aliveMembers(members...))
+	return m
+}
+
+func aliveMembers(names ...Holder) (members []Member) {
+	for _, name := range names {
+		members = append(members, Member{Name: name, Weight: 1, Since: aliveFor})
+	}
+	return members
+}
+
+// ranking is the members by their rank for the task.
+func ranking(t *testing.T, members ...Holder) (ranked []Holder) {
+	t.Helper()
+	for rank := range members {
+		for _, name := range members {
+			m := newManager(name, members...)
+			m.Holds(task, 0)
+			if m.leases[task].rank == rank {
+				ranked = append(ranked, name)
+			}
+		}
+	}
+	return ranked
+}
+
+func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+
+// A standby takes over a lease that expired, the others wait, and the preferred holder takes it back when it returns.
+func TestStandbyTakesOverAndGivesBack(t *testing.T) {
+	members := []Holder{"a", "b", "c", "d", "e"}
+	ranked := ranking(t, members...)
+	second := newManager(ranked[1], members...)
+	third := newManager(ranked[2], members...)
+	second.Observe(task, 1, ranked[0], 0, seconds(1))
+	third.Observe(task, 1, ranked[0], 0, seconds(1))
+	if second.Holds(task, seconds(6.9)) || third.Holds(task, seconds(6.9)) {
+		t.Error("a standby takes over before the lease expires")
+	}
+	if !second.Holds(task, seconds(7.1)) || third.Holds(task, seconds(7.1)) {
+		t.Error("want the second to take over when the lease has expired, and not the third")
+	}
+	epoch := second.Renew(task, seconds(7.1))
+	third.Observe(task, epoch, ranked[1], 0, seconds(7.2))
+	if third.Holds(task, seconds(12)) || !second.Holds(task, seconds(12)) {
+		t.Error("want the second to continue, and the third to wait")
+	}
+	first := newManager(ranked[0], members...)
+	first.Holds(task, seconds(11))
+	first.Observe(task, epoch, ranked[1], 0, seconds(12.1))
+	if !first.Holds(task, seconds(12.2)) || first.Renew(task, seconds(12.2)) <= epoch {
+		t.Error("want the preferred holder to begin a later epoch")
+	}
+	second.Observe(task, first.Renew(task, seconds(12.2)), ranked[0], 0, seconds(12.3))
+	if second.Holds(task, seconds(12.4)) {
+		t.Error("the second continues beside the preferred holder")
+	}
+	second.Observe(task, 1, ranked[3], 0, seconds(12.5))
+	if second.leases[task].holder != ranked[0] {
+		t.Error("an observation of an older epoch changes the holder")
+	}
+}
+
+// A balancer that was suspended waits for a term, and takes a lease back under a later epoch than the one it observes.
+func TestSuspendedBalancerWaits(t *testing.T) {
+	members := []Holder{"a", "b", "c"}
+	ranked := ranking(t, members...)
+	m := newManager(ranked[0], members...)
+	if !m.Holds(task, time.Second) {
+		t.Fatal("the preferred holder does not hold the task")
+	}
+	epoch := m.Renew(task, time.Second)
+	m.OnSuspended(20 * time.Second)
+	if m.Holds(task, 20*time.Second) || m.Holds(task, 25*time.Second) {
+		t.Error("it continues as if it had not been suspended")
+	}
+	m.Observe(task, epoch+1, ranked[1], 0, 21*time.Second)
+	if !m.Holds(task, 22*time.Second) || m.Renew(task, 22*time.Second) <= epoch+1 {
+		t.Error("want it to take the lease back under a later epoch than the holder's")
+	}
+}
+
+// faultyFleet is balancers that share one task while some are down and messages are lost.
+type faultyFleet struct {
+	t        *rapid.T
+	names    []Holder
+	managers []*Manager
+	down     map[int]bool
+	now      time.Duration
+}
+
+func newFaultyFleet(t *rapid.T) *faultyFleet {
+	f := &faultyFleet{t: t, names: []Holder{"a", "b", "c", "d"}, down: map[int]bool{}, now: time.Second}
+	for _, name := range f.names {
+		f.managers = append(f.managers, newManager(name, f.names...))
+	}
+	return f
+}
+
+// run lets time pass in steps. It returns how many steps up to the last one nobody did the task in, and who did it in the last one.
+func (f *faultyFleet) run(steps int, losesMessages bool) (undone int, holders []int) {
+	for range steps {
+		f.now += 500 * time.Millisecond
+		holders = f.doTask(losesMessages)
+		if len(holders) > 0 {
+			undone = 0
+		} else {
+			undone++
+		}
+	}
+	return undone, holders
+}
+
+// doTask lets all holders do the task, and the others observe it.
+func (f *faultyFleet) doTask(losesMessages bool) (holders []int) {
+	for i, m := range f.managers {
+		if f.down[i] || !m.Holds(task, f.now) {
+			continue
+		}
+		holders = append(holders, i)
+		epoch := m.Renew(task, f.now)
+		for j, other := range f.managers {
+			if j == i || f.down[j] {
+				continue
+			}
+			if losesMessages && rapid.IntRange(0, 2).Draw(f.t, "lost") == 0 {
+				continue
+			}
+			other.Observe(task, epoch, f.names[i], 0, f.now)
+		}
+	}
+	return holders
+}
+
+// toggle takes a balancer down, or brings it back as after a suspension.
+func (f *faultyFleet) toggle(i int) {
+	f.down[i] = !f.down[i] && len(f.down) < 3
+	if !f.down[i] {
+		f.managers[i].OnSuspended(f.now)
+	}
+}
+
+func (f *faultyFleet) allDown() bool {
+	for i := range f.managers {
+		if !f.down[i] {
+			return false
+		}
+	}
+	return true
+}
+
+// Whatever is lost and whoever is down: once messages pass, the task is not left undone for longer than all standbys take, and then one
+// balancer does it.
+func TestNoTaskIsLost(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		f := newFaultyFleet(t)
+		for range rapid.IntRange(1, 4).Draw(t, "faults") {
+			f.toggle(rapid.IntRange(0, 3).Draw(t, "who"))
+			f.run(rapid.IntRange(1, 30).Draw(t, "steps"), true)
+		}
+		if f.allDown() {
+			return
+		}
+		undone, holders := f.run(2*(maxStandbys+1)*int(term/time.Second)*2, false)
+		if undone > 0 || len(holders) != 1 {
+			t.Fatalf("%d steps undone at the end, held by %v; down %v", undone, holders, f.down)
+		}
+	})
+}
--- /dev/null
+++ b/fleet/lease/ranking.go
@@ -0,0 +1,104 @@
+package lease
+
+import (
+	"cmp"
+	"hash/fnv"
+	"math"
+	"slices"
+	"time"
+)
+
+// settleTime is how long a member must have been alive before it is ranked.
+const settleTime = 3 * time.Second
+
+// Member is a balancer that is alive, as it is seen from here.
+type Member struct {
+	Name   Holder
+	Weight float64       // of its share of all tasks; one that is not positive and finite counts as 1
+	Since  time.Duration // how long it has been seen alive
+}
+
+// ownMember is the balancer itself, which is always ranked.
+func ownMember(own Holder) Member { return Member{Name: own, Weight: 1, Since: settleTime} }
+
+// SetMembers sets the members that are alive now; this balancer is always among them.
+func (m *Manager) SetMembers(alive []Member) {
+	members := m.rankedMembers(alive)
+	changed := !slices.EqualFunc(members, m.members, func(a, b Member) bool {
+		return a.Name == b.Name && a.Weight == b.Weight
+	})
+	m.members = members
+	if changed {
+		m.view++
+	}
+}
+
+// rankedMembers are the members that are ranked, by name.
+func (m *Manager) rankedMembers(alive []Member) (members []Member) {
+	hasOwn := false
+	for _, member := range alive {
+		if !(member.Weight > 0) || math.IsInf(member.Weight, 1) { // not a number is not above 0
+			member.Weight = 1
+		}
+		if member.Name == m.own {
+			hasOwn = true
+			member.Since = settleTime
+		}
+		if member.Since >= settleTime {
+			members = append(members, member)
+		}
+	}
+	if !hasOwn {
+		members = append(members, ownMember(m.own))
+	}
+	slices.SortFunc(members, func(a, b Member) int { return cmp.Compare(a.Name, b.Name) })
+	return slices.CompactFunc(members, func(a, b Member) bool { return a.Name == b.Name })
+}
+
+// updateRank ranks this balancer for a task, unless it is ranked in the current view.
+func (m *Manager) updateRank(task Task, l *lease) {
+	if l.rankedIn == m.view {
+		return
+	}
+	l.rankedIn = m.view
+	l.rank = 0
+	own := 0.0
+	for _, member := range m.members {
+		if member.Name == m.own {
+			own = score(member, task)
+		}
+	}
+	highest := -1.0
+	for _, member := range m.members {
+		s := score(member, task)
+		if s > own {
+			l.rank++
+		}
+		if s > highest {
+			highest = s
+			l.preferred = member.Name
+		}
+	}
+}
+
+// score is the score of weighted rendezvous hashing: the member with the highest one is preferred for the task, and when a member comes or
+// goes only its own tasks move.
+func score(member Member, task Task) float64 {
+	const fractionBits = 53 // of a float64
+	uniform := (float64(hash(member.Name, task)>>(64-fractionBits)) + 0.5) / (1 << fractionBits)
+	return -member.Weight / math.Log(uniform)
+}
+
+// hash is FNV-1a with the finalizer of MurmurHash3, as FNV's high bits differ little between names with equal ends.
+func hash(name Holder, task Task) uint64 {
+	h := fnv.New64a()
+	_, _ = h.Write([]byte{byte(task >> 24), byte(task >> 16), byte(task >> 8), byte(task)}) // never fails
+	_, _ = h.Write([]byte(name))
+	sum := h.Sum64()
+	sum ^= sum >> 33
+	sum *= 0xff51afd7ed558ccd
+	sum ^= sum >> 33
+	sum *= 0xc4ceb9fe1a85ec53
+	sum ^= sum >> 33
+	return sum
+}
--- a/fleet/signals/wire.go
+++ b/fleet/signals/wire.go
@@ -9,6 +9,7 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"yardwinch/decide"
+	"yardwinch/internal/advice"
 )
 
 // Version is the version of the messages. A later build may add keys and kinds, which earlier builds skip; another version means that
@@ -76,32 +77,15 @@
 )
 
 // Error is a message that was rejected: it wraps ErrMalformed, ErrVersion or ErrKind.
-type Error struct {
-	What, Remedy string
-	Err          error
-}
-
-// Error names the message and the cause.
-func (e *Error) Error() string {
-	if e.Err != nil {
-		return "signals: " + e.What + ": " + e.Err.Error()
-	}
-	return "signals: " + e.What
-}
-
-// Unwrap is the cause.
-func (e *Error) Unwrap() error { return e.Err }
-
-// Advice is what an operator can do.
-func (e *Error) Advice() string { return e.Remedy }
+type Error = advice.Error
 
 // rejected is the Error of a message.
 func rejected(cause error, what string) *Error {
-	advice := "it is passed over; if one member goes on sending such, see what runs there"
+	remedy := "it is passed over; if one member goes on sending such, see what runs there"
 	if errors.Is(cause, ErrVersion) || errors.Is(cause, ErrKind) {
-		advice = "usual while builds are changed; afterwards bring all members to one build"
+		remedy = "usual while builds are changed; afterwards bring all members to one build"
 	}
-	return &Error{What: what, Remedy: advice, Err: cause}
+	return &Error{Where: "signals", What: what, Remedy: remedy, Err: cause}
 }
 
 // Encode writes a record as a map with numbers as keys. Where a record does not fit into a datagram, its last reports are left out, which
--- a/internal/advice/advice_test.go
+++ b/internal/advice/advice_test.go
@@ -7,20 +7,22 @@
 )
 
 func TestError(t *testing.T) {
-	for _, x := range []struct {
-		name string
-		err  *Error
-		text string
+	const remedy = "see who has the address"
+	for _, c := range []struct {
+		name  string
+		cause error
+		text  string
 	}{
-		{"with a cause", &Error{Where: "peers.bind", What: "no member yet", Remedy: "see who has it", Err: net.ErrClosed}, "peers.bind: no member yet: " + net.ErrClosed.Error()},
-		{"without one", &Error{Where: "peers.bind", What: "no member yet", Remedy: "see who has it"}, "peers.bind: no member yet"},
+		{"with a cause", net.ErrClosed, "peers.bind: no member yet: " + net.ErrClosed.Error()},
+		{"without a cause", nil, "peers.bind: no member yet"},
 	} {
-		t.Run(x.name, func(t *testing.T) {
-			if x.err.Error() != x.text || x.err.Advice() != "see who has it" {
-				t.Errorf("%q, %q; want %q", x.err, x.err.Advice(), x.text)
+		t.Run(c.name, func(t *testing.T) {
+			err := &Error{Where: "peers.bind", What: "no member yet", Remedy: remedy, Err: c.cause}
+			if err.Error() != c.text || err.Advice() != remedy {
+				t.Errorf("%q, %q; want %q", err, err.Advice(), c.text)
 			}
-			if errors.Is(x.err, net.ErrClosed) != (x.err.Err != nil) {
-				t.Error("the cause is not found")
+			if errors.Is(err, net.ErrClosed) != (c.cause != nil) {
+				t.Errorf("want the cause %v", c.cause)
 			}
 		})
 	}
--- a/internal/config/balancer.go
+++ b/internal/config/balancer.go
@@ -140,3 +140,11 @@
 	}
 	return shortest
 }
+
+// delayLimitPart is the part of the message target from which a message counts as late.
+const delayLimitPart = 3
+
+// MessageDelayLimit is the delay from which a message counts as late: well before its latency objective is missed.
+func MessageDelayLimit(settings Values) time.Duration {
+	return MessageTarget(settings) / delayLimitPart
+}
--- a/internal/config/options.go
+++ b/internal/config/options.go
@@ -15,9 +15,6 @@
 // maxSocketPath bounds the path of a Unix socket in bytes, below the system's own limit of 108.
 const maxSocketPath = 100
 
-// delayLimitPart is the part of the message target from which a message counts as late for the other balancers.
-const delayLimitPart = 3
-
 // Options are the operators' options file. What the file does not name is off.
 type Options struct {
 	locality      *Locality // nil: off
@@ -103,7 +100,7 @@
 		Incarnation: signals.Incarnation(incarnation),
 		Build:       build,
 		Settings:    settingsDigest,
-		DelayLimit:  MessageTarget(settings) / delayLimitPart,
+		DelayLimit:  MessageDelayLimit(settings),
 		SetupLimit:  MinSetupTarget(settings),
 		Enabled:     o.peers.Signals,
 	})
--- a/internal/testbed/scale/control_real.go
+++ b/internal/testbed/scale/control_real.go
@@ -108,8 +108,8 @@
 	}
 }
 
-func (m *realMember) FullState() []byte      { return m.whole }
-func (m *realMember) OnRemoteState([]byte)   {}
+func (m *realMember) FullState() []byte         { return m.whole }
+func (m *realMember) OnRemoteState([]byte)      {}
 func (m *realMember) OnSuspended(time.Duration) {}
 
 // realFleet is many real engines in this process.
