--- a/fleet/lease/manager.go
+++ b/fleet/lease/manager.go
@@ -43,7 +43,7 @@
 // lease is the lease of a task as this balancer knows it.
 type lease struct {
 	state     state
-	epoch     Epoch // the highest that this balancer heard of or held
+	epoch     Epoch // the highest that this balancer observed or held
 	holder    Holder
 	renewedAt time.Duration
 
--- a/fleet/signals/consensus.go
+++ b/fleet/signals/consensus.go
@@ -60,7 +60,7 @@
 	e.updatePenalties()
 }
 
-// countReports counts the reports of all origins anew.
+// countReports counts the reports of all origins again from the start.
 func (e *Exchange) countReports() {
 	for _, c := range e.servers {
 		c.faulty = 0
--- a/fleet/signals/exchange.go
+++ b/fleet/signals/exchange.go
@@ -122,7 +122,7 @@
 	}
 }
 
-// OnSuspended tells that this process was suspended. The ages of its observations show it; only the reports are gathered anew.
+// OnSuspended tells that this process was suspended. Its observations age meanwhile, so only the reports have to be gathered again.
 func (e *Exchange) OnSuspended() { e.changed = true }
 
 // Records returns what each origin last published, and how long ago it came.
--- a/fleet/signals/store.go
+++ b/fleet/signals/store.go
@@ -45,7 +45,7 @@
 	return true
 }
 
-// dropExpired drops the origins that were not heard of for long.
+// dropExpired drops the origins that have published nothing for long.
 func (s *Store) dropExpired(now time.Duration) {
 	for origin, stored := range s.records {
 		if now-stored.at > originRetention {
--- a/internal/config/load_report.go
+++ b/internal/config/load_report.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// loadColumn is the column of a load report that the decisions go by.
+// loadColumn is the column of a load report that the decisions use.
 const loadColumn = "x0"
 
 // knownColumns are the columns that a load report may have.
--- a/internal/config/process.go
+++ b/internal/config/process.go
@@ -80,7 +80,7 @@
 	return keys
 }
 
-// DecisionSettings are the settings that the decisions go by.
+// DecisionSettings are the settings that the decisions use.
 func (v Values) DecisionSettings() Values { return v.Sub(keySettings) }
 
 // Addr is an address with a port that must be present.
--- a/internal/membership/frames.go
+++ b/internal/membership/frames.go
@@ -25,7 +25,7 @@
 	FrameReceive
 	// FrameRemoteState is the full state of another member: the state.
 	FrameRemoteState
-	// FrameMembers is all members and all drops: a list as encodeMembers makes it.
+	// FrameMembers is all members and all drops: a list as EncodeMembers makes it.
 	FrameMembers
 	// FrameSuspended tells that the engine or the balancer was suspended: nanoseconds.
 	FrameSuspended
