--- a/internal/compatibility/gossip_test.go
+++ b/internal/compatibility/gossip_test.go
@@ -24,6 +24,9 @@
 	frameMembers
 )
 
+// Members exchange all they know every 10 s, the first time after a random part of that: two rounds and some slack.
+const exchanges = 25 * time.Second
+
 const beatEvery = 200 * time.Millisecond // an engine whose balancer says nothing for a second falls silent
 
 // gossiper is an engine that the test feeds in place of a balancer.
@@ -109,7 +112,7 @@
 		g.kept = slices.Delete(g.kept, i, i+1)
 		return f
 	}
-	for late := time.After(patience); ; {
+	for late := time.After(exchanges); ; {
 		select {
 		case f := <-g.heard:
 			if meant(f) {
@@ -117,7 +120,7 @@
 			}
 			g.kept = append(g.kept, f)
 		case <-late:
-			g.t.Fatalf("not within %v: %s", patience, what)
+			g.t.Fatalf("not within %v: %s", exchanges, what)
 		}
 	}
 }
--- a/internal/config/keys.go
+++ b/internal/config/keys.go
@@ -66,7 +66,7 @@
 	keySpilloverThreshold = "spill"
 	keySurge              = "surge"
 	keyFailbackRate       = "home-per-minute"
-	keyRetryInterval      = "again"
+	keyLocalityRetryAfter = "again"
 	tableTiers            = "from"
 	keyTiersZone          = "hall"
 	keyTiers              = "tiers"
--- a/internal/config/locality.go
+++ b/internal/config/locality.go
@@ -15,20 +15,20 @@
 
 // Bounds and defaults of the locality options.
 const (
-	defaultSpillover, maxSpillover         = 0.3, 10
-	defaultSurge, maxSurge                 = 0, 100
-	defaultFailbackRate, maxFailbackRate   = 60, 1e6 // flows a minute
-	defaultRetryInterval, maxRetryInterval = 500 * time.Millisecond, time.Minute
+	defaultSpillover, maxSpillover       = 0.3, 10
+	defaultSurge, maxSurge               = 0, 100
+	defaultFailbackRate, maxFailbackRate = 60, 1e6 // flows a minute
+	defaultRetryAfter, maxRetryAfter     = 500 * time.Millisecond, time.Minute
 )
 
 // Locality is the locality-aware part of an operators' file; it makes the policy of any balancer of the fleet.
 type Locality struct {
-	tiers         map[string][][]decide.Zone // by the zone of the balancer
-	spillover     float64
-	surge         float64
-	failbackRate  float64 // flows a minute, of the fleet
-	retryInterval time.Duration
-	zones         []string // that have tiers, in the order of the file
+	tiers        map[string][][]decide.Zone // by the zone of the balancer
+	spillover    float64
+	surge        float64
+	failbackRate float64 // flows a minute, of the fleet
+	retryAfter   time.Duration
+	zones        []string // that have tiers, in the order of the file
 }
 
 // ReadLocality reads the table [halls]; faults are kept in the table.
@@ -37,7 +37,7 @@
 	l.spillover = table.Float(keySpilloverThreshold, defaultSpillover, 0, maxSpillover)
 	l.surge = table.Float(keySurge, defaultSurge, 0, maxSurge)
 	l.failbackRate = table.Float(keyFailbackRate, defaultFailbackRate, 0, maxFailbackRate)
-	l.retryInterval = table.Duration(keyRetryInterval, defaultRetryInterval, maxRetryInterval)
+	l.retryAfter = table.Duration(keyLocalityRetryAfter, defaultRetryAfter, maxRetryAfter)
 	for _, entry := range table.Tables(tableTiers) {
 		l.readTiers(entry)
 	}
@@ -74,15 +74,31 @@
 
 // NewPolicy makes the policy of a balancer with the given settings; seed starts its random generator.
 func (l Locality) NewPolicy(settings Values, seed uint64) *locality.Policy {
-	own := settings.String(keyZone, "")
-	return locality.New(seed, decide.Zone(own), l.tiers[own], l.spillover, l.surge, l.failbackRate, balancerCount(settings),
-		MinSetupTarget(settings), MessageTarget(settings), settings.Duration(keyWarmUp), l.retryInterval)
+	return locality.New(locality.Config{
+		Rules:         l.rules(settings),
+		Seed:          seed,
+		Zone:          decide.Zone(settings.String(keyZone, "")),
+		SetupTarget:   MinSetupTarget(settings),
+		MessageTarget: MessageTarget(settings),
+		WarmUp:        settings.Duration(keyWarmUp),
+	})
 }
 
 // Apply reconfigures a running policy.
 func (l Locality) Apply(policy *locality.Policy, settings Values) {
-	own := settings.String(keyZone, "")
-	policy.Reconfigure(l.tiers[own], l.spillover, l.surge, l.failbackRate, balancerCount(settings), l.retryInterval)
+	policy.Reconfigure(l.rules(settings))
+}
+
+// rules are those for a balancer with the given settings.
+func (l Locality) rules(settings Values) locality.Rules {
+	return locality.Rules{
+		Tiers:             l.tiers[settings.String(keyZone, "")],
+		Spill:             l.spillover,
+		Surge:             l.surge,
+		FailbackPerMinute: l.failbackRate,
+		Balancers:         balancerCount(settings),
+		RetryAfter:        l.retryAfter,
+	}
 }
 
 // Text is the table as an operators' file states it.
@@ -92,7 +108,7 @@
 	fmt.Fprintf(&b, "%s = %g\n", keySpilloverThreshold, l.spillover)
 	fmt.Fprintf(&b, "%s = %g\n", keySurge, l.surge)
 	fmt.Fprintf(&b, "%s = %g\n", keyFailbackRate, l.failbackRate)
-	fmt.Fprintf(&b, "%s = %q\n", keyRetryInterval, l.retryInterval)
+	fmt.Fprintf(&b, "%s = %q\n", keyLocalityRetryAfter, l.retryAfter)
 	for _, from := range l.zones {
 		var tiers []string
 		for _, tier := range l.tiers[from] {
