--- a/internal/daemon/configure.go
+++ b/internal/daemon/configure.go
@@ -113,12 +113,9 @@
 	d.reportsLoad, d.reportsLatency = config.ServerMetrics(settings)
 }
 
-// decisionPart is the part of the target for the time of a message that one decision may take.
-const decisionPart = 3
-
 func (d *Daemon) newRouter(settings config.Values) *routing.Router {
-	decisionTarget := config.MessageTarget(settings) / decisionPart
-	return routing.New(d.seed, decisionTarget, d.reportsLoad, d.reportsLatency, d.options.Constraints(settings, d.seed),
+	delayLimit := config.MessageDelayLimit(settings)
+	return routing.New(d.seed, delayLimit, d.reportsLoad, d.reportsLatency, d.options.Constraints(settings, d.seed),
 		func(balancer *decide.Balancer) (map[string]decide.ServiceID, map[string]decide.CustomerID) {
 			return config.ConfigureBalancer(settings, balancer)
 		})
--- a/internal/daemon/gossip.go
+++ b/internal/daemon/gossip.go
@@ -44,7 +44,13 @@
 	if peers.Leases {
 		g.shareHealthChecks()
 	}
-	g.group = membership.New(peers.Engine, membership.Name(peers.Name), peers.Label, peers.Bind, peers.Advertise, peers.Seeds, g)
+	g.group = membership.New(peers.Engine, membership.Instance{
+		Name:      membership.Name(peers.Name),
+		Label:     peers.Label,
+		Bind:      peers.Bind,
+		Advertise: peers.Advertise,
+		Seeds:     peers.Seeds,
+	}, g)
 	return g
 }
 
@@ -110,8 +116,8 @@
 	g.group.Publish(string(record.Origin), message)
 }
 
-// Hear takes in a member's message. If it is new it is passed on: that is how gossip spreads.
-func (g *gossip) Hear(message []byte) {
+// OnMessage takes in a member's message. If it is new it is passed on: that is how gossip spreads.
+func (g *gossip) OnMessage(message []byte) {
 	if origin, isNew := g.merge(message); isNew {
 		g.group.Publish(string(origin), message)
 	}
@@ -178,8 +184,8 @@
 	g.group.SetFullState(all)
 }
 
-// HearWhole takes in the full state of a member. It is not passed on: each member asks for it itself.
-func (g *gossip) HearWhole(all []byte) {
+// OnRemoteState takes in the full state of a member. It is not passed on: each member asks for it itself.
+func (g *gossip) OnRemoteState(all []byte) {
 	messages, err := signals.DecodeAll(all)
 	if err != nil {
 		g.group.CountDropped(garbled, err.Error())
@@ -190,8 +196,8 @@
 	}
 }
 
-// Away takes in that this process was suspended.
-func (g *gossip) Away(time.Duration) {
+// OnSuspended takes in that this process was suspended.
+func (g *gossip) OnSuspended(time.Duration) {
 	g.router.WithLock(func() {
 		g.signals.OnSuspended()
 		if g.leases != nil {
