--- a/internal/daemon/load.go
+++ b/internal/daemon/load.go
@@ -84,10 +84,11 @@
 	if p.own.Peers() != nil {
 		p.own.EnableSignals(s, revision(), digest(s, p.own.SharedText()), uint64(time.Now().UnixMilli()))
 	}
-	p.router = routing.New(seed, config.MessageTarget(s)/3, tellLoad, tellLag, p.own.Constraints(s, seed),
-		func(b *decide.Balancer) (map[string]decide.ServiceID, map[string]decide.CustomerID) {
+	p.router = routing.New(routing.Config{Seed: seed, LatencyThreshold: config.MessageTarget(s) / 3,
+		ServersReportLoad: tellLoad, ServersReportLatency: tellLag, Constraints: p.own.Constraints(s, seed),
+		Configure: func(b *decide.Balancer) (map[string]decide.ServiceID, map[string]decide.CustomerID) {
 			return config.ConfigureBalancer(s, b)
-		})
+		}})
 	if err := g.Err(); err != nil {
 		return err
 	}
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -19,12 +19,12 @@
 func (closed) AdmitFlow(decide.FlowID) constraints.Reason { return "after hours" }
 
 func TestAskARunningBalancer(t *testing.T) {
-	r := routing.New(1, time.Second, false, false, []constraints.Constraint{closed{}}, func(b *decide.Balancer) (map[string]decide.ServiceID, map[string]decide.CustomerID) {
+	r := routing.New(routing.Config{Seed: 1, LatencyThreshold: time.Second, Constraints: []constraints.Constraint{closed{}}, Configure: func(b *decide.Balancer) (map[string]decide.ServiceID, map[string]decide.CustomerID) {
 		b.ConfigureFlows(1, time.Second)
 		b.AddService(decide.ServiceType{Effect: decide.Idempotent, Deduplication: decide.DeduplicatedByFleet, SetupTarget: time.Second, RetryWindow: time.Second, Value: 1})
 		b.ConfigureSlowStart(decide.SlowStart{InitialCapacity: 1, OverloadMultiple: 1, Balancers: 1})
 		return map[string]decide.ServiceID{"x": 0}, nil
-	})
+	}})
 	path := filepath.Join(t.TempDir(), "s")
 	l, err := Listen(path)
 	if err != nil {
@@ -40,7 +40,7 @@
 		close(done)
 	}()
 	defer func() { cancel(); <-done }()
-	if _, err := r.OpenFlow("abc", "x", "", "", "g", time.Second, 0); err != nil {
+	if _, err := r.OpenFlow(routing.FlowRequest{ClientID: "abc", Service: "x", Group: "g", Timeout: time.Second}); err != nil {
 		t.Fatal(err)
 	}
 	var n constraints.Explanation
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -304,9 +304,9 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		var s State
 		if json.Unmarshal(text, &s) == nil && s.Validate() == nil {
-			routing.New(1, time.Second, false, false, nil, func(*decide.Balancer) (map[string]decide.ServiceID, map[string]decide.CustomerID) {
+			routing.New(routing.Config{Seed: 1, LatencyThreshold: time.Second, Configure: func(*decide.Balancer) (map[string]decide.ServiceID, map[string]decide.CustomerID) {
 				return nil, nil
-			}).Restore(s.Router) // whatever passes the check can be taken over
+			}}).Restore(s.Router) // whatever passes the check can be taken over
 		}
 	})
 }
--- a/internal/protocol/carry.go
+++ b/internal/protocol/carry.go
@@ -156,7 +156,7 @@
 // AdoptConnection takes over a connection that another process passes on. It returns once the balancer holds it; serve has it
 // served to its end, drop leaves it to the other process after all. One of them is called, once.
 func (f *Frontend) AdoptConnection(x EstablishedConnection, client, server net.Conn, room *transport.DescriptorBudget) (serve, drop func(), err error) {
-	flow, err := f.router.AdoptFlow(x.Flow.Service, x.Flow.Customer, x.Flow.Key, x.Flow.Group, x.ServerName)
+	flow, err := f.router.AdoptFlow(routing.FlowRequest{Service: x.Flow.Service, Customer: x.Flow.Customer, Key: x.Flow.Key, Group: x.Flow.Group}, x.ServerName)
 	if err != nil {
 		return nil, nil, err
 	}
--- a/internal/protocol/crossings_test.go
+++ b/internal/protocol/crossings_test.go
@@ -15,6 +15,7 @@
 	"time"
 
 	"yardwinch/decide"
+	"yardwinch/internal/routing"
 	"yardwinch/internal/transport"
 )
 
@@ -428,8 +429,8 @@
 	y.serve()
 	client := y.client(strings.Replace(hello, "d=1500", "d=8000", 1))
 	server, _ := accept(t, first)
-	news := y.router.BeginUpdate(false, false)
-	news.AddEndpoint("late", late.Addr().String(), "z", 0, 1, true, false, time.Time{})
+	news := y.router.BeginUpdate(routing.DeltaUpdate)
+	news.AddEndpoint(routing.Endpoint{Name: "late", Addr: late.Addr().String(), Zone: "z", Size: 1})
 	news.Commit()
 	leave["a reset"](server) // it may have run
 	knocks(t, late)
@@ -462,7 +463,7 @@
 func TestVerdictPickedUpLate(t *testing.T) {
 	l := listen(t)
 	y := yardOf(t, decide.NotIdempotent, 100, 1, 8*sec, 2*sec, l.Addr().String())
-	flow, err := y.router.OpenFlow("", "live", "", "", "", 40*ms, 0)
+	flow, err := y.router.OpenFlow(routing.FlowRequest{Service: "live", Timeout: 40 * ms})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/protocol/discovery_test.go
+++ b/internal/protocol/discovery_test.go
@@ -26,10 +26,10 @@
 
 // follower is a Discovery whose balancer takes lists and serves nobody.
 func follower(seed uint64, addr string, asked bool) *Discovery {
-	return NewDiscovery(routing.New(1, 0, false, false, nil, func(b *decide.Balancer) (map[string]decide.ServiceID, map[string]decide.CustomerID) {
+	return NewDiscovery(routing.New(routing.Config{Seed: 1, Configure: func(b *decide.Balancer) (map[string]decide.ServiceID, map[string]decide.CustomerID) {
 		b.ConfigureEndpoints(decide.EndpointSettings{Polled: asked, MaxPollInterval: 10 * sec, MessageTarget: sec})
 		return nil, nil
-	}), addr, seed, asked)
+	}}), addr, seed, asked)
 }
 
 // run has it watch until the stop that is returned.
--- a/internal/protocol/lines_test.go
+++ b/internal/protocol/lines_test.go
@@ -131,7 +131,7 @@
 					t.Errorf("line %d: %v", i, err)
 				}
 			}
-			f, err := r.OpenFlow("", "live", "", "", "", sec, 0)
+			f, err := r.OpenFlow(routing.FlowRequest{Service: "live", Timeout: sec})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -219,10 +219,10 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		var all sync.WaitGroup
 		for i := range callers {
-			r := routing.New(1, 0, false, false, nil, func(b *decide.Balancer) (map[string]decide.ServiceID, map[string]decide.CustomerID) {
+			r := routing.New(routing.Config{Seed: 1, Configure: func(b *decide.Balancer) (map[string]decide.ServiceID, map[string]decide.CustomerID) {
 				b.ConfigureEndpoints(decide.EndpointSettings{Polled: true, MaxPollInterval: 10 * sec, MessageTarget: sec}) // its own timers for the list must add nothing
 				return nil, nil
-			})
+			}})
 			d := NewDiscovery(r, "nowhere", uint64(i), true)
 			d.client.Transport = service
 			all.Go(func() { d.Run(ctx) })
@@ -311,7 +311,7 @@
 		t.Helper()
 		got := ""
 		for end := time.Now().Add(10 * sec); got != want && time.Now().Before(end); time.Sleep(ms) { // a list was sent, not yet read
-			f, err := y.router.OpenFlow("", "live", "", "", "", sec, 0)
+			f, err := y.router.OpenFlow(routing.FlowRequest{Service: "live", Timeout: sec})
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/protocol/list.go
+++ b/internal/protocol/list.go
@@ -61,7 +61,7 @@
 	} else if opening != json.Delim('{') {
 		return nil, 0, fmt.Errorf("server list: %w", errNotObject)
 	}
-	list, head := d.router.BeginUpdate(false, known), map[string]any{}
+	list, head := d.router.BeginUpdate(kindOf(known)), map[string]any{}
 	var members int
 	var bad error
 	for objects.More() {
@@ -153,6 +153,13 @@
 	return err
 }
 
+func kindOf(known bool) routing.UpdateKind {
+	if known {
+		return routing.CachedUpdate
+	}
+	return routing.DeltaUpdate
+}
+
 // gather adds one member to the news.
 func gather(list *routing.EndpointUpdate, member any) (bad error) {
 	m, _ := member.(map[string]any) // a nil map has no fields, and says so
@@ -171,9 +178,15 @@
 	if len(id) > routing.MaxIDLength && bad == nil {
 		bad = fmt.Errorf("an id of %d bytes, %d at most", len(id), routing.MaxIDLength)
 	}
-	list.AddEndpoint(id, optional(m, "host_port", "", &bad), optional(m, "locality", "", &bad),
-		int(optional(m, "cell", 0.0, &bad)), optional(m, "size", 1.0, &bad), phase == "SERVING",
-		phase == "DELETED", since)
+	readiness := routing.Draining
+	switch phase {
+	case "SERVING":
+		readiness = routing.Ready
+	case "DELETED":
+		readiness = routing.Gone
+	}
+	list.AddEndpoint(routing.Endpoint{Name: id, Addr: optional(m, "host_port", "", &bad), Zone: optional(m, "locality", "", &bad),
+		Cell: int(optional(m, "cell", 0.0, &bad)), Size: optional(m, "size", 1.0, &bad), Readiness: readiness, StartedAt: since})
 	return bad
 }
 
--- a/internal/protocol/session.go
+++ b/internal/protocol/session.go
@@ -109,10 +109,10 @@
 			return
 		}
 		if wait = w; at != "" {
-			s.flow, server, err = s.front.router.ResumeFlow(service, customer, key, group, at)
+			s.flow, server, err = s.front.router.ResumeFlow(routing.FlowRequest{Service: service, Customer: customer, Key: key, Group: group}, at)
 			return
 		}
-		s.flow, err = s.front.router.OpenFlow(id, service, customer, key, group, max(w-answerMargin, w/2), marks)
+		s.flow, err = s.front.router.OpenFlow(routing.FlowRequest{ClientID: id, Service: service, Customer: customer, Key: key, Group: group, Timeout: max(w-answerMargin, w/2), Flags: marks})
 	})
 	if err = errors.Join(bad, err); err != nil {
 		s.turn(ended)
--- a/internal/protocol/session_test.go
+++ b/internal/protocol/session_test.go
@@ -41,18 +41,17 @@
 func yardOf(t *testing.T, effect decide.Effect, descriptors, balancers int, connect, window time.Duration, servers ...string) *yard {
 	t.Helper()
 	y := &yard{t: t, room: transport.NewDescriptorBudget(descriptors, BusyReply)}
-	y.router = routing.New(1, 80*ms, true, true, nil,
-		func(b *decide.Balancer) (map[string]decide.ServiceID, map[string]decide.CustomerID) {
-			b.ConfigureFlows(3, 700*ms)
-			b.AddService(decide.ServiceType{Effect: effect, Deduplication: decide.DeduplicatedByFleet, SetupTarget: 300 * ms, RetryWindow: window, Value: 1})
-			b.ConfigureSlowStart(decide.SlowStart{InitialCapacity: 0.2, OverloadMultiple: 3, WarmUp: 20 * sec, Window: 1500 * ms, Balancers: balancers})
-			b.ConfigurePlacement(0, 0, true)
-			b.ConfigureEndpoints(decide.EndpointSettings{Zone: "z", Polled: false, MaxPollInterval: 10 * sec, MessageTarget: 240 * ms})
-			return map[string]decide.ServiceID{"live": 0}, nil
-		})
-	l := y.router.BeginUpdate(true, false)
+	y.router = routing.New(routing.Config{Seed: 1, LatencyThreshold: 80 * ms, ServersReportLoad: true, ServersReportLatency: true, Configure: func(b *decide.Balancer) (map[string]decide.ServiceID, map[string]decide.CustomerID) {
+		b.ConfigureFlows(3, 700*ms)
+		b.AddService(decide.ServiceType{Effect: effect, Deduplication: decide.DeduplicatedByFleet, SetupTarget: 300 * ms, RetryWindow: window, Value: 1})
+		b.ConfigureSlowStart(decide.SlowStart{InitialCapacity: 0.2, OverloadMultiple: 3, WarmUp: 20 * sec, Window: 1500 * ms, Balancers: balancers})
+		b.ConfigurePlacement(0, 0, true)
+		b.ConfigureEndpoints(decide.EndpointSettings{Zone: "z", Polled: false, MaxPollInterval: 10 * sec, MessageTarget: 240 * ms})
+		return map[string]decide.ServiceID{"live": 0}, nil
+	}})
+	l := y.router.BeginUpdate(routing.FullUpdate)
 	for i, s := range servers {
-		l.AddEndpoint(fmt.Sprint("s", i), s, "z", 0, 1, true, false, time.Time{})
+		l.AddEndpoint(routing.Endpoint{Name: fmt.Sprint("s", i), Addr: s, Zone: "z", Size: 1})
 	}
 	l.Commit()
 	y.front = NewFrontend(y.router, connect, 700*ms)
@@ -548,8 +547,8 @@
 func TestStanding(t *testing.T) {
 	a, b := listen(t), listen(t)
 	y := newYard(t, decide.NotIdempotent, 100, a.Addr().String(), b.Addr().String())
-	news := y.router.BeginUpdate(false, false)
-	news.AddEndpoint("s1", b.Addr().String(), "z", 0, 1, false, false, time.Time{}) // draining: what stands is nothing new
+	news := y.router.BeginUpdate(routing.DeltaUpdate)
+	news.AddEndpoint(routing.Endpoint{Name: "s1", Addr: b.Addr().String(), Zone: "z", Size: 1, Readiness: routing.Draining}) // draining: what stands is nothing new
 	news.Commit()
 	client := y.client("OPEN 1 2 c=live,d=900000,at=s1\r\n")
 	server, line := accept(t, b)
--- /dev/null
+++ b/internal/routing/endpoints.go
@@ -0,0 +1,157 @@
+package routing
+
+import (
+	"context"
+	"log/slog"
+	"time"
+
+	"yardwinch/decide"
+)
+
+// UpdateKind says how an update relates to the endpoint list held so far.
+type UpdateKind = decide.UpdateKind
+
+// The kinds of an update.
+const (
+	DeltaUpdate  = decide.DeltaUpdate  // changed entries only
+	FullUpdate   = decide.FullUpdate   // the complete list: whoever is not in it is gone
+	CachedUpdate = decide.CachedUpdate // the complete list as last held before a restart
+)
+
+// Endpoint is what an endpoint list says of one server.
+type Endpoint struct {
+	Name      string
+	Addr      string // at which it is reached from here
+	Zone      string
+	Cell      int
+	Size      float64
+	Readiness Readiness
+	StartedAt time.Time // by the list's clock; the zero time: long ago
+}
+
+// Readiness says whether an endpoint accepts flows.
+type Readiness = decide.Readiness
+
+// The readiness of an endpoint, for packages that must not import decide.
+const (
+	Ready    = decide.Ready    // accepts flows
+	Draining = decide.Draining // keeps those that it has
+	Gone     = decide.Gone     // has left the list
+)
+
+// EndpointUpdate gathers the entries of an update of the endpoint list. Nothing of it counts before Commit.
+type EndpointUpdate struct {
+	router  *Router
+	kind    UpdateKind
+	entries []endpointEntry
+	zones   map[string]string // each zone's name once: many servers share it
+}
+
+// endpointEntry is an Endpoint in the types of the decisions.
+type endpointEntry struct {
+	name, addr string
+	zone       decide.Zone
+	cell       decide.CellID
+	size       float64
+	readiness  decide.Readiness
+	startedAt  time.Time
+}
+
+// BeginUpdate opens an update of the endpoint list.
+func (r *Router) BeginUpdate(kind UpdateKind) *EndpointUpdate {
+	return &EndpointUpdate{router: r, kind: kind, zones: map[string]string{}}
+}
+
+// MarkComplete says that a delta is the complete list after all, for callers that know it only once all entries are
+// there. A cached list stays one.
+func (u *EndpointUpdate) MarkComplete() {
+	if u.kind == DeltaUpdate {
+		u.kind = FullUpdate
+	}
+}
+
+// AddEndpoint adds an entry.
+func (u *EndpointUpdate) AddEndpoint(e Endpoint) {
+	zone, ok := u.zones[e.Zone]
+	if !ok {
+		zone = e.Zone
+		u.zones[zone] = zone
+	}
+	u.entries = append(u.entries, endpointEntry{name: e.Name, addr: e.Addr, zone: decide.Zone(zone),
+		cell: decide.CellID(e.Cell), size: e.Size, readiness: e.Readiness, startedAt: e.StartedAt})
+}
+
+// Commit hands the update to the decisions.
+func (u *EndpointUpdate) Commit() {
+	r := u.router
+	r.enter()
+	defer r.mu.Unlock()
+	if u.kind != DeltaUpdate {
+		for _, s := range r.serverOrder {
+			s.isListedReady = false // a complete list leaves out whoever is gone
+		}
+	}
+	r.hasEndpoints = true
+	r.balancer.BeginEndpoints(u.kind)
+	logs := slog.Default().Enabled(context.Background(), slog.LevelDebug) // asked once: a list may be long
+	for i := range u.entries {
+		r.applyEndpoint(&u.entries[i], logs)
+	}
+	r.balancer.EndEndpoints()
+	if u.kind != CachedUpdate {
+		r.lastContact = r.Now()
+	}
+}
+
+func (r *Router) applyEndpoint(e *endpointEntry, logs bool) {
+	id := r.assignServerID(e.name)
+	s := r.servers[id]
+	s.isListedReady = e.readiness == Ready
+	if s.addr != e.addr { // else the string that is held already stays, and the update's can be freed
+		s.addr = e.addr
+	}
+	if logs {
+		slog.Debug("endpoint updated", "server", e.name, "ready", s.isListedReady, "gone", e.readiness == Gone, "started_at", e.startedAt)
+	}
+	r.recordStart(s, e.startedAt)
+	r.balancer.OnEndpoint(decide.Endpoint{ID: id, Zone: e.zone, Cell: e.cell, Size: e.size, Readiness: e.readiness, StartedAt: s.startedAt})
+}
+
+// recordStart keeps when a server last started, by the router's clock. The list gives another machine's wall clock, and
+// this machine's may be stepped at any time, so that the value only tells starts apart: another value is another start.
+// A new start happened after the last contact with discovery, which did not list it, and not in the future.
+func (r *Router) recordStart(s *server, reported time.Time) {
+	if reported.IsZero() || reported.Equal(s.reportedStart) {
+		return // long ago, or known
+	}
+	now := r.Now()
+	at := now - time.Now().Round(0).Sub(reported) // Round strips the monotonic clock, which no other machine has
+	if r.lastContact > 0 {
+		at = max(at, r.lastContact)
+	}
+	s.reportedStart, s.startedAt = reported, min(at, now)
+}
+
+// HasEndpoints reports whether any endpoint list was taken so far.
+func (r *Router) HasEndpoints() bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.hasEndpoints
+}
+
+// OnDiscoveryContact records a sign of life of discovery: all changes up to now have been received.
+func (r *Router) OnDiscoveryContact() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.lastContact = r.Now()
+}
+
+// OnWatchLost reports that the watch of the endpoint list broke.
+func (r *Router) OnWatchLost() {
+	r.enter()
+	defer r.mu.Unlock()
+	r.balancer.BeginEndpoints(decide.FailedUpdate)
+}
+
+// FetchRequests signals that the decisions need the complete endpoint list once.
+func (r *Router) FetchRequests() <-chan struct{} { return r.fetchRequests }
--- a/internal/routing/flow.go
+++ b/internal/routing/flow.go
@@ -2,180 +2,274 @@
 
 import (
 	"context"
+	"fmt"
 	"log/slog"
+	"strconv"
 	"time"
 
 	"yardwinch/decide"
 )
 
-// Verdict is what the module says of a flow that waits.
+// Flags of a flow as it arrives; they add up.
+const (
+	FlagLoadHint  = decide.FlagLoadHint  // the client's estimate of its load is valid
+	FlagRetry     = decide.FlagRetry     // the client retries
+	FlagReturning = decide.FlagReturning // the client was asked to come again
+)
+
+// Verdict says what is to be done with a flow.
 type Verdict int
 
-// Verdicts.
+// The verdicts.
 const (
-	Connect Verdict = iota
-	Reject          // trying again does no harm
-	Abort           // nothing is promised
+	Connect Verdict = iota // attempt to connect to a server
+	Reject                 // answer the client that it may retry
+	Abort                  // answer the client without a promise
 )
 
-// Decision is a verdict with what goes with it: where to connect and until when, or when to come again. It is a point in time, as the verdict
-// may be picked up late.
+// Decision is a verdict with what goes with it.
 type Decision struct {
 	Verdict    Verdict
-	Addr       string
-	Deadline   time.Time
-	RetryAfter time.Duration
+	Addr       string        // with Connect: the server's address
+	Deadline   time.Time     // with Connect: of the attempt
+	RetryAfter time.Duration // with Reject: 0 says nothing
+}
+
+// FlowRequest describes a flow that a client opens.
+type FlowRequest struct {
+	ClientID string // what its client calls it, to be explained later by that name
+	Service  string
+	Customer string // empty: none
+	Key      string
+	Group    string        // of flows that belong together; empty: none
+	Timeout  time.Duration // until the client gives up; of no meaning for a flow that is resumed or adopted
+	Flags    int           // of the Flag constants
 }
 
-// Flow is one client's connection as the network code holds it.
+// Flow is one client's connection. Its methods report what becomes of it, in the order OpenFlow, AwaitDecision and
+// OnEnded for each attempt, OnEstablished, OnEnded.
 type Flow struct {
-	r      *Router
-	id     decide.FlowID
-	choice chan Decision // the verdict not yet picked up; the module gives one at a time
-	server *server
-	sentAt time.Duration
-	hold   func() // a standing connection's first report
-	cancel func()
-
-	moving bool
-	onMove func()
-	over   bool // the client has its answer, or went without one
-	up     bool
-	asked  time.Duration // since when a line waits for an answer; 0: none does
-	heard  time.Duration // when the client last sent a line
-
-	links [2]link // in the router's asking and quiet
-	place int     // in server.up
-}
-
-func (f *Flow) decided(c Decision) {
+	router    *Router
+	id        decide.FlowID
+	decisions chan Decision // the one not yet picked up
+
+	// The router's mutex guards all that follows.
+	server        *server
+	attemptAt     time.Duration // when the last attempt began
+	adopt         func()        // hands a resumed flow to the decisions once its connection is established; else nil
+	cancelAttempt func()
+
+	isMigrating   bool // its client is to be asked to come again
+	onMigrate     func()
+	isAnswered    bool // the client has its answer, or left without one
+	isEstablished bool
+	awaitingSince time.Duration // when the oldest unanswered line came; 0: there is none
+	lastRequestAt time.Duration // when the client last sent a line
+
+	links       [linkCount]flowLink // in the latency tracker's lists
+	serverIndex int                 // in server.established
+}
+
+// newFlow makes a flow and its request in the terms of the decisions.
+func (r *Router) newFlow(request FlowRequest) (*Flow, decide.FlowRequest, error) {
+	service, ok := r.services[request.Service]
+	if !ok {
+		return nil, decide.FlowRequest{}, fmt.Errorf("%w %q", ErrUnknownService, request.Service)
+	}
+	customer, ok := r.customers[request.Customer]
+	if !ok {
+		customer = decide.NoCustomer
+	}
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.lastFlowID++ // clients choose their ids: the decisions must not see the same one twice
+	f := &Flow{router: r, id: decide.FlowID(strconv.FormatInt(r.lastFlowID, 10)), decisions: make(chan Decision, 1)}
+	return f, decide.FlowRequest{ID: f.id, Service: service, Customer: customer, Key: decide.FlowKey(request.Key),
+		Group: decide.GroupKey(request.Group), Timeout: request.Timeout, Flags: request.Flags}, nil
+}
+
+// OpenFlow takes a new flow. Its error is an ErrUnknownService.
+func (r *Router) OpenFlow(request FlowRequest) (*Flow, error) {
+	f, decideRequest, err := r.newFlow(request)
+	if err != nil {
+		return nil, err
+	}
+	r.enter()
+	defer r.mu.Unlock()
+	r.flows[f.id] = f
+	if r.constrained != nil {
+		r.constrained.NameNextFlow(request.ClientID)
+	}
+	r.balancer.OnFlow(decideRequest)
+	return f, nil
+}
+
+// ResumeFlow takes a flow whose connection was open at a server before this balancer's start, and returns the server's
+// address. The decisions get it once OnEstablished reports that the connection is up again.
+func (r *Router) ResumeFlow(request FlowRequest, serverName string) (flow *Flow, addr string, err error) {
+	request.Timeout, request.Flags = 0, 0
+	f, decideRequest, err := r.newFlow(request)
+	if err != nil {
+		return nil, "", err
+	}
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	id, ok := r.serverIDs[serverName]
+	if !ok {
+		return nil, "", fmt.Errorf("unknown server %q", serverName)
+	}
+	f.server = r.servers[id]
+	f.adopt = func() {
+		r.flows[f.id] = f
+		r.balancer.AdoptFlow(decideRequest, id)
+	}
+	return f, f.server.addr, nil
+}
+
+// AdoptFlow takes over a flow whose connection is established at a server, from another process.
+func (r *Router) AdoptFlow(request FlowRequest, serverName string) (*Flow, error) {
+	f, _, err := r.ResumeFlow(request, serverName)
+	if err == nil {
+		f.OnEstablished()
+	}
+	return f, err
+}
+
+// deliver leaves a decision to be picked up; the decisions give one at a time.
+func (f *Flow) deliver(decision Decision) {
 	select {
-	case f.choice <- c:
-	default: // the flow was given up before it picked the last one up
+	case f.decisions <- decision:
+	default: // the flow was abandoned before it picked the last one up
 	}
 }
 
-// AwaitDecision waits for the verdict. cancel is called if the module takes the connect back.
+// AwaitDecision waits for the next decision. cancel is called if the decisions cancel the attempt.
 func (f *Flow) AwaitDecision(ctx context.Context, cancel func()) (Decision, error) {
 	select {
-	case c := <-f.choice: // before the context: at the very end both are there, and the answer is still owed
-		return f.picked(c, cancel), nil
+	case decision := <-f.decisions: // before the context: where both are ready, the client still gets its answer
+		return f.accept(decision, cancel), nil
 	default:
 	}
 	select {
 	case <-ctx.Done():
 		return Decision{}, ctx.Err()
-	case c := <-f.choice:
-		return f.picked(c, cancel), nil
+	case decision := <-f.decisions:
+		return f.accept(decision, cancel), nil
 	}
 }
 
-func (f *Flow) picked(c Decision, cancel func()) Decision {
-	f.r.mu.Lock()
-	defer f.r.mu.Unlock()
-	f.cancel = cancel
-	if c.Verdict != Connect {
-		slog.Debug("answered", "flow", f.id, "verdict", int(c.Verdict), "after", c.RetryAfter)
-		delete(f.r.flows, f.id)
+func (f *Flow) accept(decision Decision, cancel func()) Decision {
+	f.router.mu.Lock()
+	defer f.router.mu.Unlock()
+	f.cancelAttempt = cancel
+	if decision.Verdict != Connect {
+		slog.Debug("flow answered", "flow", f.id, "verdict", int(decision.Verdict), "retry_after_ms", milliseconds(decision.RetryAfter))
+		delete(f.router.flows, f.id)
 	}
-	return c
+	return decision
 }
 
-// StillAllowed tells, just before the first byte, whether the server still takes flows: it may have been told to drain
-// while the connection came up. One that was open there before the start is nothing new.
+// StillAllowed reports, just before the first byte, whether the server still accepts the flow: it may have begun to
+// drain while the connection was being established. A resumed flow is not new there.
 func (f *Flow) StillAllowed() bool {
-	f.r.mu.Lock()
-	defer f.r.mu.Unlock()
-	return f.server.ready() || f.hold != nil
+	f.router.mu.Lock()
+	defer f.router.mu.Unlock()
+	return f.server.acceptsFlows() || f.adopt != nil
 }
 
-// OnEstablished reports that the connection stands.
+// OnEstablished reports that the connection is established.
 func (f *Flow) OnEstablished() {
-	now := f.r.enter()
-	defer f.r.mu.Unlock()
-	f.over, f.up, f.heard = true, true, now
-	f.r.watch(f)
-	slog.Debug("up", "flow", f.id, "server", f.server.name, "took", now-f.sentAt)
-	if f.hold != nil {
-		f.hold()
+	now := f.router.enter()
+	defer f.router.mu.Unlock()
+	f.isAnswered = true
+	f.isEstablished = true
+	f.lastRequestAt = now
+	f.router.latency.track(f)
+	slog.Debug("flow established", "flow", f.id, "server", f.server.name, "duration_ms", milliseconds(now-f.attemptAt))
+	if f.adopt != nil {
+		f.adopt()
 		return
 	}
-	f.r.b.OnEstablished(f.id, now-f.sentAt)
+	f.router.balancer.OnEstablished(f.id, now-f.attemptAt)
 }
 
-// OnEnded tells how the connect or the connection ended. Unless the client has its answer, the next verdict follows.
-func (f *Flow) OnEnded(o Outcome) {
-	now := f.r.enter()
-	defer f.r.mu.Unlock()
-	slog.Debug("ended", "flow", f.id, "server", f.server.name, "outcome", int(o), "stood", f.up, "took", now-f.sentAt)
-	f.server.ends(f.id)
-	if f.up && o == Reset {
-		f.server.dropped = now
-	}
-	if f.up {
-		f.r.unwatch(f)
+// OnEnded reports how the attempt or the connection ended. Unless the client has its answer, the next decision follows.
+func (f *Flow) OnEnded(outcome Outcome) {
+	now := f.router.enter()
+	defer f.router.mu.Unlock()
+	slog.Debug("flow ended", "flow", f.id, "server", f.server.name, "outcome", int(outcome), "established", f.isEstablished,
+		"duration_ms", milliseconds(now-f.attemptAt))
+	f.server.metrics.onFlowEnded(f.id)
+	if f.isEstablished {
+		if outcome == Reset {
+			f.server.metrics.lastResetAt = now
+		}
+		f.router.latency.untrack(f)
 	}
-	f.up, f.asked = false, 0
-	over := f.over
-	f.r.b.OnEnded(f.id, o, now-f.sentAt, over)
-	if over {
-		delete(f.r.flows, f.id)
+	f.isEstablished = false
+	f.awaitingSince = 0
+	isAnswered := f.isAnswered
+	f.router.balancer.OnEnded(f.id, outcome, now-f.attemptAt, isAnswered)
+	if isAnswered {
+		delete(f.router.flows, f.id)
 	}
 }
 
-// Abandon says that the client went, or that its time is over, before any verdict was picked up.
+// Abandon reports that the client left, or that its time is over, before any decision was picked up.
 func (f *Flow) Abandon() {
-	f.r.enter()
-	defer f.r.mu.Unlock()
-	f.r.b.OnClientLeft(f.id)
+	f.router.enter()
+	defer f.router.mu.Unlock()
+	f.router.balancer.OnClientLeft(f.id)
 	select {
-	case c := <-f.choice:
-		if c.Verdict == Connect { // decided just now: nobody will send it
-			f.r.b.OnEnded(f.id, decide.NeverSent, 0, true)
+	case decision := <-f.decisions:
+		if decision.Verdict == Connect { // decided just now: nobody will make the attempt
+			f.router.balancer.OnEnded(f.id, decide.NeverSent, 0, true)
 		}
 	default:
 	}
-	delete(f.r.flows, f.id)
+	delete(f.router.flows, f.id)
 }
 
-// OnClientLeft says the same while a connect is out, whose end is still to be reported.
+// OnClientLeft reports the same during an attempt, whose end is still to be reported.
 func (f *Flow) OnClientLeft() {
-	f.r.enter()
-	defer f.r.mu.Unlock()
-	f.over = true
-	f.r.b.OnClientLeft(f.id)
+	f.router.enter()
+	defer f.router.mu.Unlock()
+	f.isAnswered = true
+	f.router.balancer.OnClientLeft(f.id)
 }
 
-// OnMigrate sets what asks the client to come again elsewhere; at once, if that has been decided already.
-func (f *Flow) OnMigrate(do func()) {
-	f.r.mu.Lock()
-	f.onMove = do
-	already := f.moving
-	f.r.mu.Unlock()
-	if already {
-		do()
+// OnMigrate sets what asks the client to come again elsewhere. It is called at once, if that was requested already.
+func (f *Flow) OnMigrate(migrate func()) {
+	f.router.mu.Lock()
+	f.onMigrate = migrate
+	isMigrating := f.isMigrating
+	f.router.mu.Unlock()
+	if isMigrating {
+		migrate()
 	}
 }
 
-// Server names where the connection stands, unless its client has been asked to move.
-func (f *Flow) Server() (name string, moving bool) {
-	f.r.mu.Lock()
-	defer f.r.mu.Unlock()
-	return f.server.name, f.moving
+// Server names the server of the connection, and reports whether its client was asked to come again.
+func (f *Flow) Server() (name string, isMigrating bool) {
+	f.router.mu.Lock()
+	defer f.router.mu.Unlock()
+	return f.server.name, f.isMigrating
 }
 
-// RequestMigration asks for it from outside, as when this balancer stops.
+// RequestMigration has the client asked to come again, for reasons other than the decisions'.
 func (f *Flow) RequestMigration() {
-	f.r.mu.Lock()
-	defer f.r.mu.Unlock()
-	f.move()
+	f.router.mu.Lock()
+	defer f.router.mu.Unlock()
+	f.requestMigration()
 }
 
-func (f *Flow) move() {
-	if first := !f.moving; first {
-		f.moving = true
-		if f.onMove != nil {
-			f.onMove()
-		}
+// requestMigration asks the client to come again, once; the mutex is held.
+func (f *Flow) requestMigration() {
+	if f.isMigrating {
+		return
+	}
+	f.isMigrating = true
+	if f.onMigrate != nil {
+		f.onMigrate()
 	}
 }
--- /dev/null
+++ b/internal/routing/flowlist.go
@@ -0,0 +1,53 @@
+package routing
+
+// flowList is a list of flows in the order in which they were added, linked through the flows, so that none is ever
+// searched for and adding one allocates nothing.
+type flowList struct {
+	linkIndex   int // which of a flow's links belongs to this list
+	first, last *Flow
+}
+
+// The lists that a flow may stand in, by the index of its link.
+const (
+	awaitingReplyLinks = iota
+	lastRequestLinks
+	linkCount
+)
+
+// flowLink is a flow's position in a list.
+type flowLink struct {
+	previous, next *Flow
+	isListed       bool
+}
+
+func (l *flowList) next(f *Flow) *Flow { return f.links[l.linkIndex].next }
+
+// push adds a flow that is not in the list at its end.
+func (l *flowList) push(f *Flow) {
+	f.links[l.linkIndex] = flowLink{previous: l.last, isListed: true}
+	if l.last == nil {
+		l.first = f
+	} else {
+		l.last.links[l.linkIndex].next = f
+	}
+	l.last = f
+}
+
+// remove takes a flow out of the list, if it is there.
+func (l *flowList) remove(f *Flow) {
+	link := f.links[l.linkIndex]
+	if !link.isListed {
+		return
+	}
+	f.links[l.linkIndex] = flowLink{}
+	if link.previous == nil {
+		l.first = link.next
+	} else {
+		link.previous.links[l.linkIndex].next = link.next
+	}
+	if link.next == nil {
+		l.last = link.previous
+	} else {
+		link.next.links[l.linkIndex].previous = link.previous
+	}
+}
--- /dev/null
+++ b/internal/routing/metrics_test.go
@@ -0,0 +1,137 @@
+package routing
+
+import (
+	"slices"
+	"testing"
+	"time"
+
+	"yardwinch/decide"
+)
+
+const ms, sec = time.Millisecond, time.Second
+
+const (
+	firstFlow, otherFlow = decide.FlowID("first"), decide.FlowID("other")
+	isLoad, isLatency    = false, true
+)
+
+// metricEvent is a metric, unless its value is 0.
+type metricEvent struct {
+	at, value time.Duration
+	flow      decide.FlowID
+	resets    bool // the server resets a connection
+	ends      bool // the flow ends
+}
+
+func sample(at, value time.Duration) metricEvent {
+	return metricEvent{at: at, value: value, flow: firstFlow}
+}
+
+func onOther(at, value time.Duration) metricEvent {
+	return metricEvent{at: at, value: value, flow: otherFlow}
+}
+
+func reset(at time.Duration) metricEvent { return metricEvent{at: at, resets: true} }
+
+func firstEnds(at time.Duration) metricEvent {
+	return metricEvent{at: at, flow: firstFlow, ends: true}
+}
+
+var classifierCases = []struct {
+	name   string
+	events []metricEvent
+	want   []bool // isLoad or isLatency, by metric
+}{
+	{"a lone metric", []metricEvent{sample(0, 900*ms)}, []bool{isLoad}},
+	{"two a second apart", []metricEvent{sample(0, 900*ms), sample(sec+ms, 700*ms)}, []bool{isLoad, isLatency}},
+	{"two at another distance", []metricEvent{sample(0, 900*ms), sample(sec+4*ms, 700*ms)}, []bool{isLoad, isLoad}},
+	{"two on two connections", []metricEvent{sample(0, 900*ms), onOther(sec+ms, 701*ms)}, []bool{isLoad, isLoad}},
+	{"two on two connections, a reset between", []metricEvent{sample(0, 900*ms), reset(500 * ms), onOther(sec, 701*ms)},
+		[]bool{isLoad, isLatency}},
+	{"two on two connections, the first ended", []metricEvent{sample(0, 900*ms), firstEnds(500 * ms), onOther(sec, 701*ms)},
+		[]bool{isLoad, isLatency}},
+	{"one near a reset", []metricEvent{reset(0), sample(10*ms, 900*ms), onOther(sec+10*ms, 701*ms)}, []bool{isLatency, isLatency}},
+	{"a large one near a reset", []metricEvent{reset(0), sample(10*ms, 9*sec), sample(sec+10*ms, 6*sec)}, []bool{isLatency, isLatency}},
+	{"one too large for any server", []metricEvent{reset(0), sample(10*ms, 20*sec)}, []bool{isLoad}},
+	{"a reset well before", []metricEvent{reset(0), sample(50*ms, 900*ms), onOther(sec+50*ms, 700*ms)}, []bool{isLoad, isLoad}},
+	{"a series goes on on any connection", []metricEvent{sample(0, 900*ms), sample(sec, 700*ms), onOther(2*sec, 701*ms)},
+		[]bool{isLoad, isLatency, isLatency}},
+	{"a series to its last sample",
+		[]metricEvent{sample(0, 900*ms), sample(sec, 700*ms), sample(2*sec, 500*ms), sample(3*sec, 20*ms), sample(4*sec, 30*ms)},
+		[]bool{isLoad, isLatency, isLatency, isLatency, isLoad}},
+	{"a load between two samples",
+		[]metricEvent{sample(0, 900*ms), sample(sec, 700*ms), sample(sec+5*ms, 800*ms), sample(2*sec, 700*ms)},
+		[]bool{isLoad, isLatency, isLoad, isLatency}},
+	{"a sample missed", []metricEvent{sample(0, 900*ms), sample(sec, 700*ms), sample(3*sec, 700*ms)},
+		[]bool{isLoad, isLatency, isLatency}},
+	{"a value as large as loads are", []metricEvent{sample(0, 5*sec), sample(sec, 5*sec)}, []bool{isLoad, isLoad}},
+	{"a series begins over the threshold only", []metricEvent{sample(0, 20*ms), sample(sec, 20*ms)}, []bool{isLoad, isLoad}},
+	{"a series begins in the last one's phase",
+		[]metricEvent{sample(0, 900*ms), sample(sec, 700*ms), sample(2*sec, 20*ms), sample(9*sec-2*ms, 700*ms)},
+		[]bool{isLoad, isLatency, isLatency, isLatency}},
+	{"a series that broke off, and a load", []metricEvent{sample(0, 900*ms), sample(sec, 700*ms), sample(9*sec+3*ms, 700*ms)},
+		[]bool{isLoad, isLatency, isLoad}},
+	{"a low value in that phase", []metricEvent{sample(0, 900*ms), sample(sec, 700*ms), sample(9*sec, 20*ms)},
+		[]bool{isLoad, isLatency, isLoad}},
+	{"that phase too long after", []metricEvent{sample(0, 900*ms), sample(sec, 700*ms), sample(90*sec, 700*ms)},
+		[]bool{isLoad, isLatency, isLoad}},
+}
+
+// Latencies come in the form of loads: a load taken for a latency empties a server, a latency taken for a load leaves
+// its clients on a late one.
+func TestLatencySamplesAmongLoads(t *testing.T) {
+	for _, c := range classifierCases {
+		t.Run(c.name, func(t *testing.T) {
+			const start, threshold = 100 * sec, 83 * ms
+			var classifier metricClassifier
+			var got []bool
+			for _, e := range c.events {
+				switch {
+				case e.resets:
+					classifier.lastResetAt = start + e.at
+				case e.ends:
+					classifier.onFlowEnded(e.flow)
+				default:
+					got = append(got, classifier.isLatency(metric{at: start + e.at, flow: e.flow, latency: e.value}, threshold))
+				}
+			}
+			if !slices.Equal(got, c.want) {
+				t.Errorf("taken for latencies: %v, want %v", got, c.want)
+			}
+		})
+	}
+}
+
+// A first metric is taken for a latency alone only where it can't be a load.
+func TestFirstSampleBelowRecentLoads(t *testing.T) {
+	for _, c := range []struct {
+		name        string
+		earlier     []float64
+		loads       int
+		load, value float64
+		want        bool
+	}{
+		{"far below all loads", nil, loadWindowSize, 1000, 200, true},
+		{"not so far", nil, loadWindowSize, 1000, 300, false},
+		{"too few loads known", nil, loadWindowSize - 1, 1000, 200, false},
+		{"a load as low that has left the window", []float64{1}, 2 * loadWindowSize, 1000, 200, true},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			var window loadWindow
+			for _, load := range c.earlier {
+				window.add(load)
+			}
+			for range c.loads {
+				window.add(c.load)
+			}
+			if got := window.isFarAbove(c.value); got != c.want {
+				t.Errorf("below all loads: %v, want %v", got, c.want)
+			}
+		})
+	}
+	var classifier metricClassifier
+	if !classifier.isLatency(metric{at: sec, flow: "one", latency: 200 * ms, isBelowRecentLoads: true}, 83*ms) ||
+		!classifier.isLatency(metric{at: 2 * sec, flow: "two", latency: 700 * ms}, 83*ms) {
+		t.Error("a series that began with it does not go on")
+	}
+}
--- a/internal/testbed/scale/control_taker.go
+++ b/internal/testbed/scale/control_taker.go
@@ -37,7 +37,7 @@
 	ctx, cancel := context.WithCancel(parent)
 	t := &listTaker{news: make(chan []byte), end: cancel}
 	t.server = &http.Server{Handler: http.HandlerFunc(t.watch), ReadHeaderTimeout: firstBytes}
-	router := routing.New(seed, lateFrom, false, false, nil, startDecisions)
+	router := routing.New(routing.Config{Seed: seed, LatencyThreshold: lateFrom, Configure: startDecisions})
 	t.discovery = protocol.NewDiscovery(router, listener.Addr().String(), seed, false)
 	t.parts.Go(func() { _ = t.server.Serve(listener) }) // it ends when it is closed
 	t.parts.Go(func() { t.discovery.Run(ctx) })
--- a/internal/testbed/scale/sweep_list.go
+++ b/internal/testbed/scale/sweep_list.go
@@ -82,11 +82,11 @@
 
 // hollowRouter has the same terms as a hollow balancer.
 func hollowRouter(seed uint64) *routing.Router {
-	return routing.New(seed, messageTarget, false, true, nil,
-		func(b *decide.Balancer) (map[string]decide.ServiceID, map[string]decide.CustomerID) {
+	return routing.New(routing.Config{Seed: seed, LatencyThreshold: messageTarget, ServersReportLatency: true,
+		Configure: func(b *decide.Balancer) (map[string]decide.ServiceID, map[string]decide.CustomerID) {
 			startHollow(b, terms{peers: peers})
 			return map[string]decide.ServiceID{}, map[string]decide.CustomerID{}
-		})
+		}})
 }
 
 // listText is a list as discovery tells it.
