--- a/internal/protocol/crossings_test.go
+++ b/internal/protocol/crossings_test.go
@@ -21,26 +21,26 @@
 
 // Orders of two events that seldom come about by themselves; docs/crossings.md is the map.
 
-// leave is a way in which a client goes.
-var leave = map[string]func(c *far){
-	"an end":       func(c *far) { c.Close() },
-	"a half end":   func(c *far) { _ = c.CloseWrite() },
-	"a reset":      leaveByReset,
-	"data, an end": func(c *far) { c.send("M 1\r\nM 2\r\n"); c.Close() },
+// waysToLeave is a way in which a client goes.
+var waysToLeave = map[string]func(c *peer){
+	"an end":       func(c *peer) { c.Close() },
+	"a half end":   func(c *peer) { _ = c.CloseWrite() },
+	"a reset":      resetConnection,
+	"data, an end": func(c *peer) { c.send("M 1\r\nM 2\r\n"); c.Close() },
 }
 
-// free waits until a balancer holds so many descriptors fewer than all.
-func (y *yard) free(want int) {
+// waitForFree waits until a balancer holds so many descriptors fewer than all.
+func (y *testBalancer) waitForFree(want int) {
 	y.t.Helper()
-	for end := time.Now().Add(10 * sec); y.room.Free() != want; time.Sleep(ms) {
+	for end := time.Now().Add(10 * sec); y.budget.Free() != want; time.Sleep(ms) {
 		if time.Now().After(end) {
-			y.t.Fatalf("%d descriptors are free, want %d", y.room.Free(), want)
+			y.t.Fatalf("%d descriptors are free, want %d", y.budget.Free(), want)
 		}
 	}
 }
 
-// full is a server whose connections come up only once what stands in its queue is taken out.
-func full(t *testing.T) net.Listener {
+// unresponsiveListener is a server whose connections come up only once what stands in its queue is taken out.
+func unresponsiveListener(t *testing.T) net.Listener {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	if err != nil {
@@ -69,8 +69,8 @@
 	}
 }
 
-// knocks waits until a connection to a full server has been asked for and not come up.
-func knocks(t *testing.T, l net.Listener) {
+// waitForPendingConnect waits until a connection to a full server has been asked for and not come up.
+func waitForPendingConnect(t *testing.T, l net.Listener) {
 	t.Helper()
 	waits := fmt.Sprintf(":%04X 02 ", l.Addr().(*net.TCPAddr).Port) // the kernel's table: the other side's port, and that it said nothing yet
 	for end := time.Now().Add(10 * sec); ; time.Sleep(ms) {
@@ -86,21 +86,21 @@
 
 // A client that goes while it waits is not sent on, whatever it waited for and however it went, and all that it held is given back: the
 // next one finds the balancer as if it had never come.
-func TestLeftWhileItWaited(t *testing.T) {
+func TestClientLeavesWhileItWaits(t *testing.T) {
 	const all = 100
-	next := strings.Replace(hello, "1a", "9f", 1)
-	for name, leave := range leave {
+	next := strings.Replace(openFlowLine, "1a", "9f", 1)
+	for name, leave := range waysToLeave {
 		t.Run("the pick, "+name, func(t *testing.T) {
 			t.Parallel()
 			l := listen(t)
-			y := yardOf(t, decide.NotIdempotent, all, 48, 200*ms, 2*sec, l.Addr().String()) // one set-up out at a time
+			y := newTestBalancer(t, decide.NotIdempotent, all, 48, 200*ms, 2*sec, l.Addr().String()) // one set-up out at a time
 			y.serve()
-			first := y.client(strings.Replace(hello, "1a", "0e", 1))
+			first := y.client(strings.Replace(openFlowLine, "1a", "0e", 1))
 			server, _ := accept(t, l)
-			gone := y.client(hello)
-			y.free(all - 4)
+			gone := y.client(openFlowLine)
+			y.waitForFree(all - 4)
 			leave(gone)
-			y.free(all - 2) // noticed while it waits
+			y.waitForFree(all - 2) // noticed while it waits
 			server.send("UP 77\r\n")
 			first.want("UP 77")
 			y.client(next)
@@ -110,13 +110,13 @@
 		})
 		t.Run("the connect, "+name, func(t *testing.T) {
 			t.Parallel()
-			l := full(t)
-			y := yardOf(t, decide.NotIdempotent, all, 1, 8*sec, 2*sec, l.Addr().String())
+			l := unresponsiveListener(t)
+			y := newTestBalancer(t, decide.NotIdempotent, all, 1, 8*sec, 2*sec, l.Addr().String())
 			y.serve()
-			gone := y.client(strings.Replace(hello, "d=1500", "d=8000", 1))
-			y.free(all - 2)
+			gone := y.client(strings.Replace(openFlowLine, "d=1500", "d=8000", 1))
+			y.waitForFree(all - 2)
 			leave(gone)
-			y.free(all)
+			y.waitForFree(all)
 			taken, err := l.Accept()
 			if err != nil {
 				t.Fatal(err)
@@ -134,13 +134,13 @@
 		t.Run("the pause before a retry, "+name, func(t *testing.T) {
 			t.Parallel()
 			l := listen(t)
-			y := newYard(t, decide.NotIdempotent, all, l.Addr().String())
+			y := startBalancer(t, decide.NotIdempotent, all, l.Addr().String())
 			gone := y.client("OPEN 1a 2 c=live,at=s0\r\n")
 			server, _ := accept(t, l)
 			server.send("BUSY\r\n")
 			server.want("EOF") // it waits to try again
 			leave(gone)
-			y.free(all)
+			y.waitForFree(all)
 			y.client(next)
 			for {
 				server, line := accept(t, l)
@@ -153,14 +153,14 @@
 		t.Run("in the queue, "+name, func(t *testing.T) {
 			t.Parallel()
 			l := listen(t)
-			y := yardOf(t, decide.NotIdempotent, all, 1, 200*ms, 2*sec, l.Addr().String())
+			y := newTestBalancer(t, decide.NotIdempotent, all, 1, 200*ms, 2*sec, l.Addr().String())
 			const many = 40
 			for i := range many { // all of them at once, as a hall that loses its way out
-				c := y.client(strings.Replace(hello, "1a", fmt.Sprint("q", i), 1))
+				c := y.client(strings.Replace(openFlowLine, "1a", fmt.Sprint("q", i), 1))
 				leave(c)
 			}
 			y.serve()
-			y.free(all)
+			y.waitForFree(all)
 			y.client(next)
 			if _, line := accept(t, l); !strings.HasPrefix(line, "OPEN 9f ") {
 				t.Errorf("a connection of a client that went before it was accepted; on it came %q", line)
@@ -169,82 +169,82 @@
 	}
 }
 
-// starved is a client's connection in a process short of its core. Its client leaves in the moment in which a given look is taken, and what
+// starvedConn is a client's connection in a process short of its core. Its client leaves in the moment in which a given look is taken, and what
 // reads from it does not run before that look is over. A look is known by its asking for the socket itself.
-type starved struct {
+type starvedConn struct {
 	*net.TCPConn
-	look  int    // from which on the client is gone
-	leave func() // has the client go
-	first bool   // its line was read
-	looks int
-	held  chan struct{} // closed once the reader may run
+	leaveAt     int    // from which on the client is gone
+	leave       func() // has the client go
+	lineWasRead bool   // its line was read
+	idleChecks  int
+	released    chan struct{} // closed once the reader may run
 }
 
-func (s *starved) Read(p []byte) (int, error) {
-	if s.first {
+func (s *starvedConn) Read(p []byte) (int, error) {
+	if s.lineWasRead {
 		select {
-		case <-s.held:
+		case <-s.released:
 		case <-time.After(10 * sec): // a test that hangs is to fail
 			return 0, os.ErrDeadlineExceeded
 		}
 	}
-	s.first = true
+	s.lineWasRead = true
 	return s.TCPConn.Read(p)
 }
 
-func (s *starved) SyscallConn() (syscall.RawConn, error) {
-	if s.looks++; s.looks == s.look {
+func (s *starvedConn) SyscallConn() (syscall.RawConn, error) {
+	if s.idleChecks++; s.idleChecks == s.leaveAt {
 		s.leave()
 		for transport.NewConn(s.TCPConn).IsIdle() { // until it has come
 			time.Sleep(ms)
 		}
-		defer close(s.held)
+		defer close(s.released)
 	}
 	return s.TCPConn.SyscallConn()
 }
 
 // Wherever a client's end has come and the one that would send runs before the one that reads: no attempt, first or further, begins, be it
 // the asking for a connection or the first byte on it.
-func TestLastLook(t *testing.T) {
+func TestNoAttemptAfterClientLeft(t *testing.T) {
 	const retry, again = "BUSY\r\n", "OPEN 1a 2 c=live,at=s0\r\n"
 	for _, c := range []struct {
 		name, line string
 		answers    []string // of the server, to the attempts before
 		up         bool     // a connection came up before the client left
 	}{
-		{"picked", hello, nil, false},
-		{"come up", hello, nil, true},
-		{"picked again", hello, []string{retry}, false},
-		{"come up again", hello, []string{retry}, true},
-		{"picked again after a reset", hello, []string{""}, false},
+		{"picked", openFlowLine, nil, false},
+		{"come up", openFlowLine, nil, true},
+		{"picked again", openFlowLine, []string{retry}, false},
+		{"come up again", openFlowLine, []string{retry}, true},
+		{"picked again after a reset", openFlowLine, []string{""}, false},
 		{"the pause is over", again, []string{retry}, false},
 		{"come up after the pause", again, []string{retry}, true},
 	} {
-		for way, leave := range leave {
+		for way, leave := range waysToLeave {
 			t.Run(c.name+", "+way, func(t *testing.T) {
 				t.Parallel()
 				l, front := listen(t), listen(t)
-				y := yardOf(t, decide.Idempotent, 100, 1, 8*sec, 2*sec, l.Addr().String(), l.Addr().String())
+				y := newTestBalancer(t, decide.Idempotent, 100, 1, 8*sec, 2*sec, l.Addr().String(), l.Addr().String())
 				raw, err := net.Dial("tcp", front.Addr().String())
-				client := newFar(t, raw, err)
+				client := newPeer(t, raw, err)
 				taken, err := front.Accept()
 				if err != nil {
 					t.Fatal(err)
 				}
 				client.send(c.line)
-				s := &starved{TCPConn: taken.(*net.TCPConn), look: 2*len(c.answers) + 1, leave: func() { leave(client) }, held: make(chan struct{})}
+				s := &starvedConn{TCPConn: taken.(*net.TCPConn), leaveAt: 2*len(c.answers) + 1, leave: func() { leave(client) }, released: make(chan struct{})}
 				if c.up {
-					s.look++
+					s.leaveAt++
 				}
 				done := make(chan struct{})
-				go func() { defer close(done); y.front.Serve(transport.NewConn(s)) }()
+				go func() { defer close(done); y.frontend.Serve(transport.NewConn(s)) }()
 				for _, a := range c.answers {
 					server, line := accept(t, l)
 					if !strings.HasPrefix(line, "OPEN 1a ") {
 						t.Errorf("the server gets %q", line)
 					}
 					if server.send(a); a == "" {
-						leaveByReset(server)
+						resetConnection(server)
 					}
 				}
 				if c.up {
@@ -253,11 +253,11 @@
 					}
 				}
 				<-done
-				if s.looks < s.look {
+				if s.idleChecks < s.leaveAt {
 					t.Fatal("the client never left")
 				}
 				own, err := net.Dial("tcp", l.Addr().String()) // it stands behind all that came
-				newFar(t, own, err).send("last\r\n")
+				newPeer(t, own, err).send("last\r\n")
 				if _, line := accept(t, l); line != "last" {
 					t.Errorf("a connection of a client that is gone; on it came %q", line)
 				}
@@ -266,11 +266,11 @@
 	}
 }
 
-func leaveByReset(c *far) { _ = c.SetLinger(0); c.Close() }
+func resetConnection(c *peer) { _ = c.SetLinger(0); c.Close() }
 
 // An agent that is silent has the list in the instant in which it can be asked again, and that counts as told: a balancer asleep then would
 // send on to a server that drains. However long the silence, one watch follows at once on another.
-func TestSilentAgentIsAskedAtOnce(t *testing.T) {
+func TestSilentAgentIsPolledAtOnce(t *testing.T) {
 	const silences = 14
 	asked := make(chan string, silences+2)
 	var n atomic.Int32
@@ -283,8 +283,8 @@
 		<-q.Context().Done()
 	}))
 	defer agent.Close()
-	d := NewDiscovery(newYard(t, decide.Idempotent, 0).router, strings.TrimPrefix(agent.URL, "http://"), 1, false)
-	d.silent, d.answer = 30*ms, 30*ms
+	d := NewDiscovery(startBalancer(t, decide.Idempotent, 0).router, strings.TrimPrefix(agent.URL, "http://"), 1, false)
+	d.silenceTimeout, d.answerTimeout = 30*ms, 30*ms
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { defer close(done); d.Run(ctx) }()
@@ -304,8 +304,8 @@
 
 // How long a balancer sleeps between two watches, by who is asked and how the last one ended: with the whole next call it fits into the
 // 6 s after which a change counts as told, and where all ask in the same instant it is spread over what is left of them.
-func TestAgain(t *testing.T) {
-	const left = toldWithin - takingWithin - answerWithin
+func TestReopenDelay(t *testing.T) {
+	const left = changeTimeout - applyTime - answerTimeout
 	for _, c := range []struct {
 		name          string
 		asked, silent bool
@@ -313,25 +313,25 @@
 		mute          time.Duration
 		least, most   time.Duration
 	}{
-		{"an agent, silent", false, true, true, silentAfter, 0, 0},
-		{"an agent, silent from the start", false, true, false, answerWithin, 0, 0},
-		{"an agent, reset", false, false, true, sec, 0, reopenSoon},
-		{"an agent, refused", false, false, false, 0, 0, reopenSoon},
+		{"an agent, silent", false, true, true, silenceTimeout, 0, 0},
+		{"an agent, silent from the start", false, true, false, answerTimeout, 0, 0},
+		{"an agent, reset", false, false, true, sec, 0, agentReopenDelay},
+		{"an agent, refused", false, false, false, 0, 0, agentReopenDelay},
 		{"an agent, slow to refuse", false, false, false, 150 * ms, 0, 300 * ms},
 		{"an agent that makes callers wait and turns them away", false, false, false, 2 * sec, 0, left - 2*sec},
-		{"discovery, silent", true, true, true, silentAfter, 0, left - silentAfter},
+		{"discovery, silent", true, true, true, silenceTimeout, 0, left - silenceTimeout},
 		{"discovery, reset", true, false, true, sec, 0, left - sec},
 		{"discovery, refused", true, false, false, 0, left / 2, left},
-		{"discovery that gives no answer", true, true, false, answerWithin, (left - answerWithin) / 2, left - answerWithin},
+		{"discovery that gives no answer", true, true, false, answerTimeout, (left - answerTimeout) / 2, left - answerTimeout},
 		{"discovery that turns callers away", true, false, false, 2 * sec, (left - 2*sec) / 2, left - 2*sec},
-		{"a process that had no core for long", true, true, true, toldWithin, 0, 0},
+		{"a process that had no core for long", true, true, true, changeTimeout, 0, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			d := NewDiscovery(newYard(t, decide.Idempotent, 0).router, "", 1, c.asked)
-			least, most := toldWithin, time.Duration(0)
+			d := NewDiscovery(startBalancer(t, decide.Idempotent, 0).router, "", 1, c.asked)
+			least, most := changeTimeout, time.Duration(0)
 			for range 200 {
-				d.heard = c.heard
-				wait := d.again(c.mute, c.silent)
+				d.hadContact = c.heard
+				wait := d.reopenDelay(c.mute, c.silent)
 				least, most = min(least, wait), max(most, wait)
 			}
 			if slack := (c.most - c.least) / 20; least < c.least || least > c.least+slack || most > c.most || most < c.most-slack {
@@ -342,7 +342,7 @@
 }
 
 // A list that is written over many lines is one object all the same, on a watch too, wherever it is cut; an end within it changes nothing.
-func TestIndentedList(t *testing.T) {
+func TestIndentedEndpointList(t *testing.T) {
 	pretty := func(s string) string {
 		return strings.ReplaceAll(strings.ReplaceAll(s, ",", ",\r\n\t"), "[", "[\n\n  ")
 	}
@@ -362,7 +362,7 @@
 		}
 	}))
 	defer agent.Close()
-	y := newYard(t, decide.Idempotent, 0)
+	y := startBalancer(t, decide.Idempotent, 0)
 	d := NewDiscovery(y.router, strings.TrimPrefix(agent.URL, "http://"), 1, false)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -386,54 +386,54 @@
 }
 
 // An id that another process of this balancer has is no flow's here: it is kept as one that ended, and in time forgotten.
-func TestIDOfTheOtherProcess(t *testing.T) {
-	f := newYard(t, decide.Idempotent, 0).front
+func TestIDTakenByOtherProcess(t *testing.T) {
+	f := startBalancer(t, decide.Idempotent, 0).frontend
 	f.ShareIDs(func(uint64) bool { return true })
-	for i := range 2 * spentKept {
+	for i := range 2 * retiredIDs {
 		if f.ClaimID(fmt.Sprint("x", i)) {
 			t.Fatal("an id that the other process has is free here")
 		}
 	}
-	if n := len(f.ids); n > spentKept {
-		t.Errorf("%d ids are kept, %d at most", n, spentKept)
+	if n := len(f.ids.taken); n > retiredIDs {
+		t.Errorf("%d ids are kept, %d at most", n, retiredIDs)
 	}
 }
 
 // Told to stop, the balancer answers whoever waits: to come again where nothing ran, and with no promise where it may have.
-func TestStopAnswersWhoWaits(t *testing.T) {
+func TestStopAnswersWaitingClients(t *testing.T) {
 	l := listen(t)
-	y := yardOf(t, decide.NotIdempotent, 100, 48, 200*ms, 2*sec, l.Addr().String())
+	y := newTestBalancer(t, decide.NotIdempotent, 100, 48, 200*ms, 2*sec, l.Addr().String())
 	y.serve()
-	out := y.client(hello)
+	out := y.client(openFlowLine)
 	server, _ := accept(t, l) // the line went: it may run
-	waits := y.client(strings.Replace(hello, "1a", "2b", 1))
-	y.free(96)
+	waits := y.client(strings.Replace(openFlowLine, "1a", "2b", 1))
+	y.waitForFree(96)
 	half := y.client("OPEN 7 2 c=li")
 	dumb := y.client("")
-	y.free(94)
-	y.front.Stop()
-	out.want("ERR " + errGivenUp.Error())
-	for _, c := range []*far{waits, half, dumb} {
+	y.waitForFree(94)
+	y.frontend.Stop()
+	out.want("ERR " + errMayHaveRun.Error())
+	for _, c := range []*peer{waits, half, dumb} {
 		c.want("BUSY 700")
 		c.want("EOF")
 	}
 	server.want("EOF")
-	y.client(strings.Replace(hello, "1a", "3c", 1)).want("BUSY 700")
+	y.client(strings.Replace(openFlowLine, "1a", "3c", 1)).want("BUSY 700")
 }
 
 // A repeat is chosen within the window in which servers drop repeats, and its connection comes up after it: the line must not go on, as it could
 // take effect a second time.
-func TestRepeatThatComesUpPastItsWindow(t *testing.T) {
-	first, late := listen(t), full(t)
-	y := yardOf(t, decide.IdempotentByKey, 100, 1, 8*sec, 300*ms, first.Addr().String())
+func TestRetryEstablishedPastItsWindow(t *testing.T) {
+	first, late := listen(t), unresponsiveListener(t)
+	y := newTestBalancer(t, decide.IdempotentByKey, 100, 1, 8*sec, 300*ms, first.Addr().String())
 	y.serve()
-	client := y.client(strings.Replace(hello, "d=1500", "d=8000", 1))
+	client := y.client(strings.Replace(openFlowLine, "d=1500", "d=8000", 1))
 	server, _ := accept(t, first)
 	news := y.router.BeginUpdate(routing.DeltaUpdate)
 	news.AddEndpoint(routing.Endpoint{Name: "late", Addr: late.Addr().String(), Zone: "z", Size: 1})
-	news.Commit()
-	leave["a reset"](server) // it may have run
-	knocks(t, late)
+	news.Commit(t.Context())
+	waysToLeave["a reset"](server) // it may have run
+	waitForPendingConnect(t, late)
 	if _, err := late.Accept(); err != nil { // there is room from now on: the connection comes up when it is asked for again, a second later
 		t.Fatal(err)
 	}
@@ -460,9 +460,9 @@
 }
 
 // A verdict that is picked up after its time: nothing is sent on, as the time counts from the verdict and not from when somebody came by.
-func TestVerdictPickedUpLate(t *testing.T) {
+func TestDecisionPickedUpLate(t *testing.T) {
 	l := listen(t)
-	y := yardOf(t, decide.NotIdempotent, 100, 1, 8*sec, 2*sec, l.Addr().String())
+	y := newTestBalancer(t, decide.NotIdempotent, 100, 1, 8*sec, 2*sec, l.Addr().String())
 	flow, err := y.router.OpenFlow(routing.FlowRequest{Service: "live", Timeout: 40 * ms})
 	if err != nil {
 		t.Fatal(err)
@@ -475,8 +475,8 @@
 	a, b := net.Pipe()
 	defer a.Close()
 	defer b.Close()
-	s := &session{front: y.front, client: transport.NewConn(a), line: strings.TrimSpace(hello), flow: flow, up: make(chan struct{})}
-	if up, o := s.connect(context.Background(), choice.Addr, choice.Deadline); up != "" || o != decide.NeverSent {
+	s := &session{frontend: y.frontend, client: transport.NewConn(a), openLine: strings.TrimSpace(openFlowLine), flow: flow, settled: make(chan struct{})}
+	if up, o := s.attempt(context.Background(), choice.Addr, choice.Deadline); up != "" || o != decide.NeverSent {
 		t.Errorf("outcome %v", o)
 	}
 }
--- a/internal/protocol/discovery.go
+++ b/internal/protocol/discovery.go
@@ -1,9 +1,7 @@
 package protocol
 
 import (
-	"bytes"
 	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"io"
@@ -11,7 +9,6 @@
 	"math/rand/v2"
 	"net"
 	"net/http"
-	"strconv"
 	"strings"
 	"sync"
 	"sync/atomic"
@@ -21,283 +18,236 @@
 )
 
 const (
-	heartbeat     = 2 * time.Second
-	silentAfter   = heartbeat + 800*time.Millisecond // an open watch without a sign of life
-	answerWithin  = 2200 * time.Millisecond          // a call until it is answered whole: discovery may let it wait for 2 s
-	toldWithin    = 6 * time.Second                  // a change counts as told then, whatever came before
-	takingWithin  = 200 * time.Millisecond           // until an answer that is there is acted on
-	reopenSoon    = 100 * time.Millisecond           // where nobody else asks there
-	fetchWithin   = time.Second
-	longestHeader = 64 << 10
-	firstInBytes  = 4096
+	// heartbeatInterval is how often an open watch shows a sign of life; without one for silenceTimeout it is dead.
+	heartbeatInterval = 2 * time.Second
+	silenceTimeout    = heartbeatInterval + 800*time.Millisecond
+	// answerTimeout bounds a call until it is answered completely: discovery may let it wait for 2 s.
+	answerTimeout = 2200 * time.Millisecond
+	// changeTimeout is after how long a change must take effect, whatever came before; applyTime of it is kept for
+	// applying an answer that is there.
+	changeTimeout = 6 * time.Second
+	applyTime     = 200 * time.Millisecond
+	// agentReopenDelay bounds the wait before a watch is reopened at an agent, which nobody else watches.
+	agentReopenDelay = 100 * time.Millisecond
+	fetchTimeout     = time.Second
+
+	maxHeaderBytes  = 64 << 10
+	readBufferBytes = 4096
 )
 
-var errSilent = errors.New("no answer or no sign of life in time")
+var errDiscoverySilent = errors.New("no answer or no sign of life in time")
 
-// Discovery follows the server list.
+// Discovery follows the endpoint list.
 type Discovery struct {
-	router   *routing.Router
-	client   *http.Client
-	revision atomic.Int64 // of the list held; below nought: none
-	lost     bool
-	silent   time.Duration // an open watch that says nothing for longer is dead, or will be
-	answer   time.Duration // so is a call that is not answered whole by then
-	chance   *rand.Rand
-	heard    bool // something came on the last watch
-	asked    bool // discovery itself is asked, by all; else it is an agent on this machine that has been sent the list
-
-	mu    sync.Mutex
-	url   string
-	leave context.CancelFunc // ends the round at this address
+	router *routing.Router
+	client *http.Client
+	// isPolled says that discovery itself is asked, by all balancers. Else it is an agent on this machine, which
+	// received the list before.
+	isPolled       bool
+	silenceTimeout time.Duration
+	answerTimeout  time.Duration
+	random         *rand.Rand   // spreads the balancers' calls
+	revision       atomic.Int64 // of the list held; negative: none
+
+	watchIsLost bool // the last watch failed, and none has brought anything since
+	hadContact  bool // something came on the last watch
+
+	mu       sync.Mutex
+	url      string
+	endRound context.CancelFunc // ends the watch at the present URL
+}
+
+// NewDiscovery follows the list at a host and port. seed starts the random draws that spread the balancers' calls;
+// isPolled says that discovery itself is there, and not an agent on this machine.
+func NewDiscovery(r *routing.Router, addr string, seed uint64, isPolled bool) *Discovery {
+	d := &Discovery{
+		router:         r,
+		isPolled:       isPolled,
+		silenceTimeout: silenceTimeout,
+		answerTimeout:  answerTimeout,
+		random:         rand.New(rand.NewPCG(seed, 0)),
+		url:            listURL(addr),
+		endRound:       func() {},
+	}
+	d.client = &http.Client{Transport: d.newHTTPTransport(), CheckRedirect: refuseRedirect}
+	d.revision.Store(-1)
+	return d
 }
 
-// NewDiscovery follows the list at an address; seed is for how watches that fail are spread, asked tells whether the list comes only
-// when it is asked for.
-func NewDiscovery(r *routing.Router, addr string, seed uint64, asked bool) *Discovery {
-	// One connection for the watch and none kept idle: each holds a descriptor. So does a dial, which a client detaches from the call that
-	// asked for it: without an end of its own it goes on for minutes after the call was given up, and one more joins it at each call.
-	t := &http.Transport{Proxy: nil, DisableKeepAlives: true, DisableCompression: true, ReadBufferSize: firstInBytes,
-		MaxResponseHeaderBytes: longestHeader}
-	// Whoever has the list is named by the settings alone, never by an answer.
-	here := func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
-	d := &Discovery{router: r, asked: asked, url: listAt(addr), client: &http.Client{Transport: t, CheckRedirect: here}, silent: silentAfter,
-		answer: answerWithin, chance: rand.New(rand.NewPCG(seed, 0)), leave: func() {}}
-	t.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
-		return (&net.Dialer{Timeout: d.answer}).DialContext(ctx, network, addr)
+// newHTTPTransport keeps no idle connection, as each holds a descriptor. So does a dial, which net/http detaches from
+// the call that asked for it: without a timeout of its own it would go on for minutes after the call was given up, and
+// one more would join it at each call.
+func (d *Discovery) newHTTPTransport() *http.Transport {
+	return &http.Transport{
+		Proxy:                  nil,
+		DisableKeepAlives:      true,
+		DisableCompression:     true,
+		ReadBufferSize:         readBufferBytes,
+		MaxResponseHeaderBytes: maxHeaderBytes,
+		DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
+			return (&net.Dialer{Timeout: d.answerTimeout}).DialContext(ctx, network, addr)
+		},
 	}
-	d.revision.Store(-1)
-	return d
 }
 
-func listAt(addr string) string { return "http://" + addr + "/discovery/hosts" }
+// refuseRedirect makes the settings alone say where the list is, never an answer.
+func refuseRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
+
+const (
+	listScheme = "http://"
+	listPath   = "/discovery/hosts"
+)
+
+func listURL(addr string) string { return listScheme + addr + listPath }
 
-// SetAddress says that the list is to be had at another address from now on. It tells whether that is news.
-func (d *Discovery) SetAddress(addr string) bool {
+// SetAddress says that the list is at another host and port from now on. It reports whether that is a change.
+func (d *Discovery) SetAddress(addr string) (isChange bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.url == listAt(addr) {
+	if d.url == listURL(addr) {
 		return false
 	}
-	d.url = listAt(addr)
+	d.url = listURL(addr)
 	d.revision.Store(-1)
-	d.leave()
+	d.endRound()
 	return true
 }
 
-// Position is where the list held was had from, and its revision.
+// Position is the host and port of the list held, and its revision.
 func (d *Discovery) Position() (addr string, revision int64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return strings.TrimSuffix(strings.TrimPrefix(d.url, "http://"), "/discovery/hosts"), d.revision.Load()
+	return strings.TrimSuffix(strings.TrimPrefix(d.url, listScheme), listPath), d.revision.Load()
 }
 
-// Resume watches from a revision on whose list was taken over; one of another address counts for nothing.
+// Resume watches from the revision of a list that was taken over, unless it came from another address.
 func (d *Discovery) Resume(addr string, revision int64) {
-	if here, _ := d.Position(); here == addr {
+	if current, _ := d.Position(); current == addr {
 		d.revision.Store(revision)
 	}
 }
 
-// enter begins a round at the address that holds now.
-func (d *Discovery) enter(leave context.CancelFunc) string {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.leave = leave
-	return d.url
-}
-
-// LoadCached takes the list as this balancer last had it.
+// LoadCached takes the list as this balancer last had it; an empty text is none. The error says what is wrong with it.
 func (d *Discovery) LoadCached(list []byte) error {
 	if len(list) == 0 {
 		return nil
 	}
-	return d.take(list, true)
+	return d.applyText(context.Background(), list, routing.CachedUpdate)
 }
 
-// Run watches until the context ends. A watch that breaks or falls silent is opened again soon; the list stays as it
-// was. So it does when the address changes, but what the new one counts from is not known: its revisions may be others,
-// so that the next list is taken whole, as one that starts from an old revision could leave out who is gone.
+// Run watches until the context ends. A watch that breaks or falls silent is reopened soon, and the list stays as it was.
+// So it does when the address changes. The revisions of the new address may be others, so that the next list is taken
+// completely: one that counts from an old revision could leave out who is gone.
 func (d *Discovery) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		round, leave := context.WithCancel(ctx)
-		d.follow(round, d.enter(leave))
-		leave()
+		round, endRound := context.WithCancel(ctx)
+		d.follow(round, d.beginRound(endRound))
+		endRound()
 		d.revision.Store(-1)
 	}
 }
 
-// follow watches at one address, until the context ends.
+// beginRound returns the present URL, and has a change of it end the round.
+func (d *Discovery) beginRound(endRound context.CancelFunc) (url string) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.endRound = endRound
+	return d.url
+}
+
+// follow watches at one URL until the context ends.
 func (d *Discovery) follow(ctx context.Context, url string) {
 	for ctx.Err() == nil {
-		since, err := d.watch(ctx, url)
+		silentSince, err := d.watch(ctx, url)
 		if ctx.Err() != nil {
 			return
 		}
-		wait := d.again(time.Since(since), errors.Is(err, errSilent))
-		if !d.lost { // once: an outage of an hour must not fill the log
-			slog.Warn("server list lost, the last one is kept", "error", fmt.Errorf("discovery at %s: %w", url, err))
+		delay := d.reopenDelay(time.Since(silentSince), errors.Is(err, errDiscoverySilent))
+		if !d.watchIsLost { // logged once: an outage of an hour must not fill the log
+			slog.Warn("endpoint watch lost", "error", fmt.Errorf("discovery at %s: %w", url, err))
 		}
-		d.lost = true
+		d.watchIsLost = true
 		d.router.OnWatchLost()
 		select {
 		case <-ctx.Done():
 		case <-d.router.FetchRequests():
 			d.fetch(ctx, url)
-		case <-time.After(wait):
+		case <-time.After(delay):
 		}
 	}
 }
 
-// again is how long to wait after a watch that failed and had told nothing for as long as it was mute. What has changed since then has to be
-// acted on in time: the gap and the whole next call fit into what is left. Discovery itself is asked by all, who lose their watches in
-// the same instant: they spread over all of that time. A call that was given up or turned away took a place in a queue, and is served all the
-// same though nobody waits for it any more: asked again within the first half of that time, by all, discovery would never be through with
-// them. An agent on this machine has no others to serve, and what it has counts as told from the instant it has it: asleep through
-// that instant, this balancer would send on to a server whose drain is told, so that one that fell silent is asked again at once and answers
-// when it can.
-func (d *Discovery) again(mute time.Duration, silent bool) time.Duration {
-	longest := max(0, toldWithin-takingWithin-d.answer-mute)
-	part := d.chance.Float64()
+// onContact records that discovery has shown a sign of life.
+func (d *Discovery) onContact() {
+	d.hadContact = true
+	if d.watchIsLost {
+		slog.Info("endpoint watch recovered")
+		d.watchIsLost = false
+	}
+}
+
+// reopenDelay is how long to wait after a watch that failed, and that had been silent for a time by then. What has
+// changed since must take effect within changeTimeout: the wait and the complete next call fit into what is left.
+//
+// Discovery itself is asked by all balancers, which lose their watches at the same moment: they spread over all of the
+// time that is left. A call that was given up or rejected has taken a place in discovery's queue, and is served though
+// nobody waits for it any more: if all asked again within the first half of the time, discovery would never be through
+// with these calls.
+//
+// An agent on this machine serves nobody else, and a change counts as received from the moment the agent has it. Waiting
+// through that moment would send flows to a server that is known to drain, so that an agent that fell silent is asked
+// again at once, and answers when it can.
+func (d *Discovery) reopenDelay(silence time.Duration, fellSilent bool) time.Duration {
+	longest := max(0, changeTimeout-applyTime-d.answerTimeout-silence)
+	part := d.random.Float64()
 	switch {
-	case !d.asked && silent:
+	case !d.isPolled && fellSilent:
 		longest = 0
-	case !d.asked && d.heard:
-		longest = min(longest, reopenSoon)
-	case !d.asked:
-		longest = min(longest, max(reopenSoon, 2*mute)) // a call that waited may have left a queue there
-	case !d.heard:
+	case !d.isPolled && d.hadContact:
+		longest = min(longest, agentReopenDelay)
+	case !d.isPolled:
+		longest = min(longest, max(agentReopenDelay, 2*silence)) // a call that waited may have left a queue there
+	case !d.hadContact:
 		part = (1 + part) / 2
 	}
 	return time.Duration(float64(longest) * part)
 }
 
-// watch is one watch from its opening to its end, and since when it had told nothing by then: its opening, its last sign of life, or
-// the first byte of an object that did not come whole.
-func (d *Discovery) watch(parent context.Context, at string) (since time.Time, err error) {
-	d.heard = false
-	ctx, cancel := context.WithCancelCause(parent)
-	defer cancel(nil)
-	opened, first := time.Now(), true
-	since = opened
-	silence := time.AfterFunc(d.answer, func() { cancel(errSilent) })
-	defer silence.Stop()
-	alive := func() {
-		since = time.Now()
-		silence.Reset(d.silent)
-	}
-	url := at + "?stream=1"
-	if held := d.revision.Load(); held >= 0 {
-		url += "&index=" + strconv.FormatInt(held, 10)
-	}
-	body, err := d.get(ctx, url)
-	if err != nil {
-		return since, because(ctx, err)
-	}
-	defer body.Close()
-	alive()
-	in := &heard{from: body, blank: func() {
-		first = false
-		d.back()
-		d.router.OnDiscoveryContact()
-		alive()
-	}, begun: func() { // its other bytes are no sign of life: an object that trickles on for ever tells nothing
-		d.heard = true
-		if since = time.Now(); first && since.Sub(opened) < d.answer {
-			since = opened
-		}
-		silence.Reset(d.answer - time.Since(since))
-	}}
-	for objects := json.NewDecoder(in); ; {
-		in.left = longestList
-		if err := d.read(objects, false); err != nil { // what it brought is missing now: a new watch brings it again
-			return since, because(ctx, err)
-		}
-		in.blank()
-		rest, _ := io.ReadAll(objects.Buffered()) // from memory: it can't fail
-		if in.open = len(bytes.TrimSpace(rest)) > 0; in.open {
-			in.begun()
-		}
-		select {
-		case <-d.router.FetchRequests():
-			d.fetch(ctx, at)
-		default:
-		}
-	}
-}
-
-// back notes that discovery tells again.
-func (d *Discovery) back() {
-	d.heard = true
-	if d.lost {
-		slog.Info("server list is back")
-		d.lost = false
-	}
-}
-
-// because says why a call was ended, where it was ended from here.
-func because(ctx context.Context, err error) error {
-	if cause := context.Cause(ctx); cause != nil && !errors.Is(err, cause) {
-		return fmt.Errorf("%w: %w", cause, err)
-	}
-	return err
-}
-
-var errLong = fmt.Errorf("an object of more than %d bytes", longestList)
-
-// heard tells what comes: blanks between two objects, or the first bytes of one. It bounds what may come before left is set anew.
-type heard struct {
-	from         io.Reader
-	blank, begun func()
-	open         bool // an object has begun
-	left         int
-}
-
-func (h *heard) Read(p []byte) (int, error) {
-	if h.left <= 0 {
-		return 0, errLong
-	}
-	n, err := h.from.Read(p)
-	h.left -= n
-	if n > 0 && !h.open {
-		if h.open = len(bytes.TrimSpace(p[:n])) > 0; h.open {
-			h.begun()
-		} else {
-			h.blank()
-		}
+// fetch brings the complete list once.
+func (d *Discovery) fetch(ctx context.Context, url string) {
+	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
+	defer cancel()
+	if err := d.fetchList(ctx, url); err != nil {
+		slog.Warn("endpoint list fetch failed", "error", fmt.Errorf("discovery at %s: %w", url, err))
+		d.router.OnWatchLost()
 	}
-	return n, err
 }
 
-// fetch brings the whole list once.
-func (d *Discovery) fetch(ctx context.Context, at string) {
-	ctx, cancel := context.WithTimeout(ctx, fetchWithin)
-	defer cancel()
-	body, err := d.get(ctx, at)
-	if err == nil {
-		defer body.Close()
-		err = d.only(&heard{from: body, open: true, left: longestList}, false)
-	}
+func (d *Discovery) fetchList(ctx context.Context, url string) error {
+	body, err := d.get(ctx, url)
 	if err != nil {
-		slog.Warn("server list not fetched", "error", fmt.Errorf("discovery at %s: %w", at, err))
-		d.router.OnWatchLost()
+		return err
 	}
+	defer func() { _ = body.Close() }() // all of it was read, or the error says why not
+	return d.applySingle(ctx, &listReader{from: body, left: maxListBytes}, routing.DeltaUpdate)
 }
 
+// get calls discovery and returns the body of an answer that has a list.
 func (d *Discovery) get(ctx context.Context, url string) (io.ReadCloser, error) {
-	q, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return nil, err
 	}
-	a, err := d.client.Do(q)
+	response, err := d.client.Do(request)
 	if err != nil {
 		return nil, err
 	}
-	if a.StatusCode != http.StatusOK {
-		_ = a.Body.Close() // the status says all there is
-		if to := a.Header.Get("Location"); to != "" {
-			return nil, fmt.Errorf("answered %s to %q, which is not followed", a.Status, to)
+	if response.StatusCode != http.StatusOK {
+		_ = response.Body.Close() // the status says all there is
+		if to := response.Header.Get("Location"); to != "" {
+			return nil, fmt.Errorf("answered %s to %q, which is not followed", response.Status, to)
 		}
-		return nil, fmt.Errorf("answered %s", a.Status)
+		return nil, fmt.Errorf("answered %s", response.Status)
 	}
-	return a.Body, nil
+	return response.Body, nil
 }
--- a/internal/protocol/discovery_test.go
+++ b/internal/protocol/discovery_test.go
@@ -24,49 +24,49 @@
 	"yardwinch/internal/routing"
 )
 
-// follower is a Discovery whose balancer takes lists and serves nobody.
-func follower(seed uint64, addr string, asked bool) *Discovery {
+// newTestDiscovery is a Discovery whose balancer takes lists and serves nobody.
+func newTestDiscovery(seed uint64, addr string, asked bool) *Discovery {
 	return NewDiscovery(routing.New(routing.Config{Seed: 1, Configure: func(b *decide.Balancer) (map[string]decide.ServiceID, map[string]decide.CustomerID) {
 		b.ConfigureEndpoints(decide.EndpointSettings{Polled: asked, MaxPollInterval: 10 * sec, MessageTarget: sec})
 		return nil, nil
 	}}), addr, seed, asked)
 }
 
-// run has it watch until the stop that is returned.
-func run(d *Discovery) (stop func()) {
+// runDiscovery has it watch until the stop that is returned.
+func runDiscovery(d *Discovery) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { defer close(done); d.Run(ctx) }()
 	return func() { cancel(); <-done }
 }
 
-const answered = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nConnection: close\r\n\r\n"
+const responseHeader = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nConnection: close\r\n\r\n"
 
 // A call is how the stand-in deals with one, by the bytes that it writes. It notes in since the last instant at which it told that all is
 // told: what changes later this call leaves out.
-type call struct {
-	name string
-	do   func(c io.Writer, since *instant)
-	hold bool // the connection stays open and silent
+type discoveryCall struct {
+	name      string
+	respond   func(c io.Writer, since *instant)
+	staysOpen bool // the connection stays open and silent
 }
 
-func (k call) play(c net.Conn, since *instant) {
+func (k discoveryCall) serve(c net.Conn, since *instant) {
 	since.now()
-	if k.do != nil {
-		k.do(c, since)
+	if k.respond != nil {
+		k.respond(c, since)
 	}
-	if k.hold {
+	if k.staysOpen {
 		_, _ = io.Copy(io.Discard, c) // until it is given up
 	}
 	c.Close()
 }
 
-func say(text string) func(io.Writer, *instant) {
+func respondWith(text string) func(io.Writer, *instant) {
 	return func(c io.Writer, _ *instant) { _, _ = io.WriteString(c, text) } // whoever asked may be gone
 }
 
-// told is a sign of life: all that changed so far is told.
-func told(c io.Writer, since *instant, text string) {
+// signOfLife is a sign of life: all that changed so far is told.
+func signOfLife(c io.Writer, since *instant, text string) {
 	if _, err := io.WriteString(c, text); err == nil {
 		since.now()
 	}
@@ -78,59 +78,59 @@
 func (i *instant) now()                 { i.at.Store(time.Now().UnixNano()) }
 func (i *instant) since() time.Duration { return time.Since(time.Unix(0, i.at.Load())) }
 
-var changed = object(9, false, member("a", "DRAINING"), member("b", "SERVING"))
+var changedList = object(9, false, member("a", "DRAINING"), member("b", "SERVING"))
 
 // Calls that bring nothing, or no more after a time.
-var futile = []call{
+var futileCalls = []discoveryCall{
 	{"ended at once", nil, false},
 	{"no answer", nil, true},
-	{"refused", say("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"), false},
-	{"a status nobody expects", say("HTTP/1.1 299 Whatever\r\nContent-Length: 2\r\n\r\n{}"), false},
-	{"redirected", say("HTTP/1.1 302 Found\r\nLocation: http://elsewhere/discovery/hosts\r\nContent-Length: 0\r\n\r\n"), false},
+	{"refused", respondWith("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"), false},
+	{"a status nobody expects", respondWith("HTTP/1.1 299 Whatever\r\nContent-Length: 2\r\n\r\n{}"), false},
+	{"redirected", respondWith("HTTP/1.1 302 Found\r\nLocation: http://elsewhere/discovery/hosts\r\nContent-Length: 0\r\n\r\n"), false},
 	{"turned away after a wait", func(c io.Writer, _ *instant) {
 		time.Sleep(2 * sec)
 		_, _ = io.WriteString(c, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
 	}, false},
-	{"cut in the headers", say(answered[:30]), false},
-	{"silent in the headers", say(answered[:30]), true},
-	{"silent after the headers", func(c io.Writer, since *instant) { told(c, since, answered) }, true},
+	{"cut in the headers", respondWith(responseHeader[:30]), false},
+	{"silent in the headers", respondWith(responseHeader[:30]), true},
+	{"silent after the headers", func(c io.Writer, since *instant) { signOfLife(c, since, responseHeader) }, true},
 	{"silent after two signs of life", func(c io.Writer, since *instant) {
-		told(c, since, answered)
+		signOfLife(c, since, responseHeader)
 		for range 2 {
-			time.Sleep(heartbeat)
-			told(c, since, "\n")
+			time.Sleep(heartbeatInterval)
+			signOfLife(c, since, "\n")
 		}
 	}, true},
-	{"cut in the body", say(answered + changed[:40]), false},
+	{"cut in the body", respondWith(responseHeader + changedList[:40]), false},
 	{"silent in the body after a wait", func(c io.Writer, _ *instant) {
 		time.Sleep(2 * sec)
-		_, _ = io.WriteString(c, answered+changed[:40])
+		_, _ = io.WriteString(c, responseHeader+changedList[:40])
 	}, true},
 	{"silent in a later object", func(c io.Writer, since *instant) {
-		told(c, since, answered+"\n")
-		time.Sleep(heartbeat)
-		told(c, since, changed[:40])
+		signOfLife(c, since, responseHeader+"\n")
+		time.Sleep(heartbeatInterval)
+		signOfLife(c, since, changedList[:40])
 	}, true},
 	{"a body that trickles", func(c io.Writer, _ *instant) {
-		_, err := io.WriteString(c, answered+`{"revision":9,`)
+		_, err := io.WriteString(c, responseHeader+`{"revision":9,`)
 		for ; err == nil; time.Sleep(sec / 2) {
 			_, err = io.WriteString(c, " ")
 		}
 	}, false},
-	{"a list of the wrong kind", say(answered + `{"revision":9,"complete":true,"members":{"a":1}}` + "\n"), true},
+	{"a list of the wrong kind", respondWith(responseHeader + `{"revision":9,"complete":true,"members":{"a":1}}` + "\n"), true},
 }
 
 // From the instant in which discovery has a change and can be reached it is acted on within 6 s, whatever came before. The change is had
 // just after the last word of the last call that failed; the call after that one waits for as long as discovery may let it wait. Time is the
 // bubble's: HTTP is real, its connections are in memory, so that no machine is too slow for it.
-func TestChangeIsToldInTime(t *testing.T) {
-	logs(t) // thousands of them
-	var sequences [][]call
-	for _, a := range futile {
-		for _, b := range futile {
-			sequences = append(sequences, []call{a, b})
-			for _, c := range futile {
-				sequences = append(sequences, []call{a, b, c})
+func TestChangeTakesEffectInTime(t *testing.T) {
+	recordLogs(t) // thousands of them
+	var sequences [][]discoveryCall
+	for _, a := range futileCalls {
+		for _, b := range futileCalls {
+			sequences = append(sequences, []discoveryCall{a, b})
+			for _, c := range futileCalls {
+				sequences = append(sequences, []discoveryCall{a, b, c})
 			}
 		}
 	}
@@ -138,10 +138,10 @@
 		t.Run(fmt.Sprint("asked ", asked), func(t *testing.T) {
 			longest, late := time.Duration(0), 0
 			for i, s := range sequences {
-				took := tellAfter(t, uint64(i), asked, s)
-				if longest = max(longest, took); took > toldWithin-takingWithin {
+				took := changeAfter(t, uint64(i), asked, s)
+				if longest = max(longest, took); took > changeTimeout-applyTime {
 					if late++; late <= 10 {
-						t.Errorf("told after %v: %v", took, names(s))
+						t.Errorf("told after %v: %v", took, callNames(s))
 					}
 				}
 			}
@@ -150,17 +150,17 @@
 	}
 }
 
-func names(s []call) (all []string) {
+func callNames(s []discoveryCall) (all []string) {
 	for _, k := range s {
 		all = append(all, k.name)
 	}
 	return all
 }
 
-// tellAfter plays calls that fail and then one that waits for 2 s and brings the change; it returns how long it took from when it was there.
-func tellAfter(t *testing.T, seed uint64, asked bool, before []call) (took time.Duration) {
+// changeAfter plays calls that fail and then one that waits for 2 s and brings the change; it returns how long it took from when it was there.
+func changeAfter(t *testing.T, seed uint64, asked bool, before []discoveryCall) (took time.Duration) {
 	synctest.Test(t, func(t *testing.T) {
-		d := follower(seed, "discovery:80", asked)
+		d := newTestDiscovery(seed, "discovery:80", asked)
 		if err := d.LoadCached([]byte(object(5, true, member("a", "SERVING")))); err != nil {
 			t.Fatal(err)
 		}
@@ -177,14 +177,14 @@
 					return // given up before it was written
 				}
 				if q.Host != "discovery:80" || k <= len(before) && q.FormValue("index") != "5" {
-					t.Errorf("%v: call %d asks %s for %s", names(before), k, q.Host, q.URL)
+					t.Errorf("%v: call %d asks %s for %s", callNames(before), k, q.Host, q.URL)
 				}
 				if k < len(before) {
-					before[k].play(c, &since)
+					before[k].serve(c, &since)
 					return
 				}
 				time.Sleep(2 * sec)
-				_, _ = io.WriteString(c, answered+changed+"\n")
+				_, _ = io.WriteString(c, responseHeader+changedList+"\n")
 				_, _ = io.WriteString(c, "\n") // read once the object was taken: the connection holds nothing back
 				once.Do(func() {
 					took = since.since()
@@ -195,56 +195,56 @@
 			}()
 			return near, nil
 		}
-		stop := run(d)
+		stop := runDiscovery(d)
 		select {
 		case <-taken:
 			if d.revision.Load() != 9 {
-				t.Errorf("%v: revision %d", names(before), d.revision.Load())
+				t.Errorf("%v: revision %d", callNames(before), d.revision.Load())
 			}
 		case <-time.After(600 * sec):
-			t.Errorf("%v: never told", names(before))
+			t.Errorf("%v: never told", callNames(before))
 		}
 		stop()
 	})
 	return took
 }
 
-// record is what is logged during a test.
-type record struct {
-	mu   sync.Mutex
-	text bytes.Buffer
-	came chan struct{} // something
+// logRecorder is what is logged during a test.
+type logRecorder struct {
+	mu      sync.Mutex
+	text    bytes.Buffer
+	written chan struct{} // something
 }
 
-func (r *record) Write(p []byte) (int, error) {
+func (r *logRecorder) Write(p []byte) (int, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	select {
-	case r.came <- struct{}{}:
+	case r.written <- struct{}{}:
 	default:
 	}
 	return r.text.Write(p)
 }
 
-func (r *record) String() string {
+func (r *logRecorder) String() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.text.String()
 }
 
-func (r *record) wait(t *testing.T, want string) {
+func (r *logRecorder) wait(t *testing.T, want string) {
 	t.Helper()
 	for hangs := time.After(20 * sec); !strings.Contains(r.String(), want); {
 		select {
-		case <-r.came:
+		case <-r.written:
 		case <-hangs:
 			t.Fatalf("%q was not logged:\n%s", want, r)
 		}
 	}
 }
 
-func logs(t *testing.T) *record {
-	r := &record{came: make(chan struct{}, 1)}
+func recordLogs(t *testing.T) *logRecorder {
+	r := &logRecorder{written: make(chan struct{}, 1)}
 	was, flags := slog.Default(), log.Flags()
 	slog.SetDefault(slog.New(slog.NewTextHandler(r, nil)))
 	t.Cleanup(func() {
@@ -257,27 +257,27 @@
 
 // Bad input of each kind, over real connections, again and again: one error in the log that names what and where, and what is held stays
 // until a list comes that can be taken.
-func TestBadListIsOneError(t *testing.T) {
-	many := strings.Repeat(`{"id":"s","phase":"SERVING"},`, mostServers) + `{"id":"s","phase":"SERVING"}`
+func TestBadListIsLoggedOnce(t *testing.T) {
+	many := strings.Repeat(`{"id":"s","phase":"SERVING"},`, maxServers) + `{"id":"s","phase":"SERVING"}`
 	for _, c := range []struct {
-		call
+		discoveryCall
 		names string
 	}{
-		{futile[0], "EOF"},
-		{futile[1], errSilent.Error()},
-		{futile[2], "503 Service Unavailable"},
-		{futile[3], "299 Whatever"},
-		{futile[4], `302 Found to \"http://elsewhere/discovery/hosts\", which is not followed`},
-		{futile[6], "unexpected EOF"},
-		{futile[7], errSilent.Error()},
-		{futile[10], "unexpected EOF"},
-		{call{"silent in the body", say(answered + changed[:40]), true}, errSilent.Error()},
-		{futile[14], "members is missing or of the wrong kind"},
-		{call{"no HTTP", say("hello\r\n"), false}, "malformed HTTP response"},
-		{call{"a page", say(answered + "<html>"), false}, "invalid character"},
-		{call{"endless headers", say("HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 2*longestHeader)), false}, "headers exceeded"},
-		{call{"an endless object", say(answered + `{"revision":9,"complete":true,"members":[` + strings.Repeat(" ", longestList)), false}, errLong.Error()},
-		{call{"too many", say(answered + object(9, true, many)), false}, fmt.Sprintf("%d members, %d at most", mostServers+1, mostServers)},
+		{futileCalls[0], "EOF"},
+		{futileCalls[1], errDiscoverySilent.Error()},
+		{futileCalls[2], "503 Service Unavailable"},
+		{futileCalls[3], "299 Whatever"},
+		{futileCalls[4], `302 Found to \"http://elsewhere/discovery/hosts\", which is not followed`},
+		{futileCalls[6], "unexpected EOF"},
+		{futileCalls[7], errDiscoverySilent.Error()},
+		{futileCalls[10], "unexpected EOF"},
+		{discoveryCall{"silent in the body", respondWith(responseHeader + changedList[:40]), true}, errDiscoverySilent.Error()},
+		{futileCalls[14], "members is missing or of the wrong kind"},
+		{discoveryCall{"no HTTP", respondWith("hello\r\n"), false}, "malformed HTTP response"},
+		{discoveryCall{"a page", respondWith(responseHeader + "<html>"), false}, "invalid character"},
+		{discoveryCall{"endless headers", respondWith("HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 2*maxHeaderBytes)), false}, "headers exceeded"},
+		{discoveryCall{"an endless object", respondWith(responseHeader + `{"revision":9,"complete":true,"members":[` + strings.Repeat(" ", maxListBytes)), false}, errListTooLong.Error()},
+		{discoveryCall{"too many", respondWith(responseHeader + object(9, true, many)), false}, fmt.Sprintf("%d members, %d at most", maxServers+1, maxServers)},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -285,21 +285,21 @@
 				t.Fatal(err)
 			}
 			defer l.Close()
-			said := logs(t)
-			d := follower(1, l.Addr().String(), false)
-			if d.silent, d.answer = time.Minute, time.Minute; c.names == errSilent.Error() {
-				d.silent, d.answer = 50*ms, 50*ms
+			said := recordLogs(t)
+			d := newTestDiscovery(1, l.Addr().String(), false)
+			if d.silenceTimeout, d.answerTimeout = time.Minute, time.Minute; c.names == errDiscoverySilent.Error() {
+				d.silenceTimeout, d.answerTimeout = 50*ms, 50*ms
 			}
 			if err := d.LoadCached([]byte(object(5, true, member("a", "SERVING")))); err != nil {
 				t.Fatal(err)
 			}
-			defer run(d)()
+			defer runDiscovery(d)()
 			for range 3 {
 				conn, asked := nextCall(t, l)
 				if asked != "stream=1&index=5" {
 					t.Errorf("asks for %q", asked)
 				}
-				c.play(conn, new(instant))
+				c.serve(conn, new(instant))
 			}
 			go func() { // each one: whoever is short of its core gives up one or two
 				for {
@@ -308,12 +308,12 @@
 						return
 					}
 					defer c.Close()
-					_, _ = io.WriteString(c, answered+changed+"\n")
+					_, _ = io.WriteString(c, responseHeader+changedList+"\n")
 				}
 			}()
-			said.wait(t, "server list is back")
+			said.wait(t, "endpoint watch recovered")
 			got := said.String()
-			if n := strings.Count(got, "server list lost"); n != 1 || !strings.Contains(got, c.names) || !strings.Contains(got, l.Addr().String()) {
+			if n := strings.Count(got, "endpoint watch lost"); n != 1 || !strings.Contains(got, c.names) || !strings.Contains(got, l.Addr().String()) {
 				t.Errorf("%d errors, want one that names %q and %v:\n%s", n, c.names, l.Addr(), got)
 			}
 			if d.revision.Load() != 9 {
@@ -339,14 +339,14 @@
 }
 
 // Where calls to connect get no answer, those of calls given up end too: each holds a descriptor, and the system would go on for minutes.
-func TestDialsOfCallsGivenUp(t *testing.T) {
+func TestDialsOfAbandonedCallsEnd(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	d := follower(1, l.Addr().String(), false)
-	d.silent, d.answer = 30*ms, 30*ms
+	d := newTestDiscovery(1, l.Addr().String(), false)
+	d.silenceTimeout, d.answerTimeout = 30*ms, 30*ms
 	transport := d.client.Transport.(*http.Transport)
 	dial := transport.DialContext
 	if dial == nil {
@@ -365,8 +365,8 @@
 		}
 		return dial(ctx, network, addr)
 	}
-	fill(t, l)
-	defer run(d)()
+	fillQueue(t, l)
+	defer runDiscovery(d)()
 	hangs := time.After(20 * sec)
 	const calls = 20
 	for i := range calls {
@@ -381,8 +381,8 @@
 	}
 }
 
-// fill has a listener's queue full, so that calls to connect get no answer.
-func fill(t *testing.T, l net.Listener) {
+// fillQueue has a listener's queue full, so that calls to connect get no answer.
+func fillQueue(t *testing.T, l net.Listener) {
 	t.Helper()
 	raw, err := l.(*net.TCPListener).SyscallConn()
 	if err != nil {
@@ -402,18 +402,18 @@
 
 // All ask one discovery, as all start at once or as it comes back after 8 s of silence. One that can tell all in 3.5 s tells all in time: asked
 // in step, or again too soon, it turns away those whom it could have told. For one that can't see TestOverbookedDiscoveryTellsAllInTheEnd.
-func TestManyOnOneDiscovery(t *testing.T) {
-	logs(t)
+func TestManyBalancersOnOneDiscovery(t *testing.T) {
+	recordLogs(t)
 	for _, many := range []int{80, 300} {
 		for _, down := range []time.Duration{0, 8 * sec} {
 			t.Run(fmt.Sprintf("%d, down for %v", many, down), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					service := &overbooked{each: 3500 * ms / time.Duration(many), longest: 2 * sec}
+					service := &overloadedDiscovery{serviceTime: 3500 * ms / time.Duration(many), maxWait: 2 * sec}
 					back := time.Now().Add(down)
 					var told atomic.Int32
 					var stops []func()
 					for i := range many {
-						d := follower(uint64(i), "nowhere", true)
+						d := newTestDiscovery(uint64(i), "nowhere", true)
 						d.client.Transport = roundTrip(func(q *http.Request) (*http.Response, error) {
 							if time.Now().Before(back) {
 								<-q.Context().Done()
@@ -425,11 +425,11 @@
 							}
 							return a, err
 						})
-						stops = append(stops, run(d))
+						stops = append(stops, runDiscovery(d))
 					}
-					time.Sleep(down + toldWithin)
+					time.Sleep(down + changeTimeout)
 					if n := int(told.Load()); n != many {
-						t.Errorf("%d of %d were told within %v", n, many, toldWithin)
+						t.Errorf("%d of %d were told within %v", n, many, changeTimeout)
 					}
 					for _, stop := range stops {
 						stop()
--- /dev/null
+++ b/internal/protocol/draining.go
@@ -0,0 +1,79 @@
+package protocol
+
+import (
+	"context"
+	"time"
+)
+
+// drainInterval is how often a drain asks the next clients to come again.
+const drainInterval = 20 * time.Millisecond
+
+// addEstablished and removeEstablished keep the established sessions, which Drain asks to migrate.
+func (f *Frontend) addEstablished(s *session) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	s.establishedIndex = len(f.established)
+	f.established = append(f.established, s)
+}
+
+func (f *Frontend) removeEstablished(s *session) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.removeEstablishedLocked(s)
+}
+
+func (f *Frontend) removeEstablishedLocked(s *session) {
+	if s.establishedIndex < 0 {
+		return
+	}
+	last := len(f.established) - 1
+	f.established[s.establishedIndex] = f.established[last]
+	f.established[s.establishedIndex].establishedIndex = s.establishedIndex
+	f.established[last] = nil
+	f.established = f.established[:last]
+	s.establishedIndex = -1
+}
+
+// Drain asks all clients to come again, spread evenly from one delay to the other: all at once they would meet on the
+// other balancers, and on what all connection set-ups share. Clients that come meanwhile are served and asked in turn.
+// None is asked before the first delay, while the layer before the balancers still sends clients here, as half of them
+// would come straight back. Drain returns when the context ends.
+func (f *Frontend) Drain(ctx context.Context, after, over time.Duration) {
+	select {
+	case <-ctx.Done():
+		return
+	case <-time.After(after):
+	}
+	end := time.Now().Add(over - after)
+	due := 0.0 // migrations, in fractions of one
+	ticker := time.NewTicker(drainInterval)
+	defer ticker.Stop()
+	for {
+		due = f.migrateSome(due, time.Until(end))
+		select {
+		case <-ctx.Done():
+			return
+		case <-ticker.C:
+		}
+	}
+}
+
+// migrateSome asks as many clients to come again as are due in one interval, and returns the fraction that remains.
+func (f *Frontend) migrateSome(due float64, left time.Duration) float64 {
+	var migrating []*session
+	f.mu.Lock()
+	if left > drainInterval {
+		due += float64(len(f.established)) * float64(drainInterval) / float64(left)
+	} else {
+		due = float64(len(f.established))
+	}
+	for ; due >= 1 && len(f.established) > 0; due-- {
+		migrating = append(migrating, f.established[0])
+		f.removeEstablishedLocked(f.established[0])
+	}
+	f.mu.Unlock()
+	for _, s := range migrating {
+		s.flow.RequestMigration()
+	}
+	return due
+}
--- a/internal/protocol/starts_test.go
+++ b/internal/protocol/endpointstart_test.go
@@ -12,14 +12,14 @@
 	"yardwinch/internal/routing"
 )
 
-// startedAt is an entry with the time at which its server last started, by the clock of another machine.
-func startedAt(id string, at time.Time) string {
+// memberStartedAt is an entry with the time at which its server last started, by the clock of another machine.
+func memberStartedAt(id string, at time.Time) string {
 	return fmt.Sprintf(`{"id":%q,"host_port":"127.0.0.1:1","phase":"SERVING","up_since_ms":%d}`, id, at.UnixMilli())
 }
 
 // A server that starts while the balancer runs is cold from then on, by however much the wall clocks of the two machines differ: it started
 // after the news before, and not in the future. Any other figure is another start, the same figure is none, also for the process that takes over.
-func TestStartsUnderASteppedClock(t *testing.T) {
+func TestServerStartsUnderSteppedClock(t *testing.T) {
 	for _, step := range []time.Duration{0, 30 * time.Second, -30 * time.Second, time.Hour, -time.Hour} {
 		t.Run(step.String(), func(t *testing.T) {
 			news := make(chan string)
@@ -35,8 +35,8 @@
 				}
 			}))
 			defer agent.Close()
-			d := follower(1, strings.TrimPrefix(agent.URL, "http://"), false)
-			defer run(d)()
+			d := newTestDiscovery(1, strings.TrimPrefix(agent.URL, "http://"), false)
+			defer runDiscovery(d)()
 			revision := int64(0)
 			tell := func(whole bool, members ...string) {
 				t.Helper()
@@ -51,34 +51,34 @@
 			first := time.Now().Add(step)
 			before := d.router.Snapshot().Decisions.Now
 			tell(true, member("a", "SERVING"))
-			tell(false, startedAt("b", first))
-			started := since(t, d.router, "b")
+			tell(false, memberStartedAt("b", first))
+			started := startOf(t, d.router, "b")
 			if now := d.router.Snapshot().Decisions.Now; started < before || started > now {
 				t.Errorf("a start told between %v and %v is taken for one at %v", before, now, started)
 			}
 			before = d.router.Snapshot().Decisions.Now
-			tell(true, member("a", "SERVING"), startedAt("b", first))
-			if got := since(t, d.router, "b"); got != started {
+			tell(true, member("a", "SERVING"), memberStartedAt("b", first))
+			if got := startOf(t, d.router, "b"); got != started {
 				t.Errorf("told again, the start at %v is taken for another at %v", started, got)
 			}
-			successor := follower(1, "", false)
+			successor := newTestDiscovery(1, "", false)
 			successor.router.Restore(d.router.Snapshot())
-			if err := successor.take([]byte(object(1, true, member("a", "SERVING"), startedAt("b", first))), false); err != nil {
+			if err := successor.applyText(t.Context(), []byte(object(1, true, member("a", "SERVING"), memberStartedAt("b", first))), routing.DeltaUpdate); err != nil {
 				t.Fatal(err)
 			}
-			if got := since(t, successor.router, "b"); got != started {
+			if got := startOf(t, successor.router, "b"); got != started {
 				t.Errorf("taken over, the start at %v is taken for another at %v", started, got)
 			}
-			tell(false, startedAt("b", first.Add(-2*time.Hour)))
-			if again := since(t, d.router, "b"); again < before {
+			tell(false, memberStartedAt("b", first.Add(-2*time.Hour)))
+			if again := startOf(t, d.router, "b"); again < before {
 				t.Errorf("a start with an earlier figure, told after %v, is taken for one at %v", before, again)
 			}
 		})
 	}
 }
 
-// since is when a server started, by the router's clock.
-func since(t *testing.T, r *routing.Router, name string) time.Duration {
+// startOf is when a server started, by the router's clock.
+func startOf(t *testing.T, r *routing.Router, name string) time.Duration {
 	t.Helper()
 	memory := r.Snapshot()
 	for i, server := range memory.Servers {
--- a/internal/protocol/lines_test.go
+++ b/internal/protocol/lines_test.go
@@ -17,7 +17,7 @@
 )
 
 // The line to a server is the client's, but for the time left.
-func TestWithWait(t *testing.T) {
+func TestWithTimeout(t *testing.T) {
 	for _, c := range []struct {
 		name, line string
 		left       time.Duration
@@ -30,34 +30,37 @@
 		{"a key that looks like it", "OPEN d=1 d=2 c=x,d=9", 3 * ms, "OPEN d=1 d=2 c=x,d=3"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			if got := withWait(c.line, c.left); got != c.want {
+			if got := withTimeout(c.line, c.left); got != c.want {
 				t.Errorf("%q, want %q", got, c.want)
 			}
 		})
 	}
 }
 
-func TestOpened(t *testing.T) {
-	for _, c := range []struct{ name, line, want string }{
-		{"all fields", "OPEN 1 2b c=x,t=acme,d=2000,g=5c,r=1,again=1,h=7", "1 2b x acme 5c  2s 19"},
-		{"figures unknown here", "OPEN 1 2b c=x,d=15,new=thing", "1 2b x    15ms 0"},
-		{"marks not set", "OPEN 1 2b c=x,d=1,r=0,again=0", "1 2b x    1ms 0"},
-		{"a standing one", "OPEN 1 2b c=x,at=s-1", "1 2b x   s-1 0s 0"},
-		{"a standing one, whose time is none", "OPEN 1 2b c=x,d=4294967,at=s-1", "1 2b x   s-1 1h11m34.967s 0"},
+func TestParseOpen(t *testing.T) {
+	const allFlags = routing.FlagLoadHint | routing.FlagRetry | routing.FlagReturning
+	plain := FlowInfo{ID: "1", Key: "2b", Service: "x"}
+	for _, c := range []struct {
+		name, line string
+		want       openRequest
+	}{
+		{"all fields", "OPEN 1 2b c=x,t=acme,d=2000,g=5c,r=1,again=1,h=7",
+			openRequest{flow: FlowInfo{ID: "1", Key: "2b", Service: "x", Customer: "acme", Group: "5c"}, timeout: 2 * sec, flags: allFlags}},
+		{"names unknown here", "OPEN 1 2b c=x,d=15,new=thing", openRequest{flow: plain, timeout: 15 * ms}},
+		{"flags not set", "OPEN 1 2b c=x,d=1,r=0,again=0", openRequest{flow: plain, timeout: ms}},
+		{"a resumed one", "OPEN 1 2b c=x,at=s-1", openRequest{flow: plain, resumeAt: "s-1"}},
+		{"a resumed one, whose time is none", "OPEN 1 2b c=x,d=4294967,at=s-1",
+			openRequest{flow: plain, resumeAt: "s-1", timeout: 4294967 * ms}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			got := ""
-			err := opened(c.line, func(id, key, service, customer, group, at string, wait time.Duration, marks int) {
-				got = fmt.Sprint(id, " ", key, " ", service, " ", customer, " ", group, " ", at, " ", wait, " ", marks)
-			})
-			if err != nil || got != c.want {
-				t.Errorf("%q, %v; want %q", got, err, c.want)
+			if got, err := parseOpen(c.line); err != nil || got != c.want {
+				t.Errorf("%+v, %v; want %+v", got, err, c.want)
 			}
 		})
 	}
 }
 
-func TestProbe(t *testing.T) {
+func TestCheckHealth(t *testing.T) {
 	for _, c := range []struct {
 		name, answer string
 		want         routing.Outcome
@@ -78,7 +81,7 @@
 				s.send(c.answer)
 				s.Close()
 			}()
-			if o, load := probe(context.Background(), l.Addr().String(), time.Second); o != c.want || load != c.load {
+			if o, load := checkHealth(context.Background(), l.Addr().String(), time.Second); o != c.want || load != c.load {
 				t.Errorf("%v, %v", o, load)
 			}
 		})
@@ -86,7 +89,7 @@
 	t.Run("nobody", func(t *testing.T) {
 		l := listen(t)
 		l.Close()
-		if o, _ := probe(context.Background(), l.Addr().String(), time.Second); o != routing.Unreachable {
+		if o, _ := checkHealth(context.Background(), l.Addr().String(), time.Second); o != routing.Unreachable {
 			t.Errorf("%v", o)
 		}
 	})
@@ -101,7 +104,7 @@
 }
 
 // Where a flow goes says what the list is: bad news of it must change nothing.
-func TestList(t *testing.T) {
+func TestEndpointList(t *testing.T) {
 	one := object(5, true, member("a", "SERVING"))
 	for _, c := range []struct {
 		name  string
@@ -124,10 +127,11 @@
 		{"another kind of thing", []string{one, `[1,2]`}, false, "at-a", 5},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r := newYard(t, decide.Idempotent, 0).router
+			r := startBalancer(t, decide.Idempotent, 0).router
 			d := NewDiscovery(r, "", 1, false)
+			kinds := map[bool]routing.UpdateKind{true: routing.CachedUpdate, false: routing.DeltaUpdate}
 			for i, line := range c.lines {
-				if err := d.take([]byte(line), i == 0); (err == nil) != (c.good || i < len(c.lines)-1) {
+				if err := d.applyText(t.Context(), []byte(line), kinds[i == 0]); (err == nil) != (c.good || i < len(c.lines)-1) {
 					t.Errorf("line %d: %v", i, err)
 				}
 			}
@@ -144,7 +148,7 @@
 }
 
 // A list beyond the bound is one error that names it, and what is held stays.
-func TestEndlessList(t *testing.T) {
+func TestListBeyondBound(t *testing.T) {
 	agent := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		_, err := io.WriteString(w, `{"revision":9,"complete":true,"members":[`)
 		for err == nil {
@@ -152,13 +156,13 @@
 		}
 	}))
 	defer agent.Close()
-	r := newYard(t, decide.Idempotent, 0).router
+	r := startBalancer(t, decide.Idempotent, 0).router
 	d := NewDiscovery(r, "", 1, false)
 	if err := d.LoadCached([]byte(object(5, true, member("a", "SERVING")))); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := d.watch(t.Context(), agent.URL); err == nil || !strings.Contains(err.Error(), fmt.Sprint(longestList)) {
-		t.Errorf("%v, want it to name the bound of %d bytes", err, longestList)
+	if _, err := d.watch(t.Context(), agent.URL); err == nil || !strings.Contains(err.Error(), fmt.Sprint(maxListBytes)) {
+		t.Errorf("%v, want it to name the bound of %d bytes", err, maxListBytes)
 	}
 	d.fetch(t.Context(), agent.URL)
 	if _, known := r.IsDisabled("b"); known || d.revision.Load() != 5 {
@@ -167,7 +171,7 @@
 }
 
 // A watch that ends, fails, brings nonsense or falls silent is opened again, from the last version held.
-func TestWatch(t *testing.T) {
+func TestWatchIsReopened(t *testing.T) {
 	asked := make(chan string, 16)
 	n := 0
 	agent := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
@@ -190,8 +194,8 @@
 		}
 	}))
 	defer agent.Close()
-	d := NewDiscovery(newYard(t, decide.Idempotent, 0).router, strings.TrimPrefix(agent.URL, "http://"), 1, false)
-	d.silent = 50 * ms
+	d := NewDiscovery(startBalancer(t, decide.Idempotent, 0).router, strings.TrimPrefix(agent.URL, "http://"), 1, false)
+	d.silenceTimeout = 50 * ms
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { defer close(done); d.Run(ctx) }()
@@ -212,10 +216,10 @@
 // A service that tells so many a second turns away whoever has waited for two, and is through with those all the same.
 // Eighty balancers that start in one instant must all have the list soon; asked again four times a second it never
 // tells another.
-func TestOverbookedDiscoveryTellsAllInTheEnd(t *testing.T) {
+func TestOverloadedDiscoveryAnswersAllEventually(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const callers, aSecond, longest = 80, 16, 2 * sec
-		service := &overbooked{each: sec / aSecond, longest: longest}
+		service := &overloadedDiscovery{serviceTime: sec / aSecond, maxWait: longest}
 		ctx, cancel := context.WithCancel(context.Background())
 		var all sync.WaitGroup
 		for i := range callers {
@@ -234,30 +238,30 @@
 		time.Sleep(40 * sec)
 		cancel()
 		all.Wait()
-		if service.told != callers { // whoever is told asks no more
-			t.Errorf("%d of %d were told within 40 s", service.told, callers)
+		if service.answered != callers { // whoever is told asks no more
+			t.Errorf("%d of %d were told within 40 s", service.answered, callers)
 		}
 	})
 }
 
-// overbooked serves one call after another, each for as long, also those that nobody waits for any more.
-type overbooked struct {
-	mu            sync.Mutex
-	each, longest time.Duration
-	free          time.Time
-	told          int
+// overloadedDiscovery serves one call after another, each for as long, also those that nobody waits for any more.
+type overloadedDiscovery struct {
+	mu                   sync.Mutex
+	serviceTime, maxWait time.Duration
+	freeAt               time.Time
+	answered             int
 }
 
-func (o *overbooked) RoundTrip(q *http.Request) (*http.Response, error) {
+func (o *overloadedDiscovery) RoundTrip(q *http.Request) (*http.Response, error) {
 	o.mu.Lock()
-	wait := max(0, time.Until(o.free))
-	o.free = time.Now().Add(wait + o.each)
-	if wait <= o.longest {
-		o.told++
+	wait := max(0, time.Until(o.freeAt))
+	o.freeAt = time.Now().Add(wait + o.serviceTime)
+	if wait <= o.maxWait {
+		o.answered++
 	}
 	o.mu.Unlock()
-	time.Sleep(min(wait, o.longest))
-	if wait > o.longest {
+	time.Sleep(min(wait, o.maxWait))
+	if wait > o.maxWait {
 		return &http.Response{StatusCode: http.StatusServiceUnavailable, Status: "503 Service Unavailable", Body: http.NoBody}, nil
 	}
 	body, w := io.Pipe()
@@ -266,7 +270,7 @@
 			_, _ = io.WriteString(w, line) // whoever reads went away with the context
 			select {
 			case <-q.Context().Done():
-			case <-time.After(heartbeat):
+			case <-time.After(heartbeatInterval):
 			}
 		}
 		w.Close()
@@ -276,7 +280,7 @@
 
 // Another address takes the place of the first at once, with the whole list from the new one: its revisions may be
 // others. Nothing is lost while it says nothing, and the same address again disturbs no watch.
-func TestMove(t *testing.T) {
+func TestDiscoveryAddressChange(t *testing.T) {
 	asked, ended := make(chan string, 16), make(chan string, 16)
 	agent := func(name, list string) string {
 		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
@@ -291,7 +295,7 @@
 	}
 	first, dumb := agent("first", object(41, true, member("a", "SERVING"))), agent("dumb", "")
 	third := agent("third", object(7, true, member("b", "SERVING")))
-	y := newYard(t, decide.Idempotent, 0)
+	y := startBalancer(t, decide.Idempotent, 0)
 	d := NewDiscovery(y.router, first, 1, false)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
--- a/internal/protocol/errno_test.go
+++ b/internal/protocol/localerrors_test.go
@@ -15,8 +15,8 @@
 	"yardwinch/internal/transport"
 )
 
-// failing is a connect that the system refuses with an error of this machine's own, as often as fails says.
-func failing(err error, fails func(n int64) bool) transport.Dialer {
+// failingDialer is a connect that the system refuses with an error of this machine's own, as often as fails says.
+func failingDialer(err error, fails func(n int64) bool) transport.Dialer {
 	var n atomic.Int64
 	return transport.Dialer{Connect: func(ctx context.Context, by *net.Dialer, addr string) (net.Conn, error) {
 		if fails(n.Add(1)) {
@@ -28,7 +28,7 @@
 
 // The system refuses connects with an error of this machine's own, every fifth one or all of a moment: the servers are sound, so that all clients
 // are served, and nothing is held against a server.
-func TestConnectFailsForWantOfOurOwn(t *testing.T) {
+func TestLocalConnectErrors(t *testing.T) {
 	const clients = 300
 	for _, errno := range []syscall.Errno{syscall.ENETUNREACH, syscall.EADDRNOTAVAIL, syscall.ENOBUFS, syscall.ENFILE, syscall.EAGAIN, syscall.ENOMEM} {
 		start := time.Now()
@@ -37,8 +37,8 @@
 			"all of a moment": func(int64) bool { return time.Since(start) < 150*ms },
 		} {
 			t.Run(fmt.Sprintf("%v, %s", errno, name), func(t *testing.T) {
-				y := newYard(t, decide.NotIdempotent, 1000, echoing(t), echoing(t), echoing(t))
-				y.front.dialer = failing(errno, fails)
+				y := startBalancer(t, decide.NotIdempotent, 1000, serverThatAnswersUp(t), serverThatAnswersUp(t), serverThatAnswersUp(t))
+				y.frontend.dialer = failingDialer(errno, fails)
 				start = time.Now()
 				var all sync.WaitGroup
 				room := make(chan struct{}, 20)
@@ -52,7 +52,7 @@
 							return
 						}
 						defer c.Close()
-						f := newFar(t, c, nil)
+						f := newPeer(t, c, nil)
 						f.send(fmt.Sprintf("OPEN e%d k c=live,d=2000\r\n", i))
 						if got := f.line(); got != "UP 1" {
 							t.Errorf("client %d hears %q", i, got)
@@ -70,8 +70,8 @@
 	}
 }
 
-// echoing is a server that says UP to all.
-func echoing(t *testing.T) string {
+// serverThatAnswersUp is a server that says UP to all.
+func serverThatAnswersUp(t *testing.T) string {
 	l := listen(t)
 	go func() {
 		for {
@@ -81,9 +81,9 @@
 			}
 			go func() {
 				defer c.Close()
-				if _, err := newLine(c); err == nil {
+				if _, err := readServerLine(c); err == nil {
 					_, _ = c.Write([]byte("UP 1\r\n"))
-					_, _ = newLine(c) // until its end
+					_, _ = readServerLine(c) // until its end
 				}
 			}()
 		}
@@ -91,4 +91,4 @@
 	return l.Addr().String()
 }
 
-func newLine(c net.Conn) (string, error) { return readLine(transport.NewConn(c)) }
+func readServerLine(c net.Conn) (string, error) { return readLine(transport.NewConn(c)) }
--- a/internal/protocol/session_test.go
+++ b/internal/protocol/session_test.go
@@ -18,29 +18,29 @@
 
 const ms, sec = time.Millisecond, time.Second
 
-// yard is a balancer's front on the loopback, with servers that the test speaks for.
-type yard struct {
-	t      *testing.T
-	router *routing.Router
-	front  *Frontend
-	addr   string
-	room   *transport.DescriptorBudget
-	opened int
-	serve  func() // begins to accept
-	stop   func()
+// testBalancer is a balancer's front on the loopback, with servers that the test speaks for.
+type testBalancer struct {
+	t         *testing.T
+	router    *routing.Router
+	frontend  *Frontend
+	addr      string
+	budget    *transport.DescriptorBudget
+	flowCount int
+	serve     func() // begins to accept
+	stop      func()
 }
 
-func newYard(t *testing.T, effect decide.Effect, descriptors int, servers ...string) *yard {
+func startBalancer(t *testing.T, effect decide.Effect, descriptors int, servers ...string) *testBalancer {
 	t.Helper()
-	y := yardOf(t, effect, descriptors, 1, 200*ms, 2*sec, servers...)
+	y := newTestBalancer(t, effect, descriptors, 1, 200*ms, 2*sec, servers...)
 	y.serve()
 	return y
 }
 
-// yardOf is a balancer that does not accept yet, one of some, which gives servers a time to come up and has a window for repeats.
-func yardOf(t *testing.T, effect decide.Effect, descriptors, balancers int, connect, window time.Duration, servers ...string) *yard {
+// newTestBalancer is a balancer that does not accept yet, one of some, which gives servers a time to come up and has a window for repeats.
+func newTestBalancer(t *testing.T, effect decide.Effect, descriptors, balancers int, connect, window time.Duration, servers ...string) *testBalancer {
 	t.Helper()
-	y := &yard{t: t, room: transport.NewDescriptorBudget(descriptors, BusyReply)}
+	y := &testBalancer{t: t, budget: transport.NewDescriptorBudget(descriptors, BusyReply)}
 	y.router = routing.New(routing.Config{Seed: 1, LatencyThreshold: 80 * ms, ServersReportLoad: true, ServersReportLatency: true, Configure: func(b *decide.Balancer) (map[string]decide.ServiceID, map[string]decide.CustomerID) {
 		b.ConfigureFlows(3, 700*ms)
 		b.AddService(decide.ServiceType{Effect: effect, Deduplication: decide.DeduplicatedByFleet, SetupTarget: 300 * ms, RetryWindow: window, Value: 1})
@@ -53,8 +53,8 @@
 	for i, s := range servers {
 		l.AddEndpoint(routing.Endpoint{Name: fmt.Sprint("s", i), Addr: s, Zone: "z", Size: 1})
 	}
-	l.Commit()
-	y.front = NewFrontend(y.router, connect, 700*ms)
+	l.Commit(t.Context())
+	y.frontend = NewFrontend(y.router, connect, 700*ms)
 	listener := listen(t)
 	y.addr = listener.Addr().String()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -68,13 +68,13 @@
 		case <-ctx.Done():
 			return
 		}
-		_ = transport.Serve(ctx, transport.NewPausableListener(listener.(*net.TCPListener)), y.room, y.front.Serve)
+		_ = transport.Serve(ctx, transport.NewPausableListener(listener.(*net.TCPListener)), y.budget, y.frontend.Serve)
 	}()
 	go func() {
 		for y.router.Tick(ctx) == nil {
 		}
 	}()
-	y.stop = func() { cancel(); y.front.Stop(); <-done }
+	y.stop = func() { cancel(); y.frontend.Stop(); <-done }
 	t.Cleanup(y.stop)
 	return y
 }
@@ -90,39 +90,39 @@
 	return l
 }
 
-// far is one side's end of a connection.
-type far struct {
+// peer is one side's end of a connection.
+type peer struct {
 	*net.TCPConn
 	t  *testing.T
 	in *bufio.Reader
 }
 
-func newFar(t *testing.T, c net.Conn, err error) *far {
+func newPeer(t *testing.T, c net.Conn, err error) *peer {
 	t.Helper()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
 	_ = c.SetDeadline(time.Now().Add(10 * sec)) // a test that hangs is to fail
-	return &far{c.(*net.TCPConn), t, bufio.NewReader(c)}
+	return &peer{c.(*net.TCPConn), t, bufio.NewReader(c)}
 }
 
-func (y *yard) client(first string) *far {
+func (y *testBalancer) client(first string) *peer {
 	y.t.Helper()
 	c, err := net.Dial("tcp", y.addr)
-	f := newFar(y.t, c, err)
+	f := newPeer(y.t, c, err)
 	f.send(first)
 	return f
 }
 
-func (f *far) send(s string) {
+func (f *peer) send(s string) {
 	f.t.Helper()
 	if _, err := io.WriteString(f, s); err != nil {
 		f.t.Fatal(err)
 	}
 }
 
-func (f *far) line() string {
+func (f *peer) line() string {
 	s, err := f.in.ReadString('\n')
 	if err != nil && s == "" {
 		return err.Error()
@@ -130,7 +130,7 @@
 	return strings.TrimSuffix(s, "\r\n")
 }
 
-func (f *far) want(line string) {
+func (f *peer) want(line string) {
 	f.t.Helper()
 	if got := f.line(); got != line {
 		f.t.Fatalf("got %q, want %q", got, line)
@@ -138,34 +138,34 @@
 }
 
 // server accepts the next connection and reads its first line.
-func accept(t *testing.T, l net.Listener) (*far, string) {
+func accept(t *testing.T, l net.Listener) (*peer, string) {
 	t.Helper()
 	c, err := l.Accept()
-	f := newFar(t, c, err)
+	f := newPeer(t, c, err)
 	return f, f.line()
 }
 
-const hello = "OPEN 1a 2b c=live,d=1500,g=3c\r\n"
+const openFlowLine = "OPEN 1a 2b c=live,d=1500,g=3c\r\n"
 
 // What a server says, or does, before UP, and what its client hears of it: for one that may be repeated the next
 // connect, for once-only an answer that promises nothing wherever it may have run.
-func TestOutcomes(t *testing.T) {
-	reset := func(f *far) { _ = f.SetLinger(0); f.Close() }
+func TestAttemptOutcomes(t *testing.T) {
+	reset := func(f *peer) { _ = f.SetLinger(0); f.Close() }
 	for _, c := range []struct {
 		name     string
-		say      func(f *far)
+		say      func(f *peer)
 		onceOnly string // the client's answer; "again" for another connect
 	}{
-		{"UP", func(f *far) { f.send("UP 77\r\n") }, "UP 77"},
-		{"UP in two parts", func(f *far) { f.send("U"); time.Sleep(5 * ms); f.send("P 77\r\n") }, "UP 77"},
-		{"BUSY", func(f *far) { f.send("BUSY\r\n") }, "again"},
-		{"ERR", func(f *far) { f.send("ERR no\r\n") }, "ERR no answer"},
-		{"BYE", func(f *far) { f.send("BYE\r\n") }, "ERR no answer"},
-		{"MOVE", func(f *far) { f.send("MOVE\r\n") }, "ERR no answer"},
-		{"another word", func(f *far) { f.send("SYNTAX\r\n") }, "ERR no answer"},
-		{"a line too long", func(f *far) { f.send(strings.Repeat("x", 5000)) }, "ERR no answer"},
-		{"an end", func(f *far) { f.Close() }, "ERR no answer"},
-		{"an end within a line", func(f *far) { f.send("UP 7"); f.Close() }, "ERR no answer"},
+		{"UP", func(f *peer) { f.send("UP 77\r\n") }, "UP 77"},
+		{"UP in two parts", func(f *peer) { f.send("U"); time.Sleep(5 * ms); f.send("P 77\r\n") }, "UP 77"},
+		{"BUSY", func(f *peer) { f.send("BUSY\r\n") }, "again"},
+		{"ERR", func(f *peer) { f.send("ERR no\r\n") }, "ERR no answer"},
+		{"BYE", func(f *peer) { f.send("BYE\r\n") }, "ERR no answer"},
+		{"MOVE", func(f *peer) { f.send("MOVE\r\n") }, "ERR no answer"},
+		{"another word", func(f *peer) { f.send("SYNTAX\r\n") }, "ERR no answer"},
+		{"a line too long", func(f *peer) { f.send(strings.Repeat("x", 5000)) }, "ERR no answer"},
+		{"an end", func(f *peer) { f.Close() }, "ERR no answer"},
+		{"an end within a line", func(f *peer) { f.send("UP 7"); f.Close() }, "ERR no answer"},
 		{"a reset", reset, "ERR no answer"},
 	} {
 		for _, effect := range []decide.Effect{decide.Idempotent, decide.NotIdempotent} {
@@ -175,17 +175,17 @@
 			}
 			t.Run(fmt.Sprint(c.name, " effect ", effect), func(t *testing.T) {
 				a, b := listen(t), listen(t)
-				y := newYard(t, effect, 100, a.Addr().String(), b.Addr().String())
-				first := make(chan *far, 2)
+				y := startBalancer(t, effect, 100, a.Addr().String(), b.Addr().String())
+				first := make(chan *peer, 2)
 				for _, l := range []net.Listener{a, b} {
 					go func() {
 						c, err := l.Accept()
 						if err == nil {
-							first <- newFar(t, c, nil)
+							first <- newPeer(t, c, nil)
 						}
 					}()
 				}
-				client := y.client(hello)
+				client := y.client(openFlowLine)
 				server := <-first
 				server.line()
 				c.say(server)
@@ -208,20 +208,20 @@
 // it hears an end and no more, and the client an answer that promises nothing, before its own time is over. What the machine's speed can't
 // change is asked of every try. How late the last of it came may be the machine's doing: one try must be in time.
 func TestSilentServer(t *testing.T) {
-	for end := time.Now().Add(time.Minute); !silentServer(t); {
+	for end := time.Now().Add(time.Minute); !clientOfSilentServer(t); {
 		if time.Now().After(end) { // a test that hangs is to fail
 			t.Fatal("no client was answered before its time was over")
 		}
 	}
 }
 
-func silentServer(t *testing.T) (inTime bool) {
+func clientOfSilentServer(t *testing.T) (inTime bool) {
 	const wait, told = 400 * ms, 400*ms - answerMargin
 	l := listen(t)
-	y := yardOf(t, decide.NotIdempotent, 100, 1, time.Hour, time.Hour, l.Addr().String()) // no clock but the client's wait can end it
+	y := newTestBalancer(t, decide.NotIdempotent, 100, 1, time.Hour, time.Hour, l.Addr().String()) // no clock but the client's wait can end it
 	y.serve()
 	type asked struct {
-		server *far
+		server *peer
 		line   string
 		after  time.Duration
 	}
@@ -229,7 +229,7 @@
 	at := make(chan asked, 1)
 	go func() {
 		if c, err := l.Accept(); err == nil {
-			server := newFar(t, c, nil)
+			server := newPeer(t, c, nil)
 			line := server.line()
 			at <- asked{server, line, time.Since(start)}
 		}
@@ -264,14 +264,14 @@
 // found nobody would empty it.
 func TestNoTimeLeft(t *testing.T) {
 	l := listen(t)
-	y := newYard(t, decide.Idempotent, 100, l.Addr().String())
+	y := startBalancer(t, decide.Idempotent, 100, l.Addr().String())
 	for i := range 4 {
 		f := y.client(fmt.Sprintf("OPEN %d 2 c=live,d=1\r\n", i))
-		if got := word(f.line()); got != "BUSY" && got != "ERR" {
+		if got := firstWord(f.line()); got != "BUSY" && got != "ERR" {
 			t.Errorf("answered %q", got)
 		}
 	}
-	client := y.client(hello)
+	client := y.client(openFlowLine)
 	for { // one of the four may have come through
 		server, line := accept(t, l)
 		if strings.HasPrefix(line, "OPEN 1a") {
@@ -283,14 +283,14 @@
 }
 
 // No server at all: refused at once, with advice on when to come again.
-func TestNobody(t *testing.T) {
-	y := newYard(t, decide.Idempotent, 100)
-	y.client(hello).want("BUSY 700")
+func TestNoServer(t *testing.T) {
+	y := startBalancer(t, decide.Idempotent, 100)
+	y.client(openFlowLine).want("BUSY 700")
 }
 
 // Whoever can't be served hears one line and an end, within 3 s of connecting and also while it goes on sending.
 func TestBadFirstLines(t *testing.T) {
-	y := newYard(t, decide.Idempotent, 100)
+	y := startBalancer(t, decide.Idempotent, 100)
 	const form = "ERR bad OPEN: want OPEN ID KEY LIST"
 	for _, c := range []struct{ name, line, want string }{
 		{"not a word of ours", "HELLO\r\n", form},
@@ -300,7 +300,7 @@
 		{"no pair", "OPEN 1 2 c\r\n", "ERR bad OPEN: no name=value pair"},
 		{"no name", "OPEN 1 2 c=live,d=5,=2\r\n", "ERR bad OPEN: no name=value pair"},
 		{"a name twice", "OPEN 1 2 c=live,d=5,c=live\r\n", "ERR bad OPEN: a name stands twice"},
-		{"names without end", "OPEN 1 2 c=live,d=5" + many(64, ",x%d=1") + "\r\n", "ERR bad OPEN: too many names"},
+		{"names without end", "OPEN 1 2 c=live,d=5" + repeatNumbered(64, ",x%d=1") + "\r\n", "ERR bad OPEN: too many names"},
 		{"no class", "OPEN 1 2 d=5\r\n", "ERR bad OPEN: c or d is missing"},
 		{"no time", "OPEN 1 2 c=live\r\n", "ERR bad OPEN: c or d is missing"},
 		{"a time without a figure", "OPEN 1 2 c=live,d=\r\n", "ERR bad OPEN: bad d"},
@@ -317,7 +317,7 @@
 		{"binary in a value", "OPEN 1 2 c=live,d=5,x=\x7f\r\n", "ERR bad OPEN: not printable"},
 		{"half a line", "OPEN 1 2 c=li", "ERR no whole line in time"},
 		{"nothing", "", "ERR no whole line in time"},
-		{"hundreds at once", strings.Repeat(hello, 300), "ERR spoke before its answer"},
+		{"hundreds at once", strings.Repeat(openFlowLine, 300), "ERR spoke before its answer"},
 		{"hundreds of PINGs", strings.Repeat("PING\r\n", 300), "PONG"},
 		{"after a PING", "PING\r\nPING\r\nOPEN\r\n", "PONG"},
 	} {
@@ -331,8 +331,8 @@
 			want := []string{c.want}
 			if c.want == "PONG" {
 				want = []string{"PONG", "PONG", form}
-				if strings.Count(c.line, "PING") > mostPings {
-					want = append(slices.Repeat([]string{"PONG"}, mostPings), "ERR too many PINGs")
+				if strings.Count(c.line, "PING") > maxPings {
+					want = append(slices.Repeat([]string{"PONG"}, maxPings), "ERR too many PINGs")
 				}
 			}
 			for _, w := range want {
@@ -348,13 +348,13 @@
 	}
 	t.Cleanup(func() {
 		y.stop()
-		if left := y.room.Free(); left != 100 {
+		if left := y.budget.Free(); left != 100 {
 			t.Errorf("%d descriptors of 100 were given back", left)
 		}
 	})
 }
 
-func many(n int, format string) (s string) {
+func repeatNumbered(n int, format string) (s string) {
 	for i := range n {
 		s += fmt.Sprintf(format, i)
 	}
@@ -363,51 +363,51 @@
 
 // A bad client must not reach a server, nor harm another's flow: one whose id is open is refused and the first goes
 // on, and one that speaks before its answer is cut off, which is no fault of its server's.
-func TestImpostors(t *testing.T) {
+func TestIDsTakenAndEarlySpeakers(t *testing.T) {
 	l := listen(t)
-	y := newYard(t, decide.Idempotent, 100, l.Addr().String())
-	first := y.client(hello)
+	y := startBalancer(t, decide.Idempotent, 100, l.Addr().String())
+	first := y.client(openFlowLine)
 	server, _ := accept(t, l)
-	y.client(hello).want("ERR " + errIDTaken.Error())
+	y.client(openFlowLine).want("ERR " + errIDTaken.Error())
 	server.send("UP 77\r\n")
 	first.want("UP 77")
-	y.client(hello).want("ERR " + errIDTaken.Error())
+	y.client(openFlowLine).want("ERR " + errIDTaken.Error())
 	first.send("M 1\r\n")
 	server.want("M 1")
 	server.send("BYE\r\n")
 	first.want("BYE")
 	server.Close()
 	first.want("EOF")
-	y.client(hello).want("ERR " + errIDTaken.Error()) // whoever read it may be late
+	y.client(openFlowLine).want("ERR " + errIDTaken.Error()) // whoever read it may be late
 	for i := range 4 {
-		early := y.client(strings.Replace(hello, "1a", fmt.Sprint("e", i), 1))
+		early := y.client(strings.Replace(openFlowLine, "1a", fmt.Sprint("e", i), 1))
 		server, _ = accept(t, l)
 		early.send("M 1\r\n")
-		early.want("ERR " + errSpoke.Error())
+		early.want("ERR " + errSpokeBeforeAnswer.Error())
 		early.want("EOF")
 		server.want("EOF")
 	}
-	up(t, y, l)
-	for i := range spentKept { // what is kept of old ids is bounded
+	establish(t, y, l)
+	for i := range retiredIDs { // what is kept of old ids is bounded
 		id := fmt.Sprint("x", i)
-		if !y.front.ClaimID(id) {
+		if !y.frontend.ClaimID(id) {
 			t.Fatalf("%s is taken", id)
 		}
-		y.front.end(id)
+		y.frontend.ids.end(id)
 	}
-	if n := len(y.front.ids); n > spentKept+1 || !y.front.ClaimID("1a") || y.front.ClaimID("x9") {
+	if n := len(y.frontend.ids.taken); n > retiredIDs+1 || !y.frontend.ClaimID("1a") || y.frontend.ClaimID("x9") {
 		t.Errorf("%d ids are kept, or not the last", n)
 	}
 }
 
 // Silent connections by the hundred, and such as ask PING and stay, leave room for PING and for flows.
-func TestCrowd(t *testing.T) {
+func TestSilentClients(t *testing.T) {
 	l := listen(t)
-	y := newYard(t, decide.Idempotent, 60, l.Addr().String())
+	y := startBalancer(t, decide.Idempotent, 60, l.Addr().String())
 	for i := range 300 {
 		y.client([]string{"", "PING\r\n"}[i%2])
 	}
-	client, server := up(t, y, l)
+	client, server := establish(t, y, l)
 	y.client("PING\r\n").want("PONG")
 	client.send("M 1\r\n")
 	server.want("M 1")
@@ -415,7 +415,7 @@
 
 // A server that is to stop sends its clients away before the list tells: who comes next must not be sent there, though
 // it looks the emptiest.
-func TestSentAway(t *testing.T) {
+func TestServerAsksToMove(t *testing.T) {
 	addrs := make([]string, 2)
 	for i := range addrs {
 		l := listen(t)
@@ -437,10 +437,10 @@
 			}
 		}()
 	}
-	y := newYard(t, decide.Idempotent, 100, addrs...)
-	next := func() (*far, string) {
-		y.opened++
-		c := y.client(strings.Replace(hello, "1a", fmt.Sprint("s", y.opened), 1))
+	y := startBalancer(t, decide.Idempotent, 100, addrs...)
+	next := func() (*peer, string) {
+		y.flowCount++
+		c := y.client(strings.Replace(openFlowLine, "1a", fmt.Sprint("s", y.flowCount), 1))
 		return c, c.line()
 	}
 	c, leaving := next()
@@ -454,11 +454,11 @@
 	}
 }
 
-// up opens one connection through the balancer.
-func up(t *testing.T, y *yard, l net.Listener) (client, server *far) {
+// establish opens one connection through the balancer.
+func establish(t *testing.T, y *testBalancer, l net.Listener) (client, server *peer) {
 	t.Helper()
-	y.opened++
-	client = y.client(strings.Replace(hello, "1a", fmt.Sprint("u", y.opened), 1))
+	y.flowCount++
+	client = y.client(strings.Replace(openFlowLine, "1a", fmt.Sprint("u", y.flowCount), 1))
 	server, _ = accept(t, l)
 	server.send("UP 77\r\n")
 	client.want("UP 77")
@@ -466,27 +466,27 @@
 }
 
 // When one side ends a connection, the other is ended in the same way, with the last lines before it.
-func TestEnds(t *testing.T) {
-	reset := func(f *far) { _ = f.SetLinger(0); f.Close() }
+func TestConnectionEnds(t *testing.T) {
+	reset := func(f *peer) { _ = f.SetLinger(0); f.Close() }
 	for _, c := range []struct {
 		name         string
-		end          func(client, server *far)
+		end          func(client, server *peer)
 		fromServer   bool
 		lines, after string
 	}{
-		{"the server ends it", func(_, s *far) { s.send("BYE\r\n"); s.Close() }, true, "BYE", "EOF"},
-		{"the server ends its sending", func(_, s *far) { s.send("M 1\r\n"); _ = s.CloseWrite() }, true, "M 1", "EOF"},
-		{"the server says its last word and stays", func(_, s *far) { s.send("BYE\r\n") }, true, "BYE", "EOF"},
-		{"the server's last word and a reset", func(c, s *far) { s.send("BYE\r\n"); c.want("BYE"); reset(s) }, true, "", "EOF"},
-		{"the server is reset", func(_, s *far) { reset(s) }, true, "", "reset"},
-		{"the client ends it", func(c, _ *far) { c.send("M 1\r\n"); c.Close() }, false, "M 1", "EOF"},
-		{"the client ends its sending", func(c, _ *far) { c.send("M 1\r\n"); _ = c.CloseWrite() }, false, "M 1", "EOF"},
-		{"the client is reset", func(c, _ *far) { reset(c) }, false, "", "reset"},
+		{"the server ends it", func(_, s *peer) { s.send("BYE\r\n"); s.Close() }, true, "BYE", "EOF"},
+		{"the server ends its sending", func(_, s *peer) { s.send("M 1\r\n"); _ = s.CloseWrite() }, true, "M 1", "EOF"},
+		{"the server says its last word and stays", func(_, s *peer) { s.send("BYE\r\n") }, true, "BYE", "EOF"},
+		{"the server's last word and a reset", func(c, s *peer) { s.send("BYE\r\n"); c.want("BYE"); reset(s) }, true, "", "EOF"},
+		{"the server is reset", func(_, s *peer) { reset(s) }, true, "", "reset"},
+		{"the client ends it", func(c, _ *peer) { c.send("M 1\r\n"); c.Close() }, false, "M 1", "EOF"},
+		{"the client ends its sending", func(c, _ *peer) { c.send("M 1\r\n"); _ = c.CloseWrite() }, false, "M 1", "EOF"},
+		{"the client is reset", func(c, _ *peer) { reset(c) }, false, "", "reset"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			l := listen(t)
-			y := newYard(t, decide.Idempotent, 100, l.Addr().String())
-			client, server := up(t, y, l)
+			y := startBalancer(t, decide.Idempotent, 100, l.Addr().String())
+			client, server := establish(t, y, l)
 			start := time.Now()
 			c.end(client, server)
 			other := server
@@ -501,7 +501,7 @@
 			}
 			other.Close()
 			y.stop()
-			if left := y.room.Free(); left != 100 {
+			if left := y.budget.Free(); left != 100 {
 				t.Errorf("%d descriptors of 100 were given back", left)
 			}
 			if took := time.Since(start); took > sec {
@@ -514,8 +514,8 @@
 // Lines go both ways unchanged.
 func TestRelayedLines(t *testing.T) {
 	l := listen(t)
-	y := newYard(t, decide.Idempotent, 100, l.Addr().String())
-	client := y.client(hello)
+	y := startBalancer(t, decide.Idempotent, 100, l.Addr().String())
+	client := y.client(openFlowLine)
 	server, _ := accept(t, l)
 	server.send("UP 77\r\nLOAD 12.5\r\n")
 	client.want("UP 77")
@@ -529,10 +529,10 @@
 }
 
 // A client that goes while its connect is out must not leave the server's connection behind.
-func TestClientGoesEarly(t *testing.T) {
+func TestClientLeavesDuringAttempt(t *testing.T) {
 	l := listen(t)
-	y := newYard(t, decide.Idempotent, 100, l.Addr().String())
-	client := y.client(hello)
+	y := startBalancer(t, decide.Idempotent, 100, l.Addr().String())
+	client := y.client(openFlowLine)
 	server, _ := accept(t, l)
 	client.Close()
 	start := time.Now()
@@ -544,12 +544,12 @@
 
 // A connection from before the start goes to its server, whatever the module would choose, and one that never ran
 // is tried again.
-func TestStanding(t *testing.T) {
+func TestResumedFlow(t *testing.T) {
 	a, b := listen(t), listen(t)
-	y := newYard(t, decide.NotIdempotent, 100, a.Addr().String(), b.Addr().String())
+	y := startBalancer(t, decide.NotIdempotent, 100, a.Addr().String(), b.Addr().String())
 	news := y.router.BeginUpdate(routing.DeltaUpdate)
 	news.AddEndpoint(routing.Endpoint{Name: "s1", Addr: b.Addr().String(), Zone: "z", Size: 1, Readiness: routing.Draining}) // draining: what stands is nothing new
-	news.Commit()
+	news.Commit(t.Context())
 	client := y.client("OPEN 1 2 c=live,d=900000,at=s1\r\n")
 	server, line := accept(t, b)
 	if !strings.HasSuffix(line, ",at=s1") {
@@ -564,11 +564,11 @@
 }
 
 // Short of descriptors for servers a client is told when to come again.
-func TestNoRoom(t *testing.T) {
+func TestNoDescriptorForServer(t *testing.T) {
 	l := listen(t)
-	y := newYard(t, decide.Idempotent, 27, l.Addr().String()) // of which 24 are for clients alone
-	client, server := up(t, y, l)
-	up2 := y.client(strings.Replace(hello, "1a", "5a", 1))
+	y := startBalancer(t, decide.Idempotent, 27, l.Addr().String()) // of which 24 are for clients alone
+	client, server := establish(t, y, l)
+	up2 := y.client(strings.Replace(openFlowLine, "1a", "5a", 1))
 	up2.want("BUSY 700")
 	up2.want("EOF")
 	y.client("PING\r\n").want("PONG")
@@ -579,12 +579,12 @@
 // When the balancer stops, clients are told to move, between two lines, spread over the time there is.
 func TestDrain(t *testing.T) {
 	l := listen(t)
-	y := newYard(t, decide.Idempotent, 100, l.Addr().String())
+	y := startBalancer(t, decide.Idempotent, 100, l.Addr().String())
 	const n, after, over = 8, 150 * ms, 550 * ms
 	moved := make(chan time.Duration, n)
 	start := time.Now()
 	for range n {
-		client, server := up(t, y, l)
+		client, server := establish(t, y, l)
 		server.send("M")
 		time.AfterFunc(50*ms, func() { _, _ = io.WriteString(server, " 1\r\n") })
 		go func() {
@@ -597,7 +597,7 @@
 	}
 	start = time.Now()
 	ctx, cancel := context.WithCancel(context.Background())
-	go y.front.Drain(ctx, after, over)
+	go y.frontend.Drain(ctx, after, over)
 	var first, last time.Duration
 	for i := range n {
 		if last = <-moved; i == 0 {
--- a/internal/routing/endpoints.go
+++ b/internal/routing/endpoints.go
@@ -81,8 +81,8 @@
 		cell: decide.CellID(e.Cell), size: e.Size, readiness: e.Readiness, startedAt: e.StartedAt})
 }
 
-// Commit hands the update to the decisions.
-func (u *EndpointUpdate) Commit() {
+// Commit hands the update to the decisions. The context is the log's.
+func (u *EndpointUpdate) Commit(ctx context.Context) {
 	r := u.router
 	r.enter()
 	defer r.mu.Unlock()
@@ -93,7 +93,7 @@
 	}
 	r.hasEndpoints = true
 	r.balancer.BeginEndpoints(u.kind)
-	logs := slog.Default().Enabled(context.Background(), slog.LevelDebug) // asked once: a list may be long
+	logs := slog.Default().Enabled(ctx, slog.LevelDebug) // asked once: a list may be long
 	for i := range u.entries {
 		r.applyEndpoint(&u.entries[i], logs)
 	}
--- a/internal/routing/router_test.go
+++ b/internal/routing/router_test.go
@@ -31,7 +31,7 @@
 	for _, name := range servers {
 		update.AddEndpoint(Endpoint{Name: name, Addr: "at-" + name, Zone: "z", Size: 1, Readiness: readiness})
 	}
-	update.Commit()
+	update.Commit(context.Background())
 }
 
 func openFlow(t *testing.T, r *Router) *Flow {
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -109,17 +109,20 @@
 // SetReadDeadline bounds all reading; the zero time takes the bound away.
 func (c *Conn) SetReadDeadline(t time.Time) { _ = c.raw.SetReadDeadline(t) } // fails on a closed connection only
 
+// InterruptRead ends a read under way, and all that follow, as at a deadline that passed.
+func (c *Conn) InterruptRead() { c.SetReadDeadline(time.Unix(1, 0)) }
+
 // Stop ends a relay from this connection at the next end of a line. It does not wait.
 func (c *Conn) Stop() {
 	c.stopping.Store(true)
-	c.SetReadDeadline(time.Unix(1, 0))
+	c.InterruptRead()
 }
 
 // Park ends a relay from this connection, or the wait for its first line, at any byte, so that it can go on later or
 // elsewhere. It does not wait.
 func (c *Conn) Park() {
 	c.parking.Store(true)
-	c.SetReadDeadline(time.Unix(1, 0))
+	c.InterruptRead()
 }
 
 // RelayState is what a relay that was parked left: what is unread, how much of it went on, whether a line went on in part.
