--- a/internal/protocol/attempt.go
+++ b/internal/protocol/attempt.go
@@ -113,8 +113,8 @@
 	return server, routing.OK
 }
 
-// isStillWanted is the last check, before the SYN and again before the first byte. Since the server was chosen, or since
-// its connection was requested, the client may have left, perhaps just now, with none of this process's other goroutines
+// isStillWanted is the last check, before the SYN and again before the first byte. Since the decision, or since the
+// request for the connection, the client may have left, perhaps just now, with none of this process's other goroutines
 // having run since; the time may be over; and the server may have begun to drain.
 func (s *session) isStillWanted(ctx context.Context) bool {
 	if !s.client.IsIdle() {
@@ -134,7 +134,7 @@
 		}
 		return "", routing.Cancelled
 	}
-	if err == nil && firstWord(reply) == "UP" {
+	if err == nil && lineKind(reply) == "UP" {
 		s.server = server
 		return reply, routing.OK
 	}
@@ -147,7 +147,7 @@
 	if err != nil && !errors.Is(err, transport.ErrTooLong) {
 		return routing.Reset // the flow may have run
 	}
-	switch firstWord(reply) {
+	switch lineKind(reply) {
 	case "BUSY":
 		return routing.Full
 	case "MOVE", "BYE":
--- /dev/null
+++ b/internal/protocol/frontend_test.go
@@ -0,0 +1,218 @@
+package protocol
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"yardwinch/decide"
+)
+
+const formError = "ERR bad OPEN: want OPEN ID KEY LIST"
+
+// badFirstLine is what a client sends that can't be served, and the answers.
+type badFirstLine struct {
+	name, line string
+	want       []string
+}
+
+func badFirstLines() []badFirstLine {
+	return []badFirstLine{
+		{"not a word of ours", "HELLO\r\n", []string{formError}},
+		{"no list", "OPEN 1 2\r\n", []string{formError}},
+		{"no id", "OPEN  2 c=live,d=5\r\n", []string{formError}},
+		{"more than a list", "OPEN 1 2 c=live,d=5 x\r\n", []string{formError}},
+		{"no pair", "OPEN 1 2 c\r\n", []string{"ERR bad OPEN: no name=value pair"}},
+		{"no name", "OPEN 1 2 c=live,d=5,=2\r\n", []string{"ERR bad OPEN: no name=value pair"}},
+		{"a name twice", "OPEN 1 2 c=live,d=5,c=live\r\n", []string{"ERR bad OPEN: a name stands twice"}},
+		{"names without end", "OPEN 1 2 c=live,d=5" + repeatNumbered(64, ",x%d=1") + "\r\n", []string{"ERR bad OPEN: too many names"}},
+		{"no class", "OPEN 1 2 d=5\r\n", []string{"ERR bad OPEN: c or d is missing"}},
+		{"no time", "OPEN 1 2 c=live\r\n", []string{"ERR bad OPEN: c or d is missing"}},
+		{"a time without a figure", "OPEN 1 2 c=live,d=\r\n", []string{"ERR bad OPEN: bad d"}},
+		{"a time that is no number", "OPEN 1 2 c=live,d=soon\r\n", []string{"ERR bad OPEN: bad d"}},
+		{"a number of another kind", "OPEN 1 2 c=live,d=0x9p3\r\n", []string{"ERR bad OPEN: bad d"}},
+		{"time gone by", "OPEN 1 2 c=live,d=-3\r\n", []string{"ERR bad OPEN: bad d"}},
+		{"time without end", "OPEN 1 2 c=live,d=99999999999999999999999\r\n", []string{"ERR bad OPEN: bad d"}},
+		{"a year", "OPEN 1 2 c=live,d=4294967295\r\n", []string{"ERR bad OPEN: d is too long"}},
+		{"an unknown class", "OPEN 1u 2 c=dead,d=5\r\n", []string{`ERR unknown service type "dead"`}},
+		{"an unknown server", "OPEN 1 2 c=live,at=s-9\r\n", []string{`ERR unknown server "s-9"`}},
+		{"too long", "OPEN " + strings.Repeat("x", 5000) + "\r\n", []string{"ERR line is longer than 4 KiB"}},
+		{"60 MB of it", "OPEN 1 2 c=" + strings.Repeat("x", 60<<20), []string{"ERR line is longer than 4 KiB"}},
+		{"binary", "\x00\xff\x16\x03\r\n", []string{"ERR bad OPEN: not printable"}},
+		{"binary in a value", "OPEN 1 2 c=live,d=5,x=\x7f\r\n", []string{"ERR bad OPEN: not printable"}},
+		{"half a line", "OPEN 1 2 c=li", []string{"ERR no whole line in time"}},
+		{"nothing", "", []string{"ERR no whole line in time"}},
+		{"hundreds at once", strings.Repeat(openFlowLine, 300), []string{"ERR spoke before its answer"}},
+		{"hundreds of PINGs", strings.Repeat("PING\r\n", 300), append(slices.Repeat([]string{"PONG"}, maxPings), "ERR too many PINGs")},
+		{"after a PING", "PING\r\nPING\r\nOPEN\r\n", []string{"PONG", "PONG", formError}},
+	}
+}
+
+// A client that can't be served gets one line and an end, within 3 s of connecting and also while it goes on sending.
+func TestBadFirstLines(t *testing.T) {
+	const descriptors = 100
+	b := startBalancer(t, decide.Idempotent, descriptors)
+	for _, c := range badFirstLines() {
+		t.Run(c.name, func(t *testing.T) {
+			t.Parallel()
+			start := time.Now()
+			client := dial(t, b.addr)
+			go func() { _, _ = io.WriteString(client, c.line) }() // the balancer need not take all of it
+			for _, line := range c.want {
+				client.want(line)
+			}
+			if more, err := io.ReadAll(client.in); len(more) > 0 || err != nil && len(c.line) < 10000 {
+				t.Errorf("then %q, %v", more, err)
+			}
+			if took := time.Since(start); took > 3*sec {
+				t.Errorf("ended after %v", took)
+			}
+		})
+	}
+	t.Cleanup(func() {
+		b.stop()
+		if free := b.budget.Free(); free != descriptors {
+			t.Errorf("%d descriptors of %d were given back", free, descriptors)
+		}
+	})
+}
+
+func repeatNumbered(n int, format string) (s string) {
+	for i := range n {
+		s += fmt.Sprintf(format, i)
+	}
+	return s
+}
+
+// A bad client must not reach a server, nor harm another's flow: one whose id is taken is rejected and the first goes on,
+// and one that speaks before its answer is cut off, which is not held against the server.
+func TestIDsTakenAndEarlySpeakers(t *testing.T) {
+	l := listen(t)
+	b := startBalancer(t, decide.Idempotent, 100, l.Addr().String())
+	first := b.client(openFlowLine)
+	server, _ := accept(t, l)
+	b.client(openFlowLine).want("ERR " + errIDTaken.Error())
+	server.send("UP 77\r\n")
+	first.want("UP 77")
+	b.client(openFlowLine).want("ERR " + errIDTaken.Error())
+	first.send("M 1\r\n")
+	server.want("M 1")
+	server.send("BYE\r\n")
+	first.want("BYE")
+	server.close()
+	first.want("EOF")
+	b.client(openFlowLine).want("ERR " + errIDTaken.Error()) // it stays taken for a while
+	for i := range 4 {
+		early := b.client(withID(fmt.Sprint("e", i)))
+		server, _ = accept(t, l)
+		early.send("M 1\r\n")
+		early.want("ERR " + errSpokeBeforeAnswer.Error())
+		early.want("EOF")
+		server.want("EOF")
+	}
+	establish(t, b, l)
+	for i := range retiredIDs { // how many ids stay taken is bounded
+		id := fmt.Sprint("x", i)
+		if !b.frontend.ClaimID(id) {
+			t.Fatalf("%s is taken", id)
+		}
+		b.frontend.ids.end(id)
+	}
+	if n := len(b.frontend.ids.taken); n > retiredIDs+1 || !b.frontend.ClaimID("1a") || b.frontend.ClaimID("x9") {
+		t.Errorf("%d ids are kept, or not the last", n)
+	}
+}
+
+// An id that another process of this balancer has taken belongs to no flow here: it stays taken like one that ended, and
+// is forgotten in time.
+func TestIDTakenByOtherProcess(t *testing.T) {
+	f := startBalancer(t, decide.Idempotent, 0).frontend
+	f.ShareIDs(func(uint64) bool { return true })
+	for i := range 2 * retiredIDs {
+		if f.ClaimID(fmt.Sprint("x", i)) {
+			t.Fatal("an id that the other process has taken is free here")
+		}
+	}
+	if n := len(f.ids.taken); n > retiredIDs {
+		t.Errorf("%d ids are taken, %d at most", n, retiredIDs)
+	}
+}
+
+// Silent connections by the hundred, and such as send PING and stay, leave descriptors for PING and for flows.
+func TestSilentClients(t *testing.T) {
+	l := listen(t)
+	b := startBalancer(t, decide.Idempotent, 60, l.Addr().String())
+	for i := range 300 {
+		b.client([]string{"", "PING\r\n"}[i%2])
+	}
+	client, server := establish(t, b, l)
+	b.client("PING\r\n").want("PONG")
+	client.send("M 1\r\n")
+	server.want("M 1")
+}
+
+// When the balancer stops, clients are asked to move, between two lines, spread over the time there is.
+func TestDrain(t *testing.T) {
+	l := listen(t)
+	b := startBalancer(t, decide.Idempotent, 100, l.Addr().String())
+	const n, after, over = 8, 150 * ms, 550 * ms
+	moved := make(chan time.Duration, n)
+	start := time.Now()
+	for range n {
+		client, server := establish(t, b, l)
+		server.send("M")
+		time.AfterFunc(50*ms, func() { _, _ = io.WriteString(server, " 1\r\n") })
+		go func() {
+			if got := []string{client.line(), client.line()}; !slices.Equal(got, []string{"M 1", "MOVE"}) {
+				t.Errorf("got %q", got)
+			}
+			moved <- time.Since(start)
+			client.close()
+		}()
+	}
+	start = time.Now()
+	ctx, cancel := context.WithCancel(t.Context())
+	drained := make(chan struct{})
+	go func() { defer close(drained); b.frontend.Drain(ctx, after, over) }()
+	var first, last time.Duration
+	for i := range n {
+		last = <-moved
+		if i == 0 {
+			first = last
+		}
+	}
+	cancel()
+	<-drained
+	if first < after || last-first < (over-after)/3 || last > over+300*ms {
+		t.Errorf("moved from %v to %v", first, last)
+	}
+}
+
+// A balancer that stops answers the clients that wait: that they may retry where nothing ran, and without a promise where
+// something may have.
+func TestStopAnswersWaitingClients(t *testing.T) {
+	l := listen(t)
+	settings := usually(decide.NotIdempotent, 100)
+	settings.balancers = 48 // one connection set-up at a time
+	b := newTestBalancer(t, settings, l.Addr().String())
+	b.serve()
+	sent := b.client(openFlowLine)
+	server, _ := accept(t, l) // it may run
+	waiting := b.client(withID("2b"))
+	b.waitForFree(96)
+	halfLine := b.client("OPEN 7 2 c=li")
+	silent := b.client("")
+	b.waitForFree(94)
+	b.frontend.Stop()
+	sent.want("ERR " + errMayHaveRun.Error())
+	for _, c := range []*peer{waiting, halfLine, silent} {
+		c.want("BUSY 700")
+		c.want("EOF")
+	}
+	server.want("EOF")
+	b.client(withID("3c")).want("BUSY 700")
+}
--- a/internal/protocol/healthcheck.go
+++ b/internal/protocol/healthcheck.go
@@ -56,7 +56,7 @@
 		return routing.TimedOut, noLoad
 	case err != nil:
 		return routing.Reset, noLoad
-	case firstWord(line) != "PONG":
+	case lineKind(line) != "PONG":
 		return routing.Error, noLoad
 	}
 	load, ok := config.ParseLoadReport(line[len("PONG"):])
--- a/internal/protocol/lines.go
+++ b/internal/protocol/lines.go
@@ -49,8 +49,8 @@
 	return codec.writer.PrintfLine(format, a...)
 }
 
-// firstWord is the word that says what a line is.
-func firstWord(line string) string {
-	word, _, _ := strings.Cut(line, " ")
-	return word
+// lineKind is the first word of a line, which says what the line is.
+func lineKind(line string) string {
+	kind, _, _ := strings.Cut(line, " ")
+	return kind
 }
--- a/internal/protocol/localerrors_test.go
+++ b/internal/protocol/localerrors_test.go
@@ -15,7 +15,7 @@
 	"yardwinch/internal/transport"
 )
 
-// failingDialer is a connect that the system refuses with an error of this machine's own, as often as fails says.
+// failingDialer has the system refuse dials with an error of this machine's own, as fails says by the dial's number.
 func failingDialer(err error, fails func(n int64) bool) transport.Dialer {
 	var n atomic.Int64
 	return transport.Dialer{Connect: func(ctx context.Context, by *net.Dialer, addr string) (net.Conn, error) {
@@ -26,41 +26,21 @@
 	}}
 }
 
-// The system refuses connects with an error of this machine's own, every fifth one or all of a moment: the servers are sound, so that all clients
-// are served, and nothing is held against a server.
+// The system refuses dials with an error of this machine's own, every fifth one or all of them for a moment. The servers are
+// healthy, so that all clients are served and nothing is held against a server.
 func TestLocalConnectErrors(t *testing.T) {
-	const clients = 300
 	for _, errno := range []syscall.Errno{syscall.ENETUNREACH, syscall.EADDRNOTAVAIL, syscall.ENOBUFS, syscall.ENFILE, syscall.EAGAIN, syscall.ENOMEM} {
 		start := time.Now()
 		for name, fails := range map[string]func(n int64) bool{
-			"every fifth":     func(n int64) bool { return n%5 == 0 },
-			"all of a moment": func(int64) bool { return time.Since(start) < 150*ms },
+			"every fifth":      func(n int64) bool { return n%5 == 0 },
+			"all for a moment": func(int64) bool { return time.Since(start) < 150*ms },
 		} {
 			t.Run(fmt.Sprintf("%v, %s", errno, name), func(t *testing.T) {
-				y := startBalancer(t, decide.NotIdempotent, 1000, serverThatAnswersUp(t), serverThatAnswersUp(t), serverThatAnswersUp(t))
-				y.frontend.dialer = failingDialer(errno, fails)
+				b := startBalancer(t, decide.NotIdempotent, 1000, serverThatAnswersUp(t), serverThatAnswersUp(t), serverThatAnswersUp(t))
+				b.frontend.dialer = failingDialer(errno, fails)
 				start = time.Now()
-				var all sync.WaitGroup
-				room := make(chan struct{}, 20)
-				for i := range clients {
-					room <- struct{}{}
-					all.Go(func() {
-						defer func() { <-room }()
-						c, err := net.Dial("tcp", y.addr)
-						if err != nil {
-							t.Error(err)
-							return
-						}
-						defer c.Close()
-						f := newPeer(t, c, nil)
-						f.send(fmt.Sprintf("OPEN e%d k c=live,d=2000\r\n", i))
-						if got := f.line(); got != "UP 1" {
-							t.Errorf("client %d hears %q", i, got)
-						}
-					})
-				}
-				all.Wait()
-				for _, server := range y.router.Snapshot().Decisions.Servers {
+				b.wantAllServed(300)
+				for _, server := range b.router.Snapshot().Decisions.Servers {
 					if server.Ejected || server.Silent > 0 {
 						t.Errorf("held against a server: %+v", server)
 					}
@@ -70,24 +50,39 @@
 	}
 }
 
-// serverThatAnswersUp is a server that says UP to all.
-func serverThatAnswersUp(t *testing.T) string {
-	l := listen(t)
-	go func() {
-		for {
-			c, err := l.Accept()
+// wantAllServed opens a flow for each of some clients, twenty at a time.
+func (b *testBalancer) wantAllServed(clients int) {
+	var all sync.WaitGroup
+	slots := make(chan struct{}, 20)
+	for i := range clients {
+		slots <- struct{}{}
+		all.Go(func() {
+			defer func() { <-slots }()
+			c, err := new(net.Dialer).DialContext(b.t.Context(), "tcp", b.addr)
 			if err != nil {
+				b.t.Error(err)
 				return
 			}
-			go func() {
-				defer c.Close()
-				if _, err := readServerLine(c); err == nil {
-					_, _ = c.Write([]byte("UP 1\r\n"))
-					_, _ = readServerLine(c) // until its end
-				}
-			}()
+			defer discard(c)
+			client := newPeer(b.t, c, nil)
+			client.send(fmt.Sprintf("OPEN e%d k c=live,d=2000\r\n", i))
+			if got := client.line(); got != "UP 1" {
+				b.t.Errorf("client %d got %q", i, got)
+			}
+		})
+	}
+	all.Wait()
+}
+
+// serverThatAnswersUp returns its address.
+func serverThatAnswersUp(t *testing.T) string {
+	l := listen(t)
+	go serveConnections(l, func(c net.Conn) {
+		if _, err := readServerLine(c); err == nil {
+			_, _ = c.Write([]byte("UP 1\r\n"))
+			_, _ = readServerLine(c) // until its end
 		}
-	}()
+	})
 	return l.Addr().String()
 }
 
--- /dev/null
+++ b/internal/protocol/overload_test.go
@@ -0,0 +1,119 @@
+package protocol
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"net/http"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"testing/synctest"
+	"time"
+)
+
+// A discovery that answers so many calls a second rejects those that have waited for two seconds, and is busy with them all
+// the same. Eighty balancers that start at the same moment must all get the list soon; if they asked again four times a
+// second none ever would.
+func TestOverloadedDiscoveryAnswersAllEventually(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		const balancers, answersPerSecond, maxWait = 80, 16, 2 * sec
+		service := &overloadedDiscovery{serviceTime: sec / answersPerSecond, maxWait: maxWait}
+		ctx, cancel := context.WithCancel(t.Context())
+		var running sync.WaitGroup
+		for i := range balancers {
+			d := newTestDiscovery(uint64(i), "nowhere", true)
+			d.client.Transport = service
+			running.Go(func() { d.Run(ctx) })
+			running.Go(func() { tick(ctx, d.router) }) // the decisions' own timers for the list must add no calls
+		}
+		time.Sleep(40 * sec)
+		cancel()
+		running.Wait()
+		if service.answered != balancers { // a balancer that has the list calls no more
+			t.Errorf("%d of %d were answered within 40 s", service.answered, balancers)
+		}
+	})
+}
+
+// overloadedDiscovery serves one call after another, also those that nobody waits for any more.
+type overloadedDiscovery struct {
+	serviceTime, maxWait time.Duration
+
+	mu       sync.Mutex
+	freeAt   time.Time
+	answered int
+}
+
+func (o *overloadedDiscovery) RoundTrip(q *http.Request) (*http.Response, error) {
+	o.mu.Lock()
+	wait := max(0, time.Until(o.freeAt))
+	o.freeAt = time.Now().Add(wait + o.serviceTime)
+	if wait <= o.maxWait {
+		o.answered++
+	}
+	o.mu.Unlock()
+	time.Sleep(min(wait, o.maxWait))
+	if wait > o.maxWait {
+		return &http.Response{StatusCode: http.StatusServiceUnavailable, Status: "503 Service Unavailable", Body: http.NoBody}, nil
+	}
+	body, w := io.Pipe()
+	go func() {
+		defer discard(w)
+		for line := object(1, true, member("a", "SERVING")) + "\n"; q.Context().Err() == nil; line = "\n" {
+			_, _ = io.WriteString(w, line) // the reader is gone once the context ended
+			select {
+			case <-q.Context().Done():
+			case <-time.After(heartbeatInterval):
+			}
+		}
+	}()
+	return &http.Response{StatusCode: http.StatusOK, Body: body}, nil
+}
+
+// All balancers call one discovery, as all start at once or as it comes back after 8 s of silence. If it can answer all of
+// them in 3.5 s, all are answered in time: called in step, or again too soon, it would reject those it could have answered.
+// For one that can't see TestOverloadedDiscoveryAnswersAllEventually.
+func TestManyBalancersOnOneDiscovery(t *testing.T) {
+	recordLogs(t)
+	for _, balancers := range []int{80, 300} {
+		for _, outage := range []time.Duration{0, 8 * sec} {
+			t.Run(fmt.Sprintf("%d, an outage of %v", balancers, outage), func(t *testing.T) {
+				synctest.Test(t, func(t *testing.T) { callOneDiscovery(t, balancers, outage) })
+			})
+		}
+	}
+}
+
+func callOneDiscovery(t *testing.T, balancers int, outage time.Duration) {
+	service := &overloadedDiscovery{serviceTime: 3500 * ms / time.Duration(balancers), maxWait: 2 * sec}
+	outageEnd := time.Now().Add(outage)
+	var answered atomic.Int32
+	var stops []func()
+	for i := range balancers {
+		d := newTestDiscovery(uint64(i), "nowhere", true)
+		d.client.Transport = roundTrip(func(q *http.Request) (*http.Response, error) {
+			if time.Now().Before(outageEnd) {
+				<-q.Context().Done()
+				return nil, context.Cause(q.Context())
+			}
+			response, err := service.RoundTrip(q)
+			if err == nil && response.StatusCode == http.StatusOK {
+				answered.Add(1) // a balancer that has the list calls no more
+			}
+			return response, err
+		})
+		stops = append(stops, runDiscovery(d))
+	}
+	time.Sleep(outage + changeTimeout)
+	if n := int(answered.Load()); n != balancers {
+		t.Errorf("%d of %d were answered within %v", n, balancers, changeTimeout)
+	}
+	for _, stop := range stops {
+		stop()
+	}
+}
+
+type roundTrip func(*http.Request) (*http.Response, error)
+
+func (r roundTrip) RoundTrip(q *http.Request) (*http.Response, error) { return r(q) }
--- a/internal/protocol/relay.go
+++ b/internal/protocol/relay.go
@@ -83,7 +83,7 @@
 		_ = writeLine(s.client, "MOVE") // where the client is gone it comes again anyway
 	}
 	outcome, isBroken := s.relayOutcome(err)
-	slog.Debug("relay ended", "error", err, "last_word", s.lastWord, "client_ended", s.clientEnded.Load())
+	slog.Debug("relay ended", "error", err, "last_line", s.lastLineKind, "client_ended", s.clientEnded.Load())
 	s.transition(stateEnded)
 	s.flow.OnEnded(outcome)
 	if isBroken {
@@ -98,26 +98,28 @@
 
 // onServerLine looks at a line before it goes on to the client.
 func (s *session) onServerLine(line []byte) {
-	word, rest, _ := strings.Cut(string(line), " ")
-	s.lastWord = word
-	if word == "LOAD" {
-		if value, err := strconv.ParseFloat(rest, 64); err == nil && value >= 0 {
+	kind, argument, _ := strings.Cut(string(line), " ")
+	s.lastLineKind = kind
+	if kind == "LOAD" {
+		if value, err := strconv.ParseFloat(argument, 64); err == nil && value >= 0 {
 			s.flow.OnServerMetric(value)
 		}
 		return
 	}
 	s.flow.OnReply()
-	if s.serverSaidLastWord() {
+	if s.serverAnnouncedEnd() {
 		s.server.SetReadDeadline(time.Now().Add(endTimeout)) // whether or not an end follows
 	}
 }
 
-func (s *session) serverSaidLastWord() bool { return s.lastWord == "BYE" || s.lastWord == "MOVE" }
+func (s *session) serverAnnouncedEnd() bool {
+	return s.lastLineKind == "BYE" || s.lastLineKind == "MOVE"
+}
 
 // relayOutcome is what the end of a relay means. A broken connection is to be ended by a reset.
 func (s *session) relayOutcome(err error) (outcome routing.Outcome, isBroken bool) {
 	outcome, isBroken = s.endOfRelay(err)
-	if s.lastWord == "MOVE" && outcome == routing.Cancelled {
+	if s.lastLineKind == "MOVE" && outcome == routing.Cancelled {
 		outcome = routing.Full // ahead of the endpoint list: the next client would be sent away too
 	}
 	return outcome, isBroken
@@ -136,9 +138,9 @@
 		return routing.Cancelled, false
 	case errors.As(err, &side) && side.Written, errors.Is(err, transport.ErrMidLine):
 		return routing.Cancelled, true
-	case s.lastWord == "BYE":
+	case s.lastLineKind == "BYE":
 		return routing.OK, false
-	case s.lastWord == "MOVE":
+	case s.lastLineKind == "MOVE":
 		return routing.Cancelled, false
 	case errors.Is(err, io.EOF):
 		return routing.Reset, false
--- /dev/null
+++ b/internal/protocol/relay_test.go
@@ -0,0 +1,121 @@
+package protocol
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"net"
+	"strings"
+	"testing"
+	"time"
+
+	"yardwinch/decide"
+)
+
+// When one side ends a connection, the other is ended in the same way, with the last lines before it.
+func TestConnectionEnds(t *testing.T) {
+	for _, c := range []struct {
+		name         string
+		end          func(client, server *peer)
+		fromServer   bool
+		lines, after string
+	}{
+		{"the server ends it", func(_, s *peer) { s.send("BYE\r\n"); s.close() }, true, "BYE", "EOF"},
+		{"the server ends its sending", func(_, s *peer) { s.send("M 1\r\n"); _ = s.CloseWrite() }, true, "M 1", "EOF"},
+		{"the server says its last word and stays", func(_, s *peer) { s.send("BYE\r\n") }, true, "BYE", "EOF"},
+		{"the server's last word and a reset", func(c, s *peer) { s.send("BYE\r\n"); c.want("BYE"); s.reset() }, true, "", "EOF"},
+		{"the server is reset", func(_, s *peer) { s.reset() }, true, "", "reset"},
+		{"the client ends it", func(c, _ *peer) { c.send("M 1\r\n"); c.close() }, false, "M 1", "EOF"},
+		{"the client ends its sending", func(c, _ *peer) { c.send("M 1\r\n"); _ = c.CloseWrite() }, false, "M 1", "EOF"},
+		{"the client is reset", func(c, _ *peer) { c.reset() }, false, "", "reset"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			l := listen(t)
+			b := startBalancer(t, decide.Idempotent, 100, l.Addr().String())
+			client, server := establish(t, b, l)
+			start := time.Now()
+			c.end(client, server)
+			other := server
+			if c.fromServer {
+				other = client
+			}
+			if c.lines != "" {
+				other.want(c.lines)
+			}
+			if got := other.line(); !strings.Contains(got, c.after) {
+				t.Errorf("ended with %q, want %s", got, c.after)
+			}
+			other.close()
+			b.stop()
+			if free := b.budget.Free(); free != 100 {
+				t.Errorf("%d descriptors of 100 were given back", free)
+			}
+			if took := time.Since(start); took > sec {
+				t.Errorf("held for %v", took)
+			}
+		})
+	}
+}
+
+// Lines go both ways unchanged.
+func TestRelayedLines(t *testing.T) {
+	l := listen(t)
+	b := startBalancer(t, decide.Idempotent, 100, l.Addr().String())
+	client := b.client(openFlowLine)
+	server, _ := accept(t, l)
+	server.send("UP 77\r\nLOAD 12.5\r\n")
+	client.want("UP 77")
+	client.want("LOAD 12.5")
+	for _, line := range []string{"M 1 ab", "", "  spaces  ", "LOAD not a figure", strings.Repeat("x", 4096)} {
+		client.send(line + "\r\n")
+		server.want(line)
+		server.send(line + "\r\n")
+		client.want(line)
+	}
+}
+
+// A server that is to stop sends its clients away before the endpoint list says so: the next ones must not be sent there,
+// though it looks the emptiest.
+func TestServerSendsMove(t *testing.T) {
+	addrs := make([]string, 2)
+	for i := range addrs {
+		l := listen(t)
+		addrs[i] = l.Addr().String()
+		go serveConnections(l, func(c net.Conn) {
+			in := bufio.NewReader(c)
+			_, _ = in.ReadString('\n')
+			_, _ = fmt.Fprintf(c, "UP %d\r\n", i)
+			_, _ = in.ReadString('\n')
+			_, _ = io.WriteString(c, "MOVE\r\n")
+		})
+	}
+	b := startBalancer(t, decide.Idempotent, 100, addrs...)
+	openNext := func() (client *peer, upLine string) {
+		b.flowCount++
+		client = b.client(withID(fmt.Sprint("s", b.flowCount)))
+		return client, client.line()
+	}
+	client, leaving := openNext()
+	client.send("M 1\r\n")
+	client.want("MOVE")
+	client.want("EOF")
+	for range 3 {
+		if _, upLine := openNext(); upLine == leaving {
+			t.Fatalf("sent to the server that said MOVE: %q", upLine)
+		}
+	}
+}
+
+// serveConnections gives each connection to a goroutine, which closes it, until the listener is closed.
+func serveConnections(l net.Listener, serve func(c net.Conn)) {
+	for {
+		c, err := l.Accept()
+		if err != nil {
+			return
+		}
+		go func() {
+			defer discard(c)
+			serve(c)
+		}()
+	}
+}
--- a/internal/protocol/session.go
+++ b/internal/protocol/session.go
@@ -37,14 +37,14 @@
 
 // session is one client's connection. One goroutine runs it and another one reads from the client.
 type session struct {
-	frontend *Frontend
-	client   *transport.Conn
-	server   *transport.Conn // nil until settled, unless the connection was established
-	openLine string
-	info     FlowInfo
-	flow     *routing.Flow
-	state    sessionState // changed by transition only
-	lastWord string       // the first word of the server's last line
+	frontend     *Frontend
+	client       *transport.Conn
+	server       *transport.Conn // nil until settled, unless the connection was established
+	openLine     string
+	info         FlowInfo
+	flow         *routing.Flow
+	state        sessionState // changed by transition only
+	lastLineKind string       // of the server's last line
 
 	settled    chan struct{} // closed once the connection is established, or never will be
 	clientDone chan struct{} // closed once nothing reads from the client any more
--- a/internal/protocol/transfer.go
+++ b/internal/protocol/transfer.go
@@ -115,7 +115,7 @@
 	transfer := s.frontend.transferConnection
 	s.frontend.mu.Unlock()
 	serverName, isMigrating := s.flow.Server()
-	isEnding := !s.isParked || s.serverSaidLastWord()
+	isEnding := !s.isParked || s.serverAnnouncedEnd()
 	if !isEnding && !isMigrating && transfer != nil && s.transfer(transfer, serverName) {
 		s.release()
 		return true
--- a/internal/protocol/watch.go
+++ b/internal/protocol/watch.go
@@ -30,7 +30,7 @@
 	}
 	defer func() { _ = body.Close() }() // the watch ends with an error of its own
 	w.body.from = body
-	w.onSignOfLife()
+	w.postponeDeadline()
 	err = w.follow(ctx, listURL)
 	return w.silentSince, withCause(ctx, err)
 }
@@ -60,8 +60,8 @@
 			return err
 		}
 		w.onBlank()
-		rest, _ := io.ReadAll(objects.Buffered()) // from memory: it can't fail
-		w.objectIsOpen = len(bytes.TrimSpace(rest)) > 0
+		buffered, _ := io.ReadAll(objects.Buffered()) // from memory: it can't fail
+		w.objectIsOpen = len(bytes.TrimSpace(buffered)) > 0
 		if w.objectIsOpen {
 			w.onObjectBegun()
 		}
@@ -87,8 +87,8 @@
 	return n, err
 }
 
-// onSignOfLife puts the deadline off.
-func (w *watchStream) onSignOfLife() {
+// postponeDeadline puts the deadline off.
+func (w *watchStream) postponeDeadline() {
 	w.silentSince = time.Now()
 	w.deadline.Reset(w.discovery.silenceTimeout)
 }
@@ -98,7 +98,7 @@
 	w.isFirstObject = false
 	w.discovery.onContact()
 	w.discovery.router.OnDiscoveryContact()
-	w.onSignOfLife()
+	w.postponeDeadline()
 }
 
 // onObjectBegun bounds the time until the object is complete. Its further bytes are no signs of life: an object that
