--- a/internal/protocol/transfer.go
+++ b/internal/protocol/transfer.go
@@ -29,8 +29,12 @@
 }
 
 func streamState(c *transport.Conn) StreamState {
-	unread, passed, within := c.RelayState()
-	return StreamState{Unread: unread, Passed: passed, Within: within}
+	state := c.RelayState()
+	return StreamState{Unread: state.Unread, Passed: state.Passed, Within: state.IsMidLine}
+}
+
+func (s StreamState) relayState() transport.RelayState {
+	return transport.RelayState{Unread: s.Unread, Passed: s.Passed, IsMidLine: s.Within}
 }
 
 func (s StreamState) isValid() bool {
@@ -181,8 +185,8 @@
 		info:       c.Flow,
 		settled:    make(chan struct{}),
 		clientDone: make(chan struct{}),
-		client:     transport.Adopt(client, c.Client.Unread, c.Client.Passed, c.Client.Within, budget),
-		server:     transport.Adopt(server, c.Server.Unread, c.Server.Passed, c.Server.Within, nil),
+		client:     transport.Adopt(client, c.Client.relayState(), budget),
+		server:     transport.Adopt(server, c.Server.relayState(), nil),
 	}
 	s.isAnswered.Store(true)
 	f.addConnections(1)
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -1,5 +1,4 @@
-// Package transport listens, dials and relays lines over TCP. It knows where a line ends and nothing of what one
-// says.
+// Package transport listens, dials and relays lines over TCP. It knows where a line ends and nothing of what a line says.
 package transport
 
 import (
@@ -17,58 +16,56 @@
 )
 
 const (
-	longestLine = 4096 + 2 // with its CRLF
-	firstBuffer = 256
-
-	// A line that the other side does not take within this is lost, and so is its connection: waiting longer
-	// would hold back every line behind it.
-	writeLimit = 900 * time.Millisecond
-	// How long a connection that has been ended may take to read what it was sent last.
-	lingerLimit = 250 * time.Millisecond
-	// How long the rest of a line is waited for when a relay is to stop.
-	restOfLine = 700 * time.Millisecond
+	maxLineBytes       = 4096 + 2 // with its CRLF
+	initialBufferBytes = 256
+
+	// writeTimeout bounds a write: a line that the other side does not take within it is lost, and so is its connection,
+	// as waiting longer would hold back every line behind it.
+	writeTimeout = 900 * time.Millisecond
+	// lingerTimeout is how long a connection that was ended may take to read its last line.
+	lingerTimeout = 250 * time.Millisecond
+	// maxDrainReads bounds the reads from a connection that was ended, against one that goes on sending.
+	maxDrainReads = 64
 )
 
-// Why a connection is read no further.
-var (
-	ErrTooLong = errors.New("line is longer than 4 KiB")
-	ErrStopped = errors.New("relay stopped between two lines")
-	ErrMidLine = errors.New("relay stopped within a line")
-	ErrParked  = errors.New("relay parked")
-)
+// ErrTooLong says that a line has no end within the bound.
+var ErrTooLong = errors.New("line is longer than 4 KiB")
 
-// Conn is a connection with the one buffer that it has: grown as lines need it, compacted in place. One goroutine
-// reads at a time, and one writes.
+// Conn is a connection with the one buffer that it has, which grows as lines need it and is compacted in place. One
+// goroutine reads at a time, and one writes.
 type Conn struct {
-	raw      net.Conn
-	buf      []byte
-	from, to int  // the unread part of buf
-	passed   int  // of it went on already, as the head of a line whose end is to come
-	within   bool // a line went on in part
-	stopping atomic.Bool
-	parking  atomic.Bool
-	once     sync.Once
+	raw net.Conn
+
+	buf                  []byte
+	unreadFrom, unreadTo int  // the unread part of buf
+	passed               int  // bytes of it that were relayed already, as the head of a line
+	isMidLine            bool // a line was relayed in part
+	stopping             atomic.Bool
+	parking              atomic.Bool
+	closeOnce            sync.Once
 
-	room  *DescriptorBudget // that a client's connection is counted in; the rest is guarded by its mutex
-	held  int               // descriptors counted for it
-	owed  bool              // it has not had its last word
-	spot  *list.Element
-	since time.Time
+	// budget is that of a client's connection; nil: the connection is not counted. Its mutex guards the rest.
+	budget       *DescriptorBudget
+	descriptors  int  // counted for it
+	isUnanswered bool // it has not had its last line
+	idleElement  *list.Element
+	idleSince    time.Time
 }
 
-// NewConn wraps a connection that is counted nowhere.
+// NewConn wraps a connection that is not counted in a budget.
 func NewConn(raw net.Conn) *Conn { return &Conn{raw: raw} }
 
-// Read gives no byte past the end of the first line held, and none of a line that is not whole: what reads through
-// it can't take from the relay what follows.
+// Read reads no byte past the end of the first line, and none of a line that is not complete: what follows a line is left
+// to a relay. It fails with ErrTooLong where a line has no end within 4 KiB.
 func (c *Conn) Read(p []byte) (int, error) {
 	for {
-		if i := bytes.IndexByte(c.buf[c.from:c.to], '\n'); i >= 0 {
-			n := copy(p, c.buf[c.from:c.from+i+1])
-			c.from += n
+		unread := c.unread()
+		if i := bytes.IndexByte(unread, '\n'); i >= 0 {
+			n := copy(p, unread[:i+1])
+			c.unreadFrom += n
 			return n, nil
 		}
-		if c.to-c.from >= longestLine {
+		if len(unread) >= maxLineBytes {
 			return 0, ErrTooLong
 		}
 		if err := c.fill(); err != nil {
@@ -77,18 +74,24 @@
 	}
 }
 
+func (c *Conn) unread() []byte { return c.buf[c.unreadFrom:c.unreadTo] }
+
+// HasUnread reports whether something in the buffer is unread.
+func (c *Conn) HasUnread() bool { return c.unreadFrom < c.unreadTo }
+
+// fill reads more into the buffer.
 func (c *Conn) fill() error {
-	if c.from > 0 {
-		copy(c.buf, c.buf[c.from:c.to])
-		c.from, c.to = 0, c.to-c.from
+	if c.unreadFrom > 0 {
+		copy(c.buf, c.unread())
+		c.unreadFrom, c.unreadTo = 0, c.unreadTo-c.unreadFrom
 	}
-	if c.to == len(c.buf) {
-		grown := make([]byte, min(max(2*len(c.buf), firstBuffer), longestLine))
+	if c.unreadTo == len(c.buf) {
+		grown := make([]byte, min(max(2*len(c.buf), initialBufferBytes), maxLineBytes))
 		copy(grown, c.buf)
 		c.buf = grown
 	}
-	n, err := c.raw.Read(c.buf[c.to:])
-	c.to += n
+	n, err := c.raw.Read(c.buf[c.unreadTo:])
+	c.unreadTo += n
 	if n > 0 {
 		return nil
 	}
@@ -98,62 +101,80 @@
 	return err
 }
 
-// Write sends all of p or fails. The count tells whether anything of it was left unwritten.
+// Write sends all of p or fails. The count says whether any of it was left unwritten.
 func (c *Conn) Write(p []byte) (int, error) {
-	if err := c.raw.SetWriteDeadline(time.Now().Add(writeLimit)); err != nil {
+	if err := c.raw.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return 0, err
 	}
 	return c.raw.Write(p)
 }
 
-// SetReadDeadline bounds all reading; the zero time takes the bound away.
+// SetReadDeadline bounds all reads; the zero time removes the bound.
 func (c *Conn) SetReadDeadline(t time.Time) { _ = c.raw.SetReadDeadline(t) } // fails on a closed connection only
 
+// inThePast is a deadline that passed.
+var inThePast = time.Unix(1, 0)
+
 // InterruptRead ends a read under way, and all that follow, as at a deadline that passed.
-func (c *Conn) InterruptRead() { c.SetReadDeadline(time.Unix(1, 0)) }
+func (c *Conn) InterruptRead() { c.SetReadDeadline(inThePast) }
 
-// Stop ends a relay from this connection at the next end of a line. It does not wait.
-func (c *Conn) Stop() {
-	c.stopping.Store(true)
-	c.InterruptRead()
+// Socket is the connection's socket, to be passed to another process.
+func (c *Conn) Socket() syscall.Conn {
+	socket, _ := c.raw.(syscall.Conn)
+	return socket
 }
 
-// Park ends a relay from this connection, or the wait for its first line, at any byte, so that it can go on later or
-// elsewhere. It does not wait.
-func (c *Conn) Park() {
-	c.parking.Store(true)
-	c.InterruptRead()
+// WaitReadable returns when something unread is there, or the connection ended, or was parked.
+func (c *Conn) WaitReadable() error {
+	if c.HasUnread() {
+		return nil
+	}
+	err := c.fill()
+	if isTimeout(err) && c.parking.CompareAndSwap(true, false) {
+		return ErrParked
+	}
+	return err
 }
 
-// RelayState is what a relay that was parked left: what is unread, how much of it went on, whether a line went on in part.
-func (c *Conn) RelayState() (unread []byte, passed int, within bool) {
-	return c.buf[c.from:c.to], c.passed, c.within
+// isTimeout reports whether a read ended at a deadline.
+func isTimeout(err error) bool {
+	if err == nil {
+		return false
+	}
+	var timeout net.Error
+	return errors.As(err, &timeout) && timeout.Timeout()
 }
 
-// Adopt is a connection that another process relayed, with what Rest said there. A client's is counted as a pair.
-func Adopt(raw net.Conn, unread []byte, passed int, within bool, r *DescriptorBudget) *Conn {
-	c := &Conn{raw: raw, buf: unread, to: len(unread), passed: passed, within: within, room: r}
-	if r != nil {
-		r.mu.Lock()
-		defer r.mu.Unlock()
-		r.left -= 2 // it is there already, room or not
-		c.held = 2
-		c.owe()
+// IsIdle reports whether the other side has neither ended the connection nor sent more by now. It takes no byte: another
+// goroutine may be waiting for just that, and not have run since it came.
+func (c *Conn) IsIdle() bool {
+	socket, ok := c.raw.(syscall.Conn)
+	if !ok {
+		return true
 	}
-	return c
+	raw, err := socket.SyscallConn()
+	if err != nil {
+		return false
+	}
+	isIdle := true
+	err = raw.Control(func(fd uintptr) {
+		var one [1]byte
+		switch _, _, err := unix.Recvfrom(int(fd), one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT); err {
+		case nil, unix.ECONNRESET, unix.EPIPE, unix.ETIMEDOUT, unix.EHOSTUNREACH:
+			isIdle = false
+		}
+	})
+	return isIdle && err == nil
 }
 
-// Socket is the connection itself, to be passed on.
-func (c *Conn) Socket() syscall.Conn { s, _ := c.raw.(syscall.Conn); return s }
-
-// CloseWrite ends the sending and leaves the rest open.
+// CloseWrite ends the sending and leaves the reading open.
 func (c *Conn) CloseWrite() {
-	if h, ok := c.raw.(interface{ CloseWrite() error }); ok {
-		_ = h.CloseWrite() // what is broken already needs no end
+	if half, ok := c.raw.(interface{ CloseWrite() error }); ok {
+		_ = half.CloseWrite() // a broken connection needs no end
 	}
 }
 
-// CloseGracefully ends the connection so that what was sent last still arrives: closed with something unread, it would be
+// CloseGracefully ends the connection so that its last line still arrives: closed with something unread, it would be
 // reset, and the reset overtakes the last line.
 func (c *Conn) CloseGracefully() {
 	c.Linger()
@@ -163,169 +184,38 @@
 // Linger ends the sending and bounds what is still read.
 func (c *Conn) Linger() {
 	c.CloseWrite()
-	c.SetReadDeadline(time.Now().Add(lingerLimit))
-	c.spare()
+	c.SetReadDeadline(time.Now().Add(lingerTimeout))
+	c.markIdle()
 }
 
 // Drain reads to the end of a connection that lingers, and closes it.
 func (c *Conn) Drain() {
-	c.from, c.to = 0, 0
-	for range 64 { // against one that goes on sending
+	for range maxDrainReads {
+		c.unreadFrom, c.unreadTo = 0, 0
 		if c.fill() != nil {
 			break
 		}
-		c.from, c.to = 0, 0
 	}
+	c.unreadFrom, c.unreadTo = 0, 0
 	c.Close()
 }
 
 // Reset ends the connection the way a lost process does: with a reset.
 func (c *Conn) Reset() {
-	if h, ok := c.raw.(interface{ SetLinger(int) error }); ok {
-		_ = h.SetLinger(0)
+	if tcp, ok := c.raw.(interface{ SetLinger(int) error }); ok {
+		_ = tcp.SetLinger(0) // fails on a closed connection only
 	}
 	c.Close()
 }
 
-// Close closes the connection, and gives back its place and its buffer. Again it does nothing.
+// Close closes the connection and gives back its descriptors. Closing it again does nothing.
 func (c *Conn) Close() {
-	c.once.Do(func() {
+	c.closeOnce.Do(func() {
 		_ = c.raw.Close() // nothing is left to be done about it
-		if c.room != nil {
-			c.room.mu.Lock()
-			defer c.room.mu.Unlock()
-			c.release()
-		}
-	})
-}
-
-// SideError tells which side of a relay broke.
-type SideError struct {
-	Written bool // the side written to
-	Err     error
-}
-
-func (e *SideError) Error() string { return "relay: " + e.Err.Error() }
-func (e *SideError) Unwrap() error { return e.Err }
-
-// Relay passes on what src brings, as it comes, and shows each line once it is whole, before it goes on: an answer
-// must not be seen before what it answers. It ends with io.EOF when src has ended its sending, with ErrStopped
-// after Stop, and with a SideError when a side broke. Part lines go on too, so that none is held back.
-func Relay(dst, src *Conn, seen func(line []byte)) error {
-	for {
-		fresh := src.buf[src.from+src.passed : src.to]
-		for {
-			i := bytes.IndexByte(src.buf[src.from+src.passed:src.to], '\n')
-			if i < 0 {
-				break
-			}
-			i += src.passed
-			seen(bytes.TrimRight(src.buf[src.from:src.from+i+1], "\r\n"))
-			src.from += i + 1
-			src.passed, src.within = 0, false
-		}
-		if len(fresh) > 0 {
-			if _, err := dst.Write(fresh); err != nil {
-				return &SideError{true, err}
-			}
-		}
-		if src.passed = src.to - src.from; src.passed > 0 {
-			src.within = true
-		}
-		if src.passed >= longestLine { // it goes on unseen rather than growing the buffer
-			src.from, src.passed = src.to, 0
-		}
-		if src.stopping.Load() && !src.within {
-			return ErrStopped
-		}
-		if src.parking.CompareAndSwap(true, false) {
-			return ErrParked
-		}
-		err := src.fill()
-		var timeout net.Error
-		switch {
-		case err == nil:
-		case errors.Is(err, io.EOF):
-			return io.EOF
-		case errors.As(err, &timeout) && timeout.Timeout() && src.stopping.CompareAndSwap(true, false):
-			if !src.within {
-				return ErrStopped
-			}
-			src.SetReadDeadline(time.Now().Add(restOfLine))
-			defer src.stopping.Store(false)
-			if err := finishLine(dst, src); err != nil {
-				return err
-			}
-			return ErrStopped
-		case errors.As(err, &timeout) && timeout.Timeout() && src.parking.CompareAndSwap(true, false):
-			return ErrParked
-		default:
-			return &SideError{false, err}
-		}
-	}
-}
-
-// finishLine passes on the rest of a line, and nothing behind it.
-func finishLine(dst, src *Conn) error {
-	for {
-		fresh := src.buf[src.from+src.passed : src.to]
-		i := bytes.IndexByte(fresh, '\n')
-		if i >= 0 {
-			fresh = fresh[:i+1]
-		}
-		if len(fresh) > 0 {
-			if _, err := dst.Write(fresh); err != nil {
-				return &SideError{true, err}
-			}
-		}
-		if src.from, src.passed = src.from+src.passed+len(fresh), 0; i >= 0 {
-			src.within = false
-			return nil
-		}
-		if src.fill() != nil {
-			if src.parking.CompareAndSwap(true, false) { // the client is about to be moved: it is not passed on
-				src.SetReadDeadline(time.Now().Add(restOfLine))
-				continue
-			}
-			return ErrMidLine
-		}
-	}
-}
-
-// WaitReadable returns when something unread is there, or the connection ended, or was parked.
-func (c *Conn) WaitReadable() error {
-	if c.from < c.to {
-		return nil
-	}
-	err := c.fill()
-	var timeout net.Error
-	if errors.As(err, &timeout) && timeout.Timeout() && c.parking.CompareAndSwap(true, false) {
-		return ErrParked
-	}
-	return err
-}
-
-// IsIdle tells whether the other side has neither ended the connection nor sent more by now. It takes no byte: another goroutine may be
-// waiting for just that, and not have run since it came.
-func (c *Conn) IsIdle() bool {
-	s, ok := c.raw.(syscall.Conn)
-	if !ok {
-		return true
-	}
-	raw, err := s.SyscallConn()
-	if err != nil {
-		return false
-	}
-	quiet := true
-	err = raw.Control(func(fd uintptr) {
-		var one [1]byte
-		switch _, _, err := unix.Recvfrom(int(fd), one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT); err {
-		case nil, unix.ECONNRESET, unix.EPIPE, unix.ETIMEDOUT, unix.EHOSTUNREACH:
-			quiet = false
+		if c.budget != nil {
+			c.budget.mu.Lock()
+			defer c.budget.mu.Unlock()
+			c.releaseAll()
 		}
 	})
-	return quiet && err == nil
 }
-
-// HasUnread tells whether something is unread.
-func (c *Conn) HasUnread() bool { return c.from < c.to }
--- a/internal/transport/dial.go
+++ b/internal/transport/dial.go
@@ -11,38 +11,44 @@
 	"yardwinch/internal/retry"
 )
 
-// ErrLocalResources says that a connect failed for want of something on this machine; it tells nothing of the server.
-var ErrLocalResources = errors.New("lack of descriptors, ports, memory or a way out on this machine")
-
 const (
-	firstConnectRetry   = time.Millisecond
-	longestConnectRetry = 25 * time.Millisecond
-	ownLackTimeout      = 250 * time.Millisecond // for a lack to pass: after that another server is as good, and a final answer may be due
+	firstLocalRetry   = time.Millisecond
+	longestLocalRetry = 25 * time.Millisecond
+	// localRetryTimeout is how long a dial is retried that fails for lack of local resources: after that another server is
+	// as good, and a final answer may be due.
+	localRetryTimeout = 250 * time.Millisecond
 )
 
-// ErrNoLongerWanted says that the last look before a connect found that nobody wants it any more: nothing of it went out, no SYN either.
-var ErrNoLongerWanted = errors.New("not wanted any more")
+var (
+	// ErrLocalResources says that a dial failed for lack of something on this machine, which tells nothing of the server.
+	ErrLocalResources = errors.New("lack of descriptors, ports, memory or a way out on this machine")
+	// ErrNoLongerWanted says that the last check before a dial found it no longer wanted: nothing of it went out, not even a
+	// SYN.
+	ErrNoLongerWanted = errors.New("not wanted any more")
+)
 
-// Dialer connects to servers. The zero value asks the system.
+// Dialer connects to servers. The zero value dials by the system.
 type Dialer struct {
-	Connect func(ctx context.Context, by *net.Dialer, addr string) (net.Conn, error) // nil: the system's own
+	// Connect makes one connection; nil: the system does.
+	Connect func(ctx context.Context, by *net.Dialer, addr string) (net.Conn, error)
 }
 
-// Dial connects to a server. The descriptor is part of what the flow's client took. wanted is the last look: it stands directly before the
-// system is asked to connect, behind all that may take its time before that; nil where none is needed. What fails for want of something here
-// never left this machine: it is tried again for a while.
-func (d Dialer) Dial(ctx context.Context, addr string, within time.Duration, wanted func() bool) (*Conn, error) {
-	by := net.Dialer{Timeout: within, KeepAlive: -1} // keep-alive notices nothing that the lines don't
-	if wanted != nil {
+// Dial connects to a server; its descriptor is part of what the flow's client acquired. isWanted is the last check,
+// directly before the system is asked to connect and after all that may take time before that; nil: none is needed. A dial
+// that fails for lack of local resources never left this machine, and is retried for a while. The errors are
+// ErrNoLongerWanted, ErrLocalResources, the context's, and the network's.
+func (d Dialer) Dial(ctx context.Context, addr string, timeout time.Duration, isWanted func() bool) (*Conn, error) {
+	by := net.Dialer{Timeout: timeout, KeepAlive: -1} // keep-alive notices nothing that the lines don't
+	if isWanted != nil {
 		by.Control = func(_, _ string, _ syscall.RawConn) error {
-			if !wanted() {
+			if !isWanted() {
 				return ErrNoLongerWanted
 			}
 			return nil
 		}
 	}
-	raw, err := d.connectWithRetries(ctx, &by, addr, time.Now().Add(min(within, ownLackTimeout)))
-	if ownLack(err) {
+	raw, err := d.connectWithRetries(ctx, &by, addr, time.Now().Add(min(timeout, localRetryTimeout)))
+	if isLocalError(err) {
 		return nil, fmt.Errorf("dial: %w: %w", ErrLocalResources, err)
 	}
 	if err != nil {
@@ -51,30 +57,30 @@
 	return NewConn(raw), nil
 }
 
-func (d Dialer) connectWithRetries(ctx context.Context, by *net.Dialer, addr string, until time.Time) (net.Conn, error) {
-	waits := retry.Backoff{First: firstConnectRetry, Longest: longestConnectRetry}
+func (d Dialer) connectWithRetries(ctx context.Context, by *net.Dialer, addr string, deadline time.Time) (net.Conn, error) {
+	backoff := retry.Backoff{First: firstLocalRetry, Longest: longestLocalRetry}
 	for {
 		raw, err := d.connect(ctx, by, addr)
-		if !ownLack(err) || time.Now().After(until) || waits.Wait(ctx) != nil {
+		if !isLocalError(err) || time.Now().After(deadline) || backoff.Wait(ctx) != nil {
 			return raw, err
 		}
 	}
 }
 
-// ownLack tells whether a connect failed before anything of it could leave this machine.
-func ownLack(err error) bool {
-	for _, lack := range []error{syscall.EMFILE, syscall.ENFILE, syscall.EADDRNOTAVAIL, syscall.EAGAIN, syscall.ENOBUFS, syscall.ENOMEM,
-		syscall.ENETDOWN, syscall.ENETUNREACH} {
-		if errors.Is(err, lack) {
-			return true
-		}
-	}
-	return false
-}
-
 func (d Dialer) connect(ctx context.Context, by *net.Dialer, addr string) (net.Conn, error) {
 	if d.Connect != nil {
 		return d.Connect(ctx, by, addr)
 	}
 	return by.DialContext(ctx, "tcp", addr)
 }
+
+// isLocalError reports whether a dial failed before anything of it could leave this machine.
+func isLocalError(err error) bool {
+	for _, errno := range []error{syscall.EMFILE, syscall.ENFILE, syscall.EADDRNOTAVAIL, syscall.EAGAIN, syscall.ENOBUFS,
+		syscall.ENOMEM, syscall.ENETDOWN, syscall.ENETUNREACH} {
+		if errors.Is(err, errno) {
+			return true
+		}
+	}
+	return false
+}
