--- a/internal/protocol/session.go
+++ b/internal/protocol/session.go
@@ -24,7 +24,7 @@
 }
 
 // sessionState is what a session waits for.
-type sessionState int
+type sessionState uint8
 
 const (
 	stateOpening          sessionState = iota
@@ -43,17 +43,18 @@
 	openLine     string
 	info         FlowInfo
 	flow         *routing.Flow
-	state        sessionState // changed by transition only
-	lastLineKind string       // of the server's last line
+	lastLineKind string // of the server's last line
 
 	settled    chan struct{} // closed once the connection is established, or never will be
 	clientDone chan struct{} // closed once nothing reads from the client any more
-	isParked   bool          // the reader stopped for the connection to be transferred; known once clientDone is closed
 
 	clientEnded     atomic.Bool // the client ended its side
 	isAnswered      atomic.Bool // the client may speak
 	writeSideClosed atomic.Bool // the server takes no more lines
-	mayHaveRun      bool        // some attempt may have taken effect at a server
+
+	state      sessionState // changed by transition only
+	mayHaveRun bool         // some attempt may have taken effect at a server
+	isParked   bool         // the reader stopped for the connection to be transferred; known once clientDone is closed
 
 	// The frontend's mutex guards these.
 	establishedIndex int           // in frontend.established; -1 once it was removed
--- a/internal/routing/flow.go
+++ b/internal/routing/flow.go
@@ -107,8 +107,7 @@
 // ResumeFlow takes a flow whose connection was open at a server before this balancer's start, and returns the server's
 // address. The decisions get it once OnEstablished reports that the connection is up again.
 func (r *Router) ResumeFlow(request FlowRequest, serverName string) (flow *Flow, addr string, err error) {
-	request.Timeout, request.Flags = 0, 0
-	f, decideRequest, err := r.newFlow(request)
+	f, d, err := r.newFlow(request)
 	if err != nil {
 		return nil, "", err
 	}
@@ -119,9 +118,10 @@
 		return nil, "", fmt.Errorf("unknown server %q", serverName)
 	}
 	f.server = r.servers[id]
+	service, customer, key, group := d.Service, d.Customer, d.Key, d.Group // all that the flow has to hold until then
 	f.adopt = func() {
 		r.flows[f.id] = f
-		r.balancer.AdoptFlow(decideRequest, id)
+		r.balancer.AdoptFlow(decide.FlowRequest{ID: f.id, Service: service, Customer: customer, Key: key, Group: group}, id)
 	}
 	return f, f.server.addr, nil
 }
--- a/internal/testbed/logs/logs.go
+++ b/internal/testbed/logs/logs.go
@@ -32,7 +32,7 @@
 	fields   map[string]string
 }
 
-var field = regexp.MustCompile(`([a-z]+)=("(?:[^"\\]|\\.)*"|\S+)`)
+var field = regexp.MustCompile(`([a-z_]+)=("(?:[^"\\]|\\.)*"|\S+)`)
 
 // Count merges the logs of a folder, one file a balancer, and counts by second since the first line. Lines of another
 // form are passed over; their number is told.
@@ -63,12 +63,12 @@
 		}
 		s, flow, server := &seconds[len(seconds)-1], [2]string{e.balancer, e.fields["flow"]}, e.fields["server"]
 		switch e.kind {
-		case "up":
+		case "flow established":
 			where[flow] = server
 			held[server]++
-		case "ended":
+		case "flow ended":
 			if o, err := strconv.Atoi(e.fields["outcome"]); err == nil && o >= 0 && o <= int(decide.NeverSent) {
-				e.kind = map[string]string{"true": "flow ", "false": "connect "}[e.fields["stood"]] + decide.Outcome(o).String()
+				e.kind = map[string]string{"true": "flow ", "false": "connect "}[e.fields["established"]] + decide.Outcome(o).String()
 			}
 			if at, ok := where[flow]; ok {
 				held[at]--
@@ -83,8 +83,8 @@
 					}
 				}
 			}
-		case "delay note":
-			if d, err := time.ParseDuration(e.fields["takes"]); err == nil {
+		case "latency sampled":
+			if d, err := time.ParseDuration(e.fields["delay_ms"] + "ms"); err == nil {
 				s.Late[server] = max(s.Late[server], d)
 			}
 		}
