--- a/internal/routing/router_test.go
+++ b/internal/routing/router_test.go
@@ -54,6 +54,16 @@
 	return c
 }
 
+// establishFlow has a flow established, with what asks its client to come again.
+func establishFlow(t *testing.T, r *Router, migrate func()) *Flow {
+	t.Helper()
+	f := openFlow(t, r)
+	awaitDecision(t, f)
+	f.OnEstablished()
+	f.OnMigrate(migrate)
+	return f
+}
+
 // One decision after each end of an attempt, and one final answer.
 func TestAwaitDecisionAndOnEnded(t *testing.T) {
 	for _, c := range []struct {
@@ -175,11 +185,8 @@
 // before the wait counts against this balancer.
 func TestUnresponsiveServer(t *testing.T) {
 	r := newRouter(t, true, true, "a")
-	f := openFlow(t, r)
-	awaitDecision(t, f)
-	f.OnEstablished()
 	migrations := 0
-	f.OnMigrate(func() { migrations++ })
+	f := establishFlow(t, r, func() { migrations++ })
 	f.OnRequest()
 	start := f.awaitingSince
 	var reports []time.Duration
@@ -208,11 +215,8 @@
 // A client that vanished sends nothing, and nothing else would ever end its connection.
 func TestVanishedClient(t *testing.T) {
 	r := newRouter(t, true, true, "a")
-	f := openFlow(t, r)
-	awaitDecision(t, f)
-	f.OnEstablished()
 	migrations := 0
-	f.OnMigrate(func() { migrations++ })
+	f := establishFlow(t, r, func() { migrations++ })
 	for _, c := range []struct {
 		after time.Duration
 		want  int
