--- a/internal/testbed/logs/logs.go
+++ b/internal/testbed/logs/logs.go
@@ -4,6 +4,7 @@
 
 import (
 	"bufio"
+	"cmp"
 	"fmt"
 	"io"
 	"io/fs"
@@ -62,13 +63,13 @@
 			seconds = append(seconds, Second{Events: map[string]int{}, Late: map[string]time.Duration{}})
 		}
 		s, flow, server := &seconds[len(seconds)-1], [2]string{e.balancer, e.fields["flow"]}, e.fields["server"]
-		switch e.kind {
-		case "flow established":
+		switch e.kind { // by the words of this build, and of earlier ones
+		case "flow established", "up":
 			where[flow] = server
 			held[server]++
-		case "flow ended":
+		case "flow ended", "ended":
 			if o, err := strconv.Atoi(e.fields["outcome"]); err == nil && o >= 0 && o <= int(decide.NeverSent) {
-				e.kind = map[string]string{"true": "flow ", "false": "connect "}[e.fields["established"]] + decide.Outcome(o).String()
+				e.kind = map[string]string{"true": "flow ", "false": "connect "}[cmp.Or(e.fields["established"], e.fields["stood"])] + decide.Outcome(o).String()
 			}
 			if at, ok := where[flow]; ok {
 				held[at]--
@@ -83,8 +84,8 @@
 					}
 				}
 			}
-		case "latency sampled":
-			if d, err := time.ParseDuration(e.fields["delay_ms"] + "ms"); err == nil {
+		case "latency sampled", "delay note":
+			if d, err := time.ParseDuration(cmp.Or(e.fields["takes"], e.fields["delay_ms"]+"ms")); err == nil {
 				s.Late[server] = max(s.Late[server], d)
 			}
 		}
