--- a/internal/compatibility/testbed_test.go
+++ b/internal/compatibility/testbed_test.go
@@ -90,15 +90,16 @@
 	d.start()
 	d.ready()
 	conn, _ := d.says("OPEN 1 k c=live,d=800,g=one")
-	d.until("the flow is up in the log", func() bool { return strings.Contains(d.log.String(), "msg=up ") })
+	d.until("the flow is up in the log", func() bool { return strings.Contains(d.log.String(), `msg="flow established" `) })
 	_ = conn.Close()
 	d.until("its end is in the log", func() bool {
-		return strings.Contains(d.log.String(), "msg=ended ") && strings.Contains(d.log.String(), "relay ended")
+		return strings.Contains(d.log.String(), `msg="flow ended" `) && strings.Contains(d.log.String(), "relay ended")
 	})
 	for _, call := range []string{"servers/a/offline", "servers/a/online", "out-of-service", "in-service"} {
 		d.call("POST", "/control/"+call)
 	}
-	d.until("the list is known to be lost", func() bool { return strings.Contains(d.log.String(), "server list lost") })
+	d.until("the list is known to be lost", func() bool { return strings.Contains(d.log.String(), "endpoint watch lost") })
+	d.until("the last call is in the log", func() bool { return strings.Count(d.log.String(), "phase=serving") == 2 })
 	log := d.log.String()
 	d.end(syscall.SIGTERM)
 	seen := map[string]bool{}
--- a/internal/daemon/configure.go
+++ b/internal/daemon/configure.go
@@ -114,11 +114,16 @@
 }
 
 func (d *Daemon) newRouter(settings config.Values) *routing.Router {
-	delayLimit := config.MessageDelayLimit(settings)
-	return routing.New(d.seed, delayLimit, d.reportsLoad, d.reportsLatency, d.options.Constraints(settings, d.seed),
-		func(balancer *decide.Balancer) (map[string]decide.ServiceID, map[string]decide.CustomerID) {
+	return routing.New(routing.Config{
+		Seed:                 d.seed,
+		LatencyThreshold:     config.MessageDelayLimit(settings),
+		ServersReportLoad:    d.reportsLoad,
+		ServersReportLatency: d.reportsLatency,
+		Constraints:          d.options.Constraints(settings, d.seed),
+		Configure: func(balancer *decide.Balancer) (map[string]decide.ServiceID, map[string]decide.CustomerID) {
 			return config.ConfigureBalancer(settings, balancer)
-		})
+		},
+	})
 }
 
 // Check tells what keeps a configuration from being served; nil: nothing.
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -20,11 +20,22 @@
 func (closed) AdmitFlow(decide.FlowID) constraints.Reason { return "after hours" }
 
 func newClosedRouter() *routing.Router {
-	return routing.New(1, time.Second, false, false, []constraints.Constraint{closed{}}, func(b *decide.Balancer) (map[string]decide.ServiceID, map[string]decide.CustomerID) {
-		b.ConfigureFlows(1, time.Second)
-		b.AddService(decide.ServiceType{Effect: decide.Idempotent, Deduplication: decide.DeduplicatedByFleet, SetupTarget: time.Second, RetryWindow: time.Second, Value: 1})
-		b.ConfigureSlowStart(decide.SlowStart{InitialCapacity: 1, OverloadMultiple: 1, Balancers: 1})
-		return map[string]decide.ServiceID{"x": 0}, nil
+	return routing.New(routing.Config{
+		Seed:             1,
+		LatencyThreshold: time.Second,
+		Constraints:      []constraints.Constraint{closed{}},
+		Configure: func(balancer *decide.Balancer) (map[string]decide.ServiceID, map[string]decide.CustomerID) {
+			balancer.ConfigureFlows(1, time.Second)
+			balancer.AddService(decide.ServiceType{
+				Effect:        decide.Idempotent,
+				Deduplication: decide.DeduplicatedByFleet,
+				SetupTarget:   time.Second,
+				RetryWindow:   time.Second,
+				Value:         1,
+			})
+			balancer.ConfigureSlowStart(decide.SlowStart{InitialCapacity: 1, OverloadMultiple: 1, Balancers: 1})
+			return map[string]decide.ServiceID{"x": 0}, nil
+		},
 	})
 }
 
@@ -55,7 +66,7 @@
 	if _, err := Listen(t.Context(), path); err == nil {
 		t.Error("a second balancer replaced the socket")
 	}
-	if _, err := router.OpenFlow("abc", "x", "", "", "g", time.Second, 0); err != nil {
+	if _, err := router.OpenFlow(routing.FlowRequest{ClientID: "abc", Service: "x", Group: "g", Timeout: time.Second}); err != nil {
 		t.Fatal(err)
 	}
 	var explanation constraints.Explanation
--- a/internal/handover/state_test.go
+++ b/internal/handover/state_test.go
@@ -52,9 +52,9 @@
 	f.Fuzz(func(_ *testing.T, text []byte) {
 		var s State
 		if json.Unmarshal(text, &s) == nil && s.Validate() == nil {
-			routing.New(1, time.Second, false, false, nil, func(*decide.Balancer) (map[string]decide.ServiceID, map[string]decide.CustomerID) {
-				return nil, nil
-			}).Restore(s.Router) // whatever is valid can be taken over
+			configure := func(*decide.Balancer) (map[string]decide.ServiceID, map[string]decide.CustomerID) { return nil, nil }
+			router := routing.New(routing.Config{Seed: 1, LatencyThreshold: time.Second, Configure: configure})
+			router.Restore(s.Router) // whatever is valid can be taken over
 		}
 	})
 }
