--- a/constraints/actions.go
+++ b/constraints/actions.go
@@ -41,11 +41,8 @@
 	a.actions.Migrate(id)
 }
 
-func (a observedActions) Cancel(id decide.FlowID, attempt int) { a.actions.Cancel(id, attempt) }
-func (a observedActions) HealthCheck(server decide.ServerID)   { a.actions.HealthCheck(server) }
+func (a observedActions) HealthCheck(server decide.ServerID) { a.actions.HealthCheck(server) }
 func (a observedActions) SetTimer(timer decide.TimerID, after time.Duration) {
 	a.actions.SetTimer(timer, after)
 }
 func (a observedActions) WatchEndpoints(on bool) { a.actions.WatchEndpoints(on) }
-func (a observedActions) FetchEndpoints()        { a.actions.FetchEndpoints() }
-func (a observedActions) Log(line string)        { a.actions.Log(line) }
--- a/constraints/balancer_test.go
+++ b/constraints/balancer_test.go
@@ -18,15 +18,12 @@
 func (l *recorder) Connect(f decide.FlowID, s decide.ServerID, _ time.Duration) {
 	l.record("connect %s %d", f, s)
 }
-func (l *recorder) Cancel(decide.FlowID, int)               {}
 func (l *recorder) Reject(f decide.FlowID, d time.Duration) { l.record("reject %s %v", f, d) }
 func (l *recorder) Abort(f decide.FlowID)                   { l.record("abort %s", f) }
 func (l *recorder) Migrate(f decide.FlowID)                 { l.record("move %s", f) }
 func (l *recorder) HealthCheck(decide.ServerID)             {}
 func (l *recorder) SetTimer(decide.TimerID, time.Duration)  {}
 func (l *recorder) WatchEndpoints(bool)                     {}
-func (l *recorder) FetchEndpoints()                         {}
-func (l *recorder) Log(string)                              {}
 
 // objector excludes a server or adds to its cost, rejects all flows, or sets their Retry-After.
 type objector struct {
--- a/constraints/bench_test.go
+++ b/constraints/bench_test.go
@@ -14,15 +14,12 @@
 type mute struct{}
 
 func (mute) Connect(decide.FlowID, decide.ServerID, time.Duration) {}
-func (mute) Cancel(decide.FlowID, int)                             {}
 func (mute) Reject(decide.FlowID, time.Duration)                   {}
 func (mute) Abort(decide.FlowID)                                   {}
 func (mute) Migrate(decide.FlowID)                                 {}
 func (mute) HealthCheck(decide.ServerID)                           {}
 func (mute) SetTimer(decide.TimerID, time.Duration)                {}
 func (mute) WatchEndpoints(bool)                                   {}
-func (mute) FetchEndpoints()                                       {}
-func (mute) Log(string)                                            {}
 
 // BenchmarkDecision is one flow from its arrival to its end, by the number of servers, with and without localities.
 func BenchmarkDecision(b *testing.B) {
--- a/decide/api.go
+++ b/decide/api.go
@@ -108,8 +108,6 @@
 type Actions interface {
 	// Connect starts an attempt, which fails once the time given has passed.
 	Connect(FlowID, ServerID, time.Duration)
-	// Cancel withdraws the attempt of this number.
-	Cancel(FlowID, int)
 	// Reject is a final answer: trying again does no harm, after the time given if it is not 0.
 	Reject(FlowID, time.Duration)
 	// Abort is a final answer that promises nothing.
@@ -122,10 +120,6 @@
 	SetTimer(TimerID, time.Duration)
 	// WatchEndpoints subscribes to changes of the endpoint list, or ends the subscription.
 	WatchEndpoints(bool)
-	// FetchEndpoints asks for the whole endpoint list once.
-	FetchEndpoints()
-	// Log writes a line for operators.
-	Log(string)
 }
 
 // Constraints is what others may say of a flow and a server; a Balancer chooses within it. Each answer is given at
--- a/decide/harness_test.go
+++ b/decide/harness_test.go
@@ -29,7 +29,6 @@
 	s.targets[f] = server
 	s.attemptsTo[server]++
 }
-func (s *harness) Cancel(f FlowID, n int)           { s.record("cancel %s %d", f, n) }
 func (s *harness) Reject(f FlowID, _ time.Duration) { s.record("reject %s", f) }
 func (s *harness) Abort(f FlowID)                   { s.record("abort %s", f) }
 func (s *harness) Migrate(f FlowID)                 { s.record("move %s", f) }
@@ -41,8 +40,6 @@
 	s.timers[m] = d
 }
 func (s *harness) WatchEndpoints(on bool) { s.record("watch %v", on) }
-func (s *harness) FetchEndpoints()        { s.record("fetch") }
-func (s *harness) Log(l string)           { s.record("log %s", l) }
 
 // newHarness returns a balancer with four attempts a flow, one service type and warm servers from 1 on, two in each zone
 // and cell.
--- a/internal/protocol/attempt.go
+++ b/internal/protocol/attempt.go
@@ -25,9 +25,7 @@
 // followDecision waits for one decision and carries it out. It reports whether another one follows.
 func (s *session) followDecision(ctx context.Context) (isUndecided bool) {
 	s.transition(stateAwaitingDecision)
-	attemptContext, cancel := context.WithCancelCause(ctx)
-	defer cancel(nil)
-	decision, err := s.flow.AwaitDecision(attemptContext, func() { cancel(errAttemptCancelled) })
+	decision, err := s.flow.AwaitDecision(ctx)
 	if err != nil { // the client left, its time is over, or this balancer must stop
 		s.flow.Abandon()
 		s.answerUnserved(ctx)
@@ -41,7 +39,7 @@
 		answerError(s.client, errAborted)
 		return false
 	}
-	upLine, outcome := s.attempt(attemptContext, decision.Addr, decision.Deadline)
+	upLine, outcome := s.attempt(ctx, decision.Addr, decision.Deadline)
 	if upLine != "" {
 		s.establish(upLine)
 		return false
--- a/internal/protocol/crossings_test.go
+++ b/internal/protocol/crossings_test.go
@@ -342,7 +342,7 @@
 		t.Fatal(err)
 	}
 	time.Sleep(50 * ms) // past its deadline
-	decision, err := flow.AwaitDecision(t.Context(), nil)
+	decision, err := flow.AwaitDecision(t.Context())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/protocol/discovery.go
+++ b/internal/protocol/discovery.go
@@ -29,7 +29,6 @@
 	applyTime     = 200 * time.Millisecond
 	// agentReopenDelay bounds the wait before a watch is reopened at an agent, which nobody else watches.
 	agentReopenDelay = 100 * time.Millisecond
-	fetchTimeout     = time.Second
 
 	maxHeaderBytes  = 64 << 10
 	readBufferBytes = 4096
@@ -170,8 +169,6 @@
 		d.router.OnWatchLost()
 		select {
 		case <-ctx.Done():
-		case <-d.router.FetchRequests():
-			d.fetch(ctx, url)
 		case <-time.After(delay):
 		}
 	}
@@ -213,25 +210,6 @@
 	return time.Duration(float64(longest) * part)
 }
 
-// fetch brings the complete list once.
-func (d *Discovery) fetch(ctx context.Context, url string) {
-	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
-	defer cancel()
-	if err := d.fetchList(ctx, url); err != nil {
-		slog.Warn("endpoint list fetch failed", "error", fmt.Errorf("discovery at %s: %w", url, err))
-		d.router.OnWatchLost()
-	}
-}
-
-func (d *Discovery) fetchList(ctx context.Context, url string) error {
-	body, err := d.get(ctx, url)
-	if err != nil {
-		return err
-	}
-	defer func() { _ = body.Close() }() // all of it was read, or the error says why not
-	return d.applySingle(ctx, &listReader{from: body, left: maxListBytes}, routing.DeltaUpdate)
-}
-
 // get calls discovery and returns the body of an answer that has a list.
 func (d *Discovery) get(ctx context.Context, url string) (io.ReadCloser, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
--- a/internal/protocol/endpointlist.go
+++ b/internal/protocol/endpointlist.go
@@ -20,14 +20,9 @@
 
 var errNotAnObject = errors.New("not a JSON object")
 
-// applyText applies a text that is one object of discovery.
+// applyText applies a text that is one object of discovery, with nothing behind it.
 func (d *Discovery) applyText(ctx context.Context, text []byte, kind routing.UpdateKind) error {
-	return d.applySingle(ctx, bytes.NewReader(text), kind)
-}
-
-// applySingle applies one object with nothing behind it.
-func (d *Discovery) applySingle(ctx context.Context, from io.Reader, kind routing.UpdateKind) error {
-	objects := json.NewDecoder(from)
+	objects := json.NewDecoder(bytes.NewReader(text))
 	list, err := d.parseList(objects, kind)
 	if err != nil {
 		return err
--- a/internal/protocol/endpointlist_test.go
+++ b/internal/protocol/endpointlist_test.go
@@ -62,7 +62,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			got, err := f.AwaitDecision(t.Context(), nil)
+			got, err := f.AwaitDecision(t.Context())
 			if err != nil || got.Addr != c.wantAddr || d.revision.Load() != c.wantRevision {
 				t.Errorf("goes to %q at revision %d, %v; want %q at %d", got.Addr, d.revision.Load(), err, c.wantAddr, c.wantRevision)
 			}
@@ -87,7 +87,6 @@
 	if _, err := d.watch(t.Context(), agent.URL); err == nil || !strings.Contains(err.Error(), fmt.Sprint(maxListBytes)) {
 		t.Errorf("%v, want it to name the bound of %d bytes", err, maxListBytes)
 	}
-	d.fetch(t.Context(), agent.URL)
 	if _, known := r.IsDisabled("b"); known || d.revision.Load() != 5 {
 		t.Errorf("some of it took effect: b is known %v, revision %d", known, d.revision.Load())
 	}
--- a/internal/protocol/frontend.go
+++ b/internal/protocol/frontend.go
@@ -34,7 +34,6 @@
 	errSpokeBeforeAnswer = errors.New("spoke before its answer")
 	errMayHaveRun        = errors.New("given up")
 	errClientLeft        = errors.New("the client left")
-	errAttemptCancelled  = errors.New("the attempt was cancelled")
 	errNotReestablished  = errors.New("not up")
 	errAborted           = errors.New("no answer")
 )
--- a/internal/protocol/watch.go
+++ b/internal/protocol/watch.go
@@ -31,7 +31,7 @@
 	defer func() { _ = body.Close() }() // the watch ends with an error of its own
 	w.body.from = body
 	w.postponeDeadline()
-	err = w.follow(ctx, listURL)
+	err = w.follow(ctx)
 	return w.silentSince, withCause(ctx, err)
 }
 
@@ -52,7 +52,7 @@
 }
 
 // follow applies one object after another. What a failed one brought is missing then: the next watch brings it again.
-func (w *watchStream) follow(ctx context.Context, listURL string) error {
+func (w *watchStream) follow(ctx context.Context) error {
 	objects := json.NewDecoder(w)
 	for {
 		w.body.left = maxListBytes
@@ -65,11 +65,6 @@
 		if w.objectIsOpen {
 			w.onObjectBegun()
 		}
-		select {
-		case <-w.discovery.router.FetchRequests():
-			w.discovery.fetch(ctx, listURL)
-		default:
-		}
 	}
 }
 
--- a/internal/protocol/watch_test.go
+++ b/internal/protocol/watch_test.go
@@ -127,7 +127,7 @@
 		if err != nil {
 			b.t.Fatal(err)
 		}
-		decision, err := f.AwaitDecision(b.t.Context(), nil)
+		decision, err := f.AwaitDecision(b.t.Context())
 		if err != nil {
 			b.t.Fatal(err)
 		}
--- a/internal/routing/actions.go
+++ b/internal/routing/actions.go
@@ -7,8 +7,8 @@
 	"yardwinch/decide"
 )
 
-// actions is decide.Act: what the decisions have done. Each call comes with the mutex held, and only records what
-// other goroutines then do.
+// actions implements decide.Actions. Each call comes with the router's mutex held, so that it only records what other
+// goroutines then do.
 type actions struct{ router *Router }
 
 // Connect hands a flow the server to connect to.
@@ -20,13 +20,6 @@
 	}
 }
 
-// Cancel cancels a flow's attempt.
-func (a actions) Cancel(id decide.FlowID, _ int) {
-	if f := a.router.flows[id]; f != nil && f.cancelAttempt != nil {
-		f.cancelAttempt()
-	}
-}
-
 // Reject answers a flow that it may retry after a while.
 func (a actions) Reject(id decide.FlowID, after time.Duration) {
 	if f := a.router.flows[id]; f != nil {
@@ -72,9 +65,3 @@
 // WatchEndpoints does nothing: discovery keeps a watch open in any case and reopens one that fails. A second timer for
 // that, set at each failure, would multiply the attempts without bound.
 func (a actions) WatchEndpoints(bool) {}
-
-// FetchEndpoints asks discovery for one complete list.
-func (a actions) FetchEndpoints() { signal(a.router.fetchRequests) }
-
-// Log writes a line of the decisions to the log.
-func (a actions) Log(line string) { slog.Info("decision logged", "detail", line) }
--- a/internal/routing/endpoints.go
+++ b/internal/routing/endpoints.go
@@ -152,6 +152,3 @@
 	defer r.mu.Unlock()
 	r.balancer.BeginEndpoints(decide.FailedUpdate)
 }
-
-// FetchRequests signals that the decisions need the complete endpoint list once.
-func (r *Router) FetchRequests() <-chan struct{} { return r.fetchRequests }
--- a/internal/routing/flow.go
+++ b/internal/routing/flow.go
@@ -54,10 +54,9 @@
 	decisions chan Decision // the one not yet picked up
 
 	// The router's mutex guards all that follows.
-	server        *server
-	attemptAt     time.Duration // when the last attempt began
-	adopt         func()        // hands a resumed flow to the decisions once its connection is established; else nil
-	cancelAttempt func()
+	server    *server
+	attemptAt time.Duration // when the last attempt began
+	adopt     func()        // hands a resumed flow to the decisions once its connection is established; else nil
 
 	isMigrating   bool // its client is to be asked to come again
 	onMigrate     func()
@@ -143,25 +142,24 @@
 	}
 }
 
-// AwaitDecision waits for the next decision. cancel is called if the decisions cancel the attempt.
-func (f *Flow) AwaitDecision(ctx context.Context, cancel func()) (Decision, error) {
+// AwaitDecision waits for the next decision. Its error is the context's.
+func (f *Flow) AwaitDecision(ctx context.Context) (Decision, error) {
 	select {
 	case decision := <-f.decisions: // before the context: where both are ready, the client still gets its answer
-		return f.accept(decision, cancel), nil
+		return f.accept(decision), nil
 	default:
 	}
 	select {
 	case <-ctx.Done():
 		return Decision{}, ctx.Err()
 	case decision := <-f.decisions:
-		return f.accept(decision, cancel), nil
+		return f.accept(decision), nil
 	}
 }
 
-func (f *Flow) accept(decision Decision, cancel func()) Decision {
+func (f *Flow) accept(decision Decision) Decision {
 	f.router.mu.Lock()
 	defer f.router.mu.Unlock()
-	f.cancelAttempt = cancel
 	if decision.Verdict != Connect {
 		slog.Debug("flow answered", "flow", f.id, "verdict", int(decision.Verdict), "retry_after_ms", milliseconds(decision.RetryAfter))
 		delete(f.router.flows, f.id)
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -52,9 +52,8 @@
 
 // Router owns the one instance of the decisions that a balancer has.
 type Router struct {
-	fetchRequests chan struct{}
-	checkPending  chan struct{} // signalled while pendingChecks has entries
-	earlierTimer  chan struct{} // signalled when a timer is set that is due before all others
+	checkPending chan struct{} // signalled while pendingChecks has entries
+	earlierTimer chan struct{} // signalled when a timer is set that is due before all others
 
 	// mu guards all that follows and the decisions themselves. It is never held over I/O.
 	mu          sync.Mutex
@@ -95,9 +94,8 @@
 			awaitingReply:        flowList{linkIndex: awaitingReplyLinks},
 			byLastRequest:        flowList{linkIndex: lastRequestLinks},
 		},
-		earlierTimer:  make(chan struct{}, 1),
-		fetchRequests: make(chan struct{}, 1),
-		checkPending:  make(chan struct{}, 1),
+		earlierTimer: make(chan struct{}, 1),
+		checkPending: make(chan struct{}, 1),
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/routing/router_test.go
+++ b/internal/routing/router_test.go
@@ -47,7 +47,7 @@
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 5*sec)
 	defer cancel()
-	c, err := f.AwaitDecision(ctx, nil)
+	c, err := f.AwaitDecision(ctx)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/simulator/actions.go
+++ b/internal/simulator/actions.go
@@ -2,7 +2,6 @@
 
 import (
 	"strconv"
-	"strings"
 	"time"
 
 	"yardwinch/decide"
@@ -25,10 +24,6 @@
 	in.act(msgConnect + "\t" + string(id) + "\t" + number(server) + "\t" + number(timeout))
 }
 
-func (in *instance) Cancel(id decide.FlowID, attempt int) {
-	in.act(msgCancel + "\t" + string(id) + "\t" + number(attempt))
-}
-
 func (in *instance) Reject(id decide.FlowID, after time.Duration) {
 	in.act(msgReject + "\t" + string(id) + "\t" + number(after))
 }
@@ -56,6 +51,3 @@
 		in.act(msgWatch + "\t0")
 	}
 }
-
-func (in *instance) FetchEndpoints() { in.act(msgFetch) }
-func (in *instance) Log(line string) { in.act(msgLog + "\t" + strings.Map(toPlain, line)) }
--- a/internal/simulator/wire.go
+++ b/internal/simulator/wire.go
@@ -39,21 +39,18 @@
 	msgGossip       = "NEIGHBOUR_SAYS" // gossip, which instances here neither send nor use
 )
 
-// Answers.
+// Answers. The wire has others, for actions that the decisions never take.
 const (
 	msgAnswering = "SPEAKING"       // the actions that follow are of an instance: instance
 	msgAnswered  = "YIELD"          // all actions for the batch are sent
 	msgFault     = "FAULT"          // the decisions failed: what happened
 	msgConnect   = "FORWARD"        // makes an attempt: flow, server, timeout
-	msgCancel    = "RECALL"         // withdraws an attempt: flow, attempt
 	msgReject    = "OVERLOAD_REPLY" // rejects a flow: flow, Retry-After
 	msgAbort     = "DROP_REQUEST"   // aborts a flow: flow
 	msgMigrate   = "SHIFT"          // migrates a flow: flow
 	msgCheck     = "HEALTH_CHECK"   // checks the health of a server: server
 	msgSetTimer  = "TIMER"          // sets a timer: timer, duration
 	msgWatch     = "TAIL"           // watches the endpoint list, or stops: 1 or 0
-	msgFetch     = "REFRESH"        // asks for the whole endpoint list
-	msgLog       = "WRITE_LOG"      // writes a line for operators: line
 )
 
 // Positions of fields.
--- a/internal/testbed/scale/fleet_client.go
+++ b/internal/testbed/scale/fleet_client.go
@@ -101,7 +101,7 @@
 
 func (f *fleet) connect(x *flow, to *backend) *connect {
 	f.connects++
-	c := &connect{id: invariants.Connect(f.connects), number: x.sent, flow: x, server: to, sentAt: f.agenda.now}
+	c := &connect{id: invariants.Connect(f.connects), flow: x, server: to, sentAt: f.agenda.now}
 	x.out = append(x.out, c)
 	return c
 }
--- a/internal/testbed/scale/fleet_instance.go
+++ b/internal/testbed/scale/fleet_instance.go
@@ -40,7 +40,6 @@
 // connect is one connect of a flow, from its sending to its end.
 type connect struct {
 	id     invariants.Connect
-	number int
 	flow   *flow
 	server *backend
 	sentAt time.Duration
@@ -220,18 +219,6 @@
 	f.agenda.after(f.way(b.zone, c.server.zone), c.arrive)
 }
 
-func (b *instance) Cancel(name decide.FlowID, n int) {
-	x := b.flows[name]
-	if x == nil {
-		return
-	}
-	for _, c := range x.out {
-		if c.number == n && !c.stands {
-			b.fleet.agenda.after(0, func() { c.finish(decide.Cancelled) })
-		}
-	}
-}
-
 func (b *instance) Reject(name decide.FlowID, _ time.Duration) {
 	b.fleet.figures.rejected++
 	b.answer(name, invariants.Rejected)
@@ -267,5 +254,3 @@
 
 func (b *instance) HealthCheck(decide.ServerID) {}
 func (b *instance) WatchEndpoints(bool)         {}
-func (b *instance) FetchEndpoints()             {}
-func (b *instance) Log(string)                  {}
--- a/internal/testbed/scale/hollow.go
+++ b/internal/testbed/scale/hollow.go
@@ -170,14 +170,11 @@
 // What the decisions ask for; see decide.Act.
 
 func (h *hollow) Connect(f decide.FlowID, to decide.ServerID, _ time.Duration) { h.asked[f] = to }
-func (h *hollow) Cancel(decide.FlowID, int)                                    {}
 func (h *hollow) Reject(decide.FlowID, time.Duration)                          { h.turned++ }
 func (h *hollow) Abort(decide.FlowID)                                          { h.turned++ }
 func (h *hollow) Migrate(f decide.FlowID)                                      { h.moved = append(h.moved, f) }
 func (h *hollow) HealthCheck(s decide.ServerID)                                { h.probed = append(h.probed, s) }
 func (h *hollow) WatchEndpoints(bool)                                          {}
-func (h *hollow) FetchEndpoints()                                              {}
-func (h *hollow) Log(string)                                                   {}
 func (h *hollow) SetTimer(mark decide.TimerID, in time.Duration) {
 	heap.Push(&h.timers, timer{h.now + in, mark})
 }
--- a/internal/testbed/virtual/act.go
+++ b/internal/testbed/virtual/act.go
@@ -16,7 +16,7 @@
 	}
 	w := dr.w
 	now := w.Agenda.Now()
-	c := &connect{id: w.NextConn(), f: f, n: f.sent, server: s, state: dialing, sentAt: now}
+	c := &connect{id: w.NextConn(), f: f, server: s, state: dialing, sentAt: now}
 	f.sent++
 	f.out = append(f.out, c)
 	dr.conns[c.id] = c
@@ -78,18 +78,6 @@
 	in.answer(f, invariants.Aborted, simulation.Aborted, 0)
 }
 
-func (in *instance) Cancel(name decide.FlowID, n int) {
-	f := in.flow(name)
-	if f == nil {
-		return
-	}
-	for _, c := range f.out {
-		if c.n == n && c.state != standing {
-			in.dr.w.Agenda.After(0, simulation.Message, func() { in.finish(c, decide.Cancelled) })
-		}
-	}
-}
-
 func (in *instance) Migrate(name decide.FlowID) {
 	if f := in.flow(name); f != nil && f.stands != nil {
 		in.dr.Tally.Moves++
@@ -132,5 +120,3 @@
 		}
 	})
 }
-
-func (in *instance) Log(string) {}
--- a/internal/testbed/virtual/list.go
+++ b/internal/testbed/virtual/list.go
@@ -87,5 +87,3 @@
 		}
 	})
 }
-
-func (in *instance) FetchEndpoints() { in.WatchEndpoints(true) }
--- a/internal/testbed/virtual/server.go
+++ b/internal/testbed/virtual/server.go
@@ -21,7 +21,6 @@
 type connect struct {
 	id     simulation.ConnID
 	f      *flow
-	n      int
 	server simulation.ServerID
 	state  connectState
 	sentAt time.Duration
