--- a/cmd/yardwinch/process_test.go
+++ b/cmd/yardwinch/process_test.go
@@ -49,7 +49,8 @@
 	return answer.StatusCode, nil
 }
 
-// awaitAnswer waits until the process answers operators, or ends. isRunning: it has not ended; err is how it ended, or that it didn't answer.
+// awaitAnswer waits until the process answers operators, or ends. isRunning: it has not ended; err is how it
+// ended, or that it didn't answer.
 func (p *process) awaitAnswer(ctx context.Context, adminAddress string) (isRunning bool, err error) {
 	for end := time.Now().Add(testTimeout); time.Now().Before(end); {
 		select {
--- a/cmd/yardwinch/sighup_test.go
+++ b/cmd/yardwinch/sighup_test.go
@@ -16,8 +16,9 @@
 // runLine is the line of the deploy file by which the platform starts the daemon.
 var runLine = regexp.MustCompile(`(?m)^run = "(.*)"$`)
 
-// SIGHUP is sent in series from the first moment in which the process can be told from the shell that starts it. None ends the process, whether
-// or not its configuration can be served. It is started as the platform does, by the deploy file's own line.
+// SIGHUP is sent in series from the first moment in which the process can be told from the shell that starts it.
+// None ends the process, whether or not its configuration can be served. It is started as the platform does, by
+// the deploy file's own line.
 func TestSIGHUPAtStart(t *testing.T) {
 	const starts = 12
 	root := buildDaemon(t)
@@ -61,7 +62,8 @@
 	}
 }
 
-// sendSIGHUPs sends SIGHUP again and again, from when the process runs the daemon, or ignores the signal, until it is stopped.
+// sendSIGHUPs sends SIGHUP again and again, from when the process runs the daemon, or ignores the signal, until it
+// is stopped.
 func (p *process) sendSIGHUPs() (stop func()) {
 	stopping := make(chan struct{})
 	var sending sync.WaitGroup
--- a/constraints/constraints.go
+++ b/constraints/constraints.go
@@ -10,8 +10,8 @@
 	"yardwinch/decide"
 )
 
-// Balancer is an instance of the decisions as a process drives it, with or without constraints. The methods are those of
-// decide.Balancer.
+// Balancer is an instance of the decisions as a process drives it, with or without constraints. The methods are
+// those of decide.Balancer.
 type Balancer interface {
 	SetTime(now time.Duration)
 	OnFlow(decide.FlowRequest)
--- a/constraints/endpoints.go
+++ b/constraints/endpoints.go
@@ -77,7 +77,8 @@
 // Snapshot returns what the decisions know now.
 func (b *ConstrainedBalancer) Snapshot() decide.Snapshot { return b.balancer.Snapshot() }
 
-// Restore continues from the snapshot of another instance. The constraints get its endpoint list and learn the rest anew.
+// Restore continues from the snapshot of another instance. The constraints get its endpoint list and learn the
+// rest anew.
 func (b *ConstrainedBalancer) Restore(snapshot decide.Snapshot) {
 	for _, known := range snapshot.Servers {
 		b.zones[known.ID] = known.Zone
--- a/decide/admission.go
+++ b/decide/admission.go
@@ -90,8 +90,8 @@
 	return n >= sharedFailureSample && share >= sharedFailureShare && b.medianFailures() > 0
 }
 
-// maxConcurrency is this balancer's part of fleetSetupLimit: when all clients reconnect, all balancers connect at once to
-// what all set-ups share.
+// maxConcurrency is this balancer's part of fleetSetupLimit: when all clients reconnect, all balancers connect at
+// once to what all set-ups share.
 func (b *Balancer) maxConcurrency() float64 {
 	return max(1, fleetSetupLimit/float64(b.slowStart.Balancers))
 }
--- a/decide/admission_test.go
+++ b/decide/admission_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// runFailing runs one of 300 balancers that gets a flow every 100 ms and none of whose set-ups succeeds before recoversAt.
-// It returns when attempts were made, and when the first flow was established.
+// runFailing runs one of 300 balancers that gets a flow every 100 ms and none of whose set-ups succeeds before
+// recoversAt. It returns when attempts were made, and when the first flow was established.
 func runFailing(t *testing.T, seed uint64, recoversAt, end time.Duration) (attempts []time.Duration, establishedAt time.Duration) {
 	const every, limit = 100 * ms, 90 * ms
 	s := newHarness(t, Idempotent, DeduplicatedByFleet, 60)
@@ -44,8 +44,9 @@
 	return attempts, establishedAt
 }
 
-// While all set-ups fail, a balancer makes one attempt at a time and seldom, to spare what all set-ups share. One is made
-// every few seconds, so that no balancer rejects everything for 4 s on end, and each soon learns of a recovery.
+// While all set-ups fail, a balancer makes one attempt at a time and seldom, to spare what all set-ups share. One
+// is made every few seconds, so that no balancer rejects everything for 4 s on end, and each soon learns of a
+// recovery.
 func TestForcedAttemptWhileAllSetupsFail(t *testing.T) {
 	const faultEnds = 30 * sec
 	sum := 0
@@ -68,8 +69,8 @@
 	}
 }
 
-// A balancer never rejects all flows for 4 s on end without an attempt, whatever the cause: servers that are unreachable
-// or full, limits, or clients over their customer's quota.
+// A balancer never rejects all flows for 4 s on end without an attempt, whatever the cause: servers that are
+// unreachable or full, limits, or clients over their customer's quota.
 func TestForcedAttemptWhateverRejects(t *testing.T) {
 	const duration, most = 40 * sec, 3900 * ms
 	for _, c := range []struct {
--- a/decide/bookkeeping_test.go
+++ b/decide/bookkeeping_test.go
@@ -244,8 +244,8 @@
 	return skipped, made
 }
 
-// The accounting matches a plain count, and a recheck that is skipped could not have migrated its flow, with short lists
-// and long ones.
+// The accounting matches a plain count, and a recheck that is skipped could not have migrated its flow, with short
+// lists and long ones.
 func TestAccountingMatchesPlainCount(t *testing.T) {
 	skipped, made := 0, 0
 	rapid.Check(t, func(rt *rapid.T) {
--- a/decide/cost_test.go
+++ b/decide/cost_test.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// newFullBalancer returns one balancer of 8,100 that holds so many flows of so many groups, with warm servers in 25 zones.
+// newFullBalancer returns one balancer of 8,100 that holds so many flows of so many groups, with warm servers in
+// 25 zones.
 func newFullBalancer(t *testing.T, servers, flows, groups int) *harness {
 	s := &harness{t: t, targets: map[FlowID]ServerID{}, attemptsTo: map[ServerID]int{}}
 	s.balancer = New(7, s)
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -211,7 +211,8 @@
 		case outcome == Reset:
 			b.onReset(f)
 		case outcome == Full && b.now >= server.ejectedUntil:
-			b.eject(server) // it closes connections to shut down, and would look the least loaded until it is listed as draining
+			// It closes connections to shut down, and would look the least loaded until it is listed as draining.
+			b.eject(server)
 		}
 	}
 	b.transition(f, done)
@@ -250,8 +251,8 @@
 	b.serveQueue()
 }
 
-// mayRepeat reports whether another attempt is allowed: never with one outstanding, and after one that may have run only
-// as the service type allows.
+// mayRepeat reports whether another attempt is allowed: never with one outstanding, and after one that may have
+// run only as the service type allows.
 func (b *Balancer) mayRepeat(f *flow) bool {
 	if f.outstanding != 0 || b.now >= f.deadline {
 		return false
--- a/decide/handover_test.go
+++ b/decide/handover_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// During a handover two processes are one balancer, and a slow-start budget is spent once: by the successor alone while it
-// runs, and if it ends only as far as the budget grows from then on, as what the successor spent is unknown.
+// During a handover two processes are one balancer, and a slow-start budget is spent once: by the successor alone
+// while it runs, and if it ends only as far as the budget grows from then on, as what the successor spent is
+// unknown.
 func TestSlowStartBudgetAcrossHandover(t *testing.T) {
 	offer := func(s *harness, from, to time.Duration) {
 		for at := from; at < to; at += 10 * ms {
@@ -57,8 +58,8 @@
 	}
 }
 
-// A repeat leaves time for a delay between the reading of the clock and the write: none is decided or forwarded in the last
-// 0.15 s of its window.
+// A repeat leaves time for a delay between the reading of the clock and the write: none is decided or forwarded in
+// the last 0.15 s of its window.
 func TestRepeatLeavesTimeForDelayedWrite(t *testing.T) {
 	const window, delayed = 2 * sec, 150 * ms
 	for _, left := range []time.Duration{500 * ms, 200 * ms, 160 * ms, 150 * ms, 100 * ms, ms} {
--- a/decide/harness_test.go
+++ b/decide/harness_test.go
@@ -41,8 +41,8 @@
 }
 func (s *harness) WatchEndpoints(on bool) { s.record("watch %v", on) }
 
-// newHarness returns a balancer with four attempts a flow, one service type and warm servers from 1 on, two in each zone
-// and cell.
+// newHarness returns a balancer with four attempts a flow, one service type and warm servers from 1 on, two in
+// each zone and cell.
 func newHarness(t *testing.T, effect Effect, deduplication DeduplicationScope, servers int) *harness {
 	s := &harness{t: t, targets: map[FlowID]ServerID{}, attemptsTo: map[ServerID]int{}}
 	s.balancer = New(7, s)
--- a/decide/health.go
+++ b/decide/health.go
@@ -137,8 +137,8 @@
 	}
 }
 
-// OnFlowLoad handles a report of a connection's load. It fluctuates too fast for placement, but shows that the server is
-// alive.
+// OnFlowLoad handles a report of a connection's load. It fluctuates too fast for placement, but shows that the
+// server is alive.
 func (b *Balancer) OnFlowLoad(id FlowID) {
 	if f := b.flows.byID[id]; f != nil && f.server != nil {
 		f.server.unreachableInRow = 0
@@ -197,8 +197,8 @@
 	return trend
 }
 
-// isOverloaded reports whether the last latency exceeds a third of the shortest objective. Samples are sent from there on,
-// and one says when it ends.
+// isOverloaded reports whether the last latency exceeds a third of the shortest objective. Samples are sent from
+// there on, and one says when it ends.
 func (b *Balancer) isOverloaded(server *serverState) bool {
 	return server.latency > 0 && b.now-server.latencyAt < latencyMaxAge &&
 		server.latency > b.list.MessageTarget/overloadedFraction
--- a/decide/index.go
+++ b/decide/index.go
@@ -2,9 +2,9 @@
 
 import "slices"
 
-// bucketIndex finds a few servers of many by a hash: the same ones at every balancer that has the same list, and nearly
-// the same at one whose list is a little older. Each server has a bucket by its id; the number of buckets depends on the
-// number of servers alone.
+// bucketIndex finds a few servers of many by a hash: the same ones at every balancer that has the same list, and
+// nearly the same at one whose list is a little older. Each server has a bucket by its id; the number of buckets
+// depends on the number of servers alone.
 type bucketIndex struct {
 	servers []*serverState // by bucket
 	ends    []int          // of each bucket in servers; a power of two of them, each with one or two servers on average
--- a/decide/list_test.go
+++ b/decide/list_test.go
@@ -66,8 +66,8 @@
 	})
 }
 
-// However many polls of the list failed, a change is known within 6 s: a poll under way may miss it and take 2 s to fail,
-// then come the backoff and the next poll.
+// However many polls of the list failed, a change is known within 6 s: a poll under way may miss it and take 2 s
+// to fail, then come the backoff and the next poll.
 func TestPollBackoff(t *testing.T) {
 	const call, knownWithin = 2 * sec, 6 * sec
 	for _, within := range []time.Duration{2 * sec, 10 * sec, 60 * sec} {
--- a/decide/longlist_test.go
+++ b/decide/longlist_test.go
@@ -63,8 +63,8 @@
 	}
 }
 
-// Balancers of which one does not know the last change yet agree on the preferred servers of nearly all groups, which are
-// spread evenly.
+// Balancers of which one does not know the last change yet agree on the preferred servers of nearly all groups,
+// which are spread evenly.
 func TestPreferredServersAgree(t *testing.T) {
 	const servers, groups = 1000, 20_000
 	one, other := newFullBalancer(t, servers, 0, 1), newFullBalancer(t, servers, 0, 1)
--- a/decide/placement.go
+++ b/decide/placement.go
@@ -141,8 +141,8 @@
 	return l.candidates, preferredCount
 }
 
-// allowed reports whether the flow may go to the server now. Silent servers are excluded outright: with all others full,
-// every flow would go there as soon as they return.
+// allowed reports whether the flow may go to the server now. Silent servers are excluded outright: with all others
+// full, every flow would go there as soon as they return.
 func (b *Balancer) allowed(f *flow, server *serverState, against comparison) bool {
 	return server.readiness == Ready && (!server.isSilent() || !b.isEjected(server)) &&
 		b.hasCapacity(f, server, against) && b.permitted(f, server, against)
--- a/decide/random.go
+++ b/decide/random.go
@@ -39,8 +39,8 @@
 	return hash
 }
 
-// rendezvousWeight is the same at every balancer for a group, by its hash, and a server. Multiplied by sizes, the largest
-// one falls on each server in proportion to its size.
+// rendezvousWeight is the same at every balancer for a group, by its hash, and a server. Multiplied by sizes, the
+// largest one falls on each server in proportion to its size.
 func rendezvousWeight(group uint64, id ServerID) float64 {
 	p := seeded(group ^ uint64(id)*goldenRatio)
 	return -1 / math.Log((float64(p.next())+0.5)/(1<<32))
--- a/decide/rechecks.go
+++ b/decide/rechecks.go
@@ -126,8 +126,8 @@
 	}
 }
 
-// migrateAway rechecks a share of a server's flows. Their number is rounded by chance: rounded up, it would be all flows
-// of a server at which each of many balancers holds one.
+// migrateAway rechecks a share of a server's flows. Their number is rounded by chance: rounded up, it would be all
+// flows of a server at which each of many balancers holds one.
 func (b *Balancer) migrateAway(server *serverState, minSaving, share float64, forced bool) {
 	// Smallest groups first: a group costs its server extra work as long as one of its flows is there.
 	here := slices.SortedFunc(slices.Values(server.established), func(one, other *flow) int {
--- a/decide/recorded_test.go
+++ b/decide/recorded_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// recording is a simulated run that answers the actions: attempts succeed, fail or time out by their server, servers are
-// late, drain, restart and vanish, and timers fire.
+// recording is a simulated run that answers the actions: attempts succeed, fail or time out by their server,
+// servers are late, drain, restart and vanish, and timers fire.
 type recording struct {
 	*harness
 	rand        *rand.Rand
--- a/decide/settings.go
+++ b/decide/settings.go
@@ -4,7 +4,8 @@
 
 // The settings that an instance is given before its first event.
 
-// ConfigureFlows sets how many attempts a flow may use, and the longest Retry-After that clients obey; 0: they get none.
+// ConfigureFlows sets how many attempts a flow may use, and the longest Retry-After that clients obey; 0: they get
+// none.
 func (b *Balancer) ConfigureFlows(maxAttempts int, retryAfter time.Duration) {
 	b.flows.maxAttempts = maxAttempts
 	b.flows.retryAfter = retryAfter
--- a/decide/size_test.go
+++ b/decide/size_test.go
@@ -55,8 +55,8 @@
 	t.Logf("%d looks at 64 servers, %d at 1,024", few, all)
 }
 
-// BenchmarkSize is one flow from its arrival to its end, and one tick, at one of 1,024 balancers that holds 200 flows, by
-// the number of servers.
+// BenchmarkSize is one flow from its arrival to its end, and one tick, at one of 1,024 balancers that holds 200
+// flows, by the number of servers.
 func BenchmarkSize(b *testing.B) {
 	const flows = 200
 	for _, servers := range []int{64, 256, 1024} {
--- a/decide/snapshot.go
+++ b/decide/snapshot.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Snapshot is what an instance knows, for another that takes its place: all but flows and their tallies, which stay with
-// the process that holds the connections. All times are on the clock of the instance that took it.
+// Snapshot is what an instance knows, for another that takes its place: all but flows and their tallies, which
+// stay with the process that holds the connections. All times are on the clock of the instance that took it.
 type Snapshot struct {
 	Now              time.Duration    `json:"now"`
 	Servers          []ServerSnapshot `json:"servers"`
--- a/decide/statistics.go
+++ b/decide/statistics.go
@@ -92,8 +92,8 @@
 	return !b.isOverloaded(server) && !isEjected && b.hasSlowStartBudget(server, against)
 }
 
-// isCurrent reports whether a figure computed at that time still counts: for a long list each is computed at most once in
-// a tick.
+// isCurrent reports whether a figure computed at that time still counts: for a long list each is computed at most
+// once in a tick.
 func (b *Balancer) isCurrent(at time.Duration) bool {
 	return b.list.isLong() && at > 0 && b.now-at < tickInterval
 }
--- a/decide/warmup_test.go
+++ b/decide/warmup_test.go
@@ -155,8 +155,8 @@
 	}
 }
 
-// What a flow took of a slow-start budget is refunded once if nothing of it reached the server, whether its client left or
-// it goes elsewhere, and is not if anything did.
+// What a flow took of a slow-start budget is refunded once if nothing of it reached the server, whether its client
+// left or it goes elsewhere, and is not if anything did.
 func TestBudgetOfUnsentAttemptIsRefunded(t *testing.T) {
 	for _, c := range []struct {
 		name       string
--- a/fleet/lease/manager.go
+++ b/fleet/lease/manager.go
@@ -1,8 +1,10 @@
-// Package lease shares out tasks that one balancer can do for all, such as the health checks of a server. It does no I/O and has no clock.
+// Package lease shares out tasks that one balancer can do for all, such as the health checks of a server. It does
+// no I/O and has no clock.
 //
-// Nobody grants a lease: each balancer ranks the members that it sees for each task, the first of them is the preferred holder, and what
-// the holder publishes about its work renews its lease. Views of the members may differ, so that two balancers may hold a task for a while;
-// that costs double work and nothing else, and the epochs settle it.
+// Nobody grants a lease: each balancer ranks the members that it sees for each task, the first of them is the
+// preferred holder, and what the holder publishes about its work renews its lease. Views of the members may
+// differ, so that two balancers may hold a task for a while; that costs double work and nothing else, and the
+// epochs settle it.
 package lease
 
 import (
@@ -20,8 +22,8 @@
 	Epoch uint64
 )
 
-// maxStandbys is how many members stand by for the preferred holder, each one term after the one before it. Views of the members agree
-// again sooner than all standbys are used up.
+// maxStandbys is how many members stand by for the preferred holder, each one term after the one before it. Views
+// of the members agree again sooner than all standbys are used up.
 const maxStandbys = 3
 
 // state is where the lease of a task is, as far as this balancer knows.
@@ -151,7 +153,8 @@
 	m.transition(l, m.stateOfOther(l)) // a preferred holder begins the next epoch when it is asked
 }
 
-// OnSuspended tells that this balancer was suspended. Its leases may have passed to others, so it waits for a term before it does a task.
+// OnSuspended tells that this balancer was suspended. Its leases may have passed to others, so it waits for a term
+// before it does a task.
 func (m *Manager) OnSuspended(now time.Duration) {
 	for _, l := range m.leases {
 		m.transition(l, unsure)
--- a/fleet/lease/manager_test.go
+++ b/fleet/lease/manager_test.go
@@ -114,7 +114,8 @@
 	return f
 }
 
-// run lets time pass in steps. It returns how many steps up to the last one nobody did the task in, and who did it in the last one.
+// run lets time pass in steps. It returns how many steps up to the last one nobody did the task in, and who did it
+// in the last one.
 func (f *faultyFleet) run(steps int, losesMessages bool) (undone int, holders []int) {
 	for range steps {
 		f.now += 500 * time.Millisecond
@@ -166,8 +167,8 @@
 	return true
 }
 
-// Whatever is lost and whoever is down: once messages pass, the task is not left undone for longer than all standbys take, and then one
-// balancer does it.
+// Whatever is lost and whoever is down: once messages pass, the task is not left undone for longer than all
+// standbys take, and then one balancer does it.
 func TestNoTaskIsLost(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFaultyFleet(t)
--- a/fleet/lease/ranking.go
+++ b/fleet/lease/ranking.go
@@ -81,8 +81,8 @@
 	}
 }
 
-// score is the score of weighted rendezvous hashing: the member with the highest one is preferred for the task, and when a member comes or
-// goes only its own tasks move.
+// score is the score of weighted rendezvous hashing: the member with the highest one is preferred for the task,
+// and when a member comes or goes only its own tasks move.
 func score(member Member, task Task) float64 {
 	const fractionBits = 53 // of a float64
 	uniform := (float64(hash(member.Name, task)>>(64-fractionBits)) + 0.5) / (1 << fractionBits)
--- a/fleet/lease/ranking_test.go
+++ b/fleet/lease/ranking_test.go
@@ -28,8 +28,8 @@
 	return holders
 }
 
-// Balancers that see the same members agree on one holder of each task. They have even shares, and a member that goes moves nobody else's
-// tasks.
+// Balancers that see the same members agree on one holder of each task. They have even shares, and a member that
+// goes moves nobody else's tasks.
 func TestOneHolderAndEvenShares(t *testing.T) {
 	var names []Holder
 	for i := range 20 {
--- a/fleet/signals/consensus.go
+++ b/fleet/signals/consensus.go
@@ -31,8 +31,9 @@
 	renewals       int // of the penalty by a single reporter, since it was confirmed
 }
 
-// isConfirmed tells whether enough origins report a fault: at least two, and no fewer than report the server as healthy. So an origin that
-// is wrong or behind a bad link changes nothing, and a fault that only some observe concerns them alone.
+// isConfirmed tells whether enough origins report a fault: at least two, and no fewer than report the server as
+// healthy. So an origin that is wrong or behind a bad link changes nothing, and a fault that only some observe
+// concerns them alone.
 func (c *consensus) isConfirmed() bool { return c.faulty >= minReporters && c.faulty >= c.healthy }
 
 // isRenewable tells whether a penalty that was confirmed before may continue, or begin again, by a single report.
@@ -48,7 +49,8 @@
 	return c.faulty+c.healthy == 0 && c.connections == 0 && now-c.confirmedAt > consensusRetention
 }
 
-// gather brings the reports of all origins together. It does so only now and then, so that decisions need not pay for it.
+// gather brings the reports of all origins together. It does so only now and then, so that decisions need not pay
+// for it.
 func (e *Exchange) gather() {
 	sinceLast := e.now - e.gatheredAt
 	if sinceLast < minGatherInterval || !e.changed && sinceLast < minPublishInterval {
@@ -117,7 +119,8 @@
 	Origins     []Origin        `json:"origins"`
 }
 
-// State is what operators are shown: the servers that are reported as faulty or penalised, and how many origins are known.
+// State is what operators are shown: the servers that are reported as faulty or penalised, and how many origins
+// are known.
 func (e *Exchange) State() any {
 	e.gather()
 	var list []status
--- a/fleet/signals/exchange.go
+++ b/fleet/signals/exchange.go
@@ -10,8 +10,9 @@
 // never is before any other time.
 const never = -time.Hour
 
-// Exchange is one balancer's part in the exchange of signals: it observes servers, publishes what it observes, merges what others publish
-// and penalises servers that enough of them report as faulty. It is a constraints.Constraint. Its methods must not be called concurrently.
+// Exchange is one balancer's part in the exchange of signals: it observes servers, publishes what it observes,
+// merges what others publish and penalises servers that enough of them report as faulty. It is a
+// constraints.Constraint. Its methods must not be called concurrently.
 type Exchange struct {
 	constraints.Unconstrained
 	enabled    bool // false: it publishes and merges, and penalises no server
@@ -60,7 +61,7 @@
 		setupLimit:   config.SetupLimit,
 		ready:        map[decide.ServerID]bool{},
 		observations: map[decide.ServerID]*observation{},
-		store:        NewStore(config.Origin),
+		store:        newStore(config.Origin),
 		servers:      map[decide.ServerID]*consensus{},
 		gatheredAt:   never,
 		own: Record{
@@ -98,8 +99,9 @@
 	}
 }
 
-// Merge takes up a record that another balancer published, and tells whether it is news that is worth passing on. A record under this
-// balancer's own name, from before a restart or from a member of the same name, makes it publish as a later incarnation.
+// Merge takes up a record that another balancer published, and tells whether it is news that is worth passing on.
+// A record under this balancer's own name, from before a restart or from a member of the same name, makes it
+// publish as a later incarnation.
 func (e *Exchange) Merge(record Record) (isNew bool) {
 	if record.Origin == e.own.Origin {
 		if isLater(record, e.own) {
@@ -113,8 +115,9 @@
 	return isNew
 }
 
-// SetReporters names the origins whose reports count from now on: members that are seen alive. So a stranger that sends records under any
-// name has no say, and neither has a member that is gone. Before the first call all reports count.
+// SetReporters names the origins whose reports count from now on: members that are seen alive. So a stranger that
+// sends records under any name has no say, and neither has a member that is gone. Before the first call all
+// reports count.
 func (e *Exchange) SetReporters(alive []Origin) {
 	e.reporters = map[Origin]bool{}
 	for _, origin := range alive {
@@ -122,7 +125,8 @@
 	}
 }
 
-// OnSuspended tells that this process was suspended. Its observations age meanwhile, so only the reports have to be gathered again.
+// OnSuspended tells that this process was suspended. Its observations age meanwhile, so only the reports have to
+// be gathered again.
 func (e *Exchange) OnSuspended() { e.changed = true }
 
 // Records returns what each origin last published, and how long ago it came.
--- a/fleet/signals/full_state.go
+++ b/fleet/signals/full_state.go
@@ -4,8 +4,8 @@
 
 const maxFullState = 100 // records that another member is sent, its sender's own not counted
 
-// FullState is what another member that asks for the full state is sent: this balancer's own record and others', with the ages of now. In
-// a large fleet it is a selection, so that it costs the same in any fleet.
+// FullState is what another member that asks for the full state is sent: this balancer's own record and others',
+// with the ages of now. In a large fleet it is a selection, so that it costs the same in any fleet.
 func (e *Exchange) FullState() []Record {
 	records, ages := e.store.All(e.now)
 	if len(records) > maxFullState {
@@ -21,8 +21,8 @@
 	return records
 }
 
-// selection is the records of a full state in a large fleet: up to a half of them with faults, and others without, beginning at another
-// origin each time.
+// selection is the records of a full state in a large fleet: up to a half of them with faults, and others without,
+// beginning at another origin each time.
 func (e *Exchange) selection(all []Record, allAges []time.Duration) (records []Record, ages []time.Duration) {
 	e.fullStates++
 	first := e.fullStates * maxFullState / 2 % len(all)
--- a/fleet/signals/loads.go
+++ b/fleet/signals/loads.go
@@ -17,13 +17,14 @@
 	at    time.Duration
 }
 
-// ShareLoads has the load reports that this balancer receives itself published to the others. onLoadReport is called for each of them, and
-// returns the epoch of the lease on the server's health checks.
+// ShareLoads has the load reports that this balancer receives itself published to the others. onLoadReport is
+// called for each of them, and returns the epoch of the lease on the server's health checks.
 func (e *Exchange) ShareLoads(onLoadReport func(decide.ServerID, time.Duration) (epoch uint64)) {
 	e.onLoadReport = onLoadReport
 }
 
-// OnLoadReport takes up a server's report of its load. One that another balancer published is not published again as this balancer's own.
+// OnLoadReport takes up a server's report of its load. One that another balancer published is not published again
+// as this balancer's own.
 func (e *Exchange) OnLoadReport(id decide.ServerID, load float64) {
 	if e.onLoadReport == nil || e.isRelaying {
 		return
--- a/fleet/signals/observations.go
+++ b/fleet/signals/observations.go
@@ -45,8 +45,8 @@
 	e.newFlows++
 }
 
-// OnEstablished observes the set-up of a connection and how long it took. A negative time is that of a connection which was established
-// before this process started: its set-up was not observed.
+// OnEstablished observes the set-up of a connection and how long it took. A negative time is that of a connection
+// which was established before this process started: its set-up was not observed.
 func (e *Exchange) OnEstablished(_ decide.FlowID, server decide.ServerID, took time.Duration) {
 	observed := e.observation(server)
 	observed.connections++
@@ -88,7 +88,8 @@
 	e.changed = true
 }
 
-// OnLatencySample observes how long a message took. Samples come while messages are late, and once when they no longer are.
+// OnLatencySample observes how long a message took. Samples come while messages are late, and once when they no
+// longer are.
 func (e *Exchange) OnLatencySample(server decide.ServerID, delay time.Duration) {
 	observed := e.observation(server)
 	if delay > e.delayLimit {
@@ -126,7 +127,8 @@
 	return count, lastAt
 }
 
-// observesHealthy tells whether this balancer itself sees no fault of a server, by connections there or by a set-up a moment ago.
+// observesHealthy tells whether this balancer itself sees no fault of a server, by connections there or by a
+// set-up a moment ago.
 func (e *Exchange) observesHealthy(id decide.ServerID) bool {
 	observed := e.observations[id]
 	if observed == nil {
--- a/fleet/signals/penalty.go
+++ b/fleet/signals/penalty.go
@@ -16,10 +16,11 @@
 	initialPenaltyTime = 5 * time.Second  // after the last report of a fault
 	maxPenaltyTime     = 36 * time.Second // to which the time doubles with each recurrence
 	recurrenceTime     = 2 * maxPenaltyTime
-	maxRenewals        = 3           // of a penalty by a single reporter
-	releaseInterval    = time.Second // between the ends of two balancers' penalties: a later one learns what the earlier one meets
-	minReleaseFleet    = 3           // the size that a smaller fleet counts as for it
-	maxPenalisedPart   = 10          // one in so many servers may be penalised at a time
+	maxRenewals        = 3 // of a penalty by a single reporter
+	// Between the ends of two balancers' penalties: a later one learns what the earlier one meets.
+	releaseInterval  = time.Second
+	minReleaseFleet  = 3  // the size that a smaller fleet counts as for it
+	maxPenalisedPart = 10 // one in so many servers may be penalised at a time
 )
 
 // updatePenalties begins, renews and ends penalties by what is reported now.
@@ -34,7 +35,8 @@
 			delete(e.servers, id)
 		}
 	}
-	// A fault of many servers is not about single ones: avoiding them all would push their load onto the rest and overload it.
+	// A fault of many servers is not about single ones: avoiding them all would push their load onto the rest and
+	// overload it.
 	e.widespread = penalised > max(1, len(e.ready)/maxPenalisedPart)
 }
 
@@ -44,7 +46,8 @@
 	case c.isConfirmed() || recurs && c.isRenewable(e.now):
 		e.penalise(id, c, recurs)
 	case c.healthy >= minReporters && c.faulty == 0:
-		c.penalisedUntil = min(c.penalisedUntil, e.now) // balancers with connections there report that the fault is over
+		// Balancers with connections there report that the fault is over.
+		c.penalisedUntil = min(c.penalisedUntil, e.now)
 	}
 }
 
@@ -64,7 +67,8 @@
 	c.penalisedUntil = e.now + c.penaltyTime + e.releaseDelay(id)
 }
 
-// releaseDelay spreads the ends of all balancers' penalties, so that the first one finds out for all whether the server has recovered.
+// releaseDelay spreads the ends of all balancers' penalties, so that the first one finds out for all whether the
+// server has recovered.
 func (e *Exchange) releaseDelay(id decide.ServerID) time.Duration {
 	fleet := float64(max(e.fleetSize, minReleaseFleet))
 	return time.Duration(releaseShare(e.own.Origin, id) * fleet * float64(releaseInterval))
@@ -78,7 +82,8 @@
 	return float64(hash.Sum32()) / math.MaxUint32
 }
 
-// ServerCost penalises a server that enough origins report as faulty, unless this balancer itself observes it as healthy.
+// ServerCost penalises a server that enough origins report as faulty, unless this balancer itself observes it as
+// healthy.
 func (e *Exchange) ServerCost(_ decide.FlowID, id decide.ServerID) (float64, constraints.Reason) {
 	if !e.enabled {
 		return 0, ""
@@ -91,7 +96,8 @@
 	return penaltyCost, ""
 }
 
-// ExplainCost names the fault for which a server is penalised, with origins that report it; empty where it is not penalised.
+// ExplainCost names the fault for which a server is penalised, with origins that report it; empty where it is not
+// penalised.
 func (e *Exchange) ExplainCost(id decide.ServerID) string {
 	if c := e.servers[id]; c != nil && e.now < c.penalisedUntil {
 		return fmt.Sprintf("%s, say %v", c.worst, c.faultOrigins)
--- a/fleet/signals/penalty_test.go
+++ b/fleet/signals/penalty_test.go
@@ -64,8 +64,8 @@
 	}
 }
 
-// A penalty ends some time after the last report, lasts longer when the fault recurs, and ends at once when two origins that have
-// connections report the server as healthy.
+// A penalty ends some time after the last report, lasts longer when the fault recurs, and ends at once when two
+// origins that have connections report the server as healthy.
 func TestPenaltyTime(t *testing.T) {
 	const step = 50 * time.Millisecond
 	exchange := newExchange("me")
--- a/fleet/signals/publish.go
+++ b/fleet/signals/publish.go
@@ -12,13 +12,14 @@
 const (
 	minPublishInterval = 250 * time.Millisecond // between two records of one origin
 	steadyInterval     = 2 * time.Second        // the same while no fault begins or ends, in a small fleet
-	smallFleet         = 40                     // members; in a larger fleet the interval grows, so that the traffic stays the same
-	republishInterval  = faultValidity / 2      // a fault is published again before its report expires
-	minElapsed         = 0.001                  // seconds, to divide by
+	// Members; in a larger fleet the interval grows, so that the traffic stays the same.
+	smallFleet        = 40
+	republishInterval = faultValidity / 2 // a fault is published again before its report expires
+	minElapsed        = 0.001             // seconds, to divide by
 )
 
-// Publish returns the record to publish now, if one is due in a fleet of the given size: soon after a fault begins or ends, else at an
-// interval that grows with the fleet. A fault that enough others report already is not urgent.
+// Publish returns the record to publish now, if one is due in a fleet of the given size: soon after a fault begins
+// or ends, else at an interval that grows with the fleet. A fault that enough others report already is not urgent.
 func (e *Exchange) Publish(fleet int) (record Record, isDue bool) {
 	e.fleetSize = fleet
 	elapsed := e.now - e.publishedAt
@@ -82,8 +83,8 @@
 	)
 }
 
-// isUrgent tells whether a fault of a server is worth publishing at once: only by some of those who observe it, and only where it is new or
-// what was published of it expires soon.
+// isUrgent tells whether a fault of a server is worth publishing at once: only by some of those who observe it,
+// and only where it is new or what was published of it expires soon.
 func (e *Exchange) isUrgent(id decide.ServerID, wasPublished bool) bool {
 	others := 0
 	if c := e.servers[id]; c != nil {
--- a/fleet/signals/record.go
+++ b/fleet/signals/record.go
@@ -1,7 +1,7 @@
-// Package signals is what balancers publish to each other about servers, and what one balancer decides by it. It does no I/O and has no
-// clock: time comes with the calls. Each origin publishes its whole state, never events, so that the next record makes up for a lost one.
-// Of two records of an origin the later one counts, by incarnation, then by sequence: merging is a join-semilattice, in which order,
-// repeats and loss do not matter.
+// Package signals is what balancers publish to each other about servers, and what one balancer decides by it. It
+// does no I/O and has no clock: time comes with the calls. Each origin publishes its whole state, never events, so
+// that the next record makes up for a lost one. Of two records of an origin the later one counts, by incarnation,
+// then by sequence: merging is a join-semilattice, in which order, repeats and loss do not matter.
 package signals
 
 import (
--- a/fleet/signals/store.go
+++ b/fleet/signals/store.go
@@ -23,8 +23,8 @@
 	at time.Duration
 }
 
-// NewStore makes a store of a balancer that publishes as own.
-func NewStore(own Origin) *Store { return &Store{own: own, records: map[Origin]received{}} }
+// newStore makes a store of a balancer that publishes as own.
+func newStore(own Origin) *Store { return &Store{own: own, records: map[Origin]received{}} }
 
 // Merge stores a record that is later than the stored one of its origin, and tells whether it did.
 func (s *Store) Merge(record Record, now time.Duration) bool {
--- a/fleet/signals/store_test.go
+++ b/fleet/signals/store_test.go
@@ -14,7 +14,8 @@
 		Incarnation: Incarnation(rapid.IntRange(1, 3).Draw(t, "incarnation")),
 		Sequence:    Sequence(rapid.IntRange(1, 4).Draw(t, "sequence")),
 	}
-	r.Build = fmt.Sprint(r.Origin, r.Incarnation, r.Sequence) // records of one origin, incarnation and sequence are equal
+	// Records of one origin, incarnation and sequence are equal.
+	r.Build = fmt.Sprint(r.Origin, r.Incarnation, r.Sequence)
 	return r
 })
 
@@ -26,7 +27,7 @@
 		if len(records) > 0 {
 			permuted = append(permuted, rapid.SliceOfN(rapid.SampledFrom(records), 0, 5).Draw(t, "repeats")...)
 		}
-		one, other := NewStore("me"), NewStore("me")
+		one, other := newStore("me"), newStore("me")
 		for _, record := range records {
 			one.Merge(record, 0)
 		}
--- a/fleet/signals/wire.go
+++ b/fleet/signals/wire.go
@@ -12,8 +12,8 @@
 	"yardwinch/internal/advice"
 )
 
-// Version is the version of the messages. A later build may add keys and kinds, which earlier builds skip; another version means that
-// keys have another meaning, and such a message is rejected as a whole.
+// Version is the version of the messages. A later build may add keys and kinds, which earlier builds skip; another
+// version means that keys have another meaning, and such a message is rejected as a whole.
 const Version = 1
 
 // kindRecord is the kind of a message that is a record.
@@ -53,8 +53,8 @@
 
 var (
 	encoder, _ = cbor.CoreDetEncOptions().EncMode() // the options are valid
-	// An element takes at least a byte, so the size of a message bounds every list in it. A later build may add a byte for each of many
-	// servers.
+	// An element takes at least a byte, so the size of a message bounds every list in it. A later build may add a
+	// byte for each of many servers.
 	decoder, _ = cbor.DecOptions{
 		MaxNestedLevels:  maxNesting,
 		MaxArrayElements: maxRecordBytes,
@@ -88,8 +88,8 @@
 	return &Error{Where: "signals", What: what, Remedy: remedy, Err: cause}
 }
 
-// Encode writes a record as a map with numbers as keys. Where a record does not fit into a datagram, its last reports are left out, which
-// are those of healthy servers.
+// Encode writes a record as a map with numbers as keys. Where a record does not fit into a datagram, its last
+// reports are left out, which are those of healthy servers.
 func Encode(record Record) ([]byte, error) {
 	for part := 1.0; ; part *= shrinkFactor {
 		message, err := encoder.Marshal(fields(record, part))
--- a/fleet/signals/wire_test.go
+++ b/fleet/signals/wire_test.go
@@ -61,7 +61,8 @@
 	}
 }
 
-// Messages of later builds are read as far as they are known, and malformed ones are rejected with what an operator can do.
+// Messages of later builds are read as far as they are known, and malformed ones are rejected with what an
+// operator can do.
 func TestDecode(t *testing.T) {
 	type fields = map[int]any
 	withFields := func(changed fields) []byte {
@@ -114,7 +115,8 @@
 	}
 }
 
-// In a fleet of 1,024 balancers and 1,024 servers all records pass: each as a message, and all in full states, a selection at a time.
+// In a fleet of 1,024 balancers and 1,024 servers all records pass: each as a message, and all in full states, a
+// selection at a time.
 func TestLargeFleet(t *testing.T) {
 	const size = 1024
 	exchange := newExchange("n0")
--- a/internal/admin/listener.go
+++ b/internal/admin/listener.go
@@ -12,8 +12,8 @@
 // acceptRetryPeriod is the pause after an accept that failed.
 const acceptRetryPeriod = 10 * time.Millisecond
 
-// limitedListener limits the open connections: the oldest whose request is not complete is closed for a new one. Those with a complete request
-// are answered soon, and are never closed for it.
+// limitedListener limits the open connections: the oldest whose request is not complete is closed for a new one.
+// Those with a complete request are answered soon, and are never closed for it.
 type limitedListener struct {
 	net.Listener
 
@@ -30,10 +30,12 @@
 type connection struct {
 	net.Conn
 	listener *limitedListener
-	element  *list.Element // in waiting, whose mutex guards it; nil once the request is complete or the connection closed
+	// In waiting, whose mutex guards it; nil once the request is complete or the connection closed.
+	element *list.Element
 }
 
-// Accept waits for the next connection. Only a closed listener ends it: it must survive a lack of descriptors, and a caller that is gone again.
+// Accept waits for the next connection. Only a closed listener ends it: it must survive a lack of descriptors, and
+// a caller that is gone again.
 func (l *limitedListener) Accept() (net.Conn, error) {
 	for {
 		raw, err := l.Listener.Accept()
@@ -81,7 +83,8 @@
 	return c.Conn.Close()
 }
 
-// beginCall notes that a request is complete. admitted: not too many are in flight. The caller calls endCall either way.
+// beginCall notes that a request is complete. admitted: not too many are in flight. The caller calls endCall
+// either way.
 func (l *limitedListener) beginCall(c *connection) (admitted bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -1,5 +1,5 @@
-// Package admin takes the operators' calls on an address of their own: HTTP/1.1, one call to a connection. It decides nothing; each call is
-// one method of Balancer.
+// Package admin takes the operators' calls on an address of their own: HTTP/1.1, one call to a connection. It
+// decides nothing; each call is one method of Balancer.
 package admin
 
 import (
@@ -14,8 +14,8 @@
 )
 
 const (
-	// Descriptors is how many descriptors Serve needs at most: the listener, the connections whose request is not complete, those whose request
-	// is, and one more that is accepted before another is closed.
+	// Descriptors is how many descriptors Serve needs at most: the listener, the connections whose request is not
+	// complete, those whose request is, and one more that is accepted before another is closed.
 	Descriptors = 2*maxConnections + 2
 
 	maxConnections  = 8
@@ -34,7 +34,8 @@
 	errBusy = errors.New("too many calls at once")
 )
 
-// Balancer is what can be called for. A method that returns nil has done it: it is in force. The texts of errors are the answers.
+// Balancer is what can be called for. A method that returns nil has done it: it is in force. The texts of errors
+// are the answers.
 type Balancer interface {
 	Ready() error
 	Offline(ctx context.Context, server string) error
--- a/internal/admin/server_test.go
+++ b/internal/admin/server_test.go
@@ -118,7 +118,8 @@
 				text += " HTTP/1.1\r\nHost: x\r\nContent-Length: 0"
 			}
 			text += "\r\n\r\n"
-			const maxRead = maxHeaderBytes + 4096 // what the server reads at most: bytes left unread would reset the answer
+			// What the server reads at most: bytes left unread would reset the answer.
+			const maxRead = maxHeaderBytes + 4096
 			if len(text) > maxRead {
 				text = text[:maxRead]
 			}
--- a/internal/compatibility/commands_test.go
+++ b/internal/compatibility/commands_test.go
@@ -59,7 +59,8 @@
 	return all.String()
 }
 
-// Deploy files and scripts name commands, flags and variables. The daemon's prose is held, too, as operators read it; the test bed's is not.
+// Deploy files and scripts name commands, flags and variables. The daemon's prose is held, too, as operators read
+// it; the test bed's is not.
 func TestHelp(t *testing.T) {
 	t.Parallel()
 	daemon := helpOf(t, "daemon")
--- a/internal/compatibility/daemon_test.go
+++ b/internal/compatibility/daemon_test.go
@@ -23,7 +23,8 @@
 
 var addresses atomic.Int32
 
-// ownHost is a loopback address that no other test has: a port that was free may be another's near end by the time a daemon listens there.
+// ownHost is a loopback address that no other test has: a port that was free may be another's near end by the time
+// a daemon listens there.
 func ownHost() string {
 	return fmt.Sprintf("127.%d.%d.%d", 160+os.Getpid()/62500%40, 1+os.Getpid()/250%250, 1+(os.Getpid()+int(addresses.Add(1)))%250)
 }
@@ -63,7 +64,8 @@
 func (d *daemon) control() string { return d.host + ":18081" }
 func (d *daemon) gossip() string  { return d.host + ":17946" }
 
-// kept is the path of what the daemon keeps in its folder. The name is part of what an earlier build and a later one agree on.
+// kept is the path of what the daemon keeps in its folder. The name is part of what an earlier build and a later
+// one agree on.
 func (d *daemon) kept(ending string) string {
 	return filepath.Join(d.folder, "yardwinch-"+strings.ReplaceAll(d.clients(), ":", "_")+ending)
 }
--- a/internal/compatibility/days_test.go
+++ b/internal/compatibility/days_test.go
@@ -15,7 +15,8 @@
 	"time"
 )
 
-// day is a made day: how the site is and what goes wrong. The figures are chosen so that each shape of a site comes up once.
+// day is a made day: how the site is and what goes wrong. The figures are chosen so that each shape of a site
+// comes up once.
 type day struct {
 	name      string
 	seconds   int
@@ -338,7 +339,8 @@
 			} else {
 				p.leave(f)
 			}
-			if f.started && p.d.settings["family-info.mode"] == "pass" { // some packets come to the next instance meanwhile
+			// Some packets come to the next instance meanwhile.
+			if f.started && p.d.settings["family-info.mode"] == "pass" {
 				moved := &madeFlow{instance: (i + 1) % p.d.instances, kind: f.kind, customer: f.customer, group: f.group}
 				p.in(p.spread(100*time.Millisecond), moved.instance, func() []string { return p.come(moved, 1|8) })
 			}
--- a/internal/compatibility/gossip_test.go
+++ b/internal/compatibility/gossip_test.go
@@ -63,7 +63,8 @@
 		to := cbor.NewEncoder(in)
 		beat := time.NewTicker(beatEvery)
 		defer beat.Stop()
-		_ = to.Encode(append([]any{frameStart, name, "prod", bind, bind}, seeds...)) // an engine that is gone is seen by whoever reads
+		// An engine that is gone is seen by whoever reads.
+		_ = to.Encode(append([]any{frameStart, name, "prod", bind, bind}, seeds...))
 		for {
 			select {
 			case <-over:
--- a/internal/compatibility/handover_test.go
+++ b/internal/compatibility/handover_test.go
@@ -13,7 +13,8 @@
 	"time"
 )
 
-// Who is out by hand was written by an earlier build that was killed: this one reads it, and writes the same bytes under the same name.
+// Who is out by hand was written by an earlier build that was killed: this one reads it, and writes the same bytes
+// under the same name.
 func TestOutByHandOfAnEarlierBuild(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct{ name, file string }{
@@ -188,7 +189,8 @@
 	return &peerProcess{d.t, conn.(*net.UnixConn)}
 }
 
-// A process of an earlier build takes over from this one: questions and answers have their names, and the state its keys.
+// A process of an earlier build takes over from this one: questions and answers have their names, and the state
+// its keys.
 func TestSuccessorOfAnEarlierBuild(t *testing.T) {
 	t.Parallel()
 	d := newDaemon(t, echo(t))
--- a/internal/compatibility/main_test.go
+++ b/internal/compatibility/main_test.go
@@ -13,8 +13,8 @@
 	"testing"
 )
 
-// sources says where each command's main package is, from the root of the module. Golden files know commands by the names on the left,
-// which stay; a renaming changes the right side only.
+// sources says where each command's main package is, from the root of the module. Golden files know commands by
+// the names on the left, which stay; a renaming changes the right side only.
 var sources = map[string]string{
 	"wirehost": "./cmd/wirehost",
 	"daemon":   "./cmd/yardwinch",
--- a/internal/compatibility/passed_test.go
+++ b/internal/compatibility/passed_test.go
@@ -9,7 +9,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// A state that a process of an earlier build handed over is read whole, and written with the same keys in the same order.
+// A state that a process of an earlier build handed over is read whole, and written with the same keys in the same
+// order.
 func TestStateIsTheSameThere(t *testing.T) {
 	for _, file := range []string{"handover/state.json", "handover/state-full.json"} {
 		t.Run(file, func(t *testing.T) {
@@ -47,8 +48,8 @@
 	golden(t, "handover/refused.txt", all.String())
 }
 
-// records are messages of balancers as the build before the renaming sent them, with what that build made of them. They are written here as
-// the maps of numbers that they are, so that no name of the module stands for a key.
+// records are messages of balancers as the build before the renaming sent them, with what that build made of them.
+// They are written here as the maps of numbers that they are, so that no name of the module stands for a key.
 var records = []struct {
 	name    string
 	message any
--- a/internal/compatibility/reach_test.go
+++ b/internal/compatibility/reach_test.go
@@ -10,7 +10,8 @@
 	"yardwinch/internal/testbed/fleet"
 )
 
-// All of the module's own names that these tests use are in this file: a renaming touches it and nothing else of the package.
+// All of the module's own names that these tests use are in this file: a renaming touches it and nothing else of
+// the package.
 
 // throughState takes a state over as a successor does, and gives it as a predecessor would.
 func throughState(text []byte) ([]byte, error) {
--- a/internal/compatibility/tags_test.go
+++ b/internal/compatibility/tags_test.go
@@ -13,8 +13,8 @@
 	"testing"
 )
 
-// Keys of JSON stand in tags all over the module, many of reports that no other test reads. Wherever the structs move, each key stays, as
-// often as it was; new ones may come.
+// Keys of JSON stand in tags all over the module, many of reports that no other test reads. Wherever the structs
+// move, each key stays, as often as it was; new ones may come.
 func TestTagsStay(t *testing.T) {
 	tags := map[string]int{}
 	err := filepath.WalkDir(moduleRoot, func(path string, entry fs.DirEntry, err error) error {
--- a/internal/compatibility/testbed_test.go
+++ b/internal/compatibility/testbed_test.go
@@ -11,7 +11,8 @@
 	"testing"
 )
 
-// Experiment files of the build before the renaming play the same days: whatever is judged afterwards is compared with figures from before.
+// Experiment files of the build before the renaming play the same days: whatever is judged afterwards is compared
+// with figures from before.
 func TestExperimentsOfAnEarlierBuild(t *testing.T) {
 	files, err := filepath.Glob("testdata/experiments/*.toml")
 	if err != nil || len(files) == 0 {
--- a/internal/compatibility/wire_test.go
+++ b/internal/compatibility/wire_test.go
@@ -11,8 +11,9 @@
 	"testing"
 )
 
-// The simulator's wire byte for byte: made days were played against the build before the renaming, and what went in must bring out what
-// came out then. Anything that changes a decision, its order, a random draw or the form of a line shows here.
+// The simulator's wire byte for byte: made days were played against the build before the renaming, and what went
+// in must bring out what came out then. Anything that changes a decision, its order, a random draw or the form of
+// a line shows here.
 func TestWireDays(t *testing.T) {
 	for _, d := range days {
 		t.Run(d.name, func(t *testing.T) {
--- a/internal/config/balancer.go
+++ b/internal/config/balancer.go
@@ -25,8 +25,8 @@
 	defaultOverloadWindow = 1500 * time.Millisecond
 )
 
-// ConfigureBalancer configures the decisions and returns the ids of service types and customers by name. The simulator's wire and the
-// real balancer both use it, so that they decide alike.
+// ConfigureBalancer configures the decisions and returns the ids of service types and customers by name. The
+// simulator's wire and the real balancer both use it, so that they decide alike.
 func ConfigureBalancer(settings Values, b *decide.Balancer) (map[string]decide.ServiceID, map[string]decide.CustomerID) {
 	b.ConfigureFlows(int(settings.Float(keyMaxConnects, 1)), RetryAfter(settings))
 	services := addServiceTypes(settings, b)
@@ -68,10 +68,11 @@
 	return ids
 }
 
-// addCustomers adds the customers with their connection quotas, which bind only where connections beyond them are worth less.
+// addCustomers adds the customers with their connection quotas, which bind only where connections beyond them are
+// worth less.
 func addCustomers(settings Values, b *decide.Balancer) map[string]decide.CustomerID {
 	ids := map[string]decide.CustomerID{}
-	quotas := settings.Floats(keyConnectionQuotas)
+	quotas := settings.floats(keyConnectionQuotas)
 	for i, customer := range settings.items(keyCustomers) {
 		ids[customer.required(keyCustomerName)] = decide.CustomerID(i)
 		quota := 0.0
@@ -83,8 +84,8 @@
 	return ids
 }
 
-// checkNines checks the weight that availability targets have in the platform's valuation. No decision depends on them; they are read
-// so that a faulty value is reported.
+// checkNines checks the weight that availability targets have in the platform's valuation. No decision depends on
+// them; they are read so that a faulty value is reported.
 func checkNines(settings Values) {
 	weight := settings.Float(keyNinesWeight, 0)
 	full := settings.Float(keyFullNines, 0)
@@ -122,10 +123,10 @@
 	return shortest
 }
 
-// MessageTarget is the shortest latency objective for messages of all service types. A type without one has that of its set-ups; a
-// single one is for all types.
+// MessageTarget is the shortest latency objective for messages of all service types. A type without one has that
+// of its set-ups; a single one is for all types.
 func MessageTarget(settings Values) (shortest time.Duration) {
-	targets := settings.Floats(keyMessageTargets)
+	targets := settings.floats(keyMessageTargets)
 	for i, service := range settings.items(keyServiceTypes) {
 		target := service.Duration(keySetupTarget)
 		switch {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -135,7 +135,7 @@
 
 // Readers see no difference between the wire's flat pairs and nested JSON.
 func TestFlatten(t *testing.T) {
-	values, err := FromJSON([]byte(`{"a":{"b":[1,null,"x"],"c":true},"d":[{"e":1.50},{"e":12345678901234567890}],"f":null,"g":[]}`))
+	values, err := fromJSON([]byte(`{"a":{"b":[1,null,"x"],"c":true},"d":[{"e":1.50},{"e":12345678901234567890}],"f":null,"g":[]}`))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -187,7 +187,7 @@
 			{"name":"a","setup-target":1}],"tenants":[{"name":"null"},{"name":"true"}]}`, 1, "0 A a null"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			settings, err := FromJSON([]byte(c.text))
+			settings, err := fromJSON([]byte(c.text))
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/config/json.go
+++ b/internal/config/json.go
@@ -8,14 +8,15 @@
 	"strings"
 )
 
-// FromJSON flattens an object: a list of plain values is joined with commas, a list of objects becomes .count and .0, .1 and so on.
-func FromJSON(text []byte) (Values, error) {
+// fromJSON flattens an object: a list of plain values is joined with commas, a list of objects becomes .count and
+// .0, .1 and so on.
+func fromJSON(text []byte) (Values, error) {
 	values, _, err := fromJSONWithout(text, "")
 	return values, err
 }
 
-// fromJSONWithout flattens an object except one part, which it returns as it is: a flattened endpoint list would cost more memory than
-// everything else.
+// fromJSONWithout flattens an object except one part, which it returns as it is: a flattened endpoint list would
+// cost more memory than everything else.
 func fromJSONWithout(text []byte, name string) (Values, []byte, error) {
 	var top map[string]json.RawMessage
 	if err := json.Unmarshal(text, &top); err != nil {
--- a/internal/config/load_report.go
+++ b/internal/config/load_report.go
@@ -13,11 +13,12 @@
 // knownColumns are the columns that a load report may have.
 var knownColumns = []string{"outstanding", "backlog", "utilization", "recent_ms", "throughput", "errors_per_s", loadColumn, "x1"}
 
-// needsHealthCheck tells of each way in which servers report their load whether it takes a health check to get a report.
+// needsHealthCheck tells of each way in which servers report their load whether it takes a health check to get a
+// report.
 var needsHealthCheck = map[string]bool{"pull": true, "piggyback": false, "silent": false}
 
-// HealthChecksEnabled tells whether health checks are allowed and bring the load. Where the columns of reports are not stated, the load
-// may be among them.
+// HealthChecksEnabled tells whether health checks are allowed and bring the load. Where the columns of reports are
+// not stated, the load may be among them.
 func HealthChecksEnabled(settings Values) bool {
 	pulled := enum(settings, keyReportingMode, needsHealthCheck, false)
 	columns := settings.list(keyReportColumns)
@@ -36,9 +37,10 @@
 	return settings.Bool(keyServersReportLoad), settings.Bool(keyServersReportDelay)
 }
 
-// ParseLoadReport extracts a server's load over its capacity from a load report, both from the simulator's wire and from a socket. The
-// separators of pairs on sockets are not specified, so the usual ones are all accepted. A value that is cut off, not a number, negative,
-// infinite or present twice counts as absent: a server must not move flows by an impossible value.
+// ParseLoadReport extracts a server's load over its capacity from a load report, both from the simulator's wire
+// and from a socket. The separators of pairs on sockets are not specified, so the usual ones are all accepted. A
+// value that is cut off, not a number, negative, infinite or present twice counts as absent: a server must not
+// move flows by an impossible value.
 func ParseLoadReport(report string) (load float64, ok bool) {
 	occurrences := 0
 	for _, pair := range strings.FieldsFunc(report, isPairSeparator) {
--- a/internal/config/migrate.go
+++ b/internal/config/migrate.go
@@ -7,10 +7,10 @@
 	"slices"
 )
 
-// Migrate combines an old configuration with a shape: the part of a configuration that describes another place. It returns the new
-// configuration and lines that say what became of each key and why, sorted. What neither file states is not stated. An old file that has
-// the new shape already comes out byte for byte alike, with unchanged true. Errors name the file and the key; the names of the files are
-// for these alone.
+// Migrate combines an old configuration with a shape: the part of a configuration that describes another place. It
+// returns the new configuration and lines that say what became of each key and why, sorted. What neither file
+// states is not stated. An old file that has the new shape already comes out byte for byte alike, with unchanged
+// true. Errors name the file and the key; the names of the files are for these alone.
 func Migrate(oldName, shapeName string, old, shape []byte) (text []byte, lines []string, unchanged bool, err error) {
 	from, err := readLeaves(old)
 	if err != nil {
@@ -50,7 +50,8 @@
 	return nil
 }
 
-// checkItems refuses unknown keys in the objects of a list. Anything but a list of objects passes: it is found when the result is read.
+// checkItems refuses unknown keys in the objects of a list. Anything but a list of objects passes: it is found
+// when the result is read.
 func checkItems(key string, value any) error {
 	list, _ := value.([]any)
 	for i, element := range list {
--- a/internal/config/migrate_json.go
+++ b/internal/config/migrate_json.go
@@ -14,8 +14,8 @@
 
 func sortedKeys(object map[string]any) []string { return slices.Sorted(maps.Keys(object)) }
 
-// readLeaves reads an object into its values by dotted key; a list is one value. Unlike the usual decoding it refuses a key that is
-// present twice, as one of the two values would be lost.
+// readLeaves reads an object into its values by dotted key; a list is one value. Unlike the usual decoding it
+// refuses a key that is present twice, as one of the two values would be lost.
 func readLeaves(text []byte) (map[string]any, error) {
 	if len(bytes.TrimSpace(text)) == 0 {
 		return nil, errors.New("is empty")
--- a/internal/config/migrate_keys.go
+++ b/internal/config/migrate_keys.go
@@ -11,7 +11,8 @@
 	alwaysDropped                    // of the old fleet: dropped, and refused in a shape
 )
 
-// dispositions has every key that a configuration may hold. Any other key is unknown: refused in a shape, dropped from an old file.
+// dispositions has every key that a configuration may hold. Any other key is unknown: refused in a shape, dropped
+// from an old file.
 var dispositions = indexDispositions()
 
 // reasons says why a key is dropped.
--- a/internal/config/options.go
+++ b/internal/config/options.go
@@ -25,7 +25,8 @@
 	signals *signals.Exchange // made by EnableSignals
 }
 
-// ReadOptions reads the options file; an empty path stands for no options. An error names the file, the line and the key.
+// ReadOptions reads the options file; an empty path stands for no options. An error names the file, the line and
+// the key.
 func ReadOptions(path string) (*Options, error) {
 	if path == "" {
 		return &Options{}, nil
@@ -92,8 +93,8 @@
 // Signals is the exchange with other balancers; nil before EnableSignals.
 func (o *Options) Signals() *signals.Exchange { return o.signals }
 
-// EnableSignals makes the exchange with other balancers; the file must name peers. It publishes the build and the digest of the settings;
-// the incarnation tells this start of the process from earlier ones.
+// EnableSignals makes the exchange with other balancers; the file must name peers. It publishes the build and the
+// digest of the settings; the incarnation tells this start of the process from earlier ones.
 func (o *Options) EnableSignals(settings Values, build, settingsDigest string, incarnation uint64) {
 	o.signals = signals.New(signals.Config{
 		Origin:      signals.Origin(o.peers.Name),
@@ -106,7 +107,8 @@
 	})
 }
 
-// Constraints are those that the file enables, in the order in which they are evaluated; seed starts their random generators.
+// Constraints are those that the file enables, in the order in which they are evaluated; seed starts their random
+// generators.
 func (o *Options) Constraints(settings Values, seed uint64) (list []constraints.Constraint) {
 	if o.locality != nil {
 		o.policy = o.locality.NewPolicy(settings, seed)
@@ -118,7 +120,8 @@
 	return list
 }
 
-// Apply takes up the parts of newer options that may change at run time, and names the changed keys that need a restart.
+// Apply takes up the parts of newer options that may change at run time, and names the changed keys that need a
+// restart.
 func (o *Options) Apply(newer *Options, settings Values) (restartKeys []string) {
 	switch {
 	case (o.locality == nil) != (newer.locality == nil):
--- a/internal/config/peers.go
+++ b/internal/config/peers.go
@@ -47,7 +47,8 @@
 	return name
 }
 
-// readPeerAddress reads an address that other balancers can reach; a default that is not valid stands for a required key.
+// readPeerAddress reads an address that other balancers can reach; a default that is not valid stands for a
+// required key.
 func readPeerAddress(table strict.Table, key string, absent netip.AddrPort) netip.AddrPort {
 	text := table.String(key, "")
 	if text == "" && absent.IsValid() {
--- a/internal/config/process.go
+++ b/internal/config/process.go
@@ -32,8 +32,8 @@
 	bytesPerMebibyte = 1 << 20
 )
 
-// Load reads the configuration file and returns its values and the raw endpoint list in it. env looks up variables of the environment,
-// which stand in for names and addresses that the file leaves out.
+// Load reads the configuration file and returns its values and the raw endpoint list in it. env looks up variables
+// of the environment, which stand in for names and addresses that the file leaves out.
 func Load(path string, env func(string) string) (Values, []byte, error) {
 	if path == "" {
 		return Values{}, nil, errors.New("PROXY_CONFIG: is missing")
@@ -59,8 +59,8 @@
 	return values, endpoints, nil
 }
 
-// Keys whose change needs no restart: a running balancer takes up a reloadable one, and one that counts at the start alone has another
-// value at each start, so that a change of it means nothing.
+// Keys whose change needs no restart: a running balancer takes up a reloadable one, and one that counts at the
+// start alone has another value at each start, so that a change of it means nothing.
 var reloadableKeys, startOnlyKeys = []string{keyDiscovery}, []string{keySeed}
 
 // ChangedKeys names the keys that differ in a newer configuration and need a restart, sorted.
--- a/internal/config/values.go
+++ b/internal/config/values.go
@@ -1,5 +1,6 @@
-// Package config reads, checks and defaults everything that a balancer is configured with: the configuration of the platform and the
-// operators' options file. It is the edge where the names of settings and options, which are fixed, are mapped to the terms of the code.
+// Package config reads, checks and defaults everything that a balancer is configured with: the configuration of
+// the platform and the operators' options file. It is the edge where the names of settings and options, which are
+// fixed, are mapped to the terms of the code.
 package config
 
 import (
@@ -13,8 +14,8 @@
 	"time"
 )
 
-// Values are settings as dotted paths to plain texts. A reader of a faulty value returns its default and the first fault is kept, so that
-// callers check Err once, after reading everything.
+// Values are settings as dotted paths to plain texts. A reader of a faulty value returns its default and the first
+// fault is kept, so that callers check Err once, after reading everything.
 type Values struct {
 	byPath map[string]string
 	prefix string // of every path that is read
@@ -62,7 +63,8 @@
 	}
 }
 
-// String is the value at a path. An empty value and "-", which the simulator's wire has for one that isn't stated, count as absent.
+// String is the value at a path. An empty value and "-", which the simulator's wire has for one that isn't stated,
+// count as absent.
 func (v Values) String(path, absent string) string {
 	if text := v.byPath[v.prefix+path]; text != "" && text != "-" {
 		return text
@@ -111,8 +113,8 @@
 
 var booleans = map[string]bool{"true": true, "1": true, "false": false, "0": false}
 
-// Floats is a list of numbers; an item that is not stated is 0.
-func (v Values) Floats(path string) (numbers []float64) {
+// floats is a list of numbers; an item that is not stated is 0.
+func (v Values) floats(path string) (numbers []float64) {
 	for _, text := range v.list(path) {
 		if text == "null" || text == "-" || text == "" {
 			numbers = append(numbers, 0)
--- a/internal/daemon/admin_calls.go
+++ b/internal/daemon/admin_calls.go
@@ -52,7 +52,8 @@
 	return c.daemon.requestChange(ctx, handover.Change{Kind: handover.InService})
 }
 
-// requestChange has a change decided by the process that serves, this one or its successor, and returns when both have made it.
+// requestChange has a change decided by the process that serves, this one or its successor, and returns when both
+// have made it.
 func (d *Daemon) requestChange(ctx context.Context, change handover.Change) error {
 	ctx, done := context.WithTimeout(ctx, callTimeout)
 	defer done()
@@ -101,8 +102,8 @@
 	return err
 }
 
-// decideChange makes a change in this process, which serves, and notifies the predecessor of it. The caller holds changing; it may let go of
-// it while it waits for the predecessor with awaitNotified.
+// decideChange makes a change in this process, which serves, and notifies the predecessor of it. The caller holds
+// changing; it may let go of it while it waits for the predecessor with awaitNotified.
 func (d *Daemon) decideChange(ctx context.Context, change handover.Change) (notified *handover.PendingReply, err error) {
 	switch change.Kind {
 	case handover.Offline, handover.Online:
@@ -144,7 +145,8 @@
 	return nil
 }
 
-// setDisabled disables or enables a server. That is in force at once, whether or not it can be saved; the caller awaits the save.
+// setDisabled disables or enables a server. That is in force at once, whether or not it can be saved; the caller
+// awaits the save.
 func (d *Daemon) setDisabled(server string, disabled bool) error {
 	before, known := d.router.IsDisabled(server)
 	if !known {
--- a/internal/daemon/admin_calls_test.go
+++ b/internal/daemon/admin_calls_test.go
@@ -11,8 +11,9 @@
 	"yardwinch/internal/admin"
 )
 
-// Out of service, PING is answered BUSY at once, clients that still come are served and migrated, and later ones get a Retry-After. Back in
-// service, all is as before, also where the drain was called off. A balancer out of service remains so while it shuts down.
+// Out of service, PING is answered BUSY at once, clients that still come are served and migrated, and later ones
+// get a Retry-After. Back in service, all is as before, also where the drain was called off. A balancer out of
+// service remains so while it shuts down.
 func TestOutOfServiceDrains(t *testing.T) {
 	const allowed = 4 * time.Second
 	h := newHarness(t).start(os.Getenv)
--- a/internal/daemon/build.go
+++ b/internal/daemon/build.go
@@ -36,7 +36,8 @@
 	return revision + modified
 }
 
-// settingsDigest identifies the settings of a balancer, so that balancers with other ones show. What each has of its own is left out.
+// settingsDigest identifies the settings of a balancer, so that balancers with other ones show. What each has of
+// its own is left out.
 func settingsDigest(settings config.Values, sharedOptions string) string {
 	digest := xxhash.New()
 	settings.Each(func(key, value string) {
--- a/internal/daemon/configure.go
+++ b/internal/daemon/configure.go
@@ -27,8 +27,8 @@
 	Environment func(name string) string // as os.Getenv
 }
 
-// configuration is what a process was configured with as it started. A reload applies to options, and to the parts that it concerns; for
-// all else a restart is needed.
+// configuration is what a process was configured with as it started. A reload applies to options, and to the parts
+// that it concerns; for all else a restart is needed.
 type configuration struct {
 	source Source
 
@@ -99,7 +99,8 @@
 	return nil
 }
 
-// readConfiguration reads what the process itself needs of a configuration. The order matters: of several faults the first is reported.
+// readConfiguration reads what the process itself needs of a configuration. The order matters: of several faults
+// the first is reported.
 func (d *Daemon) readConfiguration(values, settings config.Values) {
 	d.values = values
 	d.listenAddress = values.Addr("listen")
--- a/internal/daemon/consecutive_upgrades_test.go
+++ b/internal/daemon/consecutive_upgrades_test.go
@@ -72,8 +72,8 @@
 	}
 }
 
-// Upgrades in a row, with clients that talk all the time and others that come and go: none is rejected, and none that is established notices
-// anything.
+// Upgrades in a row, with clients that talk all the time and others that come and go: none is rejected, and none
+// that is established notices anything.
 func TestConsecutiveUpgrades(t *testing.T) {
 	const upgrades, talkers = 20, 30
 	environment := directoryEnvironment(t)
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,4 +1,5 @@
-// Package daemon is the balancer as a process: it loads a configuration, serves, reloads, hands over to a successor, and shuts down.
+// Package daemon is the balancer as a process: it loads a configuration, serves, reloads, hands over to a
+// successor, and shuts down.
 package daemon
 
 import (
@@ -21,7 +22,8 @@
 )
 
 const (
-	// memoryGoalShare is the part of the memory limit at which the garbage collector aims: stacks and the kernel's buffers come on top.
+	// memoryGoalShare is the part of the memory limit at which the garbage collector aims: stacks and the kernel's
+	// buffers come on top.
 	memoryGoalShare = 0.75
 
 	connectionCheckInterval = 5 * time.Millisecond
@@ -49,7 +51,8 @@
 	goroutines sync.WaitGroup // all that Serve starts, and waits for at its end
 	relisten   chan struct{}  // receives once the socket for a successor belongs to another process
 
-	// changing serialises operators' changes, and excludes them while the state is handed over. It guards the fields below.
+	// changing serialises operators' changes, and excludes them while the state is handed over. It guards the
+	// fields below.
 	changing    sync.Mutex
 	predecessor *handover.Link // nil: there is none, or it has ended
 	successor   *handover.Link // nil: none has taken over
@@ -71,8 +74,8 @@
 func (e configurationError) Unwrap() error        { return e.cause }
 func (e configurationError) Is(target error) bool { return target == ErrConfiguration }
 
-// Run is the process from its start to its end: SIGTERM, SIGINT and the end of the context shut it down, SIGHUP reloads the
-// configuration. A configuration that can't be served is ErrConfiguration.
+// Run is the process from its start to its end: SIGTERM, SIGINT and the end of the context shut it down, SIGHUP
+// reloads the configuration. A configuration that can't be served is ErrConfiguration.
 func Run(ctx context.Context, source Source) error {
 	stop, cancel := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 	defer cancel()
@@ -86,8 +89,9 @@
 	return d.Serve(stop, reloads)
 }
 
-// Serve runs until stop ends, then shuts down: it migrates all clients, and returns once none is left or their time is over. Each value of
-// reloads reloads the configuration. The error says why the process could not serve, or that connections were still open at the end.
+// Serve runs until stop ends, then shuts down: it migrates all clients, and returns once none is left or their
+// time is over. Each value of reloads reloads the configuration. The error says why the process could not serve,
+// or that connections were still open at the end.
 func (d *Daemon) Serve(stop context.Context, reloads <-chan os.Signal) error {
 	ctx, cancel := context.WithCancel(context.WithoutCancel(stop)) // it outlasts stop by the shutdown
 	timedOut := false
@@ -149,8 +153,9 @@
 	}
 }
 
-// serveClients accepts clients until accepting ends. The channel then receives the listener's error, once no connection is left: those taken
-// over from a predecessor were never accepted here, so that the listener doesn't wait for them.
+// serveClients accepts clients until accepting ends. The channel then receives the listener's error, once no
+// connection is left: those taken over from a predecessor were never accepted here, so that the listener doesn't
+// wait for them.
 func (d *Daemon) serveClients(ctx, accepting context.Context) (finished <-chan error) {
 	result := make(chan error, 1)
 	d.goroutines.Go(func() {
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -44,8 +44,8 @@
 	return in
 }
 
-// A balancer from its configuration to its exit: it serves, reloads, and when it is told to stop goes on serving clients that come, migrates all,
-// and holds nothing at the end.
+// A balancer from its configuration to its exit: it serves, reloads, and when it is told to stop goes on serving
+// clients that come, migrates all, and holds nothing at the end.
 func TestLifecycle(t *testing.T) {
 	watched := make(chan string, 16)
 	old, renewed := startAgent(t, "old", watched), startAgent(t, "renewed", watched)
--- a/internal/daemon/descriptors.go
+++ b/internal/daemon/descriptors.go
@@ -8,18 +8,22 @@
 	"yardwinch/internal/protocol"
 )
 
-// Descriptors that the process needs for itself, each at its most. They are reserved before clients get any: a crowd of idle clients would
-// otherwise take the one for the next watch or call, and nothing says when one comes free. Addresses are numbers, so that no name lookup needs one.
+// Descriptors that the process needs for itself, each at its most. They are reserved before clients get any: a
+// crowd of idle clients would otherwise take the one for the next watch or call, and nothing says when one comes
+// free. Addresses are numbers, so that no name lookup needs one.
 const (
 	standardDescriptors = 3 // input, output, and the log
-	runtimeDescriptors  = 5 // the poller and its wake-up, the two files that tell the share of the core, one that is opened for a moment
-	clientDescriptors   = 2 // their socket, and one accepted that waits for capacity
-	watchDescriptors    = 3 // the watch of the endpoint list, the one before as it closes, and the list fetched beside it
-	fileDescriptors     = 1 // the configuration during a reload
-	closingDescriptors  = 8 // closed, but kept until whoever waits on them has woken
-	gossipDescriptors   = 8 // two that listen, and streams now and then
-
-	// The socket for a successor, two links and one more that tries to connect, two files in the directory, and copies of what is transferred.
+	// The poller and its wake-up, the two files that tell the share of the core, one that is opened for a moment.
+	runtimeDescriptors = 5
+	clientDescriptors  = 2 // their socket, and one accepted that waits for capacity
+	// The watch of the endpoint list, the one before as it closes, and the list fetched beside it.
+	watchDescriptors   = 3
+	fileDescriptors    = 1 // the configuration during a reload
+	closingDescriptors = 8 // closed, but kept until whoever waits on them has woken
+	gossipDescriptors  = 8 // two that listen, and streams now and then
+
+	// The socket for a successor, two links and one more that tries to connect, two files in the directory, and
+	// copies of what is transferred.
 	handoverDescriptors = 6 + 2*protocol.MaxConcurrentTransfers
 
 	minClientDescriptors = 8 // for clients and their servers, however low the limit is
@@ -43,7 +47,8 @@
 	return n
 }
 
-// reserveDescriptors reserves what the process needs for itself, as far as the limit allows that beside the least for clients.
+// reserveDescriptors reserves what the process needs for itself, as far as the limit allows that beside the least
+// for clients.
 func (d *Daemon) reserveDescriptors() {
 	d.reservedDescriptors = d.descriptorsForProcess()
 	if least := d.reservedDescriptors + minClientDescriptors; d.descriptorLimit < least {
--- a/internal/daemon/descriptors_test.go
+++ b/internal/daemon/descriptors_test.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// idleClients are a number of clients that say nothing; each that is closed comes again. Were there ever more of them, whatever the balancer
-// accepts, a usual client would stand behind all of them in the system's queue.
+// idleClients are a number of clients that say nothing; each that is closed comes again. Were there ever more of
+// them, whatever the balancer accepts, a usual client would stand behind all of them in the system's queue.
 type idleClients struct {
 	t           *testing.T
 	address     string
@@ -84,9 +84,10 @@
 	}
 }
 
-// Idle clients use up all descriptors while discovery is down. Once it is back its list counts in time, usual clients are served by the new
-// server, operators' calls are answered and health checks are made, though idle clients go on coming. The system itself limits the process to
-// its descriptors, so that one that was not reserved would be missing.
+// Idle clients use up all descriptors while discovery is down. Once it is back its list counts in time, usual
+// clients are served by the new server, operators' calls are answered and health checks are made, though idle
+// clients go on coming. The system itself limits the process to its descriptors, so that one that was not reserved
+// would be missing.
 func TestDescriptorsWhileDiscoveryIsDown(t *testing.T) {
 	for limit, usual := range map[int]int{66: 2, 72: 4, 80: 8, 120: 8, 400: 8} {
 		t.Run(fmt.Sprint(limit), func(t *testing.T) { testDescriptorLimit(t, limit, usual) })
@@ -163,8 +164,8 @@
 	}
 }
 
-// awaitUsualClient opens a flow that stays to the end of the test. In slow start a server takes flows one by one; a client that is rejected
-// comes again.
+// awaitUsualClient opens a flow that stays to the end of the test. In slow start a server takes flows one by one;
+// a client that is rejected comes again.
 func (h *harness) awaitUsualClient(number int) {
 	const maxAttempts = 20
 	for attempt := 0; ; attempt++ {
@@ -173,7 +174,8 @@
 			h.t.Error(err)
 			return
 		}
-		_, _ = io.WriteString(conn, fmt.Sprintf("OPEN u%d-%d 2 c=live,d=800\r\n", number, attempt)) // an error shows in the answer
+		// An error shows in the answer.
+		_, _ = io.WriteString(conn, fmt.Sprintf("OPEN u%d-%d 2 c=live,d=800\r\n", number, attempt))
 		got, err := bufio.NewReader(conn).ReadString('\n')
 		if got == "UP 1\r\n" {
 			return
--- a/internal/daemon/disabled_store.go
+++ b/internal/daemon/disabled_store.go
@@ -16,13 +16,16 @@
 const (
 	firstStoreRetry   = 20 * time.Millisecond
 	longestStoreRetry = 250 * time.Millisecond
-	saveTimeout       = 300 * time.Millisecond // for the answer to an operator: the change is in force before it is saved
-	loadTimeout       = 2 * time.Second        // for a directory that can't be read, before the process serves without it
-	releaseTimeout    = 200 * time.Millisecond // for a write in progress while a successor takes over
+	// For the answer to an operator: the change is in force before it is saved.
+	saveTimeout = 300 * time.Millisecond
+	// For a directory that can't be read, before the process serves without it.
+	loadTimeout    = 2 * time.Second
+	releaseTimeout = 200 * time.Millisecond // for a write in progress while a successor takes over
 )
 
-// disabledStore keeps the administratively disabled servers on disk, for a process that starts after this one was killed. What could not be
-// written is retried until it is. Nothing is written before the servers that an earlier process saved are known: a write would lose them.
+// disabledStore keeps the administratively disabled servers on disk, for a process that starts after this one was
+// killed. What could not be written is retried until it is. Nothing is written before the servers that an earlier
+// process saved are known: a write would lose them.
 type disabledStore struct {
 	directory         *store.Directory
 	currentlyDisabled func() []string // the servers to save
@@ -48,7 +51,8 @@
 	}
 }
 
-// onChange notes that an operator disabled or enabled a server. A change made before the load overrides what an earlier process saved.
+// onChange notes that an operator disabled or enabled a server. A change made before the load overrides what an
+// earlier process saved.
 func (s *disabledStore) onChange(server string) {
 	s.mu.Lock()
 	if !s.loaded {
@@ -114,7 +118,8 @@
 	}
 }
 
-// run saves what is to be saved until the context ends. restore gets the servers that an earlier process saved, once they are known.
+// run saves what is to be saved until the context ends. restore gets the servers that an earlier process saved,
+// once they are known.
 func (s *disabledStore) run(ctx context.Context, restore func(servers []string)) {
 	backoff := retry.Backoff{First: firstStoreRetry, Longest: longestStoreRetry}
 	for {
@@ -158,7 +163,8 @@
 	return done
 }
 
-// load restores what an earlier process saved, unless it is known already. Invalid content counts as none, and is not read again.
+// load restores what an earlier process saved, unless it is known already. Invalid content counts as none, and is
+// not read again.
 func (s *disabledStore) load(restore func(servers []string)) error {
 	s.mu.Lock()
 	loaded := s.loaded
--- a/internal/daemon/disabled_store_test.go
+++ b/internal/daemon/disabled_store_test.go
@@ -11,8 +11,8 @@
 	"yardwinch/internal/store"
 )
 
-// A server is disabled while the directory fails. It gets no flows from then on, and once the directory works again the change is saved, so
-// that a process that starts after a kill sends nothing there either.
+// A server is disabled while the directory fails. It gets no flows from then on, and once the directory works
+// again the change is saved, so that a process that starts after a kill sends nothing there either.
 func TestDisableWhileDirectoryFails(t *testing.T) {
 	for _, c := range []struct {
 		name    string
--- a/internal/daemon/gossip.go
+++ b/internal/daemon/gossip.go
@@ -22,8 +22,8 @@
 	leaseDuration = 6 * time.Second
 )
 
-// gossip exchanges signals with the other balancers: it publishes what the signals decider of this balancer records, and merges what they
-// publish.
+// gossip exchanges signals with the other balancers: it publishes what the signals decider of this balancer
+// records, and merges what they publish.
 type gossip struct {
 	name   string
 	group  *membership.Group
@@ -153,7 +153,8 @@
 	return reason
 }
 
-// takeLoads takes in the loads that servers reported to the member that checks them for all. The caller holds the router's lock.
+// takeLoads takes in the loads that servers reported to the member that checks them for all. The caller holds the
+// router's lock.
 func (g *gossip) takeLoads(record signals.Record) {
 	now := g.router.Now()
 	g.signals.Relay(func() {
--- a/internal/daemon/harness_test.go
+++ b/internal/daemon/harness_test.go
@@ -39,9 +39,10 @@
 	descriptorLimit int // of the balancer's process, where it is one of its own; 0: the test's
 }
 
-// reservedAddress is an address that refuses connections until the balancer listens there, and that nobody else gets before the test ends: it
-// is bound and not listened on, which lets an explicit bind in and keeps the system from giving it away. A port that is merely free could become
-// another test's listener, which would then take this balancer's connection to discovery for the one that it waits for.
+// reservedAddress is an address that refuses connections until the balancer listens there, and that nobody else
+// gets before the test ends: it is bound and not listened on, which lets an explicit bind in and keeps the system
+// from giving it away. A port that is merely free could become another test's listener, which would then take this
+// balancer's connection to discovery for the one that it waits for.
 func reservedAddress(t *testing.T) string {
 	t.Helper()
 	descriptor, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
@@ -120,8 +121,8 @@
 	}
 }
 
-// startEchoServer starts a server that accepts each flow and sends back what it receives. The channel, if given, receives once for each
-// health check.
+// startEchoServer starts a server that accepts each flow and sends back what it receives. The channel, if given,
+// receives once for each health check.
 func startEchoServer(t *testing.T, checked ...chan<- struct{}) (address string) {
 	t.Helper()
 	listener := listenLocal(t)
--- a/internal/daemon/lifecycle.go
+++ b/internal/daemon/lifecycle.go
@@ -9,9 +9,11 @@
 )
 
 const (
-	// drainDuration is within how much time of the call to go out of service all clients are asked to migrate: operators allow 4 s.
+	// drainDuration is within how much time of the call to go out of service all clients are asked to migrate:
+	// operators allow 4 s.
 	drainDuration = 2600 * time.Millisecond
-	// newClientsDeadline is how long after that call the platform may still send a client, newClientsWindow with some slack.
+	// newClientsDeadline is how long after that call the platform may still send a client, newClientsWindow with
+	// some slack.
 	newClientsDeadline   = time.Second
 	drainedCheckInterval = 50 * time.Millisecond
 )
@@ -62,8 +64,8 @@
 	return &lifecycle{clients: clients, started: make(chan struct{}), phase: loading}
 }
 
-// transition makes every change of phase, and tells whether it is allowed. What runs until the phase before ends is ended. A balancer out of
-// service remains so for its clients while it shuts down.
+// transition makes every change of phase, and tells whether it is allowed. What runs until the phase before ends
+// is ended. A balancer out of service remains so for its clients while it shuts down.
 func (l *lifecycle) transition(ctx context.Context, to phase) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -113,8 +115,8 @@
 	l.work.Go(func() { work(inPhase) })
 }
 
-// startDrain asks all clients to migrate in what is left of the time for it, beginning some time after the call to go out of service. The
-// caller holds mu.
+// startDrain asks all clients to migrate in what is left of the time for it, beginning some time after the call to
+// go out of service. The caller holds mu.
 func (l *lifecycle) startDrain(ctx context.Context, after time.Duration) {
 	elapsed := time.Since(l.drainingSince)
 	l.runInPhase(ctx, func(ctx context.Context) {
@@ -177,7 +179,8 @@
 	l.drainingSince = since
 }
 
-// setInServiceWhileHandingOver goes out of service, or back into it, while the successor serves. In another phase it does nothing.
+// setInServiceWhileHandingOver goes out of service, or back into it, while the successor serves. In another phase
+// it does nothing.
 func (l *lifecycle) setInServiceWhileHandingOver(ctx context.Context, inService bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/daemon/listeners.go
+++ b/internal/daemon/listeners.go
@@ -14,13 +14,15 @@
 )
 
 const (
-	// openTimeout is for addresses that are in use, from the start on: operators allow a restarted process 10 s until it is ready.
+	// openTimeout is for addresses that are in use, from the start on: operators allow a restarted process 10 s
+	// until it is ready.
 	openTimeout        = 9 * time.Second
 	firstListenRetry   = 10 * time.Millisecond
 	longestListenRetry = 200 * time.Millisecond
 )
 
-// ListenError says that an address of the configuration could not be opened, or not within the time that a start may take.
+// ListenError says that an address of the configuration could not be opened, or not within the time that a start
+// may take.
 type ListenError struct {
 	Key string // of the configuration
 	Err error
@@ -96,15 +98,16 @@
 	if d.listener = received; received != nil {
 		return nil
 	}
-	shared := d.adminAddress != ""                                   // with a successor
-	return listenWithRetries(opening, "listen", func() (err error) { //nolint:contextcheck // the address is a number: there is nothing to wait for
+	shared := d.adminAddress != "" // with a successor
+	// The address is a number: there is nothing to wait for.
+	return listenWithRetries(opening, "listen", func() (err error) { //nolint:contextcheck
 		d.listener, err = transport.ListenShared(d.listenAddress, shared)
 		return err
 	})
 }
 
-// listenWithRetries opens an address, and waits for one that is in use or for which the system has nothing left at the moment. The key names
-// it in the configuration.
+// listenWithRetries opens an address, and waits for one that is in use or for which the system has nothing left at
+// the moment. The key names it in the configuration.
 func listenWithRetries(ctx context.Context, key string, listen func() error) error {
 	backoff := retry.Backoff{First: firstListenRetry, Longest: longestListenRetry}
 	err := retry.Do(ctx, backoff, func(err error) {
--- a/internal/daemon/migrate.go
+++ b/internal/daemon/migrate.go
@@ -20,8 +20,9 @@
 	Overwrite bool // write over NewPath where it exists
 }
 
-// Migrate writes the counterpart of a configuration for another shape of deployment, and prints what became of each key. The new
-// configuration is checked by the code that serves it, and is written whole or not at all. One that can't be served is ErrConfiguration.
+// Migrate writes the counterpart of a configuration for another shape of deployment, and prints what became of
+// each key. The new configuration is checked by the code that serves it, and is written whole or not at all. One
+// that can't be served is ErrConfiguration.
 func Migrate(ctx context.Context, output io.Writer, m Migration) error {
 	source, err := m.read()
 	if err != nil {
@@ -98,7 +99,8 @@
 	return err == nil && os.SameFile(infoA, infoB)
 }
 
-// replaceFile replaces a file as a whole, whatever happens meanwhile: a balancer that starts reads the content before or the content after.
+// replaceFile replaces a file as a whole, whatever happens meanwhile: a balancer that starts reads the content
+// before or the content after.
 func replaceFile(path string, text []byte, mode os.FileMode) (err error) {
 	file, err := os.CreateTemp(filepath.Dir(path), ".migrate-*")
 	if err != nil {
--- a/internal/daemon/migrate_test.go
+++ b/internal/daemon/migrate_test.go
@@ -123,7 +123,8 @@
 	}
 }
 
-// wantError checks that a migration ended with one line, and that it counts as a fault of the configuration unless the target is at fault.
+// wantError checks that a migration ended with one line, and that it counts as a fault of the configuration unless
+// the target is at fault.
 func (c migrationCase) wantError(t *testing.T, err error, output string) {
 	t.Helper()
 	if err == nil || !strings.Contains(err.Error(), c.err) || strings.Contains(err.Error(), "\n") || output != "" {
@@ -134,7 +135,8 @@
 	}
 }
 
-// A daemon serves from the migrated file: it finds its server through discovery, asks it for its load, and serves a flow.
+// A daemon serves from the migrated file: it finds its server through discovery, asks it for its load, and serves
+// a flow.
 func TestServeMigratedConfiguration(t *testing.T) {
 	checked := make(chan struct{}, 1000)
 	server := startEchoServer(t, checked)
--- a/internal/daemon/outage_test.go
+++ b/internal/daemon/outage_test.go
@@ -11,8 +11,8 @@
 // outageDuration is for how long the system refuses something; it is the operators' own figure.
 const outageDuration = 300 * time.Millisecond
 
-// The configuration can't be read, or is incomplete, at the moment of SIGHUP, once or in a row. Its new discovery address is watched all the same,
-// within the 4 s after which what it says counts.
+// The configuration can't be read, or is incomplete, at the moment of SIGHUP, once or in a row. Its new discovery
+// address is watched all the same, within the 4 s after which what it says counts.
 func TestReloadOfUnreadableConfiguration(t *testing.T) {
 	const allowed = 4 * time.Second
 	for _, c := range []struct {
@@ -59,7 +59,8 @@
 	}
 }
 
-// An address is another process's as the balancer starts: it serves there once the address is free, and is ready in time.
+// An address is another process's as the balancer starts: it serves there once the address is free, and is ready
+// in time.
 func TestAddressInUseAtStart(t *testing.T) {
 	for _, c := range []struct {
 		name    string
--- a/internal/daemon/process_test.go
+++ b/internal/daemon/process_test.go
@@ -14,7 +14,8 @@
 )
 
 const (
-	serveEnvironment           = "PROGRAM_TEST_SERVES" // names the configuration that the test's own program serves as a balancer
+	// Names the configuration that the test's own program serves as a balancer.
+	serveEnvironment           = "PROGRAM_TEST_SERVES"
 	descriptorLimitEnvironment = serveEnvironment + "_FILES"
 )
 
@@ -42,8 +43,8 @@
 
 var lastAddress atomic.Int32
 
-// process starts the balancer at an address of its own, and waits until it serves: a port that was free could be the near end of another
-// client's connection by the time the process listens there.
+// process starts the balancer at an address of its own, and waits until it serves: a port that was free could be
+// the near end of another client's connection by the time the process listens there.
 func (h *harness) process() *process {
 	h.t.Helper()
 	id := os.Getpid()
@@ -59,14 +60,15 @@
 	return p
 }
 
-// processIn starts the balancer with a directory that it shares with others. It ends with the thread that starts it, whatever becomes of the
-// test.
+// processIn starts the balancer with a directory that it shares with others. It ends with the thread that starts
+// it, whatever becomes of the test.
 func (h *harness) processIn(directory string) *process {
 	h.t.Helper()
 	return h.startProcess(directory, &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL})
 }
 
-// startProcess starts the test's own program as the balancer. It ends with the test, and its log is shown where the test failed.
+// startProcess starts the test's own program as the balancer. It ends with the test, and its log is shown where
+// the test failed.
 func (h *harness) startProcess(directory string, attributes *syscall.SysProcAttr) *process {
 	h.t.Helper()
 	log, err := os.Create(h.path + ".log")
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -33,8 +33,9 @@
 	}
 }
 
-// reloadWithRetries reloads the configuration. One that can't be read or served is retried for a while: it may be in the middle of a write, and
-// its new discovery address is to count soon. A further reload meanwhile begins anew.
+// reloadWithRetries reloads the configuration. One that can't be read or served is retried for a while: it may be
+// in the middle of a write, and its new discovery address is to count soon. A further reload meanwhile begins
+// anew.
 func (d *Daemon) reloadWithRetries(ctx context.Context, reloads <-chan os.Signal) {
 	backoff := retry.Backoff{First: firstReloadRetry, Longest: longestReloadRetry}
 	requested := time.Now()
@@ -70,8 +71,8 @@
 	return invalidReloadTimeout
 }
 
-// reload applies what can change without a restart, whatever the phase. A configuration that can't be served changes nothing: half a change
-// would look like a fault of the balancer.
+// reload applies what can change without a restart, whatever the phase. A configuration that can't be served
+// changes nothing: half a change would look like a fault of the balancer.
 func (d *Daemon) reload(ctx context.Context) error {
 	newer, err := prepare(ctx, d.source)
 	if err != nil {
--- a/internal/daemon/shutdown.go
+++ b/internal/daemon/shutdown.go
@@ -5,15 +5,16 @@
 	"time"
 )
 
-// After the signal to stop the platform waits for the longest time that a client waits, but for maxShutdownDrain at most, and for
-// shutdownDrainSlack more; then it kills the process.
+// After the signal to stop the platform waits for the longest time that a client waits, but for maxShutdownDrain
+// at most, and for shutdownDrainSlack more; then it kills the process.
 const (
 	maxShutdownDrain   = 3 * time.Second
 	shutdownDrainSlack = 700 * time.Millisecond
 	migrationMargin    = 450 * time.Millisecond // all clients have been asked to migrate this long before the exit
 	exitMargin         = 150 * time.Millisecond // the exit comes this long before the kill
 
-	// newClientsWindow is how long the platform still sends new connections here after the signal to stop, or the call to go out of service.
+	// newClientsWindow is how long the platform still sends new connections here after the signal to stop, or the
+	// call to go out of service.
 	newClientsWindow = 400 * time.Millisecond
 	minDrainSpread   = 50 * time.Millisecond
 )
@@ -38,8 +39,9 @@
 	}
 }
 
-// shutDown migrates all clients and returns once none is left, or when the schedule ends; timedOut tells which. Connections that are still
-// open when the schedule ends are errConnectionsRemain, unless all of them have had their last reply.
+// shutDown migrates all clients and returns once none is left, or when the schedule ends; timedOut tells which.
+// Connections that are still open when the schedule ends are errConnectionsRemain, unless all of them have had
+// their last reply.
 func (d *Daemon) shutDown(ctx context.Context, stopAccepting context.CancelFunc, finished <-chan error) (timedOut bool, err error) {
 	handedOver := d.lifecycle.current() == handingOver
 	d.lifecycle.transition(ctx, shuttingDown)
--- a/internal/daemon/size_test.go
+++ b/internal/daemon/size_test.go
@@ -13,7 +13,8 @@
 	"time"
 )
 
-// configureFleet gives a harness's configuration a number of servers, at the address of its one server, and of balancers.
+// configureFleet gives a harness's configuration a number of servers, at the address of its one server, and of
+// balancers.
 func (h *harness) configureFleet(servers, balancers int) (names []string) {
 	var known, peers []string
 	for i := range servers {
@@ -32,10 +33,12 @@
 	return names
 }
 
-// maxBytesPerServer is what each listed server may cost at rest: a list twice as long as any in production leaves most of the 64 MB.
+// maxBytesPerServer is what each listed server may cost at rest: a list twice as long as any in production leaves
+// most of the 64 MB.
 const maxBytesPerServer = 1 << 10
 
-// A fleet of 12,800 servers and 1,024 balancers is loaded completely, from the configuration and from discovery; what it costs at rest is bounded.
+// A fleet of 12,800 servers and 1,024 balancers is loaded completely, from the configuration and from discovery;
+// what it costs at rest is bounded.
 func TestMemoryPerServer(t *testing.T) {
 	for _, servers := range []int{64, 256, 1024, 12_800} {
 		t.Run(fmt.Sprint(servers), func(t *testing.T) {
@@ -75,7 +78,8 @@
 	return int64(stats.HeapAlloc)
 }
 
-// wantListFromDiscovery has discovery bring the same list under other names, and checks that all servers of it are known.
+// wantListFromDiscovery has discovery bring the same list under other names, and checks that all servers of it are
+// known.
 func wantListFromDiscovery(t *testing.T, d *Daemon, config string, names []string) {
 	t.Helper()
 	list := config[strings.Index(config, `{"revision"`):strings.Index(config, `,"settings"`)]
--- a/internal/daemon/start_test.go
+++ b/internal/daemon/start_test.go
@@ -25,8 +25,8 @@
 
 var processes = flag.Int("processes", 12, "how many real processes TestReadyAfterRestart starts at once")
 
-// A process that is told to stop while it waits for its predecessor ends without having served, whether the predecessor is silent or not ready;
-// it doesn't wait first to serve alone.
+// A process that is told to stop while it waits for its predecessor ends without having served, whether the
+// predecessor is silent or not ready; it doesn't wait first to serve alone.
 func TestStoppedBeforeServing(t *testing.T) {
 	for _, c := range []struct {
 		name, silentAt string
@@ -56,8 +56,8 @@
 	}
 }
 
-// startSilentPredecessor starts a predecessor that answers requests up to one kind with whether it is not ready. At that kind the channel
-// receives; unless it is not ready it then says nothing.
+// startSilentPredecessor starts a predecessor that answers requests up to one kind with whether it is not ready.
+// At that kind the channel receives; unless it is not ready it then says nothing.
 func startSilentPredecessor(t *testing.T, socket *handover.Socket, silentAt string, notReady bool) (reached <-chan struct{}) {
 	t.Helper()
 	listener, err := socket.Listen(t.Context())
@@ -100,13 +100,14 @@
 // All that a new process may wait for before it serves fits into what operators allow.
 func TestTimeoutsBeforeServing(t *testing.T) {
 	const allowed = 10 * time.Second
-	if total := takeOverTimeout + requestTimeout; total >= allowed { // the hand-over, then the notice to the predecessor
+	// The hand-over, then the notice to the predecessor.
+	if total := takeOverTimeout + requestTimeout; total >= allowed {
 		t.Errorf("a new process may wait for %v, %v are allowed", total, allowed)
 	}
 }
 
-// awaitAnswer sends a line on ever new connections until one of them brings the answer: those that the system gives to a frozen process bring
-// none.
+// awaitAnswer sends a line on ever new connections until one of them brings the answer: those that the system
+// gives to a frozen process bring none.
 func (p *process) awaitAnswer(ctx context.Context, line, want string) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -153,8 +154,8 @@
 	return strings.TrimSpace(answer), true
 }
 
-// awaitReady waits until this process serves, PING is answered and a client has a server of the cached list. Before it serves, its predecessor
-// may answer at the same address.
+// awaitReady waits until this process serves, PING is answered and a client has a server of the cached list.
+// Before it serves, its predecessor may answer at the same address.
 func (p *process) awaitReady(ctx context.Context) error {
 	for p.callAdmin(ctx, "GET", "ready") != http.StatusOK {
 		select {
@@ -166,7 +167,8 @@
 	return errors.Join(p.awaitAnswer(ctx, "PING", "PONG"), p.awaitAnswer(ctx, "OPEN ready-ID 2 c=live,d=800", "UP 1"))
 }
 
-// startSilentAgent starts a discovery agent that accepts requests and says nothing until it is told to speak; its list is empty.
+// startSilentAgent starts a discovery agent that accepts requests and says nothing until it is told to speak; its
+// list is empty.
 func startSilentAgent(t *testing.T) (address string, speak func()) {
 	t.Helper()
 	listener := listenLocal(t)
@@ -222,9 +224,9 @@
 	took               time.Duration
 }
 
-// Restarted processes, all at once, serve the list that they have cached whatever their agent does, and whatever the predecessor does with
-// which they share their address and directory. How long each took is logged; required is that they are ready while the agent says nothing and
-// the predecessor stays as it is.
+// Restarted processes, all at once, serve the list that they have cached whatever their agent does, and whatever
+// the predecessor does with which they share their address and directory. How long each took is logged; required
+// is that they are ready while the agent says nothing and the predecessor stays as it is.
 func TestReadyAfterRestart(t *testing.T) {
 	runtime.LockOSThread() // see processIn
 	defer runtime.UnlockOSThread()
--- a/internal/daemon/suspended_test.go
+++ b/internal/daemon/suspended_test.go
@@ -72,8 +72,8 @@
 	})
 }
 
-// A burst of clients leaves while the process is suspended, which goes on 0.1 s later: no connection to a server is opened on their behalf, whether
-// they waited in the system's queue or for their turn.
+// A burst of clients leaves while the process is suspended, which goes on 0.1 s later: no connection to a server
+// is opened on their behalf, whether they waited in the system's queue or for their turn.
 func TestClientsLeaveWhileSuspended(t *testing.T) {
 	const clients = 40
 	for _, c := range []struct {
--- a/internal/daemon/upgrade.go
+++ b/internal/daemon/upgrade.go
@@ -9,13 +9,15 @@
 )
 
 const (
-	takeOverTimeout     = 5500 * time.Millisecond // for all that passes with the predecessor until this process serves: operators allow 6 s
-	retryInterval       = 50 * time.Millisecond   // while the predecessor can't hand over yet
-	findTimeout         = time.Second             // for a directory that can't be read at the moment, before this process counts as alone
-	requestTimeout      = 2 * time.Second         // for one reply of the other process
-	claimTimeout        = 200 * time.Millisecond  // for a reply for which a client waits
-	usageInterval       = 100 * time.Millisecond  // between reports of how many descriptors are in use
-	transferRetryPeriod = 100 * time.Millisecond  // for connections that were established meanwhile
+	// For all that passes with the predecessor until this process serves: operators allow 6 s.
+	takeOverTimeout = 5500 * time.Millisecond
+	retryInterval   = 50 * time.Millisecond // while the predecessor can't hand over yet
+	// For a directory that can't be read at the moment, before this process counts as alone.
+	findTimeout         = time.Second
+	requestTimeout      = 2 * time.Second        // for one reply of the other process
+	claimTimeout        = 200 * time.Millisecond // for a reply for which a client waits
+	usageInterval       = 100 * time.Millisecond // between reports of how many descriptors are in use
+	transferRetryPeriod = 100 * time.Millisecond // for connections that were established meanwhile
 )
 
 // Names of the descriptors beside the state, as they pass on the link.
@@ -24,7 +26,8 @@
 	explainSocket = "explain"
 )
 
-// Kinds of messages on the link between a predecessor and its successor. All versions that run side by side have them in common.
+// Kinds of messages on the link between a predecessor and its successor. All versions that run side by side have
+// them in common.
 const (
 	messageHello           = "hello" // from the successor: may it take over
 	messageGetState        = "give"  // from the successor: it requests the state and the sockets
--- a/internal/daemon/upgrade_predecessor.go
+++ b/internal/daemon/upgrade_predecessor.go
@@ -19,8 +19,8 @@
 
 // This process as the predecessor of one that takes over.
 
-// awaitSuccessors waits for processes that take over from this one, one after the other. A directory that fails is retried: until it works
-// no other process finds this one.
+// awaitSuccessors waits for processes that take over from this one, one after the other. A directory that fails is
+// retried: until it works no other process finds this one.
 func (d *Daemon) awaitSuccessors(ctx context.Context) {
 	backoff := retry.Backoff{First: firstStoreRetry, Longest: longestStoreRetry}
 	for failing := false; ctx.Err() == nil; {
@@ -121,7 +121,8 @@
 	return d.predecessor != nil || d.successor != nil || d.lifecycle.current() == shuttingDown, nil
 }
 
-// sendState stops accepting clients and hands over all that makes both processes one balancer. Until the link ends the successor decides.
+// sendState stops accepting clients and hands over all that makes both processes one balancer. Until the link ends
+// the successor decides.
 func (d *Daemon) sendState(ctx context.Context, link *handover.Link) (handover.Response, error) {
 	d.changing.Lock()
 	defer d.changing.Unlock()
@@ -133,7 +134,8 @@
 		return handover.Response{}, fmt.Errorf("%s", d.lifecycle.current())
 	}
 	d.successor = link
-	ctx = context.WithoutCancel(ctx) // from here on the hand-over is completed, whether or not the successor still wants it
+	// From here on the hand-over is completed, whether or not the successor still wants it.
+	ctx = context.WithoutCancel(ctx)
 	d.disabled.release(ctx)
 	d.listener.Pause()
 	state := handover.State{
@@ -173,8 +175,8 @@
 	return d.successor == link
 }
 
-// onSuccessorGone takes in that a process that took over, or began to, has ended: this one serves again, with the changes made since. One
-// told to stop meanwhile still stops.
+// onSuccessorGone takes in that a process that took over, or began to, has ended: this one serves again, with the
+// changes made since. One told to stop meanwhile still stops.
 func (d *Daemon) onSuccessorGone(ctx context.Context, link *handover.Link) {
 	d.changing.Lock()
 	defer d.changing.Unlock()
@@ -197,7 +199,8 @@
 	}
 }
 
-// releaseExplain closes the socket for explain, on which the successor answers from now on: each question reaches only one of the processes.
+// releaseExplain closes the socket for explain, on which the successor answers from now on: each question reaches
+// only one of the processes.
 func (d *Daemon) releaseExplain() {
 	if listener, ok := d.explainListener.(*net.UnixListener); ok {
 		listener.SetUnlinkOnClose(false)
@@ -245,13 +248,14 @@
 	}
 }
 
-// sendConnections transfers established connections until the link ends. There is no timeout for a reply: the successor may go on with a
-// connection whose reply is late, and both would.
+// sendConnections transfers established connections until the link ends. There is no timeout for a reply: the
+// successor may go on with a connection whose reply is late, and both would.
 func (d *Daemon) sendConnections(processCtx, linkCtx context.Context, link *handover.Link) {
 	replyCtx := context.WithoutCancel(linkCtx)
 	transfer := func(connection protocol.EstablishedConnection, client, server syscall.Conn) bool {
 		_, err := link.Request(messageTransfer, connection, client, server).Wait(replyCtx, nil)
-		return err == nil || processCtx.Err() != nil // as this process ends a reply may be lost: the successor may go on with it
+		// As this process ends a reply may be lost: the successor may go on with it.
+		return err == nil || processCtx.Err() != nil
 	}
 	for total := 0; ; {
 		sent, attempted := d.frontend.TransferConnections(linkCtx, transfer)
--- a/internal/daemon/upgrade_requests.go
+++ b/internal/daemon/upgrade_requests.go
@@ -14,7 +14,8 @@
 
 // What a predecessor requests of this process, its successor. The texts of errors reach the predecessor.
 
-// answerChange makes a change that an operator called for at the predecessor. The reply says whether the server is unknown.
+// answerChange makes a change that an operator called for at the predecessor. The reply says whether the server is
+// unknown.
 func (d *Daemon) answerChange(ctx context.Context, request handover.Request) (handover.Response, error) {
 	var change handover.Change
 	if err := json.Unmarshal(request.Body, &change); err != nil {
@@ -28,7 +29,8 @@
 		return handover.Response{}, errors.New("not ready")
 	}
 	d.changing.Lock()
-	// The predecessor applies the change before it reads this reply, as messages keep their order: there is nothing to wait for.
+	// The predecessor applies the change before it reads this reply, as messages keep their order: there is
+	// nothing to wait for.
 	_, err := d.decideChange(ctx, change)
 	d.changing.Unlock()
 	if errors.Is(err, admin.ErrUnknown) {
@@ -85,7 +87,8 @@
 	if err != nil {
 		return handover.Response{}, errors.Join(err, closeAll(ends[:]))
 	}
-	// Nothing is relayed before the reply is sent: should this process end in between, the predecessor goes on with the connection.
+	// Nothing is relayed before the reply is sent: should this process end in between, the predecessor goes on
+	// with the connection.
 	return handover.Response{AfterSend: func(sent bool) {
 		if sent {
 			d.goroutines.Go(serve)
--- a/internal/daemon/upgrade_successor.go
+++ b/internal/daemon/upgrade_successor.go
@@ -19,8 +19,9 @@
 // errNotYet says that the predecessor may be able to hand over in a moment.
 var errNotYet = errors.New("the process that serves is itself new, or ends")
 
-// receiveHandover takes over from the process that serves, if there is one that hands over. Whatever goes wrong, this process starts alone
-// and the other one goes on serving. It waits no longer than takeOverTimeout in all, nor once starting ends.
+// receiveHandover takes over from the process that serves, if there is one that hands over. Whatever goes wrong,
+// this process starts alone and the other one goes on serving. It waits no longer than takeOverTimeout in all, nor
+// once starting ends.
 func (d *Daemon) receiveHandover(ctx, starting context.Context) *inheritance {
 	if d.directory == nil {
 		return &inheritance{}
@@ -54,7 +55,8 @@
 func (d *Daemon) awaitPredecessor(ctx, waiting context.Context) (*handover.Link, error) {
 	for start := time.Now(); ; {
 		link, err := d.connectPredecessor(ctx, waiting)
-		// An error of the machine may pass: two processes that each count as alone would exceed the limits of one balancer.
+		// An error of the machine may pass: two processes that each count as alone would exceed the limits of one
+		// balancer.
 		mayPass := retry.IsTransient(err) && time.Since(start) < findTimeout
 		if !errors.Is(err, errNotYet) && !mayPass {
 			return link, err
@@ -67,8 +69,8 @@
 	}
 }
 
-// restoreDisabled disables the servers that an earlier process saved as disabled. It waits for a directory that can't be read, as clients
-// would be sent to these servers meanwhile; not for one that doesn't exist.
+// restoreDisabled disables the servers that an earlier process saved as disabled. It waits for a directory that
+// can't be read, as clients would be sent to these servers meanwhile; not for one that doesn't exist.
 func (d *Daemon) restoreDisabled(starting context.Context) {
 	ctx, done := context.WithTimeout(starting, loadTimeout)
 	defer done()
@@ -82,8 +84,8 @@
 	}
 }
 
-// connectPredecessor connects to the process that serves and greets it; the link is nil where there is none. The link ends with ctx, the
-// greeting with waiting.
+// connectPredecessor connects to the process that serves and greets it; the link is nil where there is none. The
+// link ends with ctx, the greeting with waiting.
 func (d *Daemon) connectPredecessor(ctx, waiting context.Context) (*handover.Link, error) {
 	conn, err := d.socket.Connect(waiting)
 	if conn == nil || err != nil {
@@ -199,8 +201,8 @@
 	d.disabled.requestSave() // the predecessor may have failed to save some
 }
 
-// startServing begins to serve. From the notice to the predecessor on this process decides on changes for both; the reply is awaited while
-// starting lasts.
+// startServing begins to serve. From the notice to the predecessor on this process decides on changes for both;
+// the reply is awaited while starting lasts.
 func (d *Daemon) startServing(ctx, starting context.Context) {
 	d.changing.Lock()
 	link := d.predecessor
--- a/internal/daemon/upgrade_test.go
+++ b/internal/daemon/upgrade_test.go
@@ -17,7 +17,8 @@
 	"yardwinch/internal/store"
 )
 
-// successor is a second process's part of the harness: the same addresses but for the operators', and the same directory.
+// successor is a second process's part of the harness: the same addresses but for the operators', and the same
+// directory.
 func (h *harness) successor() *harness {
 	h.t.Helper()
 	next := *h
@@ -89,8 +90,8 @@
 	}
 }
 
-// An operator's call at either process binds both before its answer, the successor keeps what the predecessor was told, and established clients
-// notice nothing, within a line or between two.
+// An operator's call at either process binds both before its answer, the successor keeps what the predecessor was
+// told, and established clients notice nothing, within a line or between two.
 func TestUpgrade(t *testing.T) {
 	environment := directoryEnvironment(t)
 	old := newHarness(t).start(environment)
@@ -122,7 +123,8 @@
 	wantMigration(t, client.in)
 }
 
-// wantCallsBindBoth makes calls at either of two processes, and checks that both have made them. At the end the server is disabled.
+// wantCallsBindBoth makes calls at either of two processes, and checks that both have made them. At the end the
+// server is disabled.
 func wantCallsBindBoth(t *testing.T, old, fresh *harness) {
 	t.Helper()
 	for _, at := range []*harness{old, fresh} {
@@ -157,7 +159,8 @@
 	fresh.end()
 }
 
-// A successor that ends before it serves, or after, leaves the predecessor serving as before, with the changes made since.
+// A successor that ends before it serves, or after, leaves the predecessor serving as before, with the changes
+// made since.
 func TestSuccessorDies(t *testing.T) {
 	environment := directoryEnvironment(t)
 	old := newHarness(t).start(environment)
@@ -305,8 +308,8 @@
 	return near, far
 }
 
-// A successor that got a connection and ends before its reply is sent has read nothing of it: the predecessor, which goes on with it, reads
-// every byte itself.
+// A successor that got a connection and ends before its reply is sent has read nothing of it: the predecessor,
+// which goes on with it, reads every byte itself.
 func TestTransferReadsNothingBeforeReply(t *testing.T) {
 	h := newHarness(t).start(directoryEnvironment(t))
 	defer h.end()
--- a/internal/explain/client.go
+++ b/internal/explain/client.go
@@ -25,8 +25,8 @@
 	return query(ctx, path, questionWhy+" "+flow, into)
 }
 
-// query puts one question to the balancer at a socket and decodes the answer into a variable. A question that the balancer can't answer gives
-// an error with its text.
+// query puts one question to the balancer at a socket and decodes the answer into a variable. A question that the
+// balancer can't answer gives an error with its text.
 func query(ctx context.Context, path, question string, into any) error {
 	dialer := net.Dialer{Timeout: exchangeTimeout}
 	conn, err := dialer.DialContext(ctx, "unix", path)
--- a/internal/explain/server.go
+++ b/internal/explain/server.go
@@ -18,8 +18,8 @@
 )
 
 const (
-	// Descriptors is how many descriptors Listen and Serve need at most: the socket, the connections, and one to see whether another process
-	// listens already.
+	// Descriptors is how many descriptors Listen and Serve need at most: the socket, the connections, and one to
+	// see whether another process listens already.
 	Descriptors = maxConnections + 2
 
 	maxConnections    = 4 // served at once; more wait in the system's queue
@@ -101,7 +101,8 @@
 	}
 }
 
-// serveConnection answers the one question of a connection. Whoever asked may be gone by then, so that errors concern nobody.
+// serveConnection answers the one question of a connection. Whoever asked may be gone by then, so that errors
+// concern nobody.
 func (s Server) serveConnection(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
 	_ = conn.SetDeadline(time.Now().Add(exchangeTimeout))
--- a/internal/handover/frame.go
+++ b/internal/handover/frame.go
@@ -17,7 +17,8 @@
 	descriptorBytes  = 4 // of one descriptor in a control message
 )
 
-// frame is one message on the link: JSON text, with descriptors beside it. The keys and kinds are common to all versions that run side by side.
+// frame is one message on the link: JSON text, with descriptors beside it. The keys and kinds are common to all
+// versions that run side by side.
 type frame struct {
 	Kind    string          `json:"kind,omitempty"`
 	Number  uint64          `json:"number,omitempty"` // of the request, and of the reply to it; 0: no reply is expected
@@ -85,7 +86,8 @@
 	if length > maxFrameBytes {
 		return f, fmt.Errorf("a frame of %d bytes, %d at most", length, maxFrameBytes)
 	}
-	text, err := io.ReadAll(io.LimitReader(conn, int64(length))) // grows as bytes arrive: a length alone must not cost memory
+	// Grows as bytes arrive: a length alone must not cost memory.
+	text, err := io.ReadAll(io.LimitReader(conn, int64(length)))
 	if err != nil {
 		return f, err
 	}
@@ -98,7 +100,8 @@
 	return f, nil
 }
 
-// readFrameHeader reads the length of a frame and the descriptors that came beside it. The files are given with an error too.
+// readFrameHeader reads the length of a frame and the descriptors that came beside it. The files are given with an
+// error too.
 func readFrameHeader(conn *net.UnixConn) (length uint32, files []*os.File, err error) {
 	header := make([]byte, frameHeaderBytes)
 	control := make([]byte, syscall.CmsgSpace(descriptorBytes*maxFrameFiles))
--- a/internal/handover/link.go
+++ b/internal/handover/link.go
@@ -1,5 +1,6 @@
-// Package handover carries what passes between a running process and its successor: the socket by which they find each other, a link of
-// requests and replies with descriptors beside them, and the state that is handed over. It decides nothing.
+// Package handover carries what passes between a running process and its successor: the socket by which they find
+// each other, a link of requests and replies with descriptors beside them, and the state that is handed over. It
+// decides nothing.
 package handover
 
 import (
@@ -34,8 +35,8 @@
 type Response struct {
 	Body        any            // encoded as JSON
 	Descriptors []syscall.Conn // passed on beside it
-	// AfterSend, if not nil, runs once the reply was sent or could not be. Unless it was sent the other process goes on as if it had not
-	// asked: nothing may have been done that it would do again.
+	// AfterSend, if not nil, runs once the reply was sent or could not be. Unless it was sent the other process
+	// goes on as if it had not asked: nothing may have been done that it would do again.
 	AfterSend func(sent bool)
 }
 
@@ -56,8 +57,9 @@
 	pending    map[uint64]chan frame // requests that await a reply; nil once the link ended
 }
 
-// NewLink makes a link of a connection; Run makes it live. Handlers run beside each other. Ordered handlers run one after the other, each to
-// its end before anything that was sent later is looked at. Neither map may change afterwards.
+// NewLink makes a link of a connection; Run makes it live. Handlers run beside each other. Ordered handlers run
+// one after the other, each to its end before anything that was sent later is looked at. Neither map may change
+// afterwards.
 func NewLink(conn *net.UnixConn, handlers, orderedHandlers map[string]Handler) *Link {
 	return &Link{
 		conn:            conn,
@@ -74,7 +76,8 @@
 // Close ends the link.
 func (l *Link) Close() { _ = l.conn.Close() } // fails only where it is closed already
 
-// Run serves the link until it is closed, at either end, or ctx ends; handlers get ctx. The error is nil where the link ended in order.
+// Run serves the link until it is closed, at either end, or ctx ends; handlers get ctx. The error is nil where the
+// link ended in order.
 func (l *Link) Run(ctx context.Context) error {
 	defer close(l.gone)
 	var running sync.WaitGroup
@@ -182,8 +185,8 @@
 	err    error // why the request was not sent
 }
 
-// Request sends a request, with descriptors beside it, and returns at once. Requests and notices arrive in the order of the calls. Wait
-// must be called on the result: it closes files that come too late.
+// Request sends a request, with descriptors beside it, and returns at once. Requests and notices arrive in the
+// order of the calls. Wait must be called on the result: it closes files that come too late.
 func (l *Link) Request(kind string, body any, descriptors ...syscall.Conn) *PendingReply {
 	pending := &PendingReply{link: l, kind: kind, reply: make(chan frame, 1)}
 	text, err := json.Marshal(body)
@@ -213,8 +216,8 @@
 	return l.lastNumber, nil
 }
 
-// Wait waits for the reply and decodes its body into a variable, unless that is nil. The files that came are the caller's to close. A
-// refusal is ErrRefused, the end of the link ErrPeerGone.
+// Wait waits for the reply and decodes its body into a variable, unless that is nil. The files that came are the
+// caller's to close. A refusal is ErrRefused, the end of the link ErrPeerGone.
 func (p *PendingReply) Wait(ctx context.Context, into any) ([]*os.File, error) {
 	if p.err != nil {
 		return nil, p.err
--- a/internal/handover/socket.go
+++ b/internal/handover/socket.go
@@ -30,7 +30,8 @@
 // NewSocket names the socket in the directory that the processes of one balancer share. Nothing is opened yet.
 func NewSocket(directory *store.Directory) *Socket { return &Socket{directory: directory} }
 
-// withShortPath runs something with a short path to a file: a socket's path may have 107 bytes, and the directory's own may be longer.
+// withShortPath runs something with a short path to a file: a socket's path may have 107 bytes, and the
+// directory's own may be longer.
 func (s *Socket) withShortPath(file string, use func(path string) error) error {
 	directory, err := os.Open(s.directory.Root())
 	if err != nil {
@@ -40,8 +41,8 @@
 	return use(fmt.Sprintf("/proc/self/fd/%d/%s", directory.Fd(), file))
 }
 
-// Connect connects to the process that serves; the result is nil where none does. What another user put in the place of the socket, or
-// what is not a socket, is left alone and reported.
+// Connect connects to the process that serves; the result is nil where none does. What another user put in the
+// place of the socket, or what is not a socket, is left alone and reported.
 func (s *Socket) Connect(ctx context.Context) (*net.UnixConn, error) {
 	path := s.directory.Path(socketSuffix)
 	info, err := os.Lstat(path)
--- a/internal/handover/state.go
+++ b/internal/handover/state.go
@@ -32,7 +32,8 @@
 	Files  []string         `json:"files"` // the names of the descriptors beside the state, in their order
 }
 
-// Validate tells whether a state can be taken over. Of one that can't be, nothing is used. The texts of its errors reach the other process.
+// Validate tells whether a state can be taken over. Of one that can't be, nothing is used. The texts of its errors
+// reach the other process.
 func (s *State) Validate() error {
 	switch {
 	case s.Version != Version:
--- a/internal/knownred/knownred.go
+++ b/internal/knownred/knownred.go
@@ -1,5 +1,5 @@
-// Package knownred judges a run of all tests where a few are known to fail for a real fault that is still to be mended: they run, are shown,
-// and they alone are passed over.
+// Package knownred judges a run of all tests where a few are known to fail for a real fault that is still to be
+// mended: they run, are shown, and they alone are passed over.
 package knownred
 
 import (
@@ -56,8 +56,9 @@
 func Judge(run io.Reader, reds []Red, show io.Writer) error {
 	ended := map[string]string{} // a listed test's end, with failing before all others
 	said := map[string]string{}
-	badTests, badPackages, panicked := map[string]int{}, map[string]bool{}, map[string]bool{} // by package: tests that fail and are not listed
-	listed := map[string]int{}                                                                // and those that are
+	// By package: tests that fail and are not listed.
+	badTests, badPackages, panicked := map[string]int{}, map[string]bool{}, map[string]bool{}
+	listed := map[string]int{} // and those that are
 	packages := 0
 	var faults []string
 	in := json.NewDecoder(run)
@@ -106,7 +107,8 @@
 		}
 	}
 	for p := range badPackages {
-		if badTests[p] == 0 && (listed[p] == 0 || panicked[p]) { // it did not build, or ended before all of its tests had run
+		// It did not build, or ended before all of its tests had run.
+		if badTests[p] == 0 && (listed[p] == 0 || panicked[p]) {
 			faults = append(faults, p+" fails as a whole")
 		}
 	}
--- a/internal/knownred/verdict/main.go
+++ b/internal/knownred/verdict/main.go
@@ -1,4 +1,5 @@
-// Verdict reads go test -json and ends with 1 unless all tests pass but for those that the file named as its argument lists.
+// Verdict reads go test -json and ends with 1 unless all tests pass but for those that the file named as its
+// argument lists.
 package main
 
 import (
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,5 +1,5 @@
-// Package logging writes the process's log without ever blocking whoever logs: a pipe that nobody reads, or a disk that hangs, costs lines and no
-// answer to a client.
+// Package logging writes the process's log without ever blocking whoever logs: a pipe that nobody reads, or a disk
+// that hangs, costs lines and no answer to a client.
 package logging
 
 import (
@@ -11,8 +11,8 @@
 
 const maxQueuedBytes = 256 << 10 // of lines that wait to be written
 
-// Writer queues lines and writes them in a goroutine of its own, which ends after Close. Lines that don't fit into the queue are dropped, and
-// their number is written in their place.
+// Writer queues lines and writes them in a goroutine of its own, which ends after Close. Lines that don't fit into
+// the queue are dropped, and their number is written in their place.
 type Writer struct {
 	output io.Writer
 	wake   chan struct{} // receives once there is something to write, or the writer is closed
@@ -44,7 +44,8 @@
 	return len(line), nil
 }
 
-// Close writes what is queued, and returns once that is done or the timeout is over. An output that blocks for longer keeps the goroutine.
+// Close writes what is queued, and returns once that is done or the timeout is over. An output that blocks for
+// longer keeps the goroutine.
 func (w *Writer) Close(timeout time.Duration) {
 	w.mu.Lock()
 	w.closed = true
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -23,7 +23,8 @@
 	}
 }
 
-// Where the output is blocked, lines are queued up to a bound and then dropped, and their number is written in their place.
+// Where the output is blocked, lines are queued up to a bound and then dropped, and their number is written in
+// their place.
 func TestBlockedOutput(t *testing.T) {
 	reader, output := io.Pipe()
 	w := NewWriter(output)
--- a/internal/membership/drops.go
+++ b/internal/membership/drops.go
@@ -14,8 +14,9 @@
 	dropLogInterval = time.Minute
 )
 
-// DropCounter counts what was received and had to be dropped, by kind. A thousand bad datagrams a second must not fill the log, so each
-// kind is logged once a minute at most. The zero value is ready for use, and for use by several goroutines.
+// DropCounter counts what was received and had to be dropped, by kind. A thousand bad datagrams a second must not
+// fill the log, so each kind is logged once a minute at most. The zero value is ready for use, and for use by
+// several goroutines.
 type DropCounter struct {
 	mu    sync.Mutex
 	kinds map[string]*dropCount
--- a/internal/membership/engine/delegate.go
+++ b/internal/membership/engine/delegate.go
@@ -28,8 +28,8 @@
 // delegate is what the gossip library calls.
 type delegate struct{ group *Group }
 
-// NodeMeta is what this member tells of itself: nothing, or that it leaves. The library does not tell members that left from those that
-// are gone.
+// NodeMeta is what this member tells of itself: nothing, or that it leaves. The library does not tell members that
+// left from those that are gone.
 func (d delegate) NodeMeta(int) []byte {
 	d.group.mu.Lock()
 	defer d.group.mu.Unlock()
--- a/internal/membership/engine/group.go
+++ b/internal/membership/engine/group.go
@@ -1,5 +1,6 @@
-// Package engine is the gossip engine (hashicorp/memberlist) as a process of its own, beside the balancer: linked into the balancer it
-// would cost 4.5 MB even where there are no peers, and a datagram that crashes it must not end the balancer.
+// Package engine is the gossip engine (hashicorp/memberlist) as a process of its own, beside the balancer: linked
+// into the balancer it would cost 4.5 MB even where there are no peers, and a datagram that crashes it must not
+// end the balancer.
 package engine
 
 import (
@@ -48,9 +49,10 @@
 )
 
 const (
-	tickInterval   = 250 * time.Millisecond
-	suspensionGap  = 1500 * time.Millisecond // a tick that comes so late shows that the process or the machine was suspended
-	initialBackoff = time.Second             // between attempts to open the address or to join
+	tickInterval = 250 * time.Millisecond
+	// A tick that comes so late shows that the process or the machine was suspended.
+	suspensionGap  = 1500 * time.Millisecond
+	initialBackoff = time.Second // between attempts to open the address or to join
 	maxBackoff     = 15 * time.Second
 	leaveTimeout   = 300 * time.Millisecond
 )
@@ -117,8 +119,8 @@
 	return b
 }
 
-// openWithRetries opens the address, and retries until the context ends: the process before this one may still have the address. It
-// tells whether the address is open.
+// openWithRetries opens the address, and retries until the context ends: the process before this one may still
+// have the address. It tells whether the address is open.
 func (g *Group) openWithRetries(ctx context.Context) bool {
 	retries := newBackoff()
 	for reported := false; ; reported = true {
@@ -218,7 +220,8 @@
 	}
 }
 
-// Publish spreads a message to the other members; a later one of the same key replaces an earlier one that has not been sent yet.
+// Publish spreads a message to the other members; a later one of the same key replaces an earlier one that has not
+// been sent yet.
 func (g *Group) Publish(key string, message []byte) {
 	g.mu.Lock()
 	queue := g.queue
--- a/internal/membership/engine/join.go
+++ b/internal/membership/engine/join.go
@@ -49,8 +49,8 @@
 	return true
 }
 
-// needsJoin tells whether this member is alone, or one is gone without having left: then the fleet may be partitioned, and both parts
-// have to find each other.
+// needsJoin tells whether this member is alone, or one is gone without having left: then the fleet may be
+// partitioned, and both parts have to find each other.
 func (g *Group) needsJoin() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -82,7 +82,8 @@
 	return nil
 }
 
-// joinAddresses is the list to join with, the addresses of the first gone members by name, and how many members are alive.
+// joinAddresses is the list to join with, the addresses of the first gone members by name, and how many members
+// are alive.
 func (g *Group) joinAddresses() (list *memberlist.Memberlist, gone []string, alive int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/membership/engine/log.go
+++ b/internal/membership/engine/log.go
@@ -13,7 +13,8 @@
 	maxDropKind = 80  // bytes of a kind
 )
 
-// logFilter takes the gossip library's log: its errors and warnings are counted as drops by kind, the rest is for debugging.
+// logFilter takes the gossip library's log: its errors and warnings are counted as drops by kind, the rest is for
+// debugging.
 type logFilter struct {
 	drops *membership.DropCounter
 }
--- a/internal/membership/engine/members.go
+++ b/internal/membership/engine/members.go
@@ -62,8 +62,8 @@
 	m.address = node.Address()
 }
 
-// forgetOldestDeparted forgets the member that departed first, where too many departed ones are known. Members that are alive are never
-// forgotten, however many there are. The mutex is held.
+// forgetOldestDeparted forgets the member that departed first, where too many departed ones are known. Members
+// that are alive are never forgotten, however many there are. The mutex is held.
 func (g *Group) forgetOldestDeparted() {
 	var oldest membership.Name
 	departed := 0
--- a/internal/membership/engine/serve.go
+++ b/internal/membership/engine/serve.go
@@ -50,8 +50,9 @@
 	b.fullState = state
 }
 
-// Serve runs the engine for a balancer that writes frames to in and reads frames from out, until either ends or the balancer has it
-// leave. While the balancer is suspended the member is silent, as the balancer itself is. An error is of type *membership.Error.
+// Serve runs the engine for a balancer that writes frames to in and reads frames from out, until either ends or
+// the balancer has it leave. While the balancer is suspended the member is silent, as the balancer itself is. An
+// error is of type *membership.Error.
 func Serve(in io.Reader, out io.Writer) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -66,7 +67,8 @@
 	}
 	link := &balancerLink{encoder: cbor.NewEncoder(out)}
 	for runMember(ctx, New(instance, link), link, frames) == balancerSuspended {
-		// The first frame after the silence only shows that the balancer runs again. The end of the frames is left to runMember.
+		// The first frame after the silence only shows that the balancer runs again. The end of the frames is left
+		// to runMember.
 		if frame := <-frames; frameKind(frame) == membership.FrameLeave {
 			return nil
 		}
@@ -75,7 +77,8 @@
 	return nil
 }
 
-// readFrames decodes the balancer's frames until the input or the context ends. A read that blocks lasts until the process ends.
+// readFrames decodes the balancer's frames until the input or the context ends. A read that blocks lasts until the
+// process ends.
 func readFrames(ctx context.Context, in io.Reader) <-chan []any {
 	frames := make(chan []any, frameQueue)
 	go func() {
@@ -158,7 +161,8 @@
 	}
 }
 
-// Main is the engine's program. It returns the exit code; errors are written to errorOutput with what an operator can do.
+// Main is the engine's program. It returns the exit code; errors are written to errorOutput with what an operator
+// can do.
 func Main(in io.Reader, out, errorOutput io.Writer) int {
 	slog.SetDefault(slog.New(slog.NewTextHandler(errorOutput, nil)))
 	err := Serve(in, out)
--- a/internal/membership/engine/serve_test.go
+++ b/internal/membership/engine/serve_test.go
@@ -84,7 +84,8 @@
 	engine := serve(t)
 	engine.send(membership.FrameStart, "a", "one", address, address)
 	engine.await(membership.FrameMembers, true)
-	for lastFrame := time.Now(); time.Since(lastFrame) < membership.HeartbeatTimeout; { // until the reports of members stop
+	// Until the reports of members stop.
+	for lastFrame := time.Now(); time.Since(lastFrame) < membership.HeartbeatTimeout; {
 		select {
 		case <-engine.frames:
 			lastFrame = time.Now()
--- a/internal/membership/engine/transport.go
+++ b/internal/membership/engine/transport.go
@@ -8,8 +8,8 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// boundTransport opens streams from the address that the member listens on, so that receivers can filter by address; the library's own
-// transport uses any address of the machine.
+// boundTransport opens streams from the address that the member listens on, so that receivers can filter by
+// address; the library's own transport uses any address of the machine.
 type boundTransport struct {
 	*memberlist.NetTransport
 	source netip.Addr
--- a/internal/membership/frames.go
+++ b/internal/membership/frames.go
@@ -8,8 +8,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Frames pass between the balancer and its engine, each a CBOR list of a kind and its fields. Both processes are of one build. Each kind
-// is documented with its fields.
+// Frames pass between the balancer and its engine, each a CBOR list of a kind and its fields. Both processes are
+// of one build. Each kind is documented with its fields.
 const (
 	// FrameStart is the first frame to the engine: name, label, bind address, advertised address, then the seeds.
 	FrameStart uint64 = iota + 1
@@ -73,8 +73,8 @@
 	}, nil
 }
 
-// EncodeMembers is the content of a FrameMembers: an item for each member (name, address, state, nanoseconds in this state) and for each
-// kind of drop (no name, kind, no state, count).
+// EncodeMembers is the content of a FrameMembers: an item for each member (name, address, state, nanoseconds in
+// this state) and for each kind of drop (no name, kind, no state, count).
 func EncodeMembers(members []Member, dropped map[string]int) []any {
 	items := []any{}
 	for _, member := range members {
--- a/internal/membership/group.go
+++ b/internal/membership/group.go
@@ -24,7 +24,8 @@
 	OnSuspended(gap time.Duration)
 }
 
-// Group is the members of the fleet as this balancer sees them through its engine. Its methods may be called by several goroutines.
+// Group is the members of the fleet as this balancer sees them through its engine. Its methods may be called by
+// several goroutines.
 type Group struct {
 	program    string // of the engine; empty: the one beside this program
 	instance   Instance
@@ -39,8 +40,8 @@
 	engineDropped map[string]int // by kind, as the engine counts them
 }
 
-// New makes the group of an instance. program is the path of the engine's program; empty: the one beside this program. Nothing is started
-// before Run.
+// New makes the group of an instance. program is the path of the engine's program; empty: the one beside this
+// program. Nothing is started before Run.
 func New(program string, instance Instance, subscriber Subscriber) *Group {
 	return &Group{
 		program:    program,
@@ -50,8 +51,8 @@
 	}
 }
 
-// Run keeps the engine running until the context ends and the member has left. An engine that ends by itself is restarted with a backoff
-// that doubles, as each start costs time.
+// Run keeps the engine running until the context ends and the member has left. An engine that ends by itself is
+// restarted with a backoff that doubles, as each start costs time.
 func (g *Group) Run(ctx context.Context) {
 	for backoff := initialBackoff; ctx.Err() == nil; backoff = min(2*backoff, maxBackoff) {
 		started := time.Now()
@@ -71,7 +72,8 @@
 	}
 }
 
-// forgetMembers forgets the members of an engine that ended. The next engine joins some of them, even if no seed answers.
+// forgetMembers forgets the members of an engine that ended. The next engine joins some of them, even if no seed
+// answers.
 func (g *Group) forgetMembers() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -92,7 +94,8 @@
 	return known
 }
 
-// send queues a frame for the engine. A frame that finds the queue full is dropped: the engine is not running, or does not read.
+// send queues a frame for the engine. A frame that finds the queue full is dropped: the engine is not running, or
+// does not read.
 func (g *Group) send(frame ...any) {
 	select {
 	case g.queue <- frame:
@@ -100,7 +103,8 @@
 	}
 }
 
-// Publish spreads a message to the other members; a later one of the same key replaces an earlier one that has not been sent yet.
+// Publish spreads a message to the other members; a later one of the same key replaces an earlier one that has not
+// been sent yet.
 func (g *Group) Publish(key string, message []byte) { g.send(FramePublish, key, message) }
 
 // SetFullState sets what members that ask for the full state are sent from now on.
@@ -140,7 +144,8 @@
 	return max(count, 1)
 }
 
-// CountDropped counts input that the subscriber could not use; each kind is logged with its reason once a minute at most.
+// CountDropped counts input that the subscriber could not use; each kind is logged with its reason once a minute
+// at most.
 func (g *Group) CountDropped(kind, reason string) { g.drops.Add(kind, reason) }
 
 // Dropped is how much input was dropped, here and by the engine, by kind.
--- a/internal/membership/group_test.go
+++ b/internal/membership/group_test.go
@@ -168,7 +168,8 @@
 	eventually(t, "b has left", func() bool { return a.stateOf("b") == membership.Left })
 }
 
-// Names that strangers send, and labels that the engine quotes, need not be valid UTF-8; they do not end the engine's link.
+// Names that strangers send, and labels that the engine quotes, need not be valid UTF-8; they do not end the
+// engine's link.
 func TestInvalidNames(t *testing.T) {
 	a := start(t, "invalid names", "a", "127.84.0.4")
 	eventually(t, "all are seen", func() bool { return len(a.group.Members()) == 2 && len(a.group.Dropped()) == 1 })
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,5 +1,6 @@
-// Package membership knows the other balancers of the fleet and passes bytes between them, without knowing their meaning. The gossip
-// engine is a process of its own (internal/membership/engine, cmd/yardwinch-gossip), which this package starts, feeds and restarts.
+// Package membership knows the other balancers of the fleet and passes bytes between them, without knowing their
+// meaning. The gossip engine is a process of its own (internal/membership/engine, cmd/yardwinch-gossip), which
+// this package starts, feeds and restarts.
 package membership
 
 import (
@@ -48,7 +49,8 @@
 // CompareByName orders members by name.
 func CompareByName(a, b Member) int { return cmp.Compare(a.Name, b.Name) }
 
-// A frozen balancer must not look alive because its engine answers, so the engine falls silent when the balancer's heartbeats stop.
+// A frozen balancer must not look alive because its engine answers, so the engine falls silent when the balancer's
+// heartbeats stop.
 const (
 	// HeartbeatInterval is the interval between heartbeats from the balancer to its engine.
 	HeartbeatInterval = 250 * time.Millisecond
--- a/internal/membership/process.go
+++ b/internal/membership/process.go
@@ -39,7 +39,8 @@
 	if err != nil {
 		return err
 	}
-	// The kernel ends the engine with the thread that started it, so this thread must last: the engine must not outlive the balancer.
+	// The kernel ends the engine with the thread that started it, so this thread must last: the engine must not
+	// outlive the balancer.
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	command := exec.CommandContext(ctx, path)
--- a/internal/protocol/attempt_test.go
+++ b/internal/protocol/attempt_test.go
@@ -11,8 +11,8 @@
 	"yardwinch/internal/routing"
 )
 
-// What a server sends, or does, before UP, and what its client gets: for an idempotent flow another attempt, for one that
-// is not an answer that promises nothing wherever it may have run.
+// What a server sends, or does, before UP, and what its client gets: for an idempotent flow another attempt, for
+// one that is not an answer that promises nothing wherever it may have run.
 func TestAttemptOutcomes(t *testing.T) {
 	const retried = "retried" // by another attempt
 	for _, c := range []struct {
@@ -67,10 +67,10 @@
 	}
 }
 
-// A server takes the line and sends nothing. The line gives it a time, which is less than the client's; when that is over
-// the server gets an end and no more, and the client an answer that promises nothing, before its own time is over. What the
-// machine's speed can't change is checked in every run. How late the answer came may be the machine's doing: one run must
-// be in time.
+// A server takes the line and sends nothing. The line gives it a time, which is less than the client's; when that
+// is over the server gets an end and no more, and the client an answer that promises nothing, before its own time
+// is over. What the machine's speed can't change is checked in every run. How late the answer came may be the
+// machine's doing: one run must be in time.
 func TestSilentServer(t *testing.T) {
 	for end := time.Now().Add(time.Minute); !clientOfSilentServer(t); {
 		if time.Now().After(end) { // a hang
@@ -128,8 +128,8 @@
 	return took <= timeout
 }
 
-// Flows that come with next to no time fail, and their failures must not count against a server: two attempts that found
-// it unreachable would empty it.
+// Flows that come with next to no time fail, and their failures must not count against a server: two attempts that
+// found it unreachable would empty it.
 func TestNoTimeLeft(t *testing.T) {
 	l := listen(t)
 	b := startBalancer(t, decide.Idempotent, 100, l.Addr().String())
@@ -161,7 +161,8 @@
 	other, own := listen(t), listen(t)
 	b := startBalancer(t, decide.NotIdempotent, 100, other.Addr().String(), own.Addr().String())
 	update := b.router.BeginUpdate(routing.DeltaUpdate)
-	update.AddEndpoint(routing.Endpoint{Name: "s1", Addr: own.Addr().String(), Zone: "z", Size: 1, Readiness: routing.Draining}) // a resumed flow is not new there
+	// A resumed flow is not new there.
+	update.AddEndpoint(routing.Endpoint{Name: "s1", Addr: own.Addr().String(), Zone: "z", Size: 1, Readiness: routing.Draining})
 	update.Commit(t.Context())
 	client := b.client("OPEN 1 2 c=live,d=900000,at=s1\r\n")
 	server, line := accept(t, own)
--- a/internal/protocol/crossings_test.go
+++ b/internal/protocol/crossings_test.go
@@ -58,7 +58,8 @@
 // waitForPendingConnect waits until a connection to an unresponsive listener was requested and has not come up.
 func waitForPendingConnect(t *testing.T, l net.Listener) {
 	t.Helper()
-	synSent := fmt.Sprintf(":%04X 02 ", l.Addr().(*net.TCPAddr).Port) // as the kernel lists it: the remote port and the state
+	// As the kernel lists it: the remote port and the state.
+	synSent := fmt.Sprintf(":%04X 02 ", l.Addr().(*net.TCPAddr).Port)
 	for end := time.Now().Add(hangTimeout); ; time.Sleep(ms) {
 		table, err := os.ReadFile("/proc/net/tcp")
 		if err != nil || time.Now().After(end) {
@@ -70,8 +71,8 @@
 	}
 }
 
-// A client that leaves while it waits is not forwarded, whatever it waited for and however it left, and all that it held is
-// given back: the next client finds the balancer as if the first had never come.
+// A client that leaves while it waits is not forwarded, whatever it waited for and however it left, and all that
+// it held is given back: the next client finds the balancer as if the first had never come.
 func TestClientLeavesWhileItWaits(t *testing.T) {
 	for way, leave := range waysToLeave {
 		for waitsFor, test := range map[string]func(t *testing.T, leave func(*peer)){
@@ -190,9 +191,9 @@
 	}
 }
 
-// starvedConn is a client's connection in a process that is short of its core. The client leaves at the moment of a given
-// idle check, and what reads from the client does not run before that check is over. An idle check is known by its use of
-// the socket itself.
+// starvedConn is a client's connection in a process that is short of its core. The client leaves at the moment of
+// a given idle check, and what reads from the client does not run before that check is over. An idle check is
+// known by its use of the socket itself.
 type starvedConn struct {
 	*net.TCPConn
 	leaveAt     int    // the idle check from which on the client is gone
@@ -226,8 +227,8 @@
 	return s.TCPConn.SyscallConn()
 }
 
-// A client's end has come, but the goroutine that would send runs before the one that reads: no attempt begins, first or
-// retry, neither the request for a connection nor the first byte on it.
+// A client's end has come, but the goroutine that would send runs before the one that reads: no attempt begins,
+// first or retry, neither the request for a connection nor the first byte on it.
 func TestNoAttemptAfterClientLeft(t *testing.T) {
 	const busy, reset, resumeLine = "BUSY\r\n", "", "OPEN 1a 2 c=live,at=s0\r\n"
 	for _, c := range []attemptAfterLeft{
@@ -298,8 +299,8 @@
 	}
 }
 
-// A retry is decided within the window in which servers drop duplicates, and its connection comes up after it: the line must
-// not go on, as it could take effect a second time.
+// A retry is decided within the window in which servers drop duplicates, and its connection comes up after it: the
+// line must not go on, as it could take effect a second time.
 func TestRetryEstablishedPastItsWindow(t *testing.T) {
 	first, late := listen(t), unresponsiveListener(t)
 	settings := usually(decide.IdempotentByKey, 100)
@@ -313,7 +314,8 @@
 	update.Commit(t.Context())
 	server.reset() // it may have run
 	waitForPendingConnect(t, late)
-	if _, err := late.Accept(); err != nil { // from now on the connection comes up, when it is requested again a second later
+	// From now on the connection comes up, when it is requested again a second later.
+	if _, err := late.Accept(); err != nil {
 		t.Fatal(err)
 	}
 	received := make(chan string, 1)
--- a/internal/protocol/discovery.go
+++ b/internal/protocol/discovery.go
@@ -134,9 +134,9 @@
 	return d.applyText(context.Background(), list, routing.CachedUpdate)
 }
 
-// Run watches until the context ends. A watch that breaks or falls silent is reopened soon, and the list stays as it was.
-// So it does when the address changes. The revisions of the new address may be others, so that the next list is taken
-// completely: one that counts from an old revision could leave out who is gone.
+// Run watches until the context ends. A watch that breaks or falls silent is reopened soon, and the list stays as
+// it was. So it does when the address changes. The revisions of the new address may be others, so that the next
+// list is taken completely: one that counts from an old revision could leave out who is gone.
 func (d *Discovery) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		round, endRound := context.WithCancel(ctx)
@@ -186,14 +186,14 @@
 // reopenDelay is how long to wait after a watch that failed, and that had been silent for a time by then. What has
 // changed since must take effect within changeTimeout: the wait and the complete next call fit into what is left.
 //
-// Discovery itself is asked by all balancers, which lose their watches at the same moment: they spread over all of the
-// time that is left. A call that was given up or rejected has taken a place in discovery's queue, and is served though
-// nobody waits for it any more: if all asked again within the first half of the time, discovery would never be through
-// with these calls.
+// Discovery itself is asked by all balancers, which lose their watches at the same moment: they spread over all of
+// the time that is left. A call that was given up or rejected has taken a place in discovery's queue, and is
+// served though nobody waits for it any more: if all asked again within the first half of the time, discovery
+// would never be through with these calls.
 //
-// An agent on this machine serves nobody else, and a change counts as received from the moment the agent has it. Waiting
-// through that moment would send flows to a server that is known to drain, so that an agent that fell silent is asked
-// again at once, and answers when it can.
+// An agent on this machine serves nobody else, and a change counts as received from the moment the agent has it.
+// Waiting through that moment would send flows to a server that is known to drain, so that an agent that fell
+// silent is asked again at once, and answers when it can.
 func (d *Discovery) reopenDelay(silence time.Duration, fellSilent bool) time.Duration {
 	longest := max(0, changeTimeout-applyTime-d.answerTimeout-silence)
 	part := d.random.Float64()
--- a/internal/protocol/discovery_test.go
+++ b/internal/protocol/discovery_test.go
@@ -21,8 +21,8 @@
 
 const responseHeader = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nConnection: close\r\n\r\n"
 
-// discoveryCall is how the test's discovery answers one call, by the bytes that it writes. It notes when it last said that
-// all changes have been sent: what changes later this call leaves out.
+// discoveryCall is how the test's discovery answers one call, by the bytes that it writes. It notes when it last
+// said that all changes have been sent: what changes later this call leaves out.
 type discoveryCall struct {
 	name      string
 	respond   func(c io.Writer, upToDate *instant)
@@ -101,10 +101,10 @@
 	{"a list of the wrong kind", respondWith(responseHeader + `{"revision":9,"complete":true,"members":{"a":1}}` + "\n"), true},
 }
 
-// From the moment at which discovery has a change and can be reached it takes effect within 6 s, whatever came before. The
-// change comes up just after the last sign of life of the last call that failed; the call after that one waits for as long as
-// discovery may let it wait. The time is the bubble's: HTTP is real, its connections are in memory, so that no machine is
-// too slow for it.
+// From the moment at which discovery has a change and can be reached it takes effect within 6 s, whatever came
+// before. The change comes up just after the last sign of life of the last call that failed; the call after that
+// one waits for as long as discovery may let it wait. The time is the bubble's: HTTP is real, its connections are
+// in memory, so that no machine is too slow for it.
 func TestChangeTakesEffectInTime(t *testing.T) {
 	recordLogs(t) // thousands of lines
 	var sequences [][]discoveryCall
@@ -142,8 +142,8 @@
 	return names
 }
 
-// changeAfter answers calls in ways that fail and then one that waits for 2 s and brings the change. It returns how long
-// that took from when the change was there.
+// changeAfter answers calls in ways that fail and then one that waits for 2 s and brings the change. It returns
+// how long that took from when the change was there.
 func changeAfter(t *testing.T, seed uint64, isPolled bool, before []discoveryCall) (took time.Duration) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newTestDiscovery(seed, "discovery:80", isPolled)
@@ -244,8 +244,8 @@
 	return r
 }
 
-// Bad input of each kind, over real connections, again and again, is one error in the log that names what and where. The list
-// held stays until one comes that can be applied.
+// Bad input of each kind, over real connections, again and again, is one error in the log that names what and
+// where. The list held stays until one comes that can be applied.
 func TestBadListIsLoggedOnce(t *testing.T) {
 	tooMany := strings.Repeat(`{"id":"s","phase":"SERVING"},`, maxServers) + `{"id":"s","phase":"SERVING"}`
 	for _, c := range []badList{
--- a/internal/protocol/endpointlist.go
+++ b/internal/protocol/endpointlist.go
@@ -80,7 +80,8 @@
 	return list, nil
 }
 
-// parseFields reads an object that has been opened. In its result a list of members is replaced by whether there is one.
+// parseFields reads an object that has been opened. In its result a list of members is replaced by whether there
+// is one.
 func (l *endpointList) parseFields(objects *json.Decoder) (map[string]any, error) {
 	fields := map[string]any{}
 	for objects.More() {
@@ -136,8 +137,8 @@
 	return v, err
 }
 
-// parseMembers adds the members of a list. It returns true where there is a list. Members past the bound are counted and
-// not kept.
+// parseMembers adds the members of a list. It returns true where there is a list. Members past the bound are
+// counted and not kept.
 func (l *endpointList) parseMembers(objects *json.Decoder) (any, error) {
 	opening, err := objects.Token()
 	if err != nil {
--- a/internal/protocol/endpointlist_test.go
+++ b/internal/protocol/endpointlist_test.go
@@ -92,8 +92,8 @@
 	}
 }
 
-// A list that is written over many lines is one object all the same, on a watch too, wherever it is cut. An end within it
-// changes nothing.
+// A list that is written over many lines is one object all the same, on a watch too, wherever it is cut. An end
+// within it changes nothing.
 func TestIndentedEndpointList(t *testing.T) {
 	pretty := func(s string) string {
 		return strings.ReplaceAll(strings.ReplaceAll(s, ",", ",\r\n\t"), "[", "[\n\n  ")
--- a/internal/protocol/endpointstart_test.go
+++ b/internal/protocol/endpointstart_test.go
@@ -20,9 +20,9 @@
 	return fmt.Sprintf(`{"id":%q,"host_port":"127.0.0.1:1","phase":"SERVING","up_since_ms":%d}`, restartingServer, at.UnixMilli())
 }
 
-// A server that starts while the balancer runs is in slow start from then on, by however much the wall clocks of the two
-// machines differ: it started after the update before, and not in the future. Any other value is another start, the same
-// value is none, also for the process that succeeds.
+// A server that starts while the balancer runs is in slow start from then on, by however much the wall clocks of
+// the two machines differ: it started after the update before, and not in the future. Any other value is another
+// start, the same value is none, also for the process that succeeds.
 func TestServerStartsUnderSteppedClock(t *testing.T) {
 	for _, step := range []time.Duration{0, 30 * time.Second, -30 * time.Second, time.Hour, -time.Hour} {
 		t.Run(step.String(), func(t *testing.T) { serverStarts(t, time.Now().Add(step)) })
--- a/internal/protocol/flowids.go
+++ b/internal/protocol/flowids.go
@@ -122,8 +122,8 @@
 // ClaimID takes an id for a flow and reports whether it was free.
 func (f *Frontend) ClaimID(id string) bool { return f.ids.claim(id) }
 
-// ShareIDs returns the ids that are taken, as hashes under a key, for another process that takes them over. From then on
-// that process is asked for each new id; nil ends this.
+// ShareIDs returns the ids that are taken, as hashes under a key, for another process that takes them over. From
+// then on that process is asked for each new id; nil ends this.
 func (f *Frontend) ShareIDs(isTakenElsewhere func(hash uint64) (taken bool)) (key, ids []byte) {
 	return f.ids.share(isTakenElsewhere)
 }
--- a/internal/protocol/frontend.go
+++ b/internal/protocol/frontend.go
@@ -70,8 +70,8 @@
 // Stop ends what still waits for an answer, with an answer.
 func (f *Frontend) Stop() { f.stop() }
 
-// SetOutOfService says whether the layer before the balancers is to send clients here: while it is not, PING is answered
-// by BUSY. rejectsAll says that the layer had the time to notice, so that new flows are rejected at once.
+// SetOutOfService says whether the layer before the balancers is to send clients here: while it is not, PING is
+// answered by BUSY. rejectsAll says that the layer had the time to notice, so that new flows are rejected at once.
 func (f *Frontend) SetOutOfService(outOfService, rejectsAll bool) {
 	f.outOfService.Store(outOfService)
 	f.rejectsAll.Store(rejectsAll)
@@ -141,8 +141,8 @@
 	return "", errTooManyPings
 }
 
-// reject gives a client that can't be served one line and an end, however much it still sends. A client that left without
-// a line gets neither.
+// reject gives a client that can't be served one line and an end, however much it still sends. A client that left
+// without a line gets neither.
 func (f *Frontend) reject(client *transport.Conn, err error) {
 	switch {
 	case errors.Is(err, errNoDescriptors), errors.Is(err, errOutOfService):
--- a/internal/protocol/frontend_test.go
+++ b/internal/protocol/frontend_test.go
@@ -88,8 +88,8 @@
 	return s
 }
 
-// A bad client must not reach a server, nor harm another's flow: one whose id is taken is rejected and the first goes on,
-// and one that speaks before its answer is cut off, which is not held against the server.
+// A bad client must not reach a server, nor harm another's flow: one whose id is taken is rejected and the first
+// goes on, and one that speaks before its answer is cut off, which is not held against the server.
 func TestIDsTakenAndEarlySpeakers(t *testing.T) {
 	l := listen(t)
 	b := startBalancer(t, decide.Idempotent, 100, l.Addr().String())
@@ -127,8 +127,8 @@
 	}
 }
 
-// An id that another process of this balancer has taken belongs to no flow here: it stays taken like one that ended, and
-// is forgotten in time.
+// An id that another process of this balancer has taken belongs to no flow here: it stays taken like one that
+// ended, and is forgotten in time.
 func TestIDTakenByOtherProcess(t *testing.T) {
 	f := startBalancer(t, decide.Idempotent, 0).frontend
 	f.ShareIDs(func(uint64) bool { return true })
@@ -192,8 +192,8 @@
 	}
 }
 
-// A balancer that stops answers the clients that wait: that they may retry where nothing ran, and without a promise where
-// something may have.
+// A balancer that stops answers the clients that wait: that they may retry where nothing ran, and without a
+// promise where something may have.
 func TestStopAnswersWaitingClients(t *testing.T) {
 	l := listen(t)
 	settings := usually(decide.NotIdempotent, 100)
--- a/internal/protocol/lines.go
+++ b/internal/protocol/lines.go
@@ -16,9 +16,9 @@
 	lineWriteBufferBytes = 4200 // more than the longest line
 )
 
-// lineCodec reads and writes single lines with net/textproto. A Conn never gives it more than one line, so that nothing
-// stays behind in its buffers and one codec serves any number of connections. A textproto.Conn for each connection would
-// keep two buffers of 4 KiB that never shrink, and would read lines of any length.
+// lineCodec reads and writes single lines with net/textproto. A Conn never gives it more than one line, so that
+// nothing stays behind in its buffers and one codec serves any number of connections. A textproto.Conn for each
+// connection would keep two buffers of 4 KiB that never shrink, and would read lines of any length.
 type lineCodec struct {
 	in     *bufio.Reader
 	reader textproto.Reader
--- a/internal/protocol/localerrors_test.go
+++ b/internal/protocol/localerrors_test.go
@@ -26,8 +26,8 @@
 	}}
 }
 
-// The system refuses dials with an error of this machine's own, every fifth one or all of them for a moment. The servers are
-// healthy, so that all clients are served and nothing is held against a server.
+// The system refuses dials with an error of this machine's own, every fifth one or all of them for a moment. The
+// servers are healthy, so that all clients are served and nothing is held against a server.
 func TestLocalConnectErrors(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ENETUNREACH, syscall.EADDRNOTAVAIL, syscall.ENOBUFS, syscall.ENFILE, syscall.EAGAIN, syscall.ENOMEM} {
 		start := time.Now()
--- a/internal/protocol/overload_test.go
+++ b/internal/protocol/overload_test.go
@@ -12,9 +12,9 @@
 	"time"
 )
 
-// A discovery that answers so many calls a second rejects those that have waited for two seconds, and is busy with them all
-// the same. Eighty balancers that start at the same moment must all get the list soon; if they asked again four times a
-// second none ever would.
+// A discovery that answers so many calls a second rejects those that have waited for two seconds, and is busy with
+// them all the same. Eighty balancers that start at the same moment must all get the list soon; if they asked
+// again four times a second none ever would.
 func TestOverloadedDiscoveryAnswersAllEventually(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const balancers, answersPerSecond, maxWait = 80, 16, 2 * sec
@@ -71,9 +71,9 @@
 	return &http.Response{StatusCode: http.StatusOK, Body: body}, nil
 }
 
-// All balancers call one discovery, as all start at once or as it comes back after 8 s of silence. If it can answer all of
-// them in 3.5 s, all are answered in time: called in step, or again too soon, it would reject those it could have answered.
-// For one that can't see TestOverloadedDiscoveryAnswersAllEventually.
+// All balancers call one discovery, as all start at once or as it comes back after 8 s of silence. If it can
+// answer all of them in 3.5 s, all are answered in time: called in step, or again too soon, it would reject those
+// it could have answered. For one that can't see TestOverloadedDiscoveryAnswersAllEventually.
 func TestManyBalancersOnOneDiscovery(t *testing.T) {
 	recordLogs(t)
 	for _, balancers := range []int{80, 300} {
--- a/internal/protocol/relay_test.go
+++ b/internal/protocol/relay_test.go
@@ -74,8 +74,8 @@
 	}
 }
 
-// A server that is to stop sends its clients away before the endpoint list says so: the next ones must not be sent there,
-// though it looks the emptiest.
+// A server that is to stop sends its clients away before the endpoint list says so: the next ones must not be sent
+// there, though it looks the emptiest.
 func TestServerSendsMove(t *testing.T) {
 	addrs := make([]string, 2)
 	for i := range addrs {
--- a/internal/protocol/session.go
+++ b/internal/protocol/session.go
@@ -145,8 +145,8 @@
 	s.client.Drain()
 }
 
-// answerUnserved answers a client for which no further attempt is made. Where nothing ever ran it may retry, at a balancer
-// that does not stop.
+// answerUnserved answers a client for which no further attempt is made. Where nothing ever ran it may retry, at a
+// balancer that does not stop.
 func (s *session) answerUnserved(ctx context.Context) {
 	switch {
 	case errors.Is(context.Cause(ctx), errSpokeBeforeAnswer):
--- a/internal/protocol/transfer.go
+++ b/internal/protocol/transfer.go
@@ -111,8 +111,9 @@
 	}
 }
 
-// transferOrContinue runs where the relay from the server is parked. Once the one from the client rests too, both sockets
-// go to the other process; if they can't, both relays go on here. It reports whether the connection was transferred.
+// transferOrContinue runs where the relay from the server is parked. Once the one from the client rests too, both
+// sockets go to the other process; if they can't, both relays go on here. It reports whether the connection was
+// transferred.
 func (s *session) transferOrContinue() (wasTransferred bool) {
 	<-s.clientDone
 	s.frontend.mu.Lock()
@@ -172,8 +173,9 @@
 	}
 }
 
-// AdoptConnection takes over a connection that another process transfers. It returns once this balancer holds it; serve
-// serves it to its end, drop leaves it to the other process after all. One of them is called, once. The error is routing's.
+// AdoptConnection takes over a connection that another process transfers. It returns once this balancer holds it;
+// serve serves it to its end, drop leaves it to the other process after all. One of them is called, once. The
+// error is routing's.
 func (f *Frontend) AdoptConnection(c EstablishedConnection, client, server net.Conn, budget *transport.DescriptorBudget) (serve, drop func(), err error) {
 	flow, err := f.router.AdoptFlow(c.Flow.request(), c.ServerName)
 	if err != nil {
--- a/internal/protocol/watch_test.go
+++ b/internal/protocol/watch_test.go
@@ -141,9 +141,9 @@
 	}
 }
 
-// An agent that is silent has the list at the moment at which it can be asked again, and from then on the list counts as
-// received: a balancer that waited would send flows to a server that drains. However long the silence, one watch follows
-// another at once.
+// An agent that is silent has the list at the moment at which it can be asked again, and from then on the list
+// counts as received: a balancer that waited would send flows to a server that drains. However long the silence,
+// one watch follows another at once.
 func TestSilentAgentIsPolledAtOnce(t *testing.T) {
 	const silences = 14
 	calls := make(chan struct{}, silences+2)
@@ -172,9 +172,9 @@
 	}
 }
 
-// How long a balancer waits between two watches, by who is asked and how the last one ended: with the complete next call it
-// fits into the time within which a change must take effect, and where all balancers ask at the same moment it is spread
-// over what is left of that time.
+// How long a balancer waits between two watches, by who is asked and how the last one ended: with the complete
+// next call it fits into the time within which a change must take effect, and where all balancers ask at the same
+// moment it is spread over what is left of that time.
 func TestReopenDelay(t *testing.T) {
 	const left = changeTimeout - applyTime - answerTimeout
 	for _, c := range []struct {
@@ -212,8 +212,8 @@
 	}
 }
 
-// Where dials get no answer, those of calls that were given up end too: each holds a descriptor, and the system would go on
-// for minutes.
+// Where dials get no answer, those of calls that were given up end too: each holds a descriptor, and the system
+// would go on for minutes.
 func TestDialsOfAbandonedCallsEnd(t *testing.T) {
 	l := listen(t)
 	d := newTestDiscovery(1, l.Addr().String(), false)
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -9,14 +9,16 @@
 	"time"
 )
 
-// Backoff is how long to wait before each further attempt: exponential, with jitter. The zero value of the last wait begins with First.
+// Backoff is how long to wait before each further attempt: exponential, with jitter. The zero value of the last
+// wait begins with First.
 type Backoff struct {
 	First, Longest time.Duration
 
 	last time.Duration
 }
 
-// Next is the wait before the next attempt: twice the one before up to Longest, of which a random part of up to one half is taken off.
+// Next is the wait before the next attempt: twice the one before up to Longest, of which a random part of up to
+// one half is taken off.
 func (b *Backoff) Next() time.Duration {
 	b.last = min(max(2*b.last, b.First), b.Longest)
 	half := b.last / 2
@@ -54,8 +56,9 @@
 	return false
 }
 
-// Do repeats an attempt until it succeeds, fails with an error that is not transient, or the context ends. The error is that of the last attempt.
-// onFirst is called once, with the first error after which the attempt is repeated.
+// Do repeats an attempt until it succeeds, fails with an error that is not transient, or the context ends. The
+// error is that of the last attempt. onFirst is called once, with the first error after which the attempt is
+// repeated.
 func Do(ctx context.Context, backoff Backoff, onFirst func(error), attempt func() error) error {
 	for first := true; ; first = false {
 		err := attempt()
--- a/internal/simulator/decoder.go
+++ b/internal/simulator/decoder.go
@@ -11,8 +11,8 @@
 	"yardwinch/decide"
 )
 
-// decoder reads lines and their fields. The methods for fields keep the first fault in bad, so that a message is decoded
-// first and checked once.
+// decoder reads lines and their fields. The methods for fields keep the first fault in bad, so that a message is
+// decoded first and checked once.
 type decoder struct {
 	in     *bufio.Reader
 	line   int
--- a/internal/simulator/wire.go
+++ b/internal/simulator/wire.go
@@ -6,8 +6,8 @@
 	"yardwinch/decide"
 )
 
-// The message types of the simulator's wire, and what they mean here. A line is a type and its fields, separated by tabs;
-// "-" and a missing field are both absent. Times are in nanoseconds.
+// The message types of the simulator's wire, and what they mean here. A line is a type and its fields, separated
+// by tabs; "-" and a missing field are both absent. Times are in nanoseconds.
 
 const absentField = "-"
 
--- a/internal/store/disabled.go
+++ b/internal/store/disabled.go
@@ -24,8 +24,8 @@
 	Servers []string `json:"out_by_hand"`
 }
 
-// SaveDisabled writes the ids of the administratively disabled servers, whole or not at all, so that they survive a kill and a loss of power.
-// A step that fails gives a *DirectoryError.
+// SaveDisabled writes the ids of the administratively disabled servers, whole or not at all, so that they survive
+// a kill and a loss of power. A step that fails gives a *DirectoryError.
 func (d *Directory) SaveDisabled(servers []string) error {
 	text, err := json.Marshal(disabledFile{Version: formatVersion, Servers: servers})
 	if err != nil {
@@ -42,8 +42,8 @@
 	return nil
 }
 
-// replace writes a temporary file and renames it. Each step is on the disk before the next one begins, so that the name never stands for an
-// incomplete file.
+// replace writes a temporary file and renames it. Each step is on the disk before the next one begins, so that the
+// name never stands for an incomplete file.
 func (d *Directory) replace(temporary string, text []byte) error {
 	file, err := d.files.Create(temporary)
 	if err != nil {
@@ -65,7 +65,8 @@
 	return nil
 }
 
-// RemoveUnfinished removes the temporary files of processes that were killed while they wrote. No other process of this balancer may run.
+// RemoveUnfinished removes the temporary files of processes that were killed while they wrote. No other process of
+// this balancer may run.
 func (d *Directory) RemoveUnfinished() {
 	unfinished, err := d.files.Glob(d.Path(disabledSuffix+".") + "*")
 	if err != nil {
@@ -76,8 +77,8 @@
 	}
 }
 
-// LoadDisabled reads the ids of the administratively disabled servers; none if there is no file. Invalid content gives a *ContentError, and
-// nothing of it is used; a directory that can't be read gives a *DirectoryError.
+// LoadDisabled reads the ids of the administratively disabled servers; none if there is no file. Invalid content
+// gives a *ContentError, and nothing of it is used; a directory that can't be read gives a *DirectoryError.
 func (d *Directory) LoadDisabled() ([]string, error) {
 	servers, err := d.readDisabled()
 	var invalid *ContentError
@@ -147,7 +148,8 @@
 	return nil
 }
 
-// ValidateServerID tells whether an id that comes from another process, or from the disk, has a length that a server's id may have.
+// ValidateServerID tells whether an id that comes from another process, or from the disk, has a length that a
+// server's id may have.
 func ValidateServerID(id string) error {
 	if id == "" || len(id) > routing.MaxIDLength {
 		return fmt.Errorf("an id of %d bytes, 1 to %d may be", len(id), routing.MaxIDLength)
--- a/internal/store/disabled_test.go
+++ b/internal/store/disabled_test.go
@@ -143,8 +143,9 @@
 	}
 }
 
-// Whichever step of a write fails, or is the last before a kill, the content before or the content after is loaded: never a part, and never an
-// error. A step that failed is a typed error with advice, and the next write succeeds.
+// Whichever step of a write fails, or is the last before a kill, the content before or the content after is
+// loaded: never a part, and never an error. A step that failed is a typed error with advice, and the next write
+// succeeds.
 func TestFaultsWhileWriting(t *testing.T) {
 	for _, step := range []string{"create", "write", "sync", "rename", "sync directory"} {
 		for _, err := range []error{syscall.ENOSPC, syscall.EIO} {
--- a/internal/store/errors.go
+++ b/internal/store/errors.go
@@ -17,7 +17,8 @@
 	return "check that the directory that $TMPDIR names exists, is writable and has free space; the operation is retried until it succeeds"
 }
 
-// ContentError says that the content of a stored file is not valid. Unlike a DirectoryError it doesn't pass: reading again doesn't help.
+// ContentError says that the content of a stored file is not valid. Unlike a DirectoryError it doesn't pass:
+// reading again doesn't help.
 type ContentError struct {
 	Path string
 	Err  error
--- a/internal/store/filesystem.go
+++ b/internal/store/filesystem.go
@@ -53,7 +53,8 @@
 	return errors.Join(ignoreUnsupportedSync(directory.Sync()), directory.Close())
 }
 
-// ignoreUnsupportedSync drops the error of a file system that knows no sync, such as one in memory: it has no loss of power to survive.
+// ignoreUnsupportedSync drops the error of a file system that knows no sync, such as one in memory: it has no loss
+// of power to survive.
 func ignoreUnsupportedSync(err error) error {
 	for _, unsupported := range []error{syscall.EINVAL, syscall.ENOTSUP, syscall.ENOSYS} {
 		if errors.Is(err, unsupported) {
--- a/internal/strict/strict.go
+++ b/internal/strict/strict.go
@@ -1,5 +1,5 @@
-// Package strict reads TOML files in which every key must be known and every value must be as expected. An error names the file, the line
-// and the key, and says what was expected.
+// Package strict reads TOML files in which every key must be known and every value must be as expected. An error
+// names the file, the line and the key, and says what was expected.
 package strict
 
 import (
@@ -93,7 +93,8 @@
 	return line
 }
 
-// Err is the fault that comes first in the file, unknown keys included; call it on the top table when everything has been read.
+// Err is the fault that comes first in the file, unknown keys included; call it on the top table when everything
+// has been read.
 func (t Table) Err() error {
 	t.file.failUnknown(t.values, "")
 	if len(t.file.faults) == 0 {
--- a/internal/transport/budget.go
+++ b/internal/transport/budget.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	// clientReserve descriptors are kept from servers' connections, so that clients that come when the budget is spent can
-	// still be told to retry; a quarter of a small budget.
+	// clientReserve descriptors are kept from servers' connections, so that clients that come when the budget is
+	// spent can still be told to retry; a quarter of a small budget.
 	clientReserve = 24
-	// minIdleTime is how long a connection is idle at least before it is closed for a new one: its line may have come, and
-	// this process may not have had the processor to read it.
+	// minIdleTime is how long a connection is idle at least before it is closed for a new one: its line may have
+	// come, and this process may not have had the processor to read it.
 	minIdleTime = 100 * time.Millisecond
 	// closingReplyTimeout bounds the one attempt to tell a connection that it is closed.
 	closingReplyTimeout = time.Millisecond
@@ -28,9 +28,10 @@
 	descriptorsPerPair = 2
 )
 
-// DescriptorBudget counts the file descriptors that connections may use, and knows which connections are idle: those that
-// have asked for nothing yet, and those that have had their last line. When the budget is spent the longest idle one is
-// closed first, so that a crowd that sends nothing neither stops the accepts nor takes the place of other clients.
+// DescriptorBudget counts the file descriptors that connections may use, and knows which connections are idle:
+// those that have asked for nothing yet, and those that have had their last line. When the budget is spent the
+// longest idle one is closed first, so that a crowd that sends nothing neither stops the accepts nor takes the
+// place of other clients.
 type DescriptorBudget struct {
 	closingReply       string
 	reservedForClients int
@@ -65,8 +66,8 @@
 	b.signalFreed()
 }
 
-// MaxInUse is how many descriptors, of all there are, may come to be in use if nobody is admitted any more: a client whose
-// line is still to come has one, and needs another for its server.
+// MaxInUse is how many descriptors, of all there are, may come to be in use if nobody is admitted any more: a
+// client whose line is still to come has one, and needs another for its server.
 func (b *DescriptorBudget) MaxInUse(all int) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -88,8 +89,8 @@
 	}
 }
 
-// admit counts a connection that was accepted, and waits until there is a descriptor for it. If the accepting ends first
-// the connection is counted nowhere, and gets the answer of all that come at the end.
+// admit counts a connection that was accepted, and waits until there is a descriptor for it. If the accepting ends
+// first the connection is counted nowhere, and gets the answer of all that come at the end.
 func (b *DescriptorBudget) admit(ctx context.Context, raw net.Conn) *Conn {
 	c := &Conn{raw: raw, budget: b}
 	for {
@@ -126,9 +127,9 @@
 	return wait
 }
 
-// reserve sees to a free descriptor, if more than so many are free or idle. The longest idle connection may have to go for
-// it: the caller closes it, once the mutex is free. wait says when to try again where none has been idle for long enough.
-// The mutex is held.
+// reserve sees to a free descriptor, if more than so many are free or idle. The longest idle connection may have
+// to go for it: the caller closes it, once the mutex is free. wait says when to try again where none has been idle
+// for long enough. The mutex is held.
 func (b *DescriptorBudget) reserve(reserved int, minIdle time.Duration) (wait time.Duration, evicted *Conn) {
 	if b.free+b.idle.Len() <= reserved {
 		return noDescriptorWait, nil
@@ -184,8 +185,8 @@
 	c.budget.signalFreed()
 }
 
-// closeWithReply closes a connection to free its descriptor. The reply is tried once: a client that does not take it gets
-// none. What is unread is read first, as a close over it would be a reset, which overtakes the reply.
+// closeWithReply closes a connection to free its descriptor. The reply is tried once: a client that does not take
+// it gets none. What is unread is read first, as a close over it would be a reset, which overtakes the reply.
 func (c *Conn) closeWithReply(reply string) {
 	_ = c.raw.SetWriteDeadline(time.Now().Add(closingReplyTimeout)) // fails on a closed connection only
 	_, _ = c.raw.Write([]byte(reply))
@@ -225,7 +226,8 @@
 	return c.removeIdle()
 }
 
-// AcquireServerSlot counts a descriptor for the server's connection of a client's. It reports false where all are in use.
+// AcquireServerSlot counts a descriptor for the server's connection of a client's. It reports false where all are
+// in use.
 func (c *Conn) AcquireServerSlot() bool {
 	if c.budget == nil {
 		return true
@@ -267,8 +269,8 @@
 	c.addIdle()
 }
 
-// adopt counts the pair of connections of a client that another process served; they exist, whether or not the budget is
-// spent.
+// adopt counts the pair of connections of a client that another process served; they exist, whether or not the
+// budget is spent.
 func (b *DescriptorBudget) adopt(c *Conn) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/transport/budget_test.go
+++ b/internal/transport/budget_test.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// The accept loop outlives a lack of descriptors. Hundreds of clients that send nothing, or have had their last line, stop
-// neither the accepts nor the flows: the longest idle connection is closed first, with a reply. What is in use stays,
-// whatever comes.
+// The accept loop outlives a lack of descriptors. Hundreds of clients that send nothing, or have had their last
+// line, stop neither the accepts nor the flows: the longest idle connection is closed first, with a reply. What is
+// in use stays, whatever comes.
 func TestDescriptorBudget(t *testing.T) {
 	const descriptors, reply = 4 * clientReserve, "GO\n"
 	inner := listen(t)
@@ -71,8 +71,8 @@
 	}
 }
 
-// A connection that is closed to free its descriptor gets the reply also where its line has come and was not read yet: a
-// close over unread bytes would be a reset, which overtakes the reply.
+// A connection that is closed to free its descriptor gets the reply also where its line has come and was not read
+// yet: a close over unread bytes would be a reset, which overtakes the reply.
 func TestClosedForBudgetWithUnreadLine(t *testing.T) {
 	const reply = "BUSY\r\n"
 	inner := listen(t)
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -1,4 +1,5 @@
-// Package transport listens, dials and relays lines over TCP. It knows where a line ends and nothing of what a line says.
+// Package transport listens, dials and relays lines over TCP. It knows where a line ends and nothing of what a
+// line says.
 package transport
 
 import (
@@ -19,8 +20,8 @@
 	maxLineBytes       = 4096 + 2 // with its CRLF
 	initialBufferBytes = 256
 
-	// writeTimeout bounds a write: a line that the other side does not take within it is lost, and so is its connection,
-	// as waiting longer would hold back every line behind it.
+	// writeTimeout bounds a write: a line that the other side does not take within it is lost, and so is its
+	// connection, as waiting longer would hold back every line behind it.
 	writeTimeout = 900 * time.Millisecond
 	// lingerTimeout is how long a connection that was ended may take to read its last line.
 	lingerTimeout = 250 * time.Millisecond
@@ -55,8 +56,8 @@
 // NewConn wraps a connection that is not counted in a budget.
 func NewConn(raw net.Conn) *Conn { return &Conn{raw: raw} }
 
-// Read reads no byte past the end of the first line, and none of a line that is not complete: what follows a line is left
-// to a relay. It fails with ErrTooLong where a line has no end within 4 KiB.
+// Read reads no byte past the end of the first line, and none of a line that is not complete: what follows a line
+// is left to a relay. It fails with ErrTooLong where a line has no end within 4 KiB.
 func (c *Conn) Read(p []byte) (int, error) {
 	for {
 		unread := c.unread()
@@ -145,8 +146,8 @@
 	return errors.As(err, &timeout) && timeout.Timeout()
 }
 
-// IsIdle reports whether the other side has neither ended the connection nor sent more by now. It takes no byte: another
-// goroutine may be waiting for just that, and not have run since it came.
+// IsIdle reports whether the other side has neither ended the connection nor sent more by now. It takes no byte:
+// another goroutine may be waiting for just that, and not have run since it came.
 func (c *Conn) IsIdle() bool {
 	socket, ok := c.raw.(syscall.Conn)
 	if !ok {
--- a/internal/transport/dial.go
+++ b/internal/transport/dial.go
@@ -14,16 +14,17 @@
 const (
 	firstLocalRetry   = time.Millisecond
 	longestLocalRetry = 25 * time.Millisecond
-	// localRetryTimeout is how long a dial is retried that fails for lack of local resources: after that another server is
-	// as good, and a final answer may be due.
+	// localRetryTimeout is how long a dial is retried that fails for lack of local resources: after that another
+	// server is as good, and a final answer may be due.
 	localRetryTimeout = 250 * time.Millisecond
 )
 
 var (
-	// ErrLocalResources says that a dial failed for lack of something on this machine, which tells nothing of the server.
+	// ErrLocalResources says that a dial failed for lack of something on this machine, which tells nothing of the
+	// server.
 	ErrLocalResources = errors.New("lack of descriptors, ports, memory or a way out on this machine")
-	// ErrNoLongerWanted says that the last check before a dial found it no longer wanted: nothing of it went out, not even a
-	// SYN.
+	// ErrNoLongerWanted says that the last check before a dial found it no longer wanted: nothing of it went out,
+	// not even a SYN.
 	ErrNoLongerWanted = errors.New("not wanted any more")
 )
 
@@ -33,10 +34,10 @@
 	Connect func(ctx context.Context, by *net.Dialer, addr string) (net.Conn, error)
 }
 
-// Dial connects to a server; its descriptor is part of what the flow's client acquired. isWanted is the last check,
-// directly before the system is asked to connect and after all that may take time before that; nil: none is needed. A dial
-// that fails for lack of local resources never left this machine, and is retried for a while. The errors are
-// ErrNoLongerWanted, ErrLocalResources, the context's, and the network's.
+// Dial connects to a server; its descriptor is part of what the flow's client acquired. isWanted is the last
+// check, directly before the system is asked to connect and after all that may take time before that; nil: none is
+// needed. A dial that fails for lack of local resources never left this machine, and is retried for a while. The
+// errors are ErrNoLongerWanted, ErrLocalResources, the context's, and the network's.
 func (d Dialer) Dial(ctx context.Context, addr string, timeout time.Duration, isWanted func() bool) (*Conn, error) {
 	by := net.Dialer{Timeout: timeout, KeepAlive: -1} // keep-alive notices nothing that the lines don't
 	if isWanted != nil {
--- a/internal/transport/listener.go
+++ b/internal/transport/listener.go
@@ -52,7 +52,8 @@
 
 // ListenShared listens on an address. isShared says that another process of this user's may listen there as well.
 func ListenShared(addr string, isShared bool) (*PausableListener, error) {
-	config := net.ListenConfig{KeepAlive: -1} // as in Dial: each of tens of thousands of idle connections would be probed
+	// As in Dial: each of tens of thousands of idle connections would be probed.
+	config := net.ListenConfig{KeepAlive: -1}
 	if isShared {
 		config.Control = setReusePort
 	}
@@ -92,9 +93,9 @@
 	}
 }
 
-// Finish has what is in the queue accepted, and no more: from then on the kernel takes no new connection, which would be
-// reset as the listener closes. A listener that is paused leaves the whole queue to the other process. Called again it has
-// the queue checked for as long again.
+// Finish has what is in the queue accepted, and no more: from then on the kernel takes no new connection, which
+// would be reset as the listener closes. A listener that is paused leaves the whole queue to the other process.
+// Called again it has the queue checked for as long again.
 func (p *PausableListener) Finish() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -111,8 +112,8 @@
 // setAcceptDeadline ends an accept under way at a time; the zero time removes the bound.
 func (p *PausableListener) setAcceptDeadline(t time.Time) { _ = p.SetDeadline(t) } // fails on a closed listener only
 
-// Accept fails with errFinished once the queue of a listener that finishes is empty. Until then a deadline that passed is
-// the work of Pause, or of Resume since.
+// Accept fails with errFinished once the queue of a listener that finishes is empty. Until then a deadline that
+// passed is the work of Pause, or of Resume since.
 func (p *PausableListener) Accept() (net.Conn, error) {
 	for {
 		isFinishing, err := p.prepareAccept()
@@ -129,8 +130,8 @@
 	}
 }
 
-// prepareAccept waits while the listener is paused. If it finishes, prepareAccept sets the deadline of the next accept, or fails
-// with errFinished.
+// prepareAccept waits while the listener is paused. If it finishes, prepareAccept sets the deadline of the next
+// accept, or fails with errFinished.
 func (p *PausableListener) prepareAccept() (isFinishing bool, err error) {
 	p.mu.Lock()
 	resumed := p.resumed
--- a/internal/transport/relay.go
+++ b/internal/transport/relay.go
@@ -166,6 +166,7 @@
 		if !c.parking.CompareAndSwap(true, false) {
 			return ErrMidLine
 		}
-		c.SetReadDeadline(time.Now().Add(lineEndTimeout)) // the client is about to migrate: Park's interruption counts for nothing
+		// The client is about to migrate: Park's interruption counts for nothing.
+		c.SetReadDeadline(time.Now().Add(lineEndTimeout))
 	}
 }
--- a/internal/transport/serve.go
+++ b/internal/transport/serve.go
@@ -10,16 +10,16 @@
 )
 
 const (
-	// acceptRetryInterval is waited after an accept that the system refused: it has nothing left for a connection, or the
-	// client is gone again.
+	// acceptRetryInterval is waited after an accept that the system refused: it has nothing left for a connection,
+	// or the client is gone again.
 	acceptRetryInterval = 10 * time.Millisecond
 	// finalAcceptTimeout bounds how long the queue is still accepted from at the end while the system refuses accepts.
 	finalAcceptTimeout = 2 * time.Second
 )
 
-// Serve accepts until the context ends and the listener's queue is empty, each connection in a goroutine of its own, and
-// returns when all of those have. While the budget is spent the kernel queues what comes. The error says that the listener
-// was closed by somebody else.
+// Serve accepts until the context ends and the listener's queue is empty, each connection in a goroutine of its
+// own, and returns when all of those have. While the budget is spent the kernel queues what comes. The error says
+// that the listener was closed by somebody else.
 func Serve(ctx context.Context, l FinishingListener, budget *DescriptorBudget, serve func(*Conn)) error {
 	var connections sync.WaitGroup
 	defer connections.Wait()
