--- a/internal/transport/serve_test.go
+++ b/internal/transport/serve_test.go
@@ -28,8 +28,9 @@
 	return r.PausableListener.Accept()
 }
 
-// The system refuses accepts as the accepting ends, and for longer than the queue is checked: the clients in the queue were
-// accepted by this machine, and each is answered once it can be accepted. Meanwhile the loop waits between two attempts.
+// The system refuses accepts as the accepting ends, and for longer than the queue is checked: the clients in the
+// queue were accepted by this machine, and each is answered once it can be accepted. Meanwhile the loop waits
+// between two attempts.
 func TestAcceptErrorsWhileFinishing(t *testing.T) {
 	const clients, outage = 20, 400 * time.Millisecond
 	inner := listen(t)
@@ -50,8 +51,8 @@
 	}
 }
 
-// Clients go on coming while the accepting ends and the listener closes: each whose connection came up is answered, and all
-// others are refused, or get no answer before their connection is up.
+// Clients go on coming while the accepting ends and the listener closes: each whose connection came up is
+// answered, and all others are refused, or get no answer before their connection is up.
 func TestNoResetAsListenerCloses(t *testing.T) {
 	const rounds = 12
 	for range rounds {
--- a/internal/transport/synfilter.go
+++ b/internal/transport/synfilter.go
@@ -13,10 +13,10 @@
 	acceptSegment  = 1 << 18 // bytes to accept: more than any segment has
 )
 
-// dropNewConnections has the kernel drop the segments that request a new connection from a listener. Connections that are
-// being established, or wait in the queue, are not touched: with nothing new behind them the queue can be emptied, and the
-// listener closed without a reset. A client whose segment was dropped sends it again a second later, and finds the listener
-// closed. Where the kernel has no such filter everything is as without it.
+// dropNewConnections has the kernel drop the segments that request a new connection from a listener. Connections
+// that are being established, or wait in the queue, are not touched: with nothing new behind them the queue can be
+// emptied, and the listener closed without a reset. A client whose segment was dropped sends it again a second
+// later, and finds the listener closed. Where the kernel has no such filter everything is as without it.
 func dropNewConnections(l *net.TCPListener) {
 	raw, err := l.SyscallConn()
 	if err != nil {
@@ -31,6 +31,7 @@
 	program := &unix.SockFprog{Len: uint16(len(filter)), Filter: &filter[0]}
 	// Control fails on a closed listener only.
 	_ = raw.Control(func(fd uintptr) {
-		_ = unix.SetsockoptSockFprog(int(fd), unix.SOL_SOCKET, unix.SO_ATTACH_FILTER, program) // no filter, as said above
+		// No filter, as said above.
+		_ = unix.SetsockoptSockFprog(int(fd), unix.SOL_SOCKET, unix.SO_ATTACH_FILTER, program)
 	})
 }
--- a/locality/spillover.go
+++ b/locality/spillover.go
@@ -18,8 +18,8 @@
 	minSize      = 1e-9             // a divisor where there are no servers
 )
 
-// learn follows the usual load: all own flows per unit of size in the nearest tier. A rise counts only while that tier is
-// not overloaded, or an overload would become usual. Nothing is learned while it is not healthy.
+// learn follows the usual load: all own flows per unit of size in the nearest tier. A rise counts only while that
+// tier is not overloaded, or an overload would become usual. Nothing is learned while it is not healthy.
 func (p *Policy) learn(elapsed time.Duration) {
 	current, ok := p.currentPerSize()
 	if !ok || elapsed <= 0 {
