--- a/internal/compatibility/commands_test.go
+++ b/internal/compatibility/commands_test.go
@@ -9,10 +9,10 @@
 	"testing"
 )
 
-// helpOf is what --help says of a command and all below it.
+// helpOf returns the help texts of a command and all its subcommands.
 func helpOf(t *testing.T, name string, path ...string) string {
 	t.Helper()
-	r := ran(t, name, "", "", append(path, "--help")...)
+	r := runCommand(t, name, "", "", append(path, "--help")...)
 	text := fmt.Sprintf("== %s: exit code %d\n%s%s", strings.Join(path, " "), r.code, r.out, r.err)
 	if len(path) > 0 && path[len(path)-1] == "help" {
 		return text
@@ -60,7 +60,7 @@
 }
 
 // Deploy files and scripts name commands, flags and variables. The daemon's prose is held, too, as operators read
-// it; the test bed's is not.
+// it; the testbed's is not.
 func TestHelp(t *testing.T) {
 	t.Parallel()
 	daemon := helpOf(t, "daemon")
@@ -69,8 +69,8 @@
 	golden(t, "commands/testbed-names.txt", names(helpOf(t, "testbed")))
 }
 
-// put writes files into a folder of their own.
-func put(t *testing.T, files map[string]string) string {
+// writeFiles writes files into a new directory.
+func writeFiles(t *testing.T, files map[string]string) string {
 	t.Helper()
 	folder := t.TempDir()
 	for name, text := range files {
@@ -81,26 +81,26 @@
 	return folder
 }
 
-// unnamed is what a command says with its file's name taken out, which may change; what follows may not.
-func unnamed(name, said string) string {
+// unnamed replaces a command's file name in its output, as that name may change.
+func unnamed(name, output string) string {
 	own := filepath.Base(sources[name]) + ":"
-	lines := strings.Split(said, "\n")
+	lines := strings.Split(output, "\n")
 	for i, line := range lines {
-		if rest, found := strings.CutPrefix(line, own); found && name != "daemon" {
-			lines[i] = name + ":" + rest
+		if text, found := strings.CutPrefix(line, own); found && name != "daemon" {
+			lines[i] = name + ":" + text
 		}
 	}
 	return strings.Join(lines, "\n")
 }
 
-// Whoever starts a command goes by its exit code, and staff by what it says.
+// Scripts depend on exit codes, and operators on the texts.
 func TestExitCodes(t *testing.T) {
 	t.Parallel()
 	sound := `{"listen":"127.0.0.1:18080","discovery":"127.0.0.1:1","limits":{"cores":1,"memory_mb":64,"sockets":200},"settings":{"service-types":[{"name":"live","effect":"free","group":"all","hard-limit":800000000}]}}`
-	folder := put(t, map[string]string{
+	folder := writeFiles(t, map[string]string{
 		"sound.json": sound, "broken.json": "{", "empty.json": "", "unserved.json": `{"listen":"127.0.0.1:18080"}`,
 		"word.json":    strings.Replace(sound, `"free"`, `"maybe"`, 1),
-		"options.toml": read(t, "testdata/options/all.toml"), "unknown.toml": "[hals]\nspill = 1\n", "key.toml": "[explain]\nsoket = \"/x\"\n",
+		"options.toml": readFile(t, "testdata/options/all.toml"), "unknown.toml": "[hals]\nspill = 1\n", "key.toml": "[explain]\nsoket = \"/x\"\n",
 		"relative.toml": "[explain]\nsocket = \"x\"\n", "nopeers.toml": "[signals]\non = true\n", "noduties.toml": "[duties]\non = true\n",
 		"badpeer.toml": "[peers]\nname = \"a b\"\nlabel = \"x\"\nbind = \"here\"\n", "nosocket.toml": "[halls]\n", "broken.toml": "[",
 		"halls.toml": "[halls]\nspill = 7\n", "plan.toml": "name = \"x\"\n", "fewer.toml": "name = \"x\"\n[fleet]\nservers = -1\n", "word.toml": "name = 1\n",
@@ -122,16 +122,16 @@
 		"testbed scale run none.toml", "testbed scale nonsense",
 	} {
 		words := strings.Fields(line)
-		r := ran(t, words[0], folder, "", words[1:]...)
+		r := runCommand(t, words[0], folder, "", words[1:]...)
 		fmt.Fprintf(&all, "== %s: exit code %d\n%s%s", line, r.code, r.out, unnamed(words[0], r.err))
 	}
 	golden(t, "commands/exit-codes.txt", all.String())
 }
 
-// An earlier configuration is brought to another shape with the same bytes.
+// The migration of an earlier configuration to another shape writes the same bytes.
 func TestMigrateAnEarlierConfiguration(t *testing.T) {
 	t.Parallel()
-	old, shape := read(t, "testdata/migrate/old.json"), read(t, "testdata/migrate/shape.json")
+	old, shape := readFile(t, "testdata/migrate/old.json"), readFile(t, "testdata/migrate/shape.json")
 	for _, c := range []struct {
 		name      string
 		arguments string
@@ -144,8 +144,8 @@
 		{"broken", "broken.json new.json"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			folder := put(t, map[string]string{"old.json": old, "shape.json": shape, "there.json": "precious", "broken.json": "{"})
-			r := ran(t, "daemon", folder, "", append([]string{"migrate", "--shape", "shape.json"}, strings.Fields(c.arguments)...)...)
+			folder := writeFiles(t, map[string]string{"old.json": old, "shape.json": shape, "there.json": "precious", "broken.json": "{"})
+			r := runCommand(t, "daemon", folder, "", append([]string{"migrate", "--shape", "shape.json"}, strings.Fields(c.arguments)...)...)
 			text := fmt.Sprintf("exit code %d\n%s%s", r.code, r.out, r.err)
 			for _, name := range []string{"old.json", "new.json", "there.json"} {
 				written, err := os.ReadFile(filepath.Join(folder, name))
--- a/internal/compatibility/control_test.go
+++ b/internal/compatibility/control_test.go
@@ -13,9 +13,9 @@
 // Scripts of operators go by status and text of each call, in this order of calls.
 func TestOperatorsCalls(t *testing.T) {
 	t.Parallel()
-	d := newDaemon(t, echo(t))
+	d := newDaemon(t, startEchoServer(t))
 	d.start()
-	d.ready()
+	d.waitReady()
 	var all strings.Builder
 	for _, call := range []string{
 		"GET /control/ready", "HEAD /control/ready", "POST /control/ready", "GET /control/ready/", "GET /control/ready?x=1",
@@ -43,12 +43,12 @@
 // raw sends bytes to the operators' address and gives the first line of the answer.
 func (d *daemon) raw(text string) string {
 	d.t.Helper()
-	conn, err := net.DialTimeout("tcp", d.control(), patience)
+	conn, err := net.DialTimeout("tcp", d.control(), hangTimeout)
 	if err != nil {
 		d.t.Fatal(err)
 	}
 	defer conn.Close()
-	_ = conn.SetDeadline(time.Now().Add(patience))
+	_ = conn.SetDeadline(time.Now().Add(hangTimeout))
 	go func() { _, _ = io.WriteString(conn, text) }() // an answer may come before all of it is read
 	line, _ := bufio.NewReader(conn).ReadString('\n')
 	return line
@@ -58,9 +58,9 @@
 func TestOperatorsCallsWithoutList(t *testing.T) {
 	t.Parallel()
 	d := newDaemon(t, "")
-	d.write(d.config, strings.Replace(read(t, d.config), `"known":{"revision":7,"complete":true,"members":[]},`, "", 1))
+	d.write(d.config, strings.Replace(readFile(t, d.config), `"known":{"revision":7,"complete":true,"members":[]},`, "", 1))
 	d.start()
-	d.until("it takes calls", func() bool { code, _ := d.call("GET", "/control/ready"); return code != 0 })
+	d.waitUntil("it takes calls", func() bool { code, _ := d.call("GET", "/control/ready"); return code != 0 })
 	var all strings.Builder
 	for _, call := range []string{"GET /control/ready", "POST /control/servers/a/offline"} {
 		method, path, _ := strings.Cut(call, " ")
@@ -73,12 +73,12 @@
 // Clients go by the words of the first lines.
 func TestClientsLines(t *testing.T) {
 	t.Parallel()
-	d := newDaemon(t, echo(t))
+	d := newDaemon(t, startEchoServer(t))
 	d.start()
-	d.ready()
+	d.waitReady()
 	var all strings.Builder
 	for _, line := range []string{"PING", "OPEN 1 k c=live,d=800", "OPEN 2 k c=live,d=800,g=one", "OPEN 3 k c=none,d=800", "OPEN 4 k", "OPEN", "nonsense", "OPEN 5 k c=live,d=0", "OPEN 6 k c=live,d=x"} {
-		conn, answer := d.says(line)
+		conn, answer := d.sendLine(line)
 		fmt.Fprintf(&all, "%s: %q\n", line, answer)
 		_ = conn.Close()
 	}
--- a/internal/compatibility/daemon_test.go
+++ b/internal/compatibility/daemon_test.go
@@ -19,42 +19,42 @@
 	"time"
 )
 
-const patience = 15 * time.Second // for what comes at once on a machine with nothing to do
+const hangTimeout = 15 * time.Second // far longer than any wait takes on an idle machine
 
 var addresses atomic.Int32
 
-// ownHost is a loopback address that no other test has: a port that was free may be another's near end by the time
-// a daemon listens there.
-func ownHost() string {
+// uniqueHost returns a loopback address that no other test uses: a port that was free may be the local end of another
+// connection by the time a daemon listens there.
+func uniqueHost() string {
 	return fmt.Sprintf("127.%d.%d.%d", 160+os.Getpid()/62500%40, 1+os.Getpid()/250%250, 1+(os.Getpid()+int(addresses.Add(1)))%250)
 }
 
-// daemon is a running balancer, its files and what its log says.
+// daemon is a balancer's process with its files and its log.
 type daemon struct {
-	t       *testing.T
-	host    string // ports are the same for all, as hosts differ
-	folder  string // what outlasts the process
-	config  string
-	options string
-	socket  string // of explain; the options name it
-	log     logged
-	process *exec.Cmd
-	ended   chan error
-}
-
-// logged is a buffer that a process writes while a test reads.
-type logged struct {
+	t         *testing.T
+	host      string // ports are the same for all, as hosts differ
+	directory string // of files that outlast the process
+	config    string
+	options   string
+	socket    string // of explain; the options name it
+	log       logBuffer
+	process   *exec.Cmd
+	ended     chan error
+}
+
+// logBuffer is a buffer that a process writes while a test reads.
+type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-func (l *logged) Write(b []byte) (int, error) {
+func (l *logBuffer) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(b)
 }
 
-func (l *logged) String() string {
+func (l *logBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.String()
@@ -64,16 +64,15 @@
 func (d *daemon) control() string { return d.host + ":18081" }
 func (d *daemon) gossip() string  { return d.host + ":17946" }
 
-// kept is the path of what the daemon keeps in its folder. The name is part of what an earlier build and a later
-// one agree on.
-func (d *daemon) kept(ending string) string {
-	return filepath.Join(d.folder, "yardwinch-"+strings.ReplaceAll(d.clients(), ":", "_")+ending)
+// storedPath returns the path of a file in the daemon's directory. Its name is part of what builds have in common.
+func (d *daemon) storedPath(ending string) string {
+	return filepath.Join(d.directory, "yardwinch-"+strings.ReplaceAll(d.clients(), ":", "_")+ending)
 }
 
 // newDaemon writes the files of a daemon with one server, or with none. It starts nothing.
 func newDaemon(t *testing.T, server string) *daemon {
 	t.Helper()
-	d := &daemon{t: t, host: ownHost(), folder: t.TempDir()}
+	d := &daemon{t: t, host: uniqueHost(), directory: t.TempDir()}
 	files := t.TempDir()
 	d.config, d.options, d.socket = filepath.Join(files, "config.json"), filepath.Join(files, "options.toml"), filepath.Join(files, "s")
 	members := ""
@@ -100,7 +99,7 @@
 func (d *daemon) start() {
 	d.t.Helper()
 	d.process = exec.Command(command(d.t, "daemon"), "serve", "--verbose", "--config", d.config, "--options", d.options)
-	d.process.Env = append(environment(d.t), "TMPDIR="+d.folder)
+	d.process.Env = append(environment(d.t), "TMPDIR="+d.directory)
 	d.process.Stderr = &d.log
 	if err := d.process.Start(); err != nil {
 		d.t.Fatal(err)
@@ -108,51 +107,51 @@
 	d.ended = make(chan error, 1)
 	go func(p *exec.Cmd, ended chan<- error) { ended <- p.Wait() }(d.process, d.ended)
 	d.t.Cleanup(func() {
-		d.end(syscall.SIGKILL)
+		d.stop(syscall.SIGKILL)
 		if d.t.Failed() {
 			d.t.Log(d.log.String())
 		}
 	})
 }
 
-// end sends a signal that ends the daemon and waits for it.
-func (d *daemon) end(s syscall.Signal) {
+// stop sends a signal that ends the daemon and waits for it.
+func (d *daemon) stop(s syscall.Signal) {
 	if d.process == nil {
 		return
 	}
 	_ = d.process.Process.Signal(s) // it may have ended
 	select {
 	case <-d.ended:
-	case <-time.After(patience):
+	case <-time.After(hangTimeout):
 		d.t.Error("the daemon does not end")
 	}
 	d.process = nil
 }
 
-// until asks again and again, as nothing tells from outside when a daemon is ready; a daemon that ended fails the test.
-func (d *daemon) until(what string, is func() bool) {
+// waitUntil polls, as nothing shows from outside when a daemon is ready; a daemon that ended fails the test.
+func (d *daemon) waitUntil(what string, isTrue func() bool) {
 	d.t.Helper()
 	tick := time.NewTicker(5 * time.Millisecond)
 	defer tick.Stop()
-	for late := time.After(patience); !is(); {
+	for timeout := time.After(hangTimeout); !isTrue(); {
 		select {
 		case <-tick.C:
 		case err := <-d.ended:
 			d.t.Fatalf("before %s the daemon ended: %v\n%s", what, err, d.log.String())
-		case <-late:
-			d.t.Fatalf("not within %v: %s", patience, what)
+		case <-timeout:
+			d.t.Fatalf("not within %v: %s", hangTimeout, what)
 		}
 	}
 }
 
-func (d *daemon) ready() {
+func (d *daemon) waitReady() {
 	d.t.Helper()
-	d.until("it is ready", func() bool { code, _ := d.call("GET", "/control/ready"); return code == http.StatusOK })
+	d.waitUntil("it is ready", func() bool { code, _ := d.call("GET", "/control/ready"); return code == http.StatusOK })
 }
 
-// call makes one call of the operators; the answer is its status, its type and its text.
+// call makes one operators' call and returns its status code, and status, headers and text as one answer.
 func (d *daemon) call(method, path string) (code int, answer string) {
-	client := &http.Client{Timeout: patience, Transport: &http.Transport{DisableKeepAlives: true},
+	client := &http.Client{Timeout: hangTimeout, Transport: &http.Transport{DisableKeepAlives: true},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}
 	request, err := http.NewRequestWithContext(d.t.Context(), method, "http://"+d.control()+path, nil)
 	if err != nil {
@@ -176,15 +175,15 @@
 	return response.StatusCode, fmt.Sprintf("%s\n%s  %q\n", response.Status, head, text)
 }
 
-// says is a client that says a line, and what it is answered; its connection lasts as long as the test.
-func (d *daemon) says(line string) (net.Conn, string) {
+// sendLine connects as a client, sends a line and returns the reply; the connection lasts as long as the test.
+func (d *daemon) sendLine(line string) (net.Conn, string) {
 	d.t.Helper()
-	conn, err := net.DialTimeout("tcp", d.clients(), patience)
+	conn, err := net.DialTimeout("tcp", d.clients(), hangTimeout)
 	if err != nil {
 		d.t.Fatal(err)
 	}
 	d.t.Cleanup(func() { _ = conn.Close() })
-	_ = conn.SetDeadline(time.Now().Add(patience))
+	_ = conn.SetDeadline(time.Now().Add(hangTimeout))
 	if _, err := io.WriteString(conn, line+"\r\n"); err != nil {
 		d.t.Fatal(err)
 	}
@@ -195,8 +194,8 @@
 	return conn, answer
 }
 
-// echo is a server that takes every connection and tells its load to probes.
-func echo(t *testing.T) string {
+// startEchoServer starts a server that accepts every connection and reports its load to health checks.
+func startEchoServer(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -210,14 +209,14 @@
 				return
 			}
 			if err == nil {
-				go echoing(conn)
+				go serveEcho(conn)
 			}
 		}
 	}()
 	return listener.Addr().String()
 }
 
-func echoing(conn net.Conn) {
+func serveEcho(conn net.Conn) {
 	defer conn.Close()
 	in := bufio.NewReader(conn)
 	switch line, _ := in.ReadString('\n'); {
--- a/internal/compatibility/handover_test.go
+++ b/internal/compatibility/handover_test.go
@@ -13,9 +13,9 @@
 	"time"
 )
 
-// Who is out by hand was written by an earlier build that was killed: this one reads it, and writes the same bytes
+// An earlier build that was killed saved the disabled servers: this build reads the file, and writes the same bytes
 // under the same name.
-func TestOutByHandOfAnEarlierBuild(t *testing.T) {
+func TestDisabledServersOfEarlierBuild(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct{ name, file string }{
 		{"one server", "kept/one.out"},
@@ -24,26 +24,26 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			d := newDaemon(t, echo(t))
-			want := read(t, "testdata/"+c.file)
-			d.write(d.kept(".out"), want)
+			d := newDaemon(t, startEchoServer(t))
+			want := readFile(t, "testdata/"+c.file)
+			d.write(d.storedPath(".out"), want)
 			d.start()
-			d.ready()
+			d.waitReady()
 			var all strings.Builder
-			fmt.Fprintln(&all, "at the start:", d.outByHand())
+			fmt.Fprintln(&all, "at the start:", d.disabledServers())
 			if out := strings.Contains(want, `"a"`); out {
 				d.call("POST", "/control/servers/a/online")
-				fmt.Fprintln(&all, "a is online, the file:", read(t, d.kept(".out")))
+				fmt.Fprintln(&all, "a is online, the file:", readFile(t, d.storedPath(".out")))
 			}
 			d.call("POST", "/control/servers/a/offline")
-			fmt.Fprintln(&all, "a is offline, the file:", read(t, d.kept(".out")))
+			fmt.Fprintln(&all, "a is offline, the file:", readFile(t, d.storedPath(".out")))
 			golden(t, c.file+".txt", all.String())
 		})
 	}
 }
 
-// What can't be read whole counts for nothing, and the log and explain say so.
-func TestOutByHandThatCanNotBeRead(t *testing.T) {
+// A file that is not valid counts as none, which the log and explain report.
+func TestDisabledServersUnreadable(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct{ name, text, want string }{
 		{"another version", `{"version":2,"out_by_hand":["a"]}`, "version 2, want 1"},
@@ -54,11 +54,11 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			d := newDaemon(t, echo(t))
-			d.write(d.kept(".out"), c.text)
+			d := newDaemon(t, startEchoServer(t))
+			d.write(d.storedPath(".out"), c.text)
 			d.start()
-			d.ready()
-			if out := d.outByHand(); out != "a:false" {
+			d.waitReady()
+			if out := d.disabledServers(); out != "a:false" {
 				t.Errorf("out by hand: %s", out)
 			}
 			if !strings.Contains(d.log.String(), c.want) {
@@ -68,10 +68,10 @@
 	}
 }
 
-// outByHand tells of each server whether it is out by hand.
-func (d *daemon) outByHand() string {
+// disabledServers returns for each server whether explain shows it as disabled.
+func (d *daemon) disabledServers() string {
 	d.t.Helper()
-	r := ran(d.t, "daemon", "", "", "explain", "--json", "--socket", d.socket)
+	r := runCommand(d.t, "daemon", "", "", "explain", "--json", "--socket", d.socket)
 	var state struct {
 		Servers []struct {
 			Name string
@@ -88,7 +88,7 @@
 	return strings.Join(all, " ")
 }
 
-// frame is what passes between two processes of one balancer: four bytes of length, then this.
+// frame is a message between two processes of one balancer, after four bytes of length.
 type frame struct {
 	Kind   string          `json:"kind,omitempty"`
 	Number uint64          `json:"number,omitempty"`
@@ -97,7 +97,7 @@
 	Body   json.RawMessage `json:"body,omitempty"`
 }
 
-// peerProcess is the other process of a balancer, as an earlier build speaks.
+// peerProcess stands in for the balancer's other process, of an earlier build.
 type peerProcess struct {
 	t    *testing.T
 	conn *net.UnixConn
@@ -121,8 +121,8 @@
 	}
 }
 
-// next is the next frame, and how many descriptors came beside it; io.EOF: there is none.
-func (p *peerProcess) next() (f frame, files int, err error) {
+// receive returns the next frame and how many descriptors came with it. io.EOF says that there is none.
+func (p *peerProcess) receive() (f frame, files int, err error) {
 	head, beside := make([]byte, 4), make([]byte, 1024)
 	n, m, _, _, err := p.conn.ReadMsgUnix(head, beside)
 	if err != nil {
@@ -153,12 +153,12 @@
 	return f, files, json.Unmarshal(text, &f)
 }
 
-// ask puts a question and reads on until it is answered; what else comes is answered with nothing.
-func (p *peerProcess) ask(number uint64, kind, body string) (frame, int) {
+// request sends a request and returns its reply; requests that come meanwhile are answered with false.
+func (p *peerProcess) request(number uint64, kind, body string) (frame, int) {
 	p.t.Helper()
 	p.send(frame{Kind: kind, Number: number, Body: json.RawMessage(body)})
 	for {
-		f, files, err := p.next()
+		f, files, err := p.receive()
 		if err != nil {
 			p.t.Fatal(err)
 		}
@@ -171,21 +171,21 @@
 	}
 }
 
-// connect is the connection of a successor to a daemon.
+// connect connects to a daemon as its successor does.
 func (d *daemon) connect() *peerProcess {
 	d.t.Helper()
-	folder, err := os.Open(d.folder)
+	folder, err := os.Open(d.directory)
 	if err != nil {
 		d.t.Fatal(err)
 	}
 	defer folder.Close()
-	name := d.kept(".sock")[len(d.folder):]
+	name := d.storedPath(".sock")[len(d.directory):]
 	conn, err := net.Dial("unix", fmt.Sprintf("/proc/self/fd/%d%s", folder.Fd(), name))
 	if err != nil {
 		d.t.Fatal(err)
 	}
 	d.t.Cleanup(func() { _ = conn.Close() })
-	_ = conn.SetDeadline(time.Now().Add(patience))
+	_ = conn.SetDeadline(time.Now().Add(hangTimeout))
 	return &peerProcess{d.t, conn.(*net.UnixConn)}
 }
 
@@ -193,36 +193,36 @@
 // its keys.
 func TestSuccessorOfAnEarlierBuild(t *testing.T) {
 	t.Parallel()
-	d := newDaemon(t, echo(t))
+	d := newDaemon(t, startEchoServer(t))
 	d.start()
-	d.ready()
-	d.says("OPEN 1 k c=live,d=800,g=one")
+	d.waitReady()
+	d.sendLine("OPEN 1 k c=live,d=800,g=one")
 	d.call("POST", "/control/servers/a/offline")
 	d.call("POST", "/control/out-of-service")
-	d.until("its socket is there", func() bool { _, err := os.Lstat(d.kept(".sock")); return err == nil })
+	d.waitUntil("its socket is there", func() bool { _, err := os.Lstat(d.storedPath(".sock")); return err == nil })
 	var all strings.Builder
 	refused := d.connect()
 	for i, x := range [][2]string{{"nonsense", "null"}, {"give", "null"}, {"have", "null"}, {"hello", `{"version":2,"listen":"x"}`}} {
-		f, files := refused.ask(uint64(i+1), x[0], x[1])
+		f, files := refused.request(uint64(i+1), x[0], x[1])
 		fmt.Fprintf(&all, "%s: %s%s, %d files\n", x[0], f.Bad, f.Body, files)
 	}
 	_ = refused.conn.Close()
 	p := d.connect()
-	hello, _ := p.ask(1, "hello", fmt.Sprintf(`{"version":1,"listen":%q}`, d.clients()))
+	hello, _ := p.request(1, "hello", fmt.Sprintf(`{"version":1,"listen":%q}`, d.clients()))
 	fmt.Fprintf(&all, "hello: %s%s\n", hello.Bad, hello.Body)
-	given, files := p.ask(2, "give", "null")
-	fmt.Fprintf(&all, "give: %s%d files\n%s", given.Bad, files, keysOf(t, string(given.Body)))
-	have, _ := p.ask(3, "have", "null")
+	handedOver, files := p.request(2, "give", "null")
+	fmt.Fprintf(&all, "give: %s%d files\n%s", handedOver.Bad, files, jsonKeys(t, string(handedOver.Body)))
+	have, _ := p.request(3, "have", "null")
 	fmt.Fprintf(&all, "have: %s%s\n", have.Bad, have.Body)
 	kinds := map[string]bool{}
-	for !kinds["held"] || !kinds["carry"] { // it says what it holds, and passes its connections on
-		f, files, err := p.next()
+	for !kinds["held"] || !kinds["carry"] { // the daemon reports its held connections and transfers them
+		f, files, err := p.receive()
 		if err != nil {
 			t.Fatal(err)
 		}
 		kinds[f.Kind] = true
 		if f.Kind == "carry" {
-			fmt.Fprintf(&all, "carry: %d files\n%s", files, keysOf(t, string(f.Body)))
+			fmt.Fprintf(&all, "carry: %d files\n%s", files, jsonKeys(t, string(f.Body)))
 			p.send(frame{Number: f.Number, Answer: true, Bad: "no"})
 		}
 		if f.Kind != "carry" && f.Kind != "held" {
@@ -235,8 +235,8 @@
 // A process of an earlier build hands over to this one: the recorded state is taken, and what it says is in force.
 func TestPredecessorOfAnEarlierBuild(t *testing.T) {
 	t.Parallel()
-	d := newDaemon(t, echo(t))
-	state := read(t, "testdata/handover/state.json")
+	d := newDaemon(t, startEchoServer(t))
+	state := readFile(t, "testdata/handover/state.json")
 	listener, err := net.Listen("tcp", d.clients())
 	if err != nil {
 		t.Fatal(err)
@@ -246,7 +246,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _, _ = file.Close(), listener.Close() })
-	socket, err := net.Listen("unix", d.kept(".sock"))
+	socket, err := net.Listen("unix", d.storedPath(".sock"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -257,11 +257,11 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = conn.Close() })
-	_ = conn.SetDeadline(time.Now().Add(patience))
+	_ = conn.SetDeadline(time.Now().Add(hangTimeout))
 	p := &peerProcess{t, conn.(*net.UnixConn)}
 	var all strings.Builder
 	for has := false; !has; {
-		f, _, err := p.next()
+		f, _, err := p.receive()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -279,11 +279,11 @@
 		}
 		p.send(answer)
 	}
-	d.ready()
-	fmt.Fprintln(&all, "explain:", d.outByHand())
+	d.waitReady()
+	fmt.Fprintln(&all, "explain:", d.disabledServers())
 	p.send(frame{Kind: "ask", Number: 1, Body: json.RawMessage(`{"kind":"online","server":"b"}`)})
 	for answered := false; !answered; {
-		f, _, err := p.next()
+		f, _, err := p.receive()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -296,7 +296,7 @@
 	p.send(frame{Kind: "claim", Number: 3, Body: json.RawMessage("5")})
 	answers := map[uint64]string{}
 	for len(answers) < 2 {
-		f, _, err := p.next()
+		f, _, err := p.receive()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -306,7 +306,7 @@
 	}
 	fmt.Fprintln(&all, "claims:", answers[2], answers[3])
 	_ = conn.Close()
-	d.until("it sees that the other ended", func() bool { return strings.Contains(d.log.String(), "the predecessor has ended") })
-	fmt.Fprintln(&all, "explain:", d.outByHand())
+	d.waitUntil("it sees that the other ended", func() bool { return strings.Contains(d.log.String(), "the predecessor has ended") })
+	fmt.Fprintln(&all, "explain:", d.disabledServers())
 	golden(t, "handover/predecessor.txt", strings.ReplaceAll(all.String(), d.clients(), "LISTEN"))
 }
--- a/internal/compatibility/main_test.go
+++ b/internal/compatibility/main_test.go
@@ -24,10 +24,10 @@
 
 const moduleRoot = "../.."
 
-var update = flag.Bool("update", false, "write the golden files anew, from what the commands do now")
+var update = flag.Bool("update", false, "write the golden files from what the commands do now")
 
-// built is the folder of the commands.
-var built string
+// binDirectory holds the built commands.
+var binDirectory string
 
 func TestMain(m *testing.M) {
 	flag.Parse()
@@ -36,14 +36,14 @@
 
 // withCommands builds all commands once for all tests, as a build for each test would take longer than the tests.
 func withCommands(run func() int) int {
-	folder, err := os.MkdirTemp("", "compatibility-")
+	directory, err := os.MkdirTemp("", "compatibility-")
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return 1
 	}
-	defer func() { _ = os.RemoveAll(folder) }()
-	built = filepath.Join(folder, "bin")
-	packages := []string{"build", "-p", "2", "-o", built + "/"}
+	defer func() { _ = os.RemoveAll(directory) }()
+	binDirectory = filepath.Join(directory, "bin")
+	packages := []string{"build", "-p", "2", "-o", binDirectory + "/"}
 	for _, source := range sources {
 		packages = append(packages, source)
 	}
@@ -60,21 +60,21 @@
 // command is the path of a built command.
 func command(t *testing.T, name string) string {
 	t.Helper()
-	source, there := sources[name]
-	if !there {
+	source, isKnown := sources[name]
+	if !isKnown {
 		t.Fatalf("no command is called %q", name)
 	}
-	return filepath.Join(built, filepath.Base(source))
+	return filepath.Join(binDirectory, filepath.Base(source))
 }
 
-// result is all that a command that ran to its end showed.
+// result is the output and exit code of a command.
 type result struct {
 	out, err string
 	code     int
 }
 
-// ran runs a command to its end.
-func ran(t *testing.T, name, folder, input string, arguments ...string) result {
+// runCommand runs a command to its end.
+func runCommand(t *testing.T, name, folder, input string, arguments ...string) result {
 	t.Helper()
 	var out, errs bytes.Buffer
 	c := exec.CommandContext(t.Context(), command(t, name), arguments...)
@@ -88,13 +88,13 @@
 	return result{out.String(), errs.String(), c.ProcessState.ExitCode()}
 }
 
-// environment is one in which nothing of the caller's stands in for flags.
+// environment is the caller's without the variables that stand in for flags.
 func environment(t *testing.T) []string {
 	t.Helper()
-	kept := slices.DeleteFunc(os.Environ(), func(s string) bool {
+	inherited := slices.DeleteFunc(os.Environ(), func(s string) bool {
 		return strings.HasPrefix(s, "PROXY_") || strings.HasPrefix(s, "YARDWINCH_") || strings.HasPrefix(s, "TMPDIR=")
 	})
-	return append(kept, "TMPDIR="+t.TempDir())
+	return append(inherited, "TMPDIR="+t.TempDir())
 }
 
 // golden compares with a file under testdata byte for byte, and writes that file instead where the flag asks for it.
@@ -114,11 +114,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	same(t, name, string(want), got)
+	requireSame(t, name, string(want), got)
 }
 
-// same fails with the first line that differs: whole outputs are too long to read.
-func same(t *testing.T, name, want, got string) {
+// requireSame fails with the first line that differs: whole outputs are too long to read.
+func requireSame(t *testing.T, name, want, got string) {
 	t.Helper()
 	if want == got {
 		return
--- a/internal/compatibility/passed_test.go
+++ b/internal/compatibility/passed_test.go
@@ -9,24 +9,24 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// A state that a process of an earlier build handed over is read whole, and written with the same keys in the same
-// order.
-func TestStateIsTheSameThere(t *testing.T) {
+// A state that a process of an earlier build handed over is read completely, and written with the same keys in the
+// same order.
+func TestStateRoundTrip(t *testing.T) {
 	for _, file := range []string{"handover/state.json", "handover/state-full.json"} {
 		t.Run(file, func(t *testing.T) {
-			text := read(t, "testdata/"+file)
-			anew, err := throughState([]byte(text))
+			text := readFile(t, "testdata/"+file)
+			encoded, err := reencodeState([]byte(text))
 			if err != nil {
 				t.Fatal(err)
 			}
-			same(t, file, text, string(anew))
+			requireSame(t, file, text, string(encoded))
 		})
 	}
 }
 
-// A state that can't be is refused whole.
-func TestStatesRefused(t *testing.T) {
-	text := read(t, "testdata/handover/state-full.json")
+// An invalid state is rejected completely.
+func TestInvalidStatesRejected(t *testing.T) {
+	text := readFile(t, "testdata/handover/state-full.json")
 	var all strings.Builder
 	for _, c := range []struct{ name, from, to string }{
 		{"another version", `"version":1`, `"version":2`},
@@ -42,7 +42,7 @@
 		if changed == text {
 			t.Errorf("%s: nothing is changed", c.name)
 		}
-		_, err := throughState([]byte(changed))
+		_, err := reencodeState([]byte(changed))
 		fmt.Fprintf(&all, "%s: %v\n", c.name, err)
 	}
 	golden(t, "handover/refused.txt", all.String())
@@ -68,7 +68,7 @@
 	{"too long", map[int]any{0: 1, 1: 1, 2: "n", 3: uint64(1), 4: 1, 77: strings.Repeat("x", 1300)}},
 }
 
-// What balancers tell each other is understood between builds, in both directions.
+// Gossip records are understood between builds, in both directions.
 func TestRecordsOfAnEarlierBuild(t *testing.T) {
 	mode, err := cbor.CoreDetEncOptions().EncMode()
 	if err != nil {
@@ -80,24 +80,24 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		anew, told, err := throughRecord(message)
+		encoded, decoded, err := reencodeRecord(message)
 		fmt.Fprintf(&all, "== %s\n", c.name)
 		if err != nil {
 			fmt.Fprintf(&all, "%v\n", err)
 			continue
 		}
-		fmt.Fprintf(&all, "%x\n%s\n%x\n", message, told, anew)
+		fmt.Fprintf(&all, "%x\n%s\n%x\n", message, decoded, encoded)
 	}
 	garbled, _ := hex.DecodeString("a1ff")
-	_, _, err = throughRecord(garbled)
+	_, _, err = reencodeRecord(garbled)
 	fmt.Fprintf(&all, "== half a message\n%v\n", err)
-	whole, err := mode.Marshal([][]byte{{1, 2}, {3}})
+	fullState, err := mode.Marshal([][]byte{{1, 2}, {3}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	anew, n, err := throughWhole(whole)
-	fmt.Fprintf(&all, "== all that a member knows\n%x\n%d %v\n%x\n", whole, n, err, anew)
-	_, _, err = throughWhole([]byte{0x61})
+	encoded, n, err := reencodeFullState(fullState)
+	fmt.Fprintf(&all, "== all that a member knows\n%x\n%d %v\n%x\n", fullState, n, err, encoded)
+	_, _, err = reencodeFullState([]byte{0x61})
 	fmt.Fprintf(&all, "== all that a member knows, garbled\n%v\n", err)
 	golden(t, "gossip/records.txt", all.String())
 }
--- a/internal/compatibility/reach_test.go
+++ b/internal/compatibility/reach_test.go
@@ -13,8 +13,8 @@
 // All of the module's own names that these tests use are in this file: a renaming touches it and nothing else of
 // the package.
 
-// throughState takes a state over as a successor does, and gives it as a predecessor would.
-func throughState(text []byte) ([]byte, error) {
+// reencodeState reads a state as a successor does, and writes it as a predecessor does.
+func reencodeState(text []byte) ([]byte, error) {
 	var s handover.State
 	if err := json.Unmarshal(text, &s); err != nil {
 		return nil, err
@@ -25,8 +25,8 @@
 	return json.Marshal(s)
 }
 
-// throughRecord reads a record of a balancer and writes it anew; told is what was read, without names.
-func throughRecord(message []byte) (anew []byte, told string, err error) {
+// reencodeRecord decodes a record and encodes it again; decoded is its content without names.
+func reencodeRecord(message []byte) (encoded []byte, decoded string, err error) {
 	r, err := signals.Decode(message)
 	if err != nil {
 		var advice interface{ Advice() string }
@@ -35,18 +35,18 @@
 		}
 		return nil, "", err
 	}
-	anew, err = signals.Encode(r)
-	return anew, fmt.Sprintf("%v", r), err
+	encoded, err = signals.Encode(r)
+	return encoded, fmt.Sprintf("%v", r), err
 }
 
-// throughWhole takes apart what a member knows, and puts it together anew.
-func throughWhole(message []byte) (anew []byte, parts int, err error) {
+// reencodeFullState decodes a member's full state and encodes it again.
+func reencodeFullState(message []byte) (encoded []byte, parts int, err error) {
 	all, err := signals.DecodeAll(message)
 	if err != nil {
 		return nil, 0, err
 	}
-	anew, err = signals.EncodeAll(all)
-	return anew, len(all), err
+	encoded, err = signals.EncodeAll(all)
+	return encoded, len(all), err
 }
 
 // soakPlan is the text of the timeline that a seed draws.
--- a/internal/compatibility/tags_test.go
+++ b/internal/compatibility/tags_test.go
@@ -49,7 +49,7 @@
 		golden(t, "keys/tags.txt", all.String())
 		return
 	}
-	for line := range strings.Lines(read(t, "testdata/keys/tags.txt")) {
+	for line := range strings.Lines(readFile(t, "testdata/keys/tags.txt")) {
 		times, tag, _ := strings.Cut(strings.TrimSuffix(line, "\n"), " ")
 		if want := number(t, times); tags[tag] < want {
 			t.Errorf("%s: %d times, was there %d times", tag, tags[tag], want)
--- a/internal/compatibility/testbed_test.go
+++ b/internal/compatibility/testbed_test.go
@@ -21,11 +21,11 @@
 	for _, file := range files {
 		t.Run(filepath.Base(file), func(t *testing.T) {
 			t.Parallel()
-			r := ran(t, "testbed", "", "", "run", "--seeds", "1", "--part", "0.05", "--json", "-", file)
+			r := runCommand(t, "testbed", "", "", "run", "--seeds", "1", "--part", "0.05", "--json", "-", file)
 			if r.code != 0 {
 				t.Errorf("exit code %d: %s", r.code, r.err)
 			}
-			packed(t, strings.TrimSuffix(strings.TrimPrefix(file, "testdata/"), ".toml")+".json.gz", r.out)
+			goldenPacked(t, strings.TrimSuffix(strings.TrimPrefix(file, "testdata/"), ".toml")+".json.gz", r.out)
 		})
 	}
 }
@@ -37,7 +37,7 @@
 		t.Fatalf("%v, %d files", err, len(files))
 	}
 	for _, file := range files {
-		if err := readPlan(file, []byte(read(t, file))); err != nil {
+		if err := readPlan(file, []byte(readFile(t, file))); err != nil {
 			t.Error(err)
 		}
 	}
@@ -49,60 +49,60 @@
 		}
 		fmt.Fprintf(&all, "# seed %d\n%s", seed, plan)
 	}
-	packed(t, "plans/soak.txt.gz", all.String())
+	goldenPacked(t, "plans/soak.txt.gz", all.String())
 }
 
-// How a word spreads is played in virtual time, too.
-func TestSpreadIsTheSame(t *testing.T) {
+// The dissemination of gossip is simulated in virtual time: its figures stay the same.
+func TestDisseminationFigures(t *testing.T) {
 	t.Parallel()
-	r := ran(t, "testbed", "", "", "spread", "--seeds", "1", "--members", "5", "--members", "50", "--json", "-")
+	r := runCommand(t, "testbed", "", "", "spread", "--seeds", "1", "--members", "5", "--members", "50", "--json", "-")
 	golden(t, "testbed/spread.json", r.out)
 }
 
 // Logs of daemons of an earlier build are counted as they were.
 func TestLogsOfAnEarlierBuild(t *testing.T) {
 	t.Parallel()
-	r := ran(t, "testbed", "", "", "logs", "testdata/logs")
+	r := runCommand(t, "testbed", "", "", "logs", "testdata/logs")
 	golden(t, "logs/counted.txt", fmt.Sprintf("exit code %d\n%s%s", r.code, r.out, r.err))
 }
 
-// Configurations that the test bed writes for daemons have their keys.
+// Configurations that the testbed writes for daemons keep their keys.
 func TestServersConfiguration(t *testing.T) {
 	t.Parallel()
-	r := ran(t, "testbed", "", "", "servers", "--for", "1s")
-	golden(t, "testbed/configuration.txt", keysOf(t, r.out))
+	r := runCommand(t, "testbed", "", "", "servers", "--for", "1s")
+	golden(t, "testbed/configuration.txt", jsonKeys(t, r.out))
 }
 
-// packed is as golden is, for long texts.
-func packed(t *testing.T, name, got string) {
+// goldenPacked is golden for long texts, whose files are compressed.
+func goldenPacked(t *testing.T, name, got string) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
 	if *update {
 		pack(t, path, got)
 		return
 	}
-	same(t, name, unpack(t, path), got)
+	requireSame(t, name, unpack(t, path), got)
 }
 
-// The lines of this build's daemon have the names and keys that whoever counts logs goes by.
+// The log lines of this build's daemon have the messages and keys that are counted.
 func TestLogLines(t *testing.T) {
 	t.Parallel()
-	d := newDaemon(t, echo(t))
+	d := newDaemon(t, startEchoServer(t))
 	d.start()
-	d.ready()
-	conn, _ := d.says("OPEN 1 k c=live,d=800,g=one")
-	d.until("the flow is up in the log", func() bool { return strings.Contains(d.log.String(), `msg="flow established" `) })
+	d.waitReady()
+	conn, _ := d.sendLine("OPEN 1 k c=live,d=800,g=one")
+	d.waitUntil("the flow is up in the log", func() bool { return strings.Contains(d.log.String(), `msg="flow established" `) })
 	_ = conn.Close()
-	d.until("its end is in the log", func() bool {
+	d.waitUntil("its end is in the log", func() bool {
 		return strings.Contains(d.log.String(), `msg="flow ended" `) && strings.Contains(d.log.String(), "relay ended")
 	})
 	for _, call := range []string{"servers/a/offline", "servers/a/online", "out-of-service", "in-service"} {
 		d.call("POST", "/control/"+call)
 	}
-	d.until("the list is known to be lost", func() bool { return strings.Contains(d.log.String(), "endpoint watch lost") })
-	d.until("the last call is in the log", func() bool { return strings.Count(d.log.String(), "phase=serving") == 2 })
+	d.waitUntil("the list is known to be lost", func() bool { return strings.Contains(d.log.String(), "endpoint watch lost") })
+	d.waitUntil("the last call is in the log", func() bool { return strings.Count(d.log.String(), "phase=serving") == 2 })
 	log := d.log.String()
-	d.end(syscall.SIGTERM)
+	d.stop(syscall.SIGTERM)
 	seen := map[string]bool{}
 	for line := range strings.Lines(d.log.String()) {
 		form := quotedValue.ReplaceAllString(line, "=#")
@@ -112,8 +112,8 @@
 		seen[strings.TrimSpace(form)] = true
 	}
 	golden(t, "logs/lines.txt", strings.Join(slices.Sorted(maps.Keys(seen)), "\n")+"\n")
-	folder := put(t, map[string]string{"a.log": log})
-	r := ran(t, "testbed", "", "", "logs", folder)
+	folder := writeFiles(t, map[string]string{"a.log": log})
+	r := runCommand(t, "testbed", "", "", "logs", folder)
 	for _, word := range []string{"phase serving", "phase emptying", "server list", "server by hand", "up", "relay ended", "flow cancelled"} {
 		if !regexp.MustCompile(`(: |, )` + word + ` \d`).MatchString(r.out) {
 			t.Errorf("%s is not counted: exit code %d: %s%s", word, r.code, r.out, r.err)
--- a/internal/compatibility/wire_test.go
+++ b/internal/compatibility/wire_test.go
@@ -11,29 +11,28 @@
 	"testing"
 )
 
-// The simulator's wire byte for byte: made days were played against the build before the renaming, and what went
-// in must bring out what came out then. Anything that changes a decision, its order, a random draw or the form of
-// a line shows here.
+// The simulator's wire byte for byte: days were recorded with the build before the renaming, and the same input must
+// give the same output. Any change of a decision, their order, a random draw or the form of a line shows here.
 func TestWireDays(t *testing.T) {
 	for _, d := range days {
 		t.Run(d.name, func(t *testing.T) {
 			t.Parallel()
 			in, out := filepath.Join("testdata", "wire", d.name+".in.gz"), filepath.Join("testdata", "wire", d.name+".out.gz")
 			if *update {
-				given, answered := d.play(t)
-				pack(t, in, given)
-				pack(t, out, answered)
+				input, output := d.play(t)
+				pack(t, in, input)
+				pack(t, out, output)
 			}
-			r := ran(t, "wirehost", "", unpack(t, in))
+			r := runCommand(t, "wirehost", "", unpack(t, in))
 			if r.code != 0 || r.err != "" {
 				t.Errorf("exit code %d: %s", r.code, r.err)
 			}
-			same(t, d.name, unpack(t, out), r.out)
+			requireSame(t, d.name, unpack(t, out), r.out)
 		})
 	}
 }
 
-// The days prove something only where the decisions come up: each action must be in some day, and each event.
+// The recorded days must contain each kind of event and of action: only these are checked.
 func TestWireDaysShowAll(t *testing.T) {
 	seen := map[string]int{}
 	for _, d := range days {
@@ -67,7 +66,7 @@
 	t.Logf("lines of each kind: %v", seen)
 }
 
-// Input that can't be is named by its line, and the process ends with a code of its own.
+// Malformed input is reported with its line number and ends the process with an error code.
 func TestWireMalformed(t *testing.T) {
 	settings := strings.Join(spawnSettings(day{}, 0), "\t")
 	begin := "BEGIN_BATCH\t1000\nFOR\t1\n"
@@ -117,7 +116,7 @@
 		{"blank lines and carriage returns", "\n\r\nBEGIN_BATCH\t1\r\n\nFLUSH\r\n\n"},
 		{"no line end at the end", "BEGIN_BATCH\t1\nFLUSH"},
 	} {
-		r := ran(t, "wirehost", "", c.input)
+		r := runCommand(t, "wirehost", "", c.input)
 		fmt.Fprintf(&all, "== %s: exit code %d\n%s%s", c.name, r.code, r.out, r.err)
 	}
 	golden(t, "wire/malformed.txt", all.String())
