--- a/internal/compatibility/control_test.go
+++ b/internal/compatibility/control_test.go
@@ -43,11 +43,11 @@
 // raw sends bytes to the operators' address and gives the first line of the answer.
 func (d *daemon) raw(text string) string {
 	d.t.Helper()
-	conn, err := net.DialTimeout("tcp", d.control(), hangTimeout)
+	conn, err := (&net.Dialer{Timeout: hangTimeout}).DialContext(d.t.Context(), "tcp", d.control())
 	if err != nil {
 		d.t.Fatal(err)
 	}
-	defer conn.Close()
+	defer func() { _ = conn.Close() }() // the answer is read
 	_ = conn.SetDeadline(time.Now().Add(hangTimeout))
 	go func() { _, _ = io.WriteString(conn, text) }() // an answer may come before all of it is read
 	line, _ := bufio.NewReader(conn).ReadString('\n')
--- a/internal/compatibility/daemon_test.go
+++ b/internal/compatibility/daemon_test.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"bytes"
+	"context"
 	"errors"
 	"fmt"
 	"io"
@@ -98,14 +99,15 @@
 // start starts the daemon; it is killed with the test, and its log is shown where the test failed.
 func (d *daemon) start() {
 	d.t.Helper()
-	d.process = exec.Command(command(d.t, "daemon"), "serve", "--verbose", "--config", d.config, "--options", d.options)
+	// The test ends the process itself, in its clean-up, which the context of the test doesn't outlast.
+	d.process = exec.CommandContext(context.WithoutCancel(d.t.Context()), command(d.t, "daemon"), "serve", "--verbose", "--config", d.config, "--options", d.options)
 	d.process.Env = append(environment(d.t), "TMPDIR="+d.directory)
 	d.process.Stderr = &d.log
 	if err := d.process.Start(); err != nil {
 		d.t.Fatal(err)
 	}
-	d.ended = make(chan error, 1)
-	go func(p *exec.Cmd, ended chan<- error) { ended <- p.Wait() }(d.process, d.ended)
+	d.ended = make(chan string, 1)
+	go func(p *exec.Cmd, ended chan<- string) { ended <- fmt.Sprint(p.Wait()) }(d.process, d.ended)
 	d.t.Cleanup(func() {
 		d.stop(syscall.SIGKILL)
 		if d.t.Failed() {
@@ -121,7 +123,7 @@
 	}
 	_ = d.process.Process.Signal(s) // it may have ended
 	select {
-	case <-d.ended:
+	case <-d.ended: // how it ended is not checked: most are killed
 	case <-time.After(hangTimeout):
 		d.t.Error("the daemon does not end")
 	}
@@ -136,8 +138,8 @@
 	for timeout := time.After(hangTimeout); !isTrue(); {
 		select {
 		case <-tick.C:
-		case err := <-d.ended:
-			d.t.Fatalf("before %s the daemon ended: %v\n%s", what, err, d.log.String())
+		case end := <-d.ended:
+			d.t.Fatalf("before %s the daemon ended: %s\n%s", what, end, d.log.String())
 		case <-timeout:
 			d.t.Fatalf("not within %v: %s", hangTimeout, what)
 		}
@@ -161,7 +163,7 @@
 	if err != nil {
 		return 0, err.Error()
 	}
-	defer response.Body.Close()
+	defer func() { _ = response.Body.Close() }() // it is read to its end
 	text, err := io.ReadAll(response.Body)
 	if err != nil {
 		return 0, err.Error()
@@ -178,7 +180,7 @@
 // sendLine connects as a client, sends a line and returns the reply; the connection lasts as long as the test.
 func (d *daemon) sendLine(line string) (net.Conn, string) {
 	d.t.Helper()
-	conn, err := net.DialTimeout("tcp", d.clients(), hangTimeout)
+	conn, err := (&net.Dialer{Timeout: hangTimeout}).DialContext(d.t.Context(), "tcp", d.clients())
 	if err != nil {
 		d.t.Fatal(err)
 	}
@@ -194,14 +196,21 @@
 	return conn, answer
 }
 
-// startEchoServer starts a server that accepts every connection and reports its load to health checks.
-func startEchoServer(t *testing.T) string {
+// listen opens an address for as long as the test lasts.
+func listen(t *testing.T, network, address string) net.Listener {
 	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := (&net.ListenConfig{}).Listen(t.Context(), network, address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = listener.Close() })
+	return listener
+}
+
+// startEchoServer starts a server that accepts every connection and reports its load to health checks.
+func startEchoServer(t *testing.T) string {
+	t.Helper()
+	listener := listen(t, "tcp", "127.0.0.1:0")
 	go func() {
 		for {
 			conn, err := listener.Accept()
@@ -217,7 +226,7 @@
 }
 
 func serveEcho(conn net.Conn) {
-	defer conn.Close()
+	defer func() { _ = conn.Close() }() // the client may be gone
 	in := bufio.NewReader(conn)
 	switch line, _ := in.ReadString('\n'); {
 	case strings.HasPrefix(line, "OPEN "):
--- a/internal/compatibility/dayanswers_test.go
+++ b/internal/compatibility/dayanswers_test.go
@@ -115,32 +115,33 @@
 	if limit <= 0 || limit > left {
 		limit = left
 	}
-	ends := func(after time.Duration, code string) {
-		if after >= limit {
-			after, code = limit, "DEADLINE_EXCEEDED"
-		}
-		p.schedule(after, i, func() []string { return p.endAttempt(x, n, code, false) })
+	took, code := p.drawOutcome(s, limit)
+	if took >= limit {
+		took, code = limit, "DEADLINE_EXCEEDED"
+	}
+	if code == "" {
+		p.schedule(took, i, func() []string { return p.establish(x, n) })
+		return
 	}
+	p.schedule(took, i, func() []string { return p.endAttempt(x, n, code, false) })
+}
+
+// drawOutcome draws how an attempt at a server in its present condition ends and when; an empty code is established.
+func (p *dayRun) drawOutcome(s *dayServer, limit time.Duration) (took time.Duration, code string) {
 	load := p.load(s)
 	switch {
 	case s.condition == "down":
-		ends(200*time.Millisecond, "UNAVAILABLE")
+		return 200 * time.Millisecond, "UNAVAILABLE"
 	case s.condition == "full" || s.readiness != "IN" || load > 2 && s.condition != "slow":
-		ends(time.Millisecond, "RESOURCE_EXHAUSTED")
+		return time.Millisecond, "RESOURCE_EXHAUSTED"
 	case s.condition == "hung":
-		ends(limit, "DEADLINE_EXCEEDED")
+		return limit, "DEADLINE_EXCEEDED"
 	case s.condition == "resets" && p.random.IntN(2) == 0:
-		ends(3*time.Millisecond, "ABORTED")
+		return 3 * time.Millisecond, "ABORTED"
 	case s.condition == "errors" && p.random.IntN(2) == 0:
-		ends(3*time.Millisecond, "INTERNAL")
-	default:
-		took := 2*time.Millisecond + p.spread(time.Duration(float64(6*time.Millisecond)*(1+4*load)))
-		if took >= limit {
-			ends(limit, "DEADLINE_EXCEEDED")
-			return
-		}
-		p.schedule(took, i, func() []string { return p.establish(x, n) })
+		return 3 * time.Millisecond, "INTERNAL"
 	}
+	return 2*time.Millisecond + p.spread(time.Duration(float64(6*time.Millisecond)*(1+4*load))), ""
 }
 
 // establish reports that an attempt is established, and schedules its samples and its end.
--- a/internal/compatibility/dayflows_test.go
+++ b/internal/compatibility/dayflows_test.go
@@ -139,7 +139,7 @@
 func (p *dayRun) load(s *dayServer) float64 {
 	load := float64(s.connections) / (s.size * float64(p.day.capacity))
 	if s.condition == "slow" {
-		load += 1
+		load++
 	}
 	return load
 }
--- a/internal/compatibility/gossip_test.go
+++ b/internal/compatibility/gossip_test.go
@@ -1,7 +1,9 @@
 package compatibility
 
 import (
+	"context"
 	"fmt"
+	"io"
 	"net"
 	"os/exec"
 	"slices"
@@ -43,7 +45,8 @@
 func startGossipEngine(t *testing.T, name, bind string, seeds ...any) *gossipEngine {
 	t.Helper()
 	g := &gossipEngine{t: t, toEngine: make(chan []any), fromEngine: make(chan []any, 1000)}
-	g.process = exec.Command(command(t, "gossip"))
+	// The clean-up ends the engine by a frame and checks how it ended, after the context of the test has.
+	g.process = exec.CommandContext(context.WithoutCancel(t.Context()), command(t, "gossip"))
 	g.process.Stderr = &g.log
 	in, err := g.process.StdinPipe()
 	if err != nil {
@@ -59,37 +62,11 @@
 	stop, writerDone, readerDone := make(chan struct{}), make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(writerDone)
-		defer in.Close()
-		encoder := cbor.NewEncoder(in)
-		heartbeat := time.NewTicker(heartbeatInterval)
-		defer heartbeat.Stop()
-		// The reader below notices an engine that has ended.
-		_ = encoder.Encode(append([]any{frameStart, name, "prod", bind, bind}, seeds...))
-		for {
-			select {
-			case <-stop:
-				_ = encoder.Encode([]any{frameLeave})
-				return
-			case <-heartbeat.C:
-				_ = encoder.Encode([]any{frameHeartbeat})
-			case f := <-g.toEngine:
-				_ = encoder.Encode(f)
-			}
-		}
+		g.writeFrames(in, append([]any{frameStart, name, "prod", bind, bind}, seeds...), stop)
 	}()
 	go func() {
 		defer close(readerDone)
-		decoder := cbor.NewDecoder(out)
-		for {
-			var f []any
-			if decoder.Decode(&f) != nil {
-				return
-			}
-			select {
-			case g.fromEngine <- f:
-			case <-stop:
-			}
-		}
+		g.readFrames(out, stop)
 	}()
 	t.Cleanup(func() {
 		close(stop)
@@ -105,6 +82,42 @@
 	return g
 }
 
+// writeFrames sends the engine its start, heartbeats and what comes on toEngine, and last a leave. Errors are dropped:
+// an engine that has ended is noticed by the test that waits for a frame of it.
+func (g *gossipEngine) writeFrames(in io.WriteCloser, start []any, stop <-chan struct{}) {
+	defer func() { _ = in.Close() }()
+	encoder := cbor.NewEncoder(in)
+	heartbeat := time.NewTicker(heartbeatInterval)
+	defer heartbeat.Stop()
+	_ = encoder.Encode(start)
+	for {
+		select {
+		case <-stop:
+			_ = encoder.Encode([]any{frameLeave})
+			return
+		case <-heartbeat.C:
+			_ = encoder.Encode([]any{frameHeartbeat})
+		case f := <-g.toEngine:
+			_ = encoder.Encode(f)
+		}
+	}
+}
+
+// readFrames receives the engine's frames until it ends.
+func (g *gossipEngine) readFrames(out io.Reader, stop <-chan struct{}) {
+	decoder := cbor.NewDecoder(out)
+	for {
+		var f []any
+		if decoder.Decode(&f) != nil {
+			return
+		}
+		select {
+		case g.fromEngine <- f:
+		case <-stop:
+		}
+	}
+}
+
 // awaitFrame waits for a frame that is wanted, and keeps the others for later waits.
 func (g *gossipEngine) awaitFrame(what string, isWanted func(f []any) bool) []any {
 	g.t.Helper()
@@ -126,15 +139,15 @@
 	}
 }
 
-// isMemberInState returns a check whether a frame lists a member in a state.
-func isMemberInState(name, state string) func(f []any) bool {
+// isAliveMember returns a check whether a frame lists a member as alive.
+func isAliveMember(name string) func(f []any) bool {
 	return func(f []any) bool {
 		if f[0] != uint64(frameMembers) {
 			return false
 		}
 		all, _ := f[1].([]any)
 		for _, x := range all {
-			if m, _ := x.([]any); len(m) == 4 && m[0] == name && m[2] == state {
+			if m, _ := x.([]any); len(m) == 4 && m[0] == name && m[2] == "alive" {
 				return true
 			}
 		}
@@ -159,14 +172,14 @@
 	atA, atB := uniqueHost()+":17946", uniqueHost()+":17946"
 	a := startGossipEngine(t, "a", atA)
 	a.toEngine <- []any{framePublishFullState, []byte("all of a")}
-	a.awaitFrame("a sees itself", isMemberInState("a", "alive"))
+	a.awaitFrame("a sees itself", isAliveMember("a"))
 	b := startGossipEngine(t, "b", atB, atA)
-	b.awaitFrame("b sees a", isMemberInState("a", "alive"))
+	b.awaitFrame("b sees a", isAliveMember("a"))
 	b.awaitFrame("b is told all of a", isMessage(frameReceivedFullState, "all of a"))
-	a.awaitFrame("a sees b", isMemberInState("b", "alive"))
+	a.awaitFrame("a sees b", isAliveMember("b"))
 	a.toEngine <- []any{framePublish, "a", []byte("news")}
 	b.awaitFrame("b hears a", isMessage(frameReceived, "news"))
-	f := a.awaitFrame("a sees b", isMemberInState("b", "alive"))
+	f := a.awaitFrame("a sees b", isAliveMember("b"))
 	var shown strings.Builder
 	for _, x := range f[1].([]any) {
 		for _, field := range x.([]any) {
@@ -215,7 +228,7 @@
 	}
 	d.start()
 	d.waitReady()
-	other.awaitFrame("the daemon is a member", isMemberInState("north-3", "alive"))
+	other.awaitFrame("the daemon is a member", isAliveMember("north-3"))
 	other.toEngine <- []any{framePublish, "north-1", record}
 	d.waitUntil("the record is shown", func() bool {
 		r := runCommand(t, "daemon", "", "", "members", "--socket", d.socket)
--- a/internal/compatibility/handover_test.go
+++ b/internal/compatibility/handover_test.go
@@ -174,13 +174,13 @@
 // connect connects to a daemon as its successor does.
 func (d *daemon) connect() *peerProcess {
 	d.t.Helper()
-	folder, err := os.Open(d.directory)
+	directory, err := os.Open(d.directory)
 	if err != nil {
 		d.t.Fatal(err)
 	}
-	defer folder.Close()
+	defer func() { _ = directory.Close() }() // it was only read
 	name := d.storedPath(".sock")[len(d.directory):]
-	conn, err := net.Dial("unix", fmt.Sprintf("/proc/self/fd/%d%s", folder.Fd(), name))
+	conn, err := (&net.Dialer{}).DialContext(d.t.Context(), "unix", fmt.Sprintf("/proc/self/fd/%d%s", directory.Fd(), name))
 	if err != nil {
 		d.t.Fatal(err)
 	}
@@ -237,20 +237,13 @@
 	t.Parallel()
 	d := newDaemon(t, startEchoServer(t))
 	state := readFile(t, "testdata/handover/state.json")
-	listener, err := net.Listen("tcp", d.clients())
-	if err != nil {
-		t.Fatal(err)
-	}
+	listener := listen(t, "tcp", d.clients())
 	file, err := listener.(*net.TCPListener).File()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _, _ = file.Close(), listener.Close() })
-	socket, err := net.Listen("unix", d.storedPath(".sock"))
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { _ = socket.Close() })
+	t.Cleanup(func() { _ = file.Close() })
+	socket := listen(t, "unix", d.storedPath(".sock"))
 	d.start()
 	conn, err := socket.Accept()
 	if err != nil {
@@ -260,53 +253,72 @@
 	_ = conn.SetDeadline(time.Now().Add(hangTimeout))
 	p := &peerProcess{t, conn.(*net.UnixConn)}
 	var all strings.Builder
-	for has := false; !has; {
+	p.handOver(&all, state, file)
+	d.waitReady()
+	fmt.Fprintln(&all, "explain:", d.disabledServers())
+	p.send(frame{Kind: "ask", Number: 1, Body: json.RawMessage(`{"kind":"online","server":"b"}`)})
+	p.awaitReply(&all, 1)
+	p.send(frame{Kind: "claim", Number: 2, Body: json.RawMessage("72623859790382856")}) // the id that the state has
+	p.send(frame{Kind: "claim", Number: 3, Body: json.RawMessage("5")})
+	answers := p.receiveReplies(2)
+	fmt.Fprintln(&all, "claims:", answers[2], answers[3])
+	_ = conn.Close()
+	d.waitUntil("it sees that the other ended", func() bool { return strings.Contains(d.log.String(), "the predecessor has ended") })
+	fmt.Fprintln(&all, "explain:", d.disabledServers())
+	golden(t, "handover/predecessor.txt", strings.ReplaceAll(all.String(), d.clients(), "LISTEN"))
+}
+
+// handOver answers a successor's requests until it has the state, and records them.
+func (p *peerProcess) handOver(all io.Writer, state string, listener *os.File) {
+	p.t.Helper()
+	for hasState := false; !hasState; {
 		f, _, err := p.receive()
 		if err != nil {
-			t.Fatal(err)
+			p.t.Fatal(err)
 		}
-		fmt.Fprintf(&all, "%s %s\n", f.Kind, f.Body)
+		_, _ = fmt.Fprintf(all, "%s %s\n", f.Kind, f.Body)
 		answer := frame{Number: f.Number, Answer: true, Body: json.RawMessage("null")}
 		switch f.Kind {
 		case "hello":
 			answer.Body = json.RawMessage("false")
 		case "give":
 			answer.Body = json.RawMessage(state)
-			p.send(answer, int(file.Fd()))
+			p.send(answer, int(listener.Fd()))
 			continue
 		case "have":
-			has = true
+			hasState = true
 		}
 		p.send(answer)
 	}
-	d.waitReady()
-	fmt.Fprintln(&all, "explain:", d.disabledServers())
-	p.send(frame{Kind: "ask", Number: 1, Body: json.RawMessage(`{"kind":"online","server":"b"}`)})
+}
+
+// awaitReply waits for the reply to a request, and records all frames until then; requests among them are answered.
+func (p *peerProcess) awaitReply(all io.Writer, number uint64) {
+	p.t.Helper()
 	for answered := false; !answered; {
 		f, _, err := p.receive()
 		if err != nil {
-			t.Fatal(err)
+			p.t.Fatal(err)
 		}
-		fmt.Fprintf(&all, "after ask: %s%s %s\n", f.Kind, f.Bad, f.Body)
-		if answered = f.Answer && f.Number == 1; !answered && f.Number != 0 {
+		_, _ = fmt.Fprintf(all, "after ask: %s%s %s\n", f.Kind, f.Bad, f.Body)
+		if answered = f.Answer && f.Number == number; !answered && f.Number != 0 {
 			p.send(frame{Number: f.Number, Answer: true, Body: json.RawMessage("null")})
 		}
 	}
-	p.send(frame{Kind: "claim", Number: 2, Body: json.RawMessage("72623859790382856")}) // the id that the state has
-	p.send(frame{Kind: "claim", Number: 3, Body: json.RawMessage("5")})
+}
+
+// receiveReplies waits for some replies and returns their contents by number; other frames are dropped.
+func (p *peerProcess) receiveReplies(count int) map[uint64]string {
+	p.t.Helper()
 	answers := map[uint64]string{}
-	for len(answers) < 2 {
+	for len(answers) < count {
 		f, _, err := p.receive()
 		if err != nil {
-			t.Fatal(err)
+			p.t.Fatal(err)
 		}
 		if f.Answer {
 			answers[f.Number] = f.Bad + string(f.Body)
 		}
 	}
-	fmt.Fprintln(&all, "claims:", answers[2], answers[3])
-	_ = conn.Close()
-	d.waitUntil("it sees that the other ended", func() bool { return strings.Contains(d.log.String(), "the predecessor has ended") })
-	fmt.Fprintln(&all, "explain:", d.disabledServers())
-	golden(t, "handover/predecessor.txt", strings.ReplaceAll(all.String(), d.clients(), "LISTEN"))
+	return answers
 }
--- a/internal/compatibility/main_test.go
+++ b/internal/compatibility/main_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"context"
 	"errors"
 	"flag"
 	"fmt"
@@ -48,7 +49,7 @@
 		packages = append(packages, source)
 	}
 	slices.Sort(packages[5:])
-	build := exec.Command("go", packages...)
+	build := exec.CommandContext(context.Background(), "go", packages...)
 	build.Dir = moduleRoot
 	if out, err := build.CombinedOutput(); err != nil {
 		fmt.Fprintf(os.Stderr, "%v: %s\n", err, out)
--- a/internal/compatibility/tags_test.go
+++ b/internal/compatibility/tags_test.go
@@ -16,6 +16,26 @@
 // Keys of JSON stand in tags all over the module, many of reports that no other test reads. Wherever the structs
 // move, each key stays, as often as it was; new ones may come.
 func TestTagsStay(t *testing.T) {
+	tags := countTags(t)
+	var all strings.Builder
+	for _, tag := range slices.Sorted(maps.Keys(tags)) {
+		fmt.Fprintf(&all, "%d %s\n", tags[tag], tag)
+	}
+	if *update {
+		golden(t, "keys/tags.txt", all.String())
+		return
+	}
+	for line := range strings.Lines(readFile(t, "testdata/keys/tags.txt")) {
+		times, tag, _ := strings.Cut(strings.TrimSuffix(line, "\n"), " ")
+		if want := number(t, times); tags[tag] < want {
+			t.Errorf("%s: %d times, was there %d times", tag, tags[tag], want)
+		}
+	}
+}
+
+// countTags counts each struct tag in all of the module's files but tests.
+func countTags(t *testing.T) map[string]int {
+	t.Helper()
 	tags := map[string]int{}
 	err := filepath.WalkDir(moduleRoot, func(path string, entry fs.DirEntry, err error) error {
 		switch {
@@ -41,18 +61,5 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var all strings.Builder
-	for _, tag := range slices.Sorted(maps.Keys(tags)) {
-		fmt.Fprintf(&all, "%d %s\n", tags[tag], tag)
-	}
-	if *update {
-		golden(t, "keys/tags.txt", all.String())
-		return
-	}
-	for line := range strings.Lines(readFile(t, "testdata/keys/tags.txt")) {
-		times, tag, _ := strings.Cut(strings.TrimSuffix(line, "\n"), " ")
-		if want := number(t, times); tags[tag] < want {
-			t.Errorf("%s: %d times, was there %d times", tag, tags[tag], want)
-		}
-	}
+	return tags
 }
