--- a/internal/compatibility/daemon_test.go
+++ b/internal/compatibility/daemon_test.go
@@ -40,7 +40,7 @@
 	socket    string // of explain; the options name it
 	log       logBuffer
 	process   *exec.Cmd
-	ended     chan error
+	ended     chan string // receives how the process ended
 }
 
 // logBuffer is a buffer that a process writes while a test reads.
