--- a/cmd/yardwinch/sighup_test.go
+++ b/cmd/yardwinch/sighup_test.go
@@ -85,7 +85,7 @@
 	}
 }
 
-// survivesSIGHUP tells whether a process is the daemon, or a shell that ignores SIGHUP.
+// survivesSIGHUP reports whether a process is the daemon, or a shell that ignores SIGHUP.
 func survivesSIGHUP(pid int) bool {
 	if program, err := os.Readlink(fmt.Sprintf("/proc/%d/exe", pid)); err == nil && strings.HasSuffix(program, "yardwinch") {
 		return true
--- a/constraints/queries.go
+++ b/constraints/queries.go
@@ -25,13 +25,7 @@
 }
 
 func (q queries) AdmitFlow(id decide.FlowID) bool {
-	for _, constraint := range q.constraints {
-		if why := constraint.AdmitFlow(id); why != "" {
-			q.recordObjection(id, constraint, why)
-			return false
-		}
-	}
-	return true
+	return q.allAllow(id, Constraint.AdmitFlow)
 }
 
 func (q queries) RetryAfter(id decide.FlowID, preset time.Duration) time.Duration {
@@ -46,8 +40,13 @@
 }
 
 func (q queries) AllowMigration(id decide.FlowID) bool {
+	return q.allAllow(id, Constraint.AllowMigration)
+}
+
+// allAllow reports whether no constraint objects, and records the first that does.
+func (q queries) allAllow(id decide.FlowID, query func(Constraint, decide.FlowID) Reason) bool {
 	for _, constraint := range q.constraints {
-		if why := constraint.AllowMigration(id); why != "" {
+		if why := query(constraint, id); why != "" {
 			q.recordObjection(id, constraint, why)
 			return false
 		}
--- a/decide/api.go
+++ b/decide/api.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Each kind of id is a type of its own, so that one cannot be passed for another.
+// Each kind of id has its own type, so that one cannot be passed for another.
 type (
 	// FlowID names one flow of this balancer.
 	FlowID string
@@ -99,7 +99,7 @@
 // Flags of a flow as it arrives; they add up.
 const (
 	FlagLoadHint  = 1  // the client's estimate of its load is valid
-	FlagRetry     = 2  // the client tries again
+	FlagRetry     = 2  // the client retries
 	FlagMidStream = 8  // the connection is open already and was routed here
 	FlagReturning = 16 // the client returns after a break or a migration
 )
@@ -112,7 +112,7 @@
 	Reject(FlowID, time.Duration)
 	// Abort is a final answer that promises nothing.
 	Abort(FlowID)
-	// Migrate asks the client of an established flow to come again.
+	// Migrate asks the client of an established flow to reconnect.
 	Migrate(FlowID)
 	// HealthCheck asks a server for its load.
 	HealthCheck(ServerID)
@@ -130,7 +130,7 @@
 	ServerCost(FlowID, ServerID) (extra float64, ok bool)
 	// AdmitFlow says whether a flow may be admitted at all.
 	AdmitFlow(FlowID) bool
-	// RetryAfter is when the client of a rejected flow may come again, given the default.
+	// RetryAfter is when the client of a rejected flow may retry, given the default.
 	RetryAfter(FlowID, time.Duration) time.Duration
 	// AllowMigration says whether an established flow may be migrated to where it costs less.
 	AllowMigration(FlowID) bool
--- a/decide/flows.go
+++ b/decide/flows.go
@@ -9,7 +9,7 @@
 	waiting     state = iota // needs an attempt, and may be in the admission queue
 	connecting               // an attempt is out
 	established              // held by a server
-	migrating                // its client was asked to come again; its end is still to come
+	migrating                // its client was asked to reconnect; its end is still to come
 	awaitingEnd              // the final answer is given, an attempt still out
 	done
 )
--- a/decide/health.go
+++ b/decide/health.go
@@ -19,7 +19,7 @@
 
 	firstEjectionTime   = time.Second
 	maxEjectionTime     = 16 * time.Second
-	maxUnreachable      = 2  // attempts in a row that reached nobody, from which a server is silent
+	maxUnreachable      = 2  // attempts in a row that end as Unreachable, from which a server is silent
 	maxProbationLimit   = 16 // flows out at once
 	provenProbation     = 8  // probation limit beyond which probation ends
 	firstProbationLimit = 1  // flows out at once
@@ -60,7 +60,7 @@
 	return server.ejected && (b.now < server.ejectedUntil || server.probationFlows >= server.probationLimit)
 }
 
-// isSilent reports whether the last attempts found nobody there.
+// isSilent reports whether the last attempts could not reach the server.
 func (s *serverState) isSilent() bool { return s.unreachableInRow >= maxUnreachable }
 
 // recordOutcome records an outcome at the flow's server, and ejects the server or raises its probation limit.
--- a/decide/list.go
+++ b/decide/list.go
@@ -81,7 +81,7 @@
 		}
 		b.beginSlowStart(server, endpoint.StartedAt)
 	}
-	if b.health.checksLoad && server.healthCheckedAt == 0 { // a check is due, at a time of its own
+	if b.health.checksLoad && server.healthCheckedAt == 0 { // a check is due, at a random time
 		server.healthCheckedAt = b.now - time.Duration(b.random.uniform()*float64(recheckInterval))
 		b.health.checkCredit++
 	}
--- a/decide/placement.go
+++ b/decide/placement.go
@@ -193,7 +193,7 @@
 }
 
 // compare prepares a placement of the flow among these servers or a part of them. The flow itself is left out of the
-// means. By tallies alone each balancer would hold a group at a server of its own; the preferred server, the highest by
+// means. By tallies alone each balancer would hold a group at another server; the preferred server, the highest by
 // a hash of group and id of those below the guard, is the same at all.
 func (b *Balancer) compare(f *flow, from []*serverState) (c comparison) {
 	c.holders = b.tallies.holders[f.group]
--- a/decide/servers.go
+++ b/decide/servers.go
@@ -10,7 +10,7 @@
 	openFlows        int // leased: connecting and established
 	size             float64
 	startedAt        time.Duration
-	unreachableInRow int // attempts in a row that reached nobody, with no sign of life since
+	unreachableInRow int // attempts in a row that ended as Unreachable, with no sign of life since
 	latency          time.Duration
 	id               ServerID
 	ejected          bool
--- a/fleet/lease/manager.go
+++ b/fleet/lease/manager.go
@@ -37,7 +37,7 @@
 	unclaimed              // this balancer has not yet looked whether to take it
 )
 
-// String is the state's word in the operators' calls.
+// String is the state as the operators' calls show it.
 func (s state) String() string {
 	return [...]string{"another's", "next in line", "held", "unsure", "nobody's"}[s]
 }
@@ -94,7 +94,7 @@
 	l.state = to
 }
 
-// Holds tells whether this balancer is to do a task now. It is to be asked just before the task is done.
+// Holds reports whether this balancer is to do a task now. It is to be asked just before the task is done.
 func (m *Manager) Holds(task Task, now time.Duration) bool {
 	l := m.lease(task, now)
 	m.transition(l, m.nextState(l, now))
--- a/fleet/signals/consensus.go
+++ b/fleet/signals/consensus.go
@@ -31,12 +31,12 @@
 	renewals       int // of the penalty by a single reporter, since it was confirmed
 }
 
-// isConfirmed tells whether enough origins report a fault: at least two, and no fewer than report the server as
+// isConfirmed reports whether enough origins report a fault: at least two, and no fewer than report the server as
 // healthy. So an origin that is wrong or behind a bad link changes nothing, and a fault that only some observe
 // concerns them alone.
 func (c *consensus) isConfirmed() bool { return c.faulty >= minReporters && c.faulty >= c.healthy }
 
-// isRenewable tells whether a penalty that was confirmed before may continue, or begin again, by a single report.
+// isRenewable reports whether a penalty that was confirmed before may continue, or begin again, by a single report.
 func (c *consensus) isRenewable(now time.Duration) bool {
 	if c.faulty == 0 || c.healthy > 0 {
 		return false
@@ -44,7 +44,7 @@
 	return now < c.penalisedUntil || c.renewals < maxRenewals
 }
 
-// isUnused tells whether nothing has been reported of a server for long.
+// isUnused reports whether nothing has been reported of a server for long.
 func (c *consensus) isUnused(now time.Duration) bool {
 	return c.faulty+c.healthy == 0 && c.connections == 0 && now-c.confirmedAt > consensusRetention
 }
--- a/fleet/signals/exchange.go
+++ b/fleet/signals/exchange.go
@@ -15,10 +15,10 @@
 // constraints.Constraint. Its methods must not be called concurrently.
 type Exchange struct {
 	constraints.Unconstrained
-	enabled    bool // false: it publishes and merges, and penalises no server
-	delayLimit time.Duration
-	setupLimit time.Duration
-	now        time.Duration
+	enabled          bool // false: it publishes and merges, and penalises no server
+	latencyThreshold time.Duration
+	setupLimit       time.Duration
+	now              time.Duration
 
 	ready        map[decide.ServerID]bool
 	observations map[decide.ServerID]*observation
@@ -44,26 +44,26 @@
 
 // Config configures an Exchange.
 type Config struct {
-	Origin      Origin
-	Incarnation Incarnation
-	Build       string
-	Settings    string        // a digest of the settings that should be the same at all balancers
-	DelayLimit  time.Duration // a message that takes longer is late
-	SetupLimit  time.Duration // a set-up that takes longer is late
-	Enabled     bool          // false: the exchange publishes and merges, and penalises no server
+	Origin           Origin
+	Incarnation      Incarnation
+	Build            string
+	Settings         string        // a digest of the settings that should be the same at all balancers
+	LatencyThreshold time.Duration // a message that takes longer is late
+	SetupLimit       time.Duration // a set-up that takes longer is late
+	Enabled          bool          // false: the exchange publishes and merges, and penalises no server
 }
 
 // New makes the exchange of one balancer.
 func New(config Config) *Exchange {
 	return &Exchange{
-		enabled:      config.Enabled,
-		delayLimit:   config.DelayLimit,
-		setupLimit:   config.SetupLimit,
-		ready:        map[decide.ServerID]bool{},
-		observations: map[decide.ServerID]*observation{},
-		store:        newStore(config.Origin),
-		servers:      map[decide.ServerID]*consensus{},
-		gatheredAt:   never,
+		enabled:          config.Enabled,
+		latencyThreshold: config.LatencyThreshold,
+		setupLimit:       config.SetupLimit,
+		ready:            map[decide.ServerID]bool{},
+		observations:     map[decide.ServerID]*observation{},
+		store:            newStore(config.Origin),
+		servers:          map[decide.ServerID]*consensus{},
+		gatheredAt:       never,
 		own: Record{
 			Origin:      config.Origin,
 			Incarnation: config.Incarnation,
@@ -99,7 +99,7 @@
 	}
 }
 
-// Merge takes up a record that another balancer published, and tells whether it is news that is worth passing on.
+// Merge takes up a record that another balancer published, and reports whether it is news that is worth passing on.
 // A record under this balancer's own name, from before a restart or from a member of the same name, makes it
 // publish as a later incarnation.
 func (e *Exchange) Merge(record Record) (isNew bool) {
--- a/fleet/signals/exchange_test.go
+++ b/fleet/signals/exchange_test.go
@@ -17,13 +17,13 @@
 
 func newExchange(origin Origin) *Exchange {
 	exchange := New(Config{
-		Origin:      origin,
-		Incarnation: 1,
-		Build:       "b",
-		Settings:    "s",
-		DelayLimit:  80 * time.Millisecond,
-		SetupLimit:  300 * time.Millisecond,
-		Enabled:     true,
+		Origin:           origin,
+		Incarnation:      1,
+		Build:            "b",
+		Settings:         "s",
+		LatencyThreshold: 80 * time.Millisecond,
+		SetupLimit:       300 * time.Millisecond,
+		Enabled:          true,
 	})
 	exchange.SetTime(start)
 	return exchange
@@ -41,7 +41,7 @@
 	}
 }
 
-// penalises tells whether the server is penalised at a time.
+// penalises reports whether the server is penalised at a time.
 func (e *Exchange) penalises(now time.Duration) bool {
 	e.SetTime(now)
 	cost, _ := e.ServerCost("g", server)
--- a/fleet/signals/observations.go
+++ b/fleet/signals/observations.go
@@ -90,9 +90,9 @@
 
 // OnLatencySample observes how long a message took. Samples come while messages are late, and once when they no
 // longer are.
-func (e *Exchange) OnLatencySample(server decide.ServerID, delay time.Duration) {
+func (e *Exchange) OnLatencySample(server decide.ServerID, latency time.Duration) {
 	observed := e.observation(server)
-	if delay > e.delayLimit {
+	if latency > e.latencyThreshold {
 		observed.lateAt = e.now
 	} else {
 		observed.lateAt = never
@@ -127,7 +127,7 @@
 	return count, lastAt
 }
 
-// observesHealthy tells whether this balancer itself sees no fault of a server, by connections there or by a
+// observesHealthy reports whether this balancer itself sees no fault of a server, by connections there or by a
 // set-up a moment ago.
 func (e *Exchange) observesHealthy(id decide.ServerID) bool {
 	observed := e.observations[id]
--- a/fleet/signals/publish.go
+++ b/fleet/signals/publish.go
@@ -83,7 +83,7 @@
 	)
 }
 
-// isUrgent tells whether a fault of a server is worth publishing at once: only by some of those who observe it,
+// isUrgent reports whether a fault of a server is worth publishing at once: only by some of those who observe it,
 // and only where it is new or what was published of it expires soon.
 func (e *Exchange) isUrgent(id decide.ServerID, wasPublished bool) bool {
 	others := 0
--- a/fleet/signals/record.go
+++ b/fleet/signals/record.go
@@ -36,7 +36,7 @@
 	Silent
 )
 
-// String is the fault's word in the operators' calls.
+// String is the fault as the operators' calls show it.
 func (f Fault) String() string { return [...]string{"well", "late", "failing", "silent"}[f] }
 
 // Report is what an origin reports of one server.
@@ -74,7 +74,7 @@
 	MaxLoadReports = 64
 )
 
-// isLater tells whether a record replaces another of its origin.
+// isLater reports whether a record replaces another of its origin.
 func isLater(a, b Record) bool {
 	return cmp.Or(cmp.Compare(a.Incarnation, b.Incarnation), cmp.Compare(a.Sequence, b.Sequence)) > 0
 }
@@ -91,7 +91,7 @@
 	}
 }
 
-// hasFault tells whether a record reports a fault of any server.
+// hasFault reports whether a record reports a fault of any server.
 func (r *Record) hasFault() bool {
 	return slices.ContainsFunc(r.Reports, func(report Report) bool { return report.Fault != Healthy })
 }
--- a/fleet/signals/store.go
+++ b/fleet/signals/store.go
@@ -26,7 +26,7 @@
 // newStore makes a store of a balancer that publishes as own.
 func newStore(own Origin) *Store { return &Store{own: own, records: map[Origin]received{}} }
 
-// Merge stores a record that is later than the stored one of its origin, and tells whether it did.
+// Merge stores a record that is later than the stored one of its origin, and reports whether it did.
 func (s *Store) Merge(record Record, now time.Duration) bool {
 	if record.Origin == s.own {
 		return false
--- a/fleet/signals/wire.go
+++ b/fleet/signals/wire.go
@@ -213,7 +213,7 @@
 	return record
 }
 
-// isPlausible tells whether a record may come from a member: it has an origin, and no value that no member sends.
+// isPlausible reports whether a record may come from a member: it has an origin, and no value that no member sends.
 func (r *Record) isPlausible() bool {
 	switch {
 	case r.Origin == "" || len(r.Origin) > maxNameBytes:
--- a/internal/admin/listener.go
+++ b/internal/admin/listener.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// acceptRetryPeriod is the pause after an accept that failed.
-const acceptRetryPeriod = 10 * time.Millisecond
+// acceptRetryInterval is the pause after an accept that failed.
+const acceptRetryInterval = 10 * time.Millisecond
 
 // limitedListener limits the open connections: the oldest whose request is not complete is closed for a new one.
 // Those with a complete request are answered soon, and are never closed for it.
@@ -43,12 +43,12 @@
 			return nil, err
 		}
 		if err != nil {
-			time.Sleep(acceptRetryPeriod)
+			time.Sleep(acceptRetryInterval)
 			continue
 		}
 		accepted, oldest := l.add(raw)
 		if oldest != nil {
-			_ = oldest.Conn.Close() // nobody waits for an answer on it
+			_ = oldest.Conn.Close() // its caller has not sent a complete request
 		}
 		return accepted, nil
 	}
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -1,4 +1,4 @@
-// Package admin takes the operators' calls on an address of their own: HTTP/1.1, one call to a connection. It
+// Package admin takes the operators' calls on a separate address: HTTP/1.1, one call to a connection. It
 // decides nothing; each call is one method of Balancer.
 package admin
 
--- a/internal/config/balancer.go
+++ b/internal/config/balancer.go
@@ -108,7 +108,7 @@
 	return settings.Duration(keyMaxRetryAfter)
 }
 
-// DiscoveryIsPolled tells whether the endpoint list comes only when it is polled.
+// DiscoveryIsPolled reports whether the endpoint list comes only when it is polled.
 func DiscoveryIsPolled(settings Values) bool {
 	return settings.String(keyDiscoveryMode, "") == discoveryPolled
 }
@@ -145,7 +145,7 @@
 // delayLimitPart is the part of the message target from which a message counts as late.
 const delayLimitPart = 3
 
-// MessageDelayLimit is the delay from which a message counts as late: well before its latency objective is missed.
-func MessageDelayLimit(settings Values) time.Duration {
+// LatencyThreshold is the latency from which a message counts as late: well before its latency objective is missed.
+func LatencyThreshold(settings Values) time.Duration {
 	return MessageTarget(settings) / delayLimitPart
 }
--- a/internal/config/load_report.go
+++ b/internal/config/load_report.go
@@ -17,7 +17,7 @@
 // report.
 var needsHealthCheck = map[string]bool{"pull": true, "piggyback": false, "silent": false}
 
-// HealthChecksEnabled tells whether health checks are allowed and bring the load. Where the columns of reports are
+// HealthChecksEnabled reports whether health checks are allowed and bring the load. Where the columns of reports are
 // not stated, the load may be among them.
 func HealthChecksEnabled(settings Values) bool {
 	pulled := enum(settings, keyReportingMode, needsHealthCheck, false)
@@ -32,9 +32,9 @@
 	})
 }
 
-// ServerMetrics tells whether servers report the loads of connections, and the delays of messages.
-func ServerMetrics(settings Values) (load, delay bool) {
-	return settings.Bool(keyServersReportLoad), settings.Bool(keyServersReportDelay)
+// ServerMetrics reports whether servers report the loads of connections, and the delays of messages.
+func ServerMetrics(settings Values) (load, latency bool) {
+	return settings.Bool(keyServersReportLoad), settings.Bool(keyServersReportLatency)
 }
 
 // ParseLoadReport extracts a server's load over its capacity from a load report, both from the simulator's wire
--- a/internal/config/options.go
+++ b/internal/config/options.go
@@ -97,13 +97,13 @@
 // digest of the settings; the incarnation tells this start of the process from earlier ones.
 func (o *Options) EnableSignals(settings Values, build, settingsDigest string, incarnation uint64) {
 	o.signals = signals.New(signals.Config{
-		Origin:      signals.Origin(o.peers.Name),
-		Incarnation: signals.Incarnation(incarnation),
-		Build:       build,
-		Settings:    settingsDigest,
-		DelayLimit:  MessageDelayLimit(settings),
-		SetupLimit:  MinSetupTarget(settings),
-		Enabled:     o.peers.Signals,
+		Origin:           signals.Origin(o.peers.Name),
+		Incarnation:      signals.Incarnation(incarnation),
+		Build:            build,
+		Settings:         settingsDigest,
+		LatencyThreshold: LatencyThreshold(settings),
+		SetupLimit:       MinSetupTarget(settings),
+		Enabled:          o.peers.Signals,
 	})
 }
 
--- a/internal/daemon/admin_calls.go
+++ b/internal/daemon/admin_calls.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	callTimeout         = 750 * time.Millisecond // for both processes to make a change
-	successorGonePeriod = time.Millisecond       // between the end of a successor and this process deciding again
+	callTimeout           = 750 * time.Millisecond // for both processes to make a change
+	successorGoneInterval = time.Millisecond       // between the end of a successor and this process deciding again
 )
 
 // adminCalls are the operators' calls. The texts of their errors are the answers that operators get.
@@ -70,7 +70,7 @@
 		select { // the successor has ended; this process decides again in a moment
 		case <-ctx.Done():
 			return admin.ErrNotReady
-		case <-time.After(successorGonePeriod):
+		case <-time.After(successorGoneInterval):
 		}
 	}
 }
@@ -132,7 +132,7 @@
 	}
 	_, err := notified.Wait(ctx, nil)
 	if errors.Is(err, handover.ErrPeerGone) {
-		return nil // it serves nobody any more
+		return nil // it has no clients any more
 	}
 	return err
 }
--- a/internal/daemon/configure.go
+++ b/internal/daemon/configure.go
@@ -117,7 +117,7 @@
 func (d *Daemon) newRouter(settings config.Values) *routing.Router {
 	return routing.New(routing.Config{
 		Seed:                 d.seed,
-		LatencyThreshold:     config.MessageDelayLimit(settings),
+		LatencyThreshold:     config.LatencyThreshold(settings),
 		ServersReportLoad:    d.reportsLoad,
 		ServersReportLatency: d.reportsLatency,
 		Constraints:          d.options.Constraints(settings, d.seed),
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -58,8 +58,8 @@
 	successor   *handover.Link // nil: none has taken over
 }
 
-// errStoppedBeforeServing says that the signal to stop came while the process still started.
-var errStoppedBeforeServing = errors.New("told to stop before it served")
+// errStoppedBeforeServing says that the signal to stop came during the start.
+var errStoppedBeforeServing = errors.New("stopped before it served")
 
 // errConnectionsRemain says that the shutdown ended before all connections did.
 var errConnectionsRemain = errors.New("connections were still held at the end of the drain")
@@ -109,7 +109,7 @@
 	err := d.open(ctx, starting)
 	switch {
 	case err != nil && starting.Err() != nil:
-		return nil // told to stop before it served
+		return nil // the signal to stop came during the start
 	case err != nil:
 		return err
 	}
--- a/internal/daemon/descriptors.go
+++ b/internal/daemon/descriptors.go
@@ -19,7 +19,7 @@
 	// The watch of the endpoint list, the one before as it closes, and the list fetched beside it.
 	watchDescriptors   = 3
 	fileDescriptors    = 1 // the configuration during a reload
-	closingDescriptors = 8 // closed, but kept until whoever waits on them has woken
+	closingDescriptors = 8 // closed, but kept until the goroutines that wait on them have woken
 	gossipDescriptors  = 8 // two that listen, and streams now and then
 
 	// The socket for a successor, two links and one more that tries to connect, two files in the directory, and
--- a/internal/daemon/descriptors_test.go
+++ b/internal/daemon/descriptors_test.go
@@ -39,7 +39,7 @@
 	return c
 }
 
-// holdOne has one idle client come and stay until it is closed, and tells whether it is to come again.
+// holdOne has one idle client come and stay until it is closed, and reports whether it is to reconnect.
 func (c *idleClients) holdOne() (continues bool) {
 	var dialer net.Dialer
 	conn, err := dialer.DialContext(context.WithoutCancel(c.t.Context()), "tcp", c.address)
--- a/internal/daemon/lifecycle.go
+++ b/internal/daemon/lifecycle.go
@@ -27,7 +27,7 @@
 	draining     phase = "emptying"     // out of service: clients are asked to migrate
 	drained      phase = "empty"        // out of service, and no client is left
 	handingOver  phase = "handing over" // a successor accepts clients; this process goes on with those it has
-	shuttingDown phase = "draining"     // told to stop
+	shuttingDown phase = "draining"     // after SIGTERM or SIGINT
 	stopped      phase = "stopped"
 )
 
@@ -42,7 +42,7 @@
 
 // clients is what a change of phase means for the clients' connections.
 type clients interface {
-	SetOutOfService(pingRefused, newClientsRejected bool)
+	SetOutOfService(outOfService, rejectsAll bool)
 	Drain(ctx context.Context, after, spread time.Duration)
 	ConnectionCount() int
 }
@@ -64,7 +64,7 @@
 	return &lifecycle{clients: clients, started: make(chan struct{}), phase: loading}
 }
 
-// transition makes every change of phase, and tells whether it is allowed. What runs until the phase before ends
+// transition makes every change of phase, and reports whether it is allowed. What runs until the phase before ends
 // is ended. A balancer out of service remains so for its clients while it shuts down.
 func (l *lifecycle) transition(ctx context.Context, to phase) bool {
 	l.mu.Lock()
@@ -160,7 +160,7 @@
 	return l.phase
 }
 
-// isOutOfService tells whether this balancer was called out of service.
+// isOutOfService reports whether this balancer was called out of service.
 func (l *lifecycle) isOutOfService() bool {
 	return !l.outOfServiceSince().IsZero()
 }
@@ -172,7 +172,7 @@
 	return l.drainingSince
 }
 
-// setOutOfServiceSince takes in that the predecessor was called out of service. It takes effect with the next phase.
+// setOutOfServiceSince records since when the predecessor has been out of service. It takes effect with the next phase.
 func (l *lifecycle) setOutOfServiceSince(since time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/daemon/upgrade.go
+++ b/internal/daemon/upgrade.go
@@ -13,11 +13,11 @@
 	takeOverTimeout = 5500 * time.Millisecond
 	retryInterval   = 50 * time.Millisecond // while the predecessor can't hand over yet
 	// For a directory that can't be read at the moment, before this process counts as alone.
-	findTimeout         = time.Second
-	requestTimeout      = 2 * time.Second        // for one reply of the other process
-	claimTimeout        = 200 * time.Millisecond // for a reply for which a client waits
-	usageInterval       = 100 * time.Millisecond // between reports of how many descriptors are in use
-	transferRetryPeriod = 100 * time.Millisecond // for connections that were established meanwhile
+	findTimeout           = time.Second
+	requestTimeout        = 2 * time.Second        // for one reply of the other process
+	claimTimeout          = 200 * time.Millisecond // for a reply for which a client waits
+	usageInterval         = 100 * time.Millisecond // between reports of how many descriptors are in use
+	transferRetryInterval = 100 * time.Millisecond // for connections that were established meanwhile
 )
 
 // Names of the descriptors beside the state, as they pass on the link.
--- a/internal/daemon/upgrade_predecessor.go
+++ b/internal/daemon/upgrade_predecessor.go
@@ -107,7 +107,7 @@
 	d.onSuccessorGone(ctx, link)
 }
 
-// answerGreeting tells whether a process may take over from this one; later: not yet.
+// answerGreeting reports whether a process may take over from this one; later: not yet.
 func (d *Daemon) answerGreeting(request handover.Request) (later bool, err error) {
 	var hello handover.Hello
 	if err := json.Unmarshal(request.Body, &hello); err != nil {
@@ -139,10 +139,10 @@
 	d.disabled.release(ctx)
 	d.listener.Pause()
 	state := handover.State{
-		Version:      handover.Version,
-		OutOfService: !drainingSince.IsZero(),
-		Connections:  d.descriptorsInUse(),
-		Files:        []string{clientsSocket},
+		Version:          handover.Version,
+		OutOfService:     !drainingSince.IsZero(),
+		DescriptorsInUse: d.descriptorsInUse(),
+		Files:            []string{clientsSocket},
 	}
 	if state.OutOfService {
 		state.DrainingFor = time.Since(drainingSince)
@@ -160,7 +160,7 @@
 	return handover.Response{Body: state, Descriptors: sockets}, nil
 }
 
-// claimID asks the successor for an id. Without a reply in time the id counts as free: nobody else knows.
+// claimID asks the successor for an id. Without a reply in time the id counts as free, as far as this process knows.
 func claimID(ctx context.Context, link *handover.Link, hash uint64) (taken bool) {
 	ctx, done := context.WithTimeout(ctx, claimTimeout)
 	defer done()
@@ -168,15 +168,15 @@
 	return err == nil && taken
 }
 
-// isSuccessor tells whether the process at the other end has taken over.
+// isSuccessor reports whether the process at the other end has taken over.
 func (d *Daemon) isSuccessor(link *handover.Link) bool {
 	d.changing.Lock()
 	defer d.changing.Unlock()
 	return d.successor == link
 }
 
-// onSuccessorGone takes in that a process that took over, or began to, has ended: this one serves again, with the
-// changes made since. One told to stop meanwhile still stops.
+// onSuccessorGone handles that a process that took over, or began to, has ended: this one serves again, with the
+// changes made since. A process that is shutting down by then goes on shutting down.
 func (d *Daemon) onSuccessorGone(ctx context.Context, link *handover.Link) {
 	d.changing.Lock()
 	defer d.changing.Unlock()
@@ -269,7 +269,7 @@
 		select {
 		case <-linkCtx.Done():
 			return
-		case <-time.After(transferRetryPeriod):
+		case <-time.After(transferRetryInterval):
 		}
 	}
 }
--- a/internal/daemon/upgrade_successor.go
+++ b/internal/daemon/upgrade_successor.go
@@ -195,7 +195,7 @@
 	d.router.Restore(state.Router)
 	d.frontend.ImportIDs(state.IDsKey, state.IDs)
 	d.discovery.Resume(state.DiscoveryAddress, state.Revision)
-	d.descriptorBudget.SetLent(state.Connections)
+	d.descriptorBudget.SetLent(state.DescriptorsInUse)
 	d.setMemoryGoal(bothProcesses)
 	d.disabled.markLoaded()
 	d.disabled.requestSave() // the predecessor may have failed to save some
--- a/internal/explain/server.go
+++ b/internal/explain/server.go
@@ -22,18 +22,18 @@
 	// see whether another process listens already.
 	Descriptors = maxConnections + 2
 
-	maxConnections    = 4 // served at once; more wait in the system's queue
-	exchangeTimeout   = 2 * time.Second
-	maxQuestionBytes  = 512
-	probeTimeout      = 100 * time.Millisecond
-	acceptRetryPeriod = 50 * time.Millisecond
-	ownerOnly         = 0o600 // the answers name flows
-	questionState     = "state"
-	questionMembers   = "members"
-	questionWhy       = "why"
-	answerUnknownFlow = "nothing is known of this flow (any more)"
-	answerNoMembers   = "peers are off here"
-	answerBadQuestion = "want state, members, or why and a flow"
+	maxConnections      = 4 // served at once; more wait in the system's queue
+	exchangeTimeout     = 2 * time.Second
+	maxQuestionBytes    = 512
+	probeTimeout        = 100 * time.Millisecond
+	acceptRetryInterval = 50 * time.Millisecond
+	ownerOnly           = 0o600 // the answers name flows
+	questionState       = "state"
+	questionMembers     = "members"
+	questionWhy         = "why"
+	answerUnknownFlow   = "nothing is known of this flow (any more)"
+	answerNoMembers     = "peers are off here"
+	answerBadQuestion   = "want state, members, or why and a flow"
 )
 
 // Listen opens the socket. One that a process left behind is replaced; one on which a process listens is an error.
@@ -96,13 +96,12 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(acceptRetryPeriod): // there may be no descriptor left at the moment
+		case <-time.After(acceptRetryInterval): // there may be no descriptor left at the moment
 		}
 	}
 }
 
-// serveConnection answers the one question of a connection. Whoever asked may be gone by then, so that errors
-// concern nobody.
+// serveConnection answers the one question of a connection. Errors are dropped: the client may be gone by then.
 func (s Server) serveConnection(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
 	_ = conn.SetDeadline(time.Now().Add(exchangeTimeout))
--- a/internal/handover/frame.go
+++ b/internal/handover/frame.go
@@ -143,7 +143,7 @@
 	return files, nil
 }
 
-// closeFiles closes received files. Whoever uses one has a copy, so that nothing is lost by a close that fails.
+// closeFiles closes received files. Each user has a copy, so that nothing is lost by a close that fails.
 func closeFiles(files []*os.File) {
 	for _, file := range files {
 		_ = file.Close()
--- a/internal/handover/link.go
+++ b/internal/handover/link.go
@@ -116,7 +116,7 @@
 	}
 }
 
-// deliver gives a reply to whoever awaits it.
+// deliver gives a reply to the request that awaits it.
 func (l *Link) deliver(reply frame) {
 	l.mu.Lock()
 	waiting := l.pending[reply.Number]
@@ -149,7 +149,7 @@
 	}
 }
 
-// reply sends a response, or the reason of a refusal, and tells whether it was sent.
+// reply sends a response, or the reason of a refusal, and reports whether it was sent.
 func (l *Link) reply(number uint64, response Response, refusal error) (sent bool) {
 	f := frame{Number: number, IsReply: true}
 	var body []byte
--- a/internal/handover/socket.go
+++ b/internal/handover/socket.go
@@ -70,7 +70,7 @@
 	return conn.(*net.UnixConn), nil
 }
 
-// isOwnSocket tells whether a file is a socket of this user.
+// isOwnSocket reports whether a file is a socket of this user.
 func isOwnSocket(info fs.FileInfo) bool {
 	if info.Mode().Type() != fs.ModeSocket {
 		return false
--- a/internal/handover/state.go
+++ b/internal/handover/state.go
@@ -26,19 +26,19 @@
 	Revision         int64  `json:"revision"` // of the endpoint list, at that address; -1: none
 	IDsKey           []byte `json:"ids_key"`  // of the hash
 	IDs              []byte `json:"ids"`      // hashes of the connections' ids that are taken, one after the other
-	Connections      int    `json:"held"`     // descriptors that the predecessor has in use
+	DescriptorsInUse int    `json:"held"`     // descriptors that the predecessor has in use
 
 	Router routing.Snapshot `json:"memory"`
 	Files  []string         `json:"files"` // the names of the descriptors beside the state, in their order
 }
 
-// Validate tells whether a state can be taken over. Of one that can't be, nothing is used. The texts of its errors
+// Validate reports whether a state can be taken over. Of one that can't be, nothing is used. The texts of its errors
 // reach the other process.
 func (s *State) Validate() error {
 	switch {
 	case s.Version != Version:
 		return fmt.Errorf("version %d, want %d", s.Version, Version)
-	case s.Connections < 0 || s.DrainingFor < 0 || s.Revision < -1:
+	case s.DescriptorsInUse < 0 || s.DrainingFor < 0 || s.Revision < -1:
 		return errors.New("a count below nought")
 	case len(s.IDs)%idHashBytes != 0 || len(s.IDsKey) == 0:
 		return errors.New("ids that are none")
--- a/internal/handover/state_test.go
+++ b/internal/handover/state_test.go
@@ -26,7 +26,7 @@
 		{"a later version", func(s *State) { s.Version++ }, false},
 		{"ids cut", func(s *State) { s.IDs = s.IDs[:idHashBytes+1] }, false},
 		{"no key", func(s *State) { s.IDsKey = nil }, false},
-		{"negative descriptors", func(s *State) { s.Connections = -1 }, false},
+		{"negative descriptors", func(s *State) { s.DescriptorsInUse = -1 }, false},
 		{"a server without a name", func(s *State) { s.Router.Servers[0].Name = "" }, false},
 		{"servers that don't match", func(s *State) { s.Router.Servers = nil }, false},
 		{"an unknown endpoint state", func(s *State) { s.Router.Decisions.Servers[0].Readiness = 7 }, false},
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,5 +1,5 @@
-// Package logging writes the process's log without ever blocking whoever logs: a pipe that nobody reads, or a disk
-// that hangs, costs lines and no answer to a client.
+// Package logging writes the process's log without ever blocking the goroutine that logs: a pipe that nobody
+// reads, or a disk that hangs, costs lines and no answer to a client.
 package logging
 
 import (
@@ -11,7 +11,7 @@
 
 const maxQueuedBytes = 256 << 10 // of lines that wait to be written
 
-// Writer queues lines and writes them in a goroutine of its own, which ends after Close. Lines that don't fit into
+// Writer queues lines and writes them in a separate goroutine, which ends after Close. Lines that don't fit into
 // the queue are dropped, and their number is written in their place.
 type Writer struct {
 	output io.Writer
--- a/internal/membership/engine/delegate.go
+++ b/internal/membership/engine/delegate.go
@@ -77,7 +77,7 @@
 			existing.Name, existing.Address(), other.Address()),
 		Remedy: "give each instance a name of its own and restart the one that came later",
 	}
-	d.group.drops.Add("two members of one name", fault.Error(), "remedy", fault.Advice())
+	d.group.drops.Add("two members of one name", fault.Error(), "advice", fault.Advice())
 }
 
 var (
--- a/internal/membership/engine/group.go
+++ b/internal/membership/engine/group.go
@@ -1,4 +1,4 @@
-// Package engine is the gossip engine (hashicorp/memberlist) as a process of its own, beside the balancer: linked
+// Package engine is the gossip engine (hashicorp/memberlist) as a separate process beside the balancer: linked
 // into the balancer it would cost 4.5 MB even where there are no peers, and a datagram that crashes it must not
 // end the balancer.
 package engine
@@ -68,7 +68,7 @@
 	list     *memberlist.Memberlist // nil until the address is open
 	queue    *memberlist.TransmitLimitedQueue
 	members  map[membership.Name]*member
-	leaving  bool // the others are told that this member leaves
+	leaving  bool // this member has announced that it leaves
 	silenced bool // this member goes without telling the others
 }
 
@@ -120,7 +120,7 @@
 }
 
 // openWithRetries opens the address, and retries until the context ends: the process before this one may still
-// have the address. It tells whether the address is open.
+// have the address. It reports whether the address is open.
 func (g *Group) openWithRetries(ctx context.Context) bool {
 	retries := newBackoff()
 	for reported := false; ; reported = true {
@@ -135,7 +135,7 @@
 				Remedy: "while the process before this one runs this is usual; else see who has the address, or name another",
 				Err:    err,
 			}
-			slog.Warn("membership not started", "error", fault, "remedy", fault.Advice())
+			slog.Warn("membership not started", "error", fault, "advice", fault.Advice())
 		}
 		select {
 		case <-ctx.Done():
@@ -204,7 +204,7 @@
 	g.silenced = true
 }
 
-// close ends the gossip; unless the member is silenced, the others are told that it leaves.
+// close ends the gossip; unless the member is silenced, it announces that it leaves.
 func (g *Group) close() {
 	g.mu.Lock()
 	list := g.list
--- a/internal/membership/engine/join.go
+++ b/internal/membership/engine/join.go
@@ -25,7 +25,7 @@
 	reported bool // the current series of failures was logged
 }
 
-// attemptIfDue attempts to join where that is needed and due, and tells whether it did.
+// attemptIfDue attempts to join where that is needed and due, and reports whether it did.
 func (j *joiner) attemptIfDue(now time.Time) bool {
 	if now.Before(j.next) || !j.group.needsJoin() {
 		return false
@@ -43,13 +43,13 @@
 			Remedy: "check peers.seeds, that the others run, and that UDP and TCP of their ports are open here",
 			Err:    oneLine(err),
 		}
-		slog.Warn("join failed", "error", fault, "remedy", fault.Advice())
+		slog.Warn("join failed", "error", fault, "advice", fault.Advice())
 	}
 	j.next = now.Add(j.backoff.NextBackOff())
 	return true
 }
 
-// needsJoin tells whether this member is alone, or one is gone without having left: then the fleet may be
+// needsJoin reports whether this member is alone, or one is gone without having left: then the fleet may be
 // partitioned, and both parts have to find each other.
 func (g *Group) needsJoin() bool {
 	g.mu.Lock()
--- a/internal/membership/engine/members.go
+++ b/internal/membership/engine/members.go
@@ -23,7 +23,7 @@
 	previousStateAt time.Duration // since when it was in the state before
 }
 
-// refutable tells whether a member was declared gone so recently that it may still refute it.
+// refutable reports whether a member was declared gone so recently that it may still refute it.
 func (m *member) refutable(now time.Duration) bool {
 	return m.state == membership.Gone && now-m.stateAt < refutationTime
 }
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,5 +1,5 @@
 // Package membership knows the other balancers of the fleet and passes bytes between them, without knowing their
-// meaning. The gossip engine is a process of its own (internal/membership/engine, cmd/yardwinch-gossip), which
+// meaning. The gossip engine is a separate process (internal/membership/engine, cmd/yardwinch-gossip), which
 // this package starts, feeds and restarts.
 package membership
 
--- a/internal/protocol/attempt.go
+++ b/internal/protocol/attempt.go
@@ -100,7 +100,7 @@
 	server, err := s.frontend.dialer.Dial(ctx, addr, s.frontend.connectTimeout, func() bool { return s.isStillWanted(ctx) })
 	switch {
 	case errors.Is(err, transport.ErrLocalResources), errors.Is(err, transport.ErrNoLongerWanted), err != nil && ctx.Err() != nil:
-		// This machine's lack, nobody who wants it, or too little time left: no fault of the server's.
+		// No local resources, no client any more, or too little time left: no fault of the server.
 		return nil, routing.NeverSent
 	case err != nil:
 		return nil, routing.Unreachable
--- a/internal/protocol/discovery.go
+++ b/internal/protocol/discovery.go
@@ -27,7 +27,7 @@
 	// applying an answer that is there.
 	changeTimeout = 6 * time.Second
 	applyTime     = 200 * time.Millisecond
-	// agentReopenDelay bounds the wait before a watch is reopened at an agent, which nobody else watches.
+	// agentReopenDelay bounds the wait before a watch is reopened at an agent, which no other balancer watches.
 	agentReopenDelay = 100 * time.Millisecond
 
 	maxHeaderBytes  = 64 << 10
@@ -74,7 +74,7 @@
 }
 
 // newHTTPTransport keeps no idle connection, as each holds a descriptor. So does a dial, which net/http detaches from
-// the call that asked for it: without a timeout of its own it would go on for minutes after the call was given up, and
+// the call that asked for it: without this timeout it would go on for minutes after the call was given up, and
 // one more would join it at each call.
 func (d *Discovery) newHTTPTransport() *http.Transport {
 	return &http.Transport{
@@ -188,12 +188,12 @@
 //
 // Discovery itself is asked by all balancers, which lose their watches at the same moment: they spread over all of
 // the time that is left. A call that was given up or rejected has taken a place in discovery's queue, and is
-// served though nobody waits for it any more: if all asked again within the first half of the time, discovery
+// served though no balancer waits for it any more: if all asked again within the first half of the time, discovery
 // would never be through with these calls.
 //
-// An agent on this machine serves nobody else, and a change counts as received from the moment the agent has it.
-// Waiting through that moment would send flows to a server that is known to drain, so that an agent that fell
-// silent is asked again at once, and answers when it can.
+// An agent on this machine serves this balancer alone, and a change counts as received from the moment the agent
+// has it. Waiting through that moment would send flows to a server that is known to drain, so that an agent that
+// fell silent is asked again at once, and answers when it can.
 func (d *Discovery) reopenDelay(silence time.Duration, fellSilent bool) time.Duration {
 	longest := max(0, changeTimeout-applyTime-d.answerTimeout-silence)
 	part := d.random.Float64()
--- a/internal/protocol/draining.go
+++ b/internal/protocol/draining.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// drainInterval is how often a drain asks the next clients to come again.
+// drainInterval is how often a drain asks the next clients to reconnect.
 const drainInterval = 20 * time.Millisecond
 
 // addEstablished and removeEstablished keep the established sessions, which Drain asks to migrate.
@@ -34,7 +34,7 @@
 	s.establishedIndex = -1
 }
 
-// Drain asks all clients to come again, spread evenly from one delay to the other: all at once they would meet on the
+// Drain asks all clients to reconnect, spread evenly from one delay to the other: all at once they would meet on the
 // other balancers, and on what all connection set-ups share. Clients that come meanwhile are served and asked in turn.
 // None is asked before the first delay, while the layer before the balancers still sends clients here, as half of them
 // would come straight back. Drain returns when the context ends.
@@ -58,7 +58,7 @@
 	}
 }
 
-// migrateSome asks as many clients to come again as are due in one interval, and returns the fraction that remains.
+// migrateSome asks as many clients to reconnect as are due in one interval, and returns the fraction that remains.
 func (f *Frontend) migrateSome(due float64, left time.Duration) float64 {
 	var migrating []*session
 	f.mu.Lock()
--- a/internal/protocol/endpointlist.go
+++ b/internal/protocol/endpointlist.go
@@ -47,7 +47,8 @@
 
 func (d *Discovery) commit(ctx context.Context, list *endpointList) {
 	list.update.Commit(ctx)
-	d.revision.Store(list.revision) // last: whoever reads both in between gets the same changes twice, not never
+	// Last: a snapshot taken in between leads to the same changes twice, not to missed ones.
+	d.revision.Store(list.revision)
 }
 
 // endpointList is one object of discovery.
@@ -210,7 +211,7 @@
 	return fault
 }
 
-// phaseReadiness maps discovery's word.
+// phaseReadiness maps discovery's phase of a member.
 func phaseReadiness(phase string) (readiness routing.Readiness, isKnown bool) {
 	switch phase {
 	case "SERVING":
--- a/internal/protocol/flowids.go
+++ b/internal/protocol/flowids.go
@@ -15,8 +15,8 @@
 )
 
 // flowIDs keeps the ids of all flows that have not ended, and of the last that did. An id that is taken is refused the
-// second time and the first flow goes on: each connection brings a new id, so that whoever comes with the id of a flow
-// that ended a short while ago has read it from another client.
+// second time and the first flow goes on: each connection brings a new id, so that a client with the id of a flow that
+// ended a short while ago has read it from another client.
 type flowIDs struct {
 	mu sync.Mutex
 	// key goes into the hashes: clients choose their ids, and must not choose which ones share a hash.
--- a/internal/protocol/frontend.go
+++ b/internal/protocol/frontend.go
@@ -15,7 +15,7 @@
 
 const (
 	// firstLineTimeout runs from the accept to the end of the line that opens a flow, whatever is sent before it. A
-	// client that sends nothing, or PING for ever, must be answered within 3 s, and the accept may have come late.
+	// client that sends nothing, or PING without end, must be answered within 3 s, and the accept may have come late.
 	firstLineTimeout = 2 * time.Second
 	// maxPings bounds the PINGs on one connection: hundreds at once do not ask whether this balancer lives.
 	maxPings = 16
@@ -157,7 +157,7 @@
 }
 
 // answerBusy tells a client that nothing was done for it, and when to retry. Like answerError it is the last line of a
-// connection: where it can't be written the client is gone, and nobody is to be told.
+// connection: where it can't be written the client is gone, and there is nothing to report.
 func answerBusy(client *transport.Conn, retryAfter time.Duration) {
 	if retryAfter > 0 {
 		_ = writeLine(client, "BUSY %d", retryAfter.Milliseconds())
--- a/internal/protocol/relay.go
+++ b/internal/protocol/relay.go
@@ -56,7 +56,7 @@
 	switch {
 	case isWriteError && errors.Is(err, os.ErrDeadlineExceeded):
 		s.writeSideClosed.Store(true)
-		s.server.Stop() // it takes no lines: the client is asked to come again
+		s.server.Stop() // it takes no lines: the client is asked to reconnect
 	case isWriteError:
 		s.server.SetReadDeadline(time.Now().Add(endTimeout)) // it ended; its last lines are still to be read
 	case errors.Is(err, io.EOF):
--- a/internal/protocol/session.go
+++ b/internal/protocol/session.go
@@ -142,7 +142,7 @@
 	s.client.ReleaseServerSlot()
 	s.client.Linger()
 	<-s.clientDone
-	s.client.Drain()
+	s.client.DiscardAndClose()
 }
 
 // answerUnserved answers a client for which no further attempt is made. Where nothing ever ran it may retry, at a
--- a/internal/protocol/transfer.go
+++ b/internal/protocol/transfer.go
@@ -95,7 +95,7 @@
 func (s *session) park(ctx context.Context) {
 	done := make(chan struct{})
 	s.frontend.mu.Lock()
-	isEstablished := s.establishedIndex >= 0 // else it ended, or its client is being asked to come again
+	isEstablished := s.establishedIndex >= 0 // else it ended, or its client is being asked to reconnect
 	if isEstablished {
 		s.transferred = done
 	}
--- a/internal/protocol/watch.go
+++ b/internal/protocol/watch.go
@@ -28,7 +28,7 @@
 	if err != nil {
 		return w.silentSince, withCause(ctx, err)
 	}
-	defer func() { _ = body.Close() }() // the watch ends with an error of its own
+	defer func() { _ = body.Close() }() // the watch returns the error of its reads
 	w.body.from = body
 	w.postponeDeadline()
 	err = w.follow(ctx)
@@ -97,7 +97,7 @@
 }
 
 // onObjectBegun bounds the time until the object is complete. Its further bytes are no signs of life: an object that
-// trickles for ever tells nothing.
+// trickles without end brings no change.
 func (w *watchStream) onObjectBegun() {
 	w.discovery.hadContact = true
 	w.silentSince = time.Now()
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -46,7 +46,7 @@
 	syscall.EADDRINUSE, syscall.EADDRNOTAVAIL, syscall.ENETDOWN, syscall.ENETUNREACH,
 }
 
-// IsTransient tells whether an error may be gone a moment later.
+// IsTransient reports whether an error may be gone a moment later.
 func IsTransient(err error) bool {
 	for _, transient := range transientErrors {
 		if errors.Is(err, transient) {
--- a/internal/routing/actions.go
+++ b/internal/routing/actions.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// Migrate has a flow's client asked to come again.
+// Migrate has a flow's client asked to reconnect.
 func (a actions) Migrate(id decide.FlowID) {
 	if f := a.router.flows[id]; f != nil {
 		slog.Debug("migration requested", "flow", id, "server", f.server.name)
--- a/internal/routing/endpoints.go
+++ b/internal/routing/endpoints.go
@@ -14,7 +14,7 @@
 // The kinds of an update.
 const (
 	DeltaUpdate  = decide.DeltaUpdate  // changed entries only
-	FullUpdate   = decide.FullUpdate   // the complete list: whoever is not in it is gone
+	FullUpdate   = decide.FullUpdate   // the complete list: servers that are not in it are gone
 	CachedUpdate = decide.CachedUpdate // the complete list as last held before a restart
 )
 
@@ -88,7 +88,7 @@
 	defer r.mu.Unlock()
 	if u.kind != DeltaUpdate {
 		for _, s := range r.serverOrder {
-			s.isListedReady = false // a complete list leaves out whoever is gone
+			s.isListedReady = false // a complete list leaves out servers that are gone
 		}
 	}
 	r.hasEndpoints = true
--- a/internal/routing/flow.go
+++ b/internal/routing/flow.go
@@ -14,7 +14,7 @@
 const (
 	FlagLoadHint  = decide.FlagLoadHint  // the client's estimate of its load is valid
 	FlagRetry     = decide.FlagRetry     // the client retries
-	FlagReturning = decide.FlagReturning // the client was asked to come again
+	FlagReturning = decide.FlagReturning // the client was asked to reconnect
 )
 
 // Verdict says what is to be done with a flow.
@@ -58,7 +58,7 @@
 	attemptAt time.Duration // when the last attempt began
 	adopt     func()        // hands a resumed flow to the decisions once its connection is established; else nil
 
-	isMigrating   bool // its client is to be asked to come again
+	isMigrating   bool // its client is to be asked to reconnect
 	onMigrate     func()
 	isAnswered    bool // the client has its answer, or left without one
 	isEstablished bool
@@ -220,7 +220,7 @@
 	f.router.balancer.OnClientLeft(f.id)
 	select {
 	case decision := <-f.decisions:
-		if decision.Verdict == Connect { // decided just now: nobody will make the attempt
+		if decision.Verdict == Connect { // decided just now: the attempt will not be made
 			f.router.balancer.OnEnded(f.id, decide.NeverSent, 0, true)
 		}
 	default:
@@ -236,7 +236,7 @@
 	f.router.balancer.OnClientLeft(f.id)
 }
 
-// OnMigrate sets what asks the client to come again elsewhere. It is called at once, if that was requested already.
+// OnMigrate sets what asks the client to reconnect elsewhere. It is called at once, if that was requested already.
 func (f *Flow) OnMigrate(migrate func()) {
 	f.router.mu.Lock()
 	f.onMigrate = migrate
@@ -247,21 +247,21 @@
 	}
 }
 
-// Server names the server of the connection, and reports whether its client was asked to come again.
+// Server names the server of the connection, and reports whether its client was asked to reconnect.
 func (f *Flow) Server() (name string, isMigrating bool) {
 	f.router.mu.Lock()
 	defer f.router.mu.Unlock()
 	return f.server.name, f.isMigrating
 }
 
-// RequestMigration has the client asked to come again, for reasons other than the decisions'.
+// RequestMigration has the client asked to reconnect, for reasons other than the decisions'.
 func (f *Flow) RequestMigration() {
 	f.router.mu.Lock()
 	defer f.router.mu.Unlock()
 	f.requestMigration()
 }
 
-// requestMigration asks the client to come again, once; the mutex is held.
+// requestMigration asks the client to reconnect, once; the mutex is held.
 func (f *Flow) requestMigration() {
 	if f.isMigrating {
 		return
--- a/internal/routing/latency.go
+++ b/internal/routing/latency.go
@@ -18,7 +18,7 @@
 	// roundTripMaxAge bounds what a round trip says of the present: clients send about that often.
 	roundTripMaxAge     = 2 * time.Second
 	roundTripWindowSize = 16
-	// replyTimeout is how long a line waits at the most before its client is asked to come again: soon enough that
+	// replyTimeout is how long a line waits at the most before its client is asked to reconnect: soon enough that
 	// the wait does not count against this balancer.
 	replyTimeout = 4 * time.Second
 	// clientSilenceTimeout is after how long without a line a client counts as lost with its machine. Nothing else
@@ -30,7 +30,7 @@
 // them on time: the tracker is kept up to date as lines pass, so that a check costs what is late, not what is held. The
 // router's mutex guards it.
 type latencyTracker struct {
-	threshold time.Duration // a delay beyond it is late
+	threshold time.Duration // a latency beyond it is late
 	nextCheck time.Duration
 
 	serversReportLoad, serversReportLatency bool // what the servers' own metric lines speak of
@@ -136,7 +136,7 @@
 	clear(checked[len(t.suspects):])
 }
 
-// migrateUnresponsive asks clients to come again whose server does not answer, and those that have gone silent.
+// migrateUnresponsive asks clients to reconnect whose server does not answer, and those that have gone silent.
 func (t *latencyTracker) migrateUnresponsive(now time.Duration) {
 	for f := t.awaitingReply.first; f != nil && now-f.awaitingSince > replyTimeout; f = t.awaitingReply.next(f) {
 		f.requestMigration()
@@ -162,41 +162,41 @@
 // checkServerLatency reports a sample of a server that is late, or is so no more. It returns whether the next check has
 // to look at it again.
 func (r *Router) checkServerLatency(s *server, overdueWaits []time.Duration, now time.Duration) (needsCheck bool) {
-	delays := overdueWaits
+	latencies := overdueWaits
 	isLate := len(overdueWaits) > 0
 	for i, at := range s.roundTrips.receivedAt {
 		if now-at < roundTripMaxAge {
-			delays = append(delays, s.roundTrips.durations[i])
+			latencies = append(latencies, s.roundTrips.durations[i])
 			isLate = isLate || s.roundTrips.durations[i] > r.latency.threshold
 		}
 	}
-	if len(s.established) > 0 && len(delays) > 0 {
-		slices.Sort(delays)
-		r.reportServerLatency(s, delays[len(delays)/2], now)
+	if len(s.established) > 0 && len(latencies) > 0 {
+		slices.Sort(latencies)
+		r.reportServerLatency(s, latencies[len(latencies)/2], now)
 	}
 	return isLate || s.roundTrips.reportedAt != 0
 }
 
-// reportServerLatency reports a server's median delay, if it is late and no sample is recent, or if it has just
+// reportServerLatency reports a server's median latency, if it is late and no sample is recent, or if it has just
 // recovered.
-func (r *Router) reportServerLatency(s *server, delay, now time.Duration) {
+func (r *Router) reportServerLatency(s *server, latency, now time.Duration) {
 	reportedAt := s.roundTrips.reportedAt
 	switch {
-	case delay <= r.latency.threshold:
+	case latency <= r.latency.threshold:
 		if reportedAt != 0 {
 			s.roundTrips.reportedAt = 0
-			r.reportLatency(s, s.reportingFlow(), delay)
+			r.reportLatency(s, s.reportingFlow(), latency)
 		}
 	case reportedAt == 0 || now-reportedAt >= latencySampleInterval-latencyCheckInterval/2:
 		s.roundTrips.reportedAt = now
-		r.reportLatency(s, s.reportingFlow(), delay)
+		r.reportLatency(s, s.reportingFlow(), latency)
 	}
 }
 
 // reportLatency hands the decisions a latency sample of a server, by one of its flows.
-func (r *Router) reportLatency(s *server, id decide.FlowID, delay time.Duration) {
-	slog.Debug("latency sampled", "server", s.name, "delay_ms", milliseconds(delay))
-	r.balancer.OnLatencySample(id, delay)
+func (r *Router) reportLatency(s *server, id decide.FlowID, latency time.Duration) {
+	slog.Debug("latency sampled", "server", s.name, "delay_ms", milliseconds(latency))
+	r.balancer.OnLatencySample(id, latency)
 }
 
 // reportingFlow is the flow by which a server's latency is reported. Any would do, but it must not depend on the order
--- a/internal/routing/latency_test.go
+++ b/internal/routing/latency_test.go
@@ -34,7 +34,7 @@
 type checkModel struct {
 	waits          map[*server][]time.Duration
 	reportingFlows map[*server]decide.FlowID
-	migrating      map[decide.FlowID]bool // clients that have been asked to come again
+	migrating      map[decide.FlowID]bool // clients that have been asked to reconnect
 	samples        []latencySample
 }
 
@@ -85,7 +85,7 @@
 	}
 }
 
-// A check reports the late servers and asks the clients to come again that the model names.
+// A check reports the late servers and asks the clients to reconnect that the model names.
 func TestLatencyChecksMatchModel(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		names := make([]string, rapid.IntRange(1, 5).Draw(rt, "servers"))
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -39,7 +39,7 @@
 type Config struct {
 	// Seed starts the random draws of the decisions.
 	Seed uint64
-	// LatencyThreshold is the delay of a message from which the decisions get latency samples of a server.
+	// LatencyThreshold is the latency of a message from which the decisions get latency samples of a server.
 	LatencyThreshold time.Duration
 	// ServersReportLoad and ServersReportLatency say what the servers' own metric lines speak of. Where both are
 	// set each metric is classified, see Flow.OnServerMetric.
--- a/internal/routing/router_test.go
+++ b/internal/routing/router_test.go
@@ -54,7 +54,7 @@
 	return c
 }
 
-// establishFlow has a flow established, with what asks its client to come again.
+// establishFlow has a flow established, with what asks its client to reconnect.
 func establishFlow(t *testing.T, r *Router, migrate func()) *Flow {
 	t.Helper()
 	f := openFlow(t, r)
@@ -181,7 +181,7 @@
 	}
 }
 
-// A server that answers nothing is reported each second, as its lines wait, and its clients are asked to come again
+// A server that answers nothing is reported each second, as its lines wait, and its clients are asked to reconnect
 // before the wait counts against this balancer.
 func TestUnresponsiveServer(t *testing.T) {
 	r := newRouter(t, true, true, "a")
--- a/internal/store/disabled.go
+++ b/internal/store/disabled.go
@@ -148,7 +148,7 @@
 	return nil
 }
 
-// ValidateServerID tells whether an id that comes from another process, or from the disk, has a length that a
+// ValidateServerID reports whether an id that comes from another process, or from the disk, has a length that a
 // server's id may have.
 func ValidateServerID(id string) error {
 	if id == "" || len(id) > routing.MaxIDLength {
--- a/internal/strict/strict.go
+++ b/internal/strict/strict.go
@@ -57,7 +57,7 @@
 
 func (t Table) fullKey(key string) string { return t.prefix + key }
 
-// Has tells whether a key is present, without reading it.
+// Has reports whether a key is present, without reading it.
 func (t Table) Has(key string) bool {
 	_, present := t.values[key]
 	return present
--- a/internal/testbed/dissemination/member.go
+++ b/internal/testbed/dissemination/member.go
@@ -39,7 +39,7 @@
 func newMember(random *rand.Rand, number int, direct bool) *member {
 	origin := signals.Origin(fmt.Sprintf("member-%04d", number))
 	m := &member{
-		signals:      signals.New(signals.Config{Origin: origin, Incarnation: 1, Build: buildDigest, Settings: settingsDigest, DelayLimit: messageDelayLimit, SetupLimit: setupTarget, Enabled: true}),
+		signals:      signals.New(signals.Config{Origin: origin, Incarnation: 1, Build: buildDigest, Settings: settingsDigest, LatencyThreshold: messageDelayLimit, SetupLimit: setupTarget, Enabled: true}),
 		gossipPhase:  phase(random, gossipInterval),
 		publishPhase: phase(random, publishInterval),
 		direct:       direct,
--- a/internal/testbed/scale/control_members.go
+++ b/internal/testbed/scale/control_members.go
@@ -145,7 +145,7 @@
 	b.add("frame-bytes", "list of members written from the engine to its balancer, through a pipe", unitBytesSecond, Measured, true, size, perSecond*float64(len(frame)))
 	b.add("frame-processor", "processor time for the list of members between the engine and its balancer", unitCorePart, Measured, false, size,
 		perSecond*(written.processor+read.processor).Seconds())
-	decider := signals.New(signals.Config{Origin: signals.Origin(memberName(0)), Incarnation: 1, DelayLimit: lateFrom, SetupLimit: setupTime, Enabled: true})
+	decider := signals.New(signals.Config{Origin: signals.Origin(memberName(0)), Incarnation: 1, LatencyThreshold: lateFrom, SetupLimit: setupTime, Enabled: true})
 	leases := lease.New(lease.Holder(memberName(0)), leaseFor)
 	list := view.sorted()
 	handed := measure(viewRounds, 1, func() { handOver(list, decider, leases) })
--- a/internal/testbed/scale/control_sweep_signals.go
+++ b/internal/testbed/scale/control_sweep_signals.go
@@ -54,7 +54,7 @@
 
 // newTeller is a decider that holds connections on all servers and sees some of them late.
 func newTeller(chance *rand.Rand, name, servers, troubled int) *signals.Exchange {
-	s := signals.New(signals.Config{Origin: signals.Origin(memberName(name)), Incarnation: 1764652800, Build: "0123456789ab", Settings: "0123456789abcdef", DelayLimit: lateFrom, SetupLimit: setupTime, Enabled: true})
+	s := signals.New(signals.Config{Origin: signals.Origin(memberName(name)), Incarnation: 1764652800, Build: "0123456789ab", Settings: "0123456789abcdef", LatencyThreshold: lateFrom, SetupLimit: setupTime, Enabled: true})
 	s.SetTime(tellersStart)
 	for i := range servers {
 		id := serverNumber(i)
@@ -128,7 +128,7 @@
 
 // told notes how many of the servers in trouble a balancer that sees none of them would avoid by what is told.
 func (b *controlBook) told(size, servers, troubled int, records []signals.Record) {
-	stranger := signals.New(signals.Config{Origin: "stranger", Incarnation: 1, DelayLimit: lateFrom, SetupLimit: setupTime, Enabled: true})
+	stranger := signals.New(signals.Config{Origin: "stranger", Incarnation: 1, LatencyThreshold: lateFrom, SetupLimit: setupTime, Enabled: true})
 	stranger.SetTime(tellersStart)
 	for i := range servers {
 		stranger.OnEndpoint(decide.Endpoint{ID: serverNumber(i), Size: 1, Readiness: decide.Ready, StartedAt: decide.LongAgo})
--- a/internal/testbed/scenario/board.go
+++ b/internal/testbed/scenario/board.go
@@ -33,7 +33,7 @@
 	return func(seed uint64, id simulation.BalancerID, act decide.Actions) virtual.Decider {
 		g := config.FromPairs(d.Settings(id))
 		b.last[id]++
-		s := signals.New(signals.Config{Origin: signals.Origin(fmt.Sprintf("b%d", id)), Incarnation: b.last[id], DelayLimit: config.MessageTarget(g) / 3, SetupLimit: config.MinSetupTarget(g), Enabled: true})
+		s := signals.New(signals.Config{Origin: signals.Origin(fmt.Sprintf("b%d", id)), Incarnation: b.last[id], LatencyThreshold: config.MessageTarget(g) / 3, SetupLimit: config.MinSetupTarget(g), Enabled: true})
 		b.all[id] = s
 		if !b.runs {
 			b.runs = true
--- a/internal/transport/budget.go
+++ b/internal/transport/budget.go
@@ -66,7 +66,7 @@
 	b.signalFreed()
 }
 
-// MaxInUse is how many descriptors, of all there are, may come to be in use if nobody is admitted any more: a
+// MaxInUse is how many descriptors, of all there are, may come to be in use if no client is admitted any more: a
 // client whose line is still to come has one, and needs another for its server.
 func (b *DescriptorBudget) MaxInUse(all int) int {
 	b.mu.Lock()
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -25,8 +25,8 @@
 	writeTimeout = 900 * time.Millisecond
 	// lingerTimeout is how long a connection that was ended may take to read its last line.
 	lingerTimeout = 250 * time.Millisecond
-	// maxDrainReads bounds the reads from a connection that was ended, against one that goes on sending.
-	maxDrainReads = 64
+	// maxClosingReads bounds the reads from a connection that was ended, against one that goes on sending.
+	maxClosingReads = 64
 )
 
 // ErrTooLong says that a line has no end within the bound.
@@ -179,7 +179,7 @@
 // reset, and the reset overtakes the last line.
 func (c *Conn) CloseGracefully() {
 	c.Linger()
-	c.Drain()
+	c.DiscardAndClose()
 }
 
 // Linger ends the sending and bounds what is still read.
@@ -189,9 +189,9 @@
 	c.markIdle()
 }
 
-// Drain reads to the end of a connection that lingers, and closes it.
-func (c *Conn) Drain() {
-	for range maxDrainReads {
+// DiscardAndClose reads to the end of a connection that lingers, and closes it.
+func (c *Conn) DiscardAndClose() {
+	for range maxClosingReads {
 		c.unreadFrom, c.unreadTo = 0, 0
 		if c.fill() != nil {
 			break
--- a/internal/transport/listener.go
+++ b/internal/transport/listener.go
@@ -13,7 +13,7 @@
 )
 
 // What is in the kernel's queue when the accepting ends was accepted by this machine, and its line may have come: it is
-// served, or answered by whoever serves.
+// served, or at least answered.
 const (
 	// queueCheckInterval without a connection says that the queue is empty.
 	queueCheckInterval = 10 * time.Millisecond
--- a/locality/policy.go
+++ b/locality/policy.go
@@ -31,7 +31,7 @@
 	FailbackPerMinute float64
 	// Balancers is how many balancers share FailbackPerMinute.
 	Balancers int
-	// RetryAfter is when clients of rejected flows may come again, spread by chance; 0: the preset holds.
+	// RetryAfter is when clients of rejected flows may retry, spread by chance; 0: the preset holds.
 	RetryAfter time.Duration
 }
 
