--- a/constraints/endpoints.go
+++ b/constraints/endpoints.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// SetDisabled takes a server out of service or gives it back, whatever the list says.
+// SetDisabled disables a server administratively or enables it again, whatever the list says.
 func (b *ConstrainedBalancer) SetDisabled(server decide.ServerID, disabled bool) {
 	if entry, ok := b.listed[server]; ok && entry.disabled != disabled {
 		entry.disabled = disabled
--- a/decide/list.go
+++ b/decide/list.go
@@ -101,8 +101,8 @@
 	}
 }
 
-// SetDisabled takes a server out of service or gives it back, whatever the list says. One that is given back was likely
-// restarted: it warms up, and its health is unknown. Flows that stayed on it remain in its tallies.
+// SetDisabled disables a server administratively or enables it again, whatever the list says. One that is enabled was
+// likely restarted: it warms up, and its health is unknown. Flows that stayed on it remain in its tallies.
 func (b *Balancer) SetDisabled(id ServerID, disabled bool) {
 	server := b.list.server(id)
 	if server.disabled == disabled {
--- a/decide/rechecks.go
+++ b/decide/rechecks.go
@@ -45,7 +45,7 @@
 }
 
 // cannotImprove reports, without a look at other servers, that none can cost less by minSaving: what the flow costs at
-// its server at the most, less minSaving, is no more than the least that any could cost if it were preferred.
+// its server at most, less minSaving, is no more than the least that any could cost if it were preferred.
 func (b *Balancer) cannotImprove(f *flow, minSaving float64) bool {
 	if b.constraints != nil {
 		return false
@@ -69,7 +69,7 @@
 	return here-minSaving < least-costTolerance
 }
 
-// recheckSlice goes on with the round of rechecks.
+// recheckSlice continues the round of rechecks.
 func (b *Balancer) recheckSlice() {
 	due := int(float64(len(b.flows.established))*float64(tickInterval)/float64(recheckInterval)) + 1
 	minSaving := migrationMargin + transferCostWeight*b.placement.migration
--- a/fleet/lease/manager.go
+++ b/fleet/lease/manager.go
@@ -153,7 +153,7 @@
 	m.transition(l, m.stateOfOther(l)) // a preferred holder begins the next epoch when it is asked
 }
 
-// OnSuspended tells that this balancer was suspended. Its leases may have passed to others, so it waits for a term
+// OnSuspended handles that this balancer was suspended. Its leases may have passed to others, so it waits for a term
 // before it does a task.
 func (m *Manager) OnSuspended(now time.Duration) {
 	for _, l := range m.leases {
--- a/fleet/signals/exchange.go
+++ b/fleet/signals/exchange.go
@@ -125,7 +125,7 @@
 	}
 }
 
-// OnSuspended tells that this process was suspended. Its observations age meanwhile, so only the reports have to
+// OnSuspended handles that this process was suspended. Its observations age meanwhile, so only the reports have to
 // be gathered again.
 func (e *Exchange) OnSuspended() { e.changed = true }
 
--- a/internal/config/balancer.go
+++ b/internal/config/balancer.go
@@ -100,7 +100,7 @@
 // balancerCount is the number of balancers in the fleet, this one too.
 func balancerCount(settings Values) int { return int(settings.Float(keyBalancers, 1)) }
 
-// RetryAfter is the time after which rejected clients are told to retry; 0 where they are told none.
+// RetryAfter is the time after which rejected clients are advised to retry; 0: none is advised.
 func RetryAfter(settings Values) time.Duration {
 	if !settings.Bool(keyRetryAfterAllowed) {
 		return 0
--- a/internal/config/load_report.go
+++ b/internal/config/load_report.go
@@ -13,7 +13,7 @@
 // knownColumns are the columns that a load report may have.
 var knownColumns = []string{"outstanding", "backlog", "utilization", "recent_ms", "throughput", "errors_per_s", loadColumn, "x1"}
 
-// needsHealthCheck tells of each way in which servers report their load whether it takes a health check to get a
+// needsHealthCheck says for each way in which servers report their load whether it takes a health check to get a
 // report.
 var needsHealthCheck = map[string]bool{"pull": true, "piggyback": false, "silent": false}
 
--- a/internal/daemon/configure.go
+++ b/internal/daemon/configure.go
@@ -127,7 +127,7 @@
 	})
 }
 
-// Check tells what keeps a configuration from being served; nil: nothing.
+// Check returns what keeps a configuration from being served; nil: nothing.
 func Check(ctx context.Context, source Source) error {
 	d, err := prepare(ctx, source)
 	if err != nil {
--- a/internal/daemon/descriptors.go
+++ b/internal/daemon/descriptors.go
@@ -16,7 +16,7 @@
 	// The poller and its wake-up, the two files that tell the share of the core, one that is opened for a moment.
 	runtimeDescriptors = 5
 	clientDescriptors  = 2 // their socket, and one accepted that waits for capacity
-	// The watch of the endpoint list, the one before as it closes, and the list fetched beside it.
+	// The watch of the endpoint list, the one before as it closes, and one to spare.
 	watchDescriptors   = 3
 	fileDescriptors    = 1 // the configuration during a reload
 	closingDescriptors = 8 // closed, but kept until the goroutines that wait on them have woken
--- a/internal/daemon/disabled_store.go
+++ b/internal/daemon/disabled_store.go
@@ -190,7 +190,7 @@
 	return nil
 }
 
-// recordResult takes in how an attempt ended, and logs the beginning and the end of a failure.
+// recordResult records how an attempt ended, and logs the beginning and the end of a failure.
 func (s *disabledStore) recordResult(err error) {
 	s.mu.Lock()
 	since := s.failingSince
--- a/internal/daemon/gossip.go
+++ b/internal/daemon/gossip.go
@@ -116,7 +116,7 @@
 	g.group.Publish(string(record.Origin), message)
 }
 
-// OnMessage takes in a member's message. If it is new it is passed on: that is how gossip spreads.
+// OnMessage merges a member's message. If it is new it is passed on: that is how gossip spreads.
 func (g *gossip) OnMessage(message []byte) {
 	if origin, isNew := g.merge(message); isNew {
 		g.group.Publish(string(origin), message)
@@ -153,7 +153,7 @@
 	return reason
 }
 
-// takeLoads takes in the loads that servers reported to the member that checks them for all. The caller holds the
+// takeLoads records the loads that servers reported to the member that checks them for all. The caller holds the
 // router's lock.
 func (g *gossip) takeLoads(record signals.Record) {
 	now := g.router.Now()
@@ -185,7 +185,7 @@
 	g.group.SetFullState(all)
 }
 
-// OnRemoteState takes in the full state of a member. It is not passed on: each member asks for it itself.
+// OnRemoteState merges the full state of a member. It is not passed on: each member asks for it itself.
 func (g *gossip) OnRemoteState(all []byte) {
 	messages, err := signals.DecodeAll(all)
 	if err != nil {
@@ -197,7 +197,7 @@
 	}
 }
 
-// OnSuspended takes in that this process was suspended.
+// OnSuspended handles that this process was suspended.
 func (g *gossip) OnSuspended(time.Duration) {
 	g.router.WithLock(func() {
 		g.signals.OnSuspended()
--- a/internal/daemon/lifecycle.go
+++ b/internal/daemon/lifecycle.go
@@ -26,7 +26,7 @@
 	serving      phase = "serving"
 	draining     phase = "emptying"     // out of service: clients are asked to migrate
 	drained      phase = "empty"        // out of service, and no client is left
-	handingOver  phase = "handing over" // a successor accepts clients; this process goes on with those it has
+	handingOver  phase = "handing over" // a successor accepts clients; this process serves those it has
 	shuttingDown phase = "draining"     // after SIGTERM or SIGINT
 	stopped      phase = "stopped"
 )
--- a/internal/daemon/migrate.go
+++ b/internal/daemon/migrate.go
@@ -73,7 +73,7 @@
 	return source, nil
 }
 
-// checkTarget tells what forbids to write the new file.
+// checkTarget returns why the new file must not be written; nil: it may be.
 func (m Migration) checkTarget() error {
 	for _, path := range []string{m.OldPath, m.ShapePath} {
 		if isSameFile(path, m.NewPath) {
--- a/internal/daemon/shutdown.go
+++ b/internal/daemon/shutdown.go
@@ -39,7 +39,7 @@
 	}
 }
 
-// shutDown migrates all clients and returns once none is left, or when the schedule ends; timedOut tells which.
+// shutDown migrates all clients and returns once none is left, or when the schedule ends; timedOut says which.
 // Connections that are still open when the schedule ends are errConnectionsRemain, unless all of them have had
 // their last reply.
 func (d *Daemon) shutDown(ctx context.Context, stopAccepting context.CancelFunc, finished <-chan error) (timedOut bool, err error) {
--- a/internal/daemon/upgrade_predecessor.go
+++ b/internal/daemon/upgrade_predecessor.go
@@ -176,7 +176,7 @@
 }
 
 // onSuccessorGone handles that a process that took over, or began to, has ended: this one serves again, with the
-// changes made since. A process that is shutting down by then goes on shutting down.
+// changes made since. A process that is shutting down by then continues to.
 func (d *Daemon) onSuccessorGone(ctx context.Context, link *handover.Link) {
 	d.changing.Lock()
 	defer d.changing.Unlock()
@@ -249,12 +249,12 @@
 }
 
 // sendConnections transfers established connections until the link ends. There is no timeout for a reply: the
-// successor may go on with a connection whose reply is late, and both would.
+// successor may have taken over a connection whose reply is late, and both would serve it.
 func (d *Daemon) sendConnections(processCtx, linkCtx context.Context, link *handover.Link) {
 	replyCtx := context.WithoutCancel(linkCtx)
 	transfer := func(connection protocol.EstablishedConnection, client, server syscall.Conn) bool {
 		_, err := link.Request(messageTransfer, connection, client, server).Wait(replyCtx, nil)
-		// As this process ends a reply may be lost: the successor may go on with it.
+		// As this process ends a reply may be lost: the successor may have the connection.
 		return err == nil || processCtx.Err() != nil
 	}
 	for total := 0; ; {
--- a/internal/daemon/upgrade_requests.go
+++ b/internal/daemon/upgrade_requests.go
@@ -49,7 +49,7 @@
 	return handover.Response{Body: d.frontend.ClaimHash(hash)}, nil
 }
 
-// notePredecessorUsage takes in how many descriptors the predecessor has in use.
+// notePredecessorUsage records how many descriptors the predecessor has in use.
 func (d *Daemon) notePredecessorUsage(_ context.Context, request handover.Request) (handover.Response, error) {
 	var count int
 	if err := json.Unmarshal(request.Body, &count); err != nil || count < 0 {
@@ -63,7 +63,7 @@
 	return handover.Response{}, nil
 }
 
-// receiveConnection goes on with an established connection of the predecessor.
+// receiveConnection takes over an established connection of the predecessor.
 func (d *Daemon) receiveConnection(_ context.Context, request handover.Request) (handover.Response, error) {
 	var established protocol.EstablishedConnection
 	if err := json.Unmarshal(request.Body, &established); err != nil {
@@ -87,8 +87,8 @@
 	if err != nil {
 		return handover.Response{}, errors.Join(err, closeAll(ends[:]))
 	}
-	// Nothing is relayed before the reply is sent: should this process end in between, the predecessor goes on
-	// with the connection.
+	// Nothing is relayed before the reply is sent: should this process end in between, the predecessor keeps
+	// serving the connection.
 	return handover.Response{AfterSend: func(sent bool) {
 		if sent {
 			d.goroutines.Go(serve)
--- a/internal/daemon/upgrade_successor.go
+++ b/internal/daemon/upgrade_successor.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"errors"
+	"fmt"
 	"io/fs"
 	"log/slog"
 	"net"
@@ -20,7 +21,7 @@
 var errNotYet = errors.New("the process that serves is itself new, or ends")
 
 // receiveHandover takes over from the process that serves, if there is one that hands over. Whatever goes wrong,
-// this process starts alone and the other one goes on serving. It waits no longer than takeOverTimeout in all, nor
+// this process starts alone and the other one keeps serving. It waits no longer than takeOverTimeout in all, nor
 // once starting ends.
 func (d *Daemon) receiveHandover(ctx, starting context.Context) *inheritance {
 	if d.directory == nil {
@@ -118,7 +119,7 @@
 	var later bool
 	hello := handover.Hello{Version: handover.Version, Listen: d.listenAddress}
 	if _, err := link.Request(messageHello, hello).Wait(ctx, &later); err != nil {
-		return err
+		return fmt.Errorf("greet the process that serves: %w", err)
 	}
 	if later {
 		return errNotYet
@@ -169,7 +170,7 @@
 			}
 		}
 		if err != nil {
-			return err
+			return fmt.Errorf("open the received socket %q: %w", name, err)
 		}
 	}
 	if received.listener == nil {
@@ -190,7 +191,7 @@
 	return nil, nil
 }
 
-// restore goes on from the predecessor's state.
+// restore continues from the predecessor's state.
 func (d *Daemon) restore(state handover.State) {
 	d.router.Restore(state.Router)
 	d.frontend.ImportIDs(state.IDsKey, state.IDs)
@@ -228,7 +229,7 @@
 	}
 }
 
-// onPredecessorGone takes in that a predecessor has ended.
+// onPredecessorGone handles that a predecessor has ended.
 func (d *Daemon) onPredecessorGone(link *handover.Link) {
 	d.changing.Lock()
 	defer d.changing.Unlock()
--- a/internal/handover/link.go
+++ b/internal/handover/link.go
@@ -36,7 +36,7 @@
 	Body        any            // encoded as JSON
 	Descriptors []syscall.Conn // passed on beside it
 	// AfterSend, if not nil, runs once the reply was sent or could not be. Unless it was sent the other process
-	// goes on as if it had not asked: nothing may have been done that it would do again.
+	// continues as if it had not asked: nothing may have been done that it would do again.
 	AfterSend func(sent bool)
 }
 
--- a/internal/handover/state.go
+++ b/internal/handover/state.go
@@ -15,7 +15,7 @@
 // idHashBytes is the length of one hash in State.IDs.
 const idHashBytes = 8
 
-// State is what a process hands over so that its successor goes on as the same balancer.
+// State is what a process hands over so that its successor continues as the same balancer.
 type State struct {
 	Version int `json:"version"`
 
--- a/internal/membership/engine/delegate.go
+++ b/internal/membership/engine/delegate.go
@@ -15,7 +15,7 @@
 	message []byte
 }
 
-// Invalidates tells that a message replaces an earlier one of its key.
+// Invalidates reports whether a message replaces an earlier one of its key.
 func (b *broadcast) Invalidates(other memberlist.Broadcast) bool {
 	earlier, ok := other.(*broadcast)
 	return ok && earlier.key == b.key
@@ -28,8 +28,8 @@
 // delegate is what the gossip library calls.
 type delegate struct{ group *Group }
 
-// NodeMeta is what this member tells of itself: nothing, or that it leaves. The library does not tell members that
-// left from those that are gone.
+// NodeMeta is what this member publishes about itself: nothing, or that it leaves. The library does not tell
+// members that left from those that are gone.
 func (d delegate) NodeMeta(int) []byte {
 	d.group.mu.Lock()
 	defer d.group.mu.Unlock()
--- a/internal/membership/engine/group.go
+++ b/internal/membership/engine/group.go
@@ -26,7 +26,7 @@
 	FullState() []byte
 	// OnRemoteState receives the full state of another member.
 	OnRemoteState(state []byte)
-	// OnSuspended tells that this process was suspended for so long.
+	// OnSuspended says that this process was suspended for so long.
 	OnSuspended(gap time.Duration)
 }
 
--- a/internal/membership/frames.go
+++ b/internal/membership/frames.go
@@ -27,7 +27,7 @@
 	FrameRemoteState
 	// FrameMembers is all members and all drops: a list as EncodeMembers makes it.
 	FrameMembers
-	// FrameSuspended tells that the engine or the balancer was suspended: nanoseconds.
+	// FrameSuspended says that the engine or the balancer was suspended: nanoseconds.
 	FrameSuspended
 )
 
--- a/internal/membership/group.go
+++ b/internal/membership/group.go
@@ -20,7 +20,7 @@
 	OnMessage(message []byte)
 	// OnRemoteState receives the full state of another member.
 	OnRemoteState(state []byte)
-	// OnSuspended tells that the engine or the balancer was suspended for so long.
+	// OnSuspended says that the engine or the balancer was suspended for so long.
 	OnSuspended(gap time.Duration)
 }
 
--- a/internal/protocol/open.go
+++ b/internal/protocol/open.go
@@ -110,7 +110,7 @@
 	return nil
 }
 
-// withTimeout is the OPEN line as it goes on to a server: unchanged but for the time that is left.
+// withTimeout is the OPEN line as it is forwarded to a server: only the client's timeout is replaced by what is left.
 func withTimeout(line string, left time.Duration) string {
 	listAt := strings.LastIndexByte(line, ' ') + 1
 	pairs := strings.Split(line[listAt:], ",")
--- a/internal/protocol/relay.go
+++ b/internal/protocol/relay.go
@@ -70,7 +70,7 @@
 }
 
 // relay passes on what the server sends until one side ends, and ends the other side in the same way. A relay that is
-// parked ends here if the connection was transferred to another process, and goes on if not.
+// parked ends here if the connection was transferred to another process, and continues if not.
 func (s *session) relay() {
 	err := transport.Relay(s.client, s.server, s.onServerLine)
 	for errors.Is(err, transport.ErrParked) {
@@ -96,7 +96,7 @@
 	s.finish()
 }
 
-// onServerLine looks at a line before it goes on to the client.
+// onServerLine looks at a line of the server's before it is relayed to the client.
 func (s *session) onServerLine(line []byte) {
 	kind, argument, _ := strings.Cut(string(line), " ")
 	s.lastLineKind = kind
--- a/internal/protocol/transfer.go
+++ b/internal/protocol/transfer.go
@@ -58,7 +58,7 @@
 type transferConnection = func(c EstablishedConnection, client, server syscall.Conn) bool
 
 // TransferConnections transfers all established connections, a few at a time, until the context ends. transfer reports
-// whether the other process has a connection; one that it does not have goes on here. The result is how many were
+// whether the other process has a connection; one that it does not have stays here. The result is how many were
 // transferred, of how many.
 func (f *Frontend) TransferConnections(ctx context.Context, transfer func(c EstablishedConnection, client, server syscall.Conn) bool) (transferred, of int) {
 	f.mu.Lock()
@@ -91,7 +91,7 @@
 	return transferred, len(sessions)
 }
 
-// park stops a session's relays for it to be transferred, and waits until it was, or goes on here, or ended.
+// park stops a session's relays for it to be transferred, and waits until it was, or stays here, or ended.
 func (s *session) park(ctx context.Context) {
 	done := make(chan struct{})
 	s.frontend.mu.Lock()
@@ -112,7 +112,7 @@
 }
 
 // transferOrContinue runs where the relay from the server is parked. Once the one from the client rests too, both
-// sockets go to the other process; if they can't, both relays go on here. It reports whether the connection was
+// sockets go to the other process; if they can't, both relays continue here. It reports whether the connection was
 // transferred.
 func (s *session) transferOrContinue() (wasTransferred bool) {
 	<-s.clientDone
--- a/internal/protocol/watch.go
+++ b/internal/protocol/watch.go
@@ -11,16 +11,16 @@
 	"time"
 )
 
-// watch runs one watch from its opening to its end. It returns the reason, and since when the watch had told nothing by
+// watch runs one watch from its opening to its end. It returns the reason, and since when the watch had been silent by
 // then: its opening, its last sign of life, or the first byte of an object that did not come completely.
-func (d *Discovery) watch(parent context.Context, listURL string) (silentSince time.Time, err error) {
+func (d *Discovery) watch(parent context.Context, baseURL string) (silentSince time.Time, err error) {
 	d.hadContact = false
 	ctx, cancel := context.WithCancelCause(parent)
 	defer cancel(nil)
 	w := newWatchStream(d)
 	w.deadline = time.AfterFunc(d.answerTimeout, func() { cancel(errDiscoverySilent) })
 	defer w.deadline.Stop()
-	url := listURL + "?stream=1"
+	url := baseURL + "?stream=1"
 	if revision := d.revision.Load(); revision >= 0 {
 		url += "&index=" + strconv.FormatInt(revision, 10)
 	}
@@ -82,7 +82,7 @@
 	return n, err
 }
 
-// postponeDeadline puts the deadline off.
+// postponeDeadline allows for another silenceTimeout, after a sign of life.
 func (w *watchStream) postponeDeadline() {
 	w.silentSince = time.Now()
 	w.deadline.Reset(w.discovery.silenceTimeout)
--- a/internal/routing/latency.go
+++ b/internal/routing/latency.go
@@ -18,7 +18,7 @@
 	// roundTripMaxAge bounds what a round trip says of the present: clients send about that often.
 	roundTripMaxAge     = 2 * time.Second
 	roundTripWindowSize = 16
-	// replyTimeout is how long a line waits at the most before its client is asked to reconnect: soon enough that
+	// replyTimeout is how long a line waits at most before its client is asked to reconnect: soon enough that
 	// the wait does not count against this balancer.
 	replyTimeout = 4 * time.Second
 	// clientSilenceTimeout is after how long without a line a client counts as lost with its machine. Nothing else
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -134,7 +134,7 @@
 // OnLoadReport takes a server's load report that another balancer received. The caller holds the lock, see WithLock.
 func (r *Router) OnLoadReport(s decide.ServerID, load float64) { r.balancer.OnLoadReport(s, load) }
 
-// SetHandedOver says whether another process goes on with what is known here.
+// SetHandedOver says whether another process continues from a snapshot of this router.
 func (r *Router) SetHandedOver(handedOver bool) {
 	r.enter()
 	defer r.mu.Unlock()
--- a/internal/routing/snapshot.go
+++ b/internal/routing/snapshot.go
@@ -52,7 +52,7 @@
 	return m.Decisions.Validate()
 }
 
-// Restore takes over another process's snapshot, before anything is decided here. The clock goes on from that
+// Restore takes over another process's snapshot, before anything is decided here. The clock continues from that
 // process's, so that all times keep their meaning; timers that are set keep their distance.
 func (r *Router) Restore(snapshot Snapshot) {
 	r.mu.Lock()
--- a/internal/testbed/scale/hollow.go
+++ b/internal/testbed/scale/hollow.go
@@ -167,7 +167,7 @@
 	h.module.SetTime(h.now)
 }
 
-// What the decisions ask for; see decide.Act.
+// What the decisions ask for; see decide.Actions.
 
 func (h *hollow) Connect(f decide.FlowID, to decide.ServerID, _ time.Duration) { h.asked[f] = to }
 func (h *hollow) Reject(decide.FlowID, time.Duration)                          { h.turned++ }
--- a/internal/transport/budget.go
+++ b/internal/transport/budget.go
@@ -20,7 +20,7 @@
 	minIdleTime = 100 * time.Millisecond
 	// closingReplyTimeout bounds the one attempt to tell a connection that it is closed.
 	closingReplyTimeout = time.Millisecond
-	// maxDiscardReads bounds the reads of what is unread, against a client that goes on sending.
+	// maxDiscardReads bounds the reads of what is unread, against a client that keeps sending.
 	maxDiscardReads = 16
 	// noDescriptorWait is until the budget is checked again where nothing is free or idle; a release ends it.
 	noDescriptorWait = time.Hour
@@ -127,7 +127,7 @@
 	return wait
 }
 
-// reserve sees to a free descriptor, if more than so many are free or idle. The longest idle connection may have
+// reserve makes sure of a free descriptor, if more than so many are free or idle. The longest idle connection may have
 // to go for it: the caller closes it, once the mutex is free. wait says when to try again where none has been idle
 // for long enough. The mutex is held.
 func (b *DescriptorBudget) reserve(reserved int, minIdle time.Duration) (wait time.Duration, evicted *Conn) {
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -25,7 +25,7 @@
 	writeTimeout = 900 * time.Millisecond
 	// lingerTimeout is how long a connection that was ended may take to read its last line.
 	lingerTimeout = 250 * time.Millisecond
-	// maxClosingReads bounds the reads from a connection that was ended, against one that goes on sending.
+	// maxClosingReads bounds the reads from a connection that was ended, against one that keeps sending.
 	maxClosingReads = 64
 )
 
--- a/internal/transport/dial.go
+++ b/internal/transport/dial.go
@@ -20,7 +20,7 @@
 )
 
 var (
-	// ErrLocalResources says that a dial failed for lack of something on this machine, which tells nothing of the
+	// ErrLocalResources says that a dial failed for lack of something on this machine, which says nothing about the
 	// server.
 	ErrLocalResources = errors.New("lack of descriptors, ports, memory or a way out on this machine")
 	// ErrNoLongerWanted says that the last check before a dial found it no longer wanted: nothing of it went out,
--- a/internal/transport/listener.go
+++ b/internal/transport/listener.go
@@ -17,7 +17,7 @@
 const (
 	// queueCheckInterval without a connection says that the queue is empty.
 	queueCheckInterval = 10 * time.Millisecond
-	// queueCheckTimeout bounds the accepting from the queue, against connections that go on coming.
+	// queueCheckTimeout bounds the accepting from the queue, against connections that keep coming.
 	queueCheckTimeout = 200 * time.Millisecond
 )
 
--- a/internal/transport/relay.go
+++ b/internal/transport/relay.go
@@ -61,8 +61,8 @@
 	c.InterruptRead()
 }
 
-// Park ends a relay from this connection, or the wait for its first line, at any byte, so that it can go on later or in
-// another process. It does not wait.
+// Park ends a relay from this connection, or the wait for its first line, at any byte, so that it can continue
+// later or in another process. It does not wait.
 func (c *Conn) Park() {
 	c.parking.Store(true)
 	c.InterruptRead()
