--- a/internal/testbed/scale/fleet_instance.go
+++ b/internal/testbed/scale/fleet_instance.go
@@ -195,7 +195,7 @@
 	x.client.turnedAway()
 }
 
-// ---- what the decisions ask for; see decide.Act
+// ---- what the decisions ask for; see decide.Actions
 
 func (b *instance) Connect(name decide.FlowID, to decide.ServerID, limit time.Duration) {
 	x, f := b.flows[name], b.fleet
