--- a/decide/placement.go
+++ b/decide/placement.go
@@ -141,8 +141,8 @@
 	return l.candidates, preferredCount
 }
 
-// allowed reports whether the flow may go to the server now. Silent servers are excluded outright: with all others full,
-// every flow would go there as soon as they return.
+// allowed reports whether the flow may go to the server now. Silent servers are excluded outright: with all others
+// full, every flow would go there as soon as they return.
 func (b *Balancer) allowed(f *flow, server *serverState, against comparison) bool {
 	return server.readiness == Ready && (!server.isSilent() || !b.isEjected(server)) &&
 		b.hasCapacity(f, server, against) && b.permitted(f, server, against)
@@ -193,7 +193,7 @@
 }
 
 // compare prepares a placement of the flow among these servers or a part of them. The flow itself is left out of the
-// means. By tallies alone each balancer would hold a group at a server of its own; the preferred server, the highest by
+// means. By tallies alone each balancer would hold a group at another server; the preferred server, the highest by
 // a hash of group and id of those below the guard, is the same at all.
 func (b *Balancer) compare(f *flow, from []*serverState) (c comparison) {
 	c.holders = b.tallies.holders[f.group]
--- a/decide/rechecks.go
+++ b/decide/rechecks.go
@@ -45,7 +45,7 @@
 }
 
 // cannotImprove reports, without a look at other servers, that none can cost less by minSaving: what the flow costs at
-// its server at the most, less minSaving, is no more than the least that any could cost if it were preferred.
+// its server at most, less minSaving, is no more than the least that any could cost if it were preferred.
 func (b *Balancer) cannotImprove(f *flow, minSaving float64) bool {
 	if b.constraints != nil {
 		return false
@@ -69,7 +69,7 @@
 	return here-minSaving < least-costTolerance
 }
 
-// recheckSlice goes on with the round of rechecks.
+// recheckSlice continues the round of rechecks.
 func (b *Balancer) recheckSlice() {
 	due := int(float64(len(b.flows.established))*float64(tickInterval)/float64(recheckInterval)) + 1
 	minSaving := migrationMargin + transferCostWeight*b.placement.migration
@@ -126,8 +126,8 @@
 	}
 }
 
-// migrateAway rechecks a share of a server's flows. Their number is rounded by chance: rounded up, it would be all flows
-// of a server at which each of many balancers holds one.
+// migrateAway rechecks a share of a server's flows. Their number is rounded by chance: rounded up, it would be all
+// flows of a server at which each of many balancers holds one.
 func (b *Balancer) migrateAway(server *serverState, minSaving, share float64, forced bool) {
 	// Smallest groups first: a group costs its server extra work as long as one of its flows is there.
 	here := slices.SortedFunc(slices.Values(server.established), func(one, other *flow) int {
--- a/fleet/signals/record.go
+++ b/fleet/signals/record.go
@@ -1,7 +1,7 @@
-// Package signals is what balancers publish to each other about servers, and what one balancer decides by it. It does no I/O and has no
-// clock: time comes with the calls. Each origin publishes its whole state, never events, so that the next record makes up for a lost one.
-// Of two records of an origin the later one counts, by incarnation, then by sequence: merging is a join-semilattice, in which order,
-// repeats and loss do not matter.
+// Package signals is what balancers publish to each other about servers, and what one balancer decides by it. It
+// does no I/O and has no clock: time comes with the calls. Each origin publishes its whole state, never events, so
+// that the next record makes up for a lost one. Of two records of an origin the later one counts, by incarnation,
+// then by sequence: merging is a join-semilattice, in which order, repeats and loss do not matter.
 package signals
 
 import (
@@ -36,7 +36,7 @@
 	Silent
 )
 
-// String is the fault's word in the operators' calls.
+// String is the fault as the operators' calls show it.
 func (f Fault) String() string { return [...]string{"well", "late", "failing", "silent"}[f] }
 
 // Report is what an origin reports of one server.
@@ -74,7 +74,7 @@
 	MaxLoadReports = 64
 )
 
-// isLater tells whether a record replaces another of its origin.
+// isLater reports whether a record replaces another of its origin.
 func isLater(a, b Record) bool {
 	return cmp.Or(cmp.Compare(a.Incarnation, b.Incarnation), cmp.Compare(a.Sequence, b.Sequence)) > 0
 }
@@ -91,7 +91,7 @@
 	}
 }
 
-// hasFault tells whether a record reports a fault of any server.
+// hasFault reports whether a record reports a fault of any server.
 func (r *Record) hasFault() bool {
 	return slices.ContainsFunc(r.Reports, func(report Report) bool { return report.Fault != Healthy })
 }
--- a/internal/daemon/admin_calls.go
+++ b/internal/daemon/admin_calls.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	callTimeout         = 750 * time.Millisecond // for both processes to make a change
-	successorGonePeriod = time.Millisecond       // between the end of a successor and this process deciding again
+	callTimeout           = 750 * time.Millisecond // for both processes to make a change
+	successorGoneInterval = time.Millisecond       // between the end of a successor and this process deciding again
 )
 
 // adminCalls are the operators' calls. The texts of their errors are the answers that operators get.
@@ -52,7 +52,8 @@
 	return c.daemon.requestChange(ctx, handover.Change{Kind: handover.InService})
 }
 
-// requestChange has a change decided by the process that serves, this one or its successor, and returns when both have made it.
+// requestChange has a change decided by the process that serves, this one or its successor, and returns when both
+// have made it.
 func (d *Daemon) requestChange(ctx context.Context, change handover.Change) error {
 	ctx, done := context.WithTimeout(ctx, callTimeout)
 	defer done()
@@ -69,7 +70,7 @@
 		select { // the successor has ended; this process decides again in a moment
 		case <-ctx.Done():
 			return admin.ErrNotReady
-		case <-time.After(successorGonePeriod):
+		case <-time.After(successorGoneInterval):
 		}
 	}
 }
@@ -101,8 +102,8 @@
 	return err
 }
 
-// decideChange makes a change in this process, which serves, and notifies the predecessor of it. The caller holds changing; it may let go of
-// it while it waits for the predecessor with awaitNotified.
+// decideChange makes a change in this process, which serves, and notifies the predecessor of it. The caller holds
+// changing; it may let go of it while it waits for the predecessor with awaitNotified.
 func (d *Daemon) decideChange(ctx context.Context, change handover.Change) (notified *handover.PendingReply, err error) {
 	switch change.Kind {
 	case handover.Offline, handover.Online:
@@ -131,7 +132,7 @@
 	}
 	_, err := notified.Wait(ctx, nil)
 	if errors.Is(err, handover.ErrPeerGone) {
-		return nil // it serves nobody any more
+		return nil // it has no clients any more
 	}
 	return err
 }
@@ -144,7 +145,8 @@
 	return nil
 }
 
-// setDisabled disables or enables a server. That is in force at once, whether or not it can be saved; the caller awaits the save.
+// setDisabled disables or enables a server. That is in force at once, whether or not it can be saved; the caller
+// awaits the save.
 func (d *Daemon) setDisabled(server string, disabled bool) error {
 	before, known := d.router.IsDisabled(server)
 	if !known {
--- a/internal/daemon/upgrade_predecessor.go
+++ b/internal/daemon/upgrade_predecessor.go
@@ -19,8 +19,8 @@
 
 // This process as the predecessor of one that takes over.
 
-// awaitSuccessors waits for processes that take over from this one, one after the other. A directory that fails is retried: until it works
-// no other process finds this one.
+// awaitSuccessors waits for processes that take over from this one, one after the other. A directory that fails is
+// retried: until it works no other process finds this one.
 func (d *Daemon) awaitSuccessors(ctx context.Context) {
 	backoff := retry.Backoff{First: firstStoreRetry, Longest: longestStoreRetry}
 	for failing := false; ctx.Err() == nil; {
@@ -107,7 +107,7 @@
 	d.onSuccessorGone(ctx, link)
 }
 
-// answerGreeting tells whether a process may take over from this one; later: not yet.
+// answerGreeting reports whether a process may take over from this one; later: not yet.
 func (d *Daemon) answerGreeting(request handover.Request) (later bool, err error) {
 	var hello handover.Hello
 	if err := json.Unmarshal(request.Body, &hello); err != nil {
@@ -121,7 +121,8 @@
 	return d.predecessor != nil || d.successor != nil || d.lifecycle.current() == shuttingDown, nil
 }
 
-// sendState stops accepting clients and hands over all that makes both processes one balancer. Until the link ends the successor decides.
+// sendState stops accepting clients and hands over all that makes both processes one balancer. Until the link ends
+// the successor decides.
 func (d *Daemon) sendState(ctx context.Context, link *handover.Link) (handover.Response, error) {
 	d.changing.Lock()
 	defer d.changing.Unlock()
@@ -133,14 +134,15 @@
 		return handover.Response{}, fmt.Errorf("%s", d.lifecycle.current())
 	}
 	d.successor = link
-	ctx = context.WithoutCancel(ctx) // from here on the hand-over is completed, whether or not the successor still wants it
+	// From here on the hand-over is completed, whether or not the successor still wants it.
+	ctx = context.WithoutCancel(ctx)
 	d.disabled.release(ctx)
 	d.listener.Pause()
 	state := handover.State{
-		Version:      handover.Version,
-		OutOfService: !drainingSince.IsZero(),
-		Connections:  d.descriptorsInUse(),
-		Files:        []string{clientsSocket},
+		Version:          handover.Version,
+		OutOfService:     !drainingSince.IsZero(),
+		DescriptorsInUse: d.descriptorsInUse(),
+		Files:            []string{clientsSocket},
 	}
 	if state.OutOfService {
 		state.DrainingFor = time.Since(drainingSince)
@@ -158,7 +160,7 @@
 	return handover.Response{Body: state, Descriptors: sockets}, nil
 }
 
-// claimID asks the successor for an id. Without a reply in time the id counts as free: nobody else knows.
+// claimID asks the successor for an id. Without a reply in time the id counts as free, as far as this process knows.
 func claimID(ctx context.Context, link *handover.Link, hash uint64) (taken bool) {
 	ctx, done := context.WithTimeout(ctx, claimTimeout)
 	defer done()
@@ -166,15 +168,15 @@
 	return err == nil && taken
 }
 
-// isSuccessor tells whether the process at the other end has taken over.
+// isSuccessor reports whether the process at the other end has taken over.
 func (d *Daemon) isSuccessor(link *handover.Link) bool {
 	d.changing.Lock()
 	defer d.changing.Unlock()
 	return d.successor == link
 }
 
-// onSuccessorGone takes in that a process that took over, or began to, has ended: this one serves again, with the changes made since. One
-// told to stop meanwhile still stops.
+// onSuccessorGone handles that a process that took over, or began to, has ended: this one serves again, with the
+// changes made since. A process that is shutting down by then continues to.
 func (d *Daemon) onSuccessorGone(ctx context.Context, link *handover.Link) {
 	d.changing.Lock()
 	defer d.changing.Unlock()
@@ -197,7 +199,8 @@
 	}
 }
 
-// releaseExplain closes the socket for explain, on which the successor answers from now on: each question reaches only one of the processes.
+// releaseExplain closes the socket for explain, on which the successor answers from now on: each question reaches
+// only one of the processes.
 func (d *Daemon) releaseExplain() {
 	if listener, ok := d.explainListener.(*net.UnixListener); ok {
 		listener.SetUnlinkOnClose(false)
@@ -245,13 +248,14 @@
 	}
 }
 
-// sendConnections transfers established connections until the link ends. There is no timeout for a reply: the successor may go on with a
-// connection whose reply is late, and both would.
+// sendConnections transfers established connections until the link ends. There is no timeout for a reply: the
+// successor may have taken over a connection whose reply is late, and both would serve it.
 func (d *Daemon) sendConnections(processCtx, linkCtx context.Context, link *handover.Link) {
 	replyCtx := context.WithoutCancel(linkCtx)
 	transfer := func(connection protocol.EstablishedConnection, client, server syscall.Conn) bool {
 		_, err := link.Request(messageTransfer, connection, client, server).Wait(replyCtx, nil)
-		return err == nil || processCtx.Err() != nil // as this process ends a reply may be lost: the successor may go on with it
+		// As this process ends a reply may be lost: the successor may have the connection.
+		return err == nil || processCtx.Err() != nil
 	}
 	for total := 0; ; {
 		sent, attempted := d.frontend.TransferConnections(linkCtx, transfer)
@@ -265,7 +269,7 @@
 		select {
 		case <-linkCtx.Done():
 			return
-		case <-time.After(transferRetryPeriod):
+		case <-time.After(transferRetryInterval):
 		}
 	}
 }
--- a/internal/membership/engine/group.go
+++ b/internal/membership/engine/group.go
@@ -1,5 +1,6 @@
-// Package engine is the gossip engine (hashicorp/memberlist) as a process of its own, beside the balancer: linked into the balancer it
-// would cost 4.5 MB even where there are no peers, and a datagram that crashes it must not end the balancer.
+// Package engine is the gossip engine (hashicorp/memberlist) as a separate process beside the balancer: linked
+// into the balancer it would cost 4.5 MB even where there are no peers, and a datagram that crashes it must not
+// end the balancer.
 package engine
 
 import (
@@ -25,7 +26,7 @@
 	FullState() []byte
 	// OnRemoteState receives the full state of another member.
 	OnRemoteState(state []byte)
-	// OnSuspended tells that this process was suspended for so long.
+	// OnSuspended says that this process was suspended for so long.
 	OnSuspended(gap time.Duration)
 }
 
@@ -48,9 +49,10 @@
 )
 
 const (
-	tickInterval   = 250 * time.Millisecond
-	suspensionGap  = 1500 * time.Millisecond // a tick that comes so late shows that the process or the machine was suspended
-	initialBackoff = time.Second             // between attempts to open the address or to join
+	tickInterval = 250 * time.Millisecond
+	// A tick that comes so late shows that the process or the machine was suspended.
+	suspensionGap  = 1500 * time.Millisecond
+	initialBackoff = time.Second // between attempts to open the address or to join
 	maxBackoff     = 15 * time.Second
 	leaveTimeout   = 300 * time.Millisecond
 )
@@ -66,7 +68,7 @@
 	list     *memberlist.Memberlist // nil until the address is open
 	queue    *memberlist.TransmitLimitedQueue
 	members  map[membership.Name]*member
-	leaving  bool // the others are told that this member leaves
+	leaving  bool // this member has announced that it leaves
 	silenced bool // this member goes without telling the others
 }
 
@@ -117,8 +119,8 @@
 	return b
 }
 
-// openWithRetries opens the address, and retries until the context ends: the process before this one may still have the address. It
-// tells whether the address is open.
+// openWithRetries opens the address, and retries until the context ends: the process before this one may still
+// have the address. It reports whether the address is open.
 func (g *Group) openWithRetries(ctx context.Context) bool {
 	retries := newBackoff()
 	for reported := false; ; reported = true {
@@ -133,7 +135,7 @@
 				Remedy: "while the process before this one runs this is usual; else see who has the address, or name another",
 				Err:    err,
 			}
-			slog.Warn("membership not started", "error", fault, "remedy", fault.Advice())
+			slog.Warn("membership not started", "error", fault, "advice", fault.Advice())
 		}
 		select {
 		case <-ctx.Done():
@@ -202,7 +204,7 @@
 	g.silenced = true
 }
 
-// close ends the gossip; unless the member is silenced, the others are told that it leaves.
+// close ends the gossip; unless the member is silenced, it announces that it leaves.
 func (g *Group) close() {
 	g.mu.Lock()
 	list := g.list
@@ -218,7 +220,8 @@
 	}
 }
 
-// Publish spreads a message to the other members; a later one of the same key replaces an earlier one that has not been sent yet.
+// Publish spreads a message to the other members; a later one of the same key replaces an earlier one that has not
+// been sent yet.
 func (g *Group) Publish(key string, message []byte) {
 	g.mu.Lock()
 	queue := g.queue
--- a/internal/membership/engine/members.go
+++ b/internal/membership/engine/members.go
@@ -23,7 +23,7 @@
 	previousStateAt time.Duration // since when it was in the state before
 }
 
-// refutable tells whether a member was declared gone so recently that it may still refute it.
+// refutable reports whether a member was declared gone so recently that it may still refute it.
 func (m *member) refutable(now time.Duration) bool {
 	return m.state == membership.Gone && now-m.stateAt < refutationTime
 }
@@ -62,8 +62,8 @@
 	m.address = node.Address()
 }
 
-// forgetOldestDeparted forgets the member that departed first, where too many departed ones are known. Members that are alive are never
-// forgotten, however many there are. The mutex is held.
+// forgetOldestDeparted forgets the member that departed first, where too many departed ones are known. Members
+// that are alive are never forgotten, however many there are. The mutex is held.
 func (g *Group) forgetOldestDeparted() {
 	var oldest membership.Name
 	departed := 0
--- a/internal/membership/process.go
+++ b/internal/membership/process.go
@@ -39,7 +39,8 @@
 	if err != nil {
 		return err
 	}
-	// The kernel ends the engine with the thread that started it, so this thread must last: the engine must not outlive the balancer.
+	// The kernel ends the engine with the thread that started it, so this thread must last: the engine must not
+	// outlive the balancer.
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	command := exec.CommandContext(ctx, path)
@@ -80,7 +81,7 @@
 		Remedy: "see that " + engineName + " of this build lies beside yardwinch, or name it by peers.program",
 		Err:    cause,
 	}
-	g.drops.Add("the engine ended", fault.Error(), "remedy", fault.Advice())
+	g.drops.Add("the engine ended", fault.Error(), "advice", fault.Advice())
 }
 
 // write sends the engine the queued frames, and heartbeats, until it ends or the context does.
--- a/internal/protocol/attempt.go
+++ b/internal/protocol/attempt.go
@@ -25,9 +25,7 @@
 // followDecision waits for one decision and carries it out. It reports whether another one follows.
 func (s *session) followDecision(ctx context.Context) (isUndecided bool) {
 	s.transition(stateAwaitingDecision)
-	attemptContext, cancel := context.WithCancelCause(ctx)
-	defer cancel(nil)
-	decision, err := s.flow.AwaitDecision(attemptContext, func() { cancel(errAttemptCancelled) })
+	decision, err := s.flow.AwaitDecision(ctx)
 	if err != nil { // the client left, its time is over, or this balancer must stop
 		s.flow.Abandon()
 		s.answerUnserved(ctx)
@@ -41,7 +39,7 @@
 		answerError(s.client, errAborted)
 		return false
 	}
-	upLine, outcome := s.attempt(attemptContext, decision.Addr, decision.Deadline)
+	upLine, outcome := s.attempt(ctx, decision.Addr, decision.Deadline)
 	if upLine != "" {
 		s.establish(upLine)
 		return false
@@ -102,7 +100,8 @@
 	server, err := s.frontend.dialer.Dial(ctx, addr, s.frontend.connectTimeout, func() bool { return s.isStillWanted(ctx) })
 	switch {
 	case errors.Is(err, transport.ErrLocalResources), errors.Is(err, transport.ErrNoLongerWanted), err != nil && ctx.Err() != nil:
-		return nil, routing.NeverSent // this machine's lack, nobody who wants it, or too little time left: no fault of the server's
+		// No local resources, no client any more, or too little time left: no fault of the server.
+		return nil, routing.NeverSent
 	case err != nil:
 		return nil, routing.Unreachable
 	}
--- a/internal/protocol/discovery.go
+++ b/internal/protocol/discovery.go
@@ -27,9 +27,8 @@
 	// applying an answer that is there.
 	changeTimeout = 6 * time.Second
 	applyTime     = 200 * time.Millisecond
-	// agentReopenDelay bounds the wait before a watch is reopened at an agent, which nobody else watches.
+	// agentReopenDelay bounds the wait before a watch is reopened at an agent, which no other balancer watches.
 	agentReopenDelay = 100 * time.Millisecond
-	fetchTimeout     = time.Second
 
 	maxHeaderBytes  = 64 << 10
 	readBufferBytes = 4096
@@ -75,7 +74,7 @@
 }
 
 // newHTTPTransport keeps no idle connection, as each holds a descriptor. So does a dial, which net/http detaches from
-// the call that asked for it: without a timeout of its own it would go on for minutes after the call was given up, and
+// the call that asked for it: without this timeout it would go on for minutes after the call was given up, and
 // one more would join it at each call.
 func (d *Discovery) newHTTPTransport() *http.Transport {
 	return &http.Transport{
@@ -135,9 +134,9 @@
 	return d.applyText(context.Background(), list, routing.CachedUpdate)
 }
 
-// Run watches until the context ends. A watch that breaks or falls silent is reopened soon, and the list stays as it was.
-// So it does when the address changes. The revisions of the new address may be others, so that the next list is taken
-// completely: one that counts from an old revision could leave out who is gone.
+// Run watches until the context ends. A watch that breaks or falls silent is reopened soon, and the list stays as
+// it was. So it does when the address changes. The revisions of the new address may be others, so that the next
+// list is taken completely: one that counts from an old revision could leave out who is gone.
 func (d *Discovery) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		round, endRound := context.WithCancel(ctx)
@@ -170,8 +169,6 @@
 		d.router.OnWatchLost()
 		select {
 		case <-ctx.Done():
-		case <-d.router.FetchRequests():
-			d.fetch(ctx, url)
 		case <-time.After(delay):
 		}
 	}
@@ -189,14 +186,14 @@
 // reopenDelay is how long to wait after a watch that failed, and that had been silent for a time by then. What has
 // changed since must take effect within changeTimeout: the wait and the complete next call fit into what is left.
 //
-// Discovery itself is asked by all balancers, which lose their watches at the same moment: they spread over all of the
-// time that is left. A call that was given up or rejected has taken a place in discovery's queue, and is served though
-// nobody waits for it any more: if all asked again within the first half of the time, discovery would never be through
-// with these calls.
+// Discovery itself is asked by all balancers, which lose their watches at the same moment: they spread over all of
+// the time that is left. A call that was given up or rejected has taken a place in discovery's queue, and is
+// served though no balancer waits for it any more: if all asked again within the first half of the time, discovery
+// would never be through with these calls.
 //
-// An agent on this machine serves nobody else, and a change counts as received from the moment the agent has it. Waiting
-// through that moment would send flows to a server that is known to drain, so that an agent that fell silent is asked
-// again at once, and answers when it can.
+// An agent on this machine serves this balancer alone, and a change counts as received from the moment the agent
+// has it. Waiting through that moment would send flows to a server that is known to drain, so that an agent that
+// fell silent is asked again at once, and answers when it can.
 func (d *Discovery) reopenDelay(silence time.Duration, fellSilent bool) time.Duration {
 	longest := max(0, changeTimeout-applyTime-d.answerTimeout-silence)
 	part := d.random.Float64()
@@ -213,25 +210,6 @@
 	return time.Duration(float64(longest) * part)
 }
 
-// fetch brings the complete list once.
-func (d *Discovery) fetch(ctx context.Context, url string) {
-	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
-	defer cancel()
-	if err := d.fetchList(ctx, url); err != nil {
-		slog.Warn("endpoint list fetch failed", "error", fmt.Errorf("discovery at %s: %w", url, err))
-		d.router.OnWatchLost()
-	}
-}
-
-func (d *Discovery) fetchList(ctx context.Context, url string) error {
-	body, err := d.get(ctx, url)
-	if err != nil {
-		return err
-	}
-	defer func() { _ = body.Close() }() // all of it was read, or the error says why not
-	return d.applySingle(ctx, &listReader{from: body, left: maxListBytes}, routing.DeltaUpdate)
-}
-
 // get calls discovery and returns the body of an answer that has a list.
 func (d *Discovery) get(ctx context.Context, url string) (io.ReadCloser, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
--- a/internal/protocol/endpointlist.go
+++ b/internal/protocol/endpointlist.go
@@ -20,14 +20,9 @@
 
 var errNotAnObject = errors.New("not a JSON object")
 
-// applyText applies a text that is one object of discovery.
+// applyText applies a text that is one object of discovery, with nothing behind it.
 func (d *Discovery) applyText(ctx context.Context, text []byte, kind routing.UpdateKind) error {
-	return d.applySingle(ctx, bytes.NewReader(text), kind)
-}
-
-// applySingle applies one object with nothing behind it.
-func (d *Discovery) applySingle(ctx context.Context, from io.Reader, kind routing.UpdateKind) error {
-	objects := json.NewDecoder(from)
+	objects := json.NewDecoder(bytes.NewReader(text))
 	list, err := d.parseList(objects, kind)
 	if err != nil {
 		return err
@@ -52,7 +47,8 @@
 
 func (d *Discovery) commit(ctx context.Context, list *endpointList) {
 	list.update.Commit(ctx)
-	d.revision.Store(list.revision) // last: whoever reads both in between gets the same changes twice, not never
+	// Last: a snapshot taken in between leads to the same changes twice, not to missed ones.
+	d.revision.Store(list.revision)
 }
 
 // endpointList is one object of discovery.
@@ -85,7 +81,8 @@
 	return list, nil
 }
 
-// parseFields reads an object that has been opened. In its result a list of members is replaced by whether there is one.
+// parseFields reads an object that has been opened. In its result a list of members is replaced by whether there
+// is one.
 func (l *endpointList) parseFields(objects *json.Decoder) (map[string]any, error) {
 	fields := map[string]any{}
 	for objects.More() {
@@ -141,8 +138,8 @@
 	return v, err
 }
 
-// parseMembers adds the members of a list. It returns true where there is a list. Members past the bound are counted and
-// not kept.
+// parseMembers adds the members of a list. It returns true where there is a list. Members past the bound are
+// counted and not kept.
 func (l *endpointList) parseMembers(objects *json.Decoder) (any, error) {
 	opening, err := objects.Token()
 	if err != nil {
@@ -214,7 +211,7 @@
 	return fault
 }
 
-// phaseReadiness maps discovery's word.
+// phaseReadiness maps discovery's phase of a member.
 func phaseReadiness(phase string) (readiness routing.Readiness, isKnown bool) {
 	switch phase {
 	case "SERVING":
--- a/internal/protocol/flowids.go
+++ b/internal/protocol/flowids.go
@@ -15,8 +15,8 @@
 )
 
 // flowIDs keeps the ids of all flows that have not ended, and of the last that did. An id that is taken is refused the
-// second time and the first flow goes on: each connection brings a new id, so that whoever comes with the id of a flow
-// that ended a short while ago has read it from another client.
+// second time and the first flow goes on: each connection brings a new id, so that a client with the id of a flow that
+// ended a short while ago has read it from another client.
 type flowIDs struct {
 	mu sync.Mutex
 	// key goes into the hashes: clients choose their ids, and must not choose which ones share a hash.
@@ -122,8 +122,8 @@
 // ClaimID takes an id for a flow and reports whether it was free.
 func (f *Frontend) ClaimID(id string) bool { return f.ids.claim(id) }
 
-// ShareIDs returns the ids that are taken, as hashes under a key, for another process that takes them over. From then on
-// that process is asked for each new id; nil ends this.
+// ShareIDs returns the ids that are taken, as hashes under a key, for another process that takes them over. From
+// then on that process is asked for each new id; nil ends this.
 func (f *Frontend) ShareIDs(isTakenElsewhere func(hash uint64) (taken bool)) (key, ids []byte) {
 	return f.ids.share(isTakenElsewhere)
 }
--- a/internal/protocol/frontend.go
+++ b/internal/protocol/frontend.go
@@ -15,7 +15,7 @@
 
 const (
 	// firstLineTimeout runs from the accept to the end of the line that opens a flow, whatever is sent before it. A
-	// client that sends nothing, or PING for ever, must be answered within 3 s, and the accept may have come late.
+	// client that sends nothing, or PING without end, must be answered within 3 s, and the accept may have come late.
 	firstLineTimeout = 2 * time.Second
 	// maxPings bounds the PINGs on one connection: hundreds at once do not ask whether this balancer lives.
 	maxPings = 16
@@ -34,7 +34,6 @@
 	errSpokeBeforeAnswer = errors.New("spoke before its answer")
 	errMayHaveRun        = errors.New("given up")
 	errClientLeft        = errors.New("the client left")
-	errAttemptCancelled  = errors.New("the attempt was cancelled")
 	errNotReestablished  = errors.New("not up")
 	errAborted           = errors.New("no answer")
 )
@@ -71,8 +70,8 @@
 // Stop ends what still waits for an answer, with an answer.
 func (f *Frontend) Stop() { f.stop() }
 
-// SetOutOfService says whether the layer before the balancers is to send clients here: while it is not, PING is answered
-// by BUSY. rejectsAll says that the layer had the time to notice, so that new flows are rejected at once.
+// SetOutOfService says whether the layer before the balancers is to send clients here: while it is not, PING is
+// answered by BUSY. rejectsAll says that the layer had the time to notice, so that new flows are rejected at once.
 func (f *Frontend) SetOutOfService(outOfService, rejectsAll bool) {
 	f.outOfService.Store(outOfService)
 	f.rejectsAll.Store(rejectsAll)
@@ -142,8 +141,8 @@
 	return "", errTooManyPings
 }
 
-// reject gives a client that can't be served one line and an end, however much it still sends. A client that left without
-// a line gets neither.
+// reject gives a client that can't be served one line and an end, however much it still sends. A client that left
+// without a line gets neither.
 func (f *Frontend) reject(client *transport.Conn, err error) {
 	switch {
 	case errors.Is(err, errNoDescriptors), errors.Is(err, errOutOfService):
@@ -158,7 +157,7 @@
 }
 
 // answerBusy tells a client that nothing was done for it, and when to retry. Like answerError it is the last line of a
-// connection: where it can't be written the client is gone, and nobody is to be told.
+// connection: where it can't be written the client is gone, and there is nothing to report.
 func answerBusy(client *transport.Conn, retryAfter time.Duration) {
 	if retryAfter > 0 {
 		_ = writeLine(client, "BUSY %d", retryAfter.Milliseconds())
--- a/internal/protocol/transfer.go
+++ b/internal/protocol/transfer.go
@@ -58,7 +58,7 @@
 type transferConnection = func(c EstablishedConnection, client, server syscall.Conn) bool
 
 // TransferConnections transfers all established connections, a few at a time, until the context ends. transfer reports
-// whether the other process has a connection; one that it does not have goes on here. The result is how many were
+// whether the other process has a connection; one that it does not have stays here. The result is how many were
 // transferred, of how many.
 func (f *Frontend) TransferConnections(ctx context.Context, transfer func(c EstablishedConnection, client, server syscall.Conn) bool) (transferred, of int) {
 	f.mu.Lock()
@@ -91,11 +91,11 @@
 	return transferred, len(sessions)
 }
 
-// park stops a session's relays for it to be transferred, and waits until it was, or goes on here, or ended.
+// park stops a session's relays for it to be transferred, and waits until it was, or stays here, or ended.
 func (s *session) park(ctx context.Context) {
 	done := make(chan struct{})
 	s.frontend.mu.Lock()
-	isEstablished := s.establishedIndex >= 0 // else it ended, or its client is being asked to come again
+	isEstablished := s.establishedIndex >= 0 // else it ended, or its client is being asked to reconnect
 	if isEstablished {
 		s.transferred = done
 	}
@@ -111,8 +111,9 @@
 	}
 }
 
-// transferOrContinue runs where the relay from the server is parked. Once the one from the client rests too, both sockets
-// go to the other process; if they can't, both relays go on here. It reports whether the connection was transferred.
+// transferOrContinue runs where the relay from the server is parked. Once the one from the client rests too, both
+// sockets go to the other process; if they can't, both relays continue here. It reports whether the connection was
+// transferred.
 func (s *session) transferOrContinue() (wasTransferred bool) {
 	<-s.clientDone
 	s.frontend.mu.Lock()
@@ -172,8 +173,9 @@
 	}
 }
 
-// AdoptConnection takes over a connection that another process transfers. It returns once this balancer holds it; serve
-// serves it to its end, drop leaves it to the other process after all. One of them is called, once. The error is routing's.
+// AdoptConnection takes over a connection that another process transfers. It returns once this balancer holds it;
+// serve serves it to its end, drop leaves it to the other process after all. One of them is called, once. The
+// error is routing's.
 func (f *Frontend) AdoptConnection(c EstablishedConnection, client, server net.Conn, budget *transport.DescriptorBudget) (serve, drop func(), err error) {
 	flow, err := f.router.AdoptFlow(c.Flow.request(), c.ServerName)
 	if err != nil {
--- a/internal/protocol/watch.go
+++ b/internal/protocol/watch.go
@@ -11,16 +11,16 @@
 	"time"
 )
 
-// watch runs one watch from its opening to its end. It returns the reason, and since when the watch had told nothing by
+// watch runs one watch from its opening to its end. It returns the reason, and since when the watch had been silent by
 // then: its opening, its last sign of life, or the first byte of an object that did not come completely.
-func (d *Discovery) watch(parent context.Context, listURL string) (silentSince time.Time, err error) {
+func (d *Discovery) watch(parent context.Context, baseURL string) (silentSince time.Time, err error) {
 	d.hadContact = false
 	ctx, cancel := context.WithCancelCause(parent)
 	defer cancel(nil)
 	w := newWatchStream(d)
 	w.deadline = time.AfterFunc(d.answerTimeout, func() { cancel(errDiscoverySilent) })
 	defer w.deadline.Stop()
-	url := listURL + "?stream=1"
+	url := baseURL + "?stream=1"
 	if revision := d.revision.Load(); revision >= 0 {
 		url += "&index=" + strconv.FormatInt(revision, 10)
 	}
@@ -28,10 +28,10 @@
 	if err != nil {
 		return w.silentSince, withCause(ctx, err)
 	}
-	defer func() { _ = body.Close() }() // the watch ends with an error of its own
+	defer func() { _ = body.Close() }() // the watch returns the error of its reads
 	w.body.from = body
 	w.postponeDeadline()
-	err = w.follow(ctx, listURL)
+	err = w.follow(ctx)
 	return w.silentSince, withCause(ctx, err)
 }
 
@@ -52,7 +52,7 @@
 }
 
 // follow applies one object after another. What a failed one brought is missing then: the next watch brings it again.
-func (w *watchStream) follow(ctx context.Context, listURL string) error {
+func (w *watchStream) follow(ctx context.Context) error {
 	objects := json.NewDecoder(w)
 	for {
 		w.body.left = maxListBytes
@@ -65,11 +65,6 @@
 		if w.objectIsOpen {
 			w.onObjectBegun()
 		}
-		select {
-		case <-w.discovery.router.FetchRequests():
-			w.discovery.fetch(ctx, listURL)
-		default:
-		}
 	}
 }
 
@@ -87,7 +82,7 @@
 	return n, err
 }
 
-// postponeDeadline puts the deadline off.
+// postponeDeadline allows for another silenceTimeout, after a sign of life.
 func (w *watchStream) postponeDeadline() {
 	w.silentSince = time.Now()
 	w.deadline.Reset(w.discovery.silenceTimeout)
@@ -102,7 +97,7 @@
 }
 
 // onObjectBegun bounds the time until the object is complete. Its further bytes are no signs of life: an object that
-// trickles for ever tells nothing.
+// trickles without end brings no change.
 func (w *watchStream) onObjectBegun() {
 	w.discovery.hadContact = true
 	w.silentSince = time.Now()
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -39,7 +39,7 @@
 type Config struct {
 	// Seed starts the random draws of the decisions.
 	Seed uint64
-	// LatencyThreshold is the delay of a message from which the decisions get latency samples of a server.
+	// LatencyThreshold is the latency of a message from which the decisions get latency samples of a server.
 	LatencyThreshold time.Duration
 	// ServersReportLoad and ServersReportLatency say what the servers' own metric lines speak of. Where both are
 	// set each metric is classified, see Flow.OnServerMetric.
@@ -52,9 +52,8 @@
 
 // Router owns the one instance of the decisions that a balancer has.
 type Router struct {
-	fetchRequests chan struct{}
-	checkPending  chan struct{} // signalled while pendingChecks has entries
-	earlierTimer  chan struct{} // signalled when a timer is set that is due before all others
+	checkPending chan struct{} // signalled while pendingChecks has entries
+	earlierTimer chan struct{} // signalled when a timer is set that is due before all others
 
 	// mu guards all that follows and the decisions themselves. It is never held over I/O.
 	mu          sync.Mutex
@@ -95,9 +94,8 @@
 			awaitingReply:        flowList{linkIndex: awaitingReplyLinks},
 			byLastRequest:        flowList{linkIndex: lastRequestLinks},
 		},
-		earlierTimer:  make(chan struct{}, 1),
-		fetchRequests: make(chan struct{}, 1),
-		checkPending:  make(chan struct{}, 1),
+		earlierTimer: make(chan struct{}, 1),
+		checkPending: make(chan struct{}, 1),
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -136,7 +134,7 @@
 // OnLoadReport takes a server's load report that another balancer received. The caller holds the lock, see WithLock.
 func (r *Router) OnLoadReport(s decide.ServerID, load float64) { r.balancer.OnLoadReport(s, load) }
 
-// SetHandedOver says whether another process goes on with what is known here.
+// SetHandedOver says whether another process continues from a snapshot of this router.
 func (r *Router) SetHandedOver(handedOver bool) {
 	r.enter()
 	defer r.mu.Unlock()
--- a/internal/transport/relay.go
+++ b/internal/transport/relay.go
@@ -61,8 +61,8 @@
 	c.InterruptRead()
 }
 
-// Park ends a relay from this connection, or the wait for its first line, at any byte, so that it can go on later or in
-// another process. It does not wait.
+// Park ends a relay from this connection, or the wait for its first line, at any byte, so that it can continue
+// later or in another process. It does not wait.
 func (c *Conn) Park() {
 	c.parking.Store(true)
 	c.InterruptRead()
@@ -166,6 +166,7 @@
 		if !c.parking.CompareAndSwap(true, false) {
 			return ErrMidLine
 		}
-		c.SetReadDeadline(time.Now().Add(lineEndTimeout)) // the client is about to migrate: Park's interruption counts for nothing
+		// The client is about to migrate: Park's interruption counts for nothing.
+		c.SetReadDeadline(time.Now().Add(lineEndTimeout))
 	}
 }
