--- a/internal/simulation/list.go
+++ b/internal/simulation/list.go
@@ -5,50 +5,51 @@
 	"time"
 )
 
+// ListConfig says how late the server list is.
+type ListConfig struct {
+	Notice        Interval // until a change is noticed of a process that runs and says so
+	NoticeSilent  Interval // until a server that went silent is noticed
+	NoticeAdded   Interval // until a server that started is noticed
+	Spread        Interval // from there until a balancer is told
+	MustSubscribe bool     // balancers are told nothing until they subscribe
+}
+
 // List is the service that tells balancers of servers: late, and only whether a process runs.
 type List struct {
-	w              *World
-	entries        []Entry
-	changedIn      []int // revision at which each entry last changed
-	revision       int
-	subscribers    []subscriber
-	noticeMin      time.Duration
-	noticeMax      time.Duration
-	silentMin      time.Duration
-	silentMax      time.Duration
-	addMin, addMax time.Duration
-	spreadMin      time.Duration
-	spreadMax      time.Duration
-	outages        int // troubles that keep it silent
-	extraDelay     time.Duration
-	mustSubscribe  bool
-	random         *rand.Rand
+	config      ListConfig
+	w           *World
+	random      *rand.Rand
+	entries     []Entry
+	changedIn   []int // the revision in which each entry last changed
+	revision    int
+	subscribers []subscriber
+	outages     int // faults that keep it silent
+	extraDelay  time.Duration
 }
 
 // subscriber is what one balancer has been told.
 type subscriber struct {
-	revision   int
-	subscribed bool
-	needsFull  bool // the next news is the whole list
-	pending    bool
+	revision     int
+	isSubscribed bool
+	needsFull    bool // the next update is the whole list
+	isPending    bool // an update is on its way
 }
 
 func newList(w *World) *List { return &List{w: w, random: RandomSource(w.Seed, "list", 0)} }
 
-// ConfigureList sets how late changes are noticed (of processes that run and say so, that went silent, that started), how
-// long news takes from there, and whether balancers must ask.
-func (w *World) ConfigureList(noticeMin, noticeMax, silentMin, silentMax, addMin, addMax, spreadMin, spreadMax time.Duration, asked bool) {
-	l := w.List
-	l.noticeMin, l.noticeMax, l.silentMin, l.silentMax = noticeMin, noticeMax, silentMin, silentMax
-	l.addMin, l.addMax, l.spreadMin, l.spreadMax, l.mustSubscribe = addMin, addMax, spreadMin, spreadMax, asked
-	for i := range l.subscribers {
-		l.subscribers[i].subscribed = !asked
+// ConfigureList sets how late the list is.
+func (w *World) ConfigureList(c ListConfig) {
+	w.List.config = c
+	for i := range w.List.subscribers {
+		w.List.subscribers[i].isSubscribed = !c.MustSubscribe
 	}
 }
 
-func (l *List) noticeDelay() time.Duration {
-	return UniformDuration(l.random, l.noticeMin, l.noticeMax) + l.extraDelay
+func (l *List) noticeDelay() time.Duration { return l.config.Notice.Draw(l.random) + l.extraDelay }
+func (l *List) silentDelay() time.Duration {
+	return l.config.NoticeSilent.Draw(l.random) + l.extraDelay
 }
+func (l *List) addDelay() time.Duration { return l.config.NoticeAdded.Draw(l.random) + l.extraDelay }
 
 // entry is what the list would say of a server if it knew all.
 func entry(s *Server) Entry {
@@ -62,7 +63,7 @@
 	return e
 }
 
-// changed takes a server as it is into the list at once, for the start of a day.
+// changed puts a server as it is into the list at once.
 func (l *List) changed(s *Server) {
 	l.revision++
 	if int(s.ID) < len(l.entries) {
@@ -72,54 +73,55 @@
 	l.entries, l.changedIn = append(l.entries, entry(s)), append(l.changedIn, l.revision)
 }
 
-// updateAfter has the list take in a server as it is by then.
-func (l *List) updateAfter(s *Server, after time.Duration) {
-	l.w.Schedule.After(after, News, func() {
-		if l.entries[s.ID] == entry(s) {
-			return
-		}
-		l.changed(s)
-		for b := range l.subscribers {
-			l.scheduleSend(BalancerID(b))
+// updateAfter has the list notice a server as it is by then.
+func (l *List) updateAfter(s *Server, delay time.Duration) {
+	l.w.Schedule.After(delay, ListUpdate, func() {
+		if l.entries[s.ID] != entry(s) {
+			l.changed(s)
+			l.sendAll()
 		}
 	})
 }
 
-// addDelay is when a server that starts is seen, silent when one that only stopped answering is.
-func (l *List) addDelay() time.Duration {
-	return UniformDuration(l.random, l.addMin, l.addMax) + l.extraDelay
-}
-func (l *List) silentDelay() time.Duration {
-	return UniformDuration(l.random, l.silentMin, l.silentMax) + l.extraDelay
+// sendAll tells all balancers what they lack.
+func (l *List) sendAll() {
+	for b := range l.subscribers {
+		l.scheduleSend(BalancerID(b))
+	}
 }
 
-// scheduleSend sends a balancer what it lacks, a little later.
+// scheduleSend has a balancer told what it lacks, a little later.
 func (l *List) scheduleSend(b BalancerID) {
-	if l.subscribers[b].pending || !l.subscribers[b].subscribed {
+	if l.subscribers[b].isPending || !l.subscribers[b].isSubscribed {
 		return
 	}
-	l.subscribers[b].pending = true
-	l.w.Schedule.After(UniformDuration(l.random, l.spreadMin, l.spreadMax), News, func() { l.send(b) })
+	l.subscribers[b].isPending = true
+	l.w.Schedule.After(l.config.Spread.Draw(l.random), ListUpdate, func() { l.send(b) })
 }
 
 func (l *List) send(b BalancerID) {
-	h := &l.subscribers[b]
-	h.pending = false
-	if l.outages > 0 || !l.w.Balancers[b].IsUp || !h.subscribed || h.revision == l.revision && !h.needsFull {
+	to := &l.subscribers[b]
+	to.isPending = false
+	isCurrent := to.revision == l.revision && !to.needsFull
+	if l.outages > 0 || !l.w.Balancers[b].IsUp || !to.isSubscribed || isCurrent {
 		return
 	}
-	var news []Entry
+	isFull := to.needsFull
+	update := l.updateFor(to)
+	to.revision, to.needsFull = l.revision, false
+	l.w.Driver.UpdateList(b, isFull, update)
+}
+
+func (l *List) updateFor(to *subscriber) (update []Entry) {
 	for i, e := range l.entries {
-		if h.needsFull && e.Readiness != Gone || !h.needsFull && l.changedIn[i] > h.revision {
-			news = append(news, e)
+		if to.needsFull && e.Readiness != Gone || !to.needsFull && l.changedIn[i] > to.revision {
+			update = append(update, e)
 		}
 	}
-	full := h.needsFull
-	h.revision, h.needsFull = l.revision, false
-	l.w.Driver.UpdateList(b, full, news)
+	return update
 }
 
-// Known is what a balancer that starts has: the list as it last held it.
+// Known is the list as a balancer was last told it, which a balancer that starts has kept.
 func (l *List) Known(b BalancerID) (known []Entry) {
 	for i, e := range l.entries {
 		if l.changedIn[i] <= l.subscribers[b].revision && e.Readiness != Gone {
@@ -129,43 +131,26 @@
 	return known
 }
 
-// Snapshot is the list as it is now.
-func (l *List) Snapshot() (revision int, all []Entry) {
-	for _, e := range l.entries {
-		if e.Readiness != Gone {
-			all = append(all, e)
-		}
-	}
-	return l.revision, all
-}
-
 // IsUnavailable tells whether the list answers nobody now.
 func (l *List) IsUnavailable() bool { return l.outages > 0 }
 
-// Subscribe has a balancer subscribe, or want the list once. False: the call fails.
+// Subscribe has a balancer told the whole list and its changes. False: the call fails.
 func (l *List) Subscribe(b BalancerID) bool {
 	if l.outages > 0 {
 		return false
 	}
-	l.subscribers[b].subscribed, l.subscribers[b].needsFull = true, true
+	l.subscribers[b].isSubscribed, l.subscribers[b].needsFull = true, true
 	l.scheduleSend(b)
 	return true
 }
 
-// restart: a balancer that starts anew is told all, where it need not ask.
+// restart tells a balancer that starts anew the whole list, unless it must subscribe.
 func (l *List) restart(b BalancerID) {
-	l.subscribers[b].needsFull, l.subscribers[b].subscribed = true, !l.mustSubscribe
+	l.subscribers[b].needsFull, l.subscribers[b].isSubscribed = true, !l.config.MustSubscribe
 	l.scheduleSend(b)
 }
 
-// catchUp tells all what they missed.
-func (l *List) catchUp() {
-	for b := range l.subscribers {
-		l.scheduleSend(BalancerID(b))
-	}
-}
-
-// Begin tells every balancer the list as it stands: a day starts from what is known.
+// Begin tells every balancer the list as it stands, at once: a day starts from what is known.
 func (l *List) Begin() {
 	for b := range l.subscribers {
 		l.subscribers[b].revision = l.revision
--- a/internal/simulation/queue.go
+++ b/internal/simulation/queue.go
@@ -1,63 +1,71 @@
 package simulation
 
 import (
+	"math"
 	"slices"
 	"time"
 )
 
-// Queue is one waiting line before some cores that all work at the same pace; the pace may change at any time, as a
-// server that warms, slows or is crowded keeps what it has begun.
+const (
+	anyNumber      = -1  // of jobs that may wait
+	longestWaitSec = 1e9 // a core that all but stands still is looked at again when its speed changes
+	nanosecond     = 1   // added to each end, as ends are rounded down to whole nanoseconds
+)
+
+// Queue is one line of jobs before some cores that all work at the same speed. The speed may change at any time: what has been begun keeps
+// its progress.
 type Queue struct {
 	schedule   *Schedule
 	cores      int
-	maxWaiting int     // how many may wait; below 0: any number
+	maxWaiting int     // below 0: any number
 	speed      float64 // work that one core does in a second
-	settled    time.Duration
+	settledAt  time.Duration
 	running    []*Job
 	waiting    []*Job
-	version    uint64 // the next end noted last is the only one that counts
+	version    uint64 // only the end that was scheduled last counts
 }
 
 // Job is work that a queue has taken in.
 type Job struct {
-	left float64 // work
-	done func()
+	workLeft float64
+	done     func()
 }
 
-// NewQueue makes an empty one of so many cores, each doing pace of work a second, with room for so many that wait.
-func NewQueue(a *Schedule, cores, room int, pace float64) *Queue {
-	return &Queue{schedule: a, cores: cores, maxWaiting: room, speed: pace}
+// NewQueue makes an empty queue before so many cores, each of which does so much work a second. maxWaiting jobs may wait; any number where
+// it is below 0.
+func NewQueue(s *Schedule, cores, maxWaiting int, speed float64) *Queue {
+	return &Queue{schedule: s, cores: cores, maxWaiting: maxWaiting, speed: speed}
 }
 
-// Put takes work in; it is turned away where the line is full. The returned job can be dropped.
-func (q *Queue) Put(work float64, done func()) (*Job, bool) {
+// Put takes a job in; not ok where the line is full. The job that it returns can be dropped.
+func (q *Queue) Put(work float64, done func()) (job *Job, ok bool) {
 	q.settle()
-	j := &Job{left: work, done: done}
+	job = &Job{workLeft: work, done: done}
 	switch {
 	case len(q.running) < q.cores:
-		q.running = append(q.running, j)
+		q.running = append(q.running, job)
 	case q.maxWaiting >= 0 && len(q.waiting) >= q.maxWaiting:
 		return nil, false
 	default:
-		q.waiting = append(q.waiting, j)
+		q.waiting = append(q.waiting, job)
 	}
 	q.scheduleNextEnd()
-	return j, true
+	return job, true
 }
 
-// Drop gives a job up, wherever it is; one that is done already is passed over.
-func (q *Queue) Drop(j *Job) {
+// Drop takes a job out, wherever it is. One that is done already is passed over.
+func (q *Queue) Drop(job *Job) {
 	q.settle()
-	if i := slices.Index(q.waiting, j); i >= 0 {
+	if i := slices.Index(q.waiting, job); i >= 0 {
 		q.waiting = slices.Delete(q.waiting, i, i+1)
-	} else if i := slices.Index(q.running, j); i >= 0 {
+	} else if i := slices.Index(q.running, job); i >= 0 {
 		q.running = slices.Delete(q.running, i, i+1)
 		q.startWaiting()
 	}
 	q.scheduleNextEnd()
 }
 
-// Clear drops all.
+// Clear drops all jobs.
 func (q *Queue) Clear() {
 	q.settle()
 	q.running, q.waiting = nil, nil
@@ -65,27 +73,28 @@
 }
 
 // SetSpeed sets how fast each core works from now on.
-func (q *Queue) SetSpeed(p float64) {
-	if p == q.speed {
+func (q *Queue) SetSpeed(speed float64) {
+	if speed == q.speed {
 		return
 	}
 	q.settle()
-	q.speed = p
+	q.speed = speed
 	q.scheduleNextEnd()
 }
 
-// Jobs is how many are in work or wait.
+// Jobs is how many jobs run or wait.
 func (q *Queue) Jobs() int { return len(q.running) + len(q.waiting) }
 
-// Busy is how many are in work.
+// Busy is how many jobs run.
 func (q *Queue) Busy() int { return len(q.running) }
 
+// settle takes the work done since the last time off the jobs that run.
 func (q *Queue) settle() {
-	did := q.speed * (q.schedule.now - q.settled).Seconds()
-	for _, j := range q.running {
-		j.left -= did
+	workDone := q.speed * (q.schedule.now - q.settledAt).Seconds()
+	for _, job := range q.running {
+		job.workLeft -= workDone
 	}
-	q.settled = q.schedule.now
+	q.settledAt = q.schedule.now
 }
 
 func (q *Queue) startWaiting() {
@@ -95,35 +104,39 @@
 	}
 }
 
-// scheduleNextEnd has the next end looked at. Times are whole nanoseconds: what is left below one of them counts as done.
+// scheduleNextEnd schedules the end of the job with the least work left.
 func (q *Queue) scheduleNextEnd() {
 	q.version++
 	if len(q.running) == 0 || q.speed <= 0 {
 		return
 	}
-	least := q.running[0].left
-	for _, j := range q.running[1:] {
-		least = min(least, j.left)
+	least := math.Inf(1)
+	for _, job := range q.running {
+		least = min(least, job.workLeft)
 	}
-	turn := q.version
-	in := min(max(0, least/q.speed), 1e9) // seconds; a core that all but stands still is asked again when its pace changes
-	q.schedule.After(time.Duration(in*float64(time.Second))+1, Work, func() {
-		if turn != q.version {
-			return
+	seconds := min(max(0, least/q.speed), longestWaitSec)
+	version := q.version
+	q.schedule.After(time.Duration(seconds*float64(time.Second))+nanosecond, Work, func() {
+		if version == q.version {
+			q.endJobs()
 		}
-		q.settle()
-		var over []*Job
-		q.running = slices.DeleteFunc(q.running, func(j *Job) bool {
-			if j.left <= 0 {
-				over = append(over, j)
-				return true
-			}
+	})
+}
+
+// endJobs ends the jobs without work left. Times are whole nanoseconds: what is left below one of them counts as done.
+func (q *Queue) endJobs() {
+	q.settle()
+	var ended []*Job
+	q.running = slices.DeleteFunc(q.running, func(job *Job) bool {
+		if job.workLeft > 0 {
 			return false
-		})
-		q.startWaiting()
-		q.scheduleNextEnd()
-		for _, j := range over {
-			j.done()
 		}
+		ended = append(ended, job)
+		return true
 	})
+	q.startWaiting()
+	q.scheduleNextEnd()
+	for _, job := range ended {
+		job.done()
+	}
 }
--- a/internal/simulation/queue_test.go
+++ b/internal/simulation/queue_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// erlangC is the chance that one who comes must wait, before c cores at a load of a cores.
+// erlangC is the probability that an arrival has to wait, before c cores at a load of a cores.
 func erlangC(c int, a float64) float64 {
 	sum, term := 0.0, 1.0
 	for k := range c {
@@ -18,7 +18,7 @@
 	return last / (sum + last)
 }
 
-func TestWaitsAgreeWithClosedForms(t *testing.T) {
+func TestQueueWaitsAgreeWithErlangC(t *testing.T) {
 	for _, c := range []struct {
 		cores int
 		use   float64
@@ -54,7 +54,7 @@
 	}
 }
 
-func TestQueueKeepsWhatIsBegunAcrossAPaceChange(t *testing.T) {
+func TestQueueKeepsProgressAcrossSpeedChange(t *testing.T) {
 	a := &Schedule{}
 	q := NewQueue(a, 1, 1, 1)
 	var ends []time.Duration
@@ -62,7 +62,7 @@
 	q.Put(2, end)
 	second, _ := q.Put(1, end)
 	if _, ok := q.Put(1, end); ok {
-		t.Error("a third was taken with room for one to wait")
+		t.Error("a third was taken though one may wait")
 	}
 	a.RunTo(time.Second)
 	q.SetSpeed(0.5) // a core second is left: two more seconds
@@ -75,15 +75,15 @@
 	}
 }
 
-func TestThingsAtOneInstantGoByRankThenOrder(t *testing.T) {
+func TestActionsAtOneInstantRunByRankThenOrder(t *testing.T) {
 	a, got := &Schedule{}, ""
-	say := func(s string) func() { return func() { got += s } }
-	a.At(time.Second, Book, say("e"))
-	a.At(time.Second, Message, say("c"))
-	a.At(time.Second, Message, say("d"))
-	a.At(time.Second, Cause, func() { got += "a"; a.At(0, Work, say("b")) })
+	add := func(s string) func() { return func() { got += s } }
+	a.At(time.Second, Measure, add("e"))
+	a.At(time.Second, Message, add("c"))
+	a.At(time.Second, Message, add("d"))
+	a.At(time.Second, Cause, func() { got += "a"; a.At(0, Work, add("b")) })
 	a.RunTo(time.Second)
 	if got != "abcde" {
-		t.Errorf("went %q, want abcde", got)
+		t.Errorf("ran %q, want abcde", got)
 	}
 }
--- a/internal/simulation/server.go
+++ b/internal/simulation/server.go
@@ -6,70 +6,86 @@
 	"time"
 )
 
-// Phase is where a server stands.
+// Phase is the state of a server.
 type Phase int
 
 // Phases of a server.
 const (
-	Serving   Phase = iota
-	Leaving         // drains
-	Down            // no process: connections are refused
-	Silent          // cut off or stalled: nothing comes back
-	Collapsed       // pushed over while cold, and down for good
+	Serving   Phase = iota // takes connections
+	Leaving                // drains
+	Down                   // has no process: connections are refused
+	Silent                 // is cut off or stalled: nothing comes back
+	Collapsed              // was overloaded in slow start, and is down for good
 )
 
+// String is the phase in lower case.
 func (p Phase) String() string {
-	return [...]string{"serving", "leaving", "down", "silent", "fallen"}[p]
+	return [...]string{"serving", "leaving", "down", "silent", "collapsed"}[p]
 }
 
-// valueKey sums the value a second of connections that are counted alike.
-type valueKey struct {
-	service          ServiceID
-	customer         CustomerID
-	balancerLocality LocalityID
-	clientLocality   LocalityID
-	beyond           bool
+const (
+	minFreeShare    = 0.005 // of a server's capacity, in its delays
+	maxDelaySeconds = 60
+	minSetupShare   = 0.1 // of a server's capacity, that is left to set-ups
+	dropDivisor     = 12  // a server beyond its buffer drops one connection in so many
+	backlogAfter    = 0.7 // of the backlog is left after such a drop
+	roundingError   = 1e-9
+)
+
+// ServerSpec is what a server is made of.
+type ServerSpec struct {
+	Locality       LocalityID
+	Cell           CellID
+	Cores          int
+	Speed          float64 // work that a core does in a second
+	Size           float64 // as the list tells it
+	MaxConnections int
+	MaxWaiting     int           // set-ups that wait for a core
+	Buffer         time.Duration // of messages; connections are dropped beyond it
+	GroupLoad      float64       // that the first connection of a group adds
+
+	SlowStart       time.Duration
+	SlowStartFrom   float64 // share of the capacity at the start
+	SlowStartByWork float64 // share of the warming up that comes with work done
 }
 
-// Server is one real server. Standing connections ask for work all the time and share the cores with set-ups; what
-// can't be done piles up, and messages then wait behind it.
+// Server is one server. Established connections ask for work all the time and share the cores with set-ups. What can't be done piles up,
+// and messages then wait behind it.
 type Server struct {
-	w               *World
-	ID              ServerID
-	Locality        LocalityID
-	Cell            CellID
-	Cores           int
-	Speed           float64
-	MaxConnections  int           // connections
-	Buffer          time.Duration // of messages; connections are dropped beyond it
-	GroupLoad       float64
-	Size            float64 // as the list tells it
-	slowStartFrom   float64
-	slowStart       time.Duration
-	slowStartByWork float64 // the part of warming that comes with work done
-	phase           Phase
-	startedAt       time.Duration
-	worked          float64 // since the start, over what fills the warm-up
-	incarnation     int
-	slowdown        float64 // times slower
-	stolenShare     float64 // part taken by a neighbour
-	errorShare      float64 // share of set-ups that fail fast
-	conns           []*conn
-	connByID        map[ConnID]*conn
-	groups          map[GroupID]int
-	demand          float64
-	setups          *Queue
-	backlog         float64 // core seconds of speed 1
-	settled         time.Duration
-	values          map[valueKey]float64
-	valueKeys       []valueKey
-	chance          *rand.Rand
-	recentConnects  []recentConnect // onto a cold server, over the last window
-	recentLoad      float64
-	drain           Drain
-	established     int
-	delayReported   bool // of lateness, so that its end is told too
-	Share           float64
+	ServerSpec
+	ID ServerID
+
+	w           *World
+	random      *rand.Rand
+	phase       Phase
+	startedAt   time.Duration
+	incarnation int
+
+	slowdown    float64 // times slower
+	stolenShare float64 // of the cores, by a neighbour
+	errorShare  float64 // of set-ups that fail fast
+
+	conns       []*conn
+	connByID    map[ConnID]*conn
+	established int
+	groups      map[GroupID]int
+	setups      *Queue
+
+	demand         float64 // work a second
+	backlog        float64 // core seconds of speed 1
+	workDone       float64 // since the start, over what warms it up
+	settledAt      time.Duration
+	values         map[valueKey]float64 // a second
+	valueKeys      []valueKey           // in the order of their first use
+	delayReported  bool                 // the last report said that it is late, so that the end of that is reported too
+	recentConnects []recentConnect      // in slow start, over the last window
+	recentLoad     float64
+}
+
+// valueKey says which established connections are counted alike.
+type valueKey struct {
+	account          Account
+	balancerLocality LocalityID
 }
 
 // Phase is the one in which the server is.
@@ -78,26 +94,30 @@
 // StartedAt is when it started.
 func (s *Server) StartedAt() time.Duration { return s.startedAt }
 
-// Established is how many connections stand on it.
+// Established is how many connections are established on it.
 func (s *Server) Established() int { return s.established }
 
-// ConnectionCount is how many it has, those that are being set up too.
+// ConnectionCount is how many connections it has, those that are being set up too.
 func (s *Server) ConnectionCount() int { return len(s.conns) }
 
+// HoldsGroup tells whether any connection of a group is established here.
+func (s *Server) HoldsGroup(g GroupID) bool { return g != NoGroup && s.groups[g] > 0 }
+
 // IsServing tells whether it serves, be it that it drains.
 func (s *Server) IsServing() bool { return s.phase == Serving || s.phase == Leaving }
 
 // WarmFraction is the part of its capacity that a server has by now.
 func (s *Server) WarmFraction() float64 {
-	if s.startedAt == LongAgo || s.slowStart == 0 {
+	if s.startedAt == LongAgo || s.SlowStart == 0 {
 		return 1
 	}
-	t := math.Min(1, (s.w.Schedule.now-s.startedAt).Seconds()/s.slowStart.Seconds())
-	did := (1-s.slowStartByWork)*t + s.slowStartByWork*math.Min(s.worked, math.Min(1, 2*t))
-	return s.slowStartFrom + (1-s.slowStartFrom)*math.Min(1, math.Max(did, t*t))
+	elapsed := math.Min(1, (s.w.Schedule.now-s.startedAt).Seconds()/s.SlowStart.Seconds())
+	worked := math.Min(s.workDone, math.Min(1, 2*elapsed))
+	warmedUp := (1-s.SlowStartByWork)*elapsed + s.SlowStartByWork*worked
+	return s.SlowStartFrom + (1-s.SlowStartFrom)*math.Min(1, math.Max(warmedUp, elapsed*elapsed))
 }
 
-// FullCapacity is the work a second that it does when warm and in no trouble.
+// FullCapacity is the work a second that it does when it is warm and has no fault.
 func (s *Server) FullCapacity() float64 { return float64(s.Cores) * s.Speed }
 
 // CurrentCapacity is the work a second that it does now.
@@ -108,146 +128,136 @@
 	return s.FullCapacity() * s.WarmFraction() * (1 - s.stolenShare) / s.slowdown
 }
 
-// Demand is the work a second that standing connections ask for.
+// Demand is the work a second that established connections ask for.
 func (s *Server) Demand() float64 { return s.demand }
 
+// QueueDelay is how long a flow that came now would wait for the cores, in seconds.
+func (s *Server) QueueDelay() float64 {
+	if capacity := s.CurrentCapacity(); capacity > 0 {
+		return s.backlog / capacity
+	}
+	return math.Inf(1)
+}
+
 // MessageDelay is how long a message takes now.
 func (s *Server) MessageDelay() time.Duration {
-	can := s.CurrentCapacity()
-	if can <= 0 {
+	capacity := s.CurrentCapacity()
+	if capacity <= 0 {
 		return time.Hour
 	}
-	free := math.Max(1-s.demand/can, 0.005)
-	d := s.backlog/can + s.w.messageWork/(s.Speed*free)
-	return time.Duration(math.Min(d, 60) * float64(time.Second))
+	free := math.Max(1-s.demand/capacity, minFreeShare)
+	seconds := s.backlog/capacity + s.w.messageWork/(s.Speed*free)
+	return time.Duration(math.Min(seconds, maxDelaySeconds) * float64(time.Second))
 }
 
-// inTime is the share of messages done within a time, with so much piled up.
-func (s *Server) inTime(backlog float64, within time.Duration) float64 {
-	can := s.CurrentCapacity()
-	if can <= 0 {
+// shareInTime is the share of messages that are done within a time, behind a backlog.
+func (s *Server) shareInTime(backlog float64, within time.Duration) float64 {
+	capacity := s.CurrentCapacity()
+	if capacity <= 0 {
 		return 0
 	}
-	left := within.Seconds() - backlog/can
-	free := 1 - s.demand/can
-	if left <= 0 || free <= 0 {
+	remaining := within.Seconds() - backlog/capacity
+	free := 1 - s.demand/capacity
+	if remaining <= 0 || free <= 0 {
 		return 0
 	}
-	return 1 - math.Exp(-left*free*s.Speed/s.w.messageWork)
+	return 1 - math.Exp(-remaining*free*s.Speed/s.w.messageWork)
 }
 
-// settle brings the books of a server up to now. All that changes its load, its pace or its connections calls it
-// first, so that in between everything grows evenly.
+// settle brings a server's accounts up to now. All that changes its load, its speed or its connections calls it first, so that in between
+// everything grows evenly.
 func (s *Server) settle() {
 	now := s.w.Schedule.now
-	dt := (now - s.settled).Seconds()
-	if dt <= 0 {
+	elapsed := (now - s.settledAt).Seconds()
+	if elapsed <= 0 {
 		return
 	}
-	can, before := s.CurrentCapacity(), s.backlog
-	work := s.demand + float64(s.setups.Busy())*s.setups.speed
-	if s.IsServing() {
-		s.backlog = math.Max(0, before+(work-can)*dt)
-		if s.slowStart > 0 && can > 0 {
-			s.worked += math.Min(work, can) * dt / (s.FullCapacity() * s.slowStart.Seconds() / 2)
+	backlogBefore := s.backlog
+	s.doWork(elapsed)
+	for _, key := range s.valueKeys {
+		if value := s.values[key]; value > 0 {
+			share := s.servedShare(key, backlogBefore)
+			s.w.Accounting.AddServed(key.account, s.settledAt, now, value*share)
 		}
 	}
-	s.Share = 0
-	for _, k := range s.valueKeys {
-		v := s.values[k]
-		if v <= 0 {
-			continue
-		}
-		part := 0.0
-		if !s.w.Network.IsBlocked(k.balancerLocality, s.Locality) && !s.w.Network.IsBlocked(s.Locality, k.balancerLocality) {
-			within := s.w.Services[k.service].Message
-			part = (s.inTime(before, within) + s.inTime(s.backlog, within)) / 2
-			s.Share = part
-		}
-		s.w.Accounting.AddServed(k.service, k.customer, k.beyond, k.clientLocality, s.settled, now, v*part)
+	s.settledAt = now
+}
+
+// doWork has the backlog grow or shrink over a time, and the server warm up.
+func (s *Server) doWork(seconds float64) {
+	if !s.IsServing() {
+		return
+	}
+	capacity := s.CurrentCapacity()
+	work := s.demand + float64(s.setups.Busy())*s.setups.speed
+	s.backlog = math.Max(0, s.backlog+(work-capacity)*seconds)
+	if s.SlowStart > 0 && capacity > 0 {
+		s.workDone += math.Min(work, capacity) * seconds / (s.FullCapacity() * s.SlowStart.Seconds() / 2)
+	}
+}
+
+// servedShare is the share of messages that were in time since the server was settled: the mean of then and now.
+func (s *Server) servedShare(key valueKey, backlogBefore float64) float64 {
+	if s.w.Network.isPartitioned(key.balancerLocality, s.Locality) {
+		return 0
 	}
-	s.settled = now
+	within := s.w.Services[key.account.Service].Message
+	return (s.shareInTime(backlogBefore, within) + s.shareInTime(s.backlog, within)) / 2
 }
 
-// setSetupSpeed gives set-ups what standing connections leave, and a tenth at the least: a crowded server still lets
-// some in, and is later with its messages for it.
-func (s *Server) setSetupSpeed() {
-	can := s.CurrentCapacity()
-	if can <= 0 {
+// updateSetupSpeed gives set-ups what established connections leave, and a minimum: an overloaded server still lets some in, and is later
+// with its messages for it.
+func (s *Server) updateSetupSpeed() {
+	capacity := s.CurrentCapacity()
+	if capacity <= 0 {
 		s.setups.SetSpeed(0)
 		return
 	}
-	s.setups.SetSpeed(can / float64(s.Cores) * math.Max(0.1, 1-s.demand/can))
+	s.setups.SetSpeed(capacity / float64(s.Cores) * math.Max(minSetupShare, 1-s.demand/capacity))
 }
 
-func (s *Server) changed() { s.setSetupSpeed() }
-
-// addDemand changes what a connection's standing costs.
+// addDemand changes what an established connection asks for.
 func (s *Server) addDemand(delta float64) {
 	s.settle()
 	s.demand = math.Max(0, s.demand+delta)
-	s.changed()
+	s.updateSetupSpeed()
 }
 
-func (s *Server) count(k *conn, sign float64) {
-	key := valueKey{k.client.Service, k.client.Customer, k.balancerLocality, k.client.Locality, k.client.Beyond}
-	if _, ok := s.values[key]; !ok {
+// addValue counts a connection in, or out with a sign of -1.
+func (s *Server) addValue(k *conn, sign float64) {
+	key := valueKey{k.client.account(), k.balancerLocality}
+	if _, known := s.values[key]; !known {
 		s.valueKeys = append(s.valueKeys, key)
 	}
 	s.values[key] += sign * s.w.Services[k.client.Service].Value
-	if s.values[key] < 1e-9 {
+	if s.values[key] < roundingError {
 		s.values[key] = 0
 	}
 }
 
-// reportDelay tells of a server that is late, once a second, and once more when that is over.
+// reportDelay tells balancers of a server that is late, and once more when that is over.
 func (s *Server) reportDelay() {
 	if !s.IsServing() || s.established == 0 {
 		return
 	}
 	s.settle()
-	s.changed()
-	d := s.MessageDelay()
-	if late := d > s.w.reportDelayFrom; late || s.delayReported {
-		s.delayReported = late
-		s.w.Driver.ReportDelay(s.ID, d)
-	}
-	// Beyond its buffer a server drops some of its connections, the newest first.
-	if s.Buffer > 0 && d > s.Buffer {
-		for n := len(s.conns)/12 + 1; n > 0 && len(s.conns) > 0; n-- {
-			k := s.conns[len(s.conns)-1]
-			s.end(k)
-			s.w.Driver.EndConnect(k.id, Dropped)
-		}
-		s.backlog *= 0.7
-	}
-}
-
-// SlowStartRateOver is the load of new connections that a server which warms over a time can take in a second by now: what would
-// fill it over its warm-up, by the part that it can do.
-func (s *Server) SlowStartRateOver(warm time.Duration) float64 {
-	return s.FullCapacity() / warm.Seconds() * s.WarmFraction()
-}
-
-// SlowStartRate is Takes by its own warm-up.
-func (s *Server) SlowStartRate() float64 { return s.SlowStartRateOver(s.slowStart) }
-
-// SlowStartBudget is the load that a cold server may still be sent now without falling over; a warm one has any.
-func (s *Server) SlowStartBudget() float64 {
-	if s.startedAt == LongAgo || s.w.collapseMultiple == 0 || s.WarmFraction() >= 1 {
-		return math.Inf(1)
+	s.updateSetupSpeed()
+	delay := s.MessageDelay()
+	if isLate := delay > s.w.reportDelayFrom; isLate || s.delayReported {
+		s.delayReported = isLate
+		s.w.Driver.ReportDelay(s.ID, delay)
 	}
-	for len(s.recentConnects) > 0 && s.recentConnects[0].at <= s.w.Schedule.now-s.w.collapseWindow {
-		s.recentLoad -= s.recentConnects[0].load
-		s.recentConnects = s.recentConnects[1:]
+	if s.Buffer > 0 && delay > s.Buffer {
+		s.dropNewest()
 	}
-	return s.SlowStartRate()*s.w.collapseWindow.Seconds()*s.w.collapseMultiple - s.recentLoad
 }
 
-// StoreWait is how long a set-up would wait for the store now, in seconds.
-func (w *World) StoreWait() float64 {
-	if w.Store == nil {
-		return 0
+// dropNewest drops some connections, the newest first, with what they have piled up.
+func (s *Server) dropNewest() {
+	for n := len(s.conns)/dropDivisor + 1; n > 0 && len(s.conns) > 0; n-- {
+		k := s.conns[len(s.conns)-1]
+		s.end(k)
+		s.w.Driver.EndConnect(k.id, Dropped)
 	}
-	return float64(w.Store.Jobs()) * w.storeSlowdown / w.storeRate
+	s.backlog *= backlogAfter
 }
--- /dev/null
+++ b/internal/simulation/totals.go
@@ -0,0 +1,41 @@
+package simulation
+
+import "time"
+
+// Totals are what a day comes to in numbers of things.
+type Totals struct {
+	Clients, Attempts, Retries                 int
+	Established, Rejected, Aborted, NoBalancer int // answers
+	TimedOut                                   int // attempts that were not answered in time
+	Migrated, Cut                              int // connections that ended before their clients left
+
+	Setups           []time.Duration // how long the established attempts took, as the clients saw them
+	EstablishedAt    []time.Duration // when each of them was
+	FirstEstablished []time.Duration // from a client's arrival to its first connection
+	NeverEstablished []time.Duration // how long those waited that never had one
+	RejectedAt       []time.Duration
+	AttemptedAt      []time.Duration
+}
+
+func (t *Totals) countAttempt(now time.Duration, isRetry bool) {
+	t.Attempts++
+	t.AttemptedAt = append(t.AttemptedAt, now)
+	if isRetry {
+		t.Retries++
+	}
+}
+
+func (t *Totals) countAnswer(a Answer, now time.Duration) {
+	switch a {
+	case Established:
+		t.Established++
+		t.EstablishedAt = append(t.EstablishedAt, now)
+	case Rejected:
+		t.Rejected++
+		t.RejectedAt = append(t.RejectedAt, now)
+	case Aborted:
+		t.Aborted++
+	case NoBalancer:
+		t.NoBalancer++
+	}
+}
--- a/internal/simulation/types.go
+++ b/internal/simulation/types.go
@@ -29,39 +29,39 @@
 // NoGroup stands for a client that shares nothing.
 const NoGroup GroupID = -1
 
-// LongAgo is the start of a server that has run since before anybody asked.
+// LongAgo is the start of a server that has run since before the day.
 const LongAgo = time.Duration(-1 << 62)
 
-// Answer is what a client hears of a try.
+// Answer is what a client is told of an attempt.
 type Answer int
 
-// Answers to a try.
+// Answers to an attempt.
 const (
-	Established Answer = iota
-	Rejected           // trying again is harmless
-	Aborted
-	NoBalancer // no balancer took it
+	Established Answer = iota // it has a connection
+	Rejected                  // trying again is harmless
+	Aborted                   // it may have run
+	NoBalancer                // no balancer took it
 )
 
-// Ending is how a standing connection ended for its client, other than by itself.
+// Ending is how an established connection ended for its client, other than by the client itself.
 type Ending int
 
 // Endings.
 const (
-	Migrated Ending = iota // asked to come again
-	Cut                    // reset, or its balancer died
+	Migrated Ending = iota // its client was asked to reconnect
+	Cut                    // it was reset, or its balancer died
 )
 
-// EndReason is what a connect meets before any work is done for it, or in place of its end.
+// EndReason is how a server ends a connect or a connection.
 type EndReason int
 
-// Refusals.
+// Reasons.
 const (
-	Full          EndReason = iota // turned away unseen
+	Full          EndReason = iota // the connect is rejected, and did not run
 	Failed                         // an error; it may have run
 	Dropped                        // the connection broke
-	MoveRequested                  // a server that drains sends its client away
-	ServerStopped                  // a server that stops ends it in order
+	MoveRequested                  // a server that drains asks the client to reconnect
+	ServerStopped                  // a server that stops ends the connection in order
 )
 
 // Reach is what a new connection to a server meets.
@@ -69,22 +69,22 @@
 
 // What a new connection may meet.
 const (
-	Open         Reach = iota
-	Refused            // nobody listens: told at once
-	Unresponsive       // nothing comes back
+	Open         Reach = iota // it is accepted
+	Refused                   // nobody listens, which is known at once
+	Unresponsive              // nothing comes back
 )
 
-// Readiness is what the server list says.
+// Readiness is what the server list says of a server.
 type Readiness int
 
 // What the list says of a server.
 const (
-	Ready Readiness = iota
-	Draining
-	Gone
+	Ready    Readiness = iota // it takes connections
+	Draining                  // it takes none
+	Gone                      // it is not listed
 )
 
-// Entry is one server as the list tells it.
+// Entry is one server as the list has it.
 type Entry struct {
 	Server    ServerID
 	Locality  LocalityID
@@ -104,70 +104,79 @@
 	IsReturning bool // the client has had or tried a connection before
 }
 
-// Driver takes what the world does to its surroundings: the balancers and the network before them. Each call says
-// what happened at the time of the agenda; how long it takes to be heard of is the carrier's to say.
+// Driver is told what the world does to its surroundings: the balancers, and the network before them. Each call says what happens at the
+// time of the schedule; how long it takes until somebody sees it is the driver's matter.
 type Driver interface {
 	// OpenFlow: a client opens a connection at a balancer and sends its line.
 	OpenFlow(a Attempt)
-	// LeaveFlow: a client ends its connection, standing or not.
+	// LeaveFlow: a client ends its flow, established or not.
 	LeaveFlow(f FlowID)
-	// Establish, Turn: a server's word on a connect or a standing connection.
+	// Establish: a server has set a connection up.
 	Establish(c ConnID)
-	EndConnect(c ConnID, how EndReason)
-	// ReportDelay: a message takes that long at a server; told once a second of a server.
+	// EndConnect: a server ends a connect or a connection.
+	EndConnect(c ConnID, reason EndReason)
+	// ReportDelay: a message takes that long at a server; reported once a second.
 	ReportDelay(s ServerID, delay time.Duration)
-	// UpdateList of the list, to one balancer.
-	UpdateList(b BalancerID, full bool, entries []Entry)
-	// KillBalancer and Start a balancer; Stop asks it to end in order.
+	// UpdateList: the server list sends an update to one balancer.
+	UpdateList(b BalancerID, isFull bool, entries []Entry)
+	// KillBalancer: a balancer ends outright.
 	KillBalancer(b BalancerID)
+	// StopBalancer: a balancer is asked to end in order.
 	StopBalancer(b BalancerID)
+	// StartBalancer: a balancer starts.
 	StartBalancer(b BalancerID)
-	// ServerChanged: what new connections meet at a server may have changed; those it had have been told by Turn.
+	// ServerChanged: what new connections meet at a server may have changed. Calls of EndConnect have told of those that it had.
 	ServerChanged(s ServerID)
 }
 
 // Service is one service type.
 type Service struct {
-	Name            string
-	Share           float64 // of new connections
-	Load, Life      float64 // times the usual
-	Target          time.Duration
-	Timeout         time.Duration // connect timeout
-	Message         time.Duration // a message is wanted within this
-	Value           float64       // a second
-	Effect, Group   string        // as the settings have them
-	Window          time.Duration
-	Work            float64 // of a set-up, core seconds of speed 1
-	WorkSpread      float64 // coefficient of variation; 1 is exponential
-	LoadSpread      float64 // sigma of the usual load over clients
-	Swing           float64 // sigma of a client's load over time
-	ChangeEvery     time.Duration
-	MessageWork     time.Duration // of one message on a core of speed 1
-	LifeSigma       float64
-	RetriesInARow   int
+	Name   string
+	Share  float64 // of new connections
+	Value  float64 // of a connection, a second
+	Effect string  // in the words of settings
+	Group  string  // in the words of settings
+	Window time.Duration
+
+	Target  time.Duration // for a set-up
+	Timeout time.Duration // of an attempt
+	Message time.Duration // a message is wanted within this
+
+	Work        float64       // of a set-up, core seconds of speed 1
+	WorkSpread  float64       // coefficient of variation; 1 is exponential
+	MessageWork time.Duration // of one message on a core of speed 1
+
+	Load             float64       // of a connection, times the usual
+	LoadSpread       float64       // sigma of the usual load over clients
+	LoadChangeSpread float64       // sigma of a client's load over time
+	ChangeEvery      time.Duration // a client's load, on average
+
+	Lifetime      float64 // of a connection, times the usual
+	LifetimeSigma float64
+
+	RetriesInARow   int // after which a client pauses for longer
 	Retry           RetryPolicy
-	RetryDelay      time.Duration // of the habit
-	ReturnMin       time.Duration // after a break
-	ReturnMax       time.Duration
-	ObeysRetryAfter float64 // share of clients that wait when told to
-	SilenceNoticed  time.Duration
+	RetryDelay      time.Duration // of the policy
+	ObeysRetryAfter float64       // share of clients that wait as long as they are told
+	Return          Interval      // until a client comes back that lost its connection
+	SilenceNoticed  time.Duration // after which a client gives a silent connection up; 0: never
 }
 
-// RetryPolicy is when a client whose try came to nothing tries again.
+// RetryPolicy is when a client makes another attempt after one that came to nothing.
 type RetryPolicy int
 
-// Habits of a client.
+// Retry policies.
 const (
-	NeverRetry RetryPolicy = iota
-	RetryAtOnce
-	RetryAfterFixedDelay
-	RetryWithBackoff // doubled each time, with jitter
+	NeverRetry           RetryPolicy = iota // it stays away
+	RetryAtOnce                             // it makes one at once
+	RetryAfterFixedDelay                    // it waits for Service.RetryDelay
+	RetryWithBackoff                        // it waits for Service.RetryDelay, doubled each time, with jitter
 )
 
-// Customer shares the fleet.
+// Customer is one of those who share the fleet.
 type Customer struct {
 	Name  string
 	Share float64 // of the fleet
 	Usage float64 // of its share that it asks for
-	Quota float64 // standing connections within its share
+	Quota float64 // established connections within its share
 }
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -7,8 +7,15 @@
 	"time"
 )
 
-// World is one day of it. Call New, the Start calls, AddServer and AddBalancer for all there are, then Begin; from
-// then on what happens is on the Agenda, and the surroundings answer by Arrive, Closed, Answered and Broken.
+const (
+	reportInterval = time.Second // at which a server looks whether it is late
+	settleInterval = 250 * time.Millisecond
+	storeCores     = 1
+)
+
+// World is one day of the model. Call New, the Configure calls, AddServer and AddBalancer for all there are, and then List.Begin,
+// ScheduleFaults and StartLoad; from then on what happens is on the Schedule, and the surroundings answer by ArriveConnect, CloseConnect,
+// AnswerFlow and BreakFlow.
 type World struct {
 	Schedule   *Schedule
 	Driver     Driver
@@ -18,199 +25,199 @@
 	Localities []string
 	Servers    []*Server
 	Balancers  []*Balancer
-	Store      *Queue
+	Store      *Queue // nil: there is none
 	Accounting *Accounting
 	Network    *Network
 	List       *List
+	Totals     Totals
 
-	storeRate       float64
-	storeSlowdown   float64
-	storeRandom     *rand.Rand
-	reportDelayFrom time.Duration
-	messageWork     float64 // work of a message on a core of speed 1, seconds
-	meanLoad        float64
-
-	slowStartFrom, collapseMultiple float64
-	collapseWindow, slowStartWithin time.Duration
-
-	clients            []*Client // who stand, open or wait; the order is that of their coming
-	lastConn           ConnID
-	conns              map[ConnID]*Server
-	flows              map[FlowID]*Client
-	lastFlow           FlowID
-	source             ArrivalSource
-	random             *rand.Rand // chance of all that strikes at large
 	Collapsed          []ServerID
-	MaxSlowStartExcess float64 // onto any cold server over the window of the rule, over what it took; a few connections are left out
-	onCollapse         func(ServerID)
-	Totals             Totals
-	noticeMin          time.Duration
-	noticeMax          time.Duration
-	drainKind          Drain
-	localWeight        float64
-
-	frontElsewhere bool
+	MaxSlowStartExcess float64 // of the load on a starting server over the window of the rule, over its capacity, less what is put down to chance
+
+	random          *rand.Rand // of what concerns no single client or server
+	slowStart       SlowStartConfig
+	drainKind       Drain
+	reportDelayFrom time.Duration // a message that takes longer is late
+	messageWork     float64       // of a message on a core of speed 1, seconds
+	meanLoad        float64       // of a connection
+	localWeight     float64
+
+	storeRate     float64 // calls a second
+	storeSlowdown float64
+	storeRandom   *rand.Rand
+
+	source   ArrivalSource
+	clients  []*Client // that have not finished; the order changes when one does
+	conns    map[ConnID]*Server
+	flows    map[FlowID]*Client
+	lastConn ConnID
+	lastFlow FlowID
+
+	frontNotice    Interval
+	frontElsewhere bool // the front's beliefs are set from outside
 }
 
-// Totals are what a day comes to in numbers of things.
-type Totals struct {
-	Clients, Attempts, Retries, Established, Rejected, Aborted, NoBalancer, TimedOut, Migrated, Cut int
-	Setups                                                                                          []time.Duration // of those established, as the clients saw them
-	EstablishedAt                                                                                   []time.Duration
-	FirstEstablished                                                                                []time.Duration // from when a client meant to come to its first connection
-	NeverEstablished                                                                                []time.Duration // how long those waited who never had one
-	RejectedAt, AttemptedAt                                                                         []time.Duration
+// Balancer is a place where clients can connect. Its decisions are made elsewhere.
+type Balancer struct {
+	ID       BalancerID
+	Locality LocalityID
+	IsUp     bool
+
+	believedUp bool // by the front, the layer that leads clients to balancers
 }
 
-// Balancer is one place where clients can connect; its decisions are made elsewhere.
-type Balancer struct {
-	ID         BalancerID
-	Locality   LocalityID
-	IsUp       bool
-	believedUp bool // by the front
+// SlowStartConfig says how servers start, and when they collapse.
+type SlowStartConfig struct {
+	From             float64 // least share of its capacity that a server starts with
+	CollapseMultiple float64 // a server that is sent more times its capacity over the window collapses; 0: none does
+	CollapseWindow   time.Duration
 }
 
-// New makes an empty world. The books run over length; lateFrom is the delay of a message from which servers tell of it.
-func New(seed uint64, length, lateFrom time.Duration) *World {
-	a := &Schedule{}
-	w := &World{Schedule: a, Seed: seed, reportDelayFrom: lateFrom, storeSlowdown: 1, localWeight: 1, conns: map[ConnID]*Server{},
-		flows: map[FlowID]*Client{}, random: RandomSource(seed, "wide", 0), storeRandom: RandomSource(seed, "store", 0)}
+// ServicesConfig says what clients ask for.
+type ServicesConfig struct {
+	Services         []Service
+	Customers        []Customer
+	Localities       []string
+	BeyondShareValue float64       // what a value counts beyond a customer's share
+	MeanLoad         float64       // of a connection
+	MessageWork      time.Duration // of a message on a core of speed 1
+}
+
+// New makes an empty world for a day of a length. Servers report the delay of their messages from reportDelayFrom on.
+func New(seed uint64, length, reportDelayFrom time.Duration) *World {
+	w := &World{Schedule: &Schedule{}, Seed: seed, reportDelayFrom: reportDelayFrom, storeSlowdown: 1, localWeight: 1,
+		conns: map[ConnID]*Server{}, flows: map[FlowID]*Client{},
+		random: RandomSource(seed, "wide", 0), storeRandom: RandomSource(seed, "store", 0)}
 	w.Network = newNetwork()
 	w.List = newList(w)
 	w.Accounting = &Accounting{Length: length}
 	return w
 }
 
-// ConfigureServices sets what clients ask for; message is the work of one message on a core of speed 1.
-func (w *World) ConfigureServices(services []Service, customers []Customer, halls []string, beyond, meanLoad float64, message time.Duration) {
-	w.Services, w.Customers, w.Localities = services, customers, halls
-	w.meanLoad, w.messageWork = meanLoad, message.Seconds()
-	w.Accounting = NewAccounting(w.Accounting.Length, len(services), len(customers), len(halls), beyond)
+// ConfigureServices sets what clients ask for.
+func (w *World) ConfigureServices(c ServicesConfig) {
+	w.Services, w.Customers, w.Localities = c.Services, c.Customers, c.Localities
+	w.meanLoad, w.messageWork = c.MeanLoad, c.MessageWork.Seconds()
+	w.Accounting = NewAccounting(w.Accounting.Length, len(c.Services), len(c.Customers), len(c.Localities), c.BeyondShareValue)
 }
 
-// ConfigureEstablished sets by how much likelier than elsewhere a connection that stands when the day begins is in its
-// client's own hall, server for server.
-func (w *World) ConfigureEstablished(homeWeight float64) { w.localWeight = homeWeight }
+// ConfigureEstablished sets by how much likelier than elsewhere a connection that is established when the day begins is in its client's
+// own locality, server for server.
+func (w *World) ConfigureEstablished(localWeight float64) { w.localWeight = localWeight }
 
-// ConfigureStore sets the session store that each set-up asks once: calls a second; 0 for none.
+// ConfigureStore sets the session store that each set-up calls once: calls a second; 0 for none.
 func (w *World) ConfigureStore(rate float64) {
 	if rate > 0 {
 		w.storeRate = rate
-		w.Store = NewQueue(w.Schedule, 1, -1, rate)
+		w.Store = NewQueue(w.Schedule, storeCores, anyNumber, rate)
 	}
 }
 
-// ConfigureSlowStart sets how servers start: what they can do at first, how long they warm, and when they fall over.
-func (w *World) ConfigureSlowStart(from, multiple float64, window, warmAfter time.Duration) {
-	w.slowStartFrom, w.collapseMultiple, w.collapseWindow, w.slowStartWithin = from, multiple, window, warmAfter
-}
+// ConfigureSlowStart sets how servers start.
+func (w *World) ConfigureSlowStart(c SlowStartConfig) { w.slowStart = c }
 
 // ConfigureFront sets how late the layer before the balancers notices that one is dead.
-func (w *World) ConfigureFront(noticeMin, noticeMax time.Duration) {
-	w.noticeMin, w.noticeMax = noticeMin, noticeMax
-}
+func (w *World) ConfigureFront(notice Interval) { w.frontNotice = notice }
 
-// FirstFlow has the flows' ids begin after one: ids that another run used may be kept by balancers that run on.
+// ConfigureDrains sets what a draining server does with its connections.
+func (w *World) ConfigureDrains(d Drain) { w.drainKind = d }
+
+// FirstFlow has the flows' ids begin after one: balancers that run on may still know ids that another run used.
 func (w *World) FirstFlow(after FlowID) { w.lastFlow = after }
 
-// FrontElsewhere has somebody else say, by Believe, which balancers the front takes for alive.
+// FrontElsewhere has SetFrontBelief say which balancers the front believes to be up, in place of the model.
 func (w *World) FrontElsewhere() { w.frontElsewhere = true }
 
-// SetFrontBelief is that word.
-func (w *World) SetFrontBelief(b BalancerID, alive bool) { w.Balancers[b].believedUp = alive }
+// SetFrontBelief sets whether the front believes a balancer to be up.
+func (w *World) SetFrontBelief(b BalancerID, isUp bool) { w.Balancers[b].believedUp = isUp }
 
-// believe is the front's own word.
-func (w *World) believe(b *Balancer, alive bool) {
+// believe is the model's own belief.
+func (w *World) believe(b *Balancer, isUp bool) {
 	if !w.frontElsewhere {
-		b.believedUp = alive
+		b.believedUp = isUp
 	}
 }
 
-// KillBalancer ends one outright.
+// KillBalancer ends a balancer outright.
 func (w *World) KillBalancer(b BalancerID) { w.killBalancers([]*Balancer{w.Balancers[b]}) }
 
-// ReviveBalancer starts one again.
+// ReviveBalancer starts a balancer again.
 func (w *World) ReviveBalancer(b BalancerID) { w.reviveBalancers([]*Balancer{w.Balancers[b]}) }
 
-// ConfigureDrains sets what a draining server does with its connections.
-func (w *World) ConfigureDrains(d Drain) { w.drainKind = d }
+// AddServer adds a server that has run for long.
+func (w *World) AddServer(spec ServerSpec) *Server { return w.addServer(spec, LongAgo) }
 
-// OnCollapse has somebody told of a server that was pushed over.
-func (w *World) OnCollapse(f func(ServerID)) { w.onCollapse = f }
-
-// AddServer adds a server that has run for long, or starts now where cold is true.
-func (w *World) AddServer(hall LocalityID, cell CellID, cores int, speed, size float64, most, room int, buffer time.Duration,
-	groupLoad, coldFrom float64, warmTime time.Duration, byWork float64, cold bool) *Server {
-	s := &Server{w: w, ID: ServerID(len(w.Servers)), Locality: hall, Cell: cell, Cores: cores, Speed: speed, Size: size,
-		MaxConnections: most, Buffer: buffer, GroupLoad: groupLoad, slowStartFrom: max(coldFrom, w.slowStartFrom), slowStart: warmTime,
-		slowStartByWork: byWork, startedAt: LongAgo, slowdown: 1, connByID: map[ConnID]*conn{}, groups: map[GroupID]int{},
-		values: map[valueKey]float64{}, drain: w.drainKind, settled: w.Schedule.now}
-	s.chance = RandomSource(w.Seed, "server", int(s.ID))
-	s.setups = NewQueue(w.Schedule, cores, room, speed)
-	if cold {
-		s.startedAt = w.Schedule.now
-	}
+// StartServer adds a server that starts now.
+func (w *World) StartServer(spec ServerSpec) *Server { return w.addServer(spec, w.Schedule.now) }
+
+func (w *World) addServer(spec ServerSpec, startedAt time.Duration) *Server {
+	spec.SlowStartFrom = max(spec.SlowStartFrom, w.slowStart.From)
+	s := &Server{ServerSpec: spec, ID: ServerID(len(w.Servers)), w: w, startedAt: startedAt, slowdown: 1,
+		connByID: map[ConnID]*conn{}, groups: map[GroupID]int{}, values: map[valueKey]float64{}, settledAt: w.Schedule.now}
+	s.random = RandomSource(w.Seed, "server", int(s.ID))
+	s.setups = NewQueue(w.Schedule, spec.Cores, spec.MaxWaiting, spec.Speed)
 	w.Servers = append(w.Servers, s)
-	beat := UniformDuration(s.chance, 0, time.Second)
-	w.every(w.Schedule.now+beat, time.Second, Work, s.reportDelay)
-	w.every(w.Schedule.now+beat/4, 250*time.Millisecond, Book, func() { s.settle(); s.changed() })
+	phase := UniformDuration(s.random, 0, reportInterval)
+	w.every(w.Schedule.now+phase, reportInterval, Work, s.reportDelay)
+	w.every(w.Schedule.now+phase/4, settleInterval, Measure, func() {
+		s.settle()
+		s.updateSetupSpeed()
+	})
 	w.List.changed(s)
 	return s
 }
 
-// AddBalancer adds one that serves.
-func (w *World) AddBalancer(h LocalityID) *Balancer {
-	b := &Balancer{ID: BalancerID(len(w.Balancers)), Locality: h, IsUp: true, believedUp: true}
+// AddBalancer adds a balancer that is up.
+func (w *World) AddBalancer(l LocalityID) *Balancer {
+	b := &Balancer{ID: BalancerID(len(w.Balancers)), Locality: l, IsUp: true, believedUp: true}
 	w.Balancers = append(w.Balancers, b)
-	w.List.subscribers = append(w.List.subscribers, subscriber{subscribed: true})
+	w.List.subscribers = append(w.List.subscribers, subscriber{isSubscribed: true})
 	return b
 }
 
 // every does something again and again until the end of the day.
-func (w *World) every(from, gap time.Duration, r Rank, do func()) {
+func (w *World) every(from, interval time.Duration, r Rank, do func()) {
 	var next func()
 	next = func() {
 		do()
-		if w.Schedule.now+gap <= w.Accounting.Length {
-			w.Schedule.After(gap, r, next)
+		if w.Schedule.now+interval <= w.Accounting.Length {
+			w.Schedule.After(interval, r, next)
 		}
 	}
 	w.Schedule.At(from, r, next)
 }
 
+// EverySecond does something at the end of each second of the day.
+func (w *World) EverySecond(do func()) { w.every(time.Second, time.Second, Measure, do) }
+
 // setupWork draws the work of one set-up.
 func (w *World) setupWork(id ServiceID, r *rand.Rand) float64 {
-	v := w.Services[id]
-	if v.WorkSpread == 1 {
-		return v.Work * r.ExpFloat64()
+	service := w.Services[id]
+	if service.WorkSpread == 1 {
+		return service.Work * r.ExpFloat64()
 	}
-	return v.Work * LogNormal(r, math.Sqrt(math.Log(1+v.WorkSpread*v.WorkSpread)))
-}
-
-// chanceAllowance is the load beyond a budget of N connects that may be put down to chance: that of 2√N + 2.
-func (w *World) chanceAllowance(budget float64) float64 {
-	return 2*math.Sqrt(budget*w.meanLoad) + 2*w.meanLoad
+	return service.Work * LogNormal(r, math.Sqrt(math.Log(1+service.WorkSpread*service.WorkSpread)))
 }
 
-func (w *World) collapse(s *Server) {
-	w.Collapsed = append(w.Collapsed, s.ID)
-	if w.onCollapse != nil {
-		w.onCollapse(s.ID)
+// StoreWait is how long a set-up would wait for the store now, in seconds.
+func (w *World) StoreWait() float64 {
+	if w.Store == nil {
+		return 0
 	}
-	s.goDown(Collapsed)
-	w.List.updateAfter(s, w.List.noticeDelay())
+	return float64(w.Store.Jobs()) * w.storeSlowdown / w.storeRate
 }
 
-// ---- what balancers do to servers
-
 // NewConnID is a new id of a connect.
-func (w *World) NewConnID() ConnID { w.lastConn++; return w.lastConn }
+func (w *World) NewConnID() ConnID {
+	w.lastConn++
+	return w.lastConn
+}
 
-// Reach tells what a new connection from a hall meets at a server now.
+// Reach tells what a new connection from a locality meets at a server now.
 func (w *World) Reach(from LocalityID, id ServerID) Reach {
 	s := w.Servers[id]
 	switch {
-	case s.phase == Silent || w.Network.IsBlocked(from, s.Locality) || w.Network.IsBlocked(s.Locality, from):
+	case s.phase == Silent || w.Network.isPartitioned(from, s.Locality):
 		return Unresponsive
 	case !s.IsServing():
 		return Refused
@@ -221,17 +228,14 @@
 // ArriveConnect brings a connect's line to its server.
 func (w *World) ArriveConnect(id ConnID, to ServerID, f FlowID, from LocalityID) {
 	s, c := w.Servers[to], w.flows[f]
-	if c == nil {
-		return // its client has gone meanwhile, and the balancer is about to hear of it
-	}
-	if s.phase == Silent || w.Network.IsBlocked(from, s.Locality) {
-		return
-	}
-	if !s.IsServing() {
+	switch {
+	case c == nil: // its client has left, and the balancer is about to be told
+	case s.phase == Silent || w.Network.IsBlocked(from, s.Locality): // the line is lost
+	case !s.IsServing():
 		w.Driver.EndConnect(id, Dropped)
-		return
+	default:
+		s.arrive(id, c, from)
 	}
-	s.arrive(id, c, from)
 }
 
 // CloseConnect says that a balancer has ended its connection to a server.
@@ -241,15 +245,7 @@
 	}
 }
 
-// Find gives the server and client of a connection.
-func (w *World) Find(id ConnID) (*Server, *Client) {
-	if s := w.conns[id]; s != nil {
-		return s, s.connByID[id].client
-	}
-	return nil, nil
-}
-
-// Connections of a server that stand, oldest place first.
+// Connections are the established connections of a server, by id.
 func (s *Server) Connections() (ids []ConnID) {
 	for _, k := range s.conns {
 		if k.stage == established {
@@ -260,20 +256,18 @@
 	return ids
 }
 
-// HoldsGroup tells whether any connection of a group stands here.
-func (s *Server) HoldsGroup(g GroupID) bool { return g != NoGroup && s.groups[g] > 0 }
+// Client of a flow; nil when the flow is over.
+func (w *World) Client(f FlowID) *Client { return w.flows[f] }
 
-// QueueDelay tells by how much a flow that came now would wait for the cores here, beside others' standing work.
-func (s *Server) QueueDelay() float64 {
-	if can := s.CurrentCapacity(); can > 0 {
-		return s.backlog / can
+// Capacity is the work a second that all servers do when they are warm and have no faults.
+func (w *World) Capacity() (sum float64) {
+	for _, s := range w.Servers {
+		sum += s.FullCapacity()
 	}
-	return math.Inf(1)
+	return sum
 }
 
-// ---- end of the day
-
-// End closes the books: what stands has been served until now.
+// End closes the accounts: what is established has been served until now.
 func (w *World) End() {
 	for _, s := range w.Servers {
 		s.settle()
@@ -282,17 +276,3 @@
 		c.countNeverEstablished()
 	}
 }
-
-// Client of a flow, nil when the flow is over.
-func (w *World) Client(f FlowID) *Client { return w.flows[f] }
-
-// Capacity is what all servers can do, in cores.
-func (w *World) Capacity() (full float64) {
-	for _, s := range w.Servers {
-		full += s.FullCapacity()
-	}
-	return full
-}
-
-// EverySecond does something at the end of each second of the day.
-func (w *World) EverySecond(do func()) { w.every(time.Second, time.Second, Book, do) }
--- a/internal/testbed/count/count_test.go
+++ b/internal/testbed/count/count_test.go
@@ -10,12 +10,12 @@
 
 func TestServiceIsServedOverRequestedValue(t *testing.T) {
 	accounting := simulation.NewAccounting(40*time.Second, 2, 2, 2, 0.5)
-	accounting.AddRequested(0, 0, false, 0, 0, 40*time.Second, 1)
-	accounting.AddRequested(1, 1, false, 0, 0, 40*time.Second, 3)
-	accounting.AddRequested(0, 1, true, 0, 0, 40*time.Second, 2) // counts half
-	accounting.AddServed(0, 0, false, 0, 0, 40*time.Second, 1)
-	accounting.AddServed(1, 1, false, 0, 5*time.Second, 25*time.Second, 3)
-	accounting.AddServed(0, 1, true, 0, 0, 20*time.Second, 2)
+	accounting.AddRequested(simulation.Account{}, 0, 40*time.Second, 1)
+	accounting.AddRequested(simulation.Account{Service: 1, Customer: 1}, 0, 40*time.Second, 3)
+	accounting.AddRequested(simulation.Account{Customer: 1, IsBeyondShare: true}, 0, 40*time.Second, 2) // counts half
+	accounting.AddServed(simulation.Account{}, 0, 40*time.Second, 1)
+	accounting.AddServed(simulation.Account{Service: 1, Customer: 1}, 5*time.Second, 25*time.Second, 3)
+	accounting.AddServed(simulation.Account{Customer: 1, IsBeyondShare: true}, 0, 20*time.Second, 2)
 	var r Result
 	r.Crossings = 5
 	totals := &simulation.Totals{Clients: 10, Setups: []time.Duration{10 * time.Millisecond, 30 * time.Millisecond}, EstablishedAt: []time.Duration{0, time.Second}}
--- a/internal/testbed/experiment/day.go
+++ b/internal/testbed/experiment/day.go
@@ -57,24 +57,25 @@
 	retries, wait, obeys, silence := e.retries.whole(r), e.wait.draw(r), e.obeys.draw(r), e.silence.draw(r)
 	for i := range d.services {
 		s := &d.services[i]
-		s.LoadSpread, s.Swing, s.ChangeEvery, s.LifeSigma = d.spread, swing, every, d.sigma
+		s.LoadSpread, s.LoadChangeSpread, s.ChangeEvery, s.LifetimeSigma = d.spread, swing, every, d.sigma
 		s.RetriesInARow, s.Retry, s.RetryDelay, s.ObeysRetryAfter, s.SilenceNoticed = retries, habit, wait, obeys, silence
-		s.ReturnMin, s.ReturnMax = e.comeBack.lo, e.comeBack.hi
+		s.Return = simulation.Interval{Min: e.comeBack.lo, Max: e.comeBack.hi}
 		shortest = min(shortest, s.Message)
 	}
 	w := simulation.New(seed, e.Length, shortest/3)
 	d.World = w
-	w.ConfigureSlowStart(e.coldLeast, e.multiple, e.fall, e.warmMost)
+	w.ConfigureSlowStart(simulation.SlowStartConfig{From: e.coldLeast, CollapseMultiple: e.multiple, CollapseWindow: e.fall})
 	meanLoad := d.MeanLoad()
-	w.ConfigureServices(d.services, d.customers, e.halls, e.beyond, meanLoad, d.services[0].MessageWork)
+	w.ConfigureServices(simulation.ServicesConfig{Services: d.services, Customers: d.customers, Localities: e.halls,
+		BeyondShareValue: e.beyond, MeanLoad: meanLoad, MessageWork: d.services[0].MessageWork})
 	w.ConfigureEstablished(e.home)
 	w.ConfigureNetwork(e.same.draw(r), e.cross.draw(r), e.client.draw(r))
-	w.ConfigureFront(e.frontNotice.lo, e.frontNotice.hi)
-	w.ConfigureDrains(map[string]simulation.Drain{"quiet": simulation.Quiet, "paced": simulation.Paced, "at-once": simulation.Flat}[e.drains])
+	w.ConfigureFront(simulation.Interval{Min: e.frontNotice.lo, Max: e.frontNotice.hi})
+	w.ConfigureDrains(map[string]simulation.Drain{"quiet": simulation.Quiet, "paced": simulation.Paced, "at-once": simulation.AtOnce}[e.drains])
 	d.fleet(r, meanLoad)
 	d.shares(r)
-	w.ConfigureList(e.notice.lo, e.notice.hi, e.silentNotice.lo, e.silentNotice.hi, e.addNotice.lo, e.addNotice.hi,
-		e.spread.lo, e.spread.hi, e.asked)
+	iv := func(s span) simulation.Interval { return simulation.Interval{Min: s.lo, Max: s.hi} }
+	w.ConfigureList(simulation.ListConfig{Notice: iv(e.notice), NoticeSilent: iv(e.silentNotice), NoticeAdded: iv(e.addNotice), Spread: iv(e.spread), MustSubscribe: e.asked})
 	w.List.Begin()
 	for _, t := range e.troubles {
 		x := simulation.Fault{Kind: t.kind, Start: simulation.UniformDuration(r, t.startLo, t.startHi),
@@ -108,8 +109,9 @@
 			size = float64(cores) * speed * simulation.Uniform(r, 0.85, 1.15)
 		}
 		full := float64(cores) * speed * d.perCore
-		w.AddServer(simulation.LocalityID(i%halls), simulation.CellID(i/e.cell), cores, speed, size, max(4, int(fillings*full)),
-			int(queue*float64(cores)), buffer, group*meanLoad, coldFrom, e.warm.draw(r), byWork, false)
+		w.AddServer(simulation.ServerSpec{Locality: simulation.LocalityID(i % halls), Cell: simulation.CellID(i / e.cell), Cores: cores, Speed: speed, Size: size,
+			MaxConnections: max(4, int(fillings*full)), MaxWaiting: int(queue * float64(cores)), Buffer: buffer, GroupLoad: group * meanLoad,
+			SlowStart: e.warm.draw(r), SlowStartFrom: coldFrom, SlowStartByWork: byWork})
 	}
 	for i := range e.balancers.whole(r) {
 		w.AddBalancer(simulation.LocalityID(i % halls))
@@ -145,8 +147,8 @@
 	load := 0.0
 	shares := 0.0
 	for _, s := range d.services {
-		load += s.Share * s.Load * s.Life
-		shares += s.Share * s.Life
+		load += s.Share * s.Load * s.Lifetime
+		shares += s.Share * s.Lifetime
 	}
 	return d.load * d.capacity * d.perCore / (perConnection * load / shares)
 }
@@ -154,7 +156,7 @@
 func (d *Day) meanLife() float64 {
 	life, shares := 0.0, 0.0
 	for _, s := range d.services {
-		life += s.Share * s.Life
+		life += s.Share * s.Lifetime
 		shares += s.Share
 	}
 	return d.life.Seconds() * life / shares
@@ -204,7 +206,7 @@
 		s.standing--
 		v := s.visit()
 		// Who is met standing has a long life the likelier, and is somewhere within it.
-		v.Life = time.Duration(float64(v.Life) * math.Exp(d.sigma*d.sigma) * s.r.Float64())
+		v.Lifetime = time.Duration(float64(v.Lifetime) * math.Exp(d.sigma*d.sigma) * s.r.Float64())
 		v.IsEstablished = true
 		return v, true
 	}
@@ -248,12 +250,12 @@
 			all += o.Share * o.Usage
 		}
 		asks := c.Share * c.Usage / all * d.standing()
-		v.Beyond = r.Float64() > c.Quota/math.Max(asks, 1e-9)
+		v.IsBeyondShare = r.Float64() > c.Quota/math.Max(asks, 1e-9)
 	}
 	v.Group = group.first + simulation.GroupID(group.zipf.Draw(r))
 	v.Locality = simulation.LocalityID(weighted(r, len(d.skew), func(i int) float64 { return d.skew[i] }))
 	v.Load = svc.Load / d.perCore * simulation.LogNormal(r, svc.LoadSpread)
-	v.Life = time.Duration(svc.Life * d.life.Seconds() * simulation.LogNormal(r, svc.LifeSigma) * float64(time.Second))
+	v.Lifetime = time.Duration(svc.Lifetime * d.life.Seconds() * simulation.LogNormal(r, svc.LifetimeSigma) * float64(time.Second))
 	return v
 }
 
--- a/internal/testbed/experiment/experiment.go
+++ b/internal/testbed/experiment/experiment.go
@@ -190,7 +190,7 @@
 func (e *Experiment) readServices(t strict.Table) {
 	for _, s := range t.Tables("service") {
 		v := simulation.Service{Name: s.String("name", ""), Share: s.Float("share", 1, 0.0001, 1e6),
-			Load: s.Float("load", 1, 0.001, 1000), Life: s.Float("life", 1, 0.001, 1000),
+			Load: s.Float("load", 1, 0.001, 1000), Lifetime: s.Float("life", 1, 0.001, 1000),
 			Target: s.Duration("setup-target", 300*time.Millisecond, hour), Timeout: s.Duration("connect-timeout", 1800*time.Millisecond, hour),
 			Message: s.Duration("message-target", 250*time.Millisecond, hour), Value: s.Float("value", 1, 0, 1e6),
 			Effect: s.String("effect", "free", "free", "guarded", "single_shot"), Group: s.String("group", "all", "all", "zone", "cell"),
@@ -205,7 +205,7 @@
 		e.services = append(e.services, v)
 	}
 	if len(e.services) == 0 {
-		e.services = []simulation.Service{{Name: "live", Share: 1, Load: 1, Life: 1, Target: 300 * time.Millisecond,
+		e.services = []simulation.Service{{Name: "live", Share: 1, Load: 1, Lifetime: 1, Target: 300 * time.Millisecond,
 			Timeout: 1800 * time.Millisecond, Message: 250 * time.Millisecond, Value: 1, Effect: "free", Group: "all",
 			Window: 5 * time.Second, Work: 0.006, WorkSpread: 1, MessageWork: 5 * time.Millisecond}}
 	}
--- a/internal/testbed/experiment/steady.go
+++ b/internal/testbed/experiment/steady.go
@@ -28,5 +28,5 @@
 	s.at += s.r.ExpFloat64() / s.rate
 	return simulation.Arrival{At: time.Duration(s.at * float64(time.Second)), Customer: -1, Group: simulation.GroupID(s.groups.Draw(s.r)),
 		Locality: simulation.LocalityID(s.r.IntN(s.halls)), Load: 1,
-		Life: time.Duration(float64(s.life) * simulation.LogNormal(s.r, s.sigma))}, true
+		Lifetime: time.Duration(float64(s.life) * simulation.LogNormal(s.r, s.sigma))}, true
 }
--- a/internal/testbed/fleet/strike.go
+++ b/internal/testbed/fleet/strike.go
@@ -28,7 +28,7 @@
 		at, length := f.at.draw(chance), f.length.draw(chance)
 		r.w.Schedule.At(at, simulation.Cause, func() { r.strike(f, length) })
 	}
-	r.w.Schedule.At(r.p.Experiment.Length-lastLook, simulation.Book, r.countDescriptors)
+	r.w.Schedule.At(r.p.Experiment.Length-lastLook, simulation.Measure, r.countDescriptors)
 }
 
 // begin starts what goes on beside the timeline.
@@ -61,7 +61,7 @@
 				spans[len(spans)-1].To = r.dr.Elapsed()
 			}
 		}
-		r.w.Schedule.After(100*time.Millisecond, simulation.Book, look)
+		r.w.Schedule.After(100*time.Millisecond, simulation.Measure, look)
 	}
 	r.dr.Do(look)
 }
--- a/internal/testbed/scenario/gossip.go
+++ b/internal/testbed/scenario/gossip.go
@@ -46,7 +46,7 @@
 	g.exchanges[id] = exchange
 	if !g.isScheduled {
 		g.isScheduled = true
-		g.world.Schedule.After(gossipInterval, simulation.Book, g.publish)
+		g.world.Schedule.After(gossipInterval, simulation.Measure, g.publish)
 	}
 	return exchange
 }
@@ -61,11 +61,11 @@
 		}
 		exchange.SetTime(now)
 		if record, isDue := exchange.Publish(len(g.world.Balancers)); isDue {
-			g.world.Schedule.After(gossipDelay, simulation.News, func() { g.deliver(exchange, record) })
+			g.world.Schedule.After(gossipDelay, simulation.ListUpdate, func() { g.deliver(exchange, record) })
 		}
 	}
 	if now+gossipInterval <= g.world.Accounting.Length {
-		g.world.Schedule.After(gossipInterval, simulation.Book, g.publish)
+		g.world.Schedule.After(gossipInterval, simulation.Measure, g.publish)
 	}
 }
 
--- a/internal/testbed/virtual/list.go
+++ b/internal/testbed/virtual/list.go
@@ -105,7 +105,7 @@
 	if !on {
 		return
 	}
-	b.driver.world.Schedule.After(subscribeDelay, simulation.News, b.whileRunning(func() {
+	b.driver.world.Schedule.After(subscribeDelay, simulation.ListUpdate, b.whileRunning(func() {
 		if !b.driver.world.List.Subscribe(b.id) {
 			b.decide().BeginEndpoints(decide.FailedUpdate)
 		}
