--- a/cmd/testbed/hunt.go
+++ b/cmd/testbed/hunt.go
@@ -31,12 +31,12 @@
 
 // found is the worst day and what it needs to show itself.
 type found struct {
-	Seed     uint64          `json:"seed"`
-	Loss     float64         `json:"loss"`
-	Ours     float64         `json:"ours"`
-	Top      float64         `json:"top"`
+	Seed     uint64        `json:"seed"`
+	Loss     float64       `json:"loss"`
+	Ours     float64       `json:"ours"`
+	Top      float64       `json:"top"`
 	Troubles []count.Fault `json:"troubles"`
-	Left     []string        `json:"left_out"`
+	Left     []string      `json:"left_out"`
 }
 
 func hunt(ctx context.Context, c *cli.Command) error {
--- a/cmd/testbed/parts.go
+++ b/cmd/testbed/parts.go
@@ -119,7 +119,8 @@
 	slack, hold := sockets.HeldBack()
 	ref := scenario.NewChecker(d, slack, hold)
 	dr := sockets.Load(ctx, d, ref, addrs)
-	void, err := dr.RunLoad(experiment.NewSteady(seed, rate, life, 1, groups, len(d.World.Localities)), progress)
+	void, err := dr.RunLoad(experiment.NewSteady(experiment.SteadyConfig{Seed: seed, Rate: rate, Lifetime: life, LifetimeSigma: 1,
+		Groups: groups, Localities: len(d.World.Localities)}), progress)
 	if err != nil {
 		return nil, err
 	}
--- a/cmd/testbed/try.go
+++ b/cmd/testbed/try.go
@@ -116,7 +116,7 @@
 	switch policy {
 	case "ours":
 	case "ours+halls":
-		if err := dr.Options(e.Halls.Text()); err != nil {
+		if err := dr.Options(e.Locality.Text()); err != nil {
 			return nil, err
 		}
 	default:
--- a/internal/testbed/count/count.go
+++ b/internal/testbed/count/count.go
@@ -14,7 +14,8 @@
 	Crossing, Migrations, Connects                            float64 // prices
 }
 
-func (w Weights) sum() float64 {
+// Sum of the weights, without the prices.
+func (w Weights) Sum() float64 {
 	return w.ServedShare + w.WorstWindow + w.WorstCustomer + w.WorstServiceType
 }
 
@@ -116,7 +117,7 @@
 
 // countService weighs the shares and takes the prices off.
 func (r *Result) countService(w Weights) {
-	r.Service = (w.ServedShare*r.ServedShare + w.WorstWindow*r.WorstWindow + w.WorstCustomer*r.WorstCustomer + w.WorstServiceType*r.WorstServiceType) / w.sum()
+	r.Service = (w.ServedShare*r.ServedShare + w.WorstWindow*r.WorstWindow + w.WorstCustomer*r.WorstCustomer + w.WorstServiceType*r.WorstServiceType) / w.Sum()
 	clients := math.Max(1, float64(r.Clients))
 	r.Service -= w.Crossing*float64(r.Crossings)/clients + w.Migrations*float64(r.Migrations)/clients + w.Connects*float64(r.Connects)/clients
 }
--- a/internal/testbed/experiment/day.go
+++ b/internal/testbed/experiment/day.go
@@ -1,14 +1,19 @@
 package experiment
 
 import (
-	"fmt"
 	"math"
 	"math/rand/v2"
-	"strconv"
+	"slices"
 	"time"
 
 	"yardwinch/internal/simulation"
-	"yardwinch/internal/testbed/count"
+)
+
+const (
+	roughSizes     = "rough"
+	minConnections = 4   // that a server takes
+	quotaShare     = 0.8 // of what the fleet can carry, that customers have quotas for
+	lateDivisor    = 3   // servers report delays from this part of the shortest message target on
 )
 
 // Day is one draw from an experiment's ranges: a world that has not begun, and what balancers are told of it.
@@ -16,353 +21,174 @@
 	Experiment *Experiment
 	Seed       uint64
 	World      *simulation.World
-	Troubles   []simulation.Fault
-
-	services  []simulation.Service
-	customers []simulation.Customer
-	perCore   float64
-	groups    []groupOf // by customer
-	life      time.Duration
-	sigma     float64
-	load      float64
-	swing     float64
-	spread    float64
-	capacity  float64
-	skew      []float64
-}
-
-type groupOf struct {
+	Faults     []simulation.Fault
+
+	services       []simulation.Service
+	customers      []simulation.Customer
+	groups         []groupDraw   // by customer
+	perCore        float64       // connections that a core of speed 1 carries
+	lifetime       time.Duration // usual, of a connection
+	lifetimeSigma  float64
+	loadShare      float64 // of the fleet's capacity
+	rateAmplitude  float64 // of the rate of arrivals
+	capacity       float64 // of the fleet, in cores of speed 1
+	localityWeight []float64
+}
+
+// groupDraw draws the groups of a customer's connections.
+type groupDraw struct {
 	first simulation.GroupID
 	zipf  simulation.Zipf
 }
 
-func (s span) draw(r *rand.Rand) time.Duration { return simulation.UniformDuration(r, s.lo, s.hi) }
-func (s reach) draw(r *rand.Rand) float64      { return simulation.Uniform(r, s.lo, s.hi) }
-func (s reach) whole(r *rand.Rand) int {
-	return int(s.lo) + r.IntN(int(s.hi)-int(s.lo)+1)
+func (n numbers) draw(r *rand.Rand) float64 { return simulation.Uniform(r, n.lo, n.hi) }
+
+// drawInt draws a whole number.
+func (n numbers) drawInt(r *rand.Rand) int {
+	return int(n.lo) + r.IntN(int(n.hi)-int(n.lo)+1)
 }
 
-// Day draws the day of a seed. The same seed gives the same day to every policy.
+// Day draws the day of a seed. The same seed gives the same day to every policy, and the order of the draws is part of its meaning.
 func (e *Experiment) Day(seed uint64) *Day {
 	r := simulation.RandomSource(seed, "day", 0)
-	d := &Day{Experiment: e, Seed: seed, services: append([]simulation.Service(nil), e.services...),
-		customers: append([]simulation.Customer(nil), e.customers...)}
-	d.perCore, d.sigma, d.load = e.perCore.draw(r), e.lifeSigma.draw(r), e.load.draw(r)
-	d.life = time.Duration(float64(e.life.lo) * math.Pow(float64(e.life.hi)/float64(e.life.lo), r.Float64()))
-	d.swing, d.spread = e.swing.draw(r), e.loadSpread.draw(r)
-	shortest := time.Duration(math.MaxInt64)
-	swing, every := e.loadSwing.draw(r), e.changeEvery.draw(r)
-	habit := map[string]simulation.RetryPolicy{"never": simulation.NeverRetry, "at-once": simulation.RetryAtOnce, "fixed": simulation.RetryAfterFixedDelay,
-		"backoff": simulation.RetryWithBackoff}[e.habits[r.IntN(len(e.habits))]]
-	retries, wait, obeys, silence := e.retries.whole(r), e.wait.draw(r), e.obeys.draw(r), e.silence.draw(r)
-	for i := range d.services {
-		s := &d.services[i]
-		s.LoadSpread, s.LoadChangeSpread, s.ChangeEvery, s.LifetimeSigma = d.spread, swing, every, d.sigma
-		s.RetriesInARow, s.Retry, s.RetryDelay, s.ObeysRetryAfter, s.SilenceNoticed = retries, habit, wait, obeys, silence
-		s.Return = simulation.Interval{Min: e.comeBack.lo, Max: e.comeBack.hi}
-		shortest = min(shortest, s.Message)
-	}
-	w := simulation.New(seed, e.Length, shortest/3)
-	d.World = w
-	w.ConfigureSlowStart(simulation.SlowStartConfig{From: e.coldLeast, CollapseMultiple: e.multiple, CollapseWindow: e.fall})
-	meanLoad := d.MeanLoad()
-	w.ConfigureServices(simulation.ServicesConfig{Services: d.services, Customers: d.customers, Localities: e.halls,
-		BeyondShareValue: e.beyond, MeanLoad: meanLoad, MessageWork: d.services[0].MessageWork})
-	w.ConfigureEstablished(e.home)
-	w.ConfigureNetwork(e.same.draw(r), e.cross.draw(r), e.client.draw(r))
-	w.ConfigureFront(simulation.Interval{Min: e.frontNotice.lo, Max: e.frontNotice.hi})
-	w.ConfigureDrains(map[string]simulation.Drain{"quiet": simulation.Quiet, "paced": simulation.Paced, "at-once": simulation.AtOnce}[e.drains])
-	d.fleet(r, meanLoad)
-	d.shares(r)
-	iv := func(s span) simulation.Interval { return simulation.Interval{Min: s.lo, Max: s.hi} }
-	w.ConfigureList(simulation.ListConfig{Notice: iv(e.notice), NoticeSilent: iv(e.silentNotice), NoticeAdded: iv(e.addNotice), Spread: iv(e.spread), MustSubscribe: e.asked})
-	w.List.Begin()
-	for _, t := range e.troubles {
-		x := simulation.Fault{Kind: t.kind, Start: simulation.UniformDuration(r, t.startLo, t.startHi),
-			Length: simulation.UniformDuration(r, t.lengthLo, t.lengthHi), Share: simulation.Uniform(r, t.shareLo, t.shareHi),
-			Strength: simulation.Uniform(r, t.strengthLo, t.strengthHi), Extra: simulation.UniformDuration(r, t.extraLo, t.extraHi), Locality: simulation.AnyLocality}
-		for i, h := range e.halls {
-			if h == t.hall {
-				x.Locality = simulation.LocalityID(i)
-			}
-		}
-		if r.Float64() < t.chance {
-			d.Troubles = append(d.Troubles, x)
+	d := &Day{Experiment: e, Seed: seed, services: slices.Clone(e.services), customers: slices.Clone(e.customers)}
+	d.drawLoad(r)
+	d.drawClients(r)
+	d.configureWorld(r)
+	d.drawFleet(r)
+	d.drawGroups(r)
+	d.World.ConfigureList(e.list)
+	d.World.List.Begin()
+	for _, f := range e.faults {
+		if fault, happens := f.draw(r, e.fleet.localities); happens {
+			d.Faults = append(d.Faults, fault)
 		}
 	}
-	if h := e.headroom.draw(r); h > 0 {
-		// The usual rate of set-ups is that of arrivals, as everybody comes once.
-		w.ConfigureStore(h * d.rate())
+	if headroom := e.fleet.storeHeadroom.draw(r); headroom > 0 {
+		d.World.ConfigureStore(headroom * d.arrivalRate()) // the usual rate of set-ups is that of arrivals, as each client comes once
 	}
 	return d
 }
 
-func (d *Day) fleet(r *rand.Rand, meanLoad float64) {
-	e, w := d.Experiment, d.World
-	n, halls := e.servers.whole(r), len(e.halls)
-	fillings, queue, buffer, group := e.fillings.draw(r), e.queue.draw(r), e.buffer.draw(r), e.groupLoad.draw(r)
-	coldFrom, byWork := e.coldFrom.draw(r), e.warmByWork.draw(r)
-	for i := range n {
-		cores, speed := e.cores.whole(r), e.speed.draw(r)
-		size := 1.0
-		if e.sizes == "rough" {
-			size = float64(cores) * speed * simulation.Uniform(r, 0.85, 1.15)
-		}
-		full := float64(cores) * speed * d.perCore
-		w.AddServer(simulation.ServerSpec{Locality: simulation.LocalityID(i % halls), Cell: simulation.CellID(i / e.cell), Cores: cores, Speed: speed, Size: size,
-			MaxConnections: max(4, int(fillings*full)), MaxWaiting: int(queue * float64(cores)), Buffer: buffer, GroupLoad: group * meanLoad,
-			SlowStart: e.warm.draw(r), SlowStartFrom: coldFrom, SlowStartByWork: byWork})
-	}
-	for i := range e.balancers.whole(r) {
-		w.AddBalancer(simulation.LocalityID(i % halls))
-	}
-	d.capacity = w.Capacity()
-	skew := e.hallSkew.draw(r)
-	for range halls {
-		d.skew = append(d.skew, math.Exp(skew*r.NormFloat64()))
-	}
-}
-
-// shares sets what each customer may hold, and its groups.
-func (d *Day) shares(r *rand.Rand) {
-	fills := d.capacity * d.perCore
-	next := simulation.GroupID(0)
-	size, zipf := d.Experiment.groupSize.draw(r), d.Experiment.zipf.draw(r)
-	for i := range max(1, len(d.customers)) {
-		part := 1.0
-		if len(d.customers) > 0 {
-			d.customers[i].Quota = fills * 0.8 * d.customers[i].Share
-			part = d.customers[i].Share
-		}
-		n := max(1, int(fills*d.load*part/size))
-		d.groups = append(d.groups, groupOf{next, simulation.NewZipf(n, zipf)})
-		next += simulation.GroupID(n)
-	}
-}
-
-// standing is how many connections the load share stands for; a group's cost takes its part of the capacity.
-func (d *Day) standing() float64 {
-	e := d.Experiment
-	perConnection := 1 + e.groupLoad.lo*0.25 // a group is mostly held by several
-	load := 0.0
-	shares := 0.0
-	for _, s := range d.services {
-		load += s.Share * s.Load * s.Lifetime
-		shares += s.Share * s.Lifetime
-	}
-	return d.load * d.capacity * d.perCore / (perConnection * load / shares)
-}
-
-func (d *Day) meanLife() float64 {
-	life, shares := 0.0, 0.0
-	for _, s := range d.services {
-		life += s.Share * s.Lifetime
-		shares += s.Share
+func (d *Day) drawLoad(r *rand.Rand) {
+	l := d.Experiment.load
+	d.perCore = l.perCore.draw(r)
+	d.lifetimeSigma = l.lifetimeSigma.draw(r)
+	d.loadShare = l.share.draw(r)
+	shortest, longest := float64(l.lifetime.Min), float64(l.lifetime.Max)
+	d.lifetime = time.Duration(shortest * math.Pow(longest/shortest, r.Float64())) // even by its logarithm
+	d.rateAmplitude = l.rateAmplitude.draw(r)
+	spread := l.loadSpread.draw(r)
+	changeSpread := l.loadChangeSpread.draw(r)
+	changeEvery := l.changeEvery.Draw(r)
+	for i := range d.services {
+		s := &d.services[i]
+		s.LoadSpread, s.LoadChangeSpread, s.ChangeEvery = spread, changeSpread, changeEvery
+		s.LifetimeSigma = d.lifetimeSigma
 	}
-	return d.life.Seconds() * life / shares
 }
 
-// rate is the usual rate of arrivals, a second.
-func (d *Day) rate() float64 { return d.standing() / d.meanLife() }
-
-// Begin puts the whole day on its agenda. The carrier must be set.
-func (d *Day) Begin() {
-	d.World.ScheduleFaults(d.Troubles)
-	d.World.StartLoad(d.Source())
-}
+// retryPolicies by their words in experiment files.
+var retryPolicies = map[string]simulation.RetryPolicy{"never": simulation.NeverRetry, "at-once": simulation.RetryAtOnce,
+	"fixed": simulation.RetryAfterFixedDelay, "backoff": simulation.RetryWithBackoff}
 
-// Source draws the load: who stands when the day begins, then arrivals by thinning at the highest rate.
-func (d *Day) Source() simulation.ArrivalSource {
-	r := simulation.RandomSource(d.Seed, "load", 0)
-	first := d.standing()
-	if f := simulation.ArrivalRate(d.Troubles, 0); f > 1 {
-		for _, t := range d.Troubles { // an overload holds from the first second on, with all that stands
-			if t.Kind == simulation.Overload && t.Start == 0 {
-				first *= t.Strength
-			}
-		}
-	}
-	most := 1.0
-	for _, t := range d.Troubles {
-		if t.Kind == simulation.Burst || t.Kind == simulation.Overload {
-			most *= math.Max(1, t.Strength)
-		}
+func (d *Day) drawClients(r *rand.Rand) {
+	c := d.Experiment.clients
+	policy := retryPolicies[c.retryPolicies[r.IntN(len(c.retryPolicies))]]
+	retries := c.retries.drawInt(r)
+	delay := c.retryDelay.Draw(r)
+	obeys := c.obeysRetryAfter.draw(r)
+	silence := c.silence.Draw(r)
+	for i := range d.services {
+		s := &d.services[i]
+		s.RetriesInARow, s.Retry, s.RetryDelay = retries, policy, delay
+		s.ObeysRetryAfter, s.SilenceNoticed, s.Return = obeys, silence, c.comeBack
 	}
-	return &source{d: d, r: r, standing: int(first), most: most * (1 + d.swing), phase: r.Float64()}
 }
 
-type source struct {
-	d        *Day
-	r        *rand.Rand
-	standing int
-	at       float64
-	most     float64
-	phase    float64
-}
+// drains by their words in experiment files.
+var drains = map[string]simulation.Drain{"quiet": simulation.Quiet, "paced": simulation.Paced, "at-once": simulation.AtOnce}
 
-func (s *source) Next() (simulation.Arrival, bool) {
-	d := s.d
-	if s.standing > 0 {
-		s.standing--
-		v := s.visit()
-		// Who is met standing has a long life the likelier, and is somewhere within it.
-		v.Lifetime = time.Duration(float64(v.Lifetime) * math.Exp(d.sigma*d.sigma) * s.r.Float64())
-		v.IsEstablished = true
-		return v, true
+func (d *Day) configureWorld(r *rand.Rand) {
+	e := d.Experiment
+	shortest := time.Duration(math.MaxInt64)
+	for _, s := range d.services {
+		shortest = min(shortest, s.Message)
 	}
-	for {
-		s.at += s.r.ExpFloat64() / (d.rate() * s.most)
-		at := time.Duration(s.at * float64(time.Second))
-		if at > d.Experiment.Length {
-			return simulation.Arrival{}, false
-		}
-		if s.r.Float64()*s.most < simulation.ArrivalRate(d.Troubles, at)*s.curve(at) {
-			v := s.visit()
-			v.At = at
-			return v, true
-		}
+	w := simulation.New(d.Seed, e.Length, shortest/lateDivisor)
+	d.World = w
+	w.ConfigureSlowStart(simulation.SlowStartConfig{From: e.terms.SlowStartFrom, CollapseMultiple: e.terms.SlowStartMultiple, CollapseWindow: e.terms.SlowStartWindow})
+	w.ConfigureServices(simulation.ServicesConfig{Services: d.services, Customers: d.customers, Localities: e.fleet.localities,
+		BeyondShareValue: e.beyond, MeanLoad: d.MeanLoad(), MessageWork: d.services[0].MessageWork})
+	w.ConfigureEstablished(e.load.localWeight)
+	within := e.network.within.Draw(r)
+	between := e.network.between.Draw(r)
+	w.ConfigureNetwork(within, between, e.network.client.Draw(r))
+	w.ConfigureFront(e.network.frontNotice)
+	w.ConfigureDrains(drains[e.fleet.drain])
+}
+
+func (d *Day) drawFleet(r *rand.Rand) {
+	e, w := d.Experiment, d.World
+	localities := len(e.fleet.localities)
+	servers := e.fleet.servers.drawInt(r)
+	connections := e.fleet.connections.draw(r)
+	queue := e.fleet.queuePerCore.draw(r)
+	all := simulation.ServerSpec{Buffer: e.fleet.buffer.Draw(r), GroupLoad: e.fleet.groupLoad.draw(r) * d.MeanLoad(),
+		SlowStartFrom: e.fleet.slowStartFrom.draw(r), SlowStartByWork: e.fleet.slowStartByWork.draw(r)}
+	for i := range servers {
+		spec := all
+		spec.Locality, spec.Cell = simulation.LocalityID(i%localities), simulation.CellID(i/e.fleet.cell)
+		spec.Cores = e.fleet.cores.drawInt(r)
+		spec.Speed = e.fleet.speed.draw(r)
+		spec.Size = e.drawSize(r, spec)
+		spec.MaxConnections = max(minConnections, int(connections*(float64(spec.Cores)*spec.Speed*d.perCore)))
+		spec.MaxWaiting = int(queue * float64(spec.Cores))
+		spec.SlowStart = e.fleet.slowStart.Draw(r)
+		w.AddServer(spec)
+	}
+	for i := range e.fleet.balancers.drawInt(r) {
+		w.AddBalancer(simulation.LocalityID(i % localities))
 	}
-}
-
-// curve is the shape of the load over the day, 1 on average.
-func (s *source) curve(at time.Duration) float64 {
-	x := at.Seconds() / s.d.Experiment.Length.Seconds()
-	switch s.d.Experiment.shape {
-	case "wave":
-		return 1 + s.d.swing*math.Sin(2*math.Pi*(4*x+s.phase))
-	case "daily":
-		return 1 - s.d.swing*math.Cos(2*math.Pi*x)
+	d.capacity = w.Capacity()
+	skew := e.load.localitySkew.draw(r)
+	for range localities {
+		d.localityWeight = append(d.localityWeight, math.Exp(skew*r.NormFloat64()))
 	}
-	return 1
 }
 
-func (s *source) visit() (v simulation.Arrival) {
-	d, r := s.d, s.r
-	v.Service = simulation.ServiceID(weighted(r, len(d.services), func(i int) float64 { return d.services[i].Share }))
-	svc := d.services[v.Service]
-	v.Customer = -1
-	group := d.groups[0]
-	if len(d.customers) > 0 {
-		v.Customer = simulation.CustomerID(weighted(r, len(d.customers), func(i int) float64 { return d.customers[i].Share * d.customers[i].Usage }))
-		group = d.groups[v.Customer]
-		c, all := d.customers[v.Customer], 0.0
-		for _, o := range d.customers {
-			all += o.Share * o.Usage
-		}
-		asks := c.Share * c.Usage / all * d.standing()
-		v.IsBeyondShare = r.Float64() > c.Quota/math.Max(asks, 1e-9)
+// drawSize is what the list tells of a server's size: its capacity, roughly, or the same for each.
+func (e *Experiment) drawSize(r *rand.Rand, spec simulation.ServerSpec) float64 {
+	const roughMin, roughMax = 0.85, 1.15
+	if e.fleet.sizes != roughSizes {
+		return 1
 	}
-	v.Group = group.first + simulation.GroupID(group.zipf.Draw(r))
-	v.Locality = simulation.LocalityID(weighted(r, len(d.skew), func(i int) float64 { return d.skew[i] }))
-	v.Load = svc.Load / d.perCore * simulation.LogNormal(r, svc.LoadSpread)
-	v.Lifetime = time.Duration(svc.Lifetime * d.life.Seconds() * simulation.LogNormal(r, svc.LifetimeSigma) * float64(time.Second))
-	return v
+	return float64(spec.Cores) * spec.Speed * simulation.Uniform(r, roughMin, roughMax)
 }
 
-func weighted(r *rand.Rand, n int, of func(int) float64) int {
-	all := 0.0
-	for i := range n {
-		all += of(i)
-	}
-	x := r.Float64() * all
-	for i := range n {
-		if x -= of(i); x < 0 {
-			return i
+// drawGroups sets the customers' quotas and draws the sizes of their groups.
+func (d *Day) drawGroups(r *rand.Rand) {
+	carried := d.capacity * d.perCore
+	size := d.Experiment.load.groupSize.draw(r)
+	zipf := d.Experiment.load.groupZipf.draw(r)
+	next := simulation.GroupID(0)
+	for i := range max(1, len(d.customers)) {
+		share := 1.0
+		if len(d.customers) > 0 {
+			share = d.customers[i].Share
+			d.customers[i].Quota = carried * quotaShare * share
 		}
+		groups := max(1, int(carried*d.loadShare*share/size))
+		d.groups = append(d.groups, groupDraw{next, simulation.NewZipf(groups, zipf)})
+		next += simulation.GroupID(groups)
 	}
-	return n - 1
 }
 
-// ServerName is what a server is called outside the world, the same in both drives.
-func ServerName(s simulation.ServerID) string { return fmt.Sprintf("s-%03d", int(s)) }
-
-// GroupName is what a group is called outside the world; empty for none.
-func GroupName(g simulation.GroupID) string {
-	if g == simulation.NoGroup {
-		return ""
-	}
-	return "g-" + strconv.Itoa(int(g))
-}
-
-// Settings are the terms on which balancer b decides, as the platform tells them: paths and plain values.
-func (d *Day) Settings(b simulation.BalancerID) map[string]string {
-	e := d.Experiment
-	ns := func(t time.Duration) string { return strconv.FormatInt(int64(t), 10) }
-	num := func(x float64) string { return strconv.FormatFloat(x, 'g', -1, 64) }
-	s := map[string]string{
-		"az": e.halls[d.World.Balancers[b].Locality], "discovery": "push", "weights": e.sizes, "ordinal": strconv.Itoa(int(b)),
-		"peers-total":                   strconv.Itoa(len(d.World.Balancers)),
-		"family-info.mode":              "proxy",
-		"family-info.tells-delay":       "true",
-		"guarantees.cold-from":          num(e.coldLeast),
-		"guarantees.fall-multiple":      num(e.multiple),
-		"guarantees.warm-after":         ns(e.warmMost),
-		"guarantees.fall":               ns(e.fall),
-		"guarantees.drain-grace":        ns(e.grace),
-		"guarantees.must-ask-in":        ns(10 * time.Second),
-		"policy-limits.max-connects":    strconv.Itoa(e.connects),
-		"policy-limits.connect-timeout": ns(e.connectTimeout),
-		"policy-limits.probes":          "false",
-		"policy-limits.retry-after":     strconv.FormatBool(e.retryAfter > 0),
-		"policy-limits.max-retry-after": ns(e.retryAfter),
-		"tariffs.cross-zone":            num(e.crossing),
-		"tariffs.moves":                 num(e.moves),
-		"beyond-share-value":            num(e.beyond),
-		"service-types.count":           strconv.Itoa(len(d.services)),
-		"tenants.count":                 strconv.Itoa(len(d.customers)),
-	}
-	if e.asked {
-		s["discovery"] = "ask"
-	}
-	if e.probes {
-		s["policy-limits.probes"], s["reporting.how"], s["reporting.columns"] = "true", "pull", "x0"
-	}
-	aims, quotas := "", ""
-	for i, v := range d.services {
-		p := "service-types." + strconv.Itoa(i) + "."
-		s[p+"name"], s[p+"effect"], s[p+"group"] = v.Name, v.Effect, v.Group
-		s[p+"setup-target"], s[p+"hard-limit"], s[p+"window"] = ns(v.Target), ns(v.Timeout), ns(v.Window)
-		s[p+"value"] = num(v.Value)
-		aims += "," + ns(v.Message)
-	}
-	for i, c := range d.customers {
-		s["tenants."+strconv.Itoa(i)+".name"] = c.Name
-		quotas += "," + num(c.Quota)
-	}
-	s["family-info.message-aim"] = aims[1:]
-	if quotas != "" {
-		s["family-info.tenant-quota-connections"] = quotas[1:]
-	}
-	return s
-}
-
-// Terms are the limits that an invariant checker and a driver hold a run to.
-type Terms struct {
-	DrainGrace        time.Duration // from the announcement of a drain until no connect may be sent
-	SlowStartMultiple float64       // of its capacity that a starting server may be sent over a window
-	SlowStartWindow   time.Duration
-	SlowStart         time.Duration // how long a server starts at the most
-	MaxConnects       int           // that a flow may use
-	ConnectTimeout    time.Duration
-}
-
-// Terms of the experiment.
-func (e *Experiment) Terms() Terms {
-	return Terms{DrainGrace: e.grace, SlowStartMultiple: e.multiple, SlowStartWindow: e.fall, SlowStart: e.warmMost,
-		MaxConnects: e.connects, ConnectTimeout: e.connectTimeout}
-}
-
-// Probes tells whether servers report their load to those that probe.
-func (e *Experiment) Probes() bool { return e.probes }
-
-// RetryAfter is what those turned away may be told to wait.
-func (e *Experiment) RetryAfter() time.Duration { return e.retryAfter }
-
-// MeanLoad is that of a connection, in cores.
+// MeanLoad is that of a connection, in cores of speed 1.
 func (d *Day) MeanLoad() float64 { return 1 / d.perCore }
 
-// Weights are how service is counted.
-func (e *Experiment) Weights() count.Weights {
-	return count.Weights{ServedShare: e.whole, WorstWindow: e.window, WorstCustomer: e.worstCustomer, WorstServiceType: e.worstService,
-		Crossing: e.crossing, Migrations: e.moves, Connects: e.fee}
+// Begin schedules the whole day. The world's driver must be set.
+func (d *Day) Begin() {
+	d.World.ScheduleFaults(d.Faults)
+	d.World.StartLoad(d.Source())
 }
--- /dev/null
+++ b/internal/testbed/experiment/faults.go
@@ -0,0 +1,142 @@
+package experiment
+
+import (
+	"math"
+	"math/rand/v2"
+	"strings"
+	"time"
+
+	"yardwinch/internal/simulation"
+	"yardwinch/internal/strict"
+)
+
+const maxShareOfServer = 0.99 // that a neighbour may take, or that may fail
+
+// faultRanges are what a fault is drawn from.
+type faultRanges struct {
+	kind          simulation.FaultKind
+	start, length simulation.Interval
+	share         numbers
+	strength      numbers
+	extra         simulation.Interval
+	locality      string  // empty: any
+	chance        float64 // that it happens
+}
+
+// leastStrength of the kinds that have one.
+var leastStrength = map[simulation.FaultKind]float64{simulation.Slow: 1, simulation.StoreSlow: 1, simulation.Burst: 0.01, simulation.Overload: 0.01,
+	simulation.Grow: 1.01, simulation.Errors: 0.01, simulation.Neighbour: 0.01, simulation.Deploy: 0.001, simulation.BalancerRoll: 0.001}
+
+func (e *Experiment) readFault(t strict.Table) {
+	var kinds []string
+	for _, kind := range simulation.FaultKinds {
+		kinds = append(kinds, string(kind))
+	}
+	f := faultRanges{kind: simulation.FaultKind(t.String("kind", "", kinds...)), locality: t.String("hall", "", append([]string{""}, e.fleet.localities...)...)}
+	if f.kind == "" {
+		if !t.Has("kind") {
+			t.Fail("kind", "is missing; want one of %s", strings.Join(kinds, ", "))
+		}
+		return
+	}
+	f.start = intervalOf(t, "start", 0, 0, hour)
+	f.length = intervalOf(t, "length", 10*time.Second, 10*time.Second, hour)
+	f.share = numbersOf(t, "share", bounds{0.2, 0.2, 0, 1})
+	f.strength = numbersOf(t, "strength", bounds{1, 1, 0, 1000})
+	f.extra = intervalOf(t, "extra", 3*time.Second, 3*time.Second, hour)
+	f.chance = t.Float("chance", 1, 0, 1)
+	e.checkFault(t, f)
+	e.faults = append(e.faults, f)
+}
+
+func (e *Experiment) checkFault(t strict.Table, f faultRanges) {
+	if (f.kind == simulation.LocalityLost || f.kind == simulation.Partition) && f.locality == "" {
+		t.Fail("hall", "is missing; want one of %s", strings.Join(e.fleet.localities, ", "))
+	}
+	if f.start.Min >= e.Length {
+		t.Fail("start", "is not before the end of the day, %v", e.Length)
+	}
+	if least := leastStrength[f.kind]; f.strength.lo < least {
+		t.Fail("strength", "want %g at the least for %s", least, f.kind)
+	}
+	if (f.kind == simulation.Errors || f.kind == simulation.Neighbour) && f.strength.hi > maxShareOfServer {
+		t.Fail("strength", "want %g at the most for %s", maxShareOfServer, f.kind)
+	}
+}
+
+// draw draws a fault, and whether it happens.
+func (f faultRanges) draw(r *rand.Rand, localities []string) (fault simulation.Fault, happens bool) {
+	fault = simulation.Fault{
+		Kind:     f.kind,
+		Start:    f.start.Draw(r),
+		Length:   f.length.Draw(r),
+		Share:    f.share.draw(r),
+		Strength: f.strength.draw(r),
+		Extra:    f.extra.Draw(r),
+		Locality: simulation.AnyLocality,
+	}
+	for i, name := range localities {
+		if name == f.locality {
+			fault.Locality = simulation.LocalityID(i)
+		}
+	}
+	return fault, r.Float64() < f.chance
+}
+
+// Kinds are the kinds of the faults, in the order of the file.
+func (e *Experiment) Kinds() (kinds []simulation.FaultKind) {
+	for _, f := range e.faults {
+		kinds = append(kinds, f.kind)
+	}
+	return kinds
+}
+
+// Without is the experiment without one of its faults.
+func (e *Experiment) Without(i int) *Experiment {
+	c := *e
+	c.faults = append(append([]faultRanges(nil), e.faults[:i]...), e.faults[i+1:]...)
+	return &c
+}
+
+// Shrunk is the experiment with one of its faults lasting for a part of its time.
+func (e *Experiment) Shrunk(i int, part float64) *Experiment {
+	c := *e
+	c.faults = append([]faultRanges(nil), e.faults...)
+	length := &c.faults[i].length
+	length.Min = time.Duration(float64(length.Min) * part)
+	length.Max = time.Duration(float64(length.Max) * part)
+	return &c
+}
+
+// Sized is the experiment with other numbers of balancers and servers, where they are above 0.
+func (e *Experiment) Sized(balancers, servers int) *Experiment {
+	c := *e
+	if balancers > 0 {
+		c.fleet.balancers = numbers{float64(balancers), float64(balancers)}
+	}
+	if servers > 0 {
+		c.fleet.servers = numbers{float64(servers), float64(servers)}
+	}
+	return &c
+}
+
+// Stretched is the experiment with a part of its length, and its faults at the same parts of it.
+func (e *Experiment) Stretched(part float64) *Experiment {
+	c := *e
+	scaled := func(d time.Duration) time.Duration { return time.Duration(math.Round(float64(d) * part)) }
+	c.Length = scaled(e.Length)
+	c.faults = append([]faultRanges(nil), e.faults...)
+	for i := range c.faults {
+		f := &c.faults[i]
+		f.start = simulation.Interval{Min: scaled(f.start.Min), Max: scaled(f.start.Max)}
+		f.length = simulation.Interval{Min: scaled(f.length.Min), Max: scaled(f.length.Max)}
+	}
+	return &c
+}
+
+// Lasting is the experiment with another length. The faults stay where they are.
+func (e *Experiment) Lasting(d time.Duration) *Experiment {
+	c := *e
+	c.Length = d
+	return &c
+}
--- /dev/null
+++ b/internal/testbed/experiment/settings.go
@@ -0,0 +1,91 @@
+package experiment
+
+import (
+	"fmt"
+	"strconv"
+	"strings"
+	"time"
+
+	"yardwinch/internal/simulation"
+)
+
+const mustAnswerWithin = 10 * time.Second // what balancers are told of the longest wait of a client
+
+// ServerName is what a server is called outside the world, by every driver.
+func ServerName(s simulation.ServerID) string { return fmt.Sprintf("s-%03d", int(s)) }
+
+// GroupName is what a group is called outside the world; empty for none.
+func GroupName(g simulation.GroupID) string {
+	if g == simulation.NoGroup {
+		return ""
+	}
+	return "g-" + strconv.Itoa(int(g))
+}
+
+func durationSetting(d time.Duration) string { return strconv.FormatInt(int64(d), 10) }
+
+func numberSetting(x float64) string { return strconv.FormatFloat(x, 'g', -1, 64) }
+
+// Settings are the settings of a balancer, as the platform gives them: paths and plain values.
+func (d *Day) Settings(b simulation.BalancerID) map[string]string {
+	e, terms := d.Experiment, d.Experiment.terms
+	settings := map[string]string{
+		"az":                            e.fleet.localities[d.World.Balancers[b].Locality],
+		"discovery":                     "push",
+		"weights":                       e.fleet.sizes,
+		"ordinal":                       strconv.Itoa(int(b)),
+		"peers-total":                   strconv.Itoa(len(d.World.Balancers)),
+		"family-info.mode":              "proxy",
+		"family-info.tells-delay":       "true",
+		"guarantees.cold-from":          numberSetting(terms.SlowStartFrom),
+		"guarantees.fall-multiple":      numberSetting(terms.SlowStartMultiple),
+		"guarantees.warm-after":         durationSetting(terms.SlowStart),
+		"guarantees.fall":               durationSetting(terms.SlowStartWindow),
+		"guarantees.drain-grace":        durationSetting(terms.DrainGrace),
+		"guarantees.must-ask-in":        durationSetting(mustAnswerWithin),
+		"policy-limits.max-connects":    strconv.Itoa(terms.MaxConnects),
+		"policy-limits.connect-timeout": durationSetting(terms.ConnectTimeout),
+		"policy-limits.probes":          "false",
+		"policy-limits.retry-after":     strconv.FormatBool(e.retryAfter > 0),
+		"policy-limits.max-retry-after": durationSetting(e.retryAfter),
+		"tariffs.cross-zone":            numberSetting(e.weights.Crossing),
+		"tariffs.moves":                 numberSetting(e.weights.Migrations),
+		"beyond-share-value":            numberSetting(e.beyond),
+	}
+	if e.list.MustSubscribe {
+		settings["discovery"] = "ask"
+	}
+	if e.probes {
+		settings["policy-limits.probes"], settings["reporting.how"], settings["reporting.columns"] = "true", "pull", "x0"
+	}
+	d.addServices(settings)
+	d.addCustomers(settings)
+	return settings
+}
+
+func (d *Day) addServices(settings map[string]string) {
+	settings["service-types.count"] = strconv.Itoa(len(d.services))
+	var messageTargets []string
+	for i, s := range d.services {
+		path := "service-types." + strconv.Itoa(i) + "."
+		settings[path+"name"], settings[path+"effect"], settings[path+"group"] = s.Name, s.Effect, s.Group
+		settings[path+"setup-target"] = durationSetting(s.Target)
+		settings[path+"hard-limit"] = durationSetting(s.Timeout)
+		settings[path+"window"] = durationSetting(s.Window)
+		settings[path+"value"] = numberSetting(s.Value)
+		messageTargets = append(messageTargets, durationSetting(s.Message))
+	}
+	settings["family-info.message-aim"] = strings.Join(messageTargets, ",")
+}
+
+func (d *Day) addCustomers(settings map[string]string) {
+	settings["tenants.count"] = strconv.Itoa(len(d.customers))
+	var quotas []string
+	for i, c := range d.customers {
+		settings["tenants."+strconv.Itoa(i)+".name"] = c.Name
+		quotas = append(quotas, numberSetting(c.Quota))
+	}
+	if len(quotas) > 0 {
+		settings["family-info.tenant-quota-connections"] = strings.Join(quotas, ",")
+	}
+}
--- a/internal/testbed/experiment/steady.go
+++ b/internal/testbed/experiment/steady.go
@@ -7,26 +7,35 @@
 	"yardwinch/internal/simulation"
 )
 
-// Steady is a source of load that needs no fleet: so many arrivals a second, at random, whatever becomes of them.
+// SteadyConfig describes a load that needs no fleet.
+type SteadyConfig struct {
+	Seed          uint64
+	Rate          float64       // of arrivals, a second
+	Lifetime      time.Duration // of a connection, on average
+	LifetimeSigma float64
+	Groups        int
+	Localities    int
+}
+
+// Steady is a source of arrivals at a steady rate, whatever becomes of them.
 type Steady struct {
-	r      *rand.Rand
-	at     float64
-	rate   float64
-	life   time.Duration
-	sigma  float64
+	config SteadyConfig
+	random *rand.Rand
+	at     float64 // of the last arrival, seconds
 	groups simulation.Zipf
-	halls  int
 }
 
-// NewSteady draws arrivals at a rate a second, of clients that want their connection for life on average.
-func NewSteady(seed uint64, rate float64, life time.Duration, sigma float64, groups, halls int) *Steady {
-	return &Steady{r: simulation.RandomSource(seed, "steady", 0), rate: rate, life: life, sigma: sigma, groups: simulation.NewZipf(max(groups, 1), 0.8), halls: halls}
+// NewSteady makes a source.
+func NewSteady(c SteadyConfig) *Steady {
+	return &Steady{config: c, random: simulation.RandomSource(c.Seed, "steady", 0), groups: simulation.NewZipf(max(c.Groups, 1), steadyGroupZipf)}
 }
 
-// Next never ends; the day does.
+// Next draws the next arrival. There is always one: the day ends, not the source.
 func (s *Steady) Next() (simulation.Arrival, bool) {
-	s.at += s.r.ExpFloat64() / s.rate
-	return simulation.Arrival{At: time.Duration(s.at * float64(time.Second)), Customer: -1, Group: simulation.GroupID(s.groups.Draw(s.r)),
-		Locality: simulation.LocalityID(s.r.IntN(s.halls)), Load: 1,
-		Lifetime: time.Duration(float64(s.life) * simulation.LogNormal(s.r, s.sigma))}, true
+	s.at += s.random.ExpFloat64() / s.config.Rate
+	arrival := simulation.Arrival{At: time.Duration(s.at * float64(time.Second)), Customer: -1, Load: 1}
+	arrival.Group = simulation.GroupID(s.groups.Draw(s.random))
+	arrival.Locality = simulation.LocalityID(s.random.IntN(s.config.Localities))
+	arrival.Lifetime = time.Duration(float64(s.config.Lifetime) * simulation.LogNormal(s.random, s.config.LifetimeSigma))
+	return arrival, true
 }
--- a/internal/testbed/scenario/policies.go
+++ b/internal/testbed/scenario/policies.go
@@ -47,7 +47,7 @@
 func newLocalityDeciders(d *experiment.Day) virtual.NewDecider {
 	return func(seed uint64, b simulation.BalancerID, act decide.Actions) virtual.Decider {
 		settings := config.FromPairs(d.Settings(b))
-		policy := d.Experiment.Halls.NewPolicy(settings, seed)
+		policy := d.Experiment.Locality.NewPolicy(settings, seed)
 		return constraints.New(seed, act, []constraints.Constraint{policy}, func(decider *decide.Balancer) { config.ConfigureBalancer(settings, decider) })
 	}
 }
--- a/internal/testbed/scenario/scenario.go
+++ b/internal/testbed/scenario/scenario.go
@@ -62,7 +62,7 @@
 	r.Judged = checker.Judged
 	r.Collapsed = len(d.World.Collapsed)
 	r.MaxSlowStartExcess = d.World.MaxSlowStartExcess
-	for _, f := range d.Troubles {
+	for _, f := range d.Faults {
 		r.Faults = append(r.Faults, count.Fault{Kind: string(f.Kind), Start: f.Start.Seconds(), End: f.End().Seconds()})
 	}
 	r.Count(d.World.Accounting, &d.World.Totals, len(d.World.Services), len(d.World.Customers), d.Experiment.Weights())
--- a/internal/testbed/scenario/spill_test.go
+++ b/internal/testbed/scenario/spill_test.go
@@ -70,7 +70,7 @@
 		ref := NewChecker(d, 8*time.Millisecond, 0)
 		dr := virtual.New(d, ref, func(seed uint64, b simulation.BalancerID, act decide.Actions) virtual.Decider {
 			g := config.FromPairs(d.Settings(b))
-			h := e.Halls.NewPolicy(g, seed)
+			h := e.Locality.NewPolicy(g, seed)
 			spy := &spillObserver{t: t, ownZone: decide.Zone(g.String("az", "")), zones: map[decide.ServerID]decide.Zone{}, policy: h, seenCount: &seen, exceeded: map[decide.FlowID]string{}}
 			return constraints.New(seed, act, []constraints.Constraint{h, spy}, func(dec *decide.Balancer) { config.ConfigureBalancer(g, dec) })
 		})
--- a/internal/testbed/sockets/drive.go
+++ b/internal/testbed/sockets/drive.go
@@ -90,7 +90,7 @@
 		return err
 	}
 	dr.mu.Lock()
-	dr.w.ScheduleFaults(dr.d.Troubles)
+	dr.w.ScheduleFaults(dr.d.Faults)
 	dr.mu.Unlock()
 	_, err := dr.play(nil)
 	return err
@@ -233,7 +233,7 @@
 	if dr.source == nil {
 		dr.source = dr.d.Source()
 	}
-	dr.w.ScheduleFaults(dr.d.Troubles)
+	dr.w.ScheduleFaults(dr.d.Faults)
 	dr.w.StartLoad(dr.source)
 	dr.w.Schedule.RunTo(0)
 	dr.mu.Unlock()
--- a/internal/testbed/sockets/sockets_test.go
+++ b/internal/testbed/sockets/sockets_test.go
@@ -163,7 +163,7 @@
 			text := strings.Replace(fmt.Sprintf(shortDay, ""), "6s", "4s", 1)
 			text += "[[service]]\nname = \"x\"\nconnect-timeout = \"1s\"\n"
 			dr, ref, _ := drive(t, text, c.way)
-			dr.source = experiment.NewSteady(1, 20, time.Second, 0.5, 3, 3) // nobody stands at the beginning
+			dr.source = experiment.NewSteady(experiment.SteadyConfig{Seed: 1, Rate: 20, Lifetime: time.Second, LifetimeSigma: 0.5, Groups: 3, Localities: 3}) // nobody stands at the beginning
 			if _, err := dr.Run(nil); err != nil {
 				t.Fatal(err)
 			}
@@ -188,7 +188,7 @@
 	slack, hold := HeldBack()
 	ref := invariants.New(invariants.Limits{Slack: slack, Reordering: hold, DrainGrace: time.Second})
 	dr := Load(context.Background(), d, ref, []string{l.Addr().String()})
-	if _, err := dr.RunLoad(experiment.NewSteady(1, 40, 2*time.Second, 0.5, 3, 1), nil); err != nil {
+	if _, err := dr.RunLoad(experiment.NewSteady(experiment.SteadyConfig{Seed: 1, Rate: 40, Lifetime: 2 * time.Second, LifetimeSigma: 0.5, Groups: 3, Localities: 1}), nil); err != nil {
 		t.Fatal(err)
 	}
 	n := d.World.Totals
