--- a/cmd/testbed/parts.go
+++ b/cmd/testbed/parts.go
@@ -42,7 +42,7 @@
 	}
 	e = e.Sized(1, c.Int("servers")).Lasting(c.Duration("for"))
 	d := e.Day(c.Uint64("seed"))
-	slack, hold := sockets.HeldBack()
+	slack, hold := sockets.CheckerTimes()
 	dr := sockets.New(ctx, d, scenario.NewChecker(d, slack, hold), nil, "")
 	err = dr.Serve(func() error {
 		text, err := dr.Config(0, c.String("listen"), 1)
@@ -116,7 +116,7 @@
 // Load plays clients alone.
 func Load(ctx context.Context, e *experiment.Experiment, seed uint64, addrs []string, rate float64, life time.Duration, groups int, progress func(time.Duration)) (*count.Result, error) {
 	d := e.Day(seed)
-	slack, hold := sockets.HeldBack()
+	slack, hold := sockets.CheckerTimes()
 	ref := scenario.NewChecker(d, slack, hold)
 	dr := sockets.Load(ctx, d, ref, addrs)
 	void, err := dr.RunLoad(experiment.NewSteady(experiment.SteadyConfig{Seed: seed, Rate: rate, Lifetime: life, LifetimeSigma: 1,
@@ -124,7 +124,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &count.Result{Policy: "ours", Seed: seed, Migrations: dr.Tally.Moves, Void: void}
+	r := &count.Result{Policy: "ours", Seed: seed, Migrations: dr.Tally.Migrations, Void: void}
 	scenario.FillResult(r, d, ref)
 	r.ServedShare, r.WorstWindow, r.Service = 0, 0, 0 // what servers made of it is not seen from here
 	return r, nil
--- a/cmd/testbed/try.go
+++ b/cmd/testbed/try.go
@@ -110,13 +110,13 @@
 // Sockets plays one day and counts it.
 func Sockets(ctx context.Context, e *experiment.Experiment, seed uint64, policy string, start []string, folder string, progress func(time.Duration)) (*count.Result, error) {
 	d := e.Day(seed)
-	slack, hold := sockets.HeldBack()
+	slack, hold := sockets.CheckerTimes()
 	ref := scenario.NewChecker(d, slack, hold)
 	dr := sockets.New(ctx, d, ref, start, folder)
 	switch policy {
 	case "ours":
 	case "ours+halls":
-		if err := dr.Options(e.Locality.Text()); err != nil {
+		if err := dr.SetOptions(e.Locality.Text()); err != nil {
 			return nil, err
 		}
 	default:
@@ -127,9 +127,9 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &count.Result{Policy: policy, Seed: seed, LoadByServer: *loads, Crossings: dr.Tally.Crossings, Migrations: dr.Tally.Moves, Connects: dr.Tally.Connects, Void: void}
+	r := &count.Result{Policy: policy, Seed: seed, LoadByServer: *loads, Crossings: dr.Tally.Crossings, Migrations: dr.Tally.Migrations, Connects: dr.Tally.Connects, Void: void}
 	seconds := len(d.World.Accounting.Requested[0])
-	r.MigrationsBySecond, r.ConnectsBySecond = count.PerSecond(dr.Tally.MovedAt, seconds), count.PerSecond(dr.Tally.ConnectAt, seconds)
+	r.MigrationsBySecond, r.ConnectsBySecond = count.PerSecond(dr.Tally.MigratedAt, seconds), count.PerSecond(dr.Tally.ConnectedAt, seconds)
 	scenario.FillResult(r, d, ref)
 	return r, nil
 }
--- a/internal/testbed/fleet/disturb.go
+++ b/internal/testbed/fleet/disturb.go
@@ -39,7 +39,7 @@
 // hangUpAtOnce sends SIGHUP so often to a process that is being started, from the first instant in which the shell that starts it passes none on
 // to itself. The drive is locked; the signals go out beside it.
 func (r *run) hangUpAtOnce(x *process, times int) {
-	pid := r.dr.Process(x.id)
+	pid := r.driver.Process(x.id)
 	if pid == 0 || times == 0 {
 		return
 	}
@@ -77,7 +77,7 @@
 // crowded has so many clients stand at a balancer that say nothing, for a time. One that is ended comes again.
 func (r *run) crowded(x *process, clients int, length time.Duration) {
 	ctx, done := context.WithTimeout(r.ctx, length)
-	addr := r.dr.Address(x.id)
+	addr := r.driver.Address(x.id)
 	context.AfterFunc(ctx, done)
 	for range clients {
 		go func() {
@@ -106,7 +106,7 @@
 // countDescriptors notes what each process that runs holds shortly before the end.
 func (r *run) countDescriptors() {
 	for _, x := range r.procs {
-		pid := r.dr.Process(x.id)
+		pid := r.driver.Process(x.id)
 		if pid == 0 || x.state != runs {
 			continue
 		}
--- a/internal/testbed/fleet/peers.go
+++ b/internal/testbed/fleet/peers.go
@@ -71,7 +71,7 @@
 	for {
 		var v daemon.MembersView
 		err := explain.Ask(x.socket(), "members", &v)
-		r.dr.Do(func() {
+		r.driver.Do(func() {
 			if err != nil || x.state != runs && x.state != starved {
 				return // it can't be asked now: what it saw last is no news
 			}
@@ -80,7 +80,7 @@
 				sees[string(m.Name)] = string(m.State)
 			}
 			if n := len(x.views); n == 0 || !maps.Equal(x.views[n-1].sees, sees) {
-				x.views = append(x.views, view{r.dr.Elapsed(), sees})
+				x.views = append(x.views, view{r.driver.Elapsed(), sees})
 			}
 		})
 		select {
@@ -94,7 +94,7 @@
 // flood sends what nobody can read, as if members did.
 func (r *run) flood(f fault, who, as []string, length time.Duration) {
 	chance := simulation.RandomSource(r.seed, "flood", 0)
-	end := r.dr.Elapsed() + length
+	end := r.driver.Elapsed() + length
 	each := max(1, int(float64(f.rate)*floodBeat.Seconds()))
 	var beat func()
 	beat = func() {
@@ -105,7 +105,7 @@
 			}
 			r.post.Inject(netfault.Endpoint(as[chance.IntN(len(as))]), netfault.Endpoint(who[chance.IntN(len(who))]), m)
 		}
-		if r.dr.Elapsed()+floodBeat < end {
+		if r.driver.Elapsed()+floodBeat < end {
 			r.w.Schedule.After(floodBeat, simulation.Cause, beat)
 		}
 	}
@@ -117,7 +117,7 @@
 func (r *run) lie(who, as []string, length time.Duration) {
 	const labelMark, userMark = 244, 8 // memberlist's, of its published wire
 	label := r.label()
-	end := r.dr.Elapsed() + length
+	end := r.driver.Elapsed() + length
 	sequence := signals.Sequence(0)
 	var beat func()
 	beat = func() {
@@ -137,7 +137,7 @@
 				r.post.Inject(netfault.Endpoint(name), netfault.Endpoint(w), m)
 			}
 		}
-		if r.dr.Elapsed()+lieBeat < end {
+		if r.driver.Elapsed()+lieBeat < end {
 			r.w.Schedule.After(lieBeat, simulation.Cause, beat)
 		}
 	}
--- a/internal/testbed/fleet/process.go
+++ b/internal/testbed/fleet/process.go
@@ -126,7 +126,7 @@
 
 // turn makes every change of a process's state, and tells whether it may be made.
 func (r *run) turn(x *process, to state) bool {
-	now := r.dr.Elapsed()
+	now := r.driver.Elapsed()
 	if !slices.Contains(next[x.state], to) {
 		r.unfit = append(r.unfit, fmt.Sprintf("%.1fs: %s is %s and can't be %s", now.Seconds(), x.name, x.state, to))
 		return false
@@ -155,7 +155,7 @@
 }
 
 func (r *run) signal(x *process, s syscall.Signal) {
-	if err := r.dr.Signal(x.id, s); err != nil {
+	if err := r.driver.Signal(x.id, s); err != nil {
 		r.unfit = append(r.unfit, fmt.Sprintf("%s: %v", x.name, err))
 	}
 }
--- a/internal/testbed/fleet/result.go
+++ b/internal/testbed/fleet/result.go
@@ -127,7 +127,7 @@
 	broken := len(res.Violations) + r.checker.Omitted()
 	t := &r.w.Totals
 	res.Figures = Figures{Clients: t.Clients, Flows: t.Attempts, Established: t.Established, Rejected: t.Rejected, Aborted: t.Aborted, Cut: t.Cut,
-		Moved: t.Migrated, NeverUp: len(t.NeverEstablished), Connects: r.dr.Tally.Connects, Probes: r.dr.Tally.Probes, Judged: r.checker.Judged, Broken: broken, Service: r.service()}
+		Moved: t.Migrated, NeverUp: len(t.NeverEstablished), Connects: r.driver.Tally.Connects, Probes: r.driver.Tally.HealthChecks, Judged: r.checker.Judged, Broken: broken, Service: r.service()}
 	all := r.checker.Costs()
 	for _, x := range r.procs {
 		p := Process{Name: x.name, Cost: all[invariants.Balancer(x.id)], Spans: closed(x.spans, end), Front: closed(r.fronts[x.name], end),
@@ -280,7 +280,7 @@
 		}
 	case probes:
 		n := 0.0
-		for _, list := range r.dr.Tally.ProbedAt {
+		for _, list := range r.driver.Tally.HealthChecksAt {
 			for _, at := range list {
 				if at >= from && at < to {
 					n++
@@ -291,7 +291,7 @@
 	case probed:
 		for _, i := range r.serversOf(m.servers, from) {
 			last, gap := from, time.Duration(0)
-			for _, at := range append(slices.Clone(r.dr.Tally.ProbedAt[simulation.ServerID(i)]), to) {
+			for _, at := range append(slices.Clone(r.driver.Tally.HealthChecksAt[simulation.ServerID(i)]), to) {
 				if at >= from && at <= to {
 					gap, last = max(gap, at-last), at
 				}
--- a/internal/testbed/fleet/run.go
+++ b/internal/testbed/fleet/run.go
@@ -35,7 +35,7 @@
 type run struct {
 	p       *Plan
 	seed    uint64
-	dr      *sockets.Drive
+	driver      *sockets.Driver
 	d       *experiment.Day
 	w       *simulation.World
 	net     *netfault.Network
@@ -69,10 +69,10 @@
 	r := &run{p: p, seed: seed, d: p.Experiment.Day(seed), net: netfault.New(seed), folder: folder, ctx: ctx, at: map[string]time.Duration{},
 		calls: map[string][]answer{}, fronts: map[string][]Span{}, struck: map[int][]Span{}, program: map[string][]string{}, descriptors: map[string]int{}}
 	r.w = r.d.World
-	slack, hold := sockets.HeldBack()
+	slack, hold := sockets.CheckerTimes()
 	slack = max(slack, p.late)
 	r.checker = scenario.NewChecker(r.d, slack, hold)
-	r.dr = sockets.New(ctx, r.d, r.checker, program, folder)
+	r.driver = sockets.New(ctx, r.d, r.checker, program, folder)
 	if p.peers {
 		r.post = netfault.NewProxy(ctx, r.net)
 		defer r.post.Close()
@@ -106,12 +106,12 @@
 		r.procs = append(r.procs, x)
 	}
 	r.w.FrontElsewhere()
-	r.dr.StandApart(&sockets.Apart{Net: r.net, Control: func(b simulation.BalancerID) string { return r.procs[b].control },
-		Launch: r.launch, Ended: r.ended, See: func(e invariants.Event) { r.events = append(r.events, e) }})
+	r.driver.Isolate(&sockets.Isolation{Network: r.net, ControlAddress: func(b simulation.BalancerID) string { return r.procs[b].control },
+		Launch: r.launch, Ended: r.ended, Observe: func(e invariants.Event) { r.events = append(r.events, e) }})
 	r.schedule()
 	fronts, stop := context.WithCancel(ctx)
 	began := false
-	void, err := r.dr.Run(func(now time.Duration) {
+	void, err := r.driver.Run(func(now time.Duration) {
 		if !began {
 			began = true
 			r.begin(fronts)
@@ -179,5 +179,5 @@
 }
 
 func (r *run) note(who, format string, a ...any) {
-	r.moments = append(r.moments, Moment{r.dr.Elapsed(), who, fmt.Sprintf(format, a...)})
+	r.moments = append(r.moments, Moment{r.driver.Elapsed(), who, fmt.Sprintf(format, a...)})
 }
--- a/internal/testbed/fleet/strike.go
+++ b/internal/testbed/fleet/strike.go
@@ -34,10 +34,10 @@
 // begin starts what goes on beside the timeline.
 func (r *run) begin(ctx context.Context) {
 	for _, x := range r.procs {
-		go watch(ctx, r.dr.Address(x.id), r.p.askEvery, r.p.wait, r.p.misses, func(alive bool) {
-			r.dr.Do(func() {
+		go watch(ctx, r.driver.Address(x.id), r.p.askEvery, r.p.wait, r.p.misses, func(alive bool) {
+			r.driver.Do(func() {
 				r.w.SetFrontBelief(x.id, alive)
-				now, spans := r.dr.Elapsed(), r.fronts[x.name]
+				now, spans := r.driver.Elapsed(), r.fronts[x.name]
 				if alive {
 					spans[len(spans)-1].To = now
 				} else {
@@ -56,14 +56,14 @@
 			spans := r.struck[i]
 			open := len(spans) > 0 && spans[len(spans)-1].To == 0
 			if s.IsFaulty() && !open {
-				r.struck[i] = append(spans, Span{r.dr.Elapsed(), 0, "struck"})
+				r.struck[i] = append(spans, Span{r.driver.Elapsed(), 0, "struck"})
 			} else if !s.IsFaulty() && open {
-				spans[len(spans)-1].To = r.dr.Elapsed()
+				spans[len(spans)-1].To = r.driver.Elapsed()
 			}
 		}
 		r.w.Schedule.After(100*time.Millisecond, simulation.Measure, look)
 	}
-	r.dr.Do(look)
+	r.driver.Do(look)
 }
 
 // strike carries one fault out. The drive is locked.
@@ -71,7 +71,7 @@
 	who := r.cast.ends(f.who, nil)
 	to := r.cast.ends(f.to, who)
 	if f.as != "" {
-		r.at[f.as], r.cast.named[f.as] = r.dr.Elapsed(), who
+		r.at[f.as], r.cast.named[f.as] = r.driver.Elapsed(), who
 	}
 	r.note(strings.Join(who, ","), "%s", f.kindText(to))
 	later := func(do func()) {
@@ -114,7 +114,7 @@
 			}
 		case term:
 			if r.turn(x, ending) {
-				r.dr.StopBalancer(b)
+				r.driver.StopBalancer(b)
 				for i := 1; i < f.times; i++ {
 					r.signal(x, syscall.SIGTERM)
 				}
@@ -183,12 +183,12 @@
 	if !r.turn(x, to) {
 		return
 	}
-	r.dr.Mark(x.id, invariants.BalancerFrozen)
+	r.driver.ObserveBalancer(x.id, invariants.BalancerFrozen)
 	r.signal(x, syscall.SIGSTOP)
 	round := x.round
 	later(func() {
 		if x.round == round && r.turn(x, runs) {
-			r.dr.Mark(x.id, invariants.BalancerResumed)
+			r.driver.ObserveBalancer(x.id, invariants.BalancerResumed)
 			r.signal(x, syscall.SIGCONT)
 			r.note(x.name, "runs on")
 		}
@@ -217,7 +217,7 @@
 		if kind == folderReadOnly {
 			return os.Chmod(x.folder, map[bool]os.FileMode{true: 0o500, false: 0o700}[on])
 		}
-		pid := r.dr.Process(x.id)
+		pid := r.driver.Process(x.id)
 		if pid == 0 {
 			return errors.New("no process runs")
 		}
@@ -273,10 +273,10 @@
 				r.net.SetCondition(b, a, c)
 			}
 		})
-		r.dr.Doors()
+		r.driver.UpdateListeners()
 	}
 	set(f.way)
-	now := r.dr.Elapsed()
+	now := r.driver.Elapsed()
 	end := r.w.Accounting.Length
 	if length > 0 {
 		end = now + length
@@ -312,7 +312,7 @@
 	if err != nil {
 		a.what = err.Error()
 	}
-	r.dr.Do(func() {
+	r.driver.Do(func() {
 		r.note(x.name, "%s answered %s", f.path, a.what)
 		if f.as != "" {
 			r.calls[f.as] = append(r.calls[f.as], a)
--- a/internal/testbed/sockets/client.go
+++ b/internal/testbed/sockets/client.go
@@ -16,205 +16,253 @@
 	"yardwinch/internal/testbed/invariants"
 )
 
-const lineEvery = 2 * time.Second
+const (
+	lineInterval    = 2 * time.Second // between the lines of an established client
+	lineTimeout     = time.Second
+	connectTimeout  = 3 * time.Second
+	lateAnswerWait  = answerTolerance + 10*time.Millisecond // for an answer that is on its way when a client gives up
+	listenerTimeout = 50 * time.Millisecond
+)
 
-// clientState names where a client's connection stands.
+// clientState is the state of a client's connection.
 type clientState int
 
 const (
-	coming clientState = iota // not connected yet
-	asking                    // its line is out
-	holds
-	gone
+	connecting clientState = iota
+	awaitingAnswer
+	established
+	over
 )
 
-var errDead = errors.New("its balancer was killed")
+var errBalancerKilled = errors.New("its balancer was killed")
 
-// client is one try of a client on a socket; only turn changes its state, under the drive's lock.
+// client is one attempt of a client on a socket. What changes of it is guarded by the driver's mutex.
 type client struct {
-	dr      *Drive
-	flow    simulation.FlowID
-	to      simulation.BalancerID
-	addr    string
-	line    string
-	due     time.Duration
-	conn    net.Conn
-	state   clientState
-	answers int
-	held    bool // stands when the day begins
-	left    bool // by its own will
-	taken   bool
-	stood   bool // it held its connection at some time
+	driver    *Driver
+	flow      simulation.FlowID
+	balancer  simulation.BalancerID
+	address   string
+	line      string
+	deadline  time.Duration
+	isInitial bool // it is established when the day begins
 
-	sentAway bool // its server asked it to go
+	state            clientState
+	conn             net.Conn
+	answers          int
+	isAccepted       bool // the checker was told of it
+	hasLeft          bool // by its own will
+	wasEstablished   bool
+	wasMovedByServer bool
 }
 
-func (c *client) turn(to clientState) {
-	if to == gone && c.state != gone {
-		if c.state == holds {
-			c.dr.see(invariants.Event{Kind: invariants.FlowEnded, Balancer: invariants.Balancer(c.to), Flow: invariants.Flow(c.flow)})
+// transition makes every change of a client's state.
+func (c *client) transition(to clientState) {
+	if to == over && c.state != over {
+		if c.state == established {
+			c.driver.observe(c.event(invariants.FlowEnded))
 		}
-		delete(c.dr.flows, c.flow)
+		delete(c.driver.clients, c.flow)
 	}
 	c.state = to
-	c.stood = c.stood || to == holds
+	c.wasEstablished = c.wasEstablished || to == established
 }
 
-func (c *client) close() {
-	if c.conn != nil {
-		_ = c.conn.Close()
-	}
+func (c *client) event(kind invariants.Kind) invariants.Event {
+	return invariants.Event{Kind: kind, Balancer: invariants.Balancer(c.balancer), Flow: invariants.Flow(c.flow)}
 }
 
-func (dr *Drive) begin(f simulation.FlowID, v *simulation.Client, b simulation.BalancerID, left time.Duration, more string) *client {
-	fields := "c=" + dr.w.Services[v.Service].Name
-	if v.Customer >= 0 {
-		fields += ",t=" + dr.w.Customers[v.Customer].Name
-	}
-	fields += ",d=" + strconv.FormatInt(left.Milliseconds(), 10)
-	if v.Group != simulation.NoGroup {
-		fields += ",g=" + experiment.GroupName(v.Group)
-	}
-	c := &client{dr: dr, flow: f, to: b, due: dr.now() + left, line: fmt.Sprintf("OPEN %016x c%d %s%s\r\n", int64(f), int(v.ID), fields, more)}
-	if int(b) < len(dr.procs) {
-		c.addr = dr.procs[b].addr
+func (c *client) close() {
+	if c.conn != nil {
+		_ = c.conn.Close() // its reader sees the end
 	}
-	dr.flows[f] = c
-	dr.parts.Go(c.run)
-	return c
 }
 
-// OpenFlow opens a connection at a balancer. What it takes is counted from here, whatever keeps the machine from connecting.
-func (dr *Drive) OpenFlow(a simulation.Attempt) {
-	if dr.over {
+// OpenFlow opens a connection at a balancer. Its time counts from here, whatever keeps the machine from connecting.
+func (d *Driver) OpenFlow(a simulation.Attempt) {
+	if d.isOver {
 		return
 	}
-	more := ""
+	flags := ""
 	if a.IsRetry {
-		more += ",r=1"
+		flags += ",r=1"
 	}
 	if a.IsReturning {
-		more += ",again=1"
+		flags += ",again=1"
 	}
-	dr.begin(a.Flow, a.Client, a.Balancer, a.Timeout, more)
+	d.startClient(a, flags)
 }
 
-// AdoptFlow brings up one that stands when the day begins.
-func (dr *Drive) AdoptFlow(f simulation.FlowID, v *simulation.Client, b simulation.BalancerID, conn simulation.ConnID, s simulation.ServerID) {
-	dr.awaited[f] = conn
-	dr.begin(f, v, b, standWithin, ",at="+experiment.ServerName(s)).held = true
+// AdoptFlow opens a connection that is established when the day begins.
+func (d *Driver) AdoptFlow(f simulation.FlowID, c *simulation.Client, b simulation.BalancerID, conn simulation.ConnID, s simulation.ServerID) {
+	d.awaitingEstablished[f] = conn
+	attempt := simulation.Attempt{Flow: f, Client: c, Balancer: b, Timeout: establishWithin}
+	d.startClient(attempt, ",at="+experiment.ServerName(s)).isInitial = true
 }
 
-// LeaveFlow ends a client's connection. One that waited its time out stays a moment longer, so that an answer that is
-// on its way is seen.
-func (dr *Drive) LeaveFlow(f simulation.FlowID) {
-	c := dr.flows[f]
+// startClient starts a client's goroutine, which waits for the driver's mutex before it reads what the caller still sets.
+func (d *Driver) startClient(a simulation.Attempt, flags string) *client {
+	c := &client{driver: d, flow: a.Flow, balancer: a.Balancer, deadline: d.now() + a.Timeout, line: d.openLine(a, flags)}
+	if int(a.Balancer) < len(d.processes) {
+		c.address = d.processes[a.Balancer].address
+	}
+	d.clients[a.Flow] = c
+	d.workers.Go(c.run)
+	return c
+}
+
+// openLine is the line with which a client opens a flow.
+func (d *Driver) openLine(a simulation.Attempt, flags string) string {
+	fields := "c=" + d.world.Services[a.Client.Service].Name
+	if a.Client.Customer >= 0 {
+		fields += ",t=" + d.world.Customers[a.Client.Customer].Name
+	}
+	fields += ",d=" + strconv.FormatInt(a.Timeout.Milliseconds(), 10)
+	if a.Client.Group != simulation.NoGroup {
+		fields += ",g=" + experiment.GroupName(a.Client.Group)
+	}
+	return fmt.Sprintf("OPEN %016x c%d %s%s\r\n", int64(a.Flow), int(a.Client.ID), fields, flags)
+}
+
+// LeaveFlow ends a client's connection. One whose time has run out stays a moment longer, so that an answer on its way is seen.
+func (d *Driver) LeaveFlow(f simulation.FlowID) {
+	c := d.clients[f]
 	if c == nil {
 		return
 	}
-	c.left = true
-	if c.taken {
-		dr.see(invariants.Event{Kind: invariants.ClientLeft, Balancer: invariants.Balancer(c.to), Flow: invariants.Flow(f)})
+	c.hasLeft = true
+	if c.isAccepted {
+		d.observe(c.event(invariants.ClientLeft))
 	}
-	if c.state == asking && dr.now() >= c.due {
+	if c.state == awaitingAnswer && d.now() >= c.deadline {
 		conn := c.conn
-		time.AfterFunc(answerSlack+10*time.Millisecond, func() { _ = conn.Close() })
+		time.AfterFunc(lateAnswerWait, func() { _ = conn.Close() })
 		return
 	}
-	c.turn(gone)
+	c.transition(over)
 	c.close()
 }
 
-// run is the client's connection from its opening to its end.
+// run is a client's connection from its opening to its end.
 func (c *client) run() {
-	dr := c.dr
-	d := net.Dialer{Timeout: 3 * time.Second}
-	conn, err := d.DialContext(dr.ctx, "tcp", c.addr)
-	wrote := dr.elapsed() // before it is: what it causes may be seen sooner than this goroutine goes on
-	if err == nil {
-		_, err = conn.Write([]byte(c.line))
-	}
-	dr.enter()
+	conn, writtenAt, err := c.open()
 	if conn != nil {
 		defer func() { _ = conn.Close() }()
 	}
-	if dr.over {
-		dr.leave()
+	if !c.opened(conn, writtenAt, err) {
 		return
 	}
-	if b := dr.w.Balancers[c.to]; err == nil && !b.IsUp {
-		err = errDead // a process that is being killed still lets the system take connections for it
+	done := make(chan struct{})
+	defer close(done)
+	lines := bufio.NewReaderSize(conn, maxLineBytes)
+	for c.receiveNext(lines, done) {
 	}
-	if err != nil || c.state == gone {
-		if err == nil && !c.held { // it went as its line was written: the balancer may have read it, and owes it nothing
-			now := dr.now()
-			taken := c.takenEvent()
-			taken.Deadline = max(taken.Deadline, now+1)
-			dr.seeAt(wrote, taken)
-			dr.see(invariants.Event{Kind: invariants.ClientLeft, Balancer: invariants.Balancer(c.to), Flow: invariants.Flow(c.flow)})
-		}
-		if c.state != gone && c.held {
-			dr.bad("a connection that stands at the beginning: %w", err)
-		} else if c.state != gone {
-			c.turn(gone)
-			dr.w.AnswerFlow(c.flow, simulation.NoBalancer, 0)
-		}
-		dr.leave()
-		return
+}
+
+// open connects and writes the opening line. writtenAt is the time before it was written, as what it causes may be seen sooner than this
+// goroutine goes on.
+func (c *client) open() (conn net.Conn, writtenAt time.Duration, err error) {
+	conn, err = (&net.Dialer{Timeout: connectTimeout}).DialContext(c.driver.ctx, "tcp", c.address)
+	writtenAt = c.driver.elapsed()
+	if err == nil {
+		_, err = conn.Write([]byte(c.line))
+	}
+	return conn, writtenAt, err
+}
+
+// opened notes how the opening went, and tells whether there is an answer to wait for.
+func (c *client) opened(conn net.Conn, writtenAt time.Duration, err error) bool {
+	d := c.driver
+	d.lockAtNow()
+	defer d.unlock()
+	if d.isOver {
+		return false
+	}
+	if err == nil && !d.world.Balancers[c.balancer].IsUp {
+		err = errBalancerKilled // the system still takes connections for a process that is being killed
+	}
+	if err != nil || c.state == over {
+		c.openFailed(writtenAt, err)
+		return false
 	}
 	c.conn = conn
-	c.turn(asking)
-	if !c.held {
-		c.taken = true
-		dr.seeAt(wrote, c.takenEvent())
-	}
-	dr.leave()
-	stop := make(chan struct{})
-	defer close(stop)
-	r := bufio.NewReaderSize(conn, longestLine)
-	for {
-		line, err := r.ReadString('\n')
-		dr.enter()
-		if err != nil || dr.over {
-			if !dr.over {
-				c.ended()
-			}
-			dr.leave()
-			return
-		}
-		stands := c.state == holds
-		c.hear(strings.TrimRight(line, "\r\n"))
-		if !stands && c.state == holds {
-			dr.parts.Go(func() { c.talk(stop) })
-		}
-		dr.leave()
+	c.transition(awaitingAnswer)
+	if !c.isInitial {
+		c.isAccepted = true
+		d.observeAt(writtenAt, c.acceptedEvent())
 	}
+	return true
 }
 
-// takenEvent is what the referee hears of a line that was written whole.
-func (c *client) takenEvent() invariants.Event {
-	e := invariants.Event{Kind: invariants.FlowAccepted, Balancer: invariants.Balancer(c.to), Flow: invariants.Flow(c.flow), Deadline: c.due}
-	if v := c.dr.w.Client(c.flow); v != nil {
-		s := c.dr.w.Services[v.Service]
-		e.Effect = map[string]invariants.Effect{"guarded": invariants.IdempotentByKey, "single_shot": invariants.NotIdempotent}[s.Effect]
-		e.KeyScope = map[string]invariants.KeyScope{"zone": invariants.ZoneServers, "cell": invariants.CellServers}[s.Group]
-		e.KeyWindow = s.Window
+// openFailed notes that a client could not open its flow, or left as its line was written: then the balancer may have read it, and owes it
+// nothing.
+func (c *client) openFailed(writtenAt time.Duration, err error) {
+	d := c.driver
+	if err == nil && !c.isInitial {
+		accepted := c.acceptedEvent()
+		accepted.Deadline = max(accepted.Deadline, d.now()+1)
+		d.observeAt(writtenAt, accepted)
+		d.observe(c.event(invariants.ClientLeft))
+	}
+	switch {
+	case c.state == over:
+	case c.isInitial:
+		d.fail("a connection that stands at the beginning: %w", err)
+	default:
+		c.transition(over)
+		d.world.AnswerFlow(c.flow, simulation.NoBalancer, 0)
+	}
+}
+
+// The words of settings for effects and scopes that are not the least.
+var (
+	effects   = map[string]invariants.Effect{"guarded": invariants.IdempotentByKey, "single_shot": invariants.NotIdempotent}
+	keyScopes = map[string]invariants.KeyScope{"zone": invariants.ZoneServers, "cell": invariants.CellServers}
+)
+
+// acceptedEvent is what the checker is told of a line that was written in full.
+func (c *client) acceptedEvent() invariants.Event {
+	e := c.event(invariants.FlowAccepted)
+	e.Deadline = c.deadline
+	if modelled := c.driver.world.Client(c.flow); modelled != nil {
+		service := c.driver.world.Services[modelled.Service]
+		e.Effect, e.KeyScope, e.KeyWindow = effects[service.Effect], keyScopes[service.Group], service.Window
 	}
 	return e
 }
 
-// talk sends a line now and then while the connection stands.
-func (c *client) talk(stop chan struct{}) {
-	t := time.NewTicker(lineEvery)
-	defer t.Stop()
+// receiveNext reads a line and tells whether the connection goes on.
+func (c *client) receiveNext(lines *bufio.Reader, done <-chan struct{}) bool {
+	d := c.driver
+	line, err := lines.ReadString('\n')
+	d.lockAtNow()
+	defer d.unlock()
+	if d.isOver {
+		return false
+	}
+	if err != nil {
+		c.connectionEnded()
+		return false
+	}
+	before := c.state
+	c.receive(strings.TrimRight(line, "\r\n"))
+	if before != established && c.state == established {
+		d.workers.Go(func() { c.sendLines(done) })
+	}
+	return true
+}
+
+// sendLines sends a line now and then while the connection is established.
+func (c *client) sendLines(done <-chan struct{}) {
+	ticker := time.NewTicker(lineInterval)
+	defer ticker.Stop()
 	for n := 0; ; n++ {
 		select {
-		case <-stop:
+		case <-done:
 			return
-		case <-c.dr.ctx.Done():
+		case <-c.driver.ctx.Done():
 			return
-		case <-t.C:
-			_ = c.conn.SetWriteDeadline(time.Now().Add(time.Second))
+		case <-ticker.C:
+			_ = c.conn.SetWriteDeadline(time.Now().Add(lineTimeout)) // it fails as the write does
 			if _, err := fmt.Fprintf(c.conn, "T %d\r\n", n); err != nil {
 				return // the reader sees the end
 			}
@@ -222,86 +270,99 @@
 	}
 }
 
-// hear takes one line of the balancer.
-func (c *client) hear(line string) {
-	dr := c.dr
+// receive takes one line of the balancer.
+func (c *client) receive(line string) {
 	word, rest, _ := strings.Cut(line, " ")
-	if c.state == holds {
+	switch {
+	case c.state == established:
 		if word == "MOVE" {
-			if !c.sentAway && (int(c.to) >= len(dr.procs) || dr.procs[c.to].up) { // else the server's doing, or a stop's
-				dr.Tally.Moves++
-				dr.Tally.MovedAt = append(dr.Tally.MovedAt, dr.now())
-			}
-			c.turn(gone)
-			dr.w.BreakFlow(c.flow, simulation.Migrated)
+			c.migrate()
 		}
-		return
-	}
-	if c.stood { // it has just left: what came meanwhile is talk, no answer
-		return
+	case c.wasEstablished: // it has just left: the line is no answer
+	case c.isInitial:
+		c.receiveInitial(word, line)
+	case !c.driver.world.Balancers[c.balancer].IsUp: // sent before its balancer was killed, and received after: what it held is void
+		c.transition(over)
+		c.driver.world.BreakFlow(c.flow, simulation.Cut)
+	default:
+		c.receiveAnswer(word, rest)
 	}
-	if c.held {
-		delete(dr.awaited, c.flow)
-		if word != "UP" {
-			dr.bad("a connection that stands at the beginning was answered %q", line)
-		}
-		c.turn(holds)
-		return
+}
+
+// migrate takes a balancer's request to reconnect, which may be passed on from a server or be part of a shutdown.
+func (c *client) migrate() {
+	d := c.driver
+	isBalancerUp := int(c.balancer) >= len(d.processes) || d.processes[c.balancer].isUp
+	if !c.wasMovedByServer && isBalancerUp {
+		d.Tally.Migrations++
+		d.Tally.MigratedAt = append(d.Tally.MigratedAt, d.now())
 	}
-	if !dr.w.Balancers[c.to].IsUp { // said before its balancer was killed, and heard after: what it held is void
-		c.turn(gone)
-		dr.w.BreakFlow(c.flow, simulation.Cut)
-		return
+	c.transition(over)
+	d.world.BreakFlow(c.flow, simulation.Migrated)
+}
+
+func (c *client) receiveInitial(word, line string) {
+	delete(c.driver.awaitingEstablished, c.flow)
+	if word != "UP" {
+		c.driver.fail("a connection that stands at the beginning was answered %q", line)
 	}
+	c.transition(established)
+}
+
+// receiveAnswer tells the checker each answer, and the world the first one.
+func (c *client) receiveAnswer(word, rest string) {
+	d := c.driver
 	c.answers++
-	e := invariants.Event{Kind: invariants.FlowAnswered, Balancer: invariants.Balancer(c.to), Flow: invariants.Flow(c.flow), Answer: invariants.Aborted}
+	answer, observed := simulation.Aborted, invariants.Aborted
 	switch word {
 	case "UP":
-		e.Answer = invariants.Established
+		answer, observed = simulation.Established, invariants.Established
 	case "BUSY":
-		e.Answer = invariants.Rejected
+		answer, observed = simulation.Rejected, invariants.Rejected
 	}
-	dr.see(e)
-	if c.state != asking || c.answers > 1 {
-		return // the referee says the rest
+	e := c.event(invariants.FlowAnswered)
+	e.Answer = observed
+	d.observe(e)
+	if c.state != awaitingAnswer || c.answers > 1 {
+		return
 	}
-	switch word {
-	case "UP":
-		c.turn(holds)
-		dr.w.AnswerFlow(c.flow, simulation.Established, 0)
-	case "BUSY":
-		ms, _ := strconv.ParseFloat(rest, 64) // none is no time to wait
-		dr.w.AnswerFlow(c.flow, simulation.Rejected, time.Duration(ms*float64(time.Millisecond)))
-	default:
-		dr.w.AnswerFlow(c.flow, simulation.Aborted, 0)
+	retryAfter := time.Duration(0)
+	switch answer {
+	case simulation.Established:
+		c.transition(established)
+	case simulation.Rejected:
+		ms, _ := strconv.ParseFloat(rest, 64) // without a number there is no time to wait
+		retryAfter = time.Duration(ms * float64(time.Millisecond))
 	}
+	d.world.AnswerFlow(c.flow, answer, retryAfter)
 }
 
-// runs tells whether anybody listens at an address on this machine.
-func runs(addr string) bool {
-	c, err := (&net.Dialer{Timeout: 50 * time.Millisecond}).DialContext(context.Background(), "tcp", addr)
-	if c != nil {
-		_ = c.Close()
+// connectionEnded notes the end of a connection.
+func (c *client) connectionEnded() {
+	d, before := c.driver, c.state
+	c.transition(over)
+	isUnanswered := before == awaitingAnswer && c.answers == 0
+	switch {
+	case c.hasLeft:
+	case before == established:
+		d.world.BreakFlow(c.flow, simulation.Cut)
+	case isUnanswered && d.balancersAreExternal && !isListening(d.ctx, c.address):
+		d.observe(invariants.Event{Kind: invariants.BalancerDied, Balancer: invariants.Balancer(c.balancer)}) // a rule binds a balancer that runs
+		d.world.BreakFlow(c.flow, simulation.Cut)
+	case isUnanswered && !d.isProcessUp(c.balancer): // else the flow is lost, unless the balancer's end is about to be observed
+		d.world.BreakFlow(c.flow, simulation.Cut)
 	}
-	return !errors.Is(err, syscall.ECONNREFUSED)
 }
 
-// ended: the connection has come to its end.
-func (c *client) ended() {
-	dr := c.dr
-	was := c.state
-	c.turn(gone)
-	switch {
-	case was == holds && !c.left:
-		dr.w.BreakFlow(c.flow, simulation.Cut)
-	case was == asking && c.answers == 0 && !c.left && dr.others && !runs(c.addr):
-		dr.see(invariants.Event{Kind: invariants.BalancerDied, Balancer: invariants.Balancer(c.to)}) // a rule binds a balancer that runs
-		dr.w.BreakFlow(c.flow, simulation.Cut)
-	case was == asking && c.answers == 0 && !c.left:
-		if p := dr.procs; int(c.to) < len(p) && p[c.to].up {
-			// Ended with no answer by a balancer that lives: a lost flow, unless its death is about to be heard of.
-			return
-		}
-		dr.w.BreakFlow(c.flow, simulation.Cut)
+func (d *Driver) isProcessUp(b simulation.BalancerID) bool {
+	return int(b) < len(d.processes) && d.processes[b].isUp
+}
+
+// isListening tells whether anybody listens at an address on this machine.
+func isListening(ctx context.Context, address string) bool {
+	conn, err := (&net.Dialer{Timeout: listenerTimeout}).DialContext(ctx, "tcp", address)
+	if err == nil {
+		_ = conn.Close()
 	}
+	return !errors.Is(err, syscall.ECONNREFUSED)
 }
--- a/internal/testbed/sockets/process.go
+++ b/internal/testbed/sockets/process.go
@@ -3,14 +3,12 @@
 import (
 	"bufio"
 	"context"
-	"encoding/json"
 	"fmt"
 	"net"
 	"os"
 	"os/exec"
 	"path/filepath"
 	"runtime"
-	"strconv"
 	"strings"
 	"syscall"
 	"time"
@@ -20,250 +18,216 @@
 )
 
 const (
-	readyWithin = 15 * time.Second
-	memoryMB    = 192
-	descriptors = 1024 // beyond those of the connections that a balancer may come to hold
+	balancerNetwork = "127.78"
+	readyTimeout    = 15 * time.Second
+	readyPoll       = 20 * time.Millisecond
+	pingTimeout     = time.Second
+	fileMode        = 0o600
 )
 
-// process is one balancer.
+// process is one balancer's process, through its restarts. What changes of it is guarded by the driver's mutex.
 type process struct {
-	dr     *Drive
-	id     simulation.BalancerID
-	addr   string
-	config string
-	log    string
-	life   int
-	up     bool
-	cmd    *exec.Cmd
-	dead   chan struct{}
-	killed bool // outright; until it is started again
+	driver  *Driver
+	id      simulation.BalancerID
+	address string
+	config  string // path
+	log     string // path
+
+	incarnation int
+	isUp        bool
+	isKilled    bool // outright, until it is started again
+	command     *exec.Cmd
+	ended       chan struct{} // closed when the process has ended
 }
 
-func newProcess(dr *Drive, b simulation.BalancerID) (*process, error) {
-	l, err := (&net.ListenConfig{}).Listen(dr.ctx, "tcp", fmt.Sprintf("127.78.%d.%d:0", int(b)/250, int(b)%250+1)) // see door.turn
+func newProcess(d *Driver, b simulation.BalancerID) (*process, error) {
+	listener, err := (&net.ListenConfig{}).Listen(d.ctx, "tcp", loopbackAddress(balancerNetwork, int(b)))
 	if err != nil {
-		return nil, err
-	}
-	p := &process{dr: dr, id: b, addr: l.Addr().String(), config: filepath.Join(dr.folder, fmt.Sprintf("balancer-%d.json", b)),
-		log: filepath.Join(dr.folder, fmt.Sprintf("balancer-%d.log", b))}
-	return p, l.Close()
-}
-
-// Config writes what a balancer is told, as the platform does.
-func (dr *Drive) Config(b simulation.BalancerID, listen string, life int) ([]byte, error) {
-	a := dr.agents[b]
-	told := map[string]any{
-		"name": fmt.Sprintf("n%d", b), "listen": listen, "discovery": a.addr(),
-		"seed":     fmt.Sprintf("%016x", simulation.RandomSource(dr.d.Seed, "balancer "+strconv.Itoa(life), int(b)).Uint64()),
-		"limits":   map[string]any{"cores": 1, "memory_mb": memoryMB, "sockets": descriptors + 2*dr.most()/len(dr.w.Balancers)},
-		"known":    json.RawMessage(a.object(true, a.all())),
-		"settings": nested(dr.d.Settings(b)),
+		return nil, fmt.Errorf("find an address for balancer %d: %w", b, err)
 	}
-	if dr.apart != nil && dr.apart.Control != nil {
-		told["control"] = dr.apart.Control(b)
+	p := &process{driver: d, id: b, address: listener.Addr().String(), config: filepath.Join(d.folder, fmt.Sprintf("balancer-%d.json", b)),
+		log: filepath.Join(d.folder, fmt.Sprintf("balancer-%d.log", b))}
+	if err := listener.Close(); err != nil {
+		return nil, fmt.Errorf("free the address of balancer %d: %w", b, err)
 	}
-	return json.MarshalIndent(told, "", " ")
+	return p, nil
 }
 
-// nested turns dotted paths into the objects and lists that they were flattened from.
-func nested(flat map[string]string) map[string]any {
-	top := map[string]any{}
-	for path, v := range flat {
-		at, parts := top, strings.Split(path, ".")
-		for _, p := range parts[:len(parts)-1] {
-			next, ok := at[p].(map[string]any)
-			if !ok {
-				next = map[string]any{}
-				at[p] = next
-			}
-			at = next
-		}
-		at[parts[len(parts)-1]] = value(v)
+// StartBalancer starts a balancer's process. It is ready when it answers.
+func (d *Driver) StartBalancer(b simulation.BalancerID) {
+	if d.isOver {
+		return
+	}
+	p := d.processes[b]
+	p.incarnation++
+	d.ObserveBalancer(b, invariants.BalancerStarted)
+	command, err := p.start()
+	if err != nil {
+		d.fail("balancer %d: %w", b, err)
+		return
 	}
-	return lists(top).(map[string]any)
+	p.command, p.isUp, p.isKilled = command, true, false
+	ended, incarnation := make(chan struct{}), p.incarnation
+	p.ended = ended
+	d.workers.Go(func() {
+		err := command.Wait()
+		close(ended)
+		p.observeEnd(incarnation, err)
+	})
 }
 
-func lists(v any) any {
-	m, ok := v.(map[string]any)
-	if !ok {
-		return v
-	}
-	for k := range m {
-		m[k] = lists(m[k])
+// start writes the configuration and starts the program.
+func (p *process) start() (*exec.Cmd, error) {
+	if err := p.writeConfig(); err != nil {
+		return nil, err
 	}
-	count, ok := m["count"].(json.Number)
-	if !ok {
-		return m
+	log, err := os.OpenFile(p.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, fileMode)
+	if err != nil {
+		return nil, err
 	}
-	n, _ := strconv.Atoi(string(count)) // it was written by us
-	list := make([]any, 0, n)
-	for i := range n {
-		list = append(list, m[strconv.Itoa(i)])
+	defer func() { _ = log.Close() }() // the process has its own descriptor
+	command, err := p.newCommand(log)
+	if err != nil {
+		return nil, err
 	}
-	return list
+	return command, p.driver.startOnThread(command)
 }
 
-func value(s string) any {
-	if s == "true" || s == "false" {
-		return s == "true"
+func (p *process) writeConfig() error {
+	text, err := p.driver.Config(p.id, p.address, p.incarnation)
+	if err != nil {
+		return fmt.Errorf("encode its configuration: %w", err)
 	}
-	if strings.Contains(s, ",") {
-		var list []any
-		for _, p := range strings.Split(s, ",") {
-			list = append(list, value(p))
+	return os.WriteFile(p.config, text, fileMode)
+}
+
+// newCommand has the system end the process with the thread that starts it, so that it doesn't outlive the testbed.
+func (p *process) newCommand(log *os.File) (*exec.Cmd, error) {
+	d := p.driver
+	command := &exec.Cmd{SysProcAttr: &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}, Stdout: log, Stderr: log}
+	command.Env = append(os.Environ(), "PROXY_CONFIG="+p.config, "YARDWINCH_OPTIONS="+d.options)
+	program := d.program
+	if d.isolation != nil && d.isolation.Launch != nil {
+		var err error
+		if program, err = d.isolation.Launch(p.id, p.incarnation, command); err != nil {
+			return nil, err
 		}
-		return list
-	}
-	if _, err := strconv.ParseFloat(s, 64); err == nil {
-		return json.Number(s)
 	}
-	return s
+	found := exec.CommandContext(d.ctx, program[0], program[1:]...) // it is not started: it finds the program's path
+	command.Path, command.Args, command.Err = found.Path, found.Args, found.Err
+	return command, nil
 }
 
-// StartBalancer starts a balancer's process; it is up when it answers.
-func (dr *Drive) StartBalancer(b simulation.BalancerID) {
-	if dr.over {
-		return
-	}
-	p := dr.procs[b]
-	p.life++
-	dr.see(invariants.Event{Kind: invariants.BalancerStarted, Balancer: invariants.Balancer(b)})
-	text, err := dr.Config(b, p.addr, p.life)
-	if err == nil {
-		err = os.WriteFile(p.config, text, 0o600)
-	}
-	var log *os.File
-	if err == nil {
-		log, err = os.OpenFile(p.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+// startOnThread starts a process on the thread of startProcesses.
+func (d *Driver) startOnThread(command *exec.Cmd) error {
+	started := make(chan error, 1)
+	select {
+	case d.starts <- func() { started <- command.Start() }:
+		return <-started
+	case <-d.ctx.Done():
+		return d.ctx.Err()
 	}
-	cmd := &exec.Cmd{SysProcAttr: &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}} // it must not outlive the yard
-	cmd.Stdout, cmd.Stderr = log, log
-	program := dr.program
-	cmd.Env = append(os.Environ(), "PROXY_CONFIG="+p.config, "YARDWINCH_OPTIONS="+dr.options)
-	if err == nil && dr.apart != nil && dr.apart.Launch != nil {
-		program, err = dr.apart.Launch(b, p.life, cmd)
+}
+
+// startProcesses starts all processes from one thread, which it keeps until the run is over: the system ends them with the thread that
+// started them, so that none outlives the testbed however that ends.
+func (d *Driver) startProcesses() {
+	runtime.LockOSThread()
+	for {
+		select {
+		case <-d.ctx.Done():
+			return // the thread ends with the goroutine, as it is still locked
+		case start := <-d.starts:
+			start()
+		}
 	}
-	if err != nil {
-		dr.bad("balancer %d: %w", b, err)
+}
+
+// observeEnd notes that a process ended. If nobody ended it, that is a fault of the run, unless the isolation takes it.
+func (p *process) observeEnd(incarnation int, err error) {
+	d := p.driver
+	d.lockAtNow()
+	defer d.unlock()
+	if p.incarnation != incarnation || !p.isUp || d.isOver {
 		return
 	}
-	found := exec.CommandContext(dr.ctx, program[0], program[1:]...)
-	cmd.Path, cmd.Args, cmd.Err = found.Path, found.Args, found.Err
-	began := make(chan error, 1)
-	select {
-	case dr.starts <- func() { began <- cmd.Start() }:
-		err = <-began
-	case <-dr.ctx.Done():
-		err = dr.ctx.Err()
-	}
-	_ = log.Close() // the process has its own
-	if err != nil {
-		dr.bad("balancer %d: %w", b, err)
-		return
+	p.isUp = false
+	switch {
+	case d.isolation != nil && d.isolation.Ended != nil:
+		d.isolation.Ended(p.id, err)
+	case d.world.Balancers[p.id].IsUp:
+		d.fail("balancer %d ended by itself (%v); its log is %s", p.id, err, p.log)
 	}
-	p.cmd, p.up, p.dead, p.killed = cmd, true, make(chan struct{}), false
-	dead, life := p.dead, p.life
-	dr.parts.Go(func() {
-		err := cmd.Wait()
-		close(dead)
-		dr.enter()
-		defer dr.leave()
-		if p.life == life && p.up && !dr.over {
-			p.up = false
-			if dr.apart != nil && dr.apart.Ended != nil {
-				dr.apart.Ended(b, err)
-			} else if dr.w.Balancers[b].IsUp {
-				dr.bad("balancer %d ended by itself (%v); its log is %s", b, err, p.log)
-			}
-		}
-	})
 }
 
-// KillBalancer ends a balancer outright; Stop asks it to end in order.
-func (dr *Drive) KillBalancer(b simulation.BalancerID) {
-	p := dr.procs[b]
-	dr.see(invariants.Event{Kind: invariants.BalancerDied, Balancer: invariants.Balancer(b)})
-	p.up = false
+// KillBalancer ends a balancer outright.
+func (d *Driver) KillBalancer(b simulation.BalancerID) {
+	p := d.processes[b]
+	d.ObserveBalancer(b, invariants.BalancerDied)
+	p.isUp = false
 	p.kill()
 }
 
-// Mark books that a balancer stops to run, or runs on; Signal does it.
-func (dr *Drive) Mark(b simulation.BalancerID, k invariants.Kind) {
-	dr.see(invariants.Event{Kind: k, Balancer: invariants.Balancer(b)})
+// StopBalancer asks a balancer to end in order.
+func (d *Driver) StopBalancer(b simulation.BalancerID) {
+	if p := d.processes[b]; p.command != nil {
+		_ = p.command.Process.Signal(syscall.SIGTERM) // it may have ended
+		p.isUp = false
+	}
 }
 
-// Signal sends one to a balancer's process.
-func (dr *Drive) Signal(b simulation.BalancerID, s syscall.Signal) error {
-	p := dr.procs[b]
-	if p.cmd == nil || p.cmd.Process == nil {
-		return fmt.Errorf("balancer %d: no process", b)
-	}
-	return p.cmd.Process.Signal(s)
+// ObserveBalancer tells the checker of an event of a balancer's process.
+func (d *Driver) ObserveBalancer(b simulation.BalancerID, kind invariants.Kind) {
+	d.observe(invariants.Event{Kind: kind, Balancer: invariants.Balancer(b)})
 }
 
-// StopBalancer asks a balancer to end in order.
-func (dr *Drive) StopBalancer(b simulation.BalancerID) {
-	if p := dr.procs[b]; p.cmd != nil {
-		_ = p.cmd.Process.Signal(syscall.SIGTERM) // it may have ended
-		p.up = false
+// Signal sends a signal to a balancer's process. A process that has ended is an error.
+func (d *Driver) Signal(b simulation.BalancerID, signal syscall.Signal) error {
+	p := d.processes[b]
+	if p.command == nil || p.command.Process == nil {
+		return fmt.Errorf("balancer %d: no process", b)
 	}
+	return p.command.Process.Signal(signal)
 }
 
 func (p *process) kill() {
-	if p != nil && p.cmd != nil {
-		_ = p.cmd.Process.Kill() // it may have ended
-		p.killed = true
+	if p.command != nil {
+		_ = p.command.Process.Kill() // it may have ended
+		p.isKilled = true
 	}
 }
 
-// ready waits until the balancer answers PING.
-func (p *process) ready(ctx context.Context) error {
-	until := time.Now().Add(readyWithin)
-	for time.Now().Before(until) && ctx.Err() == nil {
-		c, err := (&net.Dialer{Timeout: time.Second}).DialContext(ctx, "tcp", p.addr)
-		if err == nil {
-			_ = c.SetDeadline(time.Now().Add(time.Second))
-			_, err = c.Write([]byte("PING\r\n"))
-			var line string
-			if err == nil {
-				line, err = bufio.NewReader(c).ReadString('\n')
-			}
-			_ = c.Close()
-			if err == nil && strings.HasPrefix(line, "PONG") {
-				return nil
-			}
+// awaitReady waits until the balancer answers PING.
+func (p *process) awaitReady(ctx context.Context) error {
+	deadline := time.Now().Add(readyTimeout)
+	for time.Now().Before(deadline) && ctx.Err() == nil {
+		if ping(ctx, p.address) {
+			return nil
 		}
 		select {
-		case <-p.dead:
+		case <-p.ended:
 			return fmt.Errorf("balancer %d ended before it was ready; its log is %s", p.id, p.log)
-		case <-time.After(20 * time.Millisecond):
+		case <-time.After(readyPoll):
 		case <-ctx.Done():
 		}
 	}
 	if err := ctx.Err(); err != nil {
 		return err
 	}
-	return fmt.Errorf("balancer %d was not ready after %v; its log is %s", p.id, readyWithin, p.log)
+	return fmt.Errorf("balancer %d was not ready after %v; its log is %s", p.id, readyTimeout, p.log)
 }
 
-// starter starts all processes from one thread, which it keeps until the run is over: the system ends them with the
-// thread that started them, so that none outlives the yard however that ends.
-func (dr *Drive) starter() {
-	runtime.LockOSThread()
-	for {
-		select {
-		case <-dr.ctx.Done():
-			return // the thread ends with the goroutine, as it is still locked
-		case start := <-dr.starts:
-			start()
-		}
+// ping tells whether a balancer answers.
+func ping(ctx context.Context, address string) bool {
+	conn, err := (&net.Dialer{Timeout: pingTimeout}).DialContext(ctx, "tcp", address)
+	if err != nil {
+		return false
 	}
-}
-
-// most is how many connections all servers take.
-func (dr *Drive) most() (n int) {
-	for _, s := range dr.w.Servers {
-		n += s.MaxConnections
+	defer func() { _ = conn.Close() }()
+	_ = conn.SetDeadline(time.Now().Add(pingTimeout)) // it fails as the write does
+	if _, err := conn.Write([]byte("PING\r\n")); err != nil {
+		return false
 	}
-	return n
+	line, err := bufio.NewReader(conn).ReadString('\n')
+	return err == nil && strings.HasPrefix(line, "PONG")
 }
--- a/internal/testbed/sockets/sockets_test.go
+++ b/internal/testbed/sockets/sockets_test.go
@@ -17,9 +17,9 @@
 	"yardwinch/internal/testbed/invariants"
 )
 
-// The test's own program stands for a balancer, sound or bent, as its environment says.
+// The test's own program stands in for a balancer, sound or faulty, as its environment says.
 func TestMain(m *testing.M) {
-	switch way := os.Getenv("YARD_TEST_BALANCER"); way {
+	switch fault := os.Getenv("TESTBED_TEST_BALANCER"); fault {
 	case "":
 		os.Exit(m.Run())
 	case "sound":
@@ -28,21 +28,21 @@
 			os.Exit(1)
 		}
 	default:
-		bentBalancer(way)
+		runFaultyBalancer(fault)
 	}
 }
 
-// bentBalancer turns everybody away, in one way too many.
-func bentBalancer(way string) {
-	var told struct{ Listen string }
+// runFaultyBalancer answers every client in a way that breaks a rule.
+func runFaultyBalancer(fault string) {
+	var configuration struct{ Listen string }
 	text, err := os.ReadFile(os.Getenv("PROXY_CONFIG"))
 	if err == nil {
-		err = json.Unmarshal(text, &told)
+		err = json.Unmarshal(text, &configuration)
 	}
 	if err != nil {
 		panic(err)
 	}
-	l, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", told.Listen)
+	l, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", configuration.Listen)
 	if err != nil {
 		panic(err)
 	}
@@ -57,9 +57,9 @@
 			switch {
 			case strings.HasPrefix(line, "PING"):
 				_, _ = c.Write([]byte("PONG\r\n"))
-			case way == "answers twice":
+			case fault == "answers twice":
 				_, _ = c.Write([]byte("BUSY 500\r\nERR no\r\n"))
-			case way == "ends without a word":
+			case fault == "does not answer":
 			}
 		}()
 	}
@@ -81,7 +81,7 @@
 %s
 `
 
-const shortTroubles = `[[trouble]]
+const shortFaults = `[[trouble]]
 kind = "deploy"
 start = "1s"
 length = "1s"
@@ -110,7 +110,7 @@
 length = "1s"
 `
 
-func drive(t *testing.T, text, way string) (*Drive, *invariants.Checker, *experiment.Day) {
+func newTestDriver(t *testing.T, text, balancer string) (*Driver, *invariants.Checker, *experiment.Day) {
 	t.Helper()
 	e, err := experiment.Read("short.toml", []byte(text))
 	if err != nil {
@@ -118,20 +118,20 @@
 	}
 	d := e.Day(3)
 	terms := e.Terms()
-	slack, hold := HeldBack()
-	ref := invariants.New(invariants.Limits{Slack: slack, Reordering: hold, DrainGrace: terms.DrainGrace,
+	slack, hold := CheckerTimes()
+	checker := invariants.New(invariants.Limits{Slack: slack, Reordering: hold, DrainGrace: terms.DrainGrace,
 		SlowStartMultiple: terms.SlowStartMultiple, SlowStartWindow: terms.SlowStartWindow, SlowStart: terms.SlowStart, MeanLoad: d.MeanLoad()})
 	self, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Setenv("YARD_TEST_BALANCER", way)
-	return New(context.Background(), d, ref, []string{self}, t.TempDir()), ref, d
+	t.Setenv("TESTBED_TEST_BALANCER", balancer)
+	return New(context.Background(), d, checker, []string{self}, t.TempDir()), checker, d
 }
 
-func TestADayOfTroubleOnSockets(t *testing.T) {
+func TestDayWithFaultsOnSockets(t *testing.T) {
 	before := runtime.NumGoroutine()
-	dr, ref, d := drive(t, fmt.Sprintf(shortDay, shortTroubles), "sound")
+	dr, checker, d := newTestDriver(t, fmt.Sprintf(shortDay, shortFaults), "sound")
 	void, err := dr.Run(nil)
 	if err != nil {
 		t.Fatal(err)
@@ -139,11 +139,11 @@
 	if void != "" {
 		t.Skip(void) // says nothing of the balancer
 	}
-	for _, v := range ref.Violations() {
-		t.Errorf("a sound balancer is blamed: %v", v)
+	for _, v := range checker.Violations() {
+		t.Errorf("a sound balancer is reported: %v", v)
 	}
-	if n := d.World.Totals; n.Established < 20 || ref.Judged < 20 || dr.Tally.Connects < 20 {
-		t.Errorf("established %d, judged %d, connects %d: the day was not played", n.Established, ref.Judged, dr.Tally.Connects)
+	if n := d.World.Totals; n.Established < 20 || checker.Judged < 20 || dr.Tally.Connects < 20 {
+		t.Errorf("established %d, judged %d, connects %d: the day was not run", n.Established, checker.Judged, dr.Tally.Connects)
 	}
 	for range 200 {
 		if runtime.NumGoroutine() <= before+1 {
@@ -154,53 +154,53 @@
 	t.Errorf("%d goroutines before, %d after", before, runtime.NumGoroutine())
 }
 
-func TestBentBalancersAreCaughtOnSockets(t *testing.T) {
-	for _, c := range []struct{ way, what string }{
+func TestFaultyBalancersAreFoundOnSockets(t *testing.T) {
+	for _, c := range []struct{ fault, what string }{
 		{"answers twice", "answered twice"},
-		{"ends without a word", "no answer in time"},
+		{"does not answer", "no answer in time"},
 	} {
-		t.Run(c.way, func(t *testing.T) {
+		t.Run(c.fault, func(t *testing.T) {
 			text := strings.Replace(fmt.Sprintf(shortDay, ""), "6s", "4s", 1)
 			text += "[[service]]\nname = \"x\"\nconnect-timeout = \"1s\"\n"
-			dr, ref, _ := drive(t, text, c.way)
-			dr.source = experiment.NewSteady(experiment.SteadyConfig{Seed: 1, Rate: 20, Lifetime: time.Second, LifetimeSigma: 0.5, Groups: 3, Localities: 3}) // nobody stands at the beginning
+			dr, checker, _ := newTestDriver(t, text, c.fault)
+			dr.source = experiment.NewSteady(experiment.SteadyConfig{Seed: 1, Rate: 20, Lifetime: time.Second, LifetimeSigma: 0.5, Groups: 3, Localities: 3}) // nobody is connected at the beginning
 			if _, err := dr.Run(nil); err != nil {
 				t.Fatal(err)
 			}
-			if v := ref.Violations(); len(v) == 0 || v[0].Rule != invariants.OneAnswer || !strings.Contains(v[0].What, c.what) {
+			if v := checker.Violations(); len(v) == 0 || v[0].Rule != invariants.OneAnswer || !strings.Contains(v[0].What, c.what) {
 				t.Errorf("found %v, want %q", v, c.what)
 			}
 		})
 	}
 }
 
-func TestOpenLoopShowsABalancerThatStopped(t *testing.T) {
+func TestOpenLoopShowsUnresponsiveBalancer(t *testing.T) {
 	l, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = l.Close() }() // takes connections in the system's queue and never a word more
+	defer func() { _ = l.Close() }() // the system takes connections into its queue, and nobody answers
 	e, err := experiment.Read("load", []byte("name = \"load\"\nlength = \"3s\"\n[fleet]\nservers = 1\nbalancers = 1\n[[service]]\nname = \"x\"\nsetup-target=\"1ms\"\nconnect-timeout = \"500ms\"\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	d := e.Day(1)
-	slack, hold := HeldBack()
-	ref := invariants.New(invariants.Limits{Slack: slack, Reordering: hold, DrainGrace: time.Second})
-	dr := Load(context.Background(), d, ref, []string{l.Addr().String()})
+	slack, hold := CheckerTimes()
+	checker := invariants.New(invariants.Limits{Slack: slack, Reordering: hold, DrainGrace: time.Second})
+	dr := Load(context.Background(), d, checker, []string{l.Addr().String()})
 	if _, err := dr.RunLoad(experiment.NewSteady(experiment.SteadyConfig{Seed: 1, Rate: 40, Lifetime: 2 * time.Second, LifetimeSigma: 0.5, Groups: 3, Localities: 1}), nil); err != nil {
 		t.Fatal(err)
 	}
 	n := d.World.Totals
 	if n.Clients < 80 || n.Established != 0 || len(n.NeverEstablished) != n.Clients {
-		t.Errorf("%d clients, %d established, %d never up: arrivals must not wait, nor vanish", n.Clients, n.Established, len(n.NeverEstablished))
+		t.Errorf("%d clients, %d established, %d never: arrivals must not wait, nor vanish", n.Clients, n.Established, len(n.NeverEstablished))
 	}
 	if n.TimedOut < n.Clients/2 {
-		t.Errorf("%d tries were given up at their timeout", n.TimedOut)
+		t.Errorf("%d attempts were given up at their timeout", n.TimedOut)
 	}
 }
 
-func TestALateDriveVoidsItsRun(t *testing.T) {
+func TestLateDriverVoidsItsRun(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		late []time.Duration
@@ -211,19 +211,19 @@
 		{"once by much", append(make([]time.Duration, 500), 900*time.Millisecond), true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			dr, _, _ := drive(t, fmt.Sprintf(shortDay, ""), "sound")
+			dr, _, _ := newTestDriver(t, fmt.Sprintf(shortDay, ""), "sound")
 			defer dr.Close()
 			for _, d := range c.late {
-				_ = dr.late.RecordValue(max(1, int64(d/time.Microsecond))) // within its range
+				_ = dr.lateness.RecordValue(max(1, int64(d/time.Microsecond))) // within its range
 			}
-			if got := dr.void(); (got != "") != c.void {
+			if got := dr.voidReason(); (got != "") != c.void {
 				t.Errorf("void: %q, want so: %v", got, c.void)
 			}
 		})
 	}
 }
 
-func TestWhatBalancersAreTold(t *testing.T) {
+func TestNestedConfiguration(t *testing.T) {
 	got := nested(map[string]string{"a.b": "3", "a.c": "x", "l.count": "2", "l.0.name": "p", "l.1.name": "q", "f": "true", "n": "1,2"})
 	text, err := json.Marshal(got)
 	if want := `{"a":{"b":3,"c":"x"},"f":true,"l":[{"name":"p"},{"name":"q"}],"n":[1,2]}`; err != nil || string(text) != want {
@@ -231,35 +231,35 @@
 	}
 }
 
-// A line that comes as its client leaves is talk: it was taken for an answer after the end.
-func TestTalkAfterTheEndIsNoAnswer(t *testing.T) {
-	dr, ref, _ := drive(t, fmt.Sprintf(shortDay, ""), "sound")
+// A line that arrives as its client leaves is no answer after the end.
+func TestLineAfterTheEndIsNoAnswer(t *testing.T) {
+	dr, checker, _ := newTestDriver(t, fmt.Sprintf(shortDay, ""), "sound")
 	dr.mu.Lock()
-	dr.running = true
-	c := &client{dr: dr, flow: 7, due: time.Second}
-	dr.flows[7] = c
-	dr.see(invariants.Event{Kind: invariants.FlowAccepted, Flow: 7, Deadline: time.Second})
-	c.turn(asking)
-	c.hear("UP 7")
-	c.turn(gone)
-	c.hear("T 0")
+	dr.isRunning = true
+	c := &client{driver: dr, flow: 7, deadline: time.Second}
+	dr.clients[7] = c
+	dr.observe(invariants.Event{Kind: invariants.FlowAccepted, Flow: 7, Deadline: time.Second})
+	c.transition(awaitingAnswer)
+	c.receive("UP 7")
+	c.transition(over)
+	c.receive("T 0")
 	dr.mu.Unlock()
-	if found := ref.Finish(time.Minute); len(found) > 0 {
+	if found := checker.Finish(time.Minute); len(found) > 0 {
 		t.Errorf("%v", found)
 	}
 }
 
-// The referee puts in order what it hears of in time; a run in which the drive told it of something later says nothing.
-func TestWhatIsSeenTooLateMakesTheRunVoid(t *testing.T) {
+// The checker puts in order what it is told in time. A run in which the driver told it of something later is void.
+func TestLateObservationVoidsTheRun(t *testing.T) {
 	for _, c := range []struct {
 		late time.Duration
 		void bool
-	}{{heldBack / 2, false}, {2 * heldBack, true}} {
-		dr, _, _ := drive(t, fmt.Sprintf(shortDay, ""), "sound")
+	}{{maxReordering / 2, false}, {2 * maxReordering, true}} {
+		dr, _, _ := newTestDriver(t, fmt.Sprintf(shortDay, ""), "sound")
 		dr.mu.Lock()
-		dr.start, dr.running = time.Now().Add(-time.Minute), true
-		dr.seeAt(dr.now()-c.late, invariants.Event{Kind: invariants.FlowAccepted, Flow: 7, Deadline: time.Hour})
-		void := dr.void()
+		dr.startedAt, dr.isRunning = time.Now().Add(-time.Minute), true
+		dr.observeAt(dr.now()-c.late, invariants.Event{Kind: invariants.FlowAccepted, Flow: 7, Deadline: time.Hour})
+		void := dr.voidReason()
 		dr.mu.Unlock()
 		if (void != "") != c.void {
 			t.Errorf("seen %v late: void is %q", c.late, void)
