--- a/cmd/testbed/agree.go
+++ b/cmd/testbed/agree.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"fmt"
+	"io"
 	"math"
 	"os"
 	"path/filepath"
@@ -19,7 +20,10 @@
 	"yardwinch/internal/testbed/virtual"
 )
 
-const agreesWithin = 0.03
+const (
+	agreesWithin  = 0.03 // of service
+	virtualRepeat = 5    // runs in virtual time with other random sources of the balancers: on sockets no two runs have the same
+)
 
 func agreeCommand() *cli.Command {
 	return &cli.Command{Name: "agree", ArgsUsage: "FILE...", Usage: "play a day of each file in virtual time and on sockets, and tell whether both say the same",
@@ -28,100 +32,158 @@
 		Action: agree}
 }
 
-// pair is one day on both drives.
+// pair is one day with both drivers.
 type pair struct {
 	Name    string        `json:"name"`
 	Seed    uint64        `json:"seed"`
 	Virtual *count.Result `json:"virtual"`
-	Mean    float64       `json:"virtual_mean"` // of the day under other chances of the balancers
+	Mean    float64       `json:"virtual_mean"` // of the day with other random sources of the balancers
 	Least   float64       `json:"virtual_least"`
 	Most    float64       `json:"virtual_most"`
 	Sockets *count.Result `json:"sockets"`
 	Agrees  bool          `json:"agrees"`
+
+	experiment *experiment.Experiment
 }
 
 func agree(ctx context.Context, c *cli.Command) error {
 	if c.Args().Len() == 0 {
 		return fault(fmt.Errorf("want one experiment file at the least"))
 	}
-	start, err := balancerProgram(c)
+	program, err := balancerProgram(c)
+	if err != nil {
+		return err
+	}
+	directory, remove, err := logDirectory(c)
 	if err != nil {
 		return err
 	}
-	folder := c.String("logs")
-	if folder == "" {
-		if folder, err = os.MkdirTemp("", "yard"); err != nil {
+	defer remove()
+	pairs, err := pairsOf(c)
+	if err != nil {
+		return err
+	}
+	if err := playPairs(ctx, c, pairs, program, directory); err != nil {
+		return err
+	}
+	if c.String("json") != "" {
+		if err := printJSON(pairs); err != nil {
 			return err
 		}
-		defer func() { _ = os.RemoveAll(folder) }() // what is left of a temporary directory harms nobody
 	}
-	var pairs []*pair
-	var files []*experiment.Experiment
-	for _, f := range c.Args().Slice() {
-		e, err := experiment.Open(f)
+	printPairs(os.Stdout, pairs)
+	return agreement(pairs)
+}
+
+func pairsOf(c *cli.Command) (pairs []*pair, err error) {
+	for _, file := range c.Args().Slice() {
+		e, err := experiment.Open(file)
 		if err != nil {
-			return fault(err)
+			return nil, fault(err)
 		}
-		if p := c.Float("part"); p > 0 && p != 1 {
-			e = e.Stretched(p)
+		if part := c.Float("part"); part > 0 && part != 1 {
+			e = e.Stretched(part)
 		}
 		e = e.Sized(c.Int("balancers"), c.Int("servers"))
 		for s := range c.Int("seeds") {
-			pairs = append(pairs, &pair{Name: e.Name, Seed: c.Uint64("seed") + uint64(s)})
-			files = append(files, e)
+			pairs = append(pairs, &pair{Name: e.Name, Seed: c.Uint64("seed") + uint64(s), experiment: e})
 		}
 	}
-	g, ctx := errgroup.WithContext(ctx)
-	g.SetLimit(max(1, c.Int("jobs")))
-	step, end := bar("days", len(pairs))
-	for i, p := range pairs {
-		g.Go(func() error {
-			err := p.virtual(files[i], c.String("policy"))
-			if err != nil {
-				return err
-			}
-			at := filepath.Join(folder, fmt.Sprintf("%s-%d", p.Name, p.Seed))
-			if err := os.MkdirAll(at, 0o755); err != nil {
+	return pairs, nil
+}
+
+func playPairs(ctx context.Context, c *cli.Command, pairs []*pair, program []string, directory string) error {
+	group, ctx := errgroup.WithContext(ctx)
+	group.SetLimit(max(1, c.Int("jobs")))
+	step, end := progressBar("days", len(pairs))
+	defer end()
+	for _, p := range pairs {
+		group.Go(func() error {
+			if err := p.play(ctx, c.String("policy"), program, directory); err != nil {
 				return err
 			}
-			if p.Sockets, err = Sockets(ctx, files[i], p.Seed, c.String("policy"), start, at, nil); err != nil {
-				return fmt.Errorf("%s, seed %d: %w", p.Name, p.Seed, err)
-			}
-			p.Agrees = math.Abs(p.Mean-p.Sockets.Service) <= agreesWithin && (p.Virtual.Broken > 0) == (p.Sockets.Broken > 0)
 			step()
 			return nil
 		})
 	}
-	err = g.Wait()
-	end()
-	if err != nil {
+	return group.Wait()
+}
+
+func (p *pair) play(ctx context.Context, policy string, program []string, directory string) error {
+	if err := p.playVirtual(policy); err != nil {
 		return err
 	}
-	if c.String("json") != "" {
-		if err := printJSON(pairs); err != nil {
+	own := filepath.Join(directory, fmt.Sprintf("%s-%d", p.Name, p.Seed))
+	if err := os.MkdirAll(own, directoryMode); err != nil {
+		return err
+	}
+	result, err := runOnSockets(ctx, socketsRun{experiment: p.experiment, seed: p.Seed, policy: policy, program: program, directory: own})
+	if err != nil {
+		return fmt.Errorf("%s, seed %d: %w", p.Name, p.Seed, err)
+	}
+	p.Sockets = result
+	p.Agrees = math.Abs(p.Mean-result.Service) <= agreesWithin && (p.Virtual.Broken > 0) == (result.Broken > 0)
+	return nil
+}
+
+// playVirtual plays the day with several random sources of the balancers: a day near its limit has no single figure.
+func (p *pair) playVirtual(policy string) error {
+	p.Least = math.Inf(1)
+	for k := range uint64(virtualRepeat) {
+		result, err := scenario.RunDay(p.experiment, p.Seed, policy, nil, func(newDecider virtual.NewDecider) virtual.NewDecider {
+			return func(seed uint64, b simulation.BalancerID, act decide.Actions) virtual.Decider {
+				return newDecider(seed+k, b, act)
+			}
+		})
+		if err != nil {
 			return err
 		}
+		if k == 0 {
+			p.Virtual = result
+		}
+		p.Virtual.Broken = max(p.Virtual.Broken, result.Broken)
+		p.Mean += result.Service / virtualRepeat
+		p.Least = min(p.Least, result.Service)
+		p.Most = max(p.Most, result.Service)
+	}
+	return nil
+}
+
+// verdict is the verdict on a pair.
+func (p *pair) verdict() string {
+	switch {
+	case p.Sockets.Void != "":
+		return "void: " + p.Sockets.Void
+	case !p.Agrees:
+		return "NO"
 	}
-	t := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
+	return "yes"
+}
+
+func printPairs(to io.Writer, pairs []*pair) {
+	t := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
 	printf(t, "day\tseed\tservice virtual (least, most)\tsockets\tworst 10 s virtual\tsockets\tconnects virtual\tsockets\tbroken virtual\tsockets\tagrees\n")
-	differ, void := 0, 0
 	for _, p := range pairs {
 		v, s := p.Virtual, p.Sockets
-		word := "yes"
-		if s.Void != "" {
-			word = "void: " + s.Void
-			void++
-		} else if !p.Agrees {
-			word = "NO"
-			differ++
-		}
 		printf(t, "%s\t%d\t%.3f (%.3f, %.3f)\t%.3f\t%.3f\t%.3f\t%d\t%d\t%d\t%d\t%s\n", p.Name, p.Seed, p.Mean, p.Least, p.Most, s.Service, v.WorstWindow, s.WorstWindow,
-			v.Connects, s.Connects, v.Broken, s.Broken, word)
+			v.Connects, s.Connects, v.Broken, s.Broken, p.verdict())
 		if s.Broken > 0 {
 			printf(t, "\t\t%s\n", s.Violations[0])
 		}
 	}
-	_ = t.Flush()
+	_ = t.Flush() // as printf
+}
+
+// agreement is the command's verdict.
+func agreement(pairs []*pair) error {
+	differ, void := 0, 0
+	for _, p := range pairs {
+		if p.Sockets.Void != "" {
+			void++
+		} else if !p.Agrees {
+			differ++
+		}
+	}
 	switch {
 	case differ > 0:
 		return cli.Exit(fmt.Sprintf("%d of %d days differ", differ, len(pairs)), ruleBroken)
@@ -130,27 +192,3 @@
 	}
 	return nil
 }
-
-const chances = 5 // of the balancers, on the same day: on sockets every run has another, as no two are alike in time
-
-// virtual plays the day under several chances of the balancers: a day near tipping has no single figure.
-func (p *pair) virtual(e *experiment.Experiment, policy string) error {
-	p.Least = math.Inf(1)
-	for k := range uint64(chances) {
-		r, err := scenario.RunDay(e, p.Seed, policy, nil, func(m virtual.NewDecider) virtual.NewDecider {
-			return func(seed uint64, b simulation.BalancerID, act decide.Actions) virtual.Decider {
-				return m(seed+k, b, act)
-			}
-		})
-		if err != nil {
-			return err
-		}
-		if k == 0 {
-			p.Virtual = r
-		}
-		p.Virtual.Broken = max(p.Virtual.Broken, r.Broken)
-		p.Mean += r.Service / chances
-		p.Least, p.Most = min(p.Least, r.Service), max(p.Most, r.Service)
-	}
-	return nil
-}
--- a/cmd/testbed/fleet.go
+++ b/cmd/testbed/fleet.go
@@ -17,6 +17,8 @@
 	"yardwinch/internal/testbed/fleet"
 )
 
+const maxPrintedViolations = 3
+
 func fleetCommand() *cli.Command {
 	return &cli.Command{Name: "fleet", ArgsUsage: "FILE...",
 		Usage: "real processes by the dozen, faults of them and of the ways between them, and what must hold",
@@ -28,79 +30,148 @@
 		Action:   playFleet}
 }
 
+// fleetJob is one run of a plan.
+type fleetJob struct {
+	plan         *fleet.Plan
+	seed         uint64
+	program, old []string
+}
+
 func playFleet(ctx context.Context, c *cli.Command) error {
-	if c.Args().Len() == 0 {
-		return fault(&fleet.Error{Where: "fleet", What: "want one file at the least", Remedy: "name files of experiments/fleet"})
-	}
-	var plans []*fleet.Plan
-	for _, f := range c.Args().Slice() {
-		p, err := fleet.Open(f)
-		if err != nil {
-			return fault(err)
-		}
-		plans = append(plans, p)
+	jobs, err := fleetJobs(ctx, c)
+	if err != nil {
+		return err
 	}
-	program, err := balancerProgram(c)
+	results, err := playFleetJobs(ctx, c, jobs)
 	if err != nil {
 		return err
 	}
-	type job struct {
-		p    *fleet.Plan
-		seed uint64
-		old  []string
+	if err := writeFleet(c, results); err != nil {
+		return err
 	}
-	var jobs []job
-	for _, p := range plans {
-		old, err := oldProgram(ctx, c, p)
+	return fleetVerdict(results)
+}
+
+func fleetJobs(ctx context.Context, c *cli.Command) (jobs []fleetJob, err error) {
+	plans, err := openPlans(c.Args().Slice())
+	if err != nil {
+		return nil, err
+	}
+	program, err := balancerProgram(c)
+	if err != nil {
+		return nil, err
+	}
+	for _, plan := range plans {
+		old, err := oldProgram(ctx, c, plan)
 		if err != nil {
-			return err
+			return nil, err
 		}
 		for s := range max(c.Int("seeds"), 1) {
-			jobs = append(jobs, job{p, c.Uint64("seed") + uint64(s), old})
+			jobs = append(jobs, fleetJob{plan, c.Uint64("seed") + uint64(s), program, old})
 		}
 	}
+	return jobs, nil
+}
+
+func openPlans(files []string) (plans []*fleet.Plan, err error) {
+	if len(files) == 0 {
+		return nil, fault(&fleet.Error{Where: "fleet", What: "want one file at the least", Remedy: "name files of experiments/fleet"})
+	}
+	for _, file := range files {
+		plan, err := fleet.Open(file)
+		if err != nil {
+			return nil, fault(err)
+		}
+		plans = append(plans, plan)
+	}
+	return plans, nil
+}
+
+// oldProgram is the earlier build that a plan needs; empty where it needs none.
+func oldProgram(ctx context.Context, c *cli.Command, p *fleet.Plan) ([]string, error) {
+	if given := c.String("old"); given != "" {
+		return []string{given, "serve"}, nil
+	}
+	if p.Old == "" {
+		return nil, nil
+	}
+	program, err := fleet.Build(ctx, ".", p.Old)
+	if err != nil {
+		return nil, err
+	}
+	return []string{program, "serve"}, nil
+}
+
+func playFleetJobs(ctx context.Context, c *cli.Command, jobs []fleetJob) ([]*fleet.Result, error) {
 	results := make([]*fleet.Result, len(jobs))
-	g, ctx := errgroup.WithContext(ctx)
-	g.SetLimit(max(c.Int("jobs"), 1))
-	var say sync.Mutex
-	for i, j := range jobs {
-		g.Go(func() error {
+	group, ctx := errgroup.WithContext(ctx)
+	group.SetLimit(max(c.Int("jobs"), 1))
+	var printing sync.Mutex
+	for i, job := range jobs {
+		group.Go(func() error {
 			var progress func(time.Duration)
 			if c.Int("jobs") <= 1 {
-				progress = clock(os.Stderr, j.p.Experiment)
+				progress = showProgress(os.Stderr, job.plan.Experiment)
 			}
-			for try := 0; results[i] == nil || results[i].Void != "" && try <= c.Int("again"); try++ {
-				r, err := playOnce(ctx, c, j.p, j.seed, program, j.old, progress)
-				if err != nil {
-					return err
-				}
-				results[i] = r
+			result, err := job.play(ctx, c, progress)
+			if err != nil {
+				return err
 			}
+			results[i] = result
 			if c.String("json") != "-" {
-				say.Lock()
-				defer say.Unlock()
-				sayFleet(os.Stdout, results[i])
+				printing.Lock()
+				defer printing.Unlock()
+				printFleet(os.Stdout, result)
 			}
 			return nil
 		})
 	}
-	if err := g.Wait(); err != nil {
-		return err
+	return results, group.Wait()
+}
+
+// play plays a job, and again where the machine was too busy.
+func (j fleetJob) play(ctx context.Context, c *cli.Command, progress func(time.Duration)) (result *fleet.Result, err error) {
+	for attempt := 0; result == nil || result.Void != "" && attempt <= c.Int("again"); attempt++ {
+		if result, err = j.playOnce(ctx, c, progress); err != nil {
+			return nil, err
+		}
+	}
+	return result, nil
+}
+
+func (j fleetJob) playOnce(ctx context.Context, c *cli.Command, progress func(time.Duration)) (*fleet.Result, error) {
+	directory, remove, err := logDirectory(c)
+	if err != nil {
+		return nil, err
 	}
+	defer remove()
+	if c.String("logs") != "" {
+		directory = filepath.Join(directory, fmt.Sprintf("%s-%d", j.plan.Name(), j.seed))
+		if err := os.MkdirAll(directory, directoryMode); err != nil {
+			return nil, err
+		}
+	}
+	return fleet.Run(ctx, j.plan, fleet.Settings{Seed: j.seed, Program: j.program, Old: j.old, Directory: directory, Progress: progress})
+}
+
+// writeFleet writes results where the flags name files for them.
+func writeFleet(c *cli.Command, results []*fleet.Result) error {
 	if path := c.String("json"); path != "" {
-		if err := put(path, func(w io.Writer) error {
-			enc := json.NewEncoder(w)
-			enc.SetIndent("", " ")
-			return enc.Encode(results)
+		if err := writeFile(path, func(w io.Writer) error {
+			encoder := json.NewEncoder(w)
+			encoder.SetIndent("", " ")
+			return encoder.Encode(results)
 		}); err != nil {
 			return err
 		}
 	}
 	if path := c.String("html"); path != "" {
-		if err := put(path, results[0].HTML); err != nil {
-			return err
-		}
+		return writeFile(path, results[0].HTML)
 	}
+	return nil
+}
+
+func fleetVerdict(results []*fleet.Result) error {
 	fails, voids := 0, 0
 	for _, r := range results {
 		if r.Void != "" {
@@ -118,67 +189,38 @@
 	return nil
 }
 
-func oldProgram(ctx context.Context, c *cli.Command, p *fleet.Plan) ([]string, error) {
-	if given := c.String("old"); given != "" {
-		return []string{given, "serve"}, nil
-	}
-	if p.Old == "" {
-		return nil, nil
-	}
-	program, err := fleet.Build(ctx, ".", p.Old)
-	if err != nil {
-		return nil, err
+// fleetVerdictText is the verdict on a run.
+func fleetVerdictText(r *fleet.Result) string {
+	if r.Void != "" {
+		return "VOID: " + r.Void
 	}
-	return []string{program, "serve"}, nil
+	return holdsText(r.Holds)
 }
 
-func playOnce(ctx context.Context, c *cli.Command, p *fleet.Plan, seed uint64, program, old []string, progress func(time.Duration)) (*fleet.Result, error) {
-	folder := c.String("logs")
-	var err error
-	if folder == "" {
-		if folder, err = os.MkdirTemp("", "fleet"); err != nil {
-			return nil, err
-		}
-		defer func() { _ = os.RemoveAll(folder) }() // what is left of a temporary directory harms nobody
-	} else {
-		folder = filepath.Join(folder, fmt.Sprintf("%s-%d", p.Name(), seed))
-		if err = os.MkdirAll(folder, 0o755); err != nil {
-			return nil, err
-		}
+func holdsText(holds bool) string {
+	if holds {
+		return "holds"
 	}
-	return fleet.Run(ctx, p, seed, program, old, folder, progress)
+	return "FAILS"
 }
 
-func sayFleet(to io.Writer, r *fleet.Result) {
-	word := "holds"
-	if r.Void != "" {
-		word = "VOID: " + r.Void
-	} else if !r.Holds {
-		word = "FAILS"
-	}
+func printFleet(to io.Writer, r *fleet.Result) {
 	f := r.Figures
-	printf(to, "%s, seed %d: %s\n", r.Name, r.Seed, word)
+	printf(to, "%s, seed %d: %s\n", r.Name, r.Seed, fleetVerdictText(r))
 	printf(to, "  %d processes, %d clients (%d never up), %d flows: %d established, %d rejected, %d aborted; %d cut, %d moved; service %.3f over %v\n",
-		len(r.Processes), f.Clients, f.NeverUp, f.Flows, f.Established, f.Rejected, f.Aborted, f.Cut, f.Moved, f.Service, time.Duration(r.Length*float64(time.Second)))
-	if f.Probes > 0 {
-		printf(to, "  %d probes of servers\n", f.Probes)
+		len(r.Processes), f.Clients, f.NeverEstablished, f.Flows, f.Established, f.Rejected, f.Aborted, f.Cut, f.Migrated, f.Service, time.Duration(r.Length*float64(time.Second)))
+	if f.HealthChecks > 0 {
+		printf(to, "  %d probes of servers\n", f.HealthChecks)
 	}
-	for _, x := range r.Troubles {
-		printf(to, "  %s in trouble from %.1fs: the last balancer stopped choosing it after %.2fs, %d connects went to it meanwhile\n", x.Server, x.From, x.LastStops, x.Sent)
+	for _, s := range r.FaultyServers {
+		printf(to, "  %s in trouble from %.1fs: the last balancer stopped choosing it after %.2fs, %d connects went to it meanwhile\n", s.Server, s.From, s.LastBalancerStops, s.Sent)
 	}
 	t := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
-	for _, m := range r.Musts {
-		word := "holds"
-		if !m.Holds {
-			word = "FAILS"
-		}
-		printf(t, "  %s\t%s\t%s\n", word, m.Must, m.Seen)
+	for _, v := range r.Requirements {
+		printf(t, "  %s\t%s\t%s\n", holdsText(v.Holds), v.Requirement, v.Seen)
 	}
-	_ = t.Flush()
-	for i, v := range r.Violations {
-		if i == 3 {
-			break
-		}
+	_ = t.Flush() // as printf
+	for _, v := range r.Violations[:min(len(r.Violations), maxPrintedViolations)] {
 		printf(to, "  broken: %s\n", v)
 	}
 }
--- a/cmd/testbed/hunt.go
+++ b/cmd/testbed/hunt.go
@@ -15,126 +15,157 @@
 	"yardwinch/internal/testbed/scenario"
 )
 
+const (
+	brokenRuleLoss = 10  // more than any loss of service
+	minLossShare       = 0.8 // of a day's loss, that a smaller day must still show
+	shrinkBy       = 0.6 // of a fault's length
+	maxShrinks     = 4   // of a fault
+	listedDays     = 5
+)
+
 func huntCommand() *cli.Command {
 	return &cli.Command{Name: "hunt", ArgsUsage: "FILE", Usage: "search a file's ranges for the day on which ours loses most against the top, and cut it down",
 		Flags:  []cli.Flag{seedFlag, &cli.StringFlag{Name: "policy", Value: "ours", Usage: "whose worst day: ours or ours+halls"}, &cli.IntFlag{Name: "days", Value: 60, Usage: "days to look at"}, workersFlag, partFlag, sizeFlag, fleetFlag, jsonFlag, htmlFlag},
 		Action: hunt}
 }
 
-// loss is what ours leaves of the top's service on a day; a broken rule outweighs all.
-func loss(ours, top *count.Result) float64 {
+// lossOf is what a policy leaves of the omniscient one's service on a day. A broken rule outweighs all.
+func lossOf(ours, top *count.Result) float64 {
 	if ours.Broken > 0 {
-		return 10 + float64(ours.Broken)
+		return brokenRuleLoss + float64(ours.Broken)
 	}
 	return top.Service - ours.Service
 }
 
-// found is the worst day and what it needs to show itself.
-type found struct {
-	Seed     uint64        `json:"seed"`
-	Loss     float64       `json:"loss"`
-	Ours     float64       `json:"ours"`
-	Top      float64       `json:"top"`
-	Troubles []count.Fault `json:"troubles"`
-	Left     []string      `json:"left_out"`
+// worstDay is a day, and what it needs to show its loss.
+type worstDay struct {
+	Seed    uint64        `json:"seed"`
+	Loss    float64       `json:"loss"`
+	Ours    float64       `json:"ours"`
+	Top     float64       `json:"top"`
+	Faults  []count.Fault `json:"troubles"`
+	LeftOut []string      `json:"left_out"`
+
+	experiment *experiment.Experiment
+	result     *count.Result
 }
 
 func hunt(ctx context.Context, c *cli.Command) error {
-	e, _, _, err := open(c)
+	what, err := openChosen(c)
 	if err != nil {
 		return fault(err)
 	}
-	days := c.Int("days")
+	days, policy := c.Int("days"), c.String("policy")
 	if days < 1 {
 		return fault(fmt.Errorf("--days: want 1 at the least, got %d", days))
 	}
-	whose := c.String("policy")
-	if !strings.HasPrefix(whose, "ours") {
-		return fault(fmt.Errorf("--policy: want ours or ours+halls, got %q", whose))
+	if !strings.HasPrefix(policy, experiment.Ours) {
+		return fault(fmt.Errorf("--policy: want ours or ours+halls, got %q", policy))
+	}
+	worst, err := findWorst(ctx, c, what.experiment, policy, days)
+	if err != nil {
+		return err
+	}
+	if err := worst.cutDown(policy); err != nil {
+		return err
+	}
+	if err := writeResults(c, worst.experiment, []*count.Result{worst.result}); err != nil {
+		return err
+	}
+	if c.String("json") != "-" {
+		return printJSON(worst)
 	}
-	jobs := scenario.NewJobs([]string{whose, "top"}, c.Uint64("seed"), days)
-	step, end := bar("hunt "+e.Name, len(jobs))
+	return nil
+}
+
+// findWorst runs days under a policy and under the omniscient one, lists the worst and returns the worst of all.
+func findWorst(ctx context.Context, c *cli.Command, e *experiment.Experiment, policy string, days int) (*worstDay, error) {
+	jobs := scenario.NewJobs([]string{policy, experiment.Omniscient}, c.Uint64("seed"), days)
+	step, end := progressBar("hunt "+e.Name, len(jobs))
 	results, err := scenario.RunAll(ctx, e, jobs, c.Int("workers"), step)
 	end()
 	if err != nil {
-		return err
+		return nil, err
 	}
-	order := make([]int, days)
-	for i := range order {
-		order[i] = i
+	var found []*worstDay
+	for i, ours := range results[:days] {
+		top := results[days+i]
+		found = append(found, &worstDay{Seed: ours.Seed, Loss: lossOf(ours, top), Ours: ours.Service, Top: top.Service, Faults: ours.Faults, experiment: e, result: ours})
 	}
-	by := func(i int) float64 { return loss(results[i], results[days+i]) }
-	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(by(b), by(a)) })
+	slices.SortStableFunc(found, func(a, b *worstDay) int { return cmp.Compare(b.Loss, a.Loss) })
 	fmt.Fprintln(os.Stderr, "the worst days:")
-	for _, i := range order[:min(5, days)] {
-		fmt.Fprintf(os.Stderr, "  seed %d: ours %.3f, top %.3f, broken rules %d\n", results[i].Seed, results[i].Service, results[days+i].Service, results[i].Broken)
+	for _, day := range found[:min(listedDays, days)] {
+		fmt.Fprintf(os.Stderr, "  seed %d: ours %.3f, top %.3f, broken rules %d\n", day.Seed, day.Ours, day.Top, day.result.Broken)
 	}
-	worst := order[0]
-	least, f, last, err := cutDown(e, whose, results[worst].Seed, by(worst))
-	if err != nil {
+	return found[0], nil
+}
+
+// cutDown leaves out and shortens faults while the day still shows most of its loss.
+func (d *worstDay) cutDown(policy string) error {
+	found, least := *d, minLossShare*d.Loss
+	if err := d.leaveOutFaults(policy, least); err != nil {
 		return err
 	}
-	if f.Troubles == nil {
-		f = found{Seed: results[worst].Seed, Loss: by(worst), Ours: results[worst].Service, Top: results[days+worst].Service, Troubles: results[worst].Faults}
-		last = results[worst]
-	}
-	if err := write(c, least, []*count.Result{last}); err != nil {
+	if err := d.shortenFaults(policy, least); err != nil {
 		return err
 	}
-	if c.String("json") != "-" {
-		return printJSON(f)
+	if d.Faults == nil { // a day that needs none of its faults is shown as it was found
+		found.experiment = d.experiment
+		*d = found
 	}
 	return nil
 }
 
-// cutDown leaves out or shortens troubles while the day still shows four fifths of its loss.
-func cutDown(e *experiment.Experiment, whose string, seed uint64, whole float64) (*experiment.Experiment, found, *count.Result, error) {
-	var f found
-	var last *count.Result
-	keep := func(x *experiment.Experiment) (bool, error) {
-		ours, err := scenario.RunDay(x, seed, whose, nil, nil)
-		if err != nil {
-			return false, err
-		}
-		top, err := scenario.RunDay(x, seed, "top", nil, nil)
-		if err != nil {
-			return false, err
-		}
-		l := loss(ours, top)
-		if l < 0.8*whole {
-			return false, nil
-		}
-		f.Seed, f.Loss, f.Ours, f.Top, f.Troubles = seed, l, ours.Service, top.Service, ours.Faults
-		last = ours
-		return true, nil
-	}
-	for again := true; again; {
-		again = false
-		for i := 0; i < len(e.Kinds()); i++ {
-			less := e.Without(i)
-			ok, err := keep(less)
+// leaveOutFaults leaves out one fault after the other, until none can be left out any more.
+func (d *worstDay) leaveOutFaults(policy string, least float64) error {
+	for hasChanged := true; hasChanged; {
+		hasChanged = false
+		for i := 0; i < len(d.experiment.Kinds()); i++ {
+			kind := d.experiment.Kinds()[i]
+			isKept, err := d.try(d.experiment.Without(i), policy, least)
 			if err != nil {
-				return nil, f, nil, err
+				return err
 			}
-			if ok {
-				f.Left = append(f.Left, string(e.Kinds()[i]))
-				e, again = less, true
+			if isKept {
+				d.LeftOut = append(d.LeftOut, string(kind))
+				hasChanged = true
 				i--
 			}
 		}
 	}
-	for i := range e.Kinds() {
-		for range 4 {
-			less := e.Shrunk(i, 0.6)
-			ok, err := keep(less)
+	return nil
+}
+
+func (d *worstDay) shortenFaults(policy string, least float64) error {
+	for i := range d.experiment.Kinds() {
+		for range maxShrinks {
+			isKept, err := d.try(d.experiment.Shrunk(i, shrinkBy), policy, least)
 			if err != nil {
-				return nil, f, nil, err
+				return err
 			}
-			if !ok {
+			if !isKept {
 				break
 			}
-			e = less
 		}
 	}
-	return e, f, last, nil
+	return nil
+}
+
+// try runs a smaller experiment, and keeps it if it still shows the loss.
+func (d *worstDay) try(smaller *experiment.Experiment, policy string, least float64) (isKept bool, err error) {
+	ours, err := scenario.RunDay(smaller, d.Seed, policy, nil, nil)
+	if err != nil {
+		return false, err
+	}
+	top, err := scenario.RunDay(smaller, d.Seed, experiment.Omniscient, nil, nil)
+	if err != nil {
+		return false, err
+	}
+	loss := lossOf(ours, top)
+	if loss < least {
+		return false, nil
+	}
+	d.experiment, d.result = smaller, ours
+	d.Loss, d.Ours, d.Top, d.Faults = loss, ours.Service, top.Service, ours.Faults
+	return true, nil
 }
--- a/cmd/testbed/main.go
+++ b/cmd/testbed/main.go
@@ -1,12 +1,11 @@
-// Testbed is the proving yard: it plays days of trouble on yardwinch and on baselines, in virtual time or on sockets, and
-// judges them.
+// Testbed runs days with faults on yardwinch and on baselines, in virtual time, on sockets or with many processes, and checks them against
+// the rules. It also measures what yardwinch costs as a fleet grows.
 package main
 
 import (
 	"context"
 	"errors"
 	"fmt"
-	"io"
 	"os"
 	"os/signal"
 	"syscall"
@@ -28,7 +27,7 @@
 		Name:           "testbed",
 		Usage:          "prove yardwinch: play days of trouble, on sockets or in virtual time, and judge them by the four rules",
 		Commands:       []*cli.Command{tryCommand(), serversCommand(), loadCommand(), runCommand(), compareCommand(), huntCommand(), agreeCommand(), logsCommand(), fleetCommand(), spreadCommand(), scaleCommand(), balancerCommand()},
-		ExitErrHandler: func(context.Context, *cli.Command, error) {}, // said once, below
+		ExitErrHandler: func(context.Context, *cli.Command, error) {}, // the error is printed once, below
 	}
 	err := app.Run(ctx, os.Args)
 	if err == nil {
@@ -46,18 +45,17 @@
 	os.Exit(ruleBroken)
 }
 
-// printf writes for the operator. Where the reader of the output is gone there is nobody to tell of it, and the exit code still says
-// what the run found.
-func printf(to io.Writer, format string, values ...any) { _, _ = fmt.Fprintf(to, format, values...) }
-
-// fault is an error of what was asked for.
+// fault is an error in what the operator asked for.
 func fault(err error) error { return coded{err, badInput} }
 
-// coded is an error with the exit code that goes with it.
+// coded is an error with its exit code.
 type coded struct {
 	error
 	code int
 }
 
+// ExitCode is the process's exit code.
 func (c coded) ExitCode() int { return c.code }
+
+// Unwrap is the error without its code.
 func (c coded) Unwrap() error { return c.error }
--- a/cmd/testbed/run.go
+++ b/cmd/testbed/run.go
@@ -3,7 +3,6 @@
 import (
 	"cmp"
 	"context"
-	"encoding/json"
 	"fmt"
 	"io"
 	"os"
@@ -13,12 +12,9 @@
 	"time"
 
 	"github.com/urfave/cli/v3"
-	"github.com/vbauerster/mpb/v8"
-	"github.com/vbauerster/mpb/v8/decor"
 
 	"yardwinch/internal/testbed/count"
 	"yardwinch/internal/testbed/experiment"
-	"yardwinch/internal/testbed/report"
 	"yardwinch/internal/testbed/scenario"
 )
 
@@ -46,165 +42,122 @@
 		Action: func(ctx context.Context, c *cli.Command) error { return run(ctx, c, true) }}
 }
 
-// open reads the experiment that a command names and what its flags change.
-func open(c *cli.Command) (*experiment.Experiment, []string, int, error) {
+// chosen is the experiment that a command names, and what its flags choose of it.
+type chosen struct {
+	experiment *experiment.Experiment
+	policies   []string
+	seeds      int
+}
+
+func openChosen(c *cli.Command) (chosen, error) {
 	if c.Args().Len() != 1 {
-		return nil, nil, 0, fmt.Errorf("want one experiment file, got %d arguments", c.Args().Len())
+		return chosen{}, fmt.Errorf("want one experiment file, got %d arguments", c.Args().Len())
 	}
 	e, err := experiment.Open(c.Args().First())
 	if err != nil {
-		return nil, nil, 0, err
+		return chosen{}, err
 	}
-	policies, seeds := e.Policies, e.Seeds
-	if p := c.StringSlice("policy"); len(p) > 0 {
-		policies = p
+	result := chosen{policies: e.Policies, seeds: e.Seeds}
+	if policies := c.StringSlice("policy"); len(policies) > 0 {
+		result.policies = policies
 	}
-	for _, p := range policies {
-		if !slices.Contains(experiment.Policies, p) {
-			return nil, nil, 0, fmt.Errorf("--policy: want one of %s, got %q", strings.Join(experiment.Policies, ", "), p)
+	for _, policy := range result.policies {
+		if !slices.Contains(experiment.Policies, policy) {
+			return chosen{}, fmt.Errorf("--policy: want one of %s, got %q", strings.Join(experiment.Policies, ", "), policy)
 		}
 	}
-	if n := c.Int("seeds"); n > 0 {
-		seeds = n
+	if seeds := c.Int("seeds"); seeds > 0 {
+		result.seeds = seeds
 	}
-	if p := c.Float("part"); p > 0 && p != 1 {
-		e = e.Stretched(p)
-	}
-	return e.Sized(c.Int("balancers"), c.Int("servers")), policies, seeds, nil
-}
-
-// bar draws progress on standard error, where that is a terminal; elsewhere it says a line now and then.
-func bar(name string, total int) (step func(), end func()) {
-	if s, err := os.Stderr.Stat(); err != nil || s.Mode()&os.ModeCharDevice == 0 {
-		done, began, said := make(chan struct{}, total), time.Now(), time.Now()
-		n := 0
-		return func() { done <- struct{}{} }, func() {
-			n = len(done)
-			_ = said
-			fmt.Fprintf(os.Stderr, "%s: %d of %d in %v\n", name, n, total, time.Since(began).Round(time.Millisecond))
-		}
+	if part := c.Float("part"); part > 0 && part != 1 {
+		e = e.Stretched(part)
 	}
-	p := mpb.New(mpb.WithOutput(os.Stderr), mpb.WithWidth(48))
-	b := p.AddBar(int64(total), mpb.PrependDecorators(decor.Name(name+" "), decor.CountersNoUnit("%d of %d")),
-		mpb.AppendDecorators(decor.Elapsed(decor.ET_STYLE_GO)))
-	return func() { b.Increment() }, func() { b.Abort(false); p.Wait() }
+	result.experiment = e.Sized(c.Int("balancers"), c.Int("servers"))
+	return result, nil
 }
 
-func run(ctx context.Context, c *cli.Command, compare bool) error {
-	e, policies, seeds, err := open(c)
+func run(ctx context.Context, c *cli.Command, isCompared bool) error {
+	what, err := openChosen(c)
 	if err != nil {
 		return fault(err)
 	}
-	if compare && !slices.Contains(policies, "ours") {
-		policies = append([]string{"ours"}, policies...)
+	if isCompared && !slices.Contains(what.policies, experiment.Ours) {
+		what.policies = append([]string{experiment.Ours}, what.policies...)
 	}
-	jobs := scenario.NewJobs(policies, c.Uint64("seed"), seeds)
-	step, end := bar(e.Name, len(jobs))
-	began := time.Now()
-	results, err := scenario.RunAll(ctx, e, jobs, c.Int("workers"), step)
+	jobs := scenario.NewJobs(what.policies, c.Uint64("seed"), what.seeds)
+	step, end := progressBar(what.experiment.Name, len(jobs))
+	start := time.Now()
+	results, err := scenario.RunAll(ctx, what.experiment, jobs, c.Int("workers"), step)
 	end()
 	if err != nil {
 		return err
 	}
-	if err := write(c, e, results); err != nil {
+	if err := writeResults(c, what.experiment, results); err != nil {
 		return err
 	}
 	if c.String("json") != "-" {
-		table(os.Stdout, e, policies, results, compare)
-		fmt.Printf("%d days in %v\n", len(jobs), time.Since(began).Round(10*time.Millisecond))
-	}
-	return verdict(results)
-}
-
-// write puts results where the flags name places for them.
-func write(c *cli.Command, e *experiment.Experiment, results []*count.Result) error {
-	if path := c.String("json"); path != "" {
-		if err := put(path, func(w io.Writer) error { return report.JSON(w, e.Name, e.About, results) }); err != nil {
-			return err
-		}
+		printf(os.Stdout, "%s: %s\n", what.experiment.Name, what.experiment.About)
+		printTable(os.Stdout, what.policies, results, isCompared)
+		fmt.Printf("%d days in %v\n", len(jobs), time.Since(start).Round(10*time.Millisecond))
 	}
-	if path := c.String("html"); path != "" {
-		return put(path, func(w io.Writer) error { return report.HTML(w, e.Name, e.About, results) })
-	}
-	return nil
+	return ruleVerdict(results)
 }
 
-func put(path string, do func(io.Writer) error) error {
-	if path == "-" {
-		return do(os.Stdout)
-	}
-	f, err := os.Create(path)
-	if err != nil {
-		return err
-	}
-	if err := do(f); err != nil {
-		_ = f.Close()
-		return fmt.Errorf("%s: %w", path, err)
-	}
-	return f.Close()
-}
-
-// verdict fails a run in which ours broke a rule; baselines may, and the table says so.
-func verdict(results []*count.Result) error {
+// ruleVerdict fails a run in which the project's own policy broke a rule. Baselines may, and the table says so.
+func ruleVerdict(results []*count.Result) error {
 	for _, r := range results {
-		if strings.HasPrefix(r.Policy, "ours") && r.Broken > 0 {
+		if strings.HasPrefix(r.Policy, experiment.Ours) && r.Broken > 0 {
 			return cli.Exit(fmt.Sprintf("seed %d: a rule was broken: %s", r.Seed, r.Violations[0]), ruleBroken)
 		}
 	}
 	return nil
 }
 
-// table prints a line a policy: means over the seeds.
-func table(to io.Writer, e *experiment.Experiment, policies []string, results []*count.Result, compare bool) {
-	printf(to, "%s: %s\n", e.Name, e.About)
+// tableRow is a policy's line of the table.
+type tableRow struct {
+	service float64
+	text    string
+}
+
+// printTable prints a line a policy, with means over the seeds, the best service first.
+func printTable(to io.Writer, policies []string, results []*count.Result, isCompared bool) {
 	t := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
 	head := "policy\tservice\twhole\tworst 10 s\tcustomer\tset-up p50/p99 ms\tconnects/client\tmoves\trejects\tbroken rules"
-	if compare {
+	if isCompared {
 		head += "\tours better by"
 	}
 	printf(t, "%s\n", head)
-	var ours []float64
-	for _, r := range results {
-		if r.Policy == "ours" {
-			ours = append(ours, r.Service)
-		}
+	var rows []tableRow
+	for _, policy := range policies {
+		rows = append(rows, rowOf(policy, results, isCompared))
 	}
-	type line struct {
-		service float64
-		text    string
-	}
-	var lines []line
-	for _, p := range policies {
-		m, days := count.Mean(results, p)
-		var service []float64
-		for _, r := range results {
-			if r.Policy == p {
-				service = append(service, r.Service)
-			}
-		}
-		n := float64(max(days, 1))
-		text := fmt.Sprintf("%s\t%.3f\t%.3f\t%.3f\t%.3f\t%.1f / %.1f\t%.2f\t%.0f\t%.0f\t%d", p, m.Service, m.ServedShare, m.WorstWindow, m.WorstCustomer,
-			m.SetupTimes.P50, m.SetupTimes.P99, float64(m.Connects)/float64(max(m.Clients, 1)), float64(m.Migrations)/n, float64(m.Rejected)/n, m.Broken)
-		if compare {
-			if p == "ours" {
-				text += "\t"
-			} else {
-				mean, half := count.PairedDifference(ours, service)
-				text += fmt.Sprintf("\t%+.3f ± %.3f", mean, half)
-			}
-		}
-		lines = append(lines, line{m.Service, text})
-	}
-	slices.SortStableFunc(lines, func(a, b line) int { return cmp.Compare(b.service, a.service) })
-	for _, l := range lines {
-		printf(t, "%s\n", l.text)
+	slices.SortStableFunc(rows, func(a, b tableRow) int { return cmp.Compare(b.service, a.service) })
+	for _, row := range rows {
+		printf(t, "%s\n", row.text)
 	}
-	_ = t.Flush()
+	_ = t.Flush() // as printf
+}
+
+func rowOf(policy string, results []*count.Result, isCompared bool) tableRow {
+	mean, days := count.Mean(results, policy)
+	perDay := func(sum int) float64 { return float64(sum) / float64(max(days, 1)) }
+	text := fmt.Sprintf("%s\t%.3f\t%.3f\t%.3f\t%.3f\t%.1f / %.1f\t%.2f\t%.0f\t%.0f\t%d", policy, mean.Service, mean.ServedShare, mean.WorstWindow, mean.WorstCustomer,
+		mean.SetupTimes.P50, mean.SetupTimes.P99, float64(mean.Connects)/float64(max(mean.Clients, 1)), perDay(mean.Migrations), perDay(mean.Rejected), mean.Broken)
+	switch {
+	case isCompared && policy == experiment.Ours:
+		text += "\t"
+	case isCompared:
+		difference, half := count.PairedDifference(servicesOf(experiment.Ours, results), servicesOf(policy, results))
+		text += fmt.Sprintf("\t%+.3f ± %.3f", difference, half)
+	}
+	return tableRow{mean.Service, text}
 }
 
-// printJSON is for commands whose result is one object.
-func printJSON(v any) error {
-	enc := json.NewEncoder(os.Stdout)
-	enc.SetIndent("", "  ")
-	return enc.Encode(v)
+func servicesOf(policy string, results []*count.Result) (services []float64) {
+	for _, r := range results {
+		if r.Policy == policy {
+			services = append(services, r.Service)
+		}
+	}
+	return services
 }
--- a/cmd/testbed/scale.go
+++ b/cmd/testbed/scale.go
@@ -11,8 +11,6 @@
 	"time"
 
 	"github.com/urfave/cli/v3"
-	"github.com/vbauerster/mpb/v8"
-	"github.com/vbauerster/mpb/v8/decor"
 
 	"yardwinch/internal/testbed/scale"
 )
@@ -58,7 +56,7 @@
 	}
 	failed := 0
 	for _, e := range experiments {
-		report, err := runOneScale(ctx, e)
+		report, err := runScaleExperiment(ctx, e)
 		if err != nil {
 			return err
 		}
@@ -66,7 +64,7 @@
 		if err != nil {
 			return err
 		}
-		failed += sayScale(report, file)
+		failed += printScale(report, file)
 	}
 	if failed > 0 {
 		return cli.Exit(fmt.Sprintf("scale: %d checks failed", failed), ruleBroken)
@@ -74,7 +72,7 @@
 	return nil
 }
 
-func runOneScale(ctx context.Context, e *scale.Experiment) (*scale.Report, error) {
+func runScaleExperiment(ctx context.Context, e *scale.Experiment) (*scale.Report, error) {
 	progress, end := scaleProgress(e.Name)
 	defer end()
 	report, err := scale.Run(ctx, e, scale.OperatorsBounds, progress)
@@ -84,8 +82,8 @@
 	return report, err
 }
 
-// sayScale prints a line a series, and counts checks that failed.
-func sayScale(r *scale.Report, file string) (failed int) {
+// printScale prints a line a series and a check, and counts the checks that failed.
+func printScale(r *scale.Report, file string) (failed int) {
 	fmt.Printf("%s, seed %d, commit %s: %v, written to %s\n", r.Experiment, r.Seed, r.Commit, r.Took.Round(time.Millisecond), file)
 	t := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	for _, s := range r.Series {
@@ -96,35 +94,28 @@
 		printf(t, "  %s\t%s\t%s\n", s.Name, s.Unit, strings.Join(points, "  "))
 	}
 	for _, check := range r.Checks {
-		word := "holds"
 		if !check.Held {
-			word = "FAILS"
 			failed++
 		}
-		printf(t, "  %s\t%s\t%s\n", check.Name, word, check.Detail)
+		printf(t, "  %s\t%s\t%s\n", check.Name, holdsText(check.Held), check.Detail)
 	}
-	_ = t.Flush()
+	_ = t.Flush() // as printf
 	return failed
 }
 
 // scaleProgress shows how far a sweep is: a bar on a terminal, else a line a step.
-func scaleProgress(name string) (scale.Progress, func()) {
-	if s, err := os.Stderr.Stat(); err != nil || s.Mode()&os.ModeCharDevice == 0 {
-		began := time.Now()
+func scaleProgress(name string) (progress scale.Progress, end func()) {
+	if isTerminal(os.Stderr) {
+		drawn, bar := newBar(name, 0)
 		return func(done, all int) {
-			fmt.Fprintf(os.Stderr, "%s: %d of %d after %v\n", name, done, all, time.Since(began).Round(time.Millisecond))
-		}, func() {}
+			bar.SetTotal(int64(all), false)
+			bar.SetCurrent(int64(done))
+		}, func() { bar.Abort(false); drawn.Wait() }
 	}
-	p := mpb.New(mpb.WithOutput(os.Stderr), mpb.WithWidth(48))
-	b := p.AddBar(0, mpb.PrependDecorators(decor.Name(name+" "), decor.CountersNoUnit("%d of %d")),
-		mpb.AppendDecorators(decor.Elapsed(decor.ET_STYLE_GO)))
+	start := time.Now()
 	return func(done, all int) {
-			b.SetTotal(int64(all), false)
-			b.SetCurrent(int64(done))
-		}, func() {
-			b.Abort(false)
-			p.Wait()
-		}
+		printf(os.Stderr, "%s: %d of %d after %v\n", name, done, all, time.Since(start).Round(time.Millisecond))
+	}, func() {}
 }
 
 func scaleListCommand() *cli.Command {
--- a/cmd/testbed/scale_page_test.go
+++ b/cmd/testbed/scale_page_test.go
@@ -11,7 +11,7 @@
 )
 
 // A fault of the reports ends the command with exit code 2 and leaves the page as it was.
-func TestScalePageRefusesABadReport(t *testing.T) {
+func TestScalePageRejectsBadReport(t *testing.T) {
 	folder := t.TempDir()
 	page := filepath.Join(folder, "CAPACITY.md")
 	if err := os.WriteFile(page, []byte("as it was"), 0o644); err != nil {
--- a/cmd/testbed/soak.go
+++ b/cmd/testbed/soak.go
@@ -16,7 +16,10 @@
 	"yardwinch/internal/testbed/fleet"
 )
 
-const mostSoakSeeds = 10_000
+const (
+	maxSoakSeeds = 10_000
+	planMode     = 0o644
+)
 
 func soakCommand() *cli.Command {
 	return &cli.Command{Name: "soak", Usage: "timelines drawn from seeds: restarts, signals in a row, crowds, failing folders, troubles of servers and discovery",
@@ -30,20 +33,26 @@
 
 // seedRange reads FROM-TO, or one seed.
 func seedRange(text string) (from, to uint64, err error) {
-	first, last, ranged := strings.Cut(text, "-")
-	if !ranged {
+	first, last, isRange := strings.Cut(text, "-")
+	if !isRange {
 		last = first
 	}
 	from, err = strconv.ParseUint(first, 10, 64)
 	if err == nil {
 		to, err = strconv.ParseUint(last, 10, 64)
 	}
-	if err != nil || to < from || to-from >= mostSoakSeeds {
+	if err != nil || to < from || to-from >= maxSoakSeeds {
 		return 0, 0, fault(&fleet.Error{Where: "soak", What: fmt.Sprintf("seeds %q", text), Remedy: "give them as 1-50, 10,000 at the most"})
 	}
 	return from, to, nil
 }
 
+// soakTally counts the runs of a soak.
+type soakTally struct {
+	mu                            sync.Mutex // held while a run is printed, too
+	held, failed, voids, unplayed int
+}
+
 func soak(ctx context.Context, c *cli.Command) error {
 	from, to, err := seedRange(c.String("seeds"))
 	if err != nil {
@@ -53,81 +62,78 @@
 	if err != nil {
 		return err
 	}
-	var say sync.Mutex
-	held, failed, voids, unplayed := 0, 0, 0, 0
-	g, ctx := errgroup.WithContext(ctx)
-	g.SetLimit(max(c.Int("jobs"), 1))
+	tally := &soakTally{}
+	group, ctx := errgroup.WithContext(ctx)
+	group.SetLimit(max(c.Int("jobs"), 1))
 	for seed := from; seed <= to; seed++ {
-		g.Go(func() error {
+		group.Go(func() error {
 			result, err := soakOnce(ctx, c, seed, program)
-			say.Lock()
-			defer say.Unlock()
-			if err != nil { // the others are played all the same
-				fmt.Printf("seed %d: NOT PLAYED: %v\n", seed, err)
-				unplayed++
-				return ctx.Err()
-			}
-			switch {
-			case result.Void != "":
-				voids++
-			case result.Holds:
-				held++
-			default:
-				failed++
-			}
-			return saySoak(os.Stdout, c.String("keep"), seed, result)
+			return tally.add(ctx, c.String("keep"), seed, result, err)
 		})
 	}
-	if err := g.Wait(); err != nil {
+	if err := group.Wait(); err != nil {
 		return err
 	}
-	fmt.Printf("%d held, %d failed, %d void, %d not played\n", held, failed, voids, unplayed)
-	switch {
-	case failed > 0:
-		return cli.Exit(fmt.Sprintf("soak: in %d of %d runs something that must hold did not", failed, to-from+1), ruleBroken)
-	case voids+unplayed > 0:
-		return cli.Exit(fmt.Sprintf("soak: %d of %d runs are void, as the machine was too busy, or could not be played", voids+unplayed, to-from+1), voidRun)
-	}
-	return nil
+	fmt.Printf("%d held, %d failed, %d void, %d not played\n", tally.held, tally.failed, tally.voids, tally.unplayed)
+	return tally.verdict(to - from + 1)
 }
 
-func soakOnce(ctx context.Context, c *cli.Command, seed uint64, program []string) (result *fleet.Result, err error) {
+func soakOnce(ctx context.Context, c *cli.Command, seed uint64, program []string) (*fleet.Result, error) {
 	plan, err := fleet.Read(fmt.Sprintf("soak-%d.toml", seed), []byte(fleet.SoakPlan(seed)))
 	if err != nil {
 		return nil, err
 	}
-	for try := 0; result == nil || result.Void != "" && try <= c.Int("again"); try++ {
-		if result, err = playOnce(ctx, c, plan, seed, program, nil, nil); err != nil {
-			return nil, err
-		}
+	return fleetJob{plan: plan, seed: seed, program: program}.play(ctx, c, nil)
+}
+
+// add counts and prints a run. One that could not be played stops the others only where all were asked to stop.
+func (t *soakTally) add(ctx context.Context, keep string, seed uint64, result *fleet.Result, err error) error {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if err != nil {
+		fmt.Printf("seed %d: NOT PLAYED: %v\n", seed, err)
+		t.unplayed++
+		return ctx.Err()
+	}
+	switch {
+	case result.Void != "":
+		t.voids++
+	case result.Holds:
+		t.held++
+	default:
+		t.failed++
 	}
-	return result, nil
+	return printSoak(os.Stdout, keep, seed, result)
 }
 
-// saySoak is one line for a run that held; one that failed has its plan kept, and says what broke first and on which ids.
-func saySoak(to io.Writer, keep string, seed uint64, r *fleet.Result) error {
-	f := r.Figures
-	word := "holds"
-	if r.Void != "" {
-		word = "VOID: " + r.Void
-	} else if !r.Holds {
-		word = "FAILS"
+func (t *soakTally) verdict(runs uint64) error {
+	switch {
+	case t.failed > 0:
+		return cli.Exit(fmt.Sprintf("soak: in %d of %d runs something that must hold did not", t.failed, runs), ruleBroken)
+	case t.voids+t.unplayed > 0:
+		return cli.Exit(fmt.Sprintf("soak: %d of %d runs are void, as the machine was too busy, or could not be played", t.voids+t.unplayed, runs), voidRun)
 	}
+	return nil
+}
+
+// printSoak prints a line for a run. The plan of one that failed is kept, and what did not hold is printed.
+func printSoak(to io.Writer, keep string, seed uint64, r *fleet.Result) error {
+	f := r.Figures
 	printf(to, "seed %d: %s; %d flows: %d established, %d rejected, %d aborted; %d cut, %d moved\n",
-		seed, word, f.Flows, f.Established, f.Rejected, f.Aborted, f.Cut, f.Moved)
+		seed, fleetVerdictText(r), f.Flows, f.Established, f.Rejected, f.Aborted, f.Cut, f.Migrated)
 	if r.Holds || r.Void != "" {
 		return nil
 	}
-	for _, must := range r.Musts {
-		if !must.Holds {
-			printf(to, "  %s: %s\n", must.Must, must.Seen)
+	for _, v := range r.Requirements {
+		if !v.Holds {
+			printf(to, "  %s: %s\n", v.Requirement, v.Seen)
 		}
 	}
 	if len(r.Violations) > 0 {
 		printf(to, "  first: %s\n", r.Violations[0])
 	}
 	path := filepath.Join(keep, fmt.Sprintf("soak-%d.toml", seed))
-	if err := os.WriteFile(path, []byte(fleet.SoakPlan(seed)), 0o644); err != nil {
+	if err := os.WriteFile(path, []byte(fleet.SoakPlan(seed)), planMode); err != nil {
 		return err
 	}
 	printf(to, "  kept: testbed fleet %s --seed %d\n", path, seed)
--- /dev/null
+++ b/cmd/testbed/spread_page.go
@@ -0,0 +1,83 @@
+package main
+
+import (
+	"fmt"
+	"html/template"
+	"io"
+	"strings"
+
+	"yardwinch/internal/testbed/dissemination"
+)
+
+var disseminationPage = template.Must(template.New("dissemination").Parse(`<!doctype html><html lang="en"><meta charset="utf-8"><title>How a word spreads</title>
+<style>body{font:15px/1.45 system-ui,sans-serif;color:#1d2733;max-width:960px;margin:24px auto}text{font:11px system-ui;fill:#51606e}</style>
+<h1>How a word of trouble spreads</h1><p>Share of members that know of it, by seconds since it began. Simulated.</p>
+<svg viewBox="0 0 900 320">{{range .Ticks}}<line x1="{{.X}}" x2="{{.X}}" y1="10" y2="280" stroke="#e2e7ec"/><text x="{{.X}}" y="296" text-anchor="middle">{{.T}}</text>{{end}}
+{{range .Lines}}<polyline points="{{.Points}}" fill="none" stroke="{{.Colour}}" stroke-width="1.8"/>{{end}}
+{{range $i, $l := .Legend}}<text x="{{$l.X}}" y="314" style="fill:{{$l.Colour}}">{{$l.Name}}</text>{{end}}</svg></html>`))
+
+// The layout of the plot, in its own units.
+const (
+	plotLeft         = 40.0
+	plotWidth        = 840.0
+	plotBottom       = 280.0
+	plotHeight       = 270.0
+	legendWidth      = 120.0
+	samplesPerSecond = 10
+)
+
+var lineColours = []string{"#0b5fa5", "#d08c2f", "#3f9b6c", "#8a6fb0", "#a33", "#222"}
+
+// disseminationPlot is what the page's template shows.
+type disseminationPlot struct {
+	Ticks  []timeTick
+	Lines  []plotLine
+	Legend []legendEntry
+
+	samples int // of the longest run
+	colours map[int]string
+}
+
+type timeTick struct {
+	X float64
+	T string
+}
+
+type plotLine struct{ Points, Colour string }
+
+type legendEntry struct {
+	X            float64
+	Name, Colour string
+}
+
+// drawDissemination draws who knows over time, a line a run.
+func drawDissemination(w io.Writer, results []*dissemination.Result) error {
+	p := &disseminationPlot{samples: 1, colours: map[int]string{}}
+	for _, r := range results {
+		p.samples = max(p.samples, len(r.Knowing))
+	}
+	for _, r := range results {
+		p.addLine(r)
+	}
+	for second := 0; second <= p.samples/samplesPerSecond; second++ {
+		p.Ticks = append(p.Ticks, timeTick{p.x(second * samplesPerSecond), fmt.Sprintf("%ds", second)})
+	}
+	return disseminationPage.Execute(w, p)
+}
+
+func (p *disseminationPlot) x(sample int) float64 {
+	return plotLeft + plotWidth*float64(sample)/float64(p.samples)
+}
+
+func (p *disseminationPlot) addLine(r *dissemination.Result) {
+	if p.colours[r.Members] == "" {
+		colour := lineColours[len(p.colours)%len(lineColours)]
+		p.Legend = append(p.Legend, legendEntry{plotLeft + legendWidth*float64(len(p.colours)), fmt.Sprintf("%d members", r.Members), colour})
+		p.colours[r.Members] = colour
+	}
+	var points []string
+	for sample, knowing := range r.Knowing {
+		points = append(points, fmt.Sprintf("%.1f,%.1f", p.x(sample), plotBottom-plotHeight*float64(knowing)/float64(r.Members)))
+	}
+	p.Lines = append(p.Lines, plotLine{strings.Join(points, " "), p.colours[r.Members]})
+}
--- a/cmd/testbed/try.go
+++ b/cmd/testbed/try.go
@@ -4,7 +4,6 @@
 	"context"
 	_ "embed"
 	"fmt"
-	"io"
 	"os"
 	"os/exec"
 	"path/filepath"
@@ -31,7 +30,7 @@
 func balancerCommand() *cli.Command {
 	return &cli.Command{Name: "balancer", Hidden: true, Usage: "serve as yardwinch does; the configuration's path is in PROXY_CONFIG",
 		Action: func(context.Context, *cli.Command) error {
-			return daemon.Run(os.Getenv("PROXY_CONFIG"), os.Getenv("YARDWINCH_OPTIONS"), os.Getenv)
+			return daemon.Run(os.Getenv("PROXY_CONFIG"), os.Getenv("YARDWINCH_OPTIONS"), os.Getenv) //nolint:contextcheck // the daemon ends by signals of its own
 		}}
 }
 
@@ -47,114 +46,102 @@
 		return err
 	}
 	fmt.Fprintln(os.Stderr, "9 servers in 3 halls, discovery and 3 balancers on loopback; a server is slow from 4 s on, one is replaced from 9 s on")
-	r, err := onSockets(ctx, c, e, c.Uint64("seed"))
+	result, err := tryOnSockets(ctx, c, e)
 	if err != nil {
 		return err
 	}
-	if err := write(c, e, []*count.Result{r}); err != nil {
+	results := []*count.Result{result}
+	if err := writeResults(c, e, results); err != nil {
 		return err
 	}
 	if c.String("json") != "-" {
-		fmt.Printf("clients      %d, tries %d, connects %d, of them over to another hall %d\n", r.Clients, r.Attempts, r.Connects, r.Crossings)
-		fmt.Printf("answers      established %d, rejected %d, aborted %d, gave up %d\n", r.Established, r.Rejected, r.Aborted, r.TimedOut)
-		fmt.Printf("service      %.3f of the seconds asked for, %.3f in the worst 10 s\n", r.ServedShare, r.WorstWindow)
-		fmt.Printf("set-up       p50 %.1f ms, p99 %.1f ms\n", r.SetupTimes.P50, r.SetupTimes.P99)
-		fmt.Printf("moves        %d, cut off %d\n", r.Migrations, r.Cut)
-		fmt.Printf("rules        %d flows judged, %d breaches\n", r.Judged, r.Broken)
+		printTry(result)
 	}
-	return judged([]*count.Result{r})
+	return voidVerdict(results)
 }
 
-// judged is the verdict on runs that may be void.
-func judged(results []*count.Result) error {
+func printTry(r *count.Result) {
+	fmt.Printf("clients      %d, tries %d, connects %d, of them over to another hall %d\n", r.Clients, r.Attempts, r.Connects, r.Crossings)
+	fmt.Printf("answers      established %d, rejected %d, aborted %d, gave up %d\n", r.Established, r.Rejected, r.Aborted, r.TimedOut)
+	fmt.Printf("service      %.3f of the seconds asked for, %.3f in the worst 10 s\n", r.ServedShare, r.WorstWindow)
+	fmt.Printf("set-up       p50 %.1f ms, p99 %.1f ms\n", r.SetupTimes.P50, r.SetupTimes.P99)
+	fmt.Printf("moves        %d, cut off %d\n", r.Migrations, r.Cut)
+	fmt.Printf("rules        %d flows judged, %d breaches\n", r.Judged, r.Broken)
+}
+
+// voidVerdict is the verdict on runs that may be void.
+func voidVerdict(results []*count.Result) error {
 	for _, r := range results {
 		if r.Void != "" {
 			return cli.Exit(fmt.Sprintf("seed %d: void: %s", r.Seed, r.Void), voidRun)
 		}
 	}
-	return verdict(results)
+	return ruleVerdict(results)
 }
 
-// onSockets plays one day with real processes.
-func onSockets(ctx context.Context, c *cli.Command, e *experiment.Experiment, seed uint64) (*count.Result, error) {
-	folder := c.String("logs")
-	if folder == "" {
-		var err error
-		if folder, err = os.MkdirTemp("", "yard"); err != nil {
-			return nil, err
-		}
-		defer func() { _ = os.RemoveAll(folder) }() // what is left of a temporary directory harms nobody
-	} else if err := os.MkdirAll(folder, 0o755); err != nil {
+func tryOnSockets(ctx context.Context, c *cli.Command, e *experiment.Experiment) (*count.Result, error) {
+	directory, remove, err := logDirectory(c)
+	if err != nil {
 		return nil, err
 	}
-	start, err := balancerProgram(c)
+	defer remove()
+	program, err := balancerProgram(c)
 	if err != nil {
 		return nil, err
 	}
-	return Sockets(ctx, e, seed, "ours", start, folder, clock(os.Stderr, e))
+	return runOnSockets(ctx, socketsRun{experiment: e, seed: c.Uint64("seed"), policy: experiment.Ours, program: program, directory: directory,
+		progress: showProgress(os.Stderr, e)})
 }
 
+// balancerProgram is what starts a balancer: as --yardwinch says, or this program.
 func balancerProgram(c *cli.Command) ([]string, error) {
-	if p := c.String("yardwinch"); p != "" {
-		p, err := exec.LookPath(p)
-		if err != nil {
-			return nil, fault(fmt.Errorf("--yardwinch: %w", err))
-		}
-		p, err = filepath.Abs(p)
-		return []string{p, "serve"}, err
+	given := c.String("yardwinch")
+	if given == "" {
+		self, err := os.Executable()
+		return []string{self, "balancer"}, err
+	}
+	path, err := exec.LookPath(given)
+	if err != nil {
+		return nil, fault(fmt.Errorf("--yardwinch: %w", err))
 	}
-	self, err := os.Executable()
-	return []string{self, "balancer"}, err
+	path, err = filepath.Abs(path)
+	return []string{path, "serve"}, err
 }
 
-// Sockets plays one day and counts it.
-func Sockets(ctx context.Context, e *experiment.Experiment, seed uint64, policy string, start []string, folder string, progress func(time.Duration)) (*count.Result, error) {
-	d := e.Day(seed)
-	slack, hold := sockets.CheckerTimes()
-	ref := scenario.NewChecker(d, slack, hold)
-	dr := sockets.New(ctx, d, ref, start, folder)
-	switch policy {
-	case "ours":
-	case "ours+halls":
-		if err := dr.SetOptions(e.Locality.Text()); err != nil {
+// socketsRun is one day to run with real processes.
+type socketsRun struct {
+	experiment *experiment.Experiment
+	seed       uint64
+	policy     string
+	program    []string // starts a balancer
+	directory  string   // for configurations and logs
+	progress   func(time.Duration)
+}
+
+func runOnSockets(ctx context.Context, run socketsRun) (*count.Result, error) {
+	day := run.experiment.Day(run.seed)
+	slack, reordering := sockets.CheckerTimes()
+	checker := scenario.NewChecker(day, slack, reordering)
+	driver := sockets.New(ctx, day, checker, run.program, run.directory)
+	switch run.policy {
+	case experiment.Ours:
+	case experiment.OursWithLocalities:
+		if err := driver.SetOptions(run.experiment.Locality.Text()); err != nil {
 			return nil, err
 		}
 	default:
-		return nil, fmt.Errorf("on sockets only ours and ours+halls can be played, not %q", policy)
+		return nil, fmt.Errorf("on sockets only ours and ours+halls can be played, not %q", run.policy)
 	}
-	loads := scenario.RecordLoads(d.World)
-	void, err := dr.Run(progress)
+	loads := scenario.RecordLoads(day.World)
+	void, err := driver.Run(run.progress)
 	if err != nil {
 		return nil, err
 	}
-	r := &count.Result{Policy: policy, Seed: seed, LoadByServer: *loads, Crossings: dr.Tally.Crossings, Migrations: dr.Tally.Migrations, Connects: dr.Tally.Connects, Void: void}
-	seconds := len(d.World.Accounting.Requested[0])
-	r.MigrationsBySecond, r.ConnectsBySecond = count.PerSecond(dr.Tally.MigratedAt, seconds), count.PerSecond(dr.Tally.ConnectedAt, seconds)
-	scenario.FillResult(r, d, ref)
-	return r, nil
-}
-
-// clock draws how far a run in real time is, where somebody looks.
-func clock(to *os.File, e *experiment.Experiment) func(time.Duration) {
-	if s, err := to.Stat(); err != nil || s.Mode()&os.ModeCharDevice == 0 {
-		return func(now time.Duration) {
-			if now%(5*time.Second) < 500*time.Millisecond {
-				printf(to, "%s: %v of %v\n", e.Name, now.Truncate(time.Second), e.Length)
-			}
-		}
-	}
-	return func(now time.Duration) {
-		bar := make([]byte, 40)
-		for i := range bar {
-			bar[i] = ' '
-			if time.Duration(i)*e.Length/time.Duration(len(bar)) < now {
-				bar[i] = '='
-			}
-		}
-		end := ""
-		if now+time.Second > e.Length {
-			end = "\n"
-		}
-		_, _ = io.WriteString(to, fmt.Sprintf("\r[%s] %v of %v %s", bar, now.Truncate(100*time.Millisecond), e.Length, end))
-	}
+	tally := driver.Tally
+	seconds := len(day.World.Accounting.Requested[0])
+	result := &count.Result{Policy: run.policy, Seed: run.seed, Void: void, LoadByServer: *loads,
+		Crossings: tally.Crossings, Migrations: tally.Migrations, Connects: tally.Connects,
+		MigrationsBySecond: count.PerSecond(tally.MigratedAt, seconds), ConnectsBySecond: count.PerSecond(tally.ConnectedAt, seconds)}
+	scenario.FillResult(result, day, checker)
+	return result, nil
 }
--- a/internal/testbed/fleet/build.go
+++ b/internal/testbed/fleet/build.go
@@ -12,93 +12,133 @@
 	"strings"
 )
 
-// Build builds the daemon of an earlier revision of the repository that holds dir, aside, and keeps it in the user's cache: an old
-// build is to be beside the new one.
+const (
+	sourceDirMode  = 0o755
+	sourceFileMode = 0o644
+)
+
+// Build builds the daemon of an earlier revision of the repository that holds dir, and keeps it in the user's cache: an old build is to run
+// beside the new one. Its error is an *Error.
 func Build(ctx context.Context, dir, revision string) (program string, err error) {
-	fail := func(what string, err error) error {
-		return &Error{
-			Where:  "old build " + revision,
-			What:   what,
-			Remedy: "check that git knows the revision here, or name a program with --old",
-			Err:    err,
-		}
+	b := &oldBuildOf{revision: revision}
+	if b.commit, err = git(ctx, dir, "rev-parse", "--verify", "--quiet", revision+"^{commit}"); err != nil {
+		return "", b.fail("git does not know it", err)
 	}
-	name, err := exec.CommandContext(ctx, "git", "-C", dir, "rev-parse", "--verify", "--quiet", revision+"^{commit}").Output()
-	if err != nil {
-		return "", fail("git does not know it", err)
+	b.directory = filepath.Join(cacheDirectory(), "yardwinch-builds", b.commit)
+	program = filepath.Join(b.directory, "yardwinch")
+	if _, err := os.Stat(program); err == nil {
+		return program, nil
+	}
+	if b.repository, err = git(ctx, dir, "rev-parse", "--show-toplevel"); err != nil {
+		return "", b.fail("no repository", err)
+	}
+	if err := os.MkdirAll(b.directory, sourceDirMode); err != nil {
+		return "", b.fail("no place for it", err)
 	}
-	commit := strings.TrimSpace(string(name))
+	return program, b.build(ctx, program)
+}
+
+// git is the output of a git command.
+func git(ctx context.Context, dir string, arguments ...string) (string, error) {
+	text, err := exec.CommandContext(ctx, "git", append([]string{"-C", dir}, arguments...)...).Output()
+	return strings.TrimSpace(string(text)), err
+}
+
+func cacheDirectory() string {
 	cache, err := os.UserCacheDir()
 	if err != nil {
-		cache = os.TempDir()
+		return os.TempDir()
 	}
-	at := filepath.Join(cache, "yardwinch-builds", commit)
-	program = filepath.Join(at, "yardwinch")
-	if _, err := os.Stat(program); err == nil {
-		return program, nil
+	return cache
+}
+
+type oldBuildOf struct {
+	revision, commit      string
+	repository, directory string
+}
+
+func (b *oldBuildOf) fail(what string, err error) error {
+	return &Error{
+		Where:  "old build " + b.revision,
+		What:   what,
+		Remedy: "check that git knows the revision here, or name a program with --old",
+		Err:    err,
 	}
-	top, err := exec.CommandContext(ctx, "git", "-C", dir, "rev-parse", "--show-toplevel").Output()
+}
+
+// build builds the program from an archive of the revision. The program takes its place when it is complete.
+func (b *oldBuildOf) build(ctx context.Context, program string) error {
+	source, err := os.MkdirTemp(b.directory, "src")
 	if err != nil {
-		return "", fail("no repository", err)
+		return b.fail("no place for it", err)
 	}
-	if err := os.MkdirAll(at, 0o755); err != nil {
-		return "", fail("no place for it", err)
+	defer func() { _ = os.RemoveAll(source) }() // what is left of it lies in the directory of builds, and harms nobody
+	if err := b.unpackSource(ctx, source); err != nil {
+		return err
 	}
-	src, err := os.MkdirTemp(at, "src")
-	if err != nil {
-		return "", fail("no place for it", err)
+	built := program + fmt.Sprintf(".%d", os.Getpid())
+	command := exec.CommandContext(ctx, "go", "build", "-ldflags=-linkmode=external", "-o", built, "./cmd/yardwinch")
+	command.Dir, command.Env = source, append(os.Environ(), "CGO_ENABLED=1")
+	if text, err := command.CombinedOutput(); err != nil {
+		return b.fail("building: "+strings.TrimSpace(string(text)), err)
 	}
-	defer func() { _ = os.RemoveAll(src) }() // what is left of it lies in the directory of builds, and harms nobody
-	archive := exec.CommandContext(ctx, "git", "-C", strings.TrimSpace(string(top)), "archive", "--format=tar", commit, ":(exclude)journal")
+	if err := os.Rename(built, program); err != nil {
+		return b.fail("keeping it", err)
+	}
+	return nil
+}
+
+func (b *oldBuildOf) unpackSource(ctx context.Context, to string) error {
+	archive := exec.CommandContext(ctx, "git", "-C", b.repository, "archive", "--format=tar", b.commit, ":(exclude)journal")
 	out, err := archive.StdoutPipe()
 	if err == nil {
 		err = archive.Start()
 	}
 	if err != nil {
-		return "", fail("git gives no archive", err)
-	}
-	if err := errors.Join(unpack(out, src), archive.Wait()); err != nil {
-		return "", fail("unpacking", err)
+		return b.fail("git gives no archive", err)
 	}
-	made := program + fmt.Sprintf(".%d", os.Getpid())
-	build := exec.CommandContext(ctx, "go", "build", "-ldflags=-linkmode=external", "-o", made, "./cmd/yardwinch")
-	build.Dir, build.Env = src, append(os.Environ(), "CGO_ENABLED=1")
-	if text, err := build.CombinedOutput(); err != nil {
-		return "", fail("building: "+strings.TrimSpace(string(text)), err)
+	if err := errors.Join(unpack(out, to), archive.Wait()); err != nil {
+		return b.fail("unpacking", err)
 	}
-	return program, os.Rename(made, program)
+	return nil
 }
 
-func unpack(r io.Reader, to string) error {
-	t := tar.NewReader(r)
+// unpack unpacks directories and regular files of a tar archive.
+func unpack(archive io.Reader, to string) error {
+	entries := tar.NewReader(archive)
 	for {
-		h, err := t.Next()
+		header, err := entries.Next()
 		if errors.Is(err, io.EOF) {
-			_, err = io.Copy(io.Discard, r) // what pads the archive, or git would wait
+			_, err = io.Copy(io.Discard, archive) // the padding, or git would wait
 			return err
 		}
 		if err != nil {
 			return err
 		}
-		if !filepath.IsLocal(h.Name) {
+		if !filepath.IsLocal(header.Name) {
 			continue
 		}
-		at := filepath.Join(to, h.Name)
-		switch h.Typeflag {
+		path := filepath.Join(to, header.Name)
+		switch header.Typeflag {
 		case tar.TypeDir:
-			err = os.MkdirAll(at, 0o755)
+			err = os.MkdirAll(path, sourceDirMode)
 		case tar.TypeReg:
-			var f *os.File
-			if err = os.MkdirAll(filepath.Dir(at), 0o755); err != nil {
-				return err
-			}
-			if f, err = os.OpenFile(at, os.O_CREATE|os.O_WRONLY|os.O_TRUNC, 0o644); err == nil {
-				_, err = io.Copy(f, t)
-				err = errors.Join(err, f.Close())
-			}
+			err = unpackFile(entries, path)
 		}
 		if err != nil {
 			return err
 		}
 	}
 }
+
+func unpackFile(text io.Reader, path string) error {
+	if err := os.MkdirAll(filepath.Dir(path), sourceDirMode); err != nil {
+		return err
+	}
+	file, err := os.OpenFile(path, os.O_CREATE|os.O_WRONLY|os.O_TRUNC, sourceFileMode)
+	if err != nil {
+		return err
+	}
+	_, err = io.Copy(file, text)
+	return errors.Join(err, file.Close())
+}
--- /dev/null
+++ b/internal/testbed/fleet/check.go
@@ -0,0 +1,233 @@
+package fleet
+
+import (
+	"fmt"
+	"slices"
+	"time"
+
+	"yardwinch/internal/simulation"
+	"yardwinch/internal/testbed/invariants"
+)
+
+const faultyAfter = 500 * time.Millisecond // servers with faults are those that have them so long after a requirement's beginning
+
+// check is one requirement that is held against a run.
+type check struct {
+	requirement
+	run       *fleetRun
+	result    *Result
+	balancers []string // resolved
+	members   []string // resolved
+	from, to  time.Duration
+	verdict   Verdict
+}
+
+// checks by the kind of requirement.
+var checks = map[string]func(*check){
+	leftOut:          (*check).checkFront,
+	takenBack:        (*check).checkFront,
+	serves:           (*check).checkServes,
+	uses:             (*check).checkConnects,
+	avoids:           (*check).checkConnects,
+	established:      (*check).checkEstablished,
+	neverEstablished: (*check).checkNeverEstablished,
+	answered:         (*check).checkAnswers,
+	healthChecks:     (*check).checkHealthChecks,
+	healthChecked:    (*check).checkHealthChecked,
+	sees:             (*check).checkMembers,
+	keeps:            (*check).checkMembers,
+	descriptors:      (*check).checkDescriptors,
+	costs:            (*check).checkCosts,
+}
+
+// check tells whether a requirement held.
+func (r *fleetRun) check(q requirement, result *Result) Verdict {
+	c := &check{requirement: q, run: r, result: result, verdict: Verdict{Requirement: q.String(), Holds: true}}
+	base := time.Duration(0)
+	if q.after != "" {
+		at, happened := r.faultTimes[q.after]
+		if !happened {
+			c.note(fmt.Sprintf("the fault %q never came", q.after), false)
+			return c.verdict
+		}
+		base = at
+	}
+	c.from, c.to = base+q.from, r.world.Accounting.Length
+	if q.to > 0 {
+		c.to = base + q.to
+	}
+	c.balancers = r.names.resolve(q.balancers, nil)
+	if q.kind == sees || q.kind == keeps {
+		c.members = r.names.resolve(q.members, nil)
+	}
+	checks[q.kind](c)
+	return c.verdict
+}
+
+// note adds what was seen. The first that does not hold is shown, or else the first of all.
+func (c *check) note(seen string, holds bool) {
+	if c.verdict.Seen == "" || c.verdict.Holds && !holds {
+		c.verdict.Seen = seen
+	}
+	c.verdict.Holds = c.verdict.Holds && holds
+}
+
+func (c *check) isWithin(at time.Duration) bool { return at >= c.from && at < c.to }
+
+func (c *check) checkFront() {
+	for _, name := range c.balancers {
+		delay, ok := c.frontDelay(name)
+		c.note(fmt.Sprintf("%s after %v", name, delay.Round(time.Millisecond)), ok)
+	}
+}
+
+// frontDelay is how long after the beginning the front left a balancer out, or took it back.
+func (c *check) frontDelay(balancer string) (delay time.Duration, ok bool) {
+	for _, span := range c.run.leftOutSpans[balancer] {
+		at := span.From
+		if c.kind == takenBack {
+			at = span.To
+		}
+		if at >= c.from {
+			return at - c.from, at-c.from <= c.within
+		}
+	}
+	return c.run.world.Accounting.Length - c.from, false
+}
+
+// eachBalancer counts events of each balancer, and notes whether their number is right.
+func (c *check) eachBalancer(counts func(invariants.Event) bool, isRight func(float64) bool) {
+	for _, name := range c.balancers {
+		b, ok := balancerOf(name)
+		if !ok {
+			c.note(name+" is no balancer", false)
+			continue
+		}
+		count := 0
+		for _, e := range c.run.events {
+			if c.isWithin(e.At) && e.Balancer == invariants.Balancer(b) && counts(e) {
+				count++
+			}
+		}
+		c.note(fmt.Sprintf("%s: %d", name, count), isRight(float64(count)))
+	}
+}
+
+func isEstablished(e invariants.Event) bool {
+	return e.Kind == invariants.FlowAnswered && e.Answer == invariants.Established
+}
+
+func (c *check) checkServes() {
+	c.eachBalancer(isEstablished, func(count float64) bool { return count >= c.atLeast })
+}
+
+func (c *check) checkConnects() {
+	servers := map[int]bool{}
+	for _, s := range c.resolveServers() {
+		servers[s] = true
+	}
+	isRight := func(count float64) bool { return count >= c.atLeast }
+	if c.kind == avoids {
+		isRight = func(count float64) bool { return count <= c.atMost }
+	}
+	c.eachBalancer(func(e invariants.Event) bool { return e.Kind == invariants.ConnectSent && servers[int(e.Server)] }, isRight)
+}
+
+// resolveServers resolves names of servers. Those with faults are the ones that had them just after the beginning.
+func (c *check) resolveServers() (numbers []int) {
+	names := *c.run.names
+	names.faultyServers = func() []int { return c.run.faultyAt(c.from + faultyAfter) }
+	for _, name := range names.resolve(c.servers, nil) {
+		if s, ok := serverOf(name); ok {
+			numbers = append(numbers, int(s))
+		}
+	}
+	return numbers
+}
+
+// faultyAt are the servers that had faults at a time.
+func (r *fleetRun) faultyAt(at time.Duration) (faulty []int) {
+	for i := range r.world.Servers {
+		for _, span := range r.faultySpans[i] {
+			if span.From <= at && (span.To == 0 || span.To > at) {
+				faulty = append(faulty, i)
+			}
+		}
+	}
+	return faulty
+}
+
+func (c *check) checkEstablished() {
+	accepted, count := map[invariants.Flow]bool{}, 0
+	for _, e := range c.run.events {
+		if e.Kind == invariants.FlowAccepted && c.isWithin(e.At) {
+			accepted[e.Flow] = true
+		} else if isEstablished(e) && accepted[e.Flow] {
+			count++
+		}
+	}
+	share := float64(count) / float64(max(len(accepted), 1))
+	c.note(fmt.Sprintf("%.3f of %d flows", share, len(accepted)), len(accepted) > 0 && share >= c.atLeast)
+}
+
+func (c *check) checkNeverEstablished() {
+	figures := c.result.Figures
+	share := float64(figures.NeverEstablished) / float64(max(figures.Clients, 1))
+	c.note(fmt.Sprintf("%.4f of %d clients", share, figures.Clients), share <= c.atMost)
+}
+
+func (c *check) checkAnswers() {
+	answers := c.run.callAnswers[c.after]
+	if len(answers) == 0 {
+		c.note("no call was answered by the end", false)
+	}
+	for _, answer := range answers {
+		c.note(answer.balancer+": "+answer.text, answer.isYes == c.wantYes)
+	}
+}
+
+func (c *check) checkHealthChecks() {
+	count := 0.0
+	for _, times := range c.run.driver.Tally.HealthChecksAt {
+		for _, at := range times {
+			if c.isWithin(at) {
+				count++
+			}
+		}
+	}
+	c.note(fmt.Sprint(count), count >= c.atLeast && (c.atMost == 0 || count <= c.atMost))
+}
+
+func (c *check) checkHealthChecked() {
+	for _, server := range c.resolveServers() {
+		gap := c.longestGap(c.run.driver.Tally.HealthChecksAt[simulation.ServerID(server)])
+		c.note(fmt.Sprintf("%s: %v without", serverName(server), gap.Round(time.Millisecond)), gap <= c.within)
+	}
+}
+
+// longestGap between times, from the beginning to the end.
+func (c *check) longestGap(times []time.Duration) (gap time.Duration) {
+	last := c.from
+	for _, at := range append(slices.Clone(times), c.to) {
+		if at >= c.from && at <= c.to {
+			gap, last = max(gap, at-last), at
+		}
+	}
+	return gap
+}
+
+func (c *check) checkDescriptors() {
+	for _, name := range c.balancers {
+		if count, known := c.run.descriptors[name]; known {
+			c.note(fmt.Sprintf("%s: %d", name, count), float64(count) <= c.atMost)
+		}
+	}
+}
+
+func (c *check) checkCosts() {
+	sum := 0
+	for _, p := range c.result.Processes {
+		sum += p.Cost.Cut + p.Cost.Unanswered + p.Cost.Expired + p.Cost.SentLate
+	}
+	c.note(fmt.Sprint(sum), float64(sum) <= c.atMost)
+}
--- a/internal/testbed/fleet/fleet_test.go
+++ b/internal/testbed/fleet/fleet_test.go
@@ -27,17 +27,17 @@
 	}
 }
 
-const shipped = "../../../experiments/fleet/"
+const shippedPlans = "../../../experiments/fleet/"
 
-// played plays a file once, again where the machine was too busy.
-func played(t *testing.T, p *Plan, seed uint64) *Result {
+// runPlan plays a file once, again where the machine was too busy.
+func runPlan(t *testing.T, p *Plan, seed uint64) *Result {
 	t.Helper()
 	t.Setenv("FLEET_TEST_BALANCER", "sound")
 	self, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if p.peers {
+	if p.hasMembership {
 		p.Engine = engine(t)
 	}
 	var old []string
@@ -55,7 +55,7 @@
 			t.Fatal(err)
 		}
 		defer func() { _ = os.RemoveAll(folder) }()
-		if r, err = Run(context.Background(), p, seed, []string{self}, old, folder, nil); err != nil {
+		if r, err = Run(context.Background(), p, Settings{Seed: seed, Program: []string{self}, Old: old, Directory: folder}); err != nil {
 			t.Fatal(err)
 		}
 		if r.Void == "" {
@@ -82,11 +82,11 @@
 	}
 }()
 
-func holds(t *testing.T, r *Result) {
+func checkHolds(t *testing.T, r *Result) {
 	t.Helper()
-	for _, m := range r.Musts {
+	for _, m := range r.Requirements {
 		if !m.Holds {
-			t.Errorf("%s: %s", m.Must, m.Seen)
+			t.Errorf("%s: %s", m.Requirement, m.Seen)
 		}
 	}
 	for _, v := range r.Violations {
@@ -96,12 +96,12 @@
 
 // Everything of the least that must hold, at once: killed, frozen, cut off one way, behind a bad link, without a place to write.
 func TestFaultsBetweenProcesses(t *testing.T) {
-	p, err := Open(shipped + "faults.toml")
+	p, err := Open(shippedPlans + "faults.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := played(t, p, 1)
-	holds(t, r)
+	r := runPlan(t, p, 1)
+	checkHolds(t, r)
 	if c := r.Processes[0].Cost.Cut + r.Processes[0].Cost.Unanswered; c == 0 {
 		t.Error("a killed process cost nobody anything: it held nothing, or nobody counted")
 	}
@@ -109,51 +109,51 @@
 
 // The same on a list so long that a decision looks at a part of it, of which some servers vanish and return.
 func TestFaultsOnALongList(t *testing.T) {
-	p, err := Open(shipped + "long-list.toml")
+	p, err := Open(shippedPlans + "long-list.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	holds(t, played(t, p, 1))
+	checkHolds(t, runPlan(t, p, 1))
 }
 
 // Members see who is killed, frozen or cut off one way, and all again after the heal; garbage and an earlier build do no harm.
 func TestMembersUnderFaults(t *testing.T) {
-	p, err := Open(shipped + "members.toml")
+	p, err := Open(shippedPlans + "members.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	holds(t, played(t, p, 1))
+	checkHolds(t, runPlan(t, p, 1))
 }
 
 // One probes a server for all; with a holder killed and another frozen no server goes without.
-func TestDutiesUnderFaults(t *testing.T) {
-	p, err := Open(shipped + "duties.toml")
+func TestLeasesUnderFaults(t *testing.T) {
+	p, err := Open(shippedPlans + "duties.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	holds(t, played(t, p, 1))
+	checkHolds(t, runPlan(t, p, 1))
 }
 
 // One behind a bad way, and one whose records call every server late, empty no server for the others.
-func TestOneBadLinkMovesNobodyElse(t *testing.T) {
-	p, err := Open(shipped + "bad-link.toml")
+func TestOneBadLinkMigratesNobodyElse(t *testing.T) {
+	p, err := Open(shippedPlans + "bad-link.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	holds(t, played(t, p, 1))
+	checkHolds(t, runPlan(t, p, 1))
 }
 
 // An earlier build serves beside this one, and takes over from it.
 func TestOldBesideNew(t *testing.T) {
-	p, err := Open(shipped + "old-beside-new.toml")
+	p, err := Open(shippedPlans + "old-beside-new.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	holds(t, played(t, p, 1))
+	checkHolds(t, runPlan(t, p, 1))
 }
 
 // A must that fails is told, and by whom.
-func TestWhatDoesNotHoldIsTold(t *testing.T) {
+func TestFailedRequirementsAreReported(t *testing.T) {
 	p, err := Read("bad.toml", []byte(`name = "bad"
 length = "3s"
 [fleet]
@@ -194,15 +194,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := played(t, p, 1)
+	r := runPlan(t, p, 1)
 	want := map[string]bool{"the front leaves b1 out": true, "the front takes b1 back": false, "each of b0,b1": false, "all faults": false, "no rule broken": true}
 	for start, holds := range want {
 		found := false
-		for _, m := range r.Musts {
-			if strings.HasPrefix(m.Must, start) {
+		for _, m := range r.Requirements {
+			if strings.HasPrefix(m.Requirement, start) {
 				found = true
 				if m.Holds != holds {
-					t.Errorf("%s: holds %v, seen %q", m.Must, m.Holds, m.Seen)
+					t.Errorf("%s: holds %v, seen %q", m.Requirement, m.Holds, m.Seen)
 				}
 			}
 		}
@@ -216,7 +216,7 @@
 }
 
 func TestShippedFilesCanBeRead(t *testing.T) {
-	files, err := filepath.Glob(shipped + "*.toml")
+	files, err := filepath.Glob(shippedPlans + "*.toml")
 	if err != nil || len(files) == 0 {
 		t.Fatal(files, err)
 	}
@@ -227,7 +227,7 @@
 	}
 }
 
-func TestFaultsOfAFile(t *testing.T) {
+func TestReadNamesLineAndKeyOfAnError(t *testing.T) {
 	for _, x := range []struct{ name, text, want string }{
 		{"unknown key", "[[fault]]\nkind = \"kill\"\nwho = [\"b0\"]\nwhen = \"1s\"", "x.toml:5: fault.0.when: unknown key"},
 		{"unknown kind", "[[fault]]\nkind = \"kil\"\nwho = [\"b0\"]", "x.toml:3: fault.0.kind: want one of kill"},
@@ -257,7 +257,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			holds(t, played(t, p, seed))
+			checkHolds(t, runPlan(t, p, seed))
 		})
 	}
 }
--- a/internal/testbed/fleet/front.go
+++ b/internal/testbed/fleet/front.go
@@ -8,44 +8,52 @@
 	"time"
 )
 
-// watch is the front as the operators have it, before one balancer: it asks by PING again and again, leaves the balancer out after some
-// misses in a row, and takes it back at the first answer. told hears of each change. It is out at the latest after
-// misses times (every + wait) from when it answers no more.
-func watch(ctx context.Context, addr string, every, wait time.Duration, misses int, told func(alive bool)) {
-	alive, missed := true, 0
-	beat := time.NewTicker(every)
-	defer beat.Stop()
+const maxReplyBytes = 64
+
+// frontWatch is the operators' front before one balancer: it pings it again and again, leaves it out after some misses in a row, and takes
+// it back at the first reply. A balancer that stops replying is out after maxMisses times (interval + timeout) at the latest.
+type frontWatch struct {
+	address   string
+	interval  time.Duration
+	timeout   time.Duration
+	maxMisses int
+}
+
+// run watches until the context ends. changed is called with each change.
+func (w frontWatch) run(ctx context.Context, changed func(isUp bool)) {
+	isUp, misses := true, 0
+	ticker := time.NewTicker(w.interval)
+	defer ticker.Stop()
 	for {
-		if ping(ctx, addr, wait) {
-			missed = 0
-			if !alive {
-				alive = true
-				told(true)
+		if w.ping(ctx) {
+			misses = 0
+			if !isUp {
+				isUp = true
+				changed(true)
 			}
-		} else if missed++; missed >= misses && alive && ctx.Err() == nil {
-			alive = false
-			told(false)
+		} else if misses++; misses >= w.maxMisses && isUp && ctx.Err() == nil {
+			isUp = false
+			changed(false)
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-beat.C:
+		case <-ticker.C:
 		}
 	}
 }
 
-// ping asks once.
-func ping(ctx context.Context, addr string, wait time.Duration) bool {
-	d := net.Dialer{Timeout: wait}
-	c, err := d.DialContext(ctx, "tcp", addr)
+// ping tells whether the balancer replies in time.
+func (w frontWatch) ping(ctx context.Context) bool {
+	conn, err := (&net.Dialer{Timeout: w.timeout}).DialContext(ctx, "tcp", w.address)
 	if err != nil {
 		return false
 	}
-	defer func() { _ = c.Close() }()
-	_ = c.SetDeadline(time.Now().Add(wait))
-	if _, err := c.Write([]byte("PING\r\n")); err != nil {
+	defer func() { _ = conn.Close() }()
+	_ = conn.SetDeadline(time.Now().Add(w.timeout)) // it fails as the write does
+	if _, err := conn.Write([]byte("PING\r\n")); err != nil {
 		return false
 	}
-	text, err := bufio.NewReaderSize(c, 64).ReadString('\n')
-	return err == nil && strings.HasPrefix(text, "PONG")
+	line, err := bufio.NewReaderSize(conn, maxReplyBytes).ReadString('\n')
+	return err == nil && strings.HasPrefix(line, "PONG")
 }
--- a/internal/testbed/fleet/process.go
+++ b/internal/testbed/fleet/process.go
@@ -11,151 +11,196 @@
 	"path/filepath"
 	"slices"
 	"syscall"
-	"time"
 
 	"yardwinch/internal/simulation"
 	"yardwinch/internal/testbed/sockets"
 )
 
-// state names where a process stands.
-type state string
+// processState is the state of a process, in the words of reports.
+type processState string
 
 const (
-	runs    state = "runs"
-	frozen  state = "frozen"
-	starved state = "starved"
-	ending  state = "ending" // was asked to end
-	down    state = "down"
-	died    state = "died" // ended by itself
+	running       processState = "runs"
+	frozen        processState = "frozen"
+	starved       processState = "starved"
+	ending        processState = "ending" // it was asked to end
+	down          processState = "down"
+	endedByItself processState = "died"
 )
 
-// next says which states may follow; faults that would make another change are passed over, and said.
-var next = map[state][]state{runs: {frozen, starved, ending, down, died}, frozen: {runs, down}, starved: {runs, down, died},
-	ending: {down}, down: {runs}, died: {runs, down}}
+// allowedTransitions are the states that may follow. Faults that would make another change are skipped, and reported.
+var allowedTransitions = map[processState][]processState{
+	running:       {frozen, starved, ending, down, endedByItself},
+	frozen:        {running, down},
+	starved:       {running, down, endedByItself},
+	ending:        {down},
+	down:          {running},
+	endedByItself: {running, down},
+}
 
 const (
-	nobodyID     = 65534 // processes run as an ordinary user, or the rights of a folder would not bind them
-	callWithin   = time.Second
-	starvedSlice = 100 * time.Millisecond // of which a starved process runs a quarter
+	unprivilegedID      = 65534 // processes run as an ordinary user, or the permissions of a directory would not bind them
+	addressesPerNetwork = 250   // of a /24 network of loopback
+	privateDirMode      = 0o700
+	readableMode        = 0o644
+	logMode             = 0o600
 )
 
-// process is one balancer of the fleet; only turn changes its state.
+// process is one balancer of the fleet.
 type process struct {
-	id      simulation.BalancerID
-	name    string
-	state   state
-	program string // of its next start: current or old
-	folder  string
-	control string
-	bound   netip.AddrPort // where it speaks to the others, and what it tells them
-	told    netip.AddrPort
-	views   []view // how it saw the others, from when on
-	spans   []Span
-	round   int // counts faults with a length, so that an earlier one's end does not undo a later one
+	id         simulation.BalancerID
+	name       string
+	program    string // the build of its next start
+	directory  string
+	control    string         // address of the operators' calls
+	boundTo    netip.AddrPort // where it sends to other members from
+	advertised netip.AddrPort // what it tells them
+
+	state      processState
+	generation int          // of the state: what an earlier fault scheduled must not undo a later one
+	spans      []Span       // of states but running
+	views      []memberView // of the other members
 }
 
-func (r *run) newProcess(b simulation.BalancerID) (*process, error) {
-	x := &process{id: b, name: string(sockets.BalancerName(b)), state: runs, program: "current", folder: filepath.Join(r.folder, fmt.Sprintf("b%d", b))}
-	l, err := (&net.ListenConfig{}).Listen(r.ctx, "tcp", fmt.Sprintf("127.78.%d.%d:0", int(b)/250, int(b)%250+1))
-	if err != nil {
+func (r *fleetRun) newProcess(b simulation.BalancerID) (*process, error) {
+	p := &process{id: b, name: string(sockets.BalancerName(b)), state: running, program: currentBuild, directory: filepath.Join(r.directory, fmt.Sprintf("b%d", b))}
+	var err error
+	if p.control, err = r.freeControlAddress(b); err != nil {
 		return nil, err
 	}
-	x.control = l.Addr().String()
-	if err := l.Close(); err != nil {
-		return nil, err
-	}
-	if r.post != nil {
-		if err := r.address(x); err != nil {
+	if r.proxy != nil {
+		if err := r.assignAddresses(p); err != nil {
 			return nil, err
 		}
 	}
-	return x, r.makeFolder(x)
+	return p, r.makeDirectory(p)
 }
 
-func (r *run) makeFolder(x *process) error {
-	if err := os.MkdirAll(x.folder, 0o700); err != nil {
+func (r *fleetRun) freeControlAddress(b simulation.BalancerID) (string, error) {
+	listener, err := (&net.ListenConfig{}).Listen(r.ctx, "tcp", loopbackIP(balancerNetwork, b)+":0")
+	if err != nil {
+		return "", fmt.Errorf("find a control address for balancer %d: %w", b, err)
+	}
+	return listener.Addr().String(), listener.Close()
+}
+
+// Second bytes of loopback networks, in which each balancer has an address.
+const (
+	balancerNetwork   = 78
+	boundNetwork      = 79
+	advertisedNetwork = 80
+)
+
+func loopbackIP(network int, b simulation.BalancerID) string {
+	return fmt.Sprintf("127.%d.%d.%d", network, int(b)/addressesPerNetwork, int(b)%addressesPerNetwork+1)
+}
+
+func (r *fleetRun) makeDirectory(p *process) error {
+	if err := os.MkdirAll(p.directory, privateDirMode); err != nil {
 		return err
 	}
-	if os.Getuid() == 0 {
-		return os.Chown(x.folder, nobodyID, nobodyID)
+	if isRoot() {
+		return os.Chown(p.directory, unprivilegedID, unprivilegedID)
 	}
 	return nil
 }
 
-// launch changes how a process is started: its user, its folder, its options, its program.
-func (r *run) launch(b simulation.BalancerID, _ int, cmd *exec.Cmd) ([]string, error) {
-	x := r.procs[b]
-	config := filepath.Join(r.folder, fmt.Sprintf("balancer-%d.json", b))
-	if err := os.Chmod(config, 0o644); err != nil {
-		return nil, err
+func isRoot() bool { return os.Getuid() == 0 }
+
+// unprivileged runs a command as an ordinary user where this process is root.
+func unprivileged(command *exec.Cmd) {
+	if !isRoot() {
+		return
+	}
+	if command.SysProcAttr == nil {
+		command.SysProcAttr = &syscall.SysProcAttr{}
 	}
-	tmp := ""
-	if r.p.folders {
-		tmp = x.folder
+	command.SysProcAttr.Credential = &syscall.Credential{Uid: unprivilegedID, Gid: unprivilegedID}
+}
+
+// launch changes how a process is started: its user, its directory, its options, its program.
+func (r *fleetRun) launch(b simulation.BalancerID, _ int, command *exec.Cmd) ([]string, error) {
+	p := r.processes[b]
+	config := filepath.Join(r.directory, fmt.Sprintf("balancer-%d.json", b))
+	if err := os.Chmod(config, readableMode); err != nil {
+		return nil, err
 	}
-	options, err := r.options(x)
+	options, err := r.writeOptions(p)
 	if err != nil {
 		return nil, err
 	}
-	cmd.Env = append(cmd.Env, "YARDWINCH_OPTIONS="+options, "TMPDIR="+tmp)
-	// Not the file itself: a limit on files would hold for the log too.
-	cmd.Stdout = struct{ io.Writer }{&keptLog{path: filepath.Join(r.folder, fmt.Sprintf("balancer-%d.log", b))}}
-	cmd.Stderr = cmd.Stdout
-	if os.Getuid() == 0 {
-		cmd.SysProcAttr.Credential = &syscall.Credential{Uid: nobodyID, Gid: nobodyID}
+	directory := ""
+	if r.plan.hasDirectories {
+		directory = p.directory
 	}
-	program := r.program[x.program]
+	command.Env = append(command.Env, "YARDWINCH_OPTIONS="+options, "TMPDIR="+directory)
+	// Not the file itself: a limit on the size of files would bind the log too.
+	command.Stdout = struct{ io.Writer }{&reopenedLog{path: filepath.Join(r.directory, fmt.Sprintf("balancer-%d.log", b))}}
+	command.Stderr = command.Stdout
+	unprivileged(command)
+	program := r.programs[p.program]
 	if len(program) == 0 {
-		return nil, fmt.Errorf("there is no program %q", x.program)
+		return nil, fmt.Errorf("there is no program %q", p.program)
 	}
-	// As the platform does it: the shell has SIGHUP ignored until the balancer has a handler.
+	// As the platform does it: the shell ignores SIGHUP until the balancer has a handler.
 	return append([]string{"/bin/sh", "-c", `trap '' HUP; exec "$@"`, "sh"}, program...), nil
 }
 
-// keptLog appends to a file that is opened for each write: there are few.
-type keptLog struct{ path string }
+// reopenedLog appends to a file that is opened for each write: there are few.
+type reopenedLog struct{ path string }
 
-func (k *keptLog) Write(b []byte) (int, error) {
-	f, err := os.OpenFile(k.path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+// Write appends to the file.
+func (l *reopenedLog) Write(text []byte) (int, error) {
+	file, err := os.OpenFile(l.path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, logMode)
 	if err != nil {
 		return 0, err
 	}
-	n, err := f.Write(b)
-	return n, errors.Join(err, f.Close())
+	size, err := file.Write(text)
+	return size, errors.Join(err, file.Close())
 }
 
-// turn makes every change of a process's state, and tells whether it may be made.
-func (r *run) turn(x *process, to state) bool {
+// transition makes every change of a process's state, and tells whether it is allowed.
+func (r *fleetRun) transition(p *process, to processState) bool {
 	now := r.driver.Elapsed()
-	if !slices.Contains(next[x.state], to) {
-		r.unfit = append(r.unfit, fmt.Sprintf("%.1fs: %s is %s and can't be %s", now.Seconds(), x.name, x.state, to))
+	if !slices.Contains(allowedTransitions[p.state], to) {
+		r.skip("%.1fs: %s is %s and can't be %s", now.Seconds(), p.name, p.state, to)
 		return false
 	}
-	if n := len(x.spans); n > 0 && x.spans[n-1].To == 0 {
-		x.spans[n-1].To = now
+	if last := len(p.spans) - 1; last >= 0 && p.spans[last].To == 0 {
+		p.spans[last].To = now
 	}
-	if to != runs {
-		x.spans = append(x.spans, Span{now, 0, string(to)})
+	if to != running {
+		p.spans = append(p.spans, Span{now, 0, string(to)})
 	}
-	x.state = to
-	x.round++
+	p.state = to
+	p.generation++
 	return true
 }
 
-// ended: a process ended that nobody ended. It is killed for the world, too.
-func (r *run) ended(b simulation.BalancerID, err error) {
-	x := r.procs[b]
-	if x.state == ending { // as it was asked to
+// unchanged is something that doesn't happen if the process's state has changed meanwhile.
+func (p *process) unchanged(do func()) func() {
+	generation := p.generation
+	return func() {
+		if p.generation == generation {
+			do()
+		}
+	}
+}
+
+// processEnded notes that a process ended that nobody ended. It is killed for the world, too.
+func (r *fleetRun) processEnded(b simulation.BalancerID, err error) {
+	p := r.processes[b]
+	if p.state == ending {
 		return
 	}
-	r.note(x.name, "ended by itself (%v)", err)
-	if r.turn(x, died) {
-		r.w.KillBalancer(b)
+	r.record(p.name, "ended by itself (%v)", err)
+	if r.transition(p, endedByItself) {
+		r.world.KillBalancer(b)
 	}
 }
 
-func (r *run) signal(x *process, s syscall.Signal) {
-	if err := r.driver.Signal(x.id, s); err != nil {
-		r.unfit = append(r.unfit, fmt.Sprintf("%s: %v", x.name, err))
+func (r *fleetRun) signal(p *process, s syscall.Signal) {
+	if err := r.driver.Signal(p.id, s); err != nil {
+		r.skip("%s: %v", p.name, err)
 	}
 }
--- /dev/null
+++ b/internal/testbed/fleet/requirement.go
@@ -0,0 +1,161 @@
+package fleet
+
+import (
+	"fmt"
+	"strings"
+	"time"
+
+	"yardwinch/internal/strict"
+)
+
+// Kinds of requirements, in the words of plan files. Balancers are `who` there, members `whom`.
+const (
+	leftOut          = "left-out"    // the front leaves each balancer out within a time
+	takenBack        = "taken-back"  // the front uses each balancer again within a time
+	serves           = "serves"      // each balancer establishes so many flows at the least
+	uses             = "uses"        // each balancer sends so many connects at the least to the servers
+	avoids           = "avoids"      // each balancer sends so many connects at the most to the servers
+	established      = "established" // of all flows accepted, a share at the least is established
+	neverEstablished = "never-up"    // of all clients, a share at the most never had a connection
+	answered         = "answered"    // the calls of a fault were answered yes or no
+	healthChecks     = "probes"      // so many health checks in the run, at the least and at the most
+	healthChecked    = "probed"      // no server goes without a health check for longer than a time
+	sees             = "sees"        // each balancer that runs sees each member in a state, within a time
+	keeps            = "keeps"       // no balancer that runs sees any of the members as gone
+	descriptors      = "descriptors" // each balancer that runs holds so many at the most shortly before the end
+	costs            = "costs"       // killed and frozen processes cost so many connections and flows at the most in all
+)
+
+var requirementKinds = []string{leftOut, takenBack, serves, uses, avoids, established, neverEstablished, answered, costs, descriptors, sees, keeps,
+	healthChecks, healthChecked}
+
+// requirement is one thing that has to hold.
+type requirement struct {
+	kind               string
+	after              string // times count from that fault; empty: from the beginning
+	balancers, servers []string
+	members            []string
+	status             string // of the members
+	from, to           time.Duration
+	within             time.Duration
+	atLeast, atMost    float64
+	wantYes            bool
+}
+
+func (p *Plan) readRequirement(t strict.Table, names map[string]bool) {
+	const most = 1e9
+	r := requirement{
+		kind:      t.String("kind", "", requirementKinds...),
+		after:     t.String("after", ""),
+		balancers: t.Strings("who", []string{"all"}),
+		servers:   t.Strings("servers", []string{"servers"}),
+		from:      t.Duration("from", 0, hour),
+		to:        t.Duration("to", 0, hour),
+		within:    t.Duration("within", 0, hour),
+		atLeast:   t.Float("at-least", 0, 0, most),
+		atMost:    t.Float("at-most", 0, 0, most),
+		wantYes:   t.String("says", "yes", "yes", "no") == "yes",
+		members:   t.Strings("whom", nil),
+		status:    t.String("status", "alive", "alive", "gone", "left"),
+	}
+	if r.kind == "" {
+		if !t.Has("kind") {
+			t.Fail("kind", "is missing; want one of %s", strings.Join(requirementKinds, ", "))
+		}
+		return
+	}
+	p.checkRequirement(t, r, names)
+	p.checkNames(t, "who", r.balancers, names)
+	p.checkNames(t, "whom", r.members, names)
+	p.checkNames(t, "servers", r.servers, names)
+	p.requirements = append(p.requirements, r)
+}
+
+func (p *Plan) checkRequirement(t strict.Table, r requirement, names map[string]bool) {
+	if r.after != "" && !names[r.after] {
+		t.Fail("after", "no fault is called %q", r.after)
+	}
+	switch r.kind {
+	case answered:
+		if r.after == "" {
+			t.Fail("after", "is missing: which call's answer?")
+		}
+	case leftOut, takenBack, sees, healthChecked:
+		if r.within == 0 {
+			t.Fail("within", "is missing")
+		}
+	}
+	if (r.kind == sees || r.kind == keeps) && (len(r.members) == 0 || !p.hasMembership) {
+		t.Fail("whom", "is missing, or process.peers is off")
+	}
+}
+
+// String says what has to hold, and when.
+func (r requirement) String() string {
+	when := ""
+	if r.after != "" {
+		when = fmt.Sprintf(" counted from %q", r.after)
+	}
+	if r.from > 0 || r.to > 0 {
+		when += fmt.Sprintf(" from %v", r.from)
+	}
+	if r.to > 0 {
+		when += fmt.Sprintf(" to %v", r.to)
+	}
+	return requirementTexts[r.kind](r) + when
+}
+
+// requirementTexts say what each kind asks for.
+var requirementTexts = map[string]func(requirement) string{
+	leftOut: func(r requirement) string {
+		return fmt.Sprintf("the front leaves %s out within %v", list(r.balancers), r.within)
+	},
+	takenBack: func(r requirement) string {
+		return fmt.Sprintf("the front takes %s back within %v", list(r.balancers), r.within)
+	},
+	serves: func(r requirement) string {
+		return fmt.Sprintf("each of %s establishes %g flows at the least", list(r.balancers), r.atLeast)
+	},
+	uses: func(r requirement) string {
+		return fmt.Sprintf("each of %s sends %g connects at the least to %s", list(r.balancers), r.atLeast, list(r.servers))
+	},
+	avoids: func(r requirement) string {
+		return fmt.Sprintf("each of %s sends %g connects at the most to %s", list(r.balancers), r.atMost, list(r.servers))
+	},
+	established: func(r requirement) string { return fmt.Sprintf("%g of all flows are established", r.atLeast) },
+	neverEstablished: func(r requirement) string {
+		return fmt.Sprintf("at most %g of all clients never have a connection", r.atMost)
+	},
+	answered: func(r requirement) string {
+		if r.wantYes {
+			return "the call is answered yes"
+		}
+		return "the call is answered no"
+	},
+	healthChecks: healthChecksText,
+	healthChecked: func(r requirement) string {
+		return fmt.Sprintf("none of %s goes without a probe for longer than %v", list(r.servers), r.within)
+	},
+	sees: func(r requirement) string {
+		return fmt.Sprintf("each of %s sees %s as %s within %v", list(r.balancers), list(r.members), r.status, r.within)
+	},
+	keeps: func(r requirement) string {
+		return fmt.Sprintf("none of %s sees any of %s as gone", list(r.balancers), list(r.members))
+	},
+	descriptors: func(r requirement) string {
+		return fmt.Sprintf("each of %s holds at most %g descriptors at the end", list(r.balancers), r.atMost)
+	},
+	costs: func(r requirement) string {
+		return fmt.Sprintf("killed and frozen processes cost at most %g connections and flows", r.atMost)
+	},
+}
+
+func healthChecksText(r requirement) string {
+	text := fmt.Sprintf("servers are probed %g times at the least by all together", r.atLeast)
+	if r.atMost > 0 {
+		text += fmt.Sprintf(", %g at the most", r.atMost)
+	}
+	return text
+}
+
+func list(names []string) string { return strings.Join(names, ",") }
--- a/internal/testbed/fleet/run.go
+++ b/internal/testbed/fleet/run.go
@@ -2,12 +2,9 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
-	"io"
-	"os"
-	"path/filepath"
 	"slices"
+	"sync"
 	"time"
 
 	"yardwinch/internal/simulation"
@@ -18,6 +15,12 @@
 	"yardwinch/internal/testbed/sockets"
 )
 
+const (
+	faultyServerPoll = 100 * time.Millisecond
+	currentBuild     = "current"
+	oldBuild         = "old"
+)
+
 // Span is a time in which something was so.
 type Span struct {
 	From, To time.Duration
@@ -31,96 +34,75 @@
 	What string
 }
 
-// run is one play of a plan.
-type run struct {
-	p       *Plan
-	seed    uint64
-	driver      *sockets.Driver
-	d       *experiment.Day
-	w       *simulation.World
-	net     *netfault.Network
-	post    *netfault.Proxy // nil: nothing passes between balancers
-	checker *invariants.Checker
-	folder  string
-	program map[string][]string // current and old
-	procs   []*process
-	cast    *cast
-	ctx     context.Context
-
-	events      []invariants.Event
-	at          map[string]time.Duration // of named faults
-	calls       map[string][]answer
-	moments     []Moment
-	fronts      map[string][]Span // times in which the front left somebody out
-	struck      map[int][]Span
-	ways        []Span
-	descriptors map[string]int // of processes that ran shortly before the end
-	unfit       []string       // faults that could not be carried out as the file says
+// fleetRun is one run of a plan. What changes during it is guarded by the driver's mutex.
+type fleetRun struct {
+	plan      *Plan
+	seed      uint64
+	ctx       context.Context // ends with the run
+	workers   sync.WaitGroup  // goroutines that end with the context
+	directory string
+	programs  map[string][]string // by build
+	driver    *sockets.Driver
+	day       *experiment.Day
+	world     *simulation.World
+	checker   *invariants.Checker
+	network   *netfault.Network
+	proxy     *netfault.Proxy // nil: nothing passes between balancers
+	names     *nameResolver
+	processes []*process
+
+	events        []invariants.Event
+	moments       []Moment
+	faultTimes    map[string]time.Duration // of named faults
+	callAnswers   map[string][]callAnswer  // to the calls of named faults
+	leftOutSpans  map[string][]Span        // times in which the front left a balancer out
+	faultySpans   map[int][]Span           // times in which servers had faults
+	pathSpans     []Span                   // times in which paths had a condition
+	descriptors   map[string]int           // of processes that ran shortly before the end
+	skippedFaults []string                 // that could not be carried out as the file says
+}
+
+// callAnswer is the answer to an operator's call.
+type callAnswer struct {
+	balancer, text string
+	isYes          bool
 }
 
-type answer struct {
-	who, what string
-	yes       bool
+// Settings are what a plan is run with.
+type Settings struct {
+	Seed      uint64
+	Program   []string            // starts the balancer
+	Old       []string            // starts the earlier build; empty where the plan needs none
+	Directory string              // for configurations, logs and the processes' own directories
+	Progress  func(time.Duration) // gets the time, each half second; may be nil
 }
 
-// Run plays a plan once. program starts the balancer, old the earlier build; folder keeps configurations, logs and the processes' own
-// folders. progress hears the time.
-func Run(ctx context.Context, p *Plan, seed uint64, program, old []string, folder string, progress func(time.Duration)) (*Result, error) {
-	r := &run{p: p, seed: seed, d: p.Experiment.Day(seed), net: netfault.New(seed), folder: folder, ctx: ctx, at: map[string]time.Duration{},
-		calls: map[string][]answer{}, fronts: map[string][]Span{}, struck: map[int][]Span{}, program: map[string][]string{}, descriptors: map[string]int{}}
-	r.w = r.d.World
-	slack, hold := sockets.CheckerTimes()
-	slack = max(slack, p.late)
-	r.checker = scenario.NewChecker(r.d, slack, hold)
-	r.driver = sockets.New(ctx, r.d, r.checker, program, folder)
-	if p.peers {
-		r.post = netfault.NewProxy(ctx, r.net)
-		defer r.post.Close()
+// Run runs a plan once.
+func Run(ctx context.Context, p *Plan, s Settings) (*Result, error) {
+	ctx, cancel := context.WithCancel(ctx)
+	r := newRun(ctx, p, s)
+	if r.proxy != nil {
+		defer r.proxy.Close()
 	}
-	for name, start := range map[string][]string{"current": program, "old": old} {
-		if len(start) == 0 {
-			continue
-		}
-		if err := r.install(name, start); err != nil {
-			return nil, err
-		}
+	defer r.workers.Wait()
+	defer cancel()
+	if err := r.install(s); err != nil {
+		return nil, err
 	}
-	r.cast = &cast{r: simulation.RandomSource(seed, "cast", 0), balancers: len(r.w.Balancers), servers: len(r.w.Servers), named: map[string][]string{},
-		struck: func() (hit []int) {
-			for i, s := range r.w.Servers {
-				if s.IsFaulty() {
-					hit = append(hit, i)
-				}
-			}
-			return hit
-		}}
-	old0 := r.cast.ends(p.oldWho, nil)
-	for b := range r.w.Balancers {
-		x, err := r.newProcess(simulation.BalancerID(b))
-		if err != nil {
-			return nil, err
-		}
-		if slices.Contains(old0, x.name) {
-			x.program = "old"
-		}
-		r.procs = append(r.procs, x)
+	if err := r.newProcesses(); err != nil {
+		return nil, err
 	}
-	r.w.FrontElsewhere()
-	r.driver.Isolate(&sockets.Isolation{Network: r.net, ControlAddress: func(b simulation.BalancerID) string { return r.procs[b].control },
-		Launch: r.launch, Ended: r.ended, Observe: func(e invariants.Event) { r.events = append(r.events, e) }})
-	r.schedule()
-	fronts, stop := context.WithCancel(ctx)
-	began := false
-	void, err := r.driver.Run(func(now time.Duration) {
-		if !began {
-			began = true
-			r.begin(fronts)
-		}
-		if progress != nil {
-			progress(now)
-		}
+	r.world.FrontElsewhere()
+	r.driver.Isolate(&sockets.Isolation{
+		Network:        r.network,
+		ControlAddress: func(b simulation.BalancerID) string { return r.processes[b].control },
+		Launch:         r.launch,
+		Ended:          r.processEnded,
+		Observe:        func(e invariants.Event) { r.events = append(r.events, e) },
 	})
-	stop()
+	r.schedule()
+	void, err := r.driver.Run(r.progress(ctx, s.Progress))
+	cancel()
 	if err != nil {
 		return nil, &Error{
 			Where:  "fleet",
@@ -132,52 +114,106 @@
 	return r.result(void), nil
 }
 
-// install puts a program where any user can run it.
-func (r *run) install(name string, start []string) error {
-	to, err := r.copied("program-"+name, start[0])
-	r.program[name] = append([]string{to}, start[1:]...)
-	if err == nil && name == "current" && r.p.peers {
-		engine := r.p.Engine
-		if engine == "" {
-			engine = filepath.Join(filepath.Dir(start[0]), engineName)
-		}
-		_, err = r.copied(engineName, engine)
+func newRun(ctx context.Context, p *Plan, s Settings) *fleetRun {
+	day := p.Experiment.Day(s.Seed)
+	r := &fleetRun{plan: p, seed: s.Seed, ctx: ctx, directory: s.Directory, day: day, world: day.World, network: netfault.New(s.Seed),
+		programs: map[string][]string{}, faultTimes: map[string]time.Duration{}, callAnswers: map[string][]callAnswer{},
+		leftOutSpans: map[string][]Span{}, faultySpans: map[int][]Span{}, descriptors: map[string]int{}}
+	slack, reordering := sockets.CheckerTimes()
+	r.checker = scenario.NewChecker(day, max(slack, p.lateAnswers), reordering)
+	r.driver = sockets.New(ctx, day, r.checker, s.Program, s.Directory)
+	if p.hasMembership {
+		r.proxy = netfault.NewProxy(ctx, r.network)
 	}
-	return err
+	r.names = &nameResolver{random: simulation.RandomSource(s.Seed, "cast", 0), balancers: len(r.world.Balancers), servers: len(r.world.Servers),
+		faultyServers: r.serversWithFaults, faultNames: map[string][]string{}}
+	return r
 }
 
-const engineName = "yardwinch-gossip" // where serve looks for it: beside itself
+func (r *fleetRun) serversWithFaults() (faulty []int) {
+	for i, s := range r.world.Servers {
+		if s.IsFaulty() {
+			faulty = append(faulty, i)
+		}
+	}
+	return faulty
+}
 
-func (r *run) copied(name, from string) (to string, err error) {
-	to = filepath.Join(r.folder, name)
-	fail := func(err error) (string, error) {
-		return "", &Error{
-			Where:  "fleet",
-			What:   "the program " + name,
-			Remedy: "build it (README, \"See it work\") and name it with --yardwinch",
-			Err:    err,
+func (r *fleetRun) newProcesses() error {
+	onOldBuild := r.names.resolve(r.plan.oldBuildOn, nil)
+	for b := range r.world.Balancers {
+		p, err := r.newProcess(simulation.BalancerID(b))
+		if err != nil {
+			return err
+		}
+		if slices.Contains(onOldBuild, p.name) {
+			p.program = oldBuild
 		}
+		r.processes = append(r.processes, p)
 	}
-	if err := os.Chmod(r.folder, 0o755); err != nil {
-		return fail(err)
+	return nil
+}
+
+// progress starts the observers at the first sign of the run.
+func (r *fleetRun) progress(ctx context.Context, report func(time.Duration)) func(time.Duration) {
+	hasStarted := false
+	return func(now time.Duration) {
+		if !hasStarted {
+			hasStarted = true
+			r.startObservers(ctx)
+		}
+		if report != nil {
+			report(now)
+		}
 	}
-	in, err := os.Open(from)
-	if err != nil {
-		return fail(err)
+}
+
+// startObservers starts what observes the run beside its timeline.
+func (r *fleetRun) startObservers(ctx context.Context) {
+	for _, p := range r.processes {
+		front := frontWatch{address: r.driver.Address(p.id), interval: r.plan.pingInterval, timeout: r.plan.pingTimeout, maxMisses: r.plan.maxMisses}
+		r.workers.Go(func() {
+			front.run(ctx, func(isUp bool) {
+				r.driver.Do(func() { r.frontChanged(p, isUp) })
+			})
+		})
+		if r.proxy != nil {
+			r.workers.Go(func() { r.watchMembers(ctx, p) })
+		}
 	}
-	defer func() { _ = in.Close() }()
-	_ = os.Remove(to) // of an earlier run in the same folder, which may still be in use
-	f, err := os.OpenFile(to, os.O_CREATE|os.O_WRONLY|os.O_TRUNC, 0o755)
-	if err != nil {
-		return fail(err)
+	r.driver.Do(r.observeFaultyServers)
+}
+
+func (r *fleetRun) frontChanged(p *process, isUp bool) {
+	r.world.SetFrontBelief(p.id, isUp)
+	now, spans := r.driver.Elapsed(), r.leftOutSpans[p.name]
+	if isUp {
+		spans[len(spans)-1].To = now
+	} else {
+		spans = append(spans, Span{now, 0, "left out"})
 	}
-	_, err = io.Copy(f, in)
-	if err = errors.Join(err, f.Close()); err != nil {
-		return fail(err)
+	r.leftOutSpans[p.name] = spans
+}
+
+// observeFaultyServers looks again and again which servers have faults.
+func (r *fleetRun) observeFaultyServers() {
+	now := r.driver.Elapsed()
+	for i, s := range r.world.Servers {
+		spans := r.faultySpans[i]
+		isOpen := len(spans) > 0 && spans[len(spans)-1].To == 0
+		if s.IsFaulty() && !isOpen {
+			r.faultySpans[i] = append(spans, Span{now, 0, "struck"})
+		} else if !s.IsFaulty() && isOpen {
+			spans[len(spans)-1].To = now
+		}
 	}
-	return to, nil
+	r.world.Schedule.After(faultyServerPoll, simulation.Measure, r.observeFaultyServers)
+}
+
+func (r *fleetRun) record(who, format string, values ...any) {
+	r.moments = append(r.moments, Moment{r.driver.Elapsed(), who, fmt.Sprintf(format, values...)})
 }
 
-func (r *run) note(who, format string, a ...any) {
-	r.moments = append(r.moments, Moment{r.driver.Elapsed(), who, fmt.Sprintf(format, a...)})
+func (r *fleetRun) skip(format string, values ...any) {
+	r.skippedFaults = append(r.skippedFaults, fmt.Sprintf(format, values...))
 }
