--- a/cmd/testbed/hunt.go
+++ b/cmd/testbed/hunt.go
@@ -17,7 +17,7 @@
 
 const (
 	brokenRuleLoss = 10  // more than any loss of service
-	minLossShare       = 0.8 // of a day's loss, that a smaller day must still show
+	minLossShare   = 0.8 // of a day's loss, that a smaller day must still show
 	shrinkBy       = 0.6 // of a fault's length
 	maxShrinks     = 4   // of a fault
 	listedDays     = 5
--- a/internal/testbed/scale/page_asked.go
+++ b/internal/testbed/scale/page_asked.go
@@ -1,6 +1,9 @@
 package scale
 
-import "fmt"
+import (
+	"fmt"
+	"slices"
+)
 
 // What carries a limit today.
 const (
@@ -124,8 +127,13 @@
 	}
 }
 
+// controlLimits are the limits on a balancer's control: without peers, with them, and on the machines beside the balancers.
 func (p *page) controlLimits() []limit {
 	asked := fmt.Sprintf("control: %s, %s and %s a balancer", show(controlCores, inCores), show(controlBytes, inBytes), show(controlTraffic, inTraffic))
+	return slices.Concat(p.aloneLimits(asked), p.peersLimits(asked), p.machineLimits())
+}
+
+func (p *page) aloneLimits(asked string) []limit {
 	return []limit{
 		{
 			asked:     asked,
@@ -166,6 +174,11 @@
 			wants:     "records of a flow in fewer bytes",
 			rests:     "every balancer, at all times",
 		},
+	}
+}
+
+func (p *page) peersLimits(asked string) []limit {
+	return []limit{
 		{
 			asked:     asked,
 			name:      "processor time with peers, signals and leases, ordinary day",
@@ -210,6 +223,11 @@
 			wants:     "leases that hold at this size",
 			rests:     "told loads, where servers tell them to probes",
 		},
+	}
+}
+
+func (p *page) machineLimits() []limit {
+	return []limit{
 		{
 			asked:  fmt.Sprintf("%s machines for control", digits(fleetControlMachines)),
 			name:   fmt.Sprintf("processor time and memory of one, for %s balancers", digits(balancersAMachine)),
--- a/internal/testbed/scale/real.go
+++ b/internal/testbed/scale/real.go
@@ -22,10 +22,13 @@
 const (
 	mostRealServers     = 16_384 // servers that a list may have
 	mostRealConnections = 9_950  // of one process of 20,000 descriptors, of which each connection takes two
+	leastSizes          = 2      // of a sweep
+	leastQuiet          = 100 * time.Millisecond
 	mostQuiet           = 25 * time.Second
 	realQuiet           = 20 * time.Second
 	realZones           = 25
 	realBalancers       = 8_100
+	realServersAbsent   = 1000 // where the file names no number
 )
 
 // ProcessError says what went wrong with a real process and what helps.
@@ -79,39 +82,48 @@
 // settle is how long a process is left alone before a time of quiet is measured.
 func (s realSettings) settle() time.Duration { return s.quiet / 4 }
 
-func readReal(s Settings, sizes, mostSize int, of string) (realSettings, error) {
-	bad := func(key, format string, a ...any) (realSettings, error) {
-		return realSettings{}, &ProcessError{What: key + ": " + fmt.Sprintf(format, a...), Do: "mend the key in the experiment's file"}
-	}
+// readReal checks settings and sets defaults. The sizes are rising numbers of something, up to mostSize.
+func readReal(s Settings, mostSize int, of string) (realSettings, error) {
 	r := realSettings{Settings: s, quiet: realQuiet}
-	if len(s.Sizes) < sizes {
-		return bad("sizes", "want %d or more numbers of %s", sizes, of)
-	}
-	for i, n := range s.Sizes {
-		if n < 1 || n > mostSize || i > 0 && n <= s.Sizes[i-1] {
-			return bad("sizes", "want rising numbers of %s from 1 to %d, got %d", of, mostSize, n)
-		}
+	if err := checkRealSizes(s.Sizes, mostSize, of); err != nil {
+		return realSettings{}, err
 	}
 	if s.Servers < 0 || s.Servers > mostRealServers {
-		return bad("servers", "want 1 to %d, got %d", mostRealServers, s.Servers)
+		return realSettings{}, badSetting("servers", "want 1 to %d, got %d", mostRealServers, s.Servers)
 	}
 	if s.Connections < 0 || s.Connections > mostRealConnections {
-		return bad("connections", "want 0 to %d, got %d", mostRealConnections, s.Connections)
+		return realSettings{}, badSetting("connections", "want 0 to %d, got %d", mostRealConnections, s.Connections)
 	}
 	if s.Length != "" {
 		length, err := time.ParseDuration(s.Length)
-		if err != nil || length < 100*time.Millisecond || length > mostQuiet {
-			return bad("length", "want a time from 100ms to %v, after which clients that say nothing count as gone, got %q", mostQuiet, s.Length)
+		if err != nil || length < leastQuiet || length > mostQuiet {
+			return realSettings{}, badSetting("length", "want a time from %v to %v, after which clients that say nothing count as gone, got %q", leastQuiet, mostQuiet, s.Length)
 		}
 		r.quiet = length
 	}
-	for _, v := range []struct {
+	for _, setting := range []struct {
 		value  *int
 		absent int
-	}{{&r.Zones, realZones}, {&r.Balancers, realBalancers}, {&r.Groups, mostRealConnections}, {&r.Servers, 1000}} {
-		if *v.value == 0 {
-			*v.value = v.absent
+	}{{&r.Zones, realZones}, {&r.Balancers, realBalancers}, {&r.Groups, mostRealConnections}, {&r.Servers, realServersAbsent}} {
+		if *setting.value == 0 {
+			*setting.value = setting.absent
 		}
 	}
 	return r, nil
 }
+
+func checkRealSizes(sizes []int, most int, of string) error {
+	if len(sizes) < leastSizes {
+		return badSetting("sizes", "want %d or more numbers of %s", leastSizes, of)
+	}
+	for i, n := range sizes {
+		if n < 1 || n > most || i > 0 && n <= sizes[i-1] {
+			return badSetting("sizes", "want rising numbers of %s from 1 to %d, got %d", of, most, n)
+		}
+	}
+	return nil
+}
+
+func badSetting(key, format string, values ...any) error {
+	return &ProcessError{What: key + ": " + fmt.Sprintf(format, values...), Do: "mend the key in the experiment's file"}
+}
--- a/internal/testbed/scale/real_compare.go
+++ b/internal/testbed/scale/real_compare.go
@@ -39,7 +39,7 @@
 
 // compareWithHollow measures the same of a real process and of hollow balancers, against the servers on the list.
 func compareWithHollow(ctx context.Context, settings Settings, progress Progress) ([]Series, []Check, error) {
-	s, err := readReal(settings, 2, mostRealServers-realListsTold, "servers")
+	s, err := readReal(settings, mostRealServers-realListsTold, "servers")
 	if err != nil {
 		return nil, nil, err
 	}
--- a/internal/testbed/scale/real_held.go
+++ b/internal/testbed/scale/real_held.go
@@ -49,7 +49,7 @@
 
 // realConnections measures a process that holds idle connections, against their number.
 func realConnections(ctx context.Context, settings Settings, progress Progress) ([]Series, []Check, error) {
-	s, err := readReal(settings, 2, mostRealConnections, "connections")
+	s, err := readReal(settings, mostRealConnections, "connections")
 	if err != nil {
 		return nil, nil, err
 	}
@@ -74,7 +74,7 @@
 
 // realDeliveries measures what a line from a server to a client costs, against the connections held. All get lines in turn.
 func realDeliveries(ctx context.Context, settings Settings, progress Progress) ([]Series, []Check, error) {
-	s, err := readReal(settings, 2, mostRealConnections, "connections")
+	s, err := readReal(settings, mostRealConnections, "connections")
 	if err != nil {
 		return nil, nil, err
 	}
@@ -129,7 +129,7 @@
 
 // realPlacements measures one connection from its coming to its end, sockets included, against the servers on the list.
 func realPlacements(ctx context.Context, settings Settings, progress Progress) ([]Series, []Check, error) {
-	s, err := readReal(settings, 2, mostRealServers, "servers")
+	s, err := readReal(settings, mostRealServers, "servers")
 	if err != nil {
 		return nil, nil, err
 	}
--- a/internal/testbed/scale/real_lists.go
+++ b/internal/testbed/scale/real_lists.go
@@ -43,7 +43,7 @@
 
 // realServers measures a process at rest that holds no connection, against the servers on its list.
 func realServers(ctx context.Context, settings Settings, progress Progress) ([]Series, []Check, error) {
-	s, err := readReal(settings, 2, mostRealServers, "servers")
+	s, err := readReal(settings, mostRealServers, "servers")
 	if err != nil {
 		return nil, nil, err
 	}
@@ -87,7 +87,7 @@
 
 // realChanges measures what news of the list cost and how soon they are in force, against the servers on it.
 func realChanges(ctx context.Context, settings Settings, progress Progress) ([]Series, []Check, error) {
-	s, err := readReal(settings, 2, mostRealServers-realChangesTimed-realListsTold, "servers")
+	s, err := readReal(settings, mostRealServers-realChangesTimed-realListsTold, "servers")
 	if err != nil {
 		return nil, nil, err
 	}
--- a/internal/testbed/scale/real_test.go
+++ b/internal/testbed/scale/real_test.go
@@ -99,7 +99,7 @@
 
 // The processor time that is read off a process is that of a process which works.
 func TestRealProcessorTimeOfAnotherProcess(t *testing.T) {
-	s, err := readReal(Settings{Sizes: []int{10, 20}}, 2, mostRealServers, "servers")
+	s, err := readReal(Settings{Sizes: []int{10, 20}}, mostRealServers, "servers")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -172,7 +172,7 @@
 // whole again and again.
 func TestRealMemoryOfTheLongestList(t *testing.T) {
 	const servers, most = 12_800, raceFactor * 48e6
-	s, err := readReal(Settings{Sizes: []int{1, servers}}, 2, mostRealServers, "servers")
+	s, err := readReal(Settings{Sizes: []int{1, servers}}, mostRealServers, "servers")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/testbed/scale/sweep_list.go
+++ b/internal/testbed/scale/sweep_list.go
@@ -47,7 +47,7 @@
 		change.add(size, microseconds(one.processor))
 		objects.add(size, one.allocations)
 		runtime.KeepAlive(h)
-		if err := addParsed(parsed, garbage, routed, s.Seed, servers); err != nil {
+		if err := addParsed(parsed, garbage, routed, s.Seed, servers); err != nil { //nolint:contextcheck // it parses a text, and waits for nothing
 			refused = fmt.Sprintf("%d servers: %v", size, err)
 		}
 		progress(i+1, len(s.Sizes))
