--- a/internal/testbed/scale/control.go
+++ b/internal/testbed/scale/control.go
@@ -16,5 +16,5 @@
 	register("members-real", realSweep, input{against: []string{byBalancers}, keys: []string{byLength}, check: fewRealMembers})
 	register("members-replaced", replacedSweep, input{against: []string{byReplacements}, keys: []string{byBalancers}})
 	register("members-zoned", zonedSweep, input{against: []string{byBalancers}})
-	register("signals", signalsSweep, input{against: []string{byBalancers, byTroubled}, keys: []string{byServers, byBalancers}, check: troubledAreServers})
+	register("signals", signalsSweep, input{against: []string{byBalancers, byTroubled}, keys: []string{byServers, byBalancers}, check: faultyServers})
 }
--- a/internal/testbed/scale/control_lists.go
+++ b/internal/testbed/scale/control_lists.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// wholeList is a list of so many servers.
-func wholeList(servers, revision int) listObject {
+// fullList is a list of so many servers.
+func fullList(servers, revision int) listObject {
 	o := listObject{Revision: revision, Complete: true}
 	for i := range servers {
 		o.Members = append(o.Members, entryOf(i))
@@ -124,7 +124,7 @@
 	one := listObject{Revision: revision, Members: []listEntry{entryOf(servers - 1)}}
 	two := listObject{Revision: revision, Members: []listEntry{entryOf(servers - 1), entryOf(servers - 1)}}
 	entry := len(two.line()) - len(one.line())
-	return listSizes{whole: len(wholeList(servers, revision).line()), head: len(one.line()) - entry, entry: entry}
+	return listSizes{whole: len(fullList(servers, revision).line()), head: len(one.line()) - entry, entry: entry}
 }
 
 // changes is the size of an object with so many of them.
--- a/internal/testbed/scale/control_members.go
+++ b/internal/testbed/scale/control_members.go
@@ -17,7 +17,7 @@
 	unitCorePart    = "part of a core"
 	unitPart        = "part"
 
-	fewSights  = 4 // of a record, in a small fleet with few servers
+	fewReports = 4 // of a record, in a small fleet with few servers
 	lateFrom   = 80 * time.Millisecond
 	setupTime  = 300 * time.Millisecond
 	leaseFor   = 6 * time.Second
@@ -52,7 +52,7 @@
 
 // gossip plays the model with records of few servers and of as many as they may have.
 func (b *controlBook) gossip(ctx context.Context, size int) error {
-	for _, sights := range []int{fewSights, signals.MaxReports} {
+	for _, sights := range []int{fewReports, signals.MaxReports} {
 		recordBytes, err := recordBytesOf(sights)
 		if err != nil {
 			return err
@@ -149,7 +149,7 @@
 	leases := lease.New(lease.Holder(memberName(0)), leaseFor)
 	list := view.sorted()
 	handed := measure(viewRounds, 1, func() { handOver(list, decider, leases) })
-	b.add("view-processor", "processor time for telling the deciders who is alive", unitCorePart, Measured, false, size, handed.processor.Seconds()/tellEvery.Seconds())
+	b.add("view-processor", "processor time for telling the deciders who is alive", unitCorePart, Measured, false, size, handed.processor.Seconds()/publishInterval.Seconds())
 	return b.recordsCost(size)
 }
 
--- a/internal/testbed/scale/control_push.go
+++ b/internal/testbed/scale/control_push.go
@@ -15,7 +15,7 @@
 	toBalancer        = time.Millisecond
 	toFarBalancer     = 75 * time.Millisecond // of a balancer whose control machine is lost
 	noticeLost        = 2800 * time.Millisecond
-	askAgainSpread    = 800 * time.Millisecond // both by internal/protocol, after a machine that fell silent
+	retrySpread       = 800 * time.Millisecond // both by internal/protocol, after a machine that fell silent
 	takeListEach      = 5 * time.Microsecond   // processor time by server of a whole list, by the sweep lists
 	takeChangeEach    = 100 * time.Nanosecond  // the same by server of the list that one object changes
 	startedADay       = 2300
@@ -45,7 +45,7 @@
 const (
 	missedMerged missedMode = iota
 	missedOneByOne
-	missedWhole
+	missedFull
 )
 
 // pushResult is what came of it.
@@ -94,7 +94,7 @@
 	m.starts = m.arrivals(startedADay / float64(secondsPerDay) * float64(plan.balancers) / letterBalancers)
 	m.balancers = make([]pushBalancer, plan.balancers+plan.lost)
 	for i := plan.balancers; i < len(m.balancers); i++ {
-		ask := noticeLost + time.Duration(m.chance.Float64()*float64(askAgainSpread))
+		ask := noticeLost + time.Duration(m.chance.Float64()*float64(retrySpread))
 		m.balancers[i] = pushBalancer{ask: ask, from: ask, all: !plan.resumed, far: true, back: true}
 	}
 	return m
@@ -203,7 +203,7 @@
 	perList := time.Duration(m.plan.servers)
 	missed := b.has < m.plan.missed
 	switch {
-	case b.all || m.plan.whole || missed && m.plan.missedBy == missedWhole:
+	case b.all || m.plan.whole || missed && m.plan.missedBy == missedFull:
 		return m.sizes.whole, perList * takeListEach
 	case missed && m.plan.missedBy == missedOneByOne:
 		return lacks * m.sizes.changes(1), time.Duration(lacks) * perList * takeChangeEach
--- a/internal/testbed/scale/control_taker.go
+++ b/internal/testbed/scale/control_reader.go
@@ -14,28 +14,28 @@
 )
 
 const (
-	takeWithin   = 20 * time.Second
-	lookForTaken = 200 * time.Microsecond
-	beatOfLists  = 500 * time.Millisecond // a watch that says nothing is opened again
-	firstBytes   = 10 * time.Second
+	takeWithin    = 20 * time.Second
+	lookForTaken  = 200 * time.Microsecond
+	listHeartbeat = 500 * time.Millisecond // a watch that says nothing is opened again
+	firstBytes    = 10 * time.Second
 )
 
-// listTaker is a balancer's real reading of the server list, with the real decisions behind it: one watch on loopback.
-type listTaker struct {
+// listReader is a balancer's real reading of the server list, with the real decisions behind it: one watch on loopback.
+type listReader struct {
 	discovery *protocol.Discovery
 	server    *http.Server
-	news      chan []byte
+	updates   chan []byte
 	end       context.CancelFunc
 	parts     sync.WaitGroup
 }
 
-func newListTaker(parent context.Context, seed uint64) (*listTaker, error) {
+func newListReader(parent context.Context, seed uint64) (*listReader, error) {
 	listener, err := (&net.ListenConfig{}).Listen(parent, "tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
 	ctx, cancel := context.WithCancel(parent)
-	t := &listTaker{news: make(chan []byte), end: cancel}
+	t := &listReader{updates: make(chan []byte), end: cancel}
 	t.server = &http.Server{Handler: http.HandlerFunc(t.watch), ReadHeaderTimeout: firstBytes}
 	router := routing.New(seed, lateFrom, false, false, nil, startDecisions)
 	t.discovery = protocol.NewDiscovery(router, listener.Addr().String(), seed, false)
@@ -64,16 +64,16 @@
 }
 
 // watch writes what there is to tell, and a sign of life now and then.
-func (t *listTaker) watch(w http.ResponseWriter, r *http.Request) {
+func (t *listReader) watch(w http.ResponseWriter, r *http.Request) {
 	out := http.NewResponseController(w)
-	beat := time.NewTicker(beatOfLists)
+	beat := time.NewTicker(listHeartbeat)
 	defer beat.Stop()
 	for {
 		text := []byte("\n")
 		select {
 		case <-r.Context().Done():
 			return
-		case text = <-t.news:
+		case text = <-t.updates:
 		case <-beat.C:
 		}
 		if _, err := w.Write(text); err != nil || out.Flush() != nil {
@@ -83,12 +83,12 @@
 }
 
 // take writes objects, and waits until the last one's revision is in force.
-func (t *listTaker) take(ctx context.Context, objects [][]byte, revision int) error {
+func (t *listReader) take(ctx context.Context, objects [][]byte, revision int) error {
 	ctx, cancel := context.WithTimeout(ctx, takeWithin)
 	defer cancel()
 	for _, text := range objects {
 		select {
-		case t.news <- text:
+		case t.updates <- text:
 		case <-ctx.Done():
 			return t.notTaken(revision)
 		}
@@ -103,12 +103,12 @@
 	}
 }
 
-func (t *listTaker) notTaken(revision int) error {
+func (t *listReader) notTaken(revision int) error {
 	return &Error{Where: "server list", What: fmt.Sprintf("revision %d was not in force within %v", revision, takeWithin),
 		Remedy: "see the log for a list that was refused, or run it when the machine is less busy"}
 }
 
-func (t *listTaker) close() {
+func (t *listReader) close() {
 	t.end()
 	_ = t.server.Close() // nobody reads any more
 	t.parts.Wait()
--- a/internal/testbed/scale/control_real.go
+++ b/internal/testbed/scale/control_real.go
@@ -281,7 +281,7 @@
 		return err
 	}
 	from, began := counter.figures(), time.Now()
-	if err := pause(ctx, wholeExchanges(size, length)); err != nil {
+	if err := pause(ctx, fullExchanges(size, length)); err != nil {
 		return err
 	}
 	to, took := counter.figures(), time.Since(began)
@@ -302,9 +302,9 @@
 	return nil
 }
 
-// wholeExchanges is the shortest time from length on in which each member begins equally many exchanges: all that began
+// fullExchanges is the shortest time from length on in which each member begins equally many exchanges: all that began
 // together exchange in the same few seconds of an interval.
-func wholeExchanges(size int, length time.Duration) time.Duration {
+func fullExchanges(size int, length time.Duration) time.Duration {
 	interval := exchangeInterval(size)
 	return (length + interval - 1) / interval * interval
 }
--- a/internal/testbed/scale/control_replaced.go
+++ b/internal/testbed/scale/control_replaced.go
@@ -42,7 +42,7 @@
 // zonedSweep plays that gossip in groups of several sizes. It is not built.
 func zonedSweep(ctx context.Context, s Settings, progress Progress) ([]Series, []Check, error) {
 	book := newControlBook(s, roleMembership)
-	recordBytes, err := recordBytesOf(fewSights)
+	recordBytes, err := recordBytesOf(fewReports)
 	if err != nil {
 		return nil, nil, err
 	}
--- a/internal/testbed/scale/control_sweep_cut.go
+++ b/internal/testbed/scale/control_sweep_cut.go
@@ -28,7 +28,7 @@
 }{
 	{missedOneByOne, "one-by-one", "told one by one"},
 	{missedMerged, "merged", "told as one object with the last word on each server"},
-	{missedWhole, "whole", "told as a whole list"},
+	{missedFull, "whole", "told as a whole list"},
 }
 
 func (b *controlBook) cut(ctx context.Context, size int) error {
@@ -51,7 +51,7 @@
 	case missedMerged:
 		return [][]byte{changesMerged(which, revision).line()}, last
 	}
-	return [][]byte{wholeList(b.settings.Servers, last).line()}, last
+	return [][]byte{fullList(b.settings.Servers, last).line()}, last
 }
 
 func (b *controlBook) cutForm(ctx context.Context, size int, mode missedMode, name, what string, objects func(int) ([][]byte, int)) error {
@@ -87,12 +87,12 @@
 // takeMissed has a real balancer that holds a list take the objects, some times over.
 func (b *controlBook) takeMissed(ctx context.Context, objects func(int) ([][]byte, int)) (cost, error) {
 	const rounds = 3
-	taker, err := newListTaker(ctx, b.settings.Seed)
+	taker, err := newListReader(ctx, b.settings.Seed)
 	if err != nil {
 		return cost{}, err
 	}
 	defer taker.close()
-	if err := taker.take(ctx, [][]byte{wholeList(b.settings.Servers, 1).line()}, 1); err != nil {
+	if err := taker.take(ctx, [][]byte{fullList(b.settings.Servers, 1).line()}, 1); err != nil {
 		return cost{}, err
 	}
 	var fault error
--- a/internal/testbed/scale/control_sweep_leases.go
+++ b/internal/testbed/scale/control_sweep_leases.go
@@ -105,11 +105,11 @@
 type leaseMember struct {
 	duties *lease.Manager
 	tellAt time.Duration
-	did    map[lease.Task]leaseWord
+	did    map[lease.Task]leaseRecord
 }
 
-// leaseWord is what a member tells of a duty that it did.
-type leaseWord struct {
+// leaseRecord is what a member tells of a duty that it did.
+type leaseRecord struct {
 	epoch lease.Epoch
 	at    time.Duration
 }
@@ -133,7 +133,7 @@
 func newLeaseFleet(chance *rand.Rand, members int, rest time.Duration) (fleet []*leaseMember) {
 	list := seenMembers(members)
 	for i := range members {
-		m := &leaseMember{duties: lease.New(lease.Holder(memberName(i)), leaseFor), did: map[lease.Task]leaseWord{}}
+		m := &leaseMember{duties: lease.New(lease.Holder(memberName(i)), leaseFor), did: map[lease.Task]leaseRecord{}}
 		m.tellAt = time.Duration(chance.Float64() * float64(rest)).Truncate(holdersStep)
 		m.duties.SetMembers(list)
 		fleet = append(fleet, m)
@@ -147,21 +147,21 @@
 		for k := range sampledServers {
 			duty := lease.Task(serverNumber(k))
 			if m.duties.Holds(duty, now) {
-				m.did[duty] = leaseWord{m.duties.Renew(duty, now), now}
+				m.did[duty] = leaseRecord{m.duties.Renew(duty, now), now}
 				holding++
 			}
 		}
 	}
 	for i, m := range fleet {
 		if now%rest == m.tellAt {
-			leaseTell(fleet, i, now)
+			publishLease(fleet, i, now)
 		}
 	}
 	return holding
 }
 
-// leaseTell has all others hear what one did of late.
-func leaseTell(fleet []*leaseMember, teller int, now time.Duration) {
+// publishLease has all others hear what one did of late.
+func publishLease(fleet []*leaseMember, teller int, now time.Duration) {
 	m := fleet[teller]
 	by := lease.Holder(memberName(teller))
 	for duty, word := range m.did {
--- a/internal/testbed/scale/control_sweep_lists.go
+++ b/internal/testbed/scale/control_sweep_lists.go
@@ -34,13 +34,13 @@
 	b.add("whole-bytes-in", "read by a balancer, were each change told as a whole list", unitBytesSecond, Reckoned, true, size, rate*float64(sizes.whole))
 	b.add("change-bytes-in", "read by a balancer, each change told as one", unitBytesSecond, Reckoned, true, size, rate*float64(sizes.changes(1)))
 	b.add("whole-at-budget", "time in which a balancer reads a whole list, of 10 KB a second", unitTime, Reckoned, true, size, float64(sizes.whole)/letterBytes)
-	taker, err := newListTaker(ctx, b.settings.Seed)
+	taker, err := newListReader(ctx, b.settings.Seed)
 	if err != nil {
 		return err
 	}
 	defer taker.close()
 	before := liveMemory()
-	taken := taker.take(ctx, [][]byte{wholeList(size, 1).line()}, 1)
+	taken := taker.take(ctx, [][]byte{fullList(size, 1).line()}, 1)
 	b.check(fmt.Sprintf("a list of %d servers is taken", size), taken == nil, "")
 	var refused *Error
 	if errors.As(taken, &refused) {
@@ -54,15 +54,15 @@
 }
 
 // takes measures a list that comes again, and changes.
-func (b *controlBook) takes(ctx context.Context, taker *listTaker, size int) error {
+func (b *controlBook) takes(ctx context.Context, taker *listReader, size int) error {
 	const rounds = 5
 	revision := 1
 	var fault error
 	whole := measure(rounds, 1, func() {
 		revision++
-		fault = errors.Join(fault, taker.take(ctx, [][]byte{wholeList(size, revision).line()}, revision))
+		fault = errors.Join(fault, taker.take(ctx, [][]byte{fullList(size, revision).line()}, revision))
 	})
-	written := measure(rounds, 1, func() { wholeList(size, revision).line() })
+	written := measure(rounds, 1, func() { fullList(size, revision).line() })
 	one := measure(rounds, 1, func() {
 		first := revision + 1
 		revision += changesAtATime
--- a/internal/testbed/scale/control_sweep_signals.go
+++ b/internal/testbed/scale/control_sweep_signals.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	roleSignals       = "balancer control: signals"
-	tellersPlayed     = 5  // that really see servers; the others tell the same under their own names
-	mostOnOne         = 15 // connections of a teller on a server
-	usualTroubled     = 2  // servers, where the sizes do not count them
-	gathersASecond    = 20 // at most, by fleet/signals
-	signalRounds      = 5
-	troubleSeen       = time.Second
-	betweenSignalWork = 300 * time.Millisecond
-	tellersStart      = time.Minute
+	roleSignals        = "balancer control: signals"
+	publishersModelled = 5  // that really see servers; the others tell the same under their own names
+	mostOnOne          = 15 // connections of a teller on a server
+	usualTroubled      = 2  // servers, where the sizes do not count them
+	gathersASecond     = 20 // at most, by fleet/signals
+	signalRounds       = 5
+	troubleSeen        = time.Second
+	betweenSignalWork  = 300 * time.Millisecond
+	publishersStart    = time.Minute
 )
 
 // signalsSweep measures fleet/signals against how many tell, or against how many servers all of them see in trouble.
@@ -44,18 +44,18 @@
 	return book.all(), book.checks, nil
 }
 
-// troubledAreServers refuses more servers in trouble than there are.
-func troubledAreServers(s Settings) (key, fault string) {
+// faultyServers refuses more servers in trouble than there are.
+func faultyServers(s Settings) (key, fault string) {
 	if s.Against != byTroubled || s.Sizes[len(s.Sizes)-1] <= s.Servers {
 		return "", ""
 	}
 	return bySize, "want no more servers in trouble than there are servers"
 }
 
-// newTeller is a decider that holds connections on all servers and sees some of them late.
-func newTeller(chance *rand.Rand, name, servers, troubled int) *signals.Exchange {
+// newPublisher is a decider that holds connections on all servers and sees some of them late.
+func newPublisher(chance *rand.Rand, name, servers, troubled int) *signals.Exchange {
 	s := signals.New(signals.Origin(memberName(name)), 1764652800, "0123456789ab", "0123456789abcdef", lateFrom, setupTime, true)
-	s.SetTime(tellersStart)
+	s.SetTime(publishersStart)
 	for i := range servers {
 		id := serverNumber(i)
 		s.OnEndpoint(decide.Endpoint{ID: id, Size: 1, Readiness: decide.Ready, StartedAt: decide.LongAgo})
@@ -69,12 +69,12 @@
 	return s
 }
 
-// tellerRecords are what so many members tell, each under its own name.
-func tellerRecords(seed uint64, members, servers, troubled int) (records []signals.Record) {
+// publisherRecords are what so many members tell, each under its own name.
+func publisherRecords(seed uint64, members, servers, troubled int) (records []signals.Record) {
 	chance := simulation.RandomSource(seed, "scale signals", servers)
 	var kinds []signals.Record
-	for i := range min(tellersPlayed, members) {
-		record, _ := newTeller(chance, i, servers, troubled).Publish(members)
+	for i := range min(publishersModelled, members) {
+		record, _ := newPublisher(chance, i, servers, troubled).Publish(members)
 		kinds = append(kinds, record)
 	}
 	for i := range members {
@@ -87,7 +87,7 @@
 
 func (b *controlBook) signals(size, members, troubled int) error {
 	servers := b.settings.Servers
-	records := tellerRecords(b.settings.Seed, members, servers, troubled)
+	records := publisherRecords(b.settings.Seed, members, servers, troubled)
 	text, err := signals.Encode(records[0])
 	if err != nil {
 		return err
@@ -95,7 +95,7 @@
 	b.add("record-bytes", "of a record as it is told", unitBytes, Measured, true, size, float64(len(text)))
 	before := liveMemory()
 	chance := simulation.RandomSource(b.settings.Seed, "scale signals here", servers)
-	here := newTeller(chance, members, servers, 0)
+	here := newPublisher(chance, members, servers, 0)
 	b.add("own-memory", "held of what a balancer itself sees, connections on all servers", unitBytes, Measured, false, size, float64(liveMemory()-before))
 	before = liveMemory()
 	if err := mergeAll(here, records); err != nil {
@@ -129,7 +129,7 @@
 // told notes how many of the servers in trouble a balancer that sees none of them would avoid by what is told.
 func (b *controlBook) told(size, servers, troubled int, records []signals.Record) {
 	stranger := signals.New("stranger", 1, "", "", lateFrom, setupTime, true)
-	stranger.SetTime(tellersStart)
+	stranger.SetTime(publishersStart)
 	for i := range servers {
 		stranger.OnEndpoint(decide.Endpoint{ID: serverNumber(i), Size: 1, Readiness: decide.Ready, StartedAt: decide.LongAgo})
 	}
@@ -147,7 +147,7 @@
 
 // signalsWork measures the four pieces of work: to hear a record, to bring all together, to tell, and to hand all on.
 func (b *controlBook) signalsWork(here *signals.Exchange, text []byte, size, members int) error {
-	now := tellersStart
+	now := publishersStart
 	var fault error
 	hear := func() {
 		record, err := signals.Decode(text)
@@ -167,18 +167,18 @@
 		here.SetTime(now)
 		here.Publish(members)
 	})
-	handed := measure(signalRounds, 1, func() { fault = handOn(here) })
+	handed := measure(signalRounds, 1, func() { fault = forwardRecord(here) })
 	b.add("hear-processor", "processor time of a record heard", unitMicroseconds, Measured, false, size, microseconds(heard.processor))
 	b.add("hear-allocations", "allocations of a record heard", unitAllocations, Measured, true, size, heard.allocations)
 	b.add("gather-processor", "processor time of bringing together what all say", unitMicroseconds, Measured, false, size, microseconds(gathered.processor))
 	b.add("gather-core", "the same as often as it may be, 20 times a second", unitCorePart, Reckoned, false, size, gathersASecond*gathered.processor.Seconds())
-	b.add("tell-core", "processor time of seeing what is to be told, 4 times a second", unitCorePart, Measured, false, size, told.processor.Seconds()/tellEvery.Seconds())
+	b.add("tell-core", "processor time of seeing what is to be told, 4 times a second", unitCorePart, Measured, false, size, told.processor.Seconds()/publishInterval.Seconds())
 	b.add("hand-on-core", "processor time of writing all for a member that asks, each 2 s", unitCorePart, Measured, false, size, handed.processor.Seconds()/recordsWrittenEvery.Seconds())
 	return fault
 }
 
-// handOn writes what a member that asks is told.
-func handOn(here *signals.Exchange) error {
+// forwardRecord writes what a member that asks is told.
+func forwardRecord(here *signals.Exchange) error {
 	var messages [][]byte
 	for _, record := range here.FullState() {
 		text, err := signals.Encode(record)
--- a/internal/testbed/scale/control_test.go
+++ b/internal/testbed/scale/control_test.go
@@ -59,14 +59,14 @@
 	if many.joinerBytes > most {
 		t.Errorf("one that joined sends %.0f bytes a second, and %.0f is what the settings allow", many.joinerBytes, float64(most))
 	}
-	few, many = gossipAt(t, 110, fewSights), gossipAt(t, 900, fewSights)
+	few, many = gossipAt(t, 110, fewReports), gossipAt(t, 900, fewReports)
 	steeper(t, "records heard", 110, 900, few.records, many.records, 0.2) // as the logarithm of the members
 	if few.reach < 0.99 || many.reach < 0.99 {
 		t.Errorf("small records reach %.3f and %.3f of the others within 5 s", few.reach, many.reach)
 	}
 }
 
-func TestMoreMembersThanAreKeptAreNotAllHeard(t *testing.T) {
+func TestMoreMembersThanRecordsAreNotAllReceived(t *testing.T) {
 	m := newGossipModel(gossipRun{members: signals.MaxOrigins + 500, recordBytes: 100, seed: 1})
 	for i := range 20 {
 		if got := m.all[i].origins; got != signals.MaxOrigins {
@@ -144,7 +144,7 @@
 	}
 }
 
-func TestControlBytesGrowAsTheirRowsSay(t *testing.T) {
+func TestControlBytesGrowAsTheirRowsClaim(t *testing.T) {
 	at := func(n int) float64 { return float64(len(exchangeMessage(n))) }
 	steeper(t, "bytes of an exchange", 200, 2000, at(200), at(2000), 1)
 	frame := func(n int) float64 { return float64(len(newMemberView(n).frame())) }
@@ -157,7 +157,7 @@
 	}
 }
 
-func TestTakingAListCostsAsItsRowSays(t *testing.T) {
+func TestReadingAListCostsAsItsRowClaims(t *testing.T) {
 	made := func(servers int) (whole, one float64) {
 		book := newControlBook(Settings{Sweep: "lists", Against: byServers, Rate: 0.2, Seed: 1}, roleList)
 		if err := book.list(context.Background(), servers); err != nil {
@@ -184,7 +184,7 @@
 	}
 }
 
-func TestSignalsHeardCostTheSameInAnyFleet(t *testing.T) {
+func TestReceivedSignalsCostTheSameInAnyFleet(t *testing.T) {
 	at := func(members int) map[string]*Series {
 		book := newControlBook(Settings{Sweep: "signals", Against: byBalancers, Servers: 300, Seed: 1}, roleSignals)
 		if err := book.signals(members, members, 2); err != nil {
@@ -291,7 +291,7 @@
 	}
 }
 
-func TestControlSweepsStopWhenTold(t *testing.T) {
+func TestControlSweepsStopWithTheirContext(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	for _, s := range []Settings{
--- a/internal/testbed/scale/control_wire.go
+++ b/internal/testbed/scale/control_wire.go
@@ -24,7 +24,7 @@
 	exchangeScaledFrom  = 32
 	membersFrameEvery   = 100 * time.Millisecond // members as seen, from the engine to its balancer
 	recordsWrittenEvery = 2 * time.Second        // all that is known, from the balancer to its engine
-	tellEvery           = 250 * time.Millisecond
+	publishInterval     = 250 * time.Millisecond
 )
 
 // What memberlist and the network put round messages, in bytes.
--- a/internal/testbed/scale/faults.go
+++ b/internal/testbed/scale/faults.go
@@ -40,7 +40,7 @@
 	{name: "whole-list", begin: replaceAll},
 	{name: "two-lists", begin: twoLists},
 	{name: "surge", shape: oneBalancer, fill: func(*fleet) {}, begin: surge},
-	{name: "all-cold", begin: allCold},
+	{name: "all-cold", begin: allInSlowStart},
 	{name: "all-but-one-out", begin: allButOneOut},
 	{name: "list-of-one", shape: oneServer, begin: restartOne},
 	{name: "half-group", fill: halfInOneGroup, begin: func(f *fleet) { f.lose(inZone) }},
@@ -53,11 +53,11 @@
 // lose has servers and balancers go without a word, and come back cold.
 func (f *fleet) lose(gone func(zone, n int) bool) {
 	servers, balancers := f.takeAway(gone)
-	f.agenda.at(mendedAt, func() {
+	f.schedule.at(mendedAt, func() {
 		for _, s := range servers {
 			f.rise(s)
 		}
-		f.set(decide.Ready, servers, startNewsFirst, startNewsLatest)
+		f.set(decide.Ready, servers, startUpdateFirst, startUpdateLatest)
 		for _, b := range balancers {
 			b.start()
 		}
@@ -76,14 +76,14 @@
 			balancers = append(balancers, b)
 		}
 	}
-	f.agenda.at(faultAt, func() {
+	f.schedule.at(faultAt, func() {
 		for _, s := range servers {
 			f.fall(s, true)
 		}
 		for _, b := range balancers {
 			b.fall()
 		}
-		f.set(decide.Gone, servers, newsSoonest, newsLatest)
+		f.set(decide.Gone, servers, updateSoonest, updateLatest)
 	})
 	return servers, balancers
 }
@@ -91,14 +91,14 @@
 // restartOne has a balancer end and start again with nothing.
 func restartOne(f *fleet) {
 	b := f.balancers[0]
-	f.agenda.at(faultAt, b.fall)
-	f.agenda.at(faultAt+restartTook, b.start)
+	f.schedule.at(faultAt, b.fall)
+	f.schedule.at(faultAt+restartTook, b.start)
 }
 
 // fastList has the list change faster than news of it arrive.
 func fastList(f *fleet) {
 	for at := faultAt; at < mendedAt; at += listEvery {
-		f.agenda.at(at, func() {
+		f.schedule.at(at, func() {
 			s := f.servers[f.chance.IntN(len(f.servers))]
 			to := decide.Draining
 			if s.listed == decide.Draining {
@@ -107,12 +107,12 @@
 			f.set(to, []*backend{s}, spreadLeast, spreadMost)
 		})
 	}
-	f.agenda.at(mendedAt, func() { f.set(decide.Ready, f.servers, spreadLeast, spreadMost) })
+	f.schedule.at(mendedAt, func() { f.set(decide.Ready, f.servers, spreadLeast, spreadMost) })
 }
 
 // replaceAll brings a list in one message of which no server was there before.
 func replaceAll(f *fleet) {
-	f.agenda.at(faultAt, func() {
+	f.schedule.at(faultAt, func() {
 		old := f.servers
 		var young []*backend
 		for range old {
@@ -122,7 +122,7 @@
 			s.listed = decide.Gone
 		}
 		f.tellAll(decide.FullUpdate, entries(young))
-		f.agenda.at(mendedAt, func() {
+		f.schedule.at(mendedAt, func() {
 			for _, s := range old {
 				f.fall(s, false)
 			}
@@ -133,8 +133,8 @@
 // twoLists brings two whole lists within one tick, each second: one without half of the servers, and one with all.
 func twoLists(f *fleet) {
 	for at := faultAt; at < mendedAt; at += time.Second {
-		f.agenda.at(at, func() { f.tellAll(decide.FullUpdate, entries(f.servers[len(f.servers)/2:])) })
-		f.agenda.at(at+betweenTwo, func() { f.tellAll(decide.FullUpdate, entries(f.servers)) })
+		f.schedule.at(at, func() { f.tellAll(decide.FullUpdate, entries(f.servers[len(f.servers)/2:])) })
+		f.schedule.at(at+betweenTwo, func() { f.tellAll(decide.FullUpdate, entries(f.servers)) })
 	}
 }
 
@@ -149,29 +149,29 @@
 func surge(f *fleet) {
 	for i := range f.settings.Connections {
 		c := f.addClient(f.balancers[0], i%f.settings.Groups)
-		f.agenda.at(time.Duration(i)*surgeLength/time.Duration(f.settings.Connections), c.come)
+		f.schedule.at(time.Duration(i)*surgeLength/time.Duration(f.settings.Connections), c.come)
 	}
 }
 
-// allCold has all servers end at once and start again.
-func allCold(f *fleet) {
-	f.agenda.at(faultAt, func() {
+// allInSlowStart has all servers end at once and start again.
+func allInSlowStart(f *fleet) {
+	f.schedule.at(faultAt, func() {
 		for _, s := range f.servers {
 			f.fall(s, false)
 		}
 	})
-	f.agenda.at(faultAt+restartTook, func() {
+	f.schedule.at(faultAt+restartTook, func() {
 		for _, s := range f.servers {
 			f.rise(s)
 		}
-		f.set(decide.Ready, f.servers, startNewsFirst, startNewsLatest)
+		f.set(decide.Ready, f.servers, startUpdateFirst, startUpdateLatest)
 	})
 }
 
 // allButOneOut drains all servers but one.
 func allButOneOut(f *fleet) {
-	f.agenda.at(faultAt, func() { f.set(decide.Draining, f.servers[1:], spreadLeast, spreadMost) })
-	f.agenda.at(mendedAt, func() { f.set(decide.Ready, f.servers[1:], spreadLeast, spreadMost) })
+	f.schedule.at(faultAt, func() { f.set(decide.Draining, f.servers[1:], spreadLeast, spreadMost) })
+	f.schedule.at(mendedAt, func() { f.set(decide.Ready, f.servers[1:], spreadLeast, spreadMost) })
 }
 
 func oneServer(s Settings) Settings {
@@ -185,6 +185,6 @@
 		if i/len(f.servers)%2 == 0 {
 			return 0
 		}
-		return 1 + restingGroup(i, server, len(f.servers), f.settings.Groups)
+		return 1 + establishedGroup(i, server, len(f.servers), f.settings.Groups)
 	})
 }
--- a/internal/testbed/scale/fleet.go
+++ b/internal/testbed/scale/fleet.go
@@ -22,20 +22,20 @@
 	halfFull     = 2   // what a server can bear over what it holds on average
 	loadEach     = 1.0 // of a connection
 
-	returnSoonest   = 70 * time.Millisecond // a client that was cut or moved comes again
-	returnLatest    = 680 * time.Millisecond
-	retryAfter      = time.Second // one that was turned away
-	silenceSoonest  = 4 * time.Second
-	silenceLatest   = 5 * time.Second // a client gives up a connection that says nothing
-	newsSoonest     = 1600 * time.Millisecond
-	newsLatest      = 6800 * time.Millisecond // from a change to its being told
-	startNewsLatest = 2900 * time.Millisecond // the same for a server that is back
-	startNewsFirst  = 1100 * time.Millisecond
+	returnSoonest     = 70 * time.Millisecond // a client that was cut or moved comes again
+	returnLatest      = 680 * time.Millisecond
+	retryAfter        = time.Second // one that was turned away
+	silenceSoonest    = 4 * time.Second
+	silenceLatest     = 5 * time.Second // a client gives up a connection that says nothing
+	updateSoonest     = 1600 * time.Millisecond
+	updateLatest      = 6800 * time.Millisecond // from a change to its being told
+	startUpdateLatest = 2900 * time.Millisecond // the same for a server that is back
+	startUpdateFirst  = 1100 * time.Millisecond
 )
 
 // fleet is hollow balancers, servers and clients in virtual time: one goroutine, one seed, one result.
 type fleet struct {
-	agenda    agenda
+	schedule  schedule
 	chance    *rand.Rand
 	settings  Settings
 	peers     int
@@ -96,7 +96,7 @@
 	f := &fleet{chance: rand.New(rand.NewPCG(seed, 0)), settings: s, peers: peers}
 	f.figures.sent = map[sentKey]int{}
 	f.checker = invariants.New(invariants.Limits{Slack: answerSlack, DrainGrace: drainGrace,
-		SlowStartMultiple: coldMultiple, SlowStartWindow: coldWindow, SlowStart: warmAfter, MeanLoad: loadEach})
+		SlowStartMultiple: slowStartMultiple, SlowStartWindow: slowStartWindow, SlowStart: warmAfter, MeanLoad: loadEach})
 	for range s.Servers {
 		f.addServer(invariants.LongAgo)
 	}
@@ -128,16 +128,16 @@
 // restingFill is that of hold: a group has as few servers as its connections need.
 func (f *fleet) restingFill() {
 	f.fill(func(_, i, server int) int {
-		return restingGroup(i, server, len(f.servers), f.settings.Groups)
+		return establishedGroup(i, server, len(f.servers), f.settings.Groups)
 	})
 }
 
 // run goes on to a time; it stops within a second of virtual time when told to.
 func (f *fleet) run(end time.Duration, stopped func() bool) {
-	for now := f.agenda.now; now < end && !stopped(); {
+	for now := f.schedule.now; now < end && !stopped(); {
 		now = min(now+time.Second, end)
 		from := processorTime()
-		f.agenda.runTo(now)
+		f.schedule.runTo(now)
 		f.busiestSecond = max(f.busiestSecond, processorTime()-from)
 		f.checker.Advance(now)
 	}
@@ -145,13 +145,13 @@
 
 // finish tells the rules that were broken.
 func (f *fleet) finish() []invariants.Violation {
-	end := f.agenda.now
-	f.agenda.runTo(end + 5*time.Second) // what came before the end is answered after it
-	return f.checker.Finish(f.agenda.now)
+	end := f.schedule.now
+	f.schedule.runTo(end + 5*time.Second) // what came before the end is answered after it
+	return f.checker.Finish(f.schedule.now)
 }
 
 func (f *fleet) see(e invariants.Event) {
-	e.At = f.agenda.now
+	e.At = f.schedule.now
 	f.checker.Observe(e)
 }
 
@@ -169,20 +169,20 @@
 	s.held = nil
 	for _, c := range held {
 		if silent {
-			f.agenda.after(f.between(silenceSoonest, silenceLatest), func() { c.flow.leave() })
+			f.schedule.after(f.between(silenceSoonest, silenceLatest), func() { c.flow.leave() })
 		} else {
-			f.agenda.after(f.way(s.zone, c.flow.in.zone), func() { c.finish(decide.Reset) })
+			f.schedule.after(f.way(s.zone, c.flow.in.zone), func() { c.finish(decide.Reset) })
 		}
 	}
 }
 
 // rise starts a server anew, cold.
-func (f *fleet) rise(s *backend) { s.alive, s.silent, s.since = true, false, f.agenda.now }
+func (f *fleet) rise(s *backend) { s.alive, s.silent, s.since = true, false, f.schedule.now }
 
 // takes is the load that a cold server can take a second: so much that it is full once it is warm.
 func (s *backend) takes(f *fleet) float64 {
 	full := halfFull * float64(f.settings.Connections*f.settings.Balancers) / float64(f.settings.Servers)
-	warmth := coldFrom + (1-coldFrom)*min((f.agenda.now-s.since).Seconds()/warmAfter.Seconds(), 1)
+	warmth := slowStartFrom + (1-slowStartFrom)*min((f.schedule.now-s.since).Seconds()/warmAfter.Seconds(), 1)
 	return full / warmAfter.Seconds() * warmth
 }
 
@@ -214,10 +214,10 @@
 	}
 	list := entries(servers)
 	for _, b := range f.balancers {
-		life := b.life
-		b.newsAt = max(b.newsAt, f.agenda.now+f.between(soonest, latest)) // news keep their order
-		f.agenda.at(b.newsAt, func() {
-			if b.up && b.life == life {
+		life := b.incarnation
+		b.updatesAt = max(b.updatesAt, f.schedule.now+f.between(soonest, latest)) // news keep their order
+		f.schedule.at(b.updatesAt, func() {
+			if b.up && b.incarnation == life {
 				b.list(decide.DeltaUpdate, list)
 			}
 		})
--- a/internal/testbed/scale/fleet_client.go
+++ b/internal/testbed/scale/fleet_client.go
@@ -43,7 +43,7 @@
 		to = c.fleet.anyUp()
 	}
 	if to == nil {
-		c.fleet.agenda.after(retryAfter, c.come)
+		c.fleet.schedule.after(retryAfter, c.come)
 		return
 	}
 	to.take(c)
@@ -66,20 +66,20 @@
 func (c *client) cut() {
 	c.fleet.figures.cut++
 	c.wasCut = true
-	c.again()
+	c.retry()
 }
 
-func (c *client) again() {
-	c.fleet.agenda.after(c.fleet.between(returnSoonest, returnLatest), c.come)
+func (c *client) retry() {
+	c.fleet.schedule.after(c.fleet.between(returnSoonest, returnLatest), c.come)
 }
 
-func (c *client) turnedAway() {
-	c.fleet.agenda.after(retryAfter+c.fleet.between(0, returnLatest), c.come)
+func (c *client) rejected() {
+	c.fleet.schedule.after(retryAfter+c.fleet.between(0, returnLatest), c.come)
 }
 
-// stood: it is served.
-func (c *client) stood() {
-	now, figures := c.fleet.agenda.now, &c.fleet.figures
+// established: it is served.
+func (c *client) established() {
+	now, figures := c.fleet.schedule.now, &c.fleet.figures
 	if c.wasCut {
 		figures.back = append(figures.back, now-faultAt)
 	}
@@ -101,7 +101,7 @@
 
 func (f *fleet) connect(x *flow, to *backend) *connect {
 	f.connects++
-	c := &connect{id: invariants.Connect(f.connects), number: x.sent, flow: x, server: to, sentAt: f.agenda.now}
+	c := &connect{id: invariants.Connect(f.connects), number: x.sent, flow: x, server: to, sentAt: f.schedule.now}
 	x.out = append(x.out, c)
 	return c
 }
@@ -115,7 +115,7 @@
 	back := f.way(s.zone, c.flow.in.zone)
 	if !s.alive {
 		if !s.silent {
-			f.agenda.after(back, func() { c.finish(decide.Unreachable) })
+			f.schedule.after(back, func() { c.finish(decide.Unreachable) })
 		}
 		return
 	}
@@ -124,7 +124,7 @@
 			Server: invariants.Server(s.id), StartedAt: s.since, Load: loadEach, Capacity: s.takes(f)})
 	}
 	since := s.since
-	f.agenda.after(f.between(fastestSetup, slowestSetup)+back, func() {
+	f.schedule.after(f.between(fastestSetup, slowestSetup)+back, func() {
 		if s.alive && s.since == since {
 			c.stand()
 		}
@@ -142,8 +142,8 @@
 	x.stands, x.answered = c, true
 	c.server.held = append(c.server.held, c)
 	f.see(invariants.Event{Kind: invariants.FlowAnswered, Balancer: invariants.Balancer(b.id), Flow: x.id, Answer: invariants.Established})
-	b.event().OnEstablished(x.name, f.agenda.now-c.sentAt)
-	x.client.stood()
+	b.event().OnEstablished(x.name, f.schedule.now-c.sentAt)
+	x.client.established()
 }
 
 // finish ends a connect: the one place where the decisions hear of it.
@@ -163,7 +163,7 @@
 		switch {
 		case x.left:
 		case o == decide.Cancelled:
-			x.client.again()
+			x.client.retry()
 		default:
 			x.client.cut()
 		}
@@ -172,7 +172,7 @@
 	if c.stands || finished {
 		x.forget()
 	}
-	b.event().OnEnded(x.name, o, f.agenda.now-c.sentAt, finished)
+	b.event().OnEnded(x.name, o, f.schedule.now-c.sentAt, finished)
 }
 
 // drop takes a connect off its server.
--- a/internal/testbed/scale/fleet_instance.go
+++ b/internal/testbed/scale/fleet_instance.go
@@ -10,16 +10,16 @@
 
 // instance is one hollow balancer of a fleet: the real decisions, and connects that the fleet carries out.
 type instance struct {
-	fleet   *fleet
-	id      int
-	zone    int
-	up      bool
-	life    int
-	started time.Duration
-	newsAt  time.Duration // of the last news on their way
-	module  *decide.Balancer
-	flows   map[decide.FlowID]*flow
-	inOrder []*flow // as they came; those that are over are swept out now and then
+	fleet       *fleet
+	id          int
+	zone        int
+	up          bool
+	incarnation int
+	started     time.Duration
+	updatesAt   time.Duration // of the last news on their way
+	module      *decide.Balancer
+	flows       map[decide.FlowID]*flow
+	inOrder     []*flow // as they came; those that are over are swept out now and then
 }
 
 // flow is one try of a client.
@@ -53,8 +53,8 @@
 // start begins a life that knows nothing but the list.
 func (b *instance) start() {
 	f := b.fleet
-	b.life++
-	b.up, b.started = true, f.agenda.now
+	b.incarnation++
+	b.up, b.started = true, f.schedule.now
 	b.flows, b.inOrder = map[decide.FlowID]*flow{}, nil
 	f.see(invariants.Event{Kind: invariants.BalancerStarted, Balancer: invariants.Balancer(b.id)})
 	b.module = decide.New(f.chance.Uint64(), b)
@@ -91,13 +91,13 @@
 
 // event opens an event: what is decided in it happens now.
 func (b *instance) event() *decide.Balancer {
-	b.module.SetTime(b.fleet.agenda.now - b.started)
+	b.module.SetTime(b.fleet.schedule.now - b.started)
 	return b.module
 }
 
 // ---- the list
 
-var toldStates = [...]invariants.Readiness{decide.Ready: invariants.Ready, decide.Draining: invariants.Draining, decide.Gone: invariants.Gone}
+var announcedStates = [...]invariants.Readiness{decide.Ready: invariants.Ready, decide.Draining: invariants.Draining, decide.Gone: invariants.Gone}
 
 func (b *instance) list(kind decide.UpdateKind, list []server) {
 	m := b.event()
@@ -124,7 +124,7 @@
 
 func (b *instance) told(id decide.ServerID, state decide.Readiness, since time.Duration) {
 	b.fleet.see(invariants.Event{Kind: invariants.ServerAnnounced, Balancer: invariants.Balancer(b.id), Server: invariants.Server(id),
-		Readiness: toldStates[state], StartedAt: since})
+		Readiness: announcedStates[state], StartedAt: since})
 }
 
 // ---- flows
@@ -132,7 +132,7 @@
 func (b *instance) add(c *client) *flow {
 	f := b.fleet
 	f.flows++
-	x := &flow{id: invariants.Flow(f.flows), name: flowName(int(f.flows)), in: b, client: c, came: f.agenda.now}
+	x := &flow{id: invariants.Flow(f.flows), name: flowName(int(f.flows)), in: b, client: c, came: f.schedule.now}
 	b.flows[x.name] = x
 	b.inOrder = append(b.inOrder, x)
 	if len(b.inOrder) > 2*len(b.flows)+16 {
@@ -154,7 +154,7 @@
 
 // take has a client come.
 func (b *instance) take(c *client) {
-	x, now := b.add(c), b.fleet.agenda.now
+	x, now := b.add(c), b.fleet.schedule.now
 	x.due = now + connectTimeout - relayReserve
 	t := services[c.service]
 	b.fleet.see(invariants.Event{Kind: invariants.FlowAccepted, Balancer: invariants.Balancer(b.id), Flow: x.id, Deadline: now + connectTimeout,
@@ -193,7 +193,7 @@
 	}
 	x.answered = true
 	x.forget()
-	x.client.turnedAway()
+	x.client.rejected()
 }
 
 // ---- what the decisions ask for; see decide.Act
@@ -205,19 +205,19 @@
 	}
 	c := f.connect(x, f.server(to))
 	x.sent++
-	f.figures.sent[sentKey{b.id, f.agenda.now / time.Second}]++
+	f.figures.sent[sentKey{b.id, f.schedule.now / time.Second}]++
 	f.see(invariants.Event{Kind: invariants.ConnectSent, Balancer: invariants.Balancer(b.id), Flow: x.id, Connect: c.id,
 		Server: invariants.Server(to), Zone: c.server.zone, Cell: c.server.zone})
 	ends := x.due
 	if limit > 0 {
-		ends = min(ends, f.agenda.now+limit)
+		ends = min(ends, f.schedule.now+limit)
 	}
-	f.agenda.at(ends, func() {
+	f.schedule.at(ends, func() {
 		if !c.stands {
 			c.finish(decide.TimedOut)
 		}
 	})
-	f.agenda.after(f.way(b.zone, c.server.zone), c.arrive)
+	f.schedule.after(f.way(b.zone, c.server.zone), c.arrive)
 }
 
 func (b *instance) Cancel(name decide.FlowID, n int) {
@@ -227,7 +227,7 @@
 	}
 	for _, c := range x.out {
 		if c.number == n && !c.stands {
-			b.fleet.agenda.after(0, func() { c.finish(decide.Cancelled) })
+			b.fleet.schedule.after(0, func() { c.finish(decide.Cancelled) })
 		}
 	}
 }
@@ -249,7 +249,7 @@
 	}
 	b.fleet.figures.moved++
 	c := x.stands
-	b.fleet.agenda.after(0, func() {
+	b.fleet.schedule.after(0, func() {
 		if !c.over && !x.left {
 			c.finish(decide.Cancelled)
 		}
@@ -257,9 +257,9 @@
 }
 
 func (b *instance) SetTimer(mark decide.TimerID, in time.Duration) {
-	life := b.life
-	b.fleet.agenda.after(max(in, time.Microsecond), func() {
-		if b.up && b.life == life {
+	life := b.incarnation
+	b.fleet.schedule.after(max(in, time.Microsecond), func() {
+		if b.up && b.incarnation == life {
 			b.event().OnTimer(mark)
 		}
 	})
--- a/internal/testbed/scale/fleet_test.go
+++ b/internal/testbed/scale/fleet_test.go
@@ -58,7 +58,7 @@
 	}
 }
 
-func TestFaultStopsWhenTold(t *testing.T) {
+func TestFaultStopsWithItsContext(t *testing.T) {
 	ctx, stop := context.WithCancel(context.Background())
 	stop()
 	if _, err := faults[0].play(ctx, smallFaults[0], 1); err == nil {
@@ -70,10 +70,10 @@
 func brokenBy(t *testing.T, tell func(*fleet)) map[invariants.Rule]bool {
 	t.Helper()
 	f := newFleet(smallFaults[0], smallFaults[0].Balancers, 1)
-	f.agenda.at(faultAt, func() { tell(f) })
+	f.schedule.at(faultAt, func() { tell(f) })
 	for i := range 4000 {
 		c := f.addClient(f.balancers[i%len(f.balancers)], i)
-		f.agenda.at(time.Duration(i)*4*time.Millisecond, c.come)
+		f.schedule.at(time.Duration(i)*4*time.Millisecond, c.come)
 	}
 	f.run(20*time.Second, func() bool { return false })
 	broken := map[invariants.Rule]bool{}
--- a/internal/testbed/scale/hollow.go
+++ b/internal/testbed/scale/hollow.go
@@ -10,21 +10,21 @@
 
 // Terms of the hollow balancers, as deployments set them.
 const (
-	peers          = 8_100 // balancers that share the budget of a cold server
-	maxConnects    = 4
-	connectTimeout = 1800 * time.Millisecond // of a flow: by then its client has an answer
-	setupTarget    = 300 * time.Millisecond
-	repeatWindow   = 2 * time.Second
-	messageTarget  = 100 * time.Millisecond
-	askWithin      = 10 * time.Second
-	coldFrom       = 0.2
-	coldMultiple   = 3
-	warmAfter      = 20 * time.Second
-	coldWindow     = 1500 * time.Millisecond
-	crossingPrice  = 0.08
-	movePrice      = 0.026
-	usualSetup     = 10 * time.Millisecond
-	beginning      = 10 * time.Second // by then nothing that the start brought counts any more
+	peers             = 8_100 // balancers that share the budget of a cold server
+	maxConnects       = 4
+	connectTimeout    = 1800 * time.Millisecond // of a flow: by then its client has an answer
+	setupTarget       = 300 * time.Millisecond
+	repeatWindow      = 2 * time.Second
+	messageTarget     = 100 * time.Millisecond
+	requestTimeout    = 10 * time.Second
+	slowStartFrom     = 0.2
+	slowStartMultiple = 3
+	warmAfter         = 20 * time.Second
+	slowStartWindow   = 1500 * time.Millisecond
+	crossingPrice     = 0.08
+	movePrice         = 0.026
+	usualSetup        = 10 * time.Millisecond
+	beginning         = 10 * time.Second // by then nothing that the start brought counts any more
 )
 
 // terms are what one hollow balancer is told at its start.
@@ -37,18 +37,18 @@
 // hollow is a balancer without sockets: the real decisions, its timers in virtual time. Connects are written down for
 // whoever drives it.
 type hollow struct {
-	module  *decide.Balancer
-	now     time.Duration
-	timers  timers
-	asked   map[decide.FlowID]decide.ServerID // connects out
-	moved   []decide.FlowID                   // asked to move since last taken
-	turned  int                               // flows turned away
-	returns bool                              // those asked to move come again at the next tick
-	probed  []decide.ServerID                 // probes wanted since last taken
+	module    *decide.Balancer
+	now       time.Duration
+	timers    timers
+	requested map[decide.FlowID]decide.ServerID // connects out
+	moved     []decide.FlowID                   // asked to move since last taken
+	rejected  int                               // flows turned away
+	returns   bool                              // those asked to move come again at the next tick
+	probed    []decide.ServerID                 // probes wanted since last taken
 }
 
 func newHollow(seed uint64, t terms) *hollow {
-	h := &hollow{asked: map[decide.FlowID]decide.ServerID{}}
+	h := &hollow{requested: map[decide.FlowID]decide.ServerID{}}
 	h.module = decide.New(seed, h)
 	startHollow(h.module, t)
 	h.module.SetTime(0)
@@ -61,10 +61,10 @@
 	for _, s := range services {
 		b.AddService(decide.ServiceType{Effect: s.effect, Deduplication: decide.DeduplicatedByFleet, SetupTarget: setupTarget, RetryWindow: repeatWindow, Value: 1})
 	}
-	b.ConfigureSlowStart(decide.SlowStart{InitialCapacity: coldFrom, OverloadMultiple: coldMultiple, WarmUp: warmAfter, Window: coldWindow, Balancers: t.peers})
+	b.ConfigureSlowStart(decide.SlowStart{InitialCapacity: slowStartFrom, OverloadMultiple: slowStartMultiple, WarmUp: warmAfter, Window: slowStartWindow, Balancers: t.peers})
 	b.ConfigureHealthChecks(t.pulls)
 	b.ConfigurePlacement(crossingPrice, movePrice, true)
-	b.ConfigureEndpoints(decide.EndpointSettings{Zone: zoneName(t.inZone), Polled: false, MaxPollInterval: askWithin, MessageTarget: messageTarget})
+	b.ConfigureEndpoints(decide.EndpointSettings{Zone: zoneName(t.inZone), Polled: false, MaxPollInterval: requestTimeout, MessageTarget: messageTarget})
 }
 
 // zoneNames are made once, so that balancers that share a process share them.
@@ -114,13 +114,13 @@
 	h.module.SetTime(h.now)
 	for i := range connections {
 		at := i % servers
-		h.module.AdoptFlow(decide.FlowRequest{ID: flowName(i), Customer: decide.NoCustomer, Group: groupName(restingGroup(i, at, servers, groups))}, decide.ServerID(at+1))
+		h.module.AdoptFlow(decide.FlowRequest{ID: flowName(i), Customer: decide.NoCustomer, Group: groupName(establishedGroup(i, at, servers, groups))}, decide.ServerID(at+1))
 	}
 }
 
-// restingGroup is the group of the i-th connection, which stands at a server: a group has one server where there are as
+// establishedGroup is the group of the i-th connection, which stands at a server: a group has one server where there are as
 // many groups as servers or more, else a server has one group.
-func restingGroup(i, at, servers, groups int) int {
+func establishedGroup(i, at, servers, groups int) int {
 	if groups <= servers {
 		return at % groups
 	}
@@ -132,9 +132,9 @@
 func (h *hollow) place(id decide.FlowID, group decide.GroupKey) (decide.ServerID, bool) {
 	h.module.SetTime(h.now)
 	h.module.OnFlow(decide.FlowRequest{ID: id, Customer: decide.NoCustomer, Group: group, Timeout: connectTimeout})
-	at, ok := h.asked[id]
+	at, ok := h.requested[id]
 	if ok {
-		delete(h.asked, id)
+		delete(h.requested, id)
 		h.module.OnEstablished(id, usualSetup)
 	}
 	return at, ok
@@ -146,8 +146,8 @@
 	h.module.OnEnded(id, decide.OK, usualSetup, true)
 }
 
-// rest goes on to when nothing that the start brought counts any more, as if no timer had come due by then.
-func (h *hollow) rest() {
+// settle goes on to when nothing that the start brought counts any more, as if no timer had come due by then.
+func (h *hollow) settle() {
 	h.now = beginning
 	h.module.SetTime(h.now)
 	for i := range h.timers {
@@ -169,10 +169,10 @@
 
 // What the decisions ask for; see decide.Act.
 
-func (h *hollow) Connect(f decide.FlowID, to decide.ServerID, _ time.Duration) { h.asked[f] = to }
+func (h *hollow) Connect(f decide.FlowID, to decide.ServerID, _ time.Duration) { h.requested[f] = to }
 func (h *hollow) Cancel(decide.FlowID, int)                                    {}
-func (h *hollow) Reject(decide.FlowID, time.Duration)                          { h.turned++ }
-func (h *hollow) Abort(decide.FlowID)                                          { h.turned++ }
+func (h *hollow) Reject(decide.FlowID, time.Duration)                          { h.rejected++ }
+func (h *hollow) Abort(decide.FlowID)                                          { h.rejected++ }
 func (h *hollow) Migrate(f decide.FlowID)                                      { h.moved = append(h.moved, f) }
 func (h *hollow) HealthCheck(s decide.ServerID)                                { h.probed = append(h.probed, s) }
 func (h *hollow) WatchEndpoints(bool)                                          {}
--- a/internal/testbed/scale/page_asked.go
+++ b/internal/testbed/scale/page_asked.go
@@ -322,7 +322,7 @@
 		{
 			asked:   asked,
 			name:    "members, for the records that one keeps",
-			allowed: p.at(recordsKept, fleetBalancers),
+			allowed: p.at(recordsHeld, fleetBalancers),
 			worked:  onlyOne(reckoned(fleetBalancers, inCount)),
 			wants:   zoned,
 			rests:   "what a balancer knows of all others",
--- a/internal/testbed/scale/page_catalog.go
+++ b/internal/testbed/scale/page_catalog.go
@@ -72,7 +72,7 @@
 	signalReach      = slope{"members.reach-at-48-sights", false}
 	zonedTraffic     = slope{"members-zoned.bytes-out", false}
 	zonedReach       = slope{"members-zoned.reach", false}
-	recordsKept      = slope{"signals.records-kept", false}
+	recordsHeld      = slope{"signals.records-kept", false}
 	leaseHolders     = slope{"leases.holders", false}
 	engineMessages   = slope{"members.datagrams-out-at-48-sights", false}
 	probeTraffic     = slope{"members.probe-bytes-out-at-48-sights", false}
--- a/internal/testbed/scale/page_read.go
+++ b/internal/testbed/scale/page_read.go
@@ -8,7 +8,7 @@
 
 const (
 	beforeFolder = "before" // inside the folder of results: the reports of the code before the mechanism
-	runAgain     = "run its experiment again: testbed scale run writes reports whole"
+	rerunCommand = "run its experiment again: testbed scale run writes reports whole"
 )
 
 // evidence is a series with where it came from.
@@ -63,7 +63,7 @@
 			return &Error{Where: where, What: "stands in " + first.File + " too", Remedy: "give one of both another name, or take one report away"}
 		}
 		if !slices.Contains([]Origin{Measured, Simulated, Reckoned}, series.Origin) {
-			return &Error{Where: where + ": origin", What: fmt.Sprintf("%q is not known", series.Origin), Remedy: runAgain}
+			return &Error{Where: where + ": origin", What: fmt.Sprintf("%q is not known", series.Origin), Remedy: rerunCommand}
 		}
 		entry := &evidence{Series: series, File: filepath.Base(file), Command: report.Command, Commit: report.Commit}
 		entry.Points = meanBySize(series.Points)
--- a/internal/testbed/scale/page_tables_test.go
+++ b/internal/testbed/scale/page_tables_test.go
@@ -93,7 +93,7 @@
 }
 
 // Each part of control has a row for each size of the list, and each situation a row or a part of one.
-func TestRolesAreWhole(t *testing.T) {
+func TestRolesAreComplete(t *testing.T) {
 	p := pageOf(t, nil, nil)
 	if got, want := len(p.sizesTable().rows), len(controlParts)*len(pageServers); got != want {
 		t.Errorf("%d rows of control, want %d", got, want)
@@ -114,7 +114,7 @@
 }
 
 // With nothing measured no row has a figure that rests on a measurement.
-func TestNothingMeasuredIsSaid(t *testing.T) {
+func TestMissingMeasurementsAreNamed(t *testing.T) {
 	p := pageOf(t, nil, nil)
 	for _, l := range p.limits() {
 		for _, v := range l.worked {
--- a/internal/testbed/scale/page_terms_test.go
+++ b/internal/testbed/scale/page_terms_test.go
@@ -16,7 +16,7 @@
 			h.module.OnFlow(decide.FlowRequest{ID: flowName(i), Customer: -1, Group: groupName(i), Timeout: connectTimeout})
 		}
 		want := max(1, allSetupsOut/balancers)
-		if got := len(h.asked); got != want {
+		if got := len(h.requested); got != want {
 			t.Errorf("%d balancers: %d set-ups out at once, want %d", balancers, got, want)
 		}
 	}
--- a/internal/testbed/scale/real_compare.go
+++ b/internal/testbed/scale/real_compare.go
@@ -39,7 +39,7 @@
 
 // compareWithHollow measures the same of a real process and of hollow balancers, against the servers on the list.
 func compareWithHollow(ctx context.Context, settings Settings, progress Progress) ([]Series, []Check, error) {
-	s, err := readReal(settings, mostRealServers-realListsTold, "servers")
+	s, err := readReal(settings, mostRealServers-realListsSent, "servers")
 	if err != nil {
 		return nil, nil, err
 	}
@@ -111,11 +111,11 @@
 	if err != nil {
 		return nil, err
 	}
-	change, err := p.costOf(ctx, empty, realChangesTold, realChangeEvery, func(i int) { p.list.toggle(i * 7) })
+	change, err := p.costOf(ctx, empty, realChangesSent, realChangeEvery, func(i int) { p.list.toggle(i * 7) })
 	if err != nil {
 		return nil, err
 	}
-	together, err := p.costOf(ctx, empty, realListsTold, 4*realChangeEvery, func(i int) {
+	together, err := p.costOf(ctx, empty, realListsSent, 4*realChangeEvery, func(i int) {
 		for j := range changesAtATime {
 			p.list.toggle(i*changesAtATime + j)
 		}
@@ -123,7 +123,7 @@
 	if err != nil {
 		return nil, err
 	}
-	whole, err := p.costOf(ctx, empty, realListsTold, 4*realChangeEvery, func(int) { p.list.tellWhole() })
+	whole, err := p.costOf(ctx, empty, realListsSent, 4*realChangeEvery, func(int) { p.list.sendFull() })
 	if err != nil {
 		return nil, err
 	}
@@ -170,14 +170,14 @@
 
 // takeLists measures what the real reading of the list and the decisions behind it cost in this process.
 func (f comparedFigures) takeLists(ctx context.Context, seed uint64, servers int) error {
-	taker, err := newListTaker(ctx, seed)
+	taker, err := newListReader(ctx, seed)
 	if err != nil {
 		return err
 	}
 	defer taker.close()
 	before := liveMemory()
 	revision := 1
-	if err := taker.take(ctx, [][]byte{wholeList(servers, revision).line()}, revision); err != nil {
+	if err := taker.take(ctx, [][]byte{fullList(servers, revision).line()}, revision); err != nil {
 		return err
 	}
 	f["list-memory"] = []float64{float64(liveMemory() - before)}
@@ -190,9 +190,9 @@
 	for range compareTimes {
 		whole := measure(compareRounds, 1, func() {
 			revision++
-			take([][]byte{wholeList(servers, revision).line()})
+			take([][]byte{fullList(servers, revision).line()})
 		})
-		written := measure(compareRounds, 1, func() { wholeList(servers, revision).line() })
+		written := measure(compareRounds, 1, func() { fullList(servers, revision).line() })
 		change := measure(compareRounds, 1, func() {
 			objects := lines(changesOneByOne(spreadOver(servers), revision+1))
 			revision += changesAtATime
--- a/internal/testbed/scale/real_held.go
+++ b/internal/testbed/scale/real_held.go
@@ -115,7 +115,7 @@
 		if wait > 1000 {
 			return 0, &ProcessError{What: fmt.Sprintf("%d of %d lines came", c.lines.Load()-had, sent), Do: "run fewer things at once"}
 		}
-		if err := pause(ctx, realAskAgain); err != nil {
+		if err := pause(ctx, realPollInterval); err != nil {
 			return 0, err
 		}
 	}
--- a/internal/testbed/scale/real_lists.go
+++ b/internal/testbed/scale/real_lists.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	realChangesTold   = 40 // whose processor time is read together
+	realChangesSent   = 40 // whose processor time is read together
 	realChangeEvery   = 100 * time.Millisecond
 	realChangesTimed  = 11
-	realListsTold     = 5
+	realListsSent     = 5
 	realInForceWithin = 5 * time.Second
 	realRoleControl   = "balancer control"
 	realRoleDataPath  = "balancer data path"
@@ -87,7 +87,7 @@
 
 // realChanges measures what news of the list cost and how soon they are in force, against the servers on it.
 func realChanges(ctx context.Context, settings Settings, progress Progress) ([]Series, []Check, error) {
-	s, err := readReal(settings, mostRealServers-realChangesTimed-realListsTold, "servers")
+	s, err := readReal(settings, mostRealServers-realChangesTimed-realListsSent, "servers")
 	if err != nil {
 		return nil, nil, err
 	}
@@ -115,11 +115,11 @@
 	if err != nil {
 		return err
 	}
-	one, err := p.costOf(ctx, atRest, realChangesTold, realChangeEvery, func(i int) { p.list.toggle(i * 7) })
+	one, err := p.costOf(ctx, atRest, realChangesSent, realChangeEvery, func(i int) { p.list.toggle(i * 7) })
 	if err != nil {
 		return err
 	}
-	whole, err := p.costOf(ctx, atRest, realListsTold, 4*realChangeEvery, func(int) { p.list.tellWhole() })
+	whole, err := p.costOf(ctx, atRest, realListsSent, 4*realChangeEvery, func(int) { p.list.sendFull() })
 	if err != nil {
 		return err
 	}
@@ -127,7 +127,7 @@
 	if err != nil {
 		return err
 	}
-	wholeSoon, wholeLast, err := p.inForce(ctx, realListsTold, p.list.tellWhole)
+	wholeSoon, wholeLast, err := p.inForce(ctx, realListsSent, p.list.sendFull)
 	if err != nil {
 		return err
 	}
@@ -140,7 +140,7 @@
 	set.add("real.change.in-force-last", fmt.Sprintf("the same, longest of %d", realChangesTimed), "s", servers, last.Seconds())
 	set.add("real.whole-list.processor", "processor time of a whole list, told again", "s", servers, whole.Seconds())
 	set.add("real.whole-list.in-force", "time from the telling of a whole list until it is in force, median", "s", servers, wholeSoon.Seconds())
-	set.add("real.whole-list.in-force-last", fmt.Sprintf("the same, longest of %d", realListsTold), "s", servers, wholeLast.Seconds())
+	set.add("real.whole-list.in-force-last", fmt.Sprintf("the same, longest of %d", realListsSent), "s", servers, wholeLast.Seconds())
 	set.addMemory("real.changes", "after its list was told whole several times", servers, m)
 	return nil
 }
--- a/internal/testbed/scale/real_process.go
+++ b/internal/testbed/scale/real_process.go
@@ -23,10 +23,10 @@
 )
 
 const (
-	realReadyWithin = 20 * time.Second
-	realAskAgain    = 2 * time.Millisecond
-	realEndWithin   = 5 * time.Second
-	realService     = "chat"
+	realReadyWithin  = 20 * time.Second
+	realPollInterval = 2 * time.Millisecond
+	realEndWithin    = 5 * time.Second
+	realService      = "chat"
 )
 
 // realProcess is one balancer under measurement, with the stand-ins round it.
@@ -116,7 +116,7 @@
 func (p *realProcess) configuration(s realSettings) map[string]any {
 	return map[string]any{
 		"name": "n0", "listen": p.listen, "discovery": p.list.address(), "control": p.control, "seed": strconv.FormatUint(s.Seed+1, 16),
-		"known":  p.list.whole(),
+		"known":  p.list.fullUpdate(),
 		"limits": map[string]any{"cores": 1, "memory_mb": 1024, "sockets": 20_000},
 		"settings": map[string]any{
 			"az": realZone(0), "peers-total": s.Balancers, "policy-limits": map[string]any{"max-connects": 3},
@@ -161,7 +161,7 @@
 			return &ProcessError{What: "it ended by itself: " + string(lastBytes(log, 400)), Do: "run the same configuration by hand"}
 		default:
 		}
-		if err := pause(ctx, realAskAgain); errors.Is(err, context.DeadlineExceeded) {
+		if err := pause(ctx, realPollInterval); errors.Is(err, context.DeadlineExceeded) {
 			return &ProcessError{What: "it did not take its list in time", Do: "run fewer things at once, or ask for a smaller size", Err: err}
 		} else if err != nil {
 			return err
--- a/internal/testbed/scale/real_standins.go
+++ b/internal/testbed/scale/real_standins.go
@@ -16,7 +16,7 @@
 
 const (
 	standInHeartbeat = 2 * time.Second // of discovery's watches
-	standInDoors     = 8               // addresses that the listed servers share
+	standInAddresses = 8               // addresses that the listed servers share
 	standInBuffer    = 256
 )
 
@@ -24,10 +24,10 @@
 
 // standInList is discovery: it has a list, tells it whole to each new watch, and its changes after that.
 type standInList struct {
-	listener net.Listener
-	server   *http.Server
-	doors    []string
-	zones    int
+	listener  net.Listener
+	server    *http.Server
+	addresses []string
+	zones     int
 
 	mu       sync.Mutex
 	revision int
@@ -40,7 +40,7 @@
 	if err != nil {
 		return nil, &ProcessError{"discovery can't listen", "end other runs", err}
 	}
-	l := &standInList{listener: listener, doors: doors, zones: zones, revision: 1, watches: map[chan []byte]bool{}}
+	l := &standInList{listener: listener, addresses: doors, zones: zones, revision: 1, watches: map[chan []byte]bool{}}
 	for range servers {
 		l.members = append(l.members, l.next())
 	}
@@ -56,7 +56,7 @@
 // next is the server that is listed next, with names that lie apart as a hash's do.
 func (l *standInList) next() listEntry {
 	n := len(l.members)
-	return listEntry{ID: fmt.Sprintf("s-%08x", uint32(n)*2654435761), HostPort: l.doors[n%len(l.doors)], Locality: realZone(n % l.zones), Flavor: "m2",
+	return listEntry{ID: fmt.Sprintf("s-%08x", uint32(n)*2654435761), HostPort: l.addresses[n%len(l.addresses)], Locality: realZone(n % l.zones), Flavor: "m2",
 		Cell: n % 16, Phase: "SERVING", Size: 1}
 }
 
@@ -74,8 +74,8 @@
 	return append(text, '\n')
 }
 
-// whole is the list as it is now.
-func (l *standInList) whole() listObject {
+// fullUpdate is the list as it is now.
+func (l *standInList) fullUpdate() listObject {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return listObject{l.revision, true, slices.Clone(l.members)}
@@ -103,21 +103,21 @@
 // change tells one entry; the mutex is held.
 func (l *standInList) change(m listEntry) {
 	l.revision++
-	l.tell(l.text(listObject{l.revision, false, []listEntry{m}}))
+	l.send(l.text(listObject{l.revision, false, []listEntry{m}}))
 }
 
-// tellWhole tells the whole list again, with one more server on it.
-func (l *standInList) tellWhole() (name string) {
+// sendFull tells the whole list again, with one more server on it.
+func (l *standInList) sendFull() (name string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	m := l.next()
 	l.members = append(l.members, m)
 	l.revision++
-	l.tell(l.text(listObject{l.revision, true, l.members}))
+	l.send(l.text(listObject{l.revision, true, l.members}))
 	return m.ID
 }
 
-func (l *standInList) tell(text []byte) {
+func (l *standInList) send(text []byte) {
 	for w := range l.watches {
 		w <- text
 	}
@@ -170,7 +170,7 @@
 
 func openStandInServers(ctx context.Context) (*standInServers, error) {
 	s := &standInServers{open: map[net.Conn]bool{}}
-	for i := range standInDoors {
+	for i := range standInAddresses {
 		l, err := (&net.ListenConfig{}).Listen(ctx, "tcp", fmt.Sprintf("127.77.0.%d:0", i+1))
 		if err != nil {
 			s.close()
--- a/internal/testbed/scale/real_test.go
+++ b/internal/testbed/scale/real_test.go
@@ -12,11 +12,11 @@
 	"yardwinch/internal/daemon"
 )
 
-const standsForBalancer = "SCALE_TEST_BALANCER"
+const standInBalancer = "SCALE_TEST_BALANCER"
 
-// balancerAsked has the test's own program stand for a balancer where it was started as one.
-func balancerAsked() {
-	if os.Getenv(standsForBalancer) == "" {
+// balancerRequested has the test's own program stand for a balancer where it was started as one.
+func balancerRequested() {
+	if os.Getenv(standInBalancer) == "" {
 		return
 	}
 	if err := daemon.Run(os.Getenv("PROXY_CONFIG"), "", os.Getenv); err != nil {
@@ -27,14 +27,14 @@
 }
 
 func TestMain(m *testing.M) {
-	balancerAsked()
+	balancerRequested()
 	os.Exit(m.Run())
 }
 
 // onSelf has sweeps measure the test's own program.
 func onSelf(t *testing.T) context.Context {
 	t.Helper()
-	t.Setenv(standsForBalancer, "yes")
+	t.Setenv(standInBalancer, "yes")
 	self, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
@@ -113,7 +113,7 @@
 		t.Fatalf("%v, %v", before, err)
 	}
 	for range 200 {
-		p.list.tellWhole()
+		p.list.sendFull()
 	}
 	if err := p.awaitServer(t.Context(), p.list.lastName()); err != nil {
 		t.Fatal(err)
@@ -182,7 +182,7 @@
 	}
 	defer p.end()
 	for range 5 {
-		if err := p.awaitServer(t.Context(), p.list.tellWhole()); err != nil {
+		if err := p.awaitServer(t.Context(), p.list.sendFull()); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/testbed/scale/report_test.go
+++ b/internal/testbed/scale/report_test.go
@@ -30,7 +30,7 @@
 }
 
 // A report that can't be written leaves the one before as it was, and nothing else.
-func TestReportIsWrittenWholeOrNotAtAll(t *testing.T) {
+func TestReportIsWrittenAtomically(t *testing.T) {
 	folder := t.TempDir()
 	file, err := Write(folder, someReport())
 	if err != nil {
--- a/internal/testbed/scale/run_test.go
+++ b/internal/testbed/scale/run_test.go
@@ -99,7 +99,7 @@
 	}
 }
 
-func TestReportSaysWhatGaveIt(t *testing.T) {
+func TestReportNamesItsCommand(t *testing.T) {
 	gives := func(context.Context, Settings, Progress) ([]Series, []Check, error) { return oneSeries(1, 2), nil, nil }
 	e := standIn(t, gives)
 	e.File = "/somewhere/of/this/machine/x.toml"
--- a/internal/testbed/scale/sweep_balancers.go
+++ b/internal/testbed/scale/sweep_balancers.go
@@ -32,7 +32,7 @@
 		memory.add(size, float64(liveMemory()-before)/float64(size))
 		uneven.add(size, unevenness(onServer))
 		for _, h := range fleet {
-			turned += h.turned
+			turned += h.rejected
 		}
 		runtime.KeepAlive(fleet)
 		progress(i+1, len(s.Sizes))
--- a/internal/testbed/scale/sweep_groups.go
+++ b/internal/testbed/scale/sweep_groups.go
@@ -41,7 +41,7 @@
 		widest.add(size, float64(placed.widest()))
 		uneven.add(size, unevenness(placed.onServer))
 		processor.add(size, microseconds(measure(placementBatches, placementFlows, visitor(h, s.Seed, one.Groups)).processor))
-		turned += h.turned
+		turned += h.rejected
 		runtime.KeepAlive(h)
 		progress(i+1, len(s.Sizes))
 	}
--- a/internal/testbed/scale/sweep_placement.go
+++ b/internal/testbed/scale/sweep_placement.go
@@ -38,7 +38,7 @@
 			return nil, nil, err
 		}
 		one := s.at(size)
-		h := restingHollow(one)
+		h := evenHollow(one)
 		visit := visitor(h, s.Seed, one.Groups)
 		c := measure(placementBatches, placementFlows, visit)
 		processor.add(size, microseconds(c.processor))
@@ -48,7 +48,7 @@
 				visit()
 			}
 		}))/placementLooks)
-		turned += h.turned
+		turned += h.rejected
 		progress(i+1, len(s.Sizes))
 	}
 	check := Check{Name: "every flow is placed", Held: turned == 0, Detail: fmt.Sprintf("%d turned away", turned)}
--- a/internal/testbed/scale/sweep_rechecks.go
+++ b/internal/testbed/scale/sweep_rechecks.go
@@ -38,7 +38,7 @@
 	moved := 0
 	for i, size := range s.Sizes {
 		one := s.at(size)
-		h := restingHollow(one)
+		h := evenHollow(one)
 		processor, made, err := tickCost(ctx, h)
 		if err != nil {
 			return nil, nil, err
@@ -57,12 +57,12 @@
 	return []Series{*share, *objects, *looked, *uneven}, []Check{check}, nil
 }
 
-// restingHollow is a balancer that holds connections at rest.
-func restingHollow(s Settings) *hollow {
+// evenHollow is a balancer that holds connections at rest.
+func evenHollow(s Settings) *hollow {
 	h := newHollow(s.Seed, terms{peers: peers})
 	h.list(0, warmServers(s.Servers, s.Zones))
 	h.hold(s.Connections, s.Servers, s.Groups)
-	h.rest()
+	h.settle()
 	return h
 }
 
@@ -76,7 +76,7 @@
 		at := decide.ServerID(1 + chance.IntN(s.Servers))
 		h.module.AdoptFlow(decide.FlowRequest{ID: flowName(i), Customer: decide.NoCustomer, Group: groupName(chance.IntN(s.Groups))}, at)
 	}
-	h.rest()
+	h.settle()
 	return h
 }
 
--- a/internal/testbed/scale/sweep_topic.go
+++ b/internal/testbed/scale/sweep_topic.go
@@ -52,7 +52,7 @@
 	h := newHollow(chance.Uint64(), terms{peers: peers, inZone: balancer % s.Zones})
 	h.list(decide.FullUpdate, warmServers(s.Servers, s.Zones))
 	h.hold(s.Connections, s.Servers, s.Groups)
-	h.rest()
+	h.settle()
 	for i := range s.Connections {
 		all[i%s.Servers]++
 	}
@@ -63,7 +63,7 @@
 			listeners[at-1]++
 		}
 	}
-	return h.turned
+	return h.rejected
 }
 
 func holding(counts []int) (servers int) {
--- a/internal/testbed/scale/sweeps_test.go
+++ b/internal/testbed/scale/sweeps_test.go
@@ -131,7 +131,7 @@
 	}
 }
 
-func TestSweepsOfDecisionsStopWhenTold(t *testing.T) {
+func TestSweepsOfDecisionsStopWithTheirContext(t *testing.T) {
 	ctx, stop := context.WithCancel(context.Background())
 	stop()
 	for _, short := range shortSweeps {
