--- a/internal/membership/engine/group_test.go
+++ b/internal/membership/engine/group_test.go
@@ -47,7 +47,7 @@
 
 func freeAddress(t *testing.T, ip string) netip.AddrPort {
 	t.Helper()
-	address, err := freeaddr.UDP(ip)
+	address, err := freeaddr.UDP(t.Context(), ip)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/membership/group_test.go
+++ b/internal/membership/group_test.go
@@ -72,7 +72,7 @@
 // start runs a balancer whose engine behaves in the given way, until the test ends or it is stopped.
 func start(t *testing.T, engineMode, name, ip string, seeds ...string) balancer {
 	t.Helper()
-	address, err := freeaddr.UDP(ip)
+	address, err := freeaddr.UDP(t.Context(), ip)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/simulation/client.go
+++ b/internal/simulation/client.go
@@ -6,115 +6,121 @@
 	"time"
 )
 
-// clientState names where a client stands.
-type clientState int
+// ClientState is the state of a client.
+type ClientState int
 
 // States of a client.
 const (
-	Coming clientState = iota
-	Asking             // a try is out
-	Held               // its connection stands
-	Pausing
-	Done
+	NotStarted ClientState = iota // it has not made its first attempt
+	Attempting                    // it awaits the answer to an attempt
+	Connected                     // its connection is established
+	Pausing                       // it waits for its next attempt
+	Finished                      // it has left
 )
 
-// Client is one that wants one long-lived connection for a span of time, however many tries that takes.
+const (
+	minRetryDelay   = time.Millisecond
+	silenceInterval = time.Second // at which a client looks for signs of life from its server
+)
+
+// retryPause is the pause of a client after as many retries in a row as it makes.
+var retryPause = Interval{time.Second, 3 * time.Second}
+
+// Client wants one long-lived connection for a span of time, however many attempts that takes.
 type Client struct {
 	ID ClientID
-	Visit
-	w       *World
-	state   clientState
-	flow    FlowID
-	tried   int // tries in a row that came to nothing
-	turns   int // changes of state; what was noted for an earlier one is void
-	load    float64
-	chance  *rand.Rand
-	at      *Server
-	atConn  *conn
-	asked   time.Duration
-	until   time.Duration
-	obeys   bool
-	place   int
-	to      BalancerID
-	Retried int
-	wasUp   bool
+	Arrival
+
+	w               *World
+	random          *rand.Rand
+	obeysRetryAfter bool
+	until           time.Duration
+	place           int // in World.clients
+	load            float64
+
+	state         ClientState
+	stateChanges  int // what was scheduled for an earlier state is void
+	flow          FlowID
+	attemptedAt   time.Duration
+	failedInARow  int // attempts
+	retried       int // attempts after the first
+	hadConnection bool
+	server        *Server // nil where no connection is established
+	conn          *conn
 }
 
 // Load is what the client asks for now.
 func (c *Client) Load() float64 { return c.load }
 
-// On is the server on which its connection stands, if one does.
-func (c *Client) On() (*Server, bool) { return c.at, c.at != nil }
-
-// State is where it stands.
-func (c *Client) State() clientState { return c.state }
+func (c *Client) service() *Service { return &c.w.Services[c.Service] }
 
-// Flow is its last try.
-func (c *Client) Flow() FlowID { return c.flow }
-
-// Asked is when its last try began.
-func (c *Client) Asked() time.Duration { return c.asked }
-func (c *Client) service() *Service    { return &c.w.Services[c.Service] }
-
-// turn makes every change of a client's state.
-func (c *Client) turn(to clientState) {
-	c.turns++
+// transition makes every change of a client's state.
+func (c *Client) transition(to ClientState) {
+	c.stateChanges++
 	c.state = to
-	if to == Done {
-		w := c.w
-		last := w.clients[len(w.clients)-1]
-		w.clients[c.place], last.place = last, c.place
-		w.clients = w.clients[:len(w.clients)-1]
+	if to == Finished {
+		c.w.removeClient(c)
 	}
 }
 
-// later does something unless the client's state changes first.
-func (c *Client) later(d time.Duration, do func()) {
-	turns := c.turns
-	c.w.Agenda.After(d, Arrive, func() {
-		if c.turns == turns {
+// removeClient takes a client off by having the last one take its place.
+func (w *World) removeClient(c *Client) {
+	last := w.clients[len(w.clients)-1]
+	w.clients[c.place], last.place = last, c.place
+	w.clients = w.clients[:len(w.clients)-1]
+}
+
+// later schedules something that doesn't happen if the client's state changes first.
+func (c *Client) later(delay time.Duration, do func()) {
+	scheduledIn := c.stateChanges
+	c.w.Schedule.After(delay, Arrive, func() {
+		if c.stateChanges == scheduledIn {
 			do()
 		}
 	})
 }
 
-// stand begins the day with a connection that stands: its server is drawn by what servers can do, as chance alone
-// would have left it.
-func (w *World) stand(c *Client) {
-	sums, all := make([]float64, len(w.Servers)), 0.0
-	for i, s := range w.Servers {
-		if s.Alive() && s.since == LongAgo {
-			all += s.Full() * (1 + (w.homeWeight-1)*b2f(s.Hall == c.Hall))
-		}
-		sums[i] = all
-	}
-	to, ok := w.front(c)
-	if all == 0 || !ok {
-		c.ask()
+// FlowAdopter is a driver that can begin with flows that are established.
+type FlowAdopter interface {
+	AdoptFlow(f FlowID, c *Client, b BalancerID, conn ConnID, s ServerID)
+}
+
+// establishInitially begins the day with an established connection. Its server is drawn by capacity, as chance alone would have left it.
+func (w *World) establishInitially(c *Client) {
+	sums := w.initialWeights(c)
+	b, hasBalancer := w.chooseBalancer(c)
+	if sums[len(sums)-1] == 0 || !hasBalancer {
+		c.attempt()
 		return
 	}
-	s := w.Servers[pickBy(c.chance, sums)]
-	if h, ok := w.Carrier.(Handover); ok && len(s.conns) < s.Cap {
-		c.newFlow()
-		c.to = to
-		k := &conn{id: w.NextConn(), client: c, from: w.Balancers[to].Hall, stage: storing, place: len(s.conns)}
-		s.settle()
-		s.conns = append(s.conns, k)
-		s.held[k.id], w.conns[k.id] = k, s
-		h.Held(c.flow, c, to, k.id, s.ID)
-		c.turn(Held)
-		s.stand(k)
+	s := w.Servers[pickWeighted(c.random, sums)]
+	adopter, canAdopt := w.Driver.(FlowAdopter)
+	if !canAdopt || len(s.conns) >= s.MaxConnections {
+		c.attempt()
 		return
 	}
-	c.ask()
+	c.newFlow()
+	k := &conn{id: w.NewConnID(), client: c, balancerLocality: w.Balancers[b].Locality, stage: callingStore}
+	s.settle()
+	s.add(k)
+	adopter.AdoptFlow(c.flow, c, b, k.id, s.ID)
+	c.transition(Connected)
+	s.establish(k)
 }
 
-// Handover is a carrier that can begin with connections that stand.
-type Handover interface {
-	Held(f FlowID, c *Client, b BalancerID, conn ConnID, s ServerID)
+// initialWeights are running sums of the servers' capacities, with those of the client's locality weighted more.
+func (w *World) initialWeights(c *Client) []float64 {
+	sums, sum := make([]float64, len(w.Servers)), 0.0
+	for i, s := range w.Servers {
+		if s.IsServing() && s.startedAt == LongAgo {
+			sum += s.FullCapacity() * (1 + (w.localWeight-1)*indicator(s.Locality == c.Locality))
+		}
+		sums[i] = sum
+	}
+	return sums
 }
 
-func b2f(b bool) float64 {
+func indicator(b bool) float64 {
 	if b {
 		return 1
 	}
@@ -127,13 +133,21 @@
 	c.w.flows[c.flow] = c
 }
 
-// front chooses a balancer for a client: one of its hall that the front believes alive, or of any other hall.
-func (w *World) front(c *Client) (BalancerID, bool) {
+// endFlow forgets the flow of the last attempt.
+func (c *Client) endFlow() FlowID {
+	f := c.flow
+	delete(c.w.flows, f)
+	c.flow = 0
+	return f
+}
+
+// chooseBalancer draws a balancer for a client: one of its locality that the front believes to be up, or of any other locality.
+func (w *World) chooseBalancer(c *Client) (b BalancerID, ok bool) {
 	var near, far []BalancerID
 	for _, b := range w.Balancers {
-		if b.believed && b.Hall == c.Hall {
+		if b.believedUp && b.Locality == c.Locality {
 			near = append(near, b.ID)
-		} else if b.believed {
+		} else if b.believedUp {
 			far = append(far, b.ID)
 		}
 	}
@@ -143,189 +157,170 @@
 	if len(near) == 0 {
 		return 0, false
 	}
-	return near[c.chance.IntN(len(near))], true
+	return near[c.random.IntN(len(near))], true
 }
 
-// ask sends one try.
-func (c *Client) ask() {
-	w, s := c.w, c.service()
-	if c.state == Done {
+// attempt makes one attempt.
+func (c *Client) attempt() {
+	if c.state == Finished {
 		return
 	}
-	c.turn(Asking)
-	to, ok := w.front(c)
+	w, service := c.w, c.service()
+	c.transition(Attempting)
+	b, hasBalancer := w.chooseBalancer(c)
 	c.newFlow()
-	c.to, c.asked = to, w.Agenda.now
-	w.Totals.Tries++
-	w.Totals.TriedAt = append(w.Totals.TriedAt, w.Agenda.now)
-	if c.tried > 0 {
-		w.Totals.Retries++
-	}
-	if !ok {
-		w.Answered(c.flow, Nobody, 0)
+	c.attemptedAt = w.Schedule.now
+	w.Totals.countAttempt(w.Schedule.now, c.failedInARow > 0)
+	if !hasBalancer {
+		w.AnswerFlow(c.flow, NoBalancer, 0)
 		return
 	}
-	c.later(s.Timeout, func() {
-		w.Totals.GaveUp++
-		w.Carrier.Leave(c.drop())
-		c.fail(0)
+	c.later(service.Timeout, func() {
+		w.Totals.TimedOut++
+		w.Driver.LeaveFlow(c.endFlow())
+		c.scheduleRetry(0)
 	})
-	w.Carrier.Ask(c.flow, c, to, s.Timeout, c.tried > 0, c.Retried > 0)
-}
-
-// drop ends the flow in hand.
-func (c *Client) drop() FlowID {
-	f := c.flow
-	delete(c.w.flows, f)
-	c.flow = 0
-	return f
+	w.Driver.OpenFlow(Attempt{Flow: c.flow, Client: c, Balancer: b, Timeout: service.Timeout, IsRetry: c.failedInARow > 0, IsReturning: c.retried > 0})
 }
 
-// Answered tells the client of a flow its one final answer.
-func (w *World) Answered(f FlowID, a Answer, after time.Duration) {
+// AnswerFlow tells the client of a flow its final answer.
+func (w *World) AnswerFlow(f FlowID, a Answer, retryAfter time.Duration) {
 	c := w.flows[f]
-	if c == nil || c.state != Asking {
+	if c == nil || c.state != Attempting {
 		return
 	}
-	switch a {
-	case Established:
-		w.Totals.Established++
-		w.Totals.Setups = append(w.Totals.Setups, w.Agenda.now-c.asked)
-		w.Totals.SetupAt = append(w.Totals.SetupAt, w.Agenda.now)
-		c.tried = 0
-		if !c.wasUp {
-			c.wasUp = true
-			w.Totals.FirstUp = append(w.Totals.FirstUp, w.Agenda.now-c.At)
-		}
-		c.turn(Held)
-		c.watchSilence()
-	default:
-		switch a {
-		case Rejected:
-			w.Totals.Rejected++
-			w.Totals.RejectedAt = append(w.Totals.RejectedAt, w.Agenda.now)
-		case Aborted:
-			w.Totals.Aborted++
-		case Nobody:
-			w.Totals.Nobody++
-		}
-		c.drop()
-		if !c.obeys {
-			after = 0
-		}
-		c.fail(after)
+	w.Totals.countAnswer(a, w.Schedule.now)
+	if a == Established {
+		c.connected()
+		return
+	}
+	c.endFlow()
+	if !c.obeysRetryAfter {
+		retryAfter = 0
+	}
+	c.scheduleRetry(retryAfter)
+}
+
+func (c *Client) connected() {
+	now := c.w.Schedule.now
+	c.w.Totals.Setups = append(c.w.Totals.Setups, now-c.attemptedAt)
+	c.failedInARow = 0
+	if !c.hadConnection {
+		c.hadConnection = true
+		c.w.Totals.FirstEstablished = append(c.w.Totals.FirstEstablished, now-c.At)
+	}
+	c.transition(Connected)
+	c.watchForSilence()
+}
+
+// scheduleRetry waits for the next attempt by the service's retry policy, and longer after many.
+func (c *Client) scheduleRetry(retryAfter time.Duration) {
+	c.transition(Pausing)
+	c.failedInARow++
+	c.retried++
+	if c.service().Retry == NeverRetry {
+		return // what it wanted stays unserved
 	}
+	c.later(max(c.retryDelay(), retryAfter, minRetryDelay), c.attempt)
 }
 
-// fail waits for the next try by the client's habit, and longer after many.
-func (c *Client) fail(told time.Duration) {
-	s := c.service()
-	c.turn(Pausing)
-	c.tried++
-	c.Retried++
-	wait := time.Duration(0)
+func (c *Client) retryDelay() time.Duration {
+	service := c.service()
 	switch {
-	case s.Habit == Never:
-		return // it stays away; what it wanted stays unserved
-	case c.tried > s.RetriesInARow:
-		wait = BetweenTimes(c.chance, time.Second, 3*time.Second)
-	case s.Habit == Fixed:
-		wait = s.Wait
-	case s.Habit == Backoff:
-		wait = time.Duration(float64(s.Wait) * math.Pow(2, float64(c.tried-1)) * (0.5 + c.chance.Float64()))
+	case c.failedInARow > service.RetriesInARow:
+		return retryPause.Draw(c.random)
+	case service.Retry == RetryAfterFixedDelay:
+		return service.RetryDelay
+	case service.Retry == RetryWithBackoff:
+		jitter := 0.5 + c.random.Float64()
+		return time.Duration(float64(service.RetryDelay) * math.Pow(2, float64(c.failedInARow-1)) * jitter)
 	}
-	c.later(max(wait, told, time.Millisecond), c.ask)
+	return 0
 }
 
-// Broken ends a standing connection for its client, not by its own will. A moved client comes again sooner.
-func (w *World) Broken(f FlowID, how Ending) {
+// BreakFlow ends a client's connection from outside. The client comes back.
+func (w *World) BreakFlow(f FlowID, how Ending) {
 	c := w.flows[f]
 	if c == nil {
 		return
 	}
-	c.drop()
-	if c.state == Asking {
-		c.fail(0)
-		return
-	}
-	if c.state != Held {
-		return
-	}
-	if how == Moved {
-		w.Totals.Moved++
-	} else {
-		w.Totals.Cut++
+	c.endFlow()
+	switch c.state {
+	case Attempting:
+		c.scheduleRetry(0)
+	case Connected:
+		if how == Migrated {
+			w.Totals.Migrated++
+		} else {
+			w.Totals.Cut++
+		}
+		c.scheduleReturn()
 	}
-	c.comeBack(c.service().ReturnMin, c.service().ReturnMax)
 }
 
-func (c *Client) comeBack(least, most time.Duration) {
-	c.turn(Pausing)
-	c.Retried++
-	c.later(BetweenTimes(c.chance, least, most), c.ask)
+// scheduleReturn has a client that lost its connection come back.
+func (c *Client) scheduleReturn() {
+	c.transition(Pausing)
+	c.retried++
+	c.later(c.service().Return.Draw(c.random), c.attempt)
 }
 
-// watchSilence lets a client whose server says nothing any more give up its connection.
-func (c *Client) watchSilence() {
-	s := c.service()
-	if s.SilenceNoticed <= 0 {
+// watchForSilence has a client give up its connection when its server has shown no sign of life for some time.
+func (c *Client) watchForSilence() {
+	limit := c.service().SilenceNoticed
+	if limit <= 0 {
 		return
 	}
-	quietSince := time.Duration(-1)
-	var look func()
-	look = func() {
-		k := c.atConn
-		quiet := k == nil || !c.at.Alive() || c.w.Net.Blocked(k.from, c.at.Hall) || c.w.Net.Blocked(c.at.Hall, k.from)
-		if !quiet {
-			quietSince = -1
-		} else if quietSince < 0 {
-			quietSince = c.w.Agenda.now
-		} else if c.w.Agenda.now-quietSince >= s.SilenceNoticed {
-			c.w.Carrier.Leave(c.drop())
+	const notSilent = time.Duration(-1)
+	silentSince := notSilent
+	var check func()
+	check = func() {
+		now := c.w.Schedule.now
+		switch {
+		case !c.isSilent():
+			silentSince = notSilent
+		case silentSince == notSilent:
+			silentSince = now
+		case now-silentSince >= limit:
+			c.w.Driver.LeaveFlow(c.endFlow())
 			c.w.Totals.Cut++
-			c.comeBack(s.ReturnMin, s.ReturnMax)
+			c.scheduleReturn()
 			return
 		}
-		c.later(time.Second, look)
+		c.later(silenceInterval, check)
 	}
-	c.later(time.Second, look)
+	c.later(silenceInterval, check)
+}
+
+func (c *Client) isSilent() bool {
+	return c.conn == nil || !c.server.IsServing() || c.w.Network.isPartitioned(c.conn.balancerLocality, c.server.Locality)
 }
 
-// leave: the client wants nothing more.
+// leave ends what the client wants.
 func (c *Client) leave() {
-	if c.state == Done {
+	if c.state == Finished {
 		return
 	}
-	open := c.state == Held || c.state == Asking
-	c.book()
-	c.turn(Done)
-	if open && c.flow != 0 {
-		c.w.Carrier.Leave(c.drop())
+	isOpen := c.state == Connected || c.state == Attempting
+	c.countNeverEstablished()
+	c.transition(Finished)
+	if isOpen && c.flow != 0 {
+		c.w.Driver.LeaveFlow(c.endFlow())
 	}
 }
 
-// Standing counts clients that hold a connection.
-func (w *World) Standing() (n int) {
-	for _, c := range w.clients {
-		if c.state == Held {
-			n++
-		}
+// countNeverEstablished counts a client that leaves, or is left at the end, without having had a connection: how long it waited is part of
+// what a load saw, or a balancer that answers nobody would look fast.
+func (c *Client) countNeverEstablished() {
+	if !c.hadConnection && !c.IsEstablished {
+		c.hadConnection = true // it is counted once
+		c.w.Totals.NeverEstablished = append(c.w.Totals.NeverEstablished, c.w.Schedule.now-c.At)
 	}
-	return n
 }
 
-// Guest takes in a client of somebody else's, that a server is to serve and nobody counts.
-func (w *World) Guest(s ServiceID, g GroupID) (FlowID, *Client) {
-	c := &Client{ID: -1, Visit: Visit{Service: s, Customer: -1, Group: g, Load: w.meanLoad}, w: w, load: w.meanLoad}
+// AddGuest adds a client of somebody else's, which a server is to serve and nobody counts.
+func (w *World) AddGuest(s ServiceID, g GroupID) (FlowID, *Client) {
+	c := &Client{ID: -1, Arrival: Arrival{Service: s, Customer: -1, Group: g, Load: w.meanLoad}, w: w, load: w.meanLoad}
 	c.newFlow()
 	return c.flow, c
 }
-
-// book counts a client that goes, or is left at the end, without ever having had its connection: how long it waited is
-// part of what a load saw, or a balancer that answers nobody would look fast.
-func (c *Client) book() {
-	if !c.wasUp && !c.Standing {
-		c.wasUp = true
-		c.w.Totals.NeverUp = append(c.w.Totals.NeverUp, c.w.Agenda.now-c.At)
-	}
-}
--- a/internal/simulation/list.go
+++ b/internal/simulation/list.go
@@ -5,167 +5,154 @@
 	"time"
 )
 
+// ListConfig says how late the server list is.
+type ListConfig struct {
+	Notice        Interval // until a change is noticed of a process that runs and says so
+	NoticeSilent  Interval // until a server that went silent is noticed
+	NoticeAdded   Interval // until a server that started is noticed
+	Spread        Interval // from there until a balancer is told
+	MustSubscribe bool     // balancers are told nothing until they subscribe
+}
+
 // List is the service that tells balancers of servers: late, and only whether a process runs.
 type List struct {
-	w              *World
-	entries        []Entry
-	revised        []int // revision at which each entry last changed
-	revision       int
-	heldBy         []holding
-	noticeMin      time.Duration
-	noticeMax      time.Duration
-	silentMin      time.Duration
-	silentMax      time.Duration
-	addMin, addMax time.Duration
-	spreadMin      time.Duration
-	spreadMax      time.Duration
-	dark           int // troubles that keep it silent
-	late           time.Duration
-	asked          bool
-	chance         *rand.Rand
-}
-
-// holding is what one balancer has been told.
-type holding struct {
-	revision int
-	asked    bool
-	full     bool // the next news is the whole list
-	pending  bool
-}
-
-func newList(w *World) *List { return &List{w: w, chance: Chance(w.Seed, "list", 0)} }
-
-// StartList sets how late changes are noticed (of processes that run and say so, that went silent, that started), how
-// long news takes from there, and whether balancers must ask.
-func (w *World) StartList(noticeMin, noticeMax, silentMin, silentMax, addMin, addMax, spreadMin, spreadMax time.Duration, asked bool) {
-	l := w.List
-	l.noticeMin, l.noticeMax, l.silentMin, l.silentMax = noticeMin, noticeMax, silentMin, silentMax
-	l.addMin, l.addMax, l.spreadMin, l.spreadMax, l.asked = addMin, addMax, spreadMin, spreadMax, asked
-	for i := range l.heldBy {
-		l.heldBy[i].asked = !asked
+	config      ListConfig
+	w           *World
+	random      *rand.Rand
+	entries     []Entry
+	changedIn   []int // the revision in which each entry last changed
+	revision    int
+	subscribers []subscriber
+	outages     int // faults that keep it silent
+	extraDelay  time.Duration
+}
+
+// subscriber is what one balancer has been told.
+type subscriber struct {
+	revision     int
+	isSubscribed bool
+	needsFull    bool // the next update is the whole list
+	isPending    bool // an update is on its way
+}
+
+func newList(w *World) *List { return &List{w: w, random: RandomSource(w.Seed, "list", 0)} }
+
+// ConfigureList sets how late the list is.
+func (w *World) ConfigureList(c ListConfig) {
+	w.List.config = c
+	for i := range w.List.subscribers {
+		w.List.subscribers[i].isSubscribed = !c.MustSubscribe
 	}
 }
 
-func (l *List) notice() time.Duration {
-	return BetweenTimes(l.chance, l.noticeMin, l.noticeMax) + l.late
+func (l *List) noticeDelay() time.Duration { return l.config.Notice.Draw(l.random) + l.extraDelay }
+func (l *List) silentDelay() time.Duration {
+	return l.config.NoticeSilent.Draw(l.random) + l.extraDelay
 }
+func (l *List) addDelay() time.Duration { return l.config.NoticeAdded.Draw(l.random) + l.extraDelay }
 
 // entry is what the list would say of a server if it knew all.
 func entry(s *Server) Entry {
-	e := Entry{Server: s.ID, Hall: s.Hall, Cell: s.Cell, Size: s.Size, Since: s.since}
+	e := Entry{Server: s.ID, Locality: s.Locality, Cell: s.Cell, Size: s.Size, StartedAt: s.startedAt}
 	switch s.phase {
 	case Leaving:
-		e.State = Draining
-	case Down, Silent, Fallen:
-		e.State = Gone
+		e.Readiness = Draining
+	case Down, Silent, Collapsed:
+		e.Readiness = Gone
 	}
 	return e
 }
 
-// changed takes a server as it is into the list at once, for the start of a day.
+// changed puts a server as it is into the list at once.
 func (l *List) changed(s *Server) {
 	l.revision++
 	if int(s.ID) < len(l.entries) {
-		l.entries[s.ID], l.revised[s.ID] = entry(s), l.revision
+		l.entries[s.ID], l.changedIn[s.ID] = entry(s), l.revision
 		return
 	}
-	l.entries, l.revised = append(l.entries, entry(s)), append(l.revised, l.revision)
+	l.entries, l.changedIn = append(l.entries, entry(s)), append(l.changedIn, l.revision)
 }
 
-// noticed has the list take in a server as it is by then.
-func (l *List) noticed(s *Server, after time.Duration) {
-	l.w.Agenda.After(after, News, func() {
-		if l.entries[s.ID] == entry(s) {
-			return
-		}
-		l.changed(s)
-		for b := range l.heldBy {
-			l.spread(BalancerID(b))
+// updateAfter has the list notice a server as it is by then.
+func (l *List) updateAfter(s *Server, delay time.Duration) {
+	l.w.Schedule.After(delay, ListUpdate, func() {
+		if l.entries[s.ID] != entry(s) {
+			l.changed(s)
+			l.sendAll()
 		}
 	})
 }
 
-// added is when a server that starts is seen, silent when one that only stopped answering is.
-func (l *List) added() time.Duration { return BetweenTimes(l.chance, l.addMin, l.addMax) + l.late }
-func (l *List) silent() time.Duration {
-	return BetweenTimes(l.chance, l.silentMin, l.silentMax) + l.late
+// sendAll tells all balancers what they lack.
+func (l *List) sendAll() {
+	for b := range l.subscribers {
+		l.scheduleSend(BalancerID(b))
+	}
 }
 
-// spread sends a balancer what it lacks, a little later.
-func (l *List) spread(b BalancerID) {
-	if l.heldBy[b].pending || !l.heldBy[b].asked {
+// scheduleSend has a balancer told what it lacks, a little later.
+func (l *List) scheduleSend(b BalancerID) {
+	if l.subscribers[b].isPending || !l.subscribers[b].isSubscribed {
 		return
 	}
-	l.heldBy[b].pending = true
-	l.w.Agenda.After(BetweenTimes(l.chance, l.spreadMin, l.spreadMax), News, func() { l.tell(b) })
+	l.subscribers[b].isPending = true
+	l.w.Schedule.After(l.config.Spread.Draw(l.random), ListUpdate, func() { l.send(b) })
 }
 
-func (l *List) tell(b BalancerID) {
-	h := &l.heldBy[b]
-	h.pending = false
-	if l.dark > 0 || !l.w.Balancers[b].Up || !h.asked || h.revision == l.revision && !h.full {
+func (l *List) send(b BalancerID) {
+	to := &l.subscribers[b]
+	to.isPending = false
+	isCurrent := to.revision == l.revision && !to.needsFull
+	if l.outages > 0 || !l.w.Balancers[b].IsUp || !to.isSubscribed || isCurrent {
 		return
 	}
-	var news []Entry
+	isFull := to.needsFull
+	update := l.updateFor(to)
+	to.revision, to.needsFull = l.revision, false
+	l.w.Driver.UpdateList(b, isFull, update)
+}
+
+func (l *List) updateFor(to *subscriber) (update []Entry) {
 	for i, e := range l.entries {
-		if h.full && e.State != Gone || !h.full && l.revised[i] > h.revision {
-			news = append(news, e)
+		if to.needsFull && e.Readiness != Gone || !to.needsFull && l.changedIn[i] > to.revision {
+			update = append(update, e)
 		}
 	}
-	full := h.full
-	h.revision, h.full = l.revision, false
-	l.w.Carrier.News(b, full, news)
+	return update
 }
 
-// Known is what a balancer that starts has: the list as it last held it.
+// Known is the list as a balancer was last told it, which a balancer that starts has kept.
 func (l *List) Known(b BalancerID) (known []Entry) {
 	for i, e := range l.entries {
-		if l.revised[i] <= l.heldBy[b].revision && e.State != Gone {
+		if l.changedIn[i] <= l.subscribers[b].revision && e.Readiness != Gone {
 			known = append(known, e)
 		}
 	}
 	return known
 }
 
-// Whole is the list as it is now.
-func (l *List) Whole() (revision int, all []Entry) {
-	for _, e := range l.entries {
-		if e.State != Gone {
-			all = append(all, e)
-		}
-	}
-	return l.revision, all
-}
-
-// Dark tells whether the list answers nobody now.
-func (l *List) Dark() bool { return l.dark > 0 }
+// IsUnavailable tells whether the list answers nobody now.
+func (l *List) IsUnavailable() bool { return l.outages > 0 }
 
-// Ask has a balancer subscribe, or want the list once. False: the call fails.
-func (l *List) Ask(b BalancerID) bool {
-	if l.dark > 0 {
+// Subscribe has a balancer told the whole list and its changes. False: the call fails.
+func (l *List) Subscribe(b BalancerID) bool {
+	if l.outages > 0 {
 		return false
 	}
-	l.heldBy[b].asked, l.heldBy[b].full = true, true
-	l.spread(b)
+	l.subscribers[b].isSubscribed, l.subscribers[b].needsFull = true, true
+	l.scheduleSend(b)
 	return true
 }
 
-// restart: a balancer that starts anew is told all, where it need not ask.
+// restart tells a balancer that starts anew the whole list, unless it must subscribe.
 func (l *List) restart(b BalancerID) {
-	l.heldBy[b].full, l.heldBy[b].asked = true, !l.asked
-	l.spread(b)
-}
-
-// catchUp tells all what they missed.
-func (l *List) catchUp() {
-	for b := range l.heldBy {
-		l.spread(BalancerID(b))
-	}
+	l.subscribers[b].needsFull, l.subscribers[b].isSubscribed = true, !l.config.MustSubscribe
+	l.scheduleSend(b)
 }
 
-// Begin tells every balancer the list as it stands: a day starts from what is known.
+// Begin tells every balancer the list as it stands, at once: a day starts from what is known.
 func (l *List) Begin() {
-	for b := range l.heldBy {
-		l.heldBy[b].revision = l.revision
+	for b := range l.subscribers {
+		l.subscribers[b].revision = l.revision
 	}
 }
--- a/internal/simulation/queue.go
+++ b/internal/simulation/queue.go
@@ -1,128 +1,142 @@
 package simulation
 
 import (
+	"math"
 	"slices"
 	"time"
 )
 
-// Queue is one waiting line before some cores that all work at the same pace; the pace may change at any time, as a
-// server that warms, slows or is crowded keeps what it has begun.
+const (
+	anyNumber      = -1  // of jobs that may wait
+	longestWaitSec = 1e9 // a core that all but stands still is looked at again when its speed changes
+	nanosecond     = 1   // added to each end, as ends are rounded down to whole nanoseconds
+)
+
+// Queue is one line of jobs before some cores that all work at the same speed. The speed may change at any time: what has been begun keeps
+// its progress.
 type Queue struct {
-	agenda  *Agenda
-	cores   int
-	room    int     // how many may wait; below 0: any number
-	pace    float64 // work that one core does in a second
-	settled time.Duration
-	busy    []*job
-	line    []*job
-	turn    uint64 // the next end noted last is the only one that counts
+	schedule   *Schedule
+	cores      int
+	maxWaiting int     // below 0: any number
+	speed      float64 // work that one core does in a second
+	settledAt  time.Duration
+	running    []*Job
+	waiting    []*Job
+	version    uint64 // only the end that was scheduled last counts
 }
 
-type job struct {
-	left float64 // work
-	done func()
+// Job is work that a queue has taken in.
+type Job struct {
+	workLeft float64
+	done     func()
 }
 
-// NewQueue makes an empty one of so many cores, each doing pace of work a second, with room for so many that wait.
-func NewQueue(a *Agenda, cores, room int, pace float64) *Queue {
-	return &Queue{agenda: a, cores: cores, room: room, pace: pace}
+// NewQueue makes an empty queue before so many cores, each of which does so much work a second. maxWaiting jobs may wait; any number where
+// it is below 0.
+func NewQueue(s *Schedule, cores, maxWaiting int, speed float64) *Queue {
+	return &Queue{schedule: s, cores: cores, maxWaiting: maxWaiting, speed: speed}
 }
 
-// Put takes work in; it is turned away where the line is full. The returned job can be dropped.
-func (q *Queue) Put(work float64, done func()) (*job, bool) {
+// Put takes a job in; not ok where the line is full. The job that it returns can be dropped.
+func (q *Queue) Put(work float64, done func()) (job *Job, ok bool) {
 	q.settle()
-	j := &job{left: work, done: done}
+	job = &Job{workLeft: work, done: done}
 	switch {
-	case len(q.busy) < q.cores:
-		q.busy = append(q.busy, j)
-	case q.room >= 0 && len(q.line) >= q.room:
+	case len(q.running) < q.cores:
+		q.running = append(q.running, job)
+	case q.maxWaiting >= 0 && len(q.waiting) >= q.maxWaiting:
 		return nil, false
 	default:
-		q.line = append(q.line, j)
+		q.waiting = append(q.waiting, job)
 	}
-	q.note()
-	return j, true
+	q.scheduleNextEnd()
+	return job, true
 }
 
-// Drop gives a job up, wherever it is; one that is done already is passed over.
-func (q *Queue) Drop(j *job) {
+// Drop takes a job out, wherever it is. One that is done already is passed over.
+func (q *Queue) Drop(job *Job) {
 	q.settle()
-	if i := slices.Index(q.line, j); i >= 0 {
-		q.line = slices.Delete(q.line, i, i+1)
-	} else if i := slices.Index(q.busy, j); i >= 0 {
-		q.busy = slices.Delete(q.busy, i, i+1)
-		q.fill()
+	if i := slices.Index(q.waiting, job); i >= 0 {
+		q.waiting = slices.Delete(q.waiting, i, i+1)
+	} else if i := slices.Index(q.running, job); i >= 0 {
+		q.running = slices.Delete(q.running, i, i+1)
+		q.startWaiting()
 	}
-	q.note()
+	q.scheduleNextEnd()
 }
 
-// Clear drops all.
+// Clear drops all jobs.
 func (q *Queue) Clear() {
 	q.settle()
-	q.busy, q.line = nil, nil
-	q.note()
+	q.running, q.waiting = nil, nil
+	q.scheduleNextEnd()
 }
 
-// Pace sets how fast each core works from now on.
-func (q *Queue) Pace(p float64) {
-	if p == q.pace {
+// SetSpeed sets how fast each core works from now on.
+func (q *Queue) SetSpeed(speed float64) {
+	if speed == q.speed {
 		return
 	}
 	q.settle()
-	q.pace = p
-	q.note()
+	q.speed = speed
+	q.scheduleNextEnd()
 }
 
-// Held is how many are in work or wait.
-func (q *Queue) Held() int { return len(q.busy) + len(q.line) }
+// Jobs is how many jobs run or wait.
+func (q *Queue) Jobs() int { return len(q.running) + len(q.waiting) }
 
-// Busy is how many are in work.
-func (q *Queue) Busy() int { return len(q.busy) }
+// Busy is how many jobs run.
+func (q *Queue) Busy() int { return len(q.running) }
 
+// settle takes the work done since the last time off the jobs that run.
 func (q *Queue) settle() {
-	did := q.pace * (q.agenda.now - q.settled).Seconds()
-	for _, j := range q.busy {
-		j.left -= did
+	workDone := q.speed * (q.schedule.now - q.settledAt).Seconds()
+	for _, job := range q.running {
+		job.workLeft -= workDone
 	}
-	q.settled = q.agenda.now
+	q.settledAt = q.schedule.now
 }
 
-func (q *Queue) fill() {
-	for len(q.busy) < q.cores && len(q.line) > 0 {
-		q.busy = append(q.busy, q.line[0])
-		q.line = q.line[1:]
+func (q *Queue) startWaiting() {
+	for len(q.running) < q.cores && len(q.waiting) > 0 {
+		q.running = append(q.running, q.waiting[0])
+		q.waiting = q.waiting[1:]
 	}
 }
 
-// note has the next end looked at. Times are whole nanoseconds: what is left below one of them counts as done.
-func (q *Queue) note() {
-	q.turn++
-	if len(q.busy) == 0 || q.pace <= 0 {
+// scheduleNextEnd schedules the end of the job with the least work left.
+func (q *Queue) scheduleNextEnd() {
+	q.version++
+	if len(q.running) == 0 || q.speed <= 0 {
 		return
 	}
-	least := q.busy[0].left
-	for _, j := range q.busy[1:] {
-		least = min(least, j.left)
+	least := math.Inf(1)
+	for _, job := range q.running {
+		least = min(least, job.workLeft)
 	}
-	turn := q.turn
-	in := min(max(0, least/q.pace), 1e9) // seconds; a core that all but stands still is asked again when its pace changes
-	q.agenda.After(time.Duration(in*float64(time.Second))+1, Work, func() {
-		if turn != q.turn {
-			return
+	seconds := min(max(0, least/q.speed), longestWaitSec)
+	version := q.version
+	q.schedule.After(time.Duration(seconds*float64(time.Second))+nanosecond, Work, func() {
+		if version == q.version {
+			q.endJobs()
 		}
-		q.settle()
-		var over []*job
-		q.busy = slices.DeleteFunc(q.busy, func(j *job) bool {
-			if j.left <= 0 {
-				over = append(over, j)
-				return true
-			}
+	})
+}
+
+// endJobs ends the jobs without work left. Times are whole nanoseconds: what is left below one of them counts as done.
+func (q *Queue) endJobs() {
+	q.settle()
+	var ended []*Job
+	q.running = slices.DeleteFunc(q.running, func(job *Job) bool {
+		if job.workLeft > 0 {
 			return false
-		})
-		q.fill()
-		q.note()
-		for _, j := range over {
-			j.done()
 		}
+		ended = append(ended, job)
+		return true
 	})
+	q.startWaiting()
+	q.scheduleNextEnd()
+	for _, job := range ended {
+		job.done()
+	}
 }
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -7,252 +7,248 @@
 	"time"
 )
 
-// World is one day of it. Call New, the Start calls, AddServer and AddBalancer for all there are, then Begin; from
-// then on what happens is on the Agenda, and the surroundings answer by Arrive, Closed, Answered and Broken.
+const (
+	reportInterval = time.Second // at which a server looks whether it is late
+	settleInterval = 250 * time.Millisecond
+	storeCores     = 1
+)
+
+// World is one day of the model. Call New, the Configure calls, AddServer and AddBalancer for all there are, and then List.Begin,
+// ScheduleFaults and StartLoad; from then on what happens is on the Schedule, and the surroundings answer by ArriveConnect, CloseConnect,
+// AnswerFlow and BreakFlow.
 type World struct {
-	Agenda    *Agenda
-	Carrier   Carrier
-	Seed      uint64
-	Services  []Service
-	Customers []Customer
-	Halls     []string
-	Servers   []*Server
-	Balancers []*Balancer
-	Store     *Queue
-	Books     *Books
-	Net       *Net
-	List      *List
-
-	storeRate   float64
-	storeSlow   float64
-	storeChance *rand.Rand
-	lateFrom    time.Duration
-	message     float64 // work of a message on a core of speed 1, seconds
-	meanLoad    float64
-
-	coldFrom, fallMultiple float64
-	fallWindow, warmAfter  time.Duration
-
-	clients    []*Client // who stand, open or wait; the order is that of their coming
-	lastConn   ConnID
-	conns      map[ConnID]*Server
-	flows      map[FlowID]*Client
-	lastFlow   FlowID
-	source     Source
-	wide       *rand.Rand // chance of all that strikes at large
-	Fell       []ServerID
-	MostPushed float64 // onto any cold server over the window of the rule, over what it took; a few connections are left out
-	onFall     func(ServerID)
+	Schedule   *Schedule
+	Driver     Driver
+	Seed       uint64
+	Services   []Service
+	Customers  []Customer
+	Localities []string
+	Servers    []*Server
+	Balancers  []*Balancer
+	Store      *Queue // nil: there is none
+	Accounting *Accounting
+	Network    *Network
+	List       *List
 	Totals     Totals
-	noticeMin  time.Duration
-	noticeMax  time.Duration
-	drainKind  Drain
-	homeWeight float64
-
-	frontElsewhere bool
-}
 
-// Totals are what a day comes to in numbers of things.
-type Totals struct {
-	Clients, Tries, Retries, Established, Rejected, Aborted, Nobody, GaveUp, Moved, Cut int
-	Setups                                                                              []time.Duration // of those established, as the clients saw them
-	SetupAt                                                                             []time.Duration
-	FirstUp                                                                             []time.Duration // from when a client meant to come to its first connection
-	NeverUp                                                                             []time.Duration // how long those waited who never had one
-	RejectedAt, TriedAt                                                                 []time.Duration
+	Collapsed          []ServerID
+	MaxSlowStartExcess float64 // of the load on a starting server over the window of the rule, over its capacity, less what is put down to chance
+
+	random          *rand.Rand // of what concerns no single client or server
+	slowStart       SlowStartConfig
+	drainKind       Drain
+	reportDelayFrom time.Duration // a message that takes longer is late
+	messageWork     float64       // of a message on a core of speed 1, seconds
+	meanLoad        float64       // of a connection
+	localWeight     float64
+
+	storeRate     float64 // calls a second
+	storeSlowdown float64
+	storeRandom   *rand.Rand
+
+	source   ArrivalSource
+	clients  []*Client // that have not finished; the order changes when one does
+	conns    map[ConnID]*Server
+	flows    map[FlowID]*Client
+	lastConn ConnID
+	lastFlow FlowID
+
+	frontNotice    Interval
+	frontElsewhere bool // the front's beliefs are set from outside
 }
 
-// Balancer is one place where clients can connect; its decisions are made elsewhere.
+// Balancer is a place where clients can connect. Its decisions are made elsewhere.
 type Balancer struct {
 	ID       BalancerID
-	Hall     HallID
-	Up       bool
-	believed bool // by the front
+	Locality LocalityID
+	IsUp     bool
+
+	believedUp bool // by the front, the layer that leads clients to balancers
 }
 
-// New makes an empty world. The books run over length; lateFrom is the delay of a message from which servers tell of it.
-func New(seed uint64, length, lateFrom time.Duration) *World {
-	a := &Agenda{}
-	w := &World{Agenda: a, Seed: seed, lateFrom: lateFrom, storeSlow: 1, homeWeight: 1, conns: map[ConnID]*Server{},
-		flows: map[FlowID]*Client{}, wide: Chance(seed, "wide", 0), storeChance: Chance(seed, "store", 0)}
-	w.Net = newNet()
+// SlowStartConfig says how servers start, and when they collapse.
+type SlowStartConfig struct {
+	From             float64 // least share of its capacity that a server starts with
+	CollapseMultiple float64 // a server that is sent more times its capacity over the window collapses; 0: none does
+	CollapseWindow   time.Duration
+}
+
+// ServicesConfig says what clients ask for.
+type ServicesConfig struct {
+	Services         []Service
+	Customers        []Customer
+	Localities       []string
+	BeyondShareValue float64       // what a value counts beyond a customer's share
+	MeanLoad         float64       // of a connection
+	MessageWork      time.Duration // of a message on a core of speed 1
+}
+
+// New makes an empty world for a day of a length. Servers report the delay of their messages from reportDelayFrom on.
+func New(seed uint64, length, reportDelayFrom time.Duration) *World {
+	w := &World{Schedule: &Schedule{}, Seed: seed, reportDelayFrom: reportDelayFrom, storeSlowdown: 1, localWeight: 1,
+		conns: map[ConnID]*Server{}, flows: map[FlowID]*Client{},
+		random: RandomSource(seed, "wide", 0), storeRandom: RandomSource(seed, "store", 0)}
+	w.Network = newNetwork()
 	w.List = newList(w)
-	w.Books = &Books{Length: length}
+	w.Accounting = &Accounting{Length: length}
 	return w
 }
 
-// StartServices sets what clients ask for; message is the work of one message on a core of speed 1.
-func (w *World) StartServices(services []Service, customers []Customer, halls []string, beyond, meanLoad float64, message time.Duration) {
-	w.Services, w.Customers, w.Halls = services, customers, halls
-	w.meanLoad, w.message = meanLoad, message.Seconds()
-	w.Books = NewBooks(w.Books.Length, len(services), len(customers), len(halls), beyond)
+// ConfigureServices sets what clients ask for.
+func (w *World) ConfigureServices(c ServicesConfig) {
+	w.Services, w.Customers, w.Localities = c.Services, c.Customers, c.Localities
+	w.meanLoad, w.messageWork = c.MeanLoad, c.MessageWork.Seconds()
+	w.Accounting = NewAccounting(w.Accounting.Length, len(c.Services), len(c.Customers), len(c.Localities), c.BeyondShareValue)
 }
 
-// StartStanding sets by how much likelier than elsewhere a connection that stands when the day begins is in its
-// client's own hall, server for server.
-func (w *World) StartStanding(homeWeight float64) { w.homeWeight = homeWeight }
+// ConfigureEstablished sets by how much likelier than elsewhere a connection that is established when the day begins is in its client's
+// own locality, server for server.
+func (w *World) ConfigureEstablished(localWeight float64) { w.localWeight = localWeight }
 
-// StartStore sets the session store that each set-up asks once: calls a second; 0 for none.
-func (w *World) StartStore(rate float64) {
+// ConfigureStore sets the session store that each set-up calls once: calls a second; 0 for none.
+func (w *World) ConfigureStore(rate float64) {
 	if rate > 0 {
 		w.storeRate = rate
-		w.Store = NewQueue(w.Agenda, 1, -1, rate)
+		w.Store = NewQueue(w.Schedule, storeCores, anyNumber, rate)
 	}
 }
 
-// StartCold sets how servers start: what they can do at first, how long they warm, and when they fall over.
-func (w *World) StartCold(from, multiple float64, window, warmAfter time.Duration) {
-	w.coldFrom, w.fallMultiple, w.fallWindow, w.warmAfter = from, multiple, window, warmAfter
-}
+// ConfigureSlowStart sets how servers start.
+func (w *World) ConfigureSlowStart(c SlowStartConfig) { w.slowStart = c }
 
-// StartFront sets how late the layer before the balancers notices that one is dead.
-func (w *World) StartFront(noticeMin, noticeMax time.Duration) {
-	w.noticeMin, w.noticeMax = noticeMin, noticeMax
-}
+// ConfigureFront sets how late the layer before the balancers notices that one is dead.
+func (w *World) ConfigureFront(notice Interval) { w.frontNotice = notice }
 
-// FirstFlow has the flows' ids begin after one: ids that another run used may be kept by balancers that run on.
+// ConfigureDrains sets what a draining server does with its connections.
+func (w *World) ConfigureDrains(d Drain) { w.drainKind = d }
+
+// FirstFlow has the flows' ids begin after one: balancers that run on may still know ids that another run used.
 func (w *World) FirstFlow(after FlowID) { w.lastFlow = after }
 
-// FrontElsewhere has somebody else say, by Believe, which balancers the front takes for alive.
+// FrontElsewhere has SetFrontBelief say which balancers the front believes to be up, in place of the model.
 func (w *World) FrontElsewhere() { w.frontElsewhere = true }
 
-// Believe is that word.
-func (w *World) Believe(b BalancerID, alive bool) { w.Balancers[b].believed = alive }
+// SetFrontBelief sets whether the front believes a balancer to be up.
+func (w *World) SetFrontBelief(b BalancerID, isUp bool) { w.Balancers[b].believedUp = isUp }
 
-// believe is the front's own word.
-func (w *World) believe(b *Balancer, alive bool) {
+// believe is the model's own belief.
+func (w *World) believe(b *Balancer, isUp bool) {
 	if !w.frontElsewhere {
-		b.believed = alive
+		b.believedUp = isUp
 	}
 }
 
-// KillBalancer ends one outright.
-func (w *World) KillBalancer(b BalancerID) { w.kill([]*Balancer{w.Balancers[b]}) }
-
-// ReviveBalancer starts one again.
-func (w *World) ReviveBalancer(b BalancerID) { w.revive([]*Balancer{w.Balancers[b]}) }
-
-// StartDrains sets what a draining server does with its connections.
-func (w *World) StartDrains(d Drain) { w.drainKind = d }
-
-// OnFall has somebody told of a server that was pushed over.
-func (w *World) OnFall(f func(ServerID)) { w.onFall = f }
-
-// AddServer adds a server that has run for long, or starts now where cold is true.
-func (w *World) AddServer(hall HallID, cell CellID, cores int, speed, size float64, most, room int, buffer time.Duration,
-	groupLoad, coldFrom float64, warmTime time.Duration, byWork float64, cold bool) *Server {
-	s := &Server{w: w, ID: ServerID(len(w.Servers)), Hall: hall, Cell: cell, Cores: cores, Speed: speed, Size: size,
-		Cap: most, Buffer: buffer, GroupLoad: groupLoad, coldFrom: max(coldFrom, w.coldFrom), warmTime: warmTime,
-		warmByWork: byWork, since: LongAgo, slow: 1, held: map[ConnID]*conn{}, groups: map[GroupID]int{},
-		slots: map[slot]float64{}, drain: w.drainKind, settled: w.Agenda.now}
-	s.chance = Chance(w.Seed, "server", int(s.ID))
-	s.setups = NewQueue(w.Agenda, cores, room, speed)
-	if cold {
-		s.since = w.Agenda.now
-	}
+// KillBalancer ends a balancer outright.
+func (w *World) KillBalancer(b BalancerID) { w.killBalancers([]*Balancer{w.Balancers[b]}) }
+
+// ReviveBalancer starts a balancer again.
+func (w *World) ReviveBalancer(b BalancerID) { w.reviveBalancers([]*Balancer{w.Balancers[b]}) }
+
+// AddServer adds a server that has run for long.
+func (w *World) AddServer(spec ServerSpec) *Server { return w.addServer(spec, LongAgo) }
+
+// StartServer adds a server that starts now.
+func (w *World) StartServer(spec ServerSpec) *Server { return w.addServer(spec, w.Schedule.now) }
+
+func (w *World) addServer(spec ServerSpec, startedAt time.Duration) *Server {
+	spec.SlowStartFrom = max(spec.SlowStartFrom, w.slowStart.From)
+	s := &Server{ServerSpec: spec, ID: ServerID(len(w.Servers)), w: w, startedAt: startedAt, slowdown: 1,
+		connByID: map[ConnID]*conn{}, groups: map[GroupID]int{}, values: map[valueKey]float64{}, settledAt: w.Schedule.now}
+	s.random = RandomSource(w.Seed, "server", int(s.ID))
+	s.setups = NewQueue(w.Schedule, spec.Cores, spec.MaxWaiting, spec.Speed)
 	w.Servers = append(w.Servers, s)
-	beat := BetweenTimes(s.chance, 0, time.Second)
-	w.every(w.Agenda.now+beat, time.Second, Work, s.lateNote)
-	w.every(w.Agenda.now+beat/4, 250*time.Millisecond, Book, func() { s.settle(); s.changed() })
+	phase := UniformDuration(s.random, 0, reportInterval)
+	w.every(w.Schedule.now+phase, reportInterval, Work, s.reportDelay)
+	w.every(w.Schedule.now+phase/4, settleInterval, Measure, func() {
+		s.settle()
+		s.updateSetupSpeed()
+	})
 	w.List.changed(s)
 	return s
 }
 
-// AddBalancer adds one that serves.
-func (w *World) AddBalancer(h HallID) *Balancer {
-	b := &Balancer{ID: BalancerID(len(w.Balancers)), Hall: h, Up: true, believed: true}
+// AddBalancer adds a balancer that is up.
+func (w *World) AddBalancer(l LocalityID) *Balancer {
+	b := &Balancer{ID: BalancerID(len(w.Balancers)), Locality: l, IsUp: true, believedUp: true}
 	w.Balancers = append(w.Balancers, b)
-	w.List.heldBy = append(w.List.heldBy, holding{asked: true})
+	w.List.subscribers = append(w.List.subscribers, subscriber{isSubscribed: true})
 	return b
 }
 
 // every does something again and again until the end of the day.
-func (w *World) every(from, gap time.Duration, r Rank, do func()) {
+func (w *World) every(from, interval time.Duration, r Rank, do func()) {
 	var next func()
 	next = func() {
 		do()
-		if w.Agenda.now+gap <= w.Books.Length {
-			w.Agenda.After(gap, r, next)
+		if w.Schedule.now+interval <= w.Accounting.Length {
+			w.Schedule.After(interval, r, next)
 		}
 	}
-	w.Agenda.At(from, r, next)
+	w.Schedule.At(from, r, next)
 }
 
+// EverySecond does something at the end of each second of the day.
+func (w *World) EverySecond(do func()) { w.every(time.Second, time.Second, Measure, do) }
+
 // setupWork draws the work of one set-up.
 func (w *World) setupWork(id ServiceID, r *rand.Rand) float64 {
-	v := w.Services[id]
-	if v.WorkSpread == 1 {
-		return v.Work * r.ExpFloat64()
+	service := w.Services[id]
+	if service.WorkSpread == 1 {
+		return service.Work * r.ExpFloat64()
 	}
-	return v.Work * Scatter(r, math.Sqrt(math.Log(1+v.WorkSpread*v.WorkSpread)))
-}
-
-// chance is the load beyond a budget of N connects that may be put down to chance: that of 2√N + 2.
-func (w *World) chance(budget float64) float64 {
-	return 2*math.Sqrt(budget*w.meanLoad) + 2*w.meanLoad
+	return service.Work * LogNormal(r, math.Sqrt(math.Log(1+service.WorkSpread*service.WorkSpread)))
 }
 
-func (w *World) fall(s *Server) {
-	w.Fell = append(w.Fell, s.ID)
-	if w.onFall != nil {
-		w.onFall(s.ID)
+// StoreWait is how long a set-up would wait for the store now, in seconds.
+func (w *World) StoreWait() float64 {
+	if w.Store == nil {
+		return 0
 	}
-	s.die(Fallen)
-	w.List.noticed(s, w.List.notice())
+	return float64(w.Store.Jobs()) * w.storeSlowdown / w.storeRate
 }
 
-// ---- what balancers do to servers
-
-// NextConn is a new id of a connect.
-func (w *World) NextConn() ConnID { w.lastConn++; return w.lastConn }
+// NewConnID is a new id of a connect.
+func (w *World) NewConnID() ConnID {
+	w.lastConn++
+	return w.lastConn
+}
 
-// Knock tells what a new connection from a hall meets at a server now.
-func (w *World) Knock(from HallID, id ServerID) Reach {
+// Reach tells what a new connection from a locality meets at a server now.
+func (w *World) Reach(from LocalityID, id ServerID) Reach {
 	s := w.Servers[id]
 	switch {
-	case s.phase == Silent || w.Net.Blocked(from, s.Hall) || w.Net.Blocked(s.Hall, from):
-		return Silence
-	case !s.Alive():
+	case s.phase == Silent || w.Network.isPartitioned(from, s.Locality):
+		return Unresponsive
+	case !s.IsServing():
 		return Refused
 	}
 	return Open
 }
 
-// Arrive brings a connect's line to its server.
-func (w *World) Arrive(id ConnID, to ServerID, f FlowID, from HallID) {
+// ArriveConnect brings a connect's line to its server.
+func (w *World) ArriveConnect(id ConnID, to ServerID, f FlowID, from LocalityID) {
 	s, c := w.Servers[to], w.flows[f]
-	if c == nil {
-		return // its client has gone meanwhile, and the balancer is about to hear of it
-	}
-	if s.phase == Silent || w.Net.Blocked(from, s.Hall) {
-		return
-	}
-	if !s.Alive() {
-		w.Carrier.Turn(id, Dropped)
-		return
-	}
-	s.arrive(id, c, from)
-}
-
-// Closed says that a balancer has ended its connection to a server.
-func (w *World) Closed(id ConnID) {
-	if s := w.conns[id]; s != nil {
-		s.end(s.held[id])
+	switch {
+	case c == nil: // its client has left, and the balancer is about to be told
+	case s.phase == Silent || w.Network.IsBlocked(from, s.Locality): // the line is lost
+	case !s.IsServing():
+		w.Driver.EndConnect(id, Dropped)
+	default:
+		s.arrive(id, c, from)
 	}
 }
 
-// Find gives the server and client of a connection.
-func (w *World) Find(id ConnID) (*Server, *Client) {
+// CloseConnect says that a balancer has ended its connection to a server.
+func (w *World) CloseConnect(id ConnID) {
 	if s := w.conns[id]; s != nil {
-		return s, s.held[id].client
+		s.end(s.connByID[id])
 	}
-	return nil, nil
 }
 
-// Connections of a server that stand, oldest place first.
+// Connections are the established connections of a server, by id.
 func (s *Server) Connections() (ids []ConnID) {
 	for _, k := range s.conns {
-		if k.stage == standing {
+		if k.stage == established {
 			ids = append(ids, k.id)
 		}
 	}
@@ -260,39 +256,23 @@
 	return ids
 }
 
-// HoldsGroup tells whether any connection of a group stands here.
-func (s *Server) HoldsGroup(g GroupID) bool { return g != NoGroup && s.groups[g] > 0 }
+// Client of a flow; nil when the flow is over.
+func (w *World) Client(f FlowID) *Client { return w.flows[f] }
 
-// Late tells by how much a flow that came now would wait for the cores here, beside others' standing work.
-func (s *Server) Late() float64 {
-	if can := s.Can(); can > 0 {
-		return s.backlog / can
+// Capacity is the work a second that all servers do when they are warm and have no faults.
+func (w *World) Capacity() (sum float64) {
+	for _, s := range w.Servers {
+		sum += s.FullCapacity()
 	}
-	return math.Inf(1)
+	return sum
 }
 
-// ---- end of the day
-
-// End closes the books: what stands has been served until now.
+// End closes the accounts: what is established has been served until now.
 func (w *World) End() {
 	for _, s := range w.Servers {
 		s.settle()
 	}
 	for _, c := range w.clients {
-		c.book()
-	}
-}
-
-// Client of a flow, nil when the flow is over.
-func (w *World) Client(f FlowID) *Client { return w.flows[f] }
-
-// Capacity is what all servers can do, in cores.
-func (w *World) Capacity() (full float64) {
-	for _, s := range w.Servers {
-		full += s.Full()
+		c.countNeverEstablished()
 	}
-	return full
 }
-
-// EverySecond does something at the end of each second of the day.
-func (w *World) EverySecond(do func()) { w.every(time.Second, time.Second, Book, do) }
--- a/internal/testbed/scale/control_real.go
+++ b/internal/testbed/scale/control_real.go
@@ -120,7 +120,7 @@
 }
 
 func startRealFleet(parent context.Context, count, recordBytes int) (*realFleet, error) {
-	port, err := freePort()
+	port, err := freePort(parent)
 	if err != nil {
 		return nil, err
 	}
@@ -148,8 +148,8 @@
 }
 
 // freePort is a port that nobody has at the first address.
-func freePort() (uint16, error) {
-	l, err := net.Listen("tcp", netip.AddrPortFrom(realAddr(0, 0).Addr(), 0).String())
+func freePort(ctx context.Context) (uint16, error) {
+	l, err := (&net.ListenConfig{}).Listen(ctx, "tcp", netip.AddrPortFrom(realAddr(0, 0).Addr(), 0).String())
 	if err != nil {
 		return 0, err
 	}
@@ -197,7 +197,7 @@
 
 // tell has each member tell a record as often as a balancer in such a fleet does, until ctx ends.
 func (f *realFleet) tell(ctx context.Context, recordBytes int, seed uint64) {
-	chance := simulation.Chance(seed, "real members", len(f.members))
+	chance := simulation.RandomSource(seed, "real members", len(f.members))
 	rest := restOf(len(f.members))
 	var next []time.Time
 	for range f.members {
@@ -281,7 +281,7 @@
 		return err
 	}
 	from, began := counter.figures(), time.Now()
-	if err := pause(ctx, wholeExchanges(size, length)); err != nil {
+	if err := pause(ctx, fullExchanges(size, length)); err != nil {
 		return err
 	}
 	to, took := counter.figures(), time.Since(began)
@@ -293,7 +293,7 @@
 	b.against("datagram-bytes-out", "sent by a member in datagrams, headers too", unitBytesSecond, size,
 		(to.datagramBytes-from.datagramBytes+(to.datagrams-from.datagrams)*(datagramHeaders+labelHeader+float64(len(fleetLabel))))/per, model.bytes())
 	b.against("datagrams-out", "datagrams sent by a member", unitPerSecond, size, (to.datagrams-from.datagrams)/per, model.recordDatagrams+model.probeDatagrams)
-	message := len(exchangeMessage(size, nil)) + recordsBytes(size, recordBytes)
+	message := len(exchangeMessage(size)) + recordsBytes(size, recordBytes)
 	b.against("stream-bytes-out", "sent by a member in exchanges, without headers", unitBytesSecond, size,
 		(to.streamBytes-from.streamBytes)/per, 2*float64(message)/exchangeInterval(size).Seconds())
 	b.add("taken-as-gone", "times that a real engine takes a living member as gone: the machine was too busy to answer in time", unitPerSecond, Measured, false, size, (to.gone-from.gone)/per)
@@ -302,9 +302,9 @@
 	return nil
 }
 
-// wholeExchanges is the shortest time from length on in which each member begins equally many exchanges: all that began
+// fullExchanges is the shortest time from length on in which each member begins equally many exchanges: all that began
 // together exchange in the same few seconds of an interval.
-func wholeExchanges(size int, length time.Duration) time.Duration {
+func fullExchanges(size int, length time.Duration) time.Duration {
 	interval := exchangeInterval(size)
 	return (length + interval - 1) / interval * interval
 }
--- a/internal/testbed/scale/fleet_instance.go
+++ b/internal/testbed/scale/fleet_instance.go
@@ -10,16 +10,16 @@
 
 // instance is one hollow balancer of a fleet: the real decisions, and connects that the fleet carries out.
 type instance struct {
-	fleet   *fleet
-	id      int
-	zone    int
-	up      bool
-	life    int
-	started time.Duration
-	newsAt  time.Duration // of the last news on their way
-	module  *decide.Balancer
-	flows   map[decide.FlowID]*flow
-	inOrder []*flow // as they came; those that are over are swept out now and then
+	fleet       *fleet
+	id          int
+	zone        int
+	up          bool
+	incarnation int
+	started     time.Duration
+	updatesAt   time.Duration // of the last news on their way
+	module      *decide.Balancer
+	flows       map[decide.FlowID]*flow
+	inOrder     []*flow // as they came; those that are over are swept out now and then
 }
 
 // flow is one try of a client.
@@ -40,6 +40,7 @@
 // connect is one connect of a flow, from its sending to its end.
 type connect struct {
 	id     invariants.Connect
+	number int
 	flow   *flow
 	server *backend
 	sentAt time.Duration
@@ -52,10 +53,10 @@
 // start begins a life that knows nothing but the list.
 func (b *instance) start() {
 	f := b.fleet
-	b.life++
-	b.up, b.started = true, f.agenda.now
+	b.incarnation++
+	b.up, b.started = true, f.schedule.now
 	b.flows, b.inOrder = map[decide.FlowID]*flow{}, nil
-	f.see(invariants.Event{Kind: invariants.Began, Balancer: invariants.Balancer(b.id)})
+	f.see(invariants.Event{Kind: invariants.BalancerStarted, Balancer: invariants.Balancer(b.id)})
 	b.module = decide.New(f.chance.Uint64(), b)
 	startHollow(b.module, terms{peers: f.peers, inZone: b.zone})
 	b.module.SetTime(0)
@@ -72,7 +73,7 @@
 func (b *instance) fall() {
 	f := b.fleet
 	b.up = false
-	f.see(invariants.Event{Kind: invariants.Died, Balancer: invariants.Balancer(b.id)})
+	f.see(invariants.Event{Kind: invariants.BalancerDied, Balancer: invariants.Balancer(b.id)})
 	for _, x := range b.inOrder {
 		if b.flows[x.name] != x {
 			continue
@@ -90,13 +91,13 @@
 
 // event opens an event: what is decided in it happens now.
 func (b *instance) event() *decide.Balancer {
-	b.module.SetTime(b.fleet.agenda.now - b.started)
+	b.module.SetTime(b.fleet.schedule.now - b.started)
 	return b.module
 }
 
 // ---- the list
 
-var toldStates = [...]invariants.State{decide.Ready: invariants.Ready, decide.Draining: invariants.Draining, decide.Gone: invariants.Gone}
+var announcedStates = [...]invariants.Readiness{decide.Ready: invariants.Ready, decide.Draining: invariants.Draining, decide.Gone: invariants.Gone}
 
 func (b *instance) list(kind decide.UpdateKind, list []server) {
 	m := b.event()
@@ -122,8 +123,8 @@
 }
 
 func (b *instance) told(id decide.ServerID, state decide.Readiness, since time.Duration) {
-	b.fleet.see(invariants.Event{Kind: invariants.Told, Balancer: invariants.Balancer(b.id), Server: invariants.Server(id),
-		State: toldStates[state], Since: since})
+	b.fleet.see(invariants.Event{Kind: invariants.ServerAnnounced, Balancer: invariants.Balancer(b.id), Server: invariants.Server(id),
+		Readiness: announcedStates[state], StartedAt: since})
 }
 
 // ---- flows
@@ -131,7 +132,7 @@
 func (b *instance) add(c *client) *flow {
 	f := b.fleet
 	f.flows++
-	x := &flow{id: invariants.Flow(f.flows), name: flowName(int(f.flows)), in: b, client: c, came: f.agenda.now}
+	x := &flow{id: invariants.Flow(f.flows), name: flowName(int(f.flows)), in: b, client: c, came: f.schedule.now}
 	b.flows[x.name] = x
 	b.inOrder = append(b.inOrder, x)
 	if len(b.inOrder) > 2*len(b.flows)+16 {
@@ -153,11 +154,11 @@
 
 // take has a client come.
 func (b *instance) take(c *client) {
-	x, now := b.add(c), b.fleet.agenda.now
+	x, now := b.add(c), b.fleet.schedule.now
 	x.due = now + connectTimeout - relayReserve
 	t := services[c.service]
-	b.fleet.see(invariants.Event{Kind: invariants.Taken, Balancer: invariants.Balancer(b.id), Flow: x.id, Due: now + connectTimeout,
-		Effect: t.seen, Window: repeatWindow})
+	b.fleet.see(invariants.Event{Kind: invariants.FlowAccepted, Balancer: invariants.Balancer(b.id), Flow: x.id, Deadline: now + connectTimeout,
+		Effect: t.seen, KeyWindow: repeatWindow})
 	b.event().OnFlow(decide.FlowRequest{ID: x.name, Service: decide.ServiceID(c.service), Customer: decide.NoCustomer, Group: groupName(c.group), Timeout: x.due - now})
 }
 
@@ -174,28 +175,28 @@
 		return
 	}
 	x.left = true
-	x.in.fleet.see(invariants.Event{Kind: invariants.Left, Balancer: invariants.Balancer(x.in.id), Flow: x.id})
+	x.in.fleet.see(invariants.Event{Kind: invariants.ClientLeft, Balancer: invariants.Balancer(x.in.id), Flow: x.id})
 	x.stands.finish(decide.OK)
 	x.client.cut()
 }
 
 // answer is a balancer's own final word.
-func (b *instance) answer(name decide.FlowID, verdict invariants.Verdict) {
+func (b *instance) answer(name decide.FlowID, verdict invariants.Answer) {
 	x := b.flows[name]
 	if x == nil {
-		b.fleet.see(invariants.Event{Kind: invariants.Answered, Balancer: invariants.Balancer(b.id), Flow: -1, Verdict: verdict})
+		b.fleet.see(invariants.Event{Kind: invariants.FlowAnswered, Balancer: invariants.Balancer(b.id), Flow: -1, Answer: verdict})
 		return
 	}
-	b.fleet.see(invariants.Event{Kind: invariants.Answered, Balancer: invariants.Balancer(b.id), Flow: x.id, Verdict: verdict})
+	b.fleet.see(invariants.Event{Kind: invariants.FlowAnswered, Balancer: invariants.Balancer(b.id), Flow: x.id, Answer: verdict})
 	if x.answered {
 		return
 	}
 	x.answered = true
 	x.forget()
-	x.client.turnedAway()
+	x.client.rejected()
 }
 
-// ---- what the decisions ask for; see decide.Actions
+// ---- what the decisions ask for; see decide.Act
 
 func (b *instance) Connect(name decide.FlowID, to decide.ServerID, limit time.Duration) {
 	x, f := b.flows[name], b.fleet
@@ -204,19 +205,31 @@
 	}
 	c := f.connect(x, f.server(to))
 	x.sent++
-	f.figures.sent[sentKey{b.id, f.agenda.now / time.Second}]++
-	f.see(invariants.Event{Kind: invariants.Sent, Balancer: invariants.Balancer(b.id), Flow: x.id, Connect: c.id,
+	f.figures.sent[sentKey{b.id, f.schedule.now / time.Second}]++
+	f.see(invariants.Event{Kind: invariants.ConnectSent, Balancer: invariants.Balancer(b.id), Flow: x.id, Connect: c.id,
 		Server: invariants.Server(to), Zone: c.server.zone, Cell: c.server.zone})
 	ends := x.due
 	if limit > 0 {
-		ends = min(ends, f.agenda.now+limit)
+		ends = min(ends, f.schedule.now+limit)
 	}
-	f.agenda.at(ends, func() {
+	f.schedule.at(ends, func() {
 		if !c.stands {
 			c.finish(decide.TimedOut)
 		}
 	})
-	f.agenda.after(f.way(b.zone, c.server.zone), c.arrive)
+	f.schedule.after(f.way(b.zone, c.server.zone), c.arrive)
+}
+
+func (b *instance) Cancel(name decide.FlowID, n int) {
+	x := b.flows[name]
+	if x == nil {
+		return
+	}
+	for _, c := range x.out {
+		if c.number == n && !c.stands {
+			b.fleet.schedule.after(0, func() { c.finish(decide.Cancelled) })
+		}
+	}
 }
 
 func (b *instance) Reject(name decide.FlowID, _ time.Duration) {
@@ -236,7 +249,7 @@
 	}
 	b.fleet.figures.moved++
 	c := x.stands
-	b.fleet.agenda.after(0, func() {
+	b.fleet.schedule.after(0, func() {
 		if !c.over && !x.left {
 			c.finish(decide.Cancelled)
 		}
@@ -244,9 +257,9 @@
 }
 
 func (b *instance) SetTimer(mark decide.TimerID, in time.Duration) {
-	life := b.life
-	b.fleet.agenda.after(max(in, time.Microsecond), func() {
-		if b.up && b.life == life {
+	life := b.incarnation
+	b.fleet.schedule.after(max(in, time.Microsecond), func() {
+		if b.up && b.incarnation == life {
 			b.event().OnTimer(mark)
 		}
 	})
@@ -254,3 +267,5 @@
 
 func (b *instance) HealthCheck(decide.ServerID) {}
 func (b *instance) WatchEndpoints(bool)         {}
+func (b *instance) FetchEndpoints()             {}
+func (b *instance) Log(string)                  {}
--- a/internal/testbed/scale/fleet_test.go
+++ b/internal/testbed/scale/fleet_test.go
@@ -58,7 +58,7 @@
 	}
 }
 
-func TestFaultStopsWhenTold(t *testing.T) {
+func TestFaultStopsWithItsContext(t *testing.T) {
 	ctx, stop := context.WithCancel(context.Background())
 	stop()
 	if _, err := faults[0].play(ctx, smallFaults[0], 1); err == nil {
@@ -70,10 +70,10 @@
 func brokenBy(t *testing.T, tell func(*fleet)) map[invariants.Rule]bool {
 	t.Helper()
 	f := newFleet(smallFaults[0], smallFaults[0].Balancers, 1)
-	f.agenda.at(faultAt, func() { tell(f) })
+	f.schedule.at(faultAt, func() { tell(f) })
 	for i := range 4000 {
 		c := f.addClient(f.balancers[i%len(f.balancers)], i)
-		f.agenda.at(time.Duration(i)*4*time.Millisecond, c.come)
+		f.schedule.at(time.Duration(i)*4*time.Millisecond, c.come)
 	}
 	f.run(20*time.Second, func() bool { return false })
 	broken := map[invariants.Rule]bool{}
@@ -84,7 +84,7 @@
 }
 
 // The drive shows the referee what it judges by: with balancers that are not told what it is told, rules break.
-func TestRefereeSeesTheDrive(t *testing.T) {
+func TestCheckerSeesTheDriver(t *testing.T) {
 	if broken := brokenBy(t, func(*fleet) {}); len(broken) > 0 {
 		t.Errorf("rules %v broken though nothing was kept back", broken)
 	}
@@ -95,7 +95,7 @@
 			}
 		}
 	})
-	if !drained[invariants.DrainsKept] {
+	if !drained[invariants.DrainsRespected] {
 		t.Errorf("rules %v broken by balancers that were not told of drains", drained)
 	}
 	flooded := brokenBy(t, func(f *fleet) {
@@ -117,7 +117,7 @@
 			m.EndEndpoints()
 		}
 	})
-	if !flooded[invariants.NoneFloodedCold] {
+	if !flooded[invariants.SlowStartRespected] {
 		t.Errorf("rules %v broken by balancers that were not told of cold servers", flooded)
 	}
 }
--- a/internal/testbed/scale/real_compare.go
+++ b/internal/testbed/scale/real_compare.go
@@ -39,7 +39,7 @@
 
 // compareWithHollow measures the same of a real process and of hollow balancers, against the servers on the list.
 func compareWithHollow(ctx context.Context, settings Settings, progress Progress) ([]Series, []Check, error) {
-	s, err := readReal(settings, 2, mostRealServers-realListsTold, "servers")
+	s, err := readReal(settings, mostRealServers-realListsSent, "servers")
 	if err != nil {
 		return nil, nil, err
 	}
@@ -52,7 +52,7 @@
 	var smallest [2]float64 // of the list's memory, real and hollow
 	for i, n := range s.Sizes {
 		progress(i, len(s.Sizes))
-		real, err := comparedReal(ctx, s, n)
+		realFigures, err := comparedReal(ctx, s, n)
 		if err != nil {
 			return nil, nil, err
 		}
@@ -61,15 +61,15 @@
 			return nil, nil, err
 		}
 		if i == 0 {
-			smallest = [2]float64{real["list-memory"][0], hollow["list-memory"][0]}
+			smallest = [2]float64{realFigures["list-memory"][0], hollow["list-memory"][0]}
 		}
-		real["list-memory"][0] -= smallest[0]
+		realFigures["list-memory"][0] -= smallest[0]
 		hollow["list-memory"][0] -= smallest[1]
 		for _, c := range comparisons {
-			set.add("compare."+c.name+".real", c.quantity+", a real process", c.unit, n, real[c.name][0])
+			set.add("compare."+c.name+".real", c.quantity+", a real process", c.unit, n, realFigures[c.name][0])
 			set.add("compare."+c.name+".hollow", c.quantity+", hollow", c.unit, n, median(hollow[c.name]))
 			if i > 0 || c.name != "list-memory" {
-				checks = append(checks, c.check(n, real[c.name][0], hollow[c.name]))
+				checks = append(checks, c.check(n, realFigures[c.name][0], hollow[c.name]))
 			}
 		}
 	}
@@ -78,13 +78,13 @@
 }
 
 // check tells whether two figures are close, or apart for a reason that is known.
-func (c comparison) check(servers int, real float64, hollow []float64) Check {
+func (c comparison) check(servers int, realFigure float64, hollow []float64) Check {
 	least, most := slices.Min(hollow), slices.Max(hollow)
 	check := Check{Name: fmt.Sprintf("%s at %d servers: hollow is within 20 %% of real, or why not is known", c.name, servers),
-		Held:   real >= least*(1-compareWithin) && real <= most*(1+compareWithin),
-		Detail: fmt.Sprintf("real %.4g %s, hollow %.4g to %.4g, %+.0f %% in the middle", real, c.unit, least, most, 100*(median(hollow)/real-1))}
+		Held:   realFigure >= least*(1-compareWithin) && realFigure <= most*(1+compareWithin),
+		Detail: fmt.Sprintf("real %.4g %s, hollow %.4g to %.4g, %+.0f %% in the middle", realFigure, c.unit, least, most, 100*(median(hollow)/realFigure-1))}
 	why := c.more
-	if real > most {
+	if realFigure > most {
 		why = c.less
 	}
 	if !check.Held && why != "" {
@@ -111,11 +111,11 @@
 	if err != nil {
 		return nil, err
 	}
-	change, err := p.costOf(ctx, empty, realChangesTold, realChangeEvery, func(i int) { p.list.toggle(i * 7) })
+	change, err := p.costOf(ctx, empty, realChangesSent, realChangeEvery, func(i int) { p.list.toggle(i * 7) })
 	if err != nil {
 		return nil, err
 	}
-	together, err := p.costOf(ctx, empty, realListsTold, 4*realChangeEvery, func(i int) {
+	together, err := p.costOf(ctx, empty, realListsSent, 4*realChangeEvery, func(i int) {
 		for j := range changesAtATime {
 			p.list.toggle(i*changesAtATime + j)
 		}
@@ -123,7 +123,7 @@
 	if err != nil {
 		return nil, err
 	}
-	whole, err := p.costOf(ctx, empty, realListsTold, 4*realChangeEvery, func(int) { p.list.tellWhole() })
+	whole, err := p.costOf(ctx, empty, realListsSent, 4*realChangeEvery, func(int) { p.list.sendFull() })
 	if err != nil {
 		return nil, err
 	}
@@ -170,14 +170,14 @@
 
 // takeLists measures what the real reading of the list and the decisions behind it cost in this process.
 func (f comparedFigures) takeLists(ctx context.Context, seed uint64, servers int) error {
-	taker, err := newListTaker(ctx, seed)
+	taker, err := newListReader(ctx, seed)
 	if err != nil {
 		return err
 	}
 	defer taker.close()
 	before := liveMemory()
 	revision := 1
-	if err := taker.take(ctx, [][]byte{wholeList(servers, revision).line()}, revision); err != nil {
+	if err := taker.take(ctx, [][]byte{fullList(servers, revision).line()}, revision); err != nil {
 		return err
 	}
 	f["list-memory"] = []float64{float64(liveMemory() - before)}
@@ -190,9 +190,9 @@
 	for range compareTimes {
 		whole := measure(compareRounds, 1, func() {
 			revision++
-			take([][]byte{wholeList(servers, revision).line()})
+			take([][]byte{fullList(servers, revision).line()})
 		})
-		written := measure(compareRounds, 1, func() { wholeList(servers, revision).line() })
+		written := measure(compareRounds, 1, func() { fullList(servers, revision).line() })
 		change := measure(compareRounds, 1, func() {
 			objects := lines(changesOneByOne(spreadOver(servers), revision+1))
 			revision += changesAtATime
--- a/internal/testbed/scale/real_held.go
+++ b/internal/testbed/scale/real_held.go
@@ -49,14 +49,14 @@
 
 // realConnections measures a process that holds idle connections, against their number.
 func realConnections(ctx context.Context, settings Settings, progress Progress) ([]Series, []Check, error) {
-	s, err := readReal(settings, 2, mostRealConnections, "connections")
+	s, err := readReal(settings, mostRealConnections, "connections")
 	if err != nil {
 		return nil, nil, err
 	}
 	set := &realSeries{role: realRoleDataPath, against: "connections",
 		held: map[string]float64{"servers": float64(s.Servers), "groups": float64(s.Groups), "zones": float64(s.Zones)}}
 	prefix := fmt.Sprintf("real.connections.%d-servers", s.Servers)
-	checks, err := withHeld(ctx, s, progress, func(p *realProcess, c *standInClients, n int) error {
+	checks, err := withHeld(ctx, s, progress, func(p *realProcess, _ *standInClients, n int) error {
 		share, err := p.processorShare(ctx, s.quiet)
 		if err != nil {
 			return err
@@ -74,7 +74,7 @@
 
 // realDeliveries measures what a line from a server to a client costs, against the connections held. All get lines in turn.
 func realDeliveries(ctx context.Context, settings Settings, progress Progress) ([]Series, []Check, error) {
-	s, err := readReal(settings, 2, mostRealConnections, "connections")
+	s, err := readReal(settings, mostRealConnections, "connections")
 	if err != nil {
 		return nil, nil, err
 	}
@@ -115,7 +115,7 @@
 		if wait > 1000 {
 			return 0, &ProcessError{What: fmt.Sprintf("%d of %d lines came", c.lines.Load()-had, sent), Do: "run fewer things at once"}
 		}
-		if err := pause(ctx, realAskAgain); err != nil {
+		if err := pause(ctx, realPollInterval); err != nil {
 			return 0, err
 		}
 	}
@@ -129,7 +129,7 @@
 
 // realPlacements measures one connection from its coming to its end, sockets included, against the servers on the list.
 func realPlacements(ctx context.Context, settings Settings, progress Progress) ([]Series, []Check, error) {
-	s, err := readReal(settings, 2, mostRealServers, "servers")
+	s, err := readReal(settings, mostRealServers, "servers")
 	if err != nil {
 		return nil, nil, err
 	}
--- /dev/null
+++ b/internal/testbed/scenario/scenario_test.go
@@ -0,0 +1,127 @@
+package scenario
+
+import (
+	"bytes"
+	"context"
+	"os"
+	"path/filepath"
+	"strings"
+	"sync"
+	"testing"
+
+	"yardwinch/internal/testbed/count"
+	"yardwinch/internal/testbed/experiment"
+	"yardwinch/internal/testbed/invariants"
+	"yardwinch/internal/testbed/report"
+)
+
+func open(t *testing.T, name string) *experiment.Experiment {
+	t.Helper()
+	e, err := experiment.Open(filepath.Join("..", "..", "..", "experiments", name+".toml"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return e
+}
+
+// randomDays are run once for the two tests that look at them.
+var randomDays = sync.OnceValues(func() ([]*count.Result, error) {
+	e, err := experiment.Open("../../../experiments/mixed.toml")
+	if err != nil {
+		return nil, err
+	}
+	days := 200
+	if testing.Short() {
+		days = 20
+	}
+	return RunAll(context.Background(), e, NewJobs([]string{"ours"}, 1, days), 0, nil)
+})
+
+// checkRandomDays fails on each violation that matches.
+func checkRandomDays(t *testing.T, matches func(violation string) bool) {
+	results, err := randomDays()
+	if err != nil {
+		t.Fatal(err)
+	}
+	judged := 0
+	for _, r := range results {
+		judged += r.Judged
+		if r.Broken > len(r.Violations) {
+			t.Errorf("seed %d: more violations than are listed", r.Seed)
+		}
+		for _, v := range r.Violations {
+			if matches(v) {
+				t.Errorf("seed %d: %s", r.Seed, v)
+			}
+		}
+	}
+	if judged < 100*len(results) {
+		t.Errorf("only %d flows were judged", judged)
+	}
+}
+
+func TestRulesOverRandomDays(t *testing.T) {
+	checkRandomDays(t, func(violation string) bool {
+		return !strings.Contains(violation, invariants.SlowStartRespected.String())
+	})
+}
+
+// Apart from the other rules, so that a known failure of this one hides none of theirs.
+func TestSlowStartRespectedOverRandomDays(t *testing.T) {
+	checkRandomDays(t, func(violation string) bool {
+		return strings.Contains(violation, invariants.SlowStartRespected.String())
+	})
+}
+
+func TestSameBytesForAnyNumberOfWorkers(t *testing.T) {
+	e := open(t, "mixed")
+	var first []byte
+	for i, workers := range []int{1, 8, 8, 1} {
+		results, err := RunAll(context.Background(), e, NewJobs([]string{"ours", "two-choices", "top"}, 3, 4), workers, nil)
+		if err != nil {
+			t.Fatal(err)
+		}
+		var b bytes.Buffer
+		if err := report.JSON(&b, e.Name, e.About, results); err != nil {
+			t.Fatal(err)
+		}
+		if i == 0 {
+			first = b.Bytes()
+		} else if !bytes.Equal(first, b.Bytes()) {
+			t.Fatalf("run %d with %d workers differs", i, workers)
+		}
+	}
+}
+
+func TestShippedExperimentsCanBePlayed(t *testing.T) {
+	files, err := filepath.Glob(filepath.Join("..", "..", "..", "experiments", "*.toml"))
+	more, _ := filepath.Glob(filepath.Join("..", "..", "..", "experiments", "*", "*.toml")) // the pattern is sound
+	if files = append(files, more...); err != nil || len(files) < 28 {
+		t.Fatalf("%d files, %v", len(files), err)
+	}
+	for _, f := range files {
+		switch filepath.Base(filepath.Dir(f)) {
+		case "fleet", "scale":
+			continue // plans of real processes and sweeps over sizes: internal/testbed/fleet and internal/testbed/scale read them
+		}
+		t.Run(filepath.Base(filepath.Dir(f))+"/"+filepath.Base(f), func(t *testing.T) {
+			t.Parallel()
+			text, err := os.ReadFile(f)
+			if err != nil {
+				t.Fatal(err)
+			}
+			e, err := experiment.Read(f, text)
+			if err != nil {
+				t.Fatal(err)
+			}
+			r, err := RunDay(e.Sized(3, 9).Stretched(0.3), 1, "ours", nil, nil)
+			if err != nil || r.Judged == 0 || r.ServedShare <= 0 || r.Service > 1 || r.Broken > 0 {
+				t.Errorf("%v: %+v", err, r)
+			}
+			var page bytes.Buffer
+			if err := report.HTML(&page, e.Name, e.About, []*count.Result{r}); err != nil || !strings.Contains(page.String(), "<polyline") {
+				t.Errorf("no plot drawn: %v", err)
+			}
+		})
+	}
+}
