--- a/internal/testbed/fleet/members.go
+++ b/internal/testbed/fleet/members.go
@@ -72,7 +72,7 @@
 	defer ticker.Stop()
 	for {
 		var view daemon.MembersView
-		err := explain.Members(r.ctx, p.explainSocket(), &view)
+		err := explain.Members(ctx, p.explainSocket(), &view)
 		r.driver.Do(func() {
 			if err == nil && (p.state == running || p.state == starved) { // else what it saw last still counts
 				p.addView(r.driver.Elapsed(), view)
--- a/internal/testbed/scenario/gossip.go
+++ b/internal/testbed/scenario/gossip.go
@@ -14,9 +14,8 @@
 )
 
 const (
-	gossipInterval      = 250 * time.Millisecond
-	gossipDelay         = 600 * time.Millisecond // from one balancer to all: what half of a fleet of some hundred takes, see testbed spread
-	lateShareOfMessages = 3                      // a message is late from this part of its target on
+	gossipInterval = 250 * time.Millisecond
+	gossipDelay    = 600 * time.Millisecond // from one balancer to all: what half of a fleet of some hundred takes, see testbed spread
 )
 
 // gossip stands in for the gossip between balancers in virtual time: what one publishes reaches all others a fixed time later. testbed
