--- a/constraints/endpoints.go
+++ b/constraints/endpoints.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// SetDisabled takes a server out of service or gives it back, whatever the list says.
+// SetDisabled disables a server administratively or enables it again, whatever the list says.
 func (b *ConstrainedBalancer) SetDisabled(server decide.ServerID, disabled bool) {
 	if entry, ok := b.listed[server]; ok && entry.disabled != disabled {
 		entry.disabled = disabled
@@ -77,7 +77,8 @@
 // Snapshot returns what the decisions know now.
 func (b *ConstrainedBalancer) Snapshot() decide.Snapshot { return b.balancer.Snapshot() }
 
-// Restore continues from the snapshot of another instance. The constraints get its endpoint list and learn the rest anew.
+// Restore continues from the snapshot of another instance. The constraints get its endpoint list and learn the
+// rest anew.
 func (b *ConstrainedBalancer) Restore(snapshot decide.Snapshot) {
 	for _, known := range snapshot.Servers {
 		b.zones[known.ID] = known.Zone
--- /dev/null
+++ b/internal/daemon/admin_calls.go
@@ -0,0 +1,169 @@
+package daemon
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"time"
+
+	"yardwinch/internal/admin"
+	"yardwinch/internal/handover"
+	"yardwinch/internal/routing"
+)
+
+const (
+	callTimeout           = 750 * time.Millisecond // for both processes to make a change
+	successorGoneInterval = time.Millisecond       // between the end of a successor and this process deciding again
+)
+
+// adminCalls are the operators' calls. The texts of their errors are the answers that operators get.
+type adminCalls struct{ daemon *Daemon }
+
+// Ready says why this process can't serve, or nil.
+func (c adminCalls) Ready() error {
+	switch now := c.daemon.lifecycle.current(); now {
+	case serving, draining, drained:
+	default:
+		return fmt.Errorf("%w: %s", admin.ErrNotReady, now)
+	}
+	if !c.daemon.router.HasEndpoints() {
+		return fmt.Errorf("%w: no list of servers yet", admin.ErrNotReady)
+	}
+	return nil
+}
+
+// Offline disables a server; a second call has no further effect.
+func (c adminCalls) Offline(ctx context.Context, server string) error {
+	return c.daemon.requestChange(ctx, handover.Change{Kind: handover.Offline, Server: server})
+}
+
+// Online enables a server, however often it was disabled.
+func (c adminCalls) Online(ctx context.Context, server string) error {
+	return c.daemon.requestChange(ctx, handover.Change{Kind: handover.Online, Server: server})
+}
+
+// OutOfService drains the balancer; a second call has no further effect.
+func (c adminCalls) OutOfService(ctx context.Context) error {
+	return c.daemon.requestChange(ctx, handover.Change{Kind: handover.OutOfService})
+}
+
+// InService has the balancer accept clients again, whether or not it is drained by now.
+func (c adminCalls) InService(ctx context.Context) error {
+	return c.daemon.requestChange(ctx, handover.Change{Kind: handover.InService})
+}
+
+// requestChange has a change decided by the process that serves, this one or its successor, and returns when both
+// have made it.
+func (d *Daemon) requestChange(ctx context.Context, change handover.Change) error {
+	ctx, done := context.WithTimeout(ctx, callTimeout)
+	defer done()
+	select {
+	case <-d.lifecycle.started:
+	case <-ctx.Done():
+		return fmt.Errorf("%w: %s", admin.ErrNotReady, d.lifecycle.current())
+	}
+	for {
+		err := d.attemptChange(ctx, change)
+		if !errors.Is(err, handover.ErrPeerGone) {
+			return err
+		}
+		select { // the successor has ended; this process decides again in a moment
+		case <-ctx.Done():
+			return admin.ErrNotReady
+		case <-time.After(successorGoneInterval):
+		}
+	}
+}
+
+// attemptChange has a change decided once. ErrPeerGone says that the successor ended before it answered.
+func (d *Daemon) attemptChange(ctx context.Context, change handover.Change) error {
+	d.changing.Lock()
+	successor := d.successor
+	if successor != nil {
+		d.changing.Unlock()
+		return forwardChange(ctx, successor, change)
+	}
+	notified, err := d.decideChange(ctx, change)
+	d.changing.Unlock()
+	if err != nil {
+		return err
+	}
+	d.awaitSaved(ctx)
+	return awaitNotified(ctx, notified)
+}
+
+// forwardChange has the successor decide on a change.
+func forwardChange(ctx context.Context, successor *handover.Link, change handover.Change) error {
+	var unknown bool
+	_, err := successor.Request(messageRequestChange, change).Wait(ctx, &unknown)
+	if err == nil && unknown {
+		return fmt.Errorf("%w: %q", admin.ErrUnknown, change.Server)
+	}
+	return err
+}
+
+// decideChange makes a change in this process, which serves, and notifies the predecessor of it. The caller holds
+// changing; it may let go of it while it waits for the predecessor with awaitNotified.
+func (d *Daemon) decideChange(ctx context.Context, change handover.Change) (notified *handover.PendingReply, err error) {
+	switch change.Kind {
+	case handover.Offline, handover.Online:
+		err = d.setDisabled(change.Server, change.Kind == handover.Offline)
+	case handover.OutOfService:
+		if now := d.lifecycle.current(); now != draining && now != drained {
+			err = d.tryTransition(ctx, draining)
+		}
+	case handover.InService:
+		if d.lifecycle.current() != serving {
+			err = d.tryTransition(ctx, serving)
+		}
+	default:
+		err = fmt.Errorf("unknown change %q", change.Kind)
+	}
+	if err != nil || d.predecessor == nil {
+		return nil, err
+	}
+	return d.predecessor.Request(messageApplyChange, change), nil
+}
+
+// awaitNotified waits until the predecessor has made a change; nil stands for no predecessor.
+func awaitNotified(ctx context.Context, notified *handover.PendingReply) error {
+	if notified == nil {
+		return nil
+	}
+	_, err := notified.Wait(ctx, nil)
+	if errors.Is(err, handover.ErrPeerGone) {
+		return nil // it has no clients any more
+	}
+	return err
+}
+
+// tryTransition is a transition that an operator called for.
+func (d *Daemon) tryTransition(ctx context.Context, to phase) error {
+	if !d.lifecycle.transition(ctx, to) {
+		return fmt.Errorf("%w: %s", admin.ErrNotReady, d.lifecycle.current())
+	}
+	return nil
+}
+
+// setDisabled disables or enables a server. That is in force at once, whether or not it can be saved; the caller
+// awaits the save.
+func (d *Daemon) setDisabled(server string, disabled bool) error {
+	before, known := d.router.IsDisabled(server)
+	if !known {
+		return fmt.Errorf("%w: %w: %q", admin.ErrUnknown, routing.ErrUnknownServer, server)
+	}
+	if err := d.router.SetDisabled(server, disabled); err != nil {
+		return err
+	}
+	if d.disabled != nil && before != disabled {
+		d.disabled.onChange(server)
+	}
+	return nil
+}
+
+// awaitSaved waits until the changes made here survive a kill, for as long as an operator's answer may wait for it.
+func (d *Daemon) awaitSaved(ctx context.Context) {
+	if d.disabled != nil {
+		d.disabled.awaitSaved(ctx)
+	}
+}
--- /dev/null
+++ b/internal/daemon/admin_calls_test.go
@@ -0,0 +1,122 @@
+package daemon
+
+import (
+	"bufio"
+	"errors"
+	"net/http"
+	"os"
+	"testing"
+	"time"
+
+	"yardwinch/internal/admin"
+)
+
+// Out of service, PING is answered BUSY at once, clients that still come are served and migrated, and later ones
+// get a Retry-After. Back in service, all is as before, also where the drain was called off. A balancer out of
+// service remains so while it shuts down.
+func TestOutOfServiceDrains(t *testing.T) {
+	const allowed = 4 * time.Second
+	h := newHarness(t).start(os.Getenv)
+	early := h.wantFlow("before", "UP 1")
+	h.wantPing("PONG")
+	h.wantStatus("POST", "out-of-service", http.StatusOK)
+	start := time.Now()
+	h.wantPing("BUSY")
+	late := h.wantFlow("sent here just after the call", "UP 1")
+	h.wantStatus("POST", "out-of-service", http.StatusOK) // a second call changes nothing
+	h.wantStatus("GET", "ready", http.StatusOK)
+	for _, client := range []*bufio.Reader{early, late} {
+		wantMigration(t, client)
+	}
+	if took := time.Since(start); took > allowed {
+		t.Errorf("drained after %v, %v are allowed", took, allowed)
+	}
+	awaitThat(t, "drained", func() bool { return h.daemon.lifecycle.current() == drained })
+	h.wantFlow("out of service", "BUSY 700")
+
+	h.wantStatus("POST", "in-service", http.StatusOK)
+	h.wantPing("PONG")
+	h.wantFlow("back in service", "UP 1")
+
+	h.wantStatus("POST", "out-of-service", http.StatusOK)
+	h.wantStatus("POST", "in-service", http.StatusOK) // calls the drain off
+	h.wantPing("PONG")
+	client := h.wantFlow("after a drain that was called off", "UP 1")
+
+	h.wantStatus("POST", "out-of-service", http.StatusOK)
+	h.stop()
+	h.awaitStatus("GET", "ready", http.StatusServiceUnavailable)
+	h.wantPing("BUSY")
+	wantMigration(t, client)
+	h.end()
+}
+
+func TestAdminCallsByPhase(t *testing.T) {
+	for _, c := range []struct {
+		phase               phase
+		ready               bool
+		mayLeave, mayReturn bool  // the calls out of service, and into it
+		afterLeaving        phase // of the call out of service
+	}{
+		{loading, false, false, false, loading},
+		{serving, true, true, true, draining},
+		{draining, true, true, true, draining},
+		{drained, true, true, true, drained},
+		{handingOver, false, true, true, draining}, // where the successor has ended
+		{shuttingDown, false, false, false, shuttingDown},
+		{stopped, false, false, false, stopped},
+	} {
+		t.Run(string(c.phase), func(t *testing.T) {
+			left, returned := callsInPhase(t, c.phase), callsInPhase(t, c.phase)
+			for call, got := range map[string]struct {
+				err     error
+				allowed bool
+			}{
+				"ready":          {left.Ready(), c.ready},
+				"out of service": {left.OutOfService(t.Context()), c.mayLeave},
+				"in service":     {returned.InService(t.Context()), c.mayReturn},
+			} {
+				if (got.err == nil) != got.allowed {
+					t.Errorf("%s gives %v", call, got.err)
+				}
+			}
+			if now := left.daemon.lifecycle.current(); now != c.afterLeaving {
+				t.Errorf("out of service leads to %s", now)
+			}
+			if err := left.Ready(); err != nil && !errors.Is(err, admin.ErrNotReady) {
+				t.Error(err)
+			}
+		})
+	}
+}
+
+// callsInPhase are the calls of a daemon that is in a phase without having been served.
+func callsInPhase(t *testing.T, in phase) adminCalls {
+	t.Helper()
+	h := newHarness(t)
+	d, err := prepare(t.Context(), Source{ConfigPath: h.path, Environment: os.Getenv})
+	if err != nil {
+		t.Fatal(err)
+	}
+	d.lifecycle.phase = in
+	if in != loading {
+		d.lifecycle.startedOnce.Do(func() { close(d.lifecycle.started) })
+	}
+	t.Cleanup(func() {
+		d.lifecycle.transition(t.Context(), stopped)
+		d.lifecycle.work.Wait()
+	})
+	return adminCalls{d}
+}
+
+// A server is disabled before the answer: without another one the next client gets a Retry-After.
+func TestDisabledServers(t *testing.T) {
+	h := newHarness(t).start(os.Getenv)
+	h.wantStatus("POST", "servers/b/offline", http.StatusNotFound)
+	h.wantStatus("POST", "servers/a/offline", http.StatusOK)
+	h.wantFlow("with its only server disabled", "BUSY 700")
+	h.wantStatus("POST", "servers/a/offline", http.StatusOK)
+	h.wantStatus("POST", "servers/a/online", http.StatusOK)
+	h.awaitFlow() // in slow start a server takes its first flow within seconds
+	h.end()
+}
--- /dev/null
+++ b/internal/daemon/consecutive_upgrades_test.go
@@ -0,0 +1,103 @@
+package daemon
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"net"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+)
+
+// upgradeClients are clients during upgrades, and all that is wrong for them.
+type upgradeClients struct {
+	t       *testing.T
+	address string
+	over    atomic.Bool
+	opened  atomic.Int64
+	lines   atomic.Int64 // that came back
+	clients sync.WaitGroup
+}
+
+// open opens a flow; in is nil if it is not accepted.
+func (c *upgradeClients) open(id string) (conn net.Conn, in *bufio.Reader) {
+	conn, err := tryDial(c.t, c.address)
+	if err != nil {
+		c.t.Errorf("%s can't connect: %v", id, err)
+		return nil, nil
+	}
+	_ = conn.SetDeadline(time.Now().Add(time.Minute))
+	_, _ = fmt.Fprintf(conn, "OPEN %s 2 c=live,d=800\r\n", id) // an error shows in the answer
+	in = bufio.NewReader(conn)
+	if got, err := in.ReadString('\n'); got != "UP 1\r\n" {
+		c.t.Errorf("%s is rejected: %q, %v", id, got, err)
+		return conn, nil
+	}
+	return conn, in
+}
+
+// talk keeps one flow and sends line after line, each in two parts.
+func (c *upgradeClients) talk(number int) {
+	conn, in := c.open(fmt.Sprintf("talks-%d", number))
+	if conn != nil {
+		defer func() { _ = conn.Close() }()
+	}
+	for n := 0; in != nil && !c.over.Load(); n++ {
+		line := fmt.Sprintf("M %d %s\r\n", n, strings.Repeat("x", 100*(number%8)))
+		_, err := io.WriteString(conn, line[:len(line)/2])
+		if number%2 == 0 {
+			time.Sleep(time.Duration(number) * 100 * time.Microsecond) // so that an upgrade falls anywhere in a line
+		}
+		if err == nil {
+			_, err = io.WriteString(conn, line[len(line)/2:])
+		}
+		if got, errRead := in.ReadString('\n'); err != nil || errRead != nil || got != line {
+			c.t.Errorf("talks-%d: line %d came back as %.40q, %v, %v", number, n, got, err, errRead)
+			return
+		}
+		c.lines.Add(1)
+	}
+}
+
+// comeAndGo opens one flow after the other.
+func (c *upgradeClients) comeAndGo() {
+	for !c.over.Load() {
+		if conn, _ := c.open(fmt.Sprintf("comes-%d", c.opened.Add(1))); conn != nil {
+			_ = conn.Close()
+		}
+		time.Sleep(time.Millisecond)
+	}
+}
+
+// Upgrades in a row, with clients that talk all the time and others that come and go: none is rejected, and none
+// that is established notices anything.
+func TestConsecutiveUpgrades(t *testing.T) {
+	const upgrades, talkers = 20, 30
+	environment := directoryEnvironment(t)
+	current := newHarness(t).start(environment)
+	c := &upgradeClients{t: t, address: current.listenAddress}
+	for i := range talkers {
+		c.clients.Go(func() { c.talk(i) })
+	}
+	c.clients.Go(c.comeAndGo)
+	for i := range upgrades {
+		next := current.successor().start(environment)
+		current.end()
+		next.awaitPredecessorGone()
+		forClients := next.daemon.descriptorLimit - next.daemon.reservedDescriptors
+		if free := next.daemon.descriptorBudget.Free(); free > forClients || free < 0 {
+			t.Errorf("upgrade %d: %d descriptors are free", i, free)
+		}
+		current = next
+	}
+	c.over.Store(true)
+	c.clients.Wait()
+	current.end()
+	if c.opened.Load() < upgrades || c.lines.Load() < upgrades*talkers {
+		t.Errorf("only %d flows were opened and %d lines came back", c.opened.Load(), c.lines.Load())
+	}
+	t.Logf("%d upgrades, %d flows were opened, %d lines came back", upgrades, c.opened.Load(), c.lines.Load())
+}
--- /dev/null
+++ b/internal/daemon/daemon_test.go
@@ -0,0 +1,176 @@
+package daemon
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"path/filepath"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+)
+
+// startAgent starts a discovery agent that says nothing of the list. The channel receives the name at each watch.
+func startAgent(t *testing.T, name string, watched chan<- string) (address string) {
+	t.Helper()
+	agent := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		w.(http.Flusher).Flush()
+		select {
+		case watched <- name:
+			<-r.Context().Done()
+		case <-r.Context().Done():
+		}
+	}))
+	t.Cleanup(agent.Close)
+	t.Cleanup(agent.CloseClientConnections)
+	return strings.TrimPrefix(agent.URL, "http://")
+}
+
+// openTalkingFlow opens a flow through which a line comes back.
+func (h *harness) openTalkingFlow() *bufio.Reader {
+	h.t.Helper()
+	in := h.wantFlow("of a client that talks", "UP 1")
+	if _, err := io.WriteString(h.lastClient, "M 1\r\n"); err != nil {
+		h.t.Fatal(err)
+	}
+	if got, err := in.ReadString('\n'); got != "M 1\r\n" {
+		h.t.Fatalf("got %q, %v", got, err)
+	}
+	return in
+}
+
+// A balancer from its configuration to its exit: it serves, reloads, and when it is told to stop goes on serving
+// clients that come, migrates all, and holds nothing at the end.
+func TestLifecycle(t *testing.T) {
+	watched := make(chan string, 16)
+	old, renewed := startAgent(t, "old", watched), startAgent(t, "renewed", watched)
+	wantWatched := func(want string) {
+		t.Helper()
+		select {
+		case got := <-watched:
+			if got != want {
+				t.Errorf("watches %s, want %s", got, want)
+			}
+		case <-time.After(testTimeout):
+			t.Errorf("%s is not watched", want)
+		}
+	}
+	h := newHarness(t)
+	h.setDiscovery(old)
+	h.config = strings.Replace(h.config, fmt.Sprintf(`"control":%q,`, h.adminAddress), "", 1)
+	writeConfig(t, h.path, h.config)
+	if err := Check(t.Context(), Source{ConfigPath: h.path, Environment: os.Getenv}); err != nil {
+		t.Fatal(err)
+	}
+	reloads := make(chan os.Signal)
+	h.startWithReloads(reloads)
+	wantWatched("old")
+	first := h.openTalkingFlow()
+	for _, invalid := range []string{"{", `{}`, strings.Replace(h.config, old, "nowhere", 1)} { // none changes anything
+		writeConfig(t, h.path, invalid)
+		reloads <- syscall.SIGHUP
+	}
+	writeConfig(t, h.path, strings.Replace(h.config, old, renewed, 1))
+	reloads <- syscall.SIGHUP
+	wantWatched("renewed")
+	reloads <- syscall.SIGHUP
+	h.openTalkingFlow()
+
+	h.stop()
+	reloads <- syscall.SIGHUP // a further reload does no harm, nor does one during the shutdown
+	start := time.Now()
+	late := h.openTalkingFlow() // the platform sends clients for a while
+	for _, client := range []*bufio.Reader{first, late} {
+		wantMigration(t, client)
+	}
+	if err := <-h.done; err != nil {
+		t.Errorf("ended with %v", err)
+	}
+	const clientTimeout = 800 * time.Millisecond // of the configuration
+	if took := time.Since(start); took > clientTimeout+shutdownDrainSlack {
+		t.Errorf("stopped after %v", took)
+	}
+	if now := h.daemon.lifecycle.current(); now != stopped {
+		t.Errorf("phase %s", now)
+	}
+}
+
+// However short the clients' timeouts are, the socket is open for all that the platform sends after the signal to stop.
+func TestShutdownWithShortClientTimeouts(t *testing.T) {
+	for {
+		h := newHarness(t)
+		h.config = strings.Replace(h.config, `"hard-limit":800000000`, `"hard-limit":20000000`, 1)
+		writeConfig(t, h.path, h.config)
+		h.start(directoryEnvironment(t))
+		start := time.Now()
+		h.stop()
+		time.Sleep(newClientsWindow - 50*time.Millisecond) // just before the end of that time
+		conn, err := tryDial(t, h.listenAddress)
+		inTime := time.Since(start) < newClientsWindow
+		answer := ""
+		if err == nil {
+			_, _ = io.WriteString(conn, "PING\r\n") // an error gives no answer
+			answer, _ = bufio.NewReader(conn).ReadString('\n')
+			_ = conn.Close()
+		}
+		t.Logf("ended with %v", <-h.done) // another test is about that
+		if !inTime {
+			continue // the machine was late: the platform would not have sent this connection
+		}
+		if err != nil || answer == "" {
+			t.Errorf("a connection of that time: %q, %v", answer, err)
+		}
+		return
+	}
+}
+
+// At the end of the shutdown's time, which here is over as it begins, it matters whether any connection is left.
+func TestConnectionsLeftAfterShutdown(t *testing.T) {
+	for _, c := range []struct {
+		name string
+		sent string
+		want error
+	}{
+		{"none", "", nil},
+		{"an established client", "OPEN 1 2 c=live,d=800\r\n", errConnectionsRemain},
+		{"a client in the middle of its line", "PING\r\nOPEN 1 2 c=live", errConnectionsRemain},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			h := newHarness(t).start(directoryEnvironment(t), func(d *Daemon) { d.maxClientTimeout = -shutdownDrainSlack })
+			if c.sent != "" {
+				client := dial(t, h.listenAddress)
+				if _, err := io.WriteString(client, c.sent); err != nil {
+					t.Fatal(err)
+				}
+				if got, err := bufio.NewReader(client).ReadString('\n'); err != nil {
+					t.Fatalf("received %q, %v", got, err)
+				}
+			}
+			h.stop()
+			if err := <-h.done; !errors.Is(err, c.want) {
+				t.Errorf("ended with %v, want %v", err, c.want)
+			}
+		})
+	}
+}
+
+func TestFaultyConfiguration(t *testing.T) {
+	for _, c := range []struct{ name, text, want string }{
+		{"no address", `{}`, "listen: is missing"},
+		{"an invalid endpoint list", `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","known":[],
+			"settings":{"service-types":[{"name":"x"}]}}`, "known: "},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			path := filepath.Join(t.TempDir(), "config.json")
+			writeConfig(t, path, c.text)
+			if err := Check(t.Context(), Source{ConfigPath: path, Environment: os.Getenv}); err == nil || !strings.HasPrefix(err.Error(), c.want) {
+				t.Errorf("%v, want %s", err, c.want)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/daemon/gossip.go
@@ -0,0 +1,208 @@
+package daemon
+
+import (
+	"context"
+	"errors"
+	"sync"
+	"time"
+
+	"yardwinch/decide"
+	"yardwinch/fleet/lease"
+	"yardwinch/fleet/signals"
+	"yardwinch/internal/config"
+	"yardwinch/internal/membership"
+	"yardwinch/internal/routing"
+)
+
+const (
+	publishInterval   = 250 * time.Millisecond
+	fullStateInterval = 8 // in publishInterval: how often the full state for members that ask is written anew
+
+	// leaseDuration is how long a balancer that publishes nothing keeps a task: three records of a small fleet.
+	leaseDuration = 6 * time.Second
+)
+
+// gossip exchanges signals with the other balancers: it publishes what the signals decider of this balancer
+// records, and merges what they publish.
+type gossip struct {
+	name   string
+	group  *membership.Group
+	router *routing.Router
+
+	// The router's lock guards the fields below.
+	signals *signals.Exchange
+	leases  *lease.Manager // nil: each balancer makes its own health checks
+}
+
+// newGossip makes the exchange if the operators' options ask for it, else nil. Nothing is opened before run.
+func newGossip(options *config.Options, router *routing.Router) *gossip {
+	peers := options.Peers()
+	if peers == nil {
+		return nil
+	}
+	g := &gossip{name: peers.Name, router: router, signals: options.Signals()}
+	if peers.Leases {
+		g.shareHealthChecks()
+	}
+	g.group = membership.New(peers.Engine, membership.Instance{
+		Name:      membership.Name(peers.Name),
+		Label:     peers.Label,
+		Bind:      peers.Bind,
+		Advertise: peers.Advertise,
+		Seeds:     peers.Seeds,
+	}, g)
+	return g
+}
+
+// shareHealthChecks has one balancer check each server for all: the one that holds the lease of that task.
+func (g *gossip) shareHealthChecks() {
+	g.leases = lease.New(lease.Holder(g.name), leaseDuration)
+	g.signals.ShareLoads(func(server decide.ServerID, now time.Duration) (epoch uint64) {
+		return uint64(g.leases.Renew(lease.Task(server), now))
+	})
+	g.router.SetHealthCheckFilter(func(server decide.ServerID, now time.Duration) bool {
+		return g.leases.Holds(lease.Task(server), now)
+	})
+}
+
+// run keeps the exchange going until the context ends.
+func (g *gossip) run(ctx context.Context) {
+	var group sync.WaitGroup
+	defer group.Wait()
+	group.Go(func() { g.group.Run(ctx) })
+	ticker := time.NewTicker(publishInterval)
+	defer ticker.Stop()
+	for n := 1; ; n++ {
+		select {
+		case <-ctx.Done():
+			return
+		case <-ticker.C:
+			g.publish()
+			if n%fullStateInterval == 0 {
+				g.updateFullState()
+			}
+		}
+	}
+}
+
+// publish sends this balancer's record if one is due.
+func (g *gossip) publish() {
+	fleetSize := g.group.AliveCount()
+	var holders []lease.Member
+	var reporters []signals.Origin
+	for _, member := range g.group.Members() {
+		if member.State == membership.Alive {
+			holders = append(holders, lease.Member{Name: lease.Holder(member.Name), Weight: 1, Since: member.Since})
+			reporters = append(reporters, signals.Origin(member.Name))
+		}
+	}
+	var record signals.Record
+	var due bool
+	g.router.WithLock(func() {
+		g.signals.SetReporters(reporters)
+		if g.leases != nil {
+			g.leases.SetMembers(holders)
+		}
+		record, due = g.signals.Publish(fleetSize)
+	})
+	if !due {
+		return
+	}
+	message, err := signals.Encode(record)
+	if err != nil {
+		g.group.CountDropped("what is told here can't be written", err.Error())
+		return
+	}
+	g.group.Publish(string(record.Origin), message)
+}
+
+// OnMessage merges a member's message. If it is new it is passed on: that is how gossip spreads.
+func (g *gossip) OnMessage(message []byte) {
+	if origin, isNew := g.merge(message); isNew {
+		g.group.Publish(string(origin), message)
+	}
+}
+
+// merge merges the record of a message.
+func (g *gossip) merge(message []byte) (origin signals.Origin, isNew bool) {
+	record, err := signals.Decode(message)
+	if err != nil {
+		g.group.CountDropped(dropReason(err), err.Error())
+		return "", false
+	}
+	g.router.WithLock(func() {
+		isNew = g.signals.Merge(record)
+		if isNew && g.leases != nil {
+			g.takeLoads(record)
+		}
+	})
+	return record.Origin, isNew
+}
+
+// garbled is the kind under which messages are counted that can't be decoded for no more specific reason.
+const garbled = "garbled"
+
+// dropReason is the kind under which a message that can't be decoded is counted.
+func dropReason(err error) string {
+	reason := garbled
+	for _, known := range []error{signals.ErrVersion, signals.ErrKind} {
+		if errors.Is(err, known) {
+			reason = known.Error()
+		}
+	}
+	return reason
+}
+
+// takeLoads records the loads that servers reported to the member that checks them for all. The caller holds the
+// router's lock.
+func (g *gossip) takeLoads(record signals.Record) {
+	now := g.router.Now()
+	g.signals.Relay(func() {
+		for _, report := range record.LoadReports {
+			g.leases.Observe(lease.Task(report.Server), lease.Epoch(report.Epoch), lease.Holder(record.Origin), report.Age, now)
+			if report.Age < leaseDuration {
+				g.router.OnLoadReport(report.Server, report.Load)
+			}
+		}
+	})
+}
+
+// updateFullState writes anew what members get that ask for the full state.
+func (g *gossip) updateFullState() {
+	var records []signals.Record
+	g.router.WithLock(func() { records = g.signals.FullState() })
+	var messages [][]byte
+	for _, record := range records {
+		if message, err := signals.Encode(record); err == nil {
+			messages = append(messages, message)
+		}
+	}
+	all, err := signals.EncodeAll(messages)
+	if err != nil {
+		g.group.CountDropped("what is known here can't be written", err.Error())
+		return
+	}
+	g.group.SetFullState(all)
+}
+
+// OnRemoteState merges the full state of a member. It is not passed on: each member asks for it itself.
+func (g *gossip) OnRemoteState(all []byte) {
+	messages, err := signals.DecodeAll(all)
+	if err != nil {
+		g.group.CountDropped(garbled, err.Error())
+		return
+	}
+	for _, message := range messages {
+		g.merge(message)
+	}
+}
+
+// OnSuspended handles that this process was suspended.
+func (g *gossip) OnSuspended(time.Duration) {
+	g.router.WithLock(func() {
+		g.signals.OnSuspended()
+		if g.leases != nil {
+			g.leases.OnSuspended(g.router.Now())
+		}
+	})
+}
--- /dev/null
+++ b/internal/daemon/listeners.go
@@ -0,0 +1,120 @@
+package daemon
+
+import (
+	"context"
+	"fmt"
+	"log/slog"
+	"net"
+	"time"
+
+	"yardwinch/internal/admin"
+	"yardwinch/internal/explain"
+	"yardwinch/internal/retry"
+	"yardwinch/internal/transport"
+)
+
+const (
+	// openTimeout is for addresses that are in use, from the start on: operators allow a restarted process 10 s
+	// until it is ready.
+	openTimeout        = 9 * time.Second
+	firstListenRetry   = 10 * time.Millisecond
+	longestListenRetry = 200 * time.Millisecond
+)
+
+// ListenError says that an address of the configuration could not be opened, or not within the time that a start
+// may take.
+type ListenError struct {
+	Key string // of the configuration
+	Err error
+}
+
+// Error names the key and the system's error.
+func (e *ListenError) Error() string { return e.Key + ": " + e.Err.Error() }
+
+// Unwrap gives the system's error.
+func (e *ListenError) Unwrap() error { return e.Err }
+
+// Advice says what an operator can do about it.
+func (e *ListenError) Advice() string {
+	return "see that no other program has the address, that this machine has it, and that descriptors are left on it"
+}
+
+// open opens what operators and clients reach, or takes it over from a predecessor, unless starting ends first.
+func (d *Daemon) open(ctx, starting context.Context) error {
+	opening, done := context.WithTimeout(starting, openTimeout)
+	defer done()
+	if err := d.openAdmin(ctx, opening); err != nil {
+		return err
+	}
+	received := d.receiveHandover(ctx, starting)
+	defer received.closeFiles()
+	if starting.Err() != nil { // no client is sent here yet, and the predecessor takes back what it handed over
+		received.closeSockets()
+		return errStoppedBeforeServing
+	}
+	if err := d.openExplain(ctx, received.explainListener); err != nil {
+		return err
+	}
+	return d.openClients(opening, received.listener)
+}
+
+// openAdmin opens the address for operators, where one is configured, and takes their calls.
+func (d *Daemon) openAdmin(ctx, opening context.Context) error {
+	if d.adminAddress == "" {
+		return nil
+	}
+	var listener net.Listener
+	err := listenWithRetries(opening, "control", func() (err error) {
+		var config net.ListenConfig
+		listener, err = config.Listen(ctx, "tcp", d.adminAddress)
+		return err
+	})
+	if err != nil {
+		return err
+	}
+	d.goroutines.Go(func() {
+		if err := admin.Serve(ctx, listener, adminCalls{d}); err != nil {
+			slog.Error("admin calls ended", "error", err)
+		}
+	})
+	return nil
+}
+
+// openExplain opens the socket for explain, where one is configured and the predecessor handed over none.
+func (d *Daemon) openExplain(ctx context.Context, received net.Listener) (err error) {
+	d.explainListener = received
+	path := d.options.ExplainSocket()
+	if path == "" || received != nil {
+		return nil
+	}
+	if d.explainListener, err = explain.Listen(ctx, path); err != nil {
+		return fmt.Errorf("explain.socket: %w", err)
+	}
+	return nil
+}
+
+// openClients opens the address for clients, unless the predecessor handed it over.
+func (d *Daemon) openClients(opening context.Context, received *transport.PausableListener) error {
+	if d.listener = received; received != nil {
+		return nil
+	}
+	shared := d.adminAddress != "" // with a successor
+	// The address is a number: there is nothing to wait for.
+	return listenWithRetries(opening, "listen", func() (err error) { //nolint:contextcheck
+		d.listener, err = transport.ListenShared(d.listenAddress, shared)
+		return err
+	})
+}
+
+// listenWithRetries opens an address, and waits for one that is in use or for which the system has nothing left at
+// the moment. The key names it in the configuration.
+func listenWithRetries(ctx context.Context, key string, listen func() error) error {
+	backoff := retry.Backoff{First: firstListenRetry, Longest: longestListenRetry}
+	err := retry.Do(ctx, backoff, func(err error) {
+		slog.Warn("address not opened yet", "setting", key, "error", err)
+	}, listen)
+	if err != nil {
+		return &ListenError{Key: key, Err: err}
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/daemon/upgrade_predecessor.go
@@ -0,0 +1,275 @@
+package daemon
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io/fs"
+	"log/slog"
+	"net"
+	"sync"
+	"syscall"
+	"time"
+
+	"yardwinch/internal/handover"
+	"yardwinch/internal/protocol"
+	"yardwinch/internal/retry"
+)
+
+// This process as the predecessor of one that takes over.
+
+// awaitSuccessors waits for processes that take over from this one, one after the other. A directory that fails is
+// retried: until it works no other process finds this one.
+func (d *Daemon) awaitSuccessors(ctx context.Context) {
+	backoff := retry.Backoff{First: firstStoreRetry, Longest: longestStoreRetry}
+	for failing := false; ctx.Err() == nil; {
+		listener, err := d.socket.Listen(ctx)
+		switch {
+		case err == nil:
+			failing = false
+			backoff.Reset()
+			d.acceptSuccessors(ctx, listener)
+		case !retry.IsTransient(err) && !errors.Is(err, fs.ErrNotExist):
+			slog.Error("no hand-over to a successor", "error", err)
+			return
+		default:
+			if !failing {
+				slog.Warn("no hand-over to a successor for now", "error", err)
+			}
+			failing = true
+			_ = backoff.Wait(ctx) // fails as the context ends, which ends the loop
+		}
+	}
+}
+
+// acceptSuccessors serves the processes that want to take over, until the socket for them belongs to another process.
+func (d *Daemon) acceptSuccessors(ctx context.Context, listener *net.UnixListener) {
+	closeListener := func() { _ = listener.Close() } // fails only where it is closed already
+	defer context.AfterFunc(ctx, closeListener)()
+	var links sync.WaitGroup
+	defer links.Wait()
+	links.Go(func() {
+		for {
+			conn, err := listener.AcceptUnix()
+			if err != nil {
+				return
+			}
+			links.Go(func() { d.serveSuccessor(ctx, conn) })
+		}
+	})
+	select {
+	case <-ctx.Done():
+	case <-d.relisten:
+		closeListener()
+	}
+}
+
+// serveSuccessor serves one process that wants to take over, until its link ends.
+func (d *Daemon) serveSuccessor(ctx context.Context, conn *net.UnixConn) {
+	linkCtx, endLink := context.WithCancel(ctx)
+	defer endLink()
+	var link *handover.Link
+	greeted := false
+	link = handover.NewLink(conn, nil, map[string]handover.Handler{
+		messageHello: func(_ context.Context, request handover.Request) (handover.Response, error) {
+			later, err := d.answerGreeting(request)
+			greeted = err == nil && !later
+			return handover.Response{Body: later}, err
+		},
+		messageGetState: func(ctx context.Context, _ handover.Request) (handover.Response, error) {
+			if !greeted {
+				return handover.Response{}, errors.New("no greeting")
+			}
+			return d.sendState(ctx, link)
+		},
+		messageServing: func(linkCtx context.Context, _ handover.Request) (handover.Response, error) {
+			if !d.isSuccessor(link) {
+				return handover.Response{}, errors.New("nothing was given")
+			}
+			d.releaseExplain()
+			d.goroutines.Go(func() { d.sendUsage(linkCtx, link) })
+			d.goroutines.Go(func() { d.sendConnections(ctx, linkCtx, link) })
+			return handover.Response{}, nil
+		},
+		messageApplyChange: d.applyChange,
+	})
+	silent := time.AfterFunc(requestTimeout, func() { // a process that connects and then doesn't take over
+		if !d.isSuccessor(link) {
+			link.Close()
+		}
+	})
+	defer silent.Stop()
+	if err := link.Run(linkCtx); err != nil {
+		slog.Warn("hand-over link failed", "error", err)
+	}
+	endLink()
+	d.onSuccessorGone(ctx, link)
+}
+
+// answerGreeting reports whether a process may take over from this one; later: not yet.
+func (d *Daemon) answerGreeting(request handover.Request) (later bool, err error) {
+	var hello handover.Hello
+	if err := json.Unmarshal(request.Body, &hello); err != nil {
+		return false, fmt.Errorf("decode a greeting: %w", err)
+	}
+	if hello.Version != handover.Version || hello.Listen != d.listenAddress {
+		return false, fmt.Errorf("version %d for %s here, not %d for %s", handover.Version, d.listenAddress, hello.Version, hello.Listen)
+	}
+	d.changing.Lock()
+	defer d.changing.Unlock()
+	return d.predecessor != nil || d.successor != nil || d.lifecycle.current() == shuttingDown, nil
+}
+
+// sendState stops accepting clients and hands over all that makes both processes one balancer. Until the link ends
+// the successor decides.
+func (d *Daemon) sendState(ctx context.Context, link *handover.Link) (handover.Response, error) {
+	d.changing.Lock()
+	defer d.changing.Unlock()
+	if d.predecessor != nil || d.successor != nil {
+		return handover.Response{}, errors.New("another process has it")
+	}
+	drainingSince := d.lifecycle.outOfServiceSince()
+	if !d.lifecycle.transition(ctx, handingOver) {
+		return handover.Response{}, fmt.Errorf("%s", d.lifecycle.current())
+	}
+	d.successor = link
+	// From here on the hand-over is completed, whether or not the successor still wants it.
+	ctx = context.WithoutCancel(ctx)
+	d.disabled.release(ctx)
+	d.listener.Pause()
+	state := handover.State{
+		Version:          handover.Version,
+		OutOfService:     !drainingSince.IsZero(),
+		DescriptorsInUse: d.descriptorsInUse(),
+		Files:            []string{clientsSocket},
+	}
+	if state.OutOfService {
+		state.DrainingFor = time.Since(drainingSince)
+	}
+	sockets := []syscall.Conn{d.listener}
+	if explainListener, ok := d.explainListener.(syscall.Conn); ok {
+		state.Files = append(state.Files, explainSocket)
+		sockets = append(sockets, explainListener)
+	}
+	state.IDsKey, state.IDs = d.frontend.ShareIDs(func(hash uint64) (taken bool) { return claimID(ctx, link, hash) })
+	state.DiscoveryAddress, state.Revision = d.discovery.Position()
+	d.router.SetHandedOver(true) // before the snapshot, so that no quota is spent in between
+	state.Router = d.router.Snapshot()
+	d.setMemoryGoal(bothProcesses)
+	return handover.Response{Body: state, Descriptors: sockets}, nil
+}
+
+// claimID asks the successor for an id. Without a reply in time the id counts as free, as far as this process knows.
+func claimID(ctx context.Context, link *handover.Link, hash uint64) (taken bool) {
+	ctx, done := context.WithTimeout(ctx, claimTimeout)
+	defer done()
+	_, err := link.Request(messageClaimID, hash).Wait(ctx, &taken)
+	return err == nil && taken
+}
+
+// isSuccessor reports whether the process at the other end has taken over.
+func (d *Daemon) isSuccessor(link *handover.Link) bool {
+	d.changing.Lock()
+	defer d.changing.Unlock()
+	return d.successor == link
+}
+
+// onSuccessorGone handles that a process that took over, or began to, has ended: this one serves again, with the
+// changes made since. A process that is shutting down by then continues to.
+func (d *Daemon) onSuccessorGone(ctx context.Context, link *handover.Link) {
+	d.changing.Lock()
+	defer d.changing.Unlock()
+	if d.successor != link {
+		return
+	}
+	d.successor = nil
+	d.frontend.ShareIDs(nil)
+	d.setMemoryGoal(oneProcess)
+	if !d.lifecycle.transition(ctx, d.lifecycle.phaseWithoutSuccessor()) {
+		return
+	}
+	slog.Warn("successor ended, serving again")
+	d.disabled.requestSave()
+	d.router.SetHandedOver(false)
+	d.listener.Resume()
+	select {
+	case d.relisten <- struct{}{}:
+	default:
+	}
+}
+
+// releaseExplain closes the socket for explain, on which the successor answers from now on: each question reaches
+// only one of the processes.
+func (d *Daemon) releaseExplain() {
+	if listener, ok := d.explainListener.(*net.UnixListener); ok {
+		listener.SetUnlinkOnClose(false)
+		_ = listener.Close() // fails only where it is closed already
+	}
+}
+
+// applyChange makes a change that the successor decided on.
+func (d *Daemon) applyChange(ctx context.Context, request handover.Request) (handover.Response, error) {
+	var change handover.Change
+	if err := json.Unmarshal(request.Body, &change); err != nil {
+		return handover.Response{}, fmt.Errorf("decode a change: %w", err)
+	}
+	d.changing.Lock()
+	defer d.changing.Unlock()
+	switch change.Kind {
+	case handover.Offline:
+		d.router.DisableAll([]string{change.Server})
+	case handover.Online:
+		_ = d.router.SetDisabled(change.Server, false) // a server unknown here is not disabled either
+	case handover.OutOfService, handover.InService:
+		d.lifecycle.setInServiceWhileHandingOver(ctx, change.Kind == handover.InService)
+	}
+	return handover.Response{}, nil
+}
+
+// sendUsage tells the successor how many descriptors are in use here, at each change.
+func (d *Daemon) sendUsage(ctx context.Context, link *handover.Link) {
+	ticker := time.NewTicker(usageInterval)
+	defer ticker.Stop()
+	for last := -1; ; {
+		if used := d.descriptorsInUse(); used != last {
+			last = used
+			if link.Notify(messageDescriptorUsage, used) != nil {
+				return // the link has ended
+			}
+		}
+		select {
+		case <-ctx.Done():
+			return
+		case <-link.Gone():
+			return
+		case <-ticker.C:
+		}
+	}
+}
+
+// sendConnections transfers established connections until the link ends. There is no timeout for a reply: the
+// successor may have taken over a connection whose reply is late, and both would serve it.
+func (d *Daemon) sendConnections(processCtx, linkCtx context.Context, link *handover.Link) {
+	replyCtx := context.WithoutCancel(linkCtx)
+	transfer := func(connection protocol.EstablishedConnection, client, server syscall.Conn) bool {
+		_, err := link.Request(messageTransfer, connection, client, server).Wait(replyCtx, nil)
+		// As this process ends a reply may be lost: the successor may have the connection.
+		return err == nil || processCtx.Err() != nil
+	}
+	for total := 0; ; {
+		sent, attempted := d.frontend.TransferConnections(linkCtx, transfer)
+		total += sent
+		if sent > 0 {
+			slog.Info("connections handed over", "connections", total, "remaining", d.frontend.ConnectionCount())
+		}
+		if sent == 0 && attempted > 0 { // the reason would hold for the next as well
+			return
+		}
+		select {
+		case <-linkCtx.Done():
+			return
+		case <-time.After(transferRetryInterval):
+		}
+	}
+}
--- a/internal/testbed/scale/control_members.go
+++ b/internal/testbed/scale/control_members.go
@@ -162,7 +162,13 @@
 		name: "frame-processor", unit: unitCorePart, origin: Measured,
 		quantity: "processor time for the list of members between the engine and its balancer",
 	}, size, perSecond*(written.processor+read.processor).Seconds())
-	decider := signals.New(signals.Origin(memberName(0)), 1, "", "", latencyObjective, setupObjective, true)
+	decider := signals.New(signals.Config{
+		Origin:           signals.Origin(memberName(0)),
+		Incarnation:      1,
+		LatencyThreshold: latencyObjective,
+		SetupLimit:       setupObjective,
+		Enabled:          true,
+	})
 	leases := lease.New(lease.Holder(memberName(0)), leaseDuration)
 	list := view.sorted()
 	handed := measure(measurementRounds, 1, func() { applyMembership(list, decider, leases) })
--- a/internal/testbed/scale/control_real.go
+++ b/internal/testbed/scale/control_real.go
@@ -97,8 +97,8 @@
 
 const recordHeaderBytes = 12 // origin and sequence
 
-// Hear passes on a record that is newer than the latest of its origin.
-func (m *realMember) Hear(message []byte) {
+// OnMessage passes on a record that is newer than the latest of its origin.
+func (m *realMember) OnMessage(message []byte) {
 	if len(message) < recordHeaderBytes {
 		return
 	}
@@ -114,9 +114,14 @@
 	}
 }
 
-func (m *realMember) Whole() []byte      { return m.fullState }
-func (m *realMember) HearWhole([]byte)   {}
-func (m *realMember) Away(time.Duration) {}
+// FullState is the state sent in exchanges.
+func (m *realMember) FullState() []byte { return m.fullState }
+
+// OnRemoteState ignores the state received in an exchange.
+func (m *realMember) OnRemoteState([]byte) {}
+
+// OnSuspended ignores a pause of the process.
+func (m *realMember) OnSuspended(time.Duration) {}
 
 // realFleet is a fleet of real engines in this process.
 type realFleet struct {
@@ -136,7 +141,13 @@
 	for i := range count {
 		m := &realMember{number: i, fullState: make([]byte, recordsBytes(count, recordBytes)), latest: map[uint32]uint64{}}
 		at := realAddr(i, port)
-		m.group = engine.New(membership.Name(memberName(i)), realFleetLabel, at, at, []string{seed}, m)
+		m.group = engine.New(membership.Instance{
+			Name:      membership.Name(memberName(i)),
+			Label:     realFleetLabel,
+			Bind:      at,
+			Advertise: at,
+			Seeds:     []string{seed},
+		}, m)
 		fleet.members = append(fleet.members, m)
 		fleet.running.Go(func() { m.group.Run(ctx) })
 		if err := pause(ctx, startInterval); err != nil {
--- a/internal/testbed/scale/control_subscriber.go
+++ b/internal/testbed/scale/control_subscriber.go
@@ -37,7 +37,7 @@
 	ctx, cancel := context.WithCancel(parent)
 	t := &listSubscriber{updates: make(chan []byte), cancel: cancel}
 	t.server = &http.Server{Handler: http.HandlerFunc(t.serveWatch), ReadHeaderTimeout: headerTimeout}
-	router := routing.New(seed, latencyObjective, false, false, nil, configureDecisions)
+	router := routing.New(routing.Config{Seed: seed, LatencyThreshold: latencyObjective, Configure: configureDecisions})
 	t.discovery = protocol.NewDiscovery(router, listener.Addr().String(), seed, false)
 	t.running.Go(func() { _ = t.server.Serve(listener) }) // it returns when close closes the server
 	t.running.Go(func() { t.discovery.Run(ctx) })
--- a/internal/testbed/scale/control_sweep_signals.go
+++ b/internal/testbed/scale/control_sweep_signals.go
@@ -50,7 +50,15 @@
 
 // newPublisher is a decider that holds connections on all servers and observes some of them as faulty.
 func newPublisher(chance *rand.Rand, name, servers, faulty int) *signals.Exchange {
-	s := signals.New(signals.Origin(memberName(name)), 1764652800, "0123456789ab", "0123456789abcdef", latencyObjective, setupObjective, true)
+	s := signals.New(signals.Config{
+		Origin:           signals.Origin(memberName(name)),
+		Incarnation:      1764652800,
+		Build:            "0123456789ab",
+		Settings:         "0123456789abcdef",
+		LatencyThreshold: latencyObjective,
+		SetupLimit:       setupObjective,
+		Enabled:          true,
+	})
 	s.SetTime(publishersStart)
 	for i := range servers {
 		id := serverNumber(i)
@@ -139,7 +147,13 @@
 
 // measureAvoided measures the share of faulty servers that a balancer avoids on others' reports alone.
 func (m *controlMeasurements) measureAvoided(size, servers, faulty int, records []signals.Record) {
-	stranger := signals.New("stranger", 1, "", "", latencyObjective, setupObjective, true)
+	stranger := signals.New(signals.Config{
+		Origin:           "stranger",
+		Incarnation:      1,
+		LatencyThreshold: latencyObjective,
+		SetupLimit:       setupObjective,
+		Enabled:          true,
+	})
 	stranger.SetTime(publishersStart)
 	for i := range servers {
 		stranger.OnEndpoint(decide.Endpoint{ID: serverNumber(i), Size: 1, Readiness: decide.Ready, StartedAt: decide.LongAgo})
--- a/internal/testbed/scale/fleet_client.go
+++ b/internal/testbed/scale/fleet_client.go
@@ -102,7 +102,7 @@
 
 func (f *fleet) connect(flow *flowState, to *backend) *connect {
 	f.connectCount++
-	c := &connect{id: invariants.Connect(f.connectCount), number: flow.attempts, flow: flow, server: to, sentAt: f.schedule.now}
+	c := &connect{id: invariants.Connect(f.connectCount), flow: flow, server: to, sentAt: f.schedule.now}
 	flow.connects = append(flow.connects, c)
 	return c
 }
--- a/internal/testbed/scale/fleet_instance.go
+++ b/internal/testbed/scale/fleet_instance.go
@@ -30,7 +30,6 @@
 	client     *client
 	arrivedAt  time.Duration
 	deadline   time.Duration
-	attempts   int
 	connects   []*connect
 	current    *connect
 	answered   bool
@@ -40,7 +39,6 @@
 // connect is one connect of a flow, from its sending to its end.
 type connect struct {
 	id          invariants.Connect
-	number      int
 	flow        *flowState
 	server      *backend
 	sentAt      time.Duration
@@ -161,7 +159,6 @@
 func (b *instance) adopt(c *client, s *backend) {
 	flow := b.add(c)
 	flow.answered = true
-	flow.attempts = 1
 	flow.current = b.fleet.connect(flow, s)
 	flow.current.established = true
 	s.connects = append(s.connects, flow.current)
@@ -243,7 +240,7 @@
 	flow.client.onRejected()
 }
 
-// ---- actions of the decisions; see decide.Act
+// ---- actions of the decisions; see decide.Actions
 
 func (b *instance) Connect(name decide.FlowID, to decide.ServerID, limit time.Duration) {
 	flow := b.flows[name]
@@ -252,7 +249,6 @@
 		return
 	}
 	c := f.connect(flow, f.server(to))
-	flow.attempts++
 	f.figures.connectsSent[connectKey{b.id, f.schedule.now / time.Second}]++
 	f.observe(invariants.Event{Kind: invariants.ConnectSent, Balancer: invariants.Balancer(b.id), Flow: flow.id, Connect: c.id,
 		Server: invariants.Server(to), Zone: c.server.zone, Cell: c.server.zone})
@@ -268,18 +264,6 @@
 	f.schedule.after(f.delay(b.zone, c.server.zone), c.arrive)
 }
 
-func (b *instance) Cancel(name decide.FlowID, n int) {
-	flow := b.flows[name]
-	if flow == nil {
-		return
-	}
-	for _, c := range flow.connects {
-		if c.number == n && !c.established {
-			b.fleet.schedule.after(0, func() { c.finish(decide.Cancelled) })
-		}
-	}
-}
-
 func (b *instance) Reject(name decide.FlowID, _ time.Duration) {
 	b.fleet.figures.rejected++
 	b.answer(name, invariants.Rejected)
@@ -315,5 +299,3 @@
 
 func (b *instance) HealthCheck(decide.ServerID) {}
 func (b *instance) WatchEndpoints(bool)         {}
-func (b *instance) FetchEndpoints()             {}
-func (b *instance) Log(string)                  {}
--- a/internal/testbed/scale/page_fleet.go
+++ b/internal/testbed/scale/page_fleet.go
@@ -78,8 +78,8 @@
 
 // Constants of the code that matter at the fleet's size. TestCodeConstantsMatch compares them with their sources.
 const (
-	maxListedServers = 16_384.0               // internal/protocol mostServers
-	maxListBytes     = maxListedServers * 256 // bytes; internal/protocol longestList
+	maxListedServers = 16_384.0               // internal/protocol maxServers
+	maxListBytes     = maxListedServers * 256 // bytes; internal/protocol maxListBytes
 	fleetSetupLimit  = 48.0                   // decide fleetSetupLimit
 	gapPerBalancer   = 0.008                  // seconds; decide minSetupSpacing
 	maxSetupGap      = 16.0                   // seconds; decide maxSetupSpacing
--- a/internal/testbed/scale/page_test.go
+++ b/internal/testbed/scale/page_test.go
@@ -248,7 +248,7 @@
 		folder, name string
 		want         float64
 	}{
-		{"../../protocol", "mostServers", maxListedServers},
+		{"../../protocol", "maxServers", maxListedServers},
 		{"../../../decide", "fleetSetupLimit", fleetSetupLimit},
 		{"../../../decide", "minSetupSpacing", gapPerBalancer * 1000},
 		{"../../../decide", "groupingGuard", overloadFactor},
--- a/internal/testbed/scale/real_test.go
+++ b/internal/testbed/scale/real_test.go
@@ -19,7 +19,7 @@
 	if os.Getenv(balancerEnvironment) == "" {
 		return
 	}
-	if err := daemon.Run(os.Getenv("PROXY_CONFIG"), "", os.Getenv); err != nil {
+	if err := daemon.Run(context.Background(), daemon.Source{ConfigPath: os.Getenv("PROXY_CONFIG"), Environment: os.Getenv}); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
--- a/internal/testbed/scale/simulated_balancer.go
+++ b/internal/testbed/scale/simulated_balancer.go
@@ -195,12 +195,11 @@
 	h.decider.SetTime(h.now)
 }
 
-// What the decisions ask for; see decide.Act.
+// What the decisions ask for; see decide.Actions.
 
 func (h *simulatedBalancer) Connect(f decide.FlowID, to decide.ServerID, _ time.Duration) {
 	h.connecting[f] = to
 }
-func (h *simulatedBalancer) Cancel(decide.FlowID, int)           {}
 func (h *simulatedBalancer) Reject(decide.FlowID, time.Duration) { h.rejected++ }
 func (h *simulatedBalancer) Abort(decide.FlowID)                 { h.rejected++ }
 func (h *simulatedBalancer) Migrate(f decide.FlowID)             { h.migrated = append(h.migrated, f) }
@@ -208,8 +207,6 @@
 	h.healthChecked = append(h.healthChecked, s)
 }
 func (h *simulatedBalancer) WatchEndpoints(bool) {}
-func (h *simulatedBalancer) FetchEndpoints()     {}
-func (h *simulatedBalancer) Log(string)          {}
 func (h *simulatedBalancer) SetTimer(mark decide.TimerID, in time.Duration) {
 	heap.Push(&h.timers, timer{h.now + in, mark})
 }
--- a/internal/testbed/scale/sweep_list.go
+++ b/internal/testbed/scale/sweep_list.go
@@ -103,11 +103,15 @@
 
 // newSimulatedRouter has the settings of a simulated balancer.
 func newSimulatedRouter(seed uint64) *routing.Router {
-	return routing.New(seed, messageTarget, false, true, nil,
-		func(b *decide.Balancer) (map[string]decide.ServiceID, map[string]decide.CustomerID) {
+	return routing.New(routing.Config{
+		Seed:                 seed,
+		LatencyThreshold:     messageTarget,
+		ServersReportLatency: true,
+		Configure: func(b *decide.Balancer) (map[string]decide.ServiceID, map[string]decide.CustomerID) {
 			configureSimulatedBalancer(b, simulatedSettings{peers: peers})
 			return map[string]decide.ServiceID{}, map[string]decide.CustomerID{}
-		})
+		},
+	})
 }
 
 // listText is a list as discovery writes it.
--- a/internal/testbed/scenario/gossip.go
+++ b/internal/testbed/scenario/gossip.go
@@ -14,9 +14,8 @@
 )
 
 const (
-	gossipInterval      = 250 * time.Millisecond
-	gossipDelay         = 600 * time.Millisecond // from one balancer to all: what half of a fleet of some hundred takes, see testbed spread
-	lateShareOfMessages = 3                      // a message is late from this part of its target on
+	gossipInterval = 250 * time.Millisecond
+	gossipDelay    = 600 * time.Millisecond // from one balancer to all: what half of a fleet of some hundred takes, see testbed spread
 )
 
 // gossip stands in for the gossip between balancers in virtual time: what one publishes reaches all others a fixed time later. testbed
@@ -41,12 +40,17 @@
 // newExchange gives a balancer that starts an exchange of a new incarnation.
 func (g *gossip) newExchange(id simulation.BalancerID, settings config.Values) *signals.Exchange {
 	g.incarnations[id]++
-	lateFrom := config.MessageTarget(settings) / lateShareOfMessages
-	exchange := signals.New(signals.Origin(fmt.Sprintf("b%d", id)), g.incarnations[id], "", "", lateFrom, config.MinSetupTarget(settings), true)
+	exchange := signals.New(signals.Config{
+		Origin:           signals.Origin(fmt.Sprintf("b%d", id)),
+		Incarnation:      g.incarnations[id],
+		LatencyThreshold: config.LatencyThreshold(settings),
+		SetupLimit:       config.MinSetupTarget(settings),
+		Enabled:          true,
+	})
 	g.exchanges[id] = exchange
 	if !g.isScheduled {
 		g.isScheduled = true
-		g.world.Schedule.After(gossipInterval, simulation.Book, g.publish)
+		g.world.Schedule.After(gossipInterval, simulation.Measure, g.publish)
 	}
 	return exchange
 }
@@ -61,11 +65,11 @@
 		}
 		exchange.SetTime(now)
 		if record, isDue := exchange.Publish(len(g.world.Balancers)); isDue {
-			g.world.Schedule.After(gossipDelay, simulation.News, func() { g.deliver(exchange, record) })
+			g.world.Schedule.After(gossipDelay, simulation.ListUpdate, func() { g.deliver(exchange, record) })
 		}
 	}
 	if now+gossipInterval <= g.world.Accounting.Length {
-		g.world.Schedule.After(gossipInterval, simulation.Book, g.publish)
+		g.world.Schedule.After(gossipInterval, simulation.Measure, g.publish)
 	}
 }
 
--- a/internal/testbed/virtual/actions.go
+++ b/internal/testbed/virtual/actions.go
@@ -38,7 +38,7 @@
 
 func (b *balancer) newConnect(f *flow, server simulation.ServerID) *connect {
 	d := b.driver
-	c := &connect{id: d.world.NewConnID(), flow: f, number: f.sentCount, server: server, state: dialing, sentAt: d.world.Schedule.Now()}
+	c := &connect{id: d.world.NewConnID(), flow: f, server: server, state: dialing, sentAt: d.world.Schedule.Now()}
 	f.sentCount++
 	f.outstanding = append(f.outstanding, c)
 	d.connects[c.id] = c
@@ -104,19 +104,6 @@
 	d.sendToClient(func() { d.world.AnswerFlow(f.id, answer, retryAfter) })
 }
 
-// Cancel ends a connect of a flow that is not established.
-func (b *balancer) Cancel(id decide.FlowID, number int) {
-	f := b.flow(id)
-	if f == nil {
-		return
-	}
-	for _, c := range f.outstanding {
-		if c.number == number && c.state != established {
-			b.driver.world.Schedule.After(0, simulation.Message, func() { b.endConnect(c, decide.Cancelled) })
-		}
-	}
-}
-
 // Migrate asks an established flow's client to reconnect.
 func (b *balancer) Migrate(id decide.FlowID) {
 	f := b.flow(id)
@@ -155,6 +142,3 @@
 func (b *balancer) SetTimer(id decide.TimerID, delay time.Duration) {
 	b.driver.world.Schedule.After(max(delay, time.Microsecond), simulation.Wake, b.whileRunning(func() { b.decide().OnTimer(id) }))
 }
-
-// Log drops what a decider logs: results come from what it does.
-func (b *balancer) Log(string) {}
--- a/internal/testbed/virtual/connect.go
+++ b/internal/testbed/virtual/connect.go
@@ -23,7 +23,6 @@
 type connect struct {
 	id     simulation.ConnID
 	flow   *flow
-	number int // among those of the flow
 	server simulation.ServerID
 	state  connectState
 	sentAt time.Duration
--- a/internal/testbed/virtual/list.go
+++ b/internal/testbed/virtual/list.go
@@ -105,12 +105,9 @@
 	if !on {
 		return
 	}
-	b.driver.world.Schedule.After(subscribeDelay, simulation.News, b.whileRunning(func() {
+	b.driver.world.Schedule.After(subscribeDelay, simulation.ListUpdate, b.whileRunning(func() {
 		if !b.driver.world.List.Subscribe(b.id) {
 			b.decide().BeginEndpoints(decide.FailedUpdate)
 		}
 	}))
 }
-
-// FetchEndpoints asks for the list once, which the model's list answers as a watch.
-func (b *balancer) FetchEndpoints() { b.WatchEndpoints(true) }
