--- a/internal/routing/endpoints.go
+++ b/internal/routing/endpoints.go
@@ -39,11 +39,13 @@
 	Gone     = decide.Gone     // has left the list
 )
 
+const entriesPerChunk = 512
+
 // EndpointUpdate gathers the entries of an update of the endpoint list. Nothing of it counts before Commit.
 type EndpointUpdate struct {
 	router  *Router
 	kind    UpdateKind
-	entries []endpointEntry
+	entries [][]endpointEntry // in chunks, as a long list that grows in one piece is copied several times
 	zones   map[string]string // each zone's name once: many servers share it
 }
 
@@ -77,10 +79,19 @@
 		zone = e.Zone
 		u.zones[zone] = zone
 	}
-	u.entries = append(u.entries, endpointEntry{name: e.Name, addr: e.Addr, zone: decide.Zone(zone),
+	u.append(endpointEntry{name: e.Name, addr: e.Addr, zone: decide.Zone(zone),
 		cell: decide.CellID(e.Cell), size: e.Size, readiness: e.Readiness, startedAt: e.StartedAt})
 }
 
+func (u *EndpointUpdate) append(entry endpointEntry) {
+	last := len(u.entries) - 1
+	if last < 0 || len(u.entries[last]) == entriesPerChunk {
+		u.entries = append(u.entries, nil)
+		last++
+	}
+	u.entries[last] = append(u.entries[last], entry)
+}
+
 // Commit hands the update to the decisions. The context is the log's.
 func (u *EndpointUpdate) Commit(ctx context.Context) {
 	r := u.router
@@ -94,8 +105,10 @@
 	r.hasEndpoints = true
 	r.balancer.BeginEndpoints(u.kind)
 	logs := slog.Default().Enabled(ctx, slog.LevelDebug) // asked once: a list may be long
-	for i := range u.entries {
-		r.applyEndpoint(&u.entries[i], logs)
+	for _, chunk := range u.entries {
+		for i := range chunk {
+			r.applyEndpoint(&chunk[i], logs)
+		}
 	}
 	r.balancer.EndEndpoints()
 	if u.kind != CachedUpdate {
