--- a/internal/membership/engine/group.go
+++ b/internal/membership/engine/group.go
@@ -45,7 +45,8 @@
 	suspicionMultiplier    = 3
 	maxSuspicionMultiplier = 3
 	maxAwarenessMultiplier = 4
-	retransmitMultiplier   = 3
+	stateRetransmits       = 4 // of the states of members
+	recordRetransmits      = 3 // of published messages
 )
 
 const (
@@ -166,7 +167,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.list = list
-	g.queue = &memberlist.TransmitLimitedQueue{NumNodes: g.AliveCount, RetransmitMult: retransmitMultiplier}
+	g.queue = &memberlist.TransmitLimitedQueue{NumNodes: g.AliveCount, RetransmitMult: recordRetransmits}
 	return nil
 }
 
