--- a/internal/membership/engine/group.go
+++ b/internal/membership/engine/group.go
@@ -91,13 +91,14 @@
 	defer g.close()
 	slog.Info("membership started", "member", g.instance.Name, "address", g.instance.Bind,
 		"advertised", g.instance.Advertise, "seeds", g.instance.Seeds)
-	joins := joiner{group: g, next: time.Now(), backoff: newBackoff()}
+	introductions := &introducer{group: g}
+	joins := joiner{group: g, introductions: introductions, next: time.Now(), backoff: newBackoff()}
 	lastTick := time.Now()
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
-		if joins.attemptIfDue(time.Now()) {
-			lastTick = time.Now() // joining takes its time, which is no suspension
+		if joins.attemptIfDue(time.Now()) || introductions.attemptNext(time.Now()) {
+			lastTick = time.Now() // an exchange takes its time, which is no suspension
 		}
 		select {
 		case <-ctx.Done():
--- a/internal/membership/engine/group_test.go
+++ b/internal/membership/engine/group_test.go
@@ -61,6 +61,12 @@
 	for _, seed := range seeds {
 		instance.Seeds = append(instance.Seeds, seed.String())
 	}
+	return startInstance(t, instance)
+}
+
+// startInstance runs an instance until the test ends or the returned function is called.
+func startInstance(t *testing.T, instance membership.Instance) (*Group, *recorder, func()) {
+	t.Helper()
 	subscriber := &recorder{received: map[string]int{}}
 	group := New(instance, subscriber)
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/membership/engine/join.go
+++ b/internal/membership/engine/join.go
@@ -19,10 +19,11 @@
 
 // joiner joins other members, with a backoff between attempts.
 type joiner struct {
-	group    *Group
-	next     time.Time // of the next attempt
-	backoff  *backoff.ExponentialBackOff
-	reported bool // the current series of failures was logged
+	group         *Group
+	introductions *introducer
+	next          time.Time // of the next attempt
+	backoff       *backoff.ExponentialBackOff
+	reported      bool // the current series of failures was logged
 }
 
 // attemptIfDue attempts to join where that is needed and due, and reports whether it did.
@@ -30,11 +31,15 @@
 	if now.Before(j.next) || !j.group.needsJoin() {
 		return false
 	}
+	wasAlone := j.group.AliveCount() <= 1
 	err := j.group.join()
 	switch {
 	case err == nil:
 		j.backoff = newBackoff()
 		j.reported = false
+		if wasAlone {
+			j.introductions.begin(now)
+		}
 	case !j.reported:
 		j.reported = true
 		fault := &membership.Error{
