--- a/internal/handover/frame.go
+++ b/internal/handover/frame.go
@@ -30,16 +30,21 @@
 	descriptors []syscall.Conn // to be sent with it
 }
 
-// writeFrame sends a frame, its descriptors beside the first byte.
-func writeFrame(conn *net.UnixConn, f frame) error {
+// encodeFrame is the text of a frame.
+func encodeFrame(f frame) ([]byte, error) {
 	text, err := json.Marshal(f)
 	if err != nil {
-		return fmt.Errorf("encode a frame: %w", err)
+		return nil, fmt.Errorf("encode a frame: %w", err)
 	}
 	if len(text) > maxFrameBytes {
-		return fmt.Errorf("a frame of %d bytes, %d at most", len(text), maxFrameBytes)
+		return nil, fmt.Errorf("a frame of %d bytes, %d at most", len(text), maxFrameBytes)
 	}
-	rights, err := encodeRights(f.descriptors)
+	return text, nil
+}
+
+// writeFrame sends the text of a frame, with descriptors beside the first byte.
+func writeFrame(conn *net.UnixConn, text []byte, descriptors []syscall.Conn) error {
+	rights, err := encodeRights(descriptors)
 	if err != nil {
 		return err
 	}
--- a/internal/handover/link.go
+++ b/internal/handover/link.go
@@ -260,12 +260,17 @@
 	return reply.files, nil
 }
 
-// write sends a frame. A process that doesn't read fails it after a while.
+// write sends a frame. A process that doesn't read fails it after a while; the time that a long frame takes to
+// encode doesn't count, and keeps no other frame waiting.
 func (l *Link) write(f frame) error {
+	text, err := encodeFrame(f)
+	if err != nil {
+		return err
+	}
 	l.writing.Lock()
 	defer l.writing.Unlock()
 	if err := l.conn.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return err
 	}
-	return writeFrame(l.conn, f)
+	return writeFrame(l.conn, text, f.descriptors)
 }
