--- a/decide/health.go
+++ b/decide/health.go
@@ -230,8 +230,7 @@
 }
 
 // sendHealthChecks spends the credit that attempts, new servers and the passing of time bring. No more is saved than
-// the flows held and this balancer's part of the servers need. Servers are checked in the order of the age of their
-// last check, which counts double where flows are open.
+// the flows held and this balancer's part of the servers need.
 func (b *Balancer) sendHealthChecks() {
 	h := &b.health
 	servers := float64(len(b.list.ready))
@@ -241,16 +240,21 @@
 	h.checkCredit = min(h.checkCredit, servers, 1+held+part)
 	// Servers reject most of the checks that all balancers send at once.
 	most := 1 + checksPerRound*servers*float64(tickInterval)/float64(recheckInterval)
-	if !h.checksLoad || h.checkCredit < 1 {
-		return
+	if h.checksLoad && h.checkCredit >= 1 {
+		b.checkOldest(int(min(most, h.checkCredit)))
 	}
+}
+
+// checkOldest sends so many health checks, in the order of the age of each server's last one, which counts double where
+// flows are open.
+func (b *Balancer) checkOldest(count int) {
 	age := func(server *serverState) int {
 		return int(b.now-server.healthCheckedAt) * (1 + min(server.openFlows, openFlowsWeight))
 	}
 	oldest := slices.Clone(b.list.ready)
 	slices.SortStableFunc(oldest, func(one, other *serverState) int { return age(other) - age(one) })
-	for _, server := range oldest[:int(min(most, h.checkCredit))] {
-		h.checkCredit--
+	for _, server := range oldest[:count] {
+		b.health.checkCredit--
 		server.healthCheckedAt = b.now
 		b.actions.HealthCheck(server.id)
 	}
--- a/decide/health_test.go
+++ b/decide/health_test.go
@@ -89,3 +89,17 @@
 	s.balancer.OnTimer(tickTimer)
 	s.expect("")
 }
+
+// Before slow start is configured the number of balancers is unknown: no health check is sent, and none later.
+func TestNoHealthChecksWithoutNumberOfBalancers(t *testing.T) {
+	s := &harness{t: t, targets: map[FlowID]ServerID{}, attemptsTo: map[ServerID]int{}}
+	s.balancer = New(7, s)
+	s.balancer.ConfigureHealthChecks(true)
+	s.balancer.OnTimer(tickTimer)
+	s.updateList(CachedUpdate, Ready, 4)
+	for i := range 40 {
+		s.setTime(time.Duration(i+1) * tickInterval)
+		s.balancer.OnTimer(tickTimer)
+	}
+	s.expect("")
+}
