--- a/decide/handover_test.go
+++ b/decide/handover_test.go
@@ -1,7 +1,9 @@
 package decide
 
 import (
+	"errors"
 	"fmt"
+	"math"
 	"testing"
 	"time"
 )
@@ -77,3 +79,16 @@
 		})
 	}
 }
+
+// A snapshot is refused for a size below 0 only; one that is no number counts as not stated.
+func TestSnapshotSizes(t *testing.T) {
+	for _, c := range []struct {
+		size float64
+		want error
+	}{{1, nil}, {0, nil}, {-1, errInvalidServer}, {math.Inf(1), nil}, {math.NaN(), nil}} {
+		snapshot := Snapshot{Servers: []ServerSnapshot{{ID: 1, Size: c.size}}}
+		if got := snapshot.Validate(); !errors.Is(got, c.want) {
+			t.Errorf("size %v: error %v, want %v", c.size, got, c.want)
+		}
+	}
+}
--- a/decide/snapshot.go
+++ b/decide/snapshot.go
@@ -172,14 +172,14 @@
 		return errInvalidSnapshot
 	}
 	for _, known := range s.Servers {
-		if !known.isValid(s.Now) {
+		if known.isInvalid(s.Now) {
 			return errInvalidServer
 		}
 	}
 	return nil
 }
 
-func (s ServerSnapshot) isValid(now time.Duration) bool {
-	return s.Readiness >= Ready && s.Readiness <= Gone && s.ProbationLimit >= 0 && s.UnreachableInRow >= 0 &&
-		s.BudgetSpent >= 0 && s.Size >= 0 && s.StartedAt <= now+maxClockDifference
+func (s ServerSnapshot) isInvalid(now time.Duration) bool {
+	return s.Readiness < Ready || s.Readiness > Gone || s.ProbationLimit < 0 || s.UnreachableInRow < 0 ||
+		s.BudgetSpent < 0 || s.Size < 0 || s.StartedAt > now+maxClockDifference
 }
