--- a/locality/failover.go
+++ b/locality/failover.go
@@ -144,12 +144,12 @@
 	return p.usualFlows(l) * recoveryShares[l.step] / l.slowdown
 }
 
-// mayAdmit reports whether a recovering locality may admit one more flow. In its last step it gets one more, so that it
-// does not stay below what is usual.
-func (p *Policy) mayAdmit(l *locality) bool {
+// isRecoveryStepFull reports whether a recovering locality has admitted what its step allows. In its last step it may
+// admit one more, so that it does not stay below what is usual.
+func (p *Policy) isRecoveryStepFull(l *locality) bool {
 	limit := p.recoveryLimit(l)
 	if l.step == recoverySteps-1 {
 		limit++
 	}
-	return float64(l.admitted)+l.rounding < limit
+	return float64(l.admitted)+l.rounding >= limit
 }
--- a/locality/policy_test.go
+++ b/locality/policy_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"math"
 	"testing"
 	"time"
 
@@ -267,6 +268,27 @@
 	}
 }
 
+// Sizes whose sum is beyond a float leave what is usual without a value. That holds nothing up.
+func TestRecoveryWithoutUsualFlows(t *testing.T) {
+	s := &harness{t: t, Policy: newPolicy(1, Rules{Balancers: 1})}
+	list := func(readiness decide.Readiness) {
+		for id := range decide.ServerID(2) {
+			s.OnEndpoint(decide.Endpoint{ID: id, Zone: "a", Size: math.MaxFloat64, Readiness: readiness, StartedAt: decide.LongAgo})
+		}
+		s.OnEndpointsUpdated()
+	}
+	list(decide.Ready)
+	list(decide.Gone)
+	list(decide.Ready)
+	s.expect(Recovering)
+	if usual := s.usualFlows(s.locality("a")); !math.IsNaN(usual) {
+		t.Fatalf("usual flows %v, want no number", usual)
+	}
+	if why := s.objection(1); why != "" {
+		t.Errorf("no flow goes there: %s", why)
+	}
+}
+
 func TestFlappingLocalityRecoversMoreSlowly(t *testing.T) {
 	s := newHarness(t, 0.3, 0, 0)
 	var first, third int
--- a/locality/queries.go
+++ b/locality/queries.go
@@ -48,7 +48,7 @@
 			return reasonUnavailable
 		}
 	case Recovering:
-		if !p.mayAdmit(l) {
+		if p.isRecoveryStepFull(l) {
 			return reasonRecovering
 		}
 	}
