--- a/decide/api.go
+++ b/decide/api.go
@@ -29,7 +29,7 @@
 // NoCustomer stands for a flow without a customer.
 const NoCustomer CustomerID = -1
 
-// LongAgo is the start of a server that was already running when it was first listed.
+// LongAgo is the start of a server that was already running when it was first listed, on the clock of SetTime.
 const LongAgo = time.Duration(-1 << 62)
 
 // Outcome says how an attempt, a connection or a health check ended.
@@ -106,32 +106,34 @@
 
 // Actions is all that a Balancer can do. Every call takes effect at the time of the event in hand.
 type Actions interface {
-	// Connect starts an attempt, which fails once the time given has passed.
-	Connect(FlowID, ServerID, time.Duration)
-	// Reject is a final answer: trying again does no harm, after the time given if it is not 0.
-	Reject(FlowID, time.Duration)
+	// Connect starts an attempt, which fails once the timeout has passed.
+	Connect(id FlowID, server ServerID, timeout time.Duration)
+	// Reject is a final answer: trying again does no harm, after retryAfter if it is not 0.
+	Reject(id FlowID, retryAfter time.Duration)
 	// Abort is a final answer that promises nothing.
 	Abort(FlowID)
 	// Migrate asks the client of an established flow to reconnect.
 	Migrate(FlowID)
 	// HealthCheck asks a server for its load.
 	HealthCheck(ServerID)
-	// SetTimer has OnTimer called after the time given; a timer can't be taken back.
-	SetTimer(TimerID, time.Duration)
+	// SetTimer has OnTimer called once the duration has passed. A timer cannot be cancelled.
+	SetTimer(timer TimerID, after time.Duration)
 	// WatchEndpoints subscribes to changes of the endpoint list, or ends the subscription.
-	WatchEndpoints(bool)
+	WatchEndpoints(on bool)
 }
 
 // Constraints is what others may say of a flow and a server; a Balancer chooses within it. Each answer is given at
 // once, from what was known before, and asking changes nothing. Migrations off servers that are late, silent or
 // leaving are not asked for: no constraint may hold a client there.
 type Constraints interface {
-	// ServerCost says whether a flow may go to a server now, and at what extra cost.
+	// ServerCost says whether a flow may go to a server now, and at what extra cost. A cost of 1 is what a server of
+	// mean load costs, or what grouping saves.
 	ServerCost(FlowID, ServerID) (extra float64, ok bool)
 	// AdmitFlow says whether a flow may be admitted at all.
 	AdmitFlow(FlowID) bool
-	// RetryAfter is when the client of a rejected flow may retry, given the default.
-	RetryAfter(FlowID, time.Duration) time.Duration
+	// RetryAfter is how long the client of a rejected flow should wait before it retries. A longer time than the preset
+	// has no effect.
+	RetryAfter(id FlowID, preset time.Duration) time.Duration
 	// AllowMigration says whether an established flow may be migrated to where it costs less.
 	AllowMigration(FlowID) bool
 	// MigrateFirst names the flows to look at before others.
@@ -143,10 +145,10 @@
 	ID       FlowID
 	Service  ServiceID
 	Customer CustomerID
-	Key      FlowKey
-	Group    GroupKey
+	Key      FlowKey       // no decision depends on it
+	Group    GroupKey      // empty: none
 	Timeout  time.Duration // until the client gives up; of no meaning for a flow that is adopted
-	Flags    int           // of the Flag constants
+	Flags    int           // of the Flag constants; no decision depends on them
 }
 
 // Endpoint is one server as the endpoint list describes it.
@@ -154,9 +156,9 @@
 	ID        ServerID
 	Zone      Zone
 	Cell      CellID
-	Size      float64 // relative to the sizes of other servers
+	Size      float64 // capacity relative to that of other servers, in any unit; 0 or less: not stated
 	Readiness Readiness
-	StartedAt time.Duration // LongAgo if the list gives no start
+	StartedAt time.Duration // on the clock of SetTime; LongAgo if the list gives no start
 }
 
 // ServiceType is the terms on which flows of one service type are served.
@@ -165,16 +167,16 @@
 	Deduplication DeduplicationScope
 	SetupTarget   time.Duration // an attempt established within it is in time
 	RetryWindow   time.Duration // for how long servers drop repeats of an idempotency key
-	Value         float64       // priority weight of a second of an established flow
+	Value         float64       // priority weight of a second of an established flow; no decision depends on it
 }
 
 // SlowStart is the rule that protects servers that are warming up.
 type SlowStart struct {
-	InitialCapacity  float64       // share of its capacity that a server has when it starts
-	OverloadMultiple float64       // load over capacity at which a warming server fails
+	InitialCapacity  float64       // share of its full capacity that a server has when it starts, from 0 to 1
+	OverloadMultiple float64       // times the capacity reached so far, load at which a warming server fails
 	WarmUp           time.Duration // from a server's start to its full capacity
 	Window           time.Duration // for how long the overload has to last
-	Balancers        int           // that share the budget of each warming server
+	Balancers        int           // that share the budget of each warming server, this one too; at least 1
 }
 
 // EndpointSettings says how the endpoint list reaches this balancer.
--- a/decide/balancer.go
+++ b/decide/balancer.go
@@ -29,9 +29,9 @@
 	customerFlows map[CustomerID]int // established flows of each customer
 }
 
-// New returns a Balancer that knows no settings and no servers yet.
-func New(seed uint64, act Actions) *Balancer {
-	b := &Balancer{actions: act, random: seeded(seed)}
+// New returns a Balancer that knows no settings and no servers yet. The seed starts its random generator.
+func New(seed uint64, actions Actions) *Balancer {
+	b := &Balancer{actions: actions, random: seeded(seed)}
 	b.flows.byID = map[FlowID]*flow{}
 	b.tallies.holders = map[GroupKey][]*serverState{}
 	b.list.byID = map[ServerID]*serverState{}
@@ -40,8 +40,8 @@
 	return b
 }
 
-// SetTime sets the time of the calls that follow.
+// SetTime sets the time of the calls that follow, on a clock of any start. All times that a Balancer is told are on it.
 func (b *Balancer) SetTime(now time.Duration) { b.now = now }
 
-// SetConstraints sets what other deciders may say. Without it nothing is asked and nothing changes.
+// SetConstraints sets the constraints within which decisions choose; without it there are none.
 func (b *Balancer) SetConstraints(constraints Constraints) { b.constraints = constraints }
--- a/decide/health.go
+++ b/decide/health.go
@@ -212,7 +212,7 @@
 	}
 }
 
-// OnLoadReport handles a server's report of its load over its capacity.
+// OnLoadReport handles a server's report of its load over its capacity: 1 is a server that is fully used.
 func (b *Balancer) OnLoadReport(server ServerID, load float64) {
 	state := b.list.server(server)
 	state.reportedLoad = load
--- a/decide/settings.go
+++ b/decide/settings.go
@@ -16,23 +16,24 @@
 	b.services = append(b.services, service)
 }
 
-// ConfigurePlacement sets the prices of a flow that crosses zones and of a migration, and whether the listed sizes of
-// servers mean something.
-func (b *Balancer) ConfigurePlacement(crossing, migration float64, sizes bool) {
-	b.placement = placementCosts{zoneCrossing: crossing, migration: migration, hasSizes: sizes}
+// ConfigurePlacement sets the prices of a flow that crosses zones and of a migration, in the currency of the tariffs,
+// and whether the listed sizes of servers mean something.
+func (b *Balancer) ConfigurePlacement(crossing, migration float64, hasSizes bool) {
+	b.placement = placementCosts{zoneCrossing: crossing, migration: migration, hasSizes: hasSizes}
 }
 
-// ConfigureHealthChecks says whether health checks bring load reports.
-func (b *Balancer) ConfigureHealthChecks(pull bool) { b.health.checksLoad = pull }
+// ConfigureHealthChecks says whether health checks bring load reports; without them none are sent.
+func (b *Balancer) ConfigureHealthChecks(bringLoad bool) { b.health.checksLoad = bringLoad }
 
-// ConfigureSlowStart sets the rule for servers that are warming up.
+// ConfigureSlowStart sets the rule for servers that are warming up, and by its number of balancers this one's part of
+// what all balancers share.
 func (b *Balancer) ConfigureSlowStart(settings SlowStart) {
 	settings.Balancers = max(settings.Balancers, 1)
 	b.slowStart = slowStart{SlowStart: settings, quotas: b.slowStart.quotas}
 	b.admission.concurrencyLimit = b.maxConcurrency()
 }
 
-// AddCustomer adds the next customer, with its quota of connections over all balancers; 0: it has none.
+// AddCustomer adds the next customer, with its quota in connections over all balancers; 0: it has none.
 func (b *Balancer) AddCustomer(quota float64) {
 	b.slowStart.quotas = append(b.slowStart.quotas, quota)
 }
--- a/decide/snapshot.go
+++ b/decide/snapshot.go
@@ -8,24 +8,25 @@
 )
 
 // Snapshot is what an instance knows, for another that takes its place: all but flows and their tallies, which
-// stay with the process that holds the connections. All times are on the clock of the instance that took it.
+// stay with the process that holds the connections. All times are on the clock of the instance that took it; times and
+// durations are in nanoseconds.
 type Snapshot struct {
 	Now              time.Duration    `json:"now"`
-	Servers          []ServerSnapshot `json:"servers"`
-	UsualSize        float64          `json:"usual"`
-	ConcurrencyLimit float64          `json:"window"`
-	SetupSpacing     time.Duration    `json:"pause"`
-	ReopensAt        time.Duration    `json:"opens"`
-	SetupTimes       []time.Duration  `json:"setups"`
-	LastSetupAt      time.Duration    `json:"setup_at"`
-	FlowLimit        LimitSnapshot    `json:"limit"`
+	Servers          []ServerSnapshot `json:"servers"`  // by id
+	UsualSize        float64          `json:"usual"`    // sum of the sizes of the servers usually in service; 0: unknown
+	ConcurrencyLimit float64          `json:"window"`   // attempts out at once
+	SetupSpacing     time.Duration    `json:"pause"`    // between attempts while one may be out at once
+	ReopensAt        time.Duration    `json:"opens"`    // no attempt goes out before
+	SetupTimes       []time.Duration  `json:"setups"`   // of the last set-ups over all servers, oldest first
+	LastSetupAt      time.Duration    `json:"setup_at"` // when the last of them ended
+	FlowLimit        LimitSnapshot    `json:"limit"`    // on the flows of the instance
 }
 
-// LimitSnapshot is a limit on flows; see flowLimit.
+// LimitSnapshot is a limit on flows that recovers with time.
 type LimitSnapshot struct {
-	Flows     float64       `json:"held"`
-	Target    float64       `json:"was"`
-	ReducedAt time.Duration `json:"at"`
+	Flows     float64       `json:"held"` // at the last reduction
+	Target    float64       `json:"was"`  // flows, at the first reduction of a series
+	ReducedAt time.Duration `json:"at"`   // the last reduction; 0: there is no limit
 }
 
 func (l flowLimit) snapshot() LimitSnapshot {
@@ -36,28 +37,28 @@
 	return flowLimit{flows: l.Flows, target: l.Target, reducedAt: l.ReducedAt}
 }
 
-// ServerSnapshot is what an instance knows of one server.
+// ServerSnapshot is what an instance knows of one server; see serverState.
 type ServerSnapshot struct {
 	ID        ServerID      `json:"id"`
 	Zone      Zone          `json:"zone"`
 	Cell      CellID        `json:"cell"`
-	Size      float64       `json:"size"`
-	Readiness Readiness     `json:"listed"`
+	Size      float64       `json:"size"`   // relative to that of other servers
+	Readiness Readiness     `json:"listed"` // as the endpoint list has it
 	Disabled  bool          `json:"by_hand,omitempty"`
-	StartedAt time.Duration `json:"since"`
+	StartedAt time.Duration `json:"since"` // or LongAgo
 
 	Ejected          bool          `json:"aside,omitempty"`
 	EjectedUntil     time.Duration `json:"aside_to,omitempty"`
-	EjectionTime     time.Duration `json:"pause,omitempty"`
-	ProbationLimit   int           `json:"trickle,omitempty"`
-	UnreachableInRow int           `json:"silent,omitempty"`
-	Latency          time.Duration `json:"delay,omitempty"`
-	LatencyAt        time.Duration `json:"delay_at,omitempty"`
-	OverloadedAt     time.Duration `json:"hot_at,omitempty"`
+	EjectionTime     time.Duration `json:"pause,omitempty"`    // length of the last ejection
+	ProbationLimit   int           `json:"trickle,omitempty"`  // flows out at once while on probation
+	UnreachableInRow int           `json:"silent,omitempty"`   // attempts
+	Latency          time.Duration `json:"delay,omitempty"`    // of a message, as last sampled
+	LatencyAt        time.Duration `json:"delay_at,omitempty"` // time of that sample
+	OverloadedAt     time.Duration `json:"hot_at,omitempty"`   // time of the last sample that showed overload
 	FlowLimit        LimitSnapshot `json:"limit"`
 
-	BudgetDue   float64       `json:"cold_due,omitempty"`
-	BudgetSpent int           `json:"cold_sent,omitempty"`
+	BudgetDue   float64       `json:"cold_due,omitempty"`  // attempts of the slow-start budget, by BudgetAt
+	BudgetSpent int           `json:"cold_sent,omitempty"` // attempts, or expired
 	BudgetAt    time.Duration `json:"cold_at,omitempty"`
 }
 
@@ -166,7 +167,7 @@
 	errInvalidServer   = errors.New("a server that can't be")
 )
 
-// Validate returns an error if the snapshot cannot have come from an instance.
+// Validate returns an error that says what cannot have come from an instance, the snapshot or one of its servers.
 func (s Snapshot) Validate() error {
 	if s.Now < 0 || len(s.Servers) > maxSnapshotServers || len(s.SetupTimes) > sampleWindow {
 		return errInvalidSnapshot
