--- a/decide/selection.go
+++ b/decide/selection.go
@@ -16,11 +16,11 @@
 	}
 }
 
-// selectPreferred adds the servers that a group may prefer at all balancers, and returns how many were selected.
+// selectPreferred adds the servers that a group, by its hash, may prefer at all balancers, and returns how many these
+// are. The selection must be empty.
 func (l *endpointList) selectPreferred(group uint64, buckets int) int {
-	for range buckets {
-		group++
-		for _, server := range l.preferredIndex.bucket(group) {
+	for i := range buckets {
+		for _, server := range l.preferredIndex.bucket(group + uint64(i) + 1) {
 			l.addCandidate(server)
 		}
 	}
@@ -50,7 +50,7 @@
 	return l.cells[f.firstRunCell]
 }
 
-// groupByPlace is done when a repeat first needs it after an update.
+// groupByPlace fills zones and cells. It is done when a repeat first needs them after an update.
 func (l *endpointList) groupByPlace() {
 	l.zones = map[Zone][]*serverState{}
 	l.cells = map[CellID][]*serverState{}
--- a/decide/statistics.go
+++ b/decide/statistics.go
@@ -17,10 +17,10 @@
 	reportedSize float64 // of the servers that reported their load
 }
 
-// noServers are the totals over no servers. They can be divided by.
+// noServers are the totals over no servers. They can be divided by. Sums start from them.
 var noServers = fleetTotals{size: minSize, reportedSize: minSize}
 
-// means are what loads are compared with.
+// means are what loads are compared with where no flow is in hand.
 func (t fleetTotals) means() comparison {
 	mean := max(t.openFlows, 0) / t.size
 	return comparison{meanOpen: mean, meanWithFlow: mean, meanLoad: t.reportedLoad / t.reportedSize}
@@ -35,30 +35,39 @@
 	}
 }
 
-// setMeans computes the means over the servers that cost the flow least. Of a long list these are all servers, or with
-// constraints the candidates, where one more flow counts for as much less as they are fewer.
-func (b *Balancer) setMeans(against *comparison, f *flow, least float64) {
-	totals := b.list.totals
-	isLong := b.list.isLong()
-	if !isLong || b.constraints != nil {
-		totals = b.totalsFor(f, against.candidates, least)
-	} else if f.leased && f.server.readiness == Ready {
-		totals.openFlows--
-	}
+// setMeans computes the means over the servers of the least extra cost for the flow. A long list without constraints has
+// the totals of all servers at hand; with them only its candidates are asked, and the flow counts by their part of all.
+func (b *Balancer) setMeans(against *comparison, f *flow, leastExtra float64) {
+	var totals fleetTotals
 	oneFlow := 1.0
-	if isLong && b.constraints != nil {
+	switch isLong := b.list.isLong(); {
+	case isLong && b.constraints == nil:
+		totals = b.totalsWithout(f)
+	case isLong:
+		totals = b.totalsFor(f, against.candidates, leastExtra)
 		oneFlow = min(1, totals.size/b.list.totals.size)
+	default:
+		totals = b.totalsFor(f, against.candidates, leastExtra)
 	}
 	against.meanOpen = totals.openFlows / totals.size
 	against.meanWithFlow = (totals.openFlows + oneFlow) / totals.size
 	against.meanLoad = totals.reportedLoad / totals.reportedSize
 }
 
-// totalsFor are the totals over the servers that cost the flow least, without that flow.
-func (b *Balancer) totalsFor(f *flow, servers []*serverState, least float64) fleetTotals {
+// totalsWithout are the totals over all ready servers without the flow.
+func (b *Balancer) totalsWithout(f *flow) fleetTotals {
+	totals := b.list.totals
+	if f.leased && f.server.readiness == Ready {
+		totals.openFlows--
+	}
+	return totals
+}
+
+// totalsFor are the totals over the servers of the least extra cost for the flow, without that flow.
+func (b *Balancer) totalsFor(f *flow, servers []*serverState, leastExtra float64) fleetTotals {
 	totals := noServers
 	for _, server := range servers {
-		if extra, ok := b.serverCost(f, server); !ok || extra > least {
+		if extra, ok := b.serverCost(f, server); !ok || extra > leastExtra {
 			continue
 		}
 		b.addToTotals(&totals, server)
@@ -77,13 +86,18 @@
 	for _, server := range l.ready {
 		b.addToTotals(&l.totals, server)
 	}
-	l.lowestLoad = math.Inf(1)
-	against := l.totals.means()
-	for _, server := range l.ready {
+	l.lowestLoad = b.lowestLoad(l.totals.means())
+}
+
+// lowestLoad is the lowest load of any server that a flow could be migrated to; infinite if there is none.
+func (b *Balancer) lowestLoad(against comparison) float64 {
+	lowest := math.Inf(1)
+	for _, server := range b.list.ready {
 		if b.isMigrationTarget(server, against) {
-			l.lowestLoad = min(l.lowestLoad, b.load(server, server.openFlows, against))
+			lowest = min(lowest, b.load(server, server.openFlows, against))
 		}
 	}
+	return lowest
 }
 
 // isMigrationTarget reports whether some flow could be migrated to the server before the next tick.
@@ -104,7 +118,7 @@
 	servers []*serverState
 }
 
-// healthyServers are the servers without faults that have capacity.
+// healthyServers are the servers without faults that have capacity for a flow that has no group and no attempt yet.
 func (b *Balancer) healthyServers() []*serverState {
 	last := &b.health.healthy
 	if b.isCurrent(last.at) {
@@ -153,6 +167,7 @@
 	ejected    int
 }
 
+// fleetOverview counts what is observed, or returns the last counts while they are current.
 func (b *Balancer) fleetOverview() fleetOverview {
 	last := &b.health.overview
 	if b.isCurrent(last.at) {
--- a/decide/tallies.go
+++ b/decide/tallies.go
@@ -33,6 +33,7 @@
 	f.leased = false
 }
 
+// addToTally adds n flows of a group to the tally of a server, or subtracts them, and keeps all sums over tallies.
 func (b *Balancer) addToTally(server *serverState, group GroupKey, n int) {
 	server.openFlows += n
 	if server.readiness == Ready {
@@ -85,8 +86,8 @@
 	t.holders[group] = holders[:len(holders)-1]
 }
 
-// groupSpread is half the gap between the ideal count of servers per group, which is 1, and the average one, as a share
-// of the average, so that it weighs the same at any number of groups.
+// groupSpread is 0 where each group is at one server, the ideal, and approaches 1/2 as groups spread over more: half the
+// gap between 1 and the average count of servers per group, as a share of that average.
 func (b *Balancer) groupSpread() float64 {
 	if b.tallies.pairs == 0 {
 		return 0
--- a/decide/warmup.go
+++ b/decide/warmup.go
@@ -8,8 +8,8 @@
 // Slow start: how many attempts a server that started recently may get.
 
 const (
-	budgetWindows     = 1.0 // of a warming server's budget that may be saved
-	smallBudgetFactor = 3   // times budgetWindows, of which up to one attempt may be saved
+	budgetWindows     = 1.0 // windows whose budget may be saved
+	smallBudgetFactor = 3   // times budgetWindows, where that is no more than one attempt
 )
 
 // slowStart is the rule on warming servers and what their budgets are computed from.
@@ -32,8 +32,9 @@
 	return 1
 }
 
-// beginSlowStart starts a server's budget now, with a random part of one attempt. What was due before this balancer
-// learned of the start is excluded: all balancers learn of it at once, and one that restarts would spend it again.
+// beginSlowStart starts a server's budget now, with a random part of one attempt: each balancer may be due less than one,
+// and rounding up would overload the server. What was due before this balancer learned of the start is excluded: all
+// balancers learn of it at once, and one that restarts would spend it again.
 func (b *Balancer) beginSlowStart(server *serverState, startedAt time.Duration) {
 	server.startedAt = startedAt
 	server.budgetAt = b.now
@@ -42,23 +43,28 @@
 }
 
 // slowStartBudget is how many attempts a warming server was due by now, and how many of them were spent or have
-// expired. The budget grows by OverloadMultiple times what would fill the server during its warm-up. The mean stands
-// for its full capacity, or half of it where quotas give a capacity, as flows weigh unevenly. What is not spent expires
-// soon, or a mass reconnect would spend it at once.
+// expired. During the warm-up the budget grows by the flows that overload the server, in step with its capacity share.
+// What is not spent expires soon, or a mass reconnect would spend it at once.
 func (b *Balancer) slowStartBudget(server *serverState, against comparison) (due float64, spent int) {
 	rule := &b.slowStart
-	now := b.capacityShare(server)
-	before := b.capacityShareAt(server, server.budgetAt)
-	capacity := max(against.meanWithFlow/2, cmp.Or(b.quotaPerSize(), against.meanWithFlow))
-	full := rule.OverloadMultiple * capacity * b.size(server) / now
-	due = server.budgetDue + full*(now*now-before*before)/(2-2*rule.InitialCapacity)
-	window := full * now * rule.Window.Seconds() / rule.WarmUp.Seconds()
-	savable := max(budgetWindows*window, min(smallBudgetFactor*budgetWindows*window, 1))
+	share := b.capacityShare(server)
+	shareBefore := b.capacityShareAt(server, server.budgetAt)
+	overload := rule.OverloadMultiple * b.capacityPerSize(against) * b.size(server) / share
+	// The share grows linearly, so that its integral over time is a difference of squares.
+	due = server.budgetDue + overload*(share*share-shareBefore*shareBefore)/(2-2*rule.InitialCapacity)
+	perWindow := overload * share * rule.Window.Seconds() / rule.WarmUp.Seconds()
+	savable := max(budgetWindows*perWindow, min(smallBudgetFactor*budgetWindows*perWindow, 1))
 	return due, max(server.budgetSpent, int(due-savable))
 }
 
+// capacityPerSize is the flows of this balancer that fill a unit of size. The mean stands for it where there are no
+// quotas; where there are, half of the mean does if it is more, as flows weigh unevenly.
+func (b *Balancer) capacityPerSize(against comparison) float64 {
+	return max(against.meanWithFlow/2, cmp.Or(b.quotaPerSize(), against.meanWithFlow))
+}
+
 // quotaPerSize is this balancer's part of the connections that a unit of size is meant to bear, by the customers'
-// quotas. The mean would be too low where the fleet is not fully used.
+// quotas; 0: there are none. The mean would be too low where the fleet is not fully used.
 func (b *Balancer) quotaPerSize() float64 {
 	sum := 0.0
 	for _, quota := range b.slowStart.quotas {
@@ -67,6 +73,8 @@
 	return sum / float64(b.slowStart.Balancers) / max(b.list.usualSize, minSize)
 }
 
+// hasSlowStartBudget reports whether a server may get one more attempt: any number once it is warm, else what is left of
+// its budget, which only one of two processes spends during a handover.
 func (b *Balancer) hasSlowStartBudget(server *serverState, against comparison) bool {
 	if b.capacityShare(server) == 1 {
 		return true
