--- a/decide/recorded_test.go
+++ b/decide/recorded_test.go
@@ -195,54 +195,57 @@
 	}
 }
 
+// recordedDays are days and the hashes of all actions on them.
+var recordedDays = []struct {
+	day  recordedDay
+	want string
+}{
+	{recordedDay{
+		seed: 1, servers: 1, balancers: 1, seconds: 40,
+		groups: 3, flowsPerSecond: 40, lifetime: 4 * sec,
+	}, "5b244d609305866b8e8031cc5c1bfeff"},
+	{recordedDay{
+		seed: 2, servers: 5, balancers: 3, seconds: 40,
+		groups: 12, flowsPerSecond: 60, lifetime: 10 * sec,
+		crossing: 0.08,
+	}, "ed09218f26a5c7dab6e433d9f6a52304"},
+	{recordedDay{
+		seed: 3, servers: 20, balancers: 80, seconds: 40,
+		groups: 40, flowsPerSecond: 60, lifetime: 10 * sec,
+		quotas: true, crossing: 0.08,
+	}, "f341cf5f5ffcc2ebe074ca1fb4b3dc3a"},
+	{recordedDay{
+		seed: 4, servers: 20, balancers: 1, seconds: 40,
+		groups: 200, flowsPerSecond: 100, lifetime: 10 * sec,
+		healthChecks: true,
+	}, "08de30b2b88ca9d0cbce9ba3b82bc8e7"},
+	{recordedDay{
+		seed: 5, servers: 60, balancers: 300, seconds: 40,
+		groups: 500, flowsPerSecond: 100, lifetime: 20 * sec,
+		effect: IdempotentByKey, deduplication: DeduplicatedByZone, crossing: 0.02,
+	}, "179d68a70078de96812e273b14941441"},
+	{recordedDay{
+		seed: 6, servers: 60, balancers: 1, seconds: 40,
+		groups: 20, flowsPerSecond: 100, lifetime: 30 * sec,
+		effect: IdempotentByKey, deduplication: DeduplicatedByCell, quotas: true,
+	}, "2b8b0c3496faedd643f1bd02abbad28b"},
+	{recordedDay{
+		seed: 7, servers: 128, balancers: 10, seconds: 30,
+		groups: 1000, flowsPerSecond: 100, lifetime: 30 * sec,
+		effect: NotIdempotent, healthChecks: true, crossing: 0.05,
+	}, "6c4fe0f5fde41f83e2e7f60eb28aa073"},
+	{recordedDay{
+		seed: 8, servers: 128, balancers: 300, seconds: 30,
+		groups: 60, flowsPerSecond: 100, lifetime: 30 * sec,
+		quotas: true,
+	}, "295389bd2f206df169f68c733752a34f"},
+}
+
 // The hashes are of all actions of decisions that look at every server and make every recheck. With lists up to
 // fullScanServers the actions are the same, byte for byte: rechecks that are skipped could not have migrated anything.
 func TestShortListsMatchRecordedDays(t *testing.T) {
 	did := map[string]int{}
-	for _, c := range []struct {
-		day  recordedDay
-		want string
-	}{
-		{recordedDay{
-			seed: 1, servers: 1, balancers: 1, seconds: 40,
-			groups: 3, flowsPerSecond: 40, lifetime: 4 * sec,
-		}, "5b244d609305866b8e8031cc5c1bfeff"},
-		{recordedDay{
-			seed: 2, servers: 5, balancers: 3, seconds: 40,
-			groups: 12, flowsPerSecond: 60, lifetime: 10 * sec,
-			crossing: 0.08,
-		}, "ed09218f26a5c7dab6e433d9f6a52304"},
-		{recordedDay{
-			seed: 3, servers: 20, balancers: 80, seconds: 40,
-			groups: 40, flowsPerSecond: 60, lifetime: 10 * sec,
-			quotas: true, crossing: 0.08,
-		}, "f341cf5f5ffcc2ebe074ca1fb4b3dc3a"},
-		{recordedDay{
-			seed: 4, servers: 20, balancers: 1, seconds: 40,
-			groups: 200, flowsPerSecond: 100, lifetime: 10 * sec,
-			healthChecks: true,
-		}, "08de30b2b88ca9d0cbce9ba3b82bc8e7"},
-		{recordedDay{
-			seed: 5, servers: 60, balancers: 300, seconds: 40,
-			groups: 500, flowsPerSecond: 100, lifetime: 20 * sec,
-			effect: IdempotentByKey, deduplication: DeduplicatedByZone, crossing: 0.02,
-		}, "179d68a70078de96812e273b14941441"},
-		{recordedDay{
-			seed: 6, servers: 60, balancers: 1, seconds: 40,
-			groups: 20, flowsPerSecond: 100, lifetime: 30 * sec,
-			effect: IdempotentByKey, deduplication: DeduplicatedByCell, quotas: true,
-		}, "2b8b0c3496faedd643f1bd02abbad28b"},
-		{recordedDay{
-			seed: 7, servers: 128, balancers: 10, seconds: 30,
-			groups: 1000, flowsPerSecond: 100, lifetime: 30 * sec,
-			effect: NotIdempotent, healthChecks: true, crossing: 0.05,
-		}, "6c4fe0f5fde41f83e2e7f60eb28aa073"},
-		{recordedDay{
-			seed: 8, servers: 128, balancers: 300, seconds: 30,
-			groups: 60, flowsPerSecond: 100, lifetime: 30 * sec,
-			quotas: true,
-		}, "295389bd2f206df169f68c733752a34f"},
-	} {
+	for _, c := range recordedDays {
 		t.Run(fmt.Sprintf("%d servers, seed %d", c.day.servers, c.day.seed), func(t *testing.T) {
 			r := record(t, c.day)
 			if r.flows < 100 || len(r.hash) < 1000 {
