--- a/internal/protocol/draining.go
+++ b/internal/protocol/draining.go
@@ -49,7 +49,7 @@
 	ticker := time.NewTicker(drainInterval)
 	defer ticker.Stop()
 	for {
-		due = f.migrateSome(due, time.Until(end))
+		due = f.migrateSome(due, end)
 		select {
 		case <-ctx.Done():
 			return
@@ -59,10 +59,10 @@
 }
 
 // migrateSome asks as many clients to reconnect as are due in one interval, and returns the fraction that remains.
-func (f *Frontend) migrateSome(due float64, left time.Duration) float64 {
+func (f *Frontend) migrateSome(due float64, end time.Time) float64 {
 	var migrating []*session
 	f.mu.Lock()
-	if left > drainInterval {
+	if left := time.Until(end); left > drainInterval {
 		due += float64(len(f.established)) * float64(drainInterval) / float64(left)
 	} else {
 		due = float64(len(f.established))
