--- a/internal/protocol/balancer_test.go
+++ b/internal/protocol/balancer_test.go
@@ -89,8 +89,20 @@
 	return routing.New(routing.Config{Seed: 1, LatencyThreshold: 80 * ms, ServersReportLoad: true, ServersReportLatency: true,
 		Configure: func(b *decide.Balancer) (map[string]decide.ServiceID, map[string]decide.CustomerID) {
 			b.ConfigureFlows(3, 700*ms)
-			b.AddService(decide.ServiceType{Effect: settings.effect, Deduplication: decide.DeduplicatedByFleet, SetupTarget: 300 * ms, RetryWindow: settings.retryWindow, Value: 1})
-			b.ConfigureSlowStart(decide.SlowStart{InitialCapacity: 0.2, OverloadMultiple: 3, WarmUp: 20 * sec, Window: 1500 * ms, Balancers: settings.balancers})
+			b.AddService(decide.ServiceType{
+				Effect:        settings.effect,
+				Deduplication: decide.DeduplicatedByFleet,
+				SetupTarget:   300 * ms,
+				RetryWindow:   settings.retryWindow,
+				Value:         1,
+			})
+			b.ConfigureSlowStart(decide.SlowStart{
+				InitialCapacity:  0.2,
+				OverloadMultiple: 3,
+				WarmUp:           20 * sec,
+				Window:           1500 * ms,
+				Balancers:        settings.balancers,
+			})
 			b.ConfigurePlacement(0, 0, true)
 			b.ConfigureEndpoints(decide.EndpointSettings{Zone: "z", Polled: false, MaxPollInterval: 10 * sec, MessageTarget: 240 * ms})
 			return map[string]decide.ServiceID{"live": 0}, nil
--- a/internal/protocol/discovery_test.go
+++ b/internal/protocol/discovery_test.go
@@ -45,8 +45,8 @@
 	return func(c io.Writer, _ *instant) { _, _ = io.WriteString(c, text) }
 }
 
-// signOfLife writes what says that all changes so far have been sent.
-func signOfLife(c io.Writer, upToDate *instant, text string) {
+// writeUpToDate writes what says that all changes so far have been sent.
+func writeUpToDate(c io.Writer, upToDate *instant, text string) {
 	if _, err := io.WriteString(c, text); err == nil {
 		upToDate.now()
 	}
@@ -67,19 +67,20 @@
 	{"no answer", nil, true},
 	{"rejected", respondWith("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"), false},
 	{"a status nobody expects", respondWith("HTTP/1.1 299 Whatever\r\nContent-Length: 2\r\n\r\n{}"), false},
-	{"redirected", respondWith("HTTP/1.1 302 Found\r\nLocation: http://elsewhere/discovery/hosts\r\nContent-Length: 0\r\n\r\n"), false},
+	{"redirected", respondWith("HTTP/1.1 302 Found\r\nLocation: http://elsewhere/discovery/hosts\r\n" +
+		"Content-Length: 0\r\n\r\n"), false},
 	{"rejected after a wait", func(c io.Writer, _ *instant) {
 		time.Sleep(2 * sec)
 		_, _ = io.WriteString(c, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
 	}, false},
 	{"cut in the headers", respondWith(responseHeader[:30]), false},
 	{"silent in the headers", respondWith(responseHeader[:30]), true},
-	{"silent after the headers", func(c io.Writer, upToDate *instant) { signOfLife(c, upToDate, responseHeader) }, true},
+	{"silent after the headers", func(c io.Writer, upToDate *instant) { writeUpToDate(c, upToDate, responseHeader) }, true},
 	{"silent after two signs of life", func(c io.Writer, upToDate *instant) {
-		signOfLife(c, upToDate, responseHeader)
+		writeUpToDate(c, upToDate, responseHeader)
 		for range 2 {
 			time.Sleep(heartbeatInterval)
-			signOfLife(c, upToDate, "\n")
+			writeUpToDate(c, upToDate, "\n")
 		}
 	}, true},
 	{"cut in the body", respondWith(responseHeader + changedList[:40]), false},
@@ -88,9 +89,9 @@
 		_, _ = io.WriteString(c, responseHeader+changedList[:40])
 	}, true},
 	{"silent in a later object", func(c io.Writer, upToDate *instant) {
-		signOfLife(c, upToDate, responseHeader+"\n")
+		writeUpToDate(c, upToDate, responseHeader+"\n")
 		time.Sleep(heartbeatInterval)
-		signOfLife(c, upToDate, changedList[:40])
+		writeUpToDate(c, upToDate, changedList[:40])
 	}, true},
 	{"a body that trickles", func(c io.Writer, _ *instant) {
 		_, err := io.WriteString(c, responseHeader+`{"revision":9,`)
@@ -248,6 +249,9 @@
 // where. The list held stays until one comes that can be applied.
 func TestBadListIsLoggedOnce(t *testing.T) {
 	tooMany := strings.Repeat(`{"id":"s","phase":"SERVING"},`, maxServers) + `{"id":"s","phase":"SERVING"}`
+	tooManyError := fmt.Sprintf("%d members, %d at most", maxServers+1, maxServers)
+	endlessHeaders := "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 2*maxHeaderBytes)
+	endlessObject := `{"revision":9,"complete":true,"members":[` + strings.Repeat(" ", maxListBytes)
 	for _, c := range []badList{
 		{futileCalls[0], "EOF"},
 		{futileCalls[1], errDiscoverySilent.Error()},
@@ -261,9 +265,9 @@
 		{futileCalls[14], "members is missing or of the wrong kind"},
 		{discoveryCall{"no HTTP", respondWith("hello\r\n"), false}, "malformed HTTP response"},
 		{discoveryCall{"a page", respondWith(responseHeader + "<html>"), false}, "invalid character"},
-		{discoveryCall{"endless headers", respondWith("HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 2*maxHeaderBytes)), false}, "headers exceeded"},
-		{discoveryCall{"an endless object", respondWith(responseHeader + `{"revision":9,"complete":true,"members":[` + strings.Repeat(" ", maxListBytes)), false}, errListTooLong.Error()},
-		{discoveryCall{"too many", respondWith(responseHeader + object(9, true, tooMany)), false}, fmt.Sprintf("%d members, %d at most", maxServers+1, maxServers)},
+		{discoveryCall{"endless headers", respondWith(endlessHeaders), false}, "headers exceeded"},
+		{discoveryCall{"an endless object", respondWith(responseHeader + endlessObject), false}, errListTooLong.Error()},
+		{discoveryCall{"too many", respondWith(responseHeader + object(9, true, tooMany)), false}, tooManyError},
 	} {
 		t.Run(c.name, c.run)
 	}
@@ -301,7 +305,8 @@
 	})
 	logged.wait(t, "endpoint watch recovered")
 	got := logged.String()
-	if n := strings.Count(got, "endpoint watch lost"); n != 1 || !strings.Contains(got, c.names) || !strings.Contains(got, l.Addr().String()) {
+	n := strings.Count(got, "endpoint watch lost")
+	if n != 1 || !strings.Contains(got, c.names) || !strings.Contains(got, l.Addr().String()) {
 		t.Errorf("%d errors, want one that names %q and %v:\n%s", n, c.names, l.Addr(), got)
 	}
 	if d.revision.Load() != 9 {
--- a/internal/protocol/endpointlist_test.go
+++ b/internal/protocol/endpointlist_test.go
@@ -16,7 +16,8 @@
 
 // member is an entry of a list.
 func member(id, phase string) string {
-	return fmt.Sprintf(`{"id":"%s","host_port":"at-%s","locality":"z","cell":1,"phase":"%s","size":1,"up_since_ms":0}`, id, id, phase)
+	const format = `{"id":"%s","host_port":"at-%s","locality":"z","cell":1,"phase":"%s","size":1,"up_since_ms":0}`
+	return fmt.Sprintf(format, id, id, phase)
 }
 
 // object is one update as discovery sends it.
@@ -27,6 +28,7 @@
 // The list decides where a flow goes: a bad update must change nothing.
 func TestEndpointList(t *testing.T) {
 	first := object(5, true, member("a", "SERVING"))
+	longestID := strings.Repeat("x", routing.MaxIDLength)
 	for _, c := range []struct {
 		name         string
 		update       string // after the first
@@ -43,8 +45,8 @@
 		{"one bad entry", object(6, true, member("b", "SERVING"), `{"id":7}`), false, "at-a", 5},
 		{"an unknown phase", object(6, false, member("a", "ASLEEP")), false, "at-a", 5},
 		{"no id", object(6, true, member("", "SERVING")), false, "at-a", 5},
-		{"an id too long", object(6, true, member("b", "SERVING"), member(strings.Repeat("x", routing.MaxIDLength+1), "SERVING")), false, "at-a", 5},
-		{"the longest id", object(6, true, member(strings.Repeat("x", routing.MaxIDLength), "DRAINING"), member("b", "SERVING")), true, "at-b", 6},
+		{"an id too long", object(6, true, member("b", "SERVING"), member(longestID+"x", "SERVING")), false, "at-a", 5},
+		{"the longest id", object(6, true, member(longestID, "DRAINING"), member("b", "SERVING")), true, "at-b", 6},
 		{"another kind of thing", `[1,2]`, false, "at-a", 5},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/protocol/endpointstart_test.go
+++ b/internal/protocol/endpointstart_test.go
@@ -69,7 +69,8 @@
 	}
 	successor := newTestDiscovery(1, "", false)
 	successor.router.Restore(d.router.Snapshot())
-	if err := successor.applyText(t.Context(), []byte(object(1, true, member("a", "SERVING"), memberStartedAt(reported))), routing.DeltaUpdate); err != nil {
+	sameList := object(1, true, member("a", "SERVING"), memberStartedAt(reported))
+	if err := successor.applyText(t.Context(), []byte(sameList), routing.DeltaUpdate); err != nil {
 		t.Fatal(err)
 	}
 	if got := startOf(t, successor.router); got != startedAt {
--- a/internal/protocol/frontend.go
+++ b/internal/protocol/frontend.go
@@ -54,9 +54,9 @@
 	rejectsAll   atomic.Bool // new flows too
 
 	mu                 sync.Mutex
-	connectionCount    int                // sessions that have not ended
-	established        []*session         // those not yet asked to migrate
-	transferConnection transferConnection // nil: there is no other process
+	connectionCount    int          // sessions that have not ended
+	established        []*session   // those not yet asked to migrate
+	transferConnection TransferFunc // nil: there is no other process
 }
 
 // NewFrontend makes a frontend. connectTimeout bounds a server's handshake; retryAfter is advised to clients that are
--- a/internal/protocol/localerrors_test.go
+++ b/internal/protocol/localerrors_test.go
@@ -29,7 +29,9 @@
 // The system refuses dials with an error of this machine's own, every fifth one or all of them for a moment. The
 // servers are healthy, so that all clients are served and nothing is held against a server.
 func TestLocalConnectErrors(t *testing.T) {
-	for _, errno := range []syscall.Errno{syscall.ENETUNREACH, syscall.EADDRNOTAVAIL, syscall.ENOBUFS, syscall.ENFILE, syscall.EAGAIN, syscall.ENOMEM} {
+	for _, errno := range []syscall.Errno{
+		syscall.ENETUNREACH, syscall.EADDRNOTAVAIL, syscall.ENOBUFS, syscall.ENFILE, syscall.EAGAIN, syscall.ENOMEM,
+	} {
 		start := time.Now()
 		for name, fails := range map[string]func(n int64) bool{
 			"every fifth":      func(n int64) bool { return n%5 == 0 },
--- a/internal/protocol/races_test.go
+++ b/internal/protocol/races_test.go
@@ -17,8 +17,8 @@
 
 // These tests cover orders of two events that seldom come about by themselves; docs/races.md lists them.
 
-// waysToLeave are the ways in which a client leaves.
-var waysToLeave = map[string]func(client *peer){
+// clientDepartures are how a client may leave.
+var clientDepartures = map[string]func(client *peer){
 	"an end":       (*peer).close,
 	"a half end":   func(c *peer) { _ = c.CloseWrite() },
 	"a reset":      (*peer).reset,
@@ -74,14 +74,14 @@
 // A client that leaves while it waits is not forwarded, whatever it waited for and however it left, and all that
 // it held is given back: the next client finds the balancer as if the first had never come.
 func TestClientLeavesWhileItWaits(t *testing.T) {
-	for way, leave := range waysToLeave {
+	for departure, leave := range clientDepartures {
 		for waitsFor, test := range map[string]func(t *testing.T, leave func(*peer)){
 			"a decision":               clientLeavesBeforeDecision,
 			"a connection":             clientLeavesBeforeConnection,
 			"the pause before a retry": clientLeavesBeforeRetry,
 			"the accept":               clientsLeaveBeforeAccept,
 		} {
-			t.Run(waitsFor+", "+way, func(t *testing.T) {
+			t.Run(waitsFor+", "+departure, func(t *testing.T) {
 				t.Parallel()
 				test(t, leave)
 			})
@@ -240,8 +240,8 @@
 		{"the end of a pause", resumeLine, []string{busy}, false},
 		{"a connection after a pause", resumeLine, []string{busy}, true},
 	} {
-		for way, leave := range waysToLeave {
-			t.Run(c.name+", "+way, func(t *testing.T) {
+		for departure, leave := range clientDepartures {
+			t.Run(c.name+", "+departure, func(t *testing.T) {
 				t.Parallel()
 				c.run(t, leave)
 			})
@@ -351,8 +351,15 @@
 	client, other := net.Pipe()
 	defer discard(client)
 	defer discard(other)
-	s := &session{frontend: b.frontend, client: transport.NewConn(client), openLine: strings.TrimSpace(openFlowLine), flow: flow, settled: make(chan struct{})}
-	if upLine, outcome := s.attempt(t.Context(), decision.Addr, decision.Deadline); upLine != "" || outcome != routing.NeverSent {
+	s := &session{
+		frontend: b.frontend,
+		client:   transport.NewConn(client),
+		openLine: strings.TrimSpace(openFlowLine),
+		flow:     flow,
+		settled:  make(chan struct{}),
+	}
+	upLine, outcome := s.attempt(t.Context(), decision.Addr, decision.Deadline)
+	if upLine != "" || outcome != routing.NeverSent {
 		t.Errorf("got %q, outcome %v", upLine, outcome)
 	}
 }
--- a/internal/protocol/transfer.go
+++ b/internal/protocol/transfer.go
@@ -54,13 +54,12 @@
 	return c.Client.isValid() && c.Server.isValid() && c.ServerName != "" && c.Flow.ID != ""
 }
 
-// transferConnection hands a connection to another process. It reports whether that process has it.
-type transferConnection = func(c EstablishedConnection, client, server syscall.Conn) bool
+// TransferFunc hands a connection to another process. It reports whether that process has it.
+type TransferFunc func(c EstablishedConnection, client, server syscall.Conn) bool
 
-// TransferConnections transfers all established connections, a few at a time, until the context ends. transfer reports
-// whether the other process has a connection; one that it does not have stays here. The result is how many were
-// transferred, of how many.
-func (f *Frontend) TransferConnections(ctx context.Context, transfer func(c EstablishedConnection, client, server syscall.Conn) bool) (transferred, of int) {
+// TransferConnections transfers all established connections, a few at a time, until the context ends. A connection that
+// the other process does not have stays here. The result is how many were transferred, of how many.
+func (f *Frontend) TransferConnections(ctx context.Context, transfer TransferFunc) (transferred, of int) {
 	f.mu.Lock()
 	f.transferConnection = func(c EstablishedConnection, client, server syscall.Conn) bool {
 		if ctx.Err() != nil || !transfer(c, client, server) {
@@ -154,8 +153,13 @@
 }
 
 // transfer hands the connection to the other process. It reports whether that process has it.
-func (s *session) transfer(transfer transferConnection, serverName string) bool {
-	c := EstablishedConnection{Flow: s.info, ServerName: serverName, Client: streamState(s.client), Server: streamState(s.server)}
+func (s *session) transfer(transfer TransferFunc, serverName string) bool {
+	c := EstablishedConnection{
+		Flow:       s.info,
+		ServerName: serverName,
+		Client:     streamState(s.client),
+		Server:     streamState(s.server),
+	}
 	if !transfer(c, s.client.Socket(), s.server.Socket()) {
 		return false
 	}
@@ -176,7 +180,9 @@
 // AdoptConnection takes over a connection that another process transfers. It returns once this balancer holds it;
 // serve serves it to its end, drop leaves it to the other process after all. One of them is called, once. The
 // error is routing's.
-func (f *Frontend) AdoptConnection(c EstablishedConnection, client, server net.Conn, budget *transport.DescriptorBudget) (serve, drop func(), err error) {
+func (f *Frontend) AdoptConnection(
+	c EstablishedConnection, client, server net.Conn, budget *transport.DescriptorBudget,
+) (serve, drop func(), err error) {
 	flow, err := f.router.AdoptFlow(c.Flow.request(), c.ServerName)
 	if err != nil {
 		return nil, nil, err
--- a/internal/protocol/watch_test.go
+++ b/internal/protocol/watch_test.go
@@ -19,10 +19,11 @@
 
 // newTestDiscovery has a router that takes lists and serves nobody.
 func newTestDiscovery(seed uint64, addr string, isPolled bool) *Discovery {
-	return NewDiscovery(routing.New(routing.Config{Seed: 1, Configure: func(b *decide.Balancer) (map[string]decide.ServiceID, map[string]decide.CustomerID) {
+	configure := func(b *decide.Balancer) (map[string]decide.ServiceID, map[string]decide.CustomerID) {
 		b.ConfigureEndpoints(decide.EndpointSettings{Polled: isPolled, MaxPollInterval: 10 * sec, MessageTarget: sec})
 		return nil, nil
-	}}), addr, seed, isPolled)
+	}
+	return NewDiscovery(routing.New(routing.Config{Seed: 1, Configure: configure}), addr, seed, isPolled)
 }
 
 // runDiscovery watches until stop.
--- a/internal/routing/router_test.go
+++ b/internal/routing/router_test.go
@@ -16,8 +16,20 @@
 	r := New(Config{Seed: 7, LatencyThreshold: 80 * ms, ServersReportLoad: reportsLoad, ServersReportLatency: reportsLatency,
 		Configure: func(b *decide.Balancer) (map[string]decide.ServiceID, map[string]decide.CustomerID) {
 			b.ConfigureFlows(3, 0)
-			b.AddService(decide.ServiceType{Effect: decide.Idempotent, Deduplication: decide.DeduplicatedByFleet, SetupTarget: 300 * ms, RetryWindow: 2 * sec, Value: 1})
-			b.ConfigureSlowStart(decide.SlowStart{InitialCapacity: 0.2, OverloadMultiple: 3, WarmUp: 20 * sec, Window: 1500 * ms, Balancers: 1})
+			b.AddService(decide.ServiceType{
+				Effect:        decide.Idempotent,
+				Deduplication: decide.DeduplicatedByFleet,
+				SetupTarget:   300 * ms,
+				RetryWindow:   2 * sec,
+				Value:         1,
+			})
+			b.ConfigureSlowStart(decide.SlowStart{
+				InitialCapacity:  0.2,
+				OverloadMultiple: 3,
+				WarmUp:           20 * sec,
+				Window:           1500 * ms,
+				Balancers:        1,
+			})
 			b.ConfigurePlacement(0, 0, true)
 			b.ConfigureEndpoints(decide.EndpointSettings{Zone: "z", Polled: false, MaxPollInterval: 10 * sec, MessageTarget: 240 * ms})
 			return map[string]decide.ServiceID{"live": 0}, nil
--- a/internal/transport/helpers_test.go
+++ b/internal/transport/helpers_test.go
@@ -75,7 +75,9 @@
 }
 
 // serveInBackground runs Serve until stop, which checks that it ended without an error.
-func serveInBackground(t *testing.T, l FinishingListener, budget *DescriptorBudget, serve func(ctx context.Context, c *Conn)) (stop func()) {
+func serveInBackground(
+	t *testing.T, l FinishingListener, budget *DescriptorBudget, serve func(ctx context.Context, c *Conn),
+) (stop func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error, 1)
