--- a/decide/health.go
+++ b/decide/health.go
@@ -33,7 +33,7 @@
 	checksPerRound   = 4   // of each server, at most, in a round of rechecks
 	lightLoad        = 0.7 // load over capacity up to which a server meets its objectives, whatever others have
 	fullLoad         = 1.0 // load over capacity beyond which work piles up
-	openFlowsWeight  = 1   // added to the weight of a check's age where flows are open
+	openFlowsFactor  = 2   // by which the last check counts as older where flows are open
 )
 
 // health is what is known of the fleet as a whole.
@@ -245,17 +245,24 @@
 	}
 }
 
-// checkOldest sends so many health checks, in the order of the age of each server's last one, which counts double where
-// flows are open.
+// checkOldest sends so many health checks, to the servers whose last one is oldest.
 func (b *Balancer) checkOldest(count int) {
-	age := func(server *serverState) int {
-		return int(b.now-server.healthCheckedAt) * (1 + min(server.openFlows, openFlowsWeight))
-	}
 	oldest := slices.Clone(b.list.ready)
-	slices.SortStableFunc(oldest, func(one, other *serverState) int { return age(other) - age(one) })
+	slices.SortStableFunc(oldest, func(one, other *serverState) int {
+		return b.healthCheckAge(other) - b.healthCheckAge(one)
+	})
 	for _, server := range oldest[:count] {
 		b.health.checkCredit--
 		server.healthCheckedAt = b.now
 		b.actions.HealthCheck(server.id)
 	}
 }
+
+// healthCheckAge is the time since a server's last health check in nanoseconds, weighted by openFlowsFactor.
+func (b *Balancer) healthCheckAge(server *serverState) int {
+	age := int(b.now - server.healthCheckedAt)
+	if server.openFlows > 0 {
+		age *= openFlowsFactor
+	}
+	return age
+}
--- a/decide/placement.go
+++ b/decide/placement.go
@@ -87,7 +87,7 @@
 			bestCost = cost
 			ties = 1
 		case rank == bestRank && cost < bestCost+costTolerance:
-			if ties++; b.random.uniform()*ties < 1 {
+			if ties++; b.replacesEqual(ties) {
 				best = server
 			}
 		}
@@ -110,7 +110,7 @@
 			bestRank = rank
 			ties = 1
 		case rank == bestRank:
-			if ties++; b.random.uniform()*ties < 1 {
+			if ties++; b.replacesEqual(ties) {
 				best = server
 			}
 		}
@@ -118,9 +118,13 @@
 	return best
 }
 
+// replacesEqual reports whether the n-th of equal servers takes the place of the one chosen so far, so that each of them
+// is chosen with the same probability.
+func (b *Balancer) replacesEqual(n float64) bool { return b.random.uniform()*n < 1 }
+
 // candidates are the servers that a decision looks at: all of a short list. Of a long one they are those that the group
 // prefers at all balancers, some that hold it here, and some by chance.
-func (b *Balancer) candidates(f *flow, holders, from []*serverState) (all []*serverState, preferredCount int) {
+func (b *Balancer) candidates(f *flow, holders, from []*serverState) (selected []*serverState, preferredCount int) {
 	l := &b.list
 	if !l.isLong() {
 		return l.ready, len(l.ready)
