--- a/internal/daemon/upgrade_predecessor.go
+++ b/internal/daemon/upgrade_predecessor.go
@@ -19,12 +19,11 @@
 
 // This process as the predecessor of one that takes over.
 
-// awaitSuccessors waits for processes that take over from this one, one after the other. A directory that fails is
-// retried: until it works no other process finds this one.
-func (d *Daemon) awaitSuccessors(ctx context.Context) {
+// awaitSuccessors waits for processes that take over from this one, one after the other, beginning with the socket
+// that was opened or failed to. A directory that fails is retried: until it works no other process finds this one.
+func (d *Daemon) awaitSuccessors(ctx context.Context, listener *net.UnixListener, err error) {
 	backoff := retry.Backoff{First: firstStoreRetry, Longest: longestStoreRetry}
-	for failing := false; ctx.Err() == nil; {
-		listener, err := d.socket.Listen(ctx)
+	for failing := false; ; {
 		switch {
 		case err == nil:
 			failing = false
@@ -40,6 +39,10 @@
 			failing = true
 			_ = backoff.Wait(ctx) // fails as the context ends, which ends the loop
 		}
+		if ctx.Err() != nil {
+			return
+		}
+		listener, err = d.socket.Listen(ctx)
 	}
 }
 
--- a/internal/daemon/upgrade_successor.go
+++ b/internal/daemon/upgrade_successor.go
@@ -211,10 +211,14 @@
 	if link != nil {
 		d.releasePredecessor(starting, link)
 	}
-	d.lifecycle.transition(ctx, d.lifecycle.phaseWithoutSuccessor())
-	if d.directory != nil {
-		d.goroutines.Go(func() { d.awaitSuccessors(ctx) })
+	if d.socket == nil {
+		d.lifecycle.transition(ctx, d.lifecycle.phaseWithoutSuccessor())
+		return
 	}
+	// A successor may start as soon as this process is ready, and would start alone if it found no socket.
+	listener, err := d.socket.Listen(ctx)
+	d.lifecycle.transition(ctx, d.lifecycle.phaseWithoutSuccessor())
+	d.goroutines.Go(func() { d.awaitSuccessors(ctx, listener, err) })
 }
 
 // releasePredecessor tells the predecessor that this process serves.
--- a/internal/daemon/upgrade_test.go
+++ b/internal/daemon/upgrade_test.go
@@ -90,6 +90,35 @@
 	}
 }
 
+// clientsAtServing are the clients of a daemon, with something that runs as the daemon begins to serve.
+type clientsAtServing struct {
+	clients
+	onServing func()
+}
+
+func (c clientsAtServing) SetOutOfService(outOfService, rejectsAll bool) {
+	c.onServing()
+	c.clients.SetOutOfService(outOfService, rejectsAll)
+}
+
+// A successor may start in the moment in which a process is ready: the socket by which it finds that process is open
+// by then.
+func TestSocketIsOpenAsServingBegins(t *testing.T) {
+	environment := directoryEnvironment(t)
+	h := newHarness(t)
+	socket := openSocket(t, environment("TMPDIR"), h.listenAddress)
+	var conn *net.UnixConn
+	var err error
+	h.start(environment, func(d *Daemon) {
+		d.lifecycle.clients = clientsAtServing{d.lifecycle.clients, func() { conn, err = socket.Connect(t.Context()) }}
+	})
+	h.end()
+	if err != nil || conn == nil {
+		t.Fatalf("a successor finds %v, %v", conn, err)
+	}
+	_ = conn.Close() // the test's end of a link that was never used
+}
+
 // An operator's call at either process binds both before its answer, the successor keeps what the predecessor was
 // told, and established clients notice nothing, within a line or between two.
 func TestUpgrade(t *testing.T) {
