--- a/internal/routing/flow.go
+++ b/internal/routing/flow.go
@@ -27,6 +27,9 @@
 	Abort                  // answer the client without a promise
 )
 
+// String is a word for log lines.
+func (v Verdict) String() string { return [...]string{"connect", "reject", "abort"}[v] }
+
 // Decision is a verdict with what goes with it.
 type Decision struct {
 	Verdict    Verdict
@@ -161,7 +164,7 @@
 	f.router.mu.Lock()
 	defer f.router.mu.Unlock()
 	if decision.Verdict != Connect {
-		slog.Debug("flow answered", "flow", f.id, "verdict", int(decision.Verdict), "retry_after_ms", milliseconds(decision.RetryAfter))
+		slog.Debug("flow answered", "flow", f.id, "verdict", decision.Verdict, "retry_after_ms", milliseconds(decision.RetryAfter))
 		delete(f.router.flows, f.id)
 	}
 	return decision
--- a/internal/routing/router_test.go
+++ b/internal/routing/router_test.go
@@ -1,9 +1,14 @@
 package routing
 
 import (
+	"bytes"
 	"context"
 	"errors"
 	"fmt"
+	"log"
+	"log/slog"
+	"os"
+	"strings"
 	"testing"
 	"time"
 
@@ -112,6 +117,29 @@
 	})
 }
 
+// recordLogs records all that is logged until the end of the test.
+func recordLogs(t *testing.T) *bytes.Buffer {
+	t.Helper()
+	logged := &bytes.Buffer{}
+	previous, flags := slog.Default(), log.Flags()
+	slog.SetDefault(slog.New(slog.NewTextHandler(logged, &slog.HandlerOptions{Level: slog.LevelDebug})))
+	t.Cleanup(func() {
+		slog.SetDefault(previous)
+		log.SetOutput(os.Stderr) // slog.SetDefault has led log to slog, and previous leads to log
+		log.SetFlags(flags)
+	})
+	return logged
+}
+
+// A log line of a final answer names the verdict.
+func TestFinalAnswerIsLogged(t *testing.T) {
+	logged := recordLogs(t)
+	awaitDecision(t, openFlow(t, newRouter(t, true, true))) // there is no server
+	if want := `msg="flow answered" flow=1 verdict=reject `; !strings.Contains(logged.String(), want) {
+		t.Errorf("%q was not logged:\n%s", want, logged)
+	}
+}
+
 // A client may leave at any moment; whatever is under way then, nothing of its flow may stay.
 func TestClientLeaves(t *testing.T) {
 	for _, c := range []struct {
