--- a/internal/routing/endpoints.go
+++ b/internal/routing/endpoints.go
@@ -39,6 +39,7 @@
 	Gone     = decide.Gone     // has left the list
 )
 
+// entriesPerChunk is how many entries of an update are kept in one piece.
 const entriesPerChunk = 512
 
 // EndpointUpdate gathers the entries of an update of the endpoint list. Nothing of it counts before Commit.
@@ -79,8 +80,15 @@
 		zone = e.Zone
 		u.zones[zone] = zone
 	}
-	u.append(endpointEntry{name: e.Name, addr: e.Addr, zone: decide.Zone(zone),
-		cell: decide.CellID(e.Cell), size: e.Size, readiness: e.Readiness, startedAt: e.StartedAt})
+	u.append(endpointEntry{
+		name:      e.Name,
+		addr:      e.Addr,
+		zone:      decide.Zone(zone),
+		cell:      decide.CellID(e.Cell),
+		size:      e.Size,
+		readiness: e.Readiness,
+		startedAt: e.StartedAt,
+	})
 }
 
 func (u *EndpointUpdate) append(entry endpointEntry) {
@@ -104,10 +112,10 @@
 	}
 	r.hasEndpoints = true
 	r.balancer.BeginEndpoints(u.kind)
-	logs := slog.Default().Enabled(ctx, slog.LevelDebug) // asked once: a list may be long
+	isLogged := slog.Default().Enabled(ctx, slog.LevelDebug) // asked once: a list may be long
 	for _, chunk := range u.entries {
 		for i := range chunk {
-			r.applyEndpoint(&chunk[i], logs)
+			r.applyEndpoint(&chunk[i], isLogged)
 		}
 	}
 	r.balancer.EndEndpoints()
@@ -116,18 +124,26 @@
 	}
 }
 
-func (r *Router) applyEndpoint(e *endpointEntry, logs bool) {
+func (r *Router) applyEndpoint(e *endpointEntry, isLogged bool) {
 	id := r.assignServerID(e.name)
 	s := r.servers[id]
 	s.isListedReady = e.readiness == Ready
 	if s.addr != e.addr { // else the string that is held already stays, and the update's can be freed
 		s.addr = e.addr
 	}
-	if logs {
-		slog.Debug("endpoint updated", "server", e.name, "ready", s.isListedReady, "gone", e.readiness == Gone, "started_at", e.startedAt)
+	if isLogged {
+		slog.Debug("endpoint updated", "server", e.name, "ready", s.isListedReady, "gone", e.readiness == Gone,
+			"started_at", e.startedAt)
 	}
 	r.recordStart(s, e.startedAt)
-	r.balancer.OnEndpoint(decide.Endpoint{ID: id, Zone: e.zone, Cell: e.cell, Size: e.size, Readiness: e.readiness, StartedAt: s.startedAt})
+	r.balancer.OnEndpoint(decide.Endpoint{
+		ID:        id,
+		Zone:      e.zone,
+		Cell:      e.cell,
+		Size:      e.size,
+		Readiness: e.readiness,
+		StartedAt: s.startedAt,
+	})
 }
 
 // recordStart keeps when a server last started, by the router's clock. The list gives another machine's wall clock, and
--- a/internal/routing/flow.go
+++ b/internal/routing/flow.go
@@ -82,12 +82,24 @@
 	if !ok {
 		customer = decide.NoCustomer
 	}
+	f := &Flow{router: r, id: r.newFlowID(), decisions: make(chan Decision, 1)}
+	return f, decide.FlowRequest{
+		ID:       f.id,
+		Service:  service,
+		Customer: customer,
+		Key:      decide.FlowKey(request.Key),
+		Group:    decide.GroupKey(request.Group),
+		Timeout:  request.Timeout,
+		Flags:    request.Flags,
+	}, nil
+}
+
+// newFlowID numbers the flows: clients choose their own ids, and the decisions must not see the same one twice.
+func (r *Router) newFlowID() decide.FlowID {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.lastFlowID++ // clients choose their ids: the decisions must not see the same one twice
-	f := &Flow{router: r, id: decide.FlowID(strconv.FormatInt(r.lastFlowID, 10)), decisions: make(chan Decision, 1)}
-	return f, decide.FlowRequest{ID: f.id, Service: service, Customer: customer, Key: decide.FlowKey(request.Key),
-		Group: decide.GroupKey(request.Group), Timeout: request.Timeout, Flags: request.Flags}, nil
+	r.lastFlowID++
+	return decide.FlowID(strconv.FormatInt(r.lastFlowID, 10))
 }
 
 // OpenFlow takes a new flow. Its error is an ErrUnknownService.
@@ -109,7 +121,7 @@
 // ResumeFlow takes a flow whose connection was open at a server before this balancer's start, and returns the server's
 // address. The decisions get it once OnEstablished reports that the connection is up again.
 func (r *Router) ResumeFlow(request FlowRequest, serverName string) (flow *Flow, addr string, err error) {
-	f, d, err := r.newFlow(request)
+	f, decideRequest, err := r.newFlow(request)
 	if err != nil {
 		return nil, "", err
 	}
@@ -120,7 +132,9 @@
 		return nil, "", fmt.Errorf("unknown server %q", serverName)
 	}
 	f.server = r.servers[id]
-	service, customer, key, group := d.Service, d.Customer, d.Key, d.Group // all that the flow has to hold until then
+	// The flow holds only these until it is adopted, and not the whole request.
+	service, customer := decideRequest.Service, decideRequest.Customer
+	key, group := decideRequest.Key, decideRequest.Group
 	f.adopt = func() {
 		r.flows[f.id] = f
 		r.balancer.AdoptFlow(decide.FlowRequest{ID: f.id, Service: service, Customer: customer, Key: key, Group: group}, id)
@@ -149,25 +163,29 @@
 func (f *Flow) AwaitDecision(ctx context.Context) (Decision, error) {
 	select {
 	case decision := <-f.decisions: // before the context: where both are ready, the client still gets its answer
-		return f.accept(decision), nil
+		f.onPickedUp(decision)
+		return decision, nil
 	default:
 	}
 	select {
 	case <-ctx.Done():
 		return Decision{}, ctx.Err()
 	case decision := <-f.decisions:
-		return f.accept(decision), nil
+		f.onPickedUp(decision)
+		return decision, nil
 	}
 }
 
-func (f *Flow) accept(decision Decision) Decision {
+// onPickedUp forgets a flow whose decision is the client's final answer.
+func (f *Flow) onPickedUp(decision Decision) {
 	f.router.mu.Lock()
 	defer f.router.mu.Unlock()
-	if decision.Verdict != Connect {
-		slog.Debug("flow answered", "flow", f.id, "verdict", decision.Verdict, "retry_after_ms", milliseconds(decision.RetryAfter))
-		delete(f.router.flows, f.id)
+	if decision.Verdict == Connect {
+		return
 	}
-	return decision
+	slog.Debug("flow answered", "flow", f.id, "verdict", decision.Verdict,
+		"retry_after_ms", milliseconds(decision.RetryAfter))
+	delete(f.router.flows, f.id)
 }
 
 // StillAllowed reports, just before the first byte, whether the server still accepts the flow: it may have begun to
@@ -198,8 +216,8 @@
 func (f *Flow) OnEnded(outcome Outcome) {
 	now := f.router.enter()
 	defer f.router.mu.Unlock()
-	slog.Debug("flow ended", "flow", f.id, "server", f.server.name, "outcome", int(outcome), "established", f.isEstablished,
-		"duration_ms", milliseconds(now-f.attemptAt))
+	slog.Debug("flow ended", "flow", f.id, "server", f.server.name, "outcome", int(outcome),
+		"established", f.isEstablished, "duration_ms", milliseconds(now-f.attemptAt))
 	f.server.metrics.onFlowEnded(f.id)
 	if f.isEstablished {
 		if outcome == Reset {
--- a/internal/routing/latency.go
+++ b/internal/routing/latency.go
@@ -15,7 +15,7 @@
 const (
 	latencyCheckInterval  = 250 * time.Millisecond
 	latencySampleInterval = time.Second // between two samples of a server that is late
-	// roundTripMaxAge bounds what a round trip says of the present: clients send about that often.
+	// roundTripMaxAge is how old a round trip that counts may be: clients send about that often.
 	roundTripMaxAge     = 2 * time.Second
 	roundTripWindowSize = 16
 	// replyTimeout is how long a line waits at most before its client is asked to reconnect: soon enough that
@@ -38,7 +38,7 @@
 
 	awaitingReply flowList  // established flows with an unanswered line, the oldest line first
 	byLastRequest flowList  // established flows, the one whose client sent nothing for longest first
-	suspects      []*server // servers with a late round trip of late, or reported as late
+	suspects      []*server // servers that had a late round trip recently, or were last reported as late
 }
 
 // roundTripWindow keeps the last round trips of lines to a server.
@@ -172,24 +172,24 @@
 	}
 	if len(s.established) > 0 && len(latencies) > 0 {
 		slices.Sort(latencies)
-		r.reportServerLatency(s, latencies[len(latencies)/2], now)
+		r.reportMedianIfDue(s, latencies[len(latencies)/2], now)
 	}
 	return isLate || s.roundTrips.reportedAt != 0
 }
 
-// reportServerLatency reports a server's median latency, if it is late and no sample is recent, or if it has just
+// reportMedianIfDue reports a server's median latency, if it is late and no sample is recent, or if it has just
 // recovered.
-func (r *Router) reportServerLatency(s *server, latency, now time.Duration) {
+func (r *Router) reportMedianIfDue(s *server, median, now time.Duration) {
 	reportedAt := s.roundTrips.reportedAt
 	switch {
-	case latency <= r.latency.threshold:
+	case median <= r.latency.threshold:
 		if reportedAt != 0 {
 			s.roundTrips.reportedAt = 0
-			r.reportLatency(s, s.reportingFlow(), latency)
+			r.reportLatency(s, s.reportingFlow(), median)
 		}
 	case reportedAt == 0 || now-reportedAt >= latencySampleInterval-latencyCheckInterval/2:
 		s.roundTrips.reportedAt = now
-		r.reportLatency(s, s.reportingFlow(), latency)
+		r.reportLatency(s, s.reportingFlow(), median)
 	}
 }
 
--- a/internal/routing/metrics.go
+++ b/internal/routing/metrics.go
@@ -8,10 +8,11 @@
 )
 
 // A server's metric lines carry either the load of a connection or the latency of a message at the server, in the same
-// form. Servers that report both are told apart by their rhythm: a latency comes once a second while the server is
-// late, on any one of its connections, in milliseconds; a load comes in no such rhythm, in microseconds of work a
+// form. Where servers report both, a metric is classified by its rhythm: a latency comes once a second while the server
+// is late, on any one of its connections, in milliseconds; a load comes in no such rhythm, in microseconds of work a
 // second.
 const (
+	// sampleIntervalTolerance is how far the gap between two latencies may be from latencySampleInterval.
 	sampleIntervalTolerance = 2 * time.Millisecond
 	// seriesMemory is how long the phase of a second is remembered at which a server's last series ran.
 	seriesMemory = time.Minute
@@ -90,7 +91,10 @@
 // and a load falls there by chance only once in hundreds.
 func (c *metricClassifier) isInPhase(now time.Duration) bool {
 	gap := now - c.lastSampleAt
-	return c.lastSampleAt != 0 && gap < seriesMemory && (gap+sampleIntervalTolerance)%latencySampleInterval <= 2*sampleIntervalTolerance
+	if c.lastSampleAt == 0 || gap >= seriesMemory {
+		return false
+	}
+	return (gap+sampleIntervalTolerance)%latencySampleInterval <= 2*sampleIntervalTolerance
 }
 
 // confirmsCandidate reports whether a metric is the second sample of a series. A lone metric never begins one, as each
@@ -132,15 +136,34 @@
 // OnServerMetric takes a figure from one of the server's metric lines. Where servers report both loads and latencies it
 // is classified first.
 func (f *Flow) OnServerMetric(value float64) {
-	now := f.router.enter()
-	r, s := f.router, f.server
+	r := f.router
+	now := r.enter()
 	defer r.mu.Unlock()
-	latency := time.Duration(min(value, 2*maxLatency.Seconds()*1000) * float64(time.Millisecond))
-	if f.isEstablished && r.latency.serversReportLatency && (!r.latency.serversReportLoad || s.metrics.isLatency(
-		metric{at: now, flow: f.id, latency: latency, isBelowRecentLoads: r.latency.recentLoads.isFarAbove(value)}, r.latency.threshold)) {
-		r.reportLatency(s, f.id, latency)
+	if f.isEstablished && r.latency.isLatency(f, value, now) {
+		r.reportLatency(f.server, f.id, metricLatency(value))
 		return
 	}
 	r.latency.recentLoads.add(value)
 	r.balancer.OnFlowLoad(f.id)
 }
+
+// isLatency reports whether a metric on a flow's connection is a latency. Where servers report both it is classified.
+func (t *latencyTracker) isLatency(f *Flow, value float64, now time.Duration) bool {
+	if !t.serversReportLatency || !t.serversReportLoad {
+		return t.serversReportLatency
+	}
+	m := metric{
+		at:                 now,
+		flow:               f.id,
+		latency:            metricLatency(value),
+		isBelowRecentLoads: t.recentLoads.isFarAbove(value),
+	}
+	return f.server.metrics.isLatency(m, t.threshold)
+}
+
+// metricLatency is what a metric means if it is a latency, in milliseconds. A value that no latency reaches is cut, as a
+// time.Duration could not hold any value.
+func metricLatency(value float64) time.Duration {
+	const maxValue = 2 * float64(maxLatency/time.Millisecond)
+	return time.Duration(min(value, maxValue) * float64(time.Millisecond))
+}
--- a/internal/routing/metrics_test.go
+++ b/internal/routing/metrics_test.go
@@ -102,6 +102,42 @@
 	}
 }
 
+// A metric is what the servers report; only where they report both is it classified, and it is a latency of an
+// established connection only.
+func TestServerMetricGoesByWhatServersReport(t *testing.T) {
+	const value = 700 // milliseconds, far over the threshold
+	for _, c := range []struct {
+		name                        string
+		reportsLoad, reportsLatency bool
+		isEstablished               bool
+		wantSamples, wantLoads      int
+	}{
+		{"loads", true, false, true, 0, 1},
+		{"latencies", false, true, true, 1, 0},
+		{"latencies, before the connection is established", false, true, false, 0, 1},
+		{"both, a lone metric", true, true, true, 0, 1},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			r := newRouter(t, c.reportsLoad, c.reportsLatency, "a")
+			recorder := &sampleRecorder{Balancer: r.balancer}
+			r.balancer = recorder
+			f := openFlow(t, r)
+			awaitDecision(t, f)
+			if c.isEstablished {
+				f.OnEstablished()
+			}
+			f.OnServerMetric(value)
+			if len(recorder.samples) != c.wantSamples || len(r.latency.recentLoads) != c.wantLoads {
+				t.Errorf("%d latency samples and %d loads, want %d and %d",
+					len(recorder.samples), len(r.latency.recentLoads), c.wantSamples, c.wantLoads)
+			}
+			if c.wantSamples > 0 && recorder.samples[0].delay != value*ms {
+				t.Errorf("a latency of %v, want %v", recorder.samples[0].delay, value*ms)
+			}
+		})
+	}
+}
+
 // A first metric is taken for a latency alone only where it can't be a load.
 func TestFirstSampleBelowRecentLoads(t *testing.T) {
 	for _, c := range []struct {
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -99,16 +99,15 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
+	configure := func(b *decide.Balancer) { r.services, r.customers = config.Configure(b) }
 	if len(config.Constraints) > 0 {
-		r.constrained = constraints.New(config.Seed, actions{r}, config.Constraints, func(b *decide.Balancer) {
-			r.services, r.customers = config.Configure(b)
-		})
+		r.constrained = constraints.New(config.Seed, actions{r}, config.Constraints, configure)
 		r.balancer = r.constrained
 		return r
 	}
 	b := decide.New(config.Seed, actions{r})
 	r.balancer = b
-	r.services, r.customers = config.Configure(b)
+	configure(b)
 	return r
 }
 
@@ -151,22 +150,31 @@
 
 // Tick waits for the next timer or latency check that is due and runs it. Its error is the context's, once that ended.
 func (r *Router) Tick(ctx context.Context) error {
-	r.mu.Lock()
-	due := r.latency.nextCheck
-	if len(r.timers) > 0 {
-		due = min(due, r.timers[0].due)
-	}
-	wait := due - r.Now()
-	r.mu.Unlock()
-	timer := time.NewTimer(wait)
+	timer := time.NewTimer(r.untilDue())
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
-	case <-r.earlierTimer:
-		return nil
+	case <-r.earlierTimer: // the wait was too long
 	case <-timer.C:
+		r.runDue()
 	}
+	return nil
+}
+
+// untilDue is how long until the next timer or latency check is due.
+func (r *Router) untilDue() time.Duration {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	due := r.latency.nextCheck
+	if len(r.timers) > 0 {
+		due = min(due, r.timers[0].due)
+	}
+	return due - r.Now()
+}
+
+// runDue runs all timers and the latency check, as far as they are due.
+func (r *Router) runDue() {
 	now := r.enter()
 	defer r.mu.Unlock()
 	for len(r.timers) > 0 && r.timers[0].due <= now {
@@ -175,5 +183,4 @@
 	if now >= r.latency.nextCheck {
 		r.checkLatencies(now)
 	}
-	return nil
 }
--- a/internal/routing/snapshot.go
+++ b/internal/routing/snapshot.go
@@ -45,11 +45,11 @@
 }
 
 // Validate checks that a snapshot can be restored.
-func (m Snapshot) Validate() error {
-	if len(m.Servers) != len(m.Decisions.Servers) || len(m.Loads) > loadWindowSize {
+func (s Snapshot) Validate() error {
+	if len(s.Servers) != len(s.Decisions.Servers) || len(s.Loads) > loadWindowSize {
 		return errors.New("servers that don't match")
 	}
-	return m.Decisions.Validate()
+	return s.Decisions.Validate()
 }
 
 // Restore takes over another process's snapshot, before anything is decided here. The clock continues from that
