--- a/internal/testbed/fleet/members.go
+++ b/internal/testbed/fleet/members.go
@@ -97,12 +97,15 @@
 	}
 }
 
-// repeat does something now and at each interval until a fault ends.
-func (r *fleetRun) repeat(f startedFault, interval time.Duration, do func()) {
+// repeat does something now and at each interval, until a fault ends or it fails, which is reported.
+func (r *fleetRun) repeat(f startedFault, interval time.Duration, do func() error) {
 	end := r.driver.Elapsed() + f.drawnLength
 	var next func()
 	next = func() {
-		do()
+		if err := do(); err != nil {
+			r.skip("%v", err)
+			return
+		}
 		if r.driver.Elapsed()+interval < end {
 			r.world.Schedule.After(interval, simulation.Cause, next)
 		}
@@ -114,7 +117,7 @@
 func (r *fleetRun) injectGarbage(f startedFault) {
 	random := simulation.RandomSource(r.seed, "flood", 0)
 	each := max(1, int(float64(f.rate)*garbageInterval.Seconds()))
-	r.repeat(f, garbageInterval, func() {
+	r.repeat(f, garbageInterval, func() error {
 		for range each {
 			message := make([]byte, 1+random.IntN(maxGarbageBytes))
 			for i := range message {
@@ -124,6 +127,7 @@
 			to := f.targetNames[random.IntN(len(f.targetNames))]
 			r.proxy.Inject(netfault.Endpoint(from), netfault.Endpoint(to), message)
 		}
+		return nil
 	})
 }
 
@@ -131,22 +135,18 @@
 // name and a later incarnation, so that it takes the place of what the member itself published.
 func (r *fleetRun) injectFalseReports(f startedFault) {
 	sequence := signals.Incarnation(0)
-	hasFailed := false
-	r.repeat(f, falseReportInterval, func() {
+	r.repeat(f, falseReportInterval, func() error {
 		sequence++
 		for _, member := range f.peerNames {
 			message, err := r.falseReport(member, sequence)
 			if err != nil {
-				if !hasFailed {
-					r.skip("%v", err)
-				}
-				hasFailed = true
-				return
+				return err
 			}
 			for _, to := range f.targetNames {
 				r.proxy.Inject(netfault.Endpoint(member), netfault.Endpoint(to), message)
 			}
 		}
+		return nil
 	})
 }
 
--- /dev/null
+++ b/internal/testbed/fleet/members_test.go
@@ -0,0 +1,24 @@
+package fleet
+
+import (
+	"errors"
+	"testing"
+	"time"
+)
+
+// A fault that is repeated ends with the first failure, which is reported once.
+func TestRepeatEndsWithAFailure(t *testing.T) {
+	run, _, _ := checkedRun(t, "kind = \"serves\"")
+	calls := 0
+	run.repeat(startedFault{drawnLength: time.Second}, 100*time.Millisecond, func() error {
+		calls++
+		if calls == 3 {
+			return errors.New("not encoded")
+		}
+		return nil
+	})
+	run.world.Schedule.RunTo(800 * time.Millisecond)
+	if calls != 3 || len(run.skippedFaults) != 1 {
+		t.Errorf("repeated %d times, want 3; skipped %q", calls, run.skippedFaults)
+	}
+}
