--- a/internal/testbed/fleet/build.go
+++ b/internal/testbed/fleet/build.go
@@ -20,7 +20,7 @@
 // Build builds the daemon of an earlier revision of the repository that holds dir, and keeps it in the user's cache: an old build is to run
 // beside the new one. Its error is an *Error.
 func Build(ctx context.Context, dir, revision string) (program string, err error) {
-	b := &oldBuildOf{revision: revision}
+	b := &revisionBuild{revision: revision}
 	if b.commit, err = git(ctx, dir, "rev-parse", "--verify", "--quiet", revision+"^{commit}"); err != nil {
 		return "", b.fail("git does not know it", err)
 	}
@@ -52,12 +52,13 @@
 	return cache
 }
 
-type oldBuildOf struct {
+// revisionBuild builds the daemon of a revision.
+type revisionBuild struct {
 	revision, commit      string
 	repository, directory string
 }
 
-func (b *oldBuildOf) fail(what string, err error) error {
+func (b *revisionBuild) fail(what string, err error) error {
 	return &Error{
 		Where:  "old build " + b.revision,
 		What:   what,
@@ -67,7 +68,7 @@
 }
 
 // build builds the program from an archive of the revision. The program takes its place when it is complete.
-func (b *oldBuildOf) build(ctx context.Context, program string) error {
+func (b *revisionBuild) build(ctx context.Context, program string) error {
 	source, err := os.MkdirTemp(b.directory, "src")
 	if err != nil {
 		return b.fail("no place for it", err)
@@ -88,7 +89,7 @@
 	return nil
 }
 
-func (b *oldBuildOf) unpackSource(ctx context.Context, to string) error {
+func (b *revisionBuild) unpackSource(ctx context.Context, to string) error {
 	archive := exec.CommandContext(ctx, "git", "-C", b.repository, "archive", "--format=tar", b.commit, ":(exclude)journal")
 	out, err := archive.StdoutPipe()
 	if err == nil {
--- a/internal/testbed/fleet/call.go
+++ b/internal/testbed/fleet/call.go
@@ -44,7 +44,11 @@
 	}
 	text, _ := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes)) // the code says yes or no, whatever can be read
 	_ = response.Body.Close()
-	return callAnswer{balancer: p.name, isYes: response.StatusCode/100 == 2, text: fmt.Sprintf("%d %s", response.StatusCode, strings.TrimSpace(string(text)))}
+	return callAnswer{
+		balancer: p.name,
+		isYes:    response.StatusCode/100 == 2,
+		text:     fmt.Sprintf("%d %s", response.StatusCode, strings.TrimSpace(string(text))),
+	}
 }
 
 // operatorTransport connects to a balancer's control address over the operator's path to it.
--- a/internal/testbed/fleet/check.go
+++ b/internal/testbed/fleet/check.go
@@ -23,21 +23,21 @@
 }
 
 // checks by the kind of requirement.
-var checks = map[string]func(*check){
-	leftOut:          (*check).checkFront,
-	takenBack:        (*check).checkFront,
-	serves:           (*check).checkServes,
-	uses:             (*check).checkConnects,
-	avoids:           (*check).checkConnects,
-	established:      (*check).checkEstablished,
-	neverEstablished: (*check).checkNeverEstablished,
-	answered:         (*check).checkAnswers,
-	healthChecks:     (*check).checkHealthChecks,
-	healthChecked:    (*check).checkHealthChecked,
-	sees:             (*check).checkMembers,
-	keeps:            (*check).checkMembers,
-	descriptors:      (*check).checkDescriptors,
-	costs:            (*check).checkCosts,
+var checks = map[requirementKind]func(*check){
+	requireLeftOut:          (*check).checkFront,
+	requireTakenBack:        (*check).checkFront,
+	requireServes:           (*check).checkServes,
+	requireUses:             (*check).checkConnects,
+	requireAvoids:           (*check).checkConnects,
+	requireEstablished:      (*check).checkEstablished,
+	requireNeverEstablished: (*check).checkNeverEstablished,
+	requireAnswered:         (*check).checkAnswers,
+	requireHealthChecks:     (*check).checkHealthChecks,
+	requireHealthChecked:    (*check).checkHealthChecked,
+	requireSees:             (*check).checkMembers,
+	requireKeeps:            (*check).checkMembers,
+	requireDescriptors:      (*check).checkDescriptors,
+	requireCosts:            (*check).checkCosts,
 }
 
 // check tells whether a requirement held.
@@ -57,7 +57,7 @@
 		c.to = base + q.to
 	}
 	c.balancers = r.names.resolve(q.balancers, nil)
-	if q.kind == sees || q.kind == keeps {
+	if q.kind == requireSees || q.kind == requireKeeps {
 		c.members = r.names.resolve(q.members, nil)
 	}
 	checks[q.kind](c)
@@ -85,7 +85,7 @@
 func (c *check) frontDelay(balancer string) (delay time.Duration, ok bool) {
 	for _, span := range c.run.leftOutSpans[balancer] {
 		at := span.From
-		if c.kind == takenBack {
+		if c.kind == requireTakenBack {
 			at = span.To
 		}
 		if at >= c.from {
@@ -127,7 +127,7 @@
 		servers[s] = true
 	}
 	isRight := func(count float64) bool { return count >= c.atLeast }
-	if c.kind == avoids {
+	if c.kind == requireAvoids {
 		isRight = func(count float64) bool { return count <= c.atMost }
 	}
 	c.eachBalancer(func(e invariants.Event) bool { return e.Kind == invariants.ConnectSent && servers[int(e.Server)] }, isRight)
--- a/internal/testbed/fleet/fault.go
+++ b/internal/testbed/fleet/fault.go
@@ -11,25 +11,43 @@
 	"yardwinch/internal/testbed/netfault"
 )
 
-// Kinds of faults, in the words of plan files. Targets are `who` there, peers `to`, and the length `for`.
+// faultKind is what goes wrong, in the word of plan files.
+type faultKind string
+
+// Kinds of faults. Targets are `who` in plan files, peers `to`, and the length `for`.
+const (
+	faultKill              faultKind = "kill"             // SIGKILL; started again after the length
+	faultFreeze            faultKind = "freeze"           // SIGSTOP for the length
+	faultTerminate         faultKind = "term"             // SIGTERM; started again the length after its end
+	faultStart             faultKind = "start"            // of one that was killed for good
+	faultStarve            faultKind = "starve"           // a quarter of a core for the length
+	faultDirectoryFull     faultKind = "folder-full"      // the files of its directory can't grow for the length
+	faultDirectoryReadOnly faultKind = "folder-read-only" // nothing new can be written to its directory for the length
+	faultPath              faultKind = "link"             // the paths between targets and peers have the fault's condition for the length
+	faultReset             faultKind = "reset"            // established streams between targets and peers break
+	faultCall              faultKind = "call"             // the operator calls the targets
+	faultFalseReports      faultKind = "lie"              // peers report to the targets that every server is late, for the length
+	faultSIGHUP            faultKind = "hangup"           // SIGHUP, so many signals in a row over the length
+	faultIdleClients       faultKind = "crowd"            // idle clients, as many as the rate, connect to the targets for the length
+	faultGarbage           faultKind = "garbage"          // datagrams of random bytes reach the targets at the rate, as from peers
+)
+
+var faultKinds = []faultKind{
+	faultKill, faultFreeze, faultTerminate, faultStart, faultStarve, faultDirectoryFull, faultDirectoryReadOnly,
+	faultPath, faultReset, faultCall, faultGarbage, faultFalseReports, faultSIGHUP, faultIdleClients,
+}
+
+// What a process finds in its directory as it is started again.
 const (
-	kill           = "kill"             // SIGKILL; started again after the length
-	freeze         = "freeze"           // SIGSTOP for the length
-	term           = "term"             // SIGTERM; started again the length after its end
-	start          = "start"            // of one that was killed for good
-	starve         = "starve"           // a quarter of a core for the length
-	folderFull     = "folder-full"      // the files of its directory can't grow for the length
-	folderReadOnly = "folder-read-only" // nothing new can be written to its directory for the length
-	link           = "link"             // the paths between targets and peers have the fault's condition for the length
-	reset          = "reset"            // established streams between targets and peers break
-	call           = "call"             // the operator calls the targets
-	lie            = "lie"              // peers report to the targets that every server is late, for the length
-	hangup         = "hangup"           // SIGHUP, so many signals in a row over the length
-	crowd          = "crowd"            // idle clients, as many as the rate, connect to the targets for the length
-	garbage        = "garbage"          // datagrams in no known form reach the targets at the rate for the length, as from peers
+	directoryPreserved = "kept"
+	directoryRemoved   = "gone"
 )
 
-var kinds = []string{kill, freeze, term, start, starve, folderFull, folderReadOnly, link, reset, call, garbage, lie, hangup, crowd}
+// Directions of a path that a fault affects, if not both.
+const (
+	fromTargets = "out"
+	toTargets   = "back"
+)
 
 const (
 	maxSignals     = 1000
@@ -41,34 +59,34 @@
 
 // fault is one entry of the timeline as the file has it.
 type fault struct {
-	kind           string
+	kind           faultKind
 	name           string // by which other entries refer to it
 	start, length  simulation.Interval
 	targets, peers []string
-	folder         string // of a start: kept or gone
-	program        string // of a start: current or old
+	directory      string // of a start: directoryPreserved or directoryRemoved
+	program        string // of a start: currentBuild, oldBuild, or empty for the one that it had
 	condition      netfault.Condition
-	oneWay         string // out: only what targets send is affected; back: only what they are sent
+	direction      string // fromTargets, toTargets, or empty for both
 	method, path   string // of a call
 	rate           int
-	signals        int // of a hangup, of a term, and of hangups as the process is started again
+	signals        int // SIGHUP in a row, SIGTERM in a row, or SIGHUP as the process is started again
 }
 
 func (p *Plan) readFault(t strict.Table, names map[string]bool) {
-	f := fault{name: t.String("as", ""), kind: t.String("kind", "", kinds...)}
-	f.start.Min, f.start.Max = t.DurationRange("at", 0, 0, hour)
-	f.length.Min, f.length.Max = t.DurationRange("for", 0, 0, hour)
+	f := fault{name: t.String("as", ""), kind: faultKind(t.String("kind", "", stringsOf(faultKinds)...))}
+	f.start.Min, f.start.Max = t.DurationRange("at", 0, 0, maxPlanTime)
+	f.length.Min, f.length.Max = t.DurationRange("for", 0, 0, maxPlanTime)
 	f.targets, f.peers = t.Strings("who", nil), t.Strings("to", nil)
-	f.folder = t.String("folder", "kept", "kept", "gone")
-	f.program = t.String("program", "", "", "current", "old")
-	f.oneWay = t.String("one-way", "", "", "out", "back")
+	f.directory = t.String("folder", directoryPreserved, directoryPreserved, directoryRemoved)
+	f.program = t.String("program", "", "", currentBuild, oldBuild)
+	f.direction = t.String("one-way", "", "", fromTargets, toTargets)
 	f.condition = readCondition(t)
 	f.rate = f.condition.Rate
 	f.signals = t.Int("times", 1, 1, maxSignals)
 	f.method, f.path = t.String("method", "POST", "GET", "POST"), t.String("path", "")
 	if f.kind == "" {
 		if !t.Has("kind") {
-			t.Fail("kind", "is missing; want one of %s", strings.Join(kinds, ", "))
+			t.Fail("kind", "is missing; want one of %s", strings.Join(stringsOf(faultKinds), ", "))
 		}
 		return
 	}
@@ -106,7 +124,7 @@
 	if len(f.targets) == 0 {
 		t.Fail("who", `is missing; want names such as ["b0", "b3..5", "any:2", "all"]`)
 	}
-	if f.program == "old" && p.Old == "" {
+	if f.program == oldBuild && p.Old == "" {
 		t.Fail("program", "needs process.old, the revision that is built")
 	}
 	p.checkKind(t, f)
@@ -116,19 +134,19 @@
 func (p *Plan) checkKind(t strict.Table, f fault) {
 	hasLength := f.length.Max > 0
 	switch f.kind {
-	case lie, garbage:
+	case faultFalseReports, faultGarbage:
 		p.checkMemberFault(t, f)
-	case link, reset:
+	case faultPath, faultReset:
 		checkPathFault(t, f)
-	case call:
+	case faultCall:
 		if !strings.HasPrefix(f.path, "/control/") {
 			t.Fail("path", `want a call such as "/control/out-of-service", got %q`, f.path)
 		}
-	case crowd:
+	case faultIdleClients:
 		if !f.hasRate(maxIdleClients) || !hasLength {
 			t.Fail("kind", "needs for, and a rate of 1 to %d clients", maxIdleClients)
 		}
-	case freeze, starve, folderFull, folderReadOnly:
+	case faultFreeze, faultStarve, faultDirectoryFull, faultDirectoryReadOnly:
 		if !hasLength {
 			t.Fail("for", "is missing: for how long?")
 		}
@@ -137,10 +155,10 @@
 
 func (p *Plan) checkMemberFault(t strict.Table, f fault) {
 	isBetweenMembers := p.hasMembership && len(f.peers) > 0 && f.length.Max > 0
-	if f.kind == lie && !isBetweenMembers {
+	if f.kind == faultFalseReports && !isBetweenMembers {
 		t.Fail("kind", "needs process.peers, to (who lies) and for")
 	}
-	if f.kind == garbage && (!isBetweenMembers || !f.hasRate(maxGarbageRate)) {
+	if f.kind == faultGarbage && (!isBetweenMembers || !f.hasRate(maxGarbageRate)) {
 		t.Fail("kind", "needs process.peers, to (as from whom), for, and a rate from 1 to 5000 a second")
 	}
 }
@@ -151,7 +169,7 @@
 	if len(f.peers) == 0 {
 		t.Fail("to", `is missing; want names such as ["servers", "s-001", "discovery", "others", "operator"]`)
 	}
-	if f.kind == link && f.condition == (netfault.Condition{}) {
+	if f.kind == faultPath && f.condition == (netfault.Condition{}) {
 		t.Fail("kind", "nothing is wrong on this link; want delay, jitter, loss, repeat, reorder, garbage, rate, cut or mute")
 	}
 }
@@ -159,15 +177,15 @@
 // text is what happens, in the words of reports.
 func (f fault) text() string {
 	switch f.kind {
-	case call:
+	case faultCall:
 		return f.method + " " + f.path
-	case link:
-		if f.oneWay != "" {
-			return f.condition.String() + " " + f.oneWay
+	case faultPath:
+		if f.direction != "" {
+			return f.condition.String() + " " + f.direction
 		}
 		return f.condition.String()
 	}
-	return f.kind
+	return string(f.kind)
 }
 
 // textTo is what happens and to which peers, shortened where they are many.
--- a/internal/testbed/fleet/fleet_test.go
+++ b/internal/testbed/fleet/fleet_test.go
@@ -21,7 +21,12 @@
 		_ = os.Remove(filepath.Join(os.TempDir(), fmt.Sprintf("yardwinch-gossip-test-%d", os.Getpid())))
 		os.Exit(code)
 	}
-	if err := daemon.Run(context.Background(), daemon.Source{ConfigPath: os.Getenv("PROXY_CONFIG"), OptionsPath: os.Getenv("YARDWINCH_OPTIONS"), Environment: os.Getenv}); err != nil {
+	source := daemon.Source{
+		ConfigPath:  os.Getenv("PROXY_CONFIG"),
+		OptionsPath: os.Getenv("YARDWINCH_OPTIONS"),
+		Environment: os.Getenv,
+	}
+	if err := daemon.Run(context.Background(), source); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
@@ -29,7 +34,7 @@
 
 const shippedPlans = "../../../experiments/fleet/"
 
-// runPlan plays a file once, again where the machine was too busy.
+// runPlan runs a plan, and again where the machine was too busy.
 func runPlan(t *testing.T, p *Plan, seed uint64) *Result {
 	t.Helper()
 	t.Setenv("FLEET_TEST_BALANCER", "sound")
@@ -66,7 +71,7 @@
 	return nil
 }
 
-// engine builds the members' engine: it is a program of its own.
+// engine builds the membership engine, which is a program of its own.
 var engine = func() func(*testing.T) string {
 	var once sync.Once
 	var path string
@@ -94,7 +99,7 @@
 	}
 }
 
-// Everything of the least that must hold, at once: killed, frozen, cut off one way, behind a bad link, without a place to write.
+// All kinds of faults at once: killed, frozen, cut off one way, behind a bad link, unable to write to its directory.
 func TestFaultsBetweenProcesses(t *testing.T) {
 	p, err := Open(shippedPlans + "faults.toml")
 	if err != nil {
@@ -125,7 +130,7 @@
 	checkHolds(t, runPlan(t, p, 1))
 }
 
-// One probes a server for all; with a holder killed and another frozen no server goes without.
+// One balancer checks a server's health for all; with a lease holder killed and another frozen no server goes without.
 func TestLeasesUnderFaults(t *testing.T) {
 	p, err := Open(shippedPlans + "duties.toml")
 	if err != nil {
@@ -134,7 +139,7 @@
 	checkHolds(t, runPlan(t, p, 1))
 }
 
-// One behind a bad way, and one whose records call every server late, empty no server for the others.
+// A balancer behind a bad link, and one whose records report every server as late, empty no server for the others.
 func TestOneBadLinkMigratesNobodyElse(t *testing.T) {
 	p, err := Open(shippedPlans + "bad-link.toml")
 	if err != nil {
@@ -152,9 +157,7 @@
 	checkHolds(t, runPlan(t, p, 1))
 }
 
-// A must that fails is told, and by whom.
-func TestFailedRequirementsAreReported(t *testing.T) {
-	p, err := Read("bad.toml", []byte(`name = "bad"
+const failingPlan = `name = "bad"
 length = "3s"
 [fleet]
 servers = 3
@@ -190,12 +193,22 @@
 who = ["b0", "b1"]
 from = "1s"
 at-least = 1
-`))
+`
+
+// A requirement that does not hold is reported.
+func TestFailedRequirementsAreReported(t *testing.T) {
+	p, err := Read("bad.toml", []byte(failingPlan))
 	if err != nil {
 		t.Fatal(err)
 	}
 	r := runPlan(t, p, 1)
-	want := map[string]bool{"the front leaves b1 out": true, "the front takes b1 back": false, "each of b0,b1": false, "all faults": false, "no rule broken": true}
+	want := map[string]bool{
+		"the front leaves b1 out": true,
+		"the front takes b1 back": false,
+		"each of b0,b1":           false,
+		"all faults":              false,
+		"no rule broken":          true,
+	}
 	for start, holds := range want {
 		found := false
 		for _, m := range r.Requirements {
@@ -248,8 +261,9 @@
 	}
 }
 
-// Timelines from fixed seeds, as testbed fleet soak draws them; the long run is started by hand. The seeds are such with deadlines of 0.6 s and
-// more: at the end of 0.15 s several connects and the answer fall into one millisecond, in which two observers of the yard come in any order.
+// Timelines from fixed seeds, as testbed fleet soak draws them; the long run is started by hand. Seeds with a deadline of
+// 0.15 s are left out: at its end several connects and the answer fall into one millisecond, and the testbed's observers
+// can't tell their order.
 func TestSoak(t *testing.T) {
 	for _, seed := range []uint64{1, 2, 3, 5} {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -266,7 +280,7 @@
 func TestSoakPlans(t *testing.T) {
 	for seed := range uint64(300) {
 		text := SoakPlan(seed)
-		if again := SoakPlan(seed); again != text {
+		if repeated := SoakPlan(seed); repeated != text {
 			t.Fatalf("seed %d draws two plans", seed)
 		}
 		if _, err := Read(fmt.Sprintf("soak-%d.toml", seed), []byte(text)); err != nil {
--- a/internal/testbed/fleet/members.go
+++ b/internal/testbed/fleet/members.go
@@ -58,8 +58,10 @@
 			seeds = append(seeds, fmt.Sprintf("%q", other.advertised))
 		}
 	}
-	text := fmt.Sprintf("[peers]\nname = %q\nlabel = %q\nbind = %q\nadvertise = %q\nseeds = [%s]\n[signals]\non = %v\n[duties]\non = %v\n[explain]\nsocket = %q\n",
-		p.name, r.label(), p.boundTo, p.advertised, strings.Join(seeds, ", "), r.plan.hasSignals, r.plan.hasLeases, p.explainSocket())
+	text := fmt.Sprintf("[peers]\nname = %q\nlabel = %q\nbind = %q\nadvertise = %q\nseeds = [%s]\n",
+		p.name, r.label(), p.boundTo, p.advertised, strings.Join(seeds, ", "))
+	text += fmt.Sprintf("[signals]\non = %v\n[duties]\non = %v\n[explain]\nsocket = %q\n",
+		r.plan.hasSignals, r.plan.hasLeases, p.explainSocket())
 	path := filepath.Join(r.directory, fmt.Sprintf("options-%d.toml", p.id))
 	return path, os.WriteFile(path, []byte(text), readableMode)
 }
@@ -155,7 +157,8 @@
 	const labelMark, userMark = 244, 8 // of memberlist's wire format
 	record := signals.Record{Origin: signals.Origin(member), Incarnation: falseIncarnation + sequence, Sequence: 1}
 	for i := range r.world.Servers {
-		record.Reports = append(record.Reports, signals.Report{Server: routing.ServerID(serverName(i)), Fault: signals.Late, Connections: falseConnections})
+		server := routing.ServerID(serverName(i))
+		record.Reports = append(record.Reports, signals.Report{Server: server, Fault: signals.Late, Connections: falseConnections})
 	}
 	encoded, err := signals.Encode(record)
 	if err != nil {
@@ -180,8 +183,8 @@
 	return to, false
 }
 
-// wasAway tells whether a process did not run at some time in [from, to). A starved one runs.
-func (p *process) wasAway(from, to time.Duration) bool {
+// wasInterrupted tells whether a process did not run at some time in [from, to). A starved one runs.
+func (p *process) wasInterrupted(from, to time.Duration) bool {
 	for _, span := range p.spans {
 		if span.From < to && (span.To == 0 || span.To > from) && span.What != string(starved) {
 			return true
@@ -192,38 +195,38 @@
 
 // checkMembers checks how balancers that ran all the time saw members.
 func (c *check) checkMembers() {
-	asked := 0
+	compared := 0
 	for _, name := range c.balancers {
 		b, ok := balancerOf(name)
 		if !ok || int(b) >= len(c.run.processes) {
 			c.note(name+" is no balancer", false)
 			continue
 		}
-		asked += c.checkViews(c.run.processes[b])
+		compared += c.checkViews(c.run.processes[b])
 	}
-	if asked == 0 {
+	if compared == 0 {
 		c.note("nobody was there to see it", false)
 	}
-	if c.kind == keeps && c.verdict.Holds {
+	if c.kind == requireKeeps && c.verdict.Holds {
 		c.verdict.Seen = "nobody did"
 	}
 }
 
-// checkViews checks what one balancer saw of each other member, and tells how many there were.
-func (c *check) checkViews(p *process) (asked int) {
+// checkViews checks how one balancer saw the other members, and tells how many: none if it did not run all the time.
+func (c *check) checkViews(p *process) (compared int) {
 	end := c.to
-	if c.kind == sees {
+	if c.kind == requireSees {
 		end = min(c.to, c.from+c.within)
 	}
-	if p.wasAway(c.from, end) {
+	if p.wasInterrupted(c.from, end) {
 		return 0
 	}
 	for _, member := range c.members {
 		if member == p.name {
 			continue
 		}
-		asked++
-		if c.kind == keeps {
+		compared++
+		if c.kind == requireKeeps {
 			at, ever := p.firstSaw(member, string(membership.Gone), c.from, end)
 			c.note(fmt.Sprintf("%s saw %s gone at %v", p.name, member, at.Round(time.Millisecond)), !ever)
 			continue
@@ -231,5 +234,5 @@
 		at, ever := p.firstSaw(member, c.status, c.from, end)
 		c.note(fmt.Sprintf("%s saw %s so after %v", p.name, member, (at-c.from).Round(time.Millisecond)), ever)
 	}
-	return asked
+	return compared
 }
--- a/internal/testbed/fleet/plan.go
+++ b/internal/testbed/fleet/plan.go
@@ -15,7 +15,7 @@
 type Error = advice.Error
 
 const (
-	hour            = time.Hour
+	maxPlanTime     = time.Hour // of all times in a plan
 	minPingInterval = 10 * time.Millisecond
 	maxMissesInARow = 100
 )
@@ -113,3 +113,11 @@
 		t.Fail("old-who", "needs old, the revision that is built")
 	}
 }
+
+// stringsOf are names as plan files have them.
+func stringsOf[Name ~string](names []Name) (texts []string) {
+	for _, name := range names {
+		texts = append(texts, string(name))
+	}
+	return texts
+}
--- a/internal/testbed/fleet/process.go
+++ b/internal/testbed/fleet/process.go
@@ -63,7 +63,8 @@
 }
 
 func (r *fleetRun) newProcess(b simulation.BalancerID) (*process, error) {
-	p := &process{id: b, name: string(sockets.BalancerName(b)), state: running, program: currentBuild, directory: filepath.Join(r.directory, fmt.Sprintf("b%d", b))}
+	name := string(sockets.BalancerName(b))
+	p := &process{id: b, name: name, state: running, program: currentBuild, directory: filepath.Join(r.directory, name)}
 	var err error
 	if p.control, err = r.freeControlAddress(b); err != nil {
 		return nil, err
@@ -204,3 +205,16 @@
 		r.skip("%s: %v", p.name, err)
 	}
 }
+
+// countDescriptors notes how many each process that runs has open.
+func (r *fleetRun) countDescriptors() {
+	for _, p := range r.processes {
+		pid := r.driver.Process(p.id)
+		if pid == 0 || p.state != running {
+			continue
+		}
+		if open, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid)); err == nil {
+			r.descriptors[p.name] = len(open)
+		}
+	}
+}
--- a/internal/testbed/fleet/report.go
+++ b/internal/testbed/fleet/report.go
@@ -10,9 +10,9 @@
 )
 
 //go:embed page.html
-var pageText string
+var reportText string
 
-var pageTemplate = template.Must(template.New("fleet").Parse(pageText))
+var reportTemplate = template.Must(template.New("fleet").Parse(reportText))
 
 // JSON writes a result for programs. Its error is the writer's.
 func (r *Result) JSON(w io.Writer) error {
@@ -21,7 +21,7 @@
 	return encoder.Encode(r)
 }
 
-// The layout of the page, in its own units.
+// Layout of the report, in units of its drawing.
 const (
 	pageWidth      = 960.0
 	leftMargin     = 74.0
@@ -60,8 +60,8 @@
 	Text string
 }
 
-// page is what the page's template shows.
-type page struct {
+// htmlReport is what the report's template shows.
+type htmlReport struct {
 	*Result
 	W, H       float64
 	Rects      []shape
@@ -75,91 +75,91 @@
 	y float64 // of the next row
 }
 
-// HTML writes a page with a row a process, faults and events over time.
+// HTML writes a page with a row for each process, and its faults and events over time. Its error is the writer's.
 func (r *Result) HTML(w io.Writer) error {
-	p := &page{Result: r, W: pageWidth, y: topMargin}
+	h := &htmlReport{Result: r, W: pageWidth, y: topMargin}
 	for _, process := range r.Processes {
-		p.addProcess(process)
+		h.addProcess(process)
 	}
 	for _, server := range r.FaultySpans {
-		p.addRow(server.Name)
-		p.addSpans(server.Name, server.Spans, barHeight)
-		p.y += rowHeight
+		h.addRow(server.Name)
+		h.addSpans(server.Name, server.Spans, barHeight)
+		h.y += rowHeight
 	}
 	for i, span := range r.Paths {
 		name := fmt.Sprintf("way %d", i+1)
-		p.addRow(name)
-		p.addSpans(name, []Span{span}, barHeight)
-		p.y += rowHeight
+		h.addRow(name)
+		h.addSpans(name, []Span{span}, barHeight)
+		h.y += rowHeight
 	}
-	p.addMoments()
-	p.addTimeTicks()
-	p.Bottom, p.H = p.y, p.y+axisHeight
+	h.addMoments()
+	h.addTimeTicks()
+	h.Bottom, h.H = h.y, h.y+axisHeight
 	for _, what := range legend {
-		p.Legend = append(p.Legend, shape{Colour: spanColours[what], Title: what})
+		h.Legend = append(h.Legend, shape{Colour: spanColours[what], Title: what})
 	}
-	return pageTemplate.Execute(w, p)
+	return reportTemplate.Execute(w, h)
 }
 
-func (p *page) x(t time.Duration) float64 { return leftMargin + innerWidth*t.Seconds()/p.Length }
+func (h *htmlReport) x(t time.Duration) float64 { return leftMargin + innerWidth*t.Seconds()/h.Length }
 
-func (p *page) addRow(name string) {
-	p.Labels = append(p.Labels, label{leftMargin - labelGap, p.y + baselineOffset, name})
-	p.Rects = append(p.Rects, shape{leftMargin, p.y, innerWidth, barHeight, rowColour, ""})
+func (h *htmlReport) addRow(name string) {
+	h.Labels = append(h.Labels, label{leftMargin - labelGap, h.y + baselineOffset, name})
+	h.Rects = append(h.Rects, shape{leftMargin, h.y, innerWidth, barHeight, rowColour, ""})
 }
 
-func (p *page) addProcess(process Process) {
-	p.addRow(process.Name)
-	p.addCounts(process.Name, process.PerSecond)
-	p.addSpans(process.Name, process.States, barHeight)
-	p.addSpans(process.Name, process.LeftOut, thinBarHeight)
-	p.y += rowHeight
+func (h *htmlReport) addProcess(process Process) {
+	h.addRow(process.Name)
+	h.addCounts(process.Name, process.PerSecond)
+	h.addSpans(process.Name, process.States, barHeight)
+	h.addSpans(process.Name, process.LeftOut, thinBarHeight)
+	h.y += rowHeight
 }
 
 // addCounts draws a bar a second, up to the greatest count.
-func (p *page) addCounts(name string, counts []int) {
+func (h *htmlReport) addCounts(name string, counts []int) {
 	most := 1
 	for _, count := range counts {
 		most = max(most, count)
 	}
-	width := max(1, innerWidth/p.Length-1)
+	width := max(1, innerWidth/h.Length-1)
 	for second, count := range counts {
 		height := float64(count) / float64(most) * countHeight
 		title := fmt.Sprintf("%s: %d established in second %d", name, count, second)
-		p.Rects = append(p.Rects, shape{p.x(time.Duration(second) * time.Second), p.y + barHeight - height, width, height, countColour, title})
+		h.Rects = append(h.Rects, shape{h.x(time.Duration(second) * time.Second), h.y + barHeight - height, width, height, countColour, title})
 	}
 }
 
-func (p *page) addSpans(name string, spans []Span, height float64) {
+func (h *htmlReport) addSpans(name string, spans []Span, height float64) {
 	for _, span := range spans {
 		colour := spanColours[span.What]
 		if colour == "" {
 			colour = otherColour
 		}
-		width := max(minSpanWidth, p.x(span.To)-p.x(span.From))
+		width := max(minSpanWidth, h.x(span.To)-h.x(span.From))
 		title := fmt.Sprintf("%s: %s from %.2fs to %.2fs", name, span.What, span.From.Seconds(), span.To.Seconds())
-		p.Rects = append(p.Rects, shape{p.x(span.From), p.y, width, height, colour, title})
+		h.Rects = append(h.Rects, shape{h.x(span.From), h.y, width, height, colour, title})
 	}
 }
 
 // addMoments draws a line over all rows for each moment, and lists them.
-func (p *page) addMoments() {
-	for _, m := range p.Moments {
-		p.Marks = append(p.Marks, shape{X: p.x(m.At), Y: 0, W: 1, H: p.y, Title: fmt.Sprintf("%.2fs %s %s", m.At.Seconds(), m.Who, m.What)})
-		p.MomentRows = append(p.MomentRows, fmt.Sprintf("%.2fs  %s  %s", m.At.Seconds(), m.Who, m.What))
+func (h *htmlReport) addMoments() {
+	for _, m := range h.Moments {
+		h.Marks = append(h.Marks, shape{X: h.x(m.At), Y: 0, W: 1, H: h.y, Title: fmt.Sprintf("%.2fs %s %s", m.At.Seconds(), m.Who, m.What)})
+		h.MomentRows = append(h.MomentRows, fmt.Sprintf("%.2fs  %s  %s", m.At.Seconds(), m.Who, m.What))
 	}
 }
 
 // addTimeTicks marks every 1, 2, 5, 10, 20 ... seconds, so that there are not too many.
-func (p *page) addTimeTicks() {
+func (h *htmlReport) addTimeTicks() {
 	step := 1
-	for p.Length/float64(step) > maxTimeTicks {
+	for h.Length/float64(step) > maxTimeTicks {
 		step *= 2
 		if step == 4 {
 			step = 5
 		}
 	}
-	for second := 0; float64(second) <= p.Length; second += step {
-		p.Ticks = append(p.Ticks, label{p.x(time.Duration(second) * time.Second), p.y + baselineOffset, fmt.Sprintf("%ds", second)})
+	for second := 0; float64(second) <= h.Length; second += step {
+		h.Ticks = append(h.Ticks, label{h.x(time.Duration(second) * time.Second), h.y + baselineOffset, fmt.Sprintf("%ds", second)})
 	}
 }
--- a/internal/testbed/fleet/report_test.go
+++ b/internal/testbed/fleet/report_test.go
@@ -18,7 +18,8 @@
 	if err := r.HTML(&page); err != nil {
 		t.Fatal(err)
 	}
-	for _, want := range []string{"<h1>shown</h1>", "seed 7", "<td>11</td><td>12</td><td>21</td><td>22</td><td>23</td><td>24</td><td>25</td>", "1.00s  b0  kill"} {
+	const figures = "<td>11</td><td>12</td><td>21</td><td>22</td><td>23</td><td>24</td><td>25</td>"
+	for _, want := range []string{"<h1>shown</h1>", "seed 7", figures, "1.00s  b0  kill"} {
 		if !strings.Contains(page.String(), want) {
 			t.Errorf("the page does not show %q", want)
 		}
--- a/internal/testbed/fleet/requirement.go
+++ b/internal/testbed/fleet/requirement.go
@@ -8,30 +8,35 @@
 	"yardwinch/internal/strict"
 )
 
-// Kinds of requirements, in the words of plan files. Balancers are `who` there, members `whom`.
+// requirementKind is what has to hold, in the word of plan files.
+type requirementKind string
+
+// Kinds of requirements. Balancers are `who` in plan files, members `whom`.
 const (
-	leftOut          = "left-out"    // the front leaves each balancer out within a time
-	takenBack        = "taken-back"  // the front uses each balancer again within a time
-	serves           = "serves"      // each balancer establishes so many flows at the least
-	uses             = "uses"        // each balancer sends so many connects at the least to the servers
-	avoids           = "avoids"      // each balancer sends so many connects at the most to the servers
-	established      = "established" // of all flows accepted, a share at the least is established
-	neverEstablished = "never-up"    // of all clients, a share at the most never had a connection
-	answered         = "answered"    // the calls of a fault were answered yes or no
-	healthChecks     = "probes"      // so many health checks in the run, at the least and at the most
-	healthChecked    = "probed"      // no server goes without a health check for longer than a time
-	sees             = "sees"        // each balancer that runs sees each member in a state, within a time
-	keeps            = "keeps"       // no balancer that runs sees any of the members as gone
-	descriptors      = "descriptors" // each balancer that runs holds so many at the most shortly before the end
-	costs            = "costs"       // killed and frozen processes cost so many connections and flows at the most in all
+	requireLeftOut          requirementKind = "left-out"    // the front leaves each balancer out within a time
+	requireTakenBack        requirementKind = "taken-back"  // the front uses each balancer again within a time
+	requireServes           requirementKind = "serves"      // each balancer establishes so many flows at the least
+	requireUses             requirementKind = "uses"        // each balancer sends so many connects at the least to the servers
+	requireAvoids           requirementKind = "avoids"      // each balancer sends so many connects at the most to the servers
+	requireEstablished      requirementKind = "established" // of all flows accepted, a share at the least is established
+	requireNeverEstablished requirementKind = "never-up"    // of all clients, a share at the most never had a connection
+	requireAnswered         requirementKind = "answered"    // the calls of a fault were answered yes or no
+	requireHealthChecks     requirementKind = "probes"      // so many health checks in the run, at the least and at the most
+	requireHealthChecked    requirementKind = "probed"      // no server goes without a health check for longer than a time
+	requireSees             requirementKind = "sees"        // each balancer that runs sees each member in a state, within a time
+	requireKeeps            requirementKind = "keeps"       // no balancer that runs sees any of the members as gone
+	requireDescriptors      requirementKind = "descriptors" // each balancer that runs holds so many at the most shortly before the end
+	requireCosts            requirementKind = "costs"       // killed and frozen processes cost so many connections and flows at the most
 )
 
-var requirementKinds = []string{leftOut, takenBack, serves, uses, avoids, established, neverEstablished, answered, costs, descriptors, sees, keeps,
-	healthChecks, healthChecked}
+var requirementKinds = []requirementKind{
+	requireLeftOut, requireTakenBack, requireServes, requireUses, requireAvoids, requireEstablished, requireNeverEstablished,
+	requireAnswered, requireCosts, requireDescriptors, requireSees, requireKeeps, requireHealthChecks, requireHealthChecked,
+}
 
 // requirement is one thing that has to hold.
 type requirement struct {
-	kind               string
+	kind               requirementKind
 	after              string // times count from that fault; empty: from the beginning
 	balancers, servers []string
 	members            []string
@@ -45,13 +50,13 @@
 func (p *Plan) readRequirement(t strict.Table, names map[string]bool) {
 	const most = 1e9
 	r := requirement{
-		kind:      t.String("kind", "", requirementKinds...),
+		kind:      requirementKind(t.String("kind", "", stringsOf(requirementKinds)...)),
 		after:     t.String("after", ""),
 		balancers: t.Strings("who", []string{"all"}),
 		servers:   t.Strings("servers", []string{"servers"}),
-		from:      t.Duration("from", 0, hour),
-		to:        t.Duration("to", 0, hour),
-		within:    t.Duration("within", 0, hour),
+		from:      t.Duration("from", 0, maxPlanTime),
+		to:        t.Duration("to", 0, maxPlanTime),
+		within:    t.Duration("within", 0, maxPlanTime),
 		atLeast:   t.Float("at-least", 0, 0, most),
 		atMost:    t.Float("at-most", 0, 0, most),
 		wantYes:   t.String("says", "yes", "yes", "no") == "yes",
@@ -60,7 +65,7 @@
 	}
 	if r.kind == "" {
 		if !t.Has("kind") {
-			t.Fail("kind", "is missing; want one of %s", strings.Join(requirementKinds, ", "))
+			t.Fail("kind", "is missing; want one of %s", strings.Join(stringsOf(requirementKinds), ", "))
 		}
 		return
 	}
@@ -76,16 +81,16 @@
 		t.Fail("after", "no fault is called %q", r.after)
 	}
 	switch r.kind {
-	case answered:
+	case requireAnswered:
 		if r.after == "" {
 			t.Fail("after", "is missing: which call's answer?")
 		}
-	case leftOut, takenBack, sees, healthChecked:
+	case requireLeftOut, requireTakenBack, requireSees, requireHealthChecked:
 		if r.within == 0 {
 			t.Fail("within", "is missing")
 		}
 	}
-	if (r.kind == sees || r.kind == keeps) && (len(r.members) == 0 || !p.hasMembership) {
+	if (r.kind == requireSees || r.kind == requireKeeps) && (len(r.members) == 0 || !p.hasMembership) {
 		t.Fail("whom", "is missing, or process.peers is off")
 	}
 }
@@ -106,46 +111,46 @@
 }
 
 // requirementTexts say what each kind asks for.
-var requirementTexts = map[string]func(requirement) string{
-	leftOut: func(r requirement) string {
+var requirementTexts = map[requirementKind]func(requirement) string{
+	requireLeftOut: func(r requirement) string {
 		return fmt.Sprintf("the front leaves %s out within %v", list(r.balancers), r.within)
 	},
-	takenBack: func(r requirement) string {
+	requireTakenBack: func(r requirement) string {
 		return fmt.Sprintf("the front takes %s back within %v", list(r.balancers), r.within)
 	},
-	serves: func(r requirement) string {
+	requireServes: func(r requirement) string {
 		return fmt.Sprintf("each of %s establishes %g flows at the least", list(r.balancers), r.atLeast)
 	},
-	uses: func(r requirement) string {
+	requireUses: func(r requirement) string {
 		return fmt.Sprintf("each of %s sends %g connects at the least to %s", list(r.balancers), r.atLeast, list(r.servers))
 	},
-	avoids: func(r requirement) string {
+	requireAvoids: func(r requirement) string {
 		return fmt.Sprintf("each of %s sends %g connects at the most to %s", list(r.balancers), r.atMost, list(r.servers))
 	},
-	established: func(r requirement) string { return fmt.Sprintf("%g of all flows are established", r.atLeast) },
-	neverEstablished: func(r requirement) string {
+	requireEstablished: func(r requirement) string { return fmt.Sprintf("%g of all flows are established", r.atLeast) },
+	requireNeverEstablished: func(r requirement) string {
 		return fmt.Sprintf("at most %g of all clients never have a connection", r.atMost)
 	},
-	answered: func(r requirement) string {
+	requireAnswered: func(r requirement) string {
 		if r.wantYes {
 			return "the call is answered yes"
 		}
 		return "the call is answered no"
 	},
-	healthChecks: healthChecksText,
-	healthChecked: func(r requirement) string {
+	requireHealthChecks: healthChecksText,
+	requireHealthChecked: func(r requirement) string {
 		return fmt.Sprintf("none of %s goes without a probe for longer than %v", list(r.servers), r.within)
 	},
-	sees: func(r requirement) string {
+	requireSees: func(r requirement) string {
 		return fmt.Sprintf("each of %s sees %s as %s within %v", list(r.balancers), list(r.members), r.status, r.within)
 	},
-	keeps: func(r requirement) string {
+	requireKeeps: func(r requirement) string {
 		return fmt.Sprintf("none of %s sees any of %s as gone", list(r.balancers), list(r.members))
 	},
-	descriptors: func(r requirement) string {
+	requireDescriptors: func(r requirement) string {
 		return fmt.Sprintf("each of %s holds at most %g descriptors at the end", list(r.balancers), r.atMost)
 	},
-	costs: func(r requirement) string {
+	requireCosts: func(r requirement) string {
 		return fmt.Sprintf("killed and frozen processes cost at most %g connections and flows", r.atMost)
 	},
 }
--- a/internal/testbed/fleet/result.go
+++ b/internal/testbed/fleet/result.go
@@ -12,7 +12,7 @@
 
 const (
 	recentPeriod     = 2 * time.Second // over which it is seen whether a faulty server is still chosen
-	earliestFault    = time.Second     // of faults that are measured
+	earliestFault    = time.Second     // faults that began before have no result
 	stillChosenShare = 3               // a server that gets one part in so many of its fair share is still chosen
 )
 
@@ -90,8 +90,17 @@
 func (r *fleetRun) result(void string) *Result {
 	end := r.world.Accounting.Length
 	slices.SortStableFunc(r.events, func(a, b invariants.Event) int { return cmp.Compare(a.At, b.At) })
-	result := &Result{Name: r.plan.Name(), About: r.plan.About(), Seed: r.seed, Length: end.Seconds(), Void: void,
-		SkippedFaults: r.skippedFaults, Moments: r.moments, Paths: r.pathSpans, Processes: r.processResults()}
+	result := &Result{
+		Name:          r.plan.Name(),
+		About:         r.plan.About(),
+		Seed:          r.seed,
+		Length:        end.Seconds(),
+		Void:          void,
+		SkippedFaults: r.skippedFaults,
+		Moments:       r.moments,
+		Paths:         r.pathSpans,
+		Processes:     r.processResults(),
+	}
 	for _, v := range r.checker.Violations() {
 		result.Violations = append(result.Violations, v.String())
 	}
@@ -133,8 +142,13 @@
 	end := r.world.Accounting.Length
 	costs := r.checker.Costs()
 	for _, p := range r.processes {
-		result := Process{Name: p.name, Cost: costs[invariants.Balancer(p.id)], States: closed(p.spans, end), LeftOut: closed(r.leftOutSpans[p.name], end),
-			PerSecond: make([]int, int(end/time.Second)+1)}
+		result := Process{
+			Name:      p.name,
+			Cost:      costs[invariants.Balancer(p.id)],
+			States:    closed(p.spans, end),
+			LeftOut:   closed(r.leftOutSpans[p.name], end),
+			PerSecond: make([]int, int(end/time.Second)+1),
+		}
 		for _, e := range r.events {
 			if e.Balancer == invariants.Balancer(p.id) {
 				result.count(e)
@@ -157,7 +171,11 @@
 
 // commonRequirements are those of every run.
 func (r *fleetRun) commonRequirements(broken int) []Verdict {
-	rules := Verdict{Requirement: "no rule broken by any balancer that runs", Holds: broken == 0, Seen: fmt.Sprintf("%d flows judged, %d breaches", r.checker.Judged, broken)}
+	rules := Verdict{
+		Requirement: "no rule broken by any balancer that runs",
+		Holds:       broken == 0,
+		Seen:        fmt.Sprintf("%d flows judged, %d breaches", r.checker.Judged, broken),
+	}
 	alive := Verdict{Requirement: "no process ends by itself", Holds: true, Seen: "none did"}
 	for _, m := range r.moments {
 		if strings.HasPrefix(m.What, "ended by itself") {
--- a/internal/testbed/fleet/run.go
+++ b/internal/testbed/fleet/run.go
@@ -116,17 +116,34 @@
 
 func newRun(ctx context.Context, p *Plan, s Settings) *fleetRun {
 	day := p.Experiment.Day(s.Seed)
-	r := &fleetRun{plan: p, seed: s.Seed, ctx: ctx, directory: s.Directory, day: day, world: day.World, network: netfault.New(s.Seed),
-		programs: map[string][]string{}, faultTimes: map[string]time.Duration{}, callAnswers: map[string][]callAnswer{},
-		leftOutSpans: map[string][]Span{}, faultySpans: map[int][]Span{}, descriptors: map[string]int{}}
+	r := &fleetRun{
+		plan:         p,
+		seed:         s.Seed,
+		ctx:          ctx,
+		directory:    s.Directory,
+		day:          day,
+		world:        day.World,
+		network:      netfault.New(s.Seed),
+		programs:     map[string][]string{},
+		faultTimes:   map[string]time.Duration{},
+		callAnswers:  map[string][]callAnswer{},
+		leftOutSpans: map[string][]Span{},
+		faultySpans:  map[int][]Span{},
+		descriptors:  map[string]int{},
+	}
 	slack, reordering := sockets.CheckerTimes()
 	r.checker = scenario.NewChecker(day, max(slack, p.lateAnswers), reordering)
 	r.driver = sockets.New(ctx, day, r.checker, s.Program, s.Directory)
 	if p.hasMembership {
 		r.proxy = netfault.NewProxy(ctx, r.network)
 	}
-	r.names = &nameResolver{random: simulation.RandomSource(s.Seed, "cast", 0), balancers: len(r.world.Balancers), servers: len(r.world.Servers),
-		faultyServers: r.serversWithFaults, faultNames: map[string][]string{}}
+	r.names = &nameResolver{
+		random:        simulation.RandomSource(s.Seed, "cast", 0),
+		balancers:     len(r.world.Balancers),
+		servers:       len(r.world.Servers),
+		faultyServers: r.serversWithFaults,
+		faultNames:    map[string][]string{},
+	}
 	return r
 }
 
@@ -171,7 +188,12 @@
 // startObservers starts what observes the run beside its timeline.
 func (r *fleetRun) startObservers(ctx context.Context) {
 	for _, p := range r.processes {
-		front := frontWatch{address: r.driver.Address(p.id), interval: r.plan.pingInterval, timeout: r.plan.pingTimeout, maxMisses: r.plan.maxMisses}
+		front := frontWatch{
+			address:   r.driver.Address(p.id),
+			interval:  r.plan.pingInterval,
+			timeout:   r.plan.pingTimeout,
+			maxMisses: r.plan.maxMisses,
+		}
 		r.workers.Go(func() {
 			front.run(ctx, func(isUp bool) {
 				r.driver.Do(func() { r.frontChanged(p, isUp) })
--- a/internal/testbed/fleet/start_faults.go
+++ b/internal/testbed/fleet/start_faults.go
@@ -20,6 +20,8 @@
 	starvationPeriod = 100 * time.Millisecond // of which a starved process runs a quarter
 	starvedRun       = starvationPeriod / 4
 	starvedPause     = starvationPeriod - starvedRun
+
+	descriptorsBeforeEnd = 300 * time.Millisecond // of a run, they are counted
 )
 
 // startedFault is a fault of the timeline with what was drawn for this run.
@@ -57,15 +59,15 @@
 	}
 	r.record(strings.Join(f.targetNames, ","), "%s", f.textTo(f.peerNames))
 	switch f.kind {
-	case link:
+	case faultPath:
 		r.startPathFault(f)
-	case reset:
+	case faultReset:
 		r.workers.Go(func() { // the end of each stream takes the driver's mutex
 			f.eachPath(func(a, b netfault.Endpoint) { r.network.Reset(a, b) })
 		})
-	case lie:
+	case faultFalseReports:
 		r.injectFalseReports(f)
-	case garbage:
+	case faultGarbage:
 		r.injectGarbage(f)
 	default:
 		r.startProcessFaults(f)
@@ -73,17 +75,17 @@
 }
 
 // processFaults start the kinds of faults that strike processes.
-var processFaults = map[string]func(*fleetRun, *process, startedFault){
-	kill:           (*fleetRun).startKill,
-	term:           (*fleetRun).startTerm,
-	start:          (*fleetRun).restartProcess,
-	freeze:         (*fleetRun).startFreeze,
-	starve:         (*fleetRun).startStarvation,
-	folderFull:     (*fleetRun).startDirectoryFault,
-	folderReadOnly: (*fleetRun).startDirectoryFault,
-	call:           (*fleetRun).startCall,
-	hangup:         (*fleetRun).scheduleHangups,
-	crowd:          (*fleetRun).startIdleClients,
+var processFaults = map[faultKind]func(*fleetRun, *process, startedFault){
+	faultKill:              (*fleetRun).startKill,
+	faultTerminate:         (*fleetRun).startTermination,
+	faultStart:             (*fleetRun).restartProcess,
+	faultFreeze:            (*fleetRun).startFreeze,
+	faultStarve:            (*fleetRun).startStarvation,
+	faultDirectoryFull:     (*fleetRun).startDirectoryFault,
+	faultDirectoryReadOnly: (*fleetRun).startDirectoryFault,
+	faultCall:              (*fleetRun).startCall,
+	faultSIGHUP:            (*fleetRun).scheduleSIGHUPs,
+	faultIdleClients:       (*fleetRun).startIdleClients,
 }
 
 func (r *fleetRun) startProcessFaults(f startedFault) {
@@ -109,8 +111,8 @@
 	r.atEndOf(f, p.unchanged(func() { r.restartProcess(p, f) }))
 }
 
-// startTerm has a process end in order, and kills it when its time is over.
-func (r *fleetRun) startTerm(p *process, f startedFault) {
+// startTermination has a process end in order, and kills it when its time is over.
+func (r *fleetRun) startTermination(p *process, f startedFault) {
 	if !r.transition(p, ending) {
 		return
 	}
@@ -128,15 +130,15 @@
 	if f.program != "" {
 		p.program = f.program
 	}
-	if f.folder == "gone" {
+	if f.directory == directoryRemoved {
 		if err := errors.Join(os.RemoveAll(p.directory), r.makeDirectory(p)); err != nil {
 			r.skip("%v", err)
 		}
 	}
-	r.record(p.name, "started again, folder %s, build %s", f.folder, p.program)
+	r.record(p.name, "started again, folder %s, build %s", f.directory, p.program)
 	r.world.ReviveBalancer(p.id)
 	if f.signals > 1 {
-		r.hangUpDuringStart(p, f.signals)
+		r.sendSIGHUPsDuringStart(p, f.signals)
 	}
 }
 
@@ -189,12 +191,12 @@
 	r.atEndOf(f, func() { set(false) })
 }
 
-func (r *fleetRun) setDirectoryFault(p *process, kind string, isOn bool) error {
+func (r *fleetRun) setDirectoryFault(p *process, kind faultKind, isOn bool) error {
 	const readOnlyMode = 0o500
 	switch {
-	case kind == folderReadOnly && isOn:
+	case kind == faultDirectoryReadOnly && isOn:
 		return os.Chmod(p.directory, readOnlyMode)
-	case kind == folderReadOnly:
+	case kind == faultDirectoryReadOnly:
 		return os.Chmod(p.directory, privateDirMode)
 	}
 	pid := r.driver.Process(p.id)
@@ -233,10 +235,10 @@
 func (r *fleetRun) startPathFault(f startedFault) {
 	set := func(c netfault.Condition) {
 		f.eachPath(func(target, peer netfault.Endpoint) {
-			if f.oneWay != "back" {
+			if f.direction != toTargets {
 				r.network.SetCondition(target, peer, c)
 			}
-			if f.oneWay != "out" {
+			if f.direction != fromTargets {
 				r.network.SetCondition(peer, target, c)
 			}
 		})
