--- /dev/null
+++ b/internal/testbed/fleet/plan_writer.go
@@ -0,0 +1,49 @@
+package fleet
+
+import (
+	"fmt"
+	"strings"
+	"time"
+)
+
+// Headers of entries of a plan file.
+const (
+	modelFaultEntry  = "\n[[trouble]]"
+	faultEntry       = "\n[[fault]]"
+	requirementEntry = "\n[[must]]"
+)
+
+// setting is a key of a plan file with its value.
+type setting struct {
+	key   string
+	value any
+}
+
+type settings []setting
+
+func writeTable(to *strings.Builder, header string, keys settings) {
+	to.WriteString(header + "\n")
+	writeSettings(to, keys)
+}
+
+func writeSettings(to *strings.Builder, keys settings) {
+	for _, s := range keys {
+		to.WriteString(s.key + " = " + literal(s.value) + "\n")
+	}
+}
+
+// literal is a value as plan files have it.
+func literal(value any) string {
+	switch value := value.(type) {
+	case string, time.Duration, faultKind, requirementKind:
+		return fmt.Sprintf("%q", value)
+	case []string:
+		var items []string
+		for _, item := range value {
+			items = append(items, literal(item))
+		}
+		return "[" + strings.Join(items, ", ") + "]"
+	default:
+		return fmt.Sprint(value)
+	}
+}
--- a/internal/testbed/fleet/soak.go
+++ b/internal/testbed/fleet/soak.go
@@ -3,15 +3,17 @@
 import (
 	"fmt"
 	"math/rand/v2"
+	"slices"
 	"strings"
 	"time"
 
 	"yardwinch/internal/simulation"
 )
 
-// A soak runs timelines that are drawn from seeds: planned restarts with the kill at its earliest, signals in a row, idle clients, faults of
-// discovery and of servers, directories that fail, processes that are paused. A plan is written as a file's text, which runs again as any
-// other.
+// A soak runs timelines that are drawn from seeds: planned restarts with the kill at its earliest, signals in a row, idle
+// clients, faults of discovery and of servers, directories that fail, processes that are paused. A plan is written as the
+// text of a plan file, which runs again as any other. A seed's draws have a fixed order: what is drawn in between changes
+// the plans of all seeds.
 
 const (
 	soakLength    = 14 * time.Second
@@ -26,6 +28,14 @@
 	soakDescriptors = 200
 )
 
+// Names in a soak's plan.
+const (
+	restartedFault = "restarted"
+	killedFault    = "killed"
+	disabledFault  = "banned" // an operator's call
+	disabledServer = "s-005"
+)
+
 // soakShape is what a seed draws before the timeline.
 type soakShape struct {
 	deadline, window time.Duration
@@ -38,6 +48,25 @@
 	soakWindows   = []time.Duration{300 * time.Millisecond, 5 * time.Second}
 	soakEffects   = []string{"free", "guarded", "single_shot"}
 	soakGroups    = []string{"all", "zone", "cell"}
+
+	// Faults of servers or of the endpoint list, without their times.
+	soakModelFaults = []settings{
+		{{"kind", "vanish"}, {"share", 0.3}},
+		{{"kind", "crash"}, {"share", 0.3}},
+		{{"kind", "deploy"}, {"share", 0.5}, {"strength", 0.2}, {"extra", "1s"}},
+		{{"kind", "slow"}, {"share", 0.3}, {"strength", 20}},
+		{{"kind", "errors"}, {"share", 0.3}, {"strength", 0.5}},
+		{{"kind", "list_dark"}},
+		{{"kind", "list_stale"}, {"extra", "2s"}},
+		{{"kind", "reconnect"}, {"share", 0.5}},
+	}
+	// Conditions of paths.
+	soakConditions = []settings{
+		{{"cut", true}},
+		{{"mute", true}},
+		{{"delay", "300ms"}, {"jitter", "300ms"}},
+		{{"rate", 2000}},
+	}
 )
 
 // SoakPlan is the text of a seed's plan.
@@ -66,65 +95,157 @@
 	if s.mustSubscribe {
 		mode = "ask"
 	}
-	fmt.Fprintf(to, "name = \"soak-%d\"\nabout = \"Drawn from seed %d: restarts, signals, crowds, failing folders and troubles of servers and discovery.\"\n", seed, seed)
-	fmt.Fprintf(to, "length = %q\n[fleet]\nservers = %d\nbalancers = %d\n", soakLength, soakServers, soakBalancers)
-	fmt.Fprintf(to, "[load]\nshare = 0.25\nper-core = 16\nlife = \"2s\"\n")
-	fmt.Fprintf(to, "[[service]]\nname = \"live\"\nsetup-target = %q\nconnect-timeout = %q\neffect = %q\ngroup = %q\nwindow = %q\n",
-		s.deadline/3, s.deadline, s.effect, s.group, s.window)
-	fmt.Fprintf(to, "[list]\nmode = %q\nnotice = \"400ms\"\nsilent-notice = \"4s\"\nadd = \"300ms\"\n", mode)
-	fmt.Fprintf(to, "[judge]\nlate = %q\n", lateAnswer)
-	fmt.Fprintf(to, "[front]\nask-every = \"200ms\"\nwait = \"400ms\"\nmisses = 2\n")
+	about := fmt.Sprintf("Drawn from seed %d: restarts, signals, crowds, failing folders and troubles of servers and discovery.", seed)
+	writeSettings(to, settings{{"name", fmt.Sprintf("soak-%d", seed)}, {"about", about}, {"length", soakLength}})
+	writeTable(to, "[fleet]", settings{{"servers", soakServers}, {"balancers", soakBalancers}})
+	writeTable(to, "[load]", settings{{"share", 0.25}, {"per-core", 16}, {"life", "2s"}})
+	writeTable(to, "[[service]]", settings{
+		{"name", "live"},
+		{"setup-target", s.deadline / 3},
+		{"connect-timeout", s.deadline},
+		{"effect", s.effect},
+		{"group", s.group},
+		{"window", s.window},
+	})
+	writeTable(to, "[list]", settings{{"mode", mode}, {"notice", "400ms"}, {"silent-notice", "4s"}, {"add", "300ms"}})
+	writeTable(to, "[judge]", settings{{"late", lateAnswer}})
+	writeTable(to, "[front]", settings{{"ask-every", "200ms"}, {"wait", "400ms"}, {"misses", 2}})
 }
 
-// writeModelFaults draws two faults of servers or of the list.
+// writeModelFaults draws two faults of servers or of the endpoint list.
 func writeModelFaults(to *strings.Builder, random *rand.Rand) {
-	kinds := []string{
-		"kind = \"vanish\"\nshare = 0.3", "kind = \"crash\"\nshare = 0.3", "kind = \"deploy\"\nshare = 0.5\nstrength = 0.2\nextra = \"1s\"",
-		"kind = \"slow\"\nshare = 0.3\nstrength = 20", "kind = \"errors\"\nshare = 0.3\nstrength = 0.5", "kind = \"list_dark\"",
-		"kind = \"list_stale\"\nextra = \"2s\"", "kind = \"reconnect\"\nshare = 0.5",
-	}
 	for range 2 {
-		fmt.Fprintf(to, "\n[[trouble]]\n%s\nstart = %q\nlength = %q\n", pick(random, kinds), between(random, time.Second, 6*time.Second),
-			between(random, time.Second, 5*time.Second))
+		fault := pick(random, soakModelFaults)
+		writeTable(to, modelFaultEntry, slices.Concat(fault, settings{
+			{"start", between(random, time.Second, 6*time.Second)},
+			{"length", between(random, time.Second, 5*time.Second)},
+		}))
 	}
 }
 
 // writeRestarts restarts one process in order and kills another, each with signals in a row.
 func writeRestarts(to *strings.Builder, random *rand.Rand) {
-	fmt.Fprintf(to, "\n[[fault]]\nas = \"restarted\"\nkind = \"term\"\nwho = [\"b0\"]\nat = %q\nfor = %q\ntimes = %d\n",
-		between(random, 1500*time.Millisecond, 3*time.Second), between(random, minDowntime, 2*time.Second), 1+random.IntN(30))
-	fmt.Fprintf(to, "\n[[fault]]\nas = \"killed\"\nkind = \"kill\"\nwho = [\"b1\"]\nat = %q\nfor = %q\ntimes = %d\n",
-		between(random, 2*time.Second, 5*time.Second), between(random, minDowntime, 2*time.Second), 1+random.IntN(30))
+	writeTable(to, faultEntry, settings{
+		{"as", restartedFault},
+		{"kind", faultTerminate},
+		{"who", []string{"b0"}},
+		{"at", between(random, 1500*time.Millisecond, 3*time.Second)},
+		{"for", between(random, minDowntime, 2*time.Second)},
+		{"times", 1 + random.IntN(30)},
+	})
+	writeTable(to, faultEntry, settings{
+		{"as", killedFault},
+		{"kind", faultKill},
+		{"who", []string{"b1"}},
+		{"at", between(random, 2*time.Second, 5*time.Second)},
+		{"for", between(random, minDowntime, 2*time.Second)},
+		{"times", 1 + random.IntN(30)},
+	})
 }
 
 // writeDisturbances draws what happens to the processes that go on.
 func writeDisturbances(to *strings.Builder, random *rand.Rand) {
-	at := func() time.Duration { return between(random, time.Second, 9*time.Second) }
-	fmt.Fprintf(to, "\n[[fault]]\nkind = \"hangup\"\nwho = [\"b2\"]\nat = %q\nfor = %q\ntimes = %d\n", at(), between(random, 0, 2*time.Second), 1+random.IntN(50))
+	writeTable(to, faultEntry, settings{
+		{"kind", faultSIGHUP},
+		{"who", []string{"b2"}},
+		{"at", disturbanceTime(random)},
+		{"for", between(random, 0, 2*time.Second)},
+		{"times", 1 + random.IntN(50)},
+	})
+	writePauses(to, random)
+	writeDisableInFailingDirectory(to, random)
+	writePathFaults(to, random)
+	if random.IntN(2) == 0 {
+		writeTable(to, faultEntry, settings{
+			{"kind", faultIdleClients},
+			{"who", []string{"b3"}},
+			{"at", disturbanceTime(random)},
+			{"for", between(random, time.Second, 3*time.Second)},
+			{"rate", 200 + random.IntN(400)},
+		})
+	}
+}
+
+func disturbanceTime(random *rand.Rand) time.Duration {
+	return between(random, time.Second, 9*time.Second)
+}
+
+// writePauses has a process lose its core now and then.
+func writePauses(to *strings.Builder, random *rand.Rand) {
 	for i := range 3 {
 		earliest := time.Second + time.Duration(i)*pauseInterval
-		fmt.Fprintf(to, "\n[[fault]]\nkind = \"freeze\"\nwho = [\"b3\"]\nat = %q\nfor = %q\n", between(random, earliest, earliest+pauseInterval-2*pauseLength), pauseLength)
-	}
-	folder := pick(random, []string{"folder-full", "folder-read-only"})
-	banAt := at()
-	fmt.Fprintf(to, "\n[[fault]]\nkind = %q\nwho = [\"b2\"]\nat = %q\nfor = %q\n", folder, max(banAt-time.Second, 500*time.Millisecond), between(random, time.Second, 3*time.Second))
-	fmt.Fprintf(to, "\n[[fault]]\nas = \"banned\"\nkind = \"call\"\nwho = [\"b2\"]\nat = %q\npath = \"/control/servers/s-005/offline\"\n", banAt)
-	conditions := []string{"cut = true", "mute = true", "delay = \"300ms\"\njitter = \"300ms\"", "rate = 2000"}
-	fmt.Fprintf(to, "\n[[fault]]\nkind = \"link\"\nwho = [\"any:2\"]\nto = [\"discovery\"]\nat = %q\nfor = %q\n%s\n", at(), between(random, time.Second, 5*time.Second), pick(random, conditions))
-	fmt.Fprintf(to, "\n[[fault]]\nkind = \"link\"\nwho = [\"b3\"]\nto = [\"s-000\", \"s-001\"]\nat = %q\nfor = %q\n%s\n", at(), between(random, time.Second, 4*time.Second), pick(random, conditions))
-	fmt.Fprintf(to, "\n[[fault]]\nkind = \"reset\"\nwho = [\"any\"]\nto = [\"servers\"]\nat = %q\n", at())
-	if random.IntN(2) == 0 {
-		fmt.Fprintf(to, "\n[[fault]]\nkind = \"crowd\"\nwho = [\"b3\"]\nat = %q\nfor = %q\nrate = %d\n", at(), between(random, time.Second, 3*time.Second), 200+random.IntN(400))
+		latest := earliest + pauseInterval - 2*pauseLength
+		writeTable(to, faultEntry, settings{
+			{"kind", faultFreeze},
+			{"who", []string{"b3"}},
+			{"at", between(random, earliest, latest)},
+			{"for", pauseLength},
+		})
 	}
 }
 
+// writeDisableInFailingDirectory has the operator disable a server around the time in which a process can't save it.
+func writeDisableInFailingDirectory(to *strings.Builder, random *rand.Rand) {
+	kind := pick(random, []faultKind{faultDirectoryFull, faultDirectoryReadOnly})
+	callAt := disturbanceTime(random)
+	writeTable(to, faultEntry, settings{
+		{"kind", kind},
+		{"who", []string{"b2"}},
+		{"at", max(callAt-time.Second, 500*time.Millisecond)},
+		{"for", between(random, time.Second, 3*time.Second)},
+	})
+	writeTable(to, faultEntry, settings{
+		{"as", disabledFault},
+		{"kind", faultCall},
+		{"who", []string{"b2"}},
+		{"at", callAt},
+		{"path", "/control/servers/" + disabledServer + "/offline"},
+	})
+}
+
+// writePathFaults draws faults of the paths to discovery and to servers.
+func writePathFaults(to *strings.Builder, random *rand.Rand) {
+	writeTable(to, faultEntry, slices.Concat(settings{
+		{"kind", faultPath},
+		{"who", []string{"any:2"}},
+		{"to", []string{"discovery"}},
+		{"at", disturbanceTime(random)},
+		{"for", between(random, time.Second, 5*time.Second)},
+	}, pick(random, soakConditions)))
+	writeTable(to, faultEntry, slices.Concat(settings{
+		{"kind", faultPath},
+		{"who", []string{"b3"}},
+		{"to", []string{"s-000", "s-001"}},
+		{"at", disturbanceTime(random)},
+		{"for", between(random, time.Second, 4*time.Second)},
+	}, pick(random, soakConditions)))
+	writeTable(to, faultEntry, settings{
+		{"kind", faultReset},
+		{"who", []string{"any"}},
+		{"to", []string{"servers"}},
+		{"at", disturbanceTime(random)},
+	})
+}
+
 func writeSoakRequirements(to *strings.Builder) {
-	for _, who := range []string{"restarted", "killed"} {
-		fmt.Fprintf(to, "\n[[must]]\nkind = \"taken-back\"\nafter = %q\nwho = [%q]\nwithin = %q\n", who, who, readyTimeout)
+	for _, fault := range []string{restartedFault, killedFault} {
+		writeTable(to, requirementEntry, settings{
+			{"kind", requireTakenBack},
+			{"after", fault},
+			{"who", []string{fault}},
+			{"within", readyTimeout},
+		})
 	}
-	fmt.Fprintf(to, "\n[[must]]\nkind = \"answered\"\nafter = \"banned\"\nsays = \"yes\"\n")
-	fmt.Fprintf(to, "\n[[must]]\nkind = \"avoids\"\nafter = \"banned\"\nwho = [\"b2\"]\nservers = [\"s-005\"]\nfrom = \"1s\"\nat-most = 0\n")
-	fmt.Fprintf(to, "\n[[must]]\nkind = \"descriptors\"\nat-most = %d\n", soakDescriptors)
+	writeTable(to, requirementEntry, settings{{"kind", requireAnswered}, {"after", disabledFault}, {"says", "yes"}})
+	writeTable(to, requirementEntry, settings{
+		{"kind", requireAvoids},
+		{"after", disabledFault},
+		{"who", []string{"b2"}},
+		{"servers", []string{disabledServer}},
+		{"from", "1s"},
+		{"at-most", 0},
+	})
+	writeTable(to, requirementEntry, settings{{"kind", requireDescriptors}, {"at-most", soakDescriptors}})
 }
 
 // between draws a time of whole milliseconds.
