--- a/internal/testbed/netfault/pipe.go
+++ b/internal/testbed/netfault/pipe.go
@@ -5,33 +5,33 @@
 	"sync"
 )
 
-// Pipe makes a connection to a stand-in inside this process: the first end is for Network.Forward, the second is the stand-in's.
-func Pipe() (forwarded, standIn net.Conn) {
+// Pipe makes a connection to a stub server of this process: the first end is for Network.Forward, the second is the stub's.
+func Pipe() (forwarded, stub net.Conn) {
 	a, b := net.Pipe()
-	outer := &outerPipe{Conn: b}
-	return &innerPipe{Conn: a, outer: outer}, outer
+	stubEnd := &stubPipe{Conn: b}
+	return &forwardedPipe{Conn: a, stub: stubEnd}, stubEnd
 }
 
-type innerPipe struct {
+type forwardedPipe struct {
 	net.Conn
-	outer *outerPipe
+	stub *stubPipe
 }
 
-// outerPipe lets a stand-in reset its connection, as it could a socket.
-type outerPipe struct {
+// stubPipe lets a stub server reset its connection, as it could a socket.
+type stubPipe struct {
 	net.Conn
 	mu     sync.Mutex
 	stream *stream // nil until it is forwarded
 }
 
-func (p *outerPipe) attach(s *stream) {
+func (p *stubPipe) attach(s *stream) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.stream = s
 }
 
-// SetLinger has the near end of the stream see a reset when the stand-in closes its connection, whatever the time.
-func (p *outerPipe) SetLinger(int) error {
+// SetLinger has the near end of the stream see a reset when the stub closes its connection, whatever the time.
+func (p *stubPipe) SetLinger(int) error {
 	p.mu.Lock()
 	s := p.stream
 	p.mu.Unlock()
--- a/internal/testbed/netfault/silent.go
+++ b/internal/testbed/netfault/silent.go
@@ -66,10 +66,11 @@
 		}
 	}
 	first := []unix.PollFd{{Fd: int32(s.filling[0]), Events: unix.POLLOUT}}
-	if _, err := unix.Poll(first, queueFillTimeoutMS); err != nil && !errors.Is(err, unix.EINTR) { // interrupted, it is in the queue all the same
-		return os.NewSyscallError("poll", err)
+	_, err := unix.Poll(first, queueFillTimeoutMS)
+	if errors.Is(err, unix.EINTR) {
+		return nil // the connection is in the queue all the same
 	}
-	return nil
+	return os.NewSyscallError("poll", err)
 }
 
 func (s *silentSocket) close() {
--- a/internal/testbed/netfault/stream.go
+++ b/internal/testbed/netfault/stream.go
@@ -36,8 +36,8 @@
 func (n *Network) Forward(from, to Endpoint, near, far net.Conn, tap Tap) {
 	s := &stream{path: path{from, to}, near: near, far: far, tap: tap, closed: make(chan struct{}),
 		out: newDeliveryQueue(n.direction(from, to)), back: newDeliveryQueue(n.direction(to, from))}
-	if pipe, ok := far.(*innerPipe); ok {
-		pipe.outer.attach(s)
+	if pipe, ok := far.(*forwardedPipe); ok {
+		pipe.stub.attach(s)
 	}
 	if isOpen := n.add(s); !isOpen {
 		s.close()
@@ -108,8 +108,8 @@
 // closeOneWay brings the end of one direction to its receiver. A pipe has no half-closed state, so that the whole stream ends there;
 // between two sockets the other direction goes on.
 func (s *stream) closeOneWay(receiver net.Conn, last closing) {
-	_, nearIsPipe := s.near.(*innerPipe)
-	_, farIsPipe := s.far.(*innerPipe)
+	_, nearIsPipe := s.near.(*forwardedPipe)
+	_, farIsPipe := s.far.(*forwardedPipe)
 	s.mu.Lock()
 	isReset := last == abortiveClose || receiver == s.near && s.resetsNear
 	s.mu.Unlock()
--- a/internal/testbed/netfault/stream_test.go
+++ b/internal/testbed/netfault/stream_test.go
@@ -11,24 +11,24 @@
 
 const patience = 5 * time.Second // for what comes at once on a machine with nothing to do
 
-// echoServer forwards connections from a to b, a stand-in that sends back what it receives, and returns the address to connect to.
+// echoServer forwards connections from a to b, a stub that sends back what it receives, and returns the address to connect to.
 func echoServer(t *testing.T, n *Network) string {
 	t.Helper()
 	l := NewListener("127.0.0.1:0")
-	var standIns sync.WaitGroup
+	var stubs sync.WaitGroup
 	if err := l.Transition(t.Context(), Open, func(listener net.Listener) {
 		Serve(listener, func(near net.Conn) {
-			forwarded, standIn := Pipe()
-			standIns.Go(func() {
-				defer func() { _ = standIn.Close() }()
-				_, _ = io.Copy(standIn, standIn) // it ends with the test
+			forwarded, stub := Pipe()
+			stubs.Go(func() {
+				defer func() { _ = stub.Close() }()
+				_, _ = io.Copy(stub, stub) // it ends with the test
 			})
 			n.Forward("a", "b", near, forwarded, Tap{})
 		})
 	}); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { l.Close(); n.Close(); standIns.Wait() })
+	t.Cleanup(func() { l.Close(); n.Close(); stubs.Wait() })
 	return l.Address
 }
 
@@ -68,7 +68,12 @@
 		corrupted bool
 	}{
 		{name: "clear"},
-		{name: "delay both ways", out: Condition{Delay: 60 * time.Millisecond}, back: Condition{Delay: 40 * time.Millisecond}, least: 100 * time.Millisecond},
+		{
+			name:  "delay both ways",
+			out:   Condition{Delay: 60 * time.Millisecond},
+			back:  Condition{Delay: 40 * time.Millisecond},
+			least: 100 * time.Millisecond,
+		},
 		{name: "a lost piece is sent again", out: Condition{Loss: 1}, least: retransmitDelay},
 		{name: "limited rate", out: Condition{Rate: 50}, least: 80 * time.Millisecond},
 		{name: "cut one way", out: Condition{Cut: true}, blocked: true},
