--- a/fleet/signals/penalty_test.go
+++ b/fleet/signals/penalty_test.go
@@ -27,6 +27,7 @@
 		establish(exchange)
 		exchange.OnLatencySample(server, time.Second)
 	}
+	moreHealthy := append(lateAndHealthy(late("a", "b"), "c", "d"), reportOf("e", 1, Healthy, 9))
 	manyConnections := reportOf("a", 1, Late, 1<<20)
 	ownName := reportOf("me", 9, Late, 3)
 	for _, c := range []struct {
@@ -38,7 +39,7 @@
 		{"a single one may be wrong or behind a bad link", late("a"), observeNothing, false},
 		{"two", append(late("a"), reportOf("b", 1, Failing, 0)), observeNothing, true},
 		{"two, and as many of a healthy server", lateAndHealthy(late("a", "b"), "c", "d"), observeNothing, true},
-		{"two, and more of a healthy server", append(lateAndHealthy(late("a", "b"), "c", "d"), reportOf("e", 1, Healthy, 9)), observeNothing, false},
+		{"two, and more of a healthy server", moreHealthy, observeNothing, false},
 		{"one that claims many connections", lateAndHealthy([]Record{manyConnections}, "c", "d"), observeNothing, false},
 		{"one, and an own observation", late("a"), observeLate, true},
 		{"two, and healthy own connections", late("a", "b"), establish, false},
--- a/internal/testbed/dissemination/dissemination.go
+++ b/internal/testbed/dissemination/dissemination.go
@@ -18,7 +18,7 @@
 	gossipInterval       = 200 * time.Millisecond
 	gossipFanout         = 3
 	maxPacketBytes       = 1400
-	messageHeaderBytes   = 6                       // what the engine puts round a message
+	messageHeaderBytes   = 6                       // what the engine adds to a message
 	packetHeaderBytes    = 28 + messageHeaderBytes // of a datagram, and of the engine's own
 	retransmitMultiplier = 3
 	publishInterval      = 250 * time.Millisecond
@@ -36,14 +36,14 @@
 	setupTarget       = 300 * time.Millisecond
 	observedDelay     = time.Second        // of each message from the faulty server
 	fastSetup         = time.Millisecond   // of each connection
-	minDirect         = 2                  // members that observe the fault at first hand
+	minObserving      = 2                  // members that observe the fault at first hand
 	connectedShare    = 0.5                // the chance that a member holds a connection to a healthy server
 	buildDigest       = "0123456789ab"     // of the length of a real one
 	settingsDigest    = "0123456789abcdef" // of the length of a real one
 	flowOfFault       = decide.FlowID("f") // the connection to the faulty server
 	flowOfOthers      = decide.FlowID("x") // those to the healthy ones
-	flowOfQuestion    = decide.FlowID("q") // one that asks whether the faulty server is penalised
-	randomStream      = "spread"           // names the stream of chance; another name draws other runs
+	queryFlow         = decide.FlowID("q") // for which it is queried whether the faulty server is penalised
+	randomStream      = "spread"           // name of the random source; another name draws other runs
 	noDeadline        = time.Duration(-1)  // a time that never came
 	knownToMost       = 0.99               // the share of members that counts as all
 )
@@ -66,7 +66,7 @@
 	Partition   bool // two halves that can't reach each other, until 10 s after the fault
 }
 
-// Result is what a run measured. Figures are a member's and a second's, on average, and the greatest of any member.
+// Result is the outcome of a run. Figures are those of one member in one second, averaged over all or the greatest of any.
 type Result struct {
 	Members        int           `json:"members"`
 	Seed           uint64        `json:"seed"`
@@ -98,48 +98,48 @@
 	result          *Result
 }
 
-// Simulate plays one run. The same configuration gives the same result.
+// Simulate makes one run. The same configuration gives the same result.
 func Simulate(config Config) (*Result, error) {
-	s := newSimulation(config)
-	for ; s.now < config.Duration; s.now += timeStep {
-		if err := s.deliver(); err != nil {
+	r := newClusterRun(config)
+	for ; r.now < config.Duration; r.now += timeStep {
+		if err := r.deliver(); err != nil {
 			return nil, err
 		}
-		for i := range s.members {
-			if err := s.step(i); err != nil {
+		for i := range r.members {
+			if err := r.step(i); err != nil {
 				return nil, err
 			}
 		}
-		if s.now%sampleInterval == 0 {
-			s.sampleKnowledge()
+		if r.now%sampleInterval == 0 {
+			r.sampleKnowledge()
 		}
 	}
-	s.sumTraffic()
-	return s.result, nil
+	r.sumTraffic()
+	return r.result, nil
 }
 
-func newSimulation(config Config) *clusterRun {
-	s := &clusterRun{
+func newClusterRun(config Config) *clusterRun {
+	r := &clusterRun{
 		config:          config,
 		random:          simulation.RandomSource(config.Seed, randomStream, config.Members),
 		retransmitLimit: retransmitMultiplier * int(math.Ceil(math.Log10(float64(config.Members+1)))),
 		deliveries:      map[time.Duration][]delivery{},
 		result:          &Result{Members: config.Members, Seed: config.Seed, Most: noDeadline, Half: noDeadline},
 	}
-	direct := math.Max(minDirect, config.DirectShare*float64(config.Members))
+	observing := math.Max(minObserving, config.DirectShare*float64(config.Members))
 	for i := range config.Members {
-		s.members = append(s.members, newMember(s.random, i, float64(i) < direct))
+		r.members = append(r.members, newMember(r.random, i, float64(i) < observing))
 	}
-	return s
+	return r
 }
 
 // deliver hands over the packets that arrive now; a record that is news is passed on.
-func (s *clusterRun) deliver() error {
-	for _, d := range s.deliveries[s.now] {
-		m := s.members[d.to]
-		m.signals.SetTime(s.now)
+func (r *clusterRun) deliver() error {
+	for _, d := range r.deliveries[r.now] {
+		m := r.members[d.to]
+		m.signals.SetTime(r.now)
 		for _, message := range d.messages {
-			if s.now < s.config.FaultAt {
+			if r.now < r.config.FaultAt {
 				m.quietMessages++
 			}
 			record, err := signals.Decode(message)
@@ -151,113 +151,113 @@
 			}
 		}
 	}
-	delete(s.deliveries, s.now)
+	delete(r.deliveries, r.now)
 	return nil
 }
 
 // step has one member observe, publish and gossip what is due.
-func (s *clusterRun) step(i int) error {
-	m := s.members[i]
-	m.signals.SetTime(s.now)
-	if m.direct && s.now >= s.config.FaultAt && s.now%time.Second == observationPhase(i) {
+func (r *clusterRun) step(i int) error {
+	m := r.members[i]
+	m.signals.SetTime(r.now)
+	if m.observesFault && r.now >= r.config.FaultAt && r.now%time.Second == observationPhase(i) {
 		m.signals.OnLatencySample(faultyServer, observedDelay)
 	}
-	if s.now%publishInterval == m.publishPhase {
-		if err := m.publish(s.config.Members); err != nil {
+	if r.now%publishInterval == m.publishPhase {
+		if err := m.publish(r.config.Members); err != nil {
 			return err
 		}
 	}
-	if s.now%gossipInterval == m.gossipPhase && s.config.Members > 1 {
-		s.gossip(i)
+	if r.now%gossipInterval == m.gossipPhase && r.config.Members > 1 {
+		r.gossip(i)
 	}
 	return nil
 }
 
 // gossip sends what a member has queued to a few members drawn at random.
-func (s *clusterRun) gossip(from int) {
-	m := s.members[from]
-	for range min(gossipFanout, s.config.Members-1) {
+func (r *clusterRun) gossip(from int) {
+	m := r.members[from]
+	for range min(gossipFanout, r.config.Members-1) {
 		if len(m.queue) == 0 {
 			return
 		}
-		messages, size := m.pack(s.retransmitLimit)
+		messages, size := m.pack(r.retransmitLimit)
 		if len(messages) == 0 {
 			return
 		}
-		s.countSent(m, size)
-		to := s.random.IntN(s.config.Members - 1)
+		r.countSent(m, size)
+		to := r.random.IntN(r.config.Members - 1)
 		if to >= from {
 			to++
 		}
-		s.send(from, to, messages)
+		r.send(from, to, messages)
 	}
 }
 
 // send puts a packet on its way, unless it is lost.
-func (s *clusterRun) send(from, to int, messages [][]byte) {
-	lost := s.random.Float64() < s.config.Network.Loss || s.partitioned(from, to)
-	jitter := time.Duration(s.random.Float64() * float64(s.config.Network.Jitter))
+func (r *clusterRun) send(from, to int, messages [][]byte) {
+	lost := r.random.Float64() < r.config.Network.Loss || r.partitioned(from, to)
+	jitter := time.Duration(r.random.Float64() * float64(r.config.Network.Jitter))
 	if lost {
 		return
 	}
-	latency := max(s.config.Network.Delay+jitter, timeStep)
-	at := (s.now + latency + timeStep - 1) / timeStep * timeStep
-	s.deliveries[at] = append(s.deliveries[at], delivery{to, messages})
+	latency := max(r.config.Network.Delay+jitter, timeStep)
+	at := (r.now + latency + timeStep - 1) / timeStep * timeStep
+	r.deliveries[at] = append(r.deliveries[at], delivery{to, messages})
 }
 
-func (s *clusterRun) partitioned(a, b int) bool {
-	return s.config.Partition && s.members[a].half != s.members[b].half && s.now < s.config.FaultAt+partitionPeriod
+func (r *clusterRun) partitioned(a, b int) bool {
+	return r.config.Partition && r.members[a].half != r.members[b].half && r.now < r.config.FaultAt+partitionPeriod
 }
 
-func (s *clusterRun) countSent(m *member, size int) {
+func (r *clusterRun) countSent(m *member, size int) {
 	switch {
-	case s.now < s.config.FaultAt:
+	case r.now < r.config.FaultAt:
 		m.quietBytes += size
 		m.quietPackets++
-	case s.now < s.config.FaultAt+busyPeriod:
+	case r.now < r.config.FaultAt+busyPeriod:
 		m.busyBytes += size
 	}
 }
 
 // sampleKnowledge counts the members that know of the fault.
-func (s *clusterRun) sampleKnowledge() {
+func (r *clusterRun) sampleKnowledge() {
 	knowing := 0
-	for _, m := range s.members {
-		penalty, _ := m.signals.ServerCost(flowOfQuestion, faultyServer)
+	for _, m := range r.members {
+		penalty, _ := m.signals.ServerCost(queryFlow, faultyServer)
 		// One that observes it needs nobody's report.
-		knows := penalty > 0 || m.direct && s.now >= s.config.FaultAt+time.Second
+		knows := penalty > 0 || m.observesFault && r.now >= r.config.FaultAt+time.Second
 		if !knows {
 			continue
 		}
 		knowing++
-		if s.now < s.config.FaultAt {
-			s.result.FalsePenalties++
+		if r.now < r.config.FaultAt {
+			r.result.FalsePenalties++
 		}
 	}
-	if s.now < s.config.FaultAt {
+	if r.now < r.config.FaultAt {
 		return
 	}
-	s.result.Knowing = append(s.result.Knowing, knowing)
-	if s.result.Half < 0 && 2*knowing >= len(s.members) {
-		s.result.Half = s.now - s.config.FaultAt
+	r.result.Knowing = append(r.result.Knowing, knowing)
+	if r.result.Half < 0 && 2*knowing >= len(r.members) {
+		r.result.Half = r.now - r.config.FaultAt
 	}
-	if s.result.Most < 0 && float64(knowing) >= knownToMost*float64(len(s.members)) {
-		s.result.Most = s.now - s.config.FaultAt
+	if r.result.Most < 0 && float64(knowing) >= knownToMost*float64(len(r.members)) {
+		r.result.Most = r.now - r.config.FaultAt
 	}
 }
 
 // sumTraffic brings the members' traffic down to a member and a second.
-func (s *clusterRun) sumTraffic() {
-	quietSeconds := s.config.FaultAt.Seconds()
-	members := float64(s.config.Members)
+func (r *clusterRun) sumTraffic() {
+	quietSeconds := r.config.FaultAt.Seconds()
+	members := float64(r.config.Members)
 	quietBytes := 0
-	for _, m := range s.members {
+	for _, m := range r.members {
 		quietBytes += m.quietBytes
 		busyRate := float64(m.busyBytes) / busyPeriod.Seconds()
-		s.result.BusyBytes += busyRate / members
-		s.result.MaxBusyBytes = max(s.result.MaxBusyBytes, busyRate)
-		s.result.QuietPackets += float64(m.quietPackets) / quietSeconds / members
-		s.result.QuietMessages += float64(m.quietMessages) / quietSeconds / members
+		r.result.BusyBytes += busyRate / members
+		r.result.MaxBusyBytes = max(r.result.MaxBusyBytes, busyRate)
+		r.result.QuietPackets += float64(m.quietPackets) / quietSeconds / members
+		r.result.QuietMessages += float64(m.quietMessages) / quietSeconds / members
 	}
-	s.result.QuietBytes = float64(quietBytes) / quietSeconds / members
+	r.result.QuietBytes = float64(quietBytes) / quietSeconds / members
 }
--- a/internal/testbed/dissemination/dissemination_test.go
+++ b/internal/testbed/dissemination/dissemination_test.go
@@ -25,7 +25,7 @@
 	if large.QuietBytes > 3*small.QuietBytes {
 		t.Errorf("ten times the members cost %.0f bytes a second each, before %.0f", large.QuietBytes, small.QuietBytes)
 	}
-	if again := simulate(Config{Members: 20, Seed: 1}); !reflect.DeepEqual(small, again) {
+	if repeated := simulate(Config{Members: 20, Seed: 1}); !reflect.DeepEqual(small, repeated) {
 		t.Error("one seed gives two runs")
 	}
 	lossy := simulate(Config{Members: 50, Seed: 1, Network: Network{Loss: 0.3, Jitter: 500 * time.Millisecond}})
--- a/internal/testbed/dissemination/member.go
+++ b/internal/testbed/dissemination/member.go
@@ -22,12 +22,12 @@
 
 // member is one balancer of the fleet.
 type member struct {
-	signals      *signals.Exchange
-	queue        []*message
-	gossipPhase  time.Duration // within the interval
-	publishPhase time.Duration
-	direct       bool // it observes the fault at first hand
-	half         int  // of the fleet, in a partition
+	signals       *signals.Exchange
+	queue         []*message
+	gossipPhase   time.Duration // within the interval
+	publishPhase  time.Duration
+	observesFault bool // itself, by a connection to the faulty server
+	half          int  // of the fleet, in a partition
 
 	quietBytes    int // sent before the fault
 	quietPackets  int // sent before the fault
@@ -35,15 +35,24 @@
 	busyBytes     int // sent soon after it
 }
 
-// newMember makes a member that holds a connection to about half of the healthy servers, and to the faulty one where it is direct.
-func newMember(random *rand.Rand, number int, direct bool) *member {
+// newMember makes a member that holds a connection to about half of the healthy servers, and to the faulty one if it is to
+// observe the fault.
+func newMember(random *rand.Rand, number int, observesFault bool) *member {
 	origin := signals.Origin(fmt.Sprintf("member-%04d", number))
 	m := &member{
-		signals:      signals.New(signals.Config{Origin: origin, Incarnation: 1, Build: buildDigest, Settings: settingsDigest, LatencyThreshold: messageDelayLimit, SetupLimit: setupTarget, Enabled: true}),
-		gossipPhase:  phase(random, gossipInterval),
-		publishPhase: phase(random, publishInterval),
-		direct:       direct,
-		half:         number % 2,
+		signals: signals.New(signals.Config{
+			Origin:           origin,
+			Incarnation:      1,
+			Build:            buildDigest,
+			Settings:         settingsDigest,
+			LatencyThreshold: messageDelayLimit,
+			SetupLimit:       setupTarget,
+			Enabled:          true,
+		}),
+		gossipPhase:   phase(random, gossipInterval),
+		publishPhase:  phase(random, publishInterval),
+		observesFault: observesFault,
+		half:          number % 2,
 	}
 	m.signals.SetTime(0)
 	for k := range healthyServers {
@@ -51,7 +60,7 @@
 			m.signals.OnEstablished(flowOfOthers, faultyServer+1+decide.ServerID(k), fastSetup)
 		}
 	}
-	if m.direct {
+	if m.observesFault {
 		m.signals.OnEstablished(flowOfFault, faultyServer, fastSetup)
 	}
 	return m
