--- a/internal/testbed/sockets/driver.go
+++ b/internal/testbed/sockets/driver.go
@@ -244,7 +244,7 @@
 	d.mu.Unlock()
 	reported := time.Duration(0)
 	for {
-		now, pause, isFinished := d.step()
+		now, isFinished := d.step()
 		if progress != nil && now-reported >= progressInterval {
 			reported = now
 			progress(now)
@@ -252,14 +252,14 @@
 		if isFinished {
 			return d.finish()
 		}
-		if err := d.pause(pause); err != nil {
+		if err := d.pause(); err != nil {
 			return "", err
 		}
 	}
 }
 
-// step does what is due, and tells how long to pause before the next step.
-func (d *Driver) step() (now, pause time.Duration, isFinished bool) {
+// step does what is due.
+func (d *Driver) step() (now time.Duration, isFinished bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	end := d.world.Accounting.Length
@@ -269,15 +269,12 @@
 	}
 	d.world.Schedule.RunTo(min(now, end))
 	d.checker.Advance(now)
-	pause = longestPause
-	if next, ok := d.world.Schedule.Next(); ok {
-		pause = min(pause, next-d.now())
-	}
-	return now, pause, now >= end || d.fault != nil
+	return now, now >= end || d.fault != nil
 }
 
-func (d *Driver) pause(length time.Duration) error {
-	timer := time.NewTimer(max(length, 0))
+// pause waits until something is due or may be, or the context ends.
+func (d *Driver) pause() error {
+	timer := time.NewTimer(max(d.untilNext(), 0))
 	defer timer.Stop()
 	select {
 	case <-d.ctx.Done():
@@ -288,6 +285,16 @@
 	return nil
 }
 
+// untilNext is the time from now until the next action is due, up to longestPause; below 0 where it is late.
+func (d *Driver) untilNext() time.Duration {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if next, ok := d.world.Schedule.Next(); ok {
+		return min(longestPause, next-d.now())
+	}
+	return longestPause
+}
+
 // finish ends the day. What was accepted in the last moments is not owed an answer that nobody waits for.
 func (d *Driver) finish() (void string, err error) {
 	d.mu.Lock()
--- a/internal/testbed/sockets/sockets_test.go
+++ b/internal/testbed/sockets/sockets_test.go
@@ -13,6 +13,7 @@
 	"time"
 
 	"yardwinch/internal/daemon"
+	"yardwinch/internal/simulation"
 	"yardwinch/internal/testbed/experiment"
 	"yardwinch/internal/testbed/invariants"
 )
@@ -266,3 +267,16 @@
 		}
 	}
 }
+
+// The progress that is reported after a step takes time itself, which must not make the next action late.
+func TestPauseCountsFromItsBeginning(t *testing.T) {
+	dr, _, d := newTestDriver(t, fmt.Sprintf(shortDay, ""), "sound")
+	defer dr.Close()
+	dr.startedAt, dr.isRunning = time.Now(), true
+	now, _ := dr.step()
+	d.World.Schedule.At(now+longestPause/2, simulation.Work, func() {})
+	time.Sleep(longestPause)
+	if pause := dr.untilNext(); pause > 0 {
+		t.Errorf("a pause of %v though an action is late", pause)
+	}
+}
