--- a/internal/testbed/scale/control_real.go
+++ b/internal/testbed/scale/control_real.go
@@ -29,13 +29,17 @@
 	publishPollInterval   = 10 * time.Millisecond
 	modelTolerance        = 0.2 // share of the real engines' figure
 	realFleetLabel        = fleetLabel
+
+	// What internal/membership/engine logs when it sees a member in another state.
+	memberStateMessage = "member state changed"
+	memberStateKey     = "state"
 )
 
 // sentCounter counts what all engines of this process send, in memberlist's units: without headers and label.
 type sentCounter struct {
 	metrics.BlackholeSink
 	datagrams, datagramBytes, streamBytes atomic.Int64
-	departures                            departureCounter
+	departures                            stateCounter
 }
 
 // IncrCounterWithLabels counts the bytes of one sent message.
@@ -52,16 +56,17 @@
 	}
 }
 
-// departureCounter is a log handler that counts how often an engine declares a member gone, and drops everything else.
-type departureCounter struct {
+// stateCounter is a log handler that counts how often an engine declares a member to be in a state, and drops everything else.
+type stateCounter struct {
 	slog.Handler
+	state membership.State
 	count atomic.Int64
 }
 
-// Handle counts a departure logged by an engine.
-func (c *departureCounter) Handle(_ context.Context, line slog.Record) error {
+// Handle counts a change that an engine logs.
+func (c *stateCounter) Handle(_ context.Context, line slog.Record) error {
 	line.Attrs(func(a slog.Attr) bool {
-		if line.Message == "member" && a.Key == "is" && a.Value.String() == string(membership.Gone) {
+		if line.Message == memberStateMessage && a.Key == memberStateKey && a.Value.String() == string(c.state) {
 			c.count.Add(1)
 		}
 		return true
@@ -264,7 +269,7 @@
 }
 
 func countSent() *sentCounter {
-	counter := &sentCounter{departures: departureCounter{Handler: slog.NewTextHandler(io.Discard, nil)}}
+	counter := &sentCounter{departures: stateCounter{Handler: slog.NewTextHandler(io.Discard, nil), state: membership.Gone}}
 	config := metrics.DefaultConfig("")
 	config.EnableHostname = false
 	config.EnableRuntimeMetrics = false
--- a/internal/testbed/scale/control_test.go
+++ b/internal/testbed/scale/control_test.go
@@ -4,6 +4,8 @@
 	"context"
 	"errors"
 	"fmt"
+	"io"
+	"log/slog"
 	"math"
 	"math/rand/v2"
 	"reflect"
@@ -15,6 +17,7 @@
 	"github.com/hashicorp/memberlist"
 
 	"yardwinch/fleet/signals"
+	"yardwinch/internal/membership"
 )
 
 // checkGrowth fails the test if a quantity grows faster than with the given power of the size.
@@ -266,6 +269,26 @@
 	}
 }
 
+// Real engines log the states of their members in the form that the counter of departures reads.
+func TestStateCounterReadsTheEnginesLog(t *testing.T) {
+	counter := &stateCounter{Handler: slog.NewTextHandler(io.Discard, nil), state: membership.Left}
+	was := slog.Default()
+	slog.SetDefault(slog.New(counter))
+	defer slog.SetDefault(was)
+	fleet, err := startRealFleet(t.Context(), 2, 100)
+	if err != nil {
+		t.Fatal(err)
+	}
+	err = fleet.awaitDiscovery(t.Context())
+	fleet.stop() // each leaves, and the other one or itself sees it so
+	if err != nil {
+		t.Fatal(err)
+	}
+	if counter.count.Load() == 0 {
+		t.Error("two engines left, and no departure was counted")
+	}
+}
+
 func TestInvalidControlExperiments(t *testing.T) {
 	for _, c := range []struct{ text, want string }{
 		{"sweep = \"members\"\nsizes = [10, 20]\n", "rate"},
