--- a/internal/testbed/sockets/client.go
+++ b/internal/testbed/sockets/client.go
@@ -93,7 +93,8 @@
 }
 
 // AdoptFlow opens a connection that is established when the day begins.
-func (d *Driver) AdoptFlow(f simulation.FlowID, c *simulation.Client, b simulation.BalancerID, conn simulation.ConnID, s simulation.ServerID) {
+func (d *Driver) AdoptFlow(f simulation.FlowID, c *simulation.Client, b simulation.BalancerID, conn simulation.ConnID,
+	s simulation.ServerID) {
 	d.awaitingEstablished[f] = conn
 	attempt := simulation.Attempt{Flow: f, Client: c, Balancer: b, Timeout: establishWithin}
 	d.startClient(attempt, ",at="+experiment.ServerName(s)).isInitial = true
@@ -272,20 +273,20 @@
 
 // receive takes one line of the balancer.
 func (c *client) receive(line string) {
-	word, rest, _ := strings.Cut(line, " ")
+	reply, argument, _ := strings.Cut(line, " ")
 	switch {
 	case c.state == established:
-		if word == "MOVE" {
+		if reply == "MOVE" {
 			c.migrate()
 		}
 	case c.wasEstablished: // it has just left: the line is no answer
 	case c.isInitial:
-		c.receiveInitial(word, line)
+		c.receiveInitial(reply, line)
 	case !c.driver.world.Balancers[c.balancer].IsUp: // sent before its balancer was killed, and received after: what it held is void
 		c.transition(over)
 		c.driver.world.BreakFlow(c.flow, simulation.Cut)
 	default:
-		c.receiveAnswer(word, rest)
+		c.receiveAnswer(reply, argument)
 	}
 }
 
@@ -301,20 +302,20 @@
 	d.world.BreakFlow(c.flow, simulation.Migrated)
 }
 
-func (c *client) receiveInitial(word, line string) {
+func (c *client) receiveInitial(reply, line string) {
 	delete(c.driver.awaitingEstablished, c.flow)
-	if word != "UP" {
+	if reply != "UP" {
 		c.driver.fail("a connection that stands at the beginning was answered %q", line)
 	}
 	c.transition(established)
 }
 
 // receiveAnswer tells the checker each answer, and the world the first one.
-func (c *client) receiveAnswer(word, rest string) {
+func (c *client) receiveAnswer(reply, argument string) {
 	d := c.driver
 	c.answers++
 	answer, observed := simulation.Aborted, invariants.Aborted
-	switch word {
+	switch reply {
 	case "UP":
 		answer, observed = simulation.Established, invariants.Established
 	case "BUSY":
@@ -331,7 +332,7 @@
 	case simulation.Established:
 		c.transition(established)
 	case simulation.Rejected:
-		ms, _ := strconv.ParseFloat(rest, 64) // without a number there is no time to wait
+		ms, _ := strconv.ParseFloat(argument, 64) // without a number there is no time to wait
 		retryAfter = time.Duration(ms * float64(time.Millisecond))
 	}
 	d.world.AnswerFlow(c.flow, answer, retryAfter)
@@ -347,7 +348,7 @@
 	case before == established:
 		d.world.BreakFlow(c.flow, simulation.Cut)
 	case isUnanswered && d.balancersAreExternal && !isListening(d.ctx, c.address):
-		d.observe(invariants.Event{Kind: invariants.BalancerDied, Balancer: invariants.Balancer(c.balancer)}) // a rule binds a balancer that runs
+		d.ObserveBalancer(c.balancer, invariants.BalancerDied) // a rule binds a balancer that runs
 		d.world.BreakFlow(c.flow, simulation.Cut)
 	case isUnanswered && !d.isProcessUp(c.balancer): // else the flow is lost, unless the balancer's end is about to be observed
 		d.world.BreakFlow(c.flow, simulation.Cut)
--- a/internal/testbed/sockets/configuration.go
+++ b/internal/testbed/sockets/configuration.go
@@ -22,7 +22,7 @@
 	configuration := map[string]any{
 		"name": fmt.Sprintf("n%d", b), "listen": listen, "discovery": discovery.address(),
 		"seed":     fmt.Sprintf("%016x", seed),
-		"limits":   map[string]any{"cores": coresOfBalancer, "memory_mb": memoryMB, "sockets": spareDescriptors + 2*d.maxConnections()/len(d.world.Balancers)},
+		"limits":   map[string]any{"cores": coresOfBalancer, "memory_mb": memoryMB, "sockets": d.descriptorLimit()},
 		"known":    json.RawMessage(discovery.encode(true, discovery.listed())),
 		"settings": nested(d.day.Settings(b)),
 	}
@@ -32,6 +32,11 @@
 	return json.MarshalIndent(configuration, "", " ")
 }
 
+// descriptorLimit is the number of descriptors that a balancer may have: each connection takes two.
+func (d *Driver) descriptorLimit() int {
+	return spareDescriptors + 2*d.maxConnections()/len(d.world.Balancers)
+}
+
 // maxConnections is how many connections all servers take.
 func (d *Driver) maxConnections() (sum int) {
 	for _, s := range d.world.Servers {
--- a/internal/testbed/sockets/discovery.go
+++ b/internal/testbed/sockets/discovery.go
@@ -144,7 +144,11 @@
 }
 
 // checkerReadiness of what the list says.
-var checkerReadiness = [...]invariants.Readiness{simulation.Ready: invariants.Ready, simulation.Draining: invariants.Draining, simulation.Gone: invariants.Gone}
+var checkerReadiness = [...]invariants.Readiness{
+	simulation.Ready:    invariants.Ready,
+	simulation.Draining: invariants.Draining,
+	simulation.Gone:     invariants.Gone,
+}
 
 // announceDirect tells the checker what the balancer is told now. Where calls are forwarded, observeLine does when it has arrived.
 func (s *discovery) announceDirect(entries []simulation.Entry) {
@@ -159,8 +163,13 @@
 		if startedAt == simulation.LongAgo {
 			startedAt = invariants.LongAgo
 		}
-		s.driver.observe(invariants.Event{Kind: invariants.ServerAnnounced, Balancer: invariants.Balancer(s.balancer), Server: invariants.Server(entry.Server),
-			Readiness: checkerReadiness[entry.Readiness], StartedAt: startedAt})
+		s.driver.observe(invariants.Event{
+			Kind:      invariants.ServerAnnounced,
+			Balancer:  invariants.Balancer(s.balancer),
+			Server:    invariants.Server(entry.Server),
+			Readiness: checkerReadiness[entry.Readiness],
+			StartedAt: startedAt,
+		})
 	}
 }
 
--- a/internal/testbed/sockets/driver.go
+++ b/internal/testbed/sockets/driver.go
@@ -42,7 +42,7 @@
 	world                *simulation.World
 	checker              *invariants.Checker
 	program              []string // starts a balancer; its configuration is added
-	folder               string   // for configurations and logs
+	directory            string   // for configurations and logs
 	options              string   // the path of the operators' file that balancers are started with
 	balancersAreExternal bool     // what runs is only seen from outside
 	isolation            *Isolation
@@ -79,11 +79,11 @@
 	ConnectedAt    []time.Duration
 }
 
-// New prepares a run. program starts a balancer, which finds the path of its configuration in PROXY_CONFIG; folder is for configurations
+// New prepares a run. program starts a balancer, which finds the path of its configuration in PROXY_CONFIG; directory is for configurations
 // and logs. An empty program leaves balancers out: servers and discovery alone.
-func New(parent context.Context, day *experiment.Day, checker *invariants.Checker, program []string, folder string) *Driver {
+func New(parent context.Context, day *experiment.Day, checker *invariants.Checker, program []string, directory string) *Driver {
 	const significantFigures = 3
-	d := &Driver{day: day, world: day.World, checker: checker, program: program, folder: folder, startedAt: time.Now(),
+	d := &Driver{day: day, world: day.World, checker: checker, program: program, directory: directory, startedAt: time.Now(),
 		wake: make(chan struct{}, 1), starts: make(chan func()),
 		clients: map[simulation.FlowID]*client{}, connections: map[simulation.ConnID]*connection{},
 		awaitingEstablished: map[simulation.FlowID]simulation.ConnID{},
@@ -108,7 +108,7 @@
 
 // SetOptions has balancers started with an operators' file.
 func (d *Driver) SetOptions(text string) error {
-	d.options = filepath.Join(d.folder, "options.toml")
+	d.options = filepath.Join(d.directory, "options.toml")
 	if err := os.WriteFile(d.options, []byte(text), optionsMode); err != nil {
 		return fmt.Errorf("write the operators' options: %w", err)
 	}
@@ -313,7 +313,8 @@
 // checker was told later than it puts events in order.
 func (d *Driver) voidReason() string {
 	if d.maxObservationDelay > maxReordering {
-		return fmt.Sprintf("the machine was too busy: the drive saw something %v after it happened (%v is allowed)", d.maxObservationDelay, maxReordering)
+		return fmt.Sprintf("the machine was too busy: the drive saw something %v after it happened (%v is allowed)",
+			d.maxObservationDelay, maxReordering)
 	}
 	p99 := time.Duration(d.lateness.ValueAtQuantile(99)) * time.Microsecond
 	most := time.Duration(d.lateness.Max()) * time.Microsecond
--- a/internal/testbed/sockets/isolation.go
+++ b/internal/testbed/sockets/isolation.go
@@ -85,17 +85,17 @@
 // forwardToServer takes a balancer's connection to a server over its path. The checker is told what the balancer's end sees: what is on its
 // way has been sent, and what has not arrived has not been received.
 func (d *Driver) forwardToServer(l *serverListener, near net.Conn) {
-	forwarded, standIn := netfault.Pipe()
+	forwarded, serverEnd := netfault.Pipe()
 	c := &connection{driver: d, balancerLocality: l.locality, server: l.server.id, balancer: l.balancer, isForwarded: true}
 	observer := &pathObserver{connection: c}
-	var standIns sync.WaitGroup
-	standIns.Go(func() { l.serve(standIn, c) })
+	var serving sync.WaitGroup
+	serving.Go(func() { l.serve(serverEnd, c) })
 	d.isolation.Network.Forward(BalancerName(l.balancer), ServerName(l.server.id), near, forwarded, netfault.Tap{
 		Sent:     observer.sent,
 		Received: observer.received,
 		Closed:   observer.closed,
 	})
-	standIns.Wait()
+	serving.Wait()
 }
 
 // pathObserver observes a connection at its balancer's end.
@@ -179,9 +179,9 @@
 // forwardCall takes its balancer's call. What the list says is announced when it has arrived at the balancer's end.
 func (s *discovery) forwardCall(near net.Conn) {
 	listener := s.listener.(*handoverListener)
-	forwarded, standIn := netfault.Pipe()
+	forwarded, discoveryEnd := netfault.Pipe()
 	select {
-	case listener.conns <- standIn:
+	case listener.conns <- discoveryEnd:
 	case <-listener.closed:
 		_ = near.Close()
 		return
@@ -192,8 +192,8 @@
 	}})
 }
 
-// observeLines announces what complete lines of JSON say, and returns what is left.
-func (s *discovery) observeLines(text []byte) (rest []byte) {
+// observeLines announces what complete lines of JSON say, and returns the incomplete line after them.
+func (s *discovery) observeLines(text []byte) (incomplete []byte) {
 	for {
 		line, remaining, isComplete := bytes.Cut(text, []byte("\n"))
 		if !isComplete {
--- a/internal/testbed/sockets/process.go
+++ b/internal/testbed/sockets/process.go
@@ -45,8 +45,13 @@
 	if err != nil {
 		return nil, fmt.Errorf("find an address for balancer %d: %w", b, err)
 	}
-	p := &process{driver: d, id: b, address: listener.Addr().String(), config: filepath.Join(d.folder, fmt.Sprintf("balancer-%d.json", b)),
-		log: filepath.Join(d.folder, fmt.Sprintf("balancer-%d.log", b))}
+	p := &process{
+		driver:  d,
+		id:      b,
+		address: listener.Addr().String(),
+		config:  filepath.Join(d.directory, fmt.Sprintf("balancer-%d.json", b)),
+		log:     filepath.Join(d.directory, fmt.Sprintf("balancer-%d.log", b)),
+	}
 	if err := listener.Close(); err != nil {
 		return nil, fmt.Errorf("free the address of balancer %d: %w", b, err)
 	}
--- a/internal/testbed/sockets/server.go
+++ b/internal/testbed/sockets/server.go
@@ -57,16 +57,20 @@
 	address := loopbackAddress(serverNetwork, int(id))
 	if d.isolation == nil {
 		for locality := range d.world.Localities {
-			s.listeners = append(s.listeners, &serverListener{netfault.NewListener(address), s, simulation.LocalityID(locality), anyBalancer})
+			s.addListener(address, simulation.LocalityID(locality), anyBalancer)
 		}
 		return s
 	}
 	for _, b := range d.world.Balancers {
-		s.listeners = append(s.listeners, &serverListener{netfault.NewListener(address), s, b.Locality, b.ID})
+		s.addListener(address, b.Locality, b.ID)
 	}
 	return s
 }
 
+func (s *server) addListener(address string, locality simulation.LocalityID, balancer simulation.BalancerID) {
+	s.listeners = append(s.listeners, &serverListener{netfault.NewListener(address), s, locality, balancer})
+}
+
 // listenerFor is where a balancer reaches a server.
 func (d *Driver) listenerFor(b simulation.BalancerID, s simulation.ServerID) *serverListener {
 	if d.isolation != nil {
--- a/internal/testbed/sockets/sockets_test.go
+++ b/internal/testbed/sockets/sockets_test.go
@@ -24,7 +24,12 @@
 	case "":
 		os.Exit(m.Run())
 	case "sound":
-		if err := daemon.Run(context.Background(), daemon.Source{ConfigPath: os.Getenv("PROXY_CONFIG"), OptionsPath: os.Getenv("YARDWINCH_OPTIONS"), Environment: os.Getenv}); err != nil {
+		source := daemon.Source{
+			ConfigPath:  os.Getenv("PROXY_CONFIG"),
+			OptionsPath: os.Getenv("YARDWINCH_OPTIONS"),
+			Environment: os.Getenv,
+		}
+		if err := daemon.Run(context.Background(), source); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
 		}
@@ -120,8 +125,15 @@
 	d := e.Day(3)
 	terms := e.Terms()
 	slack, hold := CheckerTimes()
-	checker := invariants.New(invariants.Limits{Slack: slack, Reordering: hold, DrainGrace: terms.DrainGrace,
-		SlowStartMultiple: terms.SlowStartMultiple, SlowStartWindow: terms.SlowStartWindow, SlowStart: terms.SlowStart, MeanLoad: d.MeanLoad()})
+	checker := invariants.New(invariants.Limits{
+		Slack:             slack,
+		Reordering:        hold,
+		DrainGrace:        terms.DrainGrace,
+		SlowStartMultiple: terms.SlowStartMultiple,
+		SlowStartWindow:   terms.SlowStartWindow,
+		SlowStart:         terms.SlowStart,
+		MeanLoad:          d.MeanLoad(),
+	})
 	self, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
@@ -164,7 +176,14 @@
 			text := strings.Replace(fmt.Sprintf(shortDay, ""), "6s", "4s", 1)
 			text += "[[service]]\nname = \"x\"\nconnect-timeout = \"1s\"\n"
 			dr, checker, _ := newTestDriver(t, text, c.fault)
-			dr.source = experiment.NewSteady(experiment.SteadyConfig{Seed: 1, Rate: 20, Lifetime: time.Second, LifetimeSigma: 0.5, Groups: 3, Localities: 3}) // nobody is connected at the beginning
+			dr.source = experiment.NewSteady(experiment.SteadyConfig{ // nobody is connected at the beginning
+				Seed:          1,
+				Rate:          20,
+				Lifetime:      time.Second,
+				LifetimeSigma: 0.5,
+				Groups:        3,
+				Localities:    3,
+			})
 			if _, err := dr.Run(nil); err != nil {
 				t.Fatal(err)
 			}
@@ -175,13 +194,24 @@
 	}
 }
 
+const loadDay = `name = "load"
+length = "3s"
+[fleet]
+servers = 1
+balancers = 1
+[[service]]
+name = "x"
+setup-target="1ms"
+connect-timeout = "500ms"
+`
+
 func TestOpenLoopShowsUnresponsiveBalancer(t *testing.T) {
 	l, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = l.Close() }() // the system takes connections into its queue, and nobody answers
-	e, err := experiment.Read("load", []byte("name = \"load\"\nlength = \"3s\"\n[fleet]\nservers = 1\nbalancers = 1\n[[service]]\nname = \"x\"\nsetup-target=\"1ms\"\nconnect-timeout = \"500ms\"\n"))
+	e, err := experiment.Read("load", []byte(loadDay))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -189,12 +219,21 @@
 	slack, hold := CheckerTimes()
 	checker := invariants.New(invariants.Limits{Slack: slack, Reordering: hold, DrainGrace: time.Second})
 	dr := Load(context.Background(), d, checker, []string{l.Addr().String()})
-	if _, err := dr.RunLoad(experiment.NewSteady(experiment.SteadyConfig{Seed: 1, Rate: 40, Lifetime: 2 * time.Second, LifetimeSigma: 0.5, Groups: 3, Localities: 1}), nil); err != nil {
+	source := experiment.NewSteady(experiment.SteadyConfig{
+		Seed:          1,
+		Rate:          40,
+		Lifetime:      2 * time.Second,
+		LifetimeSigma: 0.5,
+		Groups:        3,
+		Localities:    1,
+	})
+	if _, err := dr.RunLoad(source, nil); err != nil {
 		t.Fatal(err)
 	}
 	n := d.World.Totals
 	if n.Clients < 80 || n.Established != 0 || len(n.NeverEstablished) != n.Clients {
-		t.Errorf("%d clients, %d established, %d never: arrivals must not wait, nor vanish", n.Clients, n.Established, len(n.NeverEstablished))
+		t.Errorf("%d clients, %d established, %d never: arrivals must not wait, nor vanish",
+			n.Clients, n.Established, len(n.NeverEstablished))
 	}
 	if n.TimedOut < n.Clients/2 {
 		t.Errorf("%d attempts were given up at their timeout", n.TimedOut)
