--- a/cmd/testbed/agree.go
+++ b/cmd/testbed/agree.go
@@ -26,10 +26,24 @@
 )
 
 func agreeCommand() *cli.Command {
-	return &cli.Command{Name: "agree", ArgsUsage: "FILE...", Usage: "play a day of each file in virtual time and on sockets, and tell whether both say the same",
-		Flags: []cli.Flag{seedFlag, &cli.StringFlag{Name: "policy", Value: "ours", Usage: "ours or ours+halls"}, &cli.IntFlag{Name: "seeds", Value: 1, Usage: "days of each file"}, programFlag, logsFlag,
-			&cli.IntFlag{Name: "jobs", Value: 2, Usage: "runs on sockets at once"}, partFlag, sizeFlag, fleetFlag, jsonFlag},
-		Action: agree}
+	return &cli.Command{
+		Name:      "agree",
+		ArgsUsage: "FILE...",
+		Usage:     "play a day of each file in virtual time and on sockets, and tell whether both say the same",
+		Flags: []cli.Flag{
+			seedFlag,
+			&cli.StringFlag{Name: "policy", Value: experiment.Ours, Usage: "ours or ours+halls"},
+			&cli.IntFlag{Name: "seeds", Value: 1, Usage: "days of each file"},
+			programFlag,
+			logsFlag,
+			&cli.IntFlag{Name: "jobs", Value: 2, Usage: "runs on sockets at once"},
+			partFlag,
+			sizeFlag,
+			fleetFlag,
+			jsonFlag,
+		},
+		Action: agree,
+	}
 }
 
 // pair is one day with both drivers.
@@ -162,10 +176,12 @@
 
 func printPairs(to io.Writer, pairs []*pair) {
 	t := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
-	printf(t, "day\tseed\tservice virtual (least, most)\tsockets\tworst 10 s virtual\tsockets\tconnects virtual\tsockets\tbroken virtual\tsockets\tagrees\n")
+	printf(t, "day\tseed\tservice virtual (least, most)\tsockets\tworst 10 s virtual\tsockets\t"+
+		"connects virtual\tsockets\tbroken virtual\tsockets\tagrees\n")
 	for _, p := range pairs {
 		v, s := p.Virtual, p.Sockets
-		printf(t, "%s\t%d\t%.3f (%.3f, %.3f)\t%.3f\t%.3f\t%.3f\t%d\t%d\t%d\t%d\t%s\n", p.Name, p.Seed, p.Mean, p.Least, p.Most, s.Service, v.WorstWindow, s.WorstWindow,
+		printf(t, "%s\t%d\t%.3f (%.3f, %.3f)\t%.3f\t%.3f\t%.3f\t%d\t%d\t%d\t%d\t%s\n",
+			p.Name, p.Seed, p.Mean, p.Least, p.Most, s.Service, v.WorstWindow, s.WorstWindow,
 			v.Connects, s.Connects, v.Broken, s.Broken, p.verdict())
 		if s.Broken > 0 {
 			printf(t, "\t\t%s\n", s.Violations[0])
--- a/cmd/testbed/fleet.go
+++ b/cmd/testbed/fleet.go
@@ -19,15 +19,33 @@
 
 const maxPrintedViolations = 3
 
+func newJobsFlag() cli.Flag {
+	return &cli.IntFlag{Name: "jobs", Value: 1, Usage: "runs side by side; more than the machine can carry make all of them void"}
+}
+
+func newAgainFlag() cli.Flag {
+	return &cli.IntFlag{Name: "again", Value: 2, Usage: "play a void run again so many times"}
+}
+
 func fleetCommand() *cli.Command {
-	return &cli.Command{Name: "fleet", ArgsUsage: "FILE...",
-		Usage: "real processes by the dozen, faults of them and of the ways between them, and what must hold",
-		Flags: []cli.Flag{seedFlag, &cli.IntFlag{Name: "seeds", Value: 1, Usage: "so many runs of each file, of seeds one after the other"}, programFlag,
+	return &cli.Command{
+		Name:      "fleet",
+		ArgsUsage: "FILE...",
+		Usage:     "real processes by the dozen, faults of them and of the ways between them, and what must hold",
+		Flags: []cli.Flag{
+			seedFlag,
+			&cli.IntFlag{Name: "seeds", Value: 1, Usage: "so many runs of each file, of seeds one after the other"},
+			programFlag,
 			&cli.StringFlag{Name: "old", Usage: "the earlier build's `PROGRAM`, in place of building the revision that the file names"},
-			&cli.IntFlag{Name: "jobs", Value: 1, Usage: "runs side by side; more than the machine can carry make all of them void"},
-			&cli.IntFlag{Name: "again", Value: 2, Usage: "play a void run again so many times"}, logsFlag, jsonFlag, htmlFlag},
+			newJobsFlag(),
+			newAgainFlag(),
+			logsFlag,
+			jsonFlag,
+			htmlFlag,
+		},
 		Commands: []*cli.Command{soakCommand()},
-		Action:   playFleet}
+		Action:   playFleet,
+	}
 }
 
 // fleetJob is one run of a plan.
@@ -89,8 +107,8 @@
 
 // oldProgram is the earlier build that a plan needs; empty where it needs none.
 func oldProgram(ctx context.Context, c *cli.Command, p *fleet.Plan) ([]string, error) {
-	if given := c.String("old"); given != "" {
-		return []string{given, "serve"}, nil
+	if program := c.String("old"); program != "" {
+		return []string{program, "serve"}, nil
 	}
 	if p.Old == "" {
 		return nil, nil
@@ -207,13 +225,15 @@
 func printFleet(to io.Writer, r *fleet.Result) {
 	f := r.Figures
 	printf(to, "%s, seed %d: %s\n", r.Name, r.Seed, fleetVerdictText(r))
-	printf(to, "  %d processes, %d clients (%d never up), %d flows: %d established, %d rejected, %d aborted; %d cut, %d moved; service %.3f over %v\n",
-		len(r.Processes), f.Clients, f.NeverEstablished, f.Flows, f.Established, f.Rejected, f.Aborted, f.Cut, f.Migrated, f.Service, time.Duration(r.Length*float64(time.Second)))
+	printf(to, "  %d processes, %d clients (%d never up), %d flows: %d established, %d rejected, %d aborted; ",
+		len(r.Processes), f.Clients, f.NeverEstablished, f.Flows, f.Established, f.Rejected, f.Aborted)
+	printf(to, "%d cut, %d moved; service %.3f over %v\n", f.Cut, f.Migrated, f.Service, time.Duration(r.Length*float64(time.Second)))
 	if f.HealthChecks > 0 {
 		printf(to, "  %d probes of servers\n", f.HealthChecks)
 	}
 	for _, s := range r.FaultyServers {
-		printf(to, "  %s in trouble from %.1fs: the last balancer stopped choosing it after %.2fs, %d connects went to it meanwhile\n", s.Server, s.From, s.LastBalancerStops, s.Sent)
+		printf(to, "  %s in trouble from %.1fs: the last balancer stopped choosing it after %.2fs, %d connects went to it meanwhile\n",
+			s.Server, s.From, s.LastBalancerStops, s.Sent)
 	}
 	t := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
 	for _, v := range r.Requirements {
--- a/cmd/testbed/hunt.go
+++ b/cmd/testbed/hunt.go
@@ -24,9 +24,23 @@
 )
 
 func huntCommand() *cli.Command {
-	return &cli.Command{Name: "hunt", ArgsUsage: "FILE", Usage: "search a file's ranges for the day on which ours loses most against the top, and cut it down",
-		Flags:  []cli.Flag{seedFlag, &cli.StringFlag{Name: "policy", Value: "ours", Usage: "whose worst day: ours or ours+halls"}, &cli.IntFlag{Name: "days", Value: 60, Usage: "days to look at"}, workersFlag, partFlag, sizeFlag, fleetFlag, jsonFlag, htmlFlag},
-		Action: hunt}
+	return &cli.Command{
+		Name:      "hunt",
+		ArgsUsage: "FILE",
+		Usage:     "search a file's ranges for the day on which ours loses most against the top, and cut it down",
+		Flags: []cli.Flag{
+			seedFlag,
+			&cli.StringFlag{Name: "policy", Value: experiment.Ours, Usage: "whose worst day: ours or ours+halls"},
+			&cli.IntFlag{Name: "days", Value: 60, Usage: "days to look at"},
+			workersFlag,
+			partFlag,
+			sizeFlag,
+			fleetFlag,
+			jsonFlag,
+			htmlFlag,
+		},
+		Action: hunt,
+	}
 }
 
 // lossOf is what a policy leaves of the omniscient one's service on a day. A broken rule outweighs all.
@@ -90,7 +104,15 @@
 	var found []*worstDay
 	for i, ours := range results[:days] {
 		top := results[days+i]
-		found = append(found, &worstDay{Seed: ours.Seed, Loss: lossOf(ours, top), Ours: ours.Service, Top: top.Service, Faults: ours.Faults, experiment: e, result: ours})
+		found = append(found, &worstDay{
+			Seed:       ours.Seed,
+			Loss:       lossOf(ours, top),
+			Ours:       ours.Service,
+			Top:        top.Service,
+			Faults:     ours.Faults,
+			experiment: e,
+			result:     ours,
+		})
 	}
 	slices.SortStableFunc(found, func(a, b *worstDay) int { return cmp.Compare(b.Loss, a.Loss) })
 	fmt.Fprintln(os.Stderr, "the worst days:")
@@ -122,11 +144,11 @@
 		hasChanged = false
 		for i := 0; i < len(d.experiment.Kinds()); i++ {
 			kind := d.experiment.Kinds()[i]
-			isKept, err := d.try(d.experiment.Without(i), policy, least)
+			showsLoss, err := d.reduceTo(d.experiment.Without(i), policy, least)
 			if err != nil {
 				return err
 			}
-			if isKept {
+			if showsLoss {
 				d.LeftOut = append(d.LeftOut, string(kind))
 				hasChanged = true
 				i--
@@ -139,11 +161,11 @@
 func (d *worstDay) shortenFaults(policy string, least float64) error {
 	for i := range d.experiment.Kinds() {
 		for range maxShrinks {
-			isKept, err := d.try(d.experiment.Shrunk(i, shrinkBy), policy, least)
+			showsLoss, err := d.reduceTo(d.experiment.Shrunk(i, shrinkBy), policy, least)
 			if err != nil {
 				return err
 			}
-			if !isKept {
+			if !showsLoss {
 				break
 			}
 		}
@@ -151,8 +173,8 @@
 	return nil
 }
 
-// try runs a smaller experiment, and keeps it if it still shows the loss.
-func (d *worstDay) try(smaller *experiment.Experiment, policy string, least float64) (isKept bool, err error) {
+// reduceTo runs a smaller experiment, which takes the day's place if it still shows the least loss.
+func (d *worstDay) reduceTo(smaller *experiment.Experiment, policy string, least float64) (showsLoss bool, err error) {
 	ours, err := scenario.RunDay(smaller, d.Seed, policy, nil, nil)
 	if err != nil {
 		return false, err
--- a/cmd/testbed/main.go
+++ b/cmd/testbed/main.go
@@ -24,9 +24,22 @@
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	app := &cli.Command{
-		Name:           "testbed",
-		Usage:          "prove yardwinch: play days of trouble, on sockets or in virtual time, and judge them by the four rules",
-		Commands:       []*cli.Command{tryCommand(), serversCommand(), loadCommand(), runCommand(), compareCommand(), huntCommand(), agreeCommand(), logsCommand(), fleetCommand(), spreadCommand(), scaleCommand(), balancerCommand()},
+		Name:  "testbed",
+		Usage: "prove yardwinch: play days of trouble, on sockets or in virtual time, and judge them by the four rules",
+		Commands: []*cli.Command{
+			tryCommand(),
+			serversCommand(),
+			loadCommand(),
+			runCommand(),
+			compareCommand(),
+			huntCommand(),
+			agreeCommand(),
+			logsCommand(),
+			fleetCommand(),
+			spreadCommand(),
+			scaleCommand(),
+			balancerCommand(),
+		},
 		ExitErrHandler: func(context.Context, *cli.Command, error) {}, // the error is printed once, below
 	}
 	err := app.Run(ctx, os.Args)
--- a/cmd/testbed/output.go
+++ b/cmd/testbed/output.go
@@ -68,8 +68,8 @@
 
 // logDirectory is where logs go: as --logs says, or a temporary directory that remove removes.
 func logDirectory(c *cli.Command) (directory string, remove func(), err error) {
-	if given := c.String("logs"); given != "" {
-		return given, func() {}, os.MkdirAll(given, directoryMode)
+	if directory = c.String("logs"); directory != "" {
+		return directory, func() {}, os.MkdirAll(directory, directoryMode)
 	}
 	directory, err = os.MkdirTemp("", "testbed")
 	return directory, func() { _ = os.RemoveAll(directory) }, err // what is left of a temporary directory harms nobody
--- a/cmd/testbed/run.go
+++ b/cmd/testbed/run.go
@@ -141,8 +141,10 @@
 func rowOf(policy string, results []*count.Result, isCompared bool) tableRow {
 	mean, days := count.Mean(results, policy)
 	perDay := func(sum int) float64 { return float64(sum) / float64(max(days, 1)) }
-	text := fmt.Sprintf("%s\t%.3f\t%.3f\t%.3f\t%.3f\t%.1f / %.1f\t%.2f\t%.0f\t%.0f\t%d", policy, mean.Service, mean.ServedShare, mean.WorstWindow, mean.WorstCustomer,
-		mean.SetupTimes.P50, mean.SetupTimes.P99, float64(mean.Connects)/float64(max(mean.Clients, 1)), perDay(mean.Migrations), perDay(mean.Rejected), mean.Broken)
+	connectsPerClient := float64(mean.Connects) / float64(max(mean.Clients, 1))
+	text := fmt.Sprintf("%s\t%.3f\t%.3f\t%.3f\t%.3f\t%.1f / %.1f\t%.2f\t%.0f\t%.0f\t%d",
+		policy, mean.Service, mean.ServedShare, mean.WorstWindow, mean.WorstCustomer, mean.SetupTimes.P50, mean.SetupTimes.P99,
+		connectsPerClient, perDay(mean.Migrations), perDay(mean.Rejected), mean.Broken)
 	switch {
 	case isCompared && policy == experiment.Ours:
 		text += "\t"
--- a/cmd/testbed/scale_page.go
+++ b/cmd/testbed/scale_page.go
@@ -14,7 +14,8 @@
 func scalePageCommand() *cli.Command {
 	return &cli.Command{Name: "page", Usage: "write " + capacityPage + " from the reports of the experiments",
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: "results", Value: scaleResults, Usage: "read the reports in `DIR`, and those of the code before the mechanism in DIR/before"},
+			&cli.StringFlag{Name: "results", Value: scaleResults,
+				Usage: "read the reports in `DIR`, and those of the code before the mechanism in DIR/before"},
 			&cli.StringFlag{Name: "out", Value: capacityPage, Usage: "write `FILE`, whole or not at all"},
 		},
 		Action: func(_ context.Context, c *cli.Command) error {
--- a/cmd/testbed/scale_page_test.go
+++ b/cmd/testbed/scale_page_test.go
@@ -39,12 +39,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	kept, err := os.ReadFile("../../" + capacityPage)
+	committed, err := os.ReadFile("../../" + capacityPage)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if string(written) != string(kept) {
-		t.Error("the page that is kept is not what the command writes; run testbed scale page")
+	if string(written) != string(committed) {
+		t.Error("the committed page is not what the command writes; run testbed scale page")
 	}
 }
 
--- /dev/null
+++ b/cmd/testbed/servers.go
@@ -0,0 +1,86 @@
+package main
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net/netip"
+	"os"
+	"time"
+
+	"github.com/urfave/cli/v3"
+
+	"yardwinch/internal/testbed/experiment"
+	"yardwinch/internal/testbed/scenario"
+	"yardwinch/internal/testbed/sockets"
+)
+
+const configMode = 0o600
+
+func serversCommand() *cli.Command {
+	return &cli.Command{
+		Name:      "servers",
+		ArgsUsage: "[FILE]",
+		Usage:     "stand-in servers and discovery alone, as an experiment has them; prints a configuration for yardwinch serve",
+		Flags: []cli.Flag{
+			seedFlag,
+			&cli.StringFlag{Name: "listen", Value: "127.0.0.1:8080", Usage: "where the balancer is to listen"},
+			&cli.StringFlag{Name: "config", Usage: "write the configuration to `FILE`; standard output where not given"},
+			&cli.DurationFlag{Name: "for", Value: 10 * time.Minute, Usage: "how long"},
+			fleetFlag,
+		},
+		Action: serveStubs,
+	}
+}
+
+func serveStubs(ctx context.Context, c *cli.Command) error {
+	e, err := stubExperiment(c)
+	if err != nil {
+		return fault(err)
+	}
+	day := e.Day(c.Uint64("seed"))
+	slack, reordering := sockets.CheckerTimes()
+	driver := sockets.New(ctx, day, scenario.NewChecker(day, slack, reordering), nil, "")
+	err = driver.Serve(func() error {
+		text, err := driver.Config(0, c.String("listen"), 1)
+		if err != nil {
+			return err
+		}
+		return writeConfig(c.String("config"), append(text, '\n'), len(day.World.Servers))
+	})
+	if errors.Is(err, context.Canceled) {
+		return nil // it was asked to end
+	}
+	return err
+}
+
+// stubExperiment is the experiment of a file, or that of testbed try, with one balancer.
+func stubExperiment(c *cli.Command) (*experiment.Experiment, error) {
+	e, err := experiment.Read("try.toml", tryFile)
+	if c.Args().Len() > 0 {
+		e, err = experiment.Open(c.Args().First())
+	}
+	if err != nil {
+		return nil, err
+	}
+	if _, err := netip.ParseAddrPort(c.String("listen")); err != nil {
+		return nil, fmt.Errorf("--listen: no address with a port: %q", c.String("listen"))
+	}
+	if c.Duration("for") < time.Second {
+		return nil, fmt.Errorf("--for: want 1s at the least, got %v", c.Duration("for"))
+	}
+	return e.Sized(1, c.Int("servers")).Lasting(c.Duration("for")), nil
+}
+
+// writeConfig writes a configuration to a file, or to standard output where none is named.
+func writeConfig(path string, text []byte, servers int) error {
+	if path == "" {
+		_, err := os.Stdout.Write(text)
+		return err
+	}
+	if err := os.WriteFile(path, text, configMode); err != nil {
+		return err
+	}
+	fmt.Fprintf(os.Stderr, "%d servers and discovery are open; start with: yardwinch serve --config %s\n", servers, path)
+	return nil
+}
--- a/cmd/testbed/soak.go
+++ b/cmd/testbed/soak.go
@@ -22,13 +22,19 @@
 )
 
 func soakCommand() *cli.Command {
-	return &cli.Command{Name: "soak", Usage: "timelines drawn from seeds: restarts, signals in a row, crowds, failing folders, troubles of servers and discovery",
+	return &cli.Command{
+		Name:  "soak",
+		Usage: "timelines drawn from seeds: restarts, signals in a row, crowds, failing folders, troubles of servers and discovery",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "seeds", Value: "1-5", Usage: "`FROM-TO`, a run each"},
 			&cli.StringFlag{Name: "keep", Value: ".", Usage: "`DIR` for the plans of runs that fail; testbed fleet plays them again"},
-			&cli.IntFlag{Name: "jobs", Value: 1, Usage: "runs side by side; more than the machine can carry make all of them void"},
-			&cli.IntFlag{Name: "again", Value: 2, Usage: "play a void run again so many times"}, programFlag, logsFlag},
-		Action: soak}
+			newJobsFlag(),
+			newAgainFlag(),
+			programFlag,
+			logsFlag,
+		},
+		Action: soak,
+	}
 }
 
 // seedRange reads FROM-TO, or one seed.
@@ -42,7 +48,11 @@
 		to, err = strconv.ParseUint(last, 10, 64)
 	}
 	if err != nil || to < from || to-from >= maxSoakSeeds {
-		return 0, 0, fault(&fleet.Error{Where: "soak", What: fmt.Sprintf("seeds %q", text), Remedy: "give them as 1-50, 10,000 at the most"})
+		return 0, 0, fault(&fleet.Error{
+			Where:  "soak",
+			What:   fmt.Sprintf("seeds %q", text),
+			Remedy: "give them as 1-50, 10,000 at the most",
+		})
 	}
 	return from, to, nil
 }
@@ -111,7 +121,8 @@
 	case t.failed > 0:
 		return cli.Exit(fmt.Sprintf("soak: in %d of %d runs something that must hold did not", t.failed, runs), ruleBroken)
 	case t.voids+t.unplayed > 0:
-		return cli.Exit(fmt.Sprintf("soak: %d of %d runs are void, as the machine was too busy, or could not be played", t.voids+t.unplayed, runs), voidRun)
+		return cli.Exit(fmt.Sprintf("soak: %d of %d runs are void, as the machine was too busy, or could not be played",
+			t.voids+t.unplayed, runs), voidRun)
 	}
 	return nil
 }
--- a/cmd/testbed/spread.go
+++ b/cmd/testbed/spread.go
@@ -111,7 +111,8 @@
 
 func printDissemination(to io.Writer, results []*dissemination.Result) error {
 	t := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
-	printf(t, "members\tseed\thalf know after\t99 %% after\tquiet: bytes/s, packets/s, messages heard/s\tfirst 5 s: bytes/s, the most\tdear before\n")
+	printf(t, "members\tseed\thalf know after\t99 %% after\tquiet: bytes/s, packets/s, messages heard/s\t"+
+		"first 5 s: bytes/s, the most\tdear before\n")
 	for _, r := range results {
 		printf(t, "%d\t%d\t%s\t%s\t%.0f  %.1f  %.0f\t%.0f  %.0f\t%d\n", r.Members, r.Seed, orNever(r.Half), orNever(r.Most),
 			r.QuietBytes, r.QuietPackets, r.QuietMessages, r.BusyBytes, r.MaxBusyBytes, r.FalsePenalties)
--- a/cmd/testbed/spread_page.go
+++ b/cmd/testbed/spread_page.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	_ "embed"
 	"fmt"
 	"html/template"
 	"io"
@@ -9,12 +10,10 @@
 	"yardwinch/internal/testbed/dissemination"
 )
 
-var disseminationPage = template.Must(template.New("dissemination").Parse(`<!doctype html><html lang="en"><meta charset="utf-8"><title>How a word spreads</title>
-<style>body{font:15px/1.45 system-ui,sans-serif;color:#1d2733;max-width:960px;margin:24px auto}text{font:11px system-ui;fill:#51606e}</style>
-<h1>How a word of trouble spreads</h1><p>Share of members that know of it, by seconds since it began. Simulated.</p>
-<svg viewBox="0 0 900 320">{{range .Ticks}}<line x1="{{.X}}" x2="{{.X}}" y1="10" y2="280" stroke="#e2e7ec"/><text x="{{.X}}" y="296" text-anchor="middle">{{.T}}</text>{{end}}
-{{range .Lines}}<polyline points="{{.Points}}" fill="none" stroke="{{.Colour}}" stroke-width="1.8"/>{{end}}
-{{range $i, $l := .Legend}}<text x="{{$l.X}}" y="314" style="fill:{{$l.Colour}}">{{$l.Name}}</text>{{end}}</svg></html>`))
+//go:embed spread.html
+var disseminationPageText string
+
+var disseminationPage = template.Must(template.New("dissemination").Parse(disseminationPageText))
 
 // The layout of the plot, in its own units.
 const (
@@ -28,7 +27,7 @@
 
 var lineColours = []string{"#0b5fa5", "#d08c2f", "#3f9b6c", "#8a6fb0", "#a33", "#222"}
 
-// disseminationPlot is what the page's template shows.
+// disseminationPlot is the data of disseminationPage.
 type disseminationPlot struct {
 	Ticks  []timeTick
 	Lines  []plotLine
@@ -72,7 +71,8 @@
 func (p *disseminationPlot) addLine(r *dissemination.Result) {
 	if p.colours[r.Members] == "" {
 		colour := lineColours[len(p.colours)%len(lineColours)]
-		p.Legend = append(p.Legend, legendEntry{plotLeft + legendWidth*float64(len(p.colours)), fmt.Sprintf("%d members", r.Members), colour})
+		x := plotLeft + legendWidth*float64(len(p.colours))
+		p.Legend = append(p.Legend, legendEntry{x, fmt.Sprintf("%d members", r.Members), colour})
 		p.colours[r.Members] = colour
 	}
 	var points []string
--- a/cmd/testbed/try.go
+++ b/cmd/testbed/try.go
@@ -39,9 +39,12 @@
 }
 
 func tryCommand() *cli.Command {
-	return &cli.Command{Name: "try", Usage: "see it work: 9 stand-in servers, 3 balancers and some clients on loopback, one drain, one slow server, 20 s",
+	return &cli.Command{
+		Name:   "try",
+		Usage:  "see it work: 9 stand-in servers, 3 balancers and some clients on loopback, one drain, one slow server, 20 s",
 		Flags:  []cli.Flag{seedFlag, programFlag, logsFlag, jsonFlag, htmlFlag},
-		Action: try}
+		Action: try,
+	}
 }
 
 func try(ctx context.Context, c *cli.Command) error {
@@ -49,7 +52,8 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprintln(os.Stderr, "9 servers in 3 halls, discovery and 3 balancers on loopback; a server is slow from 4 s on, one is replaced from 9 s on")
+	fmt.Fprintln(os.Stderr, "9 servers in 3 halls, discovery and 3 balancers on loopback; "+
+		"a server is slow from 4 s on, one is replaced from 9 s on")
 	result, err := tryOnSockets(ctx, c, e)
 	if err != nil {
 		return err
@@ -93,18 +97,24 @@
 	if err != nil {
 		return nil, err
 	}
-	return runOnSockets(ctx, socketsRun{experiment: e, seed: c.Uint64("seed"), policy: experiment.Ours, program: program, directory: directory,
-		progress: showProgress(os.Stderr, e)})
+	return runOnSockets(ctx, socketsRun{
+		experiment: e,
+		seed:       c.Uint64("seed"),
+		policy:     experiment.Ours,
+		program:    program,
+		directory:  directory,
+		progress:   showProgress(os.Stderr, e),
+	})
 }
 
 // balancerProgram is what starts a balancer: as --yardwinch says, or this program.
 func balancerProgram(c *cli.Command) ([]string, error) {
-	given := c.String("yardwinch")
-	if given == "" {
+	program := c.String("yardwinch")
+	if program == "" {
 		self, err := os.Executable()
 		return []string{self, "balancer"}, err
 	}
-	path, err := exec.LookPath(given)
+	path, err := exec.LookPath(program)
 	if err != nil {
 		return nil, fault(fmt.Errorf("--yardwinch: %w", err))
 	}
