--- a/internal/simulation/arrivals.go
+++ b/internal/simulation/arrivals.go
@@ -45,7 +45,15 @@
 
 func (w *World) addClient(a Arrival) {
 	id := ClientID(w.Totals.Clients)
-	c := &Client{ID: id, Arrival: a, w: w, load: a.Load, until: a.At + a.Lifetime, place: len(w.clients), random: RandomSource(w.Seed, "client", int(id))}
+	c := &Client{
+		ID:      id,
+		Arrival: a,
+		w:       w,
+		random:  RandomSource(w.Seed, "client", int(id)),
+		until:   a.At + a.Lifetime,
+		place:   len(w.clients),
+		load:    a.Load,
+	}
 	w.Totals.Clients++
 	w.clients = append(w.clients, c)
 	service := c.service()
--- a/internal/simulation/client.go
+++ b/internal/simulation/client.go
@@ -180,7 +180,14 @@
 		w.Driver.LeaveFlow(c.endFlow())
 		c.scheduleRetry(0)
 	})
-	w.Driver.OpenFlow(Attempt{Flow: c.flow, Client: c, Balancer: b, Timeout: service.Timeout, IsRetry: c.failedInARow > 0, IsReturning: c.retried > 0})
+	w.Driver.OpenFlow(Attempt{
+		Flow:        c.flow,
+		Client:      c,
+		Balancer:    b,
+		Timeout:     service.Timeout,
+		IsRetry:     c.failedInARow > 0,
+		IsReturning: c.retried > 0,
+	})
 }
 
 // AnswerFlow tells the client of a flow its final answer.
--- a/internal/simulation/fault.go
+++ b/internal/simulation/fault.go
@@ -26,7 +26,7 @@
 	BalancerCrash FaultKind = "balancer_crash" // a share of balancers dies and comes back at the end
 	BalancerRoll  FaultKind = "balancer_roll"  // a share of balancers is restarted in order, Strength of all at a time, Extra down
 	LocalityLost  FaultKind = "hall_lost"      // all servers and balancers of a locality go silent and come back at the end
-	Partition     FaultKind = "cut"            // nothing gets from Locality to the others; both ways where Strength is not below 1
+	Partition     FaultKind = "cut"            // nothing gets from Locality to the others; both directions where Strength is not below 1
 	Overload      FaultKind = "overload"       // the load is Strength times as large, that of established connections too
 )
 
@@ -172,12 +172,12 @@
 	}
 }
 
-func (w *World) block(from, to LocalityID, bothWays bool, faults int) {
+func (w *World) block(from, to LocalityID, bothDirections bool, faults int) {
 	for _, s := range w.Servers {
 		s.settle()
 	}
 	w.Network.block(from, to, faults)
-	if bothWays {
+	if bothDirections {
 		w.Network.block(to, from, faults)
 	}
 	for _, s := range w.Servers {
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -31,8 +31,10 @@
 	List       *List
 	Totals     Totals
 
-	Collapsed          []ServerID
-	MaxSlowStartExcess float64 // of the load on a starting server over the window of the rule, over its capacity, less what is put down to chance
+	Collapsed []ServerID
+	// MaxSlowStartExcess is the most load that was sent to a starting server over the window of the rule, in times its capacity and less
+	// what is put down to chance.
+	MaxSlowStartExcess float64
 
 	random          *rand.Rand // of what concerns no single client or server
 	slowStart       SlowStartConfig
--- a/internal/testbed/baseline/policy.go
+++ b/internal/testbed/baseline/policy.go
@@ -43,7 +43,7 @@
 	deadline    time.Duration
 	effect      decide.Effect
 	server      *server // of its last connect
-	tried       []decide.ServerID
+	attempted   []decide.ServerID
 	connects    int
 	established bool
 	mayHaveRun  bool
@@ -101,22 +101,22 @@
 	f.server = to
 	to.open++
 	f.connects++
-	f.tried = append(f.tried, to.id)
+	f.attempted = append(f.attempted, to.id)
 	p.act.Connect(f.id, to.id, p.connectLimit(f))
 }
 
-// candidates are the ready servers that the flow has not tried, or all ready ones where it has tried each.
+// candidates are the ready servers that the flow has not been sent to, or all ready ones where it has been sent to each.
 func (p *Policy) candidates(f *flow) []*server {
-	var untried []*server
+	var unattempted []*server
 	for _, s := range p.ready {
-		if !slices.Contains(f.tried, s.id) {
-			untried = append(untried, s)
+		if !slices.Contains(f.attempted, s.id) {
+			unattempted = append(unattempted, s)
 		}
 	}
-	if len(untried) == 0 {
+	if len(unattempted) == 0 {
 		return p.ready
 	}
-	return untried
+	return unattempted
 }
 
 // connectLimit leaves time for another connect, which the policy that sees all doesn't need.
--- a/internal/testbed/count/count.go
+++ b/internal/testbed/count/count.go
@@ -117,9 +117,11 @@
 
 // countService weighs the shares and takes the prices off.
 func (r *Result) countService(w Weights) {
-	r.Service = (w.ServedShare*r.ServedShare + w.WorstWindow*r.WorstWindow + w.WorstCustomer*r.WorstCustomer + w.WorstServiceType*r.WorstServiceType) / w.Sum()
+	shares := w.ServedShare*r.ServedShare + w.WorstWindow*r.WorstWindow +
+		w.WorstCustomer*r.WorstCustomer + w.WorstServiceType*r.WorstServiceType
 	clients := math.Max(1, float64(r.Clients))
-	r.Service -= w.Crossing*float64(r.Crossings)/clients + w.Migrations*float64(r.Migrations)/clients + w.Connects*float64(r.Connects)/clients
+	prices := w.Crossing*float64(r.Crossings)/clients + w.Migrations*float64(r.Migrations)/clients + w.Connects*float64(r.Connects)/clients
+	r.Service = shares/w.Sum() - prices
 }
 
 func (r *Result) countTotals(t *simulation.Totals, seconds int) {
--- a/internal/testbed/count/result.go
+++ b/internal/testbed/count/result.go
@@ -16,7 +16,7 @@
 	BySecond            []float64    `json:"by_second"`
 	BySecondAndLocality [][]float64  `json:"by_hall_second"` // the same by the clients' halls
 	SetupTimes          Quantiles    `json:"setup_ms"`
-	FirstSetupTimes     Quantiles    `json:"first_up_ms"` // from a client's arrival to its first connection; those that never had one count with their wait
+	FirstSetupTimes     Quantiles    `json:"first_up_ms"` // from a client's arrival to its first connection, or to its end without one
 	NeverEstablished    int          `json:"never_up"`
 	Clients             int          `json:"clients"`
 	Attempts            int          `json:"tries"`
--- a/internal/testbed/experiment/day.go
+++ b/internal/testbed/experiment/day.go
@@ -117,9 +117,19 @@
 	}
 	w := simulation.New(d.Seed, e.Length, shortest/lateDivisor)
 	d.World = w
-	w.ConfigureSlowStart(simulation.SlowStartConfig{From: e.terms.SlowStartFrom, CollapseMultiple: e.terms.SlowStartMultiple, CollapseWindow: e.terms.SlowStartWindow})
-	w.ConfigureServices(simulation.ServicesConfig{Services: d.services, Customers: d.customers, Localities: e.fleet.localities,
-		BeyondShareValue: e.beyond, MeanLoad: d.MeanLoad(), MessageWork: d.services[0].MessageWork})
+	w.ConfigureSlowStart(simulation.SlowStartConfig{
+		From:             e.terms.SlowStartFrom,
+		CollapseMultiple: e.terms.SlowStartMultiple,
+		CollapseWindow:   e.terms.SlowStartWindow,
+	})
+	w.ConfigureServices(simulation.ServicesConfig{
+		Services:         d.services,
+		Customers:        d.customers,
+		Localities:       e.fleet.localities,
+		BeyondShareValue: e.beyond,
+		MeanLoad:         d.MeanLoad(),
+		MessageWork:      d.services[0].MessageWork,
+	})
 	w.ConfigureEstablished(e.load.localWeight)
 	within := e.network.within.Draw(r)
 	between := e.network.between.Draw(r)
--- a/internal/testbed/experiment/faults.go
+++ b/internal/testbed/experiment/faults.go
@@ -24,27 +24,41 @@
 }
 
 // leastStrength of the kinds that have one.
-var leastStrength = map[simulation.FaultKind]float64{simulation.Slow: 1, simulation.StoreSlow: 1, simulation.Burst: 0.01, simulation.Overload: 0.01,
-	simulation.Grow: 1.01, simulation.Errors: 0.01, simulation.Neighbour: 0.01, simulation.Deploy: 0.001, simulation.BalancerRoll: 0.001}
+var leastStrength = map[simulation.FaultKind]float64{
+	simulation.Slow:         1,
+	simulation.StoreSlow:    1,
+	simulation.Burst:        0.01,
+	simulation.Overload:     0.01,
+	simulation.Grow:         1.01,
+	simulation.Errors:       0.01,
+	simulation.Neighbour:    0.01,
+	simulation.Deploy:       0.001,
+	simulation.BalancerRoll: 0.001,
+}
 
 func (e *Experiment) readFault(t strict.Table) {
 	var kinds []string
 	for _, kind := range simulation.FaultKinds {
 		kinds = append(kinds, string(kind))
 	}
-	f := faultRanges{kind: simulation.FaultKind(t.String("kind", "", kinds...)), locality: t.String("hall", "", append([]string{""}, e.fleet.localities...)...)}
-	if f.kind == "" {
+	kind := simulation.FaultKind(t.String("kind", "", kinds...))
+	locality := t.String("hall", "", append([]string{""}, e.fleet.localities...)...)
+	if kind == "" {
 		if !t.Has("kind") {
 			t.Fail("kind", "is missing; want one of %s", strings.Join(kinds, ", "))
 		}
 		return
 	}
-	f.start = intervalOf(t, "start", 0, 0, hour)
-	f.length = intervalOf(t, "length", 10*time.Second, 10*time.Second, hour)
-	f.share = numbersOf(t, "share", bounds{0.2, 0.2, 0, 1})
-	f.strength = numbersOf(t, "strength", bounds{1, 1, 0, 1000})
-	f.extra = intervalOf(t, "extra", 3*time.Second, 3*time.Second, hour)
-	f.chance = t.Float("chance", 1, 0, 1)
+	f := faultRanges{
+		kind:     kind,
+		start:    intervalOf(t, "start", 0, 0, hour),
+		length:   intervalOf(t, "length", 10*time.Second, 10*time.Second, hour),
+		share:    numbersOf(t, "share", bounds{0.2, 0.2, 0, 1}),
+		strength: numbersOf(t, "strength", bounds{1, 1, 0, 1000}),
+		extra:    intervalOf(t, "extra", 3*time.Second, 3*time.Second, hour),
+		locality: locality,
+		chance:   t.Float("chance", 1, 0, 1),
+	}
 	e.checkFault(t, f)
 	e.faults = append(e.faults, f)
 }
--- a/internal/testbed/experiment/load.go
+++ b/internal/testbed/experiment/load.go
@@ -127,7 +127,8 @@
 	a.Group = groups.first + simulation.GroupID(groups.zipf.Draw(r))
 	a.Locality = simulation.LocalityID(drawWeighted(r, len(d.localityWeight), func(i int) float64 { return d.localityWeight[i] }))
 	a.Load = service.Load / d.perCore * simulation.LogNormal(r, service.LoadSpread)
-	a.Lifetime = time.Duration(service.Lifetime * d.lifetime.Seconds() * simulation.LogNormal(r, service.LifetimeSigma) * float64(time.Second))
+	seconds := service.Lifetime * d.lifetime.Seconds() * simulation.LogNormal(r, service.LifetimeSigma)
+	a.Lifetime = time.Duration(seconds * float64(time.Second))
 	return a
 }
 
--- a/internal/testbed/experiment/read.go
+++ b/internal/testbed/experiment/read.go
@@ -145,7 +145,11 @@
 
 func (e *Experiment) readCustomers(t strict.Table) {
 	for _, c := range t.Tables("customer") {
-		customer := simulation.Customer{Name: c.String("name", ""), Share: c.Float("share", 0, 0.0001, 1), Usage: c.Float("usage", 1, 0, 1000)}
+		customer := simulation.Customer{
+			Name:  c.String("name", ""),
+			Share: c.Float("share", 0, 0.0001, 1),
+			Usage: c.Float("usage", 1, 0, 1000),
+		}
 		if customer.Name == "" {
 			c.Fail("name", "is missing")
 		}
--- a/internal/testbed/experiment/steady.go
+++ b/internal/testbed/experiment/steady.go
@@ -27,7 +27,11 @@
 
 // NewSteady makes a source.
 func NewSteady(c SteadyConfig) *Steady {
-	return &Steady{config: c, random: simulation.RandomSource(c.Seed, "steady", 0), groups: simulation.NewZipf(max(c.Groups, 1), steadyGroupZipf)}
+	return &Steady{
+		config: c,
+		random: simulation.RandomSource(c.Seed, "steady", 0),
+		groups: simulation.NewZipf(max(c.Groups, 1), steadyGroupZipf),
+	}
 }
 
 // Next draws the next arrival. There is always one: the day ends, not the source.
--- a/internal/testbed/invariants/connect.go
+++ b/internal/testbed/invariants/connect.go
@@ -96,8 +96,14 @@
 		if len(f.outstanding) > 0 {
 			first = f.outstanding[0]
 		}
-		c.report(Violation{Rule: NoDuplicateEffect, At: sent.At, Balancer: sent.Balancer, Flow: id, Server: sent.Server, What: "two connects out"},
-			f.accepted, first, sent)
+		c.report(Violation{
+			Rule:     NoDuplicateEffect,
+			At:       sent.At,
+			Balancer: sent.Balancer,
+			Flow:     id,
+			Server:   sent.Server,
+			What:     "two connects out",
+		}, f.accepted, first, sent)
 		return true
 	})
 }
--- a/internal/testbed/invariants/event.go
+++ b/internal/testbed/invariants/event.go
@@ -24,10 +24,24 @@
 	FlowEnded                   // an established flow ended
 )
 
-var kinds = [...]string{"began", "died", "stopped", "thawed", "told", "taken", "left", "connect over", "sent", "arrived", "answered", "ended"}
+// kindNames are the words of reports.
+var kindNames = [...]string{
+	BalancerStarted: "began",
+	BalancerDied:    "died",
+	BalancerFrozen:  "stopped",
+	BalancerResumed: "thawed",
+	ServerAnnounced: "told",
+	FlowAccepted:    "taken",
+	ClientLeft:      "left",
+	ConnectEnded:    "connect over",
+	ConnectSent:     "sent",
+	ConnectArrived:  "arrived",
+	FlowAnswered:    "answered",
+	FlowEnded:       "ended",
+}
 
 // String is the kind in the words of reports.
-func (k Kind) String() string { return kinds[k] }
+func (k Kind) String() string { return kindNames[k] }
 
 // Readiness is a server's state as a balancer was told it.
 type Readiness int
--- a/internal/testbed/invariants/slowstart.go
+++ b/internal/testbed/invariants/slowstart.go
@@ -33,7 +33,8 @@
 		return
 	}
 	start.isBroken = true
-	what := fmt.Sprintf("%d connects in %v, %.1f times what it can take", len(start.arrivals), c.limits.SlowStartWindow, max(count.sum, load.sum)/full)
+	what := fmt.Sprintf("%d connects in %v, %.1f times what it can take",
+		len(start.arrivals), c.limits.SlowStartWindow, max(count.sum, load.sum)/full)
 	proof := start.arrivals[max(0, len(start.arrivals)-maxProofArrivals):]
 	c.reportOf(e, SlowStartRespected, what, slices.Clone(proof)...)
 }
--- a/internal/testbed/logs/count.go
+++ b/internal/testbed/logs/count.go
@@ -19,8 +19,8 @@
 	MaxDelay map[string]time.Duration // by server, of the latency samples of the second
 }
 
-// Count merges the logs of a directory, one file *.log a balancer, and counts by second since the first line. Lines of another form are passed
-// over; skipped is their number.
+// Count merges the logs of a directory, one file *.log a balancer, and counts by second since the first line. Lines of another form are
+// passed over; skipped is their number.
 func Count(directory fs.FS) (seconds []Second, skipped int, err error) {
 	events, skipped, err := readEvents(directory)
 	if err != nil || len(events) == 0 {
--- a/internal/testbed/logs/event.go
+++ b/internal/testbed/logs/event.go
@@ -31,8 +31,8 @@
 	latencySampled  = "latency sampled"
 )
 
-// eventNames maps the events of earlier builds, whose logs are still read, to those of this build. Counts are printed under the former texts, so
-// that those of both builds can be compared.
+// eventNames maps the events of earlier builds, whose logs are still read, to those of this build. Counts are printed under the former
+// texts, so that those of both builds can be compared.
 var eventNames = []struct {
 	former, text string
 	keys         map[string]string // former to present, where they differ
@@ -50,7 +50,8 @@
 	{former: "server list is back", text: "endpoint watch recovered"},
 	{former: "server list not fetched", text: "endpoint list fetch failed"},
 
-	{former: "configuration read anew", text: "configuration reloaded", keys: map[string]string{"discovery": "discovery_address", "moved": "discovery_moved"}},
+	{former: "configuration read anew", text: "configuration reloaded",
+		keys: map[string]string{"discovery": "discovery_address", "moved": "discovery_moved"}},
 	{former: "configuration not taken yet, the one before holds", text: "configuration not reloaded yet, the current one remains"},
 	{former: "configuration not taken, the one before holds", text: "configuration not reloaded, the current one remains"},
 	{former: "these changes need a restart", text: "changed settings need a restart", keys: map[string]string{"keys": "settings"}},
@@ -64,7 +65,8 @@
 
 	{former: "who was out by hand is not known", text: "disabled servers not restored"},
 	{former: "out by hand as before", text: "disabled servers restored"},
-	{former: "the folder fails: servers out by hand are held in memory alone", text: "directory failed, disabled servers are held in memory only"},
+	{former: "the folder fails: servers out by hand are held in memory alone",
+		text: "directory failed, disabled servers are held in memory only"},
 	{former: "the folder works again", text: "directory works again", keys: map[string]string{"after": "failed_for_ms"}},
 	{former: "no hand-over to or from another process, and who is out by hand is forgotten at the end",
 		text: "no hand-over, and disabled servers are not saved"},
--- a/internal/testbed/report/page.go
+++ b/internal/testbed/report/page.go
@@ -23,7 +23,7 @@
 
 var errNoResults = errors.New("report: no results")
 
-// pageData is what the page's template shows.
+// pageData is the data of pageTemplate.
 type pageData struct {
 	Name, About string
 	Seed        uint64
@@ -34,9 +34,9 @@
 
 // pageRow is the means of a policy.
 type pageRow struct {
-	Policy, Service, Whole, Window, Customer, Setup, Connects string
-	Moves, Rejects, Broken, Days                              int
-	Colour                                                    string
+	Policy, Service, ServedShare, WorstWindow, WorstCustomer, SetupTimes, Connects string
+	Migrations, Rejects, Broken, Days                                              int
+	Colour                                                                         string
 }
 
 // HTML writes a page with plots of the first seed of each policy, and a table of all. Without results there is nothing to write, which is
@@ -84,31 +84,34 @@
 	share := func(x float64) string { return fmt.Sprintf("%.3f", x) }
 	mean, days := count.Mean(results, policy)
 	return pageRow{
-		Policy:   policy,
-		Colour:   colourOf(policy),
-		Service:  share(mean.Service),
-		Whole:    share(mean.ServedShare),
-		Window:   share(mean.WorstWindow),
-		Customer: share(mean.WorstCustomer),
-		Setup:    fmt.Sprintf("%.0f / %.0f", mean.SetupTimes.P50, mean.SetupTimes.P99),
-		Connects: fmt.Sprintf("%.2f", float64(mean.Connects)/float64(max(mean.Clients, 1))),
-		Moves:    mean.Migrations,
-		Rejects:  mean.Rejected,
-		Broken:   mean.Broken,
-		Days:     days,
+		Policy:        policy,
+		Colour:        colourOf(policy),
+		Service:       share(mean.Service),
+		ServedShare:   share(mean.ServedShare),
+		WorstWindow:   share(mean.WorstWindow),
+		WorstCustomer: share(mean.WorstCustomer),
+		SetupTimes:    fmt.Sprintf("%.0f / %.0f", mean.SetupTimes.P50, mean.SetupTimes.P99),
+		Connects:      fmt.Sprintf("%.2f", float64(mean.Connects)/float64(max(mean.Clients, 1))),
+		Migrations:    mean.Migrations,
+		Rejects:       mean.Rejected,
+		Broken:        mean.Broken,
+		Days:          days,
 	}
 }
 
 func plotsOf(shown []*count.Result) []plot {
-	plots := []plot{plotSeries("Service by second", "share of the value asked for", shown, 1, func(r *count.Result) []float64 { return r.BySecond })}
+	served := func(r *count.Result) []float64 { return r.BySecond }
+	migrations := func(r *count.Result) []float64 { return floats(r.MigrationsBySecond) }
+	rejects := func(r *count.Result) []float64 { return floats(r.RejectsBySecond) }
+	plots := []plot{plotSeries("Service by second", "share of the value asked for", shown, 1, served)}
 	for _, r := range shown {
 		if r.Policy == experiment.Ours || len(shown) == 1 {
 			plots = append(plots, plotLoads(r), plotSetupTimes(r))
 		}
 	}
 	return append(plots,
-		plotSeries("Moves by second", "moves", shown, scaleToFit, func(r *count.Result) []float64 { return floats(r.MigrationsBySecond) }),
-		plotSeries("Rejects by second", "rejects", shown, scaleToFit, func(r *count.Result) []float64 { return floats(r.RejectsBySecond) }),
+		plotSeries("Moves by second", "moves", shown, scaleToFit, migrations),
+		plotSeries("Rejects by second", "rejects", shown, scaleToFit, rejects),
 		plotSeries("Connects for each try", "connects over tries, by second", shown, scaleToFit, connectsPerAttempt))
 }
 
--- a/internal/testbed/report/plot.go
+++ b/internal/testbed/report/plot.go
@@ -8,7 +8,7 @@
 	"yardwinch/internal/testbed/count"
 )
 
-// The layout of a plot, in units of the page.
+// The layout of a plot, in the units of its SVG drawing.
 const (
 	leftMargin   = 52.0
 	rightMargin  = 26.0
@@ -18,13 +18,13 @@
 	plotHeight   = 240.0
 	innerWidth   = plotWidth - leftMargin - rightMargin
 
-	secondsPerTick  = 10
-	valueTicks      = 4   // beside that at 0
-	wholeTicksFrom  = 8.0 // values from which labels have no decimals
-	faultLines      = 4   // labels of faults, one below the other
-	faultLineHeight = 13.0
-	firstFaultLine  = 12.0
-	minFaultWidth   = 2.0
+	secondsPerTick    = 10
+	valueTicks        = 4   // beside that at 0
+	integerLabelsFrom = 8.0 // values from which labels have no decimals
+	faultLines        = 4   // labels of faults, one below the other
+	faultLineHeight   = 13.0
+	firstFaultLine    = 12.0
+	minFaultWidth     = 2.0
 
 	maxRowsHeight     = 420.0 // of a plot of loads
 	minRowHeight      = 3.0
@@ -37,7 +37,7 @@
 	scaleToFit = 0 // in place of the greatest value of an axis
 )
 
-// plot is one drawing, as the page's template takes it.
+// plot is the data of one drawing in pageTemplate.
 type plot struct {
 	Title, Unit string
 	W, H        float64
@@ -108,7 +108,7 @@
 
 func (p *plot) addValueTicks(a axes) {
 	format := "%.2f"
-	if a.most >= wholeTicksFrom {
+	if a.most >= integerLabelsFrom {
 		format = "%.0f"
 	}
 	for i := range valueTicks + 1 {
--- a/internal/testbed/scenario/gossip.go
+++ b/internal/testbed/scenario/gossip.go
@@ -4,7 +4,6 @@
 	"fmt"
 	"time"
 
-	"yardwinch/constraints"
 	"yardwinch/decide"
 	"yardwinch/fleet/signals"
 	"yardwinch/internal/config"
@@ -29,11 +28,14 @@
 
 // newSignalDeciders makes the deciders of a day on which balancers exchange signals.
 func newSignalDeciders(d *experiment.Day) virtual.NewDecider {
-	g := &gossip{world: d.World, exchanges: map[simulation.BalancerID]*signals.Exchange{}, incarnations: map[simulation.BalancerID]signals.Incarnation{}}
+	g := &gossip{
+		world:        d.World,
+		exchanges:    map[simulation.BalancerID]*signals.Exchange{},
+		incarnations: map[simulation.BalancerID]signals.Incarnation{},
+	}
 	return func(seed uint64, id simulation.BalancerID, act decide.Actions) virtual.Decider {
 		settings := config.FromPairs(d.Settings(id))
-		exchange := g.newExchange(id, settings)
-		return constraints.New(seed, act, []constraints.Constraint{exchange}, func(decider *decide.Balancer) { config.ConfigureBalancer(settings, decider) })
+		return newConstrainedDecider(seed, act, g.newExchange(id, settings), settings)
 	}
 }
 
--- a/internal/testbed/scenario/policies.go
+++ b/internal/testbed/scenario/policies.go
@@ -47,11 +47,15 @@
 func newLocalityDeciders(d *experiment.Day) virtual.NewDecider {
 	return func(seed uint64, b simulation.BalancerID, act decide.Actions) virtual.Decider {
 		settings := config.FromPairs(d.Settings(b))
-		policy := d.Experiment.Locality.NewPolicy(settings, seed)
-		return constraints.New(seed, act, []constraints.Constraint{policy}, func(decider *decide.Balancer) { config.ConfigureBalancer(settings, decider) })
+		return newConstrainedDecider(seed, act, d.Experiment.Locality.NewPolicy(settings, seed), settings)
 	}
 }
 
+func newConstrainedDecider(seed uint64, act decide.Actions, constraint constraints.Constraint, settings config.Values) virtual.Decider {
+	configure := func(decider *decide.Balancer) { config.ConfigureBalancer(settings, decider) }
+	return constraints.New(seed, act, []constraints.Constraint{constraint}, configure)
+}
+
 func newBaselineDeciders(d *experiment.Day, rule baseline.Rule, seesAll bool) virtual.NewDecider {
 	ids := virtual.ServerIDs(len(d.World.Servers) + addedServers)
 	c := baseline.Config{Rule: rule, MaxConnects: d.Experiment.Terms().MaxConnects, RetryAfter: d.Experiment.RetryAfter(),
--- a/internal/testbed/scenario/scenario.go
+++ b/internal/testbed/scenario/scenario.go
@@ -26,12 +26,22 @@
 // order.
 func NewChecker(d *experiment.Day, slack, reordering time.Duration) *invariants.Checker {
 	terms := d.Experiment.Terms()
-	return invariants.New(invariants.Limits{Slack: slack, Reordering: reordering, DrainGrace: terms.DrainGrace,
-		SlowStartMultiple: terms.SlowStartMultiple, SlowStartWindow: terms.SlowStartWindow, SlowStart: terms.SlowStart, MeanLoad: d.MeanLoad()})
+	return invariants.New(invariants.Limits{
+		Slack:             slack,
+		Reordering:        reordering,
+		DrainGrace:        terms.DrainGrace,
+		SlowStartMultiple: terms.SlowStartMultiple,
+		SlowStartWindow:   terms.SlowStartWindow,
+		SlowStart:         terms.SlowStart,
+		MeanLoad:          d.MeanLoad(),
+	})
 }
 
-// RunDay runs one seed under one policy. progress and wrap may be nil; wrap stands between the policy and its balancers.
-func RunDay(e *experiment.Experiment, seed uint64, policy string, progress func(time.Duration), wrap func(virtual.NewDecider) virtual.NewDecider) (*count.Result, error) {
+// WrapDeciders stands between a policy and its balancers.
+type WrapDeciders func(virtual.NewDecider) virtual.NewDecider
+
+// RunDay runs one seed under one policy. progress and wrap may be nil. A policy that is not known is an error.
+func RunDay(e *experiment.Experiment, seed uint64, policy string, progress func(time.Duration), wrap WrapDeciders) (*count.Result, error) {
 	day := e.Day(seed)
 	newDecider, err := NewDeciders(day, policy)
 	if err != nil {
--- a/internal/testbed/virtual/connect.go
+++ b/internal/testbed/virtual/connect.go
@@ -29,8 +29,13 @@
 }
 
 // outcomes of connects that a server ends.
-var outcomes = map[simulation.EndReason]decide.Outcome{simulation.Full: decide.Full, simulation.Failed: decide.Error, simulation.Dropped: decide.Reset,
-	simulation.MoveRequested: decide.Full, simulation.ServerStopped: decide.Cancelled}
+var outcomes = map[simulation.EndReason]decide.Outcome{
+	simulation.Full:          decide.Full,
+	simulation.Failed:        decide.Error,
+	simulation.Dropped:       decide.Reset,
+	simulation.MoveRequested: decide.Full,
+	simulation.ServerStopped: decide.Cancelled,
+}
 
 // transition makes every change of a connect's state.
 func (c *connect) transition(to connectState) { c.state = to }
--- a/internal/testbed/virtual/flow.go
+++ b/internal/testbed/virtual/flow.go
@@ -31,8 +31,16 @@
 
 // The words of settings for effects and for the scopes of idempotency keys.
 var (
-	effects   = map[string]invariants.Effect{"free": invariants.Idempotent, "guarded": invariants.IdempotentByKey, "single_shot": invariants.NotIdempotent}
-	keyScopes = map[string]invariants.KeyScope{"all": invariants.AllServers, "zone": invariants.ZoneServers, "cell": invariants.CellServers}
+	effects = map[string]invariants.Effect{
+		"free":        invariants.Idempotent,
+		"guarded":     invariants.IdempotentByKey,
+		"single_shot": invariants.NotIdempotent,
+	}
+	keyScopes = map[string]invariants.KeyScope{
+		"all":  invariants.AllServers,
+		"zone": invariants.ZoneServers,
+		"cell": invariants.CellServers,
+	}
 )
 
 func flowName(id simulation.FlowID) decide.FlowID {
@@ -90,7 +98,8 @@
 }
 
 // AdoptFlow gives a balancer a flow that is established when the day begins.
-func (d *Driver) AdoptFlow(id simulation.FlowID, client *simulation.Client, to simulation.BalancerID, conn simulation.ConnID, server simulation.ServerID) {
+func (d *Driver) AdoptFlow(id simulation.FlowID, client *simulation.Client, to simulation.BalancerID, conn simulation.ConnID,
+	server simulation.ServerID) {
 	b := d.balancers[to]
 	f := &flow{id: id, name: flowName(id), balancer: b, isAnswered: true, sentCount: 1}
 	c := &connect{id: conn, flow: f, server: server, state: established, sentAt: d.world.Schedule.Now()}
--- a/internal/testbed/virtual/list.go
+++ b/internal/testbed/virtual/list.go
@@ -16,8 +16,16 @@
 )
 
 var (
-	decideReadiness  = [...]decide.Readiness{simulation.Ready: decide.Ready, simulation.Draining: decide.Draining, simulation.Gone: decide.Gone}
-	checkerReadiness = [...]invariants.Readiness{simulation.Ready: invariants.Ready, simulation.Draining: invariants.Draining, simulation.Gone: invariants.Gone}
+	decideReadiness = [...]decide.Readiness{
+		simulation.Ready:    decide.Ready,
+		simulation.Draining: decide.Draining,
+		simulation.Gone:     decide.Gone,
+	}
+	checkerReadiness = [...]invariants.Readiness{
+		simulation.Ready:    invariants.Ready,
+		simulation.Draining: invariants.Draining,
+		simulation.Gone:     invariants.Gone,
+	}
 )
 
 // ServerIDs are the ids of the first n servers by their names alone, as balancers on sockets have them.
@@ -86,8 +94,14 @@
 	if entry.StartedAt != simulation.LongAgo {
 		startedAt = entry.StartedAt - b.startedAt
 	}
-	return decide.Endpoint{ID: d.decideID(entry.Server), Zone: decide.Zone(d.world.Localities[entry.Locality]), Cell: decide.CellID(entry.Cell),
-		Size: entry.Size, Readiness: decideReadiness[entry.Readiness], StartedAt: startedAt}
+	return decide.Endpoint{
+		ID:        d.decideID(entry.Server),
+		Zone:      decide.Zone(d.world.Localities[entry.Locality]),
+		Cell:      decide.CellID(entry.Cell),
+		Size:      entry.Size,
+		Readiness: decideReadiness[entry.Readiness],
+		StartedAt: startedAt,
+	}
 }
 
 // announce tells the checker what the balancer is told of a server.
