--- a/internal/simulation/world_test.go
+++ b/internal/simulation/world_test.go
@@ -47,18 +47,49 @@
 	c := &recordingDriver{world: w, ended: map[ConnID]EndReason{}}
 	w.Driver = c
 	w.ConfigureSlowStart(SlowStartConfig{From: 0.2, CollapseMultiple: 3, CollapseWindow: 1500 * time.Millisecond})
-	w.ConfigureServices(ServicesConfig{Services: []Service{{Name: "x", Target: 300 * time.Millisecond, Timeout: time.Second, Message: 250 * time.Millisecond, Value: 2,
-		Work: 0.01, RetriesInARow: 2, Retry: retry, RetryDelay: 50 * time.Millisecond, Return: Interval{100 * time.Millisecond, 100 * time.Millisecond},
-		SilenceNoticed: 3 * time.Second}}, Localities: []string{"a", "b"}, BeyondShareValue: 0.2, MeanLoad: 1, MessageWork: 5 * time.Millisecond})
+	ms := time.Millisecond
+	exactly := func(d time.Duration) Interval { return Interval{d, d} }
+	service := Service{
+		Name:           "x",
+		Value:          2,
+		Target:         300 * ms,
+		Timeout:        time.Second,
+		Message:        250 * ms,
+		Work:           0.01,
+		RetriesInARow:  2,
+		Retry:          retry,
+		RetryDelay:     50 * ms,
+		Return:         exactly(100 * ms),
+		SilenceNoticed: 3 * time.Second,
+	}
+	w.ConfigureServices(ServicesConfig{
+		Services:         []Service{service},
+		Localities:       []string{"a", "b"},
+		BeyondShareValue: 0.2,
+		MeanLoad:         1,
+		MessageWork:      5 * ms,
+	})
 	w.ConfigureNetwork(time.Millisecond, 2*time.Millisecond, time.Millisecond)
 	for i := range 2 {
-		w.AddServer(ServerSpec{Locality: LocalityID(i), Cores: 4, Speed: 1, Size: 1, MaxConnections: 20, MaxWaiting: 40, Buffer: 2 * time.Second,
-			SlowStart: 10 * time.Second, SlowStartFrom: 0.2})
+		w.AddServer(ServerSpec{
+			Locality:       LocalityID(i),
+			Cores:          4,
+			Speed:          1,
+			Size:           1,
+			MaxConnections: 20,
+			MaxWaiting:     40,
+			Buffer:         2 * time.Second,
+			SlowStart:      10 * time.Second,
+			SlowStartFrom:  0.2,
+		})
 	}
 	w.AddBalancer(0)
-	ms := time.Millisecond
-	exactly := func(d time.Duration) Interval { return Interval{d, d} }
-	w.ConfigureList(ListConfig{Notice: exactly(1000 * ms), NoticeSilent: exactly(2000 * ms), NoticeAdded: exactly(500 * ms), Spread: exactly(100 * ms)})
+	w.ConfigureList(ListConfig{
+		Notice:       exactly(1000 * ms),
+		NoticeSilent: exactly(2000 * ms),
+		NoticeAdded:  exactly(500 * ms),
+		Spread:       exactly(100 * ms),
+	})
 	w.List.Begin()
 	return w, c
 }
@@ -139,7 +170,8 @@
 	w.StartLoad(&arrivalList{arrivalOf(0, 29*time.Second, 1)})
 	w.Schedule.RunTo(1100 * time.Millisecond)
 	if w.Totals.TimedOut != 1 || len(s.left) != 1 || len(s.opened) != 2 {
-		t.Fatalf("timed out %d times, left %v, opened %v: want one attempt given up at its timeout and a second", w.Totals.TimedOut, s.left, s.opened)
+		t.Fatalf("timed out %d times, left %v, opened %v: want one attempt given up at its timeout and a second",
+			w.Totals.TimedOut, s.left, s.opened)
 	}
 	s.connectNewest(1)
 	w.Servers[1].goDown(Silent)
--- a/internal/testbed/count/count_test.go
+++ b/internal/testbed/count/count_test.go
@@ -18,7 +18,11 @@
 	accounting.AddServed(simulation.Account{Customer: 1, IsBeyondShare: true}, 0, 20*time.Second, 2)
 	var r Result
 	r.Crossings = 5
-	totals := &simulation.Totals{Clients: 10, Setups: []time.Duration{10 * time.Millisecond, 30 * time.Millisecond}, EstablishedAt: []time.Duration{0, time.Second}}
+	totals := &simulation.Totals{
+		Clients:       10,
+		Setups:        []time.Duration{10 * time.Millisecond, 30 * time.Millisecond},
+		EstablishedAt: []time.Duration{0, time.Second},
+	}
 	r.Count(accounting, totals, 2, 2, Weights{ServedShare: 0.5, WorstWindow: 0.5, Crossing: 0.1})
 	for _, test := range []struct {
 		name      string
--- a/internal/testbed/experiment/experiment_test.go
+++ b/internal/testbed/experiment/experiment_test.go
@@ -12,13 +12,17 @@
 func TestReadNamesLineAndKeyOfAnError(t *testing.T) {
 	for _, test := range []struct{ name, text, want string }{
 		{"no name", "length = \"10s\"\n", "x.toml:0: name: is missing"},
-		{"unknown policy", "name = \"x\"\npolicies = [\"best\"]\n", "x.toml:2: policies: want a list of ours, ours+halls, ours+signals, random"},
+		{"unknown policy", "name = \"x\"\npolicies = [\"best\"]\n",
+			"x.toml:2: policies: want a list of ours, ours+halls, ours+signals, random"},
 		{"unknown fault", "name = \"x\"\n[[trouble]]\nkind = \"storm\"\n", "x.toml:3: trouble.0.kind: want one of slow, errors"},
 		{"unknown locality", "name = \"x\"\n[[trouble]]\nkind = \"hall_lost\"\nhall = \"west\"\n", "x.toml:4: trouble.0.hall: want one of"},
 		{"no locality", "name = \"x\"\n[[trouble]]\nkind = \"hall_lost\"\n", "x.toml:2: trouble.0.hall: is missing"},
-		{"slower by less than once", "name = \"x\"\n[[trouble]]\nkind = \"slow\"\nstrength = 0.5\n", "x.toml:4: trouble.0.strength: want 1 at the least"},
-		{"after the end", "name = \"x\"\nlength = \"10s\"\n[[trouble]]\nkind = \"burst\"\nstart = \"20s\"\n", "x.toml:5: trouble.0.start: is not before the end"},
-		{"target beyond the timeout", "name = \"x\"\n[[service]]\nname = \"a\"\nsetup-target = \"3s\"\n", "x.toml:4: service.0.setup-target: is longer"},
+		{"slower by less than once", "name = \"x\"\n[[trouble]]\nkind = \"slow\"\nstrength = 0.5\n",
+			"x.toml:4: trouble.0.strength: want 1 at the least"},
+		{"after the end", "name = \"x\"\nlength = \"10s\"\n[[trouble]]\nkind = \"burst\"\nstart = \"20s\"\n",
+			"x.toml:5: trouble.0.start: is not before the end"},
+		{"target beyond the timeout", "name = \"x\"\n[[service]]\nname = \"a\"\nsetup-target = \"3s\"\n",
+			"x.toml:4: service.0.setup-target: is longer"},
 		{"a typing error", "name = \"x\"\n[fleet]\nserver = 3\n", "x.toml:3: fleet.server: unknown key"},
 		{"a number for a time", "name = \"x\"\nlength = 60\n", "x.toml:2: length: want a time"},
 	} {
--- a/internal/testbed/scenario/spill_test.go
+++ b/internal/testbed/scenario/spill_test.go
@@ -67,15 +67,23 @@
 	seen := 0
 	for seed := range days {
 		d := e.Day(seed)
-		ref := NewChecker(d, 8*time.Millisecond, 0)
-		dr := virtual.New(d, ref, func(seed uint64, b simulation.BalancerID, act decide.Actions) virtual.Decider {
-			g := config.FromPairs(d.Settings(b))
-			h := e.Locality.NewPolicy(g, seed)
-			spy := &spillObserver{t: t, ownZone: decide.Zone(g.String("az", "")), zones: map[decide.ServerID]decide.Zone{}, policy: h, seenCount: &seen, exceeded: map[decide.FlowID]string{}}
-			return constraints.New(seed, act, []constraints.Constraint{h, spy}, func(dec *decide.Balancer) { config.ConfigureBalancer(g, dec) })
+		checker := NewChecker(d, 8*time.Millisecond, 0)
+		driver := virtual.New(d, checker, func(seed uint64, b simulation.BalancerID, act decide.Actions) virtual.Decider {
+			settings := config.FromPairs(d.Settings(b))
+			policy := e.Locality.NewPolicy(settings, seed)
+			observer := &spillObserver{
+				t:         t,
+				ownZone:   decide.Zone(settings.String("az", "")),
+				zones:     map[decide.ServerID]decide.Zone{},
+				policy:    policy,
+				seenCount: &seen,
+				exceeded:  map[decide.FlowID]string{},
+			}
+			configure := func(decider *decide.Balancer) { config.ConfigureBalancer(settings, decider) }
+			return constraints.New(seed, act, []constraints.Constraint{policy, observer}, configure)
 		})
-		dr.Run(nil)
-		for _, v := range ref.Violations() {
+		driver.Run(nil)
+		for _, v := range checker.Violations() {
 			t.Errorf("seed %d: %v", seed, v)
 		}
 	}
