--- a/internal/testbed/scale/control_gossip.go
+++ b/internal/testbed/scale/control_gossip.go
@@ -338,7 +338,8 @@
 func (m *gossipModel) summary() gossipResult {
 	r := m.result
 	per := float64(len(m.members)) * gossipMeasure.Seconds()
-	for _, count := range []*float64{&r.recordDatagrams, &r.probeDatagrams, &r.recordBytes, &r.probeBytes, &r.records, &r.newRecords, &r.states} {
+	counts := []*float64{&r.recordDatagrams, &r.probeDatagrams, &r.recordBytes, &r.probeBytes, &r.records, &r.newRecords, &r.states}
+	for _, count := range counts {
 		*count /= per
 	}
 	for i := range m.members {
--- a/internal/testbed/scale/control_push.go
+++ b/internal/testbed/scale/control_push.go
@@ -94,7 +94,13 @@
 	model.balancers = make([]pushBalancer, plan.balancers+plan.takenOver)
 	for i := plan.balancers; i < len(model.balancers); i++ {
 		connectsAt := lossDetection + time.Duration(model.random.Float64()*float64(reconnectSpread))
-		model.balancers[i] = pushBalancer{connectsAt: connectsAt, awaitsListSince: connectsAt, needsFullList: !plan.resumes, far: true, recovering: true}
+		model.balancers[i] = pushBalancer{
+			connectsAt:      connectsAt,
+			awaitsListSince: connectsAt,
+			needsFullList:   !plan.resumes,
+			far:             true,
+			recovering:      true,
+		}
 	}
 	return model
 }
--- a/internal/testbed/scale/control_queue.go
+++ b/internal/testbed/scale/control_queue.go
@@ -31,7 +31,8 @@
 
 // take fills a packet with messages of at most free bytes. overhead is added to the size of each message; messages
 // that are no longer current are dropped.
-func (q *broadcastQueue) take(into []broadcastID, free, overhead int, size func(broadcastID) int, current func(broadcastID) bool) ([]broadcastID, int) {
+func (q *broadcastQueue) take(into []broadcastID, free, overhead int, size func(broadcastID) int,
+	current func(broadcastID) bool) ([]broadcastID, int) {
 	var sent []queuedBroadcast
 	taken := make([]int, q.limit) // by tier
 	for t := range q.tiers {
--- a/internal/testbed/scale/control_real.go
+++ b/internal/testbed/scale/control_real.go
@@ -196,9 +196,10 @@
 			return nil
 		}
 		if time.Now().After(until) {
+			percent := 100 * float64(seen) / float64(all)
 			return &Error{
 				Where:  "members-real",
-				What:   fmt.Sprintf("%d engines see %.1f %% of each other after %v", len(f.members), 100*float64(seen)/float64(all), discoveryTimeout),
+				What:   fmt.Sprintf("%d engines see %.1f %% of each other after %v", len(f.members), percent, discoveryTimeout),
 				Remedy: "run it when the machine is less busy, or ask for fewer",
 			}
 		}
@@ -312,9 +313,12 @@
 		return err
 	}
 	per := took.Seconds() * float64(size)
+	datagrams := to.datagrams - from.datagrams
+	datagramBytes := to.datagramBytes - from.datagramBytes + datagrams*(datagramHeaders+labelHeader+float64(len(fleetLabel)))
 	m.compareWithModel("datagram-bytes-out", "sent by a member in datagrams, headers too", unitBytesSecond, size,
-		(to.datagramBytes-from.datagramBytes+(to.datagrams-from.datagrams)*(datagramHeaders+labelHeader+float64(len(fleetLabel))))/per, model.totalBytes())
-	m.compareWithModel("datagrams-out", "datagrams sent by a member", unitPerSecond, size, (to.datagrams-from.datagrams)/per, model.recordDatagrams+model.probeDatagrams)
+		datagramBytes/per, model.totalBytes())
+	m.compareWithModel("datagrams-out", "datagrams sent by a member", unitPerSecond, size,
+		datagrams/per, model.recordDatagrams+model.probeDatagrams)
 	message := len(exchangeMessage(size)) + recordsBytes(size, recordBytes)
 	m.compareWithModel("stream-bytes-out", "sent by a member in exchanges, without headers", unitBytesSecond, size,
 		(to.streamBytes-from.streamBytes)/per, 2*float64(message)/exchangeInterval(size).Seconds())
--- a/internal/testbed/scale/control_sweep_changes.go
+++ b/internal/testbed/scale/control_sweep_changes.go
@@ -71,7 +71,8 @@
 	point("p99", "from a change until in force at 99 in 100", unitTime, result.quantile(0.99).Seconds())
 	point("last", "from a change until in force at the last", unitTime, result.quantile(1).Seconds())
 	if len(result.startLatencies) > 0 {
-		point("start-last", "until a balancer that starts with nothing has its list, the longest", unitTime, result.startLatencies[len(result.startLatencies)-1].Seconds())
+		point("start-last", "until a balancer that starts with nothing has its list, the longest", unitTime,
+			result.startLatencies[len(result.startLatencies)-1].Seconds())
 	}
 	afterLoss, err := m.measureHalfLost(ctx, plan, point)
 	if err != nil {
@@ -88,19 +89,23 @@
 		return err
 	}
 	m.checkLatency(fmt.Sprintf("at %d %s changes are in force within 16 s", size, m.settings.Against), result.quantile(1))
-	m.checkLatency(fmt.Sprintf("at %d %s they are with half of the control machines lost", size, m.settings.Against), max(afterLoss.quantile(1), afterLoss.recovery))
+	m.checkLatency(fmt.Sprintf("at %d %s they are with half of the control machines lost", size, m.settings.Against),
+		max(afterLoss.quantile(1), afterLoss.recovery))
 	return nil
 }
 
 // measureHalfLost simulates a control machine that takes over the balancers of a lost one.
-func (m *controlMeasurements) measureHalfLost(ctx context.Context, plan pushPlan, point func(name, quantity, unit string, value float64)) (pushResult, error) {
+func (m *controlMeasurements) measureHalfLost(ctx context.Context, plan pushPlan,
+	point func(name, quantity, unit string, value float64)) (pushResult, error) {
 	plan.takenOver = plan.balancers
 	result, err := simulatePush(ctx, plan)
 	if err != nil {
 		return pushResult{}, err
 	}
-	point("half-lost-last", "until in force at the last, half of the control machines lost and each balancer of those asks another", unitTime, result.quantile(1).Seconds())
-	point("half-lost-served", "until all whose control machine is lost are sent what they lack by another, which each asks", unitTime, result.recovery.Seconds())
+	point("half-lost-last", "until in force at the last, half of the control machines lost and each balancer of those asks another",
+		unitTime, result.quantile(1).Seconds())
+	point("half-lost-served", "until all whose control machine is lost are sent what they lack by another, which each asks",
+		unitTime, result.recovery.Seconds())
 	return result, nil
 }
 
--- a/internal/testbed/scale/control_sweep_leases.go
+++ b/internal/testbed/scale/control_sweep_leases.go
@@ -102,11 +102,11 @@
 	for i := range servers {
 		own.Holds(lease.Task(serverNumber(i)), 0)
 	}
-	of := map[lease.Holder]int{}
+	tasksOf := map[lease.Holder]int{}
 	most := 0
-	for _, held := range own.Statuses() {
-		of[held.Preferred]++
-		most = max(most, of[held.Preferred])
+	for _, status := range own.Statuses() {
+		tasksOf[status.Preferred]++
+		most = max(most, tasksOf[status.Preferred])
 	}
 	m.add(seriesKind{
 		name: "most-duties", unit: "servers", origin: Simulated, counted: true,
@@ -184,15 +184,15 @@
 func publishRenewals(fleet []*leaseMember, publisher int, now time.Duration) {
 	m := fleet[publisher]
 	by := lease.Holder(memberName(publisher))
-	for duty, word := range m.renewals {
-		age := now - word.at + recordDelay
+	for task, renewal := range m.renewals {
+		age := now - renewal.at + recordDelay
 		if age >= leaseDuration {
-			delete(m.renewals, duty)
+			delete(m.renewals, task)
 			continue
 		}
 		for i, other := range fleet {
 			if i != publisher {
-				other.manager.Observe(duty, word.epoch, by, age, now+recordDelay)
+				other.manager.Observe(task, renewal.epoch, by, age, now+recordDelay)
 			}
 		}
 	}
--- a/internal/testbed/scale/control_sweep_replaced.go
+++ b/internal/testbed/scale/control_sweep_replaced.go
@@ -27,7 +27,8 @@
 		if err != nil {
 			return err
 		}
-		join := float64(streamBytes(len(exchangeMessage(s.Balancers))+recordsBytes(s.Balancers, recordBytes))) * run.replaced / float64(s.Balancers)
+		exchange := streamBytes(len(exchangeMessage(s.Balancers)) + recordsBytes(s.Balancers, recordBytes))
+		join := float64(exchange) * run.replaced / float64(s.Balancers)
 		measurements.add(seriesKind{
 			name: "bytes-out", unit: unitBytesSecond, origin: Simulated, counted: true,
 			quantity: "sent by a member in datagrams",
--- a/internal/testbed/scale/control_test.go
+++ b/internal/testbed/scale/control_test.go
@@ -25,7 +25,8 @@
 	t.Helper()
 	const tolerance = 0.08
 	if got := math.Log(to.Value/from.Value) / math.Log(to.Size/from.Size); got > exponent+tolerance {
-		t.Errorf("%s: grows with the power %.2f from %v to %v (%v to %v), want %.2f at the most", quantity, got, from.Size, to.Size, from.Value, to.Value, exponent)
+		t.Errorf("%s: grows with the power %.2f from %v to %v (%v to %v), want %.2f at the most",
+			quantity, got, from.Size, to.Size, from.Value, to.Value, exponent)
 	}
 }
 
@@ -57,14 +58,16 @@
 func TestGossipTrafficIsBounded(t *testing.T) {
 	few, many := gossipAt(t, 110, signals.MaxReports), gossipAt(t, 900, signals.MaxReports)
 	checkGrowth(t, "bytes of gossip and probes", Point{Size: 110, Value: few.totalBytes()}, Point{Size: 900, Value: many.totalBytes()}, 0)
-	checkGrowth(t, "datagrams", Point{Size: 110, Value: few.recordDatagrams + few.probeDatagrams}, Point{Size: 900, Value: many.recordDatagrams + many.probeDatagrams}, 0)
+	checkGrowth(t, "datagrams", Point{Size: 110, Value: few.recordDatagrams + few.probeDatagrams},
+		Point{Size: 900, Value: many.recordDatagrams + many.probeDatagrams}, 0)
 	const spare = 1 // answers a second more than the two that a member is asked for on average
 	const most = (gossipFanout/0.2 + 2/0.5 + spare) * (maxPacketBytes + datagramHeaders + checksumBytes)
 	if many.joinerBytes > most {
 		t.Errorf("one that joined sends %.0f bytes a second, and %.0f is what the settings allow", many.joinerBytes, float64(most))
 	}
 	few, many = gossipAt(t, 110, fewReports), gossipAt(t, 900, fewReports)
-	checkGrowth(t, "records heard", Point{Size: 110, Value: few.records}, Point{Size: 900, Value: many.records}, 0.2) // as the logarithm of the members
+	const logarithmic = 0.2
+	checkGrowth(t, "records heard", Point{Size: 110, Value: few.records}, Point{Size: 900, Value: many.records}, logarithmic)
 	if few.reachedShare < 0.99 || many.reachedShare < 0.99 {
 		t.Errorf("small records reach %.3f and %.3f of the others within 5 s", few.reachedShare, many.reachedShare)
 	}
@@ -155,7 +158,8 @@
 	checkGrowth(t, "bytes of a list of members", Point{Size: 200, Value: frame(200)}, Point{Size: 2000, Value: frame(2000)}, 1)
 	few, many := measureListSizes(200), measureListSizes(2000)
 	checkGrowth(t, "bytes of a whole list", Point{Size: 200, Value: float64(few.full)}, Point{Size: 2000, Value: float64(many.full)}, 1)
-	checkGrowth(t, "bytes of a change", Point{Size: 200, Value: float64(few.changes(1))}, Point{Size: 2000, Value: float64(many.changes(1))}, 0)
+	checkGrowth(t, "bytes of a change", Point{Size: 200, Value: float64(few.changes(1))},
+		Point{Size: 2000, Value: float64(many.changes(1))}, 0)
 	if read := readFrame(newMemberView(30).frame()); read != 30 {
 		t.Errorf("%d members are read of a frame of 30", read)
 	}
@@ -198,9 +202,12 @@
 	}
 	value := func(s map[string]*Series, name string) float64 { return s[name].Points[0].Value }
 	few, many := at(20), at(200)
-	checkGrowth(t, "allocations of a record heard", Point{Size: 20, Value: value(few, "hear-allocations")}, Point{Size: 200, Value: value(many, "hear-allocations")}, 0)
-	checkGrowth(t, "bytes of a record", Point{Size: 20, Value: value(few, "record-bytes")}, Point{Size: 200, Value: value(many, "record-bytes")}, 0)
-	checkGrowth(t, "sights walked", Point{Size: 20, Value: value(few, "sights-walked")}, Point{Size: 200, Value: value(many, "sights-walked")}, 1)
+	checkGrowth(t, "allocations of a record heard", Point{Size: 20, Value: value(few, "hear-allocations")},
+		Point{Size: 200, Value: value(many, "hear-allocations")}, 0)
+	checkGrowth(t, "bytes of a record", Point{Size: 20, Value: value(few, "record-bytes")},
+		Point{Size: 200, Value: value(many, "record-bytes")}, 0)
+	checkGrowth(t, "sights walked", Point{Size: 20, Value: value(few, "sights-walked")},
+		Point{Size: 200, Value: value(many, "sights-walked")}, 1)
 	if value(few, "avoided") != 1 || value(many, "avoided") != 1 {
 		t.Error("servers that all see in trouble are not avoided")
 	}
@@ -236,7 +243,8 @@
 	}
 	// Only the lists of balancers that start without state grow with the servers.
 	starts := float64(len(many.startLatencies)) * float64(measureListSizes(10_000).full)
-	checkGrowth(t, "bytes of changes", Point{Size: 1000, Value: few.bytes - float64(len(few.startLatencies))*float64(measureListSizes(1000).full)}, Point{Size: 10_000, Value: many.bytes - starts}, 0)
+	fewStarts := float64(len(few.startLatencies)) * float64(measureListSizes(1000).full)
+	checkGrowth(t, "bytes of changes", Point{Size: 1000, Value: few.bytes - fewStarts}, Point{Size: 10_000, Value: many.bytes - starts}, 0)
 	fullLists := simulate(pushPlan{servers: 10_000, rate: rate, fullLists: true})
 	if fullLists.bytes < 100*many.bytes {
 		t.Errorf("whole lists of 10,000 servers are %.0f bytes, changes %.0f", fullLists.bytes, many.bytes)
@@ -301,7 +309,8 @@
 		{"sweep = \"lists\"\nsizes = [99999999]\nrate = 1.0\n", "sizes"},
 		{"sweep = \"signals\"\nagainst = \"troubled\"\nsizes = [7]\nservers = 100\n", "balancers"},
 		{"sweep = \"signals\"\nsizes = [7]\nservers = 100\nsights = 3\n", "sights"},
-		{"sweep = \"signals\"\nagainst = \"troubled\"\nsizes = [20]\nservers = 10\nbalancers = 5\n", "sizes: want no more servers in trouble"},
+		{"sweep = \"signals\"\nagainst = \"troubled\"\nsizes = [20]\nservers = 10\nbalancers = 5\n",
+			"sizes: want no more servers in trouble"},
 		{"sweep = \"changes\"\nsizes = [17000]\nservers = 100\nbalancers = 19\n", "balancers: want 20"},
 		{"sweep = \"cut\"\nsizes = [700]\nservers = 100\nbalancers = 1\n", "balancers: want 20"},
 		{"sweep = \"members-real\"\nsizes = [5000]\nlength = \"1s\"\n", "sizes: want 200"},
--- a/internal/testbed/scale/control_wire.go
+++ b/internal/testbed/scale/control_wire.go
@@ -123,7 +123,8 @@
 	text := []byte{exchangeKind}
 	text = append(text, packed(engineExchange{Nodes: members})...)
 	for i := range members {
-		text = append(text, packed(engineNode{Name: memberName(i), Addr: memberAddr(i), Port: memberPort, Incarnation: 1, Vsn: engineVersions})...)
+		node := engineNode{Name: memberName(i), Addr: memberAddr(i), Port: memberPort, Incarnation: 1, Vsn: engineVersions}
+		text = append(text, packed(node)...)
 	}
 	return text
 }
--- a/internal/testbed/scale/fleet_instance.go
+++ b/internal/testbed/scale/fleet_instance.go
@@ -98,7 +98,11 @@
 
 // ---- the list
 
-var observedStates = [...]invariants.Readiness{decide.Ready: invariants.Ready, decide.Draining: invariants.Draining, decide.Gone: invariants.Gone}
+var observedStates = [...]invariants.Readiness{
+	decide.Ready:    invariants.Ready,
+	decide.Draining: invariants.Draining,
+	decide.Gone:     invariants.Gone,
+}
 
 func (b *instance) list(kind decide.UpdateKind, list []server) {
 	m := b.event()
@@ -145,7 +149,13 @@
 func (b *instance) add(c *client) *flowState {
 	f := b.fleet
 	f.flowCount++
-	flow := &flowState{id: invariants.Flow(f.flowCount), name: flowName(int(f.flowCount)), balancer: b, client: c, arrivedAt: f.schedule.now}
+	flow := &flowState{
+		id:        invariants.Flow(f.flowCount),
+		name:      flowName(int(f.flowCount)),
+		balancer:  b,
+		client:    c,
+		arrivedAt: f.schedule.now,
+	}
 	b.flows[flow.name] = flow
 	b.flowsInOrder = append(b.flowsInOrder, flow)
 	if len(b.flowsInOrder) > 2*len(b.flows)+16 {
@@ -250,8 +260,15 @@
 	}
 	c := f.connect(flow, f.server(to))
 	f.figures.connectsSent[connectKey{b.id, f.schedule.now / time.Second}]++
-	f.observe(invariants.Event{Kind: invariants.ConnectSent, Balancer: invariants.Balancer(b.id), Flow: flow.id, Connect: c.id,
-		Server: invariants.Server(to), Zone: c.server.zone, Cell: c.server.zone})
+	f.observe(invariants.Event{
+		Kind:     invariants.ConnectSent,
+		Balancer: invariants.Balancer(b.id),
+		Flow:     flow.id,
+		Connect:  c.id,
+		Server:   invariants.Server(to),
+		Zone:     c.server.zone,
+		Cell:     c.server.zone,
+	})
 	ends := flow.deadline
 	if limit > 0 {
 		ends = min(ends, f.schedule.now+limit)
--- a/internal/testbed/scale/fleet_test.go
+++ b/internal/testbed/scale/fleet_test.go
@@ -54,7 +54,8 @@
 		t.Error("seed 2 gave the same as seed 1")
 	}
 	if first.figures.disconnected == 0 || first.figures.recoveryQuantile(0.99) == 0 || first.unserved > 0 {
-		t.Errorf("a lost zone cut %d, who stood again after %v but for %d", first.figures.disconnected, first.figures.recoveryQuantile(0.99), first.unserved)
+		t.Errorf("a lost zone cut %d, who stood again after %v but for %d",
+			first.figures.disconnected, first.figures.recoveryQuantile(0.99), first.unserved)
 	}
 }
 
--- a/internal/testbed/scale/page_catalog.go
+++ b/internal/testbed/scale/page_catalog.go
@@ -10,7 +10,7 @@
 // seriesName is the name of a series that figures are derived from.
 type seriesName string
 
-// optionalSeries are "not measured" while no report has them; any other series is required.
+// optionalSeries may be missing from the reports; any other series is required.
 var optionalSeries = map[seriesName]bool{startMaxLatency: true}
 
 // The series of simulated balancers and of the gossip model.
--- a/internal/testbed/scale/page_control.go
+++ b/internal/testbed/scale/page_control.go
@@ -37,7 +37,8 @@
 }
 
 func (p *page) standaloneMemory(servers float64) figure {
-	return p.sumControlParts(controlParts[:standaloneParts], situations(servers)[situationIdle], servers, func(l load) figure { return l.memory }, inBytes)
+	return p.sumControlParts(controlParts[:standaloneParts], situations(servers)[situationIdle], servers,
+		func(l load) figure { return l.memory }, inBytes)
 }
 
 // sumControlParts adds a quantity over the parts of control, and records the parts without figures.
@@ -70,7 +71,8 @@
 		for _, servers := range serverCounts {
 			l := part.load(p, ordinaryDay(servers), servers)
 			all := l.processor.plus(l.memory, l.bytesIn, l.bytesOut)
-			t.row(part.name, digits(servers), l.processor.String(), l.memory.String(), pair(l.bytesIn, l.bytesOut), l.origins(), all.Slopes())
+			t.row(part.name, digits(servers), l.processor.String(), l.memory.String(), pair(l.bytesIn, l.bytesOut), l.origins(),
+				all.Slopes())
 		}
 	}
 	return t
@@ -83,9 +85,11 @@
 			return forEachServerCount(func(servers float64) figure { return quantity(part.load(p, ordinaryDay(servers), servers)) })
 		}
 		requirements := []requirement{
-			{quantity: "processor time", bound: calculated(controlCores, inCores), values: variants(func(l load) figure { return l.processor })},
+			{quantity: "processor time", bound: calculated(controlCores, inCores),
+				values: variants(func(l load) figure { return l.processor })},
 			{quantity: "memory", bound: calculated(controlBytes, inBytes), values: variants(func(l load) figure { return l.memory })},
-			{quantity: "traffic", bound: calculated(controlTraffic, inTraffic), values: variants(func(l load) figure { return l.bytesOut })},
+			{quantity: "traffic", bound: calculated(controlTraffic, inTraffic),
+				values: variants(func(l load) figure { return l.bytesOut })},
 		}
 		for _, l := range requirements {
 			l.quantity, l.mechanism, l.dependents = "of control, "+part.name+" alone: "+l.quantity, part.mechanism, part.dependents
--- a/internal/testbed/scale/page_day.go
+++ b/internal/testbed/scale/page_day.go
@@ -51,8 +51,12 @@
 		{"set-ups out on average at each balancer", calculated((ordinaryPlacements+replacedPlacements)*setupSeconds, inCount)},
 		{"set-ups that a balancer may have out", calculated(setupLimit(), inCount)},
 	}
-	lines = append(lines, quantityRowsByServers("control's processor time for these reconnects at each balancer", p.replacementProcessor)...)
-	lines = append(lines, quantityRow{"a balancer that starts anew: processor time until its list is in force, 6,400 servers", p.valueAt(realStartTime, likelyServers)})
+	lines = append(lines, quantityRowsByServers("control's processor time for these reconnects at each balancer",
+		p.replacementProcessor)...)
+	lines = append(lines, quantityRow{
+		"a balancer that starts anew: processor time until its list is in force, 6,400 servers",
+		p.valueAt(realStartTime, likelyServers),
+	})
 	return quantityTable(lines...)
 }
 
@@ -76,7 +80,8 @@
 		{"set-ups out on average at each", calculated(zoneShare/reconnectSeconds*setupSeconds, inCount)},
 		{"set-ups that a balancer may have out", calculated(setupLimit(), inCount)},
 		{"time until all are taken, with so many out", calculated(zoneShare*setupSeconds/setupLimit(), inSeconds)},
-		{"gap between set-ups of one balancer once half of them fail: 8 ms for each balancer, 16 s at the most", calculated(min(gapPerBalancer*fleetBalancers, maxSetupGap), inSeconds)},
+		{"gap between set-ups of one balancer once half of them fail: 8 ms for each balancer, 16 s at the most",
+			calculated(min(gapPerBalancer*fleetBalancers, maxSetupGap), inSeconds)},
 	}
 	lines = append(lines, p.lostZoneRows()...)
 	lines = append(lines, quantityRowsByServers("decisions for all of them at one balancer, processor time", func(servers float64) figure {
@@ -93,7 +98,8 @@
 	return []quantityRow{
 		{prefix + "clients taken by each balancer left", p.valueAt(lostZoneClients, connectionsPerBalancer)},
 		{prefix + "connects of the busiest balancer in one second", busiest},
-		{"at that rate, time for the clients of a lost zone at each heir of its region", calculated(zoneShare, inCount).dividedBy(busiest, inSeconds)},
+		{"at that rate, time for the clients of a lost zone at each heir of its region",
+			calculated(zoneShare, inCount).dividedBy(busiest, inSeconds)},
 		{prefix + "half of the clients stand again after", p.valueAt(lostZoneHalfRecovered, connectionsPerBalancer)},
 		{prefix + "99 in 100 stand again after", p.valueAt(lostZoneMostRecovered, connectionsPerBalancer)},
 		{prefix + "tries turned away for each client", p.valueAt(lostZoneRejections, connectionsPerBalancer)},
@@ -121,15 +127,16 @@
 		{"bytes of one change", p.valueAt(changeBytes, likelyServers)},
 		{"changes only: bytes a second at each balancer", p.valueAt(changeBytes, likelyServers).times(changeRate, inTraffic)},
 	}
-	lines = append(lines, quantityRowsByServers("changes only: in force, the last", func(servers float64) figure { return p.valueAt(changeMaxLatencyByServers, servers) })...)
-	lines = append(lines, quantityRowsByServers("whole lists: in force, the last", func(servers float64) figure { return p.valueAt(fullListMaxLatencyByServers, servers) })...)
-	lines = append(lines, quantityRowsByServers("bytes of a whole list", func(servers float64) figure { return p.valueAt(listBytes, servers) })...)
-	lines = append(lines, quantityRowsByServers("whole lists at each change: bytes a second at each balancer", func(servers float64) figure {
-		return p.valueAt(listBytes, servers).times(changeRate, inTraffic)
-	})...)
-	lines = append(lines, quantityRowsByServers("whole lists for those that start with nothing: bytes a second over the fleet", func(servers float64) figure {
-		return p.valueAt(listBytes, servers).times(starts, inTraffic)
-	})...)
+	lines = append(lines, quantityRowsByServers("changes only: in force, the last",
+		func(servers float64) figure { return p.valueAt(changeMaxLatencyByServers, servers) })...)
+	lines = append(lines, quantityRowsByServers("whole lists: in force, the last",
+		func(servers float64) figure { return p.valueAt(fullListMaxLatencyByServers, servers) })...)
+	lines = append(lines, quantityRowsByServers("bytes of a whole list",
+		func(servers float64) figure { return p.valueAt(listBytes, servers) })...)
+	lines = append(lines, quantityRowsByServers("whole lists at each change: bytes a second at each balancer",
+		func(servers float64) figure { return p.valueAt(listBytes, servers).times(changeRate, inTraffic) })...)
+	lines = append(lines, quantityRowsByServers("whole lists for those that start with nothing: bytes a second over the fleet",
+		func(servers float64) figure { return p.valueAt(listBytes, servers).times(starts, inTraffic) })...)
 	lines = append(lines, quantityRowsByServers("processor time of changes at each balancer", func(servers float64) figure {
 		return p.valueAt(changeTime, servers).times(changeRate, inCores)
 	})...)
@@ -142,7 +149,8 @@
 		{"deliveries at each balancer", calculated(deliveriesPerBalancer, inRate)},
 		{"processor time of one", one},
 		{"processor time of all at each balancer", one.times(deliveriesPerBalancer, inCores)},
-		{"the same on the ordinary day while a zone is lost", one.times(deliveriesPerBalancer*(1+zoneShare/connectionsPerBalancer), inCores)},
+		{"the same on the ordinary day while a zone is lost",
+			one.times(deliveriesPerBalancer*(1+zoneShare/connectionsPerBalancer), inCores)},
 		{"messages a second to the largest topic that would be all deliveries", calculated(fleetDeliveries/largestTopic, inRate)},
 		{"within 210 ms for 99 in 100", unmeasured("delay")},
 	}
@@ -173,21 +181,26 @@
 // topicTable shows how the listeners of the largest topic spread over servers, as more balancers hold their part. It
 // ends at the sweep's largest size, as the number of servers bounds the spread, which no fit accounts for.
 func (p *page) topicTable() *table {
-	t := newTable("balancers", "listeners", "servers that hold some", "share of the topic on the fullest of them", "fullest server over the mean, all connections", "origin")
+	t := newTable("balancers", "listeners", "servers that hold some", "share of the topic on the fullest of them",
+		"fullest server over the mean, all connections", "origin")
 	found, _ := p.findSeries(topicUnevenness)
 	if found == nil {
 		return t
 	}
 	for _, point := range found.Points {
-		servers, fullest, uneven := p.valueAt(topicServers, point.Size), p.valueAt(topicLargestShare, point.Size), p.valueAt(topicUnevenness, point.Size)
-		t.row(digits(point.Size), digits(point.Size*math.Round(listenersPerBalancer)), servers.String(), fullest.String(), uneven.String(), uneven.Origin())
+		servers := p.valueAt(topicServers, point.Size)
+		fullest := p.valueAt(topicLargestShare, point.Size)
+		uneven := p.valueAt(topicUnevenness, point.Size)
+		t.row(digits(point.Size), digits(point.Size*math.Round(listenersPerBalancer)),
+			servers.String(), fullest.String(), uneven.String(), uneven.Origin())
 	}
 	return t
 }
 
 // topicFillsTable is the load of the largest topic on one server.
 func topicFillsTable() *table {
-	t := newTable("servers", "connections a server", "servers that the topic fills", "one home would bear, of what a server has on average", "origin")
+	t := newTable("servers", "connections a server", "servers that the topic fills",
+		"one home would bear, of what a server has on average", "origin")
 	for _, servers := range serverCounts {
 		filled := topicFills(servers)
 		t.row(digits(servers), digits(fleetConnections/servers), filled.String(), filled.String()+" times", filled.Origin())
--- a/internal/testbed/scale/page_figure.go
+++ b/internal/testbed/scale/page_figure.go
@@ -123,7 +123,7 @@
 	return show(f.value, f.unit)
 }
 
-// Origin states whether the figure is measured, simulated or calculated, and from what.
+// Origin states how the figure was obtained, and from which others it is derived.
 func (f figure) Origin() string {
 	if !f.known() {
 		return notMeasured
--- a/internal/testbed/scale/page_figure_test.go
+++ b/internal/testbed/scale/page_figure_test.go
@@ -40,7 +40,17 @@
 }
 
 func TestDigits(t *testing.T) {
-	for value, want := range map[float64]string{0: "0", 1: "1", 0.5: "0.5", 12.34: "12.3", 999.96: "1,000", 1234567: "1,234,567", -1234.5: "-1,234", 0.00123456: "0.00123", 1e-9: "1.00e-09"} {
+	for value, want := range map[float64]string{
+		0:          "0",
+		1:          "1",
+		0.5:        "0.5",
+		12.34:      "12.3",
+		999.96:     "1,000",
+		1234567:    "1,234,567",
+		-1234.5:    "-1,234",
+		0.00123456: "0.00123",
+		1e-9:       "1.00e-09",
+	} {
 		if got := digits(value); got != want {
 			t.Errorf("%v: %q, want %q", value, got, want)
 		}
@@ -115,7 +125,10 @@
 	}
 	known := &reportedSeries{Series: Series{Name: "one", Unit: "µs", Origin: Simulated, Points: points}, Fit: fit}
 	old := &reportedSeries{Series: Series{Name: "two", Unit: "bytes", Origin: Measured, Points: points}, Fit: fit}
-	p := &page{current: &reportSet{series: map[string]*reportedSeries{"one": known}}, baseline: &reportSet{series: map[string]*reportedSeries{"one": old, "two": old}}}
+	p := &page{
+		current:  &reportSet{series: map[string]*reportedSeries{"one": known}},
+		baseline: &reportSet{series: map[string]*reportedSeries{"one": old, "two": old}},
+	}
 	if got := p.valueAt("two", decades[0]); got.Origin() != "measured; **before the mechanism**" {
 		t.Errorf("a series of before alone: %s", got.Origin())
 	}
@@ -146,6 +159,7 @@
 }
 
 func TestVerdicts(t *testing.T) {
+	partlyKnown := func(known float64) figure { return calculated(known, inCount).plusIfKnown("p", unmeasured("x")) }
 	for _, c := range []struct {
 		what   string
 		limit  requirement
@@ -153,16 +167,28 @@
 		ratio  string
 		listed bool
 	}{
-		{"under", requirement{bound: calculated(10, inCount), values: single(calculated(5, inCount)), mechanism: "m"}, verdictHolds, "0.5", false},
-		{"over", requirement{bound: calculated(10, inCount), values: single(calculated(50, inCount)), mechanism: "m"}, verdictBreaks, "5", true},
-		{"both", requirement{bound: calculated(10, inCount), values: []variant{{"a", calculated(5, inCount)}, {"b", calculated(20, inCount)}}}, verdictPartly, "0.5 / 2", true},
-		{"not there", requirement{bound: calculated(10, inCount), values: single(unmeasured("x")), mechanism: "m"}, verdictUnknown, notMeasured, false},
-		{"not there and nothing carries it", requirement{bound: calculated(10, inCount), values: single(unmeasured("x"))}, verdictUnknown, notMeasured, true},
-		{"under, a part left out", requirement{bound: calculated(10, inCount), values: single(calculated(5, inCount).plusIfKnown("p", unmeasured("x"))), mechanism: "m"}, verdictUnknown, "0.5 at the least", false},
-		{"over, a part left out", requirement{bound: calculated(10, inCount), values: single(calculated(50, inCount).plusIfKnown("p", unmeasured("x"))), mechanism: "m"}, verdictBreaks, "5 at the least", true},
+		{"under", requirement{bound: calculated(10, inCount), values: single(calculated(5, inCount)), mechanism: "m"},
+			verdictHolds, "0.5", false},
+		{"over", requirement{bound: calculated(10, inCount), values: single(calculated(50, inCount)), mechanism: "m"},
+			verdictBreaks, "5", true},
+		{"both",
+			requirement{bound: calculated(10, inCount), values: []variant{{"a", calculated(5, inCount)}, {"b", calculated(20, inCount)}}},
+			verdictPartly, "0.5 / 2", true},
+		{"not there", requirement{bound: calculated(10, inCount), values: single(unmeasured("x")), mechanism: "m"},
+			verdictUnknown, notMeasured, false},
+		{"not there and nothing carries it", requirement{bound: calculated(10, inCount), values: single(unmeasured("x"))},
+			verdictUnknown, notMeasured, true},
+		{"under, a part left out",
+			requirement{bound: calculated(10, inCount), values: single(partlyKnown(5)), mechanism: "m"},
+			verdictUnknown, "0.5 at the least", false},
+		{"over, a part left out",
+			requirement{bound: calculated(10, inCount), values: single(partlyKnown(50)), mechanism: "m"},
+			verdictBreaks, "5 at the least", true},
 		{"no bound", requirement{values: single(calculated(5, inCount))}, verdictUnbounded, "–", false},
-		{"a bound that is not known", requirement{bound: unmeasured("x"), values: single(calculated(5, inCount)), mechanism: "m"}, verdictUnknown, "–", false},
-		{"never", requirement{bound: calculated(1, inCount), infeasible: true, values: single(calculated(5, inCount))}, verdictNever, "5", false},
+		{"a bound that is not known", requirement{bound: unmeasured("x"), values: single(calculated(5, inCount)), mechanism: "m"},
+			verdictUnknown, "–", false},
+		{"never", requirement{bound: calculated(1, inCount), infeasible: true, values: single(calculated(5, inCount))},
+			verdictNever, "5", false},
 	} {
 		if got := c.limit.verdict(); got != c.want {
 			t.Errorf("%s: %s, want %s", c.what, got, c.want)
--- a/internal/testbed/scale/page_loads.go
+++ b/internal/testbed/scale/page_loads.go
@@ -77,7 +77,11 @@
 	l.bytesOut = p.valueAt(signalTraffic, s.members)
 	l.bytesIn = l.bytesOut
 	receiving := p.valueAt(signalReceiveTime, s.members).multipliedBy(l.messagesIn).times(1, inCores)
-	l.processor = receiving.plus(p.valueAt(signalAggregateTime, s.members), p.valueAt(signalPublishTime, s.members), p.valueAt(signalExchangeTime, s.members))
+	l.processor = receiving.plus(
+		p.valueAt(signalAggregateTime, s.members),
+		p.valueAt(signalPublishTime, s.members),
+		p.valueAt(signalExchangeTime, s.members),
+	)
 	l.memory = p.valueAt(signalOwnMemory, s.members).plus(p.valueAt(signalReceivedMemory, s.members))
 	return l
 }
@@ -88,7 +92,8 @@
 	// The series are for an ordinary day's membership changes; at most, all is scored again in each round of health
 	// checks.
 	changeRatio := min(s.membershipChanges, 1/probeRound) / ordinaryMembershipChanges
-	l.processor = p.valueAt(leaseScoringTimeByServers, servers).multipliedBy(fleetFactor).times(changeRatio, inCores).plus(p.valueAt(leaseMembershipTime, s.members))
+	scoring := p.valueAt(leaseScoringTimeByServers, servers).multipliedBy(fleetFactor).times(changeRatio, inCores)
+	l.processor = scoring.plus(p.valueAt(leaseMembershipTime, s.members))
 	l.memory = p.valueAt(leaseMemory, s.members)
 	return l
 }
--- a/internal/testbed/scale/page_parts.go
+++ b/internal/testbed/scale/page_parts.go
@@ -102,20 +102,23 @@
 		load:       listLoad,
 	},
 	{
-		name:       "decisions and rechecks",
-		state:      "where each flow stands, tallies by server and group",
-		owner:      "the balancer alone",
-		onFailure:  "A balancer that goes takes its tallies with it; its clients are placed anew by those that take them. Measured without other deciders, connections standing anywhere, which costs as many rechecks as a tick may have; with `[halls]` or `[signals]` each recheck is made, 128 a tick at the most.",
+		name:  "decisions and rechecks",
+		state: "where each flow stands, tallies by server and group",
+		owner: "the balancer alone",
+		onFailure: "A balancer that goes takes its tallies with it; its clients are placed anew by those that take them. " +
+			"Measured without other deciders, connections standing anywhere, which costs as many rechecks as a tick may have; " +
+			"with `[halls]` or `[signals]` each recheck is made, 128 a tick at the most.",
 		mechanism:  mechanismCandidates,
 		dependents: "all placements and moves",
 		proposal:   "",
 		load:       decisionLoad,
 	},
 	{
-		name:       "probes",
-		state:      "each server's last told load",
-		owner:      "the balancer that asked",
-		onFailure:  "With leases one balancer asks for all; regions apart each have their own. Without them, and until the members have met, each asks each server itself; see the limits.",
+		name:  "probes",
+		state: "each server's last told load",
+		owner: "the balancer that asked",
+		onFailure: "With leases one balancer asks for all; regions apart each have their own. " +
+			"Without them, and until the members have met, each asks each server itself; see the limits.",
 		mechanism:  mechanismLeasedProbes,
 		dependents: "told loads",
 		proposal:   "leases that hold at this size",
@@ -132,10 +135,11 @@
 		load:       signalLoad,
 	},
 	{
-		name:       "leases",
-		state:      "who asks which server for all, with its epoch",
-		owner:      "reckoned by each from the members it sees",
-		onFailure:  "The next in line takes over after one lease of 6 s; two holders at once cost a probe. They travel in the signals' records.",
+		name:  "leases",
+		state: "who asks which server for all, with its epoch",
+		owner: "reckoned by each from the members it sees",
+		onFailure: "The next in line takes over after one lease of 6 s; two holders at once cost a probe. " +
+			"They travel in the signals' records.",
 		mechanism:  "",
 		dependents: "probes by one for all",
 		proposal:   "the first in line of each lease kept: who comes is held against them, who goes moves its own alone",
@@ -162,27 +166,30 @@
 }
 
 var controlMachinePart = part{
-	name:      "one machine",
-	state:     "the list with its last changes, by version",
-	owner:     "not decided",
-	onFailure: "**No program of this project runs there.** What would leave one machine is reckoned from what each balancer must be told; half of the machines lost doubles it.",
-	load:      controlMachineLoad,
+	name:  "one machine",
+	state: "the list with its last changes, by version",
+	owner: "not decided",
+	onFailure: "**No program of this project runs there.** What would leave one machine is reckoned from " +
+		"what each balancer must be told; half of the machines lost doubles it.",
+	load: controlMachineLoad,
 }
 
 var discoveryPart = part{
-	name:      "the stand-in's agent",
-	state:     "one list, the changes that a watch has not read yet",
-	owner:     "the yard; there is no store that outlives it",
-	onFailure: "A watch that does not read is closed, and the next one brings the whole list. Beside balancers that ask a central discovery there is one for all.",
-	load:      agentLoad,
+	name:  "the stand-in's agent",
+	state: "one list, the changes that a watch has not read yet",
+	owner: "the yard; there is no store that outlives it",
+	onFailure: "A watch that does not read is closed, and the next one brings the whole list. " +
+		"Beside balancers that ask a central discovery there is one for all.",
+	load: agentLoad,
 }
 
 var serverPart = part{
-	name:      "one server",
-	state:     "its connections",
-	owner:     "the server",
-	onFailure: "A lost zone takes a 25th of the servers too; the others take their connections. While late, a server tells each balancer so once a second.",
-	load:      serverLoad,
+	name:  "one server",
+	state: "its connections",
+	owner: "the server",
+	onFailure: "A lost zone takes a 25th of the servers too; the others take their connections. " +
+		"While late, a server tells each balancer so once a second.",
+	load: serverLoad,
 }
 
 var toolsPart = part{
--- a/internal/testbed/scale/page_requirements.go
+++ b/internal/testbed/scale/page_requirements.go
@@ -147,7 +147,8 @@
 
 // controlStatement is the operators' statement of a balancer's budget for control.
 func controlStatement() string {
-	return fmt.Sprintf("control: %s, %s and %s a balancer", show(controlCores, inCores), show(controlBytes, inBytes), show(controlTraffic, inTraffic))
+	return fmt.Sprintf("control: %s, %s and %s a balancer",
+		show(controlCores, inCores), show(controlBytes, inBytes), show(controlTraffic, inTraffic))
 }
 
 // standaloneRequirements are those on a balancer without peers.
@@ -174,7 +175,8 @@
 		},
 		{
 			statement: statement,
-			quantity:  fmt.Sprintf("a real process with 1,000 servers and %s idle connections, its data path too; past 6,000 by its fit, while rechecks are bounded", digits(connectionsPerBalancer)),
+			quantity: fmt.Sprintf("a real process with 1,000 servers and %s idle connections, its data path too; "+
+				"past 6,000 by its fit, while rechecks are bounded", digits(connectionsPerBalancer)),
 			values:    single(p.valueAt(realConnectionTime, connectionsPerBalancer)),
 			mechanism: mechanismCandidates,
 		},
--- a/internal/testbed/scale/page_situations.go
+++ b/internal/testbed/scale/page_situations.go
@@ -116,9 +116,11 @@
 
 // situationsTable shows the load on one balancer in each situation.
 func situationsTable() *table {
-	t := newTable("situation", "lasts", "connections held", "placements a second", "changes of the list a second", "members that come or go a second", "members seen", "deliveries a second")
+	t := newTable("situation", "lasts", "connections held", "placements a second", "changes of the list a second",
+		"members that come or go a second", "members seen", "deliveries a second")
 	for _, s := range situations(likelyServers) {
-		t.row(s.name, s.duration, digits(s.connections), digits(s.placements), digits(s.changes+s.fullLists), digits(s.membershipChanges), digits(s.members), digits(s.deliveries))
+		t.row(s.name, s.duration, digits(s.connections), digits(s.placements), digits(s.changes+s.fullLists), digits(s.membershipChanges),
+			digits(s.members), digits(s.deliveries))
 	}
 	return t
 }
--- a/internal/testbed/scale/page_slopes.go
+++ b/internal/testbed/scale/page_slopes.go
@@ -14,7 +14,8 @@
 func (p *page) slopesTable() *table { return slopesOf(p.current) }
 
 func slopesOf(all *reportSet) *table {
-	t := newTable("series", "what", "unit", "origin", "range, points", "held", "fit on all but the largest", "R², residual", "largest: measured, predicted", "error", "run")
+	t := newTable("series", "what", "unit", "origin", "range, points", "held", "fit on all but the largest", "R², residual",
+		"largest: measured, predicted", "error", "run")
 	for _, name := range slices.Sorted(maps.Keys(all.series)) {
 		t.row(slopeRow(all.series[name])...)
 	}
@@ -159,7 +160,8 @@
 			value, ratio := p.currentAt(name, point)
 			is, ratios = append(is, value), append(ratios, ratio)
 		}
-		t.row("`"+name+"`", before.Unit, strings.Join(sizes, " / ")+" "+before.Against, strings.Join(was, " / "), joinAlike(is), joinAlike(ratios))
+		t.row("`"+name+"`", before.Unit, strings.Join(sizes, " / ")+" "+before.Against, strings.Join(was, " / "), joinAlike(is),
+			joinAlike(ratios))
 	}
 	return t
 }
--- a/internal/testbed/scale/page_tables_test.go
+++ b/internal/testbed/scale/page_tables_test.go
@@ -74,12 +74,15 @@
 		of("compare.list-memory.hollow", "bytes", func(n float64) float64 { return 500 * (n - 60) }),
 		of("compare.list-memory.real", "bytes", func(n float64) float64 { return 1000 * (n - 60) }),
 		seriesOver("members-real.bytes", "bytes/s", "balancers", Measured, []float64{10, 200}, func(float64) float64 { return 100 }),
-		seriesOver("members-real.bytes"+modelSuffix, "bytes/s", "balancers", Simulated, []float64{10, 200}, func(float64) float64 { return 99 }),
+		seriesOver("members-real.bytes"+modelSuffix, "bytes/s", "balancers", Simulated, []float64{10, 200},
+			func(float64) float64 { return 99 }),
 	})
 	made := p.simulatedAgainstRealTable()
 	checkRows(t, made,
-		"| processor time of a change of one entry, of twenty told together | 1,000 servers | 60 µs | 130 µs | 0.462 | "+unexplainedDifference+" |",
-		"| memory that the list takes beyond that of the smallest size | 8,000 servers | 3.97 MB | 7.94 MB | 0.5 | a heap grows to twice what lives on it before it is collected |")
+		"| processor time of a change of one entry, of twenty told together | 1,000 servers | 60 µs | 130 µs | 0.462 "+
+			"| "+unexplainedDifference+" |",
+		"| memory that the list takes beyond that of the smallest size | 8,000 servers | 3.97 MB | 7.94 MB | 0.5 "+
+			"| a heap grows to twice what lives on it before it is collected |")
 	text := made.String()
 	if strings.Count(text, "| 99 B/s | 100 B/s | 0.99 | no |") != 2 {
 		t.Errorf("the model is not beside the real engines twice:\n%s", text)
--- a/internal/testbed/scale/page_test.go
+++ b/internal/testbed/scale/page_test.go
@@ -28,7 +28,8 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(got, want) {
-		t.Errorf("docs/CAPACITY.md disagrees with experiments/scale/results from line %d on; run testbed scale page", firstDifferentLine(got, want))
+		t.Errorf("docs/CAPACITY.md disagrees with experiments/scale/results from line %d on; run testbed scale page",
+			firstDifferentLine(got, want))
 	}
 }
 
@@ -98,7 +99,8 @@
 		Command:    "testbed scale run experiments/scale/sample.toml",
 		Commit:     "0123456789abcdef0123456789abcdef01234567",
 		Series: []Series{
-			{Name: string(placementTime), Unit: "µs", Against: "servers", Origin: Measured, Points: pointsOf(decades, func(n float64) float64 { return 9 + 0.2*n })},
+			{Name: string(placementTime), Unit: "µs", Against: "servers", Origin: Measured,
+				Points: pointsOf(decades, func(n float64) float64 { return 9 + 0.2*n })},
 			{Name: string(placementTimeByConnections), Unit: "µs", Against: "connections", Origin: Measured,
 				Points: pointsOf([]float64{800, 2500, 8000, 25000, 79012}, func(n float64) float64 { return 200 + n/1000 })},
 		},
--- a/internal/testbed/scale/real.go
+++ b/internal/testbed/scale/real.go
@@ -70,7 +70,11 @@
 	}
 	path := filepath.Join(filepath.Dir(self), "yardwinch")
 	if _, err := os.Stat(path); err != nil {
-		return nil, &ProcessError{What: "no program to measure", Remedy: "build bin/yardwinch and bin/testbed, and run bin/testbed", Err: err}
+		return nil, &ProcessError{
+			What:   "no program to measure",
+			Remedy: "build bin/yardwinch and bin/testbed, and run bin/testbed",
+			Err:    err,
+		}
 	}
 	return []string{path, "serve"}, nil
 }
@@ -131,7 +135,8 @@
 	}
 	period, err := time.ParseDuration(length)
 	if err != nil || period < minMeasurementPeriod || period > maxMeasurementPeriod {
-		return 0, invalidKey("length", "want a time from 100ms to %v, after which clients that say nothing count as gone, got %q", maxMeasurementPeriod, length)
+		return 0, invalidKey("length", "want a time from 100ms to %v, after which clients that say nothing count as gone, got %q",
+			maxMeasurementPeriod, length)
 	}
 	return period, nil
 }
--- a/internal/testbed/scale/real_clients.go
+++ b/internal/testbed/scale/real_clients.go
@@ -83,7 +83,11 @@
 			return err
 		}
 	}
-	return &ProcessError{What: "a client was answered " + last, Remedy: "ask for fewer connections, or check the limits of descriptors", Err: errNotUp}
+	return &ProcessError{
+		What:   "a client was answered " + last,
+		Remedy: "ask for fewer connections, or check the limits of descriptors",
+		Err:    errNotUp,
+	}
 }
 
 type clientConn struct {
@@ -98,7 +102,8 @@
 	}
 	n := c.nextID.Add(1)
 	_ = conn.SetDeadline(time.Now().Add(lineTimeout))
-	if _, err = fmt.Fprintf(conn, "OPEN id-%d k-%d c=%s,d=%d,g=g-%d\r\n", n, n, realService, clientTimeout.Milliseconds(), n%int64(c.groups)); err != nil {
+	fields := fmt.Sprintf("c=%s,d=%d,g=g-%d", realService, clientTimeout.Milliseconds(), n%int64(c.groups))
+	if _, err = fmt.Fprintf(conn, "OPEN id-%d k-%d %s\r\n", n, n, fields); err != nil {
 		_ = conn.Close()
 		return nil, "", err
 	}
--- a/internal/testbed/scale/real_compare.go
+++ b/internal/testbed/scale/real_compare.go
@@ -26,7 +26,8 @@
 // comparisons are in the order of the report.
 var comparisons = []comparison{
 	{name: "rest", quantity: "processor time at rest that held idle connections add", unit: "cores"},
-	{name: "change", quantity: "processor time of a change of one entry, each told alone to the real one and twenty together to the hollow one", unit: "s",
+	{name: "change", unit: "s",
+		quantity: "processor time of a change of one entry, each told alone to the real one and twenty together to the hollow one",
 		whyBelow: "a process at rest is woken for each change; see changes", whyAbove: stubSharesProcess},
 	{name: "changes", quantity: "processor time of a change of one entry, of twenty told together", unit: "s", whyAbove: stubSharesProcess},
 	{name: "whole-list", quantity: "processor time of a whole list, told again", unit: "s", whyAbove: stubSharesProcess},
@@ -81,9 +82,10 @@
 func (c comparison) check(servers int, realFigure float64, simulated []float64) Check {
 	least, most := slices.Min(simulated), slices.Max(simulated)
 	check := Check{
-		Name:   fmt.Sprintf("%s at %d servers: hollow is within 20 %% of real, or why not is known", c.name, servers),
-		Held:   realFigure >= least*(1-compareTolerance) && realFigure <= most*(1+compareTolerance),
-		Detail: fmt.Sprintf("real %.4g %s, hollow %.4g to %.4g, %+.0f %% in the middle", realFigure, c.unit, least, most, 100*(median(simulated)/realFigure-1)),
+		Name: fmt.Sprintf("%s at %d servers: hollow is within 20 %% of real, or why not is known", c.name, servers),
+		Held: realFigure >= least*(1-compareTolerance) && realFigure <= most*(1+compareTolerance),
+		Detail: fmt.Sprintf("real %.4g %s, hollow %.4g to %.4g, %+.0f %% in the middle",
+			realFigure, c.unit, least, most, 100*(median(simulated)/realFigure-1)),
 	}
 	why := c.whyAbove
 	if realFigure > most {
--- a/internal/testbed/scale/real_held.go
+++ b/internal/testbed/scale/real_held.go
@@ -18,7 +18,8 @@
 
 // atEachSize starts a process and makes it hold more and more connections; measureSize is called at each size once the
 // process is idle.
-func atEachSize(ctx context.Context, s realSettings, progress Progress, measureSize func(p *realProcess, c *stubClients, size int) error) ([]Check, error) {
+func atEachSize(ctx context.Context, s realSettings, progress Progress,
+	measureSize func(p *realProcess, c *stubClients, size int) error) ([]Check, error) {
 	p, err := startReal(ctx, s, s.Servers)
 	if err != nil {
 		return nil, err
--- a/internal/testbed/scale/real_lists.go
+++ b/internal/testbed/scale/real_lists.go
@@ -30,7 +30,15 @@
 	i := slices.IndexFunc(s.list, func(x Series) bool { return x.Name == name })
 	if i < 0 {
 		i = len(s.list)
-		s.list = append(s.list, Series{Name: name, Role: s.role, Quantity: quantity, Unit: unit, Against: s.against, Origin: Measured, Held: s.held})
+		s.list = append(s.list, Series{
+			Name:     name,
+			Role:     s.role,
+			Quantity: quantity,
+			Unit:     unit,
+			Against:  s.against,
+			Origin:   Measured,
+			Held:     s.held,
+		})
 	}
 	s.list[i].Points = append(s.list[i].Points, Point{float64(size), value})
 }
@@ -136,17 +144,21 @@
 		return err
 	}
 	set.add("real.change.processor", "processor time of a change of one entry", "s", servers, changeCost.Seconds())
-	set.add("real.change.in-force", "time from the telling of a change of one entry until it is in force, median", "s", servers, changeMedian.Seconds())
+	set.add("real.change.in-force", "time from the telling of a change of one entry until it is in force, median",
+		"s", servers, changeMedian.Seconds())
 	set.add("real.change.in-force-last", fmt.Sprintf("the same, longest of %d", realChangesTimed), "s", servers, changeLongest.Seconds())
 	set.add("real.whole-list.processor", "processor time of a whole list, told again", "s", servers, fullListCost.Seconds())
-	set.add("real.whole-list.in-force", "time from the telling of a whole list until it is in force, median", "s", servers, fullListMedian.Seconds())
-	set.add("real.whole-list.in-force-last", fmt.Sprintf("the same, longest of %d", realListsPublished), "s", servers, fullListLongest.Seconds())
+	set.add("real.whole-list.in-force", "time from the telling of a whole list until it is in force, median",
+		"s", servers, fullListMedian.Seconds())
+	set.add("real.whole-list.in-force-last", fmt.Sprintf("the same, longest of %d", realListsPublished),
+		"s", servers, fullListLongest.Seconds())
 	set.addMemory("real.changes", "after its list was told whole several times", servers, m)
 	return nil
 }
 
 // processorCost is the processor time of one of n events published at an interval, beyond an idle process's use.
-func (p *realProcess) processorCost(ctx context.Context, idleShare float64, n int, every time.Duration, event func(i int)) (time.Duration, error) {
+func (p *realProcess) processorCost(ctx context.Context, idleShare float64, n int, every time.Duration,
+	event func(i int)) (time.Duration, error) {
 	used, err := p.processorBeyondIdle(idleShare, func() error {
 		for i := range n {
 			event(i)
--- a/internal/testbed/scale/real_process.go
+++ b/internal/testbed/scale/real_process.go
@@ -48,7 +48,8 @@
 	if err != nil {
 		return nil, err
 	}
-	p = &realProcess{exited: make(chan struct{}), client: &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}}
+	client := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
+	p = &realProcess{exited: make(chan struct{}), client: client}
 	defer func() {
 		if err != nil {
 			p.end()
@@ -120,7 +121,8 @@
 		"limits": map[string]any{"cores": 1, "memory_mb": 1024, "sockets": 20_000},
 		"settings": map[string]any{
 			"az": realZone(0), "peers-total": s.Balancers, "policy-limits": map[string]any{"max-connects": 3},
-			"tariffs": map[string]any{"cross-zone": crossZoneCost, "moves": migrationCost}, "weights": "stated", // as for simulated balancers
+			"tariffs": map[string]any{"cross-zone": crossZoneCost, "moves": migrationCost}, // as for simulated balancers
+			"weights": "stated",
 			"service-types": []any{map[string]any{"name": realService, "effect": "free", "group": "all",
 				"hard-limit": int64(20 * time.Second), "setup-target": int64(5 * time.Second)}},
 		},
--- a/internal/testbed/scale/run_test.go
+++ b/internal/testbed/scale/run_test.go
@@ -49,7 +49,8 @@
 		<-ctx.Done()
 		return oneSeries(1), nil, nil
 	}
-	if report, err := Run(t.Context(), testExperiment(t, passed), Bounds{Memory: 1, Processes: 1}, noProgress); report != nil || err == nil {
+	report, err := Run(t.Context(), testExperiment(t, passed), Bounds{Memory: 1, Processes: 1}, noProgress)
+	if report != nil || err == nil {
 		t.Errorf("report %v, error %v", report, err)
 	}
 }
--- a/internal/testbed/scale/sweep_groups.go
+++ b/internal/testbed/scale/sweep_groups.go
@@ -55,7 +55,8 @@
 		spread.addPoint(size, placed.meanSpread())
 		widest.addPoint(size, float64(placed.widest()))
 		uneven.addPoint(size, unevenness(placed.onServer))
-		processor.addPoint(size, microseconds(measure(placementBatches, placementFlows, newPlacementProbe(h, s.Seed, one.Groups)).processor))
+		placement := measure(placementBatches, placementFlows, newPlacementProbe(h, s.Seed, one.Groups))
+		processor.addPoint(size, microseconds(placement.processor))
 		rejected += h.rejected
 		runtime.KeepAlive(h)
 		progress(i+1, len(s.Sizes))
--- a/internal/testbed/scale/sweep_list.go
+++ b/internal/testbed/scale/sweep_list.go
@@ -68,7 +68,8 @@
 		change.addPoint(size, microseconds(changeCost.processor))
 		objects.addPoint(size, changeCost.allocations)
 		runtime.KeepAlive(h)
-		if err := addParsed(parsed, garbage, routed, s.Seed, servers); err != nil { //nolint:contextcheck // a cached list is applied before there is a context
+		//nolint:contextcheck // a cached list is applied before there is a context
+		if err := addParsed(parsed, garbage, routed, s.Seed, servers); err != nil {
 			refused = fmt.Sprintf("%d servers: %v", size, err)
 		}
 		progress(i+1, len(s.Sizes))
--- a/internal/testbed/scale/sweep_rechecks.go
+++ b/internal/testbed/scale/sweep_rechecks.go
@@ -68,7 +68,7 @@
 // newSettledBalancer is a balancer with settled connections.
 func newSettledBalancer(s Settings) *simulatedBalancer {
 	h := newSimulatedBalancer(s.Seed, simulatedSettings{peers: peers})
-	h.list(0, warmServers(s.Servers, s.Zones))
+	h.list(decide.DeltaUpdate, warmServers(s.Servers, s.Zones))
 	h.adoptConnections(s.Connections, s.Servers, s.Groups)
 	h.settle()
 	return h
@@ -78,7 +78,7 @@
 func newUnevenBalancer(s Settings) *simulatedBalancer {
 	h := newSimulatedBalancer(s.Seed, simulatedSettings{peers: peers})
 	h.migratedReturn = true
-	h.list(0, warmServers(s.Servers, s.Zones))
+	h.list(decide.DeltaUpdate, warmServers(s.Servers, s.Zones))
 	chance := rand.New(rand.NewPCG(s.Seed, uint64(s.Servers)))
 	for i := range s.Connections {
 		at := decide.ServerID(1 + chance.IntN(s.Servers))
--- a/internal/testbed/scale/sweeps_test.go
+++ b/internal/testbed/scale/sweeps_test.go
@@ -29,12 +29,22 @@
 	rows     []row
 }{
 	{
-		Settings{Sweep: "placement", Against: byServers, Sizes: []int{150, 400, 1200, 4000, 15_000}, Connections: 6000, Groups: 300, Zones: 25},
+		Settings{
+			Sweep:       "placement",
+			Against:     byServers,
+			Sizes:       []int{150, 400, 1200, 4000, 15_000},
+			Connections: 6000,
+			Groups:      300,
+			Zones:       25,
+		},
 		[]row{{"placement.servers-looked-at.by-servers", fewCoincide}, {"placement.allocations.by-servers", 0.1}},
 	},
 	{
 		Settings{Sweep: "placement", Against: byConnections, Sizes: []int{800, 2500, 8000, 25_000}, Servers: 400, Groups: 300, Zones: 25},
-		[]row{{"placement.servers-looked-at.by-connections-at-400-servers", 0}, {"placement.allocations.by-connections-at-400-servers", 0.1}},
+		[]row{
+			{"placement.servers-looked-at.by-connections-at-400-servers", 0},
+			{"placement.allocations.by-connections-at-400-servers", 0.1},
+		},
 	},
 	{
 		Settings{Sweep: "rechecks", Against: byServers, Sizes: []int{150, 400, 1200, 4000}, Connections: 2500, Groups: 300, Zones: 25},
@@ -46,7 +56,12 @@
 	},
 	{
 		Settings{Sweep: "list", Against: byServers, Sizes: []int{150, 400, 1000, 2500}, Zones: 25},
-		[]row{{"list.memory.by-servers", 1}, {"list.routed-memory.by-servers", 1}, {"list.parse-bytes.by-servers", 1}, {"list.change-allocations.by-servers", 0.1}},
+		[]row{
+			{"list.memory.by-servers", 1},
+			{"list.routed-memory.by-servers", 1},
+			{"list.parse-bytes.by-servers", 1},
+			{"list.change-allocations.by-servers", 0.1},
+		},
 	},
 	{
 		Settings{Sweep: "groups", Against: byGroups, Sizes: []int{20, 60, 200, 600, 2000}, Servers: 200, Connections: 4000, Zones: 25},
