--- a/internal/testbed/invariants/checker_test.go
+++ b/internal/testbed/invariants/checker_test.go
@@ -89,57 +89,60 @@
 	return c.Finish(10 * time.Second)
 }
 
+// soundRuns break no rule.
+var soundRuns = []struct {
+	name   string
+	events []Event
+}{
+	{"established and ended", []Event{
+		acceptedAt(0, Idempotent),
+		sentAt(ms, 1, 1),
+		answeredAt(20*ms, Established),
+		eventAt(5*time.Second, ClientLeft),
+	}},
+	{"refused by one, established at the next", []Event{
+		acceptedAt(0, NotIdempotent),
+		sentAt(ms, 1, 1),
+		firstEnded(5*ms, false),
+		sentAt(6*ms, 2, 2),
+		answeredAt(20*ms, Established),
+	}},
+	{"rejected", []Event{acceptedAt(0, Idempotent), answeredAt(ms, Rejected)}},
+	{"the client left first", []Event{acceptedAt(0, Idempotent), eventAt(300*ms, ClientLeft)}},
+	{"its balancer died", []Event{acceptedAt(0, Idempotent), eventAt(300*ms, BalancerDied)}},
+	{"an answer seen before the line that caused it", []Event{answeredAt(5*ms, Rejected), acceptedAt(0, Idempotent)}},
+	{"an end seen just after the next send", []Event{
+		acceptedAt(0, Idempotent),
+		sentAt(ms, 1, 1),
+		sentAt(100*ms, 2, 2),
+		firstEnded(110*ms, true),
+		answeredAt(200*ms, Established),
+	}},
+	{"idempotent by key, within its window and zone", []Event{
+		withScope(ZoneServers, acceptedAt(0, IdempotentByKey)),
+		sentAt(ms, 1, 1),
+		firstEnded(5*ms, true),
+		sentAt(6*ms, 2, 1),
+		answeredAt(20*ms, Established),
+	}},
+	{"sent within the grace", []Event{
+		announced(0, 0, Draining, 0),
+		acceptedAt(0, Idempotent),
+		sentAt(700*ms, 1, 1),
+		answeredAt(720*ms, Established),
+	}},
+	{"sent to one that is back", []Event{
+		announced(0, 0, Gone, 0),
+		announced(500*ms, 0, Ready, 400*ms),
+		acceptedAt(1900*ms, Idempotent),
+		sentAt(2*time.Second, 1, 1),
+		answeredAt(2100*ms, Established),
+	}},
+	{"a starting server pushed by balancers that can't know", flood(20, false)},
+}
+
 func TestSoundRunsBreakNoRule(t *testing.T) {
-	for _, test := range []struct {
-		name   string
-		events []Event
-	}{
-		{"established and ended", []Event{
-			acceptedAt(0, Idempotent),
-			sentAt(ms, 1, 1),
-			answeredAt(20*ms, Established),
-			eventAt(5*time.Second, ClientLeft),
-		}},
-		{"refused by one, established at the next", []Event{
-			acceptedAt(0, NotIdempotent),
-			sentAt(ms, 1, 1),
-			firstEnded(5*ms, false),
-			sentAt(6*ms, 2, 2),
-			answeredAt(20*ms, Established),
-		}},
-		{"rejected", []Event{acceptedAt(0, Idempotent), answeredAt(ms, Rejected)}},
-		{"the client left first", []Event{acceptedAt(0, Idempotent), eventAt(300*ms, ClientLeft)}},
-		{"its balancer died", []Event{acceptedAt(0, Idempotent), eventAt(300*ms, BalancerDied)}},
-		{"an answer seen before the line that caused it", []Event{answeredAt(5*ms, Rejected), acceptedAt(0, Idempotent)}},
-		{"an end seen just after the next send", []Event{
-			acceptedAt(0, Idempotent),
-			sentAt(ms, 1, 1),
-			sentAt(100*ms, 2, 2),
-			firstEnded(110*ms, true),
-			answeredAt(200*ms, Established),
-		}},
-		{"idempotent by key, within its window and zone", []Event{
-			withScope(ZoneServers, acceptedAt(0, IdempotentByKey)),
-			sentAt(ms, 1, 1),
-			firstEnded(5*ms, true),
-			sentAt(6*ms, 2, 1),
-			answeredAt(20*ms, Established),
-		}},
-		{"sent within the grace", []Event{
-			announced(0, 0, Draining, 0),
-			acceptedAt(0, Idempotent),
-			sentAt(700*ms, 1, 1),
-			answeredAt(720*ms, Established),
-		}},
-		{"sent to one that is back", []Event{
-			announced(0, 0, Gone, 0),
-			announced(500*ms, 0, Ready, 400*ms),
-			acceptedAt(1900*ms, Idempotent),
-			sentAt(2*time.Second, 1, 1),
-			answeredAt(2100*ms, Established),
-		}},
-		{"a starting server pushed by balancers that can't know", flood(20, false)},
-	} {
+	for _, test := range soundRuns {
 		t.Run(test.name, func(t *testing.T) {
 			if violations := judge(test.events); len(violations) > 0 {
 				t.Errorf("a sound run is called broken: %v", violations[0])
@@ -148,91 +151,94 @@
 	}
 }
 
+// violatingRuns each break one rule.
+var violatingRuns = []struct {
+	name   string
+	events []Event
+	rule   Rule
+	what   string
+}{
+	{"no answer", []Event{acceptedAt(0, Idempotent), sentAt(ms, 1, 1)}, OneAnswer, "no answer in time"},
+	{"two answers", []Event{
+		acceptedAt(0, Idempotent),
+		answeredAt(ms, Rejected),
+		answeredAt(2*ms, Aborted),
+	}, OneAnswer, "answered twice"},
+	{"rejected after established", []Event{
+		acceptedAt(0, Idempotent),
+		answeredAt(ms, Established),
+		answeredAt(20*ms, Rejected),
+	}, OneAnswer, "answered twice"},
+	{"late", []Event{acceptedAt(0, Idempotent), answeredAt(1200*ms, Rejected)}, OneAnswer, "no answer in time"},
+	{"after the end", []Event{
+		acceptedAt(0, Idempotent),
+		answeredAt(ms, Established),
+		eventAt(time.Second, FlowEnded),
+		answeredAt(2*time.Second, Aborted),
+	}, OneAnswer, "an answer after the end"},
+	{"after its client left", []Event{
+		acceptedAt(0, Idempotent),
+		eventAt(100*ms, ClientLeft),
+		answeredAt(800*ms, Rejected),
+	}, OneAnswer, "an answer after the end"},
+	{"never accepted", []Event{answeredAt(ms, Rejected)}, OneAnswer, "not held"},
+	{"sent after the answer", []Event{
+		acceptedAt(0, Idempotent),
+		answeredAt(ms, Rejected),
+		sentAt(100*ms, 1, 1),
+	}, OneAnswer, "sent after the answer"},
+	{"two connects out", []Event{
+		acceptedAt(0, Idempotent),
+		sentAt(ms, 1, 1),
+		sentAt(2*ms, 2, 2),
+		firstEnded(400*ms, true),
+		answeredAt(500*ms, Established),
+	}, NoDuplicateEffect, "two connects out"},
+	{"not idempotent, again", []Event{
+		acceptedAt(0, NotIdempotent),
+		sentAt(ms, 1, 1),
+		firstEnded(5*ms, true),
+		sentAt(6*ms, 2, 2),
+		answeredAt(20*ms, Established),
+	}, NoDuplicateEffect, "once-only"},
+	{"not idempotent, rejected", []Event{
+		acceptedAt(0, NotIdempotent),
+		sentAt(ms, 1, 1),
+		firstEnded(5*ms, true),
+		answeredAt(20*ms, Rejected),
+	}, NoDuplicateEffect, "rejected as harmless"},
+	{"idempotent by key, window over", []Event{
+		acceptedAt(0, IdempotentByKey),
+		sentAt(ms, 1, 1),
+		firstEnded(700*ms, true),
+		sentAt(701*ms, 2, 1),
+		answeredAt(720*ms, Established),
+	}, NoDuplicateEffect, "window"},
+	{"idempotent by key, other zone", []Event{
+		withScope(ZoneServers, acceptedAt(0, IdempotentByKey)),
+		sentAt(ms, 1, 1),
+		firstEnded(5*ms, true),
+		sentAt(6*ms, 2, 2),
+		answeredAt(20*ms, Established),
+	}, NoDuplicateEffect, "group"},
+	{"sent after the grace", []Event{
+		announced(0, 0, Draining, 0),
+		acceptedAt(900*ms, Idempotent),
+		sentAt(901*ms, 1, 1),
+		answeredAt(920*ms, Established),
+	}, DrainsRespected, "after the grace"},
+	{"the grace runs from the first announcement", []Event{
+		announced(0, 0, Draining, 0),
+		announced(800*ms, 0, Gone, 0),
+		acceptedAt(900*ms, Idempotent),
+		sentAt(901*ms, 1, 1),
+		answeredAt(920*ms, Established),
+	}, DrainsRespected, "after the grace"},
+	{"a starting server flooded by many, each within its part", flood(20, true), SlowStartRespected, "times what it can take"},
+}
+
 func TestViolationsAreFoundAndProved(t *testing.T) {
-	for _, test := range []struct {
-		name   string
-		events []Event
-		rule   Rule
-		what   string
-	}{
-		{"no answer", []Event{acceptedAt(0, Idempotent), sentAt(ms, 1, 1)}, OneAnswer, "no answer in time"},
-		{"two answers", []Event{
-			acceptedAt(0, Idempotent),
-			answeredAt(ms, Rejected),
-			answeredAt(2*ms, Aborted),
-		}, OneAnswer, "answered twice"},
-		{"rejected after established", []Event{
-			acceptedAt(0, Idempotent),
-			answeredAt(ms, Established),
-			answeredAt(20*ms, Rejected),
-		}, OneAnswer, "answered twice"},
-		{"late", []Event{acceptedAt(0, Idempotent), answeredAt(1200*ms, Rejected)}, OneAnswer, "no answer in time"},
-		{"after the end", []Event{
-			acceptedAt(0, Idempotent),
-			answeredAt(ms, Established),
-			eventAt(time.Second, FlowEnded),
-			answeredAt(2*time.Second, Aborted),
-		}, OneAnswer, "an answer after the end"},
-		{"after its client left", []Event{
-			acceptedAt(0, Idempotent),
-			eventAt(100*ms, ClientLeft),
-			answeredAt(800*ms, Rejected),
-		}, OneAnswer, "an answer after the end"},
-		{"never accepted", []Event{answeredAt(ms, Rejected)}, OneAnswer, "not held"},
-		{"sent after the answer", []Event{
-			acceptedAt(0, Idempotent),
-			answeredAt(ms, Rejected),
-			sentAt(100*ms, 1, 1),
-		}, OneAnswer, "sent after the answer"},
-		{"two connects out", []Event{
-			acceptedAt(0, Idempotent),
-			sentAt(ms, 1, 1),
-			sentAt(2*ms, 2, 2),
-			firstEnded(400*ms, true),
-			answeredAt(500*ms, Established),
-		}, NoDuplicateEffect, "two connects out"},
-		{"not idempotent, again", []Event{
-			acceptedAt(0, NotIdempotent),
-			sentAt(ms, 1, 1),
-			firstEnded(5*ms, true),
-			sentAt(6*ms, 2, 2),
-			answeredAt(20*ms, Established),
-		}, NoDuplicateEffect, "once-only"},
-		{"not idempotent, rejected", []Event{
-			acceptedAt(0, NotIdempotent),
-			sentAt(ms, 1, 1),
-			firstEnded(5*ms, true),
-			answeredAt(20*ms, Rejected),
-		}, NoDuplicateEffect, "rejected as harmless"},
-		{"idempotent by key, window over", []Event{
-			acceptedAt(0, IdempotentByKey),
-			sentAt(ms, 1, 1),
-			firstEnded(700*ms, true),
-			sentAt(701*ms, 2, 1),
-			answeredAt(720*ms, Established),
-		}, NoDuplicateEffect, "window"},
-		{"idempotent by key, other zone", []Event{
-			withScope(ZoneServers, acceptedAt(0, IdempotentByKey)),
-			sentAt(ms, 1, 1),
-			firstEnded(5*ms, true),
-			sentAt(6*ms, 2, 2),
-			answeredAt(20*ms, Established),
-		}, NoDuplicateEffect, "group"},
-		{"sent after the grace", []Event{
-			announced(0, 0, Draining, 0),
-			acceptedAt(900*ms, Idempotent),
-			sentAt(901*ms, 1, 1),
-			answeredAt(920*ms, Established),
-		}, DrainsRespected, "after the grace"},
-		{"the grace runs from the first announcement", []Event{
-			announced(0, 0, Draining, 0),
-			announced(800*ms, 0, Gone, 0),
-			acceptedAt(900*ms, Idempotent),
-			sentAt(901*ms, 1, 1),
-			answeredAt(920*ms, Established),
-		}, DrainsRespected, "after the grace"},
-		{"a starting server flooded by many, each within its part", flood(20, true), SlowStartRespected, "times what it can take"},
-	} {
+	for _, test := range violatingRuns {
 		t.Run(test.name, func(t *testing.T) {
 			violations := judge(test.events)
 			if len(violations) == 0 || violations[0].Rule != test.rule || !strings.Contains(violations[0].What, test.what) {
--- a/internal/testbed/invariants/freeze_test.go
+++ b/internal/testbed/invariants/freeze_test.go
@@ -5,78 +5,88 @@
 	"time"
 )
 
+// flowDueAt is accepted after 100 ms.
+func flowDueAt(deadline time.Duration) Event {
+	return Event{At: 100 * ms, Kind: FlowAccepted, Flow: 1, Deadline: deadline}
+}
+
+// frozenRuns have a balancer that is frozen or killed; broken is 0 where no rule is.
+var frozenRuns = []struct {
+	name   string
+	events []Event
+	broken Rule
+	cost   Cost
+}{
+	{"came due while frozen", []Event{
+		flowDueAt(1000 * ms),
+		{At: 200 * ms, Kind: BalancerFrozen},
+		{At: 1000 * ms, Kind: ClientLeft, Flow: 1},
+		{At: 5000 * ms, Kind: BalancerResumed},
+	}, 0, Cost{Expired: 1}},
+	{"accepted while frozen", []Event{
+		{At: 50 * ms, Kind: BalancerFrozen},
+		flowDueAt(1000 * ms),
+		{At: 5000 * ms, Kind: BalancerResumed},
+	}, 0, Cost{Expired: 1, AcceptedFrozen: 1}},
+	{"resumed just before it was due", []Event{
+		flowDueAt(1000 * ms),
+		{At: 200 * ms, Kind: BalancerFrozen},
+		{At: 900 * ms, Kind: BalancerResumed},
+	}, 0, Cost{Expired: 1}},
+	{"resumed in time and did not answer", []Event{
+		flowDueAt(1000 * ms),
+		{At: 200 * ms, Kind: BalancerFrozen},
+		{At: 400 * ms, Kind: BalancerResumed},
+	}, OneAnswer, Cost{}},
+	{"an answer after the deadline is none", []Event{
+		flowDueAt(1000 * ms),
+		{At: 200 * ms, Kind: BalancerFrozen},
+		{At: 3000 * ms, Kind: BalancerResumed},
+		{At: 3010 * ms, Kind: FlowAnswered, Flow: 1},
+	}, 0, Cost{Expired: 1, AnsweredLate: 1}},
+	{"a connect before it could see", []Event{
+		flowDueAt(1000 * ms),
+		{At: 200 * ms, Kind: BalancerFrozen},
+		{At: 3000 * ms, Kind: BalancerResumed},
+		{At: 3010 * ms, Kind: ConnectSent, Flow: 1, Connect: 1},
+	}, 0, Cost{Expired: 1, SentLate: 1}},
+	{"a connect long after", []Event{
+		flowDueAt(1000 * ms),
+		{At: 200 * ms, Kind: BalancerFrozen},
+		{At: 3000 * ms, Kind: BalancerResumed},
+		{At: 3200 * ms, Kind: ConnectSent, Flow: 1, Connect: 1},
+	}, OneAnswer, Cost{Expired: 1, SentLate: 1}},
+	{"a drain announced while frozen", []Event{
+		flowDueAt(4000 * ms),
+		{At: 200 * ms, Kind: BalancerFrozen},
+		{At: 300 * ms, Kind: ServerAnnounced, Readiness: Draining},
+		{At: 3000 * ms, Kind: BalancerResumed},
+		{At: 3100 * ms, Kind: ConnectSent, Flow: 1, Connect: 1},
+		{At: 3200 * ms, Kind: FlowAnswered, Flow: 1},
+	}, 0, Cost{}},
+	{"and sent after the grace", []Event{
+		flowDueAt(5000 * ms),
+		{At: 200 * ms, Kind: BalancerFrozen},
+		{At: 300 * ms, Kind: ServerAnnounced, Readiness: Draining},
+		{At: 3000 * ms, Kind: BalancerResumed},
+		{At: 4000 * ms, Kind: ConnectSent, Flow: 1, Connect: 1},
+		{At: 4100 * ms, Kind: FlowAnswered, Flow: 1},
+	}, DrainsRespected, Cost{}},
+	{"killed with one established and one waiting", []Event{
+		flowDueAt(1000 * ms),
+		{At: 200 * ms, Kind: FlowAnswered, Flow: 1},
+		{At: 300 * ms, Kind: FlowAccepted, Flow: 2, Deadline: 900 * ms},
+		{At: 400 * ms, Kind: BalancerDied},
+	}, 0, Cost{Cut: 1, Unanswered: 1}},
+}
+
 // A frozen balancer owes nothing; one that resumes owes every flow that has not ended.
 func TestFrozenAndKilledBalancers(t *testing.T) {
-	ms := func(n int) time.Duration { return time.Duration(n) * time.Millisecond }
-	accepted := func(at, due int) Event { return Event{At: ms(at), Kind: FlowAccepted, Flow: 1, Deadline: ms(due)} }
-	for _, test := range []struct {
-		name   string
-		events []Event
-		broken Rule
-		cost   Cost
-	}{
-		{"came due while frozen", []Event{
-			accepted(100, 1000),
-			{At: ms(200), Kind: BalancerFrozen},
-			{At: ms(1000), Kind: ClientLeft, Flow: 1},
-			{At: ms(5000), Kind: BalancerResumed},
-		}, 0, Cost{Expired: 1}},
-		{"accepted while frozen", []Event{
-			{At: ms(50), Kind: BalancerFrozen},
-			accepted(100, 1000),
-			{At: ms(5000), Kind: BalancerResumed},
-		}, 0, Cost{Expired: 1, AcceptedFrozen: 1}},
-		{"resumed just before it was due", []Event{
-			accepted(100, 1000),
-			{At: ms(200), Kind: BalancerFrozen},
-			{At: ms(900), Kind: BalancerResumed},
-		}, 0, Cost{Expired: 1}},
-		{"resumed in time and did not answer", []Event{
-			accepted(100, 1000),
-			{At: ms(200), Kind: BalancerFrozen},
-			{At: ms(400), Kind: BalancerResumed},
-		}, OneAnswer, Cost{}},
-		{"an answer after the deadline is none", []Event{
-			accepted(100, 1000),
-			{At: ms(200), Kind: BalancerFrozen},
-			{At: ms(3000), Kind: BalancerResumed},
-			{At: ms(3010), Kind: FlowAnswered, Flow: 1},
-		}, 0, Cost{Expired: 1, AnsweredLate: 1}},
-		{"a connect before it could see", []Event{
-			accepted(100, 1000),
-			{At: ms(200), Kind: BalancerFrozen},
-			{At: ms(3000), Kind: BalancerResumed},
-			{At: ms(3010), Kind: ConnectSent, Flow: 1, Connect: 1},
-		}, 0, Cost{Expired: 1, SentLate: 1}},
-		{"a connect long after", []Event{accepted(100, 1000), {At: ms(200), Kind: BalancerFrozen}, {At: ms(3000), Kind: BalancerResumed},
-			{At: ms(3200), Kind: ConnectSent, Flow: 1, Connect: 1}}, OneAnswer, Cost{Expired: 1, SentLate: 1}},
-		{"a drain announced while frozen", []Event{
-			accepted(100, 4000),
-			{At: ms(200), Kind: BalancerFrozen},
-			{At: ms(300), Kind: ServerAnnounced, Readiness: Draining},
-			{At: ms(3000), Kind: BalancerResumed},
-			{At: ms(3100), Kind: ConnectSent, Flow: 1, Connect: 1},
-			{At: ms(3200), Kind: FlowAnswered, Flow: 1},
-		}, 0, Cost{}},
-		{"and sent after the grace", []Event{
-			accepted(100, 5000),
-			{At: ms(200), Kind: BalancerFrozen},
-			{At: ms(300), Kind: ServerAnnounced, Readiness: Draining},
-			{At: ms(3000), Kind: BalancerResumed},
-			{At: ms(4000), Kind: ConnectSent, Flow: 1, Connect: 1},
-			{At: ms(4100), Kind: FlowAnswered, Flow: 1},
-		}, DrainsRespected, Cost{}},
-		{"killed with one established and one waiting", []Event{
-			accepted(100, 1000),
-			{At: ms(200), Kind: FlowAnswered, Flow: 1},
-			{At: ms(300), Kind: FlowAccepted, Flow: 2, Deadline: ms(900)},
-			{At: ms(400), Kind: BalancerDied},
-		}, 0, Cost{Cut: 1, Unanswered: 1}},
-	} {
+	for _, test := range frozenRuns {
 		t.Run(test.name, func(t *testing.T) {
 			c := New(Limits{
-				Slack:             ms(50),
-				DrainGrace:        ms(750),
+				Slack:             50 * ms,
+				DrainGrace:        750 * ms,
 				SlowStartMultiple: 3,
 				SlowStartWindow:   time.Second,
 				SlowStart:         time.Second,
@@ -85,7 +95,7 @@
 			for _, e := range test.events {
 				c.Observe(e)
 			}
-			found := c.Finish(ms(10000))
+			found := c.Finish(10000 * ms)
 			got := Rule(0)
 			if len(found) > 0 {
 				got = found[0].Rule
