--- a/cmd/testbed/fleet.go
+++ b/cmd/testbed/fleet.go
@@ -23,7 +23,7 @@
 	return &cli.IntFlag{Name: "jobs", Value: 1, Usage: "runs side by side; more than the machine can carry make all of them void"}
 }
 
-func newAgainFlag() cli.Flag {
+func newRepeatVoidFlag() cli.Flag {
 	return &cli.IntFlag{Name: "again", Value: 2, Usage: "play a void run again so many times"}
 }
 
@@ -38,7 +38,7 @@
 			programFlag,
 			&cli.StringFlag{Name: "old", Usage: "the earlier build's `PROGRAM`, in place of building the revision that the file names"},
 			newJobsFlag(),
-			newAgainFlag(),
+			newRepeatVoidFlag(),
 			logsFlag,
 			jsonFlag,
 			htmlFlag,
--- a/cmd/testbed/soak.go
+++ b/cmd/testbed/soak.go
@@ -29,7 +29,7 @@
 			&cli.StringFlag{Name: "seeds", Value: "1-5", Usage: "`FROM-TO`, a run each"},
 			&cli.StringFlag{Name: "keep", Value: ".", Usage: "`DIR` for the plans of runs that fail; testbed fleet plays them again"},
 			newJobsFlag(),
-			newAgainFlag(),
+			newRepeatVoidFlag(),
 			programFlag,
 			logsFlag,
 		},
--- a/internal/simulation/accounting.go
+++ b/internal/simulation/accounting.go
@@ -50,7 +50,7 @@
 	return row
 }
 
-// RowOf says what a row stands for.
+// RowOf is the service type, the customer, and the side of the customer's share that a row is for.
 func (a *Accounting) RowOf(row int) (s ServiceID, c CustomerID, isBeyondShare bool) {
 	return ServiceID(row / 2 / a.customers), CustomerID(row / 2 % a.customers), row%2 == 1
 }
--- a/internal/simulation/client.go
+++ b/internal/simulation/client.go
@@ -190,7 +190,7 @@
 	})
 }
 
-// AnswerFlow tells the client of a flow its final answer.
+// AnswerFlow gives the client of a flow its final answer.
 func (w *World) AnswerFlow(f FlowID, a Answer, retryAfter time.Duration) {
 	c := w.flows[f]
 	if c == nil || c.state != Attempting {
@@ -245,7 +245,7 @@
 	return 0
 }
 
-// BreakFlow ends a client's connection from outside. The client comes back.
+// BreakFlow ends a client's connection against the client's will; it returns after a pause.
 func (w *World) BreakFlow(f FlowID, how Ending) {
 	c := w.flows[f]
 	if c == nil {
--- a/internal/simulation/fault.go
+++ b/internal/simulation/fault.go
@@ -6,26 +6,26 @@
 	"time"
 )
 
-// FaultKind is one way in which a day goes wrong. Its value is the word of experiment files.
+// FaultKind is a kind of fault. Its value names it in experiment files.
 type FaultKind string
 
-// Kinds of faults. What comes back after its fault comes back in slow start.
+// Kinds of faults. Servers that start again after a fault are in slow start.
 const (
 	Slow          FaultKind = "slow"           // a share of servers is Strength times slower
 	Errors        FaultKind = "errors"         // a share of servers fails Strength of its set-ups fast
-	Vanish        FaultKind = "vanish"         // a share of servers goes silent and comes back
-	Crash         FaultKind = "crash"          // a share of servers dies and comes back at the end
+	Vanish        FaultKind = "vanish"         // a share of servers falls silent and starts again at the end
+	Crash         FaultKind = "crash"          // a share of servers dies and starts again at the end
 	Deploy        FaultKind = "deploy"         // a share of servers is replaced, Strength of the fleet at a time, draining for Extra
 	Grow          FaultKind = "grow"           // the fleet becomes Strength times as large
 	StoreSlow     FaultKind = "store_slow"     // the session store is Strength times slower
 	Reconnect     FaultKind = "reconnect"      // a share of clients drops its connections and reconnects within Length
 	Burst         FaultKind = "burst"          // arrivals are Strength times as many
 	Neighbour     FaultKind = "neighbour"      // on a share of servers another program takes Strength, Extra on and Extra off
-	ListDark      FaultKind = "list_dark"      // the server list tells nothing
+	ListDark      FaultKind = "list_dark"      // the server list sends nothing
 	ListStale     FaultKind = "list_stale"     // the server list is Extra later than usual
-	BalancerCrash FaultKind = "balancer_crash" // a share of balancers dies and comes back at the end
+	BalancerCrash FaultKind = "balancer_crash" // a share of balancers dies and starts again at the end
 	BalancerRoll  FaultKind = "balancer_roll"  // a share of balancers is restarted in order, Strength of all at a time, Extra down
-	LocalityLost  FaultKind = "hall_lost"      // all servers and balancers of a locality go silent and come back at the end
+	LocalityLost  FaultKind = "hall_lost"      // all servers and balancers of a locality fall silent and start again at the end
 	Partition     FaultKind = "cut"            // nothing gets from Locality to the others; both directions where Strength is not below 1
 	Overload      FaultKind = "overload"       // the load is Strength times as large, that of established connections too
 )
@@ -34,7 +34,7 @@
 var FaultKinds = []FaultKind{Slow, Errors, Vanish, Crash, Deploy, Grow, StoreSlow, Reconnect, Burst, Neighbour, ListDark, ListStale,
 	BalancerCrash, BalancerRoll, LocalityLost, Partition, Overload}
 
-// AnyLocality stands for a fault that keeps to no locality.
+// AnyLocality marks a fault that is not limited to one locality.
 const AnyLocality LocalityID = -1
 
 // Fault is one entry of a day's timeline. Any may overlap. What Share, Strength and Extra mean is said with the kinds.
--- a/internal/simulation/fault_balancers.go
+++ b/internal/simulation/fault_balancers.go
@@ -50,7 +50,7 @@
 	}
 }
 
-// startBalancerRoll restarts balancers batch by batch: each is asked to stop, gets nothing new soon after, and comes back.
+// startBalancerRoll restarts balancers batch by batch: each is asked to stop, gets no new clients soon after, and starts again.
 func (w *World) startBalancerRoll(f timedFault) {
 	inBatches(w, f, w.faultyBalancers(f), f.batchSize(len(w.Balancers)), func(b *Balancer) {
 		if b.IsUp {
--- a/internal/simulation/fault_servers.go
+++ b/internal/simulation/fault_servers.go
@@ -139,7 +139,7 @@
 	}
 }
 
-// IsFaulty tells whether a fault affects a server now.
+// IsFaulty reports whether a fault affects a server now.
 func (s *Server) IsFaulty() bool {
 	return s.slowdown > 1 || s.stolenShare > 0 || s.errorShare > 0 || !s.IsServing()
 }
--- a/internal/simulation/list.go
+++ b/internal/simulation/list.go
@@ -8,13 +8,13 @@
 // ListConfig says how late the server list is.
 type ListConfig struct {
 	Notice        Interval // until a change is noticed of a process that runs and says so
-	NoticeSilent  Interval // until a server that went silent is noticed
+	NoticeSilent  Interval // until a server that fell silent is noticed
 	NoticeAdded   Interval // until a server that started is noticed
-	Spread        Interval // from there until a balancer is told
-	MustSubscribe bool     // balancers are told nothing until they subscribe
+	Spread        Interval // from there until a balancer receives it
+	MustSubscribe bool     // balancers receive nothing until they subscribe
 }
 
-// List is the service that tells balancers of servers: late, and only whether a process runs.
+// List is the service that sends balancers the list of servers: late, and knowing only whether their processes run.
 type List struct {
 	config      ListConfig
 	w           *World
@@ -27,7 +27,7 @@
 	extraDelay  time.Duration
 }
 
-// subscriber is what one balancer has been told.
+// subscriber is what one balancer has received.
 type subscriber struct {
 	revision     int
 	isSubscribed bool
@@ -83,14 +83,14 @@
 	})
 }
 
-// sendAll tells all balancers what they lack.
+// sendAll sends all balancers the changes that they lack.
 func (l *List) sendAll() {
 	for b := range l.subscribers {
 		l.scheduleSend(BalancerID(b))
 	}
 }
 
-// scheduleSend has a balancer told what it lacks, a little later.
+// scheduleSend sends a balancer the changes that it lacks, after a delay.
 func (l *List) scheduleSend(b BalancerID) {
 	if l.subscribers[b].isPending || !l.subscribers[b].isSubscribed {
 		return
@@ -121,7 +121,7 @@
 	return update
 }
 
-// Known is the list as a balancer was last told it, which a balancer that starts has kept.
+// Known is the list as a balancer last received it, which it still has when it starts again.
 func (l *List) Known(b BalancerID) (known []Entry) {
 	for i, e := range l.entries {
 		if l.changedIn[i] <= l.subscribers[b].revision && e.Readiness != Gone {
@@ -131,10 +131,10 @@
 	return known
 }
 
-// IsUnavailable tells whether the list answers nobody now.
+// IsUnavailable reports whether the list answers nobody now.
 func (l *List) IsUnavailable() bool { return l.outages > 0 }
 
-// Subscribe has a balancer told the whole list and its changes. False: the call fails.
+// Subscribe sends a balancer the whole list, and its changes from then on. False: the call fails.
 func (l *List) Subscribe(b BalancerID) bool {
 	if l.outages > 0 {
 		return false
@@ -144,13 +144,13 @@
 	return true
 }
 
-// restart tells a balancer that starts anew the whole list, unless it must subscribe.
+// restart sends a balancer that starts again the whole list, unless it must subscribe.
 func (l *List) restart(b BalancerID) {
 	l.subscribers[b].needsFull, l.subscribers[b].isSubscribed = true, !l.config.MustSubscribe
 	l.scheduleSend(b)
 }
 
-// Begin tells every balancer the list as it stands, at once: a day starts from what is known.
+// Begin gives every balancer the current list at once: a day starts with it known.
 func (l *List) Begin() {
 	for b := range l.subscribers {
 		l.subscribers[b].revision = l.revision
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -26,12 +26,12 @@
 	return n.BetweenLocalities
 }
 
-// IsBlocked tells whether nothing gets from one locality to another now; the opposite direction may be open.
+// IsBlocked reports whether nothing gets from one locality to another now; the opposite direction may be open.
 func (n *Network) IsBlocked(from, to LocalityID) bool {
 	return len(n.blocked) > 0 && n.blocked[direction{from, to}] > 0
 }
 
-// isPartitioned tells whether either direction is blocked.
+// isPartitioned reports whether either direction is blocked.
 func (n *Network) isPartitioned(a, b LocalityID) bool { return n.IsBlocked(a, b) || n.IsBlocked(b, a) }
 
 // block adds to the faults that block a direction; a negative number removes them.
--- a/internal/simulation/process.go
+++ b/internal/simulation/process.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// goDown ends a server's process, or cuts it off. Its balancers are told of their connections' ends, unless it goes silent.
+// goDown ends a server's process, or cuts it off. Its connections end, unless it falls silent.
 func (s *Server) goDown(to Phase) {
 	s.settle()
 	s.phase = to
@@ -35,7 +35,7 @@
 	s.w.Driver.ServerChanged(s.ID)
 }
 
-// isInSlowStart tells whether connects may make a server collapse.
+// isInSlowStart reports whether connects may make a server collapse.
 func (s *Server) isInSlowStart() bool {
 	return s.startedAt != LongAgo && s.w.slowStart.CollapseMultiple != 0 && s.WarmFraction() < 1
 }
--- a/internal/simulation/queue.go
+++ b/internal/simulation/queue.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	anyNumber      = -1  // of jobs that may wait
-	longestWaitSec = 1e9 // a core that all but stands still is looked at again when its speed changes
-	nanosecond     = 1   // added to each end, as ends are rounded down to whole nanoseconds
+	anyNumber      = -1              // of jobs that may wait
+	maxWaitSeconds = 1e9             // a core that hardly works is scheduled anew when its speed changes
+	endRounding    = time.Nanosecond // added to each end, as ends are rounded down to whole nanoseconds
 )
 
 // Queue is one line of jobs before some cores that all work at the same speed. The speed may change at any time: what has been begun keeps
@@ -114,9 +114,9 @@
 	for _, job := range q.running {
 		least = min(least, job.workLeft)
 	}
-	seconds := min(max(0, least/q.speed), longestWaitSec)
+	seconds := min(max(0, least/q.speed), maxWaitSeconds)
 	version := q.version
-	q.schedule.After(time.Duration(seconds*float64(time.Second))+nanosecond, Work, func() {
+	q.schedule.After(time.Duration(seconds*float64(time.Second))+endRounding, Work, func() {
 		if version == q.version {
 			q.endJobs()
 		}
--- a/internal/simulation/server.go
+++ b/internal/simulation/server.go
@@ -14,7 +14,7 @@
 	Serving   Phase = iota // takes connections
 	Leaving                // drains
 	Down                   // has no process: connections are refused
-	Silent                 // is cut off or stalled: nothing comes back
+	Silent                 // is cut off or stalled: there is no reply
 	Collapsed              // was overloaded in slow start, and is down for good
 )
 
@@ -38,7 +38,7 @@
 	Cell           CellID
 	Cores          int
 	Speed          float64 // work that a core does in a second
-	Size           float64 // as the list tells it
+	Size           float64 // in the list
 	MaxConnections int
 	MaxWaiting     int           // set-ups that wait for a core
 	Buffer         time.Duration // of messages; connections are dropped beyond it
@@ -100,10 +100,10 @@
 // ConnectionCount is how many connections it has, those that are being set up too.
 func (s *Server) ConnectionCount() int { return len(s.conns) }
 
-// HoldsGroup tells whether any connection of a group is established here.
+// HoldsGroup reports whether any connection of a group is established here.
 func (s *Server) HoldsGroup(g GroupID) bool { return g != NoGroup && s.groups[g] > 0 }
 
-// IsServing tells whether it serves, be it that it drains.
+// IsServing reports whether it serves, which it still does while it drains.
 func (s *Server) IsServing() bool { return s.phase == Serving || s.phase == Leaving }
 
 // WarmFraction is the part of its capacity that a server has by now.
@@ -235,7 +235,7 @@
 	}
 }
 
-// reportDelay tells balancers of a server that is late, and once more when that is over.
+// reportDelay reports the delay of a server that is late, and once more when it is late no longer.
 func (s *Server) reportDelay() {
 	if !s.IsServing() || s.established == 0 {
 		return
--- a/internal/simulation/totals.go
+++ b/internal/simulation/totals.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Totals are what a day comes to in numbers of things.
+// Totals are the counts of a day.
 type Totals struct {
 	Clients, Attempts, Retries                 int
 	Established, Rejected, Aborted, NoBalancer int // answers
--- a/internal/simulation/types.go
+++ b/internal/simulation/types.go
@@ -26,13 +26,13 @@
 	CustomerID int
 )
 
-// NoGroup stands for a client that shares nothing.
+// NoGroup is the group of a client that shares nothing.
 const NoGroup GroupID = -1
 
 // LongAgo is the start of a server that has run since before the day.
 const LongAgo = time.Duration(-1 << 62)
 
-// Answer is what a client is told of an attempt.
+// Answer is the final answer to an attempt.
 type Answer int
 
 // Answers to an attempt.
@@ -71,7 +71,7 @@
 const (
 	Open         Reach = iota // it is accepted
 	Refused                   // nobody listens, which is known at once
-	Unresponsive              // nothing comes back
+	Unresponsive              // there is no reply
 )
 
 // Readiness is what the server list says of a server.
@@ -104,7 +104,7 @@
 	IsReturning bool // the client has had or tried a connection before
 }
 
-// Driver is told what the world does to its surroundings: the balancers, and the network before them. Each call says what happens at the
+// Driver carries out what the world does to the balancers and to the network before them. Each call says what happens at the
 // time of the schedule; how long it takes until somebody sees it is the driver's matter.
 type Driver interface {
 	// OpenFlow: a client opens a connection at a balancer and sends its line.
@@ -125,7 +125,7 @@
 	StopBalancer(b BalancerID)
 	// StartBalancer: a balancer starts.
 	StartBalancer(b BalancerID)
-	// ServerChanged: what new connections meet at a server may have changed. Calls of EndConnect have told of those that it had.
+	// ServerChanged: what new connections meet at a server may have changed. EndConnect was called for those that it ended.
 	ServerChanged(s ServerID)
 }
 
@@ -157,8 +157,8 @@
 	RetriesInARow   int // after which a client pauses for longer
 	Retry           RetryPolicy
 	RetryDelay      time.Duration // of the policy
-	ObeysRetryAfter float64       // share of clients that wait as long as they are told
-	Return          Interval      // until a client comes back that lost its connection
+	ObeysRetryAfter float64       // share of clients that wait as long as the answer asks
+	Return          Interval      // until a client that lost its connection returns
 	SilenceNoticed  time.Duration // after which a client gives a silent connection up; 0: never
 }
 
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -215,7 +215,7 @@
 	return w.lastConn
 }
 
-// Reach tells what a new connection from a locality meets at a server now.
+// Reach is what a new connection from a locality would meet at a server now.
 func (w *World) Reach(from LocalityID, id ServerID) Reach {
 	s := w.Servers[id]
 	switch {
@@ -231,7 +231,7 @@
 func (w *World) ArriveConnect(id ConnID, to ServerID, f FlowID, from LocalityID) {
 	s, c := w.Servers[to], w.flows[f]
 	switch {
-	case c == nil: // its client has left, and the balancer is about to be told
+	case c == nil: // its client has left, and the balancer is about to learn of it
 	case s.phase == Silent || w.Network.IsBlocked(from, s.Locality): // the line is lost
 	case !s.IsServing():
 		w.Driver.EndConnect(id, Dropped)
--- a/internal/testbed/experiment/experiment.go
+++ b/internal/testbed/experiment/experiment.go
@@ -134,7 +134,7 @@
 // Terms of the experiment.
 func (e *Experiment) Terms() Terms { return e.terms }
 
-// Probes tells whether servers report their load to those that probe.
+// Probes reports whether servers report their load to those that probe.
 func (e *Experiment) Probes() bool { return e.probes }
 
 // RetryAfter is how long rejected clients may be told to wait.
--- a/internal/testbed/invariants/connect.go
+++ b/internal/testbed/invariants/connect.go
@@ -79,8 +79,8 @@
 	}
 }
 
-// endsOverlap tells whether the end of a connect shows that another one did not overlap with those before it: they ended soon enough after
-// it was sent for their ends to have been seen late.
+// endsOverlap reports whether the end of a connect shows that another one did not overlap with those before it: they ended soon enough
+// after it was sent for their ends to have been seen late.
 func (c *Checker) endsOverlap(end, sent Event, f *flow) bool {
 	isEarlier := func(other Event) bool { return other.Connect < sent.Connect }
 	return sent.Connect != end.Connect && end.At <= sent.At+c.limits.Slack && !slices.ContainsFunc(f.outstanding, isEarlier)
--- a/internal/testbed/invariants/freeze.go
+++ b/internal/testbed/invariants/freeze.go
@@ -39,13 +39,13 @@
 	return c.costs[b]
 }
 
-// isFrozen tells whether a balancer is frozen now.
+// isFrozen reports whether a balancer is frozen now.
 func (c *Checker) isFrozen(b Balancer) bool {
 	freezes := c.freezes[b]
 	return len(freezes) > 0 && freezes[len(freezes)-1].to == stillFrozen
 }
 
-// frozen tells whether a balancer was frozen at some time of a span, and until when. One that resumed early enough before the end of the
+// frozen reports whether a balancer was frozen at some time of a span, and until when. One that resumed early enough before the end of the
 // span is not excused.
 func (c *Checker) frozen(b Balancer, from, to time.Duration) (until time.Duration, wasFrozen bool) {
 	for _, f := range c.freezes[b] {
--- a/internal/testbed/invariants/slowstart.go
+++ b/internal/testbed/invariants/slowstart.go
@@ -75,7 +75,7 @@
 	return count, load, capacity
 }
 
-// knewOfStart tells whether a connect's balancer had been told of the server's start.
+// knewOfStart reports whether a connect's balancer had been told of the server's start.
 func (c *Checker) knewOfStart(arrival Event) bool {
 	a, known := c.announcements[announcementKey{arrival.Balancer, arrival.Server}]
 	return known && a.startedAt == arrival.StartedAt && a.at <= arrival.At
@@ -91,7 +91,7 @@
 	}
 }
 
-// exceeds tells whether a sum passes a bound, and two thirds of it came from balancers that knew better.
+// exceeds reports whether a sum passes a bound, and two thirds of it came from balancers that knew better.
 func (t tally) exceeds(bound float64) bool { return t.sum > bound && t.informed >= t.sum*2/3 }
 
 // withChance is a budget with what chance may add to it: 2√N + 2 connects of the mean load for a budget of N.
--- a/internal/testbed/sockets/client.go
+++ b/internal/testbed/sockets/client.go
@@ -49,7 +49,7 @@
 	state            clientState
 	conn             net.Conn
 	answers          int
-	isAccepted       bool // the checker was told of it
+	isAccepted       bool // as the checker has it
 	hasLeft          bool // by its own will
 	wasEstablished   bool
 	wasMovedByServer bool
@@ -170,7 +170,7 @@
 	return conn, writtenAt, err
 }
 
-// opened notes how the opening went, and tells whether there is an answer to wait for.
+// opened notes how the opening went, and reports whether there is an answer to wait for.
 func (c *client) opened(conn net.Conn, writtenAt time.Duration, err error) bool {
 	d := c.driver
 	d.lockAtNow()
@@ -231,7 +231,7 @@
 	return e
 }
 
-// receiveNext reads a line and tells whether the connection goes on.
+// receiveNext reads a line and reports whether the connection goes on.
 func (c *client) receiveNext(lines *bufio.Reader, done <-chan struct{}) bool {
 	d := c.driver
 	line, err := lines.ReadString('\n')
@@ -359,7 +359,7 @@
 	return int(b) < len(d.processes) && d.processes[b].isUp
 }
 
-// isListening tells whether anybody listens at an address on this machine.
+// isListening reports whether anybody listens at an address on this machine.
 func isListening(ctx context.Context, address string) bool {
 	conn, err := (&net.Dialer{Timeout: listenerTimeout}).DialContext(ctx, "tcp", address)
 	if err == nil {
--- a/internal/testbed/sockets/connection.go
+++ b/internal/testbed/sockets/connection.go
@@ -57,7 +57,7 @@
 	}
 }
 
-// opened takes the opening line, and tells whether the connection goes on.
+// opened takes the opening line, and reports whether the connection goes on.
 func (c *connection) opened(conn net.Conn, id string, fields map[string]string) bool {
 	c.driver.lockAtNow()
 	defer c.driver.unlock()
--- a/internal/testbed/sockets/driver.go
+++ b/internal/testbed/sockets/driver.go
@@ -309,7 +309,7 @@
 	return d.voidReason(), nil
 }
 
-// voidReason tells whether the driver itself was late, or empty: a busy machine must not be held against the balancers, nor can what the
+// voidReason reports whether the driver itself was late, or empty: a busy machine must not be held against the balancers, nor can what the
 // checker was told later than it puts events in order.
 func (d *Driver) voidReason() string {
 	if d.maxObservationDelay > maxReordering {
--- a/internal/testbed/sockets/isolation.go
+++ b/internal/testbed/sockets/isolation.go
@@ -25,7 +25,7 @@
 	// Launch changes how a process is started, and returns the program with its arguments.
 	Launch  func(b simulation.BalancerID, incarnation int, command *exec.Cmd) (program []string, err error)
 	Ended   func(simulation.BalancerID, error) // a process ended that nobody ended
-	Observe func(invariants.Event)             // is told all that the checker is told
+	Observe func(invariants.Event)             // gets each event that the checker gets
 }
 
 // Isolate is called before Open.
--- a/internal/testbed/sockets/process.go
+++ b/internal/testbed/sockets/process.go
@@ -222,7 +222,7 @@
 	return fmt.Errorf("balancer %d was not ready after %v; its log is %s", p.id, readyTimeout, p.log)
 }
 
-// ping tells whether a balancer answers.
+// ping reports whether a balancer answers.
 func ping(ctx context.Context, address string) bool {
 	conn, err := (&net.Dialer{Timeout: pingTimeout}).DialContext(ctx, "tcp", address)
 	if err != nil {
