--- a/internal/simulation/client.go
+++ b/internal/simulation/client.go
@@ -180,10 +180,17 @@
 		w.Driver.LeaveFlow(c.endFlow())
 		c.scheduleRetry(0)
 	})
-	w.Driver.OpenFlow(Attempt{Flow: c.flow, Client: c, Balancer: b, Timeout: service.Timeout, IsRetry: c.failedInARow > 0, IsReturning: c.retried > 0})
+	w.Driver.OpenFlow(Attempt{
+		Flow:        c.flow,
+		Client:      c,
+		Balancer:    b,
+		Timeout:     service.Timeout,
+		IsRetry:     c.failedInARow > 0,
+		IsReturning: c.retried > 0,
+	})
 }
 
-// AnswerFlow tells the client of a flow its final answer.
+// AnswerFlow gives the client of a flow its final answer.
 func (w *World) AnswerFlow(f FlowID, a Answer, retryAfter time.Duration) {
 	c := w.flows[f]
 	if c == nil || c.state != Attempting {
@@ -238,7 +245,7 @@
 	return 0
 }
 
-// BreakFlow ends a client's connection from outside. The client comes back.
+// BreakFlow ends a client's connection against the client's will; it returns after a pause.
 func (w *World) BreakFlow(f FlowID, how Ending) {
 	c := w.flows[f]
 	if c == nil {
--- a/internal/testbed/invariants/connect.go
+++ b/internal/testbed/invariants/connect.go
@@ -79,8 +79,8 @@
 	}
 }
 
-// endsOverlap tells whether the end of a connect shows that another one did not overlap with those before it: they ended soon enough after
-// it was sent for their ends to have been seen late.
+// endsOverlap reports whether the end of a connect shows that another one did not overlap with those before it: they ended soon enough
+// after it was sent for their ends to have been seen late.
 func (c *Checker) endsOverlap(end, sent Event, f *flow) bool {
 	isEarlier := func(other Event) bool { return other.Connect < sent.Connect }
 	return sent.Connect != end.Connect && end.At <= sent.At+c.limits.Slack && !slices.ContainsFunc(f.outstanding, isEarlier)
@@ -96,8 +96,14 @@
 		if len(f.outstanding) > 0 {
 			first = f.outstanding[0]
 		}
-		c.report(Violation{Rule: NoDuplicateEffect, At: sent.At, Balancer: sent.Balancer, Flow: id, Server: sent.Server, What: "two connects out"},
-			f.accepted, first, sent)
+		c.report(Violation{
+			Rule:     NoDuplicateEffect,
+			At:       sent.At,
+			Balancer: sent.Balancer,
+			Flow:     id,
+			Server:   sent.Server,
+			What:     "two connects out",
+		}, f.accepted, first, sent)
 		return true
 	})
 }
--- a/internal/testbed/scale/control_real.go
+++ b/internal/testbed/scale/control_real.go
@@ -29,13 +29,17 @@
 	publishPollInterval   = 10 * time.Millisecond
 	modelTolerance        = 0.2 // share of the real engines' figure
 	realFleetLabel        = fleetLabel
+
+	// What internal/membership/engine logs when it sees a member in another state.
+	memberStateMessage = "member state changed"
+	memberStateKey     = "state"
 )
 
 // sentCounter counts what all engines of this process send, in memberlist's units: without headers and label.
 type sentCounter struct {
 	metrics.BlackholeSink
 	datagrams, datagramBytes, streamBytes atomic.Int64
-	departures                            departureCounter
+	departures                            stateCounter
 }
 
 // IncrCounterWithLabels counts the bytes of one sent message.
@@ -52,16 +56,17 @@
 	}
 }
 
-// departureCounter is a log handler that counts how often an engine declares a member gone, and drops everything else.
-type departureCounter struct {
+// stateCounter is a log handler that counts how often an engine declares a member to be in a state, and drops everything else.
+type stateCounter struct {
 	slog.Handler
+	state membership.State
 	count atomic.Int64
 }
 
-// Handle counts a departure logged by an engine.
-func (c *departureCounter) Handle(_ context.Context, line slog.Record) error {
+// Handle counts a change that an engine logs.
+func (c *stateCounter) Handle(_ context.Context, line slog.Record) error {
 	line.Attrs(func(a slog.Attr) bool {
-		if line.Message == "member" && a.Key == "is" && a.Value.String() == string(membership.Gone) {
+		if line.Message == memberStateMessage && a.Key == memberStateKey && a.Value.String() == string(c.state) {
 			c.count.Add(1)
 		}
 		return true
@@ -191,9 +196,10 @@
 			return nil
 		}
 		if time.Now().After(until) {
+			percent := 100 * float64(seen) / float64(all)
 			return &Error{
 				Where:  "members-real",
-				What:   fmt.Sprintf("%d engines see %.1f %% of each other after %v", len(f.members), 100*float64(seen)/float64(all), discoveryTimeout),
+				What:   fmt.Sprintf("%d engines see %.1f %% of each other after %v", len(f.members), percent, discoveryTimeout),
 				Remedy: "run it when the machine is less busy, or ask for fewer",
 			}
 		}
@@ -264,7 +270,7 @@
 }
 
 func countSent() *sentCounter {
-	counter := &sentCounter{departures: departureCounter{Handler: slog.NewTextHandler(io.Discard, nil)}}
+	counter := &sentCounter{departures: stateCounter{Handler: slog.NewTextHandler(io.Discard, nil), state: membership.Gone}}
 	config := metrics.DefaultConfig("")
 	config.EnableHostname = false
 	config.EnableRuntimeMetrics = false
@@ -307,9 +313,12 @@
 		return err
 	}
 	per := took.Seconds() * float64(size)
+	datagrams := to.datagrams - from.datagrams
+	datagramBytes := to.datagramBytes - from.datagramBytes + datagrams*(datagramHeaders+labelHeader+float64(len(fleetLabel)))
 	m.compareWithModel("datagram-bytes-out", "sent by a member in datagrams, headers too", unitBytesSecond, size,
-		(to.datagramBytes-from.datagramBytes+(to.datagrams-from.datagrams)*(datagramHeaders+labelHeader+float64(len(fleetLabel))))/per, model.totalBytes())
-	m.compareWithModel("datagrams-out", "datagrams sent by a member", unitPerSecond, size, (to.datagrams-from.datagrams)/per, model.recordDatagrams+model.probeDatagrams)
+		datagramBytes/per, model.totalBytes())
+	m.compareWithModel("datagrams-out", "datagrams sent by a member", unitPerSecond, size,
+		datagrams/per, model.recordDatagrams+model.probeDatagrams)
 	message := len(exchangeMessage(size)) + recordsBytes(size, recordBytes)
 	m.compareWithModel("stream-bytes-out", "sent by a member in exchanges, without headers", unitBytesSecond, size,
 		(to.streamBytes-from.streamBytes)/per, 2*float64(message)/exchangeInterval(size).Seconds())
--- a/internal/testbed/sockets/client.go
+++ b/internal/testbed/sockets/client.go
@@ -49,7 +49,7 @@
 	state            clientState
 	conn             net.Conn
 	answers          int
-	isAccepted       bool // the checker was told of it
+	isAccepted       bool // as the checker has it
 	hasLeft          bool // by its own will
 	wasEstablished   bool
 	wasMovedByServer bool
@@ -93,7 +93,8 @@
 }
 
 // AdoptFlow opens a connection that is established when the day begins.
-func (d *Driver) AdoptFlow(f simulation.FlowID, c *simulation.Client, b simulation.BalancerID, conn simulation.ConnID, s simulation.ServerID) {
+func (d *Driver) AdoptFlow(f simulation.FlowID, c *simulation.Client, b simulation.BalancerID, conn simulation.ConnID,
+	s simulation.ServerID) {
 	d.awaitingEstablished[f] = conn
 	attempt := simulation.Attempt{Flow: f, Client: c, Balancer: b, Timeout: establishWithin}
 	d.startClient(attempt, ",at="+experiment.ServerName(s)).isInitial = true
@@ -169,7 +170,7 @@
 	return conn, writtenAt, err
 }
 
-// opened notes how the opening went, and tells whether there is an answer to wait for.
+// opened notes how the opening went, and reports whether there is an answer to wait for.
 func (c *client) opened(conn net.Conn, writtenAt time.Duration, err error) bool {
 	d := c.driver
 	d.lockAtNow()
@@ -230,7 +231,7 @@
 	return e
 }
 
-// receiveNext reads a line and tells whether the connection goes on.
+// receiveNext reads a line and reports whether the connection goes on.
 func (c *client) receiveNext(lines *bufio.Reader, done <-chan struct{}) bool {
 	d := c.driver
 	line, err := lines.ReadString('\n')
@@ -272,20 +273,20 @@
 
 // receive takes one line of the balancer.
 func (c *client) receive(line string) {
-	word, rest, _ := strings.Cut(line, " ")
+	reply, argument, _ := strings.Cut(line, " ")
 	switch {
 	case c.state == established:
-		if word == "MOVE" {
+		if reply == "MOVE" {
 			c.migrate()
 		}
 	case c.wasEstablished: // it has just left: the line is no answer
 	case c.isInitial:
-		c.receiveInitial(word, line)
+		c.receiveInitial(reply, line)
 	case !c.driver.world.Balancers[c.balancer].IsUp: // sent before its balancer was killed, and received after: what it held is void
 		c.transition(over)
 		c.driver.world.BreakFlow(c.flow, simulation.Cut)
 	default:
-		c.receiveAnswer(word, rest)
+		c.receiveAnswer(reply, argument)
 	}
 }
 
@@ -301,20 +302,20 @@
 	d.world.BreakFlow(c.flow, simulation.Migrated)
 }
 
-func (c *client) receiveInitial(word, line string) {
+func (c *client) receiveInitial(reply, line string) {
 	delete(c.driver.awaitingEstablished, c.flow)
-	if word != "UP" {
+	if reply != "UP" {
 		c.driver.fail("a connection that stands at the beginning was answered %q", line)
 	}
 	c.transition(established)
 }
 
 // receiveAnswer tells the checker each answer, and the world the first one.
-func (c *client) receiveAnswer(word, rest string) {
+func (c *client) receiveAnswer(reply, argument string) {
 	d := c.driver
 	c.answers++
 	answer, observed := simulation.Aborted, invariants.Aborted
-	switch word {
+	switch reply {
 	case "UP":
 		answer, observed = simulation.Established, invariants.Established
 	case "BUSY":
@@ -331,7 +332,7 @@
 	case simulation.Established:
 		c.transition(established)
 	case simulation.Rejected:
-		ms, _ := strconv.ParseFloat(rest, 64) // without a number there is no time to wait
+		ms, _ := strconv.ParseFloat(argument, 64) // without a number there is no time to wait
 		retryAfter = time.Duration(ms * float64(time.Millisecond))
 	}
 	d.world.AnswerFlow(c.flow, answer, retryAfter)
@@ -347,7 +348,7 @@
 	case before == established:
 		d.world.BreakFlow(c.flow, simulation.Cut)
 	case isUnanswered && d.balancersAreExternal && !isListening(d.ctx, c.address):
-		d.observe(invariants.Event{Kind: invariants.BalancerDied, Balancer: invariants.Balancer(c.balancer)}) // a rule binds a balancer that runs
+		d.ObserveBalancer(c.balancer, invariants.BalancerDied) // a rule binds a balancer that runs
 		d.world.BreakFlow(c.flow, simulation.Cut)
 	case isUnanswered && !d.isProcessUp(c.balancer): // else the flow is lost, unless the balancer's end is about to be observed
 		d.world.BreakFlow(c.flow, simulation.Cut)
@@ -358,7 +359,7 @@
 	return int(b) < len(d.processes) && d.processes[b].isUp
 }
 
-// isListening tells whether anybody listens at an address on this machine.
+// isListening reports whether anybody listens at an address on this machine.
 func isListening(ctx context.Context, address string) bool {
 	conn, err := (&net.Dialer{Timeout: listenerTimeout}).DialContext(ctx, "tcp", address)
 	if err == nil {
--- a/internal/testbed/sockets/driver.go
+++ b/internal/testbed/sockets/driver.go
@@ -42,7 +42,7 @@
 	world                *simulation.World
 	checker              *invariants.Checker
 	program              []string // starts a balancer; its configuration is added
-	folder               string   // for configurations and logs
+	directory            string   // for configurations and logs
 	options              string   // the path of the operators' file that balancers are started with
 	balancersAreExternal bool     // what runs is only seen from outside
 	isolation            *Isolation
@@ -79,11 +79,11 @@
 	ConnectedAt    []time.Duration
 }
 
-// New prepares a run. program starts a balancer, which finds the path of its configuration in PROXY_CONFIG; folder is for configurations
+// New prepares a run. program starts a balancer, which finds the path of its configuration in PROXY_CONFIG; directory is for configurations
 // and logs. An empty program leaves balancers out: servers and discovery alone.
-func New(parent context.Context, day *experiment.Day, checker *invariants.Checker, program []string, folder string) *Driver {
+func New(parent context.Context, day *experiment.Day, checker *invariants.Checker, program []string, directory string) *Driver {
 	const significantFigures = 3
-	d := &Driver{day: day, world: day.World, checker: checker, program: program, folder: folder, startedAt: time.Now(),
+	d := &Driver{day: day, world: day.World, checker: checker, program: program, directory: directory, startedAt: time.Now(),
 		wake: make(chan struct{}, 1), starts: make(chan func()),
 		clients: map[simulation.FlowID]*client{}, connections: map[simulation.ConnID]*connection{},
 		awaitingEstablished: map[simulation.FlowID]simulation.ConnID{},
@@ -108,7 +108,7 @@
 
 // SetOptions has balancers started with an operators' file.
 func (d *Driver) SetOptions(text string) error {
-	d.options = filepath.Join(d.folder, "options.toml")
+	d.options = filepath.Join(d.directory, "options.toml")
 	if err := os.WriteFile(d.options, []byte(text), optionsMode); err != nil {
 		return fmt.Errorf("write the operators' options: %w", err)
 	}
@@ -244,7 +244,7 @@
 	d.mu.Unlock()
 	reported := time.Duration(0)
 	for {
-		now, pause, isFinished := d.step()
+		now, isFinished := d.step()
 		if progress != nil && now-reported >= progressInterval {
 			reported = now
 			progress(now)
@@ -252,14 +252,14 @@
 		if isFinished {
 			return d.finish()
 		}
-		if err := d.pause(pause); err != nil {
+		if err := d.pause(); err != nil {
 			return "", err
 		}
 	}
 }
 
-// step does what is due, and tells how long to pause before the next step.
-func (d *Driver) step() (now, pause time.Duration, isFinished bool) {
+// step does what is due.
+func (d *Driver) step() (now time.Duration, isFinished bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	end := d.world.Accounting.Length
@@ -269,15 +269,12 @@
 	}
 	d.world.Schedule.RunTo(min(now, end))
 	d.checker.Advance(now)
-	pause = longestPause
-	if next, ok := d.world.Schedule.Next(); ok {
-		pause = min(pause, next-d.now())
-	}
-	return now, pause, now >= end || d.fault != nil
+	return now, now >= end || d.fault != nil
 }
 
-func (d *Driver) pause(length time.Duration) error {
-	timer := time.NewTimer(max(length, 0))
+// pause waits until something is due or may be, or the context ends.
+func (d *Driver) pause() error {
+	timer := time.NewTimer(max(d.untilNext(), 0))
 	defer timer.Stop()
 	select {
 	case <-d.ctx.Done():
@@ -288,6 +285,16 @@
 	return nil
 }
 
+// untilNext is the time from now until the next action is due, up to longestPause; below 0 where it is late.
+func (d *Driver) untilNext() time.Duration {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if next, ok := d.world.Schedule.Next(); ok {
+		return min(longestPause, next-d.now())
+	}
+	return longestPause
+}
+
 // finish ends the day. What was accepted in the last moments is not owed an answer that nobody waits for.
 func (d *Driver) finish() (void string, err error) {
 	d.mu.Lock()
@@ -302,11 +309,12 @@
 	return d.voidReason(), nil
 }
 
-// voidReason tells whether the driver itself was late, or empty: a busy machine must not be held against the balancers, nor can what the
+// voidReason reports whether the driver itself was late, or empty: a busy machine must not be held against the balancers, nor can what the
 // checker was told later than it puts events in order.
 func (d *Driver) voidReason() string {
 	if d.maxObservationDelay > maxReordering {
-		return fmt.Sprintf("the machine was too busy: the drive saw something %v after it happened (%v is allowed)", d.maxObservationDelay, maxReordering)
+		return fmt.Sprintf("the machine was too busy: the drive saw something %v after it happened (%v is allowed)",
+			d.maxObservationDelay, maxReordering)
 	}
 	p99 := time.Duration(d.lateness.ValueAtQuantile(99)) * time.Microsecond
 	most := time.Duration(d.lateness.Max()) * time.Microsecond
--- a/internal/testbed/sockets/process.go
+++ b/internal/testbed/sockets/process.go
@@ -45,8 +45,13 @@
 	if err != nil {
 		return nil, fmt.Errorf("find an address for balancer %d: %w", b, err)
 	}
-	p := &process{driver: d, id: b, address: listener.Addr().String(), config: filepath.Join(d.folder, fmt.Sprintf("balancer-%d.json", b)),
-		log: filepath.Join(d.folder, fmt.Sprintf("balancer-%d.log", b))}
+	p := &process{
+		driver:  d,
+		id:      b,
+		address: listener.Addr().String(),
+		config:  filepath.Join(d.directory, fmt.Sprintf("balancer-%d.json", b)),
+		log:     filepath.Join(d.directory, fmt.Sprintf("balancer-%d.log", b)),
+	}
 	if err := listener.Close(); err != nil {
 		return nil, fmt.Errorf("free the address of balancer %d: %w", b, err)
 	}
@@ -217,7 +222,7 @@
 	return fmt.Errorf("balancer %d was not ready after %v; its log is %s", p.id, readyTimeout, p.log)
 }
 
-// ping tells whether a balancer answers.
+// ping reports whether a balancer answers.
 func ping(ctx context.Context, address string) bool {
 	conn, err := (&net.Dialer{Timeout: pingTimeout}).DialContext(ctx, "tcp", address)
 	if err != nil {
