--- a/cmd/yardwinch/members.go
+++ b/cmd/yardwinch/members.go
@@ -37,11 +37,11 @@
 func (t table) addMembers(view daemon.MembersView) {
 	t.line("as seen by %s\n\nmember\tis\tfor\tat\ttold\tbuild\tsettings\tflows/s\tservers in trouble", view.Name)
 	for _, m := range view.Members {
-		lastHeard := "nothing"
-		if m.LastHeard >= 0 {
-			lastHeard = fmt.Sprintf("%.1f s ago", m.LastHeard)
+		published := "nothing"
+		if m.RecordAge >= 0 {
+			published = fmt.Sprintf("%.1f s ago", m.RecordAge)
 		}
-		t.line("%s\t%s\t%v\t%s\t%s\t%s\t%s\t%.1f\t%d", m.Name, m.State, m.Since.Round(time.Second), m.Addr, lastHeard, cmp.Or(m.Build, "-"),
+		t.line("%s\t%s\t%v\t%s\t%s\t%s\t%s\t%.1f\t%d", m.Name, m.State, m.Since.Round(time.Second), m.Addr, published, cmp.Or(m.Build, "-"),
 			cmp.Or(m.Settings, "-"), m.Rate, m.FaultyServers)
 	}
 	if len(view.Leases) > 0 {
--- a/internal/config/balancer.go
+++ b/internal/config/balancer.go
@@ -93,7 +93,7 @@
 		settings.fail(keyNinesWeight, "must not be below 0")
 	}
 	if full < 0 || weight > 0 && full == 0 {
-		settings.fail(keyFullNines, "must be above 0 where goal.nines-part is")
+		settings.fail(keyFullNines, "must be above 0 where %s is", keyNinesWeight)
 	}
 }
 
@@ -142,10 +142,10 @@
 	return shortest
 }
 
-// delayLimitPart is the part of the message target from which a message counts as late.
-const delayLimitPart = 3
+// latencyThresholdDivisor is how many times the latency threshold fits into the latency objective for messages.
+const latencyThresholdDivisor = 3
 
 // LatencyThreshold is the latency from which a message counts as late: well before its latency objective is missed.
 func LatencyThreshold(settings Values) time.Duration {
-	return MessageTarget(settings) / delayLimitPart
+	return MessageTarget(settings) / latencyThresholdDivisor
 }
--- a/internal/config/migrate.go
+++ b/internal/config/migrate.go
@@ -7,28 +7,42 @@
 	"slices"
 )
 
-// Migrate combines an old configuration with a shape: the part of a configuration that describes another place. It
-// returns the new configuration and lines that say what became of each key and why, sorted. What neither file
-// states is not stated. An old file that has the new shape already comes out byte for byte alike, with unchanged
-// true. Errors name the file and the key; the names of the files are for these alone.
-func Migrate(oldName, shapeName string, old, shape []byte) (text []byte, lines []string, unchanged bool, err error) {
-	from, err := readLeaves(old)
+// File is the content of a file, with the name that errors have for it.
+type File struct {
+	Name string
+	Text []byte
+}
+
+// Migrated is what comes of a migration.
+type Migrated struct {
+	Text        []byte   // the new configuration
+	Report      []string // what became of each key and why, sorted
+	IsUnchanged bool     // the old configuration had the new shape already; Text is alike, byte for byte
+}
+
+// Migrate combines an old configuration with a shape: the part of a configuration that describes another place. What
+// neither file states is not stated. Errors name the file and the key.
+func Migrate(old, shape File) (Migrated, error) {
+	from, err := readLeaves(old.Text)
 	if err != nil {
-		return nil, nil, false, fmt.Errorf("%s: %w", oldName, err)
+		return Migrated{}, fmt.Errorf("%s: %w", old.Name, err)
 	}
-	to, err := readLeaves(shape)
+	to, err := readLeaves(shape.Text)
 	if err != nil {
-		return nil, nil, false, fmt.Errorf("%s: %w", shapeName, err)
+		return Migrated{}, fmt.Errorf("%s: %w", shape.Name, err)
 	}
 	if err := checkShape(to); err != nil {
-		return nil, nil, false, fmt.Errorf("%s: %w", shapeName, err)
+		return Migrated{}, fmt.Errorf("%s: %w", shape.Name, err)
 	}
-	merged, lines := mergeLeaves(from, to)
+	merged, report := mergeLeaves(from, to)
 	if reflect.DeepEqual(merged, from) {
-		return old, lines, true, nil
+		return Migrated{Text: old.Text, Report: report, IsUnchanged: true}, nil
+	}
+	text, err := json.MarshalIndent(nestLeaves(merged), "", "  ")
+	if err != nil {
+		return Migrated{}, fmt.Errorf("encode the new configuration: %w", err)
 	}
-	text, err = json.MarshalIndent(nestLeaves(merged), "", "  ")
-	return append(text, '\n'), lines, false, err
+	return Migrated{Text: append(text, '\n'), Report: report}, nil
 }
 
 // checkShape refuses keys that are unknown or that no shape may state.
@@ -42,7 +56,8 @@
 			return fmt.Errorf("%s: can't be taken over, %s", key, reasons[key])
 		}
 	}
-	for _, key := range []string{"settings.service-types", "settings.tenants"} {
+	for _, list := range []string{keyServiceTypes, keyCustomers} {
+		key := keySettings + "." + list
 		if err := checkItems(key, shape[key]); err != nil {
 			return err
 		}
@@ -65,32 +80,32 @@
 	return nil
 }
 
-// mergeLeaves carries over what may stay of the old leaves, adds those of the shape, and says what became of each.
-func mergeLeaves(from, shape map[string]any) (merged map[string]any, lines []string) {
+// mergeLeaves carries over what may stay of the old leaves, adds those of the shape, and reports what became of each.
+func mergeLeaves(from, shape map[string]any) (merged map[string]any, report []string) {
 	merged = map[string]any{}
 	for key, value := range from {
 		_, restated := shape[key]
 		d, known := dispositions[key]
 		switch {
 		case !known:
-			lines = append(lines, key+": left behind, unknown key")
+			report = append(report, key+": left behind, unknown key")
 		case restated:
-			lines = append(lines, key+": taken from the shape")
+			report = append(report, key+": taken from the shape")
 		case d == carriedOver:
-			lines = append(lines, key+": carried over")
+			report = append(report, key+": carried over")
 			merged[key] = value
 		default:
-			lines = append(lines, key+": left behind, "+dropReason(key))
+			report = append(report, key+": left behind, "+dropReason(key))
 		}
 	}
 	for key, value := range shape {
 		merged[key] = value
 		if _, stated := from[key]; !stated {
-			lines = append(lines, key+": taken from the shape, not in the old file")
+			report = append(report, key+": taken from the shape, not in the old file")
 		}
 	}
-	slices.Sort(lines)
-	return merged, lines
+	slices.Sort(report)
+	return merged, report
 }
 
 func dropReason(key string) string {
--- a/internal/config/values.go
+++ b/internal/config/values.go
@@ -137,7 +137,8 @@
 	return nil
 }
 
-// enum is the meaning of a value that must be one of the given words.
+// enum is the meaning of a value that must be one of the given words. An unknown word is a fault, and gives the zero
+// value.
 func enum[T any](v Values, path string, meanings map[string]T, absent T) T {
 	text := v.String(path, "")
 	if text == "" {
--- a/internal/daemon/members.go
+++ b/internal/daemon/members.go
@@ -14,7 +14,7 @@
 	Build         string  `json:"build,omitempty"`
 	Settings      string  `json:"settings,omitempty"` // a digest
 	Incarnation   uint64  `json:"incarnation,omitempty"`
-	LastHeard     float64 `json:"told_s_ago"` // seconds since it published its record; below 0: it never did
+	RecordAge     float64 `json:"told_s_ago"` // seconds since it published its record; below 0: it never did
 	Rate          float64 `json:"flows_a_second"`
 	FaultyServers int     `json:"servers_in_trouble"`
 }
@@ -56,7 +56,7 @@
 	})
 	view.Dropped = g.group.Dropped()
 	for _, member := range g.group.Members() {
-		m := MemberView{Member: member, LastHeard: -1}
+		m := MemberView{Member: member, RecordAge: -1}
 		if record, ok := published[string(member.Name)]; ok {
 			m.setRecord(record)
 		}
@@ -66,7 +66,7 @@
 }
 
 func (m *MemberView) setRecord(record publishedRecord) {
-	m.LastHeard = record.age.Seconds()
+	m.RecordAge = record.age.Seconds()
 	m.Build = record.Build
 	m.Settings = record.Settings
 	m.Incarnation = uint64(record.Incarnation)
--- a/internal/daemon/migrate.go
+++ b/internal/daemon/migrate.go
@@ -24,53 +24,54 @@
 // each key. The new configuration is checked by the code that serves it, and is written whole or not at all. One
 // that can't be served is ErrConfiguration.
 func Migrate(ctx context.Context, output io.Writer, m Migration) error {
-	source, err := m.read()
+	old, shape, err := m.read()
 	if err != nil {
 		return fmt.Errorf("migrate: %w", err)
 	}
 	if err := m.checkTarget(); err != nil {
 		return fmt.Errorf("migrate: %w", err)
 	}
-	text, lines, unchanged, err := config.Migrate(m.OldPath, m.ShapePath, source.old, source.shape)
+	migrated, err := config.Migrate(old.File, shape)
 	if err != nil {
 		return configurationError{fmt.Errorf("migrate: %w", err)}
 	}
-	if err := checkText(ctx, Source{ConfigPath: m.NewPath, Environment: os.Getenv}, text); err != nil {
+	if err := checkText(ctx, Source{ConfigPath: m.NewPath, Environment: os.Getenv}, migrated.Text); err != nil {
 		return configurationError{fmt.Errorf("migrate: what would be written can't be served: %w", err)}
 	}
 	if !m.DryRun {
-		if err := replaceFile(m.NewPath, text, source.mode); err != nil {
+		if err := replaceFile(m.NewPath, migrated.Text, old.mode); err != nil {
 			return fmt.Errorf("migrate: %w", err)
 		}
 	}
-	if unchanged {
-		lines = append(lines, "the old file is of the new shape already; it comes out as it is")
-	}
-	for _, line := range lines {
+	for _, line := range migrated.Report {
 		_, _ = fmt.Fprintln(output, line) // the file is written, whether or not anybody reads this
 	}
+	if migrated.IsUnchanged {
+		_, _ = fmt.Fprintln(output, "the old file is of the new shape already; it comes out as it is")
+	}
 	return nil
 }
 
-// migrationSource is what a migration starts from.
-type migrationSource struct {
-	old, shape []byte
-	mode       os.FileMode // of the old file, and so of the new one
+// oldFile is the file that is migrated.
+type oldFile struct {
+	config.File
+	mode os.FileMode // the new file gets the same
 }
 
-func (m Migration) read() (source migrationSource, err error) {
-	if source.old, err = os.ReadFile(m.OldPath); err != nil {
-		return source, err
+func (m Migration) read() (old oldFile, shape config.File, err error) {
+	old.Name, shape.Name = m.OldPath, m.ShapePath
+	if old.Text, err = os.ReadFile(old.Name); err != nil {
+		return old, shape, err
 	}
-	if source.shape, err = os.ReadFile(m.ShapePath); err != nil {
-		return source, err
+	if shape.Text, err = os.ReadFile(shape.Name); err != nil {
+		return old, shape, err
 	}
-	info, err := os.Stat(m.OldPath)
+	info, err := os.Stat(old.Name)
 	if err != nil {
-		return source, err
+		return old, shape, err
 	}
-	source.mode = info.Mode().Perm()
-	return source, nil
+	old.mode = info.Mode().Perm()
+	return old, shape, nil
 }
 
 // checkTarget returns why the new file must not be written; nil: it may be.
