--- a/internal/explain/server.go
+++ b/internal/explain/server.go
@@ -28,12 +28,20 @@
 	probeTimeout        = 100 * time.Millisecond
 	acceptRetryInterval = 50 * time.Millisecond
 	ownerOnly           = 0o600 // the answers name flows
-	questionState       = "state"
-	questionMembers     = "members"
-	questionWhy         = "why"
-	answerUnknownFlow   = "nothing is known of this flow (any more)"
-	answerNoMembers     = "peers are off here"
-	answerBadQuestion   = "want state, members, or why and a flow"
+)
+
+// Questions.
+const (
+	questionState   = "state"
+	questionMembers = "members"
+	questionWhy     = "why" // and the id of a flow
+)
+
+// Answers to questions that can't be answered.
+const (
+	answerUnknownFlow = "nothing is known of this flow (any more)"
+	answerNoMembers   = "peers are off here"
+	answerBadQuestion = "want state, members, or why and a flow"
 )
 
 // Listen opens the socket. One that a process left behind is replaced; one on which a process listens is an error.
