--- a/internal/daemon/upgrade_predecessor.go
+++ b/internal/daemon/upgrade_predecessor.go
@@ -22,13 +22,22 @@
 // awaitSuccessors waits for processes that take over from this one, one after the other, beginning with the socket
 // that was opened or failed to. A directory that fails is retried: until it works no other process finds this one.
 func (d *Daemon) awaitSuccessors(ctx context.Context, listener *net.UnixListener, err error) {
+	var accepting sync.WaitGroup
+	defer accepting.Wait()
+	closeCurrent := func() {}
+	defer func() { closeCurrent() }()
 	backoff := retry.Backoff{First: firstStoreRetry, Longest: longestStoreRetry}
 	for failing := false; ; {
 		switch {
 		case err == nil:
 			failing = false
 			backoff.Reset()
-			d.acceptSuccessors(ctx, listener)
+			closeCurrent() // not before the next one is there, so that a successor finds one of them at any time
+			closeCurrent = d.acceptSuccessors(ctx, listener, &accepting)
+			select {
+			case <-ctx.Done():
+			case <-d.relisten:
+			}
 		case !retry.IsTransient(err) && !errors.Is(err, fs.ErrNotExist):
 			slog.Error("no hand-over to a successor", "error", err)
 			return
@@ -46,26 +55,18 @@
 	}
 }
 
-// acceptSuccessors serves the processes that want to take over, until the socket for them belongs to another process.
-func (d *Daemon) acceptSuccessors(ctx context.Context, listener *net.UnixListener) {
-	closeListener := func() { _ = listener.Close() } // fails only where it is closed already
-	defer context.AfterFunc(ctx, closeListener)()
-	var links sync.WaitGroup
-	defer links.Wait()
-	links.Go(func() {
+// acceptSuccessors serves the processes that want to take over, in the background, until the listener is closed.
+func (d *Daemon) acceptSuccessors(ctx context.Context, listener *net.UnixListener, accepting *sync.WaitGroup) (closeListener func()) {
+	accepting.Go(func() {
 		for {
 			conn, err := listener.AcceptUnix()
 			if err != nil {
 				return
 			}
-			links.Go(func() { d.serveSuccessor(ctx, conn) })
+			accepting.Go(func() { d.serveSuccessor(ctx, conn) })
 		}
 	})
-	select {
-	case <-ctx.Done():
-	case <-d.relisten:
-		closeListener()
-	}
+	return func() { _ = listener.Close() } // fails only where it is closed already
 }
 
 // serveSuccessor serves one process that wants to take over, until its link ends.
