--- a/internal/membership/drops.go
+++ b/internal/membership/drops.go
@@ -30,6 +30,11 @@
 
 // Add counts a drop of a kind. The reason is logged, with further attributes for the log.
 func (c *DropCounter) Add(kind, reason string, attributes ...any) {
+	c.add("membership input dropped", kind, reason, attributes...)
+}
+
+// add counts an event of a kind under a message of its own in the log.
+func (c *DropCounter) add(message, kind, reason string, attributes ...any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	count := c.count(kind)
@@ -39,7 +44,7 @@
 		return
 	}
 	attributes = append([]any{"error", reason, "count", count.total - count.logged, "total", count.total}, attributes...)
-	slog.Warn("membership input dropped", attributes...)
+	slog.Warn(message, attributes...)
 	count.logged = count.total
 	count.loggedAt = now
 }
--- /dev/null
+++ b/internal/membership/drops_test.go
@@ -0,0 +1,53 @@
+package membership
+
+import (
+	"errors"
+	"fmt"
+	"log/slog"
+	"strings"
+	"testing"
+)
+
+// logged returns what a function logs.
+func logged(t *testing.T, do func()) []string {
+	t.Helper()
+	var log strings.Builder
+	previous := slog.Default()
+	slog.SetDefault(slog.New(slog.NewTextHandler(&log, nil)))
+	defer slog.SetDefault(previous)
+	do()
+	return strings.Split(strings.TrimSpace(log.String()), "\n")
+}
+
+func TestDropsAreCountedAndLoggedByKind(t *testing.T) {
+	var drops DropCounter
+	lines := logged(t, func() {
+		for i := range MaxDropKinds + 2 {
+			drops.Add(fmt.Sprint("kind ", i), "a reason")
+			drops.Add(fmt.Sprint("kind ", i), "a reason")
+		}
+	})
+	totals := drops.Totals()
+	if len(totals) != MaxDropKinds+1 || totals["kind 0"] != 2 || totals[otherDrops] != 4 {
+		t.Errorf("counted %v", totals)
+	}
+	if len(lines) != MaxDropKinds+1 {
+		t.Errorf("%d lines, want one for each kind", len(lines))
+	}
+	if first := lines[0]; !strings.Contains(first, `msg="membership input dropped" error="a reason" count=1 total=1`) {
+		t.Errorf("logged %s", first)
+	}
+}
+
+// The end of an engine is counted as before, and the log does not call it a dropped input.
+func TestEngineEndIsLogged(t *testing.T) {
+	group := New("", Instance{}, nil)
+	lines := logged(t, func() { group.reportEngineEnd(errors.New("exit status 2")) })
+	if len(lines) != 1 || !strings.Contains(lines[0], `msg="membership engine ended"`) || !strings.Contains(lines[0], "exit status 2") ||
+		!strings.Contains(lines[0], "advice=") {
+		t.Errorf("logged %q", lines)
+	}
+	if dropped := group.Dropped(); dropped["the engine ended"] != 1 {
+		t.Errorf("counted %v", dropped)
+	}
+}
--- a/internal/membership/process.go
+++ b/internal/membership/process.go
@@ -81,7 +81,7 @@
 		Remedy: "see that " + engineName + " of this build lies beside yardwinch, or name it by peers.program",
 		Err:    cause,
 	}
-	g.drops.Add("the engine ended", fault.Error(), "advice", fault.Advice())
+	g.drops.add("membership engine ended", "the engine ended", fault.Error(), "advice", fault.Advice())
 }
 
 // write sends the engine the queued frames, and heartbeats, until it ends or the context does.
