--- a/internal/testbed/fleet/process.go
+++ b/internal/testbed/fleet/process.go
@@ -13,7 +13,6 @@
 	"syscall"
 
 	"yardwinch/internal/simulation"
-	"yardwinch/internal/testbed/sockets"
 )
 
 // processState is the state of a process, in the words of reports.
@@ -63,7 +62,7 @@
 }
 
 func (r *fleetRun) newProcess(b simulation.BalancerID) (*process, error) {
-	name := string(sockets.BalancerName(b))
+	name := balancerName(int(b))
 	p := &process{id: b, name: name, state: running, program: currentBuild, directory: filepath.Join(r.directory, name)}
 	var err error
 	if p.control, err = r.freeControlAddress(b); err != nil {
@@ -188,7 +187,7 @@
 	}
 }
 
-// processEnded notes that a process ended that nobody ended. It is killed for the world, too.
+// processEnded notes that a process ended that nobody ended, and has the simulated world lose its balancer too.
 func (r *fleetRun) processEnded(b simulation.BalancerID, err error) {
 	p := r.processes[b]
 	if p.state == ending {
