--- a/internal/protocol/attempt.go
+++ b/internal/protocol/attempt.go
@@ -17,7 +17,8 @@
 
 // followDecisions makes the attempts that are decided until the connection is established or the client has its answer.
 func (s *session) followDecisions(ctx context.Context) {
-	for isUndecided := true; isUndecided; {
+	isUndecided := true
+	for isUndecided {
 		isUndecided = s.followDecision(ctx)
 	}
 }
@@ -63,21 +64,17 @@
 			s.establish(upLine)
 			return
 		}
-		if !outcome.NeverRan() {
+		if !outcome.NeverRan() || !sleep(ctx, resumeRetryInterval) {
 			break
 		}
-		select {
-		case <-ctx.Done():
-		case <-time.After(resumeRetryInterval):
-			continue
-		}
-		break
 	}
 	answerError(s.client, errNotReestablished)
 }
 
 // attempt makes one attempt at a server. It returns the server's UP line, or how the attempt ended.
-func (s *session) attempt(ctx context.Context, addr string, deadline time.Time) (upLine string, outcome routing.Outcome) {
+func (s *session) attempt(
+	ctx context.Context, addr string, deadline time.Time,
+) (upLine string, outcome routing.Outcome) {
 	s.transition(stateConnecting)
 	defer func() { s.mayHaveRun = s.mayHaveRun || !outcome.NeverRan() }()
 	ctx, cancel := context.WithDeadline(ctx, deadline)
@@ -97,11 +94,13 @@
 
 // connect dials a server, or returns how the attempt ended.
 func (s *session) connect(ctx context.Context, addr string) (*transport.Conn, routing.Outcome) {
-	server, err := s.frontend.dialer.Dial(ctx, addr, s.frontend.connectTimeout, func() bool { return s.isStillWanted(ctx) })
+	isWanted := func() bool { return s.isStillWanted(ctx) }
+	server, err := s.frontend.dialer.Dial(ctx, addr, s.frontend.connectTimeout, isWanted)
 	switch {
-	case errors.Is(err, transport.ErrLocalResources), errors.Is(err, transport.ErrNoLongerWanted), err != nil && ctx.Err() != nil:
-		// No local resources, no client any more, or too little time left: no fault of the server.
-		return nil, routing.NeverSent
+	case errors.Is(err, transport.ErrLocalResources),
+		errors.Is(err, transport.ErrNoLongerWanted),
+		err != nil && ctx.Err() != nil: // too little time was left
+		return nil, routing.NeverSent // no fault of the server
 	case err != nil:
 		return nil, routing.Unreachable
 	}
@@ -116,7 +115,7 @@
 // request for the connection, the client may have left, perhaps just now, with none of this process's other goroutines
 // having run since; the time may be over; and the server may have begun to drain.
 func (s *session) isStillWanted(ctx context.Context) bool {
-	if !s.client.IsIdle() {
+	if s.client.HasPendingInput() {
 		<-ctx.Done() // readClient is about to say why
 	}
 	return ctx.Err() == nil && s.flow.StillAllowed()
--- a/internal/protocol/discovery.go
+++ b/internal/protocol/discovery.go
@@ -167,10 +167,7 @@
 		}
 		d.watchIsLost = true
 		d.router.OnWatchLost()
-		select {
-		case <-ctx.Done():
-		case <-time.After(delay):
-		}
+		sleep(ctx, delay)
 	}
 }
 
--- a/internal/protocol/draining.go
+++ b/internal/protocol/draining.go
@@ -39,10 +39,8 @@
 // None is asked before the first delay, while the layer before the balancers still sends clients here, as half of them
 // would come straight back. Drain returns when the context ends.
 func (f *Frontend) Drain(ctx context.Context, after, over time.Duration) {
-	select {
-	case <-ctx.Done():
+	if !sleep(ctx, after) {
 		return
-	case <-time.After(after):
 	}
 	end := time.Now().Add(over - after)
 	due := 0.0 // migrations, in fractions of one
--- a/internal/protocol/frontend.go
+++ b/internal/protocol/frontend.go
@@ -51,7 +51,7 @@
 	stop     context.CancelFunc
 
 	outOfService atomic.Bool // PING is answered by BUSY
-	rejectsAll   atomic.Bool // new flows too
+	rejectsAll   atomic.Bool // new flows are answered by BUSY too
 
 	mu                 sync.Mutex
 	connectionCount    int          // sessions that have not ended
--- a/internal/protocol/healthcheck.go
+++ b/internal/protocol/healthcheck.go
@@ -39,7 +39,9 @@
 }
 
 // checkHealth asks one server for its load.
-func checkHealth(ctx context.Context, addr string, connectTimeout time.Duration) (outcome routing.Outcome, load float64) {
+func checkHealth(
+	ctx context.Context, addr string, connectTimeout time.Duration,
+) (outcome routing.Outcome, load float64) {
 	deadline := time.Now().Add(healthCheckTimeout)
 	c, err := transport.Dialer{}.Dial(ctx, addr, min(connectTimeout, healthCheckTimeout), nil)
 	if err != nil {
--- a/internal/protocol/lines.go
+++ b/internal/protocol/lines.go
@@ -27,7 +27,10 @@
 }
 
 var lineCodecs = sync.Pool{New: func() any {
-	codec := &lineCodec{in: bufio.NewReaderSize(nil, lineReadBufferBytes), out: bufio.NewWriterSize(nil, lineWriteBufferBytes)}
+	codec := &lineCodec{
+		in:  bufio.NewReaderSize(nil, lineReadBufferBytes),
+		out: bufio.NewWriterSize(nil, lineWriteBufferBytes),
+	}
 	codec.reader.R = codec.in
 	codec.writer.W = codec.out
 	return codec
--- a/internal/protocol/races_test.go
+++ b/internal/protocol/races_test.go
@@ -219,7 +219,7 @@
 	s.idleChecks++
 	if s.idleChecks == s.leaveAt {
 		s.leave()
-		for transport.NewConn(s.TCPConn).IsIdle() { // until the end has come
+		for !transport.NewConn(s.TCPConn).HasPendingInput() { // until the end has come
 			time.Sleep(ms)
 		}
 		defer close(s.released)
--- a/internal/protocol/session.go
+++ b/internal/protocol/session.go
@@ -11,7 +11,7 @@
 
 // FlowInfo is what is known of a flow apart from its connections.
 type FlowInfo struct {
-	ID       string `json:"id"` // as its client chose it; empty: it was another's
+	ID       string `json:"id"` // as its client chose it; empty: it belongs to another connection's flow
 	Service  string `json:"service"`
 	Customer string `json:"customer,omitempty"`
 	Key      string `json:"key"`
--- a/internal/transport/budget.go
+++ b/internal/transport/budget.go
@@ -47,7 +47,12 @@
 // NewDescriptorBudget makes a budget of n descriptors. closingReply is what a connection is sent that is closed to free
 // its descriptor.
 func NewDescriptorBudget(n int, closingReply string) *DescriptorBudget {
-	return &DescriptorBudget{closingReply: closingReply, reservedForClients: min(clientReserve, n/4), free: n, freed: make(chan struct{}, 1)}
+	return &DescriptorBudget{
+		closingReply:       closingReply,
+		reservedForClients: min(clientReserve, n/4),
+		freed:              make(chan struct{}, 1),
+		free:               n,
+	}
 }
 
 // Free is how many descriptors are free.
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -146,26 +146,26 @@
 	return errors.As(err, &timeout) && timeout.Timeout()
 }
 
-// IsIdle reports whether the other side has neither ended the connection nor sent more by now. It takes no byte:
-// another goroutine may be waiting for just that, and not have run since it came.
-func (c *Conn) IsIdle() bool {
+// HasPendingInput reports whether the other side has ended the connection or sent more by now. It takes no byte: another
+// goroutine may be waiting for just that, and not have run since it came.
+func (c *Conn) HasPendingInput() bool {
 	socket, ok := c.raw.(syscall.Conn)
 	if !ok {
-		return true
+		return false // it can't be told, and the goroutine that reads notices in time
 	}
 	raw, err := socket.SyscallConn()
 	if err != nil {
-		return false
+		return true // it is closed
 	}
-	isIdle := true
+	isPending := false
 	err = raw.Control(func(fd uintptr) {
 		var one [1]byte
 		switch _, _, err := unix.Recvfrom(int(fd), one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT); err {
 		case nil, unix.ECONNRESET, unix.EPIPE, unix.ETIMEDOUT, unix.EHOSTUNREACH:
-			isIdle = false
+			isPending = true
 		}
 	})
-	return isIdle && err == nil
+	return isPending || err != nil
 }
 
 // CloseWrite ends the sending and leaves the reading open.
--- a/internal/transport/dial.go
+++ b/internal/transport/dial.go
@@ -58,7 +58,9 @@
 	return NewConn(raw), nil
 }
 
-func (d Dialer) connectWithRetries(ctx context.Context, by *net.Dialer, addr string, deadline time.Time) (net.Conn, error) {
+func (d Dialer) connectWithRetries(
+	ctx context.Context, by *net.Dialer, addr string, deadline time.Time,
+) (net.Conn, error) {
 	backoff := retry.Backoff{First: firstLocalRetry, Longest: longestLocalRetry}
 	for {
 		raw, err := d.connect(ctx, by, addr)
--- a/internal/transport/relay.go
+++ b/internal/transport/relay.go
@@ -48,7 +48,14 @@
 // Adopt makes a connection that another process relayed, with its state there. A client's is counted in its budget
 // together with its server's, whose own budget is nil.
 func Adopt(raw net.Conn, state RelayState, budget *DescriptorBudget) *Conn {
-	c := &Conn{raw: raw, buf: state.Unread, unreadTo: len(state.Unread), passed: state.Passed, isMidLine: state.IsMidLine, budget: budget}
+	c := &Conn{
+		raw:       raw,
+		buf:       state.Unread,
+		unreadTo:  len(state.Unread),
+		passed:    state.Passed,
+		isMidLine: state.IsMidLine,
+		budget:    budget,
+	}
 	if budget != nil {
 		budget.adopt(c)
 	}
