--- a/internal/routing/flow.go
+++ b/internal/routing/flow.go
@@ -216,7 +216,7 @@
 func (f *Flow) OnEnded(outcome Outcome) {
 	now := f.router.enter()
 	defer f.router.mu.Unlock()
-	slog.Debug("flow ended", "flow", f.id, "server", f.server.name, "outcome", int(outcome),
+	slog.Debug("flow ended", "flow", f.id, "server", f.server.name, "outcome", outcome,
 		"established", f.isEstablished, "duration_ms", milliseconds(now-f.attemptAt))
 	f.server.metrics.onFlowEnded(f.id)
 	if f.isEstablished {
--- a/internal/testbed/logs/count.go
+++ b/internal/testbed/logs/count.go
@@ -90,12 +90,20 @@
 
 // describeOutcome says how an attempt to connect, or an established flow, ended.
 func describeOutcome(e event) (string, bool) {
-	number, err := strconv.Atoi(e.fields["outcome"])
-	if err != nil || number < 0 || number > int(decide.NeverSent) {
-		return "", false
-	}
+	outcome, ok := outcomeName(e.fields["outcome"])
 	ofWhat := map[string]string{"true": "flow ", "false": "connect "}[e.fields["established"]]
-	return ofWhat + decide.Outcome(number).String(), true
+	return ofWhat + outcome, ok
+}
+
+// outcomeName is an outcome's name as this build logs it. Earlier builds logged its number.
+func outcomeName(logged string) (name string, ok bool) {
+	number, err := strconv.Atoi(logged)
+	for outcome := decide.OK; outcome <= decide.NeverSent; outcome++ {
+		if logged == outcome.String() || err == nil && number == int(outcome) {
+			return outcome.String(), true
+		}
+	}
+	return "", false
 }
 
 func (c *counter) endFlow(flow flowKey) {
--- a/internal/testbed/logs/logs_test.go
+++ b/internal/testbed/logs/logs_test.go
@@ -46,8 +46,8 @@
 			[]string{
 				logLine("00.150", `msg="flow established" flow=1 server=x`),
 				logLine("01.500", `msg="latency sampled" server=x delay_ms=1500`),
-				logLine("01.900", `msg="flow ended" flow=1 server=x outcome=5 established=true`),
-				logLine("02.500", `msg="flow ended" flow=2 server=y outcome=4 established=false`),
+				logLine("01.900", `msg="flow ended" flow=1 server=x outcome=reset established=true`),
+				logLine("02.500", `msg="flow ended" flow=2 server=y outcome=unreachable established=false`),
 			}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
