--- a/internal/membership/engine/delegate.go
+++ b/internal/membership/engine/delegate.go
@@ -77,7 +77,8 @@
 			existing.Name, existing.Address(), other.Address()),
 		Remedy: "give each instance a name of its own and restart the one that came later",
 	}
-	d.group.drops.Add("two members of one name", fault.Error(), "advice", fault.Advice())
+	reason := fault.Error() // the name comes from the network
+	d.group.drops.Add("two members of one name", reason[:min(len(reason), maxLogLine)], "advice", fault.Advice())
 }
 
 var (
--- a/internal/membership/engine/group.go
+++ b/internal/membership/engine/group.go
@@ -45,8 +45,7 @@
 	suspicionMultiplier    = 3
 	maxSuspicionMultiplier = 3
 	maxAwarenessMultiplier = 4
-	stateRetransmits       = 4 // of the states of members
-	recordRetransmits      = 3 // of published messages
+	retransmitMultiplier   = 3 // of published messages
 )
 
 const (
@@ -168,7 +167,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.list = list
-	g.queue = &memberlist.TransmitLimitedQueue{NumNodes: g.AliveCount, RetransmitMult: recordRetransmits}
+	g.queue = &memberlist.TransmitLimitedQueue{NumNodes: g.AliveCount, RetransmitMult: retransmitMultiplier}
 	return nil
 }
 
--- a/internal/membership/engine/group_test.go
+++ b/internal/membership/engine/group_test.go
@@ -200,3 +200,20 @@
 		t.Errorf("%d are known, want those alive and %d departed", len(group.members), maxDeparted)
 	}
 }
+
+// A name comes from the network: what is logged of it is bounded.
+func TestNameConflictIsLoggedBounded(t *testing.T) {
+	var log strings.Builder
+	previous := slog.Default()
+	slog.SetDefault(slog.New(slog.NewTextHandler(&log, nil)))
+	defer slog.SetDefault(previous)
+	group := New(membership.Instance{}, nil)
+	node := &memberlist.Node{Name: strings.Repeat("x", 4*maxLogLine)}
+	delegate{group}.NotifyConflict(node, node)
+	if total := group.Dropped()["two members of one name"]; total != 1 {
+		t.Errorf("counted %d times", total)
+	}
+	if count := strings.Count(log.String(), "x"); count == 0 || count > maxLogLine {
+		t.Errorf("%d bytes of the name are logged, %d at most", count, maxLogLine)
+	}
+}
