--- a/internal/testbed/scale/control_members.go
+++ b/internal/testbed/scale/control_members.go
@@ -70,20 +70,20 @@
 
 func (m *controlMeasurements) gossipPoints(size, reports, recordBytes int, r gossipResult) {
 	kind := fmt.Sprintf("-at-%d-sights", reports)
-	what := fmt.Sprintf(", records of %d sights (%d bytes)", reports, recordBytes)
+	what := fmt.Sprintf(", records of %d observations (%d bytes)", reports, recordBytes)
 	point := func(name, quantity, unit string, value float64) {
 		m.add(seriesKind{name: name + kind, quantity: quantity + what, unit: unit, origin: Simulated, counted: true}, size, value)
 	}
 	records := recordsBytes(size, recordBytes)
 	exchange := exchangeBytesPerSecond(size, records)
-	point("bytes-out", "sent by a member: gossip, probes and exchanges", unitBytesSecond, r.totalBytes()+exchange)
+	point("bytes-out", "sent by a member: gossip, pings and exchanges", unitBytesSecond, r.totalBytes()+exchange)
 	point("gossip-bytes-out", "sent by a member as gossip", unitBytesSecond, r.recordBytes)
-	point("probe-bytes-out", "sent by a member as probes and answers, with what travels on them", unitBytesSecond, r.probeBytes)
-	point("exchange-bytes-out", "sent by a member in exchanges of all members", unitBytesSecond, exchange)
+	point("probe-bytes-out", "sent by a member as pings and acks, with piggybacked messages", unitBytesSecond, r.probeBytes)
+	point("exchange-bytes-out", "sent by a member in full state exchanges", unitBytesSecond, exchange)
 	point("datagrams-out", "datagrams sent by a member", unitPerSecond, r.recordDatagrams+r.probeDatagrams)
-	point("records-heard", "records heard by a member", unitPerSecond, r.records)
-	point("records-new", "records heard by a member that were news", unitPerSecond, r.newRecords)
-	point("reach", "of the others have a record within 5 s of its telling", unitPart, r.reachedShare)
+	point("records-heard", "records received by a member", unitPerSecond, r.records)
+	point("records-new", "records received by a member that were new", unitPerSecond, r.newRecords)
+	point("reach", "share of the others that have a record within 5 s of its publication", unitPart, r.reachedShare)
 	point("waiting", "messages that wait in a member's queue after 25 s", "messages", r.queued)
 }
 
@@ -130,7 +130,7 @@
 	used := measure(measurementRounds, 1, func() { _, _ = engine.exchange(message) })
 	m.add(seriesKind{
 		name: "engine-memory", unit: unitBytes, origin: Measured,
-		quantity: "held by the engine once it has joined, with what it has to pass on",
+		quantity: "held by the engine once it has joined, with the messages to be passed on",
 	}, size, float64(held))
 	m.add(seriesKind{
 		name: "exchange-bytes", unit: unitBytes, origin: Measured, counted: true,
@@ -174,7 +174,7 @@
 	handed := measure(measurementRounds, 1, func() { applyMembership(list, decider, leases) })
 	m.add(seriesKind{
 		name: "view-processor", unit: unitCorePart, origin: Measured,
-		quantity: "processor time for telling the deciders who is alive",
+		quantity: "processor time for passing the live members to the deciders",
 	}, size, handed.processor.Seconds()/publishCheckInterval.Seconds())
 	return m.measureRecords(size)
 }
@@ -189,7 +189,7 @@
 	used := measure(measurementRounds, times, func() { _, err = signals.Decode(text) })
 	m.add(seriesKind{
 		name: "record-processor", unit: unitCorePart, origin: Measured,
-		quantity: "processor time for reading the records that a member hears, of 48 sights",
+		quantity: "processor time for reading the records that a member receives, of 48 observations",
 	}, size, m.recordsReceivedPerSecond*used.processor.Seconds())
 	return err
 }
--- a/internal/testbed/scale/control_real.go
+++ b/internal/testbed/scale/control_real.go
@@ -324,7 +324,7 @@
 		(to.streamBytes-from.streamBytes)/per, 2*float64(message)/exchangeInterval(size).Seconds())
 	m.add(seriesKind{
 		name: "taken-as-gone", unit: unitPerSecond, origin: Measured,
-		quantity: "times that a real engine takes a living member as gone: the machine was too busy to answer in time",
+		quantity: "times that a real engine declares a live member dead: the machine was too busy to answer in time",
 	}, size, (to.gone-from.gone)/per)
 	m.add(seriesKind{
 		name: "engine-processor", unit: unitCorePart, origin: Measured,
@@ -332,7 +332,7 @@
 	}, size, (to.processor-from.processor).Seconds()/per)
 	m.add(seriesKind{
 		name: "engine-memory", unit: unitBytes, origin: Measured,
-		quantity: "held by a real engine and its stand-in",
+		quantity: "held by a real engine and the stand-in for its balancer",
 	}, size, float64(liveMemory()-before)/float64(size))
 	return nil
 }
--- a/internal/testbed/scale/control_sweep_catchup.go
+++ b/internal/testbed/scale/control_sweep_catchup.go
@@ -25,9 +25,9 @@
 }
 
 var catchUpForms = []catchUpForm{
-	{mode: catchUpOneByOne, name: "one-by-one", description: "told one by one"},
-	{mode: catchUpMerged, name: "merged", description: "told as one object with the last word on each server"},
-	{mode: catchUpFullList, name: "whole", description: "told as a whole list"},
+	{mode: catchUpOneByOne, name: "one-by-one", description: "sent one by one"},
+	{mode: catchUpMerged, name: "merged", description: "sent as one object with the last state of each server"},
+	{mode: catchUpFullList, name: "whole", description: "sent as a full list"},
 }
 
 func (m *controlMeasurements) measureCatchUps(ctx context.Context, size int) error {
@@ -74,8 +74,8 @@
 	if err != nil {
 		return err
 	}
-	point("-processor", "processor time of a balancer that takes them, ", unitMicroseconds, false, microseconds(used.processor))
-	point("-allocations", "allocations of a balancer that takes them, ", unitAllocations, true, used.allocations)
+	point("-processor", "processor time of a balancer that applies them, ", unitMicroseconds, false, microseconds(used.processor))
+	point("-allocations", "allocations of a balancer that applies them, ", unitAllocations, true, used.allocations)
 	return nil
 }
 
--- a/internal/testbed/scale/control_sweep_changes.go
+++ b/internal/testbed/scale/control_sweep_changes.go
@@ -45,9 +45,9 @@
 }
 
 func (m *controlMeasurements) measureChanges(ctx context.Context, size int, fullLists bool) error {
-	kind, what := "changes", "changes alone are told"
+	kind, what := "changes", "only changes are sent"
 	if fullLists {
-		kind, what = "whole", "whole lists are told"
+		kind, what = "whole", "full lists are sent"
 	}
 	plan := pushPlanOf(m.settings.at(size), requiredChangesPerDay, fullLists)
 	if m.settings.Against == byChanges {
@@ -66,12 +66,12 @@
 	seconds := result.duration.Seconds()
 	point("bytes-out", "sent by one control machine", unitBytesSecond, result.bytes/seconds)
 	point("bytes-in", "read by a balancer", unitBytesSecond, result.bytes/seconds/float64(plan.balancers))
-	point("busy", "of the time a control machine sends", unitPart, result.utilization)
+	point("busy", "share of time that a control machine is sending", unitPart, result.utilization)
 	point("p50", "from a change until in force at half of the balancers", unitTime, result.quantile(0.5).Seconds())
 	point("p99", "from a change until in force at 99 in 100", unitTime, result.quantile(0.99).Seconds())
 	point("last", "from a change until in force at the last", unitTime, result.quantile(1).Seconds())
 	if len(result.startLatencies) > 0 {
-		point("start-last", "until a balancer that starts with nothing has its list, the longest", unitTime,
+		point("start-last", "until a balancer that starts without state has its list, the longest", unitTime,
 			result.startLatencies[len(result.startLatencies)-1].Seconds())
 	}
 	afterLoss, err := m.measureHalfLost(ctx, plan, point)
@@ -83,7 +83,7 @@
 	}
 	plan.resumes = true
 	resumed := func(name, quantity, unit string, value float64) {
-		point("resumed-"+name, quantity+" and tells what it has", unit, value)
+		point("resumed-"+name, quantity+" with the revision held", unit, value)
 	}
 	if _, err := m.measureHalfLost(ctx, plan, resumed); err != nil {
 		return err
@@ -102,9 +102,9 @@
 	if err != nil {
 		return pushResult{}, err
 	}
-	point("half-lost-last", "until in force at the last, half of the control machines lost and each balancer of those asks another",
+	point("half-lost-last", "until in force at the last, half of the control machines lost and their balancers polling another",
 		unitTime, result.quantile(1).Seconds())
-	point("half-lost-served", "until all whose control machine is lost are sent what they lack by another, which each asks",
+	point("half-lost-served", "until every balancer of a lost control machine has been sent what it lacks by another that it polls",
 		unitTime, result.recovery.Seconds())
 	return result, nil
 }
--- a/internal/testbed/scale/control_sweep_leases.go
+++ b/internal/testbed/scale/control_sweep_leases.go
@@ -69,7 +69,7 @@
 	}
 	m.add(seriesKind{
 		name: "memory", unit: unitBytes, origin: Measured,
-		quantity: "held for the duties",
+		quantity: "memory of the leases",
 	}, size, float64(liveMemory()-before))
 	gone := 0
 	used := measure(leaseRounds, 1, func() {
@@ -82,11 +82,11 @@
 	all := used.processor.Seconds() * float64(servers) / float64(sample)
 	m.add(seriesKind{
 		name: "scores", unit: "scores", origin: Calculated, counted: true,
-		quantity: "scores reckoned once the members changed",
+		quantity: "scores calculated after a membership change",
 	}, size, float64(members)*float64(servers))
 	m.add(seriesKind{
 		name: "reckoning-processor", unit: unitMicroseconds, origin: Measured,
-		quantity: "processor time of seeing whose all duties are, once the members changed",
+		quantity: "processor time of determining all lease holders after a membership change",
 	}, size, all*1e6)
 	often := min(float64(membershipChangesPerDay)/secondsPerDay, 1/longestReassignment.Seconds())
 	m.add(seriesKind{
@@ -110,11 +110,11 @@
 	}
 	m.add(seriesKind{
 		name: "most-duties", unit: "servers", origin: Simulated, counted: true,
-		quantity: "servers that the busiest member probes for all",
+		quantity: "servers that the busiest member checks on behalf of all",
 	}, size, float64(most))
 	m.add(seriesKind{
 		name: "mean-duties", unit: "servers", origin: Simulated, counted: true,
-		quantity: "servers that a member probes for all, on average",
+		quantity: "servers that a member checks on behalf of all, on average",
 	}, size, float64(servers)/float64(members))
 }
 
@@ -146,7 +146,7 @@
 	}
 	m.add(seriesKind{
 		name: "holders", unit: "members", origin: Simulated, counted: true,
-		quantity: "members that probe one server for all at a time",
+		quantity: "members that check one server on behalf of all at a time",
 	}, size, float64(holding)/float64(looks))
 }
 
@@ -220,15 +220,15 @@
 	}
 	m.add(seriesKind{
 		name: "record-bytes", unit: unitBytes, origin: Measured, counted: true,
-		quantity: "of a record with 48 sights and the loads that were probed for all",
+		quantity: "of a record with 48 observations and the loads checked on behalf of all",
 	}, size, float64(len(text)))
 	m.add(seriesKind{
 		name: "loads-told", unit: unitPart, origin: Measured, counted: true,
-		quantity: "of the loads that a member probed for all, told by its record",
+		quantity: "share of the loads that a member checked on behalf of all that its record publishes",
 	}, size, float64(len(decoded.LoadReports))/float64(mean))
 	m.add(seriesKind{
 		name: "load-age", unit: unitTime, origin: Calculated, counted: true,
-		quantity: "of a load when it is told again, at the least",
+		quantity: "of a load when it is published again, at least",
 	}, size, recordIntervalOf(members).Seconds())
 	return nil
 }
--- a/internal/testbed/scale/control_sweep_lists.go
+++ b/internal/testbed/scale/control_sweep_lists.go
@@ -27,7 +27,7 @@
 	rate := m.settings.Rate
 	m.add(seriesKind{
 		name: "whole-bytes", unit: unitBytes, origin: Measured, counted: true,
-		quantity: "of a whole list",
+		quantity: "of a full list",
 	}, size, float64(sizes.full))
 	m.add(seriesKind{
 		name: "change-bytes", unit: unitBytes, origin: Measured, counted: true,
@@ -35,15 +35,15 @@
 	}, size, float64(sizes.changes(1)))
 	m.add(seriesKind{
 		name: "whole-bytes-in", unit: unitBytesSecond, origin: Calculated, counted: true,
-		quantity: "read by a balancer, were each change told as a whole list",
+		quantity: "read by a balancer, were each change sent as a full list",
 	}, size, rate*float64(sizes.full))
 	m.add(seriesKind{
 		name: "change-bytes-in", unit: unitBytesSecond, origin: Calculated, counted: true,
-		quantity: "read by a balancer, each change told as one",
+		quantity: "read by a balancer, each change sent by itself",
 	}, size, rate*float64(sizes.changes(1)))
 	m.add(seriesKind{
 		name: "whole-at-budget", unit: unitTime, origin: Calculated, counted: true,
-		quantity: "time in which a balancer reads a whole list, of 10 KB a second",
+		quantity: "time in which a balancer reads a full list at 10 KB a second",
 	}, size, float64(sizes.full)/bandwidthBudget)
 	subscriber, err := newListSubscriber(ctx, m.settings.Seed)
 	if err != nil {
@@ -94,27 +94,27 @@
 	oneTime := changes.processor / changesPerBatch
 	m.add(seriesKind{
 		name: "whole-processor", unit: unitMicroseconds, origin: Measured,
-		quantity: "processor time of taking a whole list",
+		quantity: "processor time of applying a full list",
 	}, size, microseconds(fullTime))
 	m.add(seriesKind{
 		name: "whole-allocations", unit: unitAllocations, origin: Measured, counted: true,
-		quantity: "allocations of taking a whole list",
+		quantity: "allocations of applying a full list",
 	}, size, fullAllocations)
 	m.add(seriesKind{
 		name: "change-processor", unit: unitMicroseconds, origin: Measured,
-		quantity: "processor time of taking one change",
+		quantity: "processor time of applying one change",
 	}, size, microseconds(oneTime))
 	m.add(seriesKind{
 		name: "change-allocations", unit: unitAllocations, origin: Measured, counted: true,
-		quantity: "allocations of taking one change",
+		quantity: "allocations of applying one change",
 	}, size, changes.allocations/changesPerBatch)
 	m.add(seriesKind{
 		name: "whole-core", unit: unitCorePart, origin: Calculated,
-		quantity: "processor time, were each change told as a whole list",
+		quantity: "processor time, were each change sent as a full list",
 	}, size, m.settings.Rate*fullTime.Seconds())
 	m.add(seriesKind{
 		name: "change-core", unit: unitCorePart, origin: Calculated,
-		quantity: "processor time, each change told as one",
+		quantity: "processor time, each change sent by itself",
 	}, size, m.settings.Rate*oneTime.Seconds())
 	return nil
 }
--- a/internal/testbed/scale/control_sweep_replaced.go
+++ b/internal/testbed/scale/control_sweep_replaced.go
@@ -35,19 +35,19 @@
 		}, size, result.totalBytes())
 		measurements.add(seriesKind{
 			name: "join-bytes-out", unit: unitBytesSecond, origin: Simulated, counted: true,
-			quantity: "sent by a member to those that join, in exchanges of all",
+			quantity: "sent by a member to those that join, in full state exchanges",
 		}, size, join)
 		measurements.add(seriesKind{
 			name: "states-heard", unit: unitPerSecond, origin: Simulated, counted: true,
-			quantity: "news of members gone or alive, heard by a member, repeats too",
+			quantity: "messages about dead or live members received by a member, duplicates included",
 		}, size, result.states)
 		measurements.add(seriesKind{
 			name: "reach", unit: unitPart, origin: Simulated, counted: true,
-			quantity: "of the others have a record within 5 s of its telling",
+			quantity: "share of the others that have a record within 5 s of its publication",
 		}, size, result.reachedShare)
 		measurements.add(seriesKind{
 			name: "joiner-bytes-out", unit: unitBytesSecond, origin: Simulated, counted: true,
-			quantity: "sent by a member that has just joined, which passes on every member that it heard of",
+			quantity: "sent by a member that has just joined, which passes on every member that it learned of",
 		}, size, result.joinerBytes)
 		return nil
 	})
@@ -81,11 +81,11 @@
 		exchange := exchangeBytesPerSecond(size, recordsBytes(size, recordBytes))
 		measurements.add(seriesKind{
 			name: "bytes-out", unit: unitBytesSecond, origin: Simulated, counted: true,
-			quantity: "sent by a member of a group, were gossip cut down: gossip, probes and exchanges",
+			quantity: "sent by a member of a group, with reduced gossip: gossip, pings and exchanges",
 		}, size, result.totalBytes()+exchange)
 		measurements.add(seriesKind{
 			name: "reach", unit: unitPart, origin: Simulated, counted: true,
-			quantity: "of the others in the group have a record within 5 s of its telling",
+			quantity: "share of the others in the group that have a record within 5 s of its publication",
 		}, size, result.reachedShare)
 		return nil
 	})
--- a/internal/testbed/scale/control_sweep_signals.go
+++ b/internal/testbed/scale/control_sweep_signals.go
@@ -45,7 +45,7 @@
 	if s.Against != byFaulty || s.Sizes[len(s.Sizes)-1] <= s.Servers {
 		return "", ""
 	}
-	return bySize, "want no more servers in trouble than there are servers"
+	return bySize, "want no more faulty servers than there are servers"
 }
 
 // newPublisher is a decider that holds connections on all servers and observes some of them as faulty.
@@ -98,14 +98,14 @@
 	}
 	m.add(seriesKind{
 		name: "record-bytes", unit: unitBytes, origin: Measured, counted: true,
-		quantity: "of a record as it is told",
+		quantity: "size of a published record",
 	}, size, float64(len(text)))
 	before := liveMemory()
 	chance := simulation.RandomSource(m.settings.Seed, "scale signals here", servers)
 	here := newPublisher(chance, members, servers, 0)
 	m.add(seriesKind{
 		name: "own-memory", unit: unitBytes, origin: Measured,
-		quantity: "held of what a balancer itself sees, connections on all servers",
+		quantity: "memory of a balancer's own observations, connections on all servers",
 	}, size, float64(liveMemory()-before))
 	before = liveMemory()
 	if err := mergeAll(here, records); err != nil {
@@ -114,16 +114,16 @@
 	here.ServerCost("", serverNumber(0)) // aggregates all records
 	m.add(seriesKind{
 		name: "heard-memory", unit: unitBytes, origin: Measured,
-		quantity: "held of what others tell",
+		quantity: "memory of what others publish",
 	}, size, float64(liveMemory()-before))
 	retained, _ := here.Records()
 	m.add(seriesKind{
 		name: "records-kept", unit: "records", origin: Measured, counted: true,
-		quantity: "records of others that are kept",
+		quantity: "retained records of others",
 	}, size, float64(len(retained)))
 	m.add(seriesKind{
 		name: "sights-walked", unit: "sights", origin: Calculated, counted: true,
-		quantity: "sights walked each time that what all say is brought together",
+		quantity: "observations visited by each merge of all records",
 	}, size, float64(len(retained)*len(records[0].Reports)))
 	m.measureAvoided(size, servers, faulty, records)
 	return m.measureSignalWork(here, text, size, members)
@@ -169,7 +169,7 @@
 	}
 	m.add(seriesKind{
 		name: "avoided", unit: unitPart, origin: Simulated, counted: true,
-		quantity: "of the servers in trouble that a balancer without connections there avoids",
+		quantity: "share of the faulty servers that a balancer without connections there avoids",
 	}, size, float64(avoided)/float64(faulty))
 }
 
@@ -198,27 +198,27 @@
 	exchangeCost := measure(signalRounds, 1, func() { fault = encodeFullState(here) })
 	m.add(seriesKind{
 		name: "hear-processor", unit: unitMicroseconds, origin: Measured,
-		quantity: "processor time of a record heard",
+		quantity: "processor time of a received record",
 	}, size, microseconds(receiveCost.processor))
 	m.add(seriesKind{
 		name: "hear-allocations", unit: unitAllocations, origin: Measured, counted: true,
-		quantity: "allocations of a record heard",
+		quantity: "allocations of a received record",
 	}, size, receiveCost.allocations)
 	m.add(seriesKind{
 		name: "gather-processor", unit: unitMicroseconds, origin: Measured,
-		quantity: "processor time of bringing together what all say",
+		quantity: "processor time of merging all records",
 	}, size, microseconds(aggregateCost.processor))
 	m.add(seriesKind{
 		name: "gather-core", unit: unitCorePart, origin: Calculated,
-		quantity: "the same as often as it may be, 20 times a second",
+		quantity: "the same at the highest rate, 20 times a second",
 	}, size, maxAggregationsPerSecond*aggregateCost.processor.Seconds())
 	m.add(seriesKind{
 		name: "tell-core", unit: unitCorePart, origin: Measured,
-		quantity: "processor time of seeing what is to be told, 4 times a second",
+		quantity: "processor time of determining what to publish, 4 times a second",
 	}, size, publishCost.processor.Seconds()/publishCheckInterval.Seconds())
 	m.add(seriesKind{
 		name: "hand-on-core", unit: unitCorePart, origin: Measured,
-		quantity: "processor time of writing all for a member that asks, each 2 s",
+		quantity: "processor time of writing all records for a member that asks, every 2 s",
 	}, size, exchangeCost.processor.Seconds()/fullStateInterval.Seconds())
 	return fault
 }
--- a/internal/testbed/scale/control_test.go
+++ b/internal/testbed/scale/control_test.go
@@ -310,7 +310,7 @@
 		{"sweep = \"signals\"\nagainst = \"troubled\"\nsizes = [7]\nservers = 100\n", "balancers"},
 		{"sweep = \"signals\"\nsizes = [7]\nservers = 100\nsights = 3\n", "sights"},
 		{"sweep = \"signals\"\nagainst = \"troubled\"\nsizes = [20]\nservers = 10\nbalancers = 5\n",
-			"sizes: want no more servers in trouble"},
+			"sizes: want no more faulty servers"},
 		{"sweep = \"changes\"\nsizes = [17000]\nservers = 100\nbalancers = 19\n", "balancers: want 20"},
 		{"sweep = \"cut\"\nsizes = [700]\nservers = 100\nbalancers = 1\n", "balancers: want 20"},
 		{"sweep = \"members-real\"\nsizes = [5000]\nlength = \"1s\"\n", "sizes: want 200"},
--- a/internal/testbed/scale/page.go
+++ b/internal/testbed/scale/page.go
@@ -49,10 +49,10 @@
 }
 
 func (p *page) render(text string) ([]byte, error) {
-	const advice = "mend capacity.md.tmpl beside the package"
+	const advice = "correct capacity.md.tmpl in internal/testbed/scale"
 	parsed, err := template.New("capacity.md.tmpl").Funcs(p.functions()).Parse(text)
 	if err != nil {
-		return nil, &Error{Where: "capacity.md.tmpl", What: "is no template", Remedy: advice, Err: err}
+		return nil, &Error{Where: "capacity.md.tmpl", What: "is not a valid template", Remedy: advice, Err: err}
 	}
 	var out bytes.Buffer
 	err = parsed.Execute(&out, nil)
@@ -106,25 +106,21 @@
 }
 
 var proseFigures = map[string]figure{
-	"connections":        calculated(connectionsPerBalancer, inCount),
-	"servers least":      calculated(smallestServers, inCount),
-	"servers likely":     calculated(likelyServers, inCount),
-	"servers most":       calculated(largestServers, inCount),
-	"balancers":          calculated(fleetBalancers, inCount),
-	"set-ups out":        calculated(setupLimit(), inCount),
-	"zone heirs":         calculated(zoneSuccessors, inCount),
-	"zone share":         calculated(zoneShare, inCount),
-	"zone more":          calculated(zoneShare/connectionsPerBalancer, inShare),
-	"zone serial":        calculated(zoneShare*setupSeconds/setupLimit(), inSeconds),
-	"missed changes":     calculated(missedChanges, inCount),
-	"listeners":          calculated(listenersPerBalancer, inCount),
-	"topic at least":     topicFills(smallestServers),
-	"topic at most":      topicFills(largestServers),
-	"machine balancers":  calculated(balancersPerMachine, inCount),
-	"probes at a server": calculated(fleetBalancers/probeRound, inRate),
-	"change every":       calculated(changeInterval, inSeconds),
-	"replacement every":  calculated(replacementSeconds, inSeconds),
-	"reconnects":         calculated(fleetReconnects, inRate),
-	"cut":                calculated(partitionSeconds, inSeconds),
-	"change limit":       calculated(changeSeconds, inSeconds),
+	"connections":          calculated(connectionsPerBalancer, inCount),
+	"fewest servers":       calculated(smallestServers, inCount),
+	"likely servers":       calculated(likelyServers, inCount),
+	"most servers":         calculated(largestServers, inCount),
+	"balancers":            calculated(fleetBalancers, inCount),
+	"setups in flight":     calculated(setupLimit(), inCount),
+	"zone survivors":       calculated(zoneSuccessors, inCount),
+	"zone share":           calculated(zoneShare, inCount),
+	"zone increase":        calculated(zoneShare/connectionsPerBalancer, inShare),
+	"zone duration":        calculated(zoneShare*setupSeconds/setupLimit(), inSeconds),
+	"missed changes":       calculated(missedChanges, inCount),
+	"listeners":            calculated(listenersPerBalancer, inCount),
+	"change interval":      calculated(changeInterval, inSeconds),
+	"replacement interval": calculated(replacementSeconds, inSeconds),
+	"reconnects":           calculated(fleetReconnects, inRate),
+	"partition":            calculated(partitionSeconds, inSeconds),
+	"change limit":         calculated(changeSeconds, inSeconds),
 }
--- a/internal/testbed/scale/page_catalog.go
+++ b/internal/testbed/scale/page_catalog.go
@@ -121,7 +121,7 @@
 	"ratio":          {1, inCount},
 	"connects":       {1, inRate},
 	"clients":        {1, inCount},
-	"tries":          {1, inCount},
+	"attempts":       {1, inCount},
 	"records":        {1, inCount},
 	"members":        {1, inCount},
 	"servers":        {1, inCount},
--- a/internal/testbed/scale/page_comparison.go
+++ b/internal/testbed/scale/page_comparison.go
@@ -10,8 +10,8 @@
 const (
 	agreementTolerance    = 0.20        // share of the real figure
 	modelSuffix           = "-of-model" // of a model's series, beside the series of real engines
-	busyEngines           = "the machine was too busy at that size: engines that answer late are suspected, probed by others and asked anew"
-	unexplainedDifference = "not traced" // reason for a difference
+	busyEngines           = "the machine was too busy at that size: engines that answer late are suspected and pinged again, also through others"
+	unexplainedDifference = "cause unknown" // reason for a difference
 )
 
 // comparedPair is a quantity of simulated balancers and of real processes.
@@ -25,7 +25,7 @@
 
 // simulatedAgainstRealTable compares figures at the sizes of the real ones that the simulated ones cover.
 func (p *page) simulatedAgainstRealTable() *table {
-	t := newTable("quantity", "at", "hollow", "real", "hollow over real", "apart by more than 20 %")
+	t := newTable("quantity", "at", "hollow", "real", "hollow / real", "differ by more than 20 %")
 	for _, pair := range append(p.comparedPairs(), p.modelPairs()...) {
 		for _, point := range p.current.series[string(pair.real)].Points {
 			simulated, realFigure := p.valueAt(pair.simulated, point.Size), p.valueAt(pair.real, point.Size)
--- a/internal/testbed/scale/page_control.go
+++ b/internal/testbed/scale/page_control.go
@@ -92,7 +92,7 @@
 				values: variants(func(l load) figure { return l.bytesOut })},
 		}
 		for _, l := range requirements {
-			l.quantity, l.mechanism, l.dependents = "of control, "+part.name+" alone: "+l.quantity, part.mechanism, part.dependents
+			l.quantity, l.mechanism, l.dependents = "control, "+part.name+" alone: "+l.quantity, part.mechanism, part.dependents
 			l.proposal = part.proposal
 			if ratio, ok := l.ratio(); ok && ratio > 1 {
 				list = append(list, l)
@@ -104,7 +104,7 @@
 
 // zonedTable is the cost of gossip in groups of a zone or a region, which is not implemented.
 func (p *page) zonedTable() *table {
-	t := newTable("members of a group", "sent by a member", "of control's traffic", "have a record within 5 s", "origin")
+	t := newTable("members of a group", "sent by a member", "of the limit of control traffic", "have a record within 5 s", "origin")
 	for _, members := range []float64{zoneBalancers, math.Floor(regionBalancers)} {
 		sent, reach := p.valueAt(zonedTraffic, members), p.valueAt(zonedReachedShare, members)
 		part := sent.times(1/controlTraffic, inShare)
--- a/internal/testbed/scale/page_day.go
+++ b/internal/testbed/scale/page_day.go
@@ -44,17 +44,17 @@
 	lines := []quantityRow{
 		{"from one replacement to the next", calculated(replacementSeconds, inSeconds)},
 		{"from one failed machine to the next", calculated(failureSeconds, inSeconds)},
-		{"connections that come back after each replacement", calculated(connectionsPerBalancer, inCount)},
+		{"clients that reconnect after each replacement", calculated(connectionsPerBalancer, inCount)},
 		{"reconnects, over the fleet", calculated(fleetReconnects, inRate)},
 		{"reconnects at each balancer", calculated(replacedPlacements, inRate)},
 		{"other arrivals at each balancer, as connections end by themselves", calculated(ordinaryPlacements, inRate)},
-		{"set-ups out on average at each balancer", calculated((ordinaryPlacements+replacedPlacements)*setupSeconds, inCount)},
-		{"set-ups that a balancer may have out", calculated(setupLimit(), inCount)},
+		{"connection setups in flight on average at each balancer", calculated((ordinaryPlacements+replacedPlacements)*setupSeconds, inCount)},
+		{"connection setups that a balancer may have in flight", calculated(setupLimit(), inCount)},
 	}
 	lines = append(lines, quantityRowsByServers("control's processor time for these reconnects at each balancer",
 		p.replacementProcessor)...)
 	lines = append(lines, quantityRow{
-		"a balancer that starts anew: processor time until its list is in force, 6,400 servers",
+		"a balancer that starts: processor time until its list is in force, 6,400 servers",
 		p.valueAt(realStartTime, likelyServers),
 	})
 	return quantityTable(lines...)
@@ -66,25 +66,25 @@
 	lines := []quantityRow{
 		{"balancers lost", calculated(zoneBalancers, inCount)},
 		{"connections lost", calculated(zoneConnections, inCount)},
-		{"balancers of the region that are left", calculated(zoneSuccessors, inCount)},
-		{"taken by each of them", calculated(zoneShare, inCount)},
-		{"held by each of them then", calculated(after, inCount)},
+		{"surviving balancers of the region", calculated(zoneSuccessors, inCount)},
+		{"connections that each of them takes over", calculated(zoneShare, inCount)},
+		{"connections that each of them then holds", calculated(after, inCount)},
 		{"more than before", calculated(zoneShare/connectionsPerBalancer, inShare)},
-		{"taken by each, if all regions took their part", calculated(zoneConnections/others, inCount)},
-		{"more than before, if all regions took their part", calculated(zoneConnections/others/connectionsPerBalancer, inShare)},
-		{"reserve that each balancer of a region must have free, of what it can hold", calculated(zoneBalancers/regionBalancers, inShare)},
-		{"rate at each balancer of the region that is left", calculated(zoneShare/reconnectSeconds, inRate)},
-		{"rate over the region", calculated(zoneConnections/reconnectSeconds, inRate)},
-		{"memory of the data path at each then", p.connectionMemory(after)},
-		{"descriptors at each then", calculated(2*after, inCount)},
-		{"set-ups out on average at each", calculated(zoneShare/reconnectSeconds*setupSeconds, inCount)},
-		{"set-ups that a balancer may have out", calculated(setupLimit(), inCount)},
-		{"time until all are taken, with so many out", calculated(zoneShare*setupSeconds/setupLimit(), inSeconds)},
-		{"gap between set-ups of one balancer once half of them fail: 8 ms for each balancer, 16 s at the most",
+		{"connections that each takes over, if spread over all regions", calculated(zoneConnections/others, inCount)},
+		{"more than before, if spread over all regions", calculated(zoneConnections/others/connectionsPerBalancer, inShare)},
+		{"spare capacity that each balancer of a region needs", calculated(zoneBalancers/regionBalancers, inShare)},
+		{"reconnects at each surviving balancer of the region", calculated(zoneShare/reconnectSeconds, inRate)},
+		{"reconnects over the region", calculated(zoneConnections/reconnectSeconds, inRate)},
+		{"memory of the data path at each", p.connectionMemory(after)},
+		{"descriptors at each", calculated(2*after, inCount)},
+		{"connection setups in flight on average at each", calculated(zoneShare/reconnectSeconds*setupSeconds, inCount)},
+		{"connection setups that a balancer may have in flight", calculated(setupLimit(), inCount)},
+		{"time until all are established, with so many in flight", calculated(zoneShare*setupSeconds/setupLimit(), inSeconds)},
+		{"interval between setups of one balancer once half of them fail: 8 ms for each balancer, at most 16 s",
 			calculated(min(gapPerBalancer*fleetBalancers, maxSetupGap), inSeconds)},
 	}
 	lines = append(lines, p.lostZoneRows()...)
-	lines = append(lines, quantityRowsByServers("decisions for all of them at one balancer, processor time", func(servers float64) figure {
+	lines = append(lines, quantityRowsByServers("processor time of decisions for all of them at one balancer", func(servers float64) figure {
 		return p.placementProcessor(after, servers).times(zoneShare, inSeconds)
 	})...)
 	return quantityTable(lines...)
@@ -93,16 +93,16 @@
 // lostZoneRows are the results of a simulated fleet that lost one zone of 25, whose connections all others took
 // evenly.
 func (p *page) lostZoneRows() []quantityRow {
-	const prefix = "hollow fleet of 25 balancers, one lost with its servers, all others taking an even part: "
+	const prefix = "hollow fleet of 25 balancers, one lost with its servers, its clients spread evenly over the others: "
 	busiest := p.valueAt(lostZoneBusiest, connectionsPerBalancer)
 	return []quantityRow{
-		{prefix + "clients taken by each balancer left", p.valueAt(lostZoneClients, connectionsPerBalancer)},
+		{prefix + "clients taken over by each surviving balancer", p.valueAt(lostZoneClients, connectionsPerBalancer)},
 		{prefix + "connects of the busiest balancer in one second", busiest},
-		{"at that rate, time for the clients of a lost zone at each heir of its region",
+		{"at that rate, time for the clients of a lost zone at each surviving balancer of its region",
 			calculated(zoneShare, inCount).dividedBy(busiest, inSeconds)},
-		{prefix + "half of the clients stand again after", p.valueAt(lostZoneHalfRecovered, connectionsPerBalancer)},
-		{prefix + "99 in 100 stand again after", p.valueAt(lostZoneMostRecovered, connectionsPerBalancer)},
-		{prefix + "tries turned away for each client", p.valueAt(lostZoneRejections, connectionsPerBalancer)},
+		{prefix + "half of the clients are established again after", p.valueAt(lostZoneHalfRecovered, connectionsPerBalancer)},
+		{prefix + "99 in 100 are established again after", p.valueAt(lostZoneMostRecovered, connectionsPerBalancer)},
+		{prefix + "attempts rejected for each client", p.valueAt(lostZoneRejections, connectionsPerBalancer)},
 		{prefix + "clients without a connection at the end", p.valueAt(lostZoneUnserved, connectionsPerBalancer)},
 		{prefix + "processor time in the busiest second, at most", p.valueAt(lostZoneProcessor, connectionsPerBalancer)},
 	}
@@ -112,30 +112,30 @@
 	starts := replacementsPerDay / daySeconds
 	lines := []quantityRow{
 		{"from one change to the next", calculated(changeInterval, inSeconds)},
-		{"messages that tell them, over the fleet", calculated(changeMessages, inRate)},
+		{"messages that publish them, over the fleet", calculated(changeMessages, inRate)},
 		{"the same, from each control machine", calculated(changeMessages/fleetControlMachines, inRate)},
 		{"changes only: in force, 99 in 100", p.valueAt(changeP99Latency, changesPerDay)},
 		{"changes only: in force, the last", p.valueAt(changeMaxLatency, changesPerDay)},
 		{"the same with half of the control machines lost", p.valueAt(changeHalfLostLatency, changesPerDay)},
-		{"until all whose control machine is lost have their list from another", p.valueAt(changeTakeoverTime, changesPerDay)},
-		{"whole lists: in force, the last", p.valueAt(fullListMaxLatency, changesPerDay)},
-		{"of the time that a control machine sends, changes only", p.valueAt(machineUtilization, changesPerDay)},
-		{"of the time that a control machine sends, whole lists", p.valueAt(machineFullListUtilization, changesPerDay)},
-		{"a balancer that starts with nothing has its list, the longest", p.valueAt(startMaxLatency, changesPerDay)},
+		{"until every balancer of a lost control machine has its list from another", p.valueAt(changeTakeoverTime, changesPerDay)},
+		{"full lists: in force, the last", p.valueAt(fullListMaxLatency, changesPerDay)},
+		{"share of time that a control machine is sending, changes only", p.valueAt(machineUtilization, changesPerDay)},
+		{"share of time that a control machine is sending, full lists", p.valueAt(machineFullListUtilization, changesPerDay)},
+		{"a balancer that starts without state has its list, the longest", p.valueAt(startMaxLatency, changesPerDay)},
 		{"changes only: bytes a second from each control machine", p.valueAt(machineChangeTraffic, changesPerDay)},
-		{"whole lists: bytes a second from each control machine", p.valueAt(machineFullListTraffic, changesPerDay)},
+		{"full lists: bytes a second from each control machine", p.valueAt(machineFullListTraffic, changesPerDay)},
 		{"bytes of one change", p.valueAt(changeBytes, likelyServers)},
 		{"changes only: bytes a second at each balancer", p.valueAt(changeBytes, likelyServers).times(changeRate, inTraffic)},
 	}
 	lines = append(lines, quantityRowsByServers("changes only: in force, the last",
 		func(servers float64) figure { return p.valueAt(changeMaxLatencyByServers, servers) })...)
-	lines = append(lines, quantityRowsByServers("whole lists: in force, the last",
+	lines = append(lines, quantityRowsByServers("full lists: in force, the last",
 		func(servers float64) figure { return p.valueAt(fullListMaxLatencyByServers, servers) })...)
-	lines = append(lines, quantityRowsByServers("bytes of a whole list",
+	lines = append(lines, quantityRowsByServers("bytes of a full list",
 		func(servers float64) figure { return p.valueAt(listBytes, servers) })...)
-	lines = append(lines, quantityRowsByServers("whole lists at each change: bytes a second at each balancer",
+	lines = append(lines, quantityRowsByServers("full lists at each change: bytes a second at each balancer",
 		func(servers float64) figure { return p.valueAt(listBytes, servers).times(changeRate, inTraffic) })...)
-	lines = append(lines, quantityRowsByServers("whole lists for those that start with nothing: bytes a second over the fleet",
+	lines = append(lines, quantityRowsByServers("full lists for balancers that start without state: bytes a second over the fleet",
 		func(servers float64) figure { return p.valueAt(listBytes, servers).times(starts, inTraffic) })...)
 	lines = append(lines, quantityRowsByServers("processor time of changes at each balancer", func(servers float64) figure {
 		return p.valueAt(changeTime, servers).times(changeRate, inCores)
@@ -166,23 +166,23 @@
 	return quantityTable(
 		quantityRow{"changes missed", calculated(missedChanges, inCount)},
 		quantityRow{"bytes of them, one by one", one},
-		quantityRow{"bytes of them, as the last word on each server", p.valueAt(catchUpBytes, missed)},
-		quantityRow{"bytes of the whole list in their place, 6,400 servers", p.valueAt(listBytes, likelyServers)},
-		quantityRow{"time for them one by one at control's traffic", one.times(1/controlTraffic, inSeconds)},
-		quantityRow{"until the last balancer has them, as the last word on each server", p.valueAt(catchUpLatency, missed)},
-		quantityRow{"processor time of a balancer that takes them so", p.valueAt(catchUpTime, missed)},
-		quantityRow{"processor time of a balancer that takes the whole list, 6,400 servers", p.valueAt(listTime, likelyServers)},
-		quantityRow{"balancers that start anew in each region meanwhile", calculated(replacementsPerHour/fleetRegions, inCount)},
+		quantityRow{"bytes of them, merged to the last state of each server", p.valueAt(catchUpBytes, missed)},
+		quantityRow{"bytes of the full list instead, 6,400 servers", p.valueAt(listBytes, likelyServers)},
+		quantityRow{"time to read them one by one within the limit of control traffic", one.times(1/controlTraffic, inSeconds)},
+		quantityRow{"until the last balancer has them, merged to the last state of each server", p.valueAt(catchUpLatency, missed)},
+		quantityRow{"processor time of a balancer that applies them merged", p.valueAt(catchUpTime, missed)},
+		quantityRow{"processor time of a balancer that applies the full list, 6,400 servers", p.valueAt(listTime, likelyServers)},
+		quantityRow{"balancers that start in each region meanwhile", calculated(replacementsPerHour/fleetRegions, inCount)},
 		quantityRow{"members that each region sees as gone", calculated(fleetBalancers-regionBalancers, inCount)},
-		quantityRow{"longest that a change can take to be in force everywhere", calculated(partitionSeconds, inSeconds)},
+		quantityRow{"longest time until a change is in force everywhere", calculated(partitionSeconds, inSeconds)},
 	)
 }
 
 // topicTable shows how the listeners of the largest topic spread over servers, as more balancers hold their part. It
 // ends at the sweep's largest size, as the number of servers bounds the spread, which no fit accounts for.
 func (p *page) topicTable() *table {
-	t := newTable("balancers", "listeners", "servers that hold some", "share of the topic on the fullest of them",
-		"fullest server over the mean, all connections", "origin")
+	t := newTable("balancers", "listeners", "servers that hold some", "share of the topic on the most loaded of them",
+		"most loaded server relative to the mean, all connections", "origin")
 	found, _ := p.findSeries(topicUnevenness)
 	if found == nil {
 		return t
@@ -200,7 +200,7 @@
 // topicFillsTable is the load of the largest topic on one server.
 func topicFillsTable() *table {
 	t := newTable("servers", "connections a server", "servers that the topic fills",
-		"one home would bear, of what a server has on average", "origin")
+		"load of a single preferred server relative to the mean", "origin")
 	for _, servers := range serverCounts {
 		filled := topicFills(servers)
 		t.row(digits(servers), digits(fleetConnections/servers), filled.String(), filled.String()+" times", filled.Origin())
--- a/internal/testbed/scale/page_faults.go
+++ b/internal/testbed/scale/page_faults.go
@@ -13,8 +13,8 @@
 
 // faultsTable shows the results of each fault of a simulated fleet at its largest size.
 func (p *page) faultsTable() *table {
-	t := newTable("fault", "at, a balancer", "clients cut off", "turned away", "99 in 100 of them stand again", "longest set-up",
-		"without a connection at the end", "the four rules", "origin")
+	t := newTable("fault", "at, a balancer", "clients disconnected", "rejected or aborted", "99 in 100 established again after",
+		"longest setup", "without a connection at the end", "the four invariants", "origin")
 	for _, name := range p.faultNames() {
 		t.row(p.faultRow(name)...)
 	}
@@ -87,7 +87,7 @@
 	case broken == 0:
 		return "held in " + all + " of " + all + " runs"
 	default:
-		return "**broken** in " + digits(float64(broken)) + " of " + all + " runs"
+		return "**violated** in " + digits(float64(broken)) + " of " + all + " runs"
 	}
 }
 
--- a/internal/testbed/scale/page_figure.go
+++ b/internal/testbed/scale/page_figure.go
@@ -128,16 +128,16 @@
 	if !f.known() {
 		return notMeasured
 	}
-	text := string(f.origin)
+	text := currentTerm(originTerms, f.origin)
 	if len(f.derivedFrom) > 0 {
 		var bases []string
 		for _, base := range f.derivedFrom {
-			bases = append(bases, string(base))
+			bases = append(bases, currentTerm(originTerms, base))
 		}
 		text += " from " + strings.Join(bases, ", ")
 	}
 	if f.fromBaseline {
-		text += "; **before the mechanism**"
+		text += "; **before the bounded candidates**"
 	}
 	if f.fitError > poorFitError {
 		text += fmt.Sprintf("; its fit misses the largest point by %s", show(f.fitError, inShare))
--- a/internal/testbed/scale/page_figure_test.go
+++ b/internal/testbed/scale/page_figure_test.go
@@ -94,11 +94,11 @@
 		origin string
 	}{
 		{"as it was", measured, 2, "measured"},
-		{"times a size", measured.times(10, inCount), 20, "reckoned from measured"},
-		{"sum of both", measured.plus(simulated), 5, "reckoned from measured, simulated"},
-		{"product", measured.multipliedBy(simulated), 6, "reckoned from measured, simulated"},
-		{"ratio", simulated.dividedBy(measured, inCount), 1.5, "reckoned from measured, simulated"},
-		{"of the operators' sizes", calculated(7, inCount).plus(calculated(1, inCount)), 8, "reckoned"},
+		{"times a size", measured.times(10, inCount), 20, "calculated from measured"},
+		{"sum of both", measured.plus(simulated), 5, "calculated from measured, simulated"},
+		{"product", measured.multipliedBy(simulated), 6, "calculated from measured, simulated"},
+		{"ratio", simulated.dividedBy(measured, inCount), 1.5, "calculated from measured, simulated"},
+		{"of the operators' sizes", calculated(7, inCount).plus(calculated(1, inCount)), 8, "calculated"},
 		{"with one that is not there", measured.plus(absent), 2, notMeasured},
 		{"that part left out", measured.plusIfKnown("part", absent), 2, "measured"},
 	} {
@@ -106,7 +106,7 @@
 			t.Errorf("%s: %v, %s", c.what, c.figure.value, c.figure.Origin())
 		}
 	}
-	if text := measured.plusIfKnown("part", absent).String(); !strings.Contains(text, "at the least, without part") {
+	if text := measured.plusIfKnown("part", absent).String(); !strings.Contains(text, "at least, without part") {
 		t.Errorf("%q does not name the part that is left out", text)
 	}
 	if text := measured.plus(absent).String(); text != notMeasured {
@@ -129,7 +129,7 @@
 		current:  &reportSet{series: map[string]*reportedSeries{"one": known}},
 		baseline: &reportSet{series: map[string]*reportedSeries{"one": old, "two": old}},
 	}
-	if got := p.valueAt("two", decades[0]); got.Origin() != "measured; **before the mechanism**" {
+	if got := p.valueAt("two", decades[0]); got.Origin() != "measured; **before the bounded candidates**" {
 		t.Errorf("a series of before alone: %s", got.Origin())
 	}
 	for _, c := range []struct {
@@ -138,7 +138,7 @@
 	}{
 		{decades[2], points[2].Value * microsecond, "simulated"},
 		{2000, (points[3].Value + points[4].Value) / 2 * microsecond, "simulated"},
-		{50_000, fit.At(50_000) * microsecond, "reckoned from simulated"},
+		{50_000, fit.At(50_000) * microsecond, "calculated from simulated"},
 	} {
 		got := p.valueAt("one", c.size)
 		near(t, digits(c.size), got.value, c.want, 1e-9)
@@ -180,10 +180,10 @@
 			verdictUnknown, notMeasured, true},
 		{"under, a part left out",
 			requirement{bound: calculated(10, inCount), values: single(partlyKnown(5)), mechanism: "m"},
-			verdictUnknown, "0.5 at the least", false},
+			verdictUnknown, "0.5 at least", false},
 		{"over, a part left out",
 			requirement{bound: calculated(10, inCount), values: single(partlyKnown(50)), mechanism: "m"},
-			verdictBreaks, "5 at the least", true},
+			verdictBreaks, "5 at least", true},
 		{"no bound", requirement{values: single(calculated(5, inCount))}, verdictUnbounded, "–", false},
 		{"a bound that is not known", requirement{bound: unmeasured("x"), values: single(calculated(5, inCount)), mechanism: "m"},
 			verdictUnknown, "–", false},
--- a/internal/testbed/scale/page_limits.go
+++ b/internal/testbed/scale/page_limits.go
@@ -38,7 +38,7 @@
 	verdictPartly    verdict = "**holds in part**"
 	verdictNever     verdict = "**can't hold**"
 	noMechanism              = "**none**"
-	atLeast                  = " at the least" // follows a sum with omitted parts
+	atLeast                  = " at least" // follows a sum with omitted parts
 )
 
 // ratio is the largest ratio of a value to the bound; ok reports whether any is known.
@@ -160,7 +160,7 @@
 func (p *page) requirementsTable() *table { return requirementsTableOf(p.requirements()) }
 
 func requirementsTableOf(limits []requirement) *table {
-	t := newTable("asked for", "quantity", "limit", "worked out", "ratio", "verdict", "mechanism", "origin")
+	t := newTable("requirement", "quantity", "limit", "value", "ratio", "verdict", "mechanism", "origin")
 	previous := ""
 	for _, l := range limits {
 		statement := l.statement
@@ -183,7 +183,7 @@
 // unmetRequirementsTable lists requirements that have no mechanism or that the mechanism does not keep, sorted by
 // excess.
 func (p *page) unmetRequirementsTable() *table {
-	t := newTable("", "missing", "times its limit", "carried today by", "what would carry it, not built", "what rests on it")
+	t := newTable("", "missing", "times its limit", "kept today by", "what would keep it, not implemented", "what depends on it")
 	place := 0
 	for _, l := range p.unmetRequirements() {
 		place++
--- a/internal/testbed/scale/page_loads.go
+++ b/internal/testbed/scale/page_loads.go
@@ -3,7 +3,7 @@
 import "math"
 
 const (
-	heartbeatRate    = 0.5      // per second; internal/protocol heartbeat
+	heartbeatRate    = 0.5      // per second; internal/protocol heartbeatInterval
 	sweepConnections = 20_000.0 // held in the sweeps over servers
 )
 
@@ -53,7 +53,7 @@
 }
 
 // unevenRecheckProcessor is the same for flows on random servers, with as many rechecks as a tick allows: the cost of
-// a real process, whose connections stand where decisions placed them.
+// a real process, whose connections are where decisions placed them.
 func (p *page) unevenRecheckProcessor(held, servers float64) figure {
 	more := p.valueAt(unevenRecheckTimeByConnections, held).dividedBy(p.valueAt(unevenRecheckTimeByConnections, sweepConnections), inCount)
 	return p.valueAt(unevenRecheckTime, servers).multipliedBy(more)
@@ -66,7 +66,7 @@
 	l.messagesOut, l.messagesIn = rate, rate
 	l.bytesOut = rate.times(probeBytes/2, inTraffic)
 	l.bytesIn = l.bytesOut
-	l.processor, l.memory = unmeasured("probes"), unmeasured("probes")
+	l.processor, l.memory = unmeasured("health checks"), unmeasured("health checks")
 	return l
 }
 
--- a/internal/testbed/scale/page_parts.go
+++ b/internal/testbed/scale/page_parts.go
@@ -3,8 +3,11 @@
 import (
 	"fmt"
 	"strings"
+	"unicode/utf8"
 )
 
+const proseColumns = 140 // of a line of prose
+
 // part is one part of a role.
 type part struct {
 	name       string
@@ -53,7 +56,8 @@
 	if len(t.rows) == 1 {
 		t.rows[0][0] = "each"
 	}
-	return fmt.Sprintf("**%s.** State: %s. Owner: %s. %s\n\n%s", capital(of.name), of.state, of.owner, of.onFailure, t)
+	text := fmt.Sprintf("**%s.** State: %s. Owner: %s. %s", capital(of.name), of.state, of.owner, of.onFailure)
+	return wrapText(text) + "\n\n" + t.String()
 }
 
 func (l load) cells() []string {
@@ -92,94 +96,96 @@
 // controlParts are the parts of balancer control in the order of the requirements.
 var controlParts = []part{
 	{
-		name:       "server list",
-		state:      "one entry a server",
-		owner:      "discovery; a balancer has a copy",
-		onFailure:  "Cut off, a balancer goes on with the list it has; what it missed comes as changes against its version, or whole.",
+		name:  "server list",
+		state: "one entry for each server",
+		owner: "discovery; a balancer has a copy",
+		onFailure: "Without discovery, a balancer continues with the list that it has; " +
+			"what it missed arrives as changes since its revision, or as a full list.",
 		mechanism:  mechanismChanges,
 		dependents: "every decision",
-		proposal:   "the list kept in fewer bytes, changes in place",
+		proposal:   "a more compact list, changes in place",
 		load:       listLoad,
 	},
 	{
 		name:  "decisions and rechecks",
-		state: "where each flow stands, tallies by server and group",
+		state: "the server of each flow, tallies by server and group",
 		owner: "the balancer alone",
-		onFailure: "A balancer that goes takes its tallies with it; its clients are placed anew by those that take them. " +
-			"Measured without other deciders, connections standing anywhere, which costs as many rechecks as a tick may have; " +
-			"with `[halls]` or `[signals]` each recheck is made, 128 a tick at the most.",
+		onFailure: "The tallies of a failed balancer are lost; its clients are placed again by the balancers to which they reconnect. " +
+			"Measured without other deciders and with connections on random servers, which costs as many rechecks as a tick may have; " +
+			"with `[halls]` or `[signals]` no recheck is skipped, at most 128 a tick.",
 		mechanism:  mechanismCandidates,
-		dependents: "all placements and moves",
+		dependents: "all placements and migrations",
 		proposal:   "",
 		load:       decisionLoad,
 	},
 	{
-		name:  "probes",
-		state: "each server's last told load",
-		owner: "the balancer that asked",
-		onFailure: "With leases one balancer asks for all; regions apart each have their own. " +
-			"Without them, and until the members have met, each asks each server itself; see the limits.",
+		name:  "health checks",
+		state: "last load report of each server",
+		owner: "the balancer that made the check",
+		onFailure: "With leases one balancer checks on behalf of all; partitioned regions have a lease holder each. " +
+			"Without them, and until the members know each other, each balancer checks each server itself; see the requirements.",
 		mechanism:  mechanismLeasedProbes,
-		dependents: "told loads",
-		proposal:   "leases that hold at this size",
+		dependents: "load reports",
+		proposal:   "leases that work at this size",
 		load:       probeLoad,
 	},
 	{
 		name:       "signals",
-		state:      "one record a member",
-		owner:      "each member its own record; all have a copy",
-		onFailure:  "States, not events: what was lost is said again, and a word fades by itself.",
+		state:      "one record for each member",
+		owner:      "each member owns its record; all have a copy",
+		onFailure:  "Records state what is, not what happened: a lost one is published again, and an observation expires by itself.",
 		mechanism:  "",
-		dependents: "words of trouble, told loads, leases",
-		proposal:   "sums kept as records come, not walked anew; gossip in groups of a zone",
+		dependents: "fault observations, load reports, leases",
+		proposal:   "aggregates updated by each received record instead of a walk over all; gossip in groups of a zone",
 		load:       signalLoad,
 	},
 	{
 		name:  "leases",
-		state: "who asks which server for all, with its epoch",
-		owner: "reckoned by each from the members it sees",
-		onFailure: "The next in line takes over after one lease of 6 s; two holders at once cost a probe. " +
-			"They travel in the signals' records.",
+		state: "which member checks which server on behalf of all, with its epoch",
+		owner: "calculated by each member from the members that it sees",
+		onFailure: "The standby takes over after one lease of 6 s; two holders at once cost an additional check. " +
+			"Leases are published in the records of signals.",
 		mechanism:  "",
-		dependents: "probes by one for all",
-		proposal:   "the first in line of each lease kept: who comes is held against them, who goes moves its own alone",
-		load:       leaseLoad,
+		dependents: "health checks by one on behalf of all",
+		proposal: "the first candidates of each lease retained: a member that joins is compared with them only, " +
+			"and one that leaves changes only its own leases",
+		load: leaseLoad,
 	},
 	{
 		name:       "membership engine",
 		state:      "name, address and state of each member",
-		owner:      "each member its own; all have a copy",
-		onFailure:  "Regions apart see each other as gone, and ask members and seeds again with growing gaps until they meet.",
+		owner:      "each member owns its entry; all have a copy",
+		onFailure:  "Partitioned regions see each other as gone, and contact members and seeds again with backoff until they reach one.",
 		mechanism:  "",
 		dependents: "signals, leases, each view of the fleet",
-		proposal:   "changes of members to the balancer in place of the whole list 10 times a second; groups of a zone",
+		proposal:   "membership changes to the balancer instead of the full list 10 times a second; groups of a zone",
 		load:       engineLoad,
 	},
 }
 
 var dataPathPart = part{
 	name:      "connections",
-	state:     "two descriptors, buffers and one session a connection",
+	state:     "two descriptors, buffers and one session for each connection",
 	owner:     "the balancer alone",
-	onFailure: "A balancer that goes cuts what it held; those clients connect again.",
+	onFailure: "A balancer that fails disconnects its clients; they reconnect.",
 	load:      dataPathLoad,
 }
 
 var controlMachinePart = part{
 	name:  "one machine",
-	state: "the list with its last changes, by version",
+	state: "the list with its last changes, by revision",
 	owner: "not decided",
-	onFailure: "**No program of this project runs there.** What would leave one machine is reckoned from " +
-		"what each balancer must be told; half of the machines lost doubles it.",
+	onFailure: "**No program of this project runs there.** What one machine would send is calculated from " +
+		"what each balancer must receive; the loss of half of the machines doubles it.",
 	load: controlMachineLoad,
 }
 
 var discoveryPart = part{
-	name:  "the stand-in's agent",
-	state: "one list, the changes that a watch has not read yet",
-	owner: "the yard; there is no store that outlives it",
-	onFailure: "A watch that does not read is closed, and the next one brings the whole list. " +
-		"Beside balancers that ask a central discovery there is one for all.",
+	name:  "agent of the stand-in for discovery",
+	state: "one list, and the changes that a watch has not read yet",
+	owner: "the testbed; there is no store that outlives it",
+	onFailure: "A watch that does not read is closed, and the next one receives the full list. " +
+		"With a central discovery there is one for all balancers.",
 	load: agentLoad,
 }
 
@@ -187,19 +193,40 @@
 	name:  "one server",
 	state: "its connections",
 	owner: "the server",
-	onFailure: "A lost zone takes a 25th of the servers too; the others take their connections. " +
-		"While late, a server tells each balancer so once a second.",
+	onFailure: "A lost zone includes a 25th of the servers; the others take over their connections. " +
+		"A late server reports it to each balancer once a second.",
 	load: serverLoad,
 }
 
 var toolsPart = part{
-	name:      "`yardwinch explain`, `members`, staff's calls",
+	name:      "`yardwinch explain`, `yardwinch members`, operators' calls",
 	state:     "none",
 	owner:     "–",
-	onFailure: "Each call asks one balancer; a ban by hand everywhere is 8,100 calls, and no tool makes them.",
+	onFailure: "Each call addresses one balancer; to disable a server everywhere takes 8,100 calls, and no tool makes them.",
 	load:      toolsLoad,
 }
 
+// wrapText breaks a paragraph into lines of at most proseColumns where it has spaces.
+func wrapText(text string) string {
+	var wrapped strings.Builder
+	column := 0
+	for _, word := range strings.Fields(text) {
+		width := utf8.RuneCountInString(word)
+		switch {
+		case column == 0:
+		case column+1+width > proseColumns:
+			wrapped.WriteByte('\n')
+			column = 0
+		default:
+			wrapped.WriteByte(' ')
+			column++
+		}
+		wrapped.WriteString(word)
+		column += width
+	}
+	return wrapped.String()
+}
+
 func capital(text string) string {
 	if text == "" || text[0] < 'a' || text[0] > 'z' {
 		return text
--- a/internal/testbed/scale/page_read.go
+++ b/internal/testbed/scale/page_read.go
@@ -8,7 +8,7 @@
 
 const (
 	baselineDirectory = "before" // inside the directory of results: reports of the code before the bounded-candidates mechanism
-	rerunAdvice       = "run its experiment again: testbed scale run writes reports whole"
+	rerunAdvice       = "run its experiment again: testbed scale run writes complete reports"
 )
 
 // reportedSeries is a series with its source and fit.
@@ -40,7 +40,7 @@
 func readResults(directory string) (*reportSet, error) {
 	files, err := filepath.Glob(filepath.Join(directory, "*.json"))
 	if err != nil {
-		return nil, &Error{Where: directory, What: "can't be searched", Remedy: "name a folder of reports", Err: err}
+		return nil, &Error{Where: directory, What: "can't be searched", Remedy: "name a directory of reports", Err: err}
 	}
 	slices.Sort(files)
 	all := &reportSet{directory: directory, series: map[string]*reportedSeries{}}
@@ -62,14 +62,14 @@
 		if first := r.series[series.Name]; first != nil {
 			return &Error{
 				Where:  where,
-				What:   "stands in " + first.File + " too",
-				Remedy: "give one of both another name, or take one report away",
+				What:   "is in " + first.File + " too",
+				Remedy: "rename one of both, or remove one report",
 			}
 		}
 		if !slices.Contains([]Origin{Measured, Simulated, Calculated}, series.Origin) {
 			return &Error{Where: where + ": origin", What: fmt.Sprintf("%q is not known", series.Origin), Remedy: rerunAdvice}
 		}
-		entry := &reportedSeries{Series: series, File: filepath.Base(file), Command: report.Command, Commit: report.Commit}
+		entry := &reportedSeries{Series: series.inCurrentTerms(), File: filepath.Base(file), Command: report.Command, Commit: report.Commit}
 		entry.Points = averageBySize(series.Points)
 		entry.Fit, entry.FitErr = FitPoints(series.Points)
 		r.series[series.Name] = entry
--- a/internal/testbed/scale/page_requirements.go
+++ b/internal/testbed/scale/page_requirements.go
@@ -9,13 +9,13 @@
 const (
 	mechanismCandidates        = "bounded candidates, pruned rechecks (`decide`)"
 	mechanismDecisionsOnly     = "decisions: " + mechanismCandidates + "; signals, leases, engine: " + noMechanism
-	mechanismLeasedProbes      = "leases, where switched on: one asks for all (`fleet/lease`)"
-	mechanismChanges           = "changes on an open watch, the whole list on a new one (`internal/protocol`)"
-	mechanismOverflow          = "overload threshold: on to the next server by hash (`decide`)"
-	mechanismConnectionBuffers = "one buffer a connection (`internal/transport`)"
-	mechanismSetupLimit        = "48 out over all balancers, one at the least (`decide`)"
-	mechanismLineRelay         = "relay of lines (`internal/session`)"
-	mechanismLocalTallies      = "tallies of groups held here alone (`decide`)"
+	mechanismLeasedProbes      = "leases, where switched on: one member checks on behalf of all (`fleet/lease`)"
+	mechanismChanges           = "changes on an open watch, the full list on a new one (`internal/protocol`)"
+	mechanismOverflow          = "overload threshold: the next server by hash (`decide`)"
+	mechanismConnectionBuffers = "one buffer for each connection (`internal/transport`)"
+	mechanismSetupLimit        = "48 in flight over all balancers, at least one each (`decide`)"
+	mechanismLineRelay         = "relay of lines (`internal/transport`)"
+	mechanismLocalTallies      = "tallies only of groups that are held here (`decide`)"
 )
 
 // requirements are the operators' requirements in their order.
@@ -40,8 +40,8 @@
 			quantity:   "servers in a list",
 			bound:      calculated(maxListedServers, inCount),
 			values:     forEachServerCount(func(servers float64) figure { return calculated(servers, inCount) }),
-			mechanism:  "the list's own bound (`internal/protocol`)",
-			dependents: "every decision: a longer list is refused whole (`mostServers`)",
+			mechanism:  "bound on the length of a list (`internal/protocol`)",
+			dependents: "every decision: a longer list is refused completely (`maxServers`)",
 		},
 		{
 			statement: statement,
@@ -51,12 +51,12 @@
 		},
 		{
 			statement:  statement,
-			quantity:   "set-ups out at once at a balancer",
+			quantity:   "connection setups in flight at a balancer",
 			bound:      calculated(setupLimit(), inCount),
 			values:     single(calculated((ordinaryPlacements+replacedPlacements)*setupSeconds, inCount)),
 			mechanism:  mechanismSetupLimit,
-			proposal:   "shares of the 48 by need, leased",
-			dependents: "every arrival: those beyond wait, and are turned away at their setup target",
+			proposal:   "the 48 distributed by need, under leases",
+			dependents: "every arrival: those beyond wait, and are rejected at their setup target",
 		},
 	}
 }
@@ -75,11 +75,11 @@
 		},
 		{
 			statement:  statement,
-			quantity:   "the fullest server over the mean, with the largest topic, servers that tell no load",
+			quantity:   "most loaded server relative to the mean, with the largest topic, without load reports",
 			bound:      calculated(overloadFactor, inCount),
 			values:     single(p.valueAt(topicUnevenness, fleetBalancers)),
 			mechanism:  mechanismOverflow,
-			proposal:   "a share of one topic for each of several homes, by its told size",
+			proposal:   "several preferred servers for one topic, by its published size",
 			dependents: "the largest topics",
 		},
 	}
@@ -101,7 +101,7 @@
 			bound:      calculated(deliverySeconds, inSeconds),
 			values:     single(unmeasured("delay of deliveries")),
 			proposal:   "to be measured first, through a real process under load",
-			dependents: "the promise to listeners; only the balancer's part of it can be measured here",
+			dependents: "the latency promised to listeners; only the balancer's part can be measured here",
 		},
 	}
 }
@@ -111,33 +111,33 @@
 	return []requirement{
 		{
 			statement:  statement,
-			quantity:   "99 in 100 in force, told by 20 machines that push",
+			quantity:   "99 in 100 in force, pushed by 20 machines",
 			bound:      calculated(changeSeconds, inSeconds),
 			values:     single(p.valueAt(changeP99Latency, changesPerDay)),
 			mechanism:  mechanismChanges,
-			dependents: "bans, drains and each roll of servers",
+			dependents: "disabled servers, drains and each rolling restart of servers",
 		},
 		{
 			statement:  statement,
-			quantity:   "the last in force, told so",
+			quantity:   "the last in force, pushed in this way",
 			bound:      calculated(changeSeconds, inSeconds),
 			values:     single(p.valueAt(changeMaxLatency, changesPerDay)),
 			mechanism:  mechanismChanges,
-			dependents: "bans, drains and each roll of servers",
+			dependents: "disabled servers, drains and each rolling restart of servers",
 		},
 		{
 			statement: statement,
-			quantity:  fmt.Sprintf("a whole list for a balancer that starts with nothing, within %s", show(controlTraffic, inTraffic)),
+			quantity:  fmt.Sprintf("a full list for a balancer that starts without state, within %s", show(controlTraffic, inTraffic)),
 			bound:     calculated(changeSeconds, inSeconds),
 			values: forEachServerCount(func(servers float64) figure {
 				return p.valueAt(listBytes, servers).times(1/controlTraffic, inSeconds)
 			}),
-			proposal:   "a list kept over the restart and changes against its version; the traffic's limit as an average",
+			proposal:   "a list that survives the restart, and changes since its revision; the limit of traffic as an average",
 			dependents: fmt.Sprintf("%s starts a day", digits(replacementsPerDay)),
 		},
 		{
 			statement:  statement,
-			quantity:   "the last in force while regions are apart for an hour",
+			quantity:   "the last in force while regions are partitioned for an hour",
 			bound:      calculated(changeSeconds, inSeconds),
 			values:     single(calculated(partitionSeconds, inSeconds)),
 			infeasible: true,
@@ -157,7 +157,7 @@
 	return []requirement{
 		{
 			statement: statement,
-			quantity:  "processor time at rest, no peers, servers that tell no load (as shipped)",
+			quantity:  "processor time while idle, no peers, without load reports (as shipped)",
 			bound:     calculated(controlCores, inCores),
 			values: forEachServerCount(func(servers float64) figure {
 				return p.standaloneProcessor(situations(servers)[situationIdle], servers)
@@ -176,13 +176,13 @@
 		{
 			statement: statement,
 			quantity: fmt.Sprintf("a real process with 1,000 servers and %s idle connections, its data path too; "+
-				"past 6,000 by its fit, while rechecks are bounded", digits(connectionsPerBalancer)),
+				"beyond 6,000 by its fit, while rechecks are bounded", digits(connectionsPerBalancer)),
 			values:    single(p.valueAt(realConnectionTime, connectionsPerBalancer)),
 			mechanism: mechanismCandidates,
 		},
 		{
 			statement:  statement,
-			quantity:   "memory at rest, no peers",
+			quantity:   "memory while idle, no peers",
 			bound:      calculated(controlBytes, inBytes),
 			values:     forEachServerCount(p.standaloneMemory),
 			mechanism:  mechanismLocalTallies,
@@ -190,11 +190,11 @@
 		},
 		{
 			statement:  statement,
-			quantity:   "memory at rest, no peers, as a heap that has grown to twice its live part before it is collected",
+			quantity:   "memory while idle, no peers, with a heap that grows to twice its live part before it is collected",
 			bound:      calculated(controlBytes, inBytes),
 			values:     forEachServerCount(func(servers float64) figure { return p.standaloneMemory(servers).times(heapGrowth, inBytes) }),
-			mechanism:  "`limits.memory_mb` collects sooner, at a price in processor time",
-			proposal:   "records of a flow in fewer bytes",
+			mechanism:  "`limits.memory_mb` makes garbage collection start sooner, for more processor time",
+			proposal:   "more compact records of flows",
 			dependents: "every balancer, at all times",
 		},
 	}
@@ -211,11 +211,11 @@
 			values:     forEachServerCount(func(servers float64) figure { return p.controlProcessor(ordinaryDay(servers), servers) }),
 			mechanism:  mechanismDecisionsOnly,
 			proposal:   "see its parts",
-			dependents: "all decisions: placement after a loss, rechecks, moves",
+			dependents: "all decisions: placement after a loss, rechecks, migrations",
 		},
 		{
 			statement:  statement,
-			quantity:   "rechecks alone where connections stand evenly, so that none can win",
+			quantity:   "rechecks alone with evenly spread connections, so that none can lead to a migration",
 			bound:      calculated(controlCores, inCores),
 			values:     forEachServerCount(func(servers float64) figure { return p.idleRecheckProcessor(connectionsPerBalancer, servers) }),
 			mechanism:  mechanismCandidates,
@@ -234,32 +234,32 @@
 			quantity:   "traffic with peers, signals and leases",
 			bound:      calculated(controlTraffic, inTraffic),
 			values:     forEachServerCount(func(servers float64) figure { return p.controlTrafficOf(ordinaryDay(servers), servers) }),
-			proposal:   "gossip in groups of a zone, sums on the way up",
-			dependents: "members, signals, leases of probes",
+			proposal:   "gossip in groups of a zone, aggregates between groups",
+			dependents: "members, signals, leases of health checks",
 		},
 		{
 			statement: statement,
-			quantity:  "traffic of probes alone, without leases",
+			quantity:  "traffic of health checks alone, without leases",
 			bound:     calculated(controlTraffic, inTraffic),
 			values: forEachServerCount(func(servers float64) figure {
 				return calculated(probeRateWithoutLeases(servers, ordinaryPlacements+replacedPlacements)*probeBytes/2, inTraffic)
 			}),
 			mechanism:  mechanismLeasedProbes,
-			proposal:   "leases that hold at this size",
-			dependents: "told loads, where servers tell them to probes",
+			proposal:   "leases that work at this size",
+			dependents: "load reports, where servers answer health checks with them",
 		},
 		{
 			statement:  fmt.Sprintf("%s machines for control", digits(fleetControlMachines)),
 			quantity:   fmt.Sprintf("processor time and memory of one, for %s balancers", digits(balancersPerMachine)),
 			values:     single(unmeasured("control machines")),
-			dependents: "the feed of changes, whole lists for those that start, catching up after a cut",
+			dependents: "distribution of changes, full lists for balancers that start, catch-up after a partition",
 		},
 	}
 }
 
 func (p *page) failureRequirements() []requirement {
 	zone := "a zone lost once or twice a year"
-	back := fmt.Sprintf("while %s connections come back to a balancer within %s", digits(zoneShare), seconds(reconnectSeconds))
+	back := fmt.Sprintf("while %s clients reconnect to a balancer within %s", digits(zoneShare), seconds(reconnectSeconds))
 	return []requirement{
 		{
 			statement:  fmt.Sprintf("%s machines fail, %s are replaced a day", digits(failuresPerDay), digits(replacementsPerDay)),
@@ -271,7 +271,7 @@
 		},
 		{
 			statement:  "a rack or switch lost weekly",
-			quantity:   fmt.Sprintf("processor time of decisions while %s come back to a balancer", digits(rackShare)),
+			quantity:   fmt.Sprintf("processor time of decisions while %s clients reconnect to a balancer", digits(rackShare)),
 			bound:      calculated(1, inCores),
 			values:     forEachServerCount(func(servers float64) figure { return p.burstProcessor(rackShare, servers) }),
 			mechanism:  mechanismCandidates,
@@ -279,7 +279,7 @@
 		},
 		{
 			statement: zone,
-			quantity:  "all of control's processor time " + back,
+			quantity:  "processor time of all control " + back,
 			bound:     calculated(1, inCores),
 			values: forEachServerCount(func(servers float64) figure {
 				return p.controlProcessor(situations(servers)[situationZoneLost], servers)
@@ -290,11 +290,11 @@
 		},
 		{
 			statement:  zone,
-			quantity:   "set-ups out at once " + back,
+			quantity:   "connection setups in flight " + back,
 			bound:      calculated(setupLimit(), inCount),
 			values:     single(calculated(zoneShare/reconnectSeconds*setupSeconds, inCount)),
-			proposal:   "shares of the 48 by need, leased; a bound by what the servers' store answers",
-			dependents: "the loss of a zone or a rack, a cold start, each mass return",
+			proposal:   "the 48 distributed by need, under leases; a bound derived from the answers of the servers' store",
+			dependents: "the loss of a zone or a rack, a cold start, each mass reconnect",
 		},
 	}
 }
@@ -306,44 +306,44 @@
 
 // designRequirements are terms of the design that it can't keep at this size.
 func (p *page) designRequirements() []requirement {
-	statement := "the design's own terms"
-	zoned := "gossip in groups of a zone, sums on the way up"
+	statement := "limits of the design"
+	zoned := "gossip in groups of a zone, aggregates between groups"
 	return []requirement{
 		{
 			statement:  statement,
-			quantity:   "time between two words of the holder of a lease, which lasts 6 s",
+			quantity:   "time between two publications by the holder of a lease, which lasts 6 s",
 			bound:      calculated(leaseLength, inSeconds),
 			values:     single(p.valueAt(loadAge, fleetBalancers)),
-			proposal:   "a word to its zone at once, not with the next record",
-			dependents: "one probes for all: nobody hears of a lease in time, and others stand in",
+			proposal:   "publication to its zone at once, not with the next record",
+			dependents: "health checks by one on behalf of all: nobody learns of a lease in time, and others take over",
 		},
 		{
 			statement:  statement,
-			quantity:   "age of a load that one member probed for all, when it is told again",
+			quantity:   "age of a load report, fetched by one member on behalf of all, when it is published again",
 			bound:      calculated(probeRound, inSeconds),
 			values:     single(p.valueAt(loadAge, fleetBalancers)),
-			proposal:   "a word to its zone at once, not with the next record",
-			dependents: "told loads with leases: the word lapses long before the next one",
+			proposal:   "publication to its zone at once, not with the next record",
+			dependents: "load reports with leases: a published load expires long before the next one",
 		},
 		{
 			statement:  statement,
 			quantity:   "members that hold one lease at a time",
 			bound:      calculated(1, inCount),
 			values:     single(p.valueAt(leaseHolders, fleetBalancers)),
-			proposal:   "a word to its zone at once, not with the next record",
-			dependents: "one probes for all",
+			proposal:   "publication to its zone at once, not with the next record",
+			dependents: "health checks by one on behalf of all",
 		},
 		{
 			statement:  statement,
-			quantity:   "members for each one that has a record within 5 s of its telling",
+			quantity:   "members for each one that has a record within 5 s of its publication",
 			bound:      calculated(1, inCount),
 			values:     single(calculated(1, inCount).dividedBy(p.valueAt(signalReachedShare, fleetBalancers), inCount)),
 			proposal:   zoned,
-			dependents: "words of trouble, which count for 5 s",
+			dependents: "fault observations, which are valid for 5 s",
 		},
 		{
 			statement:  statement,
-			quantity:   "members, for the records that one keeps",
+			quantity:   "members, compared with the records that one retains",
 			bound:      p.valueAt(retainedRecords, fleetBalancers),
 			values:     single(calculated(fleetBalancers, inCount)),
 			proposal:   zoned,
--- a/internal/testbed/scale/page_situations.go
+++ b/internal/testbed/scale/page_situations.go
@@ -26,11 +26,11 @@
 // situations are an idle and an ordinary day and each failure, for a surviving balancer of the affected region.
 func situations(servers float64) []situation {
 	idle := situation{
-		name:            "at rest",
+		name:            "idle",
 		connections:     connectionsPerBalancer,
 		members:         fleetBalancers,
 		controlMachines: fleetControlMachines,
-		duration:        "no connection comes or goes",
+		duration:        "no connection begins or ends",
 	}
 	day := idle
 	day.name = "ordinary day"
@@ -46,7 +46,7 @@
 	machine.placements += connectionsPerBalancer / (regionBalancers - 1) / reconnectSeconds
 
 	rack := day
-	rack.name = "a rack or switch goes"
+	rack.name = "a rack or switch fails"
 	rack.duration = seconds(reconnectSeconds)
 	rack.connections += rackShare
 	rack.placements += rackShare / reconnectSeconds
@@ -54,7 +54,7 @@
 	rack.members -= rackBalancers
 
 	zone := day
-	zone.name = "a zone goes"
+	zone.name = "a zone fails"
 	zone.duration = seconds(reconnectSeconds)
 	zone.connections += zoneShare
 	zone.placements += zoneShare / reconnectSeconds
@@ -64,7 +64,7 @@
 	zone.deliveries *= zone.connections / connectionsPerBalancer
 
 	partitioned := day
-	partitioned.name = "regions apart"
+	partitioned.name = "regions partitioned"
 	partitioned.duration = seconds(partitionSeconds)
 	partitioned.changes = 0
 	partitioned.members = regionBalancers
@@ -76,7 +76,7 @@
 	halfControl.controlMachines /= 2
 
 	restarted := day
-	restarted.name = "it starts with nothing"
+	restarted.name = "it starts without state"
 	restarted.duration = seconds(startupSeconds)
 	restarted.placements = connectionsPerBalancer / startupSeconds
 	restarted.fullLists = 1 / startupSeconds
@@ -116,8 +116,8 @@
 
 // situationsTable shows the load on one balancer in each situation.
 func situationsTable() *table {
-	t := newTable("situation", "lasts", "connections held", "placements a second", "changes of the list a second",
-		"members that come or go a second", "members seen", "deliveries a second")
+	t := newTable("situation", "lasts", "connections", "placements a second", "changes of the list a second",
+		"members that join or leave a second", "live members", "deliveries a second")
 	for _, s := range situations(likelyServers) {
 		t.row(s.name, s.duration, digits(s.connections), digits(s.placements), digits(s.changes+s.fullLists), digits(s.membershipChanges),
 			digits(s.members), digits(s.deliveries))
--- a/internal/testbed/scale/page_slopes.go
+++ b/internal/testbed/scale/page_slopes.go
@@ -14,7 +14,7 @@
 func (p *page) slopesTable() *table { return slopesOf(p.current) }
 
 func slopesOf(all *reportSet) *table {
-	t := newTable("series", "what", "unit", "origin", "range, points", "held", "fit on all but the largest", "R², residual",
+	t := newTable("series", "what", "unit", "origin", "range, points", "fixed", "fit on all but the largest", "R², residual",
 		"largest: measured, predicted", "error", "run")
 	for _, name := range slices.Sorted(maps.Keys(all.series)) {
 		t.row(slopeRow(all.series[name])...)
@@ -23,7 +23,7 @@
 }
 
 func slopeRow(e *reportedSeries) []string {
-	origin := string(e.Origin)
+	origin := currentTerm(originTerms, e.Origin)
 	if e.Counted {
 		origin += ", counted"
 	}
@@ -106,7 +106,7 @@
 		t.row(r.name, "`"+r.command+"`", shortCommit(r.commit))
 	}
 	for _, r := range p.baseline.reports {
-		t.row(r.name+", before the mechanism", "`"+r.command+"`", shortCommit(r.commit))
+		t.row(r.name+", before the bounded candidates", "`"+r.command+"`", shortCommit(r.commit))
 	}
 	return t
 }
@@ -148,7 +148,7 @@
 
 // comparisonWithBaseline shows each series of the baseline, and the current series at the same sizes.
 func (p *page) comparisonWithBaseline() *table {
-	t := newTable("series", "unit", "at", "before", "with it", "with it over before")
+	t := newTable("series", "unit", "at", "before", "with it", "with it / before")
 	for _, name := range slices.Sorted(maps.Keys(p.baseline.series)) {
 		if strings.HasPrefix(name, faultPrefix) {
 			continue // they have a table of their own
--- a/internal/testbed/scale/page_tables_test.go
+++ b/internal/testbed/scale/page_tables_test.go
@@ -59,7 +59,7 @@
 		Check{Name: "rack, 50 connections a balancer: no rule is broken", Held: true})
 	checkRows(t, p.faultsTable(),
 		"| rack | 500 connections | 3 | not measured | not measured | not measured | not measured | held in 1 of 1 runs | simulated |",
-		"| zone | 500 connections | 12 | not measured | 5.4 s | not measured | not measured | **broken** in 1 of 2 runs | simulated |")
+		"| zone | 500 connections | 12 | not measured | 5.4 s | not measured | not measured | **violated** in 1 of 2 runs | simulated |")
 }
 
 // Simulated and real figures are compared at the sizes of both, and differences of more than a fifth are marked.
@@ -79,7 +79,7 @@
 	})
 	made := p.simulatedAgainstRealTable()
 	checkRows(t, made,
-		"| processor time of a change of one entry, of twenty told together | 1,000 servers | 60 µs | 130 µs | 0.462 "+
+		"| processor time of a change of one entry, in a batch of twenty | 1,000 servers | 60 µs | 130 µs | 0.462 "+
 			"| "+unexplainedDifference+" |",
 		"| memory that the list takes beyond that of the smallest size | 8,000 servers | 3.97 MB | 7.94 MB | 0.5 "+
 			"| a heap grows to twice what lives on it before it is collected |")
--- a/internal/testbed/scale/real_compare.go
+++ b/internal/testbed/scale/real_compare.go
@@ -25,12 +25,12 @@
 
 // comparisons are in the order of the report.
 var comparisons = []comparison{
-	{name: "rest", quantity: "processor time at rest that held idle connections add", unit: "cores"},
+	{name: "rest", quantity: "processor time that held idle connections add", unit: "cores"},
 	{name: "change", unit: "s",
-		quantity: "processor time of a change of one entry, each told alone to the real one and twenty together to the hollow one",
-		whyBelow: "a process at rest is woken for each change; see changes", whyAbove: stubSharesProcess},
-	{name: "changes", quantity: "processor time of a change of one entry, of twenty told together", unit: "s", whyAbove: stubSharesProcess},
-	{name: "whole-list", quantity: "processor time of a whole list, told again", unit: "s", whyAbove: stubSharesProcess},
+		quantity: "processor time of a change of one entry, sent one by one to the real process and in batches of twenty to the hollow balancer",
+		whyBelow: "an idle process is woken for each change; see changes", whyAbove: stubSharesProcess},
+	{name: "changes", quantity: "processor time of a change of one entry, in a batch of twenty", unit: "s", whyAbove: stubSharesProcess},
+	{name: "whole-list", quantity: "processor time of a full list that is sent again", unit: "s", whyAbove: stubSharesProcess},
 	{name: "list-memory", quantity: "memory that the list takes beyond that of the smallest size", unit: "bytes",
 		whyBelow: "a heap grows to twice what lives on it before it is collected"},
 }
--- a/internal/testbed/scale/real_held.go
+++ b/internal/testbed/scale/real_held.go
@@ -156,7 +156,7 @@
 		if err != nil {
 			return nil, nil, err
 		}
-		set.add("real.placements.processor", "processor time of a connection from its coming to its end", "s", n, cost.Seconds())
+		set.add("real.placements.processor", "processor time of a connection from accept to close", "s", n, cost.Seconds())
 	}
 	progress(len(s.Sizes), len(s.Sizes))
 	return set.list, nil, nil
--- a/internal/testbed/scale/real_lists.go
+++ b/internal/testbed/scale/real_lists.go
@@ -44,7 +44,7 @@
 }
 
 func (s *realSeries) addMemory(prefix, of string, size int, m realMemory) {
-	s.add(prefix+".private", "memory in pages of no file, "+of, "bytes", size, m.private)
+	s.add(prefix+".private", "memory in anonymous pages, "+of, "bytes", size, m.private)
 	s.add(prefix+".resident", "memory resident, with the pages of its program, "+of, "bytes", size, m.resident)
 	s.add(prefix+".peak", "most memory that was ever resident, "+of, "bytes", size, m.peak)
 }
@@ -87,9 +87,9 @@
 	if err != nil {
 		return err
 	}
-	set.addMemory("real.servers", "at rest without connections", servers, m)
-	set.add("real.servers.processor", "processor time at rest without connections", "cores", servers, share)
-	set.add("real.servers.start", "processor time from the start until the whole list is in force", "s", servers, started.Seconds())
+	set.addMemory("real.servers", "while idle without connections", servers, m)
+	set.add("real.servers.processor", "processor time while idle without connections", "cores", servers, share)
+	set.add("real.servers.start", "processor time from the start until the full list is in force", "s", servers, started.Seconds())
 	return nil
 }
 
@@ -144,15 +144,15 @@
 		return err
 	}
 	set.add("real.change.processor", "processor time of a change of one entry", "s", servers, changeCost.Seconds())
-	set.add("real.change.in-force", "time from the telling of a change of one entry until it is in force, median",
+	set.add("real.change.in-force", "time from sending a change of one entry until it is in force, median",
 		"s", servers, changeMedian.Seconds())
 	set.add("real.change.in-force-last", fmt.Sprintf("the same, longest of %d", realChangesTimed), "s", servers, changeLongest.Seconds())
-	set.add("real.whole-list.processor", "processor time of a whole list, told again", "s", servers, fullListCost.Seconds())
-	set.add("real.whole-list.in-force", "time from the telling of a whole list until it is in force, median",
+	set.add("real.whole-list.processor", "processor time of a full list that is sent again", "s", servers, fullListCost.Seconds())
+	set.add("real.whole-list.in-force", "time from sending a full list until it is in force, median",
 		"s", servers, fullListMedian.Seconds())
 	set.add("real.whole-list.in-force-last", fmt.Sprintf("the same, longest of %d", realListsPublished),
 		"s", servers, fullListLongest.Seconds())
-	set.addMemory("real.changes", "after its list was told whole several times", servers, m)
+	set.addMemory("real.changes", "after its full list was sent several times", servers, m)
 	return nil
 }
 
--- a/internal/testbed/scale/report.go
+++ b/internal/testbed/scale/report.go
@@ -21,7 +21,7 @@
 		return "", &Error{
 			Where:  directory,
 			What:   "the report can't be written",
-			Remedy: "name a folder that can be written to with --out",
+			Remedy: "name a writable directory with --out",
 			Err:    err,
 		}
 	}
@@ -56,7 +56,7 @@
 
 // ReadReport reads a report file. Its error is an *Error that names file and line.
 func ReadReport(file string) (*Report, error) {
-	const advice = "run its experiment again: testbed scale run writes reports whole"
+	const advice = "run its experiment again: testbed scale run writes complete reports"
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return nil, &Error{Where: file, What: "can't be read", Remedy: advice, Err: err}
@@ -74,7 +74,7 @@
 	if err != nil {
 		return nil, &Error{
 			Where:  fmt.Sprintf("%s:%d", file, lineNumber(text, failureOffset(err, end))),
-			What:   "no whole report",
+			What:   "is not a complete report",
 			Remedy: advice,
 			Err:    err,
 		}
--- a/internal/testbed/scale/report_test.go
+++ b/internal/testbed/scale/report_test.go
@@ -48,7 +48,7 @@
 		t.Fatal(err)
 	}
 	if _, err := Write(directory, blocked); err == nil {
-		t.Error("a report was written over a folder")
+		t.Error("a report was written over a directory")
 	}
 	var typed *Error
 	if _, err := Write(file, sampleRunReport()); !errors.As(err, &typed) || typed.Advice() == "" {
@@ -91,11 +91,11 @@
 	for _, c := range []struct{ name, text, want string }{
 		{"another format", `{"format": 2, "series": []}`, ": format: want 1, got 2"},
 		{"no format", `{}`, ": format: want 1, got 0"},
-		{"unknown key", "{\"format\": 1,\n\"colour\": 3}", ":2: no whole report"},
-		{"another kind", "{\"format\": 1,\n\n\"seed\": \"x\"}", ":3: no whole report"},
-		{"two reports", `{"format": 1} {"format": 1}`, ":1: no whole report"},
+		{"unknown key", "{\"format\": 1,\n\"colour\": 3}", ":2: is not a complete report"},
+		{"another kind", "{\"format\": 1,\n\n\"seed\": \"x\"}", ":3: is not a complete report"},
+		{"two reports", `{"format": 1} {"format": 1}`, ":1: is not a complete report"},
 		{"no series", `{"format": 1}`, ": series"},
-		{"no text", ``, ":1: no whole report"},
+		{"no text", ``, ":1: is not a complete report"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if err := os.WriteFile(file, []byte(c.text), 0o644); err != nil {
--- a/internal/testbed/scale/sweep_balancers.go
+++ b/internal/testbed/scale/sweep_balancers.go
@@ -25,7 +25,7 @@
 	})
 	uneven := newSeries(seriesKind{
 		name: "unevenness", unit: "ratio", origin: Simulated, counted: true,
-		quantity: "connections of the fullest server over the mean, all balancers together",
+		quantity: "connections of the most loaded server relative to the mean, all balancers together",
 	})
 	rejected := 0
 	for i, size := range s.Sizes {
--- a/internal/testbed/scale/sweep_faults.go
+++ b/internal/testbed/scale/sweep_faults.go
@@ -86,16 +86,16 @@
 func newFaultSeries(s Settings, name string) seriesSet {
 	newSeries := seriesFactory(s, "faults."+name, roleControl)
 	return seriesSet{
-		newSeries(seriesKind{name: "cut", quantity: "clients cut off", unit: "clients", origin: Simulated, counted: true}),
-		newSeries(seriesKind{name: "moved", quantity: "connections asked to move", unit: "connections", origin: Simulated, counted: true}),
+		newSeries(seriesKind{name: "cut", quantity: "clients disconnected", unit: "clients", origin: Simulated, counted: true}),
+		newSeries(seriesKind{name: "moved", quantity: "connections asked to migrate", unit: "connections", origin: Simulated, counted: true}),
 		newSeries(seriesKind{name: "turned-away", quantity: "flows rejected or aborted", unit: "flows", origin: Simulated, counted: true}),
 		newSeries(seriesKind{
 			name: "back-after", unit: "s", origin: Simulated, counted: true,
-			quantity: "from the fault until 99 in 100 of the clients that were cut stood again",
+			quantity: "from the fault until 99 in 100 of the disconnected clients were established again",
 		}),
 		newSeries(seriesKind{
 			name: "slowest-setup", unit: "s", origin: Simulated, counted: true,
-			quantity: "the longest set-up of all that came to stand",
+			quantity: "longest setup of an established flow",
 		}),
 		newSeries(seriesKind{
 			name: "busiest", unit: "connects", origin: Simulated, counted: true,
@@ -107,7 +107,7 @@
 		}),
 		newSeries(seriesKind{
 			name: "processor-time", unit: "s", origin: Simulated,
-			quantity: "processor time of the whole run of 60 s, model and referee included",
+			quantity: "processor time of the whole run of 60 s, model and invariant checker included",
 		}),
 	}
 }
--- a/internal/testbed/scale/sweep_groups.go
+++ b/internal/testbed/scale/sweep_groups.go
@@ -39,7 +39,7 @@
 	})
 	uneven := newSeries(seriesKind{
 		name: "unevenness", unit: "ratio", origin: Simulated, counted: true,
-		quantity: "connections of the fullest server over the mean",
+		quantity: "connections of the most loaded server relative to the mean",
 	})
 	rejected := 0
 	for i, size := range s.Sizes {
--- a/internal/testbed/scale/sweep_list.go
+++ b/internal/testbed/scale/sweep_list.go
@@ -26,15 +26,15 @@
 	newSeries := seriesFactory(s, "list", roleControl)
 	fullListTime := newSeries(seriesKind{
 		name: "whole-time", unit: unitMicroseconds, origin: Measured,
-		quantity: "processor time of one whole list taken by the decisions",
+		quantity: "processor time of one full list applied by the decisions",
 	})
 	change := newSeries(seriesKind{
 		name: "change-time", unit: unitMicroseconds, origin: Measured,
-		quantity: "processor time of one change taken by the decisions",
+		quantity: "processor time of one change applied by the decisions",
 	})
 	objects := newSeries(seriesKind{
 		name: "change-allocations", unit: unitAllocations, origin: Measured, counted: true,
-		quantity: "allocations of one change taken by the decisions",
+		quantity: "allocations of one change applied by the decisions",
 	})
 	memory := newSeries(seriesKind{
 		name: "memory", unit: "bytes", origin: Measured, counted: true,
@@ -42,11 +42,11 @@
 	})
 	parsed := newSeries(seriesKind{
 		name: "parse-time", unit: unitMicroseconds, origin: Measured,
-		quantity: "processor time of one whole list from its text on: discovery, routing and decisions",
+		quantity: "processor time of parsing and applying one full list: discovery, routing and decisions",
 	})
 	garbage := newSeries(seriesKind{
 		name: "parse-bytes", unit: "bytes", origin: Measured, counted: true,
-		quantity: "bytes allocated to take one whole list from its text on",
+		quantity: "bytes allocated to parse and apply one full list",
 	})
 	routed := newSeries(seriesKind{
 		name: "routed-memory", unit: "bytes", origin: Measured, counted: true,
--- a/internal/testbed/scale/sweep_placement.go
+++ b/internal/testbed/scale/sweep_placement.go
@@ -39,7 +39,7 @@
 	})
 	looked := newSeries(seriesKind{
 		name: "servers-looked-at", unit: unitLooks, origin: Measured, counted: true,
-		quantity: "servers looked at for one flow, with another decider asked",
+		quantity: "servers evaluated for one flow, with another decider present",
 	})
 	rejected := 0
 	for i, size := range s.Sizes {
--- a/internal/testbed/scale/sweep_rechecks.go
+++ b/internal/testbed/scale/sweep_rechecks.go
@@ -30,18 +30,18 @@
 // servers, many of which could be placed better.
 func rechecksSweep(ctx context.Context, s Settings, progress Progress) ([]Series, []Check, error) {
 	newSeries := seriesFactory(s, "rechecks", roleControl)
-	share := newSeries(seriesKind{name: "core-share", quantity: "share of a core that ticks take at rest", unit: "cores", origin: Measured})
+	share := newSeries(seriesKind{name: "core-share", quantity: "share of a core that ticks take while idle", unit: "cores", origin: Measured})
 	objects := newSeries(seriesKind{
 		name: "allocations", unit: unitAllocations, origin: Measured, counted: true,
-		quantity: "allocations of one tick at rest",
+		quantity: "allocations of one tick while idle",
 	})
 	looked := newSeries(seriesKind{
 		name: "servers-looked-at", unit: unitLooks, origin: Measured, counted: true,
-		quantity: "servers looked at in one tick at rest, with another decider asked",
+		quantity: "servers evaluated in one idle tick, with another decider present",
 	})
 	uneven := newSeries(seriesKind{
 		name: "core-share-uneven", unit: "cores", origin: Measured,
-		quantity: "share of a core that ticks take where connections stand anywhere, those asked to move placed anew",
+		quantity: "share of a core that ticks take with connections on random servers, migrated ones placed again",
 	})
 	moved := 0
 	for i, size := range s.Sizes {
--- a/internal/testbed/scale/sweep_topic.go
+++ b/internal/testbed/scale/sweep_topic.go
@@ -26,7 +26,7 @@
 	newSeries := seriesFactory(s, "topic", "server")
 	uneven := newSeries(seriesKind{
 		name: "unevenness", unit: "ratio", origin: Simulated, counted: true,
-		quantity: "connections of the fullest server over the mean, with the topic",
+		quantity: "connections of the most loaded server relative to the mean, with the topic",
 	})
 	bearing := newSeries(seriesKind{
 		name: "servers", unit: "servers", origin: Simulated, counted: true,
@@ -34,7 +34,7 @@
 	})
 	fullest := newSeries(seriesKind{
 		name: "share-of-the-fullest", unit: "share", origin: Simulated, counted: true,
-		quantity: "share of the topic that its fullest server holds",
+		quantity: "share of the topic that its most loaded server holds",
 	})
 	rejected := 0
 	for i, size := range s.Sizes {
--- a/internal/testbed/scale/sweep_zone.go
+++ b/internal/testbed/scale/sweep_zone.go
@@ -20,23 +20,23 @@
 	return seriesSet{
 		newSeries(seriesKind{
 			name: "clients", unit: "clients", origin: Simulated, counted: true,
-			quantity: "clients cut off, by each balancer that is left",
+			quantity: "clients disconnected, for each surviving balancer",
 		}),
 		newSeries(seriesKind{
 			name: "half-back", unit: "s", origin: Simulated, counted: true,
-			quantity: "from the loss until half of the clients that were cut stood again",
+			quantity: "from the loss until half of the disconnected clients were established again",
 		}),
 		newSeries(seriesKind{
 			name: "most-back", unit: "s", origin: Simulated, counted: true,
-			quantity: "from the loss until 99 in 100 of them did",
+			quantity: "from the loss until 99 in 100 of them were",
 		}),
 		newSeries(seriesKind{
 			name: "turned-away", unit: "tries", origin: Simulated, counted: true,
-			quantity: "tries that were rejected or aborted, by each client that was cut",
+			quantity: "attempts rejected or aborted, for each disconnected client",
 		}),
 		newSeries(seriesKind{
 			name: "slowest-setup", unit: "s", origin: Simulated, counted: true,
-			quantity: "the longest set-up of all that came to stand",
+			quantity: "longest setup of an established flow",
 		}),
 		newSeries(seriesKind{
 			name: "busiest", unit: "connects", origin: Simulated, counted: true,
@@ -44,7 +44,7 @@
 		}),
 		newSeries(seriesKind{
 			name: "processor-share", unit: "cores", origin: Simulated,
-			quantity: "of a core in the busiest second, by each balancer, with the model round it: at most that",
+			quantity: "share of a core in the busiest second, at each balancer, with the model included: an upper bound",
 		}),
 		newSeries(seriesKind{
 			name: "unserved", unit: "clients", origin: Simulated, counted: true,
