--- a/internal/testbed/scale/control_real.go
+++ b/internal/testbed/scale/control_real.go
@@ -295,9 +295,9 @@
 	if err := fleet.awaitDiscovery(ctx); err != nil {
 		return err
 	}
-	telling, end := context.WithCancel(ctx)
+	publishing, end := context.WithCancel(ctx)
 	var publisher sync.WaitGroup
-	publisher.Go(func() { fleet.publishRecords(telling, recordBytes, m.settings.Seed) })
+	publisher.Go(func() { fleet.publishRecords(publishing, recordBytes, m.settings.Seed) })
 	defer publisher.Wait()
 	defer end()
 	if err := pause(ctx, settlingTime); err != nil {
--- a/internal/testbed/scale/control_test.go
+++ b/internal/testbed/scale/control_test.go
@@ -57,7 +57,7 @@
 
 func TestGossipTrafficIsBounded(t *testing.T) {
 	few, many := gossipAt(t, 110, signals.MaxReports), gossipAt(t, 900, signals.MaxReports)
-	checkGrowth(t, "bytes of gossip and probes", Point{Size: 110, Value: few.totalBytes()}, Point{Size: 900, Value: many.totalBytes()}, 0)
+	checkGrowth(t, "bytes of gossip and pings", Point{Size: 110, Value: few.totalBytes()}, Point{Size: 900, Value: many.totalBytes()}, 0)
 	checkGrowth(t, "datagrams", Point{Size: 110, Value: few.recordDatagrams + few.probeDatagrams},
 		Point{Size: 900, Value: many.recordDatagrams + many.probeDatagrams}, 0)
 	const spare = 1 // answers a second more than the two that a member is asked for on average
@@ -67,7 +67,7 @@
 	}
 	few, many = gossipAt(t, 110, fewReports), gossipAt(t, 900, fewReports)
 	const logarithmic = 0.2
-	checkGrowth(t, "records heard", Point{Size: 110, Value: few.records}, Point{Size: 900, Value: many.records}, logarithmic)
+	checkGrowth(t, "records received", Point{Size: 110, Value: few.records}, Point{Size: 900, Value: many.records}, logarithmic)
 	if few.reachedShare < 0.99 || many.reachedShare < 0.99 {
 		t.Errorf("small records reach %.3f and %.3f of the others within 5 s", few.reachedShare, many.reachedShare)
 	}
@@ -202,7 +202,7 @@
 	}
 	value := func(s map[string]*Series, name string) float64 { return s[name].Points[0].Value }
 	few, many := at(20), at(200)
-	checkGrowth(t, "allocations of a record heard", Point{Size: 20, Value: value(few, "hear-allocations")},
+	checkGrowth(t, "allocations of a received record", Point{Size: 20, Value: value(few, "hear-allocations")},
 		Point{Size: 200, Value: value(many, "hear-allocations")}, 0)
 	checkGrowth(t, "bytes of a record", Point{Size: 20, Value: value(few, "record-bytes")},
 		Point{Size: 200, Value: value(many, "record-bytes")}, 0)
--- a/internal/testbed/scale/experiment.go
+++ b/internal/testbed/scale/experiment.go
@@ -75,7 +75,7 @@
 
 // Read parses the text of an experiment file. Its error is an *Error that names the file and the key.
 func Read(file string, text []byte) (*Experiment, error) {
-	const advice = "mend the file; docs/scale-use.md has a line for each key"
+	const advice = "correct the file; docs/scale-use.md has a line for each key"
 	table, err := strict.Parse(file, text)
 	if err != nil {
 		return nil, &Error{Where: file, What: "no experiment", Remedy: advice, Err: err}
@@ -120,7 +120,7 @@
 	if length := t.Duration(byLength, 0, maxLength); length > 0 {
 		s.Length = length.String()
 	} else if t.Has(byLength) {
-		t.Fail(byLength, "want a time above nought")
+		t.Fail(byLength, "want a time above zero")
 	}
 	if in.check != nil && len(s.Sizes) > 0 {
 		if key, fault := in.check(s); key != "" {
--- a/internal/testbed/scale/experiment_test.go
+++ b/internal/testbed/scale/experiment_test.go
@@ -28,7 +28,7 @@
 		{"cut short", soundPlacement[:len(soundPlacement)/2], "f.toml: no experiment: f.toml:"},
 		{"no sizes", replaced("sizes = [60, 128]", ""), "f.toml:0: sizes: is missing"},
 		{"empty sizes", replaced("[60, 128]", "[]"), "f.toml:3: sizes: want a list of whole numbers"},
-		{"size of nought", replaced("[60, 128]", "[0, 128]"), "f.toml:3: sizes: want a list of whole numbers from 1 to 32768"},
+		{"size of zero", replaced("[60, 128]", "[0, 128]"), "f.toml:3: sizes: want a list of whole numbers from 1 to 32768"},
 		{"negative size", replaced("[60, 128]", "[-60, 128]"), "f.toml:3: sizes: want a list of whole numbers from 1"},
 		{"size over the bound", replaced("[60, 128]", "[60, 32769]"), "f.toml:3: sizes: want a list of whole numbers from 1 to 32768"},
 		{"size beyond all numbers", replaced("[60, 128]", "[60, 99999999999999999999]"), "f.toml: no experiment: f.toml:3: "},
--- a/internal/testbed/scale/fleet_test.go
+++ b/internal/testbed/scale/fleet_test.go
@@ -98,7 +98,7 @@
 		}
 	})
 	if !drained[invariants.DrainsRespected] {
-		t.Errorf("rules %v broken by balancers that were not told of drains", drained)
+		t.Errorf("rules %v broken by balancers that were not notified of drains", drained)
 	}
 	flooded := violatedRules(t, func(f *fleet) {
 		for _, s := range f.servers {
@@ -126,6 +126,6 @@
 		}
 	})
 	if !flooded[invariants.SlowStartRespected] {
-		t.Errorf("rules %v broken by balancers that were not told of cold servers", flooded)
+		t.Errorf("rules %v broken by balancers that were not notified of cold servers", flooded)
 	}
 }
--- a/internal/testbed/scale/page_assumptions.go
+++ b/internal/testbed/scale/page_assumptions.go
@@ -38,7 +38,7 @@
 	t.row("size of an entry of the list", "as the stand-in for discovery writes it",
 		"bytes of full lists and changes are proportional to it; a list of more than "+show(maxListBytes, inBytes)+" is refused")
 	t.row("bytes of one health check",
-		fmt.Sprintf("%s: a connection of ten packets, from connect to close, with question and answer", digits(probeBytes)),
+		fmt.Sprintf("%s: a connection of ten packets, from connect to close, with question and answer", digits(healthCheckBytes)),
 		"traffic of health checks is proportional to it")
 	t.row("control traffic", "what one balancer sends or what it receives, not the sum", "the sum would be twice as much")
 	t.row("control memory", "live, as the sweeps measure it",
--- a/internal/testbed/scale/page_figure_test.go
+++ b/internal/testbed/scale/page_figure_test.go
@@ -23,7 +23,7 @@
 		{"changes missed in an hour", missedChanges, "708"},
 		{"deliveries a second at each", deliveriesPerBalancer, "6,049"},
 		{"listeners of the largest topic at each", listenersPerBalancer, "370"},
-		{"probes a second at each server", fleetBalancers / probeRound, "540"},
+		{"health checks a second at each server", fleetBalancers / healthCheckRound, "540"},
 		{"balancers a control machine", balancersPerMachine, "405"},
 		{"share of a lost zone for each heir", zoneShare, "37,182"},
 	} {
--- a/internal/testbed/scale/page_fit_test.go
+++ b/internal/testbed/scale/page_fit_test.go
@@ -133,10 +133,10 @@
 // Zero, equal and decreasing values have finite fits.
 func TestFitOfDegeneratePoints(t *testing.T) {
 	for name, value := range map[string]func(float64) float64{
-		"nought":      func(float64) float64 { return 0 },
-		"half nought": func(n float64) float64 { return max(0, n-1000) },
-		"falling":     func(n float64) float64 { return 1e6 / n },
-		"below":       func(n float64) float64 { return -n },
+		"zero":      func(float64) float64 { return 0 },
+		"half zero": func(n float64) float64 { return max(0, n-1000) },
+		"falling":   func(n float64) float64 { return 1e6 / n },
+		"below":     func(n float64) float64 { return -n },
 	} {
 		fit, err := FitPoints(pointsOf(decades, value))
 		if err != nil {
--- a/internal/testbed/scale/page_fleet.go
+++ b/internal/testbed/scale/page_fleet.go
@@ -36,7 +36,7 @@
 	rackBalancers     = 20.0    // behind one rack or switch
 	setupSeconds      = 0.010   // from the connect to the server's answer, as in the simulation
 	lineBytes         = 200.0   // of a delivery, as in the sweeps on real processes
-	probeBytes        = 500.0   // of one health check: a connection of ten packets
+	healthCheckBytes  = 500.0   // of one health check: a connection of ten packets
 )
 
 // Values derived from both.
@@ -78,23 +78,23 @@
 
 // Constants of the code that matter at the fleet's size. TestCodeConstantsMatch compares them with their sources.
 const (
-	maxListedServers = 16_384.0               // internal/protocol maxServers
-	maxListBytes     = maxListedServers * 256 // bytes; internal/protocol maxListBytes
-	fleetSetupLimit  = 48.0                   // decide fleetSetupLimit
-	gapPerBalancer   = 0.008                  // seconds; decide minSetupSpacing
-	maxSetupGap      = 16.0                   // seconds; decide maxSetupSpacing
-	probeRound       = 15.0                   // seconds; decide loadReportMaxAge
-	heapGrowth       = 2.0                    // of the live heap before it is collected, by the Go runtime's default
-	leaseLength      = 6.0                    // seconds; docs/membership.md
-	probesPerFlow    = 4.0                    // decide checksPerConnect
-	overloadFactor   = 1.25                   // decide groupingGuard
+	maxListedServers    = 16_384.0               // internal/protocol maxServers
+	maxListBytes        = maxListedServers * 256 // bytes; internal/protocol maxListBytes
+	fleetSetupLimit     = 48.0                   // decide fleetSetupLimit
+	gapPerBalancer      = 0.008                  // seconds; decide minSetupSpacing
+	maxSetupGap         = 16.0                   // seconds; decide maxSetupSpacing
+	healthCheckRound    = 15.0                   // seconds; decide loadReportMaxAge
+	heapGrowth          = 2.0                    // of the live heap before it is collected, by the Go runtime's default
+	leaseLength         = 6.0                    // seconds; docs/membership.md
+	healthChecksPerFlow = 4.0                    // decide checksPerConnect
+	overloadFactor      = 1.25                   // decide groupingGuard
 )
 
-// setupLimit is how many set-ups one balancer of the fleet may have in flight.
+// setupLimit is how many connection setups one balancer of the fleet may have in flight.
 func setupLimit() float64 { return max(1, fleetSetupLimit/fleetBalancers) }
 
-// probeRateWithoutLeases is the health checks per second of one balancer when balancers don't share them: each server
+// healthCheckRateWithoutLeases is the health checks per second of one balancer when balancers don't share them: each server
 // once a round, as it holds more flows than there are servers, and some for each placement.
-func probeRateWithoutLeases(servers, placements float64) float64 {
-	return servers/probeRound + probesPerFlow*placements
+func healthCheckRateWithoutLeases(servers, placements float64) float64 {
+	return servers/healthCheckRound + healthChecksPerFlow*placements
 }
--- a/internal/testbed/scale/page_loads.go
+++ b/internal/testbed/scale/page_loads.go
@@ -59,12 +59,12 @@
 	return p.valueAt(unevenRecheckTime, servers).multipliedBy(more)
 }
 
-// probeLoad is with leases: each holder of a server's lease checks it once a round.
-func probeLoad(p *page, s situation, servers float64) load {
+// healthCheckLoad is with leases: each holder of a server's lease checks it once a round.
+func healthCheckLoad(p *page, s situation, servers float64) load {
 	l := zeroLoad()
-	rate := p.valueAt(leaseHolders, s.members).times(servers/probeRound/s.members, inRate)
+	rate := p.valueAt(leaseHolders, s.members).times(servers/healthCheckRound/s.members, inRate)
 	l.messagesOut, l.messagesIn = rate, rate
-	l.bytesOut = rate.times(probeBytes/2, inTraffic)
+	l.bytesOut = rate.times(healthCheckBytes/2, inTraffic)
 	l.bytesIn = l.bytesOut
 	l.processor, l.memory = unmeasured("health checks"), unmeasured("health checks")
 	return l
@@ -91,7 +91,7 @@
 	fleetFactor := p.valueAt(leaseScoringTime, s.members).dividedBy(p.valueAt(leaseScoringTime, fleetBalancers), inCount)
 	// The series are for an ordinary day's membership changes; at most, all is scored again in each round of health
 	// checks.
-	changeRatio := min(s.membershipChanges, 1/probeRound) / ordinaryMembershipChanges
+	changeRatio := min(s.membershipChanges, 1/healthCheckRound) / ordinaryMembershipChanges
 	scoring := p.valueAt(leaseScoringTimeByServers, servers).multipliedBy(fleetFactor).times(changeRatio, inCores)
 	l.processor = scoring.plus(p.valueAt(leaseMembershipTime, s.members))
 	l.memory = p.valueAt(leaseMemory, s.members)
@@ -145,14 +145,14 @@
 // serverLoad is one server's health checks and deliveries.
 func serverLoad(p *page, s situation, servers float64) load {
 	l := unknownLoad()
-	probes := p.valueAt(leaseHolders, s.members).times(fleetBalancers/s.members/probeRound, inRate)
+	checks := p.valueAt(leaseHolders, s.members).times(fleetBalancers/s.members/healthCheckRound, inRate)
 	deliveries := s.deliveries * fleetBalancers / servers
 	if s.deliveries > 0 {
 		deliveries = fleetDeliveries / servers
 	}
-	l.messagesIn = probes
-	l.messagesOut = probes.plus(calculated(deliveries, inRate))
-	l.bytesIn = probes.times(probeBytes/2, inTraffic)
+	l.messagesIn = checks
+	l.messagesOut = checks.plus(calculated(deliveries, inRate))
+	l.bytesIn = checks.times(healthCheckBytes/2, inTraffic)
 	l.bytesOut = l.bytesIn.plus(calculated(deliveries*lineBytes, inTraffic))
 	return l
 }
--- a/internal/testbed/scale/page_parts.go
+++ b/internal/testbed/scale/page_parts.go
@@ -124,10 +124,10 @@
 		owner: "the balancer that made the check",
 		onFailure: "With leases one balancer checks on behalf of all; partitioned regions have a lease holder each. " +
 			"Without them, and until the members know each other, each balancer checks each server itself; see the requirements.",
-		mechanism:  mechanismLeasedProbes,
+		mechanism:  mechanismLeasedHealthChecks,
 		dependents: "load reports",
 		proposal:   "leases that work at this size",
-		load:       probeLoad,
+		load:       healthCheckLoad,
 	},
 	{
 		name:       "signals",
--- a/internal/testbed/scale/page_requirements.go
+++ b/internal/testbed/scale/page_requirements.go
@@ -7,15 +7,15 @@
 
 // Mechanisms that keep requirements.
 const (
-	mechanismCandidates        = "bounded candidates, pruned rechecks (`decide`)"
-	mechanismDecisionsOnly     = "decisions: " + mechanismCandidates + "; signals, leases, engine: " + noMechanism
-	mechanismLeasedProbes      = "leases, where switched on: one member checks on behalf of all (`fleet/lease`)"
-	mechanismChanges           = "changes on an open watch, the full list on a new one (`internal/protocol`)"
-	mechanismOverflow          = "overload threshold: the next server by hash (`decide`)"
-	mechanismConnectionBuffers = "one buffer for each connection (`internal/transport`)"
-	mechanismSetupLimit        = "48 in flight over all balancers, at least one each (`decide`)"
-	mechanismLineRelay         = "relay of lines (`internal/transport`)"
-	mechanismLocalTallies      = "tallies only of groups that are held here (`decide`)"
+	mechanismCandidates         = "bounded candidates, pruned rechecks (`decide`)"
+	mechanismDecisionsOnly      = "decisions: " + mechanismCandidates + "; signals, leases, engine: " + noMechanism
+	mechanismLeasedHealthChecks = "leases, where switched on: one member checks on behalf of all (`fleet/lease`)"
+	mechanismChanges            = "changes on an open watch, the full list on a new one (`internal/protocol`)"
+	mechanismOverflow           = "overload threshold: the next server by hash (`decide`)"
+	mechanismConnectionBuffers  = "one buffer for each connection (`internal/transport`)"
+	mechanismSetupLimit         = "48 in flight over all balancers, at least one each (`decide`)"
+	mechanismLineRelay          = "relay of lines (`internal/transport`)"
+	mechanismLocalTallies       = "tallies only of groups that are held here (`decide`)"
 )
 
 // requirements are the operators' requirements in their order.
@@ -242,9 +242,9 @@
 			quantity:  "traffic of health checks alone, without leases",
 			bound:     calculated(controlTraffic, inTraffic),
 			values: forEachServerCount(func(servers float64) figure {
-				return calculated(probeRateWithoutLeases(servers, ordinaryPlacements+replacedPlacements)*probeBytes/2, inTraffic)
+				return calculated(healthCheckRateWithoutLeases(servers, ordinaryPlacements+replacedPlacements)*healthCheckBytes/2, inTraffic)
 			}),
-			mechanism:  mechanismLeasedProbes,
+			mechanism:  mechanismLeasedHealthChecks,
 			proposal:   "leases that work at this size",
 			dependents: "load reports, where servers answer health checks with them",
 		},
@@ -320,7 +320,7 @@
 		{
 			statement:  statement,
 			quantity:   "age of a load report, fetched by one member on behalf of all, when it is published again",
-			bound:      calculated(probeRound, inSeconds),
+			bound:      calculated(healthCheckRound, inSeconds),
 			values:     single(p.valueAt(loadAge, fleetBalancers)),
 			proposal:   "publication to its zone at once, not with the next record",
 			dependents: "load reports with leases: a published load expires long before the next one",
--- a/internal/testbed/scale/page_tables_test.go
+++ b/internal/testbed/scale/page_tables_test.go
@@ -88,7 +88,7 @@
 		t.Errorf("the model is not beside the real engines twice:\n%s", text)
 	}
 	if strings.Contains(text, "NaN") {
-		t.Errorf("a ratio of nought to nought:\n%s", text)
+		t.Errorf("a ratio of zero to zero:\n%s", text)
 	}
 	if p.err != nil {
 		t.Error(p.err)
--- a/internal/testbed/scale/page_terms_test.go
+++ b/internal/testbed/scale/page_terms_test.go
@@ -6,7 +6,7 @@
 	"yardwinch/decide"
 )
 
-// The document states how many set-ups one balancer may have in flight; the real decisions allow as many.
+// The document states how many connection setups one balancer may have in flight; the real decisions allow as many.
 func TestSetupLimitMatchesDecide(t *testing.T) {
 	for _, balancers := range []int{1, 48, int(fleetBalancers)} {
 		h := newSimulatedBalancer(1, simulatedSettings{peers: balancers})
@@ -17,10 +17,10 @@
 		}
 		want := max(1, fleetSetupLimit/balancers)
 		if got := len(h.connecting); got != want {
-			t.Errorf("%d balancers: %d set-ups out at once, want %d", balancers, got, want)
+			t.Errorf("%d balancers: %d setups in flight, want %d", balancers, got, want)
 		}
 	}
 	if got := setupLimit(); got != 1 {
-		t.Errorf("the page has %v out at once", got)
+		t.Errorf("the page has %v in flight", got)
 	}
 }
--- a/internal/testbed/scale/page_test.go
+++ b/internal/testbed/scale/page_test.go
@@ -247,25 +247,25 @@
 // The constants copied from the code match their sources.
 func TestCodeConstantsMatch(t *testing.T) {
 	for _, c := range []struct {
-		folder, name string
-		want         float64
+		directory, name string
+		want            float64
 	}{
 		{"../../protocol", "maxServers", maxListedServers},
 		{"../../../decide", "fleetSetupLimit", fleetSetupLimit},
 		{"../../../decide", "minSetupSpacing", gapPerBalancer * 1000},
 		{"../../../decide", "groupingGuard", overloadFactor},
-		{"../../../decide", "checksPerConnect", probesPerFlow},
+		{"../../../decide", "checksPerConnect", healthChecksPerFlow},
 	} {
 		pattern := regexp.MustCompile(`(?m)^\s*` + c.name + `\s*=\s*([0-9._]+)`)
-		if got := constantIn(t, c.folder, pattern); got != c.want {
+		if got := constantIn(t, c.directory, pattern); got != c.want {
 			t.Errorf("%s: %v in the code, %v on the page", c.name, got, c.want)
 		}
 	}
 }
 
-func constantIn(t *testing.T, folder string, pattern *regexp.Regexp) float64 {
+func constantIn(t *testing.T, directory string, pattern *regexp.Regexp) float64 {
 	t.Helper()
-	files, err := filepath.Glob(filepath.Join(folder, "*.go"))
+	files, err := filepath.Glob(filepath.Join(directory, "*.go"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -282,6 +282,6 @@
 			return value
 		}
 	}
-	t.Fatalf("%s is nowhere in %s", pattern, folder)
+	t.Fatalf("%s is nowhere in %s", pattern, directory)
 	return 0
 }
--- a/internal/testbed/scale/real.go
+++ b/internal/testbed/scale/real.go
@@ -113,7 +113,7 @@
 
 // invalidKey is the error of an invalid key of an experiment file.
 func invalidKey(key, format string, values ...any) error {
-	return &ProcessError{What: key + ": " + fmt.Sprintf(format, values...), Remedy: "mend the key in the experiment's file"}
+	return &ProcessError{What: key + ": " + fmt.Sprintf(format, values...), Remedy: "correct the key in the experiment's file"}
 }
 
 func checkRealSizes(sizes []int, maxSize int, what string) error {
--- a/internal/testbed/scale/real_process.go
+++ b/internal/testbed/scale/real_process.go
@@ -56,7 +56,7 @@
 		}
 	}()
 	if p.directory, err = os.MkdirTemp("", "yard-scale"); err != nil {
-		return p, &ProcessError{What: "no folder for it", Remedy: "make room in the folder for temporary files", Err: err}
+		return p, &ProcessError{What: "no directory for it", Remedy: "free space in the directory for temporary files", Err: err}
 	}
 	if p.servers, err = openStubServers(ctx); err != nil {
 		return p, err
--- a/internal/testbed/scale/real_test.go
+++ b/internal/testbed/scale/real_test.go
@@ -70,7 +70,7 @@
 				}
 			}
 			if steps != len(x.settings.Sizes)+1 || len(list) == 0 {
-				t.Errorf("%d steps told, %d series", steps, len(list))
+				t.Errorf("%d steps reported, %d series", steps, len(list))
 			}
 			for _, s := range list {
 				checkSeries(t, s, x.settings.Sizes)
@@ -82,7 +82,7 @@
 func checkSeries(t *testing.T, s Series, sizes []int) {
 	t.Helper()
 	if s.Name == "" || s.Role == "" || s.Quantity == "" || s.Unit == "" || s.Against == "" || s.Origin != Measured || s.Counted {
-		t.Errorf("%+v is not told whole", s)
+		t.Errorf("%+v is incomplete", s)
 	}
 	if len(s.Points) != len(sizes) {
 		t.Fatalf("%s: %d points of %d", s.Name, len(s.Points), len(sizes))
--- a/internal/testbed/scale/report_test.go
+++ b/internal/testbed/scale/report_test.go
@@ -15,7 +15,7 @@
 }
 
 func TestReportRoundTrip(t *testing.T) {
-	directory := filepath.Join(t.TempDir(), "new", "folder")
+	directory := filepath.Join(t.TempDir(), "new", "directory")
 	file, err := Write(directory, sampleRunReport())
 	if err != nil {
 		t.Fatal(err)
@@ -25,7 +25,7 @@
 		t.Errorf("read %+v, error %v", read, err)
 	}
 	if files, _ := os.ReadDir(directory); len(files) != 1 {
-		t.Errorf("%d files in the folder, want the report alone", len(files))
+		t.Errorf("%d files in the directory, want the report alone", len(files))
 	}
 }
 
@@ -52,13 +52,13 @@
 	}
 	var typed *Error
 	if _, err := Write(file, sampleRunReport()); !errors.As(err, &typed) || typed.Advice() == "" {
-		t.Errorf("error %v, want an Error, as the folder is a file", err)
+		t.Errorf("error %v, want an Error, as the directory is a file", err)
 	}
 	if after, _ := os.ReadFile(file); string(after) != string(before) {
 		t.Error("the report before was changed")
 	}
 	if files, _ := os.ReadDir(directory); len(files) != 2 {
-		t.Errorf("%d files in the folder, want the report and the folder alone", len(files))
+		t.Errorf("%d files in the directory, want the report and the directory alone", len(files))
 	}
 }
 
@@ -68,8 +68,8 @@
 }
 
 func TestTruncatedReport(t *testing.T) {
-	folder := t.TempDir()
-	file, err := Write(folder, sampleRunReport())
+	directory := t.TempDir()
+	file, err := Write(directory, sampleRunReport())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/testbed/scale/run.go
+++ b/internal/testbed/scale/run.go
@@ -29,7 +29,7 @@
 		return nil, err
 	}
 	if err := validateSeries(series); err != nil {
-		return nil, &Error{Where: e.Name, What: "the sweep gave no sound series", Remedy: "mend the sweep", Err: err}
+		return nil, &Error{Where: e.Name, What: "the sweep gave no valid series", Remedy: "correct the sweep", Err: err}
 	}
 	return &Report{
 		Format:     reportFormat,
--- a/internal/testbed/scale/sweep_zone.go
+++ b/internal/testbed/scale/sweep_zone.go
@@ -54,7 +54,7 @@
 }
 
 // lostZoneSweep loses a zone for good and measures when its clients are established again. Its balancers are
-// configured for the largest fleet, so that as many set-ups are in flight as there.
+// configured for the largest fleet, so that as many setups are in flight as there.
 func lostZoneSweep(ctx context.Context, s Settings, progress Progress) ([]Series, []Check, error) {
 	set := newLostZoneSeries(s)
 	var checks []Check
