--- a/internal/testbed/scale/page_comparison.go
+++ b/internal/testbed/scale/page_comparison.go
@@ -10,7 +10,7 @@
 const (
 	agreementTolerance    = 0.20        // share of the real figure
 	modelSuffix           = "-of-model" // of a model's series, beside the series of real engines
-	busyEngines           = "the machine was too busy at that size: engines that answer late are suspected and pinged again, also through others"
+	busyEngines           = "the machine was too busy at that size: engines that answer late are suspected and pinged again"
 	unexplainedDifference = "cause unknown" // reason for a difference
 )
 
--- a/internal/testbed/scale/page_control.go
+++ b/internal/testbed/scale/page_control.go
@@ -13,13 +13,13 @@
 
 // controlProcessor is the processor time of all parts of control.
 func (p *page) controlProcessor(s situation, servers float64) figure {
-	return p.sumControlParts(controlParts, s, servers, func(l load) figure { return l.processor }, inCores)
+	return p.sumControlParts(controlParts, s, servers, processorOf, inCores)
 }
 
 // controlTrafficOf is what all parts of control send or receive, whichever is more.
 func (p *page) controlTrafficOf(s situation, servers float64) figure {
-	sent := p.sumControlParts(controlParts, s, servers, func(l load) figure { return l.bytesOut }, inTraffic)
-	received := p.sumControlParts(controlParts, s, servers, func(l load) figure { return l.bytesIn }, inTraffic)
+	sent := p.sumControlParts(controlParts, s, servers, bytesOutOf, inTraffic)
+	received := p.sumControlParts(controlParts, s, servers, bytesInOf, inTraffic)
 	if received.value > sent.value {
 		return received
 	}
@@ -28,17 +28,16 @@
 
 // controlMemory is the memory of all parts of control in an idle balancer.
 func (p *page) controlMemory(servers float64) figure {
-	return p.sumControlParts(controlParts, situations(servers)[situationIdle], servers, func(l load) figure { return l.memory }, inBytes)
+	return p.sumControlParts(controlParts, situations(servers)[situationIdle], servers, memoryOf, inBytes)
 }
 
 // standaloneProcessor and standaloneMemory are those of a balancer without peers and without health checks.
 func (p *page) standaloneProcessor(s situation, servers float64) figure {
-	return p.sumControlParts(controlParts[:standaloneParts], s, servers, func(l load) figure { return l.processor }, inCores)
+	return p.sumControlParts(controlParts[:standaloneParts], s, servers, processorOf, inCores)
 }
 
 func (p *page) standaloneMemory(servers float64) figure {
-	return p.sumControlParts(controlParts[:standaloneParts], situations(servers)[situationIdle], servers,
-		func(l load) figure { return l.memory }, inBytes)
+	return p.sumControlParts(controlParts[:standaloneParts], situations(servers)[situationIdle], servers, memoryOf, inBytes)
 }
 
 // sumControlParts adds a quantity over the parts of control, and records the parts without figures.
@@ -85,11 +84,9 @@
 			return forEachServerCount(func(servers float64) figure { return quantity(part.load(p, ordinaryDay(servers), servers)) })
 		}
 		requirements := []requirement{
-			{quantity: "processor time", bound: calculated(controlCores, inCores),
-				values: variants(func(l load) figure { return l.processor })},
-			{quantity: "memory", bound: calculated(controlBytes, inBytes), values: variants(func(l load) figure { return l.memory })},
-			{quantity: "traffic", bound: calculated(controlTraffic, inTraffic),
-				values: variants(func(l load) figure { return l.bytesOut })},
+			{quantity: "processor time", bound: calculated(controlCores, inCores), values: variants(processorOf)},
+			{quantity: "memory", bound: calculated(controlBytes, inBytes), values: variants(memoryOf)},
+			{quantity: "traffic", bound: calculated(controlTraffic, inTraffic), values: variants(bytesOutOf)},
 		}
 		for _, l := range requirements {
 			l.quantity, l.mechanism, l.dependents = "control, "+part.name+" alone: "+l.quantity, part.mechanism, part.dependents
--- a/internal/testbed/scale/page_day.go
+++ b/internal/testbed/scale/page_day.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"math"
+	"slices"
 )
 
 // dayTables are the tables of a day by their names in the template.
@@ -127,20 +128,27 @@
 		{"bytes of one change", p.valueAt(changeBytes, likelyServers)},
 		{"changes only: bytes a second at each balancer", p.valueAt(changeBytes, likelyServers).times(changeRate, inTraffic)},
 	}
-	lines = append(lines, quantityRowsByServers("changes only: in force, the last",
-		func(servers float64) figure { return p.valueAt(changeMaxLatencyByServers, servers) })...)
-	lines = append(lines, quantityRowsByServers("full lists: in force, the last",
-		func(servers float64) figure { return p.valueAt(fullListMaxLatencyByServers, servers) })...)
-	lines = append(lines, quantityRowsByServers("bytes of a full list",
-		func(servers float64) figure { return p.valueAt(listBytes, servers) })...)
-	lines = append(lines, quantityRowsByServers("full lists at each change: bytes a second at each balancer",
-		func(servers float64) figure { return p.valueAt(listBytes, servers).times(changeRate, inTraffic) })...)
-	lines = append(lines, quantityRowsByServers("full lists for balancers that start without state: bytes a second over the fleet",
-		func(servers float64) figure { return p.valueAt(listBytes, servers).times(starts, inTraffic) })...)
-	lines = append(lines, quantityRowsByServers("processor time of changes at each balancer", func(servers float64) figure {
-		return p.valueAt(changeTime, servers).times(changeRate, inCores)
-	})...)
-	return quantityTable(lines...)
+	return quantityTable(slices.Concat(
+		lines,
+		quantityRowsByServers("changes only: in force, the last", p.seriesBySize(changeMaxLatencyByServers)),
+		quantityRowsByServers("full lists: in force, the last", p.seriesBySize(fullListMaxLatencyByServers)),
+		quantityRowsByServers("bytes of a full list", p.seriesBySize(listBytes)),
+		quantityRowsByServers("full lists at each change: bytes a second at each balancer",
+			p.rateBySize(listBytes, changeRate, inTraffic)),
+		quantityRowsByServers("full lists for balancers that start without state: bytes a second over the fleet",
+			p.rateBySize(listBytes, starts, inTraffic)),
+		quantityRowsByServers("processor time of changes at each balancer", p.rateBySize(changeTime, changeRate, inCores)),
+	)...)
+}
+
+// seriesBySize returns the values of a series.
+func (p *page) seriesBySize(name seriesName) func(size float64) figure {
+	return func(size float64) figure { return p.valueAt(name, size) }
+}
+
+// rateBySize returns the values of a series times a rate per second, in the given unit.
+func (p *page) rateBySize(name seriesName, rate float64, in unit) func(size float64) figure {
+	return func(size float64) figure { return p.valueAt(name, size).times(rate, in) }
 }
 
 func (p *page) deliveriesTable() *table {
--- a/internal/testbed/scale/page_loads.go
+++ b/internal/testbed/scale/page_loads.go
@@ -39,24 +39,27 @@
 	return flows.times(held/connectionsPerBalancer, inBytes)
 }
 
-// placementProcessor is the processor time of one flow placed and ended: by servers, corrected for the connections
-// held.
+// placementProcessor is the processor time of one flow placed and ended.
 func (p *page) placementProcessor(held, servers float64) figure {
-	more := p.valueAt(placementTimeByConnections, held).dividedBy(p.valueAt(placementTimeByConnections, sweepConnections), inCount)
-	return p.valueAt(placementTime, servers).multipliedBy(more)
+	return p.valueWithConnections(placementTime, servers, placementTimeByConnections, held)
+}
+
+// valueWithConnections is a series over servers, whose sweep holds sweepConnections, corrected for the
+// connections held by a series over those.
+func (p *page) valueWithConnections(byServers seriesName, servers float64, byConnections seriesName, held float64) figure {
+	correction := p.valueAt(byConnections, held).dividedBy(p.valueAt(byConnections, sweepConnections), inCount)
+	return p.valueAt(byServers, servers).multipliedBy(correction)
 }
 
 // idleRecheckProcessor is the processor time per second of evenly spread flows, whose rechecks are all skipped.
 func (p *page) idleRecheckProcessor(held, servers float64) figure {
-	more := p.valueAt(idleRecheckTimeByConnections, held).dividedBy(p.valueAt(idleRecheckTimeByConnections, sweepConnections), inCount)
-	return p.valueAt(idleRecheckTime, servers).multipliedBy(more)
+	return p.valueWithConnections(idleRecheckTime, servers, idleRecheckTimeByConnections, held)
 }
 
 // unevenRecheckProcessor is the same for flows on random servers, with as many rechecks as a tick allows: the cost of
 // a real process, whose connections are where decisions placed them.
 func (p *page) unevenRecheckProcessor(held, servers float64) figure {
-	more := p.valueAt(unevenRecheckTimeByConnections, held).dividedBy(p.valueAt(unevenRecheckTimeByConnections, sweepConnections), inCount)
-	return p.valueAt(unevenRecheckTime, servers).multipliedBy(more)
+	return p.valueWithConnections(unevenRecheckTime, servers, unevenRecheckTimeByConnections, held)
 }
 
 // healthCheckLoad is with leases: each holder of a server's lease checks it once a round.
--- a/internal/testbed/scale/page_situations.go
+++ b/internal/testbed/scale/page_situations.go
@@ -96,6 +96,11 @@
 	memory                  figure
 }
 
+func processorOf(l load) figure { return l.processor }
+func memoryOf(l load) figure    { return l.memory }
+func bytesInOf(l load) figure   { return l.bytesIn }
+func bytesOutOf(l load) figure  { return l.bytesOut }
+
 // zeroLoad is the load of a part that does nothing in a situation.
 func zeroLoad() load {
 	return load{
--- a/internal/testbed/scale/page_stored.go
+++ b/internal/testbed/scale/page_stored.go
@@ -2,10 +2,10 @@
 
 import "strings"
 
-// A report keeps the wording of the program that wrote it; the page shows the terms of the current one. Quantities of
-// new reports need no entry here, as the sweeps write current terms.
+// A report keeps the wording of the program that wrote it, while docs/CAPACITY.md shows the terms of the current one.
+// Quantities of new reports need no entry here, as the sweeps write current terms.
 
-// inCurrentTerms is the series as the page shows it; its name, points and origin are as stored.
+// inCurrentTerms is the series with its texts as shown; its name, points and origin are as stored.
 func (s Series) inCurrentTerms() Series {
 	s.Quantity = quantityTerms.Replace(s.Quantity)
 	s.Unit = currentTerm(unitTerms, s.Unit)
--- a/internal/testbed/scale/page_stored_test.go
+++ b/internal/testbed/scale/page_stored_test.go
@@ -37,8 +37,8 @@
 	if got.Unit != "observations" || got.Against != "faulty servers" {
 		t.Errorf("unit %q, against %q", got.Unit, got.Against)
 	}
-	if again := got.inCurrentTerms(); again.Quantity != got.Quantity || again.Unit != got.Unit || again.Against != got.Against {
-		t.Errorf("current terms became %+v", again)
+	if repeated := got.inCurrentTerms(); repeated.Quantity != got.Quantity || repeated.Unit != got.Unit || repeated.Against != got.Against {
+		t.Errorf("current terms became %+v", repeated)
 	}
 }
 
--- a/internal/testbed/scale/real_held.go
+++ b/internal/testbed/scale/real_held.go
@@ -61,17 +61,7 @@
 		held: map[string]float64{"servers": float64(s.Servers), "groups": float64(s.Groups), "zones": float64(s.Zones)}}
 	prefix := fmt.Sprintf("real.connections.%d-servers", s.Servers)
 	checks, err := atEachSize(ctx, s, progress, func(p *realProcess, _ *stubClients, n int) error {
-		share, err := p.processorShare(ctx, s.period)
-		if err != nil {
-			return err
-		}
-		m, err := p.memory()
-		if err != nil {
-			return err
-		}
-		set.addMemory(prefix, "while idle connections are held", n, m)
-		set.add(prefix+".processor", "processor time while idle connections are held", "cores", n, share)
-		return nil
+		return set.addIdleUse(ctx, p, s.period, prefix, "while idle connections are held", n)
 	})
 	return set.list, checks, err
 }
--- a/internal/testbed/scale/real_lists.go
+++ b/internal/testbed/scale/real_lists.go
@@ -49,16 +49,39 @@
 	s.add(prefix+".peak", "most memory that was ever resident, "+of, "bytes", size, m.peak)
 }
 
+// addIdleUse measures an idle process, and adds its memory and its processor time.
+func (s *realSeries) addIdleUse(ctx context.Context, p *realProcess, period time.Duration, prefix, state string, size int) error {
+	share, err := p.processorShare(ctx, period)
+	if err != nil {
+		return err
+	}
+	m, err := p.memory()
+	if err != nil {
+		return err
+	}
+	s.addMemory(prefix, state, size, m)
+	s.add(prefix+".processor", "processor time "+state, "cores", size, share)
+	return nil
+}
+
 // realServers measures an idle process without connections, against the servers on its list.
 func realServers(ctx context.Context, settings Settings, progress Progress) ([]Series, []Check, error) {
 	s, err := newRealSettings(settings, maxRealServers, "servers")
 	if err != nil {
 		return nil, nil, err
 	}
+	return overListLengths(ctx, s, progress, measureIdle)
+}
+
+// overListLengths measures a process without connections at each number of servers on its list.
+func overListLengths(
+	ctx context.Context, s realSettings, progress Progress,
+	measureLength func(ctx context.Context, s realSettings, servers int, set *realSeries) error,
+) ([]Series, []Check, error) {
 	set := &realSeries{role: realRolesList, against: "servers", held: map[string]float64{"connections": 0, "zones": float64(s.Zones)}}
 	for i, n := range s.Sizes {
 		progress(i, len(s.Sizes))
-		if err := measureIdle(ctx, s, n, set); err != nil {
+		if err := measureLength(ctx, s, n, set); err != nil {
 			return nil, nil, err
 		}
 	}
@@ -79,16 +102,9 @@
 	if err := pause(ctx, s.settlingTime()); err != nil {
 		return err
 	}
-	share, err := p.processorShare(ctx, s.period)
-	if err != nil {
+	if err := set.addIdleUse(ctx, p, s.period, "real.servers", "while idle without connections", servers); err != nil {
 		return err
 	}
-	m, err := p.memory()
-	if err != nil {
-		return err
-	}
-	set.addMemory("real.servers", "while idle without connections", servers, m)
-	set.add("real.servers.processor", "processor time while idle without connections", "cores", servers, share)
 	set.add("real.servers.start", "processor time from the start until the full list is in force", "s", servers, started.Seconds())
 	return nil
 }
@@ -99,15 +115,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	set := &realSeries{role: realRolesList, against: "servers", held: map[string]float64{"connections": 0, "zones": float64(s.Zones)}}
-	for i, n := range s.Sizes {
-		progress(i, len(s.Sizes))
-		if err := measureListChanges(ctx, s, n, set); err != nil {
-			return nil, nil, err
-		}
-	}
-	progress(len(s.Sizes), len(s.Sizes))
-	return set.list, nil, nil
+	return overListLengths(ctx, s, progress, measureListChanges)
 }
 
 func measureListChanges(ctx context.Context, s realSettings, servers int, set *realSeries) error {
--- a/internal/testbed/scale/series.go
+++ b/internal/testbed/scale/series.go
@@ -62,6 +62,11 @@
 	}
 }
 
+// placementCheck is the condition that the decisions place every flow.
+func placementCheck(rejected int) Check {
+	return Check{Name: "every flow is placed", Held: rejected == 0, Detail: fmt.Sprintf("%d rejected", rejected)}
+}
+
 func (s *Series) addPoint(size int, value float64) {
 	s.Points = append(s.Points, Point{Size: float64(size), Value: value})
 }
--- a/internal/testbed/scale/sweep_balancers.go
+++ b/internal/testbed/scale/sweep_balancers.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"fmt"
 	"math/rand/v2"
 	"runtime"
 
@@ -43,8 +42,7 @@
 		runtime.KeepAlive(fleet)
 		progress(i+1, len(s.Sizes))
 	}
-	check := Check{Name: "every flow is placed", Held: rejected == 0, Detail: fmt.Sprintf("%d turned away", rejected)}
-	return []Series{*memory, *uneven}, []Check{check}, nil
+	return []Series{*memory, *uneven}, []Check{placementCheck(rejected)}, nil
 }
 
 // smallFleet places connections of random groups at each balancer, and counts them by server.
--- a/internal/testbed/scale/sweep_faults.go
+++ b/internal/testbed/scale/sweep_faults.go
@@ -82,6 +82,22 @@
 	return c
 }
 
+// Series of each sweep that simulates a fleet with faults.
+var (
+	slowestSetupKind = seriesKind{
+		name: "slowest-setup", unit: "s", origin: Simulated, counted: true,
+		quantity: "longest setup of an established flow",
+	}
+	busiestBalancerKind = seriesKind{
+		name: "busiest", unit: "connects", origin: Simulated, counted: true,
+		quantity: "connects that the busiest balancer sent in one second",
+	}
+	unservedClientsKind = seriesKind{
+		name: "unserved", unit: "clients", origin: Simulated, counted: true,
+		quantity: "clients without a connection at the end",
+	}
+)
+
 // newFaultSeries makes the series of one fault, in the order of an outcome's values.
 func newFaultSeries(s Settings, name string) seriesSet {
 	newSeries := seriesFactory(s, "faults."+name, roleControl)
@@ -93,18 +109,9 @@
 			name: "back-after", unit: "s", origin: Simulated, counted: true,
 			quantity: "from the fault until 99 in 100 of the disconnected clients were established again",
 		}),
-		newSeries(seriesKind{
-			name: "slowest-setup", unit: "s", origin: Simulated, counted: true,
-			quantity: "longest setup of an established flow",
-		}),
-		newSeries(seriesKind{
-			name: "busiest", unit: "connects", origin: Simulated, counted: true,
-			quantity: "connects that the busiest balancer sent in one second",
-		}),
-		newSeries(seriesKind{
-			name: "unserved", unit: "clients", origin: Simulated, counted: true,
-			quantity: "clients without a connection at the end",
-		}),
+		newSeries(slowestSetupKind),
+		newSeries(busiestBalancerKind),
+		newSeries(unservedClientsKind),
 		newSeries(seriesKind{
 			name: "processor-time", unit: "s", origin: Simulated,
 			quantity: "processor time of the whole run of 60 s, model and invariant checker included",
--- a/internal/testbed/scale/sweep_groups.go
+++ b/internal/testbed/scale/sweep_groups.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"fmt"
 	"runtime"
 	"slices"
 
@@ -55,14 +54,13 @@
 		spread.addPoint(size, placed.meanSpread())
 		widest.addPoint(size, float64(placed.widest()))
 		uneven.addPoint(size, unevenness(placed.onServer))
-		placement := measure(placementBatches, placementFlows, newPlacementProbe(h, s.Seed, one.Groups))
+		placement := measure(placementBatches, placementFlows, newPlacementWork(h, s.Seed, one.Groups))
 		processor.addPoint(size, microseconds(placement.processor))
 		rejected += h.rejected
 		runtime.KeepAlive(h)
 		progress(i+1, len(s.Sizes))
 	}
-	check := Check{Name: "every flow is placed", Held: rejected == 0, Detail: fmt.Sprintf("%d turned away", rejected)}
-	return []Series{*memory, *processor, *spread, *widest, *uneven}, []Check{check}, nil
+	return []Series{*memory, *processor, *spread, *widest, *uneven}, []Check{placementCheck(rejected)}, nil
 }
 
 // placementResult is where connections were placed.
--- a/internal/testbed/scale/sweep_placement.go
+++ b/internal/testbed/scale/sweep_placement.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"fmt"
 	"math/rand/v2"
 	"time"
 )
@@ -48,7 +47,7 @@
 		}
 		one := s.at(size)
 		h := newSettledBalancer(one)
-		visit := newPlacementProbe(h, s.Seed, one.Groups)
+		visit := newPlacementWork(h, s.Seed, one.Groups)
 		c := measure(placementBatches, placementFlows, visit)
 		processor.addPoint(size, microseconds(c.processor))
 		objects.addPoint(size, c.allocations)
@@ -60,12 +59,11 @@
 		rejected += h.rejected
 		progress(i+1, len(s.Sizes))
 	}
-	check := Check{Name: "every flow is placed", Held: rejected == 0, Detail: fmt.Sprintf("%d turned away", rejected)}
-	return []Series{*processor, *objects, *looked}, []Check{check}, nil
+	return []Series{*processor, *objects, *looked}, []Check{placementCheck(rejected)}, nil
 }
 
-// newPlacementProbe returns work that places, establishes and ends one flow of a random group.
-func newPlacementProbe(h *simulatedBalancer, seed uint64, groups int) func() {
+// newPlacementWork returns work that places, establishes and ends one flow of a random group.
+func newPlacementWork(h *simulatedBalancer, seed uint64, groups int) func() {
 	chance := rand.New(rand.NewPCG(seed, uint64(groups)))
 	next := firstFreeFlow
 	return func() {
--- a/internal/testbed/scale/sweep_topic.go
+++ b/internal/testbed/scale/sweep_topic.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"fmt"
 	"math/rand/v2"
 
 	"yardwinch/decide"
@@ -51,8 +50,7 @@
 		fullest.addPoint(size, unevenness(listeners)/float64(one.Servers))
 		progress(i+1, len(s.Sizes))
 	}
-	check := Check{Name: "every flow is placed", Held: rejected == 0, Detail: fmt.Sprintf("%d turned away", rejected)}
-	return []Series{*uneven, *bearing, *fullest}, []Check{check}, nil
+	return []Series{*uneven, *bearing, *fullest}, []Check{placementCheck(rejected)}, nil
 }
 
 // simulateTopic places the topic's listeners at one balancer.
--- a/internal/testbed/scale/sweep_zone.go
+++ b/internal/testbed/scale/sweep_zone.go
@@ -34,22 +34,13 @@
 			name: "turned-away", unit: "tries", origin: Simulated, counted: true,
 			quantity: "attempts rejected or aborted, for each disconnected client",
 		}),
-		newSeries(seriesKind{
-			name: "slowest-setup", unit: "s", origin: Simulated, counted: true,
-			quantity: "longest setup of an established flow",
-		}),
-		newSeries(seriesKind{
-			name: "busiest", unit: "connects", origin: Simulated, counted: true,
-			quantity: "connects that the busiest balancer sent in one second",
-		}),
+		newSeries(slowestSetupKind),
+		newSeries(busiestBalancerKind),
 		newSeries(seriesKind{
 			name: "processor-share", unit: "cores", origin: Simulated,
 			quantity: "share of a core in the busiest second, at each balancer, with the model included: an upper bound",
 		}),
-		newSeries(seriesKind{
-			name: "unserved", unit: "clients", origin: Simulated, counted: true,
-			quantity: "clients without a connection at the end",
-		}),
+		newSeries(unservedClientsKind),
 	}
 }
 
