--- a/internal/testbed/scale/page_loads.go
+++ b/internal/testbed/scale/page_loads.go
@@ -3,7 +3,7 @@
 import "math"
 
 const (
-	heartbeatRate    = 0.5      // per second; internal/protocol heartbeat
+	heartbeatRate    = 0.5      // per second; internal/protocol heartbeatInterval
 	sweepConnections = 20_000.0 // held in the sweeps over servers
 )
 
@@ -39,34 +39,37 @@
 	return flows.times(held/connectionsPerBalancer, inBytes)
 }
 
-// placementProcessor is the processor time of one flow placed and ended: by servers, corrected for the connections
-// held.
+// placementProcessor is the processor time of one flow placed and ended.
 func (p *page) placementProcessor(held, servers float64) figure {
-	more := p.valueAt(placementTimeByConnections, held).dividedBy(p.valueAt(placementTimeByConnections, sweepConnections), inCount)
-	return p.valueAt(placementTime, servers).multipliedBy(more)
+	return p.valueWithConnections(placementTime, servers, placementTimeByConnections, held)
+}
+
+// valueWithConnections is a series over servers, whose sweep holds sweepConnections, corrected for the
+// connections held by a series over those.
+func (p *page) valueWithConnections(byServers seriesName, servers float64, byConnections seriesName, held float64) figure {
+	correction := p.valueAt(byConnections, held).dividedBy(p.valueAt(byConnections, sweepConnections), inCount)
+	return p.valueAt(byServers, servers).multipliedBy(correction)
 }
 
 // idleRecheckProcessor is the processor time per second of evenly spread flows, whose rechecks are all skipped.
 func (p *page) idleRecheckProcessor(held, servers float64) figure {
-	more := p.valueAt(idleRecheckTimeByConnections, held).dividedBy(p.valueAt(idleRecheckTimeByConnections, sweepConnections), inCount)
-	return p.valueAt(idleRecheckTime, servers).multipliedBy(more)
+	return p.valueWithConnections(idleRecheckTime, servers, idleRecheckTimeByConnections, held)
 }
 
 // unevenRecheckProcessor is the same for flows on random servers, with as many rechecks as a tick allows: the cost of
-// a real process, whose connections stand where decisions placed them.
+// a real process, whose connections are where decisions placed them.
 func (p *page) unevenRecheckProcessor(held, servers float64) figure {
-	more := p.valueAt(unevenRecheckTimeByConnections, held).dividedBy(p.valueAt(unevenRecheckTimeByConnections, sweepConnections), inCount)
-	return p.valueAt(unevenRecheckTime, servers).multipliedBy(more)
+	return p.valueWithConnections(unevenRecheckTime, servers, unevenRecheckTimeByConnections, held)
 }
 
-// probeLoad is with leases: each holder of a server's lease checks it once a round.
-func probeLoad(p *page, s situation, servers float64) load {
+// healthCheckLoad is with leases: each holder of a server's lease checks it once a round.
+func healthCheckLoad(p *page, s situation, servers float64) load {
 	l := zeroLoad()
-	rate := p.valueAt(leaseHolders, s.members).times(servers/probeRound/s.members, inRate)
+	rate := p.valueAt(leaseHolders, s.members).times(servers/healthCheckRound/s.members, inRate)
 	l.messagesOut, l.messagesIn = rate, rate
-	l.bytesOut = rate.times(probeBytes/2, inTraffic)
+	l.bytesOut = rate.times(healthCheckBytes/2, inTraffic)
 	l.bytesIn = l.bytesOut
-	l.processor, l.memory = unmeasured("probes"), unmeasured("probes")
+	l.processor, l.memory = unmeasured("health checks"), unmeasured("health checks")
 	return l
 }
 
@@ -91,7 +94,7 @@
 	fleetFactor := p.valueAt(leaseScoringTime, s.members).dividedBy(p.valueAt(leaseScoringTime, fleetBalancers), inCount)
 	// The series are for an ordinary day's membership changes; at most, all is scored again in each round of health
 	// checks.
-	changeRatio := min(s.membershipChanges, 1/probeRound) / ordinaryMembershipChanges
+	changeRatio := min(s.membershipChanges, 1/healthCheckRound) / ordinaryMembershipChanges
 	scoring := p.valueAt(leaseScoringTimeByServers, servers).multipliedBy(fleetFactor).times(changeRatio, inCores)
 	l.processor = scoring.plus(p.valueAt(leaseMembershipTime, s.members))
 	l.memory = p.valueAt(leaseMemory, s.members)
@@ -145,14 +148,14 @@
 // serverLoad is one server's health checks and deliveries.
 func serverLoad(p *page, s situation, servers float64) load {
 	l := unknownLoad()
-	probes := p.valueAt(leaseHolders, s.members).times(fleetBalancers/s.members/probeRound, inRate)
+	checks := p.valueAt(leaseHolders, s.members).times(fleetBalancers/s.members/healthCheckRound, inRate)
 	deliveries := s.deliveries * fleetBalancers / servers
 	if s.deliveries > 0 {
 		deliveries = fleetDeliveries / servers
 	}
-	l.messagesIn = probes
-	l.messagesOut = probes.plus(calculated(deliveries, inRate))
-	l.bytesIn = probes.times(probeBytes/2, inTraffic)
+	l.messagesIn = checks
+	l.messagesOut = checks.plus(calculated(deliveries, inRate))
+	l.bytesIn = checks.times(healthCheckBytes/2, inTraffic)
 	l.bytesOut = l.bytesIn.plus(calculated(deliveries*lineBytes, inTraffic))
 	return l
 }
--- a/internal/testbed/scale/real_held.go
+++ b/internal/testbed/scale/real_held.go
@@ -61,17 +61,7 @@
 		held: map[string]float64{"servers": float64(s.Servers), "groups": float64(s.Groups), "zones": float64(s.Zones)}}
 	prefix := fmt.Sprintf("real.connections.%d-servers", s.Servers)
 	checks, err := atEachSize(ctx, s, progress, func(p *realProcess, _ *stubClients, n int) error {
-		share, err := p.processorShare(ctx, s.period)
-		if err != nil {
-			return err
-		}
-		m, err := p.memory()
-		if err != nil {
-			return err
-		}
-		set.addMemory(prefix, "while idle connections are held", n, m)
-		set.add(prefix+".processor", "processor time while idle connections are held", "cores", n, share)
-		return nil
+		return set.addIdleUse(ctx, p, s.period, prefix, "while idle connections are held", n)
 	})
 	return set.list, checks, err
 }
@@ -156,7 +146,7 @@
 		if err != nil {
 			return nil, nil, err
 		}
-		set.add("real.placements.processor", "processor time of a connection from its coming to its end", "s", n, cost.Seconds())
+		set.add("real.placements.processor", "processor time of a connection from accept to close", "s", n, cost.Seconds())
 	}
 	progress(len(s.Sizes), len(s.Sizes))
 	return set.list, nil, nil
--- a/internal/testbed/scale/real_lists.go
+++ b/internal/testbed/scale/real_lists.go
@@ -44,21 +44,44 @@
 }
 
 func (s *realSeries) addMemory(prefix, of string, size int, m realMemory) {
-	s.add(prefix+".private", "memory in pages of no file, "+of, "bytes", size, m.private)
+	s.add(prefix+".private", "memory in anonymous pages, "+of, "bytes", size, m.private)
 	s.add(prefix+".resident", "memory resident, with the pages of its program, "+of, "bytes", size, m.resident)
 	s.add(prefix+".peak", "most memory that was ever resident, "+of, "bytes", size, m.peak)
 }
 
+// addIdleUse measures an idle process, and adds its memory and its processor time.
+func (s *realSeries) addIdleUse(ctx context.Context, p *realProcess, period time.Duration, prefix, state string, size int) error {
+	share, err := p.processorShare(ctx, period)
+	if err != nil {
+		return err
+	}
+	m, err := p.memory()
+	if err != nil {
+		return err
+	}
+	s.addMemory(prefix, state, size, m)
+	s.add(prefix+".processor", "processor time "+state, "cores", size, share)
+	return nil
+}
+
 // realServers measures an idle process without connections, against the servers on its list.
 func realServers(ctx context.Context, settings Settings, progress Progress) ([]Series, []Check, error) {
 	s, err := newRealSettings(settings, maxRealServers, "servers")
 	if err != nil {
 		return nil, nil, err
 	}
+	return overListLengths(ctx, s, progress, measureIdle)
+}
+
+// overListLengths measures a process without connections at each number of servers on its list.
+func overListLengths(
+	ctx context.Context, s realSettings, progress Progress,
+	measureLength func(ctx context.Context, s realSettings, servers int, set *realSeries) error,
+) ([]Series, []Check, error) {
 	set := &realSeries{role: realRolesList, against: "servers", held: map[string]float64{"connections": 0, "zones": float64(s.Zones)}}
 	for i, n := range s.Sizes {
 		progress(i, len(s.Sizes))
-		if err := measureIdle(ctx, s, n, set); err != nil {
+		if err := measureLength(ctx, s, n, set); err != nil {
 			return nil, nil, err
 		}
 	}
@@ -79,17 +102,10 @@
 	if err := pause(ctx, s.settlingTime()); err != nil {
 		return err
 	}
-	share, err := p.processorShare(ctx, s.period)
-	if err != nil {
+	if err := set.addIdleUse(ctx, p, s.period, "real.servers", "while idle without connections", servers); err != nil {
 		return err
 	}
-	m, err := p.memory()
-	if err != nil {
-		return err
-	}
-	set.addMemory("real.servers", "at rest without connections", servers, m)
-	set.add("real.servers.processor", "processor time at rest without connections", "cores", servers, share)
-	set.add("real.servers.start", "processor time from the start until the whole list is in force", "s", servers, started.Seconds())
+	set.add("real.servers.start", "processor time from the start until the full list is in force", "s", servers, started.Seconds())
 	return nil
 }
 
@@ -99,15 +115,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	set := &realSeries{role: realRolesList, against: "servers", held: map[string]float64{"connections": 0, "zones": float64(s.Zones)}}
-	for i, n := range s.Sizes {
-		progress(i, len(s.Sizes))
-		if err := measureListChanges(ctx, s, n, set); err != nil {
-			return nil, nil, err
-		}
-	}
-	progress(len(s.Sizes), len(s.Sizes))
-	return set.list, nil, nil
+	return overListLengths(ctx, s, progress, measureListChanges)
 }
 
 func measureListChanges(ctx context.Context, s realSettings, servers int, set *realSeries) error {
@@ -144,15 +152,15 @@
 		return err
 	}
 	set.add("real.change.processor", "processor time of a change of one entry", "s", servers, changeCost.Seconds())
-	set.add("real.change.in-force", "time from the telling of a change of one entry until it is in force, median",
+	set.add("real.change.in-force", "time from sending a change of one entry until it is in force, median",
 		"s", servers, changeMedian.Seconds())
 	set.add("real.change.in-force-last", fmt.Sprintf("the same, longest of %d", realChangesTimed), "s", servers, changeLongest.Seconds())
-	set.add("real.whole-list.processor", "processor time of a whole list, told again", "s", servers, fullListCost.Seconds())
-	set.add("real.whole-list.in-force", "time from the telling of a whole list until it is in force, median",
+	set.add("real.whole-list.processor", "processor time of a full list that is sent again", "s", servers, fullListCost.Seconds())
+	set.add("real.whole-list.in-force", "time from sending a full list until it is in force, median",
 		"s", servers, fullListMedian.Seconds())
 	set.add("real.whole-list.in-force-last", fmt.Sprintf("the same, longest of %d", realListsPublished),
 		"s", servers, fullListLongest.Seconds())
-	set.addMemory("real.changes", "after its list was told whole several times", servers, m)
+	set.addMemory("real.changes", "after its full list was sent several times", servers, m)
 	return nil
 }
 
--- a/internal/testbed/scale/report_test.go
+++ b/internal/testbed/scale/report_test.go
@@ -15,7 +15,7 @@
 }
 
 func TestReportRoundTrip(t *testing.T) {
-	directory := filepath.Join(t.TempDir(), "new", "folder")
+	directory := filepath.Join(t.TempDir(), "new", "directory")
 	file, err := Write(directory, sampleRunReport())
 	if err != nil {
 		t.Fatal(err)
@@ -25,7 +25,7 @@
 		t.Errorf("read %+v, error %v", read, err)
 	}
 	if files, _ := os.ReadDir(directory); len(files) != 1 {
-		t.Errorf("%d files in the folder, want the report alone", len(files))
+		t.Errorf("%d files in the directory, want the report alone", len(files))
 	}
 }
 
@@ -48,17 +48,17 @@
 		t.Fatal(err)
 	}
 	if _, err := Write(directory, blocked); err == nil {
-		t.Error("a report was written over a folder")
+		t.Error("a report was written over a directory")
 	}
 	var typed *Error
 	if _, err := Write(file, sampleRunReport()); !errors.As(err, &typed) || typed.Advice() == "" {
-		t.Errorf("error %v, want an Error, as the folder is a file", err)
+		t.Errorf("error %v, want an Error, as the directory is a file", err)
 	}
 	if after, _ := os.ReadFile(file); string(after) != string(before) {
 		t.Error("the report before was changed")
 	}
 	if files, _ := os.ReadDir(directory); len(files) != 2 {
-		t.Errorf("%d files in the folder, want the report and the folder alone", len(files))
+		t.Errorf("%d files in the directory, want the report and the directory alone", len(files))
 	}
 }
 
@@ -68,8 +68,8 @@
 }
 
 func TestTruncatedReport(t *testing.T) {
-	folder := t.TempDir()
-	file, err := Write(folder, sampleRunReport())
+	directory := t.TempDir()
+	file, err := Write(directory, sampleRunReport())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -91,11 +91,11 @@
 	for _, c := range []struct{ name, text, want string }{
 		{"another format", `{"format": 2, "series": []}`, ": format: want 1, got 2"},
 		{"no format", `{}`, ": format: want 1, got 0"},
-		{"unknown key", "{\"format\": 1,\n\"colour\": 3}", ":2: no whole report"},
-		{"another kind", "{\"format\": 1,\n\n\"seed\": \"x\"}", ":3: no whole report"},
-		{"two reports", `{"format": 1} {"format": 1}`, ":1: no whole report"},
+		{"unknown key", "{\"format\": 1,\n\"colour\": 3}", ":2: is not a complete report"},
+		{"another kind", "{\"format\": 1,\n\n\"seed\": \"x\"}", ":3: is not a complete report"},
+		{"two reports", `{"format": 1} {"format": 1}`, ":1: is not a complete report"},
 		{"no series", `{"format": 1}`, ": series"},
-		{"no text", ``, ":1: no whole report"},
+		{"no text", ``, ":1: is not a complete report"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if err := os.WriteFile(file, []byte(c.text), 0o644); err != nil {
--- a/internal/testbed/scale/sweep_topic.go
+++ b/internal/testbed/scale/sweep_topic.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"fmt"
 	"math/rand/v2"
 
 	"yardwinch/decide"
@@ -26,7 +25,7 @@
 	newSeries := seriesFactory(s, "topic", "server")
 	uneven := newSeries(seriesKind{
 		name: "unevenness", unit: "ratio", origin: Simulated, counted: true,
-		quantity: "connections of the fullest server over the mean, with the topic",
+		quantity: "connections of the most loaded server relative to the mean, with the topic",
 	})
 	bearing := newSeries(seriesKind{
 		name: "servers", unit: "servers", origin: Simulated, counted: true,
@@ -34,7 +33,7 @@
 	})
 	fullest := newSeries(seriesKind{
 		name: "share-of-the-fullest", unit: "share", origin: Simulated, counted: true,
-		quantity: "share of the topic that its fullest server holds",
+		quantity: "share of the topic that its most loaded server holds",
 	})
 	rejected := 0
 	for i, size := range s.Sizes {
@@ -51,8 +50,7 @@
 		fullest.addPoint(size, unevenness(listeners)/float64(one.Servers))
 		progress(i+1, len(s.Sizes))
 	}
-	check := Check{Name: "every flow is placed", Held: rejected == 0, Detail: fmt.Sprintf("%d turned away", rejected)}
-	return []Series{*uneven, *bearing, *fullest}, []Check{check}, nil
+	return []Series{*uneven, *bearing, *fullest}, []Check{placementCheck(rejected)}, nil
 }
 
 // simulateTopic places the topic's listeners at one balancer.
--- a/internal/testbed/scale/sweep_zone.go
+++ b/internal/testbed/scale/sweep_zone.go
@@ -20,41 +20,32 @@
 	return seriesSet{
 		newSeries(seriesKind{
 			name: "clients", unit: "clients", origin: Simulated, counted: true,
-			quantity: "clients cut off, by each balancer that is left",
+			quantity: "clients disconnected, for each surviving balancer",
 		}),
 		newSeries(seriesKind{
 			name: "half-back", unit: "s", origin: Simulated, counted: true,
-			quantity: "from the loss until half of the clients that were cut stood again",
+			quantity: "from the loss until half of the disconnected clients were established again",
 		}),
 		newSeries(seriesKind{
 			name: "most-back", unit: "s", origin: Simulated, counted: true,
-			quantity: "from the loss until 99 in 100 of them did",
+			quantity: "from the loss until 99 in 100 of them were",
 		}),
 		newSeries(seriesKind{
 			name: "turned-away", unit: "tries", origin: Simulated, counted: true,
-			quantity: "tries that were rejected or aborted, by each client that was cut",
-		}),
-		newSeries(seriesKind{
-			name: "slowest-setup", unit: "s", origin: Simulated, counted: true,
-			quantity: "the longest set-up of all that came to stand",
-		}),
-		newSeries(seriesKind{
-			name: "busiest", unit: "connects", origin: Simulated, counted: true,
-			quantity: "connects that the busiest balancer sent in one second",
+			quantity: "attempts rejected or aborted, for each disconnected client",
 		}),
+		newSeries(slowestSetupKind),
+		newSeries(busiestBalancerKind),
 		newSeries(seriesKind{
 			name: "processor-share", unit: "cores", origin: Simulated,
-			quantity: "of a core in the busiest second, by each balancer, with the model round it: at most that",
-		}),
-		newSeries(seriesKind{
-			name: "unserved", unit: "clients", origin: Simulated, counted: true,
-			quantity: "clients without a connection at the end",
+			quantity: "share of a core in the busiest second, at each balancer, with the model included: an upper bound",
 		}),
+		newSeries(unservedClientsKind),
 	}
 }
 
 // lostZoneSweep loses a zone for good and measures when its clients are established again. Its balancers are
-// configured for the largest fleet, so that as many set-ups are in flight as there.
+// configured for the largest fleet, so that as many setups are in flight as there.
 func lostZoneSweep(ctx context.Context, s Settings, progress Progress) ([]Series, []Check, error) {
 	set := newLostZoneSeries(s)
 	var checks []Check
