--- a/cmd/testbed/fleet.go
+++ b/cmd/testbed/fleet.go
@@ -233,7 +233,7 @@
 	}
 	for _, s := range r.FaultyServers {
 		printf(to, "  %s in trouble from %.1fs: the last balancer stopped choosing it after %.2fs, %d connects went to it meanwhile\n",
-			s.Server, s.From, s.LastBalancerStops, s.Sent)
+			s.Server, s.From, s.LastChosenAfter, s.Sent)
 	}
 	t := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
 	for _, v := range r.Requirements {
--- a/cmd/testbed/scale.go
+++ b/cmd/testbed/scale.go
@@ -23,8 +23,8 @@
 }
 
 const (
-	scaleFolder  = "experiments/scale"
-	scaleResults = scaleFolder + "/results"
+	scaleDirectory  = "experiments/scale"
+	scaleResults = scaleDirectory + "/results"
 )
 
 func scaleCommand() *cli.Command {
@@ -44,7 +44,7 @@
 
 func runScale(ctx context.Context, c *cli.Command) error {
 	if c.Args().Len() == 0 {
-		return fault(&scale.Error{Where: "scale run", What: "want one file at the least", Remedy: "name files of " + scaleFolder})
+		return fault(&scale.Error{Where: "scale run", What: "want one file at the least", Remedy: "name files of " + scaleDirectory})
 	}
 	var experiments []*scale.Experiment
 	for _, file := range c.Args().Slice() {
@@ -119,13 +119,13 @@
 }
 
 func scaleListCommand() *cli.Command {
-	return &cli.Command{Name: "list", Usage: "list the sweeps that there are, and the experiment files of " + scaleFolder,
+	return &cli.Command{Name: "list", Usage: "list the sweeps that there are, and the experiment files of " + scaleDirectory,
 		Action: func(context.Context, *cli.Command) error { return listScale() }}
 }
 
 func listScale() error {
 	fmt.Println("sweeps:", strings.Join(scale.Names(), ", "))
-	files, err := filepath.Glob(filepath.Join(scaleFolder, "*.toml"))
+	files, err := filepath.Glob(filepath.Join(scaleDirectory, "*.toml"))
 	if err != nil {
 		return err
 	}
--- a/cmd/testbed/scale_page_test.go
+++ b/cmd/testbed/scale_page_test.go
@@ -12,15 +12,15 @@
 
 // A fault of the reports ends the command with exit code 2 and leaves the page as it was.
 func TestScalePageRejectsBadReport(t *testing.T) {
-	folder := t.TempDir()
-	page := filepath.Join(folder, "CAPACITY.md")
+	directory := t.TempDir()
+	page := filepath.Join(directory, "CAPACITY.md")
 	if err := os.WriteFile(page, []byte("as it was"), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(filepath.Join(folder, "cut.json"), []byte(`{"format": 1, "series": [{`), 0o644); err != nil {
+	if err := os.WriteFile(filepath.Join(directory, "cut.json"), []byte(`{"format": 1, "series": [{`), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	err := runScalePage(folder, page)
+	err := runScalePage(directory, page)
 	var code cli.ExitCoder
 	if !errors.As(err, &code) || code.ExitCode() != badInput {
 		t.Errorf("got %v, want exit code %d", err, badInput)
--- a/cmd/testbed/scale_test.go
+++ b/cmd/testbed/scale_test.go
@@ -12,11 +12,11 @@
 	"github.com/urfave/cli/v3"
 )
 
-// scaleRun runs testbed scale run on a text, into a folder that holds a report of that name.
+// scaleRun runs testbed scale run on a text, into a directory that holds a report of that name.
 func scaleRun(t *testing.T, text string) (before, after string, err error) {
 	t.Helper()
-	folder := t.TempDir()
-	file, report := filepath.Join(folder, "x.toml"), filepath.Join(folder, "x.json")
+	directory := t.TempDir()
+	file, report := filepath.Join(directory, "x.toml"), filepath.Join(directory, "x.json")
 	before = "the report before"
 	for path, content := range map[string]string{file: text, report: before} {
 		if err := os.WriteFile(path, []byte(content), 0o644); err != nil {
@@ -26,7 +26,7 @@
 	command := scaleCommand()
 	command.ExitErrHandler = func(context.Context, *cli.Command, error) {}
 	command.Writer, command.ErrWriter = io.Discard, io.Discard
-	err = command.Run(context.Background(), []string{"scale", "run", "--out", folder, file})
+	err = command.Run(context.Background(), []string{"scale", "run", "--out", directory, file})
 	now, readErr := os.ReadFile(report)
 	if readErr != nil {
 		t.Fatal(readErr)
@@ -39,7 +39,7 @@
 func TestScaleRunWithBadInput(t *testing.T) {
 	for name, text := range map[string]string{
 		"unknown key":         soundScale + "colour = 1\n",
-		"size of nought":      strings.Replace(soundScale, "[2, 3]", "[0, 3]", 1),
+		"size of zero":      strings.Replace(soundScale, "[2, 3]", "[0, 3]", 1),
 		"negative":            strings.Replace(soundScale, "servers = 3", "servers = -3", 1),
 		"size over the bound": strings.Replace(soundScale, "[2, 3]", "[2, 10001]", 1),
 		"no TOML":             "sweep",
--- a/internal/testbed/fleet/result.go
+++ b/internal/testbed/fleet/result.go
@@ -74,10 +74,10 @@
 type FaultyServer struct {
 	Server string  `json:"server"`
 	From   float64 `json:"from_s"`
-	// LastBalancerStops is the time from the fault's beginning to the end of the last recentPeriod in which the server still got a third of
+	// LastChosenAfter is the time from the fault's beginning to the end of the last recentPeriod in which the server still got a third of
 	// its fair share of all connects: some balancer chose it as if it had no fault.
-	LastBalancerStops float64 `json:"last_stops_s"`
-	Sent              int     `json:"sent"` // connects that it got meanwhile: each is a flow that is served late, or not at all
+	LastChosenAfter float64 `json:"last_stops_s"`
+	Sent            int     `json:"sent"` // connects that it got meanwhile: each is a flow that is served late, or not at all
 }
 
 // Named are the spans of somebody.
@@ -216,7 +216,7 @@
 		}
 		fairShare := float64(len(all)) / float64(len(r.world.Servers))
 		if len(here) > 0 && float64(len(here)) >= fairShare/stillChosenShare {
-			result.LastBalancerStops = (e.At - span.From).Seconds()
+			result.LastChosenAfter = (e.At - span.From).Seconds()
 		}
 	}
 	return result
