--- a/cmd/testbed/scale.go
+++ b/cmd/testbed/scale.go
@@ -23,8 +23,8 @@
 }
 
 const (
-	scaleDirectory  = "experiments/scale"
-	scaleResults = scaleDirectory + "/results"
+	scaleDirectory = "experiments/scale"
+	scaleResults   = scaleDirectory + "/results"
 )
 
 func scaleCommand() *cli.Command {
--- a/cmd/testbed/scale_test.go
+++ b/cmd/testbed/scale_test.go
@@ -39,7 +39,7 @@
 func TestScaleRunWithBadInput(t *testing.T) {
 	for name, text := range map[string]string{
 		"unknown key":         soundScale + "colour = 1\n",
-		"size of zero":      strings.Replace(soundScale, "[2, 3]", "[0, 3]", 1),
+		"size of zero":        strings.Replace(soundScale, "[2, 3]", "[0, 3]", 1),
 		"negative":            strings.Replace(soundScale, "servers = 3", "servers = -3", 1),
 		"size over the bound": strings.Replace(soundScale, "[2, 3]", "[2, 10001]", 1),
 		"no TOML":             "sweep",
