--- a/locality/events.go
+++ b/locality/events.go
@@ -15,8 +15,8 @@
 		p.servers[endpoint.ID] = s
 		s.locality.servers[endpoint.ID] = s
 	}
-	hasZone := endpoint.Zone != "" || endpoint.Readiness != decide.Gone
-	if endpoint.Zone != s.locality.name && hasZone {
+	isZoneGiven := endpoint.Zone != "" || endpoint.Readiness != decide.Gone // the entry of a gone server may lack it
+	if endpoint.Zone != s.locality.name && isZoneGiven {
 		p.relocate(s, endpoint.Zone)
 	}
 	s.size = endpoint.Size
@@ -122,7 +122,7 @@
 	}
 	f.isEstablished = true
 	f.establishedAt = p.now
-	if took < 0 { // adopted flows are usual
+	if took < 0 { // constraints.AdoptedFlow: the flows that stood before the start are usual
 		if current, ok := p.currentPerSize(); ok {
 			p.usualPerSize = max(p.usualPerSize, current)
 			p.learnedFor = learningTime
@@ -133,7 +133,7 @@
 	p.addSample(l, sample{at: p.now, server: target, isReached: true, took: took})
 	if l.state == Unavailable {
 		p.transition(l, Recovering, reasonProbeUp)
-		l.admitted = 1
+		l.admitted = 1 // the probe
 	}
 }
 
@@ -183,6 +183,6 @@
 func (p *Policy) OnMigration(id decide.FlowID) {
 	if p.isSpilled(p.flows[id]) && p.failbackTokens >= 1 {
 		p.failbackTokens--
-		p.failedBack++
+		p.failbacks++
 	}
 }
--- a/locality/failover.go
+++ b/locality/failover.go
@@ -13,18 +13,19 @@
 	sampleMaxAge = 5 * time.Second
 	sampleWindow = 24 // of each locality
 
-	minFailedServers = 2 // of a locality, a third of whose ready servers must have failed,
-	maxFailedServers = 4 // but not more than this many
-	minFailures      = 2
+	// A locality is unavailable when a third of its ready servers failed, within these bounds on their number.
+	minFailedServers = 2
+	maxFailedServers = 4
+	minFailures      = 2 // attempts or connections, however few servers there are
 
 	firstProbeBackoff    = time.Second // between probes of an unavailable locality
 	maxProbeBackoff      = 8 * time.Second
 	maxProbeBackoffAlone = time.Second     // while no locality is healthy
 	probeTimeout         = 2 * time.Second // after which the next probe may go out
 
-	recoverySteps    = 5 // over the warm-up time
-	maxStepFactor    = 4 // times a step's length, while set-ups are slow
-	flappingInterval = time.Minute
+	recoverySteps    = 5           // over the warm-up time
+	maxStepFactor    = 4           // times a step's length, while set-ups are slow
+	flappingInterval = time.Minute // from the beginning of a recovery: a locality that is lost within it is flapping
 	maxSlowdown      = 4
 )
 
@@ -42,7 +43,7 @@
 
 func (p *Policy) isRecent(s sample) bool { return p.now-s.at < sampleMaxAge }
 
-// addSample adds a sample, and checks whether its locality is still available.
+// addSample adds a sample. A locality that it shows to be unreachable becomes unavailable.
 func (p *Policy) addSample(l *locality, s sample) {
 	if len(l.samples) >= sampleWindow {
 		l.samples = append(l.samples[:0], l.samples[len(l.samples)-sampleWindow+1:]...)
--- a/locality/policy.go
+++ b/locality/policy.go
@@ -14,7 +14,7 @@
 
 const (
 	tierCost          = 4.0 // for each tier, in units of placement cost: more than grouping and load are usually worth
-	maxFailbackTokens = 2.0 // migrations to a nearer tier that may be saved
+	maxFailbackTokens = 2.0 // migrations to a nearer tier that may be saved up
 	minWarmUp         = time.Second
 	randomStream      = 0x68616c6c // keeps the draws apart from others of the same seed
 )
@@ -57,12 +57,12 @@
 	flows      map[decide.FlowID]*flow
 	hasList    bool // an update of the endpoint list has ended
 
-	failbackTokens float64
-	failedBack     int // migrations to a nearer tier
+	failbackTokens float64 // migrations to a nearer tier that may begin now
+	failbacks      int     // migrations to a nearer tier so far
 
-	usualPerSize float64 // own flows per unit of size in the nearest tier
-	learnedAt    time.Duration
-	learnedFor   time.Duration
+	usualPerSize float64       // own flows per unit of size in the nearest tier
+	updatedAt    time.Duration // the last SetTime
+	learnedFor   time.Duration // how long usualPerSize has followed the own flows
 }
 
 type server struct {
@@ -132,11 +132,11 @@
 func (p *Policy) SetTime(now time.Duration) {
 	p.now = now
 	if p.hasList {
-		elapsed := now - p.learnedAt
+		elapsed := now - p.updatedAt
 		p.failbackTokens = min(maxFailbackTokens, p.failbackTokens+p.failbackRate()*elapsed.Seconds())
 		p.learn(elapsed)
 	}
-	p.learnedAt = now
+	p.updatedAt = now
 	for _, l := range p.ordered {
 		if l.state == Recovering {
 			p.advanceRecovery(l)
--- a/locality/queries.go
+++ b/locality/queries.go
@@ -31,17 +31,17 @@
 	if f := p.flows[id]; f != nil && f.server != nil && f.server.locality == l {
 		return extra, "" // it is there already
 	}
-	if why := p.excludes(l); why != "" {
+	if why := p.objectionByState(l); why != "" {
 		return 0, why
 	}
-	if why := p.exceedsTier(s); why != "" {
+	if why := p.objectionByTier(s); why != "" {
 		return 0, why
 	}
 	return extra, ""
 }
 
-// excludes says why a locality takes no flows by its state.
-func (p *Policy) excludes(l *locality) constraints.Reason {
+// objectionByState says why a locality takes no flows in its state; empty: it does.
+func (p *Policy) objectionByState(l *locality) constraints.Reason {
 	switch l.state {
 	case Unavailable:
 		if !p.mayProbe(l) {
@@ -55,9 +55,9 @@
 	return ""
 }
 
-// exceedsTier says why a server takes no flows by the limits on its tier. Warming servers are left to the balancers to
-// which they are nearest.
-func (p *Policy) exceedsTier(s *server) constraints.Reason {
+// objectionByTier says why a server takes no flows by the limits on its tier; empty: it does. Servers that warm up are
+// left to the balancers to which they are nearest.
+func (p *Policy) objectionByTier(s *server) constraints.Reason {
 	l := s.locality
 	if l.tier == 0 {
 		if p.exceedsSurge() {
--- a/locality/state.go
+++ b/locality/state.go
@@ -31,12 +31,14 @@
 
 // locality is what a balancer knows of one locality.
 type locality struct {
-	name      decide.Zone
-	tier      int
-	state     State
-	why       constraints.Reason // of the state
-	since     time.Duration      // of the state
-	rounding  float64            // rounds a part of one flow; drawn anew at each change of state
+	name  decide.Zone
+	tier  int
+	state State
+	why   constraints.Reason // of the state
+	since time.Duration      // of the state
+	// From 0 to 1, added to a count of flows before it is compared with a limit: of all balancers, a part as large as
+	// the fraction of the limit admits one more. It is drawn anew at each change of state.
+	rounding  float64
 	servers   map[decide.ServerID]*server
 	ready     int     // servers
 	size      float64 // of the ready servers
@@ -56,11 +58,11 @@
 	admitted int // flows, since the recovery began
 
 	// Over recoveries.
-	slowdown    float64 // by which a recovery takes longer, as the last ones failed
-	recoveredAt time.Duration
+	slowdown        float64       // factor by which a recovery takes longer, as the last ones failed
+	recoveryBeganAt time.Duration // of the last recovery
 }
 
-// locality returns what is known of a locality, also of one without servers.
+// locality returns a locality by its name. One that is not known yet is added, which draws from the random source.
 func (p *Policy) locality(zone decide.Zone) *locality {
 	l := p.localities[zone]
 	if l == nil {
@@ -100,16 +102,17 @@
 		l.step = 0
 		l.stepAt = p.now
 		l.admitted = 0
-		l.recoveredAt = p.now
+		l.recoveryBeganAt = p.now
 		l.samples = nil // of the time before, which say nothing of the servers that are up now
 	case Healthy:
 		l.admitted = 0
 	}
 }
 
-// nextSlowdown doubles the time of recovery of a locality that became unavailable soon after the last one.
+// nextSlowdown is the slowdown of the next recovery of a locality that becomes unavailable: doubled where that happens
+// during a recovery or soon after one began, else 1.
 func (p *Policy) nextSlowdown(l *locality, from State) float64 {
-	if from == Recovering || l.recoveredAt > 0 && p.now-l.recoveredAt < flappingInterval {
+	if from == Recovering || l.recoveryBeganAt > 0 && p.now-l.recoveryBeganAt < flappingInterval {
 		return min(2*l.slowdown, maxSlowdown)
 	}
 	return 1
@@ -139,7 +142,7 @@
 	for _, l := range p.ordered {
 		reports = append(reports, p.report(l))
 	}
-	return map[string]any{"halls": reports, "moves_home_left": p.failbackTokens, "moved_home": p.failedBack}
+	return map[string]any{"halls": reports, "moves_home_left": p.failbackTokens, "moved_home": p.failbacks}
 }
 
 func (p *Policy) report(l *locality) localityReport {
