--- a/fleet/lease/manager.go
+++ b/fleet/lease/manager.go
@@ -47,11 +47,11 @@
 	state     state
 	epoch     Epoch // the highest that this balancer observed or held
 	holder    Holder
-	renewedAt time.Duration
+	renewedAt time.Duration // or when this balancer first knew the task, or was suspended
 
 	rank      int // of this balancer: 0 is preferred, 1 to maxStandbys stand by
 	preferred Holder
-	rankedIn  int // the view of the members that rank and preferred are of
+	rankedIn  int // the Manager's view that rank and preferred were computed in
 }
 
 // Manager decides which tasks one balancer does. Its methods must not be called concurrently.
@@ -59,7 +59,7 @@
 	own     Holder
 	term    time.Duration // after which a lease that is not renewed expires
 	members []Member
-	view    int // counts the changes of members, from 1
+	view    int // counts the changes of members, from 1: a new lease is ranked in none
 	leases  map[Task]*lease
 }
 
@@ -107,19 +107,19 @@
 	expired := sinceRenewal > m.term
 	switch {
 	case l.state == unsure && !expired:
-		return unsure // another holder publishes within a term
+		return unsure // a holder that there is by now publishes within a term
 	case l.rank == 0:
-		return held // a higher epoch that is observed later ends it, and the next call begins one above
+		return held // even against a holder of a higher epoch: the lease then begins the one above
 	case l.rank <= maxStandbys && sinceRenewal > m.term*time.Duration(l.rank):
 		return held
 	case l.state == held && !expired && l.holder == m.own:
 		return held // as a standby, until the preferred holder is observed
 	}
-	return m.stateOfOther(l)
+	return l.stateUnderOther()
 }
 
-// stateOfOther is the state of a lease that another balancer has.
-func (m *Manager) stateOfOther(l *lease) state {
+// stateUnderOther is the state of a lease that another balancer has.
+func (l *lease) stateUnderOther() state {
 	if l.rank > 0 && l.rank <= maxStandbys {
 		return standby
 	}
@@ -150,7 +150,7 @@
 	l.epoch = epoch
 	l.holder = holder
 	l.renewedAt = max(l.renewedAt, now-age)
-	m.transition(l, m.stateOfOther(l)) // a preferred holder begins the next epoch when it is asked
+	m.transition(l, l.stateUnderOther()) // a preferred holder takes it back, in the next epoch, when Holds is called
 }
 
 // OnSuspended handles that this balancer was suspended. Its leases may have passed to others, so it waits for a term
--- a/fleet/lease/ranking.go
+++ b/fleet/lease/ranking.go
@@ -62,16 +62,16 @@
 	}
 	l.rankedIn = m.view
 	l.rank = 0
-	own := 0.0
+	ownScore := 0.0
 	for _, member := range m.members {
 		if member.Name == m.own {
-			own = score(member, task)
+			ownScore = score(member, task)
 		}
 	}
 	highest := -1.0
 	for _, member := range m.members {
 		s := score(member, task)
-		if s > own {
+		if s > ownScore {
 			l.rank++
 		}
 		if s > highest {
