--- a/fleet/signals/consensus.go
+++ b/fleet/signals/consensus.go
@@ -26,9 +26,9 @@
 	connections  int      // of all origins
 
 	penalisedUntil time.Duration
-	penaltyTime    time.Duration
-	confirmedAt    time.Duration
-	renewals       int // of the penalty by a single reporter, since it was confirmed
+	penaltyTime    time.Duration // doubled at each recurrence
+	confirmedAt    time.Duration // the last time
+	recurrences    int           // of the penalty, by a single reporter, since the fault was last confirmed
 }
 
 // isConfirmed reports whether enough origins report a fault: at least two, and no fewer than report the server as
@@ -36,12 +36,15 @@
 // concerns them alone.
 func (c *consensus) isConfirmed() bool { return c.faulty >= minReporters && c.faulty >= c.healthy }
 
-// isRenewable reports whether a penalty that was confirmed before may continue, or begin again, by a single report.
-func (c *consensus) isRenewable(now time.Duration) bool {
+// isPenalised reports whether a penalty of the server runs. What this balancer itself observes may overrule it.
+func (c *consensus) isPenalised(now time.Duration) bool { return now < c.penalisedUntil }
+
+// mayContinue reports whether a penalty that was confirmed before may continue, or begin again, by a single report.
+func (c *consensus) mayContinue(now time.Duration) bool {
 	if c.faulty == 0 || c.healthy > 0 {
 		return false
 	}
-	return now < c.penalisedUntil || c.renewals < maxRenewals
+	return c.isPenalised(now) || c.recurrences < maxRecurrences
 }
 
 // isUnused reports whether nothing has been reported of a server for long.
@@ -126,7 +129,7 @@
 	var list []status
 	for _, id := range slices.Sorted(maps.Keys(e.servers)) {
 		c := e.servers[id]
-		isPenalised := e.now < c.penalisedUntil
+		isPenalised := c.isPenalised(e.now)
 		if c.faulty == 0 && !isPenalised {
 			continue
 		}
--- a/fleet/signals/exchange.go
+++ b/fleet/signals/exchange.go
@@ -28,18 +28,20 @@
 	servers    map[decide.ServerID]*consensus
 	changed    bool // since reports were gathered
 	gatheredAt time.Duration
-	widespread bool // more servers are penalised than may be avoided
+	// So many servers are penalised that avoiding them would overload the rest: none is avoided.
+	isFaultWidespread bool
 
 	own         Record   // as last published
-	published   []Report // of it
+	published   []Report // in own
 	publishedAt time.Duration
-	newFlows    int // since then
+	newFlows    int // since the last record
 	fleetSize   int // members, this one too
-	fullStates  int // that were made, to select other records each time
+	selections  int // of records for full states, so that each begins at another origin
 
-	loads        map[decide.ServerID]ownLoad
-	isRelaying   bool // load reports come from another balancer now
-	onLoadReport func(decide.ServerID, time.Duration) (epoch uint64)
+	loads      map[decide.ServerID]ownLoad
+	isRelaying bool // the load reports that come now are another balancer's
+	// nil: loads are not shared.
+	onLoadReport func(_ decide.ServerID, now time.Duration) (epoch uint64)
 }
 
 // Config configures an Exchange.
--- a/fleet/signals/full_state.go
+++ b/fleet/signals/full_state.go
@@ -24,8 +24,8 @@
 // selection is the records of a full state in a large fleet: up to a half of them with faults, and others without,
 // beginning at another origin each time.
 func (e *Exchange) selection(all []Record, allAges []time.Duration) (records []Record, ages []time.Duration) {
-	e.fullStates++
-	first := e.fullStates * maxFullState / 2 % len(all)
+	e.selections++
+	first := e.selections * maxFullState / 2 % len(all)
 	add := func(i int) {
 		records = append(records, all[i])
 		ages = append(ages, allAges[i])
--- a/fleet/signals/loads.go
+++ b/fleet/signals/loads.go
@@ -19,7 +19,7 @@
 
 // ShareLoads has the load reports that this balancer receives itself published to the others. onLoadReport is
 // called for each of them, and returns the epoch of the lease on the server's health checks.
-func (e *Exchange) ShareLoads(onLoadReport func(decide.ServerID, time.Duration) (epoch uint64)) {
+func (e *Exchange) ShareLoads(onLoadReport func(_ decide.ServerID, now time.Duration) (epoch uint64)) {
 	e.onLoadReport = onLoadReport
 }
 
--- a/fleet/signals/observations.go
+++ b/fleet/signals/observations.go
@@ -46,7 +46,7 @@
 }
 
 // OnEstablished observes the set-up of a connection and how long it took. A negative time is that of a connection
-// which was established before this process started: its set-up was not observed.
+// which was established before this process started (constraints.AdoptedFlow): its set-up was not observed.
 func (e *Exchange) OnEstablished(_ decide.FlowID, server decide.ServerID, took time.Duration) {
 	observed := e.observation(server)
 	observed.connections++
@@ -70,10 +70,10 @@
 }
 
 // OnEnded observes the end of a connection, or of an attempt to set one up.
-func (e *Exchange) OnEnded(_ decide.FlowID, server decide.ServerID, outcome decide.Outcome, established bool) {
+func (e *Exchange) OnEnded(_ decide.FlowID, server decide.ServerID, outcome decide.Outcome, wasEstablished bool) {
 	observed := e.observation(server)
 	switch {
-	case established:
+	case wasEstablished:
 		observed.connections = max(0, observed.connections-1)
 		if outcome == decide.Reset {
 			observed.add(e.now, true)
--- a/fleet/signals/penalty.go
+++ b/fleet/signals/penalty.go
@@ -11,16 +11,16 @@
 )
 
 const (
-	penaltyCost        = 4.0              // in units of the placement cost: above grouping and a usual load together
-	ownHealthyValidity = time.Second      // what this balancer observed so recently is never overruled
-	initialPenaltyTime = 5 * time.Second  // after the last report of a fault
-	maxPenaltyTime     = 36 * time.Second // to which the time doubles with each recurrence
-	recurrenceTime     = 2 * maxPenaltyTime
-	maxRenewals        = 3 // of a penalty by a single reporter
+	penaltyCost        = 4.0                // in units of the placement cost: above grouping and a usual load together
+	ownHealthyValidity = time.Second        // what this balancer observed so recently is never overruled
+	initialPenaltyTime = 5 * time.Second    // after the last report of a fault
+	maxPenaltyTime     = 36 * time.Second   // to which the time doubles with each recurrence
+	recurrenceTime     = 2 * maxPenaltyTime // after a fault was confirmed, within which it recurs; later it is a new one
+	maxRecurrences     = 3                  // that a single reporter may cause, after which the fault must be confirmed
 	// Between the ends of two balancers' penalties: a later one learns what the earlier one meets.
-	releaseInterval  = time.Second
-	minReleaseFleet  = 3  // the size that a smaller fleet counts as for it
-	maxPenalisedPart = 10 // one in so many servers may be penalised at a time
+	releaseInterval   = time.Second
+	minReleaseFleet   = 3  // the ends are spread as in a fleet of at least this size
+	serversPerPenalty = 10 // where more than one in so many servers is penalised, none is avoided
 )
 
 // updatePenalties begins, renews and ends penalties by what is reported now.
@@ -28,7 +28,7 @@
 	penalised := 0
 	for id, c := range e.servers {
 		e.updatePenalty(id, c)
-		if e.now < c.penalisedUntil && e.ready[id] {
+		if c.isPenalised(e.now) && e.ready[id] {
 			penalised++
 		}
 		if c.isUnused(e.now) {
@@ -37,32 +37,34 @@
 	}
 	// A fault of many servers is not about single ones: avoiding them all would push their load onto the rest and
 	// overload it.
-	e.widespread = penalised > max(1, len(e.ready)/maxPenalisedPart)
+	e.isFaultWidespread = penalised > max(1, len(e.ready)/serversPerPenalty)
 }
 
+// updatePenalty begins, renews or ends the penalty of one server.
 func (e *Exchange) updatePenalty(id decide.ServerID, c *consensus) {
-	recurs := e.now < c.confirmedAt+recurrenceTime
+	confirmedRecently := e.now < c.confirmedAt+recurrenceTime
 	switch {
-	case c.isConfirmed() || recurs && c.isRenewable(e.now):
-		e.penalise(id, c, recurs)
+	case c.isConfirmed() || confirmedRecently && c.mayContinue(e.now):
+		e.penalise(id, c, confirmedRecently)
 	case c.healthy >= minReporters && c.faulty == 0:
 		// Balancers with connections there report that the fault is over.
 		c.penalisedUntil = min(c.penalisedUntil, e.now)
 	}
 }
 
-// penalise begins a penalty or renews it. One that begins again soon after its end lasts longer.
-func (e *Exchange) penalise(id decide.ServerID, c *consensus, recurs bool) {
+// penalise begins a penalty or prolongs it. One that ended and begins again lasts longer, where its fault was confirmed
+// recently.
+func (e *Exchange) penalise(id decide.ServerID, c *consensus, confirmedRecently bool) {
 	switch {
-	case !recurs:
+	case !confirmedRecently:
 		c.penaltyTime = initialPenaltyTime
 	case e.now > c.penalisedUntil:
 		c.penaltyTime = min(2*c.penaltyTime, maxPenaltyTime)
-		c.renewals++
+		c.recurrences++
 	}
 	if c.isConfirmed() {
 		c.confirmedAt = e.now
-		c.renewals = 0
+		c.recurrences = 0
 	}
 	c.penalisedUntil = e.now + c.penaltyTime + e.releaseDelay(id)
 }
@@ -90,7 +92,7 @@
 	}
 	e.gather()
 	c := e.servers[id]
-	if c == nil || e.now >= c.penalisedUntil || e.widespread || e.observesHealthy(id) {
+	if c == nil || !c.isPenalised(e.now) || e.isFaultWidespread || e.observesHealthy(id) {
 		return 0, ""
 	}
 	return penaltyCost, ""
@@ -99,7 +101,7 @@
 // ExplainCost names the fault for which a server is penalised, with origins that report it; empty where it is not
 // penalised.
 func (e *Exchange) ExplainCost(id decide.ServerID) string {
-	if c := e.servers[id]; c != nil && e.now < c.penalisedUntil {
+	if c := e.servers[id]; c != nil && c.isPenalised(e.now) {
 		return fmt.Sprintf("%s, say %v", c.worst, c.faultOrigins)
 	}
 	return ""
--- a/fleet/signals/publish.go
+++ b/fleet/signals/publish.go
@@ -12,23 +12,22 @@
 const (
 	minPublishInterval = 250 * time.Millisecond // between two records of one origin
 	steadyInterval     = 2 * time.Second        // the same while no fault begins or ends, in a small fleet
-	// Members; in a larger fleet the interval grows, so that the traffic stays the same.
-	smallFleet        = 40
-	republishInterval = faultValidity / 2 // a fault is published again before its report expires
-	minElapsed        = 0.001             // seconds, to divide by
+	smallFleet         = 40                     // members; in a larger fleet the interval grows, so that the traffic stays the same
+	republishInterval  = faultValidity / 2      // a fault is published again before its report expires
+	minElapsed         = 0.001                  // seconds, to divide by
 )
 
 // Publish returns the record to publish now, if one is due in a fleet of the given size: soon after a fault begins
 // or ends, else at an interval that grows with the fleet. A fault that enough others report already is not urgent.
-func (e *Exchange) Publish(fleet int) (record Record, isDue bool) {
-	e.fleetSize = fleet
+func (e *Exchange) Publish(fleetSize int) (record Record, isDue bool) {
+	e.fleetSize = fleetSize
 	elapsed := e.now - e.publishedAt
 	if elapsed < minPublishInterval {
 		return Record{}, false
 	}
 	e.gather()
 	reports, urgent := e.reports()
-	if !urgent && elapsed < steadyIntervalOf(fleet) {
+	if !urgent && elapsed < steadyIntervalOf(fleetSize) {
 		return Record{}, false
 	}
 	if e.own.Sequence > 0 {
@@ -44,8 +43,8 @@
 }
 
 // steadyIntervalOf is the interval between records in a fleet of the given size while no fault begins or ends.
-func steadyIntervalOf(fleet int) time.Duration {
-	return time.Duration(float64(steadyInterval) * math.Max(1, float64(fleet)/smallFleet))
+func steadyIntervalOf(fleetSize int) time.Duration {
+	return time.Duration(float64(steadyInterval) * math.Max(1, float64(fleetSize)/smallFleet))
 }
 
 // reports are those to publish, faulty servers first; urgent where one of them is worth publishing at once.
@@ -88,7 +87,7 @@
 func (e *Exchange) isUrgent(id decide.ServerID, wasPublished bool) bool {
 	others := 0
 	if c := e.servers[id]; c != nil {
-		others = c.faulty - 1
+		others = c.faulty - 1 // this balancer is one of them
 	}
 	return others < maxReporters && (!wasPublished || e.now-e.publishedAt > republishInterval)
 }
--- a/fleet/signals/store.go
+++ b/fleet/signals/store.go
@@ -11,7 +11,7 @@
 
 const originRetention = 10 * time.Minute // after the last record of an origin, when room is needed
 
-// Store holds the latest record of each origin but its own. Make it with NewStore.
+// Store holds the latest record of each origin but its own.
 type Store struct {
 	own     Origin
 	records map[Origin]received
--- a/fleet/signals/wire.go
+++ b/fleet/signals/wire.go
@@ -139,20 +139,20 @@
 	return []int64{int64(report.Server), load, int64(report.Epoch), report.Age.Milliseconds()}
 }
 
-// message is a message that is being read, and the first error.
-type message struct {
+// fieldReader reads the fields of a message, and keeps the first error.
+type fieldReader struct {
 	raw map[int]cbor.RawMessage
 	err error
 }
 
 // read reads the value of a key, where the key is present.
-func (m *message) read(key int, value any) {
-	raw, present := m.raw[key]
-	if !present || m.err != nil {
+func (r *fieldReader) read(key int, value any) {
+	raw, present := r.raw[key]
+	if !present || r.err != nil {
 		return
 	}
 	if err := decoder.Unmarshal(raw, value); err != nil {
-		m.err = fmt.Errorf("%w: key %d: %w", ErrMalformed, key, err)
+		r.err = fmt.Errorf("%w: key %d: %w", ErrMalformed, key, err)
 	}
 }
 
@@ -162,42 +162,42 @@
 	if len(encoded) > maxRecordBytes {
 		return Record{}, rejected(ErrMalformed, fmt.Sprintf("a message of %d bytes", len(encoded)))
 	}
-	var m message
-	if err := decoder.Unmarshal(encoded, &m.raw); err != nil {
+	var reader fieldReader
+	if err := decoder.Unmarshal(encoded, &reader.raw); err != nil {
 		return Record{}, rejected(fmt.Errorf("%w: %w", ErrMalformed, err), unreadable)
 	}
 	var version, kind int
-	m.read(keyVersion, &version)
-	m.read(keyKind, &kind)
+	reader.read(keyVersion, &version)
+	reader.read(keyKind, &kind)
 	switch {
-	case m.err != nil:
-		return Record{}, rejected(m.err, unreadable)
+	case reader.err != nil:
+		return Record{}, rejected(reader.err, unreadable)
 	case version != Version:
 		return Record{}, rejected(ErrVersion, fmt.Sprintf("a message of version %d", version))
 	case kind != kindRecord:
 		return Record{}, rejected(ErrKind, fmt.Sprintf("a message of kind %d", kind))
 	}
-	record := m.record()
-	if m.err != nil {
-		return Record{}, rejected(m.err, unreadable)
+	record := reader.record()
+	if reader.err != nil {
+		return Record{}, rejected(reader.err, unreadable)
 	}
 	return record, nil
 }
 
 // record reads the fields of a record.
-func (m *message) record() (record Record) {
+func (r *fieldReader) record() (record Record) {
 	var rate int64
 	var reports, loads [][]int64
-	m.read(keyOrigin, (*string)(&record.Origin))
-	m.read(keyIncarnation, (*uint64)(&record.Incarnation))
-	m.read(keySequence, (*uint64)(&record.Sequence))
-	m.read(keyBuild, &record.Build)
-	m.read(keySettings, &record.Settings)
-	m.read(keyRate, &rate)
-	m.read(keyReports, &reports)
-	m.read(keyLoadReports, &loads)
-	if m.err == nil && !record.isPlausible() {
-		m.err = fmt.Errorf("%w: no origin, or a value that can't be", ErrMalformed)
+	r.read(keyOrigin, (*string)(&record.Origin))
+	r.read(keyIncarnation, (*uint64)(&record.Incarnation))
+	r.read(keySequence, (*uint64)(&record.Sequence))
+	r.read(keyBuild, &record.Build)
+	r.read(keySettings, &record.Settings)
+	r.read(keyRate, &rate)
+	r.read(keyReports, &reports)
+	r.read(keyLoadReports, &loads)
+	if r.err == nil && !record.isPlausible() {
+		r.err = fmt.Errorf("%w: no origin, or a value that can't be", ErrMalformed)
 	}
 	record.Rate = float64(max(rate, 0)) / rateParts
 	for _, values := range reports[:min(len(reports), MaxReports)] {
