--- a/constraints/balancer.go
+++ b/constraints/balancer.go
@@ -34,9 +34,9 @@
 	nextName      string // of the next flow, as its client calls it
 }
 
-// New puts constraints, queried in the order given, round an instance that start gives its settings. Where several
+// New puts constraints, queried in the order given, round an instance that configure gives its settings. Where several
 // object the first is recorded; extra costs add up; the longest Retry-After holds.
-func New(seed uint64, actions decide.Actions, constraints []Constraint, start func(*decide.Balancer)) *ConstrainedBalancer {
+func New(seed uint64, actions decide.Actions, constraints []Constraint, configure func(*decide.Balancer)) *ConstrainedBalancer {
 	b := &ConstrainedBalancer{
 		actions:       actions,
 		constraints:   constraints,
@@ -47,7 +47,7 @@
 	}
 	b.balancer = decide.New(seed, observedActions{b})
 	b.balancer.SetConstraints(queries{b})
-	start(b.balancer)
+	configure(b.balancer)
 	return b
 }
 
--- a/constraints/endpoints.go
+++ b/constraints/endpoints.go
@@ -26,12 +26,12 @@
 		startedAt: endpoint.StartedAt,
 		disabled:  b.listed[endpoint.ID].disabled,
 	}
-	b.updateConstraints(endpoint.ID)
+	b.notifyEndpoint(endpoint.ID)
 	b.balancer.OnEndpoint(endpoint)
 }
 
-// updateConstraints passes a server to the constraints as decide sees it: a disabled one is never ready.
-func (b *ConstrainedBalancer) updateConstraints(server decide.ServerID) {
+// notifyEndpoint passes the entry of a server to the constraints as decide sees it: a disabled one is never ready.
+func (b *ConstrainedBalancer) notifyEndpoint(server decide.ServerID) {
 	entry := b.listed[server]
 	if entry.disabled {
 		entry.readiness = max(entry.readiness, decide.Draining)
@@ -48,7 +48,8 @@
 	}
 }
 
-func (b *ConstrainedBalancer) endConstraintsUpdate() {
+// notifyEndpointsUpdated tells the constraints that an update has ended.
+func (b *ConstrainedBalancer) notifyEndpointsUpdated() {
 	for _, constraint := range b.constraints {
 		constraint.OnEndpointsUpdated()
 	}
@@ -62,15 +63,15 @@
 			entry.startedAt = b.now // it returns in slow start
 		}
 		b.listed[server] = entry
-		b.updateConstraints(server)
-		b.endConstraintsUpdate()
+		b.notifyEndpoint(server)
+		b.notifyEndpointsUpdated()
 	}
 	b.balancer.SetDisabled(server, disabled)
 }
 
 // EndEndpoints ends an update of the endpoint list.
 func (b *ConstrainedBalancer) EndEndpoints() {
-	b.endConstraintsUpdate()
+	b.notifyEndpointsUpdated()
 	b.balancer.EndEndpoints()
 }
 
@@ -88,8 +89,8 @@
 			startedAt: known.StartedAt,
 			disabled:  known.Disabled,
 		}
-		b.updateConstraints(known.ID)
+		b.notifyEndpoint(known.ID)
 	}
-	b.endConstraintsUpdate()
+	b.notifyEndpointsUpdated()
 	b.balancer.Restore(snapshot)
 }
--- a/constraints/explanations.go
+++ b/constraints/explanations.go
@@ -95,18 +95,18 @@
 }
 
 // find returns the newest explanation of a flow with this id, or with this name.
-func (r *explanationRing) find(name string) *Explanation {
+func (r *explanationRing) find(idOrName string) *Explanation {
 	for i := range r.entries {
 		explanation := r.entries[(r.oldest+len(r.entries)-1-i)%len(r.entries)]
-		if explanation.Name == name || string(explanation.Flow) == name {
+		if explanation.Name == idOrName || string(explanation.Flow) == idOrName {
 			return explanation
 		}
 	}
 	return nil
 }
 
-// addExtraCost records who gave a server an extra cost for a flow that waits for its placement.
-func (b *ConstrainedBalancer) addExtraCost(id decide.FlowID, server decide.ServerID, constraint Constraint) {
+// recordExtraCost records who gave a server an extra cost for a flow that waits for its placement.
+func (b *ConstrainedBalancer) recordExtraCost(id decide.FlowID, server decide.ServerID, constraint Constraint) {
 	explainer, ok := constraint.(Explainer)
 	flow := b.flows[id]
 	if !ok || flow == nil || flow.isOutstanding {
@@ -160,8 +160,8 @@
 }
 
 // Explain returns the explanation of a flow, by its id or by what its client called it; the newest where several match.
-func (b *ConstrainedBalancer) Explain(name string) (Explanation, bool) {
-	found := b.explanations.find(name)
+func (b *ConstrainedBalancer) Explain(idOrName string) (Explanation, bool) {
+	found := b.explanations.find(idOrName)
 	if found == nil {
 		return Explanation{}, false
 	}
--- a/constraints/queries.go
+++ b/constraints/queries.go
@@ -18,7 +18,7 @@
 		}
 		extra += cost
 		if cost > 0 {
-			q.addExtraCost(id, server, constraint)
+			q.recordExtraCost(id, server, constraint)
 		}
 	}
 	return extra, true
