--- a/internal/membership/engine/group.go
+++ b/internal/membership/engine/group.go
@@ -45,7 +45,7 @@
 	suspicionMultiplier    = 3
 	maxSuspicionMultiplier = 3
 	maxAwarenessMultiplier = 4
-	retransmitMultiplier   = 3 // of published messages
+	retransmitMultiplier   = 3 // of published messages; that of the library's own messages is its default
 )
 
 const (
@@ -91,7 +91,7 @@
 	slog.Info("membership started", "member", g.instance.Name, "address", g.instance.Bind,
 		"advertised", g.instance.Advertise, "seeds", g.instance.Seeds)
 	introductions := &introducer{group: g}
-	joins := joiner{group: g, introductions: introductions, next: time.Now(), backoff: newBackoff()}
+	joins := joiner{group: g, introductions: introductions, nextAttempt: time.Now(), backoff: newBackoff()}
 	lastTick := time.Now()
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -106,7 +106,7 @@
 			if gap := now.Sub(lastTick); gap > suspensionGap {
 				slog.Warn("process was suspended; its leases may have passed to other balancers", "gap_ms", gap.Milliseconds())
 				g.subscriber.OnSuspended(gap)
-				joins.next = now // the others may have given this member up
+				joins.nextAttempt = now // the others may have given this member up
 			}
 			lastTick = now
 		}
@@ -214,6 +214,7 @@
 	g.mu.Unlock()
 	var err error
 	if !silenced {
+		// The update spreads that this member leaves: NodeMeta.
 		err = errors.Join(list.UpdateNode(leaveTimeout), list.Leave(leaveTimeout))
 	}
 	if err = errors.Join(err, list.Shutdown()); err != nil {
--- a/internal/membership/engine/introduce.go
+++ b/internal/membership/engine/introduce.go
@@ -35,7 +35,7 @@
 	if now.After(i.until) {
 		return false
 	}
-	name, address := i.next()
+	name, address := i.nextMember()
 	if name == "" {
 		return false
 	}
@@ -46,19 +46,19 @@
 	return true
 }
 
-// next is the first member by name that is alive and has not been introduced to; its name is empty where there is
+// nextMember is the first member by name that is alive and has not been introduced to; its name is empty where there is
 // none, or where the fleet is too large.
-func (i *introducer) next() (name membership.Name, address string) {
+func (i *introducer) nextMember() (name membership.Name, address string) {
 	g := i.group
 	if g.AliveCount() > maxIntroductions+1 {
 		return "", ""
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for _, name := range slices.Sorted(maps.Keys(g.members)) {
-		m := g.members[name]
-		if m.state == membership.Alive && !i.introduced[name] {
-			return name, m.address
+	for _, candidate := range slices.Sorted(maps.Keys(g.members)) {
+		m := g.members[candidate]
+		if m.state == membership.Alive && !i.introduced[candidate] {
+			return candidate, m.address
 		}
 	}
 	return "", ""
--- a/internal/membership/engine/join.go
+++ b/internal/membership/engine/join.go
@@ -21,14 +21,14 @@
 type joiner struct {
 	group         *Group
 	introductions *introducer
-	next          time.Time // of the next attempt
+	nextAttempt   time.Time
 	backoff       *backoff.ExponentialBackOff
 	reported      bool // the current series of failures was logged
 }
 
 // attemptIfDue attempts to join where that is needed and due, and reports whether it did.
 func (j *joiner) attemptIfDue(now time.Time) bool {
-	if now.Before(j.next) || !j.group.needsJoin() {
+	if now.Before(j.nextAttempt) || !j.group.needsJoin() {
 		return false
 	}
 	wasAlone := j.group.AliveCount() <= 1
@@ -50,7 +50,7 @@
 		}
 		slog.Warn("join failed", "error", fault, "advice", fault.Advice())
 	}
-	j.next = now.Add(j.backoff.NextBackOff())
+	j.nextAttempt = now.Add(j.backoff.NextBackOff())
 	return true
 }
 
--- a/internal/membership/engine/members.go
+++ b/internal/membership/engine/members.go
@@ -89,7 +89,7 @@
 	var members []membership.Member
 	for name, m := range g.members {
 		seen := membership.Member{Name: name, Addr: m.address, State: m.state, Since: now - m.stateAt}
-		if m.refutable(now) { // a member that was cut off declares all others gone when it is back
+		if m.refutable(now) { // it may have been declared gone by a member that was cut off itself and is back
 			seen.State = membership.Alive
 			seen.Since = now - m.previousStateAt
 		}
--- a/internal/membership/engine/serve.go
+++ b/internal/membership/engine/serve.go
@@ -61,7 +61,7 @@
 	if !ok {
 		return nil
 	}
-	instance, err := membership.ParseStart(first)
+	instance, err := membership.DecodeStart(first)
 	if err != nil {
 		return err
 	}
@@ -115,7 +115,7 @@
 type memberEnd int
 
 const (
-	balancerLeft      memberEnd = iota // it had the member leave, or ended
+	balancerLeft      memberEnd = iota // it had the member leave, or its frames ended
 	balancerSuspended                  // its heartbeats stopped
 )
 
--- a/internal/membership/frames.go
+++ b/internal/membership/frames.go
@@ -39,8 +39,8 @@
 // frameDecoding accepts names that are not valid UTF-8: they come from the network, and must not end the engine's link.
 var frameDecoding, _ = cbor.DecOptions{UTF8: cbor.UTF8DecodeInvalid}.DecMode() // the options are valid
 
-// startFrame is the FrameStart of an instance.
-func startFrame(instance Instance) []any {
+// encodeStart writes the FrameStart of an instance.
+func encodeStart(instance Instance) []any {
 	frame := []any{FrameStart, string(instance.Name), instance.Label, instance.Bind.String(), instance.Advertise.String()}
 	for _, seed := range instance.Seeds {
 		frame = append(frame, seed)
@@ -48,8 +48,8 @@
 	return frame
 }
 
-// ParseStart reads the instance from a FrameStart. An error is of type *Error.
-func ParseStart(frame []any) (Instance, error) {
+// DecodeStart reads the instance from a FrameStart; the frame has a kind at least. An error is of type *Error.
+func DecodeStart(frame []any) (Instance, error) {
 	const remedy = "it is started by yardwinch serve, not by hand"
 	var fields []string
 	for _, field := range frame[1:] {
--- a/internal/membership/group.go
+++ b/internal/membership/group.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	initialBackoff = 500 * time.Millisecond // before the engine is restarted
-	maxBackoff     = 30 * time.Second
-	queueLength    = 256 // frames for the engine; further ones are dropped, as the state they carry is published again
-	maxKnown       = 8   // addresses that the next engine joins besides the seeds
+	initialBackoff     = 500 * time.Millisecond // before the engine is restarted
+	maxBackoff         = 30 * time.Second
+	queueLength        = 256 // frames for the engine; further ones are dropped, as the state they carry is published again
+	maxRejoinAddresses = 8   // that the next engine joins besides the seeds
 )
 
 // Subscriber knows the meaning of what passes. It is called from one goroutine and must not block.
@@ -33,11 +33,11 @@
 	queue      chan []any // frames for the engine
 	drops      DropCounter
 
-	mu            sync.Mutex
-	members       []Member // sorted by name, as of membersAt
-	membersAt     time.Time
-	known         []string       // addresses of members that an engine which ended saw
-	engineDropped map[string]int // by kind, as the engine counts them
+	mu              sync.Mutex
+	members         []Member // sorted by name, as of membersAt
+	membersAt       time.Time
+	rejoinAddresses []string       // of members that an engine which ended saw, for the next one
+	engineDropped   map[string]int // by kind, as the engine counts them
 }
 
 // New makes the group of an instance. program is the path of the engine's program; empty: the one beside this
@@ -62,7 +62,7 @@
 			return
 		}
 		if time.Since(started) > maxBackoff {
-			backoff = initialBackoff
+			backoff = initialBackoff // it ran well for a while
 		}
 		g.reportEngineEnd(err)
 		select {
@@ -78,20 +78,20 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, member := range g.members {
-		if member.Name != g.instance.Name && member.State == Alive && len(g.known) < maxKnown {
-			g.known = append(g.known, member.Addr)
+		if member.Name != g.instance.Name && member.State == Alive && len(g.rejoinAddresses) < maxRejoinAddresses {
+			g.rejoinAddresses = append(g.rejoinAddresses, member.Addr)
 		}
 	}
 	g.members = nil
 }
 
-// takeKnown returns the addresses of members that earlier engines saw, and forgets them.
-func (g *Group) takeKnown() []string {
+// takeRejoinAddresses returns the addresses of members that earlier engines saw alive, and forgets them.
+func (g *Group) takeRejoinAddresses() []string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	known := g.known
-	g.known = nil
-	return known
+	addresses := g.rejoinAddresses
+	g.rejoinAddresses = nil
+	return addresses
 }
 
 // send queues a frame for the engine. A frame that finds the queue full is dropped: the engine is not running, or
--- a/internal/membership/process.go
+++ b/internal/membership/process.go
@@ -48,25 +48,25 @@
 	command.WaitDelay = leaveTimeout
 	command.Stderr = os.Stderr
 	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGTERM}
-	in, err := command.StdinPipe()
+	input, err := command.StdinPipe()
 	if err != nil {
 		return fmt.Errorf("open the engine's input: %w", err)
 	}
-	out, err := command.StdoutPipe()
+	output, err := command.StdoutPipe()
 	if err != nil {
 		return fmt.Errorf("open the engine's output: %w", err)
 	}
 	if err := command.Start(); err != nil {
 		return fmt.Errorf("start the engine: %w", err)
 	}
-	ended := make(chan struct{})
-	var links sync.WaitGroup
-	links.Go(func() { g.write(ctx, in, ended) })
-	links.Go(func() {
-		defer close(ended)
-		g.read(out)
+	outputEnded := make(chan struct{})
+	var pipes sync.WaitGroup
+	pipes.Go(func() { g.write(ctx, input, outputEnded) })
+	pipes.Go(func() {
+		defer close(outputEnded)
+		g.read(output)
 	})
-	links.Wait()
+	pipes.Wait()
 	if err := command.Wait(); err != nil {
 		return fmt.Errorf("the engine ended: %w", err)
 	}
@@ -84,13 +84,13 @@
 	g.drops.add("membership engine ended", "the engine ended", fault.Error(), "advice", fault.Advice())
 }
 
-// write sends the engine the queued frames, and heartbeats, until it ends or the context does.
-func (g *Group) write(ctx context.Context, in io.WriteCloser, ended <-chan struct{}) {
-	defer func() { _ = in.Close() }() // the engine may have ended
-	encoder := cbor.NewEncoder(in)
+// write sends the engine the queued frames, and heartbeats, until its output or the context ends.
+func (g *Group) write(ctx context.Context, engineInput io.WriteCloser, outputEnded <-chan struct{}) {
+	defer func() { _ = engineInput.Close() }() // the engine may have ended
+	encoder := cbor.NewEncoder(engineInput)
 	instance := g.instance
-	instance.Seeds = append(slices.Clone(instance.Seeds), g.takeKnown()...)
-	if encoder.Encode(startFrame(instance)) != nil {
+	instance.Seeds = append(slices.Clone(instance.Seeds), g.takeRejoinAddresses()...)
+	if encoder.Encode(encodeStart(instance)) != nil {
 		return // read finds the engine's end
 	}
 	heartbeats := time.NewTicker(HeartbeatInterval)
@@ -98,7 +98,7 @@
 	for {
 		var frame []any
 		select {
-		case <-ended:
+		case <-outputEnded:
 			return
 		case <-ctx.Done():
 			_ = encoder.Encode([]any{FrameLeave}) // the engine may have ended
@@ -114,8 +114,8 @@
 }
 
 // read handles the frames of the engine until it ends or sends something else.
-func (g *Group) read(out io.Reader) {
-	decoder := frameDecoding.NewDecoder(out)
+func (g *Group) read(engineOutput io.Reader) {
+	decoder := frameDecoding.NewDecoder(engineOutput)
 	for {
 		var frame []any
 		if err := decoder.Decode(&frame); err != nil || len(frame) < 2 {
