--- a/locality/events.go
+++ b/locality/events.go
@@ -15,8 +15,8 @@
 		p.servers[endpoint.ID] = s
 		s.locality.servers[endpoint.ID] = s
 	}
-	isZoneGiven := endpoint.Zone != "" || endpoint.Readiness != decide.Gone // the entry of a gone server may lack it
-	if endpoint.Zone != s.locality.name && isZoneGiven {
+	entryHasZone := endpoint.Zone != "" || endpoint.Readiness != decide.Gone // that of a gone server may lack it
+	if endpoint.Zone != s.locality.name && entryHasZone {
 		p.relocate(s, endpoint.Zone)
 	}
 	s.size = endpoint.Size
