--- a/decide/bookkeeping_test.go
+++ b/decide/bookkeeping_test.go
@@ -231,10 +231,10 @@
 			continue
 		}
 		skipped++
-		against := c.balancer.compare(f, c.balancer.list.ready)
-		here := c.balancer.cost(f, f.server, against)
+		view := c.balancer.viewFor(f, c.balancer.list.ready)
+		here := c.balancer.cost(f, f.server, view)
 		for _, server := range c.balancer.list.ready {
-			hypothetical := against
+			hypothetical := view
 			hypothetical.preferred = server
 			if server == f.server || !c.balancer.allowed(f, server, hypothetical) || c.balancer.rank(f, server) != 0 {
 				continue
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -114,7 +114,7 @@
 	b.health.checkCredit += checksPerConnect
 	f.inSlowStart = b.capacityShare(target) < 1
 	if f.inSlowStart {
-		due, spent := b.slowStartBudget(target, b.compare(f, b.list.ready))
+		due, spent := b.slowStartBudget(target, b.viewFor(f, b.list.ready))
 		target.budgetDue = due
 		target.budgetSpent = spent + 1
 		target.budgetAt = b.now
--- a/decide/limits.go
+++ b/decide/limits.go
@@ -56,12 +56,12 @@
 // hasCapacity reports whether the server may take one more flow. The limit on all flows binds those that would open a
 // group on a warm server, which costs it extra work. A low load report overrides limits that were inferred from
 // latency, except in a fleet without spare capacity.
-func (b *Balancer) hasCapacity(f *flow, server *serverState, against comparison) bool {
+func (b *Balancer) hasCapacity(f *flow, server *serverState, view placementView) bool {
 	load, isReported := b.reportedLoad(server)
 	isLight := isReported && load < lightLoad
 	held := len(b.flows.established)
-	fleetAllows := isLight && against.meanLoad < lightLoad || b.health.flowLimit.hasCapacity(held, 1, b.now)
+	fleetAllows := isLight && view.meanLoad < lightLoad || b.health.flowLimit.hasCapacity(held, 1, b.now)
 	meanFlows := float64(held) / float64(len(b.list.ready)+1)
 	serverAllows := isLight || server.limit.hasCapacity(server.openFlows, meanFlows, b.now)
-	return serverAllows && (fleetAllows || against.groupFlows(server, f.group) > 0 || b.capacityShare(server) < 1)
+	return serverAllows && (fleetAllows || view.groupFlows(server, f.group) > 0 || b.capacityShare(server) < 1)
 }
--- a/decide/longlist_test.go
+++ b/decide/longlist_test.go
@@ -73,7 +73,7 @@
 	differ, groupsOf := 0, map[ServerID]int{}
 	for i := range groups {
 		f := &flow{group: GroupKey(strconv.Itoa(i))}
-		a, b := one.balancer.compare(f, one.balancer.list.ready).preferred, other.balancer.compare(f, other.balancer.list.ready).preferred
+		a, b := one.balancer.viewFor(f, one.balancer.list.ready).preferred, other.balancer.viewFor(f, other.balancer.list.ready).preferred
 		if a == nil || b == nil {
 			t.Fatalf("group %d has no preferred server", i)
 		}
--- a/decide/overload_test.go
+++ b/decide/overload_test.go
@@ -48,7 +48,7 @@
 				s.setTime(time.Duration(i) * sec)
 				s.balancer.OnLatencySample("o9", 150*ms)
 			}
-			if server := s.balancer.list.byID[1]; s.balancer.hasCapacity(&flow{}, server, comparison{}) != c.hasCapacity {
+			if server := s.balancer.list.byID[1]; s.balancer.hasCapacity(&flow{}, server, placementView{}) != c.hasCapacity {
 				t.Errorf("has capacity: %v with %d open, limit %v", !c.hasCapacity, server.openFlows, server.limit.flows)
 			}
 		})
--- a/decide/placement.go
+++ b/decide/placement.go
@@ -36,8 +36,9 @@
 	hasSizes     bool // the sizes in the list mean something
 }
 
-// comparison is what one placement or recheck compares servers with.
-type comparison struct {
+// placementView is what one placement or recheck sees of the fleet: its candidates, and the means and marks that each
+// candidate is compared with.
+type placementView struct {
 	candidates       []*serverState
 	preferredCount   int            // so many of the candidates, the first, may be preferred
 	holders          []*serverState // of the group, at this balancer
@@ -50,8 +51,8 @@
 }
 
 // groupFlows is how many flows of the group the server holds.
-func (c comparison) groupFlows(server *serverState, group GroupKey) int {
-	if len(c.holders) <= fewHolders && !slices.Contains(c.holders, server) {
+func (v placementView) groupFlows(server *serverState, group GroupKey) int {
+	if len(v.holders) <= fewHolders && !slices.Contains(v.holders, server) {
 		return 0
 	}
 	return server.groupTallies[group]
@@ -60,9 +61,9 @@
 // choose is the guarded least-cost choice. Where the candidates from a long list all have faults, others are drawn from
 // the servers that had none at the last tick.
 func (b *Balancer) choose(f *flow) *serverState {
-	best, rank := b.cheapest(f, b.compare(f, b.list.ready))
+	best, rank := b.cheapest(f, b.viewFor(f, b.list.ready))
 	if b.list.isLong() && (best == nil || rank > 0) {
-		if other, otherRank := b.cheapest(f, b.compare(f, b.healthyServers())); otherRank < rank {
+		if other, otherRank := b.cheapest(f, b.viewFor(f, b.healthyServers())); otherRank < rank {
 			best = other
 		}
 	}
@@ -71,15 +72,15 @@
 
 // cheapest is the allowed candidate of the lowest rank, among those the one of the lowest cost, and among equals one
 // by chance.
-func (b *Balancer) cheapest(f *flow, against comparison) (best *serverState, bestRank int) {
+func (b *Balancer) cheapest(f *flow, view placementView) (best *serverState, bestRank int) {
 	bestRank = math.MaxInt
 	bestCost, ties := 0.0, 0.0
-	for _, server := range against.candidates {
-		if !b.allowed(f, server, against) {
+	for _, server := range view.candidates {
+		if !b.allowed(f, server, view) {
 			continue
 		}
 		rank := b.rank(f, server)
-		cost := b.cost(f, server, against)
+		cost := b.cost(f, server, view)
 		switch {
 		case rank < bestRank || rank == bestRank && cost < bestCost-costTolerance:
 			best = server
@@ -97,11 +98,11 @@
 
 // chooseForced is the server of a forced attempt: a permitted one of the lowest rank, by chance among equals.
 func (b *Balancer) chooseForced(f *flow) (best *serverState) {
-	against := b.compare(f, b.list.ready)
+	view := b.viewFor(f, b.list.ready)
 	bestRank := math.MaxInt
 	ties := 0.0
-	for _, server := range against.candidates {
-		if !b.permitted(f, server, against) {
+	for _, server := range view.candidates {
+		if !b.permitted(f, server, view) {
 			continue
 		}
 		switch rank := b.rank(f, server); {
@@ -147,14 +148,14 @@
 
 // allowed reports whether the flow may go to the server now. Silent servers are excluded outright: with all others
 // full, every flow would go there as soon as they return.
-func (b *Balancer) allowed(f *flow, server *serverState, against comparison) bool {
+func (b *Balancer) allowed(f *flow, server *serverState, view placementView) bool {
 	return server.readiness == Ready && (!server.isSilent() || !b.isEjected(server)) &&
-		b.hasCapacity(f, server, against) && b.permitted(f, server, against)
+		b.hasCapacity(f, server, view) && b.permitted(f, server, view)
 }
 
 // permitted reports whether the flow may go to the server whatever its health and load.
-func (b *Balancer) permitted(f *flow, server *serverState, against comparison) bool {
-	if server.readiness != Ready || !b.hasSlowStartBudget(server, against) {
+func (b *Balancer) permitted(f *flow, server *serverState, view placementView) bool {
+	if server.readiness != Ready || !b.hasSlowStartBudget(server, view) {
 		return false
 	}
 	if _, ok := b.serverCost(f, server); !ok {
@@ -196,45 +197,45 @@
 	return rank
 }
 
-// compare prepares a placement of the flow among these servers or a part of them. The flow itself is left out of the
+// viewFor prepares a placement of the flow among these servers or a part of them. The flow itself is left out of the
 // means. By tallies alone each balancer would hold a group at another server; the preferred server, the highest by
 // a hash of group and id of those below the guard, is the same at all.
-func (b *Balancer) compare(f *flow, from []*serverState) (c comparison) {
-	c.holders = b.tallies.holders[f.group]
-	c.candidates, c.preferredCount = b.candidates(f, c.holders, from)
-	least := b.leastExtra(f, c.candidates)
-	b.setMeans(&c, f, least)
+func (b *Balancer) viewFor(f *flow, from []*serverState) (view placementView) {
+	view.holders = b.tallies.holders[f.group]
+	view.candidates, view.preferredCount = b.candidates(f, view.holders, from)
+	leastExtra := b.leastExtra(f, view.candidates)
+	b.setMeans(&view, f, leastExtra)
 	highest := 0.0
 	group := f.group.hash()
-	for i, server := range c.candidates {
-		if !b.mayAttractGroup(f, server, c, least) {
+	for i, server := range view.candidates {
+		if !b.mayAttractGroup(f, server, view, leastExtra) {
 			continue
 		}
 		wasOverloaded := server.overloadedAt > 0 && b.now-server.overloadedAt < recentOverload
-		c.someBelowGuard = true
-		c.holderBelowGuard = c.holderBelowGuard || c.groupFlows(server, f.group) > 0 && !wasOverloaded
-		if i >= c.preferredCount || f.group == "" {
+		view.someBelowGuard = true
+		view.holderBelowGuard = view.holderBelowGuard || view.groupFlows(server, f.group) > 0 && !wasOverloaded
+		if i >= view.preferredCount || f.group == "" {
 			continue
 		}
 		if weight := b.preferredWeight(group, server, wasOverloaded); weight > highest {
-			c.preferred = server
+			view.preferred = server
 			highest = weight
 		}
 	}
-	if c.holderBelowGuard && c.meanLoad == 0 {
-		c.preferred = nil
+	if view.holderBelowGuard && view.meanLoad == 0 {
+		view.preferred = nil
 	}
-	return c
+	return view
 }
 
 // mayAttractGroup reports whether a server below the guard could be chosen. Flows forwarded from one that could not
 // would spread its groups over the fleet.
-func (b *Balancer) mayAttractGroup(f *flow, server *serverState, against comparison, leastExtra float64) bool {
+func (b *Balancer) mayAttractGroup(f *flow, server *serverState, view placementView, leastExtra float64) bool {
 	if extra, _ := b.serverCost(f, server); extra > leastExtra {
 		return false
 	}
-	return !server.ejected && b.rank(f, server) == 0 && b.allowed(f, server, against) &&
-		!b.isAboveGuard(server, server.openFlows, against.groupFlows(server, f.group), against)
+	return !server.ejected && b.rank(f, server) == 0 && b.allowed(f, server, view) &&
+		!b.isAboveGuard(server, flowCounts{open: server.openFlows, group: view.groupFlows(server, f.group)}, view)
 }
 
 // preferredWeight is the rendezvous weight of a server. One that was overloaded recently would, as preferred, attract
@@ -256,15 +257,21 @@
 	return factor * factor
 }
 
+// flowCounts are flows of this balancer at a server.
+type flowCounts struct {
+	open  int // of any group
+	group int // of the group of the flow in hand
+}
+
 // isAboveGuard reports whether a server attracts no groups: by its load report, though not while it is lightly loaded,
 // or else by this balancer's flows and what chance may add to them where balancers are many.
-func (b *Balancer) isAboveGuard(server *serverState, open, group int, against comparison) bool {
+func (b *Balancer) isAboveGuard(server *serverState, flows flowCounts, view placementView) bool {
 	if load, ok := b.reportedLoad(server); ok {
-		return load > max(groupingGuard*against.meanLoad, lightLoad)
+		return load > max(groupingGuard*view.meanLoad, lightLoad)
 	}
-	fair := against.meanOpen * b.size(server)
+	fair := view.meanOpen * b.size(server)
 	chance := 1 - 1/float64(b.slowStart.Balancers)
-	return float64(open) > groupingGuard*fair+deviations*math.Sqrt(fair*chance)+chance*float64(group)
+	return float64(flows.open) > groupingGuard*fair+deviations*math.Sqrt(fair*chance)+chance*float64(flows.group)
 }
 
 // size is what a server counts for in means: its listed size, where sizes mean something, times its capacity share.
@@ -276,11 +283,11 @@
 }
 
 // load is the load of a server with so many open flows, relative to the mean.
-func (b *Balancer) load(server *serverState, open int, against comparison) float64 {
+func (b *Balancer) load(server *serverState, open int, view placementView) float64 {
 	if load, ok := b.reportedLoad(server); ok {
-		return (load + loadPrior) / (against.meanLoad + loadPrior)
+		return (load + loadPrior) / (view.meanLoad + loadPrior)
 	}
-	mean := against.meanOpen*b.size(server) + openFlowsPrior
+	mean := view.meanOpen*b.size(server) + openFlowsPrior
 	if b.capacityShare(server) < 1 { // its budget holds it back; the prior would do so again
 		return float64(open) / mean
 	}
@@ -288,16 +295,16 @@
 }
 
 // cost is the cost of the flow at the server, by grouping, load, the price of a zone crossing and constraints.
-func (b *Balancer) cost(f *flow, server *serverState, against comparison) float64 {
-	held := against.groupFlows(server, f.group)
+func (b *Balancer) cost(f *flow, server *serverState, view placementView) float64 {
+	held := view.groupFlows(server, f.group)
 	open, group := server.openFlows, held
 	if f.leased && f.server == server { // without the flow itself
 		open--
 		group--
 	}
-	cost := loadWeight * b.load(server, open, against)
-	mayGroup := !b.isAboveGuard(server, open, held, against) || !against.someBelowGuard
-	if f.group != "" && mayGroup && (group > 0 || server == against.preferred) {
+	cost := loadWeight * b.load(server, open, view)
+	mayGroup := !b.isAboveGuard(server, flowCounts{open: open, group: held}, view) || !view.someBelowGuard
+	if f.group != "" && mayGroup && (group > 0 || server == view.preferred) {
 		cost -= groupingWeight
 	} else if f.group != "" {
 		cost += groupingWeight * b.groupSpread()
--- a/decide/rechecks.go
+++ b/decide/rechecks.go
@@ -30,13 +30,13 @@
 
 // recheck migrates an established flow if another server without faults costs less by minSaving, or if forced.
 func (b *Balancer) recheck(f *flow, minSaving float64, forced bool) (migrated bool) {
-	against := b.compare(f, b.list.ready)
-	here := b.cost(f, f.server, against)
+	view := b.viewFor(f, b.list.ready)
+	here := b.cost(f, f.server, view)
 	isBetter := func(server *serverState) bool {
-		return server != f.server && b.allowed(f, server, against) && b.rank(f, server) == 0 &&
-			b.cost(f, server, against) < here-minSaving
+		return server != f.server && b.allowed(f, server, view) && b.rank(f, server) == 0 &&
+			b.cost(f, server, view) < here-minSaving
 	}
-	if !forced && !slices.ContainsFunc(against.candidates, isBetter) {
+	if !forced && !slices.ContainsFunc(view.candidates, isBetter) {
 		return false
 	}
 	b.actions.Migrate(f.id)
@@ -52,11 +52,11 @@
 	}
 	totals := b.list.totals
 	totals.openFlows--
-	against := totals.means()
+	view := totals.means()
 	others := f.server.openFlows - 1
-	here := b.load(f.server, others, against)
+	here := b.load(f.server, others, view)
 	least := b.list.lowestLoad
-	if group := f.server.groupTallies[f.group]; group > 1 && !b.isAboveGuard(f.server, others, group, against) {
+	if group := f.server.groupTallies[f.group]; group > 1 && !b.isAboveGuard(f.server, flowCounts{open: others, group: group}, view) {
 		here -= groupingWeight
 		least -= groupingWeight
 	} else if f.group != "" {
--- a/decide/warmup.go
+++ b/decide/slowstart.go
@@ -45,11 +45,11 @@
 // slowStartBudget is how many attempts a warming server was due by now, and how many of them were spent or have
 // expired. During the warm-up the budget grows by the flows that overload the server, in step with its capacity share.
 // What is not spent expires soon, or a mass reconnect would spend it at once.
-func (b *Balancer) slowStartBudget(server *serverState, against comparison) (due float64, spent int) {
+func (b *Balancer) slowStartBudget(server *serverState, view placementView) (due float64, spent int) {
 	rule := &b.slowStart
 	share := b.capacityShare(server)
 	shareBefore := b.capacityShareAt(server, server.budgetAt)
-	overload := rule.OverloadMultiple * b.capacityPerSize(against) * b.size(server) / share
+	overload := rule.OverloadMultiple * b.capacityPerSize(view) * b.size(server) / share
 	// The share grows linearly, so that its integral over time is a difference of squares.
 	due = server.budgetDue + overload*(share*share-shareBefore*shareBefore)/(2-2*rule.InitialCapacity)
 	perWindow := overload * share * rule.Window.Seconds() / rule.WarmUp.Seconds()
@@ -59,8 +59,8 @@
 
 // capacityPerSize is the flows of this balancer that fill a unit of size. The mean stands for it where there are no
 // quotas; where there are, half of the mean does if it is more, as flows weigh unevenly.
-func (b *Balancer) capacityPerSize(against comparison) float64 {
-	return max(against.meanWithFlow/2, cmp.Or(b.quotaPerSize(), against.meanWithFlow))
+func (b *Balancer) capacityPerSize(view placementView) float64 {
+	return max(view.meanWithFlow/2, cmp.Or(b.quotaPerSize(), view.meanWithFlow))
 }
 
 // quotaPerSize is this balancer's part of the connections that a unit of size is meant to bear, by the customers'
@@ -75,14 +75,14 @@
 
 // hasSlowStartBudget reports whether a server may get one more attempt: any number once it is warm, else what is left of
 // its budget, which only one of two processes spends during a handover.
-func (b *Balancer) hasSlowStartBudget(server *serverState, against comparison) bool {
+func (b *Balancer) hasSlowStartBudget(server *serverState, view placementView) bool {
 	if b.capacityShare(server) == 1 {
 		return true
 	}
 	if b.slowStart.handedOver {
 		return false
 	}
-	due, spent := b.slowStartBudget(server, against)
+	due, spent := b.slowStartBudget(server, view)
 	return float64(spent+1) <= due
 }
 
--- a/decide/warmup_test.go
+++ b/decide/slowstart_test.go
@@ -60,7 +60,7 @@
 	s.updateServer(3, Ready, 0)
 	s.balancer.list.byID[3].budgetDue = 0.99 // by chance
 	s.setTime(6 * sec)
-	if !s.balancer.hasSlowStartBudget(s.balancer.list.byID[3], s.balancer.compare(&flow{}, s.balancer.list.ready)) {
+	if !s.balancer.hasSlowStartBudget(s.balancer.list.byID[3], s.balancer.viewFor(&flow{}, s.balancer.list.ready)) {
 		t.Error("it expired within four windows")
 	}
 }
--- a/decide/statistics.go
+++ b/decide/statistics.go
@@ -21,9 +21,9 @@
 var noServers = fleetTotals{size: minSize, reportedSize: minSize}
 
 // means are what loads are compared with where no flow is in hand.
-func (t fleetTotals) means() comparison {
+func (t fleetTotals) means() placementView {
 	mean := max(t.openFlows, 0) / t.size
-	return comparison{meanOpen: mean, meanWithFlow: mean, meanLoad: t.reportedLoad / t.reportedSize}
+	return placementView{meanOpen: mean, meanWithFlow: mean, meanLoad: t.reportedLoad / t.reportedSize}
 }
 
 func (b *Balancer) addToTotals(totals *fleetTotals, server *serverState) {
@@ -37,21 +37,21 @@
 
 // setMeans computes the means over the servers of the least extra cost for the flow. A long list without constraints has
 // the totals of all servers at hand; with them only its candidates are asked, and the flow counts by their part of all.
-func (b *Balancer) setMeans(against *comparison, f *flow, leastExtra float64) {
+func (b *Balancer) setMeans(view *placementView, f *flow, leastExtra float64) {
 	var totals fleetTotals
 	oneFlow := 1.0
 	switch isLong := b.list.isLong(); {
 	case isLong && b.constraints == nil:
 		totals = b.totalsWithout(f)
 	case isLong:
-		totals = b.totalsFor(f, against.candidates, leastExtra)
+		totals = b.totalsFor(f, view.candidates, leastExtra)
 		oneFlow = min(1, totals.size/b.list.totals.size)
 	default:
-		totals = b.totalsFor(f, against.candidates, leastExtra)
+		totals = b.totalsFor(f, view.candidates, leastExtra)
 	}
-	against.meanOpen = totals.openFlows / totals.size
-	against.meanWithFlow = (totals.openFlows + oneFlow) / totals.size
-	against.meanLoad = totals.reportedLoad / totals.reportedSize
+	view.meanOpen = totals.openFlows / totals.size
+	view.meanWithFlow = (totals.openFlows + oneFlow) / totals.size
+	view.meanLoad = totals.reportedLoad / totals.reportedSize
 }
 
 // totalsWithout are the totals over all ready servers without the flow.
@@ -90,20 +90,20 @@
 }
 
 // lowestLoad is the lowest load of any server that a flow could be migrated to; infinite if there is none.
-func (b *Balancer) lowestLoad(against comparison) float64 {
+func (b *Balancer) lowestLoad(view placementView) float64 {
 	lowest := math.Inf(1)
 	for _, server := range b.list.ready {
-		if b.isMigrationTarget(server, against) {
-			lowest = min(lowest, b.load(server, server.openFlows, against))
+		if b.isMigrationTarget(server, view) {
+			lowest = min(lowest, b.load(server, server.openFlows, view))
 		}
 	}
 	return lowest
 }
 
 // isMigrationTarget reports whether some flow could be migrated to the server before the next tick.
-func (b *Balancer) isMigrationTarget(server *serverState, against comparison) bool {
+func (b *Balancer) isMigrationTarget(server *serverState, view placementView) bool {
 	isEjected := server.ejected && b.now < server.ejectedUntil
-	return !b.isOverloaded(server) && !isEjected && b.hasSlowStartBudget(server, against)
+	return !b.isOverloaded(server) && !isEjected && b.hasSlowStartBudget(server, view)
 }
 
 // isCurrent reports whether a figure computed at that time still counts: for a long list each is computed at most
@@ -126,10 +126,10 @@
 	}
 	last.at = b.now
 	last.servers = last.servers[:0]
-	against := b.list.totals.means()
+	view := b.list.totals.means()
 	anyFlow := &flow{}
 	for _, server := range b.list.ready {
-		if b.rank(anyFlow, server) == 0 && b.hasCapacity(anyFlow, server, against) && b.hasSlowStartBudget(server, against) {
+		if b.rank(anyFlow, server) == 0 && b.hasCapacity(anyFlow, server, view) && b.hasSlowStartBudget(server, view) {
 			last.servers = append(last.servers, server)
 		}
 	}
