--- a/decide/admission.go
+++ b/decide/admission.go
@@ -72,14 +72,13 @@
 	}
 }
 
-// increaseConcurrency follows a set-up in time.
-func (b *Balancer) increaseConcurrency(server *serverState) {
-	b.addSetup(server, false)
+// increaseConcurrency lets one more attempt be out after a set-up in time.
+func (b *Balancer) increaseConcurrency() {
 	b.admission.concurrencyLimit = min(b.admission.concurrencyLimit+1, b.maxConcurrency())
 	b.admission.spacing /= 2
-	b.serveQueue()
 }
 
+// addSetup records the end of a set-up for sharedFailure.
 func (b *Balancer) addSetup(server *serverState, failed bool) {
 	b.admission.recentSetups = appendWindow(b.admission.recentSetups, sample{server, b.now, failed}, sampleWindow)
 }
--- a/decide/balancer.go
+++ b/decide/balancer.go
@@ -2,15 +2,6 @@
 
 import "time"
 
-// Timers of an instance.
-const (
-	tickTimer  TimerID = 1 // rechecks, health checks and the sums over servers
-	listTimer  TimerID = 2 // the next poll of the endpoint list
-	queueTimer TimerID = 3 // the admission queue
-)
-
-const tickInterval = 250 * time.Millisecond
-
 // Balancer is one instance: the concerns, each owning its state, and what they share.
 type Balancer struct {
 	actions     Actions
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -53,7 +53,7 @@
 	f.deadline = b.now + request.Timeout
 	b.flows.byID[f.id] = f
 	if b.constraints != nil && !b.constraints.AdmitFlow(f.id) {
-		b.answer(f)
+		b.rejectOrAbort(f)
 	} else {
 		b.place(f)
 	}
@@ -74,31 +74,39 @@
 
 // place gives a waiting flow its next attempt, a place in the admission queue, or its final answer.
 func (b *Balancer) place(f *flow) {
-	forced := b.forcedAttemptDue()
-	if b.hasNoAttemptLeft(f, forced) {
-		b.answer(f)
+	isForced := b.forcedAttemptDue()
+	if b.isShed(f, isForced) || !b.hasAttemptLeft(f) {
+		b.rejectOrAbort(f)
 		return
 	}
-	if !b.mayConnect() && !forced && b.now < b.queueDeadline(f) {
+	mayConnect := isForced || b.mayConnect()
+	if !mayConnect && b.now < b.queueDeadline(f) {
 		b.enqueue(f)
 		return
 	}
 	target := b.choose(f)
-	if target == nil && forced {
+	if target == nil && isForced {
 		target = b.chooseForced(f)
 	}
-	if target == nil || !b.mayConnect() && !forced {
-		b.answer(f)
+	if target == nil || !mayConnect {
+		b.rejectOrAbort(f)
 		return
 	}
 	b.connect(f, target)
 }
 
-// hasNoAttemptLeft reports whether the flow gets no further attempt. None follows a failure that all servers share, as
-// it would add to the cause.
-func (b *Balancer) hasNoAttemptLeft(f *flow, forced bool) bool {
-	isShed := !forced && f.attempts == 0 && b.isOverQuota(f) && b.isRetrySafe(f)
-	return isShed || f.attempts > 0 && b.sharedFailure() || f.attempts >= b.flows.maxAttempts || !b.mayRepeat(f)
+// isShed reports whether the flow is rejected without any attempt, as its customer has used its quota.
+func (b *Balancer) isShed(f *flow, isForced bool) bool {
+	return !isForced && f.attempts == 0 && b.isOverQuota(f) && b.isRetrySafe(f)
+}
+
+// hasAttemptLeft reports whether the flow may get one more attempt. None follows a failure that all servers share, as it
+// would add to the cause.
+func (b *Balancer) hasAttemptLeft(f *flow) bool {
+	if f.attempts > 0 && b.sharedFailure() {
+		return false
+	}
+	return f.attempts < b.flows.maxAttempts && b.mayRepeat(f)
 }
 
 // connect makes an attempt.
@@ -114,10 +122,7 @@
 	b.health.checkCredit += checksPerConnect
 	f.inSlowStart = b.capacityShare(target) < 1
 	if f.inSlowStart {
-		due, spent := b.slowStartBudget(target, b.viewFor(f, b.list.ready))
-		target.budgetDue = due
-		target.budgetSpent = spent + 1
-		target.budgetAt = b.now
+		b.spendBudget(target, b.viewFor(f, b.list.ready))
 	}
 	b.transition(f, connecting)
 	b.actions.Connect(f.id, target.id, b.attemptTimeout(f))
@@ -151,8 +156,8 @@
 	return f.outstanding == 0 && !f.mayHaveRun
 }
 
-// answer gives the final answer at once.
-func (b *Balancer) answer(f *flow) {
+// rejectOrAbort gives the final answer of a flow that gets no connection.
+func (b *Balancer) rejectOrAbort(f *flow) {
 	retryAfter := b.flows.retryAfter
 	if b.constraints != nil && retryAfter > 0 {
 		retryAfter = min(b.constraints.RetryAfter(f.id, retryAfter), retryAfter)
@@ -180,12 +185,15 @@
 	if took > b.services[f.service].SetupTarget {
 		b.decreaseConcurrency()
 	} else {
-		b.increaseConcurrency(f.server)
+		b.addSetup(f.server, false)
+		b.increaseConcurrency()
+		b.serveQueue()
 	}
 }
 
-// OnEnded handles the end of an attempt or a connection; over says that the client has its answer.
-func (b *Balancer) OnEnded(id FlowID, outcome Outcome, took time.Duration, over bool) {
+// OnEnded handles the end of an attempt or a connection, and how long that took. Where isAnswered is false, the client
+// still waits, and the next decision follows.
+func (b *Balancer) OnEnded(id FlowID, outcome Outcome, took time.Duration, isAnswered bool) {
 	f := b.flows.byID[id]
 	if f == nil {
 		return
@@ -198,8 +206,8 @@
 	case established:
 		b.onConnectionEnded(f, outcome)
 	case connecting:
-		b.onAttemptEnded(f, outcome, took, over)
-	default:
+		b.onAttemptEnded(f, outcome, took, isAnswered)
+	default: // migrating, or answered while the attempt was out
 		b.transition(f, done)
 	}
 }
@@ -222,15 +230,15 @@
 func (b *Balancer) onReset(f *flow) {
 	server := f.server
 	b.recordOutcome(f, true)
-	failed, n := failedShare(server.samples, b.now-latencyMaxAge)
-	if failed*float64(n) >= convincingResets || b.isOverloaded(server) || b.slowStart.Balancers > smallFleet {
+	share, n := failedShare(server.samples, b.now-latencyMaxAge)
+	if share*float64(n) >= convincingResets || b.isOverloaded(server) || b.slowStart.Balancers > smallFleet {
 		server.latency = max(server.latency, b.list.MessageTarget)
 		server.latencyAt = b.now
 		b.reduceLimit(server)
 	}
 }
 
-func (b *Balancer) onAttemptEnded(f *flow, outcome Outcome, took time.Duration, over bool) {
+func (b *Balancer) onAttemptEnded(f *flow, outcome Outcome, took time.Duration, isAnswered bool) {
 	switch outcome {
 	case Error, Full, TimedOut, Unreachable, Reset:
 		b.onSetupFailed(f, outcome, took)
@@ -242,7 +250,7 @@
 		f.firstRunZone = f.server.zone
 		f.firstRunCell = f.server.cell
 	}
-	if over {
+	if isAnswered {
 		b.transition(f, done)
 	} else {
 		b.transition(f, waiting)
@@ -278,14 +286,3 @@
 		b.transition(f, awaitingEnd)
 	}
 }
-
-// OnTimer handles a timer set by Actions.SetTimer.
-func (b *Balancer) OnTimer(timer TimerID) {
-	switch timer {
-	case tickTimer:
-		b.tick()
-	case listTimer:
-		b.actions.WatchEndpoints(true)
-	}
-	b.serveQueue()
-}
--- a/decide/flows.go
+++ b/decide/flows.go
@@ -54,7 +54,8 @@
 	retryAfter    time.Duration // 0: clients are given none
 }
 
-// flowList holds flows in no particular order. Each flow knows its index, so that removal takes constant time.
+// flowList holds flows; a removal puts the last one in the place of the one removed. Each flow knows its index, so that
+// this takes constant time.
 type flowList []*flow
 
 func (l *flowList) add(f *flow) {
--- a/decide/health.go
+++ b/decide/health.go
@@ -39,7 +39,7 @@
 // health is what is known of the fleet as a whole.
 type health struct {
 	setupTimes  []time.Duration // of the last set-ups, over all servers
-	lastSetupAt time.Duration   // when the last of them ended
+	lastSetupAt time.Duration   // when the last of them ended; later than now after one that timed out
 	checksLoad  bool            // health checks bring load reports
 	checkCredit float64         // health checks that may be sent
 	flowLimit   flowLimit       // on all flows
@@ -110,9 +110,9 @@
 // isCapacityScarce reports whether a fifth of the observed servers, and more than chance explains, are overloaded.
 func (b *Balancer) isCapacityScarce() bool {
 	overview := b.fleetOverview()
-	few := overview.observed / scarceFraction
+	scarce := overview.observed / scarceFraction
 	return overview.overloaded > 0 &&
-		overview.overloaded >= few+deviations*math.Sqrt(few*(1-overview.observed/float64(len(b.list.ready)+1)))
+		overview.overloaded >= scarce+deviations*math.Sqrt(scarce*(1-overview.observed/float64(len(b.list.ready)+1)))
 }
 
 // onSetupFailed handles a failed set-up.
@@ -128,6 +128,7 @@
 	case Full:
 		b.reduceLimit(server)
 	case TimedOut:
+		// It counts as recent for longer: after a mass reconnect no new set-ups come, and servers are slow for a while.
 		b.health.addSetupTime(took, b.now+outcomeMaxAge)
 	}
 	b.recordOutcome(f, true)
@@ -171,18 +172,17 @@
 	if trend.isLate && (trend.isGrowing || !trend.isRepeated && b.isCapacityScarce()) {
 		b.reduceLimit(server)
 	}
-	minSaving := 0.0
+	wanted := migration{share: trend.excess}
 	if trend.isLate {
-		minSaving = atAnyCost
+		wanted.minSaving = atAnyCost
 	}
 	// Without spare capacity, fewer flows within the objective are worth more than all of them late.
-	isShedding := trend.isLate && trend.isGrowing && b.isCapacityScarce()
-	excess := trend.excess
-	if isShedding {
-		excess = min(excess, migrationShare)
+	wanted.shed = trend.isLate && trend.isGrowing && b.isCapacityScarce()
+	if wanted.shed {
+		wanted.share = min(wanted.share, migrationShare)
 	}
-	if isShedding || b.isOverloaded(server) && b.areSetupsWithinObjective() {
-		b.migrateAway(server, minSaving, excess, isShedding)
+	if wanted.shed || b.isOverloaded(server) && b.areSetupsWithinObjective() {
+		b.migrateAway(server, wanted)
 	}
 }
 
@@ -218,7 +218,7 @@
 	state.reportedLoad = load
 	state.loadReportedAt = b.now
 	if load > fullLoad && b.areSetupsWithinObjective() {
-		b.migrateAway(state, 0, 1-lightLoad/load, false)
+		b.migrateAway(state, migration{share: 1 - lightLoad/load})
 	}
 }
 
@@ -235,13 +235,13 @@
 	h := &b.health
 	servers := float64(len(b.list.ready))
 	held := float64(len(b.flows.established))
-	part := servers / float64(b.slowStart.Balancers)
-	h.checkCredit += min(servers, max(held, part)) * float64(tickInterval) / float64(loadReportMaxAge)
-	h.checkCredit = min(h.checkCredit, servers, 1+held+part)
+	ownPart := servers / float64(b.slowStart.Balancers)
+	h.checkCredit += min(servers, max(held, ownPart)) * float64(tickInterval) / float64(loadReportMaxAge)
+	h.checkCredit = min(h.checkCredit, servers, 1+held+ownPart)
 	// Servers reject most of the checks that all balancers send at once.
-	most := 1 + checksPerRound*servers*float64(tickInterval)/float64(recheckInterval)
+	maxChecks := 1 + checksPerRound*servers*float64(tickInterval)/float64(recheckInterval)
 	if h.checksLoad && h.checkCredit >= 1 {
-		b.checkOldest(int(min(most, h.checkCredit)))
+		b.checkOldest(int(min(maxChecks, h.checkCredit)))
 	}
 }
 
--- a/decide/list.go
+++ b/decide/list.go
@@ -48,7 +48,8 @@
 	return state
 }
 
-// BeginEndpoints begins an update of the endpoint list; OnEndpoint brings each entry, EndEndpoints closes it.
+// BeginEndpoints begins an update of the endpoint list; OnEndpoint brings each entry, EndEndpoints closes it. A
+// FailedUpdate consists of this call alone.
 func (b *Balancer) BeginEndpoints(kind UpdateKind) {
 	b.list.updateKind = kind
 	for _, server := range b.list.all {
@@ -68,18 +69,11 @@
 	b.actions.SetTimer(listTimer, time.Duration(float64(b.list.pollBackoff)*(0.5+b.random.uniform()/2)))
 }
 
-// OnEndpoint handles one entry. A later start than the one known is a restart.
+// OnEndpoint handles one entry. A later start than the one known is a restart, or the start of a server that is new.
 func (b *Balancer) OnEndpoint(endpoint Endpoint) {
 	server := b.list.server(endpoint.ID)
 	if endpoint.StartedAt > server.startedAt && endpoint.Readiness == Ready {
-		b.clearTallies(server)
-		*server = serverState{
-			id:          endpoint.ID,
-			established: server.established,
-			incarnation: server.incarnation,
-			disabled:    server.disabled,
-		}
-		b.beginSlowStart(server, endpoint.StartedAt)
+		b.onRestart(server, endpoint.StartedAt)
 	}
 	if b.health.checksLoad && server.healthCheckedAt == 0 { // a check is due, at a random time
 		server.healthCheckedAt = b.now - time.Duration(b.random.uniform()*float64(recheckInterval))
@@ -92,6 +86,19 @@
 	b.setReadiness(server, endpoint.Readiness)
 }
 
+// onRestart forgets what is known of a server's earlier incarnations. Their connections stay until their ends are
+// reported.
+func (b *Balancer) onRestart(server *serverState, startedAt time.Duration) {
+	b.clearTallies(server)
+	*server = serverState{
+		id:          server.id,
+		established: server.established,
+		incarnation: server.incarnation,
+		disabled:    server.disabled,
+	}
+	b.beginSlowStart(server, startedAt)
+}
+
 // setReadiness combines the list with what operators decided: a disabled server takes no new flows.
 func (b *Balancer) setReadiness(server *serverState, listed Readiness) {
 	server.listedReadiness = listed
--- a/decide/rechecks.go
+++ b/decide/rechecks.go
@@ -28,15 +28,16 @@
 	return isOld || median(b.health.setupTimes) < b.services[0].SetupTarget/slowSetupFraction
 }
 
-// recheck migrates an established flow if another server without faults costs less by minSaving, or if forced.
-func (b *Balancer) recheck(f *flow, minSaving float64, forced bool) (migrated bool) {
+// recheck migrates an established flow if another server without faults costs less by minSaving, or in any case if the
+// flow is to be shed.
+func (b *Balancer) recheck(f *flow, minSaving float64, shed bool) (migrated bool) {
 	view := b.viewFor(f, b.list.ready)
-	here := b.cost(f, f.server, view)
+	costHere := b.cost(f, f.server, view)
 	isBetter := func(server *serverState) bool {
 		return server != f.server && b.allowed(f, server, view) && b.rank(f, server) == 0 &&
-			b.cost(f, server, view) < here-minSaving
+			b.cost(f, server, view) < costHere-minSaving
 	}
-	if !forced && !slices.ContainsFunc(view.candidates, isBetter) {
+	if !shed && !slices.ContainsFunc(view.candidates, isBetter) {
 		return false
 	}
 	b.actions.Migrate(f.id)
@@ -54,32 +55,31 @@
 	totals.openFlows--
 	view := totals.means()
 	others := f.server.openFlows - 1
-	here := b.load(f.server, others, view)
-	least := b.list.lowestLoad
+	costHere := b.load(f.server, others, view)
+	leastElsewhere := b.list.lowestLoad
 	if group := f.server.groupTallies[f.group]; group > 1 && !b.isAboveGuard(f.server, flowCounts{open: others, group: group}, view) {
-		here -= groupingWeight
-		least -= groupingWeight
+		costHere -= groupingWeight
+		leastElsewhere -= groupingWeight
 	} else if f.group != "" {
-		here += groupingWeight * b.groupSpread()
-		least -= groupingWeight
+		costHere += groupingWeight * b.groupSpread()
+		leastElsewhere -= groupingWeight
 	}
 	if f.server.zone != b.list.Zone {
-		here += transferCostWeight * b.placement.zoneCrossing
+		costHere += transferCostWeight * b.placement.zoneCrossing
 	}
-	return here-minSaving < least-costTolerance
+	return costHere-minSaving < leastElsewhere-costTolerance
 }
 
 // recheckSlice continues the round of rechecks.
 func (b *Balancer) recheckSlice() {
 	due := int(float64(len(b.flows.established))*float64(tickInterval)/float64(recheckInterval)) + 1
 	minSaving := migrationMargin + transferCostWeight*b.placement.migration
-	for looks := maxRechecksPerTick; due > 0 && looks > 0 && len(b.flows.established) > 0; due-- {
-		b.flows.lastRechecked = (b.flows.lastRechecked + 1) % len(b.flows.established)
-		f := b.flows.established[b.flows.lastRechecked]
+	for rechecksLeft := maxRechecksPerTick; due > 0 && rechecksLeft > 0 && len(b.flows.established) > 0; due-- {
+		f := b.flows.nextToRecheck()
 		if f.server.readiness != Ready || b.cannotImprove(f, minSaving) || !b.allowsMigration(f.id) {
 			continue
 		}
-		looks--
+		rechecksLeft--
 		server := f.server
 		if b.recheck(f, minSaving, false) {
 			b.list.lowestLoad = min(b.list.lowestLoad, b.load(server, server.openFlows, b.list.totals.means()))
@@ -87,37 +87,17 @@
 	}
 }
 
-func (b *Balancer) allowsMigration(id FlowID) bool {
-	return b.constraints == nil || b.constraints.AllowMigration(id)
+// nextToRecheck advances the round over the established flows, of which there must be one.
+func (t *flowTable) nextToRecheck() *flow {
+	t.lastRechecked = (t.lastRechecked + 1) % len(t.established)
+	return t.established[t.lastRechecked]
 }
 
-// tick does all periodic work. Each tick rechecks another slice of the established flows, so that balancers do not
-// migrate flows in step.
-func (b *Balancer) tick() {
-	b.actions.SetTimer(tickTimer, tickInterval)
-	b.updateTotals()
-	if b.areSetupsWithinObjective() {
-		b.recheckSlice()
-	}
-	if b.constraints != nil && b.areSetupsWithinObjective() {
-		b.recheckFirst(b.constraints.MigrateFirst())
-	}
-	for _, f := range b.flows.connecting {
-		if b.now > f.deadline+outcomeMaxAge {
-			b.release(f) // its end was lost
-		}
-	}
-	for _, server := range b.list.departing {
-		b.migrateAway(server, atAnyCost, migrationShare, false)
-	}
-	for _, server := range b.list.ready {
-		if server.isSilent() {
-			b.migrateAway(server, atAnyCost, migrationShare, false)
-		}
-	}
-	b.sendHealthChecks()
+func (b *Balancer) allowsMigration(id FlowID) bool {
+	return b.constraints == nil || b.constraints.AllowMigration(id)
 }
 
+// recheckFirst rechecks the flows that constraints name.
 func (b *Balancer) recheckFirst(ids []FlowID) {
 	for _, id := range ids {
 		if f := b.flows.byID[id]; f != nil && f.state == established && b.constraints.AllowMigration(id) {
@@ -126,20 +106,40 @@
 	}
 }
 
-// migrateAway rechecks a share of a server's flows. Their number is rounded by chance: rounded up, it would be all
-// flows of a server at which each of many balancers holds one.
-func (b *Balancer) migrateAway(server *serverState, minSaving, share float64, forced bool) {
+// migration says how many flows of a server are to be migrated, and which may be.
+type migration struct {
+	share     float64 // of the server's flows; more than 1: all
+	minSaving float64 // cost that each has to save; atAnyCost: it may cost more
+	shed      bool    // each may go even if no other server could take it
+}
+
+// migrateAway rechecks a server's flows until the share is migrated. Its number is rounded by chance: rounded up, it
+// would be all flows of a server at which each of many balancers holds one.
+func (b *Balancer) migrateAway(server *serverState, wanted migration) {
 	// Smallest groups first: a group costs its server extra work as long as one of its flows is there.
-	here := slices.SortedFunc(slices.Values(server.established), func(one, other *flow) int {
+	flows := slices.SortedFunc(slices.Values(server.established), func(one, other *flow) int {
 		return cmp.Or(server.groupTallies[one.group]-server.groupTallies[other.group], one.listIndex-other.listIndex)
 	})
-	left := int(float64(server.openFlows)*min(share, 1) + b.random.uniform())
-	for _, f := range here {
+	left := int(float64(server.openFlows)*min(wanted.share, 1) + b.random.uniform())
+	for _, f := range flows {
 		if left <= 0 {
 			return
 		}
-		if b.recheck(f, minSaving, forced) {
+		if b.recheck(f, wanted.minSaving, wanted.shed) {
 			left--
 		}
 	}
 }
+
+// migrateAwayFromLeaving migrates some of the flows of each server that is departing or silent.
+func (b *Balancer) migrateAwayFromLeaving() {
+	some := migration{share: migrationShare, minSaving: atAnyCost}
+	for _, server := range b.list.departing {
+		b.migrateAway(server, some)
+	}
+	for _, server := range b.list.ready {
+		if server.isSilent() {
+			b.migrateAway(server, some)
+		}
+	}
+}
--- a/decide/slowstart.go
+++ b/decide/slowstart.go
@@ -86,6 +86,14 @@
 	return float64(spent+1) <= due
 }
 
+// spendBudget takes one attempt from a warming server's budget.
+func (b *Balancer) spendBudget(server *serverState, view placementView) {
+	due, spent := b.slowStartBudget(server, view)
+	server.budgetDue = due
+	server.budgetSpent = spent + 1
+	server.budgetAt = b.now
+}
+
 // refundBudget gives back what a flow took of a slow-start budget if nothing of it reached the server.
 func (b *Balancer) refundBudget(f *flow) {
 	server := f.server
