--- a/internal/routing/actions.go
+++ b/internal/routing/actions.go
@@ -12,18 +12,18 @@
 type actions struct{ router *Router }
 
 // Connect hands a flow the server to connect to.
-func (a actions) Connect(id decide.FlowID, s decide.ServerID, limit time.Duration) {
+func (a actions) Connect(id decide.FlowID, serverID decide.ServerID, timeout time.Duration) {
 	if f := a.router.flows[id]; f != nil {
 		f.attemptAt = a.router.Now()
-		f.server = a.router.servers[s]
-		f.deliver(Decision{Verdict: Connect, Addr: f.server.addr, Deadline: a.router.startedAt.Add(f.attemptAt + limit)})
+		f.server = a.router.servers[serverID]
+		f.deliver(Decision{Verdict: Connect, Addr: f.server.addr, Deadline: a.router.startedAt.Add(f.attemptAt + timeout)})
 	}
 }
 
 // Reject answers a flow that it may retry after a while.
-func (a actions) Reject(id decide.FlowID, after time.Duration) {
+func (a actions) Reject(id decide.FlowID, retryAfter time.Duration) {
 	if f := a.router.flows[id]; f != nil {
-		f.deliver(Decision{Verdict: Reject, RetryAfter: after})
+		f.deliver(Decision{Verdict: Reject, RetryAfter: retryAfter})
 	}
 }
 
--- a/internal/routing/endpoints.go
+++ b/internal/routing/endpoints.go
@@ -103,7 +103,7 @@
 // Commit hands the update to the decisions. The context is the log's.
 func (u *EndpointUpdate) Commit(ctx context.Context) {
 	r := u.router
-	r.enter()
+	r.lockForEvent()
 	defer r.mu.Unlock()
 	if u.kind != DeltaUpdate {
 		for _, s := range r.serverOrder {
@@ -177,7 +177,7 @@
 
 // OnWatchLost reports that the watch of the endpoint list broke.
 func (r *Router) OnWatchLost() {
-	r.enter()
+	r.lockForEvent()
 	defer r.mu.Unlock()
 	r.balancer.BeginEndpoints(decide.FailedUpdate)
 }
--- a/internal/routing/flow.go
+++ b/internal/routing/flow.go
@@ -108,7 +108,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r.enter()
+	r.lockForEvent()
 	defer r.mu.Unlock()
 	r.flows[f.id] = f
 	if r.constrained != nil {
@@ -198,7 +198,7 @@
 
 // OnEstablished reports that the connection is established.
 func (f *Flow) OnEstablished() {
-	now := f.router.enter()
+	now := f.router.lockForEvent()
 	defer f.router.mu.Unlock()
 	f.isAnswered = true
 	f.isEstablished = true
@@ -214,7 +214,7 @@
 
 // OnEnded reports how the attempt or the connection ended. Unless the client has its answer, the next decision follows.
 func (f *Flow) OnEnded(outcome Outcome) {
-	now := f.router.enter()
+	now := f.router.lockForEvent()
 	defer f.router.mu.Unlock()
 	slog.Debug("flow ended", "flow", f.id, "server", f.server.name, "outcome", outcome,
 		"established", f.isEstablished, "duration_ms", milliseconds(now-f.attemptAt))
@@ -236,7 +236,7 @@
 
 // Abandon reports that the client left, or that its time is over, before any decision was picked up.
 func (f *Flow) Abandon() {
-	f.router.enter()
+	f.router.lockForEvent()
 	defer f.router.mu.Unlock()
 	f.router.balancer.OnClientLeft(f.id)
 	select {
@@ -251,7 +251,7 @@
 
 // OnClientLeft reports the same during an attempt, whose end is still to be reported.
 func (f *Flow) OnClientLeft() {
-	f.router.enter()
+	f.router.lockForEvent()
 	defer f.router.mu.Unlock()
 	f.isAnswered = true
 	f.router.balancer.OnClientLeft(f.id)
--- a/internal/routing/healthchecks.go
+++ b/internal/routing/healthchecks.go
@@ -46,7 +46,7 @@
 }
 
 func (r *Router) onHealthCheck(id decide.ServerID, outcome Outcome, load float64) {
-	r.enter()
+	r.lockForEvent()
 	defer r.mu.Unlock()
 	if load >= 0 {
 		r.balancer.OnLoadReport(id, load)
@@ -56,7 +56,7 @@
 
 // SetHealthCheckFilter has allows decide, before each health check, whether this balancer sends it. It is called with
 // the router locked; nil allows all.
-func (r *Router) SetHealthCheckFilter(allows func(s decide.ServerID, now time.Duration) bool) {
+func (r *Router) SetHealthCheckFilter(allows func(id decide.ServerID, now time.Duration) bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.healthCheckFilter = allows
--- a/internal/routing/latency.go
+++ b/internal/routing/latency.go
@@ -126,7 +126,7 @@
 	waits := t.overdueWaits(now)
 	slices.SortFunc(t.suspects, func(a, b *server) int { return cmp.Compare(a.index, b.index) })
 	checked := t.suspects
-	t.suspects = t.suspects[:0]
+	t.suspects = t.suspects[:0] // filtered in place
 	for _, s := range checked {
 		s.isLateSuspect = r.checkServerLatency(s, waits[s], now)
 		if s.isLateSuspect {
--- a/internal/routing/latency_test.go
+++ b/internal/routing/latency_test.go
@@ -129,7 +129,7 @@
 
 // checkAgainstModel runs one check and returns how many samples it reported.
 func checkAgainstModel(rt *rapid.T, r *Router, recorder *sampleRecorder) int {
-	now := r.enter()
+	now := r.lockForEvent()
 	defer r.mu.Unlock()
 	want := expectedCheck(r, now)
 	migrating := map[decide.FlowID]bool{}
--- a/internal/routing/metrics.go
+++ b/internal/routing/metrics.go
@@ -20,8 +20,8 @@
 	maxUnconfirmedLatency = replyTimeout
 	maxLatency            = 16 * time.Second
 	maxCandidates         = 16
-	// A metric below the least of the recent loads by this factor can't be a load.
-	loadWindowSize    = 64
+	loadWindowSize        = 64
+	// loadOutlierFactor is how many times smaller than all recent loads a metric is that can't be a load.
 	loadOutlierFactor = 4
 	// resetProximity is how long after a reset a metric counts as a latency: a server that is late drops connections.
 	resetProximity = 20 * time.Millisecond
@@ -57,8 +57,8 @@
 	}
 }
 
-// isLatency classifies a metric and keeps what the next ones are judged by.
-func (c *metricClassifier) isLatency(m metric, threshold time.Duration) bool {
+// classify says whether a metric is a latency or a load, and records it: the next ones are judged by it.
+func (c *metricClassifier) classify(m metric, threshold time.Duration) (isLatency bool) {
 	if m.latency > maxLatency {
 		return false
 	}
@@ -133,13 +133,13 @@
 	return len(w) == loadWindowSize && value*loadOutlierFactor < slices.Min(w)
 }
 
-// OnServerMetric takes a figure from one of the server's metric lines. Where servers report both loads and latencies it
-// is classified first.
+// OnServerMetric takes a figure from one of the server's metric lines: a latency in milliseconds, or a load in
+// microseconds of work a second. Where servers report both it is classified first.
 func (f *Flow) OnServerMetric(value float64) {
 	r := f.router
-	now := r.enter()
+	now := r.lockForEvent()
 	defer r.mu.Unlock()
-	if f.isEstablished && r.latency.isLatency(f, value, now) {
+	if f.isEstablished && r.latency.classify(f, value, now) {
 		r.reportLatency(f.server, f.id, metricLatency(value))
 		return
 	}
@@ -147,8 +147,9 @@
 	r.balancer.OnFlowLoad(f.id)
 }
 
-// isLatency reports whether a metric on a flow's connection is a latency. Where servers report both it is classified.
-func (t *latencyTracker) isLatency(f *Flow, value float64, now time.Duration) bool {
+// classify says whether a metric on a flow's connection is a latency. Where servers report both, their classifiers
+// record it.
+func (t *latencyTracker) classify(f *Flow, value float64, now time.Duration) (isLatency bool) {
 	if !t.serversReportLatency || !t.serversReportLoad {
 		return t.serversReportLatency
 	}
@@ -158,7 +159,7 @@
 		latency:            metricLatency(value),
 		isBelowRecentLoads: t.recentLoads.isFarAbove(value),
 	}
-	return f.server.metrics.isLatency(m, t.threshold)
+	return f.server.metrics.classify(m, t.threshold)
 }
 
 // metricLatency is what a metric means if it is a latency, in milliseconds. A value that no latency reaches is cut, as a
--- a/internal/routing/metrics_test.go
+++ b/internal/routing/metrics_test.go
@@ -92,7 +92,7 @@
 				case e.ends:
 					classifier.onFlowEnded(e.flow)
 				default:
-					got = append(got, classifier.isLatency(metric{at: start + e.at, flow: e.flow, latency: e.value}, threshold))
+					got = append(got, classifier.classify(metric{at: start + e.at, flow: e.flow, latency: e.value}, threshold))
 				}
 			}
 			if !slices.Equal(got, c.want) {
@@ -166,8 +166,8 @@
 		})
 	}
 	var classifier metricClassifier
-	if !classifier.isLatency(metric{at: sec, flow: "one", latency: 200 * ms, isBelowRecentLoads: true}, 83*ms) ||
-		!classifier.isLatency(metric{at: 2 * sec, flow: "two", latency: 700 * ms}, 83*ms) {
+	if !classifier.classify(metric{at: sec, flow: "one", latency: 200 * ms, isBelowRecentLoads: true}, 83*ms) ||
+		!classifier.classify(metric{at: 2 * sec, flow: "two", latency: 700 * ms}, 83*ms) {
 		t.Error("a series that began with it does not go on")
 	}
 }
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -73,8 +73,8 @@
 	hasEndpoints bool
 	lastContact  time.Duration // last sign of life of discovery; 0: none so far
 
-	pendingChecks     []decide.ServerID // health checks requested and not yet sent, oldest first; each server once
-	healthCheckFilter func(decide.ServerID, time.Duration) bool
+	pendingChecks     []decide.ServerID                                // health checks requested and not yet sent, oldest first; each server once
+	healthCheckFilter func(id decide.ServerID, now time.Duration) bool // see SetHealthCheckFilter
 
 	latency latencyTracker
 }
@@ -111,11 +111,11 @@
 	return r
 }
 
-// enter begins an event: it locks the mutex and sets the decisions' clock, so that what they do takes effect at this
-// moment. The caller unlocks.
-func (r *Router) enter() time.Duration {
+// lockForEvent begins an event: it locks the mutex and sets the decisions' clock, so that what they do takes effect at
+// this moment. The caller unlocks.
+func (r *Router) lockForEvent() (now time.Duration) {
 	r.mu.Lock()
-	now := r.Now()
+	now = r.Now()
 	r.balancer.SetTime(now)
 	return now
 }
@@ -125,17 +125,17 @@
 
 // WithLock runs do while no decision is made, as a change of a constraint's settings needs it.
 func (r *Router) WithLock(do func()) {
-	r.enter()
+	r.lockForEvent()
 	defer r.mu.Unlock()
 	do()
 }
 
 // OnLoadReport takes a server's load report that another balancer received. The caller holds the lock, see WithLock.
-func (r *Router) OnLoadReport(s decide.ServerID, load float64) { r.balancer.OnLoadReport(s, load) }
+func (r *Router) OnLoadReport(id decide.ServerID, load float64) { r.balancer.OnLoadReport(id, load) }
 
 // SetHandedOver says whether another process continues from a snapshot of this router.
 func (r *Router) SetHandedOver(handedOver bool) {
-	r.enter()
+	r.lockForEvent()
 	defer r.mu.Unlock()
 	r.balancer.SetHandedOver(handedOver)
 }
@@ -175,7 +175,7 @@
 
 // runDue runs all timers and the latency check, as far as they are due.
 func (r *Router) runDue() {
-	now := r.enter()
+	now := r.lockForEvent()
 	defer r.mu.Unlock()
 	for len(r.timers) > 0 && r.timers[0].due <= now {
 		r.balancer.OnTimer(r.timers.popFirst())
--- a/internal/routing/servers.go
+++ b/internal/routing/servers.go
@@ -60,7 +60,7 @@
 // SetDisabled disables a server administratively, or enables it again. It is in force on return, also for connections
 // that are being established. An ErrUnknownServer says that no endpoint list ever named the server.
 func (r *Router) SetDisabled(name string, disabled bool) error {
-	r.enter()
+	r.lockForEvent()
 	defer r.mu.Unlock()
 	id, ok := r.serverIDs[name]
 	if !ok {
@@ -76,7 +76,7 @@
 
 // DisableAll disables servers that no endpoint list may have named yet, as they were before a restart.
 func (r *Router) DisableAll(names []string) {
-	r.enter()
+	r.lockForEvent()
 	defer r.mu.Unlock()
 	for _, name := range names {
 		id := r.assignServerID(name)
--- a/internal/routing/snapshot.go
+++ b/internal/routing/snapshot.go
@@ -26,7 +26,7 @@
 
 // Snapshot returns what is known now.
 func (r *Router) Snapshot() Snapshot {
-	r.enter()
+	r.lockForEvent()
 	defer r.mu.Unlock()
 	snapshot := Snapshot{
 		Decisions:    r.balancer.Snapshot(),
