--- a/internal/config/peers.go
+++ b/internal/config/peers.go
@@ -47,12 +47,11 @@
 	return name
 }
 
-// readPeerAddress reads an address that other balancers can reach; a default that is not valid stands for a
-// required key.
-func readPeerAddress(table strict.Table, key string, absent netip.AddrPort) netip.AddrPort {
+// readPeerAddress reads an address that other balancers can reach; the key is required where the fallback is not valid.
+func readPeerAddress(table strict.Table, key string, fallback netip.AddrPort) netip.AddrPort {
 	text := table.String(key, "")
-	if text == "" && absent.IsValid() {
-		return absent
+	if text == "" && fallback.IsValid() {
+		return fallback
 	}
 	address, err := netip.ParseAddrPort(text)
 	if err != nil || address.Port() == 0 || address.Addr().IsUnspecified() {
--- a/internal/config/process.go
+++ b/internal/config/process.go
@@ -59,9 +59,11 @@
 	return values, endpoints, nil
 }
 
-// Keys whose change needs no restart: a running balancer takes up a reloadable one, and one that counts at the
-// start alone has another value at each start, so that a change of it means nothing.
-var reloadableKeys, startOnlyKeys = []string{keyDiscovery}, []string{keySeed}
+// Top-level keys whose change needs no restart.
+var (
+	reloadableKeys = []string{keyDiscovery} // a running balancer takes them up
+	startOnlyKeys  = []string{keySeed}      // given anew for each start, so that a change means nothing
+)
 
 // ChangedKeys names the keys that differ in a newer configuration and need a restart, sorted.
 func (v Values) ChangedKeys(newer Values) (keys []string) {
--- a/internal/config/values.go
+++ b/internal/config/values.go
@@ -63,13 +63,13 @@
 	}
 }
 
-// String is the value at a path. An empty value and "-", which the simulator's wire has for one that isn't stated,
-// count as absent.
-func (v Values) String(path, absent string) string {
+// String is the value at a path, or the fallback where it is absent. An empty value and "-", which the simulator's wire
+// has for one that isn't stated, count as absent.
+func (v Values) String(path, fallback string) string {
 	if text := v.byPath[v.prefix+path]; text != "" && text != "-" {
 		return text
 	}
-	return absent
+	return fallback
 }
 
 // required is a value that must be present.
@@ -81,31 +81,31 @@
 	return text
 }
 
-// Float is a finite number.
-func (v Values) Float(path string, absent float64) float64 {
+// Float is a finite number, or the fallback where it is absent or faulty.
+func (v Values) Float(path string, fallback float64) float64 {
 	text := v.String(path, "")
 	if text == "" {
-		return absent
+		return fallback
 	}
 	number, err := strconv.ParseFloat(text, 64)
 	if err != nil || math.IsNaN(number) || math.IsInf(number, 0) {
 		v.fail(path, "bad number %q", text)
-		return absent
+		return fallback
 	}
 	return number
 }
 
-// positive is a number above 0.
-func (v Values) positive(path string, absent float64) float64 {
-	number := v.Float(path, absent)
+// positive is a number above 0, or the fallback where it is absent or faulty.
+func (v Values) positive(path string, fallback float64) float64 {
+	number := v.Float(path, fallback)
 	if !(number > 0) {
 		v.fail(path, "must be above 0")
-		return absent
+		return fallback
 	}
 	return number
 }
 
-// Duration is a time in nanoseconds; 0 where absent.
+// Duration is a time, which settings give in nanoseconds; 0 where absent.
 func (v Values) Duration(path string) time.Duration { return time.Duration(v.Float(path, 0)) }
 
 // Bool is true or false; false where absent.
@@ -137,12 +137,12 @@
 	return nil
 }
 
-// enum is the meaning of a value that must be one of the given words. An unknown word is a fault, and gives the zero
-// value.
-func enum[T any](v Values, path string, meanings map[string]T, absent T) T {
+// enum is the meaning of a value that must be one of the given words, or the fallback where it is absent. An unknown word
+// is a fault, and gives the zero value.
+func enum[T any](v Values, path string, meanings map[string]T, fallback T) T {
 	text := v.String(path, "")
 	if text == "" {
-		return absent
+		return fallback
 	}
 	meaning, ok := meanings[text]
 	if !ok {
--- a/internal/simulator/actions.go
+++ b/internal/simulator/actions.go
@@ -24,8 +24,8 @@
 	in.act(msgConnect + "\t" + string(id) + "\t" + number(server) + "\t" + number(timeout))
 }
 
-func (in *instance) Reject(id decide.FlowID, after time.Duration) {
-	in.act(msgReject + "\t" + string(id) + "\t" + number(after))
+func (in *instance) Reject(id decide.FlowID, retryAfter time.Duration) {
+	in.act(msgReject + "\t" + string(id) + "\t" + number(retryAfter))
 }
 
 func (in *instance) Abort(id decide.FlowID)   { in.act(msgAbort + "\t" + string(id)) }
--- a/internal/simulator/decoder.go
+++ b/internal/simulator/decoder.go
@@ -11,13 +11,13 @@
 	"yardwinch/decide"
 )
 
-// decoder reads lines and their fields. The methods for fields keep the first fault in bad, so that a message is
+// decoder reads lines and their fields. The methods for fields keep the first fault in err, so that a message is
 // decoded first and checked once.
 type decoder struct {
 	in     *bufio.Reader
 	line   int
 	fields []string // of the current line
-	bad    error    // the first fault in the current batch
+	err    error    // the first fault in the current batch
 }
 
 // next reads the next line that isn't empty; false at the end of the input.
@@ -56,15 +56,15 @@
 // messageType is the first field of the line.
 func (d *decoder) messageType() string { return d.fields[typeField] }
 
-// fault returns an error that names the line.
-func (d *decoder) fault(format string, a ...any) error {
+// errorf returns an error that names the line.
+func (d *decoder) errorf(format string, a ...any) error {
 	return fmt.Errorf("line %d: %s", d.line, fmt.Sprintf(format, a...))
 }
 
-// reject keeps the first fault.
-func (d *decoder) reject(format string, a ...any) {
-	if d.bad == nil {
-		d.bad = d.fault(format, a...)
+// fail keeps the first fault.
+func (d *decoder) fail(format string, a ...any) {
+	if d.err == nil {
+		d.err = d.errorf(format, a...)
 	}
 }
 
@@ -80,7 +80,7 @@
 func (d *decoder) required(field int) string {
 	text := d.text(field)
 	if text == "" {
-		d.reject("%s: field %d is missing", d.messageType(), field)
+		d.fail("%s: field %d is missing", d.messageType(), field)
 	}
 	return text
 }
@@ -93,7 +93,7 @@
 	}
 	n, err := strconv.ParseInt(text, 10, 64)
 	if err != nil {
-		d.reject("%s: field %d: bad number %q", d.messageType(), field, text)
+		d.fail("%s: field %d: bad number %q", d.messageType(), field, text)
 	}
 	return n
 }
@@ -111,7 +111,7 @@
 	}
 	x, err := strconv.ParseFloat(text, 64)
 	if err != nil {
-		d.reject("%s: field %d: bad number %q", d.messageType(), field, text)
+		d.fail("%s: field %d: bad number %q", d.messageType(), field, text)
 	}
 	return x
 }
@@ -121,7 +121,7 @@
 func (d *decoder) server(field int) decide.ServerID {
 	n := d.requiredInteger(field)
 	if n < 0 || n >= 1<<32 {
-		d.reject("%s: field %d: no server number: %d", d.messageType(), field, n)
+		d.fail("%s: field %d: no server number: %d", d.messageType(), field, n)
 	}
 	return decide.ServerID(n)
 }
@@ -130,7 +130,7 @@
 func oneOf[T any](d *decoder, words map[string]T, field int) T {
 	value, ok := words[d.required(field)]
 	if !ok {
-		d.reject("%s: field %d: unknown word %q", d.messageType(), field, d.text(field))
+		d.fail("%s: field %d: unknown word %q", d.messageType(), field, d.text(field))
 	}
 	return value
 }
--- a/internal/simulator/endpoints.go
+++ b/internal/simulator/endpoints.go
@@ -14,15 +14,15 @@
 	startedAt int64           // 0: not given
 }
 
-// list reads a numbered list.
-func (h *host) list() error {
+// readList reads a numbered list.
+func (h *host) readList() error {
 	number := h.requiredInteger(listField)
 	count := h.requiredInteger(listCountField)
-	if h.bad != nil {
-		return h.bad
+	if h.err != nil {
+		return h.err
 	}
 	if number < 0 || number >= int64(len(h.lists)) || count < 0 {
-		return h.fault("DIRECTORY: no such list or count: %d, %d", number, count)
+		return h.errorf("DIRECTORY: no such list or count: %d, %d", number, count)
 	}
 	list := make([]listEntry, 0, min(count, maxListCapacity))
 	for ; count > 0; count-- {
@@ -31,18 +31,18 @@
 			return err
 		}
 		if !ok || h.messageType() != msgListEntry {
-			return h.fault("DIRECTORY: %d entries fewer than stated", count)
+			return h.errorf("DIRECTORY: %d entries fewer than stated", count)
 		}
-		list = append(list, h.listEntry())
-		if h.bad != nil {
-			return h.bad
+		list = append(list, h.readListEntry())
+		if h.err != nil {
+			return h.err
 		}
 	}
 	h.lists[number] = list
 	return nil
 }
 
-func (h *host) listEntry() listEntry {
+func (h *host) readListEntry() listEntry {
 	entry := listEntry{endpoint: decide.Endpoint{Size: 1}}
 	endpoint := &entry.endpoint
 	endpoint.Zone = decide.Zone(h.text(entryZoneField))
@@ -70,7 +70,7 @@
 func (in *instance) update() {
 	h := in.host
 	kind := oneOf(&h.decoder, updateKinds, updateKindField)
-	if h.bad != nil {
+	if h.err != nil {
 		return
 	}
 	in.balancer.BeginEndpoints(kind)
@@ -78,11 +78,11 @@
 		return
 	}
 	number := h.requiredInteger(updateListField)
-	if h.bad != nil {
+	if h.err != nil {
 		return
 	}
 	if number < 0 || number >= int64(len(h.lists)) || h.lists[number] == nil {
-		h.bad = h.fault("UPDATE: list %d was never sent", number)
+		h.err = h.errorf("UPDATE: list %d was never sent", number)
 		return
 	}
 	for _, entry := range h.lists[number] {
--- a/internal/simulator/events.go
+++ b/internal/simulator/events.go
@@ -23,7 +23,7 @@
 	case msgEnded:
 		in.ended()
 	case msgClientLeft:
-		if id := in.host.flow(); in.host.bad == nil {
+		if id := in.host.flow(); in.host.err == nil {
 			in.balancer.OnClientLeft(id)
 		}
 	case msgTimer:
@@ -32,7 +32,7 @@
 		in.healthChecked()
 	case msgGossip:
 	default:
-		in.host.bad = in.host.fault("unknown message %q", in.host.messageType())
+		in.host.err = in.host.errorf("unknown message %q", in.host.messageType())
 	}
 }
 
@@ -49,7 +49,7 @@
 	flags := int(h.integer(arrivalFlagsField))
 	if h.messageType() == msgAdopt {
 		server := h.server(arrivalServerField)
-		if h.bad == nil {
+		if h.err == nil {
 			in.balancer.AdoptFlow(request, server)
 		}
 		return
@@ -57,7 +57,7 @@
 	request.Timeout = timeout
 	request.Flags = flags
 	h.required(arrivalTimeoutField)
-	if h.bad == nil {
+	if h.err == nil {
 		in.balancer.OnFlow(request)
 	}
 }
@@ -67,7 +67,7 @@
 	id := h.flow()
 	took := time.Duration(h.integer(establishedTookField))
 	h.requiredInteger(attemptField)
-	if h.bad == nil {
+	if h.err == nil {
 		in.balancer.OnEstablished(id, took)
 	}
 }
@@ -78,7 +78,7 @@
 	kind := h.requiredInteger(sampleKindField)
 	amount := h.float(sampleAmountField)
 	h.required(sampleAmountField)
-	if h.bad != nil {
+	if h.err != nil {
 		return
 	}
 	switch kind {
@@ -95,13 +95,13 @@
 	server := h.server(endedServerField)
 	outcome := oneOf(&h.decoder, outcomes, endedOutcomeField)
 	took := time.Duration(h.integer(endedTookField))
-	over := h.integer(endedOverField) != 0
+	isAnswered := h.integer(endedAnsweredField) != 0
 	h.requiredInteger(attemptField)
-	if h.bad != nil {
+	if h.err != nil {
 		return
 	}
 	in.reportLoad(server, h.text(endedReportField))
-	in.balancer.OnEnded(id, outcome, took, over)
+	in.balancer.OnEnded(id, outcome, took, isAnswered)
 }
 
 func (in *instance) timerFired() {
@@ -109,7 +109,7 @@
 	if remaining := in.remaining[timer]; remaining > 0 {
 		delete(in.remaining, timer)
 		in.SetTimer(timer, remaining)
-	} else if in.host.bad == nil {
+	} else if in.host.err == nil {
 		in.balancer.OnTimer(timer)
 	}
 }
@@ -118,7 +118,7 @@
 	h := in.host
 	server := h.server(checkServerField)
 	outcome := oneOf(&h.decoder, outcomes, checkOutcomeField)
-	if h.bad != nil {
+	if h.err != nil {
 		return
 	}
 	in.reportLoad(server, h.text(checkReportField))
--- a/internal/simulator/instance.go
+++ b/internal/simulator/instance.go
@@ -14,7 +14,7 @@
 	host      *host
 	id        int
 	balancer  *decide.Balancer // nil: not started, or stopped
-	start     int64
+	start     int64            // host.now when it was started: 0 of its balancer's clock
 	services  map[string]decide.ServiceID
 	customers map[string]decide.CustomerID
 	remaining map[decide.TimerID]time.Duration // of timers that are set in parts
@@ -28,7 +28,7 @@
 		}
 	}()
 	if in.host.messageType() == msgStart {
-		in.spawn()
+		in.startUp()
 		return
 	}
 	in.balancer.SetTime(time.Duration(in.host.now - in.start))
@@ -43,8 +43,8 @@
 	return r
 }
 
-// spawn starts the instance with its settings.
-func (in *instance) spawn() {
+// startUp starts the instance with its settings.
+func (in *instance) startUp() {
 	h := in.host
 	seed := h.requiredInteger(seedField)
 	settings := make(map[string]string, len(h.fields))
@@ -54,7 +54,7 @@
 		case ok:
 			settings[path] = value
 		case field != absentField:
-			h.bad = h.fault("SPAWN: no path=value pair: %q", field)
+			h.err = h.errorf("SPAWN: no path=value pair: %q", field)
 			return
 		}
 	}
@@ -64,14 +64,14 @@
 	values := config.FromPairs(settings)
 	in.services, in.customers = config.ConfigureBalancer(values, in.balancer)
 	if err := values.Err(); err != nil {
-		h.reject("SPAWN: %v", err)
+		h.fail("SPAWN: %v", err)
 	}
 }
 
 func (in *instance) service(field int) decide.ServiceID {
 	service, ok := in.services[in.host.required(field)]
 	if !ok {
-		in.host.reject("%s: unknown service type %q", in.host.messageType(), in.host.text(field))
+		in.host.fail("%s: unknown service type %q", in.host.messageType(), in.host.text(field))
 	}
 	return service
 }
--- a/internal/simulator/simulator.go
+++ b/internal/simulator/simulator.go
@@ -17,7 +17,7 @@
 type host struct {
 	decoder
 	out       *bufio.Writer
-	now       int64
+	now       int64     // of the batch in hand, in nanoseconds
 	current   *instance // that the events are for
 	answering int       // the instance that the last actions are of; -1: none in this batch
 	instances map[int]*instance
@@ -37,7 +37,7 @@
 			return err
 		}
 		if h.messageType() != msgBeginBatch {
-			return h.fault("want BEGIN_BATCH, got %q", h.messageType())
+			return h.errorf("want BEGIN_BATCH, got %q", h.messageType())
 		}
 		if err := h.batch(); err != nil {
 			return err
@@ -68,16 +68,16 @@
 			return err
 		}
 		if !ok {
-			return h.fault("the input ends within a batch")
+			return h.errorf("the input ends within a batch")
 		}
 		if h.messageType() == msgEndBatch {
-			return h.bad
+			return h.err
 		}
 		if err := h.handleMessage(); err != nil {
 			return err
 		}
-		if h.bad != nil {
-			return h.bad
+		if h.err != nil {
+			return h.err
 		}
 	}
 }
@@ -87,24 +87,24 @@
 	switch h.messageType() {
 	case msgInstance:
 		h.selectInstance()
-		return h.bad
+		return h.err
 	case msgList:
-		return h.list()
+		return h.readList()
 	}
 	in := h.current
 	if in == nil {
-		return h.fault("%s without FOR", h.messageType())
+		return h.errorf("%s without FOR", h.messageType())
 	}
 	if in.balancer == nil && h.messageType() != msgStart {
-		return h.fault("%s for an unknown instance %d", h.messageType(), in.id)
+		return h.errorf("%s for an unknown instance %d", h.messageType(), in.id)
 	}
 	in.handle()
-	return h.bad
+	return h.err
 }
 
 func (h *host) selectInstance() {
 	id := int(h.requiredInteger(instanceField))
-	if h.bad != nil {
+	if h.err != nil {
 		return
 	}
 	h.current = h.instances[id]
--- a/internal/simulator/simulator_test.go
+++ b/internal/simulator/simulator_test.go
@@ -96,8 +96,8 @@
 	h := &host{decoder: decoder{fields: []string{msgStop}}, out: newWriter(&out)}
 	in := &instance{host: h, id: 4} // without a balancer, so that the call panics
 	in.handle()
-	if h.bad != nil {
-		t.Fatal(h.bad)
+	if h.err != nil {
+		t.Fatal(h.err)
 	}
 	if err := h.out.Flush(); err != nil {
 		t.Fatal(err)
--- a/internal/simulator/wire.go
+++ b/internal/simulator/wire.go
@@ -88,11 +88,11 @@
 	sampleKindField      = 4
 	sampleAmountField    = 5
 
-	endedServerField  = 3
-	endedOutcomeField = 4
-	endedTookField    = 5
-	endedOverField    = 6
-	endedReportField  = 7
+	endedServerField   = 3
+	endedOutcomeField  = 4
+	endedTookField     = 5
+	endedAnsweredField = 6
+	endedReportField   = 7
 
 	checkServerField  = 1
 	checkOutcomeField = 2
