--- a/decide/rechecks.go
+++ b/decide/rechecks.go
@@ -28,9 +28,13 @@
 	return isOld || median(b.health.setupTimes) < b.services[0].SetupTarget/slowSetupFraction
 }
 
-// recheck migrates an established flow if another server without faults costs less by minSaving, or in any case if the
-// flow is to be shed.
-func (b *Balancer) recheck(f *flow, minSaving float64, shed bool) (migrated bool) {
+// recheck migrates an established flow if another server without faults costs less by minSaving.
+func (b *Balancer) recheck(f *flow, minSaving float64) (migrated bool) {
+	return b.recheckOrShed(f, minSaving, false)
+}
+
+// recheckOrShed does the same, or migrates the flow in any case if it is to be shed.
+func (b *Balancer) recheckOrShed(f *flow, minSaving float64, shed bool) (migrated bool) {
 	view := b.viewFor(f, b.list.ready)
 	costHere := b.cost(f, f.server, view)
 	isBetter := func(server *serverState) bool {
@@ -57,7 +61,8 @@
 	others := f.server.openFlows - 1
 	costHere := b.load(f.server, others, view)
 	leastElsewhere := b.list.lowestLoad
-	if group := f.server.groupTallies[f.group]; group > 1 && !b.isAboveGuard(f.server, flowCounts{open: others, group: group}, view) {
+	flows := flowCounts{open: others, group: f.server.groupTallies[f.group]}
+	if flows.group > 1 && !b.isAboveGuard(f.server, flows, view) {
 		costHere -= groupingWeight
 		leastElsewhere -= groupingWeight
 	} else if f.group != "" {
@@ -81,7 +86,7 @@
 		}
 		rechecksLeft--
 		server := f.server
-		if b.recheck(f, minSaving, false) {
+		if b.recheck(f, minSaving) {
 			b.list.lowestLoad = min(b.list.lowestLoad, b.load(server, server.openFlows, b.list.totals.means()))
 		}
 	}
@@ -101,7 +106,7 @@
 func (b *Balancer) recheckFirst(ids []FlowID) {
 	for _, id := range ids {
 		if f := b.flows.byID[id]; f != nil && f.state == established && b.constraints.AllowMigration(id) {
-			b.recheck(f, 0, false)
+			b.recheck(f, 0)
 		}
 	}
 }
@@ -125,7 +130,7 @@
 		if left <= 0 {
 			return
 		}
-		if b.recheck(f, wanted.minSaving, wanted.shed) {
+		if b.recheckOrShed(f, wanted.minSaving, wanted.shed) {
 			left--
 		}
 	}
