--- a/internal/daemon/lifecycle.go
+++ b/internal/daemon/lifecycle.go
@@ -6,6 +6,8 @@
 	"slices"
 	"sync"
 	"time"
+
+	"yardwinch/internal/protocol"
 )
 
 const (
@@ -18,7 +20,8 @@
 	drainedCheckInterval = 50 * time.Millisecond
 )
 
-// phase is the state of the process. The values are those of explain's answers and of the operators' calls.
+// phase is the state of the process. The values are those of the log, of explain's answers and of the operators'
+// calls, and older than the names here: what operators read as "draining" is shuttingDown, not the constant draining.
 type phase string
 
 const (
@@ -42,8 +45,8 @@
 
 // clients is what a change of phase means for the clients' connections.
 type clients interface {
-	SetOutOfService(outOfService, rejectsAll bool)
-	Drain(ctx context.Context, after, spread time.Duration)
+	SetAvailability(availability protocol.Availability)
+	Drain(ctx context.Context, from, until time.Duration)
 	ConnectionCount() int
 }
 
@@ -90,17 +93,21 @@
 	switch to {
 	case serving:
 		l.drainingSince = time.Time{}
-		l.clients.SetOutOfService(false, false)
+		l.clients.SetAvailability(protocol.InService)
 	case draining:
 		if l.drainingSince.IsZero() {
 			l.drainingSince = time.Now()
 		}
 		since := l.drainingSince
-		l.clients.SetOutOfService(true, time.Since(since) > newClientsDeadline)
+		availability := protocol.OutOfService
+		if time.Since(since) > newClientsDeadline {
+			availability = protocol.RejectingClients
+		}
+		l.clients.SetAvailability(availability)
 		l.startDrain(ctx, newClientsWindow)
 		l.runInPhase(ctx, func(ctx context.Context) { l.awaitDrained(ctx, since) })
 	case drained:
-		l.clients.SetOutOfService(true, true)
+		l.clients.SetAvailability(protocol.RejectingClients)
 	case handingOver:
 		if !l.drainingSince.IsZero() {
 			l.startDrain(ctx, 0) // the successor has none of the clients that are left here
@@ -115,12 +122,12 @@
 	l.work.Go(func() { work(inPhase) })
 }
 
-// startDrain asks all clients to migrate in what is left of the time for it, beginning some time after the call to
-// go out of service. The caller holds mu.
-func (l *lifecycle) startDrain(ctx context.Context, after time.Duration) {
+// startDrain asks all clients to migrate, from a time after the call to go out of service until drainDuration after
+// that call. The caller holds mu.
+func (l *lifecycle) startDrain(ctx context.Context, from time.Duration) {
 	elapsed := time.Since(l.drainingSince)
 	l.runInPhase(ctx, func(ctx context.Context) {
-		l.clients.Drain(ctx, max(0, after-elapsed), max(minDrainSpread, drainDuration-elapsed))
+		l.clients.Drain(ctx, max(0, from-elapsed), max(minDrainDuration, drainDuration-elapsed))
 	})
 }
 
@@ -150,7 +157,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if ctx.Err() == nil {
-		l.clients.SetOutOfService(true, true)
+		l.clients.SetAvailability(protocol.RejectingClients)
 	}
 }
 
--- a/internal/daemon/shutdown.go
+++ b/internal/daemon/shutdown.go
@@ -16,25 +16,25 @@
 	// newClientsWindow is how long the platform still sends new connections here after the signal to stop, or the
 	// call to go out of service.
 	newClientsWindow = 400 * time.Millisecond
-	minDrainSpread   = 50 * time.Millisecond
+	minDrainDuration = 50 * time.Millisecond
 )
 
 // shutdownSchedule is when the steps of a shutdown happen, from the signal to stop on.
 type shutdownSchedule struct {
-	migrateAfter  time.Duration // clients begin to be asked to migrate
-	migrateSpread time.Duration // the time over which that is spread
+	migrateFrom   time.Duration // the first client is asked to migrate
+	migrateUntil  time.Duration // all have been asked
 	stopAccepting time.Duration
 	exit          time.Duration
 }
 
 func newShutdownSchedule(maxClientTimeout time.Duration) shutdownSchedule {
 	total := min(maxClientTimeout, maxShutdownDrain) + shutdownDrainSlack
-	spread := total - migrationMargin - exitMargin
+	migrateUntil := total - migrationMargin - exitMargin
 	return shutdownSchedule{
-		migrateAfter:  min(newClientsWindow, spread/3),
-		migrateSpread: spread,
+		migrateFrom:  min(newClientsWindow, migrateUntil/3),
+		migrateUntil: migrateUntil,
 		// However short the clients' timeouts are, new ones are accepted until the platform sends no more.
-		stopAccepting: max(total-migrationMargin, newClientsWindow+minDrainSpread),
+		stopAccepting: max(total-migrationMargin, newClientsWindow+minDrainDuration),
 		exit:          total - exitMargin,
 	}
 }
@@ -43,15 +43,15 @@
 // Connections that are still open when the schedule ends are errConnectionsRemain, unless all of them have had
 // their last reply.
 func (d *Daemon) shutDown(ctx context.Context, stopAccepting context.CancelFunc, finished <-chan error) (timedOut bool, err error) {
-	handedOver := d.lifecycle.current() == handingOver
+	hasSuccessor := d.lifecycle.current() == handingOver
 	d.lifecycle.transition(ctx, shuttingDown)
 	schedule := newShutdownSchedule(d.maxClientTimeout)
-	draining, done := context.WithTimeout(ctx, schedule.exit)
-	defer done()
-	if handedOver { // new clients go to the successor, and connections may still be transferred to it
+	untilExit, cancel := context.WithTimeout(ctx, schedule.exit)
+	defer cancel()
+	if hasSuccessor { // new clients go to the successor, and connections may still be transferred to it
 		stopAccepting()
 	}
-	d.goroutines.Go(func() { d.frontend.Drain(draining, schedule.migrateAfter, schedule.migrateSpread) })
+	d.goroutines.Go(func() { d.frontend.Drain(untilExit, schedule.migrateFrom, schedule.migrateUntil) })
 	closing := time.AfterFunc(schedule.stopAccepting, func() {
 		stopAccepting()
 		d.frontend.Stop()
@@ -60,7 +60,7 @@
 	select {
 	case err := <-finished:
 		return false, err
-	case <-draining.Done():
+	case <-untilExit.Done():
 	}
 	if d.descriptorBudget.Unanswered() > 0 {
 		return true, errConnectionsRemain
--- a/internal/daemon/upgrade_socket_test.go
+++ b/internal/daemon/upgrade_socket_test.go
@@ -6,6 +6,7 @@
 	"testing"
 
 	"yardwinch/internal/handover"
+	"yardwinch/internal/protocol"
 )
 
 // clientsAtServing are the clients of a daemon, with something that runs as the daemon begins to serve.
@@ -14,9 +15,9 @@
 	onServing func()
 }
 
-func (c clientsAtServing) SetOutOfService(outOfService, rejectsAll bool) {
+func (c clientsAtServing) SetAvailability(availability protocol.Availability) {
 	c.onServing()
-	c.clients.SetOutOfService(outOfService, rejectsAll)
+	c.clients.SetAvailability(availability)
 }
 
 // A successor may start in the moment in which a process is ready: the socket by which it finds that process is open
--- a/internal/protocol/draining.go
+++ b/internal/protocol/draining.go
@@ -34,15 +34,15 @@
 	s.establishedIndex = -1
 }
 
-// Drain asks all clients to reconnect, spread evenly from one delay to the other: all at once they would meet on the
+// Drain asks all clients to reconnect, spread evenly between two times from now: all at once they would meet on the
 // other balancers, and on what all connection set-ups share. Clients that come meanwhile are served and asked in turn.
-// None is asked before the first delay, while the layer before the balancers still sends clients here, as half of them
+// None is asked before the first time, while the layer before the balancers still sends clients here, as half of them
 // would come straight back. Drain returns when the context ends.
-func (f *Frontend) Drain(ctx context.Context, after, over time.Duration) {
-	if !sleep(ctx, after) {
+func (f *Frontend) Drain(ctx context.Context, from, until time.Duration) {
+	if !sleep(ctx, from) {
 		return
 	}
-	end := time.Now().Add(over - after)
+	end := time.Now().Add(until - from)
 	due := 0.0 // migrations, in fractions of one
 	ticker := time.NewTicker(drainInterval)
 	defer ticker.Stop()
--- a/internal/protocol/frontend.go
+++ b/internal/protocol/frontend.go
@@ -70,11 +70,23 @@
 // Stop ends what still waits for an answer, with an answer.
 func (f *Frontend) Stop() { f.stop() }
 
-// SetOutOfService says whether the layer before the balancers is to send clients here: while it is not, PING is
-// answered by BUSY. rejectsAll says that the layer had the time to notice, so that new flows are rejected at once.
-func (f *Frontend) SetOutOfService(outOfService, rejectsAll bool) {
-	f.outOfService.Store(outOfService)
-	f.rejectsAll.Store(rejectsAll)
+// Availability says whether the layer before the balancers is to send clients here, and what becomes of those that
+// still come.
+type Availability uint8
+
+const (
+	// InService answers PING by PONG and serves clients.
+	InService Availability = iota
+	// OutOfService answers PING by BUSY and serves the clients that come before the layer notices.
+	OutOfService
+	// RejectingClients answers PING by BUSY, and new flows too: the layer had the time to notice.
+	RejectingClients
+)
+
+// SetAvailability applies to the clients that come from now on.
+func (f *Frontend) SetAvailability(availability Availability) {
+	f.outOfService.Store(availability != InService)
+	f.rejectsAll.Store(availability == RejectingClients)
 }
 
 // ConnectionCount is how many clients' connections are being served.
