--- a/internal/daemon/shutdown.go
+++ b/internal/daemon/shutdown.go
@@ -62,7 +62,7 @@
 		return false, err
 	case <-untilExit.Done():
 	}
-	if d.descriptorBudget.Unanswered() > 0 {
+	if d.descriptorBudget.Unfinished() > 0 {
 		return true, errConnectionsRemain
 	}
 	return true, nil // all have had their last reply; some may not have read it yet
--- a/internal/protocol/discovery.go
+++ b/internal/protocol/discovery.go
@@ -45,13 +45,14 @@
 	isPolled       bool
 	silenceTimeout time.Duration
 	answerTimeout  time.Duration
-	random         *rand.Rand   // spreads the balancers' calls
 	revision       atomic.Int64 // of the list held; negative: none
 
-	watchIsLost bool // the last watch failed, and none has brought anything since
-	hadContact  bool // something came on the last watch
+	// Run's goroutine alone uses these.
+	random      *rand.Rand // spreads the balancers' calls
+	watchIsLost bool       // the last watch failed, and none has brought anything since
+	hadContact  bool       // something came on the last watch
 
-	mu       sync.Mutex
+	mu       sync.Mutex // guards the fields below
 	url      string
 	endRound context.CancelFunc // ends the watch at the present URL
 }
--- a/internal/protocol/relay.go
+++ b/internal/protocol/relay.go
@@ -52,7 +52,7 @@
 // forwardClientEnd ends the server's side the way the client ended its own.
 func (s *session) forwardClientEnd(err error) {
 	var side *transport.SideError
-	isWriteError := errors.As(err, &side) && side.Written
+	isWriteError := errors.As(err, &side) && side.IsWriteSide
 	switch {
 	case isWriteError && errors.Is(err, os.ErrDeadlineExceeded):
 		s.writeSideClosed.Store(true)
@@ -136,7 +136,7 @@
 		return routing.Cancelled, false
 	case s.clientEnded.Load():
 		return routing.Cancelled, false
-	case errors.As(err, &side) && side.Written, errors.Is(err, transport.ErrMidLine):
+	case errors.As(err, &side) && side.IsWriteSide, errors.Is(err, transport.ErrMidLine):
 		return routing.Cancelled, true
 	case s.lastLineKind == "BYE":
 		return routing.OK, false
--- a/internal/protocol/session.go
+++ b/internal/protocol/session.go
@@ -58,14 +58,14 @@
 
 	// The frontend's mutex guards these.
 	establishedIndex int           // in frontend.established; -1 once it was removed
-	transferred      chan struct{} // closed once a transfer succeeded or failed; nil: none is under way
+	transferEnded    chan struct{} // closed once a transfer succeeded or failed; nil: none is under way
 }
 
 // transition makes every change of state, with the bookkeeping that goes with it.
 func (s *session) transition(to sessionState) {
 	if s.state == stateEstablished {
 		s.frontend.removeEstablished(s)
-		s.signalTransferred()
+		s.signalTransferEnded()
 	}
 	switch to {
 	case stateEstablished:
--- a/internal/protocol/transfer.go
+++ b/internal/protocol/transfer.go
@@ -96,7 +96,7 @@
 	s.frontend.mu.Lock()
 	isEstablished := s.establishedIndex >= 0 // else it ended, or its client is being asked to reconnect
 	if isEstablished {
-		s.transferred = done
+		s.transferEnded = done
 	}
 	s.frontend.mu.Unlock()
 	if !isEstablished {
@@ -124,7 +124,7 @@
 		s.release()
 		return true
 	}
-	s.signalTransferred()
+	s.signalTransferEnded()
 	s.server.SetReadDeadline(time.Time{})
 	if isEnding {
 		s.server.SetReadDeadline(time.Now().Add(endTimeout))
@@ -163,17 +163,17 @@
 	if !transfer(c, s.client.Socket(), s.server.Socket()) {
 		return false
 	}
-	s.signalTransferred()
+	s.signalTransferEnded()
 	return true
 }
 
-// signalTransferred ends a wait in park.
-func (s *session) signalTransferred() {
+// signalTransferEnded ends a wait in park, whether the transfer succeeded or failed.
+func (s *session) signalTransferEnded() {
 	s.frontend.mu.Lock()
 	defer s.frontend.mu.Unlock()
-	if s.transferred != nil {
-		close(s.transferred)
-		s.transferred = nil
+	if s.transferEnded != nil {
+		close(s.transferEnded)
+		s.transferEnded = nil
 	}
 }
 
--- a/internal/protocol/watch.go
+++ b/internal/protocol/watch.go
@@ -59,7 +59,7 @@
 		if err := w.discovery.applyNext(ctx, objects); err != nil {
 			return err
 		}
-		w.onBlank()
+		w.onUpToDate()
 		buffered, _ := io.ReadAll(objects.Buffered()) // from memory: it can't fail
 		w.objectIsOpen = len(bytes.TrimSpace(buffered)) > 0
 		if w.objectIsOpen {
@@ -76,7 +76,7 @@
 		if w.objectIsOpen {
 			w.onObjectBegun()
 		} else {
-			w.onBlank()
+			w.onUpToDate()
 		}
 	}
 	return n, err
@@ -88,8 +88,8 @@
 	w.deadline.Reset(w.discovery.silenceTimeout)
 }
 
-// onBlank takes a blank between two objects, or the end of one: all changes up to now have been received.
-func (w *watchStream) onBlank() {
+// onUpToDate takes a blank between two objects, or the end of one: all changes up to now have been received.
+func (w *watchStream) onUpToDate() {
 	w.isFirstObject = false
 	w.discovery.onContact()
 	w.discovery.router.OnDiscoveryContact()
--- a/internal/transport/budget.go
+++ b/internal/transport/budget.go
@@ -40,7 +40,7 @@
 	mu         sync.Mutex
 	free       int
 	lent       int       // used by another process
-	unanswered int       // connections that have not had their last line
+	unfinished int       // connections that have not had their last line
 	idle       list.List // of *Conn, the longest idle first
 }
 
@@ -79,11 +79,11 @@
 	return all - b.free - b.lent + b.idle.Len()
 }
 
-// Unanswered is how many connections have not had their last line.
-func (b *DescriptorBudget) Unanswered() int {
+// Unfinished is how many connections have not had their last line.
+func (b *DescriptorBudget) Unfinished() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.unanswered
+	return b.unfinished
 }
 
 // signalFreed wakes admit.
@@ -115,14 +115,14 @@
 	}
 }
 
-// tryAdmit counts a connection, or returns when to try again.
+// tryAdmit counts a connection; wait is 0 then. Else it returns when to try again.
 func (b *DescriptorBudget) tryAdmit(c *Conn) (wait time.Duration) {
 	b.mu.Lock()
-	wait, evicted := b.reserve(0, minIdleTime)
+	wait, evicted := b.ensureFree(0, minIdleTime)
 	if wait == 0 {
 		b.free--
 		c.descriptors = 1
-		c.markUnanswered()
+		c.markUnfinished()
 		c.addIdle()
 	}
 	b.mu.Unlock()
@@ -132,11 +132,11 @@
 	return wait
 }
 
-// reserve makes sure of a free descriptor, if more than so many are free or idle. The longest idle connection may have
-// to go for it: the caller closes it, once the mutex is free. wait says when to try again where none has been idle
-// for long enough. The mutex is held.
-func (b *DescriptorBudget) reserve(reserved int, minIdle time.Duration) (wait time.Duration, evicted *Conn) {
-	if b.free+b.idle.Len() <= reserved {
+// ensureFree makes sure that a descriptor is free, which the caller then takes, while more than the reserve are free or
+// idle. wait is 0 where one is free; else none is yet, and it says when to try again. The longest idle connection may
+// have to go for it: the caller closes it, once the mutex is free. The mutex is held.
+func (b *DescriptorBudget) ensureFree(reserve int, minIdle time.Duration) (wait time.Duration, evicted *Conn) {
+	if b.free+b.idle.Len() <= reserve {
 		return noDescriptorWait, nil
 	}
 	if b.free > 0 {
@@ -150,16 +150,16 @@
 	return 0, longestIdle
 }
 
-// markUnanswered and markAnswered keep which connections have not had their last line; the mutex is held.
-func (c *Conn) markUnanswered() {
-	c.isUnanswered = true
-	c.budget.unanswered++
+// markUnfinished and markFinished keep which connections have not had their last line; the mutex is held.
+func (c *Conn) markUnfinished() {
+	c.isUnfinished = true
+	c.budget.unfinished++
 }
 
-func (c *Conn) markAnswered() {
-	if c.isUnanswered {
-		c.isUnanswered = false
-		c.budget.unanswered--
+func (c *Conn) markFinished() {
+	if c.isUnfinished {
+		c.isUnfinished = false
+		c.budget.unfinished--
 	}
 }
 
@@ -186,7 +186,7 @@
 	c.removeIdle()
 	c.budget.free += c.descriptors
 	c.descriptors = 0
-	c.markAnswered()
+	c.markFinished()
 	c.budget.signalFreed()
 }
 
@@ -238,7 +238,7 @@
 		return true
 	}
 	c.budget.mu.Lock()
-	wait, evicted := c.budget.reserve(c.budget.reservedForClients, 0)
+	wait, evicted := c.budget.ensureFree(c.budget.reservedForClients, 0)
 	if wait == 0 {
 		c.budget.free--
 		c.descriptors++
@@ -270,7 +270,7 @@
 	}
 	c.budget.mu.Lock()
 	defer c.budget.mu.Unlock()
-	c.markAnswered()
+	c.markFinished()
 	c.addIdle()
 }
 
@@ -281,5 +281,5 @@
 	defer b.mu.Unlock()
 	b.free -= descriptorsPerPair
 	c.descriptors = descriptorsPerPair
-	c.markUnanswered()
+	c.markUnfinished()
 }
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -48,7 +48,7 @@
 	// budget is that of a client's connection; nil: the connection is not counted. Its mutex guards the rest.
 	budget       *DescriptorBudget
 	descriptors  int  // counted for it
-	isUnanswered bool // it has not had its last line
+	isUnfinished bool // it has not had its last line
 	idleElement  *list.Element
 	idleSince    time.Time
 }
--- a/internal/transport/relay.go
+++ b/internal/transport/relay.go
@@ -23,8 +23,8 @@
 
 // SideError says which side of a relay broke.
 type SideError struct {
-	Written bool // the side written to
-	Err     error
+	IsWriteSide bool // the relay wrote to it; else it read from it
+	Err         error
 }
 
 // Error is the cause's, with what was being done.
@@ -112,7 +112,7 @@
 	}
 	if len(fresh) > 0 {
 		if _, err := dst.Write(fresh); err != nil {
-			return &SideError{Written: true, Err: err}
+			return &SideError{IsWriteSide: true, Err: err}
 		}
 	}
 	c.passed = len(c.unread())
@@ -158,7 +158,7 @@
 		}
 		if len(fresh) > 0 {
 			if _, err := dst.Write(fresh); err != nil {
-				return &SideError{Written: true, Err: err}
+				return &SideError{IsWriteSide: true, Err: err}
 			}
 		}
 		c.unreadFrom += c.passed + len(fresh)
--- a/internal/transport/relay_test.go
+++ b/internal/transport/relay_test.go
@@ -32,7 +32,7 @@
 		go func() { _, _ = io.WriteString(from, "M 1\r\n") }()
 		start := time.Now()
 		var side *SideError
-		if err := Relay(dst, src, func([]byte) {}); !errors.As(err, &side) || !side.Written {
+		if err := Relay(dst, src, func([]byte) {}); !errors.As(err, &side) || !side.IsWriteSide {
 			t.Errorf("ended with %v", err)
 		}
 		if took := time.Since(start); took > time.Second {
