--- a/internal/daemon/admin_calls.go
+++ b/internal/daemon/admin_calls.go
@@ -77,19 +77,19 @@
 
 // attemptChange has a change decided once. ErrPeerGone says that the successor ended before it answered.
 func (d *Daemon) attemptChange(ctx context.Context, change handover.Change) error {
-	d.changing.Lock()
+	d.changeMu.Lock()
 	successor := d.successor
 	if successor != nil {
-		d.changing.Unlock()
+		d.changeMu.Unlock()
 		return forwardChange(ctx, successor, change)
 	}
-	notified, err := d.decideChange(ctx, change)
-	d.changing.Unlock()
+	pending, err := d.decideChange(ctx, change)
+	d.changeMu.Unlock()
 	if err != nil {
 		return err
 	}
 	d.awaitSaved(ctx)
-	return awaitNotified(ctx, notified)
+	return awaitApplied(ctx, pending)
 }
 
 // forwardChange has the successor decide on a change.
@@ -102,9 +102,9 @@
 	return err
 }
 
-// decideChange makes a change in this process, which serves, and notifies the predecessor of it. The caller holds
-// changing; it may let go of it while it waits for the predecessor with awaitNotified.
-func (d *Daemon) decideChange(ctx context.Context, change handover.Change) (notified *handover.PendingReply, err error) {
+// decideChange makes a change in this process, which serves, and has the predecessor apply it. The caller holds
+// changeMu, and may release it before it waits with awaitApplied.
+func (d *Daemon) decideChange(ctx context.Context, change handover.Change) (pending *handover.PendingReply, err error) {
 	switch change.Kind {
 	case handover.Offline, handover.Online:
 		err = d.setDisabled(change.Server, change.Kind == handover.Offline)
@@ -125,12 +125,12 @@
 	return d.predecessor.Request(messageApplyChange, change), nil
 }
 
-// awaitNotified waits until the predecessor has made a change; nil stands for no predecessor.
-func awaitNotified(ctx context.Context, notified *handover.PendingReply) error {
-	if notified == nil {
+// awaitApplied waits until the predecessor has made a change; nil stands for no predecessor.
+func awaitApplied(ctx context.Context, pending *handover.PendingReply) error {
+	if pending == nil {
 		return nil
 	}
-	_, err := notified.Wait(ctx, nil)
+	_, err := pending.Wait(ctx, nil)
 	if errors.Is(err, handover.ErrPeerGone) {
 		return nil // it has no clients any more
 	}
@@ -148,14 +148,14 @@
 // setDisabled disables or enables a server. That is in force at once, whether or not it can be saved; the caller
 // awaits the save.
 func (d *Daemon) setDisabled(server string, disabled bool) error {
-	before, known := d.router.IsDisabled(server)
+	wasDisabled, known := d.router.IsDisabled(server)
 	if !known {
 		return fmt.Errorf("%w: %w: %q", admin.ErrUnknown, routing.ErrUnknownServer, server)
 	}
 	if err := d.router.SetDisabled(server, disabled); err != nil {
 		return err
 	}
-	if d.disabled != nil && before != disabled {
+	if d.disabled != nil && wasDisabled != disabled {
 		d.disabled.onChange(server)
 	}
 	return nil
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -51,9 +51,9 @@
 	goroutines sync.WaitGroup // all that Serve starts, and waits for at its end
 	relisten   chan struct{}  // receives once the socket for a successor belongs to another process
 
-	// changing serialises operators' changes, and excludes them while the state is handed over. It guards the
+	// changeMu serialises operators' changes, and excludes them while the state is handed over. It guards the
 	// fields below.
-	changing    sync.Mutex
+	changeMu    sync.Mutex
 	predecessor *handover.Link // nil: there is none, or it has ended
 	successor   *handover.Link // nil: none has taken over
 }
@@ -103,21 +103,21 @@
 			d.goroutines.Wait()
 		}
 	}()
-	starting, endStart := context.WithCancel(ctx)
+	startCtx, endStart := context.WithCancel(ctx)
 	defer endStart()
 	defer context.AfterFunc(stop, endStart)()
-	err := d.open(ctx, starting)
+	err := d.open(ctx, startCtx)
 	switch {
-	case err != nil && starting.Err() != nil:
+	case err != nil && startCtx.Err() != nil:
 		return nil // the signal to stop came during the start
 	case err != nil:
 		return err
 	}
 	d.startBackground(ctx, reloads)
-	accepting, stopAccepting := context.WithCancel(ctx)
+	acceptCtx, stopAccepting := context.WithCancel(ctx)
 	defer stopAccepting()
-	finished := d.serveClients(ctx, accepting)
-	d.startServing(ctx, starting)
+	finished := d.serveClients(ctx, acceptCtx)
+	d.startServing(ctx, startCtx)
 	select {
 	case err := <-finished:
 		return err
@@ -153,13 +153,13 @@
 	}
 }
 
-// serveClients accepts clients until accepting ends. The channel then receives the listener's error, once no
+// serveClients accepts clients until acceptCtx ends. The channel then receives the listener's error, once no
 // connection is left: those taken over from a predecessor were never accepted here, so that the listener doesn't
 // wait for them.
-func (d *Daemon) serveClients(ctx, accepting context.Context) (finished <-chan error) {
+func (d *Daemon) serveClients(ctx, acceptCtx context.Context) (finished <-chan error) {
 	result := make(chan error, 1)
 	d.goroutines.Go(func() {
-		err := transport.Serve(accepting, d.listener, d.descriptorBudget, d.frontend.Serve)
+		err := transport.Serve(acceptCtx, d.listener, d.descriptorBudget, d.frontend.Serve)
 		for d.frontend.ConnectionCount() > 0 && ctx.Err() == nil {
 			time.Sleep(connectionCheckInterval)
 		}
--- a/internal/daemon/disabled_store.go
+++ b/internal/daemon/disabled_store.go
@@ -32,12 +32,12 @@
 	wake              chan struct{}   // receives once there is something to save
 
 	mu                sync.Mutex // guards the fields below
-	loaded            bool       // what an earlier process saved is known
+	isLoaded          bool       // what an earlier process saved is known
 	changedBeforeLoad map[string]bool
-	changes           int           // the number of changes made
-	saved             int           // of those, the number that the file has
-	writing           bool          // a write is in progress
-	attempt           chan struct{} // closed at the end of the next attempt
+	changes           int           // how many changes were made
+	savedChanges      int           // how many of those need no save by this process any more
+	isWriting         bool          // a write is in progress
+	attemptEnded      chan struct{} // closed at the end of the attempt that is under way or comes next
 	failingSince      time.Time     // zero: the last attempt succeeded
 }
 
@@ -46,7 +46,7 @@
 		directory:         directory,
 		currentlyDisabled: currentlyDisabled,
 		changedBeforeLoad: map[string]bool{},
-		attempt:           make(chan struct{}),
+		attemptEnded:      make(chan struct{}),
 		wake:              make(chan struct{}, 1),
 	}
 }
@@ -55,7 +55,7 @@
 // earlier process saved.
 func (s *disabledStore) onChange(server string) {
 	s.mu.Lock()
-	if !s.loaded {
+	if !s.isLoaded {
 		s.changedBeforeLoad[server] = true
 	}
 	s.mu.Unlock()
@@ -77,18 +77,18 @@
 func (s *disabledStore) markLoaded() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.loaded = true
+	s.isLoaded = true
 }
 
 // release leaves the directory to the successor, after a write in progress.
 func (s *disabledStore) release(ctx context.Context) {
 	s.mu.Lock()
-	s.saved = s.changes
+	s.savedChanges = s.changes // what is unsaved is the successor's to save
 	s.failingSince = time.Time{}
-	writing, attempt := s.writing, s.attempt
+	isWriting, attemptEnded := s.isWriting, s.attemptEnded
 	s.mu.Unlock()
-	if writing {
-		waitFor(ctx, attempt, releaseTimeout)
+	if isWriting {
+		waitFor(ctx, attemptEnded, releaseTimeout)
 	}
 }
 
@@ -101,12 +101,12 @@
 	s.mu.Unlock()
 	for ctx.Err() == nil {
 		s.mu.Lock()
-		settled, attempt := s.saved >= changes || !s.failingSince.IsZero(), s.attempt
+		isSettled, attemptEnded := s.savedChanges >= changes || !s.failingSince.IsZero(), s.attemptEnded
 		s.mu.Unlock()
-		if settled {
+		if isSettled {
 			return
 		}
-		waitFor(ctx, attempt, saveTimeout)
+		waitFor(ctx, attemptEnded, saveTimeout)
 	}
 }
 
@@ -144,20 +144,20 @@
 	}
 	s.mu.Lock()
 	changes := s.changes
-	unsaved := changes > s.saved
-	s.writing = unsaved
+	hasUnsaved := changes > s.savedChanges
+	s.isWriting = hasUnsaved
 	s.mu.Unlock()
-	if !unsaved {
+	if !hasUnsaved {
 		s.recordResult(nil)
 		return true
 	}
 	err := s.directory.SaveDisabled(s.currentlyDisabled())
 	s.mu.Lock()
-	s.writing = false
+	s.isWriting = false
 	if err == nil {
-		s.saved = max(s.saved, changes)
+		s.savedChanges = max(s.savedChanges, changes)
 	}
-	done = s.saved >= s.changes
+	done = s.savedChanges >= s.changes
 	s.mu.Unlock()
 	s.recordResult(err)
 	return done
@@ -167,9 +167,9 @@
 // not read again.
 func (s *disabledStore) load(restore func(servers []string)) error {
 	s.mu.Lock()
-	loaded := s.loaded
+	isLoaded := s.isLoaded
 	s.mu.Unlock()
-	if loaded {
+	if isLoaded {
 		return nil
 	}
 	servers, err := s.directory.LoadDisabled()
@@ -180,7 +180,7 @@
 		return err
 	}
 	s.mu.Lock()
-	s.loaded = true
+	s.isLoaded = true
 	servers = slices.DeleteFunc(servers, func(server string) bool { return s.changedBeforeLoad[server] })
 	s.mu.Unlock()
 	if len(servers) > 0 {
@@ -201,8 +201,8 @@
 	} else if ends {
 		s.failingSince = time.Time{}
 	}
-	close(s.attempt)
-	s.attempt = make(chan struct{})
+	close(s.attemptEnded)
+	s.attemptEnded = make(chan struct{})
 	s.mu.Unlock()
 	switch {
 	case begins:
--- a/internal/daemon/listeners.go
+++ b/internal/daemon/listeners.go
@@ -39,32 +39,33 @@
 	return "see that no other program has the address, that this machine has it, and that descriptors are left on it"
 }
 
-// open opens what operators and clients reach, or takes it over from a predecessor, unless starting ends first.
-func (d *Daemon) open(ctx, starting context.Context) error {
-	opening, done := context.WithTimeout(starting, openTimeout)
-	defer done()
-	if err := d.openAdmin(ctx, opening); err != nil {
+// open opens what operators and clients reach, or takes it over from a predecessor, unless startCtx ends first. What
+// runs from then on ends with ctx.
+func (d *Daemon) open(ctx, startCtx context.Context) error {
+	openCtx, cancel := context.WithTimeout(startCtx, openTimeout)
+	defer cancel()
+	if err := d.openAdmin(ctx, openCtx); err != nil {
 		return err
 	}
-	received := d.receiveHandover(ctx, starting)
+	received := d.receiveHandover(ctx, startCtx)
 	defer received.closeFiles()
-	if starting.Err() != nil { // no client is sent here yet, and the predecessor takes back what it handed over
+	if startCtx.Err() != nil { // no client is sent here yet, and the predecessor takes back what it handed over
 		received.closeSockets()
 		return errStoppedBeforeServing
 	}
 	if err := d.openExplain(ctx, received.explainListener); err != nil {
 		return err
 	}
-	return d.openClients(opening, received.listener)
+	return d.openClients(openCtx, received.listener)
 }
 
 // openAdmin opens the address for operators, where one is configured, and takes their calls.
-func (d *Daemon) openAdmin(ctx, opening context.Context) error {
+func (d *Daemon) openAdmin(ctx, openCtx context.Context) error {
 	if d.adminAddress == "" {
 		return nil
 	}
 	var listener net.Listener
-	err := listenWithRetries(opening, "control", func() (err error) {
+	err := listenWithRetries(openCtx, "control", func() (err error) {
 		var config net.ListenConfig
 		listener, err = config.Listen(ctx, "tcp", d.adminAddress)
 		return err
@@ -94,13 +95,13 @@
 }
 
 // openClients opens the address for clients, unless the predecessor handed it over.
-func (d *Daemon) openClients(opening context.Context, received *transport.PausableListener) error {
+func (d *Daemon) openClients(openCtx context.Context, received *transport.PausableListener) error {
 	if d.listener = received; received != nil {
 		return nil
 	}
 	shared := d.adminAddress != "" // with a successor
 	// The address is a number: there is nothing to wait for.
-	return listenWithRetries(opening, "listen", func() (err error) { //nolint:contextcheck
+	return listenWithRetries(openCtx, "listen", func() (err error) { //nolint:contextcheck
 		d.listener, err = transport.ListenShared(d.listenAddress, shared)
 		return err
 	})
--- a/internal/daemon/process_state.go
+++ b/internal/daemon/process_state.go
@@ -4,8 +4,8 @@
 
 // processState is what explain says of the process.
 func (d *Daemon) processState() explain.Process {
-	d.changing.Lock()
-	defer d.changing.Unlock()
+	d.changeMu.Lock()
+	defer d.changeMu.Unlock()
 	state := explain.Process{Phase: string(d.lifecycle.current())}
 	switch {
 	case d.successor != nil:
--- a/internal/daemon/upgrade_predecessor.go
+++ b/internal/daemon/upgrade_predecessor.go
@@ -19,31 +19,32 @@
 
 // This process as the predecessor of one that takes over.
 
-// awaitSuccessors waits for processes that take over from this one, one after the other, beginning with the socket
-// that was opened or failed to. A directory that fails is retried: until it works no other process finds this one.
-func (d *Daemon) awaitSuccessors(ctx context.Context, listener *net.UnixListener, err error) {
+// awaitSuccessors waits for processes that take over from this one, one after the other, beginning with the result of
+// the first attempt to open the socket. A directory that fails is retried: until it works no other process finds this
+// one.
+func (d *Daemon) awaitSuccessors(ctx context.Context, listener *net.UnixListener, listenErr error) {
 	var accepting sync.WaitGroup
 	defer accepting.Wait()
-	closeCurrent := func() {}
-	defer func() { closeCurrent() }()
+	closeListener := func() {}
+	defer func() { closeListener() }()
 	backoff := retry.Backoff{First: firstStoreRetry, Longest: longestStoreRetry}
 	for failing := false; ; {
 		switch {
-		case err == nil:
+		case listenErr == nil:
 			failing = false
 			backoff.Reset()
-			closeCurrent() // not before the next one is there, so that a successor finds one of them at any time
-			closeCurrent = d.acceptSuccessors(ctx, listener, &accepting)
+			closeListener() // not before the next one is there, so that a successor finds one of them at any time
+			closeListener = d.acceptSuccessors(ctx, listener, &accepting)
 			select {
 			case <-ctx.Done():
 			case <-d.relisten:
 			}
-		case !retry.IsTransient(err) && !errors.Is(err, fs.ErrNotExist):
-			slog.Error("no hand-over to a successor", "error", err)
+		case !retry.IsTransient(listenErr) && !errors.Is(listenErr, fs.ErrNotExist):
+			slog.Error("no hand-over to a successor", "error", listenErr)
 			return
 		default:
 			if !failing {
-				slog.Warn("no hand-over to a successor for now", "error", err)
+				slog.Warn("no hand-over to a successor for now", "error", listenErr)
 			}
 			failing = true
 			_ = backoff.Wait(ctx) // fails as the context ends, which ends the loop
@@ -51,7 +52,7 @@
 		if ctx.Err() != nil {
 			return
 		}
-		listener, err = d.socket.Listen(ctx)
+		listener, listenErr = d.socket.Listen(ctx)
 	}
 }
 
@@ -74,36 +75,31 @@
 	linkCtx, endLink := context.WithCancel(ctx)
 	defer endLink()
 	var link *handover.Link
-	greeted := false
+	mayTakeOver := false
 	link = handover.NewLink(conn, nil, map[string]handover.Handler{
 		messageHello: func(_ context.Context, request handover.Request) (handover.Response, error) {
-			later, err := d.answerGreeting(request)
-			greeted = err == nil && !later
-			return handover.Response{Body: later}, err
+			mustWait, err := d.answerGreeting(request)
+			mayTakeOver = err == nil && !mustWait
+			return handover.Response{Body: mustWait}, err
 		},
-		messageGetState: func(ctx context.Context, _ handover.Request) (handover.Response, error) {
-			if !greeted {
+		messageGetState: func(linkCtx context.Context, _ handover.Request) (handover.Response, error) {
+			if !mayTakeOver {
 				return handover.Response{}, errors.New("no greeting")
 			}
-			return d.sendState(ctx, link)
+			return d.sendState(linkCtx, link)
 		},
 		messageServing: func(linkCtx context.Context, _ handover.Request) (handover.Response, error) {
-			if !d.isSuccessor(link) {
-				return handover.Response{}, errors.New("nothing was given")
-			}
-			d.releaseExplain()
-			d.goroutines.Go(func() { d.sendUsage(linkCtx, link) })
-			d.goroutines.Go(func() { d.sendConnections(ctx, linkCtx, link) })
-			return handover.Response{}, nil
+			return handover.Response{}, d.onSuccessorServing(ctx, linkCtx, link)
 		},
 		messageApplyChange: d.applyChange,
 	})
-	silent := time.AfterFunc(requestTimeout, func() { // a process that connects and then doesn't take over
+	// Ends the link to a process that connects and then doesn't take over.
+	takeOverDeadline := time.AfterFunc(requestTimeout, func() {
 		if !d.isSuccessor(link) {
 			link.Close()
 		}
 	})
-	defer silent.Stop()
+	defer takeOverDeadline.Stop()
 	if err := link.Run(linkCtx); err != nil {
 		slog.Warn("hand-over link failed", "error", err)
 	}
@@ -111,8 +107,8 @@
 	d.onSuccessorGone(ctx, link)
 }
 
-// answerGreeting reports whether a process may take over from this one; later: not yet.
-func (d *Daemon) answerGreeting(request handover.Request) (later bool, err error) {
+// answerGreeting returns an error if a process can't take over from this one; mustWait says that it can't yet.
+func (d *Daemon) answerGreeting(request handover.Request) (mustWait bool, err error) {
 	var hello handover.Hello
 	if err := json.Unmarshal(request.Body, &hello); err != nil {
 		return false, fmt.Errorf("decode a greeting: %w", err)
@@ -120,16 +116,16 @@
 	if hello.Version != handover.Version || hello.Listen != d.listenAddress {
 		return false, fmt.Errorf("version %d for %s here, not %d for %s", handover.Version, d.listenAddress, hello.Version, hello.Listen)
 	}
-	d.changing.Lock()
-	defer d.changing.Unlock()
+	d.changeMu.Lock()
+	defer d.changeMu.Unlock()
 	return d.predecessor != nil || d.successor != nil || d.lifecycle.current() == shuttingDown, nil
 }
 
 // sendState stops accepting clients and hands over all that makes both processes one balancer. Until the link ends
 // the successor decides.
 func (d *Daemon) sendState(ctx context.Context, link *handover.Link) (handover.Response, error) {
-	d.changing.Lock()
-	defer d.changing.Unlock()
+	d.changeMu.Lock()
+	defer d.changeMu.Unlock()
 	if d.predecessor != nil || d.successor != nil {
 		return handover.Response{}, errors.New("another process has it")
 	}
@@ -174,16 +170,16 @@
 
 // isSuccessor reports whether the process at the other end has taken over.
 func (d *Daemon) isSuccessor(link *handover.Link) bool {
-	d.changing.Lock()
-	defer d.changing.Unlock()
+	d.changeMu.Lock()
+	defer d.changeMu.Unlock()
 	return d.successor == link
 }
 
 // onSuccessorGone handles that a process that took over, or began to, has ended: this one serves again, with the
 // changes made since. A process that is shutting down by then continues to.
 func (d *Daemon) onSuccessorGone(ctx context.Context, link *handover.Link) {
-	d.changing.Lock()
-	defer d.changing.Unlock()
+	d.changeMu.Lock()
+	defer d.changeMu.Unlock()
 	if d.successor != link {
 		return
 	}
@@ -203,6 +199,18 @@
 	}
 }
 
+// onSuccessorServing handles that the process that took over serves: this one hands over what it still has. The
+// transfers distinguish the end of the link from that of this process.
+func (d *Daemon) onSuccessorServing(processCtx, linkCtx context.Context, link *handover.Link) error {
+	if !d.isSuccessor(link) {
+		return errors.New("nothing was given")
+	}
+	d.releaseExplain()
+	d.goroutines.Go(func() { d.sendUsage(linkCtx, link) })
+	d.goroutines.Go(func() { d.sendConnections(processCtx, linkCtx, link) })
+	return nil
+}
+
 // releaseExplain closes the socket for explain, on which the successor answers from now on: each question reaches
 // only one of the processes.
 func (d *Daemon) releaseExplain() {
@@ -218,8 +226,8 @@
 	if err := json.Unmarshal(request.Body, &change); err != nil {
 		return handover.Response{}, fmt.Errorf("decode a change: %w", err)
 	}
-	d.changing.Lock()
-	defer d.changing.Unlock()
+	d.changeMu.Lock()
+	defer d.changeMu.Unlock()
 	switch change.Kind {
 	case handover.Offline:
 		d.router.DisableAll([]string{change.Server})
--- a/internal/daemon/upgrade_requests.go
+++ b/internal/daemon/upgrade_requests.go
@@ -28,11 +28,11 @@
 	case <-ctx.Done():
 		return handover.Response{}, errors.New("not ready")
 	}
-	d.changing.Lock()
+	d.changeMu.Lock()
 	// The predecessor applies the change before it reads this reply, as messages keep their order: there is
 	// nothing to wait for.
 	_, err := d.decideChange(ctx, change)
-	d.changing.Unlock()
+	d.changeMu.Unlock()
 	if errors.Is(err, admin.ErrUnknown) {
 		return handover.Response{Body: true}, nil
 	}
@@ -55,8 +55,8 @@
 	if err := json.Unmarshal(request.Body, &count); err != nil || count < 0 {
 		return handover.Response{}, errors.New("no count")
 	}
-	d.changing.Lock()
-	defer d.changing.Unlock()
+	d.changeMu.Lock()
+	defer d.changeMu.Unlock()
 	if d.predecessor != nil {
 		d.descriptorBudget.SetLent(count)
 	}
--- a/internal/daemon/upgrade_successor.go
+++ b/internal/daemon/upgrade_successor.go
@@ -21,26 +21,28 @@
 var errNotYet = errors.New("the process that serves is itself new, or ends")
 
 // receiveHandover takes over from the process that serves, if there is one that hands over. Whatever goes wrong,
-// this process starts alone and the other one keeps serving. It waits no longer than takeOverTimeout in all, nor
-// once starting ends.
-func (d *Daemon) receiveHandover(ctx, starting context.Context) *inheritance {
+// this process starts alone and the other one keeps serving. The link to that process lasts as long as ctx; the
+// waits end with startCtx, and after takeOverTimeout in all.
+func (d *Daemon) receiveHandover(ctx, startCtx context.Context) *inheritance {
 	if d.directory == nil {
 		return &inheritance{}
 	}
-	received := d.takeOverIfPossible(ctx, starting)
+	received := d.takeOverOrStartAlone(ctx, startCtx)
 	d.goroutines.Go(func() { d.disabled.run(ctx, d.router.DisableAll) })
 	return received
 }
 
-func (d *Daemon) takeOverIfPossible(ctx, starting context.Context) *inheritance {
-	waiting, done := context.WithTimeout(starting, takeOverTimeout)
-	defer done()
-	link, err := d.awaitPredecessor(ctx, waiting)
+// takeOverOrStartAlone knows the disabled servers as it returns: from the predecessor, or as an earlier process saved
+// them.
+func (d *Daemon) takeOverOrStartAlone(ctx, startCtx context.Context) *inheritance {
+	takeOverCtx, cancel := context.WithTimeout(startCtx, takeOverTimeout)
+	defer cancel()
+	link, err := d.awaitPredecessor(ctx, takeOverCtx)
 	switch {
 	case err != nil:
 		slog.Warn("no hand-over from the process that serves", "error", err)
 	case link != nil:
-		received, err := d.takeOver(waiting, link)
+		received, err := d.takeOver(takeOverCtx, link)
 		if err == nil {
 			return received
 		}
@@ -48,14 +50,14 @@
 		slog.Warn("hand-over failed, starting alone", "error", err)
 	}
 	d.directory.RemoveUnfinished()
-	d.restoreDisabled(starting)
+	d.restoreDisabled(startCtx)
 	return &inheritance{}
 }
 
 // awaitPredecessor greets the process that serves until it is ready to hand over; the link is nil where there is none.
-func (d *Daemon) awaitPredecessor(ctx, waiting context.Context) (*handover.Link, error) {
+func (d *Daemon) awaitPredecessor(ctx, takeOverCtx context.Context) (*handover.Link, error) {
 	for start := time.Now(); ; {
-		link, err := d.connectPredecessor(ctx, waiting)
+		link, err := d.connectPredecessor(ctx, takeOverCtx)
 		// An error of the machine may pass: two processes that each count as alone would exceed the limits of one
 		// balancer.
 		mayPass := retry.IsTransient(err) && time.Since(start) < findTimeout
@@ -63,7 +65,7 @@
 			return link, err
 		}
 		select {
-		case <-waiting.Done():
+		case <-takeOverCtx.Done():
 			return nil, err
 		case <-time.After(retryInterval):
 		}
@@ -72,9 +74,9 @@
 
 // restoreDisabled disables the servers that an earlier process saved as disabled. It waits for a directory that
 // can't be read, as clients would be sent to these servers meanwhile; not for one that doesn't exist.
-func (d *Daemon) restoreDisabled(starting context.Context) {
-	ctx, done := context.WithTimeout(starting, loadTimeout)
-	defer done()
+func (d *Daemon) restoreDisabled(startCtx context.Context) {
+	ctx, cancel := context.WithTimeout(startCtx, loadTimeout)
+	defer cancel()
 	backoff := retry.Backoff{First: firstStoreRetry, Longest: longestStoreRetry}
 	for {
 		err := d.disabled.load(d.router.DisableAll)
@@ -86,9 +88,9 @@
 }
 
 // connectPredecessor connects to the process that serves and greets it; the link is nil where there is none. The
-// link ends with ctx, the greeting with waiting.
-func (d *Daemon) connectPredecessor(ctx, waiting context.Context) (*handover.Link, error) {
-	conn, err := d.socket.Connect(waiting)
+// link ends with ctx, the greeting with takeOverCtx.
+func (d *Daemon) connectPredecessor(ctx, takeOverCtx context.Context) (*handover.Link, error) {
+	conn, err := d.socket.Connect(takeOverCtx)
 	if conn == nil || err != nil {
 		return nil, err
 	}
@@ -105,7 +107,7 @@
 		}
 		d.onPredecessorGone(link)
 	})
-	if err := d.greetPredecessor(waiting, link); err != nil {
+	if err := d.greetPredecessor(takeOverCtx, link); err != nil {
 		link.Close()
 		return nil, err
 	}
@@ -116,12 +118,12 @@
 func (d *Daemon) greetPredecessor(ctx context.Context, link *handover.Link) error {
 	ctx, done := context.WithTimeout(ctx, requestTimeout)
 	defer done()
-	var later bool
+	var mustWait bool
 	hello := handover.Hello{Version: handover.Version, Listen: d.listenAddress}
-	if _, err := link.Request(messageHello, hello).Wait(ctx, &later); err != nil {
+	if _, err := link.Request(messageHello, hello).Wait(ctx, &mustWait); err != nil {
 		return fmt.Errorf("greet the process that serves: %w", err)
 	}
-	if later {
+	if mustWait {
 		return errNotYet
 	}
 	return nil
@@ -145,8 +147,8 @@
 		return nil, err
 	}
 	d.restore(state)
-	d.changing.Lock()
-	defer d.changing.Unlock()
+	d.changeMu.Lock()
+	defer d.changeMu.Unlock()
 	d.predecessor = link
 	if state.OutOfService {
 		d.lifecycle.setOutOfServiceSince(time.Now().Add(-state.DrainingFor))
@@ -203,13 +205,13 @@
 }
 
 // startServing begins to serve. From the notice to the predecessor on this process decides on changes for both;
-// the reply is awaited while starting lasts.
-func (d *Daemon) startServing(ctx, starting context.Context) {
-	d.changing.Lock()
+// the reply is awaited while startCtx lasts.
+func (d *Daemon) startServing(ctx, startCtx context.Context) {
+	d.changeMu.Lock()
 	link := d.predecessor
-	d.changing.Unlock() // the predecessor's messages need it meanwhile
+	d.changeMu.Unlock() // the predecessor's messages need it meanwhile
 	if link != nil {
-		d.releasePredecessor(starting, link)
+		d.releasePredecessor(startCtx, link)
 	}
 	if d.socket == nil {
 		d.lifecycle.transition(ctx, d.lifecycle.phaseWithoutSuccessor())
@@ -235,8 +237,8 @@
 
 // onPredecessorGone handles that a predecessor has ended.
 func (d *Daemon) onPredecessorGone(link *handover.Link) {
-	d.changing.Lock()
-	defer d.changing.Unlock()
+	d.changeMu.Lock()
+	defer d.changeMu.Unlock()
 	if d.predecessor == link {
 		d.predecessor = nil
 		d.descriptorBudget.SetLent(0)
--- a/internal/daemon/upgrade_test.go
+++ b/internal/daemon/upgrade_test.go
@@ -59,8 +59,8 @@
 }
 
 func (h *harness) hasPredecessor() bool {
-	h.daemon.changing.Lock()
-	defer h.daemon.changing.Unlock()
+	h.daemon.changeMu.Lock()
+	defer h.daemon.changeMu.Unlock()
 	return h.daemon.predecessor != nil
 }
 
--- a/internal/handover/link.go
+++ b/internal/handover/link.go
@@ -50,7 +50,7 @@
 	orderedHandlers map[string]Handler
 	gone            chan struct{} // closed as Run returns
 
-	writing sync.Mutex // one frame is written at a time
+	writeMu sync.Mutex // one frame is written at a time
 
 	mu         sync.Mutex // guards the fields below
 	lastNumber uint64
@@ -267,8 +267,8 @@
 	if err != nil {
 		return err
 	}
-	l.writing.Lock()
-	defer l.writing.Unlock()
+	l.writeMu.Lock()
+	defer l.writeMu.Unlock()
 	if err := l.conn.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return err
 	}
