--- a/internal/protocol/races_test.go
+++ b/internal/protocol/races_test.go
@@ -160,7 +160,10 @@
 	for i := range clients {
 		leave(b.client(withID(fmt.Sprint("q", i))))
 	}
+	last := b.client("PING\r\n") // behind them in the queue: its answer shows that all of them were accepted
 	b.serve()
+	last.want("PONG")
+	last.close()
 	b.waitForFree(allDescriptors)
 	b.client(withID("9f"))
 	wantNextFlow(t, l)
