--- a/cmd/yardwinch/main.go
+++ b/cmd/yardwinch/main.go
@@ -80,7 +80,8 @@
 	return err
 }
 
-// usageError is an error of what the operator gave, with its exit code.
+// usageError is an error of what the operator gave, with its exit code. Run of the command prints it and exits: main
+// never sees it.
 func usageError(err error) error {
 	return cli.Exit(fmt.Sprint("yardwinch: ", err), exitFaultyConfiguration)
 }
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -75,8 +75,8 @@
 		"in-service":     balancer.InService,
 	} {
 		mux.HandleFunc("POST /control/"+call, func(w http.ResponseWriter, r *http.Request) {
-			ctx, done := context.WithTimeout(r.Context(), decisionTimeout)
-			defer done()
+			ctx, cancel := context.WithTimeout(r.Context(), decisionTimeout)
+			defer cancel()
 			answer(w, change(ctx), call)
 		})
 	}
@@ -85,8 +85,8 @@
 		"online":  balancer.Online,
 	} {
 		mux.HandleFunc("POST /control/servers/{id}/"+call, func(w http.ResponseWriter, r *http.Request) {
-			ctx, done := context.WithTimeout(r.Context(), decisionTimeout)
-			defer done()
+			ctx, cancel := context.WithTimeout(r.Context(), decisionTimeout)
+			defer cancel()
 			answer(w, change(ctx, r.PathValue("id")), call)
 		})
 	}
--- a/internal/daemon/admin_calls.go
+++ b/internal/daemon/admin_calls.go
@@ -55,8 +55,8 @@
 // requestChange has a change decided by the process that serves, this one or its successor, and returns when both
 // have made it.
 func (d *Daemon) requestChange(ctx context.Context, change handover.Change) error {
-	ctx, done := context.WithTimeout(ctx, callTimeout)
-	defer done()
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+	defer cancel()
 	select {
 	case <-d.lifecycle.started:
 	case <-ctx.Done():
--- a/internal/daemon/configure.go
+++ b/internal/daemon/configure.go
@@ -170,8 +170,8 @@
 }
 
 func prepareWithRetries(ctx context.Context, source Source) (d *Daemon, err error) {
-	reading, done := context.WithTimeout(ctx, readTimeout)
-	defer done()
+	reading, cancel := context.WithTimeout(ctx, readTimeout)
+	defer cancel()
 	backoff := retry.Backoff{First: firstReloadRetry, Longest: longestReloadRetry}
 	err = retry.Do(reading, backoff, func(err error) {
 		slog.Warn("configuration not read yet", "error", err)
--- a/internal/daemon/disabled_store.go
+++ b/internal/daemon/disabled_store.go
@@ -94,8 +94,8 @@
 
 // awaitSaved waits until the changes made so far are saved, the directory is known to fail, or the time for it is over.
 func (s *disabledStore) awaitSaved(ctx context.Context) {
-	ctx, done := context.WithTimeout(ctx, saveTimeout)
-	defer done()
+	ctx, cancel := context.WithTimeout(ctx, saveTimeout)
+	defer cancel()
 	s.mu.Lock()
 	changes := s.changes
 	s.mu.Unlock()
--- a/internal/daemon/gossip.go
+++ b/internal/daemon/gossip.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	publishInterval   = 250 * time.Millisecond
-	fullStateInterval = 8 // in publishInterval: how often the full state for members that ask is written anew
+	publishInterval       = 250 * time.Millisecond
+	publishesPerFullState = 8 // between two writes of the full state for members that ask
 
 	// leaseDuration is how long a balancer that publishes nothing keeps a task: three records of a small fleet.
 	leaseDuration = 6 * time.Second
@@ -78,7 +78,7 @@
 			return
 		case <-ticker.C:
 			g.publish()
-			if n%fullStateInterval == 0 {
+			if n%publishesPerFullState == 0 {
 				g.updateFullState()
 			}
 		}
@@ -88,14 +88,7 @@
 // publish sends this balancer's record if one is due.
 func (g *gossip) publish() {
 	fleetSize := g.group.AliveCount()
-	var holders []lease.Member
-	var reporters []signals.Origin
-	for _, member := range g.group.Members() {
-		if member.State == membership.Alive {
-			holders = append(holders, lease.Member{Name: lease.Holder(member.Name), Weight: 1, Since: member.Since})
-			reporters = append(reporters, signals.Origin(member.Name))
-		}
-	}
+	holders, reporters := g.aliveMembers()
 	var record signals.Record
 	var due bool
 	g.router.WithLock(func() {
@@ -116,6 +109,17 @@
 	g.group.Publish(string(record.Origin), message)
 }
 
+// aliveMembers are the members that may hold leases, and the same as reporters of signals.
+func (g *gossip) aliveMembers() (holders []lease.Member, reporters []signals.Origin) {
+	for _, member := range g.group.Members() {
+		if member.State == membership.Alive {
+			holders = append(holders, lease.Member{Name: lease.Holder(member.Name), Weight: 1, Since: member.Since})
+			reporters = append(reporters, signals.Origin(member.Name))
+		}
+	}
+	return holders, reporters
+}
+
 // OnMessage merges a member's message. If it is new it is passed on: that is how gossip spreads.
 func (g *gossip) OnMessage(message []byte) {
 	if origin, isNew := g.merge(message); isNew {
@@ -133,7 +137,7 @@
 	g.router.WithLock(func() {
 		isNew = g.signals.Merge(record)
 		if isNew && g.leases != nil {
-			g.takeLoads(record)
+			g.applyLoadReports(record)
 		}
 	})
 	return record.Origin, isNew
@@ -153,9 +157,9 @@
 	return reason
 }
 
-// takeLoads records the loads that servers reported to the member that checks them for all. The caller holds the
-// router's lock.
-func (g *gossip) takeLoads(record signals.Record) {
+// applyLoadReports applies the loads that servers reported to the member that checks them for all. The caller holds
+// the router's lock.
+func (g *gossip) applyLoadReports(record signals.Record) {
 	now := g.router.Now()
 	g.signals.Relay(func() {
 		for _, report := range record.LoadReports {
--- a/internal/daemon/listeners.go
+++ b/internal/daemon/listeners.go
@@ -99,10 +99,10 @@
 	if d.listener = received; received != nil {
 		return nil
 	}
-	shared := d.adminAddress != "" // with a successor
+	isShared := d.adminAddress != "" // with a successor
 	// The address is a number: there is nothing to wait for.
 	return listenWithRetries(openCtx, "listen", func() (err error) { //nolint:contextcheck
-		d.listener, err = transport.ListenShared(d.listenAddress, shared)
+		d.listener, err = transport.Listen(d.listenAddress, isShared)
 		return err
 	})
 }
--- a/internal/daemon/upgrade.go
+++ b/internal/daemon/upgrade.go
@@ -41,9 +41,9 @@
 
 // inheritance is what a predecessor handed over; empty where there is none.
 type inheritance struct {
-	listener        *transport.PausableListener
-	explainListener net.Listener
-	files           []*os.File
+	listener        *transport.PausableListener // for clients
+	explainListener net.Listener                // nil: none came, or none is configured here
+	files           []*os.File                  // the descriptors as they came
 }
 
 // closeFiles closes the descriptors that came, of which each user has a copy by now.
--- a/internal/daemon/upgrade_predecessor.go
+++ b/internal/daemon/upgrade_predecessor.go
@@ -162,8 +162,8 @@
 
 // claimID asks the successor for an id. Without a reply in time the id counts as free, as far as this process knows.
 func claimID(ctx context.Context, link *handover.Link, hash uint64) (taken bool) {
-	ctx, done := context.WithTimeout(ctx, claimTimeout)
-	defer done()
+	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
+	defer cancel()
 	_, err := link.Request(messageClaimID, hash).Wait(ctx, &taken)
 	return err == nil && taken
 }
--- a/internal/daemon/upgrade_requests.go
+++ b/internal/daemon/upgrade_requests.go
@@ -21,8 +21,8 @@
 	if err := json.Unmarshal(request.Body, &change); err != nil {
 		return handover.Response{}, fmt.Errorf("decode a change: %w", err)
 	}
-	ctx, done := context.WithTimeout(ctx, callTimeout)
-	defer done()
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+	defer cancel()
 	select {
 	case <-d.lifecycle.started:
 	case <-ctx.Done():
--- a/internal/daemon/upgrade_successor.go
+++ b/internal/daemon/upgrade_successor.go
@@ -116,8 +116,8 @@
 
 // greetPredecessor asks whether this process may take over.
 func (d *Daemon) greetPredecessor(ctx context.Context, link *handover.Link) error {
-	ctx, done := context.WithTimeout(ctx, requestTimeout)
-	defer done()
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
+	defer cancel()
 	var mustWait bool
 	hello := handover.Hello{Version: handover.Version, Listen: d.listenAddress}
 	if _, err := link.Request(messageHello, hello).Wait(ctx, &mustWait); err != nil {
@@ -131,8 +131,8 @@
 
 // takeOver receives the state and the sockets. If either is not complete and valid, nothing changes.
 func (d *Daemon) takeOver(ctx context.Context, link *handover.Link) (*inheritance, error) {
-	ctx, done := context.WithTimeout(ctx, requestTimeout)
-	defer done()
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
+	defer cancel()
 	var state handover.State
 	files, err := link.Request(messageGetState, nil).Wait(ctx, &state)
 	received := &inheritance{files: files}
@@ -225,8 +225,8 @@
 
 // releasePredecessor tells the predecessor that this process serves.
 func (d *Daemon) releasePredecessor(ctx context.Context, link *handover.Link) {
-	ctx, done := context.WithTimeout(ctx, requestTimeout)
-	defer done()
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
+	defer cancel()
 	if _, err := link.Request(messageServing, nil).Wait(ctx, nil); err != nil {
 		link.Close() // it serves again, or is gone; either way the state that it handed over remains right
 		<-link.Gone()
--- a/internal/protocol/flowids.go
+++ b/internal/protocol/flowids.go
@@ -18,7 +18,7 @@
 // second time and the first flow goes on: each connection brings a new id, so that a client with the id of a flow that
 // ended a short while ago has read it from another client.
 type flowIDs struct {
-	mu sync.Mutex
+	mu sync.Mutex // guards the fields below
 	// key goes into the hashes: clients choose their ids, and must not choose which ones share a hash.
 	key     []byte
 	taken   map[uint64]struct{}
@@ -40,14 +40,14 @@
 }
 
 // claim takes an id for a flow, until end. It reports whether it was free.
-func (ids *flowIDs) claim(id string) bool {
+func (ids *flowIDs) claim(id string) (wasFree bool) {
 	ids.mu.Lock()
 	hash := ids.hash(id)
 	isTakenElsewhere := ids.isTakenElsewhere
-	isFree := ids.take(hash)
+	wasFree = ids.take(hash)
 	ids.mu.Unlock()
-	if !isFree || isTakenElsewhere == nil || !isTakenElsewhere(hash) {
-		return isFree
+	if !wasFree || isTakenElsewhere == nil || !isTakenElsewhere(hash) {
+		return wasFree
 	}
 	ids.mu.Lock()
 	defer ids.mu.Unlock()
@@ -55,7 +55,8 @@
 	return false
 }
 
-// claimHash takes an id for a flow of the other process. It reports whether it was taken already.
+// claimHash takes an id for a flow of the other process. Unlike claim it reports whether it was taken already, as the
+// reply to that process does.
 func (ids *flowIDs) claimHash(hash uint64) (wasTaken bool) {
 	ids.mu.Lock()
 	defer ids.mu.Unlock()
@@ -77,7 +78,7 @@
 }
 
 // take reports whether an id was free; the mutex is held.
-func (ids *flowIDs) take(hash uint64) bool {
+func (ids *flowIDs) take(hash uint64) (wasFree bool) {
 	if _, ok := ids.taken[hash]; ok {
 		return false
 	}
@@ -120,7 +121,7 @@
 }
 
 // ClaimID takes an id for a flow and reports whether it was free.
-func (f *Frontend) ClaimID(id string) bool { return f.ids.claim(id) }
+func (f *Frontend) ClaimID(id string) (wasFree bool) { return f.ids.claim(id) }
 
 // ShareIDs returns the ids that are taken, as hashes under a key, for another process that takes them over. From
 // then on that process is asked for each new id; nil ends this.
@@ -132,4 +133,4 @@
 func (f *Frontend) ImportIDs(key, ids []byte) { f.ids.adopt(key, ids) }
 
 // ClaimHash takes an id for a flow of the other process, and reports whether it was taken already.
-func (f *Frontend) ClaimHash(hash uint64) (taken bool) { return f.ids.claimHash(hash) }
+func (f *Frontend) ClaimHash(hash uint64) (wasTaken bool) { return f.ids.claimHash(hash) }
--- a/internal/protocol/frontend.go
+++ b/internal/protocol/frontend.go
@@ -53,7 +53,7 @@
 	outOfService atomic.Bool // PING is answered by BUSY
 	rejectsAll   atomic.Bool // new flows are answered by BUSY too
 
-	mu                 sync.Mutex
+	mu                 sync.Mutex   // guards the fields below
 	connectionCount    int          // sessions that have not ended
 	established        []*session   // those not yet asked to migrate
 	transferConnection TransferFunc // nil: there is no other process
--- a/internal/protocol/relay.go
+++ b/internal/protocol/relay.go
@@ -18,9 +18,9 @@
 // the end of.
 const endTimeout = 800 * time.Millisecond
 
-// readClient reads the client's side: before the connection is established only to notice that the client left, then to
-// relay its lines. clientGone ends the session's attempts.
-func (s *session) readClient(clientGone context.CancelCauseFunc) {
+// readClient reads the client's side: before the connection is established only to notice that the client left or spoke
+// too early, then to relay its lines. endAttempts ends the session's attempts, and says why.
+func (s *session) readClient(endAttempts context.CancelCauseFunc) {
 	defer close(s.clientDone)
 	err := s.client.WaitReadable()
 	switch {
@@ -29,14 +29,14 @@
 		return
 	case err != nil:
 		s.clientEnded.Store(true)
-		clientGone(errClientLeft)
+		endAttempts(errClientLeft)
 		<-s.settled
 		if s.server != nil {
 			s.forwardClientEnd(err)
 		}
 		return
 	case !s.isAnswered.Load():
-		clientGone(errSpokeBeforeAnswer) // what it says would go to the server as its first lines
+		endAttempts(errSpokeBeforeAnswer) // what it says would go to the server as its first lines
 	}
 	<-s.settled
 	if s.server == nil {
--- a/internal/protocol/session.go
+++ b/internal/protocol/session.go
@@ -97,12 +97,12 @@
 	if resumeAddr != "" {
 		timeout = resumeTimeout
 	}
-	clientContext, clientGone := context.WithCancelCause(s.frontend.stopping)
-	defer clientGone(nil)
+	clientContext, endAttempts := context.WithCancelCause(s.frontend.stopping)
+	defer endAttempts(nil)
 	ctx, cancel := context.WithTimeout(clientContext, timeout+answerMargin)
 	defer cancel()
 	s.clientDone = make(chan struct{})
-	go s.readClient(clientGone)
+	go s.readClient(endAttempts)
 	if resumeAddr != "" {
 		s.resume(ctx, resumeAddr)
 	} else {
--- a/internal/protocol/transfer.go
+++ b/internal/protocol/transfer.go
@@ -119,6 +119,7 @@
 	transfer := s.frontend.transferConnection
 	s.frontend.mu.Unlock()
 	serverName, isMigrating := s.flow.Server()
+	// The client's side has ended, or the server is about to end its own.
 	isEnding := !s.isParked || s.serverAnnouncedEnd()
 	if !isEnding && !isMigrating && transfer != nil && s.transfer(transfer, serverName) {
 		s.release()
--- a/internal/transport/budget.go
+++ b/internal/transport/budget.go
@@ -37,7 +37,7 @@
 	reservedForClients int
 	freed              chan struct{} // signalled when a descriptor may have become free
 
-	mu         sync.Mutex
+	mu         sync.Mutex // guards the fields below
 	free       int
 	lent       int       // used by another process
 	unfinished int       // connections that have not had their last line
@@ -71,12 +71,12 @@
 	b.signalFreed()
 }
 
-// MaxInUse is how many descriptors, of all there are, may come to be in use if no client is admitted any more: a
+// MaxInUse is how many descriptors, of the budget's size, may come to be in use if no client is admitted any more: a
 // client whose line is still to come has one, and needs another for its server.
-func (b *DescriptorBudget) MaxInUse(all int) int {
+func (b *DescriptorBudget) MaxInUse(size int) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return all - b.free - b.lent + b.idle.Len()
+	return size - b.free - b.lent + b.idle.Len()
 }
 
 // Unfinished is how many connections have not had their last line.
--- a/internal/transport/dial.go
+++ b/internal/transport/dial.go
@@ -31,7 +31,7 @@
 // Dialer connects to servers. The zero value dials by the system.
 type Dialer struct {
 	// Connect makes one connection; nil: the system does.
-	Connect func(ctx context.Context, by *net.Dialer, addr string) (net.Conn, error)
+	Connect func(ctx context.Context, dialer *net.Dialer, addr string) (net.Conn, error)
 }
 
 // Dial connects to a server; its descriptor is part of what the flow's client acquired. isWanted is the last
@@ -39,16 +39,16 @@
 // needed. A dial that fails for lack of local resources never left this machine, and is retried for a while. The
 // errors are ErrNoLongerWanted, ErrLocalResources, the context's, and the network's.
 func (d Dialer) Dial(ctx context.Context, addr string, timeout time.Duration, isWanted func() bool) (*Conn, error) {
-	by := net.Dialer{Timeout: timeout, KeepAlive: -1} // keep-alive notices nothing that the lines don't
+	dialer := net.Dialer{Timeout: timeout, KeepAlive: -1} // keep-alive notices nothing that the lines don't
 	if isWanted != nil {
-		by.Control = func(_, _ string, _ syscall.RawConn) error {
+		dialer.Control = func(_, _ string, _ syscall.RawConn) error {
 			if !isWanted() {
 				return ErrNoLongerWanted
 			}
 			return nil
 		}
 	}
-	raw, err := d.connectWithRetries(ctx, &by, addr, time.Now().Add(min(timeout, localRetryTimeout)))
+	raw, err := d.connectWithRetries(ctx, &dialer, addr, time.Now().Add(min(timeout, localRetryTimeout)))
 	if isLocalError(err) {
 		return nil, fmt.Errorf("dial: %w: %w", ErrLocalResources, err)
 	}
@@ -59,22 +59,22 @@
 }
 
 func (d Dialer) connectWithRetries(
-	ctx context.Context, by *net.Dialer, addr string, deadline time.Time,
+	ctx context.Context, dialer *net.Dialer, addr string, deadline time.Time,
 ) (net.Conn, error) {
 	backoff := retry.Backoff{First: firstLocalRetry, Longest: longestLocalRetry}
 	for {
-		raw, err := d.connect(ctx, by, addr)
+		raw, err := d.connect(ctx, dialer, addr)
 		if !isLocalError(err) || time.Now().After(deadline) || backoff.Wait(ctx) != nil {
 			return raw, err
 		}
 	}
 }
 
-func (d Dialer) connect(ctx context.Context, by *net.Dialer, addr string) (net.Conn, error) {
+func (d Dialer) connect(ctx context.Context, dialer *net.Dialer, addr string) (net.Conn, error) {
 	if d.Connect != nil {
-		return d.Connect(ctx, by, addr)
+		return d.Connect(ctx, dialer, addr)
 	}
-	return by.DialContext(ctx, "tcp", addr)
+	return dialer.DialContext(ctx, "tcp", addr)
 }
 
 // isLocalError reports whether a dial failed before anything of it could leave this machine.
--- a/internal/transport/dial_test.go
+++ b/internal/transport/dial_test.go
@@ -36,7 +36,7 @@
 
 // An idle connection costs nothing: the kernel probes neither side of a relay.
 func TestNoKeepAlive(t *testing.T) {
-	l, err := ListenShared("127.0.0.1:0", false)
+	l, err := Listen("127.0.0.1:0", false)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/transport/listener.go
+++ b/internal/transport/listener.go
@@ -38,7 +38,7 @@
 	finishOnce sync.Once
 	finishing  chan struct{} // closed by Finish
 
-	mu            sync.Mutex
+	mu            sync.Mutex    // guards the fields below
 	resumed       chan struct{} // closed unless it is paused
 	queueCheckEnd time.Time     // when the queue counts as empty in any case
 }
@@ -50,8 +50,8 @@
 	return p
 }
 
-// ListenShared listens on an address. isShared says that another process of this user's may listen there as well.
-func ListenShared(addr string, isShared bool) (*PausableListener, error) {
+// Listen listens on an address. isShared says that another process of this user's may listen there as well.
+func Listen(addr string, isShared bool) (*PausableListener, error) {
 	// As in Dial: each of tens of thousands of idle connections would be probed.
 	config := net.ListenConfig{KeepAlive: -1}
 	if isShared {
--- a/internal/transport/serve_test.go
+++ b/internal/transport/serve_test.go
@@ -62,7 +62,7 @@
 
 func clientsWhileListenerCloses(t *testing.T) {
 	const clients = 8
-	l, err := ListenShared("127.0.0.1:0", false)
+	l, err := Listen("127.0.0.1:0", false)
 	if err != nil {
 		t.Fatal(err)
 	}
