--- a/internal/daemon/configure.go
+++ b/internal/daemon/configure.go
@@ -59,7 +59,8 @@
 	}
 }
 
-// prepare reads a configuration, and opens nothing. An error names the key at fault.
+// prepare reads a configuration, and opens and starts nothing: a reload only takes from the result what can change. An
+// error names the key at fault.
 func prepare(ctx context.Context, source Source) (*Daemon, error) {
 	d := newDaemon(source)
 	values, cachedList, err := config.Load(source.ConfigPath, source.Environment)
@@ -162,7 +163,7 @@
 	d.setMemoryGoal(oneProcess)
 	d.gossip = newGossip(d.options, d.router)
 	d.reserveDescriptors()
-	d.descriptorBudget = transport.NewDescriptorBudget(d.descriptorLimit-d.reservedDescriptors, protocol.BusyReply)
+	d.descriptorBudget = transport.NewDescriptorBudget(d.connectionDescriptors(), protocol.BusyReply)
 	if d.adminAddress != "" {
 		d.useDirectory(source.Environment("TMPDIR"))
 	}
@@ -170,10 +171,10 @@
 }
 
 func prepareWithRetries(ctx context.Context, source Source) (d *Daemon, err error) {
-	reading, cancel := context.WithTimeout(ctx, readTimeout)
+	readCtx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	backoff := retry.Backoff{First: firstReloadRetry, Longest: longestReloadRetry}
-	err = retry.Do(reading, backoff, func(err error) {
+	err = retry.Do(readCtx, backoff, func(err error) {
 		slog.Warn("configuration not read yet", "error", err)
 	}, func() (err error) {
 		d, err = prepare(ctx, source)
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -77,7 +77,7 @@
 // Run is the process from its start to its end: SIGTERM, SIGINT and the end of the context shut it down, SIGHUP
 // reloads the configuration. A configuration that can't be served is ErrConfiguration.
 func Run(ctx context.Context, source Source) error {
-	stop, cancel := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
+	stopCtx, cancel := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 	defer cancel()
 	reloads := make(chan os.Signal, 1) // one that waits stands for all that came meanwhile
 	// Until the very end: without a handler the process would die of a signal that comes while it shuts down.
@@ -86,14 +86,14 @@
 	if err != nil {
 		return configurationError{err}
 	}
-	return d.Serve(stop, reloads)
+	return d.Serve(stopCtx, reloads)
 }
 
-// Serve runs until stop ends, then shuts down: it migrates all clients, and returns once none is left or their
+// Serve runs until stopCtx ends, then shuts down: it migrates all clients, and returns once none is left or their
 // time is over. Each value of reloads reloads the configuration. The error says why the process could not serve,
 // or that connections were still open at the end.
-func (d *Daemon) Serve(stop context.Context, reloads <-chan os.Signal) error {
-	ctx, cancel := context.WithCancel(context.WithoutCancel(stop)) // it outlasts stop by the shutdown
+func (d *Daemon) Serve(stopCtx context.Context, reloads <-chan os.Signal) error {
+	ctx, cancel := context.WithCancel(context.WithoutCancel(stopCtx)) // it outlasts stopCtx by the shutdown
 	timedOut := false
 	defer func() {
 		d.lifecycle.transition(ctx, stopped)
@@ -105,7 +105,7 @@
 	}()
 	startCtx, endStart := context.WithCancel(ctx)
 	defer endStart()
-	defer context.AfterFunc(stop, endStart)()
+	defer context.AfterFunc(stopCtx, endStart)()
 	err := d.open(ctx, startCtx)
 	switch {
 	case err != nil && startCtx.Err() != nil:
@@ -121,7 +121,7 @@
 	select {
 	case err := <-finished:
 		return err
-	case <-stop.Done():
+	case <-stopCtx.Done():
 	}
 	timedOut, err = d.shutDown(ctx, stopAccepting, finished)
 	return err
--- a/internal/daemon/descriptors.go
+++ b/internal/daemon/descriptors.go
@@ -57,7 +57,10 @@
 	}
 }
 
+// connectionDescriptors is how many descriptors are left for the connections of clients and their servers.
+func (d *Daemon) connectionDescriptors() int { return d.descriptorLimit - d.reservedDescriptors }
+
 // descriptorsInUse is how many descriptors this process has in use at most.
 func (d *Daemon) descriptorsInUse() int {
-	return d.descriptorBudget.MaxInUse(d.descriptorLimit-d.reservedDescriptors) + d.reservedDescriptors
+	return d.descriptorBudget.MaxInUse(d.connectionDescriptors()) + d.reservedDescriptors
 }
--- a/internal/daemon/lifecycle.go
+++ b/internal/daemon/lifecycle.go
@@ -54,7 +54,7 @@
 type lifecycle struct {
 	clients     clients
 	work        sync.WaitGroup // all that runInPhase starts
-	started     chan struct{}  // closed once this process serves
+	started     chan struct{}  // closed once this process serves clients, in or out of service
 	startedOnce sync.Once      // closes started
 
 	mu            sync.Mutex // guards the fields below
--- a/internal/protocol/watch.go
+++ b/internal/protocol/watch.go
@@ -31,7 +31,7 @@
 	defer func() { _ = body.Close() }() // the watch returns the error of its reads
 	w.body.from = body
 	w.postponeDeadline()
-	err = w.follow(ctx)
+	err = w.applyObjects(ctx)
 	return w.silentSince, withCause(ctx, err)
 }
 
@@ -51,8 +51,8 @@
 	return &watchStream{discovery: d, openedAt: now, silentSince: now, isFirstObject: true}
 }
 
-// follow applies one object after another. What a failed one brought is missing then: the next watch brings it again.
-func (w *watchStream) follow(ctx context.Context) error {
+// applyObjects applies one object after another until the watch ends. What a failed one brought is missing then: the next watch brings it again.
+func (w *watchStream) applyObjects(ctx context.Context) error {
 	objects := json.NewDecoder(w)
 	for {
 		w.body.left = maxListBytes
