--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -51,9 +51,9 @@
 	goroutines sync.WaitGroup // all that Serve starts, and waits for at its end
 	relisten   chan struct{}  // receives once the socket for a successor belongs to another process
 
-	// changing serialises operators' changes, and excludes them while the state is handed over. It guards the
+	// changeMu serialises operators' changes, and excludes them while the state is handed over. It guards the
 	// fields below.
-	changing    sync.Mutex
+	changeMu    sync.Mutex
 	predecessor *handover.Link // nil: there is none, or it has ended
 	successor   *handover.Link // nil: none has taken over
 }
@@ -77,7 +77,7 @@
 // Run is the process from its start to its end: SIGTERM, SIGINT and the end of the context shut it down, SIGHUP
 // reloads the configuration. A configuration that can't be served is ErrConfiguration.
 func Run(ctx context.Context, source Source) error {
-	stop, cancel := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
+	stopCtx, cancel := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 	defer cancel()
 	reloads := make(chan os.Signal, 1) // one that waits stands for all that came meanwhile
 	// Until the very end: without a handler the process would die of a signal that comes while it shuts down.
@@ -86,14 +86,14 @@
 	if err != nil {
 		return configurationError{err}
 	}
-	return d.Serve(stop, reloads)
+	return d.Serve(stopCtx, reloads)
 }
 
-// Serve runs until stop ends, then shuts down: it migrates all clients, and returns once none is left or their
+// Serve runs until stopCtx ends, then shuts down: it migrates all clients, and returns once none is left or their
 // time is over. Each value of reloads reloads the configuration. The error says why the process could not serve,
 // or that connections were still open at the end.
-func (d *Daemon) Serve(stop context.Context, reloads <-chan os.Signal) error {
-	ctx, cancel := context.WithCancel(context.WithoutCancel(stop)) // it outlasts stop by the shutdown
+func (d *Daemon) Serve(stopCtx context.Context, reloads <-chan os.Signal) error {
+	ctx, cancel := context.WithCancel(context.WithoutCancel(stopCtx)) // it outlasts stopCtx by the shutdown
 	timedOut := false
 	defer func() {
 		d.lifecycle.transition(ctx, stopped)
@@ -103,25 +103,25 @@
 			d.goroutines.Wait()
 		}
 	}()
-	starting, endStart := context.WithCancel(ctx)
+	startCtx, endStart := context.WithCancel(ctx)
 	defer endStart()
-	defer context.AfterFunc(stop, endStart)()
-	err := d.open(ctx, starting)
+	defer context.AfterFunc(stopCtx, endStart)()
+	err := d.open(ctx, startCtx)
 	switch {
-	case err != nil && starting.Err() != nil:
+	case err != nil && startCtx.Err() != nil:
 		return nil // the signal to stop came during the start
 	case err != nil:
 		return err
 	}
 	d.startBackground(ctx, reloads)
-	accepting, stopAccepting := context.WithCancel(ctx)
+	acceptCtx, stopAccepting := context.WithCancel(ctx)
 	defer stopAccepting()
-	finished := d.serveClients(ctx, accepting)
-	d.startServing(ctx, starting)
+	finished := d.serveClients(ctx, acceptCtx)
+	d.startServing(ctx, startCtx)
 	select {
 	case err := <-finished:
 		return err
-	case <-stop.Done():
+	case <-stopCtx.Done():
 	}
 	timedOut, err = d.shutDown(ctx, stopAccepting, finished)
 	return err
@@ -153,13 +153,13 @@
 	}
 }
 
-// serveClients accepts clients until accepting ends. The channel then receives the listener's error, once no
+// serveClients accepts clients until acceptCtx ends. The channel then receives the listener's error, once no
 // connection is left: those taken over from a predecessor were never accepted here, so that the listener doesn't
 // wait for them.
-func (d *Daemon) serveClients(ctx, accepting context.Context) (finished <-chan error) {
+func (d *Daemon) serveClients(ctx, acceptCtx context.Context) (finished <-chan error) {
 	result := make(chan error, 1)
 	d.goroutines.Go(func() {
-		err := transport.Serve(accepting, d.listener, d.descriptorBudget, d.frontend.Serve)
+		err := transport.Serve(acceptCtx, d.listener, d.descriptorBudget, d.frontend.Serve)
 		for d.frontend.ConnectionCount() > 0 && ctx.Err() == nil {
 			time.Sleep(connectionCheckInterval)
 		}
--- a/internal/protocol/watch.go
+++ b/internal/protocol/watch.go
@@ -31,7 +31,7 @@
 	defer func() { _ = body.Close() }() // the watch returns the error of its reads
 	w.body.from = body
 	w.postponeDeadline()
-	err = w.follow(ctx)
+	err = w.applyObjects(ctx)
 	return w.silentSince, withCause(ctx, err)
 }
 
@@ -51,15 +51,15 @@
 	return &watchStream{discovery: d, openedAt: now, silentSince: now, isFirstObject: true}
 }
 
-// follow applies one object after another. What a failed one brought is missing then: the next watch brings it again.
-func (w *watchStream) follow(ctx context.Context) error {
+// applyObjects applies one object after another until the watch ends. What a failed one brought is missing then: the next watch brings it again.
+func (w *watchStream) applyObjects(ctx context.Context) error {
 	objects := json.NewDecoder(w)
 	for {
 		w.body.left = maxListBytes
 		if err := w.discovery.applyNext(ctx, objects); err != nil {
 			return err
 		}
-		w.onBlank()
+		w.onUpToDate()
 		buffered, _ := io.ReadAll(objects.Buffered()) // from memory: it can't fail
 		w.objectIsOpen = len(bytes.TrimSpace(buffered)) > 0
 		if w.objectIsOpen {
@@ -76,7 +76,7 @@
 		if w.objectIsOpen {
 			w.onObjectBegun()
 		} else {
-			w.onBlank()
+			w.onUpToDate()
 		}
 	}
 	return n, err
@@ -88,8 +88,8 @@
 	w.deadline.Reset(w.discovery.silenceTimeout)
 }
 
-// onBlank takes a blank between two objects, or the end of one: all changes up to now have been received.
-func (w *watchStream) onBlank() {
+// onUpToDate takes a blank between two objects, or the end of one: all changes up to now have been received.
+func (w *watchStream) onUpToDate() {
 	w.isFirstObject = false
 	w.discovery.onContact()
 	w.discovery.router.OnDiscoveryContact()
