--- a/internal/protocol/watch.go
+++ b/internal/protocol/watch.go
@@ -51,7 +51,8 @@
 	return &watchStream{discovery: d, openedAt: now, silentSince: now, isFirstObject: true}
 }
 
-// applyObjects applies one object after another until the watch ends. What a failed one brought is missing then: the next watch brings it again.
+// applyObjects applies one object after another until the watch ends. What a failed one brought is missing then: the
+// next watch brings it again.
 func (w *watchStream) applyObjects(ctx context.Context) error {
 	objects := json.NewDecoder(w)
 	for {
