--- a/internal/protocol/attempt.go
+++ b/internal/protocol/attempt.go
@@ -10,12 +10,14 @@
 )
 
 const (
-	// resumeTimeout bounds the attempts to resume a flow: those open before a balancer's start are lost after 40 s.
+	// resumeTimeout bounds all attempts to resume a flow. A flow that was open before the balancer's start is lost
+	// after 40 s.
 	resumeTimeout       = 36 * time.Second
 	resumeRetryInterval = 200 * time.Millisecond
 )
 
-// followDecisions makes the attempts that are decided until the connection is established or the client has its answer.
+// followDecisions carries out routing decisions until the connection is established or the client has received its
+// final reply.
 func (s *session) followDecisions(ctx context.Context) {
 	isUndecided := true
 	for isUndecided {
@@ -23,21 +25,21 @@
 	}
 }
 
-// followDecision waits for one decision and carries it out. It reports whether another one follows.
+// followDecision waits for one decision and carries it out. It reports whether it must be called again.
 func (s *session) followDecision(ctx context.Context) (isUndecided bool) {
 	s.transition(stateAwaitingDecision)
 	decision, err := s.flow.AwaitDecision(ctx)
-	if err != nil { // the client left, its time is over, or this balancer must stop
+	if err != nil { // the client disconnected, its timeout expired, or this balancer is stopping
 		s.flow.Abandon()
-		s.answerUnserved(ctx)
+		s.replyUnserved(ctx)
 		return false
 	}
 	switch decision.Verdict {
 	case routing.Reject:
-		answerBusy(s.client, decision.RetryAfter)
+		replyBusy(s.client, decision.RetryAfter)
 		return false
 	case routing.Abort:
-		answerError(s.client, errAborted)
+		replyError(s.client, errAborted)
 		return false
 	}
 	upLine, outcome := s.attempt(ctx, decision.Addr, decision.Deadline)
@@ -48,15 +50,15 @@
 	if cause := context.Cause(ctx); cause != nil && !errors.Is(cause, context.DeadlineExceeded) {
 		s.flow.OnClientLeft()
 		s.flow.OnEnded(outcome)
-		s.answerUnserved(ctx)
+		s.replyUnserved(ctx)
 		return false
 	}
 	s.flow.OnEnded(outcome)
 	return true
 }
 
-// resume establishes a connection that was open at a server before this balancer's start. It is retried only where the
-// attempt before did nothing at the server.
+// resume re-establishes a connection that was open at a server before this balancer's start. It retries only if the
+// previous attempt had no effect at the server.
 func (s *session) resume(ctx context.Context, addr string) {
 	for {
 		upLine, outcome := s.attempt(ctx, addr, time.Now().Add(resumeTimeout))
@@ -68,10 +70,10 @@
 			break
 		}
 	}
-	answerError(s.client, errNotReestablished)
+	replyError(s.client, errResumeFailed)
 }
 
-// attempt makes one attempt at a server. It returns the server's UP line, or how the attempt ended.
+// attempt makes one attempt at a server. It returns the server's UP line, or an empty line and how the attempt ended.
 func (s *session) attempt(
 	ctx context.Context, addr string, deadline time.Time,
 ) (upLine string, outcome routing.Outcome) {
@@ -86,21 +88,21 @@
 	end, _ := ctx.Deadline()
 	if err := writeLine(server, "%s", withTimeout(s.openLine, time.Until(end))); err != nil {
 		server.Reset()
-		return "", routing.Unreachable // the line's last byte was not written
+		return "", routing.Unreachable // the server can't have received the complete line
 	}
 	s.transition(stateAwaitingReply)
 	return s.awaitReply(ctx, server)
 }
 
-// connect dials a server, or returns how the attempt ended.
+// connect dials a server. It returns a nil connection and how the attempt ended if that fails.
 func (s *session) connect(ctx context.Context, addr string) (*transport.Conn, routing.Outcome) {
 	isWanted := func() bool { return s.isStillWanted(ctx) }
 	server, err := s.frontend.dialer.Dial(ctx, addr, s.frontend.connectTimeout, isWanted)
 	switch {
 	case errors.Is(err, transport.ErrLocalResources),
 		errors.Is(err, transport.ErrNoLongerWanted),
-		err != nil && ctx.Err() != nil: // too little time was left
-		return nil, routing.NeverSent // no fault of the server
+		err != nil && ctx.Err() != nil: // the attempt's deadline passed before the connect timeout
+		return nil, routing.NeverSent // not counted against the server
 	case err != nil:
 		return nil, routing.Unreachable
 	}
@@ -111,17 +113,18 @@
 	return server, routing.OK
 }
 
-// isStillWanted is the last check, before the SYN and again before the first byte. Since the decision, or since the
-// request for the connection, the client may have left, perhaps just now, with none of this process's other goroutines
-// having run since; the time may be over; and the server may have begun to drain.
+// isStillWanted is the last check before the SYN, and again before the first byte is sent. Since the decision or since
+// the SYN, the timeout may have expired, the server may have begun to drain, or the client may have disconnected. The
+// client's socket is checked directly, because the goroutine that reads from it may not have run yet.
 func (s *session) isStillWanted(ctx context.Context) bool {
 	if s.client.HasPendingInput() {
-		<-ctx.Done() // readClient is about to say why
+		<-ctx.Done() // readClient is about to cancel the context
 	}
 	return ctx.Err() == nil && s.flow.StillAllowed()
 }
 
-// awaitReply waits for the server's first line. It keeps the server's connection if that is UP.
+// awaitReply waits for the server's first line. It keeps the connection in s.server if the line is UP, and closes it
+// otherwise.
 func (s *session) awaitReply(ctx context.Context, server *transport.Conn) (upLine string, outcome routing.Outcome) {
 	stop := context.AfterFunc(ctx, server.InterruptRead)
 	reply, err := readLine(server)
@@ -140,7 +143,7 @@
 	return "", attemptOutcome(reply, err)
 }
 
-// attemptOutcome is what a server's first line other than UP means.
+// attemptOutcome maps a server's first line other than UP, or the error of reading it, to an outcome.
 func attemptOutcome(reply string, err error) routing.Outcome {
 	if err != nil && !errors.Is(err, transport.ErrTooLong) {
 		return routing.Reset // the flow may have run
@@ -149,17 +152,17 @@
 	case "BUSY":
 		return routing.Full
 	case "MOVE", "BYE":
-		return routing.Cancelled // the flow ran, and is over
+		return routing.Cancelled // the flow ran and has ended
 	}
 	return routing.Error
 }
 
-// establish passes the UP line on. From here on the connection belongs to the server.
+// establish relays the UP line to the client. From here on the connection belongs to the server.
 func (s *session) establish(upLine string) {
 	s.flow.OnEstablished()
-	s.isAnswered.Store(true)
+	s.clientMaySend.Store(true)
 	if err := writeLine(s.client, "%s", upLine); err != nil {
-		s.clientEnded.Store(true) // the relay finds the connection broken
+		s.clientEnded.Store(true) // the relay will fail on the broken connection
 	}
 	s.transition(stateEstablished)
 	s.flow.OnMigrate(s.server.Stop)
--- a/internal/protocol/attempt_test.go
+++ b/internal/protocol/attempt_test.go
@@ -81,9 +81,9 @@
 
 // clientOfSilentServer is one run. It reports whether the client was answered within its time.
 func clientOfSilentServer(t *testing.T) (inTime bool) {
-	const timeout, serverTime = 400 * ms, 400*ms - answerMargin
+	const timeout, serverTime = 400 * ms, 400*ms - replyMargin
 	l := listen(t)
-	settings := usually(decide.NotIdempotent, 100)
+	settings := defaultSettings(decide.NotIdempotent, 100)
 	settings.connectTimeout, settings.retryWindow = time.Hour, time.Hour // nothing but the client's timeout can end it
 	b := newTestBalancer(t, settings, l.Addr().String())
 	b.serve()
--- a/internal/protocol/balancer_test.go
+++ b/internal/protocol/balancer_test.go
@@ -29,8 +29,8 @@
 	retryWindow    time.Duration
 }
 
-// usually are the settings of most tests.
-func usually(effect decide.Effect, descriptors int) balancerSettings {
+// defaultSettings are the settings of most tests.
+func defaultSettings(effect decide.Effect, descriptors int) balancerSettings {
 	return balancerSettings{effect: effect, descriptors: descriptors, balancers: 1, connectTimeout: 200 * ms, retryWindow: 2 * sec}
 }
 
@@ -49,7 +49,7 @@
 // startBalancer makes one that accepts.
 func startBalancer(t *testing.T, effect decide.Effect, descriptors int, servers ...string) *testBalancer {
 	t.Helper()
-	b := newTestBalancer(t, usually(effect, descriptors), servers...)
+	b := newTestBalancer(t, defaultSettings(effect, descriptors), servers...)
 	b.serve()
 	return b
 }
@@ -158,13 +158,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { discard(l) })
+	t.Cleanup(func() { closeQuietly(l) })
 	_ = l.(*net.TCPListener).SetDeadline(time.Now().Add(hangTimeout))
 	return l
 }
 
-// discard closes what a test no longer needs; it may be closed already.
-func discard(c io.Closer) { _ = c.Close() }
+// closeQuietly closes what a test no longer needs; it may be closed already.
+func closeQuietly(c io.Closer) { _ = c.Close() }
 
 // peer is the test's end of a connection.
 type peer struct {
@@ -178,7 +178,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { discard(c) })
+	t.Cleanup(func() { closeQuietly(c) })
 	_ = c.SetDeadline(time.Now().Add(hangTimeout))
 	return &peer{c.(*net.TCPConn), t, bufio.NewReader(c)}
 }
@@ -220,10 +220,10 @@
 	}
 }
 
-func (p *peer) close() { discard(p) }
+func (p *peer) close() { closeQuietly(p) }
 
 // reset ends the connection the way a lost process does.
 func (p *peer) reset() {
 	_ = p.SetLinger(0)
-	discard(p)
+	closeQuietly(p)
 }
--- a/internal/protocol/discovery.go
+++ b/internal/protocol/discovery.go
@@ -18,65 +18,67 @@
 )
 
 const (
-	// heartbeatInterval is how often an open watch shows a sign of life; without one for silenceTimeout it is dead.
+	// heartbeatInterval is how often discovery sends a heartbeat on an open watch. A watch without any for
+	// silenceTimeout is considered dead.
 	heartbeatInterval = 2 * time.Second
 	silenceTimeout    = heartbeatInterval + 800*time.Millisecond
-	// answerTimeout bounds a call until it is answered completely: discovery may let it wait for 2 s.
-	answerTimeout = 2200 * time.Millisecond
-	// changeTimeout is after how long a change must take effect, whatever came before; applyTime of it is kept for
-	// applying an answer that is there.
+	// responseTimeout bounds a request until its response is complete. Discovery may hold a request for 2 s.
+	responseTimeout = 2200 * time.Millisecond
+	// changeTimeout is the time within which a change must take effect, whatever failures preceded it. applyTime of it
+	// is reserved for applying a response that has been received.
 	changeTimeout = 6 * time.Second
 	applyTime     = 200 * time.Millisecond
-	// agentReopenDelay bounds the wait before a watch is reopened at an agent, which no other balancer watches.
+	// agentReopenDelay bounds the delay before a watch at an agent is reopened. It is short, as no other balancer
+	// watches that agent.
 	agentReopenDelay = 100 * time.Millisecond
 
 	maxHeaderBytes  = 64 << 10
 	readBufferBytes = 4096
 )
 
-var errDiscoverySilent = errors.New("no answer or no sign of life in time")
+var errDiscoverySilent = errors.New("no response or heartbeat in time")
 
-// Discovery follows the endpoint list.
+// Discovery watches the endpoint list and applies its changes to the router.
 type Discovery struct {
 	router *routing.Router
 	client *http.Client
-	// isPolled says that discovery itself is asked, by all balancers. Else it is an agent on this machine, which
-	// received the list before.
-	isPolled       bool
-	silenceTimeout time.Duration
-	answerTimeout  time.Duration
-	revision       atomic.Int64 // of the list held; negative: none
-
-	// Run's goroutine alone uses these.
-	random      *rand.Rand // spreads the balancers' calls
-	watchIsLost bool       // the last watch failed, and none has brought anything since
-	hadContact  bool       // something came on the last watch
-
-	mu       sync.Mutex // guards the fields below
-	url      string
-	endRound context.CancelFunc // ends the watch at the present URL
+	// isPolled says that the address is that of discovery itself, which all balancers call. Otherwise it is that of
+	// an agent on this machine, which has received the list before.
+	isPolled        bool
+	silenceTimeout  time.Duration
+	responseTimeout time.Duration
+	revision        atomic.Int64 // of the current list; negative if there is none
+
+	// Only Run's goroutine uses these.
+	random      *rand.Rand // spreads the balancers' requests over time
+	watchIsLost bool       // the last watch failed, and nothing has been received since
+	hadContact  bool       // something was received on the last watch
+
+	mu           sync.Mutex // guards the fields below
+	url          string
+	cancelFollow context.CancelFunc // ends the watch at the current URL
 }
 
-// NewDiscovery follows the list at a host and port. seed starts the random draws that spread the balancers' calls;
-// isPolled says that discovery itself is there, and not an agent on this machine.
+// NewDiscovery returns a Discovery for the list at a host and port. seed seeds the random delays that spread the
+// balancers' requests over time. isPolled says that discovery itself is at the address, and not an agent on this machine.
 func NewDiscovery(r *routing.Router, addr string, seed uint64, isPolled bool) *Discovery {
 	d := &Discovery{
-		router:         r,
-		isPolled:       isPolled,
-		silenceTimeout: silenceTimeout,
-		answerTimeout:  answerTimeout,
-		random:         rand.New(rand.NewPCG(seed, 0)),
-		url:            listURL(addr),
-		endRound:       func() {},
+		router:          r,
+		isPolled:        isPolled,
+		silenceTimeout:  silenceTimeout,
+		responseTimeout: responseTimeout,
+		random:          rand.New(rand.NewPCG(seed, 0)),
+		url:             listURL(addr),
+		cancelFollow:    func() {},
 	}
 	d.client = &http.Client{Transport: d.newHTTPTransport(), CheckRedirect: refuseRedirect}
 	d.revision.Store(-1)
 	return d
 }
 
-// newHTTPTransport keeps no idle connection, as each holds a descriptor. So does a dial, which net/http detaches from
-// the call that asked for it: without this timeout it would go on for minutes after the call was given up, and
-// one more would join it at each call.
+// newHTTPTransport keeps no idle connections, as each holds a descriptor. So does a dial, which net/http detaches from
+// the request that caused it: without a timeout, dials would go on for minutes after their requests were cancelled,
+// and would accumulate with each new request.
 func (d *Discovery) newHTTPTransport() *http.Transport {
 	return &http.Transport{
 		Proxy:                  nil,
@@ -85,12 +87,12 @@
 		ReadBufferSize:         readBufferBytes,
 		MaxResponseHeaderBytes: maxHeaderBytes,
 		DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
-			return (&net.Dialer{Timeout: d.answerTimeout}).DialContext(ctx, network, addr)
+			return (&net.Dialer{Timeout: d.responseTimeout}).DialContext(ctx, network, addr)
 		},
 	}
 }
 
-// refuseRedirect makes the settings alone say where the list is, never an answer.
+// refuseRedirect refuses all redirects: only the settings determine where the list is fetched.
 func refuseRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
 const (
@@ -100,7 +102,8 @@
 
 func listURL(addr string) string { return listScheme + addr + listPath }
 
-// SetAddress says that the list is at another host and port from now on. It reports whether that is a change.
+// SetAddress changes the host and port from which the list is fetched. It reports whether they differ from the current
+// ones.
 func (d *Discovery) SetAddress(addr string) (isChange bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -109,25 +112,27 @@
 	}
 	d.url = listURL(addr)
 	d.revision.Store(-1)
-	d.endRound()
+	d.cancelFollow()
 	return true
 }
 
-// Position is the host and port of the list held, and its revision.
+// Position returns the host and port of the current list, and its revision.
 func (d *Discovery) Position() (addr string, revision int64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return strings.TrimSuffix(strings.TrimPrefix(d.url, listScheme), listPath), d.revision.Load()
 }
 
-// Resume watches from the revision of a list that was taken over, unless it came from another address.
+// Resume continues from the revision of a list that was taken over from the predecessor, unless it came from another
+// address.
 func (d *Discovery) Resume(addr string, revision int64) {
 	if current, _ := d.Position(); current == addr {
 		d.revision.Store(revision)
 	}
 }
 
-// LoadCached takes the list as this balancer last had it; an empty text is none. The error says what is wrong with it.
+// LoadCached applies the list that this balancer last saved; an empty text means that there is none. The error says why
+// the list is invalid.
 func (d *Discovery) LoadCached(list []byte) error {
 	if len(list) == 0 {
 		return nil
@@ -135,27 +140,27 @@
 	return d.applyText(context.Background(), list, routing.CachedUpdate)
 }
 
-// Run watches until the context ends. A watch that breaks or falls silent is reopened soon, and the list stays as
-// it was. So it does when the address changes. The revisions of the new address may be others, so that the next
-// list is taken completely: one that counts from an old revision could leave out who is gone.
+// Run watches until the context ends. A watch that fails or falls silent is reopened soon; until then the current list
+// is kept. The list is also kept when the address changes. The new address may count revisions differently, so that
+// the complete list is requested there: a delta relative to an old revision could omit servers that were removed.
 func (d *Discovery) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		round, endRound := context.WithCancel(ctx)
-		d.follow(round, d.beginRound(endRound))
-		endRound()
+		followCtx, cancelFollow := context.WithCancel(ctx)
+		d.follow(followCtx, d.startFollow(cancelFollow))
+		cancelFollow()
 		d.revision.Store(-1)
 	}
 }
 
-// beginRound returns the present URL, and has a change of it end the round.
-func (d *Discovery) beginRound(endRound context.CancelFunc) (url string) {
+// startFollow returns the current URL. A change of the URL will call cancelFollow.
+func (d *Discovery) startFollow(cancelFollow context.CancelFunc) (url string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.endRound = endRound
+	d.cancelFollow = cancelFollow
 	return d.url
 }
 
-// follow watches at one URL until the context ends.
+// follow watches one URL, reopening the watch after each failure, until the context ends.
 func (d *Discovery) follow(ctx context.Context, url string) {
 	for ctx.Err() == nil {
 		silentSince, err := d.watch(ctx, url)
@@ -163,7 +168,7 @@
 			return
 		}
 		delay := d.reopenDelay(time.Since(silentSince), errors.Is(err, errDiscoverySilent))
-		if !d.watchIsLost { // logged once: an outage of an hour must not fill the log
+		if !d.watchIsLost { // logged once, so that a long outage does not flood the log
 			slog.Warn("endpoint watch lost", "error", fmt.Errorf("discovery at %s: %w", url, err))
 		}
 		d.watchIsLost = true
@@ -172,7 +177,7 @@
 	}
 }
 
-// onContact records that discovery has shown a sign of life.
+// onContact records that something was received from discovery.
 func (d *Discovery) onContact() {
 	d.hadContact = true
 	if d.watchIsLost {
@@ -181,19 +186,20 @@
 	}
 }
 
-// reopenDelay is how long to wait after a watch that failed, and that had been silent for a time by then. What has
-// changed since must take effect within changeTimeout: the wait and the complete next call fit into what is left.
+// reopenDelay returns how long to wait before reopening a watch that failed after the given silence. Changes since the
+// silence began must take effect within changeTimeout, so the delay plus a complete next request must fit into the time
+// that is left.
 //
-// Discovery itself is asked by all balancers, which lose their watches at the same moment: they spread over all of
-// the time that is left. A call that was given up or rejected has taken a place in discovery's queue, and is
-// served though no balancer waits for it any more: if all asked again within the first half of the time, discovery
-// would never be through with these calls.
+// Discovery itself serves all balancers, which lose their watches at the same moment, so their requests are spread over
+// all of the time that is left. If a watch had no contact at all, its request may still be in discovery's queue and be
+// served although no balancer waits for it. The delay is then taken from the second half of the time: if all balancers
+// retried within the first half, discovery would never get through these stale requests.
 //
-// An agent on this machine serves this balancer alone, and a change counts as received from the moment the agent
-// has it. Waiting through that moment would send flows to a server that is known to drain, so that an agent that
-// fell silent is asked again at once, and answers when it can.
+// An agent on this machine serves only this balancer, and a change counts as received as soon as the agent has it. A
+// delay beyond that moment would send flows to a server that is known to drain, so an agent that fell silent is called
+// again at once, and responds when it can.
 func (d *Discovery) reopenDelay(silence time.Duration, fellSilent bool) time.Duration {
-	longest := max(0, changeTimeout-applyTime-d.answerTimeout-silence)
+	longest := max(0, changeTimeout-applyTime-d.responseTimeout-silence)
 	part := d.random.Float64()
 	switch {
 	case !d.isPolled && fellSilent:
@@ -201,14 +207,14 @@
 	case !d.isPolled && d.hadContact:
 		longest = min(longest, agentReopenDelay)
 	case !d.isPolled:
-		longest = min(longest, max(agentReopenDelay, 2*silence)) // a call that waited may have left a queue there
+		longest = min(longest, max(agentReopenDelay, 2*silence)) // a request that waited may still be queued there
 	case !d.hadContact:
 		part = (1 + part) / 2
 	}
 	return time.Duration(float64(longest) * part)
 }
 
-// get calls discovery and returns the body of an answer that has a list.
+// get sends a request to discovery and returns the response body if the status is OK.
 func (d *Discovery) get(ctx context.Context, url string) (io.ReadCloser, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -219,11 +225,11 @@
 		return nil, err
 	}
 	if response.StatusCode != http.StatusOK {
-		_ = response.Body.Close() // the status says all there is
+		_ = response.Body.Close() // only the status is of interest
 		if to := response.Header.Get("Location"); to != "" {
-			return nil, fmt.Errorf("answered %s to %q, which is not followed", response.Status, to)
+			return nil, fmt.Errorf("response %s to %q, which is not followed", response.Status, to)
 		}
-		return nil, fmt.Errorf("answered %s", response.Status)
+		return nil, fmt.Errorf("response %s", response.Status)
 	}
 	return response.Body, nil
 }
--- a/internal/protocol/discovery_test.go
+++ b/internal/protocol/discovery_test.go
@@ -25,12 +25,12 @@
 // said that all changes have been sent: what changes later this call leaves out.
 type discoveryCall struct {
 	name      string
-	respond   func(c io.Writer, upToDate *instant)
+	respond   func(c io.Writer, upToDate *timestamp)
 	staysOpen bool // and silent
 }
 
-func (k discoveryCall) serve(c net.Conn, upToDate *instant) {
-	defer discard(c)
+func (k discoveryCall) serve(c net.Conn, upToDate *timestamp) {
+	defer closeQuietly(c)
 	upToDate.now()
 	if k.respond != nil {
 		k.respond(c, upToDate)
@@ -41,42 +41,42 @@
 }
 
 // respondWith writes a text to a caller that may be gone.
-func respondWith(text string) func(io.Writer, *instant) {
-	return func(c io.Writer, _ *instant) { _, _ = io.WriteString(c, text) }
+func respondWith(text string) func(io.Writer, *timestamp) {
+	return func(c io.Writer, _ *timestamp) { _, _ = io.WriteString(c, text) }
 }
 
 // writeUpToDate writes what says that all changes so far have been sent.
-func writeUpToDate(c io.Writer, upToDate *instant, text string) {
+func writeUpToDate(c io.Writer, upToDate *timestamp, text string) {
 	if _, err := io.WriteString(c, text); err == nil {
 		upToDate.now()
 	}
 }
 
-// instant is set by one call and read by the next.
-type instant struct{ at atomic.Int64 }
+// timestamp is set by one call and read by the next.
+type timestamp struct{ at atomic.Int64 }
 
-func (i *instant) now() { i.at.Store(time.Now().UnixNano()) }
+func (i *timestamp) now() { i.at.Store(time.Now().UnixNano()) }
 
-func (i *instant) since() time.Duration { return time.Since(time.Unix(0, i.at.Load())) }
+func (i *timestamp) since() time.Duration { return time.Since(time.Unix(0, i.at.Load())) }
 
 var changedList = object(9, false, member("a", "DRAINING"), member("b", "SERVING"))
 
-// futileCalls bring nothing, or no more after a time.
-var futileCalls = []discoveryCall{
+// failingCalls bring nothing, or no more after a time.
+var failingCalls = []discoveryCall{
 	{"ended at once", nil, false},
 	{"no answer", nil, true},
 	{"rejected", respondWith("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"), false},
 	{"a status nobody expects", respondWith("HTTP/1.1 299 Whatever\r\nContent-Length: 2\r\n\r\n{}"), false},
 	{"redirected", respondWith("HTTP/1.1 302 Found\r\nLocation: http://elsewhere/discovery/hosts\r\n" +
 		"Content-Length: 0\r\n\r\n"), false},
-	{"rejected after a wait", func(c io.Writer, _ *instant) {
+	{"rejected after a wait", func(c io.Writer, _ *timestamp) {
 		time.Sleep(2 * sec)
 		_, _ = io.WriteString(c, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
 	}, false},
 	{"cut in the headers", respondWith(responseHeader[:30]), false},
 	{"silent in the headers", respondWith(responseHeader[:30]), true},
-	{"silent after the headers", func(c io.Writer, upToDate *instant) { writeUpToDate(c, upToDate, responseHeader) }, true},
-	{"silent after two signs of life", func(c io.Writer, upToDate *instant) {
+	{"silent after the headers", func(c io.Writer, upToDate *timestamp) { writeUpToDate(c, upToDate, responseHeader) }, true},
+	{"silent after two signs of life", func(c io.Writer, upToDate *timestamp) {
 		writeUpToDate(c, upToDate, responseHeader)
 		for range 2 {
 			time.Sleep(heartbeatInterval)
@@ -84,16 +84,16 @@
 		}
 	}, true},
 	{"cut in the body", respondWith(responseHeader + changedList[:40]), false},
-	{"silent in the body after a wait", func(c io.Writer, _ *instant) {
+	{"silent in the body after a wait", func(c io.Writer, _ *timestamp) {
 		time.Sleep(2 * sec)
 		_, _ = io.WriteString(c, responseHeader+changedList[:40])
 	}, true},
-	{"silent in a later object", func(c io.Writer, upToDate *instant) {
+	{"silent in a later object", func(c io.Writer, upToDate *timestamp) {
 		writeUpToDate(c, upToDate, responseHeader+"\n")
 		time.Sleep(heartbeatInterval)
 		writeUpToDate(c, upToDate, changedList[:40])
 	}, true},
-	{"a body that trickles", func(c io.Writer, _ *instant) {
+	{"a body that trickles", func(c io.Writer, _ *timestamp) {
 		_, err := io.WriteString(c, responseHeader+`{"revision":9,`)
 		for ; err == nil; time.Sleep(sec / 2) {
 			_, err = io.WriteString(c, " ")
@@ -109,10 +109,10 @@
 func TestChangeTakesEffectInTime(t *testing.T) {
 	recordLogs(t) // thousands of lines
 	var sequences [][]discoveryCall
-	for _, first := range futileCalls {
-		for _, second := range futileCalls {
+	for _, first := range failingCalls {
+		for _, second := range failingCalls {
 			sequences = append(sequences, []discoveryCall{first, second})
-			for _, third := range futileCalls {
+			for _, third := range failingCalls {
 				sequences = append(sequences, []discoveryCall{first, second, third})
 			}
 		}
@@ -122,7 +122,7 @@
 			const mostReported = 10
 			longest, late := time.Duration(0), 0
 			for i, sequence := range sequences {
-				took := changeAfter(t, uint64(i), isPolled, sequence)
+				took := timeToApplyChange(t, uint64(i), isPolled, sequence)
 				longest = max(longest, took)
 				if took <= changeTimeout-applyTime {
 					continue
@@ -143,15 +143,15 @@
 	return names
 }
 
-// changeAfter answers calls in ways that fail and then one that waits for 2 s and brings the change. It returns
+// timeToApplyChange answers calls in ways that fail and then one that waits for 2 s and brings the change. It returns
 // how long that took from when the change was there.
-func changeAfter(t *testing.T, seed uint64, isPolled bool, before []discoveryCall) (took time.Duration) {
+func timeToApplyChange(t *testing.T, seed uint64, isPolled bool, before []discoveryCall) (took time.Duration) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newTestDiscovery(seed, "discovery:80", isPolled)
 		if err := d.LoadCached([]byte(object(5, true, member("a", "SERVING")))); err != nil {
 			t.Fatal(err)
 		}
-		var upToDate instant
+		var upToDate timestamp
 		var calls atomic.Int32
 		var once sync.Once
 		applied := make(chan struct{})
@@ -175,7 +175,7 @@
 				close(applied)
 			})
 			_, _ = io.Copy(io.Discard, c)
-			discard(c)
+			closeQuietly(c)
 		}
 		d.client.Transport.(*http.Transport).DialContext = func(context.Context, string, string) (net.Conn, error) {
 			near, far := net.Pipe()
@@ -252,17 +252,17 @@
 	tooManyError := fmt.Sprintf("%d members, %d at most", maxServers+1, maxServers)
 	endlessHeaders := "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 2*maxHeaderBytes)
 	endlessObject := `{"revision":9,"complete":true,"members":[` + strings.Repeat(" ", maxListBytes)
-	for _, c := range []badList{
-		{futileCalls[0], "EOF"},
-		{futileCalls[1], errDiscoverySilent.Error()},
-		{futileCalls[2], "503 Service Unavailable"},
-		{futileCalls[3], "299 Whatever"},
-		{futileCalls[4], `302 Found to \"http://elsewhere/discovery/hosts\", which is not followed`},
-		{futileCalls[6], "unexpected EOF"},
-		{futileCalls[7], errDiscoverySilent.Error()},
-		{futileCalls[10], "unexpected EOF"},
+	for _, c := range []badResponse{
+		{failingCalls[0], "EOF"},
+		{failingCalls[1], errDiscoverySilent.Error()},
+		{failingCalls[2], "503 Service Unavailable"},
+		{failingCalls[3], "299 Whatever"},
+		{failingCalls[4], `302 Found to \"http://elsewhere/discovery/hosts\", which is not followed`},
+		{failingCalls[6], "unexpected EOF"},
+		{failingCalls[7], errDiscoverySilent.Error()},
+		{failingCalls[10], "unexpected EOF"},
 		{discoveryCall{"silent in the body", respondWith(responseHeader + changedList[:40]), true}, errDiscoverySilent.Error()},
-		{futileCalls[14], "members is missing or of the wrong kind"},
+		{failingCalls[14], "members is missing or of the wrong type"},
 		{discoveryCall{"no HTTP", respondWith("hello\r\n"), false}, "malformed HTTP response"},
 		{discoveryCall{"a page", respondWith(responseHeader + "<html>"), false}, "invalid character"},
 		{discoveryCall{"endless headers", respondWith(endlessHeaders), false}, "headers exceeded"},
@@ -273,19 +273,19 @@
 	}
 }
 
-// badList is a call that fails, and what the log must name.
-type badList struct {
+// badResponse is a call that fails, and what the log must name.
+type badResponse struct {
 	discoveryCall
 	names string
 }
 
-func (c badList) run(t *testing.T) {
+func (c badResponse) run(t *testing.T) {
 	l := listen(t)
 	logged := recordLogs(t)
 	d := newTestDiscovery(1, l.Addr().String(), false)
-	d.silenceTimeout, d.answerTimeout = time.Minute, time.Minute
+	d.silenceTimeout, d.responseTimeout = time.Minute, time.Minute
 	if c.names == errDiscoverySilent.Error() {
-		d.silenceTimeout, d.answerTimeout = 50*ms, 50*ms
+		d.silenceTimeout, d.responseTimeout = 50*ms, 50*ms
 	}
 	if err := d.LoadCached([]byte(object(5, true, member("a", "SERVING")))); err != nil {
 		t.Fatal(err)
@@ -296,7 +296,7 @@
 		if query != "stream=1&index=5" {
 			t.Errorf("asks for %q", query)
 		}
-		c.serve(conn, new(instant))
+		c.serve(conn, new(timestamp))
 	}
 	// A balancer that is short of its core gives up a call or two: each one is answered, and kept open.
 	go serveConnections(l, func(conn net.Conn) {
--- a/internal/protocol/draining.go
+++ b/internal/protocol/draining.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// drainInterval is how often a drain asks the next clients to reconnect.
+// drainInterval is how often a drain asks another batch of clients to reconnect.
 const drainInterval = 20 * time.Millisecond
 
-// addEstablished and removeEstablished keep the established sessions, which Drain asks to migrate.
+// addEstablished adds a session to the established ones, whose clients Drain asks to reconnect.
 func (f *Frontend) addEstablished(s *session) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -34,16 +34,17 @@
 	s.establishedIndex = -1
 }
 
-// Drain asks all clients to reconnect, spread evenly between two times from now: all at once they would meet on the
-// other balancers, and on what all connection set-ups share. Clients that come meanwhile are served and asked in turn.
-// None is asked before the first time, while the layer before the balancers still sends clients here, as half of them
-// would come straight back. Drain returns when the context ends.
+// Drain asks all clients to reconnect, spread evenly between two times from now: all at once, they would overload the
+// other balancers and the capacity for connection set-ups that all clients share. Clients that connect during the drain
+// are served, and asked to reconnect in turn. No client is asked before the first time: until then the layer in
+// front of the balancers still sends clients here, so that half of them would come straight back. Drain returns when the
+// context ends.
 func (f *Frontend) Drain(ctx context.Context, from, until time.Duration) {
 	if !sleep(ctx, from) {
 		return
 	}
 	end := time.Now().Add(until - from)
-	due := 0.0 // migrations, in fractions of one
+	due := 0.0 // migrations that are due, including a fraction of one
 	ticker := time.NewTicker(drainInterval)
 	defer ticker.Stop()
 	for {
@@ -56,7 +57,7 @@
 	}
 }
 
-// migrateSome asks as many clients to reconnect as are due in one interval, and returns the fraction that remains.
+// migrateSome asks as many clients to reconnect as are due in one interval. It returns the remaining fraction.
 func (f *Frontend) migrateSome(due float64, end time.Time) float64 {
 	var migrating []*session
 	f.mu.Lock()
--- a/internal/protocol/endpointlist.go
+++ b/internal/protocol/endpointlist.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	// maxServers bounds a list: a process has little memory, and a list can be wrong.
+	// maxServers bounds a list, as a faulty one could exhaust the process's memory.
 	maxServers   = 16_384
 	maxListBytes = maxServers * 256
 )
 
 var errNotAnObject = errors.New("not a JSON object")
 
-// applyText applies a text that is one object of discovery, with nothing behind it.
+// applyText applies a text that is exactly one object of discovery.
 func (d *Discovery) applyText(ctx context.Context, text []byte, kind routing.UpdateKind) error {
 	objects := json.NewDecoder(bytes.NewReader(text))
 	list, err := d.parseList(objects, kind)
@@ -28,15 +28,15 @@
 		return err
 	}
 	if extra, err := objects.Token(); err == nil {
-		return fmt.Errorf("server list: %v after its end", extra)
+		return fmt.Errorf("endpoint list: unexpected %v after its end", extra)
 	} else if !errors.Is(err, io.EOF) {
-		return fmt.Errorf("server list: %w", err)
+		return fmt.Errorf("endpoint list: %w", err)
 	}
 	d.commit(ctx, list)
 	return nil
 }
 
-// applyNext applies the next of several objects; io.EOF says that there is none.
+// applyNext applies the next object of a stream. It returns io.EOF if there is none.
 func (d *Discovery) applyNext(ctx context.Context, objects *json.Decoder) error {
 	list, err := d.parseList(objects, routing.DeltaUpdate)
 	if err == nil {
@@ -47,42 +47,43 @@
 
 func (d *Discovery) commit(ctx context.Context, list *endpointList) {
 	list.update.Commit(ctx)
-	// Last: a snapshot taken in between leads to the same changes twice, not to missed ones.
+	// The revision is stored last: after a snapshot taken in between, the same changes are applied twice instead of
+	// being missed.
 	d.revision.Store(list.revision)
 }
 
-// endpointList is one object of discovery.
+// endpointList is one object of discovery: a complete list or a delta.
 type endpointList struct {
 	update      *routing.EndpointUpdate
 	revision    int64
 	memberCount int
-	memberFault error // the first one
+	memberErr   error // the first one
 }
 
-// parseList reads one object, member by member, so that a long one is never in memory as text. Nothing of it takes
-// effect yet, and if anything in it is wrong nothing ever will. An object may be indented: the end of a line is not its
-// end.
+// parseList reads one object, member by member, so that the text of a long one is never held in memory. The caller
+// commits the result; if any part of the object is invalid there is none. An object may be indented, so that the end of
+// a line does not end it.
 func (d *Discovery) parseList(objects *json.Decoder, kind routing.UpdateKind) (*endpointList, error) {
 	opening, err := objects.Token()
 	if err != nil {
 		return nil, err
 	}
 	if opening != json.Delim('{') {
-		return nil, fmt.Errorf("server list: %w", errNotAnObject)
+		return nil, fmt.Errorf("endpoint list: %w", errNotAnObject)
 	}
 	list := &endpointList{update: d.router.BeginUpdate(kind)}
 	fields, err := list.parseFields(objects)
 	if err != nil {
 		return nil, unexpectedEOF(err)
 	}
-	if err := list.setHead(fields); err != nil {
-		return nil, fmt.Errorf("server list: %w", err)
+	if err := list.setHeader(fields); err != nil {
+		return nil, fmt.Errorf("endpoint list: %w", err)
 	}
 	return list, nil
 }
 
-// parseFields reads an object that has been opened. In its result a list of members is replaced by whether there
-// is one.
+// parseFields reads an object after its opening brace. In the result, the value of "members" is true if it is a list,
+// and nil otherwise.
 func (l *endpointList) parseFields(objects *json.Decoder) (map[string]any, error) {
 	fields := map[string]any{}
 	for objects.More() {
@@ -104,19 +105,19 @@
 	return fields, err
 }
 
-// setHead takes over the fields other than the members, once all of them have been read.
-func (l *endpointList) setHead(fields map[string]any) error {
-	var fault error
-	revision := required[float64](fields, "revision", &fault)
-	isComplete := required[bool](fields, "complete", &fault)
-	required[bool](fields, "members", &fault)
+// setHeader validates the list and applies the fields other than the members, once all of them have been read.
+func (l *endpointList) setHeader(fields map[string]any) error {
+	var firstErr error
+	revision := required[float64](fields, "revision", &firstErr)
+	isComplete := required[bool](fields, "complete", &firstErr)
+	required[bool](fields, "members", &firstErr)
 	switch {
 	case l.memberCount > maxServers:
 		return fmt.Errorf("%d members, %d at most", l.memberCount, maxServers)
-	case fault != nil:
-		return fault
-	case l.memberFault != nil:
-		return l.memberFault
+	case firstErr != nil:
+		return firstErr
+	case l.memberErr != nil:
+		return l.memberErr
 	}
 	l.revision = int64(revision)
 	if isComplete {
@@ -125,7 +126,7 @@
 	return nil
 }
 
-// unexpectedEOF says of an end of the input that it came too early.
+// unexpectedEOF replaces io.EOF by io.ErrUnexpectedEOF.
 func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
@@ -138,8 +139,8 @@
 	return v, err
 }
 
-// parseMembers adds the members of a list. It returns true where there is a list. Members past the bound are
-// counted and not kept.
+// parseMembers adds the members of a list to the update. It returns true if there is a list, and nil otherwise. Members
+// beyond maxServers are counted but not added.
 func (l *endpointList) parseMembers(objects *json.Decoder) (any, error) {
 	opening, err := objects.Token()
 	if err != nil {
@@ -158,15 +159,15 @@
 			return nil, err
 		}
 		l.memberCount++
-		if l.memberCount <= maxServers && l.memberFault == nil {
-			l.memberFault = l.addMember(member)
+		if l.memberCount <= maxServers && l.memberErr == nil {
+			l.memberErr = l.addMember(member)
 		}
 	}
 	_, err = objects.Token()
 	return true, err
 }
 
-// skipObject reads to the end of an object that has been opened.
+// skipObject reads an object, after its opening brace, to its end.
 func skipObject(objects *json.Decoder) error {
 	for objects.More() {
 		if _, err := objects.Token(); err != nil {
@@ -181,37 +182,37 @@
 }
 
 // addMember adds one member to the update.
-func (l *endpointList) addMember(member any) (fault error) {
-	fields, _ := member.(map[string]any) // a nil map has no fields, and is reported for that
-	phase := required[string](fields, "phase", &fault)
+func (l *endpointList) addMember(member any) (firstErr error) {
+	fields, _ := member.(map[string]any) // other kinds of value give a nil map, whose required fields are missing
+	phase := required[string](fields, "phase", &firstErr)
 	readiness, isKnown := phaseReadiness(phase)
-	if !isKnown && fault == nil {
-		fault = fmt.Errorf("unknown phase %q", phase)
+	if !isKnown && firstErr == nil {
+		firstErr = fmt.Errorf("unknown phase %q", phase)
 	}
 	var startedAt time.Time
-	if milliseconds := optional(fields, "up_since_ms", 0.0, &fault); milliseconds > 0 {
+	if milliseconds := optional(fields, "up_since_ms", 0.0, &firstErr); milliseconds > 0 {
 		startedAt = time.UnixMilli(int64(milliseconds))
 	}
-	id := required[string](fields, "id", &fault)
-	if id == "" && fault == nil {
-		fault = errors.New("an entry without an id")
+	id := required[string](fields, "id", &firstErr)
+	if id == "" && firstErr == nil {
+		firstErr = errors.New("member without an id")
 	}
-	if len(id) > routing.MaxIDLength && fault == nil {
-		fault = fmt.Errorf("an id of %d bytes, %d at most", len(id), routing.MaxIDLength)
+	if len(id) > routing.MaxIDLength && firstErr == nil {
+		firstErr = fmt.Errorf("member id of %d bytes, %d at most", len(id), routing.MaxIDLength)
 	}
 	l.update.AddEndpoint(routing.Endpoint{
 		Name:      id,
-		Addr:      optional(fields, "host_port", "", &fault),
-		Zone:      optional(fields, "locality", "", &fault),
-		Cell:      int(optional(fields, "cell", 0.0, &fault)),
-		Size:      optional(fields, "size", 1.0, &fault),
+		Addr:      optional(fields, "host_port", "", &firstErr),
+		Zone:      optional(fields, "locality", "", &firstErr),
+		Cell:      int(optional(fields, "cell", 0.0, &firstErr)),
+		Size:      optional(fields, "size", 1.0, &firstErr),
 		Readiness: readiness,
 		StartedAt: startedAt,
 	})
-	return fault
+	return firstErr
 }
 
-// phaseReadiness maps discovery's phase of a member.
+// phaseReadiness maps a member's phase, as discovery has it, to a readiness.
 func phaseReadiness(phase string) (readiness routing.Readiness, isKnown bool) {
 	switch phase {
 	case "SERVING":
@@ -224,19 +225,19 @@
 	return routing.Draining, false
 }
 
-// required is a field that must be there. The first fault is kept.
-func required[T any](fields map[string]any, name string, fault *error) T {
+// required returns a field that must be present. If it is not, it sets *firstErr, unless that is set already.
+func required[T any](fields map[string]any, name string, firstErr *error) T {
 	value, ok := fields[name].(T)
-	if !ok && *fault == nil {
-		*fault = fmt.Errorf("%s is missing or of the wrong kind", name)
+	if !ok && *firstErr == nil {
+		*firstErr = fmt.Errorf("%s is missing or of the wrong type", name)
 	}
 	return value
 }
 
-// optional is a field that may be absent or null.
-func optional[T any](fields map[string]any, name string, absent T, fault *error) T {
+// optional returns a field that may be absent or null.
+func optional[T any](fields map[string]any, name string, absent T, firstErr *error) T {
 	if fields[name] == nil {
 		return absent
 	}
-	return required[T](fields, name, fault)
+	return required[T](fields, name, firstErr)
 }
--- a/internal/protocol/endpointstart_test.go
+++ b/internal/protocol/endpointstart_test.go
@@ -58,13 +58,13 @@
 	before := d.router.Snapshot().Decisions.Now
 	send(true, member("a", "SERVING"))
 	send(false, memberStartedAt(reported))
-	startedAt := startOf(t, d.router)
+	startedAt := startTimeOf(t, d.router)
 	if now := d.router.Snapshot().Decisions.Now; startedAt < before || startedAt > now {
 		t.Errorf("a start reported between %v and %v is taken for one at %v", before, now, startedAt)
 	}
 	before = d.router.Snapshot().Decisions.Now
 	send(true, member("a", "SERVING"), memberStartedAt(reported))
-	if got := startOf(t, d.router); got != startedAt {
+	if got := startTimeOf(t, d.router); got != startedAt {
 		t.Errorf("reported again, the start at %v is taken for another at %v", startedAt, got)
 	}
 	successor := newTestDiscovery(1, "", false)
@@ -73,17 +73,17 @@
 	if err := successor.applyText(t.Context(), []byte(sameList), routing.DeltaUpdate); err != nil {
 		t.Fatal(err)
 	}
-	if got := startOf(t, successor.router); got != startedAt {
+	if got := startTimeOf(t, successor.router); got != startedAt {
 		t.Errorf("restored, the start at %v is taken for another at %v", startedAt, got)
 	}
 	send(false, memberStartedAt(reported.Add(-2*time.Hour)))
-	if got := startOf(t, d.router); got < before {
+	if got := startTimeOf(t, d.router); got < before {
 		t.Errorf("a start with an earlier value, reported after %v, is taken for one at %v", before, got)
 	}
 }
 
-// startOf is when the restarting server started, by the router's clock.
-func startOf(t *testing.T, r *routing.Router) time.Duration {
+// startTimeOf is when the restarting server started, by the router's clock.
+func startTimeOf(t *testing.T, r *routing.Router) time.Duration {
 	t.Helper()
 	snapshot := r.Snapshot()
 	for i, server := range snapshot.Servers {
--- a/internal/protocol/flowids.go
+++ b/internal/protocol/flowids.go
@@ -8,29 +8,30 @@
 )
 
 const (
-	// retiredIDs is how many ids of flows that ended stay taken.
+	// retiredIDs is how many ids of ended flows stay in use.
 	retiredIDs = 4096
 	idKeyBytes = 16
 	hashBytes  = 8
 )
 
-// flowIDs keeps the ids of all flows that have not ended, and of the last that did. An id that is taken is refused the
-// second time and the first flow goes on: each connection brings a new id, so that a client with the id of a flow that
-// ended a short while ago has read it from another client.
+// flowIDs is the set of the ids of all open flows and of the last retiredIDs that ended. An id in the set is refused for
+// another flow, and the first flow is not affected. As each connection has a new id, a client that uses the id of a
+// recently ended flow must have copied it from another client.
 type flowIDs struct {
 	mu sync.Mutex // guards the fields below
-	// key goes into the hashes: clients choose their ids, and must not choose which ones share a hash.
+	// key is hashed with each id: clients choose their ids, and must not be able to construct collisions.
 	key     []byte
 	taken   map[uint64]struct{}
-	retired []uint64 // the ids that ended, a ring
-	oldest  int      // of the ring, once it is full
-	// isTakenElsewhere asks the process that took the ids over; nil: there is none.
+	retired []uint64 // a ring of the ids of ended flows
+	oldest  int      // index of the oldest entry of the ring, once it is full
+	// isTakenElsewhere claims an id at the process that imported the ids, and reports whether it was in use there. It
+	// is nil if there is no such process.
 	isTakenElsewhere func(hash uint64) bool
 }
 
 func newFlowIDs() *flowIDs {
 	ids := &flowIDs{taken: map[uint64]struct{}{}, key: make([]byte, idKeyBytes)}
-	_, _ = rand.Read(ids.key) // it never fails
+	_, _ = rand.Read(ids.key) // never fails
 	return ids
 }
 
@@ -39,35 +40,35 @@
 	return binary.BigEndian.Uint64(sum[:])
 }
 
-// claim takes an id for a flow, until end. It reports whether it was free.
+// claim adds the id of a new flow to the set, until end is called. It reports whether the id was free.
 func (ids *flowIDs) claim(id string) (wasFree bool) {
 	ids.mu.Lock()
 	hash := ids.hash(id)
 	isTakenElsewhere := ids.isTakenElsewhere
-	wasFree = ids.take(hash)
+	wasFree = ids.addIfFree(hash)
 	ids.mu.Unlock()
 	if !wasFree || isTakenElsewhere == nil || !isTakenElsewhere(hash) {
 		return wasFree
 	}
 	ids.mu.Lock()
 	defer ids.mu.Unlock()
-	ids.retire(hash) // no flow here will end with it
+	ids.retire(hash) // there is no flow here for which end would be called
 	return false
 }
 
-// claimHash takes an id for a flow of the other process. Unlike claim it reports whether it was taken already, as the
-// reply to that process does.
+// claimHash adds the id of a flow of the other process to the set. Unlike claim it reports whether the id was in use, as
+// the reply to that process does.
 func (ids *flowIDs) claimHash(hash uint64) (wasTaken bool) {
 	ids.mu.Lock()
 	defer ids.mu.Unlock()
-	if !ids.take(hash) {
+	if !ids.addIfFree(hash) {
 		return true
 	}
 	ids.retire(hash)
 	return false
 }
 
-// end says that the flow of an id ended; the empty id belongs to none.
+// end retires the id of a flow that ended. The empty id belongs to no flow and is ignored.
 func (ids *flowIDs) end(id string) {
 	if id == "" {
 		return
@@ -77,8 +78,8 @@
 	ids.retire(ids.hash(id))
 }
 
-// take reports whether an id was free; the mutex is held.
-func (ids *flowIDs) take(hash uint64) (wasFree bool) {
+// addIfFree adds an id to the set and reports whether it was free. The caller holds the mutex.
+func (ids *flowIDs) addIfFree(hash uint64) (wasFree bool) {
 	if _, ok := ids.taken[hash]; ok {
 		return false
 	}
@@ -86,7 +87,8 @@
 	return true
 }
 
-// retire keeps an id among the last that ended, and frees the oldest of these; the mutex is held.
+// retire adds an id to the ring of ended flows, and removes the oldest one of the ring from the set. The caller holds the
+// mutex.
 func (ids *flowIDs) retire(hash uint64) {
 	if len(ids.retired) < retiredIDs {
 		ids.retired = append(ids.retired, hash)
@@ -97,8 +99,8 @@
 	ids.oldest = (ids.oldest + 1) % retiredIDs
 }
 
-// share returns the key and the hashes of all ids that are taken, and has each further id claimed elsewhere too.
-func (ids *flowIDs) share(isTakenElsewhere func(hash uint64) bool) (key, hashes []byte) {
+// export returns the key and the hashes of all ids in the set. From then on isTakenElsewhere is called for each new id.
+func (ids *flowIDs) export(isTakenElsewhere func(hash uint64) bool) (key, hashes []byte) {
 	ids.mu.Lock()
 	defer ids.mu.Unlock()
 	ids.isTakenElsewhere = isTakenElsewhere
@@ -108,29 +110,30 @@
 	return ids.key, hashes
 }
 
-// adopt takes over what share returned, as ids that ended: these stay taken longest.
-func (ids *flowIDs) adopt(key, hashes []byte) {
+// importHashes imports what export returned. The ids are added as retired ones: these leave the set only when newer ones replace
+// them.
+func (ids *flowIDs) importHashes(key, hashes []byte) {
 	ids.mu.Lock()
 	defer ids.mu.Unlock()
 	ids.key = key
 	for ; len(hashes) >= hashBytes; hashes = hashes[hashBytes:] {
-		if hash := binary.BigEndian.Uint64(hashes); ids.take(hash) {
+		if hash := binary.BigEndian.Uint64(hashes); ids.addIfFree(hash) {
 			ids.retire(hash)
 		}
 	}
 }
 
-// ClaimID takes an id for a flow and reports whether it was free.
+// ClaimID claims an id for a flow and reports whether it was free.
 func (f *Frontend) ClaimID(id string) (wasFree bool) { return f.ids.claim(id) }
 
-// ShareIDs returns the ids that are taken, as hashes under a key, for another process that takes them over. From
-// then on that process is asked for each new id; nil ends this.
+// ShareIDs returns the ids in use, as keyed hashes, for another process that imports them. From then on isTakenElsewhere,
+// which asks that process, is called for each new id; calling ShareIDs with nil ends this.
 func (f *Frontend) ShareIDs(isTakenElsewhere func(hash uint64) (taken bool)) (key, ids []byte) {
-	return f.ids.share(isTakenElsewhere)
+	return f.ids.export(isTakenElsewhere)
 }
 
-// ImportIDs takes over what ShareIDs returned in another process, before any client is served.
-func (f *Frontend) ImportIDs(key, ids []byte) { f.ids.adopt(key, ids) }
+// ImportIDs imports what ShareIDs returned in another process. It is called before any client is served.
+func (f *Frontend) ImportIDs(key, ids []byte) { f.ids.importHashes(key, ids) }
 
-// ClaimHash takes an id for a flow of the other process, and reports whether it was taken already.
+// ClaimHash claims an id, given by its hash, for a flow of the other process. It reports whether the id was in use.
 func (f *Frontend) ClaimHash(hash uint64) (wasTaken bool) { return f.ids.claimHash(hash) }
--- a/internal/protocol/frontend.go
+++ b/internal/protocol/frontend.go
@@ -14,82 +14,82 @@
 )
 
 const (
-	// firstLineTimeout runs from the accept to the end of the line that opens a flow, whatever is sent before it. A
-	// client that sends nothing, or PING without end, must be answered within 3 s, and the accept may have come late.
+	// firstLineTimeout runs from the accept to the end of the OPEN line, whatever precedes that line. A client that
+	// sends nothing, or one PING after another, must receive a reply within 3 s, and the accept may have been delayed.
 	firstLineTimeout = 2 * time.Second
-	// maxPings bounds the PINGs on one connection: hundreds at once do not ask whether this balancer lives.
+	// maxPings bounds the PINGs on one connection. A client that sends hundreds at once is not checking liveness.
 	maxPings = 16
 )
 
-// BusyReply is sent to a connection that is closed to free its descriptor: it was promised nothing and may retry.
+// BusyReply is sent on a connection that is closed to free its descriptor. It tells the client that it may retry.
 const BusyReply = "BUSY\r\n"
 
-// Why a connection was rejected. The client gets the text, unless the answer is BUSY.
+// Reasons for rejecting a connection or failing a flow. The client receives the text, unless the reply is BUSY.
 var (
-	errIDTaken           = errors.New("this id was another connection's")
-	errNoDescriptors     = errors.New("no descriptor left") // answered by BUSY
-	errOutOfService      = errors.New("out of service")     // answered by BUSY
-	errFirstLineTimeout  = errors.New("no whole line in time")
-	errTooManyPings      = errors.New("too many PINGs")
-	errSpokeBeforeAnswer = errors.New("spoke before its answer")
-	errMayHaveRun        = errors.New("given up")
-	errClientLeft        = errors.New("the client left")
-	errNotReestablished  = errors.New("not up")
-	errAborted           = errors.New("no answer")
+	errIDTaken            = errors.New("this id was another connection's")
+	errNoDescriptors      = errors.New("no descriptor left") // replied to with BUSY
+	errOutOfService       = errors.New("out of service")     // replied to with BUSY
+	errFirstLineTimeout   = errors.New("no whole line in time")
+	errTooManyPings       = errors.New("too many PINGs")
+	errDataBeforeReply    = errors.New("spoke before its answer")
+	errMayHaveRun         = errors.New("given up")
+	errClientDisconnected = errors.New("the client left")
+	errResumeFailed       = errors.New("not up")
+	errAborted            = errors.New("no answer")
 )
 
 // Frontend serves the clients' connections.
 type Frontend struct {
 	router         *routing.Router
 	dialer         transport.Dialer
-	connectTimeout time.Duration // of a server's handshake
-	retryAfter     time.Duration // advised to rejected clients; 0: none is
+	connectTimeout time.Duration // for the TCP handshake with a server
+	retryAfter     time.Duration // sent to rejected clients as the time after which to retry; 0: not sent
 	ids            *flowIDs
 
-	// stopping ends, with all waits of sessions for an answer, once Stop is called.
+	// stopping is cancelled by Stop. It ends the attempts of all sessions that are not established.
 	stopping context.Context
 	stop     context.CancelFunc
 
-	outOfService atomic.Bool // PING is answered by BUSY
-	rejectsAll   atomic.Bool // new flows are answered by BUSY too
+	outOfService atomic.Bool // the reply to PING is BUSY
+	rejectsAll   atomic.Bool // the reply to new flows is BUSY too
 
 	mu                 sync.Mutex   // guards the fields below
 	connectionCount    int          // sessions that have not ended
-	established        []*session   // those not yet asked to migrate
-	transferConnection TransferFunc // nil: there is no other process
+	established        []*session   // those whose clients Drain has not asked to reconnect
+	transferConnection TransferFunc // nil if there is no other process
 }
 
-// NewFrontend makes a frontend. connectTimeout bounds a server's handshake; retryAfter is advised to clients that are
-// rejected for lack of capacity, 0 advises nothing.
+// NewFrontend returns a frontend. connectTimeout bounds the TCP handshake with a server. retryAfter is sent to clients
+// that are rejected for lack of capacity as the time after which to retry; 0 sends none.
 func NewFrontend(r *routing.Router, connectTimeout, retryAfter time.Duration) *Frontend {
 	f := &Frontend{router: r, connectTimeout: connectTimeout, retryAfter: retryAfter, ids: newFlowIDs()}
 	f.stopping, f.stop = context.WithCancel(context.Background())
 	return f
 }
 
-// Stop ends what still waits for an answer, with an answer.
+// Stop ends all sessions that are not established. Their clients still receive a reply.
 func (f *Frontend) Stop() { f.stop() }
 
-// Availability says whether the layer before the balancers is to send clients here, and what becomes of those that
-// still come.
+// Availability says whether the layer in front of the balancers is to send clients here, and how clients that connect
+// nevertheless are handled.
 type Availability uint8
 
 const (
-	// InService answers PING by PONG and serves clients.
+	// InService replies to PING with PONG and serves clients.
 	InService Availability = iota
-	// OutOfService answers PING by BUSY and serves the clients that come before the layer notices.
+	// OutOfService replies to PING with BUSY and serves the clients that connect before the layer in front notices.
 	OutOfService
-	// RejectingClients answers PING by BUSY, and new flows too: the layer had the time to notice.
+	// RejectingClients replies to PING and to new flows with BUSY: the layer in front has had time to notice.
 	RejectingClients
 )
 
-// SetAvailability applies to the clients that come from now on.
+// SetAvailability sets how PINGs and flows that arrive from now on are handled.
 func (f *Frontend) SetAvailability(availability Availability) {
 	f.outOfService.Store(availability != InService)
 	f.rejectsAll.Store(availability == RejectingClients)
 }
 
-// ConnectionCount is how many clients' connections are being served.
+// ConnectionCount returns the number of client connections that are being served.
 func (f *Frontend) ConnectionCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -102,7 +102,7 @@
 	f.connectionCount += n
 }
 
-// Serve takes one client's connection from its first line to its end.
+// Serve serves one client's connection from its first line to its end.
 func (f *Frontend) Serve(client *transport.Conn) {
 	line, err := f.readFirstLine(client)
 	switch {
@@ -110,7 +110,7 @@
 	case f.rejectsAll.Load():
 		err = errOutOfService
 	case client.HasUnread():
-		err = errSpokeBeforeAnswer // a client that does not wait for its answer speaks another protocol
+		err = errDataBeforeReply // a client that does not wait for the reply speaks another protocol
 	}
 	if !client.MarkActive() {
 		return // it was closed to free its descriptor
@@ -125,7 +125,7 @@
 	s.run()
 }
 
-// readFirstLine answers PING until another line comes.
+// readFirstLine replies to PINGs until another line arrives, and returns that line.
 func (f *Frontend) readFirstLine(client *transport.Conn) (string, error) {
 	client.SetReadDeadline(time.Now().Add(firstLineTimeout))
 	defer context.AfterFunc(f.stopping, client.InterruptRead)()
@@ -133,7 +133,7 @@
 		line, err := readLine(client)
 		switch {
 		case errors.Is(err, os.ErrDeadlineExceeded) && f.stopping.Err() != nil:
-			return "", errOutOfService // whether or not part of the line has come, nothing of it went on
+			return "", errOutOfService // nothing was forwarded, even if part of the line was received
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			return "", errFirstLineTimeout
 		case err != nil:
@@ -153,24 +153,24 @@
 	return "", errTooManyPings
 }
 
-// reject gives a client that can't be served one line and an end, however much it still sends. A client that left
-// without a line gets neither.
+// reject sends a client that can't be served one line and closes the connection gracefully, however much the client
+// still sends. A client that disconnected without sending anything receives no line.
 func (f *Frontend) reject(client *transport.Conn, err error) {
 	switch {
 	case errors.Is(err, errNoDescriptors), errors.Is(err, errOutOfService):
-		answerBusy(client, f.retryAfter)
+		replyBusy(client, f.retryAfter)
 	case errors.Is(err, io.EOF) && !client.HasUnread():
 		client.Close()
 		return
 	default:
-		answerError(client, err)
+		replyError(client, err)
 	}
 	client.CloseGracefully()
 }
 
-// answerBusy tells a client that nothing was done for it, and when to retry. Like answerError it is the last line of a
-// connection: where it can't be written the client is gone, and there is nothing to report.
-func answerBusy(client *transport.Conn, retryAfter time.Duration) {
+// replyBusy tells a client that its flow had no effect, and when to retry. Like that of replyError, the line is the
+// last one of a connection: if it can't be written the client has disconnected, and there is nothing to report.
+func replyBusy(client *transport.Conn, retryAfter time.Duration) {
 	if retryAfter > 0 {
 		_ = writeLine(client, "BUSY %d", retryAfter.Milliseconds())
 	} else {
@@ -178,5 +178,5 @@
 	}
 }
 
-// answerError tells a client that its flow failed, without a promise that nothing was done for it.
-func answerError(client *transport.Conn, err error) { _ = writeLine(client, "ERR %v", err) }
+// replyError tells a client that its flow failed. Unlike BUSY, the reply does not imply that the flow had no effect.
+func replyError(client *transport.Conn, err error) { _ = writeLine(client, "ERR %v", err) }
--- a/internal/protocol/frontend_test.go
+++ b/internal/protocol/frontend_test.go
@@ -12,7 +12,7 @@
 	"yardwinch/decide"
 )
 
-const formError = "ERR bad OPEN: want OPEN ID KEY LIST"
+const openSyntaxError = "ERR bad OPEN: want OPEN ID KEY LIST"
 
 // badFirstLine is what a client sends that can't be served, and the answers.
 type badFirstLine struct {
@@ -22,10 +22,10 @@
 
 func badFirstLines() []badFirstLine {
 	return []badFirstLine{
-		{"not a word of ours", "HELLO\r\n", []string{formError}},
-		{"no list", "OPEN 1 2\r\n", []string{formError}},
-		{"no id", "OPEN  2 c=live,d=5\r\n", []string{formError}},
-		{"more than a list", "OPEN 1 2 c=live,d=5 x\r\n", []string{formError}},
+		{"not a word of ours", "HELLO\r\n", []string{openSyntaxError}},
+		{"no list", "OPEN 1 2\r\n", []string{openSyntaxError}},
+		{"no id", "OPEN  2 c=live,d=5\r\n", []string{openSyntaxError}},
+		{"more than a list", "OPEN 1 2 c=live,d=5 x\r\n", []string{openSyntaxError}},
 		{"no pair", "OPEN 1 2 c\r\n", []string{"ERR bad OPEN: no name=value pair"}},
 		{"no name", "OPEN 1 2 c=live,d=5,=2\r\n", []string{"ERR bad OPEN: no name=value pair"}},
 		{"a name twice", "OPEN 1 2 c=live,d=5,c=live\r\n", []string{"ERR bad OPEN: a name stands twice"}},
@@ -48,7 +48,7 @@
 		{"nothing", "", []string{"ERR no whole line in time"}},
 		{"hundreds at once", strings.Repeat(openFlowLine, 300), []string{"ERR spoke before its answer"}},
 		{"hundreds of PINGs", strings.Repeat("PING\r\n", 300), append(slices.Repeat([]string{"PONG"}, maxPings), "ERR too many PINGs")},
-		{"after a PING", "PING\r\nPING\r\nOPEN\r\n", []string{"PONG", "PONG", formError}},
+		{"after a PING", "PING\r\nPING\r\nOPEN\r\n", []string{"PONG", "PONG", openSyntaxError}},
 	}
 }
 
@@ -110,7 +110,7 @@
 		early := b.client(withID(fmt.Sprint("e", i)))
 		server, _ = accept(t, l)
 		early.send("M 1\r\n")
-		early.want("ERR " + errSpokeBeforeAnswer.Error())
+		early.want("ERR " + errDataBeforeReply.Error())
 		early.want("EOF")
 		server.want("EOF")
 	}
@@ -196,7 +196,7 @@
 // promise where something may have.
 func TestStopAnswersWaitingClients(t *testing.T) {
 	l := listen(t)
-	settings := usually(decide.NotIdempotent, 100)
+	settings := defaultSettings(decide.NotIdempotent, 100)
 	settings.balancers = 48 // one connection set-up at a time
 	b := newTestBalancer(t, settings, l.Addr().String())
 	b.serve()
--- a/internal/protocol/healthcheck.go
+++ b/internal/protocol/healthcheck.go
@@ -11,17 +11,17 @@
 )
 
 const (
-	healthCheckTimeout = 250 * time.Millisecond // from the dial to the answer
+	healthCheckTimeout = 250 * time.Millisecond // from the dial to the reply
 
 	// noLoad stands for the load of a server that reported none.
 	noLoad = -1
 
-	// HealthCheckDescriptors is how many health checks run at a time: each holds one descriptor.
+	// HealthCheckDescriptors is how many health checks run concurrently. Each holds one descriptor.
 	HealthCheckDescriptors = 4
 )
 
-// RunHealthChecks checks the servers that the router names, until the context ends. connectTimeout bounds a server's
-// handshake, as it does for flows.
+// RunHealthChecks runs the health checks that the router requests, until the context ends. connectTimeout bounds the TCP
+// handshake with a server, as it does for flows.
 func RunHealthChecks(ctx context.Context, r *routing.Router, connectTimeout time.Duration) {
 	var workers sync.WaitGroup
 	for range HealthCheckDescriptors {
@@ -38,7 +38,7 @@
 	workers.Wait()
 }
 
-// checkHealth asks one server for its load.
+// checkHealth requests one server's load report.
 func checkHealth(
 	ctx context.Context, addr string, connectTimeout time.Duration,
 ) (outcome routing.Outcome, load float64) {
--- a/internal/protocol/healthcheck_test.go
+++ b/internal/protocol/healthcheck_test.go
@@ -35,7 +35,7 @@
 	}
 	t.Run("unreachable", func(t *testing.T) {
 		l := listen(t)
-		discard(l)
+		closeQuietly(l)
 		if outcome, _ := checkHealth(t.Context(), l.Addr().String(), sec); outcome != routing.Unreachable {
 			t.Errorf("outcome %v", outcome)
 		}
--- a/internal/protocol/lines.go
+++ b/internal/protocol/lines.go
@@ -1,5 +1,5 @@
-// Package protocol speaks the platform's lines of text with clients and servers, and follows discovery's endpoint list.
-// It decides nothing: what it decodes goes straight into a call of package routing.
+// Package protocol implements the platform's line protocol with clients and servers, and watches discovery's endpoint
+// list. It makes no routing decisions: what it decodes is passed to package routing.
 package protocol
 
 import (
@@ -16,9 +16,9 @@
 	lineWriteBufferBytes = 4200 // more than the longest line
 )
 
-// lineCodec reads and writes single lines with net/textproto. A Conn never gives it more than one line, so that
-// nothing stays behind in its buffers and one codec serves any number of connections. A textproto.Conn for each
-// connection would keep two buffers of 4 KiB that never shrink, and would read lines of any length.
+// lineCodec reads and writes single lines with net/textproto. A transport.Conn never returns more than one line per
+// read, so that nothing is left in the buffers and codecs can be shared between connections. A textproto.Conn for each
+// connection would keep two buffers of 4 KiB that never shrink, and would accept lines of any length.
 type lineCodec struct {
 	in     *bufio.Reader
 	reader textproto.Reader
@@ -36,7 +36,7 @@
 	return codec
 }}
 
-// readLine reads one line, without its end.
+// readLine reads one line and returns it without its line ending.
 func readLine(c *transport.Conn) (string, error) {
 	codec := lineCodecs.Get().(*lineCodec)
 	defer lineCodecs.Put(codec)
@@ -44,7 +44,7 @@
 	return codec.reader.ReadLine()
 }
 
-// writeLine sends one line. An error means that its last byte was not written.
+// writeLine sends one line. After an error, the line was not written completely.
 func writeLine(c *transport.Conn, format string, a ...any) error {
 	codec := lineCodecs.Get().(*lineCodec)
 	defer lineCodecs.Put(codec)
@@ -52,7 +52,7 @@
 	return codec.writer.PrintfLine(format, a...)
 }
 
-// lineKind is the first word of a line, which says what the line is.
+// lineKind returns the first word of a line, which is its type.
 func lineKind(line string) string {
 	kind, _, _ := strings.Cut(line, " ")
 	return kind
--- a/internal/protocol/localerrors_test.go
+++ b/internal/protocol/localerrors_test.go
@@ -65,7 +65,7 @@
 				b.t.Error(err)
 				return
 			}
-			defer discard(c)
+			defer closeQuietly(c)
 			client := newPeer(b.t, c, nil)
 			client.send(fmt.Sprintf("OPEN e%d k c=live,d=2000\r\n", i))
 			if got := client.line(); got != "UP 1" {
--- a/internal/protocol/open.go
+++ b/internal/protocol/open.go
@@ -12,28 +12,27 @@
 )
 
 const (
-	// maxTimeout bounds a client's time: one that is longer means something else.
+	// maxTimeout bounds a client's timeout. A longer one is taken for an error.
 	maxTimeout = 10 * time.Minute
-	// maxNames bounds the list of an OPEN line: each name is looked for among all before it.
+	// maxNames bounds the list of an OPEN line, as the check for duplicates is quadratic.
 	maxNames = 64
-	// answerMargin is kept back from a client's time: its line took a while to come here, and the answer takes one to
-	// go back.
-	answerMargin = 12 * time.Millisecond
+	// replyMargin is subtracted from a client's timeout for the transit of its line and of the reply.
+	replyMargin = 12 * time.Millisecond
 )
 
 var errBadOpen = errors.New("bad OPEN")
 
-// openRequest is what an OPEN line says.
+// openRequest is a parsed OPEN line.
 type openRequest struct {
 	flow     FlowInfo
-	resumeAt string // the server where the connection was open before; empty: it is new
+	resumeAt string // the server at which the connection was open before; empty for a new flow
 	timeout  time.Duration
 	flags    int // routing's Flag constants
 }
 
-// parseOpen reads an OPEN line. It is strict, as a server closes a connection on what it can't read and rejects what it
-// can't use, and either would count against the server. A name that stands twice could mean one thing here and another
-// at the server. Names that are not known here are the request's own.
+// parseOpen parses an OPEN line. It is strict, as a server closes the connection on a line that it can't parse and
+// rejects one that it can't use, and either would count against the server. It refuses duplicate names, which the server
+// could resolve differently. It ignores unknown names, which are meant for the server.
 func parseOpen(line string) (openRequest, error) {
 	for i := range len(line) {
 		if line[i] < ' ' || line[i] > '~' {
@@ -79,7 +78,7 @@
 	return nil
 }
 
-// set takes over one pair.
+// set applies one pair.
 func (r *openRequest) set(name, value string) error {
 	switch name {
 	case "c":
@@ -110,7 +109,8 @@
 	return nil
 }
 
-// withTimeout is the OPEN line as it is forwarded to a server: only the client's timeout is replaced by what is left.
+// withTimeout returns the OPEN line as it is forwarded to a server: the client's timeout is replaced by the time left, and
+// the rest is unchanged.
 func withTimeout(line string, left time.Duration) string {
 	listAt := strings.LastIndexByte(line, ' ') + 1
 	pairs := strings.Split(line[listAt:], ",")
--- a/internal/protocol/overload_test.go
+++ b/internal/protocol/overload_test.go
@@ -59,7 +59,7 @@
 	}
 	body, w := io.Pipe()
 	go func() {
-		defer discard(w)
+		defer closeQuietly(w)
 		for line := object(1, true, member("a", "SERVING")) + "\n"; q.Context().Err() == nil; line = "\n" {
 			_, _ = io.WriteString(w, line) // the reader is gone once the context ended
 			select {
@@ -92,7 +92,7 @@
 	var stops []func()
 	for i := range balancers {
 		d := newTestDiscovery(uint64(i), "nowhere", true)
-		d.client.Transport = roundTrip(func(q *http.Request) (*http.Response, error) {
+		d.client.Transport = roundTripFunc(func(q *http.Request) (*http.Response, error) {
 			if time.Now().Before(outageEnd) {
 				<-q.Context().Done()
 				return nil, context.Cause(q.Context())
@@ -114,6 +114,6 @@
 	}
 }
 
-type roundTrip func(*http.Request) (*http.Response, error)
+type roundTripFunc func(*http.Request) (*http.Response, error)
 
-func (r roundTrip) RoundTrip(q *http.Request) (*http.Response, error) { return r(q) }
+func (r roundTripFunc) RoundTrip(q *http.Request) (*http.Response, error) { return r(q) }
--- a/internal/protocol/races_test.go
+++ b/internal/protocol/races_test.go
@@ -25,15 +25,15 @@
 	"data, an end": func(c *peer) { c.send("M 1\r\nM 2\r\n"); c.close() },
 }
 
-// unresponsiveListener is a server whose queue is full: connections come up only once others are taken out.
-func unresponsiveListener(t *testing.T) net.Listener {
+// listenWithFullBacklog is a server whose queue is full: connections come up only once others are taken out.
+func listenWithFullBacklog(t *testing.T) net.Listener {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	f := os.NewFile(uintptr(fd), "listener")
-	defer discard(f) // net.FileListener makes a descriptor of its own
+	defer closeQuietly(f) // net.FileListener makes a descriptor of its own
 	if err := syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
 		t.Fatal(err)
 	}
@@ -44,14 +44,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { discard(l) })
+	t.Cleanup(func() { closeQuietly(l) })
 	_ = l.(*net.TCPListener).SetDeadline(time.Now().Add(hangTimeout))
 	for { // until one does not come up
 		c, err := (&net.Dialer{Timeout: 100 * ms}).DialContext(t.Context(), "tcp", l.Addr().String())
 		if err != nil {
 			return l
 		}
-		t.Cleanup(func() { discard(c) })
+		t.Cleanup(func() { closeQuietly(c) })
 	}
 }
 
@@ -93,7 +93,7 @@
 
 func clientLeavesBeforeDecision(t *testing.T, leave func(*peer)) {
 	l := listen(t)
-	settings := usually(decide.NotIdempotent, allDescriptors)
+	settings := defaultSettings(decide.NotIdempotent, allDescriptors)
 	settings.balancers = 48 // one connection set-up at a time
 	b := newTestBalancer(t, settings, l.Addr().String())
 	b.serve()
@@ -110,8 +110,8 @@
 }
 
 func clientLeavesBeforeConnection(t *testing.T, leave func(*peer)) {
-	l := unresponsiveListener(t)
-	settings := usually(decide.NotIdempotent, allDescriptors)
+	l := listenWithFullBacklog(t)
+	settings := defaultSettings(decide.NotIdempotent, allDescriptors)
 	settings.connectTimeout = 8 * sec
 	b := newTestBalancer(t, settings, l.Addr().String())
 	b.serve()
@@ -123,7 +123,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	discard(queued)
+	closeQuietly(queued)
 	b.client(withLongTimeout(withID("9f")))
 	for { // the connections that filled the queue send nothing
 		if _, line := accept(t, l); strings.HasPrefix(line, "OPEN 9f ") {
@@ -156,7 +156,7 @@
 func clientsLeaveBeforeAccept(t *testing.T, leave func(*peer)) {
 	const clients = 40 // at once, as when a site loses its network
 	l := listen(t)
-	b := newTestBalancer(t, usually(decide.NotIdempotent, allDescriptors), l.Addr().String())
+	b := newTestBalancer(t, defaultSettings(decide.NotIdempotent, allDescriptors), l.Addr().String())
 	for i := range clients {
 		leave(b.client(withID(fmt.Sprint("q", i))))
 	}
@@ -234,7 +234,7 @@
 // first or retry, neither the request for a connection nor the first byte on it.
 func TestNoAttemptAfterClientLeft(t *testing.T) {
 	const busy, reset, resumeLine = "BUSY\r\n", "", "OPEN 1a 2 c=live,at=s0\r\n"
-	for _, c := range []attemptAfterLeft{
+	for _, c := range []departureCase{
 		{"a decision", openFlowLine, nil, false},
 		{"a connection", openFlowLine, nil, true},
 		{"a decision to retry", openFlowLine, []string{busy}, false},
@@ -252,16 +252,16 @@
 	}
 }
 
-// attemptAfterLeft is a client that leaves at one moment of one attempt.
-type attemptAfterLeft struct {
+// departureCase is a client that leaves at one moment of one attempt.
+type departureCase struct {
 	name, line  string
 	answers     []string // of the server, to the attempts before; empty: a reset
 	isConnected bool     // the attempt's connection came up before the client left
 }
 
-func (c attemptAfterLeft) run(t *testing.T, leave func(*peer)) {
+func (c departureCase) run(t *testing.T, leave func(*peer)) {
 	l, front := listen(t), listen(t)
-	settings := usually(decide.Idempotent, 100)
+	settings := defaultSettings(decide.Idempotent, 100)
 	settings.connectTimeout = 8 * sec
 	b := newTestBalancer(t, settings, l.Addr().String(), l.Addr().String())
 	client := dial(t, front.Addr().String())
@@ -305,8 +305,8 @@
 // A retry is decided within the window in which servers drop duplicates, and its connection comes up after it: the
 // line must not go on, as it could take effect a second time.
 func TestRetryEstablishedPastItsWindow(t *testing.T) {
-	first, late := listen(t), unresponsiveListener(t)
-	settings := usually(decide.IdempotentByKey, 100)
+	first, late := listen(t), listenWithFullBacklog(t)
+	settings := defaultSettings(decide.IdempotentByKey, 100)
 	settings.connectTimeout, settings.retryWindow = 8*sec, 300*ms
 	b := newTestBalancer(t, settings, first.Addr().String())
 	b.serve()
@@ -339,7 +339,7 @@
 // A decision is picked up after its deadline: nothing is sent, as the time runs from the decision.
 func TestDecisionPickedUpLate(t *testing.T) {
 	l := listen(t)
-	settings := usually(decide.NotIdempotent, 100)
+	settings := defaultSettings(decide.NotIdempotent, 100)
 	settings.connectTimeout = 8 * sec
 	b := newTestBalancer(t, settings, l.Addr().String())
 	flow, err := b.router.OpenFlow(routing.FlowRequest{Service: "live", Timeout: 40 * ms})
@@ -352,8 +352,8 @@
 		t.Fatal(err)
 	}
 	client, other := net.Pipe()
-	defer discard(client)
-	defer discard(other)
+	defer closeQuietly(client)
+	defer closeQuietly(other)
 	s := &session{
 		frontend: b.frontend,
 		client:   transport.NewConn(client),
--- a/internal/protocol/relay.go
+++ b/internal/protocol/relay.go
@@ -14,12 +14,13 @@
 	"yardwinch/internal/transport"
 )
 
-// endTimeout bounds how long a server may take to end a connection that its client has ended, or that it has announced
-// the end of.
+// endTimeout bounds how long a server may take to close a connection after its client has closed it, or after the server
+// has announced the close.
 const endTimeout = 800 * time.Millisecond
 
-// readClient reads the client's side: before the connection is established only to notice that the client left or spoke
-// too early, then to relay its lines. endAttempts ends the session's attempts, and says why.
+// readClient reads from the client. Before the connection is established, this is only to detect that the client
+// disconnected or sent data too early; afterwards its lines are relayed. endAttempts cancels the session's attempts with
+// a cause.
 func (s *session) readClient(endAttempts context.CancelCauseFunc) {
 	defer close(s.clientDone)
 	err := s.client.WaitReadable()
@@ -29,14 +30,14 @@
 		return
 	case err != nil:
 		s.clientEnded.Store(true)
-		endAttempts(errClientLeft)
+		endAttempts(errClientDisconnected)
 		<-s.settled
 		if s.server != nil {
 			s.forwardClientEnd(err)
 		}
 		return
-	case !s.isAnswered.Load():
-		endAttempts(errSpokeBeforeAnswer) // what it says would go to the server as its first lines
+	case !s.clientMaySend.Load():
+		endAttempts(errDataBeforeReply) // otherwise the data would be relayed as the first lines
 	}
 	<-s.settled
 	if s.server == nil {
@@ -49,16 +50,16 @@
 	}
 }
 
-// forwardClientEnd ends the server's side the way the client ended its own.
+// forwardClientEnd closes the server's side in the way in which the client's side ended. err is the relay's error.
 func (s *session) forwardClientEnd(err error) {
 	var side *transport.SideError
 	isWriteError := errors.As(err, &side) && side.IsWriteSide
 	switch {
 	case isWriteError && errors.Is(err, os.ErrDeadlineExceeded):
 		s.writeSideClosed.Store(true)
-		s.server.Stop() // it takes no lines: the client is asked to reconnect
+		s.server.Stop() // the server stopped reading: ask the client to reconnect
 	case isWriteError:
-		s.server.SetReadDeadline(time.Now().Add(endTimeout)) // it ended; its last lines are still to be read
+		s.server.SetReadDeadline(time.Now().Add(endTimeout)) // the server closed the connection; read its last lines
 	case errors.Is(err, io.EOF):
 		s.clientEnded.Store(true)
 		s.server.CloseWrite()
@@ -69,8 +70,8 @@
 	}
 }
 
-// relay passes on what the server sends until one side ends, and ends the other side in the same way. A relay that is
-// parked ends here if the connection was transferred to another process, and continues if not.
+// relay relays the server's lines until one side ends, and closes the other side in the same way. A relay that was parked
+// ends if the connection was transferred to another process, and continues otherwise.
 func (s *session) relay() {
 	err := transport.Relay(s.client, s.server, s.onServerLine)
 	for errors.Is(err, transport.ErrParked) {
@@ -80,14 +81,14 @@
 		err = transport.Relay(s.client, s.server, s.onServerLine)
 	}
 	if errors.Is(err, transport.ErrStopped) {
-		_ = writeLine(s.client, "MOVE") // where the client is gone it comes again anyway
+		_ = writeLine(s.client, "MOVE") // on an error the client has disconnected and reconnects anyway
 	}
 	outcome, isBroken := s.relayOutcome(err)
 	slog.Debug("relay ended", "error", err, "last_line", s.lastLineKind, "client_ended", s.clientEnded.Load())
 	s.transition(stateEnded)
 	s.flow.OnEnded(outcome)
 	if isBroken {
-		s.server.Reset() // first: the client's close gives back the descriptors of both
+		s.server.Reset() // before the client's side, whose close releases the descriptors of both
 		s.client.Reset()
 		<-s.clientDone
 		return
@@ -96,7 +97,7 @@
 	s.finish()
 }
 
-// onServerLine looks at a line of the server's before it is relayed to the client.
+// onServerLine inspects a line from the server before it is relayed to the client.
 func (s *session) onServerLine(line []byte) {
 	kind, argument, _ := strings.Cut(string(line), " ")
 	s.lastLineKind = kind
@@ -108,7 +109,7 @@
 	}
 	s.flow.OnReply()
 	if s.serverAnnouncedEnd() {
-		s.server.SetReadDeadline(time.Now().Add(endTimeout)) // whether or not an end follows
+		s.server.SetReadDeadline(time.Now().Add(endTimeout)) // the server may fail to close the connection
 	}
 }
 
@@ -116,17 +117,17 @@
 	return s.lastLineKind == "BYE" || s.lastLineKind == "MOVE"
 }
 
-// relayOutcome is what the end of a relay means. A broken connection is to be ended by a reset.
+// relayOutcome maps the error that ended a relay to an outcome. A broken connection is to be closed with a reset.
 func (s *session) relayOutcome(err error) (outcome routing.Outcome, isBroken bool) {
-	outcome, isBroken = s.endOfRelay(err)
+	outcome, isBroken = s.classifyRelayEnd(err)
 	if s.lastLineKind == "MOVE" && outcome == routing.Cancelled {
-		outcome = routing.Full // ahead of the endpoint list: the next client would be sent away too
+		outcome = routing.Full // the endpoint list does not say so yet: the server would send the next client away too
 	}
 	return outcome, isBroken
 }
 
-// endOfRelay is relayOutcome without regard to what a MOVE says of the server.
-func (s *session) endOfRelay(err error) (outcome routing.Outcome, isBroken bool) {
+// classifyRelayEnd is relayOutcome without the special case for MOVE.
+func (s *session) classifyRelayEnd(err error) (outcome routing.Outcome, isBroken bool) {
 	var side *transport.SideError
 	switch {
 	case errors.Is(err, transport.ErrStopped):
--- a/internal/protocol/relay_test.go
+++ b/internal/protocol/relay_test.go
@@ -114,7 +114,7 @@
 			return
 		}
 		go func() {
-			defer discard(c)
+			defer closeQuietly(c)
 			serve(c)
 		}()
 	}
--- a/internal/protocol/session.go
+++ b/internal/protocol/session.go
@@ -9,59 +9,59 @@
 	"yardwinch/internal/transport"
 )
 
-// FlowInfo is what is known of a flow apart from its connections.
+// FlowInfo is the description of a flow, without its connections.
 type FlowInfo struct {
-	ID       string `json:"id"` // as its client chose it; empty: it belongs to another connection's flow
+	ID       string `json:"id"` // chosen by the client; empty if the id is in use by another connection's flow
 	Service  string `json:"service"`
 	Customer string `json:"customer,omitempty"`
 	Key      string `json:"key"`
 	Group    string `json:"group,omitempty"`
 }
 
-// request is the flow in the terms of routing.
+// request converts the flow to routing's request.
 func (i FlowInfo) request() routing.FlowRequest {
 	return routing.FlowRequest{ClientID: i.ID, Service: i.Service, Customer: i.Customer, Key: i.Key, Group: i.Group}
 }
 
-// sessionState is what a session waits for.
+// sessionState is the stage that a session has reached.
 type sessionState uint8
 
 const (
 	stateOpening          sessionState = iota
-	stateAwaitingDecision              // the decisions have the flow
-	stateConnecting                    // a server's connection is being established
-	stateAwaitingReply                 // the OPEN line went to the server
-	stateEstablished                   // the server answered UP: lines go both ways
+	stateAwaitingDecision              // the router is deciding on the flow
+	stateConnecting                    // the connection to a server is being established
+	stateAwaitingReply                 // the OPEN line was sent to the server
+	stateEstablished                   // the server replied UP: lines are relayed in both directions
 	stateEnded
 )
 
-// session is one client's connection. One goroutine runs it and another one reads from the client.
+// session is one client's connection. One goroutine executes run, and another one reads from the client.
 type session struct {
 	frontend     *Frontend
 	client       *transport.Conn
-	server       *transport.Conn // nil until settled, unless the connection was established
+	server       *transport.Conn // set once the connection is established; nil before, and if it never is
 	openLine     string
 	info         FlowInfo
 	flow         *routing.Flow
 	lastLineKind string // of the server's last line
 
-	settled    chan struct{} // closed once the connection is established, or never will be
-	clientDone chan struct{} // closed once nothing reads from the client any more
+	settled    chan struct{} // closed once the connection is established or has failed
+	clientDone chan struct{} // closed once readClient has returned
 
-	clientEnded     atomic.Bool // the client ended its side
-	isAnswered      atomic.Bool // the client may speak
-	writeSideClosed atomic.Bool // the server takes no more lines
+	clientEnded     atomic.Bool // the client closed its side
+	clientMaySend   atomic.Bool // the reply is being sent: the client may send lines
+	writeSideClosed atomic.Bool // the server accepts no more lines
 
-	state      sessionState // changed by transition only
-	mayHaveRun bool         // some attempt may have taken effect at a server
-	isParked   bool         // the reader stopped for the connection to be transferred; known once clientDone is closed
+	state      sessionState // changed only by transition
+	mayHaveRun bool         // an attempt may have taken effect at a server
+	isParked   bool         // readClient stopped for a transfer of the connection; valid once clientDone is closed
 
-	// The frontend's mutex guards these.
+	// Guarded by the frontend's mutex.
 	establishedIndex int           // in frontend.established; -1 once it was removed
-	transferEnded    chan struct{} // closed once a transfer succeeded or failed; nil: none is under way
+	transferEnded    chan struct{} // closed once a transfer succeeded or failed; nil if none is in progress
 }
 
-// transition makes every change of state, with the bookkeeping that goes with it.
+// transition changes the state and does the bookkeeping that goes with the change.
 func (s *session) transition(to sessionState) {
 	if s.state == stateEstablished {
 		s.frontend.removeEstablished(s)
@@ -80,7 +80,7 @@
 	s.state = to
 }
 
-// run takes the connection from its OPEN line to its end. Every path gives the client exactly one answer.
+// run serves the connection from its OPEN line to its end. Every path sends the client exactly one reply.
 func (s *session) run() {
 	request, err := parseOpen(s.openLine)
 	resumeAddr := ""
@@ -99,7 +99,7 @@
 	}
 	clientContext, endAttempts := context.WithCancelCause(s.frontend.stopping)
 	defer endAttempts(nil)
-	ctx, cancel := context.WithTimeout(clientContext, timeout+answerMargin)
+	ctx, cancel := context.WithTimeout(clientContext, timeout+replyMargin)
 	defer cancel()
 	s.clientDone = make(chan struct{})
 	go s.readClient(endAttempts)
@@ -116,8 +116,8 @@
 	s.finish()
 }
 
-// open claims what the flow needs and hands it to the router. It returns the server's address if the flow is to be
-// resumed there.
+// open claims the flow's id and a descriptor for its server, and passes the flow to the router. It returns the server's
+// address if the flow is to be resumed there.
 func (s *session) open(request openRequest) (resumeAddr string, err error) {
 	if !s.frontend.ids.claim(request.flow.ID) {
 		return "", errIDTaken
@@ -131,13 +131,13 @@
 		s.flow, resumeAddr, err = s.frontend.router.ResumeFlow(flowRequest, request.resumeAt)
 		return resumeAddr, err
 	}
-	flowRequest.Timeout = max(request.timeout-answerMargin, request.timeout/2)
+	flowRequest.Timeout = max(request.timeout-replyMargin, request.timeout/2)
 	flowRequest.Flags = request.flags
 	s.flow, err = s.frontend.router.OpenFlow(flowRequest)
 	return "", err
 }
 
-// finish closes the client's connection once its last line has arrived.
+// finish closes the client's connection once the last line has been delivered.
 func (s *session) finish() {
 	s.client.ReleaseServerSlot()
 	s.client.Linger()
@@ -145,15 +145,15 @@
 	s.client.DiscardAndClose()
 }
 
-// answerUnserved answers a client for which no further attempt is made. Where nothing ever ran it may retry, at a
-// balancer that does not stop.
-func (s *session) answerUnserved(ctx context.Context) {
+// replyUnserved sends the reply to a client for which no further attempt is made. If no attempt can have taken effect
+// the reply is BUSY, so that the client may retry, at another balancer if this one is stopping.
+func (s *session) replyUnserved(ctx context.Context) {
 	switch {
-	case errors.Is(context.Cause(ctx), errSpokeBeforeAnswer):
-		answerError(s.client, errSpokeBeforeAnswer)
+	case errors.Is(context.Cause(ctx), errDataBeforeReply):
+		replyError(s.client, errDataBeforeReply)
 	case s.mayHaveRun:
-		answerError(s.client, errMayHaveRun)
+		replyError(s.client, errMayHaveRun)
 	default:
-		answerBusy(s.client, s.frontend.retryAfter)
+		replyBusy(s.client, s.frontend.retryAfter)
 	}
 }
--- a/internal/protocol/transfer.go
+++ b/internal/protocol/transfer.go
@@ -11,21 +11,22 @@
 	"yardwinch/internal/transport"
 )
 
-// How an established connection goes from one process of a balancer to the next.
+// This file transfers established connections from one process of a balancer to its successor.
 
 const (
-	// MaxConcurrentTransfers is how many connections are transferred at a time: each is held twice for a moment.
+	// MaxConcurrentTransfers is how many connections are transferred at a time. During its transfer, a connection is held
+	// by both processes.
 	MaxConcurrentTransfers = 4
 
-	// maxUnreadBytes bounds what is taken over as read from one side: more than a relay ever holds.
+	// maxUnreadBytes bounds the unread bytes that are accepted for one side. It is more than a relay ever holds.
 	maxUnreadBytes = 8 << 10
 )
 
-// StreamState is how far one side of a connection has been relayed.
+// StreamState is the relay state of one side of a connection.
 type StreamState struct {
 	Unread []byte `json:"unread,omitempty"`
-	Passed int    `json:"passed,omitempty"` // bytes of Unread that were relayed already, as the head of a line
-	Within bool   `json:"within,omitempty"` // a line was relayed in part
+	Passed int    `json:"passed,omitempty"` // bytes of Unread that were already relayed, as the head of a line
+	Within bool   `json:"within,omitempty"` // the relay is in the middle of a line
 }
 
 func streamState(c *transport.Conn) StreamState {
@@ -54,11 +55,11 @@
 	return c.Client.isValid() && c.Server.isValid() && c.ServerName != "" && c.Flow.ID != ""
 }
 
-// TransferFunc hands a connection to another process. It reports whether that process has it.
+// TransferFunc transfers a connection to another process. It reports whether that process holds it.
 type TransferFunc func(c EstablishedConnection, client, server syscall.Conn) bool
 
-// TransferConnections transfers all established connections, a few at a time, until the context ends. A connection that
-// the other process does not have stays here. The result is how many were transferred, of how many.
+// TransferConnections transfers all established connections, MaxConcurrentTransfers at a time, until the context ends.
+// Connections that can't be transferred stay here. It returns the number of connections transferred and their total.
 func (f *Frontend) TransferConnections(ctx context.Context, transfer TransferFunc) (transferred, of int) {
 	f.mu.Lock()
 	f.transferConnection = func(c EstablishedConnection, client, server syscall.Conn) bool {
@@ -90,11 +91,11 @@
 	return transferred, len(sessions)
 }
 
-// park stops a session's relays for it to be transferred, and waits until it was, or stays here, or ended.
+// park stops a session's relays for its transfer, and waits until the transfer succeeded or failed or the session ended.
 func (s *session) park(ctx context.Context) {
 	done := make(chan struct{})
 	s.frontend.mu.Lock()
-	isEstablished := s.establishedIndex >= 0 // else it ended, or its client is being asked to reconnect
+	isEstablished := s.establishedIndex >= 0 // otherwise it ended, or its client was asked to reconnect
 	if isEstablished {
 		s.transferEnded = done
 	}
@@ -110,16 +111,16 @@
 	}
 }
 
-// transferOrContinue runs where the relay from the server is parked. Once the one from the client rests too, both
-// sockets go to the other process; if they can't, both relays continue here. It reports whether the connection was
-// transferred.
+// transferOrContinue is called once the relay from the server is parked. When the relay from the client has stopped too,
+// it transfers both sockets to the other process; if that fails, both relays continue here. It reports whether the
+// connection was transferred.
 func (s *session) transferOrContinue() (wasTransferred bool) {
 	<-s.clientDone
 	s.frontend.mu.Lock()
 	transfer := s.frontend.transferConnection
 	s.frontend.mu.Unlock()
 	serverName, isMigrating := s.flow.Server()
-	// The client's side has ended, or the server is about to end its own.
+	// The client's side has ended, or the server is about to close the connection.
 	isEnding := !s.isParked || s.serverAnnouncedEnd()
 	if !isEnding && !isMigrating && transfer != nil && s.transfer(transfer, serverName) {
 		s.release()
@@ -137,23 +138,24 @@
 		go s.readClient(ignoreCause)
 	}
 	if _, isMigrating := s.flow.Server(); isMigrating {
-		s.server.Stop() // requested in between: its interruption of the read may have been taken for Park's
+		s.server.Stop() // a migration requested meanwhile: its read interruption may have been taken for Park's
 	}
 	return false
 }
 
-// ignoreCause stands in where there are no attempts to end.
+// ignoreCause is the endAttempts of readClient if there are no attempts to cancel.
 func ignoreCause(error) {}
 
-// release ends the session of a connection that the other process has. The close here ends neither side of it.
+// release ends the session of a connection that the other process holds. Closing the sockets here does not close the
+// connection.
 func (s *session) release() {
 	s.transition(stateEnded)
 	s.flow.OnEnded(routing.Cancelled)
-	s.server.Close() // first: the client's close gives back the descriptors of both
+	s.server.Close() // before the client's side, whose close releases the descriptors of both
 	s.client.Close()
 }
 
-// transfer hands the connection to the other process. It reports whether that process has it.
+// transfer transfers the connection to the other process. It reports whether that process holds it.
 func (s *session) transfer(transfer TransferFunc, serverName string) bool {
 	c := EstablishedConnection{
 		Flow:       s.info,
@@ -168,7 +170,7 @@
 	return true
 }
 
-// signalTransferEnded ends a wait in park, whether the transfer succeeded or failed.
+// signalTransferEnded wakes up park, whether the transfer succeeded or failed.
 func (s *session) signalTransferEnded() {
 	s.frontend.mu.Lock()
 	defer s.frontend.mu.Unlock()
@@ -178,9 +180,9 @@
 	}
 }
 
-// AdoptConnection takes over a connection that another process transfers. It returns once this balancer holds it;
-// serve serves it to its end, drop leaves it to the other process after all. One of them is called, once. The
-// error is routing's.
+// AdoptConnection takes over a connection that another process transfers. The caller then calls exactly one of the
+// returned functions, once: serve serves the connection to its end, and drop leaves it to the other process. The error
+// is that of the router's AdoptFlow.
 func (f *Frontend) AdoptConnection(
 	c EstablishedConnection, client, server net.Conn, budget *transport.DescriptorBudget,
 ) (serve, drop func(), err error) {
@@ -197,7 +199,7 @@
 		client:     transport.Adopt(client, c.Client.relayState(), budget),
 		server:     transport.Adopt(server, c.Server.relayState(), nil),
 	}
-	s.isAnswered.Store(true)
+	s.clientMaySend.Store(true)
 	f.addConnections(1)
 	s.transition(stateEstablished)
 	serve = func() {
--- a/internal/protocol/watch.go
+++ b/internal/protocol/watch.go
@@ -11,14 +11,14 @@
 	"time"
 )
 
-// watch runs one watch from its opening to its end. It returns the reason, and since when the watch had been silent by
-// then: its opening, its last sign of life, or the first byte of an object that did not come completely.
+// watch runs one watch from its request to its failure. It returns the error, and since when the watch had been silent:
+// the time of the request, of the last heartbeat or complete object, or of the first byte of an incomplete object.
 func (d *Discovery) watch(parent context.Context, baseURL string) (silentSince time.Time, err error) {
 	d.hadContact = false
 	ctx, cancel := context.WithCancelCause(parent)
 	defer cancel(nil)
 	w := newWatchStream(d)
-	w.deadline = time.AfterFunc(d.answerTimeout, func() { cancel(errDiscoverySilent) })
+	w.deadline = time.AfterFunc(d.responseTimeout, func() { cancel(errDiscoverySilent) })
 	defer w.deadline.Stop()
 	url := baseURL + "?stream=1"
 	if revision := d.revision.Load(); revision >= 0 {
@@ -28,22 +28,22 @@
 	if err != nil {
 		return w.silentSince, withCause(ctx, err)
 	}
-	defer func() { _ = body.Close() }() // the watch returns the error of its reads
+	defer func() { _ = body.Close() }() // read errors are returned below
 	w.body.from = body
 	w.postponeDeadline()
 	err = w.applyObjects(ctx)
 	return w.silentSince, withCause(ctx, err)
 }
 
-// watchStream reads a watch's objects, and notices signs of life between them.
+// watchStream reads a watch's objects, and the blanks between them that are heartbeats.
 type watchStream struct {
 	discovery     *Discovery
 	body          listReader
-	deadline      *time.Timer // ends the watch
+	deadline      *time.Timer // cancels the watch
 	openedAt      time.Time
 	silentSince   time.Time
-	isFirstObject bool // none was complete, nor did a blank come
-	objectIsOpen  bool // some of an object was read, but not all
+	isFirstObject bool // no complete object and no blank has been received
+	objectIsOpen  bool // an object has been read in part
 }
 
 func newWatchStream(d *Discovery) *watchStream {
@@ -51,8 +51,8 @@
 	return &watchStream{discovery: d, openedAt: now, silentSince: now, isFirstObject: true}
 }
 
-// applyObjects applies one object after another until the watch ends. What a failed one brought is missing then: the
-// next watch brings it again.
+// applyObjects applies one object after another until the watch fails. The changes of an object that can't be applied
+// are sent again on the next watch.
 func (w *watchStream) applyObjects(ctx context.Context) error {
 	objects := json.NewDecoder(w)
 	for {
@@ -61,21 +61,21 @@
 			return err
 		}
 		w.onUpToDate()
-		buffered, _ := io.ReadAll(objects.Buffered()) // from memory: it can't fail
+		buffered, _ := io.ReadAll(objects.Buffered()) // reads from memory and can't fail
 		w.objectIsOpen = len(bytes.TrimSpace(buffered)) > 0
 		if w.objectIsOpen {
-			w.onObjectBegun()
+			w.onObjectStart()
 		}
 	}
 }
 
-// Read is the decoder's. It notices blanks between two objects and the first byte of one.
+// Read implements io.Reader for the decoder. It detects blanks between objects and the first byte of an object.
 func (w *watchStream) Read(p []byte) (int, error) {
 	n, err := w.body.Read(p)
 	if n > 0 && !w.objectIsOpen {
 		w.objectIsOpen = len(bytes.TrimSpace(p[:n])) > 0
 		if w.objectIsOpen {
-			w.onObjectBegun()
+			w.onObjectStart()
 		} else {
 			w.onUpToDate()
 		}
@@ -83,13 +83,13 @@
 	return n, err
 }
 
-// postponeDeadline allows for another silenceTimeout, after a sign of life.
+// postponeDeadline restarts silenceTimeout after a heartbeat or an object.
 func (w *watchStream) postponeDeadline() {
 	w.silentSince = time.Now()
 	w.deadline.Reset(w.discovery.silenceTimeout)
 }
 
-// onUpToDate takes a blank between two objects, or the end of one: all changes up to now have been received.
+// onUpToDate handles a blank between objects or the end of an object: all changes up to now have been received.
 func (w *watchStream) onUpToDate() {
 	w.isFirstObject = false
 	w.discovery.onContact()
@@ -97,18 +97,18 @@
 	w.postponeDeadline()
 }
 
-// onObjectBegun bounds the time until the object is complete. Its further bytes are no signs of life: an object that
-// trickles without end brings no change.
-func (w *watchStream) onObjectBegun() {
+// onObjectStart bounds the time until the object is complete. Further bytes of the object do not extend the deadline, as
+// an object that trickles in without end would never bring a change.
+func (w *watchStream) onObjectStart() {
 	w.discovery.hadContact = true
 	w.silentSince = time.Now()
-	if w.isFirstObject && w.silentSince.Sub(w.openedAt) < w.discovery.answerTimeout {
+	if w.isFirstObject && w.silentSince.Sub(w.openedAt) < w.discovery.responseTimeout {
 		w.silentSince = w.openedAt
 	}
-	w.deadline.Reset(w.discovery.answerTimeout - time.Since(w.silentSince))
+	w.deadline.Reset(w.discovery.responseTimeout - time.Since(w.silentSince))
 }
 
-// withCause says why a call was ended, where it was ended by this balancer.
+// withCause adds the context's cause to the error of a request, if the request was cancelled.
 func withCause(ctx context.Context, err error) error {
 	if cause := context.Cause(ctx); cause != nil && !errors.Is(err, cause) {
 		return fmt.Errorf("%w: %w", cause, err)
@@ -116,15 +116,15 @@
 	return err
 }
 
-var errListTooLong = fmt.Errorf("an object of more than %d bytes", maxListBytes)
+var errListTooLong = fmt.Errorf("object is longer than %d bytes", maxListBytes)
 
-// listReader bounds how much is read.
+// listReader bounds how many bytes are read.
 type listReader struct {
 	from io.Reader
 	left int
 }
 
-// Read fails with errListTooLong once the bound is reached.
+// Read fails with errListTooLong once the bound has been reached.
 func (r *listReader) Read(p []byte) (int, error) {
 	if r.left <= 0 {
 		return 0, errListTooLong
--- a/internal/protocol/watch_test.go
+++ b/internal/protocol/watch_test.go
@@ -158,7 +158,7 @@
 	}))
 	defer agent.Close()
 	d := NewDiscovery(startBalancer(t, decide.Idempotent, 0).router, strings.TrimPrefix(agent.URL, "http://"), 1, false)
-	d.silenceTimeout, d.answerTimeout = 30*ms, 30*ms
+	d.silenceTimeout, d.responseTimeout = 30*ms, 30*ms
 	defer runDiscovery(d)()
 	hangs := time.After(10 * sec) // a backoff that doubles up to 4 s would take thrice that
 	for i := range silences + 1 {
@@ -177,7 +177,7 @@
 // next call it fits into the time within which a change must take effect, and where all balancers ask at the same
 // moment it is spread over what is left of that time.
 func TestReopenDelay(t *testing.T) {
-	const left = changeTimeout - applyTime - answerTimeout
+	const left = changeTimeout - applyTime - responseTimeout
 	for _, c := range []struct {
 		name                 string
 		isPolled, fellSilent bool
@@ -186,7 +186,7 @@
 		least, most          time.Duration
 	}{
 		{"an agent, silent", false, true, true, silenceTimeout, 0, 0},
-		{"an agent, silent from the start", false, true, false, answerTimeout, 0, 0},
+		{"an agent, silent from the start", false, true, false, responseTimeout, 0, 0},
 		{"an agent, reset", false, false, true, sec, 0, agentReopenDelay},
 		{"an agent, refused", false, false, false, 0, 0, agentReopenDelay},
 		{"an agent, slow to refuse", false, false, false, 150 * ms, 0, 300 * ms},
@@ -194,7 +194,7 @@
 		{"discovery, silent", true, true, true, silenceTimeout, 0, left - silenceTimeout},
 		{"discovery, reset", true, false, true, sec, 0, left - sec},
 		{"discovery, refused", true, false, false, 0, left / 2, left},
-		{"discovery that gives no answer", true, true, false, answerTimeout, (left - answerTimeout) / 2, left - answerTimeout},
+		{"discovery that gives no answer", true, true, false, responseTimeout, (left - responseTimeout) / 2, left - responseTimeout},
 		{"discovery that rejects calls", true, false, false, 2 * sec, (left - 2*sec) / 2, left - 2*sec},
 		{"a process that had no core for long", true, true, true, changeTimeout, 0, 0},
 	} {
@@ -218,7 +218,7 @@
 func TestDialsOfAbandonedCallsEnd(t *testing.T) {
 	l := listen(t)
 	d := newTestDiscovery(1, l.Addr().String(), false)
-	d.silenceTimeout, d.answerTimeout = 30*ms, 30*ms
+	d.silenceTimeout, d.responseTimeout = 30*ms, 30*ms
 	transport := d.client.Transport.(*http.Transport)
 	dial := transport.DialContext
 	var open, most atomic.Int32
@@ -226,14 +226,14 @@
 	transport.DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		n := open.Add(1)
 		defer open.Add(-1)
-		raise(&most, n)
+		storeMax(&most, n)
 		select {
 		case begun <- struct{}{}:
 		default:
 		}
 		return dial(ctx, network, addr)
 	}
-	fillQueue(t, l)
+	fillBacklog(t, l)
 	defer runDiscovery(d)()
 	hangs := time.After(20 * sec)
 	const calls = 20
@@ -249,8 +249,8 @@
 	}
 }
 
-// raise sets a maximum.
-func raise(most *atomic.Int32, n int32) {
+// storeMax sets a maximum.
+func storeMax(most *atomic.Int32, n int32) {
 	for was := most.Load(); n > was; was = most.Load() {
 		if most.CompareAndSwap(was, n) {
 			return
@@ -258,8 +258,8 @@
 	}
 }
 
-// fillQueue fills a listener's queue, so that dials get no answer.
-func fillQueue(t *testing.T, l net.Listener) {
+// fillBacklog fills a listener's queue, so that dials get no answer.
+func fillBacklog(t *testing.T, l net.Listener) {
 	t.Helper()
 	raw, err := l.(*net.TCPListener).SyscallConn()
 	if err != nil {
@@ -273,6 +273,6 @@
 		if err != nil {
 			return
 		}
-		t.Cleanup(func() { discard(c) })
+		t.Cleanup(func() { closeQuietly(c) })
 	}
 }
