--- a/internal/protocol/attempt_test.go
+++ b/internal/protocol/attempt_test.go
@@ -11,14 +11,14 @@
 	"yardwinch/internal/routing"
 )
 
-// What a server sends, or does, before UP, and what its client gets: for an idempotent flow another attempt, for
-// one that is not an answer that promises nothing wherever it may have run.
+// Anything but UP from a server that may have run the flow leads to another attempt if the flow is idempotent, and to ERR
+// if it is not. BUSY leads to another attempt in both cases.
 func TestAttemptOutcomes(t *testing.T) {
 	const retried = "retried" // by another attempt
 	for _, c := range []struct {
 		name          string
 		act           func(server *peer)
-		notIdempotent string // the client's answer
+		notIdempotent string // the client's reply if the flow is not idempotent
 	}{
 		{"UP", func(s *peer) { s.send("UP 77\r\n") }, "UP 77"},
 		{"UP in two parts", func(s *peer) { s.send("U"); time.Sleep(5 * ms); s.send("P 77\r\n") }, "UP 77"},
@@ -58,7 +58,7 @@
 				}
 				second := <-accepted
 				if got := second.line(); !strings.HasPrefix(got, "OPEN 1a 2b c=live,d=") || !strings.HasSuffix(got, ",g=3c") {
-					t.Errorf("the second attempt brought %q", got)
+					t.Errorf("the second attempt sent %q", got)
 				}
 				second.send("UP 88\r\n")
 				client.want("UP 88")
@@ -67,24 +67,24 @@
 	}
 }
 
-// A server takes the line and sends nothing. The line gives it a time, which is less than the client's; when that
-// is over the server gets an end and no more, and the client an answer that promises nothing, before its own time
-// is over. What the machine's speed can't change is checked in every run. How late the answer came may be the
-// machine's doing: one run must be in time.
+// A server reads the OPEN line and sends nothing. The timeout in the line is shorter than the client's. When it expires
+// the server's connection is closed, and the client receives ERR before its own timeout expires. Everything that does
+// not depend on the machine's speed is checked in every run. As a slow machine may delay the reply, only one run must be
+// in time.
 func TestSilentServer(t *testing.T) {
 	for end := time.Now().Add(time.Minute); !clientOfSilentServer(t); {
 		if time.Now().After(end) { // a hang
-			t.Fatal("no client was answered before its time was over")
+			t.Fatal("no client received a reply before its timeout expired")
 		}
 	}
 }
 
-// clientOfSilentServer is one run. It reports whether the client was answered within its time.
+// clientOfSilentServer is one run. It reports whether the client received its reply within its timeout.
 func clientOfSilentServer(t *testing.T) (inTime bool) {
 	const timeout, serverTime = 400 * ms, 400*ms - replyMargin
 	l := listen(t)
 	settings := defaultSettings(decide.NotIdempotent, 100)
-	settings.connectTimeout, settings.retryWindow = time.Hour, time.Hour // nothing but the client's timeout can end it
+	settings.connectTimeout, settings.retryWindow = time.Hour, time.Hour // so that only the client's timeout can end the attempt
 	b := newTestBalancer(t, settings, l.Addr().String())
 	b.serve()
 	type arrival struct {
@@ -105,9 +105,9 @@
 	answer := client.line()
 	took := time.Since(start)
 	if took < serverTime {
-		t.Fatalf("answered %q after %v", answer, took)
+		t.Fatalf("got reply %q after %v", answer, took)
 	}
-	if answer == "BUSY 700" { // all that time went by before the line could be sent: no attempt was made
+	if answer == "BUSY 700" { // the timeout expired before the line could be sent: no attempt was made
 		return false
 	}
 	if answer != "ERR no answer" {
@@ -119,8 +119,8 @@
 	if _, err := fmt.Sscanf(a.line, "OPEN 1 2 c=live,d=%d", &milliseconds); err != nil {
 		t.Fatalf("the server got %q, %v", a.line, err)
 	}
-	// The time runs from when the balancer had the line, which is after start and before the server had it; in whole
-	// milliseconds.
+	// The timeout runs from when the balancer received the line, which is between start and the line's arrival at the
+	// server. It is in whole milliseconds.
 	if announced := time.Duration(milliseconds) * ms; announced > serverTime || announced+a.after < serverTime-ms {
 		t.Fatalf("the server, reached after %v, was given %v of %v", a.after, announced, serverTime)
 	}
@@ -128,8 +128,8 @@
 	return took <= timeout
 }
 
-// Flows that come with next to no time fail, and their failures must not count against a server: two attempts that
-// found it unreachable would empty it.
+// Flows with a timeout of 1 ms fail, and their failures must not count against the server: after two attempts that found
+// it unreachable, it would get no more flows.
 func TestNoTimeLeft(t *testing.T) {
 	l := listen(t)
 	b := startBalancer(t, decide.Idempotent, 100, l.Addr().String())
@@ -140,7 +140,7 @@
 		}
 	}
 	client := b.client(openFlowLine)
-	for { // one of the four may have come through
+	for { // one of the four may have reached the server
 		server, line := accept(t, l)
 		if strings.HasPrefix(line, "OPEN 1a") {
 			server.send("UP 77\r\n")
@@ -150,18 +150,19 @@
 	client.want("UP 77")
 }
 
-// No server at all: rejected at once, with advice on when to retry.
+// Without any server a flow is rejected at once, with the time after which to retry.
 func TestNoServer(t *testing.T) {
 	b := startBalancer(t, decide.Idempotent, 100)
 	b.client(openFlowLine).want("BUSY 700")
 }
 
-// A flow from before the start goes to its server, whatever would be decided, and an attempt that never ran is retried.
+// A flow that was open before the balancer's start is resumed at its server, whatever routing would decide for a new flow.
+// An attempt that had no effect is retried.
 func TestResumedFlow(t *testing.T) {
 	other, own := listen(t), listen(t)
 	b := startBalancer(t, decide.NotIdempotent, 100, other.Addr().String(), own.Addr().String())
 	update := b.router.BeginUpdate(routing.DeltaUpdate)
-	// A resumed flow is not new there.
+	// Draining servers get no new flows, but a resumed flow is not new.
 	update.AddEndpoint(routing.Endpoint{Name: "s1", Addr: own.Addr().String(), Zone: "z", Size: 1, Readiness: routing.Draining})
 	update.Commit(t.Context())
 	client := b.client("OPEN 1 2 c=live,d=900000,at=s1\r\n")
@@ -177,10 +178,10 @@
 	client.want("BYE")
 }
 
-// Without a descriptor for its server a client is told when to retry.
+// If no descriptor is left for the connection to a server, the client is told when to retry.
 func TestNoDescriptorForServer(t *testing.T) {
 	l := listen(t)
-	b := startBalancer(t, decide.Idempotent, 27, l.Addr().String()) // of which 24 are for clients alone
+	b := startBalancer(t, decide.Idempotent, 27, l.Addr().String()) // 24 of them are reserved for clients
 	client, server := establish(t, b, l)
 	rejected := b.client(withID("5a"))
 	rejected.want("BUSY 700")
--- a/internal/protocol/balancer_test.go
+++ b/internal/protocol/balancer_test.go
@@ -17,24 +17,24 @@
 
 const ms, sec = time.Millisecond, time.Second
 
-// hangTimeout ends a test that hangs.
+// hangTimeout fails a test that hangs.
 const hangTimeout = 10 * sec
 
-// balancerSettings are what the tests' balancers differ in.
+// balancerSettings are the settings in which the tests' balancers differ.
 type balancerSettings struct {
 	effect         decide.Effect
 	descriptors    int
-	balancers      int // that share the servers' slow start
+	balancers      int // the number that share the servers' slow start
 	connectTimeout time.Duration
 	retryWindow    time.Duration
 }
 
-// defaultSettings are the settings of most tests.
+// defaultSettings returns the settings of most tests.
 func defaultSettings(effect decide.Effect, descriptors int) balancerSettings {
 	return balancerSettings{effect: effect, descriptors: descriptors, balancers: 1, connectTimeout: 200 * ms, retryWindow: 2 * sec}
 }
 
-// testBalancer is a frontend on the loopback, with servers that the test speaks for.
+// testBalancer is a frontend on the loopback interface. The test plays its servers.
 type testBalancer struct {
 	t         *testing.T
 	router    *routing.Router
@@ -42,11 +42,11 @@
 	addr      string
 	budget    *transport.DescriptorBudget
 	flowCount int
-	serve     func() // begins to accept
+	serve     func() // starts accepting connections
 	stop      func()
 }
 
-// startBalancer makes one that accepts.
+// startBalancer returns a balancer that accepts connections.
 func startBalancer(t *testing.T, effect decide.Effect, descriptors int, servers ...string) *testBalancer {
 	t.Helper()
 	b := newTestBalancer(t, defaultSettings(effect, descriptors), servers...)
@@ -54,7 +54,7 @@
 	return b
 }
 
-// newTestBalancer makes one that does not accept yet.
+// newTestBalancer returns a balancer that accepts connections once serve is called.
 func newTestBalancer(t *testing.T, settings balancerSettings, servers ...string) *testBalancer {
 	t.Helper()
 	b := &testBalancer{t: t, router: newTestRouter(settings), budget: transport.NewDescriptorBudget(settings.descriptors, BusyReply)}
@@ -109,7 +109,7 @@
 		}})
 }
 
-// tick runs a router's timers until the context ends.
+// tick runs the router's timers until the context ends.
 func tick(ctx context.Context, r *routing.Router) {
 	for {
 		if err := r.Tick(ctx); err != nil {
@@ -118,7 +118,7 @@
 	}
 }
 
-// client connects and sends the first line.
+// client connects to the balancer and sends the first line.
 func (b *testBalancer) client(first string) *peer {
 	b.t.Helper()
 	p := dial(b.t, b.addr)
@@ -126,7 +126,7 @@
 	return p
 }
 
-// waitForFree waits until so many descriptors are free.
+// waitForFree waits until the given number of descriptors is free.
 func (b *testBalancer) waitForFree(want int) {
 	b.t.Helper()
 	for end := time.Now().Add(hangTimeout); b.budget.Free() != want; time.Sleep(ms) {
@@ -136,12 +136,13 @@
 	}
 }
 
-// openFlowLine opens a flow; withID is the same for another one.
+// openFlowLine opens a flow.
 const openFlowLine = "OPEN 1a 2b c=live,d=1500,g=3c\r\n"
 
+// withID returns openFlowLine with another id.
 func withID(id string) string { return strings.Replace(openFlowLine, "1a", id, 1) }
 
-// establish opens one connection through the balancer.
+// establish establishes one connection through the balancer.
 func establish(t *testing.T, b *testBalancer, l net.Listener) (client, server *peer) {
 	t.Helper()
 	b.flowCount++
@@ -163,7 +164,7 @@
 	return l
 }
 
-// closeQuietly closes what a test no longer needs; it may be closed already.
+// closeQuietly ignores the error, as c may be closed already.
 func closeQuietly(c io.Closer) { _ = c.Close() }
 
 // peer is the test's end of a connection.
@@ -204,7 +205,7 @@
 	}
 }
 
-// line reads a line, or returns the error's text.
+// line reads a line. It returns the error's text if there is none.
 func (p *peer) line() string {
 	s, err := p.in.ReadString('\n')
 	if err != nil && s == "" {
@@ -222,7 +223,7 @@
 
 func (p *peer) close() { closeQuietly(p) }
 
-// reset ends the connection the way a lost process does.
+// reset closes the connection with a reset, as the system does when a process is killed.
 func (p *peer) reset() {
 	_ = p.SetLinger(0)
 	closeQuietly(p)
--- a/internal/protocol/discovery_test.go
+++ b/internal/protocol/discovery_test.go
@@ -21,12 +21,12 @@
 
 const responseHeader = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nConnection: close\r\n\r\n"
 
-// discoveryCall is how the test's discovery answers one call, by the bytes that it writes. It notes when it last
-// said that all changes have been sent: what changes later this call leaves out.
+// discoveryCall is how the test's discovery responds to one request, byte by byte. It records when it last signalled that
+// all changes so far have been sent: this response does not contain later changes.
 type discoveryCall struct {
 	name      string
 	respond   func(c io.Writer, upToDate *timestamp)
-	staysOpen bool // and silent
+	staysOpen bool // the connection stays open without further bytes
 }
 
 func (k discoveryCall) serve(c net.Conn, upToDate *timestamp) {
@@ -36,23 +36,23 @@
 		k.respond(c, upToDate)
 	}
 	if k.staysOpen {
-		_, _ = io.Copy(io.Discard, c) // until it is given up
+		_, _ = io.Copy(io.Discard, c) // until the balancer gives up
 	}
 }
 
-// respondWith writes a text to a caller that may be gone.
+// respondWith writes a text. It ignores the error, as the balancer may have closed the connection.
 func respondWith(text string) func(io.Writer, *timestamp) {
 	return func(c io.Writer, _ *timestamp) { _, _ = io.WriteString(c, text) }
 }
 
-// writeUpToDate writes what says that all changes so far have been sent.
+// writeUpToDate writes a text that signals that all changes so far have been sent.
 func writeUpToDate(c io.Writer, upToDate *timestamp, text string) {
 	if _, err := io.WriteString(c, text); err == nil {
 		upToDate.now()
 	}
 }
 
-// timestamp is set by one call and read by the next.
+// timestamp is set by the goroutine of one request and read by that of the next.
 type timestamp struct{ at atomic.Int64 }
 
 func (i *timestamp) now() { i.at.Store(time.Now().UnixNano()) }
@@ -61,30 +61,30 @@
 
 var changedList = object(9, false, member("a", "DRAINING"), member("b", "SERVING"))
 
-// failingCalls bring nothing, or no more after a time.
+// failingCalls are responses without a valid list, or that stall.
 var failingCalls = []discoveryCall{
-	{"ended at once", nil, false},
-	{"no answer", nil, true},
+	{"closed at once", nil, false},
+	{"no response", nil, true},
 	{"rejected", respondWith("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"), false},
-	{"a status nobody expects", respondWith("HTTP/1.1 299 Whatever\r\nContent-Length: 2\r\n\r\n{}"), false},
+	{"unexpected status", respondWith("HTTP/1.1 299 Whatever\r\nContent-Length: 2\r\n\r\n{}"), false},
 	{"redirected", respondWith("HTTP/1.1 302 Found\r\nLocation: http://elsewhere/discovery/hosts\r\n" +
 		"Content-Length: 0\r\n\r\n"), false},
-	{"rejected after a wait", func(c io.Writer, _ *timestamp) {
+	{"rejected after a delay", func(c io.Writer, _ *timestamp) {
 		time.Sleep(2 * sec)
 		_, _ = io.WriteString(c, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
 	}, false},
-	{"cut in the headers", respondWith(responseHeader[:30]), false},
+	{"closed in the headers", respondWith(responseHeader[:30]), false},
 	{"silent in the headers", respondWith(responseHeader[:30]), true},
 	{"silent after the headers", func(c io.Writer, upToDate *timestamp) { writeUpToDate(c, upToDate, responseHeader) }, true},
-	{"silent after two signs of life", func(c io.Writer, upToDate *timestamp) {
+	{"silent after two heartbeats", func(c io.Writer, upToDate *timestamp) {
 		writeUpToDate(c, upToDate, responseHeader)
 		for range 2 {
 			time.Sleep(heartbeatInterval)
 			writeUpToDate(c, upToDate, "\n")
 		}
 	}, true},
-	{"cut in the body", respondWith(responseHeader + changedList[:40]), false},
-	{"silent in the body after a wait", func(c io.Writer, _ *timestamp) {
+	{"closed in the body", respondWith(responseHeader + changedList[:40]), false},
+	{"silent in the body after a delay", func(c io.Writer, _ *timestamp) {
 		time.Sleep(2 * sec)
 		_, _ = io.WriteString(c, responseHeader+changedList[:40])
 	}, true},
@@ -99,15 +99,15 @@
 			_, err = io.WriteString(c, " ")
 		}
 	}, false},
-	{"a list of the wrong kind", respondWith(responseHeader + `{"revision":9,"complete":true,"members":{"a":1}}` + "\n"), true},
+	{"list of the wrong type", respondWith(responseHeader + `{"revision":9,"complete":true,"members":{"a":1}}` + "\n"), true},
 }
 
-// From the moment at which discovery has a change and can be reached it takes effect within 6 s, whatever came
-// before. The change comes up just after the last sign of life of the last call that failed; the call after that
-// one waits for as long as discovery may let it wait. The time is the bubble's: HTTP is real, its connections are
-// in memory, so that no machine is too slow for it.
+// A change takes effect within 6 s of the time at which discovery has it and can be reached, after any sequence of two or
+// three failed requests. In the worst case, which is tested, the change occurs just after the last signal of the last
+// failed request that all changes have been sent, and discovery holds the next request for the full 2 s. The test uses
+// synctest's fake clock and real HTTP over in-memory connections, so that it does not depend on the machine's speed.
 func TestChangeTakesEffectInTime(t *testing.T) {
-	recordLogs(t) // thousands of lines
+	recordLogs(t) // keeps thousands of lines out of the test's output
 	var sequences [][]discoveryCall
 	for _, first := range failingCalls {
 		for _, second := range failingCalls {
@@ -143,8 +143,8 @@
 	return names
 }
 
-// timeToApplyChange answers calls in ways that fail and then one that waits for 2 s and brings the change. It returns
-// how long that took from when the change was there.
+// timeToApplyChange fails requests in the given ways and then delivers the change in response to one that it holds for
+// 2 s. It returns the time from the change to its application.
 func timeToApplyChange(t *testing.T, seed uint64, isPolled bool, before []discoveryCall) (took time.Duration) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newTestDiscovery(seed, "discovery:80", isPolled)
@@ -158,10 +158,10 @@
 		serveCall := func(number int, c net.Conn) {
 			q, err := http.ReadRequest(bufio.NewReader(c))
 			if err != nil {
-				return // given up before it was written
+				return // cancelled before the request was written
 			}
 			if q.Host != "discovery:80" || number <= len(before) && q.FormValue("index") != "5" {
-				t.Errorf("%v: call %d asks %s for %s", callNames(before), number, q.Host, q.URL)
+				t.Errorf("%v: request %d to %s for %s", callNames(before), number, q.Host, q.URL)
 			}
 			if number < len(before) {
 				before[number].serve(c, &upToDate)
@@ -169,7 +169,7 @@
 			}
 			time.Sleep(2 * sec)
 			_, _ = io.WriteString(c, responseHeader+changedList+"\n")
-			_, _ = io.WriteString(c, "\n") // read once the object was applied: the connection buffers nothing
+			_, _ = io.WriteString(c, "\n") // is read only after the object was applied, as the connection has no buffer
 			once.Do(func() {
 				took = upToDate.since()
 				close(applied)
@@ -197,7 +197,7 @@
 	return took
 }
 
-// logRecorder keeps what is logged during a test.
+// logRecorder records the log during a test.
 type logRecorder struct {
 	mu      sync.Mutex
 	text    bytes.Buffer
@@ -222,16 +222,16 @@
 
 func (r *logRecorder) wait(t *testing.T, want string) {
 	t.Helper()
-	for hangs := time.After(20 * sec); !strings.Contains(r.String(), want); {
+	for timeout := time.After(20 * sec); !strings.Contains(r.String(), want); {
 		select {
 		case <-r.written:
-		case <-hangs:
+		case <-timeout:
 			t.Fatalf("%q was not logged:\n%s", want, r)
 		}
 	}
 }
 
-// recordLogs records until the end of the test.
+// recordLogs records the log until the end of the test.
 func recordLogs(t *testing.T) *logRecorder {
 	t.Helper()
 	r := &logRecorder{written: make(chan struct{}, 1)}
@@ -239,14 +239,14 @@
 	slog.SetDefault(slog.New(slog.NewTextHandler(r, nil)))
 	t.Cleanup(func() {
 		slog.SetDefault(previous)
-		log.SetOutput(os.Stderr) // slog.SetDefault has led log to slog, and previous leads to log
+		log.SetOutput(os.Stderr) // slog.SetDefault redirected log to slog, and previous writes to log
 		log.SetFlags(flags)
 	})
 	return r
 }
 
-// Bad input of each kind, over real connections, again and again, is one error in the log that names what and
-// where. The list held stays until one comes that can be applied.
+// Repeated invalid responses of each kind, over real connections, log one error that contains the cause and the address.
+// The current list is kept until a valid one is received.
 func TestBadListIsLoggedOnce(t *testing.T) {
 	tooMany := strings.Repeat(`{"id":"s","phase":"SERVING"},`, maxServers) + `{"id":"s","phase":"SERVING"}`
 	tooManyError := fmt.Sprintf("%d members, %d at most", maxServers+1, maxServers)
@@ -263,7 +263,7 @@
 		{failingCalls[10], "unexpected EOF"},
 		{discoveryCall{"silent in the body", respondWith(responseHeader + changedList[:40]), true}, errDiscoverySilent.Error()},
 		{failingCalls[14], "members is missing or of the wrong type"},
-		{discoveryCall{"no HTTP", respondWith("hello\r\n"), false}, "malformed HTTP response"},
+		{discoveryCall{"not HTTP", respondWith("hello\r\n"), false}, "malformed HTTP response"},
 		{discoveryCall{"a page", respondWith(responseHeader + "<html>"), false}, "invalid character"},
 		{discoveryCall{"endless headers", respondWith(endlessHeaders), false}, "headers exceeded"},
 		{discoveryCall{"an endless object", respondWith(responseHeader + endlessObject), false}, errListTooLong.Error()},
@@ -273,10 +273,10 @@
 	}
 }
 
-// badResponse is a call that fails, and what the log must name.
+// badResponse is a failing response, and the cause that the log must contain.
 type badResponse struct {
 	discoveryCall
-	names string
+	cause string
 }
 
 func (c badResponse) run(t *testing.T) {
@@ -284,7 +284,7 @@
 	logged := recordLogs(t)
 	d := newTestDiscovery(1, l.Addr().String(), false)
 	d.silenceTimeout, d.responseTimeout = time.Minute, time.Minute
-	if c.names == errDiscoverySilent.Error() {
+	if c.cause == errDiscoverySilent.Error() {
 		d.silenceTimeout, d.responseTimeout = 50*ms, 50*ms
 	}
 	if err := d.LoadCached([]byte(object(5, true, member("a", "SERVING")))); err != nil {
@@ -294,11 +294,11 @@
 	for range 3 {
 		conn, query := nextCall(t, l)
 		if query != "stream=1&index=5" {
-			t.Errorf("asks for %q", query)
+			t.Errorf("query %q", query)
 		}
 		c.serve(conn, new(timestamp))
 	}
-	// A balancer that is short of its core gives up a call or two: each one is answered, and kept open.
+	// On a slow machine the balancer may cancel a request or two, so each one gets a response, which is kept open.
 	go serveConnections(l, func(conn net.Conn) {
 		_, _ = io.WriteString(conn, responseHeader+changedList+"\n")
 		<-t.Context().Done()
@@ -306,18 +306,18 @@
 	logged.wait(t, "endpoint watch recovered")
 	got := logged.String()
 	n := strings.Count(got, "endpoint watch lost")
-	if n != 1 || !strings.Contains(got, c.names) || !strings.Contains(got, l.Addr().String()) {
-		t.Errorf("%d errors, want one that names %q and %v:\n%s", n, c.names, l.Addr(), got)
+	if n != 1 || !strings.Contains(got, c.cause) || !strings.Contains(got, l.Addr().String()) {
+		t.Errorf("%d errors, want one that contains %q and %v:\n%s", n, c.cause, l.Addr(), got)
 	}
 	if d.revision.Load() != 9 {
 		t.Errorf("revision %d", d.revision.Load())
 	}
 }
 
-// nextCall accepts the next call and returns its query.
+// nextCall accepts the next request and returns its connection and query.
 func nextCall(t *testing.T, l net.Listener) (net.Conn, string) {
 	t.Helper()
-	_ = l.(*net.TCPListener).SetDeadline(time.Now().Add(20 * sec)) // a hang
+	_ = l.(*net.TCPListener).SetDeadline(time.Now().Add(20 * sec)) // fails a test that hangs
 	c, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/protocol/endpointlist_test.go
+++ b/internal/protocol/endpointlist_test.go
@@ -14,18 +14,18 @@
 	"yardwinch/internal/routing"
 )
 
-// member is an entry of a list.
+// member returns one member of a list, as JSON.
 func member(id, phase string) string {
 	const format = `{"id":"%s","host_port":"at-%s","locality":"z","cell":1,"phase":"%s","size":1,"up_since_ms":0}`
 	return fmt.Sprintf(format, id, id, phase)
 }
 
-// object is one update as discovery sends it.
+// object returns one update as discovery sends it.
 func object(revision int, complete bool, members ...string) string {
 	return fmt.Sprintf(`{"revision":%d,"complete":%v,"members":[%s]}`, revision, complete, strings.Join(members, ","))
 }
 
-// The list decides where a flow goes: a bad update must change nothing.
+// Flows are routed by the list, and an invalid update changes nothing.
 func TestEndpointList(t *testing.T) {
 	first := object(5, true, member("a", "SERVING"))
 	longestID := strings.Repeat("x", routing.MaxIDLength)
@@ -38,16 +38,16 @@
 	}{
 		{"none", "", true, "at-a", 5},
 		{"a change", object(6, false, member("a", "DRAINING"), member("b", "SERVING")), true, "at-b", 6},
-		{"a complete list without it", object(6, true, member("b", "SERVING")), true, "at-b", 6},
-		{"gone", object(6, false, member("a", "DELETED")), true, "", 6},
+		{"a complete list without the member", object(6, true, member("b", "SERVING")), true, "at-b", 6},
+		{"deleted", object(6, false, member("a", "DELETED")), true, "", 6},
 		{"not JSON", `{"revision":6,`, false, "at-a", 5},
 		{"no list", `{"revision":6,"complete":true}`, false, "at-a", 5},
-		{"one bad entry", object(6, true, member("b", "SERVING"), `{"id":7}`), false, "at-a", 5},
+		{"one bad member", object(6, true, member("b", "SERVING"), `{"id":7}`), false, "at-a", 5},
 		{"an unknown phase", object(6, false, member("a", "ASLEEP")), false, "at-a", 5},
 		{"no id", object(6, true, member("", "SERVING")), false, "at-a", 5},
 		{"an id too long", object(6, true, member("b", "SERVING"), member(longestID+"x", "SERVING")), false, "at-a", 5},
 		{"the longest id", object(6, true, member(longestID, "DRAINING"), member("b", "SERVING")), true, "at-b", 6},
-		{"another kind of thing", `[1,2]`, false, "at-a", 5},
+		{"not an object", `[1,2]`, false, "at-a", 5},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := startBalancer(t, decide.Idempotent, 0).router
@@ -66,13 +66,13 @@
 			}
 			got, err := f.AwaitDecision(t.Context())
 			if err != nil || got.Addr != c.wantAddr || d.revision.Load() != c.wantRevision {
-				t.Errorf("goes to %q at revision %d, %v; want %q at %d", got.Addr, d.revision.Load(), err, c.wantAddr, c.wantRevision)
+				t.Errorf("flow goes to %q at revision %d, %v; want %q at %d", got.Addr, d.revision.Load(), err, c.wantAddr, c.wantRevision)
 			}
 		})
 	}
 }
 
-// A list beyond the bound is an error that names the bound, and the list held stays.
+// A list longer than maxListBytes fails with an error that contains the bound, and the current list is kept.
 func TestListBeyondBound(t *testing.T) {
 	agent := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_, err := io.WriteString(w, `{"revision":9,"complete":true,"members":[`)
@@ -87,15 +87,15 @@
 		t.Fatal(err)
 	}
 	if _, err := d.watch(t.Context(), agent.URL); err == nil || !strings.Contains(err.Error(), fmt.Sprint(maxListBytes)) {
-		t.Errorf("%v, want it to name the bound of %d bytes", err, maxListBytes)
+		t.Errorf("error %v, want one that contains the bound of %d bytes", err, maxListBytes)
 	}
 	if _, known := r.IsDisabled("b"); known || d.revision.Load() != 5 {
 		t.Errorf("some of it took effect: b is known %v, revision %d", known, d.revision.Load())
 	}
 }
 
-// A list that is written over many lines is one object all the same, on a watch too, wherever it is cut. An end
-// within it changes nothing.
+// A list that is indented over many lines is read as one object, wherever it is split between writes. If the response
+// ends within an object, that object changes nothing.
 func TestIndentedEndpointList(t *testing.T) {
 	pretty := func(s string) string {
 		return strings.ReplaceAll(strings.ReplaceAll(s, ",", ",\r\n\t"), "[", "[\n\n  ")
--- a/internal/protocol/endpointstart_test.go
+++ b/internal/protocol/endpointstart_test.go
@@ -12,17 +12,17 @@
 	"yardwinch/internal/routing"
 )
 
-// restartingServer is the server whose starts the test is about.
+// restartingServer is the server that starts during the test.
 const restartingServer = "b"
 
-// memberStartedAt is its entry, with the time of its start by the clock of another machine.
+// memberStartedAt returns its member, as JSON, with the time of its start by the clock of another machine.
 func memberStartedAt(at time.Time) string {
 	return fmt.Sprintf(`{"id":%q,"host_port":"127.0.0.1:1","phase":"SERVING","up_since_ms":%d}`, restartingServer, at.UnixMilli())
 }
 
-// A server that starts while the balancer runs is in slow start from then on, by however much the wall clocks of
-// the two machines differ: it started after the update before, and not in the future. Any other value is another
-// start, the same value is none, also for the process that succeeds.
+// A server that starts while the balancer runs is in slow start from then on, however much the wall clocks of the two
+// machines differ: its start is taken to be after the previous update and not in the future. A different start time is
+// another start and the same start time is not, for the successor process too.
 func TestServerStartsUnderSteppedClock(t *testing.T) {
 	for _, step := range []time.Duration{0, 30 * time.Second, -30 * time.Second, time.Hour, -time.Hour} {
 		t.Run(step.String(), func(t *testing.T) { serverStarts(t, time.Now().Add(step)) })
@@ -60,12 +60,12 @@
 	send(false, memberStartedAt(reported))
 	startedAt := startTimeOf(t, d.router)
 	if now := d.router.Snapshot().Decisions.Now; startedAt < before || startedAt > now {
-		t.Errorf("a start reported between %v and %v is taken for one at %v", before, now, startedAt)
+		t.Errorf("a start reported between %v and %v is recorded at %v", before, now, startedAt)
 	}
 	before = d.router.Snapshot().Decisions.Now
 	send(true, member("a", "SERVING"), memberStartedAt(reported))
 	if got := startTimeOf(t, d.router); got != startedAt {
-		t.Errorf("reported again, the start at %v is taken for another at %v", startedAt, got)
+		t.Errorf("reported again, the start at %v is recorded at %v", startedAt, got)
 	}
 	successor := newTestDiscovery(1, "", false)
 	successor.router.Restore(d.router.Snapshot())
@@ -74,15 +74,15 @@
 		t.Fatal(err)
 	}
 	if got := startTimeOf(t, successor.router); got != startedAt {
-		t.Errorf("restored, the start at %v is taken for another at %v", startedAt, got)
+		t.Errorf("restored, the start at %v is recorded at %v", startedAt, got)
 	}
 	send(false, memberStartedAt(reported.Add(-2*time.Hour)))
 	if got := startTimeOf(t, d.router); got < before {
-		t.Errorf("a start with an earlier value, reported after %v, is taken for one at %v", before, got)
+		t.Errorf("a start with an earlier value, reported after %v, is recorded at %v", before, got)
 	}
 }
 
-// startTimeOf is when the restarting server started, by the router's clock.
+// startTimeOf returns when the restarting server started, by the router's clock.
 func startTimeOf(t *testing.T, r *routing.Router) time.Duration {
 	t.Helper()
 	snapshot := r.Snapshot()
--- a/internal/protocol/frontend_test.go
+++ b/internal/protocol/frontend_test.go
@@ -14,7 +14,7 @@
 
 const openSyntaxError = "ERR bad OPEN: want OPEN ID KEY LIST"
 
-// badFirstLine is what a client sends that can't be served, and the answers.
+// badFirstLine is the input of a client that can't be served, and the expected replies.
 type badFirstLine struct {
 	name, line string
 	want       []string
@@ -22,37 +22,38 @@
 
 func badFirstLines() []badFirstLine {
 	return []badFirstLine{
-		{"not a word of ours", "HELLO\r\n", []string{openSyntaxError}},
+		{"unknown command", "HELLO\r\n", []string{openSyntaxError}},
 		{"no list", "OPEN 1 2\r\n", []string{openSyntaxError}},
 		{"no id", "OPEN  2 c=live,d=5\r\n", []string{openSyntaxError}},
-		{"more than a list", "OPEN 1 2 c=live,d=5 x\r\n", []string{openSyntaxError}},
-		{"no pair", "OPEN 1 2 c\r\n", []string{"ERR bad OPEN: no name=value pair"}},
+		{"a field too many", "OPEN 1 2 c=live,d=5 x\r\n", []string{openSyntaxError}},
+		{"no name=value pair", "OPEN 1 2 c\r\n", []string{"ERR bad OPEN: no name=value pair"}},
 		{"no name", "OPEN 1 2 c=live,d=5,=2\r\n", []string{"ERR bad OPEN: no name=value pair"}},
 		{"a name twice", "OPEN 1 2 c=live,d=5,c=live\r\n", []string{"ERR bad OPEN: a name stands twice"}},
-		{"names without end", "OPEN 1 2 c=live,d=5" + repeatNumbered(64, ",x%d=1") + "\r\n", []string{"ERR bad OPEN: too many names"}},
-		{"no class", "OPEN 1 2 d=5\r\n", []string{"ERR bad OPEN: c or d is missing"}},
-		{"no time", "OPEN 1 2 c=live\r\n", []string{"ERR bad OPEN: c or d is missing"}},
-		{"a time without a figure", "OPEN 1 2 c=live,d=\r\n", []string{"ERR bad OPEN: bad d"}},
-		{"a time that is no number", "OPEN 1 2 c=live,d=soon\r\n", []string{"ERR bad OPEN: bad d"}},
-		{"a number of another kind", "OPEN 1 2 c=live,d=0x9p3\r\n", []string{"ERR bad OPEN: bad d"}},
-		{"time gone by", "OPEN 1 2 c=live,d=-3\r\n", []string{"ERR bad OPEN: bad d"}},
-		{"time without end", "OPEN 1 2 c=live,d=99999999999999999999999\r\n", []string{"ERR bad OPEN: bad d"}},
-		{"a year", "OPEN 1 2 c=live,d=4294967295\r\n", []string{"ERR bad OPEN: d is too long"}},
-		{"an unknown class", "OPEN 1u 2 c=dead,d=5\r\n", []string{`ERR unknown service type "dead"`}},
+		{"too many names", "OPEN 1 2 c=live,d=5" + repeatNumbered(64, ",x%d=1") + "\r\n", []string{"ERR bad OPEN: too many names"}},
+		{"no service type", "OPEN 1 2 d=5\r\n", []string{"ERR bad OPEN: c or d is missing"}},
+		{"no timeout", "OPEN 1 2 c=live\r\n", []string{"ERR bad OPEN: c or d is missing"}},
+		{"an empty timeout", "OPEN 1 2 c=live,d=\r\n", []string{"ERR bad OPEN: bad d"}},
+		{"a timeout that is not a number", "OPEN 1 2 c=live,d=soon\r\n", []string{"ERR bad OPEN: bad d"}},
+		{"a timeout as a hexadecimal float", "OPEN 1 2 c=live,d=0x9p3\r\n", []string{"ERR bad OPEN: bad d"}},
+		{"a negative timeout", "OPEN 1 2 c=live,d=-3\r\n", []string{"ERR bad OPEN: bad d"}},
+		{"a timeout that overflows", "OPEN 1 2 c=live,d=99999999999999999999999\r\n", []string{"ERR bad OPEN: bad d"}},
+		{"a timeout of 50 days", "OPEN 1 2 c=live,d=4294967295\r\n", []string{"ERR bad OPEN: d is too long"}},
+		{"an unknown service type", "OPEN 1u 2 c=dead,d=5\r\n", []string{`ERR unknown service type "dead"`}},
 		{"an unknown server", "OPEN 1 2 c=live,at=s-9\r\n", []string{`ERR unknown server "s-9"`}},
 		{"too long", "OPEN " + strings.Repeat("x", 5000) + "\r\n", []string{"ERR line is longer than 4 KiB"}},
-		{"60 MB of it", "OPEN 1 2 c=" + strings.Repeat("x", 60<<20), []string{"ERR line is longer than 4 KiB"}},
+		{"60 MB without a line end", "OPEN 1 2 c=" + strings.Repeat("x", 60<<20), []string{"ERR line is longer than 4 KiB"}},
 		{"binary", "\x00\xff\x16\x03\r\n", []string{"ERR bad OPEN: not printable"}},
 		{"binary in a value", "OPEN 1 2 c=live,d=5,x=\x7f\r\n", []string{"ERR bad OPEN: not printable"}},
 		{"half a line", "OPEN 1 2 c=li", []string{"ERR no whole line in time"}},
 		{"nothing", "", []string{"ERR no whole line in time"}},
-		{"hundreds at once", strings.Repeat(openFlowLine, 300), []string{"ERR spoke before its answer"}},
+		{"hundreds of lines at once", strings.Repeat(openFlowLine, 300), []string{"ERR spoke before its answer"}},
 		{"hundreds of PINGs", strings.Repeat("PING\r\n", 300), append(slices.Repeat([]string{"PONG"}, maxPings), "ERR too many PINGs")},
 		{"after a PING", "PING\r\nPING\r\nOPEN\r\n", []string{"PONG", "PONG", openSyntaxError}},
 	}
 }
 
-// A client that can't be served gets one line and an end, within 3 s of connecting and also while it goes on sending.
+// A client that can't be served receives one line and the connection is closed, within 3 s of connecting, even if the
+// client goes on sending.
 func TestBadFirstLines(t *testing.T) {
 	const descriptors = 100
 	b := startBalancer(t, decide.Idempotent, descriptors)
@@ -61,7 +62,7 @@
 			t.Parallel()
 			start := time.Now()
 			client := dial(t, b.addr)
-			go func() { _, _ = io.WriteString(client, c.line) }() // the balancer need not take all of it
+			go func() { _, _ = io.WriteString(client, c.line) }() // the balancer need not read all of it
 			for _, line := range c.want {
 				client.want(line)
 			}
@@ -76,7 +77,7 @@
 	t.Cleanup(func() {
 		b.stop()
 		if free := b.budget.Free(); free != descriptors {
-			t.Errorf("%d descriptors of %d were given back", free, descriptors)
+			t.Errorf("%d descriptors of %d were released", free, descriptors)
 		}
 	})
 }
@@ -88,8 +89,9 @@
 	return s
 }
 
-// A bad client must not reach a server, nor harm another's flow: one whose id is taken is rejected and the first
-// goes on, and one that speaks before its answer is cut off, which is not held against the server.
+// A misbehaving client must not reach a server or affect another client's flow. A flow whose id is in use is rejected and
+// the first flow continues. A client that sends data before the reply is disconnected, which does not count against the
+// server.
 func TestIDsTakenAndEarlySpeakers(t *testing.T) {
 	l := listen(t)
 	b := startBalancer(t, decide.Idempotent, 100, l.Addr().String())
@@ -105,7 +107,7 @@
 	first.want("BYE")
 	server.close()
 	first.want("EOF")
-	b.client(openFlowLine).want("ERR " + errIDTaken.Error()) // it stays taken for a while
+	b.client(openFlowLine).want("ERR " + errIDTaken.Error()) // the id stays in use for a while
 	for i := range 4 {
 		early := b.client(withID(fmt.Sprint("e", i)))
 		server, _ = accept(t, l)
@@ -115,34 +117,34 @@
 		server.want("EOF")
 	}
 	establish(t, b, l)
-	for i := range retiredIDs { // how many ids stay taken is bounded
+	for i := range retiredIDs { // the number of ids in use is bounded
 		id := fmt.Sprint("x", i)
 		if !b.frontend.ClaimID(id) {
-			t.Fatalf("%s is taken", id)
+			t.Fatalf("%s is in use", id)
 		}
 		b.frontend.ids.end(id)
 	}
 	if n := len(b.frontend.ids.taken); n > retiredIDs+1 || !b.frontend.ClaimID("1a") || b.frontend.ClaimID("x9") {
-		t.Errorf("%d ids are kept, or not the last", n)
+		t.Errorf("%d ids are kept, or not the last ones", n)
 	}
 }
 
-// An id that another process of this balancer has taken belongs to no flow here: it stays taken like one that
-// ended, and is forgotten in time.
+// An id that is in use in another process of this balancer belongs to no flow here. It is retired like that of a flow that
+// ended, so that the set does not grow without bound.
 func TestIDTakenByOtherProcess(t *testing.T) {
 	f := startBalancer(t, decide.Idempotent, 0).frontend
 	f.ShareIDs(func(uint64) bool { return true })
 	for i := range 2 * retiredIDs {
 		if f.ClaimID(fmt.Sprint("x", i)) {
-			t.Fatal("an id that the other process has taken is free here")
+			t.Fatal("an id that is in use in the other process is free here")
 		}
 	}
 	if n := len(f.ids.taken); n > retiredIDs {
-		t.Errorf("%d ids are taken, %d at most", n, retiredIDs)
+		t.Errorf("%d ids are in use, want at most %d", n, retiredIDs)
 	}
 }
 
-// Silent connections by the hundred, and such as send PING and stay, leave descriptors for PING and for flows.
+// Hundreds of connections that send nothing, or only PING, leave descriptors for PING and for flows.
 func TestSilentClients(t *testing.T) {
 	l := listen(t)
 	b := startBalancer(t, decide.Idempotent, 60, l.Addr().String())
@@ -155,7 +157,7 @@
 	server.want("M 1")
 }
 
-// When the balancer stops, clients are asked to move, between two lines, spread over the time there is.
+// A drain asks all clients to reconnect, between two lines and spread over the given time.
 func TestDrain(t *testing.T) {
 	l := listen(t)
 	b := startBalancer(t, decide.Idempotent, 100, l.Addr().String())
@@ -192,16 +194,16 @@
 	}
 }
 
-// A balancer that stops answers the clients that wait: that they may retry where nothing ran, and without a
-// promise where something may have.
+// A balancer that stops replies to all waiting clients: with BUSY if their flow had no effect, and with ERR if it may have
+// had one.
 func TestStopAnswersWaitingClients(t *testing.T) {
 	l := listen(t)
 	settings := defaultSettings(decide.NotIdempotent, 100)
-	settings.balancers = 48 // one connection set-up at a time
+	settings.balancers = 48 // so that there is one connection set-up at a time
 	b := newTestBalancer(t, settings, l.Addr().String())
 	b.serve()
 	sent := b.client(openFlowLine)
-	server, _ := accept(t, l) // it may run
+	server, _ := accept(t, l) // the flow may have run
 	waiting := b.client(withID("2b"))
 	b.waitForFree(96)
 	halfLine := b.client("OPEN 7 2 c=li")
--- a/internal/protocol/healthcheck_test.go
+++ b/internal/protocol/healthcheck_test.go
@@ -6,7 +6,7 @@
 	"yardwinch/internal/routing"
 )
 
-// What a server answers to a health check, and what that means.
+// The server's reply to a health check determines the outcome and the load.
 func TestCheckHealth(t *testing.T) {
 	for _, c := range []struct {
 		name, answer string
--- a/internal/protocol/localerrors_test.go
+++ b/internal/protocol/localerrors_test.go
@@ -15,7 +15,7 @@
 	"yardwinch/internal/transport"
 )
 
-// failingDialer has the system refuse dials with an error of this machine's own, as fails says by the dial's number.
+// failingDialer fails the dials for whose number fails returns true with a local error, as if the system refused them.
 func failingDialer(err error, fails func(n int64) bool) transport.Dialer {
 	var n atomic.Int64
 	return transport.Dialer{Connect: func(ctx context.Context, by *net.Dialer, addr string) (net.Conn, error) {
@@ -26,16 +26,16 @@
 	}}
 }
 
-// The system refuses dials with an error of this machine's own, every fifth one or all of them for a moment. The
-// servers are healthy, so that all clients are served and nothing is held against a server.
+// The system refuses dials with a local error, every fifth one or all of them for 150 ms. As the servers are healthy, all
+// clients are served and the errors do not count against a server.
 func TestLocalConnectErrors(t *testing.T) {
 	for _, errno := range []syscall.Errno{
 		syscall.ENETUNREACH, syscall.EADDRNOTAVAIL, syscall.ENOBUFS, syscall.ENFILE, syscall.EAGAIN, syscall.ENOMEM,
 	} {
 		start := time.Now()
 		for name, fails := range map[string]func(n int64) bool{
-			"every fifth":      func(n int64) bool { return n%5 == 0 },
-			"all for a moment": func(int64) bool { return time.Since(start) < 150*ms },
+			"every fifth":    func(n int64) bool { return n%5 == 0 },
+			"all for 150 ms": func(int64) bool { return time.Since(start) < 150*ms },
 		} {
 			t.Run(fmt.Sprintf("%v, %s", errno, name), func(t *testing.T) {
 				b := startBalancer(t, decide.NotIdempotent, 1000, serverThatAnswersUp(t), serverThatAnswersUp(t), serverThatAnswersUp(t))
@@ -44,7 +44,7 @@
 				b.wantAllServed(300)
 				for _, server := range b.router.Snapshot().Decisions.Servers {
 					if server.Ejected || server.UnreachableInRow > 0 {
-						t.Errorf("held against a server: %+v", server)
+						t.Errorf("counted against a server: %+v", server)
 					}
 				}
 			})
@@ -52,7 +52,7 @@
 	}
 }
 
-// wantAllServed opens a flow for each of some clients, twenty at a time.
+// wantAllServed opens the given number of flows, twenty at a time, and checks that all are established.
 func (b *testBalancer) wantAllServed(clients int) {
 	var all sync.WaitGroup
 	slots := make(chan struct{}, 20)
@@ -76,13 +76,13 @@
 	all.Wait()
 }
 
-// serverThatAnswersUp returns its address.
+// serverThatAnswersUp starts a server that replies UP to each flow, and returns its address.
 func serverThatAnswersUp(t *testing.T) string {
 	l := listen(t)
 	go serveConnections(l, func(c net.Conn) {
 		if _, err := readServerLine(c); err == nil {
 			_, _ = c.Write([]byte("UP 1\r\n"))
-			_, _ = readServerLine(c) // until its end
+			_, _ = readServerLine(c) // until the connection ends
 		}
 	})
 	return l.Addr().String()
--- a/internal/protocol/open_test.go
+++ b/internal/protocol/open_test.go
@@ -7,7 +7,7 @@
 	"yardwinch/internal/routing"
 )
 
-// The line to a server is the client's but for the time that is left.
+// The line that is forwarded to a server differs from the client's only in the timeout.
 func TestWithTimeout(t *testing.T) {
 	for _, c := range []struct {
 		name, line string
@@ -16,9 +16,9 @@
 	}{
 		{"in the middle", "OPEN 1 2 c=x,d=2000,g=3", 1234567 * time.Microsecond, "OPEN 1 2 c=x,d=1234,g=3"},
 		{"none", "OPEN 1 2 c=x,at=s", sec, "OPEN 1 2 c=x,at=s"},
-		{"another name that ends so", "OPEN 1 2 c=x,id=7,d=9", 5 * ms, "OPEN 1 2 c=x,id=7,d=5"},
-		{"nearly over", "OPEN 1 2 c=x,d=9", 0, "OPEN 1 2 c=x,d=1"},
-		{"a key that looks like it", "OPEN d=1 d=2 c=x,d=9", 3 * ms, "OPEN d=1 d=2 c=x,d=3"},
+		{"another name that ends in d", "OPEN 1 2 c=x,id=7,d=9", 5 * ms, "OPEN 1 2 c=x,id=7,d=5"},
+		{"no time left", "OPEN 1 2 c=x,d=9", 0, "OPEN 1 2 c=x,d=1"},
+		{"an id and a key that look like a timeout", "OPEN d=1 d=2 c=x,d=9", 3 * ms, "OPEN d=1 d=2 c=x,d=3"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := withTimeout(c.line, c.left); got != c.want {
@@ -28,7 +28,6 @@
 	}
 }
 
-// What an OPEN line says.
 func TestParseOpen(t *testing.T) {
 	const allFlags = routing.FlagLoadHint | routing.FlagRetry | routing.FlagReturning
 	plain := FlowInfo{ID: "1", Key: "2b", Service: "x"}
@@ -40,8 +39,8 @@
 			openRequest{flow: FlowInfo{ID: "1", Key: "2b", Service: "x", Customer: "acme", Group: "5c"}, timeout: 2 * sec, flags: allFlags}},
 		{"names unknown here", "OPEN 1 2b c=x,d=15,new=thing", openRequest{flow: plain, timeout: 15 * ms}},
 		{"flags not set", "OPEN 1 2b c=x,d=1,r=0,again=0", openRequest{flow: plain, timeout: ms}},
-		{"a resumed one", "OPEN 1 2b c=x,at=s-1", openRequest{flow: plain, resumeAt: "s-1"}},
-		{"a resumed one, whose time is none", "OPEN 1 2b c=x,d=4294967,at=s-1",
+		{"a resumed flow", "OPEN 1 2b c=x,at=s-1", openRequest{flow: plain, resumeAt: "s-1"}},
+		{"a resumed flow, whose timeout is not checked", "OPEN 1 2b c=x,d=4294967,at=s-1",
 			openRequest{flow: plain, resumeAt: "s-1", timeout: 4294967 * ms}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/protocol/overload_test.go
+++ b/internal/protocol/overload_test.go
@@ -12,9 +12,9 @@
 	"time"
 )
 
-// A discovery that answers so many calls a second rejects those that have waited for two seconds, and is busy with
-// them all the same. Eighty balancers that start at the same moment must all get the list soon; if they asked
-// again four times a second none ever would.
+// Discovery serves 16 requests a second. It rejects those that have waited for 2 s, but spends the same time on them.
+// Eighty balancers that start at the same moment must all get the list within 40 s; if they retried four times a second,
+// none ever would.
 func TestOverloadedDiscoveryAnswersAllEventually(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const balancers, answersPerSecond, maxWait = 80, 16, 2 * sec
@@ -25,18 +25,18 @@
 			d := newTestDiscovery(uint64(i), "nowhere", true)
 			d.client.Transport = service
 			running.Go(func() { d.Run(ctx) })
-			running.Go(func() { tick(ctx, d.router) }) // the decisions' own timers for the list must add no calls
+			running.Go(func() { tick(ctx, d.router) }) // the router's timers for the list must not cause further requests
 		}
 		time.Sleep(40 * sec)
 		cancel()
 		running.Wait()
-		if service.answered != balancers { // a balancer that has the list calls no more
-			t.Errorf("%d of %d were answered within 40 s", service.answered, balancers)
+		if service.answered != balancers { // a balancer that has the list sends no more requests
+			t.Errorf("%d of %d got the list within 40 s", service.answered, balancers)
 		}
 	})
 }
 
-// overloadedDiscovery serves one call after another, also those that nobody waits for any more.
+// overloadedDiscovery serves one request after another, including those that were cancelled.
 type overloadedDiscovery struct {
 	serviceTime, maxWait time.Duration
 
@@ -61,7 +61,7 @@
 	go func() {
 		defer closeQuietly(w)
 		for line := object(1, true, member("a", "SERVING")) + "\n"; q.Context().Err() == nil; line = "\n" {
-			_, _ = io.WriteString(w, line) // the reader is gone once the context ended
+			_, _ = io.WriteString(w, line) // fails once the context ended and the reader closed the pipe
 			select {
 			case <-q.Context().Done():
 			case <-time.After(heartbeatInterval):
@@ -71,9 +71,9 @@
 	return &http.Response{StatusCode: http.StatusOK, Body: body}, nil
 }
 
-// All balancers call one discovery, as all start at once or as it comes back after 8 s of silence. If it can
-// answer all of them in 3.5 s, all are answered in time: called in step, or again too soon, it would reject those
-// it could have answered. For one that can't see TestOverloadedDiscoveryAnswersAllEventually.
+// All balancers call one discovery, because all start at once or because it recovers after 8 s of silence. If it can serve
+// all of them in 3.5 s, all get the list in time. If they called it at the same moment, or retried too soon, it would
+// reject requests that it could have served. TestOverloadedDiscoveryAnswersAllEventually covers one that is slower.
 func TestManyBalancersOnOneDiscovery(t *testing.T) {
 	recordLogs(t)
 	for _, balancers := range []int{80, 300} {
@@ -99,7 +99,7 @@
 			}
 			response, err := service.RoundTrip(q)
 			if err == nil && response.StatusCode == http.StatusOK {
-				answered.Add(1) // a balancer that has the list calls no more
+				answered.Add(1) // a balancer that has the list sends no more requests
 			}
 			return response, err
 		})
@@ -107,7 +107,7 @@
 	}
 	time.Sleep(outage + changeTimeout)
 	if n := int(answered.Load()); n != balancers {
-		t.Errorf("%d of %d were answered within %v", n, balancers, changeTimeout)
+		t.Errorf("%d of %d got the list within %v", n, balancers, changeTimeout)
 	}
 	for _, stop := range stops {
 		stop()
--- a/internal/protocol/races_test.go
+++ b/internal/protocol/races_test.go
@@ -15,17 +15,17 @@
 	"yardwinch/internal/transport"
 )
 
-// These tests cover orders of two events that seldom come about by themselves; docs/races.md lists them.
+// These tests force orders of two events that rarely occur by themselves; docs/races.md lists them.
 
-// clientDepartures are how a client may leave.
+// clientDepartures are the ways in which a client may disconnect.
 var clientDepartures = map[string]func(client *peer){
-	"an end":       (*peer).close,
-	"a half end":   func(c *peer) { _ = c.CloseWrite() },
-	"a reset":      (*peer).reset,
-	"data, an end": func(c *peer) { c.send("M 1\r\nM 2\r\n"); c.close() },
+	"close":            (*peer).close,
+	"half close":       func(c *peer) { _ = c.CloseWrite() },
+	"reset":            (*peer).reset,
+	"data, then close": func(c *peer) { c.send("M 1\r\nM 2\r\n"); c.close() },
 }
 
-// listenWithFullBacklog is a server whose queue is full: connections come up only once others are taken out.
+// listenWithFullBacklog listens with a full accept queue: connections are established only once others are accepted.
 func listenWithFullBacklog(t *testing.T) net.Listener {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
@@ -33,7 +33,7 @@
 		t.Fatal(err)
 	}
 	f := os.NewFile(uintptr(fd), "listener")
-	defer closeQuietly(f) // net.FileListener makes a descriptor of its own
+	defer closeQuietly(f) // net.FileListener duplicates the descriptor
 	if err := syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
 		t.Fatal(err)
 	}
@@ -46,7 +46,7 @@
 	}
 	t.Cleanup(func() { closeQuietly(l) })
 	_ = l.(*net.TCPListener).SetDeadline(time.Now().Add(hangTimeout))
-	for { // until one does not come up
+	for { // until a connection is not established
 		c, err := (&net.Dialer{Timeout: 100 * ms}).DialContext(t.Context(), "tcp", l.Addr().String())
 		if err != nil {
 			return l
@@ -55,15 +55,15 @@
 	}
 }
 
-// waitForPendingConnect waits until a connection to an unresponsive listener was requested and has not come up.
+// waitForPendingConnect waits until a connect to a listener with a full backlog is in progress.
 func waitForPendingConnect(t *testing.T, l net.Listener) {
 	t.Helper()
-	// As the kernel lists it: the remote port and the state.
+	// The remote port and the state SYN_SENT, as in /proc/net/tcp.
 	synSent := fmt.Sprintf(":%04X 02 ", l.Addr().(*net.TCPAddr).Port)
 	for end := time.Now().Add(hangTimeout); ; time.Sleep(ms) {
 		table, err := os.ReadFile("/proc/net/tcp")
 		if err != nil || time.Now().After(end) {
-			t.Fatal("no connection was requested", err)
+			t.Fatal("no connect is in progress", err)
 		}
 		if strings.Contains(string(table), synSent) {
 			return
@@ -71,14 +71,14 @@
 	}
 }
 
-// A client that leaves while it waits is not forwarded, whatever it waited for and however it left, and all that
-// it held is given back: the next client finds the balancer as if the first had never come.
+// A client that disconnects while it waits is not forwarded, whatever it waits for and however it disconnects. All its
+// resources are released, so that the next client is served as if the first one had never connected.
 func TestClientLeavesWhileItWaits(t *testing.T) {
 	for departure, leave := range clientDepartures {
 		for waitsFor, test := range map[string]func(t *testing.T, leave func(*peer)){
 			"a decision":               clientLeavesBeforeDecision,
 			"a connection":             clientLeavesBeforeConnection,
-			"the pause before a retry": clientLeavesBeforeRetry,
+			"the delay before a retry": clientLeavesBeforeRetry,
 			"the accept":               clientsLeaveBeforeAccept,
 		} {
 			t.Run(waitsFor+", "+departure, func(t *testing.T) {
@@ -102,7 +102,7 @@
 	leaving := b.client(openFlowLine)
 	b.waitForFree(allDescriptors - 4)
 	leave(leaving)
-	b.waitForFree(allDescriptors - 2) // noticed while it waits
+	b.waitForFree(allDescriptors - 2) // the disconnect is detected while the client waits
 	server.send("UP 77\r\n")
 	first.want("UP 77")
 	b.client(withID("9f"))
@@ -125,7 +125,7 @@
 	}
 	closeQuietly(queued)
 	b.client(withLongTimeout(withID("9f")))
-	for { // the connections that filled the queue send nothing
+	for { // the connections that filled the backlog send nothing
 		if _, line := accept(t, l); strings.HasPrefix(line, "OPEN 9f ") {
 			break
 		} else if line != "EOF" {
@@ -149,18 +149,18 @@
 		if strings.HasPrefix(line, "OPEN 9f ") {
 			break
 		}
-		server.send("BUSY\r\n") // an attempt from before the client left
+		server.send("BUSY\r\n") // an attempt from before the client disconnected
 	}
 }
 
 func clientsLeaveBeforeAccept(t *testing.T, leave func(*peer)) {
-	const clients = 40 // at once, as when a site loses its network
+	const clients = 40 // at once, as when a site loses its network connection
 	l := listen(t)
 	b := newTestBalancer(t, defaultSettings(decide.NotIdempotent, allDescriptors), l.Addr().String())
 	for i := range clients {
 		leave(b.client(withID(fmt.Sprint("q", i))))
 	}
-	last := b.client("PING\r\n") // behind them in the queue: its answer shows that all of them were accepted
+	last := b.client("PING\r\n") // behind the others in the queue: its reply shows that all of them were accepted
 	b.serve()
 	last.want("PONG")
 	last.close()
@@ -169,10 +169,10 @@
 	wantNextFlow(t, l)
 }
 
-// withLongTimeout is an OPEN line with a client's time of 8 s.
+// withLongTimeout returns an OPEN line with a timeout of 8 s.
 func withLongTimeout(line string) string { return strings.Replace(line, "d=1500", "d=8000", 1) }
 
-// wantNextFlow checks that the next connection is that of the client that came after those that left.
+// wantNextFlow checks that the next connection is that of the client that connected after the others disconnected.
 func wantNextFlow(t *testing.T, l net.Listener) {
 	t.Helper()
 	if _, line := accept(t, l); !strings.HasPrefix(line, "OPEN 9f ") {
@@ -180,7 +180,7 @@
 	}
 }
 
-// A client that leaves during an attempt must not leave the server's connection behind.
+// If a client disconnects during an attempt, the server's connection is closed.
 func TestClientLeavesDuringAttempt(t *testing.T) {
 	l := listen(t)
 	b := startBalancer(t, decide.Idempotent, 100, l.Addr().String())
@@ -194,13 +194,13 @@
 	}
 }
 
-// starvedConn is a client's connection in a process that is short of its core. The client leaves at the moment of
-// a given idle check, and what reads from the client does not run before that check is over. An idle check is
-// known by its use of the socket itself.
+// starvedConn is a client's connection in a process without enough CPU time. The client disconnects at the time of a given
+// idle check (Conn.HasPendingInput), and the goroutine that reads from the client does not run before that check is over.
+// An idle check is recognised by its call of SyscallConn.
 type starvedConn struct {
 	*net.TCPConn
-	leaveAt     int    // the idle check from which on the client is gone
-	leave       func() // has the client leave
+	leaveAt     int    // the number of the idle check at which the client disconnects
+	leave       func() // disconnects the client
 	lineWasRead bool
 	idleChecks  int
 	released    chan struct{} // closed once the reader may run
@@ -222,7 +222,7 @@
 	s.idleChecks++
 	if s.idleChecks == s.leaveAt {
 		s.leave()
-		for !transport.NewConn(s.TCPConn).HasPendingInput() { // until the end has come
+		for !transport.NewConn(s.TCPConn).HasPendingInput() { // until the FIN or reset has arrived
 			time.Sleep(ms)
 		}
 		defer close(s.released)
@@ -230,8 +230,8 @@
 	return s.TCPConn.SyscallConn()
 }
 
-// A client's end has come, but the goroutine that would send runs before the one that reads: no attempt begins,
-// first or retry, neither the request for a connection nor the first byte on it.
+// A client has disconnected, but the goroutine that makes attempts runs before the one that reads from the client. Neither
+// a first attempt nor a retry may be made: no connect, and no byte on an established connection.
 func TestNoAttemptAfterClientLeft(t *testing.T) {
 	const busy, reset, resumeLine = "BUSY\r\n", "", "OPEN 1a 2 c=live,at=s0\r\n"
 	for _, c := range []departureCase{
@@ -240,8 +240,8 @@
 		{"a decision to retry", openFlowLine, []string{busy}, false},
 		{"a connection of a retry", openFlowLine, []string{busy}, true},
 		{"a decision to retry after a reset", openFlowLine, []string{reset}, false},
-		{"the end of a pause", resumeLine, []string{busy}, false},
-		{"a connection after a pause", resumeLine, []string{busy}, true},
+		{"the end of the delay before a retry", resumeLine, []string{busy}, false},
+		{"a connection after the delay before a retry", resumeLine, []string{busy}, true},
 	} {
 		for departure, leave := range clientDepartures {
 			t.Run(c.name+", "+departure, func(t *testing.T) {
@@ -252,11 +252,11 @@
 	}
 }
 
-// departureCase is a client that leaves at one moment of one attempt.
+// departureCase is a client that disconnects at one point of one attempt.
 type departureCase struct {
 	name, line  string
-	answers     []string // of the server, to the attempts before; empty: a reset
-	isConnected bool     // the attempt's connection came up before the client left
+	answers     []string // the server's replies to the previous attempts; an empty one is a reset
+	isConnected bool     // the attempt's connection was established before the client disconnected
 }
 
 func (c departureCase) run(t *testing.T, leave func(*peer)) {
@@ -294,16 +294,16 @@
 	}
 	<-done
 	if conn.idleChecks < conn.leaveAt {
-		t.Fatal("the client never left")
+		t.Fatal("the client never disconnected")
 	}
-	dial(t, l.Addr().String()).send("last\r\n") // it stands behind all that came
+	dial(t, l.Addr().String()).send("last\r\n") // behind all other connections in the queue
 	if _, line := accept(t, l); line != "last" {
-		t.Errorf("a connection of a client that left; on it came %q", line)
+		t.Errorf("a connection for a client that disconnected, with the line %q", line)
 	}
 }
 
-// A retry is decided within the window in which servers drop duplicates, and its connection comes up after it: the
-// line must not go on, as it could take effect a second time.
+// A retry is decided within the window in which servers drop duplicates, but its connection is established after that
+// window. The line must not be sent, as it could take effect a second time.
 func TestRetryEstablishedPastItsWindow(t *testing.T) {
 	first, late := listen(t), listenWithFullBacklog(t)
 	settings := defaultSettings(decide.IdempotentByKey, 100)
@@ -315,9 +315,9 @@
 	update := b.router.BeginUpdate(routing.DeltaUpdate)
 	update.AddEndpoint(routing.Endpoint{Name: "late", Addr: late.Addr().String(), Zone: "z", Size: 1})
 	update.Commit(t.Context())
-	server.reset() // it may have run
+	server.reset() // the flow may have run
 	waitForPendingConnect(t, late)
-	// From now on the connection comes up, when it is requested again a second later.
+	// This frees a place in the backlog: the connection is established when the SYN is sent again, a second later.
 	if _, err := late.Accept(); err != nil {
 		t.Fatal(err)
 	}
@@ -327,16 +327,16 @@
 			received <- line
 		}
 	})
-	client.want("BUSY 700") // as servers drop duplicates, it may retry
+	client.want("BUSY 700") // the client may retry, as servers drop duplicates
 	client.want("EOF")
 	select {
 	case line := <-received:
-		t.Errorf("past the window the server got %q", line)
+		t.Errorf("after the window the server got %q", line)
 	default:
 	}
 }
 
-// A decision is picked up after its deadline: nothing is sent, as the time runs from the decision.
+// If a decision is carried out after its deadline, nothing is sent, as the timeout runs from the decision.
 func TestDecisionPickedUpLate(t *testing.T) {
 	l := listen(t)
 	settings := defaultSettings(decide.NotIdempotent, 100)
--- a/internal/protocol/relay_test.go
+++ b/internal/protocol/relay_test.go
@@ -12,7 +12,7 @@
 	"yardwinch/decide"
 )
 
-// When one side ends a connection, the other is ended in the same way, with the last lines before it.
+// When one side closes or resets a connection, the other side is closed in the same way, after the last lines.
 func TestConnectionEnds(t *testing.T) {
 	for _, c := range []struct {
 		name         string
@@ -20,14 +20,14 @@
 		fromServer   bool
 		lines, after string
 	}{
-		{"the server ends it", func(_, s *peer) { s.send("BYE\r\n"); s.close() }, true, "BYE", "EOF"},
-		{"the server ends its sending", func(_, s *peer) { s.send("M 1\r\n"); _ = s.CloseWrite() }, true, "M 1", "EOF"},
-		{"the server says its last word and stays", func(_, s *peer) { s.send("BYE\r\n") }, true, "BYE", "EOF"},
-		{"the server's last word and a reset", func(c, s *peer) { s.send("BYE\r\n"); c.want("BYE"); s.reset() }, true, "", "EOF"},
-		{"the server is reset", func(_, s *peer) { s.reset() }, true, "", "reset"},
-		{"the client ends it", func(c, _ *peer) { c.send("M 1\r\n"); c.close() }, false, "M 1", "EOF"},
-		{"the client ends its sending", func(c, _ *peer) { c.send("M 1\r\n"); _ = c.CloseWrite() }, false, "M 1", "EOF"},
-		{"the client is reset", func(c, _ *peer) { c.reset() }, false, "", "reset"},
+		{"the server closes", func(_, s *peer) { s.send("BYE\r\n"); s.close() }, true, "BYE", "EOF"},
+		{"the server half-closes", func(_, s *peer) { s.send("M 1\r\n"); _ = s.CloseWrite() }, true, "M 1", "EOF"},
+		{"the server sends BYE and does not close", func(_, s *peer) { s.send("BYE\r\n") }, true, "BYE", "EOF"},
+		{"the server sends BYE and resets", func(c, s *peer) { s.send("BYE\r\n"); c.want("BYE"); s.reset() }, true, "", "EOF"},
+		{"the server resets", func(_, s *peer) { s.reset() }, true, "", "reset"},
+		{"the client closes", func(c, _ *peer) { c.send("M 1\r\n"); c.close() }, false, "M 1", "EOF"},
+		{"the client half-closes", func(c, _ *peer) { c.send("M 1\r\n"); _ = c.CloseWrite() }, false, "M 1", "EOF"},
+		{"the client resets", func(c, _ *peer) { c.reset() }, false, "", "reset"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			l := listen(t)
@@ -48,7 +48,7 @@
 			other.close()
 			b.stop()
 			if free := b.budget.Free(); free != 100 {
-				t.Errorf("%d descriptors of 100 were given back", free)
+				t.Errorf("%d descriptors of 100 were released", free)
 			}
 			if took := time.Since(start); took > sec {
 				t.Errorf("held for %v", took)
@@ -57,7 +57,7 @@
 	}
 }
 
-// Lines go both ways unchanged.
+// Lines are relayed unchanged in both directions.
 func TestRelayedLines(t *testing.T) {
 	l := listen(t)
 	b := startBalancer(t, decide.Idempotent, 100, l.Addr().String())
@@ -74,8 +74,8 @@
 	}
 }
 
-// A server that is to stop sends its clients away before the endpoint list says so: the next ones must not be sent
-// there, though it looks the emptiest.
+// A server that is about to stop sends MOVE to its clients before the endpoint list says that it drains. The next clients
+// must not be sent there, although the server appears to have the fewest flows.
 func TestServerSendsMove(t *testing.T) {
 	addrs := make([]string, 2)
 	for i := range addrs {
@@ -101,12 +101,12 @@
 	client.want("EOF")
 	for range 3 {
 		if _, upLine := openNext(); upLine == leaving {
-			t.Fatalf("sent to the server that said MOVE: %q", upLine)
+			t.Fatalf("sent to the server that sent MOVE: %q", upLine)
 		}
 	}
 }
 
-// serveConnections gives each connection to a goroutine, which closes it, until the listener is closed.
+// serveConnections serves each connection in a goroutine, and closes it afterwards, until the listener is closed.
 func serveConnections(l net.Listener, serve func(c net.Conn)) {
 	for {
 		c, err := l.Accept()
--- a/internal/protocol/watch_test.go
+++ b/internal/protocol/watch_test.go
@@ -17,7 +17,7 @@
 	"yardwinch/internal/routing"
 )
 
-// newTestDiscovery has a router that takes lists and serves nobody.
+// newTestDiscovery returns a Discovery whose router accepts lists but no flows.
 func newTestDiscovery(seed uint64, addr string, isPolled bool) *Discovery {
 	configure := func(b *decide.Balancer) (map[string]decide.ServiceID, map[string]decide.CustomerID) {
 		b.ConfigureEndpoints(decide.EndpointSettings{Polled: isPolled, MaxPollInterval: 10 * sec, MessageTarget: sec})
@@ -26,7 +26,7 @@
 	return NewDiscovery(routing.New(routing.Config{Seed: 1, Configure: configure}), addr, seed, isPolled)
 }
 
-// runDiscovery watches until stop.
+// runDiscovery runs d until stop is called.
 func runDiscovery(d *Discovery) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -34,13 +34,13 @@
 	return func() { cancel(); <-done }
 }
 
-// writeAndFlush writes at once to a client that may be gone.
+// writeAndFlush writes without buffering. It ignores errors, as the client may have disconnected.
 func writeAndFlush(w http.ResponseWriter, text string) {
 	_, _ = io.WriteString(w, text)
 	w.(http.Flusher).Flush()
 }
 
-// wantReceived waits for the next value.
+// wantReceived checks the next value of a channel.
 func wantReceived(t *testing.T, from <-chan string, want string) {
 	t.Helper()
 	select {
@@ -49,11 +49,11 @@
 			t.Fatalf("got %q, want %q", got, want)
 		}
 	case <-time.After(hangTimeout):
-		t.Fatalf("no %q came", want)
+		t.Fatalf("%q was not received", want)
 	}
 }
 
-// A watch that ends, fails, brings nonsense or falls silent is reopened, from the last revision held.
+// A watch that is closed, is rejected, sends invalid data or falls silent is reopened from the current revision.
 func TestWatchIsReopened(t *testing.T) {
 	queries := make(chan string, 16)
 	calls := 0
@@ -69,7 +69,7 @@
 			writeAndFlush(w, `{"revision":`+"\n")
 		case 4:
 			writeAndFlush(w, "\n"+object(6, false, member("a", "DRAINING"), member("b", "SERVING"))+"\n")
-			<-q.Context().Done() // silent until it is given up
+			<-q.Context().Done() // silent until the balancer gives up
 		default:
 			w.(http.Flusher).Flush()
 			<-q.Context().Done()
@@ -84,8 +84,8 @@
 	}
 }
 
-// Another address takes the place of the first at once, with the complete list from the new one: its revisions may be
-// others. Nothing is lost while it is silent, and the same address again disturbs no watch.
+// A new address replaces the current one at once, and the complete list is requested there, as it may count revisions
+// differently. The current list is kept while the new address is silent. Setting the same address again has no effect.
 func TestDiscoveryAddressChange(t *testing.T) {
 	queries, ended := make(chan string, 16), make(chan string, 16)
 	agent := func(name, list string) (addr string) {
@@ -119,7 +119,7 @@
 	b.wantFlowsTo("at-b")
 }
 
-// wantFlowsTo waits until flows go to an address; a list that was sent is not applied at once.
+// wantFlowsTo waits until flows go to an address, as a list that was sent is not applied at once.
 func (b *testBalancer) wantFlowsTo(want string) {
 	b.t.Helper()
 	got := ""
@@ -138,13 +138,12 @@
 		}
 	}
 	if got != want {
-		b.t.Fatalf("goes to %q, want %q", got, want)
+		b.t.Fatalf("flows go to %q, want %q", got, want)
 	}
 }
 
-// An agent that is silent has the list at the moment at which it can be asked again, and from then on the list
-// counts as received: a balancer that waited would send flows to a server that drains. However long the silence,
-// one watch follows another at once.
+// A silent agent has the list as soon as it can be called again, and from then on the list counts as received: a balancer
+// that waited would send flows to a server that drains. So however long the silence, a watch is reopened at once.
 func TestSilentAgentIsPolledAtOnce(t *testing.T) {
 	const silences = 14
 	calls := make(chan struct{}, silences+2)
@@ -160,12 +159,12 @@
 	d := NewDiscovery(startBalancer(t, decide.Idempotent, 0).router, strings.TrimPrefix(agent.URL, "http://"), 1, false)
 	d.silenceTimeout, d.responseTimeout = 30*ms, 30*ms
 	defer runDiscovery(d)()
-	hangs := time.After(10 * sec) // a backoff that doubles up to 4 s would take thrice that
+	timeout := time.After(10 * sec) // a backoff that doubles up to 4 s would take thrice that
 	for i := range silences + 1 {
 		select {
 		case <-calls:
-		case <-hangs:
-			t.Fatalf("no call after %d silent watches", i)
+		case <-timeout:
+			t.Fatalf("no request after %d silent watches", i)
 		}
 	}
 	for d.revision.Load() != 9 {
@@ -173,9 +172,9 @@
 	}
 }
 
-// How long a balancer waits between two watches, by who is asked and how the last one ended: with the complete
-// next call it fits into the time within which a change must take effect, and where all balancers ask at the same
-// moment it is spread over what is left of that time.
+// The delay before a watch is reopened depends on whether discovery or an agent is called and on how the last watch failed.
+// With a complete next request it fits into changeTimeout. Where all balancers call at the same moment, it is spread over
+// the time that is left.
 func TestReopenDelay(t *testing.T) {
 	const left = changeTimeout - applyTime - responseTimeout
 	for _, c := range []struct {
@@ -190,13 +189,13 @@
 		{"an agent, reset", false, false, true, sec, 0, agentReopenDelay},
 		{"an agent, refused", false, false, false, 0, 0, agentReopenDelay},
 		{"an agent, slow to refuse", false, false, false, 150 * ms, 0, 300 * ms},
-		{"an agent that rejects calls after a wait", false, false, false, 2 * sec, 0, left - 2*sec},
+		{"an agent that rejects requests after a delay", false, false, false, 2 * sec, 0, left - 2*sec},
 		{"discovery, silent", true, true, true, silenceTimeout, 0, left - silenceTimeout},
 		{"discovery, reset", true, false, true, sec, 0, left - sec},
 		{"discovery, refused", true, false, false, 0, left / 2, left},
-		{"discovery that gives no answer", true, true, false, responseTimeout, (left - responseTimeout) / 2, left - responseTimeout},
-		{"discovery that rejects calls", true, false, false, 2 * sec, (left - 2*sec) / 2, left - 2*sec},
-		{"a process that had no core for long", true, true, true, changeTimeout, 0, 0},
+		{"discovery that gives no response", true, true, false, responseTimeout, (left - responseTimeout) / 2, left - responseTimeout},
+		{"discovery that rejects requests after a delay", true, false, false, 2 * sec, (left - 2*sec) / 2, left - 2*sec},
+		{"a process without CPU time for long", true, true, true, changeTimeout, 0, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			d := NewDiscovery(startBalancer(t, decide.Idempotent, 0).router, "", 1, c.isPolled)
@@ -213,8 +212,8 @@
 	}
 }
 
-// Where dials get no answer, those of calls that were given up end too: each holds a descriptor, and the system
-// would go on for minutes.
+// If dials get no reply, those of cancelled requests end soon: each holds a descriptor, and the system would keep trying for
+// minutes.
 func TestDialsOfAbandonedCallsEnd(t *testing.T) {
 	l := listen(t)
 	d := newTestDiscovery(1, l.Addr().String(), false)
@@ -235,21 +234,21 @@
 	}
 	fillBacklog(t, l)
 	defer runDiscovery(d)()
-	hangs := time.After(20 * sec)
+	timeout := time.After(20 * sec)
 	const calls = 20
 	for i := range calls {
 		select {
 		case <-begun:
-		case <-hangs:
+		case <-timeout:
 			t.Fatalf("%d calls, want %d", i, calls)
 		}
 	}
-	if most.Load() > calls/4 { // one that ends and one that begins; more where others have the cores
+	if most.Load() > calls/4 { // usually one that ends and one that begins; more on a busy machine
 		t.Errorf("%d dials at once", most.Load())
 	}
 }
 
-// storeMax sets a maximum.
+// storeMax sets most to n if n is greater.
 func storeMax(most *atomic.Int32, n int32) {
 	for was := most.Load(); n > was; was = most.Load() {
 		if most.CompareAndSwap(was, n) {
@@ -258,7 +257,7 @@
 	}
 }
 
-// fillBacklog fills a listener's queue, so that dials get no answer.
+// fillBacklog fills a listener's accept queue, so that dials get no reply.
 func fillBacklog(t *testing.T, l net.Listener) {
 	t.Helper()
 	raw, err := l.(*net.TCPListener).SyscallConn()
