--- a/internal/advice/advice.go
+++ b/internal/advice/advice.go
@@ -1,15 +1,15 @@
-// Package advice holds the error that says, beside what is wrong, what an operator can do about it.
+// Package advice defines an error with advice on what an operator can do about it.
 package advice
 
-// Error is a fault and what an operator can do about it.
+// Error is an error with advice on what an operator can do about it.
 type Error struct {
-	Where  string // the key, the file, or the part of the program
-	What   string // is wrong there
-	Remedy string // what an operator can do
-	Err    error  // the cause; nil: none
+	Where  string // the configuration key, file or part of the program that is affected
+	What   string // the fault
+	Remedy string // what an operator can do about it
+	Err    error  // the cause; nil if there is none
 }
 
-// Error names the place, the fault and the cause.
+// Error returns the place, the fault and the cause.
 func (e *Error) Error() string {
 	text := e.Where + ": " + e.What
 	if e.Err != nil {
@@ -18,8 +18,8 @@
 	return text
 }
 
-// Unwrap is the cause.
+// Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Advice is what an operator can do.
+// Advice returns what an operator can do.
 func (e *Error) Advice() string { return e.Remedy }
--- a/internal/advice/advice_test.go
+++ b/internal/advice/advice_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestError(t *testing.T) {
-	const remedy = "see who has the address"
+	const remedy = "check which process uses the address"
 	for _, c := range []struct {
 		name  string
 		cause error
@@ -22,7 +22,7 @@
 				t.Errorf("%q, %q; want %q", err, err.Advice(), c.text)
 			}
 			if errors.Is(err, net.ErrClosed) != (c.cause != nil) {
-				t.Errorf("want the cause %v", c.cause)
+				t.Errorf("the cause should be %v", c.cause)
 			}
 		})
 	}
--- a/internal/explain/client.go
+++ b/internal/explain/client.go
@@ -10,44 +10,44 @@
 	"time"
 )
 
-// State asks a running balancer for its state.
-func State(ctx context.Context, path string, into any) error {
-	return query(ctx, path, questionState, into)
+// State queries a running balancer's state.
+func State(ctx context.Context, path string, result any) error {
+	return query(ctx, path, requestState, result)
 }
 
-// Members asks a running balancer what it knows of the others.
-func Members(ctx context.Context, path string, into any) error {
-	return query(ctx, path, questionMembers, into)
+// Members queries a running balancer's view of the other balancers.
+func Members(ctx context.Context, path string, result any) error {
+	return query(ctx, path, requestMembers, result)
 }
 
-// Why asks a running balancer why it placed a flow where it did.
-func Why(ctx context.Context, path, flow string, into any) error {
-	return query(ctx, path, questionWhy+" "+flow, into)
+// Why queries a running balancer's explanation of where it placed a flow.
+func Why(ctx context.Context, path, flow string, result any) error {
+	return query(ctx, path, requestWhy+" "+flow, result)
 }
 
-// query puts one question to the balancer at a socket and decodes the answer into a variable. A question that the
-// balancer can't answer gives an error with its text.
-func query(ctx context.Context, path, question string, into any) error {
+// query sends one request to the balancer at a socket and decodes the response into result. If the response is an error,
+// query returns an error with its text.
+func query(ctx context.Context, path, request string, result any) error {
 	dialer := net.Dialer{Timeout: exchangeTimeout}
 	conn, err := dialer.DialContext(ctx, "unix", path)
 	if err != nil {
-		return fmt.Errorf("no balancer answers on %s: %w", path, err)
+		return fmt.Errorf("no balancer responds on %s: %w", path, err)
 	}
-	defer func() { _ = conn.Close() }() // all that matters was read
+	defer func() { _ = conn.Close() }() // the response has been read
 	_ = conn.SetDeadline(time.Now().Add(exchangeTimeout))
-	if _, err := fmt.Fprintln(conn, question); err != nil {
-		return fmt.Errorf("asking on %s: %w", path, err)
+	if _, err := fmt.Fprintln(conn, request); err != nil {
+		return fmt.Errorf("sending the request to %s: %w", path, err)
 	}
 	text, err := io.ReadAll(conn)
 	if err != nil {
-		return fmt.Errorf("asking on %s: %w", path, err)
+		return fmt.Errorf("reading the response from %s: %w", path, err)
 	}
-	var failed failure
+	var failed errorResponse
 	if err := json.Unmarshal(text, &failed); err == nil && failed.Error != "" {
 		return errors.New(failed.Error)
 	}
-	if err := json.Unmarshal(text, into); err != nil {
-		return fmt.Errorf("the answer on %s: %w", path, err)
+	if err := json.Unmarshal(text, result); err != nil {
+		return fmt.Errorf("decoding the response from %s: %w", path, err)
 	}
 	return nil
 }
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -13,7 +13,7 @@
 	"yardwinch/internal/routing"
 )
 
-// closed is a constraint that admits no flow.
+// closed is a constraint that rejects all flows.
 type closed struct{ constraints.Unconstrained }
 
 func (closed) Name() string                               { return "closed" }
@@ -39,7 +39,7 @@
 	})
 }
 
-// serveAt answers on a socket until the test ends.
+// serveAt serves a socket until the test ends.
 func serveAt(t *testing.T, path string, server Server) {
 	t.Helper()
 	listener, err := Listen(t.Context(), path)
@@ -64,7 +64,7 @@
 	path := filepath.Join(t.TempDir(), "s")
 	serveAt(t, path, Server{Router: router, Process: func() Process { return Process{Phase: "serving", Processes: "two"} }})
 	if _, err := Listen(t.Context(), path); err == nil {
-		t.Error("a second balancer replaced the socket")
+		t.Error("a second balancer replaced the socket of a running one")
 	}
 	if _, err := router.OpenFlow(routing.FlowRequest{ClientID: "abc", Service: "x", Group: "g", Timeout: time.Second}); err != nil {
 		t.Fatal(err)
@@ -80,27 +80,27 @@
 	}
 }
 
-func TestQuestionsWithoutAnswer(t *testing.T) {
+func TestErrorResponses(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
 	serveAt(t, path, Server{Router: newClosedRouter(), Process: func() Process { return Process{} }})
-	for question, want := range map[string]string{
-		"why nobody": answerUnknownFlow,
-		"members":    answerNoMembers,
-		"reboot":     answerBadQuestion,
+	for request, want := range map[string]string{
+		"why nobody": errorUnknownFlow,
+		"members":    errorNoMembers,
+		"reboot":     errorBadRequest,
 	} {
-		var answer any
-		if err := query(t.Context(), path, question, &answer); err == nil || err.Error() != want {
-			t.Errorf("%s: %v", question, err)
+		var response any
+		if err := query(t.Context(), path, request, &response); err == nil || err.Error() != want {
+			t.Errorf("%s: %v", request, err)
 		}
 	}
 }
 
-func TestFileInPlaceOfTheSocket(t *testing.T) {
+func TestSocketPathIsRegularFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "f")
 	if err := os.WriteFile(path, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Listen(t.Context(), path); err == nil || !strings.Contains(err.Error(), "no socket") {
-		t.Errorf("%v: a file must not be removed", err)
+	if _, err := Listen(t.Context(), path); err == nil || !strings.Contains(err.Error(), "not a socket") {
+		t.Errorf("%v: a regular file must not be removed", err)
 	}
 }
--- a/internal/explain/server.go
+++ b/internal/explain/server.go
@@ -1,4 +1,5 @@
-// Package explain answers, on a unix socket, what a running balancer holds and why it placed a flow where it did.
+// Package explain serves, on a Unix socket, a running balancer's state, its view of the other balancers, and the reasons
+// for where it placed a flow.
 package explain
 
 import (
@@ -18,42 +19,42 @@
 )
 
 const (
-	// Descriptors is how many descriptors Listen and Serve need at most: the socket, the connections, and one to
-	// see whether another process listens already.
+	// Descriptors is the greatest number of descriptors that Listen and Serve use: the socket, the connections, and one
+	// to check whether another process is listening.
 	Descriptors = maxConnections + 2
 
-	maxConnections      = 4 // served at once; more wait in the system's queue
+	maxConnections      = 4 // served concurrently; others wait in the accept queue
 	exchangeTimeout     = 2 * time.Second
-	maxQuestionBytes    = 512
+	maxRequestBytes     = 512
 	probeTimeout        = 100 * time.Millisecond
 	acceptRetryInterval = 50 * time.Millisecond
-	ownerOnly           = 0o600 // the answers name flows
+	socketMode          = 0o600 // only for the owner, as responses contain flow ids
 )
 
-// Questions.
+// Requests.
 const (
-	questionState   = "state"
-	questionMembers = "members"
-	questionWhy     = "why" // and the id of a flow
+	requestState   = "state"
+	requestMembers = "members"
+	requestWhy     = "why" // followed by the id of a flow
 )
 
-// Answers to questions that can't be answered.
+// Texts of error responses.
 const (
-	answerUnknownFlow = "nothing is known of this flow (any more)"
-	answerNoMembers   = "peers are off here"
-	answerBadQuestion = "want state, members, or why and a flow"
+	errorUnknownFlow = "nothing is known of this flow (any more)"
+	errorNoMembers   = "peers are off here"
+	errorBadRequest  = "want state, members, or why and a flow"
 )
 
-// Listen opens the socket. One that a process left behind is replaced; one on which a process listens is an error.
+// Listen opens the socket. It replaces a stale socket file, and fails if another process is listening on the socket.
 func Listen(ctx context.Context, path string) (net.Listener, error) {
 	dialer := net.Dialer{Timeout: probeTimeout}
 	if conn, err := dialer.DialContext(ctx, "unix", path); err == nil {
 		_ = conn.Close() // nothing was sent on it
-		return nil, fmt.Errorf("somebody listens on %s already", path)
+		return nil, fmt.Errorf("another process is listening on %s", path)
 	}
 	if info, err := os.Lstat(path); err == nil {
 		if info.Mode()&os.ModeSocket == 0 {
-			return nil, fmt.Errorf("%s is there and no socket", path)
+			return nil, fmt.Errorf("%s exists and is not a socket", path)
 		}
 		if err := os.Remove(path); err != nil {
 			return nil, err
@@ -64,28 +65,28 @@
 	if err != nil {
 		return nil, err
 	}
-	return listener, os.Chmod(path, ownerOnly)
+	return listener, os.Chmod(path, socketMode)
 }
 
-// Process is what the process says of itself, beside what routing knows.
+// Process is the state of the process that the router does not know.
 type Process struct {
 	Phase      string
-	Processes  string // the other process of this balancer; empty: there is none
-	StoreFault string // what is wrong with the directory that the processes share; empty: nothing
+	Processes  string // the state of the balancer's other process; empty if there is none
+	StoreFault string // the fault of the directory that the processes share; empty if there is none
 }
 
-// Server answers questions.
+// Server responds to requests.
 type Server struct {
 	Router  *routing.Router
 	Process func() Process
-	Members func() any // what is known of other balancers; nil: nothing passes between them
+	Members func() any // returns the view of the other balancers; nil if membership is disabled
 }
 
-// Serve answers until the context ends, which closes the listener, or until that fails for good.
+// Serve responds to requests until the listener is closed. It closes the listener when the context ends.
 func (s Server) Serve(ctx context.Context, listener net.Listener) {
 	var connections sync.WaitGroup
 	defer connections.Wait()
-	defer context.AfterFunc(ctx, func() { _ = listener.Close() })() // fails only where it is closed already
+	defer context.AfterFunc(ctx, func() { _ = listener.Close() })() // fails only if it is closed already
 	slots := make(chan struct{}, maxConnections)
 	for {
 		slots <- struct{}{}
@@ -104,45 +105,45 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(acceptRetryInterval): // there may be no descriptor left at the moment
+		case <-time.After(acceptRetryInterval): // there may be no free descriptor at the moment
 		}
 	}
 }
 
-// serveConnection answers the one question of a connection. Errors are dropped: the client may be gone by then.
+// serveConnection responds to the only request of a connection. It ignores errors, as the client may have disconnected.
 func (s Server) serveConnection(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
 	_ = conn.SetDeadline(time.Now().Add(exchangeTimeout))
-	question, err := bufio.NewReader(io.LimitReader(conn, maxQuestionBytes)).ReadString('\n')
+	request, err := bufio.NewReader(io.LimitReader(conn, maxRequestBytes)).ReadString('\n')
 	if err != nil {
 		return
 	}
-	kind, flow, _ := strings.Cut(strings.TrimSpace(question), " ")
-	_ = json.NewEncoder(conn).Encode(s.answer(kind, flow))
+	kind, flow, _ := strings.Cut(strings.TrimSpace(request), " ")
+	_ = json.NewEncoder(conn).Encode(s.respond(kind, flow))
 }
 
-// failure is the answer to a question that can't be answered.
-type failure struct {
+// errorResponse is the response to a request that fails.
+type errorResponse struct {
 	Error string `json:"error"`
 }
 
-func (s Server) answer(kind, flow string) any {
+func (s Server) respond(kind, flow string) any {
 	switch kind {
-	case questionState:
+	case requestState:
 		state := s.Router.State()
 		process := s.Process()
 		state.Phase, state.Processes, state.StoreFault = process.Phase, process.Processes, process.StoreFault
 		return state
-	case questionWhy:
+	case requestWhy:
 		if explanation, ok := s.Router.Explain(flow); ok {
 			return explanation
 		}
-		return failure{answerUnknownFlow}
-	case questionMembers:
+		return errorResponse{errorUnknownFlow}
+	case requestMembers:
 		if s.Members == nil {
-			return failure{answerNoMembers}
+			return errorResponse{errorNoMembers}
 		}
 		return s.Members()
 	}
-	return failure{answerBadQuestion}
+	return errorResponse{errorBadRequest}
 }
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,5 +1,5 @@
-// Package logging writes the process's log without ever blocking the goroutine that logs: a pipe that nobody
-// reads, or a disk that hangs, costs lines and no answer to a client.
+// Package logging writes the process's log without ever blocking the goroutine that logs: if the output is a pipe that
+// is not read, or a disk that hangs, log lines are lost but clients are still served.
 package logging
 
 import (
@@ -9,22 +9,22 @@
 	"time"
 )
 
-const maxQueuedBytes = 256 << 10 // of lines that wait to be written
+const maxQueuedBytes = 256 << 10 // of lines waiting to be written
 
-// Writer queues lines and writes them in a separate goroutine, which ends after Close. Lines that don't fit into
-// the queue are dropped, and their number is written in their place.
+// Writer queues lines and writes them in a separate goroutine, which ends after Close. Lines that don't fit into the
+// queue are dropped, and a line with their number is written instead.
 type Writer struct {
 	output io.Writer
-	wake   chan struct{} // receives once there is something to write, or the writer is closed
-	done   chan struct{} // closed once all is written after Close
+	wake   chan struct{} // signalled when there is something to write or the writer is closed
+	done   chan struct{} // closed after Close, once the queue has been written
 
 	mu      sync.Mutex // guards the fields below
 	lines   []byte
-	dropped int // lines, since the last write
+	dropped int // lines dropped since the last write
 	closed  bool
 }
 
-// NewWriter starts a writer to an output that may block.
+// NewWriter starts a writer for an output that may block.
 func NewWriter(output io.Writer) *Writer {
 	w := &Writer{output: output, wake: make(chan struct{}, 1), done: make(chan struct{})}
 	go w.run()
@@ -44,8 +44,8 @@
 	return len(line), nil
 }
 
-// Close writes what is queued, and returns once that is done or the timeout is over. An output that blocks for
-// longer keeps the goroutine.
+// Close waits until the queue has been written or the timeout expires. If the output blocks for longer, the goroutine is
+// left running.
 func (w *Writer) Close(timeout time.Duration) {
 	w.mu.Lock()
 	w.closed = true
@@ -69,7 +69,7 @@
 	for {
 		lines, closed := w.take()
 		if len(lines) > 0 {
-			_, _ = w.output.Write(lines) // there is nowhere to report that the log can't be written
+			_, _ = w.output.Write(lines) // a failure to write the log can't be reported anywhere
 			continue
 		}
 		if closed {
@@ -79,7 +79,7 @@
 	}
 }
 
-// take empties the queue.
+// take empties the queue and returns its lines, with a line that reports the dropped ones.
 func (w *Writer) take() (lines []byte, closed bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Where the output takes them, all lines are written, in their order.
+// If the output does not block, all lines are written in order.
 func TestLinesAreWritten(t *testing.T) {
 	var output bytes.Buffer
 	w := NewWriter(&output)
@@ -23,8 +23,7 @@
 	}
 }
 
-// Where the output is blocked, lines are queued up to a bound and then dropped, and their number is written in
-// their place.
+// If the output blocks, lines are queued up to maxQueuedBytes and then dropped, and their number is reported.
 func TestBlockedOutput(t *testing.T) {
 	reader, output := io.Pipe()
 	w := NewWriter(output)
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -1,4 +1,4 @@
-// Package retry spaces attempts at what the system refuses for a moment, and tells which of its errors may be such.
+// Package retry retries operations that fail with transient errors of the operating system, with exponential backoff.
 package retry
 
 import (
@@ -9,26 +9,26 @@
 	"time"
 )
 
-// Backoff is how long to wait before each further attempt: exponential, with jitter. The zero value of the last
-// wait begins with First.
+// Backoff is an exponential backoff with jitter. First is the first delay and Longest the upper bound, both before
+// jitter.
 type Backoff struct {
 	First, Longest time.Duration
 
-	last time.Duration
+	last time.Duration // the previous delay before jitter; 0 before the first one
 }
 
-// Next is the wait before the next attempt: twice the one before up to Longest, of which a random part of up to
-// one half is taken off.
+// Next returns the delay before the next attempt: twice the previous one, up to Longest, reduced at random by up to one
+// half.
 func (b *Backoff) Next() time.Duration {
 	b.last = min(max(2*b.last, b.First), b.Longest)
 	half := b.last / 2
 	return half + rand.N(half+1)
 }
 
-// Reset begins anew with First.
+// Reset makes the next delay First again.
 func (b *Backoff) Reset() { b.last = 0 }
 
-// Wait waits before the next attempt. The error is that of a context that ends first.
+// Wait waits for the delay before the next attempt. It returns the context's error if the context ends first.
 func (b *Backoff) Wait(ctx context.Context) error {
 	timer := time.NewTimer(b.Next())
 	defer timer.Stop()
@@ -40,13 +40,13 @@
 	}
 }
 
-// transientErrors are errors of this machine that may be gone a moment later, whatever the call was.
+// transientErrors are errors of the operating system that may disappear after a moment, whatever the system call.
 var transientErrors = []error{
 	syscall.EAGAIN, syscall.EINTR, syscall.EIO, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM,
 	syscall.ENOSPC, syscall.EROFS, syscall.EADDRINUSE, syscall.EADDRNOTAVAIL, syscall.ENETDOWN, syscall.ENETUNREACH,
 }
 
-// IsTransient reports whether an error may be gone a moment later.
+// IsTransient reports whether an error may disappear after a moment.
 func IsTransient(err error) bool {
 	for _, transient := range transientErrors {
 		if errors.Is(err, transient) {
@@ -56,9 +56,8 @@
 	return false
 }
 
-// Do repeats an attempt until it succeeds, fails with an error that is not transient, or the context ends. The
-// error is that of the last attempt. onFirst is called once, with the first error after which the attempt is
-// repeated.
+// Do repeats an attempt until it succeeds, fails with an error that is not transient, or the context ends. It returns the
+// error of the last attempt. If the first attempt fails with a transient error, onFirst is called with that error.
 func Do(ctx context.Context, backoff Backoff, onFirst func(error), attempt func() error) error {
 	for first := true; ; first = false {
 		err := attempt()
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -9,14 +9,14 @@
 	"time"
 )
 
-// Waits grow up to their bound, each with jitter, and begin anew after a reset.
+// Delays grow up to their bound, each with jitter, and start again after a reset.
 func TestBackoff(t *testing.T) {
 	b := Backoff{First: 10 * time.Millisecond, Longest: 50 * time.Millisecond}
 	for range 2 {
 		for _, longest := range []time.Duration{10, 20, 40, 50, 50} {
 			longest *= time.Millisecond
 			if got := b.Next(); got < longest/2 || got > longest {
-				t.Errorf("waits %v, want %v to %v", got, longest/2, longest)
+				t.Errorf("delay %v, want %v to %v", got, longest/2, longest)
 			}
 		}
 		b.Reset()
@@ -29,11 +29,11 @@
 		name    string
 		errs    []error
 		want    error
-		reports int // of a first error
+		reports int // calls of onFirst
 	}{
-		{"at once", nil, nil, 0},
-		{"after two transient ones", []error{syscall.ENFILE, fmt.Errorf("listen: %w", syscall.EADDRINUSE)}, nil, 1},
-		{"one that is not transient", []error{syscall.ENOBUFS, permanent}, permanent, 1},
+		{"first attempt", nil, nil, 0},
+		{"after two transient errors", []error{syscall.ENFILE, fmt.Errorf("listen: %w", syscall.EADDRINUSE)}, nil, 1},
+		{"permanent error", []error{syscall.ENOBUFS, permanent}, permanent, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			remaining, reports := c.errs, 0
--- a/internal/sighup/sighup.go
+++ b/internal/sighup/sighup.go
@@ -1,6 +1,5 @@
-// Package sighup ignores SIGHUP from the moment in which the daemon is loaded; it is imported for that alone. It
-// closes most of the time between the start of the process and the daemon's own handler, in which the signal would
-// end the process. The rest is closed by the deploy file, whose shell ignores the signal before it starts the
-// daemon. A reload that is requested in that time is not missed: the configuration is read after the handler is
-// installed.
+// Package sighup ignores SIGHUP from the loading of the executable on, and is imported only for this side effect. Between
+// the start of the process and the installation of the daemon's own handler, the signal would otherwise end the process.
+// For the time before the executable is loaded, the shell in the deploy file ignores the signal before it starts the
+// daemon. A reload requested before the handler is installed is not missed, as the configuration is read afterwards.
 package sighup
