--- a/cmd/yardwinch/blocked_log_test.go
+++ b/cmd/yardwinch/blocked_log_test.go
@@ -16,7 +16,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// The log is a full pipe that nobody reads: clients, PING and operators' calls are answered all the same.
+// If the log is a full pipe that is not read, clients, PINGs and admin calls are still served.
 func TestBlockedLog(t *testing.T) {
 	root := buildDaemon(t)
 	address := fmt.Sprintf("127.120.%d.%d", 1+os.Getpid()/250%250, 1+os.Getpid()%250)
@@ -29,12 +29,12 @@
 		"known":{"revision":1,"complete":true,"members":[{"id":"a","host_port":%q,"phase":"SERVING"}]},
 		"settings":{"service-types":[{"name":"live","effect":"free","group":"all","hard-limit":800000000,"setup-target":300000000}]}}`,
 		clients, admin, startServer(t)))
-	_ = log.Close() // the process has its own
-	if isRunning, err := p.awaitAnswer(t.Context(), admin); err != nil || !isRunning {
-		t.Fatalf("it does not serve: %v", err)
+	_ = log.Close() // the process has its own descriptor
+	if isRunning, err := p.awaitResponse(t.Context(), admin); err != nil || !isRunning {
+		t.Fatalf("the process does not serve: %v", err)
 	}
 	for n := range 20 {
-		wantAnswers(t, clients, [][2]string{{"PING\r\n", "PONG\r\n"}, {fmt.Sprintf("OPEN %d k c=live,d=800\r\n", n), "UP 1\r\n"}})
+		wantReplies(t, clients, [][2]string{{"PING\r\n", "PONG\r\n"}, {fmt.Sprintf("OPEN %d k c=live,d=800\r\n", n), "UP 1\r\n"}})
 	}
 	for _, call := range []string{"offline", "online"} {
 		status, err := callAdmin(t.Context(), http.MethodPost, admin, "servers/a/"+call)
@@ -42,7 +42,7 @@
 			t.Fatal(err)
 		}
 		if status != http.StatusOK {
-			t.Errorf("%s is answered %d", call, status)
+			t.Errorf("%s: status %d", call, status)
 		}
 	}
 	if err := p.Signal(syscall.SIGTERM); err != nil {
@@ -54,14 +54,14 @@
 			t.Errorf("ended with %v", err)
 		}
 	case <-time.After(testTimeout / 2):
-		t.Error("it does not end")
+		t.Error("the process does not end")
 	}
 }
 
-// fullPipe is the writing end of a pipe that is full and that nobody reads.
+// fullPipe returns the write end of a pipe that is full and is not read.
 func fullPipe(t *testing.T) *os.File {
 	t.Helper()
-	const onePage = 4096 // the smallest pipe
+	const onePage = 4096 // the smallest capacity of a pipe
 	reader, writer, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
@@ -76,7 +76,7 @@
 	return writer
 }
 
-// startServer starts a server that accepts each flow.
+// startServer starts a server that accepts all flows.
 func startServer(t *testing.T) (address string) {
 	t.Helper()
 	var config net.ListenConfig
@@ -103,12 +103,12 @@
 	if _, err := in.ReadString('\n'); err != nil {
 		return
 	}
-	_, _ = io.WriteString(conn, "UP 1\r\n") // the balancer may be gone
+	_, _ = io.WriteString(conn, "UP 1\r\n") // fails if the balancer has closed the connection
 	_, _ = io.Copy(io.Discard, in)
 }
 
-// wantAnswers sends lines on one connection, and checks the answer to each.
-func wantAnswers(t *testing.T, address string, lines [][2]string) {
+// wantReplies sends lines on one connection and checks the reply to each.
+func wantReplies(t *testing.T, address string, lines [][2]string) {
 	t.Helper()
 	var dialer net.Dialer
 	conn, err := dialer.DialContext(t.Context(), "tcp", address)
@@ -119,9 +119,9 @@
 	_ = conn.SetDeadline(time.Now().Add(time.Second))
 	in := bufio.NewReader(conn)
 	for _, line := range lines {
-		_, _ = io.WriteString(conn, line[0]) // an error shows in the answer
+		_, _ = io.WriteString(conn, line[0]) // an error shows as a missing reply
 		if got, err := in.ReadString('\n'); got != line[1] {
-			t.Fatalf("%q is answered %q, %v", line[0], got, err)
+			t.Fatalf("%q: reply %q, %v", line[0], got, err)
 		}
 	}
 }
--- a/cmd/yardwinch/build_test.go
+++ b/cmd/yardwinch/build_test.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	testTimeout  = 10 * time.Second // a test that hangs fails
+	testTimeout  = 10 * time.Second // fails a test that hangs
 	pollInterval = time.Millisecond
 )
 
-// built is the daemon, once for all tests.
+// built is the daemon, which is built once for all tests.
 var built struct {
 	once sync.Once
-	root string // holds bin/yardwinch
+	root string // contains bin/yardwinch
 	err  error
 }
 
@@ -31,7 +31,7 @@
 	os.Exit(code)
 }
 
-// buildDaemon gives a directory with the daemon in bin, built as the platform builds it.
+// buildDaemon returns a directory with the daemon in bin, built in the same way as for the platform.
 func buildDaemon(t *testing.T) (root string) {
 	t.Helper()
 	built.once.Do(func() { built.root, built.err = build(t.Context()) })
--- a/cmd/yardwinch/explain.go
+++ b/cmd/yardwinch/explain.go
@@ -16,12 +16,12 @@
 	"yardwinch/internal/routing"
 )
 
-// queryFlags are those of the commands that ask a running balancer.
+// queryFlags returns the flags of the commands that query a running balancer.
 func queryFlags(options cli.Flag) []cli.Flag {
 	return []cli.Flag{
 		options,
-		&cli.StringFlag{Name: "socket", Usage: "the balancer's `SOCKET`, in place of the one that the options name"},
-		&cli.BoolFlag{Name: "json", Usage: "print it as JSON"},
+		&cli.StringFlag{Name: "socket", Usage: "query the balancer on `SOCKET` instead of the one that the options name"},
+		&cli.BoolFlag{Name: "json", Usage: "print JSON"},
 	}
 }
 
@@ -29,13 +29,13 @@
 	return &cli.Command{
 		Name:      "explain",
 		ArgsUsage: "[FLOW]",
-		Usage:     "ask a running balancer what it holds, or why a flow went where it did",
+		Usage:     "show a running balancer's state, or why it placed a flow where it did",
 		Flags:     queryFlags(options),
 		Action:    explainAction,
 	}
 }
 
-// socketPath is where a running balancer is asked.
+// socketPath returns the path of the socket on which a running balancer is queried.
 func socketPath(command *cli.Command) (string, error) {
 	if path := command.String("socket"); path != "" {
 		return path, nil
@@ -57,24 +57,24 @@
 		return err
 	}
 	if command.Args().Len() > 1 {
-		return usageError(errors.New("want one flow at the most"))
+		return usageError(errors.New("want at most one flow"))
 	}
 	if flow := command.Args().First(); flow != "" {
 		var explanation constraints.Explanation
 		if err := explain.Why(ctx, socket, flow, &explanation); err != nil {
 			return err
 		}
-		return show(command, explanation, func(t table) { t.addExplanation(explanation) })
+		return printResponse(command, explanation, func(t table) { t.addExplanation(explanation) })
 	}
 	var state routing.State
 	if err := explain.State(ctx, socket, &state); err != nil {
 		return err
 	}
-	return show(command, state, func(t table) { t.addState(state) })
+	return printResponse(command, state, func(t table) { t.addState(state) })
 }
 
 func (t table) addExplanation(e constraints.Explanation) {
-	t.line("flow\t%s\tcame at %.3f s\tgroup %s", cmp.Or(e.Name, string(e.Flow)), e.ArrivedAt, cmp.Or(string(e.Group), "-"))
+	t.line("flow\t%s\tarrived at %.3f s\tgroup %s", cmp.Or(e.Name, string(e.Flow)), e.ArrivedAt, cmp.Or(string(e.Group), "-"))
 	for i, attempt := range e.Attempts {
 		t.line("connect %d\t%s\tin %s\tat %.3f s\t%s", i+1, attempt.Name, attempt.Zone, attempt.At, attempt.Outcome)
 	}
@@ -86,7 +86,7 @@
 	}
 	t.line("answer\t%s", cmp.Or(e.Answer, "none yet"))
 	if e.Migrated {
-		t.line("moved\tasked to come again")
+		t.line("moved\tasked to reconnect")
 	}
 }
 
@@ -110,14 +110,14 @@
 		t.addLocalities(localities)
 	}
 	if len(state.Interventions) > 0 {
-		t.line("\nbound\ttimes it acted")
+		t.line("\nconstraint\tinterventions")
 		for _, constraint := range slices.Sorted(maps.Keys(state.Interventions)) {
 			t.line("%s\t%d", constraint, state.Interventions[constraint])
 		}
 	}
 }
 
-// addLocalities adds the state of locality failover, by the keys of its JSON.
+// addLocalities adds the state of locality failover, which is looked up by its JSON keys.
 func (t table) addLocalities(state map[string]any) {
 	t.line("\nhall\ttier\tstate\tservers\town flows\tusual\tlimit\twhy")
 	list, _ := state["halls"].([]any)
--- a/cmd/yardwinch/main.go
+++ b/cmd/yardwinch/main.go
@@ -14,13 +14,13 @@
 
 	"yardwinch/internal/daemon"
 	"yardwinch/internal/logging"
-	_ "yardwinch/internal/sighup" // ignores SIGHUP until the daemon has its own handler
+	_ "yardwinch/internal/sighup" // ignores SIGHUP until the daemon installs its handler
 )
 
 const (
 	exitFailure             = 1
 	exitFaultyConfiguration = 2
-	logTimeout              = 50 * time.Millisecond // for the last lines, at the end of the process
+	logTimeout              = 50 * time.Millisecond // for writing the last log lines when the process exits
 	programName             = "yardwinch"
 )
 
@@ -35,18 +35,18 @@
 	}
 }
 
-// newCommand is the whole command line.
+// newCommand returns the complete command line interface.
 func newCommand() *cli.Command {
 	config := &cli.StringFlag{Name: "config", Usage: "read the configuration from `FILE`",
 		Sources: cli.EnvVars("PROXY_CONFIG")}
-	options := &cli.StringFlag{Name: "options", Usage: "the operators' own `FILE` (TOML); nothing of it is on without",
+	options := &cli.StringFlag{Name: "options", Usage: "read the operators' options from `FILE` (TOML); without it they are all off",
 		Sources: cli.EnvVars("YARDWINCH_OPTIONS")}
 	verbose := &cli.BoolFlag{Name: "verbose", Usage: "log each connection's end"}
 	return &cli.Command{
 		Name:  programName,
 		Usage: "balance long-lived connections",
 		Commands: []*cli.Command{
-			{Name: "serve", Usage: "serve until SIGTERM or SIGINT; SIGHUP reads the configuration anew",
+			{Name: "serve", Usage: "serve until SIGTERM or SIGINT; SIGHUP reloads the configuration",
 				Flags: []cli.Flag{config, options, verbose}, Action: serve},
 			{Name: "check", Usage: "check the configuration and exit", Flags: []cli.Flag{config, options}, Action: check},
 			explainCommand(options),
@@ -65,14 +65,14 @@
 	log := logging.NewWriter(os.Stderr)
 	defer log.Close(logTimeout)
 	slog.SetDefault(slog.New(slog.NewTextHandler(log, &slog.HandlerOptions{Level: level})))
-	return withExitCode(daemon.Run(ctx, sourceOf(command)))
+	return withExitCode(daemon.Run(ctx, newSource(command)))
 }
 
-func sourceOf(command *cli.Command) daemon.Source {
+func newSource(command *cli.Command) daemon.Source {
 	return daemon.Source{ConfigPath: command.String("config"), OptionsPath: command.String("options"), Environment: os.Getenv}
 }
 
-// withExitCode gives the error of a configuration that can't be served its exit code.
+// withExitCode adds the exit code to the error of a configuration that can't be served.
 func withExitCode(err error) error {
 	if errors.Is(err, daemon.ErrConfiguration) {
 		return usageError(err)
@@ -80,14 +80,14 @@
 	return err
 }
 
-// usageError is an error of what the operator gave, with its exit code. Run of the command prints it and exits: main
-// never sees it.
+// usageError returns an error about the operator's input, with its exit code. cli.Command.Run prints it and exits, so that
+// it never reaches main.
 func usageError(err error) error {
 	return cli.Exit(fmt.Sprint("yardwinch: ", err), exitFaultyConfiguration)
 }
 
 func check(ctx context.Context, command *cli.Command) error {
-	if err := daemon.Check(ctx, sourceOf(command)); err != nil {
+	if err := daemon.Check(ctx, newSource(command)); err != nil {
 		return usageError(err)
 	}
 	fmt.Println("the configuration can be served")
--- a/cmd/yardwinch/members.go
+++ b/cmd/yardwinch/members.go
@@ -14,11 +14,11 @@
 	"yardwinch/internal/explain"
 )
 
-// leaseHeld is the state of a lease that the balancer itself holds, as its answer has it.
+// leaseHeld is the state, in the balancer's response, of a lease that the balancer itself holds.
 const leaseHeld = "held"
 
 func membersCommand(options cli.Flag) *cli.Command {
-	return &cli.Command{Name: "members", Usage: "ask a running balancer whom of the others it sees, and how",
+	return &cli.Command{Name: "members", Usage: "show a running balancer's view of the other balancers",
 		Flags: queryFlags(options), Action: membersAction}
 }
 
@@ -31,7 +31,7 @@
 	if err := explain.Members(ctx, socket, &view); err != nil {
 		return err
 	}
-	return show(command, view, func(t table) { t.addMembers(view) })
+	return printResponse(command, view, func(t table) { t.addMembers(view) })
 }
 
 func (t table) addMembers(view daemon.MembersView) {
@@ -54,6 +54,6 @@
 		t.line("probes for all\t%d of %d servers", own, len(view.Leases))
 	}
 	for _, kind := range slices.Sorted(maps.Keys(view.Dropped)) {
-		t.line("passed over\t%s\t%d times", kind, view.Dropped[kind])
+		t.line("dropped\t%s\t%d times", kind, view.Dropped[kind])
 	}
 }
--- a/cmd/yardwinch/migrate.go
+++ b/cmd/yardwinch/migrate.go
@@ -11,12 +11,12 @@
 
 func migrateCommand() *cli.Command {
 	return &cli.Command{
-		Name: "migrate", Usage: "write the counterpart of a configuration for a deployment of another shape; see docs/migration.md",
+		Name: "migrate", Usage: "convert a configuration for a deployment of another shape; see docs/migration.md",
 		ArgsUsage: "OLD.json NEW.json",
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: "shape", Required: true, Usage: "what only the new place can tell: a part of a configuration, in `FILE`"},
-			&cli.BoolFlag{Name: "dry-run", Usage: "print what would become of each key; create and change no file"},
-			&cli.BoolFlag{Name: "force", Usage: "write over NEW.json where it exists"},
+			&cli.StringFlag{Name: "shape", Required: true, Usage: "read the settings that are specific to the new deployment, a partial configuration, from `FILE`"},
+			&cli.BoolFlag{Name: "dry-run", Usage: "print what would become of each key, without writing any file"},
+			&cli.BoolFlag{Name: "force", Usage: "overwrite NEW.json if it exists"},
 		},
 		Action: migrate,
 	}
--- a/cmd/yardwinch/process_test.go
+++ b/cmd/yardwinch/process_test.go
@@ -11,13 +11,13 @@
 	"time"
 )
 
-// process is a started daemon.
+// process is a running daemon.
 type process struct {
 	*os.Process
-	ended <-chan error // receives how it ended
+	ended <-chan error // receives the result of Wait
 }
 
-// startProcess starts a command with a configuration, and has it killed at the end of the test.
+// startProcess starts a command with a configuration. The process is killed at the end of the test.
 func startProcess(t *testing.T, cmd *exec.Cmd, config []byte) *process {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -34,34 +34,34 @@
 	return &process{Process: cmd.Process, ended: ended}
 }
 
-// callAdmin makes an operator's call and gives the status of its answer.
+// callAdmin calls the admin API and returns the status of the response.
 func callAdmin(ctx context.Context, method, adminAddress, call string) (status int, err error) {
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+adminAddress+"/control/"+call, nil)
 	if err != nil {
 		return 0, err
 	}
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	answer, err := client.Do(request)
+	response, err := client.Do(request)
 	if err != nil {
 		return 0, err
 	}
-	_ = answer.Body.Close()
-	return answer.StatusCode, nil
+	_ = response.Body.Close()
+	return response.StatusCode, nil
 }
 
-// awaitAnswer waits until the process answers operators, or ends. isRunning: it has not ended; err is how it
-// ended, or that it didn't answer.
-func (p *process) awaitAnswer(ctx context.Context, adminAddress string) (isRunning bool, err error) {
+// awaitResponse waits until the process responds on its admin API or ends. isRunning reports whether it has not ended. err
+// is the result of Wait, or an error if there is no response in time.
+func (p *process) awaitResponse(ctx context.Context, adminAddress string) (isRunning bool, err error) {
 	for end := time.Now().Add(testTimeout); time.Now().Before(end); {
 		select {
 		case err := <-p.ended:
 			return false, err
 		case <-time.After(pollInterval):
 		}
-		// Without an endpoint list the answer is no, but there is one.
+		// Without an endpoint list the process is not ready, but it responds.
 		if _, err := callAdmin(ctx, http.MethodGet, adminAddress, "ready"); err == nil {
 			return true, nil
 		}
 	}
-	return true, errors.New("it neither serves nor ends")
+	return true, errors.New("the process neither responds nor ends")
 }
--- a/cmd/yardwinch/sighup_test.go
+++ b/cmd/yardwinch/sighup_test.go
@@ -13,12 +13,12 @@
 	"testing"
 )
 
-// runLine is the line of the deploy file by which the platform starts the daemon.
+// runLine matches the command in the deploy file with which the platform starts the daemon.
 var runLine = regexp.MustCompile(`(?m)^run = "(.*)"$`)
 
-// SIGHUP is sent in series from the first moment in which the process can be told from the shell that starts it.
-// None ends the process, whether or not its configuration can be served. It is started as the platform does, by
-// the deploy file's own line.
+// SIGHUP must not end the process during its start, whether or not its configuration can be served. The test sends SIGHUP
+// repeatedly, from when the process no longer is a shell that the signal would end. The daemon is started by the command
+// in the deploy file, as on the platform.
 func TestSIGHUPAtStart(t *testing.T) {
 	const starts = 12
 	root := buildDaemon(t)
@@ -34,9 +34,9 @@
 		name, config string
 		exits        bool // with an exit code, as the configuration can't be served
 	}{
-		{"it serves", `{"listen":%q,"control":%q,"discovery":"127.0.0.1:1","limits":{"cores":1,"memory_mb":64,"sockets":200},` +
+		{"valid configuration", `{"listen":%q,"control":%q,"discovery":"127.0.0.1:1","limits":{"cores":1,"memory_mb":64,"sockets":200},` +
 			`"settings":{"service-types":[{"name":"live","effect":"free","group":"all","hard-limit":800000000}]}}`, false},
-		{"it can't be served", `{"listen":%q,"control":%q}`, true},
+		{"invalid configuration", `{"listen":%q,"control":%q}`, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			for n := range starts {
@@ -45,7 +45,7 @@
 				cmd.Dir = root
 				p := startProcess(t, cmd, fmt.Appendf(nil, c.config, address+":18080", address+":18081"))
 				stop := p.sendSIGHUPs()
-				isRunning, err := p.awaitAnswer(t.Context(), address+":18081")
+				isRunning, err := p.awaitResponse(t.Context(), address+":18081")
 				stop()
 				if isRunning {
 					_ = p.Kill()
@@ -53,17 +53,17 @@
 				}
 				var exit *exec.ExitError
 				if !isRunning && errors.As(err, &exit) && exit.Sys().(syscall.WaitStatus).Signaled() {
-					t.Errorf("start %d is ended by %v", n, exit)
+					t.Errorf("start %d: ended by %v", n, exit)
 				} else if isRunning == c.exits {
-					t.Errorf("start %d runs: %v, %v", n, isRunning, err)
+					t.Errorf("start %d: running %v, %v", n, isRunning, err)
 				}
 			}
 		})
 	}
 }
 
-// sendSIGHUPs sends SIGHUP again and again, from when the process runs the daemon, or ignores the signal, until it
-// is stopped.
+// sendSIGHUPs sends SIGHUP repeatedly until stop is called. It starts once the process is the daemon or ignores the
+// signal.
 func (p *process) sendSIGHUPs() (stop func()) {
 	stopping := make(chan struct{})
 	var sending sync.WaitGroup
@@ -75,7 +75,7 @@
 			default:
 			}
 			if survivesSIGHUP(p.Pid) {
-				_ = p.Signal(syscall.SIGHUP) // it may have ended
+				_ = p.Signal(syscall.SIGHUP) // the process may have ended
 			}
 		}
 	})
@@ -92,7 +92,7 @@
 	}
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
-		return false // it has ended
+		return false // the process has ended
 	}
 	for line := range strings.Lines(string(status)) {
 		if mask, ok := strings.CutPrefix(line, "SigIgn:"); ok {
