--- a/cmd/yardwinch/main.go
+++ b/cmd/yardwinch/main.go
@@ -80,8 +80,8 @@
 	return err
 }
 
-// usageError returns an error about the operator's input, with its exit code. cli.Command.Run prints it and exits, so that
-// it never reaches main.
+// usageError returns an error about the operator's input, with its exit code. cli.Command.Run prints it and exits, so
+// that it never reaches main.
 func usageError(err error) error {
 	return cli.Exit(fmt.Sprint("yardwinch: ", err), exitFaultyConfiguration)
 }
--- a/cmd/yardwinch/process_test.go
+++ b/cmd/yardwinch/process_test.go
@@ -49,8 +49,8 @@
 	return response.StatusCode, nil
 }
 
-// awaitResponse waits until the process responds on its admin API or ends. isRunning reports whether it has not ended. err
-// is the result of Wait, or an error if there is no response in time.
+// awaitResponse waits until the process responds on its admin API or ends. isRunning reports whether it has not ended.
+// err is the result of Wait, or an error if there is no response in time.
 func (p *process) awaitResponse(ctx context.Context, adminAddress string) (isRunning bool, err error) {
 	for end := time.Now().Add(testTimeout); time.Now().Before(end); {
 		select {
--- a/cmd/yardwinch/sighup_test.go
+++ b/cmd/yardwinch/sighup_test.go
@@ -16,9 +16,9 @@
 // runLine matches the command in the deploy file with which the platform starts the daemon.
 var runLine = regexp.MustCompile(`(?m)^run = "(.*)"$`)
 
-// SIGHUP must not end the process during its start, whether or not its configuration can be served. The test sends SIGHUP
-// repeatedly, from when the process no longer is a shell that the signal would end. The daemon is started by the command
-// in the deploy file, as on the platform.
+// SIGHUP must not end the process during its start, whether or not its configuration can be served. The test sends
+// SIGHUP repeatedly, from when the process no longer is a shell that the signal would end. The daemon is started by the
+// command in the deploy file, as on the platform.
 func TestSIGHUPAtStart(t *testing.T) {
 	const starts = 12
 	root := buildDaemon(t)
--- a/internal/explain/client.go
+++ b/internal/explain/client.go
@@ -25,8 +25,8 @@
 	return query(ctx, path, requestWhy+" "+flow, result)
 }
 
-// query sends one request to the balancer at a socket and decodes the response into result. If the response is an error,
-// query returns an error with its text.
+// query sends one request to the balancer at a socket and decodes the response into result. If the response is an
+// error, query returns an error with its text.
 func query(ctx context.Context, path, request string, result any) error {
 	dialer := net.Dialer{Timeout: exchangeTimeout}
 	conn, err := dialer.DialContext(ctx, "unix", path)
--- a/internal/explain/server.go
+++ b/internal/explain/server.go
@@ -1,5 +1,5 @@
-// Package explain serves, on a Unix socket, a running balancer's state, its view of the other balancers, and the reasons
-// for where it placed a flow.
+// Package explain serves, on a Unix socket, a running balancer's state, its view of the other balancers, and the
+// reasons for where it placed a flow.
 package explain
 
 import (
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -44,8 +44,8 @@
 	return len(line), nil
 }
 
-// Close waits until the queue has been written or the timeout expires. If the output blocks for longer, the goroutine is
-// left running.
+// Close waits until the queue has been written or the timeout expires. If the output blocks for longer, the goroutine
+// is left running.
 func (w *Writer) Close(timeout time.Duration) {
 	w.mu.Lock()
 	w.closed = true
--- a/internal/protocol/attempt.go
+++ b/internal/protocol/attempt.go
@@ -101,7 +101,7 @@
 	switch {
 	case errors.Is(err, transport.ErrLocalResources),
 		errors.Is(err, transport.ErrNoLongerWanted),
-		err != nil && ctx.Err() != nil: // the attempt's deadline passed before the connect timeout
+		err != nil && ctx.Err() != nil: // the attempt ended before the connect timeout
 		return nil, routing.NeverSent // not counted against the server
 	case err != nil:
 		return nil, routing.Unreachable
--- a/internal/protocol/attempt_test.go
+++ b/internal/protocol/attempt_test.go
@@ -11,8 +11,8 @@
 	"yardwinch/internal/routing"
 )
 
-// Anything but UP from a server that may have run the flow leads to another attempt if the flow is idempotent, and to ERR
-// if it is not. BUSY leads to another attempt in both cases.
+// Anything but UP from a server that may have run the flow leads to another attempt if the flow is idempotent, and to
+// ERR if it is not. BUSY leads to another attempt in both cases.
 func TestAttemptOutcomes(t *testing.T) {
 	const retried = "retried" // by another attempt
 	for _, c := range []struct {
@@ -69,8 +69,8 @@
 
 // A server reads the OPEN line and sends nothing. The timeout in the line is shorter than the client's. When it expires
 // the server's connection is closed, and the client receives ERR before its own timeout expires. Everything that does
-// not depend on the machine's speed is checked in every run. As a slow machine may delay the reply, only one run must be
-// in time.
+// not depend on the machine's speed is checked in every run. As a slow machine may delay the reply, only one run must
+// be in time.
 func TestSilentServer(t *testing.T) {
 	for end := time.Now().Add(time.Minute); !clientOfSilentServer(t); {
 		if time.Now().After(end) { // a hang
@@ -128,8 +128,8 @@
 	return took <= timeout
 }
 
-// Flows with a timeout of 1 ms fail, and their failures must not count against the server: after two attempts that found
-// it unreachable, it would get no more flows.
+// Flows with a timeout of 1 ms fail, and their failures must not count against the server: after two attempts that
+// found it unreachable, it would get no more flows.
 func TestNoTimeLeft(t *testing.T) {
 	l := listen(t)
 	b := startBalancer(t, decide.Idempotent, 100, l.Addr().String())
@@ -156,8 +156,8 @@
 	b.client(openFlowLine).want("BUSY 700")
 }
 
-// A flow that was open before the balancer's start is resumed at its server, whatever routing would decide for a new flow.
-// An attempt that had no effect is retried.
+// A flow that was open before the balancer's start is resumed at its server, whatever routing would decide for a new
+// flow. An attempt that had no effect is retried.
 func TestResumedFlow(t *testing.T) {
 	other, own := listen(t), listen(t)
 	b := startBalancer(t, decide.NotIdempotent, 100, other.Addr().String(), own.Addr().String())
--- a/internal/protocol/discovery.go
+++ b/internal/protocol/discovery.go
@@ -60,7 +60,8 @@
 }
 
 // NewDiscovery returns a Discovery for the list at a host and port. seed seeds the random delays that spread the
-// balancers' requests over time. isPolled says that discovery itself is at the address, and not an agent on this machine.
+// balancers' requests over time. isPolled says that discovery itself is at the address, and not an agent on this
+// machine.
 func NewDiscovery(r *routing.Router, addr string, seed uint64, isPolled bool) *Discovery {
 	d := &Discovery{
 		router:          r,
@@ -191,9 +192,10 @@
 // that is left.
 //
 // Discovery itself serves all balancers, which lose their watches at the same moment, so their requests are spread over
-// all of the time that is left. If a watch had no contact at all, its request may still be in discovery's queue and be
-// served although no balancer waits for it. The delay is then taken from the second half of the time: if all balancers
-// retried within the first half, discovery would never get through these stale requests.
+// all of the time that is left. The request of a watch without any contact was cancelled or rejected, but it took a
+// place in discovery's queue and is served although no balancer waits for it. The delay is then taken from the second
+// half of the time: if all balancers retried within the first half, discovery would never get through these stale
+// requests.
 //
 // An agent on this machine serves only this balancer, and a change counts as received as soon as the agent has it. A
 // delay beyond that moment would send flows to a server that is known to drain, so an agent that fell silent is called
--- a/internal/protocol/discovery_test.go
+++ b/internal/protocol/discovery_test.go
@@ -21,8 +21,8 @@
 
 const responseHeader = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nConnection: close\r\n\r\n"
 
-// discoveryCall is how the test's discovery responds to one request, byte by byte. It records when it last signalled that
-// all changes so far have been sent: this response does not contain later changes.
+// discoveryCall is how the test's discovery responds to one request, byte by byte. It records when it last signalled
+// that all changes so far have been sent: this response does not contain later changes.
 type discoveryCall struct {
 	name      string
 	respond   func(c io.Writer, upToDate *timestamp)
@@ -102,10 +102,11 @@
 	{"list of the wrong type", respondWith(responseHeader + `{"revision":9,"complete":true,"members":{"a":1}}` + "\n"), true},
 }
 
-// A change takes effect within 6 s of the time at which discovery has it and can be reached, after any sequence of two or
-// three failed requests. In the worst case, which is tested, the change occurs just after the last signal of the last
-// failed request that all changes have been sent, and discovery holds the next request for the full 2 s. The test uses
-// synctest's fake clock and real HTTP over in-memory connections, so that it does not depend on the machine's speed.
+// A change takes effect within 6 s of the time at which discovery has it and can be reached, after any sequence of two
+// or three failed requests. In the worst case, which is tested, the change occurs just after the last signal of the
+// last failed request that all changes have been sent, and discovery holds the next request for the full 2 s. The test
+// uses synctest's fake clock and real HTTP over in-memory connections, so that it does not depend on the machine's
+// speed.
 func TestChangeTakesEffectInTime(t *testing.T) {
 	recordLogs(t) // keeps thousands of lines out of the test's output
 	var sequences [][]discoveryCall
@@ -245,8 +246,8 @@
 	return r
 }
 
-// Repeated invalid responses of each kind, over real connections, log one error that contains the cause and the address.
-// The current list is kept until a valid one is received.
+// Repeated invalid responses of each kind, over real connections, log one error that contains the cause and the
+// address. The current list is kept until a valid one is received.
 func TestBadListIsLoggedOnce(t *testing.T) {
 	tooMany := strings.Repeat(`{"id":"s","phase":"SERVING"},`, maxServers) + `{"id":"s","phase":"SERVING"}`
 	tooManyError := fmt.Sprintf("%d members, %d at most", maxServers+1, maxServers)
--- a/internal/protocol/flowids.go
+++ b/internal/protocol/flowids.go
@@ -14,8 +14,8 @@
 	hashBytes  = 8
 )
 
-// flowIDs is the set of the ids of all open flows and of the last retiredIDs that ended. An id in the set is refused for
-// another flow, and the first flow is not affected. As each connection has a new id, a client that uses the id of a
+// flowIDs is the set of the ids of all open flows and of the last retiredIDs that ended. An id in the set is refused
+// for another flow, and the first flow is not affected. As each connection has a new id, a client that uses the id of a
 // recently ended flow must have copied it from another client.
 type flowIDs struct {
 	mu sync.Mutex // guards the fields below
@@ -56,8 +56,8 @@
 	return false
 }
 
-// claimHash adds the id of a flow of the other process to the set. Unlike claim it reports whether the id was in use, as
-// the reply to that process does.
+// claimHash adds the id of a flow of the other process to the set. Unlike claim it reports whether the id was in use,
+// as the reply to that process does.
 func (ids *flowIDs) claimHash(hash uint64) (wasTaken bool) {
 	ids.mu.Lock()
 	defer ids.mu.Unlock()
@@ -87,8 +87,8 @@
 	return true
 }
 
-// retire adds an id to the ring of ended flows, and removes the oldest one of the ring from the set. The caller holds the
-// mutex.
+// retire adds an id to the ring of ended flows, and removes the oldest one of the ring from the set. The caller holds
+// the mutex.
 func (ids *flowIDs) retire(hash uint64) {
 	if len(ids.retired) < retiredIDs {
 		ids.retired = append(ids.retired, hash)
@@ -110,8 +110,8 @@
 	return ids.key, hashes
 }
 
-// importHashes imports what export returned. The ids are added as retired ones: these leave the set only when newer ones replace
-// them.
+// importHashes imports what export returned. The ids are added as retired ones, which leave the set only when newer
+// ones replace them.
 func (ids *flowIDs) importHashes(key, hashes []byte) {
 	ids.mu.Lock()
 	defer ids.mu.Unlock()
@@ -126,8 +126,8 @@
 // ClaimID claims an id for a flow and reports whether it was free.
 func (f *Frontend) ClaimID(id string) (wasFree bool) { return f.ids.claim(id) }
 
-// ShareIDs returns the ids in use, as keyed hashes, for another process that imports them. From then on isTakenElsewhere,
-// which asks that process, is called for each new id; calling ShareIDs with nil ends this.
+// ShareIDs returns the ids in use, as keyed hashes, for another process that imports them. From then on
+// isTakenElsewhere, which asks that process, is called for each new id; calling ShareIDs with nil ends this.
 func (f *Frontend) ShareIDs(isTakenElsewhere func(hash uint64) (taken bool)) (key, ids []byte) {
 	return f.ids.export(isTakenElsewhere)
 }
--- a/internal/protocol/frontend_test.go
+++ b/internal/protocol/frontend_test.go
@@ -89,9 +89,9 @@
 	return s
 }
 
-// A misbehaving client must not reach a server or affect another client's flow. A flow whose id is in use is rejected and
-// the first flow continues. A client that sends data before the reply is disconnected, which does not count against the
-// server.
+// A misbehaving client must not reach a server or affect another client's flow. A flow whose id is in use is rejected
+// and the first flow continues. A client that sends data before the reply is disconnected, which does not count against
+// the server.
 func TestIDsTakenAndEarlySpeakers(t *testing.T) {
 	l := listen(t)
 	b := startBalancer(t, decide.Idempotent, 100, l.Addr().String())
@@ -129,8 +129,8 @@
 	}
 }
 
-// An id that is in use in another process of this balancer belongs to no flow here. It is retired like that of a flow that
-// ended, so that the set does not grow without bound.
+// An id that is in use in another process of this balancer belongs to no flow here. It is retired like that of a flow
+// that ended, so that the set does not grow without bound.
 func TestIDTakenByOtherProcess(t *testing.T) {
 	f := startBalancer(t, decide.Idempotent, 0).frontend
 	f.ShareIDs(func(uint64) bool { return true })
@@ -194,8 +194,8 @@
 	}
 }
 
-// A balancer that stops replies to all waiting clients: with BUSY if their flow had no effect, and with ERR if it may have
-// had one.
+// A balancer that stops replies to all waiting clients: with BUSY if their flow had no effect, and with ERR if it may
+// have had one.
 func TestStopAnswersWaitingClients(t *testing.T) {
 	l := listen(t)
 	settings := defaultSettings(decide.NotIdempotent, 100)
--- a/internal/protocol/healthcheck.go
+++ b/internal/protocol/healthcheck.go
@@ -20,8 +20,8 @@
 	HealthCheckDescriptors = 4
 )
 
-// RunHealthChecks runs the health checks that the router requests, until the context ends. connectTimeout bounds the TCP
-// handshake with a server, as it does for flows.
+// RunHealthChecks runs the health checks that the router requests, until the context ends. connectTimeout bounds the
+// TCP handshake with a server, as it does for flows.
 func RunHealthChecks(ctx context.Context, r *routing.Router, connectTimeout time.Duration) {
 	var workers sync.WaitGroup
 	for range HealthCheckDescriptors {
--- a/internal/protocol/localerrors_test.go
+++ b/internal/protocol/localerrors_test.go
@@ -26,8 +26,8 @@
 	}}
 }
 
-// The system refuses dials with a local error, every fifth one or all of them for 150 ms. As the servers are healthy, all
-// clients are served and the errors do not count against a server.
+// The system refuses dials with a local error, every fifth one or all of them for 150 ms. As the servers are healthy,
+// all clients are served and the errors do not count against a server.
 func TestLocalConnectErrors(t *testing.T) {
 	for _, errno := range []syscall.Errno{
 		syscall.ENETUNREACH, syscall.EADDRNOTAVAIL, syscall.ENOBUFS, syscall.ENFILE, syscall.EAGAIN, syscall.ENOMEM,
--- a/internal/protocol/open.go
+++ b/internal/protocol/open.go
@@ -31,8 +31,8 @@
 }
 
 // parseOpen parses an OPEN line. It is strict, as a server closes the connection on a line that it can't parse and
-// rejects one that it can't use, and either would count against the server. It refuses duplicate names, which the server
-// could resolve differently. It ignores unknown names, which are meant for the server.
+// rejects one that it can't use, and either would count against the server. It refuses duplicate names, which the
+// server could resolve differently. It ignores unknown names, which are meant for the server.
 func parseOpen(line string) (openRequest, error) {
 	for i := range len(line) {
 		if line[i] < ' ' || line[i] > '~' {
@@ -109,8 +109,8 @@
 	return nil
 }
 
-// withTimeout returns the OPEN line as it is forwarded to a server: the client's timeout is replaced by the time left, and
-// the rest is unchanged.
+// withTimeout returns the OPEN line as it is forwarded to a server: the client's timeout is replaced by the time left,
+// and the rest is unchanged.
 func withTimeout(line string, left time.Duration) string {
 	listAt := strings.LastIndexByte(line, ' ') + 1
 	pairs := strings.Split(line[listAt:], ",")
--- a/internal/protocol/overload_test.go
+++ b/internal/protocol/overload_test.go
@@ -13,8 +13,8 @@
 )
 
 // Discovery serves 16 requests a second. It rejects those that have waited for 2 s, but spends the same time on them.
-// Eighty balancers that start at the same moment must all get the list within 40 s; if they retried four times a second,
-// none ever would.
+// Eighty balancers that start at the same moment must all get the list within 40 s; if they retried four times a
+// second, none ever would.
 func TestOverloadedDiscoveryAnswersAllEventually(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const balancers, answersPerSecond, maxWait = 80, 16, 2 * sec
@@ -71,9 +71,10 @@
 	return &http.Response{StatusCode: http.StatusOK, Body: body}, nil
 }
 
-// All balancers call one discovery, because all start at once or because it recovers after 8 s of silence. If it can serve
-// all of them in 3.5 s, all get the list in time. If they called it at the same moment, or retried too soon, it would
-// reject requests that it could have served. TestOverloadedDiscoveryAnswersAllEventually covers one that is slower.
+// All balancers call one discovery, because all start at once or because it recovers after 8 s of silence. If it can
+// serve all of them in 3.5 s, all get the list in time. If they called it at the same moment, or retried too soon, it
+// would reject requests that it could have served. TestOverloadedDiscoveryAnswersAllEventually covers one that is
+// slower.
 func TestManyBalancersOnOneDiscovery(t *testing.T) {
 	recordLogs(t)
 	for _, balancers := range []int{80, 300} {
--- a/internal/protocol/races_test.go
+++ b/internal/protocol/races_test.go
@@ -194,9 +194,9 @@
 	}
 }
 
-// starvedConn is a client's connection in a process without enough CPU time. The client disconnects at the time of a given
-// idle check (Conn.HasPendingInput), and the goroutine that reads from the client does not run before that check is over.
-// An idle check is recognised by its call of SyscallConn.
+// starvedConn is a client's connection in a process without enough CPU time. The client disconnects at the time of a
+// given idle check (Conn.HasPendingInput), and the goroutine that reads from the client does not run before that check
+// is over. An idle check is recognised by its call of SyscallConn.
 type starvedConn struct {
 	*net.TCPConn
 	leaveAt     int    // the number of the idle check at which the client disconnects
@@ -230,8 +230,8 @@
 	return s.TCPConn.SyscallConn()
 }
 
-// A client has disconnected, but the goroutine that makes attempts runs before the one that reads from the client. Neither
-// a first attempt nor a retry may be made: no connect, and no byte on an established connection.
+// A client has disconnected, but the goroutine that makes attempts runs before the one that reads from the client.
+// Neither a first attempt nor a retry may be made: no connect, and no byte on an established connection.
 func TestNoAttemptAfterClientLeft(t *testing.T) {
 	const busy, reset, resumeLine = "BUSY\r\n", "", "OPEN 1a 2 c=live,at=s0\r\n"
 	for _, c := range []departureCase{
--- a/internal/protocol/relay.go
+++ b/internal/protocol/relay.go
@@ -14,13 +14,13 @@
 	"yardwinch/internal/transport"
 )
 
-// endTimeout bounds how long a server may take to close a connection after its client has closed it, or after the server
-// has announced the close.
+// endTimeout bounds how long a server may take to close a connection after its client has closed it, or after the
+// server has announced the close.
 const endTimeout = 800 * time.Millisecond
 
 // readClient reads from the client. Before the connection is established, this is only to detect that the client
-// disconnected or sent data too early; afterwards its lines are relayed. endAttempts cancels the session's attempts with
-// a cause.
+// disconnected or sent data too early; afterwards its lines are relayed. endAttempts cancels the session's attempts
+// with a cause.
 func (s *session) readClient(endAttempts context.CancelCauseFunc) {
 	defer close(s.clientDone)
 	err := s.client.WaitReadable()
@@ -70,8 +70,8 @@
 	}
 }
 
-// relay relays the server's lines until one side ends, and closes the other side in the same way. A relay that was parked
-// ends if the connection was transferred to another process, and continues otherwise.
+// relay relays the server's lines until one side ends, and closes the other side in the same way. A relay that was
+// parked ends if the connection was transferred to another process, and continues otherwise.
 func (s *session) relay() {
 	err := transport.Relay(s.client, s.server, s.onServerLine)
 	for errors.Is(err, transport.ErrParked) {
--- a/internal/protocol/relay_test.go
+++ b/internal/protocol/relay_test.go
@@ -74,8 +74,8 @@
 	}
 }
 
-// A server that is about to stop sends MOVE to its clients before the endpoint list says that it drains. The next clients
-// must not be sent there, although the server appears to have the fewest flows.
+// A server that is about to stop sends MOVE to its clients before the endpoint list says that it drains. The next
+// clients must not be sent there, although the server appears to have the fewest flows.
 func TestServerSendsMove(t *testing.T) {
 	addrs := make([]string, 2)
 	for i := range addrs {
--- a/internal/protocol/transfer.go
+++ b/internal/protocol/transfer.go
@@ -91,7 +91,8 @@
 	return transferred, len(sessions)
 }
 
-// park stops a session's relays for its transfer, and waits until the transfer succeeded or failed or the session ended.
+// park stops a session's relays for its transfer, and waits until the transfer succeeded or failed or the session
+// ended.
 func (s *session) park(ctx context.Context) {
 	done := make(chan struct{})
 	s.frontend.mu.Lock()
@@ -111,8 +112,8 @@
 	}
 }
 
-// transferOrContinue is called once the relay from the server is parked. When the relay from the client has stopped too,
-// it transfers both sockets to the other process; if that fails, both relays continue here. It reports whether the
+// transferOrContinue is called once the relay from the server is parked. When the relay from the client has stopped
+// too, it transfers both sockets to the other process; if that fails, both relays continue here. It reports whether the
 // connection was transferred.
 func (s *session) transferOrContinue() (wasTransferred bool) {
 	<-s.clientDone
@@ -180,9 +181,9 @@
 	}
 }
 
-// AdoptConnection takes over a connection that another process transfers. The caller then calls exactly one of the
-// returned functions, once: serve serves the connection to its end, and drop leaves it to the other process. The error
-// is that of the router's AdoptFlow.
+// AdoptConnection takes over a connection that another process transfers. When it returns without an error, this
+// balancer holds the connection. The caller then calls exactly one of the returned functions, once: serve serves the
+// connection to its end, and drop leaves it to the other process. The error is that of the router's AdoptFlow.
 func (f *Frontend) AdoptConnection(
 	c EstablishedConnection, client, server net.Conn, budget *transport.DescriptorBudget,
 ) (serve, drop func(), err error) {
--- a/internal/protocol/watch.go
+++ b/internal/protocol/watch.go
@@ -12,7 +12,8 @@
 )
 
 // watch runs one watch from its request to its failure. It returns the error, and since when the watch had been silent:
-// the time of the request, of the last heartbeat or complete object, or of the first byte of an incomplete object.
+// the time of the request, of the response header, of the last heartbeat or complete object, or of the first byte of an
+// incomplete object.
 func (d *Discovery) watch(parent context.Context, baseURL string) (silentSince time.Time, err error) {
 	d.hadContact = false
 	ctx, cancel := context.WithCancelCause(parent)
@@ -83,7 +84,7 @@
 	return n, err
 }
 
-// postponeDeadline restarts silenceTimeout after a heartbeat or an object.
+// postponeDeadline restarts silenceTimeout after the response header, a heartbeat or a complete object.
 func (w *watchStream) postponeDeadline() {
 	w.silentSince = time.Now()
 	w.deadline.Reset(w.discovery.silenceTimeout)
@@ -97,8 +98,8 @@
 	w.postponeDeadline()
 }
 
-// onObjectStart bounds the time until the object is complete. Further bytes of the object do not extend the deadline, as
-// an object that trickles in without end would never bring a change.
+// onObjectStart bounds the time until the object is complete. Further bytes of the object do not extend the deadline,
+// as an object that trickles in without end would never bring a change.
 func (w *watchStream) onObjectStart() {
 	w.discovery.hadContact = true
 	w.silentSince = time.Now()
--- a/internal/protocol/watch_test.go
+++ b/internal/protocol/watch_test.go
@@ -142,8 +142,9 @@
 	}
 }
 
-// A silent agent has the list as soon as it can be called again, and from then on the list counts as received: a balancer
-// that waited would send flows to a server that drains. So however long the silence, a watch is reopened at once.
+// A silent agent has the list as soon as it can be called again, and from then on the list counts as received: a
+// balancer that waited would send flows to a server that drains. So however long the silence, a watch is reopened at
+// once.
 func TestSilentAgentIsPolledAtOnce(t *testing.T) {
 	const silences = 14
 	calls := make(chan struct{}, silences+2)
@@ -172,9 +173,9 @@
 	}
 }
 
-// The delay before a watch is reopened depends on whether discovery or an agent is called and on how the last watch failed.
-// With a complete next request it fits into changeTimeout. Where all balancers call at the same moment, it is spread over
-// the time that is left.
+// The delay before a watch is reopened depends on whether discovery or an agent is called and on how the last watch
+// failed. With a complete next request it fits into changeTimeout. Where all balancers call at the same moment, it is
+// spread over the time that is left.
 func TestReopenDelay(t *testing.T) {
 	const left = changeTimeout - applyTime - responseTimeout
 	for _, c := range []struct {
@@ -212,8 +213,8 @@
 	}
 }
 
-// If dials get no reply, those of cancelled requests end soon: each holds a descriptor, and the system would keep trying for
-// minutes.
+// If dials get no reply, those of cancelled requests end soon: each holds a descriptor, and the system would keep
+// trying for minutes.
 func TestDialsOfAbandonedCallsEnd(t *testing.T) {
 	l := listen(t)
 	d := newTestDiscovery(1, l.Addr().String(), false)
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -56,8 +56,8 @@
 	return false
 }
 
-// Do repeats an attempt until it succeeds, fails with an error that is not transient, or the context ends. It returns the
-// error of the last attempt. If the first attempt fails with a transient error, onFirst is called with that error.
+// Do repeats an attempt until it succeeds, fails with an error that is not transient, or the context ends. It returns
+// the error of the last attempt. If the first attempt fails with a transient error, onFirst is called with that error.
 func Do(ctx context.Context, backoff Backoff, onFirst func(error), attempt func() error) error {
 	for first := true; ; first = false {
 		err := attempt()
