--- a/cmd/yardwinch/explain.go
+++ b/cmd/yardwinch/explain.go
@@ -74,7 +74,7 @@
 }
 
 func (t table) addExplanation(e constraints.Explanation) {
-	t.line("flow\t%s\tarrived at %.3f s\tgroup %s", cmp.Or(e.Name, string(e.Flow)), e.ArrivedAt, cmp.Or(string(e.Group), "-"))
+	t.line("flow\t%s\tcame at %.3f s\tgroup %s", cmp.Or(e.Name, string(e.Flow)), e.ArrivedAt, cmp.Or(string(e.Group), "-"))
 	for i, attempt := range e.Attempts {
 		t.line("connect %d\t%s\tin %s\tat %.3f s\t%s", i+1, attempt.Name, attempt.Zone, attempt.At, attempt.Outcome)
 	}
@@ -86,7 +86,7 @@
 	}
 	t.line("answer\t%s", cmp.Or(e.Answer, "none yet"))
 	if e.Migrated {
-		t.line("moved\tasked to reconnect")
+		t.line("moved\tasked to come again")
 	}
 }
 
@@ -110,7 +110,7 @@
 		t.addLocalities(localities)
 	}
 	if len(state.Interventions) > 0 {
-		t.line("\nconstraint\tinterventions")
+		t.line("\nbound\ttimes it acted")
 		for _, constraint := range slices.Sorted(maps.Keys(state.Interventions)) {
 			t.line("%s\t%d", constraint, state.Interventions[constraint])
 		}
--- a/cmd/yardwinch/members.go
+++ b/cmd/yardwinch/members.go
@@ -54,6 +54,6 @@
 		t.line("probes for all\t%d of %d servers", own, len(view.Leases))
 	}
 	for _, kind := range slices.Sorted(maps.Keys(view.Dropped)) {
-		t.line("dropped\t%s\t%d times", kind, view.Dropped[kind])
+		t.line("passed over\t%s\t%d times", kind, view.Dropped[kind])
 	}
 }
