--- a/internal/protocol/healthcheck_test.go
+++ b/internal/protocol/healthcheck_test.go
@@ -6,7 +6,7 @@
 	"yardwinch/internal/routing"
 )
 
-// What a server answers to a health check, and what that means.
+// The server's reply to a health check determines the outcome and the load.
 func TestCheckHealth(t *testing.T) {
 	for _, c := range []struct {
 		name, answer string
@@ -35,7 +35,7 @@
 	}
 	t.Run("unreachable", func(t *testing.T) {
 		l := listen(t)
-		discard(l)
+		closeQuietly(l)
 		if outcome, _ := checkHealth(t.Context(), l.Addr().String(), sec); outcome != routing.Unreachable {
 			t.Errorf("outcome %v", outcome)
 		}
