--- a/constraints/actions.go
+++ b/constraints/actions.go
@@ -6,7 +6,8 @@
 	"yardwinch/decide"
 )
 
-// observedActions implements decide.Actions: it records each action, and passes it to the constraints and on.
+// observedActions implements decide.Actions. It records attempts, migrations and answers for explanations, notifies the
+// constraints of attempts and migrations, and passes every action on.
 type observedActions struct{ *ConstrainedBalancer }
 
 func (a observedActions) Connect(id decide.FlowID, server decide.ServerID, timeout time.Duration) {
@@ -21,8 +22,8 @@
 	a.actions.Connect(id, server, timeout)
 }
 
-func (a observedActions) Reject(id decide.FlowID, after time.Duration) {
-	a.actions.Reject(id, after)
+func (a observedActions) Reject(id decide.FlowID, retryAfter time.Duration) {
+	a.actions.Reject(id, retryAfter)
 	a.recordAnswer(id, answeredRejected)
 }
 
--- a/constraints/balancer.go
+++ b/constraints/balancer.go
@@ -6,7 +6,7 @@
 	"yardwinch/decide"
 )
 
-// trackedFlow is a flow whose events are not over.
+// trackedFlow is a flow that may still have events.
 type trackedFlow struct {
 	explanation   *Explanation
 	server        decide.ServerID // of the last attempt
@@ -14,13 +14,13 @@
 	isOutstanding bool // its last attempt, or its connection, has not ended
 }
 
-// intervention names a constraint and its reason.
+// intervention is the key under which interventions are counted.
 type intervention struct {
 	constraint string
 	reason     Reason
 }
 
-// ConstrainedBalancer is an instance of decide with constraints.
+// ConstrainedBalancer is a decide.Balancer whose decisions constraints restrict.
 type ConstrainedBalancer struct {
 	balancer      *decide.Balancer
 	actions       decide.Actions
@@ -31,11 +31,12 @@
 	listed        map[decide.ServerID]listing
 	explanations  explanationRing
 	interventions map[intervention]int
-	nextName      string // of the next flow, as its client calls it
+	nextName      string // that the client of the next flow gave it
 }
 
-// New puts constraints, queried in the order given, round an instance that configure gives its settings. Where several
-// object the first is recorded; extra costs add up; the longest Retry-After holds.
+// New wraps a new decide.Balancer, which configure sets up. The constraints are queried in the order given. If one of
+// them objects, its objection is recorded and those after it are not queried; extra costs add up; the longest
+// Retry-After is used.
 func New(seed uint64, actions decide.Actions, constraints []Constraint, configure func(*decide.Balancer)) *ConstrainedBalancer {
 	b := &ConstrainedBalancer{
 		actions:       actions,
@@ -51,10 +52,10 @@
 	return b
 }
 
-// NameNextFlow sets what the client of the next flow calls it.
+// NameNextFlow sets the name that the client of the next flow gave it. Explain finds the flow by it.
 func (b *ConstrainedBalancer) NameNextFlow(name string) { b.nextName = name }
 
-// track starts the explanation and the events of a flow.
+// track begins to track a flow and its explanation.
 func (b *ConstrainedBalancer) track(request decide.FlowRequest) *trackedFlow {
 	flow := &trackedFlow{explanation: &Explanation{
 		Flow:      request.ID,
@@ -112,7 +113,7 @@
 	b.balancer.AdoptFlow(request, server)
 }
 
-// OnEstablished handles an attempt that was established, and how long that took.
+// OnEstablished handles an attempt that was established; took is its set-up time.
 func (b *ConstrainedBalancer) OnEstablished(id decide.FlowID, took time.Duration) {
 	if flow := b.flows[id]; flow != nil && flow.isOutstanding {
 		flow.isEstablished = true
@@ -124,8 +125,9 @@
 	b.balancer.OnEstablished(id, took)
 }
 
-// OnEnded handles the end of an attempt or a connection; over says that the client has its answer.
-func (b *ConstrainedBalancer) OnEnded(id decide.FlowID, outcome decide.Outcome, took time.Duration, over bool) {
+// OnEnded handles the end of an attempt or a connection, and how long it took. Where isAnswered is false, the client
+// still waits for its answer.
+func (b *ConstrainedBalancer) OnEnded(id decide.FlowID, outcome decide.Outcome, took time.Duration, isAnswered bool) {
 	flow := b.flows[id]
 	if flow != nil && flow.isOutstanding {
 		flow.isOutstanding = false
@@ -135,8 +137,8 @@
 		}
 	}
 	wasEstablished := flow != nil && flow.isEstablished
-	b.balancer.OnEnded(id, outcome, took, over)
-	if over || wasEstablished {
+	b.balancer.OnEnded(id, outcome, took, isAnswered)
+	if isAnswered || wasEstablished {
 		b.remove(id)
 	}
 }
@@ -155,7 +157,7 @@
 // OnFlowLoad handles a report of a connection's load.
 func (b *ConstrainedBalancer) OnFlowLoad(id decide.FlowID) { b.balancer.OnFlowLoad(id) }
 
-// OnLatencySample handles how long a message takes at the flow's server.
+// OnLatencySample handles a sample of the message latency at the flow's server.
 func (b *ConstrainedBalancer) OnLatencySample(id decide.FlowID, took time.Duration) {
 	if flow := b.flows[id]; flow != nil && flow.isEstablished {
 		for _, constraint := range b.constraints {
@@ -170,7 +172,7 @@
 	b.balancer.OnHealthCheck(server, outcome)
 }
 
-// OnLoadReport handles a server's report of its load over its capacity.
+// OnLoadReport handles a server's own report of its load, as a share of its capacity.
 func (b *ConstrainedBalancer) OnLoadReport(server decide.ServerID, load float64) {
 	for _, constraint := range b.constraints {
 		constraint.OnLoadReport(server, load)
@@ -178,8 +180,8 @@
 	b.balancer.OnLoadReport(server, load)
 }
 
-// SetHandedOver says that another instance continues from a snapshot of this one, or that it has ended.
+// SetHandedOver sets whether a successor continues from a snapshot of this instance; false: it has ended.
 func (b *ConstrainedBalancer) SetHandedOver(handedOver bool) { b.balancer.SetHandedOver(handedOver) }
 
-// OnTimer handles a timer that the decisions set.
+// OnTimer handles the expiry of a timer that decide set.
 func (b *ConstrainedBalancer) OnTimer(timer decide.TimerID) { b.balancer.OnTimer(timer) }
--- a/constraints/balancer_test.go
+++ b/constraints/balancer_test.go
@@ -9,7 +9,7 @@
 	"yardwinch/decide"
 )
 
-// recorder is decide.Actions that records.
+// recorder implements decide.Actions and records the actions.
 type recorder struct{ performed []string }
 
 func (l *recorder) record(format string, a ...any) {
@@ -25,13 +25,13 @@
 func (l *recorder) SetTimer(decide.TimerID, time.Duration)  {}
 func (l *recorder) WatchEndpoints(bool)                     {}
 
-// objector excludes a server or adds to its cost, rejects all flows, or sets their Retry-After.
+// objector is a constraint that excludes a server or adds to its cost, rejects all flows, or sets their Retry-After.
 type objector struct {
 	Unconstrained
 	name       string
 	server     decide.ServerID
 	extra      float64
-	admit      Reason
+	objection  Reason
 	retryAfter time.Duration
 	events     []string
 }
@@ -46,7 +46,7 @@
 	}
 	return 0, ""
 }
-func (n *objector) AdmitFlow(decide.FlowID) Reason { return n.admit }
+func (n *objector) AdmitFlow(decide.FlowID) Reason { return n.objection }
 func (n *objector) RetryAfter(_ decide.FlowID, preset time.Duration) time.Duration {
 	if n.retryAfter > 0 {
 		return n.retryAfter
@@ -75,7 +75,7 @@
 
 func configure(b *decide.Balancer) { Configure(b, 1, 0) }
 
-// listThree lists servers 1 to 3, warm and ready.
+// listThree lists servers 1 to 3, ready and not in slow start.
 func listThree(m Balancer) {
 	m.SetTime(0)
 	m.BeginEndpoints(decide.FullUpdate)
@@ -85,8 +85,8 @@
 	m.EndEndpoints()
 }
 
-func requestFlow(balancer *ConstrainedBalancer, f decide.FlowID) {
-	balancer.OnFlow(decide.FlowRequest{ID: f, Customer: decide.NoCustomer, Timeout: 2 * time.Second})
+func requestFlow(balancer *ConstrainedBalancer, id decide.FlowID) {
+	balancer.OnFlow(decide.FlowRequest{ID: id, Customer: decide.NoCustomer, Timeout: 2 * time.Second})
 }
 
 func TestConstraintsCompose(t *testing.T) {
@@ -96,26 +96,26 @@
 		want         string // the action for the flow
 		intervention string
 	}{
-		{"one server left by two constraints", []Constraint{
+		{"two constraints exclude all servers but one", []Constraint{
 			&objector{name: "x", server: 1},
 			&objector{name: "y", server: 3},
 		}, "connect f 2", "x: not there"},
-		{"the first that objects is recorded", []Constraint{
-			&objector{name: "x", admit: "full"},
-			&objector{name: "y", admit: "late"},
+		{"the first objection is recorded", []Constraint{
+			&objector{name: "x", objection: "full"},
+			&objector{name: "y", objection: "late"},
 		}, "reject f 1s", "x: full"},
-		{"the longest Retry-After", []Constraint{
-			&objector{name: "x", admit: "full", retryAfter: 300 * time.Millisecond},
+		{"the longest Retry-After, of a constraint that does not object", []Constraint{
+			&objector{name: "x", objection: "full", retryAfter: 300 * time.Millisecond},
 			&objector{name: "y", retryAfter: 700 * time.Millisecond},
 		}, "reject f 700ms", "x: full"},
-		{"the longest, whichever sets it", []Constraint{
-			&objector{name: "x", admit: "full", retryAfter: 700 * time.Millisecond},
+		{"the longest Retry-After, whichever constraint sets it", []Constraint{
+			&objector{name: "x", objection: "full", retryAfter: 700 * time.Millisecond},
 			&objector{name: "y", retryAfter: 300 * time.Millisecond},
 		}, "reject f 700ms", "x: full"},
-		{"never longer than clients obey", []Constraint{
-			&objector{name: "x", admit: "full", retryAfter: time.Hour},
+		{"Retry-After is never longer than clients accept", []Constraint{
+			&objector{name: "x", objection: "full", retryAfter: time.Hour},
 		}, "reject f 1s", "x: full"},
-		{"costs add", []Constraint{
+		{"extra costs are added", []Constraint{
 			&objector{name: "x", server: 1, extra: 5},
 			&objector{name: "y", server: 2, extra: 5},
 		}, "connect f 3", ""},
@@ -155,7 +155,7 @@
 		for i := range 400 {
 			now := time.Duration(i) * 50 * time.Millisecond
 			balancer.SetTime(now)
-			if i == 100 { // one of the near ones restarts
+			if i == 100 { // one of the first three restarts
 				balancer.BeginEndpoints(decide.DeltaUpdate)
 				balancer.OnEndpoint(decide.Endpoint{ID: 3, Zone: "a", Size: 1, Readiness: decide.Ready, StartedAt: now})
 				balancer.EndEndpoints()
@@ -172,7 +172,7 @@
 	}
 	with, without := run(6), run(0)
 	if len(without) < 400 {
-		t.Errorf("%d actions: the run hardly exercises the decisions", len(without))
+		t.Errorf("%d actions: the run covers too few decisions", len(without))
 	}
 	expectSame(t, with, without)
 }
@@ -186,7 +186,7 @@
 	balancer.NameNextFlow("client's own")
 	requestFlow(balancer, "f")
 	if len(actions.performed) != 1 || !strings.HasPrefix(actions.performed[0], "reject f") {
-		t.Errorf("performed %v, want a reject at once", actions.performed)
+		t.Errorf("performed %v, want an immediate rejection", actions.performed)
 	}
 	explanation, ok := balancer.Explain("client's own")
 	excluded := explanation.Excluded
@@ -217,7 +217,7 @@
 }
 
 func TestExplanationsAreBounded(t *testing.T) {
-	balancer, _ := newBalancer(&objector{name: "x", admit: "full"})
+	balancer, _ := newBalancer(&objector{name: "x", objection: "full"})
 	for i := range 3 * maxExplanations {
 		requestFlow(balancer, decide.FlowID(fmt.Sprint(i)))
 	}
@@ -225,10 +225,10 @@
 		t.Errorf("%d explanations, %d flows", len(balancer.explanations.entries), len(balancer.flows))
 	}
 	if _, ok := balancer.Explain(fmt.Sprint(3*maxExplanations - 1)); !ok {
-		t.Error("the newest is not explained")
+		t.Error("the newest flow is not explained")
 	}
 	if _, ok := balancer.Explain("0"); ok {
-		t.Error("the oldest is still explained")
+		t.Error("the oldest flow is still explained")
 	}
 }
 
@@ -245,14 +245,15 @@
 				giveEvents(plain, i)
 			}
 			if len(actions.performed) < 400 {
-				t.Errorf("%d actions: the run hardly exercises the decisions", len(actions.performed))
+				t.Errorf("%d actions: the run covers too few decisions", len(actions.performed))
 			}
 			expectSame(t, actions.performed, plainActions.performed)
 		})
 	}
 }
 
-// giveEvents gives the events of the flow with this number: its arrival, its end or its set-up, and now and then a tick.
+// giveEvents passes the events of one flow: its arrival, and the end of its attempt or its set-up. Every 25th flow is
+// followed by a timer.
 func giveEvents(balancer Balancer, number int) {
 	f := decide.FlowID(fmt.Sprint(number))
 	group := decide.GroupKey(fmt.Sprint(number % 7))
--- a/constraints/bench_test.go
+++ b/constraints/bench_test.go
@@ -10,23 +10,24 @@
 	"yardwinch/locality"
 )
 
-// mute is decide.Actions that does nothing.
-type mute struct{}
+// noActions implements decide.Actions and does nothing.
+type noActions struct{}
 
-func (mute) Connect(decide.FlowID, decide.ServerID, time.Duration) {}
-func (mute) Reject(decide.FlowID, time.Duration)                   {}
-func (mute) Abort(decide.FlowID)                                   {}
-func (mute) Migrate(decide.FlowID)                                 {}
-func (mute) HealthCheck(decide.ServerID)                           {}
-func (mute) SetTimer(decide.TimerID, time.Duration)                {}
-func (mute) WatchEndpoints(bool)                                   {}
+func (noActions) Connect(decide.FlowID, decide.ServerID, time.Duration) {}
+func (noActions) Reject(decide.FlowID, time.Duration)                   {}
+func (noActions) Abort(decide.FlowID)                                   {}
+func (noActions) Migrate(decide.FlowID)                                 {}
+func (noActions) HealthCheck(decide.ServerID)                           {}
+func (noActions) SetTimer(decide.TimerID, time.Duration)                {}
+func (noActions) WatchEndpoints(bool)                                   {}
 
-// BenchmarkDecision is one flow from its arrival to its end, by the number of servers, with and without localities.
+// BenchmarkDecision measures one flow from its arrival to its end, by number of servers, with and without the locality
+// policy.
 func BenchmarkDecision(b *testing.B) {
 	for _, servers := range []int{100, 1000, 10000} {
 		for _, hasPolicy := range []bool{false, true} {
 			b.Run(fmt.Sprintf("servers=%d/localities=%v", servers, hasPolicy), func(b *testing.B) {
-				start := func(b *decide.Balancer) { constraints.Configure(b, 10, 0.05) }
+				configure := func(b *decide.Balancer) { constraints.Configure(b, 10, 0.05) }
 				var m constraints.Balancer
 				if hasPolicy {
 					policy := locality.New(locality.Config{
@@ -37,10 +38,10 @@
 						MessageTarget: 250 * time.Millisecond,
 						WarmUp:        20 * time.Second,
 					})
-					m = constraints.New(1, mute{}, []constraints.Constraint{policy}, start)
+					m = constraints.New(1, noActions{}, []constraints.Constraint{policy}, configure)
 				} else {
-					d := decide.New(1, mute{})
-					start(d)
+					d := decide.New(1, noActions{})
+					configure(d)
 					m = d
 				}
 				m.SetTime(0)
--- a/constraints/constraints.go
+++ b/constraints/constraints.go
@@ -1,7 +1,7 @@
-// Package constraints joins constraints, such as the locality policy, to the decisions. A ConstrainedBalancer stands
-// round one instance of decide: each event goes to the constraints first and then to decide, each action goes out past
-// them, and decide asks them by its own interface. Nothing is decided here. Constraints do no input or output, and time
-// comes with the events.
+// Package constraints applies constraints, such as the locality policy, to the decisions of package decide. A
+// ConstrainedBalancer wraps a decide.Balancer: it passes each event to the constraints and then to decide, notifies the
+// constraints of the attempts and migrations that decide performs, and answers the queries of decide from them. It
+// decides nothing itself. Constraints do no I/O and have no clock: SetTime sets the time.
 package constraints
 
 import (
@@ -10,8 +10,8 @@
 	"yardwinch/decide"
 )
 
-// Balancer is an instance of the decisions as a process drives it, with or without constraints. The methods are
-// those of decide.Balancer.
+// Balancer is what a process drives: a decide.Balancer, or a ConstrainedBalancer that wraps one. Its methods are those of
+// decide.Balancer.
 type Balancer interface {
 	SetTime(now time.Duration)
 	OnFlow(decide.FlowRequest)
@@ -33,14 +33,15 @@
 	OnTimer(decide.TimerID)
 }
 
-// Reason says in a few words why a constraint objects; empty: it does not.
+// Reason is a short text that says why a constraint objects; empty: it does not object.
 type Reason string
 
-// AdoptedFlow is the set-up time of a flow that was established before the balancer started.
+// AdoptedFlow is passed as the set-up time of a flow that was established before the balancer started.
 const AdoptedFlow time.Duration = -1
 
-// Constraint restricts decisions. Events come as they happen, after the time; queries are answered from them and change
-// nothing. Unconstrained has all methods but Name, for constraints that need few.
+// Constraint restricts the decisions of a balancer. Events arrive as they happen, after a call of SetTime. Queries are
+// answered from earlier events and change nothing. A constraint that needs few of the methods can embed Unconstrained,
+// which has all of them but Name.
 type Constraint interface {
 	Name() string
 
@@ -51,11 +52,11 @@
 	OnEndpointsUpdated()
 	OnFlow(request decide.FlowRequest)
 	OnAttempt(flow decide.FlowID, server decide.ServerID)
-	// OnEstablished handles an attempt that was established, and how long that took, or AdoptedFlow.
+	// OnEstablished handles an attempt that was established; took is its set-up time, or AdoptedFlow.
 	OnEstablished(flow decide.FlowID, server decide.ServerID, took time.Duration)
 	// OnEnded handles the end of an attempt, or of a connection that was established.
 	OnEnded(flow decide.FlowID, server decide.ServerID, outcome decide.Outcome, wasEstablished bool)
-	// OnFlowRemoved handles the end of a flow, which has no further events.
+	// OnFlowRemoved handles the end of a flow. No more events of the flow follow.
 	OnFlowRemoved(flow decide.FlowID)
 	OnLatencySample(server decide.ServerID, latency time.Duration)
 	// OnLoadReport handles a server's own report of its load over its capacity.
@@ -70,6 +71,6 @@
 	AllowMigration(flow decide.FlowID) Reason
 	MigrateFirst() []decide.FlowID
 
-	// State is what operators may see of the constraint, to be encoded as JSON.
+	// State returns what operators are shown of the constraint. It is encoded as JSON.
 	State() any
 }
--- a/constraints/endpoints.go
+++ b/constraints/endpoints.go
@@ -14,10 +14,10 @@
 	disabled  bool
 }
 
-// BeginEndpoints begins an update of the endpoint list; OnEndpoint brings each entry, EndEndpoints closes it.
+// BeginEndpoints begins an update of the endpoint list. OnEndpoint adds its entries, and EndEndpoints ends it.
 func (b *ConstrainedBalancer) BeginEndpoints(kind decide.UpdateKind) { b.balancer.BeginEndpoints(kind) }
 
-// OnEndpoint handles one entry.
+// OnEndpoint handles one entry of an update.
 func (b *ConstrainedBalancer) OnEndpoint(endpoint decide.Endpoint) {
 	b.zones[endpoint.ID] = endpoint.Zone
 	b.listed[endpoint.ID] = listing{
@@ -30,7 +30,7 @@
 	b.balancer.OnEndpoint(endpoint)
 }
 
-// notifyEndpoint passes the entry of a server to the constraints as decide sees it: a disabled one is never ready.
+// notifyEndpoint passes the entry of a server to the constraints as decide sees it: a disabled server is never ready.
 func (b *ConstrainedBalancer) notifyEndpoint(server decide.ServerID) {
 	entry := b.listed[server]
 	if entry.disabled {
@@ -48,19 +48,19 @@
 	}
 }
 
-// notifyEndpointsUpdated tells the constraints that an update has ended.
+// notifyEndpointsUpdated notifies the constraints of the end of an update.
 func (b *ConstrainedBalancer) notifyEndpointsUpdated() {
 	for _, constraint := range b.constraints {
 		constraint.OnEndpointsUpdated()
 	}
 }
 
-// SetDisabled disables a server administratively or enables it again, whatever the list says.
+// SetDisabled disables a server administratively or enables it again, whatever the endpoint list says.
 func (b *ConstrainedBalancer) SetDisabled(server decide.ServerID, disabled bool) {
 	if entry, ok := b.listed[server]; ok && entry.disabled != disabled {
 		entry.disabled = disabled
 		if !disabled {
-			entry.startedAt = b.now // it returns in slow start
+			entry.startedAt = b.now // it returns with slow start
 		}
 		b.listed[server] = entry
 		b.notifyEndpoint(server)
@@ -75,11 +75,11 @@
 	b.balancer.EndEndpoints()
 }
 
-// Snapshot returns what the decisions know now.
+// Snapshot returns the state of decide.
 func (b *ConstrainedBalancer) Snapshot() decide.Snapshot { return b.balancer.Snapshot() }
 
-// Restore continues from the snapshot of another instance. The constraints get its endpoint list and learn the
-// rest anew.
+// Restore continues from the snapshot of another instance. The constraints are given its endpoint list, and learn
+// everything else from new events.
 func (b *ConstrainedBalancer) Restore(snapshot decide.Snapshot) {
 	for _, known := range snapshot.Servers {
 		b.zones[known.ID] = known.Zone
--- a/constraints/explanations.go
+++ b/constraints/explanations.go
@@ -7,12 +7,12 @@
 )
 
 const (
-	maxExplanations      = 4096 // the last flows
+	maxExplanations      = 4096 // of the most recent flows
 	maxExplainedAttempts = 8    // of one flow
 	maxExplainedCosts    = 8    // of one flow
 )
 
-// Answers of explanations.
+// The values of Explanation.Answer.
 const (
 	answeredEstablished = "established"
 	answeredRejected    = "rejected"
@@ -21,20 +21,20 @@
 	answeredBeforeStart = "stood before the start"
 )
 
-// extraCostAdded is the reason under which extra costs are counted.
-const extraCostAdded Reason = "dearer"
+// reasonExtraCost is the reason under which extra costs are counted.
+const reasonExtraCost Reason = "dearer"
 
-// Explanation says why a flow went where it did.
+// Explanation records why a flow was placed at its server, or rejected or aborted.
 type Explanation struct {
 	Flow       decide.FlowID   `json:"flow"`
-	Name       string          `json:"name,omitempty"` // as its client calls it
+	Name       string          `json:"name,omitempty"` // that its client gave it
 	ArrivedAt  float64         `json:"came_s"`
 	Group      decide.GroupKey `json:"group,omitempty"`
 	Attempts   []Attempt       `json:"connects"`
 	Answer     string          `json:"answer"`
 	Migrated   bool            `json:"moved,omitempty"`
 	ExtraCosts []ExtraCost     `json:"dearer,omitempty"`
-	Excluded   map[string]int  `json:"barred,omitempty"` // reasons, with how many servers each excluded
+	Excluded   map[string]int  `json:"barred,omitempty"` // reasons, with the number of objections for each
 }
 
 // Attempt is one attempt of a flow.
@@ -53,7 +53,7 @@
 	Reason string          `json:"why"`
 }
 
-// Explainer is a constraint that can say why it adds an extra cost. It is asked once for each flow and server.
+// Explainer is a constraint that can say why it adds an extra cost. It is asked once per flow and server.
 type Explainer interface{ ExplainCost(decide.ServerID) string }
 
 func (e *Explanation) addAttempt(attempt Attempt) {
@@ -68,7 +68,7 @@
 	}
 }
 
-func (e *Explanation) exclude(constraint string, why Reason) {
+func (e *Explanation) addExclusion(constraint string, why Reason) {
 	if e.Excluded == nil {
 		e.Excluded = map[string]int{}
 	}
@@ -79,10 +79,10 @@
 	return slices.ContainsFunc(e.ExtraCosts, func(cost ExtraCost) bool { return cost.Server == server })
 }
 
-// explanationRing holds the explanations of the last flows.
+// explanationRing holds the explanations of the most recent flows.
 type explanationRing struct {
 	entries []*Explanation
-	oldest  int // once it is full
+	oldest  int // index of the oldest entry, once the ring is full
 }
 
 func (r *explanationRing) add(explanation *Explanation) {
@@ -94,7 +94,7 @@
 	r.oldest = (r.oldest + 1) % maxExplanations
 }
 
-// find returns the newest explanation of a flow with this id, or with this name.
+// find returns the newest explanation of a flow with this id or name.
 func (r *explanationRing) find(idOrName string) *Explanation {
 	for i := range r.entries {
 		explanation := r.entries[(r.oldest+len(r.entries)-1-i)%len(r.entries)]
@@ -105,7 +105,7 @@
 	return nil
 }
 
-// recordExtraCost records who gave a server an extra cost for a flow that waits for its placement.
+// recordExtraCost records that a constraint added a cost to a server for a flow that is not placed yet.
 func (b *ConstrainedBalancer) recordExtraCost(id decide.FlowID, server decide.ServerID, constraint Constraint) {
 	explainer, ok := constraint.(Explainer)
 	flow := b.flows[id]
@@ -116,7 +116,7 @@
 	if len(explanation.ExtraCosts) >= maxExplainedCosts || explanation.hasExtraCost(server) {
 		return
 	}
-	b.interventions[intervention{constraint.Name(), extraCostAdded}]++
+	b.interventions[intervention{constraint.Name(), reasonExtraCost}]++
 	explanation.ExtraCosts = append(explanation.ExtraCosts,
 		ExtraCost{Server: server, Reason: constraint.Name() + ": " + explainer.ExplainCost(server)})
 }
@@ -125,7 +125,7 @@
 func (b *ConstrainedBalancer) recordObjection(id decide.FlowID, constraint Constraint, why Reason) {
 	b.interventions[intervention{constraint.Name(), why}]++
 	if flow := b.flows[id]; flow != nil && !flow.isEstablished {
-		flow.explanation.exclude(constraint.Name(), why)
+		flow.explanation.addExclusion(constraint.Name(), why)
 	}
 }
 
@@ -141,7 +141,7 @@
 	}
 }
 
-// Interventions is how often each constraint intervened, by its name and reason.
+// Interventions returns how often each constraint intervened, by its name and reason.
 func (b *ConstrainedBalancer) Interventions() map[string]int {
 	all := map[string]int{}
 	for key, n := range b.interventions {
@@ -150,7 +150,7 @@
 	return all
 }
 
-// States are what operators may see of the constraints, by their names.
+// States returns the states of the constraints by their names, as operators are shown them.
 func (b *ConstrainedBalancer) States() map[string]any {
 	all := map[string]any{}
 	for _, constraint := range b.constraints {
@@ -159,7 +159,7 @@
 	return all
 }
 
-// Explain returns the explanation of a flow, by its id or by what its client called it; the newest where several match.
+// Explain returns the explanation of a flow, by its id or the name that its client gave it; the newest if several match.
 func (b *ConstrainedBalancer) Explain(idOrName string) (Explanation, bool) {
 	found := b.explanations.find(idOrName)
 	if found == nil {
--- a/constraints/export_test.go
+++ b/constraints/export_test.go
@@ -6,7 +6,7 @@
 	"yardwinch/decide"
 )
 
-// Configure gives the decisions the settings of the tests.
+// Configure applies the settings of the tests to a balancer.
 func Configure(b *decide.Balancer, balancers int, crossing float64) {
 	b.ConfigureFlows(3, time.Second)
 	b.AddService(decide.ServiceType{
--- a/constraints/queries.go
+++ b/constraints/queries.go
@@ -6,7 +6,7 @@
 	"yardwinch/decide"
 )
 
-// queries implements decide.Constraints: it asks the constraints in turn, and records who objects.
+// queries implements decide.Constraints: it queries the constraints in order, and records objections and extra costs.
 type queries struct{ *ConstrainedBalancer }
 
 func (q queries) ServerCost(id decide.FlowID, server decide.ServerID) (extra float64, ok bool) {
--- a/constraints/unconstrained.go
+++ b/constraints/unconstrained.go
@@ -6,10 +6,11 @@
 	"yardwinch/decide"
 )
 
-// Unconstrained is a constraint that objects to nothing. Others embed it for the methods that they do not need.
+// Unconstrained is a constraint without a name that objects to nothing. Constraints embed it for the methods that they
+// do not need.
 type Unconstrained struct{}
 
-// SetTime needs no time.
+// SetTime ignores the time.
 func (Unconstrained) SetTime(time.Duration) {}
 
 // OnEndpoint ignores the endpoint list.
@@ -24,10 +25,10 @@
 // OnAttempt ignores attempts.
 func (Unconstrained) OnAttempt(decide.FlowID, decide.ServerID) {}
 
-// OnEstablished ignores set-ups.
+// OnEstablished ignores established attempts.
 func (Unconstrained) OnEstablished(decide.FlowID, decide.ServerID, time.Duration) {}
 
-// OnEnded ignores ends.
+// OnEnded ignores the end of attempts and connections.
 func (Unconstrained) OnEnded(decide.FlowID, decide.ServerID, decide.Outcome, bool) {}
 
 // OnFlowRemoved ignores the end of flows.
@@ -48,7 +49,7 @@
 // AdmitFlow admits all flows.
 func (Unconstrained) AdmitFlow(decide.FlowID) Reason { return "" }
 
-// RetryAfter keeps the preset.
+// RetryAfter returns the preset.
 func (Unconstrained) RetryAfter(_ decide.FlowID, preset time.Duration) time.Duration { return preset }
 
 // AllowMigration allows all migrations.
@@ -57,5 +58,5 @@
 // MigrateFirst names no flow.
 func (Unconstrained) MigrateFirst() []decide.FlowID { return nil }
 
-// State is empty.
+// State returns nil.
 func (Unconstrained) State() any { return nil }
