--- a/locality/events.go
+++ b/locality/events.go
@@ -15,7 +15,7 @@
 		p.servers[endpoint.ID] = s
 		s.locality.servers[endpoint.ID] = s
 	}
-	entryHasZone := endpoint.Zone != "" || endpoint.Readiness != decide.Gone // that of a gone server may lack it
+	entryHasZone := endpoint.Zone != "" || endpoint.Readiness != decide.Gone // the entry of a gone server may lack it
 	if endpoint.Zone != s.locality.name && entryHasZone {
 		p.relocate(s, endpoint.Zone)
 	}
@@ -41,8 +41,9 @@
 	to.servers[s.id] = s
 }
 
-// OnEndpointsUpdated handles the end of an update. A list that is silent on a locality says nothing of it; one that
-// calls all of its servers gone does, and so do restarts of most of them since it became unavailable.
+// OnEndpointsUpdated handles the end of an update. A locality becomes unavailable when the list names no ready server of
+// it any more, and recovers when it names some again, or when most of them restarted since. An update without entries
+// of a locality leaves its state as it is.
 func (p *Policy) OnEndpointsUpdated() {
 	p.hasList = true
 	for _, l := range p.ordered {
@@ -53,14 +54,14 @@
 		l.wasListed = l.wasListed || l.ready > 0
 	}
 	if current, ok := p.currentPerSize(); ok && p.usualPerSize == 0 {
-		p.usualPerSize = current // the first guess is what is established at the start
+		p.usualPerSize = current // the initial estimate is the flows that are established at the start
 		if current > 0 {
 			p.learnedFor = learningTime
 		}
 	}
 }
 
-// countServers counts the ready servers, and returns how many of them started since the last change of state.
+// countServers counts the ready servers, and returns how many of them started after the last change of state.
 func (l *locality) countServers() (restarted int) {
 	l.ready = 0
 	l.size = 0
@@ -77,7 +78,7 @@
 	return restarted
 }
 
-// stateByList is the state that the endpoint list implies.
+// stateByList returns the state that the endpoint list implies, and why.
 func (l *locality) stateByList(restarted int) (State, constraints.Reason) {
 	switch {
 	case l.ready == 0 && l.wasListed:
@@ -114,7 +115,7 @@
 	}
 }
 
-// OnEstablished handles an attempt that was established, and how long that took.
+// OnEstablished handles an attempt that was established; took is its set-up time.
 func (p *Policy) OnEstablished(id decide.FlowID, target decide.ServerID, took time.Duration) {
 	f := p.flows[id]
 	if f == nil || f.server == nil {
@@ -122,7 +123,7 @@
 	}
 	f.isEstablished = true
 	f.establishedAt = p.now
-	if took < 0 { // constraints.AdoptedFlow: the flows that stood before the start are usual
+	if took < 0 { // constraints.AdoptedFlow: flows that were established before the start count as usual
 		if current, ok := p.currentPerSize(); ok {
 			p.usualPerSize = max(p.usualPerSize, current)
 			p.learnedFor = learningTime
@@ -132,7 +133,7 @@
 	l := f.server.locality
 	p.addSample(l, sample{at: p.now, server: target, isReached: true, took: took})
 	if l.state == Unavailable {
-		p.transition(l, Recovering, reasonProbeUp)
+		p.transition(l, Recovering, reasonProbeEstablished)
 		l.admitted = 1 // the probe
 	}
 }
@@ -159,7 +160,7 @@
 	}
 }
 
-// isLocalityFailure reports whether the cause of an end may be that a locality is unavailable.
+// isLocalityFailure reports whether an attempt or a connection may have ended because its locality is unavailable.
 func isLocalityFailure(outcome decide.Outcome, wasEstablished bool) bool {
 	return outcome == decide.Unreachable || outcome == decide.Reset || outcome == decide.TimedOut && !wasEstablished
 }
@@ -172,14 +173,14 @@
 	delete(p.flows, id)
 }
 
-// OnLatencySample handles how long a message to a server took.
+// OnLatencySample handles a sample of the message latency at a server.
 func (p *Policy) OnLatencySample(target decide.ServerID, latency time.Duration) {
 	if s := p.servers[target]; s != nil && latency > p.config.MessageTarget {
 		s.lateAt = max(p.now, 1)
 	}
 }
 
-// OnMigration handles a migration, which uses up a token where its flow is not in the nearest tier.
+// OnMigration handles a migration. It takes a failback token if the flow is not in the nearest tier.
 func (p *Policy) OnMigration(id decide.FlowID) {
 	if p.isSpilled(p.flows[id]) && p.failbackTokens >= 1 {
 		p.failbackTokens--
--- a/locality/failover.go
+++ b/locality/failover.go
@@ -7,55 +7,55 @@
 	"yardwinch/decide"
 )
 
-// When a locality becomes unavailable, and how it recovers.
+// The detection of unavailable localities, and their recovery.
 
 const (
 	sampleMaxAge = 5 * time.Second
-	sampleWindow = 24 // of each locality
+	sampleWindow = 24 // samples kept of each locality
 
 	// A locality is unavailable when a third of its ready servers failed, within these bounds on their number.
 	minFailedServers = 2
 	maxFailedServers = 4
 	minFailures      = 2 // attempts or connections, however few servers there are
 
-	firstProbeBackoff    = time.Second // between probes of an unavailable locality
+	firstProbeBackoff    = time.Second // between probes of an unavailable locality; doubled after each failed one
 	maxProbeBackoff      = 8 * time.Second
 	maxProbeBackoffAlone = time.Second     // while no locality is healthy
 	probeTimeout         = 2 * time.Second // after which the next probe may go out
 
-	recoverySteps    = 5           // over the warm-up time
-	maxStepFactor    = 4           // times a step's length, while set-ups are slow
-	flappingInterval = time.Minute // from the beginning of a recovery: a locality that is lost within it is flapping
-	maxSlowdown      = 4
+	recoverySteps    = 5           // equal parts of the warm-up time
+	maxStepFactor    = 4           // by which slow set-ups may prolong a step
+	flappingInterval = time.Minute // since the last recovery began, within which a locality that becomes unavailable is flapping
+	maxSlowdown      = 4           // factor by which the recovery of a flapping locality takes longer
 )
 
-// recoveryShares are the shares of its usual flows that a locality may take, by the steps of its recovery.
+// recoveryShares are the shares of its usual flows that a locality may admit, by the step of its recovery.
 var recoveryShares = [recoverySteps]float64{0.1, 0.25, 0.5, 0.75, 1}
 
-// sample is the result of one attempt, or a connection that broke.
+// sample is the result of one attempt, or a broken connection.
 type sample struct {
 	at          time.Duration
 	server      decide.ServerID
 	isReached   bool
-	isAmbiguous bool          // a timeout: what all set-ups share may be the cause
-	took        time.Duration // to be established; 0: it was not
+	isAmbiguous bool          // a timeout, which may have a cause outside the locality
+	took        time.Duration // set-up time; 0: not established
 }
 
 func (p *Policy) isRecent(s sample) bool { return p.now-s.at < sampleMaxAge }
 
-// addSample adds a sample. A locality that it shows to be unreachable becomes unavailable.
+// addSample adds a sample, and makes the locality unavailable if its samples now show that it is unreachable.
 func (p *Policy) addSample(l *locality, s sample) {
 	if len(l.samples) >= sampleWindow {
 		l.samples = append(l.samples[:0], l.samples[len(l.samples)-sampleWindow+1:]...)
 	}
 	l.samples = append(l.samples, s)
 	if !s.isReached && l.state != Unavailable && p.isUnreachable(l) {
-		p.transition(l, Unavailable, reasonNoReach)
+		p.transition(l, Unavailable, reasonUnreachable)
 	}
 }
 
-// isUnreachable reports whether the last recent samples are failures at several servers, as many as a locality of its
-// size can show. A few outliers do not make a locality unavailable.
+// isUnreachable reports whether the newest samples, without a success among them, are recent failures at enough different
+// servers for the locality's number of ready servers. A few outliers do not make a locality unavailable.
 func (p *Policy) isUnreachable(l *locality) bool {
 	failed := map[decide.ServerID]bool{}
 	failures := 0
@@ -76,11 +76,11 @@
 	return len(failed) >= min(needed, max(l.ready, 1)) && failures >= minFailures
 }
 
-// succeedsElsewhere reports whether attempts reached servers of another locality recently.
-func (p *Policy) succeedsElsewhere(than *locality) bool {
+// succeedsElsewhere reports whether attempts recently reached servers of a locality other than the excluded one.
+func (p *Policy) succeedsElsewhere(excluded *locality) bool {
 	isSuccess := func(s sample) bool { return s.isReached && p.isRecent(s) }
 	return slices.ContainsFunc(p.ordered, func(l *locality) bool {
-		return l != than && slices.ContainsFunc(l.samples, isSuccess)
+		return l != excluded && slices.ContainsFunc(l.samples, isSuccess)
 	})
 }
 
@@ -88,37 +88,37 @@
 	return !slices.ContainsFunc(p.ordered, func(l *locality) bool { return l.state == Healthy })
 }
 
-// endProbe handles the end of the probe of an unavailable locality.
+// endProbe handles the end of a probe flow of an unavailable locality before it was established.
 func (p *Policy) endProbe(l *locality, outcome decide.Outcome, isFailure bool) {
 	l.probe = ""
 	switch {
 	case isFailure || outcome == decide.Cancelled:
-		longest := maxProbeBackoff
+		maxBackoff := maxProbeBackoff
 		if p.noneHealthy() {
-			longest = maxProbeBackoffAlone
+			maxBackoff = maxProbeBackoffAlone
 		}
-		l.probeBackoff = min(2*l.probeBackoff, longest)
+		l.probeBackoff = min(2*l.probeBackoff, maxBackoff)
 		l.nextProbeAt = p.now + p.jitter(l.probeBackoff)
 	case outcome == decide.Full || outcome == decide.Error:
-		p.transition(l, Recovering, reasonProbeMet)
+		p.transition(l, Recovering, reasonProbeAnswered)
 	}
 }
 
-// mayProbe reports whether a probe flow may go to an unavailable locality.
+// mayProbe reports whether a probe flow may go to an unavailable locality now.
 func (p *Policy) mayProbe(l *locality) bool {
 	isProbed := l.probe != "" && p.now-l.probeSentAt < probeTimeout
 	return !isProbed && p.now >= l.nextProbeAt
 }
 
-// advanceRecovery takes a recovering locality to its next step once its time has passed. The step is prolonged while
-// set-ups there are slow.
+// advanceRecovery advances a recovering locality to its next step when the current one has lasted long enough. Slow
+// set-ups there prolong a step.
 func (p *Policy) advanceRecovery(l *locality) {
 	length := time.Duration(float64(p.config.WarmUp) / recoverySteps * l.slowdown)
-	elapsed := p.now - l.stepAt
+	elapsed := p.now - l.stepBeganAt
 	if elapsed < length || elapsed < maxStepFactor*length && p.areSetupsSlow(l) {
 		return
 	}
-	l.stepAt = p.now
+	l.stepBeganAt = p.now
 	l.step++
 	if l.step == recoverySteps {
 		p.transition(l, Healthy, "")
@@ -140,17 +140,17 @@
 	return n > 0 && 2*slow > n
 }
 
-// recoveryLimit is how many flows a recovering locality may have admitted by its step.
+// recoveryLimit returns how many flows a recovering locality may admit up to the end of its current step.
 func (p *Policy) recoveryLimit(l *locality) float64 {
 	return p.usualFlows(l) * recoveryShares[l.step] / l.slowdown
 }
 
-// isRecoveryStepFull reports whether a recovering locality has admitted what its step allows. In its last step it may
-// admit one more, so that it does not stay below what is usual.
+// isRecoveryStepFull reports whether a recovering locality has admitted all flows that its step allows. In the last step
+// one more is allowed, so that the locality does not stay below its usual flows.
 func (p *Policy) isRecoveryStepFull(l *locality) bool {
 	limit := p.recoveryLimit(l)
 	if l.step == recoverySteps-1 {
 		limit++
 	}
-	return float64(l.admitted)+l.rounding >= limit
+	return float64(l.admitted)+l.randomRounding >= limit
 }
--- a/locality/policy.go
+++ b/locality/policy.go
@@ -1,6 +1,6 @@
-// Package locality decides to which localities a balancer's flows may go: by preference, within bounded spillover, and
-// gradually when a locality recovers. It sees what its own balancer sees and nothing else. It does no input or output,
-// and time comes with the events.
+// Package locality decides to which localities the flows of a balancer may go: by preference, with bounded spillover, and
+// gradually when a locality recovers. It uses only what its own balancer observes. It does no I/O and has no clock:
+// SetTime sets the time.
 package locality
 
 import (
@@ -13,39 +13,39 @@
 )
 
 const (
-	tierCost          = 4.0 // for each tier, in units of placement cost: more than grouping and load are usually worth
-	maxFailbackTokens = 2.0 // migrations to a nearer tier that may be saved up
+	tierCost          = 4.0 // for each tier, in units of placement cost: above what grouping and load usually add
+	maxFailbackTokens = 2.0 // burst of migrations to a nearer tier
 	minWarmUp         = time.Second
-	randomStream      = 0x68616c6c // keeps the draws apart from others of the same seed
+	randomStream      = 0x68616c6c // of the random source, distinct from other sources with the same seed
 )
 
-// Rules may change while a balancer runs.
+// Rules are the settings that may change while a balancer runs.
 type Rules struct {
 	// Tiers are the localities in order of preference, the nearest first. Localities that are not named come last.
 	Tiers [][]decide.Zone
-	// Spill is the share of a locality's usual flows that other localities may bring there.
+	// Spill limits the flows that spill over into a locality, as a share of its usual flows.
 	Spill float64
-	// Surge is the share by which the flows of the nearest tier may grow at once beyond the usual ones; 0: any.
+	// Surge limits how far the flows of the nearest tier may exceed the usual flows, as a share of them; 0: no limit.
 	Surge float64
-	// FailbackPerMinute is how many migrations to a nearer tier all balancers may make together.
+	// FailbackPerMinute is how many flows all balancers together may migrate to a nearer tier in a minute.
 	FailbackPerMinute float64
 	// Balancers is how many balancers share FailbackPerMinute.
 	Balancers int
-	// RetryAfter is when clients of rejected flows may retry, spread by chance; 0: the preset holds.
+	// RetryAfter is the mean time after which clients of rejected flows may retry, subject to jitter; 0: the preset.
 	RetryAfter time.Duration
 }
 
-// Config is what a Policy is made of.
+// Config configures a Policy.
 type Config struct {
 	Rules
 	Seed          uint64
 	Zone          decide.Zone   // of the balancer
-	SetupTarget   time.Duration // for set-ups
+	SetupTarget   time.Duration // a set-up that takes longer is slow
 	MessageTarget time.Duration // a message that takes longer is late
 	WarmUp        time.Duration // from a server's start to its full capacity, at least a second
 }
 
-// Policy is the constraint of one balancer.
+// Policy is the locality policy of one balancer. It implements constraints.Constraint.
 type Policy struct {
 	constraints.Unconstrained
 	config     Config
@@ -55,14 +55,14 @@
 	ordered    []*locality // by name
 	servers    map[decide.ServerID]*server
 	flows      map[decide.FlowID]*flow
-	hasList    bool // an update of the endpoint list has ended
+	hasList    bool // whether an update of the endpoint list has ended
 
-	failbackTokens float64 // migrations to a nearer tier that may begin now
+	failbackTokens float64 // of a token bucket: migrations to a nearer tier that may begin now
 	failbacks      int     // migrations to a nearer tier so far
 
-	usualPerSize float64       // own flows per unit of size in the nearest tier
-	updatedAt    time.Duration // the last SetTime
-	learnedFor   time.Duration // how long usualPerSize has followed the own flows
+	usualPerSize float64       // the usual load: own flows per unit of size in the nearest tier
+	updatedAt    time.Duration // time of the last SetTime
+	learnedFor   time.Duration // how long the usual load has been learned
 }
 
 type server struct {
@@ -71,7 +71,7 @@
 	size      float64
 	readiness decide.Readiness
 	startedAt time.Duration
-	lateAt    time.Duration // when a message was last late
+	lateAt    time.Duration // when a message was last late; 0: never
 }
 
 // isWarmingUp reports whether the server started within the warm-up time.
@@ -80,7 +80,7 @@
 }
 
 type flow struct {
-	server        *server // nil: none now
+	server        *server // of its attempt or connection; nil: it has none now
 	group         decide.GroupKey
 	isEstablished bool
 	establishedAt time.Duration
@@ -106,10 +106,10 @@
 	}
 }
 
-// Name is the name under which interventions are explained and counted.
+// Name returns the name under which interventions are explained and counted.
 func (p *Policy) Name() string { return "halls" }
 
-// tierOf is the tier of a locality, 0 being the nearest.
+// tierOf returns the tier of a locality; 0 is the nearest.
 func (p *Policy) tierOf(zone decide.Zone) int {
 	tiers := p.config.Tiers
 	for i, tier := range tiers {
@@ -123,18 +123,19 @@
 	return max(len(tiers), 1)
 }
 
-// failbackRate is how many migrations to a nearer tier this balancer may make in a second.
+// failbackRate returns how many flows this balancer may migrate to a nearer tier in a second.
 func (p *Policy) failbackRate() float64 {
 	return p.config.FailbackPerMinute / 60 / float64(max(p.config.Balancers, 1))
 }
 
-// SetTime sets the time of the calls that follow, and does what is due by then.
+// SetTime sets the time of the calls that follow. It refills the failback tokens, learns the usual load and advances
+// recoveries.
 func (p *Policy) SetTime(now time.Duration) {
 	p.now = now
 	if p.hasList {
 		elapsed := now - p.updatedAt
 		p.failbackTokens = min(maxFailbackTokens, p.failbackTokens+p.failbackRate()*elapsed.Seconds())
-		p.learn(elapsed)
+		p.updateUsualLoad(elapsed)
 	}
 	p.updatedAt = now
 	for _, l := range p.ordered {
@@ -144,7 +145,8 @@
 	}
 }
 
-// jitter spreads what many balancers do for the same cause, from half to one and a half of the duration.
+// jitter returns a random duration from 0.5 to 1.5 times d, so that balancers that react to the same event do not act at
+// the same time.
 func (p *Policy) jitter(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (0.5 + p.random.Float64()))
 }
--- a/locality/policy_test.go
+++ b/locality/policy_test.go
@@ -12,7 +12,7 @@
 
 const second = time.Second
 
-// harness is a policy in the first of three localities of four servers each, with its usual flows there.
+// harness drives a policy in locality a, the nearest of three with four servers each.
 type harness struct {
 	*Policy
 	t    *testing.T
@@ -32,7 +32,7 @@
 	})
 }
 
-// newHarness returns a policy that has learned that 40 flows are usual.
+// newHarness returns a harness whose policy has learned that 40 flows are usual.
 func newHarness(t *testing.T, spill, surge, failback float64) *harness {
 	t.Helper()
 	s := &harness{t: t, Policy: newPolicy(1, Rules{
@@ -47,7 +47,7 @@
 	for i := range 40 {
 		s.establish(s.newFlow(), decide.ServerID(1+i%4), constraints.AdoptedFlow)
 	}
-	s.pass(20 * second)
+	s.advance(20 * second)
 	return s
 }
 
@@ -65,7 +65,7 @@
 	s.OnEndpointsUpdated()
 }
 
-// unlist removes the first servers of locality a from the list.
+// unlist marks the first servers of locality a as gone.
 func (s *harness) unlist(servers int) {
 	for i := 1; i <= servers; i++ {
 		s.OnEndpoint(decide.Endpoint{ID: decide.ServerID(i), Zone: "a", Size: 1, Readiness: decide.Gone, StartedAt: decide.LongAgo})
@@ -73,7 +73,7 @@
 	s.OnEndpointsUpdated()
 }
 
-func (s *harness) pass(d time.Duration) {
+func (s *harness) advance(d time.Duration) {
 	for end := s.now + d; s.now < end; {
 		s.now += 100 * time.Millisecond
 		s.SetTime(s.now)
@@ -92,7 +92,7 @@
 	s.OnEstablished(f, on, took)
 }
 
-// attempt makes an attempt for a new flow, which ends with this outcome.
+// attempt sends an attempt of a new flow to a server. It ends with the outcome.
 func (s *harness) attempt(on decide.ServerID, o decide.Outcome) {
 	f := s.newFlow()
 	s.OnAttempt(f, on)
@@ -100,21 +100,21 @@
 	s.OnFlowRemoved(f)
 }
 
-// expect checks the state of locality a.
-func (s *harness) expect(want State) {
+// expectState checks the state of locality a.
+func (s *harness) expectState(want State) {
 	s.t.Helper()
 	if got := s.StateOf("a"); got != want {
 		s.t.Errorf("at %v the locality is %s, want %s", s.now, got, want)
 	}
 }
 
-// objection is why a new flow may not go to a server.
+// objection returns why a new flow may not go to a server.
 func (s *harness) objection(id decide.ServerID) constraints.Reason {
 	_, why := s.ServerCost(s.newFlow(), id)
 	return why
 }
 
-// fill establishes flows at a server as long as they are allowed, and returns how many.
+// fill establishes flows at a server until the policy objects, and returns how many.
 func (s *harness) fill(first decide.ServerID) (n int) {
 	for n < 1000 && s.objection(first) == "" {
 		s.establish(s.newFlow(), first, 10*time.Millisecond)
@@ -125,9 +125,9 @@
 
 func TestLocalityIsUnavailableOnlyWhenUnreachable(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		do   func(*harness)
-		want State
+		name   string
+		events func(*harness)
+		want   State
 	}{
 		{"two of four servers unreachable", func(s *harness) { s.attempt(1, decide.Unreachable); s.attempt(2, decide.Unreachable) }, Unavailable},
 		{"one outlier", func(s *harness) {
@@ -135,29 +135,29 @@
 			s.attempt(1, decide.Unreachable)
 			s.attempt(1, decide.Unreachable)
 		}, Healthy},
-		{"others are established there", func(s *harness) {
+		{"another flow is established there", func(s *harness) {
 			s.attempt(1, decide.Unreachable)
 			s.establish(s.newFlow(), 3, 10*time.Millisecond)
 			s.attempt(2, decide.Unreachable)
 		}, Healthy},
-		{"long apart", func(s *harness) {
+		{"failures far apart", func(s *harness) {
 			s.attempt(1, decide.Unreachable)
-			s.pass(6 * second)
+			s.advance(6 * second)
 			s.attempt(2, decide.Unreachable)
 		}, Healthy},
-		{"slow everywhere", func(s *harness) {
+		{"timeouts, and no success elsewhere", func(s *harness) {
 			s.attempt(1, decide.TimedOut)
 			s.attempt(2, decide.TimedOut)
 			s.attempt(3, decide.TimedOut)
 		}, Healthy},
-		{"slow here alone", func(s *harness) {
+		{"timeouts, and a success elsewhere", func(s *harness) {
 			s.establish(s.newFlow(), 9, 10*time.Millisecond)
 			s.attempt(1, decide.TimedOut)
 			s.attempt(2, decide.TimedOut)
 		}, Unavailable},
 		{"errors", func(s *harness) { s.attempt(1, decide.Error); s.attempt(2, decide.Error); s.attempt(3, decide.Full) }, Healthy},
 		{"no server listed", func(s *harness) { s.unlist(4) }, Unavailable},
-		{"no update for a minute", func(s *harness) { s.pass(60 * second) }, Healthy},
+		{"no update for a minute", func(s *harness) { s.advance(60 * second) }, Healthy},
 		{"fewer servers listed", func(s *harness) { s.unlist(3) }, Healthy},
 		{"the only listed server unreachable", func(s *harness) {
 			s.unlist(3)
@@ -167,8 +167,8 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := newHarness(t, 0.3, 0, 60)
-			c.do(s)
-			s.expect(c.want)
+			c.events(s)
+			s.expectState(c.want)
 		})
 	}
 }
@@ -189,7 +189,7 @@
 				t.Error("another server of the same locality takes more")
 			}
 			if n := s.fill(9); n < c.least || n > c.most {
-				t.Errorf("%d in the last locality", n)
+				t.Errorf("%d flows in the last locality", n)
 			}
 		})
 	}
@@ -201,74 +201,75 @@
 	s.attempt(2, decide.Unreachable)
 	probes, last := 0, time.Duration(0)
 	for s.now < 80*second {
-		s.pass(100 * time.Millisecond)
+		s.advance(100 * time.Millisecond)
 		if s.objection(3) == "" {
 			probes++
 			last = s.now
 			s.attempt(3, decide.Unreachable)
 			if s.objection(4) == "" {
-				t.Fatalf("a second probe at once, at %v", s.now)
+				t.Fatalf("a second probe right after the first, at %v", s.now)
 			}
 		}
 	}
 	if probes < 6 || probes > 16 {
 		t.Errorf("%d probes in a minute", probes)
 	}
-	s.expect(Unavailable)
+	s.expectState(Unavailable)
 	if s.now-last > 15*second {
 		t.Errorf("the last probe was %v ago", s.now-last)
 	}
 	for s.objection(3) != "" {
-		s.pass(100 * time.Millisecond)
+		s.advance(100 * time.Millisecond)
 	}
 	s.establish(s.newFlow(), 3, 10*time.Millisecond)
-	s.expect(Recovering)
+	s.expectState(Recovering)
 }
 
 func TestRecoveryGoesInSteps(t *testing.T) {
 	s := newHarness(t, 0.3, 0, 0)
 	s.unlist(4)
-	s.pass(second)
-	s.flows = map[decide.FlowID]*flow{} // its connections broke
+	s.advance(second)
+	s.flows = map[decide.FlowID]*flow{} // all connections are broken
 	s.locality("a").ownFlows = 0
 	for i := range 4 {
 		s.OnEndpoint(decide.Endpoint{ID: decide.ServerID(1 + i), Zone: "a", Size: 1, Readiness: decide.Ready, StartedAt: s.now})
 	}
 	s.OnEndpointsUpdated()
-	s.expect(Recovering)
+	s.expectState(Recovering)
 	last := -1
 	sum := 0
 	for i, most := range []int{4, 10, 20, 30} {
 		n := s.fill(1)
 		if sum += n; sum > most || sum <= last {
-			t.Errorf("step %d: %d in all so far, want more than %d and at most %d", i+1, sum, last, most)
+			t.Errorf("step %d: %d flows so far, want more than %d and at most %d", i+1, sum, last, most)
 		}
 		last = sum
-		s.pass(4*second + 200*time.Millisecond)
+		s.advance(4*second + 200*time.Millisecond)
 	}
-	s.pass(4*second + 200*time.Millisecond)
-	s.expect(Healthy)
+	s.advance(4*second + 200*time.Millisecond)
+	s.expectState(Healthy)
 }
 
 func TestRecoveryWaitsWhileSetupsAreSlow(t *testing.T) {
 	s := newHarness(t, 0.3, 0, 0)
 	s.unlist(4)
 	s.listAll()
-	s.expect(Recovering)
-	for range 8 { // 8 s: beyond a step, below the longest wait
-		s.pass(second)
+	s.expectState(Recovering)
+	for range 8 { // 8 s: longer than a step, shorter than the longest step
+		s.advance(second)
 		s.addSample(s.locality("a"), sample{at: s.now, server: 1, isReached: true, took: 900 * time.Millisecond})
 	}
 	if st := s.locality("a").step; st != 0 {
 		t.Errorf("step %d while set-ups take three times their target", st+1)
 	}
-	s.pass(9 * second) // no slow set-up recently
+	s.advance(9 * second) // the slow set-ups are no longer recent
 	if st := s.locality("a").step; st == 0 {
-		t.Error("it waits although set-ups are in time")
+		t.Error("the step does not advance although no set-up is slow")
 	}
 }
 
-// Sizes whose sum is beyond a float leave what is usual without a value. That holds nothing up.
+// Sizes whose sum overflows a float64 make the usual flows NaN. Such a limit must not keep flows from a recovering
+// locality.
 func TestRecoveryWithoutUsualFlows(t *testing.T) {
 	s := &harness{t: t, Policy: newPolicy(1, Rules{Balancers: 1})}
 	list := func(readiness decide.Readiness) {
@@ -280,12 +281,12 @@
 	list(decide.Ready)
 	list(decide.Gone)
 	list(decide.Ready)
-	s.expect(Recovering)
+	s.expectState(Recovering)
 	if usual := s.usualFlows(s.locality("a")); !math.IsNaN(usual) {
-		t.Fatalf("usual flows %v, want no number", usual)
+		t.Fatalf("usual flows %v, want NaN", usual)
 	}
 	if why := s.objection(1); why != "" {
-		t.Errorf("no flow goes there: %s", why)
+		t.Errorf("no flow is allowed: %s", why)
 	}
 }
 
@@ -296,17 +297,17 @@
 		s.unlist(4)
 		s.flows = map[decide.FlowID]*flow{}
 		s.locality("a").ownFlows = 0
-		s.pass(5 * second)
+		s.advance(5 * second)
 		s.listAll()
 		n := s.fill(1)
 		if i == 0 {
 			first = n
 		}
 		third = n
-		s.pass(3 * second)
+		s.advance(3 * second)
 	}
 	if third >= first || first == 0 {
-		t.Errorf("%d in the first recovery, %d in the third", first, third)
+		t.Errorf("%d flows in the first recovery, %d in the third, want fewer", first, third)
 	}
 }
 
@@ -314,14 +315,14 @@
 	s := newHarness(t, 1, 0, 30)
 	s.unlist(4)
 	if n := s.fill(5); n < 30 {
-		t.Fatalf("%d spilled", n)
+		t.Fatalf("%d flows spilled, want at least 30", n)
 	}
 	s.listAll()
-	s.pass(100 * second)
-	s.expect(Healthy)
+	s.advance(100 * second)
+	s.expectState(Healthy)
 	migrated, from := 0, s.now
 	for s.now-from < 60*second {
-		s.pass(250 * time.Millisecond)
+		s.advance(250 * time.Millisecond)
 		for _, f := range s.MigrateFirst() {
 			if s.AllowMigration(f) == "" {
 				migrated++
@@ -348,10 +349,10 @@
 			for i := range c.held {
 				s.establish(s.newFlow(), decide.ServerID(1+i%4), constraints.AdoptedFlow)
 			}
-			s.pass(200 * time.Millisecond)
+			s.advance(200 * time.Millisecond)
 			s.unlist(4)
 			if n := s.fill(5); n > c.most || n < c.most-1 {
-				t.Errorf("%d spilled, want %d", n, c.most)
+				t.Errorf("%d flows spilled, want %d", n, c.most)
 			}
 		})
 	}
@@ -365,7 +366,7 @@
 	}{{0, 1000, 1000}, {0.25, 9, 11}} {
 		t.Run(fmt.Sprint(c.surge), func(t *testing.T) {
 			if n := newHarness(t, 0.3, c.surge, 0).fill(1); n < c.least || n > c.most {
-				t.Errorf("%d at once beyond the usual 40, want %d to %d", n, c.least, c.most)
+				t.Errorf("%d flows beyond the usual 40, want %d to %d", n, c.least, c.most)
 			}
 		})
 	}
@@ -387,7 +388,7 @@
 		s := &harness{Policy: policy, t: t}
 		s.listAll()
 		s.establish(s.newFlow(), 1, constraints.AdoptedFlow) // one usual flow each
-		s.pass(20 * second)
+		s.advance(20 * second)
 		s.unlist(4)
 		all += s.fill(5)
 	}
--- a/locality/queries.go
+++ b/locality/queries.go
@@ -29,7 +29,7 @@
 	l := s.locality
 	extra := tierCost * float64(l.tier)
 	if f := p.flows[id]; f != nil && f.server != nil && f.server.locality == l {
-		return extra, "" // it is there already
+		return extra, "" // the flow is in the locality already
 	}
 	if why := p.objectionByState(l); why != "" {
 		return 0, why
@@ -40,7 +40,7 @@
 	return extra, ""
 }
 
-// objectionByState says why a locality takes no flows in its state; empty: it does.
+// objectionByState returns why a locality takes no flows in its present state; empty: it takes them.
 func (p *Policy) objectionByState(l *locality) constraints.Reason {
 	switch l.state {
 	case Unavailable:
@@ -55,8 +55,8 @@
 	return ""
 }
 
-// objectionByTier says why a server takes no flows by the limits on its tier; empty: it does. Servers that warm up are
-// left to the balancers to which they are nearest.
+// objectionByTier returns why the limits on its tier keep flows from a server; empty: they do not. Servers that warm up
+// are left to the balancers for which they are in the nearest tier.
 func (p *Policy) objectionByTier(s *server) constraints.Reason {
 	l := s.locality
 	if l.tier == 0 {
@@ -68,13 +68,13 @@
 	if s.isWarmingUp(p.now, p.config.WarmUp) {
 		return reasonWarmingUp
 	}
-	if float64(l.ownFlows)+l.rounding >= p.SpillLimit(l.name) {
+	if float64(l.ownFlows)+l.randomRounding >= p.SpillLimit(l.name) {
 		return reasonSpill
 	}
 	return ""
 }
 
-// RetryAfter spreads the clients of rejected flows, so that they do not come again together.
+// RetryAfter adds jitter, so that the clients of rejected flows do not all retry at the same time.
 func (p *Policy) RetryAfter(_ decide.FlowID, preset time.Duration) time.Duration {
 	if p.config.RetryAfter == 0 {
 		return preset
@@ -82,7 +82,7 @@
 	return p.jitter(p.config.RetryAfter)
 }
 
-// AllowMigration bounds the rate at which spilled flows go back.
+// AllowMigration limits the rate of migrations of spilled flows to a nearer tier.
 func (p *Policy) AllowMigration(id decide.FlowID) constraints.Reason {
 	if p.isSpilled(p.flows[id]) && p.failbackTokens < 1 {
 		return reasonFailback
@@ -90,12 +90,12 @@
 	return ""
 }
 
-// isSpilled reports whether a flow is not in the nearest tier.
+// isSpilled reports whether a flow is at a server outside the nearest tier.
 func (p *Policy) isSpilled(f *flow) bool {
 	return f != nil && f.server != nil && f.server.locality.tier > 0
 }
 
-// MigrateFirst names the spilled flows that a nearer tier could take, those of the oldest group first.
+// MigrateFirst returns the flows that a nearer tier could take, those of the oldest group first.
 func (p *Policy) MigrateFirst() []decide.FlowID {
 	if p.failbackTokens < 1 {
 		return nil
@@ -124,7 +124,7 @@
 	return first[:min(len(first), int(maxFailbackTokens)+2)]
 }
 
-// nearestTier is the nearest tier that takes flows.
+// nearestTier returns the nearest tier that takes flows.
 func (p *Policy) nearestTier() int {
 	nearest := math.MaxInt
 	for _, l := range p.ordered {
--- a/locality/spillover.go
+++ b/locality/spillover.go
@@ -7,38 +7,39 @@
 	"yardwinch/decide"
 )
 
-// What is usual, and the limits on spillover and surge that follow from it.
+// The usual load, and the limits on spillover and surge that are derived from it.
 
 const (
-	riseTime     = 4 * time.Second  // in which the usual load follows a rise
-	fallTime     = 60 * time.Second // and a fall
-	learningTime = 10 * time.Second // after which the usual load is known
-	lateMaxAge   = 3 * time.Second  // of a late message
-	lateShare    = 0.5              // of the nearest tier's servers, from which it is overloaded
-	minSize      = 1e-9             // a divisor where there are no servers
+	riseTimeConstant = 4 * time.Second  // of the moving average while the load rises
+	fallTimeConstant = 60 * time.Second // the same while it falls
+	learningTime     = 10 * time.Second // after which the usual load counts as known
+	lateMaxAge       = 3 * time.Second  // how long a server counts as late after a late message
+	lateShare        = 0.5              // of the nearest tier's servers, from which that tier counts as overloaded
+	minSize          = 1e-9             // a divisor when there are no servers
 )
 
-// learn follows the usual load: all own flows per unit of size in the nearest tier. A rise counts only while that
-// tier is not overloaded, or an overload would become usual. Nothing is learned while it is not healthy.
-func (p *Policy) learn(elapsed time.Duration) {
+// updateUsualLoad updates the usual load, a moving average of all own flows per unit of size in the nearest tier. It
+// follows a rise only while that tier is not overloaded, as an overload would become usual otherwise, and it does not
+// change while the tier is not healthy.
+func (p *Policy) updateUsualLoad(elapsed time.Duration) {
 	current, ok := p.currentPerSize()
 	if !ok || elapsed <= 0 {
 		return
 	}
-	within := fallTime
+	timeConstant := fallTimeConstant
 	if current > p.usualPerSize {
-		within = riseTime
+		timeConstant = riseTimeConstant
 		if p.nearestLateShare() >= lateShare {
 			return
 		}
 	}
 	p.learnedFor += elapsed
-	p.usualPerSize += (current - p.usualPerSize) * (1 - math.Exp(-elapsed.Seconds()/within.Seconds()))
+	p.usualPerSize += (current - p.usualPerSize) * (1 - math.Exp(-elapsed.Seconds()/timeConstant.Seconds()))
 }
 
-func (p *Policy) isUsualKnown() bool { return p.learnedFor >= learningTime }
+func (p *Policy) isUsualLoadKnown() bool { return p.learnedFor >= learningTime }
 
-// currentPerSize is all own flows per unit of size in the nearest tier now; false while that tier is not healthy.
+// currentPerSize returns all own flows per unit of size in the nearest tier now; false while that tier is not healthy.
 func (p *Policy) currentPerSize() (perSize float64, ok bool) {
 	size := 0.0
 	isHealthy := true
@@ -51,7 +52,7 @@
 	return float64(p.ownFlows()) / max(size, minSize), isHealthy && size > 0
 }
 
-// nearestLateShare is the share of the nearest tier's ready servers at which a message was late recently.
+// nearestLateShare returns the share of the nearest tier's ready servers at which a message was late recently.
 func (p *Policy) nearestLateShare() float64 {
 	late, ready := 0.0, 0.0
 	for _, l := range p.ordered {
@@ -71,32 +72,33 @@
 	return late / max(ready, 1)
 }
 
-// usualFlows is how many flows this balancer would hold in a locality if it were its nearest one. A balancer that
-// started recently knows only what it holds by now.
+// usualFlows returns how many flows this balancer would usually have in a locality if that were its nearest one. While
+// the usual load is not known yet, the present number of flows is the least.
 func (p *Policy) usualFlows(l *locality) float64 {
 	perSize := p.usualPerSize
-	if !p.isUsualKnown() {
+	if !p.isUsualLoadKnown() {
 		perSize = max(perSize, float64(p.ownFlows()+1)/max(p.nearestSize(), 1))
 	}
 	return perSize * l.size
 }
 
-// SpillLimit is how many flows this balancer may have in a locality of another tier. It has no limit while it does not
-// know what is usual: the localities carried its clients before it started.
+// SpillLimit returns how many flows this balancer may have in a locality of another tier. There is no limit while the
+// usual load is not known: before the balancer started, the localities already served its clients.
 func (p *Policy) SpillLimit(zone decide.Zone) float64 {
-	if !p.isUsualKnown() {
+	if !p.isUsualLoadKnown() {
 		return math.Inf(1)
 	}
 	return p.config.Spill * p.usualFlows(p.locality(zone))
 }
 
-// Spilled is how many flows this balancer has in a locality.
+// Spilled returns how many flows this balancer has in a locality.
 func (p *Policy) Spilled(zone decide.Zone) int { return p.locality(zone).ownFlows }
 
-// exceedsSurge reports whether one more flow in the nearest tier would exceed the surge beyond what is usual there.
+// exceedsSurge reports whether one more flow in the nearest tier would exceed its usual flows by more than the surge
+// allows.
 func (p *Policy) exceedsSurge() bool {
 	surge := p.config.Surge
-	return surge > 0 && p.isUsualKnown() && p.nearestFlows()+1 > (1+surge)*p.usualPerSize*p.nearestSize()+1
+	return surge > 0 && p.isUsualLoadKnown() && p.nearestFlows()+1 > (1+surge)*p.usualPerSize*p.nearestSize()+1
 }
 
 func (p *Policy) ownFlows() (n int) {
--- a/locality/state.go
+++ b/locality/state.go
@@ -15,18 +15,18 @@
 // States of a locality.
 const (
 	Healthy     State = "well"      // takes flows as far as its limits allow
-	Unavailable State = "lost"      // no server is reached; single probe flows are let through
-	Recovering  State = "returning" // takes a growing part of its usual flows
+	Unavailable State = "lost"      // no server is reachable; only single probe flows are let through
+	Recovering  State = "returning" // takes a growing share of its usual flows
 )
 
-// Reasons of the states.
+// Reasons of state changes.
 const (
-	reasonUnlisted  constraints.Reason = "the list has no server of it"
-	reasonRelisted  constraints.Reason = "the list has servers of it again"
-	reasonRestarted constraints.Reason = "most of its servers started anew"
-	reasonNoReach   constraints.Reason = "nobody was met there"
-	reasonProbeUp   constraints.Reason = "a trial stood"
-	reasonProbeMet  constraints.Reason = "a trial met somebody"
+	reasonUnlisted         constraints.Reason = "the list has no server of it"
+	reasonRelisted         constraints.Reason = "the list has servers of it again"
+	reasonRestarted        constraints.Reason = "most of its servers started anew"
+	reasonUnreachable      constraints.Reason = "nobody was met there"
+	reasonProbeEstablished constraints.Reason = "a trial stood"
+	reasonProbeAnswered    constraints.Reason = "a trial met somebody"
 )
 
 // locality is what a balancer knows of one locality.
@@ -34,46 +34,46 @@
 	name  decide.Zone
 	tier  int
 	state State
-	why   constraints.Reason // of the state
-	since time.Duration      // of the state
-	// From 0 to 1, added to a count of flows before it is compared with a limit: of all balancers, a part as large as
-	// the fraction of the limit admits one more. It is drawn anew at each change of state.
-	rounding  float64
-	servers   map[decide.ServerID]*server
-	ready     int     // servers
-	size      float64 // of the ready servers
-	wasListed bool    // it had a ready server once
-	ownFlows  int     // of this balancer: attempts and connections
-	samples   []sample
+	why   constraints.Reason // of the last change of state; empty: healthy
+	since time.Duration      // time of the last change of state
+	// A random number from 0 to 1, added to a count of flows before it is compared with a limit. So the limit is rounded
+	// at random, and the limits of all balancers add up to the right sum. It is drawn again at each change of state.
+	randomRounding float64
+	servers        map[decide.ServerID]*server
+	ready          int     // number of ready servers
+	size           float64 // of the ready servers
+	wasListed      bool    // it has had a ready server
+	ownFlows       int     // attempts and connections of this balancer
+	samples        []sample
 
 	// While unavailable.
 	probeBackoff time.Duration
 	nextProbeAt  time.Duration
-	probe        decide.FlowID // empty: none is out
+	probe        decide.FlowID // the probe flow that was sent; empty: none
 	probeSentAt  time.Duration
 
 	// While recovering.
-	step     int
-	stepAt   time.Duration
-	admitted int // flows, since the recovery began
+	step        int
+	stepBeganAt time.Duration
+	admitted    int // flows, since the recovery began
 
-	// Over recoveries.
-	slowdown        float64       // factor by which a recovery takes longer, as the last ones failed
-	recoveryBeganAt time.Duration // of the last recovery
+	// Kept from one recovery to the next.
+	slowdown        float64       // factor by which a recovery takes longer, after earlier ones failed
+	recoveryBeganAt time.Duration // when the last recovery began
 }
 
-// locality returns a locality by its name. One that is not known yet is added, which draws from the random source.
+// locality returns a locality by its name. One that is not known yet is added, which draws a random number.
 func (p *Policy) locality(zone decide.Zone) *locality {
 	l := p.localities[zone]
 	if l == nil {
 		l = &locality{
-			name:     zone,
-			tier:     p.tierOf(zone),
-			state:    Healthy,
-			servers:  map[decide.ServerID]*server{},
-			slowdown: 1,
-			since:    p.now,
-			rounding: p.random.Float64(),
+			name:           zone,
+			tier:           p.tierOf(zone),
+			state:          Healthy,
+			servers:        map[decide.ServerID]*server{},
+			slowdown:       1,
+			since:          p.now,
+			randomRounding: p.random.Float64(),
 		}
 		p.localities[zone] = l
 		p.ordered = append(p.ordered, l)
@@ -82,7 +82,7 @@
 	return l
 }
 
-// transition makes every change of a locality's state.
+// transition changes the state of a locality. Every change of state is made here.
 func (p *Policy) transition(l *locality, to State, why constraints.Reason) {
 	if l.state == to {
 		return
@@ -91,7 +91,7 @@
 	l.state = to
 	l.why = why
 	l.since = p.now
-	l.rounding = p.random.Float64()
+	l.randomRounding = p.random.Float64()
 	switch to {
 	case Unavailable:
 		l.slowdown = p.nextSlowdown(l, from)
@@ -100,16 +100,16 @@
 		l.probe = ""
 	case Recovering:
 		l.step = 0
-		l.stepAt = p.now
+		l.stepBeganAt = p.now
 		l.admitted = 0
 		l.recoveryBeganAt = p.now
-		l.samples = nil // of the time before, which say nothing of the servers that are up now
+		l.samples = nil // older samples say nothing about the servers that are up now
 	case Healthy:
 		l.admitted = 0
 	}
 }
 
-// nextSlowdown is the slowdown of the next recovery of a locality that becomes unavailable: doubled where that happens
+// nextSlowdown returns the slowdown of the next recovery of a locality that becomes unavailable: doubled if that happens
 // during a recovery or soon after one began, else 1.
 func (p *Policy) nextSlowdown(l *locality, from State) float64 {
 	if from == Recovering || l.recoveryBeganAt > 0 && p.now-l.recoveryBeganAt < flappingInterval {
@@ -121,7 +121,7 @@
 // StateOf returns the state of a locality.
 func (p *Policy) StateOf(zone decide.Zone) State { return p.locality(zone).state }
 
-// localityReport is what operators see of a locality.
+// localityReport is what operators are shown of a locality.
 type localityReport struct {
 	Name     string  `json:"hall"`
 	Tier     int     `json:"tier"`
@@ -136,7 +136,7 @@
 	Slowdown float64 `json:"gentler,omitempty"`
 }
 
-// State is what operators may see of the policy.
+// State returns what operators are shown of the policy.
 func (p *Policy) State() any {
 	var reports []localityReport
 	for _, l := range p.ordered {
