--- a/fleet/lease/manager_test.go
+++ b/fleet/lease/manager_test.go
@@ -10,7 +10,7 @@
 const (
 	term     = 6 * time.Second
 	task     = Task(1)
-	aliveFor = time.Minute // of the members of a test
+	aliveFor = time.Minute // how long the members of a test have been alive
 )
 
 func newManager(own Holder, members ...Holder) *Manager {
@@ -26,7 +26,7 @@
 	return members
 }
 
-// ranking is the members by their rank for the task.
+// ranking returns the members, ordered by their rank for the task.
 func ranking(t *testing.T, members ...Holder) (ranked []Holder) {
 	t.Helper()
 	for rank := range members {
@@ -43,42 +43,42 @@
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// A standby takes over a lease that expired, the others wait, and the preferred holder takes it back when it returns.
+// The first standby takes over an expired lease, the others wait, and the preferred holder takes it back on its return.
 func TestStandbyTakesOverAndGivesBack(t *testing.T) {
 	members := []Holder{"a", "b", "c", "d", "e"}
 	ranked := ranking(t, members...)
-	second := newManager(ranked[1], members...)
-	third := newManager(ranked[2], members...)
-	second.Observe(task, 1, ranked[0], 0, seconds(1))
-	third.Observe(task, 1, ranked[0], 0, seconds(1))
-	if second.Holds(task, seconds(6.9)) || third.Holds(task, seconds(6.9)) {
-		t.Error("a standby takes over before the lease expires")
-	}
-	if !second.Holds(task, seconds(7.1)) || third.Holds(task, seconds(7.1)) {
-		t.Error("want the second to take over when the lease has expired, and not the third")
-	}
-	epoch := second.Renew(task, seconds(7.1))
-	third.Observe(task, epoch, ranked[1], 0, seconds(7.2))
-	if third.Holds(task, seconds(12)) || !second.Holds(task, seconds(12)) {
-		t.Error("want the second to continue, and the third to wait")
-	}
-	first := newManager(ranked[0], members...)
-	first.Holds(task, seconds(11))
-	first.Observe(task, epoch, ranked[1], 0, seconds(12.1))
-	if !first.Holds(task, seconds(12.2)) || first.Renew(task, seconds(12.2)) <= epoch {
+	firstStandby := newManager(ranked[1], members...)
+	secondStandby := newManager(ranked[2], members...)
+	firstStandby.Observe(task, 1, ranked[0], 0, seconds(1))
+	secondStandby.Observe(task, 1, ranked[0], 0, seconds(1))
+	if firstStandby.Holds(task, seconds(6.9)) || secondStandby.Holds(task, seconds(6.9)) {
+		t.Error("a standby took over before the lease expired")
+	}
+	if !firstStandby.Holds(task, seconds(7.1)) || secondStandby.Holds(task, seconds(7.1)) {
+		t.Error("want the first standby to take over when the lease has expired, and not the second")
+	}
+	epoch := firstStandby.Renew(task, seconds(7.1))
+	secondStandby.Observe(task, epoch, ranked[1], 0, seconds(7.2))
+	if secondStandby.Holds(task, seconds(12)) || !firstStandby.Holds(task, seconds(12)) {
+		t.Error("want the first standby to continue, and the second to wait")
+	}
+	preferred := newManager(ranked[0], members...)
+	preferred.Holds(task, seconds(11))
+	preferred.Observe(task, epoch, ranked[1], 0, seconds(12.1))
+	if !preferred.Holds(task, seconds(12.2)) || preferred.Renew(task, seconds(12.2)) <= epoch {
 		t.Error("want the preferred holder to begin a later epoch")
 	}
-	second.Observe(task, first.Renew(task, seconds(12.2)), ranked[0], 0, seconds(12.3))
-	if second.Holds(task, seconds(12.4)) {
-		t.Error("the second continues beside the preferred holder")
+	firstStandby.Observe(task, preferred.Renew(task, seconds(12.2)), ranked[0], 0, seconds(12.3))
+	if firstStandby.Holds(task, seconds(12.4)) {
+		t.Error("the standby continues beside the preferred holder")
 	}
-	second.Observe(task, 1, ranked[3], 0, seconds(12.5))
-	if second.leases[task].holder != ranked[0] {
-		t.Error("an observation of an older epoch changes the holder")
+	firstStandby.Observe(task, 1, ranked[3], 0, seconds(12.5))
+	if firstStandby.leases[task].holder != ranked[0] {
+		t.Error("an observation of an older epoch changed the holder")
 	}
 }
 
-// A balancer that was suspended waits for a term, and takes a lease back under a later epoch than the one it observes.
+// A balancer that was suspended waits for a term, and takes a lease back in a later epoch than the one that it observes.
 func TestSuspendedBalancerWaits(t *testing.T) {
 	members := []Holder{"a", "b", "c"}
 	ranked := ranking(t, members...)
@@ -89,15 +89,15 @@
 	epoch := m.Renew(task, time.Second)
 	m.OnSuspended(20 * time.Second)
 	if m.Holds(task, 20*time.Second) || m.Holds(task, 25*time.Second) {
-		t.Error("it continues as if it had not been suspended")
+		t.Error("it performs the task within a term after its suspension")
 	}
 	m.Observe(task, epoch+1, ranked[1], 0, 21*time.Second)
 	if !m.Holds(task, 22*time.Second) || m.Renew(task, 22*time.Second) <= epoch+1 {
-		t.Error("want it to take the lease back under a later epoch than the holder's")
+		t.Error("want it to take the lease back in a later epoch than the holder's")
 	}
 }
 
-// faultyFleet is balancers that share one task while some are down and messages are lost.
+// faultyFleet simulates balancers that share one task while some are down and messages are lost.
 type faultyFleet struct {
 	t        *rapid.T
 	names    []Holder
@@ -114,12 +114,12 @@
 	return f
 }
 
-// run lets time pass in steps. It returns how many steps up to the last one nobody did the task in, and who did it
-// in the last one.
+// run advances the time in steps. It returns the number of steps at the end in which no balancer performed the task, and
+// which balancers performed it in the last step.
 func (f *faultyFleet) run(steps int, losesMessages bool) (undone int, holders []int) {
 	for range steps {
 		f.now += 500 * time.Millisecond
-		holders = f.doTask(losesMessages)
+		holders = f.performTask(losesMessages)
 		if len(holders) > 0 {
 			undone = 0
 		} else {
@@ -129,8 +129,8 @@
 	return undone, holders
 }
 
-// doTask lets all holders do the task, and the others observe it.
-func (f *faultyFleet) doTask(losesMessages bool) (holders []int) {
+// performTask lets all holders perform the task, and the others observe it.
+func (f *faultyFleet) performTask(losesMessages bool) (holders []int) {
 	for i, m := range f.managers {
 		if f.down[i] || !m.Holds(task, f.now) {
 			continue
@@ -150,7 +150,7 @@
 	return holders
 }
 
-// toggle takes a balancer down, or brings it back as after a suspension.
+// toggle takes a balancer down, or up again as after a suspension.
 func (f *faultyFleet) toggle(i int) {
 	f.down[i] = !f.down[i] && len(f.down) < 3
 	if !f.down[i] {
@@ -167,8 +167,8 @@
 	return true
 }
 
-// Whatever is lost and whoever is down: once messages pass, the task is not left undone for longer than all
-// standbys take, and then one balancer does it.
+// After any faults: once no more messages are lost, the task is left undone no longer than until the last standby takes
+// over, and then exactly one balancer performs it.
 func TestNoTaskIsLost(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFaultyFleet(t)
@@ -181,7 +181,7 @@
 		}
 		undone, holders := f.run(2*(maxStandbys+1)*int(term/time.Second)*2, false)
 		if undone > 0 || len(holders) != 1 {
-			t.Fatalf("%d steps undone at the end, held by %v; down %v", undone, holders, f.down)
+			t.Fatalf("not performed in the last %d steps; holders %v, down %v", undone, holders, f.down)
 		}
 	})
 }
--- a/fleet/lease/ranking.go
+++ b/fleet/lease/ranking.go
@@ -8,20 +8,20 @@
 	"time"
 )
 
-// settleTime is how long a member must have been alive before it is ranked.
+// settleTime is how long a member must have been seen alive before it is ranked.
 const settleTime = 3 * time.Second
 
-// Member is a balancer that is alive, as it is seen from here.
+// Member is a balancer that this one sees alive.
 type Member struct {
 	Name   Holder
-	Weight float64       // of its share of all tasks; one that is not positive and finite counts as 1
+	Weight float64       // its share of all tasks, relative to others; one that is not positive and finite counts as 1
 	Since  time.Duration // how long it has been seen alive
 }
 
-// ownMember is the balancer itself, which is always ranked.
+// ownMember returns the balancer itself as a member, which is always ranked.
 func ownMember(own Holder) Member { return Member{Name: own, Weight: 1, Since: settleTime} }
 
-// SetMembers sets the members that are alive now; this balancer is always among them.
+// SetMembers sets the members that are alive now. This balancer itself is always added.
 func (m *Manager) SetMembers(alive []Member) {
 	members := m.rankedMembers(alive)
 	changed := !slices.EqualFunc(members, m.members, func(a, b Member) bool {
@@ -33,11 +33,11 @@
 	}
 }
 
-// rankedMembers are the members that are ranked, by name.
+// rankedMembers returns the members that are ranked, ordered by name and without duplicates.
 func (m *Manager) rankedMembers(alive []Member) (members []Member) {
 	hasOwn := false
 	for _, member := range alive {
-		if !(member.Weight > 0) || math.IsInf(member.Weight, 1) { // not a number is not above 0
+		if !(member.Weight > 0) || math.IsInf(member.Weight, 1) { // NaN is not above 0
 			member.Weight = 1
 		}
 		if member.Name == m.own {
@@ -55,7 +55,7 @@
 	return slices.CompactFunc(members, func(a, b Member) bool { return a.Name == b.Name })
 }
 
-// updateRank ranks this balancer for a task, unless it is ranked in the current view.
+// updateRank ranks this balancer for a task, unless its rank is from the current view.
 func (m *Manager) updateRank(task Task, l *lease) {
 	if l.rankedIn == m.view {
 		return
@@ -81,15 +81,15 @@
 	}
 }
 
-// score is the score of weighted rendezvous hashing: the member with the highest one is preferred for the task,
-// and when a member comes or goes only its own tasks move.
+// score returns the score of weighted rendezvous hashing. The member with the highest score is preferred for the task,
+// and when a member joins or leaves, only its own tasks move.
 func score(member Member, task Task) float64 {
 	const fractionBits = 53 // of a float64
 	uniform := (float64(hash(member.Name, task)>>(64-fractionBits)) + 0.5) / (1 << fractionBits)
 	return -member.Weight / math.Log(uniform)
 }
 
-// hash is FNV-1a with the finalizer of MurmurHash3, as FNV's high bits differ little between names with equal ends.
+// hash is FNV-1a with the finalizer of MurmurHash3, as the high bits of FNV differ little between names that end alike.
 func hash(name Holder, task Task) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte{byte(task >> 24), byte(task >> 16), byte(task >> 8), byte(task)}) // never fails
--- a/fleet/lease/ranking_test.go
+++ b/fleet/lease/ranking_test.go
@@ -9,7 +9,7 @@
 
 const manyTasks = 2000
 
-// holdersOf asks all members that see each other for all tasks, and returns each one's holder.
+// holdersOf returns the holder of each task, where all members see each other. It checks that there is only one.
 func holdersOf(t *testing.T, members []Holder) map[Task]Holder {
 	t.Helper()
 	holders := map[Task]Holder{}
@@ -28,9 +28,9 @@
 	return holders
 }
 
-// Balancers that see the same members agree on one holder of each task. They have even shares, and a member that
-// goes moves nobody else's tasks.
-func TestOneHolderAndEvenShares(t *testing.T) {
+// Balancers that see the same members agree on one holder of each task. They hold about equal shares, and when a member
+// leaves, only its own tasks move.
+func TestOneHolderAndEqualShares(t *testing.T) {
 	var names []Holder
 	for i := range 20 {
 		names = append(names, Holder(fmt.Sprintf("b%d", i)))
@@ -42,7 +42,7 @@
 	}
 	for _, name := range names {
 		if share := float64(counts[name]) * float64(len(names)) / manyTasks; share < 0.7 || share > 1.3 {
-			t.Errorf("%s holds %.2f of an even share", name, share)
+			t.Errorf("%s holds %.2f of an equal share", name, share)
 		}
 	}
 	holdersWithoutFirst := holdersOf(t, names[1:])
@@ -51,7 +51,7 @@
 	}
 	for k, name := range holders {
 		if name != names[0] && holdersWithoutFirst[k] != name {
-			t.Errorf("task %d went from %s to %s though %s left", k, name, holdersWithoutFirst[k], names[0])
+			t.Errorf("task %d moved from %s to %s when %s left", k, name, holdersWithoutFirst[k], names[0])
 		}
 	}
 }
@@ -61,9 +61,9 @@
 	for _, c := range []struct {
 		name    string
 		members []Member
-		ranked  int // this balancer too
+		ranked  int // with this balancer
 	}{
-		{"none", nil, 1},
+		{"no other member", nil, 1},
 		{"weights that are not positive and finite", []Member{
 			{Name: "b", Weight: math.Inf(1), Since: time.Minute},
 			{Name: "c", Weight: -1, Since: time.Minute},
@@ -88,7 +88,7 @@
 				t.Errorf("holds %d of %d", held, tasks)
 			}
 			if len(m.members) != c.ranked {
-				t.Errorf("ranks %v", m.members)
+				t.Errorf("ranked members: %v", m.members)
 			}
 		})
 	}
