--- a/fleet/signals/consensus.go
+++ b/fleet/signals/consensus.go
@@ -9,37 +9,38 @@
 )
 
 const (
-	faultValidity      = 5 * time.Second  // of a report of a fault: twice the validity of the evidence, for the way
+	faultValidity      = 5 * time.Second  // of a report of a fault: twice that of the evidence, to allow for the delay of publishing
 	healthyValidity    = 15 * time.Second // of a report of a healthy server
-	minReporters       = 2                // a single one may be wrong, or behind a bad link
-	maxReporters       = 5                // that publish a fault at once; more would only cost bytes
+	minReporters       = 2                // a single reporter may be wrong, or behind a bad link
+	maxReporters       = 5                // that publish a fault as urgent; more would only add traffic
 	minGatherInterval  = minPublishInterval / 5
 	consensusRetention = 4 * maxPenaltyTime // after the last confirmation, without reports
 )
 
-// consensus is what all origins together report of a server.
+// consensus sums up the reports of all origins on a server.
 type consensus struct {
-	faulty       int // origins that report a fault, this one too
-	healthy      int // origins that have connections there and report none
+	faulty       int // origins that report a fault, including this one
+	healthy      int // origins that have connections there and report no fault
 	worst        Fault
 	faultOrigins []Origin // some of those that report a fault
 	connections  int      // of all origins
 
 	penalisedUntil time.Duration
 	penaltyTime    time.Duration // doubled at each recurrence
-	confirmedAt    time.Duration // the last time
+	confirmedAt    time.Duration // when the fault was last confirmed
 	recurrences    int           // of the penalty, by a single reporter, since the fault was last confirmed
 }
 
 // isConfirmed reports whether enough origins report a fault: at least two, and no fewer than report the server as
-// healthy. So an origin that is wrong or behind a bad link changes nothing, and a fault that only some observe
-// concerns them alone.
+// healthy. So a single origin that is wrong or behind a bad link has no effect, and a fault that only a minority
+// observes leads to no penalty at the others.
 func (c *consensus) isConfirmed() bool { return c.faulty >= minReporters && c.faulty >= c.healthy }
 
-// isPenalised reports whether a penalty of the server runs. What this balancer itself observes may overrule it.
+// isPenalised reports whether a penalty of the server is in force. What this balancer itself observes may override it.
 func (c *consensus) isPenalised(now time.Duration) bool { return now < c.penalisedUntil }
 
-// mayContinue reports whether a penalty that was confirmed before may continue, or begin again, by a single report.
+// mayContinue reports whether a single report is enough to continue a penalty that was confirmed before, or to begin it
+// again.
 func (c *consensus) mayContinue(now time.Duration) bool {
 	if c.faulty == 0 || c.healthy > 0 {
 		return false
@@ -47,13 +48,13 @@
 	return c.isPenalised(now) || c.recurrences < maxRecurrences
 }
 
-// isUnused reports whether nothing has been reported of a server for long.
+// isUnused reports whether there have been no reports on a server for consensusRetention.
 func (c *consensus) isUnused(now time.Duration) bool {
 	return c.faulty+c.healthy == 0 && c.connections == 0 && now-c.confirmedAt > consensusRetention
 }
 
-// gather brings the reports of all origins together. It does so only now and then, so that decisions need not pay
-// for it.
+// gather updates the consensus on all servers and the penalties from the reports of all origins. Calls soon after the
+// last update do nothing, so that decisions stay cheap.
 func (e *Exchange) gather() {
 	sinceLast := e.now - e.gatheredAt
 	if sinceLast < minGatherInterval || !e.changed && sinceLast < minPublishInterval {
@@ -65,7 +66,7 @@
 	e.updatePenalties()
 }
 
-// countReports counts the reports of all origins again from the start.
+// countReports recounts the reports of all origins.
 func (e *Exchange) countReports() {
 	for _, c := range e.servers {
 		c.faulty = 0
@@ -76,21 +77,21 @@
 	}
 	for id, observed := range e.observations {
 		fault, age := observed.fault(e.now)
-		e.count(e.own.Origin, Report{Server: id, Fault: fault, Connections: observed.connections}, age)
+		e.countReport(e.own.Origin, Report{Server: id, Fault: fault, Connections: observed.connections}, age)
 	}
-	for _, origin := range slices.Sorted(maps.Keys(e.store.records)) { // consensus.faultOrigins has this order
+	for _, origin := range slices.Sorted(maps.Keys(e.store.records)) { // consensus.faultOrigins is in this order
 		if e.reporters != nil && !e.reporters[origin] {
 			continue
 		}
 		stored := e.store.records[origin]
 		for _, report := range stored.Reports {
-			e.count(origin, report, report.Age+e.now-stored.at)
+			e.countReport(origin, report, report.Age+e.now-stored.at)
 		}
 	}
 }
 
-// count counts one origin's report of a server. Each origin counts once, however many connections it claims to have.
-func (e *Exchange) count(origin Origin, report Report, age time.Duration) {
+// countReport counts one origin's report on a server. Each origin counts once, however many connections it claims.
+func (e *Exchange) countReport(origin Origin, report Report, age time.Duration) {
 	c := e.servers[report.Server]
 	if c == nil {
 		c = &consensus{confirmedAt: never, penalisedUntil: never}
@@ -111,7 +112,7 @@
 	}
 }
 
-// status is a server that is reported as faulty or penalised, as operators see it.
+// status is what operators are shown of a server that is reported as faulty or penalised.
 type status struct {
 	Server      decide.ServerID `json:"id"`
 	Fault       string          `json:"what"`
@@ -122,7 +123,7 @@
 	Origins     []Origin        `json:"origins"`
 }
 
-// State is what operators are shown: the servers that are reported as faulty or penalised, and how many origins
+// State returns what operators are shown: the servers that are reported as faulty or penalised, and how many origins
 // are known.
 func (e *Exchange) State() any {
 	e.gather()
--- a/fleet/signals/exchange.go
+++ b/fleet/signals/exchange.go
@@ -7,15 +7,15 @@
 	"yardwinch/decide"
 )
 
-// never is before any other time.
+// never is earlier than any time that occurs: the time of what has not happened.
 const never = -time.Hour
 
-// Exchange is one balancer's part in the exchange of signals: it observes servers, publishes what it observes,
-// merges what others publish and penalises servers that enough of them report as faulty. It is a
+// Exchange is one balancer's part in the exchange of signals: it observes servers, publishes its observations, merges
+// the records of other balancers and penalises servers that enough of them report as faulty. It implements
 // constraints.Constraint. Its methods must not be called concurrently.
 type Exchange struct {
 	constraints.Unconstrained
-	enabled          bool // false: it publishes and merges, and penalises no server
+	enabled          bool // false: it publishes and merges records, but penalises no server
 	latencyThreshold time.Duration
 	setupLimit       time.Duration
 	now              time.Duration
@@ -24,22 +24,22 @@
 	observations map[decide.ServerID]*observation
 
 	store      *Store
-	reporters  map[Origin]bool // whose reports count; nil: all
+	reporters  map[Origin]bool // origins whose reports count; nil: all
 	servers    map[decide.ServerID]*consensus
-	changed    bool // since reports were gathered
+	changed    bool // there are new reports or observations since gatheredAt
 	gatheredAt time.Duration
-	// So many servers are penalised that avoiding them would overload the rest: none is avoided.
+	// So many servers are penalised that avoiding them would overload the rest. No penalty is applied then.
 	isFaultWidespread bool
 
 	own         Record   // as last published
 	published   []Report // in own
 	publishedAt time.Duration
 	newFlows    int // since the last record
-	fleetSize   int // members, this one too
-	selections  int // of records for full states, so that each begins at another origin
+	fleetSize   int // members, including this one
+	selections  int // number of selections for full states, so that each begins at another origin
 
 	loads      map[decide.ServerID]ownLoad
-	isRelaying bool // the load reports that come now are another balancer's
+	isRelaying bool // load reports are those of another balancer at the moment
 	// nil: loads are not shared.
 	onLoadReport func(_ decide.ServerID, now time.Duration) (epoch uint64)
 }
@@ -49,13 +49,13 @@
 	Origin           Origin
 	Incarnation      Incarnation
 	Build            string
-	Settings         string        // a digest of the settings that should be the same at all balancers
+	Settings         string        // digest of the settings that should be the same at all balancers
 	LatencyThreshold time.Duration // a message that takes longer is late
 	SetupLimit       time.Duration // a set-up that takes longer is late
-	Enabled          bool          // false: the exchange publishes and merges, and penalises no server
+	Enabled          bool          // false: the exchange publishes and merges records, but penalises no server
 }
 
-// New makes the exchange of one balancer.
+// New returns the exchange of one balancer.
 func New(config Config) *Exchange {
 	return &Exchange{
 		enabled:          config.Enabled,
@@ -77,13 +77,13 @@
 	}
 }
 
-// Name is the name under which this constraint is explained and counted.
+// Name returns the name under which interventions are explained and counted.
 func (e *Exchange) Name() string { return "signals" }
 
 // SetTime sets the time of the calls that follow.
 func (e *Exchange) SetTime(now time.Duration) { e.now = now }
 
-// OnEndpoint takes up a change of the endpoint list.
+// OnEndpoint handles one entry of an update of the endpoint list.
 func (e *Exchange) OnEndpoint(endpoint decide.Endpoint) {
 	id := endpoint.ID
 	if endpoint.Readiness == decide.Ready {
@@ -101,9 +101,9 @@
 	}
 }
 
-// Merge takes up a record that another balancer published, and reports whether it is news that is worth passing on.
-// A record under this balancer's own name, from before a restart or from a member of the same name, makes it
-// publish as a later incarnation.
+// Merge merges a record that another balancer published, and reports whether it is new, and so to be forwarded. A later
+// record under this balancer's own name, from before a restart or from another member of that name, makes it publish
+// as an even later incarnation.
 func (e *Exchange) Merge(record Record) (isNew bool) {
 	if record.Origin == e.own.Origin {
 		if isLater(record, e.own) {
@@ -117,9 +117,8 @@
 	return isNew
 }
 
-// SetReporters names the origins whose reports count from now on: members that are seen alive. So a stranger that
-// sends records under any name has no say, and neither has a member that is gone. Before the first call all
-// reports count.
+// SetReporters sets the origins whose reports count from now on: the members that are seen alive. So records under the
+// names of unknown or departed members have no effect. Before the first call all reports count.
 func (e *Exchange) SetReporters(alive []Origin) {
 	e.reporters = map[Origin]bool{}
 	for _, origin := range alive {
@@ -127,14 +126,14 @@
 	}
 }
 
-// OnSuspended handles that this process was suspended. Its observations age meanwhile, so only the reports have to
-// be gathered again.
+// OnSuspended handles a suspension of this process. Its observations have aged meanwhile, so only the consensus has to
+// be updated.
 func (e *Exchange) OnSuspended() { e.changed = true }
 
-// Records returns what each origin last published, and how long ago it came.
+// Records returns the latest record of each other origin, and how long ago each was received.
 func (e *Exchange) Records() ([]Record, []time.Duration) { return e.store.All(e.now) }
 
-// OwnRecord is what this balancer last published.
+// OwnRecord returns the record that this balancer last published.
 func (e *Exchange) OwnRecord() Record { return e.own }
 
 var _ constraints.Constraint = (*Exchange)(nil)
--- a/fleet/signals/exchange_test.go
+++ b/fleet/signals/exchange_test.go
@@ -9,11 +9,11 @@
 
 const server = decide.ServerID(7)
 
-// start is the time at which an exchange of a test starts, and later the time of the first reports.
+// start is the time at which the exchange of a test starts, and of the first reports.
 const start = 100 * time.Second
 
-// gathered is a time after which reports that came before are taken into account.
-const gathered = 300 * time.Millisecond
+// gatherDelay is a time after which new reports are taken into account.
+const gatherDelay = 300 * time.Millisecond
 
 func newExchange(origin Origin) *Exchange {
 	exchange := New(Config{
@@ -29,7 +29,7 @@
 	return exchange
 }
 
-// reportOf is a record that reports on the server.
+// reportOf returns a record with one report, on the server.
 func reportOf(origin Origin, sequence Sequence, fault Fault, connections int) Record {
 	report := Report{Server: server, Fault: fault, Connections: connections}
 	return Record{Origin: origin, Incarnation: 1, Sequence: sequence, Reports: []Report{report}}
@@ -48,8 +48,9 @@
 	return cost > 0
 }
 
-// A restart whose clock went back, or that has no memory, still publishes as the later one.
-func TestOwnRecordFromBefore(t *testing.T) {
+// A balancer that restarts without its state, or with a clock that went back, publishes as a later incarnation than
+// before.
+func TestOwnRecordOfEarlierIncarnation(t *testing.T) {
 	exchange := newExchange("me")
 	exchange.Merge(reportOf("me", 9, Late, 1))
 	record, isDue := exchange.Publish(3)
@@ -58,18 +59,18 @@
 	}
 }
 
-// Reports of origins that are not members do not count, under however many names they come.
+// Reports of origins that are not members do not count, however many names they use.
 func TestOnlyMembersReportsCount(t *testing.T) {
 	exchange := newExchange("me")
 	exchange.SetReporters([]Origin{"me", "a"})
 	for _, origin := range []Origin{"a", "a-2", "a-3", "gone"} {
 		exchange.Merge(reportOf(origin, 1, Silent, 5))
 	}
-	if exchange.penalises(start + gathered) {
-		t.Error("one member and three strangers had the server penalised")
+	if exchange.penalises(start + gatherDelay) {
+		t.Error("the server is penalised by the reports of one member and three unknown origins")
 	}
 	exchange.SetReporters([]Origin{"me", "a", "gone"})
-	if !exchange.penalises(start + 2*gathered) {
-		t.Error("two members did not have the server penalised")
+	if !exchange.penalises(start + 2*gatherDelay) {
+		t.Error("the server is not penalised by the reports of two members")
 	}
 }
--- a/fleet/signals/full_state.go
+++ b/fleet/signals/full_state.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-const maxFullState = 100 // records that another member is sent, its sender's own not counted
+const maxFullState = 100 // records of other origins that a full state holds
 
-// FullState is what another member that asks for the full state is sent: this balancer's own record and others',
-// with the ages of now. In a large fleet it is a selection, so that it costs the same in any fleet.
+// FullState returns what is sent to a member that asks for the full state: the records of other origins and of this
+// balancer, with their present ages. In a large fleet it is a selection of them, which limits its size.
 func (e *Exchange) FullState() []Record {
 	records, ages := e.store.All(e.now)
 	if len(records) > maxFullState {
@@ -21,8 +21,8 @@
 	return records
 }
 
-// selection is the records of a full state in a large fleet: up to a half of them with faults, and others without,
-// beginning at another origin each time.
+// selection returns the records of a full state in a large fleet: up to half of them are records with faults, and the
+// rest records without, beginning at another origin each time.
 func (e *Exchange) selection(all []Record, allAges []time.Duration) (records []Record, ages []time.Duration) {
 	e.selections++
 	first := e.selections * maxFullState / 2 % len(all)
--- a/fleet/signals/loads.go
+++ b/fleet/signals/loads.go
@@ -8,23 +8,23 @@
 	"yardwinch/decide"
 )
 
-const loadValidity = 6 * time.Second // of a load report: it has been published three times by then
+const loadValidity = 6 * time.Second // of a load report, after which it has been published three times
 
-// ownLoad is a server's load report that this balancer received itself.
+// ownLoad is a load report that this balancer received from the server itself.
 type ownLoad struct {
 	load  float64
 	epoch uint64
 	at    time.Duration
 }
 
-// ShareLoads has the load reports that this balancer receives itself published to the others. onLoadReport is
-// called for each of them, and returns the epoch of the lease on the server's health checks.
+// ShareLoads makes the exchange publish the load reports that this balancer receives from servers itself. onLoadReport
+// is called for each of them, and returns the epoch of the lease on the server's health checks.
 func (e *Exchange) ShareLoads(onLoadReport func(_ decide.ServerID, now time.Duration) (epoch uint64)) {
 	e.onLoadReport = onLoadReport
 }
 
-// OnLoadReport takes up a server's report of its load. One that another balancer published is not published again
-// as this balancer's own.
+// OnLoadReport handles a server's report of its load. One that another balancer published is not published again as
+// this balancer's own.
 func (e *Exchange) OnLoadReport(id decide.ServerID, load float64) {
 	if e.onLoadReport == nil || e.isRelaying {
 		return
@@ -33,14 +33,14 @@
 	e.loads[id] = ownLoad{load: load, epoch: epoch, at: e.now}
 }
 
-// Relay runs a function whose load reports come from another balancer.
+// Relay runs a function that passes on load reports of another balancer.
 func (e *Exchange) Relay(do func()) {
 	e.isRelaying = true
 	defer func() { e.isRelaying = false }()
 	do()
 }
 
-// loadReports are those to publish now.
+// loadReports returns the load reports to publish now.
 func (e *Exchange) loadReports() (reports []LoadReport) {
 	for _, id := range slices.Sorted(maps.Keys(e.loads)) {
 		own := e.loads[id]
--- a/fleet/signals/observations.go
+++ b/fleet/signals/observations.go
@@ -8,29 +8,29 @@
 
 const (
 	evidenceValidity = 2500 * time.Millisecond // of late messages, whose samples come every second
-	failureValidity  = 2 * evidenceValidity    // of failed set-ups and broken connections, which come less often
-	maxSamples       = 4                       // of set-ups, by server
+	failureValidity  = 2 * evidenceValidity    // of failed set-ups and broken connections, which are less frequent
+	maxSamples       = 4                       // kept for each server
 	minFailures      = 2                       // a single failure may be chance
-	minUnanswered    = 2                       // attempts in a row
+	minUnanswered    = 2                       // attempts in a row without an answer, from which a server is silent
 )
 
 // observation is what this balancer itself observes of a server.
 type observation struct {
-	samples      []sample // of set-ups, newest last
+	samples      []sample // newest last
 	lateAt       time.Duration
 	healthyAt    time.Duration
 	connections  int
-	unanswered   int // attempts in a row
+	unanswered   int // number of attempts in a row without an answer
 	unansweredAt time.Duration
 }
 
-// sample is how a set-up or a connection ended.
+// sample is the outcome of a set-up, or a broken connection.
 type sample struct {
 	at     time.Duration
 	failed bool
 }
 
-// observation is that of a server, a new one where there was none.
+// observation returns the observation of a server. It adds one if there is none.
 func (e *Exchange) observation(id decide.ServerID) *observation {
 	observed := e.observations[id]
 	if observed == nil {
@@ -45,8 +45,8 @@
 	e.newFlows++
 }
 
-// OnEstablished observes the set-up of a connection and how long it took. A negative time is that of a connection
-// which was established before this process started (constraints.AdoptedFlow): its set-up was not observed.
+// OnEstablished handles a connection that was established, and how long its set-up took. The time is negative if it was
+// established before this process started (constraints.AdoptedFlow): its set-up was not observed.
 func (e *Exchange) OnEstablished(_ decide.FlowID, server decide.ServerID, took time.Duration) {
 	observed := e.observation(server)
 	observed.connections++
@@ -54,7 +54,7 @@
 		return
 	}
 	observed.unanswered = 0
-	observed.add(e.now, false)
+	observed.addSample(e.now, false)
 	if took > e.setupLimit {
 		observed.lateAt = e.now
 	} else {
@@ -63,33 +63,33 @@
 	e.changed = true
 }
 
-// add adds a sample to the newest ones.
-func (o *observation) add(now time.Duration, failed bool) {
+// addSample adds a sample, and drops the oldest one beyond maxSamples.
+func (o *observation) addSample(now time.Duration, failed bool) {
 	o.samples = append(o.samples, sample{at: now, failed: failed})
 	o.samples = o.samples[max(0, len(o.samples)-maxSamples):]
 }
 
-// OnEnded observes the end of a connection, or of an attempt to set one up.
+// OnEnded handles the end of an attempt, or of a connection that was established.
 func (e *Exchange) OnEnded(_ decide.FlowID, server decide.ServerID, outcome decide.Outcome, wasEstablished bool) {
 	observed := e.observation(server)
 	switch {
 	case wasEstablished:
 		observed.connections = max(0, observed.connections-1)
 		if outcome == decide.Reset {
-			observed.add(e.now, true)
+			observed.addSample(e.now, true)
 		}
 	case outcome == decide.Unreachable || outcome == decide.TimedOut:
 		observed.unanswered++
 		observed.unansweredAt = e.now
-		observed.add(e.now, true)
+		observed.addSample(e.now, true)
 	case outcome == decide.Error || outcome == decide.Reset:
-		observed.add(e.now, true)
+		observed.addSample(e.now, true)
 	}
 	e.changed = true
 }
 
-// OnLatencySample observes how long a message took. Samples come while messages are late, and once when they no
-// longer are.
+// OnLatencySample handles how long a message took. Samples arrive while messages are late, and once when they no longer
+// are.
 func (e *Exchange) OnLatencySample(server decide.ServerID, latency time.Duration) {
 	observed := e.observation(server)
 	if latency > e.latencyThreshold {
@@ -101,7 +101,7 @@
 	e.changed = true
 }
 
-// fault is what this balancer observes of a server now, and the age of the evidence.
+// fault returns the fault that this balancer observes at a server now, and the age of the evidence.
 func (o *observation) fault(now time.Duration) (Fault, time.Duration) {
 	failures, lastFailureAt := o.failures(now)
 	switch {
@@ -115,7 +115,7 @@
 	return Healthy, now - o.healthyAt
 }
 
-// failures counts the samples that failed recently, and returns when the last one did.
+// failures returns how many samples failed recently, and when the last one did.
 func (o *observation) failures(now time.Duration) (count int, lastAt time.Duration) {
 	lastAt = never
 	for _, s := range o.samples {
@@ -127,8 +127,8 @@
 	return count, lastAt
 }
 
-// observesHealthy reports whether this balancer itself sees no fault of a server, by connections there or by a
-// set-up a moment ago.
+// observesHealthy reports whether this balancer itself observes no fault of a server, by its connections there or by a
+// set-up within ownHealthyValidity.
 func (e *Exchange) observesHealthy(id decide.ServerID) bool {
 	observed := e.observations[id]
 	if observed == nil {
--- a/fleet/signals/penalty.go
+++ b/fleet/signals/penalty.go
@@ -11,19 +11,20 @@
 )
 
 const (
-	penaltyCost        = 4.0                // in units of the placement cost: above grouping and a usual load together
-	ownHealthyValidity = time.Second        // what this balancer observed so recently is never overruled
+	penaltyCost        = 4.0                // in units of placement cost: above what grouping and a usual load add together
+	ownHealthyValidity = time.Second        // an own healthy observation of this age overrides the reports
 	initialPenaltyTime = 5 * time.Second    // after the last report of a fault
-	maxPenaltyTime     = 36 * time.Second   // to which the time doubles with each recurrence
-	recurrenceTime     = 2 * maxPenaltyTime // after a fault was confirmed, within which it recurs; later it is a new one
-	maxRecurrences     = 3                  // that a single reporter may cause, after which the fault must be confirmed
-	// Between the ends of two balancers' penalties: a later one learns what the earlier one meets.
+	maxPenaltyTime     = 36 * time.Second   // up to which the time doubles with each recurrence
+	recurrenceTime     = 2 * maxPenaltyTime // after a fault was confirmed, within which it counts as recurring; later it is a new one
+	maxRecurrences     = 3                  // that a single reporter may cause, before the fault has to be confirmed again
+	// Mean time between the ends of two balancers' penalties, within which the later one learns what the earlier one
+	// observes.
 	releaseInterval   = time.Second
-	minReleaseFleet   = 3  // the ends are spread as in a fleet of at least this size
-	serversPerPenalty = 10 // where more than one in so many servers is penalised, none is avoided
+	minReleaseFleet   = 3  // the ends are staggered as in a fleet of at least this size
+	serversPerPenalty = 10 // if more than one in this many servers is penalised, none is avoided
 )
 
-// updatePenalties begins, renews and ends penalties by what is reported now.
+// updatePenalties begins, prolongs and ends penalties according to the present reports.
 func (e *Exchange) updatePenalties() {
 	penalised := 0
 	for id, c := range e.servers {
@@ -35,12 +36,12 @@
 			delete(e.servers, id)
 		}
 	}
-	// A fault of many servers is not about single ones: avoiding them all would push their load onto the rest and
-	// overload it.
+	// A fault of many servers is not one of individual servers: avoiding them all would move their load onto the rest
+	// and overload it.
 	e.isFaultWidespread = penalised > max(1, len(e.ready)/serversPerPenalty)
 }
 
-// updatePenalty begins, renews or ends the penalty of one server.
+// updatePenalty begins, prolongs or ends the penalty of one server.
 func (e *Exchange) updatePenalty(id decide.ServerID, c *consensus) {
 	confirmedRecently := e.now < c.confirmedAt+recurrenceTime
 	switch {
@@ -52,7 +53,7 @@
 	}
 }
 
-// penalise begins a penalty or prolongs it. One that ended and begins again lasts longer, where its fault was confirmed
+// penalise begins or prolongs a penalty. One that ended and begins again lasts longer if its fault was confirmed
 // recently.
 func (e *Exchange) penalise(id decide.ServerID, c *consensus, confirmedRecently bool) {
 	switch {
@@ -69,14 +70,14 @@
 	c.penalisedUntil = e.now + c.penaltyTime + e.releaseDelay(id)
 }
 
-// releaseDelay spreads the ends of all balancers' penalties, so that the first one finds out for all whether the
+// releaseDelay staggers the ends of all balancers' penalties, so that the first balancer finds out for all whether the
 // server has recovered.
 func (e *Exchange) releaseDelay(id decide.ServerID) time.Duration {
 	fleet := float64(max(e.fleetSize, minReleaseFleet))
 	return time.Duration(releaseShare(e.own.Origin, id) * fleet * float64(releaseInterval))
 }
 
-// releaseShare is a number from 0 to 1 that is constant for a balancer and a server.
+// releaseShare returns a number from 0 to 1 that is constant for a balancer and a server.
 func releaseShare(origin Origin, id decide.ServerID) float64 {
 	hash := fnv.New32a()
 	key := append([]byte(origin), byte(id>>24), byte(id>>16), byte(id>>8), byte(id))
@@ -84,7 +85,7 @@
 	return float64(hash.Sum32()) / math.MaxUint32
 }
 
-// ServerCost penalises a server that enough origins report as faulty, unless this balancer itself observes it as
+// ServerCost adds a cost to a server that enough origins report as faulty, unless this balancer itself observes it as
 // healthy.
 func (e *Exchange) ServerCost(_ decide.FlowID, id decide.ServerID) (float64, constraints.Reason) {
 	if !e.enabled {
@@ -98,11 +99,11 @@
 	return penaltyCost, ""
 }
 
-// ExplainCost names the fault for which a server is penalised, with origins that report it; empty where it is not
+// ExplainCost returns the fault for which a server is penalised, and origins that report it; empty if it is not
 // penalised.
 func (e *Exchange) ExplainCost(id decide.ServerID) string {
 	if c := e.servers[id]; c != nil && c.isPenalised(e.now) {
-		return fmt.Sprintf("%s, say %v", c.worst, c.faultOrigins)
+		return fmt.Sprintf("%s, reported by %v", c.worst, c.faultOrigins)
 	}
 	return ""
 }
--- a/fleet/signals/penalty_test.go
+++ b/fleet/signals/penalty_test.go
@@ -7,7 +7,7 @@
 	"yardwinch/decide"
 )
 
-// Which reports have a server penalised, and which do not.
+// Which reports lead to a penalty of a server, and which do not.
 func TestWhoseReportsCount(t *testing.T) {
 	late := func(origins ...Origin) (records []Record) {
 		for _, origin := range origins {
@@ -36,20 +36,20 @@
 		observe   func(*Exchange)
 		penalised bool
 	}{
-		{"a single one may be wrong or behind a bad link", late("a"), observeNothing, false},
-		{"two", append(late("a"), reportOf("b", 1, Failing, 0)), observeNothing, true},
-		{"two, and as many of a healthy server", lateAndHealthy(late("a", "b"), "c", "d"), observeNothing, true},
-		{"two, and more of a healthy server", moreHealthy, observeNothing, false},
-		{"one that claims many connections", lateAndHealthy([]Record{manyConnections}, "c", "d"), observeNothing, false},
-		{"one, and an own observation", late("a"), observeLate, true},
-		{"two, and healthy own connections", late("a", "b"), establish, false},
-		{"one, and one under the own name", append([]Record{ownName}, late("b")...), observeNothing, false},
+		{"one report, which may be wrong or from behind a bad link", late("a"), observeNothing, false},
+		{"two reports", append(late("a"), reportOf("b", 1, Failing, 0)), observeNothing, true},
+		{"two reports, and as many of a healthy server", lateAndHealthy(late("a", "b"), "c", "d"), observeNothing, true},
+		{"two reports, and more of a healthy server", moreHealthy, observeNothing, false},
+		{"one report that claims many connections", lateAndHealthy([]Record{manyConnections}, "c", "d"), observeNothing, false},
+		{"one report, and an own observation", late("a"), observeLate, true},
+		{"two reports, and a healthy own connection", late("a", "b"), establish, false},
+		{"one report, and one under the own name", append([]Record{ownName}, late("b")...), observeNothing, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			exchange := newExchange("me")
 			c.observe(exchange)
 			exchange.mergeAll(c.records...)
-			exchange.SetTime(start + gathered)
+			exchange.SetTime(start + gatherDelay)
 			cost, reason := exchange.ServerCost("g", server)
 			if (cost > 0) != c.penalised || reason != "" {
 				t.Errorf("cost %g, reason %q, want it penalised: %v", cost, reason, c.penalised)
@@ -59,14 +59,14 @@
 			}
 			exchange.enabled = false
 			if cost, _ := exchange.ServerCost("g", server); cost != 0 {
-				t.Error("it penalises though it is not enabled")
+				t.Error("the server is penalised though the exchange is not enabled")
 			}
 		})
 	}
 }
 
-// A penalty ends some time after the last report, lasts longer when the fault recurs, and ends at once when two
-// origins that have connections report the server as healthy.
+// A penalty ends some time after the last report of a fault, lasts longer when the fault recurs, and ends at once when
+// two origins with connections report the server as healthy.
 func TestPenaltyTime(t *testing.T) {
 	const step = 50 * time.Millisecond
 	exchange := newExchange("me")
@@ -74,7 +74,7 @@
 		exchange.SetTime(from)
 		exchange.mergeAll(reportOf("a", sequence, Late, 1), reportOf("b", sequence, Late, 1))
 		now := from
-		for exchange.penalises(now + gathered) {
+		for exchange.penalises(now + gatherDelay) {
 			now += step
 		}
 		return now - from
@@ -87,21 +87,22 @@
 	}
 	second := penaltyFrom(start+first+time.Second, 2)
 	if second < first+initialPenaltyTime/2 {
-		t.Errorf("penalised for %v, then again for %v: want longer", first, second)
+		t.Errorf("penalised for %v, then again for %v, want longer", first, second)
 	}
 	const third = 500 * time.Second
 	exchange.SetTime(third)
 	exchange.mergeAll(reportOf("a", 3, Late, 1), reportOf("b", 3, Late, 1))
-	if !exchange.penalises(third + gathered) {
+	if !exchange.penalises(third + gatherDelay) {
 		t.Fatal("not penalised again")
 	}
 	exchange.mergeAll(reportOf("a", 4, Healthy, 1), reportOf("b", 4, Healthy, 1))
-	if exchange.penalises(third + 2*gathered) {
+	if exchange.penalises(third + 2*gatherDelay) {
 		t.Error("penalised though two origins with connections report it as healthy")
 	}
 }
 
-// A fault of more than a tenth of the servers, and of more than one, is not about single servers: none is penalised.
+// If more than one server and more than a tenth of the servers are faulty, none is penalised: avoiding them all would
+// overload the rest.
 func TestWidespreadFaultPenalisesNone(t *testing.T) {
 	for _, c := range []struct {
 		servers, faulty int
@@ -118,7 +119,7 @@
 			}
 			exchange.Merge(record)
 		}
-		exchange.SetTime(start + gathered)
+		exchange.SetTime(start + gatherDelay)
 		if cost, _ := exchange.ServerCost("f", 0); (cost > 0) != c.penalised {
 			t.Errorf("%d of %d faulty: cost %g, want it penalised: %v", c.faulty, c.servers, cost, c.penalised)
 		}
--- a/fleet/signals/publish.go
+++ b/fleet/signals/publish.go
@@ -11,14 +11,14 @@
 
 const (
 	minPublishInterval = 250 * time.Millisecond // between two records of one origin
-	steadyInterval     = 2 * time.Second        // the same while no fault begins or ends, in a small fleet
-	smallFleet         = 40                     // members; in a larger fleet the interval grows, so that the traffic stays the same
-	republishInterval  = faultValidity / 2      // a fault is published again before its report expires
-	minElapsed         = 0.001                  // seconds, to divide by
+	steadyInterval     = 2 * time.Second        // the same in a small fleet while no fault begins or ends
+	smallFleet         = 40                     // members; the interval grows in a larger fleet, so that the traffic stays the same
+	republishInterval  = faultValidity / 2      // of a fault, before its report expires
+	minElapsed         = 0.001                  // seconds, as a divisor
 )
 
 // Publish returns the record to publish now, if one is due in a fleet of the given size: soon after a fault begins
-// or ends, else at an interval that grows with the fleet. A fault that enough others report already is not urgent.
+// or ends, else at an interval that grows with the fleet. A fault that enough other origins report is not urgent.
 func (e *Exchange) Publish(fleetSize int) (record Record, isDue bool) {
 	e.fleetSize = fleetSize
 	elapsed := e.now - e.publishedAt
@@ -42,12 +42,12 @@
 	return e.own, true
 }
 
-// steadyIntervalOf is the interval between records in a fleet of the given size while no fault begins or ends.
+// steadyIntervalOf returns the interval between records in a fleet of the given size while no fault begins or ends.
 func steadyIntervalOf(fleetSize int) time.Duration {
 	return time.Duration(float64(steadyInterval) * math.Max(1, float64(fleetSize)/smallFleet))
 }
 
-// reports are those to publish, faulty servers first; urgent where one of them is worth publishing at once.
+// reports returns the reports to publish, those of faulty servers first, and whether one of them is urgent.
 func (e *Exchange) reports() (list []Report, urgent bool) {
 	before := map[decide.ServerID]Report{}
 	for _, report := range e.published {
@@ -62,7 +62,7 @@
 			list = append(list, report)
 			urgent = urgent || e.isUrgent(id, wasFaulty)
 		case observed.connections > 0:
-			report.Age = 0 // the connections are evidence of now
+			report.Age = 0 // open connections are current evidence
 			list = append(list, report)
 			urgent = urgent || wasFaulty
 		case wasFaulty && age < evidenceValidity:
@@ -73,7 +73,7 @@
 	return list[:min(len(list), MaxReports)], urgent
 }
 
-// compareReports orders reports by what others need most: the worst faults, then the most connections.
+// compareReports orders reports by their use to other balancers: the worst faults first, then the most connections.
 func compareReports(a, b Report) int {
 	return cmp.Or(
 		cmp.Compare(b.Fault, a.Fault),
@@ -82,8 +82,8 @@
 	)
 }
 
-// isUrgent reports whether a fault of a server is worth publishing at once: only by some of those who observe it,
-// and only where it is new or what was published of it expires soon.
+// isUrgent reports whether a fault of a server is to be published at once: if fewer than maxReporters others report it,
+// and it is new or its last report expires soon.
 func (e *Exchange) isUrgent(id decide.ServerID, wasPublished bool) bool {
 	others := 0
 	if c := e.servers[id]; c != nil {
--- a/fleet/signals/publish_test.go
+++ b/fleet/signals/publish_test.go
@@ -7,7 +7,7 @@
 	"yardwinch/decide"
 )
 
-// A balancer publishes what it observes itself, at once and then at intervals.
+// A balancer publishes its own observations at once, and then at intervals.
 func TestPublishOwnObservations(t *testing.T) {
 	const onTime = 20 * time.Millisecond
 	fail := func(outcome decide.Outcome) func(*Exchange) {
@@ -29,12 +29,12 @@
 		want     Fault
 		reported bool
 	}{
-		{"nothing", nil, Healthy, false},
+		{"no observation", nil, Healthy, false},
 		{"a connection", events{establish(onTime)}, Healthy, true},
 		{"a connection that was set up late", events{establish(time.Second)}, Late, true},
 		{"a late message", events{establish(onTime), message(time.Second)}, Late, true},
 		{"a late message, then one on time", events{establish(onTime), message(time.Second), message(time.Millisecond)}, Healthy, true},
-		{"a single failure may be chance", events{fail(decide.Error)}, Healthy, false},
+		{"a single failure, which may be chance", events{fail(decide.Error)}, Healthy, false},
 		{"two failures", events{fail(decide.Error), fail(decide.Reset)}, Failing, true},
 		{"a full server is not faulty", events{fail(decide.Full), fail(decide.Full)}, Healthy, false},
 		{"two attempts without an answer", events{fail(decide.TimedOut), fail(decide.Unreachable)}, Silent, true},
@@ -44,7 +44,7 @@
 			for _, event := range c.events {
 				event(exchange)
 			}
-			exchange.SetTime(start + gathered)
+			exchange.SetTime(start + gatherDelay)
 			record, isDue := exchange.Publish(3)
 			if !isDue || (len(record.Reports) == 1) != c.reported || c.reported && record.Reports[0].Fault != c.want {
 				t.Errorf("published %v %+v, want %v", isDue, record.Reports, c.want)
@@ -52,11 +52,11 @@
 			// Without a change the next record is due after an interval that grows with the fleet.
 			exchange.SetTime(start + 600*time.Millisecond)
 			if _, isDue := exchange.Publish(3); isDue {
-				t.Error("published again at once")
+				t.Error("published again too early")
 			}
 			exchange.SetTime(start + 3*time.Second)
 			if _, isDue := exchange.Publish(3); !isDue {
-				t.Error("not published again")
+				t.Error("not published again after the interval")
 			}
 			exchange.SetTime(start + 6*time.Second)
 			if _, isDue := exchange.Publish(300); isDue {
--- a/fleet/signals/record.go
+++ b/fleet/signals/record.go
@@ -1,7 +1,8 @@
-// Package signals is what balancers publish to each other about servers, and what one balancer decides by it. It
-// does no I/O and has no clock: time comes with the calls. Each origin publishes its whole state, never events, so
-// that the next record makes up for a lost one. Of two records of an origin the later one counts, by incarnation,
-// then by sequence: merging is a join-semilattice, in which order, repeats and loss do not matter.
+// Package signals exchanges what balancers observe of servers, and penalises servers that enough of them report as
+// faulty. It does no I/O and has no clock: the time is passed in. Each origin publishes its full state rather than
+// events, so that the next record makes up for a lost one. Of two records of an origin the later one is kept, by
+// incarnation and then by sequence. So the merge is the join of a semilattice: the order, duplication and loss of
+// records do not matter.
 package signals
 
 import (
@@ -15,16 +16,16 @@
 type (
 	// Origin is the name of a balancer that publishes.
 	Origin string
-	// Incarnation tells the starts of an origin apart; only its order counts, as clocks may be wrong.
+	// Incarnation distinguishes the starts of an origin. Only its order matters, as clocks may be wrong.
 	Incarnation uint64
 	// Sequence orders the records of one incarnation.
 	Sequence uint64
 )
 
-// Fault is what an origin observes of a server; a higher one is worse.
+// Fault is the fault that an origin observes at a server; a higher one is worse.
 type Fault int
 
-// Faults of a server, by their numbers in messages.
+// Faults of a server. Messages hold their numbers.
 const (
 	// Healthy: connections are established and nothing is wrong.
 	Healthy Fault = iota
@@ -32,11 +33,11 @@
 	Late
 	// Failing: set-ups fail, or connections break.
 	Failing
-	// Silent: nothing is answered.
+	// Silent: no attempt is answered.
 	Silent
 )
 
-// String is the fault as the operators' calls show it.
+// String returns the fault as the control interface shows it.
 func (f Fault) String() string { return [...]string{"well", "late", "failing", "silent"}[f] }
 
 // Report is what an origin reports of one server.
@@ -47,7 +48,7 @@
 	Age         time.Duration // of the newest evidence, when the record was published
 }
 
-// LoadReport is the load that a server reported to an origin which checks its health for all.
+// LoadReport is the load that a server reported to the origin that checks its health for all balancers.
 type LoadReport struct {
 	Server decide.ServerID
 	Load   float64 // over the server's capacity
@@ -62,24 +63,24 @@
 	Sequence    Sequence
 	Build       string
 	Settings    string  // a digest of the settings that should be the same at all balancers
-	Rate        float64 // new flows a second
+	Rate        float64 // new flows per second
 	Reports     []Report
 	LoadReports []LoadReport
 }
 
 const (
-	// MaxReports bounds the reports of a record: faulty servers come first, then those with most connections.
+	// MaxReports limits the reports of a record: faulty servers come first, then those with the most connections.
 	MaxReports = 48
-	// MaxLoadReports bounds the load reports of a record.
+	// MaxLoadReports limits the load reports of a record.
 	MaxLoadReports = 64
 )
 
-// isLater reports whether a record replaces another of its origin.
+// isLater reports whether record a replaces record b of the same origin.
 func isLater(a, b Record) bool {
 	return cmp.Or(cmp.Compare(a.Incarnation, b.Incarnation), cmp.Compare(a.Sequence, b.Sequence)) > 0
 }
 
-// age makes the reports of a record older. They are copied, as others may share them.
+// age adds to the ages of a record's reports. The reports are copied first, as other records may share them.
 func (r *Record) age(by time.Duration) {
 	r.Reports = slices.Clone(r.Reports)
 	for i := range r.Reports {
@@ -91,7 +92,7 @@
 	}
 }
 
-// hasFault reports whether a record reports a fault of any server.
+// hasFault reports whether a record reports any server as faulty.
 func (r *Record) hasFault() bool {
 	return slices.ContainsFunc(r.Reports, func(report Report) bool { return report.Fault != Healthy })
 }
--- a/fleet/signals/store.go
+++ b/fleet/signals/store.go
@@ -6,25 +6,25 @@
 	"time"
 )
 
-// MaxOrigins bounds the origins whose records are stored.
+// MaxOrigins limits the number of origins whose records are stored.
 const MaxOrigins = 2000
 
-const originRetention = 10 * time.Minute // after the last record of an origin, when room is needed
+const originRetention = 10 * time.Minute // after the last record of an origin, which is then dropped if the store is full
 
-// Store holds the latest record of each origin but its own.
+// Store holds the latest record of each other origin.
 type Store struct {
 	own     Origin
-	records map[Origin]received
+	records map[Origin]storedRecord
 }
 
-// received is a record and when it came; its reports have aged since then.
-type received struct {
+// storedRecord is a record and when it was storedRecord. The ages of its reports are as of then.
+type storedRecord struct {
 	Record
 	at time.Duration
 }
 
-// newStore makes a store of a balancer that publishes as own.
-func newStore(own Origin) *Store { return &Store{own: own, records: map[Origin]received{}} }
+// newStore returns the store of the balancer that publishes as own.
+func newStore(own Origin) *Store { return &Store{own: own, records: map[Origin]storedRecord{}} }
 
 // Merge stores a record that is later than the stored one of its origin, and reports whether it did.
 func (s *Store) Merge(record Record, now time.Duration) bool {
@@ -41,11 +41,11 @@
 			return false
 		}
 	}
-	s.records[record.Origin] = received{Record: record, at: now}
+	s.records[record.Origin] = storedRecord{Record: record, at: now}
 	return true
 }
 
-// dropExpired drops the origins that have published nothing for long.
+// dropExpired drops the origins without a record for originRetention.
 func (s *Store) dropExpired(now time.Duration) {
 	for origin, stored := range s.records {
 		if now-stored.at > originRetention {
@@ -54,7 +54,7 @@
 	}
 }
 
-// All returns every record, by origin, and how long ago each came.
+// All returns all records, ordered by origin, and how long ago each was received.
 func (s *Store) All(now time.Duration) (records []Record, ages []time.Duration) {
 	for _, origin := range slices.Sorted(maps.Keys(s.records)) {
 		stored := s.records[origin]
--- a/fleet/signals/store_test.go
+++ b/fleet/signals/store_test.go
@@ -19,7 +19,7 @@
 	return r
 })
 
-// The order, repeats and grouping of merged records do not matter.
+// The order and the duplication of merged records do not matter.
 func TestMergeIsAJoin(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		records := rapid.SliceOfN(anyRecord, 0, 30).Draw(t, "records")
@@ -41,7 +41,7 @@
 		}
 		for _, record := range records {
 			if one.Merge(record, 0) {
-				t.Fatalf("%v was news twice", record)
+				t.Fatalf("%v counts as new when it is merged again", record)
 			}
 		}
 	})
--- a/fleet/signals/wire.go
+++ b/fleet/signals/wire.go
@@ -12,14 +12,14 @@
 	"yardwinch/internal/advice"
 )
 
-// Version is the version of the messages. A later build may add keys and kinds, which earlier builds skip; another
-// version means that keys have another meaning, and such a message is rejected as a whole.
+// Version is the version of the message format. A later build may add keys and kinds, which earlier builds skip. In
+// another version keys have another meaning, so that the whole message is rejected.
 const Version = 1
 
-// kindRecord is the kind of a message that is a record.
+// kindRecord is the kind of a message that holds a record.
 const kindRecord = 1
 
-// Keys of a message, and of a record in it.
+// Keys of a message and of the record that it holds.
 const (
 	keyVersion     = 0
 	keyKind        = 1
@@ -33,10 +33,10 @@
 	keyLoadReports = 9
 )
 
-// Fractions are sent as whole numbers of these parts.
+// Loads and rates are encoded as integers, multiplied by these factors.
 const (
-	loadParts = 1000 // of a load
-	rateParts = 10   // of a rate
+	loadScale = 1000
+	rateScale = 10
 )
 
 const (
@@ -46,15 +46,15 @@
 	maxConnections = 1 << 20
 	maxNesting     = 4
 	maxMapPairs    = 64
-	reportFields   = 4    // of a report, and of a load report; a later build may add more
-	shrinkFactor   = 0.75 // of the part of the reports that is sent, until a record fits
-	minPart        = 0.01 // of the reports, below which a record is sent as it is
+	reportFields   = 4    // of a report and of a load report; a later build may add more
+	shrinkFactor   = 0.75 // by which the fraction of the reports that are sent is reduced until a record fits
+	minFraction    = 0.01 // of the reports, below which a record is encoded whatever its size
 )
 
 var (
 	encoder, _ = cbor.CoreDetEncOptions().EncMode() // the options are valid
-	// An element takes at least a byte, so the size of a message bounds every list in it. A later build may add a
-	// byte for each of many servers.
+	// An element takes at least a byte, so the size of a message limits every list in it. A lower limit would reject
+	// messages of a later build that adds a byte for each of many servers.
 	decoder, _ = cbor.DecOptions{
 		MaxNestedLevels:  maxNesting,
 		MaxArrayElements: maxRecordBytes,
@@ -66,45 +66,45 @@
 	}.DecMode()
 )
 
-// Why a message is rejected. The receiver counts rejected messages by these.
+// Causes for which a message is rejected. The receiver counts rejected messages by cause.
 var (
-	// ErrMalformed: it can't be read, or has a value that no member sends.
+	// ErrMalformed: the message can't be decoded, or has a value that no member sends.
 	ErrMalformed = errors.New("garbled")
-	// ErrVersion: it is of another version.
+	// ErrVersion: the message is of another version.
 	ErrVersion = errors.New("another version")
-	// ErrKind: it is of an unknown kind.
+	// ErrKind: the message is of an unknown kind.
 	ErrKind = errors.New("an unknown kind")
 )
 
-// Error is a message that was rejected: it wraps ErrMalformed, ErrVersion or ErrKind.
+// Error is the error for a rejected message. It wraps ErrMalformed, ErrVersion or ErrKind.
 type Error = advice.Error
 
-// rejected is the Error of a message.
-func rejected(cause error, what string) *Error {
-	remedy := "it is passed over; if one member goes on sending such, see what runs there"
+// rejectionError returns the Error for a rejected message.
+func rejectionError(cause error, what string) *Error {
+	remedy := "the message is ignored; if one member keeps sending such messages, check which build runs there"
 	if errors.Is(cause, ErrVersion) || errors.Is(cause, ErrKind) {
-		remedy = "usual while builds are changed; afterwards bring all members to one build"
+		remedy = "expected while members are upgraded; afterwards run the same build on all members"
 	}
 	return &Error{Where: "signals", What: what, Remedy: remedy, Err: cause}
 }
 
-// Encode writes a record as a map with numbers as keys. Where a record does not fit into a datagram, its last
-// reports are left out, which are those of healthy servers.
+// Encode encodes a record as a map with integer keys. If a record does not fit into a datagram, its last reports are
+// left out, which are those of healthy servers.
 func Encode(record Record) ([]byte, error) {
-	for part := 1.0; ; part *= shrinkFactor {
-		message, err := encoder.Marshal(fields(record, part))
+	for fraction := 1.0; ; fraction *= shrinkFactor {
+		message, err := encoder.Marshal(messageFields(record, fraction))
 		if err != nil {
 			return nil, fmt.Errorf("encode the record of %s: %w", record.Origin, err)
 		}
-		if len(message) <= maxRecordBytes || part < minPart {
+		if len(message) <= maxRecordBytes || fraction < minFraction {
 			return message, nil
 		}
 	}
 }
 
-// fields are the fields of a message, with the first part of the reports.
-func fields(record Record, part float64) map[int]any {
-	first := func(count int) int { return int(part * float64(count)) }
+// messageFields returns the fields of a message, with the first fraction of the reports.
+func messageFields(record Record, fraction float64) map[int]any {
+	first := func(count int) int { return int(fraction * float64(count)) }
 	reports := [][]int64{}
 	for _, report := range record.Reports[:first(len(record.Reports))] {
 		reports = append(reports, encodeReport(report))
@@ -121,7 +121,7 @@
 		keySequence:    uint64(record.Sequence),
 		keyBuild:       record.Build,
 		keySettings:    record.Settings,
-		keyRate:        int64(math.Round(record.Rate * rateParts)),
+		keyRate:        int64(math.Round(record.Rate * rateScale)),
 		keyReports:     reports,
 	}
 	if len(loads) > 0 {
@@ -135,17 +135,17 @@
 }
 
 func encodeLoadReport(report LoadReport) []int64 {
-	load := int64(math.Round(report.Load * loadParts))
+	load := int64(math.Round(report.Load * loadScale))
 	return []int64{int64(report.Server), load, int64(report.Epoch), report.Age.Milliseconds()}
 }
 
-// fieldReader reads the fields of a message, and keeps the first error.
+// fieldReader decodes the fields of a message, and keeps the first error.
 type fieldReader struct {
 	raw map[int]cbor.RawMessage
 	err error
 }
 
-// read reads the value of a key, where the key is present.
+// read decodes the value of a key if the key is present.
 func (r *fieldReader) read(key int, value any) {
 	raw, present := r.raw[key]
 	if !present || r.err != nil {
@@ -156,35 +156,35 @@
 	}
 }
 
-// Decode reads a record and skips what is unknown in it. An error is of type *Error.
+// Decode decodes a record and skips unknown keys in it. An error is of type *Error.
 func Decode(encoded []byte) (Record, error) {
-	const unreadable = "a message that can't be read"
+	const undecodable = "a message that can't be decoded"
 	if len(encoded) > maxRecordBytes {
-		return Record{}, rejected(ErrMalformed, fmt.Sprintf("a message of %d bytes", len(encoded)))
+		return Record{}, rejectionError(ErrMalformed, fmt.Sprintf("a message of %d bytes", len(encoded)))
 	}
 	var reader fieldReader
 	if err := decoder.Unmarshal(encoded, &reader.raw); err != nil {
-		return Record{}, rejected(fmt.Errorf("%w: %w", ErrMalformed, err), unreadable)
+		return Record{}, rejectionError(fmt.Errorf("%w: %w", ErrMalformed, err), undecodable)
 	}
 	var version, kind int
 	reader.read(keyVersion, &version)
 	reader.read(keyKind, &kind)
 	switch {
 	case reader.err != nil:
-		return Record{}, rejected(reader.err, unreadable)
+		return Record{}, rejectionError(reader.err, undecodable)
 	case version != Version:
-		return Record{}, rejected(ErrVersion, fmt.Sprintf("a message of version %d", version))
+		return Record{}, rejectionError(ErrVersion, fmt.Sprintf("a message of version %d", version))
 	case kind != kindRecord:
-		return Record{}, rejected(ErrKind, fmt.Sprintf("a message of kind %d", kind))
+		return Record{}, rejectionError(ErrKind, fmt.Sprintf("a message of kind %d", kind))
 	}
 	record := reader.record()
 	if reader.err != nil {
-		return Record{}, rejected(reader.err, unreadable)
+		return Record{}, rejectionError(reader.err, undecodable)
 	}
 	return record, nil
 }
 
-// record reads the fields of a record.
+// record decodes the fields of a record.
 func (r *fieldReader) record() (record Record) {
 	var rate int64
 	var reports, loads [][]int64
@@ -197,9 +197,9 @@
 	r.read(keyReports, &reports)
 	r.read(keyLoadReports, &loads)
 	if r.err == nil && !record.isPlausible() {
-		r.err = fmt.Errorf("%w: no origin, or a value that can't be", ErrMalformed)
+		r.err = fmt.Errorf("%w: no origin, or a value out of range", ErrMalformed)
 	}
-	record.Rate = float64(max(rate, 0)) / rateParts
+	record.Rate = float64(max(rate, 0)) / rateScale
 	for _, values := range reports[:min(len(reports), MaxReports)] {
 		if report, known := decodeReport(values); known {
 			record.Reports = append(record.Reports, report)
@@ -213,7 +213,7 @@
 	return record
 }
 
-// isPlausible reports whether a record may come from a member: it has an origin, and no value that no member sends.
+// isPlausible reports whether a member may have sent a record: it has an origin, and its values are in their ranges.
 func (r *Record) isPlausible() bool {
 	switch {
 	case r.Origin == "" || len(r.Origin) > maxNameBytes:
@@ -224,7 +224,7 @@
 	return r.Sequence != 0 && r.Incarnation < math.MaxUint64-1
 }
 
-// decodeReport reads a report. An implausible one, or one with a fault that a later build added, is not known.
+// decodeReport decodes a report. One with a value out of range, or with a fault that a later build added, is not known.
 func decodeReport(values []int64) (report Report, known bool) {
 	if len(values) < reportFields {
 		return Report{}, false
@@ -241,7 +241,7 @@
 	}, true
 }
 
-// decodeLoadReport reads a load report. An implausible one is not known.
+// decodeLoadReport decodes a load report. One with a value out of range is not known.
 func decodeLoadReport(values []int64) (report LoadReport, known bool) {
 	if len(values) < reportFields {
 		return LoadReport{}, false
@@ -252,7 +252,7 @@
 	}
 	return LoadReport{
 		Server: decide.ServerID(server),
-		Load:   float64(load) / loadParts,
+		Load:   float64(load) / loadScale,
 		Epoch:  uint64(epoch),
 		Age:    decodeAge(age),
 	}, true
@@ -264,7 +264,7 @@
 	return time.Duration(min(milliseconds, maxAge.Milliseconds())) * time.Millisecond
 }
 
-// EncodeAll joins messages to one, for a member that asks for the full state.
+// EncodeAll joins messages into one, for a member that asks for the full state.
 func EncodeAll(messages [][]byte) ([]byte, error) {
 	joined, err := encoder.Marshal(messages)
 	if err != nil {
@@ -273,10 +273,10 @@
 	return joined, nil
 }
 
-// DecodeAll separates joined messages. An error is of type *Error.
+// DecodeAll splits joined messages. An error is of type *Error.
 func DecodeAll(joined []byte) (messages [][]byte, err error) {
 	if err := fullStateDecoder.Unmarshal(joined, &messages); err != nil {
-		return nil, rejected(fmt.Errorf("%w: %w", ErrMalformed, err), "what a member knows can't be read")
+		return nil, rejectionError(fmt.Errorf("%w: %w", ErrMalformed, err), "the full state of a member can't be decoded")
 	}
 	return messages, nil
 }
--- a/fleet/signals/wire_test.go
+++ b/fleet/signals/wire_test.go
@@ -61,8 +61,8 @@
 	}
 }
 
-// Messages of later builds are read as far as they are known, and malformed ones are rejected with what an
-// operator can do.
+// Messages of later builds are decoded as far as their keys are known, and malformed ones are rejected with advice for
+// the operator.
 func TestDecode(t *testing.T) {
 	type fields = map[int]any
 	withFields := func(changed fields) []byte {
@@ -98,7 +98,7 @@
 		{"no origin", withFields(fields{keyOrigin: nil}), ErrMalformed},
 		{"an origin that is a number", withFields(fields{keyOrigin: 5}), ErrMalformed},
 		{"the highest incarnation", withFields(fields{keyIncarnation: uint64(math.MaxUint64)}), ErrMalformed},
-		{"cut off", encoded[:len(encoded)/2], ErrMalformed},
+		{"truncated", encoded[:len(encoded)/2], ErrMalformed},
 		{"empty", nil, ErrMalformed},
 		{"a megabyte", make([]byte, 1<<20), ErrMalformed},
 	} {
@@ -115,8 +115,8 @@
 	}
 }
 
-// In a fleet of 1,024 balancers and 1,024 servers all records pass: each as a message, and all in full states, a
-// selection at a time.
+// In a fleet of 1,024 balancers and 1,024 servers all records are transferred: each as a message, and all of them in
+// several full states, which hold a selection each.
 func TestLargeFleet(t *testing.T) {
 	const size = 1024
 	exchange := newExchange("n0")
@@ -138,7 +138,7 @@
 		other.mergeAll(sendFullState(t, exchange)...)
 	}
 	if records, _ := other.Records(); len(records) != size-1 {
-		t.Errorf("%d origins are known to the other", len(records))
+		t.Errorf("%d origins are known to the receiver of the full states", len(records))
 	}
 }
 
@@ -153,7 +153,7 @@
 	return record
 }
 
-// sendFullState encodes and decodes the full state of an exchange.
+// sendFullState returns the full state of an exchange after encoding and decoding it.
 func sendFullState(t *testing.T, exchange *Exchange) (records []Record) {
 	t.Helper()
 	var messages [][]byte
