--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -1,4 +1,5 @@
-// Wirehost runs instances of the decisions on the wire of the simulator, on standard input and output.
+// Wirehost runs balancers for the simulator. It reads events from standard input and writes actions to standard output,
+// in the simulator's wire format.
 package main
 
 import (
--- a/fleet/signals/store.go
+++ b/fleet/signals/store.go
@@ -17,7 +17,7 @@
 	records map[Origin]storedRecord
 }
 
-// storedRecord is a record and when it was storedRecord. The ages of its reports are as of then.
+// storedRecord is a record and when it was received. The ages of its reports are as of then.
 type storedRecord struct {
 	Record
 	at time.Duration
--- a/internal/simulator/decoder.go
+++ b/internal/simulator/decoder.go
@@ -11,13 +11,13 @@
 	"yardwinch/decide"
 )
 
-// decoder reads lines and their fields. The methods for fields keep the first fault in err, so that a message is
-// decoded first and checked once.
+// decoder reads messages and their fields. The methods for fields keep the first error in err, so that callers decode a
+// message first and check for errors once.
 type decoder struct {
 	in     *bufio.Reader
 	line   int
 	fields []string // of the current line
-	err    error    // the first fault in the current batch
+	err    error    // the first error in the current batch
 }
 
 // next reads the next line that isn't empty; false at the end of the input.
@@ -40,7 +40,7 @@
 	}
 }
 
-// split reuses the fields of the last line.
+// split splits a line into fields. It reuses the memory of the last line's.
 func (d *decoder) split(line string) {
 	d.fields = d.fields[:0]
 	for {
@@ -53,22 +53,22 @@
 	}
 }
 
-// messageType is the first field of the line.
+// messageType returns the type of the current message.
 func (d *decoder) messageType() string { return d.fields[typeField] }
 
-// errorf returns an error that names the line.
+// errorf returns an error that names the current line.
 func (d *decoder) errorf(format string, a ...any) error {
 	return fmt.Errorf("line %d: %s", d.line, fmt.Sprintf(format, a...))
 }
 
-// fail keeps the first fault.
+// fail keeps an error if it is the first one.
 func (d *decoder) fail(format string, a ...any) {
 	if d.err == nil {
 		d.err = d.errorf(format, a...)
 	}
 }
 
-// text is a field, empty if it is absent.
+// text returns a field; empty if it is absent.
 func (d *decoder) text(field int) string {
 	if field >= len(d.fields) || d.fields[field] == absentField {
 		return ""
@@ -76,7 +76,7 @@
 	return d.fields[field]
 }
 
-// required is a field that must not be absent.
+// required returns a field that must not be absent.
 func (d *decoder) required(field int) string {
 	text := d.text(field)
 	if text == "" {
@@ -85,7 +85,7 @@
 	return text
 }
 
-// integer is a number, 0 if it is absent.
+// integer returns a field that is an integer; 0 if it is absent.
 func (d *decoder) integer(field int) int64 {
 	text := d.text(field)
 	if text == "" {
@@ -103,7 +103,7 @@
 	return d.integer(field)
 }
 
-// float is a number, 0 if it is absent.
+// float returns a field that is a number; 0 if it is absent.
 func (d *decoder) float(field int) float64 {
 	text := d.text(field)
 	if text == "" {
@@ -126,7 +126,7 @@
 	return decide.ServerID(n)
 }
 
-// oneOf looks a field up in the words that it may hold.
+// oneOf returns the value of a field that holds one of the given words.
 func oneOf[T any](d *decoder, words map[string]T, field int) T {
 	value, ok := words[d.required(field)]
 	if !ok {
--- a/internal/simulator/endpoints.go
+++ b/internal/simulator/endpoints.go
@@ -6,12 +6,12 @@
 	"yardwinch/decide"
 )
 
-const maxListCapacity = 4096 // entries for which memory is reserved before they are read
+const maxListCapacity = 4096 // entries for which memory is allocated before they are read
 
 // listEntry is one entry of a numbered list.
 type listEntry struct {
-	endpoint  decide.Endpoint // without its start
-	startedAt int64           // 0: not given
+	endpoint  decide.Endpoint // without StartedAt
+	startedAt int64           // in nanoseconds; 0: not given
 }
 
 // readList reads a numbered list.
@@ -56,8 +56,8 @@
 	return entry
 }
 
-// at is the entry on the clock of an instance that started then.
-func (e listEntry) at(start int64) decide.Endpoint {
+// relativeTo returns the endpoint of an entry, with its start time relative to the start of an instance.
+func (e listEntry) relativeTo(start int64) decide.Endpoint {
 	endpoint := e.endpoint
 	endpoint.StartedAt = decide.LongAgo
 	if e.startedAt != 0 {
@@ -66,8 +66,8 @@
 	return endpoint
 }
 
-// update passes a numbered list to the decisions.
-func (in *instance) update() {
+// handleUpdate passes a numbered list to the balancer.
+func (in *instance) handleUpdate() {
 	h := in.host
 	kind := oneOf(&h.decoder, updateKinds, updateKindField)
 	if h.err != nil {
@@ -86,7 +86,7 @@
 		return
 	}
 	for _, entry := range h.lists[number] {
-		in.balancer.OnEndpoint(entry.at(in.start))
+		in.balancer.OnEndpoint(entry.relativeTo(in.start))
 	}
 	in.balancer.EndEndpoints()
 }
--- a/internal/simulator/events.go
+++ b/internal/simulator/events.go
@@ -7,36 +7,36 @@
 	"yardwinch/internal/config"
 )
 
-// event decodes one event and passes it to the decisions, unless it is bad.
-func (in *instance) event() {
+// handleEvent decodes one event and passes it to the balancer, unless it is malformed.
+func (in *instance) handleEvent() {
 	switch in.host.messageType() {
 	case msgStop:
 		in.balancer = nil
 	case msgUpdate:
-		in.update()
+		in.handleUpdate()
 	case msgFlow, msgAdopt:
-		in.flowArrived()
+		in.handleFlow()
 	case msgEstablished:
-		in.established()
+		in.handleEstablished()
 	case msgSample:
-		in.sampled()
+		in.handleSample()
 	case msgEnded:
-		in.ended()
+		in.handleEnded()
 	case msgClientLeft:
 		if id := in.host.flow(); in.host.err == nil {
 			in.balancer.OnClientLeft(id)
 		}
 	case msgTimer:
-		in.timerFired()
+		in.handleTimer()
 	case msgHealthResult:
-		in.healthChecked()
+		in.handleHealthResult()
 	case msgGossip:
 	default:
 		in.host.err = in.host.errorf("unknown message %q", in.host.messageType())
 	}
 }
 
-func (in *instance) flowArrived() {
+func (in *instance) handleFlow() {
 	h := in.host
 	request := decide.FlowRequest{
 		ID:       h.flow(),
@@ -62,7 +62,7 @@
 	}
 }
 
-func (in *instance) established() {
+func (in *instance) handleEstablished() {
 	h := in.host
 	id := h.flow()
 	took := time.Duration(h.integer(establishedTookField))
@@ -72,7 +72,7 @@
 	}
 }
 
-func (in *instance) sampled() {
+func (in *instance) handleSample() {
 	h := in.host
 	id := h.flow()
 	kind := h.requiredInteger(sampleKindField)
@@ -89,7 +89,7 @@
 	}
 }
 
-func (in *instance) ended() {
+func (in *instance) handleEnded() {
 	h := in.host
 	id := h.flow()
 	server := h.server(endedServerField)
@@ -104,7 +104,7 @@
 	in.balancer.OnEnded(id, outcome, took, isAnswered)
 }
 
-func (in *instance) timerFired() {
+func (in *instance) handleTimer() {
 	timer := decide.TimerID(in.host.requiredInteger(timerField))
 	if remaining := in.remaining[timer]; remaining > 0 {
 		delete(in.remaining, timer)
@@ -114,7 +114,7 @@
 	}
 }
 
-func (in *instance) healthChecked() {
+func (in *instance) handleHealthResult() {
 	h := in.host
 	server := h.server(checkServerField)
 	outcome := oneOf(&h.decoder, outcomes, checkOutcomeField)
@@ -125,7 +125,7 @@
 	in.balancer.OnHealthCheck(server, outcome)
 }
 
-// reportLoad passes on the load report of a server, if there is one.
+// reportLoad passes the load report of a server to the balancer, if there is one.
 func (in *instance) reportLoad(server decide.ServerID, report string) {
 	if load, ok := config.ParseLoadReport(report); ok {
 		in.balancer.OnLoadReport(server, load)
--- a/internal/simulator/instance.go
+++ b/internal/simulator/instance.go
@@ -9,42 +9,42 @@
 	"yardwinch/internal/config"
 )
 
-// instance is one balancer, and what its names stand for.
+// instance is one balancer, with the ids of the names in its settings. It implements decide.Actions.
 type instance struct {
 	host      *host
 	id        int
 	balancer  *decide.Balancer // nil: not started, or stopped
-	start     int64            // host.now when it was started: 0 of its balancer's clock
+	start     int64            // host.now when it was started, which is time 0 of its balancer
 	services  map[string]decide.ServiceID
 	customers map[string]decide.CustomerID
-	remaining map[decide.TimerID]time.Duration // of timers that are set in parts
+	remaining map[decide.TimerID]time.Duration // time that is left of timers that are set in parts
 }
 
-// handle handles one message. A panic of the decisions becomes the wire's own message for it.
+// handle handles one message. A panic is reported by a message of the wire format.
 func (in *instance) handle() {
 	defer func() {
 		if cause := recover(); cause != nil {
-			in.act(msgFault + "\t" + strings.Map(toPlain, fmt.Sprint(cause)))
+			in.writeAction(msgFault + "\t" + strings.Map(separatorToSpace, fmt.Sprint(cause)))
 		}
 	}()
 	if in.host.messageType() == msgStart {
-		in.startUp()
+		in.handleStart()
 		return
 	}
 	in.balancer.SetTime(time.Duration(in.host.now - in.start))
-	in.event()
+	in.handleEvent()
 }
 
-// toPlain replaces what separates lines and fields.
-func toPlain(r rune) rune {
+// separatorToSpace replaces a character that separates lines or fields by a space.
+func separatorToSpace(r rune) rune {
 	if r == '\n' || r == '\t' || r == '\r' {
 		return ' '
 	}
 	return r
 }
 
-// startUp starts the instance with its settings.
-func (in *instance) startUp() {
+// handleStart starts the instance with its settings.
+func (in *instance) handleStart() {
 	h := in.host
 	seed := h.requiredInteger(seedField)
 	settings := make(map[string]string, len(h.fields))
--- a/internal/simulator/recorded_test.go
+++ b/internal/simulator/recorded_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// recordedInput is a simulated day on the wire: two instances, servers that drain and restart, flows that are
+// recordedInput returns 40 s of simulated events: two instances, servers that drain and restart, flows that are
 // established, fail and time out, late messages, timers.
 func recordedInput() string {
 	r := rand.New(rand.NewPCG(11, 12))
@@ -67,17 +67,18 @@
 	return b.String()
 }
 
-// The hash is of the answers of decisions without constraints. Only a change of the decisions themselves may change it.
+// The hash is that of the answers of decide without constraints. Only a change of the decisions themselves may change
+// it.
 func TestRecordedInputIsAnsweredAsBefore(t *testing.T) {
 	out, err := run(recordedInput())
 	if err != nil {
 		t.Fatal(err)
 	}
 	if n := strings.Count(out, "FORWARD"); n < 1000 || strings.Count(out, "SHIFT") < 10 || strings.Count(out, "OVERLOAD_REPLY") < 10 {
-		t.Fatalf("%d connects: the recording hardly exercises the decisions", n)
+		t.Fatalf("%d connects: the recorded input covers too few decisions", n)
 	}
 	const want = "96f667250c80d4c5f2b93076a7738908"
 	if got := fmt.Sprintf("%x", sha256.Sum256([]byte(out)))[:32]; got != want {
-		t.Errorf("answers hash to %s, recorded %s", got, want)
+		t.Errorf("hash of the answers is %s, recorded %s", got, want)
 	}
 }
--- a/internal/simulator/simulator.go
+++ b/internal/simulator/simulator.go
@@ -1,5 +1,5 @@
-// Package simulator joins the decisions to the simulator's wire. It decodes events into calls and encodes actions; the
-// wire's names end here, and nothing is decided here.
+// Package simulator connects instances of package decide to the simulator by its wire format. It decodes events into
+// calls and encodes actions. The names of the wire format are used in this package only, and it decides nothing itself.
 package simulator
 
 import (
@@ -9,22 +9,22 @@
 )
 
 const (
-	bufferSize  = 1 << 16 // bytes
-	listNumbers = 16
+	bufferSize = 1 << 16 // bytes
+	maxLists   = 16      // how many numbered lists there are
 )
 
-// host is one process. The instances on it share nothing but the numbered lists.
+// host holds the instances of one process. They share nothing but the numbered lists.
 type host struct {
 	decoder
-	out       *bufio.Writer
-	now       int64     // of the batch in hand, in nanoseconds
-	current   *instance // that the events are for
-	answering int       // the instance that the last actions are of; -1: none in this batch
-	instances map[int]*instance
-	lists     [listNumbers][]listEntry
+	out        *bufio.Writer
+	now        int64     // of the current batch, in nanoseconds
+	current    *instance // that the events are for; nil: none named yet in this batch
+	lastActing int       // id of the instance whose actions were written last; -1: none in this batch
+	instances  map[int]*instance
+	lists      [maxLists][]listEntry
 }
 
-// Run serves until the input ends. An error for bad input names the line and its fault.
+// Run handles batches of events until the input ends. An error for bad input names the line and what is wrong there.
 func Run(in io.Reader, out io.Writer) error {
 	h := &host{
 		decoder:   decoder{in: bufio.NewReaderSize(in, bufferSize)},
@@ -39,10 +39,10 @@
 		if h.messageType() != msgBeginBatch {
 			return h.errorf("want BEGIN_BATCH, got %q", h.messageType())
 		}
-		if err := h.batch(); err != nil {
+		if err := h.handleBatch(); err != nil {
 			return err
 		}
-		h.write(msgAnswered)
+		h.write(msgBatchAnswered)
 		if err := h.out.Flush(); err != nil {
 			return fmt.Errorf("write answers to the batch that ends at line %d: %w", h.line, err)
 		}
@@ -51,17 +51,17 @@
 
 func newWriter(w io.Writer) *bufio.Writer { return bufio.NewWriterSize(w, bufferSize) }
 
-// write writes a line. Errors need no check here: the writer keeps the first one for Flush at the end of the batch.
+// write writes a line. Errors are not checked here: the writer returns the first one from Flush at the end of the batch.
 func (h *host) write(line string) {
 	_, _ = h.out.WriteString(line)
 	_ = h.out.WriteByte('\n')
 }
 
-// batch handles the lines of one batch.
-func (h *host) batch() error {
+// handleBatch handles the messages of one batch.
+func (h *host) handleBatch() error {
 	h.now = h.integer(batchTimeField)
 	h.current = nil
-	h.answering = -1
+	h.lastActing = -1
 	for {
 		ok, err := h.next()
 		if err != nil {
@@ -82,7 +82,7 @@
 	}
 }
 
-// handleMessage handles one line of a batch.
+// handleMessage handles one message of a batch.
 func (h *host) handleMessage() error {
 	switch h.messageType() {
 	case msgInstance:
--- a/internal/simulator/simulator_test.go
+++ b/internal/simulator/simulator_test.go
@@ -24,25 +24,25 @@
 
 func TestReplies(t *testing.T) {
 	arrival := "JOB_IN\tt/a\tlive\t-\ts-k\t900000000\t-\tc:g\t0\n"
-	greeting := "SPEAKING\t3\nTIMER\t1\t250000000\n"
+	startActions := "SPEAKING\t3\nTIMER\t1\t250000000\n"
 	for _, c := range []struct{ name, in, want string }{
-		{"nothing", "", ""},
+		{"no input", "", ""},
 		{"an empty batch", "BEGIN_BATCH\t8\nFLUSH\n", "YIELD\n"},
 		{"a flow goes to the server in service", begin + arrival + "FLUSH\n",
-			greeting + "FORWARD\tt/a\t51\t450000000\nYIELD\n"},
-		{"it is established and ends; nothing more is sent", begin + arrival + "FLUSH\nBEGIN_BATCH\t2000\nFOR\t3\n" +
+			startActions + "FORWARD\tt/a\t51\t450000000\nYIELD\n"},
+		{"a flow is established and ends, without further answers", begin + arrival + "FLUSH\nBEGIN_BATCH\t2000\nFOR\t3\n" +
 			"FIRST\tt/a\t0\t51\t1000\nCHANGE\tt/a\t0\t51\t1\t7.5\nCHANGE\tt/a\t0\t51\t2\t80\n" +
 			"CLOSED_ATTEMPT\tt/a\t0\t51\tOK\t1000\t1\tx0:0.5,x1:0.1\nHANGUP\tt/a\nWAKE\t9\nFLUSH\n",
-			greeting + "FORWARD\tt/a\t51\t450000000\nYIELD\nYIELD\n"},
+			startActions + "FORWARD\tt/a\t51\t450000000\nYIELD\nYIELD\n"},
 		{"unreachable twice, then rejected with Retry-After", begin + arrival + "CLOSED_ATTEMPT\tt/a\t0\t51\tUNAVAILABLE\t0\t0\t-\n" +
 			"CLOSED_ATTEMPT\tt/a\t1\t51\tUNAVAILABLE\t0\t0\t-\nFLUSH\n",
-			greeting + "FORWARD\tt/a\t51\t450000000\nFORWARD\tt/a\t51\t900000000\nOVERLOAD_REPLY\tt/a\t1000000000\nYIELD\n"},
+			startActions + "FORWARD\tt/a\t51\t450000000\nFORWARD\tt/a\t51\t900000000\nOVERLOAD_REPLY\tt/a\t1000000000\nYIELD\n"},
 		{"a list number reused within a batch", begin + "DIRECTORY\t0\t1\nSERVER\t1\thall-a\t51\tOUT\tlarge\t0\t-\n" +
-			"UPDATE\tD\t42\t0\n" + arrival + "FLUSH\n", greeting + "OVERLOAD_REPLY\tt/a\t1000000000\nYIELD\n"},
-		{"stopped and started again", begin + "KILL\nSPAWN\t1\t" + settings + "\nUPDATE\tC\t41\t0\n" + arrival + "FLUSH\n",
-			greeting + "TIMER\t1\t250000000\nFORWARD\tt/a\t51\t450000000\nYIELD\n"},
+			"UPDATE\tD\t42\t0\n" + arrival + "FLUSH\n", startActions + "OVERLOAD_REPLY\tt/a\t1000000000\nYIELD\n"},
+		{"an instance that is stopped and started again", begin + "KILL\nSPAWN\t1\t" + settings + "\nUPDATE\tC\t41\t0\n" + arrival + "FLUSH\n",
+			startActions + "TIMER\t1\t250000000\nFORWARD\tt/a\t51\t450000000\nYIELD\n"},
 		{"other events are accepted", begin + "HEALTH_RESULT\t51\tOK\t5\tx0:0.5\nNEIGHBOUR_SAYS\t1\taGkgNw==\nUPDATE\tX\t0\t-\nFLUSH\n",
-			greeting + "YIELD\n"},
+			startActions + "YIELD\n"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			got, err := run(c.in)
@@ -69,14 +69,14 @@
 		{"unknown message", begin + "HELLO\n", `line 8: unknown message "HELLO"`},
 		{"missing field", begin + "HANGUP\n", `line 8: HANGUP: field 1 is missing`},
 		{"bad number", begin + "WAKE\tsoon\n", `line 8: WAKE: field 1: bad number "soon"`},
-		{"bad server", begin + "HEALTH_RESULT\t4294967296\tOK\t0\t-\n", `line 8: HEALTH_RESULT: field 1`},
+		{"server number too large", begin + "HEALTH_RESULT\t4294967296\tOK\t0\t-\n", `line 8: HEALTH_RESULT: field 1`},
 		{"unknown outcome", begin + "CLOSED_ATTEMPT\tt/a\t0\t51\tFINE\t0\t1\t-\n", `line 8: .*unknown word "FINE"`},
 		{"unknown service type", begin + "JOB_IN\tt/a\tdead\t-\t-\t9\t-\t-\t0\n", `line 8: .*service type "dead"`},
 		{"fewer entries than stated", "BEGIN_BATCH\t1\nDIRECTORY\t0\t2\nSERVER\t1\ta\t5\tIN\tk\t0\t-\nFLUSH\n", `line 4: DIRECTORY`},
 		{"a list never sent", begin + "UPDATE\tF\t41\t7\n", `line 8: UPDATE: list 7`},
 		{"an unknown instance", "BEGIN_BATCH\t1\nFOR\t9\nWAKE\t1\n", `line 3: WAKE for an unknown instance 9`},
 		{"no instance", "BEGIN_BATCH\t1\nWAKE\t1\n", `line 2: WAKE without FOR`},
-		{"no pair", "BEGIN_BATCH\t1\nFOR\t9\nSPAWN\t1\tx\n", `line 3: SPAWN: no path=value`},
+		{"a setting that is no pair", "BEGIN_BATCH\t1\nFOR\t9\nSPAWN\t1\tx\n", `line 3: SPAWN: no path=value`},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if _, err := run(c.in); err == nil || !regexp.MustCompile("^"+c.fault).MatchString(err.Error()) {
@@ -94,7 +94,7 @@
 	}
 	var out strings.Builder
 	h := &host{decoder: decoder{fields: []string{msgStop}}, out: newWriter(&out)}
-	in := &instance{host: h, id: 4} // without a balancer, so that the call panics
+	in := &instance{host: h, id: 4} // without a balancer, so that handle panics
 	in.handle()
 	if h.err != nil {
 		t.Fatal(h.err)
--- a/internal/simulator/wire.go
+++ b/internal/simulator/wire.go
@@ -6,15 +6,15 @@
 	"yardwinch/decide"
 )
 
-// The message types of the simulator's wire, and what they mean here. A line is a type and its fields, separated
-// by tabs; "-" and a missing field are both absent. Times are in nanoseconds.
+// The message types of the simulator's wire format, and their meanings. A message is a line: its type and its fields,
+// separated by tabs. A field that is "-" or missing is absent. Times are in nanoseconds.
 
 const absentField = "-"
 
-// maxTimer is the longest timer that is set at once. The wire allows 71 minutes.
+// maxTimer is the longest timer that is set in one part. The wire format allows 71 minutes.
 const maxTimer = 70 * time.Minute
 
-// Messages of a batch.
+// Messages to the host.
 const (
 	msgBeginBatch = "BEGIN_BATCH" // a batch of events begins: time
 	msgEndBatch   = "FLUSH"       // a batch of events ends
@@ -25,32 +25,32 @@
 
 // Messages for an instance.
 const (
-	msgStart        = "SPAWN"          // starts it: seed, then settings as path=value
-	msgStop         = "KILL"           // ends it
+	msgStart        = "SPAWN"          // starts the instance: seed, then settings as path=value
+	msgStop         = "KILL"           // stops it
 	msgUpdate       = "UPDATE"         // an update of the endpoint list: kind, stamp, list
 	msgFlow         = "JOB_IN"         // a flow arrives: see arrival...Field
-	msgAdopt        = "OPEN"           // an established flow is taken over: the same, and its server
+	msgAdopt        = "OPEN"           // an established flow is adopted: the same fields, and its server
 	msgEstablished  = "FIRST"          // an attempt is established: flow, attempt, server, time taken
 	msgSample       = "CHANGE"         // a sample of an established flow: flow, attempt, server, kind, amount
 	msgEnded        = "CLOSED_ATTEMPT" // an attempt or connection ends: see ended...Field
 	msgClientLeft   = "HANGUP"         // a client leaves: flow
 	msgTimer        = "WAKE"           // a timer fires: timer
 	msgHealthResult = "HEALTH_RESULT"  // a health check ends: server, outcome, time taken, load report
-	msgGossip       = "NEIGHBOUR_SAYS" // gossip, which instances here neither send nor use
+	msgGossip       = "NEIGHBOUR_SAYS" // gossip, which instances ignore
 )
 
-// Answers. The wire has others, for actions that the decisions never take.
+// Answers. The wire format has others, for actions that decide never takes.
 const (
-	msgAnswering = "SPEAKING"       // the actions that follow are of an instance: instance
-	msgAnswered  = "YIELD"          // all actions for the batch are sent
-	msgFault     = "FAULT"          // the decisions failed: what happened
-	msgConnect   = "FORWARD"        // makes an attempt: flow, server, timeout
-	msgReject    = "OVERLOAD_REPLY" // rejects a flow: flow, Retry-After
-	msgAbort     = "DROP_REQUEST"   // aborts a flow: flow
-	msgMigrate   = "SHIFT"          // migrates a flow: flow
-	msgCheck     = "HEALTH_CHECK"   // checks the health of a server: server
-	msgSetTimer  = "TIMER"          // sets a timer: timer, duration
-	msgWatch     = "TAIL"           // watches the endpoint list, or stops: 1 or 0
+	msgActionsOf     = "SPEAKING"       // the actions that follow are those of an instance: instance
+	msgBatchAnswered = "YIELD"          // all actions for the batch have been sent
+	msgFault         = "FAULT"          // the instance panicked: cause
+	msgConnect       = "FORWARD"        // makes an attempt: flow, server, timeout
+	msgReject        = "OVERLOAD_REPLY" // rejects a flow: flow, Retry-After
+	msgAbort         = "DROP_REQUEST"   // aborts a flow: flow
+	msgMigrate       = "SHIFT"          // migrates a flow: flow
+	msgCheck         = "HEALTH_CHECK"   // checks the health of a server: server
+	msgSetTimer      = "TIMER"          // sets a timer: timer, duration
+	msgWatch         = "TAIL"           // watches the endpoint list, or stops: 1 or 0
 )
 
 // Positions of fields.
@@ -63,7 +63,7 @@
 	listField       = 1
 	listCountField  = 2
 	seedField       = 1
-	settingsField   = 2 // the first
+	settingsField   = 2 // first of the settings
 	updateKindField = 1
 	updateListField = 3
 	timerField      = 1
