--- a/constraints/balancer_test.go
+++ b/constraints/balancer_test.go
@@ -233,7 +233,7 @@
 }
 
 func TestUnconstrainedChangesNothing(t *testing.T) {
-	for _, constraints := range [][]Constraint{nil, {silentConstraint{}}} {
+	for _, constraints := range [][]Constraint{nil, {passiveConstraint{}}} {
 		t.Run(fmt.Sprintf("%d constraints", len(constraints)), func(t *testing.T) {
 			constrained, actions := newBalancer(constraints...)
 			plainActions := &recorder{}
@@ -285,7 +285,7 @@
 	}
 }
 
-// silentConstraint objects to nothing.
-type silentConstraint struct{ Unconstrained }
+// passiveConstraint objects to nothing.
+type passiveConstraint struct{ Unconstrained }
 
-func (silentConstraint) Name() string { return "none" }
+func (passiveConstraint) Name() string { return "none" }
--- a/fleet/signals/consensus.go
+++ b/fleet/signals/consensus.go
@@ -48,7 +48,7 @@
 	return c.isPenalised(now) || c.recurrences < maxRecurrences
 }
 
-// isUnused reports whether there have been no reports on a server for consensusRetention.
+// isUnused reports whether a server has no valid reports and its last fault was confirmed long ago, if it ever was.
 func (c *consensus) isUnused(now time.Duration) bool {
 	return c.faulty+c.healthy == 0 && c.connections == 0 && now-c.confirmedAt > consensusRetention
 }
--- a/fleet/signals/full_state.go
+++ b/fleet/signals/full_state.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-const maxFullState = 100 // records of other origins that a full state holds
+const maxFullState = 100 // records of other origins in a full state
 
 // FullState returns what is sent to a member that asks for the full state: the records of other origins and of this
 // balancer, with their present ages. In a large fleet it is a selection of them, which limits its size.
--- a/fleet/signals/penalty.go
+++ b/fleet/signals/penalty.go
@@ -12,7 +12,7 @@
 
 const (
 	penaltyCost        = 4.0                // in units of placement cost: above what grouping and a usual load add together
-	ownHealthyValidity = time.Second        // an own healthy observation of this age overrides the reports
+	ownHealthyValidity = time.Second        // an own healthy observation no older than this overrides the reports
 	initialPenaltyTime = 5 * time.Second    // after the last report of a fault
 	maxPenaltyTime     = 36 * time.Second   // up to which the time doubles with each recurrence
 	recurrenceTime     = 2 * maxPenaltyTime // after a fault was confirmed, within which it counts as recurring; later it is a new one
--- a/fleet/signals/record.go
+++ b/fleet/signals/record.go
@@ -40,7 +40,7 @@
 // String returns the fault as the control interface shows it.
 func (f Fault) String() string { return [...]string{"well", "late", "failing", "silent"}[f] }
 
-// Report is what an origin reports of one server.
+// Report is what an origin reports on one server.
 type Report struct {
 	Server      decide.ServerID
 	Fault       Fault
--- a/locality/events.go
+++ b/locality/events.go
@@ -42,8 +42,8 @@
 }
 
 // OnEndpointsUpdated handles the end of an update. A locality becomes unavailable when the list names no ready server of
-// it any more, and recovers when it names some again, or when most of them restarted since. An update without entries
-// of a locality leaves its state as it is.
+// it any more, and recovers when it names some again, or when most of them have restarted since it became unavailable.
+// An update without entries of a locality leaves its state as it is.
 func (p *Policy) OnEndpointsUpdated() {
 	p.hasList = true
 	for _, l := range p.ordered {
