--- a/fleet/signals/penalty.go
+++ b/fleet/signals/penalty.go
@@ -103,7 +103,7 @@
 // penalised.
 func (e *Exchange) ExplainCost(id decide.ServerID) string {
 	if c := e.servers[id]; c != nil && c.isPenalised(e.now) {
-		return fmt.Sprintf("%s, reported by %v", c.worst, c.faultOrigins)
+		return fmt.Sprintf("%s, say %v", c.worst, c.faultOrigins)
 	}
 	return ""
 }
