--- a/internal/store/decode_test.go
+++ b/internal/store/decode_test.go
@@ -21,7 +21,7 @@
 func TestDecodeInvalidFile(t *testing.T) {
 	for _, text := range append(invalidFiles, strings.Repeat(" ", maxFileBytes+1)) {
 		if servers, err := decodeDisabled([]byte(text)); err == nil || servers != nil {
-			t.Errorf("%.50q is decoded as %q", text, servers)
+			t.Errorf("%.50q: decoded as %q, want an error", text, servers)
 		}
 	}
 }
@@ -32,7 +32,7 @@
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
 		if servers, err := decodeDisabled(text); err != nil && servers != nil {
-			t.Errorf("with an error %q is decoded", servers)
+			t.Errorf("%q is returned with an error", servers)
 		}
 	})
 }
--- a/internal/store/disabled.go
+++ b/internal/store/disabled.go
@@ -13,37 +13,37 @@
 )
 
 const (
-	formatVersion  = 1       // of the stored file; another one is rejected as a whole
-	maxFileBytes   = 1 << 20 // of the stored file
+	formatVersion  = 1       // of the stored file; a file of any other version is rejected
+	maxFileBytes   = 1 << 20 // size limit of the stored file
 	disabledSuffix = ".out"
 )
 
-// disabledFile is the stored form of the administratively disabled servers.
+// disabledFile is the JSON content of the stored file.
 type disabledFile struct {
 	Version int      `json:"version"`
 	Servers []string `json:"out_by_hand"`
 }
 
-// SaveDisabled writes the ids of the administratively disabled servers, whole or not at all, so that they survive
-// a kill and a loss of power. A step that fails gives a *DirectoryError.
+// SaveDisabled atomically replaces the stored ids of the administratively disabled servers; they survive a kill and a
+// power failure. If the file system fails the error is a *DirectoryError.
 func (d *Directory) SaveDisabled(servers []string) error {
 	text, err := json.Marshal(disabledFile{Version: formatVersion, Servers: servers})
 	if err != nil {
-		return fmt.Errorf("encode the disabled servers: %w", err)
+		return fmt.Errorf("encode disabled servers: %w", err)
 	}
 	if len(text) > maxFileBytes {
-		return fmt.Errorf("%d bytes of disabled servers, %d at most", len(text), maxFileBytes)
+		return fmt.Errorf("disabled servers take %d bytes, at most %d are allowed", len(text), maxFileBytes)
 	}
 	temporary := fmt.Sprintf("%s.%d", d.Path(disabledSuffix), os.Getpid())
 	if err := d.replace(temporary, text); err != nil {
-		_ = d.files.Remove(temporary) // the step that failed may be the one that creates it
+		_ = d.files.Remove(temporary) // it may not exist
 		return err
 	}
 	return nil
 }
 
-// replace writes a temporary file and renames it. Each step is on the disk before the next one begins, so that the
-// name never stands for an incomplete file.
+// replace writes a temporary file and renames it. The file is synced to disk before the rename, so that the final name
+// never refers to an incomplete file.
 func (d *Directory) replace(temporary string, text []byte) error {
 	file, err := d.files.Create(temporary)
 	if err != nil {
@@ -65,20 +65,21 @@
 	return nil
 }
 
-// RemoveUnfinished removes the temporary files of processes that were killed while they wrote. No other process of
-// this balancer may run.
+// RemoveUnfinished removes the temporary files of processes that were killed during a write. No other process of this
+// balancer may be running.
 func (d *Directory) RemoveUnfinished() {
 	unfinished, err := d.files.Glob(d.Path(disabledSuffix+".") + "*")
 	if err != nil {
 		return // the only possible error is a bad pattern, and this one is fixed
 	}
 	for _, path := range unfinished {
-		_ = d.files.Remove(path) // one that stays takes a little space and is never read
+		_ = d.files.Remove(path) // a file that remains takes little space and is never read
 	}
 }
 
-// LoadDisabled reads the ids of the administratively disabled servers; none if there is no file. Invalid content
-// gives a *ContentError, and nothing of it is used; a directory that can't be read gives a *DirectoryError.
+// LoadDisabled reads the stored ids of the administratively disabled servers; none if there is no file. If the content
+// is invalid no part of it is used, and the error is a *ContentError; if the directory can't be read it is a
+// *DirectoryError.
 func (d *Directory) LoadDisabled() ([]string, error) {
 	servers, err := d.readDisabled()
 	var invalid *ContentError
@@ -92,7 +93,7 @@
 	path := d.Path(disabledSuffix)
 	info, err := d.files.Lstat(path)
 	if errors.Is(err, fs.ErrNotExist) {
-		_, err := d.files.Lstat(d.root) // without the directory it is unknown whether there is such a file
+		_, err := d.files.Lstat(d.root) // if the directory is missing it is unknown whether there is a file
 		return nil, err
 	}
 	if err != nil {
@@ -105,7 +106,7 @@
 	if err != nil {
 		return nil, err
 	}
-	text, err := io.ReadAll(io.LimitReader(file, maxFileBytes+1)) // one byte more shows that the file is too long
+	text, err := io.ReadAll(io.LimitReader(file, maxFileBytes+1)) // one more byte, to detect a file that is too long
 	if err = errors.Join(err, file.Close()); err != nil {
 		return nil, err
 	}
@@ -118,7 +119,7 @@
 
 func decodeDisabled(text []byte) ([]string, error) {
 	if len(text) > maxFileBytes {
-		return nil, fmt.Errorf("more than %d bytes", maxFileBytes)
+		return nil, fmt.Errorf("longer than %d bytes", maxFileBytes)
 	}
 	var stored disabledFile
 	if err := decodeStrictly(text, &stored); err != nil {
@@ -148,11 +149,11 @@
 	return nil
 }
 
-// ValidateServerID reports whether an id that comes from another process, or from the disk, has a length that a
-// server's id may have.
+// ValidateServerID returns an error if a server id, received from another process or read from disk, is empty or too
+// long.
 func ValidateServerID(id string) error {
 	if id == "" || len(id) > routing.MaxIDLength {
-		return fmt.Errorf("an id of %d bytes, 1 to %d may be", len(id), routing.MaxIDLength)
+		return fmt.Errorf("an id of %d bytes, 1 to %d are allowed", len(id), routing.MaxIDLength)
 	}
 	return nil
 }
--- a/internal/store/disabled_test.go
+++ b/internal/store/disabled_test.go
@@ -11,15 +11,15 @@
 	"testing"
 )
 
-// faultyFiles are the system's files, of which one step fails, or all from that step on, as after a kill.
-type faultyFiles struct {
-	systemFiles
+// faultyFileSystem is a file system in which one step fails, or all steps from that one on, as after a kill.
+type faultyFileSystem struct {
+	osFileSystem
 	step   string
 	err    error
-	killed bool // nothing that comes after the step is done either
+	killed bool // all later steps fail too
 }
 
-func (f *faultyFiles) fails(step string) bool {
+func (f *faultyFileSystem) fails(step string) bool {
 	if step != f.step {
 		return f.killed && f.step == ""
 	}
@@ -29,45 +29,45 @@
 	return true
 }
 
-func (f *faultyFiles) Create(path string) (writableFile, error) {
+func (f *faultyFileSystem) Create(path string) (writableFile, error) {
 	if f.fails("create") {
 		return nil, f.err
 	}
-	file, err := f.systemFiles.Create(path)
+	file, err := f.osFileSystem.Create(path)
 	return &faultyFile{file, f}, err
 }
 
-func (f *faultyFiles) Rename(from, to string) error {
+func (f *faultyFileSystem) Rename(from, to string) error {
 	if f.fails("rename") {
 		return f.err
 	}
-	return f.systemFiles.Rename(from, to)
+	return f.osFileSystem.Rename(from, to)
 }
 
-func (f *faultyFiles) Remove(path string) error {
+func (f *faultyFileSystem) Remove(path string) error {
 	if f.fails("remove") {
 		return f.err
 	}
-	return f.systemFiles.Remove(path)
+	return f.osFileSystem.Remove(path)
 }
 
-func (f *faultyFiles) SyncDirectory(path string) error {
+func (f *faultyFileSystem) SyncDirectory(path string) error {
 	if f.fails("sync directory") {
 		return f.err
 	}
-	return f.systemFiles.SyncDirectory(path)
+	return f.osFileSystem.SyncDirectory(path)
 }
 
-func (f *faultyFiles) Lstat(path string) (fs.FileInfo, error) {
+func (f *faultyFileSystem) Lstat(path string) (fs.FileInfo, error) {
 	if f.fails("lstat") {
 		return nil, f.err
 	}
-	return f.systemFiles.Lstat(path)
+	return f.osFileSystem.Lstat(path)
 }
 
 type faultyFile struct {
 	writableFile
-	files *faultyFiles
+	files *faultyFileSystem
 }
 
 func (f *faultyFile) Write(text []byte) (int, error) {
@@ -108,9 +108,9 @@
 	}
 }
 
-func TestOpenWithoutName(t *testing.T) {
+func TestOpenWithEmptyPath(t *testing.T) {
 	if _, err := Open("", "x"); err == nil {
-		t.Error("a directory without a name is opened")
+		t.Error("an empty path is accepted")
 	}
 }
 
@@ -123,7 +123,7 @@
 }
 
 func TestMissingDirectory(t *testing.T) {
-	missing := openDirectory(t, filepath.Join(t.TempDir(), "none")) // it may be created later
+	missing := openDirectory(t, filepath.Join(t.TempDir(), "none")) // the directory may be created later
 	_, errLoad := missing.LoadDisabled()
 	for what, err := range map[string]error{"save": missing.SaveDisabled(nil), "load": errLoad} {
 		if !errors.Is(err, fs.ErrNotExist) {
@@ -132,7 +132,7 @@
 	}
 }
 
-func TestLinkInPlaceOfTheFile(t *testing.T) {
+func TestSymlinkInPlaceOfFile(t *testing.T) {
 	directory := openDirectory(t, t.TempDir())
 	if err := os.Symlink("/etc/hostname", directory.Path(disabledSuffix)); err != nil {
 		t.Fatal(err)
@@ -143,22 +143,21 @@
 	}
 }
 
-// Whichever step of a write fails, or is the last before a kill, the content before or the content after is
-// loaded: never a part, and never an error. A step that failed is a typed error with advice, and the next write
-// succeeds.
+// Whichever step of a write fails, or is the last one before a kill, either the previous or the new content is loaded,
+// never an incomplete file or an error. A failed step gives a typed error with advice, and the next write succeeds.
 func TestFaultsWhileWriting(t *testing.T) {
 	for _, step := range []string{"create", "write", "sync", "rename", "sync directory"} {
 		for _, err := range []error{syscall.ENOSPC, syscall.EIO} {
 			for _, killed := range []bool{false, true} {
 				t.Run(fmt.Sprintf("%s, %v, killed %v", step, err, killed), func(t *testing.T) {
-					testFaultWhileWriting(t, &faultyFiles{step: step, err: err, killed: killed})
+					testFaultWhileWriting(t, &faultyFileSystem{step: step, err: err, killed: killed})
 				})
 			}
 		}
 	}
 }
 
-func testFaultWhileWriting(t *testing.T, files *faultyFiles) {
+func testFaultWhileWriting(t *testing.T, files *faultyFileSystem) {
 	before, after := []string{"a"}, []string{"a", "b"}
 	step, cause := files.step, files.err
 	root := t.TempDir()
@@ -167,23 +166,23 @@
 	directory.files = files
 	var failed *DirectoryError
 	if err := directory.SaveDisabled(after); !errors.As(err, &failed) || !errors.Is(err, cause) || failed.Advice() == "" {
-		t.Errorf("fails with %v", err)
+		t.Errorf("SaveDisabled: %v", err)
 	}
-	directory.files = systemFiles{}
+	directory.files = osFileSystem{}
 	want := before
 	if step == "sync directory" {
-		want = after // the file was replaced; that it survives a loss of power is not certain
+		want = after // the file was replaced, but might not survive a power failure
 	}
 	wantDisabled(t, directory, want)
 	save(t, directory, after)
 	wantDisabled(t, directory, after)
 	directory.RemoveUnfinished()
 	if files, err := os.ReadDir(root); err != nil || len(files) != 1 {
-		t.Errorf("%d files are left, %v", len(files), err)
+		t.Errorf("%d files remain, %v", len(files), err)
 	}
 }
 
-func TestFileCutAtEachByte(t *testing.T) {
+func TestTruncatedFile(t *testing.T) {
 	directory := openDirectory(t, t.TempDir())
 	save(t, directory, []string{"a", "b"})
 	path := directory.Path(disabledSuffix)
@@ -197,14 +196,14 @@
 		}
 		var invalid *ContentError
 		if got, err := directory.LoadDisabled(); got != nil || !errors.As(err, &invalid) {
-			t.Errorf("cut after %d bytes %q is loaded, %v", n, got, err)
+			t.Errorf("truncated to %d bytes: loaded %q, %v", n, got, err)
 		}
 	}
 }
 
 func TestUnreadableFile(t *testing.T) {
 	directory := openDirectory(t, t.TempDir())
-	directory.files = &faultyFiles{step: "lstat", err: syscall.EIO}
+	directory.files = &faultyFileSystem{step: "lstat", err: syscall.EIO}
 	var failed *DirectoryError
 	if got, err := directory.LoadDisabled(); got != nil || !errors.As(err, &failed) || !errors.Is(err, syscall.EIO) {
 		t.Errorf("loaded %q, %v", got, err)
--- a/internal/store/errors.go
+++ b/internal/store/errors.go
@@ -1,6 +1,6 @@
 package store
 
-// DirectoryError says that the directory could not be read or written. It may pass: the same call can be made again.
+// DirectoryError says that the directory could not be read or written. It may be transient: the call can be retried.
 type DirectoryError struct {
 	Operation string
 	Err       error
@@ -9,16 +9,16 @@
 // Error names the operation and the system's error.
 func (e *DirectoryError) Error() string { return e.Operation + ": " + e.Err.Error() }
 
-// Unwrap gives the system's error.
+// Unwrap returns the system's error.
 func (e *DirectoryError) Unwrap() error { return e.Err }
 
-// Advice says what an operator can do about it.
+// Advice tells an operator what to do.
 func (e *DirectoryError) Advice() string {
-	return "check that the directory that $TMPDIR names exists, is writable and has free space; the operation is retried until it succeeds"
+	return "check that the directory in $TMPDIR exists, is writable and has free space; the operation is retried until it succeeds"
 }
 
-// ContentError says that the content of a stored file is not valid. Unlike a DirectoryError it doesn't pass:
-// reading again doesn't help.
+// ContentError says that the content of a stored file is invalid. Unlike a DirectoryError it is not transient: reading
+// the file again doesn't help.
 type ContentError struct {
 	Path string
 	Err  error
@@ -27,10 +27,10 @@
 // Error names the file and what is wrong with it.
 func (e *ContentError) Error() string { return e.Path + ": " + e.Err.Error() }
 
-// Unwrap gives what is wrong with the content.
+// Unwrap returns what is wrong with the content.
 func (e *ContentError) Unwrap() error { return e.Err }
 
-// Advice says what an operator can do about it.
+// Advice tells an operator what to do.
 func (e *ContentError) Advice() string {
-	return "disable again the servers that are to be disabled (/control/servers/ID/offline); the next such call rewrites the file"
+	return "disable the servers again that should be disabled (/control/servers/ID/offline); the next such call rewrites the file"
 }
--- a/internal/store/filesystem.go
+++ b/internal/store/filesystem.go
@@ -9,7 +9,7 @@
 	"syscall"
 )
 
-// fileSystem is what a Directory asks of the system for the files that it keeps. Tests let single steps fail.
+// fileSystem has the file operations that a Directory uses. Tests replace it to make single steps fail.
 type fileSystem interface {
 	Create(path string) (writableFile, error)
 	Open(path string) (io.ReadCloser, error)
@@ -26,26 +26,26 @@
 	Sync() error
 }
 
-// systemFiles are the files of the operating system.
-type systemFiles struct{}
+// osFileSystem is the file system of the operating system.
+type osFileSystem struct{}
 
 const (
-	// A link in the place of a new file is not followed: it could lead to a file of somebody else.
+	// O_NOFOLLOW: a symbolic link at the path of a new file could lead to a file of another user.
 	createFlags = os.O_WRONLY | os.O_CREATE | os.O_TRUNC | syscall.O_NOFOLLOW
 	fileMode    = 0o600
 )
 
-func (systemFiles) Create(path string) (writableFile, error) {
+func (osFileSystem) Create(path string) (writableFile, error) {
 	return os.OpenFile(path, createFlags, fileMode)
 }
-func (systemFiles) Open(path string) (io.ReadCloser, error) { return os.Open(path) }
-func (systemFiles) Rename(from, to string) error            { return os.Rename(from, to) }
-func (systemFiles) Remove(path string) error                { return os.Remove(path) }
-func (systemFiles) Lstat(path string) (fs.FileInfo, error)  { return os.Lstat(path) }
-func (systemFiles) Glob(pattern string) ([]string, error)   { return filepath.Glob(pattern) }
+func (osFileSystem) Open(path string) (io.ReadCloser, error) { return os.Open(path) }
+func (osFileSystem) Rename(from, to string) error            { return os.Rename(from, to) }
+func (osFileSystem) Remove(path string) error                { return os.Remove(path) }
+func (osFileSystem) Lstat(path string) (fs.FileInfo, error)  { return os.Lstat(path) }
+func (osFileSystem) Glob(pattern string) ([]string, error)   { return filepath.Glob(pattern) }
 
-// SyncDirectory makes the names in a directory outlast a loss of power.
-func (systemFiles) SyncDirectory(path string) error {
+// SyncDirectory makes changes to the entries of a directory survive a power failure.
+func (osFileSystem) SyncDirectory(path string) error {
 	directory, err := os.Open(path)
 	if err != nil {
 		return err
@@ -53,8 +53,8 @@
 	return errors.Join(ignoreUnsupportedSync(directory.Sync()), directory.Close())
 }
 
-// ignoreUnsupportedSync drops the error of a file system that knows no sync, such as one in memory: it has no loss
-// of power to survive.
+// ignoreUnsupportedSync ignores the error of a file system that doesn't support sync, such as one in memory: its files
+// don't survive a power failure anyway.
 func ignoreUnsupportedSync(err error) error {
 	for _, unsupported := range []error{syscall.EINVAL, syscall.ENOTSUP, syscall.ENOSYS} {
 		if errors.Is(err, unsupported) {
