--- a/internal/admin/listener.go
+++ b/internal/admin/listener.go
@@ -12,13 +12,13 @@
 // acceptRetryInterval is the pause after an accept that failed.
 const acceptRetryInterval = 10 * time.Millisecond
 
-// limitedListener limits the open connections: the oldest whose request is not complete is closed for a new one.
-// Those with a complete request are answered soon, and are never closed for it.
+// limitedListener limits the open connections: at the limit, a new connection replaces the oldest one whose request is
+// incomplete. Connections with a complete request are answered soon, and are never closed for a new one.
 type limitedListener struct {
 	net.Listener
 
 	mu       sync.Mutex // guards the fields below
-	waiting  *list.List // of *connection: those whose request is not complete, the oldest first
+	waiting  *list.List // of *connection: those whose request is incomplete, oldest first
 	inFlight int        // calls that are not answered yet
 }
 
@@ -30,12 +30,12 @@
 type connection struct {
 	net.Conn
 	listener *limitedListener
-	// In waiting, whose mutex guards it; nil once the request is complete or the connection closed.
+	// The element in listener.waiting, guarded by listener.mu; nil if the request is complete or the connection closed.
 	element *list.Element
 }
 
-// Accept waits for the next connection. Only a closed listener ends it: it must survive a lack of descriptors, and
-// a caller that is gone again.
+// Accept waits for the next connection. It fails only if the listener is closed: it retries when descriptors run out,
+// or when a caller has already disconnected.
 func (l *limitedListener) Accept() (net.Conn, error) {
 	for {
 		raw, err := l.Listener.Accept()
@@ -48,13 +48,13 @@
 		}
 		accepted, oldest := l.add(raw)
 		if oldest != nil {
-			_ = oldest.Conn.Close() // its caller has not sent a complete request
+			_ = oldest.Conn.Close() // its request is incomplete
 		}
 		return accepted, nil
 	}
 }
 
-// add adds a connection to those that wait. oldest is the one to be closed for it, if any.
+// add adds a connection to waiting. oldest is the connection to close in its place, if any.
 func (l *limitedListener) add(raw net.Conn) (accepted, oldest *connection) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -67,7 +67,7 @@
 	return accepted, oldest
 }
 
-// stopWaiting takes a connection off those that wait. The caller holds mu.
+// stopWaiting removes a connection from waiting. The caller holds mu.
 func (l *limitedListener) stopWaiting(c *connection) {
 	if c.element != nil {
 		l.waiting.Remove(c.element)
@@ -75,7 +75,7 @@
 	}
 }
 
-// Close closes the connection, and takes it off those that wait.
+// Close closes the connection, and removes it from waiting.
 func (c *connection) Close() error {
 	c.listener.mu.Lock()
 	c.listener.stopWaiting(c)
@@ -83,8 +83,8 @@
 	return c.Conn.Close()
 }
 
-// beginCall notes that a request is complete. admitted: not too many are in flight. The caller calls endCall
-// either way.
+// beginCall records that the request on a connection is complete. admitted reports whether the number of calls in
+// flight is within the limit. The caller must call endCall in either case.
 func (l *limitedListener) beginCall(c *connection) (admitted bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -105,7 +105,7 @@
 	return context.WithValue(ctx, connectionKey{}, c)
 }
 
-// connectionOf is the connection of a request; all come from the limitedListener.
+// connectionOf returns the connection of a request; all are from the limitedListener.
 func connectionOf(ctx context.Context) *connection {
 	return ctx.Value(connectionKey{}).(*connection)
 }
--- a/internal/handover/frame.go
+++ b/internal/handover/frame.go
@@ -11,38 +11,38 @@
 )
 
 const (
-	frameHeaderBytes = 4       // the length of the text that follows, big endian
-	maxFrameBytes    = 8 << 20 // of the text
+	frameHeaderBytes = 4       // the length of the JSON text that follows, big endian
+	maxFrameBytes    = 8 << 20 // limit for the JSON text
 	maxFrameFiles    = 8
-	descriptorBytes  = 4 // of one descriptor in a control message
+	descriptorBytes  = 4 // size of a descriptor in a control message
 )
 
-// frame is one message on the link: JSON text, with descriptors beside it. The keys and kinds are common to all
-// versions that run side by side.
+// frame is one message on the link: JSON text and descriptors. Its keys and the kinds are part of the protocol between
+// different versions.
 type frame struct {
 	Kind    string          `json:"kind,omitempty"`
-	Number  uint64          `json:"number,omitempty"` // of the request, and of the reply to it; 0: no reply is expected
+	Number  uint64          `json:"number,omitempty"` // identifies a request and its reply; 0: no reply is expected
 	IsReply bool            `json:"answer,omitempty"`
-	Refusal string          `json:"bad,omitempty"` // of a reply: why the request was refused
+	Refusal string          `json:"bad,omitempty"` // in a reply: why the request was refused
 	Body    json.RawMessage `json:"body,omitempty"`
 
-	files       []*os.File     // received with it
-	descriptors []syscall.Conn // to be sent with it
+	files       []*os.File     // received with the frame
+	descriptors []syscall.Conn // to send with the frame
 }
 
-// encodeFrame is the text of a frame.
+// encodeFrame returns the JSON text of a frame.
 func encodeFrame(f frame) ([]byte, error) {
 	text, err := json.Marshal(f)
 	if err != nil {
-		return nil, fmt.Errorf("encode a frame: %w", err)
+		return nil, fmt.Errorf("encode frame: %w", err)
 	}
 	if len(text) > maxFrameBytes {
-		return nil, fmt.Errorf("a frame of %d bytes, %d at most", len(text), maxFrameBytes)
+		return nil, fmt.Errorf("frame has %d bytes, at most %d are allowed", len(text), maxFrameBytes)
 	}
 	return text, nil
 }
 
-// writeFrame sends the text of a frame, with descriptors beside the first byte.
+// writeFrame sends the text of a frame, and the descriptors as ancillary data of its header.
 func writeFrame(conn *net.UnixConn, text []byte, descriptors []syscall.Conn) error {
 	rights, err := encodeRights(descriptors)
 	if err != nil {
@@ -56,26 +56,26 @@
 	return err
 }
 
-// encodeRights is the control message that passes descriptors on; nil for none.
+// encodeRights returns the SCM_RIGHTS control message for descriptors; nil if there are none.
 func encodeRights(descriptors []syscall.Conn) ([]byte, error) {
 	if len(descriptors) == 0 {
 		return nil, nil
 	}
-	var numbers []int
+	var fds []int
 	for _, descriptor := range descriptors {
-		// Not a copy from File: that would set the socket, which both processes share, to blocking mode.
+		// Not the duplicate that File returns: it sets the socket, which both processes share, to blocking mode.
 		raw, err := descriptor.SyscallConn()
 		if err == nil {
-			err = raw.Control(func(number uintptr) { numbers = append(numbers, int(number)) })
+			err = raw.Control(func(fd uintptr) { fds = append(fds, int(fd)) })
 		}
 		if err != nil {
-			return nil, fmt.Errorf("pass a descriptor on: %w", err)
+			return nil, fmt.Errorf("get descriptor to send: %w", err)
 		}
 	}
-	return syscall.UnixRights(numbers...), nil
+	return syscall.UnixRights(fds...), nil
 }
 
-// readFrame reads one frame, whole or not at all. The caller closes its files.
+// readFrame reads one complete frame, else it returns an error. The caller closes the files of the frame.
 func readFrame(conn *net.UnixConn) (f frame, err error) {
 	defer func() {
 		if err != nil {
@@ -89,9 +89,9 @@
 		return f, err
 	}
 	if length > maxFrameBytes {
-		return f, fmt.Errorf("a frame of %d bytes, %d at most", length, maxFrameBytes)
+		return f, fmt.Errorf("frame has %d bytes, at most %d are allowed", length, maxFrameBytes)
 	}
-	// Grows as bytes arrive: a length alone must not cost memory.
+	// The buffer grows as bytes arrive: the length in the header alone must not allocate memory.
 	text, err := io.ReadAll(io.LimitReader(conn, int64(length)))
 	if err != nil {
 		return f, err
@@ -100,25 +100,25 @@
 		return f, io.ErrUnexpectedEOF
 	}
 	if err := json.Unmarshal(text, &f); err != nil {
-		return f, fmt.Errorf("decode a frame: %w", err)
+		return f, fmt.Errorf("decode frame: %w", err)
 	}
 	return f, nil
 }
 
-// readFrameHeader reads the length of a frame and the descriptors that came beside it. The files are given with an
-// error too.
+// readFrameHeader reads the length of a frame and the descriptors sent with it. It returns the files received so far
+// with an error too.
 func readFrameHeader(conn *net.UnixConn) (length uint32, files []*os.File, err error) {
 	header := make([]byte, frameHeaderBytes)
 	control := make([]byte, syscall.CmsgSpace(descriptorBytes*maxFrameFiles))
 	for received := 0; received < len(header); {
 		n, controlBytes, _, _, err := conn.ReadMsgUnix(header[received:], control)
-		newFiles, errRights := decodeRights(control[:controlBytes])
+		newFiles, rightsErr := decodeRights(control[:controlBytes])
 		files = append(files, newFiles...)
 		switch {
 		case err != nil:
 			return 0, files, err
-		case errRights != nil:
-			return 0, files, errRights
+		case rightsErr != nil:
+			return 0, files, rightsErr
 		case n == 0:
 			return 0, files, io.EOF
 		}
@@ -127,28 +127,28 @@
 	return binary.BigEndian.Uint32(header), files, nil
 }
 
-// decodeRights opens the descriptors of a control message. Those before a fault are given with the error.
+// decodeRights opens the descriptors in control messages. It returns those decoded before an error with the error.
 func decodeRights(control []byte) (files []*os.File, err error) {
 	if len(control) == 0 {
 		return nil, nil
 	}
 	messages, err := syscall.ParseSocketControlMessage(control)
 	if err != nil {
-		return nil, fmt.Errorf("descriptors beside a frame: %w", err)
+		return nil, fmt.Errorf("decode descriptors of frame: %w", err)
 	}
 	for _, message := range messages {
-		numbers, err := syscall.ParseUnixRights(&message)
+		fds, err := syscall.ParseUnixRights(&message)
 		if err != nil {
-			return files, fmt.Errorf("descriptors beside a frame: %w", err)
+			return files, fmt.Errorf("decode descriptors of frame: %w", err)
 		}
-		for _, number := range numbers {
-			files = append(files, os.NewFile(uintptr(number), "handed over"))
+		for _, fd := range fds {
+			files = append(files, os.NewFile(uintptr(fd), "handed over"))
 		}
 	}
 	return files, nil
 }
 
-// closeFiles closes received files. Each user has a copy, so that nothing is lost by a close that fails.
+// closeFiles closes received files. Errors are ignored: users of the descriptors have their own duplicates.
 func closeFiles(files []*os.File) {
 	for _, file := range files {
 		_ = file.Close()
--- a/internal/handover/link.go
+++ b/internal/handover/link.go
@@ -1,6 +1,6 @@
-// Package handover carries what passes between a running process and its successor: the socket by which they find
-// each other, a link of requests and replies with descriptors beside them, and the state that is handed over. It
-// decides nothing.
+// Package handover implements the communication between a running process and its successor: the socket by which a
+// successor finds that process, a link for requests and replies that can carry descriptors, and the state that is
+// handed over. Package daemon decides when to hand over.
 package handover
 
 import (
@@ -16,50 +16,49 @@
 	"time"
 )
 
-const writeTimeout = 2 * time.Second // a process that reads nothing for longer counts as gone
+const writeTimeout = 2 * time.Second // a peer that doesn't read for longer is treated as gone
 
 var (
-	// ErrPeerGone says that the other process ended, or closed the link.
+	// ErrPeerGone says that the other process exited, or closed the link.
 	ErrPeerGone = errors.New("the other process is gone")
-	// ErrRefused says that the other process refused a request; its reason follows.
+	// ErrRefused says that the other process refused a request; the error text ends with the reason.
 	ErrRefused = errors.New("refused by the other process")
 )
 
-// Request is what a Handler is asked.
+// Request is a received request or notification.
 type Request struct {
 	Body  json.RawMessage
-	Files []*os.File // closed once the handler returns: what it keeps of them is a copy
+	Files []*os.File // closed when the handler returns; to keep one, duplicate it
 }
 
 // Response is a Handler's reply.
 type Response struct {
 	Body        any            // encoded as JSON
-	Descriptors []syscall.Conn // passed on beside it
-	// AfterSend, if not nil, runs once the reply was sent or could not be. Unless it was sent the other process
-	// continues as if it had not asked: nothing may have been done that it would do again.
+	Descriptors []syscall.Conn // sent with the reply
+	// AfterSend, if not nil, is called after the reply was sent or failed to be sent. If it was not sent the other
+	// process continues as if it had made no request: work that it would then do itself must not start earlier.
 	AfterSend func(sent bool)
 }
 
-// Handler replies to one kind of request; an error refuses it, and its text is the reason that the other process gets.
+// Handler replies to one kind of request. An error refuses the request; the other process gets its text as the reason.
 type Handler func(ctx context.Context, request Request) (Response, error)
 
-// Link joins two processes of one balancer. Both ends send requests and reply to them.
+// Link connects two processes of one balancer. Both ends can send requests and reply to them.
 type Link struct {
 	conn            *net.UnixConn
 	handlers        map[string]Handler
 	orderedHandlers map[string]Handler
-	gone            chan struct{} // closed as Run returns
+	gone            chan struct{} // closed when Run returns
 
-	writeMu sync.Mutex // one frame is written at a time
+	writeMu sync.Mutex // held while a frame is written
 
 	mu         sync.Mutex // guards the fields below
 	lastNumber uint64
-	pending    map[uint64]chan frame // requests that await a reply; nil once the link ended
+	pending    map[uint64]chan frame // requests that await a reply; nil after the link has ended
 }
 
-// NewLink makes a link of a connection; Run makes it live. Handlers run beside each other. Ordered handlers run
-// one after the other, each to its end before anything that was sent later is looked at. Neither map may change
-// afterwards.
+// NewLink creates a link on a connection; Run serves it. Handlers run concurrently. Ordered handlers run one at a time,
+// and each returns before the next frame is read. Neither map may change afterwards.
 func NewLink(conn *net.UnixConn, handlers, orderedHandlers map[string]Handler) *Link {
 	return &Link{
 		conn:            conn,
@@ -70,14 +69,14 @@
 	}
 }
 
-// Gone is closed when the link has ended and no handler runs any more.
+// Gone returns a channel that is closed when the link has ended and no handler runs any more.
 func (l *Link) Gone() <-chan struct{} { return l.gone }
 
 // Close ends the link.
-func (l *Link) Close() { _ = l.conn.Close() } // fails only where it is closed already
+func (l *Link) Close() { _ = l.conn.Close() } // fails only if it is already closed
 
-// Run serves the link until it is closed, at either end, or ctx ends; handlers get ctx. The error is nil where the
-// link ended in order.
+// Run serves the link until either end closes it, or ctx ends; handlers get ctx. The error is nil unless reading failed
+// for another reason.
 func (l *Link) Run(ctx context.Context) error {
 	defer close(l.gone)
 	var running sync.WaitGroup
@@ -105,7 +104,7 @@
 	}
 }
 
-// failPending ends all requests that await a reply.
+// failPending fails all requests that await a reply.
 func (l *Link) failPending() {
 	l.mu.Lock()
 	pending := l.pending
@@ -116,24 +115,24 @@
 	}
 }
 
-// deliver gives a reply to the request that awaits it.
+// deliver passes a reply to the request that awaits it.
 func (l *Link) deliver(reply frame) {
 	l.mu.Lock()
 	waiting := l.pending[reply.Number]
 	delete(l.pending, reply.Number)
 	l.mu.Unlock()
-	if waiting == nil { // given up on meanwhile
+	if waiting == nil { // the request was abandoned
 		closeFiles(reply.files)
 		return
 	}
-	waiting <- reply // has room for one, and gets no second
+	waiting <- reply // doesn't block: the channel is buffered, and each request gets one reply
 }
 
-// respond runs the handler of a request and sends its reply, where one is expected.
+// respond runs the handler of a request and sends its reply, if one is expected.
 func (l *Link) respond(ctx context.Context, request frame, handler Handler) {
 	defer closeFiles(request.files)
 	var response Response
-	err := fmt.Errorf("unknown question %q", request.Kind)
+	err := fmt.Errorf("unknown message kind %q", request.Kind)
 	if handler != nil {
 		response, err = handler(ctx, Request{Body: request.Body, Files: request.files})
 	}
@@ -149,7 +148,7 @@
 	}
 }
 
-// reply sends a response, or the reason of a refusal, and reports whether it was sent.
+// reply sends a response, or the reason for a refusal, and reports whether that succeeded.
 func (l *Link) reply(number uint64, response Response, refusal error) (sent bool) {
 	f := frame{Number: number, IsReply: true}
 	var body []byte
@@ -176,17 +175,17 @@
 	return nil
 }
 
-// PendingReply is the reply to a request that was sent.
+// PendingReply is a request that awaits its reply.
 type PendingReply struct {
 	link   *Link
 	kind   string
 	number uint64
 	reply  chan frame
-	err    error // why the request was not sent
+	err    error // set if the request was not sent
 }
 
-// Request sends a request, with descriptors beside it, and returns at once. Requests and notices arrive in the
-// order of the calls. Wait must be called on the result: it closes files that come too late.
+// Request sends a request and descriptors, and doesn't wait for the reply. Requests and notifications arrive in the
+// order of the calls. Wait must be called on the result: it closes files of a reply that arrives too late.
 func (l *Link) Request(kind string, body any, descriptors ...syscall.Conn) *PendingReply {
 	pending := &PendingReply{link: l, kind: kind, reply: make(chan frame, 1)}
 	text, err := json.Marshal(body)
@@ -199,12 +198,12 @@
 	}
 	request := frame{Kind: kind, Number: pending.number, Body: text, descriptors: descriptors}
 	if l.write(request) != nil {
-		l.Close() // which ends the wait with ErrPeerGone
+		l.Close() // Wait then returns ErrPeerGone
 	}
 	return pending
 }
 
-// register takes the next number for a request whose reply goes to the channel.
+// register assigns a number to a request. Its reply is sent to the channel.
 func (l *Link) register(reply chan frame) (number uint64, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -216,8 +215,8 @@
 	return l.lastNumber, nil
 }
 
-// Wait waits for the reply and decodes its body into a variable, unless that is nil. The files that came are the
-// caller's to close. A refusal is ErrRefused, the end of the link ErrPeerGone.
+// Wait waits for the reply and decodes its body into into, unless that is nil. The caller closes the returned files.
+// The error matches ErrRefused if the request was refused, and ErrPeerGone if the link ended.
 func (p *PendingReply) Wait(ctx context.Context, into any) ([]*os.File, error) {
 	if p.err != nil {
 		return nil, p.err
@@ -234,7 +233,7 @@
 	}
 }
 
-// abandon gives up on the reply, and closes files that came in this instant.
+// abandon stops waiting for the reply, and closes the files of a reply that was just delivered.
 func (p *PendingReply) abandon() {
 	p.link.mu.Lock()
 	delete(p.link.pending, p.number)
@@ -260,8 +259,8 @@
 	return reply.files, nil
 }
 
-// write sends a frame. A process that doesn't read fails it after a while; the time that a long frame takes to
-// encode doesn't count, and keeps no other frame waiting.
+// write sends a frame. It fails if the other process doesn't read for writeTimeout. The frame is encoded before the
+// timeout starts and outside the lock, so that a long one doesn't delay others.
 func (l *Link) write(f frame) error {
 	text, err := encodeFrame(f)
 	if err != nil {
--- a/internal/handover/link_test.go
+++ b/internal/handover/link_test.go
@@ -183,8 +183,8 @@
 	for _, c := range []struct{ name, text, want string }{
 		{"longer than allowed", string(tooLong), "at most"},
 		{"cut", "\x00\x00\x00\x09{\"kind\"", io.ErrUnexpectedEOF.Error()},
-		{"no JSON", "\x00\x00\x00\x02{]", "decode a frame"},
-		{"another kind of value", "\x00\x00\x00\x02[]", "decode a frame"},
+		{"no JSON", "\x00\x00\x00\x02{]", "decode frame"},
+		{"another kind of value", "\x00\x00\x00\x02[]", "decode frame"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			near, far := connectedPair(t)
--- a/internal/handover/socket.go
+++ b/internal/handover/socket.go
@@ -19,30 +19,30 @@
 	socketSuffix = ".sock"
 )
 
-// errForeign says that what stands in the place of the socket was not created by this balancer. It is left alone.
-var errForeign = errors.New("is not a socket of this balancer")
+// errNotOwnSocket says that the file at the socket's path was not created by this balancer. Such a file is not touched.
+var errNotOwnSocket = errors.New("is not a socket of this balancer")
 
-// Socket is the unix socket by which a successor finds the process that serves.
+// Socket is the Unix socket by which a successor finds the process that serves.
 type Socket struct {
 	directory *store.Directory
 }
 
-// NewSocket names the socket in the directory that the processes of one balancer share. Nothing is opened yet.
+// NewSocket returns the socket in the directory that the processes of one balancer share. It opens nothing.
 func NewSocket(directory *store.Directory) *Socket { return &Socket{directory: directory} }
 
-// withShortPath runs something with a short path to a file: a socket's path may have 107 bytes, and the
-// directory's own may be longer.
+// withShortPath calls use with a short path to a file in the directory: the path of a socket is limited to 107 bytes,
+// and that of the directory may be longer.
 func (s *Socket) withShortPath(file string, use func(path string) error) error {
 	directory, err := os.Open(s.directory.Root())
 	if err != nil {
 		return err
 	}
-	defer func() { _ = directory.Close() }() // opened for reading: nothing is lost
+	defer func() { _ = directory.Close() }() // opened for reading: the error can be ignored
 	return use(fmt.Sprintf("/proc/self/fd/%d/%s", directory.Fd(), file))
 }
 
-// Connect connects to the process that serves; the result is nil where none does. What another user put in the
-// place of the socket, or what is not a socket, is left alone and reported.
+// Connect connects to the process that serves; the result is nil if there is none. It is an error if the file at the
+// socket's path belongs to another user or is not a socket; that file is not touched.
 func (s *Socket) Connect(ctx context.Context) (*net.UnixConn, error) {
 	path := s.directory.Path(socketSuffix)
 	info, err := os.Lstat(path)
@@ -53,7 +53,7 @@
 		return nil, fmt.Errorf("find the process that serves: %w", err)
 	}
 	if !isOwnSocket(info) {
-		return nil, fmt.Errorf("%s: %w", path, errForeign)
+		return nil, fmt.Errorf("%s: %w", path, errNotOwnSocket)
 	}
 	var conn net.Conn
 	err = s.withShortPath(s.directory.FileName(socketSuffix), func(path string) (err error) {
@@ -70,7 +70,7 @@
 	return conn.(*net.UnixConn), nil
 }
 
-// isOwnSocket reports whether a file is a socket of this user.
+// isOwnSocket reports whether a file is a socket that belongs to this user.
 func isOwnSocket(info fs.FileInfo) bool {
 	if info.Mode().Type() != fs.ModeSocket {
 		return false
@@ -79,15 +79,15 @@
 	return !ok || int(owner.Uid) == os.Getuid()
 }
 
-// Listen opens the socket by which the next process finds this one. It replaces the socket of the process before.
+// Listen opens the socket by which a successor finds this process. It replaces the socket of the previous process.
 func (s *Socket) Listen(ctx context.Context) (*net.UnixListener, error) {
 	path := s.directory.Path(socketSuffix)
 	if info, err := os.Lstat(path); err == nil && info.Mode().Type() != fs.ModeSocket {
-		return nil, fmt.Errorf("%s: %w", path, errForeign)
+		return nil, fmt.Errorf("%s: %w", path, errNotOwnSocket)
 	}
 	temporaryName := s.directory.FileName(fmt.Sprintf(".%d%s", os.Getpid(), socketSuffix))
 	temporaryPath := filepath.Join(s.directory.Root(), temporaryName)
-	_ = os.Remove(temporaryPath) // there is one only where an earlier process with this id was killed
+	_ = os.Remove(temporaryPath) // exists only if an earlier process with this process id was killed
 	var listener net.Listener
 	err := s.withShortPath(temporaryName, func(path string) (err error) {
 		var config net.ListenConfig
@@ -98,7 +98,7 @@
 		return nil, fmt.Errorf("listen for a successor: %w", err)
 	}
 	unix := listener.(*net.UnixListener)
-	unix.SetUnlinkOnClose(false) // once it closes the name belongs to a later process
+	unix.SetUnlinkOnClose(false) // by then the path may belong to a later process
 	if err := os.Rename(temporaryPath, path); err != nil {
 		return nil, fmt.Errorf("listen for a successor: %w", errors.Join(err, unix.Close(), os.Remove(temporaryPath)))
 	}
--- a/internal/handover/socket_test.go
+++ b/internal/handover/socket_test.go
@@ -92,10 +92,10 @@
 				t.Fatal(err)
 			}
 			t.Cleanup(func() { _ = os.Remove(path) })
-			if conn, err := socket.Connect(t.Context()); conn != nil || !errors.Is(err, errForeign) {
+			if conn, err := socket.Connect(t.Context()); conn != nil || !errors.Is(err, errNotOwnSocket) {
 				t.Errorf("found %v, %v", conn, err)
 			}
-			if _, err := socket.Listen(t.Context()); !errors.Is(err, errForeign) {
+			if _, err := socket.Listen(t.Context()); !errors.Is(err, errNotOwnSocket) {
 				t.Errorf("listen: %v", err)
 			}
 		})
--- a/internal/handover/state.go
+++ b/internal/handover/state.go
@@ -9,7 +9,7 @@
 	"yardwinch/internal/store"
 )
 
-// Version is that of the messages and of the state. A process rejects a hand-over of another version as a whole.
+// Version is the version of the messages and of the state. A process rejects a hand-over of any other version.
 const Version = 1
 
 // idHashBytes is the length of one hash in State.IDs.
@@ -23,25 +23,25 @@
 	DrainingFor  time.Duration `json:"emptying"` // since the call to go out of service
 
 	DiscoveryAddress string `json:"discovery"`
-	Revision         int64  `json:"revision"` // of the endpoint list, at that address; -1: none
-	IDsKey           []byte `json:"ids_key"`  // of the hash
-	IDs              []byte `json:"ids"`      // hashes of the connections' ids that are taken, one after the other
-	DescriptorsInUse int    `json:"held"`     // descriptors that the predecessor has in use
+	Revision         int64  `json:"revision"` // of the endpoint list from that address; -1: none
+	IDsKey           []byte `json:"ids_key"`  // key of the hash function for the ids
+	IDs              []byte `json:"ids"`      // concatenated hashes of the connection ids in use
+	DescriptorsInUse int    `json:"held"`     // number of descriptors that the predecessor has in use
 
 	Router routing.Snapshot `json:"memory"`
-	Files  []string         `json:"files"` // the names of the descriptors beside the state, in their order
+	Files  []string         `json:"files"` // names of the descriptors sent with the state, in order
 }
 
-// Validate reports whether a state can be taken over. Of one that can't be, nothing is used. The texts of its errors
-// reach the other process.
+// Validate returns nil if a state can be taken over. No part of an invalid state may be used. The other process gets
+// the error texts.
 func (s *State) Validate() error {
 	switch {
 	case s.Version != Version:
 		return fmt.Errorf("version %d, want %d", s.Version, Version)
 	case s.DescriptorsInUse < 0 || s.DrainingFor < 0 || s.Revision < -1:
-		return errors.New("a count below nought")
+		return errors.New("negative count")
 	case len(s.IDs)%idHashBytes != 0 || len(s.IDsKey) == 0:
-		return errors.New("ids that are none")
+		return errors.New("malformed connection ids")
 	}
 	for _, server := range s.Router.Servers {
 		if err := store.ValidateServerID(server.Name); err != nil {
@@ -51,13 +51,13 @@
 	return s.Router.Validate()
 }
 
-// Change is an operator's call that both processes must make.
+// Change is an operator's call that both processes must apply.
 type Change struct {
 	Kind   ChangeKind `json:"kind"`
 	Server string     `json:"server,omitempty"` // of Offline and Online
 }
 
-// ChangeKind says what changes; its values are those on the link.
+// ChangeKind is the kind of a Change. Its values are sent on the link.
 type ChangeKind string
 
 const (
@@ -71,8 +71,8 @@
 	InService ChangeKind = "in-service"
 )
 
-// Hello begins a hand-over: both processes must be of the same balancer and of the same version.
+// Hello is the first message of a hand-over: both processes must belong to the same balancer and have the same version.
 type Hello struct {
 	Version int    `json:"version"`
-	Listen  string `json:"listen"` // the address for clients, which names the balancer
+	Listen  string `json:"listen"` // the address for clients, which identifies the balancer
 }
