--- a/internal/daemon/admin_calls.go
+++ b/internal/daemon/admin_calls.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	callTimeout           = 750 * time.Millisecond // for both processes to make a change
-	successorGoneInterval = time.Millisecond       // between the end of a successor and this process deciding again
+	callTimeout         = 750 * time.Millisecond // for both processes to apply a change
+	changeRetryInterval = time.Millisecond       // after a successor has exited, until this process decides again
 )
 
-// adminCalls are the operators' calls. The texts of their errors are the answers that operators get.
+// adminCalls implements admin.Balancer. Operators get the error texts as responses.
 type adminCalls struct{ daemon *Daemon }
 
-// Ready says why this process can't serve, or nil.
+// Ready returns nil if this process can serve clients, else the reason why not.
 func (c adminCalls) Ready() error {
 	switch now := c.daemon.lifecycle.current(); now {
 	case serving, draining, drained:
@@ -37,7 +37,7 @@
 	return c.daemon.requestChange(ctx, handover.Change{Kind: handover.Offline, Server: server})
 }
 
-// Online enables a server, however often it was disabled.
+// Online enables a server, however many times it was disabled.
 func (c adminCalls) Online(ctx context.Context, server string) error {
 	return c.daemon.requestChange(ctx, handover.Change{Kind: handover.Online, Server: server})
 }
@@ -47,13 +47,13 @@
 	return c.daemon.requestChange(ctx, handover.Change{Kind: handover.OutOfService})
 }
 
-// InService has the balancer accept clients again, whether or not it is drained by now.
+// InService has the balancer accept clients again, whether or not the drain has completed.
 func (c adminCalls) InService(ctx context.Context) error {
 	return c.daemon.requestChange(ctx, handover.Change{Kind: handover.InService})
 }
 
 // requestChange has a change decided by the process that serves, this one or its successor, and returns when both
-// have made it.
+// have applied it.
 func (d *Daemon) requestChange(ctx context.Context, change handover.Change) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -67,15 +67,15 @@
 		if !errors.Is(err, handover.ErrPeerGone) {
 			return err
 		}
-		select { // the successor has ended; this process decides again in a moment
+		select { // the successor has exited; this process is about to decide again
 		case <-ctx.Done():
 			return admin.ErrNotReady
-		case <-time.After(successorGoneInterval):
+		case <-time.After(changeRetryInterval):
 		}
 	}
 }
 
-// attemptChange has a change decided once. ErrPeerGone says that the successor ended before it answered.
+// attemptChange makes one attempt at a change. ErrPeerGone says that the successor exited before it replied.
 func (d *Daemon) attemptChange(ctx context.Context, change handover.Change) error {
 	d.changeMu.Lock()
 	successor := d.successor
@@ -102,8 +102,8 @@
 	return err
 }
 
-// decideChange makes a change in this process, which serves, and has the predecessor apply it. The caller holds
-// changeMu, and may release it before it waits with awaitApplied.
+// decideChange applies a change in this process, which serves, and sends it to the predecessor. The caller holds
+// changeMu, and may release it before it calls awaitApplied.
 func (d *Daemon) decideChange(ctx context.Context, change handover.Change) (pending *handover.PendingReply, err error) {
 	switch change.Kind {
 	case handover.Offline, handover.Online:
@@ -125,19 +125,19 @@
 	return d.predecessor.Request(messageApplyChange, change), nil
 }
 
-// awaitApplied waits until the predecessor has made a change; nil stands for no predecessor.
+// awaitApplied waits until the predecessor has applied a change. pending is nil if there is no predecessor.
 func awaitApplied(ctx context.Context, pending *handover.PendingReply) error {
 	if pending == nil {
 		return nil
 	}
 	_, err := pending.Wait(ctx, nil)
 	if errors.Is(err, handover.ErrPeerGone) {
-		return nil // it has no clients any more
+		return nil // the predecessor exited: it has no clients that the change could concern
 	}
 	return err
 }
 
-// tryTransition is a transition that an operator called for.
+// tryTransition changes the phase for an operator's call, and returns ErrNotReady if the transition is not allowed.
 func (d *Daemon) tryTransition(ctx context.Context, to phase) error {
 	if !d.lifecycle.transition(ctx, to) {
 		return fmt.Errorf("%w: %s", admin.ErrNotReady, d.lifecycle.current())
@@ -145,8 +145,8 @@
 	return nil
 }
 
-// setDisabled disables or enables a server. That is in force at once, whether or not it can be saved; the caller
-// awaits the save.
+// setDisabled disables or enables a server. The change takes effect at once, whether or not it can be saved; the
+// caller waits for the save.
 func (d *Daemon) setDisabled(server string, disabled bool) error {
 	wasDisabled, known := d.router.IsDisabled(server)
 	if !known {
@@ -161,7 +161,8 @@
 	return nil
 }
 
-// awaitSaved waits until the changes made here survive a kill, for as long as an operator's answer may wait for it.
+// awaitSaved waits until this process's changes are saved, for at most saveTimeout, as an operator waits for the
+// response.
 func (d *Daemon) awaitSaved(ctx context.Context) {
 	if d.disabled != nil {
 		d.disabled.awaitSaved(ctx)
--- a/internal/daemon/build.go
+++ b/internal/daemon/build.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	revisionLength  = 12 // characters of the commit that the build is of
+	revisionLength  = 12 // characters of the commit hash
 	modifiedMark    = "+"
 	unknownRevision = "unknown"
 )
 
-// buildRevision names the build that runs, by the commit that it was made of.
+// buildRevision returns the commit that this binary was built from.
 func buildRevision() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
@@ -36,13 +36,13 @@
 	return revision + modified
 }
 
-// settingsDigest identifies the settings of a balancer, so that balancers with other ones show. What each has of
-// its own is left out.
+// settingsDigest returns a hash of the settings, by which operators see balancers that run with different ones.
+// Settings that differ between the balancers of a fleet by design are left out.
 func settingsDigest(settings config.Values, sharedOptions string) string {
 	digest := xxhash.New()
 	settings.Each(func(key, value string) {
 		if key != "ordinal" && key != "az" {
-			_, _ = digest.WriteString(key + "=" + value + "\n") // a hash never fails
+			_, _ = digest.WriteString(key + "=" + value + "\n") // writing to a hash never fails
 		}
 	})
 	_, _ = digest.WriteString(sharedOptions)
--- a/internal/daemon/configure.go
+++ b/internal/daemon/configure.go
@@ -17,18 +17,18 @@
 	"yardwinch/internal/transport"
 )
 
-// readTimeout is for a configuration that can't be read for a moment as the process starts.
+// readTimeout is for how long a configuration that can't be read is retried at startup.
 const readTimeout = 3 * time.Second
 
 // Source is where a balancer's configuration comes from.
 type Source struct {
-	ConfigPath  string                   // of the file that the platform gives
+	ConfigPath  string                   // the configuration file, from the platform
 	OptionsPath string                   // the operators' own file; empty: none
-	Environment func(name string) string // as os.Getenv
+	Environment func(name string) string // like os.Getenv
 }
 
-// configuration is what a process was configured with as it started. A reload applies to options, and to the parts
-// that it concerns; for all else a restart is needed.
+// configuration is what the process was configured with at startup. A reload updates options and the components that
+// support it; any other change needs a restart.
 type configuration struct {
 	source Source
 
@@ -39,19 +39,19 @@
 	adminAddress     string // for operators; empty: none
 	discoveryAddress string
 	seed             uint64
-	cachedListError  error // what is wrong with the endpoint list in the configuration; nil: nothing
+	cachedListError  error // why the endpoint list in the configuration could not be loaded; nil: it was
 
 	cores            int
 	memoryLimit      int64 // bytes
 	descriptorLimit  int
 	healthChecks     bool
 	reportsLoad      bool          // servers report the load of their connections
-	reportsLatency   bool          // and the latency of messages
+	reportsLatency   bool          // servers report the latency of messages
 	connectTimeout   time.Duration // for the handshake with a server
-	maxClientTimeout time.Duration // the longest that a client waits
+	maxClientTimeout time.Duration // the longest time that a client waits to be connected
 }
 
-// newDaemon is a daemon that has read no configuration yet.
+// newDaemon returns a daemon that has not read its configuration yet.
 func newDaemon(source Source) *Daemon {
 	return &Daemon{
 		configuration: configuration{source: source},
@@ -59,8 +59,8 @@
 	}
 }
 
-// prepare reads a configuration, and opens and starts nothing: a reload only takes from the result what can change. An
-// error names the key at fault.
+// prepare returns a daemon for a configuration. It opens and starts nothing: a reload prepares a second daemon and
+// takes from it what can change. An error names the invalid key.
 func prepare(ctx context.Context, source Source) (*Daemon, error) {
 	d := newDaemon(source)
 	values, cachedList, err := config.Load(source.ConfigPath, source.Environment)
@@ -73,7 +73,7 @@
 	return d, nil
 }
 
-// configure makes the parts of the daemon from a configuration and the endpoint list in it.
+// configure creates the components of the daemon from a configuration and its endpoint list.
 func (d *Daemon) configure(ctx context.Context, values config.Values, cachedList []byte) (err error) {
 	settings := values.DecisionSettings()
 	d.readConfiguration(values, settings)
@@ -89,7 +89,7 @@
 		return err
 	}
 	d.discovery = protocol.NewDiscovery(d.router, d.discoveryAddress, d.seed, config.DiscoveryIsPolled(settings))
-	if err := d.discovery.LoadCached(cachedList); err != nil { //nolint:contextcheck // it waits for nothing
+	if err := d.discovery.LoadCached(cachedList); err != nil { //nolint:contextcheck // doesn't block
 		d.cachedListError = fmt.Errorf("known: %w", err)
 	}
 	if columns := config.UnknownColumns(settings); len(columns) > 0 {
@@ -100,8 +100,8 @@
 	return nil
 }
 
-// readConfiguration reads what the process itself needs of a configuration. The order matters: of several faults
-// the first is reported.
+// readConfiguration reads the settings of the process itself. The order matters: of several invalid settings the
+// first is reported.
 func (d *Daemon) readConfiguration(values, settings config.Values) {
 	d.values = values
 	d.listenAddress = values.Addr("listen")
@@ -128,7 +128,7 @@
 	})
 }
 
-// Check returns what keeps a configuration from being served; nil: nothing.
+// Check returns nil if a configuration can be served, else the reason why not.
 func Check(ctx context.Context, source Source) error {
 	d, err := prepare(ctx, source)
 	if err != nil {
@@ -137,7 +137,7 @@
 	return d.cachedListError
 }
 
-// checkText is Check for a configuration that is not written yet.
+// checkText is like Check for a configuration that is not written to its file yet.
 func checkText(ctx context.Context, source Source, text []byte) error {
 	values, cachedList, err := config.Parse(source.ConfigPath, text, source.Environment)
 	if err != nil {
@@ -150,17 +150,17 @@
 	return d.cachedListError
 }
 
-// Load prepares a balancer from its configuration. Its addresses are opened, or taken over, by Serve.
+// Load creates a balancer from its configuration. Serve opens its addresses, or takes them over.
 func Load(ctx context.Context, source Source) (*Daemon, error) {
 	d, err := prepareWithRetries(ctx, source)
 	if err != nil {
 		return nil, err
 	}
 	if d.cachedListError != nil {
-		slog.Warn("cached endpoint list not loaded", "error", d.cachedListError) // discovery brings a newer one
+		slog.Warn("cached endpoint list not loaded", "error", d.cachedListError) // discovery will provide a list
 	}
 	runtime.GOMAXPROCS(d.cores)
-	d.setMemoryGoal(oneProcess)
+	d.setGoMemoryLimit(oneProcess)
 	d.gossip = newGossip(d.options, d.router)
 	d.reserveDescriptors()
 	d.descriptorBudget = transport.NewDescriptorBudget(d.connectionDescriptors(), protocol.BusyReply)
@@ -183,7 +183,7 @@
 	return d, err
 }
 
-// useDirectory names the directory that this process shares with its predecessor and its successor.
+// useDirectory sets up the directory that this process shares with its predecessor and its successor.
 func (d *Daemon) useDirectory(root string) {
 	directory, err := store.Open(root, d.listenAddress)
 	if err != nil {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,4 +1,4 @@
-// Package daemon is the balancer as a process: it loads a configuration, serves, reloads, hands over to a
+// Package daemon runs the balancer as a process: it loads the configuration, serves clients, reloads, hands over to a
 // successor, and shuts down.
 package daemon
 
@@ -22,14 +22,14 @@
 )
 
 const (
-	// memoryGoalShare is the part of the memory limit at which the garbage collector aims: stacks and the kernel's
-	// buffers come on top.
-	memoryGoalShare = 0.75
+	// goMemoryShare is the part of the configured memory limit that is set as the Go runtime's limit: the rest is for
+	// stacks and the kernel's buffers.
+	goMemoryShare = 0.75
 
 	connectionCheckInterval = 5 * time.Millisecond
 )
 
-// Daemon is one balancer as a process.
+// Daemon is one balancer process.
 type Daemon struct {
 	configuration
 
@@ -37,50 +37,50 @@
 	frontend         *protocol.Frontend
 	discovery        *protocol.Discovery
 	descriptorBudget *transport.DescriptorBudget
-	gossip           *gossip // nil: nothing passes between balancers
+	gossip           *gossip // nil: no exchange with other balancers
 
-	directory           *store.Directory // shared with predecessor and successor; nil: this process has neither
-	socket              *handover.Socket // nil with the directory
-	disabled            *disabledStore   // nil with the directory
-	reservedDescriptors int              // kept from clients
+	directory           *store.Directory // shared with predecessor and successor; nil: no hand-over
+	socket              *handover.Socket // nil if directory is nil
+	disabled            *disabledStore   // nil if directory is nil
+	reservedDescriptors int              // not available to client connections
 
 	listener        *transport.PausableListener // for clients
 	explainListener net.Listener                // nil: none is configured
 
-	lifecycle  *lifecycle     // the phases
-	goroutines sync.WaitGroup // all that Serve starts, and waits for at its end
-	relisten   chan struct{}  // receives once the socket for a successor belongs to another process
+	lifecycle  *lifecycle
+	goroutines sync.WaitGroup // started by Serve, which waits for them before it returns
+	relisten   chan struct{}  // receives when another process has replaced the hand-over socket
 
-	// changeMu serialises operators' changes, and excludes them while the state is handed over. It guards the
-	// fields below.
+	// changeMu serialises operators' changes, and blocks them while the state is handed over. It guards the fields
+	// below.
 	changeMu    sync.Mutex
-	predecessor *handover.Link // nil: there is none, or it has ended
-	successor   *handover.Link // nil: none has taken over
+	predecessor *handover.Link // nil: none, or it has exited
+	successor   *handover.Link // nil: no process has taken over
 }
 
-// errStoppedBeforeServing says that the signal to stop came during the start.
+// errStoppedBeforeServing says that the stop signal arrived during startup.
 var errStoppedBeforeServing = errors.New("stopped before it served")
 
-// errConnectionsRemain says that the shutdown ended before all connections did.
+// errConnectionsRemain says that the shutdown timed out with connections still open.
 var errConnectionsRemain = errors.New("connections were still held at the end of the drain")
 
 // ErrConfiguration marks the error of a configuration that can't be served.
 var ErrConfiguration = errors.New("the configuration can't be served")
 
-// configurationError has the text of its cause, and is ErrConfiguration too.
+// configurationError is an error that matches ErrConfiguration and has the text of its cause.
 type configurationError struct{ cause error }
 
 func (e configurationError) Error() string        { return e.cause.Error() }
 func (e configurationError) Unwrap() error        { return e.cause }
 func (e configurationError) Is(target error) bool { return target == ErrConfiguration }
 
-// Run is the process from its start to its end: SIGTERM, SIGINT and the end of the context shut it down, SIGHUP
-// reloads the configuration. A configuration that can't be served is ErrConfiguration.
+// Run runs the balancer until it has shut down: on SIGTERM, SIGINT or the end of the context. SIGHUP reloads the
+// configuration. The error matches ErrConfiguration if the configuration can't be served.
 func Run(ctx context.Context, source Source) error {
 	stopCtx, cancel := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 	defer cancel()
-	reloads := make(chan os.Signal, 1) // one that waits stands for all that came meanwhile
-	// Until the very end: without a handler the process would die of a signal that comes while it shuts down.
+	reloads := make(chan os.Signal, 1) // one pending value covers all signals received since
+	// Never stopped: without a handler a SIGHUP during the shutdown would kill the process.
 	signal.Notify(reloads, syscall.SIGHUP)
 	d, err := Load(ctx, source)
 	if err != nil {
@@ -89,16 +89,16 @@
 	return d.Serve(stopCtx, reloads)
 }
 
-// Serve runs until stopCtx ends, then shuts down: it migrates all clients, and returns once none is left or their
-// time is over. Each value of reloads reloads the configuration. The error says why the process could not serve,
-// or that connections were still open at the end.
+// Serve runs until stopCtx ends, then shuts down: it migrates all clients, and returns when none is left or the drain
+// times out. Each value of reloads reloads the configuration. The error says why the process could not serve, or that
+// connections were still open at the end.
 func (d *Daemon) Serve(stopCtx context.Context, reloads <-chan os.Signal) error {
-	ctx, cancel := context.WithCancel(context.WithoutCancel(stopCtx)) // it outlasts stopCtx by the shutdown
+	ctx, cancel := context.WithCancel(context.WithoutCancel(stopCtx)) // lives on during the shutdown
 	timedOut := false
 	defer func() {
 		d.lifecycle.transition(ctx, stopped)
 		cancel()
-		if !timedOut { // else what is left ends with the process, which must exit in time
+		if !timedOut { // else the process must exit in time, which ends the remaining goroutines
 			d.lifecycle.work.Wait()
 			d.goroutines.Wait()
 		}
@@ -109,7 +109,7 @@
 	err := d.open(ctx, startCtx)
 	switch {
 	case err != nil && startCtx.Err() != nil:
-		return nil // the signal to stop came during the start
+		return nil // the stop signal arrived during startup
 	case err != nil:
 		return err
 	}
@@ -127,7 +127,7 @@
 	return err
 }
 
-// startBackground starts all that runs beside the clients' connections.
+// startBackground starts the goroutines that don't serve client connections.
 func (d *Daemon) startBackground(ctx context.Context, reloads <-chan os.Signal) {
 	d.goroutines.Go(func() { d.runTicks(ctx) })
 	d.goroutines.Go(func() { d.discovery.Run(ctx) })
@@ -153,9 +153,9 @@
 	}
 }
 
-// serveClients accepts clients until acceptCtx ends. The channel then receives the listener's error, once no
-// connection is left: those taken over from a predecessor were never accepted here, so that the listener doesn't
-// wait for them.
+// serveClients accepts clients until acceptCtx ends. The channel receives the listener's error when no connection is
+// left. That includes connections taken over from a predecessor: the listener did not accept them, so that
+// transport.Serve doesn't wait for them.
 func (d *Daemon) serveClients(ctx, acceptCtx context.Context) (finished <-chan error) {
 	result := make(chan error, 1)
 	d.goroutines.Go(func() {
@@ -168,13 +168,13 @@
 	return result
 }
 
-// Processes that share the limit of memory.
+// Number of processes that share the memory limit.
 const (
 	oneProcess    = 1
 	bothProcesses = 2
 )
 
-// setMemoryGoal sets the size of the heap at which the garbage collector aims, by how many processes share the limit.
-func (d *Daemon) setMemoryGoal(processes int64) {
-	debug.SetMemoryLimit(int64(float64(d.memoryLimit)*memoryGoalShare) / processes)
+// setGoMemoryLimit sets the Go runtime's memory limit for a number of processes that share the configured limit.
+func (d *Daemon) setGoMemoryLimit(processes int64) {
+	debug.SetMemoryLimit(int64(float64(d.memoryLimit)*goMemoryShare) / processes)
 }
--- a/internal/daemon/descriptors.go
+++ b/internal/daemon/descriptors.go
@@ -8,28 +8,29 @@
 	"yardwinch/internal/protocol"
 )
 
-// Descriptors that the process needs for itself, each at its most. They are reserved before clients get any: a
-// crowd of idle clients would otherwise take the one for the next watch or call, and nothing says when one comes
-// free. Addresses are numbers, so that no name lookup needs one.
+// Maximum numbers of descriptors that the process needs for itself. They are reserved before clients get any: idle
+// clients would otherwise take the descriptor that the next watch or admin call needs, and nothing signals when one
+// is closed. Addresses are numeric, so that no descriptor is needed for name lookups.
 const (
-	standardDescriptors = 3 // input, output, and the log
-	// The poller and its wake-up, the two files that tell the share of the core, one that is opened for a moment.
+	standardDescriptors = 3 // stdin, stdout, stderr
+	// The network poller and its event descriptor, the two files from which the CPU quota is read, and one that is open
+	// briefly.
 	runtimeDescriptors = 5
-	clientDescriptors  = 2 // their socket, and one accepted that waits for capacity
-	// The watch of the endpoint list, the one before as it closes, and one to spare.
+	clientDescriptors  = 2 // the listener, and one accepted connection that waits for capacity
+	// The watch of the endpoint list, the previous watch while it closes, and one spare.
 	watchDescriptors   = 3
 	fileDescriptors    = 1 // the configuration during a reload
-	closingDescriptors = 8 // closed, but kept until the goroutines that wait on them have woken
-	gossipDescriptors  = 8 // two that listen, and streams now and then
+	closingDescriptors = 8 // closed, but not released before the goroutines that block on them have returned
+	gossipDescriptors  = 8 // two listeners, and occasional streams
 
-	// The socket for a successor, two links and one more that tries to connect, two files in the directory, and
-	// copies of what is transferred.
+	// The hand-over socket, two links and one more process that tries to connect, two files in the directory, and
+	// duplicates of the connections that are being transferred.
 	handoverDescriptors = 6 + 2*protocol.MaxConcurrentTransfers
 
-	minClientDescriptors = 8 // for clients and their servers, however low the limit is
+	minClientDescriptors = 8 // for connections to clients and servers, however low the limit is
 )
 
-// descriptorsForProcess is how many descriptors this process may need for itself.
+// descriptorsForProcess returns how many descriptors this process needs for itself at most.
 func (d *Daemon) descriptorsForProcess() int {
 	n := standardDescriptors + runtimeDescriptors + clientDescriptors + watchDescriptors + fileDescriptors + closingDescriptors
 	if d.healthChecks {
@@ -47,8 +48,8 @@
 	return n
 }
 
-// reserveDescriptors reserves what the process needs for itself, as far as the limit allows that beside the least
-// for clients.
+// reserveDescriptors reserves the descriptors that the process needs for itself, or fewer if the limit would leave
+// clients less than minClientDescriptors.
 func (d *Daemon) reserveDescriptors() {
 	d.reservedDescriptors = d.descriptorsForProcess()
 	if least := d.reservedDescriptors + minClientDescriptors; d.descriptorLimit < least {
@@ -57,10 +58,10 @@
 	}
 }
 
-// connectionDescriptors is how many descriptors are left for the connections of clients and their servers.
+// connectionDescriptors returns how many descriptors are left for connections to clients and servers.
 func (d *Daemon) connectionDescriptors() int { return d.descriptorLimit - d.reservedDescriptors }
 
-// descriptorsInUse is how many descriptors this process has in use at most.
+// descriptorsInUse returns an upper bound on the descriptors that this process has in use.
 func (d *Daemon) descriptorsInUse() int {
 	return d.descriptorBudget.MaxInUse(d.connectionDescriptors()) + d.reservedDescriptors
 }
--- a/internal/daemon/disabled_store.go
+++ b/internal/daemon/disabled_store.go
@@ -16,29 +16,29 @@
 const (
 	firstStoreRetry   = 20 * time.Millisecond
 	longestStoreRetry = 250 * time.Millisecond
-	// For the answer to an operator: the change is in force before it is saved.
+	// How long an operator's response waits for the save: the change takes effect before it is saved.
 	saveTimeout = 300 * time.Millisecond
-	// For a directory that can't be read, before the process serves without it.
+	// How long to retry a directory that can't be read, before the process serves without it.
 	loadTimeout    = 2 * time.Second
-	releaseTimeout = 200 * time.Millisecond // for a write in progress while a successor takes over
+	releaseTimeout = 200 * time.Millisecond // how long a hand-over waits for a write in progress
 )
 
-// disabledStore keeps the administratively disabled servers on disk, for a process that starts after this one was
-// killed. What could not be written is retried until it is. Nothing is written before the servers that an earlier
-// process saved are known: a write would lose them.
+// disabledStore saves the administratively disabled servers, for a process that starts after this one was killed.
+// Failed writes are retried until they succeed. Nothing is written before the file of an earlier process has been
+// loaded: a write would lose its content.
 type disabledStore struct {
 	directory         *store.Directory
-	currentlyDisabled func() []string // the servers to save
-	wake              chan struct{}   // receives once there is something to save
+	currentlyDisabled func() []string // returns the servers to save
+	wake              chan struct{}   // receives when there is something to save
 
 	mu                sync.Mutex // guards the fields below
-	isLoaded          bool       // what an earlier process saved is known
+	isLoaded          bool       // the file of an earlier process was loaded, or need not be
 	changedBeforeLoad map[string]bool
-	changes           int           // how many changes were made
-	savedChanges      int           // how many of those need no save by this process any more
+	changes           int           // number of changes made
+	savedChanges      int           // number of those that this process need not save any more
 	isWriting         bool          // a write is in progress
-	attemptEnded      chan struct{} // closed at the end of the attempt that is under way or comes next
-	failingSince      time.Time     // zero: the last attempt succeeded
+	attemptEnded      chan struct{} // closed when the current or next attempt ends
+	failingSince      time.Time     // zero: the last attempt succeeded, or none was made
 }
 
 func newDisabledStore(directory *store.Directory, currentlyDisabled func() []string) *disabledStore {
@@ -51,7 +51,7 @@
 	}
 }
 
-// onChange notes that an operator disabled or enabled a server. A change made before the load overrides what an
+// onChange records that an operator disabled or enabled a server. A change made before the load overrides what an
 // earlier process saved.
 func (s *disabledStore) onChange(server string) {
 	s.mu.Lock()
@@ -62,7 +62,7 @@
 	s.requestSave()
 }
 
-// requestSave has all disabled servers written anew.
+// requestSave schedules a write of all disabled servers.
 func (s *disabledStore) requestSave() {
 	s.mu.Lock()
 	s.changes++
@@ -73,17 +73,17 @@
 	}
 }
 
-// markLoaded says that this process knows the disabled servers from its predecessor, and need not load them.
+// markLoaded records that the predecessor handed over the disabled servers, so that they need not be loaded.
 func (s *disabledStore) markLoaded() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.isLoaded = true
 }
 
-// release leaves the directory to the successor, after a write in progress.
+// release leaves the file, and the changes not saved yet, to the successor. It waits for a write in progress.
 func (s *disabledStore) release(ctx context.Context) {
 	s.mu.Lock()
-	s.savedChanges = s.changes // what is unsaved is the successor's to save
+	s.savedChanges = s.changes // the successor saves the rest
 	s.failingSince = time.Time{}
 	isWriting, attemptEnded := s.isWriting, s.attemptEnded
 	s.mu.Unlock()
@@ -92,7 +92,7 @@
 	}
 }
 
-// awaitSaved waits until the changes made so far are saved, the directory is known to fail, or the time for it is over.
+// awaitSaved waits until the changes made so far are saved, the directory is known to fail, or saveTimeout has passed.
 func (s *disabledStore) awaitSaved(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, saveTimeout)
 	defer cancel()
@@ -118,8 +118,8 @@
 	}
 }
 
-// run saves what is to be saved until the context ends. restore gets the servers that an earlier process saved,
-// once they are known.
+// run loads and saves until the context ends. restore is called with the servers that an earlier process saved, once
+// they are loaded.
 func (s *disabledStore) run(ctx context.Context, restore func(servers []string)) {
 	backoff := retry.Backoff{First: firstStoreRetry, Longest: longestStoreRetry}
 	for {
@@ -136,7 +136,7 @@
 	}
 }
 
-// synchronise loads what is not loaded and saves what is not saved. done: neither failed, and no change came meanwhile.
+// synchronise loads and saves what is pending. done: neither failed, and no change was made in the meantime.
 func (s *disabledStore) synchronise(restore func(servers []string)) (done bool) {
 	if err := s.load(restore); err != nil {
 		s.recordResult(err)
@@ -163,8 +163,8 @@
 	return done
 }
 
-// load restores what an earlier process saved, unless it is known already. Invalid content counts as none, and is
-// not read again.
+// load restores the servers that an earlier process saved, unless that was done before. A file with invalid content is
+// treated as empty, and is not read again.
 func (s *disabledStore) load(restore func(servers []string)) error {
 	s.mu.Lock()
 	isLoaded := s.isLoaded
@@ -190,7 +190,7 @@
 	return nil
 }
 
-// recordResult records how an attempt ended, and logs the beginning and the end of a failure.
+// recordResult records the result of an attempt, and logs when the directory begins to fail and when it works again.
 func (s *disabledStore) recordResult(err error) {
 	s.mu.Lock()
 	since := s.failingSince
@@ -221,13 +221,13 @@
 	slog.Warn("directory failed, disabled servers are held in memory only", attributes...)
 }
 
-// fault is the text of explain's answer while the directory fails; else it is empty.
+// fault returns the text for explain while the directory fails, else an empty string.
 func (s *disabledStore) fault() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.failingSince.IsZero() {
 		return ""
 	}
-	return fmt.Sprintf("the folder fails since %.0f s; %d servers out by hand are held in memory alone",
+	return fmt.Sprintf("the directory has been failing for %.0f s; %d disabled servers are held in memory only",
 		time.Since(s.failingSince).Seconds(), len(s.currentlyDisabled()))
 }
--- a/internal/daemon/gossip.go
+++ b/internal/daemon/gossip.go
@@ -16,14 +16,15 @@
 
 const (
 	publishInterval       = 250 * time.Millisecond
-	publishesPerFullState = 8 // between two writes of the full state for members that ask
+	publishesPerFullState = 8 // ticks between two updates of the full state that other members request
 
-	// leaseDuration is how long a balancer that publishes nothing keeps a task: three records of a small fleet.
+	// leaseDuration is how long a balancer that publishes nothing keeps a lease: three publish periods of a small
+	// fleet.
 	leaseDuration = 6 * time.Second
 )
 
-// gossip exchanges signals with the other balancers: it publishes what the signals decider of this balancer
-// records, and merges what they publish.
+// gossip exchanges signals with the other balancers: it publishes this balancer's records, and merges those of the
+// others.
 type gossip struct {
 	name   string
 	group  *membership.Group
@@ -31,10 +32,10 @@
 
 	// The router's lock guards the fields below.
 	signals *signals.Exchange
-	leases  *lease.Manager // nil: each balancer makes its own health checks
+	leases  *lease.Manager // nil: health checks are not shared, each balancer makes its own
 }
 
-// newGossip makes the exchange if the operators' options ask for it, else nil. Nothing is opened before run.
+// newGossip creates the exchange if the operators' options configure it, else it returns nil. run opens the sockets.
 func newGossip(options *config.Options, router *routing.Router) *gossip {
 	peers := options.Peers()
 	if peers == nil {
@@ -54,7 +55,7 @@
 	return g
 }
 
-// shareHealthChecks has one balancer check each server for all: the one that holds the lease of that task.
+// shareHealthChecks has each server checked by one balancer only: the holder of the lease for that server.
 func (g *gossip) shareHealthChecks() {
 	g.leases = lease.New(lease.Holder(g.name), leaseDuration)
 	g.signals.ShareLoads(func(server decide.ServerID, now time.Duration) (epoch uint64) {
@@ -65,7 +66,7 @@
 	})
 }
 
-// run keeps the exchange going until the context ends.
+// run exchanges signals until the context ends.
 func (g *gossip) run(ctx context.Context) {
 	var group sync.WaitGroup
 	defer group.Wait()
@@ -109,7 +110,7 @@
 	g.group.Publish(string(record.Origin), message)
 }
 
-// aliveMembers are the members that may hold leases, and the same as reporters of signals.
+// aliveMembers returns the alive members, as candidates for leases and as reporters of signals.
 func (g *gossip) aliveMembers() (holders []lease.Member, reporters []signals.Origin) {
 	for _, member := range g.group.Members() {
 		if member.State == membership.Alive {
@@ -120,14 +121,14 @@
 	return holders, reporters
 }
 
-// OnMessage merges a member's message. If it is new it is passed on: that is how gossip spreads.
+// OnMessage merges a member's message, and forwards it to other members if it is new.
 func (g *gossip) OnMessage(message []byte) {
 	if origin, isNew := g.merge(message); isNew {
 		g.group.Publish(string(origin), message)
 	}
 }
 
-// merge merges the record of a message.
+// merge merges the record in a message.
 func (g *gossip) merge(message []byte) (origin signals.Origin, isNew bool) {
 	record, err := signals.Decode(message)
 	if err != nil {
@@ -143,12 +144,13 @@
 	return record.Origin, isNew
 }
 
-// garbled is the kind under which messages are counted that can't be decoded for no more specific reason.
-const garbled = "garbled"
+// malformedMessage is the reason under which dropped messages are counted that can't be decoded, unless the error is
+// more specific.
+const malformedMessage = "garbled"
 
-// dropReason is the kind under which a message that can't be decoded is counted.
+// dropReason returns the reason under which a message that can't be decoded is counted.
 func dropReason(err error) string {
-	reason := garbled
+	reason := malformedMessage
 	for _, known := range []error{signals.ErrVersion, signals.ErrKind} {
 		if errors.Is(err, known) {
 			reason = known.Error()
@@ -157,8 +159,8 @@
 	return reason
 }
 
-// applyLoadReports applies the loads that servers reported to the member that checks them for all. The caller holds
-// the router's lock.
+// applyLoadReports applies the load reports that a lease holder received from the servers that it checks. The caller
+// holds the router's lock.
 func (g *gossip) applyLoadReports(record signals.Record) {
 	now := g.router.Now()
 	g.signals.Relay(func() {
@@ -171,7 +173,7 @@
 	})
 }
 
-// updateFullState writes anew what members get that ask for the full state.
+// updateFullState encodes the full state that other members request.
 func (g *gossip) updateFullState() {
 	var records []signals.Record
 	g.router.WithLock(func() { records = g.signals.FullState() })
@@ -189,11 +191,11 @@
 	g.group.SetFullState(all)
 }
 
-// OnRemoteState merges the full state of a member. It is not passed on: each member asks for it itself.
+// OnRemoteState merges the full state of a member. It is not forwarded: each member requests it itself.
 func (g *gossip) OnRemoteState(all []byte) {
 	messages, err := signals.DecodeAll(all)
 	if err != nil {
-		g.group.CountDropped(garbled, err.Error())
+		g.group.CountDropped(malformedMessage, err.Error())
 		return
 	}
 	for _, message := range messages {
@@ -201,7 +203,7 @@
 	}
 }
 
-// OnSuspended handles that this process was suspended.
+// OnSuspended tells signals and leases that this process was suspended.
 func (g *gossip) OnSuspended(time.Duration) {
 	g.router.WithLock(func() {
 		g.signals.OnSuspended()
--- a/internal/daemon/lifecycle.go
+++ b/internal/daemon/lifecycle.go
@@ -11,25 +11,25 @@
 )
 
 const (
-	// drainDuration is within how much time of the call to go out of service all clients are asked to migrate:
-	// operators allow 4 s.
+	// drainDuration is the time from the out-of-service call until all clients have been asked to migrate: operators
+	// allow 4 s.
 	drainDuration = 2600 * time.Millisecond
-	// newClientsDeadline is how long after that call the platform may still send a client, newClientsWindow with
-	// some slack.
+	// newClientsDeadline is how long after that call the platform may still send clients: newClientsWindow with some
+	// slack.
 	newClientsDeadline   = time.Second
 	drainedCheckInterval = 50 * time.Millisecond
 )
 
-// phase is the state of the process. The values are those of the log, of explain's answers and of the operators'
-// calls, and older than the names here: what operators read as "draining" is shuttingDown, not the constant draining.
+// phase is the state of the process. Logs, explain and responses to operators contain the values, which must not
+// change and differ from the names of the constants: "draining" is shuttingDown, not the constant draining.
 type phase string
 
 const (
 	loading      phase = "loading"
 	serving      phase = "serving"
 	draining     phase = "emptying"     // out of service: clients are asked to migrate
-	drained      phase = "empty"        // out of service, and no client is left
-	handingOver  phase = "handing over" // a successor accepts clients; this process serves those it has
+	drained      phase = "empty"        // out of service, no client is left
+	handingOver  phase = "handing over" // a successor accepts clients; this process serves its existing ones
 	shuttingDown phase = "draining"     // after SIGTERM or SIGINT
 	stopped      phase = "stopped"
 )
@@ -43,32 +43,32 @@
 	shuttingDown: {stopped},
 }
 
-// clients is what a change of phase means for the clients' connections.
+// clients is the part of protocol.Frontend that the lifecycle controls.
 type clients interface {
 	SetAvailability(availability protocol.Availability)
 	Drain(ctx context.Context, from, until time.Duration)
 	ConnectionCount() int
 }
 
-// lifecycle owns the phase of the process, and runs what belongs to a phase until the next one.
+// lifecycle owns the phase of the process, and runs the goroutines that belong to the current phase.
 type lifecycle struct {
 	clients     clients
-	work        sync.WaitGroup // all that runInPhase starts
-	started     chan struct{}  // closed once this process serves clients, in or out of service
+	work        sync.WaitGroup // goroutines started by runInPhase
+	started     chan struct{}  // closed when this process begins to serve clients, in or out of service
 	startedOnce sync.Once      // closes started
 
 	mu            sync.Mutex // guards the fields below
 	phase         phase
-	endPhase      []context.CancelFunc // end what runs until the phase does
-	drainingSince time.Time            // the call to go out of service; zero: in service
+	endPhase      []context.CancelFunc // cancel the goroutines of the current phase
+	drainingSince time.Time            // time of the out-of-service call; zero: in service
 }
 
 func newLifecycle(clients clients) *lifecycle {
 	return &lifecycle{clients: clients, started: make(chan struct{}), phase: loading}
 }
 
-// transition makes every change of phase, and reports whether it is allowed. What runs until the phase before ends
-// is ended. A balancer out of service remains so for its clients while it shuts down.
+// transition changes the phase, and reports whether that is allowed. It cancels the goroutines of the previous phase.
+// The phase shuttingDown keeps the availability: a balancer that was out of service stays so for its clients.
 func (l *lifecycle) transition(ctx context.Context, to phase) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -88,7 +88,7 @@
 	return true
 }
 
-// enter begins what a phase does. The caller holds mu.
+// enter starts the work of a phase. The caller holds mu.
 func (l *lifecycle) enter(ctx context.Context, to phase) {
 	switch to {
 	case serving:
@@ -110,20 +110,21 @@
 		l.clients.SetAvailability(protocol.RejectingClients)
 	case handingOver:
 		if !l.drainingSince.IsZero() {
-			l.startDrain(ctx, 0) // the successor has none of the clients that are left here
+			l.startDrain(ctx, 0) // the successor doesn't drain this process's clients
 		}
 	}
 }
 
-// runInPhase runs something until the phase ends, whatever becomes of the call that led to it. The caller holds mu.
+// runInPhase runs work in a goroutine until the phase ends, even if ctx, of the call that changed the phase, ends
+// earlier. The caller holds mu.
 func (l *lifecycle) runInPhase(ctx context.Context, work func(context.Context)) {
 	inPhase, end := context.WithCancel(context.WithoutCancel(ctx))
 	l.endPhase = append(l.endPhase, end)
 	l.work.Go(func() { work(inPhase) })
 }
 
-// startDrain asks all clients to migrate, from a time after the call to go out of service until drainDuration after
-// that call. The caller holds mu.
+// startDrain asks all clients to migrate, spread over the time from from to drainDuration after the out-of-service
+// call. The caller holds mu.
 func (l *lifecycle) startDrain(ctx context.Context, from time.Duration) {
 	elapsed := time.Since(l.drainingSince)
 	l.runInPhase(ctx, func(ctx context.Context) {
@@ -131,7 +132,8 @@
 	})
 }
 
-// awaitDrained waits until no client can come any more and none is left, while the phase is draining.
+// awaitDrained waits, while the phase is draining, until the platform sends no more clients and none is left, then
+// changes the phase to drained.
 func (l *lifecycle) awaitDrained(ctx context.Context, since time.Time) {
 	check := time.NewTicker(drainedCheckInterval)
 	defer check.Stop()
@@ -167,27 +169,28 @@
 	return l.phase
 }
 
-// isOutOfService reports whether this balancer was called out of service.
+// isOutOfService reports whether an operator has taken this balancer out of service.
 func (l *lifecycle) isOutOfService() bool {
 	return !l.outOfServiceSince().IsZero()
 }
 
-// outOfServiceSince is the time of the call to go out of service; zero: in service.
+// outOfServiceSince returns the time of the out-of-service call; zero: in service.
 func (l *lifecycle) outOfServiceSince() time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.drainingSince
 }
 
-// setOutOfServiceSince records since when the predecessor has been out of service. It takes effect with the next phase.
+// setOutOfServiceSince sets the time of the out-of-service call that the predecessor handed over. It takes effect at
+// the next change of phase.
 func (l *lifecycle) setOutOfServiceSince(since time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.drainingSince = since
 }
 
-// setInServiceWhileHandingOver goes out of service, or back into it, while the successor serves. In another phase
-// it does nothing.
+// setInServiceWhileHandingOver takes this process out of service or back into it while its successor serves. In any
+// other phase it does nothing.
 func (l *lifecycle) setInServiceWhileHandingOver(ctx context.Context, inService bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -201,7 +204,8 @@
 	}
 }
 
-// phaseWithoutSuccessor is the phase of a process that begins to serve, or serves again because its successor ended.
+// phaseWithoutSuccessor returns the phase of a process that begins to serve, or serves again because its successor
+// exited.
 func (l *lifecycle) phaseWithoutSuccessor() phase {
 	if l.isOutOfService() {
 		return draining
--- a/internal/daemon/listeners.go
+++ b/internal/daemon/listeners.go
@@ -14,15 +14,14 @@
 )
 
 const (
-	// openTimeout is for addresses that are in use, from the start on: operators allow a restarted process 10 s
-	// until it is ready.
+	// openTimeout is how long to retry addresses that are in use, counted from the start of the process: operators
+	// allow a restarted process 10 s until it is ready.
 	openTimeout        = 9 * time.Second
 	firstListenRetry   = 10 * time.Millisecond
 	longestListenRetry = 200 * time.Millisecond
 )
 
-// ListenError says that an address of the configuration could not be opened, or not within the time that a start
-// may take.
+// ListenError says that a configured address could not be opened, or not within the startup timeout.
 type ListenError struct {
 	Key string // of the configuration
 	Err error
@@ -34,13 +33,13 @@
 // Unwrap gives the system's error.
 func (e *ListenError) Unwrap() error { return e.Err }
 
-// Advice says what an operator can do about it.
+// Advice tells an operator what to check.
 func (e *ListenError) Advice() string {
-	return "see that no other program has the address, that this machine has it, and that descriptors are left on it"
+	return "check that no other program uses the address, that it belongs to this machine, and that file descriptors are available"
 }
 
-// open opens what operators and clients reach, or takes it over from a predecessor, unless startCtx ends first. What
-// runs from then on ends with ctx.
+// open opens the listeners for operators, explain and clients, or takes them over from a predecessor, unless startCtx
+// ends first. Goroutines that it starts end with ctx.
 func (d *Daemon) open(ctx, startCtx context.Context) error {
 	openCtx, cancel := context.WithTimeout(startCtx, openTimeout)
 	defer cancel()
@@ -49,7 +48,7 @@
 	}
 	received := d.receiveHandover(ctx, startCtx)
 	defer received.closeFiles()
-	if startCtx.Err() != nil { // no client is sent here yet, and the predecessor takes back what it handed over
+	if startCtx.Err() != nil { // no client has connected here yet, and the predecessor serves again
 		received.closeSockets()
 		return errStoppedBeforeServing
 	}
@@ -59,7 +58,7 @@
 	return d.openClients(openCtx, received.listener)
 }
 
-// openAdmin opens the address for operators, where one is configured, and takes their calls.
+// openAdmin opens the address for operators, if one is configured, and serves their calls.
 func (d *Daemon) openAdmin(ctx, openCtx context.Context) error {
 	if d.adminAddress == "" {
 		return nil
@@ -81,7 +80,7 @@
 	return nil
 }
 
-// openExplain opens the socket for explain, where one is configured and the predecessor handed over none.
+// openExplain opens the explain socket, if one is configured and the predecessor handed over none.
 func (d *Daemon) openExplain(ctx context.Context, received net.Listener) (err error) {
 	d.explainListener = received
 	path := d.options.ExplainSocket()
@@ -100,15 +99,15 @@
 		return nil
 	}
 	isShared := d.adminAddress != "" // with a successor
-	// The address is a number: there is nothing to wait for.
+	// The address is numeric: there is no name lookup to cancel.
 	return listenWithRetries(openCtx, "listen", func() (err error) { //nolint:contextcheck
 		d.listener, err = transport.Listen(d.listenAddress, isShared)
 		return err
 	})
 }
 
-// listenWithRetries opens an address, and waits for one that is in use or for which the system has nothing left at
-// the moment. The key names it in the configuration.
+// listenWithRetries calls listen, and retries while the address is in use or the system is out of resources. key is
+// the setting that configures the address.
 func listenWithRetries(ctx context.Context, key string, listen func() error) error {
 	backoff := retry.Backoff{First: firstListenRetry, Longest: longestListenRetry}
 	err := retry.Do(ctx, backoff, func(err error) {
--- a/internal/daemon/members.go
+++ b/internal/daemon/members.go
@@ -8,26 +8,27 @@
 	"yardwinch/internal/membership"
 )
 
-// MemberView is what one balancer knows of another.
+// MemberView is what this balancer knows about one member of the group.
 type MemberView struct {
 	membership.Member
 	Build         string  `json:"build,omitempty"`
 	Settings      string  `json:"settings,omitempty"` // a digest
 	Incarnation   uint64  `json:"incarnation,omitempty"`
-	RecordAge     float64 `json:"told_s_ago"` // seconds since it published its record; below 0: it never did
+	RecordAge     float64 `json:"told_s_ago"` // seconds since its last record was published; negative: none was received
 	Rate          float64 `json:"flows_a_second"`
 	FaultyServers int     `json:"servers_in_trouble"`
 }
 
-// MembersView is what one balancer knows of all.
+// MembersView is what this balancer knows about all members of the group.
 type MembersView struct {
 	Name    string         `json:"name"`
 	Members []MemberView   `json:"members"`
 	Leases  []lease.Status `json:"duties,omitempty"`
-	Dropped map[string]int `json:"passed_over,omitempty"` // messages, by kind
+	Dropped map[string]int `json:"passed_over,omitempty"` // messages, by reason
 }
 
-// membersView is explain's answer to a question for the members; nil where nothing passes between balancers.
+// membersView returns the function with which explain answers a query for the members; nil if there is no exchange
+// between balancers.
 func (g *gossip) membersView() func() any {
 	if g == nil {
 		return nil
@@ -35,7 +36,7 @@
 	return func() any { return g.viewMembers() }
 }
 
-// publishedRecord is the last record of a balancer.
+// publishedRecord is the last record of a balancer, and its age.
 type publishedRecord struct {
 	signals.Record
 	age time.Duration
--- a/internal/daemon/migrate.go
+++ b/internal/daemon/migrate.go
@@ -11,18 +11,18 @@
 	"yardwinch/internal/config"
 )
 
-// Migration names the files of a migration of a configuration to another shape of deployment.
+// Migration describes the migration of a configuration file to another type of deployment.
 type Migration struct {
-	ShapePath string // what only the new place can tell: a part of a configuration
+	ShapePath string // partial configuration with the settings that only the new deployment defines
 	OldPath   string
 	NewPath   string
 	DryRun    bool // write nothing
-	Overwrite bool // write over NewPath where it exists
+	Overwrite bool // replace NewPath if it exists
 }
 
-// Migrate writes the counterpart of a configuration for another shape of deployment, and prints what became of
-// each key. The new configuration is checked by the code that serves it, and is written whole or not at all. One
-// that can't be served is ErrConfiguration.
+// Migrate converts a configuration file to another type of deployment, and prints what became of each key. The new
+// configuration is checked by the code that serves it, and the file is written atomically. The error matches
+// ErrConfiguration if the new configuration can't be served.
 func Migrate(ctx context.Context, output io.Writer, m Migration) error {
 	old, shape, err := m.read()
 	if err != nil {
@@ -36,7 +36,7 @@
 		return configurationError{fmt.Errorf("migrate: %w", err)}
 	}
 	if err := checkText(ctx, Source{ConfigPath: m.NewPath, Environment: os.Getenv}, migrated.Text); err != nil {
-		return configurationError{fmt.Errorf("migrate: what would be written can't be served: %w", err)}
+		return configurationError{fmt.Errorf("migrate: the resulting configuration can't be served: %w", err)}
 	}
 	if !m.DryRun {
 		if err := replaceFile(m.NewPath, migrated.Text, old.mode); err != nil {
@@ -44,7 +44,7 @@
 		}
 	}
 	for _, line := range migrated.Report {
-		_, _ = fmt.Fprintln(output, line) // the file is written, whether or not anybody reads this
+		_, _ = fmt.Fprintln(output, line) // the migration has succeeded even if the output fails
 	}
 	if migrated.IsUnchanged {
 		_, _ = fmt.Fprintln(output, "the old file is of the new shape already; it comes out as it is")
@@ -52,10 +52,10 @@
 	return nil
 }
 
-// oldFile is the file that is migrated.
+// oldFile is the configuration file to migrate.
 type oldFile struct {
 	config.File
-	mode os.FileMode // the new file gets the same
+	mode os.FileMode // also for the new file
 }
 
 func (m Migration) read() (old oldFile, shape config.File, err error) {
@@ -74,7 +74,7 @@
 	return old, shape, nil
 }
 
-// checkTarget returns why the new file must not be written; nil: it may be.
+// checkTarget returns nil if the new file may be written, else the reason why not.
 func (m Migration) checkTarget() error {
 	for _, path := range []string{m.OldPath, m.ShapePath} {
 		if isSameFile(path, m.NewPath) {
@@ -100,8 +100,7 @@
 	return err == nil && os.SameFile(infoA, infoB)
 }
 
-// replaceFile replaces a file as a whole, whatever happens meanwhile: a balancer that starts reads the content
-// before or the content after.
+// replaceFile replaces a file atomically: a balancer that starts meanwhile reads either the old or the new content.
 func replaceFile(path string, text []byte, mode os.FileMode) (err error) {
 	file, err := os.CreateTemp(filepath.Dir(path), ".migrate-*")
 	if err != nil {
@@ -109,7 +108,7 @@
 	}
 	defer func() {
 		if err != nil {
-			_ = file.Close() // it is removed, with whatever it has
+			_ = file.Close() // the file is removed in any case
 			_ = os.Remove(file.Name())
 		}
 	}()
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -12,13 +12,14 @@
 )
 
 const (
-	// unreadableReloadTimeout is for a configuration that can't be read: its directory may be about to be replaced.
+	// unreadableReloadTimeout is how long to retry a configuration that can't be read: its directory may be in the
+	// course of being replaced.
 	unreadableReloadTimeout = 30 * time.Second
-	// invalidReloadTimeout is for one that can't be served: it may be half written.
+	// invalidReloadTimeout is how long to retry a configuration that can't be served: it may be half written.
 	invalidReloadTimeout = 3 * time.Second
 	firstReloadRetry     = 20 * time.Millisecond
 	longestReloadRetry   = 500 * time.Millisecond
-	maxLoggedKeys        = 16 // of the settings that need a restart
+	maxLoggedKeys        = 16 // changed settings that need a restart
 )
 
 // watchReloads reloads the configuration at each value of reloads, until the context ends.
@@ -33,9 +34,8 @@
 	}
 }
 
-// reloadWithRetries reloads the configuration. One that can't be read or served is retried for a while: it may be
-// in the middle of a write, and its new discovery address is to count soon. A further reload meanwhile begins
-// anew.
+// reloadWithRetries reloads the configuration. One that can't be read or served is retried for a while: a write may be
+// in progress, and a new discovery address must take effect soon. Another reload request restarts the retries.
 func (d *Daemon) reloadWithRetries(ctx context.Context, reloads <-chan os.Signal) {
 	backoff := retry.Backoff{First: firstReloadRetry, Longest: longestReloadRetry}
 	requested := time.Now()
@@ -63,7 +63,7 @@
 	}
 }
 
-// reloadTimeout is for how long a reload that fails with an error is retried.
+// reloadTimeout returns how long to retry a reload that failed with an error.
 func reloadTimeout(err error) time.Duration {
 	var unreadable *fs.PathError
 	if errors.As(err, &unreadable) {
@@ -72,8 +72,8 @@
 	return invalidReloadTimeout
 }
 
-// reload applies what can change without a restart, whatever the phase. A configuration that can't be served
-// changes nothing: half a change would look like a fault of the balancer.
+// reload applies the settings that can change without a restart, in any phase. A configuration that can't be served
+// changes nothing: a partial change would look like a fault of the balancer.
 func (d *Daemon) reload(ctx context.Context) error {
 	newer, err := prepare(ctx, d.source)
 	if err != nil {
--- a/internal/daemon/shutdown.go
+++ b/internal/daemon/shutdown.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// After the signal to stop the platform waits for the longest time that a client waits, but for maxShutdownDrain
-// at most, and for shutdownDrainSlack more; then it kills the process.
+// After the stop signal the platform waits for the longest client timeout, or maxShutdownDrain if that is shorter,
+// plus shutdownDrainSlack; then it kills the process.
 const (
 	maxShutdownDrain   = 3 * time.Second
 	shutdownDrainSlack = 700 * time.Millisecond
-	migrationMargin    = 450 * time.Millisecond // all clients have been asked to migrate this long before the exit
-	exitMargin         = 150 * time.Millisecond // the exit comes this long before the kill
+	migrationMargin    = 450 * time.Millisecond // from the last request to migrate to the exit
+	exitMargin         = 150 * time.Millisecond // from the exit to the kill
 
-	// newClientsWindow is how long the platform still sends new connections here after the signal to stop, or the
-	// call to go out of service.
+	// newClientsWindow is how long the platform still sends new connections to this process after the stop signal or
+	// the out-of-service call.
 	newClientsWindow = 400 * time.Millisecond
 	minDrainDuration = 50 * time.Millisecond
 )
 
-// shutdownSchedule is when the steps of a shutdown happen, from the signal to stop on.
+// shutdownSchedule has the times of the steps of a shutdown, counted from the stop signal.
 type shutdownSchedule struct {
 	migrateFrom   time.Duration // the first client is asked to migrate
-	migrateUntil  time.Duration // all have been asked
+	migrateUntil  time.Duration // all clients have been asked
 	stopAccepting time.Duration
 	exit          time.Duration
 }
@@ -33,15 +33,15 @@
 	return shutdownSchedule{
 		migrateFrom:  min(newClientsWindow, migrateUntil/3),
 		migrateUntil: migrateUntil,
-		// However short the clients' timeouts are, new ones are accepted until the platform sends no more.
+		// Even if client timeouts are short, clients are accepted for as long as the platform sends them.
 		stopAccepting: max(total-migrationMargin, newClientsWindow+minDrainDuration),
 		exit:          total - exitMargin,
 	}
 }
 
-// shutDown migrates all clients and returns once none is left, or when the schedule ends; timedOut says which.
-// Connections that are still open when the schedule ends are errConnectionsRemain, unless all of them have had
-// their last reply.
+// shutDown migrates all clients and returns when none is left, or when the schedule ends; timedOut says which. If
+// connections are still open when the schedule ends the error is errConnectionsRemain, unless the last reply has been
+// sent on all of them.
 func (d *Daemon) shutDown(ctx context.Context, stopAccepting context.CancelFunc, finished <-chan error) (timedOut bool, err error) {
 	hasSuccessor := d.lifecycle.current() == handingOver
 	d.lifecycle.transition(ctx, shuttingDown)
@@ -65,5 +65,5 @@
 	if d.descriptorBudget.Unfinished() > 0 {
 		return true, errConnectionsRemain
 	}
-	return true, nil // all have had their last reply; some may not have read it yet
+	return true, nil // the last reply was sent on each connection; some clients may not have read it yet
 }
--- a/internal/daemon/upgrade.go
+++ b/internal/daemon/upgrade.go
@@ -9,56 +9,56 @@
 )
 
 const (
-	// For all that passes with the predecessor until this process serves: operators allow 6 s.
+	// For the whole hand-over until this process serves: operators allow 6 s.
 	takeOverTimeout = 5500 * time.Millisecond
-	retryInterval   = 50 * time.Millisecond // while the predecessor can't hand over yet
-	// For a directory that can't be read at the moment, before this process counts as alone.
+	retryInterval   = 50 * time.Millisecond // between attempts while the predecessor is not ready to hand over
+	// How long to retry a directory that can't be read, before this process starts without a predecessor.
 	findTimeout           = time.Second
-	requestTimeout        = 2 * time.Second        // for one reply of the other process
-	claimTimeout          = 200 * time.Millisecond // for a reply for which a client waits
-	usageInterval         = 100 * time.Millisecond // between reports of how many descriptors are in use
-	transferRetryInterval = 100 * time.Millisecond // for connections that were established meanwhile
+	requestTimeout        = 2 * time.Second        // for a reply of the other process
+	claimTimeout          = 200 * time.Millisecond // for a reply that a client is waiting for
+	usageInterval         = 100 * time.Millisecond // between checks of how many descriptors are in use
+	transferRetryInterval = 100 * time.Millisecond // until connections established since the last transfer are transferred
 )
 
-// Names of the descriptors beside the state, as they pass on the link.
+// Names of the descriptors that are sent with the state.
 const (
 	clientsSocket = "clients"
 	explainSocket = "explain"
 )
 
-// Kinds of messages on the link between a predecessor and its successor. All versions that run side by side have
-// them in common.
+// Kinds of messages on the link between a predecessor and its successor. They are part of the protocol between
+// different versions.
 const (
-	messageHello           = "hello" // from the successor: may it take over
-	messageGetState        = "give"  // from the successor: it requests the state and the sockets
-	messageServing         = "have"  // from the successor: it serves
-	messageApplyChange     = "set"   // from the successor: it decided on a change
-	messageRequestChange   = "ask"   // from the predecessor: an operator called for a change there
-	messageClaimID         = "claim" // from the predecessor: is an id taken
-	messageTransfer        = "carry" // from the predecessor: an established connection
-	messageDescriptorUsage = "held"  // from the predecessor: how many descriptors it has in use
+	messageHello           = "hello" // from the successor: asks whether it may take over
+	messageGetState        = "give"  // from the successor: requests the state and the sockets
+	messageServing         = "have"  // from the successor: it has begun to serve
+	messageApplyChange     = "set"   // from the successor: a change that it decided on
+	messageRequestChange   = "ask"   // from the predecessor: a change that an operator requested there
+	messageClaimID         = "claim" // from the predecessor: claims a connection id
+	messageTransfer        = "carry" // from the predecessor: transfers an established connection
+	messageDescriptorUsage = "held"  // from the predecessor: number of descriptors that it has in use
 )
 
-// inheritance is what a predecessor handed over; empty where there is none.
-type inheritance struct {
+// receivedSockets are the sockets that a predecessor handed over; empty if there is none.
+type receivedSockets struct {
 	listener        *transport.PausableListener // for clients
-	explainListener net.Listener                // nil: none came, or none is configured here
-	files           []*os.File                  // the descriptors as they came
+	explainListener net.Listener                // nil: none was received, or none is configured here
+	files           []*os.File                  // the received descriptors
 }
 
-// closeFiles closes the descriptors that came, of which each user has a copy by now.
-func (i *inheritance) closeFiles() {
-	for _, file := range i.files {
+// closeFiles closes the received descriptors. The listeners have their own duplicates.
+func (s *receivedSockets) closeFiles() {
+	for _, file := range s.files {
 		_ = file.Close()
 	}
 }
 
-// closeSockets closes the sockets with which this process would have served; the predecessor's stay open.
-func (i *inheritance) closeSockets() {
-	if i.listener != nil {
-		_ = i.listener.Close()
+// closeSockets closes this process's duplicates of the sockets; the predecessor's stay open.
+func (s *receivedSockets) closeSockets() {
+	if s.listener != nil {
+		_ = s.listener.Close()
 	}
-	if i.explainListener != nil {
-		_ = i.explainListener.Close()
+	if s.explainListener != nil {
+		_ = s.explainListener.Close()
 	}
 }
--- a/internal/daemon/upgrade_predecessor.go
+++ b/internal/daemon/upgrade_predecessor.go
@@ -17,11 +17,10 @@
 	"yardwinch/internal/retry"
 )
 
-// This process as the predecessor of one that takes over.
+// This file has the predecessor's part of a hand-over.
 
-// awaitSuccessors waits for processes that take over from this one, one after the other, beginning with the result of
-// the first attempt to open the socket. A directory that fails is retried: until it works no other process finds this
-// one.
+// awaitSuccessors accepts successors, one after the other. It starts with the result of the first attempt to open the
+// hand-over socket. If the directory fails it retries: until then no other process can find this one.
 func (d *Daemon) awaitSuccessors(ctx context.Context, listener *net.UnixListener, listenErr error) {
 	var accepting sync.WaitGroup
 	defer accepting.Wait()
@@ -33,7 +32,7 @@
 		case listenErr == nil:
 			failing = false
 			backoff.Reset()
-			closeListener() // not before the next one is there, so that a successor finds one of them at any time
+			closeListener() // only now that its replacement is open, so that a successor always finds a socket
 			closeListener = d.acceptSuccessors(ctx, listener, &accepting)
 			select {
 			case <-ctx.Done():
@@ -47,7 +46,7 @@
 				slog.Warn("no hand-over to a successor for now", "error", listenErr)
 			}
 			failing = true
-			_ = backoff.Wait(ctx) // fails as the context ends, which ends the loop
+			_ = backoff.Wait(ctx) // the loop checks whether the context ended
 		}
 		if ctx.Err() != nil {
 			return
@@ -56,7 +55,7 @@
 	}
 }
 
-// acceptSuccessors serves the processes that want to take over, in the background, until the listener is closed.
+// acceptSuccessors serves processes that connect to take over, in the background, until the listener is closed.
 func (d *Daemon) acceptSuccessors(ctx context.Context, listener *net.UnixListener, accepting *sync.WaitGroup) (closeListener func()) {
 	accepting.Go(func() {
 		for {
@@ -67,10 +66,10 @@
 			accepting.Go(func() { d.serveSuccessor(ctx, conn) })
 		}
 	})
-	return func() { _ = listener.Close() } // fails only where it is closed already
+	return func() { _ = listener.Close() } // fails only if it is already closed
 }
 
-// serveSuccessor serves one process that wants to take over, until its link ends.
+// serveSuccessor serves one process that connected to take over, until its link ends.
 func (d *Daemon) serveSuccessor(ctx context.Context, conn *net.UnixConn) {
 	linkCtx, endLink := context.WithCancel(ctx)
 	defer endLink()
@@ -78,13 +77,13 @@
 	mayTakeOver := false
 	link = handover.NewLink(conn, nil, map[string]handover.Handler{
 		messageHello: func(_ context.Context, request handover.Request) (handover.Response, error) {
-			mustWait, err := d.answerGreeting(request)
+			mustWait, err := d.handleHello(request)
 			mayTakeOver = err == nil && !mustWait
 			return handover.Response{Body: mustWait}, err
 		},
 		messageGetState: func(linkCtx context.Context, _ handover.Request) (handover.Response, error) {
 			if !mayTakeOver {
-				return handover.Response{}, errors.New("no greeting")
+				return handover.Response{}, errors.New("no hello received")
 			}
 			return d.sendState(linkCtx, link)
 		},
@@ -93,7 +92,7 @@
 		},
 		messageApplyChange: d.applyChange,
 	})
-	// Ends the link to a process that connects and then doesn't take over.
+	// Closes the link to a process that connects but doesn't take over.
 	takeOverDeadline := time.AfterFunc(requestTimeout, func() {
 		if !d.isSuccessor(link) {
 			link.Close()
@@ -107,11 +106,11 @@
 	d.onSuccessorGone(ctx, link)
 }
 
-// answerGreeting returns an error if a process can't take over from this one; mustWait says that it can't yet.
-func (d *Daemon) answerGreeting(request handover.Request) (mustWait bool, err error) {
+// handleHello returns an error if the other process can't take over from this one; mustWait says that it can't yet.
+func (d *Daemon) handleHello(request handover.Request) (mustWait bool, err error) {
 	var hello handover.Hello
 	if err := json.Unmarshal(request.Body, &hello); err != nil {
-		return false, fmt.Errorf("decode a greeting: %w", err)
+		return false, fmt.Errorf("decode hello: %w", err)
 	}
 	if hello.Version != handover.Version || hello.Listen != d.listenAddress {
 		return false, fmt.Errorf("version %d for %s here, not %d for %s", handover.Version, d.listenAddress, hello.Version, hello.Listen)
@@ -121,20 +120,20 @@
 	return d.predecessor != nil || d.successor != nil || d.lifecycle.current() == shuttingDown, nil
 }
 
-// sendState stops accepting clients and hands over all that makes both processes one balancer. Until the link ends
-// the successor decides.
+// sendState stops accepting clients and returns the state and the sockets that the successor needs. Until the link
+// ends the successor decides on changes for both processes.
 func (d *Daemon) sendState(ctx context.Context, link *handover.Link) (handover.Response, error) {
 	d.changeMu.Lock()
 	defer d.changeMu.Unlock()
 	if d.predecessor != nil || d.successor != nil {
-		return handover.Response{}, errors.New("another process has it")
+		return handover.Response{}, errors.New("another hand-over is in progress")
 	}
 	drainingSince := d.lifecycle.outOfServiceSince()
 	if !d.lifecycle.transition(ctx, handingOver) {
 		return handover.Response{}, fmt.Errorf("%s", d.lifecycle.current())
 	}
 	d.successor = link
-	// From here on the hand-over is completed, whether or not the successor still wants it.
+	// From here on the hand-over is completed even if the request is cancelled.
 	ctx = context.WithoutCancel(ctx)
 	d.disabled.release(ctx)
 	d.listener.Pause()
@@ -154,13 +153,13 @@
 	}
 	state.IDsKey, state.IDs = d.frontend.ShareIDs(func(hash uint64) (taken bool) { return claimID(ctx, link, hash) })
 	state.DiscoveryAddress, state.Revision = d.discovery.Position()
-	d.router.SetHandedOver(true) // before the snapshot, so that no quota is spent in between
+	d.router.SetHandedOver(true) // before the snapshot, so that no quota is used in between
 	state.Router = d.router.Snapshot()
-	d.setMemoryGoal(bothProcesses)
+	d.setGoMemoryLimit(bothProcesses)
 	return handover.Response{Body: state, Descriptors: sockets}, nil
 }
 
-// claimID asks the successor for an id. Without a reply in time the id counts as free, as far as this process knows.
+// claimID claims a connection id at the successor. Without a reply in time the id is treated as free.
 func claimID(ctx context.Context, link *handover.Link, hash uint64) (taken bool) {
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
@@ -168,15 +167,15 @@
 	return err == nil && taken
 }
 
-// isSuccessor reports whether the process at the other end has taken over.
+// isSuccessor reports whether the process at the other end of the link has taken over.
 func (d *Daemon) isSuccessor(link *handover.Link) bool {
 	d.changeMu.Lock()
 	defer d.changeMu.Unlock()
 	return d.successor == link
 }
 
-// onSuccessorGone handles that a process that took over, or began to, has ended: this one serves again, with the
-// changes made since. A process that is shutting down by then continues to.
+// onSuccessorGone is called when the link of a process that connected to take over has ended. If it had taken over, or
+// begun to, this process serves again, with the changes made since. If this process is shutting down it continues to.
 func (d *Daemon) onSuccessorGone(ctx context.Context, link *handover.Link) {
 	d.changeMu.Lock()
 	defer d.changeMu.Unlock()
@@ -185,7 +184,7 @@
 	}
 	d.successor = nil
 	d.frontend.ShareIDs(nil)
-	d.setMemoryGoal(oneProcess)
+	d.setGoMemoryLimit(oneProcess)
 	if !d.lifecycle.transition(ctx, d.lifecycle.phaseWithoutSuccessor()) {
 		return
 	}
@@ -199,11 +198,11 @@
 	}
 }
 
-// onSuccessorServing handles that the process that took over serves: this one hands over what it still has. The
-// transfers distinguish the end of the link from that of this process.
+// onSuccessorServing is called when the successor serves: it begins to transfer the established connections. They need
+// both contexts to tell the end of the link from the end of this process.
 func (d *Daemon) onSuccessorServing(processCtx, linkCtx context.Context, link *handover.Link) error {
 	if !d.isSuccessor(link) {
-		return errors.New("nothing was given")
+		return errors.New("no state was requested")
 	}
 	d.releaseExplain()
 	d.goroutines.Go(func() { d.sendUsage(linkCtx, link) })
@@ -211,20 +210,20 @@
 	return nil
 }
 
-// releaseExplain closes the socket for explain, on which the successor answers from now on: each question reaches
-// only one of the processes.
+// releaseExplain closes the explain socket. From now on only the successor answers: each query is received by just one
+// of the processes.
 func (d *Daemon) releaseExplain() {
 	if listener, ok := d.explainListener.(*net.UnixListener); ok {
 		listener.SetUnlinkOnClose(false)
-		_ = listener.Close() // fails only where it is closed already
+		_ = listener.Close() // fails only if it is already closed
 	}
 }
 
-// applyChange makes a change that the successor decided on.
+// applyChange applies a change that the successor decided on.
 func (d *Daemon) applyChange(ctx context.Context, request handover.Request) (handover.Response, error) {
 	var change handover.Change
 	if err := json.Unmarshal(request.Body, &change); err != nil {
-		return handover.Response{}, fmt.Errorf("decode a change: %w", err)
+		return handover.Response{}, fmt.Errorf("decode change: %w", err)
 	}
 	d.changeMu.Lock()
 	defer d.changeMu.Unlock()
@@ -232,14 +231,14 @@
 	case handover.Offline:
 		d.router.DisableAll([]string{change.Server})
 	case handover.Online:
-		_ = d.router.SetDisabled(change.Server, false) // a server unknown here is not disabled either
+		_ = d.router.SetDisabled(change.Server, false) // a server that is unknown here is not disabled
 	case handover.OutOfService, handover.InService:
 		d.lifecycle.setInServiceWhileHandingOver(ctx, change.Kind == handover.InService)
 	}
 	return handover.Response{}, nil
 }
 
-// sendUsage tells the successor how many descriptors are in use here, at each change.
+// sendUsage sends the successor the number of descriptors in use here, each time that it changes.
 func (d *Daemon) sendUsage(ctx context.Context, link *handover.Link) {
 	ticker := time.NewTicker(usageInterval)
 	defer ticker.Stop()
@@ -260,13 +259,13 @@
 	}
 }
 
-// sendConnections transfers established connections until the link ends. There is no timeout for a reply: the
-// successor may have taken over a connection whose reply is late, and both would serve it.
+// sendConnections transfers established connections until the link ends. It waits for replies without a timeout: the
+// successor may have taken over a connection whose reply is late, and both processes would serve it.
 func (d *Daemon) sendConnections(processCtx, linkCtx context.Context, link *handover.Link) {
 	replyCtx := context.WithoutCancel(linkCtx)
 	transfer := func(connection protocol.EstablishedConnection, client, server syscall.Conn) bool {
 		_, err := link.Request(messageTransfer, connection, client, server).Wait(replyCtx, nil)
-		// As this process ends a reply may be lost: the successor may have the connection.
+		// When this process exits a reply may be lost, and the successor may have the connection.
 		return err == nil || processCtx.Err() != nil
 	}
 	for total := 0; ; {
@@ -275,7 +274,7 @@
 		if sent > 0 {
 			slog.Info("connections handed over", "connections", total, "remaining", d.frontend.ConnectionCount())
 		}
-		if sent == 0 && attempted > 0 { // the reason would hold for the next as well
+		if sent == 0 && attempted > 0 { // the next attempt would fail for the same reason
 			return
 		}
 		select {
--- a/internal/daemon/upgrade_requests.go
+++ b/internal/daemon/upgrade_requests.go
@@ -12,14 +12,14 @@
 	"yardwinch/internal/protocol"
 )
 
-// What a predecessor requests of this process, its successor. The texts of errors reach the predecessor.
+// This file has the successor's handlers for requests of the predecessor, which gets the texts of their errors.
 
-// answerChange makes a change that an operator called for at the predecessor. The reply says whether the server is
-// unknown.
-func (d *Daemon) answerChange(ctx context.Context, request handover.Request) (handover.Response, error) {
+// handleRequestChange decides on a change that an operator requested at the predecessor. The reply says whether the
+// server is unknown.
+func (d *Daemon) handleRequestChange(ctx context.Context, request handover.Request) (handover.Response, error) {
 	var change handover.Change
 	if err := json.Unmarshal(request.Body, &change); err != nil {
-		return handover.Response{}, fmt.Errorf("decode a change: %w", err)
+		return handover.Response{}, fmt.Errorf("decode change: %w", err)
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -29,8 +29,8 @@
 		return handover.Response{}, errors.New("not ready")
 	}
 	d.changeMu.Lock()
-	// The predecessor applies the change before it reads this reply, as messages keep their order: there is
-	// nothing to wait for.
+	// No need to wait until the predecessor has applied the change: the link keeps messages in order, so that it does
+	// so before it reads this reply.
 	_, err := d.decideChange(ctx, change)
 	d.changeMu.Unlock()
 	if errors.Is(err, admin.ErrUnknown) {
@@ -40,20 +40,20 @@
 	return handover.Response{Body: false}, err
 }
 
-// answerClaim takes an id for the predecessor. The reply says whether it was taken before.
-func (d *Daemon) answerClaim(_ context.Context, request handover.Request) (handover.Response, error) {
+// handleClaimID claims a connection id for the predecessor. The reply says whether the id was already taken.
+func (d *Daemon) handleClaimID(_ context.Context, request handover.Request) (handover.Response, error) {
 	var hash uint64
 	if err := json.Unmarshal(request.Body, &hash); err != nil {
-		return handover.Response{}, fmt.Errorf("decode the hash of an id: %w", err)
+		return handover.Response{}, fmt.Errorf("decode id hash: %w", err)
 	}
 	return handover.Response{Body: d.frontend.ClaimHash(hash)}, nil
 }
 
-// notePredecessorUsage records how many descriptors the predecessor has in use.
-func (d *Daemon) notePredecessorUsage(_ context.Context, request handover.Request) (handover.Response, error) {
+// handleDescriptorUsage records how many descriptors the predecessor has in use.
+func (d *Daemon) handleDescriptorUsage(_ context.Context, request handover.Request) (handover.Response, error) {
 	var count int
 	if err := json.Unmarshal(request.Body, &count); err != nil || count < 0 {
-		return handover.Response{}, errors.New("no count")
+		return handover.Response{}, errors.New("invalid descriptor count")
 	}
 	d.changeMu.Lock()
 	defer d.changeMu.Unlock()
@@ -63,16 +63,16 @@
 	return handover.Response{}, nil
 }
 
-// receiveConnection takes over an established connection of the predecessor.
-func (d *Daemon) receiveConnection(_ context.Context, request handover.Request) (handover.Response, error) {
+// handleTransfer takes over an established connection of the predecessor.
+func (d *Daemon) handleTransfer(_ context.Context, request handover.Request) (handover.Response, error) {
 	var established protocol.EstablishedConnection
 	if err := json.Unmarshal(request.Body, &established); err != nil {
-		return handover.Response{}, fmt.Errorf("decode a connection: %w", err)
+		return handover.Response{}, fmt.Errorf("decode connection: %w", err)
 	}
 	if !established.IsValid() || len(request.Files) != 2 {
-		return handover.Response{}, errors.New("no connection")
+		return handover.Response{}, errors.New("invalid connection")
 	}
-	if d.lifecycle.isOutOfService() { // the predecessor drains its own clients; here the drain may have passed this one
+	if d.lifecycle.isOutOfService() { // the predecessor drains this connection; the drain of this process could miss it
 		return handover.Response{}, errors.New("out of service")
 	}
 	var ends [2]net.Conn
@@ -87,8 +87,8 @@
 	if err != nil {
 		return handover.Response{}, errors.Join(err, closeAll(ends[:]))
 	}
-	// Nothing is relayed before the reply is sent: should this process end in between, the predecessor keeps
-	// serving the connection.
+	// Nothing is relayed before the reply is sent: if this process exits earlier the predecessor keeps serving the
+	// connection.
 	return handover.Response{AfterSend: func(sent bool) {
 		if sent {
 			d.goroutines.Go(serve)
--- a/internal/daemon/upgrade_successor.go
+++ b/internal/daemon/upgrade_successor.go
@@ -15,26 +15,26 @@
 	"yardwinch/internal/transport"
 )
 
-// This process as the successor of one that serves: how it takes over.
+// This file has the successor's part of a hand-over.
 
-// errNotYet says that the predecessor may be able to hand over in a moment.
-var errNotYet = errors.New("the process that serves is itself new, or ends")
+// errPredecessorNotReady says that the predecessor can't hand over now, but may be able to soon.
+var errPredecessorNotReady = errors.New("the predecessor is itself taking over or handing over, or shuts down")
 
-// receiveHandover takes over from the process that serves, if there is one that hands over. Whatever goes wrong,
-// this process starts alone and the other one keeps serving. The link to that process lasts as long as ctx; the
-// waits end with startCtx, and after takeOverTimeout in all.
-func (d *Daemon) receiveHandover(ctx, startCtx context.Context) *inheritance {
+// receiveHandover takes over from the process that serves, if there is one. If that fails this process starts alone and
+// the other one keeps serving. The link to the predecessor lasts until ctx ends; the hand-over is limited by startCtx
+// and by takeOverTimeout.
+func (d *Daemon) receiveHandover(ctx, startCtx context.Context) *receivedSockets {
 	if d.directory == nil {
-		return &inheritance{}
+		return &receivedSockets{}
 	}
 	received := d.takeOverOrStartAlone(ctx, startCtx)
 	d.goroutines.Go(func() { d.disabled.run(ctx, d.router.DisableAll) })
 	return received
 }
 
-// takeOverOrStartAlone knows the disabled servers as it returns: from the predecessor, or as an earlier process saved
-// them.
-func (d *Daemon) takeOverOrStartAlone(ctx, startCtx context.Context) *inheritance {
+// takeOverOrStartAlone takes over if there is a predecessor. When it returns the disabled servers are known, from the
+// predecessor or from the file of an earlier process.
+func (d *Daemon) takeOverOrStartAlone(ctx, startCtx context.Context) *receivedSockets {
 	takeOverCtx, cancel := context.WithTimeout(startCtx, takeOverTimeout)
 	defer cancel()
 	link, err := d.awaitPredecessor(ctx, takeOverCtx)
@@ -51,17 +51,18 @@
 	}
 	d.directory.RemoveUnfinished()
 	d.restoreDisabled(startCtx)
-	return &inheritance{}
+	return &receivedSockets{}
 }
 
-// awaitPredecessor greets the process that serves until it is ready to hand over; the link is nil where there is none.
+// awaitPredecessor connects to the process that serves, and retries until it is ready to hand over; the link is nil if
+// there is none.
 func (d *Daemon) awaitPredecessor(ctx, takeOverCtx context.Context) (*handover.Link, error) {
 	for start := time.Now(); ; {
 		link, err := d.connectPredecessor(ctx, takeOverCtx)
-		// An error of the machine may pass: two processes that each count as alone would exceed the limits of one
-		// balancer.
-		mayPass := retry.IsTransient(err) && time.Since(start) < findTimeout
-		if !errors.Is(err, errNotYet) && !mayPass {
+		// Transient system errors are retried: if both processes served on their own they would together exceed the
+		// limits of one balancer.
+		isTransient := retry.IsTransient(err) && time.Since(start) < findTimeout
+		if !errors.Is(err, errPredecessorNotReady) && !isTransient {
 			return link, err
 		}
 		select {
@@ -72,8 +73,8 @@
 	}
 }
 
-// restoreDisabled disables the servers that an earlier process saved as disabled. It waits for a directory that
-// can't be read, as clients would be sent to these servers meanwhile; not for one that doesn't exist.
+// restoreDisabled disables the servers that an earlier process saved as disabled. It retries a directory that can't be
+// read, as clients would be sent to these servers meanwhile, but not one that doesn't exist.
 func (d *Daemon) restoreDisabled(startCtx context.Context) {
 	ctx, cancel := context.WithTimeout(startCtx, loadTimeout)
 	defer cancel()
@@ -87,19 +88,19 @@
 	}
 }
 
-// connectPredecessor connects to the process that serves and greets it; the link is nil where there is none. The
-// link ends with ctx, the greeting with takeOverCtx.
+// connectPredecessor connects to the process that serves and asks whether this process may take over; the link is nil
+// if there is none. The link ends with ctx, the request with takeOverCtx.
 func (d *Daemon) connectPredecessor(ctx, takeOverCtx context.Context) (*handover.Link, error) {
 	conn, err := d.socket.Connect(takeOverCtx)
 	if conn == nil || err != nil {
 		return nil, err
 	}
 	handlers := map[string]handover.Handler{
-		messageRequestChange: d.answerChange,
-		messageClaimID:       d.answerClaim,
-		messageTransfer:      d.receiveConnection,
+		messageRequestChange: d.handleRequestChange,
+		messageClaimID:       d.handleClaimID,
+		messageTransfer:      d.handleTransfer,
 	}
-	orderedHandlers := map[string]handover.Handler{messageDescriptorUsage: d.notePredecessorUsage}
+	orderedHandlers := map[string]handover.Handler{messageDescriptorUsage: d.handleDescriptorUsage}
 	link := handover.NewLink(conn, handlers, orderedHandlers)
 	d.goroutines.Go(func() {
 		if err := link.Run(ctx); err != nil {
@@ -107,35 +108,35 @@
 		}
 		d.onPredecessorGone(link)
 	})
-	if err := d.greetPredecessor(takeOverCtx, link); err != nil {
+	if err := d.sendHello(takeOverCtx, link); err != nil {
 		link.Close()
 		return nil, err
 	}
 	return link, nil
 }
 
-// greetPredecessor asks whether this process may take over.
-func (d *Daemon) greetPredecessor(ctx context.Context, link *handover.Link) error {
+// sendHello asks the predecessor whether this process may take over.
+func (d *Daemon) sendHello(ctx context.Context, link *handover.Link) error {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	var mustWait bool
 	hello := handover.Hello{Version: handover.Version, Listen: d.listenAddress}
 	if _, err := link.Request(messageHello, hello).Wait(ctx, &mustWait); err != nil {
-		return fmt.Errorf("greet the process that serves: %w", err)
+		return fmt.Errorf("ask the process that serves for a hand-over: %w", err)
 	}
 	if mustWait {
-		return errNotYet
+		return errPredecessorNotReady
 	}
 	return nil
 }
 
-// takeOver receives the state and the sockets. If either is not complete and valid, nothing changes.
-func (d *Daemon) takeOver(ctx context.Context, link *handover.Link) (*inheritance, error) {
+// takeOver receives the state and the sockets. If either is incomplete or invalid nothing changes in this process.
+func (d *Daemon) takeOver(ctx context.Context, link *handover.Link) (*receivedSockets, error) {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	var state handover.State
 	files, err := link.Request(messageGetState, nil).Wait(ctx, &state)
-	received := &inheritance{files: files}
+	received := &receivedSockets{files: files}
 	if err == nil {
 		err = state.Validate()
 	}
@@ -156,10 +157,10 @@
 	return received, nil
 }
 
-// openReceivedSockets opens the descriptors that came, by their names; unknown names are ignored.
-func (d *Daemon) openReceivedSockets(received *inheritance, names []string) error {
+// openReceivedSockets opens the received descriptors by their names; unknown names are ignored.
+func (d *Daemon) openReceivedSockets(received *receivedSockets, names []string) error {
 	if len(received.files) != len(names) {
-		return errors.New("descriptors that don't match")
+		return errors.New("number of descriptors doesn't match the state")
 	}
 	for i, name := range names {
 		var err error
@@ -176,12 +177,12 @@
 		}
 	}
 	if received.listener == nil {
-		return errors.New("no socket for clients came")
+		return errors.New("no socket for clients received")
 	}
 	return nil
 }
 
-// clientsListener is the socket for clients; nil where it is not a TCP socket.
+// clientsListener opens the socket for clients; the result is nil if it is not a TCP socket.
 func clientsListener(file *os.File) (*transport.PausableListener, error) {
 	listener, err := net.FileListener(file)
 	if err != nil {
@@ -193,23 +194,23 @@
 	return nil, nil
 }
 
-// restore continues from the predecessor's state.
+// restore applies the predecessor's state.
 func (d *Daemon) restore(state handover.State) {
 	d.router.Restore(state.Router)
 	d.frontend.ImportIDs(state.IDsKey, state.IDs)
 	d.discovery.Resume(state.DiscoveryAddress, state.Revision)
 	d.descriptorBudget.SetLent(state.DescriptorsInUse)
-	d.setMemoryGoal(bothProcesses)
+	d.setGoMemoryLimit(bothProcesses)
 	d.disabled.markLoaded()
 	d.disabled.requestSave() // the predecessor may have failed to save some
 }
 
-// startServing begins to serve. From the notice to the predecessor on this process decides on changes for both;
-// the reply is awaited while startCtx lasts.
+// startServing begins to serve. It first tells the predecessor, whose reply it awaits until startCtx ends; from that
+// message on this process decides on changes for both.
 func (d *Daemon) startServing(ctx, startCtx context.Context) {
 	d.changeMu.Lock()
 	link := d.predecessor
-	d.changeMu.Unlock() // the predecessor's messages need it meanwhile
+	d.changeMu.Unlock() // handlers of the predecessor's messages need it meanwhile
 	if link != nil {
 		d.releasePredecessor(startCtx, link)
 	}
@@ -217,7 +218,8 @@
 		d.lifecycle.transition(ctx, d.lifecycle.phaseWithoutSuccessor())
 		return
 	}
-	// A successor may start as soon as this process is ready, and would start alone if it found no socket.
+	// The socket is opened first: a successor may start as soon as this process is ready, and would start alone if it
+	// found no socket.
 	listener, err := d.socket.Listen(ctx)
 	d.lifecycle.transition(ctx, d.lifecycle.phaseWithoutSuccessor())
 	d.goroutines.Go(func() { d.awaitSuccessors(ctx, listener, err) })
@@ -228,21 +230,21 @@
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	if _, err := link.Request(messageServing, nil).Wait(ctx, nil); err != nil {
-		link.Close() // it serves again, or is gone; either way the state that it handed over remains right
+		link.Close() // the predecessor serves again or has exited; either way the state that it handed over remains valid
 		<-link.Gone()
-		d.onPredecessorGone(link) // it may have gone before it was known as the predecessor
+		d.onPredecessorGone(link) // the link may have ended before it was set as the predecessor's
 		slog.Warn("predecessor did not release", "error", err)
 	}
 }
 
-// onPredecessorGone handles that a predecessor has ended.
+// onPredecessorGone is called when the link to a predecessor has ended.
 func (d *Daemon) onPredecessorGone(link *handover.Link) {
 	d.changeMu.Lock()
 	defer d.changeMu.Unlock()
 	if d.predecessor == link {
 		d.predecessor = nil
 		d.descriptorBudget.SetLent(0)
-		d.setMemoryGoal(oneProcess)
+		d.setGoMemoryLimit(oneProcess)
 		slog.Info("the predecessor has ended")
 	}
 }
--- a/internal/daemon/upgrade_test.go
+++ b/internal/daemon/upgrade_test.go
@@ -238,7 +238,7 @@
 	if disabled, _ := fresh.daemon.router.IsDisabled("a"); disabled {
 		t.Error("a call answered yes took no effect")
 	}
-	if got := fresh.daemon.disabled.fault(); !strings.HasSuffix(got, "0 servers out by hand are held in memory alone") {
+	if got := fresh.daemon.disabled.fault(); !strings.HasSuffix(got, "0 disabled servers are held in memory only") {
 		t.Errorf("while the directory fails the fault is %q", got)
 	}
 	fresh.wantStatus("POST", "servers/a/offline", http.StatusOK)
@@ -319,7 +319,7 @@
 		serverFile, _ := connectedTCP(t, listener)
 		body := fmt.Sprintf(`{"facts":{"id":"c%d","service":"live","key":"2"},"at":"a"}`, i)
 		request := handover.Request{Body: []byte(body), Files: []*os.File{clientFile, serverFile}}
-		response, err := h.daemon.receiveConnection(t.Context(), request)
+		response, err := h.daemon.handleTransfer(t.Context(), request)
 		if err != nil {
 			t.Fatal(err)
 		}
