--- a/internal/admin/server_test.go
+++ b/internal/admin/server_test.go
@@ -14,9 +14,9 @@
 	"time"
 )
 
-const testTimeout = 10 * time.Second // a test that hangs fails
+const testTimeout = 10 * time.Second // a wait longer than this fails the test
 
-// recorder records the calls that it gets, and answers all with one error.
+// recorder is a Balancer that records its calls, and returns the same error from each.
 type recorder struct {
 	calls []string
 	err   error
@@ -51,7 +51,7 @@
 	t.Cleanup(func() {
 		cancel()
 		if err := <-done; err != nil {
-			t.Errorf("ended with %v", err)
+			t.Errorf("Serve: %v", err)
 		}
 	})
 	return listener.Addr().String()
@@ -69,7 +69,7 @@
 	return conn
 }
 
-// call sends a request as it stands, and gives the status of the answer.
+// call sends the text of a request, and returns the status of the response.
 func call(t *testing.T, address, text string) (status int) {
 	t.Helper()
 	conn := dial(t, address)
@@ -81,7 +81,7 @@
 		t.Fatalf("%.60q: %v", text, err)
 	}
 	if _, err := io.ReadAll(answer.Body); err != nil || !answer.Close {
-		t.Errorf("%.60q: %v, one call to a connection: %v", text, err, answer.Close)
+		t.Errorf("%.60q: %v, Connection: close is %v", text, err, answer.Close)
 	}
 	return answer.StatusCode
 }
@@ -99,17 +99,17 @@
 		{"offline", "POST /control/servers/s-1/offline", nil, 200, "offline s-1"},
 		{"offline of an unknown server", "POST /control/servers/s-1/offline", fmt.Errorf("%w: %q", ErrUnknown, "s-1"), 404, "offline s-1"},
 		{"online", "POST /control/servers/s-1/online", nil, 200, "online s-1"},
-		{"escapes", "POST /control/servers/a%2Fb%20c/online", nil, 200, "online a/b c"},
+		{"an escaped id", "POST /control/servers/a%2Fb%20c/online", nil, 200, "online a/b c"},
 		{"a long id", "POST /control/servers/" + longID + "/online", nil, 200, "online " + strings.Repeat("a", 4096)},
-		{"no id", "POST /control/servers//offline", nil, 404, ""},
+		{"an empty id", "POST /control/servers//offline", nil, 404, ""},
 		{"out of service", "POST /control/out-of-service", nil, 200, "out"},
 		{"in service", "POST /control/in-service", errors.New("draining"), 503, "in"},
 		{"the wrong method", "GET /control/in-service", nil, 405, ""},
 		{"the wrong method for ready", "POST /control/ready", nil, 405, ""},
 		{"an unknown path", "POST /control/servers/s-1/away", nil, 404, ""},
 		{"a bad escape", "POST /control/servers/%zz/offline", nil, 400, ""},
-		{"no request", "OPEN 1 2 c=x", nil, 400, ""},
-		{"a head of a megabyte", "GET /control/ready HTTP/1.1\r\nX: " + strings.Repeat("x", 1<<20), nil, 431, ""},
+		{"not HTTP", "OPEN 1 2 c=x", nil, 400, ""},
+		{"a header of 1 MiB", "GET /control/ready HTTP/1.1\r\nX: " + strings.Repeat("x", 1<<20), nil, 431, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			balancer := &recorder{err: c.err}
@@ -118,7 +118,7 @@
 				text += " HTTP/1.1\r\nHost: x\r\nContent-Length: 0"
 			}
 			text += "\r\n\r\n"
-			// What the server reads at most: bytes left unread would reset the answer.
+			// The server reads at most this much; unread bytes would reset the connection and lose the response.
 			const maxRead = maxHeaderBytes + 4096
 			if len(text) > maxRead {
 				text = text[:maxRead]
@@ -131,7 +131,7 @@
 	}
 }
 
-// slowBalancer answers the call out of service when it is told to.
+// slowBalancer doesn't return from OutOfService before answer is closed.
 type slowBalancer struct {
 	recorder
 	called, answer chan struct{}
@@ -143,7 +143,7 @@
 	return nil
 }
 
-// Idle connections are closed for new ones, the oldest first; one with a call in flight never is.
+// Idle connections are closed to make room for new ones, oldest first. A connection with a call in flight is not closed.
 func TestIdleConnections(t *testing.T) {
 	balancer := &slowBalancer{called: make(chan struct{}), answer: make(chan struct{})}
 	address := serve(t, balancer)
@@ -157,11 +157,11 @@
 		conn := dial(t, address)
 		idle = append(idle, conn)
 		if i%2 == 0 {
-			_, _ = io.WriteString(conn, "G") // it may be closed by now
+			_, _ = io.WriteString(conn, "G") // the server may have closed it
 		}
 	}
 	if status := call(t, address, "GET /control/ready HTTP/1.1\r\nHost: x\r\n\r\n"); status != http.StatusOK {
-		t.Errorf("a call behind idle connections is answered %d", status)
+		t.Errorf("status of a call after many idle connections: %d", status)
 	}
 	_ = idle[0].SetReadDeadline(time.Now().Add(requestTimeout / 2))
 	if _, err := idle[0].Read(make([]byte, 1)); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
@@ -169,6 +169,6 @@
 	}
 	close(balancer.answer)
 	if status := <-inFlight; status != http.StatusOK {
-		t.Errorf("the call in flight is answered %d", status)
+		t.Errorf("status of the call in flight: %d", status)
 	}
 }
--- a/internal/daemon/admin_calls_test.go
+++ b/internal/daemon/admin_calls_test.go
@@ -11,9 +11,9 @@
 	"yardwinch/internal/admin"
 )
 
-// Out of service, PING is answered BUSY at once, clients that still come are served and migrated, and later ones
-// get a Retry-After. Back in service, all is as before, also where the drain was called off. A balancer out of
-// service remains so while it shuts down.
+// After the out-of-service call PING is answered BUSY at once, clients that the platform still sends are served and
+// then migrated, and later ones are rejected with a Retry-After. The in-service call restores normal service, also when
+// it interrupts the drain. A balancer that is out of service stays so during the shutdown.
 func TestOutOfServiceDrains(t *testing.T) {
 	const allowed = 4 * time.Second
 	h := newHarness(t).start(os.Getenv)
@@ -22,7 +22,7 @@
 	h.wantStatus("POST", "out-of-service", http.StatusOK)
 	start := time.Now()
 	h.wantPing("BUSY")
-	late := h.wantFlow("sent here just after the call", "UP 1")
+	late := h.wantFlow("just after the call", "UP 1")
 	h.wantStatus("POST", "out-of-service", http.StatusOK) // a second call changes nothing
 	h.wantStatus("GET", "ready", http.StatusOK)
 	for _, client := range []*bufio.Reader{early, late} {
@@ -31,7 +31,7 @@
 	if took := time.Since(start); took > allowed {
 		t.Errorf("drained after %v, %v are allowed", took, allowed)
 	}
-	awaitThat(t, "drained", func() bool { return h.daemon.lifecycle.current() == drained })
+	awaitCondition(t, "drained", func() bool { return h.daemon.lifecycle.current() == drained })
 	h.wantFlow("out of service", "BUSY 700")
 
 	h.wantStatus("POST", "in-service", http.StatusOK)
@@ -39,9 +39,9 @@
 	h.wantFlow("back in service", "UP 1")
 
 	h.wantStatus("POST", "out-of-service", http.StatusOK)
-	h.wantStatus("POST", "in-service", http.StatusOK) // calls the drain off
+	h.wantStatus("POST", "in-service", http.StatusOK) // interrupts the drain
 	h.wantPing("PONG")
-	client := h.wantFlow("after a drain that was called off", "UP 1")
+	client := h.wantFlow("after an interrupted drain", "UP 1")
 
 	h.wantStatus("POST", "out-of-service", http.StatusOK)
 	h.stop()
@@ -55,14 +55,14 @@
 	for _, c := range []struct {
 		phase               phase
 		ready               bool
-		mayLeave, mayReturn bool  // the calls out of service, and into it
-		afterLeaving        phase // of the call out of service
+		mayLeave, mayReturn bool  // whether the calls out-of-service and in-service succeed
+		afterLeaving        phase // the phase after the out-of-service call
 	}{
 		{loading, false, false, false, loading},
 		{serving, true, true, true, draining},
 		{draining, true, true, true, draining},
 		{drained, true, true, true, drained},
-		{handingOver, false, true, true, draining}, // where the successor has ended
+		{handingOver, false, true, true, draining}, // as after the successor has exited
 		{shuttingDown, false, false, false, shuttingDown},
 		{stopped, false, false, false, stopped},
 	} {
@@ -77,11 +77,11 @@
 				"in service":     {returned.InService(t.Context()), c.mayReturn},
 			} {
 				if (got.err == nil) != got.allowed {
-					t.Errorf("%s gives %v", call, got.err)
+					t.Errorf("%s: got error %v", call, got.err)
 				}
 			}
 			if now := left.daemon.lifecycle.current(); now != c.afterLeaving {
-				t.Errorf("out of service leads to %s", now)
+				t.Errorf("phase %s after the out-of-service call", now)
 			}
 			if err := left.Ready(); err != nil && !errors.Is(err, admin.ErrNotReady) {
 				t.Error(err)
@@ -90,7 +90,7 @@
 	}
 }
 
-// callsInPhase are the calls of a daemon that is in a phase without having been served.
+// callsInPhase returns the admin calls of a daemon whose phase is set without running it.
 func callsInPhase(t *testing.T, in phase) adminCalls {
 	t.Helper()
 	h := newHarness(t)
@@ -109,7 +109,8 @@
 	return adminCalls{d}
 }
 
-// A server is disabled before the answer: without another one the next client gets a Retry-After.
+// A server is disabled before the response is sent: the next client, for which no other server is left, is rejected with
+// a Retry-After.
 func TestDisabledServers(t *testing.T) {
 	h := newHarness(t).start(os.Getenv)
 	h.wantStatus("POST", "servers/b/offline", http.StatusNotFound)
@@ -117,6 +118,6 @@
 	h.wantFlow("with its only server disabled", "BUSY 700")
 	h.wantStatus("POST", "servers/a/offline", http.StatusOK)
 	h.wantStatus("POST", "servers/a/online", http.StatusOK)
-	h.awaitFlow() // in slow start a server takes its first flow within seconds
+	h.awaitFlow() // in slow start the server accepts its first flow within seconds
 	h.end()
 }
--- a/internal/daemon/consecutive_upgrades_test.go
+++ b/internal/daemon/consecutive_upgrades_test.go
@@ -12,17 +12,17 @@
 	"time"
 )
 
-// upgradeClients are clients during upgrades, and all that is wrong for them.
+// upgradeClients runs clients during upgrades. Any failure that a client sees is a test error.
 type upgradeClients struct {
 	t       *testing.T
 	address string
-	over    atomic.Bool
-	opened  atomic.Int64
-	lines   atomic.Int64 // that came back
+	over    atomic.Bool  // tells the clients to stop
+	opened  atomic.Int64 // short-lived flows
+	lines   atomic.Int64 // echoed
 	clients sync.WaitGroup
 }
 
-// open opens a flow; in is nil if it is not accepted.
+// open opens a flow; in is nil if it is not established.
 func (c *upgradeClients) open(id string) (conn net.Conn, in *bufio.Reader) {
 	conn, err := tryDial(c.t, c.address)
 	if err != nil {
@@ -30,7 +30,7 @@
 		return nil, nil
 	}
 	_ = conn.SetDeadline(time.Now().Add(time.Minute))
-	_, _ = fmt.Fprintf(conn, "OPEN %s 2 c=live,d=800\r\n", id) // an error shows in the answer
+	_, _ = fmt.Fprintf(conn, "OPEN %s 2 c=live,d=800\r\n", id) // an error shows when the reply is read
 	in = bufio.NewReader(conn)
 	if got, err := in.ReadString('\n'); got != "UP 1\r\n" {
 		c.t.Errorf("%s is rejected: %q, %v", id, got, err)
@@ -39,8 +39,8 @@
 	return conn, in
 }
 
-// talk keeps one flow and sends line after line, each in two parts.
-func (c *upgradeClients) talk(number int) {
+// exchangeLines keeps one flow open and sends lines, each in two parts.
+func (c *upgradeClients) exchangeLines(number int) {
 	conn, in := c.open(fmt.Sprintf("talks-%d", number))
 	if conn != nil {
 		defer func() { _ = conn.Close() }()
@@ -49,21 +49,21 @@
 		line := fmt.Sprintf("M %d %s\r\n", n, strings.Repeat("x", 100*(number%8)))
 		_, err := io.WriteString(conn, line[:len(line)/2])
 		if number%2 == 0 {
-			time.Sleep(time.Duration(number) * 100 * time.Microsecond) // so that an upgrade falls anywhere in a line
+			time.Sleep(time.Duration(number) * 100 * time.Microsecond) // so that an upgrade can happen within a line
 		}
 		if err == nil {
 			_, err = io.WriteString(conn, line[len(line)/2:])
 		}
 		if got, errRead := in.ReadString('\n'); err != nil || errRead != nil || got != line {
-			c.t.Errorf("talks-%d: line %d came back as %.40q, %v, %v", number, n, got, err, errRead)
+			c.t.Errorf("talks-%d: line %d was echoed as %.40q, %v, %v", number, n, got, err, errRead)
 			return
 		}
 		c.lines.Add(1)
 	}
 }
 
-// comeAndGo opens one flow after the other.
-func (c *upgradeClients) comeAndGo() {
+// openAndClose opens and closes flows, one after the other.
+func (c *upgradeClients) openAndClose() {
 	for !c.over.Load() {
 		if conn, _ := c.open(fmt.Sprintf("comes-%d", c.opened.Add(1))); conn != nil {
 			_ = conn.Close()
@@ -72,17 +72,17 @@
 	}
 }
 
-// Upgrades in a row, with clients that talk all the time and others that come and go: none is rejected, and none
-// that is established notices anything.
+// Consecutive upgrades with clients that exchange lines all the time, and others that open and close flows: no flow is
+// rejected, and no established flow loses or duplicates data.
 func TestConsecutiveUpgrades(t *testing.T) {
-	const upgrades, talkers = 20, 30
+	const upgrades, exchangers = 20, 30
 	environment := directoryEnvironment(t)
 	current := newHarness(t).start(environment)
 	c := &upgradeClients{t: t, address: current.listenAddress}
-	for i := range talkers {
-		c.clients.Go(func() { c.talk(i) })
+	for i := range exchangers {
+		c.clients.Go(func() { c.exchangeLines(i) })
 	}
-	c.clients.Go(c.comeAndGo)
+	c.clients.Go(c.openAndClose)
 	for i := range upgrades {
 		next := current.successor().start(environment)
 		current.end()
@@ -96,8 +96,8 @@
 	c.over.Store(true)
 	c.clients.Wait()
 	current.end()
-	if c.opened.Load() < upgrades || c.lines.Load() < upgrades*talkers {
-		t.Errorf("only %d flows were opened and %d lines came back", c.opened.Load(), c.lines.Load())
+	if c.opened.Load() < upgrades || c.lines.Load() < upgrades*exchangers {
+		t.Errorf("only %d flows were opened and %d lines were echoed", c.opened.Load(), c.lines.Load())
 	}
-	t.Logf("%d upgrades, %d flows were opened, %d lines came back", upgrades, c.opened.Load(), c.lines.Load())
+	t.Logf("%d upgrades, %d flows were opened, %d lines were echoed", upgrades, c.opened.Load(), c.lines.Load())
 }
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -15,7 +15,8 @@
 	"time"
 )
 
-// startAgent starts a discovery agent that says nothing of the list. The channel receives the name at each watch.
+// startAgent starts a discovery agent that accepts watches and sends no list. The channel receives the name at each
+// watch.
 func startAgent(t *testing.T, name string, watched chan<- string) (address string) {
 	t.Helper()
 	agent := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -31,10 +32,10 @@
 	return strings.TrimPrefix(agent.URL, "http://")
 }
 
-// openTalkingFlow opens a flow through which a line comes back.
-func (h *harness) openTalkingFlow() *bufio.Reader {
+// openEchoFlow opens a flow and checks that a line is echoed.
+func (h *harness) openEchoFlow() *bufio.Reader {
 	h.t.Helper()
-	in := h.wantFlow("of a client that talks", "UP 1")
+	in := h.wantFlow("of a client that sends a line", "UP 1")
 	if _, err := io.WriteString(h.lastClient, "M 1\r\n"); err != nil {
 		h.t.Fatal(err)
 	}
@@ -44,8 +45,8 @@
 	return in
 }
 
-// A balancer from its configuration to its exit: it serves, reloads, and when it is told to stop goes on serving
-// clients that come, migrates all, and holds nothing at the end.
+// The whole life of a balancer: it loads its configuration, serves and reloads. After the stop signal it still accepts
+// clients, migrates them all, and exits with no connection left.
 func TestLifecycle(t *testing.T) {
 	watched := make(chan string, 16)
 	old, renewed := startAgent(t, "old", watched), startAgent(t, "renewed", watched)
@@ -54,7 +55,7 @@
 		select {
 		case got := <-watched:
 			if got != want {
-				t.Errorf("watches %s, want %s", got, want)
+				t.Errorf("%s is watched, want %s", got, want)
 			}
 		case <-time.After(testTimeout):
 			t.Errorf("%s is not watched", want)
@@ -70,8 +71,8 @@
 	reloads := make(chan os.Signal)
 	h.startWithReloads(reloads)
 	wantWatched("old")
-	first := h.openTalkingFlow()
-	for _, invalid := range []string{"{", `{}`, strings.Replace(h.config, old, "nowhere", 1)} { // none changes anything
+	first := h.openEchoFlow()
+	for _, invalid := range []string{"{", `{}`, strings.Replace(h.config, old, "nowhere", 1)} { // each is rejected
 		writeConfig(t, h.path, invalid)
 		reloads <- syscall.SIGHUP
 	}
@@ -79,19 +80,19 @@
 	reloads <- syscall.SIGHUP
 	wantWatched("renewed")
 	reloads <- syscall.SIGHUP
-	h.openTalkingFlow()
+	h.openEchoFlow()
 
 	h.stop()
-	reloads <- syscall.SIGHUP // a further reload does no harm, nor does one during the shutdown
+	reloads <- syscall.SIGHUP // a repeated reload is harmless, also during the shutdown
 	start := time.Now()
-	late := h.openTalkingFlow() // the platform sends clients for a while
+	late := h.openEchoFlow() // the platform still sends clients for newClientsWindow
 	for _, client := range []*bufio.Reader{first, late} {
 		wantMigration(t, client)
 	}
 	if err := <-h.done; err != nil {
-		t.Errorf("ended with %v", err)
+		t.Errorf("Serve: %v", err)
 	}
-	const clientTimeout = 800 * time.Millisecond // of the configuration
+	const clientTimeout = 800 * time.Millisecond // as configured
 	if took := time.Since(start); took > clientTimeout+shutdownDrainSlack {
 		t.Errorf("stopped after %v", took)
 	}
@@ -100,7 +101,7 @@
 	}
 }
 
-// However short the clients' timeouts are, the socket is open for all that the platform sends after the signal to stop.
+// Even if client timeouts are short, the listener stays open while the platform sends clients after the stop signal.
 func TestShutdownWithShortClientTimeouts(t *testing.T) {
 	for {
 		h := newHarness(t)
@@ -109,27 +110,27 @@
 		h.start(directoryEnvironment(t))
 		start := time.Now()
 		h.stop()
-		time.Sleep(newClientsWindow - 50*time.Millisecond) // just before the end of that time
+		time.Sleep(newClientsWindow - 50*time.Millisecond) // just before the end of the window
 		conn, err := tryDial(t, h.listenAddress)
 		inTime := time.Since(start) < newClientsWindow
 		answer := ""
 		if err == nil {
-			_, _ = io.WriteString(conn, "PING\r\n") // an error gives no answer
+			_, _ = io.WriteString(conn, "PING\r\n") // an error shows as an empty answer
 			answer, _ = bufio.NewReader(conn).ReadString('\n')
 			_ = conn.Close()
 		}
-		t.Logf("ended with %v", <-h.done) // another test is about that
+		t.Logf("Serve: %v", <-h.done) // TestLifecycle checks it
 		if !inTime {
-			continue // the machine was late: the platform would not have sent this connection
+			continue // the test ran too slowly: the platform would not have sent this connection
 		}
 		if err != nil || answer == "" {
-			t.Errorf("a connection of that time: %q, %v", answer, err)
+			t.Errorf("a connection within newClientsWindow: %q, %v", answer, err)
 		}
 		return
 	}
 }
 
-// At the end of the shutdown's time, which here is over as it begins, it matters whether any connection is left.
+// When the shutdown times out, which it does at once here, the result depends on whether a connection is left.
 func TestConnectionsLeftAfterShutdown(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -153,7 +154,7 @@
 			}
 			h.stop()
 			if err := <-h.done; !errors.Is(err, c.want) {
-				t.Errorf("ended with %v, want %v", err, c.want)
+				t.Errorf("Serve: %v, want %v", err, c.want)
 			}
 		})
 	}
--- a/internal/daemon/descriptors_test.go
+++ b/internal/daemon/descriptors_test.go
@@ -13,13 +13,13 @@
 	"time"
 )
 
-// idleClients are a number of clients that say nothing; each that is closed comes again. Were there ever more of
-// them, whatever the balancer accepts, a usual client would stand behind all of them in the system's queue.
+// idleClients is a fixed number of clients that connect and send nothing; each reconnects when it is closed. The number
+// is fixed because a regular client waits behind all idle ones in the listen backlog.
 type idleClients struct {
 	t           *testing.T
 	address     string
 	stopped     chan struct{}
-	firstAnswer chan string // what the first one received that was closed
+	firstAnswer chan string // what the first client to be closed received
 	clients     sync.WaitGroup
 }
 
@@ -39,7 +39,7 @@
 	return c
 }
 
-// holdOne has one idle client come and stay until it is closed, and reports whether it is to reconnect.
+// holdOne connects one idle client, waits until it is closed, and reports whether to reconnect.
 func (c *idleClients) holdOne() (continues bool) {
 	var dialer net.Dialer
 	conn, err := dialer.DialContext(context.WithoutCancel(c.t.Context()), "tcp", c.address)
@@ -71,30 +71,30 @@
 	}
 }
 
-// awaitFull waits until one is closed to free its descriptor.
+// awaitFull waits until the balancer has closed a client to free its descriptor.
 func (c *idleClients) awaitFull() {
 	c.t.Helper()
 	select {
 	case got := <-c.firstAnswer:
 		if got != "BUSY\r\n" {
-			c.t.Fatalf("the first idle client that is closed receives %q", got)
+			c.t.Fatalf("the first idle client that was closed received %q", got)
 		}
 	case <-time.After(testTimeout):
-		c.t.Fatal("no idle client is closed")
+		c.t.Fatal("no idle client was closed")
 	}
 }
 
-// Idle clients use up all descriptors while discovery is down. Once it is back its list counts in time, usual
-// clients are served by the new server, operators' calls are answered and health checks are made, though idle
-// clients go on coming. The system itself limits the process to its descriptors, so that one that was not reserved
-// would be missing.
+// Idle clients use up all descriptors while discovery is down. When discovery is back its list takes effect in time,
+// regular clients are served by the new server, operators' calls are answered and health checks are made, although idle
+// clients keep reconnecting. RLIMIT_NOFILE limits the process to the configured number of descriptors, so that the test
+// fails if too few are reserved.
 func TestDescriptorsWhileDiscoveryIsDown(t *testing.T) {
-	for limit, usual := range map[int]int{66: 2, 72: 4, 80: 8, 120: 8, 400: 8} {
-		t.Run(fmt.Sprint(limit), func(t *testing.T) { testDescriptorLimit(t, limit, usual) })
+	for limit, regular := range map[int]int{66: 2, 72: 4, 80: 8, 120: 8, 400: 8} {
+		t.Run(fmt.Sprint(limit), func(t *testing.T) { testDescriptorLimit(t, limit, regular) })
 	}
 }
 
-func testDescriptorLimit(t *testing.T, limit, usualClients int) {
+func testDescriptorLimit(t *testing.T, limit, regularClients int) {
 	checked := make(chan struct{}, 1000)
 	newServer, agentAddress := startEchoServer(t, checked), reservedAddress(t)
 	h := newHarness(t)
@@ -104,7 +104,7 @@
 	h.descriptorLimit = limit
 	h.process()
 	startIdleClients(t, h.listenAddress, 2*limit).awaitFull()
-	for range 32 { // idle at the address for operators
+	for range 32 { // idle connections to the address for operators
 		_, _ = tryDial(t, h.adminAddress) // some are refused
 	}
 	back := time.Now()
@@ -117,14 +117,14 @@
 		calls.Wait()
 	}
 	var clients sync.WaitGroup
-	for i := range usualClients {
-		clients.Go(func() { h.awaitUsualClient(i) })
+	for i := range regularClients {
+		clients.Go(func() { h.awaitRegularClient(i) })
 	}
 	clients.Wait()
 	select {
 	case <-checked:
 	case <-time.After(testTimeout):
-		t.Error("no health check is made")
+		t.Error("no health check was made")
 	}
 	h.wantStatus("GET", "ready", http.StatusOK)
 }
@@ -140,12 +140,12 @@
 		<-r.Context().Done()
 	})}
 	listener := listenAt(t, address)
-	go func() { _ = agent.Serve(listener) }() // until it is closed
+	go func() { _ = agent.Serve(listener) }() // runs until the agent is closed
 	t.Cleanup(func() { _ = agent.Close() })
 	return watched
 }
 
-// wantListInTime checks that the list is watched, and that it counts, within the time that operators allow.
+// wantListInTime checks that the list is watched and takes effect within the time that operators allow.
 func wantListInTime(t *testing.T, h *harness, watched <-chan time.Time, back time.Time) {
 	t.Helper()
 	const allowed = 6 * time.Second
@@ -156,17 +156,17 @@
 			t.Errorf("watched after %v", at.Sub(back))
 		}
 	case <-time.After(testTimeout):
-		t.Fatal("not watched")
+		t.Fatal("the list is not watched")
 	}
-	h.awaitStatus("POST", "servers/b/online", http.StatusOK) // the list counts
+	h.awaitStatus("POST", "servers/b/online", http.StatusOK) // the list is in effect
 	if took := time.Since(back); took > allowed {
-		t.Errorf("the list counts after %v", took)
+		t.Errorf("the list is in effect after %v", took)
 	}
 }
 
-// awaitUsualClient opens a flow that stays to the end of the test. In slow start a server takes flows one by one;
-// a client that is rejected comes again.
-func (h *harness) awaitUsualClient(number int) {
+// awaitRegularClient opens a flow that stays open until the end of the test. A server in slow start accepts one flow at
+// a time; a rejected client retries.
+func (h *harness) awaitRegularClient(number int) {
 	const maxAttempts = 20
 	for attempt := 0; ; attempt++ {
 		conn, err := tryDial(h.t, h.listenAddress)
@@ -174,7 +174,7 @@
 			h.t.Error(err)
 			return
 		}
-		// An error shows in the answer.
+		// An error shows when the reply is read.
 		_, _ = io.WriteString(conn, fmt.Sprintf("OPEN u%d-%d 2 c=live,d=800\r\n", number, attempt))
 		got, err := bufio.NewReader(conn).ReadString('\n')
 		if got == "UP 1\r\n" {
@@ -182,7 +182,7 @@
 		}
 		_ = conn.Close()
 		if err != nil || !strings.HasPrefix(got, "BUSY") || attempt > maxAttempts {
-			h.t.Errorf("a usual client receives %q, %v at attempt %d", got, err, attempt)
+			h.t.Errorf("a regular client receives %q, %v at attempt %d", got, err, attempt)
 			return
 		}
 		time.Sleep(5 * flowInterval)
--- a/internal/daemon/disabled_store_test.go
+++ b/internal/daemon/disabled_store_test.go
@@ -11,12 +11,12 @@
 	"yardwinch/internal/store"
 )
 
-// A server is disabled while the directory fails. It gets no flows from then on, and once the directory works
-// again the change is saved, so that a process that starts after a kill sends nothing there either.
+// A server that is disabled while the directory fails gets no flows from then on. When the directory works again the
+// change is saved, so that a process that starts after a kill sends no flows to the server either.
 func TestDisableWhileDirectoryFails(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		atStart bool // the directory fails from the start of the process on, and still does at the call
+		atStart bool // the directory fails from the start of the process until after the call
 	}{
 		{"at the call", false},
 		{"at the start", true},
@@ -37,11 +37,11 @@
 				rename(t, directory, movedDirectory)
 			}
 			h.wantStatus("POST", "servers/a/offline", http.StatusOK)
-			h.wantFlow("after the call, while the directory fails,", "BUSY 700")
+			h.wantFlow("after the call, while the directory fails", "BUSY 700")
 			rename(t, movedDirectory, directory)
 			h.awaitSaved(directory, "a")
 			_ = p.cmd.Process.Kill()
-			_ = p.cmd.Wait() // it says that it was killed
+			_ = p.cmd.Wait() // the error says that the process was killed
 			next := h.successor()
 			next.processIn(directory)
 			next.awaitStatus("GET", "ready", http.StatusOK)
@@ -59,7 +59,7 @@
 	}
 }
 
-// awaitSaved waits until the directory has just these servers as disabled.
+// awaitSaved waits until exactly these servers are saved as disabled.
 func (h *harness) awaitSaved(root string, want ...string) {
 	h.t.Helper()
 	directory, err := store.Open(root, h.listenAddress)
@@ -72,7 +72,7 @@
 			return
 		}
 		if time.Now().After(end) {
-			h.t.Fatalf("saved are %q, %v; want %q", got, err, want)
+			h.t.Fatalf("saved: %q, %v; want %q", got, err, want)
 		}
 	}
 }
--- a/internal/daemon/harness_test.go
+++ b/internal/daemon/harness_test.go
@@ -18,31 +18,31 @@
 )
 
 const (
-	testTimeout  = 10 * time.Second // a test that hangs fails
+	testTimeout  = 10 * time.Second // a wait longer than this fails the test
 	pollInterval = 5 * time.Millisecond
 	flowInterval = 10 * time.Millisecond
 )
 
-// harness is a balancer with an address for operators and one server that accepts each flow and echoes.
+// harness runs a balancer with an admin address and one server, which accepts every flow and echoes what it receives.
 type harness struct {
 	t               *testing.T
 	daemon          *Daemon
 	listenAddress   string
 	adminAddress    string
 	serverAddress   string
-	path            string // of the configuration
-	config          string // its text
+	path            string // of the configuration file
+	config          string // text of the configuration
 	stop            context.CancelFunc
 	done            chan error
 	openedFlows     int
 	lastClient      net.Conn
-	descriptorLimit int // of the balancer's process, where it is one of its own; 0: the test's
+	descriptorLimit int // of the balancer's own process, see startProcess; 0: that of the test process
 }
 
-// reservedAddress is an address that refuses connections until the balancer listens there, and that nobody else
-// gets before the test ends: it is bound and not listened on, which lets an explicit bind in and keeps the system
-// from giving it away. A port that is merely free could become another test's listener, which would then take this
-// balancer's connection to discovery for the one that it waits for.
+// reservedAddress returns an address that refuses connections until the balancer listens there, and that no other socket
+// gets before the test ends. A socket is bound to it and doesn't listen: with SO_REUSEADDR an explicit bind still
+// succeeds, but the system doesn't assign the port to others. A port that is merely free could be assigned to a listener
+// of another test, which would then receive this balancer's connection to discovery.
 func reservedAddress(t *testing.T) string {
 	t.Helper()
 	descriptor, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
@@ -54,8 +54,8 @@
 	if err == nil {
 		err = syscall.Bind(descriptor, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}})
 	}
-	address, errName := syscall.Getsockname(descriptor)
-	if err = errors.Join(err, errName); err != nil {
+	address, nameErr := syscall.Getsockname(descriptor)
+	if err = errors.Join(err, nameErr); err != nil {
 		t.Fatal(err)
 	}
 	return fmt.Sprintf("127.0.0.1:%d", address.(*syscall.SockaddrInet4).Port)
@@ -77,7 +77,7 @@
 	return listenAt(t, "127.0.0.1:0")
 }
 
-// tryDial connects, and has the connection end with the test.
+// tryDial connects; the connection is closed at the end of the test.
 func tryDial(t *testing.T, address string) (net.Conn, error) {
 	var dialer net.Dialer
 	conn, err := dialer.DialContext(t.Context(), "tcp", address)
@@ -99,7 +99,7 @@
 
 var discovery = regexp.MustCompile(`"discovery":"[^"]*"`)
 
-// setDiscovery changes the address of discovery in the text of the configuration.
+// setDiscovery sets the address of discovery in the text of the configuration.
 func (h *harness) setDiscovery(address string) {
 	h.config = discovery.ReplaceAllLiteralString(h.config, fmt.Sprintf(`"discovery":%q`, address))
 }
@@ -111,8 +111,8 @@
 	}
 }
 
-// awaitThat polls until something holds.
-func awaitThat(t *testing.T, what string, holds func() bool) {
+// awaitCondition polls until a condition holds.
+func awaitCondition(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); !holds(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
@@ -121,8 +121,8 @@
 	}
 }
 
-// startEchoServer starts a server that accepts each flow and sends back what it receives. The channel, if given,
-// receives once for each health check.
+// startEchoServer starts a server that accepts every flow and echoes what it receives. The channel, if given, receives
+// a value at each health check.
 func startEchoServer(t *testing.T, checked ...chan<- struct{}) (address string) {
 	t.Helper()
 	listener := listenLocal(t)
@@ -170,7 +170,7 @@
 	return h
 }
 
-// start runs the balancer within the test's process, and waits until it serves.
+// start runs the balancer within the test process, and waits until it serves.
 func (h *harness) start(environment func(string) string, before ...func(*Daemon)) *harness {
 	h.t.Helper()
 	var err error
@@ -185,7 +185,8 @@
 	return h
 }
 
-// startWithReloads is start for a balancer that reloads its configuration at each value of a channel.
+// startWithReloads is like start, for a balancer that reloads its configuration at each value of a channel. It doesn't
+// wait until the balancer serves.
 func (h *harness) startWithReloads(reloads <-chan os.Signal) {
 	h.t.Helper()
 	var err error
@@ -195,7 +196,7 @@
 	h.serve(reloads)
 }
 
-// serve runs the loaded balancer. It ends by h.stop; h.done gets its result.
+// serve runs the loaded balancer until h.stop is called; h.done receives its result.
 func (h *harness) serve(reloads <-chan os.Signal) {
 	stop, cancel := context.WithCancel(context.Background()) // not the test's, which ends before its cleanup
 	h.stop = cancel
@@ -208,11 +209,11 @@
 	h.t.Helper()
 	h.stop()
 	if err := <-h.done; err != nil {
-		h.t.Errorf("ended with %v", err)
+		h.t.Errorf("Serve: %v", err)
 	}
 }
 
-// callAdmin makes an operator's call and gives the status of its answer; 0: there is none.
+// callAdmin makes an operator's call and returns the status of the response; 0: there is none.
 func (h *harness) callAdmin(ctx context.Context, method, call string) (status int) {
 	h.t.Helper()
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+h.adminAddress+"/control/"+call, nil)
@@ -228,7 +229,7 @@
 	return answer.StatusCode
 }
 
-// awaitStatus repeats an operator's call until its answer has the status wanted.
+// awaitStatus repeats an operator's call until the response has the status wanted.
 func (h *harness) awaitStatus(method, call string, want int) {
 	h.t.Helper()
 	for end := time.Now().Add(testTimeout); ; time.Sleep(pollInterval) {
@@ -242,7 +243,7 @@
 	}
 }
 
-// wantStatus makes an operator's call once.
+// wantStatus makes an operator's call once and checks the status of the response.
 func (h *harness) wantStatus(method, call string, want int) {
 	h.t.Helper()
 	if got := h.callAdmin(h.t.Context(), method, call); got != want {
@@ -250,7 +251,7 @@
 	}
 }
 
-// openWith opens a client's connection with a line and gives the line that comes back.
+// openWith connects as a client, sends a line and returns the line received.
 func (h *harness) openWith(line string) (in *bufio.Reader, answer string) {
 	h.t.Helper()
 	conn := dial(h.t, h.listenAddress)
@@ -258,24 +259,24 @@
 		h.t.Fatal(err)
 	}
 	in = bufio.NewReader(conn)
-	answer, _ = in.ReadString('\n') // a connection that ends instead gives no answer
+	answer, _ = in.ReadString('\n') // empty if the connection ends instead
 	h.lastClient = conn
 	return in, strings.TrimSpace(answer)
 }
 
-// openFlow opens a flow with an id of its own.
+// openFlow opens a flow with a unique id.
 func (h *harness) openFlow() (in *bufio.Reader, answer string) {
 	h.t.Helper()
 	h.openedFlows++
 	return h.openWith(fmt.Sprintf("OPEN %p-%d 2 c=live,d=800", h, h.openedFlows))
 }
 
-// wantFlow opens a flow and checks the line that comes back.
+// wantFlow opens a flow and checks the reply.
 func (h *harness) wantFlow(when, want string) *bufio.Reader {
 	h.t.Helper()
 	in, got := h.openFlow()
 	if got != want {
-		h.t.Errorf("%s a flow is answered %q, want %q", when, got, want)
+		h.t.Errorf("%s: a flow is answered %q, want %q", when, got, want)
 	}
 	return in
 }
@@ -289,12 +290,12 @@
 			return
 		}
 		if time.Now().After(end) {
-			h.t.Fatalf("no flow is accepted, the last is answered %q", got)
+			h.t.Fatalf("no flow was accepted, the last one was answered %q", got)
 		}
 	}
 }
 
-// wantPing checks the answer to a PING.
+// wantPing sends a PING and checks the reply.
 func (h *harness) wantPing(want string) {
 	h.t.Helper()
 	if _, got := h.openWith("PING"); got != want {
@@ -302,10 +303,10 @@
 	}
 }
 
-// wantMigration reads a client's connection to its end, and checks that it is asked to migrate.
+// wantMigration reads a client's connection until it ends, and checks that the client is asked to migrate.
 func wantMigration(t *testing.T, in *bufio.Reader) {
 	t.Helper()
 	if got, err := io.ReadAll(in); err != nil || string(got) != "MOVE\r\n" {
-		t.Errorf("a client receives %q, %v, want a MOVE", got, err)
+		t.Errorf("a client received %q, %v, want MOVE", got, err)
 	}
 }
--- a/internal/daemon/migrate_test.go
+++ b/internal/daemon/migrate_test.go
@@ -26,12 +26,12 @@
 	return string(text)
 }
 
-// migrationDirectory is a directory with the files of a migration.
+// migrationDirectory is the path of a directory with the files of a migration.
 type migrationDirectory string
 
 func (m migrationDirectory) path(name string) string { return filepath.Join(string(m), name) }
 
-// contents are names, modes, times and texts of all files.
+// contents returns the names, modes, modification times and texts of all files.
 func (m migrationDirectory) contents(t *testing.T) string {
 	t.Helper()
 	var b strings.Builder
@@ -49,16 +49,17 @@
 	return b.String()
 }
 
-// migrationCase is one migration, and what comes of it.
+// migrationCase is one migration and its expected result.
 type migrationCase struct {
-	name, old, shape string // the texts, if not those in testdata
-	to               string // the name of the new file, if not new.json
+	name, old, shape string // file contents; empty: those in testdata
+	to               string // name of the new file; empty: new.json
 	dryRun, force    bool
-	output           string // its last lines, or its last line
-	err              string // a part of its text; empty: none
+	output           string // its end, or the beginning of a line after the first
+	err              string // part of the error text; empty: no error
 }
 
-// Whatever goes wrong, one line names file and key and nothing is written; what goes well is written as a whole.
+// A migration that fails writes nothing and returns an error of one line that names the file and the key. A migration
+// that succeeds writes the complete file.
 func TestMigrate(t *testing.T) {
 	old := readFile(t, migrateFiles+"old.json")
 	fresh := readFile(t, migrateFiles+"new.json")
@@ -66,14 +67,14 @@
 	for _, c := range []migrationCase{
 		{name: "written", output: list},
 		{name: "a dry run", dryRun: true, output: list},
-		{name: "of the new shape already", old: fresh, output: "the old file is of the new shape already"},
-		{name: "over another file by force", to: "there.json", force: true, output: list},
-		{name: "over another file", to: "there.json", err: "there.json: exists already"},
-		{name: "over the old file", to: "old.json", force: true, err: "old.json: would be written over"},
+		{name: "an old file of the new shape", old: fresh, output: "the old file is of the new shape already"},
+		{name: "another file, with overwrite", to: "there.json", force: true, output: list},
+		{name: "another file, without overwrite", to: "there.json", err: "there.json: exists already"},
+		{name: "the old file, with overwrite", to: "old.json", force: true, err: "old.json: would be written over"},
 		{name: "an empty file", old: " ", err: "old.json: is empty"},
-		{name: "no JSON", old: "{", err: "old.json: the whole: no JSON"},
+		{name: "invalid JSON", old: "{", err: "old.json: the whole: no JSON"},
 		{
-			name:  "a key twice in a list",
+			name:  "a duplicate key in a list",
 			shape: `{"settings":{"tenants":[{"name":"a","name":"b"}]}}`,
 			err:   "shape.json: settings.tenants.0.name: stands twice",
 		},
@@ -93,22 +94,22 @@
 			err:   "shape.json: known: can't be taken over",
 		},
 		{
-			name:  "a word for a number",
+			name:  "text for a number",
 			shape: `{"settings":{"peers-total":"many"}}`,
 			err:   `settings.peers-total: bad number "many"`,
 		},
 		{
-			name:  "a word for a yes",
+			name:  "text for a boolean",
 			shape: `{"settings":{"reporting":{"how":"pull"},"policy-limits":{"probes":"maybe"}}}`,
 			err:   `settings.policy-limits.probes: unknown word "maybe"`,
 		},
 		{
-			name:  "an unknown word",
+			name:  "an unknown enum value",
 			shape: `{"settings":{"reporting":{"how":"loudly"}}}`,
 			err:   `settings.reporting.how: unknown word "loudly"`,
 		},
 		{
-			name:  "nines out of range",
+			name:  "a goal out of range",
 			shape: `{"settings":{"goal":{"nines-part":0.3}}}`,
 			err:   "settings.goal.top-nines: must be above 0",
 		},
@@ -150,7 +151,7 @@
 	}
 	if c.err != "" || c.dryRun {
 		if after := directory.contents(t); after != before {
-			t.Errorf("the files were %s, are %s", before, after)
+			t.Errorf("files before: %s, after: %s", before, after)
 		}
 		return
 	}
@@ -159,8 +160,8 @@
 	}
 }
 
-// wantError checks that a migration ended with one line, and that it counts as a fault of the configuration unless
-// the target is at fault.
+// wantError checks that a migration failed with an error of one line and no output, and that the error is
+// ErrConfiguration unless it concerns the target file.
 func (c migrationCase) wantError(t *testing.T, err error, output string) {
 	t.Helper()
 	if err == nil || !strings.Contains(err.Error(), c.err) || strings.Contains(err.Error(), "\n") || output != "" {
@@ -171,8 +172,8 @@
 	}
 }
 
-// A daemon serves from the migrated file: it finds its server through discovery, asks it for its load, and serves
-// a flow.
+// A daemon runs with a migrated configuration: it gets its server from discovery, makes health checks, and serves a
+// flow.
 func TestServeMigratedConfiguration(t *testing.T) {
 	checked := make(chan struct{}, 1000)
 	server := startEchoServer(t, checked)
@@ -197,10 +198,10 @@
 	}
 	h.start(func(string) string { return "" })
 	defer h.end()
-	h.wantFlow("from the migrated file", "UP 1")
+	h.wantFlow("with the migrated configuration", "UP 1")
 	select {
 	case <-checked:
 	case <-time.After(2 * testTimeout):
-		t.Error("the server was never asked for its load")
+		t.Error("no health check was made")
 	}
 }
--- a/internal/daemon/outage_test.go
+++ b/internal/daemon/outage_test.go
@@ -8,21 +8,21 @@
 	"time"
 )
 
-// outageDuration is for how long the system refuses something; it is the operators' own figure.
+// outageDuration is how long a file or an address is unavailable; the figure is from the operators.
 const outageDuration = 300 * time.Millisecond
 
-// The configuration can't be read, or is incomplete, at the moment of SIGHUP, once or in a row. Its new discovery
-// address is watched all the same, within the 4 s after which what it says counts.
+// The configuration can't be read, or is incomplete, when one SIGHUP or several arrive. When it becomes readable its new
+// discovery address is watched, within the 4 s that are allowed.
 func TestReloadOfUnreadableConfiguration(t *testing.T) {
 	const allowed = 4 * time.Second
 	for _, c := range []struct {
 		name    string
 		reloads int
-		spoil   func(path, text string) error // until the outage is over
+		corrupt func(path, text string) error // puts the file into its state during the outage
 	}{
 		{"no file", 1, func(path, _ string) error { return os.Remove(path) }},
 		{"no file, twice", 2, func(path, _ string) error { return os.Remove(path) }},
-		{"half a file", 1, func(path, text string) error { return os.WriteFile(path, []byte(text[:len(text)/2]), 0o600) }},
+		{"a truncated file", 1, func(path, text string) error { return os.WriteFile(path, []byte(text[:len(text)/2]), 0o600) }},
 		{"a directory in its place", 1, func(path, _ string) error {
 			if err := os.Remove(path); err != nil {
 				return err
@@ -37,7 +37,7 @@
 			h := newHarness(t)
 			p := h.process()
 			h.setDiscovery(agent)
-			if err := c.spoil(h.path, h.config); err != nil {
+			if err := c.corrupt(h.path, h.config); err != nil {
 				t.Fatal(err)
 			}
 			start := time.Now()
@@ -59,8 +59,7 @@
 	}
 }
 
-// An address is another process's as the balancer starts: it serves there once the address is free, and is ready
-// in time.
+// An address is in use when the balancer starts: the balancer retries until the address is free, and is ready in time.
 func TestAddressInUseAtStart(t *testing.T) {
 	for _, c := range []struct {
 		name    string
--- a/internal/daemon/process_test.go
+++ b/internal/daemon/process_test.go
@@ -14,7 +14,8 @@
 )
 
 const (
-	// Names the configuration that the test's own program serves as a balancer.
+	// serveEnvironment is the environment variable with the path of a configuration. If it is set the test binary runs
+	// as a balancer with that configuration.
 	serveEnvironment           = "PROGRAM_TEST_SERVES"
 	descriptorLimitEnvironment = serveEnvironment + "_FILES"
 )
@@ -35,7 +36,7 @@
 	}
 }
 
-// process is a harness whose balancer is a process of its own.
+// process is a harness whose balancer runs as a separate process.
 type process struct {
 	*harness
 	cmd *exec.Cmd
@@ -43,8 +44,8 @@
 
 var lastAddress atomic.Int32
 
-// process starts the balancer at an address of its own, and waits until it serves: a port that was free could be
-// the near end of another client's connection by the time the process listens there.
+// process starts the balancer at a loopback address of its own, and waits until it serves. At a shared address a port
+// that was free could be the local port of a client connection by the time the process listens there.
 func (h *harness) process() *process {
 	h.t.Helper()
 	id := os.Getpid()
@@ -60,14 +61,14 @@
 	return p
 }
 
-// processIn starts the balancer with a directory that it shares with others. It ends with the thread that starts
-// it, whatever becomes of the test.
+// processIn starts the balancer with a directory that it shares with other processes. The system kills it when the
+// thread that started it ends, even if the test crashes.
 func (h *harness) processIn(directory string) *process {
 	h.t.Helper()
 	return h.startProcess(directory, &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL})
 }
 
-// startProcess starts the test's own program as the balancer. It ends with the test, and its log is shown where
+// startProcess starts the test binary as the balancer. It is killed at the end of the test, and its log is printed if
 // the test failed.
 func (h *harness) startProcess(directory string, attributes *syscall.SysProcAttr) *process {
 	h.t.Helper()
@@ -87,9 +88,9 @@
 	if err := cmd.Start(); err != nil {
 		h.t.Fatal(err)
 	}
-	_ = log.Close() // the process has its own
+	_ = log.Close() // the process has its own descriptor
 	h.t.Cleanup(func() {
-		_ = cmd.Process.Kill() // it may have ended
+		_ = cmd.Process.Kill() // it may have exited
 		_ = cmd.Wait()
 		if text, err := os.ReadFile(h.path + ".log"); err == nil && h.t.Failed() {
 			h.t.Logf("%s: %s", h.path, text)
@@ -105,10 +106,10 @@
 	}
 }
 
-// awaitSuspended waits until the system has stopped the process.
+// awaitSuspended waits until SIGSTOP has taken effect.
 func (p *process) awaitSuspended() {
 	p.t.Helper()
-	awaitThat(p.t, "the process is stopped", func() bool {
+	awaitCondition(p.t, "the process is stopped", func() bool {
 		stat, _ := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.cmd.Process.Pid))
 		return strings.Contains(string(stat), ") T ")
 	})
--- a/internal/daemon/size_test.go
+++ b/internal/daemon/size_test.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// configureFleet gives a harness's configuration a number of servers, at the address of its one server, and of
-// balancers.
+// configureFleet sets the numbers of servers and balancers in the configuration of a harness. All servers have the
+// address of its one server.
 func (h *harness) configureFleet(servers, balancers int) (names []string) {
 	var known, peers []string
 	for i := range servers {
@@ -35,12 +35,12 @@
 	return names
 }
 
-// maxBytesPerServer is what each listed server may cost at rest: a list twice as long as any in production leaves
-// most of the 64 MB.
+// maxBytesPerServer is the limit on the heap memory per listed server without any flows. With it, a list twice as long
+// as any in production leaves most of the 64 MB free.
 const maxBytesPerServer = 1 << 10
 
-// A fleet of 12,800 servers and 1,024 balancers is loaded completely, from the configuration and from discovery;
-// what it costs at rest is bounded.
+// Fleets of up to 12,800 servers, with 1,024 balancers, are loaded completely from the configuration and from discovery,
+// and the memory that they take without any flows is bounded.
 func TestMemoryPerServer(t *testing.T) {
 	for _, servers := range []int{64, 256, 1024, 12_800} {
 		t.Run(fmt.Sprint(servers), func(t *testing.T) {
@@ -52,13 +52,13 @@
 				t.Fatalf("%v, %v", err, d.cachedListError)
 			}
 			used := heapBytes() - before
-			t.Logf("%d servers: %d KB at rest", servers, used>>10)
+			t.Logf("%d servers: %d KB without flows", servers, used>>10)
 			if each := used / int64(servers); each > maxBytesPerServer {
-				t.Errorf("%d bytes a server, at most %d", each, maxBytesPerServer)
+				t.Errorf("%d bytes per server, want at most %d", each, maxBytesPerServer)
 			}
 			d.values.Each(func(key, _ string) {
 				if strings.HasPrefix(key, "known") {
-					t.Fatalf("%s is stored twice: the router has it", key)
+					t.Fatalf("%s is kept in the configuration values although the router has it", key)
 				}
 			})
 			for _, name := range names {
@@ -80,8 +80,8 @@
 	return int64(stats.HeapAlloc)
 }
 
-// wantListFromDiscovery has discovery bring the same list under other names, and checks that all servers of it are
-// known.
+// wantListFromDiscovery has discovery send the same list with other names, and checks that the router knows all of its
+// servers.
 func wantListFromDiscovery(t *testing.T, d *Daemon, config string, names []string) {
 	t.Helper()
 	list := config[strings.Index(config, `{"revision"`):strings.Index(config, `,"settings"`)]
--- a/internal/daemon/start_test.go
+++ b/internal/daemon/start_test.go
@@ -23,18 +23,18 @@
 	"yardwinch/internal/handover"
 )
 
-var processes = flag.Int("processes", 12, "how many real processes TestReadyAfterRestart starts at once")
+var processes = flag.Int("processes", 12, "how many balancer processes TestReadyAfterRestart starts at once")
 
-// A process that is told to stop while it waits for its predecessor ends without having served, whether the
-// predecessor is silent or not ready; it doesn't wait first to serve alone.
+// A process that receives the stop signal while it waits for its predecessor exits without having served, whether the
+// predecessor doesn't reply or isn't ready. It must not first time out and serve on its own.
 func TestStoppedBeforeServing(t *testing.T) {
 	for _, c := range []struct {
 		name, silentAt string
 		notReady       bool
 	}{
-		{"the predecessor is itself new, or ends", messageHello, true},
-		{"it does not answer the greeting", messageHello, false},
-		{"it does not hand over", messageGetState, false},
+		{"the predecessor is not ready", messageHello, true},
+		{"it does not reply to hello", messageHello, false},
+		{"it does not send its state", messageGetState, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			environment := directoryEnvironment(t)
@@ -49,15 +49,15 @@
 			h.end()
 			select {
 			case <-h.daemon.lifecycle.started:
-				t.Error("it served first")
+				t.Error("it served before it stopped")
 			default:
 			}
 		})
 	}
 }
 
-// startSilentPredecessor starts a predecessor that answers requests up to one kind with whether it is not ready.
-// At that kind the channel receives; unless it is not ready it then says nothing.
+// startSilentPredecessor starts a predecessor that answers requests with notReady. At the first request of the kind
+// silentAt the channel receives a value; if notReady is false requests of that kind get no reply.
 func startSilentPredecessor(t *testing.T, socket *handover.Socket, silentAt string, notReady bool) (reached <-chan struct{}) {
 	t.Helper()
 	listener, err := socket.Listen(t.Context())
@@ -91,23 +91,23 @@
 			}
 			link := handover.NewLink(conn, map[string]handover.Handler{
 				messageHello: answer(messageHello), messageGetState: answer(messageGetState)}, nil)
-			go func() { _ = link.Run(t.Context()) }() // until the process under test ends
+			go func() { _ = link.Run(t.Context()) }() // until the process under test exits
 		}
 	}()
 	return arrived
 }
 
-// All that a new process may wait for before it serves fits into what operators allow.
+// The timeouts before a new process serves add up to less than operators allow.
 func TestTimeoutsBeforeServing(t *testing.T) {
 	const allowed = 10 * time.Second
-	// The hand-over, then the notice to the predecessor.
+	// The hand-over, then the message to the predecessor that this process serves.
 	if total := takeOverTimeout + requestTimeout; total >= allowed {
-		t.Errorf("a new process may wait for %v, %v are allowed", total, allowed)
+		t.Errorf("a new process may wait for %v before it serves, %v are allowed", total, allowed)
 	}
 }
 
-// awaitAnswer sends a line on ever new connections until one of them brings the answer: those that the system
-// gives to a frozen process bring none.
+// awaitAnswer sends a line on new connections, over and over, until one of them receives the reply wanted. Connections
+// that the system assigns to a suspended process at the same address receive none.
 func (p *process) awaitAnswer(ctx context.Context, line, want string) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -117,7 +117,7 @@
 	last := ""
 	for n := 0; ; n++ {
 		attempt := strings.ReplaceAll(line, "ID", fmt.Sprint(n))
-		go func() { // ends with ctx
+		go func() { // returns when ctx ends
 			if got, ok := exchange(ctx, p.listenAddress, attempt); ok {
 				select {
 				case answers <- got:
@@ -138,7 +138,7 @@
 	}
 }
 
-// exchange sends a line on a new connection and gives the line that comes back, if any; ok: the line was sent.
+// exchange sends a line on a new connection and returns the reply, if any; ok: the line was sent.
 func exchange(ctx context.Context, address, line string) (answer string, ok bool) {
 	var dialer net.Dialer
 	conn, err := dialer.DialContext(ctx, "tcp", address)
@@ -150,12 +150,12 @@
 	if _, err := io.WriteString(conn, line+"\r\n"); err != nil {
 		return "", false
 	}
-	answer, _ = bufio.NewReader(conn).ReadString('\n') // a connection that ends instead has no answer
+	answer, _ = bufio.NewReader(conn).ReadString('\n') // empty if the connection ends instead
 	return strings.TrimSpace(answer), true
 }
 
-// awaitReady waits until this process serves, PING is answered and a client has a server of the cached list.
-// Before it serves, its predecessor may answer at the same address.
+// awaitReady waits until this process serves, then until PING is answered and a flow is established to a server of the
+// cached list. Until this process serves, its predecessor may answer at the same address.
 func (p *process) awaitReady(ctx context.Context) error {
 	for p.callAdmin(ctx, "GET", "ready") != http.StatusOK {
 		select {
@@ -167,12 +167,12 @@
 	return errors.Join(p.awaitAnswer(ctx, "PING", "PONG"), p.awaitAnswer(ctx, "OPEN ready-ID 2 c=live,d=800", "UP 1"))
 }
 
-// startSilentAgent starts a discovery agent that accepts requests and says nothing until it is told to speak; its
-// list is empty.
-func startSilentAgent(t *testing.T) (address string, speak func()) {
+// startSilentAgent starts a discovery agent that accepts requests and doesn't respond until respond is called; its list
+// is empty.
+func startSilentAgent(t *testing.T) (address string, respond func()) {
 	t.Helper()
 	listener := listenLocal(t)
-	speaking := make(chan struct{})
+	responding := make(chan struct{})
 	go func() {
 		for {
 			conn, err := listener.Accept()
@@ -184,13 +184,13 @@
 				if err := readRequestHead(conn); err != nil {
 					return
 				}
-				<-speaking
+				<-responding
 				_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"+
-					`{"revision":2,"complete":true,"members":[]}`+"\n") // the balancer may be gone
+					`{"revision":2,"complete":true,"members":[]}`+"\n") // the balancer may have disconnected
 			}()
 		}
 	}()
-	return listener.Addr().String(), func() { close(speaking) }
+	return listener.Addr().String(), func() { close(responding) }
 }
 
 func readRequestHead(conn net.Conn) error {
@@ -204,38 +204,38 @@
 	return nil
 }
 
-// What a restarted process may find of its predecessor.
+// States of the predecessor of a restarted process, the discovery agent that responds late, and the clients' timeout.
 const (
 	noPredecessor      = "none"
 	killedPredecessor  = "killed"
-	frozenPredecessor  = "frozen"
-	slowlyEnding       = "slow to end"
+	stoppedPredecessor = "suspended"
+	slowPredecessor    = "slow to exit"
 	lateAgent          = "late"
-	longestClientLimit = 3 * time.Second
+	maxClientTimeout   = 3 * time.Second
 )
 
-// restart is a process of TestReadyAfterRestart, with its discovery agent and its predecessor.
+// restart is a restarted process of TestReadyAfterRestart, with its discovery agent and its predecessor.
 type restart struct {
 	h                  *harness
-	agent, predecessor string
+	agent, predecessor string // names in the test's tables
 	directory          string
-	before, after      *process // before: nil without predecessor
+	before, after      *process // the predecessor, nil if there is none, and the restarted process
 	began              time.Time
 	took               time.Duration
 }
 
-// Restarted processes, all at once, serve the list that they have cached whatever their agent does, and whatever
-// the predecessor does with which they share their address and directory. How long each took is logged; required
-// is that they are ready while the agent says nothing and the predecessor stays as it is.
+// Processes that restart at the same time serve from their cached list, whatever the state of their discovery agent and
+// of the predecessor with the same address and directory. They must become ready while the agent doesn't respond and the
+// predecessor stays in its state. The time that each took is logged only.
 func TestReadyAfterRestart(t *testing.T) {
 	runtime.LockOSThread() // see processIn
 	defer runtime.UnlockOSThread()
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	defer cancel()
 	silent, _ := startSilentAgent(t)
-	late, speak := startSilentAgent(t)
+	late, respond := startSilentAgent(t)
 	agents := []struct{ name, address string }{{"silent", silent}, {"refusing", ""}, {lateAgent, late}}
-	predecessors := []string{noPredecessor, killedPredecessor, frozenPredecessor, slowlyEnding}
+	predecessors := []string{noPredecessor, killedPredecessor, stoppedPredecessor, slowPredecessor}
 	all := make([]*restart, *processes)
 	for i := range all {
 		agent := agents[i%len(agents)]
@@ -251,9 +251,9 @@
 			continue
 		}
 		if err := r.before.awaitReady(ctx); err != nil {
-			t.Fatalf("the predecessor: %v", err)
+			t.Fatalf("predecessor: %v", err)
 		}
-		r.strikePredecessor()
+		r.disruptPredecessor()
 	}
 	for _, r := range all {
 		r.start()
@@ -267,18 +267,18 @@
 			t.Error(err)
 		}
 	}
-	speak() // the late agent's list is empty: its processes are to follow it
+	respond() // the late agent's list is empty: its processes must then reject clients
 	for _, r := range all {
 		if r.agent == lateAgent && !t.Failed() {
 			if err := r.after.awaitAnswer(ctx, "OPEN late-ID 2 c=live,d=800", "BUSY 700"); err != nil {
-				t.Errorf("the predecessor %s, after the agent spoke: %v", r.predecessor, err)
+				t.Errorf("predecessor %s, after the agent responded: %v", r.predecessor, err)
 			}
 		}
 	}
 	logTimes(t, all, predecessors)
 }
 
-// newRestart configures a process. An empty address of the agent refuses connections.
+// newRestart configures a process. If agentAddress is empty the address of its agent refuses connections.
 func newRestart(t *testing.T, agentAddress string) *restart {
 	t.Helper()
 	r := &restart{h: newHarness(t), directory: t.TempDir()}
@@ -289,7 +289,7 @@
 	if agentAddress != "" {
 		config["discovery"] = agentAddress
 	}
-	config["settings"].(map[string]any)["service-types"].([]any)[0].(map[string]any)["hard-limit"] = longestClientLimit
+	config["settings"].(map[string]any)["service-types"].([]any)[0].(map[string]any)["hard-limit"] = maxClientTimeout
 	text, err := json.Marshal(config)
 	if err != nil {
 		t.Fatal(err)
@@ -299,24 +299,24 @@
 	return r
 }
 
-// strikePredecessor does to the predecessor what its name says, once a successor could find it.
-func (r *restart) strikePredecessor() {
+// disruptPredecessor puts the predecessor into its state, once a successor could find it.
+func (r *restart) disruptPredecessor() {
 	t := r.h.t
 	t.Helper()
 	socket := filepath.Join(r.directory, "yardwinch-"+strings.ReplaceAll(r.h.listenAddress, ":", "_")+".sock")
-	awaitThat(t, "the predecessor's socket is there", func() bool {
+	awaitCondition(t, "the predecessor's socket exists", func() bool {
 		_, err := os.Lstat(socket)
 		return err == nil
 	})
 	switch r.predecessor {
 	case killedPredecessor:
 		r.before.signal(syscall.SIGKILL)
-		_, _ = r.before.cmd.Process.Wait() // it says that it was killed
-	case frozenPredecessor:
+		_, _ = r.before.cmd.Process.Wait() // the error says that the process was killed
+	case stoppedPredecessor:
 		r.before.signal(syscall.SIGSTOP)
-	case slowlyEnding: // a client that stays has it take all its time
+	case slowPredecessor: // a client that stays makes the shutdown take its full time
 		if _, got := r.h.openWith("OPEN stays 2 c=live,d=800"); got != "UP 1" {
-			t.Fatalf("at the predecessor: %q", got)
+			t.Fatalf("the predecessor replied %q", got)
 		}
 		r.before.signal(syscall.SIGTERM)
 	}
--- a/internal/daemon/suspended_test.go
+++ b/internal/daemon/suspended_test.go
@@ -11,7 +11,8 @@
 	"time"
 )
 
-// countingServer is a server that replies to flows only when it is told to, and counts the connections to it.
+// countingServer is a server that counts its connections, and accepts flows only when acceptAll is called, except for
+// the flow "last".
 type countingServer struct {
 	listener net.Listener
 
@@ -39,7 +40,7 @@
 		s.mu.Unlock()
 		go func() {
 			if line, _ := bufio.NewReader(conn).ReadString('\n'); strings.HasPrefix(line, "OPEN last ") {
-				_, _ = conn.Write([]byte("UP 2\r\n")) // the balancer may have given it up
+				_, _ = conn.Write([]byte("UP 2\r\n")) // fails if the balancer has closed it
 			}
 		}()
 	}
@@ -51,45 +52,45 @@
 	return len(s.accepted)
 }
 
-// acceptAll accepts the flows of all connections so far, and gives their number.
+// acceptAll accepts the flows of all connections so far, and returns their number.
 func (s *countingServer) acceptAll() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, conn := range s.accepted {
-		_, _ = conn.Write([]byte("UP 1\r\n")) // the balancer may have given it up
+		_, _ = conn.Write([]byte("UP 1\r\n")) // fails if the balancer has closed it
 	}
 	return len(s.accepted)
 }
 
-// awaitAccepted connects, and waits until this connection is accepted: all that came before it are then accepted too.
+// awaitAccepted connects, and waits until this connection is accepted: all earlier ones have then been accepted too.
 func (s *countingServer) awaitAccepted(t *testing.T) {
 	t.Helper()
 	own := dial(t, s.address())
-	awaitThat(t, "all connections are accepted", func() bool {
+	awaitCondition(t, "all connections are accepted", func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		return s.accepted[len(s.accepted)-1].RemoteAddr().String() == own.LocalAddr().String()
 	})
 }
 
-// A burst of clients leaves while the process is suspended, which goes on 0.1 s later: no connection to a server
-// is opened on their behalf, whether they waited in the system's queue or for their turn.
+// Many clients disconnect while the process is suspended, and it resumes 0.1 s later. It must not connect to a server
+// for any of them, whether they were in the listen backlog or waited for capacity.
 func TestClientsLeaveWhileSuspended(t *testing.T) {
 	const clients = 40
 	for _, c := range []struct {
 		name      string
-		balancers int // of many, each may set up only one flow at a time
-		queued    int // clients that come while the process is suspended
+		balancers int // if there are many, each may establish only one flow at a time
+		queued    int // clients that connect while the process is suspended
 	}{
-		{"in the queue", 1, clients},
-		{"for their turn", 48, 0},
+		{"in the backlog", 1, clients},
+		{"waiting for capacity", 48, 0},
 		{"both", 48, clients / 2},
 	} {
 		for way, leave := range map[string]func(*net.TCPConn){
-			"an end":       func(conn *net.TCPConn) { _ = conn.Close() },
-			"a half end":   func(conn *net.TCPConn) { _ = conn.CloseWrite() },
-			"a reset":      func(conn *net.TCPConn) { _ = conn.SetLinger(0); _ = conn.Close() },
-			"data, an end": func(conn *net.TCPConn) { _, _ = conn.Write([]byte("M 1\r\n")); _ = conn.Close() },
+			"a close":       func(conn *net.TCPConn) { _ = conn.Close() },
+			"a half close":  func(conn *net.TCPConn) { _ = conn.CloseWrite() },
+			"a reset":       func(conn *net.TCPConn) { _ = conn.SetLinger(0); _ = conn.Close() },
+			"data, a close": func(conn *net.TCPConn) { _, _ = conn.Write([]byte("M 1\r\n")); _ = conn.Close() },
 		} {
 			t.Run(c.name+", "+way, func(t *testing.T) {
 				t.Parallel()
@@ -101,13 +102,13 @@
 
 type leavingClients struct {
 	balancers int
-	waiting   int // clients for whom the balancer has no capacity yet
+	waiting   int // clients that the balancer has accepted and that wait for capacity
 	queued    int // clients that the balancer has not accepted yet
 	leave     func(*net.TCPConn)
 }
 
 func testClientsLeave(t *testing.T, c leavingClients) {
-	const suspendedFor = 100 * time.Millisecond // after the clients left: the operators' own figure
+	const suspendedFor = 100 * time.Millisecond // after the clients disconnected; the figure is from the operators
 	server := startCountingServer(t)
 	watched := make(chan string, 1)
 	h := newHarness(t)
@@ -117,9 +118,9 @@
 		"fall":1500000000},`, c.balancers)).Replace(h.config)
 	p := h.process()
 	first := h.openUnanswered("first")
-	awaitThat(t, "the first flow is forwarded", func() bool { return server.count() >= 1 })
+	awaitCondition(t, "the first flow is forwarded", func() bool { return server.count() >= 1 })
 	leaving := h.openMany("w", c.waiting)
-	h.wantPing("PONG") // all that stood before it in the queue are accepted
+	h.wantPing("PONG") // all earlier connections have been accepted
 	_ = h.lastClient.Close()
 	select {
 	case <-watched:
@@ -134,31 +135,31 @@
 		c.leave(client)
 	}
 	time.Sleep(suspendedFor)
-	before := server.acceptAll() // there is capacity now
+	before := server.acceptAll() // from now on there is capacity
 	p.signal(syscall.SIGCONT)
 	if got, err := bufio.NewReader(first).ReadString('\n'); got != "UP 1\r\n" {
-		t.Fatalf("the client that stayed receives %q, %v", got, err)
+		t.Fatalf("the client that stayed received %q, %v", got, err)
 	}
 	last, err := bufio.NewReader(h.openUnanswered("last")).ReadString('\n')
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("the last client receives %q", last)
-	want := strings.Count(last, "UP 2") // it may be rejected with a Retry-After, where capacity is scarce
-	p.signal(syscall.SIGTERM)           // whatever was begun on behalf of those that left is over once the process is
-	_ = p.cmd.Wait()                    // that it ends in time is another test's
+	t.Logf("the last client received %q", last)
+	want := strings.Count(last, "UP 2") // it may be rejected with a Retry-After if capacity is short
+	p.signal(syscall.SIGTERM)           // when the process has exited no further connection can follow
+	_ = p.cmd.Wait()                    // TestLifecycle checks the shutdown
 	server.awaitAccepted(t)
 	if got := server.count() - before - 1; got != want {
-		t.Errorf("%d connections are opened on behalf of %d clients that left and one that receives %q", got, len(leaving), last)
+		t.Errorf("%d connections to the server for %d clients that disconnected and one that received %q", got, len(leaving), last)
 	}
 }
 
-// openUnanswered opens a flow and doesn't wait for the answer.
+// openUnanswered opens a flow and doesn't wait for the reply.
 func (h *harness) openUnanswered(id string) *net.TCPConn {
 	h.t.Helper()
 	conn := dial(h.t, h.listenAddress)
 	_ = conn.SetDeadline(time.Now().Add(2 * testTimeout))
-	_, _ = fmt.Fprintf(conn, "OPEN %s 2 c=live,d=8000\r\n", id) // an error shows in the answer
+	_, _ = fmt.Fprintf(conn, "OPEN %s 2 c=live,d=8000\r\n", id) // an error shows when the reply is read
 	return conn.(*net.TCPConn)
 }
 
--- a/internal/daemon/upgrade_socket_test.go
+++ b/internal/daemon/upgrade_socket_test.go
@@ -9,7 +9,7 @@
 	"yardwinch/internal/protocol"
 )
 
-// clientsAtServing are the clients of a daemon, with something that runs as the daemon begins to serve.
+// clientsAtServing calls a function when the daemon begins to serve.
 type clientsAtServing struct {
 	clients
 	onServing func()
@@ -20,9 +20,8 @@
 	c.clients.SetAvailability(availability)
 }
 
-// A successor may start in the moment in which a process is ready: the socket by which it finds that process is open
-// by then.
-func TestSocketIsOpenAsServingBegins(t *testing.T) {
+// A successor may start as soon as a process is ready: the hand-over socket is open by then.
+func TestSocketIsOpenWhenServingBegins(t *testing.T) {
 	environment := directoryEnvironment(t)
 	h := newHarness(t)
 	socket := openSocket(t, environment("TMPDIR"), h.listenAddress)
@@ -35,16 +34,16 @@
 	if err != nil || conn == nil {
 		t.Fatalf("a successor finds %v, %v", conn, err)
 	}
-	_ = conn.Close() // the test's end of a link that was never used
+	_ = conn.Close() // the link was never used
 }
 
-// A process whose successor ended is found by the next one as soon as it is ready again, also while it waits for
-// another process that has connected and says nothing.
-func TestSocketIsOpenAfterSuccessorDied(t *testing.T) {
+// After its successor has exited, a process can be found by the next one as soon as it is ready again, even while
+// another process is connected that sends nothing.
+func TestSocketIsOpenAfterSuccessorExits(t *testing.T) {
 	environment := directoryEnvironment(t)
 	h := newHarness(t).start(environment)
 	socket := openSocket(t, environment("TMPDIR"), h.listenAddress)
-	connectLink(t, socket) // says nothing
+	connectLink(t, socket) // sends nothing
 	successor := connectLink(t, socket)
 	for _, step := range []string{messageHello, messageGetState} {
 		hello := handover.Hello{Version: handover.Version, Listen: h.listenAddress}
--- a/internal/daemon/upgrade_test.go
+++ b/internal/daemon/upgrade_test.go
@@ -17,8 +17,8 @@
 	"yardwinch/internal/store"
 )
 
-// successor is a second process's part of the harness: the same addresses but for the operators', and the same
-// directory.
+// successor returns a harness for the next process: with the same addresses, except that for operators, and the same
+// server.
 func (h *harness) successor() *harness {
 	h.t.Helper()
 	next := *h
@@ -29,7 +29,7 @@
 	return &next
 }
 
-// directoryEnvironment is an environment whose TMPDIR is a directory of the test's own.
+// directoryEnvironment returns an environment whose TMPDIR is a new temporary directory.
 func directoryEnvironment(t *testing.T) func(name string) string {
 	t.Helper()
 	directory := t.TempDir()
@@ -45,7 +45,7 @@
 	return handover.NewSocket(directory)
 }
 
-// connectLink is the link of a process that wants to take over.
+// connectLink connects to a process like a successor, and returns the link.
 func connectLink(t *testing.T, socket *handover.Socket) *handover.Link {
 	t.Helper()
 	conn, err := socket.Connect(t.Context())
@@ -53,7 +53,7 @@
 		t.Fatalf("%v, %v", conn, err)
 	}
 	link := handover.NewLink(conn, nil, nil)
-	go func() { _ = link.Run(t.Context()) }() // what it ends with shows in the replies
+	go func() { _ = link.Run(t.Context()) }() // an error shows in the replies
 	t.Cleanup(link.Close)
 	return link
 }
@@ -66,102 +66,101 @@
 
 func (h *harness) awaitPredecessorGone() {
 	h.t.Helper()
-	awaitThat(h.t, "the predecessor is gone", func() bool { return !h.hasPredecessor() })
+	awaitCondition(h.t, "the predecessor has exited", func() bool { return !h.hasPredecessor() })
 }
 
-// talkingClient is a client that sends parts of lines through its flow, and reads whole ones.
-type talkingClient struct {
+// echoClient is a client that sends partial lines through its flow, and reads whole lines.
+type echoClient struct {
 	t    *testing.T
 	conn net.Conn
 	in   *bufio.Reader
 }
 
-func (c *talkingClient) send(part string) {
+func (c *echoClient) send(part string) {
 	c.t.Helper()
 	if _, err := io.WriteString(c.conn, part); err != nil {
 		c.t.Error(err)
 	}
 }
 
-func (c *talkingClient) want(line string) {
+func (c *echoClient) want(line string) {
 	c.t.Helper()
 	if got, err := c.in.ReadString('\n'); got != line {
-		c.t.Errorf("the client receives %q, %v, want %q", got, err, line)
+		c.t.Errorf("the client received %q, %v, want %q", got, err, line)
 	}
 }
 
-// An operator's call at either process binds both before its answer, the successor keeps what the predecessor was
-// told, and established clients notice nothing, within a line or between two.
+// An operator's call at either process takes effect in both before its response, the successor keeps changes made at the
+// predecessor, and established flows continue without loss, whether the hand-over falls within a line or between lines.
 func TestUpgrade(t *testing.T) {
 	environment := directoryEnvironment(t)
 	old := newHarness(t).start(environment)
-	client := &talkingClient{t: t, in: old.wantFlow("before", "UP 1"), conn: old.lastClient}
+	client := &echoClient{t: t, in: old.wantFlow("before", "UP 1"), conn: old.lastClient}
 	client.send("M 1\r\n")
 	client.want("M 1\r\n")
 	client.send("M 2 and") // a pause within a line
 	old.wantStatus("POST", "servers/a/offline", http.StatusOK)
-	fresh := old.successor().start(environment)
+	next := old.successor().start(environment)
 	old.wantStatus("GET", "ready", http.StatusServiceUnavailable)
-	fresh.wantFlow("with its server disabled before the upgrade", "BUSY 700")
-	if _, got := fresh.openWith(fmt.Sprintf("OPEN %p-1 2 c=live,d=800", old)); !strings.HasPrefix(got, "ERR this id") {
-		t.Errorf("an id taken at the predecessor: %q", got)
+	next.wantFlow("with its server disabled before the upgrade", "BUSY 700")
+	if _, got := next.openWith(fmt.Sprintf("OPEN %p-1 2 c=live,d=800", old)); !strings.HasPrefix(got, "ERR this id") {
+		t.Errorf("an id in use at the predecessor: %q", got)
 	}
-	wantCallsBindBoth(t, old, fresh)
+	wantCallsApplyToBoth(t, old, next)
 	old.end()
 	client.send(" more\r\nM 3\r\n")
 	client.want("M 2 and more\r\n")
 	client.want("M 3\r\n")
-	awaitThat(t, "rejected clients are gone", func() bool { return fresh.daemon.frontend.ConnectionCount() == 1 })
-	fresh.wantStatus("POST", "servers/a/online", http.StatusOK)
-	fresh.awaitFlow()
-	fresh.awaitPredecessorGone()
-	third := fresh.successor().start(environment)
-	fresh.end()
+	awaitCondition(t, "rejected clients are disconnected", func() bool { return next.daemon.frontend.ConnectionCount() == 1 })
+	next.wantStatus("POST", "servers/a/online", http.StatusOK)
+	next.awaitFlow()
+	next.awaitPredecessorGone()
+	third := next.successor().start(environment)
+	next.end()
 	client.send("M 4\r\n")
 	client.want("M 4\r\n")
 	third.end()
 	wantMigration(t, client.in)
 }
 
-// wantCallsBindBoth makes calls at either of two processes, and checks that both have made them. At the end the
+// wantCallsApplyToBoth makes calls at each of two processes, and checks that they take effect in both. At the end the
 // server is disabled.
-func wantCallsBindBoth(t *testing.T, old, fresh *harness) {
+func wantCallsApplyToBoth(t *testing.T, old, next *harness) {
 	t.Helper()
-	for _, at := range []*harness{old, fresh} {
+	for _, at := range []*harness{old, next} {
 		at.wantStatus("POST", "servers/b/online", http.StatusNotFound)
 		for _, call := range []string{"online", "offline"} {
 			at.wantStatus("POST", "servers/a/"+call, http.StatusOK)
-			for _, d := range []*Daemon{old.daemon, fresh.daemon} {
+			for _, d := range []*Daemon{old.daemon, next.daemon} {
 				if disabled, _ := d.router.IsDisabled("a"); disabled != (call == "offline") {
-					t.Errorf("%s at one process leaves it disabled at the other: %v", call, disabled)
+					t.Errorf("after %s at one process, disabled at the other is %v", call, disabled)
 				}
 			}
 		}
 	}
 }
 
-// An id that the predecessor meets after it handed over is checked at the successor.
+// After the hand-over the predecessor checks the ids of its clients at the successor.
 func TestIDsDuringUpgrade(t *testing.T) {
 	environment := directoryEnvironment(t)
 	old := newHarness(t).start(environment)
-	fresh := old.successor().start(environment)
+	next := old.successor().start(environment)
 	id := fmt.Sprintf("%p-x", old)
-	if _, got := fresh.openWith("OPEN " + id + " 2 c=live,d=800"); got != "UP 1" {
-		t.Fatalf("at the successor: %q", got)
+	if _, got := next.openWith("OPEN " + id + " 2 c=live,d=800"); got != "UP 1" {
+		t.Fatalf("the successor replied %q", got)
 	}
 	if isFree := old.daemon.frontend.ClaimID(id); isFree {
-		t.Error("an id taken at the successor is free at the predecessor")
+		t.Error("an id in use at the successor is free at the predecessor")
 	}
 	if isFree := old.daemon.frontend.ClaimID(id + "y"); !isFree {
-		t.Error("an id that nobody has is taken")
+		t.Error("an unused id is taken")
 	}
 	old.end()
-	fresh.end()
+	next.end()
 }
 
-// A successor that ends before it serves, or after, leaves the predecessor serving as before, with the changes
-// made since.
-func TestSuccessorDies(t *testing.T) {
+// When a successor exits, before it serves or after, the predecessor serves again, with the changes made since.
+func TestSuccessorExits(t *testing.T) {
 	environment := directoryEnvironment(t)
 	old := newHarness(t).start(environment)
 	socket := openSocket(t, environment("TMPDIR"), old.listenAddress)
@@ -191,72 +190,74 @@
 			old.wantFlow("afterwards", "UP 1")
 		})
 	}
-	fresh := old.successor().start(environment)
+	next := old.successor().start(environment)
 	old.awaitStatus("GET", "ready", http.StatusServiceUnavailable)
-	fresh.wantStatus("POST", "out-of-service", http.StatusOK)
-	fresh.end()
+	next.wantStatus("POST", "out-of-service", http.StatusOK)
+	next.end()
 	old.awaitStatus("GET", "ready", http.StatusOK)
 	if now := old.daemon.lifecycle.current(); now != draining && now != drained {
-		t.Errorf("phase %s after a call out of service at the process that died", now)
+		t.Errorf("phase %s after an out-of-service call at the successor that exited", now)
 	}
 	old.wantStatus("POST", "in-service", http.StatusOK)
-	next := old.successor().start(environment) // it finds the predecessor again
+	third := old.successor().start(environment) // the predecessor can be found again
 	old.end()
-	next.end()
+	third.end()
 }
 
-// Out of service holds over an upgrade, and a call during one concerns both processes.
+// A balancer that is out of service stays so across an upgrade, and a call during an upgrade applies to both processes.
 func TestUpgradeOutOfService(t *testing.T) {
 	environment := directoryEnvironment(t)
 	old := newHarness(t).start(environment)
 	client, _ := old.openFlow()
 	old.wantStatus("POST", "out-of-service", http.StatusOK)
-	fresh := old.successor().start(environment)
-	if now := fresh.daemon.lifecycle.current(); now != draining && now != drained {
+	next := old.successor().start(environment)
+	if now := next.daemon.lifecycle.current(); now != draining && now != drained {
 		t.Errorf("the successor is %s", now)
 	}
 	wantMigration(t, client)
 	old.wantStatus("POST", "in-service", http.StatusOK)
-	fresh.wantPing("PONG")
+	next.wantPing("PONG")
 	old.end()
-	fresh.end()
+	next.end()
 }
 
-// Disabled servers survive a process, and a directory that is missing costs nothing but that.
+// Disabled servers survive the end of the process. While the directory is missing they are not saved, and calls still
+// take effect.
 func TestDisabledServersSurviveKill(t *testing.T) {
 	environment := directoryEnvironment(t)
 	root := environment("TMPDIR")
 	old := newHarness(t).start(environment)
 	old.wantStatus("POST", "servers/a/offline", http.StatusOK)
 	old.end()
-	fresh := old.successor().start(environment)
-	fresh.wantFlow("with its server disabled before the end", "BUSY 700")
+	next := old.successor().start(environment)
+	next.wantFlow("with its server disabled before the end", "BUSY 700")
 	if err := os.RemoveAll(root); err != nil {
 		t.Fatal(err)
 	}
-	fresh.wantStatus("POST", "servers/a/online", http.StatusOK) // in force, whether or not it could be saved
-	if disabled, _ := fresh.daemon.router.IsDisabled("a"); disabled {
-		t.Error("a call answered yes took no effect")
+	next.wantStatus("POST", "servers/a/online", http.StatusOK) // takes effect, whether or not it can be saved
+	if disabled, _ := next.daemon.router.IsDisabled("a"); disabled {
+		t.Error("a successful call had no effect")
 	}
-	if got := fresh.daemon.disabled.fault(); !strings.HasSuffix(got, "0 disabled servers are held in memory only") {
-		t.Errorf("while the directory fails the fault is %q", got)
+	if got := next.daemon.disabled.fault(); !strings.HasSuffix(got, "0 disabled servers are held in memory only") {
+		t.Errorf("fault while the directory fails: %q", got)
 	}
-	fresh.wantStatus("POST", "servers/a/offline", http.StatusOK)
+	next.wantStatus("POST", "servers/a/offline", http.StatusOK)
 	if err := os.Mkdir(root, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	fresh.awaitSaved(root, "a")
-	fresh.end()
+	next.awaitSaved(root, "a")
+	next.end()
 	if err := os.RemoveAll(root); err != nil {
 		t.Fatal(err)
 	}
-	alone := fresh.successor().start(environment)
+	alone := next.successor().start(environment)
 	alone.wantStatus("POST", "servers/a/offline", http.StatusOK)
 	alone.end()
 }
 
-// A process that is not one of this balancer gets nothing, and costs the one that serves nothing.
-func TestHandoverRejectsStrangers(t *testing.T) {
+// A process of another balancer or version, or one that doesn't follow the protocol, gets no hand-over and doesn't disturb
+// the process that serves.
+func TestHandoverRejectsInvalidPeers(t *testing.T) {
 	environment := directoryEnvironment(t)
 	h := newHarness(t).start(environment)
 	socket := openSocket(t, environment("TMPDIR"), h.listenAddress)
@@ -267,14 +268,14 @@
 	}{
 		{"a later version", messageHello, handover.Hello{Version: handover.Version + 1, Listen: h.listenAddress}},
 		{"another address", messageHello, handover.Hello{Version: handover.Version, Listen: "127.0.0.1:1"}},
-		{"no greeting", messageGetState, hello},
-		{"no state yet", messageServing, hello},
+		{"no hello", messageGetState, hello},
+		{"no state requested", messageServing, hello},
 		{"an unknown kind", "what", hello},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			link := connectLink(t, socket)
 			if _, err := link.Request(c.kind, c.body).Wait(t.Context(), nil); !errors.Is(err, handover.ErrRefused) {
-				t.Errorf("answered %v", err)
+				t.Errorf("got %v, want ErrRefused", err)
 			}
 		})
 	}
@@ -292,7 +293,7 @@
 	h.end()
 }
 
-// connectedTCP is a connection from both ends; the near one is a descriptor, as it passes from process to process.
+// connectedTCP returns both ends of a connection; the near one as a file, as it is passed between processes.
 func connectedTCP(t *testing.T, listener net.Listener) (near *os.File, far net.Conn) {
 	t.Helper()
 	far = dial(t, listener.Addr().String())
@@ -300,7 +301,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = conn.Close() }() // the descriptor is a copy
+	defer func() { _ = conn.Close() }() // near is a duplicate
 	if near, err = conn.(*net.TCPConn).File(); err != nil {
 		t.Fatal(err)
 	}
@@ -308,8 +309,8 @@
 	return near, far
 }
 
-// A successor that got a connection and ends before its reply is sent has read nothing of it: the predecessor,
-// which goes on with it, reads every byte itself.
+// A successor that receives a connection and exits before its reply is sent must not have read from it: the predecessor,
+// which keeps serving the connection, has to receive every byte.
 func TestTransferReadsNothingBeforeReply(t *testing.T) {
 	h := newHarness(t).start(directoryEnvironment(t))
 	defer h.end()
@@ -323,23 +324,23 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		old, err := net.FileConn(clientFile) // the predecessor's own
+		old, err := net.FileConn(clientFile) // the predecessor's end
 		if err != nil {
 			t.Fatal(err)
 		}
 		_ = old.SetDeadline(time.Now().Add(testTimeout))
-		wantPassed(t, client, old, "M 1\r\n")
+		wantReceived(t, client, old, "M 1\r\n")
 		response.AfterSend(false)
 		if n := h.daemon.frontend.ConnectionCount(); n != 0 {
-			t.Fatalf("connection %d: %d are served after all", i, n)
+			t.Fatalf("connection %d: the successor serves %d connections, want none", i, n)
 		}
-		wantPassed(t, old, client, "M 2\r\n") // dropping it ended neither side
+		wantReceived(t, old, client, "M 2\r\n") // dropping it closed neither side
 		_ = old.Close()
 	}
 }
 
-// wantPassed sends a line on one end of a connection and checks that the other end reads it.
-func wantPassed(t *testing.T, from, to net.Conn, line string) {
+// wantReceived sends a line on one end of a connection and checks that the other end receives it.
+func wantReceived(t *testing.T, from, to net.Conn, line string) {
 	t.Helper()
 	if _, err := io.WriteString(from, line); err != nil {
 		t.Fatal(err)
--- a/internal/handover/link_test.go
+++ b/internal/handover/link_test.go
@@ -13,9 +13,9 @@
 	"time"
 )
 
-const testTimeout = 10 * time.Second // a test that hangs fails
+const testTimeout = 10 * time.Second // a wait longer than this fails the test
 
-// connectedPair is a link's connection from both ends.
+// connectedPair returns both ends of a connection for a link.
 func connectedPair(t testing.TB) (near, far *net.UnixConn) {
 	t.Helper()
 	descriptors, err := syscall.Socketpair(syscall.AF_UNIX, syscall.SOCK_STREAM, 0)
@@ -26,7 +26,7 @@
 	for i, descriptor := range descriptors {
 		file := os.NewFile(uintptr(descriptor), "pair")
 		conn, err := net.FileConn(file)
-		_ = file.Close() // the connection has a copy
+		_ = file.Close() // the connection has a duplicate
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -36,7 +36,7 @@
 	return ends[0], ends[1]
 }
 
-// runLinks runs both ends; the channel gives what each of them ended with.
+// runLinks runs links; the channel receives the result of each.
 func runLinks(ctx context.Context, links ...*Link) <-chan error {
 	ended := make(chan error, len(links))
 	for _, link := range links {
@@ -70,7 +70,7 @@
 	defer cancel()
 	ended := runLinks(ctx, near, far)
 	slow := near.Request("slow", nil)
-	for i := range 3 { // none waits behind the slow one
+	for i := range 3 { // none waits for the slow one
 		if _, err := near.Request("ordered", i).Wait(ctx, nil); err != nil {
 			t.Fatal(err)
 		}
@@ -78,21 +78,21 @@
 			t.Fatal(err)
 		}
 	}
-	if _, err := near.Request("ordered", "").Wait(ctx, nil); err != nil { // a notice has no reply of its own
+	if _, err := near.Request("ordered", "").Wait(ctx, nil); err != nil { // waits for the notifications, which have no reply
 		t.Fatal(err)
 	}
 	close(release)
 	var text string
 	if _, err := slow.Wait(ctx, &text); err != nil || text != "late" {
-		t.Errorf("the slow reply is %q, %v", text, err)
+		t.Errorf("slow reply: %q, %v", text, err)
 	}
 	if got := strings.Join(received, ""); got != `001122""` {
-		t.Errorf("received in the order %q", got)
+		t.Errorf("received %q", got)
 	}
 	far.Close()
 	for range 2 {
 		if err := <-ended; err != nil {
-			t.Errorf("the link ended with an error: %v", err)
+			t.Errorf("Run: %v", err)
 		}
 	}
 }
@@ -107,10 +107,10 @@
 	defer cancel()
 	runLinks(ctx, near, far)
 	if _, err := request(ctx, near, "refused", nil); !errors.Is(err, ErrRefused) || !strings.Contains(err.Error(), "never") {
-		t.Errorf("a refusal is %v", err)
+		t.Errorf("a refused request: %v", err)
 	}
 	if _, err := request(ctx, near, "unknown", nil); !errors.Is(err, ErrRefused) {
-		t.Errorf("an unknown request is answered %v", err)
+		t.Errorf("an unknown message kind: %v", err)
 	}
 }
 
@@ -143,7 +143,7 @@
 	}
 	t.Cleanup(func() { _ = received.Close() })
 	if received.Addr().String() != socket.Addr().String() {
-		t.Errorf("the socket that came listens on %s, not on %s", received.Addr(), socket.Addr())
+		t.Errorf("the received socket listens on %s, want %s", received.Addr(), socket.Addr())
 	}
 }
 
@@ -163,18 +163,18 @@
 	cancelled, stop := context.WithCancel(ctx)
 	stop()
 	if _, err := request(cancelled, near, "stuck", nil); !errors.Is(err, context.Canceled) {
-		t.Errorf("a reply that is given up on: %v", err)
+		t.Errorf("a cancelled request: %v", err)
 	}
-	close(release) // not earlier: a reply that is there may be taken all the same
+	close(release) // not earlier: Wait may return a reply that is available even if its context is cancelled
 	far.Close()
 	<-near.Gone()
 	for range 2 {
 		if err := <-ended; err != nil {
-			t.Errorf("the link ended with an error: %v", err)
+			t.Errorf("Run: %v", err)
 		}
 	}
 	if _, err := request(ctx, near, "stuck", nil); !errors.Is(err, ErrPeerGone) {
-		t.Errorf("a request after the end: %v", err)
+		t.Errorf("a request after the link ended: %v", err)
 	}
 }
 
@@ -182,24 +182,25 @@
 	tooLong := binary.BigEndian.AppendUint32(nil, maxFrameBytes+1)
 	for _, c := range []struct{ name, text, want string }{
 		{"longer than allowed", string(tooLong), "at most"},
-		{"cut", "\x00\x00\x00\x09{\"kind\"", io.ErrUnexpectedEOF.Error()},
-		{"no JSON", "\x00\x00\x00\x02{]", "decode frame"},
-		{"another kind of value", "\x00\x00\x00\x02[]", "decode frame"},
+		{"truncated", "\x00\x00\x00\x09{\"kind\"", io.ErrUnexpectedEOF.Error()},
+		{"invalid JSON", "\x00\x00\x00\x02{]", "decode frame"},
+		{"not an object", "\x00\x00\x00\x02[]", "decode frame"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			near, far := connectedPair(t)
 			if _, err := near.Write([]byte(c.text)); err != nil {
 				t.Fatal(err)
 			}
-			_ = near.Close() // what was written stays readable
+			_ = near.Close() // the written data stays readable
 			if err := NewLink(far, nil, nil).Run(t.Context()); err == nil || !strings.Contains(err.Error(), c.want) {
-				t.Errorf("ends with %v, want %s", err, c.want)
+				t.Errorf("Run: %v, want %s", err, c.want)
 			}
 		})
 	}
 }
 
-// What runs after a reply runs once the other process can have the reply, and learns where that one never will.
+// AfterSend is called after the reply was sent, so that the other process can receive it first, and is told if the reply
+// could not be sent.
 func TestAfterSend(t *testing.T) {
 	nearConn, farConn := connectedPair(t)
 	hasReply, reported := make(chan struct{}), make(chan bool, 2)
@@ -208,7 +209,7 @@
 			return Response{AfterSend: func(sent bool) { <-hasReply; reported <- sent }}, nil
 		},
 		"lose": func(context.Context, Request) (Response, error) {
-			_ = farConn.Close() // this process has the request, and the reply never leaves it
+			_ = farConn.Close() // the request was received, and the reply can't be sent
 			return Response{AfterSend: func(sent bool) { reported <- sent }}, nil
 		},
 	}, nil)
@@ -217,16 +218,16 @@
 	defer cancel()
 	runLinks(ctx, near, far)
 	if _, err := request(ctx, near, "keep", nil); err != nil {
-		t.Fatalf("it runs before the reply is sent: %v", err)
+		t.Fatalf("AfterSend was called before the reply was sent: %v", err)
 	}
 	close(hasReply)
 	if !<-reported {
-		t.Error("a reply that arrived counts as lost")
+		t.Error("AfterSend(false) for a reply that was received")
 	}
 	if _, err := request(ctx, near, "lose", nil); !errors.Is(err, ErrPeerGone) {
-		t.Errorf("a reply that was lost: %v", err)
+		t.Errorf("a request whose reply was lost: %v", err)
 	}
 	if <-reported {
-		t.Error("a reply that was lost counts as sent")
+		t.Error("AfterSend(true) for a reply that was lost")
 	}
 }
--- a/internal/handover/socket_test.go
+++ b/internal/handover/socket_test.go
@@ -21,7 +21,7 @@
 	return NewSocket(d), d
 }
 
-// longDirectory is a directory whose path is longer than a socket's may be.
+// longDirectory returns a directory whose path is longer than that of a socket may be.
 func longDirectory(t *testing.T) string {
 	t.Helper()
 	directory := filepath.Join(t.TempDir(), strings.Repeat("d", 120))
@@ -41,26 +41,26 @@
 	return listener
 }
 
-func wantNobody(t *testing.T, socket *Socket) {
+func wantNoProcess(t *testing.T, socket *Socket) {
 	t.Helper()
 	if conn, err := socket.Connect(t.Context()); conn != nil || err != nil {
-		t.Errorf("found %v, %v", conn, err)
+		t.Errorf("Connect: %v, %v", conn, err)
 	}
 }
 
 func TestSocket(t *testing.T) {
 	directory := longDirectory(t)
 	socket, _ := openSocket(t, directory, "127.0.0.1:8080")
-	wantNobody(t, socket)
-	for range 2 { // a process, and one that replaces it after it was killed
+	wantNoProcess(t, socket)
+	for range 2 { // a process, and one that starts after it was killed
 		listener := listen(t, socket)
 		other, _ := openSocket(t, directory, "127.0.0.1:8080")
 		conn, err := other.Connect(t.Context())
 		if conn == nil || err != nil {
-			t.Fatalf("found %v, %v", conn, err)
+			t.Fatalf("Connect: %v, %v", conn, err)
 		}
 		_, _ = conn.Close(), listener.Close()
-		wantNobody(t, socket)
+		wantNoProcess(t, socket)
 	}
 }
 
@@ -69,23 +69,23 @@
 	socket, _ := openSocket(t, directory, "127.0.0.1:8080")
 	listen(t, socket)
 	other, _ := openSocket(t, directory, "127.0.0.1:8081")
-	wantNobody(t, other)
+	wantNoProcess(t, other)
 }
 
 func TestSocketWithoutDirectory(t *testing.T) {
 	socket, _ := openSocket(t, filepath.Join(t.TempDir(), "none"), "x") // the directory may be created later
-	wantNobody(t, socket)
+	wantNoProcess(t, socket)
 	if _, err := socket.Listen(t.Context()); !errors.Is(err, fs.ErrNotExist) {
-		t.Errorf("listen: %v", err)
+		t.Errorf("Listen: %v", err)
 	}
 }
 
-func TestForeignFileInPlaceOfTheSocket(t *testing.T) {
+func TestForeignFileInPlaceOfSocket(t *testing.T) {
 	socket, directory := openSocket(t, longDirectory(t), "127.0.0.1:8080")
 	path := directory.Path(socketSuffix)
 	for name, create := range map[string]func() error{
-		"a link": func() error { return os.Symlink("/dev/null", path) },
-		"a file": func() error { return os.WriteFile(path, nil, 0o600) },
+		"a symbolic link": func() error { return os.Symlink("/dev/null", path) },
+		"a regular file":  func() error { return os.WriteFile(path, nil, 0o600) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			if err := create(); err != nil {
@@ -93,10 +93,10 @@
 			}
 			t.Cleanup(func() { _ = os.Remove(path) })
 			if conn, err := socket.Connect(t.Context()); conn != nil || !errors.Is(err, errNotOwnSocket) {
-				t.Errorf("found %v, %v", conn, err)
+				t.Errorf("Connect: %v, %v", conn, err)
 			}
 			if _, err := socket.Listen(t.Context()); !errors.Is(err, errNotOwnSocket) {
-				t.Errorf("listen: %v", err)
+				t.Errorf("Listen: %v", err)
 			}
 		})
 	}
--- a/internal/handover/state_test.go
+++ b/internal/handover/state_test.go
@@ -24,11 +24,11 @@
 	}{
 		{"valid", func(*State) {}, true},
 		{"a later version", func(s *State) { s.Version++ }, false},
-		{"ids cut", func(s *State) { s.IDs = s.IDs[:idHashBytes+1] }, false},
+		{"truncated ids", func(s *State) { s.IDs = s.IDs[:idHashBytes+1] }, false},
 		{"no key", func(s *State) { s.IDsKey = nil }, false},
 		{"negative descriptors", func(s *State) { s.DescriptorsInUse = -1 }, false},
 		{"a server without a name", func(s *State) { s.Router.Servers[0].Name = "" }, false},
-		{"servers that don't match", func(s *State) { s.Router.Servers = nil }, false},
+		{"missing servers", func(s *State) { s.Router.Servers = nil }, false},
 		{"an unknown endpoint state", func(s *State) { s.Router.Decisions.Servers[0].Readiness = 7 }, false},
 		{"a negative count", func(s *State) { s.Router.Decisions.Servers[0].BudgetSpent = -1 }, false},
 	} {
@@ -36,7 +36,7 @@
 			s := validState()
 			c.change(&s)
 			if err := s.Validate(); (err == nil) != c.valid {
-				t.Errorf("%v", err)
+				t.Errorf("Validate: %v", err)
 			}
 		})
 	}
@@ -54,7 +54,7 @@
 		if json.Unmarshal(text, &s) == nil && s.Validate() == nil {
 			configure := func(*decide.Balancer) (map[string]decide.ServiceID, map[string]decide.CustomerID) { return nil, nil }
 			router := routing.New(routing.Config{Seed: 1, LatencyThreshold: time.Second, Configure: configure})
-			router.Restore(s.Router) // whatever is valid can be taken over
+			router.Restore(s.Router) // must not panic for a valid state
 		}
 	})
 }
