--- a/internal/daemon/lifecycle.go
+++ b/internal/daemon/lifecycle.go
@@ -123,8 +123,8 @@
 	l.work.Go(func() { work(inPhase) })
 }
 
-// startDrain asks all clients to migrate, spread over the time from from to drainDuration after the out-of-service
-// call. The caller holds mu.
+// startDrain asks all clients to migrate, spread over an interval that begins at from and ends at drainDuration, both
+// counted from the out-of-service call. The caller holds mu.
 func (l *lifecycle) startDrain(ctx context.Context, from time.Duration) {
 	elapsed := time.Since(l.drainingSince)
 	l.runInPhase(ctx, func(ctx context.Context) {
--- a/internal/daemon/listeners.go
+++ b/internal/daemon/listeners.go
@@ -23,14 +23,14 @@
 
 // ListenError says that a configured address could not be opened, or not within the startup timeout.
 type ListenError struct {
-	Key string // of the configuration
+	Key string // the setting that configures the address
 	Err error
 }
 
 // Error names the key and the system's error.
 func (e *ListenError) Error() string { return e.Key + ": " + e.Err.Error() }
 
-// Unwrap gives the system's error.
+// Unwrap returns the system's error.
 func (e *ListenError) Unwrap() error { return e.Err }
 
 // Advice tells an operator what to check.
--- a/internal/daemon/migrate.go
+++ b/internal/daemon/migrate.go
@@ -47,7 +47,7 @@
 		_, _ = fmt.Fprintln(output, line) // the migration has succeeded even if the output fails
 	}
 	if migrated.IsUnchanged {
-		_, _ = fmt.Fprintln(output, "the old file is of the new shape already; it comes out as it is")
+		_, _ = fmt.Fprintln(output, "the old file already has the new shape; the new file is a copy of it")
 	}
 	return nil
 }
@@ -78,13 +78,13 @@
 func (m Migration) checkTarget() error {
 	for _, path := range []string{m.OldPath, m.ShapePath} {
 		if isSameFile(path, m.NewPath) {
-			return fmt.Errorf("%s: would be written over, and is never changed", path)
+			return fmt.Errorf("%s: is an input file and is never overwritten", path)
 		}
 	}
 	_, err := os.Lstat(m.NewPath)
 	switch {
 	case err == nil && !m.Overwrite:
-		return fmt.Errorf("%s: exists already, and --force is not given", m.NewPath)
+		return fmt.Errorf("%s: already exists, and --force is not given", m.NewPath)
 	case err != nil && !errors.Is(err, os.ErrNotExist):
 		return err
 	}
--- a/internal/daemon/migrate_test.go
+++ b/internal/daemon/migrate_test.go
@@ -67,10 +67,10 @@
 	for _, c := range []migrationCase{
 		{name: "written", output: list},
 		{name: "a dry run", dryRun: true, output: list},
-		{name: "an old file of the new shape", old: fresh, output: "the old file is of the new shape already"},
+		{name: "an old file of the new shape", old: fresh, output: "the old file already has the new shape"},
 		{name: "another file, with overwrite", to: "there.json", force: true, output: list},
-		{name: "another file, without overwrite", to: "there.json", err: "there.json: exists already"},
-		{name: "the old file, with overwrite", to: "old.json", force: true, err: "old.json: would be written over"},
+		{name: "another file, without overwrite", to: "there.json", err: "there.json: already exists"},
+		{name: "the old file, with overwrite", to: "old.json", force: true, err: "old.json: is an input file"},
 		{name: "an empty file", old: " ", err: "old.json: is empty"},
 		{name: "invalid JSON", old: "{", err: "old.json: the whole: no JSON"},
 		{
--- a/internal/daemon/upgrade_predecessor.go
+++ b/internal/daemon/upgrade_predecessor.go
@@ -92,7 +92,7 @@
 		},
 		messageApplyChange: d.applyChange,
 	})
-	// Closes the link to a process that connects but doesn't take over.
+	// Closes the link to a process that connects but doesn't take over in time.
 	takeOverDeadline := time.AfterFunc(requestTimeout, func() {
 		if !d.isSuccessor(link) {
 			link.Close()
@@ -198,8 +198,8 @@
 	}
 }
 
-// onSuccessorServing is called when the successor serves: it begins to transfer the established connections. They need
-// both contexts to tell the end of the link from the end of this process.
+// onSuccessorServing is called when the successor serves: this process begins to transfer its established
+// connections. The transfers need both contexts, to tell the end of the link from the end of this process.
 func (d *Daemon) onSuccessorServing(processCtx, linkCtx context.Context, link *handover.Link) error {
 	if !d.isSuccessor(link) {
 		return errors.New("no state was requested")
