--- a/internal/daemon/disabled_store.go
+++ b/internal/daemon/disabled_store.go
@@ -228,6 +228,6 @@
 	if s.failingSince.IsZero() {
 		return ""
 	}
-	return fmt.Sprintf("the directory has been failing for %.0f s; %d disabled servers are held in memory only",
+	return fmt.Sprintf("the folder fails since %.0f s; %d servers out by hand are held in memory alone",
 		time.Since(s.failingSince).Seconds(), len(s.currentlyDisabled()))
 }
--- a/internal/daemon/process_state.go
+++ b/internal/daemon/process_state.go
@@ -9,9 +9,9 @@
 	state := explain.Process{Phase: string(d.lifecycle.current())}
 	switch {
 	case d.successor != nil:
-		state.Processes = "a successor has taken over"
+		state.Processes = "another has taken over"
 	case d.predecessor != nil:
-		state.Processes = "the predecessor has not exited yet"
+		state.Processes = "the one before has not ended"
 	}
 	if d.disabled != nil {
 		state.StoreFault = d.disabled.fault()
