--- a/internal/daemon/process_state.go
+++ b/internal/daemon/process_state.go
@@ -2,7 +2,7 @@
 
 import "yardwinch/internal/explain"
 
-// processState is what explain says of the process.
+// processState returns the state of the process for explain.
 func (d *Daemon) processState() explain.Process {
 	d.changeMu.Lock()
 	defer d.changeMu.Unlock()
