--- a/internal/routing/endpoints.go
+++ b/internal/routing/endpoints.go
@@ -8,25 +8,25 @@
 	"yardwinch/decide"
 )
 
-// UpdateKind says how an update relates to the endpoint list held so far.
+// UpdateKind says how an update relates to the current endpoint list.
 type UpdateKind = decide.UpdateKind
 
 // The kinds of an update.
 const (
 	DeltaUpdate  = decide.DeltaUpdate  // changed entries only
 	FullUpdate   = decide.FullUpdate   // the complete list: servers that are not in it are gone
-	CachedUpdate = decide.CachedUpdate // the complete list as last held before a restart
+	CachedUpdate = decide.CachedUpdate // the complete list as last known before a restart
 )
 
-// Endpoint is what an endpoint list says of one server.
+// Endpoint is one server's entry in an endpoint list.
 type Endpoint struct {
 	Name      string
-	Addr      string // at which it is reached from here
+	Addr      string // at which this balancer reaches it
 	Zone      string
 	Cell      int
 	Size      float64
 	Readiness Readiness
-	StartedAt time.Time // by the list's clock; the zero time: long ago
+	StartedAt time.Time // by the clock of the list's publisher; zero: long ago
 }
 
 // Readiness says whether an endpoint accepts flows.
@@ -35,22 +35,22 @@
 // The readiness of an endpoint, for packages that must not import decide.
 const (
 	Ready    = decide.Ready    // accepts flows
-	Draining = decide.Draining // keeps those that it has
+	Draining = decide.Draining // keeps its flows and accepts no new ones
 	Gone     = decide.Gone     // has left the list
 )
 
-// entriesPerChunk is how many entries of an update are kept in one piece.
+// entriesPerChunk is the number of entries in one chunk of an update.
 const entriesPerChunk = 512
 
-// EndpointUpdate gathers the entries of an update of the endpoint list. Nothing of it counts before Commit.
+// EndpointUpdate collects the entries of an update of the endpoint list. Nothing takes effect before Commit.
 type EndpointUpdate struct {
 	router  *Router
 	kind    UpdateKind
-	entries [][]endpointEntry // in chunks, as a long list that grows in one piece is copied several times
-	zones   map[string]string // each zone's name once: many servers share it
+	entries [][]endpointEntry // in chunks: a single slice would be copied several times as a long list grows
+	zones   map[string]string // interns zone names, which many servers share
 }
 
-// endpointEntry is an Endpoint in the types of the decisions.
+// endpointEntry is an Endpoint in the types of package decide.
 type endpointEntry struct {
 	name, addr string
 	zone       decide.Zone
@@ -60,20 +60,20 @@
 	startedAt  time.Time
 }
 
-// BeginUpdate opens an update of the endpoint list.
+// BeginUpdate starts an update of the endpoint list.
 func (r *Router) BeginUpdate(kind UpdateKind) *EndpointUpdate {
 	return &EndpointUpdate{router: r, kind: kind, zones: map[string]string{}}
 }
 
-// MarkComplete says that a delta is the complete list after all, for callers that know it only once all entries are
-// there. A cached list stays one.
+// MarkComplete turns a delta into a full update, for callers that learn that the list is complete only after they have
+// read all entries. A cached update stays cached.
 func (u *EndpointUpdate) MarkComplete() {
 	if u.kind == DeltaUpdate {
 		u.kind = FullUpdate
 	}
 }
 
-// AddEndpoint adds an entry.
+// AddEndpoint adds an entry for one server.
 func (u *EndpointUpdate) AddEndpoint(e Endpoint) {
 	zone, ok := u.zones[e.Zone]
 	if !ok {
@@ -100,19 +100,19 @@
 	u.entries[last] = append(u.entries[last], entry)
 }
 
-// Commit hands the update to the decisions. The context is the log's.
+// Commit applies the update. The context is used for logging only.
 func (u *EndpointUpdate) Commit(ctx context.Context) {
 	r := u.router
 	r.lockForEvent()
 	defer r.mu.Unlock()
 	if u.kind != DeltaUpdate {
 		for _, s := range r.serverOrder {
-			s.isListedReady = false // a complete list leaves out servers that are gone
+			s.isListedReady = false // servers that are missing from a complete list are gone
 		}
 	}
 	r.hasEndpoints = true
 	r.balancer.BeginEndpoints(u.kind)
-	isLogged := slog.Default().Enabled(ctx, slog.LevelDebug) // asked once: a list may be long
+	isLogged := slog.Default().Enabled(ctx, slog.LevelDebug) // checked once, as the list may be long
 	for _, chunk := range u.entries {
 		for i := range chunk {
 			r.applyEndpoint(&chunk[i], isLogged)
@@ -128,7 +128,7 @@
 	id := r.assignServerID(e.name)
 	s := r.servers[id]
 	s.isListedReady = e.readiness == Ready
-	if s.addr != e.addr { // else the string that is held already stays, and the update's can be freed
+	if s.addr != e.addr { // an equal string is not replaced, so that the update's copy can be freed
 		s.addr = e.addr
 	}
 	if isLogged {
@@ -146,29 +146,30 @@
 	})
 }
 
-// recordStart keeps when a server last started, by the router's clock. The list gives another machine's wall clock, and
-// this machine's may be stepped at any time, so that the value only tells starts apart: another value is another start.
-// A new start happened after the last contact with discovery, which did not list it, and not in the future.
+// recordStart records when a server last started, by the router's clock. The reported time is another machine's wall
+// clock time, and this machine's wall clock may be stepped at any time, so the reported value only distinguishes starts:
+// a different value means a different start. The converted time is limited to between the last contact with discovery,
+// when the new start was not yet listed, and now.
 func (r *Router) recordStart(s *server, reported time.Time) {
 	if reported.IsZero() || reported.Equal(s.reportedStart) {
-		return // long ago, or known
+		return // long ago, or recorded already
 	}
 	now := r.Now()
-	at := now - time.Now().Round(0).Sub(reported) // Round strips the monotonic clock, which no other machine has
+	at := now - time.Now().Round(0).Sub(reported) // Round strips the monotonic reading, which is local to this machine
 	if r.lastContact > 0 {
 		at = max(at, r.lastContact)
 	}
 	s.reportedStart, s.startedAt = reported, min(at, now)
 }
 
-// HasEndpoints reports whether any endpoint list was taken so far.
+// HasEndpoints reports whether any endpoint list has been received.
 func (r *Router) HasEndpoints() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.hasEndpoints
 }
 
-// OnDiscoveryContact records a sign of life of discovery: all changes up to now have been received.
+// OnDiscoveryContact records a contact with discovery: all changes up to now have been received.
 func (r *Router) OnDiscoveryContact() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/routing/flow.go
+++ b/internal/routing/flow.go
@@ -10,69 +10,70 @@
 	"yardwinch/decide"
 )
 
-// Flags of a flow as it arrives; they add up.
+// Flags of a new flow, combined with bitwise or.
 const (
 	FlagLoadHint  = decide.FlagLoadHint  // the client's estimate of its load is valid
-	FlagRetry     = decide.FlagRetry     // the client retries
+	FlagRetry     = decide.FlagRetry     // the flow is a retry
 	FlagReturning = decide.FlagReturning // the client was asked to reconnect
 )
 
-// Verdict says what is to be done with a flow.
+// Verdict is the outcome of a decision on a flow.
 type Verdict int
 
 // The verdicts.
 const (
 	Connect Verdict = iota // attempt to connect to a server
 	Reject                 // answer the client that it may retry
-	Abort                  // answer the client without a promise
+	Abort                  // answer the client without advice to retry
 )
 
-// String is a word for log lines.
+// String returns the verdict's name for log lines.
 func (v Verdict) String() string { return [...]string{"connect", "reject", "abort"}[v] }
 
-// Decision is a verdict with what goes with it.
+// Decision is a verdict with its parameters.
 type Decision struct {
 	Verdict    Verdict
 	Addr       string        // with Connect: the server's address
-	Deadline   time.Time     // with Connect: of the attempt
-	RetryAfter time.Duration // with Reject: 0 says nothing
+	Deadline   time.Time     // with Connect: when the attempt times out
+	RetryAfter time.Duration // with Reject: when the client may retry; 0: unspecified
 }
 
 // FlowRequest describes a flow that a client opens.
 type FlowRequest struct {
-	ClientID string // what its client calls it, to be explained later by that name
+	ClientID string // the client's id of the flow, by which Explain finds it
 	Service  string
 	Customer string // empty: none
 	Key      string
-	Group    string        // of flows that belong together; empty: none
-	Timeout  time.Duration // until the client gives up; of no meaning for a flow that is resumed or adopted
-	Flags    int           // of the Flag constants
+	Group    string        // shared by related flows; empty: none
+	Timeout  time.Duration // until the client gives up; ignored for a flow that is resumed or adopted
+	Flags    int           // any of the Flag constants
 }
 
-// Flow is one client's connection. Its methods report what becomes of it, in the order OpenFlow, AwaitDecision and
-// OnEnded for each attempt, OnEstablished, OnEnded.
+// Flow is one attempt of a client to be connected, with its connection. The order of calls is OpenFlow, then
+// AwaitDecision and OnEnded for each failed attempt, then AwaitDecision and OnEstablished for the successful one, and
+// OnEnded once the connection has ended.
 type Flow struct {
 	router    *Router
 	id        decide.FlowID
-	decisions chan Decision // the one not yet picked up
+	decisions chan Decision // holds a decision that AwaitDecision has not yet returned
 
-	// The router's mutex guards all that follows.
-	server    *server
-	attemptAt time.Duration // when the last attempt began
-	adopt     func()        // hands a resumed flow to the decisions once its connection is established; else nil
+	// The router's mutex guards the fields below.
+	server           *server
+	attemptStartedAt time.Duration // of the last attempt
+	adopt            func()        // adopts a resumed flow once its connection is established; otherwise nil
 
-	isMigrating   bool // its client is to be asked to reconnect
+	isMigrating   bool // its client was asked to reconnect, or will be once onMigrate is set
 	onMigrate     func()
 	isAnswered    bool // the client has its answer, or left without one
 	isEstablished bool
-	awaitingSince time.Duration // when the oldest unanswered line came; 0: there is none
-	lastRequestAt time.Duration // when the client last sent a line
+	awaitingSince time.Duration // when the oldest unanswered request was sent; 0: there is none
+	lastRequestAt time.Duration // when the client last sent a request
 
 	links       [linkCount]flowLink // in the latency tracker's lists
 	serverIndex int                 // in server.established
 }
 
-// newFlow makes a flow and its request in the terms of the decisions.
+// newFlow returns a flow and its request in the types of package decide.
 func (r *Router) newFlow(request FlowRequest) (*Flow, decide.FlowRequest, error) {
 	service, ok := r.services[request.Service]
 	if !ok {
@@ -94,7 +95,8 @@
 	}, nil
 }
 
-// newFlowID numbers the flows: clients choose their own ids, and the decisions must not see the same one twice.
+// newFlowID returns the next sequence number as a flow id: clients choose their own ids, which may not be unique, and
+// the balancer must not see the same id twice.
 func (r *Router) newFlowID() decide.FlowID {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -102,7 +104,7 @@
 	return decide.FlowID(strconv.FormatInt(r.lastFlowID, 10))
 }
 
-// OpenFlow takes a new flow. Its error is an ErrUnknownService.
+// OpenFlow opens a new flow. The only possible error is ErrUnknownService.
 func (r *Router) OpenFlow(request FlowRequest) (*Flow, error) {
 	f, decideRequest, err := r.newFlow(request)
 	if err != nil {
@@ -118,8 +120,8 @@
 	return f, nil
 }
 
-// ResumeFlow takes a flow whose connection was open at a server before this balancer's start, and returns the server's
-// address. The decisions get it once OnEstablished reports that the connection is up again.
+// ResumeFlow opens a flow that was connected to a server before this balancer started, and returns the server's address.
+// The balancer adopts the flow once OnEstablished reports that the connection is up again.
 func (r *Router) ResumeFlow(request FlowRequest, serverName string) (flow *Flow, addr string, err error) {
 	f, decideRequest, err := r.newFlow(request)
 	if err != nil {
@@ -132,7 +134,7 @@
 		return nil, "", fmt.Errorf("unknown server %q", serverName)
 	}
 	f.server = r.servers[id]
-	// The flow holds only these until it is adopted, and not the whole request.
+	// The closure captures only these fields, to keep the whole request from being retained until the flow is adopted.
 	service, customer := decideRequest.Service, decideRequest.Customer
 	key, group := decideRequest.Key, decideRequest.Group
 	f.adopt = func() {
@@ -142,7 +144,7 @@
 	return f, f.server.addr, nil
 }
 
-// AdoptFlow takes over a flow whose connection is established at a server, from another process.
+// AdoptFlow takes over a flow with its established connection from another process.
 func (r *Router) AdoptFlow(request FlowRequest, serverName string) (*Flow, error) {
 	f, _, err := r.ResumeFlow(request, serverName)
 	if err == nil {
@@ -151,18 +153,18 @@
 	return f, err
 }
 
-// deliver leaves a decision to be picked up; the decisions give one at a time.
+// deliver passes a decision to AwaitDecision; at most one is pending at a time.
 func (f *Flow) deliver(decision Decision) {
 	select {
 	case f.decisions <- decision:
-	default: // the flow was abandoned before it picked the last one up
+	default: // the flow was abandoned before the previous decision was received
 	}
 }
 
-// AwaitDecision waits for the next decision. Its error is the context's.
+// AwaitDecision waits for the next decision. It fails only when the context ends, with the context's error.
 func (f *Flow) AwaitDecision(ctx context.Context) (Decision, error) {
 	select {
-	case decision := <-f.decisions: // before the context: where both are ready, the client still gets its answer
+	case decision := <-f.decisions: // checked first, so that the client gets its answer even if the context has ended
 		f.onPickedUp(decision)
 		return decision, nil
 	default:
@@ -176,7 +178,7 @@
 	}
 }
 
-// onPickedUp forgets a flow whose decision is the client's final answer.
+// onPickedUp removes a flow whose decision is the client's final answer.
 func (f *Flow) onPickedUp(decision Decision) {
 	f.router.mu.Lock()
 	defer f.router.mu.Unlock()
@@ -188,8 +190,9 @@
 	delete(f.router.flows, f.id)
 }
 
-// StillAllowed reports, just before the first byte, whether the server still accepts the flow: it may have begun to
-// drain while the connection was being established. A resumed flow is not new there.
+// StillAllowed reports whether the server still accepts the flow. It is checked just before the first byte is sent, as
+// the server may have begun to drain while the connection was being established. A resumed flow is always allowed, as it
+// is not new to the server.
 func (f *Flow) StillAllowed() bool {
 	f.router.mu.Lock()
 	defer f.router.mu.Unlock()
@@ -204,20 +207,20 @@
 	f.isEstablished = true
 	f.lastRequestAt = now
 	f.router.latency.track(f)
-	slog.Debug("flow established", "flow", f.id, "server", f.server.name, "duration_ms", milliseconds(now-f.attemptAt))
+	slog.Debug("flow established", "flow", f.id, "server", f.server.name, "duration_ms", milliseconds(now-f.attemptStartedAt))
 	if f.adopt != nil {
 		f.adopt()
 		return
 	}
-	f.router.balancer.OnEstablished(f.id, now-f.attemptAt)
+	f.router.balancer.OnEstablished(f.id, now-f.attemptStartedAt)
 }
 
-// OnEnded reports how the attempt or the connection ended. Unless the client has its answer, the next decision follows.
+// OnEnded reports how the attempt or the connection ended. Unless the client has its answer, another decision follows.
 func (f *Flow) OnEnded(outcome Outcome) {
 	now := f.router.lockForEvent()
 	defer f.router.mu.Unlock()
 	slog.Debug("flow ended", "flow", f.id, "server", f.server.name, "outcome", outcome,
-		"established", f.isEstablished, "duration_ms", milliseconds(now-f.attemptAt))
+		"established", f.isEstablished, "duration_ms", milliseconds(now-f.attemptStartedAt))
 	f.server.metrics.onFlowEnded(f.id)
 	if f.isEstablished {
 		if outcome == Reset {
@@ -228,20 +231,20 @@
 	f.isEstablished = false
 	f.awaitingSince = 0
 	isAnswered := f.isAnswered
-	f.router.balancer.OnEnded(f.id, outcome, now-f.attemptAt, isAnswered)
+	f.router.balancer.OnEnded(f.id, outcome, now-f.attemptStartedAt, isAnswered)
 	if isAnswered {
 		delete(f.router.flows, f.id)
 	}
 }
 
-// Abandon reports that the client left, or that its time is over, before any decision was picked up.
+// Abandon reports that the client left or timed out while a decision was awaited.
 func (f *Flow) Abandon() {
 	f.router.lockForEvent()
 	defer f.router.mu.Unlock()
 	f.router.balancer.OnClientLeft(f.id)
 	select {
 	case decision := <-f.decisions:
-		if decision.Verdict == Connect { // decided just now: the attempt will not be made
+		if decision.Verdict == Connect { // decided concurrently: the attempt will not be made
 			f.router.balancer.OnEnded(f.id, decide.NeverSent, 0, true)
 		}
 	default:
@@ -249,7 +252,8 @@
 	delete(f.router.flows, f.id)
 }
 
-// OnClientLeft reports the same during an attempt, whose end is still to be reported.
+// OnClientLeft reports that the client left or timed out during an attempt. The end of the attempt must still be
+// reported with OnEnded.
 func (f *Flow) OnClientLeft() {
 	f.router.lockForEvent()
 	defer f.router.mu.Unlock()
@@ -257,7 +261,8 @@
 	f.router.balancer.OnClientLeft(f.id)
 }
 
-// OnMigrate sets what asks the client to reconnect elsewhere. It is called at once, if that was requested already.
+// OnMigrate sets the function that asks the client to reconnect elsewhere. It is called immediately if a migration was
+// requested before.
 func (f *Flow) OnMigrate(migrate func()) {
 	f.router.mu.Lock()
 	f.onMigrate = migrate
@@ -268,21 +273,21 @@
 	}
 }
 
-// Server names the server of the connection, and reports whether its client was asked to reconnect.
+// Server returns the name of the server of the connection, and whether the client was asked to reconnect.
 func (f *Flow) Server() (name string, isMigrating bool) {
 	f.router.mu.Lock()
 	defer f.router.mu.Unlock()
 	return f.server.name, f.isMigrating
 }
 
-// RequestMigration has the client asked to reconnect, for reasons other than the decisions'.
+// RequestMigration asks the client to reconnect, for reasons other than a decision of the balancer.
 func (f *Flow) RequestMigration() {
 	f.router.mu.Lock()
 	defer f.router.mu.Unlock()
 	f.requestMigration()
 }
 
-// requestMigration asks the client to reconnect, once; the mutex is held.
+// requestMigration asks the client to reconnect, at most once; the mutex must be held.
 func (f *Flow) requestMigration() {
 	if f.isMigrating {
 		return
--- a/internal/routing/flowlist.go
+++ b/internal/routing/flowlist.go
@@ -1,13 +1,13 @@
 package routing
 
-// flowList is a list of flows in the order in which they were added, linked through the flows, so that none is ever
-// searched for and adding one allocates nothing.
+// flowList is an intrusive doubly linked list of flows in insertion order: adding and removing a flow take constant time
+// and allocate nothing.
 type flowList struct {
 	linkIndex   int // which of a flow's links belongs to this list
 	first, last *Flow
 }
 
-// The lists that a flow may stand in, by the index of its link.
+// The lists that a flow may be in, by the index of its link.
 const (
 	awaitingReplyLinks = iota
 	lastRequestLinks
@@ -22,7 +22,7 @@
 
 func (l *flowList) next(f *Flow) *Flow { return f.links[l.linkIndex].next }
 
-// push adds a flow that is not in the list at its end.
+// push appends a flow, which must not be in the list.
 func (l *flowList) push(f *Flow) {
 	f.links[l.linkIndex] = flowLink{previous: l.last, isListed: true}
 	if l.last == nil {
@@ -33,7 +33,7 @@
 	l.last = f
 }
 
-// remove takes a flow out of the list, if it is there.
+// remove removes a flow from the list, if it is there.
 func (l *flowList) remove(f *Flow) {
 	link := f.links[l.linkIndex]
 	if !link.isListed {
--- a/internal/routing/healthchecks.go
+++ b/internal/routing/healthchecks.go
@@ -7,12 +7,12 @@
 	"yardwinch/decide"
 )
 
-// ReportHealthCheck takes the outcome of a health check and the load that the server reported; a negative load says
+// ReportHealthCheck reports the outcome of a health check and the load that the server reported; a negative load means
 // that it reported none.
 type ReportHealthCheck = func(outcome Outcome, load float64)
 
-// NextHealthCheck waits for a server that is to be checked, and returns its address. Its error is the context's, once
-// that ended.
+// NextHealthCheck waits for a server that is to be checked, and returns its address and the function that reports the
+// outcome. It fails only when the context ends, with the context's error.
 func (r *Router) NextHealthCheck(ctx context.Context) (addr string, report ReportHealthCheck, err error) {
 	for {
 		select {
@@ -26,7 +26,8 @@
 	}
 }
 
-// nextHealthCheck takes the first pending server that still accepts flows, and wakes another waiter for the rest.
+// nextHealthCheck dequeues the first pending server that still accepts flows, and wakes another waiter if more are
+// pending.
 func (r *Router) nextHealthCheck() (id decide.ServerID, addr string, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -40,7 +41,7 @@
 	if len(r.pendingChecks) > 0 {
 		signal(r.checkPending)
 	} else {
-		r.pendingChecks = nil // frees the array that the slice has moved through
+		r.pendingChecks = nil // frees the backing array
 	}
 	return id, addr, ok
 }
@@ -54,8 +55,8 @@
 	r.balancer.OnHealthCheck(id, outcome)
 }
 
-// SetHealthCheckFilter has allows decide, before each health check, whether this balancer sends it. It is called with
-// the router locked; nil allows all.
+// SetHealthCheckFilter sets the function that decides whether this balancer sends a requested health check. It is called
+// with the router locked; nil allows all.
 func (r *Router) SetHealthCheckFilter(allows func(id decide.ServerID, now time.Duration) bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/routing/latency.go
+++ b/internal/routing/latency.go
@@ -9,61 +9,61 @@
 	"yardwinch/decide"
 )
 
-// The decisions need samples of how long a message takes at a server. Where servers report none, the round trips of the
-// lines stand in, and while a server answers nothing, how long its lines have waited by now.
+// The balancer needs samples of the message latency at each server. Where servers report none, the round-trip times of
+// lines are used instead, and for a server that does not answer, the time that its lines have waited so far.
 
 const (
 	latencyCheckInterval  = 250 * time.Millisecond
-	latencySampleInterval = time.Second // between two samples of a server that is late
-	// roundTripMaxAge is how old a round trip that counts may be: clients send about that often.
+	latencySampleInterval = time.Second // between two samples of a late server
+	// roundTripMaxAge is the maximum age of a round trip that counts, about the interval at which clients send.
 	roundTripMaxAge     = 2 * time.Second
 	roundTripWindowSize = 16
-	// replyTimeout is how long a line waits at most before its client is asked to reconnect: soon enough that
-	// the wait does not count against this balancer.
+	// replyTimeout is the longest that a line may wait for its reply before the client is asked to reconnect. It is
+	// short enough that the wait does not count against this balancer.
 	replyTimeout = 4 * time.Second
-	// clientSilenceTimeout is after how long without a line a client counts as lost with its machine. Nothing else
-	// would ever free its descriptors.
+	// clientSilenceTimeout is the time without a line after which a client is presumed lost with its machine. Nothing
+	// else would ever free its descriptors.
 	clientSilenceTimeout = 30 * time.Second
 )
 
-// latencyTracker knows which flows and servers may be late. A balancer holds tens of thousands of flows, nearly all of
-// them on time: the tracker is kept up to date as lines pass, so that a check costs what is late, not what is held. The
-// router's mutex guards it.
+// latencyTracker tracks which flows and servers may be late. A balancer holds tens of thousands of flows, nearly all of
+// them on time, so the tracker is updated as lines pass: the cost of a check is proportional to the number of late flows
+// and servers, not of all. The router's mutex guards it.
 type latencyTracker struct {
-	threshold time.Duration // a latency beyond it is late
+	threshold time.Duration // a longer latency is late
 	nextCheck time.Duration
 
-	serversReportLoad, serversReportLatency bool // what the servers' own metric lines speak of
+	serversReportLoad, serversReportLatency bool // what the servers' metric lines may carry
 	recentLoads                             loadWindow
 
-	awaitingReply flowList  // established flows with an unanswered line, the oldest line first
-	byLastRequest flowList  // established flows, the one whose client sent nothing for longest first
-	suspects      []*server // servers that had a late round trip recently, or were last reported as late
+	awaitingReply flowList  // established flows with an unanswered line, oldest line first
+	byLastRequest flowList  // established flows, least recent request first
+	suspects      []*server // servers with a recent late round trip, or last reported as late
 }
 
-// roundTripWindow keeps the last round trips of lines to a server.
+// roundTripWindow holds the last round-trip times of lines to a server.
 type roundTripWindow struct {
 	receivedAt, durations []time.Duration
-	reportedAt            time.Duration // when the last late sample was reported; 0: the server is on time
+	reportedAt            time.Duration // of the last late sample; 0: the server is on time
 }
 
-func (w *roundTripWindow) add(at, took time.Duration) {
+func (w *roundTripWindow) add(at, roundTrip time.Duration) {
 	if len(w.receivedAt) == roundTripWindowSize {
 		w.receivedAt = w.receivedAt[:copy(w.receivedAt, w.receivedAt[1:])]
 		w.durations = w.durations[:copy(w.durations, w.durations[1:])]
 	}
 	w.receivedAt = append(w.receivedAt, at)
-	w.durations = append(w.durations, took)
+	w.durations = append(w.durations, roundTrip)
 }
 
-// track begins with a flow whose connection is established.
+// track starts tracking a flow whose connection is established.
 func (t *latencyTracker) track(f *Flow) {
 	t.byLastRequest.push(f)
 	f.serverIndex = len(f.server.established)
 	f.server.established = append(f.server.established, f)
 }
 
-// untrack ends with a flow whose connection ended.
+// untrack stops tracking a flow whose connection ended.
 func (t *latencyTracker) untrack(f *Flow) {
 	t.byLastRequest.remove(f)
 	t.awaitingReply.remove(f)
@@ -75,15 +75,15 @@
 	f.server.established = flows[:last]
 }
 
-// suspect has the next checks look at a server.
-func (t *latencyTracker) suspect(s *server) {
+// addSuspect includes a server in the next checks.
+func (t *latencyTracker) addSuspect(s *server) {
 	if !s.isLateSuspect {
 		s.isLateSuspect = true
 		t.suspects = append(t.suspects, s)
 	}
 }
 
-// OnRequest records that a line goes to the server. Of several unanswered ones the oldest counts.
+// OnRequest records that a line was sent to the server. If several lines are unanswered, the oldest one counts.
 func (f *Flow) OnRequest() {
 	f.router.mu.Lock()
 	defer f.router.mu.Unlock()
@@ -101,7 +101,7 @@
 	}
 }
 
-// OnReply records that a line came back.
+// OnReply records that a line arrived from the server.
 func (f *Flow) OnReply() {
 	f.router.mu.Lock()
 	defer f.router.mu.Unlock()
@@ -109,16 +109,16 @@
 		return
 	}
 	now := f.router.Now()
-	took := now - f.awaitingSince
-	f.server.roundTrips.add(now, took)
+	roundTrip := now - f.awaitingSince
+	f.server.roundTrips.add(now, roundTrip)
 	f.awaitingSince = 0
 	f.router.latency.awaitingReply.remove(f)
-	if took > f.router.latency.threshold {
-		f.router.latency.suspect(f.server)
+	if roundTrip > f.router.latency.threshold {
+		f.router.latency.addSuspect(f.server)
 	}
 }
 
-// checkLatencies reports a sample of each server that is late, once a second, and one more once it is on time again.
+// checkLatencies reports a sample of each late server, once a second, and another one when the server has recovered.
 func (r *Router) checkLatencies(now time.Duration) {
 	t := &r.latency
 	t.nextCheck = now + latencyCheckInterval
@@ -136,7 +136,7 @@
 	clear(checked[len(t.suspects):])
 }
 
-// migrateUnresponsive asks clients to reconnect whose server does not answer, and those that have gone silent.
+// migrateUnresponsive asks clients to reconnect whose server does not answer, or which have sent nothing for long.
 func (t *latencyTracker) migrateUnresponsive(now time.Duration) {
 	for f := t.awaitingReply.first; f != nil && now-f.awaitingSince > replyTimeout; f = t.awaitingReply.next(f) {
 		f.requestMigration()
@@ -146,7 +146,8 @@
 	}
 }
 
-// overdueWaits returns how long lines have waited whose replies are late by now. Their servers become suspects.
+// overdueWaits returns, by server, how long the lines with late replies have waited so far. Their servers become
+// suspects.
 func (t *latencyTracker) overdueWaits(now time.Duration) map[*server][]time.Duration {
 	var waits map[*server][]time.Duration
 	for f := t.awaitingReply.first; f != nil && now-f.awaitingSince > t.threshold; f = t.awaitingReply.next(f) {
@@ -154,13 +155,13 @@
 			waits = map[*server][]time.Duration{}
 		}
 		waits[f.server] = append(waits[f.server], now-f.awaitingSince)
-		t.suspect(f.server)
+		t.addSuspect(f.server)
 	}
 	return waits
 }
 
-// checkServerLatency reports a sample of a server that is late, or is so no more. It returns whether the next check has
-// to look at it again.
+// checkServerLatency reports a sample of a server that is late or has just recovered. It returns whether the next check
+// must include the server again.
 func (r *Router) checkServerLatency(s *server, overdueWaits []time.Duration, now time.Duration) (needsCheck bool) {
 	latencies := overdueWaits
 	isLate := len(overdueWaits) > 0
@@ -177,8 +178,8 @@
 	return isLate || s.roundTrips.reportedAt != 0
 }
 
-// reportMedianIfDue reports a server's median latency, if it is late and no sample is recent, or if it has just
-// recovered.
+// reportMedianIfDue reports a server's median latency if it is late and the last sample is not recent, or if the server
+// has just recovered.
 func (r *Router) reportMedianIfDue(s *server, median, now time.Duration) {
 	reportedAt := s.roundTrips.reportedAt
 	switch {
@@ -193,17 +194,17 @@
 	}
 }
 
-// reportLatency hands the decisions a latency sample of a server, by one of its flows.
+// reportLatency reports a latency sample of a server to the balancer, attributed to one of the server's flows.
 func (r *Router) reportLatency(s *server, id decide.FlowID, latency time.Duration) {
 	slog.Debug("latency sampled", "server", s.name, "delay_ms", milliseconds(latency))
 	r.balancer.OnLatencySample(id, latency)
 }
 
-// reportingFlow is the flow by which a server's latency is reported. Any would do, but it must not depend on the order
-// in which they came.
+// reportingFlow returns the flow to which a server's latency samples are attributed. Any flow would do, but the choice
+// must not depend on the order in which flows were established.
 func (s *server) reportingFlow() decide.FlowID {
 	return slices.MinFunc(s.established, func(a, b *Flow) int { return cmp.Compare(a.id, b.id) }).id
 }
 
-// milliseconds is a duration as the log gives it.
+// milliseconds converts a duration for log lines.
 func milliseconds(d time.Duration) float64 { return d.Seconds() * 1000 }
--- a/internal/routing/latency_bench_test.go
+++ b/internal/routing/latency_bench_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// routerWithFlows is a router with so many servers and established flows, all of which have just had a reply.
+// routerWithFlows returns a router with the given numbers of servers and established flows, each of which has just
+// received a reply.
 func routerWithFlows(t testing.TB, servers, flows int) *Router {
 	t.Helper()
 	names := make([]string, servers)
@@ -27,7 +28,7 @@
 	return r
 }
 
-// BenchmarkCheckLatencies is one check, as there are four a second, while all servers are on time.
+// BenchmarkCheckLatencies measures one latency check, of which there are four a second, while all servers are on time.
 func BenchmarkCheckLatencies(b *testing.B) {
 	for _, servers := range []int{60, 1000, 12_800} {
 		for _, flows := range []int{100, 6000, 79_000} {
--- a/internal/routing/latency_test.go
+++ b/internal/routing/latency_test.go
@@ -13,24 +13,24 @@
 	"yardwinch/decide"
 )
 
-// latencySample is one as the decisions got it.
+// latencySample is a sample as reported to the balancer.
 type latencySample struct {
-	flow  decide.FlowID
-	delay time.Duration
+	flow    decide.FlowID
+	latency time.Duration
 }
 
-// sampleRecorder passes everything on to the decisions and records their latency samples.
+// sampleRecorder forwards all calls to a balancer and records its latency samples.
 type sampleRecorder struct {
 	constraints.Balancer
 	samples []latencySample
 }
 
-func (r *sampleRecorder) OnLatencySample(id decide.FlowID, delay time.Duration) {
-	r.samples = append(r.samples, latencySample{id, delay})
-	r.Balancer.OnLatencySample(id, delay)
+func (r *sampleRecorder) OnLatencySample(id decide.FlowID, latency time.Duration) {
+	r.samples = append(r.samples, latencySample{id, latency})
+	r.Balancer.OnLatencySample(id, latency)
 }
 
-// checkModel is what a check does, computed from all flows and all servers.
+// checkModel holds the expected results of a latency check, computed from all flows and all servers.
 type checkModel struct {
 	waits          map[*server][]time.Duration
 	reportingFlows map[*server]decide.FlowID
@@ -66,17 +66,17 @@
 
 func (m *checkModel) addServer(s *server, threshold, now time.Duration) {
 	id, hasFlows := m.reportingFlows[s]
-	delays := m.waits[s]
+	latencies := m.waits[s]
 	for i, at := range s.roundTrips.receivedAt {
 		if now-at < roundTripMaxAge {
-			delays = append(delays, s.roundTrips.durations[i])
+			latencies = append(latencies, s.roundTrips.durations[i])
 		}
 	}
-	if !hasFlows || len(delays) == 0 {
+	if !hasFlows || len(latencies) == 0 {
 		return
 	}
-	slices.Sort(delays)
-	median := delays[len(delays)/2]
+	slices.Sort(latencies)
+	median := latencies[len(latencies)/2]
 	reportedAt := s.roundTrips.reportedAt
 	hasRecovered := median <= threshold && reportedAt != 0
 	isDue := reportedAt == 0 || now-reportedAt >= latencySampleInterval-latencyCheckInterval/2
@@ -85,7 +85,7 @@
 	}
 }
 
-// A check reports the late servers and asks the clients to reconnect that the model names.
+// A check reports the samples and requests the migrations that a model computes from all flows and servers.
 func TestLatencyChecksMatchModel(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		names := make([]string, rapid.IntRange(1, 5).Draw(rt, "servers"))
@@ -107,18 +107,18 @@
 				}
 				established = append(established, f)
 			case event <= 3:
-				rapid.SampledFrom(established).Draw(rt, "asks").OnRequest()
+				rapid.SampledFrom(established).Draw(rt, "requesting flow").OnRequest()
 			case event <= 5:
-				rapid.SampledFrom(established).Draw(rt, "hears").OnReply()
+				rapid.SampledFrom(established).Draw(rt, "replied flow").OnReply()
 			case event == 6:
-				i := rapid.IntRange(0, len(established)-1).Draw(rt, "ends")
+				i := rapid.IntRange(0, len(established)-1).Draw(rt, "ended flow")
 				established[i].OnEnded(Cancelled)
-				established[i].OnRequest() // a last line may cross its end
+				established[i].OnRequest() // a last line may be recorded after the end
 				established = slices.Delete(established, i, i+1)
 			default:
-				passes := rapid.SampledFrom([]time.Duration{10 * ms, 90 * ms, 250 * ms, 990 * ms, 3 * sec, 20 * sec}).Draw(rt, "passes")
-				r.startedAt = r.startedAt.Add(-passes)
-				if rapid.Bool().Draw(rt, "looks") { // lines may come and go between two checks
+				elapsed := rapid.SampledFrom([]time.Duration{10 * ms, 90 * ms, 250 * ms, 990 * ms, 3 * sec, 20 * sec}).Draw(rt, "elapsed")
+				r.startedAt = r.startedAt.Add(-elapsed)
+				if rapid.Bool().Draw(rt, "check") { // requests and replies may also occur between two checks
 					reported += checkAgainstModel(rt, r, recorder)
 				}
 			}
@@ -127,7 +127,7 @@
 	})
 }
 
-// checkAgainstModel runs one check and returns how many samples it reported.
+// checkAgainstModel runs one check and returns the number of samples that it reported.
 func checkAgainstModel(rt *rapid.T, r *Router, recorder *sampleRecorder) int {
 	now := r.lockForEvent()
 	defer r.mu.Unlock()
@@ -145,13 +145,13 @@
 	}
 	for id := range want.migrating {
 		if !migrating[id] {
-			rt.Fatalf("%s was not asked to come again; asked are %v", id, slices.Sorted(maps.Keys(migrating)))
+			rt.Fatalf("no migration of flow %s was requested; requested were %v", id, slices.Sorted(maps.Keys(migrating)))
 		}
 	}
 	return len(want.samples)
 }
 
-// Flows and servers that are on time cost a check nothing, however many there are.
+// A check allocates nothing for flows and servers that are on time, and looks at none of them, however many there are.
 func TestLatencyCheckCostsOnlyLateServers(t *testing.T) {
 	for _, size := range []struct{ servers, flows int }{{60, 100}, {1000, 6000}} {
 		r := routerWithFlows(t, size.servers, size.flows)
@@ -160,7 +160,7 @@
 		suspects := len(r.latency.suspects)
 		r.mu.Unlock()
 		if allocations > 0 || suspects > 0 {
-			t.Errorf("%d servers and %d flows on time: %v allocations, %d servers looked at", size.servers, size.flows, allocations, suspects)
+			t.Errorf("%d servers and %d flows on time: %v allocations, %d suspects", size.servers, size.flows, allocations, suspects)
 		}
 	}
 }
--- a/internal/routing/metrics.go
+++ b/internal/routing/metrics.go
@@ -8,30 +8,31 @@
 )
 
 // A server's metric lines carry either the load of a connection or the latency of a message at the server, in the same
-// form. Where servers report both, a metric is classified by its rhythm: a latency comes once a second while the server
-// is late, on any one of its connections, in milliseconds; a load comes in no such rhythm, in microseconds of work a
-// second.
+// format. Where servers report both, a metric is classified by its timing: a latency, in milliseconds, is sent once a
+// second while the server is late, on any one of its connections; a load, in microseconds of work a second, is sent at no
+// such regular interval.
 const (
-	// sampleIntervalTolerance is how far the gap between two latencies may be from latencySampleInterval.
+	// sampleIntervalTolerance is how far the interval between two latencies may deviate from latencySampleInterval.
 	sampleIntervalTolerance = 2 * time.Millisecond
-	// seriesMemory is how long the phase of a second is remembered at which a server's last series ran.
-	seriesMemory = time.Minute
-	// maxUnconfirmedLatency is the most that is taken for a latency on its rhythm alone; maxLatency holds in any case.
+	// seriesPhaseMaxAge is how long the phase of a server's last series within the second is remembered.
+	seriesPhaseMaxAge = time.Minute
+	// maxUnconfirmedLatency is the highest value that is classified as a latency by its timing alone; maxLatency is the
+	// limit in any case.
 	maxUnconfirmedLatency = replyTimeout
 	maxLatency            = 16 * time.Second
 	maxCandidates         = 16
 	loadWindowSize        = 64
-	// loadOutlierFactor is how many times smaller than all recent loads a metric is that can't be a load.
+	// loadOutlierFactor is how many times smaller than all recent loads a metric must be to be ruled out as a load.
 	loadOutlierFactor = 4
-	// resetProximity is how long after a reset a metric counts as a latency: a server that is late drops connections.
+	// resetProximity is how long after a reset a metric counts as a latency: late servers reset connections.
 	resetProximity = 20 * time.Millisecond
 )
 
-// metric is one figure that a server has sent.
+// metric is a value from one of a server's metric lines.
 type metric struct {
 	at                 time.Duration
 	flow               decide.FlowID
-	latency            time.Duration // what it means if it is one
+	latency            time.Duration // the value, if it is a latency
 	isBelowRecentLoads bool
 }
 
@@ -42,22 +43,23 @@
 	flowEnded bool
 }
 
-// metricClassifier tells one server's latency samples from its loads. Its times are the router's; 0 is none.
+// metricClassifier distinguishes one server's latency samples from its loads. Its times are on the router's clock; 0 means
+// none.
 type metricClassifier struct {
 	candidates     []latencyCandidate
-	seriesSampleAt time.Duration // last sample of the series under way
+	seriesSampleAt time.Duration // last sample of the current series
 	lastSampleAt   time.Duration // last sample of any series
 	lastResetAt    time.Duration // when the server last reset a connection
 }
 
-// onFlowEnded marks the candidates of a flow that ended: the rest of its series comes on another connection.
+// onFlowEnded marks the candidates of a flow that ended: the rest of its series is sent on another connection.
 func (c *metricClassifier) onFlowEnded(id decide.FlowID) {
 	for i := range c.candidates {
 		c.candidates[i].flowEnded = c.candidates[i].flowEnded || c.candidates[i].flow == id
 	}
 }
 
-// classify says whether a metric is a latency or a load, and records it: the next ones are judged by it.
+// classify reports whether a metric is a latency rather than a load, and records it for the classification of later ones.
 func (c *metricClassifier) classify(m metric, threshold time.Duration) (isLatency bool) {
 	if m.latency > maxLatency {
 		return false
@@ -87,19 +89,20 @@
 	return false
 }
 
-// isInPhase reports whether now is the phase of a second at which the server's last series ran: a server keeps to it,
-// and a load falls there by chance only once in hundreds.
+// isInPhase reports whether a time is at the same phase of the second as the server's last series: a server keeps its
+// phase, and a load falls there by chance only once in hundreds.
 func (c *metricClassifier) isInPhase(now time.Duration) bool {
 	gap := now - c.lastSampleAt
-	if c.lastSampleAt == 0 || gap >= seriesMemory {
+	if c.lastSampleAt == 0 || gap >= seriesPhaseMaxAge {
 		return false
 	}
 	return (gap+sampleIntervalTolerance)%latencySampleInterval <= 2*sampleIntervalTolerance
 }
 
-// confirmsCandidate reports whether a metric is the second sample of a series. A lone metric never begins one, as each
-// load that happened to be low would empty a server. Nor does a pair on two connections, which chance brings every few
-// seconds where there are many, unless the server reset connections in between or the first of the two ended.
+// confirmsCandidate reports whether a metric is the second sample of a series. A single metric never starts a series,
+// otherwise every load that happened to be low would make a server lose its clients. Nor does a pair on two connections,
+// which occurs by chance every few seconds when there are many connections, unless the server reset connections in
+// between or the first of the two connections ended.
 func (c *metricClassifier) confirmsCandidate(m metric) bool {
 	return slices.ContainsFunc(c.candidates, func(first latencyCandidate) bool {
 		return isSampleInterval(m.at-first.at) &&
@@ -118,7 +121,7 @@
 	return (gap - latencySampleInterval).Abs() <= sampleIntervalTolerance
 }
 
-// loadWindow keeps the last loads that any server reported, in microseconds of work a second.
+// loadWindow holds the last loads that any server reported, in microseconds of work a second.
 type loadWindow []float64
 
 func (w *loadWindow) add(load float64) {
@@ -128,13 +131,13 @@
 	*w = append(*w, load)
 }
 
-// isFarAbove reports whether a full window's loads are all far above a value.
+// isFarAbove reports whether the window is full and all its loads are more than loadOutlierFactor times a value.
 func (w loadWindow) isFarAbove(value float64) bool {
 	return len(w) == loadWindowSize && value*loadOutlierFactor < slices.Min(w)
 }
 
-// OnServerMetric takes a figure from one of the server's metric lines: a latency in milliseconds, or a load in
-// microseconds of work a second. Where servers report both it is classified first.
+// OnServerMetric reports a value from one of the server's metric lines: a latency in milliseconds, or a load in
+// microseconds of work a second. Where servers report both, the value is classified first.
 func (f *Flow) OnServerMetric(value float64) {
 	r := f.router
 	now := r.lockForEvent()
@@ -147,8 +150,8 @@
 	r.balancer.OnFlowLoad(f.id)
 }
 
-// classify says whether a metric on a flow's connection is a latency. Where servers report both, their classifiers
-// record it.
+// classify reports whether a metric on a flow's connection is a latency. Where servers report both, the server's
+// classifier records it.
 func (t *latencyTracker) classify(f *Flow, value float64, now time.Duration) (isLatency bool) {
 	if !t.serversReportLatency || !t.serversReportLoad {
 		return t.serversReportLatency
@@ -162,8 +165,8 @@
 	return f.server.metrics.classify(m, t.threshold)
 }
 
-// metricLatency is what a metric means if it is a latency, in milliseconds. A value that no latency reaches is cut, as a
-// time.Duration could not hold any value.
+// metricLatency converts a latency in milliseconds. Values beyond any possible latency are clamped, to keep the conversion
+// from overflowing time.Duration.
 func metricLatency(value float64) time.Duration {
 	const maxValue = 2 * float64(maxLatency/time.Millisecond)
 	return time.Duration(min(value, maxValue) * float64(time.Millisecond))
--- a/internal/routing/metrics_test.go
+++ b/internal/routing/metrics_test.go
@@ -15,7 +15,7 @@
 	isLoad, isLatency    = false, true
 )
 
-// metricEvent is a metric, unless its value is 0.
+// metricEvent is a metric, or a reset or the end of a flow.
 type metricEvent struct {
 	at, value time.Duration
 	flow      decide.FlowID
@@ -27,13 +27,13 @@
 	return metricEvent{at: at, value: value, flow: firstFlow}
 }
 
-func onOther(at, value time.Duration) metricEvent {
+func otherSample(at, value time.Duration) metricEvent {
 	return metricEvent{at: at, value: value, flow: otherFlow}
 }
 
 func reset(at time.Duration) metricEvent { return metricEvent{at: at, resets: true} }
 
-func firstEnds(at time.Duration) metricEvent {
+func endFirstFlow(at time.Duration) metricEvent {
 	return metricEvent{at: at, flow: firstFlow, ends: true}
 }
 
@@ -42,43 +42,43 @@
 	events []metricEvent
 	want   []bool // isLoad or isLatency, by metric
 }{
-	{"a lone metric", []metricEvent{sample(0, 900*ms)}, []bool{isLoad}},
+	{"a single metric", []metricEvent{sample(0, 900*ms)}, []bool{isLoad}},
 	{"two a second apart", []metricEvent{sample(0, 900*ms), sample(sec+ms, 700*ms)}, []bool{isLoad, isLatency}},
-	{"two at another distance", []metricEvent{sample(0, 900*ms), sample(sec+4*ms, 700*ms)}, []bool{isLoad, isLoad}},
-	{"two on two connections", []metricEvent{sample(0, 900*ms), onOther(sec+ms, 701*ms)}, []bool{isLoad, isLoad}},
-	{"two on two connections, a reset between", []metricEvent{sample(0, 900*ms), reset(500 * ms), onOther(sec, 701*ms)},
+	{"two at another interval", []metricEvent{sample(0, 900*ms), sample(sec+4*ms, 700*ms)}, []bool{isLoad, isLoad}},
+	{"two on two connections", []metricEvent{sample(0, 900*ms), otherSample(sec+ms, 701*ms)}, []bool{isLoad, isLoad}},
+	{"two on two connections, a reset between", []metricEvent{sample(0, 900*ms), reset(500 * ms), otherSample(sec, 701*ms)},
 		[]bool{isLoad, isLatency}},
-	{"two on two connections, the first ended", []metricEvent{sample(0, 900*ms), firstEnds(500 * ms), onOther(sec, 701*ms)},
+	{"two on two connections, the first ended", []metricEvent{sample(0, 900*ms), endFirstFlow(500 * ms), otherSample(sec, 701*ms)},
 		[]bool{isLoad, isLatency}},
-	{"one near a reset", []metricEvent{reset(0), sample(10*ms, 900*ms), onOther(sec+10*ms, 701*ms)}, []bool{isLatency, isLatency}},
+	{"one near a reset", []metricEvent{reset(0), sample(10*ms, 900*ms), otherSample(sec+10*ms, 701*ms)}, []bool{isLatency, isLatency}},
 	{"a large one near a reset", []metricEvent{reset(0), sample(10*ms, 9*sec), sample(sec+10*ms, 6*sec)}, []bool{isLatency, isLatency}},
 	{"one too large for any server", []metricEvent{reset(0), sample(10*ms, 20*sec)}, []bool{isLoad}},
-	{"a reset well before", []metricEvent{reset(0), sample(50*ms, 900*ms), onOther(sec+50*ms, 700*ms)}, []bool{isLoad, isLoad}},
-	{"a series goes on on any connection", []metricEvent{sample(0, 900*ms), sample(sec, 700*ms), onOther(2*sec, 701*ms)},
+	{"a reset well before", []metricEvent{reset(0), sample(50*ms, 900*ms), otherSample(sec+50*ms, 700*ms)}, []bool{isLoad, isLoad}},
+	{"a series continues on any connection", []metricEvent{sample(0, 900*ms), sample(sec, 700*ms), otherSample(2*sec, 701*ms)},
 		[]bool{isLoad, isLatency, isLatency}},
-	{"a series to its last sample",
+	{"a series up to its last sample",
 		[]metricEvent{sample(0, 900*ms), sample(sec, 700*ms), sample(2*sec, 500*ms), sample(3*sec, 20*ms), sample(4*sec, 30*ms)},
 		[]bool{isLoad, isLatency, isLatency, isLatency, isLoad}},
 	{"a load between two samples",
 		[]metricEvent{sample(0, 900*ms), sample(sec, 700*ms), sample(sec+5*ms, 800*ms), sample(2*sec, 700*ms)},
 		[]bool{isLoad, isLatency, isLoad, isLatency}},
-	{"a sample missed", []metricEvent{sample(0, 900*ms), sample(sec, 700*ms), sample(3*sec, 700*ms)},
+	{"a missing sample", []metricEvent{sample(0, 900*ms), sample(sec, 700*ms), sample(3*sec, 700*ms)},
 		[]bool{isLoad, isLatency, isLatency}},
-	{"a value as large as loads are", []metricEvent{sample(0, 5*sec), sample(sec, 5*sec)}, []bool{isLoad, isLoad}},
-	{"a series begins over the threshold only", []metricEvent{sample(0, 20*ms), sample(sec, 20*ms)}, []bool{isLoad, isLoad}},
-	{"a series begins in the last one's phase",
+	{"a value in the range of loads", []metricEvent{sample(0, 5*sec), sample(sec, 5*sec)}, []bool{isLoad, isLoad}},
+	{"a series begins above the threshold only", []metricEvent{sample(0, 20*ms), sample(sec, 20*ms)}, []bool{isLoad, isLoad}},
+	{"a series begins in the phase of the last one",
 		[]metricEvent{sample(0, 900*ms), sample(sec, 700*ms), sample(2*sec, 20*ms), sample(9*sec-2*ms, 700*ms)},
 		[]bool{isLoad, isLatency, isLatency, isLatency}},
-	{"a series that broke off, and a load", []metricEvent{sample(0, 900*ms), sample(sec, 700*ms), sample(9*sec+3*ms, 700*ms)},
+	{"an interrupted series, then a load", []metricEvent{sample(0, 900*ms), sample(sec, 700*ms), sample(9*sec+3*ms, 700*ms)},
 		[]bool{isLoad, isLatency, isLoad}},
 	{"a low value in that phase", []metricEvent{sample(0, 900*ms), sample(sec, 700*ms), sample(9*sec, 20*ms)},
 		[]bool{isLoad, isLatency, isLoad}},
-	{"that phase too long after", []metricEvent{sample(0, 900*ms), sample(sec, 700*ms), sample(90*sec, 700*ms)},
+	{"that phase after too long a time", []metricEvent{sample(0, 900*ms), sample(sec, 700*ms), sample(90*sec, 700*ms)},
 		[]bool{isLoad, isLatency, isLoad}},
 }
 
-// Latencies come in the form of loads: a load taken for a latency empties a server, a latency taken for a load leaves
-// its clients on a late one.
+// Latencies and loads are sent in the same format: a load misclassified as a latency makes a server lose its clients, and
+// a latency misclassified as a load leaves clients on a late server.
 func TestLatencySamplesAmongLoads(t *testing.T) {
 	for _, c := range classifierCases {
 		t.Run(c.name, func(t *testing.T) {
@@ -96,16 +96,16 @@
 				}
 			}
 			if !slices.Equal(got, c.want) {
-				t.Errorf("taken for latencies: %v, want %v", got, c.want)
+				t.Errorf("classified as latencies: %v, want %v", got, c.want)
 			}
 		})
 	}
 }
 
-// A metric is what the servers report; only where they report both is it classified, and it is a latency of an
-// established connection only.
-func TestServerMetricGoesByWhatServersReport(t *testing.T) {
-	const value = 700 // milliseconds, far over the threshold
+// A metric is of the kind that the servers report, and is classified only if they report both. It is a latency only if
+// the connection is established.
+func TestServerMetricFollowsConfiguredKinds(t *testing.T) {
+	const value = 700 // milliseconds, far above the threshold
 	for _, c := range []struct {
 		name                        string
 		reportsLoad, reportsLatency bool
@@ -115,7 +115,7 @@
 		{"loads", true, false, true, 0, 1},
 		{"latencies", false, true, true, 1, 0},
 		{"latencies, before the connection is established", false, true, false, 0, 1},
-		{"both, a lone metric", true, true, true, 0, 1},
+		{"both, a single metric", true, true, true, 0, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newRouter(t, c.reportsLoad, c.reportsLatency, "a")
@@ -131,14 +131,14 @@
 				t.Errorf("%d latency samples and %d loads, want %d and %d",
 					len(recorder.samples), len(r.latency.recentLoads), c.wantSamples, c.wantLoads)
 			}
-			if c.wantSamples > 0 && recorder.samples[0].delay != value*ms {
-				t.Errorf("a latency of %v, want %v", recorder.samples[0].delay, value*ms)
+			if c.wantSamples > 0 && recorder.samples[0].latency != value*ms {
+				t.Errorf("latency %v, want %v", recorder.samples[0].latency, value*ms)
 			}
 		})
 	}
 }
 
-// A first metric is taken for a latency alone only where it can't be a load.
+// A first metric alone is classified as a latency only if it is too low for a load.
 func TestFirstSampleBelowRecentLoads(t *testing.T) {
 	for _, c := range []struct {
 		name        string
@@ -148,9 +148,9 @@
 		want        bool
 	}{
 		{"far below all loads", nil, loadWindowSize, 1000, 200, true},
-		{"not so far", nil, loadWindowSize, 1000, 300, false},
+		{"not far enough below", nil, loadWindowSize, 1000, 300, false},
 		{"too few loads known", nil, loadWindowSize - 1, 1000, 200, false},
-		{"a load as low that has left the window", []float64{1}, 2 * loadWindowSize, 1000, 200, true},
+		{"an equally low load that has left the window", []float64{1}, 2 * loadWindowSize, 1000, 200, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var window loadWindow
@@ -161,13 +161,13 @@
 				window.add(c.load)
 			}
 			if got := window.isFarAbove(c.value); got != c.want {
-				t.Errorf("below all loads: %v, want %v", got, c.want)
+				t.Errorf("far below all loads: %v, want %v", got, c.want)
 			}
 		})
 	}
 	var classifier metricClassifier
 	if !classifier.classify(metric{at: sec, flow: "one", latency: 200 * ms, isBelowRecentLoads: true}, 83*ms) ||
 		!classifier.classify(metric{at: 2 * sec, flow: "two", latency: 700 * ms}, 83*ms) {
-		t.Error("a series that began with it does not go on")
+		t.Error("a series that began with it does not continue")
 	}
 }
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -1,6 +1,6 @@
-// Package routing offers the decisions of package decide in blocking style: open a flow, wait for its decision,
-// report what became of it. Network code sees neither the events nor the actions of the decisions, so that another
-// protocol can be served without a change here.
+// Package routing provides a blocking API to package decide: open a flow, wait for its decision, report the outcome.
+// Network code sees neither the events nor the actions of package decide, so that another protocol can be served without
+// a change here.
 package routing
 
 import (
@@ -20,8 +20,8 @@
 const (
 	OK          = decide.OK          // served to its end
 	Error       = decide.Error       // the server answered with an error
-	Full        = decide.Full        // the server rejected it unseen
-	TimedOut    = decide.TimedOut    // no answer within the time allowed
+	Full        = decide.Full        // the server rejected it without processing it
+	TimedOut    = decide.TimedOut    // no answer before the deadline
 	Unreachable = decide.Unreachable // no connection could be established
 	Reset       = decide.Reset       // the connection broke
 	Cancelled   = decide.Cancelled   // the client left, or was asked to leave
@@ -29,36 +29,36 @@
 )
 
 var (
-	// ErrUnknownService says that the configuration names no such service type.
+	// ErrUnknownService means that the configuration has no such service type.
 	ErrUnknownService = errors.New("unknown service type")
-	// ErrUnknownServer says that no endpoint list ever named a server.
+	// ErrUnknownServer means that no endpoint list has ever contained the server.
 	ErrUnknownServer = errors.New("no list has named this server")
 )
 
-// Config is what a Router needs to know before its first flow.
+// Config configures a Router.
 type Config struct {
-	// Seed starts the random draws of the decisions.
+	// Seed seeds the balancer's random generator.
 	Seed uint64
-	// LatencyThreshold is the latency of a message from which the decisions get latency samples of a server.
+	// LatencyThreshold is the message latency above which latency samples of a server are reported to the balancer.
 	LatencyThreshold time.Duration
-	// ServersReportLoad and ServersReportLatency say what the servers' own metric lines speak of. Where both are
-	// set each metric is classified, see Flow.OnServerMetric.
+	// ServersReportLoad and ServersReportLatency say what the servers' metric lines carry. If both are set, each metric
+	// is classified, see Flow.OnServerMetric.
 	ServersReportLoad, ServersReportLatency bool
-	// Constraints bound what the decisions may do; with none of them the decisions run alone.
+	// Constraints restrict the balancer's decisions; if there are none, the balancer runs unconstrained.
 	Constraints []constraints.Constraint
-	// Configure hands the decisions their settings. It returns what the names of services and customers stand for.
+	// Configure configures the balancer. It returns the ids of service types and customers by name.
 	Configure func(*decide.Balancer) (map[string]decide.ServiceID, map[string]decide.CustomerID)
 }
 
-// Router owns the one instance of the decisions that a balancer has.
+// Router owns the decide.Balancer of a process and serializes access to it.
 type Router struct {
-	checkPending chan struct{} // signalled while pendingChecks has entries
+	checkPending chan struct{} // signalled while pendingChecks is not empty
 	earlierTimer chan struct{} // signalled when a timer is set that is due before all others
 
-	// mu guards all that follows and the decisions themselves. It is never held over I/O.
+	// mu guards the fields below, the balancer included. It is never held during I/O.
 	mu          sync.Mutex
 	balancer    constraints.Balancer
-	constrained *constraints.ConstrainedBalancer // the balancer, where it has constraints; else nil
+	constrained *constraints.ConstrainedBalancer // the same balancer if it has constraints; otherwise nil
 	startedAt   time.Time
 	timers      timerHeap
 
@@ -69,17 +69,17 @@
 
 	servers      map[decide.ServerID]*server
 	serverIDs    map[string]decide.ServerID
-	serverOrder  []*server // as first listed: the order of a map must decide nothing
+	serverOrder  []*server // in the order first listed: decisions must not depend on map iteration order
 	hasEndpoints bool
-	lastContact  time.Duration // last sign of life of discovery; 0: none so far
+	lastContact  time.Duration // time of the last contact with discovery; 0: none so far
 
-	pendingChecks     []decide.ServerID                                // health checks requested and not yet sent, oldest first; each server once
+	pendingChecks     []decide.ServerID                                // servers with a requested health check, oldest request first, no duplicates
 	healthCheckFilter func(id decide.ServerID, now time.Duration) bool // see SetHealthCheckFilter
 
 	latency latencyTracker
 }
 
-// New makes a router.
+// New returns a router that uses the given configuration.
 func New(config Config) *Router {
 	r := &Router{
 		startedAt: time.Now(),
@@ -111,8 +111,8 @@
 	return r
 }
 
-// lockForEvent begins an event: it locks the mutex and sets the decisions' clock, so that what they do takes effect at
-// this moment. The caller unlocks.
+// lockForEvent locks the mutex and advances the balancer's clock to the current time, which must precede each event. The
+// caller unlocks.
 func (r *Router) lockForEvent() (now time.Duration) {
 	r.mu.Lock()
 	now = r.Now()
@@ -120,17 +120,18 @@
 	return now
 }
 
-// Now is the time on the router's clock, for functions that WithLock runs.
+// Now returns the time on the router's clock.
 func (r *Router) Now() time.Duration { return time.Since(r.startedAt) }
 
-// WithLock runs do while no decision is made, as a change of a constraint's settings needs it.
+// WithLock calls do with the router locked, so that no decision is made meanwhile; a change of a constraint's settings
+// requires this.
 func (r *Router) WithLock(do func()) {
 	r.lockForEvent()
 	defer r.mu.Unlock()
 	do()
 }
 
-// OnLoadReport takes a server's load report that another balancer received. The caller holds the lock, see WithLock.
+// OnLoadReport reports a server's load that another balancer received. The caller must hold the lock, see WithLock.
 func (r *Router) OnLoadReport(id decide.ServerID, load float64) { r.balancer.OnLoadReport(id, load) }
 
 // SetHandedOver says whether another process continues from a snapshot of this router.
@@ -140,30 +141,31 @@
 	r.balancer.SetHandedOver(handedOver)
 }
 
-// signal wakes the reader of a channel that holds one signal at most.
+// signal sends to a channel of capacity 1 without blocking.
 func signal(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
-	default: // a signal is waiting already
+	default: // a signal is pending already
 	}
 }
 
-// Tick waits for the next timer or latency check that is due and runs it. Its error is the context's, once that ended.
+// Tick waits until a timer or latency check is due and runs all that are due. It returns early without running any when an
+// earlier timer has been set. It fails only when the context ends, with the context's error.
 func (r *Router) Tick(ctx context.Context) error {
-	timer := time.NewTimer(r.untilDue())
+	timer := time.NewTimer(r.timeUntilDue())
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
-	case <-r.earlierTimer: // the wait was too long
+	case <-r.earlierTimer: // the next call computes the shorter wait
 	case <-timer.C:
 		r.runDue()
 	}
 	return nil
 }
 
-// untilDue is how long until the next timer or latency check is due.
-func (r *Router) untilDue() time.Duration {
+// timeUntilDue returns the time until the next timer or latency check is due.
+func (r *Router) timeUntilDue() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	due := r.latency.nextCheck
@@ -173,7 +175,7 @@
 	return due - r.Now()
 }
 
-// runDue runs all timers and the latency check, as far as they are due.
+// runDue runs all due timers, and the latency check if it is due.
 func (r *Router) runDue() {
 	now := r.lockForEvent()
 	defer r.mu.Unlock()
--- a/internal/routing/router_test.go
+++ b/internal/routing/router_test.go
@@ -15,7 +15,7 @@
 	"yardwinch/decide"
 )
 
-// newRouter has one service type and the servers named, all ready.
+// newRouter returns a router with one service type and the named servers, all ready.
 func newRouter(t testing.TB, reportsLoad, reportsLatency bool, servers ...string) *Router {
 	t.Helper()
 	r := New(Config{Seed: 7, LatencyThreshold: 80 * ms, ServersReportLoad: reportsLoad, ServersReportLatency: reportsLatency,
@@ -64,14 +64,14 @@
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 5*sec)
 	defer cancel()
-	c, err := f.AwaitDecision(ctx)
+	decision, err := f.AwaitDecision(ctx)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return c
+	return decision
 }
 
-// establishFlow has a flow established, with what asks its client to reconnect.
+// establishFlow returns an established flow; migrate is called when its client is to reconnect.
 func establishFlow(t *testing.T, r *Router, migrate func()) *Flow {
 	t.Helper()
 	f := openFlow(t, r)
@@ -81,7 +81,7 @@
 	return f
 }
 
-// One decision after each end of an attempt, and one final answer.
+// Each end of an attempt is followed by one decision, up to a final answer.
 func TestAwaitDecisionAndOnEnded(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -90,7 +90,7 @@
 	}{
 		{"a first attempt", nil, Connect},
 		{"another after an unreachable server", []Outcome{Unreachable}, Connect},
-		{"another where the server began to drain meanwhile", []Outcome{NeverSent}, Connect},
+		{"another after a server that began to drain", []Outcome{NeverSent}, Connect},
 		{"no server is left", []Outcome{Full, Full, Full}, Reject},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -106,7 +106,7 @@
 				t.Errorf("decision %+v, want verdict %v", got, c.want)
 			}
 			if c.want != Connect && len(r.flows) != 0 {
-				t.Error("an answered flow is kept")
+				t.Error("an answered flow was not removed")
 			}
 		})
 	}
@@ -125,13 +125,13 @@
 	slog.SetDefault(slog.New(slog.NewTextHandler(logged, &slog.HandlerOptions{Level: slog.LevelDebug})))
 	t.Cleanup(func() {
 		slog.SetDefault(previous)
-		log.SetOutput(os.Stderr) // slog.SetDefault has led log to slog, and previous leads to log
+		log.SetOutput(os.Stderr) // slog.SetDefault redirected package log to slog, and previous writes to package log
 		log.SetFlags(flags)
 	})
 	return logged
 }
 
-// A log line of a final answer names the verdict.
+// The log line of a final answer contains the verdict.
 func TestFinalAnswerIsLogged(t *testing.T) {
 	logged := recordLogs(t)
 	awaitDecision(t, openFlow(t, newRouter(t, true, true))) // there is no server
@@ -140,7 +140,7 @@
 	}
 }
 
-// A client may leave at any moment; whatever is under way then, nothing of its flow may stay.
+// A client may leave at any moment; the router must then keep nothing of its flow.
 func TestClientLeaves(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -154,17 +154,17 @@
 			r := newRouter(t, true, true, "a")
 			c.leave(t, openFlow(t, r))
 			if len(r.flows) != 0 {
-				t.Error("the flow is kept")
+				t.Error("the flow was not removed")
 			}
-			f := openFlow(t, r) // the decisions hold no lease or set-up of the one before
+			f := openFlow(t, r) // the balancer holds no lease or set-up of the previous flow
 			if got := awaitDecision(t, f); got.Verdict != Connect {
-				t.Errorf("the next one: %+v", got)
+				t.Errorf("next flow: decision %+v", got)
 			}
 		})
 	}
 }
 
-// All balancers must choose the same preferred server for a group: a server's id comes from its name alone.
+// A server's id depends on its name alone, as all balancers must choose the same preferred server for a group.
 func TestServerIDs(t *testing.T) {
 	a, b := newRouter(t, true, true, "s-1", "s-2", "s-3"), newRouter(t, true, true, "s-3", "s-1")
 	for _, name := range []string{"s-1", "s-3"} {
@@ -172,15 +172,15 @@
 			t.Errorf("%s has two ids", name)
 		}
 	}
-	// Names that share a hash get ids of their own.
+	// Names with the same hash get different ids.
 	other := a.assignServerID("s-1")
 	delete(a.serverIDs, "s-1")
 	if second := a.assignServerID("s-1"); second == other || a.servers[second] == a.servers[other] {
-		t.Error("a second server took the first one's id")
+		t.Error("two servers have the same id")
 	}
 }
 
-// A server that begins to drain while a connection to it is being established gets nothing new.
+// A server that begins to drain while a connection to it is being established must not get the flow.
 func TestStillAllowed(t *testing.T) {
 	r := newRouter(t, true, true, "a")
 	f := openFlow(t, r)
@@ -203,7 +203,7 @@
 		name string
 		do   func(f *Flow, migrate func())
 	}{
-		{"requested before anybody listens", func(f *Flow, migrate func()) { f.RequestMigration(); f.OnMigrate(migrate) }},
+		{"requested before a handler is set", func(f *Flow, migrate func()) { f.RequestMigration(); f.OnMigrate(migrate) }},
 		{"requested twice", func(f *Flow, migrate func()) {
 			f.OnMigrate(migrate)
 			f.RequestMigration()
@@ -221,7 +221,7 @@
 	}
 }
 
-// A server that answers nothing is reported each second, as its lines wait, and its clients are asked to reconnect
+// A server that does not answer is reported each second while its lines wait, and its clients are asked to reconnect
 // before the wait counts against this balancer.
 func TestUnresponsiveServer(t *testing.T) {
 	r := newRouter(t, true, true, "a")
@@ -248,12 +248,12 @@
 		t.Errorf("reported after %v", reports)
 	}
 	if migrations != 1 {
-		t.Errorf("asked to come again %d times, want once", migrations)
+		t.Errorf("asked to reconnect %d times, want once", migrations)
 	}
 }
 
-// A client that vanished sends nothing, and nothing else would ever end its connection.
-func TestVanishedClient(t *testing.T) {
+// A client whose machine was lost sends nothing more. Only the silence timeout ends its connection.
+func TestSilentClient(t *testing.T) {
 	r := newRouter(t, true, true, "a")
 	migrations := 0
 	f := establishFlow(t, r, func() { migrations++ })
@@ -265,12 +265,12 @@
 		r.checkLatencies(f.lastRequestAt + c.after)
 		r.mu.Unlock()
 		if migrations != c.want {
-			t.Errorf("after %v asked to come again %d times, want %d", c.after, migrations, c.want)
+			t.Errorf("after %v asked to reconnect %d times, want %d", c.after, migrations, c.want)
 		}
 	}
 }
 
-// Timers run in order, and one set that is due before all others wakes Tick.
+// Timers run in order, and setting one that is due before all others wakes Tick.
 func TestTick(t *testing.T) {
 	r := newRouter(t, true, true, "a")
 	ctx, cancel := context.WithCancel(t.Context())
@@ -284,7 +284,7 @@
 		}
 	}()
 	deadline := time.Now().Add(10 * sec)
-	for due := time.Duration(0); ; { // the decisions set their own tick anew each time
+	for due := time.Duration(0); ; { // the balancer sets its periodic timer again each time it fires
 		r.mu.Lock()
 		first := r.timers[0].due
 		r.mu.Unlock()
@@ -292,7 +292,7 @@
 			break
 		}
 		if due = first; time.Now().After(deadline) {
-			t.Fatal("no tick")
+			t.Fatal("no timer ran in time")
 		}
 		time.Sleep(ms)
 	}
@@ -300,8 +300,8 @@
 	<-done
 }
 
-// However many health checks are requested before anybody asks, each server comes once, in order, at its present
-// address; one that no longer accepts flows does not.
+// However many health checks are requested before the first is taken, each server is returned once, in order of the
+// requests, with its current address; servers that no longer accept flows are skipped.
 func TestPendingHealthChecks(t *testing.T) {
 	names := make([]string, 1024)
 	for i := range names {
@@ -316,7 +316,7 @@
 	}
 	r.mu.Unlock()
 	commitEndpoints(r, DeltaUpdate, Draining, names[:24]...)
-	ctx, cancel := context.WithTimeout(t.Context(), 10*sec) // a test that hangs is to fail
+	ctx, cancel := context.WithTimeout(t.Context(), 10*sec) // the test fails rather than hangs
 	defer cancel()
 	for _, s := range names[24:] {
 		addr, report, err := r.NextHealthCheck(ctx)
@@ -326,7 +326,7 @@
 		report(OK, 0.5)
 	}
 	if _, _, ok := r.nextHealthCheck(); ok || r.pendingChecks != nil {
-		t.Error("one came twice, or something is held at rest")
+		t.Error("a server was returned twice, or the queue's array was not freed")
 	}
 	r.mu.Lock()
 	actions{r}.HealthCheck(r.serverIDs["s30"])
@@ -337,6 +337,6 @@
 	ended, cancel := context.WithCancel(ctx)
 	cancel()
 	if _, _, err := r.NextHealthCheck(ended); !errors.Is(err, context.Canceled) {
-		t.Errorf("error %v once the context ended", err)
+		t.Errorf("error %v after the context ended", err)
 	}
 }
--- a/internal/routing/servers.go
+++ b/internal/routing/servers.go
@@ -9,40 +9,40 @@
 	"yardwinch/decide"
 )
 
-// MaxIDLength is the most bytes that a server's id may have.
+// MaxIDLength is the maximum length in bytes of a server's name, which is its id in the endpoint list.
 const MaxIDLength = 4 << 10
 
-// server is what the router knows of one server.
+// server is the router's state of one server.
 type server struct {
 	name  string
 	addr  string
 	index int // in the router's serverOrder
 
-	reportedStart time.Time     // when it last started, by the endpoint list's clock; the zero time: long ago
-	startedAt     time.Duration // the same by the router's clock
+	reportedStart time.Time     // when it last started, as the endpoint list reports it; zero: long ago
+	startedAt     time.Duration // when it last started, by the router's clock
 
 	isListedReady  bool
 	isDisabled     bool // administratively
-	checkIsPending bool // it stands in the router's pendingChecks
-	isLateSuspect  bool // it stands in the latency tracker's suspects
+	checkIsPending bool // it is in the router's pendingChecks
+	isLateSuspect  bool // it is in the latency tracker's suspects
 
 	roundTrips  roundTripWindow
 	metrics     metricClassifier
-	established []*Flow // flows whose connection is established here
+	established []*Flow // flows with an established connection to it
 }
 
 // acceptsFlows reports whether new flows may be sent to the server.
 func (s *server) acceptsFlows() bool { return s.isListedReady && !s.isDisabled }
 
-// ServerID is the id that a server's name gets at every balancer, unless another name holds it already.
+// ServerID returns the id that every balancer assigns to a server's name, except in a hash collision.
 func ServerID(name string) decide.ServerID {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(name)) // a hash never fails
 	return decide.ServerID(h.Sum32())
 }
 
-// assignServerID returns the decisions' id of a server. It is derived from the name alone, as all balancers must
-// choose the same preferred server for a group; where two names share a hash the second gets the next free id.
+// assignServerID returns a server's id, and adds the server if it is new. The id is derived from the name alone, as all
+// balancers must choose the same preferred server for a group; in a hash collision the second name gets the next free id.
 func (r *Router) assignServerID(name string) decide.ServerID {
 	if id, ok := r.serverIDs[name]; ok {
 		return id
@@ -57,8 +57,9 @@
 	return id
 }
 
-// SetDisabled disables a server administratively, or enables it again. It is in force on return, also for connections
-// that are being established. An ErrUnknownServer says that no endpoint list ever named the server.
+// SetDisabled disables a server administratively, or enables it again. The change is in force on return, also for
+// connections that are being established. It fails with ErrUnknownServer if no endpoint list has ever contained the
+// server.
 func (r *Router) SetDisabled(name string, disabled bool) error {
 	r.lockForEvent()
 	defer r.mu.Unlock()
@@ -74,7 +75,7 @@
 	return nil
 }
 
-// DisableAll disables servers that no endpoint list may have named yet, as they were before a restart.
+// DisableAll disables the named servers, as they were before a restart. They need not have been listed yet.
 func (r *Router) DisableAll(names []string) {
 	r.lockForEvent()
 	defer r.mu.Unlock()
@@ -85,7 +86,7 @@
 	}
 }
 
-// DisabledServers names the servers that are administratively disabled.
+// DisabledServers returns the names of the servers that are administratively disabled.
 func (r *Router) DisabledServers() (names []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -97,7 +98,7 @@
 	return names
 }
 
-// IsDisabled reports whether a server is administratively disabled, and whether any endpoint list ever named it.
+// IsDisabled reports whether a server is administratively disabled, and whether it is known at all.
 func (r *Router) IsDisabled(name string) (disabled, known bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/routing/snapshot.go
+++ b/internal/routing/snapshot.go
@@ -7,16 +7,15 @@
 	"yardwinch/decide"
 )
 
-// EndpointSnapshot is what the endpoint list said of a server beyond what the decisions keep.
+// EndpointSnapshot is the part of a server's endpoint entry that is not in decide.ServerSnapshot.
 type EndpointSnapshot struct {
 	Name          string        `json:"name"`
 	Addr          string        `json:"addr"`
-	StartReported int64         `json:"start_told_ms,omitempty"` // by the list's clock, in Unix milliseconds; 0: long ago
+	StartReported int64         `json:"start_told_ms,omitempty"` // by the clock of the list's publisher, in Unix milliseconds; 0: long ago
 	Started       time.Duration `json:"started,omitempty"`       // by the router's clock
 }
 
-// Snapshot is what a balancer knows, for the process that succeeds it. Its servers and those of the decisions' own part
-// stand in the same order.
+// Snapshot is a balancer's state, for its successor. Servers and Decisions.Servers are in the same order.
 type Snapshot struct {
 	Servers      []EndpointSnapshot `json:"servers"`
 	Decisions    decide.Snapshot    `json:"decided"`
@@ -24,7 +23,7 @@
 	HasEndpoints bool               `json:"listed"`
 }
 
-// Snapshot returns what is known now.
+// Snapshot returns the current state.
 func (r *Router) Snapshot() Snapshot {
 	r.lockForEvent()
 	defer r.mu.Unlock()
@@ -47,13 +46,14 @@
 // Validate checks that a snapshot can be restored.
 func (s Snapshot) Validate() error {
 	if len(s.Servers) != len(s.Decisions.Servers) || len(s.Loads) > loadWindowSize {
-		return errors.New("servers that don't match")
+		return errors.New("server lists of different lengths, or too many loads")
 	}
 	return s.Decisions.Validate()
 }
 
-// Restore takes over another process's snapshot, before anything is decided here. The clock continues from that
-// process's, so that all times keep their meaning; timers that are set keep their distance.
+// Restore takes over another process's snapshot, before the first decision of this router. The clock continues from that
+// process's clock, so that all times stay valid; timers that are already set keep the time that remains until they are
+// due.
 func (r *Router) Restore(snapshot Snapshot) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -75,7 +75,7 @@
 	r.hasEndpoints = snapshot.HasEndpoints
 }
 
-// restoreServer takes over one server, and sets the id that it has here in the decisions' part.
+// restoreServer takes over one server, and sets the id that this router assigns to it in the decide snapshot.
 func (r *Router) restoreServer(endpoint EndpointSnapshot, decided *decide.ServerSnapshot) {
 	decided.ID = r.assignServerID(endpoint.Name)
 	s := r.servers[decided.ID]
--- a/internal/routing/state.go
+++ b/internal/routing/state.go
@@ -5,7 +5,7 @@
 	"yardwinch/decide"
 )
 
-// ServerState is what the operators' calls show of one server.
+// ServerState is one server's state as the admin API returns it.
 type ServerState struct {
 	Name     string `json:"name"`
 	Addr     string `json:"addr"`
@@ -14,19 +14,19 @@
 	Flows    int    `json:"flows"`
 }
 
-// State is what the operators' calls show of a balancer. Its process fills in the first three fields.
+// State is a balancer's state as the admin API returns it. The daemon fills in the first three fields.
 type State struct {
 	Phase         string         `json:"phase"`
-	Processes     string         `json:"processes,omitempty"` // of this balancer beside this one
-	StoreFault    string         `json:"folder,omitempty"`    // what is wrong with the store of the processes
+	Processes     string         `json:"processes,omitempty"` // the other process of this balancer, during a hand-over
+	StoreFault    string         `json:"folder,omitempty"`    // the store's current error; empty: none
 	Running       float64        `json:"running_s"`
 	Flows         int            `json:"flows"`
 	Servers       []ServerState  `json:"servers"`
-	Constraints   map[string]any `json:"deciders,omitempty"`     // what each constraint shows of itself
-	Interventions map[string]int `json:"bounds_acted,omitempty"` // how often, by constraint and reason
+	Constraints   map[string]any `json:"deciders,omitempty"`     // each constraint's state
+	Interventions map[string]int `json:"bounds_acted,omitempty"` // counts by constraint and reason
 }
 
-// State returns the state of now.
+// State returns the current state.
 func (r *Router) State() State {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -47,8 +47,8 @@
 	return state
 }
 
-// Explain tells why a flow went where it did, by the id that its client gave. It reports false where that is not known
-// (any more).
+// Explain returns the explanation of a flow's decisions, by the client's id of the flow. It reports false if none is
+// available, or no longer.
 func (r *Router) Explain(clientID string) (constraints.Explanation, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -58,17 +58,17 @@
 	explanation, ok := r.constrained.Explain(clientID)
 	for i := range explanation.Attempts {
 		attempt := &explanation.Attempts[i]
-		r.nameServer(attempt.Server, &attempt.Name)
+		r.setServerName(attempt.Server, &attempt.Name)
 	}
 	for i := range explanation.ExtraCosts {
 		cost := &explanation.ExtraCosts[i]
-		r.nameServer(cost.Server, &cost.Name)
+		r.setServerName(cost.Server, &cost.Name)
 	}
 	return explanation, ok
 }
 
-// nameServer sets the name of a server that is known; the mutex is held.
-func (r *Router) nameServer(id decide.ServerID, name *string) {
+// setServerName sets *name to the name of a server if the server is known; the mutex must be held.
+func (r *Router) setServerName(id decide.ServerID, name *string) {
 	if s := r.servers[id]; s != nil {
 		*name = s.name
 	}
--- a/internal/routing/timers.go
+++ b/internal/routing/timers.go
@@ -7,13 +7,13 @@
 	"yardwinch/decide"
 )
 
-// timer is one that the decisions have set, due by the router's clock.
+// timer is a timer that the balancer has set; its due time is on the router's clock.
 type timer struct {
 	due time.Duration
 	id  decide.TimerID
 }
 
-// timerHeap is a container/heap of timers, the one due first on top.
+// timerHeap implements heap.Interface: a min-heap of timers by due time.
 type timerHeap []timer
 
 func (h timerHeap) Len() int           { return len(h) }
@@ -27,10 +27,10 @@
 	return x
 }
 
-// popFirst removes the timer that is due first.
+// popFirst removes the timer that is due first and returns its id.
 func (h *timerHeap) popFirst() decide.TimerID { return heap.Pop(h).(timer).id }
 
-// add reports whether the new timer is due before all others.
+// add adds a timer and reports whether it is due before all others.
 func (h *timerHeap) add(t timer) (isFirst bool) {
 	isFirst = len(*h) == 0 || t.due < (*h)[0].due
 	heap.Push(h, t)
