--- a/internal/transport/budget.go
+++ b/internal/transport/budget.go
@@ -12,40 +12,41 @@
 )
 
 const (
-	// clientReserve descriptors are kept from servers' connections, so that clients that come when the budget is
-	// spent can still be told to retry; a quarter of a small budget.
+	// clientReserve is the number of descriptors that connections to servers may not use, so that new clients can still
+	// be told to retry when the rest of the budget is in use. In a small budget it is a quarter of the budget.
 	clientReserve = 24
-	// minIdleTime is how long a connection is idle at least before it is closed for a new one: its line may have
-	// come, and this process may not have had the processor to read it.
+	// minIdleTime is how long a connection must have been idle before it is closed in favour of a new one: its line may
+	// have arrived already, but this process may not have been scheduled to read it.
 	minIdleTime = 100 * time.Millisecond
-	// closingReplyTimeout bounds the one attempt to tell a connection that it is closed.
+	// closingReplyTimeout limits the single attempt to send the closing reply.
 	closingReplyTimeout = time.Millisecond
-	// maxDiscardReads bounds the reads of what is unread, against a client that keeps sending.
+	// maxDiscardReads limits the reads of unread input, in case a client keeps sending.
 	maxDiscardReads = 16
-	// noDescriptorWait is until the budget is checked again where nothing is free or idle; a release ends it.
+	// noDescriptorWait is the wait before the budget is checked again when no descriptor is free and no connection is
+	// idle; the release of a descriptor ends it early.
 	noDescriptorWait = time.Hour
-	// descriptorsPerPair is a client's connection and its server's.
+	// descriptorsPerPair counts a client's connection and the one to its server.
 	descriptorsPerPair = 2
 )
 
-// DescriptorBudget counts the file descriptors that connections may use, and knows which connections are idle:
-// those that have asked for nothing yet, and those that have had their last line. When the budget is spent the
-// longest idle one is closed first, so that a crowd that sends nothing neither stops the accepts nor takes the
-// place of other clients.
+// DescriptorBudget limits the file descriptors that connections use, and tracks which connections are idle: those that
+// have not sent a request yet, and those that have been sent their last line. When the budget is exhausted, the
+// connection that has been idle longest is closed, so that many clients that send nothing neither block accepts nor
+// displace other clients.
 type DescriptorBudget struct {
 	closingReply       string
 	reservedForClients int
-	freed              chan struct{} // signalled when a descriptor may have become free
+	freed              chan struct{} // signalled when a descriptor may have been freed
 
 	mu         sync.Mutex // guards the fields below
 	free       int
 	lent       int       // used by another process
-	unfinished int       // connections that have not had their last line
-	idle       list.List // of *Conn, the longest idle first
+	unfinished int       // connections that have not been sent their last line
+	idle       list.List // of *Conn, longest idle first
 }
 
-// NewDescriptorBudget makes a budget of n descriptors. closingReply is what a connection is sent that is closed to free
-// its descriptor.
+// NewDescriptorBudget returns a budget of n descriptors. closingReply is sent on a connection that is closed to free its
+// descriptor.
 func NewDescriptorBudget(n int, closingReply string) *DescriptorBudget {
 	return &DescriptorBudget{
 		closingReply:       closingReply,
@@ -55,14 +56,14 @@
 	}
 }
 
-// Free is how many descriptors are free.
+// Free returns the number of free descriptors.
 func (b *DescriptorBudget) Free() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.free
 }
 
-// SetLent sets how many descriptors of the budget another process of this balancer uses.
+// SetLent sets the number of descriptors of the budget that another process of this balancer uses.
 func (b *DescriptorBudget) SetLent(n int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -71,15 +72,15 @@
 	b.signalFreed()
 }
 
-// MaxInUse is how many descriptors, of the budget's size, may come to be in use if no client is admitted any more: a
-// client whose line is still to come has one, and needs another for its server.
+// MaxInUse returns how many descriptors of a budget of the given size may be in use if no further client is admitted: a
+// client that has not sent its line yet uses one, and will need another one for its server.
 func (b *DescriptorBudget) MaxInUse(size int) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return size - b.free - b.lent + b.idle.Len()
 }
 
-// Unfinished is how many connections have not had their last line.
+// Unfinished returns the number of connections that have not been sent their last line.
 func (b *DescriptorBudget) Unfinished() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -90,12 +91,12 @@
 func (b *DescriptorBudget) signalFreed() {
 	select {
 	case b.freed <- struct{}{}:
-	default: // a signal is waiting already
+	default: // a signal is pending already
 	}
 }
 
-// admit counts a connection that was accepted, and waits until there is a descriptor for it. If the accepting ends
-// first the connection is counted nowhere, and gets the answer of all that come at the end.
+// admit waits until a descriptor is free for an accepted connection, and counts it. If the context ends first, the
+// connection is not counted in the budget; it is then answered like all connections accepted at the end.
 func (b *DescriptorBudget) admit(ctx context.Context, raw net.Conn) *Conn {
 	c := &Conn{raw: raw, budget: b}
 	for {
@@ -115,7 +116,7 @@
 	}
 }
 
-// tryAdmit counts a connection; wait is 0 then. Else it returns when to try again.
+// tryAdmit counts a connection and returns 0, or returns how long to wait before the next try.
 func (b *DescriptorBudget) tryAdmit(c *Conn) (wait time.Duration) {
 	b.mu.Lock()
 	wait, evicted := b.ensureFree(0, minIdleTime)
@@ -132,9 +133,10 @@
 	return wait
 }
 
-// ensureFree makes sure that a descriptor is free, which the caller then takes, while more than the reserve are free or
-// idle. wait is 0 where one is free; else none is yet, and it says when to try again. The longest idle connection may
-// have to go for it: the caller closes it, once the mutex is free. The mutex is held.
+// ensureFree ensures that a descriptor is free for the caller, provided that the free descriptors and idle connections
+// exceed the reserve. If wait is 0 a descriptor is free; otherwise the caller may try again after wait. To free a
+// descriptor, the longest idle connection may be evicted: the caller must close it after unlocking the mutex. The mutex
+// must be held.
 func (b *DescriptorBudget) ensureFree(reserve int, minIdle time.Duration) (wait time.Duration, evicted *Conn) {
 	if b.free+b.idle.Len() <= reserve {
 		return noDescriptorWait, nil
@@ -150,7 +152,7 @@
 	return 0, longestIdle
 }
 
-// markUnfinished and markFinished keep which connections have not had their last line; the mutex is held.
+// markUnfinished and markFinished record whether a connection has been sent its last line; the mutex must be held.
 func (c *Conn) markUnfinished() {
 	c.isUnfinished = true
 	c.budget.unfinished++
@@ -163,7 +165,7 @@
 	}
 }
 
-// addIdle puts a connection behind all others that are idle; the mutex is held.
+// addIdle appends a connection to the list of idle ones; the mutex must be held.
 func (c *Conn) addIdle() {
 	if c.descriptors > 0 && c.idleElement == nil {
 		c.idleSince = time.Now()
@@ -171,7 +173,7 @@
 	}
 }
 
-// removeIdle reports whether a connection was idle; the mutex is held.
+// removeIdle removes a connection from the list of idle ones and reports whether it was there; the mutex must be held.
 func (c *Conn) removeIdle() (wasIdle bool) {
 	if c.idleElement == nil {
 		return false
@@ -181,7 +183,7 @@
 	return true
 }
 
-// releaseAll gives back all that a connection holds; the mutex is held.
+// releaseAll releases all descriptors of a connection; the mutex must be held.
 func (c *Conn) releaseAll() {
 	c.removeIdle()
 	c.budget.free += c.descriptors
@@ -190,8 +192,8 @@
 	c.budget.signalFreed()
 }
 
-// closeWithReply closes a connection to free its descriptor. The reply is tried once: a client that does not take
-// it gets none. What is unread is read first, as a close over it would be a reset, which overtakes the reply.
+// closeWithReply closes a connection to free its descriptor. The reply is sent with a single write, which may fail.
+// Unread input is discarded first, as closing with unread input would reset the connection and could discard the reply.
 func (c *Conn) closeWithReply(reply string) {
 	_ = c.raw.SetWriteDeadline(time.Now().Add(closingReplyTimeout)) // fails on a closed connection only
 	_, _ = c.raw.Write([]byte(reply))
@@ -199,7 +201,7 @@
 	c.Close()
 }
 
-// discardUnread reads what has come by now, without waiting.
+// discardUnread discards the input that has arrived, without blocking.
 func (c *Conn) discardUnread() {
 	socket, ok := c.raw.(syscall.Conn)
 	if !ok {
@@ -207,7 +209,7 @@
 	}
 	raw, err := socket.SyscallConn()
 	if err != nil {
-		return // it is closed
+		return // the connection is closed
 	}
 	// Control fails on a closed connection only.
 	_ = raw.Control(func(fd uintptr) {
@@ -220,7 +222,7 @@
 	})
 }
 
-// MarkActive says that a client has asked for something: its connection is no longer idle. It reports false where the
+// MarkActive records that a client has sent a request, so that its connection is no longer idle. It reports false if the
 // connection was closed to free its descriptor.
 func (c *Conn) MarkActive() bool {
 	if c.budget == nil {
@@ -231,8 +233,7 @@
 	return c.removeIdle()
 }
 
-// AcquireServerSlot counts a descriptor for the server's connection of a client's. It reports false where all are
-// in use.
+// AcquireServerSlot counts a descriptor for a client's connection to its server. It reports false if none is available.
 func (c *Conn) AcquireServerSlot() bool {
 	if c.budget == nil {
 		return true
@@ -250,7 +251,7 @@
 	return wait == 0
 }
 
-// ReleaseServerSlot gives the server's descriptor back, if there is one.
+// ReleaseServerSlot releases the descriptor for the server, if there is one.
 func (c *Conn) ReleaseServerSlot() {
 	if c.budget == nil {
 		return
@@ -263,8 +264,8 @@
 	}
 }
 
-// markIdle says that a connection has had its last line, and may be closed to free its descriptor.
-func (c *Conn) markIdle() {
+// markFinishedAndIdle records that a connection has been sent its last line and may be closed to free its descriptor.
+func (c *Conn) markFinishedAndIdle() {
 	if c.budget == nil {
 		return
 	}
@@ -274,8 +275,8 @@
 	c.addIdle()
 }
 
-// adopt counts the pair of connections of a client that another process served; they exist, whether or not the
-// budget is spent.
+// adopt counts a client's connection and the one to its server, taken over from another process. They exist already, so
+// they are counted even if the budget is exhausted.
 func (b *DescriptorBudget) adopt(c *Conn) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/transport/budget_test.go
+++ b/internal/transport/budget_test.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// The accept loop outlives a lack of descriptors. Hundreds of clients that send nothing, or have had their last
-// line, stop neither the accepts nor the flows: the longest idle connection is closed first, with a reply. What is
-// in use stays, whatever comes.
+// The accept loop survives a lack of descriptors. Clients that send nothing, or have been sent their last line, block
+// neither accepts nor flows: the connection that has been idle longest is closed first, with a reply. Connections in use
+// are never closed.
 func TestDescriptorBudget(t *testing.T) {
 	const descriptors, reply = 4 * clientReserve, "GO\n"
 	inner := listen(t)
@@ -38,16 +38,16 @@
 		idle = append(idle, peer)
 	}
 	start := time.Now()
-	_, late := connect() // the budget is spent: the longest idle goes, once its line had the time to be read
-	wantReplyAndEnd(t, idle[0], reply)
+	_, late := connect() // the budget is exhausted: the longest idle connection is closed, after minIdleTime
+	wantReplyAndEOF(t, idle[0], reply)
 	if took := time.Since(start); took > 5*minIdleTime {
 		t.Errorf("accepted after %v", took)
 	}
 	if !late.MarkActive() || !late.AcquireServerSlot() {
-		t.Error("idle connections kept a flow from a descriptor")
+		t.Error("idle connections kept a flow from getting a descriptor")
 	}
-	wantReplyAndEnd(t, idle[1], reply)
-	const flows = (descriptors - clientReserve) / 2 // until the servers' part is spent
+	wantReplyAndEOF(t, idle[1], reply)
+	const flows = (descriptors - clientReserve) / 2 // until the part for servers is exhausted
 	for n := 3; n <= flows+1; n++ {
 		_, c := connect()
 		if got := c.MarkActive() && c.AcquireServerSlot(); got != (n <= flows) {
@@ -58,28 +58,28 @@
 	late.CloseGracefully()
 	budget.mu.Lock()
 	if late.descriptors != 0 || late.idleElement != nil || first.idleElement != nil || first.descriptors != 2 {
-		t.Error("what ended still counts, or what is in use was given up")
+		t.Error("an ended connection is still counted, or one in use was released")
 	}
 	budget.mu.Unlock()
 	stop()
 }
 
-func wantReplyAndEnd(t *testing.T, peer net.Conn, reply string) {
+func wantReplyAndEOF(t *testing.T, peer net.Conn, reply string) {
 	t.Helper()
 	if got, err := io.ReadAll(peer); err != nil || string(got) != reply {
-		t.Errorf("a connection closed to free its descriptor got %q, %v", got, err)
+		t.Errorf("a connection closed to free its descriptor received %q, %v", got, err)
 	}
 }
 
-// A connection that is closed to free its descriptor gets the reply also where its line has come and was not read
-// yet: a close over unread bytes would be a reset, which overtakes the reply.
+// A connection that is closed to free its descriptor gets the reply even if its line has arrived and is unread: a close
+// with unread input would send a reset, which can overtake the reply.
 func TestClosedForBudgetWithUnreadLine(t *testing.T) {
 	const reply = "BUSY\r\n"
 	inner := listen(t)
 	accepted := make(chan struct{}, 2)
 	stop := serveInBackground(t, NewPausableListener(inner), NewDescriptorBudget(1, reply), func(ctx context.Context, c *Conn) {
 		accepted <- struct{}{}
-		<-ctx.Done() // as a process that has no processor to read with
+		<-ctx.Done() // like a process that is not scheduled to read
 		c.Close()
 	})
 	first := dialPeer(t, inner)
@@ -88,7 +88,7 @@
 		t.Fatal(err)
 	}
 	dialPeer(t, inner)
-	<-accepted // there is a descriptor: the first connection was closed
-	wantReplyAndEnd(t, first, reply)
+	<-accepted // a descriptor is free: the first connection was closed
+	wantReplyAndEOF(t, first, reply)
 	stop()
 }
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -1,5 +1,5 @@
-// Package transport listens, dials and relays lines over TCP. It knows where a line ends and nothing of what a
-// line says.
+// Package transport accepts and dials TCP connections and relays lines between them. It finds the ends of lines and does
+// not interpret their content.
 package transport
 
 import (
@@ -17,38 +17,38 @@
 )
 
 const (
-	maxLineBytes       = 4096 + 2 // with its CRLF
+	maxLineBytes       = 4096 + 2 // including CRLF
 	initialBufferBytes = 256
 
-	// writeTimeout bounds a write: a line that the other side does not take within it is lost, and so is its
-	// connection, as waiting longer would hold back every line behind it.
+	// writeTimeout limits a write. A line that the peer does not accept in time is lost together with its connection, as
+	// a longer wait would delay all lines after it.
 	writeTimeout = 900 * time.Millisecond
-	// lingerTimeout is how long a connection that was ended may take to read its last line.
+	// lingerTimeout is how long the peer of a connection that is being closed may take to read the last line.
 	lingerTimeout = 250 * time.Millisecond
-	// maxClosingReads bounds the reads from a connection that was ended, against one that keeps sending.
+	// maxClosingReads limits the reads from a connection that is being closed, in case its peer keeps sending.
 	maxClosingReads = 64
 )
 
-// ErrTooLong says that a line has no end within the bound.
+// ErrTooLong means that a line exceeds maxLineBytes.
 var ErrTooLong = errors.New("line is longer than 4 KiB")
 
-// Conn is a connection with the one buffer that it has, which grows as lines need it and is compacted in place. One
-// goroutine reads at a time, and one writes.
+// Conn is a connection with a read buffer, which grows as lines require and is compacted in place. At most one goroutine
+// may read at a time, and at most one may write.
 type Conn struct {
 	raw net.Conn
 
 	buf                  []byte
 	unreadFrom, unreadTo int  // the unread part of buf
-	passed               int  // bytes of it that were relayed already, as the head of a line
+	relayed              int  // bytes at the start of the unread part that were relayed already
 	isMidLine            bool // a line was relayed in part
 	stopping             atomic.Bool
 	parking              atomic.Bool
 	closeOnce            sync.Once
 
-	// budget is that of a client's connection; nil: the connection is not counted. Its mutex guards the rest.
+	// budget is the one in which a client's connection is counted; nil: none. Its mutex guards the fields below.
 	budget       *DescriptorBudget
-	descriptors  int  // counted for it
-	isUnfinished bool // it has not had its last line
+	descriptors  int  // counted for this connection
+	isUnfinished bool // it has not been sent its last line
 	idleElement  *list.Element
 	idleSince    time.Time
 }
@@ -56,8 +56,8 @@
 // NewConn wraps a connection that is not counted in a budget.
 func NewConn(raw net.Conn) *Conn { return &Conn{raw: raw} }
 
-// Read reads no byte past the end of the first line, and none of a line that is not complete: what follows a line
-// is left to a relay. It fails with ErrTooLong where a line has no end within 4 KiB.
+// Read waits for a complete line and reads from it, never past its end: what follows is left to a relay. It fails with
+// ErrTooLong if the line is longer than 4 KiB.
 func (c *Conn) Read(p []byte) (int, error) {
 	for {
 		unread := c.unread()
@@ -77,10 +77,10 @@
 
 func (c *Conn) unread() []byte { return c.buf[c.unreadFrom:c.unreadTo] }
 
-// HasUnread reports whether something in the buffer is unread.
+// HasUnread reports whether the buffer has unread bytes.
 func (c *Conn) HasUnread() bool { return c.unreadFrom < c.unreadTo }
 
-// fill reads more into the buffer.
+// fill compacts the buffer, grows it if it is full, and reads into it once.
 func (c *Conn) fill() error {
 	if c.unreadFrom > 0 {
 		copy(c.buf, c.unread())
@@ -102,7 +102,7 @@
 	return err
 }
 
-// Write sends all of p or fails. The count says whether any of it was left unwritten.
+// Write writes all of p or fails, after at most writeTimeout. The count is the number of bytes written.
 func (c *Conn) Write(p []byte) (int, error) {
 	if err := c.raw.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return 0, err
@@ -110,22 +110,22 @@
 	return c.raw.Write(p)
 }
 
-// SetReadDeadline bounds all reads; the zero time removes the bound.
+// SetReadDeadline sets the deadline of all reads; the zero time removes it.
 func (c *Conn) SetReadDeadline(t time.Time) { _ = c.raw.SetReadDeadline(t) } // fails on a closed connection only
 
-// inThePast is a deadline that passed.
-var inThePast = time.Unix(1, 0)
+// pastDeadline is a deadline that has passed.
+var pastDeadline = time.Unix(1, 0)
 
-// InterruptRead ends a read under way, and all that follow, as at a deadline that passed.
-func (c *Conn) InterruptRead() { c.SetReadDeadline(inThePast) }
+// InterruptRead makes a pending read and all later ones fail with a timeout.
+func (c *Conn) InterruptRead() { c.SetReadDeadline(pastDeadline) }
 
-// Socket is the connection's socket, to be passed to another process.
+// Socket returns the connection's socket, to be passed to another process.
 func (c *Conn) Socket() syscall.Conn {
 	socket, _ := c.raw.(syscall.Conn)
 	return socket
 }
 
-// WaitReadable returns when something unread is there, or the connection ended, or was parked.
+// WaitReadable waits for unread input. It fails if the connection ends, or with ErrParked if it is parked.
 func (c *Conn) WaitReadable() error {
 	if c.HasUnread() {
 		return nil
@@ -137,7 +137,7 @@
 	return err
 }
 
-// isTimeout reports whether a read ended at a deadline.
+// isTimeout reports whether a read failed because of its deadline.
 func isTimeout(err error) bool {
 	if err == nil {
 		return false
@@ -146,16 +146,16 @@
 	return errors.As(err, &timeout) && timeout.Timeout()
 }
 
-// HasPendingInput reports whether the other side has ended the connection or sent more by now. It takes no byte: another
-// goroutine may be waiting for just that, and not have run since it came.
+// HasPendingInput reports whether the peer has ended the connection or sent more. It consumes nothing, as another
+// goroutine may be blocked in a read and not have been scheduled since the input arrived.
 func (c *Conn) HasPendingInput() bool {
 	socket, ok := c.raw.(syscall.Conn)
 	if !ok {
-		return false // it can't be told, and the goroutine that reads notices in time
+		return false // unknown; the reading goroutine will find out
 	}
 	raw, err := socket.SyscallConn()
 	if err != nil {
-		return true // it is closed
+		return true // the connection is closed
 	}
 	isPending := false
 	err = raw.Control(func(fd uintptr) {
@@ -168,28 +168,28 @@
 	return isPending || err != nil
 }
 
-// CloseWrite ends the sending and leaves the reading open.
+// CloseWrite closes the sending direction and leaves the receiving direction open.
 func (c *Conn) CloseWrite() {
-	if half, ok := c.raw.(interface{ CloseWrite() error }); ok {
-		_ = half.CloseWrite() // a broken connection needs no end
+	if closer, ok := c.raw.(interface{ CloseWrite() error }); ok {
+		_ = closer.CloseWrite() // fails only if the connection is broken
 	}
 }
 
-// CloseGracefully ends the connection so that its last line still arrives: closed with something unread, it would be
-// reset, and the reset overtakes the last line.
+// CloseGracefully closes the connection so that its last line still arrives: closing with unread input would send a
+// reset, which can overtake the last line.
 func (c *Conn) CloseGracefully() {
 	c.Linger()
 	c.DiscardAndClose()
 }
 
-// Linger ends the sending and bounds what is still read.
+// Linger closes the sending direction and limits the time for further reads.
 func (c *Conn) Linger() {
 	c.CloseWrite()
 	c.SetReadDeadline(time.Now().Add(lingerTimeout))
-	c.markIdle()
+	c.markFinishedAndIdle()
 }
 
-// DiscardAndClose reads to the end of a connection that lingers, and closes it.
+// DiscardAndClose discards the remaining input of a lingering connection, and closes it.
 func (c *Conn) DiscardAndClose() {
 	for range maxClosingReads {
 		c.unreadFrom, c.unreadTo = 0, 0
@@ -201,7 +201,7 @@
 	c.Close()
 }
 
-// Reset ends the connection the way a lost process does: with a reset.
+// Reset closes the connection with a TCP reset, as a killed process does.
 func (c *Conn) Reset() {
 	if tcp, ok := c.raw.(interface{ SetLinger(int) error }); ok {
 		_ = tcp.SetLinger(0) // fails on a closed connection only
@@ -209,10 +209,10 @@
 	c.Close()
 }
 
-// Close closes the connection and gives back its descriptors. Closing it again does nothing.
+// Close closes the connection and releases its descriptors. Further calls do nothing.
 func (c *Conn) Close() {
 	c.closeOnce.Do(func() {
-		_ = c.raw.Close() // nothing is left to be done about it
+		_ = c.raw.Close() // an error can't be handled
 		if c.budget != nil {
 			c.budget.mu.Lock()
 			defer c.budget.mu.Unlock()
--- a/internal/transport/conn_test.go
+++ b/internal/transport/conn_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// What reads a line must leave what follows it to the relay, and a line without an end must not fill the memory.
+// Read must leave everything after a line to the relay, and a line without an end must not grow the buffer without bound.
 func TestRead(t *testing.T) {
 	for _, c := range []struct {
 		name, sent string
@@ -15,16 +15,16 @@
 		err        error
 	}{
 		{"lines one by one", "PING\r\nOPEN a\r\n", []string{"PING\r\n", "OPEN a\r\n"}, io.EOF},
-		{"a line in a large buffer's place", strings.Repeat("x", 700) + "\n" + "y\n", []string{strings.Repeat("x", 700) + "\n", "y\n"}, io.EOF},
-		{"the longest", strings.Repeat("x", 4096) + "\r\n", []string{strings.Repeat("x", 4096) + "\r\n"}, io.EOF},
-		{"a longer one", strings.Repeat("x", 4200) + "\r\n", nil, ErrTooLong},
-		{"no end", "OPEN", nil, io.EOF},
+		{"a short line after one that grew the buffer", strings.Repeat("x", 700) + "\n" + "y\n", []string{strings.Repeat("x", 700) + "\n", "y\n"}, io.EOF},
+		{"the longest line", strings.Repeat("x", 4096) + "\r\n", []string{strings.Repeat("x", 4096) + "\r\n"}, io.EOF},
+		{"a line that is too long", strings.Repeat("x", 4200) + "\r\n", nil, ErrTooLong},
+		{"a line without an end", "OPEN", nil, io.EOF},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			conn, peer := pipe(t)
 			go func() {
-				defer discard(peer)
-				for i := 0; i < len(c.sent); i += 100 { // in pieces that end anywhere
+				defer closeQuietly(peer)
+				for i := 0; i < len(c.sent); i += 100 { // in pieces that do not end with a line
 					if _, err := io.WriteString(peer, c.sent[i:min(i+100, len(c.sent))]); err != nil {
 						return
 					}
@@ -37,7 +37,7 @@
 				}
 			}
 			if n, err := conn.Read(p); !errors.Is(err, c.err) || n > 0 {
-				t.Errorf("at last %d bytes, %v; want %v", n, err, c.err)
+				t.Errorf("last read: %d bytes, %v; want %v", n, err, c.err)
 			}
 			if len(conn.buf) > maxLineBytes {
 				t.Errorf("the buffer grew to %d bytes", len(conn.buf))
@@ -46,7 +46,7 @@
 	}
 }
 
-// Closed with something unread, a connection is reset, and the reset overtakes the last line.
+// A connection that is closed with unread input is reset, and the reset can overtake the last line.
 func TestCloseGracefullyDeliversLastLine(t *testing.T) {
 	l := listen(t)
 	peer := dialPeer(t, l)
@@ -63,11 +63,11 @@
 	done := make(chan struct{})
 	go func() { defer close(done); c.CloseGracefully(); c.Close() }()
 	if got, err := io.ReadAll(peer); err != nil || string(got) != "MOVE\r\n" {
-		t.Errorf("got %q, %v", got, err)
+		t.Errorf("the peer received %q, %v", got, err)
 	}
-	discard(peer)
+	closeQuietly(peer)
 	<-done
 	if free := budget.Free(); free != 2 {
-		t.Errorf("%d descriptors are free of 2", free)
+		t.Errorf("%d of 2 descriptors are free", free)
 	}
 }
--- a/internal/transport/dial.go
+++ b/internal/transport/dial.go
@@ -12,34 +12,34 @@
 )
 
 const (
-	firstLocalRetry   = time.Millisecond
-	longestLocalRetry = 25 * time.Millisecond
-	// localRetryTimeout is how long a dial is retried that fails for lack of local resources: after that another
-	// server is as good, and a final answer may be due.
+	initialLocalBackoff = time.Millisecond
+	maxLocalBackoff     = 25 * time.Millisecond
+	// localRetryTimeout is how long a dial that fails for lack of local resources is retried. After that, trying another
+	// server is as likely to succeed, and the client may be due a final answer.
 	localRetryTimeout = 250 * time.Millisecond
 )
 
 var (
-	// ErrLocalResources says that a dial failed for lack of something on this machine, which says nothing about the
+	// ErrLocalResources means that a dial failed for lack of resources on this machine, which says nothing about the
 	// server.
-	ErrLocalResources = errors.New("lack of descriptors, ports, memory or a way out on this machine")
-	// ErrNoLongerWanted says that the last check before a dial found it no longer wanted: nothing of it went out,
-	// not even a SYN.
-	ErrNoLongerWanted = errors.New("not wanted any more")
+	ErrLocalResources = errors.New("lack of descriptors, ports, memory or a network route on this machine")
+	// ErrNoLongerWanted means that the last check before a connect found it no longer wanted: nothing was sent, not even
+	// a SYN.
+	ErrNoLongerWanted = errors.New("connection no longer wanted")
 )
 
-// Dialer connects to servers. The zero value dials by the system.
+// Dialer connects to servers. The zero value uses the operating system's network.
 type Dialer struct {
-	// Connect makes one connection; nil: the system does.
+	// Connect, if not nil, replaces net.Dialer.DialContext.
 	Connect func(ctx context.Context, dialer *net.Dialer, addr string) (net.Conn, error)
 }
 
-// Dial connects to a server; its descriptor is part of what the flow's client acquired. isWanted is the last
-// check, directly before the system is asked to connect and after all that may take time before that; nil: none is
-// needed. A dial that fails for lack of local resources never left this machine, and is retried for a while. The
-// errors are ErrNoLongerWanted, ErrLocalResources, the context's, and the network's.
+// Dial connects to a server; its descriptor is the one acquired with AcquireServerSlot. isWanted, if not nil, is called
+// directly before the connect system call, after everything that may take time. A dial that fails for lack of local
+// resources has sent nothing, and is retried for a while. The error is ErrNoLongerWanted, ErrLocalResources, the context's
+// error or a network error.
 func (d Dialer) Dial(ctx context.Context, addr string, timeout time.Duration, isWanted func() bool) (*Conn, error) {
-	dialer := net.Dialer{Timeout: timeout, KeepAlive: -1} // keep-alive notices nothing that the lines don't
+	dialer := net.Dialer{Timeout: timeout, KeepAlive: -1} // keep-alive would detect nothing that the lines don't
 	if isWanted != nil {
 		dialer.Control = func(_, _ string, _ syscall.RawConn) error {
 			if !isWanted() {
@@ -61,7 +61,7 @@
 func (d Dialer) connectWithRetries(
 	ctx context.Context, dialer *net.Dialer, addr string, deadline time.Time,
 ) (net.Conn, error) {
-	backoff := retry.Backoff{First: firstLocalRetry, Longest: longestLocalRetry}
+	backoff := retry.Backoff{First: initialLocalBackoff, Longest: maxLocalBackoff}
 	for {
 		raw, err := d.connect(ctx, dialer, addr)
 		if !isLocalError(err) || time.Now().After(deadline) || backoff.Wait(ctx) != nil {
@@ -77,7 +77,7 @@
 	return dialer.DialContext(ctx, "tcp", addr)
 }
 
-// isLocalError reports whether a dial failed before anything of it could leave this machine.
+// isLocalError reports whether a dial failed on this machine, before anything was sent.
 func isLocalError(err error) bool {
 	for _, errno := range []error{syscall.EMFILE, syscall.ENFILE, syscall.EADDRNOTAVAIL, syscall.EAGAIN, syscall.ENOBUFS,
 		syscall.ENOMEM, syscall.ENETDOWN, syscall.ENETUNREACH} {
--- a/internal/transport/dial_test.go
+++ b/internal/transport/dial_test.go
@@ -10,13 +10,13 @@
 	"golang.org/x/sys/unix"
 )
 
-// A lack on this machine is told apart from a server that is not there.
+// A lack of local resources is distinguished from an unreachable server.
 func TestDial(t *testing.T) {
 	var dialer Dialer
 	l := listen(t)
-	discard(l)
+	closeQuietly(l)
 	if _, err := dialer.Dial(t.Context(), l.Addr().String(), time.Second, nil); err == nil || errors.Is(err, ErrLocalResources) {
-		t.Errorf("nobody there: %v", err)
+		t.Errorf("no server listens: %v", err)
 	}
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
@@ -34,13 +34,13 @@
 	}
 }
 
-// An idle connection costs nothing: the kernel probes neither side of a relay.
+// Keep-alive is off on both sides of a relay, so that the kernel does not probe idle connections.
 func TestNoKeepAlive(t *testing.T) {
 	l, err := Listen("127.0.0.1:0", false)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer discard(l)
+	defer closeQuietly(l)
 	dialled, err := Dialer{}.Dial(t.Context(), l.Addr().String(), time.Second, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -50,7 +50,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer discard(accepted)
+	defer closeQuietly(accepted)
 	for name, c := range map[string]net.Conn{"accepted": accepted, "dialled": dialled.raw} {
 		raw, err := c.(syscall.Conn).SyscallConn()
 		if err != nil {
--- a/internal/transport/helpers_test.go
+++ b/internal/transport/helpers_test.go
@@ -8,17 +8,17 @@
 	"time"
 )
 
-// hangTimeout ends a test that hangs.
+// hangTimeout makes a test fail that would hang otherwise.
 const hangTimeout = 10 * time.Second
 
-// discard closes what a test no longer needs; it may be closed already.
-func discard(c io.Closer) { _ = c.Close() }
+// closeQuietly closes a resource that may be closed already.
+func closeQuietly(c io.Closer) { _ = c.Close() }
 
-// pipe gives one end as a Conn and the other as it is.
+// pipe returns the two ends of a net.Pipe, the first one wrapped in a Conn.
 func pipe(t *testing.T) (*Conn, net.Conn) {
 	t.Helper()
 	a, b := net.Pipe()
-	t.Cleanup(func() { discard(a); discard(b) })
+	t.Cleanup(func() { closeQuietly(a); closeQuietly(b) })
 	_ = b.SetDeadline(time.Now().Add(hangTimeout))
 	return NewConn(a), b
 }
@@ -29,7 +29,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { discard(l) })
+	t.Cleanup(func() { closeQuietly(l) })
 	return l.(*net.TCPListener)
 }
 
@@ -40,12 +40,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { discard(c) })
+	t.Cleanup(func() { closeQuietly(c) })
 	_ = c.SetDeadline(time.Now().Add(hangTimeout))
 	return c
 }
 
-// dialAndSend connects so many clients, each of which sends a line.
+// dialAndSend connects the given number of clients, each of which sends a line.
 func dialAndSend(t *testing.T, l net.Listener, clients int) []net.Conn {
 	t.Helper()
 	peers := make([]net.Conn, clients)
@@ -56,17 +56,17 @@
 	return peers
 }
 
-// wantEchoes checks that each client got its line back, and an end.
+// wantEchoes checks that each client received its line and then the end of the connection.
 func wantEchoes(t *testing.T, peers []net.Conn) {
 	t.Helper()
 	for i, peer := range peers {
 		if got, err := io.ReadAll(peer); err != nil || string(got) != "OPEN\n" {
-			t.Errorf("client %d got %q, %v", i, got, err)
+			t.Errorf("client %d received %q, %v", i, got, err)
 		}
 	}
 }
 
-// echoLine answers a line with itself.
+// echoLine sends the first line back and closes the connection.
 func echoLine(c *Conn) {
 	line := make([]byte, 64)
 	n, _ := c.Read(line)
@@ -74,7 +74,7 @@
 	c.CloseGracefully()
 }
 
-// serveInBackground runs Serve until stop, which checks that it ended without an error.
+// serveInBackground runs Serve until stop is called, which checks that Serve returned no error.
 func serveInBackground(
 	t *testing.T, l FinishingListener, budget *DescriptorBudget, serve func(ctx context.Context, c *Conn),
 ) (stop func()) {
@@ -86,7 +86,7 @@
 		t.Helper()
 		cancel()
 		if err := <-done; err != nil {
-			t.Errorf("serving ended with %v", err)
+			t.Errorf("Serve returned %v", err)
 		}
 	}
 }
--- a/internal/transport/listener.go
+++ b/internal/transport/listener.go
@@ -12,55 +12,56 @@
 	"golang.org/x/sys/unix"
 )
 
-// What is in the kernel's queue when the accepting ends was accepted by this machine, and its line may have come: it is
-// served, or at least answered.
+// Connections in the kernel's accept queue when a listener finishes have been established by this machine, and their
+// first line may have arrived: they are served, or at least answered.
 const (
-	// queueCheckInterval without a connection says that the queue is empty.
+	// queueCheckInterval is the time without a new connection after which the queue counts as empty.
 	queueCheckInterval = 10 * time.Millisecond
-	// queueCheckTimeout bounds the accepting from the queue, against connections that keep coming.
+	// queueCheckTimeout limits the accepts from the queue, in case new connections keep arriving.
 	queueCheckTimeout = 200 * time.Millisecond
 )
 
-// FinishingListener is a listener that can be told to accept no more than what is in its queue.
+// FinishingListener is a listener that can be finished: it then accepts the connections in its queue only.
 type FinishingListener interface {
 	net.Listener
-	// Finish has what is in the queue accepted, and no more. Called again it has the queue checked for as long again.
+	// Finish makes the listener accept what is in its queue, and nothing more. A further call extends the time during
+	// which the queue is checked.
 	Finish()
 }
 
-// errFinished says that the queue of a listener that finishes is empty.
-var errFinished = errors.New("no more is accepted")
+// errFinished means that the queue of a finishing listener is empty.
+var errFinished = errors.New("listener has finished")
 
-// PausableListener is a listener that can be paused: what comes then waits in the kernel's queue, which another process
-// may share.
+// PausableListener is a listener that can be paused: new connections then wait in the kernel's accept queue, which
+// another process may share.
 type PausableListener struct {
 	*net.TCPListener
 	finishOnce sync.Once
 	finishing  chan struct{} // closed by Finish
 
 	mu            sync.Mutex    // guards the fields below
-	resumed       chan struct{} // closed unless it is paused
-	queueCheckEnd time.Time     // when the queue counts as empty in any case
+	resumed       chan struct{} // closed unless the listener is paused
+	queueDeadline time.Time     // after Finish: when the queue counts as empty in any case
 }
 
-// NewPausableListener makes a listener that is not paused.
+// NewPausableListener returns a listener that is not paused.
 func NewPausableListener(l *net.TCPListener) *PausableListener {
 	p := &PausableListener{TCPListener: l, resumed: make(chan struct{}), finishing: make(chan struct{})}
 	close(p.resumed)
 	return p
 }
 
-// Listen listens on an address. isShared says that another process of this user's may listen there as well.
+// Listen listens on an address. isShared says whether other processes of the same user may listen there as well.
 func Listen(addr string, isShared bool) (*PausableListener, error) {
-	// As in Dial: each of tens of thousands of idle connections would be probed.
+	// No keep-alive, as in Dial: it would probe each of tens of thousands of idle connections.
 	config := net.ListenConfig{KeepAlive: -1}
 	if isShared {
 		config.Control = setReusePort
 	}
-	config.SetMultipathTCP(false) // clients come by plain TCP, and the filter of Finish works on plain TCP only
+	config.SetMultipathTCP(false) // clients use plain TCP, and the SYN filter of Finish works with plain TCP only
 	l, err := config.Listen(context.Background(), "tcp", addr)
 	if err != nil {
-		return nil, err // it says what was listened on
+		return nil, err // contains the address
 	}
 	return NewPausableListener(l.(*net.TCPListener)), nil
 }
@@ -73,17 +74,17 @@
 	return errors.Join(controlErr, optionErr)
 }
 
-// Pause has nothing accepted until Resume.
+// Pause stops accepting connections until Resume.
 func (p *PausableListener) Pause() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if isClosed(p.resumed) {
 		p.resumed = make(chan struct{})
 	}
-	p.setAcceptDeadline(inThePast)
+	p.setAcceptDeadline(pastDeadline)
 }
 
-// Resume has connections accepted again.
+// Resume starts accepting connections again.
 func (p *PausableListener) Resume() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -93,27 +94,27 @@
 	}
 }
 
-// Finish has what is in the queue accepted, and no more: from then on the kernel takes no new connection, which
-// would be reset as the listener closes. A listener that is paused leaves the whole queue to the other process.
-// Called again it has the queue checked for as long again.
+// Finish makes the listener accept what is in its queue, and nothing more: the kernel establishes no new connections, as
+// they would be reset when the listener closes. A paused listener leaves the whole queue to the other process. A further
+// call extends the time during which the queue is checked.
 func (p *PausableListener) Finish() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.queueCheckEnd = time.Now().Add(queueCheckTimeout)
+	p.queueDeadline = time.Now().Add(queueCheckTimeout)
 	p.finishOnce.Do(func() {
 		if isClosed(p.resumed) {
 			dropNewConnections(p.TCPListener)
 		}
 		close(p.finishing)
-		p.setAcceptDeadline(time.Now().Add(queueCheckInterval)) // for the accept under way
+		p.setAcceptDeadline(time.Now().Add(queueCheckInterval)) // of a pending accept
 	})
 }
 
-// setAcceptDeadline ends an accept under way at a time; the zero time removes the bound.
+// setAcceptDeadline sets the deadline of accepts, a pending one included; the zero time removes it.
 func (p *PausableListener) setAcceptDeadline(t time.Time) { _ = p.SetDeadline(t) } // fails on a closed listener only
 
-// Accept fails with errFinished once the queue of a listener that finishes is empty. Until then a deadline that
-// passed is the work of Pause, or of Resume since.
+// Accept fails with errFinished once the queue of a finishing listener is empty. Before that, an exceeded deadline was set
+// by Pause, even if Resume has been called since, and Accept continues.
 func (p *PausableListener) Accept() (net.Conn, error) {
 	for {
 		isFinishing, err := p.prepareAccept()
@@ -130,7 +131,7 @@
 	}
 }
 
-// prepareAccept waits while the listener is paused. If it finishes, prepareAccept sets the deadline of the next
+// prepareAccept waits while the listener is paused. If the listener is finishing, it sets the deadline of the next
 // accept, or fails with errFinished.
 func (p *PausableListener) prepareAccept() (isFinishing bool, err error) {
 	p.mu.Lock()
@@ -144,10 +145,10 @@
 		return false, nil
 	}
 	p.mu.Lock()
-	queueCheckEnd := p.queueCheckEnd
+	queueDeadline := p.queueDeadline
 	p.mu.Unlock()
 	deadline := time.Now().Add(queueCheckInterval)
-	if !isClosed(resumed) || deadline.After(queueCheckEnd) {
+	if !isClosed(resumed) || deadline.After(queueDeadline) {
 		return true, errFinished
 	}
 	p.setAcceptDeadline(deadline)
--- a/internal/transport/relay.go
+++ b/internal/transport/relay.go
@@ -8,51 +8,51 @@
 	"time"
 )
 
-// lineEndTimeout is how long the rest of a line is waited for when a relay is to stop.
+// lineEndTimeout is how long a relay that is stopped within a line waits for the rest of the line.
 const lineEndTimeout = 700 * time.Millisecond
 
-// Why a relay ended without an end or an error of a connection.
+// Errors of a relay that ended although neither connection ended or failed.
 var (
-	// ErrStopped says that a relay was stopped, between two lines.
+	// ErrStopped means that a relay was stopped between two lines.
 	ErrStopped = errors.New("relay stopped between two lines")
-	// ErrMidLine says that a relay was stopped and the rest of a line did not come.
+	// ErrMidLine means that a relay was stopped within a line, and the rest of the line did not arrive in time.
 	ErrMidLine = errors.New("relay stopped within a line")
-	// ErrParked says that a relay was parked, at any byte.
+	// ErrParked means that a relay was parked, possibly within a line.
 	ErrParked = errors.New("relay parked")
 )
 
-// SideError says which side of a relay broke.
+// SideError is an error of one of the two connections of a relay.
 type SideError struct {
-	IsWriteSide bool // the relay wrote to it; else it read from it
+	IsWriteSide bool // true: of the connection written to; false: of the one read from
 	Err         error
 }
 
-// Error is the cause's, with what was being done.
+// Error returns the message of the underlying error with a prefix.
 func (e *SideError) Error() string { return "relay: " + e.Err.Error() }
 
-// Unwrap is the cause.
+// Unwrap returns the underlying error.
 func (e *SideError) Unwrap() error { return e.Err }
 
-// RelayState is how far a connection's lines have been relayed.
+// RelayState is the position of a relay in the input of a connection.
 type RelayState struct {
 	Unread    []byte
-	Passed    int  // bytes of Unread that were relayed already, as the head of a line
+	Passed    int  // bytes at the start of Unread that were relayed already
 	IsMidLine bool // a line was relayed in part
 }
 
-// RelayState is what a parked relay from the connection left.
+// RelayState returns the state of a parked relay from the connection.
 func (c *Conn) RelayState() RelayState {
-	return RelayState{Unread: c.unread(), Passed: c.passed, IsMidLine: c.isMidLine}
+	return RelayState{Unread: c.unread(), Passed: c.relayed, IsMidLine: c.isMidLine}
 }
 
-// Adopt makes a connection that another process relayed, with its state there. A client's is counted in its budget
-// together with its server's, whose own budget is nil.
+// Adopt returns a connection that another process has relayed, with the state of that relay. The budget of a client's
+// connection also counts the connection to its server, which is itself adopted with a nil budget.
 func Adopt(raw net.Conn, state RelayState, budget *DescriptorBudget) *Conn {
 	c := &Conn{
 		raw:       raw,
 		buf:       state.Unread,
 		unreadTo:  len(state.Unread),
-		passed:    state.Passed,
+		relayed:   state.Passed,
 		isMidLine: state.IsMidLine,
 		budget:    budget,
 	}
@@ -62,23 +62,23 @@
 	return c
 }
 
-// Stop ends a relay from this connection at the next end of a line. It does not wait.
+// Stop makes a relay from this connection end at the next end of a line. It does not wait for that.
 func (c *Conn) Stop() {
 	c.stopping.Store(true)
 	c.InterruptRead()
 }
 
-// Park ends a relay from this connection, or the wait for its first line, at any byte, so that it can continue
-// later or in another process. It does not wait.
+// Park suspends a relay from this connection, or the wait for its first line, possibly within a line, so that it can
+// continue later or in another process. It does not wait for that.
 func (c *Conn) Park() {
 	c.parking.Store(true)
 	c.InterruptRead()
 }
 
-// Relay passes on what src brings, as it comes, and shows each line once it is complete, before its end is passed on: a
-// reply must not be seen before what it replies to. Parts of lines are passed on too, so that none is held back. Relay
-// ends with io.EOF when src ended its sending, with ErrStopped or ErrMidLine after Stop, with ErrParked after Park, and
-// with a SideError when a side broke.
+// Relay copies the input of src to dst as it arrives. It calls onLine with each complete line before it writes the end of
+// the line: a reply must not be seen before the line that it answers. Parts of lines are written without waiting for the
+// rest. Relay returns io.EOF when src has ended its sending, ErrStopped or ErrMidLine after Stop, ErrParked after Park,
+// and a SideError when a connection fails.
 func Relay(dst, src *Conn, onLine func(line []byte)) error {
 	for {
 		if err := src.relayUnread(dst, onLine); err != nil {
@@ -91,43 +91,44 @@
 			return ErrParked
 		}
 		if err := src.fill(); err != nil {
-			return src.endRelay(dst, err)
+			return src.onReadError(dst, err)
 		}
 	}
 }
 
-// relayUnread passes on what is in the buffer and was not passed on yet.
+// relayUnread writes the bytes in the buffer that have not been relayed yet.
 func (c *Conn) relayUnread(dst *Conn, onLine func(line []byte)) error {
-	fresh := c.unread()[c.passed:]
+	unsent := c.unread()[c.relayed:]
 	for {
-		i := bytes.IndexByte(c.unread()[c.passed:], '\n')
+		i := bytes.IndexByte(c.unread()[c.relayed:], '\n')
 		if i < 0 {
 			break
 		}
-		end := c.passed + i + 1
+		end := c.relayed + i + 1
 		onLine(bytes.TrimRight(c.unread()[:end], "\r\n"))
 		c.unreadFrom += end
-		c.passed = 0
+		c.relayed = 0
 		c.isMidLine = false
 	}
-	if len(fresh) > 0 {
-		if _, err := dst.Write(fresh); err != nil {
+	if len(unsent) > 0 {
+		if _, err := dst.Write(unsent); err != nil {
 			return &SideError{IsWriteSide: true, Err: err}
 		}
 	}
-	c.passed = len(c.unread())
-	if c.passed > 0 {
+	c.relayed = len(c.unread())
+	if c.relayed > 0 {
 		c.isMidLine = true
 	}
-	if c.passed >= maxLineBytes { // the line is passed on unseen rather than growing the buffer
+	if c.relayed >= maxLineBytes { // relayed without a call of onLine, to keep the buffer from growing
 		c.unreadFrom = c.unreadTo
-		c.passed = 0
+		c.relayed = 0
 	}
 	return nil
 }
 
-// endRelay returns why a relay ends whose read failed. A relay that is to stop passes on the rest of its line first.
-func (c *Conn) endRelay(dst *Conn, err error) error {
+// onReadError returns the error with which a relay ends after a failed read. A relay that was stopped within a line
+// relays the rest of the line first.
+func (c *Conn) onReadError(dst *Conn, err error) error {
 	switch {
 	case errors.Is(err, io.EOF):
 		return io.EOF
@@ -137,7 +138,7 @@
 		}
 		c.SetReadDeadline(time.Now().Add(lineEndTimeout))
 		defer c.stopping.Store(false)
-		if err := c.finishLine(dst); err != nil {
+		if err := c.relayRestOfLine(dst); err != nil {
 			return err
 		}
 		return ErrStopped
@@ -148,21 +149,21 @@
 	}
 }
 
-// finishLine passes on the rest of a line, and nothing behind it.
-func (c *Conn) finishLine(dst *Conn) error {
+// relayRestOfLine relays the rest of the current line, and nothing after it.
+func (c *Conn) relayRestOfLine(dst *Conn) error {
 	for {
-		fresh := c.unread()[c.passed:]
-		end := bytes.IndexByte(fresh, '\n')
+		unsent := c.unread()[c.relayed:]
+		end := bytes.IndexByte(unsent, '\n')
 		if end >= 0 {
-			fresh = fresh[:end+1]
+			unsent = unsent[:end+1]
 		}
-		if len(fresh) > 0 {
-			if _, err := dst.Write(fresh); err != nil {
+		if len(unsent) > 0 {
+			if _, err := dst.Write(unsent); err != nil {
 				return &SideError{IsWriteSide: true, Err: err}
 			}
 		}
-		c.unreadFrom += c.passed + len(fresh)
-		c.passed = 0
+		c.unreadFrom += c.relayed + len(unsent)
+		c.relayed = 0
 		if end >= 0 {
 			c.isMidLine = false
 			return nil
@@ -173,7 +174,7 @@
 		if !c.parking.CompareAndSwap(true, false) {
 			return ErrMidLine
 		}
-		// The client is about to migrate: Park's interruption counts for nothing.
+		// The client is about to migrate, so an interruption by Park is ignored.
 		c.SetReadDeadline(time.Now().Add(lineEndTimeout))
 	}
 }
--- a/internal/transport/relay_test.go
+++ b/internal/transport/relay_test.go
@@ -8,25 +8,25 @@
 	"time"
 )
 
-// Relayed lines are passed on as they come; a stop falls between two of them.
+// Lines are relayed as they arrive, and a stopped relay ends between two lines.
 func TestRelay(t *testing.T) {
 	for _, c := range []stoppedRelay{
 		{"complete lines", "M 1\r\nM 2\r\n", "", "M 1\r\nM 2\r\n", "M 1|M 2|"},
-		{"the rest of a line is waited for", "M 1\r\nM", " 2\r\n", "M 1\r\nM 2\r\n", "M 1|"},
-		{"and nothing behind it", "M", " 2\r\nM 3\r\n", "M 2\r\n", ""},
-		{"a line without end is passed on unseen", strings.Repeat("x", 9000), "\r\n", strings.Repeat("x", 9000) + "\r\n", ""},
+		{"a stop waits for the rest of a line", "M 1\r\nM", " 2\r\n", "M 1\r\nM 2\r\n", "M 1|"},
+		{"nothing after the rest of a line is relayed", "M", " 2\r\nM 3\r\n", "M 2\r\n", ""},
+		{"a line that is too long is relayed without onLine", strings.Repeat("x", 9000), "\r\n", strings.Repeat("x", 9000) + "\r\n", ""},
 	} {
 		t.Run(c.name, c.run)
 	}
-	t.Run("an end is an end, not an error", func(t *testing.T) {
+	t.Run("the end of the source is io.EOF", func(t *testing.T) {
 		src, from := pipe(t)
 		dst, _ := pipe(t)
-		discard(from)
+		closeQuietly(from)
 		if err := Relay(dst, src, func([]byte) {}); !errors.Is(err, io.EOF) {
 			t.Errorf("ended with %v", err)
 		}
 	})
-	t.Run("a side that takes nothing is given up", func(t *testing.T) {
+	t.Run("a write to a peer that does not read times out", func(t *testing.T) {
 		src, from := pipe(t)
 		dst, _ := pipe(t)
 		go func() { _, _ = io.WriteString(from, "M 1\r\n") }()
@@ -36,15 +36,15 @@
 			t.Errorf("ended with %v", err)
 		}
 		if took := time.Since(start); took > time.Second {
-			t.Errorf("a line was held for %v", took)
+			t.Errorf("the write timed out after %v", took)
 		}
 	})
 }
 
-// stoppedRelay is a relay that is stopped between what is sent before and after.
+// stoppedRelay is a relay that is stopped after some input, with more input sent after the stop.
 type stoppedRelay struct {
 	name, before, after string
-	passed, seen        string
+	relayed, seen       string
 }
 
 func (c stoppedRelay) run(t *testing.T) {
@@ -55,13 +55,13 @@
 	go func() { done <- Relay(dst, src, func(line []byte) { seen += string(line) + "|" }) }()
 	received := make(chan string, 1)
 	go func() {
-		b := make([]byte, len(c.passed))
+		b := make([]byte, len(c.relayed))
 		n, _ := io.ReadFull(to, b)
 		received <- string(b[:n])
 	}()
-	_, _ = io.WriteString(from, c.before) // a pipe: returns once it was read
+	_, _ = io.WriteString(from, c.before) // a write to a pipe returns once it has been read
 	if strings.HasSuffix(c.before, "\n") {
-		got := <-received // it was passed on before the stop
+		got := <-received // it was relayed before the stop
 		received <- got
 	}
 	src.Stop()
@@ -71,8 +71,8 @@
 	if err := <-done; !errors.Is(err, ErrStopped) {
 		t.Errorf("ended with %v, want %v", err, ErrStopped)
 	}
-	if got := <-received; got != c.passed || seen != c.seen {
-		t.Errorf("passed %d bytes %.40q, seen %q; want %.40q, %q", len(got), got, seen, c.passed, c.seen)
+	if got := <-received; got != c.relayed || seen != c.seen {
+		t.Errorf("relayed %d bytes %.40q, lines seen %q; want %.40q, %q", len(got), got, seen, c.relayed, c.seen)
 	}
 	if len(src.buf) > maxLineBytes {
 		t.Errorf("the buffer grew to %d bytes", len(src.buf))
--- a/internal/transport/serve.go
+++ b/internal/transport/serve.go
@@ -10,42 +10,42 @@
 )
 
 const (
-	// acceptRetryInterval is waited after an accept that the system refused: it has nothing left for a connection,
-	// or the client is gone again.
+	// acceptRetryInterval is the wait after an accept that failed because the system is out of resources, or because the
+	// client has left.
 	acceptRetryInterval = 10 * time.Millisecond
-	// finalAcceptTimeout bounds how long the queue is still accepted from at the end while the system refuses accepts.
+	// finalAcceptTimeout limits how long failing accepts from the queue are retried after the context has ended.
 	finalAcceptTimeout = 2 * time.Second
 )
 
-// Serve accepts until the context ends and the listener's queue is empty, each connection in a goroutine of its
-// own, and returns when all of those have. While the budget is spent the kernel queues what comes. The error says
-// that the listener was closed by somebody else.
+// Serve accepts connections until the context ends and the listener's queue is empty. It serves each one in its own
+// goroutine, and returns when all of these have returned. While the budget is exhausted, new connections wait in the
+// kernel's queue. It fails only if the listener is closed by another caller.
 func Serve(ctx context.Context, l FinishingListener, budget *DescriptorBudget, serve func(*Conn)) error {
 	var connections sync.WaitGroup
 	defer connections.Wait()
-	defer func() { _ = l.Close() }() // nothing is left to be done about it
+	defer func() { _ = l.Close() }() // an error can't be handled
 	defer context.AfterFunc(ctx, l.Finish)()
-	var failingSince time.Time // accepts, once the context ended; zero: they don't
+	var refusedSince time.Time // when accepts began to fail after the context ended; zero: they don't fail
 	for {
 		raw, err := l.Accept()
 		switch {
 		case err == nil:
-			failingSince = time.Time{}
+			refusedSince = time.Time{}
 			c := budget.admit(ctx, raw)
 			connections.Go(func() { serve(c) })
 		case errors.Is(err, errFinished):
 			return nil
 		case errors.Is(err, net.ErrClosed):
 			return fmt.Errorf("accept: %w", err)
-		default: // this loop must outlive it, and so must what is in the queue
+		default: // keep accepting, so that the connections in the queue are not lost
 			time.Sleep(acceptRetryInterval)
 			if ctx.Err() == nil {
 				continue
 			}
-			if failingSince.IsZero() {
-				failingSince = time.Now()
+			if refusedSince.IsZero() {
+				refusedSince = time.Now()
 			}
-			if time.Since(failingSince) < finalAcceptTimeout {
+			if time.Since(refusedSince) < finalAcceptTimeout {
 				l.Finish()
 			}
 		}
--- a/internal/transport/serve_test.go
+++ b/internal/transport/serve_test.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// refusingListener is a listener whose accepts the system refuses until it is told otherwise. It counts the attempts.
+// refusingListener is a listener whose accepts fail with ENFILE until isAccepting is set. It counts the failed attempts.
 type refusingListener struct {
 	*PausableListener
 	isAccepting atomic.Bool
@@ -28,9 +28,8 @@
 	return r.PausableListener.Accept()
 }
 
-// The system refuses accepts as the accepting ends, and for longer than the queue is checked: the clients in the
-// queue were accepted by this machine, and each is answered once it can be accepted. Meanwhile the loop waits
-// between two attempts.
+// Accepts fail while Serve finishes, for longer than queueCheckTimeout. The clients in the queue have established their
+// connections, so each must be answered once accepts succeed again. Until then Serve must wait between attempts.
 func TestAcceptErrorsWhileFinishing(t *testing.T) {
 	const clients, outage = 20, 400 * time.Millisecond
 	inner := listen(t)
@@ -51,16 +50,16 @@
 	}
 }
 
-// Clients go on coming while the accepting ends and the listener closes: each whose connection came up is
-// answered, and all others are refused, or get no answer before their connection is up.
+// Clients keep connecting while Serve finishes and the listener closes. Each client whose connection was established is
+// answered; the others are refused, or time out while connecting.
 func TestNoResetAsListenerCloses(t *testing.T) {
 	const rounds = 12
 	for range rounds {
-		clientsWhileListenerCloses(t)
+		connectWhileListenerCloses(t)
 	}
 }
 
-func clientsWhileListenerCloses(t *testing.T) {
+func connectWhileListenerCloses(t *testing.T) {
 	const clients = 8
 	l, err := Listen("127.0.0.1:0", false)
 	if err != nil {
@@ -75,14 +74,14 @@
 			for {
 				c, err := dialer.DialContext(t.Context(), "tcp", l.Addr().String())
 				if err != nil {
-					return // refused or not answered: never accepted
+					return // refused or timed out: never accepted
 				}
 				_ = c.SetDeadline(time.Now().Add(hangTimeout))
 				_, writeErr := io.WriteString(c, "OPEN\n")
 				got, err := io.ReadAll(c)
-				discard(c)
+				closeQuietly(c)
 				if err = errors.Join(writeErr, err); err != nil || string(got) != "OPEN\n" {
-					t.Errorf("a client whose connection is up got %q, %v", got, err)
+					t.Errorf("a client with an established connection received %q, %v", got, err)
 					return
 				}
 				served.Add(1)
@@ -96,7 +95,7 @@
 	all.Wait()
 }
 
-// failingListener fails in the ways a full machine does.
+// failingListener is a listener whose first accepts fail with the given errors.
 type failingListener struct {
 	*PausableListener
 	errs []error
@@ -111,8 +110,8 @@
 	return f.PausableListener.Accept()
 }
 
-// What is in the kernel's queue when the accepting ends, or waits for a descriptor, was accepted by this machine: each
-// client is served, and none reset.
+// Connections that are in the kernel's queue or wait for a descriptor when Serve finishes have been established by this
+// machine: each client is served, and none is reset.
 func TestQueueIsServedAtFinish(t *testing.T) {
 	for _, c := range []struct {
 		name        string
@@ -126,14 +125,14 @@
 			l := NewPausableListener(inner)
 			l.Finish()
 			if err := Serve(ctx, l, NewDescriptorBudget(c.descriptors, ""), echoLine); err != nil {
-				t.Errorf("serving ended with %v", err)
+				t.Errorf("Serve returned %v", err)
 			}
 			wantEchoes(t, peers)
 		})
 	}
 }
 
-// A listener that is paused leaves its queue to another process.
+// A paused listener leaves its queue to another process.
 func TestPausedListenerLeavesItsQueue(t *testing.T) {
 	inner := listen(t)
 	file, err := inner.File()
@@ -144,20 +143,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer discard(other)
-	discard(file)
+	defer closeQuietly(other)
+	closeQuietly(file)
 	dialPeer(t, inner)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	l := NewPausableListener(inner)
 	l.Pause()
-	if err := Serve(ctx, l, NewDescriptorBudget(9, ""), func(*Conn) { t.Error("it was accepted") }); err != nil {
-		t.Errorf("serving ended with %v", err)
+	if err := Serve(ctx, l, NewDescriptorBudget(9, ""), func(*Conn) { t.Error("a connection was accepted") }); err != nil {
+		t.Errorf("Serve returned %v", err)
 	}
 	_ = other.(*net.TCPListener).SetDeadline(time.Now().Add(hangTimeout))
 	c, err := other.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	discard(c)
+	closeQuietly(c)
 }
--- a/internal/transport/synfilter.go
+++ b/internal/transport/synfilter.go
@@ -7,20 +7,20 @@
 )
 
 const (
-	tcpFlagsOffset = 13 // of the flags in a segment's header
+	tcpFlagsOffset = 13 // of the flags in the TCP header
 	tcpSYN         = 0x02
 	dropSegment    = 0
 	acceptSegment  = 1 << 18 // bytes to accept: more than any segment has
 )
 
-// dropNewConnections has the kernel drop the segments that request a new connection from a listener. Connections
-// that are being established, or wait in the queue, are not touched: with nothing new behind them the queue can be
-// emptied, and the listener closed without a reset. A client whose segment was dropped sends it again a second
-// later, and finds the listener closed. Where the kernel has no such filter everything is as without it.
+// dropNewConnections makes the kernel drop SYN segments to a listener. Connections that are being established or wait in
+// the queue are not affected: as no new ones follow, the queue can be emptied and the listener closed without resetting a
+// connection. A client whose SYN was dropped sends it again after a second, and finds the listener closed. A kernel
+// without socket filters keeps accepting new connections.
 func dropNewConnections(l *net.TCPListener) {
 	raw, err := l.SyscallConn()
 	if err != nil {
-		return // it is closed
+		return // the listener is closed
 	}
 	filter := []unix.SockFilter{
 		{Code: unix.BPF_LD | unix.BPF_B | unix.BPF_ABS, K: tcpFlagsOffset},
@@ -31,7 +31,7 @@
 	program := &unix.SockFprog{Len: uint16(len(filter)), Filter: &filter[0]}
 	// Control fails on a closed listener only.
 	_ = raw.Control(func(fd uintptr) {
-		// No filter, as said above.
+		// An error leaves the listener without the filter.
 		_ = unix.SetsockoptSockFprog(int(fd), unix.SOL_SOCKET, unix.SO_ATTACH_FILTER, program)
 	})
 }
