--- a/internal/config/balancer.go
+++ b/internal/config/balancer.go
@@ -19,14 +19,14 @@
 }
 
 const (
-	discoveryPolled = "ask"    // value of keyDiscoveryMode where the endpoint list has to be polled
-	weightsUnstated = "silent" // value of keyWeights where the endpoint list states no sizes
+	discoveryPolled = "ask"    // keyDiscoveryMode: the endpoint list must be polled
+	weightsUnstated = "silent" // keyWeights: the endpoint list states no server sizes
 
 	defaultOverloadWindow = 1500 * time.Millisecond
 )
 
-// ConfigureBalancer configures the decisions and returns the ids of service types and customers by name. The
-// simulator's wire and the real balancer both use it, so that they decide alike.
+// ConfigureBalancer configures a balancer and returns the ids of service types and customers by name. The simulator and
+// the real balancer both use it, so that they make the same decisions.
 func ConfigureBalancer(settings Values, b *decide.Balancer) (map[string]decide.ServiceID, map[string]decide.CustomerID) {
 	b.ConfigureFlows(int(settings.Float(keyMaxConnects, 1)), RetryAfter(settings))
 	services := addServiceTypes(settings, b)
@@ -38,7 +38,7 @@
 		Balancers:        balancerCount(settings),
 	})
 	b.ConfigureHealthChecks(HealthChecksEnabled(settings))
-	checkNines(settings)
+	checkAvailabilityNines(settings)
 	crossZoneCost := settings.Float(keyCrossZoneCost, 0)
 	migrationCost := settings.Float(keyMigrationCost, 0) + settings.Float(keyHandshakeCost, 0)
 	sizesStated := settings.String(keyWeights, weightsUnstated) != weightsUnstated
@@ -68,8 +68,8 @@
 	return ids
 }
 
-// addCustomers adds the customers with their connection quotas, which bind only where connections beyond them are
-// worth less.
+// addCustomers adds the customers with their connection quotas, which apply only if connections beyond them have a lower
+// value.
 func addCustomers(settings Values, b *decide.Balancer) map[string]decide.CustomerID {
 	ids := map[string]decide.CustomerID{}
 	quotas := settings.floats(keyConnectionQuotas)
@@ -84,9 +84,9 @@
 	return ids
 }
 
-// checkNines checks the weight that availability targets have in the platform's valuation. No decision depends on
-// them; they are read so that a faulty value is reported.
-func checkNines(settings Values) {
+// checkAvailabilityNines validates the weight of availability targets in the platform's valuation. No decision depends on
+// these settings; they are read so that an invalid value is reported.
+func checkAvailabilityNines(settings Values) {
 	weight := settings.Float(keyNinesWeight, 0)
 	full := settings.Float(keyFullNines, 0)
 	if weight < 0 {
@@ -97,10 +97,10 @@
 	}
 }
 
-// balancerCount is the number of balancers in the fleet, this one too.
+// balancerCount returns the number of balancers in the fleet, including this one.
 func balancerCount(settings Values) int { return int(settings.Float(keyBalancers, 1)) }
 
-// RetryAfter is the time after which rejected clients are advised to retry; 0: none is advised.
+// RetryAfter returns the time after which rejected clients are advised to retry; 0 means no advice.
 func RetryAfter(settings Values) time.Duration {
 	if !settings.Bool(keyRetryAfterAllowed) {
 		return 0
@@ -108,12 +108,12 @@
 	return settings.Duration(keyMaxRetryAfter)
 }
 
-// DiscoveryIsPolled reports whether the endpoint list comes only when it is polled.
+// DiscoveryIsPolled reports whether the endpoint list must be polled rather than watched.
 func DiscoveryIsPolled(settings Values) bool {
 	return settings.String(keyDiscoveryMode, "") == discoveryPolled
 }
 
-// MinSetupTarget is the shortest latency objective for set-ups of all service types.
+// MinSetupTarget returns the shortest setup target of all service types.
 func MinSetupTarget(settings Values) (shortest time.Duration) {
 	for _, service := range settings.items(keyServiceTypes) {
 		if target := service.Duration(keySetupTarget); shortest == 0 || target < shortest {
@@ -123,8 +123,8 @@
 	return shortest
 }
 
-// MessageTarget is the shortest latency objective for messages of all service types. A type without one has that
-// of its set-ups; a single one is for all types.
+// MessageTarget returns the shortest latency objective for messages of all service types. The setup target is the default
+// for a type without such an objective; a single objective applies to all types.
 func MessageTarget(settings Values) (shortest time.Duration) {
 	targets := settings.floats(keyMessageTargets)
 	for i, service := range settings.items(keyServiceTypes) {
@@ -132,7 +132,7 @@
 		switch {
 		case len(targets) == 1:
 			target = time.Duration(targets[0])
-		case i < len(targets) && targets[i] > 0: // 0 is not stated: as an objective it would make every message late
+		case i < len(targets) && targets[i] > 0: // 0 means not stated: taken literally, it would make every message late
 			target = time.Duration(targets[i])
 		}
 		if shortest == 0 || target < shortest {
@@ -142,10 +142,10 @@
 	return shortest
 }
 
-// latencyThresholdDivisor is how many times the latency threshold fits into the latency objective for messages.
+// latencyThresholdDivisor is the ratio of the latency objective for messages to the latency threshold.
 const latencyThresholdDivisor = 3
 
-// LatencyThreshold is the latency from which a message counts as late: well before its latency objective is missed.
+// LatencyThreshold returns the latency above which a message counts as late, well below its latency objective.
 func LatencyThreshold(settings Values) time.Duration {
 	return MessageTarget(settings) / latencyThresholdDivisor
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -24,8 +24,8 @@
 	"limits":{"cores":1.5,"memory_mb":192,"sockets":1436},"known":{"revision":1,"complete":true,"members":[]},
 	"peer_listen":"127.0.0.1:7946","peers":["127.0.1.1:7946","127.0.1.2:7946"],"peers_all":"127.0.1.9:7946",` + settingsText + "}"
 
-// read reads everything that a balancer reads, and returns the first fault.
-func read(t *testing.T, text string, env func(string) string) (Values, error) {
+// readAll reads all values that a balancer reads, and returns the first error.
+func readAll(t *testing.T, text string, env func(string) string) (Values, error) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -43,27 +43,27 @@
 	ResourceLimits(values)
 	ConnectTimeout(settings)
 	MaxClientTimeout(settings)
-	ConfigureBalancer(settings, decide.New(1, noActions{}))
+	ConfigureBalancer(settings, decide.New(1, noopActions{}))
 	return values, values.Err()
 }
 
-// noActions carries out the actions that configuring a balancer takes.
-type noActions struct{ decide.Actions }
+// noopActions implements the actions that are called while a balancer is configured; they do nothing.
+type noopActions struct{ decide.Actions }
 
-func (noActions) SetTimer(decide.TimerID, time.Duration) {}
-func (noActions) WatchEndpoints(bool)                    {}
+func (noopActions) SetTimer(decide.TimerID, time.Duration) {}
+func (noopActions) WatchEndpoints(bool)                    {}
 
-// noEnvironment is an environment without variables.
+// noEnvironment is an empty environment.
 func noEnvironment(string) string { return "" }
 
 func TestConfiguration(t *testing.T) {
-	values, err := read(t, configText, noEnvironment)
+	values, err := readAll(t, configText, noEnvironment)
 	if err != nil {
 		t.Fatal(err)
 	}
 	settings := values.DecisionSettings()
 	cores, memory, descriptors := ResourceLimits(values)
-	load, delay := ServerMetrics(settings)
+	load, latency := ServerMetrics(settings)
 	for _, c := range []struct {
 		name      string
 		got, want any
@@ -77,7 +77,7 @@
 		{"message target", MessageTarget(settings), 60 * time.Millisecond},
 		{"health checks", HealthChecksEnabled(settings), true},
 		{"polled discovery", DiscoveryIsPolled(settings), true},
-		{"server metrics", load && delay, true},
+		{"server metrics", load && latency, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if c.got != c.want {
@@ -86,31 +86,31 @@
 		})
 	}
 	t.Run("names", func(t *testing.T) {
-		services, customers := ConfigureBalancer(settings, decide.New(1, noActions{}))
+		services, customers := ConfigureBalancer(settings, decide.New(1, noopActions{}))
 		if services["pay"] != 1 || len(services) != 2 || customers["acme"] != 0 || len(customers) != 1 {
 			t.Errorf("%v, %v", services, customers)
 		}
 	})
 	t.Run("the environment replaces absent keys", func(t *testing.T) {
 		env := func(name string) string { return map[string]string{"PROXY_LISTEN": "127.0.0.9:1"}[name] }
-		values, err := read(t, strings.Replace(configText, `"listen":"127.0.0.1:8080",`, "", 1), env)
+		values, err := readAll(t, strings.Replace(configText, `"listen":"127.0.0.1:8080",`, "", 1), env)
 		if err != nil || values.Addr("listen") != "127.0.0.9:1" {
 			t.Errorf("%q, %v", values.Addr("listen"), err)
 		}
 	})
 }
 
-// An error of a configuration names the faulty key.
+// An error in a configuration names the key.
 func TestConfigurationErrorsNameTheKey(t *testing.T) {
 	for _, c := range []struct{ name, from, to, want string }{
 		{"not JSON", configText, "{", "PROXY_CONFIG: "},
 		{"not an object", configText, "[1]", "PROXY_CONFIG: "},
-		{"no address", `"127.0.0.1:8080"`, `"here"`, `listen: no address with a port: "here"`},
+		{"no address", `"127.0.0.1:8080"`, `"here"`, `listen: want an address with a port, got "here"`},
 		{"address missing", `"discovery":"127.0.0.2:8500",`, "", "discovery: is missing"},
-		{"bad admin address", `"discovery":`, `"control":"here","discovery":`, `control: no address with a port: "here"`},
+		{"bad admin address", `"discovery":`, `"control":"here","discovery":`, `control: want an address with a port, got "here"`},
 		{"bad seed", "8c1f30d27a5be964", "x", "seed: "},
 		{"no memory", `"memory_mb":192`, `"memory_mb":0`, "limits.memory_mb: must be above 0"},
-		{"words for a number", "1436", `"many"`, `limits.sockets: bad number "many"`},
+		{"a word for a number", "1436", `"many"`, `limits.sockets: bad number "many"`},
 		{"bad connect timeout", `"connect-timeout":200000000`, `"connect-timeout":-1`, "settings.policy-limits.connect-timeout: must"},
 		{"no service types", `"service-types"`, `"service-kinds"`, "settings.service-types: is missing or empty"},
 		{"a type without a name", `"name":"live",`, "", "settings.service-types.0.name: is missing"},
@@ -119,7 +119,7 @@
 		{"a bad list", "[250000000,60000000]", `[250000000,"x"]`, `settings.family-info.message-aim: bad number "x"`},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			_, err := read(t, strings.Replace(configText, c.from, c.to, 1), noEnvironment)
+			_, err := readAll(t, strings.Replace(configText, c.from, c.to, 1), noEnvironment)
 			if err == nil || !strings.HasPrefix(err.Error(), c.want) {
 				t.Errorf("error %v, want %s", err, c.want)
 			}
@@ -134,7 +134,7 @@
 	})
 }
 
-// Readers see no difference between the wire's flat pairs and nested JSON.
+// Values from nested JSON are read like the flat pairs that the simulator sends.
 func TestFlatten(t *testing.T) {
 	values, err := fromJSON([]byte(`{"a":{"b":[1,null,"x"],"c":true},"d":[{"e":1.50},{"e":12345678901234567890}],"f":null,"g":[]}`))
 	if err != nil {
@@ -150,19 +150,19 @@
 	}
 }
 
-// Only changes that take no effect without a restart are reported after a reload.
+// Only changes that require a restart are reported after a reload.
 func TestChangedKeys(t *testing.T) {
 	for _, c := range []struct{ name, old, newer, want string }{
 		{"nothing", "", "", ""},
-		{"a key that is reloaded", "127.0.0.2:8500", "127.0.0.9:8500", ""},
-		{"a key that has another value at each start", "8c1f30d27a5be964", "1", ""},
+		{"a reloadable key", "127.0.0.2:8500", "127.0.0.9:8500", ""},
+		{"a key that differs at each start", "8c1f30d27a5be964", "1", ""},
 		{"the cached endpoint list", `"revision":1`, `"revision":9`, ""},
 		{"a limit", `"sockets":1436`, `"sockets":99`, "limits.sockets"},
-		{"two, one of them new", `"memory_mb":192`, `"memory_mb":64,"more":1`, "limits.memory_mb limits.more"},
+		{"two limits, one of them new", `"memory_mb":192`, `"memory_mb":64,"more":1`, "limits.memory_mb limits.more"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			old, err := read(t, configText, noEnvironment)
-			newer, err2 := read(t, strings.Replace(configText, c.old, c.newer, 1), noEnvironment)
+			old, err := readAll(t, configText, noEnvironment)
+			newer, err2 := readAll(t, strings.Replace(configText, c.old, c.newer, 1), noEnvironment)
 			if err != nil || err2 != nil {
 				t.Fatal(err, err2)
 			}
@@ -173,18 +173,18 @@
 	}
 }
 
-// Settings that a deployment leaves out get no values of other deployments, and names have no special meaning.
+// Settings that a deployment does not state get no values of other deployments, and no name has a special meaning.
 func TestSettingsOfOtherDeployments(t *testing.T) {
 	for _, c := range []struct {
 		name, text string
 		target     time.Duration
 		services   string
 	}{
-		{"a message target of one type alone", `{"family-info":{"message-aim":[250000000,null]},"service-types":[
+		{"a message target for one type only", `{"family-info":{"message-aim":[250000000,null]},"service-types":[
 			{"name":"a","setup-target":900000000},{"name":"b","setup-target":700000000}]}`, 250 * time.Millisecond, "a b"},
-		{"of none", `{"service-types":[{"name":"a","setup-target":900000000},{"name":"b","setup-target":700000000}]}`,
+		{"no message target", `{"service-types":[{"name":"a","setup-target":900000000},{"name":"b","setup-target":700000000}]}`,
 			700 * time.Millisecond, "a b"},
-		{"one for all", `{"family-info":{"message-aim":[50000000]},"service-types":[{"name":"a","setup-target":900000000}]}`,
+		{"one message target for all types", `{"family-info":{"message-aim":[50000000]},"service-types":[{"name":"a","setup-target":900000000}]}`,
 			50 * time.Millisecond, "a"},
 		{"names", `{"service-types":[{"name":"null","setup-target":1},{"name":"0","setup-target":1},{"name":"A","setup-target":1},
 			{"name":"a","setup-target":1}],"tenants":[{"name":"null"},{"name":"true"}]}`, 1, "0 A a null"},
@@ -194,11 +194,11 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			services, _ := ConfigureBalancer(settings, decide.New(1, noActions{}))
+			services, _ := ConfigureBalancer(settings, decide.New(1, noopActions{}))
 			names := strings.Join(slices.Sorted(maps.Keys(services)), " ")
 			target := MessageTarget(settings)
 			if names != c.services || target != c.target || settings.Err() != nil {
-				t.Errorf("service types %q, target %v, fault %v", names, target, settings.Err())
+				t.Errorf("service types %q, target %v, error %v", names, target, settings.Err())
 			}
 		})
 	}
--- a/internal/config/json.go
+++ b/internal/config/json.go
@@ -8,15 +8,15 @@
 	"strings"
 )
 
-// fromJSON flattens an object: a list of plain values is joined with commas, a list of objects becomes .count and
-// .0, .1 and so on.
+// fromJSON flattens an object: the plain values of a list are joined with commas, its objects get the paths .0, .1 and so
+// on, and .count is its length.
 func fromJSON(text []byte) (Values, error) {
 	values, _, err := fromJSONWithout(text, "")
 	return values, err
 }
 
-// fromJSONWithout flattens an object except one part, which it returns as it is: a flattened endpoint list would
-// cost more memory than everything else.
+// fromJSONWithout flattens an object except for one member, which it returns unparsed: a flattened endpoint list would
+// use more memory than everything else.
 func fromJSONWithout(text []byte, name string) (Values, []byte, error) {
 	var top map[string]json.RawMessage
 	if err := json.Unmarshal(text, &top); err != nil {
@@ -27,7 +27,7 @@
 	values := FromPairs(map[string]string{})
 	for key, raw := range top {
 		decoder := json.NewDecoder(bytes.NewReader(raw))
-		decoder.UseNumber() // a nanosecond count or a seed must not go through a float
+		decoder.UseNumber() // a float64 would lose digits of a nanosecond count or a seed
 		var value any
 		if err := decoder.Decode(&value); err != nil {
 			return Values{}, nil, fmt.Errorf("not a JSON object: %w", err)
@@ -46,7 +46,7 @@
 	case []any:
 		v.flattenList(path, value)
 	case nil:
-		v.byPath[path] = "" // not "null": a service type or a customer may have this name
+		v.byPath[path] = "" // absent, not the text "null", which may be the name of a service type or a customer
 	default:
 		v.byPath[path] = plainText(value)
 	}
--- a/internal/config/keys.go
+++ b/internal/config/keys.go
@@ -1,27 +1,27 @@
 package config
 
-// Keys at the top of a configuration.
+// Top-level keys of a configuration, and the keys in keyLimits.
 const (
 	keyName      = "name"
 	keyListen    = "listen"
 	keyDiscovery = "discovery" // address of the discovery service
-	keyAdmin     = "control"   // address of the operators' HTTP calls
-	keySeed      = "seed"      // of the random generator
-	keyEndpoints = "known"     // the endpoint list as the platform last knew it
-	keySettings  = "settings"  // of the decisions
-	keyLimits    = "limits"    // of resources
+	keyAdmin     = "control"   // address of the admin API
+	keySeed      = "seed"      // of the random generators
+	keyEndpoints = "known"     // the cached endpoint list, as the platform last knew it
+	keySettings  = "settings"  // the decision settings
+	keyLimits    = "limits"    // the resource limits
 
 	keyCores       = "cores"
 	keyMemory      = "memory_mb"
 	keyDescriptors = "sockets"
 )
 
-// Keys of the settings of the decisions.
+// Keys of the decision settings.
 const (
 	keyZone                 = "az"
-	keyBalancers            = "peers-total" // in the fleet, this one too
+	keyBalancers            = "peers-total" // in the fleet, including this one
 	keyDiscoveryMode        = "discovery"
-	keyWeights              = "weights" // whether the endpoint list states sizes of servers
+	keyWeights              = "weights" // whether the endpoint list states server sizes
 	keyBeyondQuotaValue     = "beyond-share-value"
 	keyConnectTimeout       = "policy-limits.connect-timeout"
 	keyMaxConnects          = "policy-limits.max-connects"
@@ -57,7 +57,7 @@
 	keyRetryWindow        = "window"
 	keyPriorityWeight     = "value"
 
-	countSuffix = ".count" // of the path of a list
+	countSuffix = ".count" // appended to the path of a list for its length
 )
 
 // Tables and keys of the operators' options file.
--- a/internal/config/load_report.go
+++ b/internal/config/load_report.go
@@ -7,40 +7,38 @@
 	"strings"
 )
 
-// loadColumn is the column of a load report that the decisions use.
+// loadColumn is the column of a load report that contains the load.
 const loadColumn = "x0"
 
 // knownColumns are the columns that a load report may have.
 var knownColumns = []string{"outstanding", "backlog", "utilization", "recent_ms", "throughput", "errors_per_s", loadColumn, "x1"}
 
-// needsHealthCheck says for each way in which servers report their load whether it takes a health check to get a
-// report.
+// needsHealthCheck says, by the value of keyReportingMode, whether load reports are obtained by health checks.
 var needsHealthCheck = map[string]bool{"pull": true, "piggyback": false, "silent": false}
 
-// HealthChecksEnabled reports whether health checks are allowed and bring the load. Where the columns of reports are
-// not stated, the load may be among them.
+// HealthChecksEnabled reports whether health checks are allowed and return the load. If the columns of load reports are
+// not stated, the load is assumed to be one of them.
 func HealthChecksEnabled(settings Values) bool {
 	pulled := enum(settings, keyReportingMode, needsHealthCheck, false)
 	columns := settings.list(keyReportColumns)
 	return pulled && settings.Bool(keyHealthChecks) && (columns == nil || slices.Contains(columns, loadColumn))
 }
 
-// UnknownColumns are the stated columns of load reports that have no meaning here.
+// UnknownColumns returns the configured columns of load reports that are not known.
 func UnknownColumns(settings Values) []string {
 	return slices.DeleteFunc(settings.list(keyReportColumns), func(column string) bool {
 		return slices.Contains(knownColumns, column)
 	})
 }
 
-// ServerMetrics reports whether servers report the loads of connections, and the delays of messages.
+// ServerMetrics reports whether servers report the loads of connections, and the latencies of messages.
 func ServerMetrics(settings Values) (load, latency bool) {
 	return settings.Bool(keyServersReportLoad), settings.Bool(keyServersReportLatency)
 }
 
-// ParseLoadReport extracts a server's load over its capacity from a load report, both from the simulator's wire
-// and from a socket. The separators of pairs on sockets are not specified, so the usual ones are all accepted. A
-// value that is cut off, not a number, negative, infinite or present twice counts as absent: a server must not
-// move flows by an impossible value.
+// ParseLoadReport extracts a server's load, as a fraction of its capacity, from a load report of the simulator or from a
+// socket. The pair separators on sockets are not specified, so all the usual ones are accepted. A value that is
+// truncated, not a number, negative, infinite or present twice counts as absent: an impossible value must not move flows.
 func ParseLoadReport(report string) (load float64, ok bool) {
 	occurrences := 0
 	for _, pair := range strings.FieldsFunc(report, isPairSeparator) {
@@ -58,7 +56,7 @@
 
 func isPairSeparator(r rune) bool { return strings.ContainsRune(" ,;\t{}", r) }
 
-// cutPair separates a column's name, without quotes and prefixes such as "named_metrics.", from its value.
+// cutPair splits a pair into a column's name, without quotes and prefixes such as "named_metrics.", and its value.
 func cutPair(pair string) (name, value string, found bool) {
 	i := strings.LastIndexAny(pair, ":=")
 	if i < 0 {
--- a/internal/config/locality.go
+++ b/internal/config/locality.go
@@ -21,17 +21,17 @@
 	defaultRetryAfter, maxRetryAfter     = 500 * time.Millisecond, time.Minute
 )
 
-// Locality is the locality-aware part of an operators' file; it makes the policy of any balancer of the fleet.
+// Locality is the locality section of an options file. The same file can be used for all balancers of the fleet.
 type Locality struct {
 	tiers        map[string][][]decide.Zone // by the zone of the balancer
 	spillover    float64
 	surge        float64
-	failbackRate float64 // flows a minute, of the fleet
+	failbackRate float64 // flows a minute in the whole fleet
 	retryAfter   time.Duration
-	zones        []string // that have tiers, in the order of the file
+	zones        []string // zones with tiers, in the order of the file
 }
 
-// ReadLocality reads the table [halls]; faults are kept in the table.
+// ReadLocality reads the table [halls]; errors are recorded in the table.
 func ReadLocality(table strict.Table) Locality {
 	l := Locality{tiers: map[string][][]decide.Zone{}}
 	l.spillover = table.Float(keySpilloverThreshold, defaultSpillover, 0, maxSpillover)
@@ -44,7 +44,7 @@
 	return l
 }
 
-// readTiers reads the order in which balancers of one zone prefer the zones.
+// readTiers reads the tiers for the balancers of one zone.
 func (l *Locality) readTiers(entry strict.Table) {
 	from := entry.String(keyTiersZone, "")
 	if from == "" {
@@ -52,7 +52,7 @@
 		return
 	}
 	if slices.Contains(l.zones, from) {
-		entry.Fail(keyTiersZone, "%q has an order already", from)
+		entry.Fail(keyTiersZone, "%q has tiers already", from)
 	}
 	l.zones = append(l.zones, from)
 	var seen []string
@@ -72,7 +72,7 @@
 	}
 }
 
-// NewPolicy makes the policy of a balancer with the given settings; seed starts its random generator.
+// NewPolicy returns the locality policy of a balancer with the given settings; seed seeds its random generator.
 func (l Locality) NewPolicy(settings Values, seed uint64) *locality.Policy {
 	return locality.New(locality.Config{
 		Rules:         l.rules(settings),
@@ -89,7 +89,7 @@
 	policy.Reconfigure(l.rules(settings))
 }
 
-// rules are those for a balancer with the given settings.
+// rules returns the rules for a balancer with the given settings.
 func (l Locality) rules(settings Values) locality.Rules {
 	return locality.Rules{
 		Tiers:             l.tiers[settings.String(keyZone, "")],
@@ -101,7 +101,7 @@
 	}
 }
 
-// Text is the table as an operators' file states it.
+// Text returns the section in the format of an options file.
 func (l Locality) Text() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "[%s]\n", tableLocality)
--- a/internal/config/migrate.go
+++ b/internal/config/migrate.go
@@ -7,21 +7,21 @@
 	"slices"
 )
 
-// File is the content of a file, with the name that errors have for it.
+// File is the content of a file, with its name in errors.
 type File struct {
 	Name string
 	Text []byte
 }
 
-// Migrated is what comes of a migration.
+// Migrated is the result of a migration.
 type Migrated struct {
 	Text        []byte   // the new configuration
-	Report      []string // what became of each key and why, sorted
-	IsUnchanged bool     // the old configuration had the new shape already; Text is alike, byte for byte
+	Report      []string // the disposition of each key and the reason, sorted
+	IsUnchanged bool     // the old configuration matched the shape already; Text is identical to it
 }
 
-// Migrate combines an old configuration with a shape: the part of a configuration that describes another place. What
-// neither file states is not stated. Errors name the file and the key.
+// Migrate combines an old configuration with a shape, a partial configuration that describes the new deployment. It adds
+// no default values. Errors name the file and the key.
 func Migrate(old, shape File) (Migrated, error) {
 	from, err := readLeaves(old.Text)
 	if err != nil {
@@ -45,7 +45,7 @@
 	return Migrated{Text: append(text, '\n'), Report: report}, nil
 }
 
-// checkShape refuses keys that are unknown or that no shape may state.
+// checkShape rejects keys that are unknown or not allowed in a shape.
 func checkShape(shape map[string]any) error {
 	for _, key := range sortedKeys(shape) {
 		d, known := dispositions[key]
@@ -53,7 +53,7 @@
 			return fmt.Errorf("%s: unknown key", key)
 		}
 		if d == alwaysDropped {
-			return fmt.Errorf("%s: can't be taken over, %s", key, reasons[key])
+			return fmt.Errorf("%s: can't be taken over, %s", key, dropReasons[key])
 		}
 	}
 	for _, list := range []string{keyServiceTypes, keyCustomers} {
@@ -65,8 +65,8 @@
 	return nil
 }
 
-// checkItems refuses unknown keys in the objects of a list. Anything but a list of objects passes: it is found
-// when the result is read.
+// checkItems rejects unknown keys in the objects of a list. A value that is not a list of objects is accepted: the error
+// is found when the migrated configuration is read.
 func checkItems(key string, value any) error {
 	list, _ := value.([]any)
 	for i, element := range list {
@@ -80,7 +80,8 @@
 	return nil
 }
 
-// mergeLeaves carries over what may stay of the old leaves, adds those of the shape, and reports what became of each.
+// mergeLeaves merges the leaves of the old configuration that may be carried over with those of the shape, and reports
+// the disposition of each.
 func mergeLeaves(from, shape map[string]any) (merged map[string]any, report []string) {
 	merged = map[string]any{}
 	for key, value := range from {
@@ -109,7 +110,7 @@
 }
 
 func dropReason(key string) string {
-	if reason := reasons[key]; reason != "" {
+	if reason := dropReasons[key]; reason != "" {
 		return reason
 	}
 	return "true of the old place alone, and the shape doesn't state it"
--- a/internal/config/migrate_json.go
+++ b/internal/config/migrate_json.go
@@ -14,8 +14,8 @@
 
 func sortedKeys(object map[string]any) []string { return slices.Sorted(maps.Keys(object)) }
 
-// readLeaves reads an object into its values by dotted key; a list is one value. Unlike the usual decoding it
-// refuses a key that is present twice, as one of the two values would be lost.
+// readLeaves decodes an object into its leaf values by dotted key; a list is one value. Unlike json.Unmarshal it rejects
+// duplicate keys, as one of the two values would be lost.
 func readLeaves(text []byte) (map[string]any, error) {
 	if len(bytes.TrimSpace(text)) == 0 {
 		return nil, errors.New("is empty")
@@ -31,14 +31,15 @@
 		return nil, errors.New("want an object")
 	}
 	if _, err := decoder.Token(); err != io.EOF {
-		return nil, errors.New("more follows after the object")
+		return nil, errors.New("unexpected data after the object")
 	}
 	leaves := map[string]any{}
 	addLeaves(leaves, top, "")
 	return leaves, nil
 }
 
-// addLeaves adds the values of an object and of those in it. Objects that are dropped as a whole are not taken apart.
+// addLeaves adds the leaf values of an object and of the objects in it. Objects that are dropped as a whole are added as
+// one value.
 func addLeaves(leaves, object map[string]any, prefix string) {
 	for name, value := range object {
 		key := prefix + name
@@ -50,7 +51,7 @@
 	}
 }
 
-// decodeValue reads one value; the key is for errors.
+// decodeValue reads one value; the key is used in errors.
 func decodeValue(decoder *json.Decoder, key string) (any, error) {
 	token, err := decoder.Token()
 	if err != nil {
@@ -73,9 +74,9 @@
 		if err != nil {
 			return nil, syntaxError(decoder, key, err)
 		}
-		name := token.(string) // the decoder accepts nothing else here
+		name := token.(string) // the decoder only accepts a string here
 		memberKey := strings.TrimPrefix(key+"."+name, ".")
-		if _, twice := object[name]; twice {
+		if _, duplicate := object[name]; duplicate {
 			return nil, fmt.Errorf("%s: stands twice", memberKey)
 		}
 		if object[name], err = decodeValue(decoder, memberKey); err != nil {
@@ -111,7 +112,7 @@
 	return fmt.Errorf("%s: no JSON after byte %d: %w", key, decoder.InputOffset(), err)
 }
 
-// nestLeaves is the object that leaves were read from.
+// nestLeaves is the inverse of readLeaves: it returns the nested object.
 func nestLeaves(leaves map[string]any) map[string]any {
 	top := map[string]any{}
 	for key, value := range leaves {
--- a/internal/config/migrate_keys.go
+++ b/internal/config/migrate_keys.go
@@ -2,31 +2,31 @@
 
 import "strings"
 
-// disposition is what becomes of a key of a configuration when its balancer moves to a deployment of another shape.
+// disposition says how a key of a configuration is treated when its balancer is migrated to another deployment.
 type disposition int
 
 const (
-	carriedOver   disposition = iota // of this balancer or its service: kept, unless the shape states it
-	ofOnePlace                       // true of one place alone: from the shape, or dropped
-	alwaysDropped                    // of the old fleet: dropped, and refused in a shape
+	carriedOver        disposition = iota // belongs to the balancer or its service: kept, unless the shape states it
+	deploymentSpecific                    // valid in one deployment only: taken from the shape, or dropped
+	alwaysDropped                         // belongs to the old fleet: dropped, and rejected in a shape
 )
 
-// dispositions has every key that a configuration may hold. Any other key is unknown: refused in a shape, dropped
-// from an old file.
+// dispositions contains every key that a configuration may have. Any other key is unknown: it is rejected in a shape, and
+// dropped from an old file.
 var dispositions = indexDispositions()
 
-// reasons says why a key is dropped.
-var reasons = map[string]string{
+// dropReasons says why keys are dropped, where there is a specific reason.
+var dropReasons = map[string]string{
 	"known":                        "names servers of the old fleet",
 	"peers":                        "balancers send each other nothing any more",
 	"peers_all":                    "balancers send each other nothing any more",
 	"peer_listen":                  "balancers send each other nothing any more",
 	"settings.policy-limits.peers": "balancers send each other nothing any more",
-	"settings.family-info.park":    "connections end at the balancer",
-	"settings.reporting.how":       "the shape doesn't say whether servers report their load there",
-	"settings.reporting.columns":   "the shape doesn't say what servers report there",
-	"settings.az":                  "a zone of the old place",
-	"settings.areas":               "zones of the old place",
+	"settings.family-info.park":    "connections are terminated at the balancer",
+	"settings.reporting.how":       "the shape doesn't state whether servers report their load",
+	"settings.reporting.columns":   "the shape doesn't state what servers report",
+	"settings.az":                  "a zone of the old deployment",
+	"settings.areas":               "zones of the old deployment",
 }
 
 func indexDispositions() map[string]disposition {
@@ -51,7 +51,7 @@
 			settings.tariffs.connection settings.tariffs.cross-zone settings.tariffs.discovery settings.tariffs.handshake
 			settings.tariffs.late-fail settings.tariffs.moves settings.tariffs.origin settings.tariffs.peer
 			settings.tariffs.probe settings.tariffs.waste settings.tariffs.fleet`,
-		ofOnePlace: `settings.az settings.areas settings.kinds settings.stages settings.peers-total settings.ordinal
+		deploymentSpecific: `settings.az settings.areas settings.kinds settings.stages settings.peers-total settings.ordinal
 			settings.discovery settings.weights settings.reporting.how settings.reporting.columns
 			settings.family-info.report-x0 settings.family-info.report-x1 settings.family-info.tells-load
 			settings.family-info.tells-delay settings.family-info.tenant-quota-connections`,
--- a/internal/config/options.go
+++ b/internal/config/options.go
@@ -12,21 +12,20 @@
 	"yardwinch/locality"
 )
 
-// maxSocketPath bounds the path of a Unix socket in bytes, below the system's own limit of 108.
+// maxSocketPath is the maximum length of the path of a Unix socket in bytes, below the system's limit of 108.
 const maxSocketPath = 100
 
-// Options are the operators' options file. What the file does not name is off.
+// Options are the contents of the operators' options file. A feature without a table in the file is off.
 type Options struct {
 	locality      *Locality // nil: off
 	explainSocket string
 	peers         *Peers // nil: off
 
-	policy  *locality.Policy  // made of locality by Constraints
-	signals *signals.Exchange // made by EnableSignals
+	policy  *locality.Policy  // created from locality by Constraints
+	signals *signals.Exchange // created by EnableSignals
 }
 
-// ReadOptions reads the options file; an empty path stands for no options. An error names the file, the line and
-// the key.
+// ReadOptions reads the options file; an empty path means no options. An error names the file, the line and the key.
 func ReadOptions(path string) (*Options, error) {
 	if path == "" {
 		return &Options{}, nil
@@ -52,17 +51,17 @@
 	if table.Has(tableExplain) {
 		o.explainSocket = readExplainSocket(table.Table(tableExplain))
 	}
-	sharesSignals := table.Table(tableSignals).Bool(keyEnabled, table.Has(tableSignals))
-	sharesTasks := table.Table(tableLeases).Bool(keyEnabled, table.Has(tableLeases))
+	signalsEnabled := table.Table(tableSignals).Bool(keyEnabled, table.Has(tableSignals))
+	leasesEnabled := table.Table(tableLeases).Bool(keyEnabled, table.Has(tableLeases))
 	switch {
 	case table.Has(tablePeers):
 		o.peers = readPeers(table.Table(tablePeers))
-		o.peers.Signals = sharesSignals
-		o.peers.Leases = sharesTasks
-	case sharesSignals:
-		table.Fail(tableSignals, "needs [peers]: nobody else would tell any")
-	case sharesTasks:
-		table.Fail(tableLeases, "needs [peers]: nobody else would do any")
+		o.peers.Signals = signalsEnabled
+		o.peers.Leases = leasesEnabled
+	case signalsEnabled:
+		table.Fail(tableSignals, "needs [peers]: signals are exchanged with other balancers")
+	case leasesEnabled:
+		table.Fail(tableLeases, "needs [peers]: leases are shared among balancers")
 	}
 }
 
@@ -74,27 +73,27 @@
 	return path
 }
 
-// Peers are the options of the exchange with other balancers; nil where nothing is exchanged.
+// Peers returns the options for membership with other balancers; nil if there is none.
 func (o *Options) Peers() *Peers { return o.peers }
 
-// ExplainSocket is the path of the socket on which the balancer explains its decisions; empty: none.
+// ExplainSocket returns the path of the socket on which the balancer explains its decisions; empty means none.
 func (o *Options) ExplainSocket() string { return o.explainSocket }
 
-// SharedText is the part of the options that should be the same at all balancers, as a text to compare.
+// SharedText returns the options that should be the same at all balancers, as a text for comparison.
 func (o *Options) SharedText() (text string) {
 	if o.locality != nil {
 		text = o.locality.Text()
 	}
-	sharesSignals := o.peers != nil && o.peers.Signals
-	sharesTasks := o.peers != nil && o.peers.Leases
-	return text + fmt.Sprintf("%s %v %s %v", tableSignals, sharesSignals, tableLeases, sharesTasks)
+	signalsEnabled := o.peers != nil && o.peers.Signals
+	leasesEnabled := o.peers != nil && o.peers.Leases
+	return text + fmt.Sprintf("%s %v %s %v", tableSignals, signalsEnabled, tableLeases, leasesEnabled)
 }
 
-// Signals is the exchange with other balancers; nil before EnableSignals.
+// Signals returns the exchange of signals with other balancers; nil before EnableSignals.
 func (o *Options) Signals() *signals.Exchange { return o.signals }
 
-// EnableSignals makes the exchange with other balancers; the file must name peers. It publishes the build and the
-// digest of the settings; the incarnation tells this start of the process from earlier ones.
+// EnableSignals creates the exchange of signals with other balancers; Peers must not be nil. The exchange publishes the
+// build and the digest of the settings; the incarnation distinguishes this start of the process from earlier ones.
 func (o *Options) EnableSignals(settings Values, build, settingsDigest string, incarnation uint64) {
 	o.signals = signals.New(signals.Config{
 		Origin:           signals.Origin(o.peers.Name),
@@ -107,7 +106,7 @@
 	})
 }
 
-// Constraints are those that the file enables, in the order in which they are evaluated; seed starts their random
+// Constraints returns the enabled constraints in the order in which they are evaluated; seed seeds their random
 // generators.
 func (o *Options) Constraints(settings Values, seed uint64) (list []constraints.Constraint) {
 	if o.locality != nil {
@@ -120,7 +119,7 @@
 	return list
 }
 
-// Apply takes up the parts of newer options that may change at run time, and names the changed keys that need a
+// Apply applies the changes in newer options that are allowed at run time, and returns the changed keys that require a
 // restart.
 func (o *Options) Apply(newer *Options, settings Values) (restartKeys []string) {
 	switch {
--- a/internal/config/options_test.go
+++ b/internal/config/options_test.go
@@ -46,12 +46,12 @@
 func TestOptions(t *testing.T) {
 	for _, c := range []struct{ name, text, want string }{
 		{"nothing", "", ""},
-		{"all", allOptions, ""},
+		{"all options", allOptions, ""},
 		{"unknown table", "[hall]\nspill = 1\n", ":1: hall: unknown key"},
 		{"unknown key", "[halls]\nspil = 1\n", ":2: halls.spil: unknown key"},
 		{"out of range", "[halls]\nspill = -1\n", ":2: halls.spill: want a number from 0 to 10, got -1"},
 		{"a zone twice in its tiers", zoneTwiceInTiers, ":4: halls.from.0.tiers: names \"a\" twice"},
-		{"tiers of a zone twice", tiersOfZoneTwice, ":5: halls.from.1.hall: \"a\" has an order already"},
+		{"tiers of a zone twice", tiersOfZoneTwice, ":5: halls.from.1.hall: \"a\" has tiers already"},
 		{"no tiers", "[[halls.from]]\nhall = \"a\"\n", ":1: halls.from.0.tiers: is missing"},
 		{"tiers that are not lists", "[[halls.from]]\nhall = \"a\"\ntiers = [\"a\"]\n", ":3: halls.from.0.tiers: want lists of texts"},
 		{"a relative path", "[explain]\nsocket = \"y\"\n", ":2: explain.socket: want the absolute path"},
@@ -68,14 +68,14 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			made := options.Constraints(FromPairs(map[string]string{"az": "a"}), 1)
-			if (len(made) > 0) != strings.Contains(c.text, "halls") {
-				t.Errorf("%+v makes %d constraints", options, len(made))
+			list := options.Constraints(FromPairs(map[string]string{"az": "a"}), 1)
+			if (len(list) > 0) != strings.Contains(c.text, "halls") {
+				t.Errorf("%+v: %d constraints", options, len(list))
 			}
 		})
 	}
 	if options, err := ReadOptions(""); err != nil || len(options.Constraints(FromPairs(nil), 1)) != 0 || options.ExplainSocket() != "" {
-		t.Errorf("without a file something is on: %+v, %v", options, err)
+		t.Errorf("without a file, an option is on: %+v, %v", options, err)
 	}
 }
 
@@ -91,13 +91,13 @@
 	running := read("[halls]\nspill = 0.2\n")
 	running.Constraints(settings, 1)
 	for _, c := range []struct{ name, text, want string }{
-		{"figures of the locality policy", "[halls]\nspill = 0.9\n", ""},
+		{"values of the locality policy", "[halls]\nspill = 0.9\n", ""},
 		{"locality off", "", "halls"},
 		{"a socket", "[halls]\n[explain]\nsocket = \"/x\"\n", "explain.socket"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if keys := strings.Join(running.Apply(read(c.text), settings), " "); keys != c.want {
-				t.Errorf("needs a restart: %q, want %q", keys, c.want)
+				t.Errorf("keys that require a restart: %q, want %q", keys, c.want)
 			}
 		})
 	}
@@ -126,7 +126,7 @@
 	for _, c := range []struct{ from, to, want string }{
 		{"name = \"a\"\n", "", ":1: peers.name: want a name"},
 		{"name = \"a\"", "name = \"a b\"", ":2: peers.name: want a name"},
-		{"bind = \"10.0.0.1:7946\"", "bind = \"0.0.0.0:7946\"", ":4: peers.bind: want an address that the others can reach"},
+		{"bind = \"10.0.0.1:7946\"", "bind = \"0.0.0.0:7946\"", ":4: peers.bind: want an address and port that other balancers can reach"},
 		{"bind = \"10.0.0.1:7946\"", "bind = \"10.0.0.1:0\"", ":4: peers.bind: want an address"},
 		{"seeds = [\"10.0.0.2:7946\"]", "seeds = [\"there\"]", ":5: peers.seeds: want addresses"},
 		{"label", "lable", ":1: peers.label: want a name"},
--- a/internal/config/peers.go
+++ b/internal/config/peers.go
@@ -9,16 +9,16 @@
 
 const maxPeerName = 64 // bytes
 
-// Peers are the options of the exchange with other balancers.
+// Peers are the options for membership with other balancers.
 type Peers struct {
-	Name      string // of this balancer; no two members have the same
-	Label     string // of the fleet; members of other labels are ignored
+	Name      string // of this balancer, unique among the members
+	Label     string // of the fleet; members with other labels are ignored
 	Bind      netip.AddrPort
-	Advertise netip.AddrPort // at which the others reach this balancer
+	Advertise netip.AddrPort // at which the other members reach this balancer
 	Seeds     []string       // addresses of members to join
-	Engine    string         // absolute path of the engine's program; empty: the one beside this program
-	Signals   bool           // what the others publish constrains the decisions
-	Leases    bool           // tasks such as health checks are shared out among the balancers
+	Engine    string         // absolute path of the membership engine's program; empty: in the directory of this program
+	Signals   bool           // signals of other balancers constrain the decisions
+	Leases    bool           // tasks such as health checks are distributed among the balancers
 }
 
 func readPeers(table strict.Table) *Peers {
@@ -33,7 +33,7 @@
 	p.Seeds = table.Strings(keySeeds, nil)
 	for _, seed := range p.Seeds {
 		if _, err := netip.ParseAddrPort(seed); err != nil {
-			table.Fail(keySeeds, "want addresses with their ports, got %q", seed)
+			table.Fail(keySeeds, "want addresses with ports, got %q", seed)
 		}
 	}
 	return p
@@ -47,7 +47,7 @@
 	return name
 }
 
-// readPeerAddress reads an address that other balancers can reach; the key is required where the fallback is not valid.
+// readPeerAddress reads an address that other balancers can reach; the key is required if the fallback is not valid.
 func readPeerAddress(table strict.Table, key string, fallback netip.AddrPort) netip.AddrPort {
 	text := table.String(key, "")
 	if text == "" && fallback.IsValid() {
@@ -55,7 +55,7 @@
 	}
 	address, err := netip.ParseAddrPort(text)
 	if err != nil || address.Port() == 0 || address.Addr().IsUnspecified() {
-		table.Fail(key, "want an address that the others can reach, with its port, such as \"10.0.0.7:7946\", got %q", text)
+		table.Fail(key, "want an address and port that other balancers can reach, such as \"10.0.0.7:7946\", got %q", text)
 	}
 	return address
 }
--- a/internal/config/process.go
+++ b/internal/config/process.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// environment names the variables that stand in for keys which the file leaves out.
+// environment maps keys to the environment variables that are used if the file lacks the key.
 var environment = map[string]string{
 	keyName:      "PROXY_NAME",
 	keyListen:    "PROXY_LISTEN",
@@ -32,8 +32,8 @@
 	bytesPerMebibyte = 1 << 20
 )
 
-// Load reads the configuration file and returns its values and the raw endpoint list in it. env looks up variables
-// of the environment, which stand in for names and addresses that the file leaves out.
+// Load reads the configuration file and returns its values and the raw endpoint list in it. env looks up environment
+// variables, which are used for names and addresses that the file lacks.
 func Load(path string, env func(string) string) (Values, []byte, error) {
 	if path == "" {
 		return Values{}, nil, errors.New("PROXY_CONFIG: is missing")
@@ -45,9 +45,9 @@
 	return Parse(path, text, env)
 }
 
-// Parse is Load for a text that may not have been written to the file yet; errors name the path.
+// Parse is Load for a text that need not have been written to the file yet; errors name the path.
 func Parse(path string, text []byte, env func(string) string) (Values, []byte, error) {
-	values, endpoints, err := fromJSONWithout(text, keyEndpoints) // discovery reads the endpoint list
+	values, endpoints, err := fromJSONWithout(text, keyEndpoints) // the discovery client parses the endpoint list
 	if err != nil {
 		return Values{}, nil, fmt.Errorf("PROXY_CONFIG: %s: %w", path, err)
 	}
@@ -61,11 +61,11 @@
 
 // Top-level keys whose change needs no restart.
 var (
-	reloadableKeys = []string{keyDiscovery} // a running balancer takes them up
-	startOnlyKeys  = []string{keySeed}      // given anew for each start, so that a change means nothing
+	reloadableKeys = []string{keyDiscovery} // a running balancer applies the new value
+	startOnlyKeys  = []string{keySeed}      // different at each start, so a change is not significant
 )
 
-// ChangedKeys names the keys that differ in a newer configuration and need a restart, sorted.
+// ChangedKeys returns the keys that differ in a newer configuration and require a restart, sorted.
 func (v Values) ChangedKeys(newer Values) (keys []string) {
 	all := maps.Clone(v.byPath)
 	maps.Copy(all, newer.byPath)
@@ -82,19 +82,19 @@
 	return keys
 }
 
-// DecisionSettings are the settings that the decisions use.
+// DecisionSettings returns the settings of the decisions.
 func (v Values) DecisionSettings() Values { return v.Sub(keySettings) }
 
-// Addr is an address with a port that must be present.
+// Addr returns a required value, which must be an IP address with a port.
 func (v Values) Addr(path string) string {
 	text := v.required(path)
 	if _, err := netip.ParseAddrPort(text); text != "" && err != nil {
-		v.fail(path, "no address with a port: %q", text)
+		v.fail(path, "want an address with a port, got %q", text)
 	}
 	return text
 }
 
-// AdminAddress is the address of the operators' HTTP calls; empty where there are none.
+// AdminAddress returns the address of the admin API; empty if it is off.
 func AdminAddress(values Values) string {
 	if values.String(keyAdmin, "") == "" {
 		return ""
@@ -102,17 +102,18 @@
 	return values.Addr(keyAdmin)
 }
 
-// Seed is the seed of the random generators.
+// Seed returns the seed of the random generators.
 func Seed(values Values) uint64 {
 	text := values.String(keySeed, "0")
 	seed, err := strconv.ParseUint(text, 16, 64)
 	if err != nil {
-		values.fail(keySeed, "no hexadecimal number of 64 bits: %q", text)
+		values.fail(keySeed, "want a 64-bit hexadecimal number, got %q", text)
 	}
 	return seed
 }
 
-// ResourceLimits are the cores, the bytes of memory and the file descriptors that the balancer may use.
+// ResourceLimits returns the number of cores, the memory in bytes and the number of file descriptors that the balancer may
+// use.
 func ResourceLimits(values Values) (cores int, memory int64, descriptors int) {
 	limits := values.Sub(keyLimits)
 	cores = int(math.Ceil(limits.positive(keyCores, defaultCores)))
@@ -121,12 +122,12 @@
 	return cores, memory, descriptors
 }
 
-// ConnectTimeout is how long the set-up of a connection to a server may take.
+// ConnectTimeout returns the timeout of a connect to a server.
 func ConnectTimeout(settings Values) time.Duration {
 	return time.Duration(settings.positive(keyConnectTimeout, float64(defaultConnectTimeout)))
 }
 
-// MaxClientTimeout is the longest that a client of any service type waits for an answer.
+// MaxClientTimeout returns the longest time that a client of any service type waits for an answer.
 func MaxClientTimeout(settings Values) (longest time.Duration) {
 	if settings.itemCount(keyServiceTypes) == 0 {
 		settings.fail(keyServiceTypes, "is missing or empty")
--- a/internal/config/values.go
+++ b/internal/config/values.go
@@ -1,6 +1,6 @@
-// Package config reads, checks and defaults everything that a balancer is configured with: the configuration of
-// the platform and the operators' options file. It is the edge where the names of settings and options, which are
-// fixed, are mapped to the terms of the code.
+// Package config reads a balancer's configuration, which the platform provides, and the operators' options file. It
+// validates values, applies defaults, and maps the names of settings and options, which are fixed, to the terms of the
+// code.
 package config
 
 import (
@@ -14,16 +14,16 @@
 	"time"
 )
 
-// Values are settings as dotted paths to plain texts. A reader of a faulty value returns its default and the first
-// fault is kept, so that callers check Err once, after reading everything.
+// Values are settings as texts by dotted path. A method that reads an invalid value returns the default and records the
+// error if it is the first, so that callers check Err once, after reading everything.
 type Values struct {
-	byPath map[string]string
-	prefix string // of every path that is read
-	fault  *error // shared by all Values that Sub returned; points to nil until a fault is found
+	byPath   map[string]string
+	prefix   string // prepended to every path that is read
+	firstErr *error // shared by all Values that Sub returned; points to nil until an error is found
 }
 
-// FromPairs returns the values of paths that are flat already, as on the simulator's wire.
-func FromPairs(byPath map[string]string) Values { return Values{byPath: byPath, fault: new(error)} }
+// FromPairs returns values from flat pairs, as the simulator sends them.
+func FromPairs(byPath map[string]string) Values { return Values{byPath: byPath, firstErr: new(error)} }
 
 // Sub returns the values below a path.
 func (v Values) Sub(path string) Values {
@@ -31,7 +31,7 @@
 	return v
 }
 
-// Each calls do with every path and value below the prefix, in order of the paths.
+// Each calls do with every path below the prefix and its value, in path order.
 func (v Values) Each(do func(path, value string)) {
 	for _, path := range slices.Sorted(maps.Keys(v.byPath)) {
 		if relative, ok := strings.CutPrefix(path, v.prefix); ok {
@@ -53,18 +53,18 @@
 
 func (v Values) itemCount(path string) int { return int(v.Float(path+countSuffix, 0)) }
 
-// Err is the first fault that any reader of these values found, with the path of the value.
-func (v Values) Err() error { return *v.fault }
+// Err returns the first error that was found while reading the values, with the path of the value.
+func (v Values) Err() error { return *v.firstErr }
 
-// fail keeps a fault of the value at a path, unless there was one before.
+// fail records an error of the value at a path, unless there is an earlier one.
 func (v Values) fail(path, format string, a ...any) {
-	if *v.fault == nil {
-		*v.fault = fmt.Errorf("%s%s: %s", v.prefix, path, fmt.Sprintf(format, a...))
+	if *v.firstErr == nil {
+		*v.firstErr = fmt.Errorf("%s%s: %s", v.prefix, path, fmt.Sprintf(format, a...))
 	}
 }
 
-// String is the value at a path, or the fallback where it is absent. An empty value and "-", which the simulator's wire
-// has for one that isn't stated, count as absent.
+// String returns the value at a path, or the fallback if it is absent. An empty value counts as absent, as does "-", which
+// the simulator sends for a value that is not stated.
 func (v Values) String(path, fallback string) string {
 	if text := v.byPath[v.prefix+path]; text != "" && text != "-" {
 		return text
@@ -72,7 +72,7 @@
 	return fallback
 }
 
-// required is a value that must be present.
+// required returns the value at a path, which must be present.
 func (v Values) required(path string) string {
 	text := v.String(path, "")
 	if text == "" {
@@ -81,7 +81,7 @@
 	return text
 }
 
-// Float is a finite number, or the fallback where it is absent or faulty.
+// Float returns a finite number, or the fallback if it is absent or invalid.
 func (v Values) Float(path string, fallback float64) float64 {
 	text := v.String(path, "")
 	if text == "" {
@@ -95,7 +95,7 @@
 	return number
 }
 
-// positive is a number above 0, or the fallback where it is absent or faulty.
+// positive returns a number above 0, or the fallback if it is absent or invalid.
 func (v Values) positive(path string, fallback float64) float64 {
 	number := v.Float(path, fallback)
 	if !(number > 0) {
@@ -105,15 +105,15 @@
 	return number
 }
 
-// Duration is a time, which settings give in nanoseconds; 0 where absent.
+// Duration returns a duration, which settings state in nanoseconds; 0 if absent.
 func (v Values) Duration(path string) time.Duration { return time.Duration(v.Float(path, 0)) }
 
-// Bool is true or false; false where absent.
+// Bool returns a boolean; false if absent.
 func (v Values) Bool(path string) bool { return enum(v, path, booleans, false) }
 
 var booleans = map[string]bool{"true": true, "1": true, "false": false, "0": false}
 
-// floats is a list of numbers; an item that is not stated is 0.
+// floats returns a list of numbers; an item that is not stated is 0.
 func (v Values) floats(path string) (numbers []float64) {
 	for _, text := range v.list(path) {
 		if text == "null" || text == "-" || text == "" {
@@ -129,7 +129,7 @@
 	return numbers
 }
 
-// list is a list of texts; nil where absent.
+// list returns a list of texts; nil if absent.
 func (v Values) list(path string) []string {
 	if text := v.String(path, ""); text != "" {
 		return strings.Split(text, ",")
@@ -137,8 +137,8 @@
 	return nil
 }
 
-// enum is the meaning of a value that must be one of the given words, or the fallback where it is absent. An unknown word
-// is a fault, and gives the zero value.
+// enum returns the meaning of a value, which must be one of the given words, or the fallback if it is absent. An unknown
+// word is an error, and results in the zero value.
 func enum[T any](v Values, path string, meanings map[string]T, fallback T) T {
 	text := v.String(path, "")
 	if text == "" {
