--- a/internal/strict/lines.go
+++ b/internal/strict/lines.go
@@ -6,15 +6,15 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// lineFinder notes on which line each key is; tables of a list are numbered from 0.
+// lineFinder records the line of each key; the tables of an array of tables are numbered from 0.
 type lineFinder struct {
 	parser unstable.Parser
-	lines  map[string]int
+	lines  map[string]int // by full key
 	prefix string         // of the keys in the current table
-	tables map[string]int // of each list of tables, so far
+	tables map[string]int // number of tables so far, by the key of their array
 }
 
-// keyLines finds the line of each key in a text that is valid TOML.
+// keyLines returns the line of each key in a text, which must be valid TOML.
 func keyLines(text []byte) map[string]int {
 	f := lineFinder{lines: map[string]int{}, tables: map[string]int{}}
 	f.parser.Reset(text)
@@ -42,7 +42,7 @@
 	}
 }
 
-// key joins the parts of a dotted key, and returns the line of the first.
+// key joins the parts of a dotted key, and returns the line of the first part.
 func (f *lineFinder) key(parts unstable.Iterator) (key string, line int) {
 	var names []string
 	for parts.Next() {
