--- a/internal/config/balancer.go
+++ b/internal/config/balancer.go
@@ -68,8 +68,8 @@
 	return ids
 }
 
-// addCustomers adds the customers with their connection quotas, which apply only if connections beyond them have a lower
-// value.
+// addCustomers adds the customers with their connection quotas, which apply only if connections beyond them have a
+// lower value.
 func addCustomers(settings Values, b *decide.Balancer) map[string]decide.CustomerID {
 	ids := map[string]decide.CustomerID{}
 	quotas := settings.floats(keyConnectionQuotas)
@@ -84,8 +84,8 @@
 	return ids
 }
 
-// checkAvailabilityNines validates the weight of availability targets in the platform's valuation. No decision depends on
-// these settings; they are read so that an invalid value is reported.
+// checkAvailabilityNines validates the weight of availability targets in the platform's valuation. No decision depends
+// on these settings; they are read so that an invalid value is reported.
 func checkAvailabilityNines(settings Values) {
 	weight := settings.Float(keyNinesWeight, 0)
 	full := settings.Float(keyFullNines, 0)
@@ -93,7 +93,7 @@
 		settings.fail(keyNinesWeight, "must not be below 0")
 	}
 	if full < 0 || weight > 0 && full == 0 {
-		settings.fail(keyFullNines, "must be above 0 where %s is", keyNinesWeight)
+		settings.fail(keyFullNines, "must be above 0 if %s is", keyNinesWeight)
 	}
 }
 
@@ -123,8 +123,8 @@
 	return shortest
 }
 
-// MessageTarget returns the shortest latency objective for messages of all service types. The setup target is the default
-// for a type without such an objective; a single objective applies to all types.
+// MessageTarget returns the shortest latency objective for messages of all service types. The setup target is the
+// default for a type without such an objective; a single objective applies to all types.
 func MessageTarget(settings Values) (shortest time.Duration) {
 	targets := settings.floats(keyMessageTargets)
 	for i, service := range settings.items(keyServiceTypes) {
--- a/internal/config/json.go
+++ b/internal/config/json.go
@@ -8,8 +8,8 @@
 	"strings"
 )
 
-// fromJSON flattens an object: the plain values of a list are joined with commas, its objects get the paths .0, .1 and so
-// on, and .count is its length.
+// fromJSON flattens an object: the plain values of a list are joined with commas, its objects get the paths .0, .1 and
+// so on, and .count is its length.
 func fromJSON(text []byte) (Values, error) {
 	values, _, err := fromJSONWithout(text, "")
 	return values, err
--- a/internal/config/load_report.go
+++ b/internal/config/load_report.go
@@ -36,9 +36,10 @@
 	return settings.Bool(keyServersReportLoad), settings.Bool(keyServersReportLatency)
 }
 
-// ParseLoadReport extracts a server's load, as a fraction of its capacity, from a load report of the simulator or from a
-// socket. The pair separators on sockets are not specified, so all the usual ones are accepted. A value that is
-// truncated, not a number, negative, infinite or present twice counts as absent: an impossible value must not move flows.
+// ParseLoadReport extracts a server's load, as a fraction of its capacity, from a load report of the simulator or from
+// a socket. The pair separators on sockets are not specified, so all the usual ones are accepted. A value that is
+// truncated, not a number, negative, infinite or present twice counts as absent: an impossible value must not move
+// flows.
 func ParseLoadReport(report string) (load float64, ok bool) {
 	occurrences := 0
 	for _, pair := range strings.FieldsFunc(report, isPairSeparator) {
--- a/internal/config/migrate.go
+++ b/internal/config/migrate.go
@@ -20,8 +20,8 @@
 	IsUnchanged bool     // the old configuration matched the shape already; Text is identical to it
 }
 
-// Migrate combines an old configuration with a shape, a partial configuration that describes the new deployment. It adds
-// no default values. Errors name the file and the key.
+// Migrate combines an old configuration with a shape, a partial configuration that describes the new deployment. It
+// adds no default values. Errors name the file and the key.
 func Migrate(old, shape File) (Migrated, error) {
 	from, err := readLeaves(old.Text)
 	if err != nil {
@@ -65,8 +65,8 @@
 	return nil
 }
 
-// checkItems rejects unknown keys in the objects of a list. A value that is not a list of objects is accepted: the error
-// is found when the migrated configuration is read.
+// checkItems rejects unknown keys in the objects of a list. A value that is not a list of objects is accepted: the
+// error is found when the migrated configuration is read.
 func checkItems(key string, value any) error {
 	list, _ := value.([]any)
 	for i, element := range list {
--- a/internal/config/migrate_json.go
+++ b/internal/config/migrate_json.go
@@ -14,8 +14,8 @@
 
 func sortedKeys(object map[string]any) []string { return slices.Sorted(maps.Keys(object)) }
 
-// readLeaves decodes an object into its leaf values by dotted key; a list is one value. Unlike json.Unmarshal it rejects
-// duplicate keys, as one of the two values would be lost.
+// readLeaves decodes an object into its leaf values by dotted key; a list is one value. Unlike json.Unmarshal it
+// rejects duplicate keys, as one of the two values would be lost.
 func readLeaves(text []byte) (map[string]any, error) {
 	if len(bytes.TrimSpace(text)) == 0 {
 		return nil, errors.New("is empty")
@@ -38,8 +38,8 @@
 	return leaves, nil
 }
 
-// addLeaves adds the leaf values of an object and of the objects in it. Objects that are dropped as a whole are added as
-// one value.
+// addLeaves adds the leaf values of an object and of the objects in it. Objects that are dropped as a whole are added
+// as one value.
 func addLeaves(leaves, object map[string]any, prefix string) {
 	for name, value := range object {
 		key := prefix + name
--- a/internal/config/migrate_keys.go
+++ b/internal/config/migrate_keys.go
@@ -11,8 +11,8 @@
 	alwaysDropped                         // belongs to the old fleet: dropped, and rejected in a shape
 )
 
-// dispositions contains every key that a configuration may have. Any other key is unknown: it is rejected in a shape, and
-// dropped from an old file.
+// dispositions contains every key that a configuration may have. Any other key is unknown: it is rejected in a shape,
+// and dropped from an old file.
 var dispositions = indexDispositions()
 
 // dropReasons says why keys are dropped, where there is a specific reason.
--- a/internal/config/process.go
+++ b/internal/config/process.go
@@ -112,8 +112,8 @@
 	return seed
 }
 
-// ResourceLimits returns the number of cores, the memory in bytes and the number of file descriptors that the balancer may
-// use.
+// ResourceLimits returns the number of cores, the memory in bytes and the number of file descriptors that the balancer
+// may use.
 func ResourceLimits(values Values) (cores int, memory int64, descriptors int) {
 	limits := values.Sub(keyLimits)
 	cores = int(math.Ceil(limits.positive(keyCores, defaultCores)))
--- a/internal/config/values.go
+++ b/internal/config/values.go
@@ -63,8 +63,8 @@
 	}
 }
 
-// String returns the value at a path, or the fallback if it is absent. An empty value counts as absent, as does "-", which
-// the simulator sends for a value that is not stated.
+// String returns the value at a path, or the fallback if it is absent. An empty value counts as absent, as does "-",
+// which the simulator sends for a value that is not stated.
 func (v Values) String(path, fallback string) string {
 	if text := v.byPath[v.prefix+path]; text != "" && text != "-" {
 		return text
@@ -137,8 +137,8 @@
 	return nil
 }
 
-// enum returns the meaning of a value, which must be one of the given words, or the fallback if it is absent. An unknown
-// word is an error, and results in the zero value.
+// enum returns the meaning of a value, which must be one of the given words, or the fallback if it is absent. An
+// unknown word is an error, and results in the zero value.
 func enum[T any](v Values, path string, meanings map[string]T, fallback T) T {
 	text := v.String(path, "")
 	if text == "" {
--- a/internal/routing/endpoints.go
+++ b/internal/routing/endpoints.go
@@ -147,9 +147,9 @@
 }
 
 // recordStart records when a server last started, by the router's clock. The reported time is another machine's wall
-// clock time, and this machine's wall clock may be stepped at any time, so the reported value only distinguishes starts:
-// a different value means a different start. The converted time is limited to between the last contact with discovery,
-// when the new start was not yet listed, and now.
+// clock time, and this machine's wall clock may be stepped at any time, so the reported value only distinguishes
+// starts: a different value means a different start. The converted time is limited to between the last contact with
+// discovery, when the new start was not yet listed, and now.
 func (r *Router) recordStart(s *server, reported time.Time) {
 	if reported.IsZero() || reported.Equal(s.reportedStart) {
 		return // long ago, or recorded already
--- a/internal/routing/flow.go
+++ b/internal/routing/flow.go
@@ -120,8 +120,8 @@
 	return f, nil
 }
 
-// ResumeFlow opens a flow that was connected to a server before this balancer started, and returns the server's address.
-// The balancer adopts the flow once OnEstablished reports that the connection is up again.
+// ResumeFlow opens a flow that was connected to a server before this balancer started, and returns the server's
+// address. The balancer adopts the flow once OnEstablished reports that the connection is up again.
 func (r *Router) ResumeFlow(request FlowRequest, serverName string) (flow *Flow, addr string, err error) {
 	f, decideRequest, err := r.newFlow(request)
 	if err != nil {
@@ -191,8 +191,8 @@
 }
 
 // StillAllowed reports whether the server still accepts the flow. It is checked just before the first byte is sent, as
-// the server may have begun to drain while the connection was being established. A resumed flow is always allowed, as it
-// is not new to the server.
+// the server may have begun to drain while the connection was being established. A resumed flow is always allowed, as
+// it is not new to the server.
 func (f *Flow) StillAllowed() bool {
 	f.router.mu.Lock()
 	defer f.router.mu.Unlock()
--- a/internal/routing/flowlist.go
+++ b/internal/routing/flowlist.go
@@ -1,7 +1,7 @@
 package routing
 
-// flowList is an intrusive doubly linked list of flows in insertion order: adding and removing a flow take constant time
-// and allocate nothing.
+// flowList is an intrusive doubly linked list of flows in insertion order: adding and removing a flow take constant
+// time and allocate nothing.
 type flowList struct {
 	linkIndex   int // which of a flow's links belongs to this list
 	first, last *Flow
--- a/internal/routing/healthchecks.go
+++ b/internal/routing/healthchecks.go
@@ -55,8 +55,8 @@
 	r.balancer.OnHealthCheck(id, outcome)
 }
 
-// SetHealthCheckFilter sets the function that decides whether this balancer sends a requested health check. It is called
-// with the router locked; nil allows all.
+// SetHealthCheckFilter sets the function that decides whether this balancer sends a requested health check. It is
+// called with the router locked; nil allows all.
 func (r *Router) SetHealthCheckFilter(allows func(id decide.ServerID, now time.Duration) bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/routing/latency.go
+++ b/internal/routing/latency.go
@@ -27,8 +27,8 @@
 )
 
 // latencyTracker tracks which flows and servers may be late. A balancer holds tens of thousands of flows, nearly all of
-// them on time, so the tracker is updated as lines pass: the cost of a check is proportional to the number of late flows
-// and servers, not of all. The router's mutex guards it.
+// them on time, so the tracker is updated as lines pass: the cost of a check is proportional to the number of late
+// flows and servers, not of all. The router's mutex guards it.
 type latencyTracker struct {
 	threshold time.Duration // a longer latency is late
 	nextCheck time.Duration
--- a/internal/routing/metrics.go
+++ b/internal/routing/metrics.go
@@ -9,8 +9,8 @@
 
 // A server's metric lines carry either the load of a connection or the latency of a message at the server, in the same
 // format. Where servers report both, a metric is classified by its timing: a latency, in milliseconds, is sent once a
-// second while the server is late, on any one of its connections; a load, in microseconds of work a second, is sent at no
-// such regular interval.
+// second while the server is late, on any one of its connections; a load, in microseconds of work a second, is sent at
+// no such regular interval.
 const (
 	// sampleIntervalTolerance is how far the interval between two latencies may deviate from latencySampleInterval.
 	sampleIntervalTolerance = 2 * time.Millisecond
@@ -43,8 +43,8 @@
 	flowEnded bool
 }
 
-// metricClassifier distinguishes one server's latency samples from its loads. Its times are on the router's clock; 0 means
-// none.
+// metricClassifier distinguishes one server's latency samples from its loads. Its times are on the router's clock; 0
+// means none.
 type metricClassifier struct {
 	candidates     []latencyCandidate
 	seriesSampleAt time.Duration // last sample of the current series
@@ -59,7 +59,8 @@
 	}
 }
 
-// classify reports whether a metric is a latency rather than a load, and records it for the classification of later ones.
+// classify reports whether a metric is a latency rather than a load, and records it for the classification of later
+// ones.
 func (c *metricClassifier) classify(m metric, threshold time.Duration) (isLatency bool) {
 	if m.latency > maxLatency {
 		return false
@@ -100,9 +101,9 @@
 }
 
 // confirmsCandidate reports whether a metric is the second sample of a series. A single metric never starts a series,
-// otherwise every load that happened to be low would make a server lose its clients. Nor does a pair on two connections,
-// which occurs by chance every few seconds when there are many connections, unless the server reset connections in
-// between or the first of the two connections ended.
+// otherwise every load that happened to be low would make a server lose its clients. Nor does a pair on two
+// connections, which occurs by chance every few seconds when there are many connections, unless the server reset
+// connections in between or the first of the two connections ended.
 func (c *metricClassifier) confirmsCandidate(m metric) bool {
 	return slices.ContainsFunc(c.candidates, func(first latencyCandidate) bool {
 		return isSampleInterval(m.at-first.at) &&
@@ -165,8 +166,8 @@
 	return f.server.metrics.classify(m, t.threshold)
 }
 
-// metricLatency converts a latency in milliseconds. Values beyond any possible latency are clamped, to keep the conversion
-// from overflowing time.Duration.
+// metricLatency converts a latency in milliseconds. Values beyond any possible latency are clamped, to keep the
+// conversion from overflowing time.Duration.
 func metricLatency(value float64) time.Duration {
 	const maxValue = 2 * float64(maxLatency/time.Millisecond)
 	return time.Duration(min(value, maxValue) * float64(time.Millisecond))
--- a/internal/routing/metrics_test.go
+++ b/internal/routing/metrics_test.go
@@ -77,8 +77,8 @@
 		[]bool{isLoad, isLatency, isLoad}},
 }
 
-// Latencies and loads are sent in the same format: a load misclassified as a latency makes a server lose its clients, and
-// a latency misclassified as a load leaves clients on a late server.
+// Latencies and loads are sent in the same format: a load misclassified as a latency makes a server lose its clients,
+// and a latency misclassified as a load leaves clients on a late server.
 func TestLatencySamplesAmongLoads(t *testing.T) {
 	for _, c := range classifierCases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -1,6 +1,6 @@
 // Package routing provides a blocking API to package decide: open a flow, wait for its decision, report the outcome.
-// Network code sees neither the events nor the actions of package decide, so that another protocol can be served without
-// a change here.
+// Network code sees neither the events nor the actions of package decide, so that another protocol can be served
+// without a change here.
 package routing
 
 import (
@@ -111,8 +111,8 @@
 	return r
 }
 
-// lockForEvent locks the mutex and advances the balancer's clock to the current time, which must precede each event. The
-// caller unlocks.
+// lockForEvent locks the mutex and advances the balancer's clock to the current time, which must precede each event.
+// The caller unlocks.
 func (r *Router) lockForEvent() (now time.Duration) {
 	r.mu.Lock()
 	now = r.Now()
@@ -149,8 +149,8 @@
 	}
 }
 
-// Tick waits until a timer or latency check is due and runs all that are due. It returns early without running any when an
-// earlier timer has been set. It fails only when the context ends, with the context's error.
+// Tick waits until a timer or latency check is due and runs all that are due. It returns early without running any when
+// an earlier timer has been set. It fails only when the context ends, with the context's error.
 func (r *Router) Tick(ctx context.Context) error {
 	timer := time.NewTimer(r.timeUntilDue())
 	defer timer.Stop()
--- a/internal/routing/servers.go
+++ b/internal/routing/servers.go
@@ -42,7 +42,8 @@
 }
 
 // assignServerID returns a server's id, and adds the server if it is new. The id is derived from the name alone, as all
-// balancers must choose the same preferred server for a group; in a hash collision the second name gets the next free id.
+// balancers must choose the same preferred server for a group; in a hash collision the second name gets the next free
+// id.
 func (r *Router) assignServerID(name string) decide.ServerID {
 	if id, ok := r.serverIDs[name]; ok {
 		return id
--- a/internal/routing/snapshot.go
+++ b/internal/routing/snapshot.go
@@ -51,9 +51,9 @@
 	return s.Decisions.Validate()
 }
 
-// Restore takes over another process's snapshot, before the first decision of this router. The clock continues from that
-// process's clock, so that all times stay valid; timers that are already set keep the time that remains until they are
-// due.
+// Restore takes over another process's snapshot, before the first decision of this router. The clock continues from
+// that process's clock, so that all times stay valid; timers that are already set keep the time that remains until they
+// are due.
 func (r *Router) Restore(snapshot Snapshot) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/strict/numbers.go
+++ b/internal/strict/numbers.go
@@ -41,7 +41,8 @@
 	return int(number)
 }
 
-// IncreasingInts returns a list of integers from minimum to maximum, each greater than the one before it; nil if absent.
+// IncreasingInts returns a list of integers from minimum to maximum, each greater than the one before it; nil if
+// absent.
 func (t Table) IncreasingInts(key string, minimum, maximum int) (numbers []int) {
 	value, present := t.get(key)
 	if !present {
--- a/internal/strict/strict.go
+++ b/internal/strict/strict.go
@@ -1,5 +1,5 @@
-// Package strict reads TOML files. Unknown keys and values of another type or range than expected are errors, which name
-// the file, the line and the key, and say what was expected.
+// Package strict reads TOML files. Unknown keys and values of another type or range than expected are errors, which
+// name the file, the line and the key, and say what was expected.
 package strict
 
 import (
@@ -93,8 +93,8 @@
 	return line
 }
 
-// Err returns the error that is first in the file, unknown keys included. It must be called on the top-level table, after
-// everything has been read.
+// Err returns the error that is first in the file, unknown keys included. It must be called on the top-level table,
+// after everything has been read.
 func (t Table) Err() error {
 	t.file.addUnknownKeyErrors(t.values, "")
 	if len(t.file.errs) == 0 {
--- a/internal/transport/budget.go
+++ b/internal/transport/budget.go
@@ -45,8 +45,8 @@
 	idle       list.List // of *Conn, longest idle first
 }
 
-// NewDescriptorBudget returns a budget of n descriptors. closingReply is sent on a connection that is closed to free its
-// descriptor.
+// NewDescriptorBudget returns a budget of n descriptors. closingReply is sent on a connection that is closed to free
+// its descriptor.
 func NewDescriptorBudget(n int, closingReply string) *DescriptorBudget {
 	return &DescriptorBudget{
 		closingReply:       closingReply,
@@ -222,8 +222,8 @@
 	})
 }
 
-// MarkActive records that a client has sent a request, so that its connection is no longer idle. It reports false if the
-// connection was closed to free its descriptor.
+// MarkActive records that a client has sent a request, so that its connection is no longer idle. It reports false if
+// the connection was closed to free its descriptor.
 func (c *Conn) MarkActive() bool {
 	if c.budget == nil {
 		return true
--- a/internal/transport/budget_test.go
+++ b/internal/transport/budget_test.go
@@ -10,8 +10,8 @@
 )
 
 // The accept loop survives a lack of descriptors. Clients that send nothing, or have been sent their last line, block
-// neither accepts nor flows: the connection that has been idle longest is closed first, with a reply. Connections in use
-// are never closed.
+// neither accepts nor flows: the connection that has been idle longest is closed first, with a reply. Connections in
+// use are never closed.
 func TestDescriptorBudget(t *testing.T) {
 	const descriptors, reply = 4 * clientReserve, "GO\n"
 	inner := listen(t)
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -1,5 +1,5 @@
-// Package transport accepts and dials TCP connections and relays lines between them. It finds the ends of lines and does
-// not interpret their content.
+// Package transport accepts and dials TCP connections and relays lines between them. It finds the ends of lines and
+// does not interpret their content.
 package transport
 
 import (
@@ -20,8 +20,8 @@
 	maxLineBytes       = 4096 + 2 // including CRLF
 	initialBufferBytes = 256
 
-	// writeTimeout limits a write. A line that the peer does not accept in time is lost together with its connection, as
-	// a longer wait would delay all lines after it.
+	// writeTimeout limits a write. A line that the peer does not accept in time is lost together with its connection,
+	// as a longer wait would delay all lines after it.
 	writeTimeout = 900 * time.Millisecond
 	// lingerTimeout is how long the peer of a connection that is being closed may take to read the last line.
 	lingerTimeout = 250 * time.Millisecond
@@ -32,8 +32,8 @@
 // ErrTooLong means that a line exceeds maxLineBytes.
 var ErrTooLong = errors.New("line is longer than 4 KiB")
 
-// Conn is a connection with a read buffer, which grows as lines require and is compacted in place. At most one goroutine
-// may read at a time, and at most one may write.
+// Conn is a connection with a read buffer, which grows as lines require and is compacted in place. At most one
+// goroutine may read at a time, and at most one may write.
 type Conn struct {
 	raw net.Conn
 
--- a/internal/transport/conn_test.go
+++ b/internal/transport/conn_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// Read must leave everything after a line to the relay, and a line without an end must not grow the buffer without bound.
+// Read must leave everything after a line to the relay, and a line without an end must not grow the buffer without
+// bound.
 func TestRead(t *testing.T) {
 	for _, c := range []struct {
 		name, sent string
--- a/internal/transport/dial.go
+++ b/internal/transport/dial.go
@@ -14,8 +14,8 @@
 const (
 	initialLocalBackoff = time.Millisecond
 	maxLocalBackoff     = 25 * time.Millisecond
-	// localRetryTimeout is how long a dial that fails for lack of local resources is retried. After that, trying another
-	// server is as likely to succeed, and the client may be due a final answer.
+	// localRetryTimeout is how long a dial that fails for lack of local resources is retried. After that, trying
+	// another server is as likely to succeed, and the client may be due a final answer.
 	localRetryTimeout = 250 * time.Millisecond
 )
 
@@ -23,8 +23,8 @@
 	// ErrLocalResources means that a dial failed for lack of resources on this machine, which says nothing about the
 	// server.
 	ErrLocalResources = errors.New("lack of descriptors, ports, memory or a network route on this machine")
-	// ErrNoLongerWanted means that the last check before a connect found it no longer wanted: nothing was sent, not even
-	// a SYN.
+	// ErrNoLongerWanted means that the last check before a connect found it no longer wanted: nothing was sent, not
+	// even a SYN.
 	ErrNoLongerWanted = errors.New("connection no longer wanted")
 )
 
@@ -36,8 +36,8 @@
 
 // Dial connects to a server; its descriptor is the one acquired with AcquireServerSlot. isWanted, if not nil, is called
 // directly before the connect system call, after everything that may take time. A dial that fails for lack of local
-// resources has sent nothing, and is retried for a while. The error is ErrNoLongerWanted, ErrLocalResources, the context's
-// error or a network error.
+// resources has sent nothing, and is retried for a while. The error is ErrNoLongerWanted, ErrLocalResources, the
+// context's error or a network error.
 func (d Dialer) Dial(ctx context.Context, addr string, timeout time.Duration, isWanted func() bool) (*Conn, error) {
 	dialer := net.Dialer{Timeout: timeout, KeepAlive: -1} // keep-alive would detect nothing that the lines don't
 	if isWanted != nil {
--- a/internal/transport/listener.go
+++ b/internal/transport/listener.go
@@ -94,9 +94,9 @@
 	}
 }
 
-// Finish makes the listener accept what is in its queue, and nothing more: the kernel establishes no new connections, as
-// they would be reset when the listener closes. A paused listener leaves the whole queue to the other process. A further
-// call extends the time during which the queue is checked.
+// Finish makes the listener accept what is in its queue, and nothing more: the kernel establishes no new connections,
+// as they would be reset when the listener closes. A paused listener leaves the whole queue to the other process. A
+// further call extends the time during which the queue is checked.
 func (p *PausableListener) Finish() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -113,8 +113,8 @@
 // setAcceptDeadline sets the deadline of accepts, a pending one included; the zero time removes it.
 func (p *PausableListener) setAcceptDeadline(t time.Time) { _ = p.SetDeadline(t) } // fails on a closed listener only
 
-// Accept fails with errFinished once the queue of a finishing listener is empty. Before that, an exceeded deadline was set
-// by Pause, even if Resume has been called since, and Accept continues.
+// Accept fails with errFinished once the queue of a finishing listener is empty. Before that, an exceeded deadline was
+// set by Pause, even if Resume has been called since, and Accept continues.
 func (p *PausableListener) Accept() (net.Conn, error) {
 	for {
 		isFinishing, err := p.prepareAccept()
--- a/internal/transport/relay.go
+++ b/internal/transport/relay.go
@@ -75,10 +75,10 @@
 	c.InterruptRead()
 }
 
-// Relay copies the input of src to dst as it arrives. It calls onLine with each complete line before it writes the end of
-// the line: a reply must not be seen before the line that it answers. Parts of lines are written without waiting for the
-// rest. Relay returns io.EOF when src has ended its sending, ErrStopped or ErrMidLine after Stop, ErrParked after Park,
-// and a SideError when a connection fails.
+// Relay copies the input of src to dst as it arrives. It calls onLine with each complete line before it writes the end
+// of the line: a reply must not be seen before the line that it answers. Parts of lines are written without waiting for
+// the rest. Relay returns io.EOF when src has ended its sending, ErrStopped or ErrMidLine after Stop, ErrParked after
+// Park, and a SideError when a connection fails.
 func Relay(dst, src *Conn, onLine func(line []byte)) error {
 	for {
 		if err := src.relayUnread(dst, onLine); err != nil {
--- a/internal/transport/serve.go
+++ b/internal/transport/serve.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// acceptRetryInterval is the wait after an accept that failed because the system is out of resources, or because the
-	// client has left.
+	// acceptRetryInterval is the wait after an accept that failed because the system is out of resources, or because
+	// the client has left.
 	acceptRetryInterval = 10 * time.Millisecond
 	// finalAcceptTimeout limits how long failing accepts from the queue are retried after the context has ended.
 	finalAcceptTimeout = 2 * time.Second
--- a/internal/transport/serve_test.go
+++ b/internal/transport/serve_test.go
@@ -13,7 +13,8 @@
 	"time"
 )
 
-// refusingListener is a listener whose accepts fail with ENFILE until isAccepting is set. It counts the failed attempts.
+// refusingListener is a listener whose accepts fail with ENFILE until isAccepting is set. It counts the failed
+// attempts.
 type refusingListener struct {
 	*PausableListener
 	isAccepting atomic.Bool
--- a/internal/transport/synfilter.go
+++ b/internal/transport/synfilter.go
@@ -13,10 +13,10 @@
 	acceptSegment  = 1 << 18 // bytes to accept: more than any segment has
 )
 
-// dropNewConnections makes the kernel drop SYN segments to a listener. Connections that are being established or wait in
-// the queue are not affected: as no new ones follow, the queue can be emptied and the listener closed without resetting a
-// connection. A client whose SYN was dropped sends it again after a second, and finds the listener closed. A kernel
-// without socket filters keeps accepting new connections.
+// dropNewConnections makes the kernel drop SYN segments to a listener. Connections that are being established or wait
+// in the queue are not affected: as no new ones follow, the queue can be emptied and the listener closed without
+// resetting a connection. A client whose SYN was dropped sends it again after a second, and finds the listener closed.
+// A kernel without socket filters keeps accepting new connections.
 func dropNewConnections(l *net.TCPListener) {
 	raw, err := l.SyscallConn()
 	if err != nil {
