--- a/decide/admission.go
+++ b/decide/admission.go
@@ -8,10 +8,10 @@
 // How many attempts may be out, and which flows wait in the admission queue or are shed.
 
 const (
-	fleetSetupLimit = 48.0                    // attempts out at once while set-ups succeed, over all balancers
-	minSetupSpacing = 8 * time.Millisecond    // between attempts while set-ups fail, over all balancers
-	maxSetupSpacing = 16 * time.Second        // between attempts while set-ups fail
-	maxClosedTime   = 3500 * time.Millisecond // without any attempt, each of which could show a recovery
+	fleetSetupLimit   = 48.0                    // attempts out at once while set-ups succeed, over all balancers
+	minSetupSpacing   = 8 * time.Millisecond    // between attempts while set-ups fail, over all balancers
+	maxSetupSpacing   = 16 * time.Second        // between attempts while set-ups fail
+	maxConnectBackoff = 3500 * time.Millisecond // without any attempt, each of which could show a recovery
 
 	// Forced attempts keep a balancer from rejecting for 4 s on end.
 	forcedAttemptAfter      = 3 * time.Second // since the last attempt
@@ -20,7 +20,7 @@
 	sharedFailureShare  = 0.5 // of recent set-ups
 	sharedFailureSample = 3   // recent set-ups needed to infer a shared failure
 
-	deviations = 2 // standard deviations of a sample that are put down to chance
+	significantDeviations = 2 // standard deviations of a sample that are put down to chance
 )
 
 // admission is the concurrency limit on attempts, with additive increase and multiplicative decrease, and its queue.
@@ -28,7 +28,7 @@
 	concurrencyLimit float64
 	queue            []*flow       // waiting, oldest first
 	spacing          time.Duration // between attempts once the limit is 1
-	reopensAt        time.Duration
+	backoffUntil     time.Duration
 	decreasedAt      time.Duration
 	recentSetups     []sample // over all servers
 	lastConnectAt    time.Duration
@@ -43,7 +43,7 @@
 
 // mayConnect reports whether the concurrency limit allows one more attempt.
 func (b *Balancer) mayConnect() bool {
-	return b.now >= b.admission.reopensAt && float64(len(b.flows.connecting)) < b.admission.concurrencyLimit
+	return b.now >= b.admission.backoffUntil && float64(len(b.flows.connecting)) < b.admission.concurrencyLimit
 }
 
 // queueDeadline is when a flow that is still in the admission queue is answered.
@@ -78,8 +78,8 @@
 	b.admission.spacing /= 2
 }
 
-// addSetup records the end of a set-up for sharedFailure.
-func (b *Balancer) addSetup(server *serverState, failed bool) {
+// recordSetup records the end of a set-up for sharedFailure.
+func (b *Balancer) recordSetup(server *serverState, failed bool) {
 	b.admission.recentSetups = appendWindow(b.admission.recentSetups, sample{server, b.now, failed}, sampleWindow)
 }
 
@@ -108,10 +108,10 @@
 		return
 	}
 	a.spacing = min(max(2*a.spacing, minSetupSpacing*time.Duration(b.slowStart.Balancers)), maxSetupSpacing)
-	shortest := min(a.spacing/2, maxClosedTime*3/4)
-	longest := min(a.spacing*3/2, maxClosedTime)
-	a.reopensAt = b.now + shortest + time.Duration(b.random.uniform()*float64(longest-shortest))
-	b.actions.SetTimer(queueTimer, a.reopensAt-b.now)
+	shortest := min(a.spacing/2, maxConnectBackoff*3/4)
+	longest := min(a.spacing*3/2, maxConnectBackoff)
+	a.backoffUntil = b.now + shortest + time.Duration(b.random.uniform()*float64(longest-shortest))
+	b.actions.SetTimer(queueTimer, a.backoffUntil-b.now)
 }
 
 // isOverQuota reports whether capacity is scarce and the flow's customer has used this balancer's part of its quota.
@@ -122,6 +122,6 @@
 		return false
 	}
 	balancers := float64(b.slowStart.Balancers)
-	own := b.slowStart.quotas[customer] / balancers
-	return float64(b.customerFlows[f.customer]) >= own+deviations*math.Sqrt(own*(1-1/balancers))
+	ownQuota := b.slowStart.quotas[customer] / balancers
+	return float64(b.customerFlows[f.customer]) >= ownQuota+significantDeviations*math.Sqrt(ownQuota*(1-1/balancers))
 }
--- a/decide/admission_test.go
+++ b/decide/admission_test.go
@@ -174,7 +174,7 @@
 			for id := range s.targets { // one or all stand, later than wanted
 				s.balancer.OnEstablished(id, 400*ms)
 			}
-			if gap := s.balancer.admission.reopensAt - 400*ms; c.balancers > 1 && gap < 500*ms {
+			if gap := s.balancer.admission.backoffUntil - 400*ms; c.balancers > 1 && gap < 500*ms {
 				t.Errorf("the next after %v", gap)
 			}
 		})
@@ -184,7 +184,7 @@
 // A flow in the admission queue is answered by its set-up target.
 func TestQueueDeadline(t *testing.T) {
 	s := newHarness(t, Idempotent, DeduplicatedByFleet, 4)
-	s.balancer.admission.reopensAt = 10 * sec
+	s.balancer.admission.backoffUntil = 10 * sec
 	s.request("a", "", 2*sec)
 	s.expect("")
 	s.setTime(300 * ms)
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -8,8 +8,8 @@
 	// writeDelayAllowance is how long a process may be delayed between reading its clock and writing.
 	writeDelayAllowance = 150 * time.Millisecond
 
-	convincingResets = 2 // of one server within latencyMaxAge, from which overload is inferred
-	smallFleet       = 3 // balancers up to which each observes enough for convincingResets
+	minOverloadResets  = 2 // of one server within latencyMaxAge, from which overload is inferred
+	smallBalancerCount = 3 // balancers up to which each observes enough for convincingResets
 )
 
 // transition makes every change of a flow's state, with the accounting that goes with it.
@@ -106,7 +106,7 @@
 	if f.attempts > 0 && b.sharedFailure() {
 		return false
 	}
-	return f.attempts < b.flows.maxAttempts && b.mayRepeat(f)
+	return f.attempts < b.flows.maxAttempts && b.mayRetry(f)
 }
 
 // connect makes an attempt.
@@ -134,7 +134,7 @@
 	left := f.deadline - b.now
 	service := &b.services[f.service]
 	if f.mayHaveRun && service.Effect == IdempotentByKey {
-		left = min(left, b.repeatUntil(f)-b.now) // a connection that comes up late could be forwarded after the window
+		left = min(left, b.retryUntil(f)-b.now) // a connection that comes up late could be forwarded after the window
 	}
 	if service.Effect == NotIdempotent || f.attempts >= b.flows.maxAttempts {
 		return left
@@ -185,7 +185,7 @@
 	if took > b.services[f.service].SetupTarget {
 		b.decreaseConcurrency()
 	} else {
-		b.addSetup(f.server, false)
+		b.recordSetup(f.server, false)
 		b.increaseConcurrency()
 		b.serveQueue()
 	}
@@ -231,7 +231,7 @@
 	server := f.server
 	b.recordOutcome(f, true)
 	share, n := failedShare(server.samples, b.now-latencyMaxAge)
-	if share*float64(n) >= convincingResets || b.isOverloaded(server) || b.slowStart.Balancers > smallFleet {
+	if share*float64(n) >= minOverloadResets || b.isOverloaded(server) || b.slowStart.Balancers > smallBalancerCount {
 		server.latency = max(server.latency, b.list.MessageTarget)
 		server.latencyAt = b.now
 		b.reduceLimit(server)
@@ -259,9 +259,9 @@
 	b.serveQueue()
 }
 
-// mayRepeat reports whether another attempt is allowed: never with one outstanding, and after one that may have
+// mayRetry reports whether another attempt is allowed: never with one outstanding, and after one that may have
 // run only as the service type allows.
-func (b *Balancer) mayRepeat(f *flow) bool {
+func (b *Balancer) mayRetry(f *flow) bool {
 	if f.outstanding != 0 || b.now >= f.deadline {
 		return false
 	}
@@ -269,14 +269,14 @@
 	case Idempotent:
 		return true
 	case IdempotentByKey:
-		return !f.mayHaveRun || b.now < b.repeatUntil(f)
+		return !f.mayHaveRun || b.now < b.retryUntil(f)
 	default:
 		return !f.mayHaveRun
 	}
 }
 
-// repeatUntil is when servers may stop dropping the repeats of a flow of which an attempt may have run.
-func (b *Balancer) repeatUntil(f *flow) time.Duration {
+// retryUntil is when servers may stop dropping the repeats of a flow of which an attempt may have run.
+func (b *Balancer) retryUntil(f *flow) time.Duration {
 	return f.firstRunAt + b.services[f.service].RetryWindow - writeDelayAllowance
 }
 
--- a/decide/health.go
+++ b/decide/health.go
@@ -17,23 +17,23 @@
 	outlierSample      = 2   // recent outcomes needed to eject a server
 	outlierMargin      = 0.5 // share of failures above the fleet's median
 
-	firstEjectionTime   = time.Second
-	maxEjectionTime     = 16 * time.Second
-	maxUnreachable      = 2  // attempts in a row that end as Unreachable, from which a server is silent
-	maxProbationLimit   = 16 // flows out at once
-	provenProbation     = 8  // probation limit beyond which probation ends
-	firstProbationLimit = 1  // flows out at once
+	baseEjectionTime      = time.Second
+	maxEjectionTime       = 16 * time.Second
+	unreachableThreshold  = 2  // attempts in a row that end as Unreachable, from which a server is silent
+	maxProbationLimit     = 16 // flows out at once
+	passedProbationLimit  = 8  // probation limit beyond which probation ends
+	initialProbationLimit = 1  // flows out at once
 
-	backlogDrainTime   = 1400 * time.Millisecond // in which a backlog is to be gone
-	overloadedFraction = 3                       // latency above objective/3 is overload
-	scarceFraction     = 5                       // capacity is scarce when servers/5 are overloaded
+	backlogDrainTime         = 1400 * time.Millisecond // in which a backlog is to be gone
+	overloadedLatencyDivisor = 3                       // latency above objective/3 is overload
+	scarceCapacityDivisor    = 5                       // capacity is scarce when servers/5 are overloaded
 
-	loadReportMaxAge = 3 * recheckInterval
-	checksPerConnect = 4.0 // health checks that one attempt pays for
-	checksPerRound   = 4   // of each server, at most, in a round of rechecks
-	lightLoad        = 0.7 // load over capacity up to which a server meets its objectives, whatever others have
-	fullLoad         = 1.0 // load over capacity beyond which work piles up
-	openFlowsFactor  = 2   // by which the last check counts as older where flows are open
+	loadReportMaxAge   = 3 * recheckInterval
+	checksPerConnect   = 4.0 // health checks that one attempt pays for
+	checksPerRound     = 4   // of each server, at most, in a round of rechecks
+	lightLoad          = 0.7 // load over capacity up to which a server meets its objectives, whatever others have
+	fullLoad           = 1.0 // load over capacity beyond which work piles up
+	openFlowsAgeFactor = 2   // by which the last check counts as older where flows are open
 )
 
 // health is what is known of the fleet as a whole.
@@ -60,8 +60,8 @@
 	return server.ejected && (b.now < server.ejectedUntil || server.probationFlows >= server.probationLimit)
 }
 
-// isSilent reports whether the last attempts could not reach the server.
-func (s *serverState) isSilent() bool { return s.unreachableInRow >= maxUnreachable }
+// isUnreachable reports whether the last attempts could not reach the server.
+func (s *serverState) isUnreachable() bool { return s.consecutiveUnreachable >= unreachableThreshold }
 
 // recordOutcome records an outcome at the flow's server, and ejects the server or raises its probation limit.
 func (b *Balancer) recordOutcome(f *flow, failed bool) {
@@ -72,12 +72,12 @@
 	server.samples = appendWindow(server.samples, sample{server, b.now, failed}, serverSampleWindow)
 	switch {
 	case !failed:
-		if server.isSilent() { // it was down, whatever the list says so far, and must warm up
+		if server.isUnreachable() { // it was down, whatever the list says so far, and must warm up
 			b.beginSlowStart(server, b.now)
 		}
-		server.unreachableInRow = 0
+		server.consecutiveUnreachable = 0
 		server.probationLimit = min(2*server.probationLimit, maxProbationLimit)
-		server.ejected = server.ejected && server.probationLimit <= provenProbation
+		server.ejected = server.ejected && server.probationLimit <= passedProbationLimit
 	case server.ejected && b.now >= server.ejectedUntil:
 		b.eject(server)
 	case !server.ejected && b.isOutlier(server):
@@ -97,22 +97,22 @@
 func (b *Balancer) eject(server *serverState) {
 	server.ejectionTime = min(2*server.ejectionTime, maxEjectionTime)
 	if server.ejectionTime == 0 || b.now > server.ejectedUntil+outcomeMaxAge {
-		server.ejectionTime = firstEjectionTime
+		server.ejectionTime = baseEjectionTime
 	}
 	if !server.ejected {
 		b.health.overview.ejected++
 	}
 	server.ejected = true
-	server.probationLimit = firstProbationLimit
+	server.probationLimit = initialProbationLimit
 	server.ejectedUntil = b.now + server.ejectionTime
 }
 
 // isCapacityScarce reports whether a fifth of the observed servers, and more than chance explains, are overloaded.
 func (b *Balancer) isCapacityScarce() bool {
 	overview := b.fleetOverview()
-	scarce := overview.observed / scarceFraction
+	scarce := overview.observed / scarceCapacityDivisor
 	return overview.overloaded > 0 &&
-		overview.overloaded >= scarce+deviations*math.Sqrt(scarce*(1-overview.observed/float64(len(b.list.ready)+1)))
+		overview.overloaded >= scarce+significantDeviations*math.Sqrt(scarce*(1-overview.observed/float64(len(b.list.ready)+1)))
 }
 
 // onSetupFailed handles a failed set-up.
@@ -121,8 +121,8 @@
 	switch outcome {
 	case Unreachable:
 		// The attempt did not get as far as what all set-ups share, so that the rest of the fleet does not matter.
-		server.unreachableInRow++
-		if server.isSilent() && !server.ejected {
+		server.consecutiveUnreachable++
+		if server.isUnreachable() && !server.ejected {
 			b.eject(server)
 		}
 	case Full:
@@ -132,7 +132,7 @@
 		b.health.addSetupTime(took, b.now+outcomeMaxAge)
 	}
 	b.recordOutcome(f, true)
-	b.addSetup(server, true)
+	b.recordSetup(server, true)
 	if b.sharedFailure() {
 		b.decreaseConcurrency()
 	}
@@ -142,7 +142,7 @@
 // server is alive.
 func (b *Balancer) OnFlowLoad(id FlowID) {
 	if f := b.flows.byID[id]; f != nil && f.server != nil {
-		f.server.unreachableInRow = 0
+		f.server.consecutiveUnreachable = 0
 	}
 }
 
@@ -162,7 +162,7 @@
 	}
 	server := f.server
 	trend := b.latencyTrend(server, took)
-	server.unreachableInRow = 0
+	server.consecutiveUnreachable = 0
 	server.latency = took
 	server.latencyAt = b.now
 	if b.isOverloaded(server) {
@@ -174,7 +174,7 @@
 	}
 	wanted := migration{share: trend.excess}
 	if trend.isLate {
-		wanted.minSaving = atAnyCost
+		wanted.minSaving = noMinSaving
 	}
 	// Without spare capacity, fewer flows within the objective are worth more than all of them late.
 	wanted.shed = trend.isLate && trend.isGrowing && b.isCapacityScarce()
@@ -201,13 +201,13 @@
 // there on, and one says when it ends.
 func (b *Balancer) isOverloaded(server *serverState) bool {
 	return server.latency > 0 && b.now-server.latencyAt < latencyMaxAge &&
-		server.latency > b.list.MessageTarget/overloadedFraction
+		server.latency > b.list.MessageTarget/overloadedLatencyDivisor
 }
 
 // OnHealthCheck handles the result of a health check. A server that answers enters probation.
 func (b *Balancer) OnHealthCheck(server ServerID, outcome Outcome) {
 	if state := b.list.byID[server]; state != nil && outcome == OK {
-		state.unreachableInRow = 0
+		state.consecutiveUnreachable = 0
 		state.ejectedUntil = min(state.ejectedUntil, b.now)
 	}
 }
@@ -235,9 +235,9 @@
 	h := &b.health
 	servers := float64(len(b.list.ready))
 	held := float64(len(b.flows.established))
-	ownPart := servers / float64(b.slowStart.Balancers)
-	h.checkCredit += min(servers, max(held, ownPart)) * float64(tickInterval) / float64(loadReportMaxAge)
-	h.checkCredit = min(h.checkCredit, servers, 1+held+ownPart)
+	ownShare := servers / float64(b.slowStart.Balancers)
+	h.checkCredit += min(servers, max(held, ownShare)) * float64(tickInterval) / float64(loadReportMaxAge)
+	h.checkCredit = min(h.checkCredit, servers, 1+held+ownShare)
 	// Servers reject most of the checks that all balancers send at once.
 	maxChecks := 1 + checksPerRound*servers*float64(tickInterval)/float64(recheckInterval)
 	if h.checksLoad && h.checkCredit >= 1 {
@@ -262,7 +262,7 @@
 func (b *Balancer) healthCheckAge(server *serverState) int {
 	age := int(b.now - server.healthCheckedAt)
 	if server.openFlows > 0 {
-		age *= openFlowsFactor
+		age *= openFlowsAgeFactor
 	}
 	return age
 }
--- a/decide/health_test.go
+++ b/decide/health_test.go
@@ -22,7 +22,7 @@
 	if s.attemptsTo[1] > 0 {
 		t.Errorf("%d were sent there", s.attemptsTo[1])
 	}
-	s.setTime(firstEjectionTime) // many ends are one sign: it is tried again soon, as it may have been wrong
+	s.setTime(baseEjectionTime) // many ends are one sign: it is tried again soon, as it may have been wrong
 	if got := s.request("later", "", sec); got != 1 {
 		t.Errorf("then goes to %d", got)
 	}
@@ -49,7 +49,7 @@
 func TestFlowsLeaveSilentServer(t *testing.T) {
 	s := newHarness(t, Idempotent, DeduplicatedByFleet, 4)
 	s.adopt("o", 16, "", 1)
-	s.balancer.list.byID[1].unreachableInRow = 2
+	s.balancer.list.byID[1].consecutiveUnreachable = 2
 	s.balancer.OnTimer(tickTimer)
 	if n := s.countActions("move"); n != 3 {
 		t.Errorf("%d moves in one tick, want 3 of 16", n)
@@ -84,7 +84,7 @@
 	for i := range 4 {
 		s.adopt(fmt.Sprint("o", i), 4, "", ServerID(i+1))
 	}
-	s.balancer.list.byID[1].unreachableInRow = 2
+	s.balancer.list.byID[1].consecutiveUnreachable = 2
 	s.balancer.OnFlowLoad("o03")
 	s.balancer.OnTimer(tickTimer)
 	s.expect("")
--- a/decide/list.go
+++ b/decide/list.go
@@ -23,9 +23,9 @@
 
 	pollBackoff time.Duration // 0: the last poll succeeded
 
-	totals     fleetTotals // over ready: flows at all times, the rest as of the last tick or update
-	lowestLoad float64     // of any server that a flow could be migrated to, as of the last tick or update
-	usualSize  float64     // in service: of the first list, or of the most warm servers since; 0: none
+	totals       fleetTotals // over ready: flows at all times, the rest as of the last tick or update
+	lowestLoad   float64     // of any server that a flow could be migrated to, as of the last tick or update
+	baselineSize float64     // in service: of the first list, or of the most warm servers since; 0: none
 
 	// The selection from a long list; see isLong.
 	local          []*serverState // ready, in the own zone
@@ -163,12 +163,12 @@
 			l.departing = append(l.departing, server)
 		}
 	}
-	b.updateUsualSize()
+	b.updateBaselineSize()
 	l.buildIndexes(b.localWeight())
 	b.updateTotals()
 }
 
-func (b *Balancer) updateUsualSize() {
+func (b *Balancer) updateBaselineSize() {
 	all, warm := 0.0, 0.0
 	for _, server := range b.list.ready {
 		share := b.capacityShare(server)
@@ -178,8 +178,8 @@
 			warm += size
 		}
 	}
-	if b.list.usualSize == 0 {
-		b.list.usualSize = all
+	if b.list.baselineSize == 0 {
+		b.list.baselineSize = all
 	}
-	b.list.usualSize = max(b.list.usualSize, warm)
+	b.list.baselineSize = max(b.list.baselineSize, warm)
 }
--- a/decide/longlist_test.go
+++ b/decide/longlist_test.go
@@ -99,7 +99,7 @@
 func TestFewHealthyServersOfLongList(t *testing.T) {
 	const servers, good = 1000, 7
 	faults := map[string]func(b *Balancer, server *serverState){
-		"silent":  func(b *Balancer, server *serverState) { server.unreachableInRow = 2; b.eject(server) },
+		"silent":  func(b *Balancer, server *serverState) { server.consecutiveUnreachable = 2; b.eject(server) },
 		"ejected": func(b *Balancer, server *serverState) { b.eject(server) },
 		"late":    func(b *Balancer, server *serverState) { server.latency, server.latencyAt = sec, b.now },
 		"full":    func(b *Balancer, server *serverState) { server.limit.reduce(0, b.now) },
--- a/decide/placement.go
+++ b/decide/placement.go
@@ -13,7 +13,7 @@
 	transferCostWeight = 10.0
 	openFlowsPrior     = 2.0  // flows that a load is computed from at least, as few flows say little
 	loadPrior          = 0.2  // the same for load reports, or a mean near 0 would make all look full
-	groupingGuard      = 1.25 // times the mean, above which a server attracts no groups
+	groupingLoadBound  = 1.25 // times the mean, above which a server attracts no groups
 	costTolerance      = 1e-9 // costs within it are equal
 
 	randomCandidates = 24 // of a long list, half of them local
@@ -45,14 +45,14 @@
 	meanOpen         float64        // open flows of this balancer per unit of size
 	meanWithFlow     float64        // the same with the flow in hand
 	meanLoad         float64        // over capacity, of servers that report it
-	someBelowGuard   bool           // some server is below the guard
-	holderBelowGuard bool           // such a server holds the group
+	someBelowBound   bool           // some server is below the guard
+	holderBelowBound bool           // such a server holds the group
 	preferred        *serverState   // by rendezvous hashing; nil: none
 }
 
 // groupFlows is how many flows of the group the server holds.
 func (v placementView) groupFlows(server *serverState, group GroupKey) int {
-	if len(v.holders) <= fewHolders && !slices.Contains(v.holders, server) {
+	if len(v.holders) <= maxHolderScan && !slices.Contains(v.holders, server) {
 		return 0
 	}
 	return server.groupTallies[group]
@@ -149,7 +149,7 @@
 // allowed reports whether the flow may go to the server now. Silent servers are excluded outright: with all others
 // full, every flow would go there as soon as they return.
 func (b *Balancer) allowed(f *flow, server *serverState, view placementView) bool {
-	return server.readiness == Ready && (!server.isSilent() || !b.isEjected(server)) &&
+	return server.readiness == Ready && (!server.isUnreachable() || !b.isEjected(server)) &&
 		b.hasCapacity(f, server, view) && b.permitted(f, server, view)
 }
 
@@ -212,8 +212,8 @@
 			continue
 		}
 		wasOverloaded := server.overloadedAt > 0 && b.now-server.overloadedAt < recentOverload
-		view.someBelowGuard = true
-		view.holderBelowGuard = view.holderBelowGuard || view.groupFlows(server, f.group) > 0 && !wasOverloaded
+		view.someBelowBound = true
+		view.holderBelowBound = view.holderBelowBound || view.groupFlows(server, f.group) > 0 && !wasOverloaded
 		if i >= view.preferredCount || f.group == "" {
 			continue
 		}
@@ -222,7 +222,7 @@
 			highest = weight
 		}
 	}
-	if view.holderBelowGuard && view.meanLoad == 0 {
+	if view.holderBelowBound && view.meanLoad == 0 {
 		view.preferred = nil
 	}
 	return view
@@ -235,7 +235,7 @@
 		return false
 	}
 	return !server.ejected && b.rank(f, server) == 0 && b.allowed(f, server, view) &&
-		!b.isAboveGuard(server, flowCounts{open: server.openFlows, group: view.groupFlows(server, f.group)}, view)
+		!b.isAboveLoadBound(server, flowCounts{open: server.openFlows, group: view.groupFlows(server, f.group)}, view)
 }
 
 // preferredWeight is the rendezvous weight of a server. One that was overloaded recently would, as preferred, attract
@@ -263,15 +263,15 @@
 	group int // of the group of the flow in hand
 }
 
-// isAboveGuard reports whether a server attracts no groups: by its load report, though not while it is lightly loaded,
+// isAboveLoadBound reports whether a server attracts no groups: by its load report, though not while it is lightly loaded,
 // or else by this balancer's flows and what chance may add to them where balancers are many.
-func (b *Balancer) isAboveGuard(server *serverState, flows flowCounts, view placementView) bool {
+func (b *Balancer) isAboveLoadBound(server *serverState, flows flowCounts, view placementView) bool {
 	if load, ok := b.reportedLoad(server); ok {
-		return load > max(groupingGuard*view.meanLoad, lightLoad)
+		return load > max(groupingLoadBound*view.meanLoad, lightLoad)
 	}
-	fair := view.meanOpen * b.size(server)
-	chance := 1 - 1/float64(b.slowStart.Balancers)
-	return float64(flows.open) > groupingGuard*fair+deviations*math.Sqrt(fair*chance)+chance*float64(flows.group)
+	fairShare := view.meanOpen * b.size(server)
+	othersShare := 1 - 1/float64(b.slowStart.Balancers)
+	return float64(flows.open) > groupingLoadBound*fairShare+significantDeviations*math.Sqrt(fairShare*othersShare)+othersShare*float64(flows.group)
 }
 
 // size is what a server counts for in means: its listed size, where sizes mean something, times its capacity share.
@@ -303,7 +303,7 @@
 		group--
 	}
 	cost := loadWeight * b.load(server, open, view)
-	mayGroup := !b.isAboveGuard(server, flowCounts{open: open, group: held}, view) || !view.someBelowGuard
+	mayGroup := !b.isAboveLoadBound(server, flowCounts{open: open, group: held}, view) || !view.someBelowBound
 	if f.group != "" && mayGroup && (group > 0 || server == view.preferred) {
 		cost -= groupingWeight
 	} else if f.group != "" {
--- a/decide/rechecks.go
+++ b/decide/rechecks.go
@@ -14,8 +14,8 @@
 	maxRechecksPerTick = 128             // of those that look at other servers
 	migrationMargin    = 1.75            // cost that a migration has to save: more than grouping is ever worth
 	migrationShare     = 1.0 / 8         // of a server's flows, at a time, where nothing says how many
-	atAnyCost          = -math.MaxFloat64
-	slowSetupFraction  = 2 // set-ups beyond target/2 are slow
+	noMinSaving        = -math.MaxFloat64
+	slowSetupDivisor   = 2 // set-ups beyond target/2 are slow
 )
 
 // areSetupsWithinObjective reports whether migrations are affordable: the client of a migrated flow pays its set-up
@@ -25,7 +25,7 @@
 		return false
 	}
 	isOld := b.now-b.health.lastSetupAt > latencyMaxAge
-	return isOld || median(b.health.setupTimes) < b.services[0].SetupTarget/slowSetupFraction
+	return isOld || median(b.health.setupTimes) < b.services[0].SetupTarget/slowSetupDivisor
 }
 
 // recheck migrates an established flow if another server without faults costs less by minSaving.
@@ -36,10 +36,10 @@
 // recheckOrShed does the same, or migrates the flow in any case if it is to be shed.
 func (b *Balancer) recheckOrShed(f *flow, minSaving float64, shed bool) (migrated bool) {
 	view := b.viewFor(f, b.list.ready)
-	costHere := b.cost(f, f.server, view)
+	currentCost := b.cost(f, f.server, view)
 	isBetter := func(server *serverState) bool {
 		return server != f.server && b.allowed(f, server, view) && b.rank(f, server) == 0 &&
-			b.cost(f, server, view) < costHere-minSaving
+			b.cost(f, server, view) < currentCost-minSaving
 	}
 	if !shed && !slices.ContainsFunc(view.candidates, isBetter) {
 		return false
@@ -59,20 +59,20 @@
 	totals.openFlows--
 	view := totals.means()
 	others := f.server.openFlows - 1
-	costHere := b.load(f.server, others, view)
-	leastElsewhere := b.list.lowestLoad
+	currentCost := b.load(f.server, others, view)
+	minCostElsewhere := b.list.lowestLoad
 	flows := flowCounts{open: others, group: f.server.groupTallies[f.group]}
-	if flows.group > 1 && !b.isAboveGuard(f.server, flows, view) {
-		costHere -= groupingWeight
-		leastElsewhere -= groupingWeight
+	if flows.group > 1 && !b.isAboveLoadBound(f.server, flows, view) {
+		currentCost -= groupingWeight
+		minCostElsewhere -= groupingWeight
 	} else if f.group != "" {
-		costHere += groupingWeight * b.groupSpread()
-		leastElsewhere -= groupingWeight
+		currentCost += groupingWeight * b.groupSpread()
+		minCostElsewhere -= groupingWeight
 	}
 	if f.server.zone != b.list.Zone {
-		costHere += transferCostWeight * b.placement.zoneCrossing
+		currentCost += transferCostWeight * b.placement.zoneCrossing
 	}
-	return costHere-minSaving < leastElsewhere-costTolerance
+	return currentCost-minSaving < minCostElsewhere-costTolerance
 }
 
 // recheckSlice continues the round of rechecks.
@@ -136,15 +136,15 @@
 	}
 }
 
-// migrateAwayFromLeaving migrates some of the flows of each server that is departing or silent.
-func (b *Balancer) migrateAwayFromLeaving() {
-	some := migration{share: migrationShare, minSaving: atAnyCost}
+// migrateFromDepartingAndUnreachable migrates some of the flows of each server that is departing or silent.
+func (b *Balancer) migrateFromDepartingAndUnreachable() {
+	wanted := migration{share: migrationShare, minSaving: noMinSaving}
 	for _, server := range b.list.departing {
-		b.migrateAway(server, some)
+		b.migrateAway(server, wanted)
 	}
 	for _, server := range b.list.ready {
-		if server.isSilent() {
-			b.migrateAway(server, some)
+		if server.isUnreachable() {
+			b.migrateAway(server, wanted)
 		}
 	}
 }
--- a/decide/samples.go
+++ b/decide/samples.go
@@ -39,12 +39,12 @@
 // failedShare is the share of failures among the samples since then, and the number of these samples.
 func failedShare(samples []sample, since time.Duration) (share float64, n int) {
 	failed := 0.0
-	for _, one := range samples {
-		if one.at <= since {
+	for _, entry := range samples {
+		if entry.at <= since {
 			continue
 		}
 		n++
-		if one.failed {
+		if entry.failed {
 			failed++
 		}
 	}
--- a/decide/selection.go
+++ b/decide/selection.go
@@ -42,7 +42,7 @@
 		return servers
 	}
 	if l.zones == nil {
-		l.groupByPlace()
+		l.groupByLocation()
 	}
 	if service.Deduplication == DeduplicatedByZone {
 		return l.zones[f.firstRunZone]
@@ -50,8 +50,8 @@
 	return l.cells[f.firstRunCell]
 }
 
-// groupByPlace fills zones and cells. It is done when a repeat first needs them after an update.
-func (l *endpointList) groupByPlace() {
+// groupByLocation fills zones and cells. It is done when a repeat first needs them after an update.
+func (l *endpointList) groupByLocation() {
 	l.zones = map[Zone][]*serverState{}
 	l.cells = map[CellID][]*serverState{}
 	for _, server := range l.ready {
--- a/decide/servers.go
+++ b/decide/servers.go
@@ -5,17 +5,17 @@
 // serverState is what this balancer knows of one server. Each concern keeps its own part.
 type serverState struct {
 	// What each decision reads of each candidate comes first, so that it fits two cache lines.
-	lastSelection    uint64 // the last selection of candidates that contains the server
-	readiness        Readiness
-	openFlows        int // leased: connecting and established
-	size             float64
-	startedAt        time.Duration
-	unreachableInRow int // attempts in a row that ended as Unreachable, with no sign of life since
-	latency          time.Duration
-	id               ServerID
-	ejected          bool
-	disabled         bool // operators have taken it out of service
-	inUpdate         bool // the endpoint update in hand has named it
+	lastSelection          uint64 // the last selection of candidates that contains the server
+	readiness              Readiness
+	openFlows              int // leased: connecting and established
+	size                   float64
+	startedAt              time.Duration
+	consecutiveUnreachable int // attempts in a row that ended as Unreachable, with no sign of life since
+	latency                time.Duration
+	id                     ServerID
+	ejected                bool
+	disabled               bool // operators have taken it out of service
+	inUpdate               bool // the endpoint update in hand has named it
 
 	// Location, load and limit.
 	zone           Zone
--- a/decide/slowstart.go
+++ b/decide/slowstart.go
@@ -70,7 +70,7 @@
 	for _, quota := range b.slowStart.quotas {
 		sum += quota
 	}
-	return sum / float64(b.slowStart.Balancers) / max(b.list.usualSize, minSize)
+	return sum / float64(b.slowStart.Balancers) / max(b.list.baselineSize, minSize)
 }
 
 // hasSlowStartBudget reports whether a server may get one more attempt: any number once it is warm, else what is left of
--- a/decide/snapshot.go
+++ b/decide/snapshot.go
@@ -66,10 +66,10 @@
 func (b *Balancer) Snapshot() Snapshot {
 	snapshot := Snapshot{
 		Now:              b.now,
-		UsualSize:        b.list.usualSize,
+		UsualSize:        b.list.baselineSize,
 		ConcurrencyLimit: b.admission.concurrencyLimit,
 		SetupSpacing:     b.admission.spacing,
-		ReopensAt:        b.admission.reopensAt,
+		ReopensAt:        b.admission.backoffUntil,
 		SetupTimes:       slices.Clone(b.health.setupTimes),
 		LastSetupAt:      b.health.lastSetupAt,
 		FlowLimit:        b.health.flowLimit.snapshot(),
@@ -93,7 +93,7 @@
 		EjectedUntil:     s.ejectedUntil,
 		EjectionTime:     s.ejectionTime,
 		ProbationLimit:   s.probationLimit,
-		UnreachableInRow: s.unreachableInRow,
+		UnreachableInRow: s.consecutiveUnreachable,
 		Latency:          s.latency,
 		LatencyAt:        s.latencyAt,
 		OverloadedAt:     s.overloadedAt,
@@ -107,9 +107,9 @@
 // Restore continues from the snapshot of another instance, whose clock this instance must share. Flows held here stay
 // at their servers.
 func (b *Balancer) Restore(snapshot Snapshot) {
-	b.list.usualSize = snapshot.UsualSize
+	b.list.baselineSize = snapshot.UsualSize
 	b.admission.spacing = snapshot.SetupSpacing
-	b.admission.reopensAt = snapshot.ReopensAt
+	b.admission.backoffUntil = snapshot.ReopensAt
 	b.admission.concurrencyLimit = min(max(snapshot.ConcurrencyLimit, 1), b.maxConcurrency())
 	b.health.setupTimes = snapshot.SetupTimes
 	b.health.lastSetupAt = snapshot.LastSetupAt
@@ -135,24 +135,24 @@
 		established:    s.established,
 		probationFlows: s.probationFlows,
 
-		id:               known.ID,
-		zone:             known.Zone,
-		cell:             known.Cell,
-		size:             known.Size,
-		disabled:         known.Disabled,
-		startedAt:        known.StartedAt,
-		ejected:          known.Ejected,
-		ejectedUntil:     known.EjectedUntil,
-		ejectionTime:     known.EjectionTime,
-		probationLimit:   known.ProbationLimit,
-		unreachableInRow: known.UnreachableInRow,
-		latency:          known.Latency,
-		latencyAt:        known.LatencyAt,
-		overloadedAt:     known.OverloadedAt,
-		limit:            known.FlowLimit.limit(),
-		budgetDue:        known.BudgetDue,
-		budgetSpent:      known.BudgetSpent,
-		budgetAt:         known.BudgetAt,
+		id:                     known.ID,
+		zone:                   known.Zone,
+		cell:                   known.Cell,
+		size:                   known.Size,
+		disabled:               known.Disabled,
+		startedAt:              known.StartedAt,
+		ejected:                known.Ejected,
+		ejectedUntil:           known.EjectedUntil,
+		ejectionTime:           known.EjectionTime,
+		probationLimit:         known.ProbationLimit,
+		consecutiveUnreachable: known.UnreachableInRow,
+		latency:                known.Latency,
+		latencyAt:              known.LatencyAt,
+		overloadedAt:           known.OverloadedAt,
+		limit:                  known.FlowLimit.limit(),
+		budgetDue:              known.BudgetDue,
+		budgetSpent:            known.BudgetSpent,
+		budgetAt:               known.BudgetAt,
 	}
 }
 
--- a/decide/statistics.go
+++ b/decide/statistics.go
@@ -39,18 +39,18 @@
 // the totals of all servers at hand; with them only its candidates are asked, and the flow counts by their part of all.
 func (b *Balancer) setMeans(view *placementView, f *flow, leastExtra float64) {
 	var totals fleetTotals
-	oneFlow := 1.0
+	flowWeight := 1.0
 	switch isLong := b.list.isLong(); {
 	case isLong && b.constraints == nil:
 		totals = b.totalsWithout(f)
 	case isLong:
 		totals = b.totalsFor(f, view.candidates, leastExtra)
-		oneFlow = min(1, totals.size/b.list.totals.size)
+		flowWeight = min(1, totals.size/b.list.totals.size)
 	default:
 		totals = b.totalsFor(f, view.candidates, leastExtra)
 	}
 	view.meanOpen = totals.openFlows / totals.size
-	view.meanWithFlow = (totals.openFlows + oneFlow) / totals.size
+	view.meanWithFlow = (totals.openFlows + flowWeight) / totals.size
 	view.meanLoad = totals.reportedLoad / totals.reportedSize
 }
 
--- a/decide/tallies.go
+++ b/decide/tallies.go
@@ -8,8 +8,8 @@
 	pairs   int                         // of group and holder
 }
 
-// fewHolders is how many holders of a group are searched faster than the tallies of a server.
-const fewHolders = 4
+// maxHolderScan is how many holders of a group are searched faster than the tallies of a server.
+const maxHolderScan = 4
 
 // lease counts the flow at its server. Its counterpart is release.
 func (b *Balancer) lease(f *flow) {
--- a/decide/timers.go
+++ b/decide/timers.go
@@ -36,7 +36,7 @@
 		b.recheckFirst(b.constraints.MigrateFirst())
 	}
 	b.releaseLostAttempts()
-	b.migrateAwayFromLeaving()
+	b.migrateFromDepartingAndUnreachable()
 	b.sendHealthChecks()
 }
 
--- a/internal/testbed/scale/page_fleet.go
+++ b/internal/testbed/scale/page_fleet.go
@@ -87,7 +87,7 @@
 	heapGrowth          = 2.0                    // of the live heap before it is collected, by the Go runtime's default
 	leaseLength         = 6.0                    // seconds; docs/membership.md
 	healthChecksPerFlow = 4.0                    // decide checksPerConnect
-	overloadFactor      = 1.25                   // decide groupingGuard
+	overloadFactor      = 1.25                   // decide groupingLoadBound
 )
 
 // setupLimit is how many connection setups one balancer of the fleet may have in flight.
--- a/internal/testbed/scale/page_test.go
+++ b/internal/testbed/scale/page_test.go
@@ -253,7 +253,7 @@
 		{"../../protocol", "maxServers", maxListedServers},
 		{"../../../decide", "fleetSetupLimit", fleetSetupLimit},
 		{"../../../decide", "minSetupSpacing", gapPerBalancer * 1000},
-		{"../../../decide", "groupingGuard", overloadFactor},
+		{"../../../decide", "groupingLoadBound", overloadFactor},
 		{"../../../decide", "checksPerConnect", healthChecksPerFlow},
 	} {
 		pattern := regexp.MustCompile(`(?m)^\s*` + c.name + `\s*=\s*([0-9._]+)`)
