--- a/decide/admission.go
+++ b/decide/admission.go
@@ -5,38 +5,39 @@
 	"time"
 )
 
-// How many attempts may be out, and which flows wait in the admission queue or are shed.
+// Admission: the limit on concurrent attempts, the queue of flows that wait for one, and load shedding by quota.
 
 const (
-	fleetSetupLimit   = 48.0                    // attempts out at once while set-ups succeed, over all balancers
+	fleetSetupLimit   = 48.0                    // concurrent attempts while set-ups succeed, over all balancers
 	minSetupSpacing   = 8 * time.Millisecond    // between attempts while set-ups fail, over all balancers
 	maxSetupSpacing   = 16 * time.Second        // between attempts while set-ups fail
-	maxConnectBackoff = 3500 * time.Millisecond // without any attempt, each of which could show a recovery
+	maxConnectBackoff = 3500 * time.Millisecond // without any attempt, as an attempt may detect a recovery
 
-	// Forced attempts keep a balancer from rejecting for 4 s on end.
-	forcedAttemptAfter      = 3 * time.Second // since the last attempt
-	forcedAttemptRejections = 8               // since the last attempt
+	// Forced attempts ensure that a balancer never rejects all flows for 4 s.
+	forcedAttemptAfter      = 3 * time.Second // time since the last attempt
+	forcedAttemptRejections = 8               // flows rejected since the last attempt
 
-	sharedFailureShare  = 0.5 // of recent set-ups
-	sharedFailureSample = 3   // recent set-ups needed to infer a shared failure
+	sharedFailureShare  = 0.5 // share of recent set-ups that must have failed to infer a shared failure
+	sharedFailureSample = 3   // recent set-ups required to infer a shared failure
 
-	significantDeviations = 2 // standard deviations of a sample that are put down to chance
+	significantDeviations = 2 // number of standard deviations up to which a deviation counts as random variation
 )
 
-// admission is the concurrency limit on attempts, with additive increase and multiplicative decrease, and its queue.
+// admission limits the number of concurrent attempts, by additive increase and multiplicative decrease, and queues the
+// flows above the limit.
 type admission struct {
 	concurrencyLimit float64
-	queue            []*flow       // waiting, oldest first
-	spacing          time.Duration // between attempts once the limit is 1
-	backoffUntil     time.Duration
-	decreasedAt      time.Duration
-	recentSetups     []sample // over all servers
+	queue            []*flow       // oldest first
+	spacing          time.Duration // between attempts while the limit is 1
+	backoffUntil     time.Duration // no attempt is made before
+	decreasedAt      time.Duration // the last decrease of the limit
+	recentSetups     []sample      // at any server
 	lastConnectAt    time.Duration
 	rejectedSince    int // flows without any attempt that were rejected since lastConnectAt
 }
 
-// forcedAttemptDue reports whether the next flow is to be attempted although no server looks fit for it. Where it may
-// run is restricted as always.
+// forcedAttemptDue reports whether the next flow is attempted even if no server is suitable by its health and load. The
+// restrictions on where a flow may run still apply.
 func (b *Balancer) forcedAttemptDue() bool {
 	return b.admission.rejectedSince >= forcedAttemptRejections && b.now >= b.admission.lastConnectAt+forcedAttemptAfter
 }
@@ -46,7 +47,7 @@
 	return b.now >= b.admission.backoffUntil && float64(len(b.flows.connecting)) < b.admission.concurrencyLimit
 }
 
-// queueDeadline is when a flow that is still in the admission queue is answered.
+// queueDeadline returns when a flow that is still in the admission queue gets its final answer.
 func (b *Balancer) queueDeadline(f *flow) time.Duration {
 	return min(f.deadline, f.arrivedAt+b.services[f.service].SetupTarget)
 }
@@ -56,7 +57,7 @@
 	b.actions.SetTimer(queueTimer, b.queueDeadline(f)-b.now)
 }
 
-// serveQueue places flows from the admission queue while attempts are allowed, and answers those past their deadline.
+// serveQueue places queued flows while attempts are allowed, and gives the final answer to those past their deadline.
 func (b *Balancer) serveQueue() {
 	queue := b.admission.queue
 	b.admission.queue = nil
@@ -72,31 +73,32 @@
 	}
 }
 
-// increaseConcurrency lets one more attempt be out after a set-up in time.
+// increaseConcurrency raises the concurrency limit by 1 after a set-up within its target.
 func (b *Balancer) increaseConcurrency() {
 	b.admission.concurrencyLimit = min(b.admission.concurrencyLimit+1, b.maxConcurrency())
 	b.admission.spacing /= 2
 }
 
-// recordSetup records the end of a set-up for sharedFailure.
+// recordSetup records the result of a set-up for sharedFailure.
 func (b *Balancer) recordSetup(server *serverState, failed bool) {
 	b.admission.recentSetups = appendWindow(b.admission.recentSetups, sample{server, b.now, failed}, sampleWindow)
 }
 
-// sharedFailure reports whether half of the recent set-ups failed, and at more than half of the observed servers.
+// sharedFailure reports whether at least half of the recent set-ups failed, at half of the observed servers or more. The
+// cause is then probably one that all servers share.
 func (b *Balancer) sharedFailure() bool {
 	share, n := failedShare(b.admission.recentSetups, b.now-outcomeMaxAge)
 	return n >= sharedFailureSample && share >= sharedFailureShare && b.medianFailures() > 0
 }
 
-// maxConcurrency is this balancer's part of fleetSetupLimit: when all clients reconnect, all balancers connect at
-// once to what all set-ups share.
+// maxConcurrency returns this balancer's share of fleetSetupLimit. The limit is one over all balancers because, in a mass
+// reconnect, all of them load the resource that all set-ups share.
 func (b *Balancer) maxConcurrency() float64 {
 	return max(1, fleetSetupLimit/float64(b.slowStart.Balancers))
 }
 
-// decreaseConcurrency halves the attempts that may be out, and spaces them once only one may be, against a collapse of
-// what all set-ups share.
+// decreaseConcurrency halves the concurrency limit, and backs off between attempts once the limit is 1, to prevent the
+// collapse of a resource that all set-ups share.
 func (b *Balancer) decreaseConcurrency() {
 	a := &b.admission
 	if b.now < a.decreasedAt+min(median(b.health.setupTimes), tickInterval) {
@@ -114,8 +116,8 @@
 	b.actions.SetTimer(queueTimer, a.backoffUntil-b.now)
 }
 
-// isOverQuota reports whether capacity is scarce and the flow's customer has used this balancer's part of its quota.
-// Admitted in a mass reconnect, such flows would spend at once what warming servers have saved of their budgets.
+// isOverQuota reports whether capacity is scarce and the flow's customer has used this balancer's share of its quota. If
+// such flows were admitted in a mass reconnect, they would immediately spend the saved budgets of warming servers.
 func (b *Balancer) isOverQuota(f *flow) bool {
 	customer := int(f.customer)
 	if customer < 0 || customer >= len(b.slowStart.quotas) || b.slowStart.quotas[customer] == 0 || !b.isCapacityScarce() {
--- a/decide/api.go
+++ b/decide/api.go
@@ -2,34 +2,34 @@
 
 import "time"
 
-// Each kind of id has its own type, so that one cannot be passed for another.
+// Each kind of ID has its own type, so that the compiler rejects one where another is expected.
 type (
-	// FlowID names one flow of this balancer.
+	// FlowID identifies a flow of this balancer.
 	FlowID string
-	// ServerID names a server; it is the same at every balancer.
+	// ServerID identifies a server. All balancers use the same ID for a server.
 	ServerID uint32
 	// ServiceID is the index of a service type in the order of AddService.
 	ServiceID int
 	// CustomerID is the index of a customer in the order of AddCustomer.
 	CustomerID int
-	// GroupKey joins flows that share work at a server.
+	// GroupKey identifies a group: flows that share work if they are at the same server.
 	GroupKey string
 	// FlowKey is the idempotency key of a flow.
 	FlowKey string
-	// Zone names a locality.
+	// Zone is the name of a locality.
 	Zone string
-	// Kind names a machine type.
+	// Kind is the name of a machine type.
 	Kind string
-	// CellID numbers a set of servers that drop each other's repeats.
+	// CellID identifies a cell: servers that share their record of idempotency keys.
 	CellID int
-	// TimerID tells the timers of one instance apart.
+	// TimerID identifies a timer of a Balancer.
 	TimerID int64
 )
 
-// NoCustomer stands for a flow without a customer.
+// NoCustomer is the customer of a flow that has none.
 const NoCustomer CustomerID = -1
 
-// LongAgo is the start of a server that was already running when it was first listed, on the clock of SetTime.
+// LongAgo is the start time, on the clock of SetTime, of a server that was already running when it was first listed.
 const LongAgo = time.Duration(-1 << 62)
 
 // Outcome says how an attempt, a connection or a health check ended.
@@ -37,17 +37,17 @@
 
 // Outcomes.
 const (
-	OK          Outcome = iota // served to its end
+	OK          Outcome = iota // completed normally
 	Error                      // the server answered with an error
-	Full                       // the server rejected it unseen
-	TimedOut                   // no answer within the time allowed
+	Full                       // the server rejected it without processing it
+	TimedOut                   // no answer before the timeout
 	Unreachable                // no connection could be established
 	Reset                      // the connection broke
 	Cancelled                  // the client left, or was asked to leave
-	NeverSent                  // the attempt never went out
+	NeverSent                  // nothing was sent to the server
 )
 
-// String is a word or two for log lines and explanations.
+// String returns the text for log lines and explanations.
 func (o Outcome) String() string {
 	return [...]string{"ok", "error", "full", "timed out", "unreachable", "reset", "cancelled", "never sent"}[o]
 }
@@ -55,17 +55,17 @@
 // NeverRan reports whether the outcome proves that the server did nothing for the flow.
 func (o Outcome) NeverRan() bool { return o == Full || o == Unreachable || o == NeverSent }
 
-// Effect says what running a flow twice would do.
+// Effect says whether a flow may run more than once.
 type Effect int
 
 // Effects.
 const (
-	Idempotent      Effect = iota // may be repeated at any server at any time
-	IdempotentByKey               // servers drop repeats of its key within a scope and a window
+	Idempotent      Effect = iota // may be retried at any server at any time
+	IdempotentByKey               // servers drop duplicates of its key within a scope and a time window
 	NotIdempotent                 // must not run twice
 )
 
-// DeduplicationScope says which servers drop the repeats of a flow that is idempotent by its key.
+// DeduplicationScope is the set of servers that drop duplicates of a flow that is idempotent by its key.
 type DeduplicationScope int
 
 // Deduplication scopes.
@@ -75,114 +75,114 @@
 	DeduplicatedByCell                            // the servers of one cell
 )
 
-// Readiness is what the endpoint list says of a server.
+// Readiness is the state of a server in the endpoint list.
 type Readiness int
 
-// Readiness of a server, the least useful last.
+// Readiness of a server, from most to least available.
 const (
 	Ready    Readiness = iota // takes new flows
-	Draining                  // finishes its flows and takes no new ones
+	Draining                  // completes its flows and takes no new ones
 	Gone                      // no longer listed
 )
 
-// UpdateKind says how the entries that follow relate to the endpoint list held so far.
+// UpdateKind says how the entries of an update change the current endpoint list.
 type UpdateKind int
 
 // Kinds of updates of the endpoint list.
 const (
 	DeltaUpdate  UpdateKind = iota // changed entries only
-	FullUpdate                     // the whole list; what it omits is gone
-	CachedUpdate                   // the whole list as this balancer last knew it, possibly stale
-	FailedUpdate                   // no entries: a call for the list failed, or the watch broke
+	FullUpdate                     // the whole list; servers that it omits are gone
+	CachedUpdate                   // the whole list from this balancer's cache, possibly stale
+	FailedUpdate                   // no entries: a request for the list failed, or the watch was lost
 )
 
-// Flags of a flow as it arrives; they add up.
+// Flags of a new flow; they can be combined.
 const (
 	FlagLoadHint  = 1  // the client's estimate of its load is valid
 	FlagRetry     = 2  // the client retries
-	FlagMidStream = 8  // the connection is open already and was routed here
-	FlagReturning = 16 // the client returns after a break or a migration
+	FlagMidStream = 8  // the connection is already open and was routed here
+	FlagReturning = 16 // the client reconnects after a disconnection or a migration
 )
 
-// Actions is all that a Balancer can do. Every call takes effect at the time of the event in hand.
+// Actions carries out the decisions of a Balancer. Every call takes effect at the time of the current event.
 type Actions interface {
 	// Connect starts an attempt, which fails once the timeout has passed.
 	Connect(id FlowID, server ServerID, timeout time.Duration)
-	// Reject is a final answer: trying again does no harm, after retryAfter if it is not 0.
+	// Reject is a final answer that says that a retry is safe, after retryAfter if that is not 0.
 	Reject(id FlowID, retryAfter time.Duration)
-	// Abort is a final answer that promises nothing.
+	// Abort is a final answer that does not say whether a retry is safe.
 	Abort(FlowID)
 	// Migrate asks the client of an established flow to reconnect.
 	Migrate(FlowID)
-	// HealthCheck asks a server for its load.
+	// HealthCheck sends a health check to a server, which answers with a load report.
 	HealthCheck(ServerID)
-	// SetTimer has OnTimer called once the duration has passed. A timer cannot be cancelled.
+	// SetTimer schedules a call of OnTimer after the duration. A timer cannot be cancelled.
 	SetTimer(timer TimerID, after time.Duration)
 	// WatchEndpoints subscribes to changes of the endpoint list, or ends the subscription.
 	WatchEndpoints(on bool)
 }
 
-// Constraints is what others may say of a flow and a server; a Balancer chooses within it. Each answer is given at
-// once, from what was known before, and asking changes nothing. Migrations off servers that are late, silent or
-// leaving are not asked for: no constraint may hold a client there.
+// Constraints restricts and weights the choices of a Balancer for a flow and a server. Its methods must neither block
+// nor change state. It is not consulted on migrations away from servers that are overloaded, unreachable or departing,
+// as no constraint may keep a client there.
 type Constraints interface {
-	// ServerCost says whether a flow may go to a server now, and at what extra cost. A cost of 1 is what a server of
-	// mean load costs, or what grouping saves.
+	// ServerCost reports whether a flow may go to a server now, and at what extra cost. A cost of 1 is the cost of a
+	// server with the mean load, and also what grouping saves.
 	ServerCost(FlowID, ServerID) (extra float64, ok bool)
-	// AdmitFlow says whether a flow may be admitted at all.
+	// AdmitFlow reports whether a flow may be admitted.
 	AdmitFlow(FlowID) bool
-	// RetryAfter is how long the client of a rejected flow should wait before it retries. A longer time than the preset
+	// RetryAfter returns how long the client of a rejected flow should wait before it retries. A value longer than preset
 	// has no effect.
 	RetryAfter(id FlowID, preset time.Duration) time.Duration
-	// AllowMigration says whether an established flow may be migrated to where it costs less.
+	// AllowMigration reports whether an established flow may be migrated to a server where it costs less.
 	AllowMigration(FlowID) bool
-	// MigrateFirst names the flows to look at before others.
+	// MigrateFirst returns the flows to recheck before others.
 	MigrateFirst() []FlowID
 }
 
-// FlowRequest describes a flow that a client asks for.
+// FlowRequest describes a new flow.
 type FlowRequest struct {
 	ID       FlowID
 	Service  ServiceID
 	Customer CustomerID
-	Key      FlowKey       // no decision depends on it
+	Key      FlowKey       // not used in decisions
 	Group    GroupKey      // empty: none
-	Timeout  time.Duration // until the client gives up; of no meaning for a flow that is adopted
-	Flags    int           // of the Flag constants; no decision depends on them
+	Timeout  time.Duration // until the client gives up; ignored by AdoptFlow
+	Flags    int           // combination of the Flag constants; not used in decisions
 }
 
-// Endpoint is one server as the endpoint list describes it.
+// Endpoint is an entry of the endpoint list.
 type Endpoint struct {
 	ID        ServerID
 	Zone      Zone
 	Cell      CellID
-	Size      float64 // capacity relative to that of other servers, in any unit; 0 or less: not stated
+	Size      float64 // capacity relative to that of other servers, in any unit; 0 or less: unknown
 	Readiness Readiness
-	StartedAt time.Duration // on the clock of SetTime; LongAgo if the list gives no start
+	StartedAt time.Duration // on the clock of SetTime; LongAgo if the list has no start time
 }
 
-// ServiceType is the terms on which flows of one service type are served.
+// ServiceType holds the settings of a service type.
 type ServiceType struct {
 	Effect        Effect
 	Deduplication DeduplicationScope
-	SetupTarget   time.Duration // an attempt established within it is in time
-	RetryWindow   time.Duration // for how long servers drop repeats of an idempotency key
-	Value         float64       // priority weight of a second of an established flow; no decision depends on it
+	SetupTarget   time.Duration // target for the time until an attempt is established
+	RetryWindow   time.Duration // for how long servers drop duplicates of an idempotency key
+	Value         float64       // priority weight of a second of an established flow; not used in decisions
 }
 
-// SlowStart is the rule that protects servers that are warming up.
+// SlowStart holds the settings that limit the load of servers that are warming up.
 type SlowStart struct {
 	InitialCapacity  float64       // share of its full capacity that a server has when it starts, from 0 to 1
-	OverloadMultiple float64       // times the capacity reached so far, load at which a warming server fails
-	WarmUp           time.Duration // from a server's start to its full capacity
-	Window           time.Duration // for how long the overload has to last
-	Balancers        int           // that share the budget of each warming server, this one too; at least 1
+	OverloadMultiple float64       // load, as a multiple of the current capacity, at which a warming server fails
+	WarmUp           time.Duration // from a server's start until it has its full capacity
+	Window           time.Duration // for how long the overload must last until the server fails
+	Balancers        int           // balancers, this one included, that share the budget of a warming server; at least 1
 }
 
-// EndpointSettings says how the endpoint list reaches this balancer.
+// EndpointSettings holds the zone of this balancer, how it gets the endpoint list, and the latency objective.
 type EndpointSettings struct {
 	Zone            Zone          // of this balancer
-	Polled          bool          // the list comes only when it is asked for
-	MaxPollInterval time.Duration // a polled list has to be asked for at least this often
+	Polled          bool          // the list must be polled; otherwise it is watched
+	MaxPollInterval time.Duration // longest time between polls
 	MessageTarget   time.Duration // the shortest latency objective of a message
 }
--- a/decide/attempts_test.go
+++ b/decide/attempts_test.go
@@ -45,7 +45,7 @@
 	}
 }
 
-func TestRepeatTargets(t *testing.T) {
+func TestRetryTargets(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		scope DeduplicationScope
@@ -127,7 +127,7 @@
 
 // A repeat of a flow that is idempotent by its key must not be forwarded after the window, even if its connection comes
 // up late: its timeout ends with the window, however much time the client has left.
-func TestRepeatEndsWithItsWindow(t *testing.T) {
+func TestRetryTimeoutEndsWithWindow(t *testing.T) {
 	s := newHarness(t, IdempotentByKey, DeduplicatedByFleet, 4) // a window of 2 s
 	s.setTime(sec)
 	s.balancer.OnFlow(FlowRequest{ID: "a", Customer: NoCustomer, Timeout: 60 * sec})
@@ -152,7 +152,7 @@
 }
 
 // A server that accepts flows and never answers leaves time for another.
-func TestSilentAttemptLeavesTimeForAnother(t *testing.T) {
+func TestUnansweredAttemptLeavesTimeForRetry(t *testing.T) {
 	s := newHarness(t, Idempotent, DeduplicatedByFleet, 2)
 	first := s.request("a", "", 2*sec)
 	if limit := s.balancer.attemptTimeout(s.balancer.flows.byID["a"]); limit > sec {
--- a/decide/balancer.go
+++ b/decide/balancer.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Balancer is one instance: the concerns, each owning its state, and what they share.
+// Balancer makes the decisions of one balancer. Each concern keeps its own state; the other fields are shared.
 type Balancer struct {
 	actions     Actions
 	now         time.Duration
@@ -20,7 +20,7 @@
 	customerFlows map[CustomerID]int // established flows of each customer
 }
 
-// New returns a Balancer that knows no settings and no servers yet. The seed starts its random generator.
+// New returns a Balancer without settings or servers. The seed initializes its random number generator.
 func New(seed uint64, actions Actions) *Balancer {
 	b := &Balancer{actions: actions, random: seeded(seed)}
 	b.flows.byID = map[FlowID]*flow{}
@@ -31,8 +31,9 @@
 	return b
 }
 
-// SetTime sets the time of the calls that follow, on a clock of any start. All times that a Balancer is told are on it.
+// SetTime sets the time of the calls that follow, on a clock with any origin. All times passed to a Balancer are on this
+// clock.
 func (b *Balancer) SetTime(now time.Duration) { b.now = now }
 
-// SetConstraints sets the constraints within which decisions choose; without it there are none.
+// SetConstraints sets the constraints on decisions; the default is none.
 func (b *Balancer) SetConstraints(constraints Constraints) { b.constraints = constraints }
--- a/decide/bookkeeping_test.go
+++ b/decide/bookkeeping_test.go
@@ -20,10 +20,10 @@
 	established []FlowID
 }
 
-func newChangingFleet(t *testing.T, servers int, probes bool, peers int, crossing float64) *changingFleet {
+func newChangingFleet(t *testing.T, servers int, healthChecks bool, balancers int, crossing float64) *changingFleet {
 	c := &changingFleet{harness: newHarness(t, Idempotent, DeduplicatedByFleet, servers), servers: servers}
-	c.balancer.ConfigureSlowStart(slowStartRule(peers))
-	c.balancer.ConfigureHealthChecks(probes)
+	c.balancer.ConfigureSlowStart(slowStartRule(balancers))
+	c.balancer.ConfigureHealthChecks(healthChecks)
 	c.balancer.ConfigurePlacement(crossing, 0.02, true)
 	c.updateList(FullUpdate, Ready, servers)
 	return c
@@ -249,7 +249,7 @@
 
 // The accounting matches a plain count, and a recheck that is skipped could not have migrated its flow, with short
 // lists and long ones.
-func TestAccountingMatchesPlainCount(t *testing.T) {
+func TestAccountingMatchesRecount(t *testing.T) {
 	skipped, made := 0, 0
 	rapid.Check(t, func(rt *rapid.T) {
 		servers := rapid.SampledFrom([]int{1, 3, 20, fullScanServers + 30}).Draw(rt, "servers")
--- a/decide/cost_test.go
+++ b/decide/cost_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// newFullBalancer returns one balancer of 8,100 that holds so many flows of so many groups, with warm servers in
+// newLoadedBalancer returns one balancer of 8,100 that holds so many flows of so many groups, with warm servers in
 // 25 zones.
-func newFullBalancer(t *testing.T, servers, flows, groups int) *harness {
+func newLoadedBalancer(t *testing.T, servers, flows, groups int) *harness {
 	s := &harness{t: t, targets: map[FlowID]ServerID{}, attemptsTo: map[ServerID]int{}}
 	s.balancer = New(7, s)
 	s.balancer.ConfigureFlows(3, sec)
@@ -71,7 +71,7 @@
 	for _, servers := range []int{60, 128, 129, 600, 1000, 6000, 12800} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
 			const flows = 20_000
-			s := newFullBalancer(nil, servers, flows, 15_000)
+			s := newLoadedBalancer(nil, servers, flows, 15_000)
 			b.ReportAllocs()
 			from := processorTime()
 			for i := 0; b.Loop(); i++ {
@@ -87,7 +87,7 @@
 	for _, flows := range []int{800, 8_000, 79_012} {
 		for _, servers := range []int{60, 1000, 12800} {
 			b.Run(fmt.Sprintf("flows=%d/servers=%d", flows, servers), func(b *testing.B) {
-				s := newFullBalancer(nil, servers, flows, 60_000)
+				s := newLoadedBalancer(nil, servers, flows, 60_000)
 				s.setTime(s.balancer.now + 3*sec)
 				from := processorTime()
 				for b.Loop() {
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -5,14 +5,14 @@
 // The state machine of a flow: its arrival, its attempts, its final answer and its end.
 
 const (
-	// writeDelayAllowance is how long a process may be delayed between reading its clock and writing.
+	// writeDelayAllowance is how long a process may be delayed between reading its clock and writing to a connection.
 	writeDelayAllowance = 150 * time.Millisecond
 
-	minOverloadResets  = 2 // of one server within latencyMaxAge, from which overload is inferred
-	smallBalancerCount = 3 // balancers up to which each observes enough for convincingResets
+	minOverloadResets  = 2 // resets by one server within latencyMaxAge from which overload is inferred
+	smallBalancerCount = 3 // number of balancers up to which each observes enough for minOverloadResets
 )
 
-// transition makes every change of a flow's state, with the accounting that goes with it.
+// transition changes the state of a flow and updates the accounting. All state changes go through it.
 func (b *Balancer) transition(f *flow, to state) {
 	switch f.state {
 	case connecting:
@@ -59,7 +59,7 @@
 	}
 }
 
-// AdoptFlow takes over a connection that is already established at a server.
+// AdoptFlow adds a flow that is already established at a server.
 func (b *Balancer) AdoptFlow(request FlowRequest, server ServerID) {
 	f := newFlow(request)
 	f.attempts = 1
@@ -68,11 +68,11 @@
 	b.flows.byID[f.id] = f
 	b.transition(f, established)
 	if f.server.readiness != Ready && f.server.openFlows == 1 {
-		b.rebuildList() // the server is departing now that it has a flow to migrate
+		b.rebuildList() // with its first flow to migrate, the server becomes a departing one
 	}
 }
 
-// place gives a waiting flow its next attempt, a place in the admission queue, or its final answer.
+// place starts the next attempt of a waiting flow, adds it to the admission queue, or gives its final answer.
 func (b *Balancer) place(f *flow) {
 	isForced := b.forcedAttemptDue()
 	if b.isShed(f, isForced) || !b.hasAttemptLeft(f) {
@@ -95,13 +95,13 @@
 	b.connect(f, target)
 }
 
-// isShed reports whether the flow is rejected without any attempt, as its customer has used its quota.
+// isShed reports whether the flow is rejected without any attempt because its customer has used its quota.
 func (b *Balancer) isShed(f *flow, isForced bool) bool {
 	return !isForced && f.attempts == 0 && b.isOverQuota(f) && b.isRetrySafe(f)
 }
 
-// hasAttemptLeft reports whether the flow may get one more attempt. None follows a failure that all servers share, as it
-// would add to the cause.
+// hasAttemptLeft reports whether the flow may get one more attempt. Failures with a cause that all servers share are not
+// retried, as that would add load to the cause.
 func (b *Balancer) hasAttemptLeft(f *flow) bool {
 	if f.attempts > 0 && b.sharedFailure() {
 		return false
@@ -109,7 +109,7 @@
 	return f.attempts < b.flows.maxAttempts && b.mayRetry(f)
 }
 
-// connect makes an attempt.
+// connect starts an attempt of the flow at the target.
 func (b *Balancer) connect(f *flow, target *serverState) {
 	f.server = target
 	f.sentAt = b.now
@@ -128,13 +128,14 @@
 	b.actions.Connect(f.id, target.id, b.attemptTimeout(f))
 }
 
-// attemptTimeout leaves half of the time for another attempt, in case the server accepts flows and never answers. Less
-// would cut off set-ups that are only slow, and their work would be done twice.
+// attemptTimeout returns the timeout of the flow's next attempt. It leaves half of the remaining time for another
+// attempt, in case the server accepts flows and never answers. A shorter timeout would cut off set-ups that are merely
+// slow, and their work would be done twice.
 func (b *Balancer) attemptTimeout(f *flow) time.Duration {
 	left := f.deadline - b.now
 	service := &b.services[f.service]
 	if f.mayHaveRun && service.Effect == IdempotentByKey {
-		left = min(left, b.retryUntil(f)-b.now) // a connection that comes up late could be forwarded after the window
+		left = min(left, b.retryUntil(f)-b.now) // a connection established later could be forwarded after the window
 	}
 	if service.Effect == NotIdempotent || f.attempts >= b.flows.maxAttempts {
 		return left
@@ -142,7 +143,7 @@
 	return max(left/2, min(left, service.SetupTarget))
 }
 
-// isRetrySafe reports whether the client may be told that trying again does no harm.
+// isRetrySafe reports whether the client may be told that a retry is safe.
 func (b *Balancer) isRetrySafe(f *flow) bool {
 	service := &b.services[f.service]
 	switch service.Effect {
@@ -156,7 +157,7 @@
 	return f.outstanding == 0 && !f.mayHaveRun
 }
 
-// rejectOrAbort gives the final answer of a flow that gets no connection.
+// rejectOrAbort gives the final answer to a flow that is not connected.
 func (b *Balancer) rejectOrAbort(f *flow) {
 	retryAfter := b.flows.retryAfter
 	if b.constraints != nil && retryAfter > 0 {
@@ -173,7 +174,7 @@
 	b.transition(f, awaitingEnd)
 }
 
-// OnEstablished handles an attempt that was established, and how long that took.
+// OnEstablished handles an attempt that was established after the given time.
 func (b *Balancer) OnEstablished(id FlowID, took time.Duration) {
 	f := b.flows.byID[id]
 	if f == nil || f.state != connecting {
@@ -191,8 +192,8 @@
 	}
 }
 
-// OnEnded handles the end of an attempt or a connection, and how long that took. Where isAnswered is false, the client
-// still waits, and the next decision follows.
+// OnEnded handles the end of an attempt or a connection after the given time. If isAnswered is false, the client is
+// still waiting and the next decision is made.
 func (b *Balancer) OnEnded(id FlowID, outcome Outcome, took time.Duration, isAnswered bool) {
 	f := b.flows.byID[id]
 	if f == nil {
@@ -207,7 +208,7 @@
 		b.onConnectionEnded(f, outcome)
 	case connecting:
 		b.onAttemptEnded(f, outcome, took, isAnswered)
-	default: // migrating, or answered while the attempt was out
+	default: // migrating, or answered while the attempt was outstanding
 		b.transition(f, done)
 	}
 }
@@ -219,14 +220,14 @@
 		case outcome == Reset:
 			b.onReset(f)
 		case outcome == Full && b.now >= server.ejectedUntil:
-			// It closes connections to shut down, and would look the least loaded until it is listed as draining.
+			// The server closes connections to shut down. Until it is listed as draining it would seem the least loaded.
 			b.eject(server)
 		}
 	}
 	b.transition(f, done)
 }
 
-// onReset infers overload from resets. One of many balancers observes so few that a single one counts.
+// onReset infers overload from resets. Where balancers are many, each observes so few that a single reset is enough.
 func (b *Balancer) onReset(f *flow) {
 	server := f.server
 	b.recordOutcome(f, true)
@@ -244,7 +245,7 @@
 		b.onSetupFailed(f, outcome, took)
 	}
 	if !outcome.NeverRan() && !f.mayHaveRun {
-		// A second effect must be excluded: where and when the first may have happened binds all further attempts.
+		// The flow must not take effect twice: where and when it may first have run restricts all further attempts.
 		f.mayHaveRun = true
 		f.firstRunAt = f.sentAt
 		f.firstRunZone = f.server.zone
@@ -259,8 +260,8 @@
 	b.serveQueue()
 }
 
-// mayRetry reports whether another attempt is allowed: never with one outstanding, and after one that may have
-// run only as the service type allows.
+// mayRetry reports whether another attempt is allowed: not while one is outstanding, and after one that may have run
+// only if the service type permits it.
 func (b *Balancer) mayRetry(f *flow) bool {
 	if f.outstanding != 0 || b.now >= f.deadline {
 		return false
@@ -275,12 +276,12 @@
 	}
 }
 
-// retryUntil is when servers may stop dropping the repeats of a flow of which an attempt may have run.
+// retryUntil returns when servers may stop dropping duplicates of a flow of which an attempt may have run.
 func (b *Balancer) retryUntil(f *flow) time.Duration {
 	return f.firstRunAt + b.services[f.service].RetryWindow - writeDelayAllowance
 }
 
-// OnClientLeft handles the departure of a flow's client, which needs no answer any more.
+// OnClientLeft handles a client that left; its flow needs no answer any more.
 func (b *Balancer) OnClientLeft(id FlowID) {
 	if f := b.flows.byID[id]; f != nil {
 		b.transition(f, awaitingEnd)
--- a/decide/doc.go
+++ b/decide/doc.go
@@ -1,7 +1,7 @@
-// Package decide holds the decisions of the balancer: placement, admission, health, slow start and the re-evaluation of
-// established flows. It does no input or output, reads no clock and starts no goroutine.
+// Package decide implements the decision logic of the balancer: placement, admission, health, slow start and the
+// re-evaluation of established flows. It performs no I/O, reads no clock and starts no goroutines.
 //
-// A Balancer is made by New, gets its settings from the Configure and Add methods and its first endpoint list, and is
-// then given each event: SetTime first, then the method named for the event. It acts through Actions alone. The order
-// of one instance's events is all it knows; the same events give the same actions.
+// New creates a Balancer. The caller passes it the settings, by the Configure and Add methods, then the first endpoint
+// list, and from then on every event: SetTime first, then the method for the event. A Balancer acts only through
+// Actions. It is deterministic: the same sequence of calls results in the same actions.
 package decide
--- a/decide/flows.go
+++ b/decide/flows.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// state is where a flow stands. Only Balancer.transition changes it.
+// state is the state of a flow. Only Balancer.transition changes it.
 type state int
 
 const (
 	waiting     state = iota // needs an attempt, and may be in the admission queue
-	connecting               // an attempt is out
-	established              // held by a server
-	migrating                // its client was asked to reconnect; its end is still to come
-	awaitingEnd              // the final answer is given, an attempt still out
+	connecting               // an attempt is outstanding
+	established              // connected to a server
+	migrating                // the client was asked to reconnect; the end of the connection is not reported yet
+	awaitingEnd              // has its final answer; the end of an attempt is not reported yet
 	done
 )
 
@@ -22,17 +22,17 @@
 	group                 GroupKey
 	state                 state
 	arrivedAt             time.Duration
-	deadline              time.Duration // when its client gives up
-	attempts, outstanding int           // made so far, and not ended yet
+	deadline              time.Duration // when the client gives up
+	attempts, outstanding int           // number made, and number whose end is not reported yet
 	server                *serverState  // of the last attempt
-	incarnation           int           // of the server, when its tally was leased
-	leased                bool          // counted in the tallies of its server
-	onProbation           bool          // its attempt goes to an ejected server
-	inSlowStart           bool          // its attempt was taken from a slow-start budget
+	incarnation           int           // of the server when the tally was leased
+	leased                bool          // counted in the server's tallies
+	onProbation           bool          // its last attempt was to an ejected server
+	inSlowStart           bool          // its last attempt was taken from a slow-start budget
 	attempted             []ServerID
 	sentAt                time.Duration // of the last attempt
 
-	mayHaveRun   bool // some attempt may have had an effect; the next three describe the first such
+	mayHaveRun   bool // some attempt may have had an effect; the next three fields describe the first one
 	firstRunAt   time.Duration
 	firstRunZone Zone
 	firstRunCell CellID
@@ -48,14 +48,14 @@
 type flowTable struct {
 	byID          map[FlowID]*flow
 	connecting    flowList
-	established   flowList // in the order of a round of rechecks
+	established   flowList // a round of rechecks follows this order
 	lastRechecked int      // index into established
 	maxAttempts   int
-	retryAfter    time.Duration // 0: clients are given none
+	retryAfter    time.Duration // 0: clients are sent none
 }
 
-// flowList holds flows; a removal puts the last one in the place of the one removed. Each flow knows its index, so that
-// this takes constant time.
+// flowList is an unordered list of flows. A removal takes constant time: each flow stores its index, and the last flow
+// replaces the one removed.
 type flowList []*flow
 
 func (l *flowList) add(f *flow) {
--- a/decide/handover_test.go
+++ b/decide/handover_test.go
@@ -62,7 +62,7 @@
 
 // A repeat leaves time for a delay between the reading of the clock and the write: none is decided or forwarded in
 // the last 0.15 s of its window.
-func TestRepeatLeavesTimeForDelayedWrite(t *testing.T) {
+func TestRetryLeavesTimeForDelayedWrite(t *testing.T) {
 	const window, delayed = 2 * sec, 150 * ms
 	for _, left := range []time.Duration{500 * ms, 200 * ms, 160 * ms, 150 * ms, 100 * ms, ms} {
 		t.Run(left.String(), func(t *testing.T) {
--- a/decide/harness_test.go
+++ b/decide/harness_test.go
@@ -123,10 +123,10 @@
 	return actions
 }
 
-func (s *harness) expect(what string) {
+func (s *harness) expect(want string) {
 	s.t.Helper()
-	if got := s.takeActions(); got != what {
-		s.t.Errorf("did %q, want %q", got, what)
+	if got := s.takeActions(); got != want {
+		s.t.Errorf("did %q, want %q", got, want)
 	}
 }
 
--- a/decide/health.go
+++ b/decide/health.go
@@ -6,45 +6,45 @@
 	"time"
 )
 
-// What is learned of servers from outcomes, latencies, health checks and load reports: outlier detection, ejection and
+// The health of servers, from outcomes, latencies, health checks and load reports: outlier detection, ejection and
 // overload.
 
 const (
 	outcomeMaxAge = 10 * time.Second
-	latencyMaxAge = 2500 * time.Millisecond // latency samples come every second while a server is slow
+	latencyMaxAge = 2500 * time.Millisecond // latency samples arrive every second while a server is slow
 
 	serverSampleWindow = 4   // outcomes kept of each server
-	outlierSample      = 2   // recent outcomes needed to eject a server
-	outlierMargin      = 0.5 // share of failures above the fleet's median
+	outlierSample      = 2   // recent outcomes required to eject a server
+	outlierMargin      = 0.5 // by which the failure rate must exceed the fleet's median
 
 	baseEjectionTime      = time.Second
 	maxEjectionTime       = 16 * time.Second
-	unreachableThreshold  = 2  // attempts in a row that end as Unreachable, from which a server is silent
-	maxProbationLimit     = 16 // flows out at once
-	passedProbationLimit  = 8  // probation limit beyond which probation ends
-	initialProbationLimit = 1  // flows out at once
+	unreachableThreshold  = 2  // consecutive attempts that end as Unreachable, after which a server counts as unreachable
+	maxProbationLimit     = 16 // connecting and established flows at a server on probation
+	passedProbationLimit  = 8  // probation limit above which probation ends
+	initialProbationLimit = 1  // probation limit right after an ejection
 
-	backlogDrainTime         = 1400 * time.Millisecond // in which a backlog is to be gone
-	overloadedLatencyDivisor = 3                       // latency above objective/3 is overload
+	backlogDrainTime         = 1400 * time.Millisecond // time within which a backlog should be drained
+	overloadedLatencyDivisor = 3                       // a latency above objective/3 is overload
 	scarceCapacityDivisor    = 5                       // capacity is scarce when servers/5 are overloaded
 
 	loadReportMaxAge   = 3 * recheckInterval
-	checksPerConnect   = 4.0 // health checks that one attempt pays for
-	checksPerRound     = 4   // of each server, at most, in a round of rechecks
-	lightLoad          = 0.7 // load over capacity up to which a server meets its objectives, whatever others have
-	fullLoad           = 1.0 // load over capacity beyond which work piles up
-	openFlowsAgeFactor = 2   // by which the last check counts as older where flows are open
+	checksPerConnect   = 4.0 // credit of health checks per attempt
+	checksPerRound     = 4   // maximum number of health checks per server in a round of rechecks
+	lightLoad          = 0.7 // load over capacity up to which a server meets its objectives, even if others have less load
+	fullLoad           = 1.0 // load over capacity above which a backlog builds up
+	openFlowsAgeFactor = 2   // factor on the age of the last health check of a server with open flows
 )
 
-// health is what is known of the fleet as a whole.
+// health holds what is known of the fleet as a whole.
 type health struct {
-	setupTimes  []time.Duration // of the last set-ups, over all servers
+	setupTimes  []time.Duration // of the most recent set-ups at any server
 	lastSetupAt time.Duration   // when the last of them ended; later than now after one that timed out
 	checksLoad  bool            // health checks bring load reports
 	checkCredit float64         // health checks that may be sent
 	flowLimit   flowLimit       // on all flows
 
-	// The last figures over all servers; see isCurrent.
+	// Cached figures over all servers; see isCurrent.
 	overview       fleetOverview
 	medianFailures failureMedian
 	healthy        serverSubset
@@ -55,15 +55,16 @@
 	h.lastSetupAt = endedAt
 }
 
-// isEjected reports whether the server gets no flows now: it is ejected, or on probation with its probation limit used.
+// isEjected reports whether the server gets no flows now: it is ejected, or on probation with its limit reached.
 func (b *Balancer) isEjected(server *serverState) bool {
 	return server.ejected && (b.now < server.ejectedUntil || server.probationFlows >= server.probationLimit)
 }
 
-// isUnreachable reports whether the last attempts could not reach the server.
+// isUnreachable reports whether the last attempts failed to reach the server.
 func (s *serverState) isUnreachable() bool { return s.consecutiveUnreachable >= unreachableThreshold }
 
-// recordOutcome records an outcome at the flow's server, and ejects the server or raises its probation limit.
+// recordOutcome records an outcome at the flow's server. It ejects the server if it is an outlier or fails on
+// probation, and raises the probation limit after a success.
 func (b *Balancer) recordOutcome(f *flow, failed bool) {
 	server := f.server
 	if f.incarnation != server.incarnation {
@@ -72,7 +73,7 @@
 	server.samples = appendWindow(server.samples, sample{server, b.now, failed}, serverSampleWindow)
 	switch {
 	case !failed:
-		if server.isUnreachable() { // it was down, whatever the list says so far, and must warm up
+		if server.isUnreachable() { // it was down, even if the list does not say so yet, and must warm up
 			b.beginSlowStart(server, b.now)
 		}
 		server.consecutiveUnreachable = 0
@@ -85,15 +86,15 @@
 	}
 }
 
-// isOutlier compares a server with the fleet's median: where all fail the cause is shared, and ejecting some would
-// overload the rest. At least half of the servers stay.
+// isOutlier compares a server's failure rate with the fleet's median: if all servers fail, the cause is shared, and
+// ejecting some of them would overload the rest. Outliers are ejected up to half of the servers.
 func (b *Balancer) isOutlier(server *serverState) bool {
 	share, n := failedShare(server.samples, b.now-outcomeMaxAge)
 	return n >= outlierSample && share >= b.medianFailures()+outlierMargin &&
 		2*(b.fleetOverview().ejected+1) <= len(b.list.ready)
 }
 
-// eject ejects a server, for longer each time while ejections follow on each other.
+// eject ejects a server, for twice as long as the last time if that ejection was recent.
 func (b *Balancer) eject(server *serverState) {
 	server.ejectionTime = min(2*server.ejectionTime, maxEjectionTime)
 	if server.ejectionTime == 0 || b.now > server.ejectedUntil+outcomeMaxAge {
@@ -107,7 +108,8 @@
 	server.ejectedUntil = b.now + server.ejectionTime
 }
 
-// isCapacityScarce reports whether a fifth of the observed servers, and more than chance explains, are overloaded.
+// isCapacityScarce reports whether at least a fifth of the observed servers, plus an allowance for random variation,
+// are overloaded.
 func (b *Balancer) isCapacityScarce() bool {
 	overview := b.fleetOverview()
 	scarce := overview.observed / scarceCapacityDivisor
@@ -120,7 +122,7 @@
 	server := f.server
 	switch outcome {
 	case Unreachable:
-		// The attempt did not get as far as what all set-ups share, so that the rest of the fleet does not matter.
+		// The attempt failed before the part that all set-ups share, so this is judged without regard to other servers.
 		server.consecutiveUnreachable++
 		if server.isUnreachable() && !server.ejected {
 			b.eject(server)
@@ -128,7 +130,7 @@
 	case Full:
 		b.reduceLimit(server)
 	case TimedOut:
-		// It counts as recent for longer: after a mass reconnect no new set-ups come, and servers are slow for a while.
+		// Counts as recent for longer: after a mass reconnect no new set-ups follow, but servers remain slow for a while.
 		b.health.addSetupTime(took, b.now+outcomeMaxAge)
 	}
 	b.recordOutcome(f, true)
@@ -138,23 +140,23 @@
 	}
 }
 
-// OnFlowLoad handles a report of a connection's load. It fluctuates too fast for placement, but shows that the
-// server is alive.
+// OnFlowLoad handles a report of a connection's load. The load fluctuates too much to be used in placement, but the
+// report shows that the server is alive.
 func (b *Balancer) OnFlowLoad(id FlowID) {
 	if f := b.flows.byID[id]; f != nil && f.server != nil {
 		f.server.consecutiveUnreachable = 0
 	}
 }
 
-// latencyTrend is what a latency sample says beside the one before it.
+// latencyTrend compares a latency sample of a server with the previous one.
 type latencyTrend struct {
-	isLate     bool // beyond the objective
-	isRepeated bool // so was the last sample
+	isLate     bool // above the latency objective
+	isRepeated bool // the previous sample was above the objective too
 	isGrowing  bool
-	excess     float64 // share of the flows whose migration stops and drains the backlog
+	excess     float64 // share of the server's flows that must migrate for its backlog to stop growing and drain
 }
 
-// OnLatencySample handles how long a message takes at the flow's server.
+// OnLatencySample handles a sample of the message latency at the flow's server.
 func (b *Balancer) OnLatencySample(id FlowID, took time.Duration) {
 	f := b.flows.byID[id]
 	if f == nil || f.state != established {
@@ -168,7 +170,8 @@
 	if b.isOverloaded(server) {
 		server.overloadedAt = b.now
 	}
-	// One late message in a fleet within its objective may be a pause; a second, or one among many, is overload.
+	// In a fleet within its objective, a single late message may be a short pause of the server. A second one, or one
+	// while many servers are overloaded, is overload.
 	if trend.isLate && (trend.isGrowing || !trend.isRepeated && b.isCapacityScarce()) {
 		b.reduceLimit(server)
 	}
@@ -176,7 +179,7 @@
 	if trend.isLate {
 		wanted.minSaving = noMinSaving
 	}
-	// Without spare capacity, fewer flows within the objective are worth more than all of them late.
+	// Without spare capacity it is better to serve fewer flows within the objective than all of them late.
 	wanted.shed = trend.isLate && trend.isGrowing && b.isCapacityScarce()
 	if wanted.shed {
 		wanted.share = min(wanted.share, migrationShare)
@@ -197,14 +200,14 @@
 	return trend
 }
 
-// isOverloaded reports whether the last latency exceeds a third of the shortest objective. Samples are sent from
-// there on, and one says when it ends.
+// isOverloaded reports whether the last latency sample exceeds a third of the shortest objective. Samples are sent above
+// that threshold, and once more when the latency falls below it.
 func (b *Balancer) isOverloaded(server *serverState) bool {
 	return server.latency > 0 && b.now-server.latencyAt < latencyMaxAge &&
 		server.latency > b.list.MessageTarget/overloadedLatencyDivisor
 }
 
-// OnHealthCheck handles the result of a health check. A server that answers enters probation.
+// OnHealthCheck handles the result of a health check. An ejected server that answers goes on probation.
 func (b *Balancer) OnHealthCheck(server ServerID, outcome Outcome) {
 	if state := b.list.byID[server]; state != nil && outcome == OK {
 		state.consecutiveUnreachable = 0
@@ -212,7 +215,7 @@
 	}
 }
 
-// OnLoadReport handles a server's report of its load over its capacity: 1 is a server that is fully used.
+// OnLoadReport handles a server's report of its load as a share of its capacity; 1 is full utilization.
 func (b *Balancer) OnLoadReport(server ServerID, load float64) {
 	state := b.list.server(server)
 	state.reportedLoad = load
@@ -222,15 +225,15 @@
 	}
 }
 
-// reportedLoad is the last report of a warm server. One that is warming up would, with a load near 0, attract a flow of
-// each group.
+// reportedLoad returns the last load report of a server; ok is false if there is no recent one. The reports of a server
+// that is warming up are ignored, as its load near 0 would attract a flow of each group.
 func (b *Balancer) reportedLoad(server *serverState) (load float64, ok bool) {
 	isRecent := server.loadReportedAt > 0 && b.now-server.loadReportedAt < loadReportMaxAge
 	return server.reportedLoad, isRecent && b.capacityShare(server) == 1
 }
 
-// sendHealthChecks spends the credit that attempts, new servers and the passing of time bring. No more is saved than
-// the flows held and this balancer's part of the servers need.
+// sendHealthChecks sends health checks as far as the credit allows, which accrues with time, attempts and new servers.
+// The credit is capped at what the established flows and this balancer's share of the servers require.
 func (b *Balancer) sendHealthChecks() {
 	h := &b.health
 	servers := float64(len(b.list.ready))
@@ -238,14 +241,14 @@
 	ownShare := servers / float64(b.slowStart.Balancers)
 	h.checkCredit += min(servers, max(held, ownShare)) * float64(tickInterval) / float64(loadReportMaxAge)
 	h.checkCredit = min(h.checkCredit, servers, 1+held+ownShare)
-	// Servers reject most of the checks that all balancers send at once.
+	// Servers reject most of the checks if all balancers send theirs at once.
 	maxChecks := 1 + checksPerRound*servers*float64(tickInterval)/float64(recheckInterval)
 	if h.checksLoad && h.checkCredit >= 1 {
 		b.checkOldest(int(min(maxChecks, h.checkCredit)))
 	}
 }
 
-// checkOldest sends so many health checks, to the servers whose last one is oldest.
+// checkOldest sends a health check to each of the count servers whose last check is oldest.
 func (b *Balancer) checkOldest(count int) {
 	oldest := slices.Clone(b.list.ready)
 	slices.SortStableFunc(oldest, func(one, other *serverState) int {
@@ -258,7 +261,8 @@
 	}
 }
 
-// healthCheckAge is the time since a server's last health check in nanoseconds, weighted by openFlowsFactor.
+// healthCheckAge returns the time since a server's last health check in nanoseconds, multiplied by openFlowsAgeFactor
+// if flows are open there.
 func (b *Balancer) healthCheckAge(server *serverState) int {
 	age := int(b.now - server.healthCheckedAt)
 	if server.openFlows > 0 {
--- a/decide/health_test.go
+++ b/decide/health_test.go
@@ -46,7 +46,7 @@
 }
 
 // The flows of a silent server are migrated, a part at a time.
-func TestFlowsLeaveSilentServer(t *testing.T) {
+func TestFlowsLeaveUnreachableServer(t *testing.T) {
 	s := newHarness(t, Idempotent, DeduplicatedByFleet, 4)
 	s.adopt("o", 16, "", 1)
 	s.balancer.list.byID[1].consecutiveUnreachable = 2
@@ -57,7 +57,7 @@
 }
 
 // A silent server gets few attempts while the others are full, and warms up when it returns.
-func TestSilentServerReturnsInSlowStart(t *testing.T) {
+func TestUnreachableServerReturnsInSlowStart(t *testing.T) {
 	s := newHarness(t, Idempotent, DeduplicatedByFleet, 2)
 	s.adopt("o", 8, "", 2)
 	s.balancer.reduceLimit(s.balancer.list.byID[2])
--- a/decide/index.go
+++ b/decide/index.go
@@ -2,15 +2,15 @@
 
 import "slices"
 
-// bucketIndex finds a few servers of many by a hash: the same ones at every balancer that has the same list, and
-// nearly the same at one whose list is a little older. Each server has a bucket by its id; the number of buckets
-// depends on the number of servers alone.
+// bucketIndex selects a few of many servers by a hash. Balancers with the same list select the same servers, and nearly
+// the same if one list is slightly older. Servers are assigned to buckets by their ID, and the number of buckets depends
+// only on the number of servers.
 type bucketIndex struct {
 	servers []*serverState // by bucket
-	ends    []int          // of each bucket in servers; a power of two of them, each with one or two servers on average
+	ends    []int          // end of each bucket in servers; a power of two of buckets, with one to two servers each on average
 }
 
-// build replaces the servers of the index.
+// build rebuilds the index from these servers.
 func (x *bucketIndex) build(servers []*serverState) {
 	count := 1
 	for 2*count <= len(servers) {
@@ -34,12 +34,12 @@
 	}
 }
 
-// bucketNumber is the index of the bucket of a number.
+// bucketNumber returns the index of the bucket that a number falls into.
 func (x *bucketIndex) bucketNumber(number uint64) int {
 	return int(mix(number) & uint64(len(x.ends)-1))
 }
 
-// bucket is the servers in the bucket of a number.
+// bucket returns the servers of the bucket that a number falls into.
 func (x *bucketIndex) bucket(number uint64) []*serverState {
 	i := x.bucketNumber(number)
 	start := 0
@@ -49,7 +49,7 @@
 	return x.servers[start:x.ends[i]]
 }
 
-// mix spreads a number over 64 bits (the finalizer of SplitMix64).
+// mix hashes a number to 64 bits (the finalizer of SplitMix64).
 func mix(number uint64) uint64 {
 	number += goldenRatio
 	number = (number ^ number>>30) * 0xbf58476d1ce4e5b9
--- a/decide/limits.go
+++ b/decide/limits.go
@@ -2,28 +2,28 @@
 
 import "time"
 
-// How many flows may be held, by a server and over all servers.
+// Limits on the number of flows, for each server and over all servers.
 
 const (
-	limitReduction         = 0.7                    // share of its flows that an overloaded server keeps
-	limitReductionInterval = 900 * time.Millisecond // reductions within it count as one
-	limitRecoveryTime      = 20 * time.Second       // in which the target is added, slowly at first
+	limitReduction         = 0.7                    // share of its flows that remains as the limit of an overloaded server
+	limitReductionInterval = 900 * time.Millisecond // minimum time between reductions
+	limitRecoveryTime      = 20 * time.Second       // after which a limit has grown by its target, slowly at first
 
-	// The limit on all flows reduces them by nothing where one server in scarceFraction is overloaded, and to
-	// limitReduction where all are.
+	// They interpolate the reduction of the limit on all flows: none if 1/scarceCapacityDivisor of the servers are
+	// overloaded, and down to limitReduction if all are.
 	overloadScale  = 1.25
 	overloadOffset = 0.25
 )
 
-// flowLimit bounds how many flows may be held: a part of those held at the last sign of overload, which grows again
+// flowLimit limits the number of flows to a share of those held when overload was last observed. The limit then grows
 // with the square of the time since.
 type flowLimit struct {
 	flows     float64       // at the last reduction
-	target    float64       // at the first reduction of a series
+	target    float64       // flows at the first reduction of a series, by which the limit grows
 	reducedAt time.Duration // 0: no limit
 }
 
-// reduce lowers the limit to so many flows.
+// reduce lowers the limit to the given number of flows.
 func (l *flowLimit) reduce(flows float64, now time.Duration) {
 	if l.reducedAt != 0 && now-l.reducedAt <= limitReductionInterval {
 		return
@@ -35,14 +35,15 @@
 	l.reducedAt = max(now, 1)
 }
 
-// hasCapacity reports whether the limit allows one more flow than those open. It recovers by minGrowth at the least.
+// hasCapacity reports whether the limit allows one more flow than those open. It grows by at least minGrowth in
+// limitRecoveryTime.
 func (l *flowLimit) hasCapacity(open int, minGrowth float64, now time.Duration) bool {
 	t := (now - l.reducedAt).Seconds() / limitRecoveryTime.Seconds()
 	return l.reducedAt == 0 || float64(open+1) <= l.flows+max(l.target, minGrowth, 1)*t*t
 }
 
-// reduceLimit limits an overloaded server, as the flows that it drops would overload the next one. While capacity is
-// scarce all flows of this balancer are limited too, by the share of overloaded servers.
+// reduceLimit reduces the limit of an overloaded server, as the flows that it drops would overload the next one. While
+// capacity is scarce, it also reduces the limit on all flows of this balancer, by the share of overloaded servers.
 func (b *Balancer) reduceLimit(server *serverState) {
 	server.limit.reduce(limitReduction*float64(server.openFlows), b.now)
 	overview := b.fleetOverview()
@@ -53,9 +54,9 @@
 	b.health.flowLimit.reduce((1-(1-limitReduction)*excess)*float64(len(b.flows.established)), b.now)
 }
 
-// hasCapacity reports whether the server may take one more flow. The limit on all flows binds those that would open a
-// group on a warm server, which costs it extra work. A low load report overrides limits that were inferred from
-// latency, except in a fleet without spare capacity.
+// hasCapacity reports whether the server may take one more flow. The limit on all flows applies only to those that would
+// be the first of their group at a warm server, which costs it extra work. A low load report overrides limits that were
+// inferred from latency; the limit on all flows only if the mean load is low too.
 func (b *Balancer) hasCapacity(f *flow, server *serverState, view placementView) bool {
 	load, isReported := b.reportedLoad(server)
 	isLight := isReported && load < lightLoad
--- a/decide/list.go
+++ b/decide/list.go
@@ -6,37 +6,37 @@
 	"time"
 )
 
-// The endpoint list, its updates, and servers that operators disable.
+// The endpoint list, its updates, and servers disabled by operators.
 
-// maxPollBackoff bounds the time between polls that fail. With polls of 2 s each, a change is known within 6 s.
+// maxPollBackoff is the longest backoff after a failed poll. If a poll takes up to 2 s, a change is known within 6 s.
 const maxPollBackoff = 1600 * time.Millisecond
 
-// endpointList holds the servers, and figures and indexes over them.
+// endpointList holds the servers, with sums and indexes over them.
 type endpointList struct {
 	EndpointSettings
 	byID       map[ServerID]*serverState
-	all        []*serverState // by id, but for those added since the last sorting
+	all        []*serverState // sorted by ID, except for those added since the last sorting
 	unsorted   bool
-	ready      []*serverState // by id
-	departing  []*serverState // not ready, with open flows; by id
-	updateKind UpdateKind     // of the update in hand
+	ready      []*serverState // sorted by ID
+	departing  []*serverState // not ready, with open flows; sorted by ID
+	updateKind UpdateKind     // of the current update
 
 	pollBackoff time.Duration // 0: the last poll succeeded
 
-	totals       fleetTotals // over ready: flows at all times, the rest as of the last tick or update
-	lowestLoad   float64     // of any server that a flow could be migrated to, as of the last tick or update
-	baselineSize float64     // in service: of the first list, or of the most warm servers since; 0: none
+	totals       fleetTotals // over ready; openFlows is always current, the rest is as of the last tick or update
+	lowestLoad   float64     // of the servers that a flow could be migrated to, as of the last tick or update
+	baselineSize float64     // total size of the fleet in regular service: of the first list, or the maximum of warm servers since; 0: unknown
 
-	// The selection from a long list; see isLong.
-	local          []*serverState // ready, in the own zone
+	// The selection of candidates from a long list; see isLong.
+	local          []*serverState // ready, in the local zone
 	zones          map[Zone][]*serverState
 	cells          map[CellID][]*serverState
 	preferredIndex bucketIndex
-	selection      uint64         // counts selections
+	selection      uint64         // number of the last selection
 	candidates     []*serverState // of the last selection
 }
 
-// server returns what is known of a server, also of one that the list does not name, so that every flow has its server.
+// server returns the state of a server. It creates one for a server that is not listed, so that every flow has a server.
 func (l *endpointList) server(id ServerID) *serverState {
 	state := l.byID[id]
 	if state == nil {
@@ -48,8 +48,8 @@
 	return state
 }
 
-// BeginEndpoints begins an update of the endpoint list; OnEndpoint brings each entry, EndEndpoints closes it. A
-// FailedUpdate consists of this call alone.
+// BeginEndpoints begins an update of the endpoint list. It is followed by a call of OnEndpoint for each entry and one of
+// EndEndpoints. A FailedUpdate consists of this call alone.
 func (b *Balancer) BeginEndpoints(kind UpdateKind) {
 	b.list.updateKind = kind
 	for _, server := range b.list.all {
@@ -62,14 +62,14 @@
 	}
 }
 
-// pollAfterBackoff waits well below the interval at which the list has to be polled. The wait is spread, so that
-// balancers do not overload a service that has just recovered.
+// pollAfterBackoff schedules the next poll, well within MaxPollInterval. The backoff has jitter, so that balancers do not
+// overload a discovery service that has just recovered.
 func (b *Balancer) pollAfterBackoff() {
 	b.list.pollBackoff = min(max(2*b.list.pollBackoff, tickInterval), b.list.MaxPollInterval/2, maxPollBackoff)
 	b.actions.SetTimer(listTimer, time.Duration(float64(b.list.pollBackoff)*(0.5+b.random.uniform()/2)))
 }
 
-// OnEndpoint handles one entry. A later start than the one known is a restart, or the start of a server that is new.
+// OnEndpoint handles one entry. A start time later than the known one means that the server restarted, or that it is new.
 func (b *Balancer) OnEndpoint(endpoint Endpoint) {
 	server := b.list.server(endpoint.ID)
 	if endpoint.StartedAt > server.startedAt && endpoint.Readiness == Ready {
@@ -86,8 +86,8 @@
 	b.setReadiness(server, endpoint.Readiness)
 }
 
-// onRestart forgets what is known of a server's earlier incarnations. Their connections stay until their ends are
-// reported.
+// onRestart resets the state of a server that restarted. Connections to earlier incarnations are kept until their ends
+// are reported.
 func (b *Balancer) onRestart(server *serverState, startedAt time.Duration) {
 	b.clearTallies(server)
 	*server = serverState{
@@ -99,7 +99,7 @@
 	b.beginSlowStart(server, startedAt)
 }
 
-// setReadiness combines the list with what operators decided: a disabled server takes no new flows.
+// setReadiness sets a server's readiness in the list. A server disabled by operators counts as draining at best.
 func (b *Balancer) setReadiness(server *serverState, listed Readiness) {
 	server.listedReadiness = listed
 	server.readiness = listed
@@ -108,8 +108,8 @@
 	}
 }
 
-// SetDisabled disables a server administratively or enables it again, whatever the list says. One that is enabled was
-// likely restarted: it warms up, and its health is unknown. Flows that stayed on it remain in its tallies.
+// SetDisabled disables a server or enables it again, independently of the list. A server that is enabled was probably
+// restarted, so it begins slow start and its health is reset. Flows that remained there stay in its tallies.
 func (b *Balancer) SetDisabled(id ServerID, disabled bool) {
 	server := b.list.server(id)
 	if server.disabled == disabled {
@@ -146,7 +146,7 @@
 	b.rebuildList()
 }
 
-// rebuildList computes what depends on the readiness of servers. All lists are sorted by id, so that decisions do not
+// rebuildList recomputes what depends on the readiness of servers. All lists are sorted by ID, so that decisions do not
 // depend on the order of updates.
 func (b *Balancer) rebuildList() {
 	l := &b.list
--- a/decide/longlist_test.go
+++ b/decide/longlist_test.go
@@ -10,14 +10,14 @@
 // The cost of placing one flow, in looks at servers, grows less than threefold from 60 servers to 12,800.
 func TestPlacementCostIsBounded(t *testing.T) {
 	looks := func(servers int) int {
-		s := newFullBalancer(t, servers, 2000, 1500)
+		s := newLoadedBalancer(t, servers, 2000, 1500)
 		a := &countingConstraints{}
 		s.balancer.SetConstraints(a)
 		const flows = 50
 		for i := range flows {
 			s.balancer.OnEnded(s.establishNext(2000+i, 1500), OK, 10*ms, true)
 		}
-		return a.looks / flows
+		return a.evaluations / flows
 	}
 	few := looks(60)
 	for _, servers := range []int{128, 129, 600, 3000, 12800} {
@@ -31,7 +31,7 @@
 func TestRecheckRoundIsComplete(t *testing.T) {
 	for _, c := range []struct{ servers, flows int }{{60, 800}, {60, 20_000}, {1000, 40_000}} {
 		t.Run(fmt.Sprintf("%d servers, %d flows", c.servers, c.flows), func(t *testing.T) {
-			s := newFullBalancer(t, c.servers, c.flows, 15_000)
+			s := newLoadedBalancer(t, c.servers, c.flows, 15_000)
 			s.setTime(s.balancer.now + 3*sec)
 			looked, visited := 0, 0
 			selections := s.balancer.list.selection
@@ -54,7 +54,7 @@
 
 // However many flows would cost less elsewhere, the rechecks of a tick are bounded.
 func TestRechecksOfATickAreBounded(t *testing.T) {
-	s := newFullBalancer(t, 200, 0, 1)
+	s := newLoadedBalancer(t, 200, 0, 1)
 	s.adopt("f", 6000, "", 1) // all on one server
 	s.setTime(3 * sec)
 	s.balancer.tick()
@@ -67,7 +67,7 @@
 // which are spread evenly.
 func TestPreferredServersAgree(t *testing.T) {
 	const servers, groups = 1000, 20_000
-	one, other := newFullBalancer(t, servers, 0, 1), newFullBalancer(t, servers, 0, 1)
+	one, other := newLoadedBalancer(t, servers, 0, 1), newLoadedBalancer(t, servers, 0, 1)
 	other.updateServer(17, Gone, LongAgo)
 	other.updateServer(servers+1, Ready, LongAgo)
 	differ, groupsOf := 0, map[ServerID]int{}
@@ -110,7 +110,7 @@
 	}
 	for name, cause := range faults {
 		t.Run(name, func(t *testing.T) {
-			s := newFullBalancer(t, servers, 0, 1)
+			s := newLoadedBalancer(t, servers, 0, 1)
 			s.setTime(sec)
 			for _, server := range s.balancer.list.all {
 				if server.id != good {
@@ -129,13 +129,13 @@
 }
 
 // A repeat that only servers of the same zone or cell would drop goes there or nowhere, however long the list.
-func TestRepeatsStayInDeduplicationScope(t *testing.T) {
-	for reach, same := range map[DeduplicationScope]func(a, b *serverState) bool{
+func TestRetriesStayInDeduplicationScope(t *testing.T) {
+	for scope, same := range map[DeduplicationScope]func(a, b *serverState) bool{
 		DeduplicatedByZone: func(a, b *serverState) bool { return a.zone == b.zone },
 		DeduplicatedByCell: func(a, b *serverState) bool { return a.cell == b.cell },
 	} {
-		s := newFullBalancer(t, 1999, 0, 1) // each cell has several
-		s.balancer.services[0].Effect, s.balancer.services[0].Deduplication = IdempotentByKey, reach
+		s := newLoadedBalancer(t, 1999, 0, 1) // each cell has several
+		s.balancer.services[0].Effect, s.balancer.services[0].Deduplication = IdempotentByKey, scope
 		for i := range 50 {
 			f := FlowID(strconv.Itoa(i))
 			for k := range 3 { // else all set-ups would seem to fail, and nothing would be repeated
@@ -145,7 +145,7 @@
 			s.balancer.OnEnded(f, Error, ms, false)
 			next := s.balancer.list.byID[s.targets[f]]
 			if first == next || !same(first, next) {
-				t.Errorf("reach %d: first to %d, then to %d", reach, first.id, next.id)
+				t.Errorf("reach %d: first to %d, then to %d", scope, first.id, next.id)
 			}
 			s.balancer.OnEstablished(f, ms)
 		}
@@ -155,7 +155,7 @@
 // A group that is half of all connections is spread as far as its load requires, and no further.
 func TestGroupOfHalfOfAllFlows(t *testing.T) {
 	const servers, flows = 500, 10_000
-	s := newFullBalancer(t, servers, 0, 1)
+	s := newLoadedBalancer(t, servers, 0, 1)
 	for i := range flows {
 		group := GroupKey("large")
 		if i%2 > 0 {
@@ -182,7 +182,7 @@
 // A list that is replaced completely leaves no flow without a server: established ones migrate to the new servers.
 func TestListReplacedCompletely(t *testing.T) {
 	const servers, flows = 400, 2000
-	s := newFullBalancer(t, servers, flows, 500)
+	s := newLoadedBalancer(t, servers, flows, 500)
 	s.balancer.BeginEndpoints(FullUpdate)
 	for id := servers + 1; id <= 2*servers; id++ {
 		s.listServer(ServerID(id), Ready, LongAgo)
@@ -205,7 +205,7 @@
 // From no flows to many within a minute: each is placed at once, and servers are used evenly.
 func TestManyFlowsWithinMinute(t *testing.T) {
 	const servers, flows = 1000, 40_000
-	s := newFullBalancer(t, servers, 0, 1)
+	s := newLoadedBalancer(t, servers, 0, 1)
 	for i := range flows {
 		s.setTime(time.Duration(i) * time.Minute / flows)
 		f := FlowID(strconv.Itoa(i))
--- a/decide/overload_test.go
+++ b/decide/overload_test.go
@@ -34,7 +34,7 @@
 }
 
 // One late message may be a pause; a second limits the server.
-func TestOneLateMessageIsNoLimit(t *testing.T) {
+func TestSingleLateMessageIsNotOverload(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		samples     int
--- a/decide/placement.go
+++ b/decide/placement.go
@@ -5,25 +5,25 @@
 	"slices"
 )
 
-// Which server a flow goes to: the guarded least-cost choice.
+// Placement: a flow goes to the server of least cost, with bounded loads.
 
 const (
 	groupingWeight     = 1.0 // of grouping in the cost
 	loadWeight         = 1.0 // of the load in the cost
 	transferCostWeight = 10.0
-	openFlowsPrior     = 2.0  // flows that a load is computed from at least, as few flows say little
-	loadPrior          = 0.2  // the same for load reports, or a mean near 0 would make all look full
-	groupingLoadBound  = 1.25 // times the mean, above which a server attracts no groups
-	costTolerance      = 1e-9 // costs within it are equal
+	openFlowsPrior     = 2.0  // added to flow counts when loads are compared, as small counts say little
+	loadPrior          = 0.2  // added to reported loads, as all servers would seem full with a mean near 0
+	groupingLoadBound  = 1.25 // multiple of the mean load above which a server attracts no groups
+	costTolerance      = 1e-9 // costs that differ by less are equal
 
 	randomCandidates = 24 // of a long list, half of them local
-	preferredBuckets = 8  // of servers that may be preferred by a group
-	holderCandidates = 8  // servers that hold the group already
+	preferredBuckets = 8  // buckets of servers of which a group prefers one
+	holderCandidates = 8  // servers that already hold the group
 
 	recentOverload       = 2 * limitRecoveryTime
-	recentOverloadWeight = 1e-6 // of a server as preferred, behind all others
+	recentOverloadWeight = 1e-6 // factor on the rendezvous weight, which puts the server behind all others
 
-	// Ranks add up. Servers of a higher rank are chosen only where there is no other.
+	// Ranks add up. A server is chosen only if there is none of a lower rank.
 	overloadedRank = 1
 	ejectedRank    = 2
 	attemptedRank  = 4 // for each attempt of the flow there
@@ -33,24 +33,24 @@
 type placementCosts struct {
 	zoneCrossing float64
 	migration    float64
-	hasSizes     bool // the sizes in the list mean something
+	hasSizes     bool // the endpoint list has the sizes of servers
 }
 
-// placementView is what one placement or recheck sees of the fleet: its candidates, and the means and marks that each
+// placementView is the input of one placement or recheck: the candidates, and figures over all servers that each
 // candidate is compared with.
 type placementView struct {
 	candidates       []*serverState
-	preferredCount   int            // so many of the candidates, the first, may be preferred
+	preferredCount   int            // number of candidates, from the first on, that the group may prefer
 	holders          []*serverState // of the group, at this balancer
-	meanOpen         float64        // open flows of this balancer per unit of size
-	meanWithFlow     float64        // the same with the flow in hand
-	meanLoad         float64        // over capacity, of servers that report it
-	someBelowBound   bool           // some server is below the guard
-	holderBelowBound bool           // such a server holds the group
+	meanOpen         float64        // open flows of this balancer per unit of size, without the flow being placed
+	meanWithFlow     float64        // the same with the flow being placed
+	meanLoad         float64        // mean load over capacity of the servers that report it
+	someBelowBound   bool           // some server is below the load bound
+	holderBelowBound bool           // a server below the load bound holds the group and was not overloaded recently
 	preferred        *serverState   // by rendezvous hashing; nil: none
 }
 
-// groupFlows is how many flows of the group the server holds.
+// groupFlows returns how many flows of the group the server holds.
 func (v placementView) groupFlows(server *serverState, group GroupKey) int {
 	if len(v.holders) <= maxHolderScan && !slices.Contains(v.holders, server) {
 		return 0
@@ -58,8 +58,8 @@
 	return server.groupTallies[group]
 }
 
-// choose is the guarded least-cost choice. Where the candidates from a long list all have faults, others are drawn from
-// the servers that had none at the last tick.
+// choose returns the allowed server of least cost, or nil. If all candidates from a long list have faults, it draws
+// others from the servers that had none at the last tick.
 func (b *Balancer) choose(f *flow) *serverState {
 	best, rank := b.cheapest(f, b.viewFor(f, b.list.ready))
 	if b.list.isLong() && (best == nil || rank > 0) {
@@ -70,8 +70,8 @@
 	return best
 }
 
-// cheapest is the allowed candidate of the lowest rank, among those the one of the lowest cost, and among equals one
-// by chance.
+// cheapest returns the allowed candidate of the lowest rank and, within that rank, of the lowest cost. It breaks ties at
+// random.
 func (b *Balancer) cheapest(f *flow, view placementView) (best *serverState, bestRank int) {
 	bestRank = math.MaxInt
 	bestCost, ties := 0.0, 0.0
@@ -96,7 +96,7 @@
 	return best, bestRank
 }
 
-// chooseForced is the server of a forced attempt: a permitted one of the lowest rank, by chance among equals.
+// chooseForced returns the server of a forced attempt: a permitted one of the lowest rank. It breaks ties at random.
 func (b *Balancer) chooseForced(f *flow) (best *serverState) {
 	view := b.viewFor(f, b.list.ready)
 	bestRank := math.MaxInt
@@ -119,12 +119,12 @@
 	return best
 }
 
-// replacesEqual reports whether the n-th of equal servers takes the place of the one chosen so far, so that each of them
-// is chosen with the same probability.
+// replacesEqual reports whether the n-th of several equal servers replaces the current choice, so that each is chosen
+// with the same probability (reservoir sampling).
 func (b *Balancer) replacesEqual(n float64) bool { return b.random.uniform()*n < 1 }
 
-// candidates are the servers that a decision looks at: all of a short list. Of a long one they are those that the group
-// prefers at all balancers, some that hold it here, and some by chance.
+// candidates returns the servers that a decision considers. Of a short list these are all servers; of a long one, those
+// that the group prefers at all balancers, some that hold it at this balancer, and some at random.
 func (b *Balancer) candidates(f *flow, holders, from []*serverState) (selected []*serverState, preferredCount int) {
 	l := &b.list
 	if !l.isLong() {
@@ -146,14 +146,14 @@
 	return l.candidates, preferredCount
 }
 
-// allowed reports whether the flow may go to the server now. Silent servers are excluded outright: with all others
-// full, every flow would go there as soon as they return.
+// allowed reports whether the flow may go to the server now. An ejected server that is unreachable is excluded and not
+// merely ranked lower: if all others were full, every flow would go there as soon as it is reachable again.
 func (b *Balancer) allowed(f *flow, server *serverState, view placementView) bool {
 	return server.readiness == Ready && (!server.isUnreachable() || !b.isEjected(server)) &&
 		b.hasCapacity(f, server, view) && b.permitted(f, server, view)
 }
 
-// permitted reports whether the flow may go to the server whatever its health and load.
+// permitted reports whether the flow may go to the server, regardless of the server's health and load.
 func (b *Balancer) permitted(f *flow, server *serverState, view placementView) bool {
 	if server.readiness != Ready || !b.hasSlowStartBudget(server, view) {
 		return false
@@ -175,12 +175,13 @@
 	}
 }
 
-// isConfined reports whether another attempt may go only where servers drop its repeats.
+// isConfined reports whether a retry may go only to servers that drop its duplicates.
 func (f *flow) isConfined(service *ServiceType) bool {
 	return f.mayHaveRun && service.Effect != Idempotent && service.Deduplication != DeduplicatedByFleet
 }
 
-// rank orders servers by their faults, so that a flow goes to a faulty server rather than to none.
+// rank returns the server's rank by its faults. Servers with faults remain candidates, as a flow should rather go to
+// one of them than to none.
 func (b *Balancer) rank(f *flow, server *serverState) int {
 	rank := 0
 	for _, id := range f.attempted {
@@ -197,9 +198,9 @@
 	return rank
 }
 
-// viewFor prepares a placement of the flow among these servers or a part of them. The flow itself is left out of the
-// means. By tallies alone each balancer would hold a group at another server; the preferred server, the highest by
-// a hash of group and id of those below the guard, is the same at all.
+// viewFor prepares the placement of the flow on one of these servers, or on one of a selection of them. The means do not
+// include the flow itself. By its tallies alone, each balancer would hold a group at a different server. The preferred
+// server is the same at all balancers: of those below the load bound, the one with the highest rendezvous weight.
 func (b *Balancer) viewFor(f *flow, from []*serverState) (view placementView) {
 	view.holders = b.tallies.holders[f.group]
 	view.candidates, view.preferredCount = b.candidates(f, view.holders, from)
@@ -228,8 +229,8 @@
 	return view
 }
 
-// mayAttractGroup reports whether a server below the guard could be chosen. Flows forwarded from one that could not
-// would spread its groups over the fleet.
+// mayAttractGroup reports whether the server is below the load bound and could be chosen. If servers that cannot be
+// chosen were preferred, their groups would spread over the fleet.
 func (b *Balancer) mayAttractGroup(f *flow, server *serverState, view placementView, leastExtra float64) bool {
 	if extra, _ := b.serverCost(f, server); extra > leastExtra {
 		return false
@@ -238,8 +239,8 @@
 		!b.isAboveLoadBound(server, flowCounts{open: server.openFlows, group: view.groupFlows(server, f.group)}, view)
 }
 
-// preferredWeight is the rendezvous weight of a server. One that was overloaded recently would, as preferred, attract
-// again what overloaded it.
+// preferredWeight returns the rendezvous weight of a server. It is reduced for a server that was overloaded recently,
+// which would otherwise attract the flows that overloaded it again.
 func (b *Balancer) preferredWeight(group uint64, server *serverState, wasOverloaded bool) float64 {
 	weight := rendezvousWeight(group, server.id) * b.size(server)
 	if wasOverloaded {
@@ -251,20 +252,21 @@
 	return weight
 }
 
-// localWeight is the weight of a server of the own zone as preferred, beside 1 of one elsewhere.
+// localWeight returns the factor on the rendezvous weight of servers in the local zone; it is 1 for all others.
 func (b *Balancer) localWeight() float64 {
 	factor := 1 + transferCostWeight*b.placement.zoneCrossing
 	return factor * factor
 }
 
-// flowCounts are flows of this balancer at a server.
+// flowCounts counts flows of this balancer at a server.
 type flowCounts struct {
 	open  int // of any group
-	group int // of the group of the flow in hand
+	group int // of the group of the flow being placed
 }
 
-// isAboveLoadBound reports whether a server attracts no groups: by its load report, though not while it is lightly loaded,
-// or else by this balancer's flows and what chance may add to them where balancers are many.
+// isAboveLoadBound reports whether a server has too much load to attract groups. This is judged by its load report, if
+// there is one, and a lightly loaded server is never above the bound. Otherwise it is judged by this balancer's flows,
+// with an allowance for random variation where balancers are many, as each then places only a sample of all flows.
 func (b *Balancer) isAboveLoadBound(server *serverState, flows flowCounts, view placementView) bool {
 	if load, ok := b.reportedLoad(server); ok {
 		return load > max(groupingLoadBound*view.meanLoad, lightLoad)
@@ -274,7 +276,7 @@
 	return float64(flows.open) > groupingLoadBound*fairShare+significantDeviations*math.Sqrt(fairShare*othersShare)+othersShare*float64(flows.group)
 }
 
-// size is what a server counts for in means: its listed size, where sizes mean something, times its capacity share.
+// size returns the weight of a server in means: its capacity share, times its listed size where the list has sizes.
 func (b *Balancer) size(server *serverState) float64 {
 	if b.placement.hasSizes && server.size > 0 {
 		return server.size * b.capacityShare(server)
@@ -282,23 +284,23 @@
 	return b.capacityShare(server)
 }
 
-// load is the load of a server with so many open flows, relative to the mean.
+// load returns the load of a server with the given number of open flows, relative to the mean.
 func (b *Balancer) load(server *serverState, open int, view placementView) float64 {
 	if load, ok := b.reportedLoad(server); ok {
 		return (load + loadPrior) / (view.meanLoad + loadPrior)
 	}
 	mean := view.meanOpen*b.size(server) + openFlowsPrior
-	if b.capacityShare(server) < 1 { // its budget holds it back; the prior would do so again
+	if b.capacityShare(server) < 1 { // its budget already limits it; the prior would do so again
 		return float64(open) / mean
 	}
 	return (float64(open) + openFlowsPrior) / mean
 }
 
-// cost is the cost of the flow at the server, by grouping, load, the price of a zone crossing and constraints.
+// cost returns the cost of the flow at the server, from grouping, load, the price of a zone crossing and constraints.
 func (b *Balancer) cost(f *flow, server *serverState, view placementView) float64 {
 	held := view.groupFlows(server, f.group)
 	open, group := server.openFlows, held
-	if f.leased && f.server == server { // without the flow itself
+	if f.leased && f.server == server { // do not count the flow itself
 		open--
 		group--
 	}
@@ -312,11 +314,11 @@
 	if server.zone != b.list.Zone {
 		cost += transferCostWeight * b.placement.zoneCrossing
 	}
-	extra, _ := b.serverCost(f, server) // its ok is checked where the server becomes a candidate
+	extra, _ := b.serverCost(f, server) // ok is checked in permitted
 	return cost + extra
 }
 
-// serverCost is the extra cost that constraints give a server, or false where they exclude it.
+// serverCost returns the extra cost that the constraints assign to a server; ok is false if they exclude it.
 func (b *Balancer) serverCost(f *flow, server *serverState) (extra float64, ok bool) {
 	if b.constraints == nil {
 		return 0, true
@@ -324,8 +326,8 @@
 	return b.constraints.ServerCost(f.id, server.id)
 }
 
-// leastExtra is the least extra cost of any candidate. Servers that cost more are left out of the means: empty ones far
-// off would make near ones look full.
+// leastExtra returns the lowest extra cost of any candidate. Servers that cost more do not count in the means, as empty
+// distant servers would make the near ones seem full.
 func (b *Balancer) leastExtra(f *flow, candidates []*serverState) (least float64) {
 	if b.constraints == nil {
 		return 0
--- a/decide/random.go
+++ b/decide/random.go
@@ -7,10 +7,10 @@
 	pcgIncrement  = 1442695040888963407
 	fnvOffset     = 14695981039346656037
 	fnvPrime      = 1099511628211
-	goldenRatio   = 0x9e3779b97f4a7c15 // 2^64 over the golden ratio
+	goldenRatio   = 0x9e3779b97f4a7c15 // 2^64 divided by the golden ratio
 )
 
-// pcg is PCG-XSH-RR 64/32: small, seeded by the instance, the same on every machine.
+// pcg is the random number generator PCG-XSH-RR 64/32. Its values depend on the seed alone, on every platform.
 type pcg uint64
 
 func (p *pcg) next() uint32 {
@@ -27,10 +27,10 @@
 	return p
 }
 
-// uniform draws from [0,1).
+// uniform returns a random number in [0,1).
 func (p *pcg) uniform() float64 { return float64(p.next()) / (1 << 32) }
 
-// hash is FNV-1a, the same at every balancer.
+// hash returns the FNV-1a hash, which is the same at every balancer.
 func (g GroupKey) hash() uint64 {
 	hash := uint64(fnvOffset)
 	for i := 0; i < len(g); i++ {
@@ -39,8 +39,9 @@
 	return hash
 }
 
-// rendezvousWeight is the same at every balancer for a group, by its hash, and a server. Multiplied by sizes, the
-// largest one falls on each server in proportion to its size.
+// rendezvousWeight returns the weight of a server for a group, given by its hash, in weighted rendezvous hashing. It is the
+// same at every balancer. If it is multiplied by the servers' sizes, each server has the largest weight for a share of
+// groups that is proportional to its size.
 func rendezvousWeight(group uint64, id ServerID) float64 {
 	p := seeded(group ^ uint64(id)*goldenRatio)
 	return -1 / math.Log((float64(p.next())+0.5)/(1<<32))
--- a/decide/rechecks.go
+++ b/decide/rechecks.go
@@ -7,19 +7,20 @@
 	"time"
 )
 
-// The re-evaluation of established flows, and their migration away from overloaded, silent and departing servers.
+// The re-evaluation of established flows, and their migration away from overloaded, unreachable and departing servers.
 
 const (
-	recheckInterval    = 5 * time.Second // of one round over all established flows
-	maxRechecksPerTick = 128             // of those that look at other servers
-	migrationMargin    = 1.75            // cost that a migration has to save: more than grouping is ever worth
-	migrationShare     = 1.0 / 8         // of a server's flows, at a time, where nothing says how many
-	noMinSaving        = -math.MaxFloat64
-	slowSetupDivisor   = 2 // set-ups beyond target/2 are slow
+	recheckInterval    = 5 * time.Second  // of one round of rechecks over all established flows
+	maxRechecksPerTick = 128              // maximum number of rechecks that consider other servers
+	migrationMargin    = 1.75             // cost that a migration must save, more than grouping can save
+	migrationShare     = 1.0 / 8          // share of a server's flows to migrate at a time, where no measurement gives one
+	noMinSaving        = -math.MaxFloat64 // as minSaving: migrate at any cost
+	slowSetupDivisor   = 2                // set-ups that take longer than target/2 are slow
 )
 
-// areSetupsWithinObjective reports whether migrations are affordable: the client of a migrated flow pays its set-up
-// again. Slow set-ups count only while they are recent, or a mass reconnect would hold flows on slow servers.
+// areSetupsWithinObjective reports whether set-ups are fast enough for migrations, as the client of a migrated flow has
+// to set up its connection again. Slow set-ups count only while they are recent; otherwise a mass reconnect would keep
+// flows on slow servers.
 func (b *Balancer) areSetupsWithinObjective() bool {
 	if len(b.services) == 0 {
 		return false
@@ -28,12 +29,12 @@
 	return isOld || median(b.health.setupTimes) < b.services[0].SetupTarget/slowSetupDivisor
 }
 
-// recheck migrates an established flow if another server without faults costs less by minSaving.
+// recheck migrates an established flow if another server without faults costs less by more than minSaving.
 func (b *Balancer) recheck(f *flow, minSaving float64) (migrated bool) {
 	return b.recheckOrShed(f, minSaving, false)
 }
 
-// recheckOrShed does the same, or migrates the flow in any case if it is to be shed.
+// recheckOrShed does the same as recheck, but migrates the flow in any case if shed is set.
 func (b *Balancer) recheckOrShed(f *flow, minSaving float64, shed bool) (migrated bool) {
 	view := b.viewFor(f, b.list.ready)
 	currentCost := b.cost(f, f.server, view)
@@ -49,8 +50,9 @@
 	return true
 }
 
-// cannotImprove reports, without a look at other servers, that none can cost less by minSaving: what the flow costs at
-// its server at most, less minSaving, is no more than the least that any could cost if it were preferred.
+// cannotImprove reports whether a recheck can be skipped because no server can cost less by more than minSaving. It does
+// so without iterating over servers: an upper bound of the flow's present cost, less minSaving, is compared with a lower
+// bound of its cost at any server, which assumes that the group prefers that server.
 func (b *Balancer) cannotImprove(f *flow, minSaving float64) bool {
 	if b.constraints != nil {
 		return false
@@ -75,7 +77,7 @@
 	return currentCost-minSaving < minCostElsewhere-costTolerance
 }
 
-// recheckSlice continues the round of rechecks.
+// recheckSlice continues the round of rechecks with the flows that are due in one tick.
 func (b *Balancer) recheckSlice() {
 	due := int(float64(len(b.flows.established))*float64(tickInterval)/float64(recheckInterval)) + 1
 	minSaving := migrationMargin + transferCostWeight*b.placement.migration
@@ -92,7 +94,7 @@
 	}
 }
 
-// nextToRecheck advances the round over the established flows, of which there must be one.
+// nextToRecheck returns the next flow in the round of rechecks. There must be an established flow.
 func (t *flowTable) nextToRecheck() *flow {
 	t.lastRechecked = (t.lastRechecked + 1) % len(t.established)
 	return t.established[t.lastRechecked]
@@ -102,7 +104,7 @@
 	return b.constraints == nil || b.constraints.AllowMigration(id)
 }
 
-// recheckFirst rechecks the flows that constraints name.
+// recheckFirst rechecks the flows that the constraints return by MigrateFirst.
 func (b *Balancer) recheckFirst(ids []FlowID) {
 	for _, id := range ids {
 		if f := b.flows.byID[id]; f != nil && f.state == established && b.constraints.AllowMigration(id) {
@@ -111,17 +113,17 @@
 	}
 }
 
-// migration says how many flows of a server are to be migrated, and which may be.
+// migration says how many flows of a server to migrate, and which.
 type migration struct {
 	share     float64 // of the server's flows; more than 1: all
-	minSaving float64 // cost that each has to save; atAnyCost: it may cost more
-	shed      bool    // each may go even if no other server could take it
+	minSaving float64 // cost that each migration must save; may be noMinSaving
+	shed      bool    // migrate even if no other server can take the flow
 }
 
-// migrateAway rechecks a server's flows until the share is migrated. Its number is rounded by chance: rounded up, it
-// would be all flows of a server at which each of many balancers holds one.
+// migrateAway rechecks a server's flows until the wanted share of them is migrated. The number of flows is rounded at
+// random: if it were rounded up and each of many balancers held one flow there, all of the server's flows would migrate.
 func (b *Balancer) migrateAway(server *serverState, wanted migration) {
-	// Smallest groups first: a group costs its server extra work as long as one of its flows is there.
+	// Smallest groups first, as a group costs its server extra work until its last flow leaves.
 	flows := slices.SortedFunc(slices.Values(server.established), func(one, other *flow) int {
 		return cmp.Or(server.groupTallies[one.group]-server.groupTallies[other.group], one.listIndex-other.listIndex)
 	})
@@ -136,7 +138,7 @@
 	}
 }
 
-// migrateFromDepartingAndUnreachable migrates some of the flows of each server that is departing or silent.
+// migrateFromDepartingAndUnreachable migrates a share of the flows of each departing or unreachable server.
 func (b *Balancer) migrateFromDepartingAndUnreachable() {
 	wanted := migration{share: migrationShare, minSaving: noMinSaving}
 	for _, server := range b.list.departing {
--- a/decide/recorded_test.go
+++ b/decide/recorded_test.go
@@ -10,9 +10,9 @@
 	"time"
 )
 
-// recording is a simulated run that answers the actions: attempts succeed, fail or time out by their server,
+// simulatedRun is a simulated run that answers the actions: attempts succeed, fail or time out by their server,
 // servers are late, drain, restart and vanish, and timers fire.
-type recording struct {
+type simulatedRun struct {
 	*harness
 	rand        *rand.Rand
 	servers     int
@@ -30,8 +30,8 @@
 	event func()
 }
 
-// recordedDay is the parameters of a recording.
-type recordedDay struct {
+// runParameters is the parameters of a recording.
+type runParameters struct {
 	seed                 uint64
 	servers, balancers   int
 	groups               int
@@ -44,33 +44,33 @@
 	seconds              int
 }
 
-func record(t *testing.T, day recordedDay) *recording {
-	r := &recording{
+func simulateRun(t *testing.T, parameters runParameters) *simulatedRun {
+	r := &simulatedRun{
 		harness:     &harness{t: t, targets: map[FlowID]ServerID{}, attemptsTo: map[ServerID]int{}},
-		servers:     day.servers,
-		rand:        rand.New(rand.NewPCG(day.seed, 99)),
+		servers:     parameters.servers,
+		rand:        rand.New(rand.NewPCG(parameters.seed, 99)),
 		connections: map[FlowID]ServerID{},
 	}
-	r.balancer = New(day.seed, r.harness)
+	r.balancer = New(parameters.seed, r.harness)
 	r.balancer.ConfigureFlows(3, sec)
-	r.balancer.AddService(serviceType(day.effect, day.deduplication))
-	r.balancer.ConfigureSlowStart(slowStartRule(day.balancers))
-	r.balancer.ConfigureHealthChecks(day.healthChecks)
-	r.balancer.ConfigurePlacement(day.crossing, 0.02, true)
-	if day.quotas {
-		r.balancer.AddCustomer(float64(day.flowsPerSecond) * 4)
-		r.balancer.AddCustomer(float64(day.flowsPerSecond))
+	r.balancer.AddService(serviceType(parameters.effect, parameters.deduplication))
+	r.balancer.ConfigureSlowStart(slowStartRule(parameters.balancers))
+	r.balancer.ConfigureHealthChecks(parameters.healthChecks)
+	r.balancer.ConfigurePlacement(parameters.crossing, 0.02, true)
+	if parameters.quotas {
+		r.balancer.AddCustomer(float64(parameters.flowsPerSecond) * 4)
+		r.balancer.AddCustomer(float64(parameters.flowsPerSecond))
 	}
 	r.balancer.ConfigureEndpoints(EndpointSettings{Zone: "z0", Polled: false, MaxPollInterval: 10 * sec, MessageTarget: 100 * ms})
 	r.setTime(0)
-	r.updateList(CachedUpdate, Ready, day.servers)
-	for step := range day.seconds * 20 {
+	r.updateList(CachedUpdate, Ready, parameters.servers)
+	for step := range parameters.seconds * 20 {
 		r.now = time.Duration(step) * 50 * ms
 		r.setTime(r.now)
 		r.runDue()
 		r.injectFaults()
-		for range r.rand.IntN(day.flowsPerSecond/10 + 1) {
-			r.arrive(day)
+		for range r.rand.IntN(parameters.flowsPerSecond/10 + 1) {
+			r.arrive(parameters)
 		}
 		if step%5 == 0 {
 			r.balancer.OnTimer(tickTimer)
@@ -81,27 +81,27 @@
 				r.balancer.OnTimer(timer)
 			}
 		}
-		r.simulateReplies(day)
+		r.simulateReplies(parameters)
 	}
 	return r
 }
 
 // arrive brings one flow.
-func (r *recording) arrive(day recordedDay) {
+func (r *simulatedRun) arrive(parameters runParameters) {
 	r.flows++
 	customer := NoCustomer
-	if day.quotas {
+	if parameters.quotas {
 		customer = CustomerID(r.rand.IntN(2))
 	}
 	group := GroupKey("")
-	if n := r.rand.IntN(day.groups + 1); n > 0 {
-		group = GroupKey(strconv.Itoa(n * n / day.groups))
+	if n := r.rand.IntN(parameters.groups + 1); n > 0 {
+		group = GroupKey(strconv.Itoa(n * n / parameters.groups))
 	}
 	r.balancer.OnFlow(FlowRequest{ID: FlowID(strconv.Itoa(r.flows)), Customer: customer, Group: group, Timeout: 900 * ms})
 }
 
 // injectFaults changes the list now and then, makes servers late and ends flows.
-func (r *recording) injectFaults() {
+func (r *simulatedRun) injectFaults() {
 	id := ServerID(1 + r.rand.IntN(r.servers))
 	switch r.rand.IntN(60) {
 	case 0:
@@ -130,7 +130,7 @@
 }
 
 // end ends an established flow.
-func (r *recording) end(f FlowID, o Outcome) {
+func (r *simulatedRun) end(f FlowID, o Outcome) {
 	for i, other := range r.established {
 		if other == f {
 			r.established = append(r.established[:i], r.established[i+1:]...)
@@ -142,7 +142,7 @@
 }
 
 // runDue runs the events that are due, in the order in which they were scheduled.
-func (r *recording) runDue() {
+func (r *simulatedRun) runDue() {
 	due := r.due
 	r.due = nil
 	for _, p := range due {
@@ -155,13 +155,13 @@
 }
 
 // simulateReplies schedules the results of the actions since the last call, and adds the actions to the hash.
-func (r *recording) simulateReplies(day recordedDay) {
+func (r *simulatedRun) simulateReplies(parameters runParameters) {
 	for _, line := range r.performed {
 		r.hash = fmt.Appendf(r.hash, "%d %s\n", r.now, line)
 		var f FlowID
 		var to ServerID
 		if n, _ := fmt.Sscanf(line, "connect %s %d", &f, &to); n == 2 {
-			r.simulateConnect(day, f, to)
+			r.simulateConnect(parameters, f, to)
 		} else if n, _ := fmt.Sscanf(line, "move %s", &f); n == 1 {
 			r.due = append(r.due, pending{r.now + 100*ms, func() { r.end(f, OK) }})
 		} else if n, _ := fmt.Sscanf(line, "probe %d", &to); n == 1 {
@@ -174,19 +174,19 @@
 
 // simulateConnect schedules the end of an attempt: one server in eleven rejects, one in thirteen times out, one in
 // seventeen fails.
-func (r *recording) simulateConnect(day recordedDay, f FlowID, to ServerID) {
+func (r *simulatedRun) simulateConnect(parameters runParameters, f FlowID, to ServerID) {
 	took := time.Duration(5+r.rand.IntN(60)) * ms
 	end := func(o Outcome) func() { return func() { r.balancer.OnEnded(f, o, took, false) } }
-	bad := r.now%(20*sec) < 8*sec
+	isFaulty := r.now%(20*sec) < 8*sec
 	switch {
-	case bad && to%11 == 3:
+	case isFaulty && to%11 == 3:
 		r.due = append(r.due, pending{r.now + took, end(Full)})
-	case bad && to%13 == 5:
+	case isFaulty && to%13 == 5:
 		r.due = append(r.due, pending{r.now + 300*ms, end(TimedOut)})
-	case bad && to%17 == 7:
+	case isFaulty && to%17 == 7:
 		r.due = append(r.due, pending{r.now + took, end(Error)})
 	default:
-		lifetime := time.Duration(r.rand.Int64N(int64(2 * day.lifetime)))
+		lifetime := time.Duration(r.rand.Int64N(int64(2 * parameters.lifetime)))
 		r.due = append(r.due, pending{r.now + took, func() {
 			r.balancer.OnEstablished(f, took)
 			r.connections[f] = to
@@ -195,46 +195,46 @@
 	}
 }
 
-// recordedDays are days and the hashes of all actions on them.
-var recordedDays = []struct {
-	day  recordedDay
-	want string
+// recordedRuns are days and the hashes of all actions on them.
+var recordedRuns = []struct {
+	parameters runParameters
+	want       string
 }{
-	{recordedDay{
+	{runParameters{
 		seed: 1, servers: 1, balancers: 1, seconds: 40,
 		groups: 3, flowsPerSecond: 40, lifetime: 4 * sec,
 	}, "5b244d609305866b8e8031cc5c1bfeff"},
-	{recordedDay{
+	{runParameters{
 		seed: 2, servers: 5, balancers: 3, seconds: 40,
 		groups: 12, flowsPerSecond: 60, lifetime: 10 * sec,
 		crossing: 0.08,
 	}, "ed09218f26a5c7dab6e433d9f6a52304"},
-	{recordedDay{
+	{runParameters{
 		seed: 3, servers: 20, balancers: 80, seconds: 40,
 		groups: 40, flowsPerSecond: 60, lifetime: 10 * sec,
 		quotas: true, crossing: 0.08,
 	}, "f341cf5f5ffcc2ebe074ca1fb4b3dc3a"},
-	{recordedDay{
+	{runParameters{
 		seed: 4, servers: 20, balancers: 1, seconds: 40,
 		groups: 200, flowsPerSecond: 100, lifetime: 10 * sec,
 		healthChecks: true,
 	}, "08de30b2b88ca9d0cbce9ba3b82bc8e7"},
-	{recordedDay{
+	{runParameters{
 		seed: 5, servers: 60, balancers: 300, seconds: 40,
 		groups: 500, flowsPerSecond: 100, lifetime: 20 * sec,
 		effect: IdempotentByKey, deduplication: DeduplicatedByZone, crossing: 0.02,
 	}, "179d68a70078de96812e273b14941441"},
-	{recordedDay{
+	{runParameters{
 		seed: 6, servers: 60, balancers: 1, seconds: 40,
 		groups: 20, flowsPerSecond: 100, lifetime: 30 * sec,
 		effect: IdempotentByKey, deduplication: DeduplicatedByCell, quotas: true,
 	}, "2b8b0c3496faedd643f1bd02abbad28b"},
-	{recordedDay{
+	{runParameters{
 		seed: 7, servers: 128, balancers: 10, seconds: 30,
 		groups: 1000, flowsPerSecond: 100, lifetime: 30 * sec,
 		effect: NotIdempotent, healthChecks: true, crossing: 0.05,
 	}, "6c4fe0f5fde41f83e2e7f60eb28aa073"},
-	{recordedDay{
+	{runParameters{
 		seed: 8, servers: 128, balancers: 300, seconds: 30,
 		groups: 60, flowsPerSecond: 100, lifetime: 30 * sec,
 		quotas: true,
@@ -243,16 +243,16 @@
 
 // The hashes are of all actions of decisions that look at every server and make every recheck. With lists up to
 // fullScanServers the actions are the same, byte for byte: rechecks that are skipped could not have migrated anything.
-func TestShortListsMatchRecordedDays(t *testing.T) {
-	did := map[string]int{}
-	for _, c := range recordedDays {
-		t.Run(fmt.Sprintf("%d servers, seed %d", c.day.servers, c.day.seed), func(t *testing.T) {
-			r := record(t, c.day)
+func TestShortListsMatchRecordedRuns(t *testing.T) {
+	actionCounts := map[string]int{}
+	for _, c := range recordedRuns {
+		t.Run(fmt.Sprintf("%d servers, seed %d", c.parameters.servers, c.parameters.seed), func(t *testing.T) {
+			r := simulateRun(t, c.parameters)
 			if r.flows < 100 || len(r.hash) < 1000 {
 				t.Fatalf("%d flows, %d bytes of actions: the recording hardly exercises the decisions", r.flows, len(r.hash))
 			}
 			for _, word := range recordedActions {
-				did[word] += bytes.Count(r.hash, []byte(" "+word+" "))
+				actionCounts[word] += bytes.Count(r.hash, []byte(" "+word+" "))
 			}
 			if got := fmt.Sprintf("%x", sha256.Sum256(r.hash))[:32]; got != c.want {
 				t.Errorf("actions hash to %s, recorded %s", got, c.want)
@@ -260,11 +260,11 @@
 		})
 	}
 	for _, word := range recordedActions {
-		if did[word] < 50 {
-			t.Errorf("%d times %q in all days: the recordings hardly exercise that decision", did[word], word)
+		if actionCounts[word] < 50 {
+			t.Errorf("%d times %q in all days: the recordings hardly exercise that decision", actionCounts[word], word)
 		}
 	}
-	t.Logf("actions of all days: %v", did)
+	t.Logf("actions of all days: %v", actionCounts)
 }
 
 // recordedActions are the actions that the recordings must contain.
--- a/decide/reports_test.go
+++ b/decide/reports_test.go
@@ -96,7 +96,7 @@
 
 // Health checks cost their server work: they follow new flows, and no two balancers check in step.
 func TestHealthChecksAreSpread(t *testing.T) {
-	run := func(seed uint64, flows int, d time.Duration) (probes []string) {
+	run := func(seed uint64, flows int, d time.Duration) (checks []string) {
 		s := newHarness(t, Idempotent, DeduplicatedByFleet, 0)
 		s.balancer.random = seeded(seed)
 		s.balancer.ConfigureHealthChecks(true)
@@ -113,10 +113,10 @@
 			s.takeActions()
 			s.balancer.tick()
 			if did := s.takeActions(); did != "" {
-				probes = append(probes, strings.Split(did, ", ")...)
+				checks = append(checks, strings.Split(did, ", ")...)
 			}
 		}
-		return probes
+		return checks
 	}
 	first, other := run(1, 0, 2*sec), run(2, 0, 2*sec)
 	if n := len(slices.Compact(slices.Sorted(slices.Values(first)))); n != 12 {
@@ -132,9 +132,9 @@
 }
 
 // countHealthChecks is how many checks of 80 servers one of so many balancers, which holds so many flows, makes.
-func countHealthChecks(t *testing.T, peers, flows int, d time.Duration) int {
+func countHealthChecks(t *testing.T, balancers, flows int, d time.Duration) int {
 	s := newHarness(t, Idempotent, DeduplicatedByFleet, 0)
-	s.balancer.ConfigureSlowStart(slowStartRule(peers))
+	s.balancer.ConfigureSlowStart(slowStartRule(balancers))
 	s.balancer.ConfigureHealthChecks(true)
 	s.setTime(sec)
 	s.updateList(CachedUpdate, Ready, 80)
@@ -151,22 +151,22 @@
 
 // Health checks grow with the flows held and not with balancers times servers.
 func TestHealthChecksFollowFlowsHeld(t *testing.T) {
-	for _, c := range []struct{ peers, flows, least, most int }{
+	for _, c := range []struct{ balancers, flows, least, most int }{
 		{1, 0, 230, 245}, // all at the list, and a round in 15 s
 		{300, 0, 1, 2},   // its part of the rounds
 		{300, 2, 6, 8},   // one for each, and one for each in 15 s
 		{300, 20, 58, 64},
 		{300, 200, 230, 245},
 	} {
-		if n := countHealthChecks(t, c.peers, c.flows, 30*sec); n < c.least || n > c.most {
-			t.Errorf("%d balancers, %d flows: %d probes in 30 s, wanted %d to %d", c.peers, c.flows, n, c.least, c.most)
+		if n := countHealthChecks(t, c.balancers, c.flows, 30*sec); n < c.least || n > c.most {
+			t.Errorf("%d balancers, %d flows: %d probes in 30 s, wanted %d to %d", c.balancers, c.flows, n, c.least, c.most)
 		}
 	}
 }
 
-// checkOrderByWalk is the plain form of the order of checks: for each check a walk over all servers, for the one whose
+// healthCheckOrderByScan is the plain form of the order of checks: for each check a walk over all servers, for the one whose
 // last check is oldest by age, which counts double where flows are open.
-func checkOrderByWalk(b *Balancer, n int) (probes []string) {
+func healthCheckOrderByScan(b *Balancer, n int) (checks []string) {
 	checkedAt := map[ServerID]time.Duration{}
 	for _, server := range b.list.ready {
 		checkedAt[server.id] = server.healthCheckedAt
@@ -180,12 +180,12 @@
 			}
 		}
 		checkedAt[next.id] = b.now
-		probes = append(probes, fmt.Sprint("probe ", next.id))
+		checks = append(checks, fmt.Sprint("probe ", next.id))
 	}
-	return probes
+	return checks
 }
 
-func TestHealthChecksOfTickMatchWalk(t *testing.T) {
+func TestHealthCheckOrderMatchesScan(t *testing.T) {
 	most := 0
 	rapid.Check(t, func(rt *rapid.T) {
 		s := newHarness(t, Idempotent, DeduplicatedByFleet, rapid.IntRange(1, 40).Draw(rt, "servers"))
@@ -197,7 +197,7 @@
 		}
 		s.balancer.health.checkCredit = float64(rapid.IntRange(0, 40).Draw(rt, "credit"))
 		s.takeActions()
-		before := checkOrderByWalk(s.balancer, len(s.balancer.list.ready))
+		before := healthCheckOrderByScan(s.balancer, len(s.balancer.list.ready))
 		s.balancer.sendHealthChecks()
 		most = max(most, len(s.performed))
 		want := strings.Join(before[:len(s.performed)], ", ")
--- a/decide/samples.go
+++ b/decide/samples.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Bounded windows of samples, and figures computed from them when needed.
+// Bounded windows of samples and statistics over them.
 
-// sampleWindow is how many set-ups over all servers are kept.
+// sampleWindow is the number of set-ups that are kept for the fleet as a whole.
 const sampleWindow = 16
 
 // sample is the end of a set-up, or of a connection that was reset.
@@ -18,7 +18,7 @@
 	failed bool
 }
 
-// appendWindow adds an item to a window of at most size items, and drops the oldest.
+// appendWindow appends an item to a window of at most size items; if the window is full, it drops the oldest.
 func appendWindow[T any](window []T, item T, size int) []T {
 	if len(window) >= size {
 		window = append(window[:0], window[len(window)-size+1:]...)
@@ -26,7 +26,7 @@
 	return append(window, item)
 }
 
-// median is the zero value where there are no values.
+// median returns the upper median, or the zero value if there are no values.
 func median[T cmp.Ordered](values []T) (middle T) {
 	if len(values) == 0 {
 		return middle
@@ -36,7 +36,7 @@
 	return values[len(values)/2]
 }
 
-// failedShare is the share of failures among the samples since then, and the number of these samples.
+// failedShare returns the share of failures among the samples after the given time, and the number of these samples.
 func failedShare(samples []sample, since time.Duration) (share float64, n int) {
 	failed := 0.0
 	for _, entry := range samples {
--- a/decide/selection.go
+++ b/decide/selection.go
@@ -2,13 +2,13 @@
 
 // The selection of candidates from a long endpoint list.
 
-// fullScanServers is the length of a list up to which decisions look at all of it.
+// fullScanServers is the length of the list up to which decisions consider all servers.
 const fullScanServers = 128
 
-// isLong reports whether decisions look at a part of the list only.
+// isLong reports whether decisions consider only a selection of the list.
 func (l *endpointList) isLong() bool { return len(l.ready) > fullScanServers }
 
-// addCandidate adds a ready server to the selection in hand, once.
+// addCandidate adds a server to the current selection if it is ready and not yet in it.
 func (l *endpointList) addCandidate(server *serverState) {
 	if server.lastSelection != l.selection && server.readiness == Ready {
 		server.lastSelection = l.selection
@@ -16,8 +16,8 @@
 	}
 }
 
-// selectPreferred adds the servers that a group, by its hash, may prefer at all balancers, and returns how many these
-// are. The selection must be empty.
+// selectPreferred adds the servers that a group, given by its hash, may prefer. They are the same at all balancers. It
+// returns their number. The selection must be empty before.
 func (l *endpointList) selectPreferred(group uint64, buckets int) int {
 	for i := range buckets {
 		for _, server := range l.preferredIndex.bucket(group + uint64(i) + 1) {
@@ -27,7 +27,7 @@
 	return len(l.candidates)
 }
 
-// selectRandom adds servers by chance. One that is drawn twice counts once.
+// selectRandom draws servers at random and adds them to the selection. It draws with replacement.
 func (l *endpointList) selectRandom(from []*serverState, draws int, random *pcg) {
 	for range draws {
 		if len(from) > 0 {
@@ -36,7 +36,7 @@
 	}
 }
 
-// retryScope is these servers, or the ready ones of the zone or cell that a repeat is confined to.
+// retryScope returns the given servers, or the ready servers of the zone or cell to which a retry is confined.
 func (l *endpointList) retryScope(f *flow, service *ServiceType, servers []*serverState) []*serverState {
 	if !f.isConfined(service) {
 		return servers
@@ -50,7 +50,7 @@
 	return l.cells[f.firstRunCell]
 }
 
-// groupByLocation fills zones and cells. It is done when a repeat first needs them after an update.
+// groupByLocation fills zones and cells. It is called when a retry first needs them after an update.
 func (l *endpointList) groupByLocation() {
 	l.zones = map[Zone][]*serverState{}
 	l.cells = map[CellID][]*serverState{}
@@ -60,8 +60,8 @@
 	}
 }
 
-// buildIndexes prepares the selection from a long list. Groups prefer any server, or only local ones where these, with
-// their weight, are preferred more often than all others.
+// buildIndexes prepares the selection from a long list. Groups may prefer any server, or only local ones if these have
+// more than half of the total rendezvous weight.
 func (l *endpointList) buildIndexes(localWeight float64) {
 	l.local = l.local[:0]
 	l.zones = nil
--- a/decide/servers.go
+++ b/decide/servers.go
@@ -2,53 +2,53 @@
 
 import "time"
 
-// serverState is what this balancer knows of one server. Each concern keeps its own part.
+// serverState holds what this balancer knows of one server.
 type serverState struct {
-	// What each decision reads of each candidate comes first, so that it fits two cache lines.
-	lastSelection          uint64 // the last selection of candidates that contains the server
+	// The fields that decisions read of every candidate come first, so that they fit into two cache lines.
+	lastSelection          uint64 // number of the last selection of candidates that contains the server
 	readiness              Readiness
-	openFlows              int // leased: connecting and established
+	openFlows              int // flows in the leased tally: connecting and established
 	size                   float64
 	startedAt              time.Duration
-	consecutiveUnreachable int // attempts in a row that ended as Unreachable, with no sign of life since
+	consecutiveUnreachable int // consecutive attempts that ended as Unreachable; reset when the server shows that it is alive
 	latency                time.Duration
 	id                     ServerID
 	ejected                bool
-	disabled               bool // operators have taken it out of service
-	inUpdate               bool // the endpoint update in hand has named it
+	disabled               bool // taken out of service by operators
+	inUpdate               bool // has an entry in the current update of the list
 
 	// Location, load and limit.
 	zone           Zone
-	overloadedAt   time.Duration // when a latency last showed overload
+	overloadedAt   time.Duration // time of the last latency sample that showed overload
 	loadReportedAt time.Duration
 	reportedLoad   float64 // over its capacity
 	limit          flowLimit
 
 	// Endpoint list.
 	cell            CellID
-	listedReadiness Readiness // as the list has it; readiness respects operators too
-	incarnation     int       // counts restarts in place; flows of an earlier one are in no tally
+	listedReadiness Readiness // in the endpoint list; readiness takes disabled into account
+	incarnation     int       // number of restarts; flows of earlier incarnations are in no tally
 
 	// Accounting.
 	groupTallies map[GroupKey]int
-	established  []*flow // of any incarnation
+	established  []*flow // to any incarnation
 
 	// Outlier detection and health checks.
 	samples         []sample
 	ejectedUntil    time.Duration
 	ejectionTime    time.Duration // of the last ejection
-	probationLimit  int           // flows that may be out while on probation
+	probationLimit  int           // maximum of probationFlows
 	probationFlows  int
 	latencyAt       time.Duration
 	healthCheckedAt time.Duration
 
-	// Slow-start budget: attempts due at budgetAt, and those of them that were spent or have expired.
+	// Slow-start budget: number of attempts that were due at budgetAt, and how many of them were spent or have expired.
 	budgetDue   float64
 	budgetSpent int
 	budgetAt    time.Duration
 }
 
-// addFlow adds an established flow to its server.
+// addFlow adds an established flow.
 func (s *serverState) addFlow(f *flow) {
 	f.serverIndex = len(s.established)
 	s.established = append(s.established, f)
--- a/decide/settings.go
+++ b/decide/settings.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// The settings that an instance is given before its first event.
+// The settings of a Balancer, set before its first event.
 
-// ConfigureFlows sets how many attempts a flow may use, and the longest Retry-After that clients obey; 0: they get
-// none.
+// ConfigureFlows sets the maximum number of attempts of a flow and the longest Retry-After that clients honour. With 0
+// they are sent none.
 func (b *Balancer) ConfigureFlows(maxAttempts int, retryAfter time.Duration) {
 	b.flows.maxAttempts = maxAttempts
 	b.flows.retryAfter = retryAfter
@@ -17,28 +17,28 @@
 }
 
 // ConfigurePlacement sets the prices of a flow that crosses zones and of a migration, in the currency of the tariffs,
-// and whether the listed sizes of servers mean something.
+// and whether the endpoint list has the sizes of servers.
 func (b *Balancer) ConfigurePlacement(crossing, migration float64, hasSizes bool) {
 	b.placement = placementCosts{zoneCrossing: crossing, migration: migration, hasSizes: hasSizes}
 }
 
-// ConfigureHealthChecks says whether health checks bring load reports; without them none are sent.
+// ConfigureHealthChecks sets whether servers answer health checks with load reports; if not, no checks are sent.
 func (b *Balancer) ConfigureHealthChecks(bringLoad bool) { b.health.checksLoad = bringLoad }
 
-// ConfigureSlowStart sets the rule for servers that are warming up, and by its number of balancers this one's part of
-// what all balancers share.
+// ConfigureSlowStart sets the slow-start settings. Their number of balancers also determines this balancer's share of
+// limits that hold over all balancers.
 func (b *Balancer) ConfigureSlowStart(settings SlowStart) {
 	settings.Balancers = max(settings.Balancers, 1)
 	b.slowStart = slowStart{SlowStart: settings, quotas: b.slowStart.quotas}
 	b.admission.concurrencyLimit = b.maxConcurrency()
 }
 
-// AddCustomer adds the next customer, with its quota in connections over all balancers; 0: it has none.
+// AddCustomer adds the next customer, with its quota in connections over all balancers; 0 means no quota.
 func (b *Balancer) AddCustomer(quota float64) {
 	b.slowStart.quotas = append(b.slowStart.quotas, quota)
 }
 
-// ConfigureEndpoints sets this balancer's zone, how the endpoint list reaches it, and the shortest latency objective.
+// ConfigureEndpoints sets the endpoint settings, and requests the endpoint list if it is polled.
 func (b *Balancer) ConfigureEndpoints(settings EndpointSettings) {
 	b.list.EndpointSettings = settings
 	if settings.Polled {
--- a/decide/size_test.go
+++ b/decide/size_test.go
@@ -8,13 +8,16 @@
 )
 
 // countingConstraints constrain nothing, and count how often decisions look at a server.
-type countingConstraints struct{ looks int }
+type countingConstraints struct{ evaluations int }
 
-func (a *countingConstraints) ServerCost(FlowID, ServerID) (float64, bool)        { a.looks++; return 0, true }
-func (a *countingConstraints) AdmitFlow(FlowID) bool                              { return true }
-func (a *countingConstraints) RetryAfter(_ FlowID, d time.Duration) time.Duration { return d }
-func (a *countingConstraints) AllowMigration(FlowID) bool                         { return true }
-func (a *countingConstraints) MigrateFirst() []FlowID                             { return nil }
+func (c *countingConstraints) ServerCost(FlowID, ServerID) (float64, bool) {
+	c.evaluations++
+	return 0, true
+}
+func (c *countingConstraints) AdmitFlow(FlowID) bool                              { return true }
+func (c *countingConstraints) RetryAfter(_ FlowID, d time.Duration) time.Duration { return d }
+func (c *countingConstraints) AllowMigration(FlowID) bool                         { return true }
+func (c *countingConstraints) MigrateFirst() []FlowID                             { return nil }
 
 // newLargeFleet returns one of 1,024 balancers, with so many servers and flows.
 func newLargeFleet(t *testing.T, servers, flows int) *harness {
@@ -46,7 +49,7 @@
 		a := &countingConstraints{}
 		s.balancer.SetConstraints(a)
 		s.balancer.OnEnded(s.establishNumber(servers), OK, 10*ms, true)
-		return a.looks
+		return a.evaluations
 	}
 	few, all := looks(64), looks(1024)
 	if all > 1024/64*few {
@@ -66,10 +69,10 @@
 				s.balancer.OnEnded(s.establishNumber(flows+i), OK, 10*ms, true)
 			}
 		})
-		for _, probes := range []bool{false, true} {
-			b.Run(fmt.Sprintf("tick/probes=%v/servers=%d", probes, servers), func(b *testing.B) {
+		for _, healthChecks := range []bool{false, true} {
+			b.Run(fmt.Sprintf("tick/probes=%v/servers=%d", healthChecks, servers), func(b *testing.B) {
 				s := newLargeFleet(nil, servers, flows)
-				s.balancer.ConfigureHealthChecks(probes)
+				s.balancer.ConfigureHealthChecks(healthChecks)
 				for b.Loop() {
 					s.balancer.SetTime(s.balancer.now + tickInterval)
 					s.balancer.tick()
--- a/decide/slowstart.go
+++ b/decide/slowstart.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// Slow start: how many attempts a server that started recently may get.
+// Slow start: the budget of attempts at a server that started recently.
 
 const (
-	budgetWindows     = 1.0 // windows whose budget may be saved
-	smallBudgetFactor = 3   // times budgetWindows, where that is no more than one attempt
+	budgetWindows     = 1.0 // number of windows whose budget may be saved
+	smallBudgetFactor = 3   // factor on budgetWindows as long as the saved budget does not exceed one attempt
 )
 
-// slowStart is the rule on warming servers and what their budgets are computed from.
+// slowStart holds the slow-start settings and the other inputs of slow-start budgets.
 type slowStart struct {
 	SlowStart
 	quotas     []float64 // of customers, in connections over all balancers
-	handedOver bool      // another process spends the budgets
+	handedOver bool      // another process now spends the budgets
 }
 
-// capacityShare is the share of its full capacity that a server has reached by now.
+// capacityShare returns the share of its full capacity that a server has now.
 func (b *Balancer) capacityShare(server *serverState) float64 {
 	return b.capacityShareAt(server, b.now)
 }
@@ -32,9 +32,9 @@
 	return 1
 }
 
-// beginSlowStart starts a server's budget now, with a random part of one attempt: each balancer may be due less than one,
-// and rounding up would overload the server. What was due before this balancer learned of the start is excluded: all
-// balancers learn of it at once, and one that restarts would spend it again.
+// beginSlowStart starts a server's budget at the present time, with a random fraction of one attempt: the share of each
+// balancer may be less than one attempt, and rounding up would overload the server. What was due before this balancer
+// learned of the start is excluded: all balancers learn of it at once, and one that restarts would spend it again.
 func (b *Balancer) beginSlowStart(server *serverState, startedAt time.Duration) {
 	server.startedAt = startedAt
 	server.budgetAt = b.now
@@ -42,9 +42,9 @@
 	server.budgetDue = b.random.uniform()
 }
 
-// slowStartBudget is how many attempts a warming server was due by now, and how many of them were spent or have
-// expired. During the warm-up the budget grows by the flows that overload the server, in step with its capacity share.
-// What is not spent expires soon, or a mass reconnect would spend it at once.
+// slowStartBudget returns how many attempts were due to a warming server until now, and how many of them were spent or
+// have expired. Per warm-up time, the budget grows by the flows that would overload the server at its present capacity
+// share. Unspent budget expires soon, as a mass reconnect would otherwise spend it at once.
 func (b *Balancer) slowStartBudget(server *serverState, view placementView) (due float64, spent int) {
 	rule := &b.slowStart
 	share := b.capacityShare(server)
@@ -57,14 +57,14 @@
 	return due, max(server.budgetSpent, int(due-savable))
 }
 
-// capacityPerSize is the flows of this balancer that fill a unit of size. The mean stands for it where there are no
-// quotas; where there are, half of the mean does if it is more, as flows weigh unevenly.
+// capacityPerSize returns this balancer's estimate of the flows that a unit of size can serve: by the quotas, but at least
+// half of the present mean, as flows differ in load; without quotas, the present mean.
 func (b *Balancer) capacityPerSize(view placementView) float64 {
 	return max(view.meanWithFlow/2, cmp.Or(b.quotaPerSize(), view.meanWithFlow))
 }
 
-// quotaPerSize is this balancer's part of the connections that a unit of size is meant to bear, by the customers'
-// quotas; 0: there are none. The mean would be too low where the fleet is not fully used.
+// quotaPerSize returns this balancer's share of the connections that a unit of size is meant to serve by the customers'
+// quotas, or 0 without quotas. The present mean would be too low an estimate while the fleet is not fully utilized.
 func (b *Balancer) quotaPerSize() float64 {
 	sum := 0.0
 	for _, quota := range b.slowStart.quotas {
@@ -73,8 +73,8 @@
 	return sum / float64(b.slowStart.Balancers) / max(b.list.baselineSize, minSize)
 }
 
-// hasSlowStartBudget reports whether a server may get one more attempt: any number once it is warm, else what is left of
-// its budget, which only one of two processes spends during a handover.
+// hasSlowStartBudget reports whether a server is warm or has budget left for one more attempt. During a hand-over only
+// one of the two processes spends the budget.
 func (b *Balancer) hasSlowStartBudget(server *serverState, view placementView) bool {
 	if b.capacityShare(server) == 1 {
 		return true
@@ -94,7 +94,7 @@
 	server.budgetAt = b.now
 }
 
-// refundBudget gives back what a flow took of a slow-start budget if nothing of it reached the server.
+// refundBudget returns the attempt of a flow to the slow-start budget, after nothing of it reached the server.
 func (b *Balancer) refundBudget(f *flow) {
 	server := f.server
 	if f.inSlowStart && f.incarnation == server.incarnation {
@@ -102,8 +102,8 @@
 	}
 }
 
-// SetHandedOver says that another instance continues from a snapshot of this one and spends the slow-start budgets of
-// both, or that it has ended. What it spent is then unknown: all that was due counts as spent.
+// SetHandedOver sets whether another process has taken over from a snapshot of this Balancer and spends the slow-start
+// budgets of both. With false, that process has ended. As it is unknown what it spent, all that was due counts as spent.
 func (b *Balancer) SetHandedOver(handedOver bool) {
 	b.slowStart.handedOver = handedOver
 	if handedOver {
--- a/decide/snapshot.go
+++ b/decide/snapshot.go
@@ -7,26 +7,26 @@
 	"time"
 )
 
-// Snapshot is what an instance knows, for another that takes its place: all but flows and their tallies, which
-// stay with the process that holds the connections. All times are on the clock of the instance that took it; times and
-// durations are in nanoseconds.
+// Snapshot is the state of a Balancer for one that replaces it in another process. It does not contain flows and their
+// tallies, which stay with the process that holds the connections. All times are on the clock of the Balancer that took
+// it; times and durations are in nanoseconds.
 type Snapshot struct {
 	Now              time.Duration    `json:"now"`
-	Servers          []ServerSnapshot `json:"servers"`  // by id
-	UsualSize        float64          `json:"usual"`    // sum of the sizes of the servers usually in service; 0: unknown
-	ConcurrencyLimit float64          `json:"window"`   // attempts out at once
-	SetupSpacing     time.Duration    `json:"pause"`    // between attempts while one may be out at once
-	ReopensAt        time.Duration    `json:"opens"`    // no attempt goes out before
-	SetupTimes       []time.Duration  `json:"setups"`   // of the last set-ups over all servers, oldest first
+	Servers          []ServerSnapshot `json:"servers"`  // sorted by ID
+	UsualSize        float64          `json:"usual"`    // total size of the servers in regular service; 0: unknown
+	ConcurrencyLimit float64          `json:"window"`   // on concurrent attempts
+	SetupSpacing     time.Duration    `json:"pause"`    // between attempts while the limit is 1
+	ReopensAt        time.Duration    `json:"opens"`    // no attempt is made before
+	SetupTimes       []time.Duration  `json:"setups"`   // of the most recent set-ups at any server, oldest first
 	LastSetupAt      time.Duration    `json:"setup_at"` // when the last of them ended
-	FlowLimit        LimitSnapshot    `json:"limit"`    // on the flows of the instance
+	FlowLimit        LimitSnapshot    `json:"limit"`    // on all flows of the balancer
 }
 
-// LimitSnapshot is a limit on flows that recovers with time.
+// LimitSnapshot is the state of a limit on flows, which grows with time since its last reduction.
 type LimitSnapshot struct {
-	Flows     float64       `json:"held"` // at the last reduction
-	Target    float64       `json:"was"`  // flows, at the first reduction of a series
-	ReducedAt time.Duration `json:"at"`   // the last reduction; 0: there is no limit
+	Flows     float64       `json:"held"` // the limit at the last reduction
+	Target    float64       `json:"was"`  // flows at the first reduction of a series
+	ReducedAt time.Duration `json:"at"`   // time of the last reduction; 0: no limit
 }
 
 func (l flowLimit) snapshot() LimitSnapshot {
@@ -37,32 +37,32 @@
 	return flowLimit{flows: l.Flows, target: l.Target, reducedAt: l.ReducedAt}
 }
 
-// ServerSnapshot is what an instance knows of one server; see serverState.
+// ServerSnapshot is the state of one server.
 type ServerSnapshot struct {
 	ID        ServerID      `json:"id"`
 	Zone      Zone          `json:"zone"`
 	Cell      CellID        `json:"cell"`
 	Size      float64       `json:"size"`   // relative to that of other servers
-	Readiness Readiness     `json:"listed"` // as the endpoint list has it
+	Readiness Readiness     `json:"listed"` // in the endpoint list
 	Disabled  bool          `json:"by_hand,omitempty"`
 	StartedAt time.Duration `json:"since"` // or LongAgo
 
 	Ejected          bool          `json:"aside,omitempty"`
 	EjectedUntil     time.Duration `json:"aside_to,omitempty"`
-	EjectionTime     time.Duration `json:"pause,omitempty"`    // length of the last ejection
-	ProbationLimit   int           `json:"trickle,omitempty"`  // flows out at once while on probation
-	UnreachableInRow int           `json:"silent,omitempty"`   // attempts
-	Latency          time.Duration `json:"delay,omitempty"`    // of a message, as last sampled
+	EjectionTime     time.Duration `json:"pause,omitempty"`    // duration of the last ejection
+	ProbationLimit   int           `json:"trickle,omitempty"`  // maximum number of flows while on probation
+	UnreachableInRow int           `json:"silent,omitempty"`   // number of attempts
+	Latency          time.Duration `json:"delay,omitempty"`    // last sample of the message latency
 	LatencyAt        time.Duration `json:"delay_at,omitempty"` // time of that sample
 	OverloadedAt     time.Duration `json:"hot_at,omitempty"`   // time of the last sample that showed overload
 	FlowLimit        LimitSnapshot `json:"limit"`
 
-	BudgetDue   float64       `json:"cold_due,omitempty"`  // attempts of the slow-start budget, by BudgetAt
-	BudgetSpent int           `json:"cold_sent,omitempty"` // attempts, or expired
+	BudgetDue   float64       `json:"cold_due,omitempty"`  // attempts of the slow-start budget that were due at BudgetAt
+	BudgetSpent int           `json:"cold_sent,omitempty"` // attempts that were spent or have expired
 	BudgetAt    time.Duration `json:"cold_at,omitempty"`
 }
 
-// Snapshot returns what this instance knows now.
+// Snapshot returns the current state.
 func (b *Balancer) Snapshot() Snapshot {
 	snapshot := Snapshot{
 		Now:              b.now,
@@ -104,8 +104,8 @@
 	}
 }
 
-// Restore continues from the snapshot of another instance, whose clock this instance must share. Flows held here stay
-// at their servers.
+// Restore replaces the state by a snapshot of another Balancer, which must use the same clock. The flows of this Balancer
+// stay at their servers.
 func (b *Balancer) Restore(snapshot Snapshot) {
 	b.list.baselineSize = snapshot.UsualSize
 	b.admission.spacing = snapshot.SetupSpacing
@@ -114,7 +114,7 @@
 	b.health.setupTimes = snapshot.SetupTimes
 	b.health.lastSetupAt = snapshot.LastSetupAt
 	b.health.flowLimit = snapshot.FlowLimit.limit()
-	for _, server := range b.list.all { // a cached list may name servers that the other instance saw removed
+	for _, server := range b.list.all { // a cached list may contain servers whose removal the other Balancer has seen
 		b.setReadiness(server, Gone)
 	}
 	for _, known := range snapshot.Servers {
@@ -125,7 +125,7 @@
 	b.rebuildList()
 }
 
-// restore keeps only what belongs to the flows held here.
+// restore replaces the state by a snapshot, except for the accounting of this balancer's own flows.
 func (s *serverState) restore(known ServerSnapshot) {
 	*s = serverState{
 		readiness:      s.readiness,
@@ -158,16 +158,16 @@
 
 const (
 	maxSnapshotServers = 100_000
-	maxClockDifference = time.Hour // by which a server may have started after the snapshot
+	maxClockDifference = time.Hour // how long after the snapshot a server may have started
 )
 
-// Their texts go to the process that offers the snapshot.
+// The messages are sent to the process that offers the snapshot.
 var (
-	errInvalidSnapshot = errors.New("a memory of nothing that was")
-	errInvalidServer   = errors.New("a server that can't be")
+	errInvalidSnapshot = errors.New("snapshot has a value out of range")
+	errInvalidServer   = errors.New("snapshot has a server with a value out of range")
 )
 
-// Validate returns an error that says what cannot have come from an instance, the snapshot or one of its servers.
+// Validate returns an error if the snapshot or one of its servers has a value that no Balancer can have written.
 func (s Snapshot) Validate() error {
 	if s.Now < 0 || len(s.Servers) > maxSnapshotServers || len(s.SetupTimes) > sampleWindow {
 		return errInvalidSnapshot
--- a/decide/statistics.go
+++ b/decide/statistics.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// Figures over many servers, computed from what is kept of each.
+// Sums, means and counts over servers.
 
-const minSize = 1e-9 // a divisor where there are no servers
+const minSize = 1e-9 // divisor without servers, to avoid division by 0
 
 // fleetTotals are sums over servers.
 type fleetTotals struct {
 	openFlows    float64 // of this balancer
 	size         float64
-	reportedLoad float64 // times size
-	reportedSize float64 // of the servers that reported their load
+	reportedLoad float64 // weighted by size
+	reportedSize float64 // total size of the servers that reported their load
 }
 
-// noServers are the totals over no servers. They can be divided by. Sums start from them.
+// noServers are the initial totals of a sum over servers. Sizes start above 0, so that they can be divisors.
 var noServers = fleetTotals{size: minSize, reportedSize: minSize}
 
-// means are what loads are compared with where no flow is in hand.
+// means returns a view with the means alone, for comparisons without a flow to place.
 func (t fleetTotals) means() placementView {
 	mean := max(t.openFlows, 0) / t.size
 	return placementView{meanOpen: mean, meanWithFlow: mean, meanLoad: t.reportedLoad / t.reportedSize}
@@ -35,8 +35,9 @@
 	}
 }
 
-// setMeans computes the means over the servers of the least extra cost for the flow. A long list without constraints has
-// the totals of all servers at hand; with them only its candidates are asked, and the flow counts by their part of all.
+// setMeans computes the means over the servers with the lowest extra cost for the flow. For a long list it uses the totals
+// over all servers if there are no constraints. If there are, it sums over the candidates only and weights the flow by
+// their share of the total size.
 func (b *Balancer) setMeans(view *placementView, f *flow, leastExtra float64) {
 	var totals fleetTotals
 	flowWeight := 1.0
@@ -54,7 +55,7 @@
 	view.meanLoad = totals.reportedLoad / totals.reportedSize
 }
 
-// totalsWithout are the totals over all ready servers without the flow.
+// totalsWithout returns the totals over all ready servers without the flow.
 func (b *Balancer) totalsWithout(f *flow) fleetTotals {
 	totals := b.list.totals
 	if f.leased && f.server.readiness == Ready {
@@ -63,7 +64,7 @@
 	return totals
 }
 
-// totalsFor are the totals over the servers of the least extra cost for the flow, without that flow.
+// totalsFor returns the totals over those servers that have the lowest extra cost for the flow, without that flow.
 func (b *Balancer) totalsFor(f *flow, servers []*serverState, leastExtra float64) fleetTotals {
 	totals := noServers
 	for _, server := range servers {
@@ -78,8 +79,8 @@
 	return totals
 }
 
-// updateTotals computes what the decisions until the next tick share. Constraints are left out: their answers differ
-// from flow to flow.
+// updateTotals computes the figures that decisions use until the next tick. It does not apply constraints, as these
+// differ between flows.
 func (b *Balancer) updateTotals() {
 	l := &b.list
 	l.totals = noServers
@@ -89,7 +90,7 @@
 	l.lowestLoad = b.lowestLoad(l.totals.means())
 }
 
-// lowestLoad is the lowest load of any server that a flow could be migrated to; infinite if there is none.
+// lowestLoad returns the lowest load of the servers that a flow could be migrated to, or +Inf if there are none.
 func (b *Balancer) lowestLoad(view placementView) float64 {
 	lowest := math.Inf(1)
 	for _, server := range b.list.ready {
@@ -100,25 +101,25 @@
 	return lowest
 }
 
-// isMigrationTarget reports whether some flow could be migrated to the server before the next tick.
+// isMigrationTarget reports whether a flow could be migrated to the server before the next tick.
 func (b *Balancer) isMigrationTarget(server *serverState, view placementView) bool {
 	isEjected := server.ejected && b.now < server.ejectedUntil
 	return !b.isOverloaded(server) && !isEjected && b.hasSlowStartBudget(server, view)
 }
 
-// isCurrent reports whether a figure computed at that time still counts: for a long list each is computed at most
-// once in a tick.
+// isCurrent reports whether a figure cached at the given time may still be used. Figures are cached for long lists only,
+// for the duration of a tick.
 func (b *Balancer) isCurrent(at time.Duration) bool {
 	return b.list.isLong() && at > 0 && b.now-at < tickInterval
 }
 
-// serverSubset is a set of servers as of a time.
+// serverSubset is a set of servers, with the time when it was computed.
 type serverSubset struct {
 	at      time.Duration
 	servers []*serverState
 }
 
-// healthyServers are the servers without faults that have capacity for a flow that has no group and no attempt yet.
+// healthyServers returns the servers without faults that have capacity for a flow without a group or earlier attempts.
 func (b *Balancer) healthyServers() []*serverState {
 	last := &b.health.healthy
 	if b.isCurrent(last.at) {
@@ -136,13 +137,13 @@
 	return last.servers
 }
 
-// failureMedian is the median over servers of their share of failures, as of a time.
+// failureMedian is the median of the servers' failure rates, with the time when it was computed.
 type failureMedian struct {
 	at     time.Duration
 	median float64
 }
 
-// medianFailures is the median over servers of their share of failures.
+// medianFailures returns the median of the servers' failure rates.
 func (b *Balancer) medianFailures() float64 {
 	last := &b.health.medianFailures
 	if b.isCurrent(last.at) {
@@ -159,7 +160,7 @@
 	return last.median
 }
 
-// fleetOverview counts what is observed of all ready servers, as of a time.
+// fleetOverview holds counts over the ready servers, with the time when they were computed.
 type fleetOverview struct {
 	at         time.Duration
 	overloaded float64
@@ -167,7 +168,7 @@
 	ejected    int
 }
 
-// fleetOverview counts what is observed, or returns the last counts while they are current.
+// fleetOverview returns the counts over the ready servers, cached if they are current.
 func (b *Balancer) fleetOverview() fleetOverview {
 	last := &b.health.overview
 	if b.isCurrent(last.at) {
--- a/decide/tallies.go
+++ b/decide/tallies.go
@@ -2,16 +2,16 @@
 
 import "slices"
 
-// tallies are the leased tallies over all servers: flows that this balancer placed, by group.
+// tallies indexes the leased tallies of all servers: this balancer's flows by group.
 type tallies struct {
-	holders map[GroupKey][]*serverState // servers on which the tally of the group is above 0
-	pairs   int                         // of group and holder
+	holders map[GroupKey][]*serverState // servers where the tally of the group is above 0
+	pairs   int                         // number of pairs of a group and a holder
 }
 
-// maxHolderScan is how many holders of a group are searched faster than the tallies of a server.
+// maxHolderScan is the number of holders up to which a scan of them is faster than a lookup in a server's tallies.
 const maxHolderScan = 4
 
-// lease counts the flow at its server. Its counterpart is release.
+// lease adds the flow to the tallies of its server.
 func (b *Balancer) lease(f *flow) {
 	f.leased = true
 	f.incarnation = f.server.incarnation
@@ -21,9 +21,9 @@
 	}
 }
 
-// release ends a lease once, whether its flow was rejected, failed, migrated or closed.
+// release ends the flow's lease, if it has one.
 func (b *Balancer) release(f *flow) {
-	// The tallies of a server that restarted since were cleared then.
+	// If the server has restarted since, its tallies were already cleared.
 	if f.leased && f.incarnation == f.server.incarnation {
 		b.addToTally(f.server, f.group, -1)
 		if f.onProbation {
@@ -33,7 +33,7 @@
 	f.leased = false
 }
 
-// addToTally adds n flows of a group to the tally of a server, or subtracts them, and keeps all sums over tallies.
+// addToTally adds n, which may be negative, to a server's tally of a group and updates all sums over tallies.
 func (b *Balancer) addToTally(server *serverState, group GroupKey, n int) {
 	server.openFlows += n
 	if server.readiness == Ready {
@@ -59,7 +59,7 @@
 	}
 }
 
-// clearTallies forgets the flows of a server that restarted in place.
+// clearTallies clears the tallies of a server that restarted and begins a new incarnation of it.
 func (b *Balancer) clearTallies(server *serverState) {
 	for group, n := range server.groupTallies {
 		b.addToTally(server, group, -n)
@@ -86,8 +86,8 @@
 	t.holders[group] = holders[:len(holders)-1]
 }
 
-// groupSpread is 0 where each group is at one server, the ideal, and approaches 1/2 as groups spread over more: half the
-// gap between 1 and the average count of servers per group, as a share of that average.
+// groupSpread returns a measure of how far groups are spread: (1 - 1/n)/2, where n is the average number of servers per
+// group. It is 0 if each group is at one server, which is ideal, and approaches 1/2 as n grows.
 func (b *Balancer) groupSpread() float64 {
 	if b.tallies.pairs == 0 {
 		return 0
--- a/decide/timers.go
+++ b/decide/timers.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// Timers, and the work that is done at each tick.
+// Timers and periodic work.
 
-// Timers of an instance.
+// Timers of a Balancer.
 const (
-	tickTimer  TimerID = 1 // rechecks, health checks and the sums over servers
-	listTimer  TimerID = 2 // the next poll of the endpoint list
-	queueTimer TimerID = 3 // the admission queue
+	tickTimer  TimerID = 1 // rechecks, health checks and sums over servers
+	listTimer  TimerID = 2 // next poll of the endpoint list
+	queueTimer TimerID = 3 // admission queue
 )
 
 const tickInterval = 250 * time.Millisecond
 
-// OnTimer handles a timer set by Actions.SetTimer.
+// OnTimer handles the expiry of a timer set by Actions.SetTimer.
 func (b *Balancer) OnTimer(timer TimerID) {
 	switch timer {
 	case tickTimer:
@@ -24,8 +24,8 @@
 	b.serveQueue()
 }
 
-// tick does all periodic work. Each tick rechecks another slice of the established flows, so that balancers do not
-// migrate flows in step.
+// tick does the periodic work. Each tick rechecks another slice of the established flows, so that balancers do not
+// migrate flows at the same moment.
 func (b *Balancer) tick() {
 	b.actions.SetTimer(tickTimer, tickInterval)
 	b.updateTotals()
@@ -40,7 +40,7 @@
 	b.sendHealthChecks()
 }
 
-// releaseLostAttempts ends the leases of attempts of which no end was reported.
+// releaseLostAttempts releases the leases of attempts whose end was not reported in time.
 func (b *Balancer) releaseLostAttempts() {
 	for _, f := range b.flows.connecting {
 		if b.now > f.deadline+outcomeMaxAge {
