--- a/decide/admission_test.go
+++ b/decide/admission_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// runFailing runs one of 300 balancers that gets a flow every 100 ms and none of whose set-ups succeeds before
-// recoversAt. It returns when attempts were made, and when the first flow was established.
+// runFailing simulates one of 300 balancers. It gets a flow every 100 ms, and all set-ups time out before recoversAt. It
+// returns the times of the attempts, and when the first flow was established.
 func runFailing(t *testing.T, seed uint64, recoversAt, end time.Duration) (attempts []time.Duration, establishedAt time.Duration) {
 	const every, limit = 100 * ms, 90 * ms
 	s := newHarness(t, Idempotent, DeduplicatedByFleet, 60)
@@ -44,9 +44,9 @@
 	return attempts, establishedAt
 }
 
-// While all set-ups fail, a balancer makes one attempt at a time and seldom, to spare what all set-ups share. One
-// is made every few seconds, so that no balancer rejects everything for 4 s on end, and each soon learns of a
-// recovery.
+// While all set-ups fail, a balancer makes one attempt at a time at long intervals, to limit the load on what all set-ups
+// share. The intervals are a few seconds at most, so that no balancer rejects all flows for 4 s and each soon detects
+// the recovery.
 func TestForcedAttemptWhileAllSetupsFail(t *testing.T) {
 	const faultEnds = 30 * sec
 	sum := 0
@@ -58,19 +58,19 @@
 			}
 		}
 		if establishedAt == 0 || establishedAt > faultEnds+3700*ms {
-			t.Errorf("seed %d: the first was established at %v, the fault ended at %v", seed, establishedAt, faultEnds)
+			t.Errorf("seed %d: the first flow was established at %v, the fault ended at %v", seed, establishedAt, faultEnds)
 		}
 		sum += len(attempts)
 	}
 	if most := 40 * 14; sum > most {
-		t.Errorf("%d set-ups of 40 balancers in 30 s, want %d at the most", sum, most)
+		t.Errorf("%d set-ups of 40 balancers in 30 s, want at most %d", sum, most)
 	} else {
 		t.Logf("%d set-ups of 40 balancers in 30 s", sum)
 	}
 }
 
-// A balancer never rejects all flows for 4 s on end without an attempt, whatever the cause: servers that are
-// unreachable or full, limits, or clients over their customer's quota.
+// A balancer never rejects all flows for 4 s without an attempt, whatever the cause: servers that are unreachable or
+// full, limits, or customers over their quota.
 func TestForcedAttemptWhateverRejects(t *testing.T) {
 	const duration, most = 40 * sec, 3900 * ms
 	for _, c := range []struct {
@@ -79,13 +79,13 @@
 		before func(s *harness)
 	}{
 		{"unreachable", Unreachable, func(*harness) {}},
-		{"all are full", Full, func(*harness) {}},
-		{"all reset", Reset, func(*harness) {}},
-		{"a limit on all flows", Full, func(s *harness) {
+		{"all servers are full", Full, func(*harness) {}},
+		{"all servers reset connections", Reset, func(*harness) {}},
+		{"limit on all flows", Full, func(s *harness) {
 			s.adopt("o", 3, "g", 1)
 			s.balancer.health.flowLimit.reduce(0, 1)
 		}},
-		{"over their customer's quota", Reset, func(s *harness) {
+		{"customer over its quota", Reset, func(s *harness) {
 			s.balancer.AddCustomer(2)
 			for i := range 6 {
 				s.balancer.AdoptFlow(FlowRequest{ID: FlowID(fmt.Sprint("o", i))}, ServerID(1+i%3))
@@ -102,7 +102,7 @@
 				if at%tickInterval == 0 {
 					s.balancer.OnTimer(tickTimer)
 				}
-				for i := range 3 { // all servers with established flows are late
+				for i := range 3 { // all servers with established flows are overloaded
 					s.balancer.OnLatencySample(FlowID(fmt.Sprint("o", i)), 90*ms)
 				}
 				s.balancer.OnFlow(FlowRequest{ID: FlowID(fmt.Sprint("f", at)), Timeout: sec})
@@ -126,7 +126,7 @@
 	}
 }
 
-// A failure that all set-ups share is not made worse by retries.
+// While all set-ups fail for a shared cause, flows are not retried, as that would add load to the cause.
 func TestSharedFailureIsNotRetried(t *testing.T) {
 	s := newHarness(t, Idempotent, DeduplicatedByFleet, 6)
 	attempts := 0
@@ -145,7 +145,7 @@
 	}
 }
 
-// While all attempts fail, a flow whose attempt failed is answered and not attempted everywhere.
+// While all attempts fail, a flow whose attempt failed gets its final answer instead of attempts at all other servers.
 func TestFailedFlowIsAnsweredWhileAllFail(t *testing.T) {
 	s := newHarness(t, Idempotent, DeduplicatedByFleet, 6)
 	for i := range 3 {
@@ -158,10 +158,10 @@
 	s.expect("reject 2")
 }
 
-// A mass reconnect goes out in parts.
+// In a mass reconnect the number of concurrent attempts is limited.
 func TestMassReconnectIsSpread(t *testing.T) {
 	for _, c := range []struct{ balancers, most int }{{1, 48}, {200, 1}} {
-		t.Run(fmt.Sprint("a mass return goes out in parts, balancers: ", c.balancers), func(t *testing.T) {
+		t.Run(fmt.Sprint("balancers: ", c.balancers), func(t *testing.T) {
 			s := newHarness(t, Idempotent, DeduplicatedByFleet, 6)
 			s.balancer.ConfigureSlowStart(slowStartRule(c.balancers))
 			for i := range 60 {
@@ -171,17 +171,17 @@
 				t.Errorf("%d attempts at once, want %d", n, c.most)
 			}
 			s.setTime(400 * ms)
-			for id := range s.targets { // one or all stand, later than wanted
+			for id := range s.targets { // all attempts are established, later than the set-up target
 				s.balancer.OnEstablished(id, 400*ms)
 			}
 			if gap := s.balancer.admission.backoffUntil - 400*ms; c.balancers > 1 && gap < 500*ms {
-				t.Errorf("the next after %v", gap)
+				t.Errorf("next attempt after %v, want at least 500ms", gap)
 			}
 		})
 	}
 }
 
-// A flow in the admission queue is answered by its set-up target.
+// A flow in the admission queue gets its final answer when its set-up target has passed.
 func TestQueueDeadline(t *testing.T) {
 	s := newHarness(t, Idempotent, DeduplicatedByFleet, 4)
 	s.balancer.admission.backoffUntil = 10 * sec
--- a/decide/attempts_test.go
+++ b/decide/attempts_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// One final answer for each flow, and no effect twice, after every end of the first attempt.
+// After each possible end of the first attempt the flow gets one retry or one final answer, and never takes effect twice.
 func TestAfterFailedAttempt(t *testing.T) {
 	retried, reject, abort := "connect", "reject", "abort"
 	for _, c := range []struct {
@@ -18,9 +18,9 @@
 		want   string
 	}{
 		{"idempotent, error", Idempotent, DeduplicatedByFleet, Error, 10 * ms, retried},
-		{"idempotent, timed out at its own limit", Idempotent, DeduplicatedByFleet, TimedOut, 300 * ms, retried},
+		{"idempotent, attempt timed out", Idempotent, DeduplicatedByFleet, TimedOut, 300 * ms, retried},
 		{"idempotent, at the deadline without an answer", Idempotent, DeduplicatedByFleet, TimedOut, 900 * ms, reject},
-		{"not idempotent, proved not run", NotIdempotent, DeduplicatedByFleet, Full, 10 * ms, retried},
+		{"not idempotent, proven not to have run", NotIdempotent, DeduplicatedByFleet, Full, 10 * ms, retried},
 		{"not idempotent, unreachable", NotIdempotent, DeduplicatedByFleet, Unreachable, 10 * ms, retried},
 		{"not idempotent, never sent", NotIdempotent, DeduplicatedByFleet, NeverSent, 10 * ms, retried},
 		{"not idempotent, may have run", NotIdempotent, DeduplicatedByFleet, Error, 10 * ms, abort},
@@ -29,8 +29,8 @@
 		{"not idempotent, at the deadline", NotIdempotent, DeduplicatedByFleet, TimedOut, 900 * ms, abort},
 		{"not idempotent, not run, at the deadline", NotIdempotent, DeduplicatedByFleet, Unreachable, 900 * ms, reject},
 		{"by key, may have run", IdempotentByKey, DeduplicatedByFleet, Reset, 10 * ms, retried},
-		{"by key in a zone, at the deadline", IdempotentByKey, DeduplicatedByZone, TimedOut, 900 * ms, abort},
-		{"by key by all, at the deadline", IdempotentByKey, DeduplicatedByFleet, TimedOut, 900 * ms, reject},
+		{"by key, deduplicated by zone, at the deadline", IdempotentByKey, DeduplicatedByZone, TimedOut, 900 * ms, abort},
+		{"by key, deduplicated by fleet, at the deadline", IdempotentByKey, DeduplicatedByFleet, TimedOut, 900 * ms, reject},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := newHarness(t, c.effect, c.scope, 6)
@@ -39,7 +39,7 @@
 			s.setTime(c.at)
 			s.balancer.OnEnded("a", c.end, c.at, false)
 			if got := s.takeActions(); !strings.HasPrefix(got, c.want) || strings.Contains(got, ",") {
-				t.Errorf("did %q, want one %s", got, c.want)
+				t.Errorf("actions %q, want one %s", got, c.want)
 			}
 		})
 	}
@@ -57,7 +57,7 @@
 				s.setTime(time.Duration(i) * 10 * ms)
 				s.balancer.OnEnded("a", Error, 10*ms, false)
 				if got := s.targets["a"]; (got-1)/2 != (first-1)/2 {
-					t.Fatalf("attempt at %d after one at %d may have run", got, first)
+					t.Fatalf("retry at server %d, but the attempt at server %d may have run", got, first)
 				}
 			}
 			s.takeActions()
@@ -65,7 +65,7 @@
 			s.expect("abort a")
 		})
 	}
-	t.Run("not past the window", func(t *testing.T) {
+	t.Run("not after the retry window", func(t *testing.T) {
 		s := newHarness(t, IdempotentByKey, DeduplicatedByFleet, 4)
 		s.request("a", "", 5*sec)
 		s.takeActions()
@@ -90,14 +90,14 @@
 				s.balancer.OnEnded("a", Error, ms, false)
 			}
 		}, "reject a"},
-		{"the client left: no answer, and a late end is ignored", func(s *harness) {
+		{"client left: no answer, and the end of its attempt is ignored", func(s *harness) {
 			s.request("a", "", sec)
 			s.takeActions()
 			s.balancer.OnClientLeft("a")
 			s.balancer.OnEnded("a", Error, ms, true)
 			s.balancer.OnEnded("a", Error, ms, true)
 		}, ""},
-		{"the client left together with the answer", func(s *harness) {
+		{"client left while it was answered", func(s *harness) {
 			s.updateList(FullUpdate, Gone, 4)
 			s.request("a", "", sec)
 			s.takeActions()
@@ -108,7 +108,7 @@
 			s.takeActions()
 			s.balancer.OnEnded("a", Reset, ms, true)
 		}, ""},
-		{"unknown ids", func(s *harness) {
+		{"unknown flow IDs", func(s *harness) {
 			s.balancer.OnEnded("x", OK, ms, true)
 			s.balancer.OnEstablished("x", ms)
 			s.balancer.OnLatencySample("x", sec)
@@ -125,10 +125,10 @@
 	}
 }
 
-// A repeat of a flow that is idempotent by its key must not be forwarded after the window, even if its connection comes
-// up late: its timeout ends with the window, however much time the client has left.
+// A retry of a flow that is idempotent by its key must not be forwarded after the retry window, even if its connection
+// is established late. The attempt's timeout therefore ends with the window, however much time the client has left.
 func TestRetryTimeoutEndsWithWindow(t *testing.T) {
-	s := newHarness(t, IdempotentByKey, DeduplicatedByFleet, 4) // a window of 2 s
+	s := newHarness(t, IdempotentByKey, DeduplicatedByFleet, 4) // with a retry window of 2 s
 	s.setTime(sec)
 	s.balancer.OnFlow(FlowRequest{ID: "a", Customer: NoCustomer, Timeout: 60 * sec})
 	s.setTime(2500 * ms)
@@ -136,7 +136,7 @@
 	s.balancer.actions = timeoutRecorder{s, &limit}
 	s.balancer.OnEnded("a", Reset, 1500*ms, false)
 	if limit <= 0 || limit > 500*ms {
-		t.Errorf("the repeat has %v, 500 ms of the window are left", limit)
+		t.Errorf("the retry has a timeout of %v, 500 ms of the window are left", limit)
 	}
 }
 
@@ -151,16 +151,16 @@
 	r.Actions.Connect(f, server, timeout)
 }
 
-// A server that accepts flows and never answers leaves time for another.
+// The timeout of an attempt at a server that accepts flows and never answers leaves time for a retry at another server.
 func TestUnansweredAttemptLeavesTimeForRetry(t *testing.T) {
 	s := newHarness(t, Idempotent, DeduplicatedByFleet, 2)
 	first := s.request("a", "", 2*sec)
 	if limit := s.balancer.attemptTimeout(s.balancer.flows.byID["a"]); limit > sec {
-		t.Fatalf("the attempt may take %v of 2s", limit)
+		t.Fatalf("the attempt has a timeout of %v, the flow one of 2s", limit)
 	}
 	s.setTime(sec)
 	s.balancer.OnEnded("a", TimedOut, sec, false)
 	if s.targets["a"] == first {
-		t.Errorf("sent to %d again", first)
+		t.Errorf("the retry went to server %d again", first)
 	}
 }
--- a/decide/bookkeeping_test.go
+++ b/decide/bookkeeping_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// changingFleet is a balancer with a changing list, and what the test knows of its flows.
+// changingFleet is a balancer whose endpoint list changes, with the flows in the states that the test expects.
 type changingFleet struct {
 	*harness
 	servers     int
@@ -29,7 +29,7 @@
 	return c
 }
 
-// step lets some time pass before something happens at a server.
+// step returns a step of a property test: time passes, then f is called with a random server.
 func (c *changingFleet) step(f func(id ServerID)) func(*rapid.T) {
 	return func(rt *rapid.T) {
 		c.now += rapid.SampledFrom([]time.Duration{0, ms, 100 * ms, 3 * sec, 25 * sec}).Draw(rt, "later")
@@ -38,7 +38,7 @@
 	}
 }
 
-// arrive brings some flows of few groups.
+// arrive adds one to five new flows, most of them in one of a few groups.
 func (c *changingFleet) arrive(id ServerID) {
 	for range 1 + id%5 {
 		c.flows++
@@ -54,7 +54,7 @@
 	}
 }
 
-// takeFrom removes one flow, by a number, from a list.
+// takeFrom removes and returns the flow of the list that draw selects.
 func takeFrom(list *[]FlowID, draw ServerID) (FlowID, bool) {
 	if len(*list) == 0 {
 		return "", false
@@ -72,7 +72,7 @@
 	}
 }
 
-// arriveMany brings many flows, most of which are established.
+// arriveMany adds many new flows and establishes most of them.
 func (c *changingFleet) arriveMany(id ServerID) {
 	for range 8 {
 		c.arrive(id)
@@ -104,7 +104,7 @@
 	}
 }
 
-// listWithout updates the whole list, which omits one server.
+// listWithout sends a full update that omits one server.
 func (c *changingFleet) listWithout(without ServerID) {
 	c.balancer.BeginEndpoints(FullUpdate)
 	for id := ServerID(1); id <= ServerID(c.servers); id++ {
@@ -128,8 +128,8 @@
 		"goes":              c.step(func(id ServerID) { c.updateServer(id, Gone, LongAgo) }),
 		"restarts":          c.step(func(id ServerID) { c.updateServer(id, Ready, c.now) }),
 		"returns":           c.step(func(id ServerID) { c.updateServer(id, Ready, LongAgo) }),
-		"banned":            c.step(func(id ServerID) { c.balancer.SetDisabled(id, true) }),
-		"unbanned":          c.step(func(id ServerID) { c.balancer.SetDisabled(id, false) }),
+		"becomes disabled":  c.step(func(id ServerID) { c.balancer.SetDisabled(id, true) }),
+		"unset disabled":    c.step(func(id ServerID) { c.balancer.SetDisabled(id, false) }),
 		"update whole list": c.step(c.listWithout),
 		"two lists in one tick": c.step(func(id ServerID) {
 			c.listWithout(id)
@@ -147,7 +147,7 @@
 	}
 }
 
-// endMigrating ends the flows whose clients were asked to migrate.
+// endMigrating ends the flows whose clients were asked to reconnect.
 func (c *changingFleet) endMigrating() {
 	for _, line := range c.performed {
 		var f FlowID
@@ -159,12 +159,12 @@
 	c.performed = c.performed[:0]
 }
 
-// fataler is a test, or a generated one.
+// fataler is implemented by testing.T and rapid.T.
 type fataler interface {
 	Fatalf(format string, args ...any)
 }
 
-// checkAccounting compares the accounting with a plain count.
+// checkAccounting compares the balancer's sums and indexes with a recount.
 func (c *changingFleet) checkAccounting(rt fataler) {
 	c.checkTallies(rt)
 	c.checkFlowLists(rt)
@@ -178,7 +178,7 @@
 		}
 		for group, n := range server.groupTallies {
 			if held++; n <= 0 || !slices.Contains(c.balancer.tallies.holders[group], server) {
-				rt.Fatalf("server %d holds %d of group %q and is not among its holders", server.id, n, group)
+				rt.Fatalf("server %d has %d flows of group %q, but is not among its holders", server.id, n, group)
 			}
 		}
 	}
@@ -187,10 +187,10 @@
 		holders += len(list)
 	}
 	if held != holders || held != c.balancer.tallies.pairs {
-		rt.Fatalf("%d groups held on servers, %d holders, %d counted", held, holders, c.balancer.tallies.pairs)
+		rt.Fatalf("%d tallies at servers, %d entries in holders, pairs is %d", held, holders, c.balancer.tallies.pairs)
 	}
 	if c.balancer.list.totals.openFlows != open {
-		rt.Fatalf("%g flows on ready servers, counted %g", open, c.balancer.list.totals.openFlows)
+		rt.Fatalf("%g flows at ready servers, the total is %g", open, c.balancer.list.totals.openFlows)
 	}
 }
 
@@ -200,10 +200,10 @@
 	for _, f := range flows.byID {
 		states[f.state]++
 		if f.state == connecting && flows.connecting[f.listIndex] != f || f.state == established && flows.established[f.listIndex] != f {
-			rt.Fatalf("flow %s is not in its place", f.id)
+			rt.Fatalf("flow %s is not at its index in the list of its state", f.id)
 		}
 		if f.state == established && f.server.established[f.serverIndex] != f {
-			rt.Fatalf("flow %s is not among those of its server", f.id)
+			rt.Fatalf("flow %s is not at its index in the list of its server", f.id)
 		}
 	}
 	atServers := 0
@@ -211,14 +211,15 @@
 		atServers += len(server.established)
 	}
 	if n := states[established]; n != len(flows.established) || n != atServers {
-		rt.Fatalf("%d established, %d and %d recorded", n, len(flows.established), atServers)
+		rt.Fatalf("%d flows established, %d in the list, %d at servers", n, len(flows.established), atServers)
 	}
 	if n := states[connecting]; n != len(flows.connecting) {
-		rt.Fatalf("%d connecting, %d recorded", n, len(flows.connecting))
+		rt.Fatalf("%d flows connecting, %d in the list", n, len(flows.connecting))
 	}
 }
 
-// checkSkippedRechecks compares each recheck that is skipped with a look at every server, as if the group preferred it.
+// checkSkippedRechecks checks that no skipped recheck could have migrated its flow: it compares the flow's cost with that
+// at every server, as if the group preferred that server.
 func (c *changingFleet) checkSkippedRechecks(rt fataler) (skipped, made int) {
 	c.balancer.updateTotals()
 	minSaving := migrationMargin + transferCostWeight*c.balancer.placement.migration
@@ -240,15 +241,15 @@
 				continue
 			}
 			if there := c.balancer.cost(f, server, hypothetical); there < here-minSaving {
-				rt.Fatalf("flow %s on %d is skipped, and %d costs %g less", f.id, f.server.id, server.id, here-there)
+				rt.Fatalf("flow %s at server %d is skipped, but costs %g less at server %d", f.id, f.server.id, here-there, server.id)
 			}
 		}
 	}
 	return skipped, made
 }
 
-// The accounting matches a plain count, and a recheck that is skipped could not have migrated its flow, with short
-// lists and long ones.
+// With short and long lists, the accounting matches a recount after any sequence of events, and a skipped recheck could
+// not have migrated its flow.
 func TestAccountingMatchesRecount(t *testing.T) {
 	skipped, made := 0, 0
 	rapid.Check(t, func(rt *rapid.T) {
@@ -265,12 +266,13 @@
 		rt.Repeat(actions)
 	})
 	if skipped < 1000 || made < 1000 {
-		t.Errorf("%d rechecks skipped, %d made: want many of both", skipped, made)
+		t.Errorf("%d rechecks skipped, %d made, want at least 1000 of both", skipped, made)
 	}
 	t.Logf("%d rechecks skipped, %d made", skipped, made)
 }
 
-// Skipped rechecks are checked for every distribution of flows of one group and of none over three servers.
+// Skipped rechecks are checked for many distributions of flows over three servers, where all flows are of one group, none
+// has a group, or each has a group of its own.
 func TestSkippedRechecksAtEveryLoad(t *testing.T) {
 	for _, balancers := range []int{1, 300} {
 		for _, grouped := range []string{"g", "", "alone"} {
--- a/decide/cost_test.go
+++ b/decide/cost_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// newLoadedBalancer returns one balancer of 8,100 that holds so many flows of so many groups, with warm servers in
-// 25 zones.
+// newLoadedBalancer returns one of 8,100 balancers, with warm servers in 25 zones and the given numbers of established
+// flows and of groups.
 func newLoadedBalancer(t *testing.T, servers, flows, groups int) *harness {
 	s := &harness{t: t, targets: map[FlowID]ServerID{}, attemptsTo: map[ServerID]int{}}
 	s.balancer = New(7, s)
@@ -26,7 +26,7 @@
 	return s
 }
 
-// listInZones updates the whole list with so many servers in 25 zones.
+// listInZones sends a list of servers in 25 zones.
 func (s *harness) listInZones(k UpdateKind, servers int) {
 	s.balancer.BeginEndpoints(k)
 	for i := 1; i <= servers; i++ {
@@ -42,7 +42,7 @@
 	s.balancer.EndEndpoints()
 }
 
-// establishNext establishes one more flow of one of so many groups, a tenth of a millisecond after the last.
+// establishNext establishes the i-th flow, in one of the given number of groups, 0.1 ms after the previous one.
 func (s *harness) establishNext(i, groups int) FlowID {
 	f := FlowID(strconv.Itoa(i))
 	s.setTime(s.balancer.now + ms/10)
@@ -52,7 +52,7 @@
 	return f
 }
 
-// processorTime is what this process has used.
+// processorTime returns the CPU time that this process has used.
 func processorTime() time.Duration {
 	var used syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &used); err != nil {
@@ -61,12 +61,12 @@
 	return time.Duration(used.Utime.Nano() + used.Stime.Nano())
 }
 
-// reportProcessorTime adds processor time an operation: on a busy machine the clock says little.
+// reportProcessorTime reports the CPU time per operation, as elapsed time says little on a busy machine.
 func reportProcessorTime(b *testing.B, from time.Duration) {
 	b.ReportMetric(float64(processorTime()-from)/float64(b.N), "cpu-ns/op")
 }
 
-// BenchmarkPlacement is one flow placed, established and ended.
+// BenchmarkPlacement measures a flow that is placed, established and ended.
 func BenchmarkPlacement(b *testing.B) {
 	for _, servers := range []int{60, 128, 129, 600, 1000, 6000, 12800} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
@@ -82,7 +82,7 @@
 	}
 }
 
-// BenchmarkTick is one tick in balance.
+// BenchmarkTick measures a tick of a fleet in balance.
 func BenchmarkTick(b *testing.B) {
 	for _, flows := range []int{800, 8_000, 79_012} {
 		for _, servers := range []int{60, 1000, 12800} {
--- a/decide/disabled_test.go
+++ b/decide/disabled_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// A disabled server gets no flows, whatever the list says and in whatever order calls and updates come.
+// A disabled server gets no flows, whatever the list says and in whatever order calls and updates arrive.
 func TestDisabledWinsOverLists(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		const n = 4
@@ -24,10 +24,10 @@
 				f(server.Draw(rt, "server"))
 			}
 		}
-		listWithout := func(left int) { // a whole list that omits one server
+		listWithout := func(omitted int) { // sends a full update that omits one server
 			s.balancer.BeginEndpoints(FullUpdate)
 			for id := 1; id <= n; id++ {
-				if listed[id] = Ready; id == left {
+				if listed[id] = Ready; id == omitted {
 					listed[id] = Gone
 					continue
 				}
@@ -36,20 +36,20 @@
 			s.balancer.EndEndpoints()
 		}
 		rt.Repeat(map[string]func(*rapid.T){
-			"out":      step(func(id int) { s.balancer.SetDisabled(ServerID(id), true); disabled[id] = true }),
-			"back":     step(func(id int) { s.balancer.SetDisabled(ServerID(id), false); disabled[id] = false }),
-			"drains":   step(func(id int) { s.updateServer(ServerID(id), Draining, LongAgo); listed[id] = Draining }),
-			"goes":     step(func(id int) { s.updateServer(ServerID(id), Gone, LongAgo); listed[id] = Gone }),
-			"restarts": step(func(id int) { s.updateServer(ServerID(id), Ready, now); listed[id] = Ready }),
-			"whole":    step(listWithout),
-			"lost":     step(func(int) { s.balancer.BeginEndpoints(FailedUpdate) }),
-			"flow": step(func(int) {
+			"out of service":  step(func(id int) { s.balancer.SetDisabled(ServerID(id), true); disabled[id] = true }),
+			"back in service": step(func(id int) { s.balancer.SetDisabled(ServerID(id), false); disabled[id] = false }),
+			"drains":          step(func(id int) { s.updateServer(ServerID(id), Draining, LongAgo); listed[id] = Draining }),
+			"goes away":       step(func(id int) { s.updateServer(ServerID(id), Gone, LongAgo); listed[id] = Gone }),
+			"restarts":        step(func(id int) { s.updateServer(ServerID(id), Ready, now); listed[id] = Ready }),
+			"whole list":      step(listWithout),
+			"lost watch":      step(func(int) { s.balancer.BeginEndpoints(FailedUpdate) }),
+			"flow arrives": step(func(int) {
 				s.targets = map[FlowID]ServerID{}
 				id := FlowID(fmt.Sprint(flows))
 				flows++
 				to := s.request(id, GroupKey(fmt.Sprint(flows%3)), sec)
 				if to != 0 && (disabled[to] || listed[to] != Ready) {
-					rt.Fatalf("sent to %d: disabled %v, listed %d", to, disabled[to], listed[to])
+					rt.Fatalf("flow sent to server %d: disabled %v, listed readiness %d", to, disabled[to], listed[to])
 				}
 				if to != 0 {
 					s.balancer.OnEstablished(id, ms)
@@ -59,7 +59,7 @@
 				for id := 1; id <= n; id++ {
 					state := s.balancer.list.byID[ServerID(id)]
 					if (state.readiness == Ready) != (!disabled[id] && listed[id] == Ready) {
-						rt.Fatalf("%d: state %d, disabled %v, listed %d", id, state.readiness, disabled[id], listed[id])
+						rt.Fatalf("server %d: readiness %d, disabled %v, listed readiness %d", id, state.readiness, disabled[id], listed[id])
 					}
 				}
 			},
@@ -83,20 +83,20 @@
 			t.Errorf("%d of 8 flows were migrated in 10 s", moved)
 		}
 	})
-	t.Run("it returns in slow start, and its health is forgotten", func(t *testing.T) {
+	t.Run("an enabled server is in slow start and its health is reset", func(t *testing.T) {
 		s := newHarness(t, Idempotent, DeduplicatedByFleet, 2)
 		s.adopt("o", 6, "", 1)
 		s.balancer.eject(s.balancer.list.byID[1])
 		s.balancer.SetDisabled(1, true)
-		s.balancer.SetDisabled(1, true) // two calls need one to enable it
+		s.balancer.SetDisabled(1, true) // a second call has no effect
 		s.setTime(5 * sec)
 		s.balancer.SetDisabled(1, false)
 		state := s.balancer.list.byID[1]
 		if w := s.balancer.capacityShare(state); w != 0.2 || state.ejected || state.openFlows != 6 {
-			t.Errorf("capacity share %v, ejected %v, %d open", w, state.ejected, state.openFlows)
+			t.Errorf("capacity share %v, ejected %v, %d open flows", w, state.ejected, state.openFlows)
 		}
 	})
-	t.Run("all servers", func(t *testing.T) {
+	t.Run("all servers disabled", func(t *testing.T) {
 		s := newHarness(t, Idempotent, DeduplicatedByFleet, 2)
 		s.balancer.SetDisabled(1, true)
 		s.balancer.SetDisabled(2, true)
--- a/decide/harness_test.go
+++ b/decide/harness_test.go
@@ -11,13 +11,13 @@
 
 const ms, sec = time.Millisecond, time.Second
 
-// harness is a balancer whose actions are recorded. The recorded words are part of the recorded days' hashes.
+// harness is a Balancer whose actions are recorded as text. The hashes in recordedRuns depend on this text.
 type harness struct {
 	t          *testing.T
 	balancer   *Balancer
-	performed  []string            // all actions but timers
-	targets    map[FlowID]ServerID // of the last attempts
-	attemptsTo map[ServerID]int
+	performed  []string                  // all actions except timers
+	targets    map[FlowID]ServerID       // of the last attempt of each flow
+	attemptsTo map[ServerID]int          // number of attempts
 	timers     map[TimerID]time.Duration // as last set
 }
 
@@ -41,8 +41,8 @@
 }
 func (s *harness) WatchEndpoints(on bool) { s.record("watch %v", on) }
 
-// newHarness returns a balancer with four attempts a flow, one service type and warm servers from 1 on, two in
-// each zone and cell.
+// newHarness returns a balancer with four attempts per flow, one service type and the given number of warm servers, two
+// in each zone and cell. Their IDs start at 1.
 func newHarness(t *testing.T, effect Effect, deduplication DeduplicationScope, servers int) *harness {
 	s := &harness{t: t, targets: map[FlowID]ServerID{}, attemptsTo: map[ServerID]int{}}
 	s.balancer = New(7, s)
@@ -57,12 +57,12 @@
 	return s
 }
 
-// serviceType is the service type of all tests.
+// serviceType returns the service type of all tests.
 func serviceType(effect Effect, deduplication DeduplicationScope) ServiceType {
 	return ServiceType{Effect: effect, Deduplication: deduplication, SetupTarget: 300 * ms, RetryWindow: 2 * sec, Value: 1}
 }
 
-// slowStartRule is the rule of most tests, for so many balancers.
+// slowStartRule returns the slow-start settings of most tests.
 func slowStartRule(balancers int) SlowStart {
 	return SlowStart{InitialCapacity: 0.2, OverloadMultiple: 3, WarmUp: 20 * sec, Window: 1500 * ms, Balancers: balancers}
 }
@@ -89,27 +89,27 @@
 	})
 }
 
-// updateServer updates one server of the list.
+// updateServer updates one server in the list.
 func (s *harness) updateServer(id ServerID, readiness Readiness, startedAt time.Duration) {
 	s.balancer.BeginEndpoints(DeltaUpdate)
 	s.listServer(id, readiness, startedAt)
 	s.balancer.EndEndpoints()
 }
 
-// request has a flow arrive, and returns the server of its attempt.
+// request adds a new flow and returns the server of its attempt.
 func (s *harness) request(id FlowID, group GroupKey, timeout time.Duration) ServerID {
 	s.balancer.OnFlow(FlowRequest{ID: id, Customer: NoCustomer, Group: group, Timeout: timeout})
 	return s.targets[id]
 }
 
-// adopt takes over n connections at a server.
+// adopt adds n established flows at a server.
 func (s *harness) adopt(prefix string, n int, group GroupKey, server ServerID) {
 	for i := range n {
 		s.balancer.AdoptFlow(FlowRequest{ID: FlowID(fmt.Sprint(prefix, i)), Customer: NoCustomer, Group: group}, server)
 	}
 }
 
-// adoptEach takes over one connection at each of these servers.
+// adoptEach adds one established flow at each of the servers.
 func (s *harness) adoptEach(from, to ServerID) {
 	for server := from; server <= to; server++ {
 		s.adopt(fmt.Sprint("r", server), 1, "", server)
@@ -126,13 +126,13 @@
 func (s *harness) expect(want string) {
 	s.t.Helper()
 	if got := s.takeActions(); got != want {
-		s.t.Errorf("did %q, want %q", got, want)
+		s.t.Errorf("actions %q, want %q", got, want)
 	}
 }
 
 func (s *harness) countActions(action string) int { return strings.Count(s.takeActions(), action) }
 
-// TestMain makes generated tests draw the same values each time.
+// TestMain fixes the seed of property tests, so that they draw the same values in each run.
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.nofailfile": "true", "rapid.checks": "300"} {
 		if err := flag.Set(name, value); err != nil {
--- a/decide/index.go
+++ b/decide/index.go
@@ -3,11 +3,11 @@
 import "slices"
 
 // bucketIndex selects a few of many servers by a hash. Balancers with the same list select the same servers, and nearly
-// the same if one list is slightly older. Servers are assigned to buckets by their ID, and the number of buckets depends
-// only on the number of servers.
+// the same if one list is slightly older. Servers are assigned to buckets by their ID. The number of buckets, a power of
+// two, depends only on the number of servers; a bucket has one to two servers on average.
 type bucketIndex struct {
 	servers []*serverState // by bucket
-	ends    []int          // end of each bucket in servers; a power of two of buckets, with one to two servers each on average
+	ends    []int          // end of each bucket in servers
 }
 
 // build rebuilds the index from these servers.
--- a/decide/list.go
+++ b/decide/list.go
@@ -25,7 +25,7 @@
 
 	totals       fleetTotals // over ready; openFlows is always current, the rest is as of the last tick or update
 	lowestLoad   float64     // of the servers that a flow could be migrated to, as of the last tick or update
-	baselineSize float64     // total size of the fleet in regular service: of the first list, or the maximum of warm servers since; 0: unknown
+	baselineSize float64     // usual size of the whole fleet: of the first list, or the most warm servers since; 0: unknown
 
 	// The selection of candidates from a long list; see isLong.
 	local          []*serverState // ready, in the local zone
--- a/decide/placement.go
+++ b/decide/placement.go
@@ -17,7 +17,7 @@
 	costTolerance      = 1e-9 // costs that differ by less are equal
 
 	randomCandidates = 24 // of a long list, half of them local
-	preferredBuckets = 8  // buckets of servers of which a group prefers one
+	preferredBuckets = 8  // buckets from which a group's preferred server is chosen
 	holderCandidates = 8  // servers that already hold the group
 
 	recentOverload       = 2 * limitRecoveryTime
@@ -40,7 +40,7 @@
 // candidate is compared with.
 type placementView struct {
 	candidates       []*serverState
-	preferredCount   int            // number of candidates, from the first on, that the group may prefer
+	preferredCount   int            // the group may prefer only this number of candidates, the first ones
 	holders          []*serverState // of the group, at this balancer
 	meanOpen         float64        // open flows of this balancer per unit of size, without the flow being placed
 	meanWithFlow     float64        // the same with the flow being placed
@@ -273,7 +273,8 @@
 	}
 	fairShare := view.meanOpen * b.size(server)
 	othersShare := 1 - 1/float64(b.slowStart.Balancers)
-	return float64(flows.open) > groupingLoadBound*fairShare+significantDeviations*math.Sqrt(fairShare*othersShare)+othersShare*float64(flows.group)
+	return float64(flows.open) > groupingLoadBound*fairShare+
+		significantDeviations*math.Sqrt(fairShare*othersShare)+othersShare*float64(flows.group)
 }
 
 // size returns the weight of a server in means: its capacity share, times its listed size where the list has sizes.
--- a/decide/random.go
+++ b/decide/random.go
@@ -39,9 +39,9 @@
 	return hash
 }
 
-// rendezvousWeight returns the weight of a server for a group, given by its hash, in weighted rendezvous hashing. It is the
-// same at every balancer. If it is multiplied by the servers' sizes, each server has the largest weight for a share of
-// groups that is proportional to its size.
+// rendezvousWeight returns the weight of a server for a group, given by its hash, in weighted rendezvous hashing. It is
+// the same at every balancer. If it is multiplied by the servers' sizes, each server has the largest weight for a share
+// of groups that is proportional to its size.
 func rendezvousWeight(group uint64, id ServerID) float64 {
 	p := seeded(group ^ uint64(id)*goldenRatio)
 	return -1 / math.Log((float64(p.next())+0.5)/(1<<32))
--- a/decide/servers.go
+++ b/decide/servers.go
@@ -10,7 +10,7 @@
 	openFlows              int // flows in the leased tally: connecting and established
 	size                   float64
 	startedAt              time.Duration
-	consecutiveUnreachable int // consecutive attempts that ended as Unreachable; reset when the server shows that it is alive
+	consecutiveUnreachable int // attempts that ended as Unreachable since the server was last known to be alive
 	latency                time.Duration
 	id                     ServerID
 	ejected                bool
--- a/decide/slowstart.go
+++ b/decide/slowstart.go
@@ -57,8 +57,8 @@
 	return due, max(server.budgetSpent, int(due-savable))
 }
 
-// capacityPerSize returns this balancer's estimate of the flows that a unit of size can serve: by the quotas, but at least
-// half of the present mean, as flows differ in load; without quotas, the present mean.
+// capacityPerSize returns this balancer's estimate of the flows that a unit of size can serve. With quotas it is derived
+// from them and at least half of the present mean, as flows differ in load. Without quotas it is the present mean.
 func (b *Balancer) capacityPerSize(view placementView) float64 {
 	return max(view.meanWithFlow/2, cmp.Or(b.quotaPerSize(), view.meanWithFlow))
 }
--- a/decide/statistics.go
+++ b/decide/statistics.go
@@ -35,9 +35,9 @@
 	}
 }
 
-// setMeans computes the means over the servers with the lowest extra cost for the flow. For a long list it uses the totals
-// over all servers if there are no constraints. If there are, it sums over the candidates only and weights the flow by
-// their share of the total size.
+// setMeans computes the means over the servers with the lowest extra cost for the flow. For a long list it uses the
+// totals over all servers if there are no constraints. If there are, it sums over the candidates only and weights the
+// flow by their share of the total size.
 func (b *Balancer) setMeans(view *placementView, f *flow, leastExtra float64) {
 	var totals fleetTotals
 	flowWeight := 1.0
