--- a/decide/handover_test.go
+++ b/decide/handover_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// During a handover two processes are one balancer, and a slow-start budget is spent once: by the successor alone
-// while it runs, and if it ends only as far as the budget grows from then on, as what the successor spent is
-// unknown.
+// During a hand-over two processes act as one balancer, so a slow-start budget must be spent only once. While the
+// successor runs, it alone spends the budget. If it ends, the predecessor spends only what becomes due from then on, as
+// it is unknown what the successor spent.
 func TestSlowStartBudgetAcrossHandover(t *testing.T) {
 	offer := func(s *harness, from, to time.Duration) {
 		for at := from; at < to; at += 10 * ms {
@@ -31,14 +31,14 @@
 	alone := begin()
 	offer(alone, 2*sec, 4*sec)
 	if alone.attemptsTo[3] == 0 {
-		t.Fatal("the warming server gets nothing in any case")
+		t.Fatal("the warming server gets no flows even without a hand-over")
 	}
 	s := begin()
 	snapshot := s.balancer.Snapshot()
 	s.balancer.SetHandedOver(true)
 	offer(s, 2*sec, 4*sec)
 	if s.attemptsTo[3] != 0 {
-		t.Errorf("the predecessor spends %d of a budget that it handed over", s.attemptsTo[3])
+		t.Errorf("the predecessor makes %d attempts from a budget that it handed over", s.attemptsTo[3])
 	}
 	successor := newHarness(t, Idempotent, DeduplicatedByFleet, 3)
 	successor.setTime(2 * sec)
@@ -46,22 +46,22 @@
 	successor.adopt("a", 200, "", 1)
 	successor.adopt("b", 200, "", 2)
 	offer(successor, 2*sec, 4*sec)
-	if both := s.attemptsTo[3] + successor.attemptsTo[3]; both > alone.attemptsTo[3]+1 { // one by rounding
-		t.Errorf("both send %d, one process sends %d", both, alone.attemptsTo[3])
+	if both := s.attemptsTo[3] + successor.attemptsTo[3]; both > alone.attemptsTo[3]+1 { // one more by rounding
+		t.Errorf("%d attempts by both processes, %d by one without a hand-over", both, alone.attemptsTo[3])
 	}
 	s.balancer.SetHandedOver(false)
 	offer(s, 4*sec, 4*sec+20*ms)
 	if s.attemptsTo[3] > 1 {
-		t.Errorf("after the end of the successor %d are sent at once", s.attemptsTo[3])
+		t.Errorf("%d attempts right after the end of the successor", s.attemptsTo[3])
 	}
 	offer(s, 4*sec+20*ms, 6*sec)
 	if s.attemptsTo[3] == 0 {
-		t.Error("after the end of the successor nothing is sent any more")
+		t.Error("no attempts after the end of the successor")
 	}
 }
 
-// A repeat leaves time for a delay between the reading of the clock and the write: none is decided or forwarded in
-// the last 0.15 s of its window.
+// A retry must not reach a server after the retry window, even if the process is delayed between reading the clock and
+// writing to the connection: none is decided or forwarded in the last 0.15 s of the window.
 func TestRetryLeavesTimeForDelayedWrite(t *testing.T) {
 	const window, delayed = 2 * sec, 150 * ms
 	for _, left := range []time.Duration{500 * ms, 200 * ms, 160 * ms, 150 * ms, 100 * ms, ms} {
@@ -74,13 +74,13 @@
 			s.balancer.actions = timeoutRecorder{s, &limit}
 			s.balancer.OnEnded("a", Reset, window-left, false)
 			if usable := left - delayed; usable > 0 && (limit <= 0 || limit > usable) || usable <= 0 && limit >= 0 {
-				t.Errorf("with %v left the repeat has %v", left, limit)
+				t.Errorf("with %v left of the window the retry has a timeout of %v", left, limit)
 			}
 		})
 	}
 }
 
-// A snapshot is refused for a size below 0 only; one that is no number counts as not stated.
+// A snapshot is rejected if a size is below 0. Infinity and NaN are accepted.
 func TestSnapshotSizes(t *testing.T) {
 	for _, c := range []struct {
 		size float64
--- a/decide/health_test.go
+++ b/decide/health_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// A server that closes its connections looks the least loaded, and gets no new flows.
+// A server that closes its connections seems the least loaded, but must not get new flows.
 func TestServerThatClosesConnections(t *testing.T) {
 	s := newHarness(t, Idempotent, DeduplicatedByFleet, 4)
 	s.adopt("a", 9, "", 1)
@@ -20,15 +20,15 @@
 		s.request(FlowID(fmt.Sprint(i)), "", sec)
 	}
 	if s.attemptsTo[1] > 0 {
-		t.Errorf("%d were sent there", s.attemptsTo[1])
+		t.Errorf("%d flows were sent to the server", s.attemptsTo[1])
 	}
-	s.setTime(baseEjectionTime) // many ends are one sign: it is tried again soon, as it may have been wrong
+	s.setTime(baseEjectionTime) // all ends together cause a single ejection, the shortest one, as the sign may be wrong
 	if got := s.request("later", "", sec); got != 1 {
-		t.Errorf("then goes to %d", got)
+		t.Errorf("after the ejection a flow went to server %d, want 1", got)
 	}
 }
 
-// A server that fails fast does not attract the flows.
+// A server that fails fast has few open flows, but must not attract new ones.
 func TestFastFailingServerAttractsFewFlows(t *testing.T) {
 	s := newHarness(t, Idempotent, DeduplicatedByFleet, 4)
 	for i := range 100 {
@@ -45,18 +45,18 @@
 	}
 }
 
-// The flows of a silent server are migrated, a part at a time.
+// The flows of an unreachable server are migrated, a share at a time.
 func TestFlowsLeaveUnreachableServer(t *testing.T) {
 	s := newHarness(t, Idempotent, DeduplicatedByFleet, 4)
 	s.adopt("o", 16, "", 1)
 	s.balancer.list.byID[1].consecutiveUnreachable = 2
 	s.balancer.OnTimer(tickTimer)
 	if n := s.countActions("move"); n != 3 {
-		t.Errorf("%d moves in one tick, want 3 of 16", n)
+		t.Errorf("%d migrations in one tick, want 3 of 16", n)
 	}
 }
 
-// A silent server gets few attempts while the others are full, and warms up when it returns.
+// An unreachable server gets few attempts while the others are full, and begins slow start when it is reachable again.
 func TestUnreachableServerReturnsInSlowStart(t *testing.T) {
 	s := newHarness(t, Idempotent, DeduplicatedByFleet, 2)
 	s.adopt("o", 8, "", 2)
@@ -68,13 +68,13 @@
 		s.balancer.OnEnded(id, Unreachable, 10*ms, false)
 	}
 	if s.attemptsTo[1] > 5 {
-		t.Errorf("%d connects to a server where nobody is", s.attemptsTo[1])
+		t.Errorf("%d attempts at an unreachable server, want at most 5", s.attemptsTo[1])
 	}
 	s.setTime(20 * sec)
 	s.request("back", "", sec)
 	s.balancer.OnEstablished("back", ms)
 	if server := s.balancer.list.byID[1]; s.balancer.capacityShare(server) > 0.3 {
-		t.Errorf("capacity share %v when it answers again", s.balancer.capacityShare(server))
+		t.Errorf("capacity share %v when the server answers again", s.balancer.capacityShare(server))
 	}
 }
 
@@ -90,7 +90,7 @@
 	s.expect("")
 }
 
-// Before slow start is configured the number of balancers is unknown: no health check is sent, and none later.
+// While slow start is not configured, the number of balancers is unknown and no health checks are sent, not even later.
 func TestNoHealthChecksWithoutNumberOfBalancers(t *testing.T) {
 	s := &harness{t: t, targets: map[FlowID]ServerID{}, attemptsTo: map[ServerID]int{}}
 	s.balancer = New(7, s)
--- a/decide/list_test.go
+++ b/decide/list_test.go
@@ -18,7 +18,7 @@
 			s.listServer(2, Ready, LongAgo)
 			s.balancer.EndEndpoints()
 		}},
-		{"still gone when the list fails", func(s *harness) {
+		{"still gone after a failed update", func(s *harness) {
 			s.updateServer(1, Gone, LongAgo)
 			s.balancer.BeginEndpoints(FailedUpdate)
 		}},
@@ -52,22 +52,22 @@
 			s.balancer.OnEnded(FlowID(fmt.Sprint("o", i)), Reset, sec, true)
 		}
 		if server.openFlows != 0 || len(server.groupTallies) != 0 || s.balancer.tallies.pairs != 0 {
-			t.Errorf("open %d, groups %v, held %d after the restart", server.openFlows, server.groupTallies, s.balancer.tallies.pairs)
+			t.Errorf("after the restart: %d open flows, groups %v, %d pairs", server.openFlows, server.groupTallies, s.balancer.tallies.pairs)
 		}
 	})
-	t.Run("a lease that is never confirmed expires", func(t *testing.T) {
+	t.Run("the lease of an attempt without a reported end is released", func(t *testing.T) {
 		s := newHarness(t, Idempotent, DeduplicatedByFleet, 1)
 		s.request("a", "g", sec)
 		s.setTime(12 * sec)
 		s.balancer.OnTimer(tickTimer)
 		if server := s.balancer.list.byID[1]; server.openFlows != 0 || len(server.groupTallies) != 0 {
-			t.Errorf("open %d, groups %v", server.openFlows, server.groupTallies)
+			t.Errorf("%d open flows, groups %v", server.openFlows, server.groupTallies)
 		}
 	})
 }
 
-// However many polls of the list failed, a change is known within 6 s: a poll under way may miss it and take 2 s
-// to fail, then come the backoff and the next poll.
+// A change of the list is known within 6 s, however many polls failed before: a poll in progress may miss it and take
+// 2 s to fail; then follow the backoff and the next poll, of 2 s at most.
 func TestPollBackoff(t *testing.T) {
 	const call, knownWithin = 2 * sec, 6 * sec
 	for _, within := range []time.Duration{2 * sec, 10 * sec, 60 * sec} {
@@ -83,10 +83,10 @@
 			least, most = min(least, s.timers[listTimer]), max(most, s.timers[listTimer])
 		}
 		if most > knownWithin-2*call {
-			t.Errorf("polled within %v: a backoff of %v", within, most)
+			t.Errorf("polled every %v: a backoff of %v", within, most)
 		}
 		if most-least < most/3 {
-			t.Errorf("polled within %v: all backoffs lie between %v and %v, so that balancers poll in step", within, least, most)
+			t.Errorf("polled every %v: all backoffs lie between %v and %v, so that balancers poll at the same time", within, least, most)
 		}
 	}
 }
--- a/decide/longlist_test.go
+++ b/decide/longlist_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// The cost of placing one flow, in looks at servers, grows less than threefold from 60 servers to 12,800.
+// The cost of placing a flow, in evaluations of servers, grows less than threefold from 60 servers to 12,800.
 func TestPlacementCostIsBounded(t *testing.T) {
-	looks := func(servers int) int {
+	evaluations := func(servers int) int {
 		s := newLoadedBalancer(t, servers, 2000, 1500)
 		a := &countingConstraints{}
 		s.balancer.SetConstraints(a)
@@ -19,15 +19,15 @@
 		}
 		return a.evaluations / flows
 	}
-	few := looks(60)
+	few := evaluations(60)
 	for _, servers := range []int{128, 129, 600, 3000, 12800} {
-		if n := looks(servers); n > 3*few {
-			t.Errorf("%d looks at 60 servers, %d at %d", few, n, servers)
+		if n := evaluations(servers); n > 3*few {
+			t.Errorf("%d evaluations with 60 servers, %d with %d", few, n, servers)
 		}
 	}
 }
 
-// In balance a round of rechecks takes its 5 s however many flows there are, as few need a look at servers.
+// In balance a round of rechecks takes 5 s for any number of flows, as few rechecks have to consider other servers.
 func TestRecheckRoundIsComplete(t *testing.T) {
 	for _, c := range []struct{ servers, flows int }{{60, 800}, {60, 20_000}, {1000, 40_000}} {
 		t.Run(fmt.Sprintf("%d servers, %d flows", c.servers, c.flows), func(t *testing.T) {
@@ -43,16 +43,16 @@
 			}
 			looked = int(s.balancer.list.selection - selections)
 			if visited < c.flows {
-				t.Errorf("%d of %d flows visited in a round's time", visited, c.flows)
+				t.Errorf("%d of %d flows visited in the time of a round", visited, c.flows)
 			}
 			if most := maxRechecksPerTick * int(recheckInterval/tickInterval); looked > most {
-				t.Errorf("%d looks at a long list in a round, want %d at the most", looked, most)
+				t.Errorf("%d selections from the long list in a round, want at most %d", looked, most)
 			}
 		})
 	}
 }
 
-// However many flows would cost less elsewhere, the rechecks of a tick are bounded.
+// The number of rechecks in a tick is bounded even if many flows would cost less elsewhere.
 func TestRechecksOfATickAreBounded(t *testing.T) {
 	s := newLoadedBalancer(t, 200, 0, 1)
 	s.adopt("f", 6000, "", 1) // all on one server
@@ -63,8 +63,8 @@
 	}
 }
 
-// Balancers of which one does not know the last change yet agree on the preferred servers of nearly all groups,
-// which are spread evenly.
+// Two balancers, one of which has not received the last changes of the list, agree on the preferred servers of nearly all
+// groups. The groups are spread evenly over the servers.
 func TestPreferredServersAgree(t *testing.T) {
 	const servers, groups = 1000, 20_000
 	one, other := newLoadedBalancer(t, servers, 0, 1), newLoadedBalancer(t, servers, 0, 1)
@@ -83,26 +83,26 @@
 		}
 	}
 	if most := groups / 200; differ > most { // two servers of 1,000, and a little more
-		t.Errorf("preferred servers of %d of %d groups differ, want %d at the most", differ, groups, most)
+		t.Errorf("preferred servers of %d of %d groups differ, want at most %d", differ, groups, most)
 	}
 	most := 0
 	for _, n := range groupsOf {
 		most = max(most, n)
 	}
 	if mean := float64(groups) / servers; float64(most) > 2.2*mean || len(groupsOf) < servers*99/100 {
-		t.Errorf("%d servers are preferred by %g groups on average, one by %d", len(groupsOf), mean, most)
+		t.Errorf("%d servers are preferred by some group, by %g groups on average and %d at most", len(groupsOf), mean, most)
 	}
-	t.Logf("%d of %d groups differ; of %d servers one is preferred by %d groups", differ, groups, len(groupsOf), most)
+	t.Logf("%d of %d groups differ; each of %d servers is preferred by %d groups at most", differ, groups, len(groupsOf), most)
 }
 
-// Where nearly all servers of a long list have faults, flows still find one that has none.
+// If all servers of a long list but one have faults, flows still find that one.
 func TestFewHealthyServersOfLongList(t *testing.T) {
 	const servers, good = 1000, 7
 	faults := map[string]func(b *Balancer, server *serverState){
-		"silent":  func(b *Balancer, server *serverState) { server.consecutiveUnreachable = 2; b.eject(server) },
-		"ejected": func(b *Balancer, server *serverState) { b.eject(server) },
-		"late":    func(b *Balancer, server *serverState) { server.latency, server.latencyAt = sec, b.now },
-		"full":    func(b *Balancer, server *serverState) { server.limit.reduce(0, b.now) },
+		"unreachable": func(b *Balancer, server *serverState) { server.consecutiveUnreachable = 2; b.eject(server) },
+		"ejected":     func(b *Balancer, server *serverState) { b.eject(server) },
+		"overloaded":  func(b *Balancer, server *serverState) { server.latency, server.latencyAt = sec, b.now },
+		"full":        func(b *Balancer, server *serverState) { server.limit.reduce(0, b.now) },
 		"warming up": func(b *Balancer, server *serverState) {
 			server.startedAt, server.budgetAt, server.budgetDue = b.now, b.now, 0
 		},
@@ -128,7 +128,7 @@
 	}
 }
 
-// A repeat that only servers of the same zone or cell would drop goes there or nowhere, however long the list.
+// With a long list, too, a retry stays within the zone or cell whose servers drop duplicates.
 func TestRetriesStayInDeduplicationScope(t *testing.T) {
 	for scope, same := range map[DeduplicationScope]func(a, b *serverState) bool{
 		DeduplicatedByZone: func(a, b *serverState) bool { return a.zone == b.zone },
@@ -138,21 +138,21 @@
 		s.balancer.services[0].Effect, s.balancer.services[0].Deduplication = IdempotentByKey, scope
 		for i := range 50 {
 			f := FlowID(strconv.Itoa(i))
-			for k := range 3 { // else all set-ups would seem to fail, and nothing would be repeated
+			for k := range 3 { // otherwise all set-ups would seem to fail, and there would be no retries
 				s.establishNext(1000*(i+1)+k, 1)
 			}
 			first := s.balancer.list.byID[s.request(f, "", sec)]
 			s.balancer.OnEnded(f, Error, ms, false)
 			next := s.balancer.list.byID[s.targets[f]]
 			if first == next || !same(first, next) {
-				t.Errorf("reach %d: first to %d, then to %d", scope, first.id, next.id)
+				t.Errorf("scope %d: first attempt at server %d, retry at server %d", scope, first.id, next.id)
 			}
 			s.balancer.OnEstablished(f, ms)
 		}
 	}
 }
 
-// A group that is half of all connections is spread as far as its load requires, and no further.
+// A group with half of all flows is spread as far as its load requires, but no further.
 func TestGroupOfHalfOfAllFlows(t *testing.T) {
 	const servers, flows = 500, 10_000
 	s := newLoadedBalancer(t, servers, 0, 1)
@@ -174,12 +174,12 @@
 	}
 	holders := len(s.balancer.tallies.holders["large"])
 	if mean := flows / servers; most > 6*mean || holders < 20 || holders > servers*3/4 {
-		t.Errorf("mean of %d a server, %d on one; %d of %d servers hold the group", mean, most, holders, servers)
+		t.Errorf("mean of %d flows per server, %d on one; %d of %d servers hold the group", mean, most, holders, servers)
 	}
-	t.Logf("%d flows on the fullest of %d servers, %d hold the group", most, servers, holders)
+	t.Logf("%d flows on the most loaded of %d servers, %d servers hold the group", most, servers, holders)
 }
 
-// A list that is replaced completely leaves no flow without a server: established ones migrate to the new servers.
+// If a list is replaced completely, all established flows are migrated and new ones go to the new servers.
 func TestListReplacedCompletely(t *testing.T) {
 	const servers, flows = 400, 2000
 	s := newLoadedBalancer(t, servers, flows, 500)
@@ -198,11 +198,11 @@
 		t.Errorf("%d of %d flows were migrated", moved, flows)
 	}
 	if to := s.request("next", "g", sec); to <= servers {
-		t.Errorf("a flow went to %d, which is gone", to)
+		t.Errorf("a flow went to server %d, which is gone", to)
 	}
 }
 
-// From no flows to many within a minute: each is placed at once, and servers are used evenly.
+// When the load rises from no flows to many within a minute, each is placed at once and the servers are loaded evenly.
 func TestManyFlowsWithinMinute(t *testing.T) {
 	const servers, flows = 1000, 40_000
 	s := newLoadedBalancer(t, servers, 0, 1)
@@ -223,6 +223,6 @@
 		most = max(most, server.openFlows)
 	}
 	if most > 2*flows/servers {
-		t.Errorf("%d flows on one server, %d on average", most, flows/servers)
+		t.Errorf("%d flows on one server, mean of %d", most, flows/servers)
 	}
 }
--- a/decide/overload_test.go
+++ b/decide/overload_test.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// Without latency samples a reset of an established flow is all that one of many balancers observes of overload.
+// Without latency samples, resets of established flows are the only sign of overload that one of many balancers observes.
 func TestResetsShowScarceCapacity(t *testing.T) {
 	s := newHarness(t, Idempotent, DeduplicatedByFleet, 6)
 	s.balancer.ConfigureSlowStart(slowStartRule(200))
 	s.adoptEach(1, 6)
 	s.balancer.OnEnded("r10", Reset, sec, true)
 	if s.balancer.isCapacityScarce() {
-		t.Error("capacity is scarce by one server of six")
+		t.Error("capacity is scarce although only one server of six reset a flow")
 	}
 	for _, id := range []FlowID{"r20", "r30", "r40"} {
 		s.balancer.OnEnded(id, Reset, sec, true)
@@ -25,21 +25,21 @@
 	s.takeActions()
 	s.request("new", "", sec)
 	if s.balancer.health.flowLimit.reducedAt == 0 || s.targets["new"] >= 1 && s.targets["new"] <= 4 {
-		t.Errorf("the flows have no limit, or one more goes to %d", s.targets["new"])
+		t.Errorf("there is no limit on all flows, or a flow went to the overloaded server %d", s.targets["new"])
 	}
 	s.setTime(latencyMaxAge + ms)
 	if s.balancer.isCapacityScarce() {
-		t.Error("capacity is scarce for longer than a latency sample counts")
+		t.Error("capacity is scarce for longer than latencyMaxAge")
 	}
 }
 
-// One late message may be a pause; a second limits the server.
+// A single late message may be a short pause of the server; a second one reduces the server's limit.
 func TestSingleLateMessageIsNotOverload(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		samples     int
 		hasCapacity bool
-	}{{"one late message may be a pause", 1, true}, {"a second is overload", 2, false}} {
+	}{{"one late message", 1, true}, {"two late messages", 2, false}} {
 		t.Run(c.name, func(t *testing.T) {
 			s := newHarness(t, Idempotent, DeduplicatedByFleet, 6)
 			s.adopt("o", 10, "", 1)
@@ -49,13 +49,13 @@
 				s.balancer.OnLatencySample("o9", 150*ms)
 			}
 			if server := s.balancer.list.byID[1]; s.balancer.hasCapacity(&flow{}, server, placementView{}) != c.hasCapacity {
-				t.Errorf("has capacity: %v with %d open, limit %v", !c.hasCapacity, server.openFlows, server.limit.flows)
+				t.Errorf("has capacity: %v with %d open flows, limit %v", !c.hasCapacity, server.openFlows, server.limit.flows)
 			}
 		})
 	}
 }
 
-// A fleet at its limits rejects new flows.
+// New flows are rejected if all servers are at their limits.
 func TestFullFleetRejects(t *testing.T) {
 	s := newHarness(t, Idempotent, DeduplicatedByFleet, 2)
 	for server := range 2 {
@@ -66,7 +66,8 @@
 	s.expect("reject a")
 }
 
-// A lone reset of a server within its objective limits nothing, unless many balancers share the observations.
+// A single reset by a server within its latency objective does not reduce its limit, unless balancers are many and each
+// observes little.
 func TestLoneReset(t *testing.T) {
 	for _, c := range []struct {
 		balancers, resets int
@@ -85,7 +86,7 @@
 	}
 }
 
-// A server that drops all new flows stops attracting them.
+// A server that accepts flows and drops them at once stops attracting them.
 func TestServerThatDropsNewFlows(t *testing.T) {
 	s := newHarness(t, Idempotent, DeduplicatedByFleet, 3)
 	s.adopt("b", 3, "x", 2)
@@ -100,29 +101,30 @@
 		}
 	}
 	if s.attemptsTo[1] > 4 {
-		t.Errorf("%d of 50 flows sent to the server that drops them", s.attemptsTo[1])
+		t.Errorf("%d of 50 flows sent to the server that drops them, want at most 4", s.attemptsTo[1])
 	}
 }
 
-// To one of many balancers capacity is scarce only by more than chance; then it holds fewer flows in all.
+// For one of many balancers, capacity is scarce only if more servers are overloaded than random variation explains. The
+// balancer then limits the total number of its flows.
 func TestScarcityExceedsChance(t *testing.T) {
 	s := newHarness(t, Idempotent, DeduplicatedByFleet, 60)
 	s.balancer.slowStart.Balancers = 200
-	s.balancer.health.setupTimes = []time.Duration{sec} // beyond the target: none migrates
+	s.balancer.health.setupTimes = []time.Duration{sec} // slower than the target, so that no flows migrate
 	s.adoptEach(1, 8)
 	for i, isScarce := range []bool{false, false, false, true, true, true, true, true} {
 		s.balancer.OnLatencySample(FlowID(fmt.Sprintf("r%d0", i+1)), 80*ms)
 		s.balancer.reduceLimit(s.balancer.list.byID[ServerID(i+1)])
 		if s.balancer.isCapacityScarce() != isScarce {
-			t.Errorf("scarce: %v with %d of 8 late", !isScarce, i+1)
+			t.Errorf("scarce: %v with %d of 8 servers overloaded", !isScarce, i+1)
 		}
 	}
 	s.takeActions()
 	s.request("a", "", sec)
-	s.expect("reject a") // however many servers it has not observed
+	s.expect("reject a") // even though the balancer has no flows at most servers
 }
 
-// While capacity is scarce, flows over their customer's quota are shed first.
+// While capacity is scarce, flows of customers over their quota are shed first.
 func TestFlowsOverQuotaAreShedFirst(t *testing.T) {
 	s := newHarness(t, Idempotent, DeduplicatedByFleet, 3)
 	s.balancer.AddCustomer(2)
@@ -136,6 +138,6 @@
 	s.expect("reject over")
 	s.balancer.OnFlow(FlowRequest{ID: "within", Customer: 1, Timeout: sec})
 	if got := s.takeActions(); !strings.HasPrefix(got, "connect within") {
-		t.Errorf("did %q", got)
+		t.Errorf("actions %q, want a connect of the flow within its quota", got)
 	}
 }
--- a/decide/placement_test.go
+++ b/decide/placement_test.go
@@ -12,22 +12,22 @@
 		do   func(s *harness)
 		want ServerID
 	}{
-		{"the group's server", func(s *harness) {
+		{"the server that holds the group", func(s *harness) {
 			s.adopt("a", 4, "g", 2)
 			s.adopt("b", 4, "x", 1)
 			s.adopt("c", 3, "y", 3)
 		}, 2},
-		{"also above the guard by what may be chance, being one of four", func(s *harness) {
+		{"the same above the load bound, by random variation at one of four balancers", func(s *harness) {
 			s.balancer.slowStart.Balancers = 4
 			s.adopt("a", 6, "g", 2)
 			s.adopt("b", 3, "x", 1)
 			s.adopt("c", 3, "y", 3)
 		}, 2},
-		{"not above the guard while another sits below", func(s *harness) {
+		{"not a server above the load bound while another is below", func(s *harness) {
 			s.adopt("a", 16, "g", 2)
 			s.adopt("b", 3, "x", 1)
 		}, 3},
-		{"the larger by listed size", func(s *harness) {
+		{"the server of the largest listed size", func(s *harness) {
 			s.adopt("a", 8, "x", 1)
 			s.adopt("b", 8, "y", 2)
 			s.adopt("c", 8, "z", 3)
@@ -40,7 +40,7 @@
 			s := newHarness(t, Idempotent, DeduplicatedByFleet, 3)
 			c.do(s)
 			if got := s.request("f", "g", sec); got != c.want {
-				t.Errorf("placed on %d, want %d", got, c.want)
+				t.Errorf("placed on server %d, want %d", got, c.want)
 			}
 		})
 	}
@@ -50,27 +50,27 @@
 		for i := range 10 {
 			g := GroupKey(fmt.Sprint("g", i))
 			if x, y := a.request(FlowID(g), g, sec), b.request(FlowID(g), g, sec); x != y {
-				t.Errorf("group %s on %d and %d", g, x, y)
+				t.Errorf("group %s at servers %d and %d", g, x, y)
 			}
 		}
 	})
 }
 
-// Balancers that leave a group's preferred server, each for what it observed alone, agree on the next one. Otherwise
-// each would open the group on a server of its own, and a group costs every server that holds any of it.
+// If balancers independently observe that a group's preferred server is not usable, they choose the same next server.
+// Otherwise each would place the group on a different one, and a group costs work at each server that holds some of it.
 func TestNextPreferredServer(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		fail func(s *harness, group GroupKey, preferred ServerID)
 	}{
-		{"its attempt failed there", func(s *harness, _ GroupKey, _ ServerID) { s.balancer.OnEnded("a", Unreachable, 10*ms, false) }},
+		{"it was unreachable", func(s *harness, _ GroupKey, _ ServerID) { s.balancer.OnEnded("a", Unreachable, 10*ms, false) }},
 		{"it answered with an error", func(s *harness, _ GroupKey, _ ServerID) { s.balancer.OnEnded("a", Error, 10*ms, false) }},
-		{"an established flow was reset there", func(s *harness, group GroupKey, _ ServerID) {
+		{"it reset an established flow", func(s *harness, group GroupKey, _ ServerID) {
 			s.balancer.OnEstablished("a", 10*ms)
 			s.balancer.OnEnded("a", Reset, sec, true)
 			s.request("b", group, sec)
 		}},
-		{"a limit binds there", func(s *harness, group GroupKey, preferred ServerID) {
+		{"it is at its limit", func(s *harness, group GroupKey, preferred ServerID) {
 			s.balancer.OnEnded("a", Cancelled, 10*ms, true)
 			s.balancer.list.byID[preferred].limit.reduce(0, s.balancer.now)
 			s.request("b", group, sec)
@@ -92,29 +92,29 @@
 						last = b
 					}
 					if last == preferred {
-						t.Fatalf("group %s goes to %d again", group, preferred)
+						t.Fatalf("group %s goes to server %d again", group, preferred)
 					}
 					next[last]++
 				}
 				if len(next) != 1 {
-					t.Errorf("group %s goes on to %v", group, next)
+					t.Errorf("group %s goes to different servers next: %v", group, next)
 				}
 			}
 		})
 	}
 }
 
-// A server that was overloaded is preferred by no group for a while.
+// No group prefers a server that was overloaded recently.
 func TestOverloadedServerIsNotPreferred(t *testing.T) {
 	a := newHarness(t, Idempotent, DeduplicatedByFleet, 6)
 	preferred := a.request("a", "g", sec)
 	a.balancer.OnEstablished("a", ms)
-	a.balancer.health.setupTimes = []time.Duration{sec} // beyond the target: nothing migrates
+	a.balancer.health.setupTimes = []time.Duration{sec} // slower than the target, so that no flows migrate
 	a.setTime(ms)
 	a.balancer.OnLatencySample("a", 200*ms)
 	a.balancer.OnEnded("a", OK, sec, true)
 	a.setTime(5 * sec)
 	if server := a.request("x", "g", sec); server == preferred {
-		t.Errorf("on %d, the overloaded one", server)
+		t.Errorf("placed on server %d, which was overloaded recently", server)
 	}
 }
--- a/decide/rechecks_test.go
+++ b/decide/rechecks_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Slow set-ups of a mass reconnect that is over keep no flow at a late server.
+// Slow set-ups of a past mass reconnect do not keep flows at an overloaded server.
 func TestOldSlowSetupsAllowMigration(t *testing.T) {
 	for _, c := range []struct {
 		last  Outcome
@@ -30,12 +30,12 @@
 		s.setTime(c.since)
 		s.balancer.OnLatencySample("a0", 700*ms)
 		if n := s.countActions("move"); (n > 0) != c.want {
-			t.Errorf("%v after a set-up that ended %d, %d migrate", c.since, c.last, n)
+			t.Errorf("%v after a slow set-up with the outcome %q: %d migrations", c.since, c.last, n)
 		}
 	}
 }
 
-// The smallest groups of a late server migrate first, a part at a time.
+// The smallest groups of an overloaded server migrate first, a share of the flows at a time.
 func TestSmallestGroupsMigrateFirst(t *testing.T) {
 	s := newHarness(t, Idempotent, DeduplicatedByFleet, 6)
 	s.adopt("big", 8, "big", 1)
@@ -43,20 +43,20 @@
 	s.adoptEach(2, 6)
 	s.balancer.OnLatencySample("big0", 300*ms)
 	if got := s.takeActions(); !strings.HasPrefix(got, "move one0") || strings.Count(got, "move") > 2 {
-		t.Errorf("did %q", got)
+		t.Errorf("actions %q, want one or two migrations, the first of flow one0", got)
 	}
 }
 
-// Of many balancers with one flow each, as many migrate as the backlog requires.
+// If each of many balancers holds one flow at an overloaded server, as many migrate theirs as the backlog requires.
 func TestMigrationFollowsBacklog(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		latency  time.Duration // one second after a sample of 200 ms
 		from, to int           // migrations of 200 balancers with one flow each
 	}{
-		{"a backlog that grows fast makes most migrate", 500 * ms, 100, 170},
-		{"one that grows slowly makes some migrate", 220 * ms, 10, 50},
-		{"one that shrinks fast enough makes none migrate", 60 * ms, 0, 0},
+		{"backlog grows fast", 500 * ms, 100, 170},
+		{"backlog grows slowly", 220 * ms, 10, 50},
+		{"backlog shrinks fast enough", 60 * ms, 0, 0},
 	} {
 		t.Run("of many balancers, "+c.name, func(t *testing.T) {
 			migrations := 0
@@ -77,7 +77,7 @@
 	}
 }
 
-// No flow migrates while all set-ups are slow.
+// No flow is migrated while set-ups are slow.
 func TestNoMigrationIntoSharedSlowdown(t *testing.T) {
 	s := newHarness(t, Idempotent, DeduplicatedByFleet, 4)
 	s.adopt("o", 8, "", 1)
@@ -88,15 +88,15 @@
 	s.expect("")
 }
 
-// A late fleet sheds a part of its flows only while its backlog grows.
+// A fleet that exceeds its latency objective sheds a share of its flows only while its backlog grows.
 func TestLateFleetSheds(t *testing.T) {
 	for _, c := range []struct {
 		name       string
 		latency    time.Duration // of the last sample
 		migrations int
 	}{
-		{"a late fleet whose backlog grows sheds a part", 900 * ms, 1},
-		{"one whose backlog shrinks keeps them", 500 * ms, 0},
+		{"backlog grows", 900 * ms, 1},
+		{"backlog shrinks", 500 * ms, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := newHarness(t, Idempotent, DeduplicatedByFleet, 2)
