--- a/decide/disabled_test.go
+++ b/decide/disabled_test.go
@@ -73,14 +73,14 @@
 		s.adopt("o", 8, "", 1)
 		s.adoptEach(2, 3)
 		s.balancer.SetDisabled(1, true)
-		moved := 0
+		migrated := 0
 		for i := range 40 {
 			s.setTime(time.Duration(i) * tickInterval)
 			s.balancer.OnTimer(tickTimer)
-			moved += s.countActions("move")
+			migrated += s.countActions("move")
 		}
-		if moved < 8 {
-			t.Errorf("%d of 8 flows were migrated in 10 s", moved)
+		if migrated < 8 {
+			t.Errorf("%d of 8 flows were migrated in 10 s", migrated)
 		}
 	})
 	t.Run("an enabled server is in slow start and its health is reset", func(t *testing.T) {
--- a/decide/handover_test.go
+++ b/decide/handover_test.go
@@ -80,7 +80,7 @@
 	}
 }
 
-// A snapshot is rejected if a size is below 0. Infinity and NaN are accepted.
+// A snapshot is rejected if a size is below 0. Infinity is accepted, and so is NaN, which counts as an unknown size.
 func TestSnapshotSizes(t *testing.T) {
 	for _, c := range []struct {
 		size float64
--- a/decide/health_test.go
+++ b/decide/health_test.go
@@ -90,7 +90,8 @@
 	s.expect("")
 }
 
-// While slow start is not configured, the number of balancers is unknown and no health checks are sent, not even later.
+// While slow start is not configured, the number of balancers is unknown and no health checks are sent, even after the
+// list has arrived.
 func TestNoHealthChecksWithoutNumberOfBalancers(t *testing.T) {
 	s := &harness{t: t, targets: map[FlowID]ServerID{}, attemptsTo: map[ServerID]int{}}
 	s.balancer = New(7, s)
--- a/decide/longlist_test.go
+++ b/decide/longlist_test.go
@@ -33,7 +33,7 @@
 		t.Run(fmt.Sprintf("%d servers, %d flows", c.servers, c.flows), func(t *testing.T) {
 			s := newLoadedBalancer(t, c.servers, c.flows, 15_000)
 			s.setTime(s.balancer.now + 3*sec)
-			looked, visited := 0, 0
+			selected, visited := 0, 0
 			selections := s.balancer.list.selection
 			for range recheckInterval / tickInterval {
 				s.setTime(s.balancer.now + tickInterval)
@@ -41,12 +41,12 @@
 				s.balancer.tick()
 				visited += (s.balancer.flows.lastRechecked - before + c.flows) % c.flows
 			}
-			looked = int(s.balancer.list.selection - selections)
+			selected = int(s.balancer.list.selection - selections)
 			if visited < c.flows {
 				t.Errorf("%d of %d flows visited in the time of a round", visited, c.flows)
 			}
-			if most := maxRechecksPerTick * int(recheckInterval/tickInterval); looked > most {
-				t.Errorf("%d selections from the long list in a round, want at most %d", looked, most)
+			if most := maxRechecksPerTick * int(recheckInterval/tickInterval); selected > most {
+				t.Errorf("%d selections from the long list in a round, want at most %d", selected, most)
 			}
 		})
 	}
@@ -188,14 +188,14 @@
 		s.listServer(ServerID(id), Ready, LongAgo)
 	}
 	s.balancer.EndEndpoints()
-	moved := 0
+	migrated := 0
 	for range 400 {
 		s.setTime(s.balancer.now + tickInterval)
 		s.balancer.OnTimer(tickTimer)
-		moved += s.countActions("move")
+		migrated += s.countActions("move")
 	}
-	if moved != flows {
-		t.Errorf("%d of %d flows were migrated", moved, flows)
+	if migrated != flows {
+		t.Errorf("%d of %d flows were migrated", migrated, flows)
 	}
 	if to := s.request("next", "g", sec); to <= servers {
 		t.Errorf("a flow went to server %d, which is gone", to)
--- a/decide/recorded_test.go
+++ b/decide/recorded_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// simulatedRun is a simulated run that answers the actions: attempts succeed, fail or time out by their server,
-// servers are late, drain, restart and vanish, and timers fire.
+// simulatedRun simulates the environment of a balancer: attempts succeed, fail or time out depending on their server,
+// servers are slow, drain, restart and disappear, and timers fire.
 type simulatedRun struct {
 	*harness
 	rand        *rand.Rand
@@ -19,18 +19,18 @@
 	now         time.Duration
 	due         []pending
 	connections map[FlowID]ServerID
-	established []FlowID // the keys of connections, in the order in which they were established
+	established []FlowID // keys of connections, in the order of their establishment
 	flows       int
 	hash        []byte
 }
 
-// pending is an event at a time.
+// pending is an event scheduled for a time.
 type pending struct {
 	at    time.Duration
 	event func()
 }
 
-// runParameters is the parameters of a recording.
+// runParameters are the parameters of a simulated run.
 type runParameters struct {
 	seed                 uint64
 	servers, balancers   int
@@ -86,7 +86,7 @@
 	return r
 }
 
-// arrive brings one flow.
+// arrive adds one flow.
 func (r *simulatedRun) arrive(parameters runParameters) {
 	r.flows++
 	customer := NoCustomer
@@ -100,7 +100,7 @@
 	r.balancer.OnFlow(FlowRequest{ID: FlowID(strconv.Itoa(r.flows)), Customer: customer, Group: group, Timeout: 900 * ms})
 }
 
-// injectFaults changes the list now and then, makes servers late and ends flows.
+// injectFaults changes the list, reports high latencies and ends flows, each at random.
 func (r *simulatedRun) injectFaults() {
 	id := ServerID(1 + r.rand.IntN(r.servers))
 	switch r.rand.IntN(60) {
@@ -154,7 +154,7 @@
 	}
 }
 
-// simulateReplies schedules the results of the actions since the last call, and adds the actions to the hash.
+// simulateReplies schedules the results of the actions since the last call, and appends the actions to the hash input.
 func (r *simulatedRun) simulateReplies(parameters runParameters) {
 	for _, line := range r.performed {
 		r.hash = fmt.Appendf(r.hash, "%d %s\n", r.now, line)
@@ -172,8 +172,8 @@
 	r.performed = r.performed[:0]
 }
 
-// simulateConnect schedules the end of an attempt: one server in eleven rejects, one in thirteen times out, one in
-// seventeen fails.
+// simulateConnect schedules the result of an attempt. For 8 s of every 20 s, one server in eleven rejects attempts, one
+// in thirteen lets them time out and one in seventeen fails them; all others establish them.
 func (r *simulatedRun) simulateConnect(parameters runParameters, f FlowID, to ServerID) {
 	took := time.Duration(5+r.rand.IntN(60)) * ms
 	end := func(o Outcome) func() { return func() { r.balancer.OnEnded(f, o, took, false) } }
@@ -195,7 +195,7 @@
 	}
 }
 
-// recordedRuns are days and the hashes of all actions on them.
+// recordedRuns are the parameters of runs and the hashes of all their actions.
 var recordedRuns = []struct {
 	parameters runParameters
 	want       string
@@ -241,31 +241,32 @@
 	}, "295389bd2f206df169f68c733752a34f"},
 }
 
-// The hashes are of all actions of decisions that look at every server and make every recheck. With lists up to
-// fullScanServers the actions are the same, byte for byte: rechecks that are skipped could not have migrated anything.
+// With lists up to fullScanServers, the actions are the same, byte for byte, as those of an implementation that considers
+// every server and makes every recheck, from which the hashes were recorded. A difference means that a decision changed,
+// for instance because a recheck was skipped that would have migrated its flow.
 func TestShortListsMatchRecordedRuns(t *testing.T) {
 	actionCounts := map[string]int{}
 	for _, c := range recordedRuns {
 		t.Run(fmt.Sprintf("%d servers, seed %d", c.parameters.servers, c.parameters.seed), func(t *testing.T) {
 			r := simulateRun(t, c.parameters)
 			if r.flows < 100 || len(r.hash) < 1000 {
-				t.Fatalf("%d flows, %d bytes of actions: the recording hardly exercises the decisions", r.flows, len(r.hash))
+				t.Fatalf("%d flows, %d bytes of actions: the run hardly exercises the decisions", r.flows, len(r.hash))
 			}
 			for _, word := range recordedActions {
 				actionCounts[word] += bytes.Count(r.hash, []byte(" "+word+" "))
 			}
 			if got := fmt.Sprintf("%x", sha256.Sum256(r.hash))[:32]; got != c.want {
-				t.Errorf("actions hash to %s, recorded %s", got, c.want)
+				t.Errorf("hash of the actions is %s, recorded %s", got, c.want)
 			}
 		})
 	}
 	for _, word := range recordedActions {
 		if actionCounts[word] < 50 {
-			t.Errorf("%d times %q in all days: the recordings hardly exercise that decision", actionCounts[word], word)
+			t.Errorf("%d times %q in all runs: they hardly exercise that decision", actionCounts[word], word)
 		}
 	}
-	t.Logf("actions of all days: %v", actionCounts)
+	t.Logf("actions of all runs: %v", actionCounts)
 }
 
-// recordedActions are the actions that the recordings must contain.
+// recordedActions are the actions that the runs must contain.
 var recordedActions = []string{"connect", "reject", "abort", "move", "probe"}
--- a/decide/reports_test.go
+++ b/decide/reports_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// newReportingFleet is one of many balancers, with servers that reported their loads a second ago.
+// newReportingFleet returns one of many balancers, with servers that reported their loads a second ago.
 func newReportingFleet(t *testing.T, loads ...float64) *harness {
 	s := newHarness(t, Idempotent, DeduplicatedByFleet, 0)
 	s.balancer.ConfigureSlowStart(slowStartRule(50))
@@ -25,7 +25,7 @@
 	return s
 }
 
-// Load reports decide the placement where many balancers share each server, as a balancer's own flows say little there.
+// Placement uses load reports where many balancers share each server, as each balancer's own flows say little there.
 func TestPlacementByReportedLoad(t *testing.T) {
 	preferred := newReportingFleet(t, 0.3, 0.3, 0.3, 0.3).request("a", "g", sec)
 	at := func(load, others float64) []float64 {
@@ -42,14 +42,14 @@
 		group     GroupKey
 		to, never ServerID
 	}{
-		{"an own flow counts for nothing beside load reports", []float64{0.9, 0.1}, 2, 0, "", 2, 0},
+		{"own flows do not count if there are load reports", []float64{0.9, 0.1}, 2, 0, "", 2, 0},
 		{"an old report does not count", []float64{0.9, 0.1}, 2, loadReportMaxAge, "", 1, 0},
-		{"the preferred server gets its group although others have less load", at(0.65, 0.3), 0, 0, "g", preferred, 0},
-		{"a preferred server above the guard gets nothing", at(0.8, 0.3), 0, 0, "g", second, preferred},
-		{"the preferred server counts beside the tallies", at(0.2, 0.5), preferred%4 + 1, 0, "g", preferred, 0},
-		{"the own zone keeps its flows while it has capacity", []float64{0.3, 0.9, 0.25, 0.9}, 0, 0, "", 1, 0},
-		{"and spills when it is full", []float64{0.9, 0.9, 0.2, 0.9}, 0, 0, "", 3, 0},
-		{"a single zone costs nothing", []float64{0.3, 0.25}, 0, 0, "", 2, 0},
+		{"the preferred server gets its group even if others have less load", at(0.65, 0.3), 0, 0, "g", preferred, 0},
+		{"a preferred server above the load bound gets nothing", at(0.8, 0.3), 0, 0, "g", second, preferred},
+		{"the preferred server gets the group although another holds it", at(0.2, 0.5), preferred%4 + 1, 0, "g", preferred, 0},
+		{"the local zone keeps its flows while it has capacity", []float64{0.3, 0.9, 0.25, 0.9}, 0, 0, "", 1, 0},
+		{"spillover when the local zone is full", []float64{0.9, 0.9, 0.2, 0.9}, 0, 0, "", 3, 0},
+		{"within the zone the lower load decides", []float64{0.3, 0.25}, 0, 0, "", 2, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := newReportingFleet(t, c.loads...)
@@ -58,7 +58,7 @@
 			}
 			s.setTime(21*sec + c.after)
 			if got := s.request("a", c.group, sec); got != c.to || got == c.never {
-				t.Errorf("to %d, want %d", got, c.to)
+				t.Errorf("placed on server %d, want %d", got, c.to)
 			}
 		})
 	}
@@ -72,29 +72,30 @@
 
 func TestReactionToReportedLoad(t *testing.T) {
 	for other, most := range map[float64]int{0.1: 7, 1.6: 0} {
-		t.Run(fmt.Sprintf("above 1 a part of the flows migrates, with the other server at %v at most %d", other, most), func(t *testing.T) {
+		t.Run(fmt.Sprintf("load report above 1, the other server at %v: at most %d migrations", other, most), func(t *testing.T) {
 			s := newReportingFleet(t, 0.6, other)
 			s.adopt("o", 10, "", 1)
 			s.balancer.OnLoadReport(1, 1.5)
 			if n := s.countActions("move"); n > most || n < most-4 {
-				t.Errorf("%d of 10 moved", n)
+				t.Errorf("%d of 10 flows were migrated", n)
 			}
 		})
 	}
 	for load, want := range map[float64]string{0.3: "connect", 0.95: "reject"} {
-		t.Run(fmt.Sprintf("a limit from a late message, the server reports %v: %s", load, want), func(t *testing.T) {
+		t.Run(fmt.Sprintf("limit inferred from latency, load report of %v: %s", load, want), func(t *testing.T) {
 			s := newReportingFleet(t, load)
 			s.adopt("o", 2, "", 1)
 			s.balancer.reduceLimit(s.balancer.list.byID[1])
 			s.request("a", "", sec)
 			if got := s.takeActions(); !strings.HasPrefix(got, want) {
-				t.Errorf("did %q", got)
+				t.Errorf("actions %q, want one %s", got, want)
 			}
 		})
 	}
 }
 
-// Health checks cost their server work: they follow new flows, and no two balancers check in step.
+// As health checks cost servers work, their number follows that of new flows, and balancers do not send them at the same
+// time.
 func TestHealthChecksAreSpread(t *testing.T) {
 	run := func(seed uint64, flows int, d time.Duration) (checks []string) {
 		s := newHarness(t, Idempotent, DeduplicatedByFleet, 0)
@@ -112,8 +113,8 @@
 			}
 			s.takeActions()
 			s.balancer.tick()
-			if did := s.takeActions(); did != "" {
-				checks = append(checks, strings.Split(did, ", ")...)
+			if actions := s.takeActions(); actions != "" {
+				checks = append(checks, strings.Split(actions, ", ")...)
 			}
 		}
 		return checks
@@ -123,15 +124,16 @@
 		t.Errorf("%d of 12 servers checked at first", n)
 	}
 	if fmt.Sprint(first) == fmt.Sprint(other) {
-		t.Errorf("two balancers check alike: %v", first)
+		t.Errorf("two balancers send the same health checks: %v", first)
 	}
 	idle, busy, flooded := len(run(1, 0, 30*sec)), len(run(1, 1, 30*sec)), len(run(1, 40, 30*sec))
 	if idle > 40 || busy < 2*idle || flooded > 121*4 {
-		t.Errorf("%d probes in 30 s without flows, %d with 4 a second, %d with 160", idle, busy, flooded)
+		t.Errorf("%d health checks in 30 s without flows, %d with 4 flows/s, %d with 160 flows/s", idle, busy, flooded)
 	}
 }
 
-// countHealthChecks is how many checks of 80 servers one of so many balancers, which holds so many flows, makes.
+// countHealthChecks returns how many health checks of 80 servers a balancer sends within d, by the number of balancers and
+// the number of flows that it holds.
 func countHealthChecks(t *testing.T, balancers, flows int, d time.Duration) int {
 	s := newHarness(t, Idempotent, DeduplicatedByFleet, 0)
 	s.balancer.ConfigureSlowStart(slowStartRule(balancers))
@@ -149,23 +151,23 @@
 	return s.countActions("probe")
 }
 
-// Health checks grow with the flows held and not with balancers times servers.
+// The number of health checks grows with the flows held, and not with the number of balancers times that of servers.
 func TestHealthChecksFollowFlowsHeld(t *testing.T) {
 	for _, c := range []struct{ balancers, flows, least, most int }{
-		{1, 0, 230, 245}, // all at the list, and a round in 15 s
-		{300, 0, 1, 2},   // its part of the rounds
-		{300, 2, 6, 8},   // one for each, and one for each in 15 s
+		{1, 0, 230, 245}, // each server when the list arrives, and once in 15 s
+		{300, 0, 1, 2},   // this balancer's share of the rounds
+		{300, 2, 6, 8},   // one for each server with a flow, and then one in 15 s
 		{300, 20, 58, 64},
 		{300, 200, 230, 245},
 	} {
 		if n := countHealthChecks(t, c.balancers, c.flows, 30*sec); n < c.least || n > c.most {
-			t.Errorf("%d balancers, %d flows: %d probes in 30 s, wanted %d to %d", c.balancers, c.flows, n, c.least, c.most)
+			t.Errorf("%d balancers, %d flows: %d health checks in 30 s, want %d to %d", c.balancers, c.flows, n, c.least, c.most)
 		}
 	}
 }
 
-// healthCheckOrderByScan is the plain form of the order of checks: for each check a walk over all servers, for the one whose
-// last check is oldest by age, which counts double where flows are open.
+// healthCheckOrderByScan is a reference implementation of the order of health checks. For each check it scans all servers
+// for the one with the oldest last check, whose age counts double if flows are open there.
 func healthCheckOrderByScan(b *Balancer, n int) (checks []string) {
 	checkedAt := map[ServerID]time.Duration{}
 	for _, server := range b.list.ready {
@@ -202,10 +204,10 @@
 		most = max(most, len(s.performed))
 		want := strings.Join(before[:len(s.performed)], ", ")
 		if got := s.takeActions(); got != want {
-			rt.Errorf("checked %q, a walk for each %q", got, want)
+			rt.Errorf("health checks %q, by scan %q", got, want)
 		}
 	})
 	if most < 5 {
-		t.Errorf("at most %d checks in one tick: the order was hardly checked", most)
+		t.Errorf("at most %d checks in one tick: the order was hardly tested", most)
 	}
 }
--- a/decide/size_test.go
+++ b/decide/size_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// countingConstraints constrain nothing, and count how often decisions look at a server.
+// countingConstraints impose no constraints, and count how often decisions evaluate a server.
 type countingConstraints struct{ evaluations int }
 
 func (c *countingConstraints) ServerCost(FlowID, ServerID) (float64, bool) {
@@ -19,7 +19,7 @@
 func (c *countingConstraints) AllowMigration(FlowID) bool                         { return true }
 func (c *countingConstraints) MigrateFirst() []FlowID                             { return nil }
 
-// newLargeFleet returns one of 1,024 balancers, with so many servers and flows.
+// newLargeFleet returns one of 1,024 balancers, with the given numbers of servers and established flows.
 func newLargeFleet(t *testing.T, servers, flows int) *harness {
 	s := newHarness(t, Idempotent, DeduplicatedByFleet, servers)
 	s.balancer.ConfigureSlowStart(slowStartRule(1024))
@@ -29,7 +29,7 @@
 	return s
 }
 
-// establishNumber establishes one more flow.
+// establishNumber establishes the i-th flow, i milliseconds after the start.
 func (s *harness) establishNumber(i int) FlowID {
 	f := FlowID(strconv.Itoa(i))
 	s.setTime(time.Duration(i) * ms)
@@ -41,25 +41,25 @@
 
 // The cost of a decision grows no faster than the list.
 func TestDecisionCostGrowsWithList(t *testing.T) {
-	looks := func(servers int) int {
+	evaluations := func(servers int) int {
 		s := newLargeFleet(t, servers, servers)
 		if n := len(s.balancer.list.ready); n != servers {
-			t.Fatalf("%d of %d servers taken", n, servers)
+			t.Fatalf("%d of %d servers are ready", n, servers)
 		}
 		a := &countingConstraints{}
 		s.balancer.SetConstraints(a)
 		s.balancer.OnEnded(s.establishNumber(servers), OK, 10*ms, true)
 		return a.evaluations
 	}
-	few, all := looks(64), looks(1024)
+	few, all := evaluations(64), evaluations(1024)
 	if all > 1024/64*few {
-		t.Errorf("%d looks at 64 servers, %d at 1,024", few, all)
+		t.Errorf("%d evaluations with 64 servers, %d with 1,024", few, all)
 	}
-	t.Logf("%d looks at 64 servers, %d at 1,024", few, all)
+	t.Logf("%d evaluations with 64 servers, %d with 1,024", few, all)
 }
 
-// BenchmarkSize is one flow from its arrival to its end, and one tick, at one of 1,024 balancers that holds 200
-// flows, by the number of servers.
+// BenchmarkSize measures, by the number of servers, a flow from its arrival to its end and a tick, at one of 1,024
+// balancers that holds 200 flows.
 func BenchmarkSize(b *testing.B) {
 	const flows = 200
 	for _, servers := range []int{64, 256, 1024} {
--- a/decide/slowstart_test.go
+++ b/decide/slowstart_test.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// The budget of a warming server over any window: here at a burst right after its start and later.
+// A warming server gets no more attempts in a window than its budget allows, in a burst right after its start or later.
 func TestSlowStartBudget(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		from, to time.Duration
-		most     int // 3 times the mean, here 20 and new flows, times the capacity share so far, by the end
+		most     int // 3 times the mean, here 20 plus new flows, times the capacity share at the end
 	}{
 		{"burst at the start", 0, 1500 * ms, 3},
-		{"half warm", 9 * sec, 11 * sec, 50},
+		{"halfway through the warm-up", 9 * sec, 11 * sec, 50},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := newHarness(t, Idempotent, DeduplicatedByFleet, 3)
@@ -26,46 +26,47 @@
 				s.request(FlowID(fmt.Sprint("f", at)), "", sec)
 			}
 			if s.attemptsTo[3] > c.most {
-				t.Errorf("%d attempts, at most %d", s.attemptsTo[3], c.most)
+				t.Errorf("%d attempts, want at most %d", s.attemptsTo[3], c.most)
 			}
 		})
 	}
 }
 
-// What was not spent since the start is not spent at once.
+// Budget that was not spent since the server's start is not spent at once later.
 func TestUnspentSlowStartBudgetExpires(t *testing.T) {
 	s := newHarness(t, Idempotent, DeduplicatedByFleet, 3)
 	s.balancer.slowStart.WarmUp = 60 * sec
 	s.adopt("a", 200, "", 1)
 	s.adopt("b", 200, "", 2)
 	s.updateServer(3, Ready, 0)
-	s.setTime(45 * sec) // without any flow until then
+	s.setTime(45 * sec) // no flow until then
 	for i := range 400 {
 		id := FlowID(fmt.Sprint("f", i))
 		s.request(id, "", sec)
 		s.balancer.OnEstablished(id, ms)
 	}
-	// A window of 1.5 s at three times a mean that rises from 140, and one flow by chance; all since the
-	// start is 100. Six windows of three balancers, spent at once, would overload a server.
+	// The budget of a window of 1.5 s, at three times a mean that rises from 140, plus one attempt at random. The budget
+	// since the start is 100. Three balancers that spend that of six windows at once would overload a server.
 	if s.attemptsTo[3] < 5 || s.attemptsTo[3] > 14 {
 		t.Errorf("%d attempts", s.attemptsTo[3])
 	}
 }
 
-// A part of one attempt may be saved for longer, as few of many balancers place a flow in a window.
+// A fraction of one attempt can be saved for longer, as only few of many balancers place a flow in any window.
 func TestPartOfOneAttemptExpiresLater(t *testing.T) {
 	s := newHarness(t, Idempotent, DeduplicatedByFleet, 3)
 	s.adopt("a", 2, "", 1)
 	s.adopt("b", 2, "", 2)
 	s.updateServer(3, Ready, 0)
-	s.balancer.list.byID[3].budgetDue = 0.99 // by chance
+	s.balancer.list.byID[3].budgetDue = 0.99 // the random fraction from the start
 	s.setTime(6 * sec)
 	if !s.balancer.hasSlowStartBudget(s.balancer.list.byID[3], s.balancer.viewFor(&flow{}, s.balancer.list.ready)) {
-		t.Error("it expired within four windows")
+		t.Error("the fraction of an attempt expired within four windows")
 	}
 }
 
-// What was due before the balancer learned of the start is not sent, nor twice by one that restarts.
+// Budget that was due before the balancer learned of the server's start is not spent, so that a balancer that restarts
+// does not spend it twice.
 func TestSlowStartBudgetBeforeDiscovery(t *testing.T) {
 	s := newHarness(t, Idempotent, DeduplicatedByFleet, 2)
 	s.adopt("a", 200, "", 1)
@@ -80,7 +81,7 @@
 	}
 }
 
-// The quotas of customers say what a server of the usual fleet can do.
+// With quotas, the capacity of a server is derived from them and the baseline size of the fleet.
 func TestQuotasSetSlowStartCapacity(t *testing.T) {
 	var sent [2]int
 	for i, quota := range []float64{0, 600} {
@@ -97,13 +98,13 @@
 		}
 		sent[i] = s.attemptsTo[3]
 	}
-	// The whole mean of 3 to 35, or 300 for each of the two servers before the third.
+	// Without quotas, the capacity is the mean of 3 to 35 flows; with them, 300 for each of the two initial servers.
 	if sent[0] > 10 || sent[1] < 3*sent[0] || sent[1] > 60 {
 		t.Errorf("%d attempts without quotas, %d with", sent[0], sent[1])
 	}
 }
 
-// Sizes in another unit change nothing.
+// The unit of sizes makes no difference.
 func TestSizesInAnotherUnit(t *testing.T) {
 	var sent [2]int
 	for i, unit := range []float64{1, 3} {
@@ -128,11 +129,11 @@
 		sent[i] = s.attemptsTo[3]
 	}
 	if sent[0] != sent[1] || sent[0] < 5 {
-		t.Errorf("%d attempts where a server's size is 1, %d where it is 3", sent[0], sent[1])
+		t.Errorf("%d attempts if each size is 1, %d if each is 3", sent[0], sent[1])
 	}
 }
 
-// Two hundred balancers with few flows each fill a server by its capacity share, together.
+// Two hundred balancers with few flows each fill a warming server, in total, no further than its capacity share.
 func TestSlowStartBudgetOverManyBalancers(t *testing.T) {
 	sent := 0
 	for n := range 200 {
@@ -141,7 +142,7 @@
 		s.adopt("a", 2, "", ServerID(1+n%9))
 		s.updateServer(10, Ready, 0)
 		for i := range 9 {
-			s.balancer.reduceLimit(s.balancer.list.byID[ServerID(i+1)]) // nowhere else to go
+			s.balancer.reduceLimit(s.balancer.list.byID[ServerID(i+1)]) // all other servers are at their limits
 		}
 		for i := range 50 {
 			s.setTime(time.Duration(i) * 100 * ms)
@@ -149,14 +150,14 @@
 		}
 		sent += s.attemptsTo[10]
 	}
-	// A full server holds 200 * 3 / 10 and the new flows; its capacity share is 0.4 by then.
+	// A fully loaded server holds 200 * 3 / 10 plus the new flows. The capacity share is 0.4 at the end.
 	if sent < 3 || sent > 60 {
 		t.Errorf("%d attempts", sent)
 	}
 }
 
-// What a flow took of a slow-start budget is refunded once if nothing of it reached the server, whether its client
-// left or it goes elsewhere, and is not if anything did.
+// The attempt of a flow is returned to the slow-start budget, once, if nothing reached the server, whether the client
+// left or the flow is placed again. It is not returned otherwise.
 func TestBudgetOfUnsentAttemptIsRefunded(t *testing.T) {
 	for _, c := range []struct {
 		name       string
@@ -173,9 +174,9 @@
 			b.OnEnded("a", NeverSent, ms, true)
 		}, true},
 		{"the server drains", func(b *Balancer) { b.OnEnded("a", NeverSent, ms, false) }, true},
-		{"nobody there", func(b *Balancer) { b.OnEnded("a", Unreachable, ms, false) }, false},
+		{"unreachable", func(b *Balancer) { b.OnEnded("a", Unreachable, ms, false) }, false},
 		{"full", func(b *Balancer) { b.OnEnded("a", Full, ms, false) }, false},
-		{"the client left, the connection was opened", func(b *Balancer) {
+		{"the client left after the connection was opened", func(b *Balancer) {
 			b.OnClientLeft("a")
 			b.OnEnded("a", Cancelled, ms, true)
 		}, false},
@@ -197,7 +198,7 @@
 				want--
 			}
 			if server.budgetSpent != want || server.openFlows != 0 || len(s.balancer.flows.connecting) != 0 {
-				t.Errorf("%d spent, want %d; %d on the tally, %d connecting",
+				t.Errorf("%d spent, want %d; %d in the tally, %d connecting",
 					server.budgetSpent, want, server.openFlows, len(s.balancer.flows.connecting))
 			}
 		})
