--- a/decide/admission.go
+++ b/decide/admission.go
@@ -9,9 +9,9 @@
 
 const (
 	fleetSetupLimit   = 48.0                    // concurrent attempts while set-ups succeed, over all balancers
-	minSetupSpacing   = 8 * time.Millisecond    // between attempts while set-ups fail, over all balancers
-	maxSetupSpacing   = 16 * time.Second        // between attempts while set-ups fail
-	maxConnectBackoff = 3500 * time.Millisecond // without any attempt, as an attempt may detect a recovery
+	minSetupSpacing   = 8 * time.Millisecond    // minimum time between attempts while set-ups fail, over all balancers
+	maxSetupSpacing   = 16 * time.Second        // maximum time between attempts while set-ups fail
+	maxConnectBackoff = 3500 * time.Millisecond // longest time without an attempt, as each may detect a recovery
 
 	// Forced attempts ensure that a balancer never rejects all flows for 4 s.
 	forcedAttemptAfter      = 3 * time.Second // time since the last attempt
@@ -20,7 +20,7 @@
 	sharedFailureShare  = 0.5 // share of recent set-ups that must have failed to infer a shared failure
 	sharedFailureSample = 3   // recent set-ups required to infer a shared failure
 
-	significantDeviations = 2 // number of standard deviations up to which a deviation counts as random variation
+	significantDeviations = 2 // standard deviations of a sample up to which a difference counts as random variation
 )
 
 // admission limits the number of concurrent attempts, by additive increase and multiplicative decrease, and queues the
@@ -91,7 +91,7 @@
 	return n >= sharedFailureSample && share >= sharedFailureShare && b.medianFailures() > 0
 }
 
-// maxConcurrency returns this balancer's share of fleetSetupLimit. The limit is one over all balancers because, in a mass
+// maxConcurrency returns this balancer's share of fleetSetupLimit. That limit holds over all balancers because, in a mass
 // reconnect, all of them load the resource that all set-ups share.
 func (b *Balancer) maxConcurrency() float64 {
 	return max(1, fleetSetupLimit/float64(b.slowStart.Balancers))
--- a/decide/api.go
+++ b/decide/api.go
@@ -42,8 +42,8 @@
 	Full                       // the server rejected it without processing it
 	TimedOut                   // no answer before the timeout
 	Unreachable                // no connection could be established
-	Reset                      // the connection broke
-	Cancelled                  // the client left, or was asked to leave
+	Reset                      // the connection was reset
+	Cancelled                  // the client left, or was asked to reconnect
 	NeverSent                  // nothing was sent to the server
 )
 
@@ -123,8 +123,8 @@
 }
 
 // Constraints restricts and weights the choices of a Balancer for a flow and a server. Its methods must neither block
-// nor change state. It is not consulted on migrations away from servers that are overloaded, unreachable or departing,
-// as no constraint may keep a client there.
+// nor change state. AllowMigration is not called for migrations away from servers that are overloaded, unreachable or
+// departing, as no constraint may keep a client there.
 type Constraints interface {
 	// ServerCost reports whether a flow may go to a server now, and at what extra cost. A cost of 1 is the cost of a
 	// server with the mean load, and also what grouping saves.
--- a/decide/limits.go
+++ b/decide/limits.go
@@ -9,8 +9,8 @@
 	limitReductionInterval = 900 * time.Millisecond // minimum time between reductions
 	limitRecoveryTime      = 20 * time.Second       // after which a limit has grown by its target, slowly at first
 
-	// They interpolate the reduction of the limit on all flows: none if 1/scarceCapacityDivisor of the servers are
-	// overloaded, and down to limitReduction if all are.
+	// overloadScale and overloadOffset interpolate the reduction of the limit on all flows: none if
+	// 1/scarceCapacityDivisor of the servers are overloaded, and down to limitReduction if all are.
 	overloadScale  = 1.25
 	overloadOffset = 0.25
 )
--- a/decide/placement.go
+++ b/decide/placement.go
@@ -40,7 +40,7 @@
 // candidate is compared with.
 type placementView struct {
 	candidates       []*serverState
-	preferredCount   int            // the group may prefer only this number of candidates, the first ones
+	preferredCount   int            // only this many candidates, the first ones, may be preferred
 	holders          []*serverState // of the group, at this balancer
 	meanOpen         float64        // open flows of this balancer per unit of size, without the flow being placed
 	meanWithFlow     float64        // the same with the flow being placed
