--- a/cmd/yardwinch-gossip/main.go
+++ b/cmd/yardwinch-gossip/main.go
@@ -1,5 +1,5 @@
-// Yardwinch-gossip is the gossip engine of one balancer. yardwinch serve starts it where the options file has a
-// table [peers].
+// Yardwinch-gossip is the gossip engine of one balancer. yardwinch serve starts it if the options file has a [peers]
+// table.
 package main
 
 import (
--- a/internal/membership/drops.go
+++ b/internal/membership/drops.go
@@ -7,16 +7,15 @@
 )
 
 const (
-	// MaxDropKinds bounds the kinds that are counted apart; further ones are counted together.
+	// MaxDropKinds is the maximum number of kinds that are counted separately; all others share one count.
 	MaxDropKinds = 32
 
-	otherDrops      = "others" // the kind of drops beyond MaxDropKinds
+	otherDrops      = "others" // kind under which drops beyond MaxDropKinds are counted
 	dropLogInterval = time.Minute
 )
 
-// DropCounter counts what was received and had to be dropped, by kind. A thousand bad datagrams a second must not
-// fill the log, so each kind is logged once a minute at most. The zero value is ready for use, and for use by
-// several goroutines.
+// DropCounter counts dropped input by kind. Each kind is logged at most once a minute, so that a thousand bad
+// datagrams a second do not fill the log. The zero value is ready for use. A DropCounter is safe for concurrent use.
 type DropCounter struct {
 	mu    sync.Mutex
 	kinds map[string]*dropCount
@@ -24,16 +23,16 @@
 
 type dropCount struct {
 	total    int
-	logged   int // of the total, when it was last logged
+	logged   int // the total when this kind was last logged
 	loggedAt time.Time
 }
 
-// Add counts a drop of a kind. The reason is logged, with further attributes for the log.
+// Add counts a dropped input of a kind. The log line, if one is due, has the reason and the attributes.
 func (c *DropCounter) Add(kind, reason string, attributes ...any) {
 	c.add("membership input dropped", kind, reason, attributes...)
 }
 
-// add counts an event of a kind under a message of its own in the log.
+// add does the same as Add, with the given log message.
 func (c *DropCounter) add(message, kind, reason string, attributes ...any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -49,7 +48,7 @@
 	count.loggedAt = now
 }
 
-// count is that of a kind, or of all others where there are too many kinds. The mutex is held.
+// count returns the count of a kind, or the shared one if there are too many kinds. Callers hold the mutex.
 func (c *DropCounter) count(kind string) *dropCount {
 	if c.kinds == nil {
 		c.kinds = map[string]*dropCount{}
@@ -63,7 +62,7 @@
 	return c.kinds[kind]
 }
 
-// Totals is how many were dropped of each kind.
+// Totals returns the number of drops by kind.
 func (c *DropCounter) Totals() map[string]int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/membership/drops_test.go
+++ b/internal/membership/drops_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// logged returns what a function logs.
-func logged(t *testing.T, do func()) []string {
+// captureLog returns the lines that a function logs.
+func captureLog(t *testing.T, do func()) []string {
 	t.Helper()
 	var log strings.Builder
 	previous := slog.Default()
@@ -21,7 +21,7 @@
 
 func TestDropsAreCountedAndLoggedByKind(t *testing.T) {
 	var drops DropCounter
-	lines := logged(t, func() {
+	lines := captureLog(t, func() {
 		for i := range MaxDropKinds + 2 {
 			drops.Add(fmt.Sprint("kind ", i), "a reason")
 			drops.Add(fmt.Sprint("kind ", i), "a reason")
@@ -32,17 +32,17 @@
 		t.Errorf("counted %v", totals)
 	}
 	if len(lines) != MaxDropKinds+1 {
-		t.Errorf("%d lines, want one for each kind", len(lines))
+		t.Errorf("got %d log lines, want one for each kind", len(lines))
 	}
 	if first := lines[0]; !strings.Contains(first, `msg="membership input dropped" error="a reason" count=1 total=1`) {
 		t.Errorf("logged %s", first)
 	}
 }
 
-// The end of an engine is counted as before, and the log does not call it a dropped input.
+// An engine exit is counted among the drops, but logged under its own message rather than as dropped input.
 func TestEngineEndIsLogged(t *testing.T) {
 	group := New("", Instance{}, nil)
-	lines := logged(t, func() { group.reportEngineEnd(errors.New("exit status 2")) })
+	lines := captureLog(t, func() { group.reportEngineEnd(errors.New("exit status 2")) })
 	if len(lines) != 1 || !strings.Contains(lines[0], `msg="membership engine ended"`) || !strings.Contains(lines[0], "exit status 2") ||
 		!strings.Contains(lines[0], "advice=") {
 		t.Errorf("logged %q", lines)
--- a/internal/membership/engine/delegate.go
+++ b/internal/membership/engine/delegate.go
@@ -9,13 +9,13 @@
 	"yardwinch/internal/membership"
 )
 
-// broadcast is a message that is being spread.
+// broadcast is a published message in the library's transmit queue.
 type broadcast struct {
 	key     string
 	message []byte
 }
 
-// Invalidates reports whether a message replaces an earlier one of its key.
+// Invalidates reports whether this message replaces another one: an earlier one of the same key.
 func (b *broadcast) Invalidates(other memberlist.Broadcast) bool {
 	earlier, ok := other.(*broadcast)
 	return ok && earlier.key == b.key
@@ -25,11 +25,11 @@
 func (b *broadcast) Message() []byte { return b.message }
 func (b *broadcast) Finished()       {}
 
-// delegate is what the gossip library calls.
+// delegate implements the callbacks of the gossip library.
 type delegate struct{ group *Group }
 
-// NodeMeta is what this member publishes about itself: nothing, or that it leaves. The library does not tell
-// members that left from those that are gone.
+// NodeMeta returns what this member publishes about itself: nothing, or that it is leaving. The library reports
+// members that left and members that are gone alike; the metadata tells them apart.
 func (d delegate) NodeMeta(int) []byte {
 	d.group.mu.Lock()
 	defer d.group.mu.Unlock()
@@ -69,16 +69,16 @@
 	}
 }
 
-// NotifyConflict reports two members of one name.
+// NotifyConflict counts and logs that two members use the same name.
 func (d delegate) NotifyConflict(existing, other *memberlist.Node) {
 	fault := &membership.Error{
 		Where: "peers.name",
 		What: fmt.Sprintf("two members call themselves %s, at %s and at %s",
 			existing.Name, existing.Address(), other.Address()),
-		Remedy: "give each instance a name of its own and restart the one that came later",
+		Remedy: "give each instance a unique name and restart the one that was started last",
 	}
-	reason := fault.Error() // the name comes from the network
-	d.group.drops.Add("two members of one name", reason[:min(len(reason), maxLogLine)], "advice", fault.Advice())
+	reason := fault.Error() // unbounded, as the names come from the network
+	d.group.drops.Add("two members of one name", reason[:min(len(reason), maxLogLineBytes)], "advice", fault.Advice())
 }
 
 var (
--- a/internal/membership/engine/group.go
+++ b/internal/membership/engine/group.go
@@ -1,6 +1,6 @@
-// Package engine is the gossip engine (hashicorp/memberlist) as a separate process beside the balancer: linked
-// into the balancer it would cost 4.5 MB even where there are no peers, and a datagram that crashes it must not
-// end the balancer.
+// Package engine runs the gossip library (hashicorp/memberlist) as a separate process next to the balancer. Linked
+// into the balancer, the library would cost 4.5 MB even without peers, and a datagram that crashes it would crash the
+// balancer too.
 package engine
 
 import (
@@ -18,61 +18,61 @@
 	"yardwinch/internal/membership"
 )
 
-// Subscriber is the balancer's side. It is called from the engine's goroutines and must not block.
+// Subscriber is the balancer's side. Its methods are called from several goroutines and must not block.
 type Subscriber interface {
 	// OnMessage receives a message that another member published.
 	OnMessage(message []byte)
-	// FullState is what another member that asks for the full state is sent.
+	// FullState returns the full state that is sent to another member on request.
 	FullState() []byte
 	// OnRemoteState receives the full state of another member.
 	OnRemoteState(state []byte)
-	// OnSuspended says that this process was suspended for so long.
+	// OnSuspended is called after this process was suspended, with the duration.
 	OnSuspended(gap time.Duration)
 }
 
-// Settings of the gossip. Interval, fan-out and packet size bound what an instance sends.
+// Gossip settings. Interval, fan-out and packet size bound the traffic that an instance sends.
 const (
 	gossipInterval    = 200 * time.Millisecond
 	gossipFanout      = 3
-	maxPacket         = 1400 // bytes
+	maxPacketBytes    = 1400 // bytes
 	probeInterval     = 500 * time.Millisecond
 	probeTimeout      = 250 * time.Millisecond
 	fullStateInterval = 10 * time.Second
 	streamTimeout     = 2 * time.Second
-	nameReclaimTime   = 500 * time.Millisecond // after which the name of a gone member may come back at another address
+	nameReclaimTime   = 500 * time.Millisecond // after which the name of a gone member may be used at another address
 
 	// Multipliers, as memberlist defines them.
 	suspicionMultiplier    = 3
 	maxSuspicionMultiplier = 3
 	maxAwarenessMultiplier = 4
-	retransmitMultiplier   = 3 // of published messages; that of the library's own messages is its default
+	retransmitMultiplier   = 3 // of published messages; the library's own messages use its default
 )
 
 const (
 	tickInterval = 250 * time.Millisecond
-	// A tick that comes so late shows that the process or the machine was suspended.
+	// A longer gap between two ticks shows that the process or the machine was suspended.
 	suspensionGap  = 1500 * time.Millisecond
 	initialBackoff = time.Second // between attempts to open the address or to join
 	maxBackoff     = 15 * time.Second
 	leaveTimeout   = 300 * time.Millisecond
 )
 
-// Group is this instance among the members. Its methods may be called by several goroutines.
+// Group is this instance's membership in the fleet. It is safe for concurrent use.
 type Group struct {
 	instance   membership.Instance
 	subscriber Subscriber
 	started    time.Time
 	drops      membership.DropCounter
 
-	mu       sync.Mutex
-	list     *memberlist.Memberlist // nil until the address is open
-	queue    *memberlist.TransmitLimitedQueue
-	members  map[membership.Name]*member
-	leaving  bool // this member has announced that it leaves
-	silenced bool // this member goes without telling the others
+	mu        sync.Mutex
+	list      *memberlist.Memberlist // nil until the address is open
+	queue     *memberlist.TransmitLimitedQueue
+	members   map[membership.Name]*member
+	leaving   bool // this member announces that it leaves
+	skipLeave bool // this member ends without announcing it
 }
 
-// New makes an instance. Nothing is opened before Run.
+// New returns the group of an instance. Nothing is opened before Run.
 func New(instance membership.Instance, subscriber Subscriber) *Group {
 	return &Group{
 		instance:   instance,
@@ -82,7 +82,7 @@
 	}
 }
 
-// Run takes part in the membership until the context ends and the member has left.
+// Run takes part in the membership until the context ends, and returns after the member has left.
 func (g *Group) Run(ctx context.Context) {
 	if !g.openWithRetries(ctx) {
 		return
@@ -90,14 +90,14 @@
 	defer g.close()
 	slog.Info("membership started", "member", g.instance.Name, "address", g.instance.Bind,
 		"advertised", g.instance.Advertise, "seeds", g.instance.Seeds)
-	introductions := &introducer{group: g}
-	joins := joiner{group: g, introductions: introductions, nextAttempt: time.Now(), backoff: newBackoff()}
+	joinSync := &postJoinSync{group: g}
+	joins := joiner{group: g, sync: joinSync, nextAttempt: time.Now(), backoff: newBackoff()}
 	lastTick := time.Now()
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
-		if joins.attemptIfDue(time.Now()) || introductions.attemptNext(time.Now()) {
-			lastTick = time.Now() // an exchange takes its time, which is no suspension
+		if joins.attemptIfDue(time.Now()) || joinSync.syncNext(time.Now()) {
+			lastTick = time.Now() // time spent in state exchanges doesn't count as a suspension
 		}
 		select {
 		case <-ctx.Done():
@@ -106,7 +106,7 @@
 			if gap := now.Sub(lastTick); gap > suspensionGap {
 				slog.Warn("process was suspended; its leases may have passed to other balancers", "gap_ms", gap.Milliseconds())
 				g.subscriber.OnSuspended(gap)
-				joins.nextAttempt = now // the others may have given this member up
+				joins.nextAttempt = now // other members may have declared this one gone
 			}
 			lastTick = now
 		}
@@ -120,8 +120,8 @@
 	return b
 }
 
-// openWithRetries opens the address, and retries until the context ends: the process before this one may still
-// have the address. It reports whether the address is open.
+// openWithRetries opens the address. It retries until the context ends, as a predecessor may still use the address, and
+// reports whether the address is open.
 func (g *Group) openWithRetries(ctx context.Context) bool {
 	retries := newBackoff()
 	for reported := false; ; reported = true {
@@ -133,7 +133,7 @@
 			fault := &membership.Error{
 				Where:  "peers.bind",
 				What:   "no member yet, serving alone",
-				Remedy: "while the process before this one runs this is usual; else see who has the address, or name another",
+				Remedy: "expected while a predecessor is still running; otherwise find the process that uses the address, or configure another address",
 				Err:    err,
 			}
 			slog.Warn("membership not started", "error", fault, "advice", fault.Advice())
@@ -182,7 +182,7 @@
 	config.AdvertisePort = int(g.instance.Advertise.Port())
 	config.GossipInterval = gossipInterval
 	config.GossipNodes = gossipFanout
-	config.UDPBufferSize = maxPacket
+	config.UDPBufferSize = maxPacketBytes
 	config.ProbeInterval = probeInterval
 	config.ProbeTimeout = probeTimeout
 	config.PushPullInterval = fullStateInterval
@@ -198,23 +198,23 @@
 	return config
 }
 
-// silence has the member go without telling the others when Run's context ends, as if the process were frozen.
-func (g *Group) silence() {
+// disableLeave has Run return without announcing that the member leaves, as if the process were frozen.
+func (g *Group) disableLeave() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.silenced = true
+	g.skipLeave = true
 }
 
-// close ends the gossip; unless the member is silenced, it announces that it leaves.
+// close ends the gossip. Before that it announces that the member leaves, unless disableLeave was called.
 func (g *Group) close() {
 	g.mu.Lock()
 	list := g.list
-	silenced := g.silenced
-	g.leaving = !silenced
+	skipLeave := g.skipLeave
+	g.leaving = !skipLeave
 	g.mu.Unlock()
 	var err error
-	if !silenced {
-		// The update spreads that this member leaves: NodeMeta.
+	if !skipLeave {
+		// The update broadcasts NodeMeta, which now says that this member leaves.
 		err = errors.Join(list.UpdateNode(leaveTimeout), list.Leave(leaveTimeout))
 	}
 	if err = errors.Join(err, list.Shutdown()); err != nil {
@@ -222,8 +222,8 @@
 	}
 }
 
-// Publish spreads a message to the other members; a later one of the same key replaces an earlier one that has not
-// been sent yet.
+// Publish broadcasts a message to the other members. It replaces an earlier message of the same key that is still
+// waiting to be sent.
 func (g *Group) Publish(key string, message []byte) {
 	g.mu.Lock()
 	queue := g.queue
@@ -233,5 +233,5 @@
 	}
 }
 
-// Dropped is how much input was dropped, by kind.
+// Dropped returns the number of dropped inputs by kind.
 func (g *Group) Dropped() map[string]int { return g.drops.Totals() }
--- a/internal/membership/engine/group_test.go
+++ b/internal/membership/engine/group_test.go
@@ -54,7 +54,8 @@
 	return address
 }
 
-// start runs a member until the test ends or the returned function is called.
+// start runs a member with an address for both listening and advertising, until the test ends or the returned function
+// is called.
 func start(t *testing.T, name, label string, address netip.AddrPort, seeds ...netip.AddrPort) (*Group, *recorder, func()) {
 	t.Helper()
 	instance := membership.Instance{Name: membership.Name(name), Label: label, Bind: address, Advertise: address}
@@ -86,13 +87,13 @@
 	deadline := time.Now().Add(timeout)
 	for !condition() {
 		if time.Now().After(deadline) {
-			t.Fatalf("not within %v: %s", timeout, what)
+			t.Fatalf("timed out after %v waiting until %s", timeout, what)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-// stateOf is the state in which a group sees a member; empty where it does not.
+// stateOf returns the state of a member as the group sees it, or an empty one if it doesn't know the member.
 func stateOf(group *Group, name membership.Name) membership.State {
 	for _, member := range group.Members() {
 		if member.Name == name {
@@ -104,7 +105,7 @@
 
 func TestMembersSeeEachOther(t *testing.T) {
 	addressA, addressB, addressC := freeAddress(t, "127.83.0.1"), freeAddress(t, "127.83.0.2"), freeAddress(t, "127.83.0.3")
-	// Nobody answers a's seed yet: it runs alone and retries.
+	// a's seed doesn't respond yet: a runs alone and retries.
 	a, receivedA, _ := start(t, "a", "one", addressA, addressB)
 	eventually(t, 5*time.Second, "a is open", func() bool { return stateOf(a, "a") == membership.Alive })
 	b, receivedB, stopB := start(t, "b", "one", addressB)
@@ -117,15 +118,15 @@
 	eventually(t, 15*time.Second, "a and b exchange full states", func() bool {
 		return receivedA.has("full state") && receivedB.has("full state")
 	})
-	eventually(t, 15*time.Second, "c attempts to join in vain", func() bool { return len(a.Dropped()) > 0 })
+	eventually(t, 15*time.Second, "a rejects c's attempts to join", func() bool { return len(a.Dropped()) > 0 })
 	if stateOf(a, "c") != "" || stateOf(c, "a") != "" {
-		t.Error("members of two labels see each other")
+		t.Error("members with different labels see each other")
 	}
 	stopB()
 	eventually(t, 10*time.Second, "a sees that b left", func() bool { return stateOf(a, "b") == membership.Left })
 }
 
-// Another process may still have the address: the member starts when it is free.
+// While another process uses the address, the member retries and starts once the address is free.
 func TestOpenRetriesWhileAddressIsTaken(t *testing.T) {
 	address := freeAddress(t, "127.83.0.4")
 	var config net.ListenConfig
@@ -135,11 +136,12 @@
 	}
 	group, _, _ := start(t, "a", "one", address)
 	time.AfterFunc(300*time.Millisecond, func() { _ = other.Close() })
-	eventually(t, 10*time.Second, "it is open", func() bool { return stateOf(group, "a") == membership.Alive })
+	eventually(t, 10*time.Second, "the member has started", func() bool { return stateOf(group, "a") == membership.Alive })
 }
 
-// The errors of a flood are counted by kind; each kind is logged once.
-func TestFloodIsCounted(t *testing.T) {
+// A flood of errors is counted by kind, and each kind is logged once. The number of kinds stays bounded, whatever the
+// input.
+func TestErrorFloodIsCountedByKind(t *testing.T) {
 	var log strings.Builder
 	previous := slog.Default()
 	slog.SetDefault(slog.New(slog.NewTextHandler(&log, nil)))
@@ -150,7 +152,7 @@
 		_, _ = fmt.Fprintf(filter, "[ERR] memberlist: Failed to read packet %d: nonsense from=1.2.3.4", i)
 		_, _ = fmt.Fprintf(filter, "[DEBUG] memberlist: usual %d", i)
 	}
-	for i := range 200 { // labels that strangers sent, as the library quotes them
+	for i := range 200 { // labels from the network, as the library quotes them
 		label := string([]byte{byte(i), 0xff, '"', ':', byte(3 * i)})
 		_, _ = fmt.Fprintf(filter, "[ERR] memberlist: discarding packet with unacceptable label %q: from=1.2.3.4:5", label)
 	}
@@ -163,13 +165,13 @@
 		sum += total
 	}
 	if len(totals) > membership.MaxDropKinds+1 || sum != 1300 {
-		t.Errorf("%d kinds, %d counted", len(totals), sum)
+		t.Errorf("got %d kinds and %d drops, want at most MaxDropKinds+1 kinds and 1300 drops", len(totals), sum)
 	}
 	if total := totals["discarding packet with unacceptable label …"]; total != 200 {
-		t.Errorf("%v", totals)
+		t.Errorf("want 200 drops for unacceptable labels, got %v", totals)
 	}
 	if count := strings.Count(log.String(), "Failed to read packet"); count != 1 {
-		t.Errorf("logged %d times", count)
+		t.Errorf("the kind was logged %d times, want once", count)
 	}
 }
 
@@ -180,8 +182,9 @@
 	}
 }
 
-// Members that are alive take no room from those that departed; of these the latest stay known.
-func TestDepartedAmongMany(t *testing.T) {
+// The limit on departed members does not count those that are alive; beyond it the member that departed first is
+// forgotten.
+func TestDepartedMembersAreBounded(t *testing.T) {
 	group := New(membership.Instance{}, nil)
 	setState := func(name string, state membership.State) {
 		group.setState(&memberlist.Node{Name: name}, state)
@@ -191,29 +194,29 @@
 		setState(fmt.Sprint("alive-", i), membership.Alive)
 	}
 	if group.members["first"] == nil || len(group.members) != 1025 {
-		t.Errorf("the departed member is forgotten, or not all are known: %d are", len(group.members))
+		t.Errorf("the departed member or an alive one is missing: %d members are listed, want 1025", len(group.members))
 	}
 	for i := range maxDeparted {
 		setState(fmt.Sprint("gone-", i), membership.Gone)
 	}
 	if group.members["first"] != nil || group.members["gone-0"] == nil || len(group.members) != 1024+maxDeparted {
-		t.Errorf("%d are known, want those alive and %d departed", len(group.members), maxDeparted)
+		t.Errorf("%d members are listed, want all that are alive and the latest %d departed ones", len(group.members), maxDeparted)
 	}
 }
 
-// A name comes from the network: what is logged of it is bounded.
-func TestNameConflictIsLoggedBounded(t *testing.T) {
+// Names come from the network, so the part of them that is logged is bounded.
+func TestNameConflictLogIsBounded(t *testing.T) {
 	var log strings.Builder
 	previous := slog.Default()
 	slog.SetDefault(slog.New(slog.NewTextHandler(&log, nil)))
 	defer slog.SetDefault(previous)
 	group := New(membership.Instance{}, nil)
-	node := &memberlist.Node{Name: strings.Repeat("x", 4*maxLogLine)}
+	node := &memberlist.Node{Name: strings.Repeat("x", 4*maxLogLineBytes)}
 	delegate{group}.NotifyConflict(node, node)
 	if total := group.Dropped()["two members of one name"]; total != 1 {
-		t.Errorf("counted %d times", total)
+		t.Errorf("the conflict was counted %d times, want once", total)
 	}
-	if count := strings.Count(log.String(), "x"); count == 0 || count > maxLogLine {
-		t.Errorf("%d bytes of the name are logged, %d at most", count, maxLogLine)
+	if count := strings.Count(log.String(), "x"); count == 0 || count > maxLogLineBytes {
+		t.Errorf("%d bytes of the name were logged, want 1 to %d", count, maxLogLineBytes)
 	}
 }
--- a/internal/membership/engine/introduce_test.go
+++ b/internal/membership/engine/introduce_test.go
@@ -12,7 +12,8 @@
 	"yardwinch/internal/membership"
 )
 
-// forwardStreams returns an address that forwards streams to another one until the test ends; datagrams to it are lost.
+// forwardStreams returns an address from which streams are forwarded to another one until the test ends. Datagrams to it
+// are lost.
 func forwardStreams(t *testing.T, to netip.AddrPort) netip.AddrPort {
 	t.Helper()
 	var config net.ListenConfig
@@ -37,12 +38,12 @@
 	return netip.MustParseAddrPort(listener.Addr().String())
 }
 
-// forwardStream forwards both ways until either end closes.
+// forwardStream forwards in both directions until either end closes.
 func forwardStream(ctx context.Context, near net.Conn, to netip.AddrPort) {
 	defer func() { _ = near.Close() }()
 	far, err := (&net.Dialer{}).DialContext(ctx, "tcp", to.String())
 	if err != nil {
-		return // the member has ended
+		return // the member has stopped
 	}
 	defer func() { _ = far.Close() }()
 	var back sync.WaitGroup
@@ -55,8 +56,9 @@
 	back.Wait()
 }
 
-// A member that joined through one of the others is known to all soon, even where every datagram is lost.
-func TestJoinedMemberIsIntroducedToAll(t *testing.T) {
+// A member that joins through one of the others soon becomes known to all, even if every datagram is lost: it exchanges
+// full states with each of them over streams.
+func TestJoinedMemberSyncsWithAllMembers(t *testing.T) {
 	instance := func(name, ip string) membership.Instance {
 		bind := freeAddress(t, ip)
 		return membership.Instance{Name: membership.Name(name), Label: "one", Bind: bind, Advertise: forwardStreams(t, bind)}
@@ -65,7 +67,7 @@
 	second.Seeds = []string{first.Advertise.String()}
 	third.Seeds = []string{first.Advertise.String()}
 	a, _, _ := startInstance(t, first)
-	eventually(t, 5*time.Second, "a is open", func() bool { return stateOf(a, "a") == membership.Alive })
+	eventually(t, 5*time.Second, "a has started", func() bool { return stateOf(a, "a") == membership.Alive })
 	b, _, _ := startInstance(t, second)
 	eventually(t, 5*time.Second, "a and b see each other", func() bool {
 		return stateOf(a, "b") == membership.Alive && stateOf(b, "a") == membership.Alive
--- a/internal/membership/engine/join.go
+++ b/internal/membership/engine/join.go
@@ -15,18 +15,18 @@
 	"yardwinch/internal/membership"
 )
 
-const maxRejoins = 3 // gone members that an attempt contacts
+const maxRejoinAddresses = 3 // gone members that one join contacts
 
-// joiner joins other members, with a backoff between attempts.
+// joiner joins other members and backs off between failed attempts.
 type joiner struct {
-	group         *Group
-	introductions *introducer
-	nextAttempt   time.Time
-	backoff       *backoff.ExponentialBackOff
-	reported      bool // the current series of failures was logged
+	group       *Group
+	sync        *postJoinSync
+	nextAttempt time.Time
+	backoff     *backoff.ExponentialBackOff
+	reported    bool // this series of failures has been logged
 }
 
-// attemptIfDue attempts to join where that is needed and due, and reports whether it did.
+// attemptIfDue attempts to join if that is needed and due, and reports whether it did.
 func (j *joiner) attemptIfDue(now time.Time) bool {
 	if now.Before(j.nextAttempt) || !j.group.needsJoin() {
 		return false
@@ -38,14 +38,14 @@
 		j.backoff = newBackoff()
 		j.reported = false
 		if wasAlone {
-			j.introductions.begin(now)
+			j.sync.begin(now)
 		}
 	case !j.reported:
 		j.reported = true
 		fault := &membership.Error{
 			Where:  "peers",
 			What:   "none of the seeds answers; serving alone and asking on",
-			Remedy: "check peers.seeds, that the others run, and that UDP and TCP of their ports are open here",
+			Remedy: "check peers.seeds, that the other members are running, and that their UDP and TCP ports can be reached from here",
 			Err:    oneLine(err),
 		}
 		slog.Warn("join failed", "error", fault, "advice", fault.Advice())
@@ -54,8 +54,8 @@
 	return true
 }
 
-// needsJoin reports whether this member is alone, or one is gone without having left: then the fleet may be
-// partitioned, and both parts have to find each other.
+// needsJoin reports whether this member is alone and has seeds, or another one is gone without having left: the fleet
+// may then be partitioned, and both sides have to find each other.
 func (g *Group) needsJoin() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -79,7 +79,7 @@
 	}
 	contacted, err := list.Join(addresses)
 	if contacted > 0 || alive > 1 {
-		return nil // gone members need not answer
+		return nil // gone members are not expected to respond
 	}
 	if err != nil {
 		return fmt.Errorf("join %v: %w", addresses, err)
@@ -87,8 +87,8 @@
 	return nil
 }
 
-// joinAddresses is the list to join with, the addresses of the first gone members by name, and how many members
-// are alive.
+// joinAddresses returns the library's member list, the addresses of the first gone members by name, and the number of
+// members that are alive.
 func (g *Group) joinAddresses() (list *memberlist.Memberlist, gone []string, alive int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -96,7 +96,7 @@
 		m := g.members[name]
 		switch m.state {
 		case membership.Gone:
-			if len(gone) < maxRejoins {
+			if len(gone) < maxRejoinAddresses {
 				gone = append(gone, m.address)
 			}
 		case membership.Alive:
@@ -106,7 +106,7 @@
 	return g.list, gone, alive
 }
 
-// oneLine joins the lines of an error of many parts.
+// oneLine replaces the line breaks of a joined error by spaces.
 func oneLine(err error) error {
 	return errors.New(strings.Join(strings.Fields(err.Error()), " "))
 }
--- a/internal/membership/engine/log.go
+++ b/internal/membership/engine/log.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	maxLogLine  = 300 // bytes of a line of the library's log
-	maxDropKind = 80  // bytes of a kind
+	maxLogLineBytes  = 300 // of the library's log
+	maxDropKindBytes = 80  // of a kind of drop
 )
 
-// logFilter takes the gossip library's log: its errors and warnings are counted as drops by kind, the rest is for
-// debugging.
+// logFilter receives the gossip library's log. It counts errors and warnings as drops by kind, and logs the rest at
+// debug level.
 type logFilter struct {
 	drops *membership.DropCounter
 }
@@ -28,22 +28,22 @@
 	case level == "DEBUG" || level == "INFO":
 		slog.Debug("gossip library", "message", message)
 	default:
-		f.drops.Add(dropKind(message), message[:min(len(message), maxLogLine)])
+		f.drops.Add(dropKind(message), message[:min(len(message), maxLogLineBytes)])
 	}
 	return len(line), nil
 }
 
 var (
-	digits = regexp.MustCompile(`[0-9]+`)
-	quoted = regexp.MustCompile(`"(\\.|[^"\\])*"`) // what strangers sent
+	digitRuns  = regexp.MustCompile(`[0-9]+`)
+	quotedText = regexp.MustCompile(`"(\\.|[^"\\])*"`) // input from the network
 )
 
-// dropKind is a message without the parts that differ from one drop to the next.
+// dropKind returns a message without the parts that vary between drops of a kind.
 func dropKind(message string) string {
-	kind := quoted.ReplaceAllString(strings.TrimPrefix(message, "memberlist: "), "…")
+	kind := quotedText.ReplaceAllString(strings.TrimPrefix(message, "memberlist: "), "…")
 	for _, detail := range []string{":", " from=", " ("} {
 		kind, _, _ = strings.Cut(kind, detail)
 	}
-	kind = digits.ReplaceAllString(kind[:min(len(kind), maxDropKind)], "#")
+	kind = digitRuns.ReplaceAllString(kind[:min(len(kind), maxDropKindBytes)], "#")
 	return strings.ToValidUTF8(kind, "?")
 }
--- a/internal/membership/engine/members.go
+++ b/internal/membership/engine/members.go
@@ -11,30 +11,30 @@
 )
 
 const (
-	maxDeparted    = 1000        // members that are gone or have left and are still known
-	refutationTime = time.Second // within which a member that is declared gone by mistake refutes it
+	maxDeparted      = 1000        // members that are gone or have left and are still listed
+	refutationPeriod = time.Second // within which a member that was wrongly declared gone refutes it
 )
 
-// member is a member as it is seen here. Times are since the start of the group.
+// member is a member as this instance sees it. Times are relative to the start of the group.
 type member struct {
 	address         string
 	state           membership.State
-	stateAt         time.Duration // since when it is in this state
-	previousStateAt time.Duration // since when it was in the state before
+	stateAt         time.Duration // when it entered its state
+	previousStateAt time.Duration // when it entered the state before that
 }
 
-// refutable reports whether a member was declared gone so recently that it may still refute it.
+// refutable reports whether the member was declared gone so recently that it may still refute that.
 func (m *member) refutable(now time.Duration) bool {
-	return m.state == membership.Gone && now-m.stateAt < refutationTime
+	return m.state == membership.Gone && now-m.stateAt < refutationPeriod
 }
 
-// transition changes the state of a member; to the same state it changes nothing.
+// transition changes the state of the member. A transition to the same state changes nothing.
 func (m *member) transition(to membership.State, now time.Duration) {
 	if m.state == to {
 		return
 	}
 	if to == membership.Alive && m.refutable(now) {
-		m.stateAt = m.previousStateAt // it was alive all the time
+		m.stateAt = m.previousStateAt // it has been alive all along
 	} else {
 		m.previousStateAt = m.stateAt
 		m.stateAt = now
@@ -42,7 +42,7 @@
 	m.state = to
 }
 
-// setState records the state of a member that the gossip reports.
+// setState records the state of a member as the gossip library reports it.
 func (g *Group) setState(node *memberlist.Node, state membership.State) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -62,8 +62,8 @@
 	m.address = node.Address()
 }
 
-// forgetOldestDeparted forgets the member that departed first, where too many departed ones are known. Members
-// that are alive are never forgotten, however many there are. The mutex is held.
+// forgetOldestDeparted removes the member that departed first if too many departed ones are listed. Members that are
+// alive are never removed, whatever their number. Callers hold the mutex.
 func (g *Group) forgetOldestDeparted() {
 	var oldest membership.Name
 	departed := 0
@@ -81,7 +81,7 @@
 	}
 }
 
-// Members is all members as they are seen now, by name.
+// Members returns all known members, sorted by name.
 func (g *Group) Members() []membership.Member {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -89,7 +89,7 @@
 	var members []membership.Member
 	for name, m := range g.members {
 		seen := membership.Member{Name: name, Addr: m.address, State: m.state, Since: now - m.stateAt}
-		if m.refutable(now) { // it may have been declared gone by a member that was cut off itself and is back
+		if m.refutable(now) { // a member that was cut off itself may have declared it gone, and is now connected again
 			seen.State = membership.Alive
 			seen.Since = now - m.previousStateAt
 		}
@@ -99,7 +99,7 @@
 	return members
 }
 
-// AliveCount is the number of members that are alive, this one too.
+// AliveCount returns the number of members that are alive, including this one.
 func (g *Group) AliveCount() (count int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/membership/engine/serve.go
+++ b/internal/membership/engine/serve.go
@@ -15,11 +15,11 @@
 )
 
 const (
-	membersInterval = 100 * time.Millisecond // between reports of the members to the balancer
-	frameQueue      = 64                     // frames of the balancer that were read and not handled
+	membersInterval  = 100 * time.Millisecond // between two reports of the members to the balancer
+	frameQueueLength = 64                     // frames from the balancer that were read and not yet handled
 )
 
-// balancerLink is the Subscriber that passes everything on to the balancer.
+// balancerLink is the Subscriber that forwards everything to the balancer.
 type balancerLink struct {
 	mu        sync.Mutex
 	encoder   *cbor.Encoder
@@ -29,7 +29,7 @@
 func (b *balancerLink) send(frame ...any) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	_ = b.encoder.Encode(frame) // that the balancer is gone is found at the end of its frames
+	_ = b.encoder.Encode(frame) // if the balancer is gone, its frames end too
 }
 
 func (b *balancerLink) OnMessage(message []byte) { b.send(membership.FrameReceive, message) }
@@ -50,9 +50,9 @@
 	b.fullState = state
 }
 
-// Serve runs the engine for a balancer that writes frames to in and reads frames from out, until either ends or
-// the balancer has it leave. While the balancer is suspended the member is silent, as the balancer itself is. An
-// error is of type *membership.Error.
+// Serve runs the engine for a balancer that writes frames to in and reads frames from out. It returns when in ends or
+// the balancer sends FrameLeave. While the balancer is suspended, the member does not respond either. Errors are of type
+// *membership.Error.
 func Serve(in io.Reader, out io.Writer) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -67,8 +67,8 @@
 	}
 	link := &balancerLink{encoder: cbor.NewEncoder(out)}
 	for runMember(ctx, New(instance, link), link, frames) == balancerSuspended {
-		// The first frame after the silence only shows that the balancer runs again. The end of the frames is left
-		// to runMember.
+		// The next frame only shows that the balancer is running again, so its content is ignored. runMember handles
+		// the end of the frames.
 		if frame := <-frames; frameKind(frame) == membership.FrameLeave {
 			return nil
 		}
@@ -77,10 +77,10 @@
 	return nil
 }
 
-// readFrames decodes the balancer's frames until the input or the context ends. A read that blocks lasts until the
-// process ends.
+// readFrames decodes the balancer's frames until the input or the context ends. A blocked read is not interrupted by
+// the context; its goroutine lasts until the process exits.
 func readFrames(ctx context.Context, in io.Reader) <-chan []any {
-	frames := make(chan []any, frameQueue)
+	frames := make(chan []any, frameQueueLength)
 	go func() {
 		defer close(frames)
 		decoder := cbor.NewDecoder(in)
@@ -102,7 +102,7 @@
 	return frames
 }
 
-// frameKind is the kind of a frame; 0 of none.
+// frameKind returns the kind of a frame, or 0 if it has none.
 func frameKind(frame []any) uint64 {
 	if len(frame) == 0 {
 		return 0
@@ -111,16 +111,16 @@
 	return kind
 }
 
-// memberEnd is why a member ended.
-type memberEnd int
+// stopReason is why a member was stopped.
+type stopReason int
 
 const (
-	balancerLeft      memberEnd = iota // it had the member leave, or its frames ended
-	balancerSuspended                  // its heartbeats stopped
+	balancerLeft      stopReason = iota // it sent FrameLeave, or its frames ended
+	balancerSuspended                   // its heartbeats stopped
 )
 
-// runMember runs a member until its balancer leaves, ends or is suspended.
-func runMember(ctx context.Context, group *Group, link *balancerLink, frames <-chan []any) memberEnd {
+// runMember runs a member until its balancer leaves, exits or is suspended.
+func runMember(ctx context.Context, group *Group, link *balancerLink, frames <-chan []any) stopReason {
 	ctx, cancel := context.WithCancel(ctx)
 	var running sync.WaitGroup
 	running.Go(func() { group.Run(ctx) })
@@ -141,14 +141,14 @@
 		case <-reports.C:
 			link.send(membership.FrameMembers, membership.EncodeMembers(group.Members(), group.Dropped()))
 		case <-heartbeat.C:
-			slog.Warn("balancer suspended; its member is silent until the balancer runs again")
-			group.silence()
+			slog.Warn("balancer suspended; its member does not respond until the balancer resumes")
+			group.disableLeave()
 			return balancerSuspended
 		}
 	}
 }
 
-// handleFrame handles a frame of a running balancer; one of another kind or form is only a heartbeat.
+// handleFrame handles a frame from a running balancer. Unknown and malformed frames count as heartbeats only.
 func handleFrame(frame []any, group *Group, link *balancerLink) {
 	switch kind := frameKind(frame); {
 	case kind == membership.FramePublish && len(frame) == 3:
@@ -161,8 +161,8 @@
 	}
 }
 
-// Main is the engine's program. It returns the exit code; errors are written to errorOutput with what an operator
-// can do.
+// Main is the main function of the engine's program. It returns the exit code, and writes errors to errorOutput with
+// advice for the operator.
 func Main(in io.Reader, out, errorOutput io.Writer) int {
 	slog.SetDefault(slog.New(slog.NewTextHandler(errorOutput, nil)))
 	err := Serve(in, out)
@@ -174,6 +174,6 @@
 	if errors.As(err, &fault) {
 		text += fmt.Sprintln("what helps:", fault.Advice())
 	}
-	_, _ = io.WriteString(errorOutput, text) // the exit code tells too
+	_, _ = io.WriteString(errorOutput, text) // if it can't be written, the exit code still reports the failure
 	return 1
 }
--- a/internal/membership/engine/serve_test.go
+++ b/internal/membership/engine/serve_test.go
@@ -11,7 +11,7 @@
 	"yardwinch/internal/membership"
 )
 
-// engineUnderTest is an engine whose balancer is the test.
+// engineUnderTest is an engine to which the test is the balancer.
 type engineUnderTest struct {
 	t       *testing.T
 	encoder *cbor.Encoder
@@ -56,7 +56,7 @@
 	}
 }
 
-// await returns the next frame of a kind, and sends heartbeats meanwhile if the balancer runs.
+// await returns the next frame of a kind. If the balancer is running, it sends heartbeats meanwhile.
 func (e *engineUnderTest) await(kind uint64, balancerRuns bool) []any {
 	e.t.Helper()
 	heartbeats := time.NewTicker(membership.HeartbeatInterval)
@@ -73,18 +73,18 @@
 				e.send(membership.FrameHeartbeat)
 			}
 		case <-deadline:
-			e.t.Fatalf("no frame of kind %d", kind)
+			e.t.Fatalf("timed out waiting for a frame of kind %d", kind)
 		}
 	}
 }
 
-// The member is silent while the balancer's heartbeats are missing, and the balancer learns of it when it runs again.
+// The member stops while the balancer's heartbeats are missing, and the balancer is told when it runs again.
 func TestMemberIsSilentWhileTheBalancerIsSuspended(t *testing.T) {
 	address := freeAddress(t, "127.83.0.5").String()
 	engine := serve(t)
 	engine.send(membership.FrameStart, "a", "one", address, address)
 	engine.await(membership.FrameMembers, true)
-	// Until the reports of members stop.
+	// Send no heartbeats until the engine stops reporting members.
 	for lastFrame := time.Now(); time.Since(lastFrame) < membership.HeartbeatTimeout; {
 		select {
 		case <-engine.frames:
@@ -95,7 +95,7 @@
 	engine.send(membership.FrameHeartbeat)
 	frame := engine.await(membership.FrameSuspended, true)
 	if gap, _ := frame[1].(uint64); time.Duration(gap) != membership.HeartbeatTimeout {
-		t.Errorf("suspended for %v", frame[1])
+		t.Errorf("suspended for %v, want HeartbeatTimeout", frame[1])
 	}
 	engine.await(membership.FrameMembers, true)
 	engine.send(membership.FrameLeave)
@@ -123,7 +123,7 @@
 				engine.send(frame...)
 			}
 			if err := engine.end(); (err != nil) != c.fails {
-				t.Errorf("ended with %v", err)
+				t.Errorf("Serve returned %v", err)
 			}
 		})
 	}
--- a/internal/membership/engine/transport.go
+++ b/internal/membership/engine/transport.go
@@ -8,8 +8,8 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// boundTransport opens streams from the address that the member listens on, so that receivers can filter by
-// address; the library's own transport uses any address of the machine.
+// boundTransport dials streams from the address that the member listens on, so that receivers can filter by source
+// address. The library's own transport lets the kernel choose the source address.
 type boundTransport struct {
 	*memberlist.NetTransport
 	source netip.Addr
@@ -17,7 +17,7 @@
 
 func (t boundTransport) DialTimeout(address string, timeout time.Duration) (net.Conn, error) {
 	dialer := net.Dialer{Timeout: timeout, LocalAddr: &net.TCPAddr{IP: t.source.AsSlice()}}
-	return dialer.Dial("tcp", address) // not wrapped: the library looks at the type of the error
+	return dialer.Dial("tcp", address) // not wrapped: the library checks the type of the error
 }
 
 func (t boundTransport) DialAddressTimeout(address memberlist.Address, timeout time.Duration) (net.Conn, error) {
--- a/internal/membership/frames.go
+++ b/internal/membership/frames.go
@@ -8,38 +8,39 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Frames pass between the balancer and its engine, each a CBOR list of a kind and its fields. Both processes are
-// of one build. Each kind is documented with its fields.
+// Kinds of frames between the balancer and its engine. A frame is a CBOR array of its kind, followed by the fields
+// that are listed below for each kind. Both processes are of the same build.
 const (
-	// FrameStart is the first frame to the engine: name, label, bind address, advertised address, then the seeds.
+	// FrameStart is the first frame to the engine: name, label, bind address, advertised address, seeds.
 	FrameStart uint64 = iota + 1
-	// FramePublish spreads a message: key, message.
+	// FramePublish broadcasts a message to the other members: key, message.
 	FramePublish
-	// FrameFullState sets what other members that ask are sent: the full state.
+	// FrameFullState sets the full state that is sent to other members on request: state.
 	FrameFullState
-	// FrameHeartbeat tells the engine that the balancer runs.
+	// FrameHeartbeat tells the engine that the balancer is running.
 	FrameHeartbeat
-	// FrameLeave has the engine leave the other members and end.
+	// FrameLeave has the engine announce that it leaves, and exit.
 	FrameLeave
-	// FrameReceive is a message of another member: the message.
+	// FrameReceive delivers a message from another member: message.
 	FrameReceive
-	// FrameRemoteState is the full state of another member: the state.
+	// FrameRemoteState delivers the full state of another member: state.
 	FrameRemoteState
-	// FrameMembers is all members and all drops: a list as EncodeMembers makes it.
+	// FrameMembers reports all members and all drop counts: an array as EncodeMembers returns it.
 	FrameMembers
-	// FrameSuspended says that the engine or the balancer was suspended: nanoseconds.
+	// FrameSuspended reports that the engine or the balancer was suspended: duration in nanoseconds.
 	FrameSuspended
 )
 
 const (
-	startFields  = 4 // of FrameStart, without kind and seeds
-	memberFields = 4 // of an item of FrameMembers
+	startFields  = 4 // number of fields of FrameStart without kind and seeds
+	memberFields = 4 // number of fields of an item of FrameMembers
 )
 
-// frameDecoding accepts names that are not valid UTF-8: they come from the network, and must not end the engine's link.
-var frameDecoding, _ = cbor.DecOptions{UTF8: cbor.UTF8DecodeInvalid}.DecMode() // the options are valid
+// frameDecoding accepts names that are not valid UTF-8: they come from the network, and one that is invalid must not
+// break the link to the engine.
+var frameDecoding, _ = cbor.DecOptions{UTF8: cbor.UTF8DecodeInvalid}.DecMode() // never fails: the options are valid
 
-// encodeStart writes the FrameStart of an instance.
+// encodeStart returns the FrameStart for an instance.
 func encodeStart(instance Instance) []any {
 	frame := []any{FrameStart, string(instance.Name), instance.Label, instance.Bind.String(), instance.Advertise.String()}
 	for _, seed := range instance.Seeds {
@@ -48,21 +49,21 @@
 	return frame
 }
 
-// DecodeStart reads the instance from a FrameStart; the frame has a kind at least. An error is of type *Error.
+// DecodeStart returns the instance of a FrameStart. The frame must not be empty. Errors are of type *Error.
 func DecodeStart(frame []any) (Instance, error) {
-	const remedy = "it is started by yardwinch serve, not by hand"
+	const remedy = "don't start this program by hand: yardwinch serve starts it"
 	var fields []string
 	for _, field := range frame[1:] {
 		text, _ := field.(string)
 		fields = append(fields, text)
 	}
 	if kind, _ := frame[0].(uint64); kind != FrameStart || len(fields) < startFields {
-		return Instance{}, &Error{Where: "peers", What: "the engine was not told who it is", Remedy: remedy}
+		return Instance{}, &Error{Where: "peers", What: "missing or incomplete start frame", Remedy: remedy}
 	}
 	bind, bindErr := netip.ParseAddrPort(fields[2])
 	advertise, advertiseErr := netip.ParseAddrPort(fields[3])
 	if err := errors.Join(bindErr, advertiseErr); err != nil {
-		return Instance{}, &Error{Where: "peers", What: "an address", Remedy: remedy, Err: err}
+		return Instance{}, &Error{Where: "peers", What: "invalid bind or advertised address", Remedy: remedy, Err: err}
 	}
 	return Instance{
 		Name:      Name(fields[0]),
@@ -73,8 +74,8 @@
 	}, nil
 }
 
-// EncodeMembers is the content of a FrameMembers: an item for each member (name, address, state, nanoseconds in
-// this state) and for each kind of drop (no name, kind, no state, count).
+// EncodeMembers returns the content of a FrameMembers: an item for each member (name, address, state, nanoseconds in
+// this state) and one for each kind of drop (empty name, kind, empty state, count).
 func EncodeMembers(members []Member, dropped map[string]int) []any {
 	items := []any{}
 	for _, member := range members {
@@ -86,7 +87,7 @@
 	return items
 }
 
-// decodeMembers reads the content of a FrameMembers; items of another form are skipped.
+// decodeMembers reads the content of a FrameMembers and skips malformed items.
 func decodeMembers(items []any) (members []Member, dropped map[string]int) {
 	dropped = map[string]int{}
 	for _, item := range items {
@@ -99,7 +100,7 @@
 		state, _ := fields[2].(string)
 		number, _ := fields[3].(uint64)
 		if name == "" {
-			dropped[addr] = int(number) // the address is the kind of drop
+			dropped[addr] = int(number) // the address field holds the kind of drop
 		} else {
 			members = append(members, Member{Name: Name(name), Addr: addr, State: State(state), Since: time.Duration(number)})
 		}
--- a/internal/membership/group.go
+++ b/internal/membership/group.go
@@ -8,40 +8,40 @@
 )
 
 const (
-	initialBackoff     = 500 * time.Millisecond // before the engine is restarted
+	initialBackoff     = 500 * time.Millisecond // delay before the first restart of the engine
 	maxBackoff         = 30 * time.Second
-	queueLength        = 256 // frames for the engine; further ones are dropped, as the state they carry is published again
-	maxRejoinAddresses = 8   // that the next engine joins besides the seeds
+	queueLength        = 256 // frames to the engine; further ones are dropped, as the state they carry is published again
+	maxRejoinAddresses = 8   // addresses that a restarted engine joins besides the seeds
 )
 
-// Subscriber knows the meaning of what passes. It is called from one goroutine and must not block.
+// Subscriber handles what other members send. Its methods are called from one goroutine and must not block.
 type Subscriber interface {
 	// OnMessage receives a message that another member published.
 	OnMessage(message []byte)
 	// OnRemoteState receives the full state of another member.
 	OnRemoteState(state []byte)
-	// OnSuspended says that the engine or the balancer was suspended for so long.
+	// OnSuspended is called after the engine or the balancer was suspended, with the duration.
 	OnSuspended(gap time.Duration)
 }
 
-// Group is the members of the fleet as this balancer sees them through its engine. Its methods may be called by
-// several goroutines.
+// Group runs this balancer's engine and holds the members of the fleet as the engine reports them. It is safe for
+// concurrent use.
 type Group struct {
-	program    string // of the engine; empty: the one beside this program
+	program    string // path of the engine's program; empty: the one next to this program
 	instance   Instance
 	subscriber Subscriber
-	queue      chan []any // frames for the engine
+	queue      chan []any // frames to the engine
 	drops      DropCounter
 
 	mu              sync.Mutex
-	members         []Member // sorted by name, as of membersAt
+	members         []Member // sorted by name, as reported at membersAt
 	membersAt       time.Time
-	rejoinAddresses []string       // of members that an engine which ended saw, for the next one
-	engineDropped   map[string]int // by kind, as the engine counts them
+	rejoinAddresses []string       // of members that earlier engines saw alive; the next engine joins them
+	engineDropped   map[string]int // drop counts by kind, as the engine reports them
 }
 
-// New makes the group of an instance. program is the path of the engine's program; empty: the one beside this
-// program. Nothing is started before Run.
+// New returns the group of an instance. program is the path of the engine's program; if it is empty, the one next to
+// this program is run. Nothing is started before Run.
 func New(program string, instance Instance, subscriber Subscriber) *Group {
 	return &Group{
 		program:    program,
@@ -51,8 +51,8 @@
 	}
 }
 
-// Run keeps the engine running until the context ends and the member has left. An engine that ends by itself is
-// restarted with a backoff that doubles, as each start costs time.
+// Run keeps the engine running until the context ends, and returns after the member has left. An engine that exits
+// unexpectedly is restarted with exponential backoff, as each start costs time.
 func (g *Group) Run(ctx context.Context) {
 	for backoff := initialBackoff; ctx.Err() == nil; backoff = min(2*backoff, maxBackoff) {
 		started := time.Now()
@@ -72,8 +72,8 @@
 	}
 }
 
-// forgetMembers forgets the members of an engine that ended. The next engine joins some of them, even if no seed
-// answers.
+// forgetMembers clears the members after the engine has exited. It keeps the addresses of some, so that the next
+// engine can rejoin even if no seed responds.
 func (g *Group) forgetMembers() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -85,7 +85,7 @@
 	g.members = nil
 }
 
-// takeRejoinAddresses returns the addresses of members that earlier engines saw alive, and forgets them.
+// takeRejoinAddresses returns the addresses of members that earlier engines saw alive, and clears them.
 func (g *Group) takeRejoinAddresses() []string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -94,8 +94,8 @@
 	return addresses
 }
 
-// send queues a frame for the engine. A frame that finds the queue full is dropped: the engine is not running, or
-// does not read.
+// send queues a frame to the engine. If the queue is full, the engine is not running or not reading, and the frame is
+// dropped.
 func (g *Group) send(frame ...any) {
 	select {
 	case g.queue <- frame:
@@ -103,14 +103,14 @@
 	}
 }
 
-// Publish spreads a message to the other members; a later one of the same key replaces an earlier one that has not
-// been sent yet.
+// Publish broadcasts a message to the other members. It replaces an earlier message of the same key that is still
+// waiting to be sent.
 func (g *Group) Publish(key string, message []byte) { g.send(FramePublish, key, message) }
 
-// SetFullState sets what members that ask for the full state are sent from now on.
+// SetFullState sets the full state that is sent to other members on request.
 func (g *Group) SetFullState(state []byte) { g.send(FrameFullState, state) }
 
-// setMembers takes over the members as the engine sees them, and what it dropped.
+// setMembers stores the members and the drop counts that the engine reports.
 func (g *Group) setMembers(members []Member, dropped map[string]int) {
 	slices.SortFunc(members, CompareByName)
 	g.mu.Lock()
@@ -120,7 +120,7 @@
 	g.engineDropped = dropped
 }
 
-// Members is all members as they are seen now, by name.
+// Members returns all known members, sorted by name.
 func (g *Group) Members() []Member {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -132,7 +132,7 @@
 	return members
 }
 
-// AliveCount is the number of members that are alive, this one too.
+// AliveCount returns the number of members that are alive, including this one.
 func (g *Group) AliveCount() (count int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -144,11 +144,11 @@
 	return max(count, 1)
 }
 
-// CountDropped counts input that the subscriber could not use; each kind is logged with its reason once a minute
-// at most.
+// CountDropped counts input that the subscriber could not use. Each kind is logged, with its reason, at most once a
+// minute.
 func (g *Group) CountDropped(kind, reason string) { g.drops.Add(kind, reason) }
 
-// Dropped is how much input was dropped, here and by the engine, by kind.
+// Dropped returns the number of inputs that the subscriber and the engine dropped, by kind.
 func (g *Group) Dropped() map[string]int {
 	totals := g.drops.Totals()
 	g.mu.Lock()
--- a/internal/membership/group_test.go
+++ b/internal/membership/group_test.go
@@ -19,18 +19,19 @@
 	"yardwinch/internal/membership/engine"
 )
 
-// engineVariable has the test's own program run as an engine: the real one, or one that fails in some way.
-const engineVariable = "MEMBERS_TEST_ENGINE"
+// engineModeVariable is an environment variable that has the test binary run as an engine: the real one, or one that
+// fails in some way.
+const engineModeVariable = "MEMBERS_TEST_ENGINE"
 
 func TestMain(m *testing.M) {
-	switch os.Getenv(engineVariable) {
+	switch os.Getenv(engineModeVariable) {
 	case "":
 		goleak.VerifyTestMain(m)
 	case "real":
 		os.Exit(engine.Main(os.Stdin, os.Stdout, os.Stderr))
 	case "nonsense":
 		_, _ = os.Stdout.WriteString(strings.Repeat("\x9f\xff\x81\x00 no frame", 1000))
-	case "invalid names": // members whose names are not valid UTF-8, and such a kind of drop
+	case "invalid names": // a member name and a kind of drop that are not valid UTF-8
 		_ = cbor.NewEncoder(os.Stdout).Encode([]any{membership.FrameMembers, []any{[]any{"\xff\xfe", "127.0.0.1:1", "alive", uint64(5)},
 			[]any{"b", "127.0.0.1:2", "alive", uint64(5)}, []any{"", "\xc3\x28", "", uint64(7)}}})
 		time.Sleep(time.Hour)
@@ -61,7 +62,7 @@
 	return slices.Contains(r.received, message)
 }
 
-// balancer is a member of a test with the engine that it runs.
+// balancer is a member with its own engine process.
 type balancer struct {
 	group    *membership.Group
 	received *recorder
@@ -69,14 +70,14 @@
 	stop     func()
 }
 
-// start runs a balancer whose engine behaves in the given way, until the test ends or it is stopped.
+// start runs a balancer whose engine runs in the given mode, until the test ends or stop is called.
 func start(t *testing.T, engineMode, name, ip string, seeds ...string) balancer {
 	t.Helper()
 	address, err := freeaddr.UDP(t.Context(), ip)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Setenv(engineVariable, engineMode)
+	t.Setenv(engineModeVariable, engineMode)
 	self, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
@@ -105,12 +106,12 @@
 	t.Helper()
 	for deadline := time.Now().Add(15 * time.Second); !condition(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal("not in time: ", what)
+			t.Fatal("timed out waiting until ", what)
 		}
 	}
 }
 
-// stateOf is the state in which a balancer sees a member; empty where it does not.
+// stateOf returns the state of a member as the balancer sees it, or an empty one if it doesn't know the member.
 func (b balancer) stateOf(name membership.Name) membership.State {
 	for _, member := range b.group.Members() {
 		if member.Name == name {
@@ -120,8 +121,8 @@
 	return ""
 }
 
-// engines are the running processes that this one started.
-func engines(t *testing.T) (ids []int) {
+// engineProcesses returns the IDs of the running child processes of this one.
+func engineProcesses(t *testing.T) (ids []int) {
 	t.Helper()
 	entries, err := os.ReadDir("/proc")
 	if err != nil {
@@ -134,7 +135,7 @@
 		}
 		stat, err := os.ReadFile("/proc/" + entry.Name() + "/stat")
 		if err != nil {
-			continue // it has ended meanwhile
+			continue // it has exited meanwhile
 		}
 		fields := strings.Fields(string(stat)[strings.LastIndexByte(string(stat), ')')+1:])
 		state, parent := fields[0], fields[1]
@@ -145,53 +146,53 @@
 	return ids
 }
 
-func TestBalancersThroughTheirEngines(t *testing.T) {
+func TestMembershipThroughEngineProcesses(t *testing.T) {
 	a := start(t, "real", "a", "127.84.0.1")
 	a.group.SetFullState([]byte("full state"))
-	eventually(t, "a is up", func() bool { return a.stateOf("a") == membership.Alive })
-	enginesOfA := engines(t)
+	eventually(t, "a is alive", func() bool { return a.stateOf("a") == membership.Alive })
+	enginesOfA := engineProcesses(t)
 	b := start(t, "real", "b", "127.84.0.2", a.address)
-	eventually(t, "they see each other", func() bool {
+	eventually(t, "a and b see each other", func() bool {
 		return a.stateOf("b") == membership.Alive && b.stateOf("a") == membership.Alive && a.group.AliveCount() == 2
 	})
 	a.group.Publish("a", []byte("late"))
 	eventually(t, "b receives a's message", func() bool { return b.received.has("late") })
 	eventually(t, "b receives a's full state", func() bool { return b.received.has("full state") })
-	// An engine that is killed is restarted, and the member is back.
+	// An engine that is killed is restarted, and the member joins again.
 	if len(enginesOfA) != 1 || syscall.Kill(enginesOfA[0], syscall.SIGKILL) != nil {
-		t.Fatalf("engines %v", enginesOfA)
+		t.Fatalf("kill the only engine of %v", enginesOfA)
 	}
-	eventually(t, "a has no engine, and reports it", func() bool { return a.group.AliveCount() == 1 && len(a.group.Dropped()) > 0 })
+	eventually(t, "a has no engine and counts its exit", func() bool { return a.group.AliveCount() == 1 && len(a.group.Dropped()) > 0 })
 	b.group.Publish("b", []byte("well"))
-	eventually(t, "a is back and receives from b", func() bool { return a.received.has("well") || a.stateOf("b") == membership.Alive })
+	eventually(t, "a has rejoined and receives from b", func() bool { return a.received.has("well") || a.stateOf("b") == membership.Alive })
 	b.stop()
 	eventually(t, "b has left", func() bool { return a.stateOf("b") == membership.Left })
 }
 
-// Names that strangers send, and labels that the engine quotes, need not be valid UTF-8; they do not end the
-// engine's link.
-func TestInvalidNames(t *testing.T) {
+// Member names, and labels that the engine quotes, come from the network. Invalid UTF-8 in them must not break the link
+// to the engine.
+func TestInvalidUTF8FromEngine(t *testing.T) {
 	a := start(t, "invalid names", "a", "127.84.0.4")
-	eventually(t, "all are seen", func() bool { return len(a.group.Members()) == 2 && len(a.group.Dropped()) == 1 })
+	eventually(t, "all members and drops are reported", func() bool { return len(a.group.Members()) == 2 && len(a.group.Dropped()) == 1 })
 }
 
-// A balancer whose engine fails serves alone; the engine ends with the balancer.
-func TestFailingEngines(t *testing.T) {
+// A balancer whose engine fails runs without members and is not blocked. The engine exits with the balancer.
+func TestBalancerRunsAloneWhenEngineFails(t *testing.T) {
 	for _, mode := range []string{"nonsense", "unresponsive"} {
 		t.Run(mode, func(t *testing.T) {
 			a := start(t, mode, "a", "127.84.0.3")
-			for i := range 1000 { // more than the queue holds: nobody is blocked
+			for i := range 1000 { // more than the queue holds: Publish must not block
 				a.group.Publish("a", []byte{byte(i)})
 			}
 			if mode == "nonsense" {
-				eventually(t, "it is counted", func() bool { return len(a.group.Dropped()) > 0 })
+				eventually(t, "the failure is counted", func() bool { return len(a.group.Dropped()) > 0 })
 			}
 			if count := len(a.group.Members()); count != 0 || a.group.AliveCount() != 1 {
-				t.Errorf("%d members seen", count)
+				t.Errorf("got %d members, want none, and one alive", count)
 			}
 			a.stop()
-			if left := engines(t); len(left) > 0 {
-				t.Errorf("engines are left: %v", left)
+			if left := engineProcesses(t); len(left) > 0 {
+				t.Errorf("engine processes still running: %v", left)
 			}
 		})
 	}
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,6 +1,6 @@
-// Package membership knows the other balancers of the fleet and passes bytes between them, without knowing their
-// meaning. The gossip engine is a separate process (internal/membership/engine, cmd/yardwinch-gossip), which
-// this package starts, feeds and restarts.
+// Package membership tracks the other balancers of the fleet and exchanges opaque messages with them. The gossip
+// engine is a separate process (internal/membership/engine, cmd/yardwinch-gossip), which this package starts,
+// restarts and talks to over its standard input and output.
 package membership
 
 import (
@@ -11,34 +11,34 @@
 	"yardwinch/internal/advice"
 )
 
-// Error is a fault of the membership and what an operator can do about it.
+// Error is a membership error with advice for the operator.
 type Error = advice.Error
 
-// Name is a member's name; no two members of a label have the same.
+// Name is the name of a member, unique among the members of a label.
 type Name string
 
-// Instance is how one balancer takes part in the membership.
+// Instance configures how one balancer takes part in the membership.
 type Instance struct {
 	Name      Name
 	Label     string         // members of other labels are ignored
-	Bind      netip.AddrPort // to listen on and send from
-	Advertise netip.AddrPort // at which the others reach it
+	Bind      netip.AddrPort // address to listen on and to send from
+	Advertise netip.AddrPort // address at which other members reach it
 	Seeds     []string       // addresses of members to join
 }
 
-// State is how a member is seen.
+// State is the state of a member as this instance sees it.
 type State string
 
 const (
-	// Alive members answer. One that is suspected to be gone is alive until the suspicion is confirmed.
+	// Alive members respond. A member under suspicion counts as alive until the suspicion is confirmed.
 	Alive State = "alive"
-	// Gone members stopped answering.
+	// Gone members stopped responding without having left.
 	Gone State = "gone"
-	// Left members said that they leave.
+	// Left members announced that they leave.
 	Left State = "left"
 )
 
-// Member is a member as it is seen from here.
+// Member is a member as this instance sees it.
 type Member struct {
 	Name  Name          `json:"name"`
 	Addr  string        `json:"addr"`
@@ -49,11 +49,11 @@
 // CompareByName orders members by name.
 func CompareByName(a, b Member) int { return cmp.Compare(a.Name, b.Name) }
 
-// A frozen balancer must not look alive because its engine answers, so the engine falls silent when the balancer's
-// heartbeats stop.
+// The engine stops responding to other members when the balancer's heartbeats stop; otherwise a frozen balancer would
+// look alive because its engine still responds.
 const (
-	// HeartbeatInterval is the interval between heartbeats from the balancer to its engine.
+	// HeartbeatInterval is the interval at which the balancer sends heartbeats to its engine.
 	HeartbeatInterval = 250 * time.Millisecond
-	// HeartbeatTimeout is the time without any frame from the balancer after which the engine falls silent.
+	// HeartbeatTimeout is the time without any frame from the balancer after which the engine stops responding.
 	HeartbeatTimeout = time.Second
 )
--- a/internal/membership/process.go
+++ b/internal/membership/process.go
@@ -17,34 +17,34 @@
 )
 
 const (
-	engineName   = "yardwinch-gossip"     // of the engine's program
-	leaveTimeout = 900 * time.Millisecond // for the engine to leave and end, before it is killed
+	engineName   = "yardwinch-gossip"     // file name of the engine's program
+	leaveTimeout = 900 * time.Millisecond // for the engine to leave and exit, before it is killed
 )
 
-// enginePath is the path of the engine's program.
+// enginePath returns the path of the engine's program.
 func (g *Group) enginePath() (string, error) {
 	if g.program != "" {
 		return g.program, nil
 	}
 	self, err := os.Executable()
 	if err != nil {
-		return "", fmt.Errorf("find the program %s: %w", engineName, err)
+		return "", fmt.Errorf("locate the program %s: %w", engineName, err)
 	}
 	return filepath.Join(filepath.Dir(self), engineName), nil
 }
 
-// runEngine runs one engine from its start to its end; when the context ends, the engine leaves the other members.
+// runEngine starts an engine and returns when it has exited. When the context ends, the engine leaves the membership.
 func (g *Group) runEngine(ctx context.Context) error {
 	path, err := g.enginePath()
 	if err != nil {
 		return err
 	}
-	// The kernel ends the engine with the thread that started it, so this thread must last: the engine must not
-	// outlive the balancer.
+	// The engine must not outlive the balancer. With Pdeathsig the kernel sends it SIGTERM when the thread that
+	// started it exits, so the goroutine stays on that thread.
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	command := exec.CommandContext(ctx, path)
-	command.Cancel = func() error { return nil } // write tells the engine to leave
+	command.Cancel = func() error { return nil } // write sends FrameLeave instead
 	command.WaitDelay = leaveTimeout
 	command.Stderr = os.Stderr
 	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGTERM}
@@ -68,30 +68,30 @@
 	})
 	pipes.Wait()
 	if err := command.Wait(); err != nil {
-		return fmt.Errorf("the engine ended: %w", err)
+		return fmt.Errorf("engine exited: %w", err)
 	}
 	return nil
 }
 
-// reportEngineEnd reports the end of an engine that should have run on.
+// reportEngineEnd counts and logs an unexpected exit of the engine.
 func (g *Group) reportEngineEnd(cause error) {
 	fault := &Error{
 		Where:  "peers",
 		What:   "the engine of the members ended; serving alone until it runs again",
-		Remedy: "see that " + engineName + " of this build lies beside yardwinch, or name it by peers.program",
+		Remedy: "install " + engineName + " of the same build next to yardwinch, or set peers.program to its path",
 		Err:    cause,
 	}
 	g.drops.add("membership engine ended", "the engine ended", fault.Error(), "advice", fault.Advice())
 }
 
-// write sends the engine the queued frames, and heartbeats, until its output or the context ends.
+// write sends the queued frames and heartbeats to the engine, until the engine's output or the context ends.
 func (g *Group) write(ctx context.Context, engineInput io.WriteCloser, outputEnded <-chan struct{}) {
-	defer func() { _ = engineInput.Close() }() // the engine may have ended
+	defer func() { _ = engineInput.Close() }() // fails if the engine has exited
 	encoder := cbor.NewEncoder(engineInput)
 	instance := g.instance
 	instance.Seeds = append(slices.Clone(instance.Seeds), g.takeRejoinAddresses()...)
 	if encoder.Encode(encodeStart(instance)) != nil {
-		return // read finds the engine's end
+		return // read notices that the engine has exited
 	}
 	heartbeats := time.NewTicker(HeartbeatInterval)
 	defer heartbeats.Stop()
@@ -101,19 +101,19 @@
 		case <-outputEnded:
 			return
 		case <-ctx.Done():
-			_ = encoder.Encode([]any{FrameLeave}) // the engine may have ended
+			_ = encoder.Encode([]any{FrameLeave}) // fails if the engine has exited
 			return
 		case frame = <-g.queue:
 		case <-heartbeats.C:
 			frame = []any{FrameHeartbeat}
 		}
 		if encoder.Encode(frame) != nil {
-			return // read finds the engine's end
+			return // read notices that the engine has exited
 		}
 	}
 }
 
-// read handles the frames of the engine until it ends or sends something else.
+// read handles frames from the engine until its output ends or can't be decoded.
 func (g *Group) read(engineOutput io.Reader) {
 	decoder := frameDecoding.NewDecoder(engineOutput)
 	for {
@@ -125,7 +125,7 @@
 	}
 }
 
-// handle handles one frame; one of another kind or form is skipped.
+// handle handles one frame; an unknown or malformed one is skipped.
 func (g *Group) handle(frame []any) {
 	kind, _ := frame[0].(uint64)
 	switch content := frame[1].(type) {
