--- a/internal/knownred/knownred.go
+++ b/internal/knownred/knownred.go
@@ -1,5 +1,5 @@
-// Package knownred judges a run of all tests of which a few are listed as known to fail for a real fault that isn't fixed yet. Listed
-// tests run and are shown, and the run passes over their failures and no others.
+// Package knownred evaluates the results of a test run against a list of known failures: tests that fail because of a real fault that
+// isn't fixed yet. Listed tests run and their output is shown; only their failures are ignored.
 package knownred
 
 import (
@@ -10,43 +10,43 @@
 	"strings"
 )
 
-// ErrFailed says that the run does not pass. Errors of Judge that wrap it name each reason on a line of its own.
+// ErrFailed means that the run does not pass. Errors of Judge that wrap it list the reasons, one a line.
 var ErrFailed = errors.New("the tests do not pass")
 
-// event is a line of the output of go test -json, with the names of its keys.
+// event is a line of the output of go test -json. The field names are the keys.
 type event struct{ Action, Package, Test, Output string }
 
-func (e event) test() string { return e.Package + " " + e.Test }
+func (e event) qualifiedName() string { return e.Package + " " + e.Test }
 
 func (e event) topLevelTest() string {
 	name, _, _ := strings.Cut(e.Test, "/")
 	return name
 }
 
-// packageRun is what a package's tests have shown so far.
+// packageRun holds the results of a package's tests so far.
 type packageRun struct {
-	failed         bool // the package as a whole
+	failed         bool // go test reported the package itself as failed
 	panicked       bool
 	listedFailed   int
 	unlistedFailed int
 }
 
-// run is what go test has told so far.
-type run struct {
-	entries  []Entry
-	show     io.Writer
-	outcomes map[string]string // the last action of each listed test; a failure in any package stays
-	outputs  map[string]string // of tests that have not ended
-	packages map[string]*packageRun
-	ended    int // packages that have passed or failed
-	faults   []string
+// testRun holds the results of all tests so far.
+type testRun struct {
+	entries       []Entry
+	out           io.Writer
+	outcomes      map[string]string // last action of each listed test; once "fail" in any package, it stays
+	outputs       map[string]string // by qualified name, of tests that have not ended
+	packages      map[string]*packageRun
+	packagesEnded int // number of packages that have passed or failed
+	reasons       []string
 }
 
 // Judge reads the output of go test -json and writes the output of failed tests and packages to show. It returns an error that wraps
-// ErrFailed unless all tests pass but for the listed ones, each of which has to run and to fail. An entry that no longer fails is a fault
-// too: it hides the next failure.
+// ErrFailed unless every listed test runs and fails and all other tests pass. A listed test that passes is an error too, as its entry
+// would hide the next failure.
 func Judge(goTestJSON io.Reader, entries []Entry, show io.Writer) error {
-	r := &run{entries: entries, show: show, outcomes: map[string]string{}, outputs: map[string]string{}, packages: map[string]*packageRun{}}
+	r := &testRun{entries: entries, out: show, outcomes: map[string]string{}, outputs: map[string]string{}, packages: map[string]*packageRun{}}
 	events := json.NewDecoder(goTestJSON)
 	for {
 		var e event
@@ -55,19 +55,19 @@
 			break
 		}
 		if err != nil {
-			return fmt.Errorf("read the output of go test: %w", err)
+			return fmt.Errorf("decode the output of go test -json: %w", err)
 		}
 		r.observe(e)
 	}
 	r.checkPackages()
 	r.checkEntries()
-	if len(r.faults) > 0 {
-		return fmt.Errorf("%w:\n%s", ErrFailed, strings.Join(r.faults, "\n"))
+	if len(r.reasons) > 0 {
+		return fmt.Errorf("%w:\n%s", ErrFailed, strings.Join(r.reasons, "\n"))
 	}
 	return nil
 }
 
-func (r *run) observe(e event) {
+func (r *testRun) observe(e event) {
 	switch e.Action {
 	case "output", "build-output":
 		r.observeOutput(e)
@@ -79,7 +79,7 @@
 	}
 }
 
-func (r *run) observeOutput(e event) {
+func (r *testRun) observeOutput(e event) {
 	if strings.HasPrefix(e.Output, "panic: ") {
 		r.packageRun(e.Package).panicked = true
 	}
@@ -87,10 +87,10 @@
 		r.print(e.Output)
 		return
 	}
-	r.outputs[e.test()] += e.Output
+	r.outputs[e.qualifiedName()] += e.Output
 }
 
-func (r *run) observeFailure(e event) {
+func (r *testRun) observeFailure(e event) {
 	tests := r.packageRun(e.Package)
 	switch {
 	case e.Test == "":
@@ -99,54 +99,54 @@
 		tests.listedFailed++
 	default:
 		tests.unlistedFailed++
-		r.faults = append(r.faults, e.test()+" fails")
+		r.reasons = append(r.reasons, e.qualifiedName()+" fails")
 	}
-	r.print(r.outputs[e.test()])
+	r.print(r.outputs[e.qualifiedName()])
 }
 
-func (r *run) observeEnd(e event) {
+func (r *testRun) observeEnd(e event) {
 	if e.Test == "" && e.Action != "skip" { // a package without tests is skipped
-		r.ended++
+		r.packagesEnded++
 	}
 	if isListed(r.entries, e.Test) && r.outcomes[e.Test] != "fail" {
 		r.outcomes[e.Test] = e.Action
 	}
-	delete(r.outputs, e.test())
+	delete(r.outputs, e.qualifiedName())
 }
 
-// checkPackages finds packages whose failure no test explains: they did not build, or ended before all of their tests had run.
-func (r *run) checkPackages() {
+// checkPackages reports packages whose failure no failed test explains: they did not build, or ended before all of their tests had run.
+func (r *testRun) checkPackages() {
 	for name, tests := range r.packages {
 		if tests.failed && tests.unlistedFailed == 0 && (tests.listedFailed == 0 || tests.panicked) {
-			r.faults = append(r.faults, name+" fails as a whole")
+			r.reasons = append(r.reasons, name+" fails as a whole")
 		}
 	}
-	if r.ended == 0 {
-		r.faults = append(r.faults, "no package was tested")
+	if r.packagesEnded == 0 {
+		r.reasons = append(r.reasons, "no package was tested")
 	}
 }
 
-func (r *run) checkEntries() {
+func (r *testRun) checkEntries() {
 	for _, entry := range r.entries {
 		switch r.outcomes[entry.Test] {
 		case "fail":
-			r.print(fmt.Sprintf("known red, passed over: %s — %s — %s\n", entry.Test, entry.Cause, entry.Issue))
+			r.print(fmt.Sprintf("known failure, ignored: %s — %s — %s\n", entry.Test, entry.Cause, entry.Issue))
 		case "pass":
-			r.faults = append(r.faults, entry.Test+" is listed as known red and passes: strike it")
+			r.reasons = append(r.reasons, entry.Test+" is listed as a known failure but passes: remove it from the list")
 		case "skip":
-			r.faults = append(r.faults, entry.Test+" is listed as known red and was skipped")
+			r.reasons = append(r.reasons, entry.Test+" is listed as a known failure but was skipped")
 		default:
-			r.faults = append(r.faults, entry.Test+" is listed as known red and no test has that name")
+			r.reasons = append(r.reasons, entry.Test+" is listed as a known failure but no test has that name")
 		}
 	}
 }
 
-func (r *run) packageRun(name string) *packageRun {
+func (r *testRun) packageRun(name string) *packageRun {
 	if r.packages[name] == nil {
 		r.packages[name] = &packageRun{}
 	}
 	return r.packages[name]
 }
 
-// print drops the error of a reader that is gone: the verdict doesn't depend on who reads the output.
-func (r *run) print(text string) { _, _ = io.WriteString(r.show, text) }
+// print ignores write errors: the result doesn't depend on whether the output can be written.
+func (r *testRun) print(text string) { _, _ = io.WriteString(r.out, text) }
--- a/internal/knownred/list.go
+++ b/internal/knownred/list.go
@@ -8,27 +8,28 @@
 )
 
 const (
-	maxEntries     = 3 // a longer list would make failing tests a habit
+	maxEntries     = 3 // known failures have to stay exceptions
 	fieldSeparator = " — "
 )
 
 // Entry is a test that is known to fail.
 type Entry struct {
-	Test  string // name of the top-level test
+	Test  string // name of a top-level test
 	Cause string
 	Issue string
 }
 
-// LineError is a line of the list that doesn't have the form of an entry.
+// LineError reports an invalid line of the list.
 type LineError struct {
-	Line int // counted from 1
+	Line int // starting at 1
 	Why  string
 }
 
-// Error names the line and what is wrong with it.
+// Error returns the line number and the reason.
 func (e *LineError) Error() string { return fmt.Sprintf("line %d: %s", e.Line, e.Why) }
 
-// ReadList reads one entry a line: TestName — cause — issue. Its error is a *LineError, or the reader's own.
+// ReadList reads a list with one entry a line, in the form "TestName — cause — issue". It returns a *LineError for an invalid line, and
+// wraps errors of the reader.
 func ReadList(r io.Reader) ([]Entry, error) {
 	var entries []Entry
 	lines := bufio.NewScanner(r)
@@ -38,7 +39,7 @@
 		case !ok:
 			return nil, &LineError{number, "want TestName — cause — issue"}
 		case number > maxEntries:
-			return nil, &LineError{number, fmt.Sprintf("%d tests are listed at most", maxEntries)}
+			return nil, &LineError{number, fmt.Sprintf("the list is limited to %d tests", maxEntries)}
 		case isListed(entries, entry.Test):
 			return nil, &LineError{number, entry.Test + " is listed twice"}
 		}
--- a/internal/knownred/verdict/main.go
+++ b/internal/knownred/verdict/main.go
@@ -1,5 +1,5 @@
-// Verdict reads the output of go test -json from standard input and ends with exit code 1 unless all tests pass but for those that the
-// list named as its argument holds. A list that doesn't exist is empty.
+// Verdict reads the output of go test -json from standard input and exits with code 1 unless the listed tests fail and all others pass.
+// Its argument is the path of the list of known failures; a list that doesn't exist is treated as empty.
 package main
 
 import (
@@ -13,7 +13,7 @@
 
 func main() {
 	if len(os.Args) != 2 {
-		fmt.Fprintln(os.Stderr, "want one argument: the list of tests that are known to fail")
+		fmt.Fprintln(os.Stderr, "usage: verdict LIST\nLIST is the path of the list of known failures")
 		os.Exit(1)
 	}
 	if err := judge(os.Args[1]); err != nil {
@@ -38,7 +38,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = file.Close() }() // it was only read
+	defer func() { _ = file.Close() }() // opened for reading only
 	entries, err := knownred.ReadList(file)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
