--- a/internal/testbed/dissemination/dissemination.go
+++ b/internal/testbed/dissemination/dissemination.go
@@ -1,6 +1,6 @@
-// Package dissemination simulates, in virtual time, how a report of a failing server reaches all members of a fleet by gossip. The
-// deciders, the encoding and the gossip engine's rules of retransmission are those that ship; the engine itself is a model of them, so
-// all figures are simulated.
+// Package dissemination simulates in virtual time how the report of a failing server spreads to all members of a fleet by gossip. The
+// deciders, the encoding and the gossip engine's retransmission rules are those of production; the engine itself is modelled, so all
+// figures are simulated.
 package dissemination
 
 import (
@@ -13,13 +13,13 @@
 	"yardwinch/internal/simulation"
 )
 
-// The gossip engine's rules, as internal/membership/engine sets them.
+// Settings of the gossip engine, as in internal/membership/engine.
 const (
 	gossipInterval       = 200 * time.Millisecond
 	gossipFanout         = 3
 	maxPacketBytes       = 1400
-	messageHeaderBytes   = 6                       // what the engine adds to a message
-	packetHeaderBytes    = 28 + messageHeaderBytes // of a datagram, and of the engine's own
+	messageHeaderBytes   = 6                       // added by the engine to each message
+	packetHeaderBytes    = 28 + messageHeaderBytes // IP and UDP headers, and the engine's own
 	retransmitMultiplier = 3
 	publishInterval      = 250 * time.Millisecond
 )
@@ -27,78 +27,78 @@
 const (
 	timeStep        = 10 * time.Millisecond
 	sampleInterval  = 100 * time.Millisecond
-	busyPeriod      = 5 * time.Second  // after the fault began
-	partitionPeriod = 10 * time.Second // after the fault began
+	busyPeriod      = 5 * time.Second  // from the fault on
+	partitionPeriod = 10 * time.Second // from the fault on
 	faultyServer    = decide.ServerID(1)
-	healthyServers  = 8 // further servers on which all is well
+	healthyServers  = 8 // number of servers besides the faulty one
 
-	messageDelayLimit = 80 * time.Millisecond
-	setupTarget       = 300 * time.Millisecond
-	observedDelay     = time.Second        // of each message from the faulty server
-	fastSetup         = time.Millisecond   // of each connection
-	minObserving      = 2                  // members that observe the fault at first hand
-	connectedShare    = 0.5                // the chance that a member holds a connection to a healthy server
-	buildDigest       = "0123456789ab"     // of the length of a real one
-	settingsDigest    = "0123456789abcdef" // of the length of a real one
-	flowOfFault       = decide.FlowID("f") // the connection to the faulty server
-	flowOfOthers      = decide.FlowID("x") // those to the healthy ones
-	queryFlow         = decide.FlowID("q") // for which it is queried whether the faulty server is penalised
-	randomStream      = "spread"           // name of the random source; another name draws other runs
-	noDeadline        = time.Duration(-1)  // a time that never came
-	knownToMost       = 0.99               // the share of members that counts as all
+	messageDelayLimit     = 80 * time.Millisecond
+	setupTarget           = 300 * time.Millisecond
+	observedDelay         = time.Second        // message delay of the faulty server
+	fastSetup             = time.Millisecond   // setup time of each connection
+	minObservers          = 2                  // minimum number of members that observe the fault themselves
+	connectionProbability = 0.5                // that a member has a connection to a healthy server
+	buildDigest           = "0123456789ab"     // as long as a real one
+	settingsDigest        = "0123456789abcdef" // as long as a real one
+	faultyServerFlow      = decide.FlowID("f") // connections to the faulty server
+	healthyServerFlow     = decide.FlowID("x") // connections to the healthy servers
+	queryFlow             = decide.FlowID("q") // flow for which the penalty of the faulty server is queried
+	randomStream          = "spread"           // name of the random source; another name gives other draws
+	neverReached          = time.Duration(-1)  // a duration to an event that did not occur
+	mostMembersShare      = 0.99               // share of informed members at which Result.Most is reached
 )
 
-// Network is the network model: what happens to a packet on its way between two members.
+// Network is the model of the network between any two members.
 type Network struct {
 	Delay  time.Duration
-	Jitter time.Duration // at most, on top of the delay
-	Loss   float64       // the chance that a packet is lost
+	Jitter time.Duration // maximum of a uniformly distributed addition to the delay
+	Loss   float64       // probability that a packet is lost
 }
 
-// Config describes one run: a fleet in which some members hold a connection to a server that becomes slow.
+// Config describes a run: a fleet in which some members have a connection to a server that becomes slow.
 type Config struct {
 	Members     int
 	Seed        uint64
-	DirectShare float64 // of members that observe the fault at first hand
+	DirectShare float64 // share of members that observe the fault themselves
 	Network     Network
 	FaultAt     time.Duration // when the server becomes slow
 	Duration    time.Duration
-	Partition   bool // two halves that can't reach each other, until 10 s after the fault
+	Partition   bool // whether the fleet is split into two halves that can't reach each other, until 10 s after the fault
 }
 
-// Result is the outcome of a run. Figures are those of one member in one second, averaged over all or the greatest of any.
+// Result is the outcome of a run. Traffic figures are per member and second: the average of all members, or the maximum.
 type Result struct {
 	Members        int           `json:"members"`
 	Seed           uint64        `json:"seed"`
-	Half           time.Duration `json:"half_ns"`     // from the fault until half of all members know; below 0: never
-	Most           time.Duration `json:"most_ns"`     // until 99 in 100 do; below 0: never
+	Half           time.Duration `json:"half_ns"`     // from the fault until half of all members are informed of it; below 0: never
+	Most           time.Duration `json:"most_ns"`     // until 99 in 100 are; below 0: never
 	QuietBytes     float64       `json:"quiet_bytes"` // sent before the fault
-	BusyBytes      float64       `json:"busy_bytes"`  // sent in the 5 s after it began
+	BusyBytes      float64       `json:"busy_bytes"`  // sent in the 5 s after the fault
 	MaxBusyBytes   float64       `json:"busiest_bytes"`
 	QuietPackets   float64       `json:"quiet_packets"`
 	QuietMessages  float64       `json:"messages_heard"` // received before the fault
-	Knowing        []int         `json:"knowing"`        // members that know, by tenth of a second from the fault on
-	FalsePenalties int           `json:"dear_before"`    // members that penalised the server before the fault
+	Knowing        []int         `json:"knowing"`        // number of informed members for each tenth of a second from the fault on
+	FalsePenalties int           `json:"dear_before"`    // number of samples in which a member penalised the server before the fault
 }
 
-// delivery is a packet that arrives.
+// delivery is a packet in transit.
 type delivery struct {
 	to       int
 	messages [][]byte
 }
 
-// clusterRun is a run under way.
+// clusterRun is the state of a run.
 type clusterRun struct {
 	config          Config
 	random          *rand.Rand
 	members         []*member
 	retransmitLimit int
-	deliveries      map[time.Duration][]delivery // by the time at which they arrive
+	deliveries      map[time.Duration][]delivery // by arrival time
 	now             time.Duration
 	result          *Result
 }
 
-// Simulate makes one run. The same configuration gives the same result.
+// Simulate performs one run. The same configuration always gives the same result.
 func Simulate(config Config) (*Result, error) {
 	r := newClusterRun(config)
 	for ; r.now < config.Duration; r.now += timeStep {
@@ -124,16 +124,16 @@
 		random:          simulation.RandomSource(config.Seed, randomStream, config.Members),
 		retransmitLimit: retransmitMultiplier * int(math.Ceil(math.Log10(float64(config.Members+1)))),
 		deliveries:      map[time.Duration][]delivery{},
-		result:          &Result{Members: config.Members, Seed: config.Seed, Most: noDeadline, Half: noDeadline},
+		result:          &Result{Members: config.Members, Seed: config.Seed, Most: neverReached, Half: neverReached},
 	}
-	observing := math.Max(minObserving, config.DirectShare*float64(config.Members))
+	observing := math.Max(minObservers, config.DirectShare*float64(config.Members))
 	for i := range config.Members {
 		r.members = append(r.members, newMember(r.random, i, float64(i) < observing))
 	}
 	return r
 }
 
-// deliver hands over the packets that arrive now; a record that is news is passed on.
+// deliver delivers the packets that arrive now. A member queues each record that is new to it for gossip.
 func (r *clusterRun) deliver() error {
 	for _, d := range r.deliveries[r.now] {
 		m := r.members[d.to]
@@ -155,7 +155,7 @@
 	return nil
 }
 
-// step has one member observe, publish and gossip what is due.
+// step runs the actions of one member that are due: observing the fault, publishing and gossip.
 func (r *clusterRun) step(i int) error {
 	m := r.members[i]
 	m.signals.SetTime(r.now)
@@ -173,7 +173,7 @@
 	return nil
 }
 
-// gossip sends what a member has queued to a few members drawn at random.
+// gossip sends a member's queued messages to a few random members.
 func (r *clusterRun) gossip(from int) {
 	m := r.members[from]
 	for range min(gossipFanout, r.config.Members-1) {
@@ -193,7 +193,7 @@
 	}
 }
 
-// send puts a packet on its way, unless it is lost.
+// send schedules the delivery of a packet, unless the packet is lost.
 func (r *clusterRun) send(from, to int, messages [][]byte) {
 	lost := r.random.Float64() < r.config.Network.Loss || r.partitioned(from, to)
 	jitter := time.Duration(r.random.Float64() * float64(r.config.Network.Jitter))
@@ -206,7 +206,7 @@
 }
 
 func (r *clusterRun) partitioned(a, b int) bool {
-	return r.config.Partition && r.members[a].half != r.members[b].half && r.now < r.config.FaultAt+partitionPeriod
+	return r.config.Partition && r.members[a].partitionSide != r.members[b].partitionSide && r.now < r.config.FaultAt+partitionPeriod
 }
 
 func (r *clusterRun) countSent(m *member, size int) {
@@ -219,12 +219,12 @@
 	}
 }
 
-// sampleKnowledge counts the members that know of the fault.
+// sampleKnowledge counts the members that are informed of the fault.
 func (r *clusterRun) sampleKnowledge() {
 	knowing := 0
 	for _, m := range r.members {
 		penalty, _ := m.signals.ServerCost(queryFlow, faultyServer)
-		// One that observes it needs nobody's report.
+		// A member that observes the fault itself needs no report.
 		knows := penalty > 0 || m.observesFault && r.now >= r.config.FaultAt+time.Second
 		if !knows {
 			continue
@@ -241,12 +241,12 @@
 	if r.result.Half < 0 && 2*knowing >= len(r.members) {
 		r.result.Half = r.now - r.config.FaultAt
 	}
-	if r.result.Most < 0 && float64(knowing) >= knownToMost*float64(len(r.members)) {
+	if r.result.Most < 0 && float64(knowing) >= mostMembersShare*float64(len(r.members)) {
 		r.result.Most = r.now - r.config.FaultAt
 	}
 }
 
-// sumTraffic brings the members' traffic down to a member and a second.
+// sumTraffic converts the members' traffic to figures per member and second.
 func (r *clusterRun) sumTraffic() {
 	quietSeconds := r.config.FaultAt.Seconds()
 	members := float64(r.config.Members)
--- a/internal/testbed/dissemination/member.go
+++ b/internal/testbed/dissemination/member.go
@@ -10,33 +10,33 @@
 	"yardwinch/fleet/signals"
 )
 
-// observers is how many members observe the fault at times of their own within a second.
-const observers = 100
+// observationSlots is the number of different times within a second at which members observe the fault.
+const observationSlots = 100
 
-// message is a record that waits to be sent on.
+// message is a record that is queued for gossip.
 type message struct {
 	origin    signals.Origin
 	body      []byte
-	transmits int // how often it was sent
+	transmits int // how often it has been sent
 }
 
 // member is one balancer of the fleet.
 type member struct {
 	signals       *signals.Exchange
 	queue         []*message
-	gossipPhase   time.Duration // within the interval
+	gossipPhase   time.Duration // offset within the interval
 	publishPhase  time.Duration
-	observesFault bool // itself, by a connection to the faulty server
-	half          int  // of the fleet, in a partition
+	observesFault bool // by its own connection to the faulty server
+	partitionSide int  // half of the fleet to which it belongs in a partition: 0 or 1
 
 	quietBytes    int // sent before the fault
 	quietPackets  int // sent before the fault
 	quietMessages int // received before the fault
-	busyBytes     int // sent soon after it
+	busyBytes     int // sent within busyPeriod after the fault
 }
 
-// newMember makes a member that holds a connection to about half of the healthy servers, and to the faulty one if it is to
-// observe the fault.
+// newMember returns a member with connections to about half of the healthy servers, and to the faulty one if it observes the
+// fault.
 func newMember(random *rand.Rand, number int, observesFault bool) *member {
 	origin := signals.Origin(fmt.Sprintf("member-%04d", number))
 	m := &member{
@@ -49,34 +49,34 @@
 			SetupLimit:       setupTarget,
 			Enabled:          true,
 		}),
-		gossipPhase:   phase(random, gossipInterval),
-		publishPhase:  phase(random, publishInterval),
+		gossipPhase:   randomPhase(random, gossipInterval),
+		publishPhase:  randomPhase(random, publishInterval),
 		observesFault: observesFault,
-		half:          number % 2,
+		partitionSide: number % 2,
 	}
 	m.signals.SetTime(0)
 	for k := range healthyServers {
-		if random.Float64() < connectedShare {
-			m.signals.OnEstablished(flowOfOthers, faultyServer+1+decide.ServerID(k), fastSetup)
+		if random.Float64() < connectionProbability {
+			m.signals.OnEstablished(healthyServerFlow, faultyServer+1+decide.ServerID(k), fastSetup)
 		}
 	}
 	if m.observesFault {
-		m.signals.OnEstablished(flowOfFault, faultyServer, fastSetup)
+		m.signals.OnEstablished(faultyServerFlow, faultyServer, fastSetup)
 	}
 	return m
 }
 
-// phase draws a time within an interval.
-func phase(random *rand.Rand, interval time.Duration) time.Duration {
+// randomPhase draws an offset within an interval.
+func randomPhase(random *rand.Rand, interval time.Duration) time.Duration {
 	return time.Duration(random.IntN(int(interval/timeStep))) * timeStep
 }
 
-// observationPhase is when, within each second, a member observes the fault.
+// observationPhase returns the offset within each second at which a member observes the fault.
 func observationPhase(number int) time.Duration {
-	return time.Duration(number%observers) * timeStep
+	return time.Duration(number%observationSlots) * timeStep
 }
 
-// publish queues this member's own record where one is due.
+// publish queues the member's own record if one is due.
 func (m *member) publish(fleet int) error {
 	record, due := m.signals.Publish(fleet)
 	if !due {
@@ -90,7 +90,7 @@
 	return nil
 }
 
-// enqueue queues a record to be sent on; it takes the place of an earlier one of its origin.
+// enqueue queues a record for gossip. It replaces a queued one of the same origin.
 func (m *member) enqueue(origin signals.Origin, body []byte) {
 	for _, queued := range m.queue {
 		if queued.origin == origin {
@@ -102,8 +102,8 @@
 	m.queue = append(m.queue, &message{origin: origin, body: body})
 }
 
-// pack takes what fits into one packet, what was sent least first, as the engine does. A message that was sent as often as the limit
-// leaves the queue.
+// pack returns the messages for one packet and the packet's size. Like the engine, it takes the least often sent messages first, and
+// removes messages from the queue once they have been sent as often as the limit.
 func (m *member) pack(limit int) (bodies [][]byte, size int) {
 	slices.SortStableFunc(m.queue, func(a, b *message) int { return a.transmits - b.transmits })
 	size = packetHeaderBytes
--- a/internal/testbed/netfault/condition.go
+++ b/internal/testbed/netfault/condition.go
@@ -6,23 +6,23 @@
 	"time"
 )
 
-// Condition is what one direction of a path does to the traffic on it. The zero value passes all of it at once.
+// Condition is the set of faults on one direction of a path. The zero value forwards all traffic without delay.
 type Condition struct {
 	Delay      time.Duration
-	Jitter     time.Duration // up to so much is added to the delay, evenly distributed
-	Loss       float64       // share of datagrams that are lost; a stream waits for what was lost to be sent again
-	Duplicate  float64       // share of datagrams that arrive twice
-	Reorder    float64       // share of datagrams that arrive after later ones
-	Rate       int           // bytes a second; 0: unlimited
-	Corruption float64       // share of datagrams, and of pieces of a stream, whose bytes are changed
-	Cut        bool          // datagrams are lost; streams stand still until it ends, and none is established
-	Stalled    bool          // streams are established, and nothing passes on them; datagrams are lost
+	Jitter     time.Duration // maximum of a uniformly distributed addition to the delay
+	Loss       float64       // probability that a datagram is lost; a lost chunk of a stream is delayed until its retransmission
+	Duplicate  float64       // probability that a datagram arrives twice
+	Reorder    float64       // probability that a datagram arrives after later ones
+	Rate       int           // bytes per second; 0: unlimited
+	Corruption float64       // probability that the bytes of a datagram or of a chunk of a stream are changed
+	Cut        bool          // datagrams are lost; streams are stalled until it ends, and none is established
+	Stalled    bool          // streams are established but stalled; datagrams are lost
 }
 
-// blocksTraffic tells whether nothing passes for now.
+// blocksTraffic reports whether no traffic is forwarded.
 func (c Condition) blocksTraffic() bool { return c.Cut || c.Stalled }
 
-// String lists what differs from a clear path, in the words of plan files.
+// String lists the faults by the names that they have in plan files.
 func (c Condition) String() string {
 	var parts []string
 	add := func(on bool, format string, values ...any) {
--- a/internal/testbed/netfault/direction.go
+++ b/internal/testbed/netfault/direction.go
@@ -7,26 +7,26 @@
 )
 
 const (
-	retransmitDelay = 200 * time.Millisecond // a lost piece of a stream arrives this much later: TCP's shortest retransmission timeout
-	reorderDelay    = 20 * time.Millisecond  // an overtaken datagram arrives this much later
-	maxStreamLoss   = 0.9                    // share of lost pieces, so that retransmission ends
-	corruptionMask  = 0x5a                   // is xored to each byte of a corrupted piece
+	retransmitDelay = 200 * time.Millisecond // added for a lost chunk of a stream: TCP's minimum retransmission timeout
+	reorderDelay    = 20 * time.Millisecond  // added for a reordered datagram
+	maxStreamLoss   = 0.9                    // limit on the loss probability of chunks, so that retransmissions end
+	corruptionMask  = 0x5a                   // XORed with each byte of corrupted data
 )
 
-// direction is one of the two directions of a path between two endpoints.
+// direction is one of the two directions between a pair of endpoints.
 type direction struct {
 	mu         sync.Mutex
 	condition  Condition
-	changed    chan struct{} // closed, and replaced, with each change of the condition
+	changed    chan struct{} // closed and replaced when the condition changes
 	random     *rand.Rand
-	linkFreeAt time.Time // when a link of limited rate has sent all that it was given
-	passed     int       // datagrams, and pieces of streams
-	lost       int       // datagrams
+	linkFreeAt time.Time // when the rate-limited link has sent all queued bytes
+	sent       int       // number of datagrams and chunks of streams, including lost ones
+	lost       int       // number of lost datagrams
 }
 
 func newDirection(seed uint64, from, to Endpoint) *direction {
 	const fnvPrime = 1099511628211
-	hash := seed // random draws of a direction depend on its name alone, not on the order in which directions are made
+	hash := seed // derived from the endpoints, so that draws don't depend on the order in which directions are created
 	for _, c := range string(from) + ">" + string(to) {
 		hash = (hash ^ uint64(c)) * fnvPrime
 	}
@@ -41,68 +41,69 @@
 	d.changed = make(chan struct{})
 }
 
-// current is the condition, and a channel that is closed when it changes.
+// current returns the condition and a channel that is closed when it changes.
 func (d *direction) current() (Condition, <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.condition, d.changed
 }
 
-// delivery is what becomes of a datagram or of a piece of a stream.
+// delivery says when and how a datagram or a chunk of a stream is delivered.
 type delivery struct {
 	due       time.Time
 	copies    int // 0: lost
 	corrupted bool
 }
 
-// datagram draws what becomes of a datagram of so many bytes. The order of the draws is part of a seed's meaning.
+// datagram draws the delivery of a datagram of the given size. The order of the draws must not change, so that a seed gives the same run
+// in every build.
 func (d *direction) datagram(bytes int, now time.Time) delivery {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	result := d.schedule(bytes, now)
 	c := d.condition
-	if c.blocksTraffic() || d.draw(c.Loss) {
+	if c.blocksTraffic() || d.chance(c.Loss) {
 		d.lost++
 		result.copies = 0
 		return result
 	}
-	if d.draw(c.Duplicate) {
+	if d.chance(c.Duplicate) {
 		result.copies = 2
 	}
-	if d.draw(c.Reorder) {
+	if d.chance(c.Reorder) {
 		result.due = result.due.Add(reorderDelay)
 	}
 	return result
 }
 
-// streamPiece draws what becomes of a piece of a stream, which is delayed where a datagram would be lost.
-func (d *direction) streamPiece(bytes int, now time.Time) delivery {
+// streamChunk draws the delivery of a chunk of a stream, which is delayed where a datagram would be lost.
+func (d *direction) streamChunk(bytes int, now time.Time) delivery {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	result := d.schedule(bytes, now)
-	for d.draw(min(d.condition.Loss, maxStreamLoss)) {
+	for d.chance(min(d.condition.Loss, maxStreamLoss)) {
 		result.due = result.due.Add(retransmitDelay)
 	}
 	return result
 }
 
-// schedule counts and draws what datagrams and streams have in common. Callers hold the mutex.
+// schedule draws the part of a delivery that is the same for datagrams and streams, and counts it. Callers hold the mutex.
 func (d *direction) schedule(bytes int, now time.Time) delivery {
 	c := d.condition
-	d.passed++
+	d.sent++
 	result := delivery{due: now.Add(c.Delay), copies: 1}
 	if c.Jitter > 0 {
 		result.due = result.due.Add(time.Duration(d.random.Int64N(int64(c.Jitter))))
 	}
 	if c.Rate > 0 {
-		result.due = result.due.Add(d.queueOnLink(bytes, now))
+		result.due = result.due.Add(d.linkDelay(bytes, now))
 	}
-	result.corrupted = d.draw(c.Corruption)
+	result.corrupted = d.chance(c.Corruption)
 	return result
 }
 
-// queueOnLink is how long bytes take on a link of limited rate, with those that were given to it before.
-func (d *direction) queueOnLink(bytes int, now time.Time) time.Duration {
+// linkDelay queues bytes on the rate-limited link and returns the time until they have been sent, after all that were queued before.
+func (d *direction) linkDelay(bytes int, now time.Time) time.Duration {
 	if d.linkFreeAt.Before(now) {
 		d.linkFreeAt = now
 	}
@@ -111,8 +112,10 @@
 	return d.linkFreeAt.Sub(now)
 }
 
-// draw is true in the share of cases that is asked for. A share of 0 draws nothing.
-func (d *direction) draw(share float64) bool { return share > 0 && d.random.Float64() < share }
+// chance returns true with the given probability. A probability of 0 uses no random number.
+func (d *direction) chance(probability float64) bool {
+	return probability > 0 && d.random.Float64() < probability
+}
 
 func corrupt(bytes []byte) {
 	for i := range bytes {
--- a/internal/testbed/netfault/direction_test.go
+++ b/internal/testbed/netfault/direction_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// drawnCondition draws a condition in which some faults are on.
-func drawnCondition(random *rand.Rand) Condition {
+// randomCondition draws a condition with a random set of faults.
+func randomCondition(random *rand.Rand) Condition {
 	share := func() float64 {
 		if random.IntN(2) == 0 {
 			return 0
@@ -30,8 +30,8 @@
 	}
 }
 
-// A seed draws the same faults in every build, so that a run that was recorded can be repeated.
-func TestDrawsOfASeedStay(t *testing.T) {
+// A seed draws the same faults in every build, so that a recorded run can be reproduced.
+func TestSeedDrawsSameFaultsInEveryBuild(t *testing.T) {
 	const want = "99f8f14a1d07bde7ba516d2b597823abe02c8d680d3657eb399295c244061837"
 	var draws strings.Builder
 	for seed := range uint64(20) {
@@ -42,20 +42,20 @@
 			from := Endpoint(fmt.Sprint("b", random.IntN(3)))
 			to := Endpoint(fmt.Sprint("s-", random.IntN(3)))
 			if random.IntN(20) == 0 {
-				condition := drawnCondition(random)
+				condition := randomCondition(random)
 				n.SetCondition(from, to, condition)
 				fmt.Fprintln(&draws, condition)
 			}
 			now = now.Add(time.Duration(random.IntN(20)) * time.Millisecond)
 			draw := n.direction(from, to).datagram
 			if random.IntN(2) == 0 {
-				draw = n.direction(from, to).streamPiece
+				draw = n.direction(from, to).streamChunk
 			}
-			fate := draw(random.IntN(1500), now)
-			fmt.Fprintln(&draws, fate.due.UnixNano(), fate.copies, fate.corrupted)
+			result := draw(random.IntN(1500), now)
+			fmt.Fprintln(&draws, result.due.UnixNano(), result.copies, result.corrupted)
 		}
 	}
 	if got := fmt.Sprintf("%x", sha256.Sum256([]byte(draws.String()))); got != want {
-		t.Errorf("the draws have the hash %s, want %s", got, want)
+		t.Errorf("the draws hash to %s, want %s", got, want)
 	}
 }
--- a/internal/testbed/netfault/listener.go
+++ b/internal/testbed/netfault/listener.go
@@ -16,33 +16,33 @@
 	acceptRetryDelay = 5 * time.Millisecond
 )
 
-// ListenerState is what a new connection meets.
+// ListenerState determines how a listener responds to new connections.
 type ListenerState int
 
 // States of a listener.
 const (
 	Closed       ListenerState = iota // connections are refused
 	Open                              // connections are accepted
-	Unresponsive                      // connections get no answer, as from a machine that is gone
+	Unresponsive                      // connections time out, as if the machine were down
 )
 
-// Listener is an address whose answer to new connections can be changed. Its methods are called from one goroutine at a time.
+// Listener is an address whose response to new connections can be changed. It is not safe for concurrent use.
 type Listener struct {
-	Address string // where it is to be, with port 0 until the first transition chooses one
+	Address string // listen address; its port may be 0 until the first transition chooses one
 
 	state     ListenerState
-	isBound   bool // Address has its port
+	isBound   bool // Address has its final port
 	listener  net.Listener
 	accepting sync.WaitGroup
 	silent    silentSocket
 }
 
-// NewListener makes a closed listener. The port of the address may be 0.
+// NewListener returns a closed listener. The port of the address may be 0.
 func NewListener(address string) *Listener {
-	return &Listener{Address: address, silent: noSilentSocket()}
+	return &Listener{Address: address, silent: newSilentSocket()}
 }
 
-// Transition makes every change of the state. serve is run for a listener that opens, until that closes.
+// Transition changes the state. When the listener opens, serve is run with it in a goroutine and has to return once it is closed.
 func (l *Listener) Transition(ctx context.Context, to ListenerState, serve func(net.Listener)) error {
 	if to == l.state && l.isBound {
 		return nil
@@ -62,14 +62,14 @@
 	case Unresponsive:
 		l.Close()
 		if err := l.silent.open(l.Address); err != nil {
-			return fmt.Errorf("stop answering on %s: %w", l.Address, err)
+			return fmt.Errorf("make %s unresponsive: %w", l.Address, err)
 		}
 	}
 	l.state = to
 	return nil
 }
 
-// open listens. It tries again for a moment, as a port that was just closed may not be free yet.
+// open starts to listen. It retries for a short time while the address is in use, as a port that was just closed may not be free yet.
 func (l *Listener) open(ctx context.Context) error {
 	for attempt := 1; ; attempt++ {
 		listener, err := (&net.ListenConfig{}).Listen(ctx, "tcp", l.Address)
@@ -84,10 +84,10 @@
 	}
 }
 
-// Close closes the listener and waits until serve has returned. It can be opened again.
+// Close closes the listener and waits until serve has returned. The listener can be opened again.
 func (l *Listener) Close() {
 	if l.listener != nil {
-		_ = l.listener.Close() // nothing is left to do for one that can't be closed
+		_ = l.listener.Close() // nothing can be done about an error
 		l.listener = nil
 	}
 	l.accepting.Wait()
@@ -95,8 +95,8 @@
 	l.state = Closed
 }
 
-// Serve hands on each connection that a listener accepts, in a goroutine of its own, until the listener is closed. The caller waits for
-// those goroutines where it has to.
+// Serve accepts connections until the listener is closed, and calls serve with each in a new goroutine. It doesn't wait for those
+// goroutines.
 func Serve(l net.Listener, serve func(net.Conn)) {
 	for {
 		conn, err := l.Accept()
@@ -106,7 +106,7 @@
 		case errors.Is(err, net.ErrClosed):
 			return
 		default:
-			time.Sleep(acceptRetryDelay) // the process is short of descriptors
+			time.Sleep(acceptRetryDelay) // usually the process is out of descriptors
 		}
 	}
 }
--- a/internal/testbed/netfault/listener_test.go
+++ b/internal/testbed/netfault/listener_test.go
@@ -8,7 +8,7 @@
 
 func closeAll(l net.Listener) { Serve(l, func(conn net.Conn) { _ = conn.Close() }) }
 
-// connect tries a connection and closes it.
+// connect opens a connection and closes it.
 func connect(t *testing.T, address string, timeout time.Duration) error {
 	t.Helper()
 	conn, err := (&net.Dialer{Timeout: timeout}).DialContext(t.Context(), "tcp", address)
@@ -31,12 +31,13 @@
 		}
 		err := connect(t, l.Address, 150*time.Millisecond)
 		if isTimeout(err) != step.silent || (err != nil && !isTimeout(err)) != step.refused {
-			t.Errorf("state %d: %v", step.to, err)
+			t.Errorf("in state %d connect returned %v", step.to, err)
 		}
 	}
 }
 
-// A machine with many listeners goes silent at once: none of them answers, and all accept connections again after that.
+// Many listeners of one machine become unresponsive at the same time: connections to each of them time out, and all accept connections
+// again when they are reopened.
 func TestManyListenersBecomeUnresponsive(t *testing.T) {
 	const count, silence = 40, 20 * time.Millisecond
 	var listeners []*Listener
@@ -57,11 +58,11 @@
 		for _, l := range listeners {
 			timeout := silence
 			if to != Unresponsive {
-				timeout = patience
+				timeout = testTimeout
 			}
 			err := connect(t, l.Address, timeout)
 			if (to == Open) != (err == nil) || (to == Unresponsive) != isTimeout(err) {
-				t.Errorf("%s is in state %v: %v", l.Address, to, err)
+				t.Errorf("%s in state %v: connect returned %v", l.Address, to, err)
 			}
 		}
 	}
--- a/internal/testbed/netfault/network.go
+++ b/internal/testbed/netfault/network.go
@@ -1,17 +1,17 @@
-// Package netfault puts network faults between processes: delay and jitter, loss, duplicates and reordering of datagrams, limited rates,
-// partitions in one direction or both, resets, stalls and corruption. Processes under test run unchanged: they are given addresses of this
-// package's proxies and listeners as those of their peers.
+// Package netfault injects network faults between processes: delay and jitter, loss, duplication and reordering of datagrams, rate limits,
+// partitions in one direction or both, resets, stalls and corruption. Processes under test run unchanged: the addresses of their peers that
+// they are configured with belong to proxies and listeners of this package.
 package netfault
 
 import "sync"
 
-// Endpoint is the name of an end of a path: a balancer, a server, discovery, the operator.
+// Endpoint is the name of one end of a path: a balancer, a server, discovery or the operator.
 type Endpoint string
 
-// path is one direction between two endpoints.
+// path identifies one direction between two endpoints.
 type path struct{ from, to Endpoint }
 
-// Network is all paths of a run, with the streams that are forwarded on them.
+// Network holds all paths of a run and the streams that are forwarded on them.
 type Network struct {
 	seed uint64
 
@@ -21,7 +21,7 @@
 	closed     bool
 }
 
-// New makes a network without faults. All of its random draws come from the seed.
+// New returns a network without faults. All random draws derive from the seed.
 func New(seed uint64) *Network {
 	return &Network{seed: seed, directions: map[path]*direction{}, streams: map[*stream]bool{}}
 }
@@ -36,17 +36,17 @@
 	return n.directions[key]
 }
 
-// SetCondition replaces what one direction does, for established streams too.
+// SetCondition replaces the condition of one direction. It applies to established streams too.
 func (n *Network) SetCondition(from, to Endpoint, c Condition) { n.direction(from, to).set(c) }
 
-// IsCut tells whether a stream from one endpoint to another can't be established now: its first packet or the answer to it is lost.
+// IsCut reports whether no stream from one endpoint to another can be established, as the SYN or the reply to it would be lost.
 func (n *Network) IsCut(from, to Endpoint) bool {
 	out, _ := n.direction(from, to).current()
 	back, _ := n.direction(to, from).current()
 	return out.Cut || back.Cut
 }
 
-// Reset aborts all streams between two endpoints, as a middlebox that lost its connection table does. It returns their number.
+// Reset aborts all streams between two endpoints and returns their number. It simulates a middlebox that has lost its connection table.
 func (n *Network) Reset(a, b Endpoint) int {
 	streams := n.streamsWhere(func(s *stream) bool {
 		return s.path == path{a, b} || s.path == path{b, a}
@@ -57,12 +57,13 @@
 	return len(streams)
 }
 
-// Passed counts the datagrams, and pieces of streams, that one direction was given, and the datagrams that it lost.
+// Passed returns the number of datagrams and chunks of streams that were sent in one direction, and the number of datagrams lost among
+// them.
 func (n *Network) Passed(from, to Endpoint) (all, lost int) {
 	d := n.direction(from, to)
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.passed, d.lost
+	return d.sent, d.lost
 }
 
 // Close ends all streams. Streams that are forwarded later end at once.
@@ -86,7 +87,7 @@
 	return found
 }
 
-// add registers a stream and tells whether the network is still open.
+// add registers a stream and reports whether the network is still open.
 func (n *Network) add(s *stream) (isOpen bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/testbed/netfault/pipe.go
+++ b/internal/testbed/netfault/pipe.go
@@ -5,7 +5,7 @@
 	"sync"
 )
 
-// Pipe makes a connection to a stub server of this process: the first end is for Network.Forward, the second is the stub's.
+// Pipe returns the two ends of a connection to a stub server in this process: the first is for Network.Forward, the second for the stub.
 func Pipe() (forwarded, stub net.Conn) {
 	a, b := net.Pipe()
 	stubEnd := &stubPipe{Conn: b}
@@ -17,11 +17,11 @@
 	stub *stubPipe
 }
 
-// stubPipe lets a stub server reset its connection, as it could a socket.
+// stubPipe lets a stub server reset its connection like a TCP connection.
 type stubPipe struct {
 	net.Conn
 	mu     sync.Mutex
-	stream *stream // nil until it is forwarded
+	stream *stream // nil until the connection is forwarded
 }
 
 func (p *stubPipe) attach(s *stream) {
@@ -30,7 +30,7 @@
 	p.stream = s
 }
 
-// SetLinger has the near end of the stream see a reset when the stub closes its connection, whatever the time.
+// SetLinger has the near end of the stream reset when the stub closes its connection. The linger time is ignored.
 func (p *stubPipe) SetLinger(int) error {
 	p.mu.Lock()
 	s := p.stream
--- a/internal/testbed/netfault/proxy_test.go
+++ b/internal/testbed/netfault/proxy_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// testMember is a process of a group with its advertised address at a proxy.
+// testMember is a member that advertises an address of the proxy.
 type testMember struct {
 	t          *testing.T
 	conn       *net.UDPConn
@@ -42,7 +42,8 @@
 	return string(buffer[:size]), from, err
 }
 
-// Two members know each other's advertised addresses only; each receives from the address that the other advertises.
+// Two members know only each other's advertised addresses. Each receives datagrams from the address that the other advertises, and each
+// direction has its own condition.
 func TestProxyForwardsDatagramsBySender(t *testing.T) {
 	n := New(1)
 	p := NewProxy(t.Context(), n)
@@ -50,8 +51,8 @@
 	a := newTestMember(t, p, "a", "127.81.0.1", "127.82.0.1")
 	b := newTestMember(t, p, "b", "127.81.0.2", "127.82.0.2")
 	a.send(b, "one")
-	if text, from, err := b.receive(patience); text != "one" || from != a.advertised {
-		t.Errorf("got %q from %v, %v; want it from %v", text, from, err, a.advertised)
+	if text, from, err := b.receive(testTimeout); text != "one" || from != a.advertised {
+		t.Errorf("got %q from %v, %v; want \"one\" from %v", text, from, err, a.advertised)
 	}
 	n.SetCondition("a", "b", Condition{Cut: true})
 	a.send(b, "two")
@@ -59,17 +60,17 @@
 		t.Errorf("got %q over a cut path", text)
 	}
 	b.send(a, "three")
-	if text, _, err := a.receive(patience); text != "three" {
+	if text, _, err := a.receive(testTimeout); text != "three" {
 		t.Errorf("the other direction is open, but got %q, %v", text, err)
 	}
 	n.SetCondition("a", "b", Condition{Duplicate: 1})
 	a.send(b, "four")
 	for range 2 {
-		if text, _, err := b.receive(patience); text != "four" {
-			t.Errorf("want it twice, got %q, %v", text, err)
+		if text, _, err := b.receive(testTimeout); text != "four" {
+			t.Errorf("got %q, %v; want \"four\" twice", text, err)
 		}
 	}
 	if all, lost := n.Passed("a", "b"); all != 3 || lost != 1 {
-		t.Errorf("%d passed and %d lost, want 3 and 1", all, lost)
+		t.Errorf("%d datagrams sent and %d lost, want 3 and 1", all, lost)
 	}
 }
--- a/internal/testbed/netfault/queue.go
+++ b/internal/testbed/netfault/queue.go
@@ -5,32 +5,32 @@
 	"time"
 )
 
-const maxQueuedBytes = 256 << 10 // in one direction of a stream; beyond, its sender waits
+const maxQueuedBytes = 256 << 10 // per direction of a stream; when the queue is full, its sender waits
 
-// closing is how a direction of a stream ends, where a piece is its last.
-type closing int
+// closeKind says whether and how a chunk ends its direction of a stream.
+type closeKind int
 
 const (
-	notClosing    closing = iota
-	orderlyClose          // an end of file
-	abortiveClose         // its sender was reset
+	notClosed     closeKind = iota
+	orderlyClose            // end of file
+	abortiveClose           // the sender's connection was reset
 )
 
-// piece is a part of a stream that is on its way.
-type piece struct {
+// chunk is a part of a stream in transit.
+type chunk struct {
 	due     time.Time
 	bytes   []byte
-	closing closing
+	closing closeKind
 }
 
-// deliveryQueue carries one direction of a stream. Pieces come out in order, each when it is due and the path is open.
+// deliveryQueue holds the chunks of one direction of a stream. They are delivered in order, each once it is due and the path is open.
 type deliveryQueue struct {
 	direction *direction
-	added     chan struct{} // has an item after a piece was added
-	removed   chan struct{} // has an item after a piece was removed
+	added     chan struct{} // receives an item when a chunk is added
+	removed   chan struct{} // receives an item when a chunk is removed
 
 	mu      sync.Mutex
-	pieces  []piece
+	chunks  []chunk
 	size    int // bytes
 	lastDue time.Time
 }
@@ -39,21 +39,21 @@
 	return &deliveryQueue{direction: d, added: make(chan struct{}, 1), removed: make(chan struct{}, 1)}
 }
 
-// notify lets whoever waits on a channel of capacity 1 look again.
+// notify wakes up the goroutine that waits on a channel of capacity 1.
 func notify(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
-	default: // it is notified already
+	default: // a notification is pending already
 	}
 }
 
-// put adds a piece. It waits while the queue is full, but a last piece is always taken.
-func (q *deliveryQueue) put(bytes []byte, last closing, closed <-chan struct{}) {
-	fate := q.direction.streamPiece(len(bytes), time.Now())
-	if fate.corrupted {
+// put adds a chunk. It waits while the queue is full, unless the chunk is the last one.
+func (q *deliveryQueue) put(bytes []byte, closing closeKind, closed <-chan struct{}) {
+	result := q.direction.streamChunk(len(bytes), time.Now())
+	if result.corrupted {
 		corrupt(bytes)
 	}
-	for !q.tryPut(piece{fate.due, bytes, last}) {
+	for !q.tryPut(chunk{result.due, bytes, closing}) {
 		select {
 		case <-q.removed:
 		case <-closed:
@@ -63,52 +63,52 @@
 	notify(q.added)
 }
 
-func (q *deliveryQueue) tryPut(p piece) bool {
+func (q *deliveryQueue) tryPut(c chunk) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if q.size >= maxQueuedBytes && p.closing == notClosing {
+	if q.size >= maxQueuedBytes && c.closing == notClosed {
 		return false
 	}
-	if p.due.Before(q.lastDue) { // jitter doesn't reorder a stream
-		p.due = q.lastDue
+	if c.due.Before(q.lastDue) { // jitter doesn't reorder a stream
+		c.due = q.lastDue
 	}
-	q.lastDue = p.due
-	q.pieces = append(q.pieces, p)
-	q.size += len(p.bytes)
+	q.lastDue = c.due
+	q.chunks = append(q.chunks, c)
+	q.size += len(c.bytes)
 	return true
 }
 
-// run delivers pieces until the last one, an error or the stream's end.
-func (q *deliveryQueue) run(closed <-chan struct{}, deliver func([]byte) error, end func(closing)) {
+// run delivers chunks until the last one, an error or the end of the stream.
+func (q *deliveryQueue) run(closed <-chan struct{}, deliver func([]byte) error, end func(closeKind)) {
 	for {
 		next, ok := q.first(closed)
 		if !ok || !waitUntil(next.due, closed) || !q.waitUntilOpen(closed) {
 			return
 		}
 		q.removeFirst()
-		if next.closing != notClosing {
+		if next.closing != notClosed {
 			end(next.closing)
 			return
 		}
-		if deliver(next.bytes) != nil { // the receiver has ended the stream, and its reader tells how
+		if deliver(next.bytes) != nil { // the receiver has closed its connection; the goroutine that reads from it finds out how
 			return
 		}
 	}
 }
 
-// first waits for a piece and leaves it in the queue.
-func (q *deliveryQueue) first(closed <-chan struct{}) (piece, bool) {
+// first waits for a chunk and returns it without removing it.
+func (q *deliveryQueue) first(closed <-chan struct{}) (chunk, bool) {
 	for {
 		q.mu.Lock()
-		if len(q.pieces) > 0 {
+		if len(q.chunks) > 0 {
 			defer q.mu.Unlock()
-			return q.pieces[0], true
+			return q.chunks[0], true
 		}
 		q.mu.Unlock()
 		select {
 		case <-q.added:
 		case <-closed:
-			return piece{}, false
+			return chunk{}, false
 		}
 	}
 }
@@ -144,8 +144,8 @@
 
 func (q *deliveryQueue) removeFirst() {
 	q.mu.Lock()
-	q.size -= len(q.pieces[0].bytes)
-	q.pieces = q.pieces[1:]
+	q.size -= len(q.chunks[0].bytes)
+	q.chunks = q.chunks[1:]
 	q.mu.Unlock()
 	notify(q.removed)
 }
--- a/internal/testbed/netfault/silent.go
+++ b/internal/testbed/netfault/silent.go
@@ -10,19 +10,18 @@
 )
 
 const (
-	noSocket           = -1
-	queueFillTimeoutMS = 5 // a connection on loopback is in the queue at once, unless the system is late
-	fillingConnections = 2 // one takes the queue's only place, and the next shows that it is taken
+	noSocket             = -1
+	acceptQueueTimeoutMS = 5 // a loopback connection is queued at once unless the system is overloaded
+	fillerConnections    = 2 // the first fills the only place in the queue, and the next shows that it is full
 )
 
-// silentSocket listens with a full queue of connections that nobody accepts, so that the system drops new ones without an answer, as for
-// a machine that is gone.
+// silentSocket listens with a full accept queue, so that the kernel drops new connections without a reply, as if the machine were down.
 type silentSocket struct {
-	listening int   // descriptor
-	filling   []int // descriptors of the connections in the queue
+	listenFD  int   // file descriptor of the listening socket
+	fillerFDs []int // file descriptors of the connections that fill the accept queue
 }
 
-func noSilentSocket() silentSocket { return silentSocket{listening: noSocket} }
+func newSilentSocket() silentSocket { return silentSocket{listenFD: noSocket} }
 
 func (s *silentSocket) open(address string) error {
 	resolved, err := net.ResolveTCPAddr("tcp4", address)
@@ -34,7 +33,7 @@
 	if err := s.listen(at); err != nil {
 		return err
 	}
-	return s.fill(at)
+	return s.fillAcceptQueue(at)
 }
 
 func (s *silentSocket) listen(at unix.Sockaddr) error {
@@ -42,7 +41,7 @@
 	if err != nil {
 		return os.NewSyscallError("socket", err)
 	}
-	s.listening = socket
+	s.listenFD = socket
 	if err := unix.SetsockoptInt(socket, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1); err != nil {
 		return os.NewSyscallError("setsockopt", err)
 	}
@@ -52,34 +51,34 @@
 	return os.NewSyscallError("listen", unix.Listen(socket, 0))
 }
 
-// fill takes the place in the queue. It doesn't wait for the connection that gets no answer: many listeners may become unresponsive at
-// one instant, and the run stands still meanwhile.
-func (s *silentSocket) fill(at unix.Sockaddr) error {
-	for range fillingConnections {
+// fillAcceptQueue fills the accept queue. It doesn't wait for the connection that gets no reply: many listeners may become unresponsive
+// at the same time, and the run is paused meanwhile.
+func (s *silentSocket) fillAcceptQueue(at unix.Sockaddr) error {
+	for range fillerConnections {
 		socket, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC|unix.SOCK_NONBLOCK, 0)
 		if err != nil {
 			return os.NewSyscallError("socket", err)
 		}
-		s.filling = append(s.filling, socket)
+		s.fillerFDs = append(s.fillerFDs, socket)
 		if err := unix.Connect(socket, at); err != nil && !errors.Is(err, unix.EINPROGRESS) {
-			return fmt.Errorf("fill the queue: %w", os.NewSyscallError("connect", err))
+			return fmt.Errorf("fill the accept queue: %w", os.NewSyscallError("connect", err))
 		}
 	}
-	first := []unix.PollFd{{Fd: int32(s.filling[0]), Events: unix.POLLOUT}}
-	_, err := unix.Poll(first, queueFillTimeoutMS)
+	first := []unix.PollFd{{Fd: int32(s.fillerFDs[0]), Events: unix.POLLOUT}}
+	_, err := unix.Poll(first, acceptQueueTimeoutMS)
 	if errors.Is(err, unix.EINTR) {
-		return nil // the connection is in the queue all the same
+		return nil // the connection is queued nevertheless
 	}
 	return os.NewSyscallError("poll", err)
 }
 
 func (s *silentSocket) close() {
-	if s.listening != noSocket {
-		_ = unix.Close(s.listening) // nothing is left to do for a descriptor that can't be closed
-		s.listening = noSocket
+	if s.listenFD != noSocket {
+		_ = unix.Close(s.listenFD) // nothing can be done about an error
+		s.listenFD = noSocket
 	}
-	for _, socket := range s.filling {
+	for _, socket := range s.fillerFDs {
 		_ = unix.Close(socket)
 	}
-	s.filling = nil
+	s.fillerFDs = nil
 }
--- a/internal/testbed/netfault/stream.go
+++ b/internal/testbed/netfault/stream.go
@@ -7,17 +7,17 @@
 	"sync"
 )
 
-const maxPieceBytes = 16 << 10 // of a stream, read at once
+const maxChunkBytes = 16 << 10 // of a stream, read in one call
 
-// Tap observes a stream at the end that opened it, in the order and at the time in which that end sees it: a message on its way to it has
-// been sent and is not received yet. Its functions may be nil.
+// Tap observes a stream as the end that opened it sees it: bytes are reported as sent when that end sends them, and as received when they
+// are delivered to it, after the delay of the path. Its functions may be nil.
 type Tap struct {
 	Sent     func([]byte)
 	Received func([]byte)
-	Closed   func() // once, by whichever end
+	Closed   func() // called once, whichever end closes first
 }
 
-// stream forwards one connection on a path. near is the end that opened it.
+// stream forwards one connection on a path. near is the connection of the end that opened it.
 type stream struct {
 	path      path
 	near, far net.Conn
@@ -28,11 +28,11 @@
 	closed    chan struct{}
 
 	mu         sync.Mutex
-	resetsNear bool // the far end asked for its close to reach the near end as a reset
+	resetsNear bool // a close by the far end resets the near end
 }
 
-// Forward connects near, which an endpoint opened, over the path to far, the other endpoint's connection. It returns when both directions
-// have ended, and closes both connections.
+// Forward forwards between near, a connection that one endpoint opened, and far, the connection to the other endpoint, under the
+// conditions of the path. It returns when both directions have ended, and closes both connections.
 func (n *Network) Forward(from, to Endpoint, near, far net.Conn, tap Tap) {
 	s := &stream{path: path{from, to}, near: near, far: far, tap: tap, closed: make(chan struct{}),
 		out: newDeliveryQueue(n.direction(from, to)), back: newDeliveryQueue(n.direction(to, from))}
@@ -53,21 +53,21 @@
 }
 
 func (s *stream) readNear() {
-	last, isOurs := s.read(s.near, s.out, s.tap.Sent)
+	closing, closedLocally := s.read(s.near, s.out, s.tap.Sent)
 	s.observeClose()
-	if !isOurs {
-		s.out.put(nil, last, s.closed)
+	if !closedLocally {
+		s.out.put(nil, closing, s.closed)
 	}
 }
 
 func (s *stream) readFar() {
-	if last, isOurs := s.read(s.far, s.back, nil); !isOurs {
-		s.back.put(nil, last, s.closed)
+	if closing, closedLocally := s.read(s.far, s.back, nil); !closedLocally {
+		s.back.put(nil, closing, s.closed)
 	}
 }
 
 func (s *stream) deliverToFar() {
-	s.out.run(s.closed, func(bytes []byte) error { return write(s.far, bytes) }, func(last closing) { s.closeOneWay(s.far, last) })
+	s.out.run(s.closed, func(bytes []byte) error { return write(s.far, bytes) }, func(closing closeKind) { s.closeOneWay(s.far, closing) })
 }
 
 func (s *stream) deliverToNear() {
@@ -76,42 +76,42 @@
 			s.tap.Received(bytes)
 		}
 		return write(s.near, bytes)
-	}, func(last closing) {
+	}, func(closing closeKind) {
 		s.observeClose()
-		s.closeOneWay(s.near, last)
+		s.closeOneWay(s.near, closing)
 	})
 }
 
-// read queues what a connection sends until it ends, and tells how it ended, or that the stream itself was closed.
-func (s *stream) read(conn net.Conn, queue *deliveryQueue, observe func([]byte)) (last closing, isOurs bool) {
+// read queues what a connection sends until it ends. It returns how the connection ended, or that the stream itself was closed.
+func (s *stream) read(conn net.Conn, queue *deliveryQueue, observe func([]byte)) (closing closeKind, closedLocally bool) {
 	for {
-		buffer := make([]byte, maxPieceBytes)
+		buffer := make([]byte, maxChunkBytes)
 		size, err := conn.Read(buffer)
 		if size > 0 {
 			if observe != nil {
 				observe(buffer[:size])
 			}
-			queue.put(buffer[:size], notClosing, s.closed)
+			queue.put(buffer[:size], notClosed, s.closed)
 		}
 		switch {
 		case err == nil:
 		case errors.Is(err, io.EOF):
 			return orderlyClose, false
 		case errors.Is(err, net.ErrClosed), errors.Is(err, io.ErrClosedPipe):
-			return notClosing, true
+			return notClosed, true
 		default:
 			return abortiveClose, false
 		}
 	}
 }
 
-// closeOneWay brings the end of one direction to its receiver. A pipe has no half-closed state, so that the whole stream ends there;
-// between two sockets the other direction goes on.
-func (s *stream) closeOneWay(receiver net.Conn, last closing) {
+// closeOneWay passes the end of one direction on to its receiver. Between two sockets the other direction stays open. A pipe can't be
+// half-closed, so it ends the whole stream.
+func (s *stream) closeOneWay(receiver net.Conn, closing closeKind) {
 	_, nearIsPipe := s.near.(*forwardedPipe)
 	_, farIsPipe := s.far.(*forwardedPipe)
 	s.mu.Lock()
-	isReset := last == abortiveClose || receiver == s.near && s.resetsNear
+	isReset := closing == abortiveClose || receiver == s.near && s.resetsNear
 	s.mu.Unlock()
 	switch {
 	case isReset:
@@ -134,13 +134,13 @@
 func (s *stream) close() {
 	s.closeOnce.Do(func() {
 		close(s.closed)
-		_ = s.near.Close() // either may have ended already
+		_ = s.near.Close() // either may be closed already
 		_ = s.far.Close()
 		s.observeClose()
 	})
 }
 
-// abort ends the stream with a reset at both ends.
+// abort closes the stream with a reset at both ends.
 func (s *stream) abort() {
 	resetOnClose(s.near)
 	resetOnClose(s.far)
@@ -152,14 +152,14 @@
 	return err
 }
 
-// resetOnClose has a connection end with a reset, where its kind can.
+// resetOnClose has Close reset the connection if its type supports that.
 func resetOnClose(conn net.Conn) {
 	if c, ok := conn.(interface{ SetLinger(int) error }); ok {
-		_ = c.SetLinger(0) // it fails on a connection that has ended
+		_ = c.SetLinger(0) // fails if the connection is closed already
 	}
 }
 
-// closeWrite sends an end of file. Its error says that the connection has ended already.
+// closeWrite sends an end of file. It ignores errors, which mean that the connection is closed already.
 func closeWrite(conn net.Conn) {
 	if c, ok := conn.(interface{ CloseWrite() error }); ok {
 		_ = c.CloseWrite()
--- a/internal/testbed/netfault/stream_test.go
+++ b/internal/testbed/netfault/stream_test.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-const patience = 5 * time.Second // for what comes at once on a machine with nothing to do
+const testTimeout = 5 * time.Second // for what takes no noticeable time on an idle machine
 
-// echoServer forwards connections from a to b, a stub that sends back what it receives, and returns the address to connect to.
+// echoServer forwards connections from a to b, a stub that echoes what it receives, and returns the address to connect to.
 func echoServer(t *testing.T, n *Network) string {
 	t.Helper()
 	l := NewListener("127.0.0.1:0")
@@ -21,7 +21,7 @@
 			forwarded, stub := Pipe()
 			stubs.Go(func() {
 				defer func() { _ = stub.Close() }()
-				_, _ = io.Copy(stub, stub) // it ends with the test
+				_, _ = io.Copy(stub, stub) // ends with the test
 			})
 			n.Forward("a", "b", near, forwarded, Tap{})
 		})
@@ -42,7 +42,7 @@
 	return conn
 }
 
-// roundTrip sends a text, waits for as many bytes and tells how long they took.
+// roundTrip sends a text and waits for as many bytes. It returns how long that took, and the bytes.
 func roundTrip(conn net.Conn, text string, timeout time.Duration) (took time.Duration, received string, err error) {
 	start := time.Now()
 	_ = conn.SetDeadline(start.Add(timeout))
@@ -74,7 +74,7 @@
 			back:  Condition{Delay: 40 * time.Millisecond},
 			least: 100 * time.Millisecond,
 		},
-		{name: "a lost piece is sent again", out: Condition{Loss: 1}, least: retransmitDelay},
+		{name: "a lost chunk is retransmitted", out: Condition{Loss: 1}, least: retransmitDelay},
 		{name: "limited rate", out: Condition{Rate: 50}, least: 80 * time.Millisecond},
 		{name: "cut one way", out: Condition{Cut: true}, blocked: true},
 		{name: "cut the other way", back: Condition{Cut: true}, blocked: true},
@@ -87,18 +87,18 @@
 			conn := dial(t, echoServer(t, n))
 			n.SetCondition("a", "b", test.out)
 			n.SetCondition("b", "a", test.back)
-			timeout := 2 * patience
+			timeout := 2 * testTimeout
 			if test.blocked {
 				timeout = 150 * time.Millisecond
 			}
 			took, received, err := roundTrip(conn, "hello", timeout)
 			switch {
 			case test.blocked && !isTimeout(err):
-				t.Errorf("want silence, got %q, %v", received, err)
+				t.Errorf("got %q, %v; want a timeout", received, err)
 			case !test.blocked && (err != nil || (received == "hello") == test.corrupted):
 				t.Errorf("got %q, %v", received, err)
 			case took < test.least:
-				t.Errorf("took %v, want %v at the least", took, test.least)
+				t.Errorf("took %v, want at least %v", took, test.least)
 			}
 			if test.blocked {
 				healAndReceive(t, n, conn)
@@ -107,29 +107,29 @@
 	}
 }
 
-// healAndReceive clears the path: what was held back arrives, and nothing is lost or doubled.
+// healAndReceive removes all faults and expects the text of the earlier round trip to arrive once and complete.
 func healAndReceive(t *testing.T, n *Network, conn net.Conn) {
 	t.Helper()
 	n.SetCondition("a", "b", Condition{})
 	n.SetCondition("b", "a", Condition{})
-	_ = conn.SetDeadline(time.Now().Add(2 * patience))
+	_ = conn.SetDeadline(time.Now().Add(2 * testTimeout))
 	buffer := make([]byte, len("hello"))
 	if _, err := io.ReadFull(conn, buffer); err != nil || string(buffer) != "hello" {
-		t.Errorf("after the heal: %q, %v", buffer, err)
+		t.Errorf("got %q, %v after all faults were removed", buffer, err)
 	}
 }
 
 func TestResetAbortsEstablishedStreams(t *testing.T) {
 	n := New(1)
 	conn := dial(t, echoServer(t, n))
-	if _, _, err := roundTrip(conn, "hello", patience); err != nil {
+	if _, _, err := roundTrip(conn, "hello", testTimeout); err != nil {
 		t.Fatal(err)
 	}
 	if count := n.Reset("b", "a"); count != 1 {
 		t.Errorf("%d streams were reset, want 1", count)
 	}
-	_ = conn.SetDeadline(time.Now().Add(patience))
+	_ = conn.SetDeadline(time.Now().Add(testTimeout))
 	if _, err := conn.Read(make([]byte, 1)); err == nil || errors.Is(err, io.EOF) {
-		t.Errorf("want a reset, got %v", err)
+		t.Errorf("got %v, want a reset", err)
 	}
 }
