--- a/internal/simulation/accounting.go
+++ b/internal/simulation/accounting.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// Accounting sums the value that was requested and the value that was served, by seconds of the day, service types and customers. Value
-// that spans seconds is spread over them evenly.
+// Accounting sums the value that was requested and the value that was served, by second of the day, service type and customer. Value over
+// a time that spans several seconds is attributed to each in proportion.
 type Accounting struct {
 	Length           time.Duration
-	BeyondShareValue float64 // what a value counts beyond a customer's share
+	BeyondShareValue float64 // factor for value beyond a customer's share
 
-	// A row a service type, customer, and whether it is beyond the customer's share; a column a second.
+	// One row for each combination of service type, customer, and within or beyond the customer's share; one column for each second.
 	Requested, Served [][]float64
 	customers         int
 
-	// A row a locality of the clients, a column a second.
+	// One row for each locality of clients, one column for each second.
 	RequestedByLocality, ServedByLocality [][]float64
 }
 
-// Account says whose value is counted.
+// Account identifies what a value is attributed to.
 type Account struct {
 	Service       ServiceID
 	Customer      CustomerID
@@ -24,7 +24,7 @@
 	Locality      LocalityID // of the client
 }
 
-// NewAccounting makes an empty one for a day.
+// NewAccounting returns an empty Accounting for a day of a length.
 func NewAccounting(length time.Duration, services, customers, localities int, beyondShareValue float64) *Accounting {
 	a := &Accounting{Length: length, BeyondShareValue: beyondShareValue, customers: max(customers, 1)}
 	seconds := int((length + time.Second - 1) / time.Second)
@@ -50,19 +50,19 @@
 	return row
 }
 
-// RowOf is the service type, the customer, and the side of the customer's share that a row is for.
+// RowOf returns the service type and the customer of a row, and whether the row is for value beyond the customer's share.
 func (a *Accounting) RowOf(row int) (s ServiceID, c CustomerID, isBeyondShare bool) {
 	return ServiceID(row / 2 / a.customers), CustomerID(row / 2 % a.customers), row%2 == 1
 }
 
-// AddRequested counts that a client wants its connection from one time to another, at so much value a second.
+// AddRequested records that a client wants its connection from one time to another, at a value per second.
 func (a *Accounting) AddRequested(of Account, from, to time.Duration, value float64) {
 	value = a.weigh(of, value)
 	a.spread(a.Requested[a.row(of)], from, to, value)
 	a.spread(a.RequestedByLocality[of.Locality], from, to, value)
 }
 
-// AddServed counts that so much value a second was served from one time to another.
+// AddServed records a value per second that was served from one time to another.
 func (a *Accounting) AddServed(of Account, from, to time.Duration, value float64) {
 	value = a.weigh(of, value)
 	a.spread(a.Served[a.row(of)], from, to, value)
@@ -76,7 +76,8 @@
 	return value
 }
 
-// spread adds so much a second to the seconds of a span; what lies outside of the day is left out.
+// spread adds rate, which is per second, to each second between two times in proportion to the part covered. Times outside of the day are
+// ignored.
 func (a *Accounting) spread(row []float64, from, to time.Duration, rate float64) {
 	from, to = max(from, 0), min(to, a.Length)
 	for from < to {
--- a/internal/simulation/arrivals.go
+++ b/internal/simulation/arrivals.go
@@ -2,31 +2,31 @@
 
 import "time"
 
-// Arrival is one client as a source of load has it.
+// Arrival describes one client that an arrival source produces.
 type Arrival struct {
 	At            time.Duration
 	Lifetime      time.Duration // for which it wants a connection
 	Service       ServiceID
-	Customer      CustomerID // below 0: none
+	Customer      CustomerID // negative: none
 	Group         GroupID
 	Locality      LocalityID
-	Load          float64 // usual, work a second
-	IsBeyondShare bool    // it comes on top of its customer's share
-	IsEstablished bool    // it has its connection when the day begins
+	Load          float64 // usual work per second
+	IsBeyondShare bool    // it exceeds its customer's share
+	IsEstablished bool    // its connection is established when the day begins
 }
 
-// account says whose value its connection is.
+// account identifies what the value of the client's connection is attributed to.
 func (a Arrival) account() Account {
 	return Account{Service: a.Service, Customer: a.Customer, IsBeyondShare: a.IsBeyondShare, Locality: a.Locality}
 }
 
-// ArrivalSource has arrivals in the order of their times. It must not depend on what balancers do: arrivals never wait for answers, or a
-// balancer that stops would lower its own load.
+// ArrivalSource produces arrivals in the order of their times. It must not depend on what balancers do (an open-loop source): if arrivals
+// waited for answers, a balancer that stops would lower its own load.
 type ArrivalSource interface {
 	Next() (Arrival, bool)
 }
 
-// StartLoad begins to draw arrivals from a source.
+// StartLoad starts the arrivals of a source.
 func (w *World) StartLoad(s ArrivalSource) {
 	w.source = s
 	w.scheduleNextArrival()
@@ -46,20 +46,20 @@
 func (w *World) addClient(a Arrival) {
 	id := ClientID(w.Totals.Clients)
 	c := &Client{
-		ID:      id,
-		Arrival: a,
-		w:       w,
-		random:  RandomSource(w.Seed, "client", int(id)),
-		until:   a.At + a.Lifetime,
-		place:   len(w.clients),
-		load:    a.Load,
+		ID:       id,
+		Arrival:  a,
+		w:        w,
+		random:   RandomSource(w.Seed, "client", int(id)),
+		leavesAt: a.At + a.Lifetime,
+		index:    len(w.clients),
+		load:     a.Load,
 	}
 	w.Totals.Clients++
 	w.clients = append(w.clients, c)
 	service := c.service()
 	c.obeysRetryAfter = c.random.Float64() < service.ObeysRetryAfter
-	w.Accounting.AddRequested(a.account(), a.At, c.until, service.Value)
-	w.Schedule.At(c.until, Arrive, c.leave)
+	w.Accounting.AddRequested(a.account(), a.At, c.leavesAt, service.Value)
+	w.Schedule.At(c.leavesAt, Arrive, c.leave)
 	c.scheduleLoadChange()
 	if a.IsEstablished {
 		w.establishInitially(c)
@@ -68,7 +68,7 @@
 	c.attempt()
 }
 
-// scheduleLoadChange has a client's load change from time to time while it lasts.
+// scheduleLoadChange schedules the next random change of a client's load, and from there further ones until the client leaves.
 func (c *Client) scheduleLoadChange() {
 	service := c.service()
 	if service.ChangeEvery <= 0 || service.LoadChangeSpread <= 0 {
--- a/internal/simulation/client.go
+++ b/internal/simulation/client.go
@@ -14,19 +14,19 @@
 	NotStarted ClientState = iota // it has not made its first attempt
 	Attempting                    // it awaits the answer to an attempt
 	Connected                     // its connection is established
-	Pausing                       // it waits for its next attempt
+	Pausing                       // it waits before its next attempt
 	Finished                      // it has left
 )
 
 const (
 	minRetryDelay   = time.Millisecond
-	silenceInterval = time.Second // at which a client looks for signs of life from its server
+	silenceInterval = time.Second // between a client's checks that its server responds
 )
 
-// retryPause is the pause of a client after as many retries in a row as it makes.
+// retryPause is the pause of a client after more than Service.RetriesInARow failures in a row.
 var retryPause = Interval{time.Second, 3 * time.Second}
 
-// Client wants one long-lived connection for a span of time, however many attempts that takes.
+// Client wants one long-lived connection for its lifetime, and makes as many attempts as that takes.
 type Client struct {
 	ID ClientID
 	Arrival
@@ -34,27 +34,27 @@
 	w               *World
 	random          *rand.Rand
 	obeysRetryAfter bool
-	until           time.Duration
-	place           int // in World.clients
+	leavesAt        time.Duration
+	index           int // in World.clients
 	load            float64
 
 	state         ClientState
-	stateChanges  int // what was scheduled for an earlier state is void
+	stateChanges  int // number of transitions; actions scheduled before the latest one don't run
 	flow          FlowID
 	attemptedAt   time.Duration
-	failedInARow  int // attempts
+	failedInARow  int // failed attempts since the last established one
 	retried       int // attempts after the first
 	hadConnection bool
 	server        *Server // nil where no connection is established
 	conn          *conn
 }
 
-// Load is what the client asks for now.
+// Load is the work per second that the client asks for now.
 func (c *Client) Load() float64 { return c.load }
 
 func (c *Client) service() *Service { return &c.w.Services[c.Service] }
 
-// transition makes every change of a client's state.
+// transition changes the client's state. All state changes go through it.
 func (c *Client) transition(to ClientState) {
 	c.stateChanges++
 	c.state = to
@@ -63,15 +63,15 @@
 	}
 }
 
-// removeClient takes a client off by having the last one take its place.
+// removeClient removes a client by moving the last one to its index.
 func (w *World) removeClient(c *Client) {
 	last := w.clients[len(w.clients)-1]
-	w.clients[c.place], last.place = last, c.place
+	w.clients[c.index], last.index = last, c.index
 	w.clients = w.clients[:len(w.clients)-1]
 }
 
-// later schedules something that doesn't happen if the client's state changes first.
-func (c *Client) later(delay time.Duration, do func()) {
+// afterInState schedules an action that is skipped if the client's state changes first.
+func (c *Client) afterInState(delay time.Duration, do func()) {
 	scheduledIn := c.stateChanges
 	c.w.Schedule.After(delay, Arrive, func() {
 		if c.stateChanges == scheduledIn {
@@ -80,12 +80,13 @@
 	})
 }
 
-// FlowAdopter is a driver that can begin with flows that are established.
+// FlowAdopter is a driver that can take over flows that are established when the day begins.
 type FlowAdopter interface {
 	AdoptFlow(f FlowID, c *Client, b BalancerID, conn ConnID, s ServerID)
 }
 
-// establishInitially begins the day with an established connection. Its server is drawn by capacity, as chance alone would have left it.
+// establishInitially gives a client an established connection when the day begins. Its server is drawn at random, weighted by capacity. The
+// client makes an ordinary attempt where the driver can't adopt flows, or no server or balancer is available.
 func (w *World) establishInitially(c *Client) {
 	sums := w.initialWeights(c)
 	b, hasBalancer := w.chooseBalancer(c)
@@ -108,7 +109,7 @@
 	s.establish(k)
 }
 
-// initialWeights are running sums of the servers' capacities, with those of the client's locality weighted more.
+// initialWeights returns running sums of the servers' capacities, where those of servers in the client's locality count localWeight times.
 func (w *World) initialWeights(c *Client) []float64 {
 	sums, sum := make([]float64, len(w.Servers)), 0.0
 	for i, s := range w.Servers {
@@ -133,7 +134,7 @@
 	c.w.flows[c.flow] = c
 }
 
-// endFlow forgets the flow of the last attempt.
+// endFlow removes the flow of the last attempt and returns its ID.
 func (c *Client) endFlow() FlowID {
 	f := c.flow
 	delete(c.w.flows, f)
@@ -141,13 +142,14 @@
 	return f
 }
 
-// chooseBalancer draws a balancer for a client: one of its locality that the front believes to be up, or of any other locality.
+// chooseBalancer draws a balancer for a client among those that the front considers up: one in its locality, or any other where there is
+// none.
 func (w *World) chooseBalancer(c *Client) (b BalancerID, ok bool) {
 	var near, far []BalancerID
 	for _, b := range w.Balancers {
-		if b.believedUp && b.Locality == c.Locality {
+		if b.frontSeesUp && b.Locality == c.Locality {
 			near = append(near, b.ID)
-		} else if b.believedUp {
+		} else if b.frontSeesUp {
 			far = append(far, b.ID)
 		}
 	}
@@ -160,7 +162,7 @@
 	return near[c.random.IntN(len(near))], true
 }
 
-// attempt makes one attempt.
+// attempt opens a flow at a balancer and starts the client's timeout.
 func (c *Client) attempt() {
 	if c.state == Finished {
 		return
@@ -175,7 +177,7 @@
 		w.AnswerFlow(c.flow, NoBalancer, 0)
 		return
 	}
-	c.later(service.Timeout, func() {
+	c.afterInState(service.Timeout, func() {
 		w.Totals.TimedOut++
 		w.Driver.LeaveFlow(c.endFlow())
 		c.scheduleRetry(0)
@@ -220,15 +222,15 @@
 	c.watchForSilence()
 }
 
-// scheduleRetry waits for the next attempt by the service's retry policy, and longer after many.
+// scheduleRetry schedules the next attempt after a failed one, by the service's retry policy.
 func (c *Client) scheduleRetry(retryAfter time.Duration) {
 	c.transition(Pausing)
 	c.failedInARow++
 	c.retried++
 	if c.service().Retry == NeverRetry {
-		return // what it wanted stays unserved
+		return // its requested value stays unserved
 	}
-	c.later(max(c.retryDelay(), retryAfter, minRetryDelay), c.attempt)
+	c.afterInState(max(c.retryDelay(), retryAfter, minRetryDelay), c.attempt)
 }
 
 func (c *Client) retryDelay() time.Duration {
@@ -245,7 +247,7 @@
 	return 0
 }
 
-// BreakFlow ends a client's connection against the client's will; it returns after a pause.
+// BreakFlow ends a client's flow that the client did not end itself. The client reconnects after a pause.
 func (w *World) BreakFlow(f FlowID, how Ending) {
 	c := w.flows[f]
 	if c == nil {
@@ -265,14 +267,14 @@
 	}
 }
 
-// scheduleReturn has a client that lost its connection come back.
+// scheduleReturn schedules the next attempt of a client that lost its connection.
 func (c *Client) scheduleReturn() {
 	c.transition(Pausing)
 	c.retried++
-	c.later(c.service().Return.Draw(c.random), c.attempt)
+	c.afterInState(c.service().Return.Draw(c.random), c.attempt)
 }
 
-// watchForSilence has a client give up its connection when its server has shown no sign of life for some time.
+// watchForSilence makes a client close its connection and reconnect when its server has not responded for Service.SilenceNoticed.
 func (c *Client) watchForSilence() {
 	limit := c.service().SilenceNoticed
 	if limit <= 0 {
@@ -294,16 +296,16 @@
 			c.scheduleReturn()
 			return
 		}
-		c.later(silenceInterval, check)
+		c.afterInState(silenceInterval, check)
 	}
-	c.later(silenceInterval, check)
+	c.afterInState(silenceInterval, check)
 }
 
 func (c *Client) isSilent() bool {
 	return c.conn == nil || !c.server.IsServing() || c.w.Network.isPartitioned(c.conn.balancerLocality, c.server.Locality)
 }
 
-// leave ends what the client wants.
+// leave ends the client and its flow.
 func (c *Client) leave() {
 	if c.state == Finished {
 		return
@@ -316,16 +318,16 @@
 	}
 }
 
-// countNeverEstablished counts a client that leaves, or is left at the end, without having had a connection: how long it waited is part of
-// what a load saw, or a balancer that answers nobody would look fast.
+// countNeverEstablished records the wait of a client that leaves, or remains at the end of the day, without having had a connection.
+// Without these waits, a balancer that establishes nothing would look fast.
 func (c *Client) countNeverEstablished() {
 	if !c.hadConnection && !c.IsEstablished {
-		c.hadConnection = true // it is counted once
+		c.hadConnection = true // so that it is counted once
 		c.w.Totals.NeverEstablished = append(c.w.Totals.NeverEstablished, c.w.Schedule.now-c.At)
 	}
 }
 
-// AddGuest adds a client of somebody else's, which a server is to serve and nobody counts.
+// AddGuest adds a client from outside the model, which a server serves and the totals don't count. It returns the client's flow.
 func (w *World) AddGuest(s ServiceID, g GroupID) (FlowID, *Client) {
 	c := &Client{ID: -1, Arrival: Arrival{Service: s, Customer: -1, Group: g, Load: w.meanLoad}, w: w, load: w.meanLoad}
 	c.newFlow()
--- a/internal/simulation/connection.go
+++ b/internal/simulation/connection.go
@@ -6,18 +6,18 @@
 )
 
 const (
-	storeWorkMin = 0.7 // of a call to the store, in calls of the mean work
+	storeWorkMin = 0.7 // least and greatest work of a call to the store, relative to the mean
 	storeWorkMax = 1.3
 )
 
-// connStage is the stage of a connection at its server.
+// connStage is the progress of a connection at its server.
 type connStage int
 
 const (
 	queued connStage = iota
 	callingStore
 	established
-	over
+	ended
 )
 
 type conn struct {
@@ -26,7 +26,7 @@
 	balancerLocality LocalityID
 	stage            connStage
 	job              *Job
-	place            int // in Server.conns
+	index            int // in Server.conns
 }
 
 // recentConnect is a connect to a server in slow start.
@@ -35,13 +35,13 @@
 	load float64
 }
 
-// arrive takes the line of a connect, or ends the connect.
-func (s *Server) arrive(id ConnID, c *Client, from LocalityID) {
+// receiveConnect handles the request line of a connect: it starts the set-up or ends the connect.
+func (s *Server) receiveConnect(id ConnID, c *Client, from LocalityID) {
 	w := s.w
 	s.settle()
 	s.recordSlowStartLoad(c.load)
 	switch {
-	case !s.IsServing(): // it collapsed under this very connect
+	case !s.IsServing(): // this connect made the server collapse
 		w.Driver.EndConnect(id, Dropped)
 	case s.phase == Leaving || len(s.conns) >= s.MaxConnections:
 		w.Driver.EndConnect(id, Full)
@@ -65,16 +65,16 @@
 }
 
 func (s *Server) add(k *conn) {
-	k.place = len(s.conns)
+	k.index = len(s.conns)
 	s.conns = append(s.conns, k)
 	s.connByID[k.id] = k
 	s.w.conns[k.id] = s
 }
 
-// remove takes a connection off by having the last one take its place.
+// remove removes a connection by moving the last one to its index.
 func (s *Server) remove(k *conn) {
 	last := s.conns[len(s.conns)-1]
-	s.conns[k.place], last.place = last, k.place
+	s.conns[k.index], last.index = last, k.index
 	s.conns = s.conns[:len(s.conns)-1]
 	delete(s.connByID, k.id)
 	delete(s.w.conns, k.id)
@@ -88,18 +88,18 @@
 		return
 	}
 	work := Uniform(s.w.storeRandom, storeWorkMin, storeWorkMax)
-	k.job, _ = s.w.Store.Put(work, func() { s.finishSetup(k) }) // the store's queue has no bound
+	k.job, _ = s.w.Store.Put(work, func() { s.finishSetup(k) }) // the store's queue is unbounded
 }
 
 func (s *Server) finishSetup(k *conn) {
-	if k.stage == over {
+	if k.stage == ended {
 		return
 	}
 	s.establish(k)
 	s.w.Driver.Establish(k.id)
 }
 
-// establish has a connection ask for work from now on.
+// establish marks a connection as established and adds its load to the server's demand.
 func (s *Server) establish(k *conn) {
 	s.settle()
 	k.stage, k.job = established, nil
@@ -117,9 +117,9 @@
 	s.updateSetupSpeed()
 }
 
-// end takes a connection off, whatever its stage. Every way in which one can end goes through here.
+// end removes a connection in any stage. All connections end through it.
 func (s *Server) end(k *conn) {
-	if k.stage == over {
+	if k.stage == ended {
 		return
 	}
 	s.settle()
@@ -133,10 +133,10 @@
 	case established:
 		s.endEstablished(k)
 	}
-	k.stage = over
+	k.stage = ended
 	s.remove(k)
 	if s.established == 0 {
-		s.demand = 0 // what rounding left
+		s.demand = 0 // removes rounding errors
 	}
 	s.updateSetupSpeed()
 }
@@ -156,7 +156,7 @@
 	c.server, c.conn = nil, nil
 }
 
-// drainFor begins a drain that ends in a stop. What comes then is done unless the server has ended or restarted before.
+// drainFor drains the server for a time, then stops it and calls then. Neither happens if the server goes down or restarts before.
 func (s *Server) drainFor(d time.Duration, kind Drain, then func()) {
 	if s.phase != Serving {
 		return
@@ -176,9 +176,9 @@
 	})
 }
 
-// scheduleMoves has the clients of all connections asked to reconnect during a drain.
+// scheduleMoves schedules the requests to the clients of all connections to reconnect during a drain.
 func (s *Server) scheduleMoves(drain time.Duration, kind Drain) {
-	const pacedShare = 0.9 // of the drain, over which paced moves are spread
+	const pacedShare = 0.9 // part of the drain over which paced requests are spread
 	incarnation := s.incarnation
 	all := append([]*conn(nil), s.conns...)
 	for i, k := range all {
--- a/internal/simulation/drain.go
+++ b/internal/simulation/drain.go
@@ -5,7 +5,7 @@
 
 // Ways to drain.
 const (
-	Quiet  Drain = iota // it keeps them until it stops
-	Paced               // it has their clients reconnect, evenly over the drain
-	AtOnce              // it has all their clients reconnect at once
+	Quiet  Drain = iota // keep them until the server stops
+	Paced               // ask their clients to reconnect, spread evenly over the drain
+	AtOnce              // ask all their clients to reconnect when the drain begins
 )
--- a/internal/simulation/fault.go
+++ b/internal/simulation/fault.go
@@ -6,38 +6,38 @@
 	"time"
 )
 
-// FaultKind is a kind of fault. Its value names it in experiment files.
+// FaultKind is a kind of fault. Its value is its name in experiment files.
 type FaultKind string
 
-// Kinds of faults. Servers that start again after a fault are in slow start.
+// Kinds of faults. Servers that restart after a fault are in slow start.
 const (
 	Slow          FaultKind = "slow"           // a share of servers is Strength times slower
-	Errors        FaultKind = "errors"         // a share of servers fails Strength of its set-ups fast
-	Vanish        FaultKind = "vanish"         // a share of servers falls silent and starts again at the end
-	Crash         FaultKind = "crash"          // a share of servers dies and starts again at the end
+	Errors        FaultKind = "errors"         // a share of servers quickly fails the fraction Strength of its set-ups
+	Vanish        FaultKind = "vanish"         // a share of servers stops responding and restarts at the end
+	Crash         FaultKind = "crash"          // a share of servers crashes and restarts at the end
 	Deploy        FaultKind = "deploy"         // a share of servers is replaced, Strength of the fleet at a time, draining for Extra
 	Grow          FaultKind = "grow"           // the fleet becomes Strength times as large
 	StoreSlow     FaultKind = "store_slow"     // the session store is Strength times slower
 	Reconnect     FaultKind = "reconnect"      // a share of clients drops its connections and reconnects within Length
-	Burst         FaultKind = "burst"          // arrivals are Strength times as many
-	Neighbour     FaultKind = "neighbour"      // on a share of servers another program takes Strength, Extra on and Extra off
-	ListDark      FaultKind = "list_dark"      // the server list sends nothing
-	ListStale     FaultKind = "list_stale"     // the server list is Extra later than usual
-	BalancerCrash FaultKind = "balancer_crash" // a share of balancers dies and starts again at the end
-	BalancerRoll  FaultKind = "balancer_roll"  // a share of balancers is restarted in order, Strength of all at a time, Extra down
-	LocalityLost  FaultKind = "hall_lost"      // all servers and balancers of a locality fall silent and start again at the end
-	Partition     FaultKind = "cut"            // nothing gets from Locality to the others; both directions where Strength is not below 1
-	Overload      FaultKind = "overload"       // the load is Strength times as large, that of established connections too
+	Burst         FaultKind = "burst"          // the arrival rate is multiplied by Strength
+	Neighbour     FaultKind = "neighbour"      // on a share of servers another program uses the fraction Strength, Extra on, Extra off
+	ListDark      FaultKind = "list_dark"      // the server list sends no updates
+	ListStale     FaultKind = "list_stale"     // updates of the server list are delayed by Extra more than usual
+	BalancerCrash FaultKind = "balancer_crash" // a share of balancers crashes and restarts at the end
+	BalancerRoll  FaultKind = "balancer_roll"  // a share of balancers is stopped cleanly and restarted after Extra, Strength of all at a time
+	LocalityLost  FaultKind = "hall_lost"      // all servers of a locality stop responding, its balancers die; all restart at the end
+	Partition     FaultKind = "cut"            // Locality can't send to the others; nor they to it where Strength is 1 or more
+	Overload      FaultKind = "overload"       // the load is multiplied by Strength, that of established connections too
 )
 
-// FaultKinds are all there are.
+// FaultKinds lists all kinds.
 var FaultKinds = []FaultKind{Slow, Errors, Vanish, Crash, Deploy, Grow, StoreSlow, Reconnect, Burst, Neighbour, ListDark, ListStale,
 	BalancerCrash, BalancerRoll, LocalityLost, Partition, Overload}
 
 // AnyLocality marks a fault that is not limited to one locality.
 const AnyLocality LocalityID = -1
 
-// Fault is one entry of a day's timeline. Any may overlap. What Share, Strength and Extra mean is said with the kinds.
+// Fault is one entry of a day's timeline. Faults may overlap. The comments on the kinds define Share, Strength and Extra.
 type Fault struct {
 	Kind          FaultKind
 	Start, Length time.Duration
@@ -47,16 +47,16 @@
 	Locality      LocalityID
 }
 
-// End is when it is over.
+// End is the time at which the fault ends.
 func (f Fault) End() time.Duration { return f.Start + f.Length }
 
-// String is the fault with its time, to a tenth of a second.
+// String formats the fault with its start and length, rounded to a tenth of a second.
 func (f Fault) String() string {
 	const precision = 100 * time.Millisecond
 	return fmt.Sprintf("%s from %v for %v", f.Kind, f.Start.Round(precision), f.Length.Round(precision))
 }
 
-// ArrivalRate is by how much a timeline changes the rate of arrivals at a time. Sources of arrivals ask for it.
+// ArrivalRate returns the factor by which the timeline's bursts and overloads multiply the arrival rate at a time. Arrival sources apply it.
 func ArrivalRate(faults []Fault, at time.Duration) (times float64) {
 	times = 1
 	for _, f := range faults {
@@ -67,21 +67,22 @@
 	return times
 }
 
-// timedFault is a fault with its place in the timeline, which its random draws depend on.
+// timedFault is a fault with its index in the timeline, which selects its random source.
 type timedFault struct {
 	Fault
 	number int
 }
 
-// ScheduleFaults schedules a timeline.
+// ScheduleFaults schedules all faults of a timeline.
 func (w *World) ScheduleFaults(faults []Fault) {
 	for i, f := range faults {
 		w.Schedule.At(f.Start, Cause, func() { w.startFault(timedFault{f, i}) })
 	}
 }
 
-// starters start each kind of fault and schedule its end. Bursts and overloads are the matter of the source of arrivals.
-var starters = map[FaultKind]func(*World, timedFault){
+// faultStarters holds, for each kind of fault, the function that starts it and schedules its end. Bursts and overloads are missing, as the
+// arrival source applies them.
+var faultStarters = map[FaultKind]func(*World, timedFault){
 	Slow:          (*World).startSlow,
 	Errors:        (*World).startErrors,
 	Vanish:        func(w *World, f timedFault) { w.startOutage(f, Silent) },
@@ -100,16 +101,16 @@
 }
 
 func (w *World) startFault(f timedFault) {
-	if start := starters[f.Kind]; start != nil {
+	if start := faultStarters[f.Kind]; start != nil {
 		start(w, f)
 	}
 }
 
-// atEndOf schedules what ends a fault.
+// atEndOf schedules a function for the end of a fault.
 func (w *World) atEndOf(f timedFault, do func()) { w.Schedule.At(f.End(), Cause, do) }
 
-// shareOf is a share of so many, one at the least where there are any.
-func shareOf(share float64, count int) int {
+// countOfShare returns the share of count, rounded: at least 1, unless count is 0.
+func countOfShare(share float64, count int) int {
 	return min(count, max(1, int(math.Round(share*float64(count)))))
 }
 
@@ -126,11 +127,11 @@
 	w.Store.SetSpeed(w.storeRate / w.storeSlowdown)
 }
 
-// startReconnect has a share of the connected clients lose their connections and reconnect over the length of the fault.
+// startReconnect makes a share of the connected clients close their connections and reconnect at random times within the fault's length.
 func (w *World) startReconnect(f timedFault) {
 	r := RandomSource(w.Seed, "reconnect", f.number)
 	for _, c := range append([]*Client(nil), w.clients...) {
-		// Drawn for each client that is present, so that what a policy made of the day before shifts nobody's draw.
+		// Draws for every client that is present, connected or not, so that the policy's earlier decisions don't change the draws of others.
 		draw := r.Float64()
 		delay := UniformDuration(r, 0, f.Length)
 		if draw >= f.Share || c.state != Connected {
@@ -139,7 +140,7 @@
 		w.Driver.LeaveFlow(c.endFlow())
 		c.transition(Pausing)
 		c.retried++
-		c.later(max(delay, time.Millisecond), c.attempt)
+		c.afterInState(max(delay, time.Millisecond), c.attempt)
 	}
 }
 
@@ -163,7 +164,7 @@
 	w.atEndOf(f, func() { w.partition(f, -1) })
 }
 
-// partition adds to the faults that block what a locality sends to the others, and what it gets from them where the fault is in full.
+// partition changes the number of faults that block traffic from a locality to the others, and back where Strength is 1 or more.
 func (w *World) partition(f timedFault, faults int) {
 	for other := range w.Localities {
 		if to := LocalityID(other); to != f.Locality {
@@ -185,7 +186,7 @@
 	}
 }
 
-// startLocalityLost has all servers of a locality go silent and all of its balancers die.
+// startLocalityLost makes all servers of a locality unresponsive and kills all of its balancers.
 func (w *World) startLocalityLost(f timedFault) {
 	var servers []*Server
 	for _, s := range w.Servers {
--- a/internal/simulation/fault_servers.go
+++ b/internal/simulation/fault_servers.go
@@ -6,11 +6,11 @@
 )
 
 const (
-	replacementDelay     = 500 * time.Millisecond // from the end of a server's process until its next one starts
+	replacementDelay     = 500 * time.Millisecond // from the end of a server's process to the start of its replacement
 	minNeighbourInterval = 100 * time.Millisecond
 )
 
-// faultyServers draws a share of the servers that serve, of a locality or of all.
+// faultyServers draws a share of the servers that are serving, in the fault's locality or in all.
 func (w *World) faultyServers(f timedFault) (faulty []*Server) {
 	var candidates []*Server
 	for _, s := range w.Servers {
@@ -18,7 +18,7 @@
 			candidates = append(candidates, s)
 		}
 	}
-	count := shareOf(f.Share, len(candidates))
+	count := countOfShare(f.Share, len(candidates))
 	r := RandomSource(w.Seed, "trouble "+string(f.Kind), f.number)
 	for _, i := range r.Perm(len(candidates))[:count] {
 		faulty = append(faulty, candidates[i])
@@ -34,7 +34,7 @@
 	}
 }
 
-// changeDuring changes something about a fault's servers now and changes it back at the end.
+// changeDuring applies a change to a fault's servers now and undoes it at the fault's end.
 func (w *World) changeDuring(f timedFault, change, undo func(*Server)) {
 	servers := w.faultyServers(f)
 	changeServers(servers, change)
@@ -64,7 +64,7 @@
 	toggle()
 }
 
-// startOutage takes servers down until the end of the fault.
+// startOutage puts servers into a phase without service until the end of the fault.
 func (w *World) startOutage(f timedFault, to Phase) {
 	servers := w.faultyServers(f)
 	w.takeDown(servers, to)
@@ -94,7 +94,7 @@
 	}
 }
 
-// inBatches spreads things evenly over the length of a fault, so many of them at a time.
+// inBatches schedules do for all items, in batches of the given size spread evenly over the length of a fault.
 func inBatches[T any](w *World, f timedFault, all []T, size int, do func(T)) {
 	batches := (len(all) + size - 1) / size
 	for n := range batches {
@@ -107,12 +107,12 @@
 	}
 }
 
-// batchSize is Strength of so many, one at the least.
+// batchSize is the fraction Strength of count, rounded, and at least 1.
 func (f timedFault) batchSize(count int) int {
 	return max(1, int(math.Round(f.Strength*float64(count))))
 }
 
-// startDeploy replaces servers batch by batch: each drains, ends and starts anew.
+// startDeploy replaces servers in batches: each drains, stops and starts again.
 func (w *World) startDeploy(f timedFault) {
 	inBatches(w, f, w.faultyServers(f), f.batchSize(len(w.Servers)), func(s *Server) {
 		s.drainFor(f.Extra, w.drainKind, func() {
@@ -123,16 +123,16 @@
 	})
 }
 
-// startGrow adds servers one by one, each like one of those that there were.
+// startGrow adds servers one by one, each with the spec of a randomly drawn existing server.
 func (w *World) startGrow(f timedFault) {
 	before := len(w.Servers)
 	added := max(1, int(math.Round(float64(before)*(f.Strength-1))))
 	r := RandomSource(w.Seed, "grow", f.number)
 	for n := range added {
-		like := w.Servers[r.IntN(before)]
+		template := w.Servers[r.IntN(before)]
 		w.Schedule.At(f.Start+f.Length*time.Duration(n)/time.Duration(added), Cause, func() {
-			s := w.StartServer(like.ServerSpec)
-			w.List.entries[s.ID].Readiness = Gone // it is listed only after a while
+			s := w.StartServer(template.ServerSpec)
+			w.List.entries[s.ID].Readiness = Gone // until the list notices the new server
 			w.List.updateAfter(s, w.List.addDelay())
 			w.Driver.ServerChanged(s.ID)
 		})
--- a/internal/simulation/list.go
+++ b/internal/simulation/list.go
@@ -5,16 +5,17 @@
 	"time"
 )
 
-// ListConfig says how late the server list is.
+// ListConfig sets the delays of the server list.
 type ListConfig struct {
-	Notice        Interval // until a change is noticed of a process that runs and says so
-	NoticeSilent  Interval // until a server that fell silent is noticed
-	NoticeAdded   Interval // until a server that started is noticed
-	Spread        Interval // from there until a balancer receives it
-	MustSubscribe bool     // balancers receive nothing until they subscribe
+	Notice        Interval // until the list notices a drain, a stop or a crash
+	NoticeSilent  Interval // until the list notices that a server has become unresponsive
+	NoticeAdded   Interval // until the list notices that a server has started
+	Spread        Interval // from the notice until a balancer receives the update
+	MustSubscribe bool     // balancers receive no updates until they subscribe
 }
 
-// List is the service that sends balancers the list of servers: late, and knowing only whether their processes run.
+// List is the discovery service that sends balancers the list of servers. Its updates are delayed, and tell only whether a server's process
+// runs or drains, not how it performs.
 type List struct {
 	config      ListConfig
 	w           *World
@@ -23,21 +24,21 @@
 	changedIn   []int // the revision in which each entry last changed
 	revision    int
 	subscribers []subscriber
-	outages     int // faults that keep it silent
+	outages     int // number of faults during which it sends nothing
 	extraDelay  time.Duration
 }
 
-// subscriber is what one balancer has received.
+// subscriber is the state of one balancer's subscription.
 type subscriber struct {
-	revision     int
+	revision     int // of the list, as the balancer last received it
 	isSubscribed bool
 	needsFull    bool // the next update is the whole list
-	isPending    bool // an update is on its way
+	isPending    bool // an update is scheduled
 }
 
 func newList(w *World) *List { return &List{w: w, random: RandomSource(w.Seed, "list", 0)} }
 
-// ConfigureList sets how late the list is.
+// ConfigureList sets the delays of the list, and whether balancers must subscribe.
 func (w *World) ConfigureList(c ListConfig) {
 	w.List.config = c
 	for i := range w.List.subscribers {
@@ -51,7 +52,7 @@
 }
 func (l *List) addDelay() time.Duration { return l.config.NoticeAdded.Draw(l.random) + l.extraDelay }
 
-// entry is what the list would say of a server if it knew all.
+// entry is the list entry that reflects a server's true state.
 func entry(s *Server) Entry {
 	e := Entry{Server: s.ID, Locality: s.Locality, Cell: s.Cell, Size: s.Size, StartedAt: s.startedAt}
 	switch s.phase {
@@ -63,7 +64,7 @@
 	return e
 }
 
-// changed puts a server as it is into the list at once.
+// changed sets a server's entry to its true state at once.
 func (l *List) changed(s *Server) {
 	l.revision++
 	if int(s.ID) < len(l.entries) {
@@ -73,7 +74,7 @@
 	l.entries, l.changedIn = append(l.entries, entry(s)), append(l.changedIn, l.revision)
 }
 
-// updateAfter has the list notice a server as it is by then.
+// updateAfter makes the list take up, after a delay, the state that a server has by then.
 func (l *List) updateAfter(s *Server, delay time.Duration) {
 	l.w.Schedule.After(delay, ListUpdate, func() {
 		if l.entries[s.ID] != entry(s) {
@@ -83,14 +84,14 @@
 	})
 }
 
-// sendAll sends all balancers the changes that they lack.
+// sendAll schedules an update for each balancer.
 func (l *List) sendAll() {
 	for b := range l.subscribers {
 		l.scheduleSend(BalancerID(b))
 	}
 }
 
-// scheduleSend sends a balancer the changes that it lacks, after a delay.
+// scheduleSend sends a balancer, after a delay, the changes that it has not received yet.
 func (l *List) scheduleSend(b BalancerID) {
 	if l.subscribers[b].isPending || !l.subscribers[b].isSubscribed {
 		return
@@ -121,7 +122,7 @@
 	return update
 }
 
-// Known is the list as a balancer last received it, which it still has when it starts again.
+// Known returns the list as a balancer last received it. A balancer that restarts loads it from its cache.
 func (l *List) Known(b BalancerID) (known []Entry) {
 	for i, e := range l.entries {
 		if l.changedIn[i] <= l.subscribers[b].revision && e.Readiness != Gone {
@@ -131,10 +132,10 @@
 	return known
 }
 
-// IsUnavailable reports whether the list answers nobody now.
+// IsUnavailable reports whether an outage makes calls to the list fail now.
 func (l *List) IsUnavailable() bool { return l.outages > 0 }
 
-// Subscribe sends a balancer the whole list, and its changes from then on. False: the call fails.
+// Subscribe sends a balancer the whole list, and its changes from then on. It returns false where the call fails, during an outage.
 func (l *List) Subscribe(b BalancerID) bool {
 	if l.outages > 0 {
 		return false
@@ -144,13 +145,13 @@
 	return true
 }
 
-// restart sends a balancer that starts again the whole list, unless it must subscribe.
+// restart sends a restarted balancer the whole list, unless it must subscribe first.
 func (l *List) restart(b BalancerID) {
 	l.subscribers[b].needsFull, l.subscribers[b].isSubscribed = true, !l.config.MustSubscribe
 	l.scheduleSend(b)
 }
 
-// Begin gives every balancer the current list at once: a day starts with it known.
+// Begin marks the current list as received by all balancers: they know it when a day begins.
 func (l *List) Begin() {
 	for b := range l.subscribers {
 		l.subscribers[b].revision = l.revision
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -6,19 +6,19 @@
 type Network struct {
 	WithinLocality, BetweenLocalities, Client time.Duration // one way
 
-	blocked map[direction]int // how many faults block it
+	blocked map[direction]int // number of faults that block each direction
 }
 
 type direction struct{ from, to LocalityID }
 
 func newNetwork() *Network { return &Network{blocked: map[direction]int{}} }
 
-// ConfigureNetwork sets the delays one way: within a locality, between two, and from clients to balancers.
+// ConfigureNetwork sets the one-way delays within a locality, between localities, and between clients and balancers.
 func (w *World) ConfigureNetwork(within, between, client time.Duration) {
 	w.Network.WithinLocality, w.Network.BetweenLocalities, w.Network.Client = within, between, client
 }
 
-// Delay is how long something takes from a locality to another.
+// Delay is the one-way delay from one locality to another.
 func (n *Network) Delay(from, to LocalityID) time.Duration {
 	if from == to {
 		return n.WithinLocality
@@ -26,7 +26,7 @@
 	return n.BetweenLocalities
 }
 
-// IsBlocked reports whether nothing gets from one locality to another now; the opposite direction may be open.
+// IsBlocked reports whether a fault blocks traffic from one locality to another now; the opposite direction may be open.
 func (n *Network) IsBlocked(from, to LocalityID) bool {
 	return len(n.blocked) > 0 && n.blocked[direction{from, to}] > 0
 }
@@ -34,7 +34,7 @@
 // isPartitioned reports whether either direction is blocked.
 func (n *Network) isPartitioned(a, b LocalityID) bool { return n.IsBlocked(a, b) || n.IsBlocked(b, a) }
 
-// block adds to the faults that block a direction; a negative number removes them.
+// block changes the number of faults that block a direction; a negative number removes faults.
 func (n *Network) block(from, to LocalityID, faults int) {
 	d := direction{from, to}
 	n.blocked[d] += faults
--- a/internal/simulation/process.go
+++ b/internal/simulation/process.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// goDown ends a server's process, or cuts it off. Its connections end, unless it falls silent.
+// goDown moves a server to a phase without service. Its connections end, unless the phase is Silent.
 func (s *Server) goDown(to Phase) {
 	s.settle()
 	s.phase = to
@@ -23,7 +23,7 @@
 	s.backlog = 0
 }
 
-// boot starts a process anew, in slow start.
+// boot starts the server's process again, in slow start and without connections.
 func (s *Server) boot() {
 	s.settle()
 	s.dropAll()
@@ -35,13 +35,13 @@
 	s.w.Driver.ServerChanged(s.ID)
 }
 
-// isInSlowStart reports whether connects may make a server collapse.
+// isInSlowStart reports whether a server warms up and connects may make it collapse.
 func (s *Server) isInSlowStart() bool {
 	return s.startedAt != LongAgo && s.w.slowStart.CollapseMultiple != 0 && s.WarmFraction() < 1
 }
 
-// recordSlowStartLoad counts a connect to a server in slow start, which collapses when it is sent more than a multiple of what it can take
-// over a window.
+// recordSlowStartLoad counts the load of a connect to a server in slow start. The server collapses when the load sent within the window
+// exceeds CollapseMultiple times what it can take in that time, plus an allowance for chance.
 func (s *Server) recordSlowStartLoad(load float64) {
 	if !s.isInSlowStart() {
 		return
@@ -66,7 +66,7 @@
 	}
 }
 
-// SlowStartBudget is the load that a server in slow start may still be sent now without collapsing; a warm one has no bound.
+// SlowStartBudget is the load that a server in slow start can still be sent now without collapsing; infinite for a warm server.
 func (s *Server) SlowStartBudget() float64 {
 	if !s.isInSlowStart() {
 		return math.Inf(1)
@@ -75,13 +75,14 @@
 	return s.SlowStartRate()*s.w.slowStart.CollapseWindow.Seconds()*s.w.slowStart.CollapseMultiple - s.recentLoad
 }
 
-// SlowStartRate is the load of new connections that a server can take in a second by now: what would fill it over its slow start, by the
-// part of its capacity that it has.
+// SlowStartRate is the load of new connections that a server can take per second now: the rate that would fill its full capacity over its
+// slow start, times the part of its capacity that it has.
 func (s *Server) SlowStartRate() float64 {
 	return s.FullCapacity() / s.SlowStart.Seconds() * s.WarmFraction()
 }
 
-// chanceAllowance is the load beyond a budget of N connects that may be put down to chance: that of 2√N + 2.
+// chanceAllowance is the load beyond a budget of N connects of the mean load that is attributed to random variation: that of 2√N + 2
+// connects.
 func (w *World) chanceAllowance(budget float64) float64 {
 	return 2*math.Sqrt(budget*w.meanLoad) + 2*w.meanLoad
 }
--- a/internal/simulation/queue.go
+++ b/internal/simulation/queue.go
@@ -7,37 +7,36 @@
 )
 
 const (
-	anyNumber      = -1              // of jobs that may wait
-	maxWaitSeconds = 1e9             // a core that hardly works is scheduled anew when its speed changes
+	unbounded      = -1              // maxWaiting of a queue without a limit
+	maxWaitSeconds = 1e9             // limits the delay at a very low speed; a change of speed schedules the end again
 	endRounding    = time.Nanosecond // added to each end, as ends are rounded down to whole nanoseconds
 )
 
-// Queue is one line of jobs before some cores that all work at the same speed. The speed may change at any time: what has been begun keeps
-// its progress.
+// Queue is a first-in, first-out queue in front of a number of cores that all work at the same speed. The speed may change at any time:
+// running jobs keep their progress.
 type Queue struct {
 	schedule   *Schedule
 	cores      int
-	maxWaiting int     // below 0: any number
-	speed      float64 // work that one core does in a second
+	maxWaiting int     // negative: no limit
+	speed      float64 // work that one core does per second
 	settledAt  time.Duration
 	running    []*Job
 	waiting    []*Job
-	version    uint64 // only the end that was scheduled last counts
+	version    uint64 // incremented to invalidate the end that was scheduled before
 }
 
-// Job is work that a queue has taken in.
+// Job is work that a queue has accepted.
 type Job struct {
 	workLeft float64
 	done     func()
 }
 
-// NewQueue makes an empty queue before so many cores, each of which does so much work a second. maxWaiting jobs may wait; any number where
-// it is below 0.
+// NewQueue returns an empty queue. Each core does speed work per second. Up to maxWaiting jobs may wait; any number where it is negative.
 func NewQueue(s *Schedule, cores, maxWaiting int, speed float64) *Queue {
 	return &Queue{schedule: s, cores: cores, maxWaiting: maxWaiting, speed: speed}
 }
 
-// Put takes a job in; not ok where the line is full. The job that it returns can be dropped.
+// Put adds a job; ok is false where the queue is full. The returned job can be passed to Drop.
 func (q *Queue) Put(work float64, done func()) (job *Job, ok bool) {
 	q.settle()
 	job = &Job{workLeft: work, done: done}
@@ -53,7 +52,7 @@
 	return job, true
 }
 
-// Drop takes a job out, wherever it is. One that is done already is passed over.
+// Drop removes a running or waiting job. It does nothing for a job that is done.
 func (q *Queue) Drop(job *Job) {
 	q.settle()
 	if i := slices.Index(q.waiting, job); i >= 0 {
@@ -65,14 +64,14 @@
 	q.scheduleNextEnd()
 }
 
-// Clear drops all jobs.
+// Clear removes all jobs.
 func (q *Queue) Clear() {
 	q.settle()
 	q.running, q.waiting = nil, nil
 	q.scheduleNextEnd()
 }
 
-// SetSpeed sets how fast each core works from now on.
+// SetSpeed sets the speed of each core from now on.
 func (q *Queue) SetSpeed(speed float64) {
 	if speed == q.speed {
 		return
@@ -82,13 +81,13 @@
 	q.scheduleNextEnd()
 }
 
-// Jobs is how many jobs run or wait.
+// Jobs is the number of running and waiting jobs.
 func (q *Queue) Jobs() int { return len(q.running) + len(q.waiting) }
 
-// Busy is how many jobs run.
+// Busy is the number of running jobs.
 func (q *Queue) Busy() int { return len(q.running) }
 
-// settle takes the work done since the last time off the jobs that run.
+// settle subtracts the work done since the last call from the running jobs.
 func (q *Queue) settle() {
 	workDone := q.speed * (q.schedule.now - q.settledAt).Seconds()
 	for _, job := range q.running {
@@ -104,7 +103,7 @@
 	}
 }
 
-// scheduleNextEnd schedules the end of the job with the least work left.
+// scheduleNextEnd schedules the end of the running job with the least work left.
 func (q *Queue) scheduleNextEnd() {
 	q.version++
 	if len(q.running) == 0 || q.speed <= 0 {
@@ -123,7 +122,8 @@
 	})
 }
 
-// endJobs ends the jobs without work left. Times are whole nanoseconds: what is left below one of them counts as done.
+// endJobs ends the running jobs that have no work left. It runs up to a nanosecond late (endRounding), so that no remainder of work smaller
+// than that keeps a job running.
 func (q *Queue) endJobs() {
 	q.settle()
 	var ended []*Job
--- a/internal/simulation/server.go
+++ b/internal/simulation/server.go
@@ -11,46 +11,46 @@
 
 // Phases of a server.
 const (
-	Serving   Phase = iota // takes connections
+	Serving   Phase = iota // accepts connections
 	Leaving                // drains
-	Down                   // has no process: connections are refused
-	Silent                 // is cut off or stalled: there is no reply
-	Collapsed              // was overloaded in slow start, and is down for good
+	Down                   // has no process; connections are refused
+	Silent                 // is disconnected or stalled; there is no reply
+	Collapsed              // was overloaded in slow start, and stays down
 )
 
-// String is the phase in lower case.
+// String returns the phase's name in lower case.
 func (p Phase) String() string {
 	return [...]string{"serving", "leaving", "down", "silent", "collapsed"}[p]
 }
 
 const (
-	minFreeShare    = 0.005 // of a server's capacity, in its delays
-	maxDelaySeconds = 60
-	minSetupShare   = 0.1 // of a server's capacity, that is left to set-ups
-	dropDivisor     = 12  // a server beyond its buffer drops one connection in so many
-	backlogAfter    = 0.7 // of the backlog is left after such a drop
-	roundingError   = 1e-9
+	minIdleShare         = 0.005 // least idle share of a server's capacity that message delays are calculated with
+	maxDelaySeconds      = 60
+	minSetupShare        = 0.1 // share of a server's capacity that set-ups get at least
+	dropDivisor          = 12  // a server whose delay exceeds its buffer drops one connection in this many
+	backlogKeptAfterDrop = 0.7 // part of the backlog that remains after such a drop
+	roundingError        = 1e-9
 )
 
-// ServerSpec is what a server is made of.
+// ServerSpec holds the fixed properties of a server.
 type ServerSpec struct {
 	Locality       LocalityID
 	Cell           CellID
 	Cores          int
-	Speed          float64 // work that a core does in a second
-	Size           float64 // in the list
+	Speed          float64 // work that a core does per second
+	Size           float64 // as listed
 	MaxConnections int
-	MaxWaiting     int           // set-ups that wait for a core
-	Buffer         time.Duration // of messages; connections are dropped beyond it
-	GroupLoad      float64       // that the first connection of a group adds
+	MaxWaiting     int           // limit of set-ups that wait for a core
+	Buffer         time.Duration // message delay above which the server drops connections; 0: it drops none
+	GroupLoad      float64       // additional load of a group, independent of its number of connections
 
-	SlowStart       time.Duration
-	SlowStartFrom   float64 // share of the capacity at the start
-	SlowStartByWork float64 // share of the warming up that comes with work done
+	SlowStart       time.Duration // how long the server takes to warm up
+	SlowStartFrom   float64       // share of the capacity at the start
+	SlowStartByWork float64       // share of the warm-up that depends on work done instead of time
 }
 
-// Server is one server. Established connections ask for work all the time and share the cores with set-ups. What can't be done piles up,
-// and messages then wait behind it.
+// Server is one simulated server. Established connections continuously demand work and share the cores with set-ups. Work that exceeds the
+// capacity accumulates as a backlog, which delays messages.
 type Server struct {
 	ServerSpec
 	ID ServerID
@@ -61,9 +61,9 @@
 	startedAt   time.Duration
 	incarnation int
 
-	slowdown    float64 // times slower
-	stolenShare float64 // of the cores, by a neighbour
-	errorShare  float64 // of set-ups that fail fast
+	slowdown    float64 // factor by which faults slow it down; 1: none
+	stolenShare float64 // share of the cores that another program uses
+	errorShare  float64 // share of set-ups that quickly fail
 
 	conns       []*conn
 	connByID    map[ConnID]*conn
@@ -71,42 +71,43 @@
 	groups      map[GroupID]int
 	setups      *Queue
 
-	demand         float64 // work a second
-	backlog        float64 // core seconds of speed 1
-	workDone       float64 // since the start, over what warms it up
+	demand         float64 // work per second
+	backlog        float64 // in seconds of a core of speed 1
+	workDone       float64 // since the start, relative to the work that completes the warm-up
 	settledAt      time.Duration
-	values         map[valueKey]float64 // a second
-	valueKeys      []valueKey           // in the order of their first use
-	delayReported  bool                 // the last report said that it is late, so that the end of that is reported too
-	recentConnects []recentConnect      // in slow start, over the last window
-	recentLoad     float64
+	values         map[valueKey]float64 // value per second of the established connections
+	valueKeys      []valueKey           // in the order of their first use, so that iteration is deterministic
+	delayReported  bool                 // the last check reported a high delay, so that its end is reported too
+	recentConnects []recentConnect      // during slow start, those within the last window
+	recentLoad     float64              // sum over recentConnects
 }
 
-// valueKey says which established connections are counted alike.
+// valueKey groups established connections whose value is accounted together.
 type valueKey struct {
 	account          Account
 	balancerLocality LocalityID
 }
 
-// Phase is the one in which the server is.
+// Phase returns the server's current phase.
 func (s *Server) Phase() Phase { return s.phase }
 
-// StartedAt is when it started.
+// StartedAt is the time of the server's last start.
 func (s *Server) StartedAt() time.Duration { return s.startedAt }
 
-// Established is how many connections are established on it.
+// Established is the number of established connections.
 func (s *Server) Established() int { return s.established }
 
-// ConnectionCount is how many connections it has, those that are being set up too.
+// ConnectionCount is the number of connections, including those that are being set up.
 func (s *Server) ConnectionCount() int { return len(s.conns) }
 
-// HoldsGroup reports whether any connection of a group is established here.
+// HoldsGroup reports whether the server has an established connection of a group.
 func (s *Server) HoldsGroup(g GroupID) bool { return g != NoGroup && s.groups[g] > 0 }
 
-// IsServing reports whether it serves, which it still does while it drains.
+// IsServing reports whether the server serves connections, which it still does while it drains.
 func (s *Server) IsServing() bool { return s.phase == Serving || s.phase == Leaving }
 
-// WarmFraction is the part of its capacity that a server has by now.
+// WarmFraction is the share of its capacity that a server in slow start has reached. It rises from SlowStartFrom with the time since the
+// start and with the work done, in the proportions that SlowStartByWork sets.
 func (s *Server) WarmFraction() float64 {
 	if s.startedAt == LongAgo || s.SlowStart == 0 {
 		return 1
@@ -117,10 +118,10 @@
 	return s.SlowStartFrom + (1-s.SlowStartFrom)*math.Min(1, math.Max(warmedUp, elapsed*elapsed))
 }
 
-// FullCapacity is the work a second that it does when it is warm and has no fault.
+// FullCapacity is the work per second that the server does when it is warm and has no fault.
 func (s *Server) FullCapacity() float64 { return float64(s.Cores) * s.Speed }
 
-// CurrentCapacity is the work a second that it does now.
+// CurrentCapacity is the work per second that the server does now.
 func (s *Server) CurrentCapacity() float64 {
 	if !s.IsServing() {
 		return 0
@@ -128,10 +129,10 @@
 	return s.FullCapacity() * s.WarmFraction() * (1 - s.stolenShare) / s.slowdown
 }
 
-// Demand is the work a second that established connections ask for.
+// Demand is the work per second that established connections ask for.
 func (s *Server) Demand() float64 { return s.demand }
 
-// QueueDelay is how long a flow that came now would wait for the cores, in seconds.
+// QueueDelay is the time, in seconds, that the server needs to work off its backlog.
 func (s *Server) QueueDelay() float64 {
 	if capacity := s.CurrentCapacity(); capacity > 0 {
 		return s.backlog / capacity
@@ -139,18 +140,18 @@
 	return math.Inf(1)
 }
 
-// MessageDelay is how long a message takes now.
+// MessageDelay is the time that a message takes now: the queueing delay, plus its service time with the capacity that is left.
 func (s *Server) MessageDelay() time.Duration {
 	capacity := s.CurrentCapacity()
 	if capacity <= 0 {
 		return time.Hour
 	}
-	free := math.Max(1-s.demand/capacity, minFreeShare)
+	free := math.Max(1-s.demand/capacity, minIdleShare)
 	seconds := s.backlog/capacity + s.w.messageWork/(s.Speed*free)
 	return time.Duration(math.Min(seconds, maxDelaySeconds) * float64(time.Second))
 }
 
-// shareInTime is the share of messages that are done within a time, behind a backlog.
+// shareInTime is the share of messages that complete within a time, given a backlog before them. Their service times are exponential.
 func (s *Server) shareInTime(backlog float64, within time.Duration) float64 {
 	capacity := s.CurrentCapacity()
 	if capacity <= 0 {
@@ -164,8 +165,8 @@
 	return 1 - math.Exp(-remaining*free*s.Speed/s.w.messageWork)
 }
 
-// settle brings a server's accounts up to now. All that changes its load, its speed or its connections calls it first, so that in between
-// everything grows evenly.
+// settle updates a server's backlog, warm-up and served value to the current time. Every change of its load, speed or connections calls it
+// first, so that the rates are constant between two calls.
 func (s *Server) settle() {
 	now := s.w.Schedule.now
 	elapsed := (now - s.settledAt).Seconds()
@@ -183,7 +184,7 @@
 	s.settledAt = now
 }
 
-// doWork has the backlog grow or shrink over a time, and the server warm up.
+// doWork updates the backlog and the warm-up for an elapsed time.
 func (s *Server) doWork(seconds float64) {
 	if !s.IsServing() {
 		return
@@ -196,7 +197,7 @@
 	}
 }
 
-// servedShare is the share of messages that were in time since the server was settled: the mean of then and now.
+// servedShare is the share of messages that were in time since the server was last settled: the mean of the shares at that time and now.
 func (s *Server) servedShare(key valueKey, backlogBefore float64) float64 {
 	if s.w.Network.isPartitioned(key.balancerLocality, s.Locality) {
 		return 0
@@ -205,8 +206,8 @@
 	return (s.shareInTime(backlogBefore, within) + s.shareInTime(s.backlog, within)) / 2
 }
 
-// updateSetupSpeed gives set-ups what established connections leave, and a minimum: an overloaded server still lets some in, and is later
-// with its messages for it.
+// updateSetupSpeed gives set-ups the capacity that established connections leave, but at least minSetupShare: an overloaded server still
+// completes set-ups, at the expense of its message delay.
 func (s *Server) updateSetupSpeed() {
 	capacity := s.CurrentCapacity()
 	if capacity <= 0 {
@@ -216,14 +217,14 @@
 	s.setups.SetSpeed(capacity / float64(s.Cores) * math.Max(minSetupShare, 1-s.demand/capacity))
 }
 
-// addDemand changes what an established connection asks for.
+// addDemand changes the demand of established connections by delta.
 func (s *Server) addDemand(delta float64) {
 	s.settle()
 	s.demand = math.Max(0, s.demand+delta)
 	s.updateSetupSpeed()
 }
 
-// addValue counts a connection in, or out with a sign of -1.
+// addValue adds the value of a connection, or subtracts it with a sign of -1.
 func (s *Server) addValue(k *conn, sign float64) {
 	key := valueKey{k.client.account(), k.balancerLocality}
 	if _, known := s.values[key]; !known {
@@ -235,7 +236,8 @@
 	}
 }
 
-// reportDelay reports the delay of a server that is late, and once more when it is late no longer.
+// reportDelay reports the message delay while it is above the threshold, and once more when it no longer is. A server whose delay exceeds
+// its buffer drops connections.
 func (s *Server) reportDelay() {
 	if !s.IsServing() || s.established == 0 {
 		return
@@ -252,12 +254,12 @@
 	}
 }
 
-// dropNewest drops some connections, the newest first, with what they have piled up.
+// dropNewest drops some of the connections, the newest first as far as removals have kept their order, and reduces the backlog.
 func (s *Server) dropNewest() {
 	for n := len(s.conns)/dropDivisor + 1; n > 0 && len(s.conns) > 0; n-- {
 		k := s.conns[len(s.conns)-1]
 		s.end(k)
 		s.w.Driver.EndConnect(k.id, Dropped)
 	}
-	s.backlog *= backlogAfter
+	s.backlog *= backlogKeptAfterDrop
 }
--- a/internal/simulation/totals.go
+++ b/internal/simulation/totals.go
@@ -6,13 +6,13 @@
 type Totals struct {
 	Clients, Attempts, Retries                 int
 	Established, Rejected, Aborted, NoBalancer int // answers
-	TimedOut                                   int // attempts that were not answered in time
+	TimedOut                                   int // attempts without an answer before the client's timeout
 	Migrated, Cut                              int // connections that ended before their clients left
 
-	Setups           []time.Duration // how long the established attempts took, as the clients saw them
-	EstablishedAt    []time.Duration // when each of them was
+	Setups           []time.Duration // set-up times of established attempts, as seen by the clients
+	EstablishedAt    []time.Duration
 	FirstEstablished []time.Duration // from a client's arrival to its first connection
-	NeverEstablished []time.Duration // how long those waited that never had one
+	NeverEstablished []time.Duration // how long clients waited that never had a connection
 	RejectedAt       []time.Duration
 	AttemptedAt      []time.Duration
 }
--- a/internal/simulation/types.go
+++ b/internal/simulation/types.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// Each kind of id is a type of its own.
+// Each kind of ID has its own type.
 type (
 	// ServerID numbers a server.
 	ServerID int
 	// LocalityID numbers a locality.
 	LocalityID int
-	// CellID numbers the servers that drop each other's repeats.
+	// CellID numbers a cell, a group of servers that deduplicate each other's flows.
 	CellID int
 	// BalancerID numbers a balancer.
 	BalancerID int
@@ -26,10 +26,10 @@
 	CustomerID int
 )
 
-// NoGroup is the group of a client that shares nothing.
+// NoGroup is the group ID of a client without a group.
 const NoGroup GroupID = -1
 
-// LongAgo is the start of a server that has run since before the day.
+// LongAgo is the start time of a server that was started long before the day.
 const LongAgo = time.Duration(-1 << 62)
 
 // Answer is the final answer to an attempt.
@@ -37,54 +37,54 @@
 
 // Answers to an attempt.
 const (
-	Established Answer = iota // it has a connection
-	Rejected                  // trying again is harmless
-	Aborted                   // it may have run
-	NoBalancer                // no balancer took it
+	Established Answer = iota // the connection is established
+	Rejected                  // the flow did not run, so that a retry is harmless
+	Aborted                   // the flow may have run
+	NoBalancer                // no balancer accepted it
 )
 
-// Ending is how an established connection ended for its client, other than by the client itself.
+// Ending is how an established connection ended for its client when the client did not end it.
 type Ending int
 
 // Endings.
 const (
-	Migrated Ending = iota // its client was asked to reconnect
-	Cut                    // it was reset, or its balancer died
+	Migrated Ending = iota // the client was asked to reconnect
+	Cut                    // the connection was reset, or its balancer died
 )
 
-// EndReason is how a server ends a connect or a connection.
+// EndReason is why a server ends a connect or a connection.
 type EndReason int
 
 // Reasons.
 const (
-	Full          EndReason = iota // the connect is rejected, and did not run
-	Failed                         // an error; it may have run
-	Dropped                        // the connection broke
-	MoveRequested                  // a server that drains asks the client to reconnect
-	ServerStopped                  // a server that stops ends the connection in order
+	Full          EndReason = iota // the server rejects the connect, which did not run
+	Failed                         // an error; the flow may have run
+	Dropped                        // the connection was reset
+	MoveRequested                  // the server drains and asks the client to reconnect
+	ServerStopped                  // the server stops and closes the connection cleanly
 )
 
-// Reach is what a new connection to a server meets.
+// Reach is the outcome of opening a connection to a server.
 type Reach int
 
-// What a new connection may meet.
+// Outcomes of opening a connection.
 const (
 	Open         Reach = iota // it is accepted
-	Refused                   // nobody listens, which is known at once
+	Refused                   // it is refused at once
 	Unresponsive              // there is no reply
 )
 
-// Readiness is what the server list says of a server.
+// Readiness is the state of a server according to the server list.
 type Readiness int
 
-// What the list says of a server.
+// States of a server in the list.
 const (
 	Ready    Readiness = iota // it takes connections
-	Draining                  // it takes none
+	Draining                  // it takes no new connections
 	Gone                      // it is not listed
 )
 
-// Entry is one server as the list has it.
+// Entry is one entry of the server list.
 type Entry struct {
 	Server    ServerID
 	Locality  LocalityID
@@ -100,83 +100,84 @@
 	Client      *Client
 	Balancer    BalancerID
 	Timeout     time.Duration
-	IsRetry     bool // of an attempt that came to nothing
-	IsReturning bool // the client has had or tried a connection before
+	IsRetry     bool // the client's previous attempt failed
+	IsReturning bool // the client has had a connection or made an attempt before
 }
 
-// Driver carries out what the world does to the balancers and to the network before them. Each call says what happens at the
-// time of the schedule; how long it takes until somebody sees it is the driver's matter.
+// Driver connects the world to balancers. The world calls it at the schedule's current time when a client, a server, the list or a fault
+// acts on a balancer; the driver models the time until the other side sees it.
 type Driver interface {
-	// OpenFlow: a client opens a connection at a balancer and sends its line.
+	// OpenFlow is called when a client opens a connection to a balancer and sends its request line.
 	OpenFlow(a Attempt)
-	// LeaveFlow: a client ends its flow, established or not.
+	// LeaveFlow is called when a client ends its flow, established or not.
 	LeaveFlow(f FlowID)
-	// Establish: a server has set a connection up.
+	// Establish is called when a server has completed a connection's set-up.
 	Establish(c ConnID)
-	// EndConnect: a server ends a connect or a connection.
+	// EndConnect is called when a server ends a connect or a connection.
 	EndConnect(c ConnID, reason EndReason)
-	// ReportDelay: a message takes that long at a server; reported once a second.
+	// ReportDelay is called once a second with a server's message delay while that is high, and once when it no longer is.
 	ReportDelay(s ServerID, delay time.Duration)
-	// UpdateList: the server list sends an update to one balancer.
+	// UpdateList is called when the server list sends an update to a balancer.
 	UpdateList(b BalancerID, isFull bool, entries []Entry)
-	// KillBalancer: a balancer ends outright.
+	// KillBalancer is called when a balancer's process is killed.
 	KillBalancer(b BalancerID)
-	// StopBalancer: a balancer is asked to end in order.
+	// StopBalancer is called when a balancer is asked to stop cleanly.
 	StopBalancer(b BalancerID)
-	// StartBalancer: a balancer starts.
+	// StartBalancer is called when a balancer starts.
 	StartBalancer(b BalancerID)
-	// ServerChanged: what new connections meet at a server may have changed. EndConnect was called for those that it ended.
+	// ServerChanged is called when the result of Reach for a server may have changed. EndConnect has been called for each connection that
+	// the change ended.
 	ServerChanged(s ServerID)
 }
 
 // Service is one service type.
 type Service struct {
 	Name   string
-	Share  float64 // of new connections
-	Value  float64 // of a connection, a second
-	Effect string  // in the words of settings
-	Group  string  // in the words of settings
-	Window time.Duration
+	Share  float64       // of new connections
+	Value  float64       // of a connection per second
+	Effect string        // effect of a repeated run, as settings write it
+	Group  string        // deduplication scope, as settings write it
+	Window time.Duration // deduplication window
 
-	Target  time.Duration // for a set-up
+	Target  time.Duration // setup target
 	Timeout time.Duration // of an attempt
-	Message time.Duration // a message is wanted within this
+	Message time.Duration // a message that takes longer does not count as served
 
-	Work        float64       // of a set-up, core seconds of speed 1
+	Work        float64       // of a set-up, in seconds of a core of speed 1
 	WorkSpread  float64       // coefficient of variation; 1 is exponential
-	MessageWork time.Duration // of one message on a core of speed 1
+	MessageWork time.Duration // time that a message takes on a core of speed 1
 
-	Load             float64       // of a connection, times the usual
+	Load             float64       // of a connection, as a multiple of the base load
 	LoadSpread       float64       // sigma of the usual load over clients
 	LoadChangeSpread float64       // sigma of a client's load over time
-	ChangeEvery      time.Duration // a client's load, on average
+	ChangeEvery      time.Duration // mean time between changes of a client's load
 
-	Lifetime      float64 // of a connection, times the usual
+	Lifetime      float64 // of a connection, as a multiple of the base lifetime
 	LifetimeSigma float64
 
-	RetriesInARow   int // after which a client pauses for longer
+	RetriesInARow   int // after more failures in a row, a client makes a longer pause
 	Retry           RetryPolicy
-	RetryDelay      time.Duration // of the policy
-	ObeysRetryAfter float64       // share of clients that wait as long as the answer asks
-	Return          Interval      // until a client that lost its connection returns
-	SilenceNoticed  time.Duration // after which a client gives a silent connection up; 0: never
+	RetryDelay      time.Duration // used by the retry policy
+	ObeysRetryAfter float64       // share of clients that honour an answer's retry-after
+	Return          Interval      // until a client that lost its connection reconnects
+	SilenceNoticed  time.Duration // after which a client closes an unresponsive connection; 0: never
 }
 
-// RetryPolicy is when a client makes another attempt after one that came to nothing.
+// RetryPolicy is when a client makes another attempt after a failed one.
 type RetryPolicy int
 
 // Retry policies.
 const (
-	NeverRetry           RetryPolicy = iota // it stays away
-	RetryAtOnce                             // it makes one at once
+	NeverRetry           RetryPolicy = iota // it makes no further attempt
+	RetryAtOnce                             // it retries at once
 	RetryAfterFixedDelay                    // it waits for Service.RetryDelay
 	RetryWithBackoff                        // it waits for Service.RetryDelay, doubled each time, with jitter
 )
 
-// Customer is one of those who share the fleet.
+// Customer is a tenant that shares the fleet with others.
 type Customer struct {
 	Name  string
 	Share float64 // of the fleet
-	Usage float64 // of its share that it asks for
+	Usage float64 // its demand as a part of its share
 	Quota float64 // established connections within its share
 }
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -8,14 +8,14 @@
 )
 
 const (
-	reportInterval = time.Second // at which a server looks whether it is late
-	settleInterval = 250 * time.Millisecond
+	reportInterval = time.Second            // between a server's checks of its message delay
+	settleInterval = 250 * time.Millisecond // between updates of a server's accounts and set-up speed
 	storeCores     = 1
 )
 
-// World is one day of the model. Call New, the Configure calls, AddServer and AddBalancer for all there are, and then List.Begin,
-// ScheduleFaults and StartLoad; from then on what happens is on the Schedule, and the surroundings answer by ArriveConnect, CloseConnect,
-// AnswerFlow and BreakFlow.
+// World is the model of one simulated day. To prepare it, call New, the Configure methods, AddServer and AddBalancer for each server and
+// balancer, and then List.Begin, ScheduleFaults and StartLoad. From then on its Schedule drives it: the world calls its Driver, and the
+// driver calls ArriveConnect, CloseConnect, AnswerFlow and BreakFlow.
 type World struct {
 	Schedule   *Schedule
 	Driver     Driver
@@ -25,67 +25,67 @@
 	Localities []string
 	Servers    []*Server
 	Balancers  []*Balancer
-	Store      *Queue // nil: there is none
+	Store      *Queue // session store; nil: none
 	Accounting *Accounting
 	Network    *Network
 	List       *List
 	Totals     Totals
 
 	Collapsed []ServerID
-	// MaxSlowStartExcess is the most load that was sent to a starting server over the window of the rule, in times its capacity and less
-	// what is put down to chance.
+	// MaxSlowStartExcess is the highest load sent to a server in slow start within SlowStartConfig.CollapseWindow, less the allowance for
+	// chance, as a multiple of what the server can take in that time.
 	MaxSlowStartExcess float64
 
-	random          *rand.Rand // of what concerns no single client or server
+	random          *rand.Rand // for draws that concern no single client or server
 	slowStart       SlowStartConfig
 	drainKind       Drain
-	reportDelayFrom time.Duration // a message that takes longer is late
-	messageWork     float64       // of a message on a core of speed 1, seconds
+	reportDelayFrom time.Duration // servers report message delays above it
+	messageWork     float64       // seconds that a message takes on a core of speed 1
 	meanLoad        float64       // of a connection
-	localWeight     float64
+	localWeight     float64       // see ConfigureEstablished
 
-	storeRate     float64 // calls a second
+	storeRate     float64 // calls per second
 	storeSlowdown float64
 	storeRandom   *rand.Rand
 
 	source   ArrivalSource
-	clients  []*Client // that have not finished; the order changes when one does
+	clients  []*Client // those that have not finished; the order changes when one finishes
 	conns    map[ConnID]*Server
 	flows    map[FlowID]*Client
 	lastConn ConnID
 	lastFlow FlowID
 
-	frontNotice    Interval
-	frontElsewhere bool // the front's beliefs are set from outside
+	frontNotice      Interval
+	hasExternalFront bool // SetFrontBelief sets the front's view
 }
 
-// Balancer is a place where clients can connect. Its decisions are made elsewhere.
+// Balancer is a balancer that clients can connect to. The driver makes its decisions.
 type Balancer struct {
 	ID       BalancerID
 	Locality LocalityID
 	IsUp     bool
 
-	believedUp bool // by the front, the layer that leads clients to balancers
+	frontSeesUp bool // whether the front, the layer that distributes clients over balancers, considers it up
 }
 
-// SlowStartConfig says how servers start, and when they collapse.
+// SlowStartConfig sets how servers start, and which load makes a starting server collapse.
 type SlowStartConfig struct {
-	From             float64 // least share of its capacity that a server starts with
-	CollapseMultiple float64 // a server that is sent more times its capacity over the window collapses; 0: none does
+	From             float64 // minimum share of its capacity that a server starts with
+	CollapseMultiple float64 // a server collapses when it is sent more than this multiple of what it can take in the window; 0: never
 	CollapseWindow   time.Duration
 }
 
-// ServicesConfig says what clients ask for.
+// ServicesConfig describes the service types, customers and localities of clients.
 type ServicesConfig struct {
 	Services         []Service
 	Customers        []Customer
 	Localities       []string
-	BeyondShareValue float64       // what a value counts beyond a customer's share
+	BeyondShareValue float64       // factor for value beyond a customer's share
 	MeanLoad         float64       // of a connection
-	MessageWork      time.Duration // of a message on a core of speed 1
+	MessageWork      time.Duration // time that a message takes on a core of speed 1
 }
 
-// New makes an empty world for a day of a length. Servers report the delay of their messages from reportDelayFrom on.
+// New returns an empty world for a day of a length. Servers report message delays above reportDelayFrom.
 func New(seed uint64, length, reportDelayFrom time.Duration) *World {
 	w := &World{Schedule: &Schedule{}, Seed: seed, reportDelayFrom: reportDelayFrom, storeSlowdown: 1, localWeight: 1,
 		conns: map[ConnID]*Server{}, flows: map[FlowID]*Client{},
@@ -96,60 +96,60 @@
 	return w
 }
 
-// ConfigureServices sets what clients ask for.
+// ConfigureServices sets the service types, customers and localities.
 func (w *World) ConfigureServices(c ServicesConfig) {
 	w.Services, w.Customers, w.Localities = c.Services, c.Customers, c.Localities
 	w.meanLoad, w.messageWork = c.MeanLoad, c.MessageWork.Seconds()
 	w.Accounting = NewAccounting(w.Accounting.Length, len(c.Services), len(c.Customers), len(c.Localities), c.BeyondShareValue)
 }
 
-// ConfigureEstablished sets by how much likelier than elsewhere a connection that is established when the day begins is in its client's
-// own locality, server for server.
+// ConfigureEstablished sets the weight of servers in the client's own locality, relative to equal servers elsewhere, when the server of a
+// connection that is established when the day begins is drawn.
 func (w *World) ConfigureEstablished(localWeight float64) { w.localWeight = localWeight }
 
-// ConfigureStore sets the session store that each set-up calls once: calls a second; 0 for none.
+// ConfigureStore sets the rate, in calls per second, of the session store that each set-up calls once. 0: there is no store.
 func (w *World) ConfigureStore(rate float64) {
 	if rate > 0 {
 		w.storeRate = rate
-		w.Store = NewQueue(w.Schedule, storeCores, anyNumber, rate)
+		w.Store = NewQueue(w.Schedule, storeCores, unbounded, rate)
 	}
 }
 
 // ConfigureSlowStart sets how servers start.
 func (w *World) ConfigureSlowStart(c SlowStartConfig) { w.slowStart = c }
 
-// ConfigureFront sets how late the layer before the balancers notices that one is dead.
+// ConfigureFront sets the delay after which the front, the layer that distributes clients over balancers, detects that a balancer is dead.
 func (w *World) ConfigureFront(notice Interval) { w.frontNotice = notice }
 
 // ConfigureDrains sets what a draining server does with its connections.
 func (w *World) ConfigureDrains(d Drain) { w.drainKind = d }
 
-// FirstFlow has the flows' ids begin after one: balancers that run on may still know ids that another run used.
+// FirstFlow makes flow IDs begin after the given one. Balancers that keep running from one world to the next may still know earlier IDs.
 func (w *World) FirstFlow(after FlowID) { w.lastFlow = after }
 
-// FrontElsewhere has SetFrontBelief say which balancers the front believes to be up, in place of the model.
-func (w *World) FrontElsewhere() { w.frontElsewhere = true }
+// FrontElsewhere turns off the model of the front: from then on only SetFrontBelief sets which balancers the front considers up.
+func (w *World) FrontElsewhere() { w.hasExternalFront = true }
 
-// SetFrontBelief sets whether the front believes a balancer to be up.
-func (w *World) SetFrontBelief(b BalancerID, isUp bool) { w.Balancers[b].believedUp = isUp }
+// SetFrontBelief sets whether the front considers a balancer up.
+func (w *World) SetFrontBelief(b BalancerID, isUp bool) { w.Balancers[b].frontSeesUp = isUp }
 
-// believe is the model's own belief.
-func (w *World) believe(b *Balancer, isUp bool) {
-	if !w.frontElsewhere {
-		b.believedUp = isUp
+// setFrontView sets whether the modelled front considers a balancer up. It does nothing where the front is external.
+func (w *World) setFrontView(b *Balancer, isUp bool) {
+	if !w.hasExternalFront {
+		b.frontSeesUp = isUp
 	}
 }
 
-// KillBalancer ends a balancer outright.
+// KillBalancer kills a balancer without a drain.
 func (w *World) KillBalancer(b BalancerID) { w.killBalancers([]*Balancer{w.Balancers[b]}) }
 
 // ReviveBalancer starts a balancer again.
 func (w *World) ReviveBalancer(b BalancerID) { w.reviveBalancers([]*Balancer{w.Balancers[b]}) }
 
-// AddServer adds a server that has run for long.
+// AddServer adds a server that is past its slow start.
 func (w *World) AddServer(spec ServerSpec) *Server { return w.addServer(spec, LongAgo) }
 
-// StartServer adds a server that starts now.
+// StartServer adds a server that starts now, in slow start.
 func (w *World) StartServer(spec ServerSpec) *Server { return w.addServer(spec, w.Schedule.now) }
 
 func (w *World) addServer(spec ServerSpec, startedAt time.Duration) *Server {
@@ -171,13 +171,13 @@
 
 // AddBalancer adds a balancer that is up.
 func (w *World) AddBalancer(l LocalityID) *Balancer {
-	b := &Balancer{ID: BalancerID(len(w.Balancers)), Locality: l, IsUp: true, believedUp: true}
+	b := &Balancer{ID: BalancerID(len(w.Balancers)), Locality: l, IsUp: true, frontSeesUp: true}
 	w.Balancers = append(w.Balancers, b)
 	w.List.subscribers = append(w.List.subscribers, subscriber{isSubscribed: true})
 	return b
 }
 
-// every does something again and again until the end of the day.
+// every schedules a periodic action until the end of the day.
 func (w *World) every(from, interval time.Duration, r Rank, do func()) {
 	var next func()
 	next = func() {
@@ -189,7 +189,7 @@
 	w.Schedule.At(from, r, next)
 }
 
-// EverySecond does something at the end of each second of the day.
+// EverySecond schedules an action for the end of each second of the day.
 func (w *World) EverySecond(do func()) { w.every(time.Second, time.Second, Measure, do) }
 
 // setupWork draws the work of one set-up.
@@ -201,7 +201,7 @@
 	return service.Work * LogNormal(r, math.Sqrt(math.Log(1+service.WorkSpread*service.WorkSpread)))
 }
 
-// StoreWait is how long a set-up would wait for the store now, in seconds.
+// StoreWait is the estimated wait of a new call to the store, in seconds.
 func (w *World) StoreWait() float64 {
 	if w.Store == nil {
 		return 0
@@ -209,13 +209,13 @@
 	return float64(w.Store.Jobs()) * w.storeSlowdown / w.storeRate
 }
 
-// NewConnID is a new id of a connect.
+// NewConnID returns an unused connect ID.
 func (w *World) NewConnID() ConnID {
 	w.lastConn++
 	return w.lastConn
 }
 
-// Reach is what a new connection from a locality would meet at a server now.
+// Reach returns the outcome of opening a connection from a locality to a server now.
 func (w *World) Reach(from LocalityID, id ServerID) Reach {
 	s := w.Servers[id]
 	switch {
@@ -227,27 +227,27 @@
 	return Open
 }
 
-// ArriveConnect brings a connect's line to its server.
+// ArriveConnect delivers a connect's request line to its server.
 func (w *World) ArriveConnect(id ConnID, to ServerID, f FlowID, from LocalityID) {
 	s, c := w.Servers[to], w.flows[f]
 	switch {
-	case c == nil: // its client has left, and the balancer is about to learn of it
-	case s.phase == Silent || w.Network.IsBlocked(from, s.Locality): // the line is lost
+	case c == nil: // the client has left, and the balancer is about to be told
+	case s.phase == Silent || w.Network.IsBlocked(from, s.Locality): // the request line is lost
 	case !s.IsServing():
 		w.Driver.EndConnect(id, Dropped)
 	default:
-		s.arrive(id, c, from)
+		s.receiveConnect(id, c, from)
 	}
 }
 
-// CloseConnect says that a balancer has ended its connection to a server.
+// CloseConnect tells a server that the balancer has closed a connect or a connection.
 func (w *World) CloseConnect(id ConnID) {
 	if s := w.conns[id]; s != nil {
 		s.end(s.connByID[id])
 	}
 }
 
-// Connections are the established connections of a server, by id.
+// Connections returns the IDs of a server's established connections in ascending order.
 func (s *Server) Connections() (ids []ConnID) {
 	for _, k := range s.conns {
 		if k.stage == established {
@@ -258,10 +258,10 @@
 	return ids
 }
 
-// Client of a flow; nil when the flow is over.
+// Client returns the client of a flow; nil when the flow has ended.
 func (w *World) Client(f FlowID) *Client { return w.flows[f] }
 
-// Capacity is the work a second that all servers do when they are warm and have no faults.
+// Capacity is the work per second that all servers together do when they are warm and have no faults.
 func (w *World) Capacity() (sum float64) {
 	for _, s := range w.Servers {
 		sum += s.FullCapacity()
@@ -269,7 +269,7 @@
 	return sum
 }
 
-// End closes the accounts: what is established has been served until now.
+// End completes the accounts at the end of the day: it settles all servers, and counts clients that never had a connection.
 func (w *World) End() {
 	for _, s := range w.Servers {
 		s.settle()
--- a/internal/simulation/world_test.go
+++ b/internal/simulation/world_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// recordingDriver records what it is told, so that a test plays the balancer.
+// recordingDriver records the world's calls. The test acts as the balancer.
 type recordingDriver struct {
 	world        *World
 	opened       []FlowID
@@ -17,18 +17,18 @@
 	left         []FlowID
 }
 
-func (s *recordingDriver) OpenFlow(a Attempt) {
-	s.opened = append(s.opened, a.Flow)
+func (d *recordingDriver) OpenFlow(a Attempt) {
+	d.opened = append(d.opened, a.Flow)
 }
-func (s *recordingDriver) LeaveFlow(f FlowID)                   { s.left = append(s.left, f) }
-func (s *recordingDriver) Establish(c ConnID)                   { s.established = append(s.established, c) }
-func (s *recordingDriver) EndConnect(c ConnID, how EndReason)   { s.ended[c] = how }
-func (s *recordingDriver) ReportDelay(ServerID, time.Duration)  { s.delayReports++ }
-func (s *recordingDriver) UpdateList(BalancerID, bool, []Entry) { s.updates++ }
-func (s *recordingDriver) KillBalancer(BalancerID)              {}
-func (s *recordingDriver) StopBalancer(BalancerID)              {}
-func (s *recordingDriver) StartBalancer(BalancerID)             {}
-func (s *recordingDriver) ServerChanged(ServerID)               {}
+func (d *recordingDriver) LeaveFlow(f FlowID)                   { d.left = append(d.left, f) }
+func (d *recordingDriver) Establish(c ConnID)                   { d.established = append(d.established, c) }
+func (d *recordingDriver) EndConnect(c ConnID, how EndReason)   { d.ended[c] = how }
+func (d *recordingDriver) ReportDelay(ServerID, time.Duration)  { d.delayReports++ }
+func (d *recordingDriver) UpdateList(BalancerID, bool, []Entry) { d.updates++ }
+func (d *recordingDriver) KillBalancer(BalancerID)              {}
+func (d *recordingDriver) StopBalancer(BalancerID)              {}
+func (d *recordingDriver) StartBalancer(BalancerID)             {}
+func (d *recordingDriver) ServerChanged(ServerID)               {}
 
 type arrivalList []Arrival
 
@@ -41,11 +41,11 @@
 	return first, true
 }
 
-// newSmallWorld is a world of two servers of 4 cores in two localities, one balancer, connections of load 1 and a work of 10 ms.
+// newSmallWorld returns a world of two servers of 4 cores in two localities, with one balancer, and set-ups of 10 ms of work.
 func newSmallWorld(length time.Duration, retry RetryPolicy) (*World, *recordingDriver) {
 	w := New(5, length, 80*time.Millisecond)
-	c := &recordingDriver{world: w, ended: map[ConnID]EndReason{}}
-	w.Driver = c
+	d := &recordingDriver{world: w, ended: map[ConnID]EndReason{}}
+	w.Driver = d
 	w.ConfigureSlowStart(SlowStartConfig{From: 0.2, CollapseMultiple: 3, CollapseWindow: 1500 * time.Millisecond})
 	ms := time.Millisecond
 	exactly := func(d time.Duration) Interval { return Interval{d, d} }
@@ -91,21 +91,21 @@
 		Spread:       exactly(100 * ms),
 	})
 	w.List.Begin()
-	return w, c
+	return w, d
 }
 
 func arrivalOf(at, lifetime time.Duration, load float64) Arrival {
 	return Arrival{At: at, Lifetime: lifetime, Load: load, Group: NoGroup, Customer: -1}
 }
 
-// connectNewest sends the newest flow to a server, and its answer to the client.
-func (s *recordingDriver) connectNewest(to ServerID) {
-	w := s.world
+// connectNewest sends the newest flow to a server, and answers the client if the server establishes it.
+func (d *recordingDriver) connectNewest(to ServerID) {
+	w := d.world
 	id := w.NewConnID()
-	w.ArriveConnect(id, to, s.opened[len(s.opened)-1], 0)
+	w.ArriveConnect(id, to, d.opened[len(d.opened)-1], 0)
 	w.Schedule.RunTo(w.Schedule.Now() + 200*time.Millisecond)
-	if len(s.established) > 0 && s.established[len(s.established)-1] == id {
-		w.AnswerFlow(s.opened[len(s.opened)-1], Established, 0)
+	if len(d.established) > 0 && d.established[len(d.established)-1] == id {
+		w.AnswerFlow(d.opened[len(d.opened)-1], Established, 0)
 	}
 }
 
@@ -124,7 +124,7 @@
 		load  float64
 		least float64
 		most  float64
-	}{{"well within capacity", 1, 0.95, 1}, {"all of it", 4, 0, 0.2}, {"beyond", 8, 0, 0.05}} {
+	}{{"well within capacity", 1, 0.95, 1}, {"at capacity", 4, 0, 0.2}, {"above capacity", 8, 0, 0.05}} {
 		t.Run(c.name, func(t *testing.T) {
 			w, s := newSmallWorld(20*time.Second, RetryAtOnce)
 			w.Servers[0].Buffer = 0
@@ -134,10 +134,10 @@
 			w.Schedule.RunTo(20 * time.Second)
 			w.End()
 			if got := sum(w.Accounting.Served) / sum(w.Accounting.Requested); got < c.least || got > c.most {
-				t.Errorf("served %.3f of what was requested, want %.2f to %.2f", got, c.least, c.most)
+				t.Errorf("served share of requested value = %.3f, want %.2f to %.2f", got, c.least, c.most)
 			}
 			if requested := sum(w.Accounting.Requested); math.Abs(requested-40) > 0.01 {
-				t.Errorf("requested %.2f, want 20 s at a value of 2", requested)
+				t.Errorf("requested value = %.2f, want 40 (20 s at 2 per second)", requested)
 			}
 		})
 	}
@@ -148,7 +148,7 @@
 		name     string
 		retry    RetryPolicy
 		attempts int // within 500 ms
-	}{{"never", NeverRetry, 1}, {"at once", RetryAtOnce, 3}, {"after a wait", RetryAfterFixedDelay, 3}} {
+	}{{"never", NeverRetry, 1}, {"at once", RetryAtOnce, 3}, {"after a fixed delay", RetryAfterFixedDelay, 3}} {
 		t.Run(c.name, func(t *testing.T) {
 			w, s := newSmallWorld(10*time.Second, c.retry)
 			w.StartLoad(&arrivalList{arrivalOf(0, 9*time.Second, 1)})
@@ -170,14 +170,14 @@
 	w.StartLoad(&arrivalList{arrivalOf(0, 29*time.Second, 1)})
 	w.Schedule.RunTo(1100 * time.Millisecond)
 	if w.Totals.TimedOut != 1 || len(s.left) != 1 || len(s.opened) != 2 {
-		t.Fatalf("timed out %d times, left %v, opened %v: want one attempt given up at its timeout and a second",
+		t.Fatalf("timed out %d times, left flows %v, opened flows %v; want one attempt to time out and a second one to start",
 			w.Totals.TimedOut, s.left, s.opened)
 	}
 	s.connectNewest(1)
 	w.Servers[1].goDown(Silent)
 	w.Schedule.RunTo(w.Schedule.Now() + 6*time.Second)
 	if w.Totals.Cut != 1 || len(s.opened) < 3 {
-		t.Errorf("cut %d, opened %d: a client has to leave a silent server and return", w.Totals.Cut, len(s.opened))
+		t.Errorf("cut %d, opened %d; want the client to close its unresponsive connection and reconnect", w.Totals.Cut, len(s.opened))
 	}
 }
 
@@ -186,7 +186,7 @@
 		name      string
 		gap       time.Duration
 		collapses bool
-	}{{"many at once", 5 * time.Millisecond, true}, {"as it warms", 1500 * time.Millisecond, false}} {
+	}{{"many at once", 5 * time.Millisecond, true}, {"one per window", 1500 * time.Millisecond, false}} {
 		t.Run(c.name, func(t *testing.T) {
 			w, s := newSmallWorld(30*time.Second, RetryAfterFixedDelay)
 			var arrivals arrivalList
@@ -203,13 +203,13 @@
 				}
 			}
 			if collapsed := w.Servers[0].Phase() == Collapsed; collapsed != c.collapses {
-				t.Errorf("phase %v, want it collapsed: %v", w.Servers[0].Phase(), c.collapses)
+				t.Errorf("phase = %v, want collapsed: %v", w.Servers[0].Phase(), c.collapses)
 			}
 		})
 	}
 }
 
-func TestListIsLateAndCanBeUnavailable(t *testing.T) {
+func TestListIsDelayedAndCanBeUnavailable(t *testing.T) {
 	w, s := newSmallWorld(60*time.Second, RetryAfterFixedDelay)
 	w.ScheduleFaults([]Fault{
 		{Kind: Crash, Start: time.Second, Length: 10 * time.Second, Share: 0.5, Locality: AnyLocality},
@@ -220,11 +220,11 @@
 	}{{1900 * time.Millisecond, 0}, {2200 * time.Millisecond, 1}, {29 * time.Second, 1}, {31 * time.Second, 2}} {
 		w.Schedule.RunTo(step.at)
 		if s.updates != step.updates {
-			t.Errorf("at %v there were %d updates, want %d", step.at, s.updates, step.updates)
+			t.Errorf("%d updates by %v, want %d", s.updates, step.at, step.updates)
 		}
 	}
 	if w.Servers[0].WarmFraction()+w.Servers[1].WarmFraction() != 2 {
-		t.Errorf("20 s after the start both are warm, not %v and %v", w.Servers[0].WarmFraction(), w.Servers[1].WarmFraction())
+		t.Errorf("warm fractions = %v and %v, want 1 for both 20 s after the start", w.Servers[0].WarmFraction(), w.Servers[1].WarmFraction())
 	}
 }
 
@@ -233,20 +233,20 @@
 		name      string
 		strength  float64
 		out, back bool
-	}{{"one way", 0, true, false}, {"both", 1, true, true}} {
+	}{{"one way", 0, true, false}, {"both ways", 1, true, true}} {
 		t.Run(c.name, func(t *testing.T) {
 			w, _ := newSmallWorld(10*time.Second, RetryAfterFixedDelay)
 			w.ScheduleFaults([]Fault{{Kind: Partition, Start: time.Second, Length: time.Second, Strength: c.strength, Locality: 1}})
 			w.Schedule.RunTo(1500 * time.Millisecond)
 			if w.Network.IsBlocked(1, 0) != c.out || w.Network.IsBlocked(0, 1) != c.back {
-				t.Errorf("blocked %v and back %v", w.Network.IsBlocked(1, 0), w.Network.IsBlocked(0, 1))
+				t.Errorf("blocked = %v, in the opposite direction %v", w.Network.IsBlocked(1, 0), w.Network.IsBlocked(0, 1))
 			}
 			if w.Reach(0, 1) != Unresponsive {
-				t.Error("a connect needs both directions, and got an answer")
+				t.Error("a connect got a reply, though it needs both directions")
 			}
 			w.Schedule.RunTo(3 * time.Second)
 			if w.Reach(0, 1) != Open {
-				t.Error("the partition outlasts its time")
+				t.Error("the partition remained after its end")
 			}
 		})
 	}
