--- a/internal/testbed/baseline/endpoints.go
+++ b/internal/testbed/baseline/endpoints.go
@@ -7,7 +7,7 @@
 	"yardwinch/decide"
 )
 
-// server is the entry of a server, which is made where there is none.
+// server returns the entry of a server, and creates it where there is none.
 func (p *Policy) server(id decide.ServerID) *server {
 	s := p.servers[id]
 	if s == nil {
@@ -25,13 +25,13 @@
 	}
 }
 
-// OnEndpoint takes in one server of the update.
+// OnEndpoint adds one server to the update.
 func (p *Policy) OnEndpoint(endpoint decide.Endpoint) {
 	s := p.server(endpoint.ID)
 	s.readiness, s.listed = endpoint.Readiness, true
 }
 
-// EndEndpoints puts the update in force.
+// EndEndpoints applies the update.
 func (p *Policy) EndEndpoints() {
 	p.ready = p.ready[:0]
 	for _, s := range p.servers {
--- a/internal/testbed/baseline/omniscient.go
+++ b/internal/testbed/baseline/omniscient.go
@@ -10,20 +10,21 @@
 )
 
 const (
-	maxUtilization     = 0.95 // that a flow may bring a server to
-	overloadedFrom     = 1.05 // utilization from which flows are migrated away
-	maxStoreWait       = 0.25 // seconds
-	reliefInterval     = 250 * time.Millisecond
-	reliefTimer        = decide.TimerID(1)
-	reliefShare        = 0.4 // of the excess, at each interval
-	maxReliefShare     = 0.5 // of a server's flows, at each interval
-	deadServerShare    = 0.25
-	setupLoadAllowance = 2 // times the load of a group, as a set-up costs as much again
+	maxUtilization  = 0.95 // of a server with the flow that is being placed
+	overloadedFrom  = 1.05 // utilization from which flows are migrated away
+	maxStoreWait    = 0.25 // seconds
+	reliefInterval  = 250 * time.Millisecond
+	reliefTimer     = decide.TimerID(1)
+	reliefShare     = 0.4  // part of the excess load that is migrated at each interval
+	maxReliefShare  = 0.5  // upper bound of the share of a server's flows that is migrated at each interval
+	deadServerShare = 0.25 // share of a dead server's flows that is migrated at each interval
+	setupLoadFactor = 2    // multiple of a group's load that a new flow is counted with, as its set-up costs as much again
 )
 
-// omniscient sees the true state of all servers, of the store and of what others send. It takes the server that is left with most to
-// spare, pays for a group once where it can, keeps starting servers within what they can bear and rejects what would make others late.
-func omniscient(p *Policy, f *flow, ready []*server) *server {
+// leastCost is the rule that uses the true state of all servers and of the store, including the load that other balancers send. It chooses
+// the server with the least utilization, preferring one that has the flow's group, and keeps starting servers within their budget. It
+// rejects a flow where the store or all servers are too busy, as it would delay others.
+func leastCost(p *Policy, f *flow, ready []*server) *server {
 	if p.World.StoreWait() > maxStoreWait {
 		return nil
 	}
@@ -31,16 +32,17 @@
 	least := math.Inf(1)
 	group := p.GroupOf(f.group)
 	for _, s := range ready {
-		if cost, ok := p.costOn(p.ServerOf(s.id), group); ok && cost < least {
+		if cost, ok := p.placementCost(p.ServerOf(s.id), group); ok && cost < least {
 			best, least = s, cost
 		}
 	}
 	return best
 }
 
-// costOn is what a flow of a group would cost on a server; not ok where the server can't bear it.
-func (p *Policy) costOn(s *simulation.Server, group simulation.GroupID) (cost float64, ok bool) {
-	if !s.IsServing() || s.SlowStartBudget() < setupLoadAllowance*s.GroupLoad {
+// placementCost is the cost of placing a flow of a group on a server, from utilization and queueing delay. ok is false where the server
+// can't take the flow.
+func (p *Policy) placementCost(s *simulation.Server, group simulation.GroupID) (cost float64, ok bool) {
+	if !s.IsServing() || s.SlowStartBudget() < setupLoadFactor*s.GroupLoad {
 		return 0, false
 	}
 	utilization, added := utilization(s), 0.0
@@ -50,16 +52,16 @@
 	if utilization+added > maxUtilization {
 		return 0, false
 	}
-	return utilization + setupLoadAllowance*added + setupLoadAllowance*s.QueueDelay(), true
+	return utilization + setupLoadFactor*added + setupLoadFactor*s.QueueDelay(), true
 }
 
-// utilization is what a server is asked for over its capacity. What is being set up there counts as established.
+// utilization is a server's demand divided by its capacity, plus its queueing delay. Connections that are being set up count as established.
 func utilization(s *simulation.Server) float64 {
 	settingUp := float64(s.ConnectionCount()-s.Established()) * s.GroupLoad
 	return (s.Demand()+settingUp)/s.CurrentCapacity() + s.QueueDelay()
 }
 
-// migrateFromOverloaded migrates a part of the flows on overloaded and dead servers. Each balancer does its part.
+// migrateFromOverloaded migrates a share of the balancer's own flows from overloaded and dead servers. Every balancer does the same.
 func (p *Policy) migrateFromOverloaded() {
 	p.act.SetTimer(reliefTimer, reliefInterval)
 	shares := p.reliefShares()
@@ -80,14 +82,14 @@
 	}
 }
 
-// reliefShares are the shares of their flows that servers are to lose.
+// reliefShares returns the share of its flows that each overloaded or dead server is to lose.
 func (p *Policy) reliefShares() map[*server]float64 {
 	shares := map[*server]float64{}
 	for _, s := range p.servers {
 		actual := p.ServerOf(s.id)
 		switch {
 		case !actual.IsServing():
-			if s.open > 0 {
+			if s.connections > 0 {
 				shares[s] = deadServerShare
 			}
 		case s.readiness == decide.Ready:
--- a/internal/testbed/baseline/policy.go
+++ b/internal/testbed/baseline/policy.go
@@ -1,5 +1,5 @@
-// Package baseline holds textbook policies to measure the project's own against; nothing else uses them. Each places a flow by one simple
-// rule, tries another server after a failure where that is harmless, and migrates nothing.
+// Package baseline implements textbook load balancing policies that the project's own policy is compared with. Each places a flow by one
+// simple rule and tries another server after a failure where that is harmless. Only the omniscient policy migrates flows.
 package baseline
 
 import (
@@ -11,14 +11,14 @@
 	"yardwinch/internal/simulation"
 )
 
-// Config is what a policy works with.
+// Config configures a policy.
 type Config struct {
 	Rule        Rule
-	MaxConnects int             // of a flow
-	RetryAfter  time.Duration   // that rejected clients are told
-	Effects     []decide.Effect // of the service types
+	MaxConnects int             // per flow
+	RetryAfter  time.Duration   // sent to rejected clients
+	Effects     []decide.Effect // by service type
 
-	// The following are for the policy that sees the true state of all servers. World is nil for the others.
+	// The following are for the omniscient policy, which uses the true state of all servers. World is nil for the others.
 	World    *simulation.World
 	ServerOf func(decide.ServerID) *simulation.Server
 	GroupOf  func(decide.GroupKey) simulation.GroupID
@@ -33,7 +33,7 @@
 	now     time.Duration
 	flows   map[decide.FlowID]*flow
 	servers map[decide.ServerID]*server
-	ready   []*server // by id
+	ready   []*server // sorted by ID
 	update  decide.UpdateKind
 }
 
@@ -50,25 +50,25 @@
 }
 
 type server struct {
-	id        decide.ServerID
-	open      int // own connects and connections
-	readiness decide.Readiness
-	listed    bool // in the update of the list that is being read
+	id          decide.ServerID
+	connections int // own connects and connections
+	readiness   decide.Readiness
+	listed      bool // in the current update of the list
 }
 
-// New makes a policy that acts through act. Its random draws come from the seed.
+// New creates a policy that acts through act. The seed determines its random draws.
 func New(c Config, seed uint64, act decide.Actions) *Policy {
 	p := &Policy{Config: c, act: act, random: rand.New(rand.NewPCG(seed, 1)),
 		flows: map[decide.FlowID]*flow{}, servers: map[decide.ServerID]*server{}}
-	if p.seesAll() {
+	if p.isOmniscient() {
 		act.SetTimer(reliefTimer, reliefInterval)
 	}
 	return p
 }
 
-func (p *Policy) seesAll() bool { return p.World != nil }
+func (p *Policy) isOmniscient() bool { return p.World != nil }
 
-// SetTime sets the time of the calls that follow.
+// SetTime sets the current time for the calls that follow.
 func (p *Policy) SetTime(now time.Duration) { p.now = now }
 
 // OnFlow places a new flow.
@@ -78,14 +78,15 @@
 	p.place(f)
 }
 
-// AdoptFlow takes in a flow that is established already.
+// AdoptFlow adds a flow that is already established.
 func (p *Policy) AdoptFlow(request decide.FlowRequest, to decide.ServerID) {
 	f := &flow{id: request.ID, group: request.Group, effect: p.Effects[request.Service], server: p.server(to), established: true}
-	f.server.open++
+	f.server.connections++
 	p.flows[request.ID] = f
 }
 
-// place sends a flow to the server that the rule chooses, or answers it where it may not be sent.
+// place sends a flow to the server that the rule chooses. It answers the flow where no server is left, where its connects or its time are
+// used up, or where it must not run again.
 func (p *Policy) place(f *flow) {
 	candidates := p.candidates(f)
 	isExhausted := f.connects >= p.MaxConnects || p.now >= f.deadline
@@ -99,13 +100,13 @@
 		return
 	}
 	f.server = to
-	to.open++
+	to.connections++
 	f.connects++
 	f.attempted = append(f.attempted, to.id)
 	p.act.Connect(f.id, to.id, p.connectLimit(f))
 }
 
-// candidates are the ready servers that the flow has not been sent to, or all ready ones where it has been sent to each.
+// candidates returns the ready servers that the flow has not been sent to, or all ready servers if it has been sent to each.
 func (p *Policy) candidates(f *flow) []*server {
 	var unattempted []*server
 	for _, s := range p.ready {
@@ -119,9 +120,10 @@
 	return unattempted
 }
 
-// connectLimit leaves time for another connect, which the policy that sees all doesn't need.
+// connectLimit is the time that a connect may take: half of the time left, so that another connect can follow. The omniscient policy uses
+// all of it, as it needs no second connect.
 func (p *Policy) connectLimit(f *flow) time.Duration {
-	if p.seesAll() {
+	if p.isOmniscient() {
 		return f.deadline - p.now
 	}
 	return (f.deadline - p.now) / 2
@@ -136,20 +138,20 @@
 	}
 }
 
-// OnEstablished notes that a flow is established.
+// OnEstablished marks a flow as established.
 func (p *Policy) OnEstablished(id decide.FlowID, _ time.Duration) {
 	if f := p.flows[id]; f != nil {
 		f.established = true
 	}
 }
 
-// OnEnded notes how a connect or a connection ended, and tries another server where that is harmless.
+// OnEnded handles the end of a connect or a connection, and tries another server where that is harmless.
 func (p *Policy) OnEnded(id decide.FlowID, outcome decide.Outcome, _ time.Duration, isFinished bool) {
 	f := p.flows[id]
 	if f == nil {
 		return
 	}
-	f.server.open--
+	f.server.connections--
 	f.mayHaveRun = f.mayHaveRun || !outcome.NeverRan()
 	if f.established || isFinished {
 		delete(p.flows, id)
@@ -158,15 +160,15 @@
 	p.place(f)
 }
 
-// OnClientLeft drops a flow whose client has left.
+// OnClientLeft removes a flow whose client has left.
 func (p *Policy) OnClientLeft(id decide.FlowID) {
 	if f := p.flows[id]; f != nil {
 		delete(p.flows, id)
 		if f.server != nil {
-			f.server.open--
+			f.server.connections--
 		}
 	}
 }
 
-// OnTimer has the policy that sees all migrate flows off overloaded servers.
+// OnTimer migrates flows from overloaded servers. Only the omniscient policy sets a timer.
 func (p *Policy) OnTimer(decide.TimerID) { p.migrateFromOverloaded() }
--- a/internal/testbed/baseline/rules.go
+++ b/internal/testbed/baseline/rules.go
@@ -8,18 +8,18 @@
 	"yardwinch/internal/testbed/experiment"
 )
 
-const maxLoadFactor = 1.25 // times the mean, in consistent hashing with bounded loads
+const maxLoadFactor = 1.25 // bound of a server's connections as a multiple of the mean, in hashing with bounded loads
 
-// Rule chooses among ready servers, of which there is one at the least; nil rejects the flow.
+// Rule chooses one of the ready servers, of which there is at least one; nil rejects the flow.
 type Rule func(p *Policy, f *flow, ready []*server) *server
 
-// Rules by the name of their policy.
+// Rules maps the names of policies to their rules.
 var Rules = map[string]Rule{
 	experiment.RandomServer:     randomServer,
 	experiment.LeastConnections: leastConnections,
 	experiment.TwoChoices:       twoChoices,
 	experiment.BoundedHashing:   boundedHashing,
-	experiment.Omniscient:       omniscient,
+	experiment.Omniscient:       leastCost,
 }
 
 func randomServer(p *Policy, _ *flow, ready []*server) *server {
@@ -28,28 +28,28 @@
 
 // leastConnections chooses at random among the servers with the fewest own connections.
 func leastConnections(p *Policy, _ *flow, ready []*server) *server {
-	least := slices.MinFunc(ready, func(a, b *server) int { return a.open - b.open }).open
+	least := slices.MinFunc(ready, func(a, b *server) int { return a.connections - b.connections }).connections
 	var candidates []*server
 	for _, s := range ready {
-		if s.open == least {
+		if s.connections == least {
 			candidates = append(candidates, s)
 		}
 	}
 	return candidates[p.random.IntN(len(candidates))]
 }
 
-// twoChoices draws two servers and takes the one with fewer own connections.
+// twoChoices draws two servers and chooses the one with fewer own connections (the power of two choices).
 func twoChoices(p *Policy, _ *flow, ready []*server) *server {
 	first := ready[p.random.IntN(len(ready))]
 	second := ready[p.random.IntN(len(ready))]
-	if second.open < first.open {
+	if second.connections < first.connections {
 		return second
 	}
 	return first
 }
 
-// boundedHashing is rendezvous hashing by the flow's group with bounded loads: it takes the first server in the order of the hashes that
-// has fewer connections than the bound, and the one with the fewest where all are at the bound.
+// boundedHashing is rendezvous hashing with bounded loads, keyed by the flow's group. It chooses the server with the highest hash among
+// those below the bound, or one with the fewest connections where all have reached it.
 func boundedHashing(p *Policy, f *flow, ready []*server) *server {
 	key := string(f.group)
 	if key == "" {
@@ -59,7 +59,7 @@
 	var best *server
 	var bestHash uint64
 	for _, s := range ready {
-		if s.open >= bound {
+		if s.connections >= bound {
 			continue
 		}
 		if hash := hashOf(key, s); best == nil || hash > bestHash {
@@ -72,20 +72,20 @@
 	return best
 }
 
-// connectionBound is what one of so many servers may have with the next connection.
+// connectionBound is the greatest number of connections that one server may have once the next connection is placed.
 func (p *Policy) connectionBound(servers int) int {
 	open := 1
 	for _, s := range p.servers {
-		open += s.open
+		open += s.connections
 	}
 	return int(math.Ceil(maxLoadFactor * float64(open) / float64(servers)))
 }
 
-// hashOf mixes a key and a server as the finalizer of MurmurHash does.
+// hashOf hashes a key and a server, mixing as the finalizer of MurmurHash3 does.
 func hashOf(key string, s *server) uint64 {
-	const golden, mixer, shift = 0x9e3779b97f4a7c15, 0xff51afd7ed558ccd, 33
+	const goldenRatio64, mixer, shift = 0x9e3779b97f4a7c15, 0xff51afd7ed558ccd, 33
 	h := fnv.New64a()
-	_, _ = h.Write([]byte(key)) // a hash takes all
-	x := (h.Sum64() ^ uint64(s.id)*golden) * mixer
+	_, _ = h.Write([]byte(key)) // Write of a hash never fails
+	x := (h.Sum64() ^ uint64(s.id)*goldenRatio64) * mixer
 	return x ^ x>>shift
 }
--- a/internal/testbed/virtual/actions.go
+++ b/internal/testbed/virtual/actions.go
@@ -8,17 +8,18 @@
 	"yardwinch/internal/testbed/invariants"
 )
 
-// balancer carries out the decisions of its decider.
+// balancer carries out the actions of its decider.
 var _ decide.Actions = (*balancer)(nil)
 
-// Connect sends a flow to a server.
+// Connect sends a connect for a flow to a server. It fails where the server does not establish it before the flow's deadline, or within
+// limit if that is positive. Connects beyond maxConnects of a flow fail without being sent.
 func (b *balancer) Connect(id decide.FlowID, to decide.ServerID, limit time.Duration) {
 	d, f := b.driver, b.flow(id)
 	server, known := d.serverOf[to]
 	if f == nil || !known {
 		return
 	}
-	c := b.newConnect(f, server)
+	c := b.startConnect(f, server)
 	if f.sentCount > d.maxConnects {
 		d.world.Schedule.After(0, simulation.Message, func() { b.endConnect(c, decide.NeverSent) })
 		return
@@ -36,7 +37,7 @@
 	b.dial(c)
 }
 
-func (b *balancer) newConnect(f *flow, server simulation.ServerID) *connect {
+func (b *balancer) startConnect(f *flow, server simulation.ServerID) *connect {
 	d := b.driver
 	c := &connect{id: d.world.NewConnID(), flow: f, server: server, state: dialing, sentAt: d.world.Schedule.Now()}
 	f.sentCount++
@@ -57,7 +58,7 @@
 	d.observe(e)
 }
 
-// dial has a connect reach its server, or fail as the server's state has it.
+// dial schedules a connect's arrival at its server, or its failure if the server can't be reached.
 func (b *balancer) dial(c *connect) {
 	w := b.driver.world
 	oneWay := w.Network.Delay(b.locality, w.Servers[c.server].Locality)
@@ -67,24 +68,24 @@
 		w.Schedule.After(2*oneWay, simulation.Message, fail)
 	case simulation.Unresponsive:
 		w.Schedule.After(b.driver.connectTimeout, simulation.Message, fail)
-	default: // there and back to connect, then the line
-		w.Schedule.After(3*oneWay, simulation.Message, func() { b.driver.arriveConnect(c) })
+	default: // a round trip to open the connection, then the request line
+		w.Schedule.After(3*oneWay, simulation.Message, func() { b.driver.deliverConnect(c) })
 	}
 }
 
-// Reject gives a final answer: the flow did not run.
+// Reject answers a flow as rejected: it did not run.
 func (b *balancer) Reject(id decide.FlowID, retryAfter time.Duration) {
 	b.driver.Tally.Rejects++
 	b.answer(id, invariants.Rejected, simulation.Rejected, retryAfter)
 }
 
-// Abort gives a final answer: the flow may have run.
+// Abort answers a flow as aborted: it may have run.
 func (b *balancer) Abort(id decide.FlowID) {
 	b.driver.Tally.Aborts++
 	b.answer(id, invariants.Aborted, simulation.Aborted, 0)
 }
 
-// answer tells the checker each answer, and the client the first one.
+// answer reports every answer to the checker, and sends the client only the first one.
 func (b *balancer) answer(id decide.FlowID, observed invariants.Answer, answer simulation.Answer, retryAfter time.Duration) {
 	const unknownFlow = -1
 	d, f := b.driver, b.flow(id)
@@ -120,7 +121,7 @@
 	})
 }
 
-// HealthCheck finds what a new connection meets at a server.
+// HealthCheck checks whether a server accepts a new connection, and reports the outcome to the decider.
 func (b *balancer) HealthCheck(id decide.ServerID) {
 	server, known := b.driver.serverOf[id]
 	if !known {
@@ -138,7 +139,7 @@
 	w.Schedule.After(took, simulation.Message, b.whileRunning(func() { b.decide().OnHealthCheck(id, outcome) }))
 }
 
-// SetTimer has the decider woken, in a microsecond at the soonest.
+// SetTimer calls the decider's OnTimer after a delay of at least a microsecond.
 func (b *balancer) SetTimer(id decide.TimerID, delay time.Duration) {
 	b.driver.world.Schedule.After(max(delay, time.Microsecond), simulation.Wake, b.whileRunning(func() { b.decide().OnTimer(id) }))
 }
--- a/internal/testbed/virtual/balancer.go
+++ b/internal/testbed/virtual/balancer.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	drainStart    = 400 * time.Millisecond // after the signal to stop, clients are asked to reconnect
-	drainMargin   = 600 * time.Millisecond // so long before the end of the process, all have been asked
+	drainStart    = 400 * time.Millisecond // from the stop signal until the first clients are asked to reconnect
+	drainMargin   = 600 * time.Millisecond // from the time by which all have been asked to the end of the process
 	drainInterval = 50 * time.Millisecond
 )
 
-// balancer is one balancer's process, through its restarts.
+// balancer is one balancer and the current incarnation of its process.
 type balancer struct {
 	driver      *Driver
 	id          simulation.BalancerID
@@ -43,15 +43,15 @@
 	b.updateList(decide.CachedUpdate, d.world.List.Known(id))
 }
 
-// StopBalancer has a balancer ask its clients to reconnect, spread evenly, from a little after the signal until shortly before its end,
-// as the program does. Clients that come meanwhile are served and asked in turn.
+// StopBalancer makes a balancer ask its clients to reconnect, spread evenly from drainStart after the signal until drainMargin before its
+// end, as the real process does. Clients that arrive meanwhile are served and asked too.
 func (d *Driver) StopBalancer(id simulation.BalancerID) {
 	b := d.balancers[id]
 	until := d.world.Schedule.Now() + d.world.StopWithin() - drainMargin
 	var drain func()
 	step := b.whileRunning(func() { drain() })
 	drain = func() {
-		open := sorted(b.flows, func(f *flow) bool { return f.established != nil && !f.clientLeft })
+		open := sortedFlows(b.flows, func(f *flow) bool { return f.established != nil && !f.clientLeft })
 		stepsLeft := max(1, int((until-d.world.Schedule.Now())/drainInterval))
 		for _, f := range open[:(len(open)+stepsLeft-1)/stepsLeft] {
 			b.endConnect(f.established, decide.Cancelled)
@@ -61,14 +61,14 @@
 	d.world.Schedule.After(drainStart, simulation.Wake, step)
 }
 
-// KillBalancer ends a balancer at once.
+// KillBalancer ends a balancer's process at once, with all its connections.
 func (d *Driver) KillBalancer(id simulation.BalancerID) {
 	b := d.balancers[id]
 	b.isUp = false
 	d.observe(b.event(invariants.BalancerDied))
-	for _, f := range sorted(b.flows, func(*flow) bool { return true }) {
+	for _, f := range sortedFlows(b.flows, func(*flow) bool { return true }) {
 		for _, c := range f.outstanding {
-			c.transition(over)
+			c.transition(ended)
 			delete(d.connects, c.id)
 			d.closeAtServer(c)
 		}
@@ -83,8 +83,8 @@
 	b.flows, b.established = nil, nil
 }
 
-// sorted has the flows that match in the order of their ids, as the order of a map must not decide anything.
-func sorted(flows map[simulation.FlowID]*flow, matches func(*flow) bool) (found []*flow) {
+// sortedFlows returns the flows that match in the order of their IDs, so that map iteration does not make a run depend on chance.
+func sortedFlows(flows map[simulation.FlowID]*flow, matches func(*flow) bool) (found []*flow) {
 	for _, f := range flows {
 		if matches(f) {
 			found = append(found, f)
@@ -94,7 +94,7 @@
 	return found
 }
 
-// whileRunning is something that doesn't happen if the balancer has ended or restarted meanwhile.
+// whileRunning wraps an action so that it is skipped if the balancer has ended or restarted since.
 func (b *balancer) whileRunning(do func()) func() {
 	incarnation := b.incarnation
 	return func() {
@@ -104,7 +104,7 @@
 	}
 }
 
-// decide is the decider with its clock set to now.
+// decide returns the decider with its clock set to the current time.
 func (b *balancer) decide() Decider {
 	b.decider.SetTime(b.driver.world.Schedule.Now() - b.startedAt)
 	return b.decider
--- a/internal/testbed/virtual/connect.go
+++ b/internal/testbed/virtual/connect.go
@@ -16,10 +16,10 @@
 	dialing connectState = iota
 	awaitingReply
 	established
-	over
+	ended
 )
 
-// connect is one connection of a balancer to a server, for one flow.
+// connect is one attempt of a balancer to connect a flow to a server, and the connection that results.
 type connect struct {
 	id     simulation.ConnID
 	flow   *flow
@@ -28,7 +28,7 @@
 	sentAt time.Duration
 }
 
-// outcomes of connects that a server ends.
+// outcomes maps a server's reason for ending a connect to the outcome that the balancer sees.
 var outcomes = map[simulation.EndReason]decide.Outcome{
 	simulation.Full:          decide.Full,
 	simulation.Failed:        decide.Error,
@@ -37,11 +37,11 @@
 	simulation.ServerStopped: decide.Cancelled,
 }
 
-// transition makes every change of a connect's state.
+// transition changes the connect's state. All state changes go through it.
 func (c *connect) transition(to connectState) { c.state = to }
 
-// arriveConnect brings a connect's line to its server.
-func (d *Driver) arriveConnect(c *connect) {
+// deliverConnect delivers a connect's request line to its server.
+func (d *Driver) deliverConnect(c *connect) {
 	if c.state != dialing {
 		return
 	}
@@ -60,13 +60,13 @@
 	d.world.ArriveConnect(c.id, c.server, c.flow.id, b.locality)
 }
 
-// Establish brings a server's word that a connection is established to its balancer.
+// Establish delivers a server's message that a connection is established to its balancer.
 func (d *Driver) Establish(id simulation.ConnID) {
 	c := d.connects[id]
 	if c == nil {
 		return
 	}
-	d.sendBack(c, func() {
+	d.sendToBalancer(c, func() {
 		if c.state == awaitingReply {
 			c.flow.balancer.establish(c)
 		}
@@ -81,40 +81,40 @@
 	e := b.flowEvent(invariants.FlowAnswered, f.id)
 	e.Answer = invariants.Established
 	d.observe(e)
-	b.decide().OnEstablished(f.name, d.world.Schedule.Now()-c.sentAt)
+	b.decide().OnEstablished(f.decideID, d.world.Schedule.Now()-c.sentAt)
 	d.sendToClient(func() { d.world.AnswerFlow(f.id, simulation.Established, 0) })
 }
 
-// EndConnect brings a server's end of a connection to its balancer.
+// EndConnect tells a balancer that a server has ended a connect or a connection.
 func (d *Driver) EndConnect(id simulation.ConnID, reason simulation.EndReason) {
 	c := d.connects[id]
 	if c == nil {
 		return
 	}
-	d.sendBack(c, func() { c.flow.balancer.endConnect(c, outcomes[reason]) })
+	d.sendToBalancer(c, func() { c.flow.balancer.endConnect(c, outcomes[reason]) })
 }
 
-// sendBack brings something from a connect's server to its balancer, unless the network is cut.
-func (d *Driver) sendBack(c *connect, do func()) {
+// sendToBalancer runs an action after the network delay from a connect's server to its balancer, unless the network is partitioned.
+func (d *Driver) sendToBalancer(c *connect, do func()) {
 	b, from := c.flow.balancer, d.world.Servers[c.server].Locality
 	if d.world.Network.IsBlocked(from, b.locality) {
 		return
 	}
 	d.world.Schedule.After(d.world.Network.Delay(from, b.locality), simulation.Message, b.whileRunning(func() {
-		if c.state != over {
+		if c.state != ended {
 			do()
 		}
 	}))
 }
 
-// endConnect ends a connect. It is the one place where a decider is told so.
+// endConnect ends a connect and tells the decider. All connects end here, except when their balancer is killed.
 func (b *balancer) endConnect(c *connect, outcome decide.Outcome) {
-	if c.state == over || !b.isUp {
+	if c.state == ended || !b.isUp {
 		return
 	}
 	d, f := b.driver, c.flow
 	wasEstablished := c.state == established
-	c.transition(over)
+	c.transition(ended)
 	delete(d.connects, c.id)
 	f.outstanding = slices.DeleteFunc(f.outstanding, func(other *connect) bool { return other == c })
 	d.closeAtServer(c)
@@ -128,10 +128,10 @@
 	if wasEstablished || isFinished {
 		b.forget(f)
 	}
-	b.decide().OnEnded(f.name, outcome, d.world.Schedule.Now()-c.sentAt, isFinished)
+	b.decide().OnEnded(f.decideID, outcome, d.world.Schedule.Now()-c.sentAt, isFinished)
 }
 
-// endEstablished ends a flow whose connection was established, and tells its client unless that has left.
+// endEstablished ends a flow whose connection was established, and tells its client unless the client has left.
 func (b *balancer) endEstablished(c *connect, outcome decide.Outcome) {
 	d, f := b.driver, c.flow
 	f.established = nil
@@ -147,13 +147,13 @@
 	d.sendToClient(func() { d.world.BreakFlow(f.id, how) })
 }
 
-// closeAtServer has a server see that a balancer has ended its connection.
+// closeAtServer tells a server, after the network delay, that the balancer has closed a connection.
 func (d *Driver) closeAtServer(c *connect) {
 	delay := d.world.Network.Delay(c.flow.balancer.locality, d.world.Servers[c.server].Locality)
 	d.world.Schedule.After(delay, simulation.Message, func() { d.world.CloseConnect(c.id) })
 }
 
-// ReportDelay tells the balancers with connections to a server how long its messages take.
+// ReportDelay delivers a server's message delay to the balancers that have connections to it.
 func (d *Driver) ReportDelay(id simulation.ServerID, delay time.Duration) {
 	from := d.world.Servers[id].Locality
 	for _, b := range d.balancers {
@@ -162,11 +162,11 @@
 		}
 		d.world.Schedule.After(d.world.Network.Delay(from, b.locality), simulation.Message, b.whileRunning(func() {
 			if flows := b.established[id]; len(flows) > 0 {
-				b.decide().OnLatencySample(flows[0].name, delay)
+				b.decide().OnLatencySample(flows[0].decideID, delay)
 			}
 		}))
 	}
 }
 
-// ServerChanged does nothing: balancers are told of a server's phase by the list alone.
+// ServerChanged does nothing: balancers learn of a server's phase from the server list alone.
 func (d *Driver) ServerChanged(simulation.ServerID) {}
--- a/internal/testbed/virtual/driver.go
+++ b/internal/testbed/virtual/driver.go
@@ -1,5 +1,5 @@
-// Package virtual runs a simulated world in virtual time with many balancers, whose decisions are made by whatever is put in their place.
-// One goroutine and one seed give one result.
+// Package virtual runs a simulated world with many balancers in virtual time. The decisions of the balancers come from a Decider, which the
+// caller chooses. A run uses one goroutine, and its seed determines the result.
 package virtual
 
 import (
@@ -12,15 +12,15 @@
 	"yardwinch/internal/testbed/invariants"
 )
 
-const answersWithin = 5 * time.Second // after the end of a day its last flows have been answered
+const finalAnswersWithin = 5 * time.Second // run time after the end of a day in which its last flows are answered
 
-// Decider makes the decisions of one balancer: the decision module, with or without constraints of others, or a baseline in its place.
+// Decider makes the decisions of one balancer: the decision module, with or without additional constraints, or a baseline policy.
 type Decider = constraints.Balancer
 
-// NewDecider makes the decider of a balancer that starts, which acts through act alone.
+// NewDecider creates the decider of a balancer that starts. The decider acts only through act.
 type NewDecider func(seed uint64, b simulation.BalancerID, act decide.Actions) Decider
 
-// Driver is the network and the balancers between a world's clients and servers.
+// Driver models the network and the balancers between a world's clients and servers.
 type Driver struct {
 	Tally Tally
 
@@ -28,17 +28,17 @@
 	world          *simulation.World
 	checker        *invariants.Checker
 	newDecider     NewDecider
-	maxConnects    int // of a flow
+	maxConnects    int // per flow
 	connectTimeout time.Duration
 
 	balancers []*balancer
 	flows     map[simulation.FlowID]*flow
 	connects  map[simulation.ConnID]*connect
-	ids       []decide.ServerID // of servers
+	decideIDs []decide.ServerID // by simulation.ServerID
 	serverOf  map[decide.ServerID]simulation.ServerID
 }
 
-// Tally counts what all balancers did.
+// Tally counts the actions of all balancers.
 type Tally struct {
 	Connects     int
 	Crossings    int // connects to another locality
@@ -50,7 +50,7 @@
 	ConnectedAt  []time.Duration
 }
 
-// New prepares a driver for a day that has not begun.
+// New creates a driver for a day that has not begun.
 func New(day *experiment.Day, checker *invariants.Checker, newDecider NewDecider) *Driver {
 	terms := day.Experiment.Terms()
 	d := &Driver{day: day, world: day.World, checker: checker, newDecider: newDecider,
@@ -61,7 +61,7 @@
 	return d
 }
 
-// Run runs the whole day. progress, which may be nil, gets the time each virtual second.
+// Run runs the whole day. It calls progress, which may be nil, after each virtual second.
 func (d *Driver) Run(progress func(time.Duration)) {
 	w := d.world
 	for _, b := range w.Balancers {
@@ -77,7 +77,7 @@
 			progress(w.Schedule.Now())
 		}
 	}
-	w.Schedule.RunTo(end + answersWithin)
+	w.Schedule.RunTo(end + finalAnswersWithin)
 	w.End()
 	d.checker.Finish(w.Schedule.Now())
 }
@@ -87,7 +87,7 @@
 	d.checker.Observe(e)
 }
 
-// sendToClient has something happen when a message has reached a client, or come from it.
+// sendToClient runs an action after the one-way delay between clients and balancers. It serves both directions.
 func (d *Driver) sendToClient(do func()) {
 	d.world.Schedule.After(d.world.Network.Client, simulation.Message, do)
 }
--- a/internal/testbed/virtual/flow.go
+++ b/internal/testbed/virtual/flow.go
@@ -12,24 +12,24 @@
 )
 
 const (
-	lineAllowance = 5 * time.Millisecond // a balancer keeps this much of a client's timeout for the way there and back
-	flowIDBase    = 36                   // of flow ids as deciders have them
+	networkAllowance = 5 * time.Millisecond // subtracted from a client's timeout for the network delays to and from the balancer
+	flowIDBase       = 36                   // numeral base of a decider's flow IDs
 )
 
 // flow is one attempt of a client at a balancer.
 type flow struct {
 	id          simulation.FlowID
-	name        decide.FlowID
+	decideID    decide.FlowID
 	balancer    *balancer
 	deadline    time.Duration
 	outstanding []*connect
-	established *connect // nil until one is
+	established *connect // nil while no connect is established
 	sentCount   int
 	isAnswered  bool
 	clientLeft  bool
 }
 
-// The words of settings for effects and for the scopes of idempotency keys.
+// Effects and scopes of idempotency keys by their values in settings.
 var (
 	effects = map[string]invariants.Effect{
 		"free":        invariants.Idempotent,
@@ -43,11 +43,11 @@
 	}
 )
 
-func flowName(id simulation.FlowID) decide.FlowID {
+func decideFlowID(id simulation.FlowID) decide.FlowID {
 	return decide.FlowID(strconv.FormatInt(int64(id), flowIDBase))
 }
 
-// flow finds a flow by the decider's name for it; nil where the balancer has none.
+// flow finds a flow by its decide.FlowID; nil where the balancer has none.
 func (b *balancer) flow(name decide.FlowID) *flow {
 	id, err := strconv.ParseInt(string(name), flowIDBase, 64)
 	if err != nil {
@@ -56,22 +56,22 @@
 	return b.flows[simulation.FlowID(id)]
 }
 
-// OpenFlow brings a client's attempt to a balancer.
+// OpenFlow delivers a client's attempt to a balancer.
 func (d *Driver) OpenFlow(attempt simulation.Attempt) {
 	b := d.balancers[attempt.Balancer]
-	request := requestOf(attempt)
+	request := newFlowRequest(attempt)
 	d.sendToClient(func() {
 		switch {
 		case !b.isUp:
 			d.sendToClient(func() { d.world.AnswerFlow(attempt.Flow, simulation.NoBalancer, 0) })
-		case d.world.Client(attempt.Flow) != nil: // it has not left meanwhile
+		case d.world.Client(attempt.Flow) != nil: // the client has not left meanwhile
 			b.acceptFlow(attempt, request)
 		}
 	})
 }
 
-// requestOf is an attempt as a decider has it, but for its timeout.
-func requestOf(attempt simulation.Attempt) decide.FlowRequest {
+// newFlowRequest returns a decider's request for an attempt, without the timeout.
+func newFlowRequest(attempt simulation.Attempt) decide.FlowRequest {
 	flags := 0
 	if attempt.IsRetry {
 		flags |= decide.FlagRetry
@@ -80,14 +80,14 @@
 		flags |= decide.FlagReturning
 	}
 	c := attempt.Client
-	return decide.FlowRequest{ID: flowName(attempt.Flow), Service: decide.ServiceID(c.Service), Customer: decide.CustomerID(c.Customer),
+	return decide.FlowRequest{ID: decideFlowID(attempt.Flow), Service: decide.ServiceID(c.Service), Customer: decide.CustomerID(c.Customer),
 		Group: decide.GroupKey(experiment.GroupName(c.Group)), Flags: flags}
 }
 
 func (b *balancer) acceptFlow(attempt simulation.Attempt, request decide.FlowRequest) {
 	d := b.driver
 	now := d.world.Schedule.Now()
-	f := &flow{id: attempt.Flow, name: request.ID, balancer: b, deadline: now + attempt.Timeout - lineAllowance}
+	f := &flow{id: attempt.Flow, decideID: request.ID, balancer: b, deadline: now + attempt.Timeout - networkAllowance}
 	d.flows[f.id], b.flows[f.id] = f, f
 	service := d.world.Services[request.Service]
 	e := b.flowEvent(invariants.FlowAccepted, f.id)
@@ -97,20 +97,20 @@
 	b.decide().OnFlow(request)
 }
 
-// AdoptFlow gives a balancer a flow that is established when the day begins.
+// AdoptFlow adds a flow to a balancer that is established when the day begins.
 func (d *Driver) AdoptFlow(id simulation.FlowID, client *simulation.Client, to simulation.BalancerID, conn simulation.ConnID,
 	server simulation.ServerID) {
 	b := d.balancers[to]
-	f := &flow{id: id, name: flowName(id), balancer: b, isAnswered: true, sentCount: 1}
+	f := &flow{id: id, decideID: decideFlowID(id), balancer: b, isAnswered: true, sentCount: 1}
 	c := &connect{id: conn, flow: f, server: server, state: established, sentAt: d.world.Schedule.Now()}
 	f.outstanding, f.established = []*connect{c}, c
 	d.flows[id], b.flows[id], d.connects[conn] = f, f, c
 	b.established[server] = append(b.established[server], f)
-	request := requestOf(simulation.Attempt{Flow: id, Client: client})
-	b.decide().AdoptFlow(request, d.decideID(server))
+	request := newFlowRequest(simulation.Attempt{Flow: id, Client: client})
+	b.decide().AdoptFlow(request, d.decideServerID(server))
 }
 
-// LeaveFlow ends a client's flow at its balancer.
+// LeaveFlow tells a balancer that the client has ended its flow.
 func (d *Driver) LeaveFlow(id simulation.FlowID) {
 	d.sendToClient(func() {
 		if f := d.flows[id]; f != nil && !f.clientLeft {
@@ -127,7 +127,7 @@
 		return
 	}
 	if !f.isAnswered {
-		b.decide().OnClientLeft(f.name)
+		b.decide().OnClientLeft(f.decideID)
 	}
 	for _, c := range slices.Clone(f.outstanding) {
 		b.endConnect(c, decide.Cancelled)
@@ -135,7 +135,7 @@
 	b.forget(f)
 }
 
-// forget drops a flow that has no connect any more.
+// forget removes a flow that has no outstanding connects.
 func (b *balancer) forget(f *flow) {
 	if len(f.outstanding) == 0 {
 		delete(b.driver.flows, f.id)
--- a/internal/testbed/virtual/list.go
+++ b/internal/testbed/virtual/list.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	subscribeDelay = 10 * time.Millisecond // until a call for the list has arrived
-	spareIDs       = 32                    // of servers that may be added
+	subscribeDelay = 10 * time.Millisecond // until a call to subscribe reaches the list
+	spareIDs       = 32                    // IDs reserved for servers that may be added
 )
 
 var (
@@ -28,12 +28,12 @@
 	}
 )
 
-// ServerIDs are the ids of the first n servers by their names alone, as balancers on sockets have them.
+// ServerIDs returns the IDs of the first n servers, hashed from their names as balancers on sockets do.
 func ServerIDs(n int) map[decide.ServerID]simulation.ServerID {
 	servers := make(map[decide.ServerID]simulation.ServerID, n)
 	for s := range n {
 		hash := fnv.New32a()
-		_, _ = hash.Write([]byte(experiment.ServerName(simulation.ServerID(s)))) // a hash takes all
+		_, _ = hash.Write([]byte(experiment.ServerName(simulation.ServerID(s)))) // Write of a hash never fails
 		id := decide.ServerID(hash.Sum32())
 		for _, taken := servers[id]; taken; _, taken = servers[id] {
 			id++
@@ -43,19 +43,19 @@
 	return servers
 }
 
-// decideID is the id of a server at the deciders. The table grows with the fleet.
-func (d *Driver) decideID(s simulation.ServerID) decide.ServerID {
-	if len(d.ids) <= int(s) {
+// decideServerID returns the ID that deciders use for a server. The table grows with the fleet.
+func (d *Driver) decideServerID(s simulation.ServerID) decide.ServerID {
+	if len(d.decideIDs) <= int(s) {
 		d.serverOf = ServerIDs(2 * (int(s) + spareIDs))
-		d.ids = make([]decide.ServerID, len(d.serverOf))
+		d.decideIDs = make([]decide.ServerID, len(d.serverOf))
 		for id, server := range d.serverOf {
-			d.ids[server] = id
+			d.decideIDs[server] = id
 		}
 	}
-	return d.ids[s]
+	return d.decideIDs[s]
 }
 
-// UpdateList brings a balancer an update of the server list.
+// UpdateList delivers an update of the server list to a balancer.
 func (d *Driver) UpdateList(to simulation.BalancerID, isFull bool, entries []simulation.Entry) {
 	b := d.balancers[to]
 	if !b.isUp {
@@ -87,7 +87,7 @@
 	decider.EndEndpoints()
 }
 
-// endpoint is an entry as the decider has it, with the times of its own clock.
+// endpoint converts a list entry to a decider's endpoint, with times on the decider's clock.
 func (b *balancer) endpoint(entry simulation.Entry) decide.Endpoint {
 	d := b.driver
 	startedAt := decide.LongAgo
@@ -95,7 +95,7 @@
 		startedAt = entry.StartedAt - b.startedAt
 	}
 	return decide.Endpoint{
-		ID:        d.decideID(entry.Server),
+		ID:        d.decideServerID(entry.Server),
 		Zone:      decide.Zone(d.world.Localities[entry.Locality]),
 		Cell:      decide.CellID(entry.Cell),
 		Size:      entry.Size,
@@ -104,7 +104,7 @@
 	}
 }
 
-// announce tells the checker what the balancer is told of a server.
+// announce reports to the checker which state of a server the balancer was told.
 func (b *balancer) announce(s simulation.ServerID, readiness simulation.Readiness, startedAt time.Duration) {
 	if startedAt == simulation.LongAgo {
 		startedAt = invariants.LongAgo
@@ -114,7 +114,7 @@
 	b.driver.observe(e)
 }
 
-// WatchEndpoints subscribes to the list. A watch that ends needs nothing.
+// WatchEndpoints subscribes to the list. Ending a watch needs no action.
 func (b *balancer) WatchEndpoints(on bool) {
 	if !on {
 		return
