--- a/internal/testbed/invariants/announcement.go
+++ b/internal/testbed/invariants/announcement.go
@@ -7,7 +7,7 @@
 	server   Server
 }
 
-// announcement is the last state of a server that a balancer was told.
+// announcement is the last state of a server that a balancer was told of.
 type announcement struct {
 	readiness Readiness
 	at        time.Duration
@@ -15,7 +15,8 @@
 	event     Event
 }
 
-// announceServer notes a server's state. A grace runs from the first announcement that ends readiness: later ones don't prolong it.
+// announceServer records a server's state as a balancer was told it. The drain grace runs from the first announcement that the server is
+// draining or gone; later ones don't prolong it.
 func (c *Checker) announceServer(e Event) {
 	key := announcementKey{e.Balancer, e.Server}
 	last, known := c.announcements[key]
@@ -27,10 +28,10 @@
 	c.announcements[key] = announcement{e.Readiness, e.At, e.StartedAt, e}
 }
 
-// judgeDrain holds a connect against the announcement that its server drains or is gone.
-func (c *Checker) judgeDrain(e Event) {
+// checkDrain reports a connect that was sent after the grace of an announcement that its server is draining or gone.
+func (c *Checker) checkDrain(e Event) {
 	a, known := c.announcements[announcementKey{e.Balancer, e.Server}]
 	if known && a.readiness != Ready && e.At > a.at+c.limits.DrainGrace+c.limits.Slack {
-		c.reportOf(e, DrainsRespected, "sent after the grace", a.event, e)
+		c.reportConnect(e, DrainsRespected, "connect sent after the drain grace", a.event, e)
 	}
 }
--- a/internal/testbed/invariants/checker.go
+++ b/internal/testbed/invariants/checker.go
@@ -1,5 +1,5 @@
-// Package invariants judges a run by the four rules that a balancer must keep, from what was sent and announced and from nothing else: it
-// shares no code with a balancer, nor with the model behind the servers.
+// Package invariants checks a run against the four rules that a balancer must keep. It uses only observed events, such as messages and
+// announcements, and shares no code with a balancer or with the simulated servers.
 package invariants
 
 import (
@@ -7,28 +7,28 @@
 	"time"
 )
 
-// Limits are what a run is judged by.
+// Limits parametrize the rules.
 type Limits struct {
-	Slack      time.Duration // by which an answer or a connect may come late, for the time it takes to be seen
-	Reordering time.Duration // how long an event is held back for earlier ones that are seen later
-	DrainGrace time.Duration // from the announcement of a drain until no connect may be sent
+	Slack      time.Duration // tolerance for late answers and connects, for the delay of their observation
+	Reordering time.Duration // how long an event is held back in case earlier ones are observed after it
+	DrainGrace time.Duration // from the announcement of a drain until no connect may be sent any more
 
-	// A starting server may be sent SlowStartMultiple times its capacity over any SlowStartWindow, by all balancers together. Beyond such a
-	// budget of N connects of the mean load, 2√N + 2 are put down to chance. A server starts for SlowStart.
-	SlowStartMultiple float64 // 0: not judged
+	// All balancers together may send a starting server SlowStartMultiple times its capacity over any SlowStartWindow. Beyond a budget of N
+	// connects of the mean load, 2√N + 2 more are attributed to random variation. A server is starting for SlowStart.
+	SlowStartMultiple float64 // 0: not checked
 	SlowStartWindow   time.Duration
 	SlowStart         time.Duration
 	MeanLoad          float64 // of a connect, in the unit of capacity
 }
 
-// Checker judges events in the order of their times. Where several parts see them, one may be observed before its cause: each is held back
-// for a while, and put in order.
+// Checker checks events in the order of their times. Where several observers report them, an event may arrive before its cause, so each is
+// held back for Limits.Reordering and sorted.
 type Checker struct {
-	Judged int // flows
+	Judged int // number of flows checked
 
 	limits        Limits
 	heldBack      eventQueue
-	sequence      uint64 // of the last event observed
+	sequence      uint64 // number of events observed
 	now           time.Duration
 	flows         map[Flow]*flow
 	byBalancer    map[Balancer]map[Flow]*flow
@@ -38,63 +38,63 @@
 	freezes       map[Balancer][]freeze
 	costs         map[Balancer]*Cost
 	violations    []Violation
-	omitted       int // violations beyond maxViolations
+	omitted       int // number of violations beyond maxViolations
 }
 
-// New makes a checker.
+// New creates a checker.
 func New(limits Limits) *Checker {
 	return &Checker{limits: limits, flows: map[Flow]*flow{}, byBalancer: map[Balancer]map[Flow]*flow{},
 		announcements: map[announcementKey]announcement{}, starts: map[Server]*serverStart{},
 		freezes: map[Balancer][]freeze{}, costs: map[Balancer]*Cost{}}
 }
 
-// Observe takes one event, in any order within Limits.Reordering.
+// Observe adds an event. Events may come out of order by up to Limits.Reordering.
 func (c *Checker) Observe(e Event) {
 	c.sequence++
 	heap.Push(&c.heldBack, queuedEvent{e, c.sequence})
 }
 
-// Advance judges all events that no earlier one can follow any more.
+// Advance checks all events that are old enough that no earlier one can still arrive.
 func (c *Checker) Advance(now time.Duration) {
 	settled := now - c.limits.Reordering
 	for len(c.heldBack) > 0 && c.heldBack[0].At <= settled {
 		e := heap.Pop(&c.heldBack).(queuedEvent).Event
 		c.passDeadlines(e.At)
-		c.judge(e)
+		c.check(e)
 	}
 	c.passDeadlines(settled)
 }
 
-// Finish judges all events that are left and returns the violations. end is when the run ended: what was due later is not owed.
+// Finish checks all remaining events and returns the violations. end is when the run ended; deadlines after it are not enforced.
 func (c *Checker) Finish(end time.Duration) []Violation {
 	c.Advance(end + c.limits.Reordering)
 	for _, id := range sortedFlows(c.flows) {
-		c.judgeOverlaps(id, c.flows[id], end)
+		c.checkOverlaps(id, c.flows[id], end)
 	}
 	return c.Violations()
 }
 
-// passDeadlines moves the time on and finds what was due and did not happen.
+// passDeadlines advances the time and handles the deadlines that pass, such as those of missing answers.
 func (c *Checker) passDeadlines(now time.Duration) {
 	for len(c.deadlines) > 0 && c.deadlines[0].at < now {
 		d := heap.Pop(&c.deadlines).(deadline)
-		c.now = max(c.now, d.at) // a later deadline of the same flow is then later than now, whatever the gap between events
+		c.now = max(c.now, d.at) // a deadline that is set meanwhile then follows this one, even across a long gap between events
 		f := c.flows[d.flow]
 		if f == nil {
 			continue
 		}
-		c.judgeOverlaps(d.flow, f, now)
+		c.checkOverlaps(d.flow, f, now)
 		if d.ofAnswer && f.state == awaitingAnswer {
-			c.missAnswer(d, f)
+			c.checkMissingAnswer(d, f)
 		}
 		c.forget(d.flow, f)
 	}
 	c.now = max(c.now, now)
 }
 
-// missAnswer judges a flow that was not answered by its deadline. One whose balancer was frozen is excused.
-func (c *Checker) missAnswer(d deadline, f *flow) {
-	if _, wasFrozen := c.frozen(f.accepted.Balancer, f.accepted.At, f.accepted.Deadline); wasFrozen {
+// checkMissingAnswer reports a flow that was not answered by its deadline, unless its balancer was frozen.
+func (c *Checker) checkMissingAnswer(d deadline, f *flow) {
+	if _, wasFrozen := c.frozenDuring(f.accepted.Balancer, f.accepted.At, f.accepted.Deadline); wasFrozen {
 		c.cost(f.accepted.Balancer).Expired++
 		f.clientLeftAt, f.excused = f.accepted.Deadline, true
 		f.transition(abandoned, c.now)
@@ -104,7 +104,7 @@
 	f.transition(answered, c.now)
 }
 
-func (c *Checker) judge(e Event) {
+func (c *Checker) check(e Event) {
 	f := c.flows[e.Flow]
 	switch e.Kind {
 	case BalancerStarted:
@@ -113,7 +113,7 @@
 		c.endBalancer(e)
 	case BalancerFrozen:
 		c.freezes[e.Balancer] = append(c.freezes[e.Balancer], freeze{e.At, stillFrozen})
-		c.cost(e.Balancer) // it is listed even if it cost nothing
+		c.cost(e.Balancer) // so that Costs lists it even if all its costs are 0
 	case BalancerResumed:
 		c.resumeBalancer(e)
 	case ServerAnnounced:
@@ -143,7 +143,7 @@
 	}
 }
 
-// endBalancer drops all that a balancer held: nothing more is owed.
+// endBalancer ends all flows of a balancer that died: no rule applies to them any more.
 func (c *Checker) endBalancer(e Event) {
 	for id, f := range c.byBalancer[e.Balancer] {
 		switch f.state {
@@ -152,7 +152,7 @@
 		case established:
 			c.cost(e.Balancer).Cut++
 		}
-		f.transition(over, c.now)
+		f.transition(ended, c.now)
 		delete(c.flows, id)
 	}
 	delete(c.byBalancer, e.Balancer)
--- a/internal/testbed/invariants/checker_test.go
+++ b/internal/testbed/invariants/checker_test.go
@@ -34,7 +34,7 @@
 	return e
 }
 
-// sentAt is a connect to a server that has a zone and a cell to itself.
+// sentAt is the send of a connect to a server that is alone in its zone and cell.
 func sentAt(t time.Duration, c Connect, s Server) Event {
 	e := eventAt(t, ConnectSent)
 	e.Connect, e.Server, e.Zone, e.Cell = c, s, int(s), int(s)
@@ -54,13 +54,13 @@
 	return e
 }
 
-// announced tells a balancer of server 1.
+// announced is the announcement of server 1 to a balancer.
 func announced(t time.Duration, b Balancer, readiness Readiness, startedAt time.Duration) Event {
 	return Event{At: t, Kind: ServerAnnounced, Balancer: b, Server: 1, Readiness: readiness, StartedAt: startedAt}
 }
 
-// flood is connects of many balancers to a starting server, one of each: little for any single one of them.
-func flood(balancers int, areInformed bool) (events []Event) {
+// connectsToStartingServer returns connects of many balancers to a starting server. Each sends one, which alone would be within the rule.
+func connectsToStartingServer(balancers int, areInformed bool) (events []Event) {
 	for b := range Balancer(balancers) {
 		if areInformed {
 			events = append(events, announced(10*ms, b, Ready, 5*ms))
@@ -79,8 +79,8 @@
 	return events
 }
 
-// judge observes events as they happen and returns the violations.
-func judge(events []Event) []Violation {
+// violationsOf observes events as they happen and returns the violations.
+func violationsOf(events []Event) []Violation {
 	c := New(testLimits(3, 1))
 	for _, e := range events {
 		c.Observe(e)
@@ -89,8 +89,8 @@
 	return c.Finish(10 * time.Second)
 }
 
-// soundRuns break no rule.
-var soundRuns = []struct {
+// validRuns are runs that break no rule.
+var validRuns = []struct {
 	name   string
 	events []Event
 }{
@@ -109,9 +109,9 @@
 	}},
 	{"rejected", []Event{acceptedAt(0, Idempotent), answeredAt(ms, Rejected)}},
 	{"the client left first", []Event{acceptedAt(0, Idempotent), eventAt(300*ms, ClientLeft)}},
-	{"its balancer died", []Event{acceptedAt(0, Idempotent), eventAt(300*ms, BalancerDied)}},
-	{"an answer seen before the line that caused it", []Event{answeredAt(5*ms, Rejected), acceptedAt(0, Idempotent)}},
-	{"an end seen just after the next send", []Event{
+	{"the balancer died", []Event{acceptedAt(0, Idempotent), eventAt(300*ms, BalancerDied)}},
+	{"an answer observed before the request that caused it", []Event{answeredAt(5*ms, Rejected), acceptedAt(0, Idempotent)}},
+	{"an end observed just after the next send", []Event{
 		acceptedAt(0, Idempotent),
 		sentAt(ms, 1, 1),
 		sentAt(100*ms, 2, 2),
@@ -131,27 +131,27 @@
 		sentAt(700*ms, 1, 1),
 		answeredAt(720*ms, Established),
 	}},
-	{"sent to one that is back", []Event{
+	{"sent to a restarted server", []Event{
 		announced(0, 0, Gone, 0),
 		announced(500*ms, 0, Ready, 400*ms),
 		acceptedAt(1900*ms, Idempotent),
 		sentAt(2*time.Second, 1, 1),
 		answeredAt(2100*ms, Established),
 	}},
-	{"a starting server pushed by balancers that can't know", flood(20, false)},
+	{"a starting server overloaded by balancers that weren't told of the start", connectsToStartingServer(20, false)},
 }
 
-func TestSoundRunsBreakNoRule(t *testing.T) {
-	for _, test := range soundRuns {
+func TestValidRunsBreakNoRule(t *testing.T) {
+	for _, test := range validRuns {
 		t.Run(test.name, func(t *testing.T) {
-			if violations := judge(test.events); len(violations) > 0 {
-				t.Errorf("a sound run is called broken: %v", violations[0])
+			if violations := violationsOf(test.events); len(violations) > 0 {
+				t.Errorf("violation reported in a valid run: %v", violations[0])
 			}
 		})
 	}
 }
 
-// violatingRuns each break one rule.
+// violatingRuns are runs that break one rule each.
 var violatingRuns = []struct {
 	name   string
 	events []Event
@@ -169,45 +169,45 @@
 		answeredAt(ms, Established),
 		answeredAt(20*ms, Rejected),
 	}, OneAnswer, "answered twice"},
-	{"late", []Event{acceptedAt(0, Idempotent), answeredAt(1200*ms, Rejected)}, OneAnswer, "no answer in time"},
-	{"after the end", []Event{
+	{"answered late", []Event{acceptedAt(0, Idempotent), answeredAt(1200*ms, Rejected)}, OneAnswer, "no answer in time"},
+	{"answered after the end", []Event{
 		acceptedAt(0, Idempotent),
 		answeredAt(ms, Established),
 		eventAt(time.Second, FlowEnded),
 		answeredAt(2*time.Second, Aborted),
-	}, OneAnswer, "an answer after the end"},
-	{"after its client left", []Event{
+	}, OneAnswer, "answer after the flow ended"},
+	{"answered after its client left", []Event{
 		acceptedAt(0, Idempotent),
 		eventAt(100*ms, ClientLeft),
 		answeredAt(800*ms, Rejected),
-	}, OneAnswer, "an answer after the end"},
-	{"never accepted", []Event{answeredAt(ms, Rejected)}, OneAnswer, "not held"},
+	}, OneAnswer, "answer after the client left"},
+	{"answered though never accepted", []Event{answeredAt(ms, Rejected)}, OneAnswer, "answer for an unknown flow"},
 	{"sent after the answer", []Event{
 		acceptedAt(0, Idempotent),
 		answeredAt(ms, Rejected),
 		sentAt(100*ms, 1, 1),
-	}, OneAnswer, "sent after the answer"},
-	{"two connects out", []Event{
+	}, OneAnswer, "connect sent after the final answer"},
+	{"two connects outstanding", []Event{
 		acceptedAt(0, Idempotent),
 		sentAt(ms, 1, 1),
 		sentAt(2*ms, 2, 2),
 		firstEnded(400*ms, true),
 		answeredAt(500*ms, Established),
-	}, NoDuplicateEffect, "two connects out"},
-	{"not idempotent, again", []Event{
+	}, NoDuplicateEffect, "two connects outstanding"},
+	{"not idempotent, sent again", []Event{
 		acceptedAt(0, NotIdempotent),
 		sentAt(ms, 1, 1),
 		firstEnded(5*ms, true),
 		sentAt(6*ms, 2, 2),
 		answeredAt(20*ms, Established),
-	}, NoDuplicateEffect, "once-only"},
+	}, NoDuplicateEffect, "non-idempotent"},
 	{"not idempotent, rejected", []Event{
 		acceptedAt(0, NotIdempotent),
 		sentAt(ms, 1, 1),
 		firstEnded(5*ms, true),
 		answeredAt(20*ms, Rejected),
-	}, NoDuplicateEffect, "rejected as harmless"},
-	{"idempotent by key, window over", []Event{
+	}, NoDuplicateEffect, "rejected as safe to retry"},
+	{"idempotent by key, after its window", []Event{
 		acceptedAt(0, IdempotentByKey),
 		sentAt(ms, 1, 1),
 		firstEnded(700*ms, true),
@@ -220,38 +220,38 @@
 		firstEnded(5*ms, true),
 		sentAt(6*ms, 2, 2),
 		answeredAt(20*ms, Established),
-	}, NoDuplicateEffect, "group"},
-	{"sent after the grace", []Event{
+	}, NoDuplicateEffect, "scope"},
+	{"sent after the drain grace", []Event{
 		announced(0, 0, Draining, 0),
 		acceptedAt(900*ms, Idempotent),
 		sentAt(901*ms, 1, 1),
 		answeredAt(920*ms, Established),
-	}, DrainsRespected, "after the grace"},
+	}, DrainsRespected, "after the drain grace"},
 	{"the grace runs from the first announcement", []Event{
 		announced(0, 0, Draining, 0),
 		announced(800*ms, 0, Gone, 0),
 		acceptedAt(900*ms, Idempotent),
 		sentAt(901*ms, 1, 1),
 		answeredAt(920*ms, Established),
-	}, DrainsRespected, "after the grace"},
-	{"a starting server flooded by many, each within its part", flood(20, true), SlowStartRespected, "times what it can take"},
+	}, DrainsRespected, "after the drain grace"},
+	{"a starting server overloaded by many balancers, each within its part", connectsToStartingServer(20, true), SlowStartRespected, "times what it can take"},
 }
 
 func TestViolationsAreFoundAndProved(t *testing.T) {
 	for _, test := range violatingRuns {
 		t.Run(test.name, func(t *testing.T) {
-			violations := judge(test.events)
+			violations := violationsOf(test.events)
 			if len(violations) == 0 || violations[0].Rule != test.rule || !strings.Contains(violations[0].What, test.what) {
 				t.Fatalf("found %v, want rule %d, %s", violations, test.rule, test.what)
 			}
 			if len(violations[0].Proof) == 0 || !strings.Contains(violations[0].String(), "seen: ") {
-				t.Error("no event proves it")
+				t.Error("the violation lists no events")
 			}
 		})
 	}
 }
 
-// A starting server is judged by what all balancers send it together: beyond a budget of N connects 2√N + 2 are chance, one more is not.
+// The rule bounds what all balancers together send a starting server: a budget of N connects plus 2√N + 2 is allowed, one more is not.
 func TestSlowStartBoundsTheSumOfAllBalancers(t *testing.T) {
 	const multiple, mean = 3, 0.04
 	for _, n := range []float64{0.3, 1.2, 2.5, 4.3, 9.1, 30} {
@@ -275,7 +275,7 @@
 						})
 					}
 					if found := c.Finish(10 * time.Second); (len(found) > 0) != (sent > allowed) {
-						t.Errorf("%d connects: %d rules broken", sent, len(found))
+						t.Errorf("%d connects: %d violations", sent, len(found))
 					}
 				}
 			})
@@ -283,25 +283,25 @@
 	}
 }
 
-// The rule counts requests of mean work: light ones count in full, and one whose load nobody could know counts as one. Two
-// such ones are judged by what they bring.
+// A connect lighter than the mean load counts as one of the mean load, and so does a single heavy one, as balancers can't know a load in
+// advance. With several heavy ones, the sum of their loads counts.
 func TestSlowStartCountsRequestsOfMeanWork(t *testing.T) {
 	const multiple, mean = 3, 0.04
-	const budget = 9.1 // connects of the mean load; the rule bears 9.1 + 2√9.1 + 2 of them: 17
+	const budget = 9.1 // connects of the mean load; the rule allows 9.1 + 2√9.1 + 2 of them: 17
 	many := func(n int, load float64) []float64 { return slices.Repeat([]float64{load}, n) }
 	for _, test := range []struct {
 		name   string
 		loads  []float64 // in mean loads
 		broken bool
 	}{
-		{"as many light ones as it bears", many(17, 0.1), false},
-		{"one light one more", many(18, 0.1), true},
+		{"light ones up to the bound", many(17, 0.1), false},
+		{"one light one beyond the bound", many(18, 0.1), true},
 		{"one heavy one alone", []float64{40}, false},
 		{"a heavy one among few", []float64{1, 0.3, 40, 1}, false},
-		{"a heavy one among as much as it bears", append(many(16, 1), 40), false},
-		{"a heavy one among more", append(many(17, 1), 40), true},
+		{"a heavy one, up to the bound", append(many(16, 1), 40), false},
+		{"a heavy one, beyond the bound", append(many(17, 1), 40), true},
 		{"two heavy ones", []float64{20, 20}, true},
-		{"few, heavier than it bears together", many(7, 3), true},
+		{"few with a total load beyond the bound", many(7, 3), true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := New(testLimits(multiple, mean))
@@ -311,7 +311,7 @@
 					Load: load * mean, Capacity: budget * mean / multiple / testWindow.Seconds()})
 			}
 			if found := c.Finish(10 * time.Second); (len(found) > 0) != test.broken {
-				t.Errorf("broken: %v, wanted %v: %v", len(found) > 0, test.broken, found)
+				t.Errorf("broken = %v, want %v; violations: %v", len(found) > 0, test.broken, found)
 			}
 		})
 	}
--- a/internal/testbed/invariants/connect.go
+++ b/internal/testbed/invariants/connect.go
@@ -6,30 +6,30 @@
 )
 
 func (c *Checker) sendConnect(e Event, f *flow) {
-	c.judgeDrain(e)
+	c.checkDrain(e)
 	if f == nil {
-		c.reportOf(e, OneAnswer, "sent for a flow not held", e)
+		c.reportConnect(e, OneAnswer, "connect sent for an unknown flow", e)
 		return
 	}
-	c.judgeSendByState(e, f)
+	c.checkSendByState(e, f)
 	if len(f.outstanding) > 0 {
 		f.overlapping = append(f.overlapping, e)
 		c.scheduleReview(e.Flow, e.At+c.limits.Slack+1)
 	} else if f.firstRun != nil {
-		c.judgeRetry(e, f)
+		c.checkRetry(e, f)
 	}
 	f.outstanding = append(f.outstanding, e)
 	f.sends[e.Connect] = e
 }
 
-// judgeSendByState finds connects for flows that are answered, or whose client left too long ago for the balancer not to know.
-func (c *Checker) judgeSendByState(e Event, f *flow) {
+// checkSendByState reports connects for flows that are answered, or whose client left so long ago that the balancer must have noticed.
+func (c *Checker) checkSendByState(e Event, f *flow) {
 	switch f.state {
-	case answered, established, over:
-		c.reportOf(e, OneAnswer, "sent after the answer", f.accepted, f.answer, e)
+	case answered, established, ended:
+		c.reportConnect(e, OneAnswer, "connect sent after the final answer", f.accepted, f.answer, e)
 	case abandoned:
 		if e.At > c.resumedAt(e.Balancer, f.clientLeftAt)+c.limits.Slack {
-			c.reportOf(e, OneAnswer, "sent after the end", f.accepted, e)
+			c.reportConnect(e, OneAnswer, "connect sent after the client left", f.accepted, e)
 		}
 		if f.excused {
 			c.cost(e.Balancer).SentLate++
@@ -37,25 +37,25 @@
 	}
 }
 
-// judgeRetry judges a connect after one that may have run.
-func (c *Checker) judgeRetry(e Event, f *flow) {
-	if what := retryFault(e, f, c.limits.Slack); what != "" {
-		c.reportOf(e, NoDuplicateEffect, what, f.accepted, *f.firstRun, e)
+// checkRetry reports a connect that follows one that may have run, if the flow must not run again there.
+func (c *Checker) checkRetry(e Event, f *flow) {
+	if what := retryViolation(e, f, c.limits.Slack); what != "" {
+		c.reportConnect(e, NoDuplicateEffect, what, f.accepted, *f.firstRun, e)
 	}
 }
 
-// retryFault is what is wrong with a connect after one that may have run; empty where nothing is.
-func retryFault(e Event, f *flow, slack time.Duration) string {
+// retryViolation describes what is wrong with a connect that follows one that may have run; empty if it is allowed.
+func retryViolation(e Event, f *flow, slack time.Duration) string {
 	accepted := f.accepted
 	isOutOfScope := accepted.KeyScope == ZoneServers && e.Zone != f.firstRun.Zone ||
 		accepted.KeyScope == CellServers && e.Cell != f.firstRun.Cell
 	switch {
 	case accepted.Effect == NotIdempotent:
-		return "a once-only flow sent again though it may have run"
+		return "non-idempotent flow sent again though it may have run"
 	case accepted.Effect == IdempotentByKey && e.At > f.firstRun.At+accepted.KeyWindow+slack:
-		return "a referenced flow sent again after its window"
+		return "flow with an idempotency key sent again after its deduplication window"
 	case accepted.Effect == IdempotentByKey && isOutOfScope:
-		return "a referenced flow sent again outside its group"
+		return "flow with an idempotency key sent again outside its deduplication scope"
 	}
 	return ""
 }
@@ -70,7 +70,7 @@
 			return false
 		}
 		if f.firstRun != nil {
-			c.judgeRetry(sent, f)
+			c.checkRetry(sent, f)
 		}
 		return true
 	})
@@ -79,15 +79,15 @@
 	}
 }
 
-// endsOverlap reports whether the end of a connect shows that another one did not overlap with those before it: they ended soon enough
-// after it was sent for their ends to have been seen late.
+// endsOverlap reports whether the end of a connect shows that a later connect did not overlap with the earlier ones: all of them have ended
+// within the slack after it was sent, so that their ends may only have been observed late.
 func (c *Checker) endsOverlap(end, sent Event, f *flow) bool {
 	isEarlier := func(other Event) bool { return other.Connect < sent.Connect }
 	return sent.Connect != end.Connect && end.At <= sent.At+c.limits.Slack && !slices.ContainsFunc(f.outstanding, isEarlier)
 }
 
-// judgeOverlaps reports connects that were sent while another was outstanding, once the slack for the end of that one has passed.
-func (c *Checker) judgeOverlaps(id Flow, f *flow, now time.Duration) {
+// checkOverlaps reports connects that were sent while another was outstanding, once the slack for observing the other's end has passed.
+func (c *Checker) checkOverlaps(id Flow, f *flow, now time.Duration) {
 	f.overlapping = slices.DeleteFunc(f.overlapping, func(sent Event) bool {
 		if now <= sent.At+c.limits.Slack {
 			return false
@@ -102,7 +102,7 @@
 			Balancer: sent.Balancer,
 			Flow:     id,
 			Server:   sent.Server,
-			What:     "two connects out",
+			What:     "two connects outstanding",
 		}, f.accepted, first, sent)
 		return true
 	})
--- a/internal/testbed/invariants/event.go
+++ b/internal/testbed/invariants/event.go
@@ -5,26 +5,26 @@
 	"time"
 )
 
-// Kind says what was seen. At one instant causes come before effects, in this order.
+// Kind is the kind of an event. The order of the constants puts causes before effects among events with the same time.
 type Kind int
 
 // Kinds of events.
 const (
 	BalancerStarted Kind = iota // a balancer's process started
-	BalancerDied                // a balancer's process ended: what it held is void
-	BalancerFrozen              // a balancer's process was stopped: no rule binds it while it is
-	BalancerResumed             // a frozen balancer runs on
-	ServerAnnounced             // a balancer was told of a server: its Readiness, and when it StartedAt
-	FlowAccepted                // a balancer accepted a flow, which it has to answer by Deadline
+	BalancerDied                // a balancer's process ended, and with it its flows
+	BalancerFrozen              // a balancer's process was suspended; no rule applies to it until it resumes
+	BalancerResumed             // a suspended process continued
+	ServerAnnounced             // a balancer was told of a server: its Readiness and StartedAt
+	FlowAccepted                // a balancer accepted a flow, which it must answer by Deadline
 	ClientLeft                  // the client of a flow ended it
-	ConnectEnded                // a connect ended: MayHaveRun says whether the server may have run the flow
+	ConnectEnded                // a connect ended; MayHaveRun tells whether the server may have run the flow
 	ConnectSent                 // a balancer sent a connect to a server
-	ConnectArrived              // a connect arrived at a server: the Load that it brings, and the server's Capacity
-	FlowAnswered                // a balancer gave its final Answer
+	ConnectArrived              // a connect arrived at a server: its Load, and the server's Capacity
+	FlowAnswered                // a balancer gave a flow its final Answer
 	FlowEnded                   // an established flow ended
 )
 
-// kindNames are the words of reports.
+// kindNames are the names used in reports.
 var kindNames = [...]string{
 	BalancerStarted: "began",
 	BalancerDied:    "died",
@@ -33,46 +33,46 @@
 	ServerAnnounced: "told",
 	FlowAccepted:    "taken",
 	ClientLeft:      "left",
-	ConnectEnded:    "connect over",
+	ConnectEnded:    "connect ended",
 	ConnectSent:     "sent",
 	ConnectArrived:  "arrived",
 	FlowAnswered:    "answered",
 	FlowEnded:       "ended",
 }
 
-// String is the kind in the words of reports.
+// String returns the kind's name as used in reports.
 func (k Kind) String() string { return kindNames[k] }
 
-// Readiness is a server's state as a balancer was told it.
+// Readiness is the state of a server that a balancer was told.
 type Readiness int
 
 // States of a server.
 const (
-	Ready    Readiness = iota // it takes connects
-	Draining                  // it takes none after a grace
-	Gone                      // it is no longer listed
+	Ready    Readiness = iota // connects may be sent
+	Draining                  // no connects may be sent after the drain grace
+	Gone                      // no longer listed; treated as draining
 )
 
 var readinessNames = [...]string{"ready", "draining", "gone"}
 
-// Effect says what running a flow twice would do.
+// Effect is the effect of running a flow a second time.
 type Effect int
 
-// Effects of a flow.
+// Effects of a second run.
 const (
-	Idempotent      Effect = iota // none: it may run again anywhere
-	IdempotentByKey               // none within Event.KeyWindow, on the servers of Event.KeyScope
-	NotIdempotent                 // a second effect
+	Idempotent      Effect = iota // none; the flow may run again anywhere
+	IdempotentByKey               // none within Event.KeyWindow on the servers of Event.KeyScope
+	NotIdempotent                 // a duplicate effect
 )
 
-// KeyScope says which servers drop repeats of a flow with an idempotency key.
+// KeyScope is the deduplication scope of a flow with an idempotency key: the servers that recognize a repeat.
 type KeyScope int
 
-// Scopes of a key, from the server that ran the flow first.
+// Deduplication scopes, relative to the server that ran the flow first.
 const (
 	AllServers  KeyScope = iota // all servers
-	ZoneServers                 // those of its zone
-	CellServers                 // those of its cell
+	ZoneServers                 // the servers of the same zone
+	CellServers                 // the servers of the same cell
 )
 
 // Answer is a balancer's final answer to a flow.
@@ -87,11 +87,11 @@
 
 var answerNames = [...]string{"established", "rejected", "aborted"}
 
-// The driver of a run chooses the ids.
+// IDs, which the driver of a run chooses.
 type (
 	// Flow numbers one attempt of a client.
 	Flow int64
-	// Connect numbers one attempt of a balancer.
+	// Connect numbers one attempt of a balancer to connect a flow to a server.
 	Connect int64
 	// Server numbers a server.
 	Server int
@@ -99,9 +99,9 @@
 	Balancer int
 )
 
-// Event is one thing seen. Which fields count beside At, Kind and Balancer is said with the kinds.
+// Event is one observation of a run. The comments on the kinds tell which fields are set beside At, Kind and Balancer.
 type Event struct {
-	At         time.Duration // since the run's beginning
+	At         time.Duration // since the beginning of the run
 	Kind       Kind
 	Balancer   Balancer
 	Flow       Flow
@@ -112,19 +112,19 @@
 	Deadline   time.Duration
 	Effect     Effect
 	KeyScope   KeyScope
-	KeyWindow  time.Duration // for which a server remembers an idempotency key
+	KeyWindow  time.Duration // for which servers remember an idempotency key
 	Readiness  Readiness
 	StartedAt  time.Duration // of a server; LongAgo: before the run
 	MayHaveRun bool
 	Load       float64
-	Capacity   float64 // load that the server can take a second
+	Capacity   float64 // load that the server can take per second
 	Answer     Answer
 }
 
-// LongAgo is the start of a server that runs since before the run.
+// LongAgo is the start time of a server that was started before the run.
 const LongAgo = time.Duration(-1 << 62)
 
-// String is the event in the words of reports.
+// String formats the event for reports.
 func (e Event) String() string {
 	text := fmt.Sprintf("%.3fs %s balancer %d", e.At.Seconds(), e.Kind, e.Balancer)
 	if e.Kind >= FlowAccepted {
--- a/internal/testbed/invariants/flow.go
+++ b/internal/testbed/invariants/flow.go
@@ -7,36 +7,36 @@
 )
 
 const (
-	settledFor  = 10 * time.Second // after which nothing more is expected of a flow that is over
-	reviewDelay = 11 * time.Second // for flows that can't be forgotten yet
+	settledFor  = 10 * time.Second // time after which no further events of an ended flow are expected
+	reviewDelay = 11 * time.Second // until the checker tries again to forget a flow
 )
 
-// flowState is what is known of a flow from outside.
+// flowState is the state of a flow according to the observed events.
 type flowState int
 
 const (
 	awaitingAnswer flowState = iota
 	established
-	answered  // rejected or aborted, or its answer is missing
+	answered  // rejected or aborted, or its answer was reported missing
 	abandoned // its client left before the answer
-	over
+	ended
 )
 
 type flow struct {
 	state        flowState
 	changedAt    time.Duration // of the state
 	accepted     Event
-	answer       Event // At is 0 where there was none
+	answer       Event // At is 0 if there was none
 	clientLeftAt time.Duration
 	excused      bool // its deadline passed while its balancer was frozen
 
 	outstanding []Event           // connects that were sent and have not ended
-	overlapping []Event           // connects sent while another was outstanding: a violation unless that one ends within the slack
-	sends       map[Connect]Event // of all connects
-	firstRun    *Event            // the send of the first connect that may have run
+	overlapping []Event           // connects sent while another was outstanding; a violation unless that one ends within the slack
+	sends       map[Connect]Event // the send events of all connects
+	firstRun    *Event            // the send event of the first connect that may have run
 }
 
-// transition makes every change of a flow's state.
+// transition changes the flow's state. All state changes go through it.
 func (f *flow) transition(to flowState, at time.Duration) { f.state, f.changedAt = to, at }
 
 func sortedFlows(flows map[Flow]*flow) []Flow {
@@ -48,9 +48,10 @@
 	return ids
 }
 
-// forget drops a flow of which nothing more is expected, so that the memory of a long run is bounded.
+// forget removes a flow of which no further events are expected, which bounds the memory of a long run. Otherwise it schedules another
+// review, unless the flow is established.
 func (c *Checker) forget(id Flow, f *flow) {
-	isDone := f.state == over || f.state == answered || f.state == abandoned
+	isDone := f.state == ended || f.state == answered || f.state == abandoned
 	isQuiet := c.now > f.changedAt+settledFor && c.now > f.accepted.Deadline+settledFor
 	if isDone && isQuiet && len(f.outstanding) == 0 && len(f.overlapping) == 0 {
 		delete(c.flows, id)
@@ -66,7 +67,7 @@
 
 func (c *Checker) acceptFlow(e Event) {
 	if f := c.flows[e.Flow]; f != nil {
-		c.reportAnswer(e, OneAnswer, "taken twice", f.accepted, e)
+		c.reportAnswer(e, OneAnswer, "accepted twice", f.accepted, e)
 		return
 	}
 	c.Judged++
@@ -82,7 +83,8 @@
 	heap.Push(&c.deadlines, deadline{at: e.Deadline + c.limits.Slack, flow: e.Flow, ofAnswer: true})
 }
 
-// leaveFlow notes that a client left. One that waited until the deadline left because no answer came: that answer is still owed.
+// leaveFlow records that a client left. A client that left at the deadline or later did so because no answer came; the missing answer
+// is still reported.
 func (c *Checker) leaveFlow(e Event, f *flow) {
 	switch {
 	case f == nil:
@@ -90,7 +92,7 @@
 		f.clientLeftAt = e.At
 		f.transition(abandoned, c.now)
 	case f.state == established:
-		f.transition(over, c.now)
+		f.transition(ended, c.now)
 	}
 }
 
@@ -98,22 +100,22 @@
 	if f == nil {
 		return
 	}
-	f.transition(over, e.At)
+	f.transition(ended, e.At)
 	c.scheduleReview(e.Flow, e.At+reviewDelay)
 }
 
 func (c *Checker) answerFlow(e Event, f *flow) {
 	if f == nil {
-		c.reportAnswer(e, OneAnswer, "an answer for a flow not held", e)
+		c.reportAnswer(e, OneAnswer, "answer for an unknown flow", e)
 		return
 	}
 	switch f.state {
 	case awaitingAnswer:
-		c.judgeFirstAnswer(e, f)
+		c.checkFirstAnswer(e, f)
 	case abandoned:
-		c.judgeAnswerAfterLeaving(e, f)
-	case over:
-		c.reportAnswer(e, OneAnswer, "an answer after the end", f.accepted, f.answer, e)
+		c.checkAnswerAfterLeaving(e, f)
+	case ended:
+		c.reportAnswer(e, OneAnswer, "answer after the flow ended", f.accepted, f.answer, e)
 	default:
 		what := "answered twice"
 		if f.answer.At == 0 {
@@ -123,13 +125,13 @@
 	}
 }
 
-func (c *Checker) judgeFirstAnswer(e Event, f *flow) {
+func (c *Checker) checkFirstAnswer(e Event, f *flow) {
 	if e.At > f.accepted.Deadline+c.limits.Slack {
 		c.reportAnswer(e, OneAnswer, "answered late", f.accepted, e)
 	}
 	isHarmless := f.accepted.Effect == Idempotent || f.accepted.Effect == IdempotentByKey && f.accepted.KeyScope == AllServers
 	if e.Answer == Rejected && f.firstRun != nil && !isHarmless {
-		c.reportAnswer(e, NoDuplicateEffect, "rejected as harmless though it may have run", f.accepted, *f.firstRun, e)
+		c.reportAnswer(e, NoDuplicateEffect, "rejected as safe to retry though it may have run", f.accepted, *f.firstRun, e)
 	}
 	f.answer = e
 	if e.Answer == Established {
@@ -139,12 +141,12 @@
 	}
 }
 
-// judgeAnswerAfterLeaving allows an answer that was on its way when the client left, or when its balancer was frozen.
-func (c *Checker) judgeAnswerAfterLeaving(e Event, f *flow) {
+// checkAnswerAfterLeaving reports an answer after the client left, unless it may have been on its way, or its balancer was frozen.
+func (c *Checker) checkAnswerAfterLeaving(e Event, f *flow) {
 	if f.excused {
 		c.cost(e.Balancer).AnsweredLate++
 	} else if e.At > c.resumedAt(e.Balancer, f.clientLeftAt)+c.limits.Slack {
-		c.reportAnswer(e, OneAnswer, "an answer after the end", f.accepted, e)
+		c.reportAnswer(e, OneAnswer, "answer after the client left", f.accepted, e)
 	}
 	f.answer = e
 	f.transition(answered, c.now)
--- a/internal/testbed/invariants/freeze.go
+++ b/internal/testbed/invariants/freeze.go
@@ -5,25 +5,26 @@
 	"time"
 )
 
-// resumeAllowance is what a balancer that resumes after a freeze is given for what came due meanwhile.
+// resumeAllowance is the time that a balancer gets after a freeze to answer flows whose deadline passes.
 const resumeAllowance = 250 * time.Millisecond
 
 const stillFrozen = time.Duration(math.MaxInt64)
 
-// freeze is a time in which a balancer's process was stopped.
+// freeze is a time span in which a balancer's process was suspended.
 type freeze struct{ from, to time.Duration }
 
-// Cost is what a killed or frozen balancer cost its clients. No rule counts it: a rule binds a balancer that runs.
+// Cost counts the effects of killing or suspending a balancer on its clients. They are not violations, as the rules apply only to a running
+// balancer.
 type Cost struct {
-	Cut            int `json:"cut"`      // established connections of a balancer that was killed
-	Unanswered     int `json:"waiting"`  // flows that were owed an answer by one that was killed
-	Expired        int `json:"unheard"`  // flows that came due while it was frozen, or just after
-	AnsweredLate   int `json:"too_late"` // expired flows that it answered when it resumed
-	SentLate       int `json:"sent"`     // connects for expired flows, sent before it could see that they had expired
-	AcceptedFrozen int `json:"asked"`    // flows that its system accepted while it was frozen
+	Cut            int `json:"cut"`      // established connections lost when the balancer was killed
+	Unanswered     int `json:"waiting"`  // flows without an answer when the balancer was killed
+	Expired        int `json:"unheard"`  // flows whose deadline passed while it was suspended, or within resumeAllowance after
+	AnsweredLate   int `json:"too_late"` // expired flows that it answered after resuming
+	SentLate       int `json:"sent"`     // connects for expired flows, sent before it could notice that they had expired
+	AcceptedFrozen int `json:"asked"`    // flows that its operating system accepted while it was suspended
 }
 
-// Costs of balancers that were killed or frozen.
+// Costs returns the costs of the balancers that were killed or suspended.
 func (c *Checker) Costs() map[Balancer]Cost {
 	all := map[Balancer]Cost{}
 	for balancer, cost := range c.costs {
@@ -39,15 +40,15 @@
 	return c.costs[b]
 }
 
-// isFrozen reports whether a balancer is frozen now.
+// isFrozen reports whether a balancer is suspended now.
 func (c *Checker) isFrozen(b Balancer) bool {
 	freezes := c.freezes[b]
 	return len(freezes) > 0 && freezes[len(freezes)-1].to == stillFrozen
 }
 
-// frozen reports whether a balancer was frozen at some time of a span, and until when. One that resumed early enough before the end of the
-// span is not excused.
-func (c *Checker) frozen(b Balancer, from, to time.Duration) (until time.Duration, wasFrozen bool) {
+// frozenDuring reports whether a balancer was frozen at some time in a span, and until when. A freeze that ended at least resumeAllowance
+// before the end of the span does not count.
+func (c *Checker) frozenDuring(b Balancer, from, to time.Duration) (until time.Duration, wasFrozen bool) {
 	for _, f := range c.freezes[b] {
 		overlaps := f.from <= to && f.to >= from
 		if overlaps && (f.to == stillFrozen || f.to+resumeAllowance > to) {
@@ -57,7 +58,7 @@
 	return until, wasFrozen
 }
 
-// resumedAt is when a balancer resumed that was frozen at a time; the time itself where it was not.
+// resumedAt returns when a balancer resumed that was frozen at a time; the time itself if it was not frozen.
 func (c *Checker) resumedAt(b Balancer, at time.Duration) time.Duration {
 	for _, f := range c.freezes[b] {
 		if f.from <= at && f.to > at && f.to != stillFrozen {
@@ -67,7 +68,8 @@
 	return at
 }
 
-// resumeBalancer ends a balancer's freeze. Announcements that came meanwhile bind it from now on, as it could not read them before.
+// resumeBalancer ends a balancer's freeze. Announcements made during the freeze count from now on, as the balancer could not read them
+// before.
 func (c *Checker) resumeBalancer(e Event) {
 	if !c.isFrozen(e.Balancer) {
 		return
--- a/internal/testbed/invariants/freeze_test.go
+++ b/internal/testbed/invariants/freeze_test.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// flowDueAt is accepted after 100 ms.
+// flowDueAt is the acceptance of flow 1 at 100 ms.
 func flowDueAt(deadline time.Duration) Event {
 	return Event{At: 100 * ms, Kind: FlowAccepted, Flow: 1, Deadline: deadline}
 }
 
-// frozenRuns have a balancer that is frozen or killed; broken is 0 where no rule is.
+// frozenRuns are runs with a balancer that is frozen or killed. broken is the rule that is broken; 0: none.
 var frozenRuns = []struct {
 	name   string
 	events []Event
 	broken Rule
 	cost   Cost
 }{
-	{"came due while frozen", []Event{
+	{"deadline passed while frozen", []Event{
 		flowDueAt(1000 * ms),
 		{At: 200 * ms, Kind: BalancerFrozen},
 		{At: 1000 * ms, Kind: ClientLeft, Flow: 1},
@@ -28,35 +28,35 @@
 		flowDueAt(1000 * ms),
 		{At: 5000 * ms, Kind: BalancerResumed},
 	}, 0, Cost{Expired: 1, AcceptedFrozen: 1}},
-	{"resumed just before it was due", []Event{
+	{"resumed just before the deadline", []Event{
 		flowDueAt(1000 * ms),
 		{At: 200 * ms, Kind: BalancerFrozen},
 		{At: 900 * ms, Kind: BalancerResumed},
 	}, 0, Cost{Expired: 1}},
-	{"resumed in time and did not answer", []Event{
+	{"resumed well before the deadline and did not answer", []Event{
 		flowDueAt(1000 * ms),
 		{At: 200 * ms, Kind: BalancerFrozen},
 		{At: 400 * ms, Kind: BalancerResumed},
 	}, OneAnswer, Cost{}},
-	{"an answer after the deadline is none", []Event{
+	{"answered after resuming, past the deadline", []Event{
 		flowDueAt(1000 * ms),
 		{At: 200 * ms, Kind: BalancerFrozen},
 		{At: 3000 * ms, Kind: BalancerResumed},
 		{At: 3010 * ms, Kind: FlowAnswered, Flow: 1},
 	}, 0, Cost{Expired: 1, AnsweredLate: 1}},
-	{"a connect before it could see", []Event{
+	{"connect sent just after resuming", []Event{
 		flowDueAt(1000 * ms),
 		{At: 200 * ms, Kind: BalancerFrozen},
 		{At: 3000 * ms, Kind: BalancerResumed},
 		{At: 3010 * ms, Kind: ConnectSent, Flow: 1, Connect: 1},
 	}, 0, Cost{Expired: 1, SentLate: 1}},
-	{"a connect long after", []Event{
+	{"connect sent long after resuming", []Event{
 		flowDueAt(1000 * ms),
 		{At: 200 * ms, Kind: BalancerFrozen},
 		{At: 3000 * ms, Kind: BalancerResumed},
 		{At: 3200 * ms, Kind: ConnectSent, Flow: 1, Connect: 1},
 	}, OneAnswer, Cost{Expired: 1, SentLate: 1}},
-	{"a drain announced while frozen", []Event{
+	{"drain announced while frozen, connect sent within the grace after resuming", []Event{
 		flowDueAt(4000 * ms),
 		{At: 200 * ms, Kind: BalancerFrozen},
 		{At: 300 * ms, Kind: ServerAnnounced, Readiness: Draining},
@@ -64,7 +64,7 @@
 		{At: 3100 * ms, Kind: ConnectSent, Flow: 1, Connect: 1},
 		{At: 3200 * ms, Kind: FlowAnswered, Flow: 1},
 	}, 0, Cost{}},
-	{"and sent after the grace", []Event{
+	{"drain announced while frozen, connect sent after the grace", []Event{
 		flowDueAt(5000 * ms),
 		{At: 200 * ms, Kind: BalancerFrozen},
 		{At: 300 * ms, Kind: ServerAnnounced, Readiness: Draining},
@@ -72,7 +72,7 @@
 		{At: 4000 * ms, Kind: ConnectSent, Flow: 1, Connect: 1},
 		{At: 4100 * ms, Kind: FlowAnswered, Flow: 1},
 	}, DrainsRespected, Cost{}},
-	{"killed with one established and one waiting", []Event{
+	{"killed with one flow established and one waiting", []Event{
 		flowDueAt(1000 * ms),
 		{At: 200 * ms, Kind: FlowAnswered, Flow: 1},
 		{At: 300 * ms, Kind: FlowAccepted, Flow: 2, Deadline: 900 * ms},
@@ -80,7 +80,7 @@
 	}, 0, Cost{Cut: 1, Unanswered: 1}},
 }
 
-// A frozen balancer owes nothing; one that resumes owes every flow that has not ended.
+// No rule applies to a balancer while it is frozen. Once it resumes, it must answer every flow that has not expired.
 func TestFrozenAndKilledBalancers(t *testing.T) {
 	for _, test := range frozenRuns {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/testbed/invariants/queue.go
+++ b/internal/testbed/invariants/queue.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// queuedEvent is an event that is held back.
+// queuedEvent is an event that is held back, with its order of observation.
 type queuedEvent struct {
 	Event
 	sequence uint64
 }
 
-// eventQueue is a heap of events by time; at one instant causes come before effects, as kinds are ordered.
+// eventQueue is a heap of events, ordered by time. Among events of the same time, the order of kinds puts causes before effects.
 type eventQueue []queuedEvent
 
-// Len is of heap.Interface.
+// Len implements heap.Interface.
 func (q eventQueue) Len() int { return len(q) }
 
 // Less orders by time, kind and order of observation.
@@ -22,26 +22,26 @@
 	return cmp.Or(cmp.Compare(q[i].At, q[j].At), cmp.Compare(q[i].Kind, q[j].Kind), cmp.Compare(q[i].sequence, q[j].sequence)) < 0
 }
 
-// Swap is of heap.Interface.
+// Swap implements heap.Interface.
 func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
-// Push is of heap.Interface.
+// Push implements heap.Interface.
 func (q *eventQueue) Push(x any) { *q = append(*q, x.(queuedEvent)) }
 
-// Pop is of heap.Interface.
+// Pop implements heap.Interface.
 func (q *eventQueue) Pop() any { return popLast((*[]queuedEvent)(q)) }
 
-// deadline is a time at which a flow is looked at again.
+// deadline is a time at which a flow is reviewed.
 type deadline struct {
 	at       time.Duration
 	flow     Flow
 	ofAnswer bool // the flow's answer is due
 }
 
-// deadlineQueue is a heap of deadlines by time.
+// deadlineQueue is a heap of deadlines, ordered by time.
 type deadlineQueue []deadline
 
-// Len is of heap.Interface.
+// Len implements heap.Interface.
 func (q deadlineQueue) Len() int { return len(q) }
 
 // Less orders by time and flow.
@@ -49,13 +49,13 @@
 	return cmp.Or(cmp.Compare(q[i].at, q[j].at), cmp.Compare(q[i].flow, q[j].flow)) < 0
 }
 
-// Swap is of heap.Interface.
+// Swap implements heap.Interface.
 func (q deadlineQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
-// Push is of heap.Interface.
+// Push implements heap.Interface.
 func (q *deadlineQueue) Push(x any) { *q = append(*q, x.(deadline)) }
 
-// Pop is of heap.Interface.
+// Pop implements heap.Interface.
 func (q *deadlineQueue) Pop() any { return popLast((*[]deadline)(q)) }
 
 func popLast[T any](items *[]T) T {
--- a/internal/testbed/invariants/slowstart.go
+++ b/internal/testbed/invariants/slowstart.go
@@ -9,17 +9,17 @@
 
 const maxProofArrivals = 12
 
-// serverStart is what arrived at a starting server within the window.
+// serverStart holds the connects that arrived at a starting server within the window.
 type serverStart struct {
 	startedAt time.Duration
 	arrivals  []Event
-	isBroken  bool // one violation a start is enough
+	isBroken  bool // a violation was reported; one for each start is enough
 }
 
-// arriveConnect holds what arrived at a starting server within the window against its capacity. The rule counts requests of mean work, so
-// each connect counts as one of the mean load, whatever it brings. What they bring together is held against the same bound, but for the
-// heaviest of them, which counts as one of the mean: nobody knows a connection's load before its connect, and one alone may pass all that
-// a starting server can bear.
+// arriveConnect checks the connects that arrived at a starting server within the window against its capacity. Both their number and the sum
+// of their loads must stay within the bound. The rule is stated in connects of the mean load, so the number is multiplied by that. In the
+// sum of loads the heaviest connect counts as one of the mean load: balancers can't know a connection's load before its connect, and a
+// single heavy one can exceed all that a starting server can take.
 func (c *Checker) arriveConnect(e Event) {
 	if e.StartedAt == LongAgo || e.At > e.StartedAt+c.limits.SlowStart || c.limits.SlowStartMultiple == 0 || e.Capacity <= 0 {
 		return
@@ -28,7 +28,7 @@
 	start.add(e, c.limits.SlowStartWindow)
 	count, load, capacity := c.sumArrivals(start)
 	full := capacity.sum * c.limits.SlowStartWindow.Seconds()
-	bound := c.withChance(c.limits.SlowStartMultiple * full)
+	bound := c.withChanceAllowance(c.limits.SlowStartMultiple * full)
 	if start.isBroken || !count.exceeds(bound) && !load.exceeds(bound) {
 		return
 	}
@@ -36,7 +36,7 @@
 	what := fmt.Sprintf("%d connects in %v, %.1f times what it can take",
 		len(start.arrivals), c.limits.SlowStartWindow, max(count.sum, load.sum)/full)
 	proof := start.arrivals[max(0, len(start.arrivals)-maxProofArrivals):]
-	c.reportOf(e, SlowStartRespected, what, slices.Clone(proof)...)
+	c.reportConnect(e, SlowStartRespected, what, slices.Clone(proof)...)
 }
 
 func (c *Checker) serverStart(e Event) *serverStart {
@@ -55,16 +55,16 @@
 	}
 }
 
-// sumArrivals sums the arrivals in mean loads and in the loads that they brought, and the server's capacity over them.
-func (c *Checker) sumArrivals(start *serverStart) (count, load, capacity tally) {
-	var heaviest tally
+// sumArrivals returns the number of arrivals times the mean load, the sum of their loads, and the mean of the server's capacity over them.
+func (c *Checker) sumArrivals(start *serverStart) (count, load, capacity arrivalSum) {
+	var heaviest arrivalSum
 	for _, arrival := range start.arrivals {
-		informed := c.knewOfStart(arrival)
+		informed := c.wasToldOfStart(arrival)
 		count.add(c.limits.MeanLoad, informed)
 		load.add(arrival.Load, informed)
 		capacity.add(arrival.Capacity/float64(len(start.arrivals)), informed)
 		if arrival.Load > heaviest.sum {
-			heaviest = tally{}
+			heaviest = arrivalSum{}
 			heaviest.add(arrival.Load, informed)
 		}
 	}
@@ -75,26 +75,26 @@
 	return count, load, capacity
 }
 
-// knewOfStart reports whether a connect's balancer had been told of the server's start.
-func (c *Checker) knewOfStart(arrival Event) bool {
+// wasToldOfStart reports whether a connect's balancer had been told of the server's start when the connect arrived.
+func (c *Checker) wasToldOfStart(arrival Event) bool {
 	a, known := c.announcements[announcementKey{arrival.Balancer, arrival.Server}]
 	return known && a.startedAt == arrival.StartedAt && a.at <= arrival.At
 }
 
-// tally is a sum over the arrivals, and the part of it from balancers that had been told of the start.
-type tally struct{ sum, informed float64 }
+// arrivalSum is a sum over arrivals, with the part of it that comes from balancers that had been told of the start.
+type arrivalSum struct{ sum, informed float64 }
 
-func (t *tally) add(x float64, informed bool) {
+func (t *arrivalSum) add(x float64, informed bool) {
 	t.sum += x
 	if informed {
 		t.informed += x
 	}
 }
 
-// exceeds reports whether a sum passes a bound, and two thirds of it came from balancers that knew better.
-func (t tally) exceeds(bound float64) bool { return t.sum > bound && t.informed >= t.sum*2/3 }
+// exceeds reports whether the sum exceeds a bound and at least two thirds of it come from balancers that had been told of the start.
+func (t arrivalSum) exceeds(bound float64) bool { return t.sum > bound && t.informed >= t.sum*2/3 }
 
-// withChance is a budget with what chance may add to it: 2√N + 2 connects of the mean load for a budget of N.
-func (c *Checker) withChance(budget float64) float64 {
+// withChanceAllowance adds the allowance for random variation to a budget: 2√N + 2 connects of the mean load for a budget of N.
+func (c *Checker) withChanceAllowance(budget float64) float64 {
 	return budget + 2*math.Sqrt(budget*c.limits.MeanLoad) + 2*c.limits.MeanLoad
 }
--- a/internal/testbed/invariants/violation.go
+++ b/internal/testbed/invariants/violation.go
@@ -6,23 +6,23 @@
 	"time"
 )
 
-// Rule is one of the four.
+// Rule is one of the four rules that a balancer must keep.
 type Rule int
 
 // The four rules.
 const (
 	OneAnswer          Rule = iota + 1 // each flow gets one final answer, by its deadline
-	NoDuplicateEffect                  // nothing runs twice that must not
-	DrainsRespected                    // no connect is sent to a server after the grace of its drain
-	SlowStartRespected                 // no starting server is sent more than it can bear
+	NoDuplicateEffect                  // no flow runs twice if a second run could have an effect
+	DrainsRespected                    // no connect is sent to a draining server after the drain grace
+	SlowStartRespected                 // no starting server is sent more than it can take
 )
 
-// String is the rule in the words of reports.
+// String describes the rule for reports.
 func (r Rule) String() string {
-	return [...]string{"", "one final answer in time", "no effect twice", "drains kept", "no cold server pushed over"}[r]
+	return [...]string{"", "one final answer in time", "no duplicate effect", "drains respected", "no starting server overloaded"}[r]
 }
 
-// Violation says which rule was broken, and which events prove it.
+// Violation describes which rule was broken, and the events that show it.
 type Violation struct {
 	Rule     Rule
 	At       time.Duration
@@ -33,7 +33,7 @@
 	Proof    []Event
 }
 
-// String is the violation with its proof, on one line.
+// String formats the violation with its proof on one line.
 func (v Violation) String() string {
 	var proof []string
 	for _, e := range v.Proof {
@@ -43,12 +43,12 @@
 		v.At.Seconds(), v.Balancer, v.Flow, v.Server, strings.Join(proof, "; "))
 }
 
-const maxViolations = 200 // listed in full; further ones are counted
+const maxViolations = 200 // further ones are only counted
 
-// Violations found so far, up to a bound; Omitted counts the others.
+// Violations returns the violations found so far, up to maxViolations.
 func (c *Checker) Violations() []Violation { return c.violations }
 
-// Omitted is the number of violations that Violations does not list.
+// Omitted is the number of violations that exceed maxViolations.
 func (c *Checker) Omitted() int { return c.omitted }
 
 func (c *Checker) report(v Violation, proof ...Event) {
@@ -60,12 +60,12 @@
 	c.violations = append(c.violations, v)
 }
 
-// reportOf reports a violation by the event that shows it, with its server.
-func (c *Checker) reportOf(e Event, rule Rule, what string, proof ...Event) {
+// reportConnect reports a violation that an event of a connect shows, with the connect's server.
+func (c *Checker) reportConnect(e Event, rule Rule, what string, proof ...Event) {
 	c.report(Violation{Rule: rule, At: e.At, Balancer: e.Balancer, Flow: e.Flow, Server: e.Server, What: what}, proof...)
 }
 
-// reportAnswer reports a violation by an event that has no server.
+// reportAnswer reports a violation that an event without a server shows.
 func (c *Checker) reportAnswer(e Event, rule Rule, what string, proof ...Event) {
 	c.report(Violation{Rule: rule, At: e.At, Balancer: e.Balancer, Flow: e.Flow, What: what}, proof...)
 }
