--- a/internal/testbed/scenario/faulty_test.go
+++ b/internal/testbed/scenario/faulty_test.go
@@ -12,7 +12,7 @@
 	"yardwinch/internal/testbed/virtual"
 )
 
-// faultyActions passes the actions of a sound balancer on, but for one way of breaking a rule.
+// faultyActions forwards the actions of a correct balancer, except that it breaks a rule in one way, which fault names.
 type faultyActions struct {
 	decide.Actions
 	fault         string
@@ -63,14 +63,14 @@
 }
 
 func (a *faultyActions) Abort(f decide.FlowID) {
-	if a.fault == "once-only resent" && a.lastServer != 0 {
+	if a.fault == "non-idempotent flow resent" && a.lastServer != 0 {
 		a.Actions.Connect(f, a.lastServer, time.Second)
 		return
 	}
 	a.Actions.Abort(f)
 }
 
-// faultyDecider is a sound decider whose actions are faulty; it tells them what they need to know.
+// faultyDecider is a correct decider whose actions are faulty. It passes them the time and the drains that they depend on.
 type faultyDecider struct {
 	virtual.Decider
 	*faultyActions
@@ -98,9 +98,9 @@
 	}
 }
 
-const herding = "starting server flooded"
+const herding = "starting server overloaded"
 
-// herdingDecider sends new flows to the server that started last: a few from each balancer, as many as a lone balancer could.
+// herdingDecider sends new flows to the server that started last. Each balancer sends only a few, as many as a single balancer may send.
 type herdingDecider struct {
 	virtual.Decider
 	actions         decide.Actions
@@ -126,7 +126,7 @@
 	d.Decider.OnFlow(request)
 }
 
-// faultyBalancerDay has a deployment, errors and reconnects, in which each fault can show.
+// faultyBalancerDay has a deployment, errors and reconnects, so that each fault of a balancer can lead to a violation.
 const faultyBalancerDay = `name = "bent"
 length = "30s"
 [fleet]
@@ -163,14 +163,14 @@
 		fault, effect string
 		rule          string
 	}{
-		{"sound", "free", ""},
-		{"sound", "single_shot", ""},
+		{"no fault", "free", ""},
+		{"no fault", "single_shot", ""},
 		{"no answer", "free", "rule 1"},
 		{"two answers", "free", "rule 1"},
 		{"late answer", "free", "rule 1"},
 		{"answer after the end", "free", "rule 1"},
 		{"two connects", "free", "rule 2"},
-		{"once-only resent", "single_shot", "rule 2"},
+		{"non-idempotent flow resent", "single_shot", "rule 2"},
 		{"send after the grace", "free", "rule 3"},
 		{herding, "free", "rule 4"},
 	} {
@@ -178,19 +178,19 @@
 			found := 0
 			for _, violation := range violationsOf(t, test.fault, test.effect) {
 				if test.rule == "" {
-					t.Errorf("a sound balancer is reported: %s", violation)
+					t.Errorf("violation reported for a correct balancer: %s", violation)
 				} else if strings.HasPrefix(violation, test.rule) {
 					found++
 				}
 			}
 			if test.rule != "" && found == 0 {
-				t.Errorf("no violation of %s was found in three days", test.rule)
+				t.Errorf("no violation of %s found in three days", test.rule)
 			}
 		})
 	}
 }
 
-// violationsOf runs three days with balancers of one fault.
+// violationsOf runs three days with balancers that have a fault, and returns the violations.
 func violationsOf(t *testing.T, fault, effect string) (violations []string) {
 	t.Helper()
 	balancers := 3
@@ -202,13 +202,13 @@
 		t.Fatal(err)
 	}
 	for seed := range uint64(3) {
-		result, err := RunDay(e, seed, experiment.Ours, nil, func(sound virtual.NewDecider) virtual.NewDecider {
+		result, err := RunDay(e, seed, experiment.Ours, nil, func(newDecider virtual.NewDecider) virtual.NewDecider {
 			return func(seed uint64, id simulation.BalancerID, act decide.Actions) virtual.Decider {
 				if fault == herding {
-					return &herdingDecider{Decider: sound(seed, id, act), actions: act}
+					return &herdingDecider{Decider: newDecider(seed, id, act), actions: act}
 				}
 				actions := &faultyActions{Actions: act, fault: fault}
-				return faultyDecider{sound(seed, id, actions), actions}
+				return faultyDecider{newDecider(seed, id, actions), actions}
 			}
 		})
 		if err != nil {
--- a/internal/testbed/scenario/gossip.go
+++ b/internal/testbed/scenario/gossip.go
@@ -14,11 +14,11 @@
 
 const (
 	gossipInterval = 250 * time.Millisecond
-	gossipDelay    = 600 * time.Millisecond // from one balancer to all: what half of a fleet of some hundred takes, see testbed spread
+	gossipDelay    = 600 * time.Millisecond // from publication to all balancers: as measured by testbed spread for half of some hundred
 )
 
-// gossip stands in for the gossip between balancers in virtual time: what one publishes reaches all others a fixed time later. testbed
-// spread and testbed fleet play what goes wrong on the way.
+// gossip replaces the gossip protocol between balancers in virtual time: a published record reaches all others after a fixed delay. The
+// commands testbed spread and testbed fleet simulate delays and losses of gossip.
 type gossip struct {
 	world        *simulation.World
 	exchanges    map[simulation.BalancerID]*signals.Exchange
@@ -26,7 +26,7 @@
 	isScheduled  bool
 }
 
-// newSignalDeciders makes the deciders of a day on which balancers exchange signals.
+// newSignalDeciders creates the deciders of a day on which balancers exchange signals.
 func newSignalDeciders(d *experiment.Day) virtual.NewDecider {
 	g := &gossip{
 		world:        d.World,
@@ -39,7 +39,7 @@
 	}
 }
 
-// newExchange gives a balancer that starts an exchange of a new incarnation.
+// newExchange creates the signal exchange of a balancer that starts, with a new incarnation.
 func (g *gossip) newExchange(id simulation.BalancerID, settings config.Values) *signals.Exchange {
 	g.incarnations[id]++
 	exchange := signals.New(signals.Config{
@@ -57,7 +57,8 @@
 	return exchange
 }
 
-// publish has each balancer that runs publish what is due, in the order of their ids, as the order of a map must not decide anything.
+// publish collects the records that are due from the running balancers and schedules their delivery. It goes by the order of balancer IDs,
+// so that map iteration does not make a run depend on chance.
 func (g *gossip) publish() {
 	now := g.world.Schedule.Now()
 	for id, b := range g.world.Balancers {
@@ -75,7 +76,7 @@
 	}
 }
 
-// deliver merges a record at all balancers that run but its publisher.
+// deliver merges a record at all running balancers except its publisher.
 func (g *gossip) deliver(from *signals.Exchange, record signals.Record) {
 	for id, b := range g.world.Balancers {
 		if to := g.exchanges[simulation.BalancerID(id)]; to != nil && to != from && b.IsUp {
--- a/internal/testbed/scenario/policies.go
+++ b/internal/testbed/scenario/policies.go
@@ -14,12 +14,12 @@
 	"yardwinch/internal/testbed/virtual"
 )
 
-const addedServers = 4096 // that a day may add, for tables of servers
+const maxAddedServers = 4096 // servers that a day may add, which sizes the table of server IDs
 
-// effects are the words of settings for the effects of a second run.
+// effects maps values in settings to the effects of a second run.
 var effects = map[string]decide.Effect{"free": decide.Idempotent, "guarded": decide.IdempotentByKey, "single_shot": decide.NotIdempotent}
 
-// NewDeciders makes the deciders of a policy for a day. A policy that is not known is an error.
+// NewDeciders returns the function that creates a policy's deciders for a day. It fails for an unknown policy.
 func NewDeciders(d *experiment.Day, policy string) (virtual.NewDecider, error) {
 	switch policy {
 	case experiment.Ours:
@@ -56,14 +56,14 @@
 	return constraints.New(seed, act, []constraints.Constraint{constraint}, configure)
 }
 
-func newBaselineDeciders(d *experiment.Day, rule baseline.Rule, seesAll bool) virtual.NewDecider {
-	ids := virtual.ServerIDs(len(d.World.Servers) + addedServers)
+func newBaselineDeciders(d *experiment.Day, rule baseline.Rule, isOmniscient bool) virtual.NewDecider {
+	ids := virtual.ServerIDs(len(d.World.Servers) + maxAddedServers)
 	c := baseline.Config{Rule: rule, MaxConnects: d.Experiment.Terms().MaxConnects, RetryAfter: d.Experiment.RetryAfter(),
 		ServerOf: func(id decide.ServerID) *simulation.Server { return d.World.Servers[ids[id]] }, GroupOf: groupOf}
 	for _, s := range d.World.Services {
 		c.Effects = append(c.Effects, effects[s.Effect])
 	}
-	if seesAll {
+	if isOmniscient {
 		c.World = d.World
 	}
 	return func(seed uint64, _ simulation.BalancerID, act decide.Actions) virtual.Decider {
@@ -71,7 +71,7 @@
 	}
 }
 
-// groupOf is the model's group of a key that experiment.GroupName made.
+// groupOf returns the group for a key made by experiment.GroupName.
 func groupOf(key decide.GroupKey) simulation.GroupID {
 	number, err := strconv.Atoi(strings.TrimPrefix(string(key), "g-"))
 	if err != nil {
--- a/internal/testbed/scenario/scenario.go
+++ b/internal/testbed/scenario/scenario.go
@@ -1,4 +1,4 @@
-// Package scenario runs days in virtual time: one seed under one policy, or many of them over all cores.
+// Package scenario runs days in virtual time: a single seed under one policy, or many seeds and policies in parallel.
 package scenario
 
 import (
@@ -16,14 +16,14 @@
 )
 
 const (
-	virtualSlack = 8 * time.Millisecond // by which an answer may come late in virtual time, for its way through the network
-	maxLoad      = 9.0                  // of a server over its capacity, in results
-	noProcess    = -1.0                 // in place of a load, where the server runs no process
-	leastDivisor = 1e-9                 // in place of a capacity of 0
+	virtualSlack = 8 * time.Millisecond // tolerance for late answers in virtual time, for the network delay
+	maxLoad      = 9.0                  // upper bound of a server's load relative to its capacity, in results
+	noProcess    = -1.0                 // recorded as the load of a server without a process
+	minCapacity  = 1e-9                 // lower bound of a divisor, against division by 0
 )
 
-// NewChecker makes a day's invariant checker. slack is what the way of a message may take, and reordering how long events wait to be put in
-// order.
+// NewChecker creates a day's invariant checker. slack is the tolerance for the delay of messages; reordering is how long events are held
+// back to be sorted.
 func NewChecker(d *experiment.Day, slack, reordering time.Duration) *invariants.Checker {
 	terms := d.Experiment.Terms()
 	return invariants.New(invariants.Limits{
@@ -37,10 +37,10 @@
 	})
 }
 
-// WrapDeciders stands between a policy and its balancers.
+// WrapDeciders wraps the deciders of a policy, to observe or change what they do.
 type WrapDeciders func(virtual.NewDecider) virtual.NewDecider
 
-// RunDay runs one seed under one policy. progress and wrap may be nil. A policy that is not known is an error.
+// RunDay runs one seed under one policy. progress and wrap may be nil. It fails for an unknown policy.
 func RunDay(e *experiment.Experiment, seed uint64, policy string, progress func(time.Duration), wrap WrapDeciders) (*count.Result, error) {
 	day := e.Day(seed)
 	newDecider, err := NewDeciders(day, policy)
@@ -63,7 +63,7 @@
 	return result, nil
 }
 
-// FillResult fills in what the checker and the world of a day that is over tell.
+// FillResult adds the findings of the checker and the counts of the world to a result, after the end of the day.
 func FillResult(r *count.Result, d *experiment.Day, checker *invariants.Checker) {
 	for _, v := range checker.Violations() {
 		r.Violations = append(r.Violations, v.String())
@@ -78,16 +78,16 @@
 	r.Count(d.World.Accounting, &d.World.Totals, len(d.World.Services), len(d.World.Customers), d.Experiment.Weights())
 }
 
-// RecordLoads records each second, while a day runs, what is asked of every server over its capacity: a row a server, a column a second.
+// RecordLoads records, while a day runs, each server's load relative to its capacity: one row for each server, one column for each second.
 func RecordLoads(w *simulation.World) *[][]float64 {
 	rows := &[][]float64{}
 	w.EverySecond(func() {
-		second := int(w.Schedule.Now()/time.Second) - 1 // the one that ends now
+		second := int(w.Schedule.Now()/time.Second) - 1 // the second that ends now
 		for i, s := range w.Servers {
 			for len(*rows) <= i {
 				*rows = append(*rows, nil)
 			}
-			for len((*rows)[i]) < second { // a server that was added later
+			for len((*rows)[i]) < second { // for a server that was added during the day
 				(*rows)[i] = append((*rows)[i], noProcess)
 			}
 			(*rows)[i] = append((*rows)[i], loadOf(s))
@@ -100,7 +100,7 @@
 	if !s.IsServing() {
 		return noProcess
 	}
-	return min(s.Demand()/max(s.CurrentCapacity(), leastDivisor)+s.QueueDelay(), maxLoad)
+	return min(s.Demand()/max(s.CurrentCapacity(), minCapacity)+s.QueueDelay(), maxLoad)
 }
 
 // Job is one day to run.
@@ -109,7 +109,7 @@
 	Policy string
 }
 
-// NewJobs has all policies, each on the seeds from first on.
+// NewJobs returns a job for each policy and each of the given number of seeds from first on.
 func NewJobs(policies []string, first uint64, seeds int) (jobs []Job) {
 	for _, policy := range policies {
 		for s := range seeds {
@@ -119,8 +119,8 @@
 	return jobs
 }
 
-// RunAll runs jobs side by side, on all cores where workers is not above 0. The results stand in the order of the jobs. done, which may be
-// nil, is called after each, from several goroutines.
+// RunAll runs jobs in parallel, with GOMAXPROCS workers if workers is not positive. The results are in the order of the jobs. done, which
+// may be nil, is called after each job, from several goroutines.
 func RunAll(ctx context.Context, e *experiment.Experiment, jobs []Job, workers int, done func()) ([]*count.Result, error) {
 	if workers <= 0 {
 		workers = runtime.GOMAXPROCS(0)
--- a/internal/testbed/scenario/scenario_test.go
+++ b/internal/testbed/scenario/scenario_test.go
@@ -24,7 +24,7 @@
 	return e
 }
 
-// randomDays are run once for the two tests that look at them.
+// randomDays runs the days once for the two tests that check them.
 var randomDays = sync.OnceValues(func() ([]*count.Result, error) {
 	e, err := experiment.Open("../../../experiments/mixed.toml")
 	if err != nil {
@@ -56,7 +56,7 @@
 		}
 	}
 	if judged < 100*len(results) {
-		t.Errorf("only %d flows were judged", judged)
+		t.Errorf("only %d flows were checked", judged)
 	}
 }
 
@@ -66,14 +66,14 @@
 	})
 }
 
-// Apart from the other rules, so that a known failure of this one hides none of theirs.
+// Separate from the test of the other rules, so that a known failure of this rule does not hide failures of the others.
 func TestSlowStartRespectedOverRandomDays(t *testing.T) {
 	checkRandomDays(t, func(violation string) bool {
 		return strings.Contains(violation, invariants.SlowStartRespected.String())
 	})
 }
 
-func TestSameBytesForAnyNumberOfWorkers(t *testing.T) {
+func TestResultsDoNotDependOnWorkerCount(t *testing.T) {
 	e := open(t, "mixed")
 	var first []byte
 	for i, workers := range []int{1, 8, 8, 1} {
@@ -88,21 +88,21 @@
 		if i == 0 {
 			first = b.Bytes()
 		} else if !bytes.Equal(first, b.Bytes()) {
-			t.Fatalf("run %d with %d workers differs", i, workers)
+			t.Fatalf("the result of run %d with %d workers differs from that of the first run", i, workers)
 		}
 	}
 }
 
-func TestShippedExperimentsCanBePlayed(t *testing.T) {
+func TestShippedExperimentsRun(t *testing.T) {
 	files, err := filepath.Glob(filepath.Join("..", "..", "..", "experiments", "*.toml"))
-	more, _ := filepath.Glob(filepath.Join("..", "..", "..", "experiments", "*", "*.toml")) // the pattern is sound
+	more, _ := filepath.Glob(filepath.Join("..", "..", "..", "experiments", "*", "*.toml")) // the pattern is valid
 	if files = append(files, more...); err != nil || len(files) < 28 {
-		t.Fatalf("%d files, %v", len(files), err)
+		t.Fatalf("found %d experiment files, want 28 or more; error: %v", len(files), err)
 	}
 	for _, f := range files {
 		switch filepath.Base(filepath.Dir(f)) {
 		case "fleet", "scale":
-			continue // plans of real processes and sweeps over sizes: internal/testbed/fleet and internal/testbed/scale read them
+			continue // plans that internal/testbed/fleet and internal/testbed/scale read
 		}
 		t.Run(filepath.Base(filepath.Dir(f))+"/"+filepath.Base(f), func(t *testing.T) {
 			t.Parallel()
@@ -120,7 +120,7 @@
 			}
 			var page bytes.Buffer
 			if err := report.HTML(&page, e.Name, e.About, []*count.Result{r}); err != nil || !strings.Contains(page.String(), "<polyline") {
-				t.Errorf("no plot drawn: %v", err)
+				t.Errorf("the HTML report contains no plot; error: %v", err)
 			}
 		})
 	}
--- a/internal/testbed/scenario/spill_test.go
+++ b/internal/testbed/scenario/spill_test.go
@@ -13,16 +13,16 @@
 	"yardwinch/locality"
 )
 
-// spillObserver looks at each connect that leaves the nearest tier: the balancer may not hold more there than its limit, but
-// for the one that rounds a part of a flow.
+// spillObserver checks each connect that leaves the balancer's own zone for a healthy one: the balancer may not have more flows there than
+// its spill limit, except for one flow by which the limit is rounded up.
 type spillObserver struct {
 	constraints.Unconstrained
-	t         *testing.T
-	ownZone   decide.Zone
-	zones     map[decide.ServerID]decide.Zone
-	policy    *locality.Policy
-	seenCount *int
-	exceeded  map[decide.FlowID]string // beyond the limit, unless it turns out to have been taken over
+	t             *testing.T
+	ownZone       decide.Zone
+	zones         map[decide.ServerID]decide.Zone
+	policy        *locality.Policy
+	observedCount *int
+	exceeded      map[decide.FlowID]string // message for each flow beyond the limit, reported unless the flow proves to be adopted
 }
 
 func (s *spillObserver) Name() string { return "spy" }
@@ -33,9 +33,9 @@
 
 func (s *spillObserver) OnAttempt(f decide.FlowID, to decide.ServerID) {
 	if z := s.zones[to]; z != s.ownZone && s.policy.StateOf(z) == locality.Healthy {
-		*s.seenCount++
+		*s.observedCount++
 		if n, limit := float64(s.policy.Spilled(z)), s.policy.SpillLimit(z); n > limit+1 {
-			s.exceeded[f] = fmt.Sprintf("%v flows in hall %s, the limit is %.2f", n, z, limit)
+			s.exceeded[f] = fmt.Sprintf("%v flows in zone %s, want at most %.2f", n, z, limit)
 		}
 	}
 }
@@ -72,12 +72,12 @@
 			settings := config.FromPairs(d.Settings(b))
 			policy := e.Locality.NewPolicy(settings, seed)
 			observer := &spillObserver{
-				t:         t,
-				ownZone:   decide.Zone(settings.String("az", "")),
-				zones:     map[decide.ServerID]decide.Zone{},
-				policy:    policy,
-				seenCount: &seen,
-				exceeded:  map[decide.FlowID]string{},
+				t:             t,
+				ownZone:       decide.Zone(settings.String("az", "")),
+				zones:         map[decide.ServerID]decide.Zone{},
+				policy:        policy,
+				observedCount: &seen,
+				exceeded:      map[decide.FlowID]string{},
 			}
 			configure := func(decider *decide.Balancer) { config.ConfigureBalancer(settings, decider) }
 			return constraints.New(seed, act, []constraints.Constraint{policy, observer}, configure)
@@ -88,6 +88,6 @@
 		}
 	}
 	if seen < 100 {
-		t.Errorf("only %d connects left their hall", seen)
+		t.Errorf("only %d connects left their zone, want 100 or more", seen)
 	}
 }
