--- a/internal/simulation/fault.go
+++ b/internal/simulation/fault.go
@@ -20,11 +20,11 @@
 	StoreSlow     FaultKind = "store_slow"     // the session store is Strength times slower
 	Reconnect     FaultKind = "reconnect"      // a share of clients drops its connections and reconnects within Length
 	Burst         FaultKind = "burst"          // the arrival rate is multiplied by Strength
-	Neighbour     FaultKind = "neighbour"      // on a share of servers another program uses the fraction Strength, Extra on, Extra off
+	Neighbour     FaultKind = "neighbour"      // on a share of servers another program uses Strength of the cores, Extra on, Extra off
 	ListDark      FaultKind = "list_dark"      // the server list sends no updates
 	ListStale     FaultKind = "list_stale"     // updates of the server list are delayed by Extra more than usual
 	BalancerCrash FaultKind = "balancer_crash" // a share of balancers crashes and restarts at the end
-	BalancerRoll  FaultKind = "balancer_roll"  // a share of balancers is stopped cleanly and restarted after Extra, Strength of all at a time
+	BalancerRoll  FaultKind = "balancer_roll"  // a share of balancers stops cleanly and starts again Extra later, Strength of all at a time
 	LocalityLost  FaultKind = "hall_lost"      // all servers of a locality stop responding, its balancers die; all restart at the end
 	Partition     FaultKind = "cut"            // Locality can't send to the others; nor they to it where Strength is 1 or more
 	Overload      FaultKind = "overload"       // the load is multiplied by Strength, that of established connections too
--- a/internal/testbed/scenario/gossip.go
+++ b/internal/testbed/scenario/gossip.go
@@ -14,7 +14,10 @@
 
 const (
 	gossipInterval = 250 * time.Millisecond
-	gossipDelay    = 600 * time.Millisecond // from publication to all balancers: as measured by testbed spread for half of some hundred
+
+	// gossipDelay is the time from a record's publication until all other balancers have it. In a fleet of some hundred balancers, a
+	// record reaches half of them in this time; see the command testbed spread.
+	gossipDelay = 600 * time.Millisecond
 )
 
 // gossip replaces the gossip protocol between balancers in virtual time: a published record reaches all others after a fixed delay. The
--- a/internal/testbed/virtual/actions.go
+++ b/internal/testbed/virtual/actions.go
@@ -102,7 +102,7 @@
 	}
 	f.isAnswered = true
 	b.forget(f)
-	d.sendToClient(func() { d.world.AnswerFlow(f.id, answer, retryAfter) })
+	d.afterClientDelay(func() { d.world.AnswerFlow(f.id, answer, retryAfter) })
 }
 
 // Migrate asks an established flow's client to reconnect.
--- a/internal/testbed/virtual/balancer.go
+++ b/internal/testbed/virtual/balancer.go
@@ -74,7 +74,7 @@
 		}
 		delete(d.flows, f.id)
 		clientLeft := f.clientLeft
-		d.sendToClient(func() {
+		d.afterClientDelay(func() {
 			if !clientLeft {
 				d.world.BreakFlow(f.id, simulation.Cut)
 			}
--- a/internal/testbed/virtual/connect.go
+++ b/internal/testbed/virtual/connect.go
@@ -82,7 +82,7 @@
 	e.Answer = invariants.Established
 	d.observe(e)
 	b.decide().OnEstablished(f.decideID, d.world.Schedule.Now()-c.sentAt)
-	d.sendToClient(func() { d.world.AnswerFlow(f.id, simulation.Established, 0) })
+	d.afterClientDelay(func() { d.world.AnswerFlow(f.id, simulation.Established, 0) })
 }
 
 // EndConnect tells a balancer that a server has ended a connect or a connection.
@@ -144,7 +144,7 @@
 	if outcome == decide.Cancelled || outcome == decide.Full {
 		how = simulation.Migrated
 	}
-	d.sendToClient(func() { d.world.BreakFlow(f.id, how) })
+	d.afterClientDelay(func() { d.world.BreakFlow(f.id, how) })
 }
 
 // closeAtServer tells a server, after the network delay, that the balancer has closed a connection.
--- a/internal/testbed/virtual/driver.go
+++ b/internal/testbed/virtual/driver.go
@@ -87,7 +87,7 @@
 	d.checker.Observe(e)
 }
 
-// sendToClient runs an action after the one-way delay between clients and balancers. It serves both directions.
-func (d *Driver) sendToClient(do func()) {
+// afterClientDelay runs an action after the one-way delay between clients and balancers, in either direction.
+func (d *Driver) afterClientDelay(do func()) {
 	d.world.Schedule.After(d.world.Network.Client, simulation.Message, do)
 }
--- a/internal/testbed/virtual/flow.go
+++ b/internal/testbed/virtual/flow.go
@@ -60,10 +60,10 @@
 func (d *Driver) OpenFlow(attempt simulation.Attempt) {
 	b := d.balancers[attempt.Balancer]
 	request := newFlowRequest(attempt)
-	d.sendToClient(func() {
+	d.afterClientDelay(func() {
 		switch {
 		case !b.isUp:
-			d.sendToClient(func() { d.world.AnswerFlow(attempt.Flow, simulation.NoBalancer, 0) })
+			d.afterClientDelay(func() { d.world.AnswerFlow(attempt.Flow, simulation.NoBalancer, 0) })
 		case d.world.Client(attempt.Flow) != nil: // the client has not left meanwhile
 			b.acceptFlow(attempt, request)
 		}
@@ -112,7 +112,7 @@
 
 // LeaveFlow tells a balancer that the client has ended its flow.
 func (d *Driver) LeaveFlow(id simulation.FlowID) {
-	d.sendToClient(func() {
+	d.afterClientDelay(func() {
 		if f := d.flows[id]; f != nil && !f.clientLeft {
 			f.balancer.leaveFlow(f)
 		}
