--- a/internal/testbed/invariants/event.go
+++ b/internal/testbed/invariants/event.go
@@ -33,7 +33,7 @@
 	ServerAnnounced: "told",
 	FlowAccepted:    "taken",
 	ClientLeft:      "left",
-	ConnectEnded:    "connect ended",
+	ConnectEnded:    "connect over",
 	ConnectSent:     "sent",
 	ConnectArrived:  "arrived",
 	FlowAnswered:    "answered",
--- a/internal/testbed/invariants/violation.go
+++ b/internal/testbed/invariants/violation.go
@@ -19,7 +19,7 @@
 
 // String describes the rule for reports.
 func (r Rule) String() string {
-	return [...]string{"", "one final answer in time", "no duplicate effect", "drains respected", "no starting server overloaded"}[r]
+	return [...]string{"", "one final answer in time", "no effect twice", "drains kept", "no cold server pushed over"}[r]
 }
 
 // Violation describes which rule was broken, and the events that show it.
