--- a/internal/testbed/scale/control_measurements.go
+++ b/internal/testbed/scale/control_measurements.go
@@ -27,7 +27,7 @@
 			Against:  m.settings.Against,
 			Origin:   kind.origin,
 			Counted:  kind.counted,
-			Held:     m.settings.held(),
+			Held:     m.settings.fixedSizes(),
 		}
 		m.series[kind.name] = series
 		m.names = append(m.names, kind.name)
@@ -46,8 +46,8 @@
 	return list
 }
 
-// overSizes measures each size of the settings and returns all series and checks.
-func (m *controlMeasurements) overSizes(progress Progress, measureSize func(size int) error) ([]Series, []Check, error) {
+// forEachSize measures each size of the settings and returns all series and checks.
+func (m *controlMeasurements) forEachSize(progress Progress, measureSize func(size int) error) ([]Series, []Check, error) {
 	for i, size := range m.settings.Sizes {
 		if err := measureSize(size); err != nil {
 			return nil, nil, err
--- a/internal/testbed/scale/control_members.go
+++ b/internal/testbed/scale/control_members.go
@@ -23,7 +23,7 @@
 	leaseDuration     = 6 * time.Second
 	measurementRounds = 3
 
-	memoryCopiesOf = 1000 // members over all engines that one memory measurement covers
+	membersPerMemoryMeasurement = 1000 // members over all engines that one memory measurement covers
 )
 
 // recordBytesOf is the size in bytes of an encoded record with so many reports.
@@ -35,7 +35,7 @@
 // membersSweep measures what one member sends, receives, computes and stores, against the number of members.
 func membersSweep(ctx context.Context, s Settings, progress Progress) ([]Series, []Check, error) {
 	measurements := newControlMeasurements(s, roleMembership)
-	return measurements.overSizes(progress, func(size int) error {
+	return measurements.forEachSize(progress, func(size int) error {
 		if err := measurements.measureGossip(ctx, size); err != nil {
 			return err
 		}
@@ -74,7 +74,7 @@
 	point := func(name, quantity, unit string, value float64) {
 		m.add(seriesKind{name: name + kind, quantity: quantity + what, unit: unit, origin: Simulated, counted: true}, size, value)
 	}
-	records := recordsBytes(size, recordBytes)
+	records := fullStateBytes(size, recordBytes)
 	exchange := exchangeBytesPerSecond(size, records)
 	point("bytes-out", "sent by a member: gossip, pings and exchanges", unitBytesSecond, r.totalBytes()+exchange)
 	point("gossip-bytes-out", "sent by a member as gossip", unitBytesSecond, r.recordBytes)
@@ -87,8 +87,8 @@
 	point("waiting", "messages that wait in a member's queue after 25 s", "messages", r.queued)
 }
 
-// recordsBytes is the size in bytes of all records that a member sends in an exchange.
-func recordsBytes(size, recordBytes int) int {
+// fullStateBytes is the size in bytes of all records that a member sends in an exchange.
+func fullStateBytes(size, recordBytes int) int {
 	const mostPassed = 101 // by fleet/signals: others' records and the member's own
 	const listHeader = 3
 	return min(size, mostPassed) * (recordBytes + listHeader)
@@ -107,7 +107,7 @@
 func (m *controlMeasurements) measureEngine(size int) error {
 	message := exchangeMessage(size)
 	before := liveMemory()
-	copies := max(1, memoryCopiesOf/size)
+	copies := max(1, membersPerMemoryMeasurement/size)
 	for range copies - 1 {
 		other, err := joinedEngine(message)
 		if err != nil {
--- a/internal/testbed/scale/control_push.go
+++ b/internal/testbed/scale/control_push.go
@@ -131,7 +131,7 @@
 		}
 		idle = 0
 		for i := range m.balancers {
-			m.collectArrivals()
+			m.applyArrivals()
 			took := m.serve(&m.balancers[i])
 			if took == 0 {
 				idle++
@@ -150,8 +150,8 @@
 	return m.result, nil
 }
 
-// collectArrivals takes in the changes and the started balancers up to now.
-func (m *pushModel) collectArrivals() {
+// applyArrivals takes in the changes and the started balancers up to now.
+func (m *pushModel) applyArrivals() {
 	for m.arrived < len(m.changeTimes) && (m.arrived < m.plan.missed || m.changeTimes[m.arrived]+controlDelay <= m.now) {
 		m.arrived++
 	}
--- a/internal/testbed/scale/control_real.go
+++ b/internal/testbed/scale/control_real.go
@@ -74,18 +74,18 @@
 	return nil
 }
 
-// sentFigures are the totals sent so far, and the processor time used.
-type sentFigures struct {
-	datagrams, datagramBytes, streamBytes, gone float64
+// sentTotals are the totals sent so far, and the processor time used.
+type sentTotals struct {
+	datagrams, datagramBytes, streamBytes, departures float64
 	processor                                   time.Duration
 }
 
-func (c *sentCounter) figures() sentFigures {
-	return sentFigures{
+func (c *sentCounter) totals() sentTotals {
+	return sentTotals{
 		datagrams:     float64(c.datagrams.Load()),
 		datagramBytes: float64(c.datagramBytes.Load()),
 		streamBytes:   float64(c.streamBytes.Load()),
-		gone:          float64(c.departures.count.Load()),
+		departures:          float64(c.departures.count.Load()),
 		processor:     processorTime(),
 	}
 }
@@ -144,7 +144,7 @@
 	fleet := &realFleet{cancel: cancel}
 	seed := realAddr(0, port).String()
 	for i := range count {
-		m := &realMember{number: i, fullState: make([]byte, recordsBytes(count, recordBytes)), latest: map[uint32]uint64{}}
+		m := &realMember{number: i, fullState: make([]byte, fullStateBytes(count, recordBytes)), latest: map[uint32]uint64{}}
 		at := realAddr(i, port)
 		m.group = engine.New(membership.Instance{
 			Name:      membership.Name(memberName(i)),
@@ -250,13 +250,13 @@
 	if err != nil {
 		return nil, nil, &Error{Where: "length", What: "no time", Remedy: `give one such as "20s"`, Err: err}
 	}
-	counter := countSent()
+	counter := installSentCounter()
 	defer func() { _, _ = metrics.NewGlobal(metrics.DefaultConfig(""), &metrics.BlackholeSink{}) }() // the default configuration is valid
 	was := slog.Default()
 	slog.SetDefault(slog.New(&counter.departures)) // engines log each arrival and departure
 	defer slog.SetDefault(was)
 	measurements := newControlMeasurements(s, roleMembership)
-	return measurements.overSizes(progress, func(size int) error {
+	return measurements.forEachSize(progress, func(size int) error {
 		return measurements.measureReal(ctx, counter, size, length)
 	})
 }
@@ -269,7 +269,7 @@
 	return bySize, fmt.Sprintf("want %d real members at the most; the sweep members has no such bound", maxRealMembers)
 }
 
-func countSent() *sentCounter {
+func installSentCounter() *sentCounter {
 	counter := &sentCounter{departures: stateCounter{Handler: slog.NewTextHandler(io.Discard, nil), state: membership.Gone}}
 	config := metrics.DefaultConfig("")
 	config.EnableHostname = false
@@ -303,11 +303,11 @@
 	if err := pause(ctx, settlingTime); err != nil {
 		return err
 	}
-	from, began := counter.figures(), time.Now()
+	from, began := counter.totals(), time.Now()
 	if err := pause(ctx, fullExchangeCycles(size, length)); err != nil {
 		return err
 	}
-	to, took := counter.figures(), time.Since(began)
+	to, took := counter.totals(), time.Since(began)
 	model, err := simulateGossip(ctx, gossipRun{members: size, recordBytes: recordBytes, seed: m.settings.Seed})
 	if err != nil {
 		return err
@@ -319,13 +319,13 @@
 		datagramBytes/per, model.totalBytes())
 	m.compareWithModel("datagrams-out", "datagrams sent by a member", unitPerSecond, size,
 		datagrams/per, model.recordDatagrams+model.probeDatagrams)
-	message := len(exchangeMessage(size)) + recordsBytes(size, recordBytes)
+	message := len(exchangeMessage(size)) + fullStateBytes(size, recordBytes)
 	m.compareWithModel("stream-bytes-out", "sent by a member in exchanges, without headers", unitBytesSecond, size,
 		(to.streamBytes-from.streamBytes)/per, 2*float64(message)/exchangeInterval(size).Seconds())
 	m.add(seriesKind{
 		name: "taken-as-gone", unit: unitPerSecond, origin: Measured,
 		quantity: "times that a real engine declares a live member dead: the machine was too busy to answer in time",
-	}, size, (to.gone-from.gone)/per)
+	}, size, (to.departures-from.departures)/per)
 	m.add(seriesKind{
 		name: "engine-processor", unit: unitCorePart, origin: Measured,
 		quantity: "processor time of a real engine, this process shared by all",
--- a/internal/testbed/scale/control_sweep_catchup.go
+++ b/internal/testbed/scale/control_sweep_catchup.go
@@ -12,7 +12,7 @@
 // catchUpSweep measures how a region catches up with the changes it missed during a partition.
 func catchUpSweep(ctx context.Context, s Settings, progress Progress) ([]Series, []Check, error) {
 	measurements := newControlMeasurements(s, roleList)
-	return measurements.overSizes(progress, func(size int) error {
+	return measurements.forEachSize(progress, func(size int) error {
 		return measurements.measureCatchUps(ctx, size)
 	})
 }
--- a/internal/testbed/scale/control_sweep_changes.go
+++ b/internal/testbed/scale/control_sweep_changes.go
@@ -18,7 +18,7 @@
 	if s.Against == byServers {
 		measurements.suffix = "-by-servers"
 	}
-	return measurements.overSizes(progress, func(size int) error {
+	return measurements.forEachSize(progress, func(size int) error {
 		for _, fullLists := range []bool{false, true} {
 			if err := measurements.measureChanges(ctx, size, fullLists); err != nil {
 				return err
@@ -49,7 +49,7 @@
 	if fullLists {
 		kind, what = "whole", "full lists are sent"
 	}
-	plan := pushPlanOf(m.settings.at(size), requiredChangesPerDay, fullLists)
+	plan := pushPlanOf(m.settings.withSize(size), requiredChangesPerDay, fullLists)
 	if m.settings.Against == byChanges {
 		plan = pushPlanOf(m.settings, size, fullLists)
 	}
--- a/internal/testbed/scale/control_sweep_leases.go
+++ b/internal/testbed/scale/control_sweep_leases.go
@@ -33,11 +33,11 @@
 	if s.Against == byServers {
 		measurements.suffix = "-by-servers"
 	}
-	return measurements.overSizes(progress, func(size int) error {
+	return measurements.forEachSize(progress, func(size int) error {
 		if err := ctx.Err(); err != nil {
 			return err
 		}
-		one := s.at(size)
+		one := s.withSize(size)
 		measurements.measureScoring(size, one.Balancers, one.Servers)
 		if s.Against == byBalancers {
 			measurements.measureEvenness(size, one.Balancers, one.Servers)
--- a/internal/testbed/scale/control_sweep_lists.go
+++ b/internal/testbed/scale/control_sweep_lists.go
@@ -16,7 +16,7 @@
 // listsSweep measures a real balancer's handling of a list and its changes, against the servers in it.
 func listsSweep(ctx context.Context, s Settings, progress Progress) ([]Series, []Check, error) {
 	measurements := newControlMeasurements(s, roleList)
-	return measurements.overSizes(progress, func(size int) error {
+	return measurements.forEachSize(progress, func(size int) error {
 		return measurements.measureList(ctx, size)
 	})
 }
--- a/internal/testbed/scale/control_sweep_replaced.go
+++ b/internal/testbed/scale/control_sweep_replaced.go
@@ -15,7 +15,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	return measurements.overSizes(progress, func(size int) error {
+	return measurements.forEachSize(progress, func(size int) error {
 		run := gossipRun{
 			members:         s.Balancers,
 			recordBytes:     recordBytes,
@@ -27,7 +27,7 @@
 		if err != nil {
 			return err
 		}
-		exchange := streamBytes(len(exchangeMessage(s.Balancers)) + recordsBytes(s.Balancers, recordBytes))
+		exchange := streamBytes(len(exchangeMessage(s.Balancers)) + fullStateBytes(s.Balancers, recordBytes))
 		join := float64(exchange) * run.replaced / float64(s.Balancers)
 		measurements.add(seriesKind{
 			name: "bytes-out", unit: unitBytesSecond, origin: Simulated, counted: true,
@@ -67,7 +67,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	return measurements.overSizes(progress, func(size int) error {
+	return measurements.forEachSize(progress, func(size int) error {
 		result, err := simulateGossip(ctx, gossipRun{
 			members:          size,
 			recordBytes:      recordBytes,
@@ -78,7 +78,7 @@
 		if err != nil {
 			return err
 		}
-		exchange := exchangeBytesPerSecond(size, recordsBytes(size, recordBytes))
+		exchange := exchangeBytesPerSecond(size, fullStateBytes(size, recordBytes))
 		measurements.add(seriesKind{
 			name: "bytes-out", unit: unitBytesSecond, origin: Simulated, counted: true,
 			quantity: "sent by a member of a group, with reduced gossip: gossip, pings and exchanges",
--- a/internal/testbed/scale/control_sweep_signals.go
+++ b/internal/testbed/scale/control_sweep_signals.go
@@ -28,7 +28,7 @@
 	if s.Against == byFaulty {
 		measurements.suffix = "-by-troubled"
 	}
-	return measurements.overSizes(progress, func(size int) error {
+	return measurements.forEachSize(progress, func(size int) error {
 		if err := ctx.Err(); err != nil {
 			return err
 		}
--- a/internal/testbed/scale/control_wire.go
+++ b/internal/testbed/scale/control_wire.go
@@ -92,8 +92,8 @@
 
 const memberPort = 7946
 
-// packed encodes a value as memberlist does, without the type byte.
-func packed(value any) []byte {
+// encodeMsgpack encodes a value as memberlist does, without the type byte.
+func encodeMsgpack(value any) []byte {
 	var text bytes.Buffer
 	if err := codec.NewEncoder(&text, &codec.MsgpackHandle{}).Encode(value); err != nil {
 		panic(err) // neither the buffer nor the types above can fail
@@ -110,10 +110,10 @@
 	const one = 4711
 	name, addr := memberName(one), memberAddr(one)
 	return messageSizes{
-		ping:  1 + len(packed(enginePing{SeqNo: math.MaxUint16, Node: name, SourceAddr: addr, SourcePort: memberPort, SourceNode: name})),
-		ack:   1 + len(packed(engineAck{SeqNo: math.MaxUint16})),
-		alive: 1 + len(packed(engineAlive{Incarnation: 1, Node: name, Addr: addr, Port: memberPort, Vsn: engineVersions})),
-		dead:  1 + len(packed(engineDead{Incarnation: 1, Node: name, From: name})),
+		ping:  1 + len(encodeMsgpack(enginePing{SeqNo: math.MaxUint16, Node: name, SourceAddr: addr, SourcePort: memberPort, SourceNode: name})),
+		ack:   1 + len(encodeMsgpack(engineAck{SeqNo: math.MaxUint16})),
+		alive: 1 + len(encodeMsgpack(engineAlive{Incarnation: 1, Node: name, Addr: addr, Port: memberPort, Vsn: engineVersions})),
+		dead:  1 + len(encodeMsgpack(engineDead{Incarnation: 1, Node: name, From: name})),
 	}
 }
 
@@ -121,10 +121,10 @@
 func exchangeMessage(members int) []byte {
 	const exchangeKind = 6
 	text := []byte{exchangeKind}
-	text = append(text, packed(engineExchange{Nodes: members})...)
+	text = append(text, encodeMsgpack(engineExchange{Nodes: members})...)
 	for i := range members {
 		node := engineNode{Name: memberName(i), Addr: memberAddr(i), Port: memberPort, Incarnation: 1, Vsn: engineVersions}
-		text = append(text, packed(node)...)
+		text = append(text, encodeMsgpack(node)...)
 	}
 	return text
 }
--- a/internal/testbed/scale/faults.go
+++ b/internal/testbed/scale/faults.go
@@ -19,7 +19,7 @@
 	maxSpreadDelay           = 1300 * time.Millisecond
 	twoListsInterval         = 100 * time.Millisecond // two lists within one tick
 	surgeLength              = 50 * time.Second
-	connectionsOfOneBalancer = 79_012
+	maxBalancerConnections = 79_012
 )
 
 // fault is a fault of a simulated fleet.
@@ -140,7 +140,7 @@
 
 // oneBalancer gives one balancer the connections of all, up to connectionsOfOneBalancer.
 func oneBalancer(s Settings) Settings {
-	s.Connections = min(s.Connections*s.Balancers, connectionsOfOneBalancer)
+	s.Connections = min(s.Connections*s.Balancers, maxBalancerConnections)
 	s.Balancers = 1
 	return s
 }
--- a/internal/testbed/scale/fleet.go
+++ b/internal/testbed/scale/fleet.go
@@ -221,7 +221,7 @@
 		b.lastUpdateAt = max(b.lastUpdateAt, f.schedule.now+f.randomDelay(soonest, latest)) // updates stay in order
 		f.schedule.at(b.lastUpdateAt, func() {
 			if b.up && b.incarnation == incarnation {
-				b.list(decide.DeltaUpdate, list)
+				b.updateList(decide.DeltaUpdate, list)
 			}
 		})
 	}
@@ -231,7 +231,7 @@
 func (f *fleet) publishList(kind decide.UpdateKind, list []server) {
 	for _, b := range f.balancers {
 		if b.up {
-			b.list(kind, list)
+			b.updateList(kind, list)
 		}
 	}
 }
--- a/internal/testbed/scale/fleet_client.go
+++ b/internal/testbed/scale/fleet_client.go
@@ -10,7 +10,7 @@
 // serviceType is one of the services that clients use in turn.
 type serviceType struct {
 	effect decide.Effect
-	seen   invariants.Effect
+	observedEffect   invariants.Effect
 }
 
 // services differ in the effect of running a flow twice.
@@ -40,7 +40,7 @@
 func (c *client) arrive() {
 	to := c.preferred
 	if !to.up {
-		to = c.fleet.anyUp()
+		to = c.fleet.randomUpBalancer()
 	}
 	if to == nil {
 		c.fleet.schedule.after(retryAfter, c.arrive)
@@ -49,7 +49,7 @@
 	to.accept(c)
 }
 
-func (f *fleet) anyUp() *instance {
+func (f *fleet) randomUpBalancer() *instance {
 	var up []*instance
 	for _, b := range f.balancers {
 		if b.up {
--- a/internal/testbed/scale/fleet_instance.go
+++ b/internal/testbed/scale/fleet_instance.go
@@ -66,7 +66,7 @@
 			listed = append(listed, s)
 		}
 	}
-	b.list(decide.FullUpdate, entries(listed))
+	b.updateList(decide.FullUpdate, entries(listed))
 }
 
 // stop ends an incarnation; clients notice only that their connections end.
@@ -104,7 +104,7 @@
 	decide.Gone:     invariants.Gone,
 }
 
-func (b *instance) list(kind decide.UpdateKind, list []server) {
+func (b *instance) updateList(kind decide.UpdateKind, list []server) {
 	m := b.event()
 	named := map[decide.ServerID]bool{}
 	m.BeginEndpoints(kind)
@@ -146,7 +146,7 @@
 
 // ---- flows
 
-func (b *instance) add(c *client) *flowState {
+func (b *instance) addFlow(c *client) *flowState {
 	f := b.fleet
 	f.flowCount++
 	flow := &flowState{
@@ -167,7 +167,7 @@
 
 // adopt starts with an established connection.
 func (b *instance) adopt(c *client, s *backend) {
-	flow := b.add(c)
+	flow := b.addFlow(c)
 	flow.answered = true
 	flow.current = b.fleet.connect(flow, s)
 	flow.current.established = true
@@ -182,7 +182,7 @@
 
 // accept handles the arrival of a client.
 func (b *instance) accept(c *client) {
-	flow, now := b.add(c), b.fleet.schedule.now
+	flow, now := b.addFlow(c), b.fleet.schedule.now
 	flow.deadline = now + connectTimeout - relayTime
 	t := services[c.service]
 	b.fleet.observe(invariants.Event{
@@ -190,7 +190,7 @@
 		Balancer:  invariants.Balancer(b.id),
 		Flow:      flow.id,
 		Deadline:  now + connectTimeout,
-		Effect:    t.seen,
+		Effect:    t.observedEffect,
 		KeyWindow: retryWindow,
 	})
 	b.event().OnFlow(decide.FlowRequest{
--- a/internal/testbed/scale/page_comparison.go
+++ b/internal/testbed/scale/page_comparison.go
@@ -50,8 +50,8 @@
 				quantity:  c.quantity,
 				simulated: simulated,
 				real:      realSeries,
-				whyBelow:  c.whyBelow,
-				whyAbove:  c.whyAbove,
+				whyBelow:  c.reasonBelow,
+				whyAbove:  c.reasonAbove,
 			})
 		}
 	}
--- a/internal/testbed/scale/page_stored.go
+++ b/internal/testbed/scale/page_stored.go
@@ -23,7 +23,7 @@
 
 var (
 	originTerms  = map[Origin]string{Calculated: "calculated"}
-	unitTerms    = map[string]string{unitLooks: "evaluations", "sights": "observations", "tries": "attempts"}
+	unitTerms    = map[string]string{unitEvaluations: "evaluations", "sights": "observations", "tries": "attempts"}
 	subjectTerms = map[string]string{byFaulty: "faulty servers"} // what sizes count
 )
 
--- a/internal/testbed/scale/page_terms_test.go
+++ b/internal/testbed/scale/page_terms_test.go
@@ -10,7 +10,7 @@
 func TestSetupLimitMatchesDecide(t *testing.T) {
 	for _, balancers := range []int{1, 48, int(fleetBalancers)} {
 		h := newSimulatedBalancer(1, simulatedSettings{peers: balancers})
-		h.list(decide.DeltaUpdate, warmServers(100, 5))
+		h.updateList(decide.DeltaUpdate, warmServers(100, 5))
 		h.advance(settlingPeriod)
 		for i := range 100 {
 			h.decider.OnFlow(decide.FlowRequest{ID: flowName(i), Customer: -1, Group: groupName(i), Timeout: connectTimeout})
--- a/internal/testbed/scale/real_clients.go
+++ b/internal/testbed/scale/real_clients.go
@@ -38,7 +38,7 @@
 func (c *stubClients) openUpTo(ctx context.Context, to int) error {
 	errs := make(chan error, concurrentDialers)
 	var left atomic.Int64
-	left.Store(int64(to - c.held()))
+	left.Store(int64(to - c.openCount()))
 	for range concurrentDialers {
 		go func() {
 			for left.Add(-1) >= 0 {
@@ -57,7 +57,7 @@
 	return all
 }
 
-func (c *stubClients) held() int {
+func (c *stubClients) openCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.conns)
@@ -86,7 +86,7 @@
 	return &ProcessError{
 		What:   "a client was answered " + last,
 		Remedy: "ask for fewer connections, or check the limits of descriptors",
-		Err:    errNotUp,
+		Err:    errNotEstablished,
 	}
 }
 
--- a/internal/testbed/scale/real_compare.go
+++ b/internal/testbed/scale/real_compare.go
@@ -18,7 +18,7 @@
 // comparison is a quantity of simulated balancers and of real processes.
 type comparison struct {
 	name, quantity, unit string
-	whyBelow, whyAbove   string // why the simulated figure may be far below the real one, or above it; empty: it may not
+	reasonBelow, reasonAbove   string // why the simulated figure may be far below the real one, or above it; empty: it may not
 }
 
 const stubSharesProcess = "the stand-in that writes the list is in the hollow one's process"
@@ -28,11 +28,11 @@
 	{name: "rest", quantity: "processor time that held idle connections add", unit: "cores"},
 	{name: "change", unit: "s",
 		quantity: "processor time of a change of one entry, sent one by one to the real process and in batches of twenty to the hollow balancer",
-		whyBelow: "an idle process is woken for each change; see changes", whyAbove: stubSharesProcess},
-	{name: "changes", quantity: "processor time of a change of one entry, in a batch of twenty", unit: "s", whyAbove: stubSharesProcess},
-	{name: "whole-list", quantity: "processor time of a full list that is sent again", unit: "s", whyAbove: stubSharesProcess},
+		reasonBelow: "an idle process is woken for each change; see changes", reasonAbove: stubSharesProcess},
+	{name: "changes", quantity: "processor time of a change of one entry, in a batch of twenty", unit: "s", reasonAbove: stubSharesProcess},
+	{name: "whole-list", quantity: "processor time of a full list that is sent again", unit: "s", reasonAbove: stubSharesProcess},
 	{name: "list-memory", quantity: "memory that the list takes beyond that of the smallest size", unit: "bytes",
-		whyBelow: "a heap grows to twice what lives on it before it is collected"},
+		reasonBelow: "a heap grows to twice what lives on it before it is collected"},
 }
 
 // comparedFigures are the figures of comparisons by name; a simulated one has several.
@@ -87,9 +87,9 @@
 		Detail: fmt.Sprintf("real %.4g %s, hollow %.4g to %.4g, %+.0f %% in the middle",
 			realFigure, c.unit, least, most, 100*(median(simulated)/realFigure-1)),
 	}
-	why := c.whyAbove
+	why := c.reasonAbove
 	if realFigure > most {
-		why = c.whyBelow
+		why = c.reasonBelow
 	}
 	if !check.Held && why != "" {
 		check.Held = true
@@ -221,7 +221,7 @@
 // are spread evenly, as by newSettledBalancer, nearly all of them need no recheck.
 func newPlacedBalancer(s realSettings, servers, connections int) *simulatedBalancer {
 	h := newSimulatedBalancer(s.Seed, simulatedSettings{peers: s.Balancers})
-	h.list(decide.FullUpdate, warmServers(servers, s.Zones))
+	h.updateList(decide.FullUpdate, warmServers(servers, s.Zones))
 	for i := range connections {
 		h.advance(h.now + time.Millisecond)
 		h.placeFlow(flowName(i), groupName(i%s.Groups))
--- a/internal/testbed/scale/real_lists.go
+++ b/internal/testbed/scale/real_lists.go
@@ -15,7 +15,7 @@
 	propagationTimeout   = 5 * time.Second
 	realRoleControl      = "balancer control"
 	realRoleDataPath     = "balancer data path"
-	realRolesList        = "balancer control: list"
+	realRoleList        = "balancer control: list"
 )
 
 // realSeries collects the points of several series over the same sizes.
@@ -78,7 +78,7 @@
 	ctx context.Context, s realSettings, progress Progress,
 	measureLength func(ctx context.Context, s realSettings, servers int, set *realSeries) error,
 ) ([]Series, []Check, error) {
-	set := &realSeries{role: realRolesList, against: "servers", held: map[string]float64{"connections": 0, "zones": float64(s.Zones)}}
+	set := &realSeries{role: realRoleList, against: "servers", held: map[string]float64{"connections": 0, "zones": float64(s.Zones)}}
 	for i, n := range s.Sizes {
 		progress(i, len(s.Sizes))
 		if err := measureLength(ctx, s, n, set); err != nil {
--- a/internal/testbed/scale/real_stubs.go
+++ b/internal/testbed/scale/real_stubs.go
@@ -289,4 +289,4 @@
 	s.running.Wait()
 }
 
-var errNotUp = errors.New("a connection did not come up")
+var errNotEstablished = errors.New("a connection did not come up")
--- a/internal/testbed/scale/real_test.go
+++ b/internal/testbed/scale/real_test.go
@@ -211,7 +211,7 @@
 		{1.4, []float64{0.9, 1, 1.1}, "it sleeps", true},
 		{0.7, []float64{0.9, 1, 1.1}, "it sleeps", false},
 	} {
-		c := comparison{name: "rest", unit: "cores", whyBelow: x.less}.check(60, x.real, x.simulated)
+		c := comparison{name: "rest", unit: "cores", reasonBelow: x.less}.check(60, x.real, x.simulated)
 		if c.Held != x.held {
 			t.Errorf("real %v, simulated %v, reason %q: held %v, %s", x.real, x.simulated, x.less, c.Held, c.Detail)
 		}
--- a/internal/testbed/scale/series.go
+++ b/internal/testbed/scale/series.go
@@ -5,8 +5,8 @@
 // firstFreeFlow is above the number of any flow that a sweep establishes.
 const firstFreeFlow = 1 << 30
 
-// at returns the settings with the size in place of the key that the sizes replace.
-func (s Settings) at(size int) Settings {
+// withSize returns the settings with the size in place of the key that the sizes replace.
+func (s Settings) withSize(size int) Settings {
 	switch s.Against {
 	case byServers:
 		s.Servers = size
@@ -20,8 +20,8 @@
 	return s
 }
 
-// held are the settings that stay fixed over the sizes.
-func (s Settings) held() map[string]float64 {
+// fixedSizes are the settings that stay fixed over the sizes.
+func (s Settings) fixedSizes() map[string]float64 {
 	held := map[string]float64{}
 	for key, value := range map[string]int{byServers: s.Servers, byBalancers: s.Balancers, byConnections: s.Connections,
 		byGroups: s.Groups, byZones: s.Zones} {
@@ -57,7 +57,7 @@
 			Against:  s.Against,
 			Origin:   kind.origin,
 			Counted:  kind.counted,
-			Held:     s.held(),
+			Held:     s.fixedSizes(),
 		}
 	}
 }
--- a/internal/testbed/scale/simulated_balancer.go
+++ b/internal/testbed/scale/simulated_balancer.go
@@ -10,7 +10,7 @@
 
 // Settings of the simulated balancers, as deployments set them.
 const (
-	peers            = 8_100 // balancers that share the budget of a warming server
+	defaultPeers            = 8_100 // balancers that share the budget of a warming server
 	maxConnects      = 4
 	connectTimeout   = 1800 * time.Millisecond // of a flow, by which its client has an answer
 	setupTarget      = 300 * time.Millisecond
@@ -115,8 +115,8 @@
 	return servers
 }
 
-// list passes on a list, or changes of it.
-func (h *simulatedBalancer) list(kind decide.UpdateKind, servers []server) {
+// updateList passes on a updateList, or changes of it.
+func (h *simulatedBalancer) updateList(kind decide.UpdateKind, servers []server) {
 	h.decider.SetTime(h.now)
 	h.decider.BeginEndpoints(kind)
 	for _, s := range servers {
@@ -230,23 +230,23 @@
 	return x
 }
 
-// costCounter counts the servers that decisions consider: they ask the other deciders for the cost of each.
-type costCounter struct{ count int }
+// evaluationCounter counts the servers that decisions consider: they ask the other deciders for the cost of each.
+type evaluationCounter struct{ count int }
 
-func (l *costCounter) ServerCost(decide.FlowID, decide.ServerID) (float64, bool) {
+func (l *evaluationCounter) ServerCost(decide.FlowID, decide.ServerID) (float64, bool) {
 	l.count++
 	return 0, true
 }
-func (l *costCounter) AdmitFlow(decide.FlowID) bool { return true }
-func (l *costCounter) RetryAfter(_ decide.FlowID, suggested time.Duration) time.Duration {
+func (l *evaluationCounter) AdmitFlow(decide.FlowID) bool { return true }
+func (l *evaluationCounter) RetryAfter(_ decide.FlowID, suggested time.Duration) time.Duration {
 	return suggested
 }
-func (l *costCounter) AllowMigration(decide.FlowID) bool { return true }
-func (l *costCounter) MigrateFirst() []decide.FlowID     { return nil }
+func (l *evaluationCounter) AllowMigration(decide.FlowID) bool { return true }
+func (l *evaluationCounter) MigrateFirst() []decide.FlowID     { return nil }
 
-// countLooks counts the servers considered during a piece of work.
-func (h *simulatedBalancer) countLooks(work func()) int {
-	var l costCounter
+// countEvaluations counts the servers considered during a piece of work.
+func (h *simulatedBalancer) countEvaluations(work func()) int {
+	var l evaluationCounter
 	h.decider.SetConstraints(&l)
 	work()
 	h.decider.SetConstraints(nil)
--- a/internal/testbed/scale/sweep_balancers.go
+++ b/internal/testbed/scale/sweep_balancers.go
@@ -28,7 +28,7 @@
 	})
 	rejected := 0
 	for i, size := range s.Sizes {
-		one := s.at(size)
+		one := s.withSize(size)
 		before := liveMemory()
 		fleet, onServer, err := smallFleet(ctx, one)
 		if err != nil {
@@ -55,9 +55,9 @@
 		}
 		chance := rand.New(rand.NewPCG(s.Seed, uint64(b)))
 		h := newSimulatedBalancer(chance.Uint64(), simulatedSettings{peers: s.Balancers, zone: b % s.Zones})
-		h.list(decide.FullUpdate, servers)
+		h.updateList(decide.FullUpdate, servers)
 		for i := range s.Connections {
-			h.now += betweenPlacements
+			h.now += placementInterval
 			if at, established := h.placeFlow(flowName(i), groupName(chance.IntN(s.Groups))); established {
 				onServer[at-1]++
 			}
--- a/internal/testbed/scale/sweep_faults.go
+++ b/internal/testbed/scale/sweep_faults.go
@@ -29,7 +29,7 @@
 	for i, one := range faults {
 		set := newFaultSeries(s, one.name)
 		for j, size := range s.Sizes {
-			o, err := one.run(ctx, s.at(size), s.Seed)
+			o, err := one.run(ctx, s.withSize(size), s.Seed)
 			if err != nil {
 				return nil, nil, err
 			}
--- a/internal/testbed/scale/sweep_groups.go
+++ b/internal/testbed/scale/sweep_groups.go
@@ -42,10 +42,10 @@
 	})
 	rejected := 0
 	for i, size := range s.Sizes {
-		one := s.at(size)
+		one := s.withSize(size)
 		before := liveMemory()
-		h := newSimulatedBalancer(s.Seed, simulatedSettings{peers: peers})
-		h.list(decide.FullUpdate, warmServers(one.Servers, one.Zones))
+		h := newSimulatedBalancer(s.Seed, simulatedSettings{peers: defaultPeers})
+		h.updateList(decide.FullUpdate, warmServers(one.Servers, one.Zones))
 		placed, err := placeConnections(ctx, h, one)
 		if err != nil {
 			return nil, nil, err
@@ -77,7 +77,7 @@
 			return all, ctx.Err()
 		}
 		group := i % s.Groups
-		h.now += betweenPlacements
+		h.now += placementInterval
 		at, established := h.placeFlow(flowName(i), groupName(group))
 		if !established {
 			continue
--- a/internal/testbed/scale/sweep_list.go
+++ b/internal/testbed/scale/sweep_list.go
@@ -17,7 +17,7 @@
 
 const (
 	listBatches = 5
-	listWork    = 50_000 // servers of all lists of a batch, approximately
+	serversPerBatch    = 50_000 // servers of all lists of a batch, approximately
 	maxLists    = 100
 )
 
@@ -59,17 +59,17 @@
 		}
 		servers := warmServers(size, s.Zones)
 		before := liveMemory()
-		h := newSimulatedBalancer(s.Seed, simulatedSettings{peers: peers})
-		h.list(decide.FullUpdate, servers)
+		h := newSimulatedBalancer(s.Seed, simulatedSettings{peers: defaultPeers})
+		h.updateList(decide.FullUpdate, servers)
 		memory.addPoint(size, float64(liveMemory()-before))
-		times := min(max(listWork/size, 1), maxLists)
-		fullListTime.addPoint(size, microseconds(measure(listBatches, times, func() { h.list(decide.FullUpdate, servers) }).processor))
-		changeCost := measure(listBatches, times, func() { h.list(decide.DeltaUpdate, servers[:1]) })
+		times := min(max(serversPerBatch/size, 1), maxLists)
+		fullListTime.addPoint(size, microseconds(measure(listBatches, times, func() { h.updateList(decide.FullUpdate, servers) }).processor))
+		changeCost := measure(listBatches, times, func() { h.updateList(decide.DeltaUpdate, servers[:1]) })
 		change.addPoint(size, microseconds(changeCost.processor))
 		objects.addPoint(size, changeCost.allocations)
 		runtime.KeepAlive(h)
 		//nolint:contextcheck // a cached list is applied before there is a context
-		if err := addParsed(parsed, garbage, routed, s.Seed, servers); err != nil {
+		if err := measureParsing(parsed, garbage, routed, s.Seed, servers); err != nil {
 			refused = fmt.Sprintf("%d servers: %v", size, err)
 		}
 		progress(i+1, len(s.Sizes))
@@ -78,8 +78,8 @@
 	return []Series{*fullListTime, *change, *objects, *memory, *parsed, *garbage, *routed}, []Check{check}, nil
 }
 
-// addParsed measures a list from its text on.
-func addParsed(parsed, garbage, routed *Series, seed uint64, servers []server) error {
+// measureParsing measures a list from its text on.
+func measureParsing(parsed, garbage, routed *Series, seed uint64, servers []server) error {
 	text, err := listText(servers)
 	if err != nil {
 		return err
@@ -109,7 +109,7 @@
 		LatencyThreshold:     messageTarget,
 		ServersReportLatency: true,
 		Configure: func(b *decide.Balancer) (map[string]decide.ServiceID, map[string]decide.CustomerID) {
-			configureSimulatedBalancer(b, simulatedSettings{peers: peers})
+			configureSimulatedBalancer(b, simulatedSettings{peers: defaultPeers})
 			return map[string]decide.ServiceID{}, map[string]decide.CustomerID{}
 		},
 	})
--- a/internal/testbed/scale/sweep_placement.go
+++ b/internal/testbed/scale/sweep_placement.go
@@ -16,11 +16,11 @@
 const (
 	placementBatches    = 5
 	placementFlows      = 200 // in a batch: the same at all sizes, as costs that arise once are spread over them
-	placementLooks      = 20  // flows whose considered servers are counted
-	betweenPlacements   = time.Millisecond
+	evaluationSamples      = 20  // flows whose considered servers are counted
+	placementInterval   = time.Millisecond
 	roleControl         = "balancer control"
 	unitMicroseconds    = "µs"
-	unitLooks           = "looks"
+	unitEvaluations           = "looks"
 	unitAllocations     = "allocations"
 	quantityOfPlacement = "of one flow placed and ended"
 )
@@ -37,7 +37,7 @@
 		quantity: "allocations " + quantityOfPlacement,
 	})
 	looked := newSeries(seriesKind{
-		name: "servers-looked-at", unit: unitLooks, origin: Measured, counted: true,
+		name: "servers-looked-at", unit: unitEvaluations, origin: Measured, counted: true,
 		quantity: "servers evaluated for one flow, with another decider present",
 	})
 	rejected := 0
@@ -45,17 +45,17 @@
 		if err := ctx.Err(); err != nil {
 			return nil, nil, err
 		}
-		one := s.at(size)
+		one := s.withSize(size)
 		h := newSettledBalancer(one)
 		visit := newPlacementWork(h, s.Seed, one.Groups)
 		c := measure(placementBatches, placementFlows, visit)
 		processor.addPoint(size, microseconds(c.processor))
 		objects.addPoint(size, c.allocations)
-		looked.addPoint(size, float64(h.countLooks(func() {
-			for range placementLooks {
+		looked.addPoint(size, float64(h.countEvaluations(func() {
+			for range evaluationSamples {
 				visit()
 			}
-		}))/placementLooks)
+		}))/evaluationSamples)
 		rejected += h.rejected
 		progress(i+1, len(s.Sizes))
 	}
@@ -68,7 +68,7 @@
 	next := firstFreeFlow
 	return func() {
 		next++
-		h.now += betweenPlacements
+		h.now += placementInterval
 		id := flowName(next)
 		if _, established := h.placeFlow(id, groupName(chance.IntN(groups))); established {
 			h.endFlow(id)
--- a/internal/testbed/scale/sweep_rechecks.go
+++ b/internal/testbed/scale/sweep_rechecks.go
@@ -36,7 +36,7 @@
 		quantity: "allocations of one tick while idle",
 	})
 	looked := newSeries(seriesKind{
-		name: "servers-looked-at", unit: unitLooks, origin: Measured, counted: true,
+		name: "servers-looked-at", unit: unitEvaluations, origin: Measured, counted: true,
 		quantity: "servers evaluated in one idle tick, with another decider present",
 	})
 	uneven := newSeries(seriesKind{
@@ -45,7 +45,7 @@
 	})
 	moved := 0
 	for i, size := range s.Sizes {
-		one := s.at(size)
+		one := s.withSize(size)
 		h := newSettledBalancer(one)
 		processor, made, err := tickCost(ctx, h)
 		if err != nil {
@@ -53,7 +53,7 @@
 		}
 		share.addPoint(size, processor.Seconds()/tickInterval.Seconds())
 		objects.addPoint(size, made)
-		looked.addPoint(size, float64(h.countLooks(h.tick)))
+		looked.addPoint(size, float64(h.countEvaluations(h.tick)))
 		moved += len(h.migrated)
 		if processor, _, err = tickCost(ctx, newUnevenBalancer(one)); err != nil {
 			return nil, nil, err
@@ -67,8 +67,8 @@
 
 // newSettledBalancer is a balancer with settled connections.
 func newSettledBalancer(s Settings) *simulatedBalancer {
-	h := newSimulatedBalancer(s.Seed, simulatedSettings{peers: peers})
-	h.list(decide.DeltaUpdate, warmServers(s.Servers, s.Zones))
+	h := newSimulatedBalancer(s.Seed, simulatedSettings{peers: defaultPeers})
+	h.updateList(decide.DeltaUpdate, warmServers(s.Servers, s.Zones))
 	h.adoptConnections(s.Connections, s.Servers, s.Groups)
 	h.settle()
 	return h
@@ -76,9 +76,9 @@
 
 // newUnevenBalancer is a balancer with connections on random servers.
 func newUnevenBalancer(s Settings) *simulatedBalancer {
-	h := newSimulatedBalancer(s.Seed, simulatedSettings{peers: peers})
+	h := newSimulatedBalancer(s.Seed, simulatedSettings{peers: defaultPeers})
 	h.migratedReturn = true
-	h.list(decide.DeltaUpdate, warmServers(s.Servers, s.Zones))
+	h.updateList(decide.DeltaUpdate, warmServers(s.Servers, s.Zones))
 	chance := rand.New(rand.NewPCG(s.Seed, uint64(s.Servers)))
 	for i := range s.Connections {
 		at := decide.ServerID(1 + chance.IntN(s.Servers))
--- a/internal/testbed/scale/sweep_topic.go
+++ b/internal/testbed/scale/sweep_topic.go
@@ -37,7 +37,7 @@
 	})
 	rejected := 0
 	for i, size := range s.Sizes {
-		one := s.at(size)
+		one := s.withSize(size)
 		all, listeners := make([]int, one.Servers), make([]int, one.Servers)
 		for b := range one.Balancers {
 			if err := ctx.Err(); err != nil {
@@ -56,15 +56,15 @@
 // simulateTopic places the topic's listeners at one balancer.
 func simulateTopic(s Settings, balancer int, all, listeners []int) (rejected int) {
 	chance := rand.New(rand.NewPCG(s.Seed, uint64(balancer)))
-	h := newSimulatedBalancer(chance.Uint64(), simulatedSettings{peers: peers, zone: balancer % s.Zones})
-	h.list(decide.FullUpdate, warmServers(s.Servers, s.Zones))
+	h := newSimulatedBalancer(chance.Uint64(), simulatedSettings{peers: defaultPeers, zone: balancer % s.Zones})
+	h.updateList(decide.FullUpdate, warmServers(s.Servers, s.Zones))
 	h.adoptConnections(s.Connections, s.Servers, s.Groups)
 	h.settle()
 	for i := range s.Connections {
 		all[i%s.Servers]++
 	}
 	for i := range listenersEach {
-		h.now += betweenPlacements
+		h.now += placementInterval
 		if at, established := h.placeFlow(flowName(firstFreeFlow+i), topicGroup); established {
 			all[at-1]++
 			listeners[at-1]++
--- a/internal/testbed/scale/sweep_zone.go
+++ b/internal/testbed/scale/sweep_zone.go
@@ -50,7 +50,7 @@
 	set := newLostZoneSeries(s)
 	var checks []Check
 	for i, size := range s.Sizes {
-		f, broken, err := simulateZoneLoss(ctx, s.at(size))
+		f, broken, err := simulateZoneLoss(ctx, s.withSize(size))
 		if err != nil {
 			return nil, nil, err
 		}
@@ -79,7 +79,7 @@
 
 // simulateZoneLoss runs the loss of a zone.
 func simulateZoneLoss(ctx context.Context, s Settings) (f *fleet, broken []string, err error) {
-	f = newFleet(s, peers, s.Seed)
+	f = newFleet(s, defaultPeers, s.Seed)
 	f.fillEvenly()
 	f.scheduleLoss(isInLostZone)
 	f.run(lostZoneLength, func() bool { return ctx.Err() != nil })
