--- a/internal/testbed/scale/control_members.go
+++ b/internal/testbed/scale/control_members.go
@@ -17,22 +17,22 @@
 	unitCorePart    = "part of a core"
 	unitPart        = "part"
 
-	fewReports        = 4 // in a record of a small fleet with few servers
+	fewReports        = 4 // in a record, in a small fleet with few servers
 	latencyObjective  = 80 * time.Millisecond
 	setupObjective    = 300 * time.Millisecond
 	leaseDuration     = 6 * time.Second
 	measurementRounds = 3
 
-	membersPerMemoryMeasurement = 1000 // members over all engines that one memory measurement covers
+	membersPerMemoryMeasurement = 1000 // in total over the engines of a measurement, so that small engines are averaged
 )
 
-// recordBytesOf is the size in bytes of an encoded record with so many reports.
+// recordBytesOf returns the size in bytes of an encoded record with the given number of reports.
 func recordBytesOf(reports int) (int, error) {
 	text, err := signals.Encode(sampleRecord(1, 1000, reports))
 	return len(text), err
 }
 
-// membersSweep measures what one member sends, receives, computes and stores, against the number of members.
+// membersSweep measures what one member sends, receives, computes and stores, as a function of the number of members.
 func membersSweep(ctx context.Context, s Settings, progress Progress) ([]Series, []Check, error) {
 	measurements := newControlMeasurements(s, roleMembership)
 	return measurements.forEachSize(progress, func(size int) error {
@@ -46,7 +46,7 @@
 	})
 }
 
-// measureGossip runs the model with records of few reports and of signals.MaxReports.
+// measureGossip runs the gossip model with records of fewReports and of signals.MaxReports.
 func (m *controlMeasurements) measureGossip(ctx context.Context, size int) error {
 	for _, reports := range []int{fewReports, signals.MaxReports} {
 		recordBytes, err := recordBytesOf(reports)
@@ -68,14 +68,15 @@
 	return nil
 }
 
+// gossipPoints adds the points of one run of the model.
 func (m *controlMeasurements) gossipPoints(size, reports, recordBytes int, r gossipResult) {
-	kind := fmt.Sprintf("-at-%d-sights", reports)
-	what := fmt.Sprintf(", records of %d observations (%d bytes)", reports, recordBytes)
+	suffix := fmt.Sprintf("-at-%d-sights", reports)
+	description := fmt.Sprintf(", records of %d observations (%d bytes)", reports, recordBytes)
 	point := func(name, quantity, unit string, value float64) {
-		m.add(seriesKind{name: name + kind, quantity: quantity + what, unit: unit, origin: Simulated, counted: true}, size, value)
+		m.add(seriesKind{name: name + suffix, quantity: quantity + description, unit: unit, origin: Simulated, counted: true}, size, value)
 	}
-	records := fullStateBytes(size, recordBytes)
-	exchange := exchangeBytesPerSecond(size, records)
+	stateBytes := fullStateBytes(size, recordBytes)
+	exchange := exchangeBytesPerSecond(size, stateBytes)
 	point("bytes-out", "sent by a member: gossip, pings and exchanges", unitBytesSecond, r.totalBytes()+exchange)
 	point("gossip-bytes-out", "sent by a member as gossip", unitBytesSecond, r.recordBytes)
 	point("probe-bytes-out", "sent by a member as pings and acks, with piggybacked messages", unitBytesSecond, r.probeBytes)
@@ -87,23 +88,24 @@
 	point("waiting", "messages that wait in a member's queue after 25 s", "messages", r.queued)
 }
 
-// fullStateBytes is the size in bytes of all records that a member sends in an exchange.
+// fullStateBytes returns the size in bytes of all records that a member sends in an exchange.
 func fullStateBytes(size, recordBytes int) int {
-	const mostPassed = 101 // by fleet/signals: others' records and the member's own
+	const maxRecords = 101 // as fleet/signals limits them: 100 of other members and its own
 	const listHeader = 3
-	return min(size, mostPassed) * (recordBytes + listHeader)
+	return min(size, maxRecords) * (recordBytes + listHeader)
 }
 
-// exchangeBytesPerSecond is what a member sends in exchanges: in each interval it starts one and answers one.
-func exchangeBytesPerSecond(size, records int) float64 {
+// exchangeBytesPerSecond returns what a member sends in exchanges: on average it starts one and answers one in each
+// interval.
+func exchangeBytesPerSecond(size, stateBytes int) float64 {
 	if size < 2 {
 		return 0
 	}
-	message := len(exchangeMessage(size)) + records
+	message := len(exchangeMessage(size)) + stateBytes
 	return 2 * float64(streamBytes(message)) / exchangeInterval(size).Seconds()
 }
 
-// measureEngine measures a real engine that knows so many members.
+// measureEngine measures a real engine that knows the given number of members.
 func (m *controlMeasurements) measureEngine(size int) error {
 	message := exchangeMessage(size)
 	before := liveMemory()
@@ -120,7 +122,7 @@
 		return err
 	}
 	defer engine.close()
-	held := (liveMemory() - before) / int64(copies)
+	memory := (liveMemory() - before) / int64(copies)
 	answer, err := engine.exchange(message)
 	if err != nil {
 		return err
@@ -131,7 +133,7 @@
 	m.add(seriesKind{
 		name: "engine-memory", unit: unitBytes, origin: Measured,
 		quantity: "held by the engine once it has joined, with the messages to be passed on",
-	}, size, float64(held))
+	}, size, float64(memory))
 	m.add(seriesKind{
 		name: "exchange-bytes", unit: unitBytes, origin: Measured, counted: true,
 		quantity: "of one exchange, one way, without records",
@@ -147,13 +149,13 @@
 	return nil
 }
 
-// measureViews measures passing the list of members from the engine to its balancer.
+// measureViews measures passing the list of members from the engine to its balancer and on to the decisions.
 func (m *controlMeasurements) measureViews(size int) error {
 	view := newMemberView(size)
 	frame := view.frame()
 	perSecond := 1 / membersFrameInterval.Seconds()
-	written := measure(measurementRounds, 1, func() { view.frame() })
-	read := measure(measurementRounds, 1, func() { readFrame(frame) })
+	encoding := measure(measurementRounds, 1, func() { view.frame() })
+	decoding := measure(measurementRounds, 1, func() { readFrame(frame) })
 	m.add(seriesKind{
 		name: "frame-bytes", unit: unitBytesSecond, origin: Measured, counted: true,
 		quantity: "list of members written from the engine to its balancer, through a pipe",
@@ -161,7 +163,7 @@
 	m.add(seriesKind{
 		name: "frame-processor", unit: unitCorePart, origin: Measured,
 		quantity: "processor time for the list of members between the engine and its balancer",
-	}, size, perSecond*(written.processor+read.processor).Seconds())
+	}, size, perSecond*(encoding.processor+decoding.processor).Seconds())
 	decider := signals.New(signals.Config{
 		Origin:           signals.Origin(memberName(0)),
 		Incarnation:      1,
@@ -171,15 +173,15 @@
 	})
 	leases := lease.New(lease.Holder(memberName(0)), leaseDuration)
 	list := view.sorted()
-	handed := measure(measurementRounds, 1, func() { applyMembership(list, decider, leases) })
+	applying := measure(measurementRounds, 1, func() { applyMembership(list, decider, leases) })
 	m.add(seriesKind{
 		name: "view-processor", unit: unitCorePart, origin: Measured,
 		quantity: "processor time for passing the live members to the deciders",
-	}, size, handed.processor.Seconds()/publishCheckInterval.Seconds())
+	}, size, applying.processor.Seconds()/publishCheckInterval.Seconds())
 	return m.measureRecords(size)
 }
 
-// measureRecords measures the records received at this size.
+// measureRecords measures decoding the records that a member receives in a fleet of this size.
 func (m *controlMeasurements) measureRecords(size int) error {
 	text, err := signals.Encode(sampleRecord(1, 1000, signals.MaxReports))
 	if err != nil {
--- a/internal/testbed/scale/control_membership_view.go
+++ b/internal/testbed/scale/control_membership_view.go
@@ -15,7 +15,7 @@
 	"yardwinch/internal/membership"
 )
 
-// memberView is an engine's view of so many members.
+// memberView is a gossip engine's view of the members.
 type memberView struct {
 	members map[membership.Name]membership.Member
 }
@@ -35,7 +35,7 @@
 	return v
 }
 
-// sorted returns all members by name, in the engine's order.
+// sorted returns the members sorted by name, as the engine lists them.
 func (v memberView) sorted() []membership.Member {
 	return slices.SortedFunc(maps.Values(v.members), func(a, b membership.Member) int {
 		return strings.Compare(string(a.Name), string(b.Name))
--- a/internal/testbed/scale/control_push.go
+++ b/internal/testbed/scale/control_push.go
@@ -13,11 +13,11 @@
 	controlBandwidth      = 125e6 // bytes per second sent by one machine
 	controlDelay          = 75 * time.Millisecond
 	nearBalancerDelay     = time.Millisecond
-	farBalancerDelay      = 75 * time.Millisecond // to a balancer that another control machine served
-	lossDetection         = 2800 * time.Millisecond
-	reconnectSpread       = 800 * time.Millisecond // of internal/protocol, after a machine went silent
-	fullListTimePerServer = 5 * time.Microsecond   // processor time of applying a full list
-	changeTimePerServer   = 100 * time.Nanosecond  // processor time of applying one object of changes, per server of the list
+	farBalancerDelay      = 75 * time.Millisecond   // to a balancer taken over from another control machine
+	lossDetection         = 2800 * time.Millisecond // until a balancer notices the loss of its control machine
+	reconnectSpread       = 800 * time.Millisecond  // over which internal/protocol spreads reconnects after a loss
+	fullListTimePerServer = 5 * time.Microsecond    // processor time of applying a full list
+	changeTimePerServer   = 100 * time.Nanosecond   // processor time of applying one object with changes, per server of the list
 	startsPerDay          = 2300
 	requiredChangesPerDay = 17_000
 	requiredLatency       = 16 * time.Second
@@ -28,12 +28,12 @@
 type pushPlan struct {
 	servers    int
 	balancers  int  // served by this machine
-	takenOver  int  // balancers of another machine that is lost at the start
+	takenOver  int  // balancers of another machine, which is lost at the start
 	resumes    bool // reconnecting balancers send their revision and receive only later changes
 	fullLists  bool
 	rate       float64 // changes per second
 	duration   time.Duration
-	missed     int // changes that are pending at the start
+	missed     int // changes that all balancers lack at the start
 	missedMode catchUpMode
 	seed       uint64
 }
@@ -49,12 +49,12 @@
 
 // pushResult is the outcome of a simulated plan.
 type pushResult struct {
-	changeLatencies []time.Duration // from each change until it is in force, for each balancer, sorted
-	startLatencies  []time.Duration // until a balancer without state has its list, sorted
+	changeLatencies []time.Duration // from each change until it is in force at each balancer, sorted
+	startLatencies  []time.Duration // until a balancer that starts without state has its list, sorted
 	bytes           float64         // sent by the machine
 	utilization     float64         // share of the time spent sending
-	duration        time.Duration   // until nothing was left to send
-	recovery        time.Duration   // until all balancers have the missed changes, or all taken over are served
+	duration        time.Duration   // until all was sent, at least the plan's
+	recovery        time.Duration   // until all balancers have the missed changes and all taken-over balancers are up to date
 }
 
 func (r pushResult) quantile(q float64) time.Duration {
@@ -66,12 +66,12 @@
 
 // pushBalancer is the control machine's view of a balancer.
 type pushBalancer struct {
-	received        int           // changes sent to it
+	received        int           // number of changes sent to it
 	connectsAt      time.Duration // when it connects to this machine
-	awaitsListSince time.Duration // when it started to need a full list
+	awaitsListSince time.Duration // from when it needs a full list
 	needsFullList   bool
-	far             bool
-	recovering      bool // taken over and not served yet
+	far             bool // taken over, so farBalancerDelay applies
+	recovering      bool // taken over and not up to date yet
 }
 
 type pushModel struct {
@@ -81,8 +81,8 @@
 	startTimes  []time.Duration // when balancers without state start
 	balancers   []pushBalancer
 	now         time.Duration
-	arrived     int
-	started     int
+	arrived     int // number of changes that reached the machine
+	started     int // number of balancers in startTimes that have started
 	random      *rand.Rand
 	result      pushResult
 }
@@ -105,9 +105,9 @@
 	return model
 }
 
-const requiredBalancers = 8100
+const requiredBalancers = 8100 // of the fleet that startsPerDay refers to
 
-// arrivals draws the times of a Poisson process; the rate is per second.
+// arrivals draws the arrival times of a Poisson process over the plan's duration; the rate is per second.
 func (m *pushModel) arrivals(rate float64) (at []time.Duration) {
 	if rate <= 0 {
 		return nil
@@ -124,7 +124,7 @@
 // simulatePush runs a plan: the machine visits its balancers in turn and sends each what it lacks.
 func simulatePush(ctx context.Context, plan pushPlan) (pushResult, error) {
 	m := newPushModel(plan)
-	sent := time.Duration(0)
+	sending := time.Duration(0)
 	for idle := 0; ; {
 		if err := ctx.Err(); err != nil {
 			return pushResult{}, err
@@ -137,20 +137,20 @@
 				idle++
 			}
 			m.now += took
-			sent += took
+			sending += took
 		}
 		if idle == len(m.balancers) && !m.advanceToNext() {
 			break
 		}
 	}
 	m.result.duration = max(m.now, plan.duration)
-	m.result.utilization = sent.Seconds() / m.result.duration.Seconds()
+	m.result.utilization = sending.Seconds() / m.result.duration.Seconds()
 	slices.Sort(m.result.changeLatencies)
 	slices.Sort(m.result.startLatencies)
 	return m.result, nil
 }
 
-// applyArrivals takes in the changes and the started balancers up to now.
+// applyArrivals counts the changes that arrived up to now, and marks the balancers that started as without a list.
 func (m *pushModel) applyArrivals() {
 	for m.arrived < len(m.changeTimes) && (m.arrived < m.plan.missed || m.changeTimes[m.arrived]+controlDelay <= m.now) {
 		m.arrived++
@@ -165,59 +165,59 @@
 	}
 }
 
-// advanceToNext moves on to the next arrival; it reports false if there is none.
+// advanceToNext advances the time to the next arrival; it reports false if there is none.
 func (m *pushModel) advanceToNext() bool {
 	next := time.Duration(-1)
-	sooner := func(at time.Duration) {
+	consider := func(at time.Duration) {
 		if at > m.now && (next < 0 || at < next) {
 			next = at
 		}
 	}
 	if m.arrived < len(m.changeTimes) {
-		sooner(m.changeTimes[m.arrived] + controlDelay)
+		consider(m.changeTimes[m.arrived] + controlDelay)
 	}
 	if m.started < len(m.startTimes) {
-		sooner(m.startTimes[m.started])
+		consider(m.startTimes[m.started])
 	}
 	for _, b := range m.balancers {
-		sooner(b.connectsAt)
+		consider(b.connectsAt)
 	}
 	m.now = max(m.now, next)
 	return next >= 0
 }
 
-// serve sends a balancer what it lacks and returns how long the machine was busy.
+// serve sends a balancer what it lacks and returns how long the machine was busy; 0 if there was nothing to send.
 func (m *pushModel) serve(b *pushBalancer) time.Duration {
 	if b.connectsAt > m.now || !b.needsFullList && !b.recovering && b.received >= m.arrived {
 		return 0
 	}
-	bytes, taking := m.nextMessage(b)
+	bytes, applyTime := m.nextMessage(b)
 	took := time.Duration(float64(bytes) / controlBandwidth * float64(time.Second))
 	m.result.bytes += float64(bytes)
 	delay := nearBalancerDelay
 	if b.far {
 		delay = farBalancerDelay
 	}
-	inForce := m.now + took + delay + taking
+	inForce := m.now + took + delay + applyTime
 	m.recordDelivery(b, inForce)
 	return max(took, 1)
 }
 
 // nextMessage returns the size of the message for a balancer and the processor time of applying it.
-func (m *pushModel) nextMessage(b *pushBalancer) (bytes int, taking time.Duration) {
-	lacks := m.arrived - b.received
-	perList := time.Duration(m.plan.servers)
-	missed := b.received < m.plan.missed
+func (m *pushModel) nextMessage(b *pushBalancer) (bytes int, applyTime time.Duration) {
+	missing := m.arrived - b.received
+	servers := time.Duration(m.plan.servers)
+	catchingUp := b.received < m.plan.missed
 	switch {
-	case b.needsFullList || m.plan.fullLists || missed && m.plan.missedMode == catchUpFullList:
-		return m.sizes.full, perList * fullListTimePerServer
-	case missed && m.plan.missedMode == catchUpOneByOne:
-		return lacks * m.sizes.changes(1), time.Duration(lacks) * perList * changeTimePerServer
+	case b.needsFullList || m.plan.fullLists || catchingUp && m.plan.missedMode == catchUpFullList:
+		return m.sizes.full, servers * fullListTimePerServer
+	case catchingUp && m.plan.missedMode == catchUpOneByOne:
+		return missing * m.sizes.changes(1), time.Duration(missing) * servers * changeTimePerServer
 	}
-	return m.sizes.changes(lacks), perList*changeTimePerServer + time.Duration(lacks)*fullListTimePerServer
+	return m.sizes.changes(missing), servers*changeTimePerServer + time.Duration(missing)*fullListTimePerServer
 }
 
-// recordDelivery notes that a balancer is up to date from an instant on.
+// recordDelivery records that a balancer is up to date from inForce on.
 func (m *pushModel) recordDelivery(b *pushBalancer, inForce time.Duration) {
 	if b.received < m.plan.missed || b.recovering {
 		m.result.recovery = max(m.result.recovery, inForce)
--- a/internal/testbed/scale/control_queue.go
+++ b/internal/testbed/scale/control_queue.go
@@ -5,11 +5,11 @@
 // broadcastID numbers the model's messages in the order of their publication.
 type broadcastID int32
 
-// broadcastQueue is a member's queue of messages to pass on, in the order of memberlist's TransmitLimitedQueue for
-// messages of one size: least transmitted first, then latest first.
+// broadcastQueue is a member's queue of messages to pass on. For messages of one size its order is that of memberlist's
+// TransmitLimitedQueue: least transmitted first, then latest first.
 type broadcastQueue struct {
 	limit        int                 // transmissions of each message
-	tiers        [][]queuedBroadcast // by transmissions so far; each sorted by sequence
+	tiers        [][]queuedBroadcast // by number of transmissions so far; each sorted by sequence
 	length       int
 	lastSequence int32 // restarts at 0 when the queue empties, as memberlist's does
 }
@@ -29,8 +29,8 @@
 	q.insert(0, queuedBroadcast{id, q.lastSequence})
 }
 
-// take fills a packet with messages of at most free bytes. overhead is added to the size of each message; messages
-// that are no longer current are dropped.
+// take appends messages of at most free bytes to a packet, and returns the packet and the bytes left. overhead is added
+// to the size of each message. Messages that are not current are dropped from the queue.
 func (q *broadcastQueue) take(into []broadcastID, free, overhead int, size func(broadcastID) int,
 	current func(broadcastID) bool) ([]broadcastID, int) {
 	var sent []queuedBroadcast
@@ -38,18 +38,18 @@
 	for t := range q.tiers {
 		for len(q.tiers[t]) > 0 {
 			last := len(q.tiers[t]) - 1
-			waiting := q.tiers[t][last]
-			if !current(waiting.id) {
+			queued := q.tiers[t][last]
+			if !current(queued.id) {
 				q.removeLast(t)
 				continue
 			}
-			if size(waiting.id)+overhead > free {
+			if size(queued.id)+overhead > free {
 				break
 			}
 			q.removeLast(t)
-			free -= size(waiting.id) + overhead
-			into = append(into, waiting.id)
-			sent = append(sent, waiting)
+			free -= size(queued.id) + overhead
+			into = append(into, queued.id)
+			sent = append(sent, queued)
 			taken[t]++
 		}
 	}
@@ -57,27 +57,28 @@
 	return into, free
 }
 
-// requeue moves transmitted messages to the next tiers, after the packet is full.
+// requeue moves the messages of a packet to the next tiers. It runs once the packet is complete, so that no message is
+// in it twice.
 func (q *broadcastQueue) requeue(sent []queuedBroadcast, taken []int) {
 	for t, count := range taken {
 		if t+1 < q.limit {
-			for _, waiting := range sent[:count] {
-				q.insert(t+1, waiting)
+			for _, queued := range sent[:count] {
+				q.insert(t+1, queued)
 			}
 		}
 		sent = sent[count:]
 	}
 }
 
-func (q *broadcastQueue) insert(tier int, waiting queuedBroadcast) {
+func (q *broadcastQueue) insert(tier int, queued queuedBroadcast) {
 	list := q.tiers[tier]
-	at, taken := slices.BinarySearchFunc(list, waiting, func(a, b queuedBroadcast) int { return int(a.sequence - b.sequence) })
+	at, taken := slices.BinarySearchFunc(list, queued, func(a, b queuedBroadcast) int { return int(a.sequence - b.sequence) })
 	if taken {
-		list[at] = waiting
+		list[at] = queued
 		return
 	}
 	q.length++
-	q.tiers[tier] = slices.Insert(list, at, waiting)
+	q.tiers[tier] = slices.Insert(list, at, queued)
 }
 
 func (q *broadcastQueue) removeLast(tier int) {
--- a/internal/testbed/scale/control_real.go
+++ b/internal/testbed/scale/control_real.go
@@ -22,15 +22,15 @@
 const (
 	maxRealMembers        = 200
 	realRecordReports     = 4
-	discoveryTimeout      = 3 * time.Minute // long, as engines on a busy machine suspect each other meanwhile
+	discoveryTimeout      = 3 * time.Minute // long, as engines on a busy machine suspect each other while they join
 	startInterval         = 25 * time.Millisecond
-	settlingTime          = 15 * time.Second // in which members pass on what they received while joining
+	settlingTime          = 15 * time.Second // in which members finish passing on what they received while joining
 	discoveryPollInterval = 100 * time.Millisecond
 	publishPollInterval   = 10 * time.Millisecond
-	modelTolerance        = 0.2 // share of the real engines' figure
+	modelTolerance        = 0.2 // relative to the figure of the real engines
 	realFleetLabel        = fleetLabel
 
-	// What internal/membership/engine logs when it sees a member in another state.
+	// The message and the key that internal/membership/engine logs when the state of a member changes.
 	memberStateMessage = "member state changed"
 	memberStateKey     = "state"
 )
@@ -56,7 +56,8 @@
 	}
 }
 
-// stateCounter is a log handler that counts how often an engine declares a member to be in a state, and drops everything else.
+// stateCounter is a log handler that counts how often an engine declares a member to be in a state. It discards all
+// records.
 type stateCounter struct {
 	slog.Handler
 	state membership.State
@@ -74,7 +75,7 @@
 	return nil
 }
 
-// sentTotals are the totals sent so far, and the processor time used.
+// sentTotals are the totals since the start: messages and bytes sent, departures declared, and processor time used.
 type sentTotals struct {
 	datagrams, datagramBytes, streamBytes, departures float64
 	processor                                         time.Duration
@@ -90,7 +91,7 @@
 	}
 }
 
-// realMember is a real engine whose stub of a balancer passes records on.
+// realMember is a real engine with a stub of its balancer, which passes records on.
 type realMember struct {
 	number    int
 	group     *engine.Group
@@ -102,7 +103,7 @@
 
 const recordHeaderBytes = 12 // origin and sequence
 
-// OnMessage passes on a record that is newer than the latest of its origin.
+// OnMessage passes on a record if it is newer than the latest known one of its origin.
 func (m *realMember) OnMessage(message []byte) {
 	if len(message) < recordHeaderBytes {
 		return
@@ -128,7 +129,7 @@
 // OnSuspended ignores a pause of the process.
 func (m *realMember) OnSuspended(time.Duration) {}
 
-// realFleet is a fleet of real engines in this process.
+// realFleet is a set of real engines in this process that form one fleet.
 type realFleet struct {
 	members []*realMember
 	cancel  context.CancelFunc
@@ -163,10 +164,10 @@
 	return fleet, nil
 }
 
-// realAddr gives each member a loopback address.
+// realAddr returns the loopback address of a member.
 func realAddr(i int, port uint16) netip.AddrPort {
-	const network, perLine = 84, 250
-	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, network, byte(i / perLine), byte(i%perLine) + 1}), port)
+	const network, perSubnet = 84, 250
+	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, network, byte(i / perSubnet), byte(i%perSubnet) + 1}), port)
 }
 
 // freePort returns a port that is free at the first member's address.
@@ -184,7 +185,7 @@
 	f.running.Wait()
 }
 
-// awaitDiscovery waits until each member knows all members.
+// awaitDiscovery waits until every member sees all members alive.
 func (f *realFleet) awaitDiscovery(ctx context.Context) error {
 	all := len(f.members) * len(f.members)
 	for until := time.Now().Add(discoveryTimeout); ; {
@@ -199,8 +200,8 @@
 			percent := 100 * float64(seen) / float64(all)
 			return &Error{
 				Where:  "members-real",
-				What:   fmt.Sprintf("%d engines see %.1f %% of each other after %v", len(f.members), percent, discoveryTimeout),
-				Remedy: "run it when the machine is less busy, or ask for fewer",
+				What:   fmt.Sprintf("%d engines knew only %.1f %% of each other after %v", len(f.members), percent, discoveryTimeout),
+				Remedy: "run it when the machine is less busy, or use fewer members",
 			}
 		}
 		if err := pause(ctx, discoveryPollInterval); err != nil {
@@ -223,11 +224,11 @@
 
 // publishRecords makes each member publish a record at the interval of a fleet of this size, until ctx ends.
 func (f *realFleet) publishRecords(ctx context.Context, recordBytes int, seed uint64) {
-	chance := simulation.RandomSource(seed, "real members", len(f.members))
+	random := simulation.RandomSource(seed, "real members", len(f.members))
 	interval := recordIntervalOf(len(f.members))
 	var next []time.Time
 	for range f.members {
-		next = append(next, time.Now().Add(time.Duration(chance.Float64()*float64(interval))))
+		next = append(next, time.Now().Add(time.Duration(random.Float64()*float64(interval))))
 	}
 	for sequence := uint64(1); pause(ctx, publishPollInterval) == nil; {
 		for i, m := range f.members {
@@ -244,17 +245,18 @@
 	}
 }
 
-// realSweep compares the model with real engines of this process, which send on loopback for the given length.
+// realSweep compares the model with real engines in this process, which send on loopback for the length of the
+// settings.
 func realSweep(ctx context.Context, s Settings, progress Progress) ([]Series, []Check, error) {
 	length, err := time.ParseDuration(s.Length)
 	if err != nil {
-		return nil, nil, &Error{Where: "length", What: "no time", Remedy: `give one such as "20s"`, Err: err}
+		return nil, nil, &Error{Where: "length", What: "not a duration", Remedy: `set a duration such as "20s"`, Err: err}
 	}
 	counter := installSentCounter()
-	defer func() { _, _ = metrics.NewGlobal(metrics.DefaultConfig(""), &metrics.BlackholeSink{}) }() // the default configuration is valid
-	was := slog.Default()
+	defer func() { _, _ = metrics.NewGlobal(metrics.DefaultConfig(""), &metrics.BlackholeSink{}) }() // can't fail: the default configuration is valid
+	previous := slog.Default()
 	slog.SetDefault(slog.New(&counter.departures)) // engines log each arrival and departure
-	defer slog.SetDefault(was)
+	defer slog.SetDefault(previous)
 	measurements := newControlMeasurements(s, roleMembership)
 	return measurements.forEachSize(progress, func(size int) error {
 		return measurements.measureReal(ctx, counter, size, length)
@@ -266,9 +268,10 @@
 	if s.Sizes[len(s.Sizes)-1] <= maxRealMembers {
 		return "", ""
 	}
-	return bySize, fmt.Sprintf("want %d real members at the most; the sweep members has no such bound", maxRealMembers)
+	return bySize, fmt.Sprintf("want at most %d real members; the sweep \"members\" has no such limit", maxRealMembers)
 }
 
+// installSentCounter installs a counter as the global metrics sink, to which memberlist reports.
 func installSentCounter() *sentCounter {
 	counter := &sentCounter{departures: stateCounter{Handler: slog.NewTextHandler(io.Discard, nil), state: membership.Gone}}
 	config := metrics.DefaultConfig("")
@@ -280,7 +283,7 @@
 	return counter
 }
 
-// measureReal measures one size with real engines and compares the model's figures.
+// measureReal measures real engines at one size and compares the figures with the model's.
 func (m *controlMeasurements) measureReal(ctx context.Context, counter *sentCounter, size int, length time.Duration) error {
 	recordBytes, err := recordBytesOf(realRecordReports)
 	if err != nil {
@@ -312,24 +315,24 @@
 	if err != nil {
 		return err
 	}
-	per := took.Seconds() * float64(size)
+	memberSeconds := took.Seconds() * float64(size)
 	datagrams := to.datagrams - from.datagrams
 	datagramBytes := to.datagramBytes - from.datagramBytes + datagrams*(datagramHeaders+labelHeader+float64(len(fleetLabel)))
 	m.compareWithModel("datagram-bytes-out", "sent by a member in datagrams, headers too", unitBytesSecond, size,
-		datagramBytes/per, model.totalBytes())
+		datagramBytes/memberSeconds, model.totalBytes())
 	m.compareWithModel("datagrams-out", "datagrams sent by a member", unitPerSecond, size,
-		datagrams/per, model.recordDatagrams+model.probeDatagrams)
+		datagrams/memberSeconds, model.recordDatagrams+model.probeDatagrams)
 	message := len(exchangeMessage(size)) + fullStateBytes(size, recordBytes)
 	m.compareWithModel("stream-bytes-out", "sent by a member in exchanges, without headers", unitBytesSecond, size,
-		(to.streamBytes-from.streamBytes)/per, 2*float64(message)/exchangeInterval(size).Seconds())
+		(to.streamBytes-from.streamBytes)/memberSeconds, 2*float64(message)/exchangeInterval(size).Seconds())
 	m.add(seriesKind{
 		name: "taken-as-gone", unit: unitPerSecond, origin: Measured,
 		quantity: "times that a real engine declares a live member dead: the machine was too busy to answer in time",
-	}, size, (to.departures-from.departures)/per)
+	}, size, (to.departures-from.departures)/memberSeconds)
 	m.add(seriesKind{
 		name: "engine-processor", unit: unitCorePart, origin: Measured,
 		quantity: "processor time of a real engine, this process shared by all",
-	}, size, (to.processor-from.processor).Seconds()/per)
+	}, size, (to.processor-from.processor).Seconds()/memberSeconds)
 	m.add(seriesKind{
 		name: "engine-memory", unit: unitBytes, origin: Measured,
 		quantity: "held by a real engine and the stand-in for its balancer",
@@ -337,8 +340,8 @@
 	return nil
 }
 
-// fullExchangeCycles rounds length up to full exchange intervals: members that started together exchange in the same
-// few seconds of each interval.
+// fullExchangeCycles rounds length up to whole exchange intervals: members that started together start their exchanges
+// within the same few seconds of each interval.
 func fullExchangeCycles(size int, length time.Duration) time.Duration {
 	interval := exchangeInterval(size)
 	return (length + interval - 1) / interval * interval
@@ -351,10 +354,10 @@
 		name: name + "-of-model", unit: unit, origin: Simulated, counted: true,
 		quantity: quantity + ", the model",
 	}, size, model)
-	off := model/measured - 1
+	deviation := model/measured - 1
 	m.checks = append(m.checks, Check{
 		Name:   fmt.Sprintf("%s at %d members: the model is within 20 %%", name, size),
-		Held:   off < modelTolerance && off > -modelTolerance,
-		Detail: fmt.Sprintf("real %.0f, model %.0f, %+.0f %%", measured, model, 100*off),
+		Held:   deviation < modelTolerance && deviation > -modelTolerance,
+		Detail: fmt.Sprintf("real %.0f, model %.0f, %+.0f %%", measured, model, 100*deviation),
 	})
 }
--- a/internal/testbed/scale/control_subscriber.go
+++ b/internal/testbed/scale/control_subscriber.go
@@ -16,11 +16,12 @@
 const (
 	applyTimeout      = 20 * time.Second
 	applyPollInterval = 200 * time.Microsecond
-	listHeartbeat     = 500 * time.Millisecond // a silent watch is reopened
+	listHeartbeat     = 500 * time.Millisecond // keeps the watch open: a silent one is reopened
 	headerTimeout     = 10 * time.Second
 )
 
-// listSubscriber runs a balancer's real handling of the server list and its decisions, with one watch on loopback.
+// listSubscriber runs a balancer's real handling of the endpoint list, and its decisions, with a watch on a discovery
+// stub on loopback.
 type listSubscriber struct {
 	discovery *protocol.Discovery
 	server    *http.Server
@@ -39,12 +40,12 @@
 	t.server = &http.Server{Handler: http.HandlerFunc(t.serveWatch), ReadHeaderTimeout: headerTimeout}
 	router := routing.New(routing.Config{Seed: seed, LatencyThreshold: latencyObjective, Configure: configureDecisions})
 	t.discovery = protocol.NewDiscovery(router, listener.Addr().String(), seed, false)
-	t.running.Go(func() { _ = t.server.Serve(listener) }) // it returns when close closes the server
+	t.running.Go(func() { _ = t.server.Serve(listener) }) // returns when close closes the server
 	t.running.Go(func() { t.discovery.Run(ctx) })
 	return t, nil
 }
 
-// configureDecisions sets the decisions up as a deployment does.
+// configureDecisions applies settings that are typical of a deployment.
 func configureDecisions(b *decide.Balancer) (map[string]decide.ServiceID, map[string]decide.CustomerID) {
 	const (
 		connectLimit     = 4
@@ -80,7 +81,7 @@
 	return map[string]decide.ServiceID{"chat": 0}, nil
 }
 
-// serveWatch writes updates, and an empty line as a heartbeat.
+// serveWatch answers a watch: it writes updates, and empty lines as heartbeats.
 func (t *listSubscriber) serveWatch(w http.ResponseWriter, r *http.Request) {
 	out := http.NewResponseController(w)
 	heartbeat := time.NewTicker(listHeartbeat)
@@ -99,7 +100,7 @@
 	}
 }
 
-// apply publishes objects and waits until the last one's revision is in force.
+// apply publishes objects and waits until the revision of the last one is in force.
 func (t *listSubscriber) apply(ctx context.Context, objects [][]byte, revision int) error {
 	ctx, cancel := context.WithTimeout(ctx, applyTimeout)
 	defer cancel()
@@ -122,11 +123,11 @@
 
 func (t *listSubscriber) applyTimeoutError(revision int) error {
 	return &Error{Where: "server list", What: fmt.Sprintf("revision %d was not in force within %v", revision, applyTimeout),
-		Remedy: "see the log for a list that was refused, or run it when the machine is less busy"}
+		Remedy: "check the log for a rejected list, or run it when the machine is less busy"}
 }
 
 func (t *listSubscriber) close() {
 	t.cancel()
-	_ = t.server.Close() // nobody reads any more
+	_ = t.server.Close() // the watch is no longer read
 	t.running.Wait()
 }
--- a/internal/testbed/scale/control_sweep_changes.go
+++ b/internal/testbed/scale/control_sweep_changes.go
@@ -12,7 +12,8 @@
 	minPushDuration     = 30 * time.Second
 )
 
-// changesSweep simulates how changes reach all balancers from the control machines, against their number in a day.
+// changesSweep simulates the propagation of changes from the control machines to all balancers, as a function of the
+// changes in a day or of the servers.
 func changesSweep(ctx context.Context, s Settings, progress Progress) ([]Series, []Check, error) {
 	measurements := newControlMeasurements(s, roleControlHosts)
 	if s.Against == byServers {
@@ -28,15 +29,16 @@
 	})
 }
 
-// checkBalancers rejects a fleet that leaves a control machine without balancers.
+// checkBalancers rejects a fleet with fewer balancers than control machines.
 func checkBalancers(s Settings) (key, fault string) {
 	if s.Balancers >= controlMachines {
 		return "", ""
 	}
-	return byBalancers, fmt.Sprintf("want %d at the least, one for each control machine", controlMachines)
+	return byBalancers, fmt.Sprintf("want at least %d, one for each control machine", controlMachines)
 }
 
-// pushPlanOf is the plan of one control machine for a number of changes in a day.
+// pushPlanOf returns the plan of one control machine, whose balancers are an equal share of the fleet. It is long enough
+// for maxSimulatedChanges, within the limits of the duration.
 func pushPlanOf(s Settings, changesPerDay int, fullLists bool) pushPlan {
 	rate := float64(changesPerDay) / secondsPerDay
 	length := time.Duration(maxSimulatedChanges / rate * float64(time.Second))
@@ -45,9 +47,9 @@
 }
 
 func (m *controlMeasurements) measureChanges(ctx context.Context, size int, fullLists bool) error {
-	kind, what := "changes", "only changes are sent"
+	kind, description := "changes", "only changes are sent"
 	if fullLists {
-		kind, what = "whole", "full lists are sent"
+		kind, description = "whole", "full lists are sent"
 	}
 	plan := pushPlanOf(m.settings.withSize(size), requiredChangesPerDay, fullLists)
 	if m.settings.Against == byChanges {
@@ -60,7 +62,7 @@
 	point := func(name, quantity, unit string, value float64) {
 		m.add(seriesKind{
 			name: kind + "-" + name, unit: unit, origin: Simulated, counted: true,
-			quantity: quantity + "; " + what,
+			quantity: quantity + "; " + description,
 		}, size, value)
 	}
 	seconds := result.duration.Seconds()
@@ -94,7 +96,8 @@
 	return nil
 }
 
-// measureHalfLost simulates a control machine that takes over the balancers of a lost one.
+// measureHalfLost simulates the loss of half of the control machines: each of the others takes over the balancers of a
+// lost one.
 func (m *controlMeasurements) measureHalfLost(ctx context.Context, plan pushPlan,
 	point func(name, quantity, unit string, value float64)) (pushResult, error) {
 	plan.takenOver = plan.balancers
--- a/internal/testbed/scale/control_test.go
+++ b/internal/testbed/scale/control_test.go
@@ -20,12 +20,12 @@
 	"yardwinch/internal/membership"
 )
 
-// checkGrowth fails the test if a quantity grows faster than with the given power of the size.
+// checkGrowth fails the test if a quantity grows faster than the size to the given exponent.
 func checkGrowth(t *testing.T, quantity string, from, to Point, exponent float64) {
 	t.Helper()
 	const tolerance = 0.08
 	if got := math.Log(to.Value/from.Value) / math.Log(to.Size/from.Size); got > exponent+tolerance {
-		t.Errorf("%s: grows with the power %.2f from %v to %v (%v to %v), want %.2f at the most",
+		t.Errorf("%s: grows with exponent %.2f from size %v to %v (%v to %v), want at most %.2f",
 			quantity, got, from.Size, to.Size, from.Value, to.Value, exponent)
 	}
 }
@@ -60,16 +60,16 @@
 	checkGrowth(t, "bytes of gossip and pings", Point{Size: 110, Value: few.totalBytes()}, Point{Size: 900, Value: many.totalBytes()}, 0)
 	checkGrowth(t, "datagrams", Point{Size: 110, Value: few.recordDatagrams + few.probeDatagrams},
 		Point{Size: 900, Value: many.recordDatagrams + many.probeDatagrams}, 0)
-	const spare = 1 // answers a second more than the two that a member is asked for on average
+	const spare = 1 // acks a second beyond the two that a member is asked for on average
 	const most = (gossipFanout/0.2 + 2/0.5 + spare) * (maxPacketBytes + datagramHeaders + checksumBytes)
 	if many.joinerBytes > most {
-		t.Errorf("one that joined sends %.0f bytes a second, and %.0f is what the settings allow", many.joinerBytes, float64(most))
+		t.Errorf("a joining member sends %.0f bytes/s, and the settings allow %.0f", many.joinerBytes, float64(most))
 	}
 	few, many = gossipAt(t, 110, fewReports), gossipAt(t, 900, fewReports)
 	const logarithmic = 0.2
 	checkGrowth(t, "records received", Point{Size: 110, Value: few.records}, Point{Size: 900, Value: many.records}, logarithmic)
 	if few.reachedShare < 0.99 || many.reachedShare < 0.99 {
-		t.Errorf("small records reach %.3f and %.3f of the others within 5 s", few.reachedShare, many.reachedShare)
+		t.Errorf("small records reach shares of %.3f and %.3f of the other members within 5 s", few.reachedShare, many.reachedShare)
 	}
 }
 
@@ -82,14 +82,14 @@
 	}
 }
 
-// queuedText is a message of memberlist's own queue.
+// queuedText is a message for memberlist's own queue.
 type queuedText string
 
 func (t queuedText) Invalidates(memberlist.Broadcast) bool { return false }
 func (t queuedText) Message() []byte                       { return []byte(t) }
 func (t queuedText) Finished()                             {}
 
-// For messages of one size the model's queue gives the same as memberlist's.
+// For messages of one size the model's queue returns the same messages as memberlist's.
 func TestBroadcastQueueMatchesMemberlist(t *testing.T) {
 	const (
 		members, multiplier = 200, 2
@@ -116,10 +116,10 @@
 			got = append(got, fmt.Sprintf("%04d", id))
 		}
 		if !slices.Equal(got, want) || free != capacity-len(ids)*(overhead+length) {
-			t.Fatalf("step %d, room for %d bytes: %v, memberlist %v; %d free", step, capacity, got, want, free)
+			t.Fatalf("step %d, packet of %d bytes: got %v, memberlist has %v; %d bytes free", step, capacity, got, want, free)
 		}
 		if model.length != engine.NumQueued() {
-			t.Fatalf("step %d: %d wait, at memberlist %d", step, model.length, engine.NumQueued())
+			t.Fatalf("step %d: %d messages queued, memberlist has %d", step, model.length, engine.NumQueued())
 		}
 	}
 }
@@ -129,11 +129,11 @@
 	q.add(4)
 	ids, free := q.take(nil, 20, 0, func(broadcastID) int { return 10 }, func(broadcastID) bool { return false })
 	if len(ids) > 0 || free != 20 || q.length != 0 {
-		t.Errorf("what is superseded is sent: %v, %d free, %d wait", ids, free, q.length)
+		t.Errorf("a superseded message was sent or kept: sent %v, %d bytes free, %d queued", ids, free, q.length)
 	}
 }
 
-// The model's sizes are those of the messages that the engine writes.
+// The model's exchange message is accepted by the engine and has the size of the engine's own.
 func TestExchangeMessageMatchesTheEngine(t *testing.T) {
 	const count = 40
 	message := exchangeMessage(count)
@@ -147,7 +147,7 @@
 		t.Fatal(err)
 	}
 	if known := engine.list.NumMembers(); known != count || len(answer) != len(message) {
-		t.Errorf("%d members are known, and the answer has %d bytes; want %d, and %d", known, len(answer), count, len(message))
+		t.Errorf("%d members known after an answer of %d bytes, want %d members and %d bytes", known, len(answer), count, len(message))
 	}
 }
 
@@ -157,11 +157,11 @@
 	frame := func(n int) float64 { return float64(len(newMemberView(n).frame())) }
 	checkGrowth(t, "bytes of a list of members", Point{Size: 200, Value: frame(200)}, Point{Size: 2000, Value: frame(2000)}, 1)
 	few, many := measureListSizes(200), measureListSizes(2000)
-	checkGrowth(t, "bytes of a whole list", Point{Size: 200, Value: float64(few.full)}, Point{Size: 2000, Value: float64(many.full)}, 1)
+	checkGrowth(t, "bytes of a full list", Point{Size: 200, Value: float64(few.full)}, Point{Size: 2000, Value: float64(many.full)}, 1)
 	checkGrowth(t, "bytes of a change", Point{Size: 200, Value: float64(few.changes(1))},
 		Point{Size: 2000, Value: float64(many.changes(1))}, 0)
 	if read := readFrame(newMemberView(30).frame()); read != 30 {
-		t.Errorf("%d members are read of a frame of 30", read)
+		t.Errorf("%d members decoded from a frame of 30", read)
 	}
 }
 
@@ -175,13 +175,13 @@
 	}
 	smallFullList, smallChange := allocations(200)
 	largeFullList, largeChange := allocations(2000)
-	checkGrowth(t, "allocations of a whole list", Point{Size: 200, Value: smallFullList}, Point{Size: 2000, Value: largeFullList}, 1)
+	checkGrowth(t, "allocations of a full list", Point{Size: 200, Value: smallFullList}, Point{Size: 2000, Value: largeFullList}, 1)
 	checkGrowth(t, "allocations of a change", Point{Size: 200, Value: smallChange}, Point{Size: 2000, Value: largeChange}, 0.05)
 }
 
 func TestOversizedListFailsItsCheck(t *testing.T) {
 	if testing.Short() {
-		t.Skip("waits until the list was not taken")
+		t.Skip("waits for the timeout of a rejected list")
 	}
 	measurements := newControlMeasurements(Settings{Sweep: "lists", Against: byServers, Rate: 0.2, Seed: 1}, roleList)
 	if err := measurements.measureList(t.Context(), 20_000); err != nil {
@@ -206,10 +206,10 @@
 		Point{Size: 200, Value: value(many, "hear-allocations")}, 0)
 	checkGrowth(t, "bytes of a record", Point{Size: 20, Value: value(few, "record-bytes")},
 		Point{Size: 200, Value: value(many, "record-bytes")}, 0)
-	checkGrowth(t, "sights walked", Point{Size: 20, Value: value(few, "sights-walked")},
+	checkGrowth(t, "observations visited", Point{Size: 20, Value: value(few, "sights-walked")},
 		Point{Size: 200, Value: value(many, "sights-walked")}, 1)
 	if value(few, "avoided") != 1 || value(many, "avoided") != 1 {
-		t.Error("servers that all see in trouble are not avoided")
+		t.Error("servers that all members observe as faulty are not avoided")
 	}
 }
 
@@ -219,7 +219,7 @@
 	measurements.countHolders(200, 200)
 	points := measurements.series["holders"].Points
 	if points[0].Value != 1 || points[1].Value > 4 {
-		t.Errorf("%v: want one holder at 50 members, four at the most at 200", points)
+		t.Errorf("%v: want one holder at 50 members, at most four at 200", points)
 	}
 }
 
@@ -236,30 +236,30 @@
 	const rate = 0.2
 	few, many := simulate(pushPlan{servers: 1000, rate: rate}), simulate(pushPlan{servers: 10_000, rate: rate})
 	if !reflect.DeepEqual(few, simulate(pushPlan{servers: 1000, rate: rate})) {
-		t.Error("one seed gives two results")
+		t.Error("two runs with one seed differ")
 	}
 	if len(few.changeLatencies) == 0 || len(few.changeLatencies)%405 != 0 {
-		t.Errorf("%d times in force, want each change at each of 405 balancers", len(few.changeLatencies))
+		t.Errorf("%d change latencies, want one for each change and each of 405 balancers", len(few.changeLatencies))
 	}
-	// Only the lists of balancers that start without state grow with the servers.
+	// Bytes that grow with the servers are only those of the lists for balancers that start without state.
 	starts := float64(len(many.startLatencies)) * float64(measureListSizes(10_000).full)
 	fewStarts := float64(len(few.startLatencies)) * float64(measureListSizes(1000).full)
 	checkGrowth(t, "bytes of changes", Point{Size: 1000, Value: few.bytes - fewStarts}, Point{Size: 10_000, Value: many.bytes - starts}, 0)
 	fullLists := simulate(pushPlan{servers: 10_000, rate: rate, fullLists: true})
 	if fullLists.bytes < 100*many.bytes {
-		t.Errorf("whole lists of 10,000 servers are %.0f bytes, changes %.0f", fullLists.bytes, many.bytes)
+		t.Errorf("full lists of 10,000 servers take %.0f bytes, changes %.0f", fullLists.bytes, many.bytes)
 	}
 	lost := simulate(pushPlan{servers: 10_000, rate: rate, takenOver: 405})
 	if lost.recovery < lossDetection || len(lost.startLatencies) < 405 {
-		t.Errorf("those whose machine is lost have their list after %v, %d of them", lost.recovery, len(lost.startLatencies))
+		t.Errorf("balancers of a lost machine have their list after %v, %d lists sent", lost.recovery, len(lost.startLatencies))
 	}
 	missed := simulate(pushPlan{servers: 1000, missed: 700, missedMode: catchUpMerged})
 	if missed.recovery <= 0 || len(missed.changeLatencies) != 405*700 {
-		t.Errorf("missed changes come in after %v, %d of them", missed.recovery, len(missed.changeLatencies))
+		t.Errorf("missed changes are in force after %v, %d latencies", missed.recovery, len(missed.changeLatencies))
 	}
 }
 
-// Changes lead to the same list in each form.
+// One by one and merged, the same changes lead to the same list.
 func TestCatchUpFormsAgree(t *testing.T) {
 	changed := changedServers(newGossipModel(gossipRun{members: 1, seed: 3}).random, 50, 200)
 	last := map[string]string{}
@@ -277,23 +277,23 @@
 	}
 }
 
-// Real engines log the states of their members in the form that the counter of departures reads.
+// stateCounter reads the messages that internal/membership/engine logs about the states of members.
 func TestStateCounterReadsTheEnginesLog(t *testing.T) {
 	counter := &stateCounter{Handler: slog.NewTextHandler(io.Discard, nil), state: membership.Left}
-	was := slog.Default()
+	previous := slog.Default()
 	slog.SetDefault(slog.New(counter))
-	defer slog.SetDefault(was)
+	defer slog.SetDefault(previous)
 	fleet, err := startRealFleet(t.Context(), 2, 100)
 	if err != nil {
 		t.Fatal(err)
 	}
 	err = fleet.awaitDiscovery(t.Context())
-	fleet.stop() // each leaves, and the other one or itself sees it so
+	fleet.stop() // each leaves, which the other or the engine itself logs
 	if err != nil {
 		t.Fatal(err)
 	}
 	if counter.count.Load() == 0 {
-		t.Error("two engines left, and no departure was counted")
+		t.Error("two engines left, but no departure was counted")
 	}
 }
 
@@ -311,15 +311,15 @@
 		{"sweep = \"signals\"\nsizes = [7]\nservers = 100\nsights = 3\n", "sights"},
 		{"sweep = \"signals\"\nagainst = \"troubled\"\nsizes = [20]\nservers = 10\nbalancers = 5\n",
 			"sizes: want no more faulty servers"},
-		{"sweep = \"changes\"\nsizes = [17000]\nservers = 100\nbalancers = 19\n", "balancers: want 20"},
-		{"sweep = \"cut\"\nsizes = [700]\nservers = 100\nbalancers = 1\n", "balancers: want 20"},
-		{"sweep = \"members-real\"\nsizes = [5000]\nlength = \"1s\"\n", "sizes: want 200"},
+		{"sweep = \"changes\"\nsizes = [17000]\nservers = 100\nbalancers = 19\n", "balancers: want at least 20"},
+		{"sweep = \"cut\"\nsizes = [700]\nservers = 100\nbalancers = 1\n", "balancers: want at least 20"},
+		{"sweep = \"members-real\"\nsizes = [5000]\nlength = \"1s\"\n", "sizes: want at most 200"},
 		{"sweep = \"members-real\"\nsizes = [5]\nlength = \"soon\"\n", "length"},
 	} {
 		_, err := Read("x.toml", []byte(c.text))
 		var fault *Error
 		if !errors.As(err, &fault) || !strings.Contains(err.Error(), c.want) || !strings.HasPrefix(fault.Where, "x.toml") {
-			t.Errorf("%q: %v, want a fault that names the file and %s", c.text, err, c.want)
+			t.Errorf("%q: got %v, want an error that names the file and %s", c.text, err, c.want)
 		}
 	}
 }
@@ -336,7 +336,7 @@
 	} {
 		series, _, err := sweeps[s.Sweep](ctx, s, func(int, int) {})
 		if err == nil || series != nil {
-			t.Errorf("%s goes on: %v", s.Sweep, err)
+			t.Errorf("%s did not stop: %v", s.Sweep, err)
 		}
 	}
 }
--- a/internal/testbed/scale/control_wire.go
+++ b/internal/testbed/scale/control_wire.go
@@ -19,20 +19,20 @@
 	maxPacketBytes           = 1400
 	probeInterval            = 500 * time.Millisecond
 	baseExchangeInterval     = 10 * time.Second
-	recordRetransmits        = 3 // times the logarithm of the members
-	stateRetransmits         = 4 // the same for the engine's own messages; memberlist's default
+	recordRetransmits        = 3 // multiplied by the logarithm of the number of members
+	stateRetransmits         = 4 // the same for the engine's own messages: memberlist's default
 	exchangeScalingThreshold = 32
-	membersFrameInterval     = 100 * time.Millisecond // of the members, from the engine to its balancer
-	fullStateInterval        = 2 * time.Second        // of all records, from the balancer to its engine
+	membersFrameInterval     = 100 * time.Millisecond // between member lists that the engine sends to its balancer
+	fullStateInterval        = 2 * time.Second        // between full states that the balancer sends to its engine
 	publishCheckInterval     = 250 * time.Millisecond
 )
 
-// Sizes in bytes that memberlist and the network add to messages.
+// Sizes of what memberlist and the network add to messages, in bytes unless stated otherwise.
 const (
 	datagramHeaders   = 28
 	segmentHeaders    = 52
 	segmentBytes      = 1448
-	streamSegments    = 8 // of a stream without data: opening, acknowledgements, closing
+	streamSegments    = 8 // segments of a stream besides its data: opening, acknowledgements, closing
 	checksumBytes     = 5
 	compoundHeader    = 2
 	compoundPerEntry  = 2
@@ -84,15 +84,15 @@
 
 var engineVersions = []uint8{1, 5, 2, 0, 0, 0}
 
-// memberName is the name of a member, as long as those in docs/membership-use.md.
+// memberName returns the name of a member, of the same length as those in docs/membership-use.md.
 func memberName(i int) string { return fmt.Sprintf("balancer-%05d", i) }
 
-// memberAddr gives each member an address.
+// memberAddr returns the address of a member.
 func memberAddr(i int) []byte { return []byte{10, byte(i >> 16), byte(i >> 8), byte(i)} }
 
 const memberPort = 7946
 
-// encodeMsgpack encodes a value as memberlist does, without the type byte.
+// encodeMsgpack encodes a message as memberlist does, without the leading type byte.
 func encodeMsgpack(value any) []byte {
 	var text bytes.Buffer
 	if err := codec.NewEncoder(&text, &codec.MsgpackHandle{}).Encode(value); err != nil {
@@ -107,8 +107,8 @@
 }
 
 func measureMessageSizes() messageSizes {
-	const one = 4711
-	name, addr := memberName(one), memberAddr(one)
+	const sampleMember = 4711
+	name, addr := memberName(sampleMember), memberAddr(sampleMember)
 	return messageSizes{
 		ping:  1 + len(encodeMsgpack(enginePing{SeqNo: math.MaxUint16, Node: name, SourceAddr: addr, SourcePort: memberPort, SourceNode: name})),
 		ack:   1 + len(encodeMsgpack(engineAck{SeqNo: math.MaxUint16})),
@@ -117,7 +117,7 @@
 	}
 }
 
-// exchangeMessage is a member's full state in an exchange of a fleet of this size.
+// exchangeMessage returns the message with a member's full state, as sent in an exchange in a fleet of this size.
 func exchangeMessage(members int) []byte {
 	const exchangeKind = 6
 	text := []byte{exchangeKind}
@@ -129,7 +129,8 @@
 	return text
 }
 
-// exchangeInterval is the time between two exchanges that a member starts, as memberlist scales it.
+// exchangeInterval returns the time between two exchanges that a member starts, scaled with the fleet as memberlist
+// does.
 func exchangeInterval(members int) time.Duration {
 	if members <= exchangeScalingThreshold {
 		return baseExchangeInterval
@@ -138,30 +139,32 @@
 	return time.Duration(steps) * baseExchangeInterval
 }
 
-// retransmits is how often memberlist transmits a message in a fleet of this size.
+// retransmits returns how many times memberlist transmits a message in a fleet of this size.
 func retransmits(multiplier, members int) int {
 	return multiplier * int(math.Ceil(math.Log10(float64(members+1))))
 }
 
-// streamBytes is the size in bytes of a message on its own connection, with the headers of this side's segments.
+// streamBytes returns the bytes that a member sends for a message on a connection of its own, including the headers of
+// all segments.
 func streamBytes(message int) int {
 	segments := streamSegments + (message+segmentBytes-1)/segmentBytes
 	return message + segments*segmentHeaders
 }
 
-// sampleRecord is a record with so many reports, each of a server with connections.
+// sampleRecord returns a record with the given number of reports, each about a server on which the reporter holds
+// connections.
 func sampleRecord(origin int, sequence uint64, reports int) signals.Record {
-	const heldOnEach = 8
+	const connectionsPerServer = 8
 	record := signals.Record{Origin: signals.Origin(memberName(origin)), Incarnation: 1764652800, Sequence: signals.Sequence(sequence),
 		Build: "0123456789ab", Settings: "0123456789abcdef", Rate: 8}
 	for i := range reports {
-		record.Reports = append(record.Reports, signals.Report{Server: serverNumber(origin + i), Connections: heldOnEach})
+		record.Reports = append(record.Reports, signals.Report{Server: serverNumber(origin + i), Connections: connectionsPerServer})
 	}
 	return record
 }
 
-// serverNumber spreads server ids over their range, as hashed names do.
+// serverNumber returns the id of the i-th server. Ids are spread over the range of 32 bits, as hashed names are.
 func serverNumber(i int) decide.ServerID {
-	const golden = 0x9e3779b1
+	const golden = 0x9e3779b1 // 2^32 divided by the golden ratio, as in multiplicative hashing
 	return decide.ServerID(uint32(i+1) * golden)
 }
