--- a/internal/testbed/scale/control_sweep_catchup.go
+++ b/internal/testbed/scale/control_sweep_catchup.go
@@ -9,7 +9,7 @@
 	"yardwinch/internal/simulation"
 )
 
-// catchUpSweep measures how a region catches up with the changes it missed during a partition.
+// catchUpSweep measures how the balancers of a region catch up with the changes that they missed during a partition.
 func catchUpSweep(ctx context.Context, s Settings, progress Progress) ([]Series, []Check, error) {
 	measurements := newControlMeasurements(s, roleList)
 	return measurements.forEachSize(progress, func(size int) error {
@@ -20,7 +20,7 @@
 // catchUpForm is a form in which missed changes can be published.
 type catchUpForm struct {
 	mode        catchUpMode
-	name        string // in the names of series
+	name        string // prefix of the series names
 	description string
 }
 
@@ -42,20 +42,20 @@
 	return nil
 }
 
-// missedObjects returns the objects that publish so many changes from a revision on, and the last revision.
+// missedObjects returns the objects that publish size changes from a revision on, and the last revision.
 func (m *controlMeasurements) missedObjects(mode catchUpMode, size, revision int) ([][]byte, int) {
-	which := changedServers(simulation.RandomSource(m.settings.Seed, "scale cut", size), m.settings.Servers, size)
+	changed := changedServers(simulation.RandomSource(m.settings.Seed, "scale cut", size), m.settings.Servers, size)
 	last := revision + size - 1
 	switch mode {
 	case catchUpOneByOne:
-		return lines(changesOneByOne(which, revision)), last
+		return lines(changesOneByOne(changed, revision)), last
 	case catchUpMerged:
-		return [][]byte{changesMerged(which, revision).line()}, last
+		return [][]byte{changesMerged(changed, revision).line()}, last
 	}
 	return [][]byte{fullList(m.settings.Servers, last).line()}, last
 }
 
-// measureApplying measures the objects of a form, and a real balancer that applies them.
+// measureApplying measures the size of a form's objects and what a real balancer uses to apply them.
 func (m *controlMeasurements) measureApplying(ctx context.Context, size int, form catchUpForm) error {
 	objects := func(revision int) ([][]byte, int) { return m.missedObjects(form.mode, size, revision) }
 	texts, _ := objects(2)
@@ -79,7 +79,8 @@
 	return nil
 }
 
-// simulateCatchUp simulates the control machines that publish the changes in a form.
+// simulateCatchUp simulates control machines that publish the missed changes in a form, with all machines and with half
+// of them lost.
 func (m *controlMeasurements) simulateCatchUp(ctx context.Context, size int, form catchUpForm) error {
 	point := func(name, quantity string, value time.Duration) {
 		m.add(seriesKind{
@@ -104,7 +105,7 @@
 	return nil
 }
 
-// applyMissed measures a real balancer with a list that applies the objects, several times.
+// applyMissed measures a real balancer with a full list that applies the objects, in several rounds.
 func (m *controlMeasurements) applyMissed(ctx context.Context, objects func(int) ([][]byte, int)) (cost, error) {
 	const rounds = 3
 	subscriber, err := newListSubscriber(ctx, m.settings.Seed)
@@ -115,7 +116,7 @@
 	if err := subscriber.apply(ctx, [][]byte{fullList(m.settings.Servers, 1).line()}, 1); err != nil {
 		return cost{}, err
 	}
-	var fault error
+	var failure error
 	var prepared [][][]byte
 	var revisions []int
 	for revision := 1; len(prepared) < rounds; {
@@ -124,8 +125,8 @@
 	}
 	round := 0
 	used := measure(rounds, 1, func() {
-		fault = errors.Join(fault, subscriber.apply(ctx, prepared[round], revisions[round]))
+		failure = errors.Join(failure, subscriber.apply(ctx, prepared[round], revisions[round]))
 		round++
 	})
-	return used, fault
+	return used, failure
 }
--- a/internal/testbed/scale/control_sweep_leases.go
+++ b/internal/testbed/scale/control_sweep_leases.go
@@ -14,20 +14,20 @@
 
 const (
 	roleLeases              = "balancer control: leases"
-	scoredServers           = 400 // scored in a measurement, whose time is scaled to all servers
+	scoredServers           = 400 // scored in a measurement; its time is scaled to all servers
 	leaseRounds             = 3
-	membershipChangesPerDay = 2 * startsPerDay // a departure and an arrival for each start
-	sampledTasks            = 4                // whose holders are counted
+	membershipChangesPerDay = 2 * startsPerDay // each start is a departure and an arrival
+	sampledTasks            = 4                // tasks whose holders are counted
 	longestReassignment     = 15 * time.Second
 	holderStep              = time.Second
 	holdersDuration         = time.Minute
-	holdersCountedAtEnd     = 20 * time.Second // of holdersDuration
-	recordDelay             = time.Second      // until all members received a record: the best case
+	holdersCountedAtEnd     = 20 * time.Second // end of holdersDuration in which holders are counted
+	recordDelay             = time.Second      // until all members have received a record, in the best case
 	settledMembership       = time.Hour
 	loadReportAge           = time.Second
 )
 
-// leasesSweep measures fleet/lease: how evenly tasks are shared, and what it costs to know their holders.
+// leasesSweep measures fleet/lease: how evenly tasks are shared, and what it costs to determine their holders.
 func leasesSweep(ctx context.Context, s Settings, progress Progress) ([]Series, []Check, error) {
 	measurements := newControlMeasurements(s, roleLeases)
 	if s.Against == byServers {
@@ -50,7 +50,7 @@
 	})
 }
 
-// settledMembers are so many members that joined long ago.
+// settledMembers returns the given number of members, which joined long ago.
 func settledMembers(count int) (list []lease.Member) {
 	for i := range count {
 		list = append(list, lease.Member{Name: lease.Holder(memberName(i)), Weight: 1, Since: settledMembership})
@@ -58,13 +58,13 @@
 	return list
 }
 
-// measureScoring measures finding the holders of all tasks after the membership changed.
+// measureScoring measures determining the holders of all tasks after a membership change.
 func (m *controlMeasurements) measureScoring(size, members, servers int) {
 	list := settledMembers(members)
 	sample := min(servers, scoredServers)
 	before := liveMemory()
 	own := lease.New(lease.Holder(memberName(0)), leaseDuration)
-	for i := range servers { // without other members, which is fast
+	for i := range servers { // fast, as there are no other members yet
 		own.Holds(lease.Task(serverNumber(i)), 0)
 	}
 	m.add(seriesKind{
@@ -88,14 +88,14 @@
 		name: "reckoning-processor", unit: unitMicroseconds, origin: Measured,
 		quantity: "processor time of determining all lease holders after a membership change",
 	}, size, all*1e6)
-	often := min(float64(membershipChangesPerDay)/secondsPerDay, 1/longestReassignment.Seconds())
+	changesPerSecond := min(float64(membershipChangesPerDay)/secondsPerDay, 1/longestReassignment.Seconds())
 	m.add(seriesKind{
 		name: "reckoning-core", unit: unitCorePart, origin: Calculated,
 		quantity: "the same, 2,300 members replaced a day",
-	}, size, often*all)
+	}, size, changesPerSecond*all)
 }
 
-// measureEvenness counts the tasks of the busiest member.
+// measureEvenness counts the tasks of the busiest member and of the mean one.
 func (m *controlMeasurements) measureEvenness(size, members, servers int) {
 	own := lease.New(lease.Holder(memberName(0)), leaseDuration)
 	own.SetMembers(settledMembers(members))
@@ -118,50 +118,52 @@
 	}, size, float64(servers)/float64(members))
 }
 
-// leaseMember is one of the members that share a few tasks.
+// leaseMember is a member of a fleet that shares sampledTasks.
 type leaseMember struct {
 	manager      *lease.Manager
 	publishPhase time.Duration
 	renewals     map[lease.Task]leaseRenewal
 }
 
-// leaseRenewal is what a member publishes about a task that it did.
+// leaseRenewal is what a member publishes about a task that it holds.
 type leaseRenewal struct {
 	epoch lease.Epoch
 	at    time.Duration
 }
 
-// countHolders counts the members that hold one task at a time, where each publishes renewals with its records.
+// countHolders counts the members that hold a task at the same time, when members publish renewals only with their
+// records.
 func (m *controlMeasurements) countHolders(size, members int) {
-	chance := simulation.RandomSource(m.settings.Seed, "scale leases", members)
+	random := simulation.RandomSource(m.settings.Seed, "scale leases", members)
 	interval := max(recordIntervalOf(members).Truncate(holderStep), holderStep)
-	fleet := newLeaseFleet(chance, members, interval)
-	holding, looks := 0, 0
+	fleet := newLeaseFleet(random, members, interval)
+	holding, observations := 0, 0
 	for now := time.Duration(0); now < holdersDuration; now += holderStep {
 		count := leaseStep(fleet, now, interval)
 		if now >= holdersDuration-holdersCountedAtEnd {
 			holding += count
-			looks += sampledTasks
+			observations += sampledTasks
 		}
 	}
 	m.add(seriesKind{
 		name: "holders", unit: "members", origin: Simulated, counted: true,
 		quantity: "members that check one server on behalf of all at a time",
-	}, size, float64(holding)/float64(looks))
+	}, size, float64(holding)/float64(observations))
 }
 
-func newLeaseFleet(chance *rand.Rand, members int, interval time.Duration) (fleet []*leaseMember) {
+func newLeaseFleet(random *rand.Rand, members int, interval time.Duration) (fleet []*leaseMember) {
 	list := settledMembers(members)
 	for i := range members {
 		m := &leaseMember{manager: lease.New(lease.Holder(memberName(i)), leaseDuration), renewals: map[lease.Task]leaseRenewal{}}
-		m.publishPhase = time.Duration(chance.Float64() * float64(interval)).Truncate(holderStep)
+		m.publishPhase = time.Duration(random.Float64() * float64(interval)).Truncate(holderStep)
 		m.manager.SetMembers(list)
 		fleet = append(fleet, m)
 	}
 	return fleet
 }
 
-// leaseStep makes all members do the tasks they hold and exchange the renewals that are due. It counts the holders.
+// leaseStep makes all members renew the tasks that they hold and publish the renewals that are due. It returns the
+// number of holders, summed over the tasks.
 func leaseStep(fleet []*leaseMember, now, interval time.Duration) (holding int) {
 	for _, m := range fleet {
 		for k := range sampledTasks {
@@ -180,7 +182,7 @@
 	return holding
 }
 
-// publishRenewals makes all others observe the publisher's recent renewals.
+// publishRenewals makes all other members observe the publisher's recent renewals.
 func publishRenewals(fleet []*leaseMember, publisher int, now time.Duration) {
 	m := fleet[publisher]
 	by := lease.Holder(memberName(publisher))
@@ -198,7 +200,7 @@
 	}
 }
 
-// measurePublishedLoads measures the share of a member's load reports that fits into its record.
+// measurePublishedLoads measures which share of a member's load reports fits into its record.
 func (m *controlMeasurements) measurePublishedLoads(size, members, servers int) error {
 	mean := (servers + members - 1) / members
 	record := sampleRecord(1, 1000, signals.MaxReports)
--- a/internal/testbed/scale/control_sweep_lists.go
+++ b/internal/testbed/scale/control_sweep_lists.go
@@ -9,11 +9,11 @@
 const (
 	roleList         = "balancer control: server list"
 	roleControlHosts = "control machines"
-	changesPerBatch  = 20 // published one by one in a measurement
+	changesPerBatch  = 20 // published one by one in each measurement
 	unitTime         = "s"
 )
 
-// listsSweep measures a real balancer's handling of a list and its changes, against the servers in it.
+// listsSweep measures a real balancer's handling of a list and its changes, as a function of the servers in it.
 func listsSweep(ctx context.Context, s Settings, progress Progress) ([]Series, []Check, error) {
 	measurements := newControlMeasurements(s, roleList)
 	return measurements.forEachSize(progress, func(size int) error {
@@ -21,7 +21,7 @@
 	})
 }
 
-// measureList measures one size. A rejected list is a failed check without points.
+// measureList measures one size. A list that is not in force in time fails the check and adds no further points.
 func (m *controlMeasurements) measureList(ctx context.Context, size int) error {
 	sizes := measureListSizes(size)
 	rate := m.settings.Rate
@@ -53,8 +53,8 @@
 	before := liveMemory()
 	applyErr := subscriber.apply(ctx, [][]byte{fullList(size, 1).line()}, 1)
 	m.check(fmt.Sprintf("a list of %d servers is taken", size), applyErr == nil, "")
-	var refused *Error
-	if errors.As(applyErr, &refused) {
+	var rejected *Error
+	if errors.As(applyErr, &rejected) {
 		return ctx.Err()
 	}
 	if applyErr != nil {
@@ -67,30 +67,30 @@
 	return m.measureUpdates(ctx, subscriber, size)
 }
 
-// measureUpdates measures applying a repeated list, and changes.
+// measureUpdates measures applying a list again, and applying changes.
 func (m *controlMeasurements) measureUpdates(ctx context.Context, subscriber *listSubscriber, size int) error {
 	const rounds = 5
 	revision := 1
-	var fault error
+	var failure error
 	full := measure(rounds, 1, func() {
 		revision++
-		fault = errors.Join(fault, subscriber.apply(ctx, [][]byte{fullList(size, revision).line()}, revision))
+		failure = errors.Join(failure, subscriber.apply(ctx, [][]byte{fullList(size, revision).line()}, revision))
 	})
-	written := measure(rounds, 1, func() { fullList(size, revision).line() })
+	encoding := measure(rounds, 1, func() { fullList(size, revision).line() })
 	changes := measure(rounds, 1, func() {
 		first := revision + 1
 		revision += changesPerBatch
-		var which []int
+		var changed []int
 		for i := range changesPerBatch {
-			which = append(which, i*size/changesPerBatch)
+			changed = append(changed, i*size/changesPerBatch)
 		}
-		fault = errors.Join(fault, subscriber.apply(ctx, lines(changesOneByOne(which, first)), revision))
+		failure = errors.Join(failure, subscriber.apply(ctx, lines(changesOneByOne(changed, first)), revision))
 	})
-	if fault != nil {
-		return fault
+	if failure != nil {
+		return failure
 	}
-	fullTime := full.processor - written.processor
-	fullAllocations := full.allocations - written.allocations
+	fullTime := full.processor - encoding.processor
+	fullAllocations := full.allocations - encoding.allocations
 	oneTime := changes.processor / changesPerBatch
 	m.add(seriesKind{
 		name: "whole-processor", unit: unitMicroseconds, origin: Measured,
--- a/internal/testbed/scale/control_sweep_replaced.go
+++ b/internal/testbed/scale/control_sweep_replaced.go
@@ -8,7 +8,7 @@
 
 const secondsPerDay = 86400
 
-// replacedSweep measures a member against the number of members replaced in a day.
+// replacedSweep measures a member's traffic as a function of the members replaced in a day.
 func replacedSweep(ctx context.Context, s Settings, progress Progress) ([]Series, []Check, error) {
 	measurements := newControlMeasurements(s, roleMembership)
 	recordBytes, err := recordBytesOf(signals.MaxReports)
@@ -53,14 +53,14 @@
 	})
 }
 
-// Gossip reduced to a balancer's budget: in groups of a zone or a region, with records of faulty servers only,
-// published less often while all are healthy, and with one packet at a time.
+// Reduced gossip that fits a balancer's budget: in groups of a zone or a region, with records of faulty servers only,
+// which are published less often while all servers are healthy, and with one packet at a time.
 const (
 	zonedIntervalMultiple = 4
 	zonedFanout           = 1
 )
 
-// zonedSweep simulates that gossip, which is not implemented, in groups of several sizes.
+// zonedSweep simulates the reduced gossip, which is not implemented, in groups of several sizes.
 func zonedSweep(ctx context.Context, s Settings, progress Progress) ([]Series, []Check, error) {
 	measurements := newControlMeasurements(s, roleMembership)
 	recordBytes, err := recordBytesOf(fewReports)
--- a/internal/testbed/scale/control_sweep_signals.go
+++ b/internal/testbed/scale/control_sweep_signals.go
@@ -12,17 +12,18 @@
 
 const (
 	roleSignals              = "balancer control: signals"
-	distinctPublishers       = 5  // whose records are simulated; the others repeat them under their own names
-	maxConnectionsPerServer  = 15 // of a publisher
-	defaultFaulty            = 2  // servers, where the sizes don't count them
-	maxAggregationsPerSecond = 20 // by fleet/signals
+	distinctPublishers       = 5  // publishers that are simulated; the others repeat their records under their own names
+	maxConnectionsPerServer  = 15 // that a publisher holds
+	defaultFaulty            = 2  // faulty servers, unless the sizes count them
+	maxAggregationsPerSecond = 20 // as fleet/signals limits them
 	signalRounds             = 5
 	faultyLatency            = time.Second
 	signalWorkInterval       = 300 * time.Millisecond
 	publishersStart          = time.Minute
 )
 
-// signalsSweep measures fleet/signals against the number of publishers, or of servers that all observe as faulty.
+// signalsSweep measures fleet/signals as a function of the publishers, or of the servers that all of them observe as
+// faulty.
 func signalsSweep(ctx context.Context, s Settings, progress Progress) ([]Series, []Check, error) {
 	measurements := newControlMeasurements(s, roleSignals)
 	if s.Against == byFaulty {
@@ -48,8 +49,8 @@
 	return bySize, "want no more faulty servers than there are servers"
 }
 
-// newPublisher is a decider that holds connections on all servers and observes some of them as faulty.
-func newPublisher(chance *rand.Rand, name, servers, faulty int) *signals.Exchange {
+// newPublisher returns an exchange of signals that has connections on all servers and observes the first ones as faulty.
+func newPublisher(random *rand.Rand, name, servers, faulty int) *signals.Exchange {
 	s := signals.New(signals.Config{
 		Origin:           signals.Origin(memberName(name)),
 		Incarnation:      1764652800,
@@ -63,7 +64,7 @@
 	for i := range servers {
 		id := serverNumber(i)
 		s.OnEndpoint(decide.Endpoint{ID: id, Size: 1, Readiness: decide.Ready, StartedAt: decide.LongAgo})
-		for range 1 + chance.IntN(maxConnectionsPerServer) {
+		for range 1 + random.IntN(maxConnectionsPerServer) {
 			s.OnEstablished("", id, time.Millisecond)
 		}
 		if i < faulty {
@@ -73,16 +74,16 @@
 	return s
 }
 
-// publishedRecords are the records of so many members, each under its own name.
+// publishedRecords returns the records of the given number of members, each under its own name.
 func publishedRecords(seed uint64, members, servers, faulty int) (records []signals.Record) {
-	chance := simulation.RandomSource(seed, "scale signals", servers)
-	var kinds []signals.Record
+	random := simulation.RandomSource(seed, "scale signals", servers)
+	var distinct []signals.Record
 	for i := range min(distinctPublishers, members) {
-		record, _ := newPublisher(chance, i, servers, faulty).Publish(members)
-		kinds = append(kinds, record)
+		record, _ := newPublisher(random, i, servers, faulty).Publish(members)
+		distinct = append(distinct, record)
 	}
 	for i := range members {
-		record := kinds[i%len(kinds)]
+		record := distinct[i%len(distinct)]
 		record.Origin = signals.Origin(memberName(i))
 		records = append(records, record)
 	}
@@ -101,22 +102,22 @@
 		quantity: "size of a published record",
 	}, size, float64(len(text)))
 	before := liveMemory()
-	chance := simulation.RandomSource(m.settings.Seed, "scale signals here", servers)
-	here := newPublisher(chance, members, servers, 0)
+	random := simulation.RandomSource(m.settings.Seed, "scale signals here", servers)
+	local := newPublisher(random, members, servers, 0)
 	m.add(seriesKind{
 		name: "own-memory", unit: unitBytes, origin: Measured,
 		quantity: "memory of a balancer's own observations, connections on all servers",
 	}, size, float64(liveMemory()-before))
 	before = liveMemory()
-	if err := mergeAll(here, records); err != nil {
+	if err := mergeAll(local, records); err != nil {
 		return err
 	}
-	here.ServerCost("", serverNumber(0)) // aggregates all records
+	local.ServerCost("", serverNumber(0)) // aggregates all records
 	m.add(seriesKind{
 		name: "heard-memory", unit: unitBytes, origin: Measured,
 		quantity: "memory of what others publish",
 	}, size, float64(liveMemory()-before))
-	retained, _ := here.Records()
+	retained, _ := local.Records()
 	m.add(seriesKind{
 		name: "records-kept", unit: "records", origin: Measured, counted: true,
 		quantity: "retained records of others",
@@ -126,11 +127,11 @@
 		quantity: "observations visited by each merge of all records",
 	}, size, float64(len(retained)*len(records[0].Reports)))
 	m.measureAvoided(size, servers, faulty, records)
-	return m.measureSignalWork(here, text, size, members)
+	return m.measureSignalWork(local, text, size, members)
 }
 
-// mergeAll makes a decider receive records in their encoded form.
-func mergeAll(here *signals.Exchange, records []signals.Record) error {
+// mergeAll passes records to an exchange, encoded and decoded again as on the wire.
+func mergeAll(local *signals.Exchange, records []signals.Record) error {
 	for _, record := range records {
 		text, err := signals.Encode(record)
 		if err != nil {
@@ -140,30 +141,30 @@
 		if err != nil {
 			return err
 		}
-		here.Merge(decoded)
+		local.Merge(decoded)
 	}
 	return nil
 }
 
-// measureAvoided measures the share of faulty servers that a balancer avoids on others' reports alone.
+// measureAvoided measures the share of faulty servers that a balancer avoids because of others' reports alone.
 func (m *controlMeasurements) measureAvoided(size, servers, faulty int, records []signals.Record) {
-	stranger := signals.New(signals.Config{
+	unconnected := signals.New(signals.Config{
 		Origin:           "stranger",
 		Incarnation:      1,
 		LatencyThreshold: latencyObjective,
 		SetupLimit:       setupObjective,
 		Enabled:          true,
 	})
-	stranger.SetTime(publishersStart)
+	unconnected.SetTime(publishersStart)
 	for i := range servers {
-		stranger.OnEndpoint(decide.Endpoint{ID: serverNumber(i), Size: 1, Readiness: decide.Ready, StartedAt: decide.LongAgo})
+		unconnected.OnEndpoint(decide.Endpoint{ID: serverNumber(i), Size: 1, Readiness: decide.Ready, StartedAt: decide.LongAgo})
 	}
 	for _, record := range records {
-		stranger.Merge(record)
+		unconnected.Merge(record)
 	}
 	avoided := 0
 	for i := range faulty {
-		if extra, _ := stranger.ServerCost("", serverNumber(i)); extra > 0 {
+		if extra, _ := unconnected.ServerCost("", serverNumber(i)); extra > 0 {
 			avoided++
 		}
 	}
@@ -174,28 +175,28 @@
 }
 
 // measureSignalWork measures receiving a record, aggregating all records, publishing, and encoding the full state.
-func (m *controlMeasurements) measureSignalWork(here *signals.Exchange, text []byte, size, members int) error {
+func (m *controlMeasurements) measureSignalWork(local *signals.Exchange, text []byte, size, members int) error {
 	now := publishersStart
-	var fault error
+	var failure error
 	receive := func() {
 		record, err := signals.Decode(text)
 		if err != nil {
-			fault = err
+			failure = err
 		}
-		here.Merge(record)
+		local.Merge(record)
 	}
 	receiveCost := measure(signalRounds, 100, receive)
 	aggregateCost := measure(signalRounds, 1, func() {
 		now += signalWorkInterval
-		here.SetTime(now)
-		here.ServerCost("", serverNumber(0))
+		local.SetTime(now)
+		local.ServerCost("", serverNumber(0))
 	})
 	publishCost := measure(signalRounds, 1, func() {
 		now += signalWorkInterval
-		here.SetTime(now)
-		here.Publish(members)
+		local.SetTime(now)
+		local.Publish(members)
 	})
-	exchangeCost := measure(signalRounds, 1, func() { fault = encodeFullState(here) })
+	exchangeCost := measure(signalRounds, 1, func() { failure = encodeFullState(local) })
 	m.add(seriesKind{
 		name: "hear-processor", unit: unitMicroseconds, origin: Measured,
 		quantity: "processor time of a received record",
@@ -220,13 +221,13 @@
 		name: "hand-on-core", unit: unitCorePart, origin: Measured,
 		quantity: "processor time of writing all records for a member that asks, every 2 s",
 	}, size, exchangeCost.processor.Seconds()/fullStateInterval.Seconds())
-	return fault
+	return failure
 }
 
 // encodeFullState encodes the answer to a member that requests the full state.
-func encodeFullState(here *signals.Exchange) error {
+func encodeFullState(local *signals.Exchange) error {
 	var messages [][]byte
-	for _, record := range here.FullState() {
+	for _, record := range local.FullState() {
 		text, err := signals.Encode(record)
 		if err != nil {
 			return err
--- a/internal/testbed/scale/fleet.go
+++ b/internal/testbed/scale/fleet.go
@@ -16,25 +16,25 @@
 	crossZoneDelay   = time.Millisecond
 	minSetup         = 2 * time.Millisecond
 	maxSetup         = 8 * time.Millisecond
-	answerTolerance  = 8 * time.Millisecond // an answer may be late by the network's delay
-	relayTime        = 5 * time.Millisecond // of a client's timeout, reserved by the balancer for the network
+	answerTolerance  = 8 * time.Millisecond // by which an answer may exceed its deadline, due to the network's delay
+	relayTime        = 5 * time.Millisecond // part of a client's timeout that the balancer reserves for the network
 	drainGrace       = 750 * time.Millisecond
-	capacityMultiple = 2   // of a server's mean connections
-	connectionLoad   = 1.0 // of a connection
+	capacityMultiple = 2   // capacity of a server relative to its mean number of connections
+	connectionLoad   = 1.0 // load of one connection
 
-	minReturnDelay    = 70 * time.Millisecond // until a disconnected or migrated client returns
+	minReturnDelay    = 70 * time.Millisecond // until a disconnected or migrated client connects again
 	maxReturnDelay    = 680 * time.Millisecond
-	retryAfter        = time.Second // of a rejected client
+	retryAfter        = time.Second // delay of a rejected client
 	minSilenceTimeout = 4 * time.Second
-	maxSilenceTimeout = 5 * time.Second // after which a client gives up a silent connection
+	maxSilenceTimeout = 5 * time.Second // after which a client closes a connection to a silent server
 	minListDelay      = 1600 * time.Millisecond
 	maxListDelay      = 6800 * time.Millisecond // from a change until a balancer receives it
-	maxStartListDelay = 2900 * time.Millisecond // the same for a server that starts again
+	maxStartListDelay = 2900 * time.Millisecond // the same, for the start of a server
 	minStartListDelay = 1100 * time.Millisecond
 )
 
-// fleet is a set of simulated balancers, servers and clients in virtual time: single-threaded and deterministic for a
-// seed.
+// fleet is a set of simulated balancers, servers and clients in virtual time. It is single-threaded and deterministic
+// for a given seed.
 type fleet struct {
 	schedule     schedule
 	random       *rand.Rand
@@ -48,14 +48,14 @@
 	connectCount int64
 	figures      figures
 
-	busiestSecond time.Duration // the most processor time used for one virtual second, by all balancers and the simulation
+	busiestSecond time.Duration // largest processor time used for one virtual second, by all balancers and the simulation
 }
 
 // figures are the results of a fleet's run.
 type figures struct {
 	disconnected, migrated, rejected, aborted int
 	slowestSetup                              time.Duration      // from a flow's arrival until it is established
-	recoveryTimes                             []time.Duration    // of each disconnected client: from the fault until it is established
+	recoveryTimes                             []time.Duration    // of each disconnected client, from the fault until it is established again
 	connectsSent                              map[connectKey]int // by balancer and second
 }
 
@@ -64,7 +64,7 @@
 	second   time.Duration
 }
 
-// busiestConnects is the largest number of connects that one balancer sent in a second.
+// busiestConnects returns the largest number of connects that one balancer sent in a second.
 func (f figures) busiestConnects() (connects int) {
 	for _, n := range f.connectsSent {
 		connects = max(connects, n)
@@ -72,8 +72,8 @@
 	return connects
 }
 
-// recoveryQuantile is the time after which so large a share of disconnected clients is established again; 0 if there
-// were none.
+// recoveryQuantile returns the time after which the given share of disconnected clients is established again; 0 if no
+// client was disconnected.
 func (f figures) recoveryQuantile(share float64) time.Duration {
 	if len(f.recoveryTimes) == 0 {
 		return 0
@@ -87,13 +87,13 @@
 	id          decide.ServerID
 	zone        int
 	alive       bool
-	silent      bool // while it is not alive: it refuses no connects either
+	silent      bool // if not alive: connects to it time out rather than being refused
 	since       time.Duration
 	listedState decide.Readiness
 	connects    []*connect
 }
 
-// newFleet starts a fleet. Its balancers are configured for a fleet of so many peers.
+// newFleet starts a fleet whose balancers are configured for the given number of peers.
 func newFleet(s Settings, peers int, seed uint64) *fleet {
 	f := &fleet{random: rand.New(rand.NewPCG(seed, 0)), settings: s, peers: peers}
 	f.figures.connectsSent = map[connectKey]int{}
@@ -116,7 +116,7 @@
 	return s
 }
 
-// fill gives each balancer its connections; group chooses the group of each.
+// fill establishes the connections of each balancer; group selects the group of each connection.
 func (f *fleet) fill(group func(balancer, i, server int) int) {
 	for _, b := range f.balancers {
 		for i := range f.settings.Connections {
@@ -127,14 +127,14 @@
 	}
 }
 
-// fillEvenly fills the fleet with settled groups, each on as few servers as its connections need.
+// fillEvenly establishes connections evenly, with each group on as few servers as possible; see settledGroup.
 func (f *fleet) fillEvenly() {
 	f.fill(func(_, i, server int) int {
 		return settledGroup(i, server, len(f.servers), f.settings.Groups)
 	})
 }
 
-// run advances to a time; it stops within a second of virtual time once stopped reports true.
+// run advances virtual time to end. It stops within a second of virtual time once stopped reports true.
 func (f *fleet) run(end time.Duration, stopped func() bool) {
 	for now := f.schedule.now; now < end && !stopped(); {
 		now = min(now+time.Second, end)
@@ -145,10 +145,10 @@
 	}
 }
 
-// violations returns the violated invariants.
+// violations ends the run and returns the violated invariants.
 func (f *fleet) violations() []invariants.Violation {
 	end := f.schedule.now
-	f.schedule.runTo(end + 5*time.Second) // answers to what arrived before the end
+	f.schedule.runTo(end + 5*time.Second) // for the answers to flows that arrived before the end
 	return f.checker.Finish(f.schedule.now)
 }
 
@@ -157,14 +157,14 @@
 	f.checker.Observe(e)
 }
 
-// randomDelay draws a time.
+// randomDelay draws a uniformly distributed delay.
 func (f *fleet) randomDelay(minimum, maximum time.Duration) time.Duration {
 	return minimum + time.Duration(f.random.Float64()*float64(maximum-minimum))
 }
 
 // ---- servers
 
-// stopServer stops a server. If silent, clients notice only by their timeouts.
+// stopServer stops a server. If silent, clients notice only when their timeouts expire.
 func (f *fleet) stopServer(s *backend, silent bool) {
 	s.alive = false
 	s.silent = silent
@@ -179,10 +179,10 @@
 	}
 }
 
-// startServer starts a server again, warming up.
+// startServer starts a server again; it is cold.
 func (f *fleet) startServer(s *backend) { s.alive, s.silent, s.since = true, false, f.schedule.now }
 
-// capacity is the load that a warming server accepts in a second; it is full once it is warm.
+// capacity returns the load that a server accepts in a second; it grows until the server is warm.
 func (s *backend) capacity(f *fleet) float64 {
 	full := capacityMultiple * float64(f.settings.Connections*f.settings.Balancers) / float64(f.settings.Servers)
 	warmth := initialCapacity + (1-initialCapacity)*min((f.schedule.now-s.since).Seconds()/warmUp.Seconds(), 1)
@@ -210,7 +210,8 @@
 	return list
 }
 
-// updateList changes the state of servers in the list and sends each balancer the update after a random delay.
+// updateList changes the state of servers in the list. Each balancer receives the update after a random delay between
+// soonest and latest.
 func (f *fleet) updateList(state decide.Readiness, servers []*backend, soonest, latest time.Duration) {
 	for _, s := range servers {
 		s.listedState = state
@@ -218,7 +219,7 @@
 	list := entries(servers)
 	for _, b := range f.balancers {
 		incarnation := b.incarnation
-		b.lastUpdateAt = max(b.lastUpdateAt, f.schedule.now+f.randomDelay(soonest, latest)) // updates stay in order
+		b.lastUpdateAt = max(b.lastUpdateAt, f.schedule.now+f.randomDelay(soonest, latest)) // updates arrive in order
 		f.schedule.at(b.lastUpdateAt, func() {
 			if b.up && b.incarnation == incarnation {
 				b.updateList(decide.DeltaUpdate, list)
@@ -227,7 +228,7 @@
 	}
 }
 
-// publishList sends every balancer a list at once.
+// publishList sends a list to every balancer without delay.
 func (f *fleet) publishList(kind decide.UpdateKind, list []server) {
 	for _, b := range f.balancers {
 		if b.up {
--- a/internal/testbed/scale/fleet_client.go
+++ b/internal/testbed/scale/fleet_client.go
@@ -7,27 +7,27 @@
 	"yardwinch/internal/testbed/invariants"
 )
 
-// serviceType is one of the services that clients use in turn.
+// serviceType is a service that clients use.
 type serviceType struct {
 	effect         decide.Effect
 	observedEffect invariants.Effect
 }
 
-// services differ in the effect of running a flow twice.
+// services are used by the clients in turn; they differ in the effect of running a flow twice.
 var services = [...]serviceType{
 	{decide.Idempotent, invariants.Idempotent},
 	{decide.IdempotentByKey, invariants.IdempotentByKey},
 	{decide.NotIdempotent, invariants.NotIdempotent},
 }
 
-// client holds one connection; when that ends it returns.
+// client holds one connection and connects again when it ends.
 type client struct {
 	fleet           *fleet
-	preferred       *instance // the balancer it uses while that is up
+	preferred       *instance // the balancer that it uses while that is up
 	group           int
 	service         int
 	flow            *flowState
-	wasDisconnected bool // and is not established again
+	wasDisconnected bool // and has not been established again
 }
 
 func (f *fleet) addClient(near *instance, group int) *client {
@@ -36,7 +36,7 @@
 	return c
 }
 
-// arrive connects to the preferred balancer, or to any other if that is down.
+// arrive connects to the preferred balancer, or to a random one if that is down.
 func (c *client) arrive() {
 	to := c.preferred
 	if !to.up {
@@ -62,7 +62,7 @@
 	return up[f.random.IntN(len(up))]
 }
 
-// onDisconnected runs when the connection ended against the client's will.
+// onDisconnected runs when the connection ended without the client or a migration ending it.
 func (c *client) onDisconnected() {
 	c.fleet.figures.disconnected++
 	c.wasDisconnected = true
@@ -77,7 +77,7 @@
 	c.fleet.schedule.after(retryAfter+c.fleet.randomDelay(0, maxReturnDelay), c.arrive)
 }
 
-// onEstablished runs when the client is served.
+// onEstablished runs when the client's flow is established.
 func (c *client) onEstablished() {
 	now := c.fleet.schedule.now
 	figures := &c.fleet.figures
@@ -162,7 +162,7 @@
 	flow.client.onEstablished()
 }
 
-// finish ends a connect. It is the only place that tells the decisions so.
+// finish ends a connect. Nothing else reports the end of a connect to the decisions.
 func (c *connect) finish(outcome decide.Outcome) {
 	flow := c.flow
 	b, f := flow.balancer, flow.balancer.fleet
--- a/internal/testbed/scale/fleet_instance.go
+++ b/internal/testbed/scale/fleet_instance.go
@@ -8,7 +8,7 @@
 	"yardwinch/internal/testbed/invariants"
 )
 
-// instance is one simulated balancer of a fleet: the real decisions, whose connects the fleet simulates.
+// instance is a simulated balancer of a fleet: the real decisions, with connects that the fleet simulates.
 type instance struct {
 	fleet        *fleet
 	id           int
@@ -16,13 +16,13 @@
 	up           bool
 	incarnation  int
 	started      time.Duration
-	lastUpdateAt time.Duration // when the last list update arrives
+	lastUpdateAt time.Duration // when the latest list update arrives
 	decider      *decide.Balancer
 	flows        map[decide.FlowID]*flowState
-	flowsInOrder []*flowState // of arrival; ended ones are removed now and then
+	flowsInOrder []*flowState // in order of arrival; ended ones are removed from time to time
 }
 
-// flowState is one attempt of a client.
+// flowState is a flow: one attempt of a client to be connected, with its connection.
 type flowState struct {
 	id         invariants.Flow
 	name       decide.FlowID
@@ -48,7 +48,7 @@
 
 // ---- start and stop
 
-// start starts an incarnation that knows only the list.
+// start starts an incarnation that has no state but the list.
 func (b *instance) start() {
 	f := b.fleet
 	b.incarnation++
@@ -69,7 +69,7 @@
 	b.updateList(decide.FullUpdate, entries(listed))
 }
 
-// stop ends an incarnation; clients notice only that their connections end.
+// stop ends an incarnation without notice: its clients are disconnected.
 func (b *instance) stop() {
 	f := b.fleet
 	b.up = false
@@ -82,7 +82,7 @@
 			c.ended = true
 			f.removeConnect(c)
 		}
-		if owed := flow.current != nil || !flow.answered; owed && !flow.clientLeft {
+		if open := flow.current != nil || !flow.answered; open && !flow.clientLeft {
 			flow.client.onDisconnected()
 		}
 	}
@@ -90,7 +90,7 @@
 	b.flowsInOrder = nil
 }
 
-// event begins an event of the decisions at the current time.
+// event sets the decisions' clock to the current time and returns them for one event.
 func (b *instance) event() *decide.Balancer {
 	b.decider.SetTime(b.fleet.schedule.now - b.started)
 	return b.decider
@@ -165,7 +165,7 @@
 	return flow
 }
 
-// adopt starts with an established connection.
+// adopt adds a connection that is established already.
 func (b *instance) adopt(c *client, s *backend) {
 	flow := b.addFlow(c)
 	flow.answered = true
@@ -180,7 +180,7 @@
 	}, s.id)
 }
 
-// accept handles the arrival of a client.
+// accept starts a flow for a client that arrives.
 func (b *instance) accept(c *client) {
 	flow, now := b.addFlow(c), b.fleet.schedule.now
 	flow.deadline = now + connectTimeout - relayTime
@@ -202,14 +202,14 @@
 	})
 }
 
-// forget removes a flow that has ended.
+// forget removes an ended flow once none of its connects is in flight.
 func (flow *flowState) forget() {
 	if len(flow.connects) == 0 {
 		delete(flow.balancer.flows, flow.name)
 	}
 }
 
-// leave disconnects the client of an established connection; it returns later.
+// leave makes a client close its established connection; it connects again later.
 func (flow *flowState) leave() {
 	if flow.clientLeft || flow.current == nil || !flow.balancer.up || flow.balancer.flows[flow.name] != flow {
 		return
@@ -224,7 +224,7 @@
 	flow.client.onDisconnected()
 }
 
-// answer is the balancer's final answer to a flow.
+// answer handles the balancer's final answer to a flow that was not established.
 func (b *instance) answer(name decide.FlowID, verdict invariants.Answer) {
 	flow := b.flows[name]
 	if flow == nil {
@@ -250,7 +250,7 @@
 	flow.client.onRejected()
 }
 
-// ---- actions of the decisions; see decide.Actions
+// ---- decide.Actions
 
 func (b *instance) Connect(name decide.FlowID, to decide.ServerID, limit time.Duration) {
 	flow := b.flows[name]
@@ -269,11 +269,11 @@
 		Zone:     c.server.zone,
 		Cell:     c.server.zone,
 	})
-	ends := flow.deadline
+	timeoutAt := flow.deadline
 	if limit > 0 {
-		ends = min(ends, f.schedule.now+limit)
+		timeoutAt = min(timeoutAt, f.schedule.now+limit)
 	}
-	f.schedule.at(ends, func() {
+	f.schedule.at(timeoutAt, func() {
 		if !c.established {
 			c.finish(decide.TimedOut)
 		}
@@ -305,11 +305,11 @@
 	})
 }
 
-func (b *instance) SetTimer(mark decide.TimerID, in time.Duration) {
+func (b *instance) SetTimer(id decide.TimerID, in time.Duration) {
 	incarnation := b.incarnation
 	b.fleet.schedule.after(max(in, time.Microsecond), func() {
 		if b.up && b.incarnation == incarnation {
-			b.event().OnTimer(mark)
+			b.event().OnTimer(id)
 		}
 	})
 }
--- a/internal/testbed/scale/fleet_schedule.go
+++ b/internal/testbed/scale/fleet_schedule.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// schedule holds the events of virtual time, in the order of their times and, within an instant, of their scheduling.
+// schedule is a queue of events in virtual time, ordered by time; events at the same time run in the order in which they
+// were scheduled.
 type schedule struct {
 	now       time.Duration
 	events    events
@@ -19,14 +20,15 @@
 	run   func()
 }
 
-func (a *schedule) at(t time.Duration, do func()) {
+// at schedules an event at a time, or now if that has passed.
+func (a *schedule) at(t time.Duration, run func()) {
 	a.lastOrder++
-	heap.Push(&a.events, event{max(t, a.now), a.lastOrder, do})
+	heap.Push(&a.events, event{max(t, a.now), a.lastOrder, run})
 }
 
-func (a *schedule) after(d time.Duration, do func()) { a.at(a.now+d, do) }
+func (a *schedule) after(d time.Duration, run func()) { a.at(a.now+d, run) }
 
-// runTo runs all events up to a time.
+// runTo runs all events up to end and sets the time to it.
 func (a *schedule) runTo(end time.Duration) {
 	for len(a.events) > 0 && a.events[0].at <= end {
 		e := heap.Pop(&a.events).(event)
--- a/internal/testbed/scale/fleet_test.go
+++ b/internal/testbed/scale/fleet_test.go
@@ -10,7 +10,8 @@
 	"yardwinch/internal/testbed/invariants"
 )
 
-// smallFaults are few connections with a short list, and with one of which decisions consider a part.
+// smallFaults are settings with few connections: one with a short list, and one with a list so long that decisions
+// consider only a part of it.
 var smallFaults = []Settings{
 	{Balancers: 10, Servers: 20, Connections: 40, Groups: 50, Zones: 5},
 	{Balancers: 5, Servers: 200, Connections: 120, Groups: 50, Zones: 5},
@@ -24,13 +25,13 @@
 				t.Fatal(err)
 			}
 			for _, broken := range o.violations[:min(len(o.violations), 3)] {
-				t.Errorf("%s before %d servers: %s", one.name, s.Servers, broken)
+				t.Errorf("%s with %d servers: %s", one.name, s.Servers, broken)
 			}
 			if disturbs := one.name != "calm" && one.name != "two-lists" && one.name != "list-of-one"; disturbs && o.judgedFlows == 0 {
-				t.Errorf("%s before %d servers: no flow came", one.name, s.Servers)
+				t.Errorf("%s with %d servers: no flow was judged", one.name, s.Servers)
 			}
 			if one.name == "calm" && (o.judgedFlows > 0 || o.figures.migrated > 0) {
-				t.Errorf("calm: %d flows came and %d were asked to move", o.judgedFlows, o.figures.migrated)
+				t.Errorf("calm: %d flows were judged and %d migrated, want none", o.judgedFlows, o.figures.migrated)
 			}
 		}
 	}
@@ -54,7 +55,7 @@
 		t.Error("seed 2 gave the same as seed 1")
 	}
 	if first.figures.disconnected == 0 || first.figures.recoveryQuantile(0.99) == 0 || first.unserved > 0 {
-		t.Errorf("a lost zone cut %d, who stood again after %v but for %d",
+		t.Errorf("a lost zone disconnected %d clients, 99 %% of them for up to %v; %d are unserved at the end",
 			first.figures.disconnected, first.figures.recoveryQuantile(0.99), first.unserved)
 	}
 }
@@ -63,12 +64,12 @@
 	ctx, stop := context.WithCancel(t.Context())
 	stop()
 	if _, err := faults[0].run(ctx, smallFaults[0], 1); err == nil {
-		t.Error("it went on")
+		t.Error("the run did not stop")
 	}
 }
 
-// violatedRules runs a fleet whose invariant checker, or whose balancers, announce changes the list, and returns the
-// violated rules.
+// violatedRules runs a fleet in which announce changes the list for the invariant checker only, or for the balancers
+// only. It returns the violated rules.
 func violatedRules(t *testing.T, announce func(*fleet)) map[invariants.Rule]bool {
 	t.Helper()
 	f := newFleet(smallFaults[0], smallFaults[0].Balancers, 1)
@@ -85,10 +86,11 @@
 	return broken
 }
 
-// The fleet feeds the invariant checker: rules are violated when balancers don't receive what the checker receives.
+// The fleet passes its events to the invariant checker: when balancers don't receive what the checker receives, the
+// checker reports violations.
 func TestInvariantCheckerObservesTheFleet(t *testing.T) {
 	if broken := violatedRules(t, func(*fleet) {}); len(broken) > 0 {
-		t.Errorf("rules %v broken though nothing was kept back", broken)
+		t.Errorf("rules %v violated, though the balancers received all updates", broken)
 	}
 	drained := violatedRules(t, func(f *fleet) {
 		for _, b := range f.balancers {
@@ -98,7 +100,7 @@
 		}
 	})
 	if !drained[invariants.DrainsRespected] {
-		t.Errorf("rules %v broken by balancers that were not notified of drains", drained)
+		t.Errorf("rules %v violated by balancers that were not notified of drains, want DrainsRespected", drained)
 	}
 	flooded := violatedRules(t, func(f *fleet) {
 		for _, s := range f.servers {
@@ -107,7 +109,7 @@
 				b.observeListed(s.id, decide.Ready, s.since)
 			}
 		}
-		for _, s := range f.servers[1:] { // all that comes goes to the first, which they take for warm
+		for _, s := range f.servers[1:] { // all flows go to the first, which the balancers consider warm
 			s.listedState = decide.Gone
 		}
 		list := entries(f.servers)
@@ -126,6 +128,6 @@
 		}
 	})
 	if !flooded[invariants.SlowStartRespected] {
-		t.Errorf("rules %v broken by balancers that were not notified of cold servers", flooded)
+		t.Errorf("rules %v violated by balancers that were not notified of cold servers, want SlowStartRespected", flooded)
 	}
 }
--- a/internal/testbed/scale/simulated_balancer.go
+++ b/internal/testbed/scale/simulated_balancer.go
@@ -8,11 +8,11 @@
 	"yardwinch/decide"
 )
 
-// Settings of the simulated balancers, as deployments set them.
+// Settings of the simulated balancers, typical of a deployment.
 const (
-	defaultPeers     = 8_100 // balancers that share the budget of a warming server
+	defaultPeers     = 8_100 // balancers that share a cold server's slow-start budget
 	maxConnects      = 4
-	connectTimeout   = 1800 * time.Millisecond // of a flow, by which its client has an answer
+	connectTimeout   = 1800 * time.Millisecond // of a flow, within which its client is answered
 	setupTarget      = 300 * time.Millisecond
 	retryWindow      = 2 * time.Second
 	messageTarget    = 100 * time.Millisecond
@@ -24,27 +24,27 @@
 	crossZoneCost    = 0.08
 	migrationCost    = 0.026
 	typicalSetup     = 10 * time.Millisecond
-	settlingPeriod   = 10 * time.Second // after which nothing of the start influences decisions
+	settlingPeriod   = 10 * time.Second // after which the start no longer influences decisions
 )
 
 // simulatedSettings are the settings of one simulated balancer.
 type simulatedSettings struct {
 	peers        int
-	healthChecks bool // load reports come from health checks
+	healthChecks bool // health checks provide load reports
 	zone         int
 }
 
 // simulatedBalancer is a balancer without sockets: the real decisions, with their timers in virtual time. It records
-// the connects for its driver.
+// what the decisions request, for the sweep that drives it.
 type simulatedBalancer struct {
 	decider        *decide.Balancer
 	now            time.Duration
 	timers         timers
 	connecting     map[decide.FlowID]decide.ServerID // connects in flight
-	migrated       []decide.FlowID                   // asked to migrate since last taken
-	rejected       int                               // flows
+	migrated       []decide.FlowID                   // requested since the sweep last cleared them
+	rejected       int                               // number of flows rejected or aborted
 	migratedReturn bool                              // migrated flows return at the next tick
-	healthChecked  []decide.ServerID                 // requested since last taken
+	healthChecked  []decide.ServerID                 // requested so far
 }
 
 func newSimulatedBalancer(seed uint64, t simulatedSettings) *simulatedBalancer {
@@ -84,7 +84,7 @@
 	})
 }
 
-// zoneNames are shared by the balancers of a process.
+// zoneNames are allocated once and shared by all balancers of the process.
 var zoneNames = func() (names []decide.Zone) {
 	for n := range maxima[byZones] {
 		names = append(names, decide.Zone("zone-"+strconv.Itoa(n)))
@@ -98,7 +98,7 @@
 
 func flowName(n int) decide.FlowID { return decide.FlowID(strconv.FormatInt(int64(n), 36)) }
 
-// server is an entry of a list, numbered from 1.
+// server is an entry of the endpoint list; ids count from 1.
 type server struct {
 	id    decide.ServerID
 	zone  int
@@ -106,7 +106,7 @@
 	since time.Duration
 }
 
-// warmServers are the servers of a list that have run for long, spread over zones.
+// warmServers returns a list of servers that started long ago, spread over the zones.
 func warmServers(count, zones int) []server {
 	servers := make([]server, count)
 	for i := range servers {
@@ -115,7 +115,7 @@
 	return servers
 }
 
-// updateList passes on a updateList, or changes of it.
+// updateList passes a list, or changes to it, to the decisions.
 func (h *simulatedBalancer) updateList(kind decide.UpdateKind, servers []server) {
 	h.decider.SetTime(h.now)
 	h.decider.BeginEndpoints(kind)
@@ -132,8 +132,8 @@
 	h.decider.EndEndpoints()
 }
 
-// adoptConnections spreads connections evenly over warm servers, each group on as few of them as that allows: the
-// state of a settled fleet.
+// adoptConnections adds established connections, spread evenly over the servers, with each group on as few servers as
+// that allows: the state of a settled fleet.
 func (h *simulatedBalancer) adoptConnections(connections, servers, groups int) {
 	h.decider.SetTime(h.now)
 	for i := range connections {
@@ -146,8 +146,8 @@
 	}
 }
 
-// settledGroup is the group of the i-th connection, which is at a server: a group has one server where there are at
-// least as many groups as servers, else a server has one group.
+// settledGroup returns the group of the i-th connection, which is on server at. With at least as many groups as
+// servers, each group is on one server; otherwise each server has one group.
 func settledGroup(i, at, servers, groups int) int {
 	if groups <= servers {
 		return at % groups
@@ -156,7 +156,7 @@
 	return at + servers*(i/servers%layers)
 }
 
-// placeFlow places and establishes one flow. It returns the server, and false where the flow was rejected or waits.
+// placeFlow places and establishes one flow. It returns the server, or false if the flow was rejected or waits.
 func (h *simulatedBalancer) placeFlow(id decide.FlowID, group decide.GroupKey) (decide.ServerID, bool) {
 	h.decider.SetTime(h.now)
 	h.decider.OnFlow(decide.FlowRequest{ID: id, Customer: decide.NoCustomer, Group: group, Timeout: connectTimeout})
@@ -174,7 +174,7 @@
 	h.decider.OnEnded(id, decide.OK, typicalSetup, true)
 }
 
-// settle advances by settlingPeriod, as if no timer had come due meanwhile.
+// settle advances the time to settlingPeriod without running timers; they are delayed by as much.
 func (h *simulatedBalancer) settle() {
 	h.now = settlingPeriod
 	h.decider.SetTime(h.now)
@@ -183,7 +183,7 @@
 	}
 }
 
-// advance advances virtual time; due timers fire in order.
+// advance advances virtual time and runs the timers that are due, in order.
 func (h *simulatedBalancer) advance(to time.Duration) {
 	for len(h.timers) > 0 && h.timers[0].at <= to {
 		t := heap.Pop(&h.timers).(timer)
@@ -195,7 +195,7 @@
 	h.decider.SetTime(h.now)
 }
 
-// What the decisions ask for; see decide.Actions.
+// The following methods implement decide.Actions.
 
 func (h *simulatedBalancer) Connect(f decide.FlowID, to decide.ServerID, _ time.Duration) {
 	h.connecting[f] = to
@@ -207,8 +207,8 @@
 	h.healthChecked = append(h.healthChecked, s)
 }
 func (h *simulatedBalancer) WatchEndpoints(bool) {}
-func (h *simulatedBalancer) SetTimer(mark decide.TimerID, in time.Duration) {
-	heap.Push(&h.timers, timer{h.now + in, mark})
+func (h *simulatedBalancer) SetTimer(id decide.TimerID, in time.Duration) {
+	heap.Push(&h.timers, timer{h.now + in, id})
 }
 
 // timer is a timer that the decisions set.
@@ -230,25 +230,25 @@
 	return x
 }
 
-// evaluationCounter counts the servers that decisions consider: they ask the other deciders for the cost of each.
+// evaluationCounter counts the servers that decisions evaluate: they ask their constraints for the cost of each.
 type evaluationCounter struct{ count int }
 
-func (l *evaluationCounter) ServerCost(decide.FlowID, decide.ServerID) (float64, bool) {
-	l.count++
+func (c *evaluationCounter) ServerCost(decide.FlowID, decide.ServerID) (float64, bool) {
+	c.count++
 	return 0, true
 }
-func (l *evaluationCounter) AdmitFlow(decide.FlowID) bool { return true }
-func (l *evaluationCounter) RetryAfter(_ decide.FlowID, suggested time.Duration) time.Duration {
+func (c *evaluationCounter) AdmitFlow(decide.FlowID) bool { return true }
+func (c *evaluationCounter) RetryAfter(_ decide.FlowID, suggested time.Duration) time.Duration {
 	return suggested
 }
-func (l *evaluationCounter) AllowMigration(decide.FlowID) bool { return true }
-func (l *evaluationCounter) MigrateFirst() []decide.FlowID     { return nil }
+func (c *evaluationCounter) AllowMigration(decide.FlowID) bool { return true }
+func (c *evaluationCounter) MigrateFirst() []decide.FlowID     { return nil }
 
-// countEvaluations counts the servers considered during a piece of work.
+// countEvaluations counts the servers that the decisions evaluate during work.
 func (h *simulatedBalancer) countEvaluations(work func()) int {
-	var l evaluationCounter
-	h.decider.SetConstraints(&l)
+	var counter evaluationCounter
+	h.decider.SetConstraints(&counter)
 	work()
 	h.decider.SetConstraints(nil)
-	return l.count
+	return counter.count
 }
--- a/internal/testbed/scale/sweep_topic.go
+++ b/internal/testbed/scale/sweep_topic.go
@@ -14,8 +14,8 @@
 	})
 }
 
-// listenersEach is each balancer's part of a topic with 3 million listeners.
-const listenersEach = 370
+// topicListenersPerBalancer is each balancer's part of a topic with 3 million listeners.
+const topicListenersPerBalancer = 370
 
 const topicGroup = decide.GroupKey("the topic")
 
@@ -63,7 +63,7 @@
 	for i := range s.Connections {
 		all[i%s.Servers]++
 	}
-	for i := range listenersEach {
+	for i := range topicListenersPerBalancer {
 		h.now += placementInterval
 		if at, established := h.placeFlow(flowName(firstFreeFlow+i), topicGroup); established {
 			all[at-1]++
