--- a/internal/testbed/scale/control_engine.go
+++ b/internal/testbed/scale/control_engine.go
@@ -35,15 +35,15 @@
 // exchange passes another member's full state to the engine. It returns the engine's answer, which is sent after the
 // state was applied.
 func (e *isolatedEngine) exchange(message []byte) ([]byte, error) {
-	here, there := net.Pipe()
-	e.streams <- there
+	local, remote := net.Pipe()
+	e.streams <- remote
 	written := make(chan error, 1)
 	go func() {
-		_, err := here.Write(message)
+		_, err := local.Write(message)
 		written <- err
 	}()
-	answer, err := io.ReadAll(here) // the engine closes its side once it has applied the message
-	return answer, errors.Join(err, <-written, here.Close())
+	answer, err := io.ReadAll(local) // the engine closes its side once it has applied the message
+	return answer, errors.Join(err, <-written, local.Close())
 }
 
 // joinedEngine returns an engine that has learned of all members in one exchange.
--- a/internal/testbed/scale/control_gossip.go
+++ b/internal/testbed/scale/control_gossip.go
@@ -41,7 +41,7 @@
 	newRecords                      float64 // received and not known before
 	states                          float64 // received messages about a member's state
 	reachedShare                    float64 // share of the other members that receive a record within signalLifetime
-	queued                          float64 // messages in a member's queue at the end
+	queued                          float64 // records in a member's queue at the end
 	joinerBytes                     float64 // sent by the first member
 }
 
--- a/internal/testbed/scale/control_members.go
+++ b/internal/testbed/scale/control_members.go
@@ -62,14 +62,14 @@
 		if err != nil {
 			return err
 		}
-		m.gossipPoints(size, reports, recordBytes, result)
+		m.addGossipPoints(size, reports, recordBytes, result)
 		m.recordsReceivedPerSecond = result.records
 	}
 	return nil
 }
 
-// gossipPoints adds the points of one run of the model.
-func (m *controlMeasurements) gossipPoints(size, reports, recordBytes int, r gossipResult) {
+// addGossipPoints adds the points of one run of the model.
+func (m *controlMeasurements) addGossipPoints(size, reports, recordBytes int, r gossipResult) {
 	suffix := fmt.Sprintf("-at-%d-sights", reports)
 	description := fmt.Sprintf(", records of %d observations (%d bytes)", reports, recordBytes)
 	point := func(name, quantity, unit string, value float64) {
--- a/internal/testbed/scale/control_push.go
+++ b/internal/testbed/scale/control_push.go
@@ -16,7 +16,7 @@
 	farBalancerDelay      = 75 * time.Millisecond   // to a balancer taken over from another control machine
 	lossDetection         = 2800 * time.Millisecond // until a balancer notices the loss of its control machine
 	reconnectSpread       = 800 * time.Millisecond  // over which internal/protocol spreads reconnects after a loss
-	fullListTimePerServer = 5 * time.Microsecond    // processor time of applying a full list
+	fullListTimePerServer = 5 * time.Microsecond    // processor time of applying a full list, per server of the list
 	changeTimePerServer   = 100 * time.Nanosecond   // processor time of applying one object with changes, per server of the list
 	startsPerDay          = 2300
 	requiredChangesPerDay = 17_000
--- a/internal/testbed/scale/control_wire.go
+++ b/internal/testbed/scale/control_wire.go
@@ -32,7 +32,7 @@
 	datagramHeaders   = 28
 	segmentHeaders    = 52
 	segmentBytes      = 1448
-	streamSegments    = 8 // segments of a stream besides its data: opening, acknowledgements, closing
+	streamSegments    = 8 // that a side sends on a stream besides its data: opening, acknowledgements, closing
 	checksumBytes     = 5
 	compoundHeader    = 2
 	compoundPerEntry  = 2
@@ -145,7 +145,7 @@
 }
 
 // streamBytes returns the bytes that a member sends for a message on a connection of its own, including the headers of
-// all segments.
+// the segments that it sends.
 func streamBytes(message int) int {
 	segments := streamSegments + (message+segmentBytes-1)/segmentBytes
 	return message + segments*segmentHeaders
--- a/internal/testbed/scale/fleet.go
+++ b/internal/testbed/scale/fleet.go
@@ -55,7 +55,7 @@
 type figures struct {
 	disconnected, migrated, rejected, aborted int
 	slowestSetup                              time.Duration      // from a flow's arrival until it is established
-	recoveryTimes                             []time.Duration    // of each disconnected client, from the fault until it is established again
+	recoveryTimes                             []time.Duration    // of disconnected clients, from the fault until established again
 	connectsSent                              map[connectKey]int // by balancer and second
 }
 
--- a/internal/testbed/scale/fleet_client.go
+++ b/internal/testbed/scale/fleet_client.go
@@ -62,7 +62,7 @@
 	return up[f.random.IntN(len(up))]
 }
 
-// onDisconnected runs when the connection ended without the client or a migration ending it.
+// onDisconnected runs when the client loses its connection other than by a migration, or its balancer stops.
 func (c *client) onDisconnected() {
 	c.fleet.figures.disconnected++
 	c.wasDisconnected = true
--- a/internal/testbed/scale/fleet_test.go
+++ b/internal/testbed/scale/fleet_test.go
@@ -68,8 +68,8 @@
 	}
 }
 
-// violatedRules runs a fleet in which announce changes the list for the invariant checker only, or for the balancers
-// only. It returns the violated rules.
+// violatedRules runs a fleet in which announce changes the list, and may do so differently for the invariant checker and
+// for the balancers. It returns the violated rules.
 func violatedRules(t *testing.T, announce func(*fleet)) map[invariants.Rule]bool {
 	t.Helper()
 	f := newFleet(smallFaults[0], smallFaults[0].Balancers, 1)
--- a/internal/testbed/scale/simulated_balancer.go
+++ b/internal/testbed/scale/simulated_balancer.go
@@ -43,7 +43,7 @@
 	connecting     map[decide.FlowID]decide.ServerID // connects in flight
 	migrated       []decide.FlowID                   // requested since the sweep last cleared them
 	rejected       int                               // number of flows rejected or aborted
-	migratedReturn bool                              // migrated flows return at the next tick
+	migratedReturn bool                              // migrated flows are placed again at the end of a tick
 	healthChecked  []decide.ServerID                 // requested so far
 }
 
--- a/internal/testbed/scale/sweep_list.go
+++ b/internal/testbed/scale/sweep_list.go
@@ -21,7 +21,7 @@
 	maxLists        = 100    // in a batch
 )
 
-// listSweep measures the server list: applying a full list, applying one change, and holding it.
+// listSweep measures the server list: applying a full list, applying one change, and the memory of a list.
 func listSweep(ctx context.Context, s Settings, progress Progress) ([]Series, []Check, error) {
 	newSeries := seriesFactory(s, "list", roleControl)
 	fullListTime := newSeries(seriesKind{
--- a/internal/testbed/scale/sweep_rechecks.go
+++ b/internal/testbed/scale/sweep_rechecks.go
@@ -92,7 +92,7 @@
 	return h
 }
 
-// tick advances by one tick; migrated flows may return after it.
+// tick advances by one tick. If migratedReturn is set, the flows that were asked to migrate are then placed again.
 func (h *simulatedBalancer) tick() {
 	h.advance(h.now + tickInterval)
 	if !h.migratedReturn {
