--- a/internal/testbed/scale/control_sweep_replaced.go
+++ b/internal/testbed/scale/control_sweep_replaced.go
@@ -8,14 +8,14 @@
 
 const secondsPerDay = 86400
 
-// replacedSweep measures a member against the number of members replaced in a day.
+// replacedSweep measures a member's traffic as a function of the members replaced in a day.
 func replacedSweep(ctx context.Context, s Settings, progress Progress) ([]Series, []Check, error) {
 	measurements := newControlMeasurements(s, roleMembership)
 	recordBytes, err := recordBytesOf(signals.MaxReports)
 	if err != nil {
 		return nil, nil, err
 	}
-	return measurements.overSizes(progress, func(size int) error {
+	return measurements.forEachSize(progress, func(size int) error {
 		run := gossipRun{
 			members:         s.Balancers,
 			recordBytes:     recordBytes,
@@ -27,7 +27,7 @@
 		if err != nil {
 			return err
 		}
-		exchange := streamBytes(len(exchangeMessage(s.Balancers)) + recordsBytes(s.Balancers, recordBytes))
+		exchange := streamBytes(len(exchangeMessage(s.Balancers)) + fullStateBytes(s.Balancers, recordBytes))
 		join := float64(exchange) * run.replaced / float64(s.Balancers)
 		measurements.add(seriesKind{
 			name: "bytes-out", unit: unitBytesSecond, origin: Simulated, counted: true,
@@ -53,21 +53,21 @@
 	})
 }
 
-// Gossip reduced to a balancer's budget: in groups of a zone or a region, with records of faulty servers only,
-// published less often while all are healthy, and with one packet at a time.
+// Reduced gossip that fits a balancer's budget: in groups of a zone or a region, with records of faulty servers only,
+// which are published less often while all servers are healthy, and with one packet at a time.
 const (
 	zonedIntervalMultiple = 4
 	zonedFanout           = 1
 )
 
-// zonedSweep simulates that gossip, which is not implemented, in groups of several sizes.
+// zonedSweep simulates the reduced gossip, which is not implemented, in groups of several sizes.
 func zonedSweep(ctx context.Context, s Settings, progress Progress) ([]Series, []Check, error) {
 	measurements := newControlMeasurements(s, roleMembership)
 	recordBytes, err := recordBytesOf(fewReports)
 	if err != nil {
 		return nil, nil, err
 	}
-	return measurements.overSizes(progress, func(size int) error {
+	return measurements.forEachSize(progress, func(size int) error {
 		result, err := simulateGossip(ctx, gossipRun{
 			members:          size,
 			recordBytes:      recordBytes,
@@ -78,7 +78,7 @@
 		if err != nil {
 			return err
 		}
-		exchange := exchangeBytesPerSecond(size, recordsBytes(size, recordBytes))
+		exchange := exchangeBytesPerSecond(size, fullStateBytes(size, recordBytes))
 		measurements.add(seriesKind{
 			name: "bytes-out", unit: unitBytesSecond, origin: Simulated, counted: true,
 			quantity: "sent by a member of a group, with reduced gossip: gossip, pings and exchanges",
--- a/internal/testbed/scale/sweep_list.go
+++ b/internal/testbed/scale/sweep_list.go
@@ -16,12 +16,12 @@
 }
 
 const (
-	listBatches = 5
-	listWork    = 50_000 // servers of all lists of a batch, approximately
-	maxLists    = 100
+	listBatches     = 5
+	serversPerBatch = 50_000 // approximate total over the lists of a batch
+	maxLists        = 100    // in a batch
 )
 
-// listSweep measures the server list: applying a full list, applying one change, and holding it.
+// listSweep measures the server list: applying a full list, applying one change, and the memory of a list.
 func listSweep(ctx context.Context, s Settings, progress Progress) ([]Series, []Check, error) {
 	newSeries := seriesFactory(s, "list", roleControl)
 	fullListTime := newSeries(seriesKind{
@@ -52,34 +52,34 @@
 		name: "routed-memory", unit: "bytes", origin: Measured, counted: true,
 		quantity: "live memory of routing and decisions that hold a list",
 	})
-	refused := ""
+	rejected := ""
 	for i, size := range s.Sizes {
 		if err := ctx.Err(); err != nil {
 			return nil, nil, err
 		}
 		servers := warmServers(size, s.Zones)
 		before := liveMemory()
-		h := newSimulatedBalancer(s.Seed, simulatedSettings{peers: peers})
-		h.list(decide.FullUpdate, servers)
+		h := newSimulatedBalancer(s.Seed, simulatedSettings{peers: defaultPeers})
+		h.updateList(decide.FullUpdate, servers)
 		memory.addPoint(size, float64(liveMemory()-before))
-		times := min(max(listWork/size, 1), maxLists)
-		fullListTime.addPoint(size, microseconds(measure(listBatches, times, func() { h.list(decide.FullUpdate, servers) }).processor))
-		changeCost := measure(listBatches, times, func() { h.list(decide.DeltaUpdate, servers[:1]) })
+		times := min(max(serversPerBatch/size, 1), maxLists)
+		fullListTime.addPoint(size, microseconds(measure(listBatches, times, func() { h.updateList(decide.FullUpdate, servers) }).processor))
+		changeCost := measure(listBatches, times, func() { h.updateList(decide.DeltaUpdate, servers[:1]) })
 		change.addPoint(size, microseconds(changeCost.processor))
 		objects.addPoint(size, changeCost.allocations)
 		runtime.KeepAlive(h)
 		//nolint:contextcheck // a cached list is applied before there is a context
-		if err := addParsed(parsed, garbage, routed, s.Seed, servers); err != nil {
-			refused = fmt.Sprintf("%d servers: %v", size, err)
+		if err := measureParsing(parsed, garbage, routed, s.Seed, servers); err != nil {
+			rejected = fmt.Sprintf("%d servers: %v", size, err)
 		}
 		progress(i+1, len(s.Sizes))
 	}
-	check := Check{Name: "discovery takes lists of every size", Held: refused == "", Detail: refused}
+	check := Check{Name: "discovery takes lists of every size", Held: rejected == "", Detail: rejected}
 	return []Series{*fullListTime, *change, *objects, *memory, *parsed, *garbage, *routed}, []Check{check}, nil
 }
 
-// addParsed measures a list from its text on.
-func addParsed(parsed, garbage, routed *Series, seed uint64, servers []server) error {
+// measureParsing measures parsing and applying a list, as discovery receives it.
+func measureParsing(parsed, garbage, routed *Series, seed uint64, servers []server) error {
 	text, err := listText(servers)
 	if err != nil {
 		return err
@@ -102,20 +102,20 @@
 	return failed
 }
 
-// newSimulatedRouter has the settings of a simulated balancer.
+// newSimulatedRouter returns a router with the settings of a simulated balancer.
 func newSimulatedRouter(seed uint64) *routing.Router {
 	return routing.New(routing.Config{
 		Seed:                 seed,
 		LatencyThreshold:     messageTarget,
 		ServersReportLatency: true,
 		Configure: func(b *decide.Balancer) (map[string]decide.ServiceID, map[string]decide.CustomerID) {
-			configureSimulatedBalancer(b, simulatedSettings{peers: peers})
+			configureSimulatedBalancer(b, simulatedSettings{peers: defaultPeers})
 			return map[string]decide.ServiceID{}, map[string]decide.CustomerID{}
 		},
 	})
 }
 
-// listText is a list as discovery writes it.
+// listText encodes a list as discovery does.
 func listText(servers []server) ([]byte, error) {
 	type member struct {
 		ID       string  `json:"id"`
