--- a/internal/testbed/count/count.go
+++ b/internal/testbed/count/count.go
@@ -8,20 +8,20 @@
 	"yardwinch/internal/simulation"
 )
 
-// Weights of the parts of service, and prices for each client.
+// Weights are the weights of the shares in the service figure, and the prices that are taken off it, each of an event per client.
 type Weights struct {
 	ServedShare, WorstWindow, WorstCustomer, WorstServiceType float64
 	Crossing, Migrations, Connects                            float64 // prices
 }
 
-// Sum of the weights, without the prices.
+// Sum returns the sum of the weights, without the prices.
 func (w Weights) Sum() float64 {
 	return w.ServedShare + w.WorstWindow + w.WorstCustomer + w.WorstServiceType
 }
 
 const windowSeconds = 10
 
-// Count fills in what accounting, totals and weights tell.
+// Count fills in the figures that follow from the accounting, the totals and the weights.
 func (r *Result) Count(accounting *simulation.Accounting, totals *simulation.Totals, services, customers int, weights Weights) {
 	sums := sumsOf(accounting, services, customers)
 	r.countShares(sums)
@@ -30,31 +30,31 @@
 	r.countService(weights)
 }
 
-// value is what was requested and what was served of it.
-type value struct{ requested, served float64 }
+// serviceValue is the requested value and the part of it that was served.
+type serviceValue struct{ requested, served float64 }
 
-func (v *value) add(requested, served float64) {
+func (v *serviceValue) add(requested, served float64) {
 	v.requested += requested
 	v.served += served
 }
 
-// share is what was served of the value; 1 where nothing was requested.
-func (v value) share() float64 {
+// share returns the served share, which is 1 if nothing was requested.
+func (v serviceValue) share() float64 {
 	if v.requested <= 0 {
 		return 1
 	}
 	return math.Min(1, v.served/v.requested)
 }
 
-// valueSums are the values of a day, summed in several ways.
+// valueSums holds the values of a day, summed by second, by service type and by customer.
 type valueSums struct {
-	bySecond      []value
-	byServiceType []value
-	byCustomer    []value // within their shares
+	bySecond      []serviceValue
+	byServiceType []serviceValue
+	byCustomer    []serviceValue // only requests within the customer's share
 }
 
 func sumsOf(a *simulation.Accounting, services, customers int) valueSums {
-	sums := valueSums{make([]value, len(a.Requested[0])), make([]value, services), make([]value, max(customers, 1))}
+	sums := valueSums{make([]serviceValue, len(a.Requested[0])), make([]serviceValue, services), make([]serviceValue, max(customers, 1))}
 	for row := range a.Requested {
 		service, customer, beyondShare := a.RowOf(row)
 		for second := range sums.bySecond {
@@ -69,14 +69,14 @@
 	return sums
 }
 
-func sumOf(values []value) (sum value) {
+func sumOf(values []serviceValue) (sum serviceValue) {
 	for _, v := range values {
 		sum.add(v.requested, v.served)
 	}
 	return sum
 }
 
-// countShares fills in the shares of the whole day, of its worst window, and of each second, service type and customer.
+// countShares fills in the served shares of the whole day, of its worst window, and by second, service type and customer.
 func (r *Result) countShares(sums valueSums) {
 	r.ServedShare = sumOf(sums.bySecond).share()
 	r.countWorstWindow(sums.bySecond)
@@ -85,7 +85,7 @@
 	r.BySecond, _ = sharesOf(sums.bySecond)
 }
 
-func sharesOf(values []value) (shares []float64, worst float64) {
+func sharesOf(values []serviceValue) (shares []float64, worst float64) {
 	worst = 1
 	for _, v := range values {
 		shares = append(shares, v.share())
@@ -94,8 +94,8 @@
 	return shares, worst
 }
 
-// countWorstWindow finds the first of the windows with the least share; a day that is shorter than one is one.
-func (r *Result) countWorstWindow(bySecond []value) {
+// countWorstWindow finds the window with the lowest share, the earliest if there are several. A day shorter than a window is one window.
+func (r *Result) countWorstWindow(bySecond []serviceValue) {
 	r.WorstWindow = math.Inf(1)
 	for start := 0; start+windowSeconds <= len(bySecond) || start == 0; start++ {
 		end := min(start+windowSeconds, len(bySecond))
@@ -109,13 +109,13 @@
 	for locality, requested := range a.RequestedByLocality {
 		shares := make([]float64, len(requested))
 		for second := range shares {
-			shares[second] = value{requested[second], a.ServedByLocality[locality][second]}.share()
+			shares[second] = serviceValue{requested[second], a.ServedByLocality[locality][second]}.share()
 		}
 		r.BySecondAndLocality = append(r.BySecondAndLocality, shares)
 	}
 }
 
-// countService weighs the shares and takes the prices off.
+// countService computes the weighted mean of the shares, less the prices.
 func (r *Result) countService(w Weights) {
 	shares := w.ServedShare*r.ServedShare + w.WorstWindow*r.WorstWindow +
 		w.WorstCustomer*r.WorstCustomer + w.WorstServiceType*r.WorstServiceType
--- a/internal/testbed/count/count_test.go
+++ b/internal/testbed/count/count_test.go
@@ -8,11 +8,11 @@
 	"yardwinch/internal/simulation"
 )
 
-func TestServiceIsServedOverRequestedValue(t *testing.T) {
+func TestCount(t *testing.T) {
 	accounting := simulation.NewAccounting(40*time.Second, 2, 2, 2, 0.5)
 	accounting.AddRequested(simulation.Account{}, 0, 40*time.Second, 1)
 	accounting.AddRequested(simulation.Account{Service: 1, Customer: 1}, 0, 40*time.Second, 3)
-	accounting.AddRequested(simulation.Account{Customer: 1, IsBeyondShare: true}, 0, 40*time.Second, 2) // counts half
+	accounting.AddRequested(simulation.Account{Customer: 1, IsBeyondShare: true}, 0, 40*time.Second, 2) // weighs half
 	accounting.AddServed(simulation.Account{}, 0, 40*time.Second, 1)
 	accounting.AddServed(simulation.Account{Service: 1, Customer: 1}, 5*time.Second, 25*time.Second, 3)
 	accounting.AddServed(simulation.Account{Customer: 1, IsBeyondShare: true}, 0, 20*time.Second, 2)
@@ -28,14 +28,14 @@
 		name      string
 		got, want float64
 	}{
-		{"of the day", r.ServedShare, (40 + 60 + 20) / 200.},
+		{"whole day", r.ServedShare, (40 + 60 + 20) / 200.},
 		{"worst 10 s", r.WorstWindow, 10 / 50.},
-		{"worst 10 s from", r.WorstWindowAt, 25},
+		{"start of the worst 10 s", r.WorstWindowAt, 25},
 		{"worst customer", r.WorstCustomer, 0.5},
 		{"worst service type", r.WorstServiceType, 0.5},
 		{"service", r.Service, 0.5*0.6 + 0.5*0.2 - 0.05},
 		{"p50", r.SetupTimes.P50, 10},
-		{"the longest", r.SetupTimes.Max, 30},
+		{"longest setup", r.SetupTimes.Max, 30},
 		{"second 26", r.BySecond[26], 0.2},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -53,7 +53,7 @@
 		t.Errorf("%.4f ± %.4f", mean, half)
 	}
 	if _, half := PairedDifference([]float64{1}, []float64{0}); !math.IsInf(half, 1) {
-		t.Errorf("one pair gives no interval, got %v", half)
+		t.Errorf("half width %v for one pair, want infinity", half)
 	}
 	if q := studentQuantile(2); math.Abs(q-4.303) > 0.01 {
 		t.Errorf("t(2) %v", q)
--- a/internal/testbed/count/result.go
+++ b/internal/testbed/count/result.go
@@ -1,22 +1,22 @@
-// Package count works out what a day's service comes to, from the world's accounting.
+// Package count computes the service figures of a simulated day from the world's accounting.
 package count
 
-// Result is one day under one policy, as programs read it. Keys say the unit of a time.
+// Result is the result of one day under one policy. JSON keys of times have the unit as a suffix.
 type Result struct {
 	Policy              string       `json:"policy"`
 	Seed                uint64       `json:"seed"`
-	Service             float64      `json:"service"`    // the weighted shares that the experiment asks for, less its prices
-	ServedShare         float64      `json:"whole"`      // value of served seconds over the value of all requested ones
-	WorstWindow         float64      `json:"worst_10s"`  // the same over the worst 10 s
-	WorstWindowAt       float64      `json:"worst_at_s"` // where that began
+	Service             float64      `json:"service"`    // weighted mean of the shares, less the prices, as the experiment sets them
+	ServedShare         float64      `json:"whole"`      // value of served seconds over the value of all requested seconds
+	WorstWindow         float64      `json:"worst_10s"`  // the same over the worst 10 s window
+	WorstWindowAt       float64      `json:"worst_at_s"` // start of that window
 	WorstCustomer       float64      `json:"worst_customer"`
 	WorstServiceType    float64      `json:"worst_service_type"`
 	ByServiceType       []float64    `json:"by_service_type"`
 	ByCustomer          []float64    `json:"by_customer"`
 	BySecond            []float64    `json:"by_second"`
-	BySecondAndLocality [][]float64  `json:"by_hall_second"` // the same by the clients' halls
-	SetupTimes          Quantiles    `json:"setup_ms"`
-	FirstSetupTimes     Quantiles    `json:"first_up_ms"` // from a client's arrival to its first connection, or to its end without one
+	BySecondAndLocality [][]float64  `json:"by_hall_second"` // the same by the clients' locality
+	SetupTimes          Quantiles    `json:"setup_ms"`       // from a client's attempt to its answer, over the established flows
+	FirstSetupTimes     Quantiles    `json:"first_up_ms"`    // from a client's arrival to its first connection, or to its end without one
 	NeverEstablished    int          `json:"never_up"`
 	Clients             int          `json:"clients"`
 	Attempts            int          `json:"tries"`
@@ -34,23 +34,23 @@
 	Broken              int          `json:"broken"`
 	Judged              int          `json:"flows_judged"`
 	Collapsed           int          `json:"servers_pushed_over"`
-	MaxSlowStartExcess  float64      `json:"most_pushed"` // onto a starting server over the rule's window, in times what it can bear
+	MaxSlowStartExcess  float64      `json:"most_pushed"` // highest load sent to a starting server over the slow start window, in multiples of its capacity, less the allowance for chance
 	Faults              []Fault      `json:"troubles"`
-	LoadByServer        [][]float64  `json:"load_by_server,omitempty"` // a row a server, a column a second: demand over capacity
+	LoadByServer        [][]float64  `json:"load_by_server,omitempty"` // demand over capacity, by server and second
 	RejectsBySecond     []int        `json:"rejects_by_second,omitempty"`
 	MigrationsBySecond  []int        `json:"moves_by_second,omitempty"`
 	ConnectsBySecond    []int        `json:"connects_by_second,omitempty"`
 	AttemptsBySecond    []int        `json:"tries_by_second,omitempty"`
 	SetupTimesBySecond  [][3]float64 `json:"setup_by_second_ms,omitempty"` // p50, p90, p99
-	Void                string       `json:"void,omitempty"`               // why the run says nothing
+	Void                string       `json:"void,omitempty"`               // why the run is void; empty if it counts
 }
 
-// Quantiles of the time from a client's attempt to its answer, over the flows that were established.
+// Quantiles are quantiles of times in milliseconds.
 type Quantiles struct {
 	P50, P90, P99, Max float64
 }
 
-// Fault is one entry of the timeline as it was drawn.
+// Fault is one entry of the timeline, as drawn.
 type Fault struct {
 	Kind  string  `json:"kind"`
 	Start float64 `json:"start_s"`
--- a/internal/testbed/count/statistics.go
+++ b/internal/testbed/count/statistics.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	longestTime        = time.Hour // in a histogram; more than any connect timeout
-	significantFigures = 3         // of a histogram
+	maxHistogramTime  = time.Hour // upper limit of histograms; longer than any connect timeout
+	significantDigits = 3         // of a histogram
 )
 
-// PerSecond counts times by their second; those outside of the seconds are left out.
+// PerSecond counts times by second. Times outside [0, seconds) are left out.
 func PerSecond(times []time.Duration, seconds int) []int {
 	counts := make([]int, seconds)
 	for _, t := range times {
@@ -24,23 +24,25 @@
 	return counts
 }
 
-// quantiles are in milliseconds; 0 where there are no times.
+// quantiles returns quantiles in milliseconds, 0 if there are no times.
 func quantiles(times []time.Duration) Quantiles {
-	const microsecondsEach = 1000
+	const microsecondsPerMillisecond = 1000
 	if len(times) == 0 {
 		return Quantiles{}
 	}
-	histogram := hdrhistogram.New(1, longestTime.Microseconds(), significantFigures)
+	histogram := hdrhistogram.New(1, maxHistogramTime.Microseconds(), significantDigits)
 	for _, t := range times {
-		_ = histogram.RecordValue(max(1, t.Microseconds())) // a time beyond the longest is left out
+		_ = histogram.RecordValue(max(1, t.Microseconds())) // fails for a time over the limit, which is left out
 	}
-	at := func(percent float64) float64 { return float64(histogram.ValueAtQuantile(percent)) / microsecondsEach }
-	longest := float64(slices.Max(times).Microseconds()) / microsecondsEach
+	at := func(percent float64) float64 {
+		return float64(histogram.ValueAtQuantile(percent)) / microsecondsPerMillisecond
+	}
+	longest := float64(slices.Max(times).Microseconds()) / microsecondsPerMillisecond
 	return Quantiles{P50: at(50), P90: at(90), P99: at(99), Max: longest}
 }
 
-// PairedDifference is the mean of a's figures less b's over the same seeds, and half of the width of its 95 % confidence interval.
-func PairedDifference(a, b []float64) (mean, half float64) {
+// PairedDifference returns the mean difference of a's and b's figures over the same seeds, and half the width of its 95 % confidence interval.
+func PairedDifference(a, b []float64) (mean, halfWidth float64) {
 	n := float64(len(a))
 	if n == 0 {
 		return 0, 0
@@ -59,8 +61,8 @@
 	return mean, studentQuantile(len(a)-1) * math.Sqrt(squares/(n-1)/n)
 }
 
-// studentQuantile is the 97.5 % quantile of Student's t, by the Cornish-Fisher expansion round the normal distribution's, which is too
-// coarse for one and two degrees of freedom.
+// studentQuantile returns the 97.5 % quantile of Student's t-distribution, by the Cornish-Fisher expansion around the normal quantile. For one
+// and two degrees of freedom, where the expansion is too inaccurate, it returns tabulated values.
 func studentQuantile(degreesOfFreedom int) float64 {
 	if exact := [...]float64{0, 12.706, 4.303}; degreesOfFreedom < len(exact) {
 		return exact[degreesOfFreedom]
@@ -70,7 +72,7 @@
 	return z + (z3+z)/(4*v) + (5*z5+16*z3+3*z)/(96*v*v) + (3*z7+19*z5+17*z3-15*z)/(384*v*v*v)
 }
 
-// Mean is a policy's mean over its days; counts of things are sums, and days how many they are over.
+// Mean returns the mean figures of a policy over its days, and the number of days. Counts of events are sums.
 func Mean(results []*Result, policy string) (m Result, days int) {
 	m.Policy = policy
 	for _, r := range results {
