--- a/internal/testbed/logs/count.go
+++ b/internal/testbed/logs/count.go
@@ -1,5 +1,5 @@
-// Package logs counts over all balancers, second by second, what their logs (`serve --verbose`) say one by one: load that is fine at each
-// balancer and too much together shows in no single log.
+// Package logs merges the logs of all balancers (`serve --verbose`) and counts their events by second. The merged counts show overload that no
+// single log shows, where the load is normal at each balancer and too high in total.
 package logs
 
 import (
@@ -12,15 +12,15 @@
 	"yardwinch/decide"
 )
 
-// Second is what happened in one second over all balancers, and the flows at its end.
+// Second holds the events of all balancers in one second, and the established flows at its end.
 type Second struct {
-	Events   map[string]int           // by what happened
-	Flows    map[string]int           // by server, at the end of the second
-	MaxDelay map[string]time.Duration // by server, of the latency samples of the second
+	Events   map[string]int           // number of events by name
+	Flows    map[string]int           // established flows by server, at the end of the second
+	MaxDelay map[string]time.Duration // by server, over the latency samples of the second
 }
 
-// Count merges the logs of a directory, one file *.log a balancer, and counts by second since the first line. Lines of another form are
-// passed over; skipped is their number.
+// Count merges the logs of a directory, one *.log file per balancer, and counts by second since the first line. Lines of another format are
+// skipped; skipped is their number.
 func Count(directory fs.FS) (seconds []Second, skipped int, err error) {
 	events, skipped, err := readEvents(directory)
 	if err != nil || len(events) == 0 {
@@ -36,18 +36,18 @@
 	return c.seconds, skipped, nil
 }
 
-// flowKey identifies a flow over all balancers, whose ids are their own.
+// flowKey identifies a flow among all balancers; flow ids are unique only within a balancer.
 type flowKey struct{ balancer, flow string }
 
 // counter counts events in the order of their times.
 type counter struct {
 	start    time.Time
 	seconds  []Second
-	serverOf map[flowKey]string // of the flows that are established
-	flows    map[string]int     // of those, by server
+	serverOf map[flowKey]string // by established flow
+	flows    map[string]int     // number of established flows by server
 }
 
-// advance begins seconds up to that of a time.
+// advance appends seconds up to the one that contains at.
 func (c *counter) advance(at time.Time) {
 	for second := int(at.Sub(c.start) / time.Second); len(c.seconds) <= second; {
 		c.endSecond()
@@ -78,7 +78,7 @@
 		phase := e.fields["phase"]
 		name += " " + phase
 		if phase == "loading" {
-			c.endFlowsOf(e.balancer) // it has started anew
+			c.endFlowsOfBalancer(e.balancer) // the balancer has restarted
 		}
 	case latencySampled:
 		if delay, ok := e.milliseconds("delay_ms"); ok {
@@ -88,14 +88,14 @@
 	second.Events[name]++
 }
 
-// describeOutcome says how an attempt to connect, or an established flow, ended.
+// describeOutcome returns how an attempt, or an established flow, ended.
 func describeOutcome(e event) (string, bool) {
 	outcome, ok := outcomeName(e.fields["outcome"])
-	ofWhat := map[string]string{"true": "flow ", "false": "connect "}[e.fields["established"]]
-	return ofWhat + outcome, ok
+	prefix := map[string]string{"true": "flow ", "false": "connect "}[e.fields["established"]]
+	return prefix + outcome, ok
 }
 
-// outcomeName is an outcome's name as this build logs it. Earlier builds logged its number.
+// outcomeName returns the name of a logged outcome. Earlier builds logged its number.
 func outcomeName(logged string) (name string, ok bool) {
 	number, err := strconv.Atoi(logged)
 	for outcome := decide.OK; outcome <= decide.NeverSent; outcome++ {
@@ -113,7 +113,7 @@
 	}
 }
 
-func (c *counter) endFlowsOf(balancer string) {
+func (c *counter) endFlowsOfBalancer(balancer string) {
 	for flow := range c.serverOf {
 		if flow.balancer == balancer {
 			c.endFlow(flow)
--- a/internal/testbed/logs/event.go
+++ b/internal/testbed/logs/event.go
@@ -19,11 +19,11 @@
 type event struct {
 	at       time.Time
 	balancer string
-	text     string            // of the message, as this build logs it
+	text     string            // the message, as this build logs it
 	fields   map[string]string // by key, as this build logs them
 }
 
-// Events that are more than counted.
+// Events that the counter evaluates beyond counting them.
 const (
 	phaseChanged    = "phase changed"
 	flowEstablished = "flow established"
@@ -31,11 +31,11 @@
 	latencySampled  = "latency sampled"
 )
 
-// eventNames maps the events of earlier builds, whose logs are still read, to those of this build. Counts are printed under the former
-// texts, so that those of both builds can be compared.
+// eventNames maps the messages of earlier builds, whose logs can still be read, to those of this build. Counts are printed under the former
+// messages, so that counts of both builds can be compared.
 var eventNames = []struct {
 	former, text string
-	keys         map[string]string // former to present, where they differ
+	keys         map[string]string // former to present keys, where they differ
 }{
 	{former: "phase", text: phaseChanged, keys: map[string]string{"is": "phase"}},
 	{former: "up", text: flowEstablished},
@@ -80,7 +80,7 @@
 	{former: "connections handed over", text: "connections handed over", keys: map[string]string{"number": "connections"}},
 }
 
-// label is the text under which an event is counted.
+// label returns the name under which an event is counted.
 func label(text string) string {
 	for _, name := range eventNames {
 		if name.text == text {
@@ -90,7 +90,7 @@
 	return text
 }
 
-// translate turns an event of an earlier build into one of this build. One of this build stays as it is.
+// translate converts an event of an earlier build to this build's message and keys. Events of this build are left unchanged.
 func (e *event) translate() {
 	for _, name := range eventNames {
 		if name.former != e.text {
@@ -100,15 +100,15 @@
 		for former, present := range name.keys {
 			if value, ok := e.fields[former]; ok {
 				delete(e.fields, former)
-				e.fields[present] = inUnitOf(present, value)
+				e.fields[present] = convertUnit(present, value)
 			}
 		}
 		return
 	}
 }
 
-// inUnitOf turns a duration of an earlier build, such as 1.5s, into the number that the key stands for. Other values stay as they are.
-func inUnitOf(key, value string) string {
+// convertUnit converts a duration of an earlier build, such as 1.5s, to milliseconds if the key ends in _ms. Other values are returned unchanged.
+func convertUnit(key, value string) string {
 	if !strings.HasSuffix(key, "_ms") {
 		return value
 	}
@@ -119,48 +119,48 @@
 	return strconv.FormatFloat(duration.Seconds()*1000, 'f', -1, 64)
 }
 
-// milliseconds is the duration in a field; ok: there is one.
+// milliseconds returns the duration in a field of milliseconds; ok is false if the field is missing or not a number.
 func (e *event) milliseconds(key string) (duration time.Duration, ok bool) {
 	number, err := strconv.ParseFloat(e.fields[key], 64)
 	return time.Duration(number * float64(time.Millisecond)), err == nil
 }
 
-var field = regexp.MustCompile(`([a-z_]+)=("(?:[^"\\]|\\.)*"|\S+)`)
+var fieldPattern = regexp.MustCompile(`([a-z_]+)=("(?:[^"\\]|\\.)*"|\S+)`)
 
-var errForm = errors.New("a line of another form")
+var errUnknownFormat = errors.New("unknown line format")
 
-// parseLine reads one line of a balancer's log.
+// parseLine parses one line of a balancer's log.
 func parseLine(balancer, line string) (event, error) {
 	e := event{balancer: balancer, fields: map[string]string{}}
-	for _, match := range field.FindAllStringSubmatch(line, -1) {
+	for _, match := range fieldPattern.FindAllStringSubmatch(line, -1) {
 		e.fields[match[1]] = strings.Trim(match[2], `"`)
 	}
 	e.text = e.fields["msg"]
 	at, err := time.Parse(time.RFC3339, e.fields["time"])
 	if err != nil || e.text == "" {
-		return event{}, errForm
+		return event{}, errUnknownFormat
 	}
 	e.at = at
 	e.translate()
 	return e, nil
 }
 
-// readEvents reads the logs of a directory, one file a balancer. Lines of another form are counted in skipped.
+// readEvents reads the logs of a directory, one file per balancer. Lines of another format are counted in skipped.
 func readEvents(directory fs.FS) (events []event, skipped int, err error) {
 	names, err := fs.Glob(directory, "*.log")
 	if err != nil {
 		return nil, 0, err
 	}
 	if len(names) == 0 {
-		return nil, 0, errors.New("no file *.log in the folder")
+		return nil, 0, errors.New("no *.log files in the directory")
 	}
 	for _, name := range names {
-		read, skippedHere, err := readLog(directory, name)
+		read, skippedLines, err := readLog(directory, name)
 		if err != nil {
 			return nil, 0, fmt.Errorf("logs: %s: %w", name, err)
 		}
 		events = append(events, read...)
-		skipped += skippedHere
+		skipped += skippedLines
 	}
 	return events, skipped, nil
 }
@@ -170,7 +170,7 @@
 	if err != nil {
 		return nil, 0, err
 	}
-	defer func() { _ = file.Close() }() // it was only read
+	defer func() { _ = file.Close() }() // read only
 	balancer := strings.TrimSuffix(path.Base(name), ".log")
 	lines := bufio.NewScanner(file)
 	lines.Buffer(nil, maxLineBytes)
--- a/internal/testbed/logs/logs_test.go
+++ b/internal/testbed/logs/logs_test.go
@@ -6,7 +6,7 @@
 	"testing/fstest"
 )
 
-// logLine is a line of a log, at a second of its minute.
+// logLine returns a line of a log, at a second of the minute.
 func logLine(second, attributes string) string {
 	return "0.1 time=2026-01-01T00:00:" + second + "Z level=DEBUG " + attributes + "\n"
 }
@@ -69,18 +69,18 @@
 	}
 }
 
-func TestCountWithoutLogs(t *testing.T) {
+func TestCountWithoutLogsFails(t *testing.T) {
 	if _, _, err := Count(fstest.MapFS{}); err == nil {
-		t.Error("a directory without logs is no error")
+		t.Error("no error for a directory without logs")
 	}
 }
 
-// Each event of an earlier build is one of this build, and is counted under its former text whichever build logged it.
+// Each event of an earlier build maps to one event of this build, and is counted under its former message whichever build logged it.
 func TestEventNamesAreUnambiguous(t *testing.T) {
 	former, present := map[string]bool{}, map[string]bool{}
 	for _, name := range eventNames {
 		if former[name.former] || present[name.text] {
-			t.Errorf("%q or %q stands twice", name.former, name.text)
+			t.Errorf("%q or %q occurs twice", name.former, name.text)
 		}
 		former[name.former], present[name.text] = true, true
 		e := event{text: name.former}
--- a/internal/testbed/logs/print.go
+++ b/internal/testbed/logs/print.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Print writes two lines a second: the events, and the flows by server.
+// Print writes two lines for each second: the events, and the established flows by server.
 func Print(output io.Writer, seconds []Second) error {
 	for i, second := range seconds {
 		flows, total := second.describeFlows()
@@ -29,7 +29,7 @@
 	return strings.Join(events, ", ")
 }
 
-// describeFlows also gives the flows of all servers.
+// describeFlows lists the flows and the latency by server, and returns the total of the flows.
 func (s Second) describeFlows() (text string, total int) {
 	var servers []string
 	for _, server := range slices.Sorted(maps.Keys(s.Flows)) {
