--- a/internal/testbed/fleet/build.go
+++ b/internal/testbed/fleet/build.go
@@ -17,12 +17,12 @@
 	sourceFileMode = 0o644
 )
 
-// Build builds the daemon of an earlier revision of the repository that holds dir, and keeps it in the user's cache: an old build is to run
-// beside the new one. Its error is an *Error.
+// Build builds the daemon at an earlier revision of the repository that contains dir, for runs that mix an old and a new build. Programs are
+// cached by commit in the user's cache directory. The error is an *Error.
 func Build(ctx context.Context, dir, revision string) (program string, err error) {
 	b := &revisionBuild{revision: revision}
 	if b.commit, err = git(ctx, dir, "rev-parse", "--verify", "--quiet", revision+"^{commit}"); err != nil {
-		return "", b.fail("git does not know it", err)
+		return "", b.newError("unknown revision", err)
 	}
 	b.directory = filepath.Join(cacheDirectory(), "yardwinch-builds", b.commit)
 	program = filepath.Join(b.directory, "yardwinch")
@@ -30,18 +30,18 @@
 		return program, nil
 	}
 	if b.repository, err = git(ctx, dir, "rev-parse", "--show-toplevel"); err != nil {
-		return "", b.fail("no repository", err)
+		return "", b.newError("not in a git repository", err)
 	}
 	if err := os.MkdirAll(b.directory, sourceDirMode); err != nil {
-		return "", b.fail("no place for it", err)
+		return "", b.newError("cannot create the build directory", err)
 	}
 	return program, b.build(ctx, program)
 }
 
-// git is the output of a git command.
+// git runs a git command in dir and returns its trimmed output.
 func git(ctx context.Context, dir string, arguments ...string) (string, error) {
-	text, err := exec.CommandContext(ctx, "git", append([]string{"-C", dir}, arguments...)...).Output()
-	return strings.TrimSpace(string(text)), err
+	output, err := exec.CommandContext(ctx, "git", append([]string{"-C", dir}, arguments...)...).Output()
+	return strings.TrimSpace(string(output)), err
 }
 
 func cacheDirectory() string {
@@ -58,33 +58,33 @@
 	repository, directory string
 }
 
-func (b *revisionBuild) fail(what string, err error) error {
+func (b *revisionBuild) newError(what string, err error) error {
 	return &Error{
 		Where:  "old build " + b.revision,
 		What:   what,
-		Remedy: "check that git knows the revision here, or name a program with --old",
+		Remedy: "check that the revision exists in this repository, or pass a program with --old",
 		Err:    err,
 	}
 }
 
-// build builds the program from an archive of the revision. The program takes its place when it is complete.
+// build builds the program from an archive of the revision, under a temporary name, and renames it when it is complete.
 func (b *revisionBuild) build(ctx context.Context, program string) error {
 	source, err := os.MkdirTemp(b.directory, "src")
 	if err != nil {
-		return b.fail("no place for it", err)
+		return b.newError("cannot create a source directory", err)
 	}
-	defer func() { _ = os.RemoveAll(source) }() // what is left of it lies in the directory of builds, and harms nobody
+	defer func() { _ = os.RemoveAll(source) }() // leftovers stay in the build cache and are harmless
 	if err := b.unpackSource(ctx, source); err != nil {
 		return err
 	}
-	built := program + fmt.Sprintf(".%d", os.Getpid())
-	command := exec.CommandContext(ctx, "go", "build", "-ldflags=-linkmode=external", "-o", built, "./cmd/yardwinch")
+	temporary := program + fmt.Sprintf(".%d", os.Getpid())
+	command := exec.CommandContext(ctx, "go", "build", "-ldflags=-linkmode=external", "-o", temporary, "./cmd/yardwinch")
 	command.Dir, command.Env = source, append(os.Environ(), "CGO_ENABLED=1")
-	if text, err := command.CombinedOutput(); err != nil {
-		return b.fail("building: "+strings.TrimSpace(string(text)), err)
+	if output, err := command.CombinedOutput(); err != nil {
+		return b.newError("go build failed: "+strings.TrimSpace(string(output)), err)
 	}
-	if err := os.Rename(built, program); err != nil {
-		return b.fail("keeping it", err)
+	if err := os.Rename(temporary, program); err != nil {
+		return b.newError("cannot rename the program", err)
 	}
 	return nil
 }
@@ -96,21 +96,21 @@
 		err = archive.Start()
 	}
 	if err != nil {
-		return b.fail("git gives no archive", err)
+		return b.newError("git archive failed", err)
 	}
 	if err := errors.Join(unpack(out, to), archive.Wait()); err != nil {
-		return b.fail("unpacking", err)
+		return b.newError("cannot unpack the source", err)
 	}
 	return nil
 }
 
-// unpack unpacks directories and regular files of a tar archive.
+// unpack extracts the directories and regular files of a tar archive.
 func unpack(archive io.Reader, to string) error {
 	entries := tar.NewReader(archive)
 	for {
 		header, err := entries.Next()
 		if errors.Is(err, io.EOF) {
-			_, err = io.Copy(io.Discard, archive) // the padding, or git would wait
+			_, err = io.Copy(io.Discard, archive) // reads the padding, without which git would block on the pipe
 			return err
 		}
 		if err != nil {
@@ -132,7 +132,7 @@
 	}
 }
 
-func unpackFile(text io.Reader, path string) error {
+func unpackFile(content io.Reader, path string) error {
 	if err := os.MkdirAll(filepath.Dir(path), sourceDirMode); err != nil {
 		return err
 	}
@@ -140,6 +140,6 @@
 	if err != nil {
 		return err
 	}
-	_, err = io.Copy(file, text)
+	_, err = io.Copy(file, content)
 	return errors.Join(err, file.Close())
 }
--- a/internal/testbed/fleet/call.go
+++ b/internal/testbed/fleet/call.go
@@ -14,54 +14,54 @@
 )
 
 const (
-	callTimeout    = time.Second
-	maxAnswerBytes = 1024
+	callTimeout      = time.Second
+	maxResponseBytes = 1024
 )
 
-// startCall has the operator call a balancer over the operator's path, beside the driver's mutex.
+// startCall sends an operator's call to a balancer over the operator's network path, without holding the driver's mutex.
 func (r *fleetRun) startCall(p *process, f startedFault) {
 	r.workers.Go(func() {
-		answer := r.call(p, f)
+		response := r.call(p, f)
 		r.driver.Do(func() {
-			r.record(p.name, "%s answered %s", f.path, answer.text)
+			r.record(p.name, "%s answered %s", f.path, response.text)
 			if f.name != "" {
-				r.callAnswers[f.name] = append(r.callAnswers[f.name], answer)
+				r.callResponses[f.name] = append(r.callResponses[f.name], response)
 			}
 		})
 	})
 }
 
-func (r *fleetRun) call(p *process, f startedFault) callAnswer {
+func (r *fleetRun) call(p *process, f startedFault) callResponse {
 	ctx, cancel := context.WithTimeout(r.ctx, callTimeout)
 	defer cancel()
-	request, err := http.NewRequestWithContext(ctx, f.method, "http://"+p.control+f.path, nil)
+	request, err := http.NewRequestWithContext(ctx, f.method, "http://"+p.controlAddress+f.path, nil)
 	if err != nil {
-		return callAnswer{balancer: p.name, text: err.Error()}
+		return callResponse{balancer: p.name, text: err.Error()}
 	}
 	response, err := r.operatorTransport(p).RoundTrip(request)
 	if err != nil {
-		return callAnswer{balancer: p.name, text: err.Error()}
+		return callResponse{balancer: p.name, text: err.Error()}
 	}
-	text, _ := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes)) // the code says yes or no, whatever can be read
+	text, _ := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes)) // the status code decides; the text is only reported
 	_ = response.Body.Close()
-	return callAnswer{
-		balancer: p.name,
-		isYes:    response.StatusCode/100 == 2,
-		text:     fmt.Sprintf("%d %s", response.StatusCode, strings.TrimSpace(string(text))),
+	return callResponse{
+		balancer:  p.name,
+		isSuccess: response.StatusCode/100 == 2,
+		text:      fmt.Sprintf("%d %s", response.StatusCode, strings.TrimSpace(string(text))),
 	}
 }
 
-// operatorTransport connects to a balancer's control address over the operator's path to it.
+// operatorTransport connects to a balancer's control address over the network path between the operator and the balancer.
 func (r *fleetRun) operatorTransport(p *process) *http.Transport {
 	return &http.Transport{DisableKeepAlives: true, DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
-		far, err := (&net.Dialer{}).DialContext(ctx, "tcp", p.control)
+		balancerConn, err := (&net.Dialer{}).DialContext(ctx, "tcp", p.controlAddress)
 		if err != nil {
 			return nil, err
 		}
-		forwarded, ours := netfault.Pipe()
+		forwarded, operatorConn := netfault.Pipe()
 		r.workers.Go(func() {
-			r.network.Forward(sockets.Operator, netfault.Endpoint(p.name), forwarded, far, netfault.Tap{})
+			r.network.Forward(sockets.Operator, netfault.Endpoint(p.name), forwarded, balancerConn, netfault.Tap{})
 		})
-		return ours, nil
+		return operatorConn, nil
 	}}
 }
--- a/internal/testbed/fleet/check.go
+++ b/internal/testbed/fleet/check.go
@@ -9,20 +9,21 @@
 	"yardwinch/internal/testbed/invariants"
 )
 
-const faultyAfter = 500 * time.Millisecond // servers with faults are those that have them so long after a requirement's beginning
+// faultyServersDelay is the time from the start of a requirement's period to the moment that decides which servers count as faulty.
+const faultyServersDelay = 500 * time.Millisecond
 
-// check is one requirement that is held against a run.
+// check evaluates one requirement against a run.
 type check struct {
 	requirement
 	run       *fleetRun
 	result    *Result
-	balancers []string // resolved
-	members   []string // resolved
+	balancers []string // resolved names
+	members   []string // resolved names
 	from, to  time.Duration
 	verdict   Verdict
 }
 
-// checks by the kind of requirement.
+// checks maps each kind of requirement to its check.
 var checks = map[requirementKind]func(*check){
 	requireLeftOut:          (*check).checkFront,
 	requireTakenBack:        (*check).checkFront,
@@ -31,7 +32,7 @@
 	requireAvoids:           (*check).checkConnects,
 	requireEstablished:      (*check).checkEstablished,
 	requireNeverEstablished: (*check).checkNeverEstablished,
-	requireAnswered:         (*check).checkAnswers,
+	requireAnswered:         (*check).checkCallResponses,
 	requireHealthChecks:     (*check).checkHealthChecks,
 	requireHealthChecked:    (*check).checkHealthChecked,
 	requireSees:             (*check).checkMembers,
@@ -40,21 +41,21 @@
 	requireCosts:            (*check).checkCosts,
 }
 
-// check tells whether a requirement held.
+// check returns the verdict on a requirement.
 func (r *fleetRun) check(q requirement, result *Result) Verdict {
 	c := &check{requirement: q, run: r, result: result, verdict: Verdict{Requirement: q.String(), Holds: true}}
-	base := time.Duration(0)
+	start := time.Duration(0)
 	if q.after != "" {
 		at, happened := r.faultTimes[q.after]
 		if !happened {
-			c.note(fmt.Sprintf("the fault %q never came", q.after), false)
+			c.observe(fmt.Sprintf("the fault %q never came", q.after), false)
 			return c.verdict
 		}
-		base = at
+		start = at
 	}
-	c.from, c.to = base+q.from, r.world.Accounting.Length
+	c.from, c.to = start+q.from, r.world.Accounting.Length
 	if q.to > 0 {
-		c.to = base + q.to
+		c.to = start + q.to
 	}
 	c.balancers = r.names.resolve(q.balancers, nil)
 	if q.kind == requireSees || q.kind == requireKeeps {
@@ -64,10 +65,11 @@
 	return c.verdict
 }
 
-// note adds what was seen. The first that does not hold is shown, or else the first of all.
-func (c *check) note(seen string, holds bool) {
+// observe adds an observation to the verdict, which reports the first observation that fails the requirement, or the first of all if none
+// does.
+func (c *check) observe(observation string, holds bool) {
 	if c.verdict.Seen == "" || c.verdict.Holds && !holds {
-		c.verdict.Seen = seen
+		c.verdict.Seen = observation
 	}
 	c.verdict.Holds = c.verdict.Holds && holds
 }
@@ -77,11 +79,12 @@
 func (c *check) checkFront() {
 	for _, name := range c.balancers {
 		delay, ok := c.frontDelay(name)
-		c.note(fmt.Sprintf("%s after %v", name, delay.Round(time.Millisecond)), ok)
+		c.observe(fmt.Sprintf("%s after %v", name, delay.Round(time.Millisecond)), ok)
 	}
 }
 
-// frontDelay is how long after the beginning the front left a balancer out, or took it back.
+// frontDelay returns how long after the start of the period the front left a balancer out, or took it back, and whether that is within the
+// limit.
 func (c *check) frontDelay(balancer string) (delay time.Duration, ok bool) {
 	for _, span := range c.run.leftOutSpans[balancer] {
 		at := span.From
@@ -95,21 +98,21 @@
 	return c.run.world.Accounting.Length - c.from, false
 }
 
-// eachBalancer counts events of each balancer, and notes whether their number is right.
-func (c *check) eachBalancer(counts func(invariants.Event) bool, isRight func(float64) bool) {
+// checkEventCounts counts the matching events of each balancer and checks each count.
+func (c *check) checkEventCounts(matches func(invariants.Event) bool, isAllowed func(float64) bool) {
 	for _, name := range c.balancers {
 		b, ok := balancerOf(name)
 		if !ok {
-			c.note(name+" is no balancer", false)
+			c.observe(name+" is no balancer", false)
 			continue
 		}
 		count := 0
 		for _, e := range c.run.events {
-			if c.isWithin(e.At) && e.Balancer == invariants.Balancer(b) && counts(e) {
+			if c.isWithin(e.At) && e.Balancer == invariants.Balancer(b) && matches(e) {
 				count++
 			}
 		}
-		c.note(fmt.Sprintf("%s: %d", name, count), isRight(float64(count)))
+		c.observe(fmt.Sprintf("%s: %d", name, count), isAllowed(float64(count)))
 	}
 }
 
@@ -118,7 +121,7 @@
 }
 
 func (c *check) checkServes() {
-	c.eachBalancer(isEstablished, func(count float64) bool { return count >= c.atLeast })
+	c.checkEventCounts(isEstablished, func(count float64) bool { return count >= c.atLeast })
 }
 
 func (c *check) checkConnects() {
@@ -126,17 +129,17 @@
 	for _, s := range c.resolveServers() {
 		servers[s] = true
 	}
-	isRight := func(count float64) bool { return count >= c.atLeast }
+	isAllowed := func(count float64) bool { return count >= c.atLeast }
 	if c.kind == requireAvoids {
-		isRight = func(count float64) bool { return count <= c.atMost }
+		isAllowed = func(count float64) bool { return count <= c.atMost }
 	}
-	c.eachBalancer(func(e invariants.Event) bool { return e.Kind == invariants.ConnectSent && servers[int(e.Server)] }, isRight)
+	c.checkEventCounts(func(e invariants.Event) bool { return e.Kind == invariants.ConnectSent && servers[int(e.Server)] }, isAllowed)
 }
 
-// resolveServers resolves names of servers. Those with faults are the ones that had them just after the beginning.
+// resolveServers resolves the names of servers. Faulty servers are those with a fault shortly after the start of the period.
 func (c *check) resolveServers() (numbers []int) {
 	names := *c.run.names
-	names.faultyServers = func() []int { return c.run.faultyAt(c.from + faultyAfter) }
+	names.faultyServers = func() []int { return c.run.faultyAt(c.from + faultyServersDelay) }
 	for _, name := range names.resolve(c.servers, nil) {
 		if s, ok := serverOf(name); ok {
 			numbers = append(numbers, int(s))
@@ -145,7 +148,7 @@
 	return numbers
 }
 
-// faultyAt are the servers that had faults at a time.
+// faultyAt returns the servers that had faults at a time.
 func (r *fleetRun) faultyAt(at time.Duration) (faulty []int) {
 	for i := range r.world.Servers {
 		for _, span := range r.faultySpans[i] {
@@ -167,22 +170,22 @@
 		}
 	}
 	share := float64(count) / float64(max(len(accepted), 1))
-	c.note(fmt.Sprintf("%.3f of %d flows", share, len(accepted)), len(accepted) > 0 && share >= c.atLeast)
+	c.observe(fmt.Sprintf("%.3f of %d flows", share, len(accepted)), len(accepted) > 0 && share >= c.atLeast)
 }
 
 func (c *check) checkNeverEstablished() {
 	figures := c.result.Figures
 	share := float64(figures.NeverEstablished) / float64(max(figures.Clients, 1))
-	c.note(fmt.Sprintf("%.4f of %d clients", share, figures.Clients), share <= c.atMost)
+	c.observe(fmt.Sprintf("%.4f of %d clients", share, figures.Clients), share <= c.atMost)
 }
 
-func (c *check) checkAnswers() {
-	answers := c.run.callAnswers[c.after]
-	if len(answers) == 0 {
-		c.note("no call was answered by the end", false)
+func (c *check) checkCallResponses() {
+	responses := c.run.callResponses[c.after]
+	if len(responses) == 0 {
+		c.observe("no call was answered by the end", false)
 	}
-	for _, answer := range answers {
-		c.note(answer.balancer+": "+answer.text, answer.isYes == c.wantYes)
+	for _, response := range responses {
+		c.observe(response.balancer+": "+response.text, response.isSuccess == c.wantSuccess)
 	}
 }
 
@@ -195,17 +198,17 @@
 			}
 		}
 	}
-	c.note(fmt.Sprint(count), count >= c.atLeast && (c.atMost == 0 || count <= c.atMost))
+	c.observe(fmt.Sprint(count), count >= c.atLeast && (c.atMost == 0 || count <= c.atMost))
 }
 
 func (c *check) checkHealthChecked() {
 	for _, server := range c.resolveServers() {
 		gap := c.longestGap(c.run.driver.Tally.HealthChecksAt[simulation.ServerID(server)])
-		c.note(fmt.Sprintf("%s: %v without", serverName(server), gap.Round(time.Millisecond)), gap <= c.within)
+		c.observe(fmt.Sprintf("%s: %v without", serverName(server), gap.Round(time.Millisecond)), gap <= c.within)
 	}
 }
 
-// longestGap between times, from the beginning to the end.
+// longestGap returns the longest gap between times within the period, whose start and end count as times.
 func (c *check) longestGap(times []time.Duration) (gap time.Duration) {
 	last := c.from
 	for _, at := range append(slices.Clone(times), c.to) {
@@ -219,7 +222,7 @@
 func (c *check) checkDescriptors() {
 	for _, name := range c.balancers {
 		if count, known := c.run.descriptors[name]; known {
-			c.note(fmt.Sprintf("%s: %d", name, count), float64(count) <= c.atMost)
+			c.observe(fmt.Sprintf("%s: %d", name, count), float64(count) <= c.atMost)
 		}
 	}
 }
@@ -229,5 +232,5 @@
 	for _, p := range c.result.Processes {
 		sum += p.Cost.Cut + p.Cost.Unanswered + p.Cost.Expired + p.Cost.SentLate
 	}
-	c.note(fmt.Sprint(sum), float64(sum) <= c.atMost)
+	c.observe(fmt.Sprint(sum), float64(sum) <= c.atMost)
 }
--- a/internal/testbed/fleet/fault.go
+++ b/internal/testbed/fleet/fault.go
@@ -11,25 +11,25 @@
 	"yardwinch/internal/testbed/netfault"
 )
 
-// faultKind is what goes wrong, in the word of plan files.
+// faultKind is a kind of fault, as plan files name it.
 type faultKind string
 
-// Kinds of faults. Targets are `who` in plan files, peers `to`, and the length `for`.
+// Kinds of faults. In plan files, targets are `who`, peers are `to`, and the length is `for`.
 const (
-	faultKill              faultKind = "kill"             // SIGKILL; started again after the length
+	faultKill              faultKind = "kill"             // SIGKILL; restarted after the length
 	faultFreeze            faultKind = "freeze"           // SIGSTOP for the length
-	faultTerminate         faultKind = "term"             // SIGTERM; started again the length after its end
-	faultStart             faultKind = "start"            // of one that was killed for good
-	faultStarve            faultKind = "starve"           // a quarter of a core for the length
-	faultDirectoryFull     faultKind = "folder-full"      // the files of its directory can't grow for the length
-	faultDirectoryReadOnly faultKind = "folder-read-only" // nothing new can be written to its directory for the length
+	faultTerminate         faultKind = "term"             // SIGTERM; restarted the length after the process ends
+	faultStart             faultKind = "start"            // start of a process that was killed without a restart
+	faultStarve            faultKind = "starve"           // the process gets a quarter of a core for the length
+	faultDirectoryFull     faultKind = "folder-full"      // the files of the process's directory can't grow for the length
+	faultDirectoryReadOnly faultKind = "folder-read-only" // no file can be created in the process's directory for the length
 	faultPath              faultKind = "link"             // the paths between targets and peers have the fault's condition for the length
-	faultReset             faultKind = "reset"            // established streams between targets and peers break
+	faultReset             faultKind = "reset"            // established streams between targets and peers are reset
 	faultCall              faultKind = "call"             // the operator calls the targets
-	faultFalseReports      faultKind = "lie"              // peers report to the targets that every server is late, for the length
-	faultSIGHUP            faultKind = "hangup"           // SIGHUP, so many signals in a row over the length
-	faultIdleClients       faultKind = "crowd"            // idle clients, as many as the rate, connect to the targets for the length
-	faultGarbage           faultKind = "garbage"          // datagrams of random bytes reach the targets at the rate, as from peers
+	faultFalseReports      faultKind = "lie"              // peers report to the targets, for the length, that every server is late
+	faultSIGHUP            faultKind = "hangup"           // SIGHUP, a number of times spread over the length
+	faultIdleClients       faultKind = "crowd"            // as many idle clients as the rate connect to each target for the length
+	faultGarbage           faultKind = "garbage"          // datagrams of random bytes reach the targets at the rate, with peers as apparent senders
 )
 
 var faultKinds = []faultKind{
@@ -37,13 +37,13 @@
 	faultPath, faultReset, faultCall, faultGarbage, faultFalseReports, faultSIGHUP, faultIdleClients,
 }
 
-// What a process finds in its directory as it is started again.
+// Whether a restarted process finds its directory preserved or emptied.
 const (
 	directoryPreserved = "kept"
 	directoryRemoved   = "gone"
 )
 
-// Directions of a path that a fault affects, if not both.
+// Directions of a path, for faults that affect only one.
 const (
 	fromTargets = "out"
 	toTargets   = "back"
@@ -57,19 +57,19 @@
 	shownPeers     = 3
 )
 
-// fault is one entry of the timeline as the file has it.
+// fault is one entry of the timeline, as written in the plan file.
 type fault struct {
 	kind           faultKind
-	name           string // by which other entries refer to it
+	name           string // other entries refer to the fault by it
 	start, length  simulation.Interval
 	targets, peers []string
 	directory      string // of a start: directoryPreserved or directoryRemoved
-	program        string // of a start: currentBuild, oldBuild, or empty for the one that it had
+	program        string // of a start: currentBuild, oldBuild, or empty for the build that ran before
 	condition      netfault.Condition
 	direction      string // fromTargets, toTargets, or empty for both
 	method, path   string // of a call
 	rate           int
-	signals        int // SIGHUP in a row, SIGTERM in a row, or SIGHUP as the process is started again
+	signals        int // number of SIGHUP or SIGTERM signals in a row, or of SIGHUP signals during the restart
 }
 
 func (p *Plan) readFault(t strict.Table, names map[string]bool) {
@@ -95,7 +95,7 @@
 	p.checkNames(t, "to", f.peers, names)
 	if f.name != "" {
 		if names[f.name] || isKnownName(f.name) {
-			t.Fail("as", "%q is taken", f.name)
+			t.Fail("as", "%q is already in use", f.name)
 		}
 		names[f.name] = true
 	}
@@ -119,18 +119,18 @@
 
 func (p *Plan) checkFault(t strict.Table, f fault) {
 	if f.start.Min >= p.Experiment.Length {
-		t.Fail("at", "is not before the end, %v", p.Experiment.Length)
+		t.Fail("at", "must be before the end of the run, %v", p.Experiment.Length)
 	}
 	if len(f.targets) == 0 {
 		t.Fail("who", `is missing; want names such as ["b0", "b3..5", "any:2", "all"]`)
 	}
 	if f.program == oldBuild && p.Old == "" {
-		t.Fail("program", "needs process.old, the revision that is built")
+		t.Fail("program", "needs process.old, the revision to build")
 	}
 	p.checkKind(t, f)
 }
 
-// checkKind checks what a kind of fault needs.
+// checkKind checks that a fault has the keys that its kind needs.
 func (p *Plan) checkKind(t strict.Table, f fault) {
 	hasLength := f.length.Max > 0
 	switch f.kind {
@@ -148,7 +148,7 @@
 		}
 	case faultFreeze, faultStarve, faultDirectoryFull, faultDirectoryReadOnly:
 		if !hasLength {
-			t.Fail("for", "is missing: for how long?")
+			t.Fail("for", "is missing; want the length of the fault")
 		}
 	}
 }
@@ -156,26 +156,26 @@
 func (p *Plan) checkMemberFault(t strict.Table, f fault) {
 	isBetweenMembers := p.hasMembership && len(f.peers) > 0 && f.length.Max > 0
 	if f.kind == faultFalseReports && !isBetweenMembers {
-		t.Fail("kind", "needs process.peers, to (who lies) and for")
+		t.Fail("kind", "needs process.peers, to (the members whose reports are false) and for")
 	}
 	if f.kind == faultGarbage && (!isBetweenMembers || !f.hasRate(maxGarbageRate)) {
-		t.Fail("kind", "needs process.peers, to (as from whom), for, and a rate from 1 to 5000 a second")
+		t.Fail("kind", "needs process.peers, to (the apparent senders), for, and a rate from 1 to 5000 a second")
 	}
 }
 
-func (f fault) hasRate(most int) bool { return f.rate >= 1 && f.rate <= most }
+func (f fault) hasRate(limit int) bool { return f.rate >= 1 && f.rate <= limit }
 
 func checkPathFault(t strict.Table, f fault) {
 	if len(f.peers) == 0 {
 		t.Fail("to", `is missing; want names such as ["servers", "s-001", "discovery", "others", "operator"]`)
 	}
 	if f.kind == faultPath && f.condition == (netfault.Condition{}) {
-		t.Fail("kind", "nothing is wrong on this link; want delay, jitter, loss, repeat, reorder, garbage, rate, cut or mute")
+		t.Fail("kind", "the link has no condition; want delay, jitter, loss, repeat, reorder, garbage, rate, cut or mute")
 	}
 }
 
-// text is what happens, in the words of reports.
-func (f fault) text() string {
+// describe returns the fault as reports name it.
+func (f fault) describe() string {
 	switch f.kind {
 	case faultCall:
 		return f.method + " " + f.path
@@ -188,14 +188,14 @@
 	return string(f.kind)
 }
 
-// textTo is what happens and to which peers, shortened where they are many.
-func (f fault) textTo(peers []string) string {
+// describeTo returns the fault and its peers, of which only the first are listed if there are many.
+func (f fault) describeTo(peers []string) string {
 	if len(peers) > shownPeers {
 		listed := shownPeers - 1
 		peers = append(slices.Clone(peers[:listed]), fmt.Sprintf("and %d more", len(peers)-listed))
 	}
 	if len(peers) == 0 {
-		return f.text()
+		return f.describe()
 	}
-	return f.text() + " to " + strings.Join(peers, ",")
+	return f.describe() + " to " + strings.Join(peers, ",")
 }
--- a/internal/testbed/fleet/fleet_test.go
+++ b/internal/testbed/fleet/fleet_test.go
@@ -14,7 +14,7 @@
 	"yardwinch/internal/daemon"
 )
 
-// The test's own program stands for a balancer.
+// The test binary also serves as the balancer program.
 func TestMain(m *testing.M) {
 	if os.Getenv("FLEET_TEST_BALANCER") == "" {
 		code := m.Run()
@@ -34,7 +34,7 @@
 
 const shippedPlans = "../../../experiments/fleet/"
 
-// runPlan runs a plan, and again where the machine was too busy.
+// runPlan runs a plan, up to four times while the run is void because the machine was too busy.
 func runPlan(t *testing.T, p *Plan, seed uint64) *Result {
 	t.Helper()
 	t.Setenv("FLEET_TEST_BALANCER", "sound")
@@ -43,7 +43,7 @@
 		t.Fatal(err)
 	}
 	if p.hasMembership {
-		p.Engine = engine(t)
+		p.Engine = buildEngine(t)
 	}
 	var old []string
 	if p.Old != "" {
@@ -55,12 +55,12 @@
 	}
 	var r *Result
 	for range 4 {
-		folder, err := os.MkdirTemp("", "fleet")
+		directory, err := os.MkdirTemp("", "fleet")
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer func() { _ = os.RemoveAll(folder) }()
-		if r, err = Run(context.Background(), p, Settings{Seed: seed, Program: []string{self}, Old: old, Directory: folder}); err != nil {
+		defer func() { _ = os.RemoveAll(directory) }()
+		if r, err = Run(context.Background(), p, Settings{Seed: seed, Program: []string{self}, Old: old, Directory: directory}); err != nil {
 			t.Fatal(err)
 		}
 		if r.Void == "" {
@@ -71,8 +71,8 @@
 	return nil
 }
 
-// engine builds the membership engine, which is a program of its own.
-var engine = func() func(*testing.T) string {
+// buildEngine builds the membership engine, a separate program, once.
+var buildEngine = func() func(*testing.T) string {
 	var once sync.Once
 	var path string
 	return func(t *testing.T) string {
@@ -99,7 +99,7 @@
 	}
 }
 
-// All kinds of faults at once: killed, frozen, cut off one way, behind a bad link, unable to write to its directory.
+// All kinds of faults at once: balancers are killed, frozen, cut off in one direction, behind a bad link, or can't write to their directory.
 func TestFaultsBetweenProcesses(t *testing.T) {
 	p, err := Open(shippedPlans + "faults.toml")
 	if err != nil {
@@ -108,11 +108,11 @@
 	r := runPlan(t, p, 1)
 	checkHolds(t, r)
 	if c := r.Processes[0].Cost.Cut + r.Processes[0].Cost.Unanswered; c == 0 {
-		t.Error("a killed process cost nobody anything: it held nothing, or nobody counted")
+		t.Error("a killed process cost no connection and no flow: it held none, or they were not counted")
 	}
 }
 
-// The same on a list so long that a decision looks at a part of it, of which some servers vanish and return.
+// Faults with a list so long that a decision considers only a part of it. Some servers vanish from the list and return.
 func TestFaultsOnALongList(t *testing.T) {
 	p, err := Open(shippedPlans + "long-list.toml")
 	if err != nil {
@@ -121,7 +121,8 @@
 	checkHolds(t, runPlan(t, p, 1))
 }
 
-// Members see who is killed, frozen or cut off one way, and all again after the heal; garbage and an earlier build do no harm.
+// Members detect members that are killed, frozen or cut off in one direction, and see all of them again after recovery; random datagrams and an
+// earlier build do no harm.
 func TestMembersUnderFaults(t *testing.T) {
 	p, err := Open(shippedPlans + "members.toml")
 	if err != nil {
@@ -130,7 +131,7 @@
 	checkHolds(t, runPlan(t, p, 1))
 }
 
-// One balancer checks a server's health for all; with a lease holder killed and another frozen no server goes without.
+// One balancer checks a server's health for all. While one lease holder is killed and another frozen, no server goes without health checks.
 func TestLeasesUnderFaults(t *testing.T) {
 	p, err := Open(shippedPlans + "duties.toml")
 	if err != nil {
@@ -139,8 +140,8 @@
 	checkHolds(t, runPlan(t, p, 1))
 }
 
-// A balancer behind a bad link, and one whose records report every server as late, empty no server for the others.
-func TestOneBadLinkMigratesNobodyElse(t *testing.T) {
+// A balancer behind a bad link, and one whose records report every server as late, don't make other balancers migrate flows.
+func TestBadLinkMigratesNoOtherFlows(t *testing.T) {
 	p, err := Open(shippedPlans + "bad-link.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -148,8 +149,8 @@
 	checkHolds(t, runPlan(t, p, 1))
 }
 
-// An earlier build serves beside this one, and takes over from it.
-func TestOldBesideNew(t *testing.T) {
+// An earlier build serves beside this one, and each takes over from the other.
+func TestMixedBuilds(t *testing.T) {
 	p, err := Open(shippedPlans + "old-beside-new.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -195,7 +196,7 @@
 at-least = 1
 `
 
-// A requirement that does not hold is reported.
+// Requirements that don't hold are reported.
 func TestFailedRequirementsAreReported(t *testing.T) {
 	p, err := Read("bad.toml", []byte(failingPlan))
 	if err != nil {
@@ -224,11 +225,11 @@
 		}
 	}
 	if r.Holds {
-		t.Error("the run holds as a whole")
+		t.Error("the result holds although requirements don't")
 	}
 }
 
-func TestShippedFilesCanBeRead(t *testing.T) {
+func TestShippedPlansAreValid(t *testing.T) {
 	files, err := filepath.Glob(shippedPlans + "*.toml")
 	if err != nil || len(files) == 0 {
 		t.Fatal(files, err)
@@ -240,30 +241,29 @@
 	}
 }
 
-func TestReadNamesLineAndKeyOfAnError(t *testing.T) {
+func TestReadErrorsNameLineAndKey(t *testing.T) {
 	for _, x := range []struct{ name, text, want string }{
 		{"unknown key", "[[fault]]\nkind = \"kill\"\nwho = [\"b0\"]\nwhen = \"1s\"", "x.toml:5: fault.0.when: unknown key"},
 		{"unknown kind", "[[fault]]\nkind = \"kil\"\nwho = [\"b0\"]", "x.toml:3: fault.0.kind: want one of kill"},
-		{"nobody", "[[fault]]\nkind = \"kill\"\nwho = [\"c0\"]", "x.toml:4: fault.0.who: nobody is called \"c0\""},
-		{"no time", "[[fault]]\nkind = \"freeze\"\nwho = [\"b0\"]", "x.toml:2: fault.0.for: is missing"},
+		{"unknown target", "[[fault]]\nkind = \"kill\"\nwho = [\"c0\"]", "x.toml:4: fault.0.who: no endpoint or fault is named \"c0\""},
+		{"no length", "[[fault]]\nkind = \"freeze\"\nwho = [\"b0\"]", "x.toml:2: fault.0.for: is missing"},
 		{"too late", "[[fault]]\nkind = \"kill\"\nwho = [\"b0\"]\nat = \"2h\"", "x.toml:5: fault.0.at"},
-		{"nothing wrong", "[[fault]]\nkind = \"link\"\nwho = [\"b0\"]\nto = [\"servers\"]", "nothing is wrong on this link"},
-		{"must of nothing", "[[must]]\nkind = \"left-out\"\nwithin = \"1s\"\nafter = \"x\"", "no fault is called \"x\""},
+		{"no condition", "[[fault]]\nkind = \"link\"\nwho = [\"b0\"]\nto = [\"servers\"]", "the link has no condition"},
+		{"requirement after an unknown fault", "[[must]]\nkind = \"left-out\"\nwithin = \"1s\"\nafter = \"x\"", "no fault is named \"x\""},
 		{"old without a revision", "[process]\nold-who = [\"b0\"]", "needs old"},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			_, err := Read("x.toml", []byte("name = \"x\"\n"+x.text+"\n"))
 			var e *Error
 			if !errors.As(err, &e) || !strings.Contains(err.Error(), x.want) || e.Advice() == "" {
-				t.Errorf("got %v, want %q and what to do", err, x.want)
+				t.Errorf("got %v, want %q and advice", err, x.want)
 			}
 		})
 	}
 }
 
-// Timelines from fixed seeds, as testbed fleet soak draws them; the long run is started by hand. Seeds with a deadline of
-// 0.15 s are left out: at its end several connects and the answer fall into one millisecond, and the testbed's observers
-// can't tell their order.
+// Timelines of fixed seeds, as `testbed fleet soak` draws them; longer soaks are run by hand. Seeds with a deadline of 0.15 s are left out: at
+// the deadline several connects and the answer fall into one millisecond, and the testbed's observers can't determine their order.
 func TestSoak(t *testing.T) {
 	for _, seed := range []uint64{1, 2, 3, 5} {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -276,12 +276,12 @@
 	}
 }
 
-// Every seed draws a plan that can be read, the same each time.
-func TestSoakPlans(t *testing.T) {
+// Every seed draws a valid plan, and the same one each time.
+func TestSoakPlansAreValid(t *testing.T) {
 	for seed := range uint64(300) {
 		text := SoakPlan(seed)
 		if repeated := SoakPlan(seed); repeated != text {
-			t.Fatalf("seed %d draws two plans", seed)
+			t.Fatalf("seed %d draws a different plan the second time", seed)
 		}
 		if _, err := Read(fmt.Sprintf("soak-%d.toml", seed), []byte(text)); err != nil {
 			t.Fatal(err)
--- a/internal/testbed/fleet/front.go
+++ b/internal/testbed/fleet/front.go
@@ -10,8 +10,9 @@
 
 const maxReplyBytes = 64
 
-// frontWatch is the operators' front before one balancer: it pings it again and again, leaves it out after some misses in a row, and takes
-// it back at the first reply. A balancer that stops replying is out after maxMisses times (interval + timeout) at the latest.
+// frontWatch acts as the operators' front for one balancer: it pings the balancer at an interval, leaves it out after maxMisses pings in a row
+// without a reply, and takes it back at the first reply. A balancer that stops replying is left out after maxMisses × (interval + timeout) at
+// the latest.
 type frontWatch struct {
 	address   string
 	interval  time.Duration
@@ -19,7 +20,7 @@
 	maxMisses int
 }
 
-// run watches until the context ends. changed is called with each change.
+// run pings until the context ends and calls changed when the balancer is left out or taken back.
 func (w frontWatch) run(ctx context.Context, changed func(isUp bool)) {
 	isUp, misses := true, 0
 	ticker := time.NewTicker(w.interval)
@@ -43,14 +44,14 @@
 	}
 }
 
-// ping tells whether the balancer replies in time.
+// ping reports whether the balancer replies in time.
 func (w frontWatch) ping(ctx context.Context) bool {
 	conn, err := (&net.Dialer{Timeout: w.timeout}).DialContext(ctx, "tcp", w.address)
 	if err != nil {
 		return false
 	}
 	defer func() { _ = conn.Close() }()
-	_ = conn.SetDeadline(time.Now().Add(w.timeout)) // it fails as the write does
+	_ = conn.SetDeadline(time.Now().Add(w.timeout)) // on a broken connection the write below fails too
 	if _, err := conn.Write([]byte("PING\r\n")); err != nil {
 		return false
 	}
--- a/internal/testbed/fleet/idle_clients.go
+++ b/internal/testbed/fleet/idle_clients.go
@@ -9,8 +9,7 @@
 
 const reconnectInterval = 10 * time.Millisecond
 
-// startIdleClients has so many clients connect to a balancer and send nothing, until the end of a fault. One that is disconnected comes
-// back.
+// startIdleClients connects clients to a balancer that send nothing until the end of the fault, and reconnect if they are disconnected.
 func (r *fleetRun) startIdleClients(p *process, f startedFault) {
 	ctx, cancel := context.WithTimeout(r.ctx, f.drawnLength)
 	context.AfterFunc(ctx, cancel)
@@ -28,13 +27,13 @@
 	}
 }
 
-// holdIdleConnection is one client that sends nothing until it is disconnected or the context ends.
+// holdIdleConnection holds one connection of a client that sends nothing, until it is disconnected or the context ends.
 func holdIdleConnection(ctx context.Context, address string) {
 	conn, err := (&net.Dialer{}).DialContext(ctx, "tcp", address)
 	if err != nil {
-		return // the balancer is down, or full
+		return // the balancer is down or refuses more connections
 	}
 	defer func() { _ = conn.Close() }()
 	defer context.AfterFunc(ctx, func() { _ = conn.Close() })()
-	_, _ = io.Copy(io.Discard, conn) // it ends as the connection does
+	_, _ = io.Copy(io.Discard, conn) // returns when the connection ends
 }
--- a/internal/testbed/fleet/install.go
+++ b/internal/testbed/fleet/install.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	engineName    = "yardwinch-gossip" // where the daemon looks for it: beside itself
+	engineName    = "yardwinch-gossip" // the daemon looks for this name beside its own executable
 	publicDirMode = 0o755
 	programMode   = 0o755
 )
 
-// install copies the programs where any user can run them.
+// install copies the programs into the run's directory, where any user can execute them.
 func (r *fleetRun) install(s Settings) error {
 	for build, program := range map[string][]string{currentBuild: s.Program, oldBuild: s.Old} {
 		if len(program) == 0 {
@@ -41,8 +41,8 @@
 	if err := copyFile(r.directory, from, to); err != nil {
 		return "", &Error{
 			Where:  "fleet",
-			What:   "the program " + name,
-			Remedy: "build it (README, \"See it work\") and name it with --yardwinch",
+			What:   "cannot install the program " + name,
+			Remedy: "build it (README, \"See it work\") and pass its path with --yardwinch",
 			Err:    err,
 		}
 	}
@@ -57,8 +57,8 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = source.Close() }() // it is only read
-	_ = os.Remove(to)                     // of an earlier run in the same directory, which may still be in use
+	defer func() { _ = source.Close() }() // read only
+	_ = os.Remove(to)                     // a copy from an earlier run in the same directory may still be executing
 	target, err := os.OpenFile(to, os.O_CREATE|os.O_WRONLY|os.O_TRUNC, programMode)
 	if err != nil {
 		return err
--- a/internal/testbed/fleet/kinds_test.go
+++ b/internal/testbed/fleet/kinds_test.go
@@ -5,17 +5,17 @@
 	"testing"
 )
 
-// What a plan file may name is handled: each kind of fault, and each kind of requirement.
+// Every kind of fault and of requirement that a plan file can name is implemented.
 func TestEveryKindIsHandled(t *testing.T) {
 	for _, kind := range requirementKinds {
 		if checks[kind] == nil || requirementTexts[kind] == nil {
 			t.Errorf("requirement %s has no check or no text", kind)
 		}
 	}
-	ofNoProcess := []faultKind{faultPath, faultReset, faultFalseReports, faultGarbage}
+	otherKinds := []faultKind{faultPath, faultReset, faultFalseReports, faultGarbage}
 	for _, kind := range faultKinds {
-		if isOfProcess := processFaults[kind] != nil; isOfProcess == slices.Contains(ofNoProcess, kind) {
-			t.Errorf("fault %s is of a process: %v", kind, isOfProcess)
+		if isProcessFault := processFaults[kind] != nil; isProcessFault == slices.Contains(otherKinds, kind) {
+			t.Errorf("fault %s is started per process: %v", kind, isProcessFault)
 		}
 	}
 }
--- a/internal/testbed/fleet/members.go
+++ b/internal/testbed/fleet/members.go
@@ -22,32 +22,34 @@
 
 const (
 	memberPollInterval  = 100 * time.Millisecond
-	maxSeeds            = 3 // members that a process is told of
+	maxSeeds            = 3 // in a process's options
 	garbageInterval     = 10 * time.Millisecond
 	maxGarbageBytes     = 1400
 	falseReportInterval = 500 * time.Millisecond
-	falseIncarnation    = 1 << 50 // later than that of any process
+	falseIncarnation    = 1 << 50 // later than the incarnation of any process
 	falseConnections    = 1000
 )
 
-// memberView is how a process saw the other members from a time on.
+// memberView is how a process saw the other members from a time on, until its next view.
 type memberView struct {
 	at     time.Duration
-	states map[string]string
+	states map[string]string // by member
 }
 
-// assignAddresses gives a process an address to send from, and opens the one that it advertises. Both are loopback addresses of its own.
+// assignAddresses assigns a process the loopback address that it binds, and opens the one that it advertises, through which the proxy
+// forwards to it. Both are unique to the process.
 func (r *fleetRun) assignAddresses(p *process) (err error) {
-	if p.boundTo, err = freeaddr.UDP(r.ctx, loopbackIP(boundNetwork, p.id)); err != nil {
+	if p.bindAddress, err = freeaddr.UDP(r.ctx, loopbackIP(bindNetwork, p.id)); err != nil {
 		return err
 	}
-	p.advertised, err = r.proxy.Add(netfault.Endpoint(p.name), netip.MustParseAddr(loopbackIP(advertisedNetwork, p.id)), p.boundTo)
+	p.advertisedAddress, err = r.proxy.Add(netfault.Endpoint(p.name), netip.MustParseAddr(loopbackIP(advertisedNetwork, p.id)), p.bindAddress)
 	return err
 }
 
 func (p *process) explainSocket() string { return filepath.Join(p.directory, "ask.sock") }
 
-// writeOptions writes a process's operators' file and returns its path; empty where no option is on. An earlier build knows nothing of it.
+// writeOptions writes a process's options file and returns its path. The path is empty if the plan has no membership, or the process runs an
+// earlier build, which doesn't support the file.
 func (r *fleetRun) writeOptions(p *process) (string, error) {
 	if r.proxy == nil || p.program == oldBuild {
 		return "", nil
@@ -55,20 +57,20 @@
 	var seeds []string
 	for _, other := range r.processes[:min(maxSeeds, len(r.processes))] {
 		if other != p {
-			seeds = append(seeds, fmt.Sprintf("%q", other.advertised))
+			seeds = append(seeds, fmt.Sprintf("%q", other.advertisedAddress))
 		}
 	}
 	text := fmt.Sprintf("[peers]\nname = %q\nlabel = %q\nbind = %q\nadvertise = %q\nseeds = [%s]\n",
-		p.name, r.label(), p.boundTo, p.advertised, strings.Join(seeds, ", "))
+		p.name, r.label(), p.bindAddress, p.advertisedAddress, strings.Join(seeds, ", "))
 	text += fmt.Sprintf("[signals]\non = %v\n[duties]\non = %v\n[explain]\nsocket = %q\n",
 		r.plan.hasSignals, r.plan.hasLeases, p.explainSocket())
 	path := filepath.Join(r.directory, fmt.Sprintf("options-%d.toml", p.id))
-	return path, os.WriteFile(path, []byte(text), readableMode)
+	return path, os.WriteFile(path, []byte(text), publicFileMode)
 }
 
 func (r *fleetRun) label() string { return fmt.Sprintf("fleet-%d", r.seed) }
 
-// watchMembers asks a process again and again whom it sees, until the context ends.
+// watchMembers polls a process for its view of the members, until the context ends.
 func (r *fleetRun) watchMembers(ctx context.Context, p *process) {
 	ticker := time.NewTicker(memberPollInterval)
 	defer ticker.Stop()
@@ -76,8 +78,8 @@
 		var view daemon.MembersView
 		err := explain.Members(ctx, p.explainSocket(), &view)
 		r.driver.Do(func() {
-			if err == nil && (p.state == running || p.state == starved) { // else what it saw last still counts
-				p.addView(r.driver.Elapsed(), view)
+			if err == nil && (p.state == running || p.state == starved) { // otherwise its last view remains
+				p.recordView(r.driver.Elapsed(), view)
 			}
 		})
 		select {
@@ -88,8 +90,8 @@
 	}
 }
 
-// addView notes a view that differs from the last one.
-func (p *process) addView(now time.Duration, view daemon.MembersView) {
+// recordView records a view that differs from the last one.
+func (p *process) recordView(now time.Duration, view daemon.MembersView) {
 	states := map[string]string{}
 	for _, member := range view.Members {
 		states[string(member.Name)] = string(member.State)
@@ -99,7 +101,7 @@
 	}
 }
 
-// repeat does something now and at each interval, until a fault ends or it fails, which is reported.
+// repeat calls do now and at each interval, until the fault ends or a call fails. The failure is reported as a skipped fault.
 func (r *fleetRun) repeat(f startedFault, interval time.Duration, do func() error) {
 	end := r.driver.Elapsed() + f.drawnLength
 	var next func()
@@ -115,26 +117,26 @@
 	next()
 }
 
-// injectGarbage sends datagrams that nobody can decode, in the name of members.
+// injectGarbage sends datagrams of random bytes, which no member can decode, with members as apparent senders.
 func (r *fleetRun) injectGarbage(f startedFault) {
 	random := simulation.RandomSource(r.seed, "flood", 0)
-	each := max(1, int(float64(f.rate)*garbageInterval.Seconds()))
+	datagramsPerInterval := max(1, int(float64(f.rate)*garbageInterval.Seconds()))
 	r.repeat(f, garbageInterval, func() error {
-		for range each {
-			message := make([]byte, 1+random.IntN(maxGarbageBytes))
-			for i := range message {
-				message[i] = byte(random.Uint32())
+		for range datagramsPerInterval {
+			datagram := make([]byte, 1+random.IntN(maxGarbageBytes))
+			for i := range datagram {
+				datagram[i] = byte(random.Uint32())
 			}
 			from := f.peerNames[random.IntN(len(f.peerNames))]
 			to := f.targetNames[random.IntN(len(f.targetNames))]
-			r.proxy.Inject(netfault.Endpoint(from), netfault.Endpoint(to), message)
+			r.proxy.Inject(netfault.Endpoint(from), netfault.Endpoint(to), datagram)
 		}
 		return nil
 	})
 }
 
-// injectFalseReports has members report that every server is late, as a member with a fault of its own would. Each report has the member's
-// name and a later incarnation, so that it takes the place of what the member itself published.
+// injectFalseReports sends reports of members that every server is late, as a member with a fault of its own would send them. Each report has
+// the member's name and a later incarnation, so that it replaces what the member itself published.
 func (r *fleetRun) injectFalseReports(f startedFault) {
 	sequence := signals.Incarnation(0)
 	r.repeat(f, falseReportInterval, func() error {
@@ -152,9 +154,9 @@
 	})
 }
 
-// falseReport is a member's report in the form of the membership engine: a label, and a user's message.
+// falseReport returns a member's report as the membership engine sends it: the cluster label, then a user message.
 func (r *fleetRun) falseReport(member string, sequence signals.Incarnation) ([]byte, error) {
-	const labelMark, userMark = 244, 8 // of memberlist's wire format
+	const labelMessageType, userMessageType = 244, 8 // message types of memberlist's wire format
 	record := signals.Record{Origin: signals.Origin(member), Incarnation: falseIncarnation + sequence, Sequence: 1}
 	for i := range r.world.Servers {
 		server := routing.ServerID(serverName(i))
@@ -165,12 +167,12 @@
 		return nil, fmt.Errorf("encode a false report of %s: %w", member, err)
 	}
 	label := r.label()
-	message := append([]byte{labelMark, byte(len(label))}, label...)
-	return append(append(message, userMark), encoded...), nil
+	message := append([]byte{labelMessageType, byte(len(label))}, label...)
+	return append(append(message, userMessageType), encoded...), nil
 }
 
-// firstSaw tells when a process first saw a member in a state in [from, to).
-func (p *process) firstSaw(member, status string, from, to time.Duration) (at time.Duration, ever bool) {
+// firstSawMember returns when in [from, to) a process first saw a member in a state, and whether it did.
+func (p *process) firstSawMember(member, status string, from, to time.Duration) (at time.Duration, seen bool) {
 	for i, view := range p.views {
 		until := to
 		if i+1 < len(p.views) {
@@ -183,7 +185,7 @@
 	return to, false
 }
 
-// wasInterrupted tells whether a process did not run at some time in [from, to). A starved one runs.
+// wasInterrupted reports whether a process did not run at some time in [from, to). A starved process counts as running.
 func (p *process) wasInterrupted(from, to time.Duration) bool {
 	for _, span := range p.spans {
 		if span.From < to && (span.To == 0 || span.To > from) && span.What != string(starved) {
@@ -193,26 +195,27 @@
 	return false
 }
 
-// checkMembers checks how balancers that ran all the time saw members.
+// checkMembers checks how the balancers that ran during the whole period saw the members.
 func (c *check) checkMembers() {
 	compared := 0
 	for _, name := range c.balancers {
 		b, ok := balancerOf(name)
 		if !ok || int(b) >= len(c.run.processes) {
-			c.note(name+" is no balancer", false)
+			c.observe(name+" is no balancer", false)
 			continue
 		}
 		compared += c.checkViews(c.run.processes[b])
 	}
 	if compared == 0 {
-		c.note("nobody was there to see it", false)
+		c.observe("nobody was there to see it", false)
 	}
 	if c.kind == requireKeeps && c.verdict.Holds {
 		c.verdict.Seen = "nobody did"
 	}
 }
 
-// checkViews checks how one balancer saw the other members, and tells how many: none if it did not run all the time.
+// checkViews checks how one balancer saw the other members and returns the number of members checked, which is 0 if the balancer did not run
+// during the whole period.
 func (c *check) checkViews(p *process) (compared int) {
 	end := c.to
 	if c.kind == requireSees {
@@ -227,12 +230,12 @@
 		}
 		compared++
 		if c.kind == requireKeeps {
-			at, ever := p.firstSaw(member, string(membership.Gone), c.from, end)
-			c.note(fmt.Sprintf("%s saw %s gone at %v", p.name, member, at.Round(time.Millisecond)), !ever)
+			at, seen := p.firstSawMember(member, string(membership.Gone), c.from, end)
+			c.observe(fmt.Sprintf("%s saw %s gone at %v", p.name, member, at.Round(time.Millisecond)), !seen)
 			continue
 		}
-		at, ever := p.firstSaw(member, c.status, c.from, end)
-		c.note(fmt.Sprintf("%s saw %s so after %v", p.name, member, (at-c.from).Round(time.Millisecond)), ever)
+		at, seen := p.firstSawMember(member, c.status, c.from, end)
+		c.observe(fmt.Sprintf("%s saw %s so after %v", p.name, member, (at-c.from).Round(time.Millisecond)), seen)
 	}
 	return compared
 }
--- a/internal/testbed/fleet/members_test.go
+++ b/internal/testbed/fleet/members_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A fault that is repeated ends with the first failure, which is reported once.
-func TestRepeatEndsWithAFailure(t *testing.T) {
+// A repeated fault stops at its first failure, which is reported once.
+func TestRepeatStopsAtFailure(t *testing.T) {
 	run, _, _ := checkedRun(t, "kind = \"serves\"")
 	calls := 0
 	run.repeat(startedFault{drawnLength: time.Second}, 100*time.Millisecond, func() error {
--- a/internal/testbed/fleet/names.go
+++ b/internal/testbed/fleet/names.go
@@ -11,13 +11,13 @@
 	"yardwinch/internal/testbed/sockets"
 )
 
-// Names of groups of endpoints, in the words of plan files.
+// Names of groups of endpoints in plan files.
 const (
 	allBalancers   = "all"
-	anyBalancers   = "any" // any:3 is three of them
+	anyBalancers   = "any" // any:3 stands for three random balancers
 	otherBalancers = "others"
 	allServers     = "servers"
-	anyServers     = "any-server" // any-server:3 is three of them
+	anyServers     = "any-server" // any-server:3 stands for three random servers
 	faultyServers  = "struck"
 	healthyServers = "healthy"
 )
@@ -25,7 +25,7 @@
 var groupNames = []string{allBalancers, anyBalancers, otherBalancers, allServers, anyServers, faultyServers, healthyServers,
 	string(sockets.Discovery), string(sockets.Operator)}
 
-// isKnownName tells whether a name means somebody in every plan.
+// isKnownName reports whether a name is valid in every plan, unlike names of faults.
 func isKnownName(name string) bool {
 	if _, _, ok := balancerRange(name); ok || slices.Contains(groupNames, name) {
 		return true
@@ -38,7 +38,7 @@
 	return isServer
 }
 
-// balancerRange takes b3 and b3..5 apart.
+// balancerRange parses b3 and b3..5.
 func balancerRange(name string) (from, to int, ok bool) {
 	numbers, ok := strings.CutPrefix(name, "b")
 	if !ok {
@@ -56,28 +56,28 @@
 func (p *Plan) checkNames(t strict.Table, key string, list []string, names map[string]bool) {
 	for _, name := range list {
 		if !isKnownName(name) && !names[name] {
-			t.Fail(key, "nobody is called %q", name)
+			t.Fail(key, "no endpoint or fault is named %q", name)
 		}
 	}
 }
 
-// nameResolver draws who is meant by names, for one run.
+// nameResolver resolves names of plan files into endpoints, for one run. Members of random groups are drawn at each use.
 type nameResolver struct {
 	random        *rand.Rand
 	balancers     int
 	servers       int
-	faultyServers func() []int // servers with faults now
-	faultNames    map[string][]string
+	faultyServers func() []int        // servers with faults now
+	faultNames    map[string][]string // targets of named faults
 }
 
 func balancerName(i int) string { return string(sockets.BalancerName(simulation.BalancerID(i))) }
 
 func serverName(i int) string { return string(sockets.ServerName(simulation.ServerID(i))) }
 
-// resolve turns names into endpoints, each once. The others of a group are all balancers but those given.
-func (n *nameResolver) resolve(names, but []string) (endpoints []string) {
+// resolve returns the endpoints that names stand for, each once. The name others stands for all balancers but the excluded ones.
+func (n *nameResolver) resolve(names, excluded []string) (endpoints []string) {
 	for _, name := range names {
-		for _, endpoint := range n.resolveOne(name, but) {
+		for _, endpoint := range n.resolveOne(name, excluded) {
 			if !slices.Contains(endpoints, endpoint) {
 				endpoints = append(endpoints, endpoint)
 			}
@@ -86,23 +86,23 @@
 	return endpoints
 }
 
-func (n *nameResolver) resolveOne(name string, but []string) []string {
+func (n *nameResolver) resolveOne(name string, excluded []string) []string {
 	if from, to, isRange := balancerRange(name); isRange {
 		return namesFrom(from, min(to, n.balancers-1), balancerName)
 	}
-	group, text, _ := strings.Cut(name, ":")
-	count, _ := strconv.Atoi(text) // without a number it is one
+	group, countText, _ := strings.Cut(name, ":")
+	count, _ := strconv.Atoi(countText) // 0 if there is no number; drawNames then draws one
 	switch group {
 	case allBalancers:
 		return namesFrom(0, n.balancers-1, balancerName)
 	case otherBalancers:
-		return slices.DeleteFunc(namesFrom(0, n.balancers-1, balancerName), func(b string) bool { return slices.Contains(but, b) })
+		return slices.DeleteFunc(namesFrom(0, n.balancers-1, balancerName), func(b string) bool { return slices.Contains(excluded, b) })
 	case anyBalancers:
-		return n.draw(n.balancers, count, balancerName)
+		return n.drawNames(n.balancers, count, balancerName)
 	case allServers:
 		return namesFrom(0, n.servers-1, serverName)
 	case anyServers:
-		return n.draw(n.servers, count, serverName)
+		return n.drawNames(n.servers, count, serverName)
 	case faultyServers:
 		return namesOf(n.faultyServers(), serverName)
 	case healthyServers:
@@ -115,9 +115,9 @@
 	return []string{name}
 }
 
-// draw draws so many of all, one at the least.
-func (n *nameResolver) draw(all, count int, nameOf func(int) string) []string {
-	return namesOf(n.random.Perm(all)[:min(max(count, 1), all)], nameOf)
+// drawNames draws count of total endpoints, at least one.
+func (n *nameResolver) drawNames(total, count int, nameOf func(int) string) []string {
+	return namesOf(n.random.Perm(total)[:min(max(count, 1), total)], nameOf)
 }
 
 func namesFrom(first, last int, nameOf func(int) string) (names []string) {
--- a/internal/testbed/fleet/plan.go
+++ b/internal/testbed/fleet/plan.go
@@ -1,5 +1,5 @@
-// Package fleet runs real processes by the dozen: a timeline of faults of the processes and of the network paths between them, what must
-// hold from when to when, a verdict and a report.
+// Package fleet runs fleets of real balancer processes under a timeline of faults of the processes and of the network paths between them. It
+// checks the requirements of the plan and reports a verdict.
 package fleet
 
 import (
@@ -11,55 +11,55 @@
 	"yardwinch/internal/testbed/experiment"
 )
 
-// Error is a fault of what a run was asked for, or of the run itself, with advice.
+// Error is an error in a plan or in a run, with advice.
 type Error = advice.Error
 
 const (
-	maxPlanTime     = time.Hour // of all times in a plan
+	maxPlanTime     = time.Hour // limit of all times in a plan
 	minPingInterval = 10 * time.Millisecond
 	maxMissesInARow = 100
 )
 
-// Plan is one file, read and checked.
+// Plan is the validated content of a plan file.
 type Plan struct {
 	Experiment *experiment.Experiment
-	Old        string // revision of the old build; empty: none
-	Engine     string // the membership engine; empty: the one beside the program
+	Old        string // revision of the old build; empty for none
+	Engine     string // path of the membership engine; empty for the one beside the program
 
-	oldBuildOn     []string // names of balancers
-	pingInterval   time.Duration
-	pingTimeout    time.Duration
-	maxMisses      int
-	lateAnswers    time.Duration // by which an answer may be late and only earns nothing; 0: the driver's own tolerance
-	hasDirectories bool
-	hasMembership  bool
-	hasSignals     bool // and they constrain the balancers' decisions
-	hasLeases      bool // one balancer checks a server's health for all
-	faults         []fault
-	requirements   []requirement
+	oldBuildOn      []string // names of balancers
+	pingInterval    time.Duration
+	pingTimeout     time.Duration
+	maxMisses       int
+	answerTolerance time.Duration // lateness at which an answer earns no service but breaks no rule; at least the driver's own slack
+	hasDirectories  bool
+	hasMembership   bool
+	hasSignals      bool // balancers exchange signals, which affect their decisions
+	hasLeases       bool // one balancer checks a server's health for all balancers
+	faults          []fault
+	requirements    []requirement
 }
 
-// Name is that of the plan.
+// Name returns the name of the plan.
 func (p *Plan) Name() string { return p.Experiment.Name }
 
-// About says what the plan is for.
+// About returns the description of the plan's purpose.
 func (p *Plan) About() string { return p.Experiment.About }
 
-// Open reads a file. Its error names line and key.
+// Open reads a plan file. Errors in its content name the line and the key.
 func Open(path string) (*Plan, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, &Error{
 			Where:  "fleet",
 			What:   "the file can't be read",
-			Remedy: "name a file of experiments/fleet, or write one after docs/fleet-use.md",
+			Remedy: "name a file of experiments/fleet, or write one as docs/fleet-use.md describes",
 			Err:    err,
 		}
 	}
 	return Read(path, text)
 }
 
-// Read reads the text of a file.
+// Read parses the text of a plan file.
 func Read(name string, text []byte) (*Plan, error) {
 	t, err := strict.Parse(name, text)
 	if err != nil {
@@ -67,7 +67,7 @@
 	}
 	p := &Plan{Experiment: experiment.From(t)}
 	p.readFront(t.Table("front"))
-	p.lateAnswers = t.Table("judge").Duration("late", 0, time.Second)
+	p.answerTolerance = t.Table("judge").Duration("late", 0, time.Second)
 	p.readProcess(t.Table("process"))
 	names := map[string]bool{}
 	for _, fault := range t.Tables("fault") {
@@ -85,8 +85,8 @@
 func planError(err error) error {
 	return &Error{
 		Where:  "fleet",
-		What:   "the file can't be played",
-		Remedy: "mend the key that is named; docs/fleet-use.md has them all",
+		What:   "the plan is not valid",
+		Remedy: "correct the key that is named; docs/fleet-use.md lists all keys",
 		Err:    err,
 	}
 }
@@ -96,7 +96,7 @@
 	p.pingTimeout = t.Duration("wait", 400*time.Millisecond, time.Minute)
 	p.maxMisses = int(t.Float("misses", 2, 1, maxMissesInARow))
 	if p.pingInterval < minPingInterval || p.pingTimeout < minPingInterval {
-		t.Fail("ask-every", "want 10ms at the least, for wait too")
+		t.Fail("ask-every", "ask-every and wait must be at least 10ms")
 	}
 }
 
@@ -105,16 +105,16 @@
 	p.hasMembership, p.hasSignals = t.Bool("peers", false), t.Bool("signals", false)
 	p.hasLeases = t.Bool("duties", false)
 	if (p.hasSignals || p.hasLeases) && !p.hasMembership {
-		t.Fail("peers", "signals and duties need it")
+		t.Fail("peers", "is required by signals and duties")
 	}
 	p.Old = t.String("old", "")
 	p.oldBuildOn = t.Strings("old-who", nil)
 	if len(p.oldBuildOn) > 0 && p.Old == "" {
-		t.Fail("old-who", "needs old, the revision that is built")
+		t.Fail("old-who", "needs old, the revision to build")
 	}
 }
 
-// stringsOf are names as plan files have them.
+// stringsOf converts names to strings.
 func stringsOf[Name ~string](names []Name) (texts []string) {
 	for _, name := range names {
 		texts = append(texts, string(name))
--- a/internal/testbed/fleet/plan_writer.go
+++ b/internal/testbed/fleet/plan_writer.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// Headers of entries of a plan file.
+// Table headers of a plan file, for entries of arrays.
 const (
 	modelFaultEntry  = "\n[[trouble]]"
 	faultEntry       = "\n[[fault]]"
 	requirementEntry = "\n[[must]]"
 )
 
-// setting is a key of a plan file with its value.
+// setting is a key of a plan file and its value.
 type setting struct {
 	key   string
 	value any
@@ -32,7 +32,7 @@
 	}
 }
 
-// literal is a value as plan files have it.
+// literal formats a value as a TOML literal.
 func literal(value any) string {
 	switch value := value.(type) {
 	case string, time.Duration, faultKind, requirementKind:
--- a/internal/testbed/fleet/process.go
+++ b/internal/testbed/fleet/process.go
@@ -15,57 +15,57 @@
 	"yardwinch/internal/simulation"
 )
 
-// processState is the state of a process, in the words of reports.
+// processState is the state of a process, as reports name it.
 type processState string
 
 const (
-	running       processState = "runs"
-	frozen        processState = "frozen"
-	starved       processState = "starved"
-	ending        processState = "ending" // it was asked to end
-	down          processState = "down"
-	endedByItself processState = "died"
+	running     processState = "runs"
+	frozen      processState = "frozen"
+	starved     processState = "starved"
+	terminating processState = "ending" // it received SIGTERM
+	down        processState = "down"
+	exited      processState = "died"
 )
 
-// allowedTransitions are the states that may follow. Faults that would make another change are skipped, and reported.
+// allowedTransitions maps each state to the states that may follow. A fault that would make another transition is skipped and reported.
 var allowedTransitions = map[processState][]processState{
-	running:       {frozen, starved, ending, down, endedByItself},
-	frozen:        {running, down},
-	starved:       {running, down, endedByItself},
-	ending:        {down},
-	down:          {running},
-	endedByItself: {running, down},
+	running:     {frozen, starved, terminating, down, exited},
+	frozen:      {running, down},
+	starved:     {running, down, exited},
+	terminating: {down},
+	down:        {running},
+	exited:      {running, down},
 }
 
 const (
-	unprivilegedID      = 65534 // processes run as an ordinary user, or the permissions of a directory would not bind them
-	addressesPerNetwork = 250   // of a /24 network of loopback
+	unprivilegedID      = 65534 // user and group of the processes if this process is root, as directory permissions don't restrict root
+	addressesPerNetwork = 250   // in each /24 network of loopback addresses
 	privateDirMode      = 0o700
-	readableMode        = 0o644
+	publicFileMode      = 0o644
 	logMode             = 0o600
 )
 
 // process is one balancer of the fleet.
 type process struct {
-	id         simulation.BalancerID
-	name       string
-	program    string // the build of its next start
-	directory  string
-	control    string         // address of the operators' calls
-	boundTo    netip.AddrPort // where it sends to other members from
-	advertised netip.AddrPort // what it tells them
+	id                simulation.BalancerID
+	name              string
+	program           string // the build that it is started from next
+	directory         string
+	controlAddress    string         // of its admin interface, for the operator's calls
+	bindAddress       netip.AddrPort // address that it binds for membership traffic
+	advertisedAddress netip.AddrPort // address that it advertises to other members
 
 	state      processState
-	generation int          // of the state: what an earlier fault scheduled must not undo a later one
-	spans      []Span       // of states but running
-	views      []memberView // of the other members
+	generation int          // number of transitions, so that what an earlier fault scheduled doesn't undo a later one
+	spans      []Span       // times in states other than running
+	views      []memberView // how it saw the other members
 }
 
 func (r *fleetRun) newProcess(b simulation.BalancerID) (*process, error) {
 	name := balancerName(int(b))
 	p := &process{id: b, name: name, state: running, program: currentBuild, directory: filepath.Join(r.directory, name)}
 	var err error
-	if p.control, err = r.freeControlAddress(b); err != nil {
+	if p.controlAddress, err = r.freeControlAddress(b); err != nil {
 		return nil, err
 	}
 	if r.proxy != nil {
@@ -84,10 +84,10 @@
 	return listener.Addr().String(), listener.Close()
 }
 
-// Second bytes of loopback networks, in which each balancer has an address.
+// Second bytes of the loopback networks. Each balancer has an address in each of them.
 const (
 	balancerNetwork   = 78
-	boundNetwork      = 79
+	bindNetwork       = 79
 	advertisedNetwork = 80
 )
 
@@ -107,8 +107,8 @@
 
 func isRoot() bool { return os.Getuid() == 0 }
 
-// unprivileged runs a command as an ordinary user where this process is root.
-func unprivileged(command *exec.Cmd) {
+// dropPrivileges makes a command run as an unprivileged user if this process is root.
+func dropPrivileges(command *exec.Cmd) {
 	if !isRoot() {
 		return
 	}
@@ -118,11 +118,11 @@
 	command.SysProcAttr.Credential = &syscall.Credential{Uid: unprivilegedID, Gid: unprivilegedID}
 }
 
-// launch changes how a process is started: its user, its directory, its options, its program.
-func (r *fleetRun) launch(b simulation.BalancerID, _ int, command *exec.Cmd) ([]string, error) {
+// configureCommand sets the user, environment and log of a balancer's command, and returns the command line that runs its program.
+func (r *fleetRun) configureCommand(b simulation.BalancerID, _ int, command *exec.Cmd) ([]string, error) {
 	p := r.processes[b]
 	config := filepath.Join(r.directory, fmt.Sprintf("balancer-%d.json", b))
-	if err := os.Chmod(config, readableMode); err != nil {
+	if err := os.Chmod(config, publicFileMode); err != nil {
 		return nil, err
 	}
 	options, err := r.writeOptions(p)
@@ -134,19 +134,19 @@
 		directory = p.directory
 	}
 	command.Env = append(command.Env, "YARDWINCH_OPTIONS="+options, "TMPDIR="+directory)
-	// Not the file itself: a limit on the size of files would bind the log too.
+	// Not an *os.File, so that this process writes the log: a limit on the size of the balancer's files must not apply to it.
 	command.Stdout = struct{ io.Writer }{&reopenedLog{path: filepath.Join(r.directory, fmt.Sprintf("balancer-%d.log", b))}}
 	command.Stderr = command.Stdout
-	unprivileged(command)
+	dropPrivileges(command)
 	program := r.programs[p.program]
 	if len(program) == 0 {
-		return nil, fmt.Errorf("there is no program %q", p.program)
+		return nil, fmt.Errorf("no program for the build %q", p.program)
 	}
-	// As the platform does it: the shell ignores SIGHUP until the balancer has a handler.
+	// As on the platform, the shell ignores SIGHUP until the balancer has installed a handler.
 	return append([]string{"/bin/sh", "-c", `trap '' HUP; exec "$@"`, "sh"}, program...), nil
 }
 
-// reopenedLog appends to a file that is opened for each write: there are few.
+// reopenedLog appends to a file that it opens for each write, as writes are rare.
 type reopenedLog struct{ path string }
 
 // Write appends to the file.
@@ -159,7 +159,7 @@
 	return size, errors.Join(err, file.Close())
 }
 
-// transition makes every change of a process's state, and tells whether it is allowed.
+// transition changes a process's state if that is allowed, and reports whether it did. All changes of the state go through it.
 func (r *fleetRun) transition(p *process, to processState) bool {
 	now := r.driver.Elapsed()
 	if !slices.Contains(allowedTransitions[p.state], to) {
@@ -177,8 +177,8 @@
 	return true
 }
 
-// unchanged is something that doesn't happen if the process's state has changed meanwhile.
-func (p *process) unchanged(do func()) func() {
+// ifUnchanged returns a function that calls do unless the process's state has changed since.
+func (p *process) ifUnchanged(do func()) func() {
 	generation := p.generation
 	return func() {
 		if p.generation == generation {
@@ -187,14 +187,14 @@
 	}
 }
 
-// processEnded notes that a process ended that nobody ended, and has the simulated world lose its balancer too.
+// processEnded records the end of a process that was not asked to end, and kills its balancer in the simulated world.
 func (r *fleetRun) processEnded(b simulation.BalancerID, err error) {
 	p := r.processes[b]
-	if p.state == ending {
+	if p.state == terminating {
 		return
 	}
 	r.record(p.name, "ended by itself (%v)", err)
-	if r.transition(p, endedByItself) {
+	if r.transition(p, exited) {
 		r.world.KillBalancer(b)
 	}
 }
@@ -205,8 +205,8 @@
 	}
 }
 
-// countDescriptors notes how many each process that runs has open.
-func (r *fleetRun) countDescriptors() {
+// recordDescriptorCounts records the number of open file descriptors of each running process.
+func (r *fleetRun) recordDescriptorCounts() {
 	for _, p := range r.processes {
 		pid := r.driver.Process(p.id)
 		if pid == 0 || p.state != running {
--- a/internal/testbed/fleet/report.go
+++ b/internal/testbed/fleet/report.go
@@ -14,14 +14,14 @@
 
 var reportTemplate = template.Must(template.New("fleet").Parse(reportText))
 
-// JSON writes a result for programs. Its error is the writer's.
+// JSON writes the result as JSON. The error is the writer's.
 func (r *Result) JSON(w io.Writer) error {
 	encoder := json.NewEncoder(w)
 	encoder.SetIndent("", " ")
 	return encoder.Encode(r)
 }
 
-// Layout of the report, in units of its drawing.
+// Layout of the report, in units of the SVG view box.
 const (
 	pageWidth      = 960.0
 	leftMargin     = 74.0
@@ -42,11 +42,11 @@
 	otherColour    = "#7d8aa5"
 )
 
-// spanColours by what a span is.
+// spanColours maps what a span shows to its colour.
 var spanColours = map[string]string{"frozen": "#4c78a8", "starved": "#9c7bb8", "ending": "#c9a227", "down": "#55606b", "died": "#b3261e",
 	"left out": "#e8a33d", "struck": "#d9653b"}
 
-// legend is the order in which the colours are explained.
+// legend lists the spans of the legend in order.
 var legend = []string{"down", "died", "ending", "frozen", "starved", "left out", "struck"}
 
 type shape struct {
@@ -60,7 +60,7 @@
 	Text string
 }
 
-// htmlReport is what the report's template shows.
+// htmlReport is the data of the report's template.
 type htmlReport struct {
 	*Result
 	W, H       float64
@@ -72,10 +72,10 @@
 	Bottom     float64
 	MomentRows []string
 
-	y float64 // of the next row
+	y float64 // top of the next row
 }
 
-// HTML writes a page with a row for each process, and its faults and events over time. Its error is the writer's.
+// HTML writes a page that shows each process in a row, with its states and events over time. The error is the writer's.
 func (r *Result) HTML(w io.Writer) error {
 	h := &htmlReport{Result: r, W: pageWidth, y: topMargin}
 	for _, process := range r.Processes {
@@ -116,7 +116,7 @@
 	h.y += rowHeight
 }
 
-// addCounts draws a bar a second, up to the greatest count.
+// addCounts draws a bar for each second, scaled to the greatest count.
 func (h *htmlReport) addCounts(name string, counts []int) {
 	most := 1
 	for _, count := range counts {
@@ -142,7 +142,7 @@
 	}
 }
 
-// addMoments draws a line over all rows for each moment, and lists them.
+// addMoments draws a line across all rows for each moment, and lists the moments as text.
 func (h *htmlReport) addMoments() {
 	for _, m := range h.Moments {
 		h.Marks = append(h.Marks, shape{X: h.x(m.At), Y: 0, W: 1, H: h.y, Title: fmt.Sprintf("%.2fs %s %s", m.At.Seconds(), m.Who, m.What)})
@@ -150,7 +150,7 @@
 	}
 }
 
-// addTimeTicks marks every 1, 2, 5, 10, 20 ... seconds, so that there are not too many.
+// addTimeTicks adds a tick every 1, 2, 5, 10, 20 ... seconds, the shortest interval that keeps to maxTimeTicks.
 func (h *htmlReport) addTimeTicks() {
 	step := 1
 	for h.Length/float64(step) > maxTimeTicks {
--- a/internal/testbed/fleet/report_test.go
+++ b/internal/testbed/fleet/report_test.go
@@ -8,8 +8,8 @@
 	"yardwinch/internal/testbed/invariants"
 )
 
-// The page's template names fields that no compiler checks.
-func TestPageShowsAResult(t *testing.T) {
+// Guards the field names in the page's template, which the compiler doesn't check.
+func TestReportPage(t *testing.T) {
 	r := &Result{Name: "shown", About: "About.", Seed: 7, Length: 3, Holds: true}
 	r.Processes = []Process{{Name: "b0", Established: 11, Connects: 12, PerSecond: []int{1, 2, 3},
 		Cost: invariants.Cost{Cut: 21, Unanswered: 22, Expired: 23, AnsweredLate: 24, SentLate: 25}}}
--- a/internal/testbed/fleet/requirement.go
+++ b/internal/testbed/fleet/requirement.go
@@ -8,25 +8,25 @@
 	"yardwinch/internal/strict"
 )
 
-// requirementKind is what has to hold, in the word of plan files.
+// requirementKind is a kind of requirement, as plan files name it.
 type requirementKind string
 
-// Kinds of requirements. Balancers are `who` in plan files, members `whom`.
+// Kinds of requirements. In plan files, balancers are `who` and members are `whom`.
 const (
 	requireLeftOut          requirementKind = "left-out"    // the front leaves each balancer out within a time
 	requireTakenBack        requirementKind = "taken-back"  // the front uses each balancer again within a time
-	requireServes           requirementKind = "serves"      // each balancer establishes so many flows at the least
-	requireUses             requirementKind = "uses"        // each balancer sends so many connects at the least to the servers
-	requireAvoids           requirementKind = "avoids"      // each balancer sends so many connects at the most to the servers
-	requireEstablished      requirementKind = "established" // of all flows accepted, a share at the least is established
-	requireNeverEstablished requirementKind = "never-up"    // of all clients, a share at the most never had a connection
-	requireAnswered         requirementKind = "answered"    // the calls of a fault were answered yes or no
-	requireHealthChecks     requirementKind = "probes"      // so many health checks in the run, at the least and at the most
+	requireServes           requirementKind = "serves"      // each balancer establishes at least a number of flows
+	requireUses             requirementKind = "uses"        // each balancer sends at least a number of connects to the servers
+	requireAvoids           requirementKind = "avoids"      // each balancer sends at most a number of connects to the servers
+	requireEstablished      requirementKind = "established" // at least a share of all accepted flows is established
+	requireNeverEstablished requirementKind = "never-up"    // at most a share of all clients never had a connection
+	requireAnswered         requirementKind = "answered"    // the calls of a fault succeeded, or failed
+	requireHealthChecks     requirementKind = "probes"      // the number of health checks by all balancers is within bounds
 	requireHealthChecked    requirementKind = "probed"      // no server goes without a health check for longer than a time
 	requireSees             requirementKind = "sees"        // each balancer that runs sees each member in a state, within a time
 	requireKeeps            requirementKind = "keeps"       // no balancer that runs sees any of the members as gone
-	requireDescriptors      requirementKind = "descriptors" // each balancer that runs holds so many at the most shortly before the end
-	requireCosts            requirementKind = "costs"       // killed and frozen processes cost so many connections and flows at the most
+	requireDescriptors      requirementKind = "descriptors" // each running balancer has at most a number of file descriptors open shortly before the end
+	requireCosts            requirementKind = "costs"       // killed and frozen processes cost at most a number of connections and flows
 )
 
 var requirementKinds = []requirementKind{
@@ -34,34 +34,34 @@
 	requireAnswered, requireCosts, requireDescriptors, requireSees, requireKeeps, requireHealthChecks, requireHealthChecked,
 }
 
-// requirement is one thing that has to hold.
+// requirement is a condition that has to hold over a period of the run.
 type requirement struct {
 	kind               requirementKind
-	after              string // times count from that fault; empty: from the beginning
+	after              string // fault that times count from; empty for the start of the run
 	balancers, servers []string
 	members            []string
-	status             string // of the members
+	status             string // state of the members
 	from, to           time.Duration
 	within             time.Duration
 	atLeast, atMost    float64
-	wantYes            bool
+	wantSuccess        bool
 }
 
 func (p *Plan) readRequirement(t strict.Table, names map[string]bool) {
 	const most = 1e9
 	r := requirement{
-		kind:      requirementKind(t.String("kind", "", stringsOf(requirementKinds)...)),
-		after:     t.String("after", ""),
-		balancers: t.Strings("who", []string{"all"}),
-		servers:   t.Strings("servers", []string{"servers"}),
-		from:      t.Duration("from", 0, maxPlanTime),
-		to:        t.Duration("to", 0, maxPlanTime),
-		within:    t.Duration("within", 0, maxPlanTime),
-		atLeast:   t.Float("at-least", 0, 0, most),
-		atMost:    t.Float("at-most", 0, 0, most),
-		wantYes:   t.String("says", "yes", "yes", "no") == "yes",
-		members:   t.Strings("whom", nil),
-		status:    t.String("status", "alive", "alive", "gone", "left"),
+		kind:        requirementKind(t.String("kind", "", stringsOf(requirementKinds)...)),
+		after:       t.String("after", ""),
+		balancers:   t.Strings("who", []string{"all"}),
+		servers:     t.Strings("servers", []string{"servers"}),
+		from:        t.Duration("from", 0, maxPlanTime),
+		to:          t.Duration("to", 0, maxPlanTime),
+		within:      t.Duration("within", 0, maxPlanTime),
+		atLeast:     t.Float("at-least", 0, 0, most),
+		atMost:      t.Float("at-most", 0, 0, most),
+		wantSuccess: t.String("says", "yes", "yes", "no") == "yes",
+		members:     t.Strings("whom", nil),
+		status:      t.String("status", "alive", "alive", "gone", "left"),
 	}
 	if r.kind == "" {
 		if !t.Has("kind") {
@@ -78,12 +78,12 @@
 
 func (p *Plan) checkRequirement(t strict.Table, r requirement, names map[string]bool) {
 	if r.after != "" && !names[r.after] {
-		t.Fail("after", "no fault is called %q", r.after)
+		t.Fail("after", "no fault is named %q", r.after)
 	}
 	switch r.kind {
 	case requireAnswered:
 		if r.after == "" {
-			t.Fail("after", "is missing: which call's answer?")
+			t.Fail("after", "is missing; want the name of a call")
 		}
 	case requireLeftOut, requireTakenBack, requireSees, requireHealthChecked:
 		if r.within == 0 {
@@ -95,7 +95,7 @@
 	}
 }
 
-// String says what has to hold, and when.
+// String describes the requirement and its period.
 func (r requirement) String() string {
 	when := ""
 	if r.after != "" {
@@ -110,7 +110,7 @@
 	return requirementTexts[r.kind](r) + when
 }
 
-// requirementTexts say what each kind asks for.
+// requirementTexts describe a requirement of each kind.
 var requirementTexts = map[requirementKind]func(requirement) string{
 	requireLeftOut: func(r requirement) string {
 		return fmt.Sprintf("the front leaves %s out within %v", list(r.balancers), r.within)
@@ -132,7 +132,7 @@
 		return fmt.Sprintf("at most %g of all clients never have a connection", r.atMost)
 	},
 	requireAnswered: func(r requirement) string {
-		if r.wantYes {
+		if r.wantSuccess {
 			return "the call is answered yes"
 		}
 		return "the call is answered no"
--- a/internal/testbed/fleet/result.go
+++ b/internal/testbed/fleet/result.go
@@ -11,19 +11,19 @@
 )
 
 const (
-	recentPeriod     = 2 * time.Second // over which it is seen whether a faulty server is still chosen
-	earliestFault    = time.Second     // faults that began before have no result
-	stillChosenShare = 3               // a server that gets one part in so many of its fair share is still chosen
+	recentPeriod       = 2 * time.Second // window in which a faulty server's share of the connects is measured
+	earliestFault      = time.Second     // faults that began earlier have no result
+	stillChosenDivisor = 3               // a server still counts as chosen at its fair share divided by this
 )
 
-// Verdict is one thing that had to hold, and whether it did.
+// Verdict says whether a requirement held, and what was observed.
 type Verdict struct {
 	Requirement string `json:"must"`
 	Holds       bool   `json:"holds"`
 	Seen        string `json:"seen"`
 }
 
-// Figures are what a run came to.
+// Figures are the totals of a run.
 type Figures struct {
 	Clients          int     `json:"clients"`
 	Flows            int     `json:"flows"`
@@ -37,10 +37,10 @@
 	HealthChecks     int     `json:"probes"`
 	Judged           int     `json:"judged"`
 	Broken           int     `json:"broken"`
-	Service          float64 `json:"service"` // share of the seconds requested
+	Service          float64 `json:"service"` // share of the requested seconds that was served
 }
 
-// Process is what was seen of one balancer.
+// Process is the result for one balancer process.
 type Process struct {
 	Name        string          `json:"name"`
 	Established int             `json:"established"`
@@ -51,7 +51,7 @@
 	PerSecond   []int           `json:"established_by_second"`
 }
 
-// Result is one run, with its verdicts.
+// Result is the result of one run, with its verdicts.
 type Result struct {
 	Name          string         `json:"name"`
 	About         string         `json:"about"`
@@ -70,23 +70,23 @@
 	Paths         []Span         `json:"ways"`
 }
 
-// FaultyServer is what one server's fault came to, over all balancers.
+// FaultyServer is the effect of one server's fault, over all balancers.
 type FaultyServer struct {
 	Server string  `json:"server"`
 	From   float64 `json:"from_s"`
 	// LastChosenAfter is the time from the fault's beginning to the end of the last recentPeriod in which the server still got a third of
-	// its fair share of all connects: some balancer chose it as if it had no fault.
+	// its fair share of all connects, so that some balancer still chose it as if it had no fault.
 	LastChosenAfter float64 `json:"last_stops_s"`
-	Sent            int     `json:"sent"` // connects that it got meanwhile: each is a flow that is served late, or not at all
+	Sent            int     `json:"sent"` // connects that it got during the fault, each for a flow that is served late or not at all
 }
 
-// Named are the spans of somebody.
+// Named is a list of spans with the name of the endpoint that they are of.
 type Named struct {
 	Name  string `json:"name"`
 	Spans []Span `json:"spans"`
 }
 
-// result gathers what was seen, and checks the requirements.
+// result collects the results of the run and checks the requirements.
 func (r *fleetRun) result(void string) *Result {
 	end := r.world.Accounting.Length
 	slices.SortStableFunc(r.events, func(a, b invariants.Event) int { return cmp.Compare(a.At, b.At) })
@@ -107,7 +107,7 @@
 	result.Figures = r.figures(len(result.Violations) + r.checker.Omitted())
 	for i := range r.world.Servers {
 		if spans := r.faultySpans[i]; len(spans) > 0 {
-			result.FaultySpans = append(result.FaultySpans, Named{serverName(i), closed(spans, end)})
+			result.FaultySpans = append(result.FaultySpans, Named{serverName(i), closeOpenSpans(spans, end)})
 		}
 	}
 	result.FaultyServers = r.faultyServerResults()
@@ -145,8 +145,8 @@
 		result := Process{
 			Name:      p.name,
 			Cost:      costs[invariants.Balancer(p.id)],
-			States:    closed(p.spans, end),
-			LeftOut:   closed(r.leftOutSpans[p.name], end),
+			States:    closeOpenSpans(p.spans, end),
+			LeftOut:   closeOpenSpans(r.leftOutSpans[p.name], end),
 			PerSecond: make([]int, int(end/time.Second)+1),
 		}
 		for _, e := range r.events {
@@ -169,7 +169,7 @@
 	}
 }
 
-// commonRequirements are those of every run.
+// commonRequirements returns the verdicts on the requirements of every run.
 func (r *fleetRun) commonRequirements(broken int) []Verdict {
 	rules := Verdict{
 		Requirement: "no rule broken by any balancer that runs",
@@ -189,10 +189,10 @@
 	return verdicts
 }
 
-// faultyServerResults measures faults that began in the run and lasted for long enough to be noticed.
+// faultyServerResults returns the results of faults that began during the run and lasted long enough for balancers to detect them.
 func (r *fleetRun) faultyServerResults() (results []FaultyServer) {
 	for i := range r.world.Servers {
-		for _, span := range closed(r.faultySpans[i], r.world.Accounting.Length) {
+		for _, span := range closeOpenSpans(r.faultySpans[i], r.world.Accounting.Length) {
 			if span.From >= earliestFault && span.To-span.From >= 2*recentPeriod {
 				results = append(results, r.faultyServerResult(i, span))
 			}
@@ -203,19 +203,19 @@
 
 func (r *fleetRun) faultyServerResult(server int, span Span) FaultyServer {
 	result := FaultyServer{Server: serverName(server), From: span.From.Seconds()}
-	var all, here []time.Duration // recent connects
+	var all, toServer []time.Duration // connects within recentPeriod, and those of them to the server
 	for _, e := range r.events {
 		if e.Kind != invariants.ConnectSent || e.At < span.From || e.At >= span.To {
 			continue
 		}
 		all = append(dropBefore(all, e.At-recentPeriod), e.At)
-		here = dropBefore(here, e.At-recentPeriod)
+		toServer = dropBefore(toServer, e.At-recentPeriod)
 		if int(e.Server) == server {
 			result.Sent++
-			here = append(here, e.At)
+			toServer = append(toServer, e.At)
 		}
 		fairShare := float64(len(all)) / float64(len(r.world.Servers))
-		if len(here) > 0 && float64(len(here)) >= fairShare/stillChosenShare {
+		if len(toServer) > 0 && float64(len(toServer)) >= fairShare/stillChosenDivisor {
 			result.LastChosenAfter = (e.At - span.From).Seconds()
 		}
 	}
@@ -229,7 +229,7 @@
 	return times
 }
 
-// servedShare is the share of all seconds requested in which a client's messages were answered in time.
+// servedShare returns the share of all requested seconds in which a client's messages were answered in time.
 func (r *fleetRun) servedShare() float64 {
 	served, requested := 0.0, 0.0
 	for i, row := range r.world.Accounting.Requested {
@@ -244,8 +244,8 @@
 	return served / requested
 }
 
-// closed are spans of which an open one ends with the run.
-func closed(spans []Span, end time.Duration) []Span {
+// closeOpenSpans returns a copy of spans in which open ones end at the end of the run.
+func closeOpenSpans(spans []Span, end time.Duration) []Span {
 	all := slices.Clone(spans)
 	for i := range all {
 		if all[i].To == 0 {
--- a/internal/testbed/fleet/run.go
+++ b/internal/testbed/fleet/run.go
@@ -21,20 +21,20 @@
 	oldBuild         = "old"
 )
 
-// Span is a time in which something was so.
+// Span is a period with a label of what it shows. To is 0 while the span is open.
 type Span struct {
 	From, To time.Duration
 	What     string
 }
 
-// Moment is something that happened.
+// Moment is an event of the run's timeline.
 type Moment struct {
 	At   time.Duration
 	Who  string
 	What string
 }
 
-// fleetRun is one run of a plan. What changes during it is guarded by the driver's mutex.
+// fleetRun is one run of a plan. State that changes during the run is guarded by the driver's mutex.
 type fleetRun struct {
 	plan      *Plan
 	seed      uint64
@@ -47,37 +47,37 @@
 	world     *simulation.World
 	checker   *invariants.Checker
 	network   *netfault.Network
-	proxy     *netfault.Proxy // nil: nothing passes between balancers
+	proxy     *netfault.Proxy // nil without membership
 	names     *nameResolver
 	processes []*process
 
 	events        []invariants.Event
 	moments       []Moment
-	faultTimes    map[string]time.Duration // of named faults
-	callAnswers   map[string][]callAnswer  // to the calls of named faults
-	leftOutSpans  map[string][]Span        // times in which the front left a balancer out
-	faultySpans   map[int][]Span           // times in which servers had faults
-	pathSpans     []Span                   // times in which paths had a condition
-	descriptors   map[string]int           // of processes that ran shortly before the end
-	skippedFaults []string                 // that could not be carried out as the file says
+	faultTimes    map[string]time.Duration  // start times of named faults
+	callResponses map[string][]callResponse // of the calls of named faults
+	leftOutSpans  map[string][]Span         // by balancer: when the front left it out
+	faultySpans   map[int][]Span            // by server: when it had a fault
+	pathSpans     []Span                    // when paths had a condition
+	descriptors   map[string]int            // open file descriptors of processes that ran shortly before the end
+	skippedFaults []string                  // why faults could not be carried out as planned
 }
 
-// callAnswer is the answer to an operator's call.
-type callAnswer struct {
+// callResponse is a balancer's response to an operator's call.
+type callResponse struct {
 	balancer, text string
-	isYes          bool
+	isSuccess      bool
 }
 
-// Settings are what a plan is run with.
+// Settings are the parameters of a run.
 type Settings struct {
 	Seed      uint64
-	Program   []string            // starts the balancer
-	Old       []string            // starts the earlier build; empty where the plan needs none
+	Program   []string            // command line that starts the balancer
+	Old       []string            // command line that starts the earlier build; empty if the plan needs none
 	Directory string              // for configurations, logs and the processes' own directories
-	Progress  func(time.Duration) // gets the time, each half second; may be nil
+	Progress  func(time.Duration) // called with the elapsed time every half second; may be nil
 }
 
-// Run runs a plan once.
+// Run runs a plan once and returns its result.
 func Run(ctx context.Context, p *Plan, s Settings) (*Result, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	r := newRun(ctx, p, s)
@@ -95,19 +95,19 @@
 	r.world.FrontElsewhere()
 	r.driver.Isolate(&sockets.Isolation{
 		Network:        r.network,
-		ControlAddress: func(b simulation.BalancerID) string { return r.processes[b].control },
-		Launch:         r.launch,
+		ControlAddress: func(b simulation.BalancerID) string { return r.processes[b].controlAddress },
+		Launch:         r.configureCommand,
 		Ended:          r.processEnded,
 		Observe:        func(e invariants.Event) { r.events = append(r.events, e) },
 	})
-	r.schedule()
+	r.scheduleFaults()
 	void, err := r.driver.Run(r.progress(ctx, s.Progress))
 	cancel()
 	if err != nil {
 		return nil, &Error{
 			Where:  "fleet",
-			What:   "the run could not be played to its end",
-			Remedy: "look into the logs that it names; with --logs DIR they are kept",
+			What:   "the run failed",
+			Remedy: "see the logs that it names; --logs DIR keeps them",
 			Err:    err,
 		}
 	}
@@ -117,22 +117,22 @@
 func newRun(ctx context.Context, p *Plan, s Settings) *fleetRun {
 	day := p.Experiment.Day(s.Seed)
 	r := &fleetRun{
-		plan:         p,
-		seed:         s.Seed,
-		ctx:          ctx,
-		directory:    s.Directory,
-		day:          day,
-		world:        day.World,
-		network:      netfault.New(s.Seed),
-		programs:     map[string][]string{},
-		faultTimes:   map[string]time.Duration{},
-		callAnswers:  map[string][]callAnswer{},
-		leftOutSpans: map[string][]Span{},
-		faultySpans:  map[int][]Span{},
-		descriptors:  map[string]int{},
+		plan:          p,
+		seed:          s.Seed,
+		ctx:           ctx,
+		directory:     s.Directory,
+		day:           day,
+		world:         day.World,
+		network:       netfault.New(s.Seed),
+		programs:      map[string][]string{},
+		faultTimes:    map[string]time.Duration{},
+		callResponses: map[string][]callResponse{},
+		leftOutSpans:  map[string][]Span{},
+		faultySpans:   map[int][]Span{},
+		descriptors:   map[string]int{},
 	}
 	slack, reordering := sockets.CheckerTimes()
-	r.checker = scenario.NewChecker(day, max(slack, p.lateAnswers), reordering)
+	r.checker = scenario.NewChecker(day, max(slack, p.answerTolerance), reordering)
 	r.driver = sockets.New(ctx, day, r.checker, s.Program, s.Directory)
 	if p.hasMembership {
 		r.proxy = netfault.NewProxy(ctx, r.network)
@@ -157,13 +157,13 @@
 }
 
 func (r *fleetRun) newProcesses() error {
-	onOldBuild := r.names.resolve(r.plan.oldBuildOn, nil)
+	oldBuildNames := r.names.resolve(r.plan.oldBuildOn, nil)
 	for b := range r.world.Balancers {
 		p, err := r.newProcess(simulation.BalancerID(b))
 		if err != nil {
 			return err
 		}
-		if slices.Contains(onOldBuild, p.name) {
+		if slices.Contains(oldBuildNames, p.name) {
 			p.program = oldBuild
 		}
 		r.processes = append(r.processes, p)
@@ -171,7 +171,7 @@
 	return nil
 }
 
-// progress starts the observers at the first sign of the run.
+// progress returns a progress callback that starts the observers when it is first called, and passes the time on to report.
 func (r *fleetRun) progress(ctx context.Context, report func(time.Duration)) func(time.Duration) {
 	hasStarted := false
 	return func(now time.Duration) {
@@ -185,7 +185,7 @@
 	}
 }
 
-// startObservers starts what observes the run beside its timeline.
+// startObservers starts the observers of the front, of the members and of faulty servers.
 func (r *fleetRun) startObservers(ctx context.Context) {
 	for _, p := range r.processes {
 		front := frontWatch{
@@ -217,7 +217,7 @@
 	r.leftOutSpans[p.name] = spans
 }
 
-// observeFaultyServers looks again and again which servers have faults.
+// observeFaultyServers polls which servers have faults, and records the spans.
 func (r *fleetRun) observeFaultyServers() {
 	now := r.driver.Elapsed()
 	for i, s := range r.world.Servers {
@@ -232,10 +232,12 @@
 	r.world.Schedule.After(faultyServerPoll, simulation.Measure, r.observeFaultyServers)
 }
 
+// record adds a moment at the current time.
 func (r *fleetRun) record(who, format string, values ...any) {
 	r.moments = append(r.moments, Moment{r.driver.Elapsed(), who, fmt.Sprintf(format, values...)})
 }
 
+// skip records why a fault could not be carried out as planned.
 func (r *fleetRun) skip(format string, values ...any) {
 	r.skippedFaults = append(r.skippedFaults, fmt.Sprintf(format, values...))
 }
--- a/internal/testbed/fleet/sighup.go
+++ b/internal/testbed/fleet/sighup.go
@@ -13,22 +13,22 @@
 )
 
 const (
-	sighupInterval = time.Millisecond // between two signals to a process that has just been started
+	sighupInterval = time.Millisecond // between signals to a process that is being started
 	sighupPoll     = 200 * time.Microsecond
-	sighupTimeout  = 2 * time.Second // until a process that was started is no longer the shell that starts it
+	sighupTimeout  = 2 * time.Second // for a started process to ignore SIGHUP or to handle it
 )
 
-// scheduleSIGHUPs sends SIGHUP so often, spread over the length of a fault. The driver is locked.
+// scheduleSIGHUPs schedules SIGHUP signals to a process, spread over the length of the fault. The caller holds the driver's mutex.
 func (r *fleetRun) scheduleSIGHUPs(p *process, f startedFault) {
 	count := max(f.signals, 1)
 	for i := range count {
 		delay := f.drawnLength * time.Duration(i) / time.Duration(count)
-		r.world.Schedule.After(delay, simulation.Cause, p.unchanged(func() { r.signal(p, syscall.SIGHUP) }))
+		r.world.Schedule.After(delay, simulation.Cause, p.ifUnchanged(func() { r.signal(p, syscall.SIGHUP) }))
 	}
 }
 
-// sendSIGHUPsDuringStart sends SIGHUP so often to a process that is being started, from the first instant in which the
-// shell that starts it no longer ends by it. The driver is locked; the signals go out beside it.
+// sendSIGHUPsDuringStart sends count SIGHUP signals to a process that is being started, as soon as they no longer end the shell that starts it.
+// The caller holds the driver's mutex; the signals are sent by a goroutine without it.
 func (r *fleetRun) sendSIGHUPsDuringStart(p *process, count int) {
 	pid := r.driver.Process(p.id)
 	if pid == 0 || count == 0 {
@@ -40,7 +40,7 @@
 		}
 		for range count {
 			if syscall.Kill(pid, syscall.SIGHUP) != nil {
-				return // it has ended, which is noted elsewhere
+				return // the process has ended; its end is recorded elsewhere
 			}
 			time.Sleep(sighupInterval)
 		}
@@ -56,10 +56,10 @@
 	return true
 }
 
-// handlesSIGHUP tells whether a process ignores SIGHUP or has a handler for it.
+// handlesSIGHUP reports whether a process ignores SIGHUP or has a handler for it.
 func handlesSIGHUP(pid int) bool {
 	const bit = 1 << (syscall.SIGHUP - 1)
-	status, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid)) // a process that has ended handles nothing
+	status, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid)) // empty if the process has ended
 	for line := range strings.Lines(string(status)) {
 		name, mask, _ := strings.Cut(line, ":")
 		if name != "SigIgn" && name != "SigCgt" {
--- a/internal/testbed/fleet/soak.go
+++ b/internal/testbed/fleet/soak.go
@@ -10,33 +10,32 @@
 	"yardwinch/internal/simulation"
 )
 
-// A soak runs timelines that are drawn from seeds: planned restarts with the kill at its earliest, signals in a row, idle
-// clients, faults of discovery and of servers, directories that fail, processes that are paused. A plan is written as the
-// text of a plan file, which runs again as any other. A seed's draws have a fixed order: what is drawn in between changes
-// the plans of all seeds.
+// A soak runs timelines that are drawn from seeds: planned restarts with the earliest possible kill, signals in a row, idle clients, faults of
+// discovery and of servers, failing directories, paused processes. The plan of a seed is written as the text of a plan file, so that it can be
+// run again like any other plan. The order of the draws is fixed: an additional draw changes the plans of all seeds.
 
 const (
-	soakLength    = 14 * time.Second
-	soakBalancers = 4
-	soakServers   = 6
-	pauseLength   = 150 * time.Millisecond // a process may lose its core for this long at any time
-	pauseInterval = 3 * time.Second
-	lateAnswer    = 500 * time.Millisecond  // an answer that is this late only earns nothing; later it is lost
-	minDowntime   = 1300 * time.Millisecond // or the front doesn't notice, and can't take it back
-	readyTimeout  = 10 * time.Second
-	// That a process may hold at the end: those for itself, and pairs for established connections.
+	soakLength          = 14 * time.Second
+	soakBalancers       = 4
+	soakServers         = 6
+	pauseLength         = 150 * time.Millisecond // a process may be descheduled for this long at any time
+	pauseInterval       = 3 * time.Second
+	soakAnswerTolerance = 500 * time.Millisecond  // an answer up to this late earns no service; a later one breaks a rule
+	minSoakDowntime     = 1300 * time.Millisecond // with a shorter one the front would not leave the process out, and could not take it back
+	readyTimeout        = 10 * time.Second
+	// File descriptors that a process may have open at the end: its own, and two for each established connection.
 	soakDescriptors = 200
 )
 
-// Names in a soak's plan.
+// Names of faults, and a server, in a soak's plan.
 const (
 	restartedFault = "restarted"
 	killedFault    = "killed"
-	disabledFault  = "banned" // an operator's call
+	disableCall    = "banned" // the operator's call that disables the server
 	disabledServer = "s-005"
 )
 
-// soakShape is what a seed draws before the timeline.
+// soakShape holds the settings that a seed draws before its timeline.
 type soakShape struct {
 	deadline, window time.Duration
 	effect, group    string
@@ -69,7 +68,7 @@
 	}
 )
 
-// SoakPlan is the text of a seed's plan.
+// SoakPlan returns the text of a seed's plan.
 func SoakPlan(seed uint64) string {
 	random := simulation.RandomSource(seed, "soak", 0)
 	shape := soakShape{
@@ -108,7 +107,7 @@
 		{"window", s.window},
 	})
 	writeTable(to, "[list]", settings{{"mode", mode}, {"notice", "400ms"}, {"silent-notice", "4s"}, {"add", "300ms"}})
-	writeTable(to, "[judge]", settings{{"late", lateAnswer}})
+	writeTable(to, "[judge]", settings{{"late", soakAnswerTolerance}})
 	writeTable(to, "[front]", settings{{"ask-every", "200ms"}, {"wait", "400ms"}, {"misses", 2}})
 }
 
@@ -117,39 +116,39 @@
 	for range 2 {
 		fault := pick(random, soakModelFaults)
 		writeTable(to, modelFaultEntry, slices.Concat(fault, settings{
-			{"start", between(random, time.Second, 6*time.Second)},
-			{"length", between(random, time.Second, 5*time.Second)},
+			{"start", drawDuration(random, time.Second, 6*time.Second)},
+			{"length", drawDuration(random, time.Second, 5*time.Second)},
 		}))
 	}
 }
 
-// writeRestarts restarts one process in order and kills another, each with signals in a row.
+// writeRestarts writes the graceful restart of one process and the kill of another, each with signals in a row.
 func writeRestarts(to *strings.Builder, random *rand.Rand) {
 	writeTable(to, faultEntry, settings{
 		{"as", restartedFault},
 		{"kind", faultTerminate},
 		{"who", []string{"b0"}},
-		{"at", between(random, 1500*time.Millisecond, 3*time.Second)},
-		{"for", between(random, minDowntime, 2*time.Second)},
+		{"at", drawDuration(random, 1500*time.Millisecond, 3*time.Second)},
+		{"for", drawDuration(random, minSoakDowntime, 2*time.Second)},
 		{"times", 1 + random.IntN(30)},
 	})
 	writeTable(to, faultEntry, settings{
 		{"as", killedFault},
 		{"kind", faultKill},
 		{"who", []string{"b1"}},
-		{"at", between(random, 2*time.Second, 5*time.Second)},
-		{"for", between(random, minDowntime, 2*time.Second)},
+		{"at", drawDuration(random, 2*time.Second, 5*time.Second)},
+		{"for", drawDuration(random, minSoakDowntime, 2*time.Second)},
 		{"times", 1 + random.IntN(30)},
 	})
 }
 
-// writeDisturbances draws what happens to the processes that go on.
+// writeDisturbances draws the faults that don't end a process.
 func writeDisturbances(to *strings.Builder, random *rand.Rand) {
 	writeTable(to, faultEntry, settings{
 		{"kind", faultSIGHUP},
 		{"who", []string{"b2"}},
 		{"at", disturbanceTime(random)},
-		{"for", between(random, 0, 2*time.Second)},
+		{"for", drawDuration(random, 0, 2*time.Second)},
 		{"times", 1 + random.IntN(50)},
 	})
 	writePauses(to, random)
@@ -160,17 +159,17 @@
 			{"kind", faultIdleClients},
 			{"who", []string{"b3"}},
 			{"at", disturbanceTime(random)},
-			{"for", between(random, time.Second, 3*time.Second)},
+			{"for", drawDuration(random, time.Second, 3*time.Second)},
 			{"rate", 200 + random.IntN(400)},
 		})
 	}
 }
 
 func disturbanceTime(random *rand.Rand) time.Duration {
-	return between(random, time.Second, 9*time.Second)
+	return drawDuration(random, time.Second, 9*time.Second)
 }
 
-// writePauses has a process lose its core now and then.
+// writePauses writes short pauses of one process.
 func writePauses(to *strings.Builder, random *rand.Rand) {
 	for i := range 3 {
 		earliest := time.Second + time.Duration(i)*pauseInterval
@@ -178,13 +177,13 @@
 		writeTable(to, faultEntry, settings{
 			{"kind", faultFreeze},
 			{"who", []string{"b3"}},
-			{"at", between(random, earliest, latest)},
+			{"at", drawDuration(random, earliest, latest)},
 			{"for", pauseLength},
 		})
 	}
 }
 
-// writeDisableInFailingDirectory has the operator disable a server around the time in which a process can't save it.
+// writeDisableInFailingDirectory writes an operator's call that disables a server around the time at which the process can't save that.
 func writeDisableInFailingDirectory(to *strings.Builder, random *rand.Rand) {
 	kind := pick(random, []faultKind{faultDirectoryFull, faultDirectoryReadOnly})
 	callAt := disturbanceTime(random)
@@ -192,10 +191,10 @@
 		{"kind", kind},
 		{"who", []string{"b2"}},
 		{"at", max(callAt-time.Second, 500*time.Millisecond)},
-		{"for", between(random, time.Second, 3*time.Second)},
+		{"for", drawDuration(random, time.Second, 3*time.Second)},
 	})
 	writeTable(to, faultEntry, settings{
-		{"as", disabledFault},
+		{"as", disableCall},
 		{"kind", faultCall},
 		{"who", []string{"b2"}},
 		{"at", callAt},
@@ -210,14 +209,14 @@
 		{"who", []string{"any:2"}},
 		{"to", []string{"discovery"}},
 		{"at", disturbanceTime(random)},
-		{"for", between(random, time.Second, 5*time.Second)},
+		{"for", drawDuration(random, time.Second, 5*time.Second)},
 	}, pick(random, soakConditions)))
 	writeTable(to, faultEntry, slices.Concat(settings{
 		{"kind", faultPath},
 		{"who", []string{"b3"}},
 		{"to", []string{"s-000", "s-001"}},
 		{"at", disturbanceTime(random)},
-		{"for", between(random, time.Second, 4*time.Second)},
+		{"for", drawDuration(random, time.Second, 4*time.Second)},
 	}, pick(random, soakConditions)))
 	writeTable(to, faultEntry, settings{
 		{"kind", faultReset},
@@ -236,10 +235,10 @@
 			{"within", readyTimeout},
 		})
 	}
-	writeTable(to, requirementEntry, settings{{"kind", requireAnswered}, {"after", disabledFault}, {"says", "yes"}})
+	writeTable(to, requirementEntry, settings{{"kind", requireAnswered}, {"after", disableCall}, {"says", "yes"}})
 	writeTable(to, requirementEntry, settings{
 		{"kind", requireAvoids},
-		{"after", disabledFault},
+		{"after", disableCall},
 		{"who", []string{"b2"}},
 		{"servers", []string{disabledServer}},
 		{"from", "1s"},
@@ -248,7 +247,7 @@
 	writeTable(to, requirementEntry, settings{{"kind", requireDescriptors}, {"at-most", soakDescriptors}})
 }
 
-// between draws a time of whole milliseconds.
-func between(random *rand.Rand, least, most time.Duration) time.Duration {
+// drawDuration draws a duration, rounded to milliseconds.
+func drawDuration(random *rand.Rand, least, most time.Duration) time.Duration {
 	return simulation.UniformDuration(random, least, most).Round(time.Millisecond)
 }
--- a/internal/testbed/fleet/soak_test.go
+++ b/internal/testbed/fleet/soak_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// A seed draws the same plan in every build, so that a soak that failed can be repeated by its seed.
-func TestSoakPlansStay(t *testing.T) {
+// A seed draws the same plan in every build, so that a failed soak can be repeated by its seed.
+func TestSoakPlansAreStable(t *testing.T) {
 	const want = "9443f67ce32ba4192d2404f22208abbcbb89c0b0d584a2a2e8ba95c5b7914f77"
 	var plans strings.Builder
 	for seed := range uint64(1000) {
--- a/internal/testbed/fleet/start_faults.go
+++ b/internal/testbed/fleet/start_faults.go
@@ -17,14 +17,14 @@
 )
 
 const (
-	starvationPeriod = 100 * time.Millisecond // of which a starved process runs a quarter
+	starvationPeriod = 100 * time.Millisecond // a starved process runs for a quarter of it
 	starvedRun       = starvationPeriod / 4
 	starvedPause     = starvationPeriod - starvedRun
 
-	descriptorsBeforeEnd = 300 * time.Millisecond // of a run, they are counted
+	descriptorCountLead = 300 * time.Millisecond // time before the end of the run at which descriptors are counted
 )
 
-// startedFault is a fault of the timeline with what was drawn for this run.
+// startedFault is a fault of the timeline with the values drawn for this run.
 type startedFault struct {
 	fault
 	drawnLength time.Duration
@@ -32,37 +32,37 @@
 	peerNames   []string
 }
 
-// schedule schedules the timeline.
-func (r *fleetRun) schedule() {
+// scheduleFaults schedules the faults of the plan, and the count of descriptors before the end.
+func (r *fleetRun) scheduleFaults() {
 	for i, f := range r.plan.faults {
 		random := simulation.RandomSource(r.seed, "fault", i)
 		at := f.start.Draw(random)
 		length := f.length.Draw(random)
 		r.world.Schedule.At(at, simulation.Cause, func() { r.startFault(f, length) })
 	}
-	r.world.Schedule.At(r.plan.Experiment.Length-descriptorsBeforeEnd, simulation.Measure, r.countDescriptors)
+	r.world.Schedule.At(r.plan.Experiment.Length-descriptorCountLead, simulation.Measure, r.recordDescriptorCounts)
 }
 
-// atEndOf schedules what ends a fault that has a length.
-func (r *fleetRun) atEndOf(f startedFault, do func()) {
+// afterFault schedules do at the end of a fault; if the fault has no length, do is never called.
+func (r *fleetRun) afterFault(f startedFault, do func()) {
 	if f.drawnLength > 0 {
 		r.world.Schedule.After(f.drawnLength, simulation.Cause, do)
 	}
 }
 
-// startFault carries one fault out. The driver is locked.
-func (r *fleetRun) startFault(drawn fault, length time.Duration) {
-	f := startedFault{fault: drawn, drawnLength: length, targetNames: r.names.resolve(drawn.targets, nil)}
+// startFault starts one fault. The caller holds the driver's mutex.
+func (r *fleetRun) startFault(planned fault, length time.Duration) {
+	f := startedFault{fault: planned, drawnLength: length, targetNames: r.names.resolve(planned.targets, nil)}
 	f.peerNames = r.names.resolve(f.peers, f.targetNames)
 	if f.name != "" {
 		r.faultTimes[f.name], r.names.faultNames[f.name] = r.driver.Elapsed(), f.targetNames
 	}
-	r.record(strings.Join(f.targetNames, ","), "%s", f.textTo(f.peerNames))
+	r.record(strings.Join(f.targetNames, ","), "%s", f.describeTo(f.peerNames))
 	switch f.kind {
 	case faultPath:
 		r.startPathFault(f)
 	case faultReset:
-		r.workers.Go(func() { // the end of each stream takes the driver's mutex
+		r.workers.Go(func() { // in a goroutine, as the end of each stream takes the driver's mutex
 			f.eachPath(func(a, b netfault.Endpoint) { r.network.Reset(a, b) })
 		})
 	case faultFalseReports:
@@ -74,7 +74,7 @@
 	}
 }
 
-// processFaults start the kinds of faults that strike processes.
+// processFaults maps the kinds of faults that affect processes to the functions that start them.
 var processFaults = map[faultKind]func(*fleetRun, *process, startedFault){
 	faultKill:              (*fleetRun).startKill,
 	faultTerminate:         (*fleetRun).startTermination,
@@ -102,25 +102,25 @@
 func (r *fleetRun) startKill(p *process, f startedFault) {
 	if r.transition(p, down) {
 		r.world.KillBalancer(p.id)
-		r.restartAtEndOf(p, f)
+		r.restartAfterFault(p, f)
 	}
 }
 
-// restartAtEndOf starts the process again, unless something else has happened to it meanwhile.
-func (r *fleetRun) restartAtEndOf(p *process, f startedFault) {
-	r.atEndOf(f, p.unchanged(func() { r.restartProcess(p, f) }))
+// restartAfterFault restarts the process at the end of the fault, unless its state has changed by then.
+func (r *fleetRun) restartAfterFault(p *process, f startedFault) {
+	r.afterFault(f, p.ifUnchanged(func() { r.restartProcess(p, f) }))
 }
 
-// startTermination has a process end in order, and kills it when its time is over.
+// startTermination sends SIGTERM to a process, and kills it after the time that a planned restart allows.
 func (r *fleetRun) startTermination(p *process, f startedFault) {
-	if !r.transition(p, ending) {
+	if !r.transition(p, terminating) {
 		return
 	}
 	r.driver.StopBalancer(p.id)
 	for range f.signals - 1 {
 		r.signal(p, syscall.SIGTERM)
 	}
-	r.world.Schedule.After(r.world.StopWithin(), simulation.Cause, p.unchanged(func() { r.startKill(p, f) }))
+	r.world.Schedule.After(r.world.StopWithin(), simulation.Cause, p.ifUnchanged(func() { r.startKill(p, f) }))
 }
 
 func (r *fleetRun) restartProcess(p *process, f startedFault) {
@@ -148,29 +148,30 @@
 	}
 }
 
-// startStarvation lets a process run a quarter of the time. No rule binds it meanwhile: what it is late with is the machine's matter.
+// startStarvation lets a process run a quarter of the time. The checker treats it as frozen, as delays are then due to the machine and break no
+// rule.
 func (r *fleetRun) startStarvation(p *process, f startedFault) {
 	if !r.transition(p, starved) {
 		return
 	}
 	r.pauseProcess(p, f)
 	var run, pause func()
-	run = p.unchanged(func() {
+	run = p.ifUnchanged(func() {
 		r.signal(p, syscall.SIGCONT)
 		r.world.Schedule.After(starvedRun, simulation.Cause, pause)
 	})
-	pause = p.unchanged(func() {
+	pause = p.ifUnchanged(func() {
 		r.signal(p, syscall.SIGSTOP)
 		r.world.Schedule.After(starvedPause, simulation.Cause, run)
 	})
 	r.world.Schedule.After(starvedPause, simulation.Cause, run)
 }
 
-// pauseProcess stops a process until the end of a fault.
+// pauseProcess stops a process until the end of the fault.
 func (r *fleetRun) pauseProcess(p *process, f startedFault) {
 	r.driver.ObserveBalancer(p.id, invariants.BalancerFrozen)
 	r.signal(p, syscall.SIGSTOP)
-	r.atEndOf(f, p.unchanged(func() {
+	r.afterFault(f, p.ifUnchanged(func() {
 		if r.transition(p, running) {
 			r.driver.ObserveBalancer(p.id, invariants.BalancerResumed)
 			r.signal(p, syscall.SIGCONT)
@@ -179,8 +180,8 @@
 	}))
 }
 
-// startDirectoryFault lets nothing be written to a process's directory. A full one is stood in for by a limit on the size of the process's
-// files (EFBIG in place of ENOSPC): a write may still succeed in part.
+// startDirectoryFault makes writes to a process's directory fail. A limit on the size of the process's files stands in for a full file system,
+// with EFBIG in place of ENOSPC; a write may still succeed in part.
 func (r *fleetRun) startDirectoryFault(p *process, f startedFault) {
 	set := func(isOn bool) {
 		if err := r.setDirectoryFault(p, f.kind, isOn); err != nil {
@@ -188,7 +189,7 @@
 		}
 	}
 	set(true)
-	r.atEndOf(f, func() { set(false) })
+	r.afterFault(f, func() { set(false) })
 }
 
 func (r *fleetRun) setDirectoryFault(p *process, kind faultKind, isOn bool) error {
@@ -206,21 +207,22 @@
 	return limitFileSize(r.ctx, pid, isOn)
 }
 
-// limitFileSize lets no file of a process grow, or lifts that. It is asked for as the process's own user, who may; root may not everywhere.
+// limitFileSize prevents the files of a process from growing, or lifts that limit. prlimit runs as the process's own user, which is always
+// permitted; root is not permitted in every environment.
 func limitFileSize(ctx context.Context, pid int, isOn bool) error {
 	soft := "unlimited"
 	if isOn {
 		soft = "0"
 	}
 	command := exec.CommandContext(ctx, "prlimit", "--pid", strconv.Itoa(pid), "--fsize="+soft+":unlimited")
-	unprivileged(command)
+	dropPrivileges(command)
 	if text, err := command.CombinedOutput(); err != nil {
 		return fmt.Errorf("prlimit: %w: %s", err, strings.TrimSpace(string(text)))
 	}
 	return nil
 }
 
-// eachPath has the paths between targets and peers.
+// eachPath calls do with each path between a target and a peer.
 func (f startedFault) eachPath(do func(target, peer netfault.Endpoint)) {
 	for _, target := range f.targetNames {
 		for _, peer := range f.peerNames {
@@ -245,11 +247,11 @@
 		r.driver.UpdateListeners()
 	}
 	set(f.condition)
-	r.atEndOf(f, func() { set(netfault.Condition{}) })
+	r.afterFault(f, func() { set(netfault.Condition{}) })
 	now, end := r.driver.Elapsed(), r.world.Accounting.Length
 	if f.drawnLength > 0 {
 		end = now + f.drawnLength
 	}
-	what := f.text() + ": " + strings.Join(f.targets, ",") + " – " + strings.Join(f.peers, ",")
+	what := f.describe() + ": " + strings.Join(f.targets, ",") + " – " + strings.Join(f.peers, ",")
 	r.pathSpans = append(r.pathSpans, Span{now, end, what})
 }
