--- a/internal/testbed/sockets/client.go
+++ b/internal/testbed/sockets/client.go
@@ -17,10 +17,10 @@
 )
 
 const (
-	lineInterval    = 2 * time.Second // between the lines of an established client
+	lineInterval    = 2 * time.Second // between two lines sent by an established client
 	lineTimeout     = time.Second
 	connectTimeout  = 3 * time.Second
-	lateAnswerWait  = answerTolerance + 10*time.Millisecond // for an answer that is on its way when a client gives up
+	lateAnswerWait  = answerTolerance + 10*time.Millisecond // an answer may be in transit when a client times out
 	listenerTimeout = 50 * time.Millisecond
 )
 
@@ -31,12 +31,12 @@
 	connecting clientState = iota
 	awaitingAnswer
 	established
-	over
+	ended
 )
 
-var errBalancerKilled = errors.New("its balancer was killed")
+var errBalancerKilled = errors.New("balancer was killed")
 
-// client is one attempt of a client on a socket. What changes of it is guarded by the driver's mutex.
+// client is one flow: a simulated client's connection to a balancer. Its mutable fields are guarded by the driver's mutex.
 type client struct {
 	driver    *Driver
 	flow      simulation.FlowID
@@ -44,20 +44,20 @@
 	address   string
 	line      string
 	deadline  time.Duration
-	isInitial bool // it is established when the day begins
+	isInitial bool // established before the day begins
 
 	state            clientState
 	conn             net.Conn
 	answers          int
-	isAccepted       bool // as the checker has it
-	hasLeft          bool // by its own will
+	isAccepted       bool // the checker was told that the flow is accepted
+	hasLeft          bool // the client itself ended the connection
 	wasEstablished   bool
 	wasMovedByServer bool
 }
 
-// transition makes every change of a client's state.
+// transition is the only place that changes a client's state.
 func (c *client) transition(to clientState) {
-	if to == over && c.state != over {
+	if to == ended && c.state != ended {
 		if c.state == established {
 			c.driver.observe(c.event(invariants.FlowEnded))
 		}
@@ -73,11 +73,11 @@
 
 func (c *client) close() {
 	if c.conn != nil {
-		_ = c.conn.Close() // its reader sees the end
+		_ = c.conn.Close() // unblocks the reading goroutine, which does the cleanup
 	}
 }
 
-// OpenFlow opens a connection at a balancer. Its time counts from here, whatever keeps the machine from connecting.
+// OpenFlow opens a connection to a balancer. The client's timeout starts here, even if the machine is slow to connect.
 func (d *Driver) OpenFlow(a simulation.Attempt) {
 	if d.isOver {
 		return
@@ -92,15 +92,16 @@
 	d.startClient(a, flags)
 }
 
-// AdoptFlow opens a connection that is established when the day begins.
+// AdoptFlow opens a connection that has to be established before the day begins.
 func (d *Driver) AdoptFlow(f simulation.FlowID, c *simulation.Client, b simulation.BalancerID, conn simulation.ConnID,
 	s simulation.ServerID) {
 	d.awaitingEstablished[f] = conn
-	attempt := simulation.Attempt{Flow: f, Client: c, Balancer: b, Timeout: establishWithin}
+	attempt := simulation.Attempt{Flow: f, Client: c, Balancer: b, Timeout: establishTimeout}
 	d.startClient(attempt, ",at="+experiment.ServerName(s)).isInitial = true
 }
 
-// startClient starts a client's goroutine, which waits for the driver's mutex before it reads what the caller still sets.
+// startClient starts a client's goroutine. The caller holds the driver's mutex and may set further fields: the goroutine locks the mutex
+// before it reads them.
 func (d *Driver) startClient(a simulation.Attempt, flags string) *client {
 	c := &client{driver: d, flow: a.Flow, balancer: a.Balancer, deadline: d.now() + a.Timeout, line: d.openLine(a, flags)}
 	if int(a.Balancer) < len(d.processes) {
@@ -111,7 +112,7 @@
 	return c
 }
 
-// openLine is the line with which a client opens a flow.
+// openLine returns the line that a client sends to open a flow.
 func (d *Driver) openLine(a simulation.Attempt, flags string) string {
 	fields := "c=" + d.world.Services[a.Client.Service].Name
 	if a.Client.Customer >= 0 {
@@ -124,7 +125,8 @@
 	return fmt.Sprintf("OPEN %016x c%d %s%s\r\n", int64(a.Flow), int(a.Client.ID), fields, flags)
 }
 
-// LeaveFlow ends a client's connection. One whose time has run out stays a moment longer, so that an answer on its way is seen.
+// LeaveFlow ends a client's connection. After a timeout the connection stays open for lateAnswerWait, so that an answer in transit is
+// still observed.
 func (d *Driver) LeaveFlow(f simulation.FlowID) {
 	c := d.clients[f]
 	if c == nil {
@@ -139,17 +141,17 @@
 		time.AfterFunc(lateAnswerWait, func() { _ = conn.Close() })
 		return
 	}
-	c.transition(over)
+	c.transition(ended)
 	c.close()
 }
 
-// run is a client's connection from its opening to its end.
+// run opens a client's connection and reads from it until it ends.
 func (c *client) run() {
 	conn, writtenAt, err := c.open()
 	if conn != nil {
 		defer func() { _ = conn.Close() }()
 	}
-	if !c.opened(conn, writtenAt, err) {
+	if !c.handleOpened(conn, writtenAt, err) {
 		return
 	}
 	done := make(chan struct{})
@@ -159,8 +161,8 @@
 	}
 }
 
-// open connects and writes the opening line. writtenAt is the time before it was written, as what it causes may be seen sooner than this
-// goroutine goes on.
+// open connects and writes the opening line. writtenAt is taken before the write, because the effects of the line may be observed before
+// this goroutine is scheduled again.
 func (c *client) open() (conn net.Conn, writtenAt time.Duration, err error) {
 	conn, err = (&net.Dialer{Timeout: connectTimeout}).DialContext(c.driver.ctx, "tcp", c.address)
 	writtenAt = c.driver.elapsed()
@@ -170,8 +172,8 @@
 	return conn, writtenAt, err
 }
 
-// opened notes how the opening went, and reports whether there is an answer to wait for.
-func (c *client) opened(conn net.Conn, writtenAt time.Duration, err error) bool {
+// handleOpened processes the result of opening a flow, and reports whether an answer has to be awaited.
+func (c *client) handleOpened(conn net.Conn, writtenAt time.Duration, err error) bool {
 	d := c.driver
 	d.lockAtNow()
 	defer d.unlock()
@@ -179,10 +181,10 @@
 		return false
 	}
 	if err == nil && !d.world.Balancers[c.balancer].IsUp {
-		err = errBalancerKilled // the system still takes connections for a process that is being killed
+		err = errBalancerKilled // the kernel still accepts connections for a process that is being killed
 	}
-	if err != nil || c.state == over {
-		c.openFailed(writtenAt, err)
+	if err != nil || c.state == ended {
+		c.handleOpenFailure(writtenAt, err)
 		return false
 	}
 	c.conn = conn
@@ -194,9 +196,9 @@
 	return true
 }
 
-// openFailed notes that a client could not open its flow, or left as its line was written: then the balancer may have read it, and owes it
-// nothing.
-func (c *client) openFailed(writtenAt time.Duration, err error) {
+// handleOpenFailure processes a flow that could not be opened, or whose client left while its line was being written. In the second
+// case the balancer may have read the line, but need not answer it.
+func (c *client) handleOpenFailure(writtenAt time.Duration, err error) {
 	d := c.driver
 	if err == nil && !c.isInitial {
 		accepted := c.acceptedEvent()
@@ -205,22 +207,22 @@
 		d.observe(c.event(invariants.ClientLeft))
 	}
 	switch {
-	case c.state == over:
+	case c.state == ended:
 	case c.isInitial:
-		d.fail("a connection that stands at the beginning: %w", err)
+		d.fail("open an initially established connection: %w", err)
 	default:
-		c.transition(over)
+		c.transition(ended)
 		d.world.AnswerFlow(c.flow, simulation.NoBalancer, 0)
 	}
 }
 
-// The words of settings for effects and scopes that are not the least.
+// Effects and key scopes by their names in experiment files. Names that are absent ("free", "all") stand for the zero values.
 var (
 	effects   = map[string]invariants.Effect{"guarded": invariants.IdempotentByKey, "single_shot": invariants.NotIdempotent}
 	keyScopes = map[string]invariants.KeyScope{"zone": invariants.ZoneServers, "cell": invariants.CellServers}
 )
 
-// acceptedEvent is what the checker is told of a line that was written in full.
+// acceptedEvent returns the event for a flow whose opening line was written in full.
 func (c *client) acceptedEvent() invariants.Event {
 	e := c.event(invariants.FlowAccepted)
 	e.Deadline = c.deadline
@@ -231,7 +233,7 @@
 	return e
 }
 
-// receiveNext reads a line and reports whether the connection goes on.
+// receiveNext reads and handles one line, and reports whether the connection is still open.
 func (c *client) receiveNext(lines *bufio.Reader, done <-chan struct{}) bool {
 	d := c.driver
 	line, err := lines.ReadString('\n')
@@ -241,7 +243,7 @@
 		return false
 	}
 	if err != nil {
-		c.connectionEnded()
+		c.handleConnectionEnd()
 		return false
 	}
 	before := c.state
@@ -252,7 +254,7 @@
 	return true
 }
 
-// sendLines sends a line now and then while the connection is established.
+// sendLines sends a line every lineInterval until the connection ends.
 func (c *client) sendLines(done <-chan struct{}) {
 	ticker := time.NewTicker(lineInterval)
 	defer ticker.Stop()
@@ -263,15 +265,15 @@
 		case <-c.driver.ctx.Done():
 			return
 		case <-ticker.C:
-			_ = c.conn.SetWriteDeadline(time.Now().Add(lineTimeout)) // it fails as the write does
+			_ = c.conn.SetWriteDeadline(time.Now().Add(lineTimeout)) // if it fails, so does the write
 			if _, err := fmt.Fprintf(c.conn, "T %d\r\n", n); err != nil {
-				return // the reader sees the end
+				return // the reading goroutine notices the end, too
 			}
 		}
 	}
 }
 
-// receive takes one line of the balancer.
+// receive handles one line from the balancer.
 func (c *client) receive(line string) {
 	reply, argument, _ := strings.Cut(line, " ")
 	switch {
@@ -279,18 +281,19 @@
 		if reply == "MOVE" {
 			c.migrate()
 		}
-	case c.wasEstablished: // it has just left: the line is no answer
+	case c.wasEstablished: // the client has just left: the line is not an answer to its flow
 	case c.isInitial:
 		c.receiveInitial(reply, line)
-	case !c.driver.world.Balancers[c.balancer].IsUp: // sent before its balancer was killed, and received after: what it held is void
-		c.transition(over)
+	case !c.driver.world.Balancers[c.balancer].IsUp: // sent before the balancer was killed, received afterwards
+		c.transition(ended)
 		c.driver.world.BreakFlow(c.flow, simulation.Cut)
 	default:
 		c.receiveAnswer(reply, argument)
 	}
 }
 
-// migrate takes a balancer's request to reconnect, which may be passed on from a server or be part of a shutdown.
+// migrate handles a balancer's request to reconnect. Only requests of the balancer's own are counted as migrations: not those passed on
+// from a server, nor those of a shutdown.
 func (c *client) migrate() {
 	d := c.driver
 	isBalancerUp := int(c.balancer) >= len(d.processes) || d.processes[c.balancer].isUp
@@ -298,19 +301,19 @@
 		d.Tally.Migrations++
 		d.Tally.MigratedAt = append(d.Tally.MigratedAt, d.now())
 	}
-	c.transition(over)
+	c.transition(ended)
 	d.world.BreakFlow(c.flow, simulation.Migrated)
 }
 
 func (c *client) receiveInitial(reply, line string) {
 	delete(c.driver.awaitingEstablished, c.flow)
 	if reply != "UP" {
-		c.driver.fail("a connection that stands at the beginning was answered %q", line)
+		c.driver.fail("an initially established connection was answered %q", line)
 	}
 	c.transition(established)
 }
 
-// receiveAnswer tells the checker each answer, and the world the first one.
+// receiveAnswer reports each answer to the checker, but only the first one to the world.
 func (c *client) receiveAnswer(reply, argument string) {
 	d := c.driver
 	c.answers++
@@ -332,25 +335,25 @@
 	case simulation.Established:
 		c.transition(established)
 	case simulation.Rejected:
-		ms, _ := strconv.ParseFloat(argument, 64) // without a number there is no time to wait
+		ms, _ := strconv.ParseFloat(argument, 64) // without a number, the retry delay is 0
 		retryAfter = time.Duration(ms * float64(time.Millisecond))
 	}
 	d.world.AnswerFlow(c.flow, answer, retryAfter)
 }
 
-// connectionEnded notes the end of a connection.
-func (c *client) connectionEnded() {
+// handleConnectionEnd processes a connection that was closed or failed.
+func (c *client) handleConnectionEnd() {
 	d, before := c.driver, c.state
-	c.transition(over)
+	c.transition(ended)
 	isUnanswered := before == awaitingAnswer && c.answers == 0
 	switch {
 	case c.hasLeft:
 	case before == established:
 		d.world.BreakFlow(c.flow, simulation.Cut)
 	case isUnanswered && d.balancersAreExternal && !isListening(d.ctx, c.address):
-		d.ObserveBalancer(c.balancer, invariants.BalancerDied) // a rule binds a balancer that runs
+		d.ObserveBalancer(c.balancer, invariants.BalancerDied) // the rules apply to running balancers only
 		d.world.BreakFlow(c.flow, simulation.Cut)
-	case isUnanswered && !d.isProcessUp(c.balancer): // else the flow is lost, unless the balancer's end is about to be observed
+	case isUnanswered && !d.isProcessUp(c.balancer): // if it is up, the answer is missing, unless its exit is about to be observed
 		d.world.BreakFlow(c.flow, simulation.Cut)
 	}
 }
@@ -359,7 +362,7 @@
 	return int(b) < len(d.processes) && d.processes[b].isUp
 }
 
-// isListening reports whether anybody listens at an address on this machine.
+// isListening reports whether a process listens on a local address.
 func isListening(ctx context.Context, address string) bool {
 	conn, err := (&net.Dialer{Timeout: listenerTimeout}).DialContext(ctx, "tcp", address)
 	if err == nil {
--- a/internal/testbed/sockets/configuration.go
+++ b/internal/testbed/sockets/configuration.go
@@ -10,21 +10,21 @@
 )
 
 const (
-	coresOfBalancer  = 1
-	memoryMB         = 192
-	spareDescriptors = 1024 // beyond those of the connections that a balancer may come to hold
+	coresPerBalancer    = 1
+	memoryMBPerBalancer = 192
+	spareDescriptors    = 1024 // in addition to those for proxied connections
 )
 
-// Config is the configuration of a balancer, as the platform gives it.
+// Config returns a balancer's configuration in the platform's format.
 func (d *Driver) Config(b simulation.BalancerID, listen string, incarnation int) ([]byte, error) {
 	discovery := d.discoveries[b]
 	seed := simulation.RandomSource(d.day.Seed, "balancer "+strconv.Itoa(incarnation), int(b)).Uint64()
 	configuration := map[string]any{
 		"name": fmt.Sprintf("n%d", b), "listen": listen, "discovery": discovery.address(),
 		"seed":     fmt.Sprintf("%016x", seed),
-		"limits":   map[string]any{"cores": coresOfBalancer, "memory_mb": memoryMB, "sockets": d.descriptorLimit()},
-		"known":    json.RawMessage(discovery.encode(true, discovery.listed())),
-		"settings": nested(d.day.Settings(b)),
+		"limits":   map[string]any{"cores": coresPerBalancer, "memory_mb": memoryMBPerBalancer, "sockets": d.descriptorLimit()},
+		"known":    json.RawMessage(discovery.encode(true, discovery.listedEntries())),
+		"settings": nestSettings(d.day.Settings(b)),
 	}
 	if d.isolation != nil && d.isolation.ControlAddress != nil {
 		configuration["control"] = d.isolation.ControlAddress(b)
@@ -32,12 +32,12 @@
 	return json.MarshalIndent(configuration, "", " ")
 }
 
-// descriptorLimit is the number of descriptors that a balancer may have: each connection takes two.
+// descriptorLimit returns the number of file descriptors that a balancer may open. Each proxied connection takes two.
 func (d *Driver) descriptorLimit() int {
 	return spareDescriptors + 2*d.maxConnections()/len(d.world.Balancers)
 }
 
-// maxConnections is how many connections all servers take.
+// maxConnections returns the number of connections that all servers together accept.
 func (d *Driver) maxConnections() (sum int) {
 	for _, s := range d.world.Servers {
 		sum += s.MaxConnections
@@ -45,22 +45,22 @@
 	return sum
 }
 
-// nested turns dotted paths into the objects and lists that they were flattened from.
-func nested(flat map[string]string) map[string]any {
+// nestSettings turns settings with dotted paths into nested objects and lists.
+func nestSettings(flat map[string]string) map[string]any {
 	top := map[string]any{}
 	for path, text := range flat {
 		object, names := top, strings.Split(path, ".")
 		last := len(names) - 1
 		for _, name := range names[:last] {
-			object = childOf(object, name)
+			object = childObject(object, name)
 		}
-		object[names[last]] = valueOf(text)
+		object[names[last]] = parseSetting(text)
 	}
-	return withLists(top).(map[string]any)
+	return listsFromCounts(top).(map[string]any)
 }
 
-// childOf is the object under a name, which is made where there is none.
-func childOf(object map[string]any, name string) map[string]any {
+// childObject returns the object under a name, and creates it if it does not exist.
+func childObject(object map[string]any, name string) map[string]any {
 	child, ok := object[name].(map[string]any)
 	if !ok {
 		child = map[string]any{}
@@ -69,20 +69,20 @@
 	return child
 }
 
-// withLists turns objects that have a count into lists.
-func withLists(value any) any {
+// listsFromCounts turns objects with a key "count" and numbered entries into lists.
+func listsFromCounts(value any) any {
 	object, ok := value.(map[string]any)
 	if !ok {
 		return value
 	}
 	for name := range object {
-		object[name] = withLists(object[name])
+		object[name] = listsFromCounts(object[name])
 	}
 	text, hasCount := object["count"].(json.Number)
 	if !hasCount {
 		return object
 	}
-	count, _ := strconv.Atoi(string(text)) // it was written from a number
+	count, _ := strconv.Atoi(string(text)) // Day.Settings formats it from an integer
 	list := make([]any, 0, count)
 	for i := range count {
 		list = append(list, object[strconv.Itoa(i)])
@@ -90,15 +90,15 @@
 	return list
 }
 
-// valueOf is a setting's text as JSON has it: a boolean, a list, a number or a text.
-func valueOf(text string) any {
+// parseSetting returns a setting's text as a JSON value: a boolean, a list, a number or a string.
+func parseSetting(text string) any {
 	if text == "true" || text == "false" {
 		return text == "true"
 	}
 	if strings.Contains(text, ",") {
 		var list []any
 		for _, item := range strings.Split(text, ",") {
-			list = append(list, valueOf(item))
+			list = append(list, parseSetting(item))
 		}
 		return list
 	}
--- a/internal/testbed/sockets/connection.go
+++ b/internal/testbed/sockets/connection.go
@@ -13,32 +13,32 @@
 )
 
 const (
-	maxLineBytes     = 4096
-	writeTimeout     = 100 * time.Millisecond // of a short line: a peer that reads nothing must not hold the world up
-	firstLineTimeout = 10 * time.Second
-	openLineWords    = 4
+	maxLineBytes       = 4096
+	writeTimeout       = 100 * time.Millisecond // of a short line: a peer that does not read must not block the simulation
+	firstLineTimeout   = 10 * time.Second
+	openLineFieldCount = 4
 )
 
-// connection is one connection of a balancer to a stand-in server. What changes of it is guarded by the driver's mutex.
+// connection is one connection of a balancer to a stand-in server. Its mutable fields are guarded by the driver's mutex.
 type connection struct {
 	driver           *Driver
 	balancer         simulation.BalancerID
 	balancerLocality simulation.LocalityID
 	server           simulation.ServerID
-	isForwarded      bool // over a path of its own, at whose near end it is observed
+	isForwarded      bool // goes through an emulated network path, and is observed at the balancer's end of it
 
 	conn          net.Conn
-	id            simulation.ConnID // 0 until it is sent, and where its client has left
+	id            simulation.ConnID // 0 until the opening line is sent, and if the client has left
 	flow          simulation.FlowID
 	isEstablished bool
 	isOver        bool
 }
 
-// serve is the server's side of one connection. c is it where it is forwarded, and was observed on the way already; else nil.
+// serve runs the server's side of one connection. c is nil unless the connection is forwarded: then a pathObserver registers it.
 func (l *serverListener) serve(conn net.Conn, c *connection) {
 	defer func() { _ = conn.Close() }()
 	lines := bufio.NewReaderSize(conn, maxLineBytes)
-	_ = conn.SetReadDeadline(time.Now().Add(firstLineTimeout)) // it fails as the read does
+	_ = conn.SetReadDeadline(time.Now().Add(firstLineTimeout)) // if it fails, so does the read
 	line, err := lines.ReadString('\n')
 	if err != nil {
 		return
@@ -46,32 +46,32 @@
 	_ = conn.SetReadDeadline(time.Time{})
 	id, fields, isOpen := parseOpenLine(line)
 	if !isOpen {
-		_, _ = fmt.Fprintf(conn, "%s\r\n", l.answerOther(strings.TrimSpace(line))) // whoever asked may be gone
+		_, _ = fmt.Fprintf(conn, "%s\r\n", l.answerOther(strings.TrimSpace(line))) // the peer may have disconnected
 		return
 	}
 	if c == nil {
 		c = &connection{driver: l.server.driver, balancerLocality: l.locality, server: l.server.id}
 	}
-	if c.opened(conn, id, fields) {
+	if c.handleOpenLine(conn, id, fields) {
 		c.echoUntilEnd(lines)
 	}
 }
 
-// opened takes the opening line, and reports whether the connection goes on.
-func (c *connection) opened(conn net.Conn, id string, fields map[string]string) bool {
+// handleOpenLine processes the opening line, and reports whether the connection stays open.
+func (c *connection) handleOpenLine(conn net.Conn, id string, fields map[string]string) bool {
 	c.driver.lockAtNow()
 	defer c.driver.unlock()
 	if !c.isForwarded {
-		c.sent(id, fields)
+		c.registerConnect(id, fields)
 	}
 	c.conn = conn
 	if c.id != 0 {
-		c.arrive()
+		c.handleArrival()
 	}
 	return c.id != 0
 }
 
-// echoUntilEnd sends lines back to the client.
+// echoUntilEnd sends the client's lines back until the balancer closes the connection.
 func (c *connection) echoUntilEnd(lines *bufio.Reader) {
 	for {
 		line, err := lines.ReadString('\n')
@@ -95,10 +95,10 @@
 	}
 }
 
-// parseOpenLine takes the id and the fields of an OPEN line.
+// parseOpenLine returns the id and the fields of an OPEN line.
 func parseOpenLine(line string) (id string, fields map[string]string, ok bool) {
 	words := strings.Fields(line)
-	if len(words) != openLineWords || words[0] != "OPEN" {
+	if len(words) != openLineFieldCount || words[0] != "OPEN" {
 		return "", nil, false
 	}
 	fields = map[string]string{}
@@ -114,10 +114,11 @@
 	return simulation.FlowID(id), err == nil
 }
 
-// sent takes what a balancer sent: the line that opens a connection. Where its client has left meanwhile, the connection gets no id.
-func (c *connection) sent(id string, fields map[string]string) {
+// registerConnect assigns the connection to its flow and gives it an id when the balancer has sent the opening line. If the client has
+// left meanwhile, the connection gets no id.
+func (c *connection) registerConnect(id string, fields map[string]string) {
 	d := c.driver
-	flow, ok := c.flowOf(id, fields)
+	flow, ok := c.findFlow(id, fields)
 	if !ok {
 		return
 	}
@@ -132,11 +133,13 @@
 		}
 	}
 	c.id = d.world.NewConnID()
-	c.countConnect()
+	c.recordConnect()
 }
 
-// flowOf finds the flow of an opening line. One of a client that the testbed did not start is a guest's.
-func (c *connection) flowOf(id string, fields map[string]string) (flow simulation.FlowID, ok bool) {
+// findFlow returns the flow of an opening line. If its client is not in the world, there are three cases: over an emulated path the client
+// has left, and the flow is still returned; if the testbed runs no balancers, the client is added as an external one; otherwise the line
+// is ignored.
+func (c *connection) findFlow(id string, fields map[string]string) (flow simulation.FlowID, ok bool) {
 	d := c.driver
 	flow, isOurs := parseFlowID(id)
 	if isOurs && d.world.Client(flow) != nil {
@@ -146,12 +149,12 @@
 		return 0, false
 	}
 	if !c.isForwarded {
-		return d.addGuest(fields), true
+		return d.addExternalClient(fields), true
 	}
 	return flow, true
 }
 
-func (c *connection) countConnect() {
+func (c *connection) recordConnect() {
 	d := c.driver
 	s := d.world.Servers[c.server]
 	d.Tally.Connects++
@@ -169,11 +172,11 @@
 		Connect: invariants.Connect(c.id), Server: invariants.Server(c.server)}
 }
 
-// arrive notes that the opening line has arrived at the server.
-func (c *connection) arrive() {
+// handleArrival processes the arrival of the opening line at the server.
+func (c *connection) handleArrival() {
 	d := c.driver
 	client := d.world.Client(c.flow)
-	if d.isOver || client == nil && c.isForwarded { // its client left while the line was on its way
+	if d.isOver || client == nil && c.isForwarded { // the client left while the line was in transit
 		c.id = 0
 		return
 	}
@@ -191,7 +194,7 @@
 	d.world.ArriveConnect(c.id, c.server, c.flow, c.balancerLocality)
 }
 
-// finish notes that the balancer ended the connection.
+// finish processes the end of the connection by the balancer.
 func (c *connection) finish() {
 	if c.isOver {
 		return
@@ -207,7 +210,7 @@
 	}
 }
 
-// observeEnd tells the checker that the balancer knows of the connect's end.
+// observeEnd reports to the checker that the connect has ended as seen by the balancer.
 func (c *connection) observeEnd(mayHaveRun bool) {
 	e := c.event(invariants.ConnectEnded)
 	e.MayHaveRun = mayHaveRun
@@ -215,20 +218,20 @@
 }
 
 func (c *connection) write(line string) {
-	_ = c.conn.SetWriteDeadline(time.Now().Add(writeTimeout)) // it fails as the write does
+	_ = c.conn.SetWriteDeadline(time.Now().Add(writeTimeout)) // if it fails, so does the write
 	if _, err := c.conn.Write([]byte(line)); err != nil {
-		_ = c.conn.Close() // its reader ends the rest
+		_ = c.conn.Close() // unblocks the reading goroutine, which does the cleanup
 	}
 }
 
 func (c *connection) close(isReset bool) {
 	if conn, ok := c.conn.(interface{ SetLinger(int) error }); ok && isReset {
-		_ = conn.SetLinger(0) // it fails on a connection that has ended
+		_ = conn.SetLinger(0) // fails only if the connection is already closed
 	}
 	_ = c.conn.Close()
 }
 
-// Establish tells a balancer, for the world, that its connection is established.
+// Establish implements simulation.Driver: it tells a balancer that its connection is established.
 func (d *Driver) Establish(id simulation.ConnID) {
 	c := d.connections[id]
 	if c == nil || d.world.Network.IsBlocked(d.localityOf(c.server), c.balancerLocality) {
@@ -238,11 +241,11 @@
 	c.write(fmt.Sprintf("UP %d\r\n", id))
 }
 
-// lastLines tell a balancer why its connection ends.
-var lastLines = map[simulation.EndReason]string{simulation.Full: "BUSY\r\n", simulation.Failed: "ERR it failed\r\n",
+// closingLines are sent to a balancer before its connection is closed; other reasons send none.
+var closingLines = map[simulation.EndReason]string{simulation.Full: "BUSY\r\n", simulation.Failed: "ERR it failed\r\n",
 	simulation.MoveRequested: "MOVE\r\n", simulation.ServerStopped: "BYE\r\n"}
 
-// EndConnect tells a balancer, for the world, that its connection is rejected or ends.
+// EndConnect implements simulation.Driver: it tells a balancer that its connection is rejected or ends.
 func (d *Driver) EndConnect(id simulation.ConnID, reason simulation.EndReason) {
 	c := d.connections[id]
 	if c == nil || c.isOver {
@@ -251,7 +254,7 @@
 	if client := d.clients[c.flow]; client != nil && reason == simulation.MoveRequested {
 		client.wasMovedByServer = true
 	}
-	if line := lastLines[reason]; line != "" {
+	if line := closingLines[reason]; line != "" {
 		c.write(line)
 	}
 	c.isOver = true
@@ -262,7 +265,7 @@
 	c.close(reason == simulation.Dropped)
 }
 
-// ReportDelay tells each balancer on one of its connections how long a server's messages take.
+// ReportDelay sends a server's message delay to each balancer, over one of the balancer's established connections.
 func (d *Driver) ReportDelay(s simulation.ServerID, delay time.Duration) {
 	reported := map[simulation.BalancerID]bool{}
 	for _, id := range d.world.Servers[s].Connections() {
@@ -275,8 +278,8 @@
 	}
 }
 
-// addGuest adds a client that the testbed did not start, with the service and group of its line.
-func (d *Driver) addGuest(fields map[string]string) simulation.FlowID {
+// addExternalClient adds a client that the testbed did not start, with the service and group named in its opening line.
+func (d *Driver) addExternalClient(fields map[string]string) simulation.FlowID {
 	service := simulation.ServiceID(0)
 	for i, s := range d.world.Services {
 		if s.Name == fields["c"] {
--- a/internal/testbed/sockets/discovery.go
+++ b/internal/testbed/sockets/discovery.go
@@ -15,29 +15,29 @@
 )
 
 const (
-	heartbeatInterval   = 2 * time.Second
-	unavailablePoll     = 50 * time.Millisecond
-	headerTimeout       = 5 * time.Second
-	maxPendingUpdates   = 64 // of a watch that doesn't read
-	earliestStartMillis = 1  // 0 stands for a start before the day
+	heartbeatInterval       = 2 * time.Second
+	unavailablePollInterval = 50 * time.Millisecond
+	headerTimeout           = 5 * time.Second
+	maxPendingUpdates       = 64 // after which a watch that does not read is closed
+	minStartMillis          = 1  // 0 means that the server started before the day
 )
 
-// discovery is the platform's discovery on one balancer's machine: it has what the list sent it, and tells that to its balancer. What
-// changes of it is guarded by the driver's mutex.
+// discovery is the platform's discovery service on one balancer's machine: it stores the updates of the world's server list and serves
+// them to its balancer. Its mutable fields are guarded by the driver's mutex.
 type discovery struct {
 	driver   *Driver
 	balancer simulation.BalancerID
 	listener net.Listener
 	server   *http.Server
 
-	// Where the balancer's network is isolated, calls are forwarded from here.
-	forwarded  *netfault.Listener
-	startTimes map[int64]time.Duration // of servers, by what was written of them
+	// Takes the balancer's calls and forwards them over an emulated network path; nil without isolation.
+	forwardingListener *netfault.Listener
+	startTimes         map[int64]time.Duration // of servers, by the up_since_ms that was sent
 
 	revision int
 	entries  map[simulation.ServerID]simulation.Entry
 	order    []simulation.ServerID
-	watch    chan []byte // of the newest watch; nil: there is none
+	watch    chan []byte // updates for the newest watch; nil: there is none
 }
 
 func newDiscovery(d *Driver, b simulation.BalancerID) (*discovery, error) {
@@ -48,7 +48,7 @@
 	}
 	s.listener = listener
 	if d.isolation != nil {
-		if err := s.forward(); err != nil {
+		if err := s.startForwarding(); err != nil {
 			return nil, fmt.Errorf("discovery: %w", err)
 		}
 	}
@@ -70,55 +70,54 @@
 }
 
 func (s *discovery) close() {
-	if s.forwarded != nil {
-		s.forwarded.Close()
+	if s.forwardingListener != nil {
+		s.forwardingListener.Close()
 	}
-	_ = s.server.Close() // the driver waits for its goroutine
+	_ = s.server.Close() // Driver.Close waits for the serving goroutine
 }
 
-// address is where its balancer calls it.
+// address returns the address that the balancer is configured with.
 func (s *discovery) address() string {
-	if s.forwarded != nil {
-		return s.forwarded.Address
+	if s.forwardingListener != nil {
+		return s.forwardingListener.Address
 	}
 	return s.listener.Addr().String()
 }
 
-// takeAll takes what the list has at first.
-func (s *discovery) takeAll(entries []simulation.Entry) {
+func (s *discovery) storeEntries(entries []simulation.Entry) {
 	for _, e := range entries {
-		s.take(e)
+		s.storeEntry(e)
 	}
 }
 
-func (s *discovery) take(e simulation.Entry) {
+func (s *discovery) storeEntry(e simulation.Entry) {
 	if _, known := s.entries[e.Server]; !known {
 		s.order = append(s.order, e.Server)
 	}
 	s.entries[e.Server] = e
 }
 
-// UpdateList takes an update of the list, and passes it on to a balancer that watches.
+// UpdateList stores an update of the server list and passes it on if the balancer has a watch.
 func (d *Driver) UpdateList(b simulation.BalancerID, isFull bool, entries []simulation.Entry) {
 	s := d.discoveries[b]
 	s.revision++
 	if isFull {
 		entries = s.withRemoved(entries)
 	}
-	s.takeAll(entries)
+	s.storeEntries(entries)
 	if s.watch == nil {
 		return
 	}
 	select {
 	case s.watch <- s.encode(false, entries):
 		s.announceDirect(entries)
-	default: // it doesn't read: a new watch brings all
+	default: // the balancer doesn't read: it gets the full list when it watches again
 		close(s.watch)
 		s.watch = nil
 	}
 }
 
-// withRemoved adds to a full list the servers that it no longer has.
+// withRemoved adds to a full list, as gone, the servers that it no longer contains.
 func (s *discovery) withRemoved(entries []simulation.Entry) []simulation.Entry {
 	listed := map[simulation.ServerID]bool{}
 	for _, e := range entries {
@@ -133,8 +132,8 @@
 	return entries
 }
 
-// listed is what discovery has, without servers that are gone.
-func (s *discovery) listed() (entries []simulation.Entry) {
+// listedEntries returns the stored entries, without servers that are gone.
+func (s *discovery) listedEntries() (entries []simulation.Entry) {
 	for _, id := range s.order {
 		if e := s.entries[id]; e.Readiness != simulation.Gone {
 			entries = append(entries, e)
@@ -143,16 +142,16 @@
 	return entries
 }
 
-// checkerReadiness of what the list says.
+// checkerReadiness maps the world's readiness to the checker's.
 var checkerReadiness = [...]invariants.Readiness{
 	simulation.Ready:    invariants.Ready,
 	simulation.Draining: invariants.Draining,
 	simulation.Gone:     invariants.Gone,
 }
 
-// announceDirect tells the checker what the balancer is told now. Where calls are forwarded, observeLine does when it has arrived.
+// announceDirect reports to the checker what the balancer is being sent. If calls are forwarded, observeLine does so on arrival instead.
 func (s *discovery) announceDirect(entries []simulation.Entry) {
-	if s.forwarded == nil {
+	if s.forwardingListener == nil {
 		s.announce(entries)
 	}
 }
@@ -173,10 +172,10 @@
 	}
 }
 
-// phases are discovery's words.
-var phases = [...]string{simulation.Ready: "SERVING", simulation.Draining: "DRAINING", simulation.Gone: "DELETED"}
+// phaseNames are the phases as discovery writes them.
+var phaseNames = [...]string{simulation.Ready: "SERVING", simulation.Draining: "DRAINING", simulation.Gone: "DELETED"}
 
-// encode is a list as discovery writes it, on one line.
+// encode returns a list of servers as one line of JSON.
 func (s *discovery) encode(isComplete bool, entries []simulation.Entry) []byte {
 	members := []map[string]any{}
 	for _, e := range entries {
@@ -193,17 +192,17 @@
 	d := s.driver
 	startedAt := int64(0)
 	if e.StartedAt != simulation.LongAgo {
-		startedAt = max(earliestStartMillis, d.startedAt.Add(e.StartedAt).UnixMilli())
+		startedAt = max(minStartMillis, d.startedAt.Add(e.StartedAt).UnixMilli())
 		s.startTimes[startedAt] = e.StartedAt
 	}
 	return map[string]any{
 		"id": experiment.ServerName(e.Server), "host_port": d.listenerFor(s.balancer, e.Server).Address,
 		"locality": d.world.Localities[e.Locality], "flavor": "stand-in", "cell": int(e.Cell),
-		"phase": phases[e.Readiness], "size": e.Size, "up_since_ms": startedAt,
+		"phase": phaseNames[e.Readiness], "size": e.Size, "up_since_ms": startedAt,
 	}
 }
 
-// serveHosts answers the call of a balancer, once or as a watch. It is silent while the list is unavailable.
+// serveHosts answers a balancer's call with the full list, or with a watch. It does not answer while the list is unavailable.
 func (s *discovery) serveHosts(w http.ResponseWriter, request *http.Request) {
 	if !s.awaitAvailable(request) {
 		return
@@ -213,10 +212,10 @@
 		return
 	}
 	s.driver.mu.Lock()
-	text := s.encode(true, s.listed())
-	s.announceDirect(s.listed())
+	text := s.encode(true, s.listedEntries())
+	s.announceDirect(s.listedEntries())
 	s.driver.mu.Unlock()
-	_, _ = w.Write(text) // the balancer may be gone
+	_, _ = w.Write(text) // the balancer may have disconnected
 }
 
 func (s *discovery) awaitAvailable(request *http.Request) bool {
@@ -226,13 +225,13 @@
 			return false
 		case <-s.driver.ctx.Done():
 			return false
-		case <-time.After(unavailablePoll):
+		case <-time.After(unavailablePollInterval):
 		}
 	}
 	return true
 }
 
-// startWatch makes a watch that takes the place of an earlier one, and its first line.
+// startWatch starts a watch, which replaces an earlier one, and returns its updates and its first line with the full list.
 func (s *discovery) startWatch() (updates <-chan []byte, first []byte) {
 	watch := make(chan []byte, maxPendingUpdates)
 	s.driver.mu.Lock()
@@ -241,8 +240,8 @@
 		close(s.watch)
 	}
 	s.watch = watch
-	first = s.encode(true, s.listed())
-	s.announceDirect(s.listed())
+	first = s.encode(true, s.listedEntries())
+	s.announceDirect(s.listedEntries())
 	return watch, first
 }
 
@@ -262,7 +261,7 @@
 	}
 }
 
-// nextLine waits for an update or a heartbeat, which is an empty line.
+// nextLine waits for an update or a heartbeat, and returns the line to send. A heartbeat is an empty line.
 func (s *discovery) nextLine(request *http.Request, updates <-chan []byte, heartbeat <-chan time.Time) (line []byte, ok bool) {
 	for {
 		select {
--- a/internal/testbed/sockets/driver.go
+++ b/internal/testbed/sockets/driver.go
@@ -1,5 +1,5 @@
-// Package sockets runs a simulated world in real time on loopback: stand-in servers, discovery and clients that speak the platform's
-// lines, before real balancer processes. The model behind them is the same as in virtual time.
+// Package sockets runs a simulated world in real time on loopback: stand-in servers, discovery and clients that speak the platform's line
+// protocol with real balancer processes. The model behind them is the same as in virtual time.
 package sockets
 
 import (
@@ -18,20 +18,20 @@
 )
 
 const (
-	answerTolerance = 50 * time.Millisecond  // beyond the rules' times, for the way over sockets
-	maxReordering   = 300 * time.Millisecond // events wait that long to be put in order
-	establishWithin = 20 * time.Second       // what is established when the day begins must be up by then
-	establishPoll   = 10 * time.Millisecond
+	answerTolerance       = 50 * time.Millisecond  // added to the time limits of the rules, for delays of the sockets
+	maxReordering         = 300 * time.Millisecond // the checker holds events back this long to sort them by time
+	establishTimeout      = 20 * time.Second       // for the initially established connections
+	establishPollInterval = 10 * time.Millisecond
 
-	// Of the driver itself: beyond them, a run says nothing of the balancers.
+	// Limits of the driver's own lateness. A run that exceeds them is void: its results do not reflect the balancers.
 	maxLatenessP99 = 25 * time.Millisecond
 	maxLateness    = 400 * time.Millisecond
 
-	progressInterval = 500 * time.Millisecond
-	longestPause     = 50 * time.Millisecond // between two looks at the schedule
-	longestRecorded  = time.Minute           // lateness
-	flowIDShift      = 10                    // of the time, to the first flow's id of a load
-	optionsMode      = 0o600
+	progressInterval    = 500 * time.Millisecond
+	maxPause            = 50 * time.Millisecond // between two checks of the schedule
+	maxRecordedLateness = time.Minute
+	flowIDShift         = 10 // applied to the start time in microseconds, to get the first flow id of a load
+	optionsMode         = 0o600
 )
 
 // Driver is one run on sockets.
@@ -41,18 +41,18 @@
 	day                  *experiment.Day
 	world                *simulation.World
 	checker              *invariants.Checker
-	program              []string // starts a balancer; its configuration is added
+	program              []string // command line that starts a balancer
 	directory            string   // for configurations and logs
-	options              string   // the path of the operators' file that balancers are started with
-	balancersAreExternal bool     // what runs is only seen from outside
+	options              string   // path of the operators' options file of the balancers; may be empty
+	balancersAreExternal bool     // the balancers are not started by this driver
 	isolation            *Isolation
-	ctx                  context.Context // ends with Close
+	ctx                  context.Context // cancelled by Close
 	cancel               context.CancelFunc
 	workers              sync.WaitGroup
-	wake                 chan struct{} // has an item after the schedule may have changed
-	starts               chan func()   // run on the thread that starts all processes
+	wake                 chan struct{} // signals that the schedule may have changed
+	starts               chan func()   // functions for the thread that starts all processes
 
-	mu                  sync.Mutex // guards the world and what follows
+	mu                  sync.Mutex // guards the world and the fields below
 	startedAt           time.Time
 	isRunning           bool
 	isOver              bool
@@ -61,14 +61,14 @@
 	processes           []*process   // by balancer
 	clients             map[simulation.FlowID]*client
 	connections         map[simulation.ConnID]*connection
-	awaitingEstablished map[simulation.FlowID]simulation.ConnID // that are established when the day begins
-	lateness            *hdrhistogram.Histogram                 // of actions after their time
-	maxObservationDelay time.Duration                           // from something that happened until it was observed
-	fault               error                                   // the first thing that went wrong with the driver itself
-	source              simulation.ArrivalSource                // nil: the day's own
+	awaitingEstablished map[simulation.FlowID]simulation.ConnID // initially established, but not yet up
+	lateness            *hdrhistogram.Histogram                 // of scheduled actions, in microseconds
+	maxObservationDelay time.Duration                           // from an event to its report to the checker
+	fault               error                                   // the first error of the driver itself
+	arrivals            simulation.ArrivalSource                // nil: the day's own
 }
 
-// Tally counts what was seen of the balancers.
+// Tally counts the balancers' connects, migrations and health checks.
 type Tally struct {
 	Connects       int
 	Crossings      int // connects to another locality
@@ -79,15 +79,15 @@
 	ConnectedAt    []time.Duration
 }
 
-// New prepares a run. program starts a balancer, which finds the path of its configuration in PROXY_CONFIG; directory is for configurations
-// and logs. An empty program leaves balancers out: servers and discovery alone.
+// New prepares a run. program is the command line of a balancer, which finds the path of its configuration in PROXY_CONFIG; directory is
+// for configurations and logs. For a run without balancers, by Load or Serve, program is nil.
 func New(parent context.Context, day *experiment.Day, checker *invariants.Checker, program []string, directory string) *Driver {
 	const significantFigures = 3
 	d := &Driver{day: day, world: day.World, checker: checker, program: program, directory: directory, startedAt: time.Now(),
 		wake: make(chan struct{}, 1), starts: make(chan func()),
 		clients: map[simulation.FlowID]*client{}, connections: map[simulation.ConnID]*connection{},
 		awaitingEstablished: map[simulation.FlowID]simulation.ConnID{},
-		lateness:            hdrhistogram.New(1, longestRecorded.Microseconds(), significantFigures)}
+		lateness:            hdrhistogram.New(1, maxRecordedLateness.Microseconds(), significantFigures)}
 	d.ctx, d.cancel = context.WithCancel(parent)
 	d.Tally.HealthChecksAt = map[simulation.ServerID][]time.Duration{}
 	day.World.Driver = d
@@ -95,18 +95,19 @@
 	return d
 }
 
-// Load prepares a run of clients alone, against balancers at these addresses. The day has as many balancers, and its servers are not used.
+// Load prepares a run of clients only, against external balancers at these addresses. The day has to have as many balancers; its servers
+// are not used.
 func Load(parent context.Context, day *experiment.Day, checker *invariants.Checker, addresses []string) *Driver {
 	d := New(parent, day, checker, nil, "")
 	d.balancersAreExternal = true
-	d.world.FirstFlow(simulation.FlowID(time.Now().UnixMicro()) << flowIDShift) // no id of an earlier load comes again
+	d.world.FirstFlow(simulation.FlowID(time.Now().UnixMicro()) << flowIDShift) // ids differ from those of earlier loads
 	for b, address := range addresses {
 		d.processes = append(d.processes, &process{driver: d, id: simulation.BalancerID(b), address: address, isUp: true})
 	}
 	return d
 }
 
-// SetOptions has balancers started with an operators' file.
+// SetOptions writes the operators' options file that balancers are started with.
 func (d *Driver) SetOptions(text string) error {
 	d.options = filepath.Join(d.directory, "options.toml")
 	if err := os.WriteFile(d.options, []byte(text), optionsMode); err != nil {
@@ -115,11 +116,12 @@
 	return nil
 }
 
-// CheckerTimes are what the checker of such a run has to allow: slack for the way over sockets, and reordering of events.
+// CheckerTimes returns the tolerances for the checker of a run on sockets: slack for delays of the sockets, and how long events are held
+// back to be sorted.
 func CheckerTimes() (slack, reordering time.Duration) { return answerTolerance, maxReordering }
 
-// Run runs the day and returns when it is over and all processes have ended. void says why the figures tell nothing of the balancers;
-// progress, which may be nil, gets the time each half second.
+// Run runs the day and returns when it is over and all processes have ended. void is the reason why the results do not reflect the
+// balancers, empty for a valid run; progress, which may be nil, is called with the time of the run every half second.
 func (d *Driver) Run(progress func(time.Duration)) (void string, err error) {
 	defer d.Close()
 	if err := d.Open(); err != nil {
@@ -131,19 +133,19 @@
 	if err := d.establishInitially(); err != nil {
 		return "", err
 	}
-	return d.play(progress)
+	return d.runToEnd(progress)
 }
 
-// RunLoad runs the load of a source to the end of the day.
+// RunLoad runs the load of a source until the end of the day.
 func (d *Driver) RunLoad(source simulation.ArrivalSource, progress func(time.Duration)) (void string, err error) {
 	defer d.Close()
 	d.mu.Lock()
 	d.world.StartLoad(source)
 	d.mu.Unlock()
-	return d.play(progress)
+	return d.runToEnd(progress)
 }
 
-// Serve runs servers and discovery alone, until the end of the day or of the context. ready is called when all of them are open.
+// Serve runs servers and discovery without balancers, until the day or the context ends. ready is called when all listeners are open.
 func (d *Driver) Serve(ready func() error) error {
 	defer d.Close()
 	if err := d.Open(); err != nil {
@@ -155,11 +157,11 @@
 	d.mu.Lock()
 	d.world.ScheduleFaults(d.day.Faults)
 	d.mu.Unlock()
-	_, err := d.play(nil)
+	_, err := d.runToEnd(nil)
 	return err
 }
 
-// Open opens servers and discovery.
+// Open opens the listeners of servers and discovery.
 func (d *Driver) Open() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -177,7 +179,7 @@
 		return d.fault
 	}
 	for _, discovery := range d.discoveries {
-		discovery.takeAll(d.world.List.Known(discovery.balancer))
+		discovery.storeEntries(d.world.List.Known(discovery.balancer))
 	}
 	return nil
 }
@@ -206,17 +208,18 @@
 	return nil
 }
 
-// establishInitially brings up what is established when the day begins, while the day's time stands still.
+// establishInitially opens the initially established connections and waits until all are up. The time of the run does not advance
+// meanwhile.
 func (d *Driver) establishInitially() error {
 	d.mu.Lock()
-	if d.source == nil {
-		d.source = d.day.Source()
+	if d.arrivals == nil {
+		d.arrivals = d.day.Source()
 	}
 	d.world.ScheduleFaults(d.day.Faults)
-	d.world.StartLoad(d.source)
+	d.world.StartLoad(d.arrivals)
 	d.world.Schedule.RunTo(0)
 	d.mu.Unlock()
-	deadline := time.Now().Add(establishWithin)
+	deadline := time.Now().Add(establishTimeout)
 	for {
 		d.mu.Lock()
 		missing, fault := len(d.awaitingEstablished), d.fault
@@ -227,18 +230,18 @@
 		case missing == 0:
 			return nil
 		case time.Now().After(deadline):
-			return fmt.Errorf("%d connections that stand at the beginning were not up after %v", missing, establishWithin)
+			return fmt.Errorf("%d initially established connections were not up after %v", missing, establishTimeout)
 		}
 		select {
 		case <-d.ctx.Done():
 			return d.ctx.Err()
-		case <-time.After(establishPoll):
+		case <-time.After(establishPollInterval):
 		}
 	}
 }
 
-// play lets the time run to the end of the day.
-func (d *Driver) play(progress func(time.Duration)) (void string, err error) {
+// runToEnd starts the time of the run and executes the schedule until the end of the day.
+func (d *Driver) runToEnd(progress func(time.Duration)) (void string, err error) {
 	d.mu.Lock()
 	d.startedAt, d.isRunning = time.Now(), true
 	d.mu.Unlock()
@@ -258,21 +261,21 @@
 	}
 }
 
-// step does what is due.
+// step executes all actions that are due and advances the checker.
 func (d *Driver) step() (now time.Duration, isFinished bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	end := d.world.Accounting.Length
 	now = d.now()
 	if due, ok := d.world.Schedule.Next(); ok && due < now {
-		_ = d.lateness.RecordValue(max(1, (now - due).Microseconds())) // one beyond the longest is not recorded
+		_ = d.lateness.RecordValue(max(1, (now - due).Microseconds())) // values beyond maxRecordedLateness are not recorded
 	}
 	d.world.Schedule.RunTo(min(now, end))
 	d.checker.Advance(now)
 	return now, now >= end || d.fault != nil
 }
 
-// pause waits until something is due or may be, or the context ends.
+// pause waits until the next action is due, the schedule may have changed or the context ends.
 func (d *Driver) pause() error {
 	timer := time.NewTimer(max(d.untilNext(), 0))
 	defer timer.Stop()
@@ -285,17 +288,17 @@
 	return nil
 }
 
-// untilNext is the time from now until the next action is due, up to longestPause; below 0 where it is late.
+// untilNext returns the time until the next action is due, at most maxPause; negative if the action is late.
 func (d *Driver) untilNext() time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if next, ok := d.world.Schedule.Next(); ok {
-		return min(longestPause, next-d.now())
+		return min(maxPause, next-d.now())
 	}
-	return longestPause
+	return maxPause
 }
 
-// finish ends the day. What was accepted in the last moments is not owed an answer that nobody waits for.
+// finish ends the day. The checker stops maxReordering before the end: flows accepted later need no answer, as nobody waits for it.
 func (d *Driver) finish() (void string, err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -309,8 +312,8 @@
 	return d.voidReason(), nil
 }
 
-// voidReason reports whether the driver itself was late, or empty: a busy machine must not be held against the balancers, nor can what the
-// checker was told later than it puts events in order.
+// voidReason returns why the run is void, or an empty string. A run is void if the driver itself was late, because then the machine was
+// too busy to judge the balancers, or if an event reached the checker too late to be sorted.
 func (d *Driver) voidReason() string {
 	if d.maxObservationDelay > maxReordering {
 		return fmt.Sprintf("the machine was too busy: the drive saw something %v after it happened (%v is allowed)",
@@ -325,7 +328,7 @@
 	return ""
 }
 
-// Close ends all that the driver started, and waits for it.
+// Close ends all processes, listeners, connections and goroutines of the driver, and waits for the goroutines.
 func (d *Driver) Close() {
 	d.mu.Lock()
 	d.isOver = true
--- a/internal/testbed/sockets/isolation.go
+++ b/internal/testbed/sockets/isolation.go
@@ -17,37 +17,37 @@
 	"yardwinch/internal/testbed/netfault"
 )
 
-// Isolation gives each balancer network paths, options and a directory of its own, so that faults can strike between them. Its functions
-// are called with the driver locked.
+// Isolation gives each balancer its own emulated network paths, and its own way of being started, so that faults can be injected between
+// balancers. Its functions are called with the driver locked.
 type Isolation struct {
 	Network        *netfault.Network
-	ControlAddress func(simulation.BalancerID) string // where a balancer takes the operators' calls
-	// Launch changes how a process is started, and returns the program with its arguments.
+	ControlAddress func(simulation.BalancerID) string // of the interface for operators
+	// Launch may change command before it is started, and returns the program with its arguments.
 	Launch  func(b simulation.BalancerID, incarnation int, command *exec.Cmd) (program []string, err error)
-	Ended   func(simulation.BalancerID, error) // a process ended that nobody ended
-	Observe func(invariants.Event)             // gets each event that the checker gets
+	Ended   func(simulation.BalancerID, error) // called when a process exits that the driver has not ended
+	Observe func(invariants.Event)             // called with each event that the checker observes
 }
 
-// Isolate is called before Open.
+// Isolate sets the isolation of the balancers. Call it before Open.
 func (d *Driver) Isolate(isolation *Isolation) { d.isolation = isolation }
 
-// Endpoints of network paths, beside balancers and servers.
+// Endpoints of network paths, in addition to balancers and servers.
 const (
 	Discovery netfault.Endpoint = "discovery" // of all balancers
-	Operator  netfault.Endpoint = "operator"  // who calls the balancers
+	Operator  netfault.Endpoint = "operator"  // caller of the balancers' control interface
 )
 
-// BalancerName is a balancer's endpoint.
+// BalancerName returns the name of a balancer's endpoint.
 func BalancerName(b simulation.BalancerID) netfault.Endpoint {
 	return netfault.Endpoint("b" + strconv.Itoa(int(b)))
 }
 
-// ServerName is a server's endpoint.
+// ServerName returns the name of a server's endpoint.
 func ServerName(s simulation.ServerID) netfault.Endpoint {
 	return netfault.Endpoint(experiment.ServerName(s))
 }
 
-// Do does something to the world and the processes between two events, unless the run is over.
+// Do calls a function with the driver locked, so that it may change the world and the processes. It does nothing once the run is over.
 func (d *Driver) Do(do func()) {
 	d.lockAtNow()
 	defer d.unlock()
@@ -56,13 +56,13 @@
 	}
 }
 
-// Elapsed is the time of the run, for callers inside of Do and of the functions of Isolation.
+// Elapsed returns the time of the run. Call it only with the driver locked: within Do or the functions of Isolation.
 func (d *Driver) Elapsed() time.Duration { return d.now() }
 
-// Address is where a balancer serves clients.
+// Address returns the address on which a balancer serves clients.
 func (d *Driver) Address(b simulation.BalancerID) string { return d.processes[b].address }
 
-// Process is the id of a balancer's process; 0 where none runs.
+// Process returns the id of a balancer's process; 0 if it is not running.
 func (d *Driver) Process(b simulation.BalancerID) int {
 	if p := d.processes[b]; p.command != nil && p.command.Process != nil && p.isUp {
 		return p.command.Process.Pid
@@ -70,7 +70,7 @@
 	return 0
 }
 
-// UpdateListeners brings what new connections meet to what the network's paths are now.
+// UpdateListeners applies the current state of the network paths to the listeners of servers and discovery.
 func (d *Driver) UpdateListeners() {
 	for s := range d.servers {
 		d.ServerChanged(simulation.ServerID(s))
@@ -82,8 +82,8 @@
 	}
 }
 
-// forwardToServer takes a balancer's connection to a server over its path. The checker is told what the balancer's end sees: what is on its
-// way has been sent, and what has not arrived has not been received.
+// forwardToServer forwards a balancer's connection to a server over the emulated path. Events are reported as seen at the balancer's end:
+// data in transit counts as sent to the server, but not yet as received from it.
 func (d *Driver) forwardToServer(l *serverListener, near net.Conn) {
 	forwarded, serverEnd := netfault.Pipe()
 	c := &connection{driver: d, balancerLocality: l.locality, server: l.server.id, balancer: l.balancer, isForwarded: true}
@@ -106,7 +106,7 @@
 }
 
 func (o *pathObserver) sent(bytes []byte) {
-	text, isFirst := o.request.take(bytes)
+	text, isFirst := o.request.add(bytes)
 	if !isFirst {
 		return
 	}
@@ -117,13 +117,13 @@
 	d := o.connection.driver
 	d.lockAtNow()
 	defer d.unlock()
-	if !d.processes[o.connection.balancer].isKilled { // what a killed process wrote last arrives late, and is not from a process that runs
-		o.connection.sent(id, fields)
+	if !d.processes[o.connection.balancer].isKilled { // the last data of a killed process may be read after its end was reported
+		o.connection.registerConnect(id, fields)
 	}
 }
 
 func (o *pathObserver) received(bytes []byte) {
-	if text, isFirst := o.reply.take(bytes); isFirst && !strings.HasPrefix(text, "UP") {
+	if text, isFirst := o.reply.add(bytes); isFirst && !strings.HasPrefix(text, "UP") {
 		o.observeEnd(!strings.HasPrefix(text, "BUSY"))
 	}
 }
@@ -140,14 +140,14 @@
 	}
 }
 
-// firstLine gathers a stream's first line.
+// firstLine collects the first line of a stream.
 type firstLine struct {
 	text   []byte
 	isOver bool
 }
 
-// take adds bytes, and returns the line when it is complete. A line that is too long is none.
-func (l *firstLine) take(more []byte) (line string, isComplete bool) {
+// add appends bytes, and returns the line once, when it is complete. A line that is too long is never returned.
+func (l *firstLine) add(more []byte) (line string, isComplete bool) {
 	if l.isOver {
 		return "", false
 	}
@@ -160,23 +160,23 @@
 	return string(l.text[:end+1]), true
 }
 
-// forward has discovery's balancer call it over its path.
-func (s *discovery) forward() error {
-	s.forwarded = netfault.NewListener("127.0.0.1:0")
+// startForwarding opens the listener that forwards the balancer's calls over the emulated path, and feeds the HTTP server from it.
+func (s *discovery) startForwarding() error {
+	s.forwardingListener = netfault.NewListener("127.0.0.1:0")
 	s.listener = &handoverListener{Listener: s.listener, conns: make(chan net.Conn), closed: make(chan struct{})}
 	return s.updateListener()
 }
 
-// updateListener opens or silences discovery's address as its balancer's path to it is now.
+// updateListener applies the current state of the path from the balancer to the forwarding listener.
 func (s *discovery) updateListener() error {
 	state := netfault.Open
 	if s.driver.isolation.Network.IsCut(BalancerName(s.balancer), Discovery) {
 		state = netfault.Unresponsive
 	}
-	return s.forwarded.Transition(s.driver.ctx, state, func(l net.Listener) { netfault.Serve(l, s.forwardCall) })
+	return s.forwardingListener.Transition(s.driver.ctx, state, func(l net.Listener) { netfault.Serve(l, s.forwardCall) })
 }
 
-// forwardCall takes its balancer's call. What the list says is announced when it has arrived at the balancer's end.
+// forwardCall forwards one call of the balancer. The received list is announced to the checker when it arrives at the balancer's end.
 func (s *discovery) forwardCall(near net.Conn) {
 	listener := s.listener.(*handoverListener)
 	forwarded, discoveryEnd := netfault.Pipe()
@@ -192,7 +192,7 @@
 	}})
 }
 
-// observeLines announces what complete lines of JSON say, and returns the incomplete line after them.
+// observeLines announces the servers in all complete lines of JSON, and returns the incomplete rest.
 func (s *discovery) observeLines(text []byte) (incomplete []byte) {
 	for {
 		line, remaining, isComplete := bytes.Cut(text, []byte("\n"))
@@ -206,7 +206,7 @@
 	}
 }
 
-// observeLine announces what a line of the list told the balancer. A line that was corrupted on the way is none to the balancer either.
+// observeLine announces the servers of one line of the list. A line that was corrupted in transit is ignored, as it is by the balancer.
 func (s *discovery) observeLine(text []byte) {
 	var list struct {
 		Members []listedMember `json:"members"`
@@ -241,7 +241,7 @@
 	if startedAt, known := s.startTimes[m.UpSinceMS]; known {
 		entry.StartedAt = startedAt
 	}
-	for readiness, phase := range phases {
+	for readiness, phase := range phaseNames {
 		if phase == m.Phase {
 			entry.Readiness = simulation.Readiness(readiness)
 		}
@@ -249,7 +249,7 @@
 	return entry, true
 }
 
-// handoverListener is a listener that is handed its connections.
+// handoverListener is a listener whose Accept returns the connections sent to a channel.
 type handoverListener struct {
 	net.Listener
 	conns     chan net.Conn
@@ -257,7 +257,7 @@
 	closed    chan struct{}
 }
 
-// Accept waits for the next connection that is handed over.
+// Accept waits for the next connection from the channel.
 func (l *handoverListener) Accept() (net.Conn, error) {
 	select {
 	case conn := <-l.conns:
@@ -267,7 +267,7 @@
 	}
 }
 
-// Close ends Accept.
+// Close makes Accept return net.ErrClosed, and closes the underlying listener.
 func (l *handoverListener) Close() error {
 	l.closeOnce.Do(func() { close(l.closed) })
 	return l.Listener.Close()
--- a/internal/testbed/sockets/observe.go
+++ b/internal/testbed/sockets/observe.go
@@ -7,7 +7,7 @@
 	"yardwinch/internal/testbed/invariants"
 )
 
-// now is the time of the run, which stands still before its beginning. Callers hold the mutex.
+// now returns the time of the run, which is 0 until the day begins. Callers hold the mutex.
 func (d *Driver) now() time.Duration {
 	if !d.isRunning {
 		return 0
@@ -15,14 +15,14 @@
 	return time.Since(d.startedAt)
 }
 
-// elapsed is the time of the run for callers that don't hold the mutex.
+// elapsed returns the time of the run, for callers that don't hold the mutex.
 func (d *Driver) elapsed() time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.now()
 }
 
-// lockAtNow begins something that came from outside: it brings the world up to now. The caller unlocks.
+// lockAtNow locks the driver and executes all actions that are due, before an external event is processed. The caller calls unlock.
 func (d *Driver) lockAtNow() {
 	d.mu.Lock()
 	if !d.isOver {
@@ -30,18 +30,18 @@
 	}
 }
 
-// unlock ends something that came from outside, after which the schedule may have changed.
+// unlock unlocks the driver after an external event and wakes its main loop, as the schedule may have changed.
 func (d *Driver) unlock() {
 	d.mu.Unlock()
 	select {
 	case d.wake <- struct{}{}:
-	default: // it is awake
+	default: // a wake-up is already pending
 	}
 }
 
 func (d *Driver) observe(e invariants.Event) { d.observeAt(d.now(), e) }
 
-// observeAt tells the checker of an event. Before the beginning only balancers and announcements count.
+// observeAt reports an event to the checker. Before the day begins, only starts of balancers and announcements of servers are reported.
 func (d *Driver) observeAt(t time.Duration, e invariants.Event) {
 	e.At = t
 	if d.isOver || !d.isRunning && e.Kind != invariants.ServerAnnounced && e.Kind != invariants.BalancerStarted {
@@ -54,7 +54,7 @@
 	}
 }
 
-// fail keeps the first fault of the driver itself.
+// fail stores the first error of the driver itself.
 func (d *Driver) fail(format string, values ...any) {
 	if d.fault == nil && !d.isOver {
 		d.fault = fmt.Errorf(format, values...)
--- a/internal/testbed/sockets/process.go
+++ b/internal/testbed/sockets/process.go
@@ -18,24 +18,24 @@
 )
 
 const (
-	balancerNetwork = "127.78"
-	readyTimeout    = 15 * time.Second
-	readyPoll       = 20 * time.Millisecond
-	pingTimeout     = time.Second
-	fileMode        = 0o600
+	balancerNetwork   = "127.78"
+	readyTimeout      = 15 * time.Second
+	readyPollInterval = 20 * time.Millisecond
+	pingTimeout       = time.Second
+	fileMode          = 0o600
 )
 
-// process is one balancer's process, through its restarts. What changes of it is guarded by the driver's mutex.
+// process is one balancer's process, across restarts. Its mutable fields are guarded by the driver's mutex.
 type process struct {
-	driver  *Driver
-	id      simulation.BalancerID
-	address string
-	config  string // path
-	log     string // path
+	driver     *Driver
+	id         simulation.BalancerID
+	address    string
+	configPath string
+	logPath    string
 
 	incarnation int
 	isUp        bool
-	isKilled    bool // outright, until it is started again
+	isKilled    bool // by SIGKILL; reset when it is started again
 	command     *exec.Cmd
 	ended       chan struct{} // closed when the process has ended
 }
@@ -43,22 +43,22 @@
 func newProcess(d *Driver, b simulation.BalancerID) (*process, error) {
 	listener, err := (&net.ListenConfig{}).Listen(d.ctx, "tcp", loopbackAddress(balancerNetwork, int(b)))
 	if err != nil {
-		return nil, fmt.Errorf("find an address for balancer %d: %w", b, err)
+		return nil, fmt.Errorf("reserve an address for balancer %d: %w", b, err)
 	}
 	p := &process{
-		driver:  d,
-		id:      b,
-		address: listener.Addr().String(),
-		config:  filepath.Join(d.directory, fmt.Sprintf("balancer-%d.json", b)),
-		log:     filepath.Join(d.directory, fmt.Sprintf("balancer-%d.log", b)),
+		driver:     d,
+		id:         b,
+		address:    listener.Addr().String(),
+		configPath: filepath.Join(d.directory, fmt.Sprintf("balancer-%d.json", b)),
+		logPath:    filepath.Join(d.directory, fmt.Sprintf("balancer-%d.log", b)),
 	}
 	if err := listener.Close(); err != nil {
-		return nil, fmt.Errorf("free the address of balancer %d: %w", b, err)
+		return nil, fmt.Errorf("release the address of balancer %d: %w", b, err)
 	}
 	return p, nil
 }
 
-// StartBalancer starts a balancer's process. It is ready when it answers.
+// StartBalancer implements simulation.Driver: it starts a balancer's process, without waiting until it is ready.
 func (d *Driver) StartBalancer(b simulation.BalancerID) {
 	if d.isOver {
 		return
@@ -86,7 +86,7 @@
 	if err := p.writeConfig(); err != nil {
 		return nil, err
 	}
-	log, err := os.OpenFile(p.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, fileMode)
+	log, err := os.OpenFile(p.logPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, fileMode)
 	if err != nil {
 		return nil, err
 	}
@@ -103,14 +103,15 @@
 	if err != nil {
 		return fmt.Errorf("encode its configuration: %w", err)
 	}
-	return os.WriteFile(p.config, text, fileMode)
+	return os.WriteFile(p.configPath, text, fileMode)
 }
 
-// newCommand has the system end the process with the thread that starts it, so that it doesn't outlive the testbed.
+// newCommand prepares the command of a process. The kernel kills the process when the thread that started it ends, so that it doesn't
+// outlive the testbed.
 func (p *process) newCommand(log *os.File) (*exec.Cmd, error) {
 	d := p.driver
 	command := &exec.Cmd{SysProcAttr: &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}, Stdout: log, Stderr: log}
-	command.Env = append(os.Environ(), "PROXY_CONFIG="+p.config, "YARDWINCH_OPTIONS="+d.options)
+	command.Env = append(os.Environ(), "PROXY_CONFIG="+p.configPath, "YARDWINCH_OPTIONS="+d.options)
 	program := d.program
 	if d.isolation != nil && d.isolation.Launch != nil {
 		var err error
@@ -118,12 +119,12 @@
 			return nil, err
 		}
 	}
-	found := exec.CommandContext(d.ctx, program[0], program[1:]...) // it is not started: it finds the program's path
+	found := exec.CommandContext(d.ctx, program[0], program[1:]...) // only to look up the program's path
 	command.Path, command.Args, command.Err = found.Path, found.Args, found.Err
 	return command, nil
 }
 
-// startOnThread starts a process on the thread of startProcesses.
+// startOnThread starts a process on the thread that startProcesses is locked to.
 func (d *Driver) startOnThread(command *exec.Cmd) error {
 	started := make(chan error, 1)
 	select {
@@ -134,8 +135,8 @@
 	}
 }
 
-// startProcesses starts all processes from one thread, which it keeps until the run is over: the system ends them with the thread that
-// started them, so that none outlives the testbed however that ends.
+// startProcesses starts all processes from one thread, to which it stays locked until the run is over. The kernel kills the processes when
+// that thread ends, so that none outlives the testbed, however the testbed ends.
 func (d *Driver) startProcesses() {
 	runtime.LockOSThread()
 	for {
@@ -148,7 +149,7 @@
 	}
 }
 
-// observeEnd notes that a process ended. If nobody ended it, that is a fault of the run, unless the isolation takes it.
+// observeEnd processes the exit of a process. An exit that the driver has not caused fails the run, unless the isolation handles it.
 func (p *process) observeEnd(incarnation int, err error) {
 	d := p.driver
 	d.lockAtNow()
@@ -161,11 +162,11 @@
 	case d.isolation != nil && d.isolation.Ended != nil:
 		d.isolation.Ended(p.id, err)
 	case d.world.Balancers[p.id].IsUp:
-		d.fail("balancer %d ended by itself (%v); its log is %s", p.id, err, p.log)
+		d.fail("balancer %d exited unexpectedly (%v); its log is %s", p.id, err, p.logPath)
 	}
 }
 
-// KillBalancer ends a balancer outright.
+// KillBalancer implements simulation.Driver: it kills a balancer's process.
 func (d *Driver) KillBalancer(b simulation.BalancerID) {
 	p := d.processes[b]
 	d.ObserveBalancer(b, invariants.BalancerDied)
@@ -173,20 +174,20 @@
 	p.kill()
 }
 
-// StopBalancer asks a balancer to end in order.
+// StopBalancer implements simulation.Driver: it asks a balancer's process to shut down, by SIGTERM.
 func (d *Driver) StopBalancer(b simulation.BalancerID) {
 	if p := d.processes[b]; p.command != nil {
-		_ = p.command.Process.Signal(syscall.SIGTERM) // it may have ended
+		_ = p.command.Process.Signal(syscall.SIGTERM) // the process may have exited already
 		p.isUp = false
 	}
 }
 
-// ObserveBalancer tells the checker of an event of a balancer's process.
+// ObserveBalancer reports an event of a balancer's process to the checker.
 func (d *Driver) ObserveBalancer(b simulation.BalancerID, kind invariants.Kind) {
 	d.observe(invariants.Event{Kind: kind, Balancer: invariants.Balancer(b)})
 }
 
-// Signal sends a signal to a balancer's process. A process that has ended is an error.
+// Signal sends a signal to a balancer's process. It returns an error if the process has exited.
 func (d *Driver) Signal(b simulation.BalancerID, signal syscall.Signal) error {
 	p := d.processes[b]
 	if p.command == nil || p.command.Process == nil {
@@ -197,12 +198,12 @@
 
 func (p *process) kill() {
 	if p.command != nil {
-		_ = p.command.Process.Kill() // it may have ended
+		_ = p.command.Process.Kill() // the process may have exited already
 		p.isKilled = true
 	}
 }
 
-// awaitReady waits until the balancer answers PING.
+// awaitReady waits until the balancer answers a PING.
 func (p *process) awaitReady(ctx context.Context) error {
 	deadline := time.Now().Add(readyTimeout)
 	for time.Now().Before(deadline) && ctx.Err() == nil {
@@ -211,25 +212,25 @@
 		}
 		select {
 		case <-p.ended:
-			return fmt.Errorf("balancer %d ended before it was ready; its log is %s", p.id, p.log)
-		case <-time.After(readyPoll):
+			return fmt.Errorf("balancer %d exited before it was ready; its log is %s", p.id, p.logPath)
+		case <-time.After(readyPollInterval):
 		case <-ctx.Done():
 		}
 	}
 	if err := ctx.Err(); err != nil {
 		return err
 	}
-	return fmt.Errorf("balancer %d was not ready after %v; its log is %s", p.id, readyTimeout, p.log)
+	return fmt.Errorf("balancer %d was not ready after %v; its log is %s", p.id, readyTimeout, p.logPath)
 }
 
-// ping reports whether a balancer answers.
+// ping reports whether a balancer answers a PING with a PONG.
 func ping(ctx context.Context, address string) bool {
 	conn, err := (&net.Dialer{Timeout: pingTimeout}).DialContext(ctx, "tcp", address)
 	if err != nil {
 		return false
 	}
 	defer func() { _ = conn.Close() }()
-	_ = conn.SetDeadline(time.Now().Add(pingTimeout)) // it fails as the write does
+	_ = conn.SetDeadline(time.Now().Add(pingTimeout)) // if it fails, so does the write
 	if _, err := conn.Write([]byte("PING\r\n")); err != nil {
 		return false
 	}
--- a/internal/testbed/sockets/server.go
+++ b/internal/testbed/sockets/server.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	addressesPerNetwork = 250 // of a /24 network of loopback
+	addressesPerNetwork = 250 // used of each /24 network of loopback
 	serverNetwork       = "127.77"
 )
 
-// server is one stand-in server: a listener for each locality that balancers come from, as a network can be cut for one and not for the
-// other; where balancers are isolated, a listener for each balancer.
+// server is one stand-in server. It has a listener for each locality of balancers, because a partition may affect one locality and not
+// another. With isolated balancers, it has a listener for each balancer.
 type server struct {
 	driver    *Driver
 	id        simulation.ServerID
@@ -26,18 +26,18 @@
 	*netfault.Listener
 	server   *server
 	locality simulation.LocalityID
-	balancer simulation.BalancerID // whose connections come here; anyBalancer: those of the locality
+	balancer simulation.BalancerID // that connects here, or anyBalancer of the locality
 }
 
 const anyBalancer simulation.BalancerID = -1
 
-// loopbackAddress is an address with a free port of a network of loopback, one for each number. It is not 127.0.0.1, from which connections
-// go out: they might take the port while the listener is closed.
+// loopbackAddress returns an address with port 0 in a loopback network, a different one for each number. 127.0.0.1 is not used because
+// outgoing connections use it as source: they might take the port while the listener is closed.
 func loopbackAddress(network string, number int) string {
 	return fmt.Sprintf("%s.%d.%d:0", network, number/addressesPerNetwork, number%addressesPerNetwork+1)
 }
 
-// ServerChanged brings a server's listeners to what the world says of it.
+// ServerChanged implements simulation.Driver: it applies the state of a server and its network to the server's listeners.
 func (d *Driver) ServerChanged(id simulation.ServerID) {
 	if d.isOver {
 		return
@@ -71,7 +71,7 @@
 	s.listeners = append(s.listeners, &serverListener{netfault.NewListener(address), s, locality, balancer})
 }
 
-// listenerFor is where a balancer reaches a server.
+// listenerFor returns the listener at which a balancer reaches a server.
 func (d *Driver) listenerFor(b simulation.BalancerID, s simulation.ServerID) *serverListener {
 	if d.isolation != nil {
 		return d.servers[s].listeners[b]
@@ -97,7 +97,7 @@
 	}
 }
 
-// accept serves the connections of a listener that opens, until that closes.
+// accept serves the connections of an open listener until it is closed.
 func (l *serverListener) accept(listener net.Listener) {
 	netfault.Serve(listener, func(conn net.Conn) {
 		if !l.server.driver.addWorker() {
@@ -113,7 +113,7 @@
 	})
 }
 
-// addWorker counts a goroutine that Close waits for. It fails once Close has begun, as none may be added then.
+// addWorker adds a goroutine that Close waits for. It returns false once the run is over, as no goroutine may be added while Close waits.
 func (d *Driver) addWorker() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -124,7 +124,7 @@
 	return true
 }
 
-// loadReport answers a health check with load over capacity, what waits included. It is counted.
+// loadReport counts a health check and returns the answer: load over capacity, including the delay of waiting set-ups.
 func (l *serverListener) loadReport() string {
 	d, id := l.server.driver, l.server.id
 	d.lockAtNow()
@@ -135,11 +135,11 @@
 	if !s.IsServing() {
 		return "NO"
 	}
-	const leastDivisor = 1e-9 // in place of a capacity of 0
+	const leastDivisor = 1e-9 // avoids a division by a capacity of 0
 	return fmt.Sprintf("PONG x0=%.3f", s.Demand()/max(s.CurrentCapacity(), leastDivisor)+s.QueueDelay())
 }
 
-// answerOther answers a line that opens no flow.
+// answerOther returns the answer to a first line other than OPEN.
 func (l *serverListener) answerOther(line string) string {
 	switch {
 	case line == "STATS" && l.server.driver.day.Experiment.Probes():
--- a/internal/testbed/sockets/sockets_test.go
+++ b/internal/testbed/sockets/sockets_test.go
@@ -18,7 +18,7 @@
 	"yardwinch/internal/testbed/invariants"
 )
 
-// The test's own program stands in for a balancer, sound or faulty, as its environment says.
+// TestMain lets the test binary act as a balancer, correct or faulty, if TESTBED_TEST_BALANCER is set.
 func TestMain(m *testing.M) {
 	switch fault := os.Getenv("TESTBED_TEST_BALANCER"); fault {
 	case "":
@@ -38,7 +38,7 @@
 	}
 }
 
-// runFaultyBalancer answers every client in a way that breaks a rule.
+// runFaultyBalancer runs a balancer that answers every client in a way that breaks a rule.
 func runFaultyBalancer(fault string) {
 	var configuration struct{ Listen string }
 	text, err := os.ReadFile(os.Getenv("PROXY_CONFIG"))
@@ -150,19 +150,19 @@
 		t.Fatal(err)
 	}
 	if void != "" {
-		t.Skip(void) // says nothing of the balancer
+		t.Skip(void) // a void run doesn't reflect the balancer
 	}
 	for _, v := range checker.Violations() {
-		t.Errorf("a sound balancer is reported: %v", v)
+		t.Errorf("violation reported for a correct balancer: %v", v)
 	}
 	if n := d.World.Totals; n.Established < 20 || checker.Judged < 20 || dr.Tally.Connects < 20 {
-		t.Errorf("established %d, judged %d, connects %d: the day was not run", n.Established, checker.Judged, dr.Tally.Connects)
+		t.Errorf("established %d, judged %d, connects %d: want at least 20 of each", n.Established, checker.Judged, dr.Tally.Connects)
 	}
 	for range 200 {
 		if runtime.NumGoroutine() <= before+1 {
 			return
 		}
-		time.Sleep(10 * time.Millisecond) // connections of the HTTP server take a moment to end
+		time.Sleep(10 * time.Millisecond) // the HTTP server's connections close asynchronously
 	}
 	t.Errorf("%d goroutines before, %d after", before, runtime.NumGoroutine())
 }
@@ -176,7 +176,7 @@
 			text := strings.Replace(fmt.Sprintf(shortDay, ""), "6s", "4s", 1)
 			text += "[[service]]\nname = \"x\"\nconnect-timeout = \"1s\"\n"
 			dr, checker, _ := newTestDriver(t, text, c.fault)
-			dr.source = experiment.NewSteady(experiment.SteadyConfig{ // nobody is connected at the beginning
+			dr.arrivals = experiment.NewSteady(experiment.SteadyConfig{ // without initially established connections
 				Seed:          1,
 				Rate:          20,
 				Lifetime:      time.Second,
@@ -210,7 +210,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = l.Close() }() // the system takes connections into its queue, and nobody answers
+	defer func() { _ = l.Close() }() // the kernel queues connections, but no process accepts them
 	e, err := experiment.Read("load", []byte(loadDay))
 	if err != nil {
 		t.Fatal(err)
@@ -232,11 +232,11 @@
 	}
 	n := d.World.Totals
 	if n.Clients < 80 || n.Established != 0 || len(n.NeverEstablished) != n.Clients {
-		t.Errorf("%d clients, %d established, %d never: arrivals must not wait, nor vanish",
+		t.Errorf("%d clients, %d established, %d never: arrivals must neither wait for answers nor be dropped",
 			n.Clients, n.Established, len(n.NeverEstablished))
 	}
 	if n.TimedOut < n.Clients/2 {
-		t.Errorf("%d attempts were given up at their timeout", n.TimedOut)
+		t.Errorf("%d attempts timed out, want at least half of the clients", n.TimedOut)
 	}
 }
 
@@ -254,24 +254,24 @@
 			dr, _, _ := newTestDriver(t, fmt.Sprintf(shortDay, ""), "sound")
 			defer dr.Close()
 			for _, d := range c.late {
-				_ = dr.lateness.RecordValue(max(1, int64(d/time.Microsecond))) // within its range
+				_ = dr.lateness.RecordValue(max(1, int64(d/time.Microsecond))) // the values are within the histogram's range
 			}
 			if got := dr.voidReason(); (got != "") != c.void {
-				t.Errorf("void: %q, want so: %v", got, c.void)
+				t.Errorf("void reason %q, want one: %v", got, c.void)
 			}
 		})
 	}
 }
 
 func TestNestedConfiguration(t *testing.T) {
-	got := nested(map[string]string{"a.b": "3", "a.c": "x", "l.count": "2", "l.0.name": "p", "l.1.name": "q", "f": "true", "n": "1,2"})
+	got := nestSettings(map[string]string{"a.b": "3", "a.c": "x", "l.count": "2", "l.0.name": "p", "l.1.name": "q", "f": "true", "n": "1,2"})
 	text, err := json.Marshal(got)
 	if want := `{"a":{"b":3,"c":"x"},"f":true,"l":[{"name":"p"},{"name":"q"}],"n":[1,2]}`; err != nil || string(text) != want {
 		t.Errorf("got %s, %v, want %s", text, err, want)
 	}
 }
 
-// A line that arrives as its client leaves is no answer after the end.
+// A line that arrives while its client leaves must not be reported as a second answer to the flow.
 func TestLineAfterTheEndIsNoAnswer(t *testing.T) {
 	dr, checker, _ := newTestDriver(t, fmt.Sprintf(shortDay, ""), "sound")
 	dr.mu.Lock()
@@ -281,7 +281,7 @@
 	dr.observe(invariants.Event{Kind: invariants.FlowAccepted, Flow: 7, Deadline: time.Second})
 	c.transition(awaitingAnswer)
 	c.receive("UP 7")
-	c.transition(over)
+	c.transition(ended)
 	c.receive("T 0")
 	dr.mu.Unlock()
 	if found := checker.Finish(time.Minute); len(found) > 0 {
@@ -289,7 +289,7 @@
 	}
 }
 
-// The checker puts in order what it is told in time. A run in which the driver told it of something later is void.
+// The checker sorts events that are at most maxReordering late. A run in which the driver reported an event later than that is void.
 func TestLateObservationVoidsTheRun(t *testing.T) {
 	for _, c := range []struct {
 		late time.Duration
@@ -302,20 +302,20 @@
 		void := dr.voidReason()
 		dr.mu.Unlock()
 		if (void != "") != c.void {
-			t.Errorf("seen %v late: void is %q", c.late, void)
+			t.Errorf("event reported %v late: void reason is %q", c.late, void)
 		}
 	}
 }
 
-// The progress that is reported after a step takes time itself, which must not make the next action late.
+// Reporting progress after a step takes time. The pause must be computed afterwards, or the next action would be late.
 func TestPauseCountsFromItsBeginning(t *testing.T) {
 	dr, _, d := newTestDriver(t, fmt.Sprintf(shortDay, ""), "sound")
 	defer dr.Close()
 	dr.startedAt, dr.isRunning = time.Now(), true
 	now, _ := dr.step()
-	d.World.Schedule.At(now+longestPause/2, simulation.Work, func() {})
-	time.Sleep(longestPause)
+	d.World.Schedule.At(now+maxPause/2, simulation.Work, func() {})
+	time.Sleep(maxPause)
 	if pause := dr.untilNext(); pause > 0 {
-		t.Errorf("a pause of %v though an action is late", pause)
+		t.Errorf("pause of %v although an action is late", pause)
 	}
 }
