--- a/internal/testbed/experiment/day.go
+++ b/internal/testbed/experiment/day.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	roughSizes     = "rough"
-	minConnections = 4   // that a server takes
-	quotaShare     = 0.8 // of what the fleet can carry, that customers have quotas for
-	lateDivisor    = 3   // servers report delays from this part of the shortest message target on
+	roughSizes           = "rough"
+	minServerConnections = 4   // least connection limit of a server
+	quotaCapacityShare   = 0.8 // share of the fleet's connection capacity that is assigned as quotas
+	delayReportDivisor   = 3   // servers report message delays above the shortest message target divided by this
 )
 
-// Day is one draw from an experiment's ranges: a world that has not begun, and what balancers are told of it.
+// Day is one random draw from an experiment's ranges: a world that has not started, its faults and its load.
 type Day struct {
 	Experiment *Experiment
 	Seed       uint64
@@ -25,30 +25,31 @@
 
 	services       []simulation.Service
 	customers      []simulation.Customer
-	groups         []groupDraw   // by customer
-	perCore        float64       // connections that a core of speed 1 carries
-	lifetime       time.Duration // usual, of a connection
+	groups         []groupSampler // by customer
+	perCore        float64        // connections per core of speed 1 at full load
+	lifetime       time.Duration  // mean, of a connection of a service with Lifetime 1
 	lifetimeSigma  float64
 	loadShare      float64 // of the fleet's capacity
-	rateAmplitude  float64 // of the rate of arrivals
+	rateAmplitude  float64 // amplitude of the arrival rate's variation
 	capacity       float64 // of the fleet, in cores of speed 1
 	localityWeight []float64
 }
 
-// groupDraw draws the groups of a customer's connections.
-type groupDraw struct {
+// groupSampler draws the groups of a customer's connections from a Zipf distribution.
+type groupSampler struct {
 	first simulation.GroupID
 	zipf  simulation.Zipf
 }
 
-func (n numbers) draw(r *rand.Rand) float64 { return simulation.Uniform(r, n.lo, n.hi) }
+func (n numberRange) draw(r *rand.Rand) float64 { return simulation.Uniform(r, n.lo, n.hi) }
 
-// drawInt draws a whole number.
-func (n numbers) drawInt(r *rand.Rand) int {
+// drawInt draws an integer, both ends included.
+func (n numberRange) drawInt(r *rand.Rand) int {
 	return int(n.lo) + r.IntN(int(n.hi)-int(n.lo)+1)
 }
 
-// Day draws the day of a seed. The same seed gives the same day to every policy, and the order of the draws is part of its meaning.
+// Day draws the day of a seed. Every policy gets the same day for the same seed. The order of the draws must not change, as it decides
+// which day a seed stands for.
 func (e *Experiment) Day(seed uint64) *Day {
 	r := simulation.RandomSource(seed, "day", 0)
 	d := &Day{Experiment: e, Seed: seed, services: slices.Clone(e.services), customers: slices.Clone(e.customers)}
@@ -65,7 +66,7 @@
 		}
 	}
 	if headroom := e.fleet.storeHeadroom.draw(r); headroom > 0 {
-		d.World.ConfigureStore(headroom * d.arrivalRate()) // the usual rate of set-ups is that of arrivals, as each client comes once
+		d.World.ConfigureStore(headroom * d.arrivalRate()) // each client arrives once, so set-ups have the rate of arrivals
 	}
 	return d
 }
@@ -76,7 +77,7 @@
 	d.lifetimeSigma = l.lifetimeSigma.draw(r)
 	d.loadShare = l.share.draw(r)
 	shortest, longest := float64(l.lifetime.Min), float64(l.lifetime.Max)
-	d.lifetime = time.Duration(shortest * math.Pow(longest/shortest, r.Float64())) // even by its logarithm
+	d.lifetime = time.Duration(shortest * math.Pow(longest/shortest, r.Float64())) // log-uniform
 	d.rateAmplitude = l.rateAmplitude.draw(r)
 	spread := l.loadSpread.draw(r)
 	changeSpread := l.loadChangeSpread.draw(r)
@@ -88,7 +89,7 @@
 	}
 }
 
-// retryPolicies by their words in experiment files.
+// retryPolicies by their names in experiment files.
 var retryPolicies = map[string]simulation.RetryPolicy{"never": simulation.NeverRetry, "at-once": simulation.RetryAtOnce,
 	"fixed": simulation.RetryAfterFixedDelay, "backoff": simulation.RetryWithBackoff}
 
@@ -106,7 +107,7 @@
 	}
 }
 
-// drains by their words in experiment files.
+// drains by their names in experiment files.
 var drains = map[string]simulation.Drain{"quiet": simulation.Quiet, "paced": simulation.Paced, "at-once": simulation.AtOnce}
 
 func (d *Day) configureWorld(r *rand.Rand) {
@@ -115,7 +116,7 @@
 	for _, s := range d.services {
 		shortest = min(shortest, s.Message)
 	}
-	w := simulation.New(d.Seed, e.Length, shortest/lateDivisor)
+	w := simulation.New(d.Seed, e.Length, shortest/delayReportDivisor)
 	d.World = w
 	w.ConfigureSlowStart(simulation.SlowStartConfig{
 		From:             e.terms.SlowStartFrom,
@@ -126,7 +127,7 @@
 		Services:         d.services,
 		Customers:        d.customers,
 		Localities:       e.fleet.localities,
-		BeyondShareValue: e.beyond,
+		BeyondShareValue: e.beyondShareValue,
 		MeanLoad:         d.MeanLoad(),
 		MessageWork:      d.services[0].MessageWork,
 	})
@@ -148,11 +149,11 @@
 		SlowStartFrom: e.fleet.slowStartFrom.draw(r), SlowStartByWork: e.fleet.slowStartByWork.draw(r)}
 	for i := range servers {
 		spec := all
-		spec.Locality, spec.Cell = simulation.LocalityID(i%localities), simulation.CellID(i/e.fleet.cell)
+		spec.Locality, spec.Cell = simulation.LocalityID(i%localities), simulation.CellID(i/e.fleet.serversPerCell)
 		spec.Cores = e.fleet.cores.drawInt(r)
 		spec.Speed = e.fleet.speed.draw(r)
 		spec.Size = e.drawSize(r, spec)
-		spec.MaxConnections = max(minConnections, int(connections*(float64(spec.Cores)*spec.Speed*d.perCore)))
+		spec.MaxConnections = max(minServerConnections, int(connections*(float64(spec.Cores)*spec.Speed*d.perCore)))
 		spec.MaxWaiting = int(queue * float64(spec.Cores))
 		spec.SlowStart = e.fleet.slowStart.Draw(r)
 		w.AddServer(spec)
@@ -167,7 +168,7 @@
 	}
 }
 
-// drawSize is what the list tells of a server's size: its capacity, roughly, or the same for each.
+// drawSize returns the size of a server in the server list: its approximate capacity, or 1 for every server.
 func (e *Experiment) drawSize(r *rand.Rand, spec simulation.ServerSpec) float64 {
 	const roughMin, roughMax = 0.85, 1.15
 	if e.fleet.sizes != roughSizes {
@@ -178,7 +179,7 @@
 
 // drawGroups sets the customers' quotas and draws the sizes of their groups.
 func (d *Day) drawGroups(r *rand.Rand) {
-	carried := d.capacity * d.perCore
+	connectionCapacity := d.capacity * d.perCore
 	size := d.Experiment.load.groupSize.draw(r)
 	zipf := d.Experiment.load.groupZipf.draw(r)
 	next := simulation.GroupID(0)
@@ -186,18 +187,18 @@
 		share := 1.0
 		if len(d.customers) > 0 {
 			share = d.customers[i].Share
-			d.customers[i].Quota = carried * quotaShare * share
+			d.customers[i].Quota = connectionCapacity * quotaCapacityShare * share
 		}
-		groups := max(1, int(carried*d.loadShare*share/size))
-		d.groups = append(d.groups, groupDraw{next, simulation.NewZipf(groups, zipf)})
+		groups := max(1, int(connectionCapacity*d.loadShare*share/size))
+		d.groups = append(d.groups, groupSampler{next, simulation.NewZipf(groups, zipf)})
 		next += simulation.GroupID(groups)
 	}
 }
 
-// MeanLoad is that of a connection, in cores of speed 1.
+// MeanLoad returns the mean load of a connection, in cores of speed 1.
 func (d *Day) MeanLoad() float64 { return 1 / d.perCore }
 
-// Begin schedules the whole day. The world's driver must be set.
+// Begin schedules the day's faults and starts its load. The world's driver must be set.
 func (d *Day) Begin() {
 	d.World.ScheduleFaults(d.Faults)
 	d.World.StartLoad(d.Source())
--- a/internal/testbed/experiment/experiment.go
+++ b/internal/testbed/experiment/experiment.go
@@ -1,5 +1,5 @@
-// Package experiment reads what a run of the testbed is to be: fleet, load, faults, policies, seeds and how service is counted. A file
-// gives ranges; a day is one draw from them.
+// Package experiment reads the description of a testbed run: fleet, load, faults, policies, seeds and the weights of the service score. A
+// file gives ranges; a day is one random draw from them.
 package experiment
 
 import (
@@ -13,22 +13,22 @@
 	"yardwinch/internal/testbed/count"
 )
 
-// Policies that experiment files name: the project's own, with or without deciders round it, and baselines.
+// Policies by their names in experiment files: the project's own, alone or with additional deciders, and baselines.
 const (
-	Ours               = "ours"         // the decisions alone
+	Ours               = "ours"         // the project's policy without additions
 	OursWithLocalities = "ours+halls"   // with locality-aware failover
 	OursWithSignals    = "ours+signals" // with signals between balancers
-	RandomServer       = "random"       // any server
-	LeastConnections   = "least"        // the server with the fewest own connections
+	RandomServer       = "random"       // a random server
+	LeastConnections   = "least"        // the server with the fewest connections of this balancer
 	TwoChoices         = "two-choices"  // the better one of two random servers
 	BoundedHashing     = "hashing"      // hashing with bounded loads
-	Omniscient         = "top"          // sees the true state of all servers, as no real balancer does
+	Omniscient         = "top"          // knows the true state of all servers, as no real balancer can
 )
 
-// Policies are all there are.
+// Policies lists all policies.
 var Policies = []string{Ours, OursWithLocalities, OursWithSignals, RandomServer, LeastConnections, TwoChoices, BoundedHashing, Omniscient}
 
-// Experiment is one file, read and checked.
+// Experiment is one experiment file, parsed and validated.
 type Experiment struct {
 	Name, About string
 	Length      time.Duration
@@ -36,80 +36,80 @@
 	Policies    []string
 	Locality    config.Locality // settings of the policy OursWithLocalities
 
-	fleet     fleetRanges
-	load      loadRanges
-	clients   clientRanges
-	services  []simulation.Service
-	customers []simulation.Customer
-	network   networkRanges
-	list      simulation.ListConfig
-	terms     Terms
-	probes    bool // servers report their load to those that probe; on sockets only
-	weights   count.Weights
-	beyond    float64 // what a value counts beyond a customer's share
-	faults    []faultRanges
+	fleet            fleetRanges
+	load             loadRanges
+	clients          clientRanges
+	services         []simulation.Service
+	customers        []simulation.Customer
+	network          networkRanges
+	list             simulation.ListConfig
+	terms            Terms
+	probes           bool // servers answer health checks with their load; on sockets only
+	weights          count.Weights
+	beyondShareValue float64 // factor on the value of connections beyond a customer's share
+	faults           []faultRanges
 
 	retryAfter time.Duration
 }
 
-// fleetRanges are what a fleet is drawn from.
+// fleetRanges are the ranges that a fleet is drawn from.
 type fleetRanges struct {
 	localities         []string
-	servers, balancers numbers
-	cores, speed       numbers
-	connections        numbers // that a server takes, times what its cores can carry
-	queuePerCore       numbers // set-ups that wait
-	slowStartFrom      numbers
-	slowStartByWork    numbers
-	groupLoad          numbers // that the first connection of a group adds, times the mean load
+	servers, balancers numberRange
+	cores, speed       numberRange
+	connections        numberRange // connection limit of a server, over what its cores can carry
+	queuePerCore       numberRange // limit of waiting set-ups per core
+	slowStartFrom      numberRange
+	slowStartByWork    numberRange
+	groupLoad          numberRange // additional load of a group's first connection, over the mean load
 	slowStart, buffer  simulation.Interval
 	drain              string
-	sizes              string // rough: the list tells servers' sizes
-	cell               int    // servers in a row that share a cell
-	storeHeadroom      numbers
+	sizes              string // rough: the server list has approximate sizes
+	serversPerCell     int    // consecutive servers share a cell
+	storeHeadroom      numberRange
 }
 
-// loadRanges are what a load is drawn from.
+// loadRanges are the ranges that a load is drawn from.
 type loadRanges struct {
-	share                        numbers // of the fleet's capacity
-	rateAmplitude                numbers // of the rate of arrivals over the day
-	perCore                      numbers // connections that a core of speed 1 carries
-	loadSpread, loadChangeSpread numbers
-	groupSize, groupZipf         numbers
-	lifetimeSigma                numbers
-	localitySkew                 numbers
+	share                        numberRange // of the fleet's capacity
+	rateAmplitude                numberRange // amplitude of the arrival rate's variation over the day
+	perCore                      numberRange // connections per core of speed 1 at full load
+	loadSpread, loadChangeSpread numberRange
+	groupSize, groupZipf         numberRange
+	lifetimeSigma                numberRange
+	localitySkew                 numberRange
 	lifetime, changeEvery        simulation.Interval
 	localWeight                  float64
 	shape                        string
 }
 
-// clientRanges are what the clients' behaviour is drawn from.
+// clientRanges are the ranges that the clients' behaviour is drawn from.
 type clientRanges struct {
-	retries              numbers
+	retries              numberRange
 	retryPolicies        []string
 	retryDelay, comeBack simulation.Interval
 	silence              simulation.Interval
-	obeysRetryAfter      numbers
+	obeysRetryAfter      numberRange
 }
 
-// networkRanges are what the network's delays are drawn from.
+// networkRanges are the ranges that the network's delays are drawn from.
 type networkRanges struct {
 	within, between, client simulation.Interval
 	frontNotice             simulation.Interval
 }
 
-// Terms are the limits that an invariant checker and a driver hold a run to.
+// Terms are the limits that the invariant checker enforces and that balancers are configured with.
 type Terms struct {
-	DrainGrace        time.Duration // from the announcement of a drain until no connect may be sent
-	SlowStartMultiple float64       // of its capacity that a starting server may be sent over a window
+	DrainGrace        time.Duration // after a drain is announced, in which connects may still be sent
+	SlowStartMultiple float64       // limit of the load sent to a starting server in a window, over its capacity
 	SlowStartWindow   time.Duration
-	SlowStart         time.Duration // how long a server starts at the most
-	SlowStartFrom     float64       // least share of its capacity that a server starts with
-	MaxConnects       int           // that a flow may use
+	SlowStart         time.Duration // longest slow start of a server
+	SlowStartFrom     float64       // least share of its capacity that a server has when it starts
+	MaxConnects       int           // per flow
 	ConnectTimeout    time.Duration
 }
 
-// Open reads a file. Its error names line and key.
+// Open reads an experiment file. Errors of its content name the line and the key.
 func Open(path string) (*Experiment, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -118,7 +118,7 @@
 	return Read(path, text)
 }
 
-// Read reads the text of a file.
+// Read parses the text of an experiment file; name is the file's name in errors.
 func Read(name string, text []byte) (*Experiment, error) {
 	t, err := strict.Parse(name, text)
 	if err != nil {
@@ -131,14 +131,14 @@
 	return e, nil
 }
 
-// Terms of the experiment.
+// Terms returns the limits of the experiment.
 func (e *Experiment) Terms() Terms { return e.terms }
 
-// Probes reports whether servers report their load to those that probe.
+// Probes reports whether servers answer health checks with their load.
 func (e *Experiment) Probes() bool { return e.probes }
 
-// RetryAfter is how long rejected clients may be told to wait.
+// RetryAfter returns the longest retry delay that a balancer may send to rejected clients; 0: it may send none.
 func (e *Experiment) RetryAfter() time.Duration { return e.retryAfter }
 
-// Weights are how service is counted.
+// Weights returns the weights of the service score.
 func (e *Experiment) Weights() count.Weights { return e.weights }
--- a/internal/testbed/experiment/experiment_test.go
+++ b/internal/testbed/experiment/experiment_test.go
@@ -17,14 +17,14 @@
 		{"unknown fault", "name = \"x\"\n[[trouble]]\nkind = \"storm\"\n", "x.toml:3: trouble.0.kind: want one of slow, errors"},
 		{"unknown locality", "name = \"x\"\n[[trouble]]\nkind = \"hall_lost\"\nhall = \"west\"\n", "x.toml:4: trouble.0.hall: want one of"},
 		{"no locality", "name = \"x\"\n[[trouble]]\nkind = \"hall_lost\"\n", "x.toml:2: trouble.0.hall: is missing"},
-		{"slower by less than once", "name = \"x\"\n[[trouble]]\nkind = \"slow\"\nstrength = 0.5\n",
-			"x.toml:4: trouble.0.strength: want 1 at the least"},
-		{"after the end", "name = \"x\"\nlength = \"10s\"\n[[trouble]]\nkind = \"burst\"\nstart = \"20s\"\n",
+		{"slowdown below 1", "name = \"x\"\n[[trouble]]\nkind = \"slow\"\nstrength = 0.5\n",
+			"x.toml:4: trouble.0.strength: want at least 1"},
+		{"fault after the end", "name = \"x\"\nlength = \"10s\"\n[[trouble]]\nkind = \"burst\"\nstart = \"20s\"\n",
 			"x.toml:5: trouble.0.start: is not before the end"},
 		{"target beyond the timeout", "name = \"x\"\n[[service]]\nname = \"a\"\nsetup-target = \"3s\"\n",
 			"x.toml:4: service.0.setup-target: is longer"},
-		{"a typing error", "name = \"x\"\n[fleet]\nserver = 3\n", "x.toml:3: fleet.server: unknown key"},
-		{"a number for a time", "name = \"x\"\nlength = 60\n", "x.toml:2: length: want a time"},
+		{"misspelled key", "name = \"x\"\n[fleet]\nserver = 3\n", "x.toml:3: fleet.server: unknown key"},
+		{"number in place of a duration", "name = \"x\"\nlength = 60\n", "x.toml:2: length: want a time"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			_, err := Read("x.toml", []byte(test.text))
@@ -35,7 +35,7 @@
 	}
 }
 
-// arrivalCounts are the arrivals of some days of burstDay.
+// arrivalCounts counts arrivals over several days of burstDay.
 type arrivalCounts struct{ established, inBurst, outside float64 }
 
 func (c *arrivalCounts) add(source simulation.ArrivalSource) {
@@ -51,7 +51,7 @@
 	}
 }
 
-// burstDay has three times the usual arrivals from 10 s to 20 s.
+// burstDay has three times the usual arrival rate from 10 s to 20 s.
 const burstDay = "name = \"x\"\nlength = \"40s\"\n[fleet]\nservers = [5, 9]\nbalancers = [2, 4]\n[load]\nshare = 0.5\n" +
 	"life = \"10s\"\nlife-sigma = 0.5\ngroup-size = 10\n[[trouble]]\nkind = \"burst\"\nstart = \"10s\"\nlength = \"10s\"\nstrength = 3\n"
 
@@ -68,11 +68,11 @@
 		usualRate += d.arrivalRate()
 		arrivals.add(d.Source())
 		if arrivals.established == 0 || d.World.Servers[0].Phase() != simulation.Serving {
-			t.Error("nobody is connected when the day begins")
+			t.Error("no connection is established when the day begins, or the first server is not serving")
 		}
 	}
 	if len(sizes) < 3 {
-		t.Errorf("20 days have sizes %v only", sizes)
+		t.Errorf("20 days have only the sizes %v, want at least 3", sizes)
 	}
 	if r := arrivals.outside / 30 / usualRate; math.Abs(r-1) > 0.1 {
 		t.Errorf("arrivals outside the burst at %.3f of the usual rate", r)
--- a/internal/testbed/experiment/faults.go
+++ b/internal/testbed/experiment/faults.go
@@ -10,21 +10,21 @@
 	"yardwinch/internal/strict"
 )
 
-const maxShareOfServer = 0.99 // that a neighbour may take, or that may fail
+const maxShareOfServer = 0.99 // largest share of a server that a neighbour may take, or of its set-ups that may fail
 
-// faultRanges are what a fault is drawn from.
+// faultRanges are the ranges that a fault is drawn from.
 type faultRanges struct {
 	kind          simulation.FaultKind
 	start, length simulation.Interval
-	share         numbers
-	strength      numbers
+	share         numberRange
+	strength      numberRange
 	extra         simulation.Interval
 	locality      string  // empty: any
-	chance        float64 // that it happens
+	chance        float64 // probability that the fault occurs
 }
 
-// leastStrength of the kinds that have one.
-var leastStrength = map[simulation.FaultKind]float64{
+// minStrength has the least strength of the kinds of faults for which strength matters.
+var minStrength = map[simulation.FaultKind]float64{
 	simulation.Slow:         1,
 	simulation.StoreSlow:    1,
 	simulation.Burst:        0.01,
@@ -51,11 +51,11 @@
 	}
 	f := faultRanges{
 		kind:     kind,
-		start:    intervalOf(t, "start", 0, 0, hour),
-		length:   intervalOf(t, "length", 10*time.Second, 10*time.Second, hour),
-		share:    numbersOf(t, "share", bounds{0.2, 0.2, 0, 1}),
-		strength: numbersOf(t, "strength", bounds{1, 1, 0, 1000}),
-		extra:    intervalOf(t, "extra", 3*time.Second, 3*time.Second, hour),
+		start:    readInterval(t, "start", 0, 0, hour),
+		length:   readInterval(t, "length", 10*time.Second, 10*time.Second, hour),
+		share:    readNumberRange(t, "share", bounds{0.2, 0.2, 0, 1}),
+		strength: readNumberRange(t, "strength", bounds{1, 1, 0, 1000}),
+		extra:    readInterval(t, "extra", 3*time.Second, 3*time.Second, hour),
 		locality: locality,
 		chance:   t.Float("chance", 1, 0, 1),
 	}
@@ -70,15 +70,15 @@
 	if f.start.Min >= e.Length {
 		t.Fail("start", "is not before the end of the day, %v", e.Length)
 	}
-	if least := leastStrength[f.kind]; f.strength.lo < least {
-		t.Fail("strength", "want %g at the least for %s", least, f.kind)
+	if least := minStrength[f.kind]; f.strength.lo < least {
+		t.Fail("strength", "want at least %g for %s", least, f.kind)
 	}
 	if (f.kind == simulation.Errors || f.kind == simulation.Neighbour) && f.strength.hi > maxShareOfServer {
-		t.Fail("strength", "want %g at the most for %s", maxShareOfServer, f.kind)
+		t.Fail("strength", "want at most %g for %s", maxShareOfServer, f.kind)
 	}
 }
 
-// draw draws a fault, and whether it happens.
+// draw draws a fault, and whether it occurs.
 func (f faultRanges) draw(r *rand.Rand, localities []string) (fault simulation.Fault, happens bool) {
 	fault = simulation.Fault{
 		Kind:     f.kind,
@@ -97,7 +97,7 @@
 	return fault, r.Float64() < f.chance
 }
 
-// Kinds are the kinds of the faults, in the order of the file.
+// Kinds returns the kinds of the faults, in the order of the file.
 func (e *Experiment) Kinds() (kinds []simulation.FaultKind) {
 	for _, f := range e.faults {
 		kinds = append(kinds, f.kind)
@@ -105,14 +105,14 @@
 	return kinds
 }
 
-// Without is the experiment without one of its faults.
+// Without returns a copy of the experiment without one of its faults.
 func (e *Experiment) Without(i int) *Experiment {
 	c := *e
 	c.faults = append(append([]faultRanges(nil), e.faults[:i]...), e.faults[i+1:]...)
 	return &c
 }
 
-// Shrunk is the experiment with one of its faults lasting for a part of its time.
+// Shrunk returns a copy of the experiment in which the length of one fault is multiplied by part.
 func (e *Experiment) Shrunk(i int, part float64) *Experiment {
 	c := *e
 	c.faults = append([]faultRanges(nil), e.faults...)
@@ -122,19 +122,19 @@
 	return &c
 }
 
-// Sized is the experiment with other numbers of balancers and servers, where they are above 0.
+// Sized returns a copy of the experiment with other numbers of balancers and servers. A number of 0 keeps that of the experiment.
 func (e *Experiment) Sized(balancers, servers int) *Experiment {
 	c := *e
 	if balancers > 0 {
-		c.fleet.balancers = numbers{float64(balancers), float64(balancers)}
+		c.fleet.balancers = numberRange{float64(balancers), float64(balancers)}
 	}
 	if servers > 0 {
-		c.fleet.servers = numbers{float64(servers), float64(servers)}
+		c.fleet.servers = numberRange{float64(servers), float64(servers)}
 	}
 	return &c
 }
 
-// Stretched is the experiment with a part of its length, and its faults at the same parts of it.
+// Stretched returns a copy of the experiment in which its length, and the start and length of its faults, are multiplied by part.
 func (e *Experiment) Stretched(part float64) *Experiment {
 	c := *e
 	scaled := func(d time.Duration) time.Duration { return time.Duration(math.Round(float64(d) * part)) }
@@ -148,7 +148,7 @@
 	return &c
 }
 
-// Lasting is the experiment with another length. The faults stay where they are.
+// Lasting returns a copy of the experiment with another length. The times of the faults don't change.
 func (e *Experiment) Lasting(d time.Duration) *Experiment {
 	c := *e
 	c.Length = d
--- a/internal/testbed/experiment/load.go
+++ b/internal/testbed/experiment/load.go
@@ -12,14 +12,15 @@
 	waveShape       = "wave"
 	dailyShape      = "daily"
 	wavesPerDay     = 4
-	groupShare      = 0.25 // of its group's load, that a connection brings on average, as a group has several
-	leastRequest    = 1e-9 // in place of no requested connections
+	groupLoadShare  = 0.25 // mean share of the group load per connection, as several connections share a group
+	minRequested    = 1e-9 // avoids a division by 0 requested connections
 	steadyGroupZipf = 0.8
 )
 
-// establishedAtOnce is how many connections the load stands for. A group's load takes its part of the capacity.
-func (d *Day) establishedAtOnce() float64 {
-	loadOfConnection := 1 + d.Experiment.fleet.groupLoad.lo*groupShare
+// meanEstablished returns the mean number of established connections that corresponds to the day's load. The groups' additional load
+// takes part of the capacity.
+func (d *Day) meanEstablished() float64 {
+	loadOfConnection := 1 + d.Experiment.fleet.groupLoad.lo*groupLoadShare
 	load, shares := 0.0, 0.0
 	for _, s := range d.services {
 		load += s.Share * s.Load * s.Lifetime
@@ -28,7 +29,7 @@
 	return d.loadShare * d.capacity * d.perCore / (loadOfConnection * load / shares)
 }
 
-// meanLifetime of a connection, in seconds.
+// meanLifetime returns the lifetime of a connection, averaged over the service types, in seconds.
 func (d *Day) meanLifetime() float64 {
 	lifetime, shares := 0.0, 0.0
 	for _, s := range d.services {
@@ -38,14 +39,15 @@
 	return d.lifetime.Seconds() * lifetime / shares
 }
 
-// arrivalRate is the usual rate of arrivals, a second.
-func (d *Day) arrivalRate() float64 { return d.establishedAtOnce() / d.meanLifetime() }
+// arrivalRate returns the mean number of arrivals per second, without faults.
+func (d *Day) arrivalRate() float64 { return d.meanEstablished() / d.meanLifetime() }
 
-// Source draws the load: who is connected when the day begins, and then arrivals by thinning at the highest rate.
+// Source returns the day's load: first the connections that are established when the day begins, then arrivals of a Poisson process of
+// varying rate, drawn by thinning.
 func (d *Day) Source() simulation.ArrivalSource {
-	established := d.establishedAtOnce()
+	established := d.meanEstablished()
 	if simulation.ArrivalRate(d.Faults, 0) > 1 {
-		for _, f := range d.Faults { // an overload holds from the first second on, for all that is established
+		for _, f := range d.Faults { // an overload from the start multiplies the initially established connections, too
 			if f.Kind == simulation.Overload && f.Start == 0 {
 				established *= f.Strength
 			}
@@ -55,7 +57,7 @@
 	return &source{day: d, random: r, established: int(established), maxRate: d.maxRate(), phase: r.Float64()}
 }
 
-// maxRate bounds the rate of arrivals from above, times the usual.
+// maxRate returns an upper bound of the arrival rate, as a multiple of arrivalRate.
 func (d *Day) maxRate() float64 {
 	rate := 1.0
 	for _, f := range d.Faults {
@@ -69,10 +71,10 @@
 type source struct {
 	day         *Day
 	random      *rand.Rand
-	established int     // that are still to come
-	at          float64 // of the last candidate, seconds
+	established int     // initially established connections that are still to be drawn
+	at          float64 // time of the last candidate of the thinning, in seconds
 	maxRate     float64
-	phase       float64 // of a wave
+	phase       float64 // of the wave shape
 }
 
 // Next draws the next arrival.
@@ -88,7 +90,7 @@
 		if at > d.Experiment.Length {
 			return simulation.Arrival{}, false
 		}
-		if s.random.Float64()*s.maxRate < simulation.ArrivalRate(d.Faults, at)*s.curve(at) {
+		if s.random.Float64()*s.maxRate < simulation.ArrivalRate(d.Faults, at)*s.loadFactor(at) {
 			arrival := s.drawArrival()
 			arrival.At = at
 			return arrival, true
@@ -96,8 +98,8 @@
 	}
 }
 
-// drawEstablished draws a client that is connected when the day begins. Such a one is the likelier to have a long lifetime, and is
-// somewhere within it.
+// drawEstablished draws a client that is connected when the day begins. Long lifetimes are over-represented among such connections, which
+// multiplies the log-normal lifetime by exp(sigma²), and the remaining time is uniform within the lifetime.
 func (s *source) drawEstablished() simulation.Arrival {
 	arrival := s.drawArrival()
 	sigma := s.day.lifetimeSigma
@@ -106,8 +108,8 @@
 	return arrival
 }
 
-// curve is the shape of the load over the day, 1 on average.
-func (s *source) curve(at time.Duration) float64 {
+// loadFactor returns the arrival rate at a time of the day as a multiple of the mean rate.
+func (s *source) loadFactor(at time.Duration) float64 {
 	part := at.Seconds() / s.day.Experiment.Length.Seconds()
 	switch s.day.Experiment.load.shape {
 	case waveShape:
@@ -132,7 +134,7 @@
 	return a
 }
 
-// drawCustomer draws a customer by what each asks for, and whether the connection is beyond its quota.
+// drawCustomer draws a customer, weighted by demand, and whether the connection exceeds the customer's quota.
 func (s *source) drawCustomer() (id simulation.CustomerID, isBeyondShare bool) {
 	d := s.day
 	if len(d.customers) == 0 {
@@ -144,11 +146,11 @@
 	for i := range d.customers {
 		sum += usage(i)
 	}
-	requested := usage(drawn) / sum * d.establishedAtOnce()
-	return simulation.CustomerID(drawn), s.random.Float64() > d.customers[drawn].Quota/math.Max(requested, leastRequest)
+	requested := usage(drawn) / sum * d.meanEstablished()
+	return simulation.CustomerID(drawn), s.random.Float64() > d.customers[drawn].Quota/math.Max(requested, minRequested)
 }
 
-// drawWeighted draws an index by weights.
+// drawWeighted draws an index below count with probability proportional to its weight.
 func drawWeighted(r *rand.Rand, count int, weightOf func(int) float64) int {
 	sum := 0.0
 	for i := range count {
--- a/internal/testbed/experiment/read.go
+++ b/internal/testbed/experiment/read.go
@@ -11,17 +11,18 @@
 )
 
 const (
-	ms          = time.Millisecond
-	hour        = time.Hour
-	maxLifetime = 24 * hour
-	maxPrice    = 10
-	manyOf      = 1e6 // more than any experiment has use for
+	ms               = time.Millisecond
+	hour             = time.Hour
+	maxLifetime      = 24 * hour
+	maxPrice         = 10
+	noPracticalLimit = 1e6 // far above any value in use
 )
 
-// numbers is a range of numbers, both ends included.
-type numbers struct{ lo, hi float64 }
+// numberRange is a range of numbers, both ends included.
+type numberRange struct{ lo, hi float64 }
 
-// From reads what a table says of an experiment. Whoever reads the rest of the file looks for its faults.
+// From reads an experiment from a table, which may have further keys for the caller. Errors are kept in the table: the caller checks
+// t.Err after reading the rest.
 func From(t strict.Table) *Experiment {
 	e := &Experiment{}
 	e.Name, e.About = t.String("name", ""), t.String("about", "")
@@ -30,7 +31,7 @@
 	}
 	e.Length = t.Duration("length", time.Minute, hour)
 	if e.Length < time.Second {
-		t.Fail("length", "want 1s at the least, got %v", e.Length)
+		t.Fail("length", "want at least 1s, got %v", e.Length)
 	}
 	e.Seeds = int(t.Float("seeds", 5, 1, 10000))
 	e.Policies = t.Strings("policies", []string{Ours, RandomServer}, Policies...)
@@ -51,16 +52,16 @@
 	return e
 }
 
-// bounds are what a number is where its key is absent, and what it may be.
-type bounds struct{ absentLo, absentHi, least, most float64 }
+// bounds are the default range of a number, for an absent key, and the limits of its range.
+type bounds struct{ defaultLo, defaultHi, min, max float64 }
 
-func numbersOf(t strict.Table, key string, b bounds) (n numbers) {
-	n.lo, n.hi = t.Range(key, b.absentLo, b.absentHi, b.least, b.most)
+func readNumberRange(t strict.Table, key string, b bounds) (n numberRange) {
+	n.lo, n.hi = t.Range(key, b.defaultLo, b.defaultHi, b.min, b.max)
 	return n
 }
 
-func intervalOf(t strict.Table, key string, lo, hi, most time.Duration) (i simulation.Interval) {
-	i.Min, i.Max = t.DurationRange(key, lo, hi, most)
+func readInterval(t strict.Table, key string, lo, hi, longest time.Duration) (i simulation.Interval) {
+	i.Min, i.Max = t.DurationRange(key, lo, hi, longest)
 	return i
 }
 
@@ -72,37 +73,37 @@
 			t.Fail("halls", "want names without spaces and commas, got %q", name)
 		}
 	}
-	f.servers = numbersOf(t, "servers", bounds{9, 12, 1, 20000})
-	f.balancers = numbersOf(t, "balancers", bounds{3, 3, 1, 5000})
-	f.cores = numbersOf(t, "cores", bounds{3, 3, 1, 256})
-	f.speed = numbersOf(t, "speed", bounds{0.7, 2, 0.01, 100})
-	f.connections = numbersOf(t, "connections", bounds{2, 3.5, 0.1, 1000})
-	f.queuePerCore = numbersOf(t, "queue-per-core", bounds{10, 30, 0, 100000})
-	f.slowStartFrom = numbersOf(t, "cold-from", bounds{0.16, 0.3, 0.01, 1})
-	f.slowStartByWork = numbersOf(t, "warm-by-work", bounds{0.5, 0.5, 0, 1})
-	f.groupLoad = numbersOf(t, "group-load", bounds{2, 2, 0, 100})
-	f.slowStart = intervalOf(t, "warm", 10*time.Second, 20*time.Second, hour)
-	f.buffer = intervalOf(t, "buffer", 1500*ms, 3*time.Second, hour)
+	f.servers = readNumberRange(t, "servers", bounds{9, 12, 1, 20000})
+	f.balancers = readNumberRange(t, "balancers", bounds{3, 3, 1, 5000})
+	f.cores = readNumberRange(t, "cores", bounds{3, 3, 1, 256})
+	f.speed = readNumberRange(t, "speed", bounds{0.7, 2, 0.01, 100})
+	f.connections = readNumberRange(t, "connections", bounds{2, 3.5, 0.1, 1000})
+	f.queuePerCore = readNumberRange(t, "queue-per-core", bounds{10, 30, 0, 100000})
+	f.slowStartFrom = readNumberRange(t, "cold-from", bounds{0.16, 0.3, 0.01, 1})
+	f.slowStartByWork = readNumberRange(t, "warm-by-work", bounds{0.5, 0.5, 0, 1})
+	f.groupLoad = readNumberRange(t, "group-load", bounds{2, 2, 0, 100})
+	f.slowStart = readInterval(t, "warm", 10*time.Second, 20*time.Second, hour)
+	f.buffer = readInterval(t, "buffer", 1500*ms, 3*time.Second, hour)
 	f.drain = t.String("drain", "paced", "quiet", "paced", "at-once")
 	f.sizes = t.String("sizes", roughSizes, roughSizes, "silent")
-	f.cell = int(t.Float("cell", 4, 1, 10000))
-	f.storeHeadroom = numbersOf(t, "store-headroom", bounds{5, 5, 0, 10000})
+	f.serversPerCell = int(t.Float("cell", 4, 1, 10000))
+	f.storeHeadroom = readNumberRange(t, "store-headroom", bounds{5, 5, 0, 10000})
 }
 
 func (e *Experiment) readLoad(t strict.Table) {
 	l := &e.load
-	l.share = numbersOf(t, "share", bounds{0.3, 0.4, 0.001, 20})
-	l.rateAmplitude = numbersOf(t, "swing", bounds{0.05, 0.2, 0, 1})
-	l.perCore = numbersOf(t, "per-core", bounds{22, 41, 0.1, 100000})
-	l.loadSpread = numbersOf(t, "load-spread", bounds{0.5, 1, 0, 3})
-	l.loadChangeSpread = numbersOf(t, "load-swing", bounds{0.3, 0.8, 0, 3})
-	l.groupSize = numbersOf(t, "group-size", bounds{5, 60, 1, manyOf})
-	l.groupZipf = numbersOf(t, "group-zipf", bounds{0.5, 1, 0, 3})
-	l.lifetimeSigma = numbersOf(t, "life-sigma", bounds{0.8, 1.4, 0, 3})
-	l.localitySkew = numbersOf(t, "hall-skew", bounds{0.1, 0.4, 0, 5})
-	l.lifetime = intervalOf(t, "life", 25*time.Second, 200*time.Second, maxLifetime)
-	l.changeEvery = intervalOf(t, "change-every", 7*time.Second, 15*time.Second, hour)
-	l.localWeight = t.Float("home", 3, 1, manyOf)
+	l.share = readNumberRange(t, "share", bounds{0.3, 0.4, 0.001, 20})
+	l.rateAmplitude = readNumberRange(t, "swing", bounds{0.05, 0.2, 0, 1})
+	l.perCore = readNumberRange(t, "per-core", bounds{22, 41, 0.1, 100000})
+	l.loadSpread = readNumberRange(t, "load-spread", bounds{0.5, 1, 0, 3})
+	l.loadChangeSpread = readNumberRange(t, "load-swing", bounds{0.3, 0.8, 0, 3})
+	l.groupSize = readNumberRange(t, "group-size", bounds{5, 60, 1, noPracticalLimit})
+	l.groupZipf = readNumberRange(t, "group-zipf", bounds{0.5, 1, 0, 3})
+	l.lifetimeSigma = readNumberRange(t, "life-sigma", bounds{0.8, 1.4, 0, 3})
+	l.localitySkew = readNumberRange(t, "hall-skew", bounds{0.1, 0.4, 0, 5})
+	l.lifetime = readInterval(t, "life", 25*time.Second, 200*time.Second, maxLifetime)
+	l.changeEvery = readInterval(t, "change-every", 7*time.Second, 15*time.Second, hour)
+	l.localWeight = t.Float("home", 3, 1, noPracticalLimit)
 	l.shape = t.String("shape", "steady", "steady", waveShape, dailyShape)
 }
 
@@ -120,13 +121,13 @@
 func readService(t strict.Table) simulation.Service {
 	s := simulation.Service{
 		Name:        t.String("name", ""),
-		Share:       t.Float("share", 1, 0.0001, manyOf),
+		Share:       t.Float("share", 1, 0.0001, noPracticalLimit),
 		Load:        t.Float("load", 1, 0.001, 1000),
 		Lifetime:    t.Float("life", 1, 0.001, 1000),
 		Target:      t.Duration("setup-target", 300*ms, hour),
 		Timeout:     t.Duration("connect-timeout", 1800*ms, hour),
 		Message:     t.Duration("message-target", 250*ms, hour),
-		Value:       t.Float("value", 1, 0, manyOf),
+		Value:       t.Float("value", 1, 0, noPracticalLimit),
 		Effect:      t.String("effect", "free", "free", "guarded", "single_shot"),
 		Group:       t.String("group", "all", "all", "zone", "cell"),
 		Window:      t.Duration("window", 5*time.Second, hour),
@@ -159,28 +160,28 @@
 
 func (e *Experiment) readClients(t strict.Table) {
 	c := &e.clients
-	c.retries = numbersOf(t, "retries", bounds{2, 3, 0, 1000})
+	c.retries = readNumberRange(t, "retries", bounds{2, 3, 0, 1000})
 	c.retryPolicies = t.Strings("habit", []string{"at-once", "fixed"}, "never", "at-once", "fixed", "backoff")
-	c.retryDelay = intervalOf(t, "wait", 15*ms, 120*ms, hour)
-	c.comeBack = intervalOf(t, "come-back", 70*ms, 680*ms, hour)
-	c.silence = intervalOf(t, "silence", 4500*ms, 4500*ms, hour)
-	c.obeysRetryAfter = numbersOf(t, "obey", bounds{0.5, 0.85, 0, 1})
+	c.retryDelay = readInterval(t, "wait", 15*ms, 120*ms, hour)
+	c.comeBack = readInterval(t, "come-back", 70*ms, 680*ms, hour)
+	c.silence = readInterval(t, "silence", 4500*ms, 4500*ms, hour)
+	c.obeysRetryAfter = readNumberRange(t, "obey", bounds{0.5, 0.85, 0, 1})
 }
 
 func (e *Experiment) readNetwork(t strict.Table) {
 	n := &e.network
-	n.within = intervalOf(t, "same", 110*time.Microsecond, 350*time.Microsecond, time.Second)
-	n.between = intervalOf(t, "cross", 700*time.Microsecond, 1300*time.Microsecond, time.Second)
-	n.client = intervalOf(t, "client", 200*time.Microsecond, 1200*time.Microsecond, time.Second)
-	n.frontNotice = intervalOf(t, "front-notice", 940*ms, 3*time.Second, hour)
+	n.within = readInterval(t, "same", 110*time.Microsecond, 350*time.Microsecond, time.Second)
+	n.between = readInterval(t, "cross", 700*time.Microsecond, 1300*time.Microsecond, time.Second)
+	n.client = readInterval(t, "client", 200*time.Microsecond, 1200*time.Microsecond, time.Second)
+	n.frontNotice = readInterval(t, "front-notice", 940*ms, 3*time.Second, hour)
 }
 
 func (e *Experiment) readList(t strict.Table) {
 	e.list = simulation.ListConfig{
-		Notice:        intervalOf(t, "notice", 1600*ms, 6800*ms, hour),
-		NoticeSilent:  intervalOf(t, "silent-notice", 5100*ms, 13*time.Second, hour),
-		NoticeAdded:   intervalOf(t, "add", 1100*ms, 2900*ms, hour),
-		Spread:        intervalOf(t, "spread", 30*ms, 1300*ms, hour),
+		Notice:        readInterval(t, "notice", 1600*ms, 6800*ms, hour),
+		NoticeSilent:  readInterval(t, "silent-notice", 5100*ms, 13*time.Second, hour),
+		NoticeAdded:   readInterval(t, "add", 1100*ms, 2900*ms, hour),
+		Spread:        readInterval(t, "spread", 30*ms, 1300*ms, hour),
 		MustSubscribe: t.String("mode", "push", "push", "ask") == "ask",
 	}
 }
@@ -213,7 +214,7 @@
 		Migrations:       t.Float("moves", 0, 0, maxPrice),
 		Connects:         t.Float("connects", 0, 0, maxPrice),
 	}
-	e.beyond = t.Float("beyond-share", 0.2, 0, 1)
+	e.beyondShareValue = t.Float("beyond-share", 0.2, 0, 1)
 	if e.weights.Sum() <= 0 {
 		t.Fail("whole", "all weights are 0")
 	}
--- a/internal/testbed/experiment/settings.go
+++ b/internal/testbed/experiment/settings.go
@@ -9,12 +9,12 @@
 	"yardwinch/internal/simulation"
 )
 
-const mustAnswerWithin = 10 * time.Second // what balancers are told of the longest wait of a client
+const longestClientWait = 10 * time.Second // longest wait of a client, as told to balancers
 
-// ServerName is what a server is called outside the world, by every driver.
+// ServerName returns the id of a server towards balancers, the same with every driver.
 func ServerName(s simulation.ServerID) string { return fmt.Sprintf("s-%03d", int(s)) }
 
-// GroupName is what a group is called outside the world; empty for none.
+// GroupName returns the name of a group towards balancers; empty for no group.
 func GroupName(g simulation.GroupID) string {
 	if g == simulation.NoGroup {
 		return ""
@@ -26,7 +26,7 @@
 
 func numberSetting(x float64) string { return strconv.FormatFloat(x, 'g', -1, 64) }
 
-// Settings are the settings of a balancer, as the platform gives them: paths and plain values.
+// Settings returns a balancer's settings in the platform's flat form: values by dotted paths.
 func (d *Day) Settings(b simulation.BalancerID) map[string]string {
 	e, terms := d.Experiment, d.Experiment.terms
 	settings := map[string]string{
@@ -42,7 +42,7 @@
 		"guarantees.warm-after":         durationSetting(terms.SlowStart),
 		"guarantees.fall":               durationSetting(terms.SlowStartWindow),
 		"guarantees.drain-grace":        durationSetting(terms.DrainGrace),
-		"guarantees.must-ask-in":        durationSetting(mustAnswerWithin),
+		"guarantees.must-ask-in":        durationSetting(longestClientWait),
 		"policy-limits.max-connects":    strconv.Itoa(terms.MaxConnects),
 		"policy-limits.connect-timeout": durationSetting(terms.ConnectTimeout),
 		"policy-limits.probes":          "false",
@@ -50,7 +50,7 @@
 		"policy-limits.max-retry-after": durationSetting(e.retryAfter),
 		"tariffs.cross-zone":            numberSetting(e.weights.Crossing),
 		"tariffs.moves":                 numberSetting(e.weights.Migrations),
-		"beyond-share-value":            numberSetting(e.beyond),
+		"beyond-share-value":            numberSetting(e.beyondShareValue),
 	}
 	if e.list.MustSubscribe {
 		settings["discovery"] = "ask"
--- a/internal/testbed/experiment/steady.go
+++ b/internal/testbed/experiment/steady.go
@@ -7,25 +7,25 @@
 	"yardwinch/internal/simulation"
 )
 
-// SteadyConfig describes a load that needs no fleet.
+// SteadyConfig configures a steady load, which does not depend on a fleet.
 type SteadyConfig struct {
 	Seed          uint64
-	Rate          float64       // of arrivals, a second
-	Lifetime      time.Duration // of a connection, on average
+	Rate          float64       // arrivals per second
+	Lifetime      time.Duration // mean, of a connection
 	LifetimeSigma float64
 	Groups        int
 	Localities    int
 }
 
-// Steady is a source of arrivals at a steady rate, whatever becomes of them.
+// Steady is a Poisson process of arrivals at a constant rate, independent of their outcome (open loop).
 type Steady struct {
 	config SteadyConfig
 	random *rand.Rand
-	at     float64 // of the last arrival, seconds
+	at     float64 // time of the last arrival, in seconds
 	groups simulation.Zipf
 }
 
-// NewSteady makes a source.
+// NewSteady returns a source with the given configuration.
 func NewSteady(c SteadyConfig) *Steady {
 	return &Steady{
 		config: c,
@@ -34,7 +34,7 @@
 	}
 }
 
-// Next draws the next arrival. There is always one: the day ends, not the source.
+// Next draws the next arrival. The source never ends; the caller stops at the end of the day.
 func (s *Steady) Next() (simulation.Arrival, bool) {
 	s.at += s.random.ExpFloat64() / s.config.Rate
 	arrival := simulation.Arrival{At: time.Duration(s.at * float64(time.Second)), Customer: -1, Load: 1}
