--- a/internal/testbed/report/colour.go
+++ b/internal/testbed/report/colour.go
@@ -8,14 +8,14 @@
 )
 
 const (
-	blue      = "#0b5fa5"
-	amber     = "#d08c2f"
-	red       = "#a33"
-	noProcess = "#8d8d8d"
-	otherwise = red // policies without a colour of their own
+	blue            = "#0b5fa5"
+	amber           = "#d08c2f"
+	red             = "#a33"
+	noProcessColour = "#8d8d8d"
+	defaultColour   = red // of policies that are not in policyColours
 )
 
-// policyColours has the strongest colour for the project's own policy.
+// policyColours gives the most prominent colour to the project's own policy.
 var policyColours = map[string]string{
 	experiment.Ours:             blue,
 	experiment.RandomServer:     "#b5b5b5",
@@ -29,10 +29,10 @@
 	if colour := policyColours[policy]; colour != "" {
 		return colour
 	}
-	return otherwise
+	return defaultColour
 }
 
-// rgb is a colour by its channels, 0 to 255 each.
+// rgb is a colour as red, green and blue, 0 to 255 each.
 type rgb [3]float64
 
 var (
@@ -42,18 +42,19 @@
 	twiceFullColour  = rgb{110, 0, 20}
 )
 
-// mix is the colour at a part of the way from one to another.
-func mix(from, to rgb, part float64) string {
-	part = math.Max(0, math.Min(1, part))
-	channel := func(i int) int { return int(from[i] + (to[i]-from[i])*part) }
+// mix interpolates linearly between two colours; fraction is clamped to 0 to 1.
+func mix(from, to rgb, fraction float64) string {
+	fraction = math.Max(0, math.Min(1, fraction))
+	channel := func(i int) int { return int(from[i] + (to[i]-from[i])*fraction) }
 	return fmt.Sprintf("#%02x%02x%02x", channel(0), channel(1), channel(2))
 }
 
-// loadColour goes from pale to blue up to a server's capacity, and from orange to dark red beyond. Below 0 there is no process.
+// loadColour returns the colour of a load over capacity: pale to blue up to 1, orange to dark red above. A negative load means that the
+// server has no process.
 func loadColour(load float64) string {
 	switch {
 	case load < 0:
-		return noProcess
+		return noProcessColour
 	case load <= 1:
 		return mix(idleColour, fullColour, load)
 	default:
--- a/internal/testbed/report/page.go
+++ b/internal/testbed/report/page.go
@@ -32,15 +32,15 @@
 	Broken      []string
 }
 
-// pageRow is the means of a policy.
+// pageRow is the table row of a policy, with means over its days.
 type pageRow struct {
 	Policy, Service, ServedShare, WorstWindow, WorstCustomer, SetupTimes, Connects string
 	Migrations, Rejects, Broken, Days                                              int
 	Colour                                                                         string
 }
 
-// HTML writes a page with plots of the first seed of each policy, and a table of all. Without results there is nothing to write, which is
-// an error.
+// HTML writes a page with plots of the first seed of each policy, and a table of means over all seeds. It returns an error if there are no
+// results.
 func HTML(w io.Writer, name, about string, results []*count.Result) error {
 	if len(results) == 0 {
 		return errNoResults
@@ -71,7 +71,7 @@
 	return violations
 }
 
-// rowsOf has a row a policy, the one with the best service first.
+// rowsOf returns one row per policy, ordered by descending service.
 func rowsOf(shown, results []*count.Result) (rows []pageRow) {
 	for _, r := range shown {
 		rows = append(rows, rowOf(r.Policy, results))
--- a/internal/testbed/report/plot.go
+++ b/internal/testbed/report/plot.go
@@ -18,23 +18,23 @@
 	plotHeight   = 240.0
 	innerWidth   = plotWidth - leftMargin - rightMargin
 
-	secondsPerTick    = 10
-	valueTicks        = 4   // beside that at 0
-	integerLabelsFrom = 8.0 // values from which labels have no decimals
-	faultLines        = 4   // labels of faults, one below the other
-	faultLineHeight   = 13.0
-	firstFaultLine    = 12.0
-	minFaultWidth     = 2.0
-
-	maxRowsHeight     = 420.0 // of a plot of loads
+	secondsPerTick        = 10
+	valueTicks            = 4   // in addition to the tick at 0
+	integerLabelsFrom     = 8.0 // greatest value from which labels have no decimals
+	faultLabelRows        = 4   // labels of consecutive faults are staggered over this many rows
+	faultLabelHeight      = 13.0
+	firstFaultLabelOffset = 12.0
+	minFaultWidth         = 2.0
+
+	maxRowsHeight     = 420.0 // of all rows of a load plot
 	minRowHeight      = 3.0
 	maxRowHeight      = 16.0
-	labelledRowHeight = 9.0 // from which each row has a label
+	labelledRowHeight = 9.0 // from this height on, each row has a label
 	rowsPerLabel      = 10
 	labelOffset       = 3.0 // from the middle of a row to its label's baseline
-	cellOverlap       = 0.3 // so that no gaps show between cells
+	cellOverlap       = 0.3 // hides gaps between adjacent cells
 
-	scaleToFit = 0 // in place of the greatest value of an axis
+	scaleToFit = 0 // value of maxValue that scales an axis to its data
 )
 
 // plot is the data of one drawing in pageTemplate.
@@ -46,7 +46,7 @@
 	Cells       []cell
 	XTicks      []tick
 	YTicks      []tick
-	Legend      []key
+	Legend      []legendEntry
 	Note        string
 }
 
@@ -68,13 +68,13 @@
 	Label string
 }
 
-type key struct{ Name, Colour string }
+type legendEntry struct{ Name, Colour string }
 
-// axes are the greatest values of a plot.
+// axes are the ranges of a plot's axes.
 type axes struct {
-	seconds int
-	most    float64 // 0: the plot has no values by height
-	height  float64 // of the plot
+	seconds  int
+	maxValue float64 // 0: the plot has no value axis
+	height   float64 // of the plot
 }
 
 func (a axes) x(seconds float64) float64 {
@@ -89,7 +89,7 @@
 func newPlot(title, unit string, a axes, faults []count.Fault) plot {
 	p := plot{Title: title, Unit: unit, W: plotWidth, H: a.height}
 	p.addTimeTicks(a)
-	if a.most > 0 {
+	if a.maxValue > 0 {
 		p.addValueTicks(a)
 	}
 	p.addFaults(a, faults)
@@ -108,11 +108,11 @@
 
 func (p *plot) addValueTicks(a axes) {
 	format := "%.2f"
-	if a.most >= integerLabelsFrom {
+	if a.maxValue >= integerLabelsFrom {
 		format = "%.0f"
 	}
 	for i := range valueTicks + 1 {
-		value := a.most * float64(i) / valueTicks
+		value := a.maxValue * float64(i) / valueTicks
 		y := a.height - bottomMargin - (a.height-topMargin-bottomMargin)*float64(i)/valueTicks
 		p.YTicks = append(p.YTicks, tick{leftMargin, y, fmt.Sprintf(format, value)})
 	}
@@ -125,21 +125,21 @@
 			continue
 		}
 		width := math.Max(minFaultWidth, a.clampedX(fault.End)-from)
-		y := topMargin + firstFaultLine + faultLineHeight*float64(i%faultLines)
+		y := topMargin + firstFaultLabelOffset + faultLabelHeight*float64(i%faultLabelRows)
 		p.Bands = append(p.Bands, band{from, width, y, fault.Kind})
 	}
 }
 
-// plotSeries draws a line a result. most is the greatest value shown, or scaleToFit.
-func plotSeries(title, unit string, shown []*count.Result, most float64, valuesOf func(*count.Result) []float64) plot {
-	if most == scaleToFit {
-		most = greatest(shown, valuesOf)
+// plotSeries draws one line per result. maxValue is the upper end of the value axis, or scaleToFit.
+func plotSeries(title, unit string, shown []*count.Result, maxValue float64, valuesOf func(*count.Result) []float64) plot {
+	if maxValue == scaleToFit {
+		maxValue = roundedMax(shown, valuesOf)
 	}
 	seconds := 0
 	for _, r := range shown {
 		seconds = max(seconds, len(valuesOf(r)))
 	}
-	a := axes{seconds, most, plotHeight}
+	a := axes{seconds, maxValue, plotHeight}
 	p := newPlot(title, unit, a, shown[0].Faults)
 	for _, r := range shown {
 		p.addLine(r.Policy, colourOf(r.Policy), pointsOf(valuesOf(r), a))
@@ -147,32 +147,32 @@
 	return p
 }
 
-// greatest is the greatest value, raised to a multiple of the ticks.
-func greatest(shown []*count.Result, valuesOf func(*count.Result) []float64) float64 {
-	most := 0.0
+// roundedMax returns the greatest value, rounded up to a multiple of valueTicks, so that tick labels are integers.
+func roundedMax(shown []*count.Result, valuesOf func(*count.Result) []float64) float64 {
+	largest := 0.0
 	for _, r := range shown {
 		for _, value := range valuesOf(r) {
-			most = math.Max(most, value)
+			largest = math.Max(largest, value)
 		}
 	}
-	return math.Max(1, math.Ceil(most/valueTicks)*valueTicks)
+	return math.Max(1, math.Ceil(largest/valueTicks)*valueTicks)
 }
 
 func (p *plot) addLine(name, colour, points string) {
 	p.Lines = append(p.Lines, line{points, colour, ""})
-	p.Legend = append(p.Legend, key{name, colour})
+	p.Legend = append(p.Legend, legendEntry{name, colour})
 }
 
 // pointsOf places each value in the middle of its second.
 func pointsOf(values []float64, a axes) string {
 	var text strings.Builder
 	for i, value := range values {
-		fmt.Fprintf(&text, "%.1f,%.1f ", a.x(float64(i)+0.5), a.y(math.Min(1, value/a.most)))
+		fmt.Fprintf(&text, "%.1f,%.1f ", a.x(float64(i)+0.5), a.y(math.Min(1, value/a.maxValue)))
 	}
 	return text.String()
 }
 
-// plotSetupTimes draws quantiles of the set-up times.
+// plotSetupTimes draws quantiles of the set-up times by second.
 func plotSetupTimes(r *count.Result) plot {
 	const least, step = 10, 100 // milliseconds
 	quantiles := []struct{ name, colour string }{{"p50", blue}, {"p90", amber}, {"p99", red}}
@@ -192,7 +192,7 @@
 	return p
 }
 
-// plotLoads shows what is asked of every server over its capacity, a row a server.
+// plotLoads draws the load over capacity of every server by second, one row per server.
 func plotLoads(r *count.Result) plot {
 	rows := len(r.LoadByServer)
 	rowHeight := math.Min(maxRowHeight, math.Max(minRowHeight, maxRowsHeight/float64(max(rows, 1))))
@@ -208,7 +208,7 @@
 		load float64
 		name string
 	}{{0.1, "0.1"}, {0.5, "0.5"}, {0.9, "0.9"}, {1.1, "over 1"}, {2, "2 and more"}, {-1, "none"}} {
-		p.Legend = append(p.Legend, key{entry.name, loadColour(entry.load)})
+		p.Legend = append(p.Legend, legendEntry{entry.name, loadColour(entry.load)})
 	}
 	return p
 }
--- a/internal/testbed/report/report.go
+++ b/internal/testbed/report/report.go
@@ -1,4 +1,4 @@
-// Package report writes what a run came to: as JSON for programs, and as one HTML page with plots that needs no other file.
+// Package report writes the results of a run: as JSON for programs, and as a self-contained HTML page with plots.
 package report
 
 import (
@@ -8,7 +8,7 @@
 	"yardwinch/internal/testbed/count"
 )
 
-// JSON writes all results. The bytes depend on the results alone. Its error is the writer's.
+// JSON writes all results. The same results always give the same bytes. The only possible error is the writer's.
 func JSON(w io.Writer, name, about string, results []*count.Result) error {
 	encoder := json.NewEncoder(w)
 	encoder.SetIndent("", " ")
