--- a/cmd/testbed/agree.go
+++ b/cmd/testbed/agree.go
@@ -21,37 +21,37 @@
 )
 
 const (
-	agreesWithin  = 0.03 // of service
-	virtualRepeat = 5    // runs in virtual time with other random sources of the balancers: on sockets no two runs have the same
+	agreementTolerance = 0.03 // largest difference of the service score between virtual time and sockets
+	virtualRuns        = 5    // runs in virtual time, with different random sources of the balancers, as runs on sockets differ, too
 )
 
 func agreeCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "agree",
 		ArgsUsage: "FILE...",
-		Usage:     "play a day of each file in virtual time and on sockets, and tell whether both say the same",
+		Usage:     "run days of each file in virtual time and on sockets, and report whether the results agree",
 		Flags: []cli.Flag{
 			seedFlag,
 			&cli.StringFlag{Name: "policy", Value: experiment.Ours, Usage: "ours or ours+halls"},
-			&cli.IntFlag{Name: "seeds", Value: 1, Usage: "days of each file"},
+			&cli.IntFlag{Name: "seeds", Value: 1, Usage: "number of days of each file"},
 			programFlag,
 			logsFlag,
-			&cli.IntFlag{Name: "jobs", Value: 2, Usage: "runs on sockets at once"},
+			&cli.IntFlag{Name: "jobs", Value: 2, Usage: "concurrent runs on sockets"},
 			partFlag,
-			sizeFlag,
-			fleetFlag,
+			balancersFlag,
+			serversFlag,
 			jsonFlag,
 		},
 		Action: agree,
 	}
 }
 
-// pair is one day with both drivers.
+// pair is one day and its results with both drivers.
 type pair struct {
 	Name    string        `json:"name"`
 	Seed    uint64        `json:"seed"`
 	Virtual *count.Result `json:"virtual"`
-	Mean    float64       `json:"virtual_mean"` // of the day with other random sources of the balancers
+	Mean    float64       `json:"virtual_mean"` // over the runs with different random sources of the balancers
 	Least   float64       `json:"virtual_least"`
 	Most    float64       `json:"virtual_most"`
 	Sockets *count.Result `json:"sockets"`
@@ -62,7 +62,7 @@
 
 func agree(ctx context.Context, c *cli.Command) error {
 	if c.Args().Len() == 0 {
-		return fault(fmt.Errorf("want one experiment file at the least"))
+		return inputError(fmt.Errorf("want at least one experiment file"))
 	}
 	program, err := balancerProgram(c)
 	if err != nil {
@@ -77,7 +77,7 @@
 	if err != nil {
 		return err
 	}
-	if err := playPairs(ctx, c, pairs, program, directory); err != nil {
+	if err := runPairs(ctx, c, pairs, program, directory); err != nil {
 		return err
 	}
 	if c.String("json") != "" {
@@ -93,7 +93,7 @@
 	for _, file := range c.Args().Slice() {
 		e, err := experiment.Open(file)
 		if err != nil {
-			return nil, fault(err)
+			return nil, inputError(err)
 		}
 		if part := c.Float("part"); part > 0 && part != 1 {
 			e = e.Stretched(part)
@@ -106,14 +106,14 @@
 	return pairs, nil
 }
 
-func playPairs(ctx context.Context, c *cli.Command, pairs []*pair, program []string, directory string) error {
+func runPairs(ctx context.Context, c *cli.Command, pairs []*pair, program []string, directory string) error {
 	group, ctx := errgroup.WithContext(ctx)
 	group.SetLimit(max(1, c.Int("jobs")))
 	step, end := progressBar("days", len(pairs))
 	defer end()
 	for _, p := range pairs {
 		group.Go(func() error {
-			if err := p.play(ctx, c.String("policy"), program, directory); err != nil {
+			if err := p.run(ctx, c.String("policy"), program, directory); err != nil {
 				return err
 			}
 			step()
@@ -123,27 +123,28 @@
 	return group.Wait()
 }
 
-func (p *pair) play(ctx context.Context, policy string, program []string, directory string) error {
-	if err := p.playVirtual(policy); err != nil {
+func (p *pair) run(ctx context.Context, policy string, program []string, directory string) error {
+	if err := p.runVirtual(policy); err != nil {
 		return err
 	}
-	own := filepath.Join(directory, fmt.Sprintf("%s-%d", p.Name, p.Seed))
-	if err := os.MkdirAll(own, directoryMode); err != nil {
+	runDirectory := filepath.Join(directory, fmt.Sprintf("%s-%d", p.Name, p.Seed))
+	if err := os.MkdirAll(runDirectory, directoryMode); err != nil {
 		return err
 	}
-	result, err := runOnSockets(ctx, socketsRun{experiment: p.experiment, seed: p.Seed, policy: policy, program: program, directory: own})
+	result, err := runOnSockets(ctx, socketsRun{experiment: p.experiment, seed: p.Seed, policy: policy, program: program, directory: runDirectory})
 	if err != nil {
 		return fmt.Errorf("%s, seed %d: %w", p.Name, p.Seed, err)
 	}
 	p.Sockets = result
-	p.Agrees = math.Abs(p.Mean-result.Service) <= agreesWithin && (p.Virtual.Broken > 0) == (result.Broken > 0)
+	p.Agrees = math.Abs(p.Mean-result.Service) <= agreementTolerance && (p.Virtual.Broken > 0) == (result.Broken > 0)
 	return nil
 }
 
-// playVirtual plays the day with several random sources of the balancers: a day near its limit has no single figure.
-func (p *pair) playVirtual(policy string) error {
+// runVirtual runs the day in virtual time with several random sources of the balancers, because on a day close to overload a single run
+// is not representative.
+func (p *pair) runVirtual(policy string) error {
 	p.Least = math.Inf(1)
-	for k := range uint64(virtualRepeat) {
+	for k := range uint64(virtualRuns) {
 		result, err := scenario.RunDay(p.experiment, p.Seed, policy, nil, func(newDecider virtual.NewDecider) virtual.NewDecider {
 			return func(seed uint64, b simulation.BalancerID, act decide.Actions) virtual.Decider {
 				return newDecider(seed+k, b, act)
@@ -156,14 +157,14 @@
 			p.Virtual = result
 		}
 		p.Virtual.Broken = max(p.Virtual.Broken, result.Broken)
-		p.Mean += result.Service / virtualRepeat
+		p.Mean += result.Service / virtualRuns
 		p.Least = min(p.Least, result.Service)
 		p.Most = max(p.Most, result.Service)
 	}
 	return nil
 }
 
-// verdict is the verdict on a pair.
+// verdict returns the last column of the table.
 func (p *pair) verdict() string {
 	switch {
 	case p.Sockets.Void != "":
@@ -187,10 +188,10 @@
 			printf(t, "\t\t%s\n", s.Violations[0])
 		}
 	}
-	_ = t.Flush() // as printf
+	_ = t.Flush() // errors are ignored as in printf
 }
 
-// agreement is the command's verdict.
+// agreement returns an error with its exit code if the drivers disagree on a day or a day is void.
 func agreement(pairs []*pair) error {
 	differ, void := 0, 0
 	for _, p := range pairs {
--- a/cmd/testbed/fleet.go
+++ b/cmd/testbed/fleet.go
@@ -20,23 +20,23 @@
 const maxPrintedViolations = 3
 
 func newJobsFlag() cli.Flag {
-	return &cli.IntFlag{Name: "jobs", Value: 1, Usage: "runs side by side; more than the machine can carry make all of them void"}
+	return &cli.IntFlag{Name: "jobs", Value: 1, Usage: "concurrent runs; too many for the machine make all of them void"}
 }
 
 func newRepeatVoidFlag() cli.Flag {
-	return &cli.IntFlag{Name: "again", Value: 2, Usage: "play a void run again so many times"}
+	return &cli.IntFlag{Name: "again", Value: 2, Usage: "how many times a void run is repeated"}
 }
 
 func fleetCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "fleet",
 		ArgsUsage: "FILE...",
-		Usage:     "real processes by the dozen, faults of them and of the ways between them, and what must hold",
+		Usage:     "run many balancer processes with faults of processes and network paths, and check requirements",
 		Flags: []cli.Flag{
 			seedFlag,
-			&cli.IntFlag{Name: "seeds", Value: 1, Usage: "so many runs of each file, of seeds one after the other"},
+			&cli.IntFlag{Name: "seeds", Value: 1, Usage: "runs of each file, with consecutive seeds"},
 			programFlag,
-			&cli.StringFlag{Name: "old", Usage: "the earlier build's `PROGRAM`, in place of building the revision that the file names"},
+			&cli.StringFlag{Name: "old", Usage: "use `PROGRAM` as the earlier build instead of building the revision that the file names"},
 			newJobsFlag(),
 			newRepeatVoidFlag(),
 			logsFlag,
@@ -44,7 +44,7 @@
 			htmlFlag,
 		},
 		Commands: []*cli.Command{soakCommand()},
-		Action:   playFleet,
+		Action:   runFleet,
 	}
 }
 
@@ -55,16 +55,16 @@
 	program, old []string
 }
 
-func playFleet(ctx context.Context, c *cli.Command) error {
+func runFleet(ctx context.Context, c *cli.Command) error {
 	jobs, err := fleetJobs(ctx, c)
 	if err != nil {
 		return err
 	}
-	results, err := playFleetJobs(ctx, c, jobs)
+	results, err := runFleetJobs(ctx, c, jobs)
 	if err != nil {
 		return err
 	}
-	if err := writeFleet(c, results); err != nil {
+	if err := writeFleetResults(c, results); err != nil {
 		return err
 	}
 	return fleetVerdict(results)
@@ -93,19 +93,19 @@
 
 func openPlans(files []string) (plans []*fleet.Plan, err error) {
 	if len(files) == 0 {
-		return nil, fault(&fleet.Error{Where: "fleet", What: "want one file at the least", Remedy: "name files of experiments/fleet"})
+		return nil, inputError(&fleet.Error{Where: "fleet", What: "want at least one file", Remedy: "name files of experiments/fleet"})
 	}
 	for _, file := range files {
 		plan, err := fleet.Open(file)
 		if err != nil {
-			return nil, fault(err)
+			return nil, inputError(err)
 		}
 		plans = append(plans, plan)
 	}
 	return plans, nil
 }
 
-// oldProgram is the earlier build that a plan needs; empty where it needs none.
+// oldProgram returns the command line of the earlier build that a plan needs; nil if it needs none.
 func oldProgram(ctx context.Context, c *cli.Command, p *fleet.Plan) ([]string, error) {
 	if program := c.String("old"); program != "" {
 		return []string{program, "serve"}, nil
@@ -120,7 +120,7 @@
 	return []string{program, "serve"}, nil
 }
 
-func playFleetJobs(ctx context.Context, c *cli.Command, jobs []fleetJob) ([]*fleet.Result, error) {
+func runFleetJobs(ctx context.Context, c *cli.Command, jobs []fleetJob) ([]*fleet.Result, error) {
 	results := make([]*fleet.Result, len(jobs))
 	group, ctx := errgroup.WithContext(ctx)
 	group.SetLimit(max(c.Int("jobs"), 1))
@@ -131,7 +131,7 @@
 			if c.Int("jobs") <= 1 {
 				progress = showProgress(os.Stderr, job.plan.Experiment)
 			}
-			result, err := job.play(ctx, c, progress)
+			result, err := job.run(ctx, c, progress)
 			if err != nil {
 				return err
 			}
@@ -139,7 +139,7 @@
 			if c.String("json") != "-" {
 				printing.Lock()
 				defer printing.Unlock()
-				printFleet(os.Stdout, result)
+				printFleetResult(os.Stdout, result)
 			}
 			return nil
 		})
@@ -147,17 +147,17 @@
 	return results, group.Wait()
 }
 
-// play plays a job, and again where the machine was too busy.
-func (j fleetJob) play(ctx context.Context, c *cli.Command, progress func(time.Duration)) (result *fleet.Result, err error) {
+// run runs a job, and repeats it while the run is void.
+func (j fleetJob) run(ctx context.Context, c *cli.Command, progress func(time.Duration)) (result *fleet.Result, err error) {
 	for attempt := 0; result == nil || result.Void != "" && attempt <= c.Int("again"); attempt++ {
-		if result, err = j.playOnce(ctx, c, progress); err != nil {
+		if result, err = j.runOnce(ctx, c, progress); err != nil {
 			return nil, err
 		}
 	}
 	return result, nil
 }
 
-func (j fleetJob) playOnce(ctx context.Context, c *cli.Command, progress func(time.Duration)) (*fleet.Result, error) {
+func (j fleetJob) runOnce(ctx context.Context, c *cli.Command, progress func(time.Duration)) (*fleet.Result, error) {
 	directory, remove, err := logDirectory(c)
 	if err != nil {
 		return nil, err
@@ -172,8 +172,8 @@
 	return fleet.Run(ctx, j.plan, fleet.Settings{Seed: j.seed, Program: j.program, Old: j.old, Directory: directory, Progress: progress})
 }
 
-// writeFleet writes results where the flags name files for them.
-func writeFleet(c *cli.Command, results []*fleet.Result) error {
+// writeFleetResults writes the results to the files of --json and --html, if given.
+func writeFleetResults(c *cli.Command, results []*fleet.Result) error {
 	if path := c.String("json"); path != "" {
 		if err := writeFile(path, func(w io.Writer) error {
 			encoder := json.NewEncoder(w)
@@ -200,14 +200,14 @@
 	}
 	switch {
 	case fails > 0:
-		return cli.Exit(fmt.Sprintf("fleet: in %d of %d runs something that must hold did not", fails, len(results)), ruleBroken)
+		return cli.Exit(fmt.Sprintf("fleet: requirements were not met in %d of %d runs", fails, len(results)), ruleBroken)
 	case voids > 0:
 		return cli.Exit(fmt.Sprintf("fleet: %d of %d runs are void, as the machine was too busy", voids, len(results)), voidRun)
 	}
 	return nil
 }
 
-// fleetVerdictText is the verdict on a run.
+// fleetVerdictText returns the verdict on a run for the printed report.
 func fleetVerdictText(r *fleet.Result) string {
 	if r.Void != "" {
 		return "VOID: " + r.Void
@@ -222,7 +222,7 @@
 	return "FAILS"
 }
 
-func printFleet(to io.Writer, r *fleet.Result) {
+func printFleetResult(to io.Writer, r *fleet.Result) {
 	f := r.Figures
 	printf(to, "%s, seed %d: %s\n", r.Name, r.Seed, fleetVerdictText(r))
 	printf(to, "  %d processes, %d clients (%d never up), %d flows: %d established, %d rejected, %d aborted; ",
@@ -239,7 +239,7 @@
 	for _, v := range r.Requirements {
 		printf(t, "  %s\t%s\t%s\n", holdsText(v.Holds), v.Requirement, v.Seen)
 	}
-	_ = t.Flush() // as printf
+	_ = t.Flush() // errors are ignored as in printf
 	for _, v := range r.Violations[:min(len(r.Violations), maxPrintedViolations)] {
 		printf(to, "  broken: %s\n", v)
 	}
--- a/cmd/testbed/hunt.go
+++ b/cmd/testbed/hunt.go
@@ -16,10 +16,10 @@
 )
 
 const (
-	brokenRuleLoss = 10  // more than any loss of service
-	minLossShare   = 0.8 // of a day's loss, that a smaller day must still show
-	shrinkBy       = 0.6 // of a fault's length
-	maxShrinks     = 4   // of a fault
+	brokenRuleLoss = 10  // exceeds any loss of service
+	minLossShare   = 0.8 // of the original loss, which a minimized day must still show
+	shrinkFactor   = 0.6 // factor on a fault's length per step
+	maxShrinks     = 4   // steps per fault
 	listedDays     = 5
 )
 
@@ -27,15 +27,15 @@
 	return &cli.Command{
 		Name:      "hunt",
 		ArgsUsage: "FILE",
-		Usage:     "search a file's ranges for the day on which ours loses most against the top, and cut it down",
+		Usage:     "search for the day on which ours is worst compared with the omniscient policy, and minimize its faults",
 		Flags: []cli.Flag{
 			seedFlag,
-			&cli.StringFlag{Name: "policy", Value: experiment.Ours, Usage: "whose worst day: ours or ours+halls"},
-			&cli.IntFlag{Name: "days", Value: 60, Usage: "days to look at"},
+			&cli.StringFlag{Name: "policy", Value: experiment.Ours, Usage: "the policy to search for: ours or ours+halls"},
+			&cli.IntFlag{Name: "days", Value: 60, Usage: "number of days to run"},
 			workersFlag,
 			partFlag,
-			sizeFlag,
-			fleetFlag,
+			balancersFlag,
+			serversFlag,
 			jsonFlag,
 			htmlFlag,
 		},
@@ -43,7 +43,7 @@
 	}
 }
 
-// lossOf is what a policy leaves of the omniscient one's service on a day. A broken rule outweighs all.
+// lossOf returns by how much a policy's service is below the omniscient one's on a day. A broken rule outweighs any such loss.
 func lossOf(ours, top *count.Result) float64 {
 	if ours.Broken > 0 {
 		return brokenRuleLoss + float64(ours.Broken)
@@ -51,7 +51,7 @@
 	return top.Service - ours.Service
 }
 
-// worstDay is a day, and what it needs to show its loss.
+// worstDay is a day with the faults that are needed to reproduce its loss.
 type worstDay struct {
 	Seed    uint64        `json:"seed"`
 	Loss    float64       `json:"loss"`
@@ -65,22 +65,22 @@
 }
 
 func hunt(ctx context.Context, c *cli.Command) error {
-	what, err := openChosen(c)
+	selected, err := openSelection(c)
 	if err != nil {
-		return fault(err)
+		return inputError(err)
 	}
 	days, policy := c.Int("days"), c.String("policy")
 	if days < 1 {
-		return fault(fmt.Errorf("--days: want 1 at the least, got %d", days))
+		return inputError(fmt.Errorf("--days: want at least 1, got %d", days))
 	}
 	if !strings.HasPrefix(policy, experiment.Ours) {
-		return fault(fmt.Errorf("--policy: want ours or ours+halls, got %q", policy))
+		return inputError(fmt.Errorf("--policy: want ours or ours+halls, got %q", policy))
 	}
-	worst, err := findWorst(ctx, c, what.experiment, policy, days)
+	worst, err := findWorst(ctx, c, selected.experiment, policy, days)
 	if err != nil {
 		return err
 	}
-	if err := worst.cutDown(policy); err != nil {
+	if err := worst.minimize(policy); err != nil {
 		return err
 	}
 	if err := writeResults(c, worst.experiment, []*count.Result{worst.result}); err != nil {
@@ -92,7 +92,7 @@
 	return nil
 }
 
-// findWorst runs days under a policy and under the omniscient one, lists the worst and returns the worst of all.
+// findWorst runs days under a policy and under the omniscient one, prints the worst days and returns the worst.
 func findWorst(ctx context.Context, c *cli.Command, e *experiment.Experiment, policy string, days int) (*worstDay, error) {
 	jobs := scenario.NewJobs([]string{policy, experiment.Omniscient}, c.Uint64("seed"), days)
 	step, end := progressBar("hunt "+e.Name, len(jobs))
@@ -122,29 +122,29 @@
 	return found[0], nil
 }
 
-// cutDown leaves out and shortens faults while the day still shows most of its loss.
-func (d *worstDay) cutDown(policy string) error {
+// minimize removes and shortens faults as long as the day still shows minLossShare of its loss.
+func (d *worstDay) minimize(policy string) error {
 	found, least := *d, minLossShare*d.Loss
-	if err := d.leaveOutFaults(policy, least); err != nil {
+	if err := d.removeFaults(policy, least); err != nil {
 		return err
 	}
 	if err := d.shortenFaults(policy, least); err != nil {
 		return err
 	}
-	if d.Faults == nil { // a day that needs none of its faults is shown as it was found
+	if d.Faults == nil { // the loss doesn't depend on any fault: report the day as it was found
 		found.experiment = d.experiment
 		*d = found
 	}
 	return nil
 }
 
-// leaveOutFaults leaves out one fault after the other, until none can be left out any more.
-func (d *worstDay) leaveOutFaults(policy string, least float64) error {
+// removeFaults removes one fault at a time, until no more can be removed.
+func (d *worstDay) removeFaults(policy string, least float64) error {
 	for hasChanged := true; hasChanged; {
 		hasChanged = false
 		for i := 0; i < len(d.experiment.Kinds()); i++ {
 			kind := d.experiment.Kinds()[i]
-			showsLoss, err := d.reduceTo(d.experiment.Without(i), policy, least)
+			showsLoss, err := d.replaceIfLossRemains(d.experiment.Without(i), policy, least)
 			if err != nil {
 				return err
 			}
@@ -161,7 +161,7 @@
 func (d *worstDay) shortenFaults(policy string, least float64) error {
 	for i := range d.experiment.Kinds() {
 		for range maxShrinks {
-			showsLoss, err := d.reduceTo(d.experiment.Shrunk(i, shrinkBy), policy, least)
+			showsLoss, err := d.replaceIfLossRemains(d.experiment.Shrunk(i, shrinkFactor), policy, least)
 			if err != nil {
 				return err
 			}
@@ -173,8 +173,8 @@
 	return nil
 }
 
-// reduceTo runs a smaller experiment, which takes the day's place if it still shows the least loss.
-func (d *worstDay) reduceTo(smaller *experiment.Experiment, policy string, least float64) (showsLoss bool, err error) {
+// replaceIfLossRemains runs a smaller experiment, and replaces the day by it if the loss is still at least the given one.
+func (d *worstDay) replaceIfLossRemains(smaller *experiment.Experiment, policy string, least float64) (showsLoss bool, err error) {
 	ours, err := scenario.RunDay(smaller, d.Seed, policy, nil, nil)
 	if err != nil {
 		return false, err
--- a/cmd/testbed/load.go
+++ b/cmd/testbed/load.go
@@ -17,11 +17,12 @@
 )
 
 const (
-	maxArrivalRate = 5000 // a second; more needs more than one machine
-	lifetimeSigma  = 1    // of the clients
+	maxArrivalRate = 5000 // per second; higher rates need several machines
+	lifetimeSigma  = 1    // of the clients' lifetimes
 )
 
-// loadDay is an experiment by its length, balancers, service type and connect timeout. Its server is not used.
+// loadDay is the format of an experiment with a given length, number of balancers, service type and connect timeout. Its server is not
+// used.
 const loadDay = `name = "load"
 length = %q
 [fleet]
@@ -37,15 +38,15 @@
 	return &cli.Command{
 		Name:      "load",
 		ArgsUsage: "ADDR...",
-		Usage:     "clients alone, against balancers on loopback; arrivals never wait for answers",
+		Usage:     "run clients only, against balancers on loopback; open loop: arrivals don't wait for answers",
 		Flags: []cli.Flag{
 			seedFlag,
-			&cli.FloatFlag{Name: "rate", Value: 10, Usage: "arrivals a second"},
-			&cli.DurationFlag{Name: "life", Value: 10 * time.Second, Usage: "how long a client wants its connection, on average"},
+			&cli.FloatFlag{Name: "rate", Value: 10, Usage: "arrivals per second"},
+			&cli.DurationFlag{Name: "life", Value: 10 * time.Second, Usage: "mean lifetime of a client's connection"},
 			&cli.IntFlag{Name: "groups", Value: 20},
-			&cli.DurationFlag{Name: "for", Value: 20 * time.Second, Usage: "how long"},
-			&cli.StringFlag{Name: "service", Value: "live", Usage: "the service type's name"},
-			&cli.DurationFlag{Name: "timeout", Value: 1800 * time.Millisecond, Usage: "a try is given up after this"},
+			&cli.DurationFlag{Name: "for", Value: 20 * time.Second, Usage: "duration of the run"},
+			&cli.StringFlag{Name: "service", Value: "live", Usage: "name of the service type"},
+			&cli.DurationFlag{Name: "timeout", Value: 1800 * time.Millisecond, Usage: "connect timeout of an attempt"},
 			jsonFlag,
 		},
 		Action: load,
@@ -55,12 +56,12 @@
 func load(ctx context.Context, c *cli.Command) error {
 	addresses := c.Args().Slice()
 	if err := checkLoad(c, addresses); err != nil {
-		return fault(err)
+		return inputError(err)
 	}
 	text := fmt.Sprintf(loadDay, c.Duration("for"), len(addresses), c.String("service"), c.Duration("timeout"))
 	e, err := experiment.Read("flags", []byte(text))
 	if err != nil {
-		return fault(err)
+		return inputError(err)
 	}
 	result, err := runLoad(ctx, c, e, addresses)
 	if err != nil {
@@ -75,11 +76,11 @@
 
 func checkLoad(c *cli.Command, addresses []string) error {
 	if len(addresses) == 0 {
-		return errors.New("want the address of a balancer at the least")
+		return errors.New("want the address of at least one balancer")
 	}
 	for _, address := range addresses {
 		if parsed, err := netip.ParseAddrPort(address); err != nil || !parsed.Addr().IsLoopback() {
-			return fmt.Errorf("%q: want an address on loopback with its port: load goes nowhere else", address)
+			return fmt.Errorf("%q: want a loopback address with a port: load is only sent to loopback", address)
 		}
 	}
 	if rate := c.Float("rate"); !(rate > 0 && rate <= maxArrivalRate) {
@@ -91,7 +92,7 @@
 	return nil
 }
 
-// runLoad runs clients alone. What servers made of their load is not seen from here.
+// runLoad runs clients only. The service score is set to 0, as the servers' side is not observed.
 func runLoad(ctx context.Context, c *cli.Command, e *experiment.Experiment, addresses []string) (*count.Result, error) {
 	seed := c.Uint64("seed")
 	day := e.Day(seed)
--- a/cmd/testbed/main.go
+++ b/cmd/testbed/main.go
@@ -1,5 +1,5 @@
 // Testbed runs days with faults on yardwinch and on baselines, in virtual time, on sockets or with many processes, and checks them against
-// the rules. It also measures what yardwinch costs as a fleet grows.
+// the rules. It also measures how the resource costs of yardwinch grow with the size of a fleet.
 package main
 
 import (
@@ -13,11 +13,11 @@
 	"github.com/urfave/cli/v3"
 )
 
-// Exit codes beside 0.
+// Exit codes other than 0.
 const (
 	ruleBroken = 1 // or the run failed
 	badInput   = 2
-	voidRun    = 3 // the machine was too busy for the figures to say anything
+	voidRun    = 3 // the machine was too busy for meaningful results
 )
 
 func main() {
@@ -25,7 +25,7 @@
 	defer stop()
 	app := &cli.Command{
 		Name:  "testbed",
-		Usage: "prove yardwinch: play days of trouble, on sockets or in virtual time, and judge them by the four rules",
+		Usage: "test yardwinch: run days with faults, on sockets or in virtual time, and check them against the four rules",
 		Commands: []*cli.Command{
 			tryCommand(),
 			serversCommand(),
@@ -58,17 +58,17 @@
 	os.Exit(ruleBroken)
 }
 
-// fault is an error in what the operator asked for.
-func fault(err error) error { return coded{err, badInput} }
+// inputError marks an error as caused by the command's arguments or input files.
+func inputError(err error) error { return codedError{err, badInput} }
 
-// coded is an error with its exit code.
-type coded struct {
+// codedError is an error with an exit code.
+type codedError struct {
 	error
 	code int
 }
 
-// ExitCode is the process's exit code.
-func (c coded) ExitCode() int { return c.code }
+// ExitCode implements cli.ExitCoder.
+func (c codedError) ExitCode() int { return c.code }
 
-// Unwrap is the error without its code.
-func (c coded) Unwrap() error { return c.error }
+// Unwrap returns the error without its exit code.
+func (c codedError) Unwrap() error { return c.error }
--- a/cmd/testbed/output.go
+++ b/cmd/testbed/output.go
@@ -19,25 +19,24 @@
 )
 
 const (
-	directoryMode = 0o755
-	barWidth      = 48
-	dayBarWidth   = 40
-	reportEvery   = 5 * time.Second // of a run in real time
-	reportSlack   = 500 * time.Millisecond
+	directoryMode    = 0o755
+	barWidth         = 48
+	dayBarWidth      = 40
+	progressInterval = 5 * time.Second // between progress lines of a run in real time
+	progressSlack    = 500 * time.Millisecond
 )
 
-// printf writes for the operator. Where the reader of the output is gone there is nobody to tell of it, and the exit code still says
-// what the run found.
+// printf writes output for the operator. Write errors are ignored: if the output's reader is gone, the exit code still reports the result.
 func printf(to io.Writer, format string, values ...any) { _, _ = fmt.Fprintf(to, format, values...) }
 
-// printJSON is for commands whose result is one object.
+// printJSON writes a command's result to standard output as indented JSON.
 func printJSON(value any) error {
 	encoder := json.NewEncoder(os.Stdout)
 	encoder.SetIndent("", "  ")
 	return encoder.Encode(value)
 }
 
-// writeResults writes results where the flags name files for them.
+// writeResults writes the results to the files of --json and --html, if given.
 func writeResults(c *cli.Command, e *experiment.Experiment, results []*count.Result) error {
 	if path := c.String("json"); path != "" {
 		if err := writeFile(path, func(w io.Writer) error { return report.JSON(w, e.Name, e.About, results) }); err != nil {
@@ -50,7 +49,7 @@
 	return nil
 }
 
-// writeFile writes a file; - is standard output.
+// writeFile writes a file; the path - stands for standard output.
 func writeFile(path string, write func(io.Writer) error) error {
 	if path == "-" {
 		return write(os.Stdout)
@@ -60,19 +59,19 @@
 		return err
 	}
 	if err := write(file); err != nil {
-		_ = file.Close() // it is incomplete anyhow
+		_ = file.Close() // the file is incomplete in any case
 		return fmt.Errorf("%s: %w", path, err)
 	}
 	return file.Close()
 }
 
-// logDirectory is where logs go: as --logs says, or a temporary directory that remove removes.
+// logDirectory returns the directory of --logs, or a temporary one, which remove deletes.
 func logDirectory(c *cli.Command) (directory string, remove func(), err error) {
 	if directory = c.String("logs"); directory != "" {
 		return directory, func() {}, os.MkdirAll(directory, directoryMode)
 	}
 	directory, err = os.MkdirTemp("", "testbed")
-	return directory, func() { _ = os.RemoveAll(directory) }, err // what is left of a temporary directory harms nobody
+	return directory, func() { _ = os.RemoveAll(directory) }, err // a temporary directory may be left behind
 }
 
 func isTerminal(file *os.File) bool {
@@ -86,8 +85,7 @@
 		mpb.AppendDecorators(decor.Elapsed(decor.ET_STYLE_GO)))
 }
 
-// progressBar draws progress on standard error where that is a terminal; elsewhere it prints a line at the end. step may be called from
-// several goroutines.
+// progressBar shows progress on standard error: a bar on a terminal, otherwise one line at the end. step may be called concurrently.
 func progressBar(name string, total int) (step, end func()) {
 	if isTerminal(os.Stderr) {
 		progress, bar := newBar(name, total)
@@ -100,11 +98,11 @@
 	}
 }
 
-// showProgress shows how far a run in real time is: a bar on a terminal, else a line now and then.
+// showProgress shows the progress of a run in real time: a bar on a terminal, otherwise a line every progressInterval.
 func showProgress(to *os.File, e *experiment.Experiment) func(time.Duration) {
 	if !isTerminal(to) {
 		return func(now time.Duration) {
-			if now%reportEvery < reportSlack {
+			if now%progressInterval < progressSlack {
 				printf(to, "%s: %v of %v\n", e.Name, now.Truncate(time.Second), e.Length)
 			}
 		}
--- a/cmd/testbed/run.go
+++ b/cmd/testbed/run.go
@@ -19,51 +19,51 @@
 )
 
 var (
-	seedFlag    = &cli.Uint64Flag{Name: "seed", Value: 1, Usage: "the first seed"}
-	seedsFlag   = &cli.IntFlag{Name: "seeds", Usage: "how many seeds; as the file says where not given"}
-	policyFlag  = &cli.StringSliceFlag{Name: "policy", Usage: "play only this policy: " + strings.Join(experiment.Policies, ", ")}
-	jsonFlag    = &cli.StringFlag{Name: "json", Usage: "write the results to `FILE`; - is standard output"}
-	htmlFlag    = &cli.StringFlag{Name: "html", Usage: "write a page with drawn plots to `FILE`"}
-	workersFlag = &cli.IntFlag{Name: "workers", Usage: "days at once; all cores where not given"}
-	partFlag    = &cli.FloatFlag{Name: "part", Value: 1, Usage: "play this part of the day's length, the troubles with it"}
-	sizeFlag    = &cli.IntFlag{Name: "balancers", Usage: "so many balancers in place of the file's"}
-	fleetFlag   = &cli.IntFlag{Name: "servers", Usage: "so many servers in place of the file's"}
+	seedFlag      = &cli.Uint64Flag{Name: "seed", Value: 1, Usage: "the first seed"}
+	seedsFlag     = &cli.IntFlag{Name: "seeds", Usage: "number of seeds; 0: as in the file"}
+	policyFlag    = &cli.StringSliceFlag{Name: "policy", Usage: "run only this policy: " + strings.Join(experiment.Policies, ", ")}
+	jsonFlag      = &cli.StringFlag{Name: "json", Usage: "write the results to `FILE`; - is standard output"}
+	htmlFlag      = &cli.StringFlag{Name: "html", Usage: "write an HTML page with plots to `FILE`"}
+	workersFlag   = &cli.IntFlag{Name: "workers", Usage: "days run concurrently; 0: one per core"}
+	partFlag      = &cli.FloatFlag{Name: "part", Value: 1, Usage: "scale the day's length, and the times of its faults, by this factor"}
+	balancersFlag = &cli.IntFlag{Name: "balancers", Usage: "number of balancers; 0: as in the file"}
+	serversFlag   = &cli.IntFlag{Name: "servers", Usage: "number of servers; 0: as in the file"}
 )
 
 func runCommand() *cli.Command {
-	return &cli.Command{Name: "run", ArgsUsage: "FILE", Usage: "play an experiment in virtual time, all its policies and seeds",
-		Flags:  []cli.Flag{seedFlag, seedsFlag, policyFlag, jsonFlag, htmlFlag, workersFlag, partFlag, sizeFlag, fleetFlag},
+	return &cli.Command{Name: "run", ArgsUsage: "FILE", Usage: "run an experiment in virtual time, with all its policies and seeds",
+		Flags:  []cli.Flag{seedFlag, seedsFlag, policyFlag, jsonFlag, htmlFlag, workersFlag, partFlag, balancersFlag, serversFlag},
 		Action: func(ctx context.Context, c *cli.Command) error { return run(ctx, c, false) }}
 }
 
 func compareCommand() *cli.Command {
-	return &cli.Command{Name: "compare", ArgsUsage: "FILE", Usage: "ours beside each other policy, paired by seed, with the interval",
-		Flags:  []cli.Flag{seedFlag, seedsFlag, policyFlag, jsonFlag, htmlFlag, workersFlag, partFlag, sizeFlag, fleetFlag},
+	return &cli.Command{Name: "compare", ArgsUsage: "FILE", Usage: "compare ours with each other policy, paired by seed",
+		Flags:  []cli.Flag{seedFlag, seedsFlag, policyFlag, jsonFlag, htmlFlag, workersFlag, partFlag, balancersFlag, serversFlag},
 		Action: func(ctx context.Context, c *cli.Command) error { return run(ctx, c, true) }}
 }
 
-// chosen is the experiment that a command names, and what its flags choose of it.
-type chosen struct {
+// selection is the experiment of a command, with its flags applied.
+type selection struct {
 	experiment *experiment.Experiment
 	policies   []string
 	seeds      int
 }
 
-func openChosen(c *cli.Command) (chosen, error) {
+func openSelection(c *cli.Command) (selection, error) {
 	if c.Args().Len() != 1 {
-		return chosen{}, fmt.Errorf("want one experiment file, got %d arguments", c.Args().Len())
+		return selection{}, fmt.Errorf("want one experiment file, got %d arguments", c.Args().Len())
 	}
 	e, err := experiment.Open(c.Args().First())
 	if err != nil {
-		return chosen{}, err
+		return selection{}, err
 	}
-	result := chosen{policies: e.Policies, seeds: e.Seeds}
+	result := selection{policies: e.Policies, seeds: e.Seeds}
 	if policies := c.StringSlice("policy"); len(policies) > 0 {
 		result.policies = policies
 	}
 	for _, policy := range result.policies {
 		if !slices.Contains(experiment.Policies, policy) {
-			return chosen{}, fmt.Errorf("--policy: want one of %s, got %q", strings.Join(experiment.Policies, ", "), policy)
+			return selection{}, fmt.Errorf("--policy: want one of %s, got %q", strings.Join(experiment.Policies, ", "), policy)
 		}
 	}
 	if seeds := c.Int("seeds"); seeds > 0 {
@@ -77,33 +77,33 @@
 }
 
 func run(ctx context.Context, c *cli.Command, isCompared bool) error {
-	what, err := openChosen(c)
+	selected, err := openSelection(c)
 	if err != nil {
-		return fault(err)
+		return inputError(err)
 	}
-	if isCompared && !slices.Contains(what.policies, experiment.Ours) {
-		what.policies = append([]string{experiment.Ours}, what.policies...)
+	if isCompared && !slices.Contains(selected.policies, experiment.Ours) {
+		selected.policies = append([]string{experiment.Ours}, selected.policies...)
 	}
-	jobs := scenario.NewJobs(what.policies, c.Uint64("seed"), what.seeds)
-	step, end := progressBar(what.experiment.Name, len(jobs))
+	jobs := scenario.NewJobs(selected.policies, c.Uint64("seed"), selected.seeds)
+	step, end := progressBar(selected.experiment.Name, len(jobs))
 	start := time.Now()
-	results, err := scenario.RunAll(ctx, what.experiment, jobs, c.Int("workers"), step)
+	results, err := scenario.RunAll(ctx, selected.experiment, jobs, c.Int("workers"), step)
 	end()
 	if err != nil {
 		return err
 	}
-	if err := writeResults(c, what.experiment, results); err != nil {
+	if err := writeResults(c, selected.experiment, results); err != nil {
 		return err
 	}
 	if c.String("json") != "-" {
-		printf(os.Stdout, "%s: %s\n", what.experiment.Name, what.experiment.About)
-		printTable(os.Stdout, what.policies, results, isCompared)
+		printf(os.Stdout, "%s: %s\n", selected.experiment.Name, selected.experiment.About)
+		printTable(os.Stdout, selected.policies, results, isCompared)
 		fmt.Printf("%d days in %v\n", len(jobs), time.Since(start).Round(10*time.Millisecond))
 	}
 	return ruleVerdict(results)
 }
 
-// ruleVerdict fails a run in which the project's own policy broke a rule. Baselines may, and the table says so.
+// ruleVerdict returns an error if the project's own policy broke a rule. Baselines may break rules; the table shows it.
 func ruleVerdict(results []*count.Result) error {
 	for _, r := range results {
 		if strings.HasPrefix(r.Policy, experiment.Ours) && r.Broken > 0 {
@@ -113,13 +113,13 @@
 	return nil
 }
 
-// tableRow is a policy's line of the table.
+// tableRow is a policy's row of the table.
 type tableRow struct {
 	service float64
 	text    string
 }
 
-// printTable prints a line a policy, with means over the seeds, the best service first.
+// printTable prints one row per policy with means over the seeds, ordered by descending service.
 func printTable(to io.Writer, policies []string, results []*count.Result, isCompared bool) {
 	t := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
 	head := "policy\tservice\twhole\tworst 10 s\tcustomer\tset-up p50/p99 ms\tconnects/client\tmoves\trejects\tbroken rules"
@@ -135,7 +135,7 @@
 	for _, row := range rows {
 		printf(t, "%s\n", row.text)
 	}
-	_ = t.Flush() // as printf
+	_ = t.Flush() // errors are ignored as in printf
 }
 
 func rowOf(policy string, results []*count.Result, isCompared bool) tableRow {
--- a/cmd/testbed/scale.go
+++ b/cmd/testbed/scale.go
@@ -28,7 +28,7 @@
 )
 
 func scaleCommand() *cli.Command {
-	command := &cli.Command{Name: "scale", Usage: "measure what yardwinch costs as a fleet grows: sweeps over one size each"}
+	command := &cli.Command{Name: "scale", Usage: "measure the resource costs of yardwinch in sweeps over the size of a fleet"}
 	for _, sub := range scaleCommands {
 		command.Commands = append(command.Commands, sub())
 	}
@@ -37,20 +37,20 @@
 
 func scaleRunCommand() *cli.Command {
 	return &cli.Command{Name: "run", ArgsUsage: "FILE...",
-		Usage:  "run the sweeps of experiment files, one after the other, and write a report of each",
-		Flags:  []cli.Flag{&cli.StringFlag{Name: "out", Value: scaleResults, Usage: "write NAME.json into `DIR`, whole or not at all"}},
+		Usage:  "run the sweeps of experiment files in turn, and write a report for each",
+		Flags:  []cli.Flag{&cli.StringFlag{Name: "out", Value: scaleResults, Usage: "write NAME.json to `DIR`, atomically"}},
 		Action: runScale}
 }
 
 func runScale(ctx context.Context, c *cli.Command) error {
 	if c.Args().Len() == 0 {
-		return fault(&scale.Error{Where: "scale run", What: "want one file at the least", Remedy: "name files of " + scaleDirectory})
+		return inputError(&scale.Error{Where: "scale run", What: "want at least one file", Remedy: "name files of " + scaleDirectory})
 	}
 	var experiments []*scale.Experiment
 	for _, file := range c.Args().Slice() {
 		e, err := scale.Open(file)
 		if err != nil {
-			return fault(err)
+			return inputError(err)
 		}
 		experiments = append(experiments, e)
 	}
@@ -77,12 +77,12 @@
 	defer end()
 	report, err := scale.Run(ctx, e, scale.OperatorsBounds, progress)
 	if errors.Is(err, context.Canceled) {
-		return nil, &scale.Error{Where: e.Name, What: "was stopped, and nothing is written", Remedy: "run it again", Err: err}
+		return nil, &scale.Error{Where: e.Name, What: "stopped before its end, no report written", Remedy: "run it again", Err: err}
 	}
 	return report, err
 }
 
-// printScale prints a line a series and a check, and counts the checks that failed.
+// printScale prints a line per series and per check, and returns the number of failed checks.
 func printScale(r *scale.Report, file string) (failed int) {
 	fmt.Printf("%s, seed %d, commit %s: %v, written to %s\n", r.Experiment, r.Seed, r.Commit, r.Took.Round(time.Millisecond), file)
 	t := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
@@ -99,11 +99,11 @@
 		}
 		printf(t, "  %s\t%s\t%s\n", check.Name, holdsText(check.Held), check.Detail)
 	}
-	_ = t.Flush() // as printf
+	_ = t.Flush() // errors are ignored as in printf
 	return failed
 }
 
-// scaleProgress shows how far a sweep is: a bar on a terminal, else a line a step.
+// scaleProgress shows the progress of a sweep: a bar on a terminal, otherwise a line per step.
 func scaleProgress(name string) (progress scale.Progress, end func()) {
 	if isTerminal(os.Stderr) {
 		drawn, bar := newBar(name, 0)
@@ -119,7 +119,7 @@
 }
 
 func scaleListCommand() *cli.Command {
-	return &cli.Command{Name: "list", Usage: "list the sweeps that there are, and the experiment files of " + scaleDirectory,
+	return &cli.Command{Name: "list", Usage: "list the available sweeps and the experiment files of " + scaleDirectory,
 		Action: func(context.Context, *cli.Command) error { return listScale() }}
 }
 
@@ -134,7 +134,7 @@
 	for _, file := range files {
 		e, err := scale.Open(file)
 		if err != nil {
-			return fault(err)
+			return inputError(err)
 		}
 		printf(t, "%s\t%s\t%s %v\n", file, e.Settings.Sweep, e.Settings.Against, e.Settings.Sizes)
 	}
--- a/cmd/testbed/scale_page_test.go
+++ b/cmd/testbed/scale_page_test.go
@@ -10,7 +10,7 @@
 	"github.com/urfave/cli/v3"
 )
 
-// A fault of the reports ends the command with exit code 2 and leaves the page as it was.
+// A malformed report must end the command with exit code 2 and leave the page unchanged.
 func TestScalePageRejectsBadReport(t *testing.T) {
 	directory := t.TempDir()
 	page := filepath.Join(directory, "CAPACITY.md")
@@ -26,7 +26,7 @@
 		t.Errorf("got %v, want exit code %d", err, badInput)
 	}
 	if left, err := os.ReadFile(page); err != nil || string(left) != "as it was" {
-		t.Errorf("the page became %q, %v", left, err)
+		t.Errorf("page changed to %q, %v", left, err)
 	}
 }
 
@@ -44,7 +44,7 @@
 		t.Fatal(err)
 	}
 	if string(written) != string(committed) {
-		t.Error("the committed page is not what the command writes; run testbed scale page")
+		t.Error("the committed page differs from what the command writes; run testbed scale page")
 	}
 }
 
--- a/cmd/testbed/scale_test.go
+++ b/cmd/testbed/scale_test.go
@@ -12,8 +12,9 @@
 	"github.com/urfave/cli/v3"
 )
 
-// scaleRun runs testbed scale run on a text, into a directory that holds a report of that name.
-func scaleRun(t *testing.T, text string) (before, after string, err error) {
+// runScaleText runs testbed scale run on an experiment text, with an output directory that already holds a report of the same name. It
+// returns the content of the report before and after the run.
+func runScaleText(t *testing.T, text string) (before, after string, err error) {
 	t.Helper()
 	directory := t.TempDir()
 	file, report := filepath.Join(directory, "x.toml"), filepath.Join(directory, "x.json")
@@ -34,31 +35,31 @@
 	return before, string(now), err
 }
 
-const soundScale = "sweep = \"balancers\"\nsizes = [2, 3]\nservers = 3\nconnections = 3\ngroups = 3\nzones = 1\n"
+const validSweep = "sweep = \"balancers\"\nsizes = [2, 3]\nservers = 3\nconnections = 3\ngroups = 3\nzones = 1\n"
 
 func TestScaleRunWithBadInput(t *testing.T) {
 	for name, text := range map[string]string{
-		"unknown key":         soundScale + "colour = 1\n",
-		"size of zero":        strings.Replace(soundScale, "[2, 3]", "[0, 3]", 1),
-		"negative":            strings.Replace(soundScale, "servers = 3", "servers = -3", 1),
-		"size over the bound": strings.Replace(soundScale, "[2, 3]", "[2, 10001]", 1),
-		"no TOML":             "sweep",
+		"unknown key":         validSweep + "colour = 1\n",
+		"size of zero":        strings.Replace(validSweep, "[2, 3]", "[0, 3]", 1),
+		"negative":            strings.Replace(validSweep, "servers = 3", "servers = -3", 1),
+		"size over the limit": strings.Replace(validSweep, "[2, 3]", "[2, 10001]", 1),
+		"not TOML":            "sweep",
 	} {
 		t.Run(name, func(t *testing.T) {
-			before, after, err := scaleRun(t, text)
+			before, after, err := runScaleText(t, text)
 			var code cli.ExitCoder
 			if !errors.As(err, &code) || code.ExitCode() != badInput || !strings.Contains(err.Error(), "x.toml") {
-				t.Errorf("error %v, want one with the file and exit code %d", err, badInput)
+				t.Errorf("error %v, want one that names the file and has exit code %d", err, badInput)
 			}
 			if after != before {
-				t.Error("the report before was overwritten")
+				t.Error("the existing report was overwritten")
 			}
 		})
 	}
 }
 
 func TestScaleRunWritesItsReport(t *testing.T) {
-	before, after, err := scaleRun(t, soundScale)
+	before, after, err := runScaleText(t, validSweep)
 	if err != nil || after == before || !strings.Contains(after, "balancers.unevenness") {
 		t.Errorf("error %v, report %s", err, after)
 	}
--- a/cmd/testbed/servers.go
+++ b/cmd/testbed/servers.go
@@ -21,13 +21,13 @@
 	return &cli.Command{
 		Name:      "servers",
 		ArgsUsage: "[FILE]",
-		Usage:     "stand-in servers and discovery alone, as an experiment has them; prints a configuration for yardwinch serve",
+		Usage:     "run an experiment's stand-in servers and discovery only, and print a configuration for yardwinch serve",
 		Flags: []cli.Flag{
 			seedFlag,
-			&cli.StringFlag{Name: "listen", Value: "127.0.0.1:8080", Usage: "where the balancer is to listen"},
-			&cli.StringFlag{Name: "config", Usage: "write the configuration to `FILE`; standard output where not given"},
-			&cli.DurationFlag{Name: "for", Value: 10 * time.Minute, Usage: "how long"},
-			fleetFlag,
+			&cli.StringFlag{Name: "listen", Value: "127.0.0.1:8080", Usage: "listen address in the configuration of the balancer"},
+			&cli.StringFlag{Name: "config", Usage: "write the configuration to `FILE` (default: standard output)"},
+			&cli.DurationFlag{Name: "for", Value: 10 * time.Minute, Usage: "duration of the run"},
+			serversFlag,
 		},
 		Action: serveStubs,
 	}
@@ -36,7 +36,7 @@
 func serveStubs(ctx context.Context, c *cli.Command) error {
 	e, err := stubExperiment(c)
 	if err != nil {
-		return fault(err)
+		return inputError(err)
 	}
 	day := e.Day(c.Uint64("seed"))
 	slack, reordering := sockets.CheckerTimes()
@@ -49,12 +49,12 @@
 		return writeConfig(c.String("config"), append(text, '\n'), len(day.World.Servers))
 	})
 	if errors.Is(err, context.Canceled) {
-		return nil // it was asked to end
+		return nil // stopped by a signal
 	}
 	return err
 }
 
-// stubExperiment is the experiment of a file, or that of testbed try, with one balancer.
+// stubExperiment returns the experiment of the file argument, or by default that of testbed try, with one balancer.
 func stubExperiment(c *cli.Command) (*experiment.Experiment, error) {
 	e, err := experiment.Read("try.toml", tryFile)
 	if c.Args().Len() > 0 {
@@ -64,15 +64,15 @@
 		return nil, err
 	}
 	if _, err := netip.ParseAddrPort(c.String("listen")); err != nil {
-		return nil, fmt.Errorf("--listen: no address with a port: %q", c.String("listen"))
+		return nil, fmt.Errorf("--listen: want an address with a port, got %q", c.String("listen"))
 	}
 	if c.Duration("for") < time.Second {
-		return nil, fmt.Errorf("--for: want 1s at the least, got %v", c.Duration("for"))
+		return nil, fmt.Errorf("--for: want at least 1s, got %v", c.Duration("for"))
 	}
 	return e.Sized(1, c.Int("servers")).Lasting(c.Duration("for")), nil
 }
 
-// writeConfig writes a configuration to a file, or to standard output where none is named.
+// writeConfig writes a configuration to a file, or to standard output if the path is empty.
 func writeConfig(path string, text []byte, servers int) error {
 	if path == "" {
 		_, err := os.Stdout.Write(text)
@@ -81,6 +81,6 @@
 	if err := os.WriteFile(path, text, configMode); err != nil {
 		return err
 	}
-	fmt.Fprintf(os.Stderr, "%d servers and discovery are open; start with: yardwinch serve --config %s\n", servers, path)
+	fmt.Fprintf(os.Stderr, "%d servers and discovery are listening; start the balancer with: yardwinch serve --config %s\n", servers, path)
 	return nil
 }
--- a/cmd/testbed/soak.go
+++ b/cmd/testbed/soak.go
@@ -24,10 +24,10 @@
 func soakCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "soak",
-		Usage: "timelines drawn from seeds: restarts, signals in a row, crowds, failing folders, troubles of servers and discovery",
+		Usage: "run random fault schedules: restarts, repeated signals, bursts of clients, failing directories, faults of servers and discovery",
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: "seeds", Value: "1-5", Usage: "`FROM-TO`, a run each"},
-			&cli.StringFlag{Name: "keep", Value: ".", Usage: "`DIR` for the plans of runs that fail; testbed fleet plays them again"},
+			&cli.StringFlag{Name: "seeds", Value: "1-5", Usage: "seeds `FROM-TO`, one run each"},
+			&cli.StringFlag{Name: "keep", Value: ".", Usage: "keep the plans of failed runs in `DIR`; testbed fleet repeats them"},
 			newJobsFlag(),
 			newRepeatVoidFlag(),
 			programFlag,
@@ -37,7 +37,7 @@
 	}
 }
 
-// seedRange reads FROM-TO, or one seed.
+// seedRange parses FROM-TO, or a single seed.
 func seedRange(text string) (from, to uint64, err error) {
 	first, last, isRange := strings.Cut(text, "-")
 	if !isRange {
@@ -48,10 +48,10 @@
 		to, err = strconv.ParseUint(last, 10, 64)
 	}
 	if err != nil || to < from || to-from >= maxSoakSeeds {
-		return 0, 0, fault(&fleet.Error{
+		return 0, 0, inputError(&fleet.Error{
 			Where:  "soak",
-			What:   fmt.Sprintf("seeds %q", text),
-			Remedy: "give them as 1-50, 10,000 at the most",
+			What:   fmt.Sprintf("invalid range of seeds %q", text),
+			Remedy: "give a range such as 1-50, of at most 10,000 seeds",
 		})
 	}
 	return from, to, nil
@@ -59,8 +59,8 @@
 
 // soakTally counts the runs of a soak.
 type soakTally struct {
-	mu                            sync.Mutex // held while a run is printed, too
-	held, failed, voids, unplayed int
+	mu                          sync.Mutex // also held while a run is printed
+	held, failed, voids, notRun int
 }
 
 func soak(ctx context.Context, c *cli.Command) error {
@@ -84,7 +84,7 @@
 	if err := group.Wait(); err != nil {
 		return err
 	}
-	fmt.Printf("%d held, %d failed, %d void, %d not played\n", tally.held, tally.failed, tally.voids, tally.unplayed)
+	fmt.Printf("%d held, %d failed, %d void, %d not played\n", tally.held, tally.failed, tally.voids, tally.notRun)
 	return tally.verdict(to - from + 1)
 }
 
@@ -93,16 +93,16 @@
 	if err != nil {
 		return nil, err
 	}
-	return fleetJob{plan: plan, seed: seed, program: program}.play(ctx, c, nil)
+	return fleetJob{plan: plan, seed: seed, program: program}.run(ctx, c, nil)
 }
 
-// add counts and prints a run. One that could not be played stops the others only where all were asked to stop.
+// add counts and prints a run. A run that failed to execute doesn't stop the others, unless the context has ended.
 func (t *soakTally) add(ctx context.Context, keep string, seed uint64, result *fleet.Result, err error) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if err != nil {
 		fmt.Printf("seed %d: NOT PLAYED: %v\n", seed, err)
-		t.unplayed++
+		t.notRun++
 		return ctx.Err()
 	}
 	switch {
@@ -119,15 +119,15 @@
 func (t *soakTally) verdict(runs uint64) error {
 	switch {
 	case t.failed > 0:
-		return cli.Exit(fmt.Sprintf("soak: in %d of %d runs something that must hold did not", t.failed, runs), ruleBroken)
-	case t.voids+t.unplayed > 0:
-		return cli.Exit(fmt.Sprintf("soak: %d of %d runs are void, as the machine was too busy, or could not be played",
-			t.voids+t.unplayed, runs), voidRun)
+		return cli.Exit(fmt.Sprintf("soak: requirements were not met in %d of %d runs", t.failed, runs), ruleBroken)
+	case t.voids+t.notRun > 0:
+		return cli.Exit(fmt.Sprintf("soak: %d of %d runs are void, as the machine was too busy, or failed to execute",
+			t.voids+t.notRun, runs), voidRun)
 	}
 	return nil
 }
 
-// printSoak prints a line for a run. The plan of one that failed is kept, and what did not hold is printed.
+// printSoak prints a line for a run. For a failed run it also prints the unmet requirements and saves the plan.
 func printSoak(to io.Writer, keep string, seed uint64, r *fleet.Result) error {
 	f := r.Figures
 	printf(to, "seed %d: %s; %d flows: %d established, %d rejected, %d aborted; %d cut, %d moved\n",
--- a/cmd/testbed/spread.go
+++ b/cmd/testbed/spread.go
@@ -18,23 +18,23 @@
 const (
 	minMembers        = 2
 	maxMembers        = 5000
-	minAfterFault     = 5 * time.Second // of a run
+	minAfterFault     = 5 * time.Second // duration of a run after the fault
 	simulationsAtOnce = 4
 )
 
 func spreadCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "spread",
-		Usage: "in virtual time: how fast, and at what cost, a word of trouble spreads over fleets of several sizes",
+		Usage: "simulate in virtual time how fast, and at what cost, a report of a fault spreads through fleets of several sizes",
 		Flags: []cli.Flag{
 			seedFlag,
 			&cli.IntFlag{Name: "seeds", Value: 3},
 			&cli.IntSliceFlag{Name: "members", Value: []int{5, 50, 300, 1000}},
-			&cli.FloatFlag{Name: "share", Value: 0.1, Usage: "of members that see the trouble at first hand; two at the least"},
+			&cli.FloatFlag{Name: "share", Value: 0.1, Usage: "share of members that detect the fault themselves; at least two do"},
 			&cli.FloatFlag{Name: "loss"},
 			&cli.DurationFlag{Name: "delay", Value: 2 * time.Millisecond},
-			&cli.BoolFlag{Name: "split", Usage: "two halves until 10 s after the trouble begins"},
-			&cli.DurationFlag{Name: "from", Value: 20 * time.Second, Usage: "when the trouble begins"},
+			&cli.BoolFlag{Name: "split", Usage: "partition the network into two halves until 10 s after the fault begins"},
+			&cli.DurationFlag{Name: "from", Value: 20 * time.Second, Usage: "when the fault begins"},
 			&cli.DurationFlag{Name: "for", Value: 35 * time.Second},
 			jsonFlag,
 			htmlFlag,
@@ -46,7 +46,7 @@
 func simulateDissemination(ctx context.Context, c *cli.Command) error {
 	configs, err := disseminationConfigs(c)
 	if err != nil {
-		return fault(err)
+		return inputError(err)
 	}
 	results, err := simulateAll(ctx, configs)
 	if err != nil {
@@ -68,7 +68,7 @@
 	return printDissemination(os.Stdout, results)
 }
 
-// disseminationConfigs has each number of members with each seed.
+// disseminationConfigs returns a configuration for each number of members and each seed.
 func disseminationConfigs(c *cli.Command) (configs []dissemination.Config, err error) {
 	for _, members := range c.IntSlice("members") {
 		if members < minMembers || members > maxMembers {
@@ -87,7 +87,7 @@
 		}
 	}
 	if from, length := c.Duration("from"), c.Duration("for"); from < time.Second || length < from+minAfterFault || length > time.Hour {
-		return nil, fmt.Errorf("--for: want 5s more than --from at the least, got %v and %v", length, from)
+		return nil, fmt.Errorf("--for: want at least 5s more than --from, got %v and %v", length, from)
 	}
 	return configs, nil
 }
--- a/cmd/testbed/spread_page.go
+++ b/cmd/testbed/spread_page.go
@@ -15,7 +15,7 @@
 
 var disseminationPage = template.Must(template.New("dissemination").Parse(disseminationPageText))
 
-// The layout of the plot, in its own units.
+// The layout of the plot, in the units of its SVG drawing.
 const (
 	plotLeft         = 40.0
 	plotWidth        = 840.0
@@ -49,7 +49,7 @@
 	Name, Colour string
 }
 
-// drawDissemination draws who knows over time, a line a run.
+// drawDissemination draws the share of informed members over time, one line per run.
 func drawDissemination(w io.Writer, results []*dissemination.Result) error {
 	p := &disseminationPlot{samples: 1, colours: map[int]string{}}
 	for _, r := range results {
--- a/cmd/testbed/try.go
+++ b/cmd/testbed/try.go
@@ -22,13 +22,13 @@
 var tryFile []byte
 
 var (
-	programFlag = &cli.StringFlag{Name: "yardwinch", Usage: "the balancer `PROGRAM` to start; this program's own where not given"}
+	programFlag = &cli.StringFlag{Name: "yardwinch", Usage: "balancer `PROGRAM` to start (default: the one built into testbed)"}
 	logsFlag    = &cli.StringFlag{Name: "logs", Usage: "keep the balancers' configurations and logs in `DIR`"}
 )
 
-// balancerCommand lets this program be the balancer that it starts, so that a newcomer builds nothing by hand.
+// balancerCommand runs this program as a balancer, so that testbed needs no separate build of yardwinch.
 func balancerCommand() *cli.Command {
-	return &cli.Command{Name: "balancer", Hidden: true, Usage: "serve as yardwinch does; the configuration's path is in PROXY_CONFIG",
+	return &cli.Command{Name: "balancer", Hidden: true, Usage: "serve like yardwinch, with the configuration at the path in PROXY_CONFIG",
 		Action: func(ctx context.Context, _ *cli.Command) error {
 			return daemon.Run(ctx, daemon.Source{
 				ConfigPath:  os.Getenv("PROXY_CONFIG"),
@@ -41,7 +41,7 @@
 func tryCommand() *cli.Command {
 	return &cli.Command{
 		Name:   "try",
-		Usage:  "see it work: 9 stand-in servers, 3 balancers and some clients on loopback, one drain, one slow server, 20 s",
+		Usage:  "run a 20 s demonstration on loopback: 9 stand-in servers, 3 balancers and some clients, one drain, one slow server",
 		Flags:  []cli.Flag{seedFlag, programFlag, logsFlag, jsonFlag, htmlFlag},
 		Action: try,
 	}
@@ -52,7 +52,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprintln(os.Stderr, "9 servers in 3 halls, discovery and 3 balancers on loopback; "+
+	fmt.Fprintln(os.Stderr, "9 servers in 3 localities, discovery and 3 balancers on loopback; "+
 		"a server is slow from 4 s on, one is replaced from 9 s on")
 	result, err := tryOnSockets(ctx, c, e)
 	if err != nil {
@@ -77,7 +77,7 @@
 	fmt.Printf("rules        %d flows judged, %d breaches\n", r.Judged, r.Broken)
 }
 
-// voidVerdict is the verdict on runs that may be void.
+// voidVerdict returns an error if a run is void or the project's own policy broke a rule.
 func voidVerdict(results []*count.Result) error {
 	for _, r := range results {
 		if r.Void != "" {
@@ -107,7 +107,7 @@
 	})
 }
 
-// balancerProgram is what starts a balancer: as --yardwinch says, or this program.
+// balancerProgram returns the command line of a balancer: the program of --yardwinch, or by default this program.
 func balancerProgram(c *cli.Command) ([]string, error) {
 	program := c.String("yardwinch")
 	if program == "" {
@@ -116,18 +116,18 @@
 	}
 	path, err := exec.LookPath(program)
 	if err != nil {
-		return nil, fault(fmt.Errorf("--yardwinch: %w", err))
+		return nil, inputError(fmt.Errorf("--yardwinch: %w", err))
 	}
 	path, err = filepath.Abs(path)
 	return []string{path, "serve"}, err
 }
 
-// socketsRun is one day to run with real processes.
+// socketsRun describes one day to run on sockets.
 type socketsRun struct {
 	experiment *experiment.Experiment
 	seed       uint64
 	policy     string
-	program    []string // starts a balancer
+	program    []string // command line of a balancer
 	directory  string   // for configurations and logs
 	progress   func(time.Duration)
 }
@@ -144,7 +144,7 @@
 			return nil, err
 		}
 	default:
-		return nil, fmt.Errorf("on sockets only ours and ours+halls can be played, not %q", run.policy)
+		return nil, fmt.Errorf("want policy ours or ours+halls on sockets, got %q", run.policy)
 	}
 	loads := scenario.RecordLoads(day.World)
 	void, err := driver.Run(run.progress)
