--- a/cmd/testbed/hunt.go
+++ b/cmd/testbed/hunt.go
@@ -124,11 +124,11 @@
 
 // minimize removes and shortens faults as long as the day still shows minLossShare of its loss.
 func (d *worstDay) minimize(policy string) error {
-	found, least := *d, minLossShare*d.Loss
-	if err := d.removeFaults(policy, least); err != nil {
+	found, minLoss := *d, minLossShare*d.Loss
+	if err := d.removeFaults(policy, minLoss); err != nil {
 		return err
 	}
-	if err := d.shortenFaults(policy, least); err != nil {
+	if err := d.shortenFaults(policy, minLoss); err != nil {
 		return err
 	}
 	if d.Faults == nil { // the loss doesn't depend on any fault: report the day as it was found
@@ -139,12 +139,12 @@
 }
 
 // removeFaults removes one fault at a time, until no more can be removed.
-func (d *worstDay) removeFaults(policy string, least float64) error {
+func (d *worstDay) removeFaults(policy string, minLoss float64) error {
 	for hasChanged := true; hasChanged; {
 		hasChanged = false
 		for i := 0; i < len(d.experiment.Kinds()); i++ {
 			kind := d.experiment.Kinds()[i]
-			showsLoss, err := d.replaceIfLossRemains(d.experiment.Without(i), policy, least)
+			showsLoss, err := d.replaceIfLossRemains(d.experiment.Without(i), policy, minLoss)
 			if err != nil {
 				return err
 			}
@@ -158,10 +158,10 @@
 	return nil
 }
 
-func (d *worstDay) shortenFaults(policy string, least float64) error {
+func (d *worstDay) shortenFaults(policy string, minLoss float64) error {
 	for i := range d.experiment.Kinds() {
 		for range maxShrinks {
-			showsLoss, err := d.replaceIfLossRemains(d.experiment.Shrunk(i, shrinkFactor), policy, least)
+			showsLoss, err := d.replaceIfLossRemains(d.experiment.Shrunk(i, shrinkFactor), policy, minLoss)
 			if err != nil {
 				return err
 			}
@@ -173,8 +173,8 @@
 	return nil
 }
 
-// replaceIfLossRemains runs a smaller experiment, and replaces the day by it if the loss is still at least the given one.
-func (d *worstDay) replaceIfLossRemains(smaller *experiment.Experiment, policy string, least float64) (showsLoss bool, err error) {
+// replaceIfLossRemains runs a smaller experiment, and replaces the day by it if the loss is still at least minLoss.
+func (d *worstDay) replaceIfLossRemains(smaller *experiment.Experiment, policy string, minLoss float64) (showsLoss bool, err error) {
 	ours, err := scenario.RunDay(smaller, d.Seed, policy, nil, nil)
 	if err != nil {
 		return false, err
@@ -184,7 +184,7 @@
 		return false, err
 	}
 	loss := lossOf(ours, top)
-	if loss < least {
+	if loss < minLoss {
 		return false, nil
 	}
 	d.experiment, d.result = smaller, ours
--- a/internal/testbed/experiment/faults.go
+++ b/internal/testbed/experiment/faults.go
@@ -112,13 +112,13 @@
 	return &c
 }
 
-// Shrunk returns a copy of the experiment in which the length of one fault is multiplied by part.
-func (e *Experiment) Shrunk(i int, part float64) *Experiment {
+// Shrunk returns a copy of the experiment in which the length of one fault is multiplied by factor.
+func (e *Experiment) Shrunk(i int, factor float64) *Experiment {
 	c := *e
 	c.faults = append([]faultRanges(nil), e.faults...)
 	length := &c.faults[i].length
-	length.Min = time.Duration(float64(length.Min) * part)
-	length.Max = time.Duration(float64(length.Max) * part)
+	length.Min = time.Duration(float64(length.Min) * factor)
+	length.Max = time.Duration(float64(length.Max) * factor)
 	return &c
 }
 
@@ -134,10 +134,10 @@
 	return &c
 }
 
-// Stretched returns a copy of the experiment in which its length, and the start and length of its faults, are multiplied by part.
-func (e *Experiment) Stretched(part float64) *Experiment {
+// Stretched returns a copy of the experiment in which its length, and the start and length of its faults, are multiplied by factor.
+func (e *Experiment) Stretched(factor float64) *Experiment {
 	c := *e
-	scaled := func(d time.Duration) time.Duration { return time.Duration(math.Round(float64(d) * part)) }
+	scaled := func(d time.Duration) time.Duration { return time.Duration(math.Round(float64(d) * factor)) }
 	c.Length = scaled(e.Length)
 	c.faults = append([]faultRanges(nil), e.faults...)
 	for i := range c.faults {
--- a/internal/testbed/experiment/read.go
+++ b/internal/testbed/experiment/read.go
@@ -14,7 +14,7 @@
 	ms               = time.Millisecond
 	hour             = time.Hour
 	maxLifetime      = 24 * hour
-	maxPrice         = 10
+	maxCostWeight    = 10
 	noPracticalLimit = 1e6 // far above any value in use
 )
 
@@ -210,9 +210,9 @@
 		WorstWindow:      t.Float("worst-window", 0.3, 0, 1),
 		WorstCustomer:    t.Float("worst-customer", 0.1, 0, 1),
 		WorstServiceType: t.Float("worst-service", 0, 0, 1),
-		Crossing:         t.Float("crossing", 0, 0, maxPrice),
-		Migrations:       t.Float("moves", 0, 0, maxPrice),
-		Connects:         t.Float("connects", 0, 0, maxPrice),
+		Crossing:         t.Float("crossing", 0, 0, maxCostWeight),
+		Migrations:       t.Float("moves", 0, 0, maxCostWeight),
+		Connects:         t.Float("connects", 0, 0, maxCostWeight),
 	}
 	e.beyondShareValue = t.Float("beyond-share", 0.2, 0, 1)
 	if e.weights.Sum() <= 0 {
--- a/internal/testbed/sockets/server.go
+++ b/internal/testbed/sockets/server.go
@@ -135,8 +135,8 @@
 	if !s.IsServing() {
 		return "NO"
 	}
-	const leastDivisor = 1e-9 // avoids a division by a capacity of 0
-	return fmt.Sprintf("PONG x0=%.3f", s.Demand()/max(s.CurrentCapacity(), leastDivisor)+s.QueueDelay())
+	const minDivisor = 1e-9 // avoids a division by a capacity of 0
+	return fmt.Sprintf("PONG x0=%.3f", s.Demand()/max(s.CurrentCapacity(), minDivisor)+s.QueueDelay())
 }
 
 // answerOther returns the answer to a first line other than OPEN.
