--- a/internal/compatibility/commands_test.go
+++ b/internal/compatibility/commands_test.go
@@ -9,103 +9,104 @@
 	"testing"
 )
 
-// helpOf returns the help texts of a command and all its subcommands.
-func helpOf(t *testing.T, name string, path ...string) string {
+// helpTexts returns the help texts of a command and all its subcommands.
+func helpTexts(t *testing.T, name string, path ...string) string {
 	t.Helper()
 	r := runCommand(t, name, "", "", append(path, "--help")...)
-	text := fmt.Sprintf("== %s: exit code %d\n%s%s", strings.Join(path, " "), r.code, r.out, r.err)
+	text := fmt.Sprintf("== %s: exit code %d\n%s%s", strings.Join(path, " "), r.exitCode, r.stdout, r.stderr)
 	if len(path) > 0 && path[len(path)-1] == "help" {
 		return text
 	}
-	for _, sub := range subcommands(r.out) {
+	for _, sub := range subcommands(r.stdout) {
 		if sub != "help" {
-			text += helpOf(t, name, append(append([]string{}, path...), sub)...)
+			text += helpTexts(t, name, append(append([]string{}, path...), sub)...)
 		}
 	}
 	return text
 }
 
 var (
-	commandLine = regexp.MustCompile(`(?m)^   ([a-z][a-z-]*)(, [a-z])?  `)
-	flagLine    = regexp.MustCompile(`(?m)^   (--[a-z][a-z-]*(?:, -[a-z])?(?: [A-Za-z]+)?)`)
-	headLine    = regexp.MustCompile(`(?m)^== .*$`)
-	sourceLine  = regexp.MustCompile(`\[\$[A-Z_, $]+\]`)
+	subcommandPattern = regexp.MustCompile(`(?m)^   ([a-z][a-z-]*)(, [a-z])?  `)
+	flagPattern       = regexp.MustCompile(`(?m)^   (--[a-z][a-z-]*(?:, -[a-z])?(?: [A-Za-z]+)?)`)
+	headerPattern     = regexp.MustCompile(`(?m)^== .*$`)
+	variablesPattern  = regexp.MustCompile(`\[\$[A-Z_, $]+\]`)
 )
 
-// subcommands are those that a help text names.
+// subcommands returns the subcommands that a help text lists.
 func subcommands(help string) (names []string) {
 	_, list, found := strings.Cut(help, "\nCOMMANDS:\n")
 	if !found {
 		return nil
 	}
 	list, _, _ = strings.Cut(list, "\n\n")
-	for _, m := range commandLine.FindAllStringSubmatch(list+"\n", -1) {
+	for _, m := range subcommandPattern.FindAllStringSubmatch(list+"\n", -1) {
 		names = append(names, m[1])
 	}
 	return names
 }
 
-// names are the commands, flags and variables of a help text, without its prose.
-func names(help string) string {
-	var all strings.Builder
+// helpNames returns the commands, flags and environment variables in help texts, without descriptions.
+func helpNames(help string) string {
+	var found strings.Builder
 	for _, line := range strings.Split(help, "\n") {
 		switch {
-		case headLine.MatchString(line):
-			fmt.Fprintln(&all, line)
-		case flagLine.MatchString(line):
-			fmt.Fprintln(&all, "  ", flagLine.FindStringSubmatch(line)[1], sourceLine.FindString(line))
+		case headerPattern.MatchString(line):
+			fmt.Fprintln(&found, line)
+		case flagPattern.MatchString(line):
+			fmt.Fprintln(&found, "  ", flagPattern.FindStringSubmatch(line)[1], variablesPattern.FindString(line))
 		}
 	}
-	return all.String()
+	return found.String()
 }
 
-// Deploy files and scripts name commands, flags and variables. The daemon's prose is held, too, as operators read
-// it; the testbed's is not.
+// Deployment files and scripts use the names of commands, flags and environment variables. The daemon's help texts are
+// compared completely, as operators read them; of the testbed's only the names are.
 func TestHelp(t *testing.T) {
 	t.Parallel()
-	daemon := helpOf(t, "daemon")
-	golden(t, "commands/daemon-help.txt", daemon)
-	golden(t, "commands/daemon-names.txt", names(daemon))
-	golden(t, "commands/testbed-names.txt", names(helpOf(t, "testbed")))
+	daemon := helpTexts(t, "daemon")
+	compareGolden(t, "commands/daemon-help.txt", daemon)
+	compareGolden(t, "commands/daemon-names.txt", helpNames(daemon))
+	compareGolden(t, "commands/testbed-names.txt", helpNames(helpTexts(t, "testbed")))
 }
 
 // writeFiles writes files into a new directory.
 func writeFiles(t *testing.T, files map[string]string) string {
 	t.Helper()
-	folder := t.TempDir()
+	directory := t.TempDir()
 	for name, text := range files {
-		if err := os.WriteFile(filepath.Join(folder, name), []byte(text), 0o600); err != nil {
+		if err := os.WriteFile(filepath.Join(directory, name), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
-	return folder
+	return directory
 }
 
-// unnamed replaces a command's file name in its output, as that name may change.
-func unnamed(name, output string) string {
-	own := filepath.Base(sources[name]) + ":"
+// replaceCommandName replaces a command's file name at the start of output lines by its name in golden files, as the
+// file name may change.
+func replaceCommandName(name, output string) string {
+	prefix := filepath.Base(commandPackages[name]) + ":"
 	lines := strings.Split(output, "\n")
 	for i, line := range lines {
-		if text, found := strings.CutPrefix(line, own); found && name != "daemon" {
+		if text, found := strings.CutPrefix(line, prefix); found && name != "daemon" {
 			lines[i] = name + ":" + text
 		}
 	}
 	return strings.Join(lines, "\n")
 }
 
-// Scripts depend on exit codes, and operators on the texts.
+// Scripts depend on the exit codes, and operators on the error messages.
 func TestExitCodes(t *testing.T) {
 	t.Parallel()
-	sound := `{"listen":"127.0.0.1:18080","discovery":"127.0.0.1:1","limits":{"cores":1,"memory_mb":64,"sockets":200},"settings":{"service-types":[{"name":"live","effect":"free","group":"all","hard-limit":800000000}]}}`
-	folder := writeFiles(t, map[string]string{
-		"sound.json": sound, "broken.json": "{", "empty.json": "", "unserved.json": `{"listen":"127.0.0.1:18080"}`,
-		"word.json":    strings.Replace(sound, `"free"`, `"maybe"`, 1),
+	validConfig := `{"listen":"127.0.0.1:18080","discovery":"127.0.0.1:1","limits":{"cores":1,"memory_mb":64,"sockets":200},"settings":{"service-types":[{"name":"live","effect":"free","group":"all","hard-limit":800000000}]}}`
+	directory := writeFiles(t, map[string]string{
+		"sound.json": validConfig, "broken.json": "{", "empty.json": "", "unserved.json": `{"listen":"127.0.0.1:18080"}`,
+		"word.json":    strings.Replace(validConfig, `"free"`, `"maybe"`, 1),
 		"options.toml": readFile(t, "testdata/options/all.toml"), "unknown.toml": "[hals]\nspill = 1\n", "key.toml": "[explain]\nsoket = \"/x\"\n",
 		"relative.toml": "[explain]\nsocket = \"x\"\n", "nopeers.toml": "[signals]\non = true\n", "noduties.toml": "[duties]\non = true\n",
 		"badpeer.toml": "[peers]\nname = \"a b\"\nlabel = \"x\"\nbind = \"here\"\n", "nosocket.toml": "[halls]\n", "broken.toml": "[",
 		"halls.toml": "[halls]\nspill = 7\n", "plan.toml": "name = \"x\"\n", "fewer.toml": "name = \"x\"\n[fleet]\nservers = -1\n", "word.toml": "name = 1\n",
 	})
-	var all strings.Builder
+	var output strings.Builder
 	for _, line := range []string{
 		"daemon nonsense", "daemon serve --nonsense", "daemon serve", "daemon serve --config none.json", "daemon serve --config broken.json", "daemon serve --config unserved.json",
 		"daemon serve --config sound.json --options none.toml", "daemon serve --config sound.json --options unknown.toml",
@@ -122,16 +123,16 @@
 		"testbed scale run none.toml", "testbed scale nonsense",
 	} {
 		words := strings.Fields(line)
-		r := runCommand(t, words[0], folder, "", words[1:]...)
-		fmt.Fprintf(&all, "== %s: exit code %d\n%s%s", line, r.code, r.out, unnamed(words[0], r.err))
+		r := runCommand(t, words[0], directory, "", words[1:]...)
+		fmt.Fprintf(&output, "== %s: exit code %d\n%s%s", line, r.exitCode, r.stdout, replaceCommandName(words[0], r.stderr))
 	}
-	golden(t, "commands/exit-codes.txt", all.String())
+	compareGolden(t, "commands/exit-codes.txt", output.String())
 }
 
-// The migration of an earlier configuration to another shape writes the same bytes.
+// Migrating an earlier configuration to another shape writes the same bytes as before.
 func TestMigrateAnEarlierConfiguration(t *testing.T) {
 	t.Parallel()
-	old, shape := readFile(t, "testdata/migrate/old.json"), readFile(t, "testdata/migrate/shape.json")
+	oldConfig, shape := readFile(t, "testdata/migrate/old.json"), readFile(t, "testdata/migrate/shape.json")
 	for _, c := range []struct {
 		name      string
 		arguments string
@@ -144,19 +145,19 @@
 		{"broken", "broken.json new.json"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			folder := writeFiles(t, map[string]string{"old.json": old, "shape.json": shape, "there.json": "precious", "broken.json": "{"})
-			r := runCommand(t, "daemon", folder, "", append([]string{"migrate", "--shape", "shape.json"}, strings.Fields(c.arguments)...)...)
-			text := fmt.Sprintf("exit code %d\n%s%s", r.code, r.out, r.err)
+			directory := writeFiles(t, map[string]string{"old.json": oldConfig, "shape.json": shape, "there.json": "precious", "broken.json": "{"})
+			r := runCommand(t, "daemon", directory, "", append([]string{"migrate", "--shape", "shape.json"}, strings.Fields(c.arguments)...)...)
+			text := fmt.Sprintf("exit code %d\n%s%s", r.exitCode, r.stdout, r.stderr)
 			for _, name := range []string{"old.json", "new.json", "there.json"} {
-				written, err := os.ReadFile(filepath.Join(folder, name))
+				written, err := os.ReadFile(filepath.Join(directory, name))
 				if os.IsNotExist(err) {
 					written = []byte("is not there")
 				}
-				if s := string(written); s != old {
+				if s := string(written); s != oldConfig {
 					text += fmt.Sprintf("== %s\n%s\n", name, s)
 				}
 			}
-			golden(t, "migrate/"+c.name+".txt", text)
+			compareGolden(t, "migrate/"+c.name+".txt", text)
 		})
 	}
 }
--- a/internal/compatibility/control_test.go
+++ b/internal/compatibility/control_test.go
@@ -10,13 +10,14 @@
 	"time"
 )
 
-// Scripts of operators go by status and text of each call, in this order of calls.
-func TestOperatorsCalls(t *testing.T) {
+// Operators' scripts depend on the status and text of each control call. The calls depend on each other's effects, so
+// their order matters.
+func TestControlCalls(t *testing.T) {
 	t.Parallel()
 	d := newDaemon(t, startEchoServer(t))
 	d.start()
 	d.waitReady()
-	var all strings.Builder
+	var output strings.Builder
 	for _, call := range []string{
 		"GET /control/ready", "HEAD /control/ready", "POST /control/ready", "GET /control/ready/", "GET /control/ready?x=1",
 		"POST /control/servers/a/offline", "POST /control/servers/a/offline", "POST /control/servers/a/online", "POST /control/servers/a/online",
@@ -30,57 +31,57 @@
 	} {
 		method, path, _ := strings.Cut(call, " ")
 		_, answer := d.call(method, path)
-		fmt.Fprintf(&all, "%s: %s", call, answer)
+		fmt.Fprintf(&output, "%s: %s", call, answer)
 	}
 	for _, raw := range []string{"nonsense\r\n\r\n", "GET /control/ready HTTP/1.1\r\n\r\n", "GET /control/ready HTTP/1.0\r\n\r\n", "GET /control/ready HTTP/3.0\r\n\r\n",
 		"POST /control/servers/" + strings.Repeat("x", 5000) + "/offline HTTP/1.1\r\nHost: a\r\n\r\n",
 		"GET /control/ready HTTP/1.1\r\nHost: a\r\nX: " + strings.Repeat("x", 40000) + "\r\n\r\n"} {
-		fmt.Fprintf(&all, "%.60q: %q\n", raw, d.raw(raw))
+		fmt.Fprintf(&output, "%.60q: %q\n", raw, d.sendRaw(raw))
 	}
-	golden(t, "control/calls.txt", all.String())
+	compareGolden(t, "control/calls.txt", output.String())
 }
 
-// raw sends bytes to the operators' address and gives the first line of the answer.
-func (d *daemon) raw(text string) string {
+// sendRaw sends text to the control address as it is, and returns the first line of the response.
+func (d *daemon) sendRaw(text string) string {
 	d.t.Helper()
-	conn, err := (&net.Dialer{Timeout: hangTimeout}).DialContext(d.t.Context(), "tcp", d.control())
+	conn, err := (&net.Dialer{Timeout: hangTimeout}).DialContext(d.t.Context(), "tcp", d.controlAddress())
 	if err != nil {
 		d.t.Fatal(err)
 	}
-	defer func() { _ = conn.Close() }() // the answer is read
+	defer func() { _ = conn.Close() }() // the response has been read
 	_ = conn.SetDeadline(time.Now().Add(hangTimeout))
-	go func() { _, _ = io.WriteString(conn, text) }() // an answer may come before all of it is read
+	go func() { _, _ = io.WriteString(conn, text) }() // the daemon may respond before it has read all
 	line, _ := bufio.NewReader(conn).ReadString('\n')
 	return line
 }
 
-// Without a list the daemon runs and is not ready, and says why.
-func TestOperatorsCallsWithoutList(t *testing.T) {
+// Without an endpoint list the daemon runs, but is not ready, and reports why.
+func TestControlCallsWithoutList(t *testing.T) {
 	t.Parallel()
 	d := newDaemon(t, "")
 	d.write(d.config, strings.Replace(readFile(t, d.config), `"known":{"revision":7,"complete":true,"members":[]},`, "", 1))
 	d.start()
-	d.waitUntil("it takes calls", func() bool { code, _ := d.call("GET", "/control/ready"); return code != 0 })
-	var all strings.Builder
+	d.waitUntil("the daemon accepts control calls", func() bool { code, _ := d.call("GET", "/control/ready"); return code != 0 })
+	var output strings.Builder
 	for _, call := range []string{"GET /control/ready", "POST /control/servers/a/offline"} {
 		method, path, _ := strings.Cut(call, " ")
 		_, answer := d.call(method, path)
-		fmt.Fprintf(&all, "%s: %s", call, answer)
+		fmt.Fprintf(&output, "%s: %s", call, answer)
 	}
-	golden(t, "control/without-list.txt", all.String())
+	compareGolden(t, "control/without-list.txt", output.String())
 }
 
-// Clients go by the words of the first lines.
-func TestClientsLines(t *testing.T) {
+// Clients depend on the words of the reply to their first line.
+func TestClientReplies(t *testing.T) {
 	t.Parallel()
 	d := newDaemon(t, startEchoServer(t))
 	d.start()
 	d.waitReady()
-	var all strings.Builder
+	var output strings.Builder
 	for _, line := range []string{"PING", "OPEN 1 k c=live,d=800", "OPEN 2 k c=live,d=800,g=one", "OPEN 3 k c=none,d=800", "OPEN 4 k", "OPEN", "nonsense", "OPEN 5 k c=live,d=0", "OPEN 6 k c=live,d=x"} {
 		conn, answer := d.sendLine(line)
-		fmt.Fprintf(&all, "%s: %q\n", line, answer)
+		fmt.Fprintf(&output, "%s: %q\n", line, answer)
 		_ = conn.Close()
 	}
-	golden(t, "control/clients.txt", all.String())
+	compareGolden(t, "control/clients.txt", output.String())
 }
--- a/internal/compatibility/daemon_test.go
+++ b/internal/compatibility/daemon_test.go
@@ -22,55 +22,56 @@
 
 const hangTimeout = 15 * time.Second // far longer than any wait takes on an idle machine
 
-var addresses atomic.Int32
+var hostCount atomic.Int32
 
-// uniqueHost returns a loopback address that no other test uses: a port that was free may be the local end of another
-// connection by the time a daemon listens there.
+// uniqueHost returns a loopback address that no other test uses. A free port of a shared address is not enough, as it
+// may become the local port of another connection before a daemon listens on it.
 func uniqueHost() string {
-	return fmt.Sprintf("127.%d.%d.%d", 160+os.Getpid()/62500%40, 1+os.Getpid()/250%250, 1+(os.Getpid()+int(addresses.Add(1)))%250)
+	return fmt.Sprintf("127.%d.%d.%d", 160+os.Getpid()/62500%40, 1+os.Getpid()/250%250, 1+(os.Getpid()+int(hostCount.Add(1)))%250)
 }
 
-// daemon is a balancer's process with its files and its log.
+// daemon is a balancer process with its files and its log.
 type daemon struct {
 	t         *testing.T
-	host      string // ports are the same for all, as hosts differ
-	directory string // of files that outlast the process
+	host      string // unique; the ports are the same for all daemons
+	directory string // contains files that persist after the process ends
 	config    string
 	options   string
-	socket    string // of explain; the options name it
+	socket    string // path of the explain socket, as in the options
 	log       logBuffer
 	process   *exec.Cmd
-	ended     chan string // receives how the process ended
+	exited    chan string // receives the result of waiting for the process
 }
 
-// logBuffer is a buffer that a process writes while a test reads.
+// logBuffer collects the output of a process while a test reads it.
 type logBuffer struct {
-	mu   sync.Mutex
-	text bytes.Buffer
+	mu     sync.Mutex
+	buffer bytes.Buffer
 }
 
 func (l *logBuffer) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.text.Write(b)
+	return l.buffer.Write(b)
 }
 
 func (l *logBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.text.String()
+	return l.buffer.String()
 }
 
-func (d *daemon) clients() string { return d.host + ":18080" }
-func (d *daemon) control() string { return d.host + ":18081" }
-func (d *daemon) gossip() string  { return d.host + ":17946" }
+func (d *daemon) clientAddress() string  { return d.host + ":18080" }
+func (d *daemon) controlAddress() string { return d.host + ":18081" }
+func (d *daemon) gossipAddress() string  { return d.host + ":17946" }
 
-// storedPath returns the path of a file in the daemon's directory. Its name is part of what builds have in common.
-func (d *daemon) storedPath(ending string) string {
-	return filepath.Join(d.directory, "yardwinch-"+strings.ReplaceAll(d.clients(), ":", "_")+ending)
+// storedPath returns the path of a file in the daemon's directory. All builds must use the same file names.
+func (d *daemon) storedPath(extension string) string {
+	return filepath.Join(d.directory, "yardwinch-"+strings.ReplaceAll(d.clientAddress(), ":", "_")+extension)
 }
 
-// newDaemon writes the files of a daemon with one server, or with none. It starts nothing.
+// newDaemon writes the configuration of a daemon with one server, or with none if its address is empty. It does not
+// start the daemon.
 func newDaemon(t *testing.T, server string) *daemon {
 	t.Helper()
 	d := &daemon{t: t, host: uniqueHost(), directory: t.TempDir()}
@@ -84,7 +85,7 @@
 		"known":{"revision":7,"complete":true,"members":[%s]},
 		"settings":{"az":"north","areas":["north"],"family-info":{"message-aim":250000000},"policy-limits":{"max-connects":3,"probes":true,"retry-after":true,"max-retry-after":700000000},
 		"reporting":{"how":"pull","columns":["x0"]},"service-types":[{"name":"live",
-		"effect":"free","group":"all","hard-limit":800000000,"setup-target":300000000}]}}`, d.clients(), d.control(), members))
+		"effect":"free","group":"all","hard-limit":800000000,"setup-target":300000000}]}}`, d.clientAddress(), d.controlAddress(), members))
 	d.write(d.options, fmt.Sprintf("[explain]\nsocket = %q\n", d.socket))
 	return d
 }
@@ -96,18 +97,18 @@
 	}
 }
 
-// start starts the daemon; it is killed with the test, and its log is shown where the test failed.
+// start starts the daemon. At the end of the test it is killed, and its log is printed if the test failed.
 func (d *daemon) start() {
 	d.t.Helper()
-	// The test ends the process itself, in its clean-up, which the context of the test doesn't outlast.
-	d.process = exec.CommandContext(context.WithoutCancel(d.t.Context()), command(d.t, "daemon"), "serve", "--verbose", "--config", d.config, "--options", d.options)
-	d.process.Env = append(environment(d.t), "TMPDIR="+d.directory)
+	// Without cancellation, as the cleanup ends the process, and the context of the test is cancelled before.
+	d.process = exec.CommandContext(context.WithoutCancel(d.t.Context()), commandPath(d.t, "daemon"), "serve", "--verbose", "--config", d.config, "--options", d.options)
+	d.process.Env = append(commandEnvironment(d.t), "TMPDIR="+d.directory)
 	d.process.Stderr = &d.log
 	if err := d.process.Start(); err != nil {
 		d.t.Fatal(err)
 	}
-	d.ended = make(chan string, 1)
-	go func(p *exec.Cmd, ended chan<- string) { ended <- fmt.Sprint(p.Wait()) }(d.process, d.ended)
+	d.exited = make(chan string, 1)
+	go func(p *exec.Cmd, exited chan<- string) { exited <- fmt.Sprint(p.Wait()) }(d.process, d.exited)
 	d.t.Cleanup(func() {
 		d.stop(syscall.SIGKILL)
 		if d.t.Failed() {
@@ -116,46 +117,47 @@
 	})
 }
 
-// stop sends a signal that ends the daemon and waits for it.
+// stop sends a signal that ends the daemon, and waits until it has ended.
 func (d *daemon) stop(s syscall.Signal) {
 	if d.process == nil {
 		return
 	}
-	_ = d.process.Process.Signal(s) // it may have ended
+	_ = d.process.Process.Signal(s) // it may have ended already
 	select {
-	case <-d.ended: // how it ended is not checked: most are killed
+	case <-d.exited: // the result is not checked, as most daemons are killed
 	case <-time.After(hangTimeout):
-		d.t.Error("the daemon does not end")
+		d.t.Error("the daemon did not end in time")
 	}
 	d.process = nil
 }
 
-// waitUntil polls, as nothing shows from outside when a daemon is ready; a daemon that ended fails the test.
-func (d *daemon) waitUntil(what string, isTrue func() bool) {
+// waitUntil polls a condition, as the daemon does not notify others of its state. If the daemon ends, the test fails.
+func (d *daemon) waitUntil(what string, condition func() bool) {
 	d.t.Helper()
 	tick := time.NewTicker(5 * time.Millisecond)
 	defer tick.Stop()
-	for timeout := time.After(hangTimeout); !isTrue(); {
+	for timeout := time.After(hangTimeout); !condition(); {
 		select {
 		case <-tick.C:
-		case end := <-d.ended:
-			d.t.Fatalf("before %s the daemon ended: %s\n%s", what, end, d.log.String())
+		case end := <-d.exited:
+			d.t.Fatalf("waiting until %s: daemon ended: %s\n%s", what, end, d.log.String())
 		case <-timeout:
-			d.t.Fatalf("not within %v: %s", hangTimeout, what)
+			d.t.Fatalf("timed out after %v waiting until %s", hangTimeout, what)
 		}
 	}
 }
 
 func (d *daemon) waitReady() {
 	d.t.Helper()
-	d.waitUntil("it is ready", func() bool { code, _ := d.call("GET", "/control/ready"); return code == http.StatusOK })
+	d.waitUntil("the daemon is ready", func() bool { code, _ := d.call("GET", "/control/ready"); return code == http.StatusOK })
 }
 
-// call makes one operators' call and returns its status code, and status, headers and text as one answer.
+// call makes a control call. It returns the status code, and the status, some headers and the body as one text. If there
+// is no response, the code is 0 and the text is the error.
 func (d *daemon) call(method, path string) (code int, answer string) {
 	client := &http.Client{Timeout: hangTimeout, Transport: &http.Transport{DisableKeepAlives: true},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}
-	request, err := http.NewRequestWithContext(d.t.Context(), method, "http://"+d.control()+path, nil)
+	request, err := http.NewRequestWithContext(d.t.Context(), method, "http://"+d.controlAddress()+path, nil)
 	if err != nil {
 		return 0, err.Error()
 	}
@@ -163,24 +165,25 @@
 	if err != nil {
 		return 0, err.Error()
 	}
-	defer func() { _ = response.Body.Close() }() // it is read to its end
+	defer func() { _ = response.Body.Close() }() // the body has been read
 	text, err := io.ReadAll(response.Body)
 	if err != nil {
 		return 0, err.Error()
 	}
-	head := ""
+	headers := ""
 	for _, name := range []string{"Content-Type", "Allow", "Connection", "Location", "Content-Length"} {
 		if v := response.Header.Get(name); v != "" {
-			head += fmt.Sprintf("  %s: %s\n", name, v)
+			headers += fmt.Sprintf("  %s: %s\n", name, v)
 		}
 	}
-	return response.StatusCode, fmt.Sprintf("%s\n%s  %q\n", response.Status, head, text)
+	return response.StatusCode, fmt.Sprintf("%s\n%s  %q\n", response.Status, headers, text)
 }
 
-// sendLine connects as a client, sends a line and returns the reply; the connection lasts as long as the test.
+// sendLine connects as a client, sends a line and returns the first line of the reply. The connection stays open until
+// the end of the test.
 func (d *daemon) sendLine(line string) (net.Conn, string) {
 	d.t.Helper()
-	conn, err := (&net.Dialer{Timeout: hangTimeout}).DialContext(d.t.Context(), "tcp", d.clients())
+	conn, err := (&net.Dialer{Timeout: hangTimeout}).DialContext(d.t.Context(), "tcp", d.clientAddress())
 	if err != nil {
 		d.t.Fatal(err)
 	}
@@ -196,7 +199,7 @@
 	return conn, answer
 }
 
-// listen opens an address for as long as the test lasts.
+// listen listens on an address until the end of the test.
 func listen(t *testing.T, network, address string) net.Listener {
 	t.Helper()
 	listener, err := (&net.ListenConfig{}).Listen(t.Context(), network, address)
@@ -207,7 +210,8 @@
 	return listener
 }
 
-// startEchoServer starts a server that accepts every connection and reports its load to health checks.
+// startEchoServer starts a server that accepts every flow, echoes its data and reports a load to health checks. It
+// returns the server's address.
 func startEchoServer(t *testing.T) string {
 	t.Helper()
 	listener := listen(t, "tcp", "127.0.0.1:0")
@@ -226,7 +230,7 @@
 }
 
 func serveEcho(conn net.Conn) {
-	defer func() { _ = conn.Close() }() // the client may be gone
+	defer func() { _ = conn.Close() }() // the client may have closed it
 	in := bufio.NewReader(conn)
 	switch line, _ := in.ReadString('\n'); {
 	case strings.HasPrefix(line, "OPEN "):
--- a/internal/compatibility/dayanswers_test.go
+++ b/internal/compatibility/dayanswers_test.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// readReply reads all actions of one reply and applies them.
-func (p *dayRun) readReply(t *testing.T, answers *bufio.Reader) {
+// readReply reads the reply to one batch and applies its actions.
+func (p *scenarioRun) readReply(t *testing.T, replies *bufio.Reader) {
 	t.Helper()
 	for instance := -1; ; {
-		line, err := answers.ReadString('\n')
+		line, err := replies.ReadString('\n')
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -22,7 +22,7 @@
 		case "YIELD":
 			return
 		case "SPEAKING":
-			instance = number(t, f[1])
+			instance = parseNumber(t, f[1])
 		case "FAULT":
 			t.Fatal(line)
 		default:
@@ -31,28 +31,28 @@
 	}
 }
 
-// applyAction does what one action of an instance asks for.
-func (p *dayRun) applyAction(t *testing.T, i int, f []string) {
+// applyAction applies an action of an instance: its line, split into fields.
+func (p *scenarioRun) applyAction(t *testing.T, i int, f []string) {
 	t.Helper()
 	switch f[0] {
 	case "TIMER":
-		mark := f[1]
-		p.schedule(time.Duration(number(t, f[2])), i, func() []string {
-			if !p.alive[i] {
+		timer := f[1]
+		p.schedule(time.Duration(parseNumber(t, f[2])), i, func() []string {
+			if !p.isAlive[i] {
 				return nil
 			}
-			return []string{"WAKE\t" + mark}
+			return []string{"WAKE\t" + timer}
 		})
 	case "TAIL":
 		p.schedule(5*time.Millisecond, i, func() []string {
-			if !p.alive[i] {
+			if !p.isAlive[i] {
 				return nil
 			}
 			if p.random.IntN(4) == 0 {
-				return []string{fmt.Sprintf("UPDATE\tX\t%d\t-", p.stamp)}
+				return []string{fmt.Sprintf("UPDATE\tX\t%d\t-", p.listVersion)}
 			}
-			p.subscribed[i] = true
-			return p.list("F", i, listed(p.servers))
+			p.watchesList[i] = true
+			return p.listLines("F", i, listedServers(p.servers))
 		})
 	case "HEALTH_CHECK":
 		s := p.server(t, f[1])
@@ -64,7 +64,7 @@
 			case "hung":
 				code, stats = "DEADLINE_EXCEEDED", "-"
 			}
-			if !p.alive[i] {
+			if !p.isAlive[i] {
 				return nil
 			}
 			return []string{fmt.Sprintf("HEALTH_RESULT\t%d\t%s\t%d\t%s", s.id, code, 3*time.Millisecond, stats)}
@@ -73,21 +73,21 @@
 		p.startAttempt(t, f)
 	case "SHIFT", "OVERLOAD_REPLY", "DROP_REQUEST":
 		if x := p.flows[f[1]]; x != nil {
-			p.applyAnswer(t, x, f)
+			p.applyDecision(t, x, f)
 		}
 	}
 }
 
-// applyAnswer applies a final answer or a migration to the flow that it is about.
-func (p *dayRun) applyAnswer(t *testing.T, x *dayFlow, f []string) {
+// applyDecision applies a migration, a rejection or an abort to its flow.
+func (p *scenarioRun) applyDecision(t *testing.T, x *simulatedFlow, f []string) {
 	t.Helper()
 	n := x.attempts - 1
-	retry := &dayFlow{instance: x.instance, service: x.service, customer: x.customer, group: x.group}
+	retry := &simulatedFlow{instance: x.instance, service: x.service, customer: x.customer, group: x.group}
 	switch f[0] {
 	case "SHIFT":
 		if x.isEstablished {
 			p.schedule(4*time.Millisecond, x.instance, func() []string { return p.endAttempt(x, n, "OK", true) })
-			p.schedule(20*time.Millisecond, x.instance, func() []string { return p.arrive(retry, 1|16) })
+			p.schedule(20*time.Millisecond, x.instance, func() []string { return p.openFlow(retry, 1|16) })
 		}
 	case "OVERLOAD_REPLY", "DROP_REQUEST":
 		x.isAnswered = true
@@ -95,25 +95,25 @@
 			delete(p.flows, x.id)
 		}
 		if f[0] == "OVERLOAD_REPLY" && p.random.IntN(2) == 0 {
-			p.schedule(time.Duration(number(t, f[2]))+p.spread(200*time.Millisecond), x.instance, func() []string { return p.arrive(retry, 1|2) })
+			p.schedule(time.Duration(parseNumber(t, f[2]))+p.drawDuration(200*time.Millisecond), x.instance, func() []string { return p.openFlow(retry, 1|2) })
 		}
 	}
 }
 
-// startAttempt connects to the server in its present condition, and schedules how the attempt ends.
-func (p *dayRun) startAttempt(t *testing.T, f []string) {
+// startAttempt starts an attempt and schedules its outcome, which depends on the server's condition.
+func (p *scenarioRun) startAttempt(t *testing.T, f []string) {
 	t.Helper()
-	x, s, limit := p.flows[f[1]], p.server(t, f[2]), time.Duration(number(t, f[3]))
+	x, s, limit := p.flows[f[1]], p.server(t, f[2]), time.Duration(parseNumber(t, f[3]))
 	if x == nil || x.server != nil {
-		t.Fatalf("attempt of a flow that has one already, or is unknown: %v", f)
+		t.Fatalf("attempt for an unknown flow, or for one that already has an attempt: %v", f)
 	}
 	n, i := x.attempts, x.instance
 	x.attempts++
-	x.server, x.attemptAt = s, p.now
+	x.server, x.attemptStart = s, p.now
 	s.connections++
-	left := time.Duration(x.deadline - p.now)
-	if limit <= 0 || limit > left {
-		limit = left
+	remaining := time.Duration(x.deadline - p.now)
+	if limit <= 0 || limit > remaining {
+		limit = remaining
 	}
 	took, code := p.drawOutcome(s, limit)
 	if took >= limit {
@@ -126,8 +126,8 @@
 	p.schedule(took, i, func() []string { return p.endAttempt(x, n, code, false) })
 }
 
-// drawOutcome draws how an attempt at a server in its present condition ends and when; an empty code is established.
-func (p *dayRun) drawOutcome(s *dayServer, limit time.Duration) (took time.Duration, code string) {
+// drawOutcome draws the outcome of an attempt and how long it takes. The code is empty if the flow is established.
+func (p *scenarioRun) drawOutcome(s *simulatedServer, limit time.Duration) (took time.Duration, code string) {
 	load := p.load(s)
 	switch {
 	case s.condition == "down":
@@ -141,26 +141,26 @@
 	case s.condition == "errors" && p.random.IntN(2) == 0:
 		return 3 * time.Millisecond, "INTERNAL"
 	}
-	return 2*time.Millisecond + p.spread(time.Duration(float64(6*time.Millisecond)*(1+4*load))), ""
+	return 2*time.Millisecond + p.drawDuration(time.Duration(float64(6*time.Millisecond)*(1+4*load))), ""
 }
 
-// establish reports that an attempt is established, and schedules its samples and its end.
-func (p *dayRun) establish(x *dayFlow, n int) []string {
+// establish reports that a flow is established, and schedules its samples and its end.
+func (p *scenarioRun) establish(x *simulatedFlow, n int) []string {
 	if p.flows[x.id] != x || x.server == nil || x.isAnswered || n != x.attempts-1 {
 		return nil
 	}
 	x.isEstablished = true
-	p.schedule(p.spread(p.day.stay), x.instance, func() []string { return p.endAttempt(x, n, "OK", true) })
-	p.schedule(p.spread(2*time.Second), x.instance, func() []string { return p.sample(x, n) })
-	return []string{fmt.Sprintf("FIRST\t%s\t%d\t%d\t%d", x.id, n, x.server.id, p.now-x.attemptAt)}
+	p.schedule(p.drawDuration(p.scenario.meanFlowDuration), x.instance, func() []string { return p.endAttempt(x, n, "OK", true) })
+	p.schedule(p.drawDuration(2*time.Second), x.instance, func() []string { return p.sample(x, n) })
+	return []string{fmt.Sprintf("FIRST\t%s\t%d\t%d\t%d", x.id, n, x.server.id, p.now-x.attemptStart)}
 }
 
-// sample reports a load of an established flow, or a latency where its server is overloaded.
-func (p *dayRun) sample(x *dayFlow, n int) []string {
+// sample reports a load sample of an established flow, or a latency sample if its server is overloaded.
+func (p *scenarioRun) sample(x *simulatedFlow, n int) []string {
 	if p.flows[x.id] != x || x.server == nil || n != x.attempts-1 {
 		return nil
 	}
-	p.schedule(time.Second+p.spread(2*time.Second), x.instance, func() []string { return p.sample(x, n) })
+	p.schedule(time.Second+p.drawDuration(2*time.Second), x.instance, func() []string { return p.sample(x, n) })
 	if load := p.load(x.server); load > 0.9 {
 		return []string{fmt.Sprintf("CHANGE\t%s\t%d\t%d\t2\t%.1f", x.id, n, x.server.id, 300*load+float64(p.random.IntN(200)))}
 	}
--- a/internal/compatibility/dayrun_test.go
+++ b/internal/compatibility/dayrun_test.go
@@ -15,25 +15,25 @@
 	"time"
 )
 
-// dayRun is a day that is being played. It is no simulator: it only has to produce every kind of event in a plausible
-// order.
-type dayRun struct {
-	day        day
-	random     *rand.Rand
-	now        int64
-	due        queue
-	serial     int
-	servers    []*dayServer
-	flows      map[string]*dayFlow
-	alive      []bool
-	subscribed []bool // instances that watch the endpoint list
-	stamp      int
-	ids        int
+// scenarioRun is the state of a scenario while it is recorded. It does not simulate traffic realistically: it only has
+// to produce every kind of event in a plausible order.
+type scenarioRun struct {
+	scenario    scenario
+	random      *rand.Rand
+	now         int64
+	events      eventQueue
+	eventCount  int
+	servers     []*simulatedServer
+	flows       map[string]*simulatedFlow
+	isAlive     []bool
+	watchesList []bool // by instance: it watches the endpoint list
+	listVersion int
+	flowCount   int
 
 	input, output strings.Builder
 }
 
-type dayServer struct {
+type simulatedServer struct {
 	id          int
 	zone        string
 	cell        int
@@ -44,13 +44,13 @@
 	connections int
 }
 
-type dayFlow struct {
+type simulatedFlow struct {
 	id            string
 	instance      int
 	service       string
 	attempts      int
-	server        *dayServer
-	attemptAt     int64
+	server        *simulatedServer
+	attemptStart  int64
 	isEstablished bool
 	isAnswered    bool
 	deadline      int64
@@ -58,98 +58,98 @@
 	group         string
 }
 
-// scheduledEvent is due at a time; do returns the lines of its events.
+// scheduledEvent is due at a time; run returns the lines of its events.
 type scheduledEvent struct {
-	at       int64
+	time     int64
 	serial   int
 	instance int
-	do       func() []string
+	run      func() []string
 }
 
-type queue []*scheduledEvent
+type eventQueue []*scheduledEvent
 
-func (q queue) Len() int { return len(q) }
-func (q queue) Less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].serial < q[j].serial
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(i, j int) bool {
+	return q[i].time < q[j].time || q[i].time == q[j].time && q[i].serial < q[j].serial
 }
-func (q queue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *queue) Push(x any)   { *q = append(*q, x.(*scheduledEvent)) }
-func (q *queue) Pop() any {
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(x any)   { *q = append(*q, x.(*scheduledEvent)) }
+func (q *eventQueue) Pop() any {
 	last := (*q)[len(*q)-1]
 	*q = (*q)[:len(*q)-1]
 	return last
 }
 
 const (
-	dayStart = int64(8412250000) // nanoseconds, as all times of a run
-	step     = int64(2 * time.Millisecond)
+	scenarioStart = int64(8412250000) // nanoseconds, like all times of a run
+	clockStep     = int64(2 * time.Millisecond)
 )
 
-func (p *dayRun) schedule(after time.Duration, instance int, do func() []string) {
-	p.serial++
-	heap.Push(&p.due, &scheduledEvent{p.now + int64(after), p.serial, instance, do})
+func (p *scenarioRun) schedule(after time.Duration, instance int, run func() []string) {
+	p.eventCount++
+	heap.Push(&p.events, &scheduledEvent{p.now + int64(after), p.eventCount, instance, run})
 }
 
-// play plays a day against the command and returns the command's input and output.
-func (d day) play(t *testing.T) (input, output string) {
+// record runs a scenario with the wirehost command and returns the command's input and output.
+func (s scenario) record(t *testing.T) (input, output string) {
 	t.Helper()
-	c := exec.CommandContext(t.Context(), command(t, "wirehost"))
-	to, err := c.StdinPipe()
+	c := exec.CommandContext(t.Context(), commandPath(t, "wirehost"))
+	stdin, err := c.StdinPipe()
 	if err != nil {
 		t.Fatal(err)
 	}
-	from, err := c.StdoutPipe()
+	stdout, err := c.StdoutPipe()
 	if err != nil {
 		t.Fatal(err)
 	}
 	if err := c.Start(); err != nil {
 		t.Fatal(err)
 	}
-	p := &dayRun{day: d, random: rand.New(rand.NewPCG(uint64(len(d.name)), uint64(d.servers))), now: dayStart, flows: map[string]*dayFlow{}}
-	p.alive, p.subscribed = make([]bool, d.instances), make([]bool, d.instances)
+	p := &scenarioRun{scenario: s, random: rand.New(rand.NewPCG(uint64(len(s.name)), uint64(s.servers))), now: scenarioStart, flows: map[string]*simulatedFlow{}}
+	p.isAlive, p.watchesList = make([]bool, s.instances), make([]bool, s.instances)
 	p.scheduleAll()
-	answers := bufio.NewReader(from)
-	for end := dayStart + int64(d.seconds)*int64(time.Second); p.now < end && len(p.due) > 0; {
-		batch := p.batch()
+	replies := bufio.NewReader(stdout)
+	for end := scenarioStart + int64(s.seconds)*int64(time.Second); p.now < end && len(p.events) > 0; {
+		batch := p.nextBatch()
 		p.input.WriteString(batch)
-		if _, err := io.WriteString(to, batch); err != nil {
+		if _, err := io.WriteString(stdin, batch); err != nil {
 			t.Fatal(err)
 		}
-		p.readReply(t, answers)
+		p.readReply(t, replies)
 	}
-	_ = to.Close()
+	_ = stdin.Close()
 	if err := c.Wait(); err != nil {
 		t.Fatal(err)
 	}
 	return p.input.String(), p.output.String()
 }
 
-func (p *dayRun) scheduleAll() {
-	for i := range p.day.servers {
-		p.servers = append(p.servers, &dayServer{id: 1000 + 7919*(i*37%p.day.servers), zone: zones[i%len(zones)], cell: i / 3, size: []float64{1, 1.5, 0.75}[i/2%3], readiness: "IN", condition: "well"})
+func (p *scenarioRun) scheduleAll() {
+	for i := range p.scenario.servers {
+		p.servers = append(p.servers, &simulatedServer{id: 1000 + 7919*(i*37%p.scenario.servers), zone: zones[i%len(zones)], cell: i / 3, size: []float64{1, 1.5, 0.75}[i/2%3], readiness: "IN", condition: "well"})
 	}
-	for i := range p.day.instances {
+	for i := range p.scenario.instances {
 		p.schedule(time.Duration(i)*time.Second/4, i, func() []string { return p.spawn(i) })
-		p.schedule(time.Duration(i+1)*time.Second/4, i, func() []string { return p.arrival(i) })
+		p.schedule(time.Duration(i+1)*time.Second/4, i, func() []string { return p.nextArrival(i) })
 	}
-	for _, x := range p.day.faults {
-		p.schedule(time.Duration(x.at*float64(time.Second)), x.target%p.day.instances, func() []string { return p.applyFault(x) })
+	for _, x := range p.scenario.faults {
+		p.schedule(time.Duration(x.at*float64(time.Second)), x.target%p.scenario.instances, func() []string { return p.applyFault(x) })
 	}
 }
 
-func (p *dayRun) spawn(i int) []string {
-	p.alive[i], p.subscribed[i] = true, false
-	lines := []string{"SPAWN\t" + strconv.FormatInt(p.random.Int64(), 10) + "\t" + strings.Join(spawnSettings(p.day, i), "\t")}
-	return append(lines, p.list("C", i, p.servers)...)
+func (p *scenarioRun) spawn(i int) []string {
+	p.isAlive[i], p.watchesList[i] = true, false
+	lines := []string{"SPAWN\t" + strconv.FormatInt(p.random.Int64(), 10) + "\t" + strings.Join(spawnSettings(p.scenario, i), "\t")}
+	return append(lines, p.listLines("C", i, p.servers)...)
 }
 
-// list returns the lines of a numbered list and of the update that refers to it.
-func (p *dayRun) list(kind string, i int, of []*dayServer) []string {
-	p.stamp++
-	lines := []string{fmt.Sprintf("DIRECTORY\t%d\t%d", i%16, len(of))}
-	for _, s := range of {
+// listLines returns the lines of an endpoint list, and the line of the update that refers to the list by its number.
+func (p *scenarioRun) listLines(kind string, i int, servers []*simulatedServer) []string {
+	p.listVersion++
+	lines := []string{fmt.Sprintf("DIRECTORY\t%d\t%d", i%16, len(servers))}
+	for _, s := range servers {
 		size := strconv.FormatFloat(s.size, 'g', -1, 64)
-		if p.day.settings["weights"] == "silent" {
+		if p.scenario.settings["weights"] == "silent" {
 			size = "1"
 		}
 		since := "-"
@@ -158,28 +158,28 @@
 		}
 		lines = append(lines, fmt.Sprintf("SERVER\t%s\t%s\t%d\t%s\tlarge\t%d\t%s", size, s.zone, s.id, s.readiness, s.cell, since))
 	}
-	return append(lines, fmt.Sprintf("UPDATE\t%s\t%d\t%d", kind, p.stamp, i%16))
+	return append(lines, fmt.Sprintf("UPDATE\t%s\t%d\t%d", kind, p.listVersion, i%16))
 }
 
-// announce schedules an update about a server for all instances that watch the list.
-func (p *dayRun) announce(s *dayServer) {
-	for i := range p.day.instances {
+// announce schedules an update with a server's current state for all instances that watch the endpoint list.
+func (p *scenarioRun) announce(s *simulatedServer) {
+	for i := range p.scenario.instances {
 		p.schedule(time.Duration(20+10*i)*time.Millisecond, i, func() []string {
-			if !p.alive[i] || p.day.settings["discovery"] == "ask" && !p.subscribed[i] {
+			if !p.isAlive[i] || p.scenario.settings["discovery"] == "ask" && !p.watchesList[i] {
 				return nil
 			}
-			return p.list("D", i, []*dayServer{s})
+			return p.listLines("D", i, []*simulatedServer{s})
 		})
 	}
 }
 
-func (p *dayRun) applyFault(x fault) []string {
+func (p *scenarioRun) applyFault(x fault) []string {
 	s := p.servers[x.target%len(p.servers)]
 	switch x.kind {
 	case "drain":
 		s.readiness = "LAME"
 		p.announce(s)
-	case "restart": // it leaves the list first and returns later; its connections break
+	case "restart": // the server leaves the list and returns after a second; its connections break
 		s.readiness, s.condition = "OUT", "down"
 		p.announce(s)
 		p.breakConnections(s)
@@ -197,29 +197,30 @@
 		for _, s := range p.servers {
 			s.condition = strings.TrimPrefix(x.kind, "all-")
 		}
-	case "deaf": // the watch is lost
-		i := x.target % p.day.instances
-		if p.alive[i] {
-			p.subscribed[i] = false
-			return []string{fmt.Sprintf("UPDATE\tX\t%d\t-", p.stamp)}
+	case "deaf": // the instance loses its watch of the endpoint list
+		i := x.target % p.scenario.instances
+		if p.isAlive[i] {
+			p.watchesList[i] = false
+			return []string{fmt.Sprintf("UPDATE\tX\t%d\t-", p.listVersion)}
 		}
 	case "kill":
-		return p.kill(x.target % p.day.instances)
+		return p.kill(x.target % p.scenario.instances)
 	default:
 		s.condition = x.kind
 	}
 	return nil
 }
 
-// batch returns one batch with all events that are due; the clock goes on in steps of the site's period.
-func (p *dayRun) batch() string {
-	p.now = max(p.now+step, p.due[0].at)
+// nextBatch advances the clock to the next event, by one period of the settings at least, and returns a batch of all
+// events that are due.
+func (p *scenarioRun) nextBatch() string {
+	p.now = max(p.now+clockStep, p.events[0].time)
 	var b strings.Builder
 	fmt.Fprintf(&b, "BEGIN_BATCH\t%d\n", p.now)
 	lastInstance := -1
-	for len(p.due) > 0 && p.due[0].at <= p.now {
-		x := heap.Pop(&p.due).(*scheduledEvent)
-		lines := x.do()
+	for len(p.events) > 0 && p.events[0].time <= p.now {
+		x := heap.Pop(&p.events).(*scheduledEvent)
+		lines := x.run()
 		if len(lines) == 0 {
 			continue
 		}
@@ -235,20 +236,20 @@
 	return b.String()
 }
 
-func (p *dayRun) server(t *testing.T, id string) *dayServer {
+func (p *scenarioRun) server(t *testing.T, id string) *simulatedServer {
 	t.Helper()
 	for _, s := range p.servers {
 		if strconv.Itoa(s.id) == id {
 			return s
 		}
 	}
-	t.Fatalf("no server %s", id)
+	t.Fatalf("unknown server %s", id)
 	return nil
 }
 
-// listed returns the servers that a full list names.
-func listed(of []*dayServer) (present []*dayServer) {
-	for _, s := range of {
+// listedServers returns the servers that are in a full endpoint list.
+func listedServers(servers []*simulatedServer) (present []*simulatedServer) {
+	for _, s := range servers {
 		if s.readiness != "OUT" {
 			present = append(present, s)
 		}
@@ -256,7 +257,7 @@
 	return present
 }
 
-func number(t *testing.T, s string) int {
+func parseNumber(t *testing.T, s string) int {
 	t.Helper()
 	n, err := strconv.Atoi(s)
 	if err != nil {
@@ -272,6 +273,6 @@
 	return 0
 }
 
-func sorted(of []string) []string { return slices.Sorted(slices.Values(of)) }
+func sorted(values []string) []string { return slices.Sorted(slices.Values(values)) }
 
-func sortedKeys[V any](of map[string]V) []string { return slices.Sorted(maps.Keys(of)) }
+func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
--- a/internal/compatibility/days_test.go
+++ b/internal/compatibility/days_test.go
@@ -7,23 +7,23 @@
 	"time"
 )
 
-// day describes a site and the faults that happen to it. The figures are chosen so that each shape of a site comes
-// up once.
-type day struct {
-	name      string
-	seconds   int
-	instances int
-	servers   int
-	flows     float64       // new flows a second and instance
-	stay      time.Duration // mean duration of a flow
-	capacity  int           // flows that a server of size 1 serves in time; it accepts twice as many
-	settings  map[string]string
-	faults    []fault
+// scenario describes a cluster, its load and its faults. The values are chosen so that each kind of configuration is
+// recorded once.
+type scenario struct {
+	name             string
+	seconds          int
+	instances        int
+	servers          int
+	flowRate         float64 // new flows per second and instance
+	meanFlowDuration time.Duration
+	capacity         int // flows that a server of size 1 serves without delay; it accepts twice as many
+	settings         map[string]string
+	faults           []fault
 }
 
-// fault happens to a server, or to an instance, at a time.
+// fault is a scheduled change of one server, of an instance or, if its kind begins with all-, of all servers.
 type fault struct {
-	at     float64 // seconds
+	at     float64 // seconds after the start
 	kind   string
 	target int // index of the server or instance
 }
@@ -34,67 +34,68 @@
 	quotas          = map[string]string{"beyond-share-value": "0.2"}
 )
 
-func mergeSettings(of ...map[string]string) map[string]string {
-	all := map[string]string{}
-	for _, m := range of {
+func mergeSettings(parts ...map[string]string) map[string]string {
+	merged := map[string]string{}
+	for _, m := range parts {
 		for k, v := range m {
-			all[k] = v
+			merged[k] = v
 		}
 	}
-	return all
+	return merged
 }
 
-// serviceTypes returns the settings of one service type for each pair of an effect and a deduplication scope.
-func serviceTypes(of ...string) map[string]string {
-	m := map[string]string{"service-types.count": strconv.Itoa(len(of))}
-	for i, x := range of {
+// serviceTypes returns the settings of one service type for each "EFFECT SCOPE", an effect and a deduplication scope.
+func serviceTypes(specs ...string) map[string]string {
+	m := map[string]string{"service-types.count": strconv.Itoa(len(specs))}
+	for i, x := range specs {
 		effect, group, _ := strings.Cut(x, " ")
-		at := fmt.Sprintf("service-types.%d.", i)
+		prefix := fmt.Sprintf("service-types.%d.", i)
 		for k, v := range map[string]string{"effect": effect, "group": group, "hard-limit": "1800000000", "late-value": "0.0", "name": "type-" + strconv.Itoa(i),
 			"setup-target": "300000000", "stream": "true", "value": strconv.Itoa(i+1) + ".0", "window": "1200000000"} {
-			m[at+k] = v
+			m[prefix+k] = v
 		}
 	}
 	return m
 }
 
-var days = []day{
-	{name: "push-silent", seconds: 40, instances: 1, servers: 8, flows: 6, stay: 9 * time.Second, capacity: 12,
+var scenarios = []scenario{
+	{name: "push-silent", seconds: 40, instances: 1, servers: 8, flowRate: 6, meanFlowDuration: 9 * time.Second, capacity: 12,
 		faults: []fault{{5, "drain", 0}, {9, "restart", 0}, {12, "down", 1}, {20, "up", 1}, {24, "slow", 2}, {32, "well", 2}}},
-	{name: "ask-probes", seconds: 40, instances: 2, servers: 9, flows: 4, stay: 8 * time.Second, capacity: 12, settings: mergeSettings(polledDiscovery, healthChecks),
+	{name: "ask-probes", seconds: 40, instances: 2, servers: 9, flowRate: 4, meanFlowDuration: 8 * time.Second, capacity: 12, settings: mergeSettings(polledDiscovery, healthChecks),
 		faults: []fault{{4, "slow", 0}, {11, "well", 0}, {13, "deaf", 0}, {14, "drain", 3}, {19, "restart", 3}, {22, "hung", 4}, {30, "well", 4}}},
-	{name: "effects", seconds: 40, instances: 1, servers: 9, flows: 6, stay: 6 * time.Second, capacity: 14,
+	{name: "effects", seconds: 40, instances: 1, servers: 9, flowRate: 6, meanFlowDuration: 6 * time.Second, capacity: 14,
 		settings: mergeSettings(serviceTypes("free all", "guarded all", "guarded zone", "guarded cell", "single_shot all")),
 		faults: []fault{{3, "resets", 0}, {3, "errors", 1}, {4, "resets", 4}, {5, "errors", 5}, {6, "full", 6}, {8, "hung", 2}, {12, "down", 3},
 			{18, "well", 0}, {22, "well", 1}, {24, "well", 2}, {28, "up", 3}, {30, "all-errors", 0}, {31, "all-resets", 0}, {32, "all-full", 0}, {33, "all-well", 0}}},
-	{name: "quotas", seconds: 30, instances: 2, servers: 6, flows: 9, stay: 9 * time.Second, capacity: 12,
+	{name: "quotas", seconds: 30, instances: 2, servers: 6, flowRate: 9, meanFlowDuration: 9 * time.Second, capacity: 12,
 		settings: mergeSettings(quotas, healthChecks, map[string]string{"family-info.tenant-quota-connections": "20.0,12.0,5.0,3.0"}),
 		faults:   []fault{{6, "drain", 1}, {10, "restart", 1}, {15, "down", 2}, {16, "drain", 3}, {19, "restart", 2}, {22, "restart", 3}}},
-	{name: "overload", seconds: 30, instances: 2, servers: 4, flows: 18, stay: 8 * time.Second, capacity: 10,
+	{name: "overload", seconds: 30, instances: 2, servers: 4, flowRate: 18, meanFlowDuration: 8 * time.Second, capacity: 10,
 		faults: []fault{{8, "slow", 0}, {12, "down", 1}, {14, "restart", 1}, {17, "full", 3}, {19, "well", 3}, {20, "hung", 2}, {24, "well", 2}}},
-	{name: "overload-quotas-probes", seconds: 24, instances: 1, servers: 4, flows: 24, stay: 8 * time.Second, capacity: 14, settings: mergeSettings(quotas, healthChecks, polledDiscovery),
+	{name: "overload-quotas-probes", seconds: 24, instances: 1, servers: 4, flowRate: 24, meanFlowDuration: 8 * time.Second, capacity: 14, settings: mergeSettings(quotas, healthChecks, polledDiscovery),
 		faults: []fault{{6, "down", 1}, {9, "restart", 1}, {12, "all-hung", 0}, {16, "all-well", 0}}},
-	{name: "long-list", seconds: 24, instances: 1, servers: 160, flows: 22, stay: 9 * time.Second, capacity: 3,
+	{name: "long-list", seconds: 24, instances: 1, servers: 160, flowRate: 22, meanFlowDuration: 9 * time.Second, capacity: 3,
 		settings: map[string]string{"weights": "silent"},
 		faults:   []fault{{4, "down", 3}, {5, "down", 4}, {6, "drain", 5}, {8, "drain", 6}, {10, "restart", 5}, {12, "slow", 7}, {14, "slow", 8}, {18, "restart", 3}}},
-	{name: "several-instances", seconds: 24, instances: 6, servers: 10, flows: 2.5, stay: 7 * time.Second, capacity: 14,
+	{name: "several-instances", seconds: 24, instances: 6, servers: 10, flowRate: 2.5, meanFlowDuration: 7 * time.Second, capacity: 14,
 		settings: mergeSettings(healthChecks, map[string]string{"weights": "live", "family-info.mode": "pass", "policy-limits.retry-after": "false"}),
 		faults:   []fault{{6, "kill", 1}, {9, "drain", 2}, {11, "full", 5}, {14, "well", 5}, {12, "kill", 3}, {13, "restart", 2}, {15, "down", 4}, {20, "up", 4}}},
 }
 
-// spawnSettings returns the example settings, overridden by those of the day and the instance.
-func spawnSettings(d day, instance int) []string {
-	m := map[string]string{"ordinal": strconv.Itoa(instance), "peers-total": strconv.Itoa(max(d.instances, 3)), "az": zones[instance%len(zones)]}
+// spawnSettings returns the settings with which an instance starts, sorted: the example settings, overridden by those of
+// the instance and these by those of the scenario.
+func spawnSettings(s scenario, instance int) []string {
+	m := map[string]string{"ordinal": strconv.Itoa(instance), "peers-total": strconv.Itoa(max(s.instances, 3)), "az": zones[instance%len(zones)]}
 	var keys []string
-	for p := range strings.FieldsSeq(exampleSettings) {
-		k, v, _ := strings.Cut(p, "=")
+	for pair := range strings.FieldsSeq(exampleSettings) {
+		k, v, _ := strings.Cut(pair, "=")
 		keys = append(keys, k)
-		if _, there := m[k]; !there {
+		if _, isSet := m[k]; !isSet {
 			m[k] = v
 		}
 	}
-	for k, v := range d.settings {
-		if _, there := m[k]; !there {
+	for k, v := range s.settings {
+		if _, isSet := m[k]; !isSet {
 			keys = append(keys, k)
 		}
 		m[k] = v
--- a/internal/compatibility/gossip_test.go
+++ b/internal/compatibility/gossip_test.go
@@ -14,7 +14,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Kinds of frames between a balancer and its gossip engine, as numbers that both must know.
+// Kinds of frames between a balancer and its gossip engine. The numbers are part of the protocol.
 const (
 	frameStart = iota + 1
 	framePublish
@@ -26,27 +26,29 @@
 	frameMembers
 )
 
-// Members exchange their full state every 10 s, first after a random part of that: two rounds and some slack.
+// fullStateTimeout allows for two exchanges of the full state, which members make every 10 s and first after a random
+// part of that, and for a margin.
 const fullStateTimeout = 25 * time.Second
 
-const heartbeatInterval = 200 * time.Millisecond // an engine whose balancer says nothing for a second falls silent
+const heartbeatInterval = 200 * time.Millisecond // an engine without a frame from its balancer for a second stops sending
 
-// gossipEngine is an engine's process that the test drives in place of a balancer.
+// gossipEngine is a gossip engine's process, with the test in place of its balancer.
 type gossipEngine struct {
 	t          *testing.T
 	process    *exec.Cmd
-	toEngine   chan []any // to the engine
-	fromEngine chan []any // from it
-	unmatched  [][]any    // received, and not yet waited for: frames come in no fixed order
+	toEngine   chan []any
+	fromEngine chan []any
+	unmatched  [][]any // frames that no wait has matched yet, as they arrive in no fixed order
 	log        logBuffer
 }
 
-// startGossipEngine starts an engine as a member of the label prod.
+// startGossipEngine starts an engine as a member of the fleet with the label prod.
 func startGossipEngine(t *testing.T, name, bind string, seeds ...any) *gossipEngine {
 	t.Helper()
 	g := &gossipEngine{t: t, toEngine: make(chan []any), fromEngine: make(chan []any, 1000)}
-	// The clean-up ends the engine by a frame and checks how it ended, after the context of the test has.
-	g.process = exec.CommandContext(context.WithoutCancel(t.Context()), command(t, "gossip"))
+	// Without cancellation, as the cleanup ends the engine with a frame and checks its exit status, and the context of the
+	// test is cancelled before.
+	g.process = exec.CommandContext(context.WithoutCancel(t.Context()), commandPath(t, "gossip"))
 	g.process.Stderr = &g.log
 	in, err := g.process.StdinPipe()
 	if err != nil {
@@ -73,7 +75,7 @@
 		<-writerDone
 		<-readerDone
 		if err := g.process.Wait(); err != nil {
-			t.Errorf("the engine ended with %v", err)
+			t.Errorf("gossip engine failed: %v", err)
 		}
 		if t.Failed() {
 			t.Log(g.log.String())
@@ -82,8 +84,8 @@
 	return g
 }
 
-// writeFrames sends the engine its start, heartbeats and what comes on toEngine, and last a leave. Errors are dropped:
-// an engine that has ended is noticed by the test that waits for a frame of it.
+// writeFrames sends the engine the start frame, then heartbeats and the frames from toEngine, and a leave frame at the
+// end. It ignores errors: if the engine has ended, the test times out waiting for a frame.
 func (g *gossipEngine) writeFrames(in io.WriteCloser, start []any, stop <-chan struct{}) {
 	defer func() { _ = in.Close() }()
 	encoder := cbor.NewEncoder(in)
@@ -103,7 +105,7 @@
 	}
 }
 
-// readFrames receives the engine's frames until it ends.
+// readFrames receives the engine's frames until the engine ends.
 func (g *gossipEngine) readFrames(out io.Reader, stop <-chan struct{}) {
 	decoder := cbor.NewDecoder(out)
 	for {
@@ -118,7 +120,7 @@
 	}
 }
 
-// awaitFrame waits for a frame that is wanted, and keeps the others for later waits.
+// awaitFrame waits for a wanted frame, and keeps other frames for later calls.
 func (g *gossipEngine) awaitFrame(what string, isWanted func(f []any) bool) []any {
 	g.t.Helper()
 	if i := slices.IndexFunc(g.unmatched, isWanted); i >= 0 {
@@ -134,19 +136,19 @@
 			}
 			g.unmatched = append(g.unmatched, f)
 		case <-timeout:
-			g.t.Fatalf("not within %v: %s", fullStateTimeout, what)
+			g.t.Fatalf("timed out after %v waiting until %s", fullStateTimeout, what)
 		}
 	}
 }
 
-// isAliveMember returns a check whether a frame lists a member as alive.
+// isAliveMember returns a function that reports whether a frame lists a member as alive.
 func isAliveMember(name string) func(f []any) bool {
 	return func(f []any) bool {
 		if f[0] != uint64(frameMembers) {
 			return false
 		}
-		all, _ := f[1].([]any)
-		for _, x := range all {
+		members, _ := f[1].([]any)
+		for _, x := range members {
 			if m, _ := x.([]any); len(m) == 4 && m[0] == name && m[2] == "alive" {
 				return true
 			}
@@ -155,7 +157,7 @@
 	}
 }
 
-// isMessage returns a check whether a frame has a kind and a message.
+// isMessage returns a function that reports whether a frame has the kind and the message.
 func isMessage(kind uint64, message string) func(f []any) bool {
 	return func(f []any) bool {
 		if f[0] != kind {
@@ -166,33 +168,34 @@
 	}
 }
 
-// A balancer of an earlier build may run beside this build's engine, and engines of both builds exchange gossip.
+// A balancer of an earlier build may run with this build's engine, and engines of both builds exchange gossip. So the
+// frames must stay the same.
 func TestGossipFrames(t *testing.T) {
 	t.Parallel()
-	atA, atB := uniqueHost()+":17946", uniqueHost()+":17946"
-	a := startGossipEngine(t, "a", atA)
+	addressA, addressB := uniqueHost()+":17946", uniqueHost()+":17946"
+	a := startGossipEngine(t, "a", addressA)
 	a.toEngine <- []any{framePublishFullState, []byte("all of a")}
 	a.awaitFrame("a sees itself", isAliveMember("a"))
-	b := startGossipEngine(t, "b", atB, atA)
+	b := startGossipEngine(t, "b", addressB, addressA)
 	b.awaitFrame("b sees a", isAliveMember("a"))
-	b.awaitFrame("b is told all of a", isMessage(frameReceivedFullState, "all of a"))
+	b.awaitFrame("b receives the full state of a", isMessage(frameReceivedFullState, "all of a"))
 	a.awaitFrame("a sees b", isAliveMember("b"))
 	a.toEngine <- []any{framePublish, "a", []byte("news")}
-	b.awaitFrame("b hears a", isMessage(frameReceived, "news"))
+	b.awaitFrame("b receives the message of a", isMessage(frameReceived, "news"))
 	f := a.awaitFrame("a sees b", isAliveMember("b"))
-	var shown strings.Builder
+	var types strings.Builder
 	for _, x := range f[1].([]any) {
 		for _, field := range x.([]any) {
-			fmt.Fprintf(&shown, "%T ", field)
+			fmt.Fprintf(&types, "%T ", field)
 		}
-		fmt.Fprintln(&shown)
+		fmt.Fprintln(&types)
 	}
-	golden(t, "gossip/members.txt", shown.String())
+	compareGolden(t, "gossip/members.txt", types.String())
 }
 
-// A malformed first frame ends the engine with an error.
+// The engine fails with an error if the first frame is malformed.
 func TestGossipMalformedStart(t *testing.T) {
-	var all strings.Builder
+	var output strings.Builder
 	for _, c := range []struct {
 		name  string
 		frame []any
@@ -206,21 +209,21 @@
 			t.Fatal(err)
 		}
 		r := runCommand(t, "gossip", "", string(text))
-		fmt.Fprintf(&all, "== %s: exit code %d\n%s%s", c.name, r.code, r.out, unnamed("gossip", r.err))
+		fmt.Fprintf(&output, "== %s: exit code %d\n%s%s", c.name, r.exitCode, r.stdout, replaceCommandName("gossip", r.stderr))
 	}
 	r := runCommand(t, "gossip", "", "")
-	fmt.Fprintf(&all, "== nothing: exit code %d\n%s%s", r.code, r.out, r.err)
-	golden(t, "gossip/by-hand.txt", all.String())
+	fmt.Fprintf(&output, "== nothing: exit code %d\n%s%s", r.exitCode, r.stdout, r.stderr)
+	compareGolden(t, "gossip/by-hand.txt", output.String())
 }
 
-// A daemon shows the records that an earlier build publishes, and its own have the same keys.
+// A daemon shows the records that an earlier build publishes, and the records that it publishes itself have the same keys.
 func TestDaemonAmongEarlierBuilds(t *testing.T) {
 	t.Parallel()
 	d := newDaemon(t, startEchoServer(t))
-	d.allOptions()
-	at := net.JoinHostPort(uniqueHost(), "17946")
-	other := startGossipEngine(t, "north-1", at)
-	d.write(d.options, strings.Replace(readFile(t, d.options), "127.0.0.5:7946", at, 1))
+	d.useAllOptions()
+	otherAddress := net.JoinHostPort(uniqueHost(), "17946")
+	other := startGossipEngine(t, "north-1", otherAddress)
+	d.write(d.options, strings.Replace(readFile(t, d.options), "127.0.0.5:7946", otherAddress, 1))
 	record, err := cbor.Marshal(map[int]any{0: 1, 1: 1, 2: "north-1", 3: uint64(1796282120637), 4: 17, 5: "recorded", 6: "told", 7: 123,
 		8: [][]int64{{3826002220, 1, 12, 40}}, 9: [][]int64{{3826002220, 412, 3, 20}}, 77: "of a later build"})
 	if err != nil {
@@ -230,9 +233,9 @@
 	d.waitReady()
 	other.awaitFrame("the daemon is a member", isAliveMember("north-3"))
 	other.toEngine <- []any{framePublish, "north-1", record}
-	d.waitUntil("the record is shown", func() bool {
+	d.waitUntil("the members command shows the record", func() bool {
 		r := runCommand(t, "daemon", "", "", "members", "--socket", d.socket)
-		for line := range strings.Lines(r.out) {
+		for line := range strings.Lines(r.stdout) {
 			f := strings.Fields(line)
 			if len(f) == 11 && f[0] == "north-1" && f[1] == "alive" && f[7] == "recorded" && f[8] == "told" && f[9] == "12.3" && f[10] == "1" {
 				return true
@@ -241,14 +244,14 @@
 		return false
 	})
 	var published map[int]any
-	other.awaitFrame("the daemon says something of its own", func(f []any) bool { // it passes on what it hears, too
+	other.awaitFrame("the daemon publishes its own record", func(f []any) bool { // it also relays records of others
 		b, _ := f[len(f)-1].([]byte)
 		published = nil
 		return f[0] == uint64(frameReceived) && cbor.Unmarshal(b, &published) == nil && published[2] == "north-3"
 	})
 	for key, want := range map[int]string{0: "uint64", 1: "uint64", 2: "string", 3: "uint64", 4: "uint64", 5: "string", 6: "string", 7: "uint64", 8: "[]interface {}"} {
 		if got := fmt.Sprintf("%T", published[key]); got != want {
-			t.Errorf("key %d has a %s, want a %s", key, got, want)
+			t.Errorf("key %d has type %s, want %s", key, got, want)
 		}
 	}
 }
--- a/internal/compatibility/handover_test.go
+++ b/internal/compatibility/handover_test.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// An earlier build that was killed saved the disabled servers: this build reads the file, and writes the same bytes
-// under the same name.
+// This build reads the file in which an earlier build saved the disabled servers before it was killed, and writes the
+// same bytes to a file of the same name.
 func TestDisabledServersOfEarlierBuild(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct{ name, file string }{
@@ -29,20 +29,20 @@
 			d.write(d.storedPath(".out"), want)
 			d.start()
 			d.waitReady()
-			var all strings.Builder
-			fmt.Fprintln(&all, "at the start:", d.disabledServers())
-			if out := strings.Contains(want, `"a"`); out {
+			var output strings.Builder
+			fmt.Fprintln(&output, "at the start:", d.disabledServers())
+			if isDisabled := strings.Contains(want, `"a"`); isDisabled {
 				d.call("POST", "/control/servers/a/online")
-				fmt.Fprintln(&all, "a is online, the file:", readFile(t, d.storedPath(".out")))
+				fmt.Fprintln(&output, "a is online, the file:", readFile(t, d.storedPath(".out")))
 			}
 			d.call("POST", "/control/servers/a/offline")
-			fmt.Fprintln(&all, "a is offline, the file:", readFile(t, d.storedPath(".out")))
-			golden(t, c.file+".txt", all.String())
+			fmt.Fprintln(&output, "a is offline, the file:", readFile(t, d.storedPath(".out")))
+			compareGolden(t, c.file+".txt", output.String())
 		})
 	}
 }
 
-// A file that is not valid counts as none, which the log and explain report.
+// An invalid file counts as missing: the log reports the error, and explain shows no server as disabled.
 func TestDisabledServersUnreadable(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct{ name, text, want string }{
@@ -58,46 +58,46 @@
 			d.write(d.storedPath(".out"), c.text)
 			d.start()
 			d.waitReady()
-			if out := d.disabledServers(); out != "a:false" {
-				t.Errorf("out by hand: %s", out)
+			if servers := d.disabledServers(); servers != "a:false" {
+				t.Errorf("disabled servers: %s, want a:false", servers)
 			}
 			if !strings.Contains(d.log.String(), c.want) {
-				t.Errorf("the log does not say %q", c.want)
+				t.Errorf("the log does not contain %q", c.want)
 			}
 		})
 	}
 }
 
-// disabledServers returns for each server whether explain shows it as disabled.
+// disabledServers returns whether explain shows a server as disabled, for each server as NAME:BOOL.
 func (d *daemon) disabledServers() string {
 	d.t.Helper()
 	r := runCommand(d.t, "daemon", "", "", "explain", "--json", "--socket", d.socket)
 	var state struct {
 		Servers []struct {
-			Name string
-			Out  bool `json:"out_by_hand"`
+			Name       string
+			IsDisabled bool `json:"out_by_hand"`
 		}
 	}
-	if err := json.Unmarshal([]byte(r.out), &state); err != nil {
-		d.t.Fatalf("%v: %s%s", err, r.out, r.err)
+	if err := json.Unmarshal([]byte(r.stdout), &state); err != nil {
+		d.t.Fatalf("%v: %s%s", err, r.stdout, r.stderr)
 	}
-	var all []string
+	var servers []string
 	for _, s := range state.Servers {
-		all = append(all, fmt.Sprintf("%s:%v", s.Name, s.Out))
+		servers = append(servers, fmt.Sprintf("%s:%v", s.Name, s.IsDisabled))
 	}
-	return strings.Join(all, " ")
+	return strings.Join(servers, " ")
 }
 
-// frame is a message between two processes of one balancer, after four bytes of length.
+// frame is a message between two processes of one balancer. On the connection, four bytes with its length precede it.
 type frame struct {
-	Kind   string          `json:"kind,omitempty"`
-	Number uint64          `json:"number,omitempty"`
-	Answer bool            `json:"answer,omitempty"`
-	Bad    string          `json:"bad,omitempty"`
-	Body   json.RawMessage `json:"body,omitempty"`
+	Kind    string          `json:"kind,omitempty"`
+	Number  uint64          `json:"number,omitempty"`
+	IsReply bool            `json:"answer,omitempty"`
+	Refusal string          `json:"bad,omitempty"`
+	Body    json.RawMessage `json:"body,omitempty"`
 }
 
-// peerProcess stands in for the balancer's other process, of an earlier build.
+// peerProcess stands in for the predecessor or successor of a daemon, as a process of an earlier build.
 type peerProcess struct {
 	t    *testing.T
 	conn *net.UnixConn
@@ -109,11 +109,11 @@
 	if err != nil {
 		p.t.Fatal(err)
 	}
-	var beside []byte
+	var rights []byte
 	if len(files) > 0 {
-		beside = syscall.UnixRights(files...)
+		rights = syscall.UnixRights(files...)
 	}
-	if _, _, err := p.conn.WriteMsgUnix(binary.BigEndian.AppendUint32(nil, uint32(len(text))), beside, nil); err != nil {
+	if _, _, err := p.conn.WriteMsgUnix(binary.BigEndian.AppendUint32(nil, uint32(len(text))), rights, nil); err != nil {
 		p.t.Fatal(err)
 	}
 	if _, err := p.conn.Write(text); err != nil {
@@ -121,17 +121,18 @@
 	}
 }
 
-// receive returns the next frame and how many descriptors came with it. io.EOF says that there is none.
+// receive returns the next frame and the number of descriptors that came with it. The error is io.EOF if the connection
+// was closed.
 func (p *peerProcess) receive() (f frame, files int, err error) {
-	head, beside := make([]byte, 4), make([]byte, 1024)
-	n, m, _, _, err := p.conn.ReadMsgUnix(head, beside)
+	header, control := make([]byte, 4), make([]byte, 1024)
+	n, m, _, _, err := p.conn.ReadMsgUnix(header, control)
 	if err != nil {
 		return f, 0, err
 	}
 	if n == 0 {
 		return f, 0, io.EOF
 	}
-	if messages, err := syscall.ParseSocketControlMessage(beside[:m]); err == nil {
+	if messages, err := syscall.ParseSocketControlMessage(control[:m]); err == nil {
 		for _, m := range messages {
 			descriptors, err := syscall.ParseUnixRights(&m)
 			if err != nil {
@@ -143,17 +144,18 @@
 			}
 		}
 	}
-	if _, err := io.ReadFull(p.conn, head[n:]); err != nil {
+	if _, err := io.ReadFull(p.conn, header[n:]); err != nil {
 		return f, files, err
 	}
-	text := make([]byte, binary.BigEndian.Uint32(head))
+	text := make([]byte, binary.BigEndian.Uint32(header))
 	if _, err := io.ReadFull(p.conn, text); err != nil {
 		return f, files, err
 	}
 	return f, files, json.Unmarshal(text, &f)
 }
 
-// request sends a request and returns its reply; requests that come meanwhile are answered with false.
+// request sends a request, and returns the reply and the number of descriptors that came with it. It replies false to
+// requests that arrive in the meantime.
 func (p *peerProcess) request(number uint64, kind, body string) (frame, int) {
 	p.t.Helper()
 	p.send(frame{Kind: kind, Number: number, Body: json.RawMessage(body)})
@@ -162,23 +164,23 @@
 		if err != nil {
 			p.t.Fatal(err)
 		}
-		if f.Answer && f.Number == number {
+		if f.IsReply && f.Number == number {
 			return f, files
 		}
-		if !f.Answer && f.Number != 0 {
-			p.send(frame{Number: f.Number, Answer: true, Body: json.RawMessage("false")})
+		if !f.IsReply && f.Number != 0 {
+			p.send(frame{Number: f.Number, IsReply: true, Body: json.RawMessage("false")})
 		}
 	}
 }
 
-// connect connects to a daemon as its successor does.
+// connect connects to a daemon's hand-over socket, as its successor does.
 func (d *daemon) connect() *peerProcess {
 	d.t.Helper()
 	directory, err := os.Open(d.directory)
 	if err != nil {
 		d.t.Fatal(err)
 	}
-	defer func() { _ = directory.Close() }() // it was only read
+	defer func() { _ = directory.Close() }() // an error doesn't matter, as it was only read
 	name := d.storedPath(".sock")[len(d.directory):]
 	conn, err := (&net.Dialer{}).DialContext(d.t.Context(), "unix", fmt.Sprintf("/proc/self/fd/%d%s", directory.Fd(), name))
 	if err != nil {
@@ -189,8 +191,8 @@
 	return &peerProcess{d.t, conn.(*net.UnixConn)}
 }
 
-// A process of an earlier build takes over from this one: questions and answers have their names, and the state
-// its keys.
+// A process of an earlier build takes over from a daemon of this build: the requests, the replies and the keys of the
+// state must be those that it knows.
 func TestSuccessorOfAnEarlierBuild(t *testing.T) {
 	t.Parallel()
 	d := newDaemon(t, startEchoServer(t))
@@ -199,45 +201,45 @@
 	d.sendLine("OPEN 1 k c=live,d=800,g=one")
 	d.call("POST", "/control/servers/a/offline")
 	d.call("POST", "/control/out-of-service")
-	d.waitUntil("its socket is there", func() bool { _, err := os.Lstat(d.storedPath(".sock")); return err == nil })
-	var all strings.Builder
-	refused := d.connect()
+	d.waitUntil("the hand-over socket exists", func() bool { _, err := os.Lstat(d.storedPath(".sock")); return err == nil })
+	var output strings.Builder
+	invalid := d.connect()
 	for i, x := range [][2]string{{"nonsense", "null"}, {"give", "null"}, {"have", "null"}, {"hello", `{"version":2,"listen":"x"}`}} {
-		f, files := refused.request(uint64(i+1), x[0], x[1])
-		fmt.Fprintf(&all, "%s: %s%s, %d files\n", x[0], f.Bad, f.Body, files)
+		f, files := invalid.request(uint64(i+1), x[0], x[1])
+		fmt.Fprintf(&output, "%s: %s%s, %d files\n", x[0], f.Refusal, f.Body, files)
 	}
-	_ = refused.conn.Close()
+	_ = invalid.conn.Close()
 	p := d.connect()
-	hello, _ := p.request(1, "hello", fmt.Sprintf(`{"version":1,"listen":%q}`, d.clients()))
-	fmt.Fprintf(&all, "hello: %s%s\n", hello.Bad, hello.Body)
+	hello, _ := p.request(1, "hello", fmt.Sprintf(`{"version":1,"listen":%q}`, d.clientAddress()))
+	fmt.Fprintf(&output, "hello: %s%s\n", hello.Refusal, hello.Body)
 	handedOver, files := p.request(2, "give", "null")
-	fmt.Fprintf(&all, "give: %s%d files\n%s", handedOver.Bad, files, jsonKeys(t, string(handedOver.Body)))
+	fmt.Fprintf(&output, "give: %s%d files\n%s", handedOver.Refusal, files, jsonKeys(t, string(handedOver.Body)))
 	have, _ := p.request(3, "have", "null")
-	fmt.Fprintf(&all, "have: %s%s\n", have.Bad, have.Body)
+	fmt.Fprintf(&output, "have: %s%s\n", have.Refusal, have.Body)
 	kinds := map[string]bool{}
-	for !kinds["held"] || !kinds["carry"] { // the daemon reports its held connections and transfers them
+	for !kinds["held"] || !kinds["carry"] { // the daemon reports the number of its connections, and transfers them
 		f, files, err := p.receive()
 		if err != nil {
 			t.Fatal(err)
 		}
 		kinds[f.Kind] = true
 		if f.Kind == "carry" {
-			fmt.Fprintf(&all, "carry: %d files\n%s", files, jsonKeys(t, string(f.Body)))
-			p.send(frame{Number: f.Number, Answer: true, Bad: "no"})
+			fmt.Fprintf(&output, "carry: %d files\n%s", files, jsonKeys(t, string(f.Body)))
+			p.send(frame{Number: f.Number, IsReply: true, Refusal: "no"})
 		}
 		if f.Kind != "carry" && f.Kind != "held" {
 			t.Logf("%+v", f)
 		}
 	}
-	golden(t, "handover/successor.txt", strings.ReplaceAll(all.String(), d.clients(), "LISTEN"))
+	compareGolden(t, "handover/successor.txt", strings.ReplaceAll(output.String(), d.clientAddress(), "LISTEN"))
 }
 
-// A process of an earlier build hands over to this one: the recorded state is taken, and what it says is in force.
+// A process of an earlier build hands over to a daemon of this build, which accepts the recorded state and applies it.
 func TestPredecessorOfAnEarlierBuild(t *testing.T) {
 	t.Parallel()
 	d := newDaemon(t, startEchoServer(t))
 	state := readFile(t, "testdata/handover/state.json")
-	listener := listen(t, "tcp", d.clients())
+	listener := listen(t, "tcp", d.clientAddress())
 	file, err := listener.(*net.TCPListener).File()
 	if err != nil {
 		t.Fatal(err)
@@ -252,73 +254,73 @@
 	t.Cleanup(func() { _ = conn.Close() })
 	_ = conn.SetDeadline(time.Now().Add(hangTimeout))
 	p := &peerProcess{t, conn.(*net.UnixConn)}
-	var all strings.Builder
-	p.handOver(&all, state, file)
+	var output strings.Builder
+	p.handOver(&output, state, file)
 	d.waitReady()
-	fmt.Fprintln(&all, "explain:", d.disabledServers())
+	fmt.Fprintln(&output, "explain:", d.disabledServers())
 	p.send(frame{Kind: "ask", Number: 1, Body: json.RawMessage(`{"kind":"online","server":"b"}`)})
-	p.awaitReply(&all, 1)
-	p.send(frame{Kind: "claim", Number: 2, Body: json.RawMessage("72623859790382856")}) // the id that the state has
+	p.awaitReply(&output, 1)
+	p.send(frame{Kind: "claim", Number: 2, Body: json.RawMessage("72623859790382856")}) // an id that is in the state
 	p.send(frame{Kind: "claim", Number: 3, Body: json.RawMessage("5")})
-	answers := p.receiveReplies(2)
-	fmt.Fprintln(&all, "claims:", answers[2], answers[3])
+	replies := p.receiveReplies(2)
+	fmt.Fprintln(&output, "claims:", replies[2], replies[3])
 	_ = conn.Close()
-	d.waitUntil("it sees that the other ended", func() bool { return strings.Contains(d.log.String(), "the predecessor has ended") })
-	fmt.Fprintln(&all, "explain:", d.disabledServers())
-	golden(t, "handover/predecessor.txt", strings.ReplaceAll(all.String(), d.clients(), "LISTEN"))
+	d.waitUntil("the daemon logs that the predecessor has ended", func() bool { return strings.Contains(d.log.String(), "the predecessor has ended") })
+	fmt.Fprintln(&output, "explain:", d.disabledServers())
+	compareGolden(t, "handover/predecessor.txt", strings.ReplaceAll(output.String(), d.clientAddress(), "LISTEN"))
 }
 
-// handOver answers a successor's requests until it has the state, and records them.
-func (p *peerProcess) handOver(all io.Writer, state string, listener *os.File) {
+// handOver records a successor's requests and replies to them, until the successor has the state.
+func (p *peerProcess) handOver(record io.Writer, state string, listener *os.File) {
 	p.t.Helper()
 	for hasState := false; !hasState; {
 		f, _, err := p.receive()
 		if err != nil {
 			p.t.Fatal(err)
 		}
-		_, _ = fmt.Fprintf(all, "%s %s\n", f.Kind, f.Body)
-		answer := frame{Number: f.Number, Answer: true, Body: json.RawMessage("null")}
+		_, _ = fmt.Fprintf(record, "%s %s\n", f.Kind, f.Body)
+		reply := frame{Number: f.Number, IsReply: true, Body: json.RawMessage("null")}
 		switch f.Kind {
 		case "hello":
-			answer.Body = json.RawMessage("false")
+			reply.Body = json.RawMessage("false")
 		case "give":
-			answer.Body = json.RawMessage(state)
-			p.send(answer, int(listener.Fd()))
+			reply.Body = json.RawMessage(state)
+			p.send(reply, int(listener.Fd()))
 			continue
 		case "have":
 			hasState = true
 		}
-		p.send(answer)
+		p.send(reply)
 	}
 }
 
-// awaitReply waits for the reply to a request, and records all frames until then; requests among them are answered.
-func (p *peerProcess) awaitReply(all io.Writer, number uint64) {
+// awaitReply waits for the reply to a request. It records all frames until then, and replies null to requests among them.
+func (p *peerProcess) awaitReply(record io.Writer, number uint64) {
 	p.t.Helper()
 	for answered := false; !answered; {
 		f, _, err := p.receive()
 		if err != nil {
 			p.t.Fatal(err)
 		}
-		_, _ = fmt.Fprintf(all, "after ask: %s%s %s\n", f.Kind, f.Bad, f.Body)
-		if answered = f.Answer && f.Number == number; !answered && f.Number != 0 {
-			p.send(frame{Number: f.Number, Answer: true, Body: json.RawMessage("null")})
+		_, _ = fmt.Fprintf(record, "after ask: %s%s %s\n", f.Kind, f.Refusal, f.Body)
+		if answered = f.IsReply && f.Number == number; !answered && f.Number != 0 {
+			p.send(frame{Number: f.Number, IsReply: true, Body: json.RawMessage("null")})
 		}
 	}
 }
 
-// receiveReplies waits for some replies and returns their contents by number; other frames are dropped.
+// receiveReplies waits for a number of replies and returns their contents by request number. It ignores other frames.
 func (p *peerProcess) receiveReplies(count int) map[uint64]string {
 	p.t.Helper()
-	answers := map[uint64]string{}
-	for len(answers) < count {
+	replies := map[uint64]string{}
+	for len(replies) < count {
 		f, _, err := p.receive()
 		if err != nil {
 			p.t.Fatal(err)
 		}
-		if f.Answer {
-			answers[f.Number] = f.Bad + string(f.Body)
+		if f.IsReply {
+			replies[f.Number] = f.Refusal + string(f.Body)
 		}
 	}
-	return answers
+	return replies
 }
--- a/internal/compatibility/keys_test.go
+++ b/internal/compatibility/keys_test.go
@@ -20,7 +20,8 @@
 	return string(text)
 }
 
-// jsonKeys returns the paths of all keys of a JSON text, one a line; each element of a list has the path [].
+// jsonKeys returns the paths and types of all values in a JSON text, one per line and each only once. The elements of a
+// list have the same path, which ends in []. Keys in objects whose paths are in free are data, and replaced by *.
 func jsonKeys(t *testing.T, text string, free ...string) string {
 	t.Helper()
 	var v any
@@ -32,7 +33,7 @@
 	return strings.Join(slices.Sorted(maps.Keys(paths)), "\n") + "\n"
 }
 
-// collectKeys collects the paths of a value's keys; below a path in free the keys are data.
+// collectKeys adds the paths and types of a value's leaves to paths. The parameter at is the path of the value itself.
 func collectKeys(v any, at string, free []string, paths map[string]bool) {
 	switch v := v.(type) {
 	case map[string]any:
@@ -54,11 +55,11 @@
 	}
 }
 
-var figures = regexp.MustCompile(`[0-9][0-9.]*(µs|ms|s)?`)
+var figurePattern = regexp.MustCompile(`[0-9][0-9.]*(µs|ms|s)?`)
 
-// tableShape replaces figures by # and runs of spaces by one, as both differ from run to run.
+// tableShape replaces numbers by # and runs of spaces by one space, as both differ between runs.
 func tableShape(text string) string {
-	text = figures.ReplaceAllString(text, "#")
+	text = figurePattern.ReplaceAllString(text, "#")
 	lines := strings.Split(text, "\n")
 	for i := range lines {
 		lines[i] = strings.Join(strings.Fields(lines[i]), " ")
@@ -66,73 +67,73 @@
 	return strings.Join(lines, "\n")
 }
 
-// allOptions has every section of the operators' file.
-func (d *daemon) allOptions() {
+// useAllOptions makes the daemon use an options file with every section.
+func (d *daemon) useAllOptions() {
 	d.t.Helper()
 	text := readFile(d.t, "testdata/options/all.toml")
-	d.write(d.options, strings.NewReplacer("/run/balancer/explain.sock", d.socket, "127.0.0.7:7946", d.gossip()).Replace(text))
+	d.write(d.options, strings.NewReplacer("/run/balancer/explain.sock", d.socket, "127.0.0.7:7946", d.gossipAddress()).Replace(text))
 }
 
-// What explain and members tell is read by operators' scripts: its keys stay.
+// Operators' scripts read the output of explain and members, so its keys must stay.
 func TestExplainKeys(t *testing.T) {
 	t.Parallel()
 	d := newDaemon(t, startEchoServer(t))
-	d.allOptions()
+	d.useAllOptions()
 	d.start()
 	d.waitReady()
 	if _, answer := d.sendLine("OPEN 1 k c=live,d=800,g=one"); answer != "UP 1\r\n" {
-		t.Fatalf("answered %q", answer)
+		t.Fatalf("reply to OPEN is %q", answer)
 	}
-	command := func(arguments ...string) result {
+	runWithOptions := func(arguments ...string) commandResult {
 		r := runCommand(t, "daemon", "", "", append(arguments, "--options", d.options)...)
-		if r.code != 0 {
-			t.Errorf("%v: exit code %d: %s", arguments, r.code, r.err)
+		if r.exitCode != 0 {
+			t.Errorf("%v: exit code %d: %s", arguments, r.exitCode, r.stderr)
 		}
 		return r
 	}
-	d.waitUntil("it sees itself as a member", func() bool {
+	d.waitUntil("the daemon lists itself as a member", func() bool {
 		r := runCommand(t, "daemon", "", "", "members", "--json", "--socket", d.socket)
-		return strings.Contains(r.out, `"alive"`) && strings.Contains(r.out, `"held"`) && strings.Contains(r.out, `"incarnation"`)
+		return strings.Contains(r.stdout, `"alive"`) && strings.Contains(r.stdout, `"held"`) && strings.Contains(r.stdout, `"incarnation"`)
 	})
-	d.waitUntil("the flow stands", func() bool {
-		return strings.Contains(runCommand(t, "daemon", "", "", "explain", "--json", "--socket", d.socket, "1").out, `"established"`)
+	d.waitUntil("the flow is established", func() bool {
+		return strings.Contains(runCommand(t, "daemon", "", "", "explain", "--json", "--socket", d.socket, "1").stdout, `"established"`)
 	})
 	if code, answer := d.call("POST", "/control/servers/a/offline"); code != 200 {
 		t.Error(answer)
 	}
-	golden(t, "keys/explain.txt", jsonKeys(t, command("explain", "--json").out, ".bounds_acted"))
-	golden(t, "keys/why.txt", jsonKeys(t, command("explain", "--json", "1").out, ".barred"))
-	golden(t, "keys/members.txt", jsonKeys(t, command("members", "--json").out, ".passed_over"))
-	golden(t, "keys/explain-table.txt", tableShape(command("explain").out))
-	golden(t, "keys/why-table.txt", tableShape(command("explain", "1").out))
-	var seen struct {
+	compareGolden(t, "keys/explain.txt", jsonKeys(t, runWithOptions("explain", "--json").stdout, ".bounds_acted"))
+	compareGolden(t, "keys/why.txt", jsonKeys(t, runWithOptions("explain", "--json", "1").stdout, ".barred"))
+	compareGolden(t, "keys/members.txt", jsonKeys(t, runWithOptions("members", "--json").stdout, ".passed_over"))
+	compareGolden(t, "keys/explain-table.txt", tableShape(runWithOptions("explain").stdout))
+	compareGolden(t, "keys/why-table.txt", tableShape(runWithOptions("explain", "1").stdout))
+	var state struct {
 		Members []struct{ Build, Settings string }
 	}
-	if err := json.Unmarshal([]byte(command("members", "--json").out), &seen); err != nil || len(seen.Members) != 1 {
-		t.Fatalf("%v, %d members", err, len(seen.Members))
+	if err := json.Unmarshal([]byte(runWithOptions("members", "--json").stdout), &state); err != nil || len(state.Members) != 1 {
+		t.Fatalf("error %v, %d members, want 1", err, len(state.Members))
 	}
-	// Balancers of two builds that were told the same must say the same digest: staff find those told otherwise by it.
-	// So must their number for a server, which passes in place of its name.
+	// Different builds must compute the same digest of the same settings, as operators use it to find balancers with
+	// other settings. They must also derive the same number for a server, which they exchange instead of its name.
 	var why struct{ Connects []struct{ Server uint32 } }
-	if err := json.Unmarshal([]byte(command("explain", "--json", "1").out), &why); err != nil || len(why.Connects) != 1 {
-		t.Fatalf("%v, %d connects", err, len(why.Connects))
+	if err := json.Unmarshal([]byte(runWithOptions("explain", "--json", "1").stdout), &why); err != nil || len(why.Connects) != 1 {
+		t.Fatalf("error %v, %d connects, want 1", err, len(why.Connects))
 	}
-	golden(t, "keys/digest.txt", fmt.Sprintf("settings %s\nserver a %d\n", seen.Members[0].Settings, why.Connects[0].Server))
-	table := command("members").out
-	for _, own := range []string{d.gossip(), seen.Members[0].Build, seen.Members[0].Settings} {
+	compareGolden(t, "keys/digest.txt", fmt.Sprintf("settings %s\nserver a %d\n", state.Members[0].Settings, why.Connects[0].Server))
+	table := runWithOptions("members").stdout
+	for _, own := range []string{d.gossipAddress(), state.Members[0].Build, state.Members[0].Settings} {
 		table = strings.Replace(table, own, "#", 1)
 	}
-	golden(t, "keys/members-table.txt", tableShape(table))
+	compareGolden(t, "keys/members-table.txt", tableShape(table))
 	r := runCommand(t, "daemon", "", "", "explain", "--socket", d.socket, "nobody")
-	golden(t, "keys/unknown-flow.txt", fmt.Sprintf("%d %s%s", r.code, r.out, r.err))
+	compareGolden(t, "keys/unknown-flow.txt", fmt.Sprintf("%d %s%s", r.exitCode, r.stdout, r.stderr))
 }
 
-// Where no peers are named, members says so.
+// The members command reports that gossip is disabled if the options name no peers.
 func TestMembersWithoutPeers(t *testing.T) {
 	t.Parallel()
 	d := newDaemon(t, startEchoServer(t))
 	d.start()
 	d.waitReady()
 	r := runCommand(t, "daemon", "", "", "members", "--socket", d.socket)
-	golden(t, "keys/members-off.txt", fmt.Sprintf("%d %s%s", r.code, r.out, r.err))
+	compareGolden(t, "keys/members-off.txt", fmt.Sprintf("%d %s%s", r.exitCode, r.stdout, r.stderr))
 }
--- a/internal/compatibility/main_test.go
+++ b/internal/compatibility/main_test.go
@@ -14,9 +14,9 @@
 	"testing"
 )
 
-// sources says where each command's main package is, from the root of the module. Golden files know commands by
-// the names on the left, which stay; a renaming changes the right side only.
-var sources = map[string]string{
+// commandPackages maps the name of each command in golden files to its main package, relative to the root of the
+// module. The names stay the same; a rename of a package changes its path only.
+var commandPackages = map[string]string{
 	"wirehost": "./cmd/wirehost",
 	"daemon":   "./cmd/yardwinch",
 	"testbed":  "./cmd/testbed",
@@ -25,7 +25,7 @@
 
 const moduleRoot = "../.."
 
-var update = flag.Bool("update", false, "write the golden files from what the commands do now")
+var update = flag.Bool("update", false, "write the golden files from the current output")
 
 // binDirectory holds the built commands.
 var binDirectory string
@@ -35,7 +35,8 @@
 	os.Exit(withCommands(m.Run))
 }
 
-// withCommands builds all commands once for all tests, as a build for each test would take longer than the tests.
+// withCommands builds all commands and runs the tests. One build serves all tests, as a build for each test would take
+// longer than the tests.
 func withCommands(run func() int) int {
 	directory, err := os.MkdirTemp("", "compatibility-")
 	if err != nil {
@@ -44,12 +45,12 @@
 	}
 	defer func() { _ = os.RemoveAll(directory) }()
 	binDirectory = filepath.Join(directory, "bin")
-	packages := []string{"build", "-p", "2", "-o", binDirectory + "/"}
-	for _, source := range sources {
-		packages = append(packages, source)
+	arguments := []string{"build", "-p", "2", "-o", binDirectory + "/"}
+	for _, path := range commandPackages {
+		arguments = append(arguments, path)
 	}
-	slices.Sort(packages[5:])
-	build := exec.CommandContext(context.Background(), "go", packages...)
+	slices.Sort(arguments[5:])
+	build := exec.CommandContext(context.Background(), "go", arguments...)
 	build.Dir = moduleRoot
 	if out, err := build.CombinedOutput(); err != nil {
 		fmt.Fprintf(os.Stderr, "%v: %s\n", err, out)
@@ -58,39 +59,40 @@
 	return run()
 }
 
-// command is the path of a built command.
-func command(t *testing.T, name string) string {
+// commandPath returns the path of a built command.
+func commandPath(t *testing.T, name string) string {
 	t.Helper()
-	source, isKnown := sources[name]
+	packagePath, isKnown := commandPackages[name]
 	if !isKnown {
-		t.Fatalf("no command is called %q", name)
+		t.Fatalf("unknown command %q", name)
 	}
-	return filepath.Join(binDirectory, filepath.Base(source))
+	return filepath.Join(binDirectory, filepath.Base(packagePath))
 }
 
-// result is the output and exit code of a command.
-type result struct {
-	out, err string
-	code     int
+// commandResult is the output and exit code of a command.
+type commandResult struct {
+	stdout, stderr string
+	exitCode       int
 }
 
-// runCommand runs a command to its end.
-func runCommand(t *testing.T, name, folder, input string, arguments ...string) result {
+// runCommand runs a command in a directory until it exits.
+func runCommand(t *testing.T, name, directory, input string, arguments ...string) commandResult {
 	t.Helper()
-	var out, errs bytes.Buffer
-	c := exec.CommandContext(t.Context(), command(t, name), arguments...)
-	c.Dir, c.Stdin, c.Stdout, c.Stderr = folder, strings.NewReader(input), &out, &errs
-	c.Env = environment(t)
+	var stdout, stderr bytes.Buffer
+	c := exec.CommandContext(t.Context(), commandPath(t, name), arguments...)
+	c.Dir, c.Stdin, c.Stdout, c.Stderr = directory, strings.NewReader(input), &stdout, &stderr
+	c.Env = commandEnvironment(t)
 	err := c.Run()
-	var exit *exec.ExitError
-	if err != nil && !errors.As(err, &exit) {
+	var exitError *exec.ExitError
+	if err != nil && !errors.As(err, &exitError) {
 		t.Fatal(err)
 	}
-	return result{out.String(), errs.String(), c.ProcessState.ExitCode()}
+	return commandResult{stdout.String(), stderr.String(), c.ProcessState.ExitCode()}
 }
 
-// environment is the caller's without the variables that stand in for flags.
-func environment(t *testing.T) []string {
+// commandEnvironment returns the environment of the test process without the variables that set flags, and with a
+// temporary directory of the test.
+func commandEnvironment(t *testing.T) []string {
 	t.Helper()
 	inherited := slices.DeleteFunc(os.Environ(), func(s string) bool {
 		return strings.HasPrefix(s, "PROXY_") || strings.HasPrefix(s, "YARDWINCH_") || strings.HasPrefix(s, "TMPDIR=")
@@ -98,8 +100,8 @@
 	return append(inherited, "TMPDIR="+t.TempDir())
 }
 
-// golden compares with a file under testdata byte for byte, and writes that file instead where the flag asks for it.
-func golden(t *testing.T, name, got string) {
+// compareGolden compares a text with a file below testdata byte for byte, or writes the file if -update is set.
+func compareGolden(t *testing.T, name, got string) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
 	if *update {
@@ -115,21 +117,22 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	requireSame(t, name, string(want), got)
+	compareLines(t, name, string(want), got)
 }
 
-// requireSame fails with the first line that differs: whole outputs are too long to read.
-func requireSame(t *testing.T, name, want, got string) {
+// compareLines fails if two texts differ, and reports only the first line that differs, as whole outputs are too long
+// to read.
+func compareLines(t *testing.T, name, want, got string) {
 	t.Helper()
 	if want == got {
 		return
 	}
-	wants, gots := strings.Split(want, "\n"), strings.Split(got, "\n")
-	for i := range min(len(wants), len(gots)) {
-		if wants[i] != gots[i] {
-			t.Errorf("%s: line %d: %q, want %q", name, i+1, gots[i], wants[i])
+	wantLines, gotLines := strings.Split(want, "\n"), strings.Split(got, "\n")
+	for i := range min(len(wantLines), len(gotLines)) {
+		if wantLines[i] != gotLines[i] {
+			t.Errorf("%s: line %d is %q, want %q", name, i+1, gotLines[i], wantLines[i])
 			return
 		}
 	}
-	t.Errorf("%s: %d lines, want %d", name, len(gots), len(wants))
+	t.Errorf("%s: %d lines, want %d", name, len(gotLines), len(wantLines))
 }
--- a/internal/compatibility/passed_test.go
+++ b/internal/compatibility/passed_test.go
@@ -9,8 +9,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// A state that a process of an earlier build handed over is read completely, and written with the same keys in the
-// same order.
+// This build decodes the complete state that a process of an earlier build hands over, and encodes it with the same keys
+// in the same order.
 func TestStateRoundTrip(t *testing.T) {
 	for _, file := range []string{"handover/state.json", "handover/state-full.json"} {
 		t.Run(file, func(t *testing.T) {
@@ -19,7 +19,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			requireSame(t, file, text, string(encoded))
+			compareLines(t, file, text, string(encoded))
 		})
 	}
 }
@@ -27,7 +27,7 @@
 // An invalid state is rejected completely.
 func TestInvalidStatesRejected(t *testing.T) {
 	text := readFile(t, "testdata/handover/state-full.json")
-	var all strings.Builder
+	var output strings.Builder
 	for _, c := range []struct{ name, from, to string }{
 		{"another version", `"version":1`, `"version":2`},
 		{"held below nought", `"held":76`, `"held":-1`},
@@ -40,17 +40,18 @@
 	} {
 		changed := strings.Replace(text, c.from, c.to, 1)
 		if changed == text {
-			t.Errorf("%s: nothing is changed", c.name)
+			t.Errorf("%s: the replacement changed nothing", c.name)
 		}
 		_, err := reencodeState([]byte(changed))
-		fmt.Fprintf(&all, "%s: %v\n", c.name, err)
+		fmt.Fprintf(&output, "%s: %v\n", c.name, err)
 	}
-	golden(t, "handover/refused.txt", all.String())
+	compareGolden(t, "handover/refused.txt", output.String())
 }
 
-// records are messages of balancers as the build before the renaming sent them, with what that build made of them.
-// They are written here as the maps of numbers that they are, so that no name of the module stands for a key.
-var records = []struct {
+// recordCases are gossip messages between balancers. The golden file has the results of the build before the module's
+// identifiers were renamed. The messages are written as maps with numeric keys, as on the wire, so that they don't
+// depend on names in the module.
+var recordCases = []struct {
 	name    string
 	message any
 }{
@@ -68,36 +69,36 @@
 	{"too long", map[int]any{0: 1, 1: 1, 2: "n", 3: uint64(1), 4: 1, 77: strings.Repeat("x", 1300)}},
 }
 
-// Gossip records are understood between builds, in both directions.
+// Gossip records of an earlier build are decoded, and encoded again as that build did.
 func TestRecordsOfAnEarlierBuild(t *testing.T) {
 	mode, err := cbor.CoreDetEncOptions().EncMode()
 	if err != nil {
 		t.Fatal(err)
 	}
-	var all strings.Builder
-	for _, c := range records {
+	var output strings.Builder
+	for _, c := range recordCases {
 		message, err := mode.Marshal(c.message)
 		if err != nil {
 			t.Fatal(err)
 		}
 		encoded, decoded, err := reencodeRecord(message)
-		fmt.Fprintf(&all, "== %s\n", c.name)
+		fmt.Fprintf(&output, "== %s\n", c.name)
 		if err != nil {
-			fmt.Fprintf(&all, "%v\n", err)
+			fmt.Fprintf(&output, "%v\n", err)
 			continue
 		}
-		fmt.Fprintf(&all, "%x\n%s\n%x\n", message, decoded, encoded)
+		fmt.Fprintf(&output, "%x\n%s\n%x\n", message, decoded, encoded)
 	}
 	garbled, _ := hex.DecodeString("a1ff")
 	_, _, err = reencodeRecord(garbled)
-	fmt.Fprintf(&all, "== half a message\n%v\n", err)
+	fmt.Fprintf(&output, "== half a message\n%v\n", err)
 	fullState, err := mode.Marshal([][]byte{{1, 2}, {3}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	encoded, n, err := reencodeFullState(fullState)
-	fmt.Fprintf(&all, "== all that a member knows\n%x\n%d %v\n%x\n", fullState, n, err, encoded)
+	fmt.Fprintf(&output, "== all that a member knows\n%x\n%d %v\n%x\n", fullState, n, err, encoded)
 	_, _, err = reencodeFullState([]byte{0x61})
-	fmt.Fprintf(&all, "== all that a member knows, garbled\n%v\n", err)
-	golden(t, "gossip/records.txt", all.String())
+	fmt.Fprintf(&output, "== all that a member knows, garbled\n%v\n", err)
+	compareGolden(t, "gossip/records.txt", output.String())
 }
--- a/internal/compatibility/reach_test.go
+++ b/internal/compatibility/reach_test.go
@@ -10,10 +10,10 @@
 	"yardwinch/internal/testbed/fleet"
 )
 
-// All of the module's own names that these tests use are in this file: a renaming touches it and nothing else of
-// the package.
+// This file contains all uses of the module's own packages in these tests, so that a rename changes no other file of the
+// package.
 
-// reencodeState reads a state as a successor does, and writes it as a predecessor does.
+// reencodeState decodes and validates a state as a successor does, and encodes it as a predecessor does.
 func reencodeState(text []byte) ([]byte, error) {
 	var s handover.State
 	if err := json.Unmarshal(text, &s); err != nil {
@@ -25,7 +25,7 @@
 	return json.Marshal(s)
 }
 
-// reencodeRecord decodes a record and encodes it again; decoded is its content without names.
+// reencodeRecord decodes a record and encodes it again. The text decoded is the record's content without field names.
 func reencodeRecord(message []byte) (encoded []byte, decoded string, err error) {
 	r, err := signals.Decode(message)
 	if err != nil {
@@ -41,18 +41,18 @@
 
 // reencodeFullState decodes a member's full state and encodes it again.
 func reencodeFullState(message []byte) (encoded []byte, parts int, err error) {
-	all, err := signals.DecodeAll(message)
+	records, err := signals.DecodeAll(message)
 	if err != nil {
 		return nil, 0, err
 	}
-	encoded, err = signals.EncodeAll(all)
-	return encoded, len(all), err
+	encoded, err = signals.EncodeAll(records)
+	return encoded, len(records), err
 }
 
-// soakPlan is the text of the timeline that a seed draws.
+// soakPlan returns the text of the plan that the soak test draws from a seed.
 func soakPlan(seed uint64) string { return fleet.SoakPlan(seed) }
 
-// readPlan reads a plan of a fleet.
+// readPlan parses the plan of a fleet test.
 func readPlan(path string, text []byte) error {
 	_, err := fleet.Read(path, text)
 	return err
--- a/internal/compatibility/tags_test.go
+++ b/internal/compatibility/tags_test.go
@@ -13,27 +13,27 @@
 	"testing"
 )
 
-// Keys of JSON stand in tags all over the module, many of reports that no other test reads. Wherever the structs
-// move, each key stays, as often as it was; new ones may come.
-func TestTagsStay(t *testing.T) {
+// Struct tags throughout the module define JSON keys, many of them in reports that no other test reads. Structs may move,
+// but no tag may occur less often than recorded. New tags are allowed.
+func TestStructTagsPreserved(t *testing.T) {
 	tags := countTags(t)
-	var all strings.Builder
+	var output strings.Builder
 	for _, tag := range slices.Sorted(maps.Keys(tags)) {
-		fmt.Fprintf(&all, "%d %s\n", tags[tag], tag)
+		fmt.Fprintf(&output, "%d %s\n", tags[tag], tag)
 	}
 	if *update {
-		golden(t, "keys/tags.txt", all.String())
+		compareGolden(t, "keys/tags.txt", output.String())
 		return
 	}
 	for line := range strings.Lines(readFile(t, "testdata/keys/tags.txt")) {
 		times, tag, _ := strings.Cut(strings.TrimSuffix(line, "\n"), " ")
-		if want := number(t, times); tags[tag] < want {
-			t.Errorf("%s: %d times, was there %d times", tag, tags[tag], want)
+		if want := parseNumber(t, times); tags[tag] < want {
+			t.Errorf("struct tag %s occurs %d times, want at least %d", tag, tags[tag], want)
 		}
 	}
 }
 
-// countTags counts each struct tag in all of the module's files but tests.
+// countTags counts the occurrences of each struct tag in the module's files except tests.
 func countTags(t *testing.T) map[string]int {
 	t.Helper()
 	tags := map[string]int{}
--- a/internal/compatibility/wire_test.go
+++ b/internal/compatibility/wire_test.go
@@ -11,33 +11,34 @@
 	"testing"
 )
 
-// The simulator's wire byte for byte: days were recorded with the build before the renaming, and the same input must
-// give the same output. Any change of a decision, their order, a random draw or the form of a line shows here.
-func TestWireDays(t *testing.T) {
-	for _, d := range days {
+// The scenarios were recorded in the simulator's wire format with the build before the module's identifiers were
+// renamed. The recorded input must give the same output byte for byte, so any change of a decision, of the order of
+// decisions, of a random draw or of the format of a line fails the test.
+func TestRecordedScenarios(t *testing.T) {
+	for _, d := range scenarios {
 		t.Run(d.name, func(t *testing.T) {
 			t.Parallel()
 			in, out := filepath.Join("testdata", "wire", d.name+".in.gz"), filepath.Join("testdata", "wire", d.name+".out.gz")
 			if *update {
-				input, output := d.play(t)
-				pack(t, in, input)
-				pack(t, out, output)
+				input, output := d.record(t)
+				writeCompressed(t, in, input)
+				writeCompressed(t, out, output)
 			}
-			r := runCommand(t, "wirehost", "", unpack(t, in))
-			if r.code != 0 || r.err != "" {
-				t.Errorf("exit code %d: %s", r.code, r.err)
+			r := runCommand(t, "wirehost", "", readCompressed(t, in))
+			if r.exitCode != 0 || r.stderr != "" {
+				t.Errorf("exit code %d: %s", r.exitCode, r.stderr)
 			}
-			requireSame(t, d.name, unpack(t, out), r.out)
+			compareLines(t, d.name, readCompressed(t, out), r.stdout)
 		})
 	}
 }
 
-// The recorded days must contain each kind of event and of action: only these are checked.
-func TestWireDaysShowAll(t *testing.T) {
+// The recorded scenarios must contain each kind of event and action, as only recorded kinds are compared.
+func TestRecordedScenariosCoverWire(t *testing.T) {
 	seen := map[string]int{}
-	for _, d := range days {
+	for _, d := range scenarios {
 		for _, kind := range []string{".in.gz", ".out.gz"} {
-			for line := range strings.Lines(unpack(t, filepath.Join("testdata", "wire", d.name+kind))) {
+			for line := range strings.Lines(readCompressed(t, filepath.Join("testdata", "wire", d.name+kind))) {
 				f := strings.Split(strings.TrimSuffix(line, "\n"), "\t")
 				seen[f[0]]++
 				switch f[0] {
@@ -60,18 +61,18 @@
 		"CLOSED_ATTEMPT OK", "CLOSED_ATTEMPT INTERNAL", "CLOSED_ATTEMPT RESOURCE_EXHAUSTED", "CLOSED_ATTEMPT DEADLINE_EXCEEDED",
 		"CLOSED_ATTEMPT UNAVAILABLE", "CLOSED_ATTEMPT ABORTED", "HEALTH_RESULT OK", "HEALTH_RESULT UNAVAILABLE"} {
 		if seen[what] == 0 {
-			t.Errorf("no day has %s", what)
+			t.Errorf("no scenario contains %s", what)
 		}
 	}
 	t.Logf("lines of each kind: %v", seen)
 }
 
-// Malformed input is reported with its line number and ends the process with an error code.
+// The simulator command reports malformed input with its line number and exits with an error code.
 func TestWireMalformed(t *testing.T) {
-	settings := strings.Join(spawnSettings(day{}, 0), "\t")
+	settings := strings.Join(spawnSettings(scenario{}, 0), "\t")
 	begin := "BEGIN_BATCH\t1000\nFOR\t1\n"
 	up := begin + "SPAWN\t1\t" + settings + "\nDIRECTORY\t0\t1\nSERVER\t1\thall-a\t7\tIN\tlarge\t0\t-\nUPDATE\tC\t1\t0\n"
-	var all strings.Builder
+	var output strings.Builder
 	for _, c := range []struct{ name, input string }{
 		{"nothing", ""},
 		{"empty batch", "BEGIN_BATCH\t1\nFLUSH\n"},
@@ -117,12 +118,12 @@
 		{"no line end at the end", "BEGIN_BATCH\t1\nFLUSH"},
 	} {
 		r := runCommand(t, "wirehost", "", c.input)
-		fmt.Fprintf(&all, "== %s: exit code %d\n%s%s", c.name, r.code, r.out, r.err)
+		fmt.Fprintf(&output, "== %s: exit code %d\n%s%s", c.name, r.exitCode, r.stdout, r.stderr)
 	}
-	golden(t, "wire/malformed.txt", all.String())
+	compareGolden(t, "wire/malformed.txt", output.String())
 }
 
-func pack(t *testing.T, path, text string) {
+func writeCompressed(t *testing.T, path, text string) {
 	t.Helper()
 	var b bytes.Buffer
 	z, err := gzip.NewWriterLevel(&b, gzip.BestCompression)
@@ -140,7 +141,7 @@
 	}
 }
 
-func unpack(t *testing.T, path string) string {
+func readCompressed(t *testing.T, path string) string {
 	t.Helper()
 	packed, err := os.ReadFile(path)
 	if err != nil {
