--- a/docs/pages_test.go
+++ b/docs/pages_test.go
@@ -1,4 +1,4 @@
-// Package docs_test checks that the names which the pages cite exist in the code.
+// Package docs_test checks that the names cited in the pages exist in the code.
 package docs_test
 
 import (
@@ -13,26 +13,28 @@
 	"testing"
 )
 
-// citingPages name functions and types of the code.
+// citingPages are the pages that cite names from the code.
 var citingPages = []string{
 	"ARCHITECTURE.md", "assumptions.md", "connections.md", "design.md", "locality.md", "membership.md", "operations.md",
 	"races.md", "scale.md", "terms-audit.md", "testbed.md",
 }
 
-// foreignQualifiers are packages of the standard library, and tables of settings.
-var foreignQualifiers = map[string]bool{
+// ignoredQualifiers are qualifiers of names that the module does not declare: packages of the standard library and
+// tables of settings.
+var ignoredQualifiers = map[string]bool{
 	"net": true, "signal": true, "textproto": true,
 	"limits": true, "reporting": true, "peers": true, "explain": true, "goal": true, "settings": true, "x": true,
 }
 
 var (
-	quotedText    = regexp.MustCompile("`([^`\n]+)`")
+	codeSpan      = regexp.MustCompile("`([^`\n]+)`")
 	qualifiedName = regexp.MustCompile(`^[A-Za-z]\w*(\.[A-Za-z]\w*)+(\(\))?$`)
 	testName      = regexp.MustCompile(`^Test[A-Z]\w*$`)
 	fileName      = regexp.MustCompile(`\.(go|json|md|mod|out|sock|toml|txt|yml)$`)
 )
 
-// declarations are the names that the code declares: alone, and behind their package or type.
+// declarations is the set of names that the code declares, with and without the name of their package. Fields and
+// methods are qualified by their type, and methods are also in the set without it.
 type declarations map[string]bool
 
 func (d declarations) add(packageName, name string) {
@@ -116,12 +118,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, quoted := range quotedText.FindAllStringSubmatch(string(text), -1) {
-			name, _, _ := strings.Cut(strings.TrimSuffix(quoted[1], "()"), "/") // of a test with the name of a case
+		for _, quoted := range codeSpan.FindAllStringSubmatch(string(text), -1) {
+			name, _, _ := strings.Cut(strings.TrimSuffix(quoted[1], "()"), "/") // without parentheses or the name of a subtest
 			qualifier, _, isQualified := strings.Cut(name, ".")
 			switch {
 			case !testName.MatchString(name) && !qualifiedName.MatchString(quoted[1]):
-			case isQualified && (foreignQualifiers[qualifier] || fileName.MatchString(name)):
+			case isQualified && (ignoredQualifiers[qualifier] || fileName.MatchString(name)):
 			case !declared[name]:
 				t.Errorf("%s cites `%s`, which the code does not declare", page, quoted[1])
 			}
