--- a/decide/api.go
+++ b/decide/api.go
@@ -18,8 +18,8 @@
 	FlowKey string
 	// Zone is the name of a locality.
 	Zone string
-	// Kind is the name of a machine type.
-	Kind string
+	// MachineType is the name of a machine type.
+	MachineType string
 	// CellID identifies a cell: servers that share their record of idempotency keys.
 	CellID int
 	// TimerID identifies a timer of a Balancer.
--- a/decide/snapshot.go
+++ b/decide/snapshot.go
@@ -13,10 +13,10 @@
 type Snapshot struct {
 	Now              time.Duration    `json:"now"`
 	Servers          []ServerSnapshot `json:"servers"`  // sorted by ID
-	UsualSize        float64          `json:"usual"`    // total size of the servers in regular service; 0: unknown
+	BaselineSize     float64          `json:"usual"`    // total size of the servers in regular service; 0: unknown
 	ConcurrencyLimit float64          `json:"window"`   // on concurrent attempts
 	SetupSpacing     time.Duration    `json:"pause"`    // between attempts while the limit is 1
-	ReopensAt        time.Duration    `json:"opens"`    // no attempt is made before
+	BackoffUntil     time.Duration    `json:"opens"`    // no attempt is made before
 	SetupTimes       []time.Duration  `json:"setups"`   // of the most recent set-ups at any server, oldest first
 	LastSetupAt      time.Duration    `json:"setup_at"` // when the last of them ended
 	FlowLimit        LimitSnapshot    `json:"limit"`    // on all flows of the balancer
@@ -47,15 +47,15 @@
 	Disabled  bool          `json:"by_hand,omitempty"`
 	StartedAt time.Duration `json:"since"` // or LongAgo
 
-	Ejected          bool          `json:"aside,omitempty"`
-	EjectedUntil     time.Duration `json:"aside_to,omitempty"`
-	EjectionTime     time.Duration `json:"pause,omitempty"`    // duration of the last ejection
-	ProbationLimit   int           `json:"trickle,omitempty"`  // maximum number of flows while on probation
-	UnreachableInRow int           `json:"silent,omitempty"`   // number of attempts
-	Latency          time.Duration `json:"delay,omitempty"`    // last sample of the message latency
-	LatencyAt        time.Duration `json:"delay_at,omitempty"` // time of that sample
-	OverloadedAt     time.Duration `json:"hot_at,omitempty"`   // time of the last sample that showed overload
-	FlowLimit        LimitSnapshot `json:"limit"`
+	Ejected                bool          `json:"aside,omitempty"`
+	EjectedUntil           time.Duration `json:"aside_to,omitempty"`
+	EjectionTime           time.Duration `json:"pause,omitempty"`    // duration of the last ejection
+	ProbationLimit         int           `json:"trickle,omitempty"`  // maximum number of flows while on probation
+	ConsecutiveUnreachable int           `json:"silent,omitempty"`   // number of attempts
+	Latency                time.Duration `json:"delay,omitempty"`    // last sample of the message latency
+	LatencyAt              time.Duration `json:"delay_at,omitempty"` // time of that sample
+	OverloadedAt           time.Duration `json:"hot_at,omitempty"`   // time of the last sample that showed overload
+	FlowLimit              LimitSnapshot `json:"limit"`
 
 	BudgetDue   float64       `json:"cold_due,omitempty"`  // attempts of the slow-start budget that were due at BudgetAt
 	BudgetSpent int           `json:"cold_sent,omitempty"` // attempts that were spent or have expired
@@ -66,10 +66,10 @@
 func (b *Balancer) Snapshot() Snapshot {
 	snapshot := Snapshot{
 		Now:              b.now,
-		UsualSize:        b.list.baselineSize,
+		BaselineSize:     b.list.baselineSize,
 		ConcurrencyLimit: b.admission.concurrencyLimit,
 		SetupSpacing:     b.admission.spacing,
-		ReopensAt:        b.admission.backoffUntil,
+		BackoffUntil:     b.admission.backoffUntil,
 		SetupTimes:       slices.Clone(b.health.setupTimes),
 		LastSetupAt:      b.health.lastSetupAt,
 		FlowLimit:        b.health.flowLimit.snapshot(),
@@ -82,34 +82,34 @@
 
 func (s *serverState) snapshot() ServerSnapshot {
 	return ServerSnapshot{
-		ID:               s.id,
-		Zone:             s.zone,
-		Cell:             s.cell,
-		Size:             s.size,
-		Readiness:        s.listedReadiness,
-		Disabled:         s.disabled,
-		StartedAt:        s.startedAt,
-		Ejected:          s.ejected,
-		EjectedUntil:     s.ejectedUntil,
-		EjectionTime:     s.ejectionTime,
-		ProbationLimit:   s.probationLimit,
-		UnreachableInRow: s.consecutiveUnreachable,
-		Latency:          s.latency,
-		LatencyAt:        s.latencyAt,
-		OverloadedAt:     s.overloadedAt,
-		FlowLimit:        s.limit.snapshot(),
-		BudgetDue:        s.budgetDue,
-		BudgetSpent:      s.budgetSpent,
-		BudgetAt:         s.budgetAt,
+		ID:                     s.id,
+		Zone:                   s.zone,
+		Cell:                   s.cell,
+		Size:                   s.size,
+		Readiness:              s.listedReadiness,
+		Disabled:               s.disabled,
+		StartedAt:              s.startedAt,
+		Ejected:                s.ejected,
+		EjectedUntil:           s.ejectedUntil,
+		EjectionTime:           s.ejectionTime,
+		ProbationLimit:         s.probationLimit,
+		ConsecutiveUnreachable: s.consecutiveUnreachable,
+		Latency:                s.latency,
+		LatencyAt:              s.latencyAt,
+		OverloadedAt:           s.overloadedAt,
+		FlowLimit:              s.limit.snapshot(),
+		BudgetDue:              s.budgetDue,
+		BudgetSpent:            s.budgetSpent,
+		BudgetAt:               s.budgetAt,
 	}
 }
 
 // Restore replaces the state by a snapshot of another Balancer, which must use the same clock. The flows of this Balancer
 // stay at their servers.
 func (b *Balancer) Restore(snapshot Snapshot) {
-	b.list.baselineSize = snapshot.UsualSize
+	b.list.baselineSize = snapshot.BaselineSize
 	b.admission.spacing = snapshot.SetupSpacing
-	b.admission.backoffUntil = snapshot.ReopensAt
+	b.admission.backoffUntil = snapshot.BackoffUntil
 	b.admission.concurrencyLimit = min(max(snapshot.ConcurrencyLimit, 1), b.maxConcurrency())
 	b.health.setupTimes = snapshot.SetupTimes
 	b.health.lastSetupAt = snapshot.LastSetupAt
@@ -145,7 +145,7 @@
 		ejectedUntil:           known.EjectedUntil,
 		ejectionTime:           known.EjectionTime,
 		probationLimit:         known.ProbationLimit,
-		consecutiveUnreachable: known.UnreachableInRow,
+		consecutiveUnreachable: known.ConsecutiveUnreachable,
 		latency:                known.Latency,
 		latencyAt:              known.LatencyAt,
 		overloadedAt:           known.OverloadedAt,
@@ -181,6 +181,6 @@
 }
 
 func (s ServerSnapshot) isInvalid(now time.Duration) bool {
-	return s.Readiness < Ready || s.Readiness > Gone || s.ProbationLimit < 0 || s.UnreachableInRow < 0 ||
+	return s.Readiness < Ready || s.Readiness > Gone || s.ProbationLimit < 0 || s.ConsecutiveUnreachable < 0 ||
 		s.BudgetSpent < 0 || s.Size < 0 || s.StartedAt > now+maxClockDifference
 }
--- a/fleet/lease/manager_test.go
+++ b/fleet/lease/manager_test.go
@@ -21,7 +21,7 @@
 
 func aliveMembers(names ...Holder) (members []Member) {
 	for _, name := range names {
-		members = append(members, Member{Name: name, Weight: 1, Since: aliveFor})
+		members = append(members, Member{Name: name, Weight: 1, AliveFor: aliveFor})
 	}
 	return members
 }
--- a/fleet/lease/ranking.go
+++ b/fleet/lease/ranking.go
@@ -13,13 +13,13 @@
 
 // Member is a balancer that this one sees alive.
 type Member struct {
-	Name   Holder
-	Weight float64       // its share of all tasks, relative to others; one that is not positive and finite counts as 1
-	Since  time.Duration // how long it has been seen alive
+	Name     Holder
+	Weight   float64       // its share of all tasks, relative to others; one that is not positive and finite counts as 1
+	AliveFor time.Duration // how long it has been seen alive
 }
 
 // ownMember returns the balancer itself as a member, which is always ranked.
-func ownMember(own Holder) Member { return Member{Name: own, Weight: 1, Since: settleTime} }
+func ownMember(own Holder) Member { return Member{Name: own, Weight: 1, AliveFor: settleTime} }
 
 // SetMembers sets the members that are alive now. This balancer itself is always added.
 func (m *Manager) SetMembers(alive []Member) {
@@ -42,9 +42,9 @@
 		}
 		if member.Name == m.own {
 			hasOwn = true
-			member.Since = settleTime
+			member.AliveFor = settleTime
 		}
-		if member.Since >= settleTime {
+		if member.AliveFor >= settleTime {
 			members = append(members, member)
 		}
 	}
--- a/fleet/lease/ranking_test.go
+++ b/fleet/lease/ranking_test.go
@@ -65,14 +65,14 @@
 	}{
 		{"no other member", nil, 1},
 		{"weights that are not positive and finite", []Member{
-			{Name: "b", Weight: math.Inf(1), Since: time.Minute},
-			{Name: "c", Weight: -1, Since: time.Minute},
-			{Name: "d", Weight: math.NaN(), Since: time.Minute},
+			{Name: "b", Weight: math.Inf(1), AliveFor: time.Minute},
+			{Name: "c", Weight: -1, AliveFor: time.Minute},
+			{Name: "d", Weight: math.NaN(), AliveFor: time.Minute},
 		}, 4},
 		{"a member twice, and one that is new", []Member{
-			{Name: "b", Weight: 1, Since: time.Minute},
-			{Name: "b", Weight: 1, Since: time.Minute},
-			{Name: "new", Weight: 1, Since: time.Second},
+			{Name: "b", Weight: 1, AliveFor: time.Minute},
+			{Name: "b", Weight: 1, AliveFor: time.Minute},
+			{Name: "new", Weight: 1, AliveFor: time.Second},
 		}, 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/fleet/signals/loads.go
+++ b/fleet/signals/loads.go
@@ -33,8 +33,8 @@
 	e.loads[id] = ownLoad{load: load, epoch: epoch, at: e.now}
 }
 
-// Relay runs a function that passes on load reports of another balancer.
-func (e *Exchange) Relay(do func()) {
+// WithRelayedLoads runs a function that passes on load reports of another balancer.
+func (e *Exchange) WithRelayedLoads(do func()) {
 	e.isRelaying = true
 	defer func() { e.isRelaying = false }()
 	do()
--- a/fleet/signals/wire.go
+++ b/fleet/signals/wire.go
@@ -264,8 +264,8 @@
 	return time.Duration(min(milliseconds, maxAge.Milliseconds())) * time.Millisecond
 }
 
-// EncodeAll joins messages into one, for a member that asks for the full state.
-func EncodeAll(messages [][]byte) ([]byte, error) {
+// EncodeFullState joins messages into one, for a member that asks for the full state.
+func EncodeFullState(messages [][]byte) ([]byte, error) {
 	joined, err := encoder.Marshal(messages)
 	if err != nil {
 		return nil, fmt.Errorf("encode the full state: %w", err)
@@ -273,8 +273,8 @@
 	return joined, nil
 }
 
-// DecodeAll splits joined messages. An error is of type *Error.
-func DecodeAll(joined []byte) (messages [][]byte, err error) {
+// DecodeFullState splits joined messages. An error is of type *Error.
+func DecodeFullState(joined []byte) (messages [][]byte, err error) {
 	if err := fullStateDecoder.Unmarshal(joined, &messages); err != nil {
 		return nil, rejectionError(fmt.Errorf("%w: %w", ErrMalformed, err), "the full state of a member can't be decoded")
 	}
--- a/fleet/signals/wire_test.go
+++ b/fleet/signals/wire_test.go
@@ -160,11 +160,11 @@
 	for _, record := range exchange.FullState() {
 		messages = append(messages, mustEncode(t, record))
 	}
-	joined, err := EncodeAll(messages)
+	joined, err := EncodeFullState(messages)
 	if err != nil {
 		t.Fatal(err)
 	}
-	messages, err = DecodeAll(joined)
+	messages, err = DecodeFullState(joined)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/compatibility/reach_test.go
+++ b/internal/compatibility/reach_test.go
@@ -41,11 +41,11 @@
 
 // reencodeFullState decodes a member's full state and encodes it again.
 func reencodeFullState(message []byte) (encoded []byte, parts int, err error) {
-	all, err := signals.DecodeAll(message)
+	all, err := signals.DecodeFullState(message)
 	if err != nil {
 		return nil, 0, err
 	}
-	encoded, err = signals.EncodeAll(all)
+	encoded, err = signals.EncodeFullState(all)
 	return encoded, len(all), err
 }
 
--- a/internal/daemon/gossip.go
+++ b/internal/daemon/gossip.go
@@ -114,7 +114,7 @@
 func (g *gossip) aliveMembers() (holders []lease.Member, reporters []signals.Origin) {
 	for _, member := range g.group.Members() {
 		if member.State == membership.Alive {
-			holders = append(holders, lease.Member{Name: lease.Holder(member.Name), Weight: 1, Since: member.Since})
+			holders = append(holders, lease.Member{Name: lease.Holder(member.Name), Weight: 1, AliveFor: member.Since})
 			reporters = append(reporters, signals.Origin(member.Name))
 		}
 	}
@@ -163,7 +163,7 @@
 // holds the router's lock.
 func (g *gossip) applyLoadReports(record signals.Record) {
 	now := g.router.Now()
-	g.signals.Relay(func() {
+	g.signals.WithRelayedLoads(func() {
 		for _, report := range record.LoadReports {
 			g.leases.Observe(lease.Task(report.Server), lease.Epoch(report.Epoch), lease.Holder(record.Origin), report.Age, now)
 			if report.Age < leaseDuration {
@@ -183,7 +183,7 @@
 			messages = append(messages, message)
 		}
 	}
-	all, err := signals.EncodeAll(messages)
+	all, err := signals.EncodeFullState(messages)
 	if err != nil {
 		g.group.CountDropped("what is known here can't be written", err.Error())
 		return
@@ -193,7 +193,7 @@
 
 // OnRemoteState merges the full state of a member. It is not forwarded: each member requests it itself.
 func (g *gossip) OnRemoteState(all []byte) {
-	messages, err := signals.DecodeAll(all)
+	messages, err := signals.DecodeFullState(all)
 	if err != nil {
 		g.group.CountDropped(malformedMessage, err.Error())
 		return
--- a/internal/protocol/localerrors_test.go
+++ b/internal/protocol/localerrors_test.go
@@ -43,7 +43,7 @@
 				start = time.Now()
 				b.wantAllServed(300)
 				for _, server := range b.router.Snapshot().Decisions.Servers {
-					if server.Ejected || server.UnreachableInRow > 0 {
+					if server.Ejected || server.ConsecutiveUnreachable > 0 {
 						t.Errorf("counted against a server: %+v", server)
 					}
 				}
--- a/internal/testbed/scale/control_membership_view.go
+++ b/internal/testbed/scale/control_membership_view.go
@@ -85,7 +85,7 @@
 	var alive []lease.Member
 	var reporters []signals.Origin
 	for _, s := range list {
-		alive = append(alive, lease.Member{Name: lease.Holder(s.Name), Weight: 1, Since: s.Since})
+		alive = append(alive, lease.Member{Name: lease.Holder(s.Name), Weight: 1, AliveFor: s.Since})
 		reporters = append(reporters, signals.Origin(s.Name))
 	}
 	decider.SetReporters(reporters)
--- a/internal/testbed/scale/control_sweep_leases.go
+++ b/internal/testbed/scale/control_sweep_leases.go
@@ -53,7 +53,7 @@
 // settledMembers returns the given number of members, which joined long ago.
 func settledMembers(count int) (list []lease.Member) {
 	for i := range count {
-		list = append(list, lease.Member{Name: lease.Holder(memberName(i)), Weight: 1, Since: settledMembership})
+		list = append(list, lease.Member{Name: lease.Holder(memberName(i)), Weight: 1, AliveFor: settledMembership})
 	}
 	return list
 }
--- a/internal/testbed/scale/control_sweep_signals.go
+++ b/internal/testbed/scale/control_sweep_signals.go
@@ -234,6 +234,6 @@
 		}
 		messages = append(messages, text)
 	}
-	_, err := signals.EncodeAll(messages)
+	_, err := signals.EncodeFullState(messages)
 	return err
 }
--- a/internal/testbed/scenario/spill_test.go
+++ b/internal/testbed/scenario/spill_test.go
@@ -34,7 +34,7 @@
 func (s *spillObserver) OnAttempt(f decide.FlowID, to decide.ServerID) {
 	if z := s.zones[to]; z != s.ownZone && s.policy.StateOf(z) == locality.Healthy {
 		*s.observedCount++
-		if n, limit := float64(s.policy.Spilled(z)), s.policy.SpillLimit(z); n > limit+1 {
+		if n, limit := float64(s.policy.FlowsIn(z)), s.policy.SpillLimit(z); n > limit+1 {
 			s.exceeded[f] = fmt.Sprintf("%v flows in zone %s, want at most %.2f", n, z, limit)
 		}
 	}
--- a/locality/policy_test.go
+++ b/locality/policy_test.go
@@ -376,7 +376,7 @@
 	s := newHarness(t, 0.3, 0, 0)
 	s.OnEndpoint(decide.Endpoint{ID: 1, Zone: "b", Size: 1, Readiness: decide.Ready, StartedAt: decide.LongAgo})
 	s.OnEndpointsUpdated()
-	if a, b := s.Spilled("a"), s.Spilled("b"); a != 30 || b != 10 {
+	if a, b := s.FlowsIn("a"), s.FlowsIn("b"); a != 30 || b != 10 {
 		t.Errorf("%d flows in a, %d in b: want 30 and 10", a, b)
 	}
 }
--- a/locality/spillover.go
+++ b/locality/spillover.go
@@ -91,8 +91,8 @@
 	return p.config.Spill * p.usualFlows(p.locality(zone))
 }
 
-// Spilled returns how many flows this balancer has in a locality.
-func (p *Policy) Spilled(zone decide.Zone) int { return p.locality(zone).ownFlows }
+// FlowsIn returns how many flows this balancer has in a locality.
+func (p *Policy) FlowsIn(zone decide.Zone) int { return p.locality(zone).ownFlows }
 
 // exceedsSurge reports whether one more flow in the nearest tier would exceed its usual flows by more than the surge
 // allows.
