--- a/decide/admission.go
+++ b/decide/admission.go
@@ -10,8 +10,8 @@
 const (
 	fleetSetupLimit   = 48.0                    // concurrent attempts while set-ups succeed, over all balancers
 	minSetupSpacing   = 8 * time.Millisecond    // minimum time between attempts while set-ups fail, over all balancers
-	maxSetupSpacing   = 16 * time.Second        // maximum time between attempts while set-ups fail
-	maxConnectBackoff = 3500 * time.Millisecond // longest time without an attempt, as each may detect a recovery
+	maxSetupSpacing   = 16 * time.Second        // limit of the spacing; a larger one would only take longer to decrease
+	maxConnectBackoff = 3500 * time.Millisecond // longest backoff, as each attempt may detect a recovery
 
 	// Forced attempts ensure that a balancer never rejects all flows for 4 s.
 	forcedAttemptAfter      = 3 * time.Second // time since the last attempt
@@ -28,8 +28,8 @@
 type admission struct {
 	concurrencyLimit float64
 	queue            []*flow       // oldest first
-	spacing          time.Duration // between attempts while the limit is 1
-	backoffUntil     time.Duration // no attempt is made before
+	spacing          time.Duration // from which the backoff is drawn while the limit is 1
+	backoffUntil     time.Duration // no attempt is made before this time
 	decreasedAt      time.Duration // the last decrease of the limit
 	recentSetups     []sample      // at any server
 	lastConnectAt    time.Duration
@@ -73,7 +73,7 @@
 	}
 }
 
-// increaseConcurrency raises the concurrency limit by 1 after a set-up within its target.
+// increaseConcurrency raises the concurrency limit by 1 and halves the spacing, after a set-up within its target.
 func (b *Balancer) increaseConcurrency() {
 	b.admission.concurrencyLimit = min(b.admission.concurrencyLimit+1, b.maxConcurrency())
 	b.admission.spacing /= 2
@@ -87,8 +87,8 @@
 // sharedFailure reports whether at least half of the recent set-ups failed, at half of the observed servers or more. The
 // cause is then probably one that all servers share.
 func (b *Balancer) sharedFailure() bool {
-	share, n := failedShare(b.admission.recentSetups, b.now-outcomeMaxAge)
-	return n >= sharedFailureSample && share >= sharedFailureShare && b.medianFailures() > 0
+	share, n := failureRate(b.admission.recentSetups, b.now-outcomeMaxAge)
+	return n >= sharedFailureSample && share >= sharedFailureShare && b.medianFailureRate() > 0
 }
 
 // maxConcurrency returns this balancer's share of fleetSetupLimit. That limit holds over all balancers because, in a mass
@@ -97,8 +97,8 @@
 	return max(1, fleetSetupLimit/float64(b.slowStart.Balancers))
 }
 
-// decreaseConcurrency halves the concurrency limit, and backs off between attempts once the limit is 1, to prevent the
-// collapse of a resource that all set-ups share.
+// decreaseConcurrency halves the concurrency limit, to prevent the collapse of a resource that all set-ups share. Once the
+// limit is 1, it doubles the spacing and draws a backoff of 0.5 to 1.5 times the spacing, up to maxConnectBackoff.
 func (b *Balancer) decreaseConcurrency() {
 	a := &b.admission
 	if b.now < a.decreasedAt+min(median(b.health.setupTimes), tickInterval) {
--- a/decide/admission_test.go
+++ b/decide/admission_test.go
@@ -14,7 +14,7 @@
 	const every, limit = 100 * ms, 90 * ms
 	s := newHarness(t, Idempotent, DeduplicatedByFleet, 60)
 	s.balancer.random = seeded(seed)
-	s.balancer.ConfigureSlowStart(slowStartRule(300))
+	s.balancer.ConfigureSlowStart(slowStartSettings(300))
 	sentAt := map[FlowID]time.Duration{}
 	for now := time.Duration(0); now < end; now += 10 * ms {
 		s.setTime(now)
@@ -163,7 +163,7 @@
 	for _, c := range []struct{ balancers, most int }{{1, 48}, {200, 1}} {
 		t.Run(fmt.Sprint("balancers: ", c.balancers), func(t *testing.T) {
 			s := newHarness(t, Idempotent, DeduplicatedByFleet, 6)
-			s.balancer.ConfigureSlowStart(slowStartRule(c.balancers))
+			s.balancer.ConfigureSlowStart(slowStartSettings(c.balancers))
 			for i := range 60 {
 				s.request(FlowID(fmt.Sprint(i)), "", 2*sec)
 			}
--- a/decide/api.go
+++ b/decide/api.go
@@ -122,9 +122,10 @@
 	WatchEndpoints(on bool)
 }
 
-// Constraints restricts and weights the choices of a Balancer for a flow and a server. Its methods must neither block
-// nor change state. AllowMigration is not called for migrations away from servers that are overloaded, unreachable or
-// departing, as no constraint may keep a client there.
+// Constraints restricts and weights the choices of a Balancer for a flow and a server. Its methods must not block. They
+// are queries: apart from counters, random draws and what they derive from earlier events, they change no state.
+// AllowMigration is not called for migrations away from servers that are overloaded, unreachable or departing, as no
+// constraint may keep a client there.
 type Constraints interface {
 	// ServerCost reports whether a flow may go to a server now, and at what extra cost. A cost of 1 is the cost of a
 	// server with the mean load, and also what grouping saves.
@@ -167,7 +168,7 @@
 	Deduplication DeduplicationScope
 	SetupTarget   time.Duration // target for the time until an attempt is established
 	RetryWindow   time.Duration // for how long servers drop duplicates of an idempotency key
-	Value         float64       // priority weight of a second of an established flow; not used in decisions
+	Value         float64       // priority weight of each second that a flow is established; not used in decisions
 }
 
 // SlowStart holds the settings that limit the load of servers that are warming up.
--- a/decide/bookkeeping_test.go
+++ b/decide/bookkeeping_test.go
@@ -22,7 +22,7 @@
 
 func newChangingFleet(t *testing.T, servers int, healthChecks bool, balancers int, crossing float64) *changingFleet {
 	c := &changingFleet{harness: newHarness(t, Idempotent, DeduplicatedByFleet, servers), servers: servers}
-	c.balancer.ConfigureSlowStart(slowStartRule(balancers))
+	c.balancer.ConfigureSlowStart(slowStartSettings(balancers))
 	c.balancer.ConfigureHealthChecks(healthChecks)
 	c.balancer.ConfigurePlacement(crossing, 0.02, true)
 	c.updateList(FullUpdate, Ready, servers)
@@ -237,7 +237,7 @@
 		for _, server := range c.balancer.list.ready {
 			hypothetical := view
 			hypothetical.preferred = server
-			if server == f.server || !c.balancer.allowed(f, server, hypothetical) || c.balancer.rank(f, server) != 0 {
+			if server == f.server || !c.balancer.isUsable(f, server, hypothetical) || c.balancer.rank(f, server) != 0 {
 				continue
 			}
 			if there := c.balancer.cost(f, server, hypothetical); there < here-minSaving {
--- a/decide/cost_test.go
+++ b/decide/cost_test.go
@@ -15,7 +15,7 @@
 	s.balancer = New(7, s)
 	s.balancer.ConfigureFlows(3, sec)
 	s.balancer.AddService(serviceType(Idempotent, DeduplicatedByFleet))
-	s.balancer.ConfigureSlowStart(slowStartRule(8100))
+	s.balancer.ConfigureSlowStart(slowStartSettings(8100))
 	s.balancer.ConfigurePlacement(0.02, 0.02, true)
 	s.balancer.ConfigureEndpoints(EndpointSettings{Zone: "z0", Polled: false, MaxPollInterval: 10 * sec, MessageTarget: 100 * ms})
 	s.setTime(0)
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -8,8 +8,8 @@
 	// writeDelayAllowance is how long a process may be delayed between reading its clock and writing to a connection.
 	writeDelayAllowance = 150 * time.Millisecond
 
-	minOverloadResets  = 2 // resets by one server within latencyMaxAge from which overload is inferred
-	smallBalancerCount = 3 // number of balancers up to which each observes enough for minOverloadResets
+	minOverloadFailures = 2 // failures at a server within latencyMaxAge, the last one a reset, from which overload is inferred
+	smallBalancerCount  = 3 // number of balancers up to which each observes enough for minOverloadFailures
 )
 
 // transition changes the state of a flow and updates the accounting. All state changes go through it.
@@ -128,9 +128,9 @@
 	b.actions.Connect(f.id, target.id, b.attemptTimeout(f))
 }
 
-// attemptTimeout returns the timeout of the flow's next attempt. It leaves half of the remaining time for another
-// attempt, in case the server accepts flows and never answers. A shorter timeout would cut off set-ups that are merely
-// slow, and their work would be done twice.
+// attemptTimeout returns the timeout of the attempt that is being started; f.attempts already includes it. The timeout
+// leaves half of the remaining time for another attempt, in case the server accepts flows and never answers. A shorter
+// timeout would cut off set-ups that are merely slow, and their work would be done twice.
 func (b *Balancer) attemptTimeout(f *flow) time.Duration {
 	left := f.deadline - b.now
 	service := &b.services[f.service]
@@ -192,8 +192,8 @@
 	}
 }
 
-// OnEnded handles the end of an attempt or a connection after the given time. If isAnswered is false, the client is
-// still waiting and the next decision is made.
+// OnEnded handles the end of an attempt or a connection after the given time. If an attempt ends and isAnswered is false,
+// the client is still waiting and its flow is placed again.
 func (b *Balancer) OnEnded(id FlowID, outcome Outcome, took time.Duration, isAnswered bool) {
 	f := b.flows.byID[id]
 	if f == nil {
@@ -227,12 +227,13 @@
 	b.transition(f, done)
 }
 
-// onReset infers overload from resets. Where balancers are many, each observes so few that a single reset is enough.
+// onReset infers overload from resets. Where balancers are many, each observes so few that a single reset is enough. As
+// isOverloaded looks at latency only, the inferred overload is recorded as a sample at the latency objective.
 func (b *Balancer) onReset(f *flow) {
 	server := f.server
 	b.recordOutcome(f, true)
-	share, n := failedShare(server.samples, b.now-latencyMaxAge)
-	if share*float64(n) >= minOverloadResets || b.isOverloaded(server) || b.slowStart.Balancers > smallBalancerCount {
+	share, n := failureRate(server.samples, b.now-latencyMaxAge)
+	if share*float64(n) >= minOverloadFailures || b.isOverloaded(server) || b.slowStart.Balancers > smallBalancerCount {
 		server.latency = max(server.latency, b.list.MessageTarget)
 		server.latencyAt = b.now
 		b.reduceLimit(server)
@@ -276,7 +277,8 @@
 	}
 }
 
-// retryUntil returns when servers may stop dropping duplicates of a flow of which an attempt may have run.
+// retryUntil returns the time until which a flow that may have run can be retried. Servers drop its duplicates until
+// writeDelayAllowance later.
 func (b *Balancer) retryUntil(f *flow) time.Duration {
 	return f.firstRunAt + b.services[f.service].RetryWindow - writeDelayAllowance
 }
--- a/decide/harness_test.go
+++ b/decide/harness_test.go
@@ -48,7 +48,7 @@
 	s.balancer = New(7, s)
 	s.balancer.ConfigureFlows(4, 0)
 	s.balancer.AddService(serviceType(effect, deduplication))
-	s.balancer.ConfigureSlowStart(slowStartRule(1))
+	s.balancer.ConfigureSlowStart(slowStartSettings(1))
 	s.balancer.ConfigureHealthChecks(false)
 	s.balancer.ConfigurePlacement(0, 0, true)
 	s.balancer.ConfigureEndpoints(EndpointSettings{Zone: "z0", Polled: false, MaxPollInterval: 10 * sec, MessageTarget: 100 * ms})
@@ -62,8 +62,8 @@
 	return ServiceType{Effect: effect, Deduplication: deduplication, SetupTarget: 300 * ms, RetryWindow: 2 * sec, Value: 1}
 }
 
-// slowStartRule returns the slow-start settings of most tests.
-func slowStartRule(balancers int) SlowStart {
+// slowStartSettings returns the slow-start settings of most tests.
+func slowStartSettings(balancers int) SlowStart {
 	return SlowStart{InitialCapacity: 0.2, OverloadMultiple: 3, WarmUp: 20 * sec, Window: 1500 * ms, Balancers: balancers}
 }
 
--- a/decide/health.go
+++ b/decide/health.go
@@ -31,32 +31,33 @@
 	loadReportMaxAge   = 3 * recheckInterval
 	checksPerConnect   = 4.0 // credit of health checks per attempt
 	checksPerRound     = 4   // maximum number of health checks per server in a round of rechecks
-	lightLoad          = 0.7 // load over capacity up to which a server meets its objectives, even if others have less load
-	fullLoad           = 1.0 // load over capacity above which a backlog builds up
+	lightLoad          = 0.7 // load, as a share of capacity, up to which a server meets its objectives even if others have less
+	fullLoad           = 1.0 // load, as a share of capacity, above which a backlog builds up
 	openFlowsAgeFactor = 2   // factor on the age of the last health check of a server with open flows
 )
 
 // health holds what is known of the fleet as a whole.
 type health struct {
-	setupTimes  []time.Duration // of the most recent set-ups at any server
-	lastSetupAt time.Duration   // when the last of them ended; later than now after one that timed out
-	checksLoad  bool            // health checks bring load reports
-	checkCredit float64         // health checks that may be sent
-	flowLimit   flowLimit       // on all flows
+	setupTimes       []time.Duration // of the most recent set-ups at any server
+	lastSetupAt      time.Duration   // end of the last one, or outcomeMaxAge later if it timed out; see onSetupFailed
+	checksReturnLoad bool            // health checks are answered with load reports
+	checkCredit      float64         // health checks that may be sent
+	flowLimit        flowLimit       // on all flows
 
 	// Cached figures over all servers; see isCurrent.
-	overview       fleetOverview
-	medianFailures failureMedian
-	healthy        serverSubset
+	overview          fleetOverview
+	medianFailureRate failureRateMedian
+	healthy           serverSubset
 }
 
-func (h *health) addSetupTime(took, endedAt time.Duration) {
+func (h *health) addSetupTime(took, countedAt time.Duration) {
 	h.setupTimes = appendWindow(h.setupTimes, took, sampleWindow)
-	h.lastSetupAt = endedAt
+	h.lastSetupAt = countedAt
 }
 
-// isEjected reports whether the server gets no flows now: it is ejected, or on probation with its limit reached.
-func (b *Balancer) isEjected(server *serverState) bool {
+// isUnavailable reports whether the server is in its ejection time, or on probation with its limit reached. It is then used
+// only if there is no usable server of a lower rank.
+func (b *Balancer) isUnavailable(server *serverState) bool {
 	return server.ejected && (b.now < server.ejectedUntil || server.probationFlows >= server.probationLimit)
 }
 
@@ -86,11 +87,12 @@
 	}
 }
 
-// isOutlier compares a server's failure rate with the fleet's median: if all servers fail, the cause is shared, and
-// ejecting some of them would overload the rest. Outliers are ejected up to half of the servers.
+// isOutlier reports whether a server is to be ejected: its failure rate exceeds the fleet's median by outlierMargin, and no
+// more than half of the servers would be ejected then. The rate is compared with the median because a failure of all
+// servers has a shared cause, and ejecting some of them would overload the rest.
 func (b *Balancer) isOutlier(server *serverState) bool {
-	share, n := failedShare(server.samples, b.now-outcomeMaxAge)
-	return n >= outlierSample && share >= b.medianFailures()+outlierMargin &&
+	share, n := failureRate(server.samples, b.now-outcomeMaxAge)
+	return n >= outlierSample && share >= b.medianFailureRate()+outlierMargin &&
 		2*(b.fleetOverview().ejected+1) <= len(b.list.ready)
 }
 
@@ -130,7 +132,7 @@
 	case Full:
 		b.reduceLimit(server)
 	case TimedOut:
-		// Counts as recent for longer: after a mass reconnect no new set-ups follow, but servers remain slow for a while.
+		// The set-up counts as recent for longer: after a mass reconnect no new ones follow, but servers stay slow for a while.
 		b.health.addSetupTime(took, b.now+outcomeMaxAge)
 	}
 	b.recordOutcome(f, true)
@@ -170,8 +172,8 @@
 	if b.isOverloaded(server) {
 		server.overloadedAt = b.now
 	}
-	// In a fleet within its objective, a single late message may be a short pause of the server. A second one, or one
-	// while many servers are overloaded, is overload.
+	// In a fleet within its objective, a single late message may be a short pause of the server. A second one that is no
+	// faster, or a first one while capacity is scarce, is overload.
 	if trend.isLate && (trend.isGrowing || !trend.isRepeated && b.isCapacityScarce()) {
 		b.reduceLimit(server)
 	}
@@ -184,7 +186,7 @@
 	if wanted.shed {
 		wanted.share = min(wanted.share, migrationShare)
 	}
-	if wanted.shed || b.isOverloaded(server) && b.areSetupsWithinObjective() {
+	if wanted.shed || b.isOverloaded(server) && b.areSetupsFast() {
 		b.migrateAway(server, wanted)
 	}
 }
@@ -220,13 +222,13 @@
 	state := b.list.server(server)
 	state.reportedLoad = load
 	state.loadReportedAt = b.now
-	if load > fullLoad && b.areSetupsWithinObjective() {
+	if load > fullLoad && b.areSetupsFast() {
 		b.migrateAway(state, migration{share: 1 - lightLoad/load})
 	}
 }
 
 // reportedLoad returns the last load report of a server; ok is false if there is no recent one. The reports of a server
-// that is warming up are ignored, as its load near 0 would attract a flow of each group.
+// that is warming up are ignored, as its load near 0 would make it attract flows of all groups.
 func (b *Balancer) reportedLoad(server *serverState) (load float64, ok bool) {
 	isRecent := server.loadReportedAt > 0 && b.now-server.loadReportedAt < loadReportMaxAge
 	return server.reportedLoad, isRecent && b.capacityShare(server) == 1
@@ -243,7 +245,7 @@
 	h.checkCredit = min(h.checkCredit, servers, 1+held+ownShare)
 	// Servers reject most of the checks if all balancers send theirs at once.
 	maxChecks := 1 + checksPerRound*servers*float64(tickInterval)/float64(recheckInterval)
-	if h.checksLoad && h.checkCredit >= 1 {
+	if h.checksReturnLoad && h.checkCredit >= 1 {
 		b.checkOldest(int(min(maxChecks, h.checkCredit)))
 	}
 }
--- a/decide/limits.go
+++ b/decide/limits.go
@@ -5,12 +5,12 @@
 // Limits on the number of flows, for each server and over all servers.
 
 const (
-	limitReduction         = 0.7                    // share of its flows that remains as the limit of an overloaded server
+	reducedLimitShare      = 0.7                    // limit of an overloaded server, as a share of the flows that it has
 	limitReductionInterval = 900 * time.Millisecond // minimum time between reductions
-	limitRecoveryTime      = 20 * time.Second       // after which a limit has grown by its target, slowly at first
+	limitRecoveryTime      = 20 * time.Second       // in which a limit grows, quadratically, by flowLimit.growth
 
 	// overloadScale and overloadOffset interpolate the reduction of the limit on all flows: none if
-	// 1/scarceCapacityDivisor of the servers are overloaded, and down to limitReduction if all are.
+	// 1/scarceCapacityDivisor of the servers are overloaded, and down to reducedLimitShare if all are.
 	overloadScale  = 1.25
 	overloadOffset = 0.25
 )
@@ -19,39 +19,39 @@
 // with the square of the time since.
 type flowLimit struct {
 	flows     float64       // at the last reduction
-	target    float64       // flows at the first reduction of a series, by which the limit grows
+	growth    float64       // by which the limit grows in limitRecoveryTime: the flows at the first reduction of a series
 	reducedAt time.Duration // 0: no limit
 }
 
-// reduce lowers the limit to the given number of flows.
+// reduce sets the limit to the given number of flows, unless it was reduced within limitReductionInterval.
 func (l *flowLimit) reduce(flows float64, now time.Duration) {
 	if l.reducedAt != 0 && now-l.reducedAt <= limitReductionInterval {
 		return
 	}
 	if l.reducedAt == 0 || now-l.reducedAt > limitRecoveryTime {
-		l.target = flows
+		l.growth = flows
 	}
 	l.flows = flows
-	l.reducedAt = max(now, 1)
+	l.reducedAt = max(now, 1) // 0 means that there is no limit
 }
 
 // hasCapacity reports whether the limit allows one more flow than those open. It grows by at least minGrowth in
 // limitRecoveryTime.
 func (l *flowLimit) hasCapacity(open int, minGrowth float64, now time.Duration) bool {
 	t := (now - l.reducedAt).Seconds() / limitRecoveryTime.Seconds()
-	return l.reducedAt == 0 || float64(open+1) <= l.flows+max(l.target, minGrowth, 1)*t*t
+	return l.reducedAt == 0 || float64(open+1) <= l.flows+max(l.growth, minGrowth, 1)*t*t
 }
 
 // reduceLimit reduces the limit of an overloaded server, as the flows that it drops would overload the next one. While
 // capacity is scarce, it also reduces the limit on all flows of this balancer, by the share of overloaded servers.
 func (b *Balancer) reduceLimit(server *serverState) {
-	server.limit.reduce(limitReduction*float64(server.openFlows), b.now)
+	server.limit.reduce(reducedLimitShare*float64(server.openFlows), b.now)
 	overview := b.fleetOverview()
 	if !b.isCapacityScarce() {
 		return
 	}
 	excess := max(0, overloadScale*overview.overloaded/overview.observed-overloadOffset)
-	b.health.flowLimit.reduce((1-(1-limitReduction)*excess)*float64(len(b.flows.established)), b.now)
+	b.health.flowLimit.reduce((1-(1-reducedLimitShare)*excess)*float64(len(b.flows.established)), b.now)
 }
 
 // hasCapacity reports whether the server may take one more flow. The limit on all flows applies only to those that would
--- a/decide/list.go
+++ b/decide/list.go
@@ -25,7 +25,7 @@
 
 	totals       fleetTotals // over ready; openFlows is always current, the rest is as of the last tick or update
 	lowestLoad   float64     // of the servers that a flow could be migrated to, as of the last tick or update
-	baselineSize float64     // usual size of the whole fleet: of the first list, or the most warm servers since; 0: unknown
+	baselineSize float64     // full size of the first list's ready servers, or a larger one of warm servers since; 0: unknown
 
 	// The selection of candidates from a long list; see isLong.
 	local          []*serverState // ready, in the local zone
@@ -75,7 +75,8 @@
 	if endpoint.StartedAt > server.startedAt && endpoint.Readiness == Ready {
 		b.onRestart(server, endpoint.StartedAt)
 	}
-	if b.health.checksLoad && server.healthCheckedAt == 0 { // a check is due, at a random time
+	if b.health.checksReturnLoad && server.healthCheckedAt == 0 {
+		// One check is due at once. The random time of the last check makes balancers check servers in different orders.
 		server.healthCheckedAt = b.now - time.Duration(b.random.uniform()*float64(recheckInterval))
 		b.health.checkCredit++
 	}
@@ -89,7 +90,7 @@
 // onRestart resets the state of a server that restarted. Connections to earlier incarnations are kept until their ends
 // are reported.
 func (b *Balancer) onRestart(server *serverState, startedAt time.Duration) {
-	b.clearTallies(server)
+	b.clearGroupTallies(server)
 	*server = serverState{
 		id:          server.id,
 		established: server.established,
@@ -172,7 +173,7 @@
 	all, warm := 0.0, 0.0
 	for _, server := range b.list.ready {
 		share := b.capacityShare(server)
-		size := b.size(server) / share
+		size := b.effectiveSize(server) / share
 		all += size
 		if share == 1 {
 			warm += size
--- a/decide/overload_test.go
+++ b/decide/overload_test.go
@@ -10,7 +10,7 @@
 // Without latency samples, resets of established flows are the only sign of overload that one of many balancers observes.
 func TestResetsShowScarceCapacity(t *testing.T) {
 	s := newHarness(t, Idempotent, DeduplicatedByFleet, 6)
-	s.balancer.ConfigureSlowStart(slowStartRule(200))
+	s.balancer.ConfigureSlowStart(slowStartSettings(200))
 	s.adoptEach(1, 6)
 	s.balancer.OnEnded("r10", Reset, sec, true)
 	if s.balancer.isCapacityScarce() {
@@ -74,7 +74,7 @@
 		limited           bool
 	}{{2, 1, false}, {2, 2, true}, {40, 1, true}} {
 		s := newHarness(t, Idempotent, DeduplicatedByFleet, 2)
-		s.balancer.ConfigureSlowStart(slowStartRule(c.balancers))
+		s.balancer.ConfigureSlowStart(slowStartSettings(c.balancers))
 		s.adopt("a", 9, "", 1)
 		s.setTime(sec)
 		for i := range c.resets {
--- a/decide/placement.go
+++ b/decide/placement.go
@@ -20,8 +20,8 @@
 	preferredBuckets = 8  // buckets from which a group's preferred server is chosen
 	holderCandidates = 8  // servers that already hold the group
 
-	recentOverload       = 2 * limitRecoveryTime
-	recentOverloadWeight = 1e-6 // factor on the rendezvous weight, which puts the server behind all others
+	overloadMemory       = 2 * limitRecoveryTime // how long after an overload a server counts as overloaded recently
+	recentOverloadWeight = 1e-6                  // factor on the rendezvous weight, which puts the server behind all others
 
 	// Ranks add up. A server is chosen only if there is none of a lower rank.
 	overloadedRank = 1
@@ -44,9 +44,9 @@
 	holders          []*serverState // of the group, at this balancer
 	meanOpen         float64        // open flows of this balancer per unit of size, without the flow being placed
 	meanWithFlow     float64        // the same with the flow being placed
-	meanLoad         float64        // mean load over capacity of the servers that report it
-	someBelowBound   bool           // some server is below the load bound
-	holderBelowBound bool           // a server below the load bound holds the group and was not overloaded recently
+	meanLoad         float64        // mean load, as a share of capacity, of the servers that report it
+	someBelowBound   bool           // some candidate may attract groups; see mayAttractGroup
+	holderBelowBound bool           // such a candidate holds the group and was not overloaded recently
 	preferred        *serverState   // by rendezvous hashing; nil: none
 }
 
@@ -58,8 +58,8 @@
 	return server.groupTallies[group]
 }
 
-// choose returns the allowed server of least cost, or nil. If all candidates from a long list have faults, it draws
-// others from the servers that had none at the last tick.
+// choose returns the usable server of the lowest rank and, within that rank, of the lowest cost, or nil. If all candidates
+// from a long list have faults, it draws others from healthyServers, which were computed at most tickInterval ago.
 func (b *Balancer) choose(f *flow) *serverState {
 	best, rank := b.cheapest(f, b.viewFor(f, b.list.ready))
 	if b.list.isLong() && (best == nil || rank > 0) {
@@ -70,13 +70,13 @@
 	return best
 }
 
-// cheapest returns the allowed candidate of the lowest rank and, within that rank, of the lowest cost. It breaks ties at
+// cheapest returns the usable candidate of the lowest rank and, within that rank, of the lowest cost. It breaks ties at
 // random.
 func (b *Balancer) cheapest(f *flow, view placementView) (best *serverState, bestRank int) {
 	bestRank = math.MaxInt
 	bestCost, ties := 0.0, 0.0
 	for _, server := range view.candidates {
-		if !b.allowed(f, server, view) {
+		if !b.isUsable(f, server, view) {
 			continue
 		}
 		rank := b.rank(f, server)
@@ -96,13 +96,14 @@
 	return best, bestRank
 }
 
-// chooseForced returns the server of a forced attempt: a permitted one of the lowest rank. It breaks ties at random.
+// chooseForced returns the server of a forced attempt: of those that satisfy the restrictions, one of the lowest rank. It
+// breaks ties at random.
 func (b *Balancer) chooseForced(f *flow) (best *serverState) {
 	view := b.viewFor(f, b.list.ready)
 	bestRank := math.MaxInt
 	ties := 0.0
 	for _, server := range view.candidates {
-		if !b.permitted(f, server, view) {
+		if !b.satisfiesRestrictions(f, server, view) {
 			continue
 		}
 		switch rank := b.rank(f, server); {
@@ -124,7 +125,7 @@
 func (b *Balancer) replacesEqual(n float64) bool { return b.random.uniform()*n < 1 }
 
 // candidates returns the servers that a decision considers. Of a short list these are all servers; of a long one, those
-// that the group prefers at all balancers, some that hold it at this balancer, and some at random.
+// that the group may prefer, some that hold it at this balancer, and some at random.
 func (b *Balancer) candidates(f *flow, holders, from []*serverState) (selected []*serverState, preferredCount int) {
 	l := &b.list
 	if !l.isLong() {
@@ -146,15 +147,16 @@
 	return l.candidates, preferredCount
 }
 
-// allowed reports whether the flow may go to the server now. An ejected server that is unreachable is excluded and not
+// isUsable reports whether the flow may go to the server now. An ejected server that is unreachable is excluded and not
 // merely ranked lower: if all others were full, every flow would go there as soon as it is reachable again.
-func (b *Balancer) allowed(f *flow, server *serverState, view placementView) bool {
-	return server.readiness == Ready && (!server.isUnreachable() || !b.isEjected(server)) &&
-		b.hasCapacity(f, server, view) && b.permitted(f, server, view)
+func (b *Balancer) isUsable(f *flow, server *serverState, view placementView) bool {
+	return server.readiness == Ready && (!server.isUnreachable() || !b.isUnavailable(server)) &&
+		b.hasCapacity(f, server, view) && b.satisfiesRestrictions(f, server, view)
 }
 
-// permitted reports whether the flow may go to the server, regardless of the server's health and load.
-func (b *Balancer) permitted(f *flow, server *serverState, view placementView) bool {
+// satisfiesRestrictions reports whether the server's readiness and slow-start budget, the constraints and the deduplication
+// scope permit the flow there. Limits, load and health are not considered.
+func (b *Balancer) satisfiesRestrictions(f *flow, server *serverState, view placementView) bool {
 	if server.readiness != Ready || !b.hasSlowStartBudget(server, view) {
 		return false
 	}
@@ -189,7 +191,7 @@
 			rank += attemptedRank
 		}
 	}
-	if b.isEjected(server) {
+	if b.isUnavailable(server) {
 		rank += ejectedRank
 	}
 	if b.isOverloaded(server) {
@@ -199,8 +201,11 @@
 }
 
 // viewFor prepares the placement of the flow on one of these servers, or on one of a selection of them. The means do not
-// include the flow itself. By its tallies alone, each balancer would hold a group at a different server. The preferred
-// server is the same at all balancers: of those below the load bound, the one with the highest rendezvous weight.
+// include the flow itself, except for meanWithFlow.
+//
+// If each balancer went by its own tallies alone, balancers would hold a group at different servers. Therefore a group has
+// a preferred server: of the servers that may attract it, the one with the highest rendezvous weight. It is the same at all
+// balancers of a zone that have the same list and agree on these servers.
 func (b *Balancer) viewFor(f *flow, from []*serverState) (view placementView) {
 	view.holders = b.tallies.holders[f.group]
 	view.candidates, view.preferredCount = b.candidates(f, view.holders, from)
@@ -212,7 +217,7 @@
 		if !b.mayAttractGroup(f, server, view, leastExtra) {
 			continue
 		}
-		wasOverloaded := server.overloadedAt > 0 && b.now-server.overloadedAt < recentOverload
+		wasOverloaded := server.overloadedAt > 0 && b.now-server.overloadedAt < overloadMemory
 		view.someBelowBound = true
 		view.holderBelowBound = view.holderBelowBound || view.groupFlows(server, f.group) > 0 && !wasOverloaded
 		if i >= view.preferredCount || f.group == "" {
@@ -223,6 +228,7 @@
 			highest = weight
 		}
 	}
+	// Without load reports, a server that already holds the group is used instead of the preferred one.
 	if view.holderBelowBound && view.meanLoad == 0 {
 		view.preferred = nil
 	}
@@ -235,14 +241,14 @@
 	if extra, _ := b.serverCost(f, server); extra > leastExtra {
 		return false
 	}
-	return !server.ejected && b.rank(f, server) == 0 && b.allowed(f, server, view) &&
+	return !server.ejected && b.rank(f, server) == 0 && b.isUsable(f, server, view) &&
 		!b.isAboveLoadBound(server, flowCounts{open: server.openFlows, group: view.groupFlows(server, f.group)}, view)
 }
 
 // preferredWeight returns the rendezvous weight of a server. It is reduced for a server that was overloaded recently,
 // which would otherwise attract the flows that overloaded it again.
 func (b *Balancer) preferredWeight(group uint64, server *serverState, wasOverloaded bool) float64 {
-	weight := rendezvousWeight(group, server.id) * b.size(server)
+	weight := rendezvousWeight(group, server.id) * b.effectiveSize(server)
 	if wasOverloaded {
 		weight *= recentOverloadWeight
 	}
@@ -271,14 +277,15 @@
 	if load, ok := b.reportedLoad(server); ok {
 		return load > max(groupingLoadBound*view.meanLoad, lightLoad)
 	}
-	fairShare := view.meanOpen * b.size(server)
+	fairShare := view.meanOpen * b.effectiveSize(server)
 	othersShare := 1 - 1/float64(b.slowStart.Balancers)
 	return float64(flows.open) > groupingLoadBound*fairShare+
 		significantDeviations*math.Sqrt(fairShare*othersShare)+othersShare*float64(flows.group)
 }
 
-// size returns the weight of a server in means: its capacity share, times its listed size where the list has sizes.
-func (b *Balancer) size(server *serverState) float64 {
+// effectiveSize returns the weight of a server in means: its capacity share, times its listed size where the list has
+// sizes.
+func (b *Balancer) effectiveSize(server *serverState) float64 {
 	if b.placement.hasSizes && server.size > 0 {
 		return server.size * b.capacityShare(server)
 	}
@@ -290,7 +297,7 @@
 	if load, ok := b.reportedLoad(server); ok {
 		return (load + loadPrior) / (view.meanLoad + loadPrior)
 	}
-	mean := view.meanOpen*b.size(server) + openFlowsPrior
+	mean := view.meanOpen*b.effectiveSize(server) + openFlowsPrior
 	if b.capacityShare(server) < 1 { // its budget already limits it; the prior would do so again
 		return float64(open) / mean
 	}
@@ -315,7 +322,7 @@
 	if server.zone != b.list.Zone {
 		cost += transferCostWeight * b.placement.zoneCrossing
 	}
-	extra, _ := b.serverCost(f, server) // ok is checked in permitted
+	extra, _ := b.serverCost(f, server) // ok is checked in satisfiesRestrictions
 	return cost + extra
 }
 
--- a/decide/placement_test.go
+++ b/decide/placement_test.go
@@ -82,7 +82,7 @@
 				next := map[ServerID]int{}
 				for seed := range uint64(20) {
 					s := newHarness(t, Idempotent, DeduplicatedByFleet, 12)
-					s.balancer.ConfigureSlowStart(slowStartRule(200))
+					s.balancer.ConfigureSlowStart(slowStartSettings(200))
 					s.balancer.random = seeded(seed)
 					preferred := s.request("a", group, sec)
 					s.setTime(10 * ms)
--- a/decide/rechecks.go
+++ b/decide/rechecks.go
@@ -12,16 +12,16 @@
 const (
 	recheckInterval    = 5 * time.Second  // of one round of rechecks over all established flows
 	maxRechecksPerTick = 128              // maximum number of rechecks that consider other servers
-	migrationMargin    = 1.75             // cost that a migration must save, more than grouping can save
-	migrationShare     = 1.0 / 8          // share of a server's flows to migrate at a time, where no measurement gives one
-	noMinSaving        = -math.MaxFloat64 // as minSaving: migrate at any cost
+	migrationMargin    = 1.75             // cost that a migration must save; larger than 1.5, the most that grouping can save
+	migrationShare     = 1.0 / 8          // share of a server's flows to migrate at a time if none is measured; limit when shedding
+	noMinSaving        = -math.MaxFloat64 // minSaving that accepts any other server without faults, even at a higher cost
 	slowSetupDivisor   = 2                // set-ups that take longer than target/2 are slow
 )
 
-// areSetupsWithinObjective reports whether set-ups are fast enough for migrations, as the client of a migrated flow has
-// to set up its connection again. Slow set-ups count only while they are recent; otherwise a mass reconnect would keep
-// flows on slow servers.
-func (b *Balancer) areSetupsWithinObjective() bool {
+// areSetupsFast reports whether set-ups are fast enough for migrations, as the client of a migrated flow has to set up its
+// connection again: their median is less than half of the set-up target of the first service type. Slow set-ups count only
+// while they are recent; otherwise a mass reconnect would keep flows on slow servers.
+func (b *Balancer) areSetupsFast() bool {
 	if len(b.services) == 0 {
 		return false
 	}
@@ -39,7 +39,7 @@
 	view := b.viewFor(f, b.list.ready)
 	currentCost := b.cost(f, f.server, view)
 	isBetter := func(server *serverState) bool {
-		return server != f.server && b.allowed(f, server, view) && b.rank(f, server) == 0 &&
+		return server != f.server && b.isUsable(f, server, view) && b.rank(f, server) == 0 &&
 			b.cost(f, server, view) < currentCost-minSaving
 	}
 	if !shed && !slices.ContainsFunc(view.candidates, isBetter) {
--- a/decide/recorded_test.go
+++ b/decide/recorded_test.go
@@ -21,7 +21,7 @@
 	connections map[FlowID]ServerID
 	established []FlowID // keys of connections, in the order of their establishment
 	flows       int
-	hash        []byte
+	actionLog   []byte
 }
 
 // pending is an event scheduled for a time.
@@ -54,7 +54,7 @@
 	r.balancer = New(parameters.seed, r.harness)
 	r.balancer.ConfigureFlows(3, sec)
 	r.balancer.AddService(serviceType(parameters.effect, parameters.deduplication))
-	r.balancer.ConfigureSlowStart(slowStartRule(parameters.balancers))
+	r.balancer.ConfigureSlowStart(slowStartSettings(parameters.balancers))
 	r.balancer.ConfigureHealthChecks(parameters.healthChecks)
 	r.balancer.ConfigurePlacement(parameters.crossing, 0.02, true)
 	if parameters.quotas {
@@ -157,7 +157,7 @@
 // simulateReplies schedules the results of the actions since the last call, and appends the actions to the hash input.
 func (r *simulatedRun) simulateReplies(parameters runParameters) {
 	for _, line := range r.performed {
-		r.hash = fmt.Appendf(r.hash, "%d %s\n", r.now, line)
+		r.actionLog = fmt.Appendf(r.actionLog, "%d %s\n", r.now, line)
 		var f FlowID
 		var to ServerID
 		if n, _ := fmt.Sscanf(line, "connect %s %d", &f, &to); n == 2 {
@@ -249,13 +249,13 @@
 	for _, c := range recordedRuns {
 		t.Run(fmt.Sprintf("%d servers, seed %d", c.parameters.servers, c.parameters.seed), func(t *testing.T) {
 			r := simulateRun(t, c.parameters)
-			if r.flows < 100 || len(r.hash) < 1000 {
-				t.Fatalf("%d flows, %d bytes of actions: the run hardly exercises the decisions", r.flows, len(r.hash))
+			if r.flows < 100 || len(r.actionLog) < 1000 {
+				t.Fatalf("%d flows, %d bytes of actions: the run hardly exercises the decisions", r.flows, len(r.actionLog))
 			}
 			for _, word := range recordedActions {
-				actionCounts[word] += bytes.Count(r.hash, []byte(" "+word+" "))
+				actionCounts[word] += bytes.Count(r.actionLog, []byte(" "+word+" "))
 			}
-			if got := fmt.Sprintf("%x", sha256.Sum256(r.hash))[:32]; got != c.want {
+			if got := fmt.Sprintf("%x", sha256.Sum256(r.actionLog))[:32]; got != c.want {
 				t.Errorf("hash of the actions is %s, recorded %s", got, c.want)
 			}
 		})
--- a/decide/reports_test.go
+++ b/decide/reports_test.go
@@ -13,7 +13,7 @@
 // newReportingFleet returns one of many balancers, with servers that reported their loads a second ago.
 func newReportingFleet(t *testing.T, loads ...float64) *harness {
 	s := newHarness(t, Idempotent, DeduplicatedByFleet, 0)
-	s.balancer.ConfigureSlowStart(slowStartRule(50))
+	s.balancer.ConfigureSlowStart(slowStartSettings(50))
 	s.balancer.ConfigureHealthChecks(true)
 	s.balancer.ConfigurePlacement(0.012, 0, true)
 	s.updateList(FullUpdate, Ready, len(loads))
@@ -136,7 +136,7 @@
 // the number of flows that it holds.
 func countHealthChecks(t *testing.T, balancers, flows int, d time.Duration) int {
 	s := newHarness(t, Idempotent, DeduplicatedByFleet, 0)
-	s.balancer.ConfigureSlowStart(slowStartRule(balancers))
+	s.balancer.ConfigureSlowStart(slowStartSettings(balancers))
 	s.balancer.ConfigureHealthChecks(true)
 	s.setTime(sec)
 	s.updateList(CachedUpdate, Ready, 80)
--- a/decide/samples.go
+++ b/decide/samples.go
@@ -36,8 +36,8 @@
 	return values[len(values)/2]
 }
 
-// failedShare returns the share of failures among the samples after the given time, and the number of these samples.
-func failedShare(samples []sample, since time.Duration) (share float64, n int) {
+// failureRate returns the share of failures among the samples after the given time, and the number of these samples.
+func failureRate(samples []sample, since time.Duration) (share float64, n int) {
 	failed := 0.0
 	for _, entry := range samples {
 		if entry.at <= since {
--- a/decide/selection.go
+++ b/decide/selection.go
@@ -16,8 +16,8 @@
 	}
 }
 
-// selectPreferred adds the servers that a group, given by its hash, may prefer. They are the same at all balancers. It
-// returns their number. The selection must be empty before.
+// selectPreferred adds the servers that a group, given by its hash, may prefer, and returns their number. They are the same
+// at all balancers of a zone that have the same list. The selection must be empty before.
 func (l *endpointList) selectPreferred(group uint64, buckets int) int {
 	for i := range buckets {
 		for _, server := range l.preferredIndex.bucket(group + uint64(i) + 1) {
--- a/decide/servers.go
+++ b/decide/servers.go
@@ -4,7 +4,7 @@
 
 // serverState holds what this balancer knows of one server.
 type serverState struct {
-	// The fields that decisions read of every candidate come first, so that they fit into two cache lines.
+	// The first two blocks are read of every candidate of a decision. They come first, so that they take two cache lines.
 	lastSelection          uint64 // number of the last selection of candidates that contains the server
 	readiness              Readiness
 	openFlows              int // flows in the leased tally: connecting and established
@@ -13,7 +13,7 @@
 	consecutiveUnreachable int // attempts that ended as Unreachable since the server was last known to be alive
 	latency                time.Duration
 	id                     ServerID
-	ejected                bool
+	ejected                bool // in its ejection time, or on probation after it
 	disabled               bool // taken out of service by operators
 	inUpdate               bool // has an entry in the current update of the list
 
@@ -21,7 +21,7 @@
 	zone           Zone
 	overloadedAt   time.Duration // time of the last latency sample that showed overload
 	loadReportedAt time.Duration
-	reportedLoad   float64 // over its capacity
+	reportedLoad   float64 // as a share of its capacity
 	limit          flowLimit
 
 	// Endpoint list.
--- a/decide/settings.go
+++ b/decide/settings.go
@@ -23,7 +23,7 @@
 }
 
 // ConfigureHealthChecks sets whether servers answer health checks with load reports; if not, no checks are sent.
-func (b *Balancer) ConfigureHealthChecks(bringLoad bool) { b.health.checksLoad = bringLoad }
+func (b *Balancer) ConfigureHealthChecks(returnLoad bool) { b.health.checksReturnLoad = returnLoad }
 
 // ConfigureSlowStart sets the slow-start settings. Their number of balancers also determines this balancer's share of
 // limits that hold over all balancers.
--- a/decide/size_test.go
+++ b/decide/size_test.go
@@ -22,7 +22,7 @@
 // newLargeFleet returns one of 1,024 balancers, with the given numbers of servers and established flows.
 func newLargeFleet(t *testing.T, servers, flows int) *harness {
 	s := newHarness(t, Idempotent, DeduplicatedByFleet, servers)
-	s.balancer.ConfigureSlowStart(slowStartRule(1024))
+	s.balancer.ConfigureSlowStart(slowStartSettings(1024))
 	for i := range flows {
 		s.establishNumber(i)
 	}
--- a/decide/slowstart.go
+++ b/decide/slowstart.go
@@ -25,9 +25,9 @@
 }
 
 func (b *Balancer) capacityShareAt(server *serverState, at time.Duration) float64 {
-	rule := &b.slowStart
-	if age := at - server.startedAt; server.startedAt != LongAgo && age < rule.WarmUp {
-		return rule.InitialCapacity + (1-rule.InitialCapacity)*max(0, age.Seconds())/rule.WarmUp.Seconds()
+	settings := &b.slowStart
+	if age := at - server.startedAt; server.startedAt != LongAgo && age < settings.WarmUp {
+		return settings.InitialCapacity + (1-settings.InitialCapacity)*max(0, age.Seconds())/settings.WarmUp.Seconds()
 	}
 	return 1
 }
@@ -46,13 +46,13 @@
 // have expired. Per warm-up time, the budget grows by the flows that would overload the server at its present capacity
 // share. Unspent budget expires soon, as a mass reconnect would otherwise spend it at once.
 func (b *Balancer) slowStartBudget(server *serverState, view placementView) (due float64, spent int) {
-	rule := &b.slowStart
+	settings := &b.slowStart
 	share := b.capacityShare(server)
 	shareBefore := b.capacityShareAt(server, server.budgetAt)
-	overload := rule.OverloadMultiple * b.capacityPerSize(view) * b.size(server) / share
+	overloadFlows := settings.OverloadMultiple * b.capacityPerSize(view) * b.effectiveSize(server) / share // at full capacity
 	// The share grows linearly, so that its integral over time is a difference of squares.
-	due = server.budgetDue + overload*(share*share-shareBefore*shareBefore)/(2-2*rule.InitialCapacity)
-	perWindow := overload * share * rule.Window.Seconds() / rule.WarmUp.Seconds()
+	due = server.budgetDue + overloadFlows*(share*share-shareBefore*shareBefore)/(2-2*settings.InitialCapacity)
+	perWindow := overloadFlows * share * settings.Window.Seconds() / settings.WarmUp.Seconds()
 	savable := max(budgetWindows*perWindow, min(smallBudgetFactor*budgetWindows*perWindow, 1))
 	return due, max(server.budgetSpent, int(due-savable))
 }
--- a/decide/snapshot.go
+++ b/decide/snapshot.go
@@ -13,28 +13,28 @@
 type Snapshot struct {
 	Now              time.Duration    `json:"now"`
 	Servers          []ServerSnapshot `json:"servers"`  // sorted by ID
-	BaselineSize     float64          `json:"usual"`    // total size of the servers in regular service; 0: unknown
+	BaselineSize     float64          `json:"usual"`    // see endpointList.baselineSize; 0: unknown
 	ConcurrencyLimit float64          `json:"window"`   // on concurrent attempts
-	SetupSpacing     time.Duration    `json:"pause"`    // between attempts while the limit is 1
-	BackoffUntil     time.Duration    `json:"opens"`    // no attempt is made before
+	SetupSpacing     time.Duration    `json:"pause"`    // from which the backoff is drawn while the limit is 1
+	BackoffUntil     time.Duration    `json:"opens"`    // no attempt is made before this time
 	SetupTimes       []time.Duration  `json:"setups"`   // of the most recent set-ups at any server, oldest first
-	LastSetupAt      time.Duration    `json:"setup_at"` // when the last of them ended
+	LastSetupAt      time.Duration    `json:"setup_at"` // when the last of them ended, or outcomeMaxAge later if it timed out
 	FlowLimit        LimitSnapshot    `json:"limit"`    // on all flows of the balancer
 }
 
 // LimitSnapshot is the state of a limit on flows, which grows with time since its last reduction.
 type LimitSnapshot struct {
 	Flows     float64       `json:"held"` // the limit at the last reduction
-	Target    float64       `json:"was"`  // flows at the first reduction of a series
+	Target    float64       `json:"was"`  // by which the limit grows: the flows at the first reduction of a series
 	ReducedAt time.Duration `json:"at"`   // time of the last reduction; 0: no limit
 }
 
 func (l flowLimit) snapshot() LimitSnapshot {
-	return LimitSnapshot{Flows: l.flows, Target: l.target, ReducedAt: l.reducedAt}
+	return LimitSnapshot{Flows: l.flows, Target: l.growth, ReducedAt: l.reducedAt}
 }
 
 func (l LimitSnapshot) limit() flowLimit {
-	return flowLimit{flows: l.Flows, target: l.Target, reducedAt: l.ReducedAt}
+	return flowLimit{flows: l.Flows, growth: l.Target, reducedAt: l.ReducedAt}
 }
 
 // ServerSnapshot is the state of one server.
@@ -51,7 +51,7 @@
 	EjectedUntil           time.Duration `json:"aside_to,omitempty"`
 	EjectionTime           time.Duration `json:"pause,omitempty"`    // duration of the last ejection
 	ProbationLimit         int           `json:"trickle,omitempty"`  // maximum number of flows while on probation
-	ConsecutiveUnreachable int           `json:"silent,omitempty"`   // number of attempts
+	ConsecutiveUnreachable int           `json:"silent,omitempty"`   // consecutive attempts that ended as Unreachable
 	Latency                time.Duration `json:"delay,omitempty"`    // last sample of the message latency
 	LatencyAt              time.Duration `json:"delay_at,omitempty"` // time of that sample
 	OverloadedAt           time.Duration `json:"hot_at,omitempty"`   // time of the last sample that showed overload
--- a/decide/statistics.go
+++ b/decide/statistics.go
@@ -28,10 +28,10 @@
 
 func (b *Balancer) addToTotals(totals *fleetTotals, server *serverState) {
 	totals.openFlows += float64(server.openFlows)
-	totals.size += b.size(server)
+	totals.size += b.effectiveSize(server)
 	if load, ok := b.reportedLoad(server); ok {
-		totals.reportedLoad += load * b.size(server)
-		totals.reportedSize += b.size(server)
+		totals.reportedLoad += load * b.effectiveSize(server)
+		totals.reportedSize += b.effectiveSize(server)
 	}
 }
 
@@ -108,7 +108,7 @@
 }
 
 // isCurrent reports whether a figure cached at the given time may still be used. Figures are cached for long lists only,
-// for the duration of a tick.
+// for less than tickInterval.
 func (b *Balancer) isCurrent(at time.Duration) bool {
 	return b.list.isLong() && at > 0 && b.now-at < tickInterval
 }
@@ -137,21 +137,21 @@
 	return last.servers
 }
 
-// failureMedian is the median of the servers' failure rates, with the time when it was computed.
-type failureMedian struct {
+// failureRateMedian is the median of the servers' failure rates, with the time when it was computed.
+type failureRateMedian struct {
 	at     time.Duration
 	median float64
 }
 
-// medianFailures returns the median of the servers' failure rates.
-func (b *Balancer) medianFailures() float64 {
-	last := &b.health.medianFailures
+// medianFailureRate returns the median of the servers' failure rates.
+func (b *Balancer) medianFailureRate() float64 {
+	last := &b.health.medianFailureRate
 	if b.isCurrent(last.at) {
 		return last.median
 	}
 	var shares []float64
 	for _, server := range b.list.ready {
-		if share, n := failedShare(server.samples, b.now-outcomeMaxAge); n > 0 {
+		if share, n := failureRate(server.samples, b.now-outcomeMaxAge); n > 0 {
 			shares = append(shares, share)
 		}
 	}
--- a/decide/tallies.go
+++ b/decide/tallies.go
@@ -59,8 +59,9 @@
 	}
 }
 
-// clearTallies clears the tallies of a server that restarted and begins a new incarnation of it.
-func (b *Balancer) clearTallies(server *serverState) {
+// clearGroupTallies clears the group tallies of a server that restarted and begins a new incarnation of it. Its flows
+// without a group stay in openFlows, which the caller resets.
+func (b *Balancer) clearGroupTallies(server *serverState) {
 	for group, n := range server.groupTallies {
 		b.addToTally(server, group, -n)
 	}
--- a/decide/timers.go
+++ b/decide/timers.go
@@ -29,10 +29,10 @@
 func (b *Balancer) tick() {
 	b.actions.SetTimer(tickTimer, tickInterval)
 	b.updateTotals()
-	if b.areSetupsWithinObjective() {
+	if b.areSetupsFast() {
 		b.recheckSlice()
 	}
-	if b.constraints != nil && b.areSetupsWithinObjective() {
+	if b.constraints != nil && b.areSetupsFast() {
 		b.recheckFirst(b.constraints.MigrateFirst())
 	}
 	b.releaseLostAttempts()
