--- a/decide/admission_test.go
+++ b/decide/admission_test.go
@@ -11,7 +11,7 @@
 // runFailing simulates one of 300 balancers. It gets a flow every 100 ms, and all set-ups time out before recoversAt. It
 // returns the times of the attempts, and when the first flow was established.
 func runFailing(t *testing.T, seed uint64, recoversAt, end time.Duration) (attempts []time.Duration, establishedAt time.Duration) {
-	const every, limit = 100 * ms, 90 * ms
+	const every, timeout = 100 * ms, 90 * ms
 	s := newHarness(t, Idempotent, DeduplicatedByFleet, 60)
 	s.balancer.random = seeded(seed)
 	s.balancer.ConfigureSlowStart(slowStartSettings(300))
@@ -19,7 +19,7 @@
 	for now := time.Duration(0); now < end; now += 10 * ms {
 		s.setTime(now)
 		for id, sent := range sentAt {
-			if now >= sent+limit || now >= recoversAt {
+			if now >= sent+timeout || now >= recoversAt {
 				delete(sentAt, id)
 				if now >= recoversAt {
 					s.balancer.OnEstablished(id, now-sent)
@@ -30,7 +30,7 @@
 			}
 		}
 		if now%every == 0 {
-			s.balancer.OnFlow(FlowRequest{ID: FlowID(fmt.Sprint(now)), Customer: NoCustomer, Timeout: limit})
+			s.balancer.OnFlow(FlowRequest{ID: FlowID(fmt.Sprint(now)), Customer: NoCustomer, Timeout: timeout})
 		}
 		s.balancer.OnTimer(queueTimer)
 		for id := range s.targets {
@@ -63,9 +63,9 @@
 		sum += len(attempts)
 	}
 	if most := 40 * 14; sum > most {
-		t.Errorf("%d set-ups of 40 balancers in 30 s, want at most %d", sum, most)
+		t.Errorf("%d attempts of 40 balancers in 30 s, want at most %d", sum, most)
 	} else {
-		t.Logf("%d set-ups of 40 balancers in 30 s", sum)
+		t.Logf("%d attempts of 40 balancers in 30 s", sum)
 	}
 }
 
--- a/decide/attempts_test.go
+++ b/decide/attempts_test.go
@@ -132,11 +132,11 @@
 	s.setTime(sec)
 	s.balancer.OnFlow(FlowRequest{ID: "a", Customer: NoCustomer, Timeout: 60 * sec})
 	s.setTime(2500 * ms)
-	var limit time.Duration
-	s.balancer.actions = timeoutRecorder{s, &limit}
+	var timeout time.Duration
+	s.balancer.actions = timeoutRecorder{s, &timeout}
 	s.balancer.OnEnded("a", Reset, 1500*ms, false)
-	if limit <= 0 || limit > 500*ms {
-		t.Errorf("the retry has a timeout of %v, 500 ms of the window are left", limit)
+	if timeout <= 0 || timeout > 500*ms {
+		t.Errorf("the retry has a timeout of %v, 500 ms of the window are left", timeout)
 	}
 }
 
@@ -155,8 +155,8 @@
 func TestUnansweredAttemptLeavesTimeForRetry(t *testing.T) {
 	s := newHarness(t, Idempotent, DeduplicatedByFleet, 2)
 	first := s.request("a", "", 2*sec)
-	if limit := s.balancer.attemptTimeout(s.balancer.flows.byID["a"]); limit > sec {
-		t.Fatalf("the attempt has a timeout of %v, the flow one of 2s", limit)
+	if timeout := s.balancer.attemptTimeout(s.balancer.flows.byID["a"]); timeout > sec {
+		t.Fatalf("the attempt has a timeout of %v, the flow one of 2s", timeout)
 	}
 	s.setTime(sec)
 	s.balancer.OnEnded("a", TimedOut, sec, false)
--- a/decide/handover_test.go
+++ b/decide/handover_test.go
@@ -70,11 +70,11 @@
 			s.setTime(sec)
 			s.balancer.OnFlow(FlowRequest{ID: "a", Customer: NoCustomer, Timeout: 60 * sec})
 			s.setTime(sec + window - left)
-			limit := time.Duration(-1)
-			s.balancer.actions = timeoutRecorder{s, &limit}
+			timeout := time.Duration(-1)
+			s.balancer.actions = timeoutRecorder{s, &timeout}
 			s.balancer.OnEnded("a", Reset, window-left, false)
-			if usable := left - delayed; usable > 0 && (limit <= 0 || limit > usable) || usable <= 0 && limit >= 0 {
-				t.Errorf("with %v left of the window the retry has a timeout of %v", left, limit)
+			if usable := left - delayed; usable > 0 && (timeout <= 0 || timeout > usable) || usable <= 0 && timeout >= 0 {
+				t.Errorf("with %v left of the window the retry has a timeout of %v", left, timeout)
 			}
 		})
 	}
--- a/decide/harness_test.go
+++ b/decide/harness_test.go
@@ -109,7 +109,7 @@
 	}
 }
 
-// adoptEach adds one established flow at each of the servers.
+// adoptEach adds one established flow at each of the servers. The one at server 2 is r20.
 func (s *harness) adoptEach(from, to ServerID) {
 	for server := from; server <= to; server++ {
 		s.adopt(fmt.Sprint("r", server), 1, "", server)
--- a/decide/health_test.go
+++ b/decide/health_test.go
@@ -22,7 +22,8 @@
 	if s.attemptsTo[1] > 0 {
 		t.Errorf("%d flows were sent to the server", s.attemptsTo[1])
 	}
-	s.setTime(baseEjectionTime) // all ends together cause a single ejection, the shortest one, as the sign may be wrong
+	// All ends together cause one ejection, the shortest, as connections may close for another reason than a shutdown.
+	s.setTime(baseEjectionTime)
 	if got := s.request("later", "", sec); got != 1 {
 		t.Errorf("after the ejection a flow went to server %d, want 1", got)
 	}
--- a/decide/list_test.go
+++ b/decide/list_test.go
@@ -67,14 +67,14 @@
 }
 
 // A change of the list is known within 6 s, however many polls failed before: a poll in progress may miss it and take
-// 2 s to fail; then follow the backoff and the next poll, of 2 s at most.
+// 2 s to fail; then follow the backoff and the next poll, which takes 2 s at most.
 func TestPollBackoff(t *testing.T) {
-	const call, knownWithin = 2 * sec, 6 * sec
-	for _, within := range []time.Duration{2 * sec, 10 * sec, 60 * sec} {
+	const pollDuration, knownWithin = 2 * sec, 6 * sec
+	for _, maxPollInterval := range []time.Duration{2 * sec, 10 * sec, 60 * sec} {
 		least, most := knownWithin, time.Duration(0)
 		for seed := range uint64(50) {
 			s := newHarness(t, Idempotent, DeduplicatedByFleet, 2)
-			s.balancer.ConfigureEndpoints(EndpointSettings{Zone: "z0", Polled: true, MaxPollInterval: within, MessageTarget: 100 * ms})
+			s.balancer.ConfigureEndpoints(EndpointSettings{Zone: "z0", Polled: true, MaxPollInterval: maxPollInterval, MessageTarget: 100 * ms})
 			s.balancer.random = seeded(seed)
 			for range 12 {
 				s.balancer.BeginEndpoints(FailedUpdate)
@@ -82,11 +82,11 @@
 			}
 			least, most = min(least, s.timers[listTimer]), max(most, s.timers[listTimer])
 		}
-		if most > knownWithin-2*call {
-			t.Errorf("polled every %v: a backoff of %v", within, most)
+		if most > knownWithin-2*pollDuration {
+			t.Errorf("polled every %v: a backoff of %v, want at most %v", maxPollInterval, most, knownWithin-2*pollDuration)
 		}
 		if most-least < most/3 {
-			t.Errorf("polled every %v: all backoffs lie between %v and %v, so that balancers poll at the same time", within, least, most)
+			t.Errorf("polled every %v: all backoffs lie between %v and %v, so that balancers poll at the same time", maxPollInterval, least, most)
 		}
 	}
 }
--- a/decide/longlist_test.go
+++ b/decide/longlist_test.go
@@ -134,7 +134,7 @@
 		DeduplicatedByZone: func(a, b *serverState) bool { return a.zone == b.zone },
 		DeduplicatedByCell: func(a, b *serverState) bool { return a.cell == b.cell },
 	} {
-		s := newLoadedBalancer(t, 1999, 0, 1) // each cell has several
+		s := newLoadedBalancer(t, 1999, 0, 1) // seven or eight in each cell
 		s.balancer.services[0].Effect, s.balancer.services[0].Deduplication = IdempotentByKey, scope
 		for i := range 50 {
 			f := FlowID(strconv.Itoa(i))
--- a/decide/overload_test.go
+++ b/decide/overload_test.go
@@ -25,7 +25,8 @@
 	s.takeActions()
 	s.request("new", "", sec)
 	if s.balancer.health.flowLimit.reducedAt == 0 || s.targets["new"] >= 1 && s.targets["new"] <= 4 {
-		t.Errorf("there is no limit on all flows, or a flow went to the overloaded server %d", s.targets["new"])
+		t.Errorf("limit on all flows set: %v, want true; a new flow went to server %d, want 0 (none), 5 or 6",
+			s.balancer.health.flowLimit.reducedAt != 0, s.targets["new"])
 	}
 	s.setTime(latencyMaxAge + ms)
 	if s.balancer.isCapacityScarce() {
@@ -121,7 +122,7 @@
 	}
 	s.takeActions()
 	s.request("a", "", sec)
-	s.expect("reject a") // even though the balancer has no flows at most servers
+	s.expect("reject a") // although the balancer has no flows at 52 of the 60 servers
 }
 
 // While capacity is scarce, flows of customers over their quota are shed first.
--- a/decide/placement_test.go
+++ b/decide/placement_test.go
@@ -17,7 +17,7 @@
 			s.adopt("b", 4, "x", 1)
 			s.adopt("c", 3, "y", 3)
 		}, 2},
-		{"the same above the load bound, by random variation at one of four balancers", func(s *harness) {
+		{"the server that holds the group, above the load bound by random variation at one of four balancers", func(s *harness) {
 			s.balancer.slowStart.Balancers = 4
 			s.adopt("a", 6, "g", 2)
 			s.adopt("b", 3, "x", 1)
--- a/decide/rechecks_test.go
+++ b/decide/rechecks_test.go
@@ -30,7 +30,7 @@
 		s.setTime(c.since)
 		s.balancer.OnLatencySample("a0", 700*ms)
 		if n := s.countActions("move"); (n > 0) != c.want {
-			t.Errorf("%v after a slow set-up with the outcome %q: %d migrations", c.since, c.last, n)
+			t.Errorf("%v after a slow set-up with the outcome %q: %d migrations, want some: %v", c.since, c.last, n, c.want)
 		}
 	}
 }
@@ -58,7 +58,7 @@
 		{"backlog grows slowly", 220 * ms, 10, 50},
 		{"backlog shrinks fast enough", 60 * ms, 0, 0},
 	} {
-		t.Run("of many balancers, "+c.name, func(t *testing.T) {
+		t.Run("200 balancers, "+c.name, func(t *testing.T) {
 			migrations := 0
 			for n := range 200 {
 				s := newHarness(t, Idempotent, DeduplicatedByFleet, 6)
@@ -78,7 +78,7 @@
 }
 
 // No flow is migrated while set-ups are slow.
-func TestNoMigrationIntoSharedSlowdown(t *testing.T) {
+func TestNoMigrationWhileSetupsAreSlow(t *testing.T) {
 	s := newHarness(t, Idempotent, DeduplicatedByFleet, 4)
 	s.adopt("o", 8, "", 1)
 	s.request("a", "", sec)
--- a/decide/recorded_test.go
+++ b/decide/recorded_test.go
@@ -19,7 +19,7 @@
 	now         time.Duration
 	due         []pending
 	connections map[FlowID]ServerID
-	established []FlowID // keys of connections, in the order of their establishment
+	established []FlowID // keys of connections, in the order in which they were established
 	flows       int
 	actionLog   []byte
 }
@@ -154,7 +154,7 @@
 	}
 }
 
-// simulateReplies schedules the results of the actions since the last call, and appends the actions to the hash input.
+// simulateReplies schedules the results of the actions since the last call, and appends the actions to actionLog.
 func (r *simulatedRun) simulateReplies(parameters runParameters) {
 	for _, line := range r.performed {
 		r.actionLog = fmt.Appendf(r.actionLog, "%d %s\n", r.now, line)
--- a/decide/reports_test.go
+++ b/decide/reports_test.go
@@ -127,8 +127,10 @@
 		t.Errorf("two balancers send the same health checks: %v", first)
 	}
 	idle, busy, flooded := len(run(1, 0, 30*sec)), len(run(1, 1, 30*sec)), len(run(1, 40, 30*sec))
+	// In each of the 121 ticks, 1+4*12*0.25/5 checks at most are sent to the 12 servers, rounded down; the bound is 4.
 	if idle > 40 || busy < 2*idle || flooded > 121*4 {
-		t.Errorf("%d health checks in 30 s without flows, %d with 4 flows/s, %d with 160 flows/s", idle, busy, flooded)
+		t.Errorf("health checks in 30 s: %d without flows, want at most 40; %d with 4 flows/s, want at least twice as many; "+
+			"%d with 160 flows/s, want at most 121*4", idle, busy, flooded)
 	}
 }
 
@@ -155,7 +157,7 @@
 func TestHealthChecksFollowFlowsHeld(t *testing.T) {
 	for _, c := range []struct{ balancers, flows, least, most int }{
 		{1, 0, 230, 245}, // each server when the list arrives, and once in 15 s
-		{300, 0, 1, 2},   // this balancer's share of the rounds
+		{300, 0, 1, 2},   // one when the list arrives, and a 300th of the later ones of a single balancer
 		{300, 2, 6, 8},   // one for each server with a flow, and then one in 15 s
 		{300, 20, 58, 64},
 		{300, 200, 230, 245},
@@ -194,15 +196,15 @@
 		s.balancer.ConfigureHealthChecks(true)
 		s.setTime(100 * sec)
 		for _, server := range s.balancer.list.ready {
-			server.healthCheckedAt = time.Duration(rapid.IntRange(0, 20).Draw(rt, "asked")) * sec
+			server.healthCheckedAt = time.Duration(rapid.IntRange(0, 20).Draw(rt, "checked")) * sec
 			s.adopt(fmt.Sprint("f", server.id, "-"), rapid.IntRange(0, 2).Draw(rt, "flows"), "", server.id)
 		}
 		s.balancer.health.checkCredit = float64(rapid.IntRange(0, 40).Draw(rt, "credit"))
 		s.takeActions()
-		before := healthCheckOrderByScan(s.balancer, len(s.balancer.list.ready))
+		byScan := healthCheckOrderByScan(s.balancer, len(s.balancer.list.ready))
 		s.balancer.sendHealthChecks()
 		most = max(most, len(s.performed))
-		want := strings.Join(before[:len(s.performed)], ", ")
+		want := strings.Join(byScan[:len(s.performed)], ", ")
 		if got := s.takeActions(); got != want {
 			rt.Errorf("health checks %q, by scan %q", got, want)
 		}
--- a/decide/slowstart_test.go
+++ b/decide/slowstart_test.go
@@ -11,7 +11,7 @@
 	for _, c := range []struct {
 		name     string
 		from, to time.Duration
-		most     int // 3 times the mean, here 20 plus new flows, times the capacity share at the end
+		most     int // at least the budget that is due from..to, at an OverloadMultiple of 3, and what may be saved
 	}{
 		{"burst at the start", 0, 1500 * ms, 3},
 		{"halfway through the warm-up", 9 * sec, 11 * sec, 50},
@@ -45,8 +45,9 @@
 		s.request(id, "", sec)
 		s.balancer.OnEstablished(id, ms)
 	}
-	// The budget of a window of 1.5 s, at three times a mean that rises from 140, plus one attempt at random. The budget
-	// since the start is 100. Three balancers that spend that of six windows at once would overload a server.
+	// The budget of a window is 3 * 143 flows (the mean) * 0.8 (the capacity share) * 1.5 s / 60 s, or 9 attempts, and rises
+	// with the mean. All budget since the start would be 3 * 143 * (0.8*0.8 - 0.2*0.2) / 1.6, or 161 attempts. If three
+	// balancers spent the budget of six windows at once, they would overload the server.
 	if s.attemptsTo[3] < 5 || s.attemptsTo[3] > 14 {
 		t.Errorf("%d attempts", s.attemptsTo[3])
 	}
