--- a/constraints/balancer.go
+++ b/constraints/balancer.go
@@ -14,8 +14,8 @@
 	isOutstanding bool // its last attempt, or its connection, has not ended
 }
 
-// intervention is the key under which interventions are counted.
-type intervention struct {
+// interventionKey identifies a count: how often a constraint objected, or added a cost, for one reason.
+type interventionKey struct {
 	constraint string
 	reason     Reason
 }
@@ -30,8 +30,8 @@
 	zones         map[decide.ServerID]decide.Zone
 	listed        map[decide.ServerID]listing
 	explanations  explanationRing
-	interventions map[intervention]int
-	nextName      string // that the client of the next flow gave it
+	interventions map[interventionKey]int
+	nextName      string // name that the client gave to the next flow
 }
 
 // New wraps a new decide.Balancer, which configure sets up. The constraints are queried in the order given. If one of
@@ -44,7 +44,7 @@
 		flows:         map[decide.FlowID]*trackedFlow{},
 		zones:         map[decide.ServerID]decide.Zone{},
 		listed:        map[decide.ServerID]listing{},
-		interventions: map[intervention]int{},
+		interventions: map[interventionKey]int{},
 	}
 	b.balancer = decide.New(seed, observedActions{b})
 	b.balancer.SetConstraints(queries{b})
@@ -52,7 +52,7 @@
 	return b
 }
 
-// NameNextFlow sets the name that the client of the next flow gave it. Explain finds the flow by it.
+// NameNextFlow sets the name that the client gave to the next flow, by which Explain finds that flow.
 func (b *ConstrainedBalancer) NameNextFlow(name string) { b.nextName = name }
 
 // track begins to track a flow and its explanation.
--- a/constraints/constraints.go
+++ b/constraints/constraints.go
@@ -40,8 +40,8 @@
 const AdoptedFlow time.Duration = -1
 
 // Constraint restricts the decisions of a balancer. Events arrive as they happen, after a call of SetTime. Queries are
-// answered from earlier events and change nothing. A constraint that needs few of the methods can embed Unconstrained,
-// which has all of them but Name.
+// answered from earlier events; apart from random draws and what they derive from these events, they change no state. A
+// constraint that needs few of the methods can embed Unconstrained, which has all of them but Name.
 type Constraint interface {
 	Name() string
 
@@ -59,7 +59,7 @@
 	// OnFlowRemoved handles the end of a flow. No more events of the flow follow.
 	OnFlowRemoved(flow decide.FlowID)
 	OnLatencySample(server decide.ServerID, latency time.Duration)
-	// OnLoadReport handles a server's own report of its load over its capacity.
+	// OnLoadReport handles a server's own report of its load, as a share of its capacity.
 	OnLoadReport(server decide.ServerID, load float64)
 	OnMigration(flow decide.FlowID)
 
--- a/constraints/endpoints.go
+++ b/constraints/endpoints.go
@@ -75,7 +75,7 @@
 	b.balancer.EndEndpoints()
 }
 
-// Snapshot returns the state of decide.
+// Snapshot returns the state of the wrapped decide.Balancer.
 func (b *ConstrainedBalancer) Snapshot() decide.Snapshot { return b.balancer.Snapshot() }
 
 // Restore continues from the snapshot of another instance. The constraints are given its endpoint list, and learn
--- a/constraints/explanations.go
+++ b/constraints/explanations.go
@@ -27,7 +27,7 @@
 // Explanation records why a flow was placed at its server, or rejected or aborted.
 type Explanation struct {
 	Flow       decide.FlowID   `json:"flow"`
-	Name       string          `json:"name,omitempty"` // that its client gave it
+	Name       string          `json:"name,omitempty"` // given by its client
 	ArrivedAt  float64         `json:"came_s"`
 	Group      decide.GroupKey `json:"group,omitempty"`
 	Attempts   []Attempt       `json:"connects"`
@@ -94,7 +94,7 @@
 	r.oldest = (r.oldest + 1) % maxExplanations
 }
 
-// find returns the newest explanation of a flow with this id or name.
+// find returns the newest explanation of a flow with this ID or name.
 func (r *explanationRing) find(idOrName string) *Explanation {
 	for i := range r.entries {
 		explanation := r.entries[(r.oldest+len(r.entries)-1-i)%len(r.entries)]
@@ -116,14 +116,14 @@
 	if len(explanation.ExtraCosts) >= maxExplainedCosts || explanation.hasExtraCost(server) {
 		return
 	}
-	b.interventions[intervention{constraint.Name(), reasonExtraCost}]++
+	b.interventions[interventionKey{constraint.Name(), reasonExtraCost}]++
 	explanation.ExtraCosts = append(explanation.ExtraCosts,
 		ExtraCost{Server: server, Reason: constraint.Name() + ": " + explainer.ExplainCost(server)})
 }
 
 // recordObjection records that a constraint objected.
 func (b *ConstrainedBalancer) recordObjection(id decide.FlowID, constraint Constraint, why Reason) {
-	b.interventions[intervention{constraint.Name(), why}]++
+	b.interventions[interventionKey{constraint.Name(), why}]++
 	if flow := b.flows[id]; flow != nil && !flow.isEstablished {
 		flow.explanation.addExclusion(constraint.Name(), why)
 	}
@@ -159,7 +159,7 @@
 	return all
 }
 
-// Explain returns the explanation of a flow, by its id or the name that its client gave it; the newest if several match.
+// Explain returns the explanation of a flow, by its ID or the name given by its client; the newest if several match.
 func (b *ConstrainedBalancer) Explain(idOrName string) (Explanation, bool) {
 	found := b.explanations.find(idOrName)
 	if found == nil {
