--- a/locality/failover.go
+++ b/locality/failover.go
@@ -18,10 +18,10 @@
 	maxFailedServers = 4
 	minFailures      = 2 // attempts or connections, however few servers there are
 
-	firstProbeBackoff    = time.Second // between probes of an unavailable locality; doubled after each failed one
-	maxProbeBackoff      = 8 * time.Second
-	maxProbeBackoffAlone = time.Second     // while no locality is healthy
-	probeTimeout         = 2 * time.Second // after which the next probe may go out
+	firstProbeBackoff          = time.Second // between probes of an unavailable locality; doubled after each failed one
+	maxProbeBackoff            = 8 * time.Second
+	maxProbeBackoffNoneHealthy = time.Second     // while no locality is healthy
+	probeTimeout               = 2 * time.Second // after which the next probe may go out
 
 	recoverySteps    = 5           // equal parts of the warm-up time
 	maxStepFactor    = 4           // by which slow set-ups may prolong a step
@@ -36,7 +36,7 @@
 type sample struct {
 	at          time.Duration
 	server      decide.ServerID
-	isReached   bool
+	isReached   bool          // the server answered, whatever its answer
 	isAmbiguous bool          // a timeout, which may have a cause outside the locality
 	took        time.Duration // set-up time; 0: not established
 }
@@ -54,8 +54,9 @@
 	}
 }
 
-// isUnreachable reports whether the newest samples, without a success among them, are recent failures at enough different
-// servers for the locality's number of ready servers. A few outliers do not make a locality unavailable.
+// isUnreachable reports whether the recent samples since the last answer are minFailures or more, at a third of the ready
+// servers (at least minFailedServers if there are so many, at most maxFailedServers). A few outliers do not make a locality
+// unavailable. Timeouts count only while attempts succeed elsewhere. For a recovering locality, minFailedServers are enough.
 func (p *Policy) isUnreachable(l *locality) bool {
 	failed := map[decide.ServerID]bool{}
 	failures := 0
@@ -95,7 +96,7 @@
 	case isFailure || outcome == decide.Cancelled:
 		maxBackoff := maxProbeBackoff
 		if p.noneHealthy() {
-			maxBackoff = maxProbeBackoffAlone
+			maxBackoff = maxProbeBackoffNoneHealthy
 		}
 		l.probeBackoff = min(2*l.probeBackoff, maxBackoff)
 		l.nextProbeAt = p.now + p.jitter(l.probeBackoff)
@@ -125,7 +126,8 @@
 	}
 }
 
-// areSetupsSlow reports whether most recent set-ups in a locality failed or missed their target.
+// areSetupsSlow reports whether more than half of the recent samples of a locality are failures or set-ups that missed
+// their target.
 func (p *Policy) areSetupsSlow(l *locality) bool {
 	slow, n := 0, 0
 	for _, s := range l.samples {
--- a/locality/policy.go
+++ b/locality/policy.go
@@ -60,7 +60,7 @@
 	failbackTokens float64 // of a token bucket: migrations to a nearer tier that may begin now
 	failbacks      int     // migrations to a nearer tier so far
 
-	usualPerSize float64       // the usual load: own flows per unit of size in the nearest tier
+	usualPerSize float64       // the usual load: all own flows, in any locality, per unit of size of the nearest tier
 	updatedAt    time.Duration // time of the last SetTime
 	learnedFor   time.Duration // how long the usual load has been learned
 }
--- a/locality/policy_test.go
+++ b/locality/policy_test.go
@@ -115,9 +115,9 @@
 }
 
 // fill establishes flows at a server until the policy objects, and returns how many.
-func (s *harness) fill(first decide.ServerID) (n int) {
-	for n < 1000 && s.objection(first) == "" {
-		s.establish(s.newFlow(), first, 10*time.Millisecond)
+func (s *harness) fill(id decide.ServerID) (n int) {
+	for n < 1000 && s.objection(id) == "" {
+		s.establish(s.newFlow(), id, 10*time.Millisecond)
 		n++
 	}
 	return n
@@ -186,10 +186,10 @@
 				t.Errorf("%d flows spilled where 40 are usual, want %d to %d", n, c.least, c.most)
 			}
 			if s.fill(6) != 0 {
-				t.Error("another server of the same locality takes more")
+				t.Error("another server of the same locality takes flows beyond the spill limit")
 			}
 			if n := s.fill(9); n < c.least || n > c.most {
-				t.Errorf("%d flows in the last locality", n)
+				t.Errorf("%d flows in the last locality, want the range of %+v", n, c)
 			}
 		})
 	}
@@ -342,7 +342,7 @@
 		name string
 		held int
 		most int
-	}{{"nothing adopted: no limit yet", 0, 1000}, {"forty", 40, 12}} {
+	}{{"nothing adopted: no limit yet", 0, 1000}, {"forty adopted flows", 40, 12}} {
 		t.Run(c.name, func(t *testing.T) {
 			s := &harness{t: t, Policy: newPolicy(1, Rules{Spill: 0.3, Balancers: 1})}
 			s.listAll()
--- a/locality/queries.go
+++ b/locality/queries.go
@@ -95,7 +95,8 @@
 	return f != nil && f.server != nil && f.server.locality.tier > 0
 }
 
-// MigrateFirst returns the flows that a nearer tier could take, those of the oldest group first.
+// MigrateFirst returns a few flows that a nearer tier could take: first those of the group whose flow was established
+// earliest.
 func (p *Policy) MigrateFirst() []decide.FlowID {
 	if p.failbackTokens < 1 {
 		return nil
--- a/locality/spillover.go
+++ b/locality/spillover.go
@@ -18,7 +18,7 @@
 	minSize          = 1e-9             // a divisor when there are no servers
 )
 
-// updateUsualLoad updates the usual load, a moving average of all own flows per unit of size in the nearest tier. It
+// updateUsualLoad updates the usual load, a moving average of all own flows per unit of size of the nearest tier. It
 // follows a rise only while that tier is not overloaded, as an overload would become usual otherwise, and it does not
 // change while the tier is not healthy.
 func (p *Policy) updateUsualLoad(elapsed time.Duration) {
@@ -39,7 +39,8 @@
 
 func (p *Policy) isUsualLoadKnown() bool { return p.learnedFor >= learningTime }
 
-// currentPerSize returns all own flows per unit of size in the nearest tier now; false while that tier is not healthy.
+// currentPerSize returns all own flows, in any locality, per unit of size of the nearest tier now; false while that tier is
+// not healthy.
 func (p *Policy) currentPerSize() (perSize float64, ok bool) {
 	size := 0.0
 	isHealthy := true
@@ -73,7 +74,7 @@
 }
 
 // usualFlows returns how many flows this balancer would usually have in a locality if that were its nearest one. While
-// the usual load is not known yet, the present number of flows is the least.
+// the usual load is not known yet, the estimate is no lower than the present load with one more flow.
 func (p *Policy) usualFlows(l *locality) float64 {
 	perSize := p.usualPerSize
 	if !p.isUsualLoadKnown() {
@@ -83,7 +84,7 @@
 }
 
 // SpillLimit returns how many flows this balancer may have in a locality of another tier. There is no limit while the
-// usual load is not known: before the balancer started, the localities already served its clients.
+// usual load is not known: a balancer that just started would otherwise reject clients that these localities served before.
 func (p *Policy) SpillLimit(zone decide.Zone) float64 {
 	if !p.isUsualLoadKnown() {
 		return math.Inf(1)
--- a/locality/state.go
+++ b/locality/state.go
@@ -37,7 +37,8 @@
 	why   constraints.Reason // of the last change of state; empty: healthy
 	since time.Duration      // time of the last change of state
 	// A random number from 0 to 1, added to a count of flows before it is compared with a limit. So the limit is rounded
-	// at random, and the limits of all balancers add up to the right sum. It is drawn again at each change of state.
+	// at random, and the rounded limits of all balancers add up to about the sum of the exact ones. It is drawn again at each
+	// change of state.
 	randomRounding float64
 	servers        map[decide.ServerID]*server
 	ready          int     // number of ready servers
