--- a/fleet/lease/manager.go
+++ b/fleet/lease/manager.go
@@ -46,7 +46,7 @@
 	state     state
 	epoch     Epoch // the highest that this balancer has observed or held
 	holder    Holder
-	renewedAt time.Duration // or when this balancer learned of the task, or was suspended, if that is later
+	renewedAt time.Duration // last renewal; or when this balancer learned of the task or was suspended, if that is later
 
 	rank      int // of this balancer: 0 is the preferred holder, 1 to maxStandbys are standbys
 	preferred Holder
--- a/fleet/lease/manager_test.go
+++ b/fleet/lease/manager_test.go
@@ -89,11 +89,11 @@
 	epoch := m.Renew(task, time.Second)
 	m.OnSuspended(20 * time.Second)
 	if m.Holds(task, 20*time.Second) || m.Holds(task, 25*time.Second) {
-		t.Error("it performs the task within a term after its suspension")
+		t.Error("the suspended balancer performs the task within a term")
 	}
 	m.Observe(task, epoch+1, ranked[1], 0, 21*time.Second)
 	if !m.Holds(task, 22*time.Second) || m.Renew(task, 22*time.Second) <= epoch+1 {
-		t.Error("want it to take the lease back in a later epoch than the holder's")
+		t.Error("want the suspended balancer to take the lease back in a later epoch than the holder's")
 	}
 }
 
@@ -150,7 +150,8 @@
 	return holders
 }
 
-// toggle takes a balancer down, or up again as after a suspension.
+// toggle takes a balancer down, or up again as after a suspension. Once three balancers were toggled, it takes none down any
+// more, so that at most three are down at a time, and treats one that is up as suspended.
 func (f *faultyFleet) toggle(i int) {
 	f.down[i] = !f.down[i] && len(f.down) < 3
 	if !f.down[i] {
@@ -179,6 +180,7 @@
 		if f.allDown() {
 			return
 		}
+		// Twice the time until the last standby takes over, in steps of 0.5 s.
 		undone, holders := f.run(2*(maxStandbys+1)*int(term/time.Second)*2, false)
 		if undone > 0 || len(holders) != 1 {
 			t.Fatalf("not performed in the last %d steps; holders %v, down %v", undone, holders, f.down)
--- a/fleet/signals/exchange.go
+++ b/fleet/signals/exchange.go
@@ -7,7 +7,7 @@
 	"yardwinch/decide"
 )
 
-// never is earlier than any time that occurs: the time of what has not happened.
+// never is the time of an event that has not happened yet. It is earlier than all real times.
 const never = -time.Hour
 
 // Exchange is one balancer's part in the exchange of signals: it observes servers, publishes its observations, merges
@@ -32,14 +32,14 @@
 	isFaultWidespread bool
 
 	own         Record   // as last published
-	published   []Report // in own
+	published   []Report // own.Reports, as last published
 	publishedAt time.Duration
 	newFlows    int // since the last record
 	fleetSize   int // members, including this one
 	selections  int // number of selections for full states, so that each begins at another origin
 
 	loads      map[decide.ServerID]ownLoad
-	isRelaying bool // load reports are those of another balancer at the moment
+	isRelaying bool // WithRelayedLoads is running: OnLoadReport gets load reports that another balancer published
 	// nil: loads are not shared.
 	onLoadReport func(_ decide.ServerID, now time.Duration) (epoch uint64)
 }
--- a/fleet/signals/exchange_test.go
+++ b/fleet/signals/exchange_test.go
@@ -55,7 +55,7 @@
 	exchange.Merge(reportOf("me", 9, Late, 1))
 	record, isDue := exchange.Publish(3)
 	if !isDue || record.Incarnation != 2 {
-		t.Errorf("published %v as incarnation %d", isDue, record.Incarnation)
+		t.Errorf("record due: %v, incarnation %d; want true and 2", isDue, record.Incarnation)
 	}
 }
 
--- a/fleet/signals/loads.go
+++ b/fleet/signals/loads.go
@@ -8,7 +8,9 @@
 	"yardwinch/decide"
 )
 
-const loadValidity = 6 * time.Second // of a load report, after which it has been published three times
+// loadValidity is the age after which a load report is no longer published. In a small fleet it has been published about
+// three times by then, in a larger one less often.
+const loadValidity = 6 * time.Second
 
 // ownLoad is a load report that this balancer received from the server itself.
 type ownLoad struct {
--- a/fleet/signals/observations.go
+++ b/fleet/signals/observations.go
@@ -11,7 +11,7 @@
 	failureValidity  = 2 * evidenceValidity    // of failed set-ups and broken connections, which are less frequent
 	maxSamples       = 4                       // kept for each server
 	minFailures      = 2                       // a single failure may be chance
-	minUnanswered    = 2                       // attempts in a row without an answer, from which a server is silent
+	minUnanswered    = 2                       // value of observation.unanswered from which a server is silent
 )
 
 // observation is what this balancer itself observes of a server.
@@ -20,7 +20,7 @@
 	lateAt       time.Duration
 	healthyAt    time.Duration
 	connections  int
-	unanswered   int // number of attempts in a row without an answer
+	unanswered   int // attempts that ended as Unreachable or TimedOut since the last one established
 	unansweredAt time.Duration
 }
 
--- a/fleet/signals/record.go
+++ b/fleet/signals/record.go
@@ -51,7 +51,7 @@
 // LoadReport is the load that a server reported to the origin that checks its health for all balancers.
 type LoadReport struct {
 	Server decide.ServerID
-	Load   float64 // over the server's capacity
+	Load   float64 // as a share of the server's capacity
 	Epoch  uint64  // of the lease on the server's health checks
 	Age    time.Duration
 }
--- a/fleet/signals/wire.go
+++ b/fleet/signals/wire.go
@@ -88,8 +88,9 @@
 	return &Error{Where: "signals", What: what, Remedy: remedy, Err: cause}
 }
 
-// Encode encodes a record as a map with integer keys. If a record does not fit into a datagram, its last reports are
-// left out, which are those of healthy servers.
+// Encode encodes a record as a map with integer keys. If a record does not fit into a datagram, an equal share of its
+// reports and of its load reports is left out, from the end. The last reports are those of healthy servers, or of the least
+// faults, with the fewest connections. A record with less than minFraction of its reports is encoded whatever its size.
 func Encode(record Record) ([]byte, error) {
 	for fraction := 1.0; ; fraction *= shrinkFactor {
 		message, err := encoder.Marshal(messageFields(record, fraction))
@@ -201,12 +202,12 @@
 	}
 	record.Rate = float64(max(rate, 0)) / rateScale
 	for _, values := range reports[:min(len(reports), MaxReports)] {
-		if report, known := decodeReport(values); known {
+		if report, ok := decodeReport(values); ok {
 			record.Reports = append(record.Reports, report)
 		}
 	}
 	for _, values := range loads[:min(len(loads), MaxLoadReports)] {
-		if load, known := decodeLoadReport(values); known {
+		if load, ok := decodeLoadReport(values); ok {
 			record.LoadReports = append(record.LoadReports, load)
 		}
 	}
@@ -224,8 +225,8 @@
 	return r.Sequence != 0 && r.Incarnation < math.MaxUint64-1
 }
 
-// decodeReport decodes a report. One with a value out of range, or with a fault that a later build added, is not known.
-func decodeReport(values []int64) (report Report, known bool) {
+// decodeReport decodes a report; ok is false if a value is out of range or the fault is one that a later build added.
+func decodeReport(values []int64) (report Report, ok bool) {
 	if len(values) < reportFields {
 		return Report{}, false
 	}
@@ -241,8 +242,8 @@
 	}, true
 }
 
-// decodeLoadReport decodes a load report. One with a value out of range is not known.
-func decodeLoadReport(values []int64) (report LoadReport, known bool) {
+// decodeLoadReport decodes a load report; ok is false if a value is out of range.
+func decodeLoadReport(values []int64) (report LoadReport, ok bool) {
 	if len(values) < reportFields {
 		return LoadReport{}, false
 	}
--- a/fleet/signals/wire_test.go
+++ b/fleet/signals/wire_test.go
@@ -57,7 +57,7 @@
 		large.Reports = append(large.Reports, Report{Server: id, Fault: Late, Connections: 1000, Age: time.Hour})
 	}
 	if encoded := mustEncode(t, large); len(encoded) > maxRecordBytes {
-		t.Errorf("%d bytes", len(encoded))
+		t.Errorf("the encoded record has %d bytes, want at most %d", len(encoded), maxRecordBytes)
 	}
 }
 
@@ -109,7 +109,7 @@
 				t.Errorf("%+v, %v; want %v with advice", record, err, c.want)
 			}
 			if err == nil && len(record.Reports) != 1 {
-				t.Errorf("reports %+v", record.Reports)
+				t.Errorf("decoded reports %+v, want one", record.Reports)
 			}
 		})
 	}
@@ -134,6 +134,8 @@
 		t.Errorf("%d origins and %d servers are known", len(records), len(servers))
 	}
 	other := newExchange("other")
+	// Each full state begins maxFullState/2 origins after the last, so that 2*size/maxFullState of them contain every record.
+	// Twice as many are requested.
 	for range 2 * size / maxFullState * 2 {
 		other.mergeAll(sendFullState(t, exchange)...)
 	}
