--- a/internal/simulator/decoder.go
+++ b/internal/simulator/decoder.go
@@ -17,7 +17,7 @@
 	in     *bufio.Reader
 	line   int
 	fields []string // of the current line
-	err    error    // the first error in the current batch
+	err    error    // the first error in a field; it ends the run
 }
 
 // next reads the next line that isn't empty; false at the end of the input.
@@ -40,7 +40,7 @@
 	}
 }
 
-// split splits a line into fields. It reuses the memory of the last line's.
+// split splits a line into fields. It reuses the slice of the previous line's fields.
 func (d *decoder) split(line string) {
 	d.fields = d.fields[:0]
 	for {
--- a/internal/simulator/events.go
+++ b/internal/simulator/events.go
@@ -66,7 +66,7 @@
 	h := in.host
 	id := h.flow()
 	took := time.Duration(h.integer(establishedTookField))
-	h.requiredInteger(attemptField)
+	h.requiredInteger(attemptField) // must be an integer, and is not used
 	if h.err == nil {
 		in.balancer.OnEstablished(id, took)
 	}
@@ -96,7 +96,7 @@
 	outcome := oneOf(&h.decoder, outcomes, endedOutcomeField)
 	took := time.Duration(h.integer(endedTookField))
 	isAnswered := h.integer(endedAnsweredField) != 0
-	h.requiredInteger(attemptField)
+	h.requiredInteger(attemptField) // must be an integer, and is not used
 	if h.err != nil {
 		return
 	}
--- a/internal/simulator/instance.go
+++ b/internal/simulator/instance.go
@@ -9,7 +9,8 @@
 	"yardwinch/internal/config"
 )
 
-// instance is one balancer, with the ids of the names in its settings. It implements decide.Actions.
+// instance is one balancer, with the IDs of the service types and customers that its settings name. It implements
+// decide.Actions.
 type instance struct {
 	host      *host
 	id        int
--- a/internal/simulator/simulator_test.go
+++ b/internal/simulator/simulator_test.go
@@ -6,6 +6,7 @@
 	"testing"
 )
 
+// settings are those of an instance. The key of the last one is unknown, and ignored.
 const settings = "discovery=push\tfamily-info.mode=proxy\tfamily-info.message-aim=250000000" +
 	"\tguarantees.cold-from=0.16\tguarantees.fall-multiple=3\tguarantees.warm-after=23000000000\tpeers-total=3" +
 	"\tpolicy-limits.max-connects=2\tpolicy-limits.retry-after=true\tpolicy-limits.max-retry-after=1000000000" +
@@ -86,6 +87,7 @@
 	}
 }
 
+// An event of an unknown flow causes no panic, not even without service types. Any panic is reported as a FAULT.
 func TestPanicBecomesFault(t *testing.T) {
 	withoutServices := strings.Replace(begin, "service-types.count=1", "service-types.count=0", 1)
 	input := strings.Replace(withoutServices, "UPDATE\tC\t41\t0\n", "UPDATE\tC\t41\t0\nFIRST\tt/none\t0\t51\t1\n", 1) + "FLUSH\n"
