--- a/decide/admission.go
+++ b/decide/admission.go
@@ -29,7 +29,7 @@
 	concurrencyLimit float64
 	queue            []*flow       // oldest first
 	spacing          time.Duration // from which the backoff is drawn while the limit is 1
-	backoffUntil     time.Duration // no attempt is made before this time
+	backoffUntil     time.Duration // no attempt but a forced one is made before this time
 	decreasedAt      time.Duration // the last decrease of the limit
 	recentSetups     []sample      // at any server
 	lastConnectAt    time.Duration
--- a/decide/health.go
+++ b/decide/health.go
@@ -87,9 +87,9 @@
 	}
 }
 
-// isOutlier reports whether a server is to be ejected: its failure rate exceeds the fleet's median by outlierMargin, and no
-// more than half of the servers would be ejected then. The rate is compared with the median because a failure of all
-// servers has a shared cause, and ejecting some of them would overload the rest.
+// isOutlier reports whether a server is to be ejected: its failure rate exceeds the fleet's median by at least
+// outlierMargin, and no more than half of the servers would be ejected then. The rate is compared with the median because a
+// failure of all servers has a shared cause, and ejecting some of them would overload the rest.
 func (b *Balancer) isOutlier(server *serverState) bool {
 	share, n := failureRate(server.samples, b.now-outcomeMaxAge)
 	return n >= outlierSample && share >= b.medianFailureRate()+outlierMargin &&
--- a/decide/snapshot.go
+++ b/decide/snapshot.go
@@ -16,7 +16,7 @@
 	BaselineSize     float64          `json:"usual"`    // see endpointList.baselineSize; 0: unknown
 	ConcurrencyLimit float64          `json:"window"`   // on concurrent attempts
 	SetupSpacing     time.Duration    `json:"pause"`    // from which the backoff is drawn while the limit is 1
-	BackoffUntil     time.Duration    `json:"opens"`    // no attempt is made before this time
+	BackoffUntil     time.Duration    `json:"opens"`    // no attempt but a forced one is made before this time
 	SetupTimes       []time.Duration  `json:"setups"`   // of the most recent set-ups at any server, oldest first
 	LastSetupAt      time.Duration    `json:"setup_at"` // when the last of them ended, or outcomeMaxAge later if it timed out
 	FlowLimit        LimitSnapshot    `json:"limit"`    // on all flows of the balancer
--- a/internal/simulator/recorded_test.go
+++ b/internal/simulator/recorded_test.go
@@ -75,7 +75,7 @@
 		t.Fatal(err)
 	}
 	if n := strings.Count(out, "FORWARD"); n < 1000 || strings.Count(out, "SHIFT") < 10 || strings.Count(out, "OVERLOAD_REPLY") < 10 {
-		t.Fatalf("%d attempts, want at least 1000, and at least 10 migrations and 10 rejections with Retry-After", n)
+		t.Fatalf("%d attempts, want at least 1000, and at least 10 migrations and 10 rejections", n)
 	}
 	const want = "96f667250c80d4c5f2b93076a7738908"
 	if got := fmt.Sprintf("%x", sha256.Sum256([]byte(out)))[:32]; got != want {
