--- a/internal/testbed/scale/page.go
+++ b/internal/testbed/scale/page.go
@@ -9,27 +9,27 @@
 )
 
 //go:embed capacity.md.tmpl
-var pageText string
+var pageTemplate string
 
 // page holds what docs/CAPACITY.md is generated from.
 type page struct {
 	current  *reportSet // of the current code
 	baseline *reportSet // of the code before the bounded-candidates mechanism
-	err      error      // the first fault of a table row
+	err      error      // the first missing series that a figure requires
 }
 
-// Page generates docs/CAPACITY.md from a directory of reports. The same reports give the same bytes.
+// Page generates docs/CAPACITY.md from a directory of reports. The same reports result in the same bytes.
 func Page(directory string) ([]byte, error) {
-	after, err := readResults(directory)
+	current, err := readResults(directory)
 	if err != nil {
 		return nil, err
 	}
-	before, err := readResults(filepath.Join(directory, baselineDirectory))
+	baseline, err := readResults(filepath.Join(directory, baselineDirectory))
 	if err != nil {
 		return nil, err
 	}
-	p := &page{current: after, baseline: before}
-	text, err := p.render(pageText)
+	p := &page{current: current, baseline: baseline}
+	text, err := p.render(pageTemplate)
 	if err != nil {
 		return nil, err
 	}
@@ -43,13 +43,13 @@
 		return err
 	}
 	if err := replaceFile(file, text); err != nil {
-		return &Error{Where: file, What: "the page can't be written", Remedy: "name a file that can be written with --out", Err: err}
+		return &Error{Where: file, What: "the page can't be written", Remedy: "name a writable file with --out", Err: err}
 	}
 	return nil
 }
 
 func (p *page) render(text string) ([]byte, error) {
-	const advice = "correct capacity.md.tmpl in internal/testbed/scale"
+	const advice = "correct internal/testbed/scale/capacity.md.tmpl"
 	parsed, err := template.New("capacity.md.tmpl").Funcs(p.functions()).Parse(text)
 	if err != nil {
 		return nil, &Error{Where: "capacity.md.tmpl", What: "is not a valid template", Remedy: advice, Err: err}
@@ -60,12 +60,12 @@
 		return nil, p.err
 	}
 	if err != nil {
-		return nil, &Error{Where: "capacity.md.tmpl", What: "can't be filled in", Remedy: advice, Err: err}
+		return nil, &Error{Where: "capacity.md.tmpl", What: "can't be executed as a template", Remedy: advice, Err: err}
 	}
 	return out.Bytes(), nil
 }
 
-// functions are the functions that the template calls.
+// functions returns the functions that the template calls.
 func (p *page) functions() template.FuncMap {
 	tables := p.dayTables()
 	tables["limits"] = p.requirementsTable()
@@ -86,7 +86,7 @@
 		"table": func(name string) (string, error) {
 			found := tables[name]
 			if found == nil {
-				return "", fmt.Errorf("no table %q", name)
+				return "", fmt.Errorf("unknown table %q", name)
 			}
 			return found.String(), nil
 		},
@@ -96,31 +96,32 @@
 	}
 }
 
-// proseFigure is a figure of the fleet's sizes, for the template's prose.
+// proseFigure returns a figure of proseFigures as text, for the paragraphs of the template.
 func proseFigure(name string) (string, error) {
 	f, ok := proseFigures[name]
 	if !ok {
-		return "", fmt.Errorf("no figure %q", name)
+		return "", fmt.Errorf("unknown figure %q", name)
 	}
 	return f.String(), nil
 }
 
+// proseFigures holds the fleet's sizes and values derived from them, by their names in the template.
 var proseFigures = map[string]figure{
 	"connections":          calculated(connectionsPerBalancer, inCount),
-	"fewest servers":       calculated(smallestServers, inCount),
+	"fewest servers":       calculated(fewestServers, inCount),
 	"likely servers":       calculated(likelyServers, inCount),
-	"most servers":         calculated(largestServers, inCount),
+	"most servers":         calculated(mostServers, inCount),
 	"balancers":            calculated(fleetBalancers, inCount),
 	"setups in flight":     calculated(setupLimit(), inCount),
-	"zone survivors":       calculated(zoneSuccessors, inCount),
-	"zone share":           calculated(zoneShare, inCount),
-	"zone increase":        calculated(zoneShare/connectionsPerBalancer, inShare),
-	"zone duration":        calculated(zoneShare*setupSeconds/setupLimit(), inSeconds),
+	"zone survivors":       calculated(zoneSurvivors, inCount),
+	"zone share":           calculated(zoneTakeover, inCount),
+	"zone increase":        calculated(zoneTakeover/connectionsPerBalancer, inShare),
+	"zone duration":        calculated(zoneTakeover*setupSeconds/setupLimit(), inSeconds),
 	"missed changes":       calculated(missedChanges, inCount),
 	"listeners":            calculated(listenersPerBalancer, inCount),
 	"change interval":      calculated(changeInterval, inSeconds),
-	"replacement interval": calculated(replacementSeconds, inSeconds),
-	"reconnects":           calculated(fleetReconnects, inRate),
+	"replacement interval": calculated(replacementInterval, inSeconds),
+	"reconnects":           calculated(fleetReconnectRate, inRate),
 	"partition":            calculated(partitionSeconds, inSeconds),
-	"change limit":         calculated(changeSeconds, inSeconds),
+	"change limit":         calculated(changeLimitSeconds, inSeconds),
 }
--- a/internal/testbed/scale/page_catalog.go
+++ b/internal/testbed/scale/page_catalog.go
@@ -10,10 +10,10 @@
 // seriesName is the name of a series that figures are derived from.
 type seriesName string
 
-// optionalSeries may be missing from the reports; any other series is required.
+// optionalSeries are the series that may be missing from the reports; all others are required.
 var optionalSeries = map[seriesName]bool{startMaxLatency: true}
 
-// The series of simulated balancers and of the gossip model.
+// The series of simulated balancers, of code measured within one process and of the gossip model.
 const (
 	placementTime                  seriesName = "placement.processor-time.by-servers"
 	placementTimeByConnections     seriesName = "placement.processor-time.by-connections-at-1000-servers"
@@ -92,19 +92,20 @@
 )
 
 const (
-	millisecond = 1e-3
-	kibibyte    = 1024.0
-	percent     = 0.01
-	sameSize    = 1e-3 // relative distance within which two sizes are equal
+	millisecond   = 1e-3
+	kibibyte      = 1024.0
+	percent       = 0.01
+	sizeTolerance = 1e-3 // relative difference below which a size is taken as the largest one of a series
 )
 
-// pageUnit converts a unit of a series to a unit of a figure.
-type pageUnit struct {
+// unitConversion converts values in a unit of a series to a unit of figures.
+type unitConversion struct {
 	factor float64
 	unit   unit
 }
 
-var pageUnits = map[string]pageUnit{
+// unitConversions holds the conversions by the unit of a series. Figures of series in other units keep that unit.
+var unitConversions = map[string]unitConversion{
 	"µs":             {microsecond, inSeconds},
 	"ns":             {nanosecond, inSeconds},
 	"ms":             {millisecond, inSeconds},
@@ -127,67 +128,69 @@
 	"servers":        {1, inCount},
 }
 
-// valueAt is the value of a series at a size: interpolated between neighbouring points inside the range of sizes, by
-// the fit outside of it. A series that only the baseline has is marked so. The first fault is kept in p.err.
+// valueAt returns the value of a series at a size: interpolated between neighbouring points inside the range of sizes,
+// extrapolated by the fit outside of it. The figure records whether the series exists in the baseline only. The first
+// required series that is missing is reported in p.err.
 func (p *page) valueAt(name seriesName, size float64) figure {
-	found, old := p.findSeries(name)
+	found, fromBaseline := p.findSeries(name)
 	if found == nil {
 		if !optionalSeries[name] {
-			p.fail(&Error{Where: p.current.directory + ": series " + string(name), What: "is missing",
-				Remedy: "run the experiment that gives it; testbed scale list names them"})
+			p.recordError(&Error{Where: p.current.directory + ": series " + string(name), What: "is missing",
+				Remedy: "run the experiment that yields it; testbed scale list lists the experiments"})
 		}
 		return unmeasured(string(name))
 	}
-	known, ok := pageUnits[found.Unit]
+	conversion, ok := unitConversions[found.Unit]
 	if !ok {
-		known = pageUnit{1, unit(found.Unit)}
+		conversion = unitConversion{1, unit(found.Unit)}
 	}
-	result := figure{unit: known.unit, origin: found.Origin, series: []string{string(name)}, fromBaseline: old}
-	if value, ok := found.measuredAt(size); ok {
-		result.value = value * known.factor
+	result := figure{unit: conversion.unit, origin: found.Origin, series: []string{string(name)}, fromBaseline: fromBaseline}
+	if value, ok := found.pointAt(size); ok {
+		result.value = value * conversion.factor
 		return result
 	}
-	if largest := found.largest(); math.Abs(size-largest) < sameSize*largest {
+	if largest := found.largestSize(); math.Abs(size-largest) < sizeTolerance*largest {
 		size = largest
 	}
-	if size >= found.Points[0].Size && size <= found.largest() {
-		result.value = found.between(size) * known.factor
+	if size >= found.Points[0].Size && size <= found.largestSize() {
+		result.value = found.interpolate(size) * conversion.factor
 		return result
 	}
 	if found.FitErr != nil {
 		return unmeasured(string(name))
 	}
-	result.value = found.Fit.At(size) * known.factor
+	result.value = found.Fit.At(size) * conversion.factor
 	result.fitError = found.Fit.absoluteError()
 	return result.derived()
 }
 
-// between interpolates linearly between the two points around a size.
-func (e *reportedSeries) between(size float64) float64 {
-	var lines interp.PiecewiseLinear
-	sizes, values := pointColumns(e.Points)
-	if err := lines.Fit(sizes, values); err != nil { // there is a single point, which is at that size
+// interpolate returns the linear interpolation between the two points around a size.
+func (s *reportedSeries) interpolate(size float64) float64 {
+	var curve interp.PiecewiseLinear
+	sizes, values := pointColumns(s.Points)
+	if err := curve.Fit(sizes, values); err != nil { // a single point, which has that size
 		return values[0]
 	}
-	return lines.Predict(size)
+	return curve.Predict(size)
 }
 
-// findSeries returns a series of the current code, else of the baseline.
-func (p *page) findSeries(name seriesName) (found *reportedSeries, old bool) {
-	if now := p.current.series[string(name)]; now != nil {
-		return now, false
+// findSeries returns a series of the current code, or that of the baseline if there is none.
+func (p *page) findSeries(name seriesName) (found *reportedSeries, fromBaseline bool) {
+	if current := p.current.series[string(name)]; current != nil {
+		return current, false
 	}
 	return p.baseline.series[string(name)], true
 }
 
-func (p *page) fail(err error) {
+func (p *page) recordError(err error) {
 	if p.err == nil {
 		p.err = err
 	}
 }
 
-func (e *reportedSeries) measuredAt(size float64) (value float64, ok bool) {
-	for _, point := range e.Points {
+// pointAt returns the value of the point at exactly that size.
+func (s *reportedSeries) pointAt(size float64) (value float64, ok bool) {
+	for _, point := range s.Points {
 		if point.Size == size {
 			return point.Value, true
 		}
@@ -195,10 +198,10 @@
 	return 0, false
 }
 
-func (e *reportedSeries) largest() float64 { return e.Points[len(e.Points)-1].Size }
+func (s *reportedSeries) largestSize() float64 { return s.Points[len(s.Points)-1].Size }
 
-func (e *reportedSeries) rangeText() string {
-	return fmt.Sprintf("%s to %s %s", digits(e.Points[0].Size), digits(e.largest()), e.Against)
+func (s *reportedSeries) rangeText() string {
+	return fmt.Sprintf("%s to %s %s", digits(s.Points[0].Size), digits(s.largestSize()), s.Against)
 }
 
 // unmeasured is a figure without a value, for lack of a series.
--- a/internal/testbed/scale/page_comparison.go
+++ b/internal/testbed/scale/page_comparison.go
@@ -8,29 +8,30 @@
 )
 
 const (
-	agreementTolerance    = 0.20        // share of the real figure
-	modelSuffix           = "-of-model" // of a model's series, beside the series of real engines
-	busyEngines           = "the machine was too busy at that size: engines that answer late are suspected and pinged again"
-	unexplainedDifference = "cause unknown" // reason for a difference
+	agreementTolerance = 0.20        // relative to the real figure
+	modelSuffix        = "-of-model" // of a series of the gossip model; that of real engines has the same name without it
+	busyMachineReason  = "the machine was too busy at that size: engines that answer late are suspected and pinged again"
+	unknownReason      = "cause unknown" // shown for a difference without a known reason
 )
 
-// comparedPair is a quantity of simulated balancers and of real processes.
+// comparedPair is a quantity with its series of simulated balancers, or of the gossip model, and its series of real
+// processes.
 type comparedPair struct {
-	quantity  string
-	simulated seriesName
-	real      seriesName
-	whyBelow  string // known reason for a simulated figure far below the real one
-	whyAbove  string // known reason for one far above
+	quantity    string
+	simulated   seriesName
+	real        seriesName
+	reasonBelow string // known reason for a simulated figure below the real one by more than agreementTolerance
+	reasonAbove string // known reason for one above it by more than that
 }
 
-// simulatedAgainstRealTable compares figures at the sizes of the real ones that the simulated ones cover.
+// simulatedAgainstRealTable compares simulated and real figures at each size of the real series.
 func (p *page) simulatedAgainstRealTable() *table {
 	t := newTable("quantity", "at", "hollow", "real", "hollow / real", "differ by more than 20 %")
 	for _, pair := range append(p.comparedPairs(), p.modelPairs()...) {
 		for _, point := range p.current.series[string(pair.real)].Points {
 			simulated, realFigure := p.valueAt(pair.simulated, point.Size), p.valueAt(pair.real, point.Size)
 			if simulated.value == 0 && realFigure.value == 0 {
-				continue // the smallest size of a growth
+				continue // a growth is 0 at the smallest size
 			}
 			ratio := simulated.value / realFigure.value
 			at := digits(point.Size) + " " + p.current.series[string(pair.real)].Against
@@ -47,43 +48,44 @@
 		realSeries := seriesName("compare." + c.name + ".real")
 		if p.current.series[string(simulated)] != nil && p.current.series[string(realSeries)] != nil {
 			pairs = append(pairs, comparedPair{
-				quantity:  c.quantity,
-				simulated: simulated,
-				real:      realSeries,
-				whyBelow:  c.reasonBelow,
-				whyAbove:  c.reasonAbove,
+				quantity:    c.quantity,
+				simulated:   simulated,
+				real:        realSeries,
+				reasonBelow: c.reasonBelow,
+				reasonAbove: c.reasonAbove,
 			})
 		}
 	}
 	return pairs
 }
 
-// difference gives the reason why two figures differ by more than agreementTolerance.
-func (h comparedPair) difference(ratio float64) string {
-	why := h.whyAbove
+// difference returns the reason why two figures of the given ratio differ by more than agreementTolerance, or "no" if
+// they do not.
+func (c comparedPair) difference(ratio float64) string {
+	reason := c.reasonAbove
 	if ratio < 1 {
-		why = h.whyBelow
+		reason = c.reasonBelow
 	}
 	switch {
 	case math.Abs(ratio-1) <= agreementTolerance:
 		return "no"
-	case why != "":
-		return why
+	case reason != "":
+		return reason
 	default:
-		return unexplainedDifference
+		return unknownReason
 	}
 }
 
-// modelPairs are the series of real engines beside those of the gossip model.
+// modelPairs pairs the series of real engines with those of the gossip model.
 func (p *page) modelPairs() (pairs []comparedPair) {
 	for _, name := range slices.Sorted(maps.Keys(p.current.series)) {
-		of, isModel := strings.CutSuffix(name, modelSuffix)
-		if isModel && p.current.series[of] != nil {
+		realName, isModel := strings.CutSuffix(name, modelSuffix)
+		if isModel && p.current.series[realName] != nil {
 			pairs = append(pairs, comparedPair{
-				quantity:  p.current.series[of].Quantity,
-				simulated: seriesName(name),
-				real:      seriesName(of),
-				whyBelow:  busyEngines,
+				quantity:    p.current.series[realName].Quantity,
+				simulated:   seriesName(name),
+				real:        seriesName(realName),
+				reasonBelow: busyMachineReason,
 			})
 		}
 	}
--- a/internal/testbed/scale/page_control.go
+++ b/internal/testbed/scale/page_control.go
@@ -5,8 +5,10 @@
 // ordinaryDay is the situation of an ordinary day.
 func ordinaryDay(servers float64) situation { return situations(servers)[situationOrdinaryDay] }
 
-// connectionMemory is the memory of the data path for so many connections.
-func (p *page) connectionMemory(held float64) figure { return p.valueAt(realConnectionMemory, held) }
+// connectionMemory is the memory of the data path for a number of connections.
+func (p *page) connectionMemory(connections float64) figure {
+	return p.valueAt(realConnectionMemory, connections)
+}
 
 // groupMemory is the memory of the tallies for a balancer's groups and connections.
 func (p *page) groupMemory() figure { return p.decisionMemory(connectionsPerBalancer) }
@@ -16,7 +18,7 @@
 	return p.sumControlParts(controlParts, s, servers, processorOf, inCores)
 }
 
-// controlTrafficOf is what all parts of control send or receive, whichever is more.
+// controlTrafficOf is the larger of the traffic that all parts of control send and of what they receive.
 func (p *page) controlTrafficOf(s situation, servers float64) figure {
 	sent := p.sumControlParts(controlParts, s, servers, bytesOutOf, inTraffic)
 	received := p.sumControlParts(controlParts, s, servers, bytesInOf, inTraffic)
@@ -31,20 +33,21 @@
 	return p.sumControlParts(controlParts, situations(servers)[situationIdle], servers, memoryOf, inBytes)
 }
 
-// standaloneProcessor and standaloneMemory are those of a balancer without peers and without health checks.
+// standaloneProcessor is the processor time of control in a balancer without peers and without health checks.
 func (p *page) standaloneProcessor(s situation, servers float64) figure {
 	return p.sumControlParts(controlParts[:standaloneParts], s, servers, processorOf, inCores)
 }
 
+// standaloneMemory is the memory of control in an idle balancer without peers and without health checks.
 func (p *page) standaloneMemory(servers float64) figure {
 	return p.sumControlParts(controlParts[:standaloneParts], situations(servers)[situationIdle], servers, memoryOf, inBytes)
 }
 
-// sumControlParts adds a quantity over the parts of control, and records the parts without figures.
-func (p *page) sumControlParts(parts []part, s situation, servers float64, of func(load) figure, in unit) figure {
+// sumControlParts adds a quantity over parts of control. The sum records the parts that it omits for lack of a figure.
+func (p *page) sumControlParts(parts []part, s situation, servers float64, quantity func(load) figure, in unit) figure {
 	sum := calculated(0, in)
 	for _, part := range parts {
-		sum = sum.plusIfKnown(part.name, of(part.load(p, s, servers)))
+		sum = sum.plusIfKnown(part.name, quantity(part.load(p, s, servers)))
 	}
 	if len(sum.omitted) == len(parts) {
 		return unmeasured("control")
@@ -55,10 +58,11 @@
 // replacementProcessor is the processor time of decisions for the clients of replaced and failed balancers.
 func (p *page) replacementProcessor(servers float64) figure {
 	failed := failuresPerDay * connectionsPerBalancer / daySeconds / fleetBalancers
-	return p.placementProcessor(connectionsPerBalancer, servers).times(replacedPlacements+failed, inCores)
+	return p.placementProcessor(connectionsPerBalancer, servers).times(replacementPlacementRate+failed, inCores)
 }
 
-// burstProcessor is the processor time of decisions while so many connections return.
+// burstProcessor is the processor time of decisions while a number of additional clients reconnect to a balancer within
+// reconnectSeconds.
 func (p *page) burstProcessor(connections, servers float64) figure {
 	return p.placementProcessor(connectionsPerBalancer+connections, servers).times(connections/reconnectSeconds, inCores)
 }
@@ -69,30 +73,31 @@
 	for _, part := range controlParts {
 		for _, servers := range serverCounts {
 			l := part.load(p, ordinaryDay(servers), servers)
-			all := l.processor.plus(l.memory, l.bytesIn, l.bytesOut)
+			sum := l.processor.plus(l.memory, l.bytesIn, l.bytesOut)
 			t.row(part.name, digits(servers), l.processor.String(), l.memory.String(), pair(l.bytesIn, l.bytesOut), l.origins(),
-				all.Slopes())
+				sum.Slopes())
 		}
 	}
 	return t
 }
 
-// partRequirements are the requirements on control that a single part exceeds.
+// partRequirements are the requirements on control that a part exceeds by itself.
 func (p *page) partRequirements() (list []requirement) {
-	for _, part := range controlParts {
+	for _, controlPart := range controlParts {
 		variants := func(quantity func(load) figure) []variant {
-			return forEachServerCount(func(servers float64) figure { return quantity(part.load(p, ordinaryDay(servers), servers)) })
+			return forEachServerCount(func(servers float64) figure { return quantity(controlPart.load(p, ordinaryDay(servers), servers)) })
 		}
 		requirements := []requirement{
 			{quantity: "processor time", bound: calculated(controlCores, inCores), values: variants(processorOf)},
 			{quantity: "memory", bound: calculated(controlBytes, inBytes), values: variants(memoryOf)},
 			{quantity: "traffic", bound: calculated(controlTraffic, inTraffic), values: variants(bytesOutOf)},
 		}
-		for _, l := range requirements {
-			l.quantity, l.mechanism, l.dependents = "control, "+part.name+" alone: "+l.quantity, part.mechanism, part.dependents
-			l.proposal = part.proposal
-			if ratio, ok := l.ratio(); ok && ratio > 1 {
-				list = append(list, l)
+		for _, r := range requirements {
+			r.quantity, r.mechanism, r.dependents = "control, "+controlPart.name+" alone: "+r.quantity, controlPart.mechanism,
+				controlPart.dependents
+			r.proposal = controlPart.proposal
+			if ratio, ok := r.ratio(); ok && ratio > 1 {
+				list = append(list, r)
 			}
 		}
 	}
@@ -104,8 +109,8 @@
 	t := newTable("members of a group", "sent by a member", "of the limit of control traffic", "have a record within 5 s", "origin")
 	for _, members := range []float64{zoneBalancers, math.Floor(regionBalancers)} {
 		sent, reach := p.valueAt(zonedTraffic, members), p.valueAt(zonedReachedShare, members)
-		part := sent.times(1/controlTraffic, inShare)
-		t.row(digits(members), sent.String(), part.String(), reach.String(), sent.Origin())
+		share := sent.times(1/controlTraffic, inShare)
+		t.row(digits(members), sent.String(), share.String(), reach.String(), sent.Origin())
 	}
 	return t
 }
--- a/internal/testbed/scale/page_day.go
+++ b/internal/testbed/scale/page_day.go
@@ -6,93 +6,95 @@
 	"slices"
 )
 
-// dayTables are the tables of a day by their names in the template.
+// dayTables returns the tables of one day and of the largest topic, by their names in the template.
 func (p *page) dayTables() map[string]*table {
 	return map[string]*table{
 		"replacements": p.replacementsTable(),
 		"zone":         p.zoneTable(),
 		"changes":      p.changesTable(),
 		"deliveries":   p.deliveriesTable(),
-		"apart":        p.apartTable(),
+		"apart":        p.partitionTable(),
 		"topic":        p.topicTable(),
-		"topic fills":  topicFillsTable(),
+		"topic fills":  topicLoadTable(),
 	}
 }
 
-// quantityRow is one quantity of a table of the day.
+// quantityRow is a row of a quantityTable.
 type quantityRow struct {
 	label string
 	figure
 }
 
-func quantityTable(lines ...quantityRow) *table {
+// quantityTable shows quantities with their origins and the series that they are derived from.
+func quantityTable(rows ...quantityRow) *table {
 	t := newTable("quantity", "figure", "origin", "slopes")
-	for _, l := range lines {
-		t.row(l.label, l.String(), l.Origin(), l.Slopes())
+	for _, row := range rows {
+		t.row(row.label, row.String(), row.Origin(), row.Slopes())
 	}
 	return t
 }
 
-// quantityRowsByServers returns a row for each number of servers.
-func quantityRowsByServers(label string, figureFor func(servers float64) figure) (lines []quantityRow) {
+// quantityRowsByServers returns a row for each of serverCounts.
+func quantityRowsByServers(label string, figureFor func(servers float64) figure) (rows []quantityRow) {
 	for _, servers := range serverCounts {
-		lines = append(lines, quantityRow{fmt.Sprintf("%s, %s servers", label, digits(servers)), figureFor(servers)})
+		rows = append(rows, quantityRow{fmt.Sprintf("%s, %s servers", label, digits(servers)), figureFor(servers)})
 	}
-	return lines
+	return rows
 }
 
 func (p *page) replacementsTable() *table {
-	lines := []quantityRow{
-		{"from one replacement to the next", calculated(replacementSeconds, inSeconds)},
-		{"from one failed machine to the next", calculated(failureSeconds, inSeconds)},
+	rows := []quantityRow{
+		{"from one replacement to the next", calculated(replacementInterval, inSeconds)},
+		{"from one failed machine to the next", calculated(failureInterval, inSeconds)},
 		{"clients that reconnect after each replacement", calculated(connectionsPerBalancer, inCount)},
-		{"reconnects, over the fleet", calculated(fleetReconnects, inRate)},
-		{"reconnects at each balancer", calculated(replacedPlacements, inRate)},
-		{"other arrivals at each balancer, as connections end by themselves", calculated(ordinaryPlacements, inRate)},
-		{"connection setups in flight on average at each balancer", calculated((ordinaryPlacements+replacedPlacements)*setupSeconds, inCount)},
+		{"reconnects, over the fleet", calculated(fleetReconnectRate, inRate)},
+		{"reconnects at each balancer", calculated(replacementPlacementRate, inRate)},
+		{"other arrivals at each balancer, as connections end by themselves", calculated(ordinaryPlacementRate, inRate)},
+		{"connection setups in flight on average at each balancer",
+			calculated((ordinaryPlacementRate+replacementPlacementRate)*setupSeconds, inCount)},
 		{"connection setups that a balancer may have in flight", calculated(setupLimit(), inCount)},
 	}
-	lines = append(lines, quantityRowsByServers("control's processor time for these reconnects at each balancer",
+	rows = append(rows, quantityRowsByServers("control's processor time for these reconnects at each balancer",
 		p.replacementProcessor)...)
-	lines = append(lines, quantityRow{
+	rows = append(rows, quantityRow{
 		"a balancer that starts: processor time until its list is in force, 6,400 servers",
 		p.valueAt(realStartTime, likelyServers),
 	})
-	return quantityTable(lines...)
+	return quantityTable(rows...)
 }
 
 func (p *page) zoneTable() *table {
-	after := connectionsPerBalancer + zoneShare
-	others := fleetBalancers - zoneBalancers
-	lines := []quantityRow{
+	connectionsAfter := connectionsPerBalancer + zoneTakeover
+	otherBalancers := fleetBalancers - zoneBalancers
+	rows := []quantityRow{
 		{"balancers lost", calculated(zoneBalancers, inCount)},
 		{"connections lost", calculated(zoneConnections, inCount)},
-		{"surviving balancers of the region", calculated(zoneSuccessors, inCount)},
-		{"connections that each of them takes over", calculated(zoneShare, inCount)},
-		{"connections that each of them then holds", calculated(after, inCount)},
-		{"more than before", calculated(zoneShare/connectionsPerBalancer, inShare)},
-		{"connections that each takes over, if spread over all regions", calculated(zoneConnections/others, inCount)},
-		{"more than before, if spread over all regions", calculated(zoneConnections/others/connectionsPerBalancer, inShare)},
+		{"surviving balancers of the region", calculated(zoneSurvivors, inCount)},
+		{"connections that each of them takes over", calculated(zoneTakeover, inCount)},
+		{"connections that each of them then holds", calculated(connectionsAfter, inCount)},
+		{"more than before", calculated(zoneTakeover/connectionsPerBalancer, inShare)},
+		{"connections that each takes over, if spread over all regions", calculated(zoneConnections/otherBalancers, inCount)},
+		{"more than before, if spread over all regions", calculated(zoneConnections/otherBalancers/connectionsPerBalancer, inShare)},
 		{"spare capacity that each balancer of a region needs", calculated(zoneBalancers/regionBalancers, inShare)},
-		{"reconnects at each surviving balancer of the region", calculated(zoneShare/reconnectSeconds, inRate)},
+		{"reconnects at each surviving balancer of the region", calculated(zoneTakeover/reconnectSeconds, inRate)},
 		{"reconnects over the region", calculated(zoneConnections/reconnectSeconds, inRate)},
-		{"memory of the data path at each", p.connectionMemory(after)},
-		{"descriptors at each", calculated(2*after, inCount)},
-		{"connection setups in flight on average at each", calculated(zoneShare/reconnectSeconds*setupSeconds, inCount)},
+		{"memory of the data path at each", p.connectionMemory(connectionsAfter)},
+		{"descriptors at each", calculated(2*connectionsAfter, inCount)},
+		{"connection setups in flight on average at each", calculated(zoneTakeover/reconnectSeconds*setupSeconds, inCount)},
 		{"connection setups that a balancer may have in flight", calculated(setupLimit(), inCount)},
-		{"time until all are established, with so many in flight", calculated(zoneShare*setupSeconds/setupLimit(), inSeconds)},
+		{"time until all are established, with so many in flight", calculated(zoneTakeover*setupSeconds/setupLimit(), inSeconds)},
 		{"interval between setups of one balancer once half of them fail: 8 ms for each balancer, at most 16 s",
-			calculated(min(gapPerBalancer*fleetBalancers, maxSetupGap), inSeconds)},
+			calculated(min(setupSpacingPerBalancer*fleetBalancers, maxSetupSpacing), inSeconds)},
 	}
-	lines = append(lines, p.lostZoneRows()...)
-	lines = append(lines, quantityRowsByServers("processor time of decisions for all of them at one balancer", func(servers float64) figure {
-		return p.placementProcessor(after, servers).times(zoneShare, inSeconds)
+	rows = append(rows, p.lostZoneRows()...)
+	rows = append(rows, quantityRowsByServers("processor time of decisions for all of them at one balancer", func(servers float64) figure {
+		return p.placementProcessor(connectionsAfter, servers).times(zoneTakeover, inSeconds)
 	})...)
-	return quantityTable(lines...)
+	return quantityTable(rows...)
 }
 
-// lostZoneRows are the results of a simulated fleet that lost one zone of 25, whose connections all others took
-// evenly.
+// lostZoneRows returns the results of a simulated fleet of 25 balancers that loses one balancer with its servers; the
+// clients of that balancer reconnect evenly to all others.
 func (p *page) lostZoneRows() []quantityRow {
 	const prefix = "hollow fleet of 25 balancers, one lost with its servers, its clients spread evenly over the others: "
 	busiest := p.valueAt(lostZoneBusiest, connectionsPerBalancer)
@@ -100,7 +102,7 @@
 		{prefix + "clients taken over by each surviving balancer", p.valueAt(lostZoneClients, connectionsPerBalancer)},
 		{prefix + "connects of the busiest balancer in one second", busiest},
 		{"at that rate, time for the clients of a lost zone at each surviving balancer of its region",
-			calculated(zoneShare, inCount).dividedBy(busiest, inSeconds)},
+			calculated(zoneTakeover, inCount).dividedBy(busiest, inSeconds)},
 		{prefix + "half of the clients are established again after", p.valueAt(lostZoneHalfRecovered, connectionsPerBalancer)},
 		{prefix + "99 in 100 are established again after", p.valueAt(lostZoneMostRecovered, connectionsPerBalancer)},
 		{prefix + "attempts rejected for each client", p.valueAt(lostZoneRejections, connectionsPerBalancer)},
@@ -110,11 +112,11 @@
 }
 
 func (p *page) changesTable() *table {
-	starts := replacementsPerDay / daySeconds
-	lines := []quantityRow{
+	startRate := replacementsPerDay / daySeconds
+	rows := []quantityRow{
 		{"from one change to the next", calculated(changeInterval, inSeconds)},
-		{"messages that publish them, over the fleet", calculated(changeMessages, inRate)},
-		{"the same, from each control machine", calculated(changeMessages/fleetControlMachines, inRate)},
+		{"messages that publish them, over the fleet", calculated(changeMessageRate, inRate)},
+		{"the same, from each control machine", calculated(changeMessageRate/fleetControlMachines, inRate)},
 		{"changes only: in force, 99 in 100", p.valueAt(changeP99Latency, changesPerDay)},
 		{"changes only: in force, the last", p.valueAt(changeMaxLatency, changesPerDay)},
 		{"the same with half of the control machines lost", p.valueAt(changeHalfLostLatency, changesPerDay)},
@@ -129,54 +131,54 @@
 		{"changes only: bytes a second at each balancer", p.valueAt(changeBytes, likelyServers).times(changeRate, inTraffic)},
 	}
 	return quantityTable(slices.Concat(
-		lines,
+		rows,
 		quantityRowsByServers("changes only: in force, the last", p.seriesBySize(changeMaxLatencyByServers)),
 		quantityRowsByServers("full lists: in force, the last", p.seriesBySize(fullListMaxLatencyByServers)),
 		quantityRowsByServers("bytes of a full list", p.seriesBySize(listBytes)),
 		quantityRowsByServers("full lists at each change: bytes a second at each balancer",
 			p.rateBySize(listBytes, changeRate, inTraffic)),
 		quantityRowsByServers("full lists for balancers that start without state: bytes a second over the fleet",
-			p.rateBySize(listBytes, starts, inTraffic)),
+			p.rateBySize(listBytes, startRate, inTraffic)),
 		quantityRowsByServers("processor time of changes at each balancer", p.rateBySize(changeTime, changeRate, inCores)),
 	)...)
 }
 
-// seriesBySize returns the values of a series.
+// seriesBySize returns the values of a series as a function of the size.
 func (p *page) seriesBySize(name seriesName) func(size float64) figure {
 	return func(size float64) figure { return p.valueAt(name, size) }
 }
 
-// rateBySize returns the values of a series times a rate per second, in the given unit.
+// rateBySize returns the values of a series times a rate per second, in the given unit, as a function of the size.
 func (p *page) rateBySize(name seriesName, rate float64, in unit) func(size float64) figure {
 	return func(size float64) figure { return p.valueAt(name, size).times(rate, in) }
 }
 
 func (p *page) deliveriesTable() *table {
-	one := p.valueAt(realDeliveryTime, connectionsPerBalancer)
-	lines := []quantityRow{
-		{"deliveries at each balancer", calculated(deliveriesPerBalancer, inRate)},
-		{"processor time of one", one},
-		{"processor time of all at each balancer", one.times(deliveriesPerBalancer, inCores)},
+	perDelivery := p.valueAt(realDeliveryTime, connectionsPerBalancer)
+	rows := []quantityRow{
+		{"deliveries at each balancer", calculated(deliveryRatePerBalancer, inRate)},
+		{"processor time of one", perDelivery},
+		{"processor time of all at each balancer", perDelivery.times(deliveryRatePerBalancer, inCores)},
 		{"the same on the ordinary day while a zone is lost",
-			one.times(deliveriesPerBalancer*(1+zoneShare/connectionsPerBalancer), inCores)},
-		{"messages a second to the largest topic that would be all deliveries", calculated(fleetDeliveries/largestTopic, inRate)},
+			perDelivery.times(deliveryRatePerBalancer*(1+zoneTakeover/connectionsPerBalancer), inCores)},
+		{"messages a second to the largest topic that would be all deliveries", calculated(fleetDeliveryRate/largestTopic, inRate)},
 		{"within 210 ms for 99 in 100", unmeasured("delay")},
 	}
-	lines = append(lines, quantityRowsByServers("deliveries from each server", func(servers float64) figure {
-		return calculated(fleetDeliveries/servers, inRate)
+	rows = append(rows, quantityRowsByServers("deliveries from each server", func(servers float64) figure {
+		return calculated(fleetDeliveryRate/servers, inRate)
 	})...)
-	return quantityTable(lines...)
+	return quantityTable(rows...)
 }
 
-func (p *page) apartTable() *table {
+func (p *page) partitionTable() *table {
 	missed := math.Round(missedChanges)
-	one := p.valueAt(catchUpOneByOneBytes, missed)
+	oneByOneBytes := p.valueAt(catchUpOneByOneBytes, missed)
 	return quantityTable(
 		quantityRow{"changes missed", calculated(missedChanges, inCount)},
-		quantityRow{"bytes of them, one by one", one},
+		quantityRow{"bytes of them, one by one", oneByOneBytes},
 		quantityRow{"bytes of them, merged to the last state of each server", p.valueAt(catchUpBytes, missed)},
 		quantityRow{"bytes of the full list instead, 6,400 servers", p.valueAt(listBytes, likelyServers)},
-		quantityRow{"time to read them one by one within the limit of control traffic", one.times(1/controlTraffic, inSeconds)},
+		quantityRow{"time to read them one by one within the limit of control traffic", oneByOneBytes.times(1/controlTraffic, inSeconds)},
 		quantityRow{"until the last balancer has them, merged to the last state of each server", p.valueAt(catchUpLatency, missed)},
 		quantityRow{"processor time of a balancer that applies them merged", p.valueAt(catchUpTime, missed)},
 		quantityRow{"processor time of a balancer that applies the full list, 6,400 servers", p.valueAt(listTime, likelyServers)},
@@ -186,31 +188,32 @@
 	)
 }
 
-// topicTable shows how the listeners of the largest topic spread over servers, as more balancers hold their part. It
-// ends at the sweep's largest size, as the number of servers bounds the spread, which no fit accounts for.
+// topicTable shows how the listeners of the largest topic spread over servers as the number of balancers grows, each of
+// which holds its share of the listeners. It ends at the largest size of the sweep: the number of servers bounds the
+// spread, and no form of a fit has such a bound.
 func (p *page) topicTable() *table {
 	t := newTable("balancers", "listeners", "servers that hold some", "share of the topic on the most loaded of them",
 		"most loaded server relative to the mean, all connections", "origin")
-	found, _ := p.findSeries(topicUnevenness)
-	if found == nil {
+	sweep, _ := p.findSeries(topicUnevenness)
+	if sweep == nil {
 		return t
 	}
-	for _, point := range found.Points {
+	for _, point := range sweep.Points {
 		servers := p.valueAt(topicServers, point.Size)
-		fullest := p.valueAt(topicLargestShare, point.Size)
-		uneven := p.valueAt(topicUnevenness, point.Size)
+		largestShare := p.valueAt(topicLargestShare, point.Size)
+		unevenness := p.valueAt(topicUnevenness, point.Size)
 		t.row(digits(point.Size), digits(point.Size*math.Round(listenersPerBalancer)),
-			servers.String(), fullest.String(), uneven.String(), uneven.Origin())
+			servers.String(), largestShare.String(), unevenness.String(), unevenness.Origin())
 	}
 	return t
 }
 
-// topicFillsTable is the load of the largest topic on one server.
-func topicFillsTable() *table {
+// topicLoadTable shows how many servers the largest topic fills, and the load of a server that holds all of it.
+func topicLoadTable() *table {
 	t := newTable("servers", "connections a server", "servers that the topic fills",
 		"load of a single preferred server relative to the mean", "origin")
 	for _, servers := range serverCounts {
-		filled := topicFills(servers)
+		filled := serversFilledByTopic(servers)
 		t.row(digits(servers), digits(fleetConnections/servers), filled.String(), filled.String()+" times", filled.Origin())
 	}
 	return t
--- a/internal/testbed/scale/page_faults.go
+++ b/internal/testbed/scale/page_faults.go
@@ -21,11 +21,11 @@
 	return t
 }
 
-// faultNames are the faults in the reports.
+// faultNames returns the names of the faults in the reports.
 func (p *page) faultNames() (names []string) {
 	for _, name := range slices.Concat(slices.Collect(maps.Keys(p.current.series)), slices.Collect(maps.Keys(p.baseline.series))) {
-		if suffix, ok := strings.CutPrefix(name, faultPrefix); ok {
-			fault, _, _ := strings.Cut(suffix, ".")
+		if rest, ok := strings.CutPrefix(name, faultPrefix); ok {
+			fault, _, _ := strings.Cut(rest, ".")
 			names = append(names, fault)
 		}
 	}
@@ -33,6 +33,7 @@
 	return slices.Compact(names)
 }
 
+// faultRow returns the cells of a fault. The last one is the origin of the number of disconnected clients.
 func (p *page) faultRow(fault string) []string {
 	size, against := 0.0, ""
 	var cells []string
@@ -43,7 +44,7 @@
 			cells = append(cells, notMeasured)
 			continue
 		}
-		size, against = found.largest(), found.Against
+		size, against = found.largestSize(), found.Against
 		value := p.valueAt(seriesName(found.Name), size)
 		cells = append(cells, show(value.value, shownUnit(value.unit)))
 		if i == 0 {
@@ -54,20 +55,21 @@
 	return append(row, p.invariantsCell(fault), first.Origin())
 }
 
-// shownUnit omits the units that the table's head states.
-func shownUnit(of unit) unit {
-	if of == inSeconds {
-		return of
+// shownUnit omits the units that the table's header states: only seconds are shown.
+func shownUnit(u unit) unit {
+	if u == inSeconds {
+		return u
 	}
 	return inCount
 }
 
+// faultSeries returns the series of a quantity of a fault, of the current code or else of the baseline.
 func (p *page) faultSeries(fault, quantity string) *reportedSeries {
 	prefix := faultPrefix + fault + "." + quantity + "."
-	for _, all := range []*reportSet{p.current, p.baseline} {
-		for _, name := range slices.Sorted(maps.Keys(all.series)) {
+	for _, reports := range []*reportSet{p.current, p.baseline} {
+		for _, name := range slices.Sorted(maps.Keys(reports.series)) {
 			if strings.HasPrefix(name, prefix) {
-				return all.series[name]
+				return reports.series[name]
 			}
 		}
 	}
@@ -76,33 +78,33 @@
 
 // invariantsCell states in how many runs of a fault an invariant was violated.
 func (p *page) invariantsCell(fault string) string {
-	runs, broken := faultRuns(p.current, fault)
+	runs, violated := faultRuns(p.current, fault)
 	if runs == 0 {
-		runs, broken = faultRuns(p.baseline, fault)
+		runs, violated = faultRuns(p.baseline, fault)
 	}
 	all := digits(float64(runs))
 	switch {
 	case runs == 0:
 		return notMeasured
-	case broken == 0:
+	case violated == 0:
 		return "held in " + all + " of " + all + " runs"
 	default:
-		return "**violated** in " + digits(float64(broken)) + " of " + all + " runs"
+		return "**violated** in " + digits(float64(violated)) + " of " + all + " runs"
 	}
 }
 
 // faultRuns counts the checked runs of a fault, and those that violated an invariant.
-func faultRuns(all *reportSet, fault string) (runs, broken int) {
-	for _, r := range all.reports {
+func faultRuns(reports *reportSet, fault string) (runs, violated int) {
+	for _, r := range reports.reports {
 		for _, check := range r.checks {
 			if !strings.HasPrefix(check.Name, fault+", ") {
 				continue
 			}
 			runs++
 			if !check.Held {
-				broken++
+				violated++
 			}
 		}
 	}
-	return runs, broken
+	return runs, violated
 }
--- a/internal/testbed/scale/page_figure.go
+++ b/internal/testbed/scale/page_figure.go
@@ -10,18 +10,18 @@
 
 const (
 	notMeasured  = "not measured"
-	poorFitError = 0.20 // relative error of the held-out point from which a row states it
+	poorFitError = 0.20 // relative error of the held-out point above which a row states the error
 )
 
-// figure is a value with its origin. One without a required series has no value.
+// figure is a value with its origin. If a series that it is derived from is missing, it has no value.
 type figure struct {
 	value        float64
 	unit         unit
 	origin       Origin
 	derivedFrom  []Origin // origins that a calculated figure was derived from, besides the fleet's sizes
-	series       []string
-	missing      []string
-	omitted      []string // parts missing in a sum for lack of a series
+	series       []string // names of the series that it is derived from
+	missing      []string // series or quantities without values that it would be derived from
+	omitted      []string // parts that a sum does not include for lack of a series
 	fromBaseline bool     // one of its series exists in the baseline only
 	fitError     float64  // the largest error of a held-out point among its fits
 }
@@ -39,7 +39,7 @@
 	inShare   unit = "share"
 )
 
-// calculated is a figure of the fleet's sizes and the assumptions only.
+// calculated is a figure derived only from the fleet's sizes and the assumptions.
 func calculated(value float64, in unit) figure {
 	return figure{value: value, unit: in, origin: Calculated}
 }
@@ -60,7 +60,7 @@
 	return f.derived()
 }
 
-// plusIfKnown adds the figure of a named part, or records that the part is omitted.
+// plusIfKnown adds the figure of a named part if it is known; otherwise it records that the sum omits the part.
 func (f figure) plusIfKnown(name string, part figure) figure {
 	if !part.known() {
 		f.omitted = unionOf(f.omitted, []string{name})
@@ -71,17 +71,17 @@
 }
 
 // multipliedBy multiplies the figure by a dimensionless figure.
-func (f figure) multipliedBy(by figure) figure {
-	f.value *= by.value
-	f.addSources(by)
+func (f figure) multipliedBy(factor figure) figure {
+	f.value *= factor.value
+	f.addSources(factor)
 	return f.derived()
 }
 
 // dividedBy divides the figure by another; the result is in the given unit.
-func (f figure) dividedBy(by figure, in unit) figure {
-	f.value /= by.value
+func (f figure) dividedBy(divisor figure, in unit) figure {
+	f.value /= divisor.value
 	f.unit = in
-	f.addSources(by)
+	f.addSources(divisor)
 	return f.derived()
 }
 
@@ -96,7 +96,7 @@
 	}
 }
 
-// derived marks the figure as calculated from its origin.
+// derived marks the figure as calculated, and keeps its previous origin in derivedFrom.
 func (f figure) derived() figure {
 	if f.origin != Calculated {
 		f.derivedFrom = unionOf(f.derivedFrom, []Origin{f.origin})
@@ -115,7 +115,7 @@
 	return text
 }
 
-// valueText is the figure without the names of omitted parts.
+// valueText is the text of the figure without the names of omitted parts.
 func (f figure) valueText() string {
 	if !f.known() {
 		return notMeasured
@@ -130,11 +130,11 @@
 	}
 	text := currentTerm(originTerms, f.origin)
 	if len(f.derivedFrom) > 0 {
-		var bases []string
-		for _, base := range f.derivedFrom {
-			bases = append(bases, currentTerm(originTerms, base))
+		var origins []string
+		for _, origin := range f.derivedFrom {
+			origins = append(origins, currentTerm(originTerms, origin))
 		}
-		text += " from " + strings.Join(bases, ", ")
+		text += " from " + strings.Join(origins, ", ")
 	}
 	if f.fromBaseline {
 		text += "; **before the bounded candidates**"
@@ -145,7 +145,7 @@
 	return text
 }
 
-// Slopes names the figure's series.
+// Slopes lists the names of the figure's series.
 func (f figure) Slopes() string {
 	var names []string
 	for _, name := range f.series {
@@ -155,9 +155,9 @@
 }
 
 func unionOf[T ~string](a, b []T) []T {
-	both := slices.Concat(a, b)
-	slices.Sort(both)
-	return slices.Compact(both)
+	union := slices.Concat(a, b)
+	slices.Sort(union)
+	return slices.Compact(union)
 }
 
 const significantDigits = 3 // of a printed figure
@@ -184,6 +184,7 @@
 	}
 }
 
+// unitStep is a unit for values from a magnitude on.
 type unitStep struct {
 	from float64
 	name string
@@ -203,6 +204,7 @@
 	return scaleUnit(value, []unitStep{{1, "s"}, {1e-3, "ms"}, {1e-6, "µs"}, {1e-9, "ns"}})
 }
 
+// scaleUnit prints a value in the first unit whose magnitude it reaches, or in the last one.
 func scaleUnit(value float64, steps []unitStep) string {
 	size := math.Abs(value)
 	for _, s := range steps {
@@ -214,7 +216,8 @@
 	return digits(value/last.from) + " " + last.name
 }
 
-// digits prints a number with significantDigits, without fraction if it has more, and with commas between thousands.
+// digits prints a number with significantDigits, or as an integer with all its digits if it has more, with commas
+// between thousands.
 func digits(value float64) string {
 	if value == 0 {
 		return "0"
--- a/internal/testbed/scale/page_figure_test.go
+++ b/internal/testbed/scale/page_figure_test.go
@@ -6,36 +6,37 @@
 	"testing"
 )
 
-// Figures derived from the fleet's sizes match values computed by hand.
+// Figures derived from the fleet's sizes match values calculated by hand.
 func TestDerivedFleetFigures(t *testing.T) {
 	for _, c := range []struct {
 		what  string
 		got   float64
 		shown string
 	}{
-		{"connections a balancer holds", connectionsPerBalancer, "79,012"},
-		{"seconds between replacements", replacementSeconds, "37.6"},
-		{"reconnects a second over the fleet", fleetReconnects, "2,103"},
+		{"connections of a balancer", connectionsPerBalancer, "79,012"},
+		{"seconds between replacements", replacementInterval, "37.6"},
+		{"reconnects a second over the fleet", fleetReconnectRate, "2,103"},
 		{"balancers of a zone", zoneBalancers, "324"},
 		{"connections of a zone", zoneConnections, "25,600,000"},
 		{"seconds between changes", changeInterval, "5.08"},
-		{"messages a second for changes", changeMessages, "1,594"},
+		{"messages a second for changes", changeMessageRate, "1,594"},
 		{"changes missed in an hour", missedChanges, "708"},
-		{"deliveries a second at each", deliveriesPerBalancer, "6,049"},
-		{"listeners of the largest topic at each", listenersPerBalancer, "370"},
+		{"deliveries a second at each balancer", deliveryRatePerBalancer, "6,049"},
+		{"listeners of the largest topic at each balancer", listenersPerBalancer, "370"},
 		{"health checks a second at each server", fleetBalancers / healthCheckRound, "540"},
-		{"balancers a control machine", balancersPerMachine, "405"},
-		{"share of a lost zone for each heir", zoneShare, "37,182"},
+		{"balancers for each control machine", balancersPerControlMachine, "405"},
+		{"connections of a lost zone for each surviving balancer", zoneTakeover, "37,182"},
 	} {
 		if got := digits(c.got); got != c.shown {
 			t.Errorf("%s: %s, want %s", c.what, got, c.shown)
 		}
 	}
-	if all := zoneShare * zoneSuccessors; math.Abs(all-zoneConnections) > 1 {
-		t.Errorf("the heirs of a zone take %v of %v", all, zoneConnections)
+	if taken := zoneTakeover * zoneSurvivors; math.Abs(taken-zoneConnections) > 1 {
+		t.Errorf("the surviving balancers take over %v connections of a lost zone, want %v", taken, zoneConnections)
 	}
-	if seen := groupsPerBalancer(); seen > connectionsPerBalancer || seen < groupsPerRegion() {
-		t.Errorf("%v groups seen by %v connections, %v of one region", seen, connectionsPerBalancer, groupsPerRegion())
+	if groups := groupsPerBalancer(); groups > connectionsPerBalancer || groups < groupsPerBalancerInRegion() {
+		t.Errorf("%v groups at a balancer with %v connections, %v if groups are of one region", groups, connectionsPerBalancer,
+			groupsPerBalancerInRegion())
 	}
 }
 
@@ -82,137 +83,137 @@
 	}
 }
 
-// A figure keeps measured, simulated and calculated origins apart, through all operations.
+// Each operation on figures keeps measured, simulated and calculated origins distinct.
 func TestFigureOrigins(t *testing.T) {
 	measured := figure{value: 2, origin: Measured, series: []string{"a"}}
 	simulated := figure{value: 3, origin: Simulated, series: []string{"b"}}
-	absent := unmeasured("c")
+	missing := unmeasured("c")
 	for _, c := range []struct {
 		what   string
 		figure figure
 		value  float64
 		origin string
 	}{
-		{"as it was", measured, 2, "measured"},
-		{"times a size", measured.times(10, inCount), 20, "calculated from measured"},
-		{"sum of both", measured.plus(simulated), 5, "calculated from measured, simulated"},
+		{"unchanged", measured, 2, "measured"},
+		{"multiplied by a number", measured.times(10, inCount), 20, "calculated from measured"},
+		{"sum", measured.plus(simulated), 5, "calculated from measured, simulated"},
 		{"product", measured.multipliedBy(simulated), 6, "calculated from measured, simulated"},
 		{"ratio", simulated.dividedBy(measured, inCount), 1.5, "calculated from measured, simulated"},
-		{"of the operators' sizes", calculated(7, inCount).plus(calculated(1, inCount)), 8, "calculated"},
-		{"with one that is not there", measured.plus(absent), 2, notMeasured},
-		{"that part left out", measured.plusIfKnown("part", absent), 2, "measured"},
+		{"sum of calculated figures", calculated(7, inCount).plus(calculated(1, inCount)), 8, "calculated"},
+		{"sum with an unmeasured figure", measured.plus(missing), 2, notMeasured},
+		{"sum without an unmeasured part", measured.plusIfKnown("part", missing), 2, "measured"},
 	} {
 		if c.figure.value != c.value || c.figure.Origin() != c.origin {
 			t.Errorf("%s: %v, %s", c.what, c.figure.value, c.figure.Origin())
 		}
 	}
-	if text := measured.plusIfKnown("part", absent).String(); !strings.Contains(text, "at least, without part") {
-		t.Errorf("%q does not name the part that is left out", text)
+	if text := measured.plusIfKnown("part", missing).String(); !strings.Contains(text, "at least, without part") {
+		t.Errorf("%q does not name the omitted part", text)
 	}
-	if text := measured.plus(absent).String(); text != notMeasured {
-		t.Errorf("got %q of a sum that is not known", text)
+	if text := measured.plus(missing).String(); text != notMeasured {
+		t.Errorf("got %q for a sum with an unmeasured figure", text)
 	}
 }
 
-// A series gives its value at a size, interpolates between neighbours and extrapolates by the fit, with the origin of
-// each.
+// The value of a series is that of a point, interpolated between neighbouring points or extrapolated by the fit. The origin
+// of an extrapolated value is calculated.
 func TestFigureFromSeries(t *testing.T) {
-	points := pointsOf(decades, func(n float64) float64 { return 10 + 2*n })
+	points := pointsOf(testSizes, func(n float64) float64 { return 10 + 2*n })
 	points[2].Value *= 1.01
 	fit, err := FitPoints(points)
 	if err != nil {
 		t.Fatal(err)
 	}
-	known := &reportedSeries{Series: Series{Name: "one", Unit: "µs", Origin: Simulated, Points: points}, Fit: fit}
-	old := &reportedSeries{Series: Series{Name: "two", Unit: "bytes", Origin: Measured, Points: points}, Fit: fit}
+	current := &reportedSeries{Series: Series{Name: "one", Unit: "µs", Origin: Simulated, Points: points}, Fit: fit}
+	baseline := &reportedSeries{Series: Series{Name: "two", Unit: "bytes", Origin: Measured, Points: points}, Fit: fit}
 	p := &page{
-		current:  &reportSet{series: map[string]*reportedSeries{"one": known}},
-		baseline: &reportSet{series: map[string]*reportedSeries{"one": old, "two": old}},
+		current:  &reportSet{series: map[string]*reportedSeries{"one": current}},
+		baseline: &reportSet{series: map[string]*reportedSeries{"one": baseline, "two": baseline}},
 	}
-	if got := p.valueAt("two", decades[0]); got.Origin() != "measured; **before the bounded candidates**" {
-		t.Errorf("a series of before alone: %s", got.Origin())
+	if got := p.valueAt("two", testSizes[0]); got.Origin() != "measured; **before the bounded candidates**" {
+		t.Errorf("a series of the baseline only: %s", got.Origin())
 	}
 	for _, c := range []struct {
 		size, want float64
 		origin     string
 	}{
-		{decades[2], points[2].Value * microsecond, "simulated"},
+		{testSizes[2], points[2].Value * microsecond, "simulated"},
 		{2000, (points[3].Value + points[4].Value) / 2 * microsecond, "simulated"},
 		{50_000, fit.At(50_000) * microsecond, "calculated from simulated"},
 	} {
 		got := p.valueAt("one", c.size)
-		near(t, digits(c.size), got.value, c.want, 1e-9)
+		checkNear(t, digits(c.size), got.value, c.want, 1e-9)
 		if got.Origin() != c.origin || got.unit != inSeconds {
 			t.Errorf("%v: %s, %s", c.size, got.Origin(), got.unit)
 		}
 	}
-	// Outside of the range a figure states the error of its fit.
-	known.Points[len(points)-1].Value *= 3
-	if known.Fit, err = FitPoints(known.Points); err != nil {
+	// Outside the range of sizes, a figure states the error of its fit.
+	current.Points[len(points)-1].Value *= 3
+	if current.Fit, err = FitPoints(current.Points); err != nil {
 		t.Fatal(err)
 	}
-	near(t, "between neighbours", p.valueAt("one", 9400).value, (points[5].Value+points[6].Value)/2*microsecond, 1e-9)
-	want := "misses the largest point by " + show(known.Fit.absoluteError(), inShare)
-	if text := p.valueAt("one", 50_000).Origin(); known.Fit.absoluteError() < 0.6 || !strings.Contains(text, want) {
-		t.Errorf("%q does not say that its fit %s", text, want)
+	checkNear(t, "between two points", p.valueAt("one", 9400).value, (points[5].Value+points[6].Value)/2*microsecond, 1e-9)
+	want := "misses the largest point by " + show(current.Fit.absoluteError(), inShare)
+	if text := p.valueAt("one", 50_000).Origin(); current.Fit.absoluteError() < 0.6 || !strings.Contains(text, want) {
+		t.Errorf("%q does not state that the fit %s", text, want)
 	}
 }
 
 func TestVerdicts(t *testing.T) {
 	partlyKnown := func(known float64) figure { return calculated(known, inCount).plusIfKnown("p", unmeasured("x")) }
 	for _, c := range []struct {
-		what   string
-		limit  requirement
-		want   verdict
-		ratio  string
-		listed bool
+		what        string
+		requirement requirement
+		want        verdict
+		ratio       string
+		unmet       bool
 	}{
 		{"under", requirement{bound: calculated(10, inCount), values: single(calculated(5, inCount)), mechanism: "m"},
 			verdictHolds, "0.5", false},
 		{"over", requirement{bound: calculated(10, inCount), values: single(calculated(50, inCount)), mechanism: "m"},
-			verdictBreaks, "5", true},
-		{"both",
+			verdictFails, "5", true},
+		{"over for one variant",
 			requirement{bound: calculated(10, inCount), values: []variant{{"a", calculated(5, inCount)}, {"b", calculated(20, inCount)}}},
 			verdictPartly, "0.5 / 2", true},
-		{"not there", requirement{bound: calculated(10, inCount), values: single(unmeasured("x")), mechanism: "m"},
+		{"unmeasured", requirement{bound: calculated(10, inCount), values: single(unmeasured("x")), mechanism: "m"},
 			verdictUnknown, notMeasured, false},
-		{"not there and nothing carries it", requirement{bound: calculated(10, inCount), values: single(unmeasured("x"))},
+		{"unmeasured, no mechanism", requirement{bound: calculated(10, inCount), values: single(unmeasured("x"))},
 			verdictUnknown, notMeasured, true},
-		{"under, a part left out",
+		{"under, a part omitted",
 			requirement{bound: calculated(10, inCount), values: single(partlyKnown(5)), mechanism: "m"},
 			verdictUnknown, "0.5 at least", false},
-		{"over, a part left out",
+		{"over, a part omitted",
 			requirement{bound: calculated(10, inCount), values: single(partlyKnown(50)), mechanism: "m"},
-			verdictBreaks, "5 at least", true},
+			verdictFails, "5 at least", true},
 		{"no bound", requirement{values: single(calculated(5, inCount))}, verdictUnbounded, "–", false},
-		{"a bound that is not known", requirement{bound: unmeasured("x"), values: single(calculated(5, inCount)), mechanism: "m"},
+		{"unmeasured bound", requirement{bound: unmeasured("x"), values: single(calculated(5, inCount)), mechanism: "m"},
 			verdictUnknown, "–", false},
-		{"never", requirement{bound: calculated(1, inCount), infeasible: true, values: single(calculated(5, inCount))},
-			verdictNever, "5", false},
+		{"infeasible", requirement{bound: calculated(1, inCount), infeasible: true, values: single(calculated(5, inCount))},
+			verdictInfeasible, "5", false},
 	} {
-		if got := c.limit.verdict(); got != c.want {
+		if got := c.requirement.verdict(); got != c.want {
 			t.Errorf("%s: %s, want %s", c.what, got, c.want)
 		}
-		if got := c.limit.ratioText(); got != c.ratio {
+		if got := c.requirement.ratioText(); got != c.ratio {
 			t.Errorf("%s: ratio %q, want %q", c.what, got, c.ratio)
 		}
-		if got := c.limit.isUnmet(); got != c.listed {
-			t.Errorf("%s: listed as missing: %v", c.what, got)
+		if got := c.requirement.isUnmet(); got != c.unmet {
+			t.Errorf("%s: unmet: %v", c.what, got)
 		}
 	}
 }
 
 // Unmet requirements are sorted by decreasing excess, unknown ones last.
 func TestUnmetRequirementsAreSorted(t *testing.T) {
-	absent := &reportSet{series: map[string]*reportedSeries{}}
-	p := &page{current: absent, baseline: absent}
+	empty := &reportSet{series: map[string]*reportedSeries{}}
+	p := &page{current: empty, baseline: empty}
 	list := p.unmetRequirements()
 	if len(list) < 2 {
-		t.Fatalf("%d limits are missing", len(list))
+		t.Fatalf("%d unmet requirements, want several", len(list))
 	}
 	for i := range list[1:] {
 		if list[i].excess() < list[i+1].excess() {
-			t.Errorf("%s (%v) before %s (%v)", list[i].quantity, list[i].excess(), list[i+1].quantity, list[i+1].excess())
+			t.Errorf("%s (excess %v) is listed before %s (excess %v)", list[i].quantity, list[i].excess(), list[i+1].quantity, list[i+1].excess())
 		}
 	}
 }
--- a/internal/testbed/scale/page_fit.go
+++ b/internal/testbed/scale/page_fit.go
@@ -13,7 +13,7 @@
 // Form is the shape of a fitted curve over the size n.
 type Form string
 
-// The forms of a fit, from the simplest on.
+// The forms of a fit, the simplest first.
 const (
 	FormConstant  Form = "a"            // the mean, whatever the size
 	FormLinear    Form = "a + b·n"      // grows with n
@@ -25,21 +25,21 @@
 var slopeForms = []Form{FormLinear, FormLogLinear, FormPower}
 
 const (
-	slopeScatterShare = 0.5  // of the scatter round the mean; a slope that leaves more may be noise of few points
-	minFitSizes       = 4    // three for the fit and the held-out one
-	minRelativeScale  = 0.01 // of the largest value: the least divisor of a residual
-	roundingShare     = 1e-9 // of the largest value; smaller coefficients are dropped
-	minResidual       = 1e-3 // below which two forms fit equally well and the simpler one is chosen
+	slopeScatterShare = 0.5  // of the scatter around the mean; a slope that leaves more of it may be fitted to the noise of few points
+	minFitSizes       = 4    // three for the fit and the one held out
+	minRelativeScale  = 0.01 // share of the largest value; the smallest divisor of a relative residual
+	roundingShare     = 1e-9 // share of the largest value; terms below it are rounding errors
+	minResidual       = 1e-3 // forms with residuals below it fit equally well; the simplest of them is chosen
 )
 
-// Fit is a curve through all points of a series but the largest, which it predicts.
+// Fit is a curve fitted to all points of a series but the largest, which is held out and predicted by the curve.
 type Fit struct {
 	Form      Form
 	A, B      float64
 	Fitted    int     // number of sizes
 	R2        float64 // of the fitted points, with the weights of the fit
-	Residual  float64 // root mean square of the relative residuals
-	HeldOut   Point
+	Residual  float64 // root mean square of the relative residuals of the fitted points
+	HeldOut   Point   // the largest point
 	Predicted float64 // at the size of HeldOut
 }
 
@@ -61,7 +61,8 @@
 	}
 }
 
-// HeldOutError is the relative error of the predicted largest point.
+// HeldOutError is the relative error of the prediction for the held-out point, or the prediction itself if that point is
+// 0.
 func (f Fit) HeldOutError() float64 {
 	if f.HeldOut.Value == 0 {
 		return f.Predicted
@@ -76,7 +77,7 @@
 	Sizes int
 }
 
-// Error states the number of sizes.
+// Error states how many sizes there are and how many are needed.
 func (e *TooFewPointsError) Error() string {
 	return fmt.Sprintf("%d sizes, %d are needed for a fit with the largest held out", e.Sizes, minFitSizes)
 }
@@ -86,8 +87,8 @@
 	return "add sizes to the experiment's file and run it again"
 }
 
-// FitPoints fits the form that explains all points but the largest best, by bayesianCriterion. It is the mean unless a
-// slope removes half of the scatter round it.
+// FitPoints fits all points but the largest, and chooses the form with the lowest bayesianCriterion. A form with a slope
+// is only considered if it removes at least half of the scatter around the mean.
 func FitPoints(points []Point) (Fit, error) {
 	points = averageBySize(points)
 	if len(points) < minFitSizes {
@@ -111,7 +112,7 @@
 	return best, nil
 }
 
-// bayesianCriterion is Schwarz's criterion for relative residuals; the lowest is best.
+// bayesianCriterion is the Bayesian information criterion, by Schwarz, for relative residuals; the lowest is best.
 func bayesianCriterion(fit Fit) float64 {
 	coefficients := 2.0
 	if fit.Form == FormConstant {
@@ -121,6 +122,7 @@
 	return 2*count*math.Log(max(fit.Residual, minResidual)) + coefficients*math.Log(count)
 }
 
+// fitForm fits one form. It reports false if the form can't be fitted to the points.
 func fitForm(form Form, points []Point) (Fit, bool) {
 	fit := Fit{Form: form, Fitted: len(points)}
 	sizes, values := pointColumns(points)
@@ -138,15 +140,15 @@
 			return Fit{}, false
 		}
 	}
-	fit.dropNoise(sizes, values)
+	fit.dropRoundingErrors(sizes, values)
 	estimates := mapValues(sizes, fit.value)
 	fit.R2 = stat.RSquaredFrom(estimates, values, weights)
 	fit.Residual = weightedResidual(estimates, values, weights)
 	return fit, !math.IsNaN(fit.Residual)
 }
 
-// dropNoise drops a coefficient that contributes only rounding errors.
-func (f *Fit) dropNoise(sizes, values []float64) {
+// dropRoundingErrors sets coefficients to 0 that contribute no more than rounding errors.
+func (f *Fit) dropRoundingErrors(sizes, values []float64) {
 	if f.Form != FormLinear && f.Form != FormLogLinear {
 		return
 	}
@@ -158,7 +160,8 @@
 	}
 }
 
-// fitPower starts from a line through the logarithms and then minimizes the relative residuals, as the other forms do.
+// fitPower fits a·n^b. It starts from a linear regression of the logarithms and then minimizes the relative residuals, as
+// the other forms do.
 func fitPower(sizes, values, weights []float64) (a, b float64, ok bool) {
 	if slices.Min(sizes) <= 0 || slices.Min(values) <= 0 {
 		return 0, 0, false
@@ -176,7 +179,8 @@
 	return math.Exp(result.X[0]), result.X[1], true
 }
 
-// relativeWeights weigh a residual relative to its value, as the sizes span decades.
+// relativeWeights returns weights that make residuals relative to the values, because the sizes span several orders of
+// magnitude.
 func relativeWeights(values []float64) []float64 {
 	largest := 0.0
 	for _, value := range values {
@@ -192,6 +196,7 @@
 	return weights
 }
 
+// weightedResidual is the root mean square of the weighted residuals.
 func weightedResidual(estimates, values, weights []float64) float64 {
 	sum := 0.0
 	for i := range values {
@@ -200,7 +205,7 @@
 	return math.Sqrt(sum / float64(len(values)))
 }
 
-// averageBySize sorts by size and averages the values of equal sizes.
+// averageBySize sorts points by size and averages the values of points of equal size.
 func averageBySize(points []Point) []Point {
 	bySize := map[float64][]float64{}
 	for _, point := range points {
@@ -222,10 +227,10 @@
 	return sizes, values
 }
 
-func mapValues(values []float64, by func(float64) float64) []float64 {
+func mapValues(values []float64, f func(float64) float64) []float64 {
 	result := make([]float64, len(values))
 	for i, value := range values {
-		result[i] = by(value)
+		result[i] = f(value)
 	}
 	return result
 }
--- a/internal/testbed/scale/page_fit_test.go
+++ b/internal/testbed/scale/page_fit_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-var decades = []float64{60, 128, 300, 1000, 3000, 6000, 12800}
+var testSizes = []float64{60, 128, 300, 1000, 3000, 6000, 12800}
 
 func pointsOf(sizes []float64, value func(float64) float64) (points []Point) {
 	for _, size := range sizes {
@@ -17,14 +17,14 @@
 	return points
 }
 
-func near(t *testing.T, what string, got, want, part float64) {
+func checkNear(t *testing.T, what string, got, want, tolerance float64) {
 	t.Helper()
-	if math.Abs(got-want) > part*max(math.Abs(want), 1e-12) {
+	if math.Abs(got-want) > tolerance*max(math.Abs(want), 1e-12) {
 		t.Errorf("%s: got %v, want %v", what, got, want)
 	}
 }
 
-// Each form is found from exact points, and predicts the held-out one.
+// From exact points of a form, that form is selected, and it predicts the held-out point.
 func TestFitSelectsTheForm(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -40,63 +40,63 @@
 		{"square", FormPower, 0.001, 2, func(n float64) float64 { return 0.001 * n * n }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			fit, err := FitPoints(pointsOf(decades, c.value))
+			fit, err := FitPoints(pointsOf(testSizes, c.value))
 			if err != nil {
 				t.Fatal(err)
 			}
 			if fit.Form != c.form {
-				t.Fatalf("got %s with residual %v, want %s", fit.Form, fit.Residual, c.form)
+				t.Fatalf("selected %s with residual %v, want %s", fit.Form, fit.Residual, c.form)
 			}
-			if fit.Fitted != len(decades)-1 {
-				t.Errorf("%d points fitted, want all but one", fit.Fitted)
+			if fit.Fitted != len(testSizes)-1 {
+				t.Errorf("%d points fitted, want all but the largest", fit.Fitted)
 			}
 			if c.a != 0 {
-				near(t, "a", fit.A, c.a, 1e-2)
+				checkNear(t, "a", fit.A, c.a, 1e-2)
 			}
-			near(t, "b", fit.B, c.b, 1e-2)
-			near(t, "the held-out point", fit.Predicted, fit.HeldOut.Value, 1e-2)
+			checkNear(t, "b", fit.B, c.b, 1e-2)
+			checkNear(t, "the held-out point", fit.Predicted, fit.HeldOut.Value, 1e-2)
 		})
 	}
 }
 
-// The largest point does not influence the fit: the curve stays, and the error states the distance.
+// A different largest point changes only the error of the prediction, not the curve.
 func TestLargestPointIsHeldOut(t *testing.T) {
-	points := pointsOf(decades, func(n float64) float64 { return 10 + 2*n })
+	points := pointsOf(testSizes, func(n float64) float64 { return 10 + 2*n })
 	fit, err := FitPoints(points)
 	if err != nil {
 		t.Fatal(err)
 	}
 	points[len(points)-1].Value *= 2
-	other, err := FitPoints(points)
+	refitted, err := FitPoints(points)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if other.A != fit.A || other.B != fit.B || other.Form != fit.Form {
-		t.Errorf("the curve went from %v to %v with the point that is held out", fit, other)
+	if refitted.A != fit.A || refitted.B != fit.B || refitted.Form != fit.Form {
+		t.Errorf("the curve changed from %v to %v with the held-out point", fit, refitted)
 	}
-	near(t, "error", other.HeldOutError(), -0.5, 1e-6)
+	checkNear(t, "error", refitted.HeldOutError(), -0.5, 1e-6)
 }
 
 func TestTooFewSizesToFit(t *testing.T) {
 	for _, count := range []int{0, 1, minFitSizes - 1} {
-		_, err := FitPoints(pointsOf(decades[:count], func(n float64) float64 { return n }))
-		var few *TooFewPointsError
-		if !errors.As(err, &few) || few.Sizes != count || few.Advice() == "" {
+		_, err := FitPoints(pointsOf(testSizes[:count], func(n float64) float64 { return n }))
+		var tooFew *TooFewPointsError
+		if !errors.As(err, &tooFew) || tooFew.Sizes != count || tooFew.Advice() == "" {
 			t.Errorf("%d sizes: got %v", count, err)
 		}
 	}
 	if _, err := FitPoints(pointsOf([]float64{5, 5, 5, 5, 9, 9}, func(n float64) float64 { return n })); err == nil {
-		t.Error("two sizes, measured several times, were fitted")
+		t.Error("two sizes, measured several times, were accepted for a fit")
 	}
 }
 
-// Points with noise of up to 5 % are predicted within 20 % two octaves on, whatever the slope.
+// The largest point of a line with noise of up to 5 % is predicted with an error of at most 50 %, whatever the slope.
 func TestFitUnderNoise(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a := rapid.Float64Range(0, 1e4).Draw(t, "a")
 		b := rapid.Float64Range(1e-3, 1e3).Draw(t, "b")
 		var points []Point
-		for _, size := range decades {
+		for _, size := range testSizes {
 			noise := rapid.Float64Range(0.95, 1.05).Draw(t, "noise")
 			points = append(points, Point{Size: size, Value: (a + b*size) * noise})
 		}
@@ -104,8 +104,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if far := math.Abs(fit.HeldOutError()); far > 0.5 {
-			t.Errorf("%s misses the largest of a line by %.0f %%", fit.Form, 100*far)
+		if deviation := math.Abs(fit.HeldOutError()); deviation > 0.5 {
+			t.Errorf("%s misses the largest point of a line by %.0f %%", fit.Form, 100*deviation)
 		}
 		if fit.At(0) < 0 || math.IsNaN(fit.At(1e7)) {
 			t.Errorf("%s: %v at 0, %v at 1e7", fit.Form, fit.At(0), fit.At(1e7))
@@ -113,7 +113,7 @@
 	})
 }
 
-// A slope through few scattered points is not accepted.
+// Few scattered points are fitted by their mean, not by a slope.
 func TestNoiseIsNotFittedAsASlope(t *testing.T) {
 	sizes := []float64{800, 2500, 8000, 25000, 79012}
 	values := []float64{341, 288, 402, 235, 240}
@@ -126,19 +126,19 @@
 		t.Fatal(err)
 	}
 	if fit.Form != FormConstant || fit.At(1e6) < 200 {
-		t.Errorf("%s, %v at a million", fit, fit.At(1e6))
+		t.Errorf("fitted %s, which is %v at 1e6; want a constant", fit, fit.At(1e6))
 	}
 }
 
 // Zero, equal and decreasing values have finite fits.
 func TestFitOfDegeneratePoints(t *testing.T) {
 	for name, value := range map[string]func(float64) float64{
-		"zero":      func(float64) float64 { return 0 },
-		"half zero": func(n float64) float64 { return max(0, n-1000) },
-		"falling":   func(n float64) float64 { return 1e6 / n },
-		"below":     func(n float64) float64 { return -n },
+		"zero":       func(float64) float64 { return 0 },
+		"half zero":  func(n float64) float64 { return max(0, n-1000) },
+		"decreasing": func(n float64) float64 { return 1e6 / n },
+		"negative":   func(n float64) float64 { return -n },
 	} {
-		fit, err := FitPoints(pointsOf(decades, value))
+		fit, err := FitPoints(pointsOf(testSizes, value))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/testbed/scale/page_limits.go
+++ b/internal/testbed/scale/page_limits.go
@@ -7,66 +7,67 @@
 	"strings"
 )
 
-// variant is a figure under one of the assumptions.
+// variant is a figure with a label, such as the assumption under which it holds.
 type variant struct {
 	label string
 	figure
 }
 
-// requirement is one of the operators' requirements with the figures that are held against it.
+// requirement is a requirement, of the operators or of the design, with the figures that are compared with it.
 type requirement struct {
 	statement  string // as the operators put it
-	quantity   string // that is compared with the bound
+	quantity   string // that the figures are of
 	bound      figure // zero: none is stated
 	values     []variant
 	mechanism  string // that keeps the bound; empty: none
 	dependents string // what depends on the requirement
-	proposal   string // a mechanism that would keep it, not implemented
-	infeasible bool   // no mechanism could keep it
+	proposal   string // a mechanism that would keep the bound, not implemented
+	infeasible bool   // no mechanism could keep the bound
 }
 
-func (l requirement) isBounded() bool { return l.bound.origin != "" && l.bound.known() }
+// isBounded reports whether a bound is stated and known.
+func (r requirement) isBounded() bool { return r.bound.origin != "" && r.bound.known() }
 
 // verdict states whether a requirement holds under every assumption.
 type verdict string
 
 const (
-	verdictHolds     verdict = "holds"
-	verdictBreaks    verdict = "**does not hold**"
-	verdictUnknown   verdict = "not measured"
-	verdictUnbounded verdict = "no bound stated"
-	verdictPartly    verdict = "**holds in part**"
-	verdictNever     verdict = "**can't hold**"
-	noMechanism              = "**none**"
-	atLeast                  = " at least" // follows a sum with omitted parts
+	verdictHolds      verdict = "holds"
+	verdictFails      verdict = "**does not hold**"
+	verdictUnknown    verdict = "not measured"
+	verdictUnbounded  verdict = "no bound stated"
+	verdictPartly     verdict = "**holds in part**"
+	verdictInfeasible verdict = "**can't hold**"
+	noMechanism               = "**none**"
+	atLeast                   = " at least" // follows a sum with omitted parts
 )
 
-// ratio is the largest ratio of a value to the bound; ok reports whether any is known.
-func (l requirement) ratio() (largest float64, ok bool) {
-	for _, v := range l.values {
-		if v.known() && l.isBounded() {
-			largest, ok = max(largest, v.value/l.bound.value), true
+// ratio is the largest ratio of a value to the bound; ok reports whether any ratio is known.
+func (r requirement) ratio() (largest float64, ok bool) {
+	for _, v := range r.values {
+		if v.known() && r.isBounded() {
+			largest, ok = max(largest, v.value/r.bound.value), true
 		}
 	}
 	return largest, ok
 }
 
-func (l requirement) verdict() verdict {
-	if l.infeasible {
-		return verdictNever
+func (r requirement) verdict() verdict {
+	if r.infeasible {
+		return verdictInfeasible
 	}
-	if !l.bound.known() {
+	if !r.bound.known() {
 		return verdictUnknown
 	}
-	if !l.isBounded() {
+	if !r.isBounded() {
 		return verdictUnbounded
 	}
 	over, under, open := 0, 0, 0
-	for _, v := range l.values {
+	for _, v := range r.values {
 		switch {
 		case !v.known():
 			open++
-		case v.value > l.bound.value:
+		case v.value > r.bound.value:
 			over++
 		case len(v.omitted) > 0:
 			open++
@@ -78,7 +79,7 @@
 	case over > 0 && under > 0:
 		return verdictPartly
 	case over > 0:
-		return verdictBreaks
+		return verdictFails
 	case open > 0:
 		return verdictUnknown
 	default:
@@ -86,29 +87,29 @@
 	}
 }
 
-func (l requirement) valuesText() string {
-	text := joinVariants(l.values, figure.valueText)
-	var without []string
-	for _, v := range l.values {
-		without = unionOf(without, v.omitted)
+func (r requirement) valuesText() string {
+	text := joinVariants(r.values, figure.valueText)
+	var omitted []string
+	for _, v := range r.values {
+		omitted = unionOf(omitted, v.omitted)
 	}
-	if len(without) > 0 {
-		text += atLeast + ", without " + strings.Join(without, ", ")
+	if len(omitted) > 0 {
+		text += atLeast + ", without " + strings.Join(omitted, ", ")
 	}
 	return text
 }
 
-func (l requirement) ratioText() string {
-	if !l.isBounded() {
+func (r requirement) ratioText() string {
+	if !r.isBounded() {
 		return "–"
 	}
 	partial := false
-	text := joinVariants(l.values, func(f figure) string {
+	text := joinVariants(r.values, func(f figure) string {
 		if !f.known() {
 			return notMeasured
 		}
 		partial = partial || len(f.omitted) > 0
-		return digits(f.value / l.bound.value)
+		return digits(f.value / r.bound.value)
 	})
 	if partial {
 		text += atLeast
@@ -116,27 +117,28 @@
 	return text
 }
 
-func (l requirement) originText() string {
-	return joinVariants(l.values, figure.Origin)
+func (r requirement) originText() string {
+	return joinVariants(r.values, figure.Origin)
 }
 
-func (l requirement) mechanismText() string {
-	if l.mechanism == "" {
+func (r requirement) mechanismText() string {
+	if r.mechanism == "" {
 		return noMechanism
 	}
-	return l.mechanism
+	return r.mechanism
 }
 
-// joinVariants joins the variants' texts, equal ones only once.
+// joinVariants joins the texts of the variants' figures, or returns the text that all of them have.
 func joinVariants(variants []variant, text func(figure) string) string {
 	var texts []string
 	for _, v := range variants {
 		texts = append(texts, text(v.figure))
 	}
-	return joinAlike(texts)
+	return joinUnlessEqual(texts)
 }
 
-func joinAlike(texts []string) string {
+// joinUnlessEqual joins texts, or returns the first if all are equal.
+func joinUnlessEqual(texts []string) string {
 	if len(slices.Compact(slices.Clone(texts))) == 1 {
 		return texts[0]
 	}
@@ -144,63 +146,62 @@
 }
 
 // serverCounts are the numbers of servers that figures are calculated for.
-var serverCounts = []float64{smallestServers, likelyServers, largestServers}
+var serverCounts = []float64{fewestServers, likelyServers, mostServers}
 
 // forEachServerCount calculates a figure for each number of servers.
-func forEachServerCount(work func(servers float64) figure) (list []variant) {
+func forEachServerCount(calculate func(servers float64) figure) (list []variant) {
 	for _, servers := range serverCounts {
-		list = append(list, variant{digits(servers) + " servers", work(servers)})
+		list = append(list, variant{digits(servers) + " servers", calculate(servers)})
 	}
 	return list
 }
 
 func single(f figure) []variant { return []variant{{"", f}} }
 
-// requirementsTable is the summary of all requirements.
+// requirementsTable shows all requirements of the operators.
 func (p *page) requirementsTable() *table { return requirementsTableOf(p.requirements()) }
 
-func requirementsTableOf(limits []requirement) *table {
+func requirementsTableOf(requirements []requirement) *table {
 	t := newTable("requirement", "quantity", "limit", "value", "ratio", "verdict", "mechanism", "origin")
 	previous := ""
-	for _, l := range limits {
-		statement := l.statement
+	for _, r := range requirements {
+		statement := r.statement
 		if statement == previous {
 			statement = ""
 		}
-		previous = l.statement
-		t.row(statement, l.quantity, l.boundText(), l.valuesText(), l.ratioText(), string(l.verdict()), l.mechanismText(), l.originText())
+		previous = r.statement
+		t.row(statement, r.quantity, r.boundText(), r.valuesText(), r.ratioText(), string(r.verdict()), r.mechanismText(), r.originText())
 	}
 	return t
 }
 
-func (l requirement) boundText() string {
-	if !l.isBounded() {
+func (r requirement) boundText() string {
+	if !r.isBounded() {
 		return "–"
 	}
-	return l.bound.String()
+	return r.bound.String()
 }
 
-// unmetRequirementsTable lists requirements that have no mechanism or that the mechanism does not keep, sorted by
-// excess.
+// unmetRequirementsTable lists the unmet requirements in order of decreasing excess.
 func (p *page) unmetRequirementsTable() *table {
 	t := newTable("", "missing", "times its limit", "kept today by", "what would keep it, not implemented", "what depends on it")
-	place := 0
-	for _, l := range p.unmetRequirements() {
-		place++
-		over := notMeasured
-		if ratio, ok := l.ratio(); ok {
-			over = digits(ratio)
+	rank := 0
+	for _, r := range p.unmetRequirements() {
+		rank++
+		ratio := notMeasured
+		if value, ok := r.ratio(); ok {
+			ratio = digits(value)
 		}
-		t.row(digits(float64(place)), l.quantity, over, l.mechanismText(), orDash(l.proposal), l.dependents)
+		t.row(digits(float64(rank)), r.quantity, ratio, r.mechanismText(), orDash(r.proposal), r.dependents)
 	}
 	return t
 }
 
 func (p *page) unmetRequirements() []requirement {
 	var list []requirement
-	for _, l := range slices.Concat(p.requirements(), p.partRequirements(), p.designRequirements()) {
-		if l.isUnmet() {
-			list = append(list, l)
+	for _, r := range slices.Concat(p.requirements(), p.partRequirements(), p.designRequirements()) {
+		if r.isUnmet() {
+			list = append(list, r)
 		}
 	}
 	slices.SortStableFunc(list, func(a, b requirement) int { return cmp.Compare(b.excess(), a.excess()) })
@@ -214,21 +215,22 @@
 	return text
 }
 
-// isUnmet reports whether a requirement does not hold, or is unknown and has no mechanism.
-func (l requirement) isUnmet() bool {
-	switch l.verdict() {
-	case verdictBreaks, verdictPartly:
+// isUnmet reports whether a requirement does not hold under each assumption, or whether that is unknown and no mechanism
+// exists. Infeasible requirements and those without a bound are not counted.
+func (r requirement) isUnmet() bool {
+	switch r.verdict() {
+	case verdictFails, verdictPartly:
 		return true
 	case verdictUnknown:
-		return l.mechanism == ""
+		return r.mechanism == ""
 	default:
 		return false
 	}
 }
 
-// excess is the ratio to the bound; unknown ones sort last.
-func (l requirement) excess() float64 {
-	ratio, ok := l.ratio()
+// excess is the ratio to the bound, or negative infinity if it is unknown.
+func (r requirement) excess() float64 {
+	ratio, ok := r.ratio()
 	if !ok {
 		return math.Inf(-1)
 	}
--- a/internal/testbed/scale/page_loads.go
+++ b/internal/testbed/scale/page_loads.go
@@ -3,7 +3,7 @@
 import "math"
 
 const (
-	heartbeatRate    = 0.5      // per second; internal/protocol heartbeatInterval
+	heartbeatRate    = 0.5      // per second; the inverse of internal/protocol heartbeatInterval
 	sweepConnections = 20_000.0 // held in the sweeps over servers
 )
 
@@ -25,44 +25,45 @@
 
 func decisionLoad(p *page, s situation, servers float64) load {
 	l := zeroLoad()
-	placed := p.placementProcessor(s.connections, servers).times(s.placements, inCores)
-	l.processor = placed.plus(p.unevenRecheckProcessor(s.connections, servers))
+	placement := p.placementProcessor(s.connections, servers).times(s.placements, inCores)
+	l.processor = placement.plus(p.unevenRecheckProcessor(s.connections, servers))
 	l.memory = p.decisionMemory(s.connections)
 	return l
 }
 
-// decisionMemory is the decisions' memory besides the list, for a balancer's groups; it is proportional to the
+// decisionMemory is the memory of the decisions without the list, for the groups of a balancer and proportional to the
 // connections.
-func (p *page) decisionMemory(held float64) figure {
-	list := p.valueAt(decisionListMemory, smallestServers)
-	flows := p.valueAt(decisionGroupMemory, math.Round(groupsPerBalancer())).plus(list.times(-1, inBytes))
-	return flows.times(held/connectionsPerBalancer, inBytes)
+func (p *page) decisionMemory(connections float64) figure {
+	list := p.valueAt(decisionListMemory, fewestServers)
+	withoutList := p.valueAt(decisionGroupMemory, math.Round(groupsPerBalancer())).plus(list.times(-1, inBytes))
+	return withoutList.times(connections/connectionsPerBalancer, inBytes)
 }
 
-// placementProcessor is the processor time of one flow placed and ended.
-func (p *page) placementProcessor(held, servers float64) figure {
-	return p.valueWithConnections(placementTime, servers, placementTimeByConnections, held)
+// placementProcessor is the processor time of placing and ending one flow.
+func (p *page) placementProcessor(connections, servers float64) figure {
+	return p.valueWithConnections(placementTime, servers, placementTimeByConnections, connections)
 }
 
-// valueWithConnections is a series over servers, whose sweep holds sweepConnections, corrected for the
-// connections held by a series over those.
-func (p *page) valueWithConnections(byServers seriesName, servers float64, byConnections seriesName, held float64) figure {
-	correction := p.valueAt(byConnections, held).dividedBy(p.valueAt(byConnections, sweepConnections), inCount)
+// valueWithConnections is the value of a series over servers, which was measured at sweepConnections, multiplied by the
+// ratio of a series over connections at the given number of connections to the same series at sweepConnections.
+func (p *page) valueWithConnections(byServers seriesName, servers float64, byConnections seriesName, connections float64) figure {
+	correction := p.valueAt(byConnections, connections).dividedBy(p.valueAt(byConnections, sweepConnections), inCount)
 	return p.valueAt(byServers, servers).multipliedBy(correction)
 }
 
-// idleRecheckProcessor is the processor time per second of evenly spread flows, whose rechecks are all skipped.
-func (p *page) idleRecheckProcessor(held, servers float64) figure {
-	return p.valueWithConnections(idleRecheckTime, servers, idleRecheckTimeByConnections, held)
+// idleRecheckProcessor is the processor time of rechecks per second for evenly spread flows, whose rechecks are all
+// skipped.
+func (p *page) idleRecheckProcessor(connections, servers float64) figure {
+	return p.valueWithConnections(idleRecheckTime, servers, idleRecheckTimeByConnections, connections)
 }
 
-// unevenRecheckProcessor is the same for flows on random servers, with as many rechecks as a tick allows: the cost of
-// a real process, whose connections are where decisions placed them.
-func (p *page) unevenRecheckProcessor(held, servers float64) figure {
-	return p.valueWithConnections(unevenRecheckTime, servers, unevenRecheckTimeByConnections, held)
+// unevenRecheckProcessor is the same for flows on random servers, with as many rechecks as a tick allows. It stands for
+// a real process, whose connections are on the servers that the decisions chose and not evenly spread.
+func (p *page) unevenRecheckProcessor(connections, servers float64) figure {
+	return p.valueWithConnections(unevenRecheckTime, servers, unevenRecheckTimeByConnections, connections)
 }
 
-// healthCheckLoad is with leases: each holder of a server's lease checks it once a round.
+// healthCheckLoad is the load of health checks with leases: each holder of a server's lease checks the server once a round.
 func healthCheckLoad(p *page, s situation, servers float64) load {
 	l := zeroLoad()
 	rate := p.valueAt(leaseHolders, s.members).times(servers/healthCheckRound/s.members, inRate)
@@ -73,7 +74,7 @@
 	return l
 }
 
-// signalLoad is without the datagrams that carry records, which are the engine's.
+// signalLoad counts received records as messages; engineLoad counts the datagrams that carry them.
 func signalLoad(p *page, s situation, _ float64) load {
 	l := zeroLoad()
 	l.messagesIn = p.valueAt(signalRecords, s.members)
@@ -92,9 +93,9 @@
 func leaseLoad(p *page, s situation, servers float64) load {
 	l := zeroLoad()
 	fleetFactor := p.valueAt(leaseScoringTime, s.members).dividedBy(p.valueAt(leaseScoringTime, fleetBalancers), inCount)
-	// The series are for an ordinary day's membership changes; at most, all is scored again in each round of health
-	// checks.
-	changeRatio := min(s.membershipChanges, 1/healthCheckRound) / ordinaryMembershipChanges
+	// The series are measured at the rate of membership changes of an ordinary day. At most, all scores are calculated
+	// again in each round of health checks.
+	changeRatio := min(s.membershipChanges, 1/healthCheckRound) / ordinaryMembershipChangeRate
 	scoring := p.valueAt(leaseScoringTimeByServers, servers).multipliedBy(fleetFactor).times(changeRatio, inCores)
 	l.processor = scoring.plus(p.valueAt(leaseMembershipTime, s.members))
 	l.memory = p.valueAt(leaseMemory, s.members)
@@ -123,20 +124,20 @@
 	return l
 }
 
-// controlMachineLoad is one of the machines that publish changes, with the balancers split evenly.
+// controlMachineLoad is the load of one of the machines that publish changes, among which the balancers are split evenly.
 func controlMachineLoad(p *page, s situation, servers float64) load {
 	l := unknownLoad()
 	balancers := fleetBalancers / s.controlMachines
-	starts := replacementsPerDay / daySeconds / s.controlMachines
+	startRate := replacementsPerDay / daySeconds / s.controlMachines
 	fullList := p.valueAt(listBytes, servers)
 	l.messagesIn = calculated(s.changes, inRate)
-	l.messagesOut = calculated(balancers*s.changes+starts, inRate)
+	l.messagesOut = calculated(balancers*s.changes+startRate, inRate)
 	l.bytesIn = p.valueAt(changeBytes, servers).times(s.changes, inTraffic)
-	l.bytesOut = p.valueAt(changeBytes, servers).times(balancers*s.changes, inTraffic).plus(fullList.times(starts, inTraffic))
+	l.bytesOut = p.valueAt(changeBytes, servers).times(balancers*s.changes, inTraffic).plus(fullList.times(startRate, inTraffic))
 	return l
 }
 
-func agentLoad(p *page, s situation, servers float64) load {
+func discoveryAgentLoad(p *page, s situation, servers float64) load {
 	l := unknownLoad()
 	l.messagesIn = calculated(s.changes, inRate)
 	l.messagesOut = calculated(s.changes+s.fullLists+heartbeatRate, inRate)
@@ -145,13 +146,13 @@
 	return l
 }
 
-// serverLoad is one server's health checks and deliveries.
+// serverLoad is the load of health checks and deliveries on one server.
 func serverLoad(p *page, s situation, servers float64) load {
 	l := unknownLoad()
 	checks := p.valueAt(leaseHolders, s.members).times(fleetBalancers/s.members/healthCheckRound, inRate)
 	deliveries := s.deliveries * fleetBalancers / servers
 	if s.deliveries > 0 {
-		deliveries = fleetDeliveries / servers
+		deliveries = fleetDeliveryRate / servers
 	}
 	l.messagesIn = checks
 	l.messagesOut = checks.plus(calculated(deliveries, inRate))
--- a/internal/testbed/scale/page_parts.go
+++ b/internal/testbed/scale/page_parts.go
@@ -6,7 +6,7 @@
 	"unicode/utf8"
 )
 
-const proseColumns = 140 // of a line of prose
+const proseColumns = 140 // maximum length of a line of prose
 
 // part is one part of a role.
 type part struct {
@@ -14,7 +14,7 @@
 	state      string // that it holds
 	owner      string // of that state
 	onFailure  string // effect of failures, in prose
-	mechanism  string // that bounds its cost
+	mechanism  string // that bounds its cost; empty: none
 	dependents string // what depends on it
 	proposal   string // a mechanism that would bound it, not implemented
 	load       func(p *page, s situation, servers float64) load
@@ -26,7 +26,7 @@
 	Parts []part
 }
 
-// roles are all roles in the document's order.
+// roles returns all roles in the order of the page.
 func (p *page) roles() []role {
 	return []role{
 		{"Balancer: data path", []part{dataPathPart}},
@@ -38,25 +38,25 @@
 	}
 }
 
-// partTable is the load of a part in each situation, at the likely number of servers. Situations with equal loads
-// share a row.
-func (p *page) partTable(of part) string {
+// partTable describes a part and shows its load in each situation, with likelyServers. Situations with equal loads share
+// a row.
+func (p *page) partTable(shown part) string {
 	t := newTable("situation", "messages in, out", "bytes in, out", "processor time", "memory", "origin")
-	places := map[string]int{}
+	rowOfCells := map[string]int{}
 	for _, s := range situations(likelyServers) {
-		cells := of.load(p, s, likelyServers).cells()
+		cells := shown.load(p, s, likelyServers).cells()
 		key := strings.Join(cells, "|")
-		if place, ok := places[key]; ok {
-			t.rows[place][0] += "; " + s.name
+		if row, ok := rowOfCells[key]; ok {
+			t.rows[row][0] += "; " + s.name
 			continue
 		}
-		places[key] = len(t.rows)
+		rowOfCells[key] = len(t.rows)
 		t.row(append([]string{s.name}, cells...)...)
 	}
 	if len(t.rows) == 1 {
 		t.rows[0][0] = "each"
 	}
-	text := fmt.Sprintf("**%s.** State: %s. Owner: %s. %s", capital(of.name), of.state, of.owner, of.onFailure)
+	text := fmt.Sprintf("**%s.** State: %s. Owner: %s. %s", capitalize(shown.name), shown.state, shown.owner, shown.onFailure)
 	return wrapText(text) + "\n\n" + t.String()
 }
 
@@ -64,7 +64,7 @@
 	return []string{pair(l.messagesIn, l.messagesOut), pair(l.bytesIn, l.bytesOut), l.processor.String(), l.memory.String(), l.origins()}
 }
 
-// origins states the origin of each quantity of a load, grouped by origin.
+// origins states the origins of a load's quantities, or the single origin that all of them have.
 func (l load) origins() string {
 	var order []string
 	quantities := map[string][]string{}
@@ -89,11 +89,12 @@
 	return strings.Join(order, "; ")
 }
 
-// standaloneParts is how many of controlParts run without the options file: such a balancer has no peers and checks no
-// loads.
+// standaloneParts is the number of leading controlParts that a balancer without an options file runs: it has no peers and
+// no load reports.
 const standaloneParts = 2
 
-// controlParts are the parts of balancer control in the order of the requirements.
+// controlParts are the parts of balancer control in the order of their tables. The first standaloneParts run in each
+// balancer.
 var controlParts = []part{
 	{
 		name:  "server list",
@@ -186,7 +187,7 @@
 	owner: "the testbed; there is no store that outlives it",
 	onFailure: "A watch that does not read is closed, and the next one receives the full list. " +
 		"With a central discovery there is one for all balancers.",
-	load: agentLoad,
+	load: discoveryAgentLoad,
 }
 
 var serverPart = part{
@@ -206,7 +207,7 @@
 	load:      toolsLoad,
 }
 
-// wrapText breaks a paragraph into lines of at most proseColumns where it has spaces.
+// wrapText breaks a paragraph at spaces into lines of at most proseColumns.
 func wrapText(text string) string {
 	var wrapped strings.Builder
 	column := 0
@@ -227,7 +228,7 @@
 	return wrapped.String()
 }
 
-func capital(text string) string {
+func capitalize(text string) string {
 	if text == "" || text[0] < 'a' || text[0] > 'z' {
 		return text
 	}
--- a/internal/testbed/scale/page_read.go
+++ b/internal/testbed/scale/page_read.go
@@ -7,14 +7,14 @@
 )
 
 const (
-	baselineDirectory = "before" // inside the directory of results: reports of the code before the bounded-candidates mechanism
+	baselineDirectory = "before" // subdirectory of the results: reports of the code before the bounded-candidates mechanism
 	rerunAdvice       = "run its experiment again: testbed scale run writes complete reports"
 )
 
-// reportedSeries is a series with its source and fit.
+// reportedSeries is a series in current terms, with the report that has it and its fit.
 type reportedSeries struct {
 	Series
-	File    string
+	File    string // base name of the report file
 	Command string
 	Commit  string
 	Fit     Fit
@@ -36,11 +36,11 @@
 	checks  []Check
 }
 
-// readResults reads each report of a directory, not of its subdirectories.
+// readResults reads the reports of a directory, without its subdirectories.
 func readResults(directory string) (*reportSet, error) {
 	files, err := filepath.Glob(filepath.Join(directory, "*.json"))
 	if err != nil {
-		return nil, &Error{Where: directory, What: "can't be searched", Remedy: "name a directory of reports", Err: err}
+		return nil, &Error{Where: directory, What: "can't be searched for reports", Remedy: "name a directory of reports", Err: err}
 	}
 	slices.Sort(files)
 	all := &reportSet{directory: directory, series: map[string]*reportedSeries{}}
@@ -56,6 +56,7 @@
 	return all, nil
 }
 
+// addReport adds a report and its series; a series that another report has already is an error.
 func (r *reportSet) addReport(file string, report *Report) error {
 	for _, series := range report.Series {
 		where := file + ": series " + series.Name
@@ -63,7 +64,7 @@
 			return &Error{
 				Where:  where,
 				What:   "is in " + first.File + " too",
-				Remedy: "rename one of both, or remove one report",
+				Remedy: "rename one of the two series, or remove one of the reports",
 			}
 		}
 		if !slices.Contains([]Origin{Measured, Simulated, Calculated}, series.Origin) {
--- a/internal/testbed/scale/page_requirements.go
+++ b/internal/testbed/scale/page_requirements.go
@@ -18,7 +18,7 @@
 	mechanismLocalTallies       = "tallies only of groups that are held here (`decide`)"
 )
 
-// requirements are the operators' requirements in their order.
+// requirements returns the operators' requirements, in the operators' order.
 func (p *page) requirements() []requirement {
 	return slices.Concat(
 		p.connectionRequirements(),
@@ -31,7 +31,7 @@
 	)
 }
 
-// connectionRequirements are those on the connections that a balancer holds.
+// connectionRequirements are the requirements on the connections that a balancer holds.
 func (p *page) connectionRequirements() []requirement {
 	statement := fmt.Sprintf("%s balancers, %s connections", digits(fleetBalancers), digits(fleetConnections))
 	return []requirement{
@@ -53,7 +53,7 @@
 			statement:  statement,
 			quantity:   "connection setups in flight at a balancer",
 			bound:      calculated(setupLimit(), inCount),
-			values:     single(calculated((ordinaryPlacements+replacedPlacements)*setupSeconds, inCount)),
+			values:     single(calculated((ordinaryPlacementRate+replacementPlacementRate)*setupSeconds, inCount)),
 			mechanism:  mechanismSetupLimit,
 			proposal:   "the 48 distributed by need, under leases",
 			dependents: "every arrival: those beyond wait, and are rejected at their setup target",
@@ -61,7 +61,7 @@
 	}
 }
 
-// topicRequirements are those on groups and the largest topic.
+// topicRequirements are the requirements on groups and the largest topic.
 func (p *page) topicRequirements() []requirement {
 	statement := fmt.Sprintf("%s shards, %s listeners of the largest topic", digits(fleetShards), digits(largestTopic))
 	return []requirement{
@@ -85,20 +85,20 @@
 	}
 }
 
-// deliveryRequirements are those on the data path.
+// deliveryRequirements are the requirements on the data path.
 func (p *page) deliveryRequirements() []requirement {
-	statement := fmt.Sprintf("%s deliveries a second, 99 in 100 within %s", digits(fleetDeliveries), seconds(deliverySeconds))
+	statement := fmt.Sprintf("%s deliveries a second, 99 in 100 within %s", digits(fleetDeliveryRate), seconds(deliveryLimitSeconds))
 	return []requirement{
 		{
 			statement: statement,
-			quantity:  fmt.Sprintf("processor time of %s at a balancer", show(deliveriesPerBalancer, inRate)),
-			values:    single(p.valueAt(realDeliveryTime, connectionsPerBalancer).times(deliveriesPerBalancer, inCores)),
+			quantity:  fmt.Sprintf("processor time of %s at a balancer", show(deliveryRatePerBalancer, inRate)),
+			values:    single(p.valueAt(realDeliveryTime, connectionsPerBalancer).times(deliveryRatePerBalancer, inCores)),
 			mechanism: mechanismLineRelay,
 		},
 		{
 			statement:  statement,
 			quantity:   "delay of 99 in 100",
-			bound:      calculated(deliverySeconds, inSeconds),
+			bound:      calculated(deliveryLimitSeconds, inSeconds),
 			values:     single(unmeasured("delay of deliveries")),
 			proposal:   "to be measured first, through a real process under load",
 			dependents: "the latency promised to listeners; only the balancer's part can be measured here",
@@ -106,13 +106,14 @@
 	}
 }
 
+// changeRequirements are the requirements on changes of the list.
 func (p *page) changeRequirements() []requirement {
-	statement := fmt.Sprintf("%s changes a day in force everywhere within %s", digits(changesPerDay), seconds(changeSeconds))
+	statement := fmt.Sprintf("%s changes a day in force everywhere within %s", digits(changesPerDay), seconds(changeLimitSeconds))
 	return []requirement{
 		{
 			statement:  statement,
 			quantity:   "99 in 100 in force, pushed by 20 machines",
-			bound:      calculated(changeSeconds, inSeconds),
+			bound:      calculated(changeLimitSeconds, inSeconds),
 			values:     single(p.valueAt(changeP99Latency, changesPerDay)),
 			mechanism:  mechanismChanges,
 			dependents: "disabled servers, drains and each rolling restart of servers",
@@ -120,7 +121,7 @@
 		{
 			statement:  statement,
 			quantity:   "the last in force, pushed in this way",
-			bound:      calculated(changeSeconds, inSeconds),
+			bound:      calculated(changeLimitSeconds, inSeconds),
 			values:     single(p.valueAt(changeMaxLatency, changesPerDay)),
 			mechanism:  mechanismChanges,
 			dependents: "disabled servers, drains and each rolling restart of servers",
@@ -128,7 +129,7 @@
 		{
 			statement: statement,
 			quantity:  fmt.Sprintf("a full list for a balancer that starts without state, within %s", show(controlTraffic, inTraffic)),
-			bound:     calculated(changeSeconds, inSeconds),
+			bound:     calculated(changeLimitSeconds, inSeconds),
 			values: forEachServerCount(func(servers float64) figure {
 				return p.valueAt(listBytes, servers).times(1/controlTraffic, inSeconds)
 			}),
@@ -138,7 +139,7 @@
 		{
 			statement:  statement,
 			quantity:   "the last in force while regions are partitioned for an hour",
-			bound:      calculated(changeSeconds, inSeconds),
+			bound:      calculated(changeLimitSeconds, inSeconds),
 			values:     single(calculated(partitionSeconds, inSeconds)),
 			infeasible: true,
 		},
@@ -151,7 +152,7 @@
 		show(controlCores, inCores), show(controlBytes, inBytes), show(controlTraffic, inTraffic))
 }
 
-// standaloneRequirements are those on a balancer without peers.
+// standaloneRequirements are the requirements on control in a balancer without peers.
 func (p *page) standaloneRequirements() []requirement {
 	statement := controlStatement()
 	return []requirement{
@@ -200,7 +201,7 @@
 	}
 }
 
-// peerRequirements are those on a balancer with peers, and on control machines.
+// peerRequirements are the requirements on control in a balancer with peers, and on control machines.
 func (p *page) peerRequirements() []requirement {
 	statement := controlStatement()
 	return []requirement{
@@ -242,7 +243,7 @@
 			quantity:  "traffic of health checks alone, without leases",
 			bound:     calculated(controlTraffic, inTraffic),
 			values: forEachServerCount(func(servers float64) figure {
-				return calculated(healthCheckRateWithoutLeases(servers, ordinaryPlacements+replacedPlacements)*healthCheckBytes/2, inTraffic)
+				return calculated(healthCheckRateWithoutLeases(servers, ordinaryPlacementRate+replacementPlacementRate)*healthCheckBytes/2, inTraffic)
 			}),
 			mechanism:  mechanismLeasedHealthChecks,
 			proposal:   "leases that work at this size",
@@ -250,16 +251,17 @@
 		},
 		{
 			statement:  fmt.Sprintf("%s machines for control", digits(fleetControlMachines)),
-			quantity:   fmt.Sprintf("processor time and memory of one, for %s balancers", digits(balancersPerMachine)),
+			quantity:   fmt.Sprintf("processor time and memory of one, for %s balancers", digits(balancersPerControlMachine)),
 			values:     single(unmeasured("control machines")),
 			dependents: "distribution of changes, full lists for balancers that start, catch-up after a partition",
 		},
 	}
 }
 
+// failureRequirements are the requirements on replaced and failed machines, racks and zones.
 func (p *page) failureRequirements() []requirement {
-	zone := "a zone lost once or twice a year"
-	back := fmt.Sprintf("while %s clients reconnect to a balancer within %s", digits(zoneShare), seconds(reconnectSeconds))
+	zoneStatement := "a zone lost once or twice a year"
+	whileReconnecting := fmt.Sprintf("while %s clients reconnect to a balancer within %s", digits(zoneTakeover), seconds(reconnectSeconds))
 	return []requirement{
 		{
 			statement:  fmt.Sprintf("%s machines fail, %s are replaced a day", digits(failuresPerDay), digits(replacementsPerDay)),
@@ -271,15 +273,15 @@
 		},
 		{
 			statement:  "a rack or switch lost weekly",
-			quantity:   fmt.Sprintf("processor time of decisions while %s clients reconnect to a balancer", digits(rackShare)),
+			quantity:   fmt.Sprintf("processor time of decisions while %s clients reconnect to a balancer", digits(rackTakeover)),
 			bound:      calculated(1, inCores),
-			values:     forEachServerCount(func(servers float64) figure { return p.burstProcessor(rackShare, servers) }),
+			values:     forEachServerCount(func(servers float64) figure { return p.burstProcessor(rackTakeover, servers) }),
 			mechanism:  mechanismCandidates,
 			dependents: "each week's loss",
 		},
 		{
-			statement: zone,
-			quantity:  "processor time of all control " + back,
+			statement: zoneStatement,
+			quantity:  "processor time of all control " + whileReconnecting,
 			bound:     calculated(1, inCores),
 			values: forEachServerCount(func(servers float64) figure {
 				return p.controlProcessor(situations(servers)[situationZoneLost], servers)
@@ -289,25 +291,26 @@
 			dependents: "the loss of a zone",
 		},
 		{
-			statement:  zone,
-			quantity:   "connection setups in flight " + back,
+			statement:  zoneStatement,
+			quantity:   "connection setups in flight " + whileReconnecting,
 			bound:      calculated(setupLimit(), inCount),
-			values:     single(calculated(zoneShare/reconnectSeconds*setupSeconds, inCount)),
+			values:     single(calculated(zoneTakeover/reconnectSeconds*setupSeconds, inCount)),
 			proposal:   "the 48 distributed by need, under leases; a bound derived from the answers of the servers' store",
 			dependents: "the loss of a zone or a rack, a cold start, each mass reconnect",
 		},
 	}
 }
 
-// topicFills is how many servers the listeners of the largest topic fill at the mean number of connections.
-func topicFills(servers float64) figure {
+// serversFilledByTopic is how many servers the listeners of the largest topic fill, each with the mean number of
+// connections.
+func serversFilledByTopic(servers float64) figure {
 	return calculated(largestTopic/(fleetConnections/servers), inCount)
 }
 
-// designRequirements are terms of the design that it can't keep at this size.
+// designRequirements are limits of the design, which its own parts exceed at the size of the planned fleet.
 func (p *page) designRequirements() []requirement {
 	statement := "limits of the design"
-	zoned := "gossip in groups of a zone, aggregates between groups"
+	zonedGossip := "gossip in groups of a zone, aggregates between groups"
 	return []requirement{
 		{
 			statement:  statement,
@@ -338,7 +341,7 @@
 			quantity:   "members for each one that has a record within 5 s of its publication",
 			bound:      calculated(1, inCount),
 			values:     single(calculated(1, inCount).dividedBy(p.valueAt(signalReachedShare, fleetBalancers), inCount)),
-			proposal:   zoned,
+			proposal:   zonedGossip,
 			dependents: "fault observations, which are valid for 5 s",
 		},
 		{
@@ -346,7 +349,7 @@
 			quantity:   "members, compared with the records that one retains",
 			bound:      p.valueAt(retainedRecords, fleetBalancers),
 			values:     single(calculated(fleetBalancers, inCount)),
-			proposal:   zoned,
+			proposal:   zonedGossip,
 			dependents: "what a balancer knows of all others",
 		},
 	}
--- a/internal/testbed/scale/page_situations.go
+++ b/internal/testbed/scale/page_situations.go
@@ -1,20 +1,20 @@
 package scale
 
-// situation is the load on one balancer while something lasts; all rates are per second.
+// situation is the load on one balancer during a period such as an ordinary day or a failure; rates are per second.
 type situation struct {
 	name              string
 	connections       float64 // held
-	placements        float64
-	changes           float64 // of the list
-	membershipChanges float64 // members that join or leave
-	members           float64 // observed as alive
-	deliveries        float64
-	fullLists         float64 // received
-	duration          string
-	controlMachines   float64 // available
+	placements        float64 // rate
+	changes           float64 // rate of changes of the list
+	membershipChanges float64 // rate of members that join or leave
+	members           float64 // that the balancer sees as alive
+	deliveries        float64 // rate
+	fullLists         float64 // rate of full lists received
+	duration          string  // of the situation, as shown
+	controlMachines   float64 // in service
 }
 
-// Indices of situations.
+// Indices into the result of situations.
 const (
 	situationIdle = iota
 	situationOrdinaryDay
@@ -23,7 +23,8 @@
 	situationZoneLost
 )
 
-// situations are an idle and an ordinary day and each failure, for a surviving balancer of the affected region.
+// situations returns an idle and an ordinary day and each failure, for a surviving balancer of the affected region, and
+// last a balancer that starts without state.
 func situations(servers float64) []situation {
 	idle := situation{
 		name:            "idle",
@@ -35,10 +36,10 @@
 	day := idle
 	day.name = "ordinary day"
 	day.duration = "all day"
-	day.placements = ordinaryPlacements + replacedPlacements
+	day.placements = ordinaryPlacementRate + replacementPlacementRate
 	day.changes = changeRate
-	day.membershipChanges = ordinaryMembershipChanges
-	day.deliveries = deliveriesPerBalancer
+	day.membershipChanges = ordinaryMembershipChangeRate
+	day.deliveries = deliveryRatePerBalancer
 
 	machine := day
 	machine.name = "one balancer's machine fails"
@@ -48,16 +49,16 @@
 	rack := day
 	rack.name = "a rack or switch fails"
 	rack.duration = seconds(reconnectSeconds)
-	rack.connections += rackShare
-	rack.placements += rackShare / reconnectSeconds
+	rack.connections += rackTakeover
+	rack.placements += rackTakeover / reconnectSeconds
 	rack.membershipChanges += rackBalancers / reconnectSeconds
 	rack.members -= rackBalancers
 
 	zone := day
 	zone.name = "a zone fails"
 	zone.duration = seconds(reconnectSeconds)
-	zone.connections += zoneShare
-	zone.placements += zoneShare / reconnectSeconds
+	zone.connections += zoneTakeover
+	zone.placements += zoneTakeover / reconnectSeconds
 	zone.changes += servers / fleetZones / reconnectSeconds
 	zone.membershipChanges += zoneBalancers / reconnectSeconds
 	zone.members -= zoneBalancers
@@ -84,7 +85,7 @@
 	return []situation{idle, day, machine, rack, zone, partitioned, halfControl, restarted}
 }
 
-const startupSeconds = 60.0 // in which a balancer that starts without state fills up
+const startupSeconds = 60.0 // within which a balancer that starts without state receives its list, its connections and its members
 
 func seconds(value float64) string { return show(value, inSeconds) }
 
@@ -92,8 +93,8 @@
 type load struct {
 	messagesIn, messagesOut figure // per second
 	bytesIn, bytesOut       figure // per second
-	processor               figure
-	memory                  figure
+	processor               figure // cores
+	memory                  figure // bytes
 }
 
 func processorOf(l load) figure { return l.processor }
@@ -113,7 +114,7 @@
 	}
 }
 
-// unknownLoad is the load of a part without figures.
+// unknownLoad is the load of a part for which there are no figures.
 func unknownLoad() load {
 	absent := unmeasured("")
 	return load{absent, absent, absent, absent, absent, absent}
--- a/internal/testbed/scale/page_slopes.go
+++ b/internal/testbed/scale/page_slopes.go
@@ -10,7 +10,8 @@
 
 const shownHashDigits = 12 // of a commit
 
-// slopesTable shows each series with its fit and the fit's prediction of the held-out point.
+// slopesTable shows each series of the current code with its fit, and the value that the fit predicts for the held-out
+// point.
 func (p *page) slopesTable() *table { return slopesOf(p.current) }
 
 func slopesOf(all *reportSet) *table {
@@ -22,21 +23,22 @@
 	return t
 }
 
-func slopeRow(e *reportedSeries) []string {
-	origin := currentTerm(originTerms, e.Origin)
-	if e.Counted {
+func slopeRow(s *reportedSeries) []string {
+	origin := currentTerm(originTerms, s.Origin)
+	if s.Counted {
 		origin += ", counted"
 	}
-	row := []string{"`" + e.Name + "`", e.Quantity, e.Unit, origin, fmt.Sprintf("%s, %d", e.rangeText(), len(e.Points)), heldText(e.Held)}
-	experiment := strings.TrimSuffix(e.File, ".json")
-	if e.FitErr != nil {
-		return append(row, "none: "+e.FitErr.Error(), "–", pointsText(e.Points), "–", experiment)
+	row := []string{"`" + s.Name + "`", s.Quantity, s.Unit, origin, fmt.Sprintf("%s, %d", s.rangeText(), len(s.Points)),
+		fixedSizesText(s.Held)}
+	experiment := strings.TrimSuffix(s.File, ".json")
+	if s.FitErr != nil {
+		return append(row, "none: "+s.FitErr.Error(), "–", pointsText(s.Points), "–", experiment)
 	}
-	return append(row, e.Fit.String(), e.Fit.quality(),
-		digits(e.Fit.HeldOut.Value)+", "+digits(e.Fit.Predicted), signed(e.Fit.HeldOutError()), experiment)
+	return append(row, s.Fit.String(), s.Fit.quality(),
+		digits(s.Fit.HeldOut.Value)+", "+digits(s.Fit.Predicted), signedShare(s.Fit.HeldOutError()), experiment)
 }
 
-// String is the form with its coefficients.
+// String is the fitted form with its coefficients.
 func (f Fit) String() string {
 	a, b, sign := digits(f.A), digits(f.B), " + "
 	if f.B < 0 && f.Form != FormPower {
@@ -54,7 +56,7 @@
 	}
 }
 
-// quality is R² where the values differ, and the residual.
+// quality is R², unless it is undefined or the form is constant, and the residual.
 func (f Fit) quality() string {
 	residual := show(withoutRounding(f.Residual), inShare)
 	if math.IsNaN(f.R2) || f.Form == FormConstant {
@@ -63,7 +65,7 @@
 	return fmt.Sprintf("%.4f, %s", f.R2, residual)
 }
 
-// withoutRounding is 0 for a share that is only a rounding error.
+// withoutRounding returns a share, or 0 if the share is only a rounding error.
 func withoutRounding(share float64) float64 {
 	if math.Abs(share) < roundingShare {
 		return 0
@@ -71,7 +73,7 @@
 	return share
 }
 
-func signed(share float64) string {
+func signedShare(share float64) string {
 	share = withoutRounding(share)
 	text := show(share, inShare)
 	if share > 0 {
@@ -80,7 +82,7 @@
 	return text
 }
 
-func heldText(held map[string]float64) string {
+func fixedSizesText(held map[string]float64) string {
 	var texts []string
 	for _, key := range slices.Sorted(maps.Keys(held)) {
 		texts = append(texts, digits(held[key])+" "+key)
@@ -99,7 +101,7 @@
 	return strings.Join(texts, "; ")
 }
 
-// runsTable shows each report with the command that reproduces it and its commit.
+// runsTable shows each report with the command that reproduces it and the commit of the program under test.
 func (p *page) runsTable() *table {
 	t := newTable("run", "command", "commit")
 	for _, r := range p.current.reports {
@@ -122,7 +124,7 @@
 	return hash
 }
 
-// checksTable shows how many checks of each run held, and each that did not.
+// checksTable shows how many checks of each run passed, and lists those that failed.
 func (p *page) checksTable() *table {
 	t := newTable("run", "checks that held", "checks that did not")
 	for _, r := range p.current.reports {
@@ -146,39 +148,39 @@
 	return strings.Join(texts, "; ")
 }
 
-// comparisonWithBaseline shows each series of the baseline, and the current series at the same sizes.
+// comparisonWithBaseline compares each series of the baseline with the current series at the same sizes.
 func (p *page) comparisonWithBaseline() *table {
 	t := newTable("series", "unit", "at", "before", "with it", "with it / before")
 	for _, name := range slices.Sorted(maps.Keys(p.baseline.series)) {
 		if strings.HasPrefix(name, faultPrefix) {
-			continue // they have a table of their own
+			continue // faultsTable shows them
 		}
-		before := p.baseline.series[name]
-		var sizes, was, is, ratios []string
-		for _, point := range before.Points {
-			sizes, was = append(sizes, digits(point.Size)), append(was, digits(point.Value))
+		baseline := p.baseline.series[name]
+		var sizes, baselineValues, currentValues, ratios []string
+		for _, point := range baseline.Points {
+			sizes, baselineValues = append(sizes, digits(point.Size)), append(baselineValues, digits(point.Value))
 			value, ratio := p.currentAt(name, point)
-			is, ratios = append(is, value), append(ratios, ratio)
+			currentValues, ratios = append(currentValues, value), append(ratios, ratio)
 		}
-		t.row("`"+name+"`", before.Unit, strings.Join(sizes, " / ")+" "+before.Against, strings.Join(was, " / "), joinAlike(is),
-			joinAlike(ratios))
+		t.row("`"+name+"`", baseline.Unit, strings.Join(sizes, " / ")+" "+baseline.Against, strings.Join(baselineValues, " / "),
+			joinUnlessEqual(currentValues), joinUnlessEqual(ratios))
 	}
 	return t
 }
 
-// currentAt is the current value of a series at the size of a baseline point, and its ratio to that.
+// currentAt returns the current value of a series at the size of a baseline point, and its ratio to the baseline value.
 func (p *page) currentAt(name string, baseline Point) (value, ratio string) {
-	if now := p.current.series[name]; now != nil {
-		if is, ok := now.measuredAt(baseline.Size); ok {
-			return digits(is), ratioText(is, baseline.Value)
+	if current := p.current.series[name]; current != nil {
+		if currentValue, ok := current.pointAt(baseline.Size); ok {
+			return digits(currentValue), ratioText(currentValue, baseline.Value)
 		}
 	}
 	return notMeasured, "–"
 }
 
-func ratioText(value, of float64) string {
-	if of == 0 {
+func ratioText(value, base float64) string {
+	if base == 0 {
 		return "–"
 	}
-	return digits(value / of)
+	return digits(value / base)
 }
--- a/internal/testbed/scale/page_stored.go
+++ b/internal/testbed/scale/page_stored.go
@@ -2,10 +2,11 @@
 
 import "strings"
 
-// A report keeps the wording of the program that wrote it, while docs/CAPACITY.md shows the terms of the current one.
-// Quantities of new reports need no entry here, as the sweeps write current terms.
+// A report keeps the wording of the program version that wrote it, while docs/CAPACITY.md uses current terms, to which
+// this file maps the stored ones. Quantities of new reports need no entry here, as the sweeps write current terms.
 
-// inCurrentTerms is the series with its texts as shown; its name, points and origin are as stored.
+// inCurrentTerms returns the series with quantity, unit and subject in current terms; its name, points and origin stay as
+// stored.
 func (s Series) inCurrentTerms() Series {
 	s.Quantity = quantityTerms.Replace(s.Quantity)
 	s.Unit = currentTerm(unitTerms, s.Unit)
@@ -13,7 +14,7 @@
 	return s
 }
 
-// currentTerm is a stored term in current terms.
+// currentTerm returns the current term for a stored one; a stored term without an entry is current.
 func currentTerm[T ~string](terms map[T]string, stored T) string {
 	if current, ok := terms[stored]; ok {
 		return current
@@ -27,7 +28,8 @@
 	subjectTerms = map[string]string{byFaulty: "faulty servers"} // what sizes count
 )
 
-// quantityTerms replaces earlier phrases of quantities; of two at the same place the first one listed is replaced.
+// quantityTerms replaces phrases of stored quantities by current ones. Of several that match at the same place, the first
+// one listed is replaced.
 var quantityTerms = strings.NewReplacer(
 	// Changes of the list.
 	"of the time a control machine sends", "share of time that a control machine is sending",
--- a/internal/testbed/scale/page_table.go
+++ b/internal/testbed/scale/page_table.go
@@ -4,7 +4,7 @@
 	"strings"
 )
 
-// table is a Markdown table.
+// table is a Markdown table; without rows it is printed as "None.".
 type table struct {
 	head []string
 	rows [][]string
@@ -21,27 +21,27 @@
 	}
 	var text strings.Builder
 	writeRow(&text, t.head)
-	rule := make([]string, len(t.head))
-	for i := range rule {
-		rule[i] = "---"
+	separator := make([]string, len(t.head))
+	for i := range separator {
+		separator[i] = "---"
 	}
-	writeRow(&text, rule)
+	writeRow(&text, separator)
 	for _, row := range t.rows {
 		writeRow(&text, row)
 	}
 	return text.String()
 }
 
-func writeRow(to *strings.Builder, cells []string) {
+func writeRow(out *strings.Builder, cells []string) {
 	for _, cell := range cells {
-		to.WriteString("| ")
-		to.WriteString(strings.ReplaceAll(cell, "|", "\\|"))
-		to.WriteString(" ")
+		out.WriteString("| ")
+		out.WriteString(strings.ReplaceAll(cell, "|", "\\|"))
+		out.WriteString(" ")
 	}
-	to.WriteString("|\n")
+	out.WriteString("|\n")
 }
 
-// pair is two figures in one cell, "in, out".
+// pair shows two figures in one cell as "in, out", or once if both are shown alike.
 func pair(in, out figure) string {
 	if in.known() == out.known() && in.String() == out.String() {
 		return in.String()
--- a/internal/testbed/scale/page_tables_test.go
+++ b/internal/testbed/scale/page_tables_test.go
@@ -5,17 +5,17 @@
 	"testing"
 )
 
-// pageOf is a page of the given series of the baseline and of the current code.
-func pageOf(t *testing.T, before, after []Series, checks ...Check) *page {
+// pageFrom returns a page of the given series of the baseline and of the current code, with the checks in both.
+func pageFrom(t *testing.T, baseline, current []Series, checks ...Check) *page {
 	t.Helper()
 	read := func(file string, series []Series) *reportSet {
-		all := &reportSet{directory: "results", series: map[string]*reportedSeries{}}
-		if err := all.addReport(file, &Report{Experiment: strings.TrimSuffix(file, ".json"), Series: series, Checks: checks}); err != nil {
+		reports := &reportSet{directory: "results", series: map[string]*reportedSeries{}}
+		if err := reports.addReport(file, &Report{Experiment: strings.TrimSuffix(file, ".json"), Series: series, Checks: checks}); err != nil {
 			t.Fatal(err)
 		}
-		return all
+		return reports
 	}
-	return &page{baseline: read("before.json", before), current: read("after.json", after)}
+	return &page{baseline: read("before.json", baseline), current: read("after.json", current)}
 }
 
 func seriesOver(name, unit, against string, origin Origin, sizes []float64, value func(float64) float64) Series {
@@ -35,21 +35,21 @@
 func TestMechanismTable(t *testing.T) {
 	sizes := []float64{60, 1000, 12800}
 	line := func(slope float64) func(float64) float64 { return func(n float64) float64 { return slope * n } }
-	p := pageOf(t,
+	p := pageFrom(t,
 		[]Series{seriesOver("a", "µs", "servers", Measured, sizes, line(1)), seriesOver("b", "µs", "servers", Measured, sizes, line(1))},
 		[]Series{seriesOver("a", "µs", "servers", Measured, sizes, line(0.1)), seriesOver("c", "µs", "servers", Measured, sizes, line(1))})
 	checkRows(t, p.comparisonWithBaseline(),
 		"| `a` | µs | 60 / 1,000 / 12,800 servers | 60 / 1,000 / 12,800 | 6 / 100 / 1,280 | 0.1 |",
 		"| `b` | µs | 60 / 1,000 / 12,800 servers | 60 / 1,000 / 12,800 | not measured | – |")
 	if rows := len(p.comparisonWithBaseline().rows); rows != 2 {
-		t.Errorf("%d rows, want one for each series of before", rows)
+		t.Errorf("%d rows, want one for each series of the baseline", rows)
 	}
 }
 
 func TestFaultsTable(t *testing.T) {
 	sizes := []float64{50, 500}
 	constant := func(value float64) func(float64) float64 { return func(float64) float64 { return value } }
-	p := pageOf(t, nil, []Series{
+	p := pageFrom(t, nil, []Series{
 		seriesOver("faults.zone.cut.by-connections-at-100-servers", "clients", "connections", Simulated, sizes, constant(12)),
 		seriesOver("faults.zone.back-after.by-connections-at-100-servers", "s", "connections", Simulated, sizes, constant(5.4)),
 		seriesOver("faults.rack.cut.by-connections-at-100-servers", "clients", "connections", Simulated, sizes, constant(3)),
@@ -62,13 +62,13 @@
 		"| zone | 500 connections | 12 | not measured | 5.4 s | not measured | not measured | **violated** in 1 of 2 runs | simulated |")
 }
 
-// Simulated and real figures are compared at the sizes of both, and differences of more than a fifth are marked.
+// Simulated and real figures are compared at the sizes of both, and differences of more than 20 % have a reason.
 func TestSimulatedAgainstRealTable(t *testing.T) {
 	sizes := []float64{60, 1000, 8000}
 	of := func(name, unit string, value func(float64) float64) Series {
 		return seriesOver(name, unit, "servers", Measured, sizes, value)
 	}
-	p := pageOf(t, nil, []Series{
+	p := pageFrom(t, nil, []Series{
 		of("compare.changes.hollow", "s", func(float64) float64 { return 60e-6 }),
 		of("compare.changes.real", "s", func(float64) float64 { return 130e-6 }),
 		of("compare.list-memory.hollow", "bytes", func(n float64) float64 { return 500 * (n - 60) }),
@@ -80,26 +80,26 @@
 	made := p.simulatedAgainstRealTable()
 	checkRows(t, made,
 		"| processor time of a change of one entry, in a batch of twenty | 1,000 servers | 60 µs | 130 µs | 0.462 "+
-			"| "+unexplainedDifference+" |",
+			"| "+unknownReason+" |",
 		"| memory that the list takes beyond that of the smallest size | 8,000 servers | 3.97 MB | 7.94 MB | 0.5 "+
 			"| a heap grows to twice what lives on it before it is collected |")
 	text := made.String()
 	if strings.Count(text, "| 99 B/s | 100 B/s | 0.99 | no |") != 2 {
-		t.Errorf("the model is not beside the real engines twice:\n%s", text)
+		t.Errorf("the model is not compared with the real engines at both sizes:\n%s", text)
 	}
 	if strings.Contains(text, "NaN") {
-		t.Errorf("a ratio of zero to zero:\n%s", text)
+		t.Errorf("the table has a ratio of zero to zero:\n%s", text)
 	}
 	if p.err != nil {
 		t.Error(p.err)
 	}
 }
 
-// Each part of control has a row for each number of servers, and each situation a row or a share of one.
+// Each part of control has a row for each number of servers, and each situation is in a row of each part.
 func TestRolesAreComplete(t *testing.T) {
-	p := pageOf(t, nil, nil)
+	p := pageFrom(t, nil, nil)
 	if got, want := len(p.sizesTable().rows), len(controlParts)*len(serverCounts); got != want {
-		t.Errorf("%d rows of control, want %d", got, want)
+		t.Errorf("%d rows of parts of control, want %d", got, want)
 	}
 	for _, role := range p.roles() {
 		if len(role.Parts) == 0 {
@@ -109,16 +109,16 @@
 			text := p.partTable(part)
 			for _, s := range situations(likelyServers) {
 				if !strings.Contains(text, s.name) && !strings.Contains(text, "| each |") {
-					t.Errorf("%s, %s: nothing of %q", role.Name, part.name, s.name)
+					t.Errorf("%s, %s: no row for situation %q", role.Name, part.name, s.name)
 				}
 			}
 		}
 	}
 }
 
-// Without series no row has a figure derived from one.
+// Without series, no requirement has a known figure that is derived from one.
 func TestMissingMeasurementsAreMarked(t *testing.T) {
-	p := pageOf(t, nil, nil)
+	p := pageFrom(t, nil, nil)
 	for _, l := range p.requirements() {
 		for _, v := range l.values {
 			if v.known() && len(v.derivedFrom) > 0 {
--- a/internal/testbed/scale/page_test.go
+++ b/internal/testbed/scale/page_test.go
@@ -17,7 +17,7 @@
 	committedPage    = "../../../docs/CAPACITY.md"
 )
 
-// The document matches the reports, byte for byte.
+// The committed page matches the reports, byte for byte.
 func TestPageAgreesWithTheReports(t *testing.T) {
 	want, err := Page(reportsDirectory)
 	if err != nil {
@@ -34,16 +34,16 @@
 }
 
 func firstDifferentLine(a, b []byte) int {
-	linesA, linesB := bytes.Split(a, []byte("\n")), bytes.Split(b, []byte("\n"))
-	for i := range min(len(linesA), len(linesB)) {
-		if !bytes.Equal(linesA[i], linesB[i]) {
+	aLines, bLines := bytes.Split(a, []byte("\n")), bytes.Split(b, []byte("\n"))
+	for i := range min(len(aLines), len(bLines)) {
+		if !bytes.Equal(aLines[i], bLines[i]) {
 			return i + 1
 		}
 	}
-	return min(len(linesA), len(linesB)) + 1
+	return min(len(aLines), len(bLines)) + 1
 }
 
-// shippedReports is a copy of the reports that the document is generated from.
+// shippedReports returns a directory with a copy of the reports that the page is generated from.
 func shippedReports(t *testing.T) (directory string) {
 	t.Helper()
 	directory = t.TempDir()
@@ -65,12 +65,12 @@
 			t.Fatal(err)
 		}
 		if !bytes.Equal(first, second) {
-			t.Fatalf("another page from the same reports, from line %d on", firstDifferentLine(first, second))
+			t.Fatalf("the same reports resulted in a different page, from line %d on", firstDifferentLine(first, second))
 		}
 	}
 }
 
-// A changed figure changes the document, which shows that the test above can fail.
+// A changed figure changes the page, so TestPageIsDeterministic does not compare pages that are always the same.
 func TestPageDependsOnItsReports(t *testing.T) {
 	directory := shippedReports(t)
 	report, err := ReadReport(filepath.Join(directory, "placement-servers.json"))
@@ -88,7 +88,7 @@
 		t.Fatal(err)
 	}
 	if bytes.Equal(first, second) {
-		t.Error("the same page from another figure")
+		t.Error("a changed figure did not change the page")
 	}
 }
 
@@ -100,7 +100,7 @@
 		Commit:     "0123456789abcdef0123456789abcdef01234567",
 		Series: []Series{
 			{Name: string(placementTime), Unit: "µs", Against: "servers", Origin: Measured,
-				Points: pointsOf(decades, func(n float64) float64 { return 9 + 0.2*n })},
+				Points: pointsOf(testSizes, func(n float64) float64 { return 9 + 0.2*n })},
 			{Name: string(placementTimeByConnections), Unit: "µs", Against: "connections", Origin: Measured,
 				Points: pointsOf([]float64{800, 2500, 8000, 25000, 79012}, func(n float64) float64 { return 200 + n/1000 })},
 		},
@@ -119,7 +119,7 @@
 	}
 }
 
-// Each fault is one error that names file and key, and an existing document stays unchanged.
+// An invalid report results in one error that names file and key, and an existing page stays unchanged.
 func TestInvalidReportsOverwriteNothing(t *testing.T) {
 	complete, err := json.Marshal(sampleReport())
 	if err != nil {
@@ -158,7 +158,7 @@
 	return text
 }
 
-// checkRejected wants one *Error that names file and key, and nothing written.
+// checkRejected fails unless WritePage returns an *Error that names file and key on one line and writes nothing.
 func checkRejected(t *testing.T, directory, file, key string) {
 	t.Helper()
 	out := filepath.Join(t.TempDir(), "CAPACITY.md")
@@ -166,22 +166,22 @@
 		t.Fatal(err)
 	}
 	err := WritePage(directory, out)
-	var bad *Error
-	if !errors.As(err, &bad) {
+	var failure *Error
+	if !errors.As(err, &failure) {
 		t.Fatalf("got %v, want an *Error", err)
 	}
 	if text := err.Error(); !strings.Contains(text, file) || !strings.Contains(text, key) || strings.Contains(text, "\n") {
 		t.Errorf("%q does not name %s and %s on one line", text, file, key)
 	}
-	if bad.Advice() == "" {
+	if failure.Advice() == "" {
 		t.Errorf("%v: no advice", err)
 	}
-	left, readErr := os.ReadFile(out)
-	if readErr != nil || string(left) != "as it was" {
-		t.Errorf("the page became %q, %v", left, readErr)
+	content, readErr := os.ReadFile(out)
+	if readErr != nil || string(content) != "as it was" {
+		t.Errorf("the existing page changed to %q, %v", content, readErr)
 	}
 	if files, _ := os.ReadDir(filepath.Dir(out)); len(files) != 1 {
-		t.Errorf("%d files beside the page", len(files)-1)
+		t.Errorf("%d files were left beside the page", len(files)-1)
 	}
 }
 
@@ -208,10 +208,10 @@
 
 // A missing required series is an error; a missing optional one makes its figures "not measured".
 func TestMissingSeries(t *testing.T) {
-	absent := &reportSet{directory: "results", series: map[string]*reportedSeries{}}
-	p := &page{current: absent, baseline: absent}
+	empty := &reportSet{directory: "results", series: map[string]*reportedSeries{}}
+	p := &page{current: empty, baseline: empty}
 	if got := p.valueAt(startMaxLatency, 5); got.String() != notMeasured || got.Origin() != notMeasured || p.err != nil {
-		t.Errorf("awaited: %v, %v, %v", got, got.Origin(), p.err)
+		t.Errorf("optional series: %v, %v, %v", got, got.Origin(), p.err)
 	}
 	p.valueAt("needed.one", 5)
 	p.valueAt("needed.two", 5)
@@ -224,7 +224,7 @@
 	}
 }
 
-// A missing report is named by a series that only it has.
+// The error for a missing report names a series that only that report has.
 func TestMissingReport(t *testing.T) {
 	directory := shippedReports(t)
 	if err := os.Remove(filepath.Join(directory, "placement-servers.json")); err != nil {
@@ -244,7 +244,7 @@
 	}
 }
 
-// The constants copied from the code match their sources.
+// The constants that are copied from the code match their sources.
 func TestCodeConstantsMatch(t *testing.T) {
 	for _, c := range []struct {
 		directory, name string
@@ -252,17 +252,18 @@
 	}{
 		{"../../protocol", "maxServers", maxListedServers},
 		{"../../../decide", "fleetSetupLimit", fleetSetupLimit},
-		{"../../../decide", "minSetupSpacing", gapPerBalancer * 1000},
+		{"../../../decide", "minSetupSpacing", setupSpacingPerBalancer * 1000},
 		{"../../../decide", "groupingLoadBound", overloadFactor},
 		{"../../../decide", "checksPerConnect", healthChecksPerFlow},
 	} {
 		pattern := regexp.MustCompile(`(?m)^\s*` + c.name + `\s*=\s*([0-9._]+)`)
 		if got := constantIn(t, c.directory, pattern); got != c.want {
-			t.Errorf("%s: %v in the code, %v on the page", c.name, got, c.want)
+			t.Errorf("%s is %v in the code, %v in the copy for the page", c.name, got, c.want)
 		}
 	}
 }
 
+// constantIn returns the first number that the pattern matches in the Go files of a directory.
 func constantIn(t *testing.T, directory string, pattern *regexp.Regexp) float64 {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join(directory, "*.go"))
@@ -282,6 +283,6 @@
 			return value
 		}
 	}
-	t.Fatalf("%s is nowhere in %s", pattern, directory)
+	t.Fatalf("no match for %s in %s", pattern, directory)
 	return 0
 }
