--- a/internal/testbed/scale/page_catalog.go
+++ b/internal/testbed/scale/page_catalog.go
@@ -88,7 +88,7 @@
 	realConnectionMemory seriesName = "real.connections.1000-servers.private"
 	realConnectionTime   seriesName = "real.connections.1000-servers.processor"
 	realDeliveryTime     seriesName = "real.deliveries.processor"
-	realPlacementsTime   seriesName = "real.placements.processor"
+	realPlacementTime    seriesName = "real.placements.processor"
 )
 
 const (
--- a/internal/testbed/scale/page_comparison.go
+++ b/internal/testbed/scale/page_comparison.go
@@ -35,7 +35,7 @@
 			}
 			ratio := simulated.value / realFigure.value
 			at := digits(point.Size) + " " + p.current.series[string(pair.real)].Against
-			t.row(pair.quantity, at, simulated.String(), realFigure.String(), digits(ratio), pair.difference(ratio))
+			t.addRow(pair.quantity, at, simulated.String(), realFigure.String(), digits(ratio), pair.difference(ratio))
 		}
 	}
 	return t
--- a/internal/testbed/scale/page_control.go
+++ b/internal/testbed/scale/page_control.go
@@ -74,7 +74,7 @@
 		for _, servers := range serverCounts {
 			l := part.load(p, ordinaryDay(servers), servers)
 			sum := l.processor.plus(l.memory, l.bytesIn, l.bytesOut)
-			t.row(part.name, digits(servers), l.processor.String(), l.memory.String(), pair(l.bytesIn, l.bytesOut), l.origins(),
+			t.addRow(part.name, digits(servers), l.processor.String(), l.memory.String(), pair(l.bytesIn, l.bytesOut), l.origins(),
 				sum.Slopes())
 		}
 	}
@@ -110,7 +110,7 @@
 	for _, members := range []float64{zoneBalancers, math.Floor(regionBalancers)} {
 		sent, reach := p.valueAt(zonedTraffic, members), p.valueAt(zonedReachedShare, members)
 		share := sent.times(1/controlTraffic, inShare)
-		t.row(digits(members), sent.String(), share.String(), reach.String(), sent.Origin())
+		t.addRow(digits(members), sent.String(), share.String(), reach.String(), sent.Origin())
 	}
 	return t
 }
--- a/internal/testbed/scale/page_day.go
+++ b/internal/testbed/scale/page_day.go
@@ -29,7 +29,7 @@
 func quantityTable(rows ...quantityRow) *table {
 	t := newTable("quantity", "figure", "origin", "slopes")
 	for _, row := range rows {
-		t.row(row.label, row.String(), row.Origin(), row.Slopes())
+		t.addRow(row.label, row.String(), row.Origin(), row.Slopes())
 	}
 	return t
 }
@@ -202,7 +202,7 @@
 		servers := p.valueAt(topicServers, point.Size)
 		largestShare := p.valueAt(topicLargestShare, point.Size)
 		unevenness := p.valueAt(topicUnevenness, point.Size)
-		t.row(digits(point.Size), digits(point.Size*math.Round(listenersPerBalancer)),
+		t.addRow(digits(point.Size), digits(point.Size*math.Round(listenersPerBalancer)),
 			servers.String(), largestShare.String(), unevenness.String(), unevenness.Origin())
 	}
 	return t
@@ -214,7 +214,7 @@
 		"load of a single preferred server relative to the mean", "origin")
 	for _, servers := range serverCounts {
 		filled := serversFilledByTopic(servers)
-		t.row(digits(servers), digits(fleetConnections/servers), filled.String(), filled.String()+" times", filled.Origin())
+		t.addRow(digits(servers), digits(fleetConnections/servers), filled.String(), filled.String()+" times", filled.Origin())
 	}
 	return t
 }
--- a/internal/testbed/scale/page_faults.go
+++ b/internal/testbed/scale/page_faults.go
@@ -16,7 +16,7 @@
 	t := newTable("fault", "at, a balancer", "clients disconnected", "rejected or aborted", "99 in 100 established again after",
 		"longest setup", "without a connection at the end", "the four invariants", "origin")
 	for _, name := range p.faultNames() {
-		t.row(p.faultRow(name)...)
+		t.addRow(p.faultRow(name)...)
 	}
 	return t
 }
@@ -37,7 +37,7 @@
 func (p *page) faultRow(fault string) []string {
 	size, against := 0.0, ""
 	var cells []string
-	first := figure{}
+	disconnected := figure{}
 	for i, quantity := range faultQuantities {
 		found := p.faultSeries(fault, quantity)
 		if found == nil {
@@ -48,11 +48,11 @@
 		value := p.valueAt(seriesName(found.Name), size)
 		cells = append(cells, show(value.value, shownUnit(value.unit)))
 		if i == 0 {
-			first = value
+			disconnected = value
 		}
 	}
 	row := append([]string{fault, digits(size) + " " + against}, cells...)
-	return append(row, p.invariantsCell(fault), first.Origin())
+	return append(row, p.invariantsCell(fault), disconnected.Origin())
 }
 
 // shownUnit omits the units that the table's header states: only seconds are shown.
--- a/internal/testbed/scale/page_figure_test.go
+++ b/internal/testbed/scale/page_figure_test.go
@@ -220,7 +220,7 @@
 
 func TestTableEscapesColumns(t *testing.T) {
 	made := newTable("a", "b")
-	made.row("x | y", "z")
+	made.addRow("x | y", "z")
 	want := "| a | b |\n| --- | --- |\n| x \\| y | z |\n"
 	if got := made.String(); got != want {
 		t.Errorf("got %q, want %q", got, want)
--- a/internal/testbed/scale/page_limits.go
+++ b/internal/testbed/scale/page_limits.go
@@ -16,7 +16,7 @@
 // requirement is a requirement, of the operators or of the design, with the figures that are compared with it.
 type requirement struct {
 	statement  string // as the operators put it
-	quantity   string // that the figures are of
+	quantity   string // what the figures state
 	bound      figure // zero: none is stated
 	values     []variant
 	mechanism  string // that keeps the bound; empty: none
@@ -148,12 +148,12 @@
 // serverCounts are the numbers of servers that figures are calculated for.
 var serverCounts = []float64{fewestServers, likelyServers, mostServers}
 
-// forEachServerCount calculates a figure for each number of servers.
-func forEachServerCount(calculate func(servers float64) figure) (list []variant) {
+// forEachServerCount calculates a figure for each of serverCounts.
+func forEachServerCount(calculate func(servers float64) figure) (variants []variant) {
 	for _, servers := range serverCounts {
-		list = append(list, variant{digits(servers) + " servers", calculate(servers)})
+		variants = append(variants, variant{digits(servers) + " servers", calculate(servers)})
 	}
-	return list
+	return variants
 }
 
 func single(f figure) []variant { return []variant{{"", f}} }
@@ -170,7 +170,7 @@
 			statement = ""
 		}
 		previous = r.statement
-		t.row(statement, r.quantity, r.boundText(), r.valuesText(), r.ratioText(), string(r.verdict()), r.mechanismText(), r.originText())
+		t.addRow(statement, r.quantity, r.boundText(), r.valuesText(), r.ratioText(), string(r.verdict()), r.mechanismText(), r.originText())
 	}
 	return t
 }
@@ -192,7 +192,7 @@
 		if value, ok := r.ratio(); ok {
 			ratio = digits(value)
 		}
-		t.row(digits(float64(rank)), r.quantity, ratio, r.mechanismText(), orDash(r.proposal), r.dependents)
+		t.addRow(digits(float64(rank)), r.quantity, ratio, r.mechanismText(), orDash(r.proposal), r.dependents)
 	}
 	return t
 }
@@ -215,7 +215,7 @@
 	return text
 }
 
-// isUnmet reports whether a requirement does not hold under each assumption, or whether that is unknown and no mechanism
+// isUnmet reports whether a requirement does not hold under every assumption, or whether that is unknown and no mechanism
 // exists. Infeasible requirements and those without a bound are not counted.
 func (r requirement) isUnmet() bool {
 	switch r.verdict() {
--- a/internal/testbed/scale/page_loads.go
+++ b/internal/testbed/scale/page_loads.go
@@ -119,7 +119,7 @@
 	l.bytesIn = calculated(s.deliveries*lineBytes, inTraffic)
 	l.bytesOut = l.bytesIn
 	l.processor = p.valueAt(realDeliveryTime, s.connections).times(s.deliveries, inCores).
-		plus(p.valueAt(realPlacementsTime, likelyServers).times(s.placements, inCores))
+		plus(p.valueAt(realPlacementTime, likelyServers).times(s.placements, inCores))
 	l.memory = p.connectionMemory(s.connections)
 	return l
 }
--- a/internal/testbed/scale/page_parts.go
+++ b/internal/testbed/scale/page_parts.go
@@ -51,7 +51,7 @@
 			continue
 		}
 		rowOfCells[key] = len(t.rows)
-		t.row(append([]string{s.name}, cells...)...)
+		t.addRow(append([]string{s.name}, cells...)...)
 	}
 	if len(t.rows) == 1 {
 		t.rows[0][0] = "each"
--- a/internal/testbed/scale/page_read.go
+++ b/internal/testbed/scale/page_read.go
@@ -43,17 +43,17 @@
 		return nil, &Error{Where: directory, What: "can't be searched for reports", Remedy: "name a directory of reports", Err: err}
 	}
 	slices.Sort(files)
-	all := &reportSet{directory: directory, series: map[string]*reportedSeries{}}
+	reports := &reportSet{directory: directory, series: map[string]*reportedSeries{}}
 	for _, file := range files {
 		report, err := ReadReport(file)
 		if err != nil {
 			return nil, err
 		}
-		if err := all.addReport(file, report); err != nil {
+		if err := reports.addReport(file, report); err != nil {
 			return nil, err
 		}
 	}
-	return all, nil
+	return reports, nil
 }
 
 // addReport adds a report and its series; a series that another report has already is an error.
--- a/internal/testbed/scale/page_situations.go
+++ b/internal/testbed/scale/page_situations.go
@@ -125,7 +125,7 @@
 	t := newTable("situation", "lasts", "connections", "placements a second", "changes of the list a second",
 		"members that join or leave a second", "live members", "deliveries a second")
 	for _, s := range situations(likelyServers) {
-		t.row(s.name, s.duration, digits(s.connections), digits(s.placements), digits(s.changes+s.fullLists), digits(s.membershipChanges),
+		t.addRow(s.name, s.duration, digits(s.connections), digits(s.placements), digits(s.changes+s.fullLists), digits(s.membershipChanges),
 			digits(s.members), digits(s.deliveries))
 	}
 	return t
--- a/internal/testbed/scale/page_slopes.go
+++ b/internal/testbed/scale/page_slopes.go
@@ -14,11 +14,11 @@
 // point.
 func (p *page) slopesTable() *table { return slopesOf(p.current) }
 
-func slopesOf(all *reportSet) *table {
+func slopesOf(reports *reportSet) *table {
 	t := newTable("series", "what", "unit", "origin", "range, points", "fixed", "fit on all but the largest", "R², residual",
 		"largest: measured, predicted", "error", "run")
-	for _, name := range slices.Sorted(maps.Keys(all.series)) {
-		t.row(slopeRow(all.series[name])...)
+	for _, name := range slices.Sorted(maps.Keys(reports.series)) {
+		t.addRow(slopeRow(reports.series[name])...)
 	}
 	return t
 }
@@ -105,10 +105,10 @@
 func (p *page) runsTable() *table {
 	t := newTable("run", "command", "commit")
 	for _, r := range p.current.reports {
-		t.row(r.name, "`"+r.command+"`", shortCommit(r.commit))
+		t.addRow(r.name, "`"+r.command+"`", shortCommit(r.commit))
 	}
 	for _, r := range p.baseline.reports {
-		t.row(r.name+", before the bounded candidates", "`"+r.command+"`", shortCommit(r.commit))
+		t.addRow(r.name+", before the bounded candidates", "`"+r.command+"`", shortCommit(r.commit))
 	}
 	return t
 }
@@ -135,7 +135,7 @@
 			}
 		}
 		if len(r.checks) > 0 {
-			t.row(r.name, fmt.Sprintf("%d of %d", len(r.checks)-len(failed), len(r.checks)), joinOrNone(failed))
+			t.addRow(r.name, fmt.Sprintf("%d of %d", len(r.checks)-len(failed), len(r.checks)), joinOrNone(failed))
 		}
 	}
 	return t
@@ -162,7 +162,7 @@
 			value, ratio := p.currentAt(name, point)
 			currentValues, ratios = append(currentValues, value), append(ratios, ratio)
 		}
-		t.row("`"+name+"`", baseline.Unit, strings.Join(sizes, " / ")+" "+baseline.Against, strings.Join(baselineValues, " / "),
+		t.addRow("`"+name+"`", baseline.Unit, strings.Join(sizes, " / ")+" "+baseline.Against, strings.Join(baselineValues, " / "),
 			joinUnlessEqual(currentValues), joinUnlessEqual(ratios))
 	}
 	return t
--- a/internal/testbed/scale/page_table.go
+++ b/internal/testbed/scale/page_table.go
@@ -6,13 +6,13 @@
 
 // table is a Markdown table; without rows it is printed as "None.".
 type table struct {
-	head []string
-	rows [][]string
+	header []string
+	rows   [][]string
 }
 
-func newTable(head ...string) *table { return &table{head: head} }
+func newTable(header ...string) *table { return &table{header: header} }
 
-func (t *table) row(cells ...string) { t.rows = append(t.rows, cells) }
+func (t *table) addRow(cells ...string) { t.rows = append(t.rows, cells) }
 
 // String is the table in Markdown.
 func (t *table) String() string {
@@ -20,8 +20,8 @@
 		return "None.\n"
 	}
 	var text strings.Builder
-	writeRow(&text, t.head)
-	separator := make([]string, len(t.head))
+	writeRow(&text, t.header)
+	separator := make([]string, len(t.header))
 	for i := range separator {
 		separator[i] = "---"
 	}
