--- a/internal/testbed/scale/page_table.go
+++ b/internal/testbed/scale/page_table.go
@@ -4,15 +4,15 @@
 	"strings"
 )
 
-// table is a Markdown table.
+// table is a Markdown table; without rows it is printed as "None.".
 type table struct {
-	head []string
-	rows [][]string
+	header []string
+	rows   [][]string
 }
 
-func newTable(head ...string) *table { return &table{head: head} }
+func newTable(header ...string) *table { return &table{header: header} }
 
-func (t *table) row(cells ...string) { t.rows = append(t.rows, cells) }
+func (t *table) addRow(cells ...string) { t.rows = append(t.rows, cells) }
 
 // String is the table in Markdown.
 func (t *table) String() string {
@@ -20,28 +20,28 @@
 		return "None.\n"
 	}
 	var text strings.Builder
-	writeRow(&text, t.head)
-	rule := make([]string, len(t.head))
-	for i := range rule {
-		rule[i] = "---"
+	writeRow(&text, t.header)
+	separator := make([]string, len(t.header))
+	for i := range separator {
+		separator[i] = "---"
 	}
-	writeRow(&text, rule)
+	writeRow(&text, separator)
 	for _, row := range t.rows {
 		writeRow(&text, row)
 	}
 	return text.String()
 }
 
-func writeRow(to *strings.Builder, cells []string) {
+func writeRow(out *strings.Builder, cells []string) {
 	for _, cell := range cells {
-		to.WriteString("| ")
-		to.WriteString(strings.ReplaceAll(cell, "|", "\\|"))
-		to.WriteString(" ")
+		out.WriteString("| ")
+		out.WriteString(strings.ReplaceAll(cell, "|", "\\|"))
+		out.WriteString(" ")
 	}
-	to.WriteString("|\n")
+	out.WriteString("|\n")
 }
 
-// pair is two figures in one cell, "in, out".
+// pair shows two figures in one cell as "in, out", or once if both are shown alike.
 func pair(in, out figure) string {
 	if in.known() == out.known() && in.String() == out.String() {
 		return in.String()
