--- a/cmd/yardwinch/explain.go
+++ b/cmd/yardwinch/explain.go
@@ -61,7 +61,7 @@
 	}
 	if flow := command.Args().First(); flow != "" {
 		var explanation constraints.Explanation
-		if err := explain.Why(ctx, socket, flow, &explanation); err != nil {
+		if err := explain.Flow(ctx, socket, flow, &explanation); err != nil {
 			return err
 		}
 		return printResponse(command, explanation, func(t table) { t.addExplanation(explanation) })
@@ -92,8 +92,8 @@
 
 func (t table) addState(state routing.State) {
 	t.line("%s, running for %.0f s, %d flows", state.Phase, state.Running, state.Flows)
-	if state.Processes != "" {
-		t.line("processes: %s", state.Processes)
+	if state.OtherProcess != "" {
+		t.line("processes: %s", state.OtherProcess)
 	}
 	if state.StoreFault != "" {
 		t.line("folder: %s", state.StoreFault)
--- a/cmd/yardwinch/members.go
+++ b/cmd/yardwinch/members.go
@@ -42,7 +42,7 @@
 			published = fmt.Sprintf("%.1f s ago", m.RecordAge)
 		}
 		t.line("%s\t%s\t%v\t%s\t%s\t%s\t%s\t%.1f\t%d", m.Name, m.State, m.Since.Round(time.Second), m.Addr, published, cmp.Or(m.Build, "-"),
-			cmp.Or(m.Settings, "-"), m.Rate, m.FaultyServers)
+			cmp.Or(m.Settings, "-"), m.FlowRate, m.FaultyServers)
 	}
 	if len(view.Leases) > 0 {
 		own := 0
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -26,8 +26,8 @@
 )
 
 var (
-	// ErrUnknown says that no endpoint list has contained this server; the response status is 404.
-	ErrUnknown = errors.New("nobody has this id")
+	// ErrUnknownServer says that no endpoint list has contained this server; the response status is 404.
+	ErrUnknownServer = errors.New("nobody has this id")
 	// ErrNotReady says that the call can't be made now, and may be retried; the response status is 503, as for any other
 	// error.
 	ErrNotReady = errors.New("not ready")
@@ -107,7 +107,7 @@
 }
 
 func statusCode(err error) int {
-	if errors.Is(err, ErrUnknown) {
+	if errors.Is(err, ErrUnknownServer) {
 		return http.StatusNotFound
 	}
 	return http.StatusServiceUnavailable
@@ -122,7 +122,7 @@
 		case !admitted:
 			writeResponse(w, errBusy, "")
 		case strings.Contains(r.URL.EscapedPath(), "//"): // the mux would respond with a redirect
-			writeResponse(w, ErrUnknown, "")
+			writeResponse(w, ErrUnknownServer, "")
 		default:
 			next.ServeHTTP(w, r)
 		}
--- a/internal/admin/server_test.go
+++ b/internal/admin/server_test.go
@@ -97,7 +97,7 @@
 		{"ready", "GET /control/ready", nil, 200, "ready"},
 		{"not ready", "GET /control/ready", ErrNotReady, 503, "ready"},
 		{"offline", "POST /control/servers/s-1/offline", nil, 200, "offline s-1"},
-		{"offline of an unknown server", "POST /control/servers/s-1/offline", fmt.Errorf("%w: %q", ErrUnknown, "s-1"), 404, "offline s-1"},
+		{"offline of an unknown server", "POST /control/servers/s-1/offline", fmt.Errorf("%w: %q", ErrUnknownServer, "s-1"), 404, "offline s-1"},
 		{"online", "POST /control/servers/s-1/online", nil, 200, "online s-1"},
 		{"an escaped id", "POST /control/servers/a%2Fb%20c/online", nil, 200, "online a/b c"},
 		{"a long id", "POST /control/servers/" + longID + "/online", nil, 200, "online " + strings.Repeat("a", 4096)},
--- a/internal/config/locality.go
+++ b/internal/config/locality.go
@@ -56,7 +56,7 @@
 	}
 	l.zones = append(l.zones, from)
 	var seen []string
-	for _, names := range entry.Lists(keyTiers) {
+	for _, names := range entry.StringLists(keyTiers) {
 		var tier []decide.Zone
 		for _, name := range names {
 			if slices.Contains(seen, name) {
--- a/internal/config/migrate.go
+++ b/internal/config/migrate.go
@@ -13,8 +13,8 @@
 	Text []byte
 }
 
-// Migrated is the result of a migration.
-type Migrated struct {
+// MigrationResult is the result of a migration.
+type MigrationResult struct {
 	Text        []byte   // the new configuration
 	Report      []string // the disposition of each key and the reason, sorted
 	IsUnchanged bool     // the old configuration matched the shape already; Text is identical to it
@@ -22,27 +22,27 @@
 
 // Migrate combines an old configuration with a shape, a partial configuration that describes the new deployment. It
 // adds no default values. Errors name the file and the key.
-func Migrate(old, shape File) (Migrated, error) {
+func Migrate(old, shape File) (MigrationResult, error) {
 	from, err := readLeaves(old.Text)
 	if err != nil {
-		return Migrated{}, fmt.Errorf("%s: %w", old.Name, err)
+		return MigrationResult{}, fmt.Errorf("%s: %w", old.Name, err)
 	}
 	to, err := readLeaves(shape.Text)
 	if err != nil {
-		return Migrated{}, fmt.Errorf("%s: %w", shape.Name, err)
+		return MigrationResult{}, fmt.Errorf("%s: %w", shape.Name, err)
 	}
 	if err := checkShape(to); err != nil {
-		return Migrated{}, fmt.Errorf("%s: %w", shape.Name, err)
+		return MigrationResult{}, fmt.Errorf("%s: %w", shape.Name, err)
 	}
 	merged, report := mergeLeaves(from, to)
 	if reflect.DeepEqual(merged, from) {
-		return Migrated{Text: old.Text, Report: report, IsUnchanged: true}, nil
+		return MigrationResult{Text: old.Text, Report: report, IsUnchanged: true}, nil
 	}
 	text, err := json.MarshalIndent(nestLeaves(merged), "", "  ")
 	if err != nil {
-		return Migrated{}, fmt.Errorf("encode the new configuration: %w", err)
+		return MigrationResult{}, fmt.Errorf("encode the new configuration: %w", err)
 	}
-	return Migrated{Text: append(text, '\n'), Report: report}, nil
+	return MigrationResult{Text: append(text, '\n'), Report: report}, nil
 }
 
 // checkShape rejects keys that are unknown or not allowed in a shape.
--- a/internal/daemon/admin_calls.go
+++ b/internal/daemon/admin_calls.go
@@ -97,7 +97,7 @@
 	var unknown bool
 	_, err := successor.Request(messageRequestChange, change).Wait(ctx, &unknown)
 	if err == nil && unknown {
-		return fmt.Errorf("%w: %q", admin.ErrUnknown, change.Server)
+		return fmt.Errorf("%w: %q", admin.ErrUnknownServer, change.Server)
 	}
 	return err
 }
@@ -150,7 +150,7 @@
 func (d *Daemon) setDisabled(server string, disabled bool) error {
 	wasDisabled, known := d.router.IsDisabled(server)
 	if !known {
-		return fmt.Errorf("%w: %w: %q", admin.ErrUnknown, routing.ErrUnknownServer, server)
+		return fmt.Errorf("%w: %w: %q", admin.ErrUnknownServer, routing.ErrUnknownServer, server)
 	}
 	if err := d.router.SetDisabled(server, disabled); err != nil {
 		return err
--- a/internal/daemon/configure.go
+++ b/internal/daemon/configure.go
@@ -173,7 +173,7 @@
 func prepareWithRetries(ctx context.Context, source Source) (d *Daemon, err error) {
 	readCtx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
-	backoff := retry.Backoff{First: firstReloadRetry, Longest: longestReloadRetry}
+	backoff := retry.Backoff{InitialDelay: firstReloadRetry, MaxDelay: longestReloadRetry}
 	err = retry.Do(readCtx, backoff, func(err error) {
 		slog.Warn("configuration not read yet", "error", err)
 	}, func() (err error) {
--- a/internal/daemon/disabled_store.go
+++ b/internal/daemon/disabled_store.go
@@ -121,7 +121,7 @@
 // run loads and saves until the context ends. restore is called with the servers that an earlier process saved, once
 // they are loaded.
 func (s *disabledStore) run(ctx context.Context, restore func(servers []string)) {
-	backoff := retry.Backoff{First: firstStoreRetry, Longest: longestStoreRetry}
+	backoff := retry.Backoff{InitialDelay: firstStoreRetry, MaxDelay: longestStoreRetry}
 	for {
 		if s.synchronise(restore) {
 			backoff.Reset()
--- a/internal/daemon/listeners.go
+++ b/internal/daemon/listeners.go
@@ -109,7 +109,7 @@
 // listenWithRetries calls listen, and retries while the address is in use or the system is out of resources. key is
 // the setting that configures the address.
 func listenWithRetries(ctx context.Context, key string, listen func() error) error {
-	backoff := retry.Backoff{First: firstListenRetry, Longest: longestListenRetry}
+	backoff := retry.Backoff{InitialDelay: firstListenRetry, MaxDelay: longestListenRetry}
 	err := retry.Do(ctx, backoff, func(err error) {
 		slog.Warn("address not opened yet", "setting", key, "error", err)
 	}, listen)
--- a/internal/daemon/members.go
+++ b/internal/daemon/members.go
@@ -15,7 +15,7 @@
 	Settings      string  `json:"settings,omitempty"` // a digest
 	Incarnation   uint64  `json:"incarnation,omitempty"`
 	RecordAge     float64 `json:"told_s_ago"` // seconds since its last record was published; negative: none was received
-	Rate          float64 `json:"flows_a_second"`
+	FlowRate      float64 `json:"flows_a_second"`
 	FaultyServers int     `json:"servers_in_trouble"`
 }
 
@@ -71,7 +71,7 @@
 	m.Build = record.Build
 	m.Settings = record.Settings
 	m.Incarnation = uint64(record.Incarnation)
-	m.Rate = record.Rate
+	m.FlowRate = record.Rate
 	for _, report := range record.Reports {
 		if report.Fault != signals.Healthy {
 			m.FaultyServers++
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -37,7 +37,7 @@
 // reloadWithRetries reloads the configuration. One that can't be read or served is retried for a while: a write may be
 // in progress, and a new discovery address must take effect soon. Another reload request restarts the retries.
 func (d *Daemon) reloadWithRetries(ctx context.Context, reloads <-chan os.Signal) {
-	backoff := retry.Backoff{First: firstReloadRetry, Longest: longestReloadRetry}
+	backoff := retry.Backoff{InitialDelay: firstReloadRetry, MaxDelay: longestReloadRetry}
 	requested := time.Now()
 	for first := true; ; first = false {
 		err := d.reload(ctx)
--- a/internal/daemon/upgrade_predecessor.go
+++ b/internal/daemon/upgrade_predecessor.go
@@ -26,7 +26,7 @@
 	defer accepting.Wait()
 	closeListener := func() {}
 	defer func() { closeListener() }()
-	backoff := retry.Backoff{First: firstStoreRetry, Longest: longestStoreRetry}
+	backoff := retry.Backoff{InitialDelay: firstStoreRetry, MaxDelay: longestStoreRetry}
 	for failing := false; ; {
 		switch {
 		case listenErr == nil:
@@ -112,8 +112,8 @@
 	if err := json.Unmarshal(request.Body, &hello); err != nil {
 		return false, fmt.Errorf("decode hello: %w", err)
 	}
-	if hello.Version != handover.Version || hello.Listen != d.listenAddress {
-		return false, fmt.Errorf("version %d for %s here, not %d for %s", handover.Version, d.listenAddress, hello.Version, hello.Listen)
+	if hello.Version != handover.Version || hello.ListenAddress != d.listenAddress {
+		return false, fmt.Errorf("version %d for %s here, not %d for %s", handover.Version, d.listenAddress, hello.Version, hello.ListenAddress)
 	}
 	d.changeMu.Lock()
 	defer d.changeMu.Unlock()
@@ -141,17 +141,17 @@
 		Version:          handover.Version,
 		OutOfService:     !drainingSince.IsZero(),
 		DescriptorsInUse: d.descriptorsInUse(),
-		Files:            []string{clientsSocket},
+		DescriptorNames:  []string{clientsSocket},
 	}
 	if state.OutOfService {
 		state.DrainingFor = time.Since(drainingSince)
 	}
 	sockets := []syscall.Conn{d.listener}
 	if explainListener, ok := d.explainListener.(syscall.Conn); ok {
-		state.Files = append(state.Files, explainSocket)
+		state.DescriptorNames = append(state.DescriptorNames, explainSocket)
 		sockets = append(sockets, explainListener)
 	}
-	state.IDsKey, state.IDs = d.frontend.ShareIDs(func(hash uint64) (taken bool) { return claimID(ctx, link, hash) })
+	state.IDHashKey, state.IDHashes = d.frontend.ShareIDs(func(hash uint64) (taken bool) { return claimID(ctx, link, hash) })
 	state.DiscoveryAddress, state.Revision = d.discovery.Position()
 	d.router.SetHandedOver(true) // before the snapshot, so that no quota is used in between
 	state.Router = d.router.Snapshot()
@@ -229,7 +229,7 @@
 	defer d.changeMu.Unlock()
 	switch change.Kind {
 	case handover.Offline:
-		d.router.DisableAll([]string{change.Server})
+		d.router.DisableServers([]string{change.Server})
 	case handover.Online:
 		_ = d.router.SetDisabled(change.Server, false) // a server that is unknown here is not disabled
 	case handover.OutOfService, handover.InService:
@@ -252,7 +252,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-link.Gone():
+		case <-link.Done():
 			return
 		case <-ticker.C:
 		}
--- a/internal/daemon/upgrade_requests.go
+++ b/internal/daemon/upgrade_requests.go
@@ -33,7 +33,7 @@
 	// so before it reads this reply.
 	_, err := d.decideChange(ctx, change)
 	d.changeMu.Unlock()
-	if errors.Is(err, admin.ErrUnknown) {
+	if errors.Is(err, admin.ErrUnknownServer) {
 		return handover.Response{Body: true}, nil
 	}
 	d.awaitSaved(ctx)
--- a/internal/daemon/upgrade_socket_test.go
+++ b/internal/daemon/upgrade_socket_test.go
@@ -46,7 +46,7 @@
 	connectLink(t, socket) // sends nothing
 	successor := connectLink(t, socket)
 	for _, step := range []string{messageHello, messageGetState} {
-		hello := handover.Hello{Version: handover.Version, Listen: h.listenAddress}
+		hello := handover.Hello{Version: handover.Version, ListenAddress: h.listenAddress}
 		files, err := successor.Request(step, hello).Wait(t.Context(), nil)
 		if err != nil {
 			t.Fatal(step, err)
--- a/internal/daemon/upgrade_successor.go
+++ b/internal/daemon/upgrade_successor.go
@@ -28,7 +28,7 @@
 		return &receivedSockets{}
 	}
 	received := d.takeOverOrStartAlone(ctx, startCtx)
-	d.goroutines.Go(func() { d.disabled.run(ctx, d.router.DisableAll) })
+	d.goroutines.Go(func() { d.disabled.run(ctx, d.router.DisableServers) })
 	return received
 }
 
@@ -49,7 +49,7 @@
 		link.Close()
 		slog.Warn("hand-over failed, starting alone", "error", err)
 	}
-	d.directory.RemoveUnfinished()
+	d.directory.RemoveTemporaryFiles()
 	d.restoreDisabled(startCtx)
 	return &receivedSockets{}
 }
@@ -78,9 +78,9 @@
 func (d *Daemon) restoreDisabled(startCtx context.Context) {
 	ctx, cancel := context.WithTimeout(startCtx, loadTimeout)
 	defer cancel()
-	backoff := retry.Backoff{First: firstStoreRetry, Longest: longestStoreRetry}
+	backoff := retry.Backoff{InitialDelay: firstStoreRetry, MaxDelay: longestStoreRetry}
 	for {
-		err := d.disabled.load(d.router.DisableAll)
+		err := d.disabled.load(d.router.DisableServers)
 		d.disabled.recordResult(err)
 		if err == nil || errors.Is(err, fs.ErrNotExist) || backoff.Wait(ctx) != nil {
 			return
@@ -120,7 +120,7 @@
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	var mustWait bool
-	hello := handover.Hello{Version: handover.Version, Listen: d.listenAddress}
+	hello := handover.Hello{Version: handover.Version, ListenAddress: d.listenAddress}
 	if _, err := link.Request(messageHello, hello).Wait(ctx, &mustWait); err != nil {
 		return fmt.Errorf("ask the process that serves for a hand-over: %w", err)
 	}
@@ -141,7 +141,7 @@
 		err = state.Validate()
 	}
 	if err == nil {
-		err = d.openReceivedSockets(received, state.Files)
+		err = d.openReceivedSockets(received, state.DescriptorNames)
 	}
 	if err != nil {
 		received.closeFiles()
@@ -197,7 +197,7 @@
 // restore applies the predecessor's state.
 func (d *Daemon) restore(state handover.State) {
 	d.router.Restore(state.Router)
-	d.frontend.ImportIDs(state.IDsKey, state.IDs)
+	d.frontend.ImportIDs(state.IDHashKey, state.IDHashes)
 	d.discovery.Resume(state.DiscoveryAddress, state.Revision)
 	d.descriptorBudget.SetLent(state.DescriptorsInUse)
 	d.setGoMemoryLimit(bothProcesses)
@@ -231,7 +231,7 @@
 	defer cancel()
 	if _, err := link.Request(messageServing, nil).Wait(ctx, nil); err != nil {
 		link.Close() // the predecessor serves again or has exited; either way the state that it handed over remains valid
-		<-link.Gone()
+		<-link.Done()
 		d.onPredecessorGone(link) // the link may have ended before it was set as the predecessor's
 		slog.Warn("predecessor did not release", "error", err)
 	}
--- a/internal/daemon/upgrade_test.go
+++ b/internal/daemon/upgrade_test.go
@@ -173,7 +173,7 @@
 		t.Run(strings.Join(steps, " "), func(t *testing.T) {
 			link := connectLink(t, socket)
 			for _, step := range steps {
-				hello := handover.Hello{Version: handover.Version, Listen: old.listenAddress}
+				hello := handover.Hello{Version: handover.Version, ListenAddress: old.listenAddress}
 				files, err := link.Request(step, hello).Wait(t.Context(), nil)
 				if err != nil {
 					t.Fatal(step, err)
@@ -261,13 +261,13 @@
 	environment := directoryEnvironment(t)
 	h := newHarness(t).start(environment)
 	socket := openSocket(t, environment("TMPDIR"), h.listenAddress)
-	hello := handover.Hello{Version: handover.Version, Listen: h.listenAddress}
+	hello := handover.Hello{Version: handover.Version, ListenAddress: h.listenAddress}
 	for _, c := range []struct {
 		name, kind string
 		body       any
 	}{
-		{"a later version", messageHello, handover.Hello{Version: handover.Version + 1, Listen: h.listenAddress}},
-		{"another address", messageHello, handover.Hello{Version: handover.Version, Listen: "127.0.0.1:1"}},
+		{"a later version", messageHello, handover.Hello{Version: handover.Version + 1, ListenAddress: h.listenAddress}},
+		{"another address", messageHello, handover.Hello{Version: handover.Version, ListenAddress: "127.0.0.1:1"}},
 		{"no hello", messageGetState, hello},
 		{"no state requested", messageServing, hello},
 		{"an unknown kind", "what", hello},
--- a/internal/explain/client.go
+++ b/internal/explain/client.go
@@ -20,8 +20,8 @@
 	return query(ctx, path, requestMembers, result)
 }
 
-// Why queries a running balancer's explanation of where it placed a flow.
-func Why(ctx context.Context, path, flow string, result any) error {
+// Flow queries a running balancer's explanation of where it placed a flow.
+func Flow(ctx context.Context, path, flow string, result any) error {
 	return query(ctx, path, requestWhy+" "+flow, result)
 }
 
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -62,7 +62,7 @@
 	const reason = "closed: after hours"
 	router := newClosedRouter()
 	path := filepath.Join(t.TempDir(), "s")
-	serveAt(t, path, Server{Router: router, Process: func() Process { return Process{Phase: "serving", Processes: "two"} }})
+	serveAt(t, path, Server{Router: router, Process: func() ProcessState { return ProcessState{Phase: "serving", OtherProcess: "two"} }})
 	if _, err := Listen(t.Context(), path); err == nil {
 		t.Error("a second balancer replaced the socket of a running one")
 	}
@@ -70,19 +70,19 @@
 		t.Fatal(err)
 	}
 	var explanation constraints.Explanation
-	err := Why(t.Context(), path, "abc", &explanation)
+	err := Flow(t.Context(), path, "abc", &explanation)
 	if err != nil || explanation.Answer != "rejected" || explanation.Excluded[reason] != 1 {
 		t.Errorf("%+v, %v", explanation, err)
 	}
 	var state routing.State
-	if err := State(t.Context(), path, &state); err != nil || state.Interventions[reason] != 1 || state.Processes != "two" {
+	if err := State(t.Context(), path, &state); err != nil || state.Interventions[reason] != 1 || state.OtherProcess != "two" {
 		t.Errorf("%+v, %v", state, err)
 	}
 }
 
 func TestErrorResponses(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s")
-	serveAt(t, path, Server{Router: newClosedRouter(), Process: func() Process { return Process{} }})
+	serveAt(t, path, Server{Router: newClosedRouter(), Process: func() ProcessState { return ProcessState{} }})
 	for request, want := range map[string]string{
 		"why nobody": errorUnknownFlow,
 		"members":    errorNoMembers,
--- a/internal/explain/server.go
+++ b/internal/explain/server.go
@@ -68,17 +68,17 @@
 	return listener, os.Chmod(path, socketMode)
 }
 
-// Process is the state of the process that the router does not know.
-type Process struct {
-	Phase      string
-	Processes  string // the state of the balancer's other process; empty if there is none
-	StoreFault string // the fault of the directory that the processes share; empty if there is none
+// ProcessState is the state of the process that the router does not know.
+type ProcessState struct {
+	Phase        string
+	OtherProcess string // the state of the balancer's other process; empty if there is none
+	StoreFault   string // the fault of the directory that the processes share; empty if there is none
 }
 
 // Server responds to requests.
 type Server struct {
 	Router  *routing.Router
-	Process func() Process
+	Process func() ProcessState
 	Members func() any // returns the view of the other balancers; nil if membership is disabled
 }
 
@@ -132,7 +132,7 @@
 	case requestState:
 		state := s.Router.State()
 		process := s.Process()
-		state.Phase, state.Processes, state.StoreFault = process.Phase, process.Processes, process.StoreFault
+		state.Phase, state.OtherProcess, state.StoreFault = process.Phase, process.OtherProcess, process.StoreFault
 		return state
 	case requestWhy:
 		if explanation, ok := s.Router.Explain(flow); ok {
--- a/internal/handover/link.go
+++ b/internal/handover/link.go
@@ -48,7 +48,7 @@
 	conn            *net.UnixConn
 	handlers        map[string]Handler
 	orderedHandlers map[string]Handler
-	gone            chan struct{} // closed when Run returns
+	done            chan struct{} // closed when Run returns
 
 	writeMu sync.Mutex // held while a frame is written
 
@@ -64,13 +64,13 @@
 		conn:            conn,
 		handlers:        handlers,
 		orderedHandlers: orderedHandlers,
-		gone:            make(chan struct{}),
+		done:            make(chan struct{}),
 		pending:         map[uint64]chan frame{},
 	}
 }
 
-// Gone returns a channel that is closed when the link has ended and no handler runs any more.
-func (l *Link) Gone() <-chan struct{} { return l.gone }
+// Done returns a channel that is closed when the link has ended and no handler runs any more.
+func (l *Link) Done() <-chan struct{} { return l.done }
 
 // Close ends the link.
 func (l *Link) Close() { _ = l.conn.Close() } // fails only if it is already closed
@@ -78,7 +78,7 @@
 // Run serves the link until either end closes it, or ctx ends; handlers get ctx. The error is nil unless reading failed
 // for another reason.
 func (l *Link) Run(ctx context.Context) error {
-	defer close(l.gone)
+	defer close(l.done)
 	var running sync.WaitGroup
 	defer running.Wait()
 	defer l.Close()
--- a/internal/handover/link_test.go
+++ b/internal/handover/link_test.go
@@ -167,7 +167,7 @@
 	}
 	close(release) // not earlier: Wait may return a reply that is available even if its context is cancelled
 	far.Close()
-	<-near.Gone()
+	<-near.Done()
 	for range 2 {
 		if err := <-ended; err != nil {
 			t.Errorf("Run: %v", err)
--- a/internal/handover/state.go
+++ b/internal/handover/state.go
@@ -12,7 +12,7 @@
 // Version is the version of the messages and of the state. A process rejects a hand-over of any other version.
 const Version = 1
 
-// idHashBytes is the length of one hash in State.IDs.
+// idHashBytes is the length of one hash in State.IDHashes.
 const idHashBytes = 8
 
 // State is what a process hands over so that its successor continues as the same balancer.
@@ -24,12 +24,12 @@
 
 	DiscoveryAddress string `json:"discovery"`
 	Revision         int64  `json:"revision"` // of the endpoint list from that address; -1: none
-	IDsKey           []byte `json:"ids_key"`  // key of the hash function for the ids
-	IDs              []byte `json:"ids"`      // concatenated hashes of the connection ids in use
+	IDHashKey        []byte `json:"ids_key"`  // key of the hash function for the ids
+	IDHashes         []byte `json:"ids"`      // concatenated hashes of the connection ids in use
 	DescriptorsInUse int    `json:"held"`     // number of descriptors that the predecessor has in use
 
-	Router routing.Snapshot `json:"memory"`
-	Files  []string         `json:"files"` // names of the descriptors sent with the state, in order
+	Router          routing.Snapshot `json:"memory"`
+	DescriptorNames []string         `json:"files"` // names of the descriptors sent with the state, in order
 }
 
 // Validate returns nil if a state can be taken over. No part of an invalid state may be used. The other process gets
@@ -40,7 +40,7 @@
 		return fmt.Errorf("version %d, want %d", s.Version, Version)
 	case s.DescriptorsInUse < 0 || s.DrainingFor < 0 || s.Revision < -1:
 		return errors.New("negative count")
-	case len(s.IDs)%idHashBytes != 0 || len(s.IDsKey) == 0:
+	case len(s.IDHashes)%idHashBytes != 0 || len(s.IDHashKey) == 0:
 		return errors.New("malformed connection ids")
 	}
 	for _, server := range s.Router.Servers {
@@ -73,6 +73,6 @@
 
 // Hello is the first message of a hand-over: both processes must belong to the same balancer and have the same version.
 type Hello struct {
-	Version int    `json:"version"`
-	Listen  string `json:"listen"` // the address for clients, which identifies the balancer
+	Version       int    `json:"version"`
+	ListenAddress string `json:"listen"` // the address for clients, which identifies the balancer
 }
--- a/internal/handover/state_test.go
+++ b/internal/handover/state_test.go
@@ -10,7 +10,7 @@
 )
 
 func validState() State {
-	return State{Version: Version, IDsKey: []byte{1}, IDs: make([]byte, 2*idHashBytes), Revision: 3, Router: routing.Snapshot{
+	return State{Version: Version, IDHashKey: []byte{1}, IDHashes: make([]byte, 2*idHashBytes), Revision: 3, Router: routing.Snapshot{
 		Servers:   []routing.EndpointSnapshot{{Name: "a"}},
 		Decisions: decide.Snapshot{Now: time.Second, Servers: []decide.ServerSnapshot{{Size: 1}}},
 	}}
@@ -24,8 +24,8 @@
 	}{
 		{"valid", func(*State) {}, true},
 		{"a later version", func(s *State) { s.Version++ }, false},
-		{"truncated ids", func(s *State) { s.IDs = s.IDs[:idHashBytes+1] }, false},
-		{"no key", func(s *State) { s.IDsKey = nil }, false},
+		{"truncated ids", func(s *State) { s.IDHashes = s.IDHashes[:idHashBytes+1] }, false},
+		{"no key", func(s *State) { s.IDHashKey = nil }, false},
 		{"negative descriptors", func(s *State) { s.DescriptorsInUse = -1 }, false},
 		{"a server without a name", func(s *State) { s.Router.Servers[0].Name = "" }, false},
 		{"missing servers", func(s *State) { s.Router.Servers = nil }, false},
--- a/internal/knownred/knownred.go
+++ b/internal/knownred/knownred.go
@@ -10,7 +10,7 @@
 	"strings"
 )
 
-// ErrFailed means that the run does not pass. Errors of Judge that wrap it list the reasons, one a line.
+// ErrFailed means that the run does not pass. Errors of Evaluate that wrap it list the reasons, one a line.
 var ErrFailed = errors.New("the tests do not pass")
 
 // event is a line of the output of go test -json. The field names are the keys.
@@ -42,10 +42,10 @@
 	reasons       []string
 }
 
-// Judge reads the output of go test -json and writes the output of failed tests and packages to show. It returns an error that wraps
-// ErrFailed unless every listed test runs and fails and all other tests pass. A listed test that passes is an error too, as its entry
-// would hide the next failure.
-func Judge(goTestJSON io.Reader, entries []Entry, show io.Writer) error {
+// Evaluate reads the output of go test -json and writes the output of failed tests and packages to show. It returns an error that
+// wraps ErrFailed unless every listed test runs and fails and all other tests pass. A listed test that passes is an error too, as its
+// entry would hide the next failure.
+func Evaluate(goTestJSON io.Reader, entries []Entry, show io.Writer) error {
 	r := &testRun{entries: entries, out: show, outcomes: map[string]string{}, outputs: map[string]string{}, packages: map[string]*packageRun{}}
 	events := json.NewDecoder(goTestJSON)
 	for {
--- a/internal/knownred/knownred_test.go
+++ b/internal/knownred/knownred_test.go
@@ -71,7 +71,7 @@
 				t.Fatal(err)
 			}
 			var show strings.Builder
-			err = Judge(bytes.NewReader(output), entries, &show)
+			err = Evaluate(bytes.NewReader(output), entries, &show)
 			if test.want != "" {
 				if !errors.Is(err, ErrFailed) || !strings.Contains(err.Error(), test.want) {
 					t.Errorf("got %v, want %q\n%s", err, test.want, show.String())
--- a/internal/knownred/list.go
+++ b/internal/knownred/list.go
@@ -21,12 +21,12 @@
 
 // LineError reports an invalid line of the list.
 type LineError struct {
-	Line int // starting at 1
-	Why  string
+	Line   int // starting at 1
+	Reason string
 }
 
 // Error returns the line number and the reason.
-func (e *LineError) Error() string { return fmt.Sprintf("line %d: %s", e.Line, e.Why) }
+func (e *LineError) Error() string { return fmt.Sprintf("line %d: %s", e.Line, e.Reason) }
 
 // ReadList reads a list with one entry a line, in the form "TestName — cause — issue". It returns a *LineError for an invalid line, and
 // wraps errors of the reader.
--- a/internal/knownred/verdict/main.go
+++ b/internal/knownred/verdict/main.go
@@ -27,7 +27,7 @@
 	if err != nil {
 		return err
 	}
-	return knownred.Judge(os.Stdin, entries, os.Stdout)
+	return knownred.Evaluate(os.Stdin, entries, os.Stdout)
 }
 
 func readList(path string) ([]knownred.Entry, error) {
--- a/internal/protocol/attempt.go
+++ b/internal/protocol/attempt.go
@@ -165,5 +165,5 @@
 		s.clientEnded.Store(true) // the relay will fail on the broken connection
 	}
 	s.transition(stateEstablished)
-	s.flow.OnMigrate(s.server.Stop)
+	s.flow.SetMigrationHandler(s.server.Stop)
 }
--- a/internal/protocol/endpointlist.go
+++ b/internal/protocol/endpointlist.go
@@ -197,8 +197,8 @@
 	if id == "" && firstErr == nil {
 		firstErr = errors.New("member without an id")
 	}
-	if len(id) > routing.MaxIDLength && firstErr == nil {
-		firstErr = fmt.Errorf("member id of %d bytes, %d at most", len(id), routing.MaxIDLength)
+	if len(id) > routing.MaxServerNameLength && firstErr == nil {
+		firstErr = fmt.Errorf("member id of %d bytes, %d at most", len(id), routing.MaxServerNameLength)
 	}
 	l.update.AddEndpoint(routing.Endpoint{
 		Name:      id,
--- a/internal/protocol/endpointlist_test.go
+++ b/internal/protocol/endpointlist_test.go
@@ -28,7 +28,7 @@
 // Flows are routed by the list, and an invalid update changes nothing.
 func TestEndpointList(t *testing.T) {
 	first := object(5, true, member("a", "SERVING"))
-	longestID := strings.Repeat("x", routing.MaxIDLength)
+	longestID := strings.Repeat("x", routing.MaxServerNameLength)
 	for _, c := range []struct {
 		name         string
 		update       string // after the first
--- a/internal/protocol/transfer.go
+++ b/internal/protocol/transfer.go
@@ -24,22 +24,22 @@
 
 // StreamState is the relay state of one side of a connection.
 type StreamState struct {
-	Unread []byte `json:"unread,omitempty"`
-	Passed int    `json:"passed,omitempty"` // bytes of Unread that were already relayed, as the head of a line
-	Within bool   `json:"within,omitempty"` // the relay is in the middle of a line
+	Unread       []byte `json:"unread,omitempty"`
+	RelayedBytes int    `json:"passed,omitempty"` // bytes of Unread that were already relayed, as the head of a line
+	IsMidLine    bool   `json:"within,omitempty"` // the relay is in the middle of a line
 }
 
 func streamState(c *transport.Conn) StreamState {
 	state := c.RelayState()
-	return StreamState{Unread: state.Unread, Passed: state.Passed, Within: state.IsMidLine}
+	return StreamState{Unread: state.Unread, RelayedBytes: state.RelayedBytes, IsMidLine: state.IsMidLine}
 }
 
 func (s StreamState) relayState() transport.RelayState {
-	return transport.RelayState{Unread: s.Unread, Passed: s.Passed, IsMidLine: s.Within}
+	return transport.RelayState{Unread: s.Unread, RelayedBytes: s.RelayedBytes, IsMidLine: s.IsMidLine}
 }
 
 func (s StreamState) isValid() bool {
-	return s.Passed >= 0 && s.Passed <= len(s.Unread) && len(s.Unread) <= maxUnreadBytes
+	return s.RelayedBytes >= 0 && s.RelayedBytes <= len(s.Unread) && len(s.Unread) <= maxUnreadBytes
 }
 
 // EstablishedConnection is an established connection without its two sockets.
@@ -206,7 +206,7 @@
 	serve = func() {
 		defer f.addConnections(-1)
 		go s.readClient(ignoreCause)
-		flow.OnMigrate(s.server.Stop)
+		flow.SetMigrationHandler(s.server.Stop)
 		s.relay()
 	}
 	drop = func() {
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -9,23 +9,23 @@
 	"time"
 )
 
-// Backoff is an exponential backoff with jitter. First is the first delay and Longest the upper bound, both before
-// jitter.
+// Backoff is an exponential backoff with jitter. InitialDelay is the first delay and MaxDelay the upper bound, both
+// before jitter.
 type Backoff struct {
-	First, Longest time.Duration
+	InitialDelay, MaxDelay time.Duration
 
 	last time.Duration // the previous delay before jitter; 0 before the first one
 }
 
-// Next returns the delay before the next attempt: twice the previous one, up to Longest, reduced at random by up to one
-// half.
+// Next returns the delay before the next attempt: twice the previous one, up to MaxDelay, reduced at random by up to
+// one half.
 func (b *Backoff) Next() time.Duration {
-	b.last = min(max(2*b.last, b.First), b.Longest)
+	b.last = min(max(2*b.last, b.InitialDelay), b.MaxDelay)
 	half := b.last / 2
 	return half + rand.N(half+1)
 }
 
-// Reset makes the next delay First again.
+// Reset makes the next delay InitialDelay again.
 func (b *Backoff) Reset() { b.last = 0 }
 
 // Wait waits for the delay before the next attempt. It returns the context's error if the context ends first.
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -11,7 +11,7 @@
 
 // Delays grow up to their bound, each with jitter, and start again after a reset.
 func TestBackoff(t *testing.T) {
-	b := Backoff{First: 10 * time.Millisecond, Longest: 50 * time.Millisecond}
+	b := Backoff{InitialDelay: 10 * time.Millisecond, MaxDelay: 50 * time.Millisecond}
 	for range 2 {
 		for _, longest := range []time.Duration{10, 20, 40, 50, 50} {
 			longest *= time.Millisecond
@@ -37,7 +37,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			remaining, reports := c.errs, 0
-			err := Do(t.Context(), Backoff{First: time.Nanosecond, Longest: time.Nanosecond}, func(error) { reports++ }, func() error {
+			err := Do(t.Context(), Backoff{InitialDelay: time.Nanosecond, MaxDelay: time.Nanosecond}, func(error) { reports++ }, func() error {
 				if len(remaining) == 0 {
 					return nil
 				}
@@ -53,7 +53,7 @@
 	t.Run("until the context ends", func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		cancel()
-		backoff := Backoff{First: time.Hour, Longest: time.Hour}
+		backoff := Backoff{InitialDelay: time.Hour, MaxDelay: time.Hour}
 		err := Do(ctx, backoff, func(error) {}, func() error { return syscall.EMFILE })
 		if !errors.Is(err, syscall.EMFILE) {
 			t.Errorf("ended with %v", err)
--- a/internal/routing/flow.go
+++ b/internal/routing/flow.go
@@ -261,9 +261,9 @@
 	f.router.balancer.OnClientLeft(f.id)
 }
 
-// OnMigrate sets the function that asks the client to reconnect elsewhere. It is called immediately if a migration was
-// requested before.
-func (f *Flow) OnMigrate(migrate func()) {
+// SetMigrationHandler sets the function that asks the client to reconnect elsewhere. It is called immediately if a
+// migration was requested before.
+func (f *Flow) SetMigrationHandler(migrate func()) {
 	f.router.mu.Lock()
 	f.onMigrate = migrate
 	isMigrating := f.isMigrating
--- a/internal/routing/router_test.go
+++ b/internal/routing/router_test.go
@@ -77,7 +77,7 @@
 	f := openFlow(t, r)
 	awaitDecision(t, f)
 	f.OnEstablished()
-	f.OnMigrate(migrate)
+	f.SetMigrationHandler(migrate)
 	return f
 }
 
@@ -203,9 +203,9 @@
 		name string
 		do   func(f *Flow, migrate func())
 	}{
-		{"requested before a handler is set", func(f *Flow, migrate func()) { f.RequestMigration(); f.OnMigrate(migrate) }},
+		{"requested before a handler is set", func(f *Flow, migrate func()) { f.RequestMigration(); f.SetMigrationHandler(migrate) }},
 		{"requested twice", func(f *Flow, migrate func()) {
-			f.OnMigrate(migrate)
+			f.SetMigrationHandler(migrate)
 			f.RequestMigration()
 			f.RequestMigration()
 		}},
--- a/internal/routing/servers.go
+++ b/internal/routing/servers.go
@@ -9,8 +9,8 @@
 	"yardwinch/decide"
 )
 
-// MaxIDLength is the maximum length in bytes of a server's name, which is its id in the endpoint list.
-const MaxIDLength = 4 << 10
+// MaxServerNameLength is the maximum length in bytes of a server's name, which is its id in the endpoint list.
+const MaxServerNameLength = 4 << 10
 
 // server is the router's state of one server.
 type server struct {
@@ -76,8 +76,8 @@
 	return nil
 }
 
-// DisableAll disables the named servers, as they were before a restart. They need not have been listed yet.
-func (r *Router) DisableAll(names []string) {
+// DisableServers disables the named servers, as they were before a restart. They need not have been listed yet.
+func (r *Router) DisableServers(names []string) {
 	r.lockForEvent()
 	defer r.mu.Unlock()
 	for _, name := range names {
--- a/internal/routing/state.go
+++ b/internal/routing/state.go
@@ -17,7 +17,7 @@
 // State is a balancer's state as the admin API returns it. The daemon fills in the first three fields.
 type State struct {
 	Phase         string         `json:"phase"`
-	Processes     string         `json:"processes,omitempty"` // the other process of this balancer, during a hand-over
+	OtherProcess  string         `json:"processes,omitempty"` // the other process of this balancer, during a hand-over
 	StoreFault    string         `json:"folder,omitempty"`    // the store's current error; empty: none
 	Running       float64        `json:"running_s"`
 	Flows         int            `json:"flows"`
--- a/internal/store/decode_test.go
+++ b/internal/store/decode_test.go
@@ -14,7 +14,7 @@
 	`{"version":1,"out_by_hand":["a"]}x`,
 	`{"version":1,"out_by_hand":[""]}`,
 	`{"version":1,"more":1}`,
-	`{"version":1,"out_by_hand":["` + strings.Repeat("x", routing.MaxIDLength+1) + `"]}`,
+	`{"version":1,"out_by_hand":["` + strings.Repeat("x", routing.MaxServerNameLength+1) + `"]}`,
 	`{"version":1,"out_by_hand":[1]}`,
 }
 
--- a/internal/store/disabled.go
+++ b/internal/store/disabled.go
@@ -65,9 +65,9 @@
 	return nil
 }
 
-// RemoveUnfinished removes the temporary files of processes that were killed during a write. No other process of this
-// balancer may be running.
-func (d *Directory) RemoveUnfinished() {
+// RemoveTemporaryFiles removes the temporary files of processes that were killed during a write. No other process of
+// this balancer may be running.
+func (d *Directory) RemoveTemporaryFiles() {
 	unfinished, err := d.files.Glob(d.Path(disabledSuffix+".") + "*")
 	if err != nil {
 		return // the only possible error is a bad pattern, and this one is fixed
@@ -152,8 +152,8 @@
 // ValidateServerID returns an error if a server id, received from another process or read from disk, is empty or too
 // long.
 func ValidateServerID(id string) error {
-	if id == "" || len(id) > routing.MaxIDLength {
-		return fmt.Errorf("an id of %d bytes, 1 to %d are allowed", len(id), routing.MaxIDLength)
+	if id == "" || len(id) > routing.MaxServerNameLength {
+		return fmt.Errorf("an id of %d bytes, 1 to %d are allowed", len(id), routing.MaxServerNameLength)
 	}
 	return nil
 }
--- a/internal/store/disabled_test.go
+++ b/internal/store/disabled_test.go
@@ -176,7 +176,7 @@
 	wantDisabled(t, directory, want)
 	save(t, directory, after)
 	wantDisabled(t, directory, after)
-	directory.RemoveUnfinished()
+	directory.RemoveTemporaryFiles()
 	if files, err := os.ReadDir(root); err != nil || len(files) != 1 {
 		t.Errorf("%d files remain, %v", len(files), err)
 	}
--- a/internal/strict/strict_test.go
+++ b/internal/strict/strict_test.go
@@ -60,7 +60,7 @@
 	"string":  func(t Table) any { return t.String("k", "absent") },
 	"allowed": func(t Table) any { return t.String("k", "absent", "x", "y") },
 	"strings": func(t Table) any { return t.Strings("k", []string{"absent"}, "x", "y") },
-	"lists":   func(t Table) any { return t.Lists("k") },
+	"lists":   func(t Table) any { return t.StringLists("k") },
 }
 
 var readerCases = []struct {
--- a/internal/strict/texts.go
+++ b/internal/strict/texts.go
@@ -65,8 +65,8 @@
 	return items
 }
 
-// Lists returns a list of lists of strings, none of them empty; nil if absent.
-func (t Table) Lists(key string) (lists [][]string) {
+// StringLists returns a list of lists of strings, none of them empty; nil if absent.
+func (t Table) StringLists(key string) (lists [][]string) {
 	value, present := t.get(key)
 	if !present {
 		return nil
--- a/internal/transport/dial.go
+++ b/internal/transport/dial.go
@@ -61,7 +61,7 @@
 func (d Dialer) connectWithRetries(
 	ctx context.Context, dialer *net.Dialer, addr string, deadline time.Time,
 ) (net.Conn, error) {
-	backoff := retry.Backoff{First: initialLocalBackoff, Longest: maxLocalBackoff}
+	backoff := retry.Backoff{InitialDelay: initialLocalBackoff, MaxDelay: maxLocalBackoff}
 	for {
 		raw, err := d.connect(ctx, dialer, addr)
 		if !isLocalError(err) || time.Now().After(deadline) || backoff.Wait(ctx) != nil {
--- a/internal/transport/relay.go
+++ b/internal/transport/relay.go
@@ -35,14 +35,14 @@
 
 // RelayState is the position of a relay in the input of a connection.
 type RelayState struct {
-	Unread    []byte
-	Passed    int  // bytes at the start of Unread that were relayed already
-	IsMidLine bool // a line was relayed in part
+	Unread       []byte
+	RelayedBytes int  // bytes at the start of Unread that were relayed already
+	IsMidLine    bool // a line was relayed in part
 }
 
 // RelayState returns the state of a parked relay from the connection.
 func (c *Conn) RelayState() RelayState {
-	return RelayState{Unread: c.unread(), Passed: c.relayed, IsMidLine: c.isMidLine}
+	return RelayState{Unread: c.unread(), RelayedBytes: c.relayed, IsMidLine: c.isMidLine}
 }
 
 // Adopt returns a connection that another process has relayed, with the state of that relay. The budget of a client's
@@ -52,7 +52,7 @@
 		raw:       raw,
 		buf:       state.Unread,
 		unreadTo:  len(state.Unread),
-		relayed:   state.Passed,
+		relayed:   state.RelayedBytes,
 		isMidLine: state.IsMidLine,
 		budget:    budget,
 	}
