--- a/internal/routing/actions.go
+++ b/internal/routing/actions.go
@@ -20,14 +20,15 @@
 	}
 }
 
-// Reject answers a flow that its client may retry after the given time.
+// Reject gives a flow the final answer after which a retry does no harm. retryAfter is when the client may retry; 0
+// leaves the time open.
 func (a actions) Reject(id decide.FlowID, retryAfter time.Duration) {
 	if f := a.router.flows[id]; f != nil {
 		f.deliver(Decision{Verdict: Reject, RetryAfter: retryAfter})
 	}
 }
 
-// Abort answers a flow without advice to retry.
+// Abort gives a flow the final answer that does not say whether a retry is safe, as the flow may have run.
 func (a actions) Abort(id decide.FlowID) {
 	if f := a.router.flows[id]; f != nil {
 		f.deliver(Decision{Verdict: Abort})
@@ -61,6 +62,6 @@
 	}
 }
 
-// WatchEndpoints does nothing: the discovery client always keeps a watch open and reopens a failed one. A second retry
-// timer, set at each failure, would multiply the attempts without bound.
+// WatchEndpoints does nothing: the discovery client always keeps a watch open and itself reopens a failed one. Another
+// retry timer, set at each failure, would multiply the requests to discovery without bound.
 func (a actions) WatchEndpoints(bool) {}
--- a/internal/routing/endpoints.go
+++ b/internal/routing/endpoints.go
@@ -26,7 +26,7 @@
 	Cell      int
 	Size      float64
 	Readiness Readiness
-	StartedAt time.Time // by the clock of the list's publisher; zero: long ago
+	StartedAt time.Time // by the clock of the list's publisher; zero: not reported, treated as long ago
 }
 
 // Readiness says whether an endpoint accepts flows.
@@ -152,7 +152,7 @@
 // discovery, when the new start was not yet listed, and now.
 func (r *Router) recordStart(s *server, reported time.Time) {
 	if reported.IsZero() || reported.Equal(s.reportedStart) {
-		return // long ago, or recorded already
+		return // no start is reported, or this one is recorded already
 	}
 	now := r.Now()
 	at := now - time.Now().Round(0).Sub(reported) // Round strips the monotonic reading, which is local to this machine
--- a/internal/routing/flow.go
+++ b/internal/routing/flow.go
@@ -12,19 +12,19 @@
 
 // Flags of a new flow, combined with bitwise or.
 const (
-	FlagLoadHint  = decide.FlagLoadHint  // the client's estimate of its load is valid
+	FlagLoadHint  = decide.FlagLoadHint  // the client sent an estimate of its load, which is not used
 	FlagRetry     = decide.FlagRetry     // the flow is a retry
-	FlagReturning = decide.FlagReturning // the client was asked to reconnect
+	FlagReturning = decide.FlagReturning // the client reconnects after a disconnection or a migration
 )
 
-// Verdict is the outcome of a decision on a flow.
+// Verdict says what a decision requires the caller to do with a flow.
 type Verdict int
 
 // The verdicts.
 const (
 	Connect Verdict = iota // attempt to connect to a server
-	Reject                 // answer the client that it may retry
-	Abort                  // answer the client without advice to retry
+	Reject                 // final answer after which a retry does no harm
+	Abort                  // final answer that does not say whether a retry is safe: the flow may have run
 )
 
 // String returns the verdict's name for log lines.
--- a/internal/routing/latency.go
+++ b/internal/routing/latency.go
@@ -19,7 +19,7 @@
 	roundTripMaxAge     = 2 * time.Second
 	roundTripWindowSize = 16
 	// replyTimeout is the longest that a line may wait for its reply before the client is asked to reconnect. It is
-	// short enough that the wait does not count against this balancer.
+	// shorter than the wait that would count against this balancer.
 	replyTimeout = 4 * time.Second
 	// clientSilenceTimeout is the time without a line after which a client is presumed lost with its machine. Nothing
 	// else would ever free its descriptors.
@@ -30,7 +30,7 @@
 // them on time, so the tracker is updated as lines pass: the cost of a check is proportional to the number of late
 // flows and servers, not of all. The router's mutex guards it.
 type latencyTracker struct {
-	threshold time.Duration // a longer latency is late
+	threshold time.Duration // a message with a longer latency is late, and so is a server with a longer median latency
 	nextCheck time.Duration
 
 	serversReportLoad, serversReportLatency bool // what the servers' metric lines may carry
@@ -118,7 +118,8 @@
 	}
 }
 
-// checkLatencies reports a sample of each late server, once a second, and another one when the server has recovered.
+// checkLatencies asks clients that are silent, or whose server does not answer, to reconnect, and reports latency
+// samples of servers: one a second for each late server, and a last one when it has recovered.
 func (r *Router) checkLatencies(now time.Duration) {
 	t := &r.latency
 	t.nextCheck = now + latencyCheckInterval
@@ -146,8 +147,8 @@
 	}
 }
 
-// overdueWaits returns, by server, how long the lines with late replies have waited so far. Their servers become
-// suspects.
+// overdueWaits returns, by server, how long the lines whose replies are overdue have waited so far. Their servers
+// become suspects.
 func (t *latencyTracker) overdueWaits(now time.Duration) map[*server][]time.Duration {
 	var waits map[*server][]time.Duration
 	for f := t.awaitingReply.first; f != nil && now-f.awaitingSince > t.threshold; f = t.awaitingReply.next(f) {
@@ -160,8 +161,8 @@
 	return waits
 }
 
-// checkServerLatency reports a sample of a server that is late or has just recovered. It returns whether the next check
-// must include the server again.
+// checkServerLatency reports the median latency of a server if a sample is due. It returns whether the next check must
+// include the server again.
 func (r *Router) checkServerLatency(s *server, overdueWaits []time.Duration, now time.Duration) (needsCheck bool) {
 	latencies := overdueWaits
 	isLate := len(overdueWaits) > 0
--- a/internal/routing/latency_test.go
+++ b/internal/routing/latency_test.go
@@ -152,7 +152,7 @@
 }
 
 // A check allocates nothing for flows and servers that are on time, and looks at none of them, however many there are.
-func TestLatencyCheckCostsOnlyLateServers(t *testing.T) {
+func TestLatencyCheckSkipsServersOnTime(t *testing.T) {
 	for _, size := range []struct{ servers, flows int }{{60, 100}, {1000, 6000}} {
 		r := routerWithFlows(t, size.servers, size.flows)
 		r.mu.Lock()
--- a/internal/routing/metrics.go
+++ b/internal/routing/metrics.go
@@ -14,10 +14,12 @@
 const (
 	// sampleIntervalTolerance is how far the interval between two latencies may deviate from latencySampleInterval.
 	sampleIntervalTolerance = 2 * time.Millisecond
-	// seriesPhaseMaxAge is how long the phase of a server's last series within the second is remembered.
+	// A series is the run of latency samples, one a second, that a late server sends. seriesPhaseMaxAge is how long
+	// after a server's last series its phase, the point within the second at which the samples were sent, is
+	// remembered.
 	seriesPhaseMaxAge = time.Minute
-	// maxUnconfirmedLatency is the highest value that is classified as a latency by its timing alone; maxLatency is the
-	// limit in any case.
+	// maxUnconfirmedLatency is the highest value that can start a series, except shortly after a reset. maxLatency is
+	// the highest value that can be a latency at all.
 	maxUnconfirmedLatency = replyTimeout
 	maxLatency            = 16 * time.Second
 	maxCandidates         = 16
@@ -46,10 +48,10 @@
 // metricClassifier distinguishes one server's latency samples from its loads. Its times are on the router's clock; 0
 // means none.
 type metricClassifier struct {
-	candidates     []latencyCandidate
-	seriesSampleAt time.Duration // last sample of the current series
-	lastSampleAt   time.Duration // last sample of any series
-	lastResetAt    time.Duration // when the server last reset a connection
+	candidates            []latencyCandidate
+	currentSeriesSampleAt time.Duration // last sample of the current series
+	lastSampleAt          time.Duration // last sample of any series
+	lastResetAt           time.Duration // when the server last reset a connection
 }
 
 // onFlowEnded marks the candidates of a flow that ended: the rest of its series is sent on another connection.
@@ -65,13 +67,13 @@
 	if m.latency > maxLatency {
 		return false
 	}
-	if gap := m.at - c.seriesSampleAt; c.seriesSampleAt != 0 && gap < 2*latencySampleInterval+sampleIntervalTolerance {
+	if gap := m.at - c.currentSeriesSampleAt; c.currentSeriesSampleAt != 0 && gap < 2*latencySampleInterval+sampleIntervalTolerance {
 		if !isSampleInterval(gap) && !isSampleInterval(gap-latencySampleInterval) {
 			return false // a load between two samples
 		}
-		c.seriesSampleAt, c.lastSampleAt = m.at, m.at
+		c.currentSeriesSampleAt, c.lastSampleAt = m.at, m.at
 		if m.latency <= threshold {
-			c.seriesSampleAt = 0 // the sample that ends the series
+			c.currentSeriesSampleAt = 0 // the sample that ends the series
 		}
 		return true
 	}
@@ -83,7 +85,7 @@
 		return false
 	}
 	if m.isBelowRecentLoads || isNearReset || c.isInPhase(m.at) || c.confirmsCandidate(m) {
-		c.seriesSampleAt, c.lastSampleAt, c.candidates = m.at, m.at, c.candidates[:0]
+		c.currentSeriesSampleAt, c.lastSampleAt, c.candidates = m.at, m.at, c.candidates[:0]
 		return true
 	}
 	c.addCandidate(m)
@@ -138,7 +140,8 @@
 }
 
 // OnServerMetric reports a value from one of the server's metric lines: a latency in milliseconds, or a load in
-// microseconds of work a second. Where servers report both, the value is classified first.
+// microseconds of work a second. Where servers report both, the value is classified first. Before the connection is
+// established, every value is taken as a load.
 func (f *Flow) OnServerMetric(value float64) {
 	r := f.router
 	now := r.lockForEvent()
--- a/internal/routing/metrics_test.go
+++ b/internal/routing/metrics_test.go
@@ -69,11 +69,11 @@
 	{"a series begins in the phase of the last one",
 		[]metricEvent{sample(0, 900*ms), sample(sec, 700*ms), sample(2*sec, 20*ms), sample(9*sec-2*ms, 700*ms)},
 		[]bool{isLoad, isLatency, isLatency, isLatency}},
-	{"an interrupted series, then a load", []metricEvent{sample(0, 900*ms), sample(sec, 700*ms), sample(9*sec+3*ms, 700*ms)},
+	{"a value out of the last series' phase", []metricEvent{sample(0, 900*ms), sample(sec, 700*ms), sample(9*sec+3*ms, 700*ms)},
 		[]bool{isLoad, isLatency, isLoad}},
-	{"a low value in that phase", []metricEvent{sample(0, 900*ms), sample(sec, 700*ms), sample(9*sec, 20*ms)},
+	{"a value below the threshold in the last series' phase", []metricEvent{sample(0, 900*ms), sample(sec, 700*ms), sample(9*sec, 20*ms)},
 		[]bool{isLoad, isLatency, isLoad}},
-	{"that phase after too long a time", []metricEvent{sample(0, 900*ms), sample(sec, 700*ms), sample(90*sec, 700*ms)},
+	{"the last series' phase after more than seriesPhaseMaxAge", []metricEvent{sample(0, 900*ms), sample(sec, 700*ms), sample(90*sec, 700*ms)},
 		[]bool{isLoad, isLatency, isLoad}},
 }
 
@@ -168,6 +168,6 @@
 	var classifier metricClassifier
 	if !classifier.classify(metric{at: sec, flow: "one", latency: 200 * ms, isBelowRecentLoads: true}, 83*ms) ||
 		!classifier.classify(metric{at: 2 * sec, flow: "two", latency: 700 * ms}, 83*ms) {
-		t.Error("a series that began with it does not continue")
+		t.Error("a series that began with a value far below the recent loads was not continued")
 	}
 }
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -24,8 +24,8 @@
 	TimedOut    = decide.TimedOut    // no answer before the deadline
 	Unreachable = decide.Unreachable // no connection could be established
 	Reset       = decide.Reset       // the connection broke
-	Cancelled   = decide.Cancelled   // the client left, or was asked to leave
-	NeverSent   = decide.NeverSent   // the attempt never went out
+	Cancelled   = decide.Cancelled   // the client left, or was asked to reconnect
+	NeverSent   = decide.NeverSent   // nothing was sent to the server
 )
 
 var (
@@ -134,7 +134,8 @@
 // OnLoadReport reports a server's load that another balancer received. The caller must hold the lock, see WithLock.
 func (r *Router) OnLoadReport(id decide.ServerID, load float64) { r.balancer.OnLoadReport(id, load) }
 
-// SetHandedOver says whether another process continues from a snapshot of this router.
+// SetHandedOver records that another process continues from a snapshot of this router or, with false, that the other
+// process has ended.
 func (r *Router) SetHandedOver(handedOver bool) {
 	r.lockForEvent()
 	defer r.mu.Unlock()
--- a/internal/routing/router_test.go
+++ b/internal/routing/router_test.go
@@ -98,7 +98,7 @@
 			f := openFlow(t, r)
 			for _, o := range c.ends {
 				if got := awaitDecision(t, f); got.Verdict != Connect || got.Addr == "" || time.Until(got.Deadline) <= 0 {
-					t.Fatalf("decision %+v", got)
+					t.Fatalf("decision %+v, want connect with an address and a deadline in the future", got)
 				}
 				f.OnEnded(o)
 			}
@@ -156,9 +156,9 @@
 			if len(r.flows) != 0 {
 				t.Error("the flow was not removed")
 			}
-			f := openFlow(t, r) // the balancer holds no lease or set-up of the previous flow
+			f := openFlow(t, r) // the previous flow no longer counts in the leased tally, nor as a set-up in progress
 			if got := awaitDecision(t, f); got.Verdict != Connect {
-				t.Errorf("next flow: decision %+v", got)
+				t.Errorf("next flow: decision %+v, want connect", got)
 			}
 		})
 	}
@@ -222,7 +222,7 @@
 }
 
 // A server that does not answer is reported each second while its lines wait, and its clients are asked to reconnect
-// before the wait counts against this balancer.
+// once a line has waited for longer than replyTimeout.
 func TestUnresponsiveServer(t *testing.T) {
 	r := newRouter(t, true, true, "a")
 	migrations := 0
@@ -245,7 +245,7 @@
 		}
 	}
 	if len(reports) < 2 || reports[0] > 200*ms || reports[1]-reports[0] > 1100*ms {
-		t.Errorf("reported after %v", reports)
+		t.Errorf("reported after %v, want the first within 200 ms and the next within 1.1 s of it", reports)
 	}
 	if migrations != 1 {
 		t.Errorf("asked to reconnect %d times, want once", migrations)
--- a/internal/routing/servers.go
+++ b/internal/routing/servers.go
@@ -18,7 +18,7 @@
 	addr  string
 	index int // in the router's serverOrder
 
-	reportedStart time.Time     // when it last started, as the endpoint list reports it; zero: long ago
+	reportedStart time.Time     // when it last started, as the endpoint list reports it; zero: not reported
 	startedAt     time.Duration // when it last started, by the router's clock
 
 	isListedReady  bool
--- a/internal/routing/snapshot.go
+++ b/internal/routing/snapshot.go
@@ -11,7 +11,7 @@
 type EndpointSnapshot struct {
 	Name          string        `json:"name"`
 	Addr          string        `json:"addr"`
-	StartReported int64         `json:"start_told_ms,omitempty"` // by the clock of the list's publisher, in Unix milliseconds; 0: long ago
+	StartReported int64         `json:"start_told_ms,omitempty"` // by the clock of the list's publisher, in Unix milliseconds; 0: not reported
 	Started       time.Duration `json:"started,omitempty"`       // by the router's clock
 }
 
