--- a/internal/transport/budget.go
+++ b/internal/transport/budget.go
@@ -23,7 +23,7 @@
 	// maxDiscardReads limits the reads of unread input, in case a client keeps sending.
 	maxDiscardReads = 16
 	// noDescriptorWait is the wait before the budget is checked again when no descriptor is free and no connection is
-	// idle; the release of a descriptor ends it early.
+	// idle; releaseAll and SetLent end it early.
 	noDescriptorWait = time.Hour
 	// descriptorsPerPair counts a client's connection and the one to its server.
 	descriptorsPerPair = 2
@@ -72,8 +72,8 @@
 	b.signalFreed()
 }
 
-// MaxInUse returns how many descriptors of a budget of the given size may be in use if no further client is admitted: a
-// client that has not sent its line yet uses one, and will need another one for its server.
+// MaxInUse returns how many descriptors this process can come to use if it admits no further client, given the budget's
+// size: those in use now, and one more for each idle connection, as its client may still need one for a server.
 func (b *DescriptorBudget) MaxInUse(size int) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -96,7 +96,8 @@
 }
 
 // admit waits until a descriptor is free for an accepted connection, and counts it. If the context ends first, the
-// connection is not counted in the budget; it is then answered like all connections accepted at the end.
+// connection is not counted in the budget; it is served all the same, as every connection in the queue must be answered
+// before Serve returns.
 func (b *DescriptorBudget) admit(ctx context.Context, raw net.Conn) *Conn {
 	c := &Conn{raw: raw, budget: b}
 	for {
--- a/internal/transport/budget_test.go
+++ b/internal/transport/budget_test.go
@@ -47,7 +47,7 @@
 		t.Error("idle connections kept a flow from getting a descriptor")
 	}
 	wantReplyAndEOF(t, idle[1], reply)
-	const flows = (descriptors - clientReserve) / 2 // until the part for servers is exhausted
+	const flows = (descriptors - clientReserve) / 2 // until those that connections to servers may use are taken
 	for n := 3; n <= flows+1; n++ {
 		_, c := connect()
 		if got := c.MarkActive() && c.AcquireServerSlot(); got != (n <= flows) {
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -38,11 +38,11 @@
 	raw net.Conn
 
 	buf                  []byte
-	unreadFrom, unreadTo int  // the unread part of buf
-	relayed              int  // bytes at the start of the unread part that were relayed already
-	isMidLine            bool // a line was relayed in part
-	stopping             atomic.Bool
-	parking              atomic.Bool
+	unreadFrom, unreadTo int         // the unread part of buf
+	relayed              int         // bytes at the start of the unread part that were relayed already
+	isMidLine            bool        // a line was relayed in part
+	stopRequested        atomic.Bool // set by Stop; the relay ends at the next end of a line
+	parkRequested        atomic.Bool // set by Park, cleared once it is handled
 	closeOnce            sync.Once
 
 	// budget is the one in which a client's connection is counted; nil: none. Its mutex guards the fields below.
@@ -131,7 +131,7 @@
 		return nil
 	}
 	err := c.fill()
-	if isTimeout(err) && c.parking.CompareAndSwap(true, false) {
+	if isTimeout(err) && c.parkRequested.CompareAndSwap(true, false) {
 		return ErrParked
 	}
 	return err
@@ -146,8 +146,8 @@
 	return errors.As(err, &timeout) && timeout.Timeout()
 }
 
-// HasPendingInput reports whether the peer has ended the connection or sent more. It consumes nothing, as another
-// goroutine may be blocked in a read and not have been scheduled since the input arrived.
+// HasPendingInput reports whether input that has not been read, or the end of the connection, has arrived. It consumes
+// nothing, as another goroutine may be blocked in a read and not have been scheduled since the input arrived.
 func (c *Conn) HasPendingInput() bool {
 	socket, ok := c.raw.(syscall.Conn)
 	if !ok {
@@ -182,7 +182,8 @@
 	c.DiscardAndClose()
 }
 
-// Linger closes the sending direction and limits the time for further reads.
+// Linger closes the sending direction and limits the time for further reads. From then on the connection may be closed
+// to free its descriptor.
 func (c *Conn) Linger() {
 	c.CloseWrite()
 	c.SetReadDeadline(time.Now().Add(lingerTimeout))
--- a/internal/transport/dial.go
+++ b/internal/transport/dial.go
@@ -39,7 +39,7 @@
 // resources has sent nothing, and is retried for a while. The error is ErrNoLongerWanted, ErrLocalResources, the
 // context's error or a network error.
 func (d Dialer) Dial(ctx context.Context, addr string, timeout time.Duration, isWanted func() bool) (*Conn, error) {
-	dialer := net.Dialer{Timeout: timeout, KeepAlive: -1} // keep-alive would detect nothing that the lines don't
+	dialer := net.Dialer{Timeout: timeout, KeepAlive: -1} // no keep-alive: unanswered lines reveal a lost server too
 	if isWanted != nil {
 		dialer.Control = func(_, _ string, _ syscall.RawConn) error {
 			if !isWanted() {
--- a/internal/transport/relay.go
+++ b/internal/transport/relay.go
@@ -64,14 +64,14 @@
 
 // Stop makes a relay from this connection end at the next end of a line. It does not wait for that.
 func (c *Conn) Stop() {
-	c.stopping.Store(true)
+	c.stopRequested.Store(true)
 	c.InterruptRead()
 }
 
 // Park suspends a relay from this connection, or the wait for its first line, possibly within a line, so that it can
 // continue later or in another process. It does not wait for that.
 func (c *Conn) Park() {
-	c.parking.Store(true)
+	c.parkRequested.Store(true)
 	c.InterruptRead()
 }
 
@@ -84,10 +84,10 @@
 		if err := src.relayUnread(dst, onLine); err != nil {
 			return err
 		}
-		if src.stopping.Load() && !src.isMidLine {
+		if src.stopRequested.Load() && !src.isMidLine {
 			return ErrStopped
 		}
-		if src.parking.CompareAndSwap(true, false) {
+		if src.parkRequested.CompareAndSwap(true, false) {
 			return ErrParked
 		}
 		if err := src.fill(); err != nil {
@@ -132,17 +132,17 @@
 	switch {
 	case errors.Is(err, io.EOF):
 		return io.EOF
-	case isTimeout(err) && c.stopping.CompareAndSwap(true, false):
+	case isTimeout(err) && c.stopRequested.CompareAndSwap(true, false):
 		if !c.isMidLine {
 			return ErrStopped
 		}
 		c.SetReadDeadline(time.Now().Add(lineEndTimeout))
-		defer c.stopping.Store(false)
+		defer c.stopRequested.Store(false)
 		if err := c.relayRestOfLine(dst); err != nil {
 			return err
 		}
 		return ErrStopped
-	case isTimeout(err) && c.parking.CompareAndSwap(true, false):
+	case isTimeout(err) && c.parkRequested.CompareAndSwap(true, false):
 		return ErrParked
 	default:
 		return &SideError{Err: err}
@@ -171,7 +171,7 @@
 		if c.fill() == nil {
 			continue
 		}
-		if !c.parking.CompareAndSwap(true, false) {
+		if !c.parkRequested.CompareAndSwap(true, false) {
 			return ErrMidLine
 		}
 		// The client is about to migrate, so an interruption by Park is ignored.
--- a/internal/transport/serve.go
+++ b/internal/transport/serve.go
@@ -25,12 +25,12 @@
 	defer connections.Wait()
 	defer func() { _ = l.Close() }() // an error can't be handled
 	defer context.AfterFunc(ctx, l.Finish)()
-	var refusedSince time.Time // when accepts began to fail after the context ended; zero: they don't fail
+	var failingSince time.Time // when accepts began to fail after the context ended; zero: they don't fail
 	for {
 		raw, err := l.Accept()
 		switch {
 		case err == nil:
-			refusedSince = time.Time{}
+			failingSince = time.Time{}
 			c := budget.admit(ctx, raw)
 			connections.Go(func() { serve(c) })
 		case errors.Is(err, errFinished):
@@ -42,10 +42,10 @@
 			if ctx.Err() == nil {
 				continue
 			}
-			if refusedSince.IsZero() {
-				refusedSince = time.Now()
+			if failingSince.IsZero() {
+				failingSince = time.Now()
 			}
-			if time.Since(refusedSince) < finalAcceptTimeout {
+			if time.Since(failingSince) < finalAcceptTimeout {
 				l.Finish()
 			}
 		}
--- a/internal/transport/serve_test.go
+++ b/internal/transport/serve_test.go
@@ -13,36 +13,36 @@
 	"time"
 )
 
-// refusingListener is a listener whose accepts fail with ENFILE until isAccepting is set. It counts the failed
-// attempts.
-type refusingListener struct {
+// unavailableListener is a listener whose accepts fail with ENFILE until isAccepting is set. It counts the failed
+// accepts.
+type unavailableListener struct {
 	*PausableListener
-	isAccepting atomic.Bool
-	attempts    atomic.Int64
+	isAccepting   atomic.Bool
+	failedAccepts atomic.Int64
 }
 
-func (r *refusingListener) Accept() (net.Conn, error) {
-	if !r.isAccepting.Load() {
-		r.attempts.Add(1)
+func (u *unavailableListener) Accept() (net.Conn, error) {
+	if !u.isAccepting.Load() {
+		u.failedAccepts.Add(1)
 		return nil, &net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", syscall.ENFILE)}
 	}
-	return r.PausableListener.Accept()
+	return u.PausableListener.Accept()
 }
 
 // Accepts fail while Serve finishes, for longer than queueCheckTimeout. The clients in the queue have established their
-// connections, so each must be answered once accepts succeed again. Until then Serve must wait between attempts.
+// connections, so each must be answered once accepts succeed again. Until then Serve must wait between accepts.
 func TestAcceptErrorsWhileFinishing(t *testing.T) {
 	const clients, outage = 20, 400 * time.Millisecond
 	inner := listen(t)
-	l := &refusingListener{PausableListener: NewPausableListener(inner)}
+	l := &unavailableListener{PausableListener: NewPausableListener(inner)}
 	peers := dialAndSend(t, inner, clients)
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error, 1)
 	go func() { done <- Serve(ctx, l, NewDescriptorBudget(100, ""), echoLine) }()
 	cancel()
 	time.Sleep(outage)
-	if n := l.attempts.Load(); n > int64(outage/time.Millisecond) {
-		t.Errorf("%d attempts in %v", n, outage)
+	if n := l.failedAccepts.Load(); n > int64(outage/time.Millisecond) {
+		t.Errorf("%d accepts failed in %v, so Serve does not wait between them", n, outage)
 	}
 	l.isAccepting.Store(true)
 	wantEchoes(t, peers)
