--- a/internal/protocol/attempt.go
+++ b/internal/protocol/attempt.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// resumeTimeout bounds all attempts to resume a flow. A flow that was open before the balancer's start is lost
-	// after 40 s.
+	// resumeTimeout bounds all attempts to resume a flow that was open before the balancer's start. A flow that is not
+	// resumed within 40 s is lost.
 	resumeTimeout       = 36 * time.Second
 	resumeRetryInterval = 200 * time.Millisecond
 )
@@ -157,7 +157,8 @@
 	return routing.Error
 }
 
-// establish relays the UP line to the client. From here on the connection belongs to the server.
+// establish relays the UP line to the client. From here on the flow is established: its end is not followed by another
+// attempt.
 func (s *session) establish(upLine string) {
 	s.flow.OnEstablished()
 	s.clientMaySend.Store(true)
--- a/internal/protocol/attempt_test.go
+++ b/internal/protocol/attempt_test.go
@@ -28,8 +28,8 @@
 		{"MOVE", func(s *peer) { s.send("MOVE\r\n") }, "ERR no answer"},
 		{"another word", func(s *peer) { s.send("SYNTAX\r\n") }, "ERR no answer"},
 		{"a line too long", func(s *peer) { s.send(strings.Repeat("x", 5000)) }, "ERR no answer"},
-		{"an end", (*peer).close, "ERR no answer"},
-		{"an end within a line", func(s *peer) { s.send("UP 7"); s.close() }, "ERR no answer"},
+		{"the server closes", (*peer).close, "ERR no answer"},
+		{"the server closes within a line", func(s *peer) { s.send("UP 7"); s.close() }, "ERR no answer"},
 		{"a reset", (*peer).reset, "ERR no answer"},
 	} {
 		for _, effect := range []decide.Effect{decide.Idempotent, decide.NotIdempotent} {
@@ -122,7 +122,7 @@
 	// The timeout runs from when the balancer received the line, which is between start and the line's arrival at the
 	// server. It is in whole milliseconds.
 	if announced := time.Duration(milliseconds) * ms; announced > serverTime || announced+a.after < serverTime-ms {
-		t.Fatalf("the server, reached after %v, was given %v of %v", a.after, announced, serverTime)
+		t.Fatalf("the server received the line after %v with a timeout of %v, want the rest of %v", a.after, announced, serverTime)
 	}
 	a.server.want("EOF")
 	return took <= timeout
--- a/internal/protocol/discovery.go
+++ b/internal/protocol/discovery.go
@@ -28,8 +28,9 @@
 	// is reserved for applying a response that has been received.
 	changeTimeout = 6 * time.Second
 	applyTime     = 200 * time.Millisecond
-	// agentReopenDelay bounds the delay before a watch at an agent is reopened. It is short, as no other balancer
-	// watches that agent.
+	// agentReopenDelay bounds the delay before a watch is reopened at an agent that sent something on it. It is short,
+	// as no other balancer watches that agent. Where nothing was received, a slow failure raises the bound, see
+	// reopenDelay.
 	agentReopenDelay = 100 * time.Millisecond
 
 	maxHeaderBytes  = 64 << 10
@@ -42,9 +43,9 @@
 type Discovery struct {
 	router *routing.Router
 	client *http.Client
-	// isPolled says that the address is that of discovery itself, which all balancers call. Otherwise it is that of
+	// isDirect says that the address is that of discovery itself, which all balancers call. Otherwise it is that of
 	// an agent on this machine, which has received the list before.
-	isPolled        bool
+	isDirect        bool
 	silenceTimeout  time.Duration
 	responseTimeout time.Duration
 	revision        atomic.Int64 // of the current list; negative if there is none
@@ -60,12 +61,12 @@
 }
 
 // NewDiscovery returns a Discovery for the list at a host and port. seed seeds the random delays that spread the
-// balancers' requests over time. isPolled says that discovery itself is at the address, and not an agent on this
+// balancers' requests over time. isDirect says that discovery itself is at the address, and not an agent on this
 // machine.
-func NewDiscovery(r *routing.Router, addr string, seed uint64, isPolled bool) *Discovery {
+func NewDiscovery(r *routing.Router, addr string, seed uint64, isDirect bool) *Discovery {
 	d := &Discovery{
 		router:          r,
-		isPolled:        isPolled,
+		isDirect:        isDirect,
 		silenceTimeout:  silenceTimeout,
 		responseTimeout: responseTimeout,
 		random:          rand.New(rand.NewPCG(seed, 0)),
@@ -132,8 +133,8 @@
 	}
 }
 
-// LoadCached applies the list that this balancer last saved; an empty text means that there is none. The error says why
-// the list is invalid.
+// LoadCached applies the cached endpoint list of the configuration; an empty text means that there is none. The error
+// says why the list is invalid.
 func (d *Discovery) LoadCached(list []byte) error {
 	if len(list) == 0 {
 		return nil
@@ -202,18 +203,18 @@
 // again at once, and responds when it can.
 func (d *Discovery) reopenDelay(silence time.Duration, fellSilent bool) time.Duration {
 	longest := max(0, changeTimeout-applyTime-d.responseTimeout-silence)
-	part := d.random.Float64()
+	fraction := d.random.Float64()
 	switch {
-	case !d.isPolled && fellSilent:
+	case !d.isDirect && fellSilent:
 		longest = 0
-	case !d.isPolled && d.hadContact:
+	case !d.isDirect && d.hadContact:
 		longest = min(longest, agentReopenDelay)
-	case !d.isPolled:
+	case !d.isDirect:
 		longest = min(longest, max(agentReopenDelay, 2*silence)) // a request that waited may still be queued there
 	case !d.hadContact:
-		part = (1 + part) / 2
+		fraction = (1 + fraction) / 2
 	}
-	return time.Duration(float64(longest) * part)
+	return time.Duration(float64(longest) * fraction)
 }
 
 // get sends a request to discovery and returns the response body if the status is OK.
--- a/internal/protocol/discovery_test.go
+++ b/internal/protocol/discovery_test.go
@@ -31,7 +31,7 @@
 
 func (k discoveryCall) serve(c net.Conn, upToDate *timestamp) {
 	defer closeQuietly(c)
-	upToDate.now()
+	upToDate.setNow()
 	if k.respond != nil {
 		k.respond(c, upToDate)
 	}
@@ -48,16 +48,16 @@
 // writeUpToDate writes a text that signals that all changes so far have been sent.
 func writeUpToDate(c io.Writer, upToDate *timestamp, text string) {
 	if _, err := io.WriteString(c, text); err == nil {
-		upToDate.now()
+		upToDate.setNow()
 	}
 }
 
 // timestamp is set by the goroutine of one request and read by that of the next.
 type timestamp struct{ at atomic.Int64 }
 
-func (i *timestamp) now() { i.at.Store(time.Now().UnixNano()) }
+func (t *timestamp) setNow() { t.at.Store(time.Now().UnixNano()) }
 
-func (i *timestamp) since() time.Duration { return time.Since(time.Unix(0, i.at.Load())) }
+func (t *timestamp) since() time.Duration { return time.Since(time.Unix(0, t.at.Load())) }
 
 var changedList = object(9, false, member("a", "DRAINING"), member("b", "SERVING"))
 
@@ -118,12 +118,12 @@
 			}
 		}
 	}
-	for _, isPolled := range []bool{false, true} {
-		t.Run(fmt.Sprint("polled ", isPolled), func(t *testing.T) {
+	for _, isDirect := range []bool{false, true} {
+		t.Run(fmt.Sprint("direct ", isDirect), func(t *testing.T) {
 			const mostReported = 10
 			longest, late := time.Duration(0), 0
 			for i, sequence := range sequences {
-				took := timeToApplyChange(t, uint64(i), isPolled, sequence)
+				took := timeToApplyChange(t, uint64(i), isDirect, sequence)
 				longest = max(longest, took)
 				if took <= changeTimeout-applyTime {
 					continue
@@ -146,9 +146,9 @@
 
 // timeToApplyChange fails requests in the given ways and then delivers the change in response to one that it holds for
 // 2 s. It returns the time from the change to its application.
-func timeToApplyChange(t *testing.T, seed uint64, isPolled bool, before []discoveryCall) (took time.Duration) {
+func timeToApplyChange(t *testing.T, seed uint64, isDirect bool, before []discoveryCall) (took time.Duration) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newTestDiscovery(seed, "discovery:80", isPolled)
+		d := newTestDiscovery(seed, "discovery:80", isDirect)
 		if err := d.LoadCached([]byte(object(5, true, member("a", "SERVING")))); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/protocol/draining.go
+++ b/internal/protocol/draining.go
@@ -37,8 +37,8 @@
 // Drain asks all clients to reconnect, spread evenly between two times from now: all at once, they would overload the
 // other balancers and the capacity for connection set-ups that all clients share. Clients that connect during the drain
 // are served, and asked to reconnect in turn. No client is asked before the first time: until then the layer in front
-// of the balancers still sends clients here, so that half of them would come straight back. Drain returns when the
-// context ends.
+// of the balancers still sends clients here, and half of those that reconnect would return to this balancer. Drain
+// returns when the context ends.
 func (f *Frontend) Drain(ctx context.Context, from, until time.Duration) {
 	if !sleep(ctx, from) {
 		return
--- a/internal/protocol/endpointlist_test.go
+++ b/internal/protocol/endpointlist_test.go
@@ -90,7 +90,7 @@
 		t.Errorf("error %v, want one that contains the bound of %d bytes", err, maxListBytes)
 	}
 	if _, known := r.IsDisabled("b"); known || d.revision.Load() != 5 {
-		t.Errorf("some of it took effect: b is known %v, revision %d", known, d.revision.Load())
+		t.Errorf("part of the list took effect: server b is known: %v, want false; revision %d, want 5", known, d.revision.Load())
 	}
 }
 
--- a/internal/protocol/endpointstart_test.go
+++ b/internal/protocol/endpointstart_test.go
@@ -15,7 +15,8 @@
 // restartingServer is the server that starts during the test.
 const restartingServer = "b"
 
-// memberStartedAt returns its member, as JSON, with the time of its start by the clock of another machine.
+// memberStartedAt returns the list entry of restartingServer, as JSON, with a start time by the clock of another
+// machine.
 func memberStartedAt(at time.Time) string {
 	return fmt.Sprintf(`{"id":%q,"host_port":"127.0.0.1:1","phase":"SERVING","up_since_ms":%d}`, restartingServer, at.UnixMilli())
 }
--- a/internal/protocol/flowids.go
+++ b/internal/protocol/flowids.go
@@ -24,9 +24,9 @@
 	taken   map[uint64]struct{}
 	retired []uint64 // a ring of the ids of ended flows
 	oldest  int      // index of the oldest entry of the ring, once it is full
-	// isTakenElsewhere claims an id at the process that imported the ids, and reports whether it was in use there. It
+	// claimElsewhere claims an id at the process that imported the ids, and reports whether it was in use there. It
 	// is nil if there is no such process.
-	isTakenElsewhere func(hash uint64) bool
+	claimElsewhere func(hash uint64) bool
 }
 
 func newFlowIDs() *flowIDs {
@@ -40,14 +40,15 @@
 	return binary.BigEndian.Uint64(sum[:])
 }
 
-// claim adds the id of a new flow to the set, until end is called. It reports whether the id was free.
+// claim adds the id of a new flow to the set and reports whether it was free. If so, the caller must call end once the
+// flow has ended.
 func (ids *flowIDs) claim(id string) (wasFree bool) {
 	ids.mu.Lock()
 	hash := ids.hash(id)
-	isTakenElsewhere := ids.isTakenElsewhere
+	claimElsewhere := ids.claimElsewhere
 	wasFree = ids.addIfFree(hash)
 	ids.mu.Unlock()
-	if !wasFree || isTakenElsewhere == nil || !isTakenElsewhere(hash) {
+	if !wasFree || claimElsewhere == nil || !claimElsewhere(hash) {
 		return wasFree
 	}
 	ids.mu.Lock()
@@ -99,11 +100,11 @@
 	ids.oldest = (ids.oldest + 1) % retiredIDs
 }
 
-// export returns the key and the hashes of all ids in the set. From then on isTakenElsewhere is called for each new id.
-func (ids *flowIDs) export(isTakenElsewhere func(hash uint64) bool) (key, hashes []byte) {
+// export returns the key and the hashes of all ids in the set. From then on claimElsewhere is called for each new id.
+func (ids *flowIDs) export(claimElsewhere func(hash uint64) bool) (key, hashes []byte) {
 	ids.mu.Lock()
 	defer ids.mu.Unlock()
-	ids.isTakenElsewhere = isTakenElsewhere
+	ids.claimElsewhere = claimElsewhere
 	for hash := range ids.taken {
 		hashes = binary.BigEndian.AppendUint64(hashes, hash)
 	}
@@ -127,9 +128,9 @@
 func (f *Frontend) ClaimID(id string) (wasFree bool) { return f.ids.claim(id) }
 
 // ShareIDs returns the ids in use, as keyed hashes, for another process that imports them. From then on
-// isTakenElsewhere, which asks that process, is called for each new id; calling ShareIDs with nil ends this.
-func (f *Frontend) ShareIDs(isTakenElsewhere func(hash uint64) (taken bool)) (key, ids []byte) {
-	return f.ids.export(isTakenElsewhere)
+// claimElsewhere, which claims it at that process, is called for each new id; calling ShareIDs with nil ends this.
+func (f *Frontend) ShareIDs(claimElsewhere func(hash uint64) (taken bool)) (key, ids []byte) {
+	return f.ids.export(claimElsewhere)
 }
 
 // ImportIDs imports what ShareIDs returned in another process. It is called before any client is served.
--- a/internal/protocol/frontend.go
+++ b/internal/protocol/frontend.go
@@ -26,16 +26,18 @@
 
 // Reasons for rejecting a connection or failing a flow. The client receives the text, unless the reply is BUSY.
 var (
-	errIDTaken            = errors.New("this id was another connection's")
-	errNoDescriptors      = errors.New("no descriptor left") // replied to with BUSY
-	errOutOfService       = errors.New("out of service")     // replied to with BUSY
-	errFirstLineTimeout   = errors.New("no whole line in time")
-	errTooManyPings       = errors.New("too many PINGs")
-	errDataBeforeReply    = errors.New("spoke before its answer")
+	errIDTaken          = errors.New("this id was another connection's")
+	errNoDescriptors    = errors.New("no descriptor left") // replied to with BUSY
+	errOutOfService     = errors.New("out of service")     // replied to with BUSY
+	errFirstLineTimeout = errors.New("no whole line in time")
+	errTooManyPings     = errors.New("too many PINGs")
+	errDataBeforeReply  = errors.New("spoke before its answer")
+	// errMayHaveRun means that the client's timeout expired or this balancer stops, after an attempt that may have run
+	// the flow.
 	errMayHaveRun         = errors.New("given up")
 	errClientDisconnected = errors.New("the client left")
-	errResumeFailed       = errors.New("not up")
-	errAborted            = errors.New("no answer")
+	errResumeFailed       = errors.New("not up")    // the connection to the server could not be re-established
+	errAborted            = errors.New("no answer") // the balancer aborted the flow: an attempt may have run it
 )
 
 // Frontend serves the clients' connections.
--- a/internal/protocol/frontend_test.go
+++ b/internal/protocol/frontend_test.go
@@ -67,7 +67,7 @@
 				client.want(line)
 			}
 			if more, err := io.ReadAll(client.in); len(more) > 0 || err != nil && len(c.line) < 10000 {
-				t.Errorf("then %q, %v", more, err)
+				t.Errorf("after the replies: received %q, %v, want the end of the connection", more, err)
 			}
 			if took := time.Since(start); took > 3*sec {
 				t.Errorf("ended after %v", took)
@@ -77,7 +77,7 @@
 	t.Cleanup(func() {
 		b.stop()
 		if free := b.budget.Free(); free != descriptors {
-			t.Errorf("%d descriptors of %d were released", free, descriptors)
+			t.Errorf("%d of %d descriptors are free, want all", free, descriptors)
 		}
 	})
 }
@@ -92,7 +92,7 @@
 // A misbehaving client must not reach a server or affect another client's flow. A flow whose id is in use is rejected
 // and the first flow continues. A client that sends data before the reply is disconnected, which does not count against
 // the server.
-func TestIDsTakenAndEarlySpeakers(t *testing.T) {
+func TestTakenIDsAndDataBeforeReply(t *testing.T) {
 	l := listen(t)
 	b := startBalancer(t, decide.Idempotent, 100, l.Addr().String())
 	first := b.client(openFlowLine)
@@ -125,7 +125,7 @@
 		b.frontend.ids.end(id)
 	}
 	if n := len(b.frontend.ids.taken); n > retiredIDs+1 || !b.frontend.ClaimID("1a") || b.frontend.ClaimID("x9") {
-		t.Errorf("%d ids are kept, or not the last ones", n)
+		t.Errorf("%d ids are kept, want at most %d; or an old id is still taken, or a recent one was dropped", n, retiredIDs+1)
 	}
 }
 
@@ -190,7 +190,7 @@
 	cancel()
 	<-drained
 	if first < after || last-first < (over-after)/3 || last > over+300*ms {
-		t.Errorf("moved from %v to %v", first, last)
+		t.Errorf("clients were asked to reconnect from %v to %v, want spread between %v and %v", first, last, after, over)
 	}
 }
 
--- a/internal/protocol/healthcheck_test.go
+++ b/internal/protocol/healthcheck_test.go
@@ -23,7 +23,7 @@
 			go func() {
 				server, line := accept(t, l)
 				if line != "STATS" {
-					t.Errorf("asked with %q", line)
+					t.Errorf("the server got %q, want STATS", line)
 				}
 				server.send(c.answer)
 				server.close()
--- a/internal/protocol/localerrors_test.go
+++ b/internal/protocol/localerrors_test.go
@@ -15,7 +15,8 @@
 	"yardwinch/internal/transport"
 )
 
-// failingDialer fails the dials for whose number fails returns true with a local error, as if the system refused them.
+// failingDialer returns a Dialer whose nth dial fails with the local error err if fails(n) is true,
+// as if the system refused it.
 func failingDialer(err error, fails func(n int64) bool) transport.Dialer {
 	var n atomic.Int64
 	return transport.Dialer{Connect: func(ctx context.Context, by *net.Dialer, addr string) (net.Conn, error) {
--- a/internal/protocol/races_test.go
+++ b/internal/protocol/races_test.go
@@ -195,14 +195,14 @@
 }
 
 // starvedConn is a client's connection in a process without enough CPU time. The client disconnects at the time of a
-// given idle check (Conn.HasPendingInput), and the goroutine that reads from the client does not run before that check
-// is over. An idle check is recognised by its call of SyscallConn.
+// given check for pending input (Conn.HasPendingInput), and the goroutine that reads from the client does not run
+// before that check is over. Such a check is recognised by its call of SyscallConn.
 type starvedConn struct {
 	*net.TCPConn
-	leaveAt     int    // the number of the idle check at which the client disconnects
+	leaveAt     int    // the number of the check at which the client disconnects
 	leave       func() // disconnects the client
 	lineWasRead bool
-	idleChecks  int
+	inputChecks int
 	released    chan struct{} // closed once the reader may run
 }
 
@@ -219,8 +219,8 @@
 }
 
 func (s *starvedConn) SyscallConn() (syscall.RawConn, error) {
-	s.idleChecks++
-	if s.idleChecks == s.leaveAt {
+	s.inputChecks++
+	if s.inputChecks == s.leaveAt {
 		s.leave()
 		for !transport.NewConn(s.TCPConn).HasPendingInput() { // until the FIN or reset has arrived
 			time.Sleep(ms)
@@ -293,7 +293,7 @@
 		}
 	}
 	<-done
-	if conn.idleChecks < conn.leaveAt {
+	if conn.inputChecks < conn.leaveAt {
 		t.Fatal("the client never disconnected")
 	}
 	dial(t, l.Addr().String()).send("last\r\n") // behind all other connections in the queue
--- a/internal/protocol/relay.go
+++ b/internal/protocol/relay.go
@@ -56,7 +56,7 @@
 	isWriteError := errors.As(err, &side) && side.IsWriteSide
 	switch {
 	case isWriteError && errors.Is(err, os.ErrDeadlineExceeded):
-		s.writeSideClosed.Store(true)
+		s.serverStoppedReading.Store(true)
 		s.server.Stop() // the server stopped reading: ask the client to reconnect
 	case isWriteError:
 		s.server.SetReadDeadline(time.Now().Add(endTimeout)) // the server closed the connection; read its last lines
@@ -121,17 +121,19 @@
 func (s *session) relayOutcome(err error) (outcome routing.Outcome, isBroken bool) {
 	outcome, isBroken = s.classifyRelayEnd(err)
 	if s.lastLineKind == "MOVE" && outcome == routing.Cancelled {
-		outcome = routing.Full // the endpoint list does not say so yet: the server would send the next client away too
+		// The server would ask the next client to reconnect too, which the endpoint list does not show yet.
+		outcome = routing.Full
 	}
 	return outcome, isBroken
 }
 
-// classifyRelayEnd is relayOutcome without the special case for MOVE.
+// classifyRelayEnd maps the error and the server's last line to an outcome, which relayOutcome replaces where the
+// server sent MOVE.
 func (s *session) classifyRelayEnd(err error) (outcome routing.Outcome, isBroken bool) {
 	var side *transport.SideError
 	switch {
 	case errors.Is(err, transport.ErrStopped):
-		if s.writeSideClosed.Load() {
+		if s.serverStoppedReading.Load() {
 			return routing.Reset, false
 		}
 		return routing.Cancelled, false
--- a/internal/protocol/relay_test.go
+++ b/internal/protocol/relay_test.go
@@ -48,7 +48,7 @@
 			other.close()
 			b.stop()
 			if free := b.budget.Free(); free != 100 {
-				t.Errorf("%d descriptors of 100 were released", free)
+				t.Errorf("%d of 100 descriptors are free, want all", free)
 			}
 			if took := time.Since(start); took > sec {
 				t.Errorf("held for %v", took)
--- a/internal/protocol/session.go
+++ b/internal/protocol/session.go
@@ -48,9 +48,9 @@
 	settled    chan struct{} // closed once the connection is established or has failed
 	clientDone chan struct{} // closed once readClient has returned
 
-	clientEnded     atomic.Bool // the client closed its side
-	clientMaySend   atomic.Bool // the reply is being sent: the client may send lines
-	writeSideClosed atomic.Bool // the server accepts no more lines
+	clientEnded          atomic.Bool // the client closed its side
+	clientMaySend        atomic.Bool // the reply is being sent: the client may send lines
+	serverStoppedReading atomic.Bool // a write to the server timed out
 
 	state      sessionState // changed only by transition
 	mayHaveRun bool         // an attempt may have taken effect at a server
@@ -61,7 +61,8 @@
 	transferEnded    chan struct{} // closed once a transfer succeeded or failed; nil if none is in progress
 }
 
-// transition changes the state and does the bookkeeping that goes with the change.
+// transition changes the state. It also maintains the frontend's list of established sessions, closes settled, and
+// retires the flow's id when the session ends.
 func (s *session) transition(to sessionState) {
 	if s.state == stateEstablished {
 		s.frontend.removeEstablished(s)
--- a/internal/protocol/transfer.go
+++ b/internal/protocol/transfer.go
@@ -14,8 +14,8 @@
 // This file transfers established connections from one process of a balancer to its successor.
 
 const (
-	// MaxConcurrentTransfers is how many connections are transferred at a time. During its transfer, a connection is held
-	// by both processes.
+	// MaxConcurrentTransfers is how many connections are transferred at a time. During its transfer, a connection is
+	// held by both processes.
 	MaxConcurrentTransfers = 4
 
 	// maxUnreadBytes bounds the unread bytes that are accepted for one side. It is more than a relay ever holds.
@@ -60,7 +60,7 @@
 
 // TransferConnections transfers all established connections, MaxConcurrentTransfers at a time, until the context ends.
 // Connections that can't be transferred stay here. It returns the number of connections transferred and their total.
-func (f *Frontend) TransferConnections(ctx context.Context, transfer TransferFunc) (transferred, of int) {
+func (f *Frontend) TransferConnections(ctx context.Context, transfer TransferFunc) (transferred, total int) {
 	f.mu.Lock()
 	f.transferConnection = func(c EstablishedConnection, client, server syscall.Conn) bool {
 		if ctx.Err() != nil || !transfer(c, client, server) {
--- a/internal/protocol/watch.go
+++ b/internal/protocol/watch.go
@@ -38,18 +38,18 @@
 
 // watchStream reads a watch's objects, and the blanks between them that are heartbeats.
 type watchStream struct {
-	discovery     *Discovery
-	body          listReader
-	deadline      *time.Timer // cancels the watch
-	openedAt      time.Time
-	silentSince   time.Time
-	isFirstObject bool // no complete object and no blank has been received
-	objectIsOpen  bool // an object has been read in part
+	discovery       *Discovery
+	body            listReader
+	deadline        *time.Timer // cancels the watch
+	openedAt        time.Time
+	silentSince     time.Time
+	nothingComplete bool // neither a complete object nor a heartbeat has been received
+	objectIsOpen    bool // an object has been read in part
 }
 
 func newWatchStream(d *Discovery) *watchStream {
 	now := time.Now()
-	return &watchStream{discovery: d, openedAt: now, silentSince: now, isFirstObject: true}
+	return &watchStream{discovery: d, openedAt: now, silentSince: now, nothingComplete: true}
 }
 
 // applyObjects applies one object after another until the watch fails. The changes of an object that can't be applied
@@ -92,18 +92,20 @@
 
 // onUpToDate handles a blank between objects or the end of an object: all changes up to now have been received.
 func (w *watchStream) onUpToDate() {
-	w.isFirstObject = false
+	w.nothingComplete = false
 	w.discovery.onContact()
 	w.discovery.router.OnDiscoveryContact()
 	w.postponeDeadline()
 }
 
 // onObjectStart bounds the time until the object is complete. Further bytes of the object do not extend the deadline,
-// as an object that trickles in without end would never bring a change.
+// as an object that trickles in without end would never bring a change. The object has responseTimeout from its first
+// byte. If it begins within responseTimeout of the request, and before any heartbeat, it must be complete within that
+// time of the request.
 func (w *watchStream) onObjectStart() {
 	w.discovery.hadContact = true
 	w.silentSince = time.Now()
-	if w.isFirstObject && w.silentSince.Sub(w.openedAt) < w.discovery.responseTimeout {
+	if w.nothingComplete && w.silentSince.Sub(w.openedAt) < w.discovery.responseTimeout {
 		w.silentSince = w.openedAt
 	}
 	w.deadline.Reset(w.discovery.responseTimeout - time.Since(w.silentSince))
--- a/internal/protocol/watch_test.go
+++ b/internal/protocol/watch_test.go
@@ -18,12 +18,12 @@
 )
 
 // newTestDiscovery returns a Discovery whose router accepts lists but no flows.
-func newTestDiscovery(seed uint64, addr string, isPolled bool) *Discovery {
+func newTestDiscovery(seed uint64, addr string, isDirect bool) *Discovery {
 	configure := func(b *decide.Balancer) (map[string]decide.ServiceID, map[string]decide.CustomerID) {
-		b.ConfigureEndpoints(decide.EndpointSettings{Polled: isPolled, MaxPollInterval: 10 * sec, MessageTarget: sec})
+		b.ConfigureEndpoints(decide.EndpointSettings{Polled: isDirect, MaxPollInterval: 10 * sec, MessageTarget: sec})
 		return nil, nil
 	}
-	return NewDiscovery(routing.New(routing.Config{Seed: 1, Configure: configure}), addr, seed, isPolled)
+	return NewDiscovery(routing.New(routing.Config{Seed: 1, Configure: configure}), addr, seed, isDirect)
 }
 
 // runDiscovery runs d until stop is called.
@@ -145,7 +145,7 @@
 // A silent agent has the list as soon as it can be called again, and from then on the list counts as received: a
 // balancer that waited would send flows to a server that drains. So however long the silence, a watch is reopened at
 // once.
-func TestSilentAgentIsPolledAtOnce(t *testing.T) {
+func TestSilentAgentIsCalledAgainAtOnce(t *testing.T) {
 	const silences = 14
 	calls := make(chan struct{}, silences+2)
 	var count atomic.Int32
@@ -180,7 +180,7 @@
 	const left = changeTimeout - applyTime - responseTimeout
 	for _, c := range []struct {
 		name                 string
-		isPolled, fellSilent bool
+		isDirect, fellSilent bool
 		hadContact           bool
 		silence              time.Duration
 		least, most          time.Duration
@@ -199,7 +199,7 @@
 		{"a process without CPU time for long", true, true, true, changeTimeout, 0, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			d := NewDiscovery(startBalancer(t, decide.Idempotent, 0).router, "", 1, c.isPolled)
+			d := NewDiscovery(startBalancer(t, decide.Idempotent, 0).router, "", 1, c.isDirect)
 			least, most := changeTimeout, time.Duration(0)
 			for range 200 {
 				d.hadContact = c.hadContact
