--- a/cmd/yardwinch/main.go
+++ b/cmd/yardwinch/main.go
@@ -41,7 +41,7 @@
 		Sources: cli.EnvVars("PROXY_CONFIG")}
 	options := &cli.StringFlag{Name: "options", Usage: "read the operators' options from `FILE` (TOML); without it they are all off",
 		Sources: cli.EnvVars("YARDWINCH_OPTIONS")}
-	verbose := &cli.BoolFlag{Name: "verbose", Usage: "log each connection's end"}
+	verbose := &cli.BoolFlag{Name: "verbose", Usage: "log debug messages too, such as the start and end of each flow"}
 	return &cli.Command{
 		Name:  programName,
 		Usage: "balance long-lived connections",
--- a/cmd/yardwinch/sighup_test.go
+++ b/cmd/yardwinch/sighup_test.go
@@ -17,8 +17,8 @@
 var runLine = regexp.MustCompile(`(?m)^run = "(.*)"$`)
 
 // SIGHUP must not end the process during its start, whether or not its configuration can be served. The test sends
-// SIGHUP repeatedly, from when the process no longer is a shell that the signal would end. The daemon is started by the
-// command in the deploy file, as on the platform.
+// SIGHUP repeatedly, starting once the shell ignores the signal or has been replaced by the daemon. The daemon is
+// started by the command in the deploy file, as on the platform.
 func TestSIGHUPAtStart(t *testing.T) {
 	const starts = 12
 	root := buildDaemon(t)
@@ -55,7 +55,7 @@
 				if !isRunning && errors.As(err, &exit) && exit.Sys().(syscall.WaitStatus).Signaled() {
 					t.Errorf("start %d: ended by %v", n, exit)
 				} else if isRunning == c.exits {
-					t.Errorf("start %d: running %v, %v", n, isRunning, err)
+					t.Errorf("start %d: running: %v, want %v (%v)", n, isRunning, !c.exits, err)
 				}
 			}
 		})
--- a/internal/config/balancer.go
+++ b/internal/config/balancer.go
@@ -19,7 +19,7 @@
 }
 
 const (
-	discoveryPolled = "ask"    // keyDiscoveryMode: the endpoint list must be polled
+	discoveryPolled = "ask"    // keyDiscoveryMode: see DiscoveryIsPolled
 	weightsUnstated = "silent" // keyWeights: the endpoint list states no server sizes
 
 	defaultOverloadWindow = 1500 * time.Millisecond
@@ -84,8 +84,9 @@
 	return ids
 }
 
-// checkAvailabilityNines validates the weight of availability targets in the platform's valuation. No decision depends
-// on these settings; they are read so that an invalid value is reported.
+// checkAvailabilityNines validates the settings for the platform's valuation of availability, counted in nines: its
+// weight and the top number of nines. No decision depends on these settings; they are read so that an invalid value is
+// reported.
 func checkAvailabilityNines(settings Values) {
 	weight := settings.Float(keyNinesWeight, 0)
 	full := settings.Float(keyFullNines, 0)
@@ -108,7 +109,9 @@
 	return settings.Duration(keyMaxRetryAfter)
 }
 
-// DiscoveryIsPolled reports whether the endpoint list must be polled rather than watched.
+// DiscoveryIsPolled reports whether the balancers call discovery itself, which they share, rather than an agent on
+// their machine. Package decide then requests the list at the start and again after each failed update. The daemon
+// ignores these requests, as it keeps a watch open in either case.
 func DiscoveryIsPolled(settings Values) bool {
 	return settings.String(keyDiscoveryMode, "") == discoveryPolled
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -173,8 +173,8 @@
 	}
 }
 
-// Settings that a deployment does not state get no values of other deployments, and no name has a special meaning.
-func TestSettingsOfOtherDeployments(t *testing.T) {
+// A message target that is not stated defaults to the setup target, and names such as "null" or "0" are ordinary names.
+func TestMessageTargetDefaultsAndNames(t *testing.T) {
 	for _, c := range []struct {
 		name, text string
 		target     time.Duration
--- a/internal/config/keys.go
+++ b/internal/config/keys.go
@@ -42,8 +42,8 @@
 	keyServersReportLatency = "family-info.tells-delay"
 	keyReportingMode        = "reporting.how"
 	keyReportColumns        = "reporting.columns"
-	keyNinesWeight          = "goal.nines-part"
-	keyFullNines            = "goal.top-nines"
+	keyNinesWeight          = "goal.nines-part" // of availability, counted in nines, in the platform's valuation
+	keyFullNines            = "goal.top-nines"  // the top number of nines in that valuation
 
 	keyCustomers    = "tenants" // a list of objects
 	keyCustomerName = "name"
--- a/internal/config/migrate.go
+++ b/internal/config/migrate.go
@@ -53,7 +53,7 @@
 			return fmt.Errorf("%s: unknown key", key)
 		}
 		if d == alwaysDropped {
-			return fmt.Errorf("%s: can't be taken over, %s", key, dropReasons[key])
+			return fmt.Errorf("%s: not allowed in a shape: %s", key, dropReasons[key])
 		}
 	}
 	for _, list := range []string{keyServiceTypes, keyCustomers} {
@@ -113,5 +113,5 @@
 	if reason := dropReasons[key]; reason != "" {
 		return reason
 	}
-	return "true of the old place alone, and the shape doesn't state it"
+	return "valid in the old deployment only, and the shape doesn't state it"
 }
--- a/internal/config/migrate_json.go
+++ b/internal/config/migrate_json.go
@@ -77,7 +77,7 @@
 		name := token.(string) // the decoder only accepts a string here
 		memberKey := strings.TrimPrefix(key+"."+name, ".")
 		if _, duplicate := object[name]; duplicate {
-			return nil, fmt.Errorf("%s: stands twice", memberKey)
+			return nil, fmt.Errorf("%s: duplicate key", memberKey)
 		}
 		if object[name], err = decodeValue(decoder, memberKey); err != nil {
 			return nil, err
@@ -107,9 +107,9 @@
 
 func syntaxError(decoder *json.Decoder, key string, err error) error {
 	if key == "" {
-		key = "the whole"
+		key = "top level"
 	}
-	return fmt.Errorf("%s: no JSON after byte %d: %w", key, decoder.InputOffset(), err)
+	return fmt.Errorf("%s: invalid JSON after byte %d: %w", key, decoder.InputOffset(), err)
 }
 
 // nestLeaves is the inverse of readLeaves: it returns the nested object.
--- a/internal/config/migrate_keys.go
+++ b/internal/config/migrate_keys.go
@@ -18,10 +18,10 @@
 // dropReasons says why keys are dropped, where there is a specific reason.
 var dropReasons = map[string]string{
 	"known":                        "names servers of the old fleet",
-	"peers":                        "balancers send each other nothing any more",
-	"peers_all":                    "balancers send each other nothing any more",
-	"peer_listen":                  "balancers send each other nothing any more",
-	"settings.policy-limits.peers": "balancers send each other nothing any more",
+	"peers":                        "not used: membership is configured in the options file",
+	"peers_all":                    "not used: membership is configured in the options file",
+	"peer_listen":                  "not used: membership is configured in the options file",
+	"settings.policy-limits.peers": "not used: membership is configured in the options file",
 	"settings.family-info.park":    "connections are terminated at the balancer",
 	"settings.reporting.how":       "the shape doesn't state whether servers report their load",
 	"settings.reporting.columns":   "the shape doesn't state what servers report",
--- a/internal/config/options.go
+++ b/internal/config/options.go
@@ -73,7 +73,7 @@
 	return path
 }
 
-// Peers returns the options for membership with other balancers; nil if there is none.
+// Peers returns the options for membership with other balancers; nil if membership is off.
 func (o *Options) Peers() *Peers { return o.peers }
 
 // ExplainSocket returns the path of the socket on which the balancer explains its decisions; empty means none.
--- a/internal/daemon/migrate_test.go
+++ b/internal/daemon/migrate_test.go
@@ -72,11 +72,11 @@
 		{name: "another file, without overwrite", to: "there.json", err: "there.json: already exists"},
 		{name: "the old file, with overwrite", to: "old.json", force: true, err: "old.json: is an input file"},
 		{name: "an empty file", old: " ", err: "old.json: is empty"},
-		{name: "invalid JSON", old: "{", err: "old.json: the whole: no JSON"},
+		{name: "invalid JSON", old: "{", err: "old.json: top level: invalid JSON"},
 		{
 			name:  "a duplicate key in a list",
 			shape: `{"settings":{"tenants":[{"name":"a","name":"b"}]}}`,
-			err:   "shape.json: settings.tenants.0.name: stands twice",
+			err:   "shape.json: settings.tenants.0.name: duplicate key",
 		},
 		{
 			name:  "an unknown key",
@@ -91,7 +91,7 @@
 		{
 			name:  "servers in the shape",
 			shape: `{"known":{"members":[]}}`,
-			err:   "shape.json: known: can't be taken over",
+			err:   "shape.json: known: not allowed in a shape",
 		},
 		{
 			name:  "text for a number",
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -90,7 +90,7 @@
 	} {
 		var response any
 		if err := query(t.Context(), path, request, &response); err == nil || err.Error() != want {
-			t.Errorf("%s: %v", request, err)
+			t.Errorf("%s: error %v, want %s", request, err, want)
 		}
 	}
 }
--- a/internal/explain/server.go
+++ b/internal/explain/server.go
@@ -68,7 +68,7 @@
 	return listener, os.Chmod(path, socketMode)
 }
 
-// ProcessState is the state of the process that the router does not know.
+// ProcessState is the part of a balancer's state that the router does not have.
 type ProcessState struct {
 	Phase        string
 	OtherProcess string // the state of the balancer's other process; empty if there is none
