--- a/internal/config/migrate.go
+++ b/internal/config/migrate.go
@@ -13,8 +13,8 @@
 	Text []byte
 }
 
-// Migrated is the result of a migration.
-type Migrated struct {
+// MigrationResult is the result of a migration.
+type MigrationResult struct {
 	Text        []byte   // the new configuration
 	Report      []string // the disposition of each key and the reason, sorted
 	IsUnchanged bool     // the old configuration matched the shape already; Text is identical to it
@@ -22,27 +22,27 @@
 
 // Migrate combines an old configuration with a shape, a partial configuration that describes the new deployment. It
 // adds no default values. Errors name the file and the key.
-func Migrate(old, shape File) (Migrated, error) {
+func Migrate(old, shape File) (MigrationResult, error) {
 	from, err := readLeaves(old.Text)
 	if err != nil {
-		return Migrated{}, fmt.Errorf("%s: %w", old.Name, err)
+		return MigrationResult{}, fmt.Errorf("%s: %w", old.Name, err)
 	}
 	to, err := readLeaves(shape.Text)
 	if err != nil {
-		return Migrated{}, fmt.Errorf("%s: %w", shape.Name, err)
+		return MigrationResult{}, fmt.Errorf("%s: %w", shape.Name, err)
 	}
 	if err := checkShape(to); err != nil {
-		return Migrated{}, fmt.Errorf("%s: %w", shape.Name, err)
+		return MigrationResult{}, fmt.Errorf("%s: %w", shape.Name, err)
 	}
 	merged, report := mergeLeaves(from, to)
 	if reflect.DeepEqual(merged, from) {
-		return Migrated{Text: old.Text, Report: report, IsUnchanged: true}, nil
+		return MigrationResult{Text: old.Text, Report: report, IsUnchanged: true}, nil
 	}
 	text, err := json.MarshalIndent(nestLeaves(merged), "", "  ")
 	if err != nil {
-		return Migrated{}, fmt.Errorf("encode the new configuration: %w", err)
+		return MigrationResult{}, fmt.Errorf("encode the new configuration: %w", err)
 	}
-	return Migrated{Text: append(text, '\n'), Report: report}, nil
+	return MigrationResult{Text: append(text, '\n'), Report: report}, nil
 }
 
 // checkShape rejects keys that are unknown or not allowed in a shape.
@@ -53,7 +53,7 @@
 			return fmt.Errorf("%s: unknown key", key)
 		}
 		if d == alwaysDropped {
-			return fmt.Errorf("%s: can't be taken over, %s", key, dropReasons[key])
+			return fmt.Errorf("%s: not allowed in a shape: %s", key, dropReasons[key])
 		}
 	}
 	for _, list := range []string{keyServiceTypes, keyCustomers} {
@@ -113,5 +113,5 @@
 	if reason := dropReasons[key]; reason != "" {
 		return reason
 	}
-	return "true of the old place alone, and the shape doesn't state it"
+	return "valid in the old deployment only, and the shape doesn't state it"
 }
--- a/internal/protocol/endpointlist_test.go
+++ b/internal/protocol/endpointlist_test.go
@@ -28,7 +28,7 @@
 // Flows are routed by the list, and an invalid update changes nothing.
 func TestEndpointList(t *testing.T) {
 	first := object(5, true, member("a", "SERVING"))
-	longestID := strings.Repeat("x", routing.MaxIDLength)
+	longestID := strings.Repeat("x", routing.MaxServerNameLength)
 	for _, c := range []struct {
 		name         string
 		update       string // after the first
@@ -90,7 +90,7 @@
 		t.Errorf("error %v, want one that contains the bound of %d bytes", err, maxListBytes)
 	}
 	if _, known := r.IsDisabled("b"); known || d.revision.Load() != 5 {
-		t.Errorf("some of it took effect: b is known %v, revision %d", known, d.revision.Load())
+		t.Errorf("part of the list took effect: server b is known: %v, want false; revision %d, want 5", known, d.revision.Load())
 	}
 }
 
