--- a/internal/simulation/client.go
+++ b/internal/simulation/client.go
@@ -271,12 +271,12 @@
 func (c *Client) scheduleReturn() {
 	c.transition(Pausing)
 	c.retried++
-	c.afterInState(c.service().Return.Draw(c.random), c.attempt)
+	c.afterInState(c.service().ReconnectDelay.Draw(c.random), c.attempt)
 }
 
-// watchForSilence makes a client close its connection and reconnect when its server has not responded for Service.SilenceNoticed.
+// watchForSilence makes a client close its connection and reconnect when its server has not responded for Service.SilenceTimeout.
 func (c *Client) watchForSilence() {
-	limit := c.service().SilenceNoticed
+	limit := c.service().SilenceTimeout
 	if limit <= 0 {
 		return
 	}
@@ -327,8 +327,9 @@
 	}
 }
 
-// AddGuest adds a client from outside the model, which a server serves and the totals don't count. It returns the client's flow.
-func (w *World) AddGuest(s ServiceID, g GroupID) (FlowID, *Client) {
+// AddExternalClient adds a client from outside the model, which a server serves and the totals don't count. It returns the client's
+// flow.
+func (w *World) AddExternalClient(s ServiceID, g GroupID) (FlowID, *Client) {
 	c := &Client{ID: -1, Arrival: Arrival{Service: s, Customer: -1, Group: g, Load: w.meanLoad}, w: w, load: w.meanLoad}
 	c.newFlow()
 	return c.flow, c
--- a/internal/simulation/connection.go
+++ b/internal/simulation/connection.go
@@ -189,7 +189,7 @@
 		s.w.Schedule.After(delay, Work, func() {
 			if k.stage == established && s.incarnation == incarnation && s.IsServing() {
 				s.end(k)
-				s.w.Driver.EndConnect(k.id, MoveRequested)
+				s.w.Driver.EndConnect(k.id, MigrationRequested)
 			}
 		})
 	}
--- a/internal/simulation/fault.go
+++ b/internal/simulation/fault.go
@@ -11,28 +11,28 @@
 
 // Kinds of faults. Servers that restart after a fault are in slow start.
 const (
-	Slow          FaultKind = "slow"           // a share of servers is Strength times slower
-	Errors        FaultKind = "errors"         // a share of servers quickly fails the fraction Strength of its set-ups
-	Vanish        FaultKind = "vanish"         // a share of servers stops responding and restarts at the end
-	Crash         FaultKind = "crash"          // a share of servers crashes and restarts at the end
-	Deploy        FaultKind = "deploy"         // a share of servers is replaced, Strength of the fleet at a time, draining for Extra
-	Grow          FaultKind = "grow"           // the fleet becomes Strength times as large
-	StoreSlow     FaultKind = "store_slow"     // the session store is Strength times slower
-	Reconnect     FaultKind = "reconnect"      // a share of clients drops its connections and reconnects within Length
-	Burst         FaultKind = "burst"          // the arrival rate is multiplied by Strength
-	Neighbour     FaultKind = "neighbour"      // on a share of servers another program uses Strength of the cores, Extra on, Extra off
-	ListDark      FaultKind = "list_dark"      // the server list sends no updates
-	ListStale     FaultKind = "list_stale"     // updates of the server list are delayed by Extra more than usual
-	BalancerCrash FaultKind = "balancer_crash" // a share of balancers crashes and restarts at the end
-	BalancerRoll  FaultKind = "balancer_roll"  // a share of balancers stops cleanly and starts again Extra later, Strength of all at a time
-	LocalityLost  FaultKind = "hall_lost"      // all servers of a locality stop responding, its balancers die; all restart at the end
-	Partition     FaultKind = "cut"            // Locality can't send to the others; nor they to it where Strength is 1 or more
-	Overload      FaultKind = "overload"       // the load is multiplied by Strength, that of established connections too
+	Slow                   FaultKind = "slow"           // a share of servers is Strength times slower
+	Errors                 FaultKind = "errors"         // a share of servers quickly fails the fraction Strength of its set-ups
+	Vanish                 FaultKind = "vanish"         // a share of servers stops responding and restarts at the end
+	Crash                  FaultKind = "crash"          // a share of servers crashes and restarts at the end
+	Deploy                 FaultKind = "deploy"         // a share of servers is replaced, Strength of the fleet at a time, draining for Extra
+	ScaleOut               FaultKind = "grow"           // the fleet becomes Strength times as large
+	StoreSlow              FaultKind = "store_slow"     // the session store is Strength times slower
+	Reconnect              FaultKind = "reconnect"      // a share of clients drops its connections and reconnects within Length
+	Burst                  FaultKind = "burst"          // the arrival rate is multiplied by Strength
+	NoisyNeighbour         FaultKind = "neighbour"      // on a share of servers another program uses Strength of the cores, Extra on, Extra off
+	ListOutage             FaultKind = "list_dark"      // the server list sends no updates
+	ListDelay              FaultKind = "list_stale"     // updates of the server list are delayed by Extra more than usual
+	BalancerCrash          FaultKind = "balancer_crash" // a share of balancers crashes and restarts at the end
+	BalancerRollingRestart FaultKind = "balancer_roll"  // a share of balancers stops cleanly and starts again Extra later, Strength of all at a time
+	LocalityLost           FaultKind = "hall_lost"      // all servers of a locality stop responding, its balancers die; all restart at the end
+	Partition              FaultKind = "cut"            // Locality can't send to the others; nor they to it where Strength is 1 or more
+	Overload               FaultKind = "overload"       // the load is multiplied by Strength, that of established connections too
 )
 
 // FaultKinds lists all kinds.
-var FaultKinds = []FaultKind{Slow, Errors, Vanish, Crash, Deploy, Grow, StoreSlow, Reconnect, Burst, Neighbour, ListDark, ListStale,
-	BalancerCrash, BalancerRoll, LocalityLost, Partition, Overload}
+var FaultKinds = []FaultKind{Slow, Errors, Vanish, Crash, Deploy, ScaleOut, StoreSlow, Reconnect, Burst, NoisyNeighbour, ListOutage, ListDelay,
+	BalancerCrash, BalancerRollingRestart, LocalityLost, Partition, Overload}
 
 // AnyLocality marks a fault that is not limited to one locality.
 const AnyLocality LocalityID = -1
@@ -83,21 +83,21 @@
 // faultStarters holds, for each kind of fault, the function that starts it and schedules its end. Bursts and overloads are missing, as the
 // arrival source applies them.
 var faultStarters = map[FaultKind]func(*World, timedFault){
-	Slow:          (*World).startSlow,
-	Errors:        (*World).startErrors,
-	Vanish:        func(w *World, f timedFault) { w.startOutage(f, Silent) },
-	Crash:         func(w *World, f timedFault) { w.startOutage(f, Down) },
-	Deploy:        (*World).startDeploy,
-	Grow:          (*World).startGrow,
-	StoreSlow:     (*World).startStoreSlow,
-	Reconnect:     (*World).startReconnect,
-	Neighbour:     (*World).startNeighbour,
-	ListDark:      (*World).startListDark,
-	ListStale:     (*World).startListStale,
-	BalancerCrash: (*World).startBalancerCrash,
-	BalancerRoll:  (*World).startBalancerRoll,
-	LocalityLost:  (*World).startLocalityLost,
-	Partition:     (*World).startPartition,
+	Slow:                   (*World).startSlow,
+	Errors:                 (*World).startErrors,
+	Vanish:                 func(w *World, f timedFault) { w.startOutage(f, Silent) },
+	Crash:                  func(w *World, f timedFault) { w.startOutage(f, Down) },
+	Deploy:                 (*World).startDeploy,
+	ScaleOut:               (*World).startScaleOut,
+	StoreSlow:              (*World).startStoreSlow,
+	Reconnect:              (*World).startReconnect,
+	NoisyNeighbour:         (*World).startNoisyNeighbour,
+	ListOutage:             (*World).startListOutage,
+	ListDelay:              (*World).startListDelay,
+	BalancerCrash:          (*World).startBalancerCrash,
+	BalancerRollingRestart: (*World).startBalancerRollingRestart,
+	LocalityLost:           (*World).startLocalityLost,
+	Partition:              (*World).startPartition,
 }
 
 func (w *World) startFault(f timedFault) {
@@ -144,7 +144,7 @@
 	}
 }
 
-func (w *World) startListDark(f timedFault) {
+func (w *World) startListOutage(f timedFault) {
 	w.List.outages++
 	w.atEndOf(f, func() {
 		w.List.outages--
@@ -154,7 +154,7 @@
 	})
 }
 
-func (w *World) startListStale(f timedFault) {
+func (w *World) startListDelay(f timedFault) {
 	w.List.extraDelay += f.Extra
 	w.atEndOf(f, func() { w.List.extraDelay -= f.Extra })
 }
--- a/internal/simulation/fault_balancers.go
+++ b/internal/simulation/fault_balancers.go
@@ -50,8 +50,8 @@
 	}
 }
 
-// startBalancerRoll restarts balancers in batches: each is asked to stop, soon gets no new clients, ends and starts again.
-func (w *World) startBalancerRoll(f timedFault) {
+// startBalancerRollingRestart restarts balancers in batches: each is asked to stop, soon gets no new clients, ends and starts again.
+func (w *World) startBalancerRollingRestart(f timedFault) {
 	inBatches(w, f, w.faultyBalancers(f), f.batchSize(len(w.Balancers)), func(b *Balancer) {
 		if b.IsUp {
 			w.restartBalancer(b, f.Extra)
@@ -62,13 +62,13 @@
 func (w *World) restartBalancer(b *Balancer, downFor time.Duration) {
 	w.Driver.StopBalancer(b.ID)
 	w.Schedule.After(frontDownDelay, Cause, func() { w.setFrontView(b, false) })
-	w.Schedule.After(w.StopWithin(), Cause, func() { w.killBalancers([]*Balancer{b}) })
-	w.Schedule.After(w.StopWithin()+downFor, Cause, func() { w.reviveBalancers([]*Balancer{b}) })
+	w.Schedule.After(w.StopDuration(), Cause, func() { w.killBalancers([]*Balancer{b}) })
+	w.Schedule.After(w.StopDuration()+downFor, Cause, func() { w.reviveBalancers([]*Balancer{b}) })
 }
 
-// StopWithin is the time from the stop signal to the end of the process at a planned restart: the longest timeout of any service, up to a
-// bound, plus a margin.
-func (w *World) StopWithin() time.Duration {
+// StopDuration is the time from the stop signal to the end of the process at a planned restart: the longest timeout of any service, up to
+// a bound, plus a margin.
+func (w *World) StopDuration() time.Duration {
 	longest := time.Duration(0)
 	for _, s := range w.Services {
 		longest = max(longest, s.Timeout)
--- a/internal/simulation/fault_servers.go
+++ b/internal/simulation/fault_servers.go
@@ -49,7 +49,7 @@
 	w.changeDuring(f, func(s *Server) { s.errorShare = f.Strength }, func(s *Server) { s.errorShare = 0 })
 }
 
-func (w *World) startNeighbour(f timedFault) {
+func (w *World) startNoisyNeighbour(f timedFault) {
 	servers := w.faultyServers(f)
 	isOn := false
 	var toggle func()
@@ -123,8 +123,8 @@
 	})
 }
 
-// startGrow adds servers one by one, each with the spec of a randomly drawn existing server.
-func (w *World) startGrow(f timedFault) {
+// startScaleOut adds servers one by one, each with the spec of a randomly drawn existing server.
+func (w *World) startScaleOut(f timedFault) {
 	before := len(w.Servers)
 	added := max(1, int(math.Round(float64(before)*(f.Strength-1))))
 	r := RandomSource(w.Seed, "grow", f.number)
--- a/internal/simulation/list.go
+++ b/internal/simulation/list.go
@@ -10,7 +10,7 @@
 	Notice        Interval // until the list notices a drain, a stop or a crash
 	NoticeSilent  Interval // until the list notices that a server has become unresponsive
 	NoticeAdded   Interval // until the list notices that a server has started
-	Spread        Interval // from the notice until a balancer receives the update
+	DeliveryDelay Interval // from the notice until a balancer receives the update
 	MustSubscribe bool     // balancers receive no updates until they subscribe
 }
 
@@ -97,7 +97,7 @@
 		return
 	}
 	l.subscribers[b].isPending = true
-	l.w.Schedule.After(l.config.Spread.Draw(l.random), ListUpdate, func() { l.send(b) })
+	l.w.Schedule.After(l.config.DeliveryDelay.Draw(l.random), ListUpdate, func() { l.send(b) })
 }
 
 func (l *List) send(b BalancerID) {
@@ -151,8 +151,8 @@
 	l.scheduleSend(b)
 }
 
-// Begin marks the current list as received by all balancers: they know it when a day begins.
-func (l *List) Begin() {
+// MarkDelivered marks the current list as received by all balancers: they know it when a day begins.
+func (l *List) MarkDelivered() {
 	for b := range l.subscribers {
 		l.subscribers[b].revision = l.revision
 	}
--- a/internal/simulation/server.go
+++ b/internal/simulation/server.go
@@ -27,26 +27,26 @@
 	minIdleShare         = 0.005 // least idle share of a server's capacity that message delays are calculated with
 	maxDelaySeconds      = 60
 	minSetupShare        = 0.1 // share of a server's capacity that set-ups get at least
-	dropDivisor          = 12  // a server whose delay exceeds its buffer drops one connection in this many
+	dropDivisor          = 12  // a server whose delay exceeds MaxMessageDelay drops one connection in this many
 	backlogKeptAfterDrop = 0.7 // part of the backlog that remains after such a drop
 	roundingError        = 1e-9
 )
 
 // ServerSpec holds the fixed properties of a server.
 type ServerSpec struct {
-	Locality       LocalityID
-	Cell           CellID
-	Cores          int
-	Speed          float64 // work that a core does per second
-	Size           float64 // as listed
-	MaxConnections int
-	MaxWaiting     int           // limit of set-ups that wait for a core
-	Buffer         time.Duration // message delay above which the server drops connections; 0: it drops none
-	GroupLoad      float64       // additional load of a group, independent of its number of connections
-
-	SlowStart       time.Duration // how long the server takes to warm up
-	SlowStartFrom   float64       // share of the capacity at the start
-	SlowStartByWork float64       // share of the warm-up that depends on work done instead of time
+	Locality        LocalityID
+	Cell            CellID
+	Cores           int
+	Speed           float64 // work that a core does per second
+	Size            float64 // as listed
+	MaxConnections  int
+	MaxWaiting      int           // limit of set-ups that wait for a core
+	MaxMessageDelay time.Duration // message delay above which the server drops connections; 0: it drops none
+	GroupLoad       float64       // additional load of a group, independent of its number of connections
+
+	SlowStart             time.Duration // how long the server takes to warm up
+	SlowStartInitialShare float64       // share of the capacity at the start
+	SlowStartByWork       float64       // share of the warm-up that depends on work done instead of time
 }
 
 // Server is one simulated server. Established connections continuously demand work and share the cores with set-ups. Work that exceeds the
@@ -106,8 +106,8 @@
 // IsServing reports whether the server serves connections, which it still does while it drains.
 func (s *Server) IsServing() bool { return s.phase == Serving || s.phase == Leaving }
 
-// WarmFraction is the share of its capacity that a server in slow start has reached. It rises from SlowStartFrom with the time since the
-// start and with the work done, in the proportions that SlowStartByWork sets.
+// WarmFraction is the share of its capacity that a server in slow start has reached. It rises from SlowStartInitialShare with the time
+// since the start and with the work done, in the proportions that SlowStartByWork sets.
 func (s *Server) WarmFraction() float64 {
 	if s.startedAt == LongAgo || s.SlowStart == 0 {
 		return 1
@@ -115,7 +115,7 @@
 	elapsed := math.Min(1, (s.w.Schedule.now-s.startedAt).Seconds()/s.SlowStart.Seconds())
 	worked := math.Min(s.workDone, math.Min(1, 2*elapsed))
 	warmedUp := (1-s.SlowStartByWork)*elapsed + s.SlowStartByWork*worked
-	return s.SlowStartFrom + (1-s.SlowStartFrom)*math.Min(1, math.Max(warmedUp, elapsed*elapsed))
+	return s.SlowStartInitialShare + (1-s.SlowStartInitialShare)*math.Min(1, math.Max(warmedUp, elapsed*elapsed))
 }
 
 // FullCapacity is the work per second that the server does when it is warm and has no fault.
@@ -202,7 +202,7 @@
 	if s.w.Network.isPartitioned(key.balancerLocality, s.Locality) {
 		return 0
 	}
-	within := s.w.Services[key.account.Service].Message
+	within := s.w.Services[key.account.Service].MessageTarget
 	return (s.shareInTime(backlogBefore, within) + s.shareInTime(s.backlog, within)) / 2
 }
 
@@ -237,7 +237,7 @@
 }
 
 // reportDelay reports the message delay while it is above the threshold, and once more when it no longer is. A server whose delay exceeds
-// its buffer drops connections.
+// MaxMessageDelay drops connections.
 func (s *Server) reportDelay() {
 	if !s.IsServing() || s.established == 0 {
 		return
@@ -249,7 +249,7 @@
 		s.delayReported = isLate
 		s.w.Driver.ReportDelay(s.ID, delay)
 	}
-	if s.Buffer > 0 && delay > s.Buffer {
+	if s.MaxMessageDelay > 0 && delay > s.MaxMessageDelay {
 		s.dropNewest()
 	}
 }
--- a/internal/simulation/types.go
+++ b/internal/simulation/types.go
@@ -57,21 +57,21 @@
 
 // Reasons.
 const (
-	Full          EndReason = iota // the server rejects the connect, which did not run
-	Failed                         // an error; the flow may have run
-	Dropped                        // the connection was reset
-	MoveRequested                  // the server drains and asks the client to reconnect
-	ServerStopped                  // the server stops and closes the connection cleanly
+	Full               EndReason = iota // the server rejects the connect, which did not run
+	Failed                              // an error; the flow may have run
+	Dropped                             // the connection was reset
+	MigrationRequested                  // the server drains and asks the client to reconnect
+	ServerStopped                       // the server stops and closes the connection cleanly
 )
 
-// Reach is the outcome of opening a connection to a server.
-type Reach int
+// Reachability is the outcome of opening a connection to a server.
+type Reachability int
 
 // Outcomes of opening a connection.
 const (
-	Open         Reach = iota // it is accepted
-	Refused                   // it is refused at once
-	Unresponsive              // there is no reply
+	Open         Reachability = iota // it is accepted
+	Refused                          // it is refused at once
+	Unresponsive                     // there is no reply
 )
 
 // Readiness is the state of a server according to the server list.
@@ -125,23 +125,23 @@
 	StopBalancer(b BalancerID)
 	// StartBalancer is called when a balancer starts.
 	StartBalancer(b BalancerID)
-	// ServerChanged is called when the result of Reach for a server may have changed. EndConnect has been called for each connection that
-	// the change ended.
+	// ServerChanged is called when the result of Reachability for a server may have changed. EndConnect has been called for each
+	// connection that the change ended.
 	ServerChanged(s ServerID)
 }
 
 // Service is one service type.
 type Service struct {
-	Name   string
-	Share  float64       // of new connections
-	Value  float64       // of a connection per second
-	Effect string        // effect of a repeated run, as settings write it
-	Group  string        // deduplication scope, as settings write it
-	Window time.Duration // deduplication window
+	Name                string
+	Share               float64       // of new connections
+	Value               float64       // of a connection per second
+	Effect              string        // effect of a repeated run, as settings write it
+	DeduplicationScope  string        // deduplication scope, as settings write it
+	DeduplicationWindow time.Duration // deduplication window
 
-	Target  time.Duration // setup target
-	Timeout time.Duration // of an attempt
-	Message time.Duration // a message that takes longer does not count as served
+	Target        time.Duration // setup target
+	Timeout       time.Duration // of an attempt
+	MessageTarget time.Duration // a message that takes longer does not count as served
 
 	Work        float64       // of a set-up, in seconds of a core of speed 1
 	WorkSpread  float64       // coefficient of variation; 1 is exponential
@@ -159,8 +159,8 @@
 	Retry           RetryPolicy
 	RetryDelay      time.Duration // used by the retry policy
 	ObeysRetryAfter float64       // share of clients that honour an answer's retry-after
-	Return          Interval      // until a client that lost its connection reconnects
-	SilenceNoticed  time.Duration // after which a client closes an unresponsive connection; 0: never
+	ReconnectDelay  Interval      // until a client that lost its connection reconnects
+	SilenceTimeout  time.Duration // after which a client closes an unresponsive connection; 0: never
 }
 
 // RetryPolicy is when a client makes another attempt after a failed one.
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -14,8 +14,8 @@
 )
 
 // World is the model of one simulated day. To prepare it, call New, the Configure methods, AddServer and AddBalancer for each server and
-// balancer, and then List.Begin, ScheduleFaults and StartLoad. From then on its Schedule drives it: the world calls its Driver, and the
-// driver calls ArriveConnect, CloseConnect, AnswerFlow and BreakFlow.
+// balancer, and then List.MarkDelivered, ScheduleFaults and StartLoad. From then on its Schedule drives it: the world calls its Driver, and the
+// driver calls DeliverConnect, CloseConnect, AnswerFlow and BreakFlow.
 type World struct {
 	Schedule   *Schedule
 	Driver     Driver
@@ -56,7 +56,7 @@
 	lastFlow FlowID
 
 	frontNotice      Interval
-	hasExternalFront bool // SetFrontBelief sets the front's view
+	hasExternalFront bool // SetExternalFrontView sets the front's view
 }
 
 // Balancer is a balancer that clients can connect to. The driver makes its decisions.
@@ -70,7 +70,7 @@
 
 // SlowStartConfig sets how servers start, and which load makes a starting server collapse.
 type SlowStartConfig struct {
-	From             float64 // minimum share of its capacity that a server starts with
+	InitialShare     float64 // minimum share of its capacity that a server starts with
 	CollapseMultiple float64 // a server collapses when it is sent more than this multiple of what it can take in the window; 0: never
 	CollapseWindow   time.Duration
 }
@@ -124,14 +124,16 @@
 // ConfigureDrains sets what a draining server does with its connections.
 func (w *World) ConfigureDrains(d Drain) { w.drainKind = d }
 
-// FirstFlow makes flow IDs begin after the given one. Balancers that keep running from one world to the next may still know earlier IDs.
-func (w *World) FirstFlow(after FlowID) { w.lastFlow = after }
+// StartFlowIDsAfter makes flow IDs begin after the given one. Balancers that keep running from one world to the next may still know earlier
+// IDs.
+func (w *World) StartFlowIDsAfter(after FlowID) { w.lastFlow = after }
 
-// FrontElsewhere turns off the model of the front: from then on only SetFrontBelief sets which balancers the front considers up.
-func (w *World) FrontElsewhere() { w.hasExternalFront = true }
+// UseExternalFront turns off the model of the front: from then on only SetExternalFrontView sets which balancers the front
+// considers up.
+func (w *World) UseExternalFront() { w.hasExternalFront = true }
 
-// SetFrontBelief sets whether the front considers a balancer up.
-func (w *World) SetFrontBelief(b BalancerID, isUp bool) { w.Balancers[b].frontSeesUp = isUp }
+// SetExternalFrontView sets whether the external front considers a balancer up.
+func (w *World) SetExternalFrontView(b BalancerID, isUp bool) { w.Balancers[b].frontSeesUp = isUp }
 
 // setFrontView sets whether the modelled front considers a balancer up. It does nothing where the front is external.
 func (w *World) setFrontView(b *Balancer, isUp bool) {
@@ -153,7 +155,7 @@
 func (w *World) StartServer(spec ServerSpec) *Server { return w.addServer(spec, w.Schedule.now) }
 
 func (w *World) addServer(spec ServerSpec, startedAt time.Duration) *Server {
-	spec.SlowStartFrom = max(spec.SlowStartFrom, w.slowStart.From)
+	spec.SlowStartInitialShare = max(spec.SlowStartInitialShare, w.slowStart.InitialShare)
 	s := &Server{ServerSpec: spec, ID: ServerID(len(w.Servers)), w: w, startedAt: startedAt, slowdown: 1,
 		connByID: map[ConnID]*conn{}, groups: map[GroupID]int{}, values: map[valueKey]float64{}, settledAt: w.Schedule.now}
 	s.random = RandomSource(w.Seed, "server", int(s.ID))
@@ -215,8 +217,8 @@
 	return w.lastConn
 }
 
-// Reach returns the outcome of opening a connection from a locality to a server now.
-func (w *World) Reach(from LocalityID, id ServerID) Reach {
+// Reachability returns the outcome of opening a connection from a locality to a server now.
+func (w *World) Reachability(from LocalityID, id ServerID) Reachability {
 	s := w.Servers[id]
 	switch {
 	case s.phase == Silent || w.Network.isPartitioned(from, s.Locality):
@@ -227,8 +229,8 @@
 	return Open
 }
 
-// ArriveConnect delivers a connect's request line to its server.
-func (w *World) ArriveConnect(id ConnID, to ServerID, f FlowID, from LocalityID) {
+// DeliverConnect delivers a connect's request line to its server.
+func (w *World) DeliverConnect(id ConnID, to ServerID, f FlowID, from LocalityID) {
 	s, c := w.Servers[to], w.flows[f]
 	switch {
 	case c == nil: // the client has left, and the balancer is about to be told
--- a/internal/simulation/world_test.go
+++ b/internal/simulation/world_test.go
@@ -46,7 +46,7 @@
 	w := New(5, length, 80*time.Millisecond)
 	d := &recordingDriver{world: w, ended: map[ConnID]EndReason{}}
 	w.Driver = d
-	w.ConfigureSlowStart(SlowStartConfig{From: 0.2, CollapseMultiple: 3, CollapseWindow: 1500 * time.Millisecond})
+	w.ConfigureSlowStart(SlowStartConfig{InitialShare: 0.2, CollapseMultiple: 3, CollapseWindow: 1500 * time.Millisecond})
 	ms := time.Millisecond
 	exactly := func(d time.Duration) Interval { return Interval{d, d} }
 	service := Service{
@@ -54,13 +54,13 @@
 		Value:          2,
 		Target:         300 * ms,
 		Timeout:        time.Second,
-		Message:        250 * ms,
+		MessageTarget:  250 * ms,
 		Work:           0.01,
 		RetriesInARow:  2,
 		Retry:          retry,
 		RetryDelay:     50 * ms,
-		Return:         exactly(100 * ms),
-		SilenceNoticed: 3 * time.Second,
+		ReconnectDelay: exactly(100 * ms),
+		SilenceTimeout: 3 * time.Second,
 	}
 	w.ConfigureServices(ServicesConfig{
 		Services:         []Service{service},
@@ -72,25 +72,25 @@
 	w.ConfigureNetwork(time.Millisecond, 2*time.Millisecond, time.Millisecond)
 	for i := range 2 {
 		w.AddServer(ServerSpec{
-			Locality:       LocalityID(i),
-			Cores:          4,
-			Speed:          1,
-			Size:           1,
-			MaxConnections: 20,
-			MaxWaiting:     40,
-			Buffer:         2 * time.Second,
-			SlowStart:      10 * time.Second,
-			SlowStartFrom:  0.2,
+			Locality:              LocalityID(i),
+			Cores:                 4,
+			Speed:                 1,
+			Size:                  1,
+			MaxConnections:        20,
+			MaxWaiting:            40,
+			MaxMessageDelay:       2 * time.Second,
+			SlowStart:             10 * time.Second,
+			SlowStartInitialShare: 0.2,
 		})
 	}
 	w.AddBalancer(0)
 	w.ConfigureList(ListConfig{
-		Notice:       exactly(1000 * ms),
-		NoticeSilent: exactly(2000 * ms),
-		NoticeAdded:  exactly(500 * ms),
-		Spread:       exactly(100 * ms),
+		Notice:        exactly(1000 * ms),
+		NoticeSilent:  exactly(2000 * ms),
+		NoticeAdded:   exactly(500 * ms),
+		DeliveryDelay: exactly(100 * ms),
 	})
-	w.List.Begin()
+	w.List.MarkDelivered()
 	return w, d
 }
 
@@ -102,7 +102,7 @@
 func (d *recordingDriver) connectNewest(to ServerID) {
 	w := d.world
 	id := w.NewConnID()
-	w.ArriveConnect(id, to, d.opened[len(d.opened)-1], 0)
+	w.DeliverConnect(id, to, d.opened[len(d.opened)-1], 0)
 	w.Schedule.RunTo(w.Schedule.Now() + 200*time.Millisecond)
 	if len(d.established) > 0 && d.established[len(d.established)-1] == id {
 		w.AnswerFlow(d.opened[len(d.opened)-1], Established, 0)
@@ -127,7 +127,7 @@
 	}{{"well within capacity", 1, 0.95, 1}, {"at capacity", 4, 0, 0.2}, {"above capacity", 8, 0, 0.05}} {
 		t.Run(c.name, func(t *testing.T) {
 			w, s := newSmallWorld(20*time.Second, RetryAtOnce)
-			w.Servers[0].Buffer = 0
+			w.Servers[0].MaxMessageDelay = 0
 			w.StartLoad(&arrivalList{arrivalOf(0, 20*time.Second, c.load)})
 			w.Schedule.RunTo(10 * time.Millisecond)
 			s.connectNewest(0)
@@ -199,7 +199,7 @@
 				n := len(s.opened)
 				w.Schedule.RunTo(w.Schedule.Now() + time.Millisecond)
 				if len(s.opened) > n {
-					w.ArriveConnect(w.NewConnID(), 0, s.opened[len(s.opened)-1], 0)
+					w.DeliverConnect(w.NewConnID(), 0, s.opened[len(s.opened)-1], 0)
 				}
 			}
 			if collapsed := w.Servers[0].Phase() == Collapsed; collapsed != c.collapses {
@@ -213,7 +213,7 @@
 	w, s := newSmallWorld(60*time.Second, RetryAfterFixedDelay)
 	w.ScheduleFaults([]Fault{
 		{Kind: Crash, Start: time.Second, Length: 10 * time.Second, Share: 0.5, Locality: AnyLocality},
-		{Kind: ListDark, Start: 10 * time.Second, Length: 20 * time.Second, Locality: AnyLocality}})
+		{Kind: ListOutage, Start: 10 * time.Second, Length: 20 * time.Second, Locality: AnyLocality}})
 	for _, step := range []struct {
 		at      time.Duration
 		updates int
@@ -241,11 +241,11 @@
 			if w.Network.IsBlocked(1, 0) != c.out || w.Network.IsBlocked(0, 1) != c.back {
 				t.Errorf("blocked = %v, in the opposite direction %v", w.Network.IsBlocked(1, 0), w.Network.IsBlocked(0, 1))
 			}
-			if w.Reach(0, 1) != Unresponsive {
+			if w.Reachability(0, 1) != Unresponsive {
 				t.Error("a connect got a reply, though it needs both directions")
 			}
 			w.Schedule.RunTo(3 * time.Second)
-			if w.Reach(0, 1) != Open {
+			if w.Reachability(0, 1) != Open {
 				t.Error("the partition remained after its end")
 			}
 		})
--- a/internal/testbed/experiment/day.go
+++ b/internal/testbed/experiment/day.go
@@ -59,7 +59,7 @@
 	d.drawFleet(r)
 	d.drawGroups(r)
 	d.World.ConfigureList(e.list)
-	d.World.List.Begin()
+	d.World.List.MarkDelivered()
 	for _, f := range e.faults {
 		if fault, happens := f.draw(r, e.fleet.localities); happens {
 			d.Faults = append(d.Faults, fault)
@@ -99,11 +99,11 @@
 	retries := c.retries.drawInt(r)
 	delay := c.retryDelay.Draw(r)
 	obeys := c.obeysRetryAfter.draw(r)
-	silence := c.silence.Draw(r)
+	silence := c.silenceTimeout.Draw(r)
 	for i := range d.services {
 		s := &d.services[i]
 		s.RetriesInARow, s.Retry, s.RetryDelay = retries, policy, delay
-		s.ObeysRetryAfter, s.SilenceNoticed, s.Return = obeys, silence, c.comeBack
+		s.ObeysRetryAfter, s.SilenceTimeout, s.ReconnectDelay = obeys, silence, c.reconnectDelay
 	}
 }
 
@@ -114,12 +114,12 @@
 	e := d.Experiment
 	shortest := time.Duration(math.MaxInt64)
 	for _, s := range d.services {
-		shortest = min(shortest, s.Message)
+		shortest = min(shortest, s.MessageTarget)
 	}
 	w := simulation.New(d.Seed, e.Length, shortest/delayReportDivisor)
 	d.World = w
 	w.ConfigureSlowStart(simulation.SlowStartConfig{
-		From:             e.terms.SlowStartFrom,
+		InitialShare:     e.terms.SlowStartFrom,
 		CollapseMultiple: e.terms.SlowStartMultiple,
 		CollapseWindow:   e.terms.SlowStartWindow,
 	})
@@ -145,8 +145,8 @@
 	servers := e.fleet.servers.drawInt(r)
 	connections := e.fleet.connections.draw(r)
 	queue := e.fleet.queuePerCore.draw(r)
-	all := simulation.ServerSpec{Buffer: e.fleet.buffer.Draw(r), GroupLoad: e.fleet.groupLoad.draw(r) * d.MeanLoad(),
-		SlowStartFrom: e.fleet.slowStartFrom.draw(r), SlowStartByWork: e.fleet.slowStartByWork.draw(r)}
+	all := simulation.ServerSpec{MaxMessageDelay: e.fleet.maxMessageDelay.Draw(r), GroupLoad: e.fleet.groupLoad.draw(r) * d.MeanLoad(),
+		SlowStartInitialShare: e.fleet.slowStartInitialShare.draw(r), SlowStartByWork: e.fleet.slowStartByWork.draw(r)}
 	for i := range servers {
 		spec := all
 		spec.Locality, spec.Cell = simulation.LocalityID(i%localities), simulation.CellID(i/e.fleet.serversPerCell)
--- a/internal/testbed/experiment/experiment.go
+++ b/internal/testbed/experiment/experiment.go
@@ -54,19 +54,19 @@
 
 // fleetRanges are the ranges that a fleet is drawn from.
 type fleetRanges struct {
-	localities         []string
-	servers, balancers numberRange
-	cores, speed       numberRange
-	connections        numberRange // connection limit of a server, over what its cores can carry
-	queuePerCore       numberRange // limit of waiting set-ups per core
-	slowStartFrom      numberRange
-	slowStartByWork    numberRange
-	groupLoad          numberRange // additional load of a group's first connection, over the mean load
-	slowStart, buffer  simulation.Interval
-	drain              string
-	sizes              string // rough: the server list has approximate sizes
-	serversPerCell     int    // consecutive servers share a cell
-	storeHeadroom      numberRange
+	localities                 []string
+	servers, balancers         numberRange
+	cores, speed               numberRange
+	connections                numberRange // connection limit of a server, over what its cores can carry
+	queuePerCore               numberRange // limit of waiting set-ups per core
+	slowStartInitialShare      numberRange
+	slowStartByWork            numberRange
+	groupLoad                  numberRange // additional load of a group's first connection, over the mean load
+	slowStart, maxMessageDelay simulation.Interval
+	drain                      string
+	sizes                      string // rough: the server list has approximate sizes
+	serversPerCell             int    // consecutive servers share a cell
+	storeHeadroom              numberRange
 }
 
 // loadRanges are the ranges that a load is drawn from.
@@ -85,11 +85,11 @@
 
 // clientRanges are the ranges that the clients' behaviour is drawn from.
 type clientRanges struct {
-	retries              numberRange
-	retryPolicies        []string
-	retryDelay, comeBack simulation.Interval
-	silence              simulation.Interval
-	obeysRetryAfter      numberRange
+	retries                    numberRange
+	retryPolicies              []string
+	retryDelay, reconnectDelay simulation.Interval
+	silenceTimeout             simulation.Interval
+	obeysRetryAfter            numberRange
 }
 
 // networkRanges are the ranges that the network's delays are drawn from.
--- a/internal/testbed/experiment/faults.go
+++ b/internal/testbed/experiment/faults.go
@@ -25,15 +25,15 @@
 
 // minStrength has the least strength of the kinds of faults for which strength matters.
 var minStrength = map[simulation.FaultKind]float64{
-	simulation.Slow:         1,
-	simulation.StoreSlow:    1,
-	simulation.Burst:        0.01,
-	simulation.Overload:     0.01,
-	simulation.Grow:         1.01,
-	simulation.Errors:       0.01,
-	simulation.Neighbour:    0.01,
-	simulation.Deploy:       0.001,
-	simulation.BalancerRoll: 0.001,
+	simulation.Slow:                   1,
+	simulation.StoreSlow:              1,
+	simulation.Burst:                  0.01,
+	simulation.Overload:               0.01,
+	simulation.ScaleOut:               1.01,
+	simulation.Errors:                 0.01,
+	simulation.NoisyNeighbour:         0.01,
+	simulation.Deploy:                 0.001,
+	simulation.BalancerRollingRestart: 0.001,
 }
 
 func (e *Experiment) readFault(t strict.Table) {
@@ -73,7 +73,7 @@
 	if least := minStrength[f.kind]; f.strength.lo < least {
 		t.Fail("strength", "want at least %g for %s", least, f.kind)
 	}
-	if (f.kind == simulation.Errors || f.kind == simulation.Neighbour) && f.strength.hi > maxShareOfServer {
+	if (f.kind == simulation.Errors || f.kind == simulation.NoisyNeighbour) && f.strength.hi > maxShareOfServer {
 		t.Fail("strength", "want at most %g for %s", maxShareOfServer, f.kind)
 	}
 }
--- a/internal/testbed/experiment/read.go
+++ b/internal/testbed/experiment/read.go
@@ -79,11 +79,11 @@
 	f.speed = readNumberRange(t, "speed", bounds{0.7, 2, 0.01, 100})
 	f.connections = readNumberRange(t, "connections", bounds{2, 3.5, 0.1, 1000})
 	f.queuePerCore = readNumberRange(t, "queue-per-core", bounds{10, 30, 0, 100000})
-	f.slowStartFrom = readNumberRange(t, "cold-from", bounds{0.16, 0.3, 0.01, 1})
+	f.slowStartInitialShare = readNumberRange(t, "cold-from", bounds{0.16, 0.3, 0.01, 1})
 	f.slowStartByWork = readNumberRange(t, "warm-by-work", bounds{0.5, 0.5, 0, 1})
 	f.groupLoad = readNumberRange(t, "group-load", bounds{2, 2, 0, 100})
 	f.slowStart = readInterval(t, "warm", 10*time.Second, 20*time.Second, hour)
-	f.buffer = readInterval(t, "buffer", 1500*ms, 3*time.Second, hour)
+	f.maxMessageDelay = readInterval(t, "buffer", 1500*ms, 3*time.Second, hour)
 	f.drain = t.String("drain", "paced", "quiet", "paced", "at-once")
 	f.sizes = t.String("sizes", roughSizes, roughSizes, "silent")
 	f.serversPerCell = int(t.Float("cell", 4, 1, 10000))
@@ -113,27 +113,27 @@
 	}
 	if len(e.services) == 0 {
 		e.services = []simulation.Service{{Name: "live", Share: 1, Load: 1, Lifetime: 1, Target: 300 * ms,
-			Timeout: 1800 * ms, Message: 250 * ms, Value: 1, Effect: "free", Group: "all",
-			Window: 5 * time.Second, Work: 0.006, WorkSpread: 1, MessageWork: 5 * ms}}
+			Timeout: 1800 * ms, MessageTarget: 250 * ms, Value: 1, Effect: "free", DeduplicationScope: "all",
+			DeduplicationWindow: 5 * time.Second, Work: 0.006, WorkSpread: 1, MessageWork: 5 * ms}}
 	}
 }
 
 func readService(t strict.Table) simulation.Service {
 	s := simulation.Service{
-		Name:        t.String("name", ""),
-		Share:       t.Float("share", 1, 0.0001, noPracticalLimit),
-		Load:        t.Float("load", 1, 0.001, 1000),
-		Lifetime:    t.Float("life", 1, 0.001, 1000),
-		Target:      t.Duration("setup-target", 300*ms, hour),
-		Timeout:     t.Duration("connect-timeout", 1800*ms, hour),
-		Message:     t.Duration("message-target", 250*ms, hour),
-		Value:       t.Float("value", 1, 0, noPracticalLimit),
-		Effect:      t.String("effect", "free", "free", "guarded", "single_shot"),
-		Group:       t.String("group", "all", "all", "zone", "cell"),
-		Window:      t.Duration("window", 5*time.Second, hour),
-		Work:        t.Duration("work", 6*ms, time.Minute).Seconds(),
-		WorkSpread:  t.Float("work-spread", 1, 0, 5),
-		MessageWork: t.Duration("message-work", 5*ms, time.Minute),
+		Name:                t.String("name", ""),
+		Share:               t.Float("share", 1, 0.0001, noPracticalLimit),
+		Load:                t.Float("load", 1, 0.001, 1000),
+		Lifetime:            t.Float("life", 1, 0.001, 1000),
+		Target:              t.Duration("setup-target", 300*ms, hour),
+		Timeout:             t.Duration("connect-timeout", 1800*ms, hour),
+		MessageTarget:       t.Duration("message-target", 250*ms, hour),
+		Value:               t.Float("value", 1, 0, noPracticalLimit),
+		Effect:              t.String("effect", "free", "free", "guarded", "single_shot"),
+		DeduplicationScope:  t.String("group", "all", "all", "zone", "cell"),
+		DeduplicationWindow: t.Duration("window", 5*time.Second, hour),
+		Work:                t.Duration("work", 6*ms, time.Minute).Seconds(),
+		WorkSpread:          t.Float("work-spread", 1, 0, 5),
+		MessageWork:         t.Duration("message-work", 5*ms, time.Minute),
 	}
 	if s.Name == "" {
 		t.Fail("name", "is missing")
@@ -163,8 +163,8 @@
 	c.retries = readNumberRange(t, "retries", bounds{2, 3, 0, 1000})
 	c.retryPolicies = t.Strings("habit", []string{"at-once", "fixed"}, "never", "at-once", "fixed", "backoff")
 	c.retryDelay = readInterval(t, "wait", 15*ms, 120*ms, hour)
-	c.comeBack = readInterval(t, "come-back", 70*ms, 680*ms, hour)
-	c.silence = readInterval(t, "silence", 4500*ms, 4500*ms, hour)
+	c.reconnectDelay = readInterval(t, "come-back", 70*ms, 680*ms, hour)
+	c.silenceTimeout = readInterval(t, "silence", 4500*ms, 4500*ms, hour)
 	c.obeysRetryAfter = readNumberRange(t, "obey", bounds{0.5, 0.85, 0, 1})
 }
 
@@ -181,7 +181,7 @@
 		Notice:        readInterval(t, "notice", 1600*ms, 6800*ms, hour),
 		NoticeSilent:  readInterval(t, "silent-notice", 5100*ms, 13*time.Second, hour),
 		NoticeAdded:   readInterval(t, "add", 1100*ms, 2900*ms, hour),
-		Spread:        readInterval(t, "spread", 30*ms, 1300*ms, hour),
+		DeliveryDelay: readInterval(t, "spread", 30*ms, 1300*ms, hour),
 		MustSubscribe: t.String("mode", "push", "push", "ask") == "ask",
 	}
 }
--- a/internal/testbed/experiment/settings.go
+++ b/internal/testbed/experiment/settings.go
@@ -68,12 +68,12 @@
 	var messageTargets []string
 	for i, s := range d.services {
 		path := "service-types." + strconv.Itoa(i) + "."
-		settings[path+"name"], settings[path+"effect"], settings[path+"group"] = s.Name, s.Effect, s.Group
+		settings[path+"name"], settings[path+"effect"], settings[path+"group"] = s.Name, s.Effect, s.DeduplicationScope
 		settings[path+"setup-target"] = durationSetting(s.Target)
 		settings[path+"hard-limit"] = durationSetting(s.Timeout)
-		settings[path+"window"] = durationSetting(s.Window)
+		settings[path+"window"] = durationSetting(s.DeduplicationWindow)
 		settings[path+"value"] = numberSetting(s.Value)
-		messageTargets = append(messageTargets, durationSetting(s.Message))
+		messageTargets = append(messageTargets, durationSetting(s.MessageTarget))
 	}
 	settings["family-info.message-aim"] = strings.Join(messageTargets, ",")
 }
--- a/internal/testbed/fleet/run.go
+++ b/internal/testbed/fleet/run.go
@@ -92,7 +92,7 @@
 	if err := r.newProcesses(); err != nil {
 		return nil, err
 	}
-	r.world.FrontElsewhere()
+	r.world.UseExternalFront()
 	r.driver.Isolate(&sockets.Isolation{
 		Network:        r.network,
 		ControlAddress: func(b simulation.BalancerID) string { return r.processes[b].controlAddress },
@@ -207,7 +207,7 @@
 }
 
 func (r *fleetRun) frontChanged(p *process, isUp bool) {
-	r.world.SetFrontBelief(p.id, isUp)
+	r.world.SetExternalFrontView(p.id, isUp)
 	now, spans := r.driver.Elapsed(), r.leftOutSpans[p.name]
 	if isUp {
 		spans[len(spans)-1].To = now
--- a/internal/testbed/fleet/start_faults.go
+++ b/internal/testbed/fleet/start_faults.go
@@ -120,7 +120,7 @@
 	for range f.signals - 1 {
 		r.signal(p, syscall.SIGTERM)
 	}
-	r.world.Schedule.After(r.world.StopWithin(), simulation.Cause, p.ifUnchanged(func() { r.startKill(p, f) }))
+	r.world.Schedule.After(r.world.StopDuration(), simulation.Cause, p.ifUnchanged(func() { r.startKill(p, f) }))
 }
 
 func (r *fleetRun) restartProcess(p *process, f startedFault) {
--- a/internal/testbed/sockets/client.go
+++ b/internal/testbed/sockets/client.go
@@ -228,7 +228,7 @@
 	e.Deadline = c.deadline
 	if modelled := c.driver.world.Client(c.flow); modelled != nil {
 		service := c.driver.world.Services[modelled.Service]
-		e.Effect, e.KeyScope, e.KeyWindow = effects[service.Effect], keyScopes[service.Group], service.Window
+		e.Effect, e.KeyScope, e.KeyWindow = effects[service.Effect], keyScopes[service.DeduplicationScope], service.DeduplicationWindow
 	}
 	return e
 }
--- a/internal/testbed/sockets/connection.go
+++ b/internal/testbed/sockets/connection.go
@@ -191,7 +191,7 @@
 		e.StartedAt, e.Load, e.Capacity = s.StartedAt(), client.Load(), s.SlowStartRate()
 		d.observe(e)
 	}
-	d.world.ArriveConnect(c.id, c.server, c.flow, c.balancerLocality)
+	d.world.DeliverConnect(c.id, c.server, c.flow, c.balancerLocality)
 }
 
 // finish processes the end of the connection by the balancer.
@@ -243,7 +243,7 @@
 
 // closingLines are sent to a balancer before its connection is closed; other reasons send none.
 var closingLines = map[simulation.EndReason]string{simulation.Full: "BUSY\r\n", simulation.Failed: "ERR it failed\r\n",
-	simulation.MoveRequested: "MOVE\r\n", simulation.ServerStopped: "BYE\r\n"}
+	simulation.MigrationRequested: "MOVE\r\n", simulation.ServerStopped: "BYE\r\n"}
 
 // EndConnect implements simulation.Driver: it tells a balancer that its connection is rejected or ends.
 func (d *Driver) EndConnect(id simulation.ConnID, reason simulation.EndReason) {
@@ -251,7 +251,7 @@
 	if c == nil || c.isOver {
 		return
 	}
-	if client := d.clients[c.flow]; client != nil && reason == simulation.MoveRequested {
+	if client := d.clients[c.flow]; client != nil && reason == simulation.MigrationRequested {
 		client.wasMovedByServer = true
 	}
 	if line := closingLines[reason]; line != "" {
@@ -290,7 +290,7 @@
 	if number, err := strconv.Atoi(strings.TrimPrefix(fields["g"], "g-")); err == nil {
 		group = simulation.GroupID(number)
 	}
-	flow, _ := d.world.AddGuest(service, group)
+	flow, _ := d.world.AddExternalClient(service, group)
 	return flow
 }
 
--- a/internal/testbed/sockets/driver.go
+++ b/internal/testbed/sockets/driver.go
@@ -100,7 +100,7 @@
 func Load(parent context.Context, day *experiment.Day, checker *invariants.Checker, addresses []string) *Driver {
 	d := New(parent, day, checker, nil, "")
 	d.balancersAreExternal = true
-	d.world.FirstFlow(simulation.FlowID(time.Now().UnixMicro()) << flowIDShift) // ids differ from those of earlier loads
+	d.world.StartFlowIDsAfter(simulation.FlowID(time.Now().UnixMicro()) << flowIDShift) // ids differ from those of earlier loads
 	for b, address := range addresses {
 		d.processes = append(d.processes, &process{driver: d, id: simulation.BalancerID(b), address: address, isUp: true})
 	}
--- a/internal/testbed/sockets/server.go
+++ b/internal/testbed/sockets/server.go
@@ -80,7 +80,7 @@
 }
 
 func (d *Driver) listenerState(l *serverListener) netfault.ListenerState {
-	reach := d.world.Reach(l.locality, l.server.id)
+	reach := d.world.Reachability(l.locality, l.server.id)
 	isCut := l.balancer != anyBalancer && d.isolation.Network.IsCut(BalancerName(l.balancer), ServerName(l.server.id))
 	switch {
 	case reach == simulation.Unresponsive || isCut:
--- a/internal/testbed/virtual/actions.go
+++ b/internal/testbed/virtual/actions.go
@@ -63,7 +63,7 @@
 	w := b.driver.world
 	oneWay := w.Network.Delay(b.locality, w.Servers[c.server].Locality)
 	fail := func() { b.endConnect(c, decide.Unreachable) }
-	switch w.Reach(b.locality, c.server) {
+	switch w.Reachability(b.locality, c.server) {
 	case simulation.Refused:
 		w.Schedule.After(2*oneWay, simulation.Message, fail)
 	case simulation.Unresponsive:
@@ -130,7 +130,7 @@
 	w := b.driver.world
 	b.driver.Tally.HealthChecks++
 	outcome, took := decide.OK, 2*w.Network.Delay(b.locality, w.Servers[server].Locality)
-	switch w.Reach(b.locality, server) {
+	switch w.Reachability(b.locality, server) {
 	case simulation.Refused:
 		outcome = decide.Unreachable
 	case simulation.Unresponsive:
--- a/internal/testbed/virtual/balancer.go
+++ b/internal/testbed/virtual/balancer.go
@@ -47,7 +47,7 @@
 // end, as the real process does. Clients that arrive meanwhile are served and asked too.
 func (d *Driver) StopBalancer(id simulation.BalancerID) {
 	b := d.balancers[id]
-	until := d.world.Schedule.Now() + d.world.StopWithin() - drainMargin
+	until := d.world.Schedule.Now() + d.world.StopDuration() - drainMargin
 	var drain func()
 	step := b.whileRunning(func() { drain() })
 	drain = func() {
--- a/internal/testbed/virtual/connect.go
+++ b/internal/testbed/virtual/connect.go
@@ -30,11 +30,11 @@
 
 // outcomes maps a server's reason for ending a connect to the outcome that the balancer sees.
 var outcomes = map[simulation.EndReason]decide.Outcome{
-	simulation.Full:          decide.Full,
-	simulation.Failed:        decide.Error,
-	simulation.Dropped:       decide.Reset,
-	simulation.MoveRequested: decide.Full,
-	simulation.ServerStopped: decide.Cancelled,
+	simulation.Full:               decide.Full,
+	simulation.Failed:             decide.Error,
+	simulation.Dropped:            decide.Reset,
+	simulation.MigrationRequested: decide.Full,
+	simulation.ServerStopped:      decide.Cancelled,
 }
 
 // transition changes the connect's state. All state changes go through it.
@@ -57,7 +57,7 @@
 		e.Load, e.Capacity = client.Load(), server.SlowStartRate()
 		d.observe(e)
 	}
-	d.world.ArriveConnect(c.id, c.server, c.flow.id, b.locality)
+	d.world.DeliverConnect(c.id, c.server, c.flow.id, b.locality)
 }
 
 // Establish delivers a server's message that a connection is established to its balancer.
--- a/internal/testbed/virtual/flow.go
+++ b/internal/testbed/virtual/flow.go
@@ -91,7 +91,7 @@
 	d.flows[f.id], b.flows[f.id] = f, f
 	service := d.world.Services[request.Service]
 	e := b.flowEvent(invariants.FlowAccepted, f.id)
-	e.Deadline, e.Effect, e.KeyScope, e.KeyWindow = now+attempt.Timeout, effects[service.Effect], keyScopes[service.Group], service.Window
+	e.Deadline, e.Effect, e.KeyScope, e.KeyWindow = now+attempt.Timeout, effects[service.Effect], keyScopes[service.DeduplicationScope], service.DeduplicationWindow
 	d.observe(e)
 	request.Timeout = f.deadline - now
 	b.decide().OnFlow(request)
