--- a/cmd/testbed/agree.go
+++ b/cmd/testbed/agree.go
@@ -136,7 +136,7 @@
 		return fmt.Errorf("%s, seed %d: %w", p.Name, p.Seed, err)
 	}
 	p.Sockets = result
-	p.Agrees = math.Abs(p.Mean-result.Service) <= agreementTolerance && (p.Virtual.Broken > 0) == (result.Broken > 0)
+	p.Agrees = math.Abs(p.Mean-result.Service) <= agreementTolerance && (p.Virtual.ViolationCount > 0) == (result.ViolationCount > 0)
 	return nil
 }
 
@@ -156,7 +156,7 @@
 		if k == 0 {
 			p.Virtual = result
 		}
-		p.Virtual.Broken = max(p.Virtual.Broken, result.Broken)
+		p.Virtual.ViolationCount = max(p.Virtual.ViolationCount, result.ViolationCount)
 		p.Mean += result.Service / virtualRuns
 		p.Least = min(p.Least, result.Service)
 		p.Most = max(p.Most, result.Service)
@@ -183,8 +183,8 @@
 		v, s := p.Virtual, p.Sockets
 		printf(t, "%s\t%d\t%.3f (%.3f, %.3f)\t%.3f\t%.3f\t%.3f\t%d\t%d\t%d\t%d\t%s\n",
 			p.Name, p.Seed, p.Mean, p.Least, p.Most, s.Service, v.WorstWindow, s.WorstWindow,
-			v.Connects, s.Connects, v.Broken, s.Broken, p.verdict())
-		if s.Broken > 0 {
+			v.Connects, s.Connects, v.ViolationCount, s.ViolationCount, p.verdict())
+		if s.ViolationCount > 0 {
 			printf(t, "\t\t%s\n", s.Violations[0])
 		}
 	}
--- a/cmd/testbed/fleet.go
+++ b/cmd/testbed/fleet.go
@@ -110,10 +110,10 @@
 	if program := c.String("old"); program != "" {
 		return []string{program, "serve"}, nil
 	}
-	if p.Old == "" {
+	if p.OldRevision == "" {
 		return nil, nil
 	}
-	program, err := fleet.Build(ctx, ".", p.Old)
+	program, err := fleet.Build(ctx, ".", p.OldRevision)
 	if err != nil {
 		return nil, err
 	}
@@ -169,7 +169,7 @@
 			return nil, err
 		}
 	}
-	return fleet.Run(ctx, j.plan, fleet.Settings{Seed: j.seed, Program: j.program, Old: j.old, Directory: directory, Progress: progress})
+	return fleet.Run(ctx, j.plan, fleet.Settings{Seed: j.seed, Program: j.program, OldProgram: j.old, Directory: directory, Progress: progress})
 }
 
 // writeFleetResults writes the results to the files of --json and --html, if given.
--- a/cmd/testbed/hunt.go
+++ b/cmd/testbed/hunt.go
@@ -45,8 +45,8 @@
 
 // lossOf returns by how much a policy's service is below the omniscient one's on a day. A broken rule outweighs any such loss.
 func lossOf(ours, top *count.Result) float64 {
-	if ours.Broken > 0 {
-		return brokenRuleLoss + float64(ours.Broken)
+	if ours.ViolationCount > 0 {
+		return brokenRuleLoss + float64(ours.ViolationCount)
 	}
 	return top.Service - ours.Service
 }
@@ -117,7 +117,7 @@
 	slices.SortStableFunc(found, func(a, b *worstDay) int { return cmp.Compare(b.Loss, a.Loss) })
 	fmt.Fprintln(os.Stderr, "the worst days:")
 	for _, day := range found[:min(listedDays, days)] {
-		fmt.Fprintf(os.Stderr, "  seed %d: ours %.3f, top %.3f, broken rules %d\n", day.Seed, day.Ours, day.Top, day.result.Broken)
+		fmt.Fprintf(os.Stderr, "  seed %d: ours %.3f, top %.3f, broken rules %d\n", day.Seed, day.Ours, day.Top, day.result.ViolationCount)
 	}
 	return found[0], nil
 }
--- a/cmd/testbed/load.go
+++ b/cmd/testbed/load.go
@@ -96,9 +96,9 @@
 func runLoad(ctx context.Context, c *cli.Command, e *experiment.Experiment, addresses []string) (*count.Result, error) {
 	seed := c.Uint64("seed")
 	day := e.Day(seed)
-	slack, reordering := sockets.CheckerTimes()
+	slack, reordering := sockets.CheckerTolerances()
 	checker := scenario.NewChecker(day, slack, reordering)
-	driver := sockets.Load(ctx, day, checker, addresses)
+	driver := sockets.NewLoadDriver(ctx, day, checker, addresses)
 	source := experiment.NewSteady(experiment.SteadyConfig{
 		Seed:          seed,
 		Rate:          c.Float("rate"),
@@ -111,7 +111,7 @@
 	if err != nil {
 		return nil, err
 	}
-	result := &count.Result{Policy: experiment.Ours, Seed: seed, Migrations: driver.Tally.Migrations, Void: void}
+	result := &count.Result{Policy: experiment.Ours, Seed: seed, Migrations: driver.Counts.Migrations, Void: void}
 	scenario.FillResult(result, day, checker)
 	result.ServedShare, result.WorstWindow, result.Service = 0, 0, 0
 	return result, nil
--- a/cmd/testbed/run.go
+++ b/cmd/testbed/run.go
@@ -106,7 +106,7 @@
 // ruleVerdict returns an error if the project's own policy broke a rule. Baselines may break rules; the table shows it.
 func ruleVerdict(results []*count.Result) error {
 	for _, r := range results {
-		if strings.HasPrefix(r.Policy, experiment.Ours) && r.Broken > 0 {
+		if strings.HasPrefix(r.Policy, experiment.Ours) && r.ViolationCount > 0 {
 			return cli.Exit(fmt.Sprintf("seed %d: a rule was broken: %s", r.Seed, r.Violations[0]), ruleBroken)
 		}
 	}
@@ -144,7 +144,7 @@
 	connectsPerClient := float64(mean.Connects) / float64(max(mean.Clients, 1))
 	text := fmt.Sprintf("%s\t%.3f\t%.3f\t%.3f\t%.3f\t%.1f / %.1f\t%.2f\t%.0f\t%.0f\t%d",
 		policy, mean.Service, mean.ServedShare, mean.WorstWindow, mean.WorstCustomer, mean.SetupTimes.P50, mean.SetupTimes.P99,
-		connectsPerClient, perDay(mean.Migrations), perDay(mean.Rejected), mean.Broken)
+		connectsPerClient, perDay(mean.Migrations), perDay(mean.Rejected), mean.ViolationCount)
 	switch {
 	case isCompared && policy == experiment.Ours:
 		text += "\t"
--- a/cmd/testbed/servers.go
+++ b/cmd/testbed/servers.go
@@ -39,7 +39,7 @@
 		return inputError(err)
 	}
 	day := e.Day(c.Uint64("seed"))
-	slack, reordering := sockets.CheckerTimes()
+	slack, reordering := sockets.CheckerTolerances()
 	driver := sockets.New(ctx, day, scenario.NewChecker(day, slack, reordering), nil, "")
 	err = driver.Serve(func() error {
 		text, err := driver.Config(0, c.String("listen"), 1)
--- a/cmd/testbed/spread.go
+++ b/cmd/testbed/spread.go
@@ -76,13 +76,13 @@
 		}
 		for seed := range max(1, c.Int("seeds")) {
 			configs = append(configs, dissemination.Config{
-				Members:     members,
-				Seed:        c.Uint64("seed") + uint64(seed),
-				DirectShare: c.Float("share"),
-				Network:     dissemination.Network{Delay: c.Duration("delay"), Jitter: c.Duration("delay"), Loss: c.Float("loss")},
-				FaultAt:     c.Duration("from"),
-				Duration:    c.Duration("for"),
-				Partition:   c.Bool("split"),
+				Members:       members,
+				Seed:          c.Uint64("seed") + uint64(seed),
+				ObserverShare: c.Float("share"),
+				Network:       dissemination.Network{Delay: c.Duration("delay"), Jitter: c.Duration("delay"), Loss: c.Float("loss")},
+				FaultAt:       c.Duration("from"),
+				Duration:      c.Duration("for"),
+				Partition:     c.Bool("split"),
 			})
 		}
 	}
@@ -114,7 +114,7 @@
 	printf(t, "members\tseed\thalf know after\t99 %% after\tquiet: bytes/s, packets/s, messages heard/s\t"+
 		"first 5 s: bytes/s, the most\tdear before\n")
 	for _, r := range results {
-		printf(t, "%d\t%d\t%s\t%s\t%.0f  %.1f  %.0f\t%.0f  %.0f\t%d\n", r.Members, r.Seed, orNever(r.Half), orNever(r.Most),
+		printf(t, "%d\t%d\t%s\t%s\t%.0f  %.1f  %.0f\t%.0f  %.0f\t%d\n", r.Members, r.Seed, orNever(r.TimeToHalf), orNever(r.TimeToMost),
 			r.QuietBytes, r.QuietPackets, r.QuietMessages, r.BusyBytes, r.MaxBusyBytes, r.FalsePenalties)
 	}
 	printf(t, "all simulated; an instance's own figures\n")
--- a/cmd/testbed/spread_page.go
+++ b/cmd/testbed/spread_page.go
@@ -53,7 +53,7 @@
 func drawDissemination(w io.Writer, results []*dissemination.Result) error {
 	p := &disseminationPlot{samples: 1, colours: map[int]string{}}
 	for _, r := range results {
-		p.samples = max(p.samples, len(r.Knowing))
+		p.samples = max(p.samples, len(r.InformedMembers))
 	}
 	for _, r := range results {
 		p.addLine(r)
@@ -76,8 +76,8 @@
 		p.colours[r.Members] = colour
 	}
 	var points []string
-	for sample, knowing := range r.Knowing {
-		points = append(points, fmt.Sprintf("%.1f,%.1f", p.x(sample), plotBottom-plotHeight*float64(knowing)/float64(r.Members)))
+	for sample, informed := range r.InformedMembers {
+		points = append(points, fmt.Sprintf("%.1f,%.1f", p.x(sample), plotBottom-plotHeight*float64(informed)/float64(r.Members)))
 	}
 	p.Lines = append(p.Lines, plotLine{strings.Join(points, " "), p.colours[r.Members]})
 }
--- a/cmd/testbed/try.go
+++ b/cmd/testbed/try.go
@@ -74,7 +74,7 @@
 	fmt.Printf("service      %.3f of the seconds asked for, %.3f in the worst 10 s\n", r.ServedShare, r.WorstWindow)
 	fmt.Printf("set-up       p50 %.1f ms, p99 %.1f ms\n", r.SetupTimes.P50, r.SetupTimes.P99)
 	fmt.Printf("moves        %d, cut off %d\n", r.Migrations, r.Cut)
-	fmt.Printf("rules        %d flows judged, %d breaches\n", r.Judged, r.Broken)
+	fmt.Printf("rules        %d flows judged, %d breaches\n", r.CheckedFlows, r.ViolationCount)
 }
 
 // voidVerdict returns an error if a run is void or the project's own policy broke a rule.
@@ -134,7 +134,7 @@
 
 func runOnSockets(ctx context.Context, run socketsRun) (*count.Result, error) {
 	day := run.experiment.Day(run.seed)
-	slack, reordering := sockets.CheckerTimes()
+	slack, reordering := sockets.CheckerTolerances()
 	checker := scenario.NewChecker(day, slack, reordering)
 	driver := sockets.New(ctx, day, checker, run.program, run.directory)
 	switch run.policy {
@@ -151,11 +151,11 @@
 	if err != nil {
 		return nil, err
 	}
-	tally := driver.Tally
+	counts := driver.Counts
 	seconds := len(day.World.Accounting.Requested[0])
 	result := &count.Result{Policy: run.policy, Seed: run.seed, Void: void, LoadByServer: *loads,
-		Crossings: tally.Crossings, Migrations: tally.Migrations, Connects: tally.Connects,
-		MigrationsBySecond: count.PerSecond(tally.MigratedAt, seconds), ConnectsBySecond: count.PerSecond(tally.ConnectedAt, seconds)}
+		Crossings: counts.Crossings, Migrations: counts.Migrations, Connects: counts.Connects,
+		MigrationsBySecond: count.PerSecond(counts.MigratedAt, seconds), ConnectsBySecond: count.PerSecond(counts.ConnectedAt, seconds)}
 	scenario.FillResult(result, day, checker)
 	return result, nil
 }
--- a/internal/testbed/count/count.go
+++ b/internal/testbed/count/count.go
@@ -100,7 +100,7 @@
 	for start := 0; start+windowSeconds <= len(bySecond) || start == 0; start++ {
 		end := min(start+windowSeconds, len(bySecond))
 		if share := sumOf(bySecond[start:end]).share(); share < r.WorstWindow {
-			r.WorstWindow, r.WorstWindowAt = share, float64(start)
+			r.WorstWindow, r.WorstWindowStart = share, float64(start)
 		}
 	}
 }
--- a/internal/testbed/count/count_test.go
+++ b/internal/testbed/count/count_test.go
@@ -30,7 +30,7 @@
 	}{
 		{"whole day", r.ServedShare, (40 + 60 + 20) / 200.},
 		{"worst 10 s", r.WorstWindow, 10 / 50.},
-		{"start of the worst 10 s", r.WorstWindowAt, 25},
+		{"start of the worst 10 s", r.WorstWindowStart, 25},
 		{"worst customer", r.WorstCustomer, 0.5},
 		{"worst service type", r.WorstServiceType, 0.5},
 		{"service", r.Service, 0.5*0.6 + 0.5*0.2 - 0.05},
--- a/internal/testbed/count/result.go
+++ b/internal/testbed/count/result.go
@@ -8,7 +8,7 @@
 	Service             float64      `json:"service"`    // weighted mean of the shares, less the prices, as the experiment sets them
 	ServedShare         float64      `json:"whole"`      // value of served seconds over the value of all requested seconds
 	WorstWindow         float64      `json:"worst_10s"`  // the same over the worst 10 s window
-	WorstWindowAt       float64      `json:"worst_at_s"` // start of that window
+	WorstWindowStart    float64      `json:"worst_at_s"` // start of that window
 	WorstCustomer       float64      `json:"worst_customer"`
 	WorstServiceType    float64      `json:"worst_service_type"`
 	ByServiceType       []float64    `json:"by_service_type"`
@@ -31,9 +31,9 @@
 	Crossings           int          `json:"crossings"`
 	Migrations          int          `json:"moves"`
 	Violations          []string     `json:"violations"`
-	Broken              int          `json:"broken"`
-	Judged              int          `json:"flows_judged"`
-	Collapsed           int          `json:"servers_pushed_over"`
+	ViolationCount      int          `json:"broken"`
+	CheckedFlows        int          `json:"flows_judged"`
+	CollapsedServers    int          `json:"servers_pushed_over"`
 	MaxSlowStartExcess  float64      `json:"most_pushed"` // highest load sent to a starting server over the slow start window, in multiples of its capacity, less the allowance for chance
 	Faults              []Fault      `json:"troubles"`
 	LoadByServer        [][]float64  `json:"load_by_server,omitempty"` // demand over capacity, by server and second
--- a/internal/testbed/count/statistics.go
+++ b/internal/testbed/count/statistics.go
@@ -90,7 +90,7 @@
 		m.Clients += r.Clients
 		m.Migrations += r.Migrations
 		m.Rejected += r.Rejected
-		m.Broken += r.Broken
+		m.ViolationCount += r.ViolationCount
 	}
 	n := float64(max(days, 1))
 	for _, sum := range []*float64{&m.Service, &m.ServedShare, &m.WorstWindow, &m.WorstCustomer, &m.SetupTimes.P50, &m.SetupTimes.P99} {
--- a/internal/testbed/dissemination/dissemination.go
+++ b/internal/testbed/dissemination/dissemination.go
@@ -45,7 +45,7 @@
 	queryFlow             = decide.FlowID("q") // flow for which the penalty of the faulty server is queried
 	randomStream          = "spread"           // name of the random source; another name gives other draws
 	neverReached          = time.Duration(-1)  // a duration to an event that did not occur
-	mostMembersShare      = 0.99               // share of informed members at which Result.Most is reached
+	mostMembersShare      = 0.99               // share of informed members at which Result.TimeToMost is reached
 )
 
 // Network is the model of the network between any two members.
@@ -57,28 +57,28 @@
 
 // Config describes a run: a fleet in which some members have a connection to a server that becomes slow.
 type Config struct {
-	Members     int
-	Seed        uint64
-	DirectShare float64 // share of members that observe the fault themselves
-	Network     Network
-	FaultAt     time.Duration // when the server becomes slow
-	Duration    time.Duration
-	Partition   bool // whether the fleet is split into two halves that can't reach each other, until 10 s after the fault
+	Members       int
+	Seed          uint64
+	ObserverShare float64 // share of members that observe the fault themselves
+	Network       Network
+	FaultAt       time.Duration // when the server becomes slow
+	Duration      time.Duration
+	Partition     bool // whether the fleet is split into two halves that can't reach each other, until 10 s after the fault
 }
 
 // Result is the outcome of a run. Traffic figures are per member and second: the average of all members, or the maximum.
 type Result struct {
-	Members        int           `json:"members"`
-	Seed           uint64        `json:"seed"`
-	Half           time.Duration `json:"half_ns"`     // from the fault until half of all members are informed of it; below 0: never
-	Most           time.Duration `json:"most_ns"`     // until 99 in 100 are; below 0: never
-	QuietBytes     float64       `json:"quiet_bytes"` // sent before the fault
-	BusyBytes      float64       `json:"busy_bytes"`  // sent in the 5 s after the fault
-	MaxBusyBytes   float64       `json:"busiest_bytes"`
-	QuietPackets   float64       `json:"quiet_packets"`
-	QuietMessages  float64       `json:"messages_heard"` // received before the fault
-	Knowing        []int         `json:"knowing"`        // number of informed members for each tenth of a second from the fault on
-	FalsePenalties int           `json:"dear_before"`    // number of samples in which a member penalised the server before the fault
+	Members         int           `json:"members"`
+	Seed            uint64        `json:"seed"`
+	TimeToHalf      time.Duration `json:"half_ns"`     // from the fault until half of all members are informed of it; below 0: never
+	TimeToMost      time.Duration `json:"most_ns"`     // until 99 in 100 are; below 0: never
+	QuietBytes      float64       `json:"quiet_bytes"` // sent before the fault
+	BusyBytes       float64       `json:"busy_bytes"`  // sent in the 5 s after the fault
+	MaxBusyBytes    float64       `json:"busiest_bytes"`
+	QuietPackets    float64       `json:"quiet_packets"`
+	QuietMessages   float64       `json:"messages_heard"` // received before the fault
+	InformedMembers []int         `json:"knowing"`        // number of informed members for each tenth of a second from the fault on
+	FalsePenalties  int           `json:"dear_before"`    // number of samples in which a member penalised the server before the fault
 }
 
 // delivery is a packet in transit.
@@ -124,9 +124,9 @@
 		random:          simulation.RandomSource(config.Seed, randomStream, config.Members),
 		retransmitLimit: retransmitMultiplier * int(math.Ceil(math.Log10(float64(config.Members+1)))),
 		deliveries:      map[time.Duration][]delivery{},
-		result:          &Result{Members: config.Members, Seed: config.Seed, Most: neverReached, Half: neverReached},
+		result:          &Result{Members: config.Members, Seed: config.Seed, TimeToMost: neverReached, TimeToHalf: neverReached},
 	}
-	observing := math.Max(minObservers, config.DirectShare*float64(config.Members))
+	observing := math.Max(minObservers, config.ObserverShare*float64(config.Members))
 	for i := range config.Members {
 		r.members = append(r.members, newMember(r.random, i, float64(i) < observing))
 	}
@@ -221,7 +221,7 @@
 
 // sampleKnowledge counts the members that are informed of the fault.
 func (r *clusterRun) sampleKnowledge() {
-	knowing := 0
+	informed := 0
 	for _, m := range r.members {
 		penalty, _ := m.signals.ServerCost(queryFlow, faultyServer)
 		// A member that observes the fault itself needs no report.
@@ -229,7 +229,7 @@
 		if !knows {
 			continue
 		}
-		knowing++
+		informed++
 		if r.now < r.config.FaultAt {
 			r.result.FalsePenalties++
 		}
@@ -237,12 +237,12 @@
 	if r.now < r.config.FaultAt {
 		return
 	}
-	r.result.Knowing = append(r.result.Knowing, knowing)
-	if r.result.Half < 0 && 2*knowing >= len(r.members) {
-		r.result.Half = r.now - r.config.FaultAt
+	r.result.InformedMembers = append(r.result.InformedMembers, informed)
+	if r.result.TimeToHalf < 0 && 2*informed >= len(r.members) {
+		r.result.TimeToHalf = r.now - r.config.FaultAt
 	}
-	if r.result.Most < 0 && float64(knowing) >= mostMembersShare*float64(len(r.members)) {
-		r.result.Most = r.now - r.config.FaultAt
+	if r.result.TimeToMost < 0 && float64(informed) >= mostMembersShare*float64(len(r.members)) {
+		r.result.TimeToMost = r.now - r.config.FaultAt
 	}
 }
 
--- a/internal/testbed/dissemination/dissemination_test.go
+++ b/internal/testbed/dissemination/dissemination_test.go
@@ -9,7 +9,7 @@
 func TestReportReachesAllMembers(t *testing.T) {
 	simulate := func(c Config) *Result {
 		t.Helper()
-		c.FaultAt, c.Duration, c.DirectShare, c.Network.Delay = 10*time.Second, 18*time.Second, 0.1, 2*time.Millisecond
+		c.FaultAt, c.Duration, c.ObserverShare, c.Network.Delay = 10*time.Second, 18*time.Second, 0.1, 2*time.Millisecond
 		result, err := Simulate(c)
 		if err != nil {
 			t.Fatal(err)
@@ -18,8 +18,8 @@
 	}
 	small, large := simulate(Config{Members: 20, Seed: 1}), simulate(Config{Members: 200, Seed: 1})
 	for _, r := range []*Result{small, large} {
-		if r.Most < 0 || r.Most > 5*time.Second || r.FalsePenalties > 0 {
-			t.Errorf("%d members: 99 in 100 are informed after %v, with %d false penalties", r.Members, r.Most, r.FalsePenalties)
+		if r.TimeToMost < 0 || r.TimeToMost > 5*time.Second || r.FalsePenalties > 0 {
+			t.Errorf("%d members: 99 in 100 are informed after %v, with %d false penalties", r.Members, r.TimeToMost, r.FalsePenalties)
 		}
 	}
 	if large.QuietBytes > 3*small.QuietBytes {
@@ -29,7 +29,7 @@
 		t.Error("two runs with the same seed have different results")
 	}
 	lossy := simulate(Config{Members: 50, Seed: 1, Network: Network{Loss: 0.3, Jitter: 500 * time.Millisecond}})
-	if lossy.Most < 0 || lossy.Most > 6*time.Second {
-		t.Errorf("with 30 %% loss 99 in 100 members are informed after %v", lossy.Most)
+	if lossy.TimeToMost < 0 || lossy.TimeToMost > 6*time.Second {
+		t.Errorf("with 30 %% loss 99 in 100 members are informed after %v", lossy.TimeToMost)
 	}
 }
--- a/internal/testbed/fleet/call.go
+++ b/internal/testbed/fleet/call.go
@@ -22,7 +22,7 @@
 func (r *fleetRun) startCall(p *process, f startedFault) {
 	r.workers.Go(func() {
 		response := r.call(p, f)
-		r.driver.Do(func() {
+		r.driver.WithLock(func() {
 			r.record(p.name, "%s answered %s", f.path, response.text)
 			if f.name != "" {
 				r.callResponses[f.name] = append(r.callResponses[f.name], response)
@@ -60,7 +60,7 @@
 		}
 		forwarded, operatorConn := netfault.Pipe()
 		r.workers.Go(func() {
-			r.network.Forward(sockets.Operator, netfault.Endpoint(p.name), forwarded, balancerConn, netfault.Tap{})
+			r.network.Forward(sockets.OperatorEndpoint, netfault.Endpoint(p.name), forwarded, balancerConn, netfault.Tap{})
 		})
 		return operatorConn, nil
 	}}
--- a/internal/testbed/fleet/check.go
+++ b/internal/testbed/fleet/check.go
@@ -191,7 +191,7 @@
 
 func (c *check) checkHealthChecks() {
 	count := 0.0
-	for _, times := range c.run.driver.Tally.HealthChecksAt {
+	for _, times := range c.run.driver.Counts.HealthChecksAt {
 		for _, at := range times {
 			if c.isWithin(at) {
 				count++
@@ -203,7 +203,7 @@
 
 func (c *check) checkHealthChecked() {
 	for _, server := range c.resolveServers() {
-		gap := c.longestGap(c.run.driver.Tally.HealthChecksAt[simulation.ServerID(server)])
+		gap := c.longestGap(c.run.driver.Counts.HealthChecksAt[simulation.ServerID(server)])
 		c.observe(fmt.Sprintf("%s: %v without", serverName(server), gap.Round(time.Millisecond)), gap <= c.within)
 	}
 }
--- a/internal/testbed/fleet/check_test.go
+++ b/internal/testbed/fleet/check_test.go
@@ -45,7 +45,7 @@
 	run := &fleetRun{
 		plan:          plan,
 		world:         plan.Experiment.Day(1).World,
-		driver:        &sockets.Driver{Tally: sockets.Tally{HealthChecksAt: map[simulation.ServerID][]time.Duration{}}},
+		driver:        &sockets.Driver{Counts: sockets.Counts{HealthChecksAt: map[simulation.ServerID][]time.Duration{}}},
 		names:         &nameResolver{random: simulation.RandomSource(1, "cast", 0), balancers: 3, servers: 3},
 		faultTimes:    map[string]time.Duration{"called": 2 * time.Second},
 		callResponses: map[string][]callResponse{},
@@ -105,7 +105,7 @@
 }
 
 func withHealthChecks(times ...time.Duration) func(*fleetRun, *Result) {
-	return func(r *fleetRun, _ *Result) { r.driver.Tally.HealthChecksAt[0] = times }
+	return func(r *fleetRun, _ *Result) { r.driver.Counts.HealthChecksAt[0] = times }
 }
 
 // withGoneMember makes b0 see b1 as gone from one time to another, and as alive before and after.
--- a/internal/testbed/fleet/fault.go
+++ b/internal/testbed/fleet/fault.go
@@ -124,7 +124,7 @@
 	if len(f.targets) == 0 {
 		t.Fail("who", `is missing; want names such as ["b0", "b3..5", "any:2", "all"]`)
 	}
-	if f.program == oldBuild && p.Old == "" {
+	if f.program == oldBuild && p.OldRevision == "" {
 		t.Fail("program", "needs process.old, the revision to build")
 	}
 	p.checkKind(t, f)
--- a/internal/testbed/fleet/fleet_test.go
+++ b/internal/testbed/fleet/fleet_test.go
@@ -46,8 +46,8 @@
 		p.Engine = buildEngine(t)
 	}
 	var old []string
-	if p.Old != "" {
-		program, err := Build(context.Background(), ".", p.Old)
+	if p.OldRevision != "" {
+		program, err := Build(context.Background(), ".", p.OldRevision)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -60,7 +60,7 @@
 			t.Fatal(err)
 		}
 		defer func() { _ = os.RemoveAll(directory) }()
-		if r, err = Run(context.Background(), p, Settings{Seed: seed, Program: []string{self}, Old: old, Directory: directory}); err != nil {
+		if r, err = Run(context.Background(), p, Settings{Seed: seed, Program: []string{self}, OldProgram: old, Directory: directory}); err != nil {
 			t.Fatal(err)
 		}
 		if r.Void == "" {
--- a/internal/testbed/fleet/install.go
+++ b/internal/testbed/fleet/install.go
@@ -15,7 +15,7 @@
 
 // install copies the programs into the run's directory, where any user can execute them.
 func (r *fleetRun) install(s Settings) error {
-	for build, program := range map[string][]string{currentBuild: s.Program, oldBuild: s.Old} {
+	for build, program := range map[string][]string{currentBuild: s.Program, oldBuild: s.OldProgram} {
 		if len(program) == 0 {
 			continue
 		}
--- a/internal/testbed/fleet/members.go
+++ b/internal/testbed/fleet/members.go
@@ -77,7 +77,7 @@
 	for {
 		var view daemon.MembersView
 		err := explain.Members(ctx, p.explainSocket(), &view)
-		r.driver.Do(func() {
+		r.driver.WithLock(func() {
 			if err == nil && (p.state == running || p.state == starved) { // otherwise its last view remains
 				p.recordView(r.driver.Elapsed(), view)
 			}
--- a/internal/testbed/fleet/names.go
+++ b/internal/testbed/fleet/names.go
@@ -23,7 +23,7 @@
 )
 
 var groupNames = []string{allBalancers, anyBalancers, otherBalancers, allServers, anyServers, faultyServers, healthyServers,
-	string(sockets.Discovery), string(sockets.Operator)}
+	string(sockets.DiscoveryEndpoint), string(sockets.OperatorEndpoint)}
 
 // isKnownName reports whether a name is valid in every plan, unlike names of faults.
 func isKnownName(name string) bool {
@@ -70,9 +70,9 @@
 	faultNames    map[string][]string // targets of named faults
 }
 
-func balancerName(i int) string { return string(sockets.BalancerName(simulation.BalancerID(i))) }
+func balancerName(i int) string { return string(sockets.BalancerEndpoint(simulation.BalancerID(i))) }
 
-func serverName(i int) string { return string(sockets.ServerName(simulation.ServerID(i))) }
+func serverName(i int) string { return string(sockets.ServerEndpoint(simulation.ServerID(i))) }
 
 // resolve returns the endpoints that names stand for, each once. The name others stands for all balancers but the excluded ones.
 func (n *nameResolver) resolve(names, excluded []string) (endpoints []string) {
--- a/internal/testbed/fleet/plan.go
+++ b/internal/testbed/fleet/plan.go
@@ -22,9 +22,9 @@
 
 // Plan is the validated content of a plan file.
 type Plan struct {
-	Experiment *experiment.Experiment
-	Old        string // revision of the old build; empty for none
-	Engine     string // path of the membership engine; empty for the one beside the program
+	Experiment  *experiment.Experiment
+	OldRevision string // revision of the old build; empty for none
+	Engine      string // path of the membership engine; empty for the one beside the program
 
 	oldBuildOn      []string // names of balancers
 	pingInterval    time.Duration
@@ -107,9 +107,9 @@
 	if (p.hasSignals || p.hasLeases) && !p.hasMembership {
 		t.Fail("peers", "is required by signals and duties")
 	}
-	p.Old = t.String("old", "")
+	p.OldRevision = t.String("old", "")
 	p.oldBuildOn = t.Strings("old-who", nil)
-	if len(p.oldBuildOn) > 0 && p.Old == "" {
+	if len(p.oldBuildOn) > 0 && p.OldRevision == "" {
 		t.Fail("old-who", "needs old, the revision to build")
 	}
 }
--- a/internal/testbed/fleet/process.go
+++ b/internal/testbed/fleet/process.go
@@ -208,7 +208,7 @@
 // recordDescriptorCounts records the number of open file descriptors of each running process.
 func (r *fleetRun) recordDescriptorCounts() {
 	for _, p := range r.processes {
-		pid := r.driver.Process(p.id)
+		pid := r.driver.ProcessID(p.id)
 		if pid == 0 || p.state != running {
 			continue
 		}
--- a/internal/testbed/fleet/report.go
+++ b/internal/testbed/fleet/report.go
@@ -63,14 +63,14 @@
 // htmlReport is the data of the report's template.
 type htmlReport struct {
 	*Result
-	W, H       float64
-	Rects      []shape
-	Marks      []shape
-	Labels     []label
-	Ticks      []label
-	Legend     []shape
-	Bottom     float64
-	MomentRows []string
+	W, H         float64
+	Rects        []shape
+	Marks        []shape
+	Labels       []label
+	Ticks        []label
+	Legend       []shape
+	Bottom       float64
+	TimelineRows []string
 
 	y float64 // top of the next row
 }
@@ -92,7 +92,7 @@
 		h.addSpans(name, []Span{span}, barHeight)
 		h.y += rowHeight
 	}
-	h.addMoments()
+	h.addTimeline()
 	h.addTimeTicks()
 	h.Bottom, h.H = h.y, h.y+axisHeight
 	for _, what := range legend {
@@ -142,11 +142,11 @@
 	}
 }
 
-// addMoments draws a line across all rows for each moment, and lists the moments as text.
-func (h *htmlReport) addMoments() {
-	for _, m := range h.Moments {
+// addTimeline draws a line across all rows for each event of the timeline, and lists the events as text.
+func (h *htmlReport) addTimeline() {
+	for _, m := range h.Timeline {
 		h.Marks = append(h.Marks, shape{X: h.x(m.At), Y: 0, W: 1, H: h.y, Title: fmt.Sprintf("%.2fs %s %s", m.At.Seconds(), m.Who, m.What)})
-		h.MomentRows = append(h.MomentRows, fmt.Sprintf("%.2fs  %s  %s", m.At.Seconds(), m.Who, m.What))
+		h.TimelineRows = append(h.TimelineRows, fmt.Sprintf("%.2fs  %s  %s", m.At.Seconds(), m.Who, m.What))
 	}
 }
 
--- a/internal/testbed/fleet/report_test.go
+++ b/internal/testbed/fleet/report_test.go
@@ -13,7 +13,7 @@
 	r := &Result{Name: "shown", About: "About.", Seed: 7, Length: 3, Holds: true}
 	r.Processes = []Process{{Name: "b0", Established: 11, Connects: 12, PerSecond: []int{1, 2, 3},
 		Cost: invariants.Cost{Cut: 21, Unanswered: 22, Expired: 23, AnsweredLate: 24, SentLate: 25}}}
-	r.Moments = []Moment{{At: time.Second, Who: "b0", What: "kill"}}
+	r.Timeline = []TimelineEvent{{At: time.Second, Who: "b0", What: "kill"}}
 	var page strings.Builder
 	if err := r.HTML(&page); err != nil {
 		t.Fatal(err)
--- a/internal/testbed/fleet/result.go
+++ b/internal/testbed/fleet/result.go
@@ -35,8 +35,8 @@
 	NeverEstablished int     `json:"never_up"`
 	Connects         int     `json:"connects"`
 	HealthChecks     int     `json:"probes"`
-	Judged           int     `json:"judged"`
-	Broken           int     `json:"broken"`
+	CheckedFlows     int     `json:"judged"`
+	ViolationCount   int     `json:"broken"`
 	Service          float64 `json:"service"` // share of the requested seconds that was served
 }
 
@@ -53,21 +53,21 @@
 
 // Result is the result of one run, with its verdicts.
 type Result struct {
-	Name          string         `json:"name"`
-	About         string         `json:"about"`
-	Seed          uint64         `json:"seed"`
-	Length        float64        `json:"length_s"`
-	Void          string         `json:"void,omitempty"`
-	Holds         bool           `json:"holds"`
-	Requirements  []Verdict      `json:"musts"`
-	Violations    []string       `json:"violations,omitempty"`
-	SkippedFaults []string       `json:"faults_passed_over,omitempty"`
-	Figures       Figures        `json:"figures"`
-	Processes     []Process      `json:"processes"`
-	Moments       []Moment       `json:"moments"`
-	FaultySpans   []Named        `json:"servers_in_trouble"`
-	FaultyServers []FaultyServer `json:"troubles"`
-	Paths         []Span         `json:"ways"`
+	Name          string          `json:"name"`
+	About         string          `json:"about"`
+	Seed          uint64          `json:"seed"`
+	Length        float64         `json:"length_s"`
+	Void          string          `json:"void,omitempty"`
+	Holds         bool            `json:"holds"`
+	Requirements  []Verdict       `json:"musts"`
+	Violations    []string        `json:"violations,omitempty"`
+	SkippedFaults []string        `json:"faults_passed_over,omitempty"`
+	Figures       Figures         `json:"figures"`
+	Processes     []Process       `json:"processes"`
+	Timeline      []TimelineEvent `json:"moments"`
+	FaultySpans   []NamedSpans    `json:"servers_in_trouble"`
+	FaultyServers []FaultyServer  `json:"troubles"`
+	Paths         []Span          `json:"ways"`
 }
 
 // FaultyServer is the effect of one server's fault, over all balancers.
@@ -80,8 +80,8 @@
 	Sent            int     `json:"sent"` // connects that it got during the fault, each for a flow that is served late or not at all
 }
 
-// Named is a list of spans with the name of the endpoint that they are of.
-type Named struct {
+// NamedSpans is a list of spans with the name of the endpoint that they are of.
+type NamedSpans struct {
 	Name  string `json:"name"`
 	Spans []Span `json:"spans"`
 }
@@ -97,7 +97,7 @@
 		Length:        end.Seconds(),
 		Void:          void,
 		SkippedFaults: r.skippedFaults,
-		Moments:       r.moments,
+		Timeline:      r.timeline,
 		Paths:         r.pathSpans,
 		Processes:     r.processResults(),
 	}
@@ -107,11 +107,11 @@
 	result.Figures = r.figures(len(result.Violations) + r.checker.Omitted())
 	for i := range r.world.Servers {
 		if spans := r.faultySpans[i]; len(spans) > 0 {
-			result.FaultySpans = append(result.FaultySpans, Named{serverName(i), closeOpenSpans(spans, end)})
+			result.FaultySpans = append(result.FaultySpans, NamedSpans{serverName(i), closeOpenSpans(spans, end)})
 		}
 	}
 	result.FaultyServers = r.faultyServerResults()
-	result.Requirements = r.commonRequirements(result.Figures.Broken)
+	result.Requirements = r.commonRequirements(result.Figures.ViolationCount)
 	for _, q := range r.plan.requirements {
 		result.Requirements = append(result.Requirements, r.check(q, result))
 	}
@@ -120,7 +120,7 @@
 }
 
 func (r *fleetRun) figures(broken int) Figures {
-	totals, tally := &r.world.Totals, r.driver.Tally
+	totals, counts := &r.world.Totals, r.driver.Counts
 	return Figures{
 		Clients:          totals.Clients,
 		Flows:            totals.Attempts,
@@ -130,10 +130,10 @@
 		Cut:              totals.Cut,
 		Migrated:         totals.Migrated,
 		NeverEstablished: len(totals.NeverEstablished),
-		Connects:         tally.Connects,
-		HealthChecks:     tally.HealthChecks,
-		Judged:           r.checker.Judged,
-		Broken:           broken,
+		Connects:         counts.Connects,
+		HealthChecks:     counts.HealthChecks,
+		CheckedFlows:     r.checker.CheckedFlows,
+		ViolationCount:   broken,
 		Service:          r.servedShare(),
 	}
 }
@@ -174,10 +174,10 @@
 	rules := Verdict{
 		Requirement: "no rule broken by any balancer that runs",
 		Holds:       broken == 0,
-		Seen:        fmt.Sprintf("%d flows judged, %d breaches", r.checker.Judged, broken),
+		Seen:        fmt.Sprintf("%d flows judged, %d breaches", r.checker.CheckedFlows, broken),
 	}
 	alive := Verdict{Requirement: "no process ends by itself", Holds: true, Seen: "none did"}
-	for _, m := range r.moments {
+	for _, m := range r.timeline {
 		if strings.HasPrefix(m.What, "ended by itself") {
 			alive.Holds, alive.Seen = false, fmt.Sprintf("%s at %.1fs", m.Who, m.At.Seconds())
 		}
--- a/internal/testbed/fleet/run.go
+++ b/internal/testbed/fleet/run.go
@@ -27,8 +27,8 @@
 	What     string
 }
 
-// Moment is an event of the run's timeline.
-type Moment struct {
+// TimelineEvent is an event of the run's timeline.
+type TimelineEvent struct {
 	At   time.Duration
 	Who  string
 	What string
@@ -52,7 +52,7 @@
 	processes []*process
 
 	events        []invariants.Event
-	moments       []Moment
+	timeline      []TimelineEvent
 	faultTimes    map[string]time.Duration  // start times of named faults
 	callResponses map[string][]callResponse // of the calls of named faults
 	leftOutSpans  map[string][]Span         // by balancer: when the front left it out
@@ -70,11 +70,11 @@
 
 // Settings are the parameters of a run.
 type Settings struct {
-	Seed      uint64
-	Program   []string            // command line that starts the balancer
-	Old       []string            // command line that starts the earlier build; empty if the plan needs none
-	Directory string              // for configurations, logs and the processes' own directories
-	Progress  func(time.Duration) // called with the elapsed time every half second; may be nil
+	Seed       uint64
+	Program    []string            // command line that starts the balancer
+	OldProgram []string            // command line that starts the earlier build; empty if the plan needs none
+	Directory  string              // for configurations, logs and the processes' own directories
+	Progress   func(time.Duration) // called with the elapsed time every half second; may be nil
 }
 
 // Run runs a plan once and returns its result.
@@ -97,8 +97,8 @@
 		Network:        r.network,
 		ControlAddress: func(b simulation.BalancerID) string { return r.processes[b].controlAddress },
 		Launch:         r.configureCommand,
-		Ended:          r.processEnded,
-		Observe:        func(e invariants.Event) { r.events = append(r.events, e) },
+		OnProcessExit:  r.processEnded,
+		OnEvent:        func(e invariants.Event) { r.events = append(r.events, e) },
 	})
 	r.scheduleFaults()
 	void, err := r.driver.Run(r.progress(ctx, s.Progress))
@@ -131,7 +131,7 @@
 		faultySpans:   map[int][]Span{},
 		descriptors:   map[string]int{},
 	}
-	slack, reordering := sockets.CheckerTimes()
+	slack, reordering := sockets.CheckerTolerances()
 	r.checker = scenario.NewChecker(day, max(slack, p.answerTolerance), reordering)
 	r.driver = sockets.New(ctx, day, r.checker, s.Program, s.Directory)
 	if p.hasMembership {
@@ -196,14 +196,14 @@
 		}
 		r.workers.Go(func() {
 			front.run(ctx, func(isUp bool) {
-				r.driver.Do(func() { r.frontChanged(p, isUp) })
+				r.driver.WithLock(func() { r.frontChanged(p, isUp) })
 			})
 		})
 		if r.proxy != nil {
 			r.workers.Go(func() { r.watchMembers(ctx, p) })
 		}
 	}
-	r.driver.Do(r.observeFaultyServers)
+	r.driver.WithLock(r.observeFaultyServers)
 }
 
 func (r *fleetRun) frontChanged(p *process, isUp bool) {
@@ -234,7 +234,7 @@
 
 // record adds a moment at the current time.
 func (r *fleetRun) record(who, format string, values ...any) {
-	r.moments = append(r.moments, Moment{r.driver.Elapsed(), who, fmt.Sprintf(format, values...)})
+	r.timeline = append(r.timeline, TimelineEvent{r.driver.Elapsed(), who, fmt.Sprintf(format, values...)})
 }
 
 // skip records why a fault could not be carried out as planned.
--- a/internal/testbed/fleet/sighup.go
+++ b/internal/testbed/fleet/sighup.go
@@ -30,7 +30,7 @@
 // sendSIGHUPsDuringStart sends count SIGHUP signals to a process that is being started, as soon as they no longer end the shell that starts it.
 // The caller holds the driver's mutex; the signals are sent by a goroutine without it.
 func (r *fleetRun) sendSIGHUPsDuringStart(p *process, count int) {
-	pid := r.driver.Process(p.id)
+	pid := r.driver.ProcessID(p.id)
 	if pid == 0 || count == 0 {
 		return
 	}
--- a/internal/testbed/fleet/start_faults.go
+++ b/internal/testbed/fleet/start_faults.go
@@ -200,7 +200,7 @@
 	case kind == faultDirectoryReadOnly:
 		return os.Chmod(p.directory, privateDirMode)
 	}
-	pid := r.driver.Process(p.id)
+	pid := r.driver.ProcessID(p.id)
 	if pid == 0 {
 		return errors.New("no process runs")
 	}
--- a/internal/testbed/invariants/checker.go
+++ b/internal/testbed/invariants/checker.go
@@ -24,7 +24,7 @@
 // Checker checks events in the order of their times. Where several observers report them, an event may arrive before its cause, so each is
 // held back for Limits.Reordering and sorted.
 type Checker struct {
-	Judged int // number of flows checked
+	CheckedFlows int // number of flows checked
 
 	limits        Limits
 	heldBack      eventQueue
@@ -100,7 +100,7 @@
 		f.transition(abandoned, c.now)
 		return
 	}
-	c.report(Violation{Rule: OneAnswer, At: d.at, Balancer: f.accepted.Balancer, Flow: d.flow, What: "no answer in time"}, f.accepted)
+	c.report(Violation{Rule: OneAnswer, At: d.at, Balancer: f.accepted.Balancer, Flow: d.flow, Description: "no answer in time"}, f.accepted)
 	f.transition(answered, c.now)
 }
 
--- a/internal/testbed/invariants/checker_test.go
+++ b/internal/testbed/invariants/checker_test.go
@@ -241,10 +241,10 @@
 	for _, test := range violatingRuns {
 		t.Run(test.name, func(t *testing.T) {
 			violations := violationsOf(test.events)
-			if len(violations) == 0 || violations[0].Rule != test.rule || !strings.Contains(violations[0].What, test.what) {
+			if len(violations) == 0 || violations[0].Rule != test.rule || !strings.Contains(violations[0].Description, test.what) {
 				t.Fatalf("found %v, want rule %d, %s", violations, test.rule, test.what)
 			}
-			if len(violations[0].Proof) == 0 || !strings.Contains(violations[0].String(), "seen: ") {
+			if len(violations[0].Events) == 0 || !strings.Contains(violations[0].String(), "seen: ") {
 				t.Error("the violation lists no events")
 			}
 		})
--- a/internal/testbed/invariants/connect.go
+++ b/internal/testbed/invariants/connect.go
@@ -97,12 +97,12 @@
 			first = f.outstanding[0]
 		}
 		c.report(Violation{
-			Rule:     NoDuplicateEffect,
-			At:       sent.At,
-			Balancer: sent.Balancer,
-			Flow:     id,
-			Server:   sent.Server,
-			What:     "two connects outstanding",
+			Rule:        NoDuplicateEffect,
+			At:          sent.At,
+			Balancer:    sent.Balancer,
+			Flow:        id,
+			Server:      sent.Server,
+			Description: "two connects outstanding",
 		}, f.accepted, first, sent)
 		return true
 	})
--- a/internal/testbed/invariants/flow.go
+++ b/internal/testbed/invariants/flow.go
@@ -70,7 +70,7 @@
 		c.reportAnswer(e, OneAnswer, "accepted twice", f.accepted, e)
 		return
 	}
-	c.Judged++
+	c.CheckedFlows++
 	f := &flow{accepted: e, sends: map[Connect]Event{}}
 	c.flows[e.Flow] = f
 	if c.isFrozen(e.Balancer) {
--- a/internal/testbed/invariants/slowstart.go
+++ b/internal/testbed/invariants/slowstart.go
@@ -35,8 +35,8 @@
 	start.isBroken = true
 	what := fmt.Sprintf("%d connects in %v, %.1f times what it can take",
 		len(start.arrivals), c.limits.SlowStartWindow, max(count.sum, load.sum)/full)
-	proof := start.arrivals[max(0, len(start.arrivals)-maxProofArrivals):]
-	c.reportConnect(e, SlowStartRespected, what, slices.Clone(proof)...)
+	events := start.arrivals[max(0, len(start.arrivals)-maxProofArrivals):]
+	c.reportConnect(e, SlowStartRespected, what, slices.Clone(events)...)
 }
 
 func (c *Checker) serverStart(e Event) *serverStart {
--- a/internal/testbed/invariants/violation.go
+++ b/internal/testbed/invariants/violation.go
@@ -24,23 +24,23 @@
 
 // Violation describes which rule was broken, and the events that show it.
 type Violation struct {
-	Rule     Rule
-	At       time.Duration
-	Balancer Balancer
-	Flow     Flow
-	Server   Server
-	What     string
-	Proof    []Event
+	Rule        Rule
+	At          time.Duration
+	Balancer    Balancer
+	Flow        Flow
+	Server      Server
+	Description string
+	Events      []Event
 }
 
-// String formats the violation with its proof on one line.
+// String formats the violation with its events on one line.
 func (v Violation) String() string {
-	var proof []string
-	for _, e := range v.Proof {
-		proof = append(proof, e.String())
+	var events []string
+	for _, e := range v.Events {
+		events = append(events, e.String())
 	}
-	return fmt.Sprintf("rule %d (%s): %s at %.3fs, balancer %d, flow %d, server %d; seen: %s", v.Rule, v.Rule, v.What,
-		v.At.Seconds(), v.Balancer, v.Flow, v.Server, strings.Join(proof, "; "))
+	return fmt.Sprintf("rule %d (%s): %s at %.3fs, balancer %d, flow %d, server %d; seen: %s", v.Rule, v.Rule, v.Description,
+		v.At.Seconds(), v.Balancer, v.Flow, v.Server, strings.Join(events, "; "))
 }
 
 const maxViolations = 200 // further ones are only counted
@@ -51,21 +51,21 @@
 // Omitted is the number of violations that exceed maxViolations.
 func (c *Checker) Omitted() int { return c.omitted }
 
-func (c *Checker) report(v Violation, proof ...Event) {
+func (c *Checker) report(v Violation, events ...Event) {
 	if len(c.violations) >= maxViolations {
 		c.omitted++
 		return
 	}
-	v.Proof = proof
+	v.Events = events
 	c.violations = append(c.violations, v)
 }
 
 // reportConnect reports a violation that an event of a connect shows, with the connect's server.
-func (c *Checker) reportConnect(e Event, rule Rule, what string, proof ...Event) {
-	c.report(Violation{Rule: rule, At: e.At, Balancer: e.Balancer, Flow: e.Flow, Server: e.Server, What: what}, proof...)
+func (c *Checker) reportConnect(e Event, rule Rule, what string, events ...Event) {
+	c.report(Violation{Rule: rule, At: e.At, Balancer: e.Balancer, Flow: e.Flow, Server: e.Server, Description: what}, events...)
 }
 
 // reportAnswer reports a violation that an event without a server shows.
-func (c *Checker) reportAnswer(e Event, rule Rule, what string, proof ...Event) {
-	c.report(Violation{Rule: rule, At: e.At, Balancer: e.Balancer, Flow: e.Flow, What: what}, proof...)
+func (c *Checker) reportAnswer(e Event, rule Rule, what string, events ...Event) {
+	c.report(Violation{Rule: rule, At: e.At, Balancer: e.Balancer, Flow: e.Flow, Description: what}, events...)
 }
--- a/internal/testbed/netfault/listener.go
+++ b/internal/testbed/netfault/listener.go
@@ -42,8 +42,8 @@
 	return &Listener{Address: address, silent: newSilentSocket()}
 }
 
-// Transition changes the state. When the listener opens, serve is run with it in a goroutine and has to return once it is closed.
-func (l *Listener) Transition(ctx context.Context, to ListenerState, serve func(net.Listener)) error {
+// SetState changes the state. When the listener opens, serve is run with it in a goroutine and has to return once it is closed.
+func (l *Listener) SetState(ctx context.Context, to ListenerState, serve func(net.Listener)) error {
 	if to == l.state && l.isBound {
 		return nil
 	}
--- a/internal/testbed/netfault/listener_test.go
+++ b/internal/testbed/netfault/listener_test.go
@@ -26,7 +26,7 @@
 		refused bool
 		silent  bool
 	}{{to: Open}, {to: Unresponsive, silent: true}, {to: Closed, refused: true}, {to: Open}} {
-		if err := l.Transition(t.Context(), step.to, closeAll); err != nil {
+		if err := l.SetState(t.Context(), step.to, closeAll); err != nil {
 			t.Fatal(err)
 		}
 		err := connect(t, l.Address, 150*time.Millisecond)
@@ -44,14 +44,14 @@
 	for range count {
 		l := NewListener("127.77.250.1:0")
 		defer l.Close()
-		if err := l.Transition(t.Context(), Open, closeAll); err != nil {
+		if err := l.SetState(t.Context(), Open, closeAll); err != nil {
 			t.Fatal(err)
 		}
 		listeners = append(listeners, l)
 	}
 	for _, to := range []ListenerState{Unresponsive, Open, Unresponsive, Closed, Open} {
 		for _, l := range listeners {
-			if err := l.Transition(t.Context(), to, closeAll); err != nil {
+			if err := l.SetState(t.Context(), to, closeAll); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/internal/testbed/netfault/network.go
+++ b/internal/testbed/netfault/network.go
@@ -57,9 +57,9 @@
 	return len(streams)
 }
 
-// Passed returns the number of datagrams and chunks of streams that were sent in one direction, and the number of datagrams lost among
-// them.
-func (n *Network) Passed(from, to Endpoint) (all, lost int) {
+// SentAndLost returns the number of datagrams and chunks of streams that were sent in one direction, and the number of datagrams lost
+// among them.
+func (n *Network) SentAndLost(from, to Endpoint) (all, lost int) {
 	d := n.direction(from, to)
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/testbed/netfault/proxy_test.go
+++ b/internal/testbed/netfault/proxy_test.go
@@ -70,7 +70,7 @@
 			t.Errorf("got %q, %v; want \"four\" twice", text, err)
 		}
 	}
-	if all, lost := n.Passed("a", "b"); all != 3 || lost != 1 {
+	if all, lost := n.SentAndLost("a", "b"); all != 3 || lost != 1 {
 		t.Errorf("%d datagrams sent and %d lost, want 3 and 1", all, lost)
 	}
 }
--- a/internal/testbed/netfault/stream_test.go
+++ b/internal/testbed/netfault/stream_test.go
@@ -16,7 +16,7 @@
 	t.Helper()
 	l := NewListener("127.0.0.1:0")
 	var stubs sync.WaitGroup
-	if err := l.Transition(t.Context(), Open, func(listener net.Listener) {
+	if err := l.SetState(t.Context(), Open, func(listener net.Listener) {
 		Serve(listener, func(near net.Conn) {
 			forwarded, stub := Pipe()
 			stubs.Go(func() {
--- a/internal/testbed/report/page.go
+++ b/internal/testbed/report/page.go
@@ -29,13 +29,13 @@
 	Seed        uint64
 	Rows        []pageRow
 	Plots       []plot
-	Broken      []string
+	Violations  []string
 }
 
 // pageRow is the table row of a policy, with means over its days.
 type pageRow struct {
 	Policy, Service, ServedShare, WorstWindow, WorstCustomer, SetupTimes, Connects string
-	Migrations, Rejects, Broken, Days                                              int
+	Migrations, Rejects, ViolationCount, Days                                      int
 	Colour                                                                         string
 }
 
@@ -46,7 +46,7 @@
 		return errNoResults
 	}
 	shown := firstOfEachPolicy(results)
-	data := pageData{Name: name, About: about, Seed: results[0].Seed, Rows: rowsOf(shown, results), Broken: violationsOf(results)}
+	data := pageData{Name: name, About: about, Seed: results[0].Seed, Rows: rowsOf(shown, results), Violations: violationsOf(results)}
 	data.Plots = plotsOf(shown)
 	return pageTemplate.Execute(w, data)
 }
@@ -84,18 +84,18 @@
 	share := func(x float64) string { return fmt.Sprintf("%.3f", x) }
 	mean, days := count.Mean(results, policy)
 	return pageRow{
-		Policy:        policy,
-		Colour:        colourOf(policy),
-		Service:       share(mean.Service),
-		ServedShare:   share(mean.ServedShare),
-		WorstWindow:   share(mean.WorstWindow),
-		WorstCustomer: share(mean.WorstCustomer),
-		SetupTimes:    fmt.Sprintf("%.0f / %.0f", mean.SetupTimes.P50, mean.SetupTimes.P99),
-		Connects:      fmt.Sprintf("%.2f", float64(mean.Connects)/float64(max(mean.Clients, 1))),
-		Migrations:    mean.Migrations,
-		Rejects:       mean.Rejected,
-		Broken:        mean.Broken,
-		Days:          days,
+		Policy:         policy,
+		Colour:         colourOf(policy),
+		Service:        share(mean.Service),
+		ServedShare:    share(mean.ServedShare),
+		WorstWindow:    share(mean.WorstWindow),
+		WorstCustomer:  share(mean.WorstCustomer),
+		SetupTimes:     fmt.Sprintf("%.0f / %.0f", mean.SetupTimes.P50, mean.SetupTimes.P99),
+		Connects:       fmt.Sprintf("%.2f", float64(mean.Connects)/float64(max(mean.Clients, 1))),
+		Migrations:     mean.Migrations,
+		Rejects:        mean.Rejected,
+		ViolationCount: mean.ViolationCount,
+		Days:           days,
 	}
 }
 
--- a/internal/testbed/scale/sweep_faults.go
+++ b/internal/testbed/scale/sweep_faults.go
@@ -65,7 +65,7 @@
 	for _, v := range f.violations() {
 		o.violations = append(o.violations, v.String())
 	}
-	o.judgedFlows = f.checker.Judged
+	o.judgedFlows = f.checker.CheckedFlows
 	o.processor = processorTime() - from
 	return o, nil
 }
--- a/internal/testbed/scale/sweep_zone.go
+++ b/internal/testbed/scale/sweep_zone.go
@@ -71,7 +71,7 @@
 			f.busiestSecond.Seconds()/float64(surviving),
 			float64(f.unservedClients()),
 		)
-		checks = append(checks, faultOutcome{judgedFlows: f.checker.Judged, violations: broken}.check("lost zone", size))
+		checks = append(checks, faultOutcome{judgedFlows: f.checker.CheckedFlows, violations: broken}.check("lost zone", size))
 		progress(i+1, len(s.Sizes))
 	}
 	return set.all(), checks, nil
--- a/internal/testbed/scenario/scenario.go
+++ b/internal/testbed/scenario/scenario.go
@@ -54,11 +54,11 @@
 	driver := virtual.New(day, checker, newDecider)
 	loads := RecordLoads(day.World)
 	driver.Run(progress)
-	tally := driver.Tally
+	counts := driver.Counts
 	seconds := len(day.World.Accounting.Requested[0])
 	result := &count.Result{Policy: policy, Seed: seed, LoadByServer: *loads,
-		Crossings: tally.Crossings, Migrations: tally.Migrations, Connects: tally.Connects,
-		MigrationsBySecond: count.PerSecond(tally.MigratedAt, seconds), ConnectsBySecond: count.PerSecond(tally.ConnectedAt, seconds)}
+		Crossings: counts.Crossings, Migrations: counts.Migrations, Connects: counts.Connects,
+		MigrationsBySecond: count.PerSecond(counts.MigratedAt, seconds), ConnectsBySecond: count.PerSecond(counts.ConnectedAt, seconds)}
 	FillResult(result, day, checker)
 	return result, nil
 }
@@ -68,9 +68,9 @@
 	for _, v := range checker.Violations() {
 		r.Violations = append(r.Violations, v.String())
 	}
-	r.Broken = len(r.Violations) + checker.Omitted()
-	r.Judged = checker.Judged
-	r.Collapsed = len(d.World.Collapsed)
+	r.ViolationCount = len(r.Violations) + checker.Omitted()
+	r.CheckedFlows = checker.CheckedFlows
+	r.CollapsedServers = len(d.World.Collapsed)
 	r.MaxSlowStartExcess = d.World.MaxSlowStartExcess
 	for _, f := range d.Faults {
 		r.Faults = append(r.Faults, count.Fault{Kind: string(f.Kind), Start: f.Start.Seconds(), End: f.End().Seconds()})
--- a/internal/testbed/scenario/scenario_test.go
+++ b/internal/testbed/scenario/scenario_test.go
@@ -45,8 +45,8 @@
 	}
 	judged := 0
 	for _, r := range results {
-		judged += r.Judged
-		if r.Broken > len(r.Violations) {
+		judged += r.CheckedFlows
+		if r.ViolationCount > len(r.Violations) {
 			t.Errorf("seed %d: more violations than are listed", r.Seed)
 		}
 		for _, v := range r.Violations {
@@ -115,7 +115,7 @@
 				t.Fatal(err)
 			}
 			r, err := RunDay(e.Sized(3, 9).Stretched(0.3), 1, "ours", nil, nil)
-			if err != nil || r.Judged == 0 || r.ServedShare <= 0 || r.Service > 1 || r.Broken > 0 {
+			if err != nil || r.CheckedFlows == 0 || r.ServedShare <= 0 || r.Service > 1 || r.ViolationCount > 0 {
 				t.Errorf("%v: %+v", err, r)
 			}
 			var page bytes.Buffer
--- a/internal/testbed/sockets/client.go
+++ b/internal/testbed/sockets/client.go
@@ -298,8 +298,8 @@
 	d := c.driver
 	isBalancerUp := int(c.balancer) >= len(d.processes) || d.processes[c.balancer].isUp
 	if !c.wasMovedByServer && isBalancerUp {
-		d.Tally.Migrations++
-		d.Tally.MigratedAt = append(d.Tally.MigratedAt, d.now())
+		d.Counts.Migrations++
+		d.Counts.MigratedAt = append(d.Counts.MigratedAt, d.now())
 	}
 	c.transition(ended)
 	d.world.BreakFlow(c.flow, simulation.Migrated)
--- a/internal/testbed/sockets/connection.go
+++ b/internal/testbed/sockets/connection.go
@@ -157,10 +157,10 @@
 func (c *connection) recordConnect() {
 	d := c.driver
 	s := d.world.Servers[c.server]
-	d.Tally.Connects++
-	d.Tally.ConnectedAt = append(d.Tally.ConnectedAt, d.now())
+	d.Counts.Connects++
+	d.Counts.ConnectedAt = append(d.Counts.ConnectedAt, d.now())
 	if s.Locality != c.balancerLocality {
-		d.Tally.Crossings++
+		d.Counts.Crossings++
 	}
 	e := c.event(invariants.ConnectSent)
 	e.Zone, e.Cell = int(s.Locality), int(s.Cell)
--- a/internal/testbed/sockets/driver.go
+++ b/internal/testbed/sockets/driver.go
@@ -36,7 +36,7 @@
 
 // Driver is one run on sockets.
 type Driver struct {
-	Tally Tally
+	Counts Counts
 
 	day                  *experiment.Day
 	world                *simulation.World
@@ -68,8 +68,8 @@
 	arrivals            simulation.ArrivalSource                // nil: the day's own
 }
 
-// Tally counts the balancers' connects, migrations and health checks.
-type Tally struct {
+// Counts are the numbers of the balancers' connects, migrations and health checks, and their times.
+type Counts struct {
 	Connects       int
 	Crossings      int // connects to another locality
 	Migrations     int
@@ -80,7 +80,7 @@
 }
 
 // New prepares a run. program is the command line of a balancer, which finds the path of its configuration in PROXY_CONFIG; directory is
-// for configurations and logs. For a run without balancers, by Load or Serve, program is nil.
+// for configurations and logs. For a run without balancers, by NewLoadDriver or Serve, program is nil.
 func New(parent context.Context, day *experiment.Day, checker *invariants.Checker, program []string, directory string) *Driver {
 	const significantFigures = 3
 	d := &Driver{day: day, world: day.World, checker: checker, program: program, directory: directory, startedAt: time.Now(),
@@ -89,15 +89,15 @@
 		awaitingEstablished: map[simulation.FlowID]simulation.ConnID{},
 		lateness:            hdrhistogram.New(1, maxRecordedLateness.Microseconds(), significantFigures)}
 	d.ctx, d.cancel = context.WithCancel(parent)
-	d.Tally.HealthChecksAt = map[simulation.ServerID][]time.Duration{}
+	d.Counts.HealthChecksAt = map[simulation.ServerID][]time.Duration{}
 	day.World.Driver = d
 	d.workers.Go(d.startProcesses)
 	return d
 }
 
-// Load prepares a run of clients only, against external balancers at these addresses. The day has to have as many balancers; its servers
-// are not used.
-func Load(parent context.Context, day *experiment.Day, checker *invariants.Checker, addresses []string) *Driver {
+// NewLoadDriver prepares a run of clients only, against external balancers at these addresses. The day has to have as many balancers; its
+// servers are not used.
+func NewLoadDriver(parent context.Context, day *experiment.Day, checker *invariants.Checker, addresses []string) *Driver {
 	d := New(parent, day, checker, nil, "")
 	d.balancersAreExternal = true
 	d.world.StartFlowIDsAfter(simulation.FlowID(time.Now().UnixMicro()) << flowIDShift) // ids differ from those of earlier loads
@@ -116,9 +116,9 @@
 	return nil
 }
 
-// CheckerTimes returns the tolerances for the checker of a run on sockets: slack for delays of the sockets, and how long events are held
-// back to be sorted.
-func CheckerTimes() (slack, reordering time.Duration) { return answerTolerance, maxReordering }
+// CheckerTolerances returns the tolerances for the checker of a run on sockets: slack for delays of the sockets, and how long events are
+// held back to be sorted.
+func CheckerTolerances() (slack, reordering time.Duration) { return answerTolerance, maxReordering }
 
 // Run runs the day and returns when it is over and all processes have ended. void is the reason why the results do not reflect the
 // balancers, empty for a valid run; progress, which may be nil, is called with the time of the run every half second.
--- a/internal/testbed/sockets/isolation.go
+++ b/internal/testbed/sockets/isolation.go
@@ -23,9 +23,9 @@
 	Network        *netfault.Network
 	ControlAddress func(simulation.BalancerID) string // of the interface for operators
 	// Launch may change command before it is started, and returns the program with its arguments.
-	Launch  func(b simulation.BalancerID, incarnation int, command *exec.Cmd) (program []string, err error)
-	Ended   func(simulation.BalancerID, error) // called when a process exits that the driver has not ended
-	Observe func(invariants.Event)             // called with each event that the checker observes
+	Launch        func(b simulation.BalancerID, incarnation int, command *exec.Cmd) (program []string, err error)
+	OnProcessExit func(simulation.BalancerID, error) // called when a process exits that the driver has not ended
+	OnEvent       func(invariants.Event)             // called with each event that the checker observes
 }
 
 // Isolate sets the isolation of the balancers. Call it before Open.
@@ -33,22 +33,23 @@
 
 // Endpoints of network paths, in addition to balancers and servers.
 const (
-	Discovery netfault.Endpoint = "discovery" // of all balancers
-	Operator  netfault.Endpoint = "operator"  // caller of the balancers' control interface
+	DiscoveryEndpoint netfault.Endpoint = "discovery" // of all balancers
+	OperatorEndpoint  netfault.Endpoint = "operator"  // caller of the balancers' control interface
 )
 
-// BalancerName returns the name of a balancer's endpoint.
-func BalancerName(b simulation.BalancerID) netfault.Endpoint {
+// BalancerEndpoint returns the name of a balancer's endpoint.
+func BalancerEndpoint(b simulation.BalancerID) netfault.Endpoint {
 	return netfault.Endpoint("b" + strconv.Itoa(int(b)))
 }
 
-// ServerName returns the name of a server's endpoint.
-func ServerName(s simulation.ServerID) netfault.Endpoint {
+// ServerEndpoint returns the name of a server's endpoint.
+func ServerEndpoint(s simulation.ServerID) netfault.Endpoint {
 	return netfault.Endpoint(experiment.ServerName(s))
 }
 
-// Do calls a function with the driver locked, so that it may change the world and the processes. It does nothing once the run is over.
-func (d *Driver) Do(do func()) {
+// WithLock calls a function with the driver locked, so that it may change the world and the processes. It does nothing once the run is
+// over.
+func (d *Driver) WithLock(do func()) {
 	d.lockAtNow()
 	defer d.unlock()
 	if !d.isOver {
@@ -56,14 +57,14 @@
 	}
 }
 
-// Elapsed returns the time of the run. Call it only with the driver locked: within Do or the functions of Isolation.
+// Elapsed returns the time of the run. Call it only with the driver locked: within WithLock or the functions of Isolation.
 func (d *Driver) Elapsed() time.Duration { return d.now() }
 
 // Address returns the address on which a balancer serves clients.
 func (d *Driver) Address(b simulation.BalancerID) string { return d.processes[b].address }
 
-// Process returns the id of a balancer's process; 0 if it is not running.
-func (d *Driver) Process(b simulation.BalancerID) int {
+// ProcessID returns the id of a balancer's process; 0 if it is not running.
+func (d *Driver) ProcessID(b simulation.BalancerID) int {
 	if p := d.processes[b]; p.command != nil && p.command.Process != nil && p.isUp {
 		return p.command.Process.Pid
 	}
@@ -90,7 +91,7 @@
 	observer := &pathObserver{connection: c}
 	var serving sync.WaitGroup
 	serving.Go(func() { l.serve(serverEnd, c) })
-	d.isolation.Network.Forward(BalancerName(l.balancer), ServerName(l.server.id), near, forwarded, netfault.Tap{
+	d.isolation.Network.Forward(BalancerEndpoint(l.balancer), ServerEndpoint(l.server.id), near, forwarded, netfault.Tap{
 		Sent:     observer.sent,
 		Received: observer.received,
 		Closed:   observer.closed,
@@ -170,10 +171,10 @@
 // updateListener applies the current state of the path from the balancer to the forwarding listener.
 func (s *discovery) updateListener() error {
 	state := netfault.Open
-	if s.driver.isolation.Network.IsCut(BalancerName(s.balancer), Discovery) {
+	if s.driver.isolation.Network.IsCut(BalancerEndpoint(s.balancer), DiscoveryEndpoint) {
 		state = netfault.Unresponsive
 	}
-	return s.forwardingListener.Transition(s.driver.ctx, state, func(l net.Listener) { netfault.Serve(l, s.forwardCall) })
+	return s.forwardingListener.SetState(s.driver.ctx, state, func(l net.Listener) { netfault.Serve(l, s.forwardCall) })
 }
 
 // forwardCall forwards one call of the balancer. The received list is announced to the checker when it arrives at the balancer's end.
@@ -187,7 +188,7 @@
 		return
 	}
 	var pending []byte
-	s.driver.isolation.Network.Forward(BalancerName(s.balancer), Discovery, near, forwarded, netfault.Tap{Received: func(more []byte) {
+	s.driver.isolation.Network.Forward(BalancerEndpoint(s.balancer), DiscoveryEndpoint, near, forwarded, netfault.Tap{Received: func(more []byte) {
 		pending = s.observeLines(append(pending, more...))
 	}})
 }
--- a/internal/testbed/sockets/observe.go
+++ b/internal/testbed/sockets/observe.go
@@ -49,8 +49,8 @@
 	}
 	d.maxObservationDelay = max(d.maxObservationDelay, d.now()-t)
 	d.checker.Observe(e)
-	if d.isolation != nil && d.isolation.Observe != nil {
-		d.isolation.Observe(e)
+	if d.isolation != nil && d.isolation.OnEvent != nil {
+		d.isolation.OnEvent(e)
 	}
 }
 
--- a/internal/testbed/sockets/process.go
+++ b/internal/testbed/sockets/process.go
@@ -159,8 +159,8 @@
 	}
 	p.isUp = false
 	switch {
-	case d.isolation != nil && d.isolation.Ended != nil:
-		d.isolation.Ended(p.id, err)
+	case d.isolation != nil && d.isolation.OnProcessExit != nil:
+		d.isolation.OnProcessExit(p.id, err)
 	case d.world.Balancers[p.id].IsUp:
 		d.fail("balancer %d exited unexpectedly (%v); its log is %s", p.id, err, p.logPath)
 	}
--- a/internal/testbed/sockets/server.go
+++ b/internal/testbed/sockets/server.go
@@ -46,7 +46,7 @@
 		d.servers = append(d.servers, newServer(d, simulation.ServerID(len(d.servers))))
 	}
 	for _, l := range d.servers[id].listeners {
-		if err := l.Transition(d.ctx, d.listenerState(l), l.accept); err != nil {
+		if err := l.SetState(d.ctx, d.listenerState(l), l.accept); err != nil {
 			d.fail("stand-in server %s: %w", experiment.ServerName(id), err)
 		}
 	}
@@ -81,7 +81,7 @@
 
 func (d *Driver) listenerState(l *serverListener) netfault.ListenerState {
 	reach := d.world.Reachability(l.locality, l.server.id)
-	isCut := l.balancer != anyBalancer && d.isolation.Network.IsCut(BalancerName(l.balancer), ServerName(l.server.id))
+	isCut := l.balancer != anyBalancer && d.isolation.Network.IsCut(BalancerEndpoint(l.balancer), ServerEndpoint(l.server.id))
 	switch {
 	case reach == simulation.Unresponsive || isCut:
 		return netfault.Unresponsive
@@ -129,8 +129,8 @@
 	d, id := l.server.driver, l.server.id
 	d.lockAtNow()
 	defer d.unlock()
-	d.Tally.HealthChecks++
-	d.Tally.HealthChecksAt[id] = append(d.Tally.HealthChecksAt[id], d.now())
+	d.Counts.HealthChecks++
+	d.Counts.HealthChecksAt[id] = append(d.Counts.HealthChecksAt[id], d.now())
 	s := d.world.Servers[id]
 	if !s.IsServing() {
 		return "NO"
--- a/internal/testbed/sockets/sockets_test.go
+++ b/internal/testbed/sockets/sockets_test.go
@@ -124,7 +124,7 @@
 	}
 	d := e.Day(3)
 	terms := e.Terms()
-	slack, hold := CheckerTimes()
+	slack, hold := CheckerTolerances()
 	checker := invariants.New(invariants.Limits{
 		Slack:             slack,
 		Reordering:        hold,
@@ -155,8 +155,8 @@
 	for _, v := range checker.Violations() {
 		t.Errorf("violation reported for a correct balancer: %v", v)
 	}
-	if n := d.World.Totals; n.Established < 20 || checker.Judged < 20 || dr.Tally.Connects < 20 {
-		t.Errorf("established %d, judged %d, connects %d: want at least 20 of each", n.Established, checker.Judged, dr.Tally.Connects)
+	if n := d.World.Totals; n.Established < 20 || checker.CheckedFlows < 20 || dr.Counts.Connects < 20 {
+		t.Errorf("established %d, judged %d, connects %d: want at least 20 of each", n.Established, checker.CheckedFlows, dr.Counts.Connects)
 	}
 	for range 200 {
 		if runtime.NumGoroutine() <= before+1 {
@@ -187,7 +187,7 @@
 			if _, err := dr.Run(nil); err != nil {
 				t.Fatal(err)
 			}
-			if v := checker.Violations(); len(v) == 0 || v[0].Rule != invariants.OneAnswer || !strings.Contains(v[0].What, c.what) {
+			if v := checker.Violations(); len(v) == 0 || v[0].Rule != invariants.OneAnswer || !strings.Contains(v[0].Description, c.what) {
 				t.Errorf("found %v, want %q", v, c.what)
 			}
 		})
@@ -216,9 +216,9 @@
 		t.Fatal(err)
 	}
 	d := e.Day(1)
-	slack, hold := CheckerTimes()
+	slack, hold := CheckerTolerances()
 	checker := invariants.New(invariants.Limits{Slack: slack, Reordering: hold, DrainGrace: time.Second})
-	dr := Load(context.Background(), d, checker, []string{l.Addr().String()})
+	dr := NewLoadDriver(context.Background(), d, checker, []string{l.Addr().String()})
 	source := experiment.NewSteady(experiment.SteadyConfig{
 		Seed:          1,
 		Rate:          40,
--- a/internal/testbed/virtual/actions.go
+++ b/internal/testbed/virtual/actions.go
@@ -48,10 +48,10 @@
 
 func (b *balancer) countConnect(c *connect) {
 	d, server := b.driver, b.driver.world.Servers[c.server]
-	d.Tally.Connects++
-	d.Tally.ConnectedAt = append(d.Tally.ConnectedAt, c.sentAt)
+	d.Counts.Connects++
+	d.Counts.ConnectedAt = append(d.Counts.ConnectedAt, c.sentAt)
 	if server.Locality != b.locality {
-		d.Tally.Crossings++
+		d.Counts.Crossings++
 	}
 	e := b.connectEvent(invariants.ConnectSent, c)
 	e.Server, e.Zone, e.Cell = invariants.Server(c.server), int(server.Locality), int(server.Cell)
@@ -75,13 +75,13 @@
 
 // Reject answers a flow as rejected: it did not run.
 func (b *balancer) Reject(id decide.FlowID, retryAfter time.Duration) {
-	b.driver.Tally.Rejects++
+	b.driver.Counts.Rejects++
 	b.answer(id, invariants.Rejected, simulation.Rejected, retryAfter)
 }
 
 // Abort answers a flow as aborted: it may have run.
 func (b *balancer) Abort(id decide.FlowID) {
-	b.driver.Tally.Aborts++
+	b.driver.Counts.Aborts++
 	b.answer(id, invariants.Aborted, simulation.Aborted, 0)
 }
 
@@ -112,8 +112,8 @@
 		return
 	}
 	d, c := b.driver, f.established
-	d.Tally.Migrations++
-	d.Tally.MigratedAt = append(d.Tally.MigratedAt, d.world.Schedule.Now())
+	d.Counts.Migrations++
+	d.Counts.MigratedAt = append(d.Counts.MigratedAt, d.world.Schedule.Now())
 	d.world.Schedule.After(0, simulation.Message, func() {
 		if c.state == established && !f.clientLeft {
 			b.endConnect(c, decide.Cancelled)
@@ -128,7 +128,7 @@
 		return
 	}
 	w := b.driver.world
-	b.driver.Tally.HealthChecks++
+	b.driver.Counts.HealthChecks++
 	outcome, took := decide.OK, 2*w.Network.Delay(b.locality, w.Servers[server].Locality)
 	switch w.Reachability(b.locality, server) {
 	case simulation.Refused:
--- a/internal/testbed/virtual/driver.go
+++ b/internal/testbed/virtual/driver.go
@@ -22,7 +22,7 @@
 
 // Driver models the network and the balancers between a world's clients and servers.
 type Driver struct {
-	Tally Tally
+	Counts Counts
 
 	day            *experiment.Day
 	world          *simulation.World
@@ -38,8 +38,8 @@
 	serverOf  map[decide.ServerID]simulation.ServerID
 }
 
-// Tally counts the actions of all balancers.
-type Tally struct {
+// Counts are the numbers of actions of all balancers, and the times of some of them.
+type Counts struct {
 	Connects     int
 	Crossings    int // connects to another locality
 	Migrations   int
