--- a/cmd/testbed/agree.go
+++ b/cmd/testbed/agree.go
@@ -96,9 +96,9 @@
 			return nil, inputError(err)
 		}
 		if part := c.Float("part"); part > 0 && part != 1 {
-			e = e.Stretched(part)
+			e = e.WithScaledTimes(part)
 		}
-		e = e.Sized(c.Int("balancers"), c.Int("servers"))
+		e = e.WithSize(c.Int("balancers"), c.Int("servers"))
 		for s := range c.Int("seeds") {
 			pairs = append(pairs, &pair{Name: e.Name, Seed: c.Uint64("seed") + uint64(s), experiment: e})
 		}
--- a/cmd/testbed/hunt.go
+++ b/cmd/testbed/hunt.go
@@ -142,9 +142,9 @@
 func (d *worstDay) removeFaults(policy string, minLoss float64) error {
 	for hasChanged := true; hasChanged; {
 		hasChanged = false
-		for i := 0; i < len(d.experiment.Kinds()); i++ {
-			kind := d.experiment.Kinds()[i]
-			showsLoss, err := d.replaceIfLossRemains(d.experiment.Without(i), policy, minLoss)
+		for i := 0; i < len(d.experiment.FaultKinds()); i++ {
+			kind := d.experiment.FaultKinds()[i]
+			showsLoss, err := d.replaceIfLossRemains(d.experiment.WithoutFault(i), policy, minLoss)
 			if err != nil {
 				return err
 			}
@@ -159,9 +159,9 @@
 }
 
 func (d *worstDay) shortenFaults(policy string, minLoss float64) error {
-	for i := range d.experiment.Kinds() {
+	for i := range d.experiment.FaultKinds() {
 		for range maxShrinks {
-			showsLoss, err := d.replaceIfLossRemains(d.experiment.Shrunk(i, shrinkFactor), policy, minLoss)
+			showsLoss, err := d.replaceIfLossRemains(d.experiment.WithScaledFault(i, shrinkFactor), policy, minLoss)
 			if err != nil {
 				return err
 			}
--- a/cmd/testbed/load.go
+++ b/cmd/testbed/load.go
@@ -99,7 +99,7 @@
 	slack, reordering := sockets.CheckerTolerances()
 	checker := scenario.NewChecker(day, slack, reordering)
 	driver := sockets.NewLoadDriver(ctx, day, checker, addresses)
-	source := experiment.NewSteady(experiment.SteadyConfig{
+	source := experiment.NewSteadySource(experiment.SteadyConfig{
 		Seed:          seed,
 		Rate:          c.Float("rate"),
 		Lifetime:      c.Duration("life"),
--- a/cmd/testbed/run.go
+++ b/cmd/testbed/run.go
@@ -70,9 +70,9 @@
 		result.seeds = seeds
 	}
 	if part := c.Float("part"); part > 0 && part != 1 {
-		e = e.Stretched(part)
+		e = e.WithScaledTimes(part)
 	}
-	result.experiment = e.Sized(c.Int("balancers"), c.Int("servers"))
+	result.experiment = e.WithSize(c.Int("balancers"), c.Int("servers"))
 	return result, nil
 }
 
--- a/cmd/testbed/servers.go
+++ b/cmd/testbed/servers.go
@@ -69,7 +69,7 @@
 	if c.Duration("for") < time.Second {
 		return nil, fmt.Errorf("--for: want at least 1s, got %v", c.Duration("for"))
 	}
-	return e.Sized(1, c.Int("servers")).Lasting(c.Duration("for")), nil
+	return e.WithSize(1, c.Int("servers")).WithLength(c.Duration("for")), nil
 }
 
 // writeConfig writes a configuration to a file, or to standard output if the path is empty.
--- a/internal/testbed/experiment/day.go
+++ b/internal/testbed/experiment/day.go
@@ -119,9 +119,9 @@
 	w := simulation.New(d.Seed, e.Length, shortest/delayReportDivisor)
 	d.World = w
 	w.ConfigureSlowStart(simulation.SlowStartConfig{
-		InitialShare:     e.terms.SlowStartFrom,
-		CollapseMultiple: e.terms.SlowStartMultiple,
-		CollapseWindow:   e.terms.SlowStartWindow,
+		InitialShare:     e.limits.SlowStartInitialShare,
+		CollapseMultiple: e.limits.SlowStartMultiple,
+		CollapseWindow:   e.limits.SlowStartWindow,
 	})
 	w.ConfigureServices(simulation.ServicesConfig{
 		Services:         d.services,
--- a/internal/testbed/experiment/experiment.go
+++ b/internal/testbed/experiment/experiment.go
@@ -36,18 +36,18 @@
 	Policies    []string
 	Locality    config.Locality // settings of the policy OursWithLocalities
 
-	fleet            fleetRanges
-	load             loadRanges
-	clients          clientRanges
-	services         []simulation.Service
-	customers        []simulation.Customer
-	network          networkRanges
-	list             simulation.ListConfig
-	terms            Terms
-	probes           bool // servers answer health checks with their load; on sockets only
-	weights          count.Weights
-	beyondShareValue float64 // factor on the value of connections beyond a customer's share
-	faults           []faultRanges
+	fleet             fleetRanges
+	load              loadRanges
+	clients           clientRanges
+	services          []simulation.Service
+	customers         []simulation.Customer
+	network           networkRanges
+	list              simulation.ListConfig
+	limits            Limits
+	serversReportLoad bool // servers answer health checks with their load; on sockets only
+	weights           count.Weights
+	beyondShareValue  float64 // factor on the value of connections beyond a customer's share
+	faults            []faultRanges
 
 	retryAfter time.Duration
 }
@@ -98,15 +98,15 @@
 	frontNotice             simulation.Interval
 }
 
-// Terms are the limits that the invariant checker enforces and that balancers are configured with.
-type Terms struct {
-	DrainGrace        time.Duration // after a drain is announced, in which connects may still be sent
-	SlowStartMultiple float64       // limit of the load sent to a starting server in a window, over its capacity
-	SlowStartWindow   time.Duration
-	SlowStart         time.Duration // longest slow start of a server
-	SlowStartFrom     float64       // least share of its capacity that a server has when it starts
-	MaxConnects       int           // per flow
-	ConnectTimeout    time.Duration
+// Limits are the limits that the invariant checker enforces and that balancers are configured with.
+type Limits struct {
+	DrainGrace            time.Duration // after a drain is announced, in which connects may still be sent
+	SlowStartMultiple     float64       // limit of the load sent to a starting server in a window, over its capacity
+	SlowStartWindow       time.Duration
+	MaxSlowStart          time.Duration // longest slow start of a server
+	SlowStartInitialShare float64       // least share of its capacity that a server has when it starts
+	MaxConnects           int           // per flow
+	ConnectTimeout        time.Duration
 }
 
 // Open reads an experiment file. Errors of its content name the line and the key.
@@ -124,18 +124,18 @@
 	if err != nil {
 		return nil, err
 	}
-	e := From(t)
+	e := FromTable(t)
 	if err := t.Err(); err != nil {
 		return nil, err
 	}
 	return e, nil
 }
 
-// Terms returns the limits of the experiment.
-func (e *Experiment) Terms() Terms { return e.terms }
+// Limits returns the limits of the experiment.
+func (e *Experiment) Limits() Limits { return e.limits }
 
-// Probes reports whether servers answer health checks with their load.
-func (e *Experiment) Probes() bool { return e.probes }
+// ServersReportLoad reports whether servers answer health checks with their load.
+func (e *Experiment) ServersReportLoad() bool { return e.serversReportLoad }
 
 // RetryAfter returns the longest retry delay that a balancer may send to rejected clients; 0: it may send none.
 func (e *Experiment) RetryAfter() time.Duration { return e.retryAfter }
--- a/internal/testbed/experiment/faults.go
+++ b/internal/testbed/experiment/faults.go
@@ -97,23 +97,23 @@
 	return fault, r.Float64() < f.chance
 }
 
-// Kinds returns the kinds of the faults, in the order of the file.
-func (e *Experiment) Kinds() (kinds []simulation.FaultKind) {
+// FaultKinds returns the kinds of the faults, in the order of the file.
+func (e *Experiment) FaultKinds() (kinds []simulation.FaultKind) {
 	for _, f := range e.faults {
 		kinds = append(kinds, f.kind)
 	}
 	return kinds
 }
 
-// Without returns a copy of the experiment without one of its faults.
-func (e *Experiment) Without(i int) *Experiment {
+// WithoutFault returns a copy of the experiment without one of its faults.
+func (e *Experiment) WithoutFault(i int) *Experiment {
 	c := *e
 	c.faults = append(append([]faultRanges(nil), e.faults[:i]...), e.faults[i+1:]...)
 	return &c
 }
 
-// Shrunk returns a copy of the experiment in which the length of one fault is multiplied by factor.
-func (e *Experiment) Shrunk(i int, factor float64) *Experiment {
+// WithScaledFault returns a copy of the experiment in which the length of one fault is multiplied by factor.
+func (e *Experiment) WithScaledFault(i int, factor float64) *Experiment {
 	c := *e
 	c.faults = append([]faultRanges(nil), e.faults...)
 	length := &c.faults[i].length
@@ -122,8 +122,8 @@
 	return &c
 }
 
-// Sized returns a copy of the experiment with other numbers of balancers and servers. A number of 0 keeps that of the experiment.
-func (e *Experiment) Sized(balancers, servers int) *Experiment {
+// WithSize returns a copy of the experiment with other numbers of balancers and servers. A number of 0 keeps that of the experiment.
+func (e *Experiment) WithSize(balancers, servers int) *Experiment {
 	c := *e
 	if balancers > 0 {
 		c.fleet.balancers = numberRange{float64(balancers), float64(balancers)}
@@ -134,8 +134,9 @@
 	return &c
 }
 
-// Stretched returns a copy of the experiment in which its length, and the start and length of its faults, are multiplied by factor.
-func (e *Experiment) Stretched(factor float64) *Experiment {
+// WithScaledTimes returns a copy of the experiment in which its length, and the start and length of its faults, are multiplied by
+// factor.
+func (e *Experiment) WithScaledTimes(factor float64) *Experiment {
 	c := *e
 	scaled := func(d time.Duration) time.Duration { return time.Duration(math.Round(float64(d) * factor)) }
 	c.Length = scaled(e.Length)
@@ -148,8 +149,8 @@
 	return &c
 }
 
-// Lasting returns a copy of the experiment with another length. The times of the faults don't change.
-func (e *Experiment) Lasting(d time.Duration) *Experiment {
+// WithLength returns a copy of the experiment with another length. The times of the faults don't change.
+func (e *Experiment) WithLength(d time.Duration) *Experiment {
 	c := *e
 	c.Length = d
 	return &c
--- a/internal/testbed/experiment/read.go
+++ b/internal/testbed/experiment/read.go
@@ -21,9 +21,9 @@
 // numberRange is a range of numbers, both ends included.
 type numberRange struct{ lo, hi float64 }
 
-// From reads an experiment from a table, which may have further keys for the caller. Errors are kept in the table: the caller checks
-// t.Err after reading the rest.
-func From(t strict.Table) *Experiment {
+// FromTable reads an experiment from a table, which may have further keys for the caller. Errors are kept in the table: the caller
+// checks t.Err after reading the rest.
+func FromTable(t strict.Table) *Experiment {
 	e := &Experiment{}
 	e.Name, e.About = t.String("name", ""), t.String("about", "")
 	if e.Name == "" {
@@ -187,20 +187,20 @@
 }
 
 func (e *Experiment) readRules(t strict.Table) {
-	e.terms.DrainGrace = t.Duration("drain-grace", 750*ms, time.Minute)
-	e.terms.SlowStartMultiple = t.Float("fall-multiple", 3, 0, 100)
-	e.terms.SlowStartWindow = t.Duration("fall", 1500*ms, time.Minute)
-	e.terms.SlowStart = t.Duration("warm-after", 23*time.Second, hour)
-	e.terms.SlowStartFrom = t.Float("cold-from", 0.16, 0.001, 1)
-	if longest := e.fleet.slowStart.Max; e.terms.SlowStart < longest {
+	e.limits.DrainGrace = t.Duration("drain-grace", 750*ms, time.Minute)
+	e.limits.SlowStartMultiple = t.Float("fall-multiple", 3, 0, 100)
+	e.limits.SlowStartWindow = t.Duration("fall", 1500*ms, time.Minute)
+	e.limits.MaxSlowStart = t.Duration("warm-after", 23*time.Second, hour)
+	e.limits.SlowStartInitialShare = t.Float("cold-from", 0.16, 0.001, 1)
+	if longest := e.fleet.slowStart.Max; e.limits.MaxSlowStart < longest {
 		t.Fail("warm-after", "is shorter than the longest warm-up of the fleet, %v", longest)
 	}
 }
 
 func (e *Experiment) readLimits(t strict.Table) {
-	e.terms.MaxConnects = int(t.Float("connects", 6, 1, 100))
-	e.terms.ConnectTimeout = t.Duration("connect-timeout", 200*ms, time.Minute)
-	e.probes = t.Bool("probes", false)
+	e.limits.MaxConnects = int(t.Float("connects", 6, 1, 100))
+	e.limits.ConnectTimeout = t.Duration("connect-timeout", 200*ms, time.Minute)
+	e.serversReportLoad = t.Bool("probes", false)
 	e.retryAfter = t.Duration("retry-after", time.Second, hour)
 }
 
--- a/internal/testbed/experiment/settings.go
+++ b/internal/testbed/experiment/settings.go
@@ -28,7 +28,7 @@
 
 // Settings returns a balancer's settings in the platform's flat form: values by dotted paths.
 func (d *Day) Settings(b simulation.BalancerID) map[string]string {
-	e, terms := d.Experiment, d.Experiment.terms
+	e, limits := d.Experiment, d.Experiment.limits
 	settings := map[string]string{
 		"az":                            e.fleet.localities[d.World.Balancers[b].Locality],
 		"discovery":                     "push",
@@ -37,14 +37,14 @@
 		"peers-total":                   strconv.Itoa(len(d.World.Balancers)),
 		"family-info.mode":              "proxy",
 		"family-info.tells-delay":       "true",
-		"guarantees.cold-from":          numberSetting(terms.SlowStartFrom),
-		"guarantees.fall-multiple":      numberSetting(terms.SlowStartMultiple),
-		"guarantees.warm-after":         durationSetting(terms.SlowStart),
-		"guarantees.fall":               durationSetting(terms.SlowStartWindow),
-		"guarantees.drain-grace":        durationSetting(terms.DrainGrace),
+		"guarantees.cold-from":          numberSetting(limits.SlowStartInitialShare),
+		"guarantees.fall-multiple":      numberSetting(limits.SlowStartMultiple),
+		"guarantees.warm-after":         durationSetting(limits.MaxSlowStart),
+		"guarantees.fall":               durationSetting(limits.SlowStartWindow),
+		"guarantees.drain-grace":        durationSetting(limits.DrainGrace),
 		"guarantees.must-ask-in":        durationSetting(longestClientWait),
-		"policy-limits.max-connects":    strconv.Itoa(terms.MaxConnects),
-		"policy-limits.connect-timeout": durationSetting(terms.ConnectTimeout),
+		"policy-limits.max-connects":    strconv.Itoa(limits.MaxConnects),
+		"policy-limits.connect-timeout": durationSetting(limits.ConnectTimeout),
 		"policy-limits.probes":          "false",
 		"policy-limits.retry-after":     strconv.FormatBool(e.retryAfter > 0),
 		"policy-limits.max-retry-after": durationSetting(e.retryAfter),
@@ -55,7 +55,7 @@
 	if e.list.MustSubscribe {
 		settings["discovery"] = "ask"
 	}
-	if e.probes {
+	if e.serversReportLoad {
 		settings["policy-limits.probes"], settings["reporting.how"], settings["reporting.columns"] = "true", "pull", "x0"
 	}
 	d.addServices(settings)
--- a/internal/testbed/experiment/steady.go
+++ b/internal/testbed/experiment/steady.go
@@ -17,17 +17,17 @@
 	Localities    int
 }
 
-// Steady is a Poisson process of arrivals at a constant rate, independent of their outcome (open loop).
-type Steady struct {
+// SteadySource is a Poisson process of arrivals at a constant rate, independent of their outcome (open loop).
+type SteadySource struct {
 	config SteadyConfig
 	random *rand.Rand
 	at     float64 // time of the last arrival, in seconds
 	groups simulation.Zipf
 }
 
-// NewSteady returns a source with the given configuration.
-func NewSteady(c SteadyConfig) *Steady {
-	return &Steady{
+// NewSteadySource returns a source with the given configuration.
+func NewSteadySource(c SteadyConfig) *SteadySource {
+	return &SteadySource{
 		config: c,
 		random: simulation.RandomSource(c.Seed, "steady", 0),
 		groups: simulation.NewZipf(max(c.Groups, 1), steadyGroupZipf),
@@ -35,7 +35,7 @@
 }
 
 // Next draws the next arrival. The source never ends; the caller stops at the end of the day.
-func (s *Steady) Next() (simulation.Arrival, bool) {
+func (s *SteadySource) Next() (simulation.Arrival, bool) {
 	s.at += s.random.ExpFloat64() / s.config.Rate
 	arrival := simulation.Arrival{At: time.Duration(s.at * float64(time.Second)), Customer: -1, Load: 1}
 	arrival.Group = simulation.GroupID(s.groups.Draw(s.random))
--- a/internal/testbed/fleet/plan.go
+++ b/internal/testbed/fleet/plan.go
@@ -65,7 +65,7 @@
 	if err != nil {
 		return nil, planError(err)
 	}
-	p := &Plan{Experiment: experiment.From(t)}
+	p := &Plan{Experiment: experiment.FromTable(t)}
 	p.readFront(t.Table("front"))
 	p.answerTolerance = t.Table("judge").Duration("late", 0, time.Second)
 	p.readProcess(t.Table("process"))
--- a/internal/testbed/scenario/policies.go
+++ b/internal/testbed/scenario/policies.go
@@ -58,7 +58,7 @@
 
 func newBaselineDeciders(d *experiment.Day, rule baseline.Rule, isOmniscient bool) virtual.NewDecider {
 	ids := virtual.ServerIDs(len(d.World.Servers) + maxAddedServers)
-	c := baseline.Config{Rule: rule, MaxConnects: d.Experiment.Terms().MaxConnects, RetryAfter: d.Experiment.RetryAfter(),
+	c := baseline.Config{Rule: rule, MaxConnects: d.Experiment.Limits().MaxConnects, RetryAfter: d.Experiment.RetryAfter(),
 		ServerOf: func(id decide.ServerID) *simulation.Server { return d.World.Servers[ids[id]] }, GroupOf: groupOf}
 	for _, s := range d.World.Services {
 		c.Effects = append(c.Effects, effects[s.Effect])
--- a/internal/testbed/scenario/scenario.go
+++ b/internal/testbed/scenario/scenario.go
@@ -25,14 +25,14 @@
 // NewChecker creates a day's invariant checker. slack is the tolerance for the delay of messages; reordering is how long events are held
 // back to be sorted.
 func NewChecker(d *experiment.Day, slack, reordering time.Duration) *invariants.Checker {
-	terms := d.Experiment.Terms()
+	limits := d.Experiment.Limits()
 	return invariants.New(invariants.Limits{
 		Slack:             slack,
 		Reordering:        reordering,
-		DrainGrace:        terms.DrainGrace,
-		SlowStartMultiple: terms.SlowStartMultiple,
-		SlowStartWindow:   terms.SlowStartWindow,
-		SlowStart:         terms.SlowStart,
+		DrainGrace:        limits.DrainGrace,
+		SlowStartMultiple: limits.SlowStartMultiple,
+		SlowStartWindow:   limits.SlowStartWindow,
+		SlowStart:         limits.MaxSlowStart,
 		MeanLoad:          d.MeanLoad(),
 	})
 }
--- a/internal/testbed/scenario/scenario_test.go
+++ b/internal/testbed/scenario/scenario_test.go
@@ -114,7 +114,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			r, err := RunDay(e.Sized(3, 9).Stretched(0.3), 1, "ours", nil, nil)
+			r, err := RunDay(e.WithSize(3, 9).WithScaledTimes(0.3), 1, "ours", nil, nil)
 			if err != nil || r.CheckedFlows == 0 || r.ServedShare <= 0 || r.Service > 1 || r.ViolationCount > 0 {
 				t.Errorf("%v: %+v", err, r)
 			}
--- a/internal/testbed/sockets/server.go
+++ b/internal/testbed/sockets/server.go
@@ -142,7 +142,7 @@
 // answerOther returns the answer to a first line other than OPEN.
 func (l *serverListener) answerOther(line string) string {
 	switch {
-	case line == "STATS" && l.server.driver.day.Experiment.Probes():
+	case line == "STATS" && l.server.driver.day.Experiment.ServersReportLoad():
 		return l.loadReport()
 	case line == "PING" || line == "STATS":
 		return "NO"
--- a/internal/testbed/sockets/sockets_test.go
+++ b/internal/testbed/sockets/sockets_test.go
@@ -123,15 +123,15 @@
 		t.Fatal(err)
 	}
 	d := e.Day(3)
-	terms := e.Terms()
+	limits := e.Limits()
 	slack, hold := CheckerTolerances()
 	checker := invariants.New(invariants.Limits{
 		Slack:             slack,
 		Reordering:        hold,
-		DrainGrace:        terms.DrainGrace,
-		SlowStartMultiple: terms.SlowStartMultiple,
-		SlowStartWindow:   terms.SlowStartWindow,
-		SlowStart:         terms.SlowStart,
+		DrainGrace:        limits.DrainGrace,
+		SlowStartMultiple: limits.SlowStartMultiple,
+		SlowStartWindow:   limits.SlowStartWindow,
+		SlowStart:         limits.MaxSlowStart,
 		MeanLoad:          d.MeanLoad(),
 	})
 	self, err := os.Executable()
@@ -176,7 +176,7 @@
 			text := strings.Replace(fmt.Sprintf(shortDay, ""), "6s", "4s", 1)
 			text += "[[service]]\nname = \"x\"\nconnect-timeout = \"1s\"\n"
 			dr, checker, _ := newTestDriver(t, text, c.fault)
-			dr.arrivals = experiment.NewSteady(experiment.SteadyConfig{ // without initially established connections
+			dr.arrivals = experiment.NewSteadySource(experiment.SteadyConfig{ // without initially established connections
 				Seed:          1,
 				Rate:          20,
 				Lifetime:      time.Second,
@@ -219,7 +219,7 @@
 	slack, hold := CheckerTolerances()
 	checker := invariants.New(invariants.Limits{Slack: slack, Reordering: hold, DrainGrace: time.Second})
 	dr := NewLoadDriver(context.Background(), d, checker, []string{l.Addr().String()})
-	source := experiment.NewSteady(experiment.SteadyConfig{
+	source := experiment.NewSteadySource(experiment.SteadyConfig{
 		Seed:          1,
 		Rate:          40,
 		Lifetime:      2 * time.Second,
--- a/internal/testbed/virtual/driver.go
+++ b/internal/testbed/virtual/driver.go
@@ -52,9 +52,9 @@
 
 // New creates a driver for a day that has not begun.
 func New(day *experiment.Day, checker *invariants.Checker, newDecider NewDecider) *Driver {
-	terms := day.Experiment.Terms()
+	limits := day.Experiment.Limits()
 	d := &Driver{day: day, world: day.World, checker: checker, newDecider: newDecider,
-		maxConnects: terms.MaxConnects, connectTimeout: terms.ConnectTimeout,
+		maxConnects: limits.MaxConnects, connectTimeout: limits.ConnectTimeout,
 		flows: map[simulation.FlowID]*flow{}, connects: map[simulation.ConnID]*connect{},
 		serverOf: map[decide.ServerID]simulation.ServerID{}}
 	day.World.Driver = d
