--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -14,8 +14,8 @@
 )
 
 // World is the model of one simulated day. To prepare it, call New, the Configure methods, AddServer and AddBalancer for each server and
-// balancer, and then List.MarkDelivered, ScheduleFaults and StartLoad. From then on its Schedule drives it: the world calls its Driver, and the
-// driver calls DeliverConnect, CloseConnect, AnswerFlow and BreakFlow.
+// balancer, and then List.MarkDelivered, ScheduleFaults and StartLoad. From then on its Schedule drives it: the world calls its Driver, and
+// the driver calls DeliverConnect, CloseConnect, AnswerFlow and BreakFlow.
 type World struct {
 	Schedule   *Schedule
 	Driver     Driver
