--- a/cmd/testbed/hunt.go
+++ b/cmd/testbed/hunt.go
@@ -45,8 +45,8 @@
 
 // lossOf returns by how much a policy's service is below the omniscient one's on a day. A broken rule outweighs any such loss.
 func lossOf(ours, top *count.Result) float64 {
-	if ours.Broken > 0 {
-		return brokenRuleLoss + float64(ours.Broken)
+	if ours.ViolationCount > 0 {
+		return brokenRuleLoss + float64(ours.ViolationCount)
 	}
 	return top.Service - ours.Service
 }
@@ -117,7 +117,7 @@
 	slices.SortStableFunc(found, func(a, b *worstDay) int { return cmp.Compare(b.Loss, a.Loss) })
 	fmt.Fprintln(os.Stderr, "the worst days:")
 	for _, day := range found[:min(listedDays, days)] {
-		fmt.Fprintf(os.Stderr, "  seed %d: ours %.3f, top %.3f, broken rules %d\n", day.Seed, day.Ours, day.Top, day.result.Broken)
+		fmt.Fprintf(os.Stderr, "  seed %d: ours %.3f, top %.3f, broken rules %d\n", day.Seed, day.Ours, day.Top, day.result.ViolationCount)
 	}
 	return found[0], nil
 }
@@ -142,9 +142,9 @@
 func (d *worstDay) removeFaults(policy string, minLoss float64) error {
 	for hasChanged := true; hasChanged; {
 		hasChanged = false
-		for i := 0; i < len(d.experiment.Kinds()); i++ {
-			kind := d.experiment.Kinds()[i]
-			showsLoss, err := d.replaceIfLossRemains(d.experiment.Without(i), policy, minLoss)
+		for i := 0; i < len(d.experiment.FaultKinds()); i++ {
+			kind := d.experiment.FaultKinds()[i]
+			showsLoss, err := d.replaceIfLossRemains(d.experiment.WithoutFault(i), policy, minLoss)
 			if err != nil {
 				return err
 			}
@@ -159,9 +159,9 @@
 }
 
 func (d *worstDay) shortenFaults(policy string, minLoss float64) error {
-	for i := range d.experiment.Kinds() {
+	for i := range d.experiment.FaultKinds() {
 		for range maxShrinks {
-			showsLoss, err := d.replaceIfLossRemains(d.experiment.Shrunk(i, shrinkFactor), policy, minLoss)
+			showsLoss, err := d.replaceIfLossRemains(d.experiment.WithScaledFault(i, shrinkFactor), policy, minLoss)
 			if err != nil {
 				return err
 			}
--- a/cmd/testbed/servers.go
+++ b/cmd/testbed/servers.go
@@ -39,7 +39,7 @@
 		return inputError(err)
 	}
 	day := e.Day(c.Uint64("seed"))
-	slack, reordering := sockets.CheckerTimes()
+	slack, reordering := sockets.CheckerTolerances()
 	driver := sockets.New(ctx, day, scenario.NewChecker(day, slack, reordering), nil, "")
 	err = driver.Serve(func() error {
 		text, err := driver.Config(0, c.String("listen"), 1)
@@ -69,7 +69,7 @@
 	if c.Duration("for") < time.Second {
 		return nil, fmt.Errorf("--for: want at least 1s, got %v", c.Duration("for"))
 	}
-	return e.Sized(1, c.Int("servers")).Lasting(c.Duration("for")), nil
+	return e.WithSize(1, c.Int("servers")).WithLength(c.Duration("for")), nil
 }
 
 // writeConfig writes a configuration to a file, or to standard output if the path is empty.
--- a/internal/testbed/experiment/experiment.go
+++ b/internal/testbed/experiment/experiment.go
@@ -36,37 +36,37 @@
 	Policies    []string
 	Locality    config.Locality // settings of the policy OursWithLocalities
 
-	fleet            fleetRanges
-	load             loadRanges
-	clients          clientRanges
-	services         []simulation.Service
-	customers        []simulation.Customer
-	network          networkRanges
-	list             simulation.ListConfig
-	terms            Terms
-	probes           bool // servers answer health checks with their load; on sockets only
-	weights          count.Weights
-	beyondShareValue float64 // factor on the value of connections beyond a customer's share
-	faults           []faultRanges
+	fleet             fleetRanges
+	load              loadRanges
+	clients           clientRanges
+	services          []simulation.Service
+	customers         []simulation.Customer
+	network           networkRanges
+	list              simulation.ListConfig
+	limits            Limits
+	serversReportLoad bool // servers answer health checks with their load; on sockets only
+	weights           count.Weights
+	beyondShareValue  float64 // factor on the value of connections beyond a customer's share
+	faults            []faultRanges
 
 	retryAfter time.Duration
 }
 
 // fleetRanges are the ranges that a fleet is drawn from.
 type fleetRanges struct {
-	localities         []string
-	servers, balancers numberRange
-	cores, speed       numberRange
-	connections        numberRange // connection limit of a server, over what its cores can carry
-	queuePerCore       numberRange // limit of waiting set-ups per core
-	slowStartFrom      numberRange
-	slowStartByWork    numberRange
-	groupLoad          numberRange // additional load of a group's first connection, over the mean load
-	slowStart, buffer  simulation.Interval
-	drain              string
-	sizes              string // rough: the server list has approximate sizes
-	serversPerCell     int    // consecutive servers share a cell
-	storeHeadroom      numberRange
+	localities                 []string
+	servers, balancers         numberRange
+	cores, speed               numberRange
+	connections                numberRange // connection limit of a server, over what its cores can carry
+	queuePerCore               numberRange // limit of waiting set-ups per core
+	slowStartInitialShare      numberRange
+	slowStartByWork            numberRange
+	groupLoad                  numberRange // additional load of a group's first connection, over the mean load
+	slowStart, maxMessageDelay simulation.Interval
+	drain                      string
+	sizes                      string // rough: the server list has approximate sizes
+	serversPerCell             int    // consecutive servers share a cell
+	storeHeadroom              numberRange
 }
 
 // loadRanges are the ranges that a load is drawn from.
@@ -85,11 +85,11 @@
 
 // clientRanges are the ranges that the clients' behaviour is drawn from.
 type clientRanges struct {
-	retries              numberRange
-	retryPolicies        []string
-	retryDelay, comeBack simulation.Interval
-	silence              simulation.Interval
-	obeysRetryAfter      numberRange
+	retries                    numberRange
+	retryPolicies              []string
+	retryDelay, reconnectDelay simulation.Interval
+	silenceTimeout             simulation.Interval
+	obeysRetryAfter            numberRange
 }
 
 // networkRanges are the ranges that the network's delays are drawn from.
@@ -98,15 +98,15 @@
 	frontNotice             simulation.Interval
 }
 
-// Terms are the limits that the invariant checker enforces and that balancers are configured with.
-type Terms struct {
-	DrainGrace        time.Duration // after a drain is announced, in which connects may still be sent
-	SlowStartMultiple float64       // limit of the load sent to a starting server in a window, over its capacity
-	SlowStartWindow   time.Duration
-	SlowStart         time.Duration // longest slow start of a server
-	SlowStartFrom     float64       // least share of its capacity that a server has when it starts
-	MaxConnects       int           // per flow
-	ConnectTimeout    time.Duration
+// Limits are the limits that the invariant checker enforces and that balancers are configured with.
+type Limits struct {
+	DrainGrace            time.Duration // after a drain is announced, in which connects may still be sent
+	SlowStartMultiple     float64       // limit of the load sent to a starting server in a window, over its capacity
+	SlowStartWindow       time.Duration
+	MaxSlowStart          time.Duration // longest slow start of a server
+	SlowStartInitialShare float64       // least share of its capacity that a server has when it starts
+	MaxConnects           int           // per flow
+	ConnectTimeout        time.Duration
 }
 
 // Open reads an experiment file. Errors of its content name the line and the key.
@@ -124,18 +124,18 @@
 	if err != nil {
 		return nil, err
 	}
-	e := From(t)
+	e := FromTable(t)
 	if err := t.Err(); err != nil {
 		return nil, err
 	}
 	return e, nil
 }
 
-// Terms returns the limits of the experiment.
-func (e *Experiment) Terms() Terms { return e.terms }
+// Limits returns the limits of the experiment.
+func (e *Experiment) Limits() Limits { return e.limits }
 
-// Probes reports whether servers answer health checks with their load.
-func (e *Experiment) Probes() bool { return e.probes }
+// ServersReportLoad reports whether servers answer health checks with their load.
+func (e *Experiment) ServersReportLoad() bool { return e.serversReportLoad }
 
 // RetryAfter returns the longest retry delay that a balancer may send to rejected clients; 0: it may send none.
 func (e *Experiment) RetryAfter() time.Duration { return e.retryAfter }
--- a/internal/testbed/fleet/start_faults.go
+++ b/internal/testbed/fleet/start_faults.go
@@ -120,7 +120,7 @@
 	for range f.signals - 1 {
 		r.signal(p, syscall.SIGTERM)
 	}
-	r.world.Schedule.After(r.world.StopWithin(), simulation.Cause, p.ifUnchanged(func() { r.startKill(p, f) }))
+	r.world.Schedule.After(r.world.StopDuration(), simulation.Cause, p.ifUnchanged(func() { r.startKill(p, f) }))
 }
 
 func (r *fleetRun) restartProcess(p *process, f startedFault) {
@@ -200,7 +200,7 @@
 	case kind == faultDirectoryReadOnly:
 		return os.Chmod(p.directory, privateDirMode)
 	}
-	pid := r.driver.Process(p.id)
+	pid := r.driver.ProcessID(p.id)
 	if pid == 0 {
 		return errors.New("no process runs")
 	}
--- a/internal/testbed/sockets/client.go
+++ b/internal/testbed/sockets/client.go
@@ -228,7 +228,7 @@
 	e.Deadline = c.deadline
 	if modelled := c.driver.world.Client(c.flow); modelled != nil {
 		service := c.driver.world.Services[modelled.Service]
-		e.Effect, e.KeyScope, e.KeyWindow = effects[service.Effect], keyScopes[service.Group], service.Window
+		e.Effect, e.KeyScope, e.KeyWindow = effects[service.Effect], keyScopes[service.DeduplicationScope], service.DeduplicationWindow
 	}
 	return e
 }
@@ -298,8 +298,8 @@
 	d := c.driver
 	isBalancerUp := int(c.balancer) >= len(d.processes) || d.processes[c.balancer].isUp
 	if !c.wasMovedByServer && isBalancerUp {
-		d.Tally.Migrations++
-		d.Tally.MigratedAt = append(d.Tally.MigratedAt, d.now())
+		d.Counts.Migrations++
+		d.Counts.MigratedAt = append(d.Counts.MigratedAt, d.now())
 	}
 	c.transition(ended)
 	d.world.BreakFlow(c.flow, simulation.Migrated)
--- a/internal/testbed/virtual/driver.go
+++ b/internal/testbed/virtual/driver.go
@@ -22,7 +22,7 @@
 
 // Driver models the network and the balancers between a world's clients and servers.
 type Driver struct {
-	Tally Tally
+	Counts Counts
 
 	day            *experiment.Day
 	world          *simulation.World
@@ -38,8 +38,8 @@
 	serverOf  map[decide.ServerID]simulation.ServerID
 }
 
-// Tally counts the actions of all balancers.
-type Tally struct {
+// Counts are the numbers of actions of all balancers, and the times of some of them.
+type Counts struct {
 	Connects     int
 	Crossings    int // connects to another locality
 	Migrations   int
@@ -52,9 +52,9 @@
 
 // New creates a driver for a day that has not begun.
 func New(day *experiment.Day, checker *invariants.Checker, newDecider NewDecider) *Driver {
-	terms := day.Experiment.Terms()
+	limits := day.Experiment.Limits()
 	d := &Driver{day: day, world: day.World, checker: checker, newDecider: newDecider,
-		maxConnects: terms.MaxConnects, connectTimeout: terms.ConnectTimeout,
+		maxConnects: limits.MaxConnects, connectTimeout: limits.ConnectTimeout,
 		flows: map[simulation.FlowID]*flow{}, connects: map[simulation.ConnID]*connect{},
 		serverOf: map[decide.ServerID]simulation.ServerID{}}
 	day.World.Driver = d
