--- a/internal/daemon/admin_calls.go
+++ b/internal/daemon/admin_calls.go
@@ -13,7 +13,7 @@
 
 const (
 	callTimeout         = 750 * time.Millisecond // for both processes to apply a change
-	changeRetryInterval = time.Millisecond       // after a successor has exited, until this process decides again
+	changeRetryInterval = time.Millisecond       // after a successor has exited, until this process decides on changes again
 )
 
 // adminCalls implements admin.Balancer. Operators get the error texts as responses.
@@ -67,7 +67,7 @@
 		if !errors.Is(err, handover.ErrPeerGone) {
 			return err
 		}
-		select { // the successor has exited; this process is about to decide again
+		select { // the successor has exited; this process will soon decide on changes again
 		case <-ctx.Done():
 			return admin.ErrNotReady
 		case <-time.After(changeRetryInterval):
@@ -161,8 +161,8 @@
 	return nil
 }
 
-// awaitSaved waits until this process's changes are saved, for at most saveTimeout, as an operator waits for the
-// response.
+// awaitSaved waits until this process's changes are saved, the directory is known to fail, or saveTimeout has passed: an
+// operator waits for the response.
 func (d *Daemon) awaitSaved(ctx context.Context) {
 	if d.disabled != nil {
 		d.disabled.awaitSaved(ctx)
--- a/internal/daemon/admin_calls_test.go
+++ b/internal/daemon/admin_calls_test.go
@@ -53,10 +53,10 @@
 
 func TestAdminCallsByPhase(t *testing.T) {
 	for _, c := range []struct {
-		phase               phase
-		ready               bool
-		mayLeave, mayReturn bool  // whether the calls out-of-service and in-service succeed
-		afterLeaving        phase // the phase after the out-of-service call
+		phase                                 phase
+		ready                                 bool
+		outOfServiceAllowed, inServiceAllowed bool  // whether the calls out-of-service and in-service succeed
+		afterOutOfService                     phase // the phase after the out-of-service call
 	}{
 		{loading, false, false, false, loading},
 		{serving, true, true, true, draining},
@@ -67,23 +67,23 @@
 		{stopped, false, false, false, stopped},
 	} {
 		t.Run(string(c.phase), func(t *testing.T) {
-			left, returned := callsInPhase(t, c.phase), callsInPhase(t, c.phase)
+			outCalls, inCalls := callsInPhase(t, c.phase), callsInPhase(t, c.phase)
 			for call, got := range map[string]struct {
 				err     error
 				allowed bool
 			}{
-				"ready":          {left.Ready(), c.ready},
-				"out of service": {left.OutOfService(t.Context()), c.mayLeave},
-				"in service":     {returned.InService(t.Context()), c.mayReturn},
+				"ready":          {outCalls.Ready(), c.ready},
+				"out of service": {outCalls.OutOfService(t.Context()), c.outOfServiceAllowed},
+				"in service":     {inCalls.InService(t.Context()), c.inServiceAllowed},
 			} {
 				if (got.err == nil) != got.allowed {
 					t.Errorf("%s: got error %v", call, got.err)
 				}
 			}
-			if now := left.daemon.lifecycle.current(); now != c.afterLeaving {
+			if now := outCalls.daemon.lifecycle.current(); now != c.afterOutOfService {
 				t.Errorf("phase %s after the out-of-service call", now)
 			}
-			if err := left.Ready(); err != nil && !errors.Is(err, admin.ErrNotReady) {
+			if err := outCalls.Ready(); err != nil && !errors.Is(err, admin.ErrNotReady) {
 				t.Error(err)
 			}
 		})
--- a/internal/daemon/consecutive_upgrades_test.go
+++ b/internal/daemon/consecutive_upgrades_test.go
@@ -16,7 +16,7 @@
 type upgradeClients struct {
 	t       *testing.T
 	address string
-	over    atomic.Bool  // tells the clients to stop
+	stopped atomic.Bool  // tells the clients to stop
 	opened  atomic.Int64 // short-lived flows
 	lines   atomic.Int64 // echoed
 	clients sync.WaitGroup
@@ -45,7 +45,7 @@
 	if conn != nil {
 		defer func() { _ = conn.Close() }()
 	}
-	for n := 0; in != nil && !c.over.Load(); n++ {
+	for n := 0; in != nil && !c.stopped.Load(); n++ {
 		line := fmt.Sprintf("M %d %s\r\n", n, strings.Repeat("x", 100*(number%8)))
 		_, err := io.WriteString(conn, line[:len(line)/2])
 		if number%2 == 0 {
@@ -64,7 +64,7 @@
 
 // openAndClose opens and closes flows, one after the other.
 func (c *upgradeClients) openAndClose() {
-	for !c.over.Load() {
+	for !c.stopped.Load() {
 		if conn, _ := c.open(fmt.Sprintf("comes-%d", c.opened.Add(1))); conn != nil {
 			_ = conn.Close()
 		}
@@ -93,7 +93,7 @@
 		}
 		current = next
 	}
-	c.over.Store(true)
+	c.stopped.Store(true)
 	c.clients.Wait()
 	current.end()
 	if c.opened.Load() < upgrades || c.lines.Load() < upgrades*exchangers {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -59,7 +59,7 @@
 }
 
 // errStoppedBeforeServing says that the stop signal arrived during startup.
-var errStoppedBeforeServing = errors.New("stopped before it served")
+var errStoppedBeforeServing = errors.New("stopped during startup")
 
 // errConnectionsRemain says that the shutdown timed out with connections still open.
 var errConnectionsRemain = errors.New("connections were still held at the end of the drain")
--- a/internal/daemon/descriptors_test.go
+++ b/internal/daemon/descriptors_test.go
@@ -102,7 +102,7 @@
 	h.config = strings.NewReplacer(`"sockets":400`, fmt.Sprintf(`"sockets":%d`, limit), `"retry-after":true`,
 		`"retry-after":true,"probes":true`, `"settings":{`, `"settings":{"reporting":{"how":"pull"},`).Replace(h.config)
 	h.descriptorLimit = limit
-	h.process()
+	h.startAndAwait()
 	startIdleClients(t, h.listenAddress, 2*limit).awaitFull()
 	for range 32 { // idle connections to the address for operators
 		_, _ = tryDial(t, h.adminAddress) // some are refused
--- a/internal/daemon/disabled_store.go
+++ b/internal/daemon/disabled_store.go
@@ -35,7 +35,7 @@
 	isLoaded          bool       // the file of an earlier process was loaded, or need not be
 	changedBeforeLoad map[string]bool
 	changes           int           // number of changes made
-	savedChanges      int           // number of those that this process need not save any more
+	settledChanges    int           // number of changes that are saved, or left to the successor
 	isWriting         bool          // a write is in progress
 	attemptEnded      chan struct{} // closed when the current or next attempt ends
 	failingSince      time.Time     // zero: the last attempt succeeded, or none was made
@@ -83,7 +83,7 @@
 // release leaves the file, and the changes not saved yet, to the successor. It waits for a write in progress.
 func (s *disabledStore) release(ctx context.Context) {
 	s.mu.Lock()
-	s.savedChanges = s.changes // the successor saves the rest
+	s.settledChanges = s.changes // the successor saves the rest
 	s.failingSince = time.Time{}
 	isWriting, attemptEnded := s.isWriting, s.attemptEnded
 	s.mu.Unlock()
@@ -101,7 +101,7 @@
 	s.mu.Unlock()
 	for ctx.Err() == nil {
 		s.mu.Lock()
-		isSettled, attemptEnded := s.savedChanges >= changes || !s.failingSince.IsZero(), s.attemptEnded
+		isSettled, attemptEnded := s.settledChanges >= changes || !s.failingSince.IsZero(), s.attemptEnded
 		s.mu.Unlock()
 		if isSettled {
 			return
@@ -136,7 +136,7 @@
 	}
 }
 
-// synchronise loads and saves what is pending. done: neither failed, and no change was made in the meantime.
+// synchronise loads and saves what is pending. done: nothing is left for this process to load or save.
 func (s *disabledStore) synchronise(restore func(servers []string)) (done bool) {
 	if err := s.load(restore); err != nil {
 		s.recordResult(err)
@@ -144,7 +144,7 @@
 	}
 	s.mu.Lock()
 	changes := s.changes
-	hasUnsaved := changes > s.savedChanges
+	hasUnsaved := changes > s.settledChanges
 	s.isWriting = hasUnsaved
 	s.mu.Unlock()
 	if !hasUnsaved {
@@ -155,9 +155,9 @@
 	s.mu.Lock()
 	s.isWriting = false
 	if err == nil {
-		s.savedChanges = max(s.savedChanges, changes)
+		s.settledChanges = max(s.settledChanges, changes)
 	}
-	done = s.savedChanges >= s.changes
+	done = s.settledChanges >= s.changes
 	s.mu.Unlock()
 	s.recordResult(err)
 	return done
--- a/internal/daemon/disabled_store_test.go
+++ b/internal/daemon/disabled_store_test.go
@@ -31,7 +31,7 @@
 			if c.atStart {
 				rename(t, directory, movedDirectory)
 			}
-			p := h.processIn(directory)
+			p := h.startIn(directory)
 			h.awaitStatus("GET", "ready", http.StatusOK)
 			if !c.atStart {
 				rename(t, directory, movedDirectory)
@@ -43,7 +43,7 @@
 			_ = p.cmd.Process.Kill()
 			_ = p.cmd.Wait() // the error says that the process was killed
 			next := h.successor()
-			next.processIn(directory)
+			next.startIn(directory)
 			next.awaitStatus("GET", "ready", http.StatusOK)
 			next.wantFlow("after a kill", "BUSY 700")
 			next.wantStatus("POST", "servers/a/online", http.StatusOK)
--- a/internal/daemon/gossip.go
+++ b/internal/daemon/gossip.go
@@ -15,11 +15,12 @@
 )
 
 const (
-	publishInterval       = 250 * time.Millisecond
-	publishesPerFullState = 8 // ticks between two updates of the full state that other members request
+	publishCheckInterval = 250 * time.Millisecond // between checks of whether a record is due
+	ticksPerFullState    = 8                      // publish checks between two updates of the full state that other members request
 
-	// leaseDuration is how long a balancer that publishes nothing keeps a lease: three publish periods of a small
-	// fleet.
+	// leaseDuration is how long a balancer that publishes nothing keeps a lease: three times the interval of 2 s at
+	// which a balancer of a small fleet publishes records while no fault begins or ends (steadyInterval in
+	// fleet/signals).
 	leaseDuration = 6 * time.Second
 )
 
@@ -68,10 +69,10 @@
 
 // run exchanges signals until the context ends.
 func (g *gossip) run(ctx context.Context) {
-	var group sync.WaitGroup
-	defer group.Wait()
-	group.Go(func() { g.group.Run(ctx) })
-	ticker := time.NewTicker(publishInterval)
+	var running sync.WaitGroup
+	defer running.Wait()
+	running.Go(func() { g.group.Run(ctx) })
+	ticker := time.NewTicker(publishCheckInterval)
 	defer ticker.Stop()
 	for n := 1; ; n++ {
 		select {
@@ -79,7 +80,7 @@
 			return
 		case <-ticker.C:
 			g.publish()
-			if n%publishesPerFullState == 0 {
+			if n%ticksPerFullState == 0 {
 				g.updateFullState()
 			}
 		}
@@ -89,13 +90,13 @@
 // publish sends this balancer's record if one is due.
 func (g *gossip) publish() {
 	fleetSize := g.group.AliveCount()
-	holders, reporters := g.aliveMembers()
+	candidates, reporters := g.aliveMembers()
 	var record signals.Record
 	var due bool
 	g.router.WithLock(func() {
 		g.signals.SetReporters(reporters)
 		if g.leases != nil {
-			g.leases.SetMembers(holders)
+			g.leases.SetMembers(candidates)
 		}
 		record, due = g.signals.Publish(fleetSize)
 	})
@@ -111,14 +112,14 @@
 }
 
 // aliveMembers returns the alive members, as candidates for leases and as reporters of signals.
-func (g *gossip) aliveMembers() (holders []lease.Member, reporters []signals.Origin) {
+func (g *gossip) aliveMembers() (candidates []lease.Member, reporters []signals.Origin) {
 	for _, member := range g.group.Members() {
 		if member.State == membership.Alive {
-			holders = append(holders, lease.Member{Name: lease.Holder(member.Name), Weight: 1, AliveFor: member.Since})
+			candidates = append(candidates, lease.Member{Name: lease.Holder(member.Name), Weight: 1, AliveFor: member.Since})
 			reporters = append(reporters, signals.Origin(member.Name))
 		}
 	}
-	return holders, reporters
+	return candidates, reporters
 }
 
 // OnMessage merges a member's message, and forwards it to other members if it is new.
--- a/internal/daemon/harness_test.go
+++ b/internal/daemon/harness_test.go
@@ -97,11 +97,11 @@
 	return conn
 }
 
-var discovery = regexp.MustCompile(`"discovery":"[^"]*"`)
+var discoveryPattern = regexp.MustCompile(`"discovery":"[^"]*"`)
 
 // setDiscovery sets the address of discovery in the text of the configuration.
 func (h *harness) setDiscovery(address string) {
-	h.config = discovery.ReplaceAllLiteralString(h.config, fmt.Sprintf(`"discovery":%q`, address))
+	h.config = discoveryPattern.ReplaceAllLiteralString(h.config, fmt.Sprintf(`"discovery":%q`, address))
 }
 
 func writeConfig(t *testing.T, path, text string) {
@@ -251,8 +251,8 @@
 	}
 }
 
-// openWith connects as a client, sends a line and returns the line received.
-func (h *harness) openWith(line string) (in *bufio.Reader, answer string) {
+// sendLine connects as a client, sends a line and returns the line received.
+func (h *harness) sendLine(line string) (in *bufio.Reader, answer string) {
 	h.t.Helper()
 	conn := dial(h.t, h.listenAddress)
 	if _, err := io.WriteString(conn, line+"\r\n"); err != nil {
@@ -268,7 +268,7 @@
 func (h *harness) openFlow() (in *bufio.Reader, answer string) {
 	h.t.Helper()
 	h.openedFlows++
-	return h.openWith(fmt.Sprintf("OPEN %p-%d 2 c=live,d=800", h, h.openedFlows))
+	return h.sendLine(fmt.Sprintf("OPEN %p-%d 2 c=live,d=800", h, h.openedFlows))
 }
 
 // wantFlow opens a flow and checks the reply.
@@ -298,7 +298,7 @@
 // wantPing sends a PING and checks the reply.
 func (h *harness) wantPing(want string) {
 	h.t.Helper()
-	if _, got := h.openWith("PING"); got != want {
+	if _, got := h.sendLine("PING"); got != want {
 		h.t.Errorf("PING is answered %q, want %q", got, want)
 	}
 }
--- a/internal/daemon/lifecycle.go
+++ b/internal/daemon/lifecycle.go
@@ -14,9 +14,9 @@
 	// drainDuration is the time from the out-of-service call until all clients have been asked to migrate: operators
 	// allow 4 s.
 	drainDuration = 2600 * time.Millisecond
-	// newClientsDeadline is how long after that call the platform may still send clients: newClientsWindow with some
-	// slack.
-	newClientsDeadline   = time.Second
+	// newClientsTimeout is how long after the out-of-service call this process still accepts clients: newClientsWindow,
+	// in which the platform sends them, with some slack.
+	newClientsTimeout    = time.Second
 	drainedCheckInterval = 50 * time.Millisecond
 )
 
@@ -57,10 +57,10 @@
 	started     chan struct{}  // closed when this process begins to serve clients, in or out of service
 	startedOnce sync.Once      // closes started
 
-	mu            sync.Mutex // guards the fields below
-	phase         phase
-	endPhase      []context.CancelFunc // cancel the goroutines of the current phase
-	drainingSince time.Time            // time of the out-of-service call; zero: in service
+	mu             sync.Mutex // guards the fields below
+	phase          phase
+	endPhase       []context.CancelFunc // cancel the goroutines of the current phase
+	outOfServiceAt time.Time            // time of the out-of-service call; zero: in service
 }
 
 func newLifecycle(clients clients) *lifecycle {
@@ -92,15 +92,15 @@
 func (l *lifecycle) enter(ctx context.Context, to phase) {
 	switch to {
 	case serving:
-		l.drainingSince = time.Time{}
+		l.outOfServiceAt = time.Time{}
 		l.clients.SetAvailability(protocol.InService)
 	case draining:
-		if l.drainingSince.IsZero() {
-			l.drainingSince = time.Now()
+		if l.outOfServiceAt.IsZero() {
+			l.outOfServiceAt = time.Now()
 		}
-		since := l.drainingSince
+		since := l.outOfServiceAt
 		availability := protocol.OutOfService
-		if time.Since(since) > newClientsDeadline {
+		if time.Since(since) > newClientsTimeout {
 			availability = protocol.RejectingClients
 		}
 		l.clients.SetAvailability(availability)
@@ -109,14 +109,14 @@
 	case drained:
 		l.clients.SetAvailability(protocol.RejectingClients)
 	case handingOver:
-		if !l.drainingSince.IsZero() {
+		if !l.outOfServiceAt.IsZero() {
 			l.startDrain(ctx, 0) // the successor doesn't drain this process's clients
 		}
 	}
 }
 
-// runInPhase runs work in a goroutine until the phase ends, even if ctx, of the call that changed the phase, ends
-// earlier. The caller holds mu.
+// runInPhase runs work in a goroutine, with a context that ends with the phase. It doesn't end with ctx, the context of
+// the call that changed the phase. The caller holds mu.
 func (l *lifecycle) runInPhase(ctx context.Context, work func(context.Context)) {
 	inPhase, end := context.WithCancel(context.WithoutCancel(ctx))
 	l.endPhase = append(l.endPhase, end)
@@ -126,7 +126,7 @@
 // startDrain asks all clients to migrate, spread over an interval that begins at from and ends at drainDuration, both
 // counted from the out-of-service call. The caller holds mu.
 func (l *lifecycle) startDrain(ctx context.Context, from time.Duration) {
-	elapsed := time.Since(l.drainingSince)
+	elapsed := time.Since(l.outOfServiceAt)
 	l.runInPhase(ctx, func(ctx context.Context) {
 		l.clients.Drain(ctx, max(0, from-elapsed), max(minDrainDuration, drainDuration-elapsed))
 	})
@@ -143,7 +143,7 @@
 			return
 		case <-check.C:
 		}
-		if time.Since(since) < newClientsDeadline {
+		if time.Since(since) < newClientsTimeout {
 			continue
 		}
 		l.rejectNewClients(ctx)
@@ -178,7 +178,7 @@
 func (l *lifecycle) outOfServiceSince() time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.drainingSince
+	return l.outOfServiceAt
 }
 
 // setOutOfServiceSince sets the time of the out-of-service call that the predecessor handed over. It takes effect at
@@ -186,7 +186,7 @@
 func (l *lifecycle) setOutOfServiceSince(since time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.drainingSince = since
+	l.outOfServiceAt = since
 }
 
 // setInServiceWhileHandingOver takes this process out of service or back into it while its successor serves. In any
@@ -197,9 +197,9 @@
 	switch {
 	case l.phase != handingOver:
 	case inService:
-		l.drainingSince = time.Time{}
-	case l.drainingSince.IsZero():
-		l.drainingSince = time.Now()
+		l.outOfServiceAt = time.Time{}
+	case l.outOfServiceAt.IsZero():
+		l.outOfServiceAt = time.Now()
 		l.startDrain(ctx, 0)
 	}
 }
--- a/internal/daemon/outage_test.go
+++ b/internal/daemon/outage_test.go
@@ -35,7 +35,7 @@
 			watched := make(chan string, 100)
 			agent := startAgent(t, "agent", watched)
 			h := newHarness(t)
-			p := h.process()
+			p := h.startAndAwait()
 			h.setDiscovery(agent)
 			if err := c.corrupt(h.path, h.config); err != nil {
 				t.Fatal(err)
@@ -72,7 +72,7 @@
 			h := newHarness(t)
 			other := listenAt(t, c.address(h))
 			time.AfterFunc(outageDuration, func() { _ = other.Close() })
-			h.processIn(t.TempDir())
+			h.startIn(t.TempDir())
 			h.awaitStatus("GET", "ready", http.StatusOK)
 			h.wantFlow("afterwards", "UP 1")
 		})
--- a/internal/daemon/process_test.go
+++ b/internal/daemon/process_test.go
@@ -42,14 +42,14 @@
 	cmd *exec.Cmd
 }
 
-var lastAddress atomic.Int32
+var addressCount atomic.Int32 // number of loopback addresses used by startAndAwait
 
-// process starts the balancer at a loopback address of its own, and waits until it serves. At a shared address a port
-// that was free could be the local port of a client connection by the time the process listens there.
-func (h *harness) process() *process {
+// startAndAwait starts the balancer at a loopback address of its own, and waits until it serves. At a shared address a
+// port that was free could be the local port of a client connection by the time the process listens there.
+func (h *harness) startAndAwait() *process {
 	h.t.Helper()
 	id := os.Getpid()
-	own := fmt.Sprintf("127.%d.%d.%d", 2+id/250%250, 1+id%250, 1+lastAddress.Add(1)%250)
+	own := fmt.Sprintf("127.%d.%d.%d", 2+id/250%250, 1+id%250, 1+addressCount.Add(1)%250)
 	for _, address := range []*string{&h.listenAddress, &h.adminAddress} {
 		moved := strings.Replace(*address, "127.0.0.1", own, 1)
 		h.config = strings.Replace(h.config, *address, moved, 1)
@@ -61,9 +61,9 @@
 	return p
 }
 
-// processIn starts the balancer with a directory that it shares with other processes. The system kills it when the
-// thread that started it ends, even if the test crashes.
-func (h *harness) processIn(directory string) *process {
+// startIn starts the balancer with a directory that it shares with other processes, and doesn't wait until it serves. The
+// system kills it when the thread that started it ends, even if the test crashes.
+func (h *harness) startIn(directory string) *process {
 	h.t.Helper()
 	return h.startProcess(directory, &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL})
 }
--- a/internal/daemon/start_test.go
+++ b/internal/daemon/start_test.go
@@ -33,13 +33,13 @@
 		notReady       bool
 	}{
 		{"the predecessor is not ready", messageHello, true},
-		{"it does not reply to hello", messageHello, false},
-		{"it does not send its state", messageGetState, false},
+		{"the predecessor does not reply to hello", messageHello, false},
+		{"the predecessor does not send its state", messageGetState, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			environment := directoryEnvironment(t)
 			h := newHarness(t)
-			reached := startSilentPredecessor(t, openSocket(t, environment("TMPDIR"), h.listenAddress), c.silentAt, c.notReady)
+			reached := startFakePredecessor(t, openSocket(t, environment("TMPDIR"), h.listenAddress), c.silentAt, c.notReady)
 			var err error
 			if h.daemon, err = Load(t.Context(), Source{ConfigPath: h.path, Environment: environment}); err != nil {
 				t.Fatal(err)
@@ -49,16 +49,17 @@
 			h.end()
 			select {
 			case <-h.daemon.lifecycle.started:
-				t.Error("it served before it stopped")
+				t.Error("the process served although it was stopped while it waited for its predecessor")
 			default:
 			}
 		})
 	}
 }
 
-// startSilentPredecessor starts a predecessor that answers requests with notReady. At the first request of the kind
-// silentAt the channel receives a value; if notReady is false requests of that kind get no reply.
-func startSilentPredecessor(t *testing.T, socket *handover.Socket, silentAt string, notReady bool) (reached <-chan struct{}) {
+// startFakePredecessor starts a predecessor that replies to each request with the body notReady, which in the reply to
+// hello says that the successor must wait. If notReady is false, requests of the kind silentAt get no reply until the
+// test ends. The channel receives a value at the first request of that kind.
+func startFakePredecessor(t *testing.T, socket *handover.Socket, silentAt string, notReady bool) (reached <-chan struct{}) {
 	t.Helper()
 	listener, err := socket.Listen(t.Context())
 	if err != nil {
@@ -97,7 +98,8 @@
 	return arrived
 }
 
-// The timeouts before a new process serves add up to less than operators allow.
+// The hand-over and the message to the predecessor together take less time than operators allow, even if both time out.
+// The wait for an address in use is not included.
 func TestTimeoutsBeforeServing(t *testing.T) {
 	const allowed = 10 * time.Second
 	// The hand-over, then the message to the predecessor that this process serves.
@@ -204,14 +206,14 @@
 	return nil
 }
 
-// States of the predecessor of a restarted process, the discovery agent that responds late, and the clients' timeout.
+// Settings of TestReadyAfterRestart. The first four constants are the states of a restarted process's predecessor.
 const (
-	noPredecessor      = "none"
-	killedPredecessor  = "killed"
-	stoppedPredecessor = "suspended"
-	slowPredecessor    = "slow to exit"
-	lateAgent          = "late"
-	maxClientTimeout   = 3 * time.Second
+	noPredecessor        = "none"
+	killedPredecessor    = "killed"
+	suspendedPredecessor = "suspended"
+	slowPredecessor      = "slow to exit"
+	lateAgent            = "late"          // the discovery agent that responds late
+	maxClientTimeout     = 3 * time.Second // hard limit of the service type: how long its clients wait
 )
 
 // restart is a restarted process of TestReadyAfterRestart, with its discovery agent and its predecessor.
@@ -228,14 +230,14 @@
 // of the predecessor with the same address and directory. They must become ready while the agent doesn't respond and the
 // predecessor stays in its state. The time that each took is logged only.
 func TestReadyAfterRestart(t *testing.T) {
-	runtime.LockOSThread() // see processIn
+	runtime.LockOSThread() // see startIn
 	defer runtime.UnlockOSThread()
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	defer cancel()
 	silent, _ := startSilentAgent(t)
 	late, respond := startSilentAgent(t)
 	agents := []struct{ name, address string }{{"silent", silent}, {"refusing", ""}, {lateAgent, late}}
-	predecessors := []string{noPredecessor, killedPredecessor, stoppedPredecessor, slowPredecessor}
+	predecessors := []string{noPredecessor, killedPredecessor, suspendedPredecessor, slowPredecessor}
 	all := make([]*restart, *processes)
 	for i := range all {
 		agent := agents[i%len(agents)]
@@ -243,7 +245,7 @@
 		all[i].agent = agent.name
 		all[i].predecessor = predecessors[i/len(agents)%len(predecessors)]
 		if all[i].predecessor != noPredecessor {
-			all[i].before = all[i].h.processIn(all[i].directory)
+			all[i].before = all[i].h.startIn(all[i].directory)
 		}
 	}
 	for _, r := range all {
@@ -312,10 +314,10 @@
 	case killedPredecessor:
 		r.before.signal(syscall.SIGKILL)
 		_, _ = r.before.cmd.Process.Wait() // the error says that the process was killed
-	case stoppedPredecessor:
+	case suspendedPredecessor:
 		r.before.signal(syscall.SIGSTOP)
 	case slowPredecessor: // a client that stays makes the shutdown take its full time
-		if _, got := r.h.openWith("OPEN stays 2 c=live,d=800"); got != "UP 1" {
+		if _, got := r.h.sendLine("OPEN stays 2 c=live,d=800"); got != "UP 1" {
 			t.Fatalf("the predecessor replied %q", got)
 		}
 		r.before.signal(syscall.SIGTERM)
@@ -328,7 +330,7 @@
 		h = h.successor()
 	}
 	r.began = time.Now()
-	r.after = h.processIn(r.directory)
+	r.after = h.startIn(r.directory)
 }
 
 func (r *restart) awaitReady(ctx context.Context) error {
--- a/internal/daemon/suspended_test.go
+++ b/internal/daemon/suspended_test.go
@@ -116,7 +116,7 @@
 	h.config = strings.NewReplacer(h.serverAddress, server.address(), `"hard-limit":800000000`, `"hard-limit":8000000000`,
 		`"settings":{`, fmt.Sprintf(`"settings":{"peers-total":%d,"guarantees":{"cold-from":0.2,"fall-multiple":3,"warm-after":20000000000,
 		"fall":1500000000},`, c.balancers)).Replace(h.config)
-	p := h.process()
+	p := h.startAndAwait()
 	first := h.openUnanswered("first")
 	awaitCondition(t, "the first flow is forwarded", func() bool { return server.count() >= 1 })
 	leaving := h.openMany("w", c.waiting)
@@ -149,8 +149,8 @@
 	p.signal(syscall.SIGTERM)           // when the process has exited no further connection can follow
 	_ = p.cmd.Wait()                    // TestLifecycle checks the shutdown
 	server.awaitAccepted(t)
-	if got := server.count() - before - 1; got != want {
-		t.Errorf("%d connections to the server for %d clients that disconnected and one that received %q", got, len(leaving), last)
+	if got := server.count() - before - 1; got != want { // less the connection of awaitAccepted
+		t.Errorf("%d connections to the server for %d clients that disconnected and one that received %q, want %d", got, len(leaving), last, want)
 	}
 }
 
--- a/internal/daemon/upgrade.go
+++ b/internal/daemon/upgrade.go
@@ -9,9 +9,10 @@
 )
 
 const (
-	// For the whole hand-over until this process serves: operators allow 6 s.
-	takeOverTimeout = 5500 * time.Millisecond
-	retryInterval   = 50 * time.Millisecond // between attempts while the predecessor is not ready to hand over
+	// takeOverTimeout is the time to find the predecessor, wait until it is ready, and receive its state. Operators allow
+	// 6 s for the hand-over, until this process serves.
+	takeOverTimeout       = 5500 * time.Millisecond
+	takeOverRetryInterval = 50 * time.Millisecond // between attempts to take over
 	// How long to retry a directory that can't be read, before this process starts without a predecessor.
 	findTimeout           = time.Second
 	requestTimeout        = 2 * time.Second        // for a reply of the other process
--- a/internal/daemon/upgrade_predecessor.go
+++ b/internal/daemon/upgrade_predecessor.go
@@ -20,7 +20,7 @@
 // This file has the predecessor's part of a hand-over.
 
 // awaitSuccessors accepts successors, one after the other. It starts with the result of the first attempt to open the
-// hand-over socket. If the directory fails it retries: until then no other process can find this one.
+// hand-over socket. If the directory fails it retries; until that succeeds no other process can find this one.
 func (d *Daemon) awaitSuccessors(ctx context.Context, listener *net.UnixListener, listenErr error) {
 	var accepting sync.WaitGroup
 	defer accepting.Wait()
@@ -128,9 +128,9 @@
 	if d.predecessor != nil || d.successor != nil {
 		return handover.Response{}, errors.New("another hand-over is in progress")
 	}
-	drainingSince := d.lifecycle.outOfServiceSince()
+	outOfServiceAt := d.lifecycle.outOfServiceSince()
 	if !d.lifecycle.transition(ctx, handingOver) {
-		return handover.Response{}, fmt.Errorf("%s", d.lifecycle.current())
+		return handover.Response{}, fmt.Errorf("can't hand over in phase %q", d.lifecycle.current())
 	}
 	d.successor = link
 	// From here on the hand-over is completed even if the request is cancelled.
@@ -139,12 +139,12 @@
 	d.listener.Pause()
 	state := handover.State{
 		Version:          handover.Version,
-		OutOfService:     !drainingSince.IsZero(),
+		OutOfService:     !outOfServiceAt.IsZero(),
 		DescriptorsInUse: d.descriptorsInUse(),
 		DescriptorNames:  []string{clientsSocket},
 	}
 	if state.OutOfService {
-		state.DrainingFor = time.Since(drainingSince)
+		state.DrainingFor = time.Since(outOfServiceAt)
 	}
 	sockets := []syscall.Conn{d.listener}
 	if explainListener, ok := d.explainListener.(syscall.Conn); ok {
--- a/internal/daemon/upgrade_requests.go
+++ b/internal/daemon/upgrade_requests.go
@@ -29,8 +29,8 @@
 		return handover.Response{}, errors.New("not ready")
 	}
 	d.changeMu.Lock()
-	// No need to wait until the predecessor has applied the change: the link keeps messages in order, so that it does
-	// so before it reads this reply.
+	// No need to wait until the predecessor has applied the change: the link keeps messages in order, and the
+	// predecessor applies the change before it reads this reply.
 	_, err := d.decideChange(ctx, change)
 	d.changeMu.Unlock()
 	if errors.Is(err, admin.ErrUnknownServer) {
--- a/internal/daemon/upgrade_socket_test.go
+++ b/internal/daemon/upgrade_socket_test.go
@@ -9,14 +9,15 @@
 	"yardwinch/internal/protocol"
 )
 
-// clientsAtServing calls a function when the daemon begins to serve.
-type clientsAtServing struct {
+// availabilityObserver calls a function before each change of availability; the first is when the daemon begins to
+// serve.
+type availabilityObserver struct {
 	clients
-	onServing func()
+	onChange func()
 }
 
-func (c clientsAtServing) SetAvailability(availability protocol.Availability) {
-	c.onServing()
+func (c availabilityObserver) SetAvailability(availability protocol.Availability) {
+	c.onChange()
 	c.clients.SetAvailability(availability)
 }
 
@@ -28,7 +29,7 @@
 	var conn *net.UnixConn
 	var err error
 	h.start(environment, func(d *Daemon) {
-		d.lifecycle.clients = clientsAtServing{d.lifecycle.clients, func() { conn, err = socket.Connect(t.Context()) }}
+		d.lifecycle.clients = availabilityObserver{d.lifecycle.clients, func() { conn, err = socket.Connect(t.Context()) }}
 	})
 	h.end()
 	if err != nil || conn == nil {
--- a/internal/daemon/upgrade_successor.go
+++ b/internal/daemon/upgrade_successor.go
@@ -68,7 +68,7 @@
 		select {
 		case <-takeOverCtx.Done():
 			return nil, err
-		case <-time.After(retryInterval):
+		case <-time.After(takeOverRetryInterval):
 		}
 	}
 }
@@ -212,7 +212,7 @@
 	link := d.predecessor
 	d.changeMu.Unlock() // handlers of the predecessor's messages need it meanwhile
 	if link != nil {
-		d.releasePredecessor(startCtx, link)
+		d.announceServing(startCtx, link)
 	}
 	if d.socket == nil {
 		d.lifecycle.transition(ctx, d.lifecycle.phaseWithoutSuccessor())
@@ -225,8 +225,8 @@
 	d.goroutines.Go(func() { d.awaitSuccessors(ctx, listener, err) })
 }
 
-// releasePredecessor tells the predecessor that this process serves.
-func (d *Daemon) releasePredecessor(ctx context.Context, link *handover.Link) {
+// announceServing tells the predecessor that this process serves.
+func (d *Daemon) announceServing(ctx context.Context, link *handover.Link) {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	if _, err := link.Request(messageServing, nil).Wait(ctx, nil); err != nil {
--- a/internal/daemon/upgrade_test.go
+++ b/internal/daemon/upgrade_test.go
@@ -103,7 +103,7 @@
 	next := old.successor().start(environment)
 	old.wantStatus("GET", "ready", http.StatusServiceUnavailable)
 	next.wantFlow("with its server disabled before the upgrade", "BUSY 700")
-	if _, got := next.openWith(fmt.Sprintf("OPEN %p-1 2 c=live,d=800", old)); !strings.HasPrefix(got, "ERR this id") {
+	if _, got := next.sendLine(fmt.Sprintf("OPEN %p-1 2 c=live,d=800", old)); !strings.HasPrefix(got, "ERR this id") {
 		t.Errorf("an id in use at the predecessor: %q", got)
 	}
 	wantCallsApplyToBoth(t, old, next)
@@ -146,7 +146,7 @@
 	old := newHarness(t).start(environment)
 	next := old.successor().start(environment)
 	id := fmt.Sprintf("%p-x", old)
-	if _, got := next.openWith("OPEN " + id + " 2 c=live,d=800"); got != "UP 1" {
+	if _, got := next.sendLine("OPEN " + id + " 2 c=live,d=800"); got != "UP 1" {
 		t.Fatalf("the successor replied %q", got)
 	}
 	if isFree := old.daemon.frontend.ClaimID(id); isFree {
@@ -221,9 +221,9 @@
 	next.end()
 }
 
-// Disabled servers survive the end of the process. While the directory is missing they are not saved, and calls still
+// Disabled servers survive a restart of the process. While the directory is missing they are not saved, and calls still
 // take effect.
-func TestDisabledServersSurviveKill(t *testing.T) {
+func TestDisabledServersSurviveRestart(t *testing.T) {
 	environment := directoryEnvironment(t)
 	root := environment("TMPDIR")
 	old := newHarness(t).start(environment)
--- a/internal/handover/socket.go
+++ b/internal/handover/socket.go
@@ -19,7 +19,8 @@
 	socketSuffix = ".sock"
 )
 
-// errNotOwnSocket says that the file at the socket's path was not created by this balancer. Such a file is not touched.
+// errNotOwnSocket says that the file at the socket's path is not a socket or, in Connect, that it belongs to another
+// user. Such a file is not touched.
 var errNotOwnSocket = errors.New("is not a socket of this balancer")
 
 // Socket is the Unix socket by which a successor finds the process that serves.
--- a/internal/handover/state.go
+++ b/internal/handover/state.go
@@ -32,8 +32,7 @@
 	DescriptorNames []string         `json:"files"` // names of the descriptors sent with the state, in order
 }
 
-// Validate returns nil if a state can be taken over. No part of an invalid state may be used. The other process gets
-// the error texts.
+// Validate returns nil if a state can be taken over. No part of an invalid state may be used.
 func (s *State) Validate() error {
 	switch {
 	case s.Version != Version:
