--- a/internal/membership/engine/group.go
+++ b/internal/membership/engine/group.go
@@ -18,7 +18,8 @@
 	"yardwinch/internal/membership"
 )
 
-// Subscriber is the balancer's side. Its methods are called from several goroutines and must not block.
+// Subscriber is the balancer to which a group reports, and which provides the full state. Its methods are called from
+// several goroutines and must not block.
 type Subscriber interface {
 	// OnMessage receives a message that another member published.
 	OnMessage(message []byte)
@@ -26,7 +27,8 @@
 	FullState() []byte
 	// OnRemoteState receives the full state of another member.
 	OnRemoteState(state []byte)
-	// OnSuspended is called after this process was suspended, with the duration.
+	// OnSuspended is called with the measured gap after this process was suspended, or with
+	// membership.HeartbeatTimeout, the minimum, after the balancer was.
 	OnSuspended(gap time.Duration)
 }
 
@@ -198,7 +200,7 @@
 	return config
 }
 
-// disableLeave has Run return without announcing that the member leaves, as if the process were frozen.
+// disableLeave has Run return without announcing that the member leaves, as if the process were suspended.
 func (g *Group) disableLeave() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/membership/engine/group_test.go
+++ b/internal/membership/engine/group_test.go
@@ -107,7 +107,7 @@
 	addressA, addressB, addressC := freeAddress(t, "127.83.0.1"), freeAddress(t, "127.83.0.2"), freeAddress(t, "127.83.0.3")
 	// a's seed doesn't respond yet: a runs alone and retries.
 	a, receivedA, _ := start(t, "a", "one", addressA, addressB)
-	eventually(t, 5*time.Second, "a is open", func() bool { return stateOf(a, "a") == membership.Alive })
+	eventually(t, 5*time.Second, "a has started", func() bool { return stateOf(a, "a") == membership.Alive })
 	b, receivedB, stopB := start(t, "b", "one", addressB)
 	c, _, _ := start(t, "c", "two", addressC, addressA)
 	eventually(t, 15*time.Second, "a and b see each other", func() bool {
--- a/internal/membership/engine/introduce.go
+++ b/internal/membership/engine/introduce.go
@@ -10,7 +10,8 @@
 )
 
 const (
-	// In larger fleets gossip sends a state to more members anyway, and an exchange with each would cost too much.
+	// maxSyncMembers is the largest number of other alive members with which a new member exchanges full states. In
+	// larger fleets gossip sends a state to more members anyway, and an exchange with each would cost too much.
 	maxSyncMembers     = 16
 	postJoinSyncPeriod = 5 * time.Second // after a join; members that become known later are not synced with
 )
--- a/internal/membership/engine/members.go
+++ b/internal/membership/engine/members.go
@@ -89,7 +89,7 @@
 	var members []membership.Member
 	for name, m := range g.members {
 		seen := membership.Member{Name: name, Addr: m.address, State: m.state, Since: now - m.stateAt}
-		if m.refutable(now) { // a member that was cut off itself may have declared it gone, and is now connected again
+		if m.refutable(now) { // the member that declared it gone may itself have been cut off, and is now connected again
 			seen.State = membership.Alive
 			seen.Since = now - m.previousStateAt
 		}
--- a/internal/membership/engine/serve.go
+++ b/internal/membership/engine/serve.go
@@ -67,8 +67,8 @@
 	}
 	link := &balancerLink{encoder: cbor.NewEncoder(out)}
 	for runMember(ctx, New(instance, link), link, frames) == balancerSuspended {
-		// The next frame only shows that the balancer is running again, so its content is ignored. runMember handles
-		// the end of the frames.
+		// The next frame shows that the balancer is running again. Its content is ignored unless it is FrameLeave;
+		// runMember handles the end of the frames.
 		if frame := <-frames; frameKind(frame) == membership.FrameLeave {
 			return nil
 		}
--- a/internal/membership/frames.go
+++ b/internal/membership/frames.go
@@ -27,7 +27,8 @@
 	FrameRemoteState
 	// FrameMembers reports all members and all drop counts: an array as EncodeMembers returns it.
 	FrameMembers
-	// FrameSuspended reports that the engine or the balancer was suspended: duration in nanoseconds.
+	// FrameSuspended reports that the engine or the balancer was suspended: the measured gap or HeartbeatTimeout, in
+	// nanoseconds.
 	FrameSuspended
 )
 
--- a/internal/membership/group.go
+++ b/internal/membership/group.go
@@ -20,7 +20,8 @@
 	OnMessage(message []byte)
 	// OnRemoteState receives the full state of another member.
 	OnRemoteState(state []byte)
-	// OnSuspended is called after the engine or the balancer was suspended, with the duration.
+	// OnSuspended is called with the measured gap after the engine was suspended, or with HeartbeatTimeout, the minimum,
+	// after the balancer was.
 	OnSuspended(gap time.Duration)
 }
 
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -49,7 +49,7 @@
 // CompareByName orders members by name.
 func CompareByName(a, b Member) int { return cmp.Compare(a.Name, b.Name) }
 
-// The engine stops responding to other members when the balancer's heartbeats stop; otherwise a frozen balancer would
+// The engine stops responding to other members when the balancer's heartbeats stop; otherwise a suspended balancer would
 // look alive because its engine still responds.
 const (
 	// HeartbeatInterval is the interval at which the balancer sends heartbeats to its engine.
