--- a/internal/knownred/knownred.go
+++ b/internal/knownred/knownred.go
@@ -118,7 +118,7 @@
 func (r *testRun) checkPackages() {
 	for name, tests := range r.packages {
 		if tests.failed && tests.unlistedFailed == 0 && (tests.listedFailed == 0 || tests.panicked) {
-			r.reasons = append(r.reasons, name+" fails as a whole")
+			r.reasons = append(r.reasons, "package "+name+" fails although none of its unlisted tests does: it did not build, or it ended before all of its tests had run")
 		}
 	}
 	if r.packagesEnded == 0 {
--- a/internal/knownred/knownred_test.go
+++ b/internal/knownred/knownred_test.go
@@ -49,8 +49,8 @@
 		{"a listed one passes", strings.Replace(green, "Green", "Red", 1), list, "TestRed is listed as a known failure but passes"},
 		{"a listed one is skipped", "func TestRed(t *testing.T) { t.Skip() }\n", list, "was skipped"},
 		{"no test has a listed name", green, list, "no test has that name"},
-		{"a listed one panics before the others ran", "func TestRed(t *testing.T) { panic(1) }\n" + green, list, "x fails as a whole"},
-		{"the package does not build", "func TestRed(t *testing.T) { none() }\n", list, "x fails as a whole"},
+		{"a listed one panics before the others ran", "func TestRed(t *testing.T) { panic(1) }\n" + green, list, "package x fails although none of its unlisted tests does"},
+		{"the package does not build", "func TestRed(t *testing.T) { none() }\n", list, "package x fails although none of its unlisted tests does"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/testbed/dissemination/dissemination.go
+++ b/internal/testbed/dissemination/dissemination.go
@@ -1,6 +1,6 @@
 // Package dissemination simulates in virtual time how the report of a failing server spreads to all members of a fleet by gossip. The
-// deciders, the encoding and the gossip engine's retransmission rules are those of production; the engine itself is modelled, so all
-// figures are simulated.
+// code that decides what is published and which servers are penalised (fleet/signals), the encoding and the gossip engine's
+// retransmission rules are those of production; the engine itself is modelled, so all figures are simulated.
 package dissemination
 
 import (
@@ -13,7 +13,7 @@
 	"yardwinch/internal/simulation"
 )
 
-// Settings of the gossip engine, as in internal/membership/engine.
+// Settings and packet overhead of the gossip engine. The settings are as in internal/membership/engine, if not said otherwise.
 const (
 	gossipInterval       = 200 * time.Millisecond
 	gossipFanout         = 3
@@ -21,7 +21,7 @@
 	messageHeaderBytes   = 6                       // added by the engine to each message
 	packetHeaderBytes    = 28 + messageHeaderBytes // IP and UDP headers, and the engine's own
 	retransmitMultiplier = 3
-	publishInterval      = 250 * time.Millisecond
+	publishCheckInterval = 250 * time.Millisecond // as in internal/daemon
 )
 
 const (
@@ -162,7 +162,7 @@
 	if m.observesFault && r.now >= r.config.FaultAt && r.now%time.Second == observationPhase(i) {
 		m.signals.OnLatencySample(faultyServer, observedDelay)
 	}
-	if r.now%publishInterval == m.publishPhase {
+	if r.now%publishCheckInterval == m.publishPhase {
 		if err := m.publish(r.config.Members); err != nil {
 			return err
 		}
--- a/internal/testbed/dissemination/member.go
+++ b/internal/testbed/dissemination/member.go
@@ -50,7 +50,7 @@
 			Enabled:          true,
 		}),
 		gossipPhase:   randomPhase(random, gossipInterval),
-		publishPhase:  randomPhase(random, publishInterval),
+		publishPhase:  randomPhase(random, publishCheckInterval),
 		observesFault: observesFault,
 		partitionSide: number % 2,
 	}
--- a/internal/testbed/netfault/listener_test.go
+++ b/internal/testbed/netfault/listener_test.go
@@ -39,7 +39,7 @@
 // Many listeners of one machine become unresponsive at the same time: connections to each of them time out, and all accept connections
 // again when they are reopened.
 func TestManyListenersBecomeUnresponsive(t *testing.T) {
-	const count, silence = 40, 20 * time.Millisecond
+	const count, unresponsiveTimeout = 40, 20 * time.Millisecond
 	var listeners []*Listener
 	for range count {
 		l := NewListener("127.77.250.1:0")
@@ -56,7 +56,7 @@
 			}
 		}
 		for _, l := range listeners {
-			timeout := silence
+			timeout := unresponsiveTimeout
 			if to != Unresponsive {
 				timeout = testTimeout
 			}
--- a/internal/testbed/netfault/stream_test.go
+++ b/internal/testbed/netfault/stream_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-const testTimeout = 5 * time.Second // for what takes no noticeable time on an idle machine
+const testTimeout = 5 * time.Second // for operations that take milliseconds on an idle machine
 
 // echoServer forwards connections from a to b, a stub that echoes what it receives, and returns the address to connect to.
 func echoServer(t *testing.T, n *Network) string {
