--- a/internal/store/disabled.go
+++ b/internal/store/disabled.go
@@ -144,7 +144,7 @@
 		return fmt.Errorf("decode: %w", err)
 	}
 	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
-		return errors.New("something follows its end")
+		return errors.New("data after the JSON object")
 	}
 	return nil
 }
--- a/internal/store/disabled_test.go
+++ b/internal/store/disabled_test.go
@@ -14,7 +14,7 @@
 // faultyFileSystem is a file system in which one step fails, or all steps from that one on, as after a kill.
 type faultyFileSystem struct {
 	osFileSystem
-	step   string
+	step   string // the step that fails; if killed is set it becomes empty when that step is reached
 	err    error
 	killed bool // all later steps fail too
 }
