--- a/internal/daemon/admin_calls.go
+++ b/internal/daemon/admin_calls.go
@@ -161,8 +161,8 @@
 	return nil
 }
 
-// awaitSaved waits until this process's changes are saved, the directory is known to fail, or saveTimeout has passed: an
-// operator waits for the response.
+// awaitSaved waits until this process's changes are saved, the directory is known to fail, or saveTimeout has passed:
+// an operator waits for the response.
 func (d *Daemon) awaitSaved(ctx context.Context) {
 	if d.disabled != nil {
 		d.disabled.awaitSaved(ctx)
--- a/internal/daemon/gossip.go
+++ b/internal/daemon/gossip.go
@@ -16,7 +16,7 @@
 
 const (
 	publishCheckInterval = 250 * time.Millisecond // between checks of whether a record is due
-	ticksPerFullState    = 8                      // publish checks between two updates of the full state that other members request
+	ticksPerFullState    = 8                      // checks between two updates of the full state that other members request
 
 	// leaseDuration is how long a balancer that publishes nothing keeps a lease: three times the interval of 2 s at
 	// which a balancer of a small fleet publishes records while no fault begins or ends (steadyInterval in
--- a/internal/daemon/process_test.go
+++ b/internal/daemon/process_test.go
@@ -61,8 +61,8 @@
 	return p
 }
 
-// startIn starts the balancer with a directory that it shares with other processes, and doesn't wait until it serves. The
-// system kills it when the thread that started it ends, even if the test crashes.
+// startIn starts the balancer with a directory that it shares with other processes, and doesn't wait until it serves.
+// The system kills it when the thread that started it ends, even if the test crashes.
 func (h *harness) startIn(directory string) *process {
 	h.t.Helper()
 	return h.startProcess(directory, &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL})
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -49,8 +49,8 @@
 // CompareByName orders members by name.
 func CompareByName(a, b Member) int { return cmp.Compare(a.Name, b.Name) }
 
-// The engine stops responding to other members when the balancer's heartbeats stop; otherwise a suspended balancer would
-// look alive because its engine still responds.
+// The engine stops responding to other members when the balancer's heartbeats stop; otherwise a suspended balancer
+// would look alive because its engine still responds.
 const (
 	// HeartbeatInterval is the interval at which the balancer sends heartbeats to its engine.
 	HeartbeatInterval = 250 * time.Millisecond
--- a/internal/testbed/netfault/network.go
+++ b/internal/testbed/netfault/network.go
@@ -8,8 +8,8 @@
 // Endpoint is the name of one end of a path: a balancer, a server, discovery or the operator.
 type Endpoint string
 
-// path is a pair of endpoints. As a key of Network.directions it stands for the direction from the first to the second. The path of a stream
-// begins with the endpoint that opened the stream.
+// path is a pair of endpoints. As a key of Network.directions it stands for the direction from the first to the second. The path of a
+// stream begins with the endpoint that opened the stream.
 type path struct{ from, to Endpoint }
 
 // Network holds all paths of a run and the streams that are forwarded on them.
