--- a/internal/compatibility/handover_test.go
+++ b/internal/compatibility/handover_test.go
@@ -49,7 +49,7 @@
 		{"another version", `{"version":2,"out_by_hand":["a"]}`, "version 2, want 1"},
 		{"an unknown key", `{"version":1,"out_by_hand":["a"],"more":1}`, `unknown field \"more\"`},
 		{"half of it", `{"version":1,"out_by_`, "unexpected EOF"},
-		{"an empty id", `{"version":1,"out_by_hand":[""]}`, "an id of 0 bytes, 1 to"},
+		{"an empty id", `{"version":1,"out_by_hand":[""]}`, "server id has 0 bytes, want 1 to"},
 		{"more behind it", `{"version":1,"out_by_hand":[]}{}`, "data after the JSON object"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/store/disabled.go
+++ b/internal/store/disabled.go
@@ -153,7 +153,7 @@
 // long.
 func ValidateServerID(id string) error {
 	if id == "" || len(id) > routing.MaxServerNameLength {
-		return fmt.Errorf("an id of %d bytes, 1 to %d are allowed", len(id), routing.MaxServerNameLength)
+		return fmt.Errorf("server id has %d bytes, want 1 to %d", len(id), routing.MaxServerNameLength)
 	}
 	return nil
 }
