--- a/internal/compatibility/control_test.go
+++ b/internal/compatibility/control_test.go
@@ -61,7 +61,10 @@
 	d := newDaemon(t, "")
 	d.write(d.config, strings.Replace(readFile(t, d.config), `"known":{"revision":7,"complete":true,"members":[]},`, "", 1))
 	d.start()
-	d.waitUntil("the daemon accepts control calls", func() bool { code, _ := d.call("GET", "/control/ready"); return code != 0 })
+	d.waitUntil("the daemon has loaded its configuration", func() bool {
+		code, answer := d.call("GET", "/control/ready")
+		return code != 0 && !strings.Contains(answer, "loading") // it accepts control calls before it serves
+	})
 	var output strings.Builder
 	for _, call := range []string{"GET /control/ready", "POST /control/servers/a/offline"} {
 		method, path, _ := strings.Cut(call, " ")
