--- a/internal/simulation/client.go
+++ b/internal/simulation/client.go
@@ -43,7 +43,7 @@
 	flow          FlowID
 	attemptedAt   time.Duration
 	failedInARow  int // failed attempts since the last established one
-	retried       int // attempts after the first
+	laterAttempts int // attempts after the first: retries, and reconnects after a lost connection
 	hadConnection bool
 	server        *Server // nil where no connection is established
 	conn          *conn
@@ -85,8 +85,9 @@
 	AdoptFlow(f FlowID, c *Client, b BalancerID, conn ConnID, s ServerID)
 }
 
-// establishInitially gives a client an established connection when the day begins. Its server is drawn at random, weighted by capacity. The
-// client makes an ordinary attempt where the driver can't adopt flows, or no server or balancer is available.
+// establishInitially gives a client an established connection when the day begins. Its server is drawn at random, weighted by capacity and
+// locality as in initialWeights. The client makes an ordinary attempt where the driver can't adopt flows, the drawn server is full, or no
+// server or balancer is available.
 func (w *World) establishInitially(c *Client) {
 	sums := w.initialWeights(c)
 	b, hasBalancer := w.chooseBalancer(c)
@@ -188,7 +189,7 @@
 		Balancer:    b,
 		Timeout:     service.Timeout,
 		IsRetry:     c.failedInARow > 0,
-		IsReturning: c.retried > 0,
+		IsReturning: c.laterAttempts > 0,
 	})
 }
 
@@ -226,7 +227,7 @@
 func (c *Client) scheduleRetry(retryAfter time.Duration) {
 	c.transition(Pausing)
 	c.failedInARow++
-	c.retried++
+	c.laterAttempts++
 	if c.service().Retry == NeverRetry {
 		return // its requested value stays unserved
 	}
@@ -270,7 +271,7 @@
 // scheduleReturn schedules the next attempt of a client that lost its connection.
 func (c *Client) scheduleReturn() {
 	c.transition(Pausing)
-	c.retried++
+	c.laterAttempts++
 	c.afterInState(c.service().ReconnectDelay.Draw(c.random), c.attempt)
 }
 
--- a/internal/simulation/connection.go
+++ b/internal/simulation/connection.go
@@ -68,7 +68,7 @@
 	k.index = len(s.conns)
 	s.conns = append(s.conns, k)
 	s.connByID[k.id] = k
-	s.w.conns[k.id] = s
+	s.w.serverByConn[k.id] = s
 }
 
 // remove removes a connection by moving the last one to its index.
@@ -77,7 +77,7 @@
 	s.conns[k.index], last.index = last, k.index
 	s.conns = s.conns[:len(s.conns)-1]
 	delete(s.connByID, k.id)
-	delete(s.w.conns, k.id)
+	delete(s.w.serverByConn, k.id)
 }
 
 func (s *Server) callStore(k *conn) {
--- a/internal/simulation/fault.go
+++ b/internal/simulation/fault.go
@@ -20,7 +20,7 @@
 	StoreSlow              FaultKind = "store_slow"     // the session store is Strength times slower
 	Reconnect              FaultKind = "reconnect"      // a share of clients drops its connections and reconnects within Length
 	Burst                  FaultKind = "burst"          // the arrival rate is multiplied by Strength
-	NoisyNeighbour         FaultKind = "neighbour"      // on a share of servers another program uses Strength of the cores, Extra on, Extra off
+	NoisyNeighbour         FaultKind = "neighbour"      // another program uses Strength of a share of servers' cores, on and off for Extra each
 	ListOutage             FaultKind = "list_dark"      // the server list sends no updates
 	ListDelay              FaultKind = "list_stale"     // updates of the server list are delayed by Extra more than usual
 	BalancerCrash          FaultKind = "balancer_crash" // a share of balancers crashes and restarts at the end
@@ -139,7 +139,7 @@
 		}
 		w.Driver.LeaveFlow(c.endFlow())
 		c.transition(Pausing)
-		c.retried++
+		c.laterAttempts++
 		c.afterInState(max(delay, time.Millisecond), c.attempt)
 	}
 }
--- a/internal/simulation/list.go
+++ b/internal/simulation/list.go
@@ -24,7 +24,7 @@
 	changedIn   []int // the revision in which each entry last changed
 	revision    int
 	subscribers []subscriber
-	outages     int // number of faults during which it sends nothing
+	outages     int // number of active faults that keep it from sending
 	extraDelay  time.Duration
 }
 
@@ -122,7 +122,8 @@
 	return update
 }
 
-// Known returns the list as a balancer last received it. A balancer that restarts loads it from its cache.
+// Known returns the listed entries that have not changed since a balancer last received an update. A balancer that restarts loads them from
+// its cache.
 func (l *List) Known(b BalancerID) (known []Entry) {
 	for i, e := range l.entries {
 		if l.changedIn[i] <= l.subscribers[b].revision && e.Readiness != Gone {
--- a/internal/simulation/server.go
+++ b/internal/simulation/server.go
@@ -24,11 +24,11 @@
 }
 
 const (
-	minIdleShare         = 0.005 // least idle share of a server's capacity that message delays are calculated with
-	maxDelaySeconds      = 60
-	minSetupShare        = 0.1 // share of a server's capacity that set-ups get at least
-	dropDivisor          = 12  // a server whose delay exceeds MaxMessageDelay drops one connection in this many
-	backlogKeptAfterDrop = 0.7 // part of the backlog that remains after such a drop
+	minIdleShare         = 0.005 // lower bound of the idle share of the capacity in the calculation of message delays
+	maxDelaySeconds      = 60    // upper bound of a message delay
+	minSetupShare        = 0.1   // share of a server's capacity that set-ups get at least
+	dropDivisor          = 12    // a server whose delay exceeds MaxMessageDelay drops one connection in this many
+	backlogKeptAfterDrop = 0.7   // part of the backlog that remains after such a drop
 	roundingError        = 1e-9
 )
 
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -48,12 +48,12 @@
 	storeSlowdown float64
 	storeRandom   *rand.Rand
 
-	source   ArrivalSource
-	clients  []*Client // those that have not finished; the order changes when one finishes
-	conns    map[ConnID]*Server
-	flows    map[FlowID]*Client
-	lastConn ConnID
-	lastFlow FlowID
+	source       ArrivalSource
+	clients      []*Client // those that have not finished; the order changes when one finishes
+	serverByConn map[ConnID]*Server
+	flows        map[FlowID]*Client
+	lastConn     ConnID
+	lastFlow     FlowID
 
 	frontNotice      Interval
 	hasExternalFront bool // SetExternalFrontView sets the front's view
@@ -88,7 +88,7 @@
 // New returns an empty world for a day of a length. Servers report message delays above reportDelayFrom.
 func New(seed uint64, length, reportDelayFrom time.Duration) *World {
 	w := &World{Schedule: &Schedule{}, Seed: seed, reportDelayFrom: reportDelayFrom, storeSlowdown: 1, localWeight: 1,
-		conns: map[ConnID]*Server{}, flows: map[FlowID]*Client{},
+		serverByConn: map[ConnID]*Server{}, flows: map[FlowID]*Client{},
 		random: RandomSource(seed, "wide", 0), storeRandom: RandomSource(seed, "store", 0)}
 	w.Network = newNetwork()
 	w.List = newList(w)
@@ -244,7 +244,7 @@
 
 // CloseConnect tells a server that the balancer has closed a connect or a connection.
 func (w *World) CloseConnect(id ConnID) {
-	if s := w.conns[id]; s != nil {
+	if s := w.serverByConn[id]; s != nil {
 		s.end(s.connByID[id])
 	}
 }
--- a/internal/testbed/baseline/omniscient.go
+++ b/internal/testbed/baseline/omniscient.go
@@ -10,19 +10,19 @@
 )
 
 const (
-	maxUtilization  = 0.95 // of a server with the flow that is being placed
-	overloadedFrom  = 1.05 // utilization from which flows are migrated away
-	maxStoreWait    = 0.25 // seconds
-	reliefInterval  = 250 * time.Millisecond
+	maxLoadScore    = 0.95                   // upper bound of a server's load score, with the flow that is being placed
+	overloadedFrom  = 1.05                   // load score above which flows are migrated away
+	maxStoreWait    = 0.25                   // in seconds; a longer wait for the store rejects flows
+	reliefInterval  = 250 * time.Millisecond // between migrations away from overloaded and dead servers
 	reliefTimer     = decide.TimerID(1)
 	reliefShare     = 0.4  // part of the excess load that is migrated at each interval
 	maxReliefShare  = 0.5  // upper bound of the share of a server's flows that is migrated at each interval
 	deadServerShare = 0.25 // share of a dead server's flows that is migrated at each interval
-	setupLoadFactor = 2    // multiple of a group's load that a new flow is counted with, as its set-up costs as much again
+	setupLoadFactor = 2    // multiple of a group's load that a new flow is counted with, as its set-up costs as much again; also the weight of QueueDelay
 )
 
 // leastCost is the rule that uses the true state of all servers and of the store, including the load that other balancers send. It chooses
-// the server with the least utilization, preferring one that has the flow's group, and keeps starting servers within their budget. It
+// the server with the lowest placementCost, which prefers one that has the flow's group, and keeps starting servers within their budget. It
 // rejects a flow where the store or all servers are too busy, as it would delay others.
 func leastCost(p *Policy, f *flow, ready []*server) *server {
 	if p.World.StoreWait() > maxStoreWait {
@@ -39,29 +39,32 @@
 	return best
 }
 
-// placementCost is the cost of placing a flow of a group on a server, from utilization and queueing delay. ok is false where the server
-// can't take the flow.
+// placementCost is the cost of placing a flow of a group on a server: the server's load score, and the load that the group adds and the
+// queueing delay, both weighted by setupLoadFactor. The queueing delay thus counts in addition to its part of the load score. ok is false
+// where the server can't take the flow.
 func (p *Policy) placementCost(s *simulation.Server, group simulation.GroupID) (cost float64, ok bool) {
 	if !s.IsServing() || s.SlowStartBudget() < setupLoadFactor*s.GroupLoad {
 		return 0, false
 	}
-	utilization, added := utilization(s), 0.0
+	score, added := loadScore(s), 0.0
 	if !s.HoldsGroup(group) {
 		added = s.GroupLoad / s.CurrentCapacity()
 	}
-	if utilization+added > maxUtilization {
+	if score+added > maxLoadScore {
 		return 0, false
 	}
-	return utilization + setupLoadFactor*added + setupLoadFactor*s.QueueDelay(), true
+	return score + setupLoadFactor*added + setupLoadFactor*s.QueueDelay(), true
 }
 
-// utilization is a server's demand divided by its capacity, plus its queueing delay. Connections that are being set up count as established.
-func utilization(s *simulation.Server) float64 {
+// loadScore is a server's demand divided by its capacity, plus its queueing delay in seconds. Connections that are being set up count as
+// established.
+func loadScore(s *simulation.Server) float64 {
 	settingUp := float64(s.ConnectionCount()-s.Established()) * s.GroupLoad
 	return (s.Demand()+settingUp)/s.CurrentCapacity() + s.QueueDelay()
 }
 
-// migrateFromOverloaded migrates a share of the balancer's own flows from overloaded and dead servers. Every balancer does the same.
+// migrateFromOverloaded migrates a share of the balancer's own flows from overloaded and dead servers. The balancers don't coordinate: each
+// migrates this share of its own flows.
 func (p *Policy) migrateFromOverloaded() {
 	p.act.SetTimer(reliefTimer, reliefInterval)
 	shares := p.reliefShares()
@@ -93,8 +96,8 @@
 				shares[s] = deadServerShare
 			}
 		case s.readiness == decide.Ready:
-			if u := utilization(actual); u > overloadedFrom {
-				shares[s] = min(maxReliefShare, (u-maxUtilization)/u*reliefShare)
+			if score := loadScore(actual); score > overloadedFrom {
+				shares[s] = min(maxReliefShare, (score-maxLoadScore)/score*reliefShare)
 			}
 		}
 	}
--- a/internal/testbed/virtual/connect.go
+++ b/internal/testbed/virtual/connect.go
@@ -168,5 +168,6 @@
 	}
 }
 
-// ServerChanged does nothing: balancers learn of a server's phase from the server list alone.
+// ServerChanged does nothing, as balancers are not told of a server's phase at once: they learn of it from the server list, from connects
+// that fail and from connections that end.
 func (d *Driver) ServerChanged(simulation.ServerID) {}
--- a/internal/testbed/virtual/driver.go
+++ b/internal/testbed/virtual/driver.go
@@ -12,7 +12,7 @@
 	"yardwinch/internal/testbed/invariants"
 )
 
-const finalAnswersWithin = 5 * time.Second // run time after the end of a day in which its last flows are answered
+const finalAnswersWithin = 5 * time.Second // how long a run continues after the end of the day, so that the last flows are answered
 
 // Decider makes the decisions of one balancer: the decision module, with or without additional constraints, or a baseline policy.
 type Decider = constraints.Balancer
--- a/internal/testbed/virtual/list.go
+++ b/internal/testbed/virtual/list.go
@@ -28,7 +28,7 @@
 	}
 )
 
-// ServerIDs returns the IDs of the first n servers, hashed from their names as balancers on sockets do.
+// ServerIDs returns the IDs of the first n servers, which are hashes of their names, as with balancers on sockets.
 func ServerIDs(n int) map[decide.ServerID]simulation.ServerID {
 	servers := make(map[decide.ServerID]simulation.ServerID, n)
 	for s := range n {
