--- a/internal/testbed/invariants/checker.go
+++ b/internal/testbed/invariants/checker.go
@@ -32,7 +32,7 @@
 	now           time.Duration
 	flows         map[Flow]*flow
 	byBalancer    map[Balancer]map[Flow]*flow
-	deadlines     deadlineQueue
+	reviews       reviewQueue
 	announcements map[announcementKey]announcement
 	starts        map[Server]*serverStart
 	freezes       map[Balancer][]freeze
@@ -59,13 +59,13 @@
 	settled := now - c.limits.Reordering
 	for len(c.heldBack) > 0 && c.heldBack[0].At <= settled {
 		e := heap.Pop(&c.heldBack).(queuedEvent).Event
-		c.passDeadlines(e.At)
+		c.runReviews(e.At)
 		c.check(e)
 	}
-	c.passDeadlines(settled)
+	c.runReviews(settled)
 }
 
-// Finish checks all remaining events and returns the violations. end is when the run ended; deadlines after it are not enforced.
+// Finish checks the events up to end and returns the violations. Later events and deadlines are ignored.
 func (c *Checker) Finish(end time.Duration) []Violation {
 	c.Advance(end + c.limits.Reordering)
 	for _, id := range sortedFlows(c.flows) {
@@ -74,33 +74,33 @@
 	return c.Violations()
 }
 
-// passDeadlines advances the time and handles the deadlines that pass, such as those of missing answers.
-func (c *Checker) passDeadlines(now time.Duration) {
-	for len(c.deadlines) > 0 && c.deadlines[0].at < now {
-		d := heap.Pop(&c.deadlines).(deadline)
-		c.now = max(c.now, d.at) // a deadline that is set meanwhile then follows this one, even across a long gap between events
-		f := c.flows[d.flow]
+// runReviews advances the time and runs the reviews that are due by then. A review reports a missing answer if the flow's answer is due.
+func (c *Checker) runReviews(now time.Duration) {
+	for len(c.reviews) > 0 && c.reviews[0].at < now {
+		r := heap.Pop(&c.reviews).(review)
+		c.now = max(c.now, r.at) // a review that is scheduled meanwhile then follows this one, even across a long gap between events
+		f := c.flows[r.flow]
 		if f == nil {
 			continue
 		}
-		c.checkOverlaps(d.flow, f, now)
-		if d.ofAnswer && f.state == awaitingAnswer {
-			c.checkMissingAnswer(d, f)
+		c.checkOverlaps(r.flow, f, now)
+		if r.isAnswerDue && f.state == awaitingAnswer {
+			c.checkMissingAnswer(r, f)
 		}
-		c.forget(d.flow, f)
+		c.forget(r.flow, f)
 	}
 	c.now = max(c.now, now)
 }
 
 // checkMissingAnswer reports a flow that was not answered by its deadline, unless its balancer was frozen.
-func (c *Checker) checkMissingAnswer(d deadline, f *flow) {
+func (c *Checker) checkMissingAnswer(r review, f *flow) {
 	if _, wasFrozen := c.frozenDuring(f.accepted.Balancer, f.accepted.At, f.accepted.Deadline); wasFrozen {
 		c.cost(f.accepted.Balancer).Expired++
 		f.clientLeftAt, f.excused = f.accepted.Deadline, true
 		f.transition(abandoned, c.now)
 		return
 	}
-	c.report(Violation{Rule: OneAnswer, At: d.at, Balancer: f.accepted.Balancer, Flow: d.flow, Description: "no answer in time"}, f.accepted)
+	c.report(Violation{Rule: OneAnswer, At: r.at, Balancer: f.accepted.Balancer, Flow: r.flow, Description: "no answer in time"}, f.accepted)
 	f.transition(answered, c.now)
 }
 
--- a/internal/testbed/invariants/checker_test.go
+++ b/internal/testbed/invariants/checker_test.go
@@ -237,7 +237,7 @@
 	{"a starting server overloaded by many balancers, each within its part", connectsToStartingServer(20, true), SlowStartRespected, "times what it can take"},
 }
 
-func TestViolationsAreFoundAndProved(t *testing.T) {
+func TestViolationsAreFoundWithTheirEvents(t *testing.T) {
 	for _, test := range violatingRuns {
 		t.Run(test.name, func(t *testing.T) {
 			violations := violationsOf(test.events)
@@ -285,7 +285,7 @@
 
 // A connect lighter than the mean load counts as one of the mean load, and so does a single heavy one, as balancers can't know a load in
 // advance. With several heavy ones, the sum of their loads counts.
-func TestSlowStartCountsRequestsOfMeanWork(t *testing.T) {
+func TestSlowStartCountsConnectsOfMeanLoad(t *testing.T) {
 	const multiple, mean = 3, 0.04
 	const budget = 9.1 // connects of the mean load; the rule allows 9.1 + 2√9.1 + 2 of them: 17
 	many := func(n int, load float64) []float64 { return slices.Repeat([]float64{load}, n) }
--- a/internal/testbed/invariants/flow.go
+++ b/internal/testbed/invariants/flow.go
@@ -62,7 +62,7 @@
 }
 
 func (c *Checker) scheduleReview(id Flow, at time.Duration) {
-	heap.Push(&c.deadlines, deadline{at: at, flow: id})
+	heap.Push(&c.reviews, review{at: at, flow: id})
 }
 
 func (c *Checker) acceptFlow(e Event) {
@@ -80,7 +80,7 @@
 		c.byBalancer[e.Balancer] = map[Flow]*flow{}
 	}
 	c.byBalancer[e.Balancer][e.Flow] = f
-	heap.Push(&c.deadlines, deadline{at: e.Deadline + c.limits.Slack, flow: e.Flow, ofAnswer: true})
+	heap.Push(&c.reviews, review{at: e.Deadline + c.limits.Slack, flow: e.Flow, isAnswerDue: true})
 }
 
 // leaveFlow records that a client left. A client that left at the deadline or later did so because no answer came; the missing answer
--- a/internal/testbed/invariants/freeze.go
+++ b/internal/testbed/invariants/freeze.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// resumeAllowance is the time that a balancer gets after a freeze to answer flows whose deadline passes.
+// resumeAllowance is the time after a freeze in which deadlines that pass are excused, so that the balancer can catch up.
 const resumeAllowance = 250 * time.Millisecond
 
 const stillFrozen = time.Duration(math.MaxInt64)
@@ -58,7 +58,8 @@
 	return until, wasFrozen
 }
 
-// resumedAt returns when a balancer resumed that was frozen at a time; the time itself if it was not frozen.
+// resumedAt returns when a balancer resumed that was frozen at a time; the time itself if it was not frozen then, or has not
+// resumed yet.
 func (c *Checker) resumedAt(b Balancer, at time.Duration) time.Duration {
 	for _, f := range c.freezes[b] {
 		if f.from <= at && f.to > at && f.to != stillFrozen {
--- a/internal/testbed/invariants/queue.go
+++ b/internal/testbed/invariants/queue.go
@@ -31,32 +31,32 @@
 // Pop implements heap.Interface.
 func (q *eventQueue) Pop() any { return popLast((*[]queuedEvent)(q)) }
 
-// deadline is a time at which a flow is reviewed.
-type deadline struct {
-	at       time.Duration
-	flow     Flow
-	ofAnswer bool // the flow's answer is due
+// review is a scheduled check of a flow.
+type review struct {
+	at          time.Duration
+	flow        Flow
+	isAnswerDue bool // the time is that at which the flow's answer is due
 }
 
-// deadlineQueue is a heap of deadlines, ordered by time.
-type deadlineQueue []deadline
+// reviewQueue is a heap of reviews, ordered by time.
+type reviewQueue []review
 
 // Len implements heap.Interface.
-func (q deadlineQueue) Len() int { return len(q) }
+func (q reviewQueue) Len() int { return len(q) }
 
 // Less orders by time and flow.
-func (q deadlineQueue) Less(i, j int) bool {
+func (q reviewQueue) Less(i, j int) bool {
 	return cmp.Or(cmp.Compare(q[i].at, q[j].at), cmp.Compare(q[i].flow, q[j].flow)) < 0
 }
 
 // Swap implements heap.Interface.
-func (q deadlineQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q reviewQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
 // Push implements heap.Interface.
-func (q *deadlineQueue) Push(x any) { *q = append(*q, x.(deadline)) }
+func (q *reviewQueue) Push(x any) { *q = append(*q, x.(review)) }
 
 // Pop implements heap.Interface.
-func (q *deadlineQueue) Pop() any { return popLast((*[]deadline)(q)) }
+func (q *reviewQueue) Pop() any { return popLast((*[]review)(q)) }
 
 func popLast[T any](items *[]T) T {
 	last := len(*items) - 1
--- a/internal/testbed/scenario/faulty_test.go
+++ b/internal/testbed/scenario/faulty_test.go
@@ -98,7 +98,7 @@
 	}
 }
 
-const herding = "starting server overloaded"
+const startingServerOverloaded = "starting server overloaded"
 
 // herdingDecider sends new flows to the server that started last. Each balancer sends only a few, as many as a single balancer may send.
 type herdingDecider struct {
@@ -127,7 +127,7 @@
 }
 
 // faultyBalancerDay has a deployment, errors and reconnects, so that each fault of a balancer can lead to a violation.
-const faultyBalancerDay = `name = "bent"
+const faultyBalancerDay = `name = "faulty-balancer"
 length = "30s"
 [fleet]
 balancers = %d
@@ -172,7 +172,7 @@
 		{"two connects", "free", "rule 2"},
 		{"non-idempotent flow resent", "single_shot", "rule 2"},
 		{"send after the grace", "free", "rule 3"},
-		{herding, "free", "rule 4"},
+		{startingServerOverloaded, "free", "rule 4"},
 	} {
 		t.Run(test.fault+" "+test.effect, func(t *testing.T) {
 			found := 0
@@ -194,17 +194,17 @@
 func violationsOf(t *testing.T, fault, effect string) (violations []string) {
 	t.Helper()
 	balancers := 3
-	if fault == herding {
+	if fault == startingServerOverloaded {
 		balancers = 60
 	}
-	e, err := experiment.Read("bent.toml", fmt.Appendf(nil, faultyBalancerDay, balancers, effect))
+	e, err := experiment.Read("faulty-balancer.toml", fmt.Appendf(nil, faultyBalancerDay, balancers, effect))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for seed := range uint64(3) {
 		result, err := RunDay(e, seed, experiment.Ours, nil, func(newDecider virtual.NewDecider) virtual.NewDecider {
 			return func(seed uint64, id simulation.BalancerID, act decide.Actions) virtual.Decider {
-				if fault == herding {
+				if fault == startingServerOverloaded {
 					return &herdingDecider{Decider: newDecider(seed, id, act), actions: act}
 				}
 				actions := &faultyActions{Actions: act, fault: fault}
--- a/internal/testbed/scenario/gossip.go
+++ b/internal/testbed/scenario/gossip.go
@@ -15,7 +15,7 @@
 const (
 	gossipInterval = 250 * time.Millisecond
 
-	// gossipDelay is the time from a record's publication until all other balancers have it. In a fleet of some hundred balancers, a
+	// gossipDelay is the time from a record's publication until all other balancers have it. In a fleet of several hundred balancers, a
 	// record reaches half of them in this time; see the command testbed spread.
 	gossipDelay = 600 * time.Millisecond
 )
--- a/internal/testbed/scenario/scenario_test.go
+++ b/internal/testbed/scenario/scenario_test.go
@@ -116,7 +116,7 @@
 			}
 			r, err := RunDay(e.Sized(3, 9).Stretched(0.3), 1, "ours", nil, nil)
 			if err != nil || r.CheckedFlows == 0 || r.ServedShare <= 0 || r.Service > 1 || r.ViolationCount > 0 {
-				t.Errorf("%v: %+v", err, r)
+				t.Errorf("error %v; want checked flows, a served share above 0, a service score of at most 1 and no violation, got %+v", err, r)
 			}
 			var page bytes.Buffer
 			if err := report.HTML(&page, e.Name, e.About, []*count.Result{r}); err != nil || !strings.Contains(page.String(), "<polyline") {
--- a/internal/testbed/scenario/spill_test.go
+++ b/internal/testbed/scenario/spill_test.go
@@ -25,7 +25,7 @@
 	exceeded      map[decide.FlowID]string // message for each flow beyond the limit, reported unless the flow proves to be adopted
 }
 
-func (s *spillObserver) Name() string { return "spy" }
+func (s *spillObserver) Name() string { return "spill observer" }
 
 func (s *spillObserver) OnEndpoint(endpoint decide.Endpoint) {
 	s.zones[endpoint.ID] = endpoint.Zone
