--- a/internal/testbed/count/count.go
+++ b/internal/testbed/count/count.go
@@ -8,7 +8,8 @@
 	"yardwinch/internal/simulation"
 )
 
-// Weights are the weights of the shares in the service figure, and the prices that are taken off it, each of an event per client.
+// Weights are the weights of the shares in the service score, and the prices of events. Each price is multiplied by the number of events per
+// client and subtracted from the score.
 type Weights struct {
 	ServedShare, WorstWindow, WorstCustomer, WorstServiceType float64
 	Crossing, Migrations, Connects                            float64 // prices
@@ -115,7 +116,7 @@
 	}
 }
 
-// countService computes the weighted mean of the shares, less the prices.
+// countService computes the service score: the weighted mean of the shares, less the prices of the events.
 func (r *Result) countService(w Weights) {
 	shares := w.ServedShare*r.ServedShare + w.WorstWindow*r.WorstWindow +
 		w.WorstCustomer*r.WorstCustomer + w.WorstServiceType*r.WorstServiceType
--- a/internal/testbed/count/count_test.go
+++ b/internal/testbed/count/count_test.go
@@ -40,7 +40,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if math.Abs(test.got-test.want) > 0.01 {
-				t.Errorf("%.4f, want %.4f", test.got, test.want)
+				t.Errorf("got %.4f, want %.4f", test.got, test.want)
 			}
 		})
 	}
@@ -50,15 +50,15 @@
 	mean, half := PairedDifference([]float64{0.9, 0.8, 0.7, 0.95, 0.85}, []float64{0.8, 0.75, 0.68, 0.85, 0.7})
 	// Differences 0.10 0.05 0.02 0.10 0.15: mean 0.084, deviation 0.0503, t(4) 2.776.
 	if math.Abs(mean-0.084) > 1e-9 || math.Abs(half-2.776*0.05030/math.Sqrt(5)) > 0.002 {
-		t.Errorf("%.4f ± %.4f", mean, half)
+		t.Errorf("difference %.4f ± %.4f, want 0.0840 ± 0.0624", mean, half)
 	}
 	if _, half := PairedDifference([]float64{1}, []float64{0}); !math.IsInf(half, 1) {
 		t.Errorf("half width %v for one pair, want infinity", half)
 	}
 	if q := studentQuantile(2); math.Abs(q-4.303) > 0.01 {
-		t.Errorf("t(2) %v", q)
+		t.Errorf("studentQuantile(2) = %v, want 4.303", q)
 	}
 	if q := studentQuantile(10); math.Abs(q-2.228) > 0.01 {
-		t.Errorf("t(10) %v", q)
+		t.Errorf("studentQuantile(10) = %v, want 2.228", q)
 	}
 }
--- a/internal/testbed/count/result.go
+++ b/internal/testbed/count/result.go
@@ -1,11 +1,11 @@
-// Package count computes the service figures of a simulated day from the world's accounting.
+// Package count computes the service score and the other figures of a simulated day from the world's accounting.
 package count
 
 // Result is the result of one day under one policy. JSON keys of times have the unit as a suffix.
 type Result struct {
 	Policy              string       `json:"policy"`
 	Seed                uint64       `json:"seed"`
-	Service             float64      `json:"service"`    // weighted mean of the shares, less the prices, as the experiment sets them
+	Service             float64      `json:"service"`    // service score: weighted mean of the shares, less the prices, as the experiment sets them
 	ServedShare         float64      `json:"whole"`      // value of served seconds over the value of all requested seconds
 	WorstWindow         float64      `json:"worst_10s"`  // the same over the worst 10 s window
 	WorstWindowStart    float64      `json:"worst_at_s"` // start of that window
