--- a/internal/testbed/sockets/client.go
+++ b/internal/testbed/sockets/client.go
@@ -353,7 +353,8 @@
 	case isUnanswered && d.balancersAreExternal && !isListening(d.ctx, c.address):
 		d.ObserveBalancer(c.balancer, invariants.BalancerDied) // the rules apply to running balancers only
 		d.world.BreakFlow(c.flow, simulation.Cut)
-	case isUnanswered && !d.isProcessUp(c.balancer): // if it is up, the answer is missing, unless its exit is about to be observed
+	case isUnanswered && !d.isProcessUp(c.balancer):
+		// If it is up, the checker reports the missing answer at its deadline, unless the exit of the process is observed before.
 		d.world.BreakFlow(c.flow, simulation.Cut)
 	}
 }
--- a/internal/testbed/sockets/connection.go
+++ b/internal/testbed/sockets/connection.go
@@ -141,8 +141,8 @@
 // is ignored.
 func (c *connection) findFlow(id string, fields map[string]string) (flow simulation.FlowID, ok bool) {
 	d := c.driver
-	flow, isOurs := parseFlowID(id)
-	if isOurs && d.world.Client(flow) != nil {
+	flow, isNumber := parseFlowID(id)
+	if isNumber && d.world.Client(flow) != nil {
 		return flow, true
 	}
 	if len(d.processes) > 0 && !c.isForwarded || d.isOver {
@@ -182,7 +182,7 @@
 	}
 	d.connections[c.id] = c
 	if c.isEstablished {
-		c.write(fmt.Sprintf("UP %016x\r\n", int64(c.flow)))
+		c.write(fmt.Sprintf("UP %016x\r\n", int64(c.flow))) // as in Establish, nothing reads the argument
 		return
 	}
 	s := d.world.Servers[c.server]
@@ -238,7 +238,7 @@
 		return
 	}
 	c.isEstablished = true
-	c.write(fmt.Sprintf("UP %d\r\n", id))
+	c.write(fmt.Sprintf("UP %d\r\n", id)) // balancers relay the argument, and the testbed's clients ignore it
 }
 
 // closingLines are sent to a balancer before its connection is closed; other reasons send none.
--- a/internal/testbed/sockets/driver.go
+++ b/internal/testbed/sockets/driver.go
@@ -298,7 +298,8 @@
 	return maxPause
 }
 
-// finish ends the day. The checker stops maxReordering before the end: flows accepted later need no answer, as nobody waits for it.
+// finish ends the day. The checker stops maxReordering before the end, up to which all events have been observed. Answers that are
+// due later are not required.
 func (d *Driver) finish() (void string, err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/testbed/sockets/isolation.go
+++ b/internal/testbed/sockets/isolation.go
@@ -63,7 +63,7 @@
 // Address returns the address on which a balancer serves clients.
 func (d *Driver) Address(b simulation.BalancerID) string { return d.processes[b].address }
 
-// ProcessID returns the id of a balancer's process; 0 if it is not running.
+// ProcessID returns the id of a balancer's process; 0 if it is not running or has been asked to stop.
 func (d *Driver) ProcessID(b simulation.BalancerID) int {
 	if p := d.processes[b]; p.command != nil && p.command.Process != nil && p.isUp {
 		return p.command.Process.Pid
@@ -164,7 +164,7 @@
 // startForwarding opens the listener that forwards the balancer's calls over the emulated path, and feeds the HTTP server from it.
 func (s *discovery) startForwarding() error {
 	s.forwardingListener = netfault.NewListener("127.0.0.1:0")
-	s.listener = &handoverListener{Listener: s.listener, conns: make(chan net.Conn), closed: make(chan struct{})}
+	s.listener = &channelListener{Listener: s.listener, conns: make(chan net.Conn), closed: make(chan struct{})}
 	return s.updateListener()
 }
 
@@ -179,7 +179,7 @@
 
 // forwardCall forwards one call of the balancer. The received list is announced to the checker when it arrives at the balancer's end.
 func (s *discovery) forwardCall(near net.Conn) {
-	listener := s.listener.(*handoverListener)
+	listener := s.listener.(*channelListener)
 	forwarded, discoveryEnd := netfault.Pipe()
 	select {
 	case listener.conns <- discoveryEnd:
@@ -250,8 +250,8 @@
 	return entry, true
 }
 
-// handoverListener is a listener whose Accept returns the connections sent to a channel.
-type handoverListener struct {
+// channelListener is a listener whose Accept returns the connections sent to a channel.
+type channelListener struct {
 	net.Listener
 	conns     chan net.Conn
 	closeOnce sync.Once
@@ -259,7 +259,7 @@
 }
 
 // Accept waits for the next connection from the channel.
-func (l *handoverListener) Accept() (net.Conn, error) {
+func (l *channelListener) Accept() (net.Conn, error) {
 	select {
 	case conn := <-l.conns:
 		return conn, nil
@@ -269,7 +269,7 @@
 }
 
 // Close makes Accept return net.ErrClosed, and closes the underlying listener.
-func (l *handoverListener) Close() error {
+func (l *channelListener) Close() error {
 	l.closeOnce.Do(func() { close(l.closed) })
 	return l.Listener.Close()
 }
--- a/internal/testbed/sockets/process.go
+++ b/internal/testbed/sockets/process.go
@@ -34,7 +34,7 @@
 	logPath    string
 
 	incarnation int
-	isUp        bool
+	isUp        bool // started, and neither asked to stop nor ended
 	isKilled    bool // by SIGKILL; reset when it is started again
 	command     *exec.Cmd
 	ended       chan struct{} // closed when the process has ended
--- a/internal/testbed/sockets/server.go
+++ b/internal/testbed/sockets/server.go
@@ -124,8 +124,8 @@
 	return true
 }
 
-// loadReport counts a health check and returns the answer: load over capacity, including the delay of waiting set-ups.
-func (l *serverListener) loadReport() string {
+// answerHealthCheck counts a health check and returns the answer: demand over capacity, plus the queueing delay.
+func (l *serverListener) answerHealthCheck() string {
 	d, id := l.server.driver, l.server.id
 	d.lockAtNow()
 	defer d.unlock()
@@ -143,7 +143,7 @@
 func (l *serverListener) answerOther(line string) string {
 	switch {
 	case line == "STATS" && l.server.driver.day.Experiment.Probes():
-		return l.loadReport()
+		return l.answerHealthCheck()
 	case line == "PING" || line == "STATS":
 		return "NO"
 	default:
--- a/internal/testbed/sockets/sockets_test.go
+++ b/internal/testbed/sockets/sockets_test.go
@@ -124,10 +124,10 @@
 	}
 	d := e.Day(3)
 	terms := e.Terms()
-	slack, hold := CheckerTolerances()
+	slack, reordering := CheckerTolerances()
 	checker := invariants.New(invariants.Limits{
 		Slack:             slack,
-		Reordering:        hold,
+		Reordering:        reordering,
 		DrainGrace:        terms.DrainGrace,
 		SlowStartMultiple: terms.SlowStartMultiple,
 		SlowStartWindow:   terms.SlowStartWindow,
@@ -216,8 +216,8 @@
 		t.Fatal(err)
 	}
 	d := e.Day(1)
-	slack, hold := CheckerTolerances()
-	checker := invariants.New(invariants.Limits{Slack: slack, Reordering: hold, DrainGrace: time.Second})
+	slack, reordering := CheckerTolerances()
+	checker := invariants.New(invariants.Limits{Slack: slack, Reordering: reordering, DrainGrace: time.Second})
 	dr := NewLoadDriver(context.Background(), d, checker, []string{l.Addr().String()})
 	source := experiment.NewSteady(experiment.SteadyConfig{
 		Seed:          1,
@@ -232,7 +232,7 @@
 	}
 	n := d.World.Totals
 	if n.Clients < 80 || n.Established != 0 || len(n.NeverEstablished) != n.Clients {
-		t.Errorf("%d clients, %d established, %d never: arrivals must neither wait for answers nor be dropped",
+		t.Errorf("%d clients, %d established, %d never established: arrivals must neither wait for answers nor be dropped",
 			n.Clients, n.Established, len(n.NeverEstablished))
 	}
 	if n.TimedOut < n.Clients/2 {
