--- a/internal/testbed/experiment/day.go
+++ b/internal/testbed/experiment/day.go
@@ -23,16 +23,16 @@
 	World      *simulation.World
 	Faults     []simulation.Fault
 
-	services       []simulation.Service
-	customers      []simulation.Customer
-	groups         []groupSampler // by customer
-	perCore        float64        // connections per core of speed 1 at full load
-	lifetime       time.Duration  // mean, of a connection of a service with Lifetime 1
-	lifetimeSigma  float64
-	loadShare      float64 // of the fleet's capacity
-	rateAmplitude  float64 // amplitude of the arrival rate's variation
-	capacity       float64 // of the fleet, in cores of speed 1
-	localityWeight []float64
+	services           []simulation.Service
+	customers          []simulation.Customer
+	groups             []groupSampler // by customer
+	connectionsPerCore float64        // connections per core of speed 1 at full load
+	lifetime           time.Duration  // mean, of a connection of a service with Lifetime 1
+	lifetimeSigma      float64
+	loadShare          float64 // of the fleet's capacity
+	rateAmplitude      float64 // amplitude of the arrival rate's variation
+	capacity           float64 // of the fleet, in cores of speed 1
+	localityWeight     []float64
 }
 
 // groupSampler draws the groups of a customer's connections from a Zipf distribution.
@@ -73,7 +73,7 @@
 
 func (d *Day) drawLoad(r *rand.Rand) {
 	l := d.Experiment.load
-	d.perCore = l.perCore.draw(r)
+	d.connectionsPerCore = l.connectionsPerCore.draw(r)
 	d.lifetimeSigma = l.lifetimeSigma.draw(r)
 	d.loadShare = l.share.draw(r)
 	shortest, longest := float64(l.lifetime.Min), float64(l.lifetime.Max)
@@ -153,7 +153,7 @@
 		spec.Cores = e.fleet.cores.drawInt(r)
 		spec.Speed = e.fleet.speed.draw(r)
 		spec.Size = e.drawSize(r, spec)
-		spec.MaxConnections = max(minServerConnections, int(connections*(float64(spec.Cores)*spec.Speed*d.perCore)))
+		spec.MaxConnections = max(minServerConnections, int(connections*(float64(spec.Cores)*spec.Speed*d.connectionsPerCore)))
 		spec.MaxWaiting = int(queue * float64(spec.Cores))
 		spec.SlowStart = e.fleet.slowStart.Draw(r)
 		w.AddServer(spec)
@@ -177,9 +177,10 @@
 	return float64(spec.Cores) * spec.Speed * simulation.Uniform(r, roughMin, roughMax)
 }
 
-// drawGroups sets the customers' quotas and draws the sizes of their groups.
+// drawGroups sets the customers' quotas, and the number of groups and the Zipf distribution that the groups of their connections are drawn
+// from.
 func (d *Day) drawGroups(r *rand.Rand) {
-	connectionCapacity := d.capacity * d.perCore
+	connectionCapacity := d.capacity * d.connectionsPerCore
 	size := d.Experiment.load.groupSize.draw(r)
 	zipf := d.Experiment.load.groupZipf.draw(r)
 	next := simulation.GroupID(0)
@@ -196,7 +197,7 @@
 }
 
 // MeanLoad returns the mean load of a connection, in cores of speed 1.
-func (d *Day) MeanLoad() float64 { return 1 / d.perCore }
+func (d *Day) MeanLoad() float64 { return 1 / d.connectionsPerCore }
 
 // Begin schedules the day's faults and starts its load. The world's driver must be set.
 func (d *Day) Begin() {
--- a/internal/testbed/experiment/experiment.go
+++ b/internal/testbed/experiment/experiment.go
@@ -13,7 +13,7 @@
 	"yardwinch/internal/testbed/count"
 )
 
-// Policies by their names in experiment files: the project's own, alone or with additional deciders, and baselines.
+// Policies by their names in experiment files: the project's own, alone or with additional constraints, and baselines.
 const (
 	Ours               = "ours"         // the project's policy without additions
 	OursWithLocalities = "ours+halls"   // with locality-aware failover
@@ -57,23 +57,23 @@
 	localities                 []string
 	servers, balancers         numberRange
 	cores, speed               numberRange
-	connections                numberRange // connection limit of a server, over what its cores can carry
+	connections                numberRange // connection limit of a server, as a multiple of what its cores can carry
 	queuePerCore               numberRange // limit of waiting set-ups per core
 	slowStartInitialShare      numberRange
 	slowStartByWork            numberRange
-	groupLoad                  numberRange // additional load of a group's first connection, over the mean load
+	groupLoad                  numberRange // additional load of a group's first connection, as a multiple of the mean load
 	slowStart, maxMessageDelay simulation.Interval
 	drain                      string
-	sizes                      string // rough: the server list has approximate sizes
-	serversPerCell             int    // consecutive servers share a cell
-	storeHeadroom              numberRange
+	sizes                      string      // rough: the server list has approximate sizes
+	serversPerCell             int         // consecutive servers share a cell
+	storeHeadroom              numberRange // rate of the session store, as a multiple of the arrival rate; 0: no store
 }
 
 // loadRanges are the ranges that a load is drawn from.
 type loadRanges struct {
 	share                        numberRange // of the fleet's capacity
 	rateAmplitude                numberRange // amplitude of the arrival rate's variation over the day
-	perCore                      numberRange // connections per core of speed 1 at full load
+	connectionsPerCore           numberRange // connections per core of speed 1 at full load
 	loadSpread, loadChangeSpread numberRange
 	groupSize, groupZipf         numberRange
 	lifetimeSigma                numberRange
@@ -100,8 +100,8 @@
 
 // Terms are the limits that the invariant checker enforces and that balancers are configured with.
 type Terms struct {
-	DrainGrace        time.Duration // after a drain is announced, in which connects may still be sent
-	SlowStartMultiple float64       // limit of the load sent to a starting server in a window, over its capacity
+	DrainGrace        time.Duration // time after the announcement of a drain in which connects may still be sent
+	SlowStartMultiple float64       // limit of the load sent to a starting server in a window, as a multiple of its capacity
 	SlowStartWindow   time.Duration
 	SlowStart         time.Duration // longest slow start of a server
 	SlowStartFrom     float64       // least share of its capacity that a server has when it starts
--- a/internal/testbed/experiment/experiment_test.go
+++ b/internal/testbed/experiment/experiment_test.go
@@ -75,7 +75,7 @@
 		t.Errorf("20 days have only the sizes %v, want at least 3", sizes)
 	}
 	if r := arrivals.outside / 30 / usualRate; math.Abs(r-1) > 0.1 {
-		t.Errorf("arrivals outside the burst at %.3f of the usual rate", r)
+		t.Errorf("arrivals outside the burst at %.3f times the usual rate, want 1", r)
 	}
 	if r := arrivals.inBurst / 10 / usualRate; math.Abs(r-3) > 0.3 {
 		t.Errorf("arrivals in the burst at %.3f times the usual rate, want 3", r)
@@ -86,6 +86,6 @@
 	t.Helper()
 	servers, balancers := len(d.World.Servers), len(d.World.Balancers)
 	if servers < 5 || servers > 9 || balancers < 2 || balancers > 4 {
-		t.Fatalf("%d servers, %d balancers", servers, balancers)
+		t.Fatalf("%d servers, %d balancers, want 5 to 9 and 2 to 4", servers, balancers)
 	}
 }
--- a/internal/testbed/experiment/load.go
+++ b/internal/testbed/experiment/load.go
@@ -17,8 +17,8 @@
 	steadyGroupZipf = 0.8
 )
 
-// meanEstablished returns the mean number of established connections that corresponds to the day's load. The groups' additional load
-// takes part of the capacity.
+// meanEstablished returns the mean number of established connections that corresponds to the day's load. The groups' additional load,
+// at the lower end of its range, takes part of the capacity.
 func (d *Day) meanEstablished() float64 {
 	loadOfConnection := 1 + d.Experiment.fleet.groupLoad.lo*groupLoadShare
 	load, shares := 0.0, 0.0
@@ -26,7 +26,7 @@
 		load += s.Share * s.Load * s.Lifetime
 		shares += s.Share * s.Lifetime
 	}
-	return d.loadShare * d.capacity * d.perCore / (loadOfConnection * load / shares)
+	return d.loadShare * d.capacity * d.connectionsPerCore / (loadOfConnection * load / shares)
 }
 
 // meanLifetime returns the lifetime of a connection, averaged over the service types, in seconds.
@@ -128,7 +128,7 @@
 	groups := d.groups[max(int(a.Customer), 0)]
 	a.Group = groups.first + simulation.GroupID(groups.zipf.Draw(r))
 	a.Locality = simulation.LocalityID(drawWeighted(r, len(d.localityWeight), func(i int) float64 { return d.localityWeight[i] }))
-	a.Load = service.Load / d.perCore * simulation.LogNormal(r, service.LoadSpread)
+	a.Load = service.Load / d.connectionsPerCore * simulation.LogNormal(r, service.LoadSpread)
 	seconds := service.Lifetime * d.lifetime.Seconds() * simulation.LogNormal(r, service.LifetimeSigma)
 	a.Lifetime = time.Duration(seconds * float64(time.Second))
 	return a
--- a/internal/testbed/experiment/read.go
+++ b/internal/testbed/experiment/read.go
@@ -14,7 +14,7 @@
 	ms               = time.Millisecond
 	hour             = time.Hour
 	maxLifetime      = 24 * hour
-	maxCostWeight    = 10
+	maxPrice         = 10
 	noPracticalLimit = 1e6 // far above any value in use
 )
 
@@ -94,7 +94,7 @@
 	l := &e.load
 	l.share = readNumberRange(t, "share", bounds{0.3, 0.4, 0.001, 20})
 	l.rateAmplitude = readNumberRange(t, "swing", bounds{0.05, 0.2, 0, 1})
-	l.perCore = readNumberRange(t, "per-core", bounds{22, 41, 0.1, 100000})
+	l.connectionsPerCore = readNumberRange(t, "per-core", bounds{22, 41, 0.1, 100000})
 	l.loadSpread = readNumberRange(t, "load-spread", bounds{0.5, 1, 0, 3})
 	l.loadChangeSpread = readNumberRange(t, "load-swing", bounds{0.3, 0.8, 0, 3})
 	l.groupSize = readNumberRange(t, "group-size", bounds{5, 60, 1, noPracticalLimit})
@@ -210,9 +210,9 @@
 		WorstWindow:      t.Float("worst-window", 0.3, 0, 1),
 		WorstCustomer:    t.Float("worst-customer", 0.1, 0, 1),
 		WorstServiceType: t.Float("worst-service", 0, 0, 1),
-		Crossing:         t.Float("crossing", 0, 0, maxCostWeight),
-		Migrations:       t.Float("moves", 0, 0, maxCostWeight),
-		Connects:         t.Float("connects", 0, 0, maxCostWeight),
+		Crossing:         t.Float("crossing", 0, 0, maxPrice),
+		Migrations:       t.Float("moves", 0, 0, maxPrice),
+		Connects:         t.Float("connects", 0, 0, maxPrice),
 	}
 	e.beyondShareValue = t.Float("beyond-share", 0.2, 0, 1)
 	if e.weights.Sum() <= 0 {
--- a/internal/testbed/experiment/settings.go
+++ b/internal/testbed/experiment/settings.go
@@ -9,7 +9,7 @@
 	"yardwinch/internal/simulation"
 )
 
-const longestClientWait = 10 * time.Second // longest wait of a client, as told to balancers
+const maxPollInterval = 10 * time.Second // longest time between polls of the server list, in the balancers' settings
 
 // ServerName returns the id of a server towards balancers, the same with every driver.
 func ServerName(s simulation.ServerID) string { return fmt.Sprintf("s-%03d", int(s)) }
@@ -42,7 +42,7 @@
 		"guarantees.warm-after":         durationSetting(terms.SlowStart),
 		"guarantees.fall":               durationSetting(terms.SlowStartWindow),
 		"guarantees.drain-grace":        durationSetting(terms.DrainGrace),
-		"guarantees.must-ask-in":        durationSetting(longestClientWait),
+		"guarantees.must-ask-in":        durationSetting(maxPollInterval),
 		"policy-limits.max-connects":    strconv.Itoa(terms.MaxConnects),
 		"policy-limits.connect-timeout": durationSetting(terms.ConnectTimeout),
 		"policy-limits.probes":          "false",
