--- a/internal/testbed/fleet/check_test.go
+++ b/internal/testbed/fleet/check_test.go
@@ -139,7 +139,7 @@
 			run, requirement, result := checkedRun(t, c.requirement)
 			c.prepare(run, result)
 			if verdict := run.check(requirement, result); verdict.Holds != c.holds || verdict.Seen == "" {
-				t.Errorf("%s: holds %v, seen %q", verdict.Requirement, verdict.Holds, verdict.Seen)
+				t.Errorf("%s: holds %v, want %v; observed %q, which must not be empty", verdict.Requirement, verdict.Holds, c.holds, verdict.Seen)
 			}
 		})
 	}
@@ -147,17 +147,17 @@
 
 func TestFrontRequirements(t *testing.T) {
 	const (
-		isOut  = "kind = \"left-out\"\nwho = [\"b1\"]\nafter = \"called\"\nwithin = \"2s\""
-		isBack = "kind = \"taken-back\"\nwho = [\"b1\"]\nafter = \"called\"\nwithin = \"2s\""
+		leftOutInTime   = "kind = \"left-out\"\nwho = [\"b1\"]\nafter = \"called\"\nwithin = \"2s\""
+		takenBackInTime = "kind = \"taken-back\"\nwho = [\"b1\"]\nafter = \"called\"\nwithin = \"2s\""
 	)
 	testChecks(t, []checkCase{
-		{"left out in time", isOut, withLeftOutSpan(4*second, 5*second), true},
-		{"left out too late", isOut, withLeftOutSpan(4*second+justAfter, 5*second), false},
-		{"left out before the fault only", isOut, withLeftOutSpan(second, 3*second), false},
-		{"never left out", isOut, withoutEvents, false},
-		{"taken back in time", isBack, withLeftOutSpan(second, 4*second), true},
-		{"taken back too late", isBack, withLeftOutSpan(second, 4*second+justAfter), false},
-		{"not taken back", isBack, withLeftOutSpan(3*second, 0), false},
+		{"left out in time", leftOutInTime, withLeftOutSpan(4*second, 5*second), true},
+		{"left out too late", leftOutInTime, withLeftOutSpan(4*second+justAfter, 5*second), false},
+		{"left out before the fault only", leftOutInTime, withLeftOutSpan(second, 3*second), false},
+		{"never left out", leftOutInTime, withoutEvents, false},
+		{"taken back in time", takenBackInTime, withLeftOutSpan(second, 4*second), true},
+		{"taken back too late", takenBackInTime, withLeftOutSpan(second, 4*second+justAfter), false},
+		{"not taken back", takenBackInTime, withLeftOutSpan(3*second, 0), false},
 	})
 }
 
--- a/internal/testbed/fleet/fault.go
+++ b/internal/testbed/fleet/fault.go
@@ -18,9 +18,9 @@
 const (
 	faultKill              faultKind = "kill"             // SIGKILL; restarted after the length
 	faultFreeze            faultKind = "freeze"           // SIGSTOP for the length
-	faultTerminate         faultKind = "term"             // SIGTERM; restarted the length after the process ends
+	faultTerminate         faultKind = "term"             // SIGTERM, SIGKILL after the time of a planned restart; restarted the length after that
 	faultStart             faultKind = "start"            // start of a process that was killed without a restart
-	faultStarve            faultKind = "starve"           // the process gets a quarter of a core for the length
+	faultStarve            faultKind = "starve"           // the process runs only a quarter of the time for the length
 	faultDirectoryFull     faultKind = "folder-full"      // the files of the process's directory can't grow for the length
 	faultDirectoryReadOnly faultKind = "folder-read-only" // no file can be created in the process's directory for the length
 	faultPath              faultKind = "link"             // the paths between targets and peers have the fault's condition for the length
@@ -63,13 +63,13 @@
 	name           string // other entries refer to the fault by it
 	start, length  simulation.Interval
 	targets, peers []string
-	directory      string // of a start: directoryPreserved or directoryRemoved
-	program        string // of a start: currentBuild, oldBuild, or empty for the build that ran before
+	directory      string // for the start or restart: directoryPreserved or directoryRemoved
+	program        string // for the start or restart: currentBuild, oldBuild, or empty for the build that ran before
 	condition      netfault.Condition
 	direction      string // fromTargets, toTargets, or empty for both
 	method, path   string // of a call
 	rate           int
-	signals        int // number of SIGHUP or SIGTERM signals in a row, or of SIGHUP signals during the restart
+	signals        int // SIGHUPs over the length, or SIGTERMs in a row; above 1, as many SIGHUPs during a start or restart
 }
 
 func (p *Plan) readFault(t strict.Table, names map[string]bool) {
--- a/internal/testbed/fleet/fleet_test.go
+++ b/internal/testbed/fleet/fleet_test.go
@@ -91,11 +91,11 @@
 	t.Helper()
 	for _, m := range r.Requirements {
 		if !m.Holds {
-			t.Errorf("%s: %s", m.Requirement, m.Seen)
+			t.Errorf("requirement %q does not hold: %s", m.Requirement, m.Seen)
 		}
 	}
 	for _, v := range r.Violations {
-		t.Error(v)
+		t.Error("rule violated:", v)
 	}
 }
 
@@ -216,7 +216,7 @@
 			if strings.HasPrefix(m.Requirement, start) {
 				found = true
 				if m.Holds != holds {
-					t.Errorf("%s: holds %v, seen %q", m.Requirement, m.Holds, m.Seen)
+					t.Errorf("%s: holds %v, want %v; observed %q", m.Requirement, m.Holds, holds, m.Seen)
 				}
 			}
 		}
@@ -232,7 +232,7 @@
 func TestShippedPlansAreValid(t *testing.T) {
 	files, err := filepath.Glob(shippedPlans + "*.toml")
 	if err != nil || len(files) == 0 {
-		t.Fatal(files, err)
+		t.Fatal("no plan files found; error:", err)
 	}
 	for _, f := range files {
 		if _, err := Open(f); err != nil {
--- a/internal/testbed/fleet/kinds_test.go
+++ b/internal/testbed/fleet/kinds_test.go
@@ -15,7 +15,7 @@
 	otherKinds := []faultKind{faultPath, faultReset, faultFalseReports, faultGarbage}
 	for _, kind := range faultKinds {
 		if isProcessFault := processFaults[kind] != nil; isProcessFault == slices.Contains(otherKinds, kind) {
-			t.Errorf("fault %s is started per process: %v", kind, isProcessFault)
+			t.Errorf("fault %s is listed in processFaults: %v, want %v", kind, isProcessFault, !isProcessFault)
 		}
 	}
 }
--- a/internal/testbed/fleet/members_test.go
+++ b/internal/testbed/fleet/members_test.go
@@ -19,6 +19,6 @@
 	})
 	run.world.Schedule.RunTo(800 * time.Millisecond)
 	if calls != 3 || len(run.skippedFaults) != 1 {
-		t.Errorf("repeated %d times, want 3; skipped %q", calls, run.skippedFaults)
+		t.Errorf("called %d times, want 3; skipped faults %q, want one", calls, run.skippedFaults)
 	}
 }
--- a/internal/testbed/fleet/plan.go
+++ b/internal/testbed/fleet/plan.go
@@ -16,7 +16,7 @@
 
 const (
 	maxPlanTime     = time.Hour // limit of all times in a plan
-	minPingInterval = 10 * time.Millisecond
+	minPingTime     = 10 * time.Millisecond
 	maxMissesInARow = 100
 )
 
@@ -30,7 +30,7 @@
 	pingInterval    time.Duration
 	pingTimeout     time.Duration
 	maxMisses       int
-	answerTolerance time.Duration // lateness at which an answer earns no service but breaks no rule; at least the driver's own slack
+	answerTolerance time.Duration // lateness up to which an answer breaks no rule, though it earns no service; at least the driver's own slack
 	hasDirectories  bool
 	hasMembership   bool
 	hasSignals      bool // balancers exchange signals, which affect their decisions
@@ -95,7 +95,7 @@
 	p.pingInterval = t.Duration("ask-every", 200*time.Millisecond, time.Minute)
 	p.pingTimeout = t.Duration("wait", 400*time.Millisecond, time.Minute)
 	p.maxMisses = int(t.Float("misses", 2, 1, maxMissesInARow))
-	if p.pingInterval < minPingInterval || p.pingTimeout < minPingInterval {
+	if p.pingInterval < minPingTime || p.pingTimeout < minPingTime {
 		t.Fail("ask-every", "ask-every and wait must be at least 10ms")
 	}
 }
--- a/internal/testbed/fleet/process.go
+++ b/internal/testbed/fleet/process.go
@@ -23,8 +23,8 @@
 	frozen      processState = "frozen"
 	starved     processState = "starved"
 	terminating processState = "ending" // it received SIGTERM
-	down        processState = "down"
-	exited      processState = "died"
+	down        processState = "down"   // killed by a fault
+	exited      processState = "died"   // ended by itself
 )
 
 // allowedTransitions maps each state to the states that may follow. A fault that would make another transition is skipped and reported.
--- a/internal/testbed/fleet/result.go
+++ b/internal/testbed/fleet/result.go
@@ -37,7 +37,7 @@
 	HealthChecks     int     `json:"probes"`
 	CheckedFlows     int     `json:"judged"`
 	ViolationCount   int     `json:"broken"`
-	Service          float64 `json:"service"` // share of the requested seconds that was served
+	Service          float64 `json:"service"` // served share of the requested value
 }
 
 // Process is the result for one balancer process.
@@ -77,10 +77,10 @@
 	// LastChosenAfter is the time from the fault's beginning to the end of the last recentPeriod in which the server still got a third of
 	// its fair share of all connects, so that some balancer still chose it as if it had no fault.
 	LastChosenAfter float64 `json:"last_stops_s"`
-	Sent            int     `json:"sent"` // connects that it got during the fault, each for a flow that is served late or not at all
+	Sent            int     `json:"sent"` // connects sent to it during the fault
 }
 
-// NamedSpans is a list of spans with the name of the endpoint that they are of.
+// NamedSpans are the spans of one endpoint.
 type NamedSpans struct {
 	Name  string `json:"name"`
 	Spans []Span `json:"spans"`
@@ -229,7 +229,7 @@
 	return times
 }
 
-// servedShare returns the share of all requested seconds in which a client's messages were answered in time.
+// servedShare returns the served part of the requested value; 0 if nothing was requested.
 func (r *fleetRun) servedShare() float64 {
 	served, requested := 0.0, 0.0
 	for i, row := range r.world.Accounting.Requested {
--- a/internal/testbed/fleet/run.go
+++ b/internal/testbed/fleet/run.go
@@ -232,7 +232,7 @@
 	r.world.Schedule.After(faultyServerPoll, simulation.Measure, r.observeFaultyServers)
 }
 
-// record adds a moment at the current time.
+// record adds an event to the timeline, at the current time.
 func (r *fleetRun) record(who, format string, values ...any) {
 	r.timeline = append(r.timeline, TimelineEvent{r.driver.Elapsed(), who, fmt.Sprintf(format, values...)})
 }
--- a/internal/testbed/fleet/start_faults.go
+++ b/internal/testbed/fleet/start_faults.go
@@ -17,7 +17,7 @@
 )
 
 const (
-	starvationPeriod = 100 * time.Millisecond // a starved process runs for a quarter of it
+	starvationPeriod = 100 * time.Millisecond // a starved process runs for a quarter of each period
 	starvedRun       = starvationPeriod / 4
 	starvedPause     = starvationPeriod - starvedRun
 
@@ -167,7 +167,7 @@
 	r.world.Schedule.After(starvedPause, simulation.Cause, run)
 }
 
-// pauseProcess stops a process until the end of the fault.
+// pauseProcess suspends a process by SIGSTOP, and makes it run normally again at the end of the fault.
 func (r *fleetRun) pauseProcess(p *process, f startedFault) {
 	r.driver.ObserveBalancer(p.id, invariants.BalancerFrozen)
 	r.signal(p, syscall.SIGSTOP)
