--- a/cmd/testbed/hunt.go
+++ b/cmd/testbed/hunt.go
@@ -44,11 +44,11 @@
 }
 
 // lossOf returns by how much a policy's service is below the omniscient one's on a day. A broken rule outweighs any such loss.
-func lossOf(ours, top *count.Result) float64 {
+func lossOf(ours, omniscient *count.Result) float64 {
 	if ours.ViolationCount > 0 {
 		return brokenRuleLoss + float64(ours.ViolationCount)
 	}
-	return top.Service - ours.Service
+	return omniscient.Service - ours.Service
 }
 
 // worstDay is a day with the faults that are needed to reproduce its loss.
@@ -103,12 +103,12 @@
 	}
 	var found []*worstDay
 	for i, ours := range results[:days] {
-		top := results[days+i]
+		omniscient := results[days+i]
 		found = append(found, &worstDay{
 			Seed:       ours.Seed,
-			Loss:       lossOf(ours, top),
+			Loss:       lossOf(ours, omniscient),
 			Ours:       ours.Service,
-			Top:        top.Service,
+			Top:        omniscient.Service,
 			Faults:     ours.Faults,
 			experiment: e,
 			result:     ours,
@@ -179,15 +179,15 @@
 	if err != nil {
 		return false, err
 	}
-	top, err := scenario.RunDay(smaller, d.Seed, experiment.Omniscient, nil, nil)
+	omniscient, err := scenario.RunDay(smaller, d.Seed, experiment.Omniscient, nil, nil)
 	if err != nil {
 		return false, err
 	}
-	loss := lossOf(ours, top)
+	loss := lossOf(ours, omniscient)
 	if loss < minLoss {
 		return false, nil
 	}
 	d.experiment, d.result = smaller, ours
-	d.Loss, d.Ours, d.Top, d.Faults = loss, ours.Service, top.Service, ours.Faults
+	d.Loss, d.Ours, d.Top, d.Faults = loss, ours.Service, omniscient.Service, ours.Faults
 	return true, nil
 }
--- a/cmd/testbed/load.go
+++ b/cmd/testbed/load.go
@@ -43,7 +43,7 @@
 			seedFlag,
 			&cli.FloatFlag{Name: "rate", Value: 10, Usage: "arrivals per second"},
 			&cli.DurationFlag{Name: "life", Value: 10 * time.Second, Usage: "mean lifetime of a client's connection"},
-			&cli.IntFlag{Name: "groups", Value: 20},
+			&cli.IntFlag{Name: "groups", Value: 20, Usage: "number of groups that the clients belong to"},
 			&cli.DurationFlag{Name: "for", Value: 20 * time.Second, Usage: "duration of the run"},
 			&cli.StringFlag{Name: "service", Value: "live", Usage: "name of the service type"},
 			&cli.DurationFlag{Name: "timeout", Value: 1800 * time.Millisecond, Usage: "connect timeout of an attempt"},
@@ -92,7 +92,7 @@
 	return nil
 }
 
-// runLoad runs clients only. The service score is set to 0, as the servers' side is not observed.
+// runLoad runs clients only. The service score, the served share and the worst window are set to 0, as the servers' side is not observed.
 func runLoad(ctx context.Context, c *cli.Command, e *experiment.Experiment, addresses []string) (*count.Result, error) {
 	seed := c.Uint64("seed")
 	day := e.Day(seed)
--- a/cmd/testbed/output.go
+++ b/cmd/testbed/output.go
@@ -22,8 +22,8 @@
 	directoryMode    = 0o755
 	barWidth         = 48
 	dayBarWidth      = 40
-	progressInterval = 5 * time.Second // between progress lines of a run in real time
-	progressSlack    = 500 * time.Millisecond
+	progressInterval = 5 * time.Second        // between progress lines of a run in real time
+	progressSlack    = 500 * time.Millisecond // a report of progress within this time after a multiple of progressInterval is printed
 )
 
 // printf writes output for the operator. Write errors are ignored: if the output's reader is gone, the exit code still reports the result.
--- a/cmd/testbed/scale_page.go
+++ b/cmd/testbed/scale_page.go
@@ -15,7 +15,7 @@
 	return &cli.Command{Name: "page", Usage: "write " + capacityPage + " from the reports of the experiments",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "results", Value: scaleResults,
-				Usage: "read the reports in `DIR`, and those of the earlier code, without the mechanism, in DIR/before"},
+				Usage: "read the reports in `DIR`, and those of the code before the bounded-candidates mechanism in DIR/before"},
 			&cli.StringFlag{Name: "out", Value: capacityPage, Usage: "write `FILE`, atomically"},
 		},
 		Action: func(_ context.Context, c *cli.Command) error {
--- a/cmd/testbed/scale_test.go
+++ b/cmd/testbed/scale_test.go
@@ -61,6 +61,6 @@
 func TestScaleRunWritesItsReport(t *testing.T) {
 	before, after, err := runScaleText(t, validSweep)
 	if err != nil || after == before || !strings.Contains(after, "balancers.unevenness") {
-		t.Errorf("error %v, report %s", err, after)
+		t.Errorf("error %v; want a new report with balancers.unevenness, got %s", err, after)
 	}
 }
--- a/cmd/testbed/servers.go
+++ b/cmd/testbed/servers.go
@@ -29,12 +29,12 @@
 			&cli.DurationFlag{Name: "for", Value: 10 * time.Minute, Usage: "duration of the run"},
 			serversFlag,
 		},
-		Action: serveStubs,
+		Action: serveStandIns,
 	}
 }
 
-func serveStubs(ctx context.Context, c *cli.Command) error {
-	e, err := stubExperiment(c)
+func serveStandIns(ctx context.Context, c *cli.Command) error {
+	e, err := standInExperiment(c)
 	if err != nil {
 		return inputError(err)
 	}
@@ -54,8 +54,8 @@
 	return err
 }
 
-// stubExperiment returns the experiment of the file argument, or by default that of testbed try, with one balancer.
-func stubExperiment(c *cli.Command) (*experiment.Experiment, error) {
+// standInExperiment returns the experiment of the file argument, or by default that of testbed try, with one balancer.
+func standInExperiment(c *cli.Command) (*experiment.Experiment, error) {
 	e, err := experiment.Read("try.toml", tryFile)
 	if c.Args().Len() > 0 {
 		e, err = experiment.Open(c.Args().First())
--- a/cmd/testbed/spread.go
+++ b/cmd/testbed/spread.go
@@ -18,7 +18,7 @@
 const (
 	minMembers        = 2
 	maxMembers        = 5000
-	minAfterFault     = 5 * time.Second // duration of a run after the fault
+	minAfterFault     = 5 * time.Second // least duration of a run after the fault begins
 	simulationsAtOnce = 4
 )
 
@@ -28,22 +28,22 @@
 		Usage: "simulate in virtual time how fast, and at what cost, a report of a fault spreads through fleets of several sizes",
 		Flags: []cli.Flag{
 			seedFlag,
-			&cli.IntFlag{Name: "seeds", Value: 3},
-			&cli.IntSliceFlag{Name: "members", Value: []int{5, 50, 300, 1000}},
+			&cli.IntFlag{Name: "seeds", Value: 3, Usage: "runs of each fleet size, with consecutive seeds"},
+			&cli.IntSliceFlag{Name: "members", Value: []int{5, 50, 300, 1000}, Usage: "fleet sizes to simulate, in members"},
 			&cli.FloatFlag{Name: "share", Value: 0.1, Usage: "share of members that detect the fault themselves; at least two do"},
-			&cli.FloatFlag{Name: "loss"},
-			&cli.DurationFlag{Name: "delay", Value: 2 * time.Millisecond},
+			&cli.FloatFlag{Name: "loss", Usage: "share of packets that are lost"},
+			&cli.DurationFlag{Name: "delay", Value: 2 * time.Millisecond, Usage: "least network delay; up to as much again is added at random"},
 			&cli.BoolFlag{Name: "split", Usage: "partition the network into two halves until 10 s after the fault begins"},
 			&cli.DurationFlag{Name: "from", Value: 20 * time.Second, Usage: "when the fault begins"},
-			&cli.DurationFlag{Name: "for", Value: 35 * time.Second},
+			&cli.DurationFlag{Name: "for", Value: 35 * time.Second, Usage: "duration of a run"},
 			jsonFlag,
 			htmlFlag,
 		},
-		Action: simulateDissemination,
+		Action: spread,
 	}
 }
 
-func simulateDissemination(ctx context.Context, c *cli.Command) error {
+func spread(ctx context.Context, c *cli.Command) error {
 	configs, err := disseminationConfigs(c)
 	if err != nil {
 		return inputError(err)
@@ -87,7 +87,7 @@
 		}
 	}
 	if from, length := c.Duration("from"), c.Duration("for"); from < time.Second || length < from+minAfterFault || length > time.Hour {
-		return nil, fmt.Errorf("--for: want at least 5s more than --from, got %v and %v", length, from)
+		return nil, fmt.Errorf("want --from of at least 1s, and --for from 5s more than that to 1h; got --for %v and --from %v", length, from)
 	}
 	return configs, nil
 }
