--- a/internal/testbed/fleet/check_test.go
+++ b/internal/testbed/fleet/check_test.go
@@ -163,14 +163,14 @@
 
 func TestFlowRequirements(t *testing.T) {
 	const (
-		servesTwo    = "kind = \"serves\"\nwho = [\"b1\"]\nfrom = \"1s\"\nto = \"3s\"\nat-least = 2"
-		halfUp       = "kind = \"established\"\nto = \"5s\"\nat-least = 0.5"
-		someAccepted = "kind = \"established\"\nto = \"5s\""
-		fewNeverUp   = "kind = \"never-up\"\nat-most = 0.1"
-		afterNoFault = "kind = \"serves\"\nafter = \"never\""
-		ofNoBalancer = "kind = \"serves\"\nwho = [\"s-001\"]"
+		servesTwo           = "kind = \"serves\"\nwho = [\"b1\"]\nfrom = \"1s\"\nto = \"3s\"\nat-least = 2"
+		halfEstablished     = "kind = \"established\"\nto = \"5s\"\nat-least = 0.5"
+		someAccepted        = "kind = \"established\"\nto = \"5s\""
+		fewNeverEstablished = "kind = \"never-up\"\nat-most = 0.1"
+		afterNoFault        = "kind = \"serves\"\nafter = \"never\""
+		ofNoBalancer        = "kind = \"serves\"\nwho = [\"s-001\"]"
 	)
-	neverUp := func(count int) func(*fleetRun, *Result) {
+	withNeverEstablished := func(count int) func(*fleetRun, *Result) {
 		return func(_ *fleetRun, result *Result) { result.Figures = Figures{Clients: 100, NeverEstablished: count} }
 	}
 	established := func(times ...time.Duration) []invariants.Event { return answerEvents(invariants.Established, times...) }
@@ -178,11 +178,11 @@
 		{"serves from the beginning to before the end", servesTwo, withEvents(established(second, 3*second-justAfter)), true},
 		{"serves too late", servesTwo, withEvents(established(second, 3*second)), false},
 		{"rejects", servesTwo, withEvents(answerEvents(invariants.Rejected, second, 2*second)), false},
-		{"half established, one after the end", halfUp, withEvents(acceptEvents(2, second), established(6*second)), true},
-		{"a third established", halfUp, withEvents(acceptEvents(3, second), established(2*second)), false},
+		{"half established, one after the end", halfEstablished, withEvents(acceptEvents(2, second), established(6*second)), true},
+		{"a third established", halfEstablished, withEvents(acceptEvents(3, second), established(2*second)), false},
 		{"no flow accepted in time", someAccepted, withEvents(acceptEvents(2, 5*second), established(6*second, 6*second)), false},
-		{"a tenth never up", fewNeverUp, neverUp(10), true},
-		{"more than a tenth never up", fewNeverUp, neverUp(11), false},
+		{"a tenth never up", fewNeverEstablished, withNeverEstablished(10), true},
+		{"more than a tenth never up", fewNeverEstablished, withNeverEstablished(11), false},
 		{"a fault that was never started", afterNoFault, withoutEvents, false},
 		{"a name that is no balancer's", ofNoBalancer, withoutEvents, false},
 	})
--- a/internal/testbed/fleet/fleet_test.go
+++ b/internal/testbed/fleet/fleet_test.go
@@ -99,7 +99,7 @@
 	}
 }
 
-// All kinds of faults at once: balancers are killed, frozen, cut off in one direction, behind a bad link, or can't write to their directory.
+// Several kinds of faults in one run: balancers are killed, frozen, cut off in one direction, behind a bad link, or can't write to their directory.
 func TestFaultsBetweenProcesses(t *testing.T) {
 	p, err := Open(shippedPlans + "faults.toml")
 	if err != nil {
--- a/internal/testbed/fleet/soak.go
+++ b/internal/testbed/fleet/soak.go
@@ -22,7 +22,7 @@
 	pauseInterval       = 3 * time.Second
 	soakAnswerTolerance = 500 * time.Millisecond  // an answer up to this late earns no service; a later one breaks a rule
 	minSoakDowntime     = 1300 * time.Millisecond // with a shorter one the front would not leave the process out, and could not take it back
-	readyTimeout        = 10 * time.Second
+	takenBackWithin     = 10 * time.Second        // from a fault until the front uses the restarted process again
 	// File descriptors that a process may have open at the end: its own, and two for each established connection.
 	soakDescriptors = 200
 )
@@ -37,16 +37,16 @@
 
 // soakShape holds the settings that a seed draws before its timeline.
 type soakShape struct {
-	deadline, window time.Duration
-	effect, group    string
-	mustSubscribe    bool
+	deadline, deduplicationWindow time.Duration
+	effect, deduplicationScope    string
+	mustSubscribe                 bool
 }
 
 var (
-	soakDeadlines = []time.Duration{150 * time.Millisecond, 600 * time.Millisecond, 1800 * time.Millisecond}
-	soakWindows   = []time.Duration{300 * time.Millisecond, 5 * time.Second}
-	soakEffects   = []string{"free", "guarded", "single_shot"}
-	soakGroups    = []string{"all", "zone", "cell"}
+	soakDeadlines            = []time.Duration{150 * time.Millisecond, 600 * time.Millisecond, 1800 * time.Millisecond}
+	soakDeduplicationWindows = []time.Duration{300 * time.Millisecond, 5 * time.Second}
+	soakEffects              = []string{"free", "guarded", "single_shot"}
+	soakDeduplicationScopes  = []string{"all", "zone", "cell"}
 
 	// Faults of servers or of the endpoint list, without their times.
 	soakModelFaults = []settings{
@@ -72,11 +72,11 @@
 func SoakPlan(seed uint64) string {
 	random := simulation.RandomSource(seed, "soak", 0)
 	shape := soakShape{
-		deadline:      pick(random, soakDeadlines),
-		window:        pick(random, soakWindows),
-		effect:        pick(random, soakEffects),
-		group:         pick(random, soakGroups),
-		mustSubscribe: random.IntN(2) == 0,
+		deadline:            pick(random, soakDeadlines),
+		deduplicationWindow: pick(random, soakDeduplicationWindows),
+		effect:              pick(random, soakEffects),
+		deduplicationScope:  pick(random, soakDeduplicationScopes),
+		mustSubscribe:       random.IntN(2) == 0,
 	}
 	var text strings.Builder
 	shape.write(&text, seed)
@@ -103,8 +103,8 @@
 		{"setup-target", s.deadline / 3},
 		{"connect-timeout", s.deadline},
 		{"effect", s.effect},
-		{"group", s.group},
-		{"window", s.window},
+		{"group", s.deduplicationScope},
+		{"window", s.deduplicationWindow},
 	})
 	writeTable(to, "[list]", settings{{"mode", mode}, {"notice", "400ms"}, {"silent-notice", "4s"}, {"add", "300ms"}})
 	writeTable(to, "[judge]", settings{{"late", soakAnswerTolerance}})
@@ -232,7 +232,7 @@
 			{"kind", requireTakenBack},
 			{"after", fault},
 			{"who", []string{fault}},
-			{"within", readyTimeout},
+			{"within", takenBackWithin},
 		})
 	}
 	writeTable(to, requirementEntry, settings{{"kind", requireAnswered}, {"after", disableCall}, {"says", "yes"}})
