--- a/cmd/testbed/hunt.go
+++ b/cmd/testbed/hunt.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	brokenRuleLoss = 10  // exceeds any loss of service
+	brokenRuleLoss = 10  // exceeds any loss of service, unless the prices of events are high
 	minLossShare   = 0.8 // of the original loss, which a minimized day must still show
 	shrinkFactor   = 0.6 // factor on a fault's length per step
 	maxShrinks     = 4   // steps per fault
@@ -58,7 +58,7 @@
 	Ours    float64       `json:"ours"`
 	Top     float64       `json:"top"`
 	Faults  []count.Fault `json:"troubles"`
-	LeftOut []string      `json:"left_out"`
+	LeftOut []string      `json:"left_out"` // kinds of the faults that were removed
 
 	experiment *experiment.Experiment
 	result     *count.Result
--- a/cmd/testbed/main.go
+++ b/cmd/testbed/main.go
@@ -15,7 +15,7 @@
 
 // Exit codes other than 0.
 const (
-	ruleBroken = 1 // or the run failed
+	ruleBroken = 1 // or a requirement or check was not met, or the run failed
 	badInput   = 2
 	voidRun    = 3 // the machine was too busy for meaningful results
 )
--- a/cmd/testbed/scale_page_test.go
+++ b/cmd/testbed/scale_page_test.go
@@ -26,7 +26,7 @@
 		t.Errorf("got %v, want exit code %d", err, badInput)
 	}
 	if left, err := os.ReadFile(page); err != nil || string(left) != "as it was" {
-		t.Errorf("page changed to %q, %v", left, err)
+		t.Errorf("the page is %q, want it unchanged; error %v", left, err)
 	}
 }
 
--- a/internal/simulation/server.go
+++ b/internal/simulation/server.go
@@ -25,7 +25,7 @@
 
 const (
 	minIdleShare         = 0.005 // lower bound of the idle share of the capacity in the calculation of message delays
-	maxDelaySeconds      = 60    // upper bound of a message delay
+	maxDelaySeconds      = 60    // upper bound of a message delay, unless the server has no capacity
 	minSetupShare        = 0.1   // share of a server's capacity that set-ups get at least
 	dropDivisor          = 12    // a server whose delay exceeds MaxMessageDelay drops one connection in this many
 	backlogKeptAfterDrop = 0.7   // part of the backlog that remains after such a drop
@@ -107,7 +107,8 @@
 func (s *Server) IsServing() bool { return s.phase == Serving || s.phase == Leaving }
 
 // WarmFraction is the share of its capacity that a server in slow start has reached. It rises from SlowStartInitialShare with the time
-// since the start and with the work done, in the proportions that SlowStartByWork sets.
+// since the start and with the work done, in the proportions that SlowStartByWork sets, and at least with the square of the elapsed share of
+// SlowStart.
 func (s *Server) WarmFraction() float64 {
 	if s.startedAt == LongAgo || s.SlowStart == 0 {
 		return 1
--- a/internal/testbed/experiment/experiment.go
+++ b/internal/testbed/experiment/experiment.go
@@ -49,7 +49,7 @@
 	beyondShareValue float64 // factor on the value of connections beyond a customer's share
 	faults           []faultRanges
 
-	retryAfter time.Duration
+	retryAfter time.Duration // longest retry delay that balancers may send to rejected clients; 0: none
 }
 
 // fleetRanges are the ranges that a fleet is drawn from.
--- a/internal/testbed/report/plot.go
+++ b/internal/testbed/report/plot.go
@@ -147,7 +147,7 @@
 	return p
 }
 
-// roundedMax returns the greatest value, rounded up to a multiple of valueTicks, so that tick labels are integers.
+// roundedMax returns the greatest value, rounded up to a multiple of valueTicks so that tick labels are integers; 1 if all values are 0.
 func roundedMax(shown []*count.Result, valuesOf func(*count.Result) []float64) float64 {
 	largest := 0.0
 	for _, r := range shown {
