--- a/internal/testbed/fleet/check_test.go
+++ b/internal/testbed/fleet/check_test.go
@@ -139,7 +139,7 @@
 			run, requirement, result := checkedRun(t, c.requirement)
 			c.prepare(run, result)
 			if verdict := run.check(requirement, result); verdict.Holds != c.holds || verdict.Seen == "" {
-				t.Errorf("%s: holds %v, seen %q", verdict.Requirement, verdict.Holds, verdict.Seen)
+				t.Errorf("%s: holds %v, want %v; observed %q, which must not be empty", verdict.Requirement, verdict.Holds, c.holds, verdict.Seen)
 			}
 		})
 	}
@@ -147,30 +147,30 @@
 
 func TestFrontRequirements(t *testing.T) {
 	const (
-		isOut  = "kind = \"left-out\"\nwho = [\"b1\"]\nafter = \"called\"\nwithin = \"2s\""
-		isBack = "kind = \"taken-back\"\nwho = [\"b1\"]\nafter = \"called\"\nwithin = \"2s\""
+		leftOutInTime   = "kind = \"left-out\"\nwho = [\"b1\"]\nafter = \"called\"\nwithin = \"2s\""
+		takenBackInTime = "kind = \"taken-back\"\nwho = [\"b1\"]\nafter = \"called\"\nwithin = \"2s\""
 	)
 	testChecks(t, []checkCase{
-		{"left out in time", isOut, withLeftOutSpan(4*second, 5*second), true},
-		{"left out too late", isOut, withLeftOutSpan(4*second+justAfter, 5*second), false},
-		{"left out before the fault only", isOut, withLeftOutSpan(second, 3*second), false},
-		{"never left out", isOut, withoutEvents, false},
-		{"taken back in time", isBack, withLeftOutSpan(second, 4*second), true},
-		{"taken back too late", isBack, withLeftOutSpan(second, 4*second+justAfter), false},
-		{"not taken back", isBack, withLeftOutSpan(3*second, 0), false},
+		{"left out in time", leftOutInTime, withLeftOutSpan(4*second, 5*second), true},
+		{"left out too late", leftOutInTime, withLeftOutSpan(4*second+justAfter, 5*second), false},
+		{"left out before the fault only", leftOutInTime, withLeftOutSpan(second, 3*second), false},
+		{"never left out", leftOutInTime, withoutEvents, false},
+		{"taken back in time", takenBackInTime, withLeftOutSpan(second, 4*second), true},
+		{"taken back too late", takenBackInTime, withLeftOutSpan(second, 4*second+justAfter), false},
+		{"not taken back", takenBackInTime, withLeftOutSpan(3*second, 0), false},
 	})
 }
 
 func TestFlowRequirements(t *testing.T) {
 	const (
-		servesTwo    = "kind = \"serves\"\nwho = [\"b1\"]\nfrom = \"1s\"\nto = \"3s\"\nat-least = 2"
-		halfUp       = "kind = \"established\"\nto = \"5s\"\nat-least = 0.5"
-		someAccepted = "kind = \"established\"\nto = \"5s\""
-		fewNeverUp   = "kind = \"never-up\"\nat-most = 0.1"
-		afterNoFault = "kind = \"serves\"\nafter = \"never\""
-		ofNoBalancer = "kind = \"serves\"\nwho = [\"s-001\"]"
+		servesTwo           = "kind = \"serves\"\nwho = [\"b1\"]\nfrom = \"1s\"\nto = \"3s\"\nat-least = 2"
+		halfEstablished     = "kind = \"established\"\nto = \"5s\"\nat-least = 0.5"
+		someAccepted        = "kind = \"established\"\nto = \"5s\""
+		fewNeverEstablished = "kind = \"never-up\"\nat-most = 0.1"
+		afterNoFault        = "kind = \"serves\"\nafter = \"never\""
+		ofNoBalancer        = "kind = \"serves\"\nwho = [\"s-001\"]"
 	)
-	neverUp := func(count int) func(*fleetRun, *Result) {
+	withNeverEstablished := func(count int) func(*fleetRun, *Result) {
 		return func(_ *fleetRun, result *Result) { result.Figures = Figures{Clients: 100, NeverEstablished: count} }
 	}
 	established := func(times ...time.Duration) []invariants.Event { return answerEvents(invariants.Established, times...) }
@@ -178,11 +178,11 @@
 		{"serves from the beginning to before the end", servesTwo, withEvents(established(second, 3*second-justAfter)), true},
 		{"serves too late", servesTwo, withEvents(established(second, 3*second)), false},
 		{"rejects", servesTwo, withEvents(answerEvents(invariants.Rejected, second, 2*second)), false},
-		{"half established, one after the end", halfUp, withEvents(acceptEvents(2, second), established(6*second)), true},
-		{"a third established", halfUp, withEvents(acceptEvents(3, second), established(2*second)), false},
+		{"half established, one after the end", halfEstablished, withEvents(acceptEvents(2, second), established(6*second)), true},
+		{"a third established", halfEstablished, withEvents(acceptEvents(3, second), established(2*second)), false},
 		{"no flow accepted in time", someAccepted, withEvents(acceptEvents(2, 5*second), established(6*second, 6*second)), false},
-		{"a tenth never up", fewNeverUp, neverUp(10), true},
-		{"more than a tenth never up", fewNeverUp, neverUp(11), false},
+		{"a tenth never up", fewNeverEstablished, withNeverEstablished(10), true},
+		{"more than a tenth never up", fewNeverEstablished, withNeverEstablished(11), false},
 		{"a fault that was never started", afterNoFault, withoutEvents, false},
 		{"a name that is no balancer's", ofNoBalancer, withoutEvents, false},
 	})
