--- a/internal/testbed/scale/page_figure.go
+++ b/internal/testbed/scale/page_figure.go
@@ -145,8 +145,8 @@
 	return text
 }
 
-// Slopes lists the names of the figure's series.
-func (f figure) Slopes() string {
+// SeriesNames lists the names of the figure's series.
+func (f figure) SeriesNames() string {
 	var names []string
 	for _, name := range f.series {
 		names = append(names, "`"+name+"`")
@@ -217,7 +217,7 @@
 }
 
 // digits prints a number with significantDigits, or as an integer with all its digits if it has more, with commas
-// between thousands.
+// between thousands. Below 1e-4 it uses scientific notation.
 func digits(value float64) string {
 	if value == 0 {
 		return "0"
--- a/internal/testbed/scale/page_slopes.go
+++ b/internal/testbed/scale/page_slopes.go
@@ -29,7 +29,7 @@
 		origin += ", counted"
 	}
 	row := []string{"`" + s.Name + "`", s.Quantity, s.Unit, origin, fmt.Sprintf("%s, %d", s.rangeText(), len(s.Points)),
-		fixedSizesText(s.Held)}
+		fixedSizesText(s.FixedSizes)}
 	experiment := strings.TrimSuffix(s.File, ".json")
 	if s.FitErr != nil {
 		return append(row, "none: "+s.FitErr.Error(), "–", pointsText(s.Points), "–", experiment)
@@ -82,10 +82,10 @@
 	return text
 }
 
-func fixedSizesText(held map[string]float64) string {
+func fixedSizesText(sizes map[string]float64) string {
 	var texts []string
-	for _, key := range slices.Sorted(maps.Keys(held)) {
-		texts = append(texts, digits(held[key])+" "+key)
+	for _, key := range slices.Sorted(maps.Keys(sizes)) {
+		texts = append(texts, digits(sizes[key])+" "+key)
 	}
 	if len(texts) == 0 {
 		return "–"
@@ -130,7 +130,7 @@
 	for _, r := range p.current.reports {
 		var failed []string
 		for _, check := range r.checks {
-			if !check.Held {
+			if !check.Passed {
 				failed = append(failed, check.Name+" ("+check.Detail+")")
 			}
 		}
--- a/internal/testbed/scale/real_compare.go
+++ b/internal/testbed/scale/real_compare.go
@@ -48,12 +48,12 @@
 		s.Connections = 6000
 	}
 	set := &realSeries{role: realRoleControl, against: "servers",
-		held: map[string]float64{"connections": float64(s.Connections), "groups": float64(s.Groups), "zones": float64(s.Zones)}}
+		fixedSizes: map[string]float64{"connections": float64(s.Connections), "groups": float64(s.Groups), "zones": float64(s.Zones)}}
 	var checks []Check
 	var smallest [2]float64 // list-memory at the smallest size, real and simulated
 	for i, n := range s.Sizes {
 		progress(i, len(s.Sizes))
-		realFigures, err := measureReal(ctx, s, n)
+		realFigures, err := measureRealProcess(ctx, s, n)
 		if err != nil {
 			return nil, nil, err
 		}
@@ -82,8 +82,8 @@
 func (c comparison) check(servers int, realFigure float64, simulated []float64) Check {
 	least, most := slices.Min(simulated), slices.Max(simulated)
 	check := Check{
-		Name: fmt.Sprintf("%s at %d servers: hollow is within 20 %% of real, or why not is known", c.name, servers),
-		Held: realFigure >= least*(1-compareTolerance) && realFigure <= most*(1+compareTolerance),
+		Name:   fmt.Sprintf("%s at %d servers: hollow is within 20 %% of real, or why not is known", c.name, servers),
+		Passed: realFigure >= least*(1-compareTolerance) && realFigure <= most*(1+compareTolerance),
 		Detail: fmt.Sprintf("real %.4g %s, hollow %.4g to %.4g, %+.0f %% in the middle",
 			realFigure, c.unit, least, most, 100*(median(simulated)/realFigure-1)),
 	}
@@ -91,14 +91,14 @@
 	if realFigure > most {
 		reason = c.reasonBelow
 	}
-	if !check.Held && reason != "" {
-		check.Held = true
+	if !check.Passed && reason != "" {
+		check.Passed = true
 		check.Detail += ": " + reason
 	}
 	return check
 }
 
-func measureReal(ctx context.Context, s realSettings, servers int) (comparedFigures, error) {
+func measureRealProcess(ctx context.Context, s realSettings, servers int) (comparedFigures, error) {
 	p, err := startReal(ctx, s, servers)
 	if err != nil {
 		return nil, err
--- a/internal/testbed/scale/report.go
+++ b/internal/testbed/scale/report.go
@@ -15,9 +15,9 @@
 	directoryMode = 0o755
 )
 
-// Write writes a report atomically to EXPERIMENT.json in a directory, which it creates if necessary, and returns the
-// file's path.
-func Write(directory string, r *Report) (file string, err error) {
+// WriteReport writes a report atomically to EXPERIMENT.json in a directory, which it creates if necessary, and returns
+// the file's path.
+func WriteReport(directory string, r *Report) (file string, err error) {
 	fail := func(err error) (string, error) {
 		return "", &Error{
 			Where:  directory,
@@ -55,7 +55,7 @@
 	return os.Rename(temporary.Name(), file)
 }
 
-// ReadReport reads a report file. Its error is an *Error that names file and line.
+// ReadReport reads a report file. Its error is an *Error that names the file, and the line if the text can't be decoded.
 func ReadReport(file string) (*Report, error) {
 	const advice = "run its experiment again: testbed scale run writes complete reports"
 	text, err := os.ReadFile(file)
