--- a/decide/admission.go
+++ b/decide/admission.go
@@ -84,8 +84,8 @@
 	b.admission.recentSetups = appendWindow(b.admission.recentSetups, sample{server, b.now, failed}, sampleWindow)
 }
 
-// sharedFailure reports whether at least half of the recent set-ups failed, at half of the observed servers or more. The
-// cause is then probably one that all servers share.
+// sharedFailure reports whether at least half of the recent set-ups failed and at least half of the observed servers had
+// failures. The cause is then probably one that all servers share.
 func (b *Balancer) sharedFailure() bool {
 	share, n := failureRate(b.admission.recentSetups, b.now-outcomeMaxAge)
 	return n >= sharedFailureSample && share >= sharedFailureShare && b.medianFailureRate() > 0
@@ -116,8 +116,9 @@
 	b.actions.SetTimer(queueTimer, a.backoffUntil-b.now)
 }
 
-// isOverQuota reports whether capacity is scarce and the flow's customer has used this balancer's share of its quota. If
-// such flows were admitted in a mass reconnect, they would immediately spend the saved budgets of warming servers.
+// isOverQuota reports whether capacity is scarce and the flow's customer has used this balancer's share of its quota, plus
+// an allowance for random variation. If such flows were admitted in a mass reconnect, they would immediately spend the
+// saved budgets of warming servers.
 func (b *Balancer) isOverQuota(f *flow) bool {
 	customer := int(f.customer)
 	if customer < 0 || customer >= len(b.slowStart.quotas) || b.slowStart.quotas[customer] == 0 || !b.isCapacityScarce() {
--- a/decide/api.go
+++ b/decide/api.go
@@ -118,7 +118,8 @@
 	HealthCheck(ServerID)
 	// SetTimer schedules a call of OnTimer after the duration. A timer cannot be cancelled.
 	SetTimer(timer TimerID, after time.Duration)
-	// WatchEndpoints subscribes to changes of the endpoint list, or ends the subscription.
+	// WatchEndpoints requests the endpoint list and subscribes to its changes, or ends the subscription. A Balancer calls
+	// it only if the list is polled, and again after each request that failed.
 	WatchEndpoints(on bool)
 }
 
@@ -137,7 +138,8 @@
 	RetryAfter(id FlowID, preset time.Duration) time.Duration
 	// AllowMigration reports whether an established flow may be migrated to a server where it costs less.
 	AllowMigration(FlowID) bool
-	// MigrateFirst returns the flows to recheck before others.
+	// MigrateFirst returns the flows to recheck now, without waiting for their turn in the round of rechecks. They are
+	// migrated even if that saves little.
 	MigrateFirst() []FlowID
 }
 
--- a/decide/bookkeeping_test.go
+++ b/decide/bookkeeping_test.go
@@ -178,7 +178,7 @@
 		}
 		for group, n := range server.groupTallies {
 			if held++; n <= 0 || !slices.Contains(c.balancer.tallies.holders[group], server) {
-				rt.Fatalf("server %d has %d flows of group %q, but is not among its holders", server.id, n, group)
+				rt.Fatalf("server %d: tally of %d for group %q; want it above 0 and the server among the group's holders", server.id, n, group)
 			}
 		}
 	}
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -129,8 +129,9 @@
 }
 
 // attemptTimeout returns the timeout of the attempt that is being started; f.attempts already includes it. The timeout
-// leaves half of the remaining time for another attempt, in case the server accepts flows and never answers. A shorter
-// timeout would cut off set-ups that are merely slow, and their work would be done twice.
+// leaves half of the remaining time for another attempt, in case the server accepts flows and never answers. It is not
+// below the set-up target while that much time remains, as a shorter timeout would cut off set-ups that are merely slow,
+// and their work would be done twice. If no attempt may follow one that timed out, it gets all of the remaining time.
 func (b *Balancer) attemptTimeout(f *flow) time.Duration {
 	left := f.deadline - b.now
 	service := &b.services[f.service]
@@ -208,7 +209,7 @@
 		b.onConnectionEnded(f, outcome)
 	case connecting:
 		b.onAttemptEnded(f, outcome, took, isAnswered)
-	default: // migrating, or answered while the attempt was outstanding
+	default: // migrating or awaitingEnd
 		b.transition(f, done)
 	}
 }
--- a/decide/disabled_test.go
+++ b/decide/disabled_test.go
@@ -93,7 +93,7 @@
 		s.balancer.SetDisabled(1, false)
 		state := s.balancer.list.byID[1]
 		if w := s.balancer.capacityShare(state); w != 0.2 || state.ejected || state.openFlows != 6 {
-			t.Errorf("capacity share %v, ejected %v, %d open flows", w, state.ejected, state.openFlows)
+			t.Errorf("capacity share %v, ejected %v, %d open flows; want 0.2, false and 6", w, state.ejected, state.openFlows)
 		}
 	})
 	t.Run("all servers disabled", func(t *testing.T) {
--- a/decide/flows.go
+++ b/decide/flows.go
@@ -10,7 +10,7 @@
 	connecting               // an attempt is outstanding
 	established              // connected to a server
 	migrating                // the client was asked to reconnect; the end of the connection is not reported yet
-	awaitingEnd              // has its final answer; the end of an attempt is not reported yet
+	awaitingEnd              // answered, or its client left; the end of the attempt or connection is not reported yet
 	done
 )
 
--- a/decide/health.go
+++ b/decide/health.go
@@ -20,18 +20,18 @@
 	baseEjectionTime      = time.Second
 	maxEjectionTime       = 16 * time.Second
 	unreachableThreshold  = 2  // consecutive attempts that end as Unreachable, after which a server counts as unreachable
-	maxProbationLimit     = 16 // connecting and established flows at a server on probation
+	maxProbationLimit     = 16 // highest probation limit; see serverState.probationLimit
 	passedProbationLimit  = 8  // probation limit above which probation ends
 	initialProbationLimit = 1  // probation limit right after an ejection
 
 	backlogDrainTime         = 1400 * time.Millisecond // time within which a backlog should be drained
 	overloadedLatencyDivisor = 3                       // a latency above objective/3 is overload
-	scarceCapacityDivisor    = 5                       // capacity is scarce when servers/5 are overloaded
+	scarceCapacityDivisor    = 5                       // capacity is scarce when 1/5 of the observed servers are overloaded
 
 	loadReportMaxAge   = 3 * recheckInterval
 	checksPerConnect   = 4.0 // credit of health checks per attempt
 	checksPerRound     = 4   // maximum number of health checks per server in a round of rechecks
-	lightLoad          = 0.7 // load, as a share of capacity, up to which a server meets its objectives even if others have less
+	lightLoad          = 0.7 // load, as a share of capacity, up to which a server meets its objectives even if others are less loaded
 	fullLoad           = 1.0 // load, as a share of capacity, above which a backlog builds up
 	openFlowsAgeFactor = 2   // factor on the age of the last health check of a server with open flows
 )
--- a/decide/health_test.go
+++ b/decide/health_test.go
@@ -20,7 +20,7 @@
 		s.request(FlowID(fmt.Sprint(i)), "", sec)
 	}
 	if s.attemptsTo[1] > 0 {
-		t.Errorf("%d flows were sent to the server", s.attemptsTo[1])
+		t.Errorf("%d flows were sent to the server that closes its connections", s.attemptsTo[1])
 	}
 	// All ends together cause one ejection, the shortest, as connections may close for another reason than a shutdown.
 	s.setTime(baseEjectionTime)
@@ -75,7 +75,7 @@
 	s.request("back", "", sec)
 	s.balancer.OnEstablished("back", ms)
 	if server := s.balancer.list.byID[1]; s.balancer.capacityShare(server) > 0.3 {
-		t.Errorf("capacity share %v when the server answers again", s.balancer.capacityShare(server))
+		t.Errorf("capacity share %v when the server answers again, want at most 0.3", s.balancer.capacityShare(server))
 	}
 }
 
--- a/decide/limits.go
+++ b/decide/limits.go
@@ -10,7 +10,7 @@
 	limitRecoveryTime      = 20 * time.Second       // in which a limit grows, quadratically, by flowLimit.growth
 
 	// overloadScale and overloadOffset interpolate the reduction of the limit on all flows: none if
-	// 1/scarceCapacityDivisor of the servers are overloaded, and down to reducedLimitShare if all are.
+	// 1/scarceCapacityDivisor of the observed servers are overloaded, and down to reducedLimitShare if all are.
 	overloadScale  = 1.25
 	overloadOffset = 0.25
 )
@@ -18,8 +18,8 @@
 // flowLimit limits the number of flows to a share of those held when overload was last observed. The limit then grows
 // with the square of the time since.
 type flowLimit struct {
-	flows     float64       // at the last reduction
-	growth    float64       // by which the limit grows in limitRecoveryTime: the flows at the first reduction of a series
+	flows     float64       // the limit at the last reduction
+	growth    float64       // by which the limit grows in limitRecoveryTime: the limit at the first reduction of a series
 	reducedAt time.Duration // 0: no limit
 }
 
@@ -35,7 +35,7 @@
 	l.reducedAt = max(now, 1) // 0 means that there is no limit
 }
 
-// hasCapacity reports whether the limit allows one more flow than those open. It grows by at least minGrowth in
+// hasCapacity reports whether the limit allows one more flow than those open. The limit grows by at least minGrowth in
 // limitRecoveryTime.
 func (l *flowLimit) hasCapacity(open int, minGrowth float64, now time.Duration) bool {
 	t := (now - l.reducedAt).Seconds() / limitRecoveryTime.Seconds()
@@ -43,7 +43,7 @@
 }
 
 // reduceLimit reduces the limit of an overloaded server, as the flows that it drops would overload the next one. While
-// capacity is scarce, it also reduces the limit on all flows of this balancer, by the share of overloaded servers.
+// capacity is scarce, it also reduces the limit on all flows of this balancer, by more the more servers are overloaded.
 func (b *Balancer) reduceLimit(server *serverState) {
 	server.limit.reduce(reducedLimitShare*float64(server.openFlows), b.now)
 	overview := b.fleetOverview()
@@ -55,8 +55,8 @@
 }
 
 // hasCapacity reports whether the server may take one more flow. The limit on all flows applies only to those that would
-// be the first of their group at a warm server, which costs it extra work. A low load report overrides limits that were
-// inferred from latency; the limit on all flows only if the mean load is low too.
+// be the first of their group at a warm server, which costs it extra work. A low load report overrides the server's limit,
+// which was inferred from latencies and failures. It overrides the limit on all flows only if the mean load is low too.
 func (b *Balancer) hasCapacity(f *flow, server *serverState, view placementView) bool {
 	load, isReported := b.reportedLoad(server)
 	isLight := isReported && load < lightLoad
--- a/decide/list_test.go
+++ b/decide/list_test.go
@@ -61,7 +61,7 @@
 		s.setTime(12 * sec)
 		s.balancer.OnTimer(tickTimer)
 		if server := s.balancer.list.byID[1]; server.openFlows != 0 || len(server.groupTallies) != 0 {
-			t.Errorf("%d open flows, groups %v", server.openFlows, server.groupTallies)
+			t.Errorf("after the deadline: %d open flows, groups %v, want none", server.openFlows, server.groupTallies)
 		}
 	})
 }
@@ -83,10 +83,10 @@
 			least, most = min(least, s.timers[listTimer]), max(most, s.timers[listTimer])
 		}
 		if most > knownWithin-2*pollDuration {
-			t.Errorf("polled every %v: a backoff of %v, want at most %v", maxPollInterval, most, knownWithin-2*pollDuration)
+			t.Errorf("polled at least every %v: a backoff of %v, want at most %v", maxPollInterval, most, knownWithin-2*pollDuration)
 		}
 		if most-least < most/3 {
-			t.Errorf("polled every %v: all backoffs lie between %v and %v, so that balancers poll at the same time", maxPollInterval, least, most)
+			t.Errorf("polled at least every %v: all backoffs lie between %v and %v, so that balancers poll at the same time", maxPollInterval, least, most)
 		}
 	}
 }
--- a/decide/placement.go
+++ b/decide/placement.go
@@ -8,9 +8,9 @@
 // Placement: a flow goes to the server of least cost, with bounded loads.
 
 const (
-	groupingWeight     = 1.0 // of grouping in the cost
-	loadWeight         = 1.0 // of the load in the cost
-	transferCostWeight = 10.0
+	groupingWeight     = 1.0  // of grouping in the cost
+	loadWeight         = 1.0  // of the load in the cost
+	transferCostWeight = 10.0 // of the prices of a zone crossing and a migration
 	openFlowsPrior     = 2.0  // added to flow counts when loads are compared, as small counts say little
 	loadPrior          = 0.2  // added to reported loads, as all servers would seem full with a mean near 0
 	groupingLoadBound  = 1.25 // multiple of the mean load above which a server attracts no groups
@@ -46,7 +46,7 @@
 	meanWithFlow     float64        // the same with the flow being placed
 	meanLoad         float64        // mean load, as a share of capacity, of the servers that report it
 	someBelowBound   bool           // some candidate may attract groups; see mayAttractGroup
-	holderBelowBound bool           // such a candidate holds the group and was not overloaded recently
+	holderBelowBound bool           // some such candidate holds the group and was not overloaded recently
 	preferred        *serverState   // by rendezvous hashing; nil: none
 }
 
--- a/decide/rechecks.go
+++ b/decide/rechecks.go
@@ -10,10 +10,10 @@
 // The re-evaluation of established flows, and their migration away from overloaded, unreachable and departing servers.
 
 const (
-	recheckInterval    = 5 * time.Second  // of one round of rechecks over all established flows
+	recheckInterval    = 5 * time.Second  // duration of one round of rechecks over all established flows
 	maxRechecksPerTick = 128              // maximum number of rechecks that consider other servers
 	migrationMargin    = 1.75             // cost that a migration must save; larger than 1.5, the most that grouping can save
-	migrationShare     = 1.0 / 8          // share of a server's flows to migrate at a time if none is measured; limit when shedding
+	migrationShare     = 1.0 / 8          // share of a server's flows to migrate at a time if it is departing or unreachable; limit when shedding
 	noMinSaving        = -math.MaxFloat64 // minSaving that accepts any other server without faults, even at a higher cost
 	slowSetupDivisor   = 2                // set-ups that take longer than target/2 are slow
 )
@@ -104,7 +104,7 @@
 	return b.constraints == nil || b.constraints.AllowMigration(id)
 }
 
-// recheckFirst rechecks the flows that the constraints return by MigrateFirst.
+// recheckFirst rechecks the flows that the constraints return by MigrateFirst. Any saving is enough to migrate them.
 func (b *Balancer) recheckFirst(ids []FlowID) {
 	for _, id := range ids {
 		if f := b.flows.byID[id]; f != nil && f.state == established && b.constraints.AllowMigration(id) {
--- a/decide/reports_test.go
+++ b/decide/reports_test.go
@@ -77,7 +77,7 @@
 			s.adopt("o", 10, "", 1)
 			s.balancer.OnLoadReport(1, 1.5)
 			if n := s.countActions("move"); n > most || n < most-4 {
-				t.Errorf("%d of 10 flows were migrated", n)
+				t.Errorf("%d of 10 flows were migrated, want at most the number in the test name and at most 4 fewer", n)
 			}
 		})
 	}
--- a/decide/servers.go
+++ b/decide/servers.go
@@ -4,7 +4,8 @@
 
 // serverState holds what this balancer knows of one server.
 type serverState struct {
-	// The first two blocks are read of every candidate of a decision. They come first, so that they take two cache lines.
+	// The first two blocks are read for every candidate of a decision. They come first, so that they fit into two cache
+	// lines.
 	lastSelection          uint64 // number of the last selection of candidates that contains the server
 	readiness              Readiness
 	openFlows              int // flows in the leased tally: connecting and established
@@ -31,14 +32,14 @@
 
 	// Accounting.
 	groupTallies map[GroupKey]int
-	established  []*flow // to any incarnation
+	established  []*flow // at any incarnation of the server
 
 	// Outlier detection and health checks.
 	samples         []sample
 	ejectedUntil    time.Duration
 	ejectionTime    time.Duration // of the last ejection
 	probationLimit  int           // maximum of probationFlows
-	probationFlows  int
+	probationFlows  int           // connecting and established flows that were sent here while the server was ejected
 	latencyAt       time.Duration
 	healthCheckedAt time.Duration
 
--- a/decide/slowstart_test.go
+++ b/decide/slowstart_test.go
@@ -11,7 +11,7 @@
 	for _, c := range []struct {
 		name     string
 		from, to time.Duration
-		most     int // at least the budget that is due from..to, at an OverloadMultiple of 3, and what may be saved
+		most     int // no less than the budget due between from and to, at an OverloadMultiple of 3, plus what may be saved
 	}{
 		{"burst at the start", 0, 1500 * ms, 3},
 		{"halfway through the warm-up", 9 * sec, 11 * sec, 50},
@@ -49,7 +49,7 @@
 	// with the mean. All budget since the start would be 3 * 143 * (0.8*0.8 - 0.2*0.2) / 1.6, or 161 attempts. If three
 	// balancers spent the budget of six windows at once, they would overload the server.
 	if s.attemptsTo[3] < 5 || s.attemptsTo[3] > 14 {
-		t.Errorf("%d attempts", s.attemptsTo[3])
+		t.Errorf("%d attempts at the warming server, want 5 to 14", s.attemptsTo[3])
 	}
 }
 
@@ -78,7 +78,7 @@
 		s.request(FlowID(fmt.Sprint("f", i)), "", sec)
 	}
 	if s.attemptsTo[3] > 0 {
-		t.Errorf("%d attempts", s.attemptsTo[3])
+		t.Errorf("%d attempts from budget that was due before the start was known", s.attemptsTo[3])
 	}
 }
 
@@ -101,7 +101,7 @@
 	}
 	// Without quotas, the capacity is the mean of 3 to 35 flows; with them, 300 for each of the two initial servers.
 	if sent[0] > 10 || sent[1] < 3*sent[0] || sent[1] > 60 {
-		t.Errorf("%d attempts without quotas, %d with", sent[0], sent[1])
+		t.Errorf("%d attempts without quotas, want at most 10; %d with, want at least three times as many and at most 60", sent[0], sent[1])
 	}
 }
 
@@ -153,7 +153,7 @@
 	}
 	// A fully loaded server holds 200 * 3 / 10 plus the new flows. The capacity share is 0.4 at the end.
 	if sent < 3 || sent > 60 {
-		t.Errorf("%d attempts", sent)
+		t.Errorf("%d attempts at the warming server, want 3 to 60", sent)
 	}
 }
 
@@ -165,11 +165,11 @@
 		end        func(b *Balancer)
 		isRefunded bool
 	}{
-		{"the client left before the placement", func(b *Balancer) {
+		{"the client left before anything was sent", func(b *Balancer) {
 			b.OnClientLeft("a")
 			b.OnEnded("a", NeverSent, 0, true)
 		}, true},
-		{"the client left during the attempt", func(b *Balancer) {
+		{"the client left during the attempt, whose end is reported twice", func(b *Balancer) {
 			b.OnClientLeft("a")
 			b.OnEnded("a", NeverSent, ms, true)
 			b.OnEnded("a", NeverSent, ms, true)
--- a/decide/snapshot.go
+++ b/decide/snapshot.go
@@ -25,7 +25,7 @@
 // LimitSnapshot is the state of a limit on flows, which grows with time since its last reduction.
 type LimitSnapshot struct {
 	Flows     float64       `json:"held"` // the limit at the last reduction
-	Target    float64       `json:"was"`  // by which the limit grows: the flows at the first reduction of a series
+	Target    float64       `json:"was"`  // by which the limit grows: the limit at the first reduction of a series
 	ReducedAt time.Duration `json:"at"`   // time of the last reduction; 0: no limit
 }
 
