--- a/decide/settings.go
+++ b/decide/settings.go
@@ -4,8 +4,8 @@
 
 // The settings of a Balancer, set before its first event.
 
-// ConfigureFlows sets the maximum number of attempts of a flow, and the Retry-After that the clients of rejected flows are
-// sent if the constraints return no shorter one. With 0 they are sent none.
+// ConfigureFlows sets the maximum number of attempts of a flow, and the longest Retry-After that clients honour. The
+// clients of rejected flows are sent the latter, unless the constraints return a shorter one; with 0 they are sent none.
 func (b *Balancer) ConfigureFlows(maxAttempts int, retryAfter time.Duration) {
 	b.flows.maxAttempts = maxAttempts
 	b.flows.retryAfter = retryAfter
