--- a/constraints/balancer.go
+++ b/constraints/balancer.go
@@ -9,7 +9,7 @@
 // trackedFlow is a flow that may still have events.
 type trackedFlow struct {
 	explanation   *Explanation
-	server        decide.ServerID // of the last attempt
+	server        decide.ServerID // server of the last attempt
 	isEstablished bool
 	isOutstanding bool // its last attempt, or its connection, has not ended
 }
@@ -125,7 +125,7 @@
 	b.balancer.OnEstablished(id, took)
 }
 
-// OnEnded handles the end of an attempt or a connection, and how long it took. Where isAnswered is false, the client
+// OnEnded handles the end of an attempt or a connection; took is how long it lasted. If isAnswered is false, the client
 // still waits for its answer.
 func (b *ConstrainedBalancer) OnEnded(id decide.FlowID, outcome decide.Outcome, took time.Duration, isAnswered bool) {
 	flow := b.flows[id]
@@ -180,7 +180,8 @@
 	b.balancer.OnLoadReport(server, load)
 }
 
-// SetHandedOver sets whether a successor continues from a snapshot of this instance; false: it has ended.
+// SetHandedOver sets whether a successor continues from a snapshot of this instance; false: the successor has
+// ended.
 func (b *ConstrainedBalancer) SetHandedOver(handedOver bool) { b.balancer.SetHandedOver(handedOver) }
 
 // OnTimer handles the expiry of a timer that decide set.
--- a/constraints/balancer_test.go
+++ b/constraints/balancer_test.go
@@ -191,7 +191,7 @@
 	explanation, ok := balancer.Explain("client's own")
 	excluded := explanation.Excluded
 	if !ok || explanation.Answer != "rejected" || excluded["x: not there"] == 0 || excluded["z: not there"] == 0 {
-		t.Errorf("explained by %+v, %v", explanation, ok)
+		t.Errorf("explanation %+v, found: %v; want the answer rejected, and objections of x and z", explanation, ok)
 	}
 }
 
@@ -222,7 +222,7 @@
 		requestFlow(balancer, decide.FlowID(fmt.Sprint(i)))
 	}
 	if len(balancer.explanations.entries) != maxExplanations || len(balancer.flows) != 0 {
-		t.Errorf("%d explanations, %d flows", len(balancer.explanations.entries), len(balancer.flows))
+		t.Errorf("%d explanations and %d tracked flows, want %d and 0", len(balancer.explanations.entries), len(balancer.flows), maxExplanations)
 	}
 	if _, ok := balancer.Explain(fmt.Sprint(3*maxExplanations - 1)); !ok {
 		t.Error("the newest flow is not explained")
@@ -252,8 +252,8 @@
 	}
 }
 
-// giveEvents passes the events of one flow: its arrival, and the end of its attempt or its set-up. Every 25th flow is
-// followed by a timer.
+// giveEvents passes the events of one flow: its arrival, and then either the failure of its attempt or its
+// establishment. After every 25th flow, a timer fires.
 func giveEvents(balancer Balancer, number int) {
 	f := decide.FlowID(fmt.Sprint(number))
 	group := decide.GroupKey(fmt.Sprint(number % 7))
--- a/constraints/endpoints.go
+++ b/constraints/endpoints.go
@@ -60,7 +60,7 @@
 	if entry, ok := b.listed[server]; ok && entry.disabled != disabled {
 		entry.disabled = disabled
 		if !disabled {
-			entry.startedAt = b.now // it returns with slow start
+			entry.startedAt = b.now // so that the server returns with slow start
 		}
 		b.listed[server] = entry
 		b.notifyEndpoint(server)
@@ -78,8 +78,8 @@
 // Snapshot returns the state of the wrapped decide.Balancer.
 func (b *ConstrainedBalancer) Snapshot() decide.Snapshot { return b.balancer.Snapshot() }
 
-// Restore continues from the snapshot of another instance. The constraints are given its endpoint list, and learn
-// everything else from new events.
+// Restore continues from the snapshot of another instance. The constraints are given the endpoint list of the
+// snapshot, and learn everything else from new events.
 func (b *ConstrainedBalancer) Restore(snapshot decide.Snapshot) {
 	for _, known := range snapshot.Servers {
 		b.zones[known.ID] = known.Zone
--- a/constraints/explanations.go
+++ b/constraints/explanations.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	maxExplanations      = 4096 // of the most recent flows
-	maxExplainedAttempts = 8    // of one flow
-	maxExplainedCosts    = 8    // of one flow
+	maxExplanations      = 4096 // flows, the most recent ones
+	maxExplainedAttempts = 8    // per flow
+	maxExplainedCosts    = 8    // per flow
 )
 
 // The values of Explanation.Answer.
@@ -53,7 +53,8 @@
 	Reason string          `json:"why"`
 }
 
-// Explainer is a constraint that can say why it adds an extra cost. It is asked once per flow and server.
+// Explainer is a constraint that can say why it adds an extra cost. It is asked at most once per flow and
+// server.
 type Explainer interface{ ExplainCost(decide.ServerID) string }
 
 func (e *Explanation) addAttempt(attempt Attempt) {
--- a/fleet/lease/manager.go
+++ b/fleet/lease/manager.go
@@ -2,8 +2,8 @@
 // no I/O and has no clock.
 //
 // No coordinator grants a lease: for each task, each balancer ranks the members that it sees. The first of them is
-// the preferred holder, and the results that the holder publishes renew its lease. The views of the members may
-// differ, so that two balancers hold a task for a while. That only duplicates work, and the epochs resolve it.
+// the preferred holder, and the results that the holder publishes renew its lease. Balancers may see different members,
+// so that two of them hold a task for a while. That only duplicates work, and the epochs resolve it.
 package lease
 
 import (
@@ -22,7 +22,7 @@
 )
 
 // maxStandbys is how many members stand by for the preferred holder. Each of them takes over one term later than the
-// one ranked before it. The views of the members agree again before the last standby takes over.
+// one ranked before it. Before the last standby takes over, all balancers see the same members again.
 const maxStandbys = 3
 
 // state is the state of a lease, as far as this balancer knows.
@@ -58,7 +58,7 @@
 	own     Holder
 	term    time.Duration // after which a lease that is not renewed expires
 	members []Member
-	view    int // number of the present members' view, from 1; it increases with each change of the members
+	view    int // version of the set of members, from 1; it increases with each change of the set
 	leases  map[Task]*lease
 }
 
@@ -150,7 +150,7 @@
 	l.epoch = epoch
 	l.holder = holder
 	l.renewedAt = max(l.renewedAt, now-age)
-	m.transition(l, l.stateUnderOtherHolder()) // the preferred holder takes it back in the next epoch, when Holds is called
+	m.transition(l, l.stateUnderOtherHolder()) // if this balancer is the preferred holder, Holds takes the lease back, in the next epoch
 }
 
 // OnSuspended handles a suspension of this process. Its leases may have passed to other balancers, so it waits for a
--- a/fleet/lease/manager_test.go
+++ b/fleet/lease/manager_test.go
@@ -183,7 +183,7 @@
 		// Twice the time until the last standby takes over, in steps of 0.5 s.
 		undone, holders := f.run(2*(maxStandbys+1)*int(term/time.Second)*2, false)
 		if undone > 0 || len(holders) != 1 {
-			t.Fatalf("not performed in the last %d steps; holders %v, down %v", undone, holders, f.down)
+			t.Fatalf("not performed in the last %d steps, and held by %v at the end; want exactly one holder; down: %v", undone, holders, f.down)
 		}
 	})
 }
--- a/fleet/lease/ranking_test.go
+++ b/fleet/lease/ranking_test.go
@@ -20,7 +20,7 @@
 				continue
 			}
 			if other, two := holders[k]; two {
-				t.Fatalf("%s and %s both hold %d", other, name, k)
+				t.Fatalf("%s and %s both hold task %d", other, name, k)
 			}
 			holders[k] = name
 		}
@@ -42,7 +42,7 @@
 	}
 	for _, name := range names {
 		if share := float64(counts[name]) * float64(len(names)) / manyTasks; share < 0.7 || share > 1.3 {
-			t.Errorf("%s holds %.2f of an equal share", name, share)
+			t.Errorf("%s holds %.2f of an equal share, want 0.7 to 1.3", name, share)
 		}
 	}
 	holdersWithoutFirst := holdersOf(t, names[1:])
@@ -85,10 +85,10 @@
 				}
 			}
 			if held == 0 || len(c.members) > 0 && held == tasks {
-				t.Errorf("holds %d of %d", held, tasks)
+				t.Errorf("the balancer holds %d of %d tasks, want some, and not all if there are other members", held, tasks)
 			}
 			if len(m.members) != c.ranked {
-				t.Errorf("ranked members: %v", m.members)
+				t.Errorf("ranked members: %v, want %d", m.members, c.ranked)
 			}
 		})
 	}
--- a/fleet/signals/consensus.go
+++ b/fleet/signals/consensus.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	faultValidity      = 5 * time.Second  // of a report of a fault: twice that of the evidence, to allow for the delay of publishing
+	faultValidity      = 5 * time.Second  // of a report of a fault: twice evidenceValidity, to allow for the delay of publishing
 	healthyValidity    = 15 * time.Second // of a report of a healthy server
 	minReporters       = 2                // a single reporter may be wrong, or behind a bad link
 	maxReporters       = 5                // that publish a fault as urgent; more would only add traffic
@@ -19,16 +19,16 @@
 
 // consensus sums up the reports of all origins on a server.
 type consensus struct {
-	faulty       int // origins that report a fault, including this one
+	faulty       int // origins that report a fault, including this balancer
 	healthy      int // origins that have connections there and report no fault
 	worst        Fault
 	faultOrigins []Origin // some of those that report a fault
-	connections  int      // of all origins
+	connections  int      // connections of all origins to the server
 
 	penalisedUntil time.Duration
 	penaltyTime    time.Duration // doubled at each recurrence
 	confirmedAt    time.Duration // when the fault was last confirmed
-	recurrences    int           // of the penalty, by a single reporter, since the fault was last confirmed
+	recurrences    int           // of the penalty, caused by a single reporter, since the fault was last confirmed
 }
 
 // isConfirmed reports whether enough origins report a fault: at least two, and no fewer than report the server as
--- a/fleet/signals/observations.go
+++ b/fleet/signals/observations.go
@@ -127,8 +127,8 @@
 	return count, lastAt
 }
 
-// observesHealthy reports whether this balancer itself observes no fault of a server, by its connections there or by a
-// set-up within ownHealthyValidity.
+// observesHealthy reports whether this balancer itself has observed that a server is healthy: it observes no fault, and
+// it has a connection there or had a healthy observation within ownHealthyValidity.
 func (e *Exchange) observesHealthy(id decide.ServerID) bool {
 	observed := e.observations[id]
 	if observed == nil {
--- a/fleet/signals/penalty.go
+++ b/fleet/signals/penalty.go
@@ -15,12 +15,12 @@
 	ownHealthyValidity = time.Second        // an own healthy observation no older than this overrides the reports
 	initialPenaltyTime = 5 * time.Second    // after the last report of a fault
 	maxPenaltyTime     = 36 * time.Second   // up to which the time doubles with each recurrence
-	recurrenceTime     = 2 * maxPenaltyTime // after a fault was confirmed, within which it counts as recurring; later it is a new one
+	recurrenceTime     = 2 * maxPenaltyTime // a fault within this time after it was confirmed counts as recurring, a later one as new
 	maxRecurrences     = 3                  // that a single reporter may cause, before the fault has to be confirmed again
 	// Mean time between the ends of two balancers' penalties, within which the later one learns what the earlier one
 	// observes.
 	releaseInterval   = time.Second
-	minReleaseFleet   = 3  // the ends are staggered as in a fleet of at least this size
+	minReleaseFleet   = 3  // smallest fleet size by which the ends of penalties are staggered; a smaller fleet counts as this size
 	serversPerPenalty = 10 // if more than one in this many servers is penalised, none is avoided
 )
 
@@ -85,8 +85,8 @@
 	return float64(hash.Sum32()) / math.MaxUint32
 }
 
-// ServerCost adds a cost to a server that enough origins report as faulty, unless this balancer itself observes it as
-// healthy.
+// ServerCost adds a cost to a server that is penalised, unless this balancer itself observes the server as healthy, or so
+// many servers are penalised that none is avoided.
 func (e *Exchange) ServerCost(_ decide.FlowID, id decide.ServerID) (float64, constraints.Reason) {
 	if !e.enabled {
 		return 0, ""
--- a/fleet/signals/publish.go
+++ b/fleet/signals/publish.go
@@ -13,7 +13,7 @@
 	minPublishInterval = 250 * time.Millisecond // between two records of one origin
 	steadyInterval     = 2 * time.Second        // between two records in a small fleet while no fault begins or ends
 	smallFleet         = 40                     // members; the interval grows in a larger fleet, so that the traffic stays the same
-	republishInterval  = faultValidity / 2      // of a fault, before its report expires
+	republishInterval  = faultValidity / 2      // after which a fault is published again, before its report expires
 	minElapsed         = 0.001                  // seconds, as a divisor
 )
 
--- a/fleet/signals/publish_test.go
+++ b/fleet/signals/publish_test.go
@@ -47,7 +47,7 @@
 			exchange.SetTime(start + gatherDelay)
 			record, isDue := exchange.Publish(3)
 			if !isDue || (len(record.Reports) == 1) != c.reported || c.reported && record.Reports[0].Fault != c.want {
-				t.Errorf("published %v %+v, want %v", isDue, record.Reports, c.want)
+				t.Errorf("record due: %v, reports %+v; want a report: %v, with the fault %v", isDue, record.Reports, c.reported, c.want)
 			}
 			// Without a change the next record is due after an interval that grows with the fleet.
 			exchange.SetTime(start + 600*time.Millisecond)
--- a/fleet/signals/store_test.go
+++ b/fleet/signals/store_test.go
@@ -37,7 +37,7 @@
 		stored, _ := one.All(0)
 		storedByOther, _ := other.All(0)
 		if !reflect.DeepEqual(stored, storedByOther) {
-			t.Fatalf("%v\n%v", stored, storedByOther)
+			t.Fatalf("the order or the repeats of the records changed the result:\n%v\n%v", stored, storedByOther)
 		}
 		for _, record := range records {
 			if one.Merge(record, 0) {
--- a/fleet/signals/wire_test.go
+++ b/fleet/signals/wire_test.go
@@ -45,7 +45,7 @@
 
 func TestRecordSurvivesEncoding(t *testing.T) {
 	if got := mustDecode(t, mustEncode(t, exampleRecord)); !reflect.DeepEqual(got, exampleRecord) {
-		t.Errorf("%+v, want %+v", got, exampleRecord)
+		t.Errorf("decoded %+v, want %+v", got, exampleRecord)
 	}
 }
 
@@ -124,14 +124,14 @@
 	for i := 1; i < size; i++ {
 		record := mustDecode(t, mustEncode(t, recordOfLargeFleet(i, size)))
 		if len(record.Reports) != reportsOfLargeFleet || !exchange.Merge(record) {
-			t.Fatalf("%+v", record)
+			t.Fatalf("decoded %+v, want a new record with %d reports", record, reportsOfLargeFleet)
 		}
 		for _, report := range record.Reports {
 			servers[report.Server] = true
 		}
 	}
 	if records, _ := exchange.Records(); len(records) != size-1 || len(servers) != size {
-		t.Errorf("%d origins and %d servers are known", len(records), len(servers))
+		t.Errorf("%d origins and %d servers are known, want %d and %d", len(records), len(servers), size-1, size)
 	}
 	other := newExchange("other")
 	// Each full state begins maxFullState/2 origins after the last, so that 2*size/maxFullState of them contain every record.
@@ -140,11 +140,11 @@
 		other.mergeAll(sendFullState(t, exchange)...)
 	}
 	if records, _ := other.Records(); len(records) != size-1 {
-		t.Errorf("%d origins are known to the receiver of the full states", len(records))
+		t.Errorf("%d origins are known to the receiver of the full states, want %d", len(records), size-1)
 	}
 }
 
-const reportsOfLargeFleet = 20 // of each record
+const reportsOfLargeFleet = 20 // in each record
 
 func recordOfLargeFleet(number, size int) Record {
 	record := Record{Origin: Origin(fmt.Sprint("n", number)), Incarnation: 1, Sequence: 1}
@@ -185,7 +185,7 @@
 			return
 		}
 		if reencoded, err := Encode(record); err != nil || len(reencoded) > maxRecordBytes {
-			t.Fatalf("%+v: %d bytes, %v", record, len(reencoded), err)
+			t.Fatalf("%+v: encoded again: %d bytes, error %v", record, len(reencoded), err)
 		}
 		exchange := newExchange("me")
 		exchange.Merge(record)
--- a/locality/events.go
+++ b/locality/events.go
@@ -41,9 +41,10 @@
 	to.servers[s.id] = s
 }
 
-// OnEndpointsUpdated handles the end of an update. A locality becomes unavailable when the list names no ready server of
-// it any more, and recovers when it names some again, or when most of them have restarted since it became unavailable.
-// An update without entries of a locality leaves its state as it is.
+// OnEndpointsUpdated handles the end of an update. A locality becomes unavailable when the list no longer names a ready
+// server of the locality. It begins to recover when the list names one again, if it became unavailable for that reason,
+// and in any case when most of its ready servers have restarted since it became unavailable. An update without entries
+// of a locality leaves its state as it is.
 func (p *Policy) OnEndpointsUpdated() {
 	p.hasList = true
 	for _, l := range p.ordered {
@@ -54,7 +55,7 @@
 		l.wasListed = l.wasListed || l.ready > 0
 	}
 	if current, ok := p.currentPerSize(); ok && p.usualPerSize == 0 {
-		p.usualPerSize = current // the initial estimate is the flows that are established at the start
+		p.usualPerSize = current // initial estimate, from the flows that are established at the start
 		if current > 0 {
 			p.learnedFor = learningTime
 		}
--- a/locality/failover.go
+++ b/locality/failover.go
@@ -16,7 +16,7 @@
 	// A locality is unavailable when a third of its ready servers failed, within these bounds on their number.
 	minFailedServers = 2
 	maxFailedServers = 4
-	minFailures      = 2 // attempts or connections, however few servers there are
+	minFailures      = 2 // failed attempts and broken connections, however few servers there are
 
 	firstProbeBackoff          = time.Second // between probes of an unavailable locality; doubled after each failed one
 	maxProbeBackoff            = 8 * time.Second
@@ -25,7 +25,7 @@
 
 	recoverySteps    = 5           // equal parts of the warm-up time
 	maxStepFactor    = 4           // by which slow set-ups may prolong a step
-	flappingInterval = time.Minute // since the last recovery began, within which a locality that becomes unavailable is flapping
+	flappingInterval = time.Minute // a locality that becomes unavailable within this time after its last recovery began is flapping
 	maxSlowdown      = 4           // factor by which the recovery of a flapping locality takes longer
 )
 
@@ -54,9 +54,10 @@
 	}
 }
 
-// isUnreachable reports whether the recent samples since the last answer are minFailures or more, at a third of the ready
-// servers (at least minFailedServers if there are so many, at most maxFailedServers). A few outliers do not make a locality
-// unavailable. Timeouts count only while attempts succeed elsewhere. For a recovering locality, minFailedServers are enough.
+// isUnreachable reports whether, among the recent samples since the last answer, there are at least minFailures failures,
+// at a third of the ready servers or more. The number of servers needed is at least minFailedServers, if there are so
+// many, and at most maxFailedServers, so that a few outliers do not make a locality unavailable. For a recovering
+// locality, minFailedServers servers are enough. Timeouts count only while attempts succeed elsewhere.
 func (p *Policy) isUnreachable(l *locality) bool {
 	failed := map[decide.ServerID]bool{}
 	failures := 0
--- a/locality/policy.go
+++ b/locality/policy.go
@@ -16,7 +16,7 @@
 	tierCost          = 4.0 // for each tier, in units of placement cost: above what grouping and load usually add
 	maxFailbackTokens = 2.0 // burst of migrations to a nearer tier
 	minWarmUp         = time.Second
-	randomStream      = 0x68616c6c // of the random source, distinct from other sources with the same seed
+	randomStream      = 0x68616c6c // makes the random numbers differ from those of other sources with the same seed
 )
 
 // Rules are the settings that may change while a balancer runs.
@@ -57,7 +57,7 @@
 	flows      map[decide.FlowID]*flow
 	hasList    bool // whether an update of the endpoint list has ended
 
-	failbackTokens float64 // of a token bucket: migrations to a nearer tier that may begin now
+	failbackTokens float64 // level of a token bucket: how many migrations to a nearer tier may begin now
 	failbacks      int     // migrations to a nearer tier so far
 
 	usualPerSize float64       // the usual load: all own flows, in any locality, per unit of size of the nearest tier
--- a/locality/policy_test.go
+++ b/locality/policy_test.go
@@ -189,7 +189,7 @@
 				t.Error("another server of the same locality takes flows beyond the spill limit")
 			}
 			if n := s.fill(9); n < c.least || n > c.most {
-				t.Errorf("%d flows in the last locality, want the range of %+v", n, c)
+				t.Errorf("%d flows in the last locality, want %d to %d", n, c.least, c.most)
 			}
 		})
 	}
@@ -212,11 +212,11 @@
 		}
 	}
 	if probes < 6 || probes > 16 {
-		t.Errorf("%d probes in a minute", probes)
+		t.Errorf("%d probes in a minute, want 6 to 16", probes)
 	}
 	s.expectState(Unavailable)
 	if s.now-last > 15*second {
-		t.Errorf("the last probe was %v ago", s.now-last)
+		t.Errorf("the last probe was %v ago, want at most 15 s", s.now-last)
 	}
 	for s.objection(3) != "" {
 		s.advance(100 * time.Millisecond)
@@ -260,7 +260,7 @@
 		s.addSample(s.locality("a"), sample{at: s.now, server: 1, isReached: true, took: 900 * time.Millisecond})
 	}
 	if st := s.locality("a").step; st != 0 {
-		t.Errorf("step %d while set-ups take three times their target", st+1)
+		t.Errorf("advanced to step %d while set-ups take three times their target", st+1)
 	}
 	s.advance(9 * second) // the slow set-ups are no longer recent
 	if st := s.locality("a").step; st == 0 {
@@ -339,14 +339,14 @@
 
 func TestAdoptedFlowsAreUsualAtOnce(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		held int
-		most int
+		name    string
+		adopted int
+		most    int
 	}{{"nothing adopted: no limit yet", 0, 1000}, {"forty adopted flows", 40, 12}} {
 		t.Run(c.name, func(t *testing.T) {
 			s := &harness{t: t, Policy: newPolicy(1, Rules{Spill: 0.3, Balancers: 1})}
 			s.listAll()
-			for i := range c.held {
+			for i := range c.adopted {
 				s.establish(s.newFlow(), decide.ServerID(1+i%4), constraints.AdoptedFlow)
 			}
 			s.advance(200 * time.Millisecond)
--- a/locality/queries.go
+++ b/locality/queries.go
@@ -55,8 +55,8 @@
 	return ""
 }
 
-// objectionByTier returns why the limits on its tier keep flows from a server; empty: they do not. Servers that warm up
-// are left to the balancers for which they are in the nearest tier.
+// objectionByTier returns why the limits on a server's tier keep flows from the server; empty: they do not. Servers that
+// are warming up are left to the balancers for which they are in the nearest tier.
 func (p *Policy) objectionByTier(s *server) constraints.Reason {
 	l := s.locality
 	if l.tier == 0 {
@@ -95,8 +95,8 @@
 	return f != nil && f.server != nil && f.server.locality.tier > 0
 }
 
-// MigrateFirst returns a few flows that a nearer tier could take: first those of the group whose flow was established
-// earliest.
+// MigrateFirst returns a few flows that a nearer tier could take: first those of the group with the flow that was
+// established earliest.
 func (p *Policy) MigrateFirst() []decide.FlowID {
 	if p.failbackTokens < 1 {
 		return nil
--- a/locality/state.go
+++ b/locality/state.go
@@ -56,7 +56,7 @@
 	// While recovering.
 	step        int
 	stepBeganAt time.Duration
-	admitted    int // flows, since the recovery began
+	admitted    int // flows admitted since the recovery began
 
 	// Kept from one recovery to the next.
 	slowdown        float64       // factor by which a recovery takes longer, after earlier ones failed
