--- a/internal/admin/server_test.go
+++ b/internal/admin/server_test.go
@@ -125,7 +125,7 @@
 			}
 			status := call(t, serve(t, balancer), text)
 			if calls := strings.Join(balancer.calls, ","); status != c.status || calls != c.calls {
-				t.Errorf("%d and %q, want %d and %q", status, calls, c.status, c.calls)
+				t.Errorf("status %d and calls %q, want %d and %q", status, calls, c.status, c.calls)
 			}
 		})
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -88,14 +88,14 @@
 	t.Run("names", func(t *testing.T) {
 		services, customers := ConfigureBalancer(settings, decide.New(1, noopActions{}))
 		if services["pay"] != 1 || len(services) != 2 || customers["acme"] != 0 || len(customers) != 1 {
-			t.Errorf("%v, %v", services, customers)
+			t.Errorf("service types %v, customers %v; want live and pay, with the id 1 for pay, and acme with the id 0", services, customers)
 		}
 	})
 	t.Run("the environment replaces absent keys", func(t *testing.T) {
 		env := func(name string) string { return map[string]string{"PROXY_LISTEN": "127.0.0.9:1"}[name] }
 		values, err := readAll(t, strings.Replace(configText, `"listen":"127.0.0.1:8080",`, "", 1), env)
 		if err != nil || values.Addr("listen") != "127.0.0.9:1" {
-			t.Errorf("%q, %v", values.Addr("listen"), err)
+			t.Errorf("listen is %q, error %v; want the address from PROXY_LISTEN", values.Addr("listen"), err)
 		}
 	})
 }
@@ -128,7 +128,7 @@
 	t.Run("no file", func(t *testing.T) {
 		for _, path := range []string{"", filepath.Join(t.TempDir(), "none")} {
 			if _, _, err := Load(path, noEnvironment); err == nil || !strings.HasPrefix(err.Error(), "PROXY_CONFIG: ") {
-				t.Errorf("error %v", err)
+				t.Errorf("path %q: error %v, want one that names PROXY_CONFIG", path, err)
 			}
 		}
 	})
@@ -167,7 +167,7 @@
 				t.Fatal(err, err2)
 			}
 			if got := strings.Join(old.ChangedKeys(newer), " "); got != c.want {
-				t.Errorf("%q, want %q", got, c.want)
+				t.Errorf("changed keys %q, want %q", got, c.want)
 			}
 		})
 	}
@@ -198,7 +198,7 @@
 			names := strings.Join(slices.Sorted(maps.Keys(services)), " ")
 			target := MessageTarget(settings)
 			if names != c.services || target != c.target || settings.Err() != nil {
-				t.Errorf("service types %q, target %v, error %v", names, target, settings.Err())
+				t.Errorf("service types %q, target %v, error %v; want %q and %v", names, target, settings.Err(), c.services, c.target)
 			}
 		})
 	}
--- a/internal/config/keys.go
+++ b/internal/config/keys.go
@@ -19,7 +19,7 @@
 // Keys of the decision settings.
 const (
 	keyZone                 = "az"
-	keyBalancers            = "peers-total" // in the fleet, including this one
+	keyBalancers            = "peers-total" // number of balancers in the fleet, including this one
 	keyDiscoveryMode        = "discovery"
 	keyWeights              = "weights" // whether the endpoint list states server sizes
 	keyBeyondQuotaValue     = "beyond-share-value"
@@ -42,7 +42,7 @@
 	keyServersReportLatency = "family-info.tells-delay"
 	keyReportingMode        = "reporting.how"
 	keyReportColumns        = "reporting.columns"
-	keyNinesWeight          = "goal.nines-part" // of availability, counted in nines, in the platform's valuation
+	keyNinesWeight          = "goal.nines-part" // weight of availability, counted in nines, in the platform's valuation
 	keyFullNines            = "goal.top-nines"  // the top number of nines in that valuation
 
 	keyCustomers    = "tenants" // a list of objects
--- a/internal/config/load_report_test.go
+++ b/internal/config/load_report_test.go
@@ -23,7 +23,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if load, ok := ParseLoadReport(c.text); ok != c.ok || ok && load != c.load {
-				t.Errorf("%v, %v", load, ok)
+				t.Errorf("load %v, valid: %v; want %v, %v", load, ok, c.load, c.ok)
 			}
 		})
 	}
--- a/internal/config/options_test.go
+++ b/internal/config/options_test.go
@@ -70,12 +70,12 @@
 			}
 			list := options.Constraints(FromPairs(map[string]string{"az": "a"}), 1)
 			if (len(list) > 0) != strings.Contains(c.text, "halls") {
-				t.Errorf("%+v: %d constraints", options, len(list))
+				t.Errorf("%+v: %d constraints, want one with a table [halls], else none", options, len(list))
 			}
 		})
 	}
 	if options, err := ReadOptions(""); err != nil || len(options.Constraints(FromPairs(nil), 1)) != 0 || options.ExplainSocket() != "" {
-		t.Errorf("without a file, an option is on: %+v, %v", options, err)
+		t.Errorf("without a file: options %+v, error %v; want all off", options, err)
 	}
 }
 
@@ -115,13 +115,13 @@
 	}
 	options, err := read(good + "[signals]\n")
 	if err != nil || options.Peers() == nil {
-		t.Fatalf("%+v, %v", options.Peers(), err)
+		t.Fatalf("peers %+v, error %v; want peers", options.Peers(), err)
 	}
 	if peers := options.Peers(); !peers.Signals || peers.Leases || peers.Advertise != peers.Bind {
-		t.Fatalf("%+v", peers)
+		t.Fatalf("peers %+v, want signals on, leases off, and the bind address as the advertised one", peers)
 	}
 	if options, err := read("[explain]\nsocket = \"/x\"\n"); err != nil || options.Peers() != nil || options.Signals() != nil {
-		t.Errorf("%+v, %v", options.Peers(), err)
+		t.Errorf("without a table [peers]: peers %+v, error %v; want neither peers nor signals", options.Peers(), err)
 	}
 	for _, c := range []struct{ from, to, want string }{
 		{"name = \"a\"\n", "", ":1: peers.name: want a name"},
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -72,11 +72,11 @@
 	var explanation constraints.Explanation
 	err := Flow(t.Context(), path, "abc", &explanation)
 	if err != nil || explanation.Answer != "rejected" || explanation.Excluded[reason] != 1 {
-		t.Errorf("%+v, %v", explanation, err)
+		t.Errorf("explanation %+v, error %v; want the answer rejected, due to %q", explanation, err, reason)
 	}
 	var state routing.State
 	if err := State(t.Context(), path, &state); err != nil || state.Interventions[reason] != 1 || state.OtherProcess != "two" {
-		t.Errorf("%+v, %v", state, err)
+		t.Errorf("state %+v, error %v; want one intervention %q, and the other process two", state, err, reason)
 	}
 }
 
@@ -101,6 +101,6 @@
 		t.Fatal(err)
 	}
 	if _, err := Listen(t.Context(), path); err == nil || !strings.Contains(err.Error(), "not a socket") {
-		t.Errorf("%v: a regular file must not be removed", err)
+		t.Errorf("error %v, want one that says that the path is not a socket", err)
 	}
 }
--- a/internal/simulator/simulator.go
+++ b/internal/simulator/simulator.go
@@ -17,8 +17,8 @@
 type host struct {
 	decoder
 	out        *bufio.Writer
-	now        int64     // of the current batch, in nanoseconds
-	current    *instance // that the events are for; nil: none named yet in this batch
+	now        int64     // time of the current batch, in nanoseconds
+	current    *instance // instance that the next events are for; nil: none named yet in this batch
 	lastActing int       // id of the instance whose actions were written last; -1: none in this batch
 	instances  map[int]*instance
 	lists      [maxLists][]listEntry
--- a/internal/simulator/simulator_test.go
+++ b/internal/simulator/simulator_test.go
@@ -59,7 +59,7 @@
 	got, err := run(begin + strings.ReplaceAll(two, "FOR\t3", "FOR\t5") + "FLUSH\n")
 	want := "SPEAKING\t3\nTIMER\t1\t250000000\nSPEAKING\t5\nTIMER\t1\t250000000\nYIELD\n"
 	if err != nil || got != want {
-		t.Errorf("got %q, error %v", got, err)
+		t.Errorf("got %q, error %v\nwant %q", got, err, want)
 	}
 }
 
@@ -105,6 +105,6 @@
 		t.Fatal(err)
 	}
 	if !strings.HasPrefix(out.String(), "SPEAKING\t4\nFAULT\t") {
-		t.Errorf("got %q", out.String())
+		t.Errorf("got %q, want a FAULT of instance 4", out.String())
 	}
 }
--- a/internal/simulator/wire.go
+++ b/internal/simulator/wire.go
@@ -26,7 +26,7 @@
 // Messages for an instance.
 const (
 	msgStart        = "SPAWN"          // starts the instance: seed, then settings as path=value
-	msgStop         = "KILL"           // stops it
+	msgStop         = "KILL"           // stops the instance
 	msgUpdate       = "UPDATE"         // an update of the endpoint list: kind, stamp, list
 	msgFlow         = "JOB_IN"         // a flow arrives: see arrival...Field
 	msgAdopt        = "OPEN"           // an established flow is adopted: the same fields, and its server
--- a/internal/store/disabled.go
+++ b/internal/store/disabled.go
@@ -70,7 +70,7 @@
 func (d *Directory) RemoveTemporaryFiles() {
 	unfinished, err := d.files.Glob(d.Path(disabledSuffix+".") + "*")
 	if err != nil {
-		return // the only possible error is a bad pattern, and this one is fixed
+		return // the only possible error is a malformed pattern, due to the path; the files then remain
 	}
 	for _, path := range unfinished {
 		_ = d.files.Remove(path) // a file that remains takes little space and is never read
--- a/internal/store/disabled_test.go
+++ b/internal/store/disabled_test.go
@@ -127,7 +127,7 @@
 	_, errLoad := missing.LoadDisabled()
 	for what, err := range map[string]error{"save": missing.SaveDisabled(nil), "load": errLoad} {
 		if !errors.Is(err, fs.ErrNotExist) {
-			t.Errorf("%s: %v", what, err)
+			t.Errorf("%s: error %v, want fs.ErrNotExist", what, err)
 		}
 	}
 }
@@ -139,7 +139,7 @@
 	}
 	var invalid *ContentError
 	if got, err := directory.LoadDisabled(); got != nil || !errors.As(err, &invalid) {
-		t.Errorf("loaded %q, %v", got, err)
+		t.Errorf("loaded %q, error %v; want nothing, and a ContentError", got, err)
 	}
 }
 
@@ -166,7 +166,7 @@
 	directory.files = files
 	var failed *DirectoryError
 	if err := directory.SaveDisabled(after); !errors.As(err, &failed) || !errors.Is(err, cause) || failed.Advice() == "" {
-		t.Errorf("SaveDisabled: %v", err)
+		t.Errorf("SaveDisabled returned %v, want a DirectoryError caused by %v, with advice", err, cause)
 	}
 	directory.files = osFileSystem{}
 	want := before
@@ -178,7 +178,7 @@
 	wantDisabled(t, directory, after)
 	directory.RemoveTemporaryFiles()
 	if files, err := os.ReadDir(root); err != nil || len(files) != 1 {
-		t.Errorf("%d files remain, %v", len(files), err)
+		t.Errorf("%d files remain, error %v; want one file", len(files), err)
 	}
 }
 
@@ -196,7 +196,7 @@
 		}
 		var invalid *ContentError
 		if got, err := directory.LoadDisabled(); got != nil || !errors.As(err, &invalid) {
-			t.Errorf("truncated to %d bytes: loaded %q, %v", n, got, err)
+			t.Errorf("truncated to %d bytes: loaded %q, error %v; want nothing, and a ContentError", n, got, err)
 		}
 	}
 }
@@ -206,6 +206,6 @@
 	directory.files = &faultyFileSystem{step: "lstat", err: syscall.EIO}
 	var failed *DirectoryError
 	if got, err := directory.LoadDisabled(); got != nil || !errors.As(err, &failed) || !errors.Is(err, syscall.EIO) {
-		t.Errorf("loaded %q, %v", got, err)
+		t.Errorf("loaded %q, error %v; want nothing, and a DirectoryError caused by EIO", got, err)
 	}
 }
--- a/internal/strict/strict_test.go
+++ b/internal/strict/strict_test.go
@@ -29,7 +29,7 @@
 				top.Float("a", 0, 0, 9)
 				table := top.Table("t")
 				if d := table.Duration("d", time.Second, time.Minute); c.name == "valid" && d != 2*time.Second {
-					t.Errorf("read %v", d)
+					t.Errorf("read the duration %v, want 2s", d)
 				}
 				table.Range("r", 0, 1, 0, 9)
 				table.String("w", "x", "x", "y")
