--- a/cmd/yardwinch/blocked_log_test.go
+++ b/cmd/yardwinch/blocked_log_test.go
@@ -121,7 +121,7 @@
 	for _, line := range lines {
 		_, _ = io.WriteString(conn, line[0]) // an error shows as a missing reply
 		if got, err := in.ReadString('\n'); got != line[1] {
-			t.Fatalf("%q: reply %q, %v", line[0], got, err)
+			t.Fatalf("%q: reply %q, error %v; want %q", line[0], got, err, line[1])
 		}
 	}
 }
--- a/cmd/yardwinch/sighup_test.go
+++ b/cmd/yardwinch/sighup_test.go
@@ -16,9 +16,9 @@
 // runLine matches the command in the deploy file with which the platform starts the daemon.
 var runLine = regexp.MustCompile(`(?m)^run = "(.*)"$`)
 
-// SIGHUP must not end the process during its start, whether or not its configuration can be served. The test sends
-// SIGHUP repeatedly, starting once the shell ignores the signal or has been replaced by the daemon. The daemon is
-// started by the command in the deploy file, as on the platform.
+// SIGHUP must not end the process during its start, whether or not its configuration can be served. The daemon is started
+// by the shell command in the deploy file, as on the platform. The test sends SIGHUP repeatedly, from the moment the shell
+// ignores the signal or has been replaced by the daemon.
 func TestSIGHUPAtStart(t *testing.T) {
 	const starts = 12
 	root := buildDaemon(t)
--- a/internal/compatibility/commands_test.go
+++ b/internal/compatibility/commands_test.go
@@ -60,7 +60,7 @@
 }
 
 // Deployment files and scripts use the names of commands, flags and environment variables. The daemon's help texts are
-// compared completely, as operators read them; of the testbed's only the names are.
+// compared in full, as operators read them. Of the testbed's help texts, only these names are compared.
 func TestHelp(t *testing.T) {
 	t.Parallel()
 	daemon := helpTexts(t, "daemon")
--- a/internal/compatibility/dayrun_test.go
+++ b/internal/compatibility/dayrun_test.go
@@ -211,8 +211,8 @@
 	return nil
 }
 
-// nextBatch advances the clock to the next event, by one period of the settings at least, and returns a batch of all
-// events that are due.
+// nextBatch advances the clock to the next event, and at least by clockStep, which is the period in the settings. It
+// returns a batch of all events that are due.
 func (p *scenarioRun) nextBatch() string {
 	p.now = max(p.now+clockStep, p.events[0].time)
 	var b strings.Builder
--- a/internal/compatibility/days_test.go
+++ b/internal/compatibility/days_test.go
@@ -83,7 +83,7 @@
 }
 
 // spawnSettings returns the settings with which an instance starts, sorted: the example settings, overridden by those of
-// the instance and these by those of the scenario.
+// the instance, and both overridden by those of the scenario.
 func spawnSettings(s scenario, instance int) []string {
 	m := map[string]string{"ordinal": strconv.Itoa(instance), "peers-total": strconv.Itoa(max(s.instances, 3)), "az": zones[instance%len(zones)]}
 	var keys []string
--- a/internal/compatibility/gossip_test.go
+++ b/internal/compatibility/gossip_test.go
@@ -26,11 +26,11 @@
 	frameMembers
 )
 
-// fullStateTimeout allows for two exchanges of the full state, which members make every 10 s and first after a random
-// part of that, and for a margin.
+// fullStateTimeout allows for two exchanges of the full state and a margin. Members exchange full states every 10 s, for
+// the first time after a random part of that interval.
 const fullStateTimeout = 25 * time.Second
 
-const heartbeatInterval = 200 * time.Millisecond // an engine without a frame from its balancer for a second stops sending
+const heartbeatInterval = 200 * time.Millisecond // an engine stops sending if its balancer sends no frame for a second
 
 // gossipEngine is a gossip engine's process, with the test in place of its balancer.
 type gossipEngine struct {
--- a/internal/compatibility/handover_test.go
+++ b/internal/compatibility/handover_test.go
@@ -43,14 +43,14 @@
 }
 
 // An invalid file counts as missing: the log reports the error, and explain shows no server as disabled.
-func TestDisabledServersUnreadable(t *testing.T) {
+func TestInvalidDisabledServersFile(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct{ name, text, want string }{
 		{"another version", `{"version":2,"out_by_hand":["a"]}`, "version 2, want 1"},
 		{"an unknown key", `{"version":1,"out_by_hand":["a"],"more":1}`, `unknown field \"more\"`},
-		{"half of it", `{"version":1,"out_by_`, "unexpected EOF"},
+		{"truncated", `{"version":1,"out_by_`, "unexpected EOF"},
 		{"an empty id", `{"version":1,"out_by_hand":[""]}`, "server id has 0 bytes, want 1 to"},
-		{"more behind it", `{"version":1,"out_by_hand":[]}{}`, "data after the JSON object"},
+		{"data after the object", `{"version":1,"out_by_hand":[]}{}`, "data after the JSON object"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/compatibility/keys_test.go
+++ b/internal/compatibility/keys_test.go
@@ -99,7 +99,7 @@
 		return strings.Contains(runCommand(t, "daemon", "", "", "explain", "--json", "--socket", d.socket, "1").stdout, `"established"`)
 	})
 	if code, answer := d.call("POST", "/control/servers/a/offline"); code != 200 {
-		t.Error(answer)
+		t.Error("the call of offline failed:", answer)
 	}
 	compareGolden(t, "keys/explain.txt", jsonKeys(t, runWithOptions("explain", "--json").stdout, ".bounds_acted"))
 	compareGolden(t, "keys/why.txt", jsonKeys(t, runWithOptions("explain", "--json", "1").stdout, ".barred"))
--- a/internal/compatibility/testbed_test.go
+++ b/internal/compatibility/testbed_test.go
@@ -53,7 +53,7 @@
 	compareCompressedGolden(t, "plans/soak.txt.gz", output.String())
 }
 
-// The simulated dissemination of gossip, in virtual time, gives the same results.
+// The spread command, which simulates the dissemination of gossip in virtual time, writes the recorded results.
 func TestDisseminationFigures(t *testing.T) {
 	t.Parallel()
 	r := runCommand(t, "testbed", "", "", "spread", "--seeds", "1", "--members", "5", "--members", "50", "--json", "-")
--- a/internal/membership/drops_test.go
+++ b/internal/membership/drops_test.go
@@ -29,13 +29,13 @@
 	})
 	totals := drops.Totals()
 	if len(totals) != MaxDropKinds+1 || totals["kind 0"] != 2 || totals[otherDrops] != 4 {
-		t.Errorf("counted %v", totals)
+		t.Errorf("counted %v, want 2 of each of the first %d kinds, and 4 others", totals, MaxDropKinds)
 	}
 	if len(lines) != MaxDropKinds+1 {
 		t.Errorf("got %d log lines, want one for each kind", len(lines))
 	}
 	if first := lines[0]; !strings.Contains(first, `msg="membership input dropped" error="a reason" count=1 total=1`) {
-		t.Errorf("logged %s", first)
+		t.Errorf("the first line is %s, want the message, the reason and the counts", first)
 	}
 }
 
@@ -45,9 +45,9 @@
 	lines := captureLog(t, func() { group.reportEngineEnd(errors.New("exit status 2")) })
 	if len(lines) != 1 || !strings.Contains(lines[0], `msg="membership engine ended"`) || !strings.Contains(lines[0], "exit status 2") ||
 		!strings.Contains(lines[0], "advice=") {
-		t.Errorf("logged %q", lines)
+		t.Errorf("logged %q, want one line that the engine ended, with its exit status and advice", lines)
 	}
 	if dropped := group.Dropped(); dropped["the engine ended"] != 1 {
-		t.Errorf("counted %v", dropped)
+		t.Errorf("counted %v, want one end of the engine", dropped)
 	}
 }
--- a/internal/membership/engine/group_test.go
+++ b/internal/membership/engine/group_test.go
@@ -178,7 +178,7 @@
 func TestErrorHasCauseAndAdvice(t *testing.T) {
 	err := &membership.Error{Where: "peers.bind", What: "no member yet", Remedy: "see who has the address", Err: net.ErrClosed}
 	if !errors.Is(err, net.ErrClosed) || err.Advice() == "" || !strings.Contains(err.Error(), "peers.bind") {
-		t.Error(err, err.Advice())
+		t.Error("want the place, the cause and advice, got", err, err.Advice())
 	}
 }
 
--- a/internal/membership/engine/log.go
+++ b/internal/membership/engine/log.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	maxLogLineBytes  = 300 // of the library's log
-	maxDropKindBytes = 80  // of a kind of drop
+	maxLogLineBytes  = 300 // length to which a logged message is cut
+	maxDropKindBytes = 80  // length to which a kind of drop is cut
 )
 
 // logFilter receives the gossip library's log. It counts errors and warnings as drops by kind, and logs the rest at
--- a/internal/membership/engine/serve_test.go
+++ b/internal/membership/engine/serve_test.go
@@ -11,7 +11,7 @@
 	"yardwinch/internal/membership"
 )
 
-// engineUnderTest is an engine to which the test is the balancer.
+// engineUnderTest is an engine whose balancer is played by the test.
 type engineUnderTest struct {
 	t       *testing.T
 	encoder *cbor.Encoder
@@ -78,7 +78,8 @@
 	}
 }
 
-// The member stops while the balancer's heartbeats are missing, and the balancer is told when it runs again.
+// The member stops while the balancer's heartbeats are missing, and the balancer is told of its suspension when it
+// sends frames again.
 func TestMemberIsSilentWhileTheBalancerIsSuspended(t *testing.T) {
 	address := freeAddress(t, "127.83.0.5").String()
 	engine := serve(t)
@@ -123,7 +124,7 @@
 				engine.send(frame...)
 			}
 			if err := engine.end(); (err != nil) != c.fails {
-				t.Errorf("Serve returned %v", err)
+				t.Errorf("Serve returned %v, want an error: %v", err, c.fails)
 			}
 		})
 	}
--- a/internal/membership/group_test.go
+++ b/internal/membership/group_test.go
@@ -160,11 +160,11 @@
 	eventually(t, "b receives a's full state", func() bool { return b.received.has("full state") })
 	// An engine that is killed is restarted, and the member joins again.
 	if len(enginesOfA) != 1 || syscall.Kill(enginesOfA[0], syscall.SIGKILL) != nil {
-		t.Fatalf("kill the only engine of %v", enginesOfA)
+		t.Fatalf("cannot kill a's engine: processes %v, want exactly one that can be killed", enginesOfA)
 	}
 	eventually(t, "a has no engine and counts its exit", func() bool { return a.group.AliveCount() == 1 && len(a.group.Dropped()) > 0 })
 	b.group.Publish("b", []byte("well"))
-	eventually(t, "a has rejoined: it receives from b or sees it", func() bool { return a.received.has("well") || a.stateOf("b") == membership.Alive })
+	eventually(t, "a has rejoined: it receives b's message or sees b", func() bool { return a.received.has("well") || a.stateOf("b") == membership.Alive })
 	b.stop()
 	eventually(t, "b has left", func() bool { return a.stateOf("b") == membership.Left })
 }
