--- a/constraints/constraints.go
+++ b/constraints/constraints.go
@@ -40,8 +40,8 @@
 const AdoptedFlow time.Duration = -1
 
 // Constraint restricts the decisions of a balancer. Events arrive as they happen, after a call of SetTime. Queries are
-// answered from earlier events; apart from random draws and what they derive from these events, they change no state. A
-// constraint that needs few of the methods can embed Unconstrained, which has all of them but Name.
+// answered from earlier events. They change no state, except that they may draw random numbers and update what is derived
+// from these events. A constraint that needs few of the methods can embed Unconstrained, which has all of them but Name.
 type Constraint interface {
 	Name() string
 
--- a/internal/compatibility/keys_test.go
+++ b/internal/compatibility/keys_test.go
@@ -55,11 +55,11 @@
 	}
 }
 
-var figurePattern = regexp.MustCompile(`[0-9][0-9.]*(µs|ms|s)?`)
+var numberPattern = regexp.MustCompile(`[0-9][0-9.]*(µs|ms|s)?`)
 
 // tableShape replaces numbers by # and runs of spaces by one space, as both differ between runs.
 func tableShape(text string) string {
-	text = figurePattern.ReplaceAllString(text, "#")
+	text = numberPattern.ReplaceAllString(text, "#")
 	lines := strings.Split(text, "\n")
 	for i := range lines {
 		lines[i] = strings.Join(strings.Fields(lines[i]), " ")
--- a/internal/simulator/simulator.go
+++ b/internal/simulator/simulator.go
@@ -1,5 +1,6 @@
 // Package simulator connects instances of package decide to the simulator by its wire format. It decodes events into
-// calls and encodes actions. The names of the wire format are used in this package only, and it decides nothing itself.
+// calls and encodes actions. The names of the wire format are used in this package only. The package decides
+// nothing itself.
 package simulator
 
 import (
