--- a/internal/compatibility/keys_test.go
+++ b/internal/compatibility/keys_test.go
@@ -55,11 +55,11 @@
 	}
 }
 
-var figurePattern = regexp.MustCompile(`[0-9][0-9.]*(µs|ms|s)?`)
+var numberPattern = regexp.MustCompile(`[0-9][0-9.]*(µs|ms|s)?`)
 
 // tableShape replaces numbers by # and runs of spaces by one space, as both differ between runs.
 func tableShape(text string) string {
-	text = figurePattern.ReplaceAllString(text, "#")
+	text = numberPattern.ReplaceAllString(text, "#")
 	lines := strings.Split(text, "\n")
 	for i := range lines {
 		lines[i] = strings.Join(strings.Fields(lines[i]), " ")
@@ -99,7 +99,7 @@
 		return strings.Contains(runCommand(t, "daemon", "", "", "explain", "--json", "--socket", d.socket, "1").stdout, `"established"`)
 	})
 	if code, answer := d.call("POST", "/control/servers/a/offline"); code != 200 {
-		t.Error(answer)
+		t.Error("the call of offline failed:", answer)
 	}
 	compareGolden(t, "keys/explain.txt", jsonKeys(t, runWithOptions("explain", "--json").stdout, ".bounds_acted"))
 	compareGolden(t, "keys/why.txt", jsonKeys(t, runWithOptions("explain", "--json", "1").stdout, ".barred"))
--- a/internal/simulator/simulator.go
+++ b/internal/simulator/simulator.go
@@ -1,5 +1,6 @@
 // Package simulator connects instances of package decide to the simulator by its wire format. It decodes events into
-// calls and encodes actions. The names of the wire format are used in this package only, and it decides nothing itself.
+// calls and encodes actions. The names of the wire format are used in this package only. The package decides
+// nothing itself.
 package simulator
 
 import (
@@ -17,8 +18,8 @@
 type host struct {
 	decoder
 	out        *bufio.Writer
-	now        int64     // of the current batch, in nanoseconds
-	current    *instance // that the events are for; nil: none named yet in this batch
+	now        int64     // time of the current batch, in nanoseconds
+	current    *instance // instance that the next events are for; nil: none named yet in this batch
 	lastActing int       // id of the instance whose actions were written last; -1: none in this batch
 	instances  map[int]*instance
 	lists      [maxLists][]listEntry
