--- a/internal/protocol/attempt.go
+++ b/internal/protocol/attempt.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// resumeTimeout bounds all attempts to resume a flow that was open before the balancer's start. A flow that is not
-	// resumed within 40 s is lost.
+	// resumeTimeout bounds the time for all attempts to resume a flow that was open before the balancer's start. A flow
+	// that is not resumed within 40 s is lost.
 	resumeTimeout       = 36 * time.Second
 	resumeRetryInterval = 200 * time.Millisecond
 )
@@ -113,9 +113,9 @@
 	return server, routing.OK
 }
 
-// isStillWanted is the last check before the SYN, and again before the first byte is sent. Since the decision or since
-// the SYN, the timeout may have expired, the server may have begun to drain, or the client may have disconnected. The
-// client's socket is checked directly, because the goroutine that reads from it may not have run yet.
+// isStillWanted reports whether the attempt may go on. It is called directly before the SYN and again before the first
+// byte is sent: meanwhile the timeout may have expired, the server may have begun to drain, or the client may have
+// disconnected. The client's socket is checked directly, because the goroutine that reads from it may not have run yet.
 func (s *session) isStillWanted(ctx context.Context) bool {
 	if s.client.HasPendingInput() {
 		<-ctx.Done() // readClient is about to cancel the context
--- a/internal/protocol/attempt_test.go
+++ b/internal/protocol/attempt_test.go
@@ -105,13 +105,13 @@
 	answer := client.line()
 	took := time.Since(start)
 	if took < serverTime {
-		t.Fatalf("got reply %q after %v", answer, took)
+		t.Fatalf("the client received %q after %v, before the timeout sent to the server expired", answer, took)
 	}
 	if answer == "BUSY 700" { // the timeout expired before the line could be sent: no attempt was made
 		return false
 	}
 	if answer != "ERR no answer" {
-		t.Fatalf("answered %q", answer)
+		t.Fatalf("the client received %q, want ERR no answer", answer)
 	}
 	client.want("EOF")
 	a := <-arrived
@@ -136,7 +136,7 @@
 	for i := range 4 {
 		client := b.client(fmt.Sprintf("OPEN %d 2 c=live,d=1\r\n", i))
 		if got := lineKind(client.line()); got != "BUSY" && got != "ERR" {
-			t.Errorf("answered %q", got)
+			t.Errorf("a client without time left received %q, want BUSY or ERR", got)
 		}
 	}
 	client := b.client(openFlowLine)
@@ -168,7 +168,7 @@
 	client := b.client("OPEN 1 2 c=live,d=900000,at=s1\r\n")
 	server, line := accept(t, own)
 	if !strings.HasSuffix(line, ",at=s1") {
-		t.Errorf("the server got %q", line)
+		t.Errorf("the server of a resumed flow got %q", line)
 	}
 	server.send("BUSY\r\n")
 	server, _ = accept(t, own)
--- a/internal/protocol/discovery.go
+++ b/internal/protocol/discovery.go
@@ -28,9 +28,9 @@
 	// is reserved for applying a response that has been received.
 	changeTimeout = 6 * time.Second
 	applyTime     = 200 * time.Millisecond
-	// agentReopenDelay bounds the delay before a watch is reopened at an agent that sent something on it. It is short,
-	// as no other balancer watches that agent. Where nothing was received, a slow failure raises the bound, see
-	// reopenDelay.
+	// agentReopenDelay bounds the delay before a watch is reopened at an agent that sent a heartbeat or part of an
+	// object on it. It is short, as no other balancer watches that agent. If the agent sent neither, a slow failure
+	// raises the bound, see reopenDelay.
 	agentReopenDelay = 100 * time.Millisecond
 
 	maxHeaderBytes  = 64 << 10
@@ -52,8 +52,8 @@
 
 	// Only Run's goroutine uses these.
 	random      *rand.Rand // spreads the balancers' requests over time
-	watchIsLost bool       // the last watch failed, and nothing has been received since
-	hadContact  bool       // something was received on the last watch
+	watchIsLost bool       // the last watch failed, and no heartbeat or complete object has been received since
+	hadContact  bool       // a heartbeat or part of an object was received on the last watch
 
 	mu           sync.Mutex // guards the fields below
 	url          string
@@ -179,7 +179,7 @@
 	}
 }
 
-// onContact records that something was received from discovery.
+// onContact records that a heartbeat or a complete object was received from discovery.
 func (d *Discovery) onContact() {
 	d.hadContact = true
 	if d.watchIsLost {
--- a/internal/protocol/discovery_test.go
+++ b/internal/protocol/discovery_test.go
@@ -188,7 +188,7 @@
 		select {
 		case <-applied:
 			if d.revision.Load() != 9 {
-				t.Errorf("%v: revision %d", callNames(before), d.revision.Load())
+				t.Errorf("%v: revision %d, want 9", callNames(before), d.revision.Load())
 			}
 		case <-time.After(600 * sec):
 			t.Errorf("%v: never applied", callNames(before))
@@ -311,7 +311,7 @@
 		t.Errorf("%d errors, want one that contains %q and %v:\n%s", n, c.cause, l.Addr(), got)
 	}
 	if d.revision.Load() != 9 {
-		t.Errorf("revision %d", d.revision.Load())
+		t.Errorf("revision %d, want 9", d.revision.Load())
 	}
 }
 
--- a/internal/protocol/draining.go
+++ b/internal/protocol/draining.go
@@ -36,7 +36,7 @@
 
 // Drain asks all clients to reconnect, spread evenly between two times from now: all at once, they would overload the
 // other balancers and the capacity for connection set-ups that all clients share. Clients that connect during the drain
-// are served, and asked to reconnect in turn. No client is asked before the first time: until then the layer in front
+// are served, and later asked to reconnect too. No client is asked before the first time: until then the layer in front
 // of the balancers still sends clients here, and half of those that reconnect would return to this balancer. Drain
 // returns when the context ends.
 func (f *Frontend) Drain(ctx context.Context, from, until time.Duration) {
--- a/internal/protocol/endpointlist.go
+++ b/internal/protocol/endpointlist.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	// maxServers bounds a list, as a faulty one could exhaust the process's memory.
+	// maxServers bounds the length of a list, as a faulty list could exhaust the process's memory.
 	maxServers   = 16_384
 	maxListBytes = maxServers * 256
 )
@@ -61,8 +61,8 @@
 }
 
 // parseList reads one object, member by member, so that the text of a long one is never held in memory. The caller
-// commits the result; if any part of the object is invalid there is none. An object may be indented, so that the end of
-// a line does not end it.
+// commits the result; if any part of the object is invalid there is none. An object may be indented: the end of a line
+// does not end it.
 func (d *Discovery) parseList(objects *json.Decoder, kind routing.UpdateKind) (*endpointList, error) {
 	opening, err := objects.Token()
 	if err != nil {
--- a/internal/protocol/endpointlist_test.go
+++ b/internal/protocol/endpointlist_test.go
@@ -123,7 +123,7 @@
 	}
 	for end := time.Now().Add(hangTimeout); d.revision.Load() != 7; time.Sleep(ms) {
 		if time.Now().After(end) {
-			t.Fatalf("revision %d", d.revision.Load())
+			t.Fatalf("revision %d, want 7", d.revision.Load())
 		}
 	}
 }
--- a/internal/protocol/flowids.go
+++ b/internal/protocol/flowids.go
@@ -128,7 +128,7 @@
 func (f *Frontend) ClaimID(id string) (wasFree bool) { return f.ids.claim(id) }
 
 // ShareIDs returns the ids in use, as keyed hashes, for another process that imports them. From then on
-// claimElsewhere, which claims it at that process, is called for each new id; calling ShareIDs with nil ends this.
+// claimElsewhere is called for each new id, to claim it at that process; calling ShareIDs with nil ends this.
 func (f *Frontend) ShareIDs(claimElsewhere func(hash uint64) (taken bool)) (key, ids []byte) {
 	return f.ids.export(claimElsewhere)
 }
--- a/internal/protocol/frontend.go
+++ b/internal/protocol/frontend.go
@@ -58,7 +58,7 @@
 	mu                 sync.Mutex   // guards the fields below
 	connectionCount    int          // sessions that have not ended
 	established        []*session   // those whose clients Drain has not asked to reconnect
-	transferConnection TransferFunc // nil if there is no other process
+	transferConnection TransferFunc // set by TransferConnections; nil before its first call
 }
 
 // NewFrontend returns a frontend. connectTimeout bounds the TCP handshake with a server. retryAfter is sent to clients
--- a/internal/protocol/frontend_test.go
+++ b/internal/protocol/frontend_test.go
@@ -70,7 +70,7 @@
 				t.Errorf("after the replies: received %q, %v, want the end of the connection", more, err)
 			}
 			if took := time.Since(start); took > 3*sec {
-				t.Errorf("ended after %v", took)
+				t.Errorf("the connection ended after %v, want within 3 s", took)
 			}
 		})
 	}
@@ -170,7 +170,7 @@
 		time.AfterFunc(50*ms, func() { _, _ = io.WriteString(server, " 1\r\n") })
 		go func() {
 			if got := []string{client.line(), client.line()}; !slices.Equal(got, []string{"M 1", "MOVE"}) {
-				t.Errorf("got %q", got)
+				t.Errorf("a client received %q, want the rest of its line, then MOVE", got)
 			}
 			moved <- time.Since(start)
 			client.close()
--- a/internal/protocol/healthcheck_test.go
+++ b/internal/protocol/healthcheck_test.go
@@ -37,7 +37,7 @@
 		l := listen(t)
 		closeQuietly(l)
 		if outcome, _ := checkHealth(t.Context(), l.Addr().String(), sec); outcome != routing.Unreachable {
-			t.Errorf("outcome %v", outcome)
+			t.Errorf("outcome %v, want unreachable", outcome)
 		}
 	})
 }
--- a/internal/protocol/lines.go
+++ b/internal/protocol/lines.go
@@ -52,7 +52,7 @@
 	return codec.writer.PrintfLine(format, a...)
 }
 
-// lineKind returns the first word of a line, which is its type.
+// lineKind returns the kind of a line, which is its first word.
 func lineKind(line string) string {
 	kind, _, _ := strings.Cut(line, " ")
 	return kind
--- a/internal/protocol/open_test.go
+++ b/internal/protocol/open_test.go
@@ -22,7 +22,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := withTimeout(c.line, c.left); got != c.want {
-				t.Errorf("%q, want %q", got, c.want)
+				t.Errorf("forwarded line %q, want %q", got, c.want)
 			}
 		})
 	}
@@ -45,7 +45,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got, err := parseOpen(c.line); err != nil || got != c.want {
-				t.Errorf("%+v, %v; want %+v", got, err, c.want)
+				t.Errorf("parsed as %+v, %v; want %+v", got, err, c.want)
 			}
 		})
 	}
--- a/internal/protocol/races_test.go
+++ b/internal/protocol/races_test.go
@@ -190,7 +190,7 @@
 	start := time.Now()
 	server.want("EOF")
 	if took := time.Since(start); took > sec {
-		t.Errorf("ended after %v", took)
+		t.Errorf("the connection to the server ended after %v, want within 1 s", took)
 	}
 }
 
@@ -363,6 +363,6 @@
 	}
 	upLine, outcome := s.attempt(t.Context(), decision.Addr, decision.Deadline)
 	if upLine != "" || outcome != routing.NeverSent {
-		t.Errorf("got %q, outcome %v", upLine, outcome)
+		t.Errorf("the attempt returned %q with outcome %v, want no line and that nothing was sent", upLine, outcome)
 	}
 }
--- a/internal/protocol/relay_test.go
+++ b/internal/protocol/relay_test.go
@@ -51,7 +51,7 @@
 				t.Errorf("%d of 100 descriptors are free, want all", free)
 			}
 			if took := time.Since(start); took > sec {
-				t.Errorf("held for %v", took)
+				t.Errorf("all descriptors were released after %v, want within 1 s", took)
 			}
 		})
 	}
--- a/internal/protocol/session.go
+++ b/internal/protocol/session.go
@@ -43,7 +43,7 @@
 	openLine     string
 	info         FlowInfo
 	flow         *routing.Flow
-	lastLineKind string // of the server's last line
+	lastLineKind string // kind of the server's last line
 
 	settled    chan struct{} // closed once the connection is established or has failed
 	clientDone chan struct{} // closed once readClient has returned
@@ -57,7 +57,7 @@
 	isParked   bool         // readClient stopped for a transfer of the connection; valid once clientDone is closed
 
 	// Guarded by the frontend's mutex.
-	establishedIndex int           // in frontend.established; -1 once it was removed
+	establishedIndex int           // index in frontend.established; -1 once it was removed
 	transferEnded    chan struct{} // closed once a transfer succeeded or failed; nil if none is in progress
 }
 
--- a/internal/protocol/transfer.go
+++ b/internal/protocol/transfer.go
@@ -59,7 +59,8 @@
 type TransferFunc func(c EstablishedConnection, client, server syscall.Conn) bool
 
 // TransferConnections transfers all established connections, MaxConcurrentTransfers at a time, until the context ends.
-// Connections that can't be transferred stay here. It returns the number of connections transferred and their total.
+// Connections that can't be transferred stay here. It returns the number of connections transferred, and the number
+// of established ones at the time of the call.
 func (f *Frontend) TransferConnections(ctx context.Context, transfer TransferFunc) (transferred, total int) {
 	f.mu.Lock()
 	f.transferConnection = func(c EstablishedConnection, client, server syscall.Conn) bool {
--- a/internal/protocol/watch_test.go
+++ b/internal/protocol/watch_test.go
@@ -241,11 +241,11 @@
 		select {
 		case <-begun:
 		case <-timeout:
-			t.Fatalf("%d calls, want %d", i, calls)
+			t.Fatalf("%d dials were begun, want %d", i, calls)
 		}
 	}
 	if most.Load() > calls/4 { // usually one that ends and one that begins; more on a busy machine
-		t.Errorf("%d dials at once", most.Load())
+		t.Errorf("%d dials were open at once", most.Load())
 	}
 }
 
