--- a/internal/routing/endpoints.go
+++ b/internal/routing/endpoints.go
@@ -21,12 +21,12 @@
 // Endpoint is one server's entry in an endpoint list.
 type Endpoint struct {
 	Name      string
-	Addr      string // at which this balancer reaches it
+	Addr      string // address at which this balancer reaches it
 	Zone      string
 	Cell      int
 	Size      float64
 	Readiness Readiness
-	StartedAt time.Time // by the clock of the list's publisher; zero: not reported, treated as long ago
+	StartedAt time.Time // last start by the clock of the list's publisher; zero: not reported, treated as long ago
 }
 
 // Readiness says whether an endpoint accepts flows.
--- a/internal/routing/flow.go
+++ b/internal/routing/flow.go
@@ -59,7 +59,7 @@
 
 	// The router's mutex guards the fields below.
 	server           *server
-	attemptStartedAt time.Duration // of the last attempt
+	attemptStartedAt time.Duration // when the last attempt started
 	adopt            func()        // adopts a resumed flow once its connection is established; otherwise nil
 
 	isMigrating   bool // its client was asked to reconnect, or will be once onMigrate is set
@@ -69,8 +69,8 @@
 	awaitingSince time.Duration // when the oldest unanswered request was sent; 0: there is none
 	lastRequestAt time.Duration // when the client last sent a request
 
-	links       [linkCount]flowLink // in the latency tracker's lists
-	serverIndex int                 // in server.established
+	links       [linkCount]flowLink // its positions in the latency tracker's lists
+	serverIndex int                 // its index in server.established
 }
 
 // newFlow returns a flow and its request in the types of package decide.
--- a/internal/routing/latency.go
+++ b/internal/routing/latency.go
@@ -15,7 +15,7 @@
 const (
 	latencyCheckInterval  = 250 * time.Millisecond
 	latencySampleInterval = time.Second // between two samples of a late server
-	// roundTripMaxAge is the maximum age of a round trip that counts, about the interval at which clients send.
+	// roundTripMaxAge is the maximum age of a round trip that counts. It is about the interval at which clients send.
 	roundTripMaxAge     = 2 * time.Second
 	roundTripWindowSize = 16
 	// replyTimeout is the longest that a line may wait for its reply before the client is asked to reconnect. It is
@@ -44,7 +44,7 @@
 // roundTripWindow holds the last round-trip times of lines to a server.
 type roundTripWindow struct {
 	receivedAt, durations []time.Duration
-	reportedAt            time.Duration // of the last late sample; 0: the server is on time
+	reportedAt            time.Duration // when the last late sample was reported; 0: the server is on time
 }
 
 func (w *roundTripWindow) add(at, roundTrip time.Duration) {
@@ -83,7 +83,7 @@
 	}
 }
 
-// OnRequest records that a line was sent to the server. If several lines are unanswered, the oldest one counts.
+// OnRequest records a request, which is a line to the server. If several are unanswered, the oldest one counts.
 func (f *Flow) OnRequest() {
 	f.router.mu.Lock()
 	defer f.router.mu.Unlock()
@@ -101,7 +101,7 @@
 	}
 }
 
-// OnReply records that a line arrived from the server.
+// OnReply records a reply, which is a line from the server. It answers all requests so far.
 func (f *Flow) OnReply() {
 	f.router.mu.Lock()
 	defer f.router.mu.Unlock()
--- a/internal/routing/metrics.go
+++ b/internal/routing/metrics.go
@@ -26,7 +26,8 @@
 	loadWindowSize        = 64
 	// loadOutlierFactor is how many times smaller than all recent loads a metric must be to be ruled out as a load.
 	loadOutlierFactor = 4
-	// resetProximity is how long after a reset a metric counts as a latency: late servers reset connections.
+	// resetProximity is how long after a reset a metric above the threshold counts as a latency: late servers reset
+	// connections.
 	resetProximity = 20 * time.Millisecond
 )
 
@@ -49,8 +50,8 @@
 // means none.
 type metricClassifier struct {
 	candidates            []latencyCandidate
-	currentSeriesSampleAt time.Duration // last sample of the current series
-	lastSampleAt          time.Duration // last sample of any series
+	currentSeriesSampleAt time.Duration // when the last sample of the current series was received
+	lastSampleAt          time.Duration // when the last sample of any series was received
 	lastResetAt           time.Duration // when the server last reset a connection
 }
 
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -50,7 +50,7 @@
 	Configure func(*decide.Balancer) (map[string]decide.ServiceID, map[string]decide.CustomerID)
 }
 
-// Router owns the decide.Balancer of a process and serializes access to it.
+// Router owns the decide.Balancer of a process and serialises access to it.
 type Router struct {
 	checkPending chan struct{} // signalled while pendingChecks is not empty
 	earlierTimer chan struct{} // signalled when a timer is set that is due before all others
@@ -69,7 +69,7 @@
 
 	servers      map[decide.ServerID]*server
 	serverIDs    map[string]decide.ServerID
-	serverOrder  []*server // in the order first listed: decisions must not depend on map iteration order
+	serverOrder  []*server // in the order in which they became known: decisions must not depend on map iteration order
 	hasEndpoints bool
 	lastContact  time.Duration // time of the last contact with discovery; 0: none so far
 
--- a/internal/routing/router_test.go
+++ b/internal/routing/router_test.go
@@ -112,7 +112,7 @@
 	}
 	t.Run("an unknown service type", func(t *testing.T) {
 		if _, err := newRouter(t, true, true).OpenFlow(FlowRequest{Service: "dead", Timeout: sec}); !errors.Is(err, ErrUnknownService) {
-			t.Errorf("error %v", err)
+			t.Errorf("OpenFlow: error %v, want ErrUnknownService", err)
 		}
 	})
 }
--- a/internal/routing/servers.go
+++ b/internal/routing/servers.go
@@ -16,7 +16,7 @@
 type server struct {
 	name  string
 	addr  string
-	index int // in the router's serverOrder
+	index int // its index in the router's serverOrder
 
 	reportedStart time.Time     // when it last started, as the endpoint list reports it; zero: not reported
 	startedAt     time.Duration // when it last started, by the router's clock
--- a/internal/routing/snapshot.go
+++ b/internal/routing/snapshot.go
@@ -11,8 +11,8 @@
 type EndpointSnapshot struct {
 	Name          string        `json:"name"`
 	Addr          string        `json:"addr"`
-	StartReported int64         `json:"start_told_ms,omitempty"` // by the clock of the list's publisher, in Unix milliseconds; 0: not reported
-	Started       time.Duration `json:"started,omitempty"`       // by the router's clock
+	StartReported int64         `json:"start_told_ms,omitempty"` // last start by the clock of the list's publisher, in Unix milliseconds; 0: not reported
+	Started       time.Duration `json:"started,omitempty"`       // last start by the router's clock
 }
 
 // Snapshot is a balancer's state, for its successor. Servers and Decisions.Servers are in the same order.
--- a/internal/routing/state.go
+++ b/internal/routing/state.go
@@ -17,7 +17,7 @@
 // State is a balancer's state as the admin API returns it. The daemon fills in the first three fields.
 type State struct {
 	Phase         string         `json:"phase"`
-	OtherProcess  string         `json:"processes,omitempty"` // that of this balancer's other process, during a hand-over; empty: none
+	OtherProcess  string         `json:"processes,omitempty"` // which other process this balancer has, during a hand-over; empty: none
 	StoreFault    string         `json:"folder,omitempty"`    // the current error of the directory that the processes share; empty: none
 	Running       float64        `json:"running_s"`
 	Flows         int            `json:"flows"`
