--- a/internal/daemon/admin_calls_test.go
+++ b/internal/daemon/admin_calls_test.go
@@ -12,8 +12,8 @@
 )
 
 // After the out-of-service call PING is answered BUSY at once, clients that the platform still sends are served and
-// then migrated, and later ones are rejected with a Retry-After. The in-service call restores normal service, also when
-// it interrupts the drain. A balancer that is out of service stays so during the shutdown.
+// then migrated, and later ones are rejected with the time after which to retry. The in-service call restores normal
+// service, also when it interrupts the drain. A balancer that is out of service stays so during the shutdown.
 func TestOutOfServiceDrains(t *testing.T) {
 	const allowed = 4 * time.Second
 	h := newHarness(t).start(os.Getenv)
@@ -110,7 +110,7 @@
 }
 
 // A server is disabled before the response is sent: the next client, for which no other server is left, is rejected with
-// a Retry-After.
+// the time after which to retry.
 func TestDisabledServers(t *testing.T) {
 	h := newHarness(t).start(os.Getenv)
 	h.wantStatus("POST", "servers/b/offline", http.StatusNotFound)
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -42,14 +42,14 @@
 	directory           *store.Directory // shared with predecessor and successor; nil: no hand-over
 	socket              *handover.Socket // nil if directory is nil
 	disabled            *disabledStore   // nil if directory is nil
-	reservedDescriptors int              // not available to client connections
+	reservedDescriptors int              // not available for connections to clients and servers
 
 	listener        *transport.PausableListener // for clients
 	explainListener net.Listener                // nil: none is configured
 
 	lifecycle  *lifecycle
 	goroutines sync.WaitGroup // started by Serve, which waits for them before it returns
-	relisten   chan struct{}  // receives when another process has replaced the hand-over socket
+	relisten   chan struct{}  // receives when a successor has exited, which may have replaced the hand-over socket
 
 	// changeMu serialises operators' changes, and blocks them while the state is handed over. It guards the fields
 	// below.
@@ -154,7 +154,7 @@
 }
 
 // serveClients accepts clients until acceptCtx ends. The channel receives the listener's error when no connection is
-// left. That includes connections taken over from a predecessor: the listener did not accept them, so that
+// left, neither an accepted one nor one taken over from a predecessor. The listener did not accept the latter, so that
 // transport.Serve doesn't wait for them.
 func (d *Daemon) serveClients(ctx, acceptCtx context.Context) (finished <-chan error) {
 	result := make(chan error, 1)
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -94,10 +94,10 @@
 	}
 	const clientTimeout = 800 * time.Millisecond // as configured
 	if took := time.Since(start); took > clientTimeout+shutdownDrainSlack {
-		t.Errorf("stopped after %v", took)
+		t.Errorf("the shutdown took %v, longer than the platform waits", took)
 	}
 	if now := h.daemon.lifecycle.current(); now != stopped {
-		t.Errorf("phase %s", now)
+		t.Errorf("phase %s after Serve returned, want stopped", now)
 	}
 }
 
@@ -171,7 +171,7 @@
 			writeConfig(t, path, c.text)
 			err := Check(t.Context(), Source{ConfigPath: path, Environment: os.Getenv})
 			if err == nil || !strings.HasPrefix(err.Error(), c.want) {
-				t.Errorf("%v, want %s", err, c.want)
+				t.Errorf("Check: %v, want %s", err, c.want)
 			}
 		})
 	}
--- a/internal/daemon/descriptors_test.go
+++ b/internal/daemon/descriptors_test.go
@@ -153,14 +153,14 @@
 	case at := <-watched:
 		t.Logf("watched after %v", at.Sub(back))
 		if at.Sub(back) > allowed {
-			t.Errorf("watched after %v", at.Sub(back))
+			t.Errorf("the list is watched after %v, which is too late", at.Sub(back))
 		}
 	case <-time.After(testTimeout):
 		t.Fatal("the list is not watched")
 	}
 	h.awaitStatus("POST", "servers/b/online", http.StatusOK) // the list is in effect
 	if took := time.Since(back); took > allowed {
-		t.Errorf("the list is in effect after %v", took)
+		t.Errorf("the list is in effect after %v, which is too late", took)
 	}
 }
 
--- a/internal/daemon/disabled_store.go
+++ b/internal/daemon/disabled_store.go
@@ -136,7 +136,7 @@
 	}
 }
 
-// synchronise loads and saves what is pending. done: nothing is left for this process to load or save.
+// synchronise loads and saves what is pending. It reports whether nothing is left for this process to load or save.
 func (s *disabledStore) synchronise(restore func(servers []string)) (done bool) {
 	if err := s.load(restore); err != nil {
 		s.recordResult(err)
--- a/internal/daemon/gossip.go
+++ b/internal/daemon/gossip.go
@@ -145,7 +145,7 @@
 	return record.Origin, isNew
 }
 
-// malformedMessage is the reason under which dropped messages are counted that can't be decoded, unless the error is
+// malformedMessage is the reason under which a message that can't be decoded is counted as dropped, unless the error is
 // more specific.
 const malformedMessage = "garbled"
 
--- a/internal/daemon/migrate_test.go
+++ b/internal/daemon/migrate_test.go
@@ -147,7 +147,7 @@
 	if c.err != "" {
 		c.wantError(t, err, output.String())
 	} else if got := output.String(); err != nil || !strings.HasSuffix(got, c.output) && !strings.Contains(got, "\n"+c.output) {
-		t.Errorf("%v, output %s", err, got)
+		t.Errorf("Migrate: %v, output %s", err, got)
 	}
 	if c.err != "" || c.dryRun {
 		if after := directory.contents(t); after != before {
@@ -156,7 +156,7 @@
 		return
 	}
 	if info, err := os.Stat(to); err != nil || info.Mode() != 0o640 || readFile(t, to) != fresh {
-		t.Errorf("%v, wrote %s", err, readFile(t, to))
+		t.Errorf("Migrate: stat %v, wrote %s", err, readFile(t, to))
 	}
 }
 
@@ -165,7 +165,7 @@
 func (c migrationCase) wantError(t *testing.T, err error, output string) {
 	t.Helper()
 	if err == nil || !strings.Contains(err.Error(), c.err) || strings.Contains(err.Error(), "\n") || output != "" {
-		t.Errorf("%v, output %q, want %s", err, output, c.err)
+		t.Errorf("Migrate: error %v, output %q, want an error with %s and no output", err, output, c.err)
 	}
 	if got, want := errors.Is(err, ErrConfiguration), c.to == ""; got != want {
 		t.Errorf("%v is ErrConfiguration: %v", err, got)
--- a/internal/daemon/process_test.go
+++ b/internal/daemon/process_test.go
@@ -109,7 +109,7 @@
 // awaitSuspended waits until SIGSTOP has taken effect.
 func (p *process) awaitSuspended() {
 	p.t.Helper()
-	awaitCondition(p.t, "the process is stopped", func() bool {
+	awaitCondition(p.t, "the process is suspended", func() bool {
 		stat, _ := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.cmd.Process.Pid))
 		return strings.Contains(string(stat), ") T ")
 	})
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -19,7 +19,7 @@
 	invalidReloadTimeout = 3 * time.Second
 	firstReloadRetry     = 20 * time.Millisecond
 	longestReloadRetry   = 500 * time.Millisecond
-	maxLoggedKeys        = 16 // changed settings that need a restart
+	maxLoggedKeys        = 16 // limit on the changed settings in one log line
 )
 
 // watchReloads reloads the configuration at each value of reloads, until the context ends.
--- a/internal/daemon/size_test.go
+++ b/internal/daemon/size_test.go
@@ -49,7 +49,7 @@
 			before := heapBytes()
 			d, err := prepare(t.Context(), Source{ConfigPath: h.path, Environment: os.Getenv})
 			if err != nil || d.cachedListError != nil {
-				t.Fatalf("%v, %v", err, d.cachedListError)
+				t.Fatalf("configuration: %v; cached endpoint list: %v", err, d.cachedListError)
 			}
 			used := heapBytes() - before
 			t.Logf("%d servers: %d KB without flows", servers, used>>10)
--- a/internal/daemon/suspended_test.go
+++ b/internal/daemon/suspended_test.go
@@ -145,7 +145,7 @@
 		t.Fatal(err)
 	}
 	t.Logf("the last client received %q", last)
-	want := strings.Count(last, "UP 2") // it may be rejected with a Retry-After if capacity is short
+	want := strings.Count(last, "UP 2") // it may be told when to retry if capacity is short
 	p.signal(syscall.SIGTERM)           // when the process has exited no further connection can follow
 	_ = p.cmd.Wait()                    // TestLifecycle checks the shutdown
 	server.awaitAccepted(t)
--- a/internal/daemon/upgrade.go
+++ b/internal/daemon/upgrade.go
@@ -13,12 +13,12 @@
 	// 6 s for the hand-over, until this process serves.
 	takeOverTimeout       = 5500 * time.Millisecond
 	takeOverRetryInterval = 50 * time.Millisecond // between attempts to take over
-	// How long to retry a directory that can't be read, before this process starts without a predecessor.
+	// How long to retry transient system errors in the search for a predecessor, before this process starts alone.
 	findTimeout           = time.Second
 	requestTimeout        = 2 * time.Second        // for a reply of the other process
 	claimTimeout          = 200 * time.Millisecond // for a reply that a client is waiting for
 	usageInterval         = 100 * time.Millisecond // between checks of how many descriptors are in use
-	transferRetryInterval = 100 * time.Millisecond // until connections established since the last transfer are transferred
+	transferRetryInterval = 100 * time.Millisecond // between rounds of transfers; later rounds transfer the connections established meanwhile
 )
 
 // Names of the descriptors that are sent with the state.
@@ -35,7 +35,7 @@
 	messageServing         = "have"  // from the successor: it has begun to serve
 	messageApplyChange     = "set"   // from the successor: a change that it decided on
 	messageRequestChange   = "ask"   // from the predecessor: a change that an operator requested there
-	messageClaimID         = "claim" // from the predecessor: claims a connection id
+	messageClaimID         = "claim" // from the predecessor: claims a flow id
 	messageTransfer        = "carry" // from the predecessor: transfers an established connection
 	messageDescriptorUsage = "held"  // from the predecessor: number of descriptors that it has in use
 )
--- a/internal/daemon/upgrade_predecessor.go
+++ b/internal/daemon/upgrade_predecessor.go
@@ -159,7 +159,7 @@
 	return handover.Response{Body: state, Descriptors: sockets}, nil
 }
 
-// claimID claims a connection id at the successor. Without a reply in time the id is treated as free.
+// claimID claims a flow id at the successor. Without a reply in time the id is treated as free.
 func claimID(ctx context.Context, link *handover.Link, hash uint64) (taken bool) {
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
--- a/internal/daemon/upgrade_requests.go
+++ b/internal/daemon/upgrade_requests.go
@@ -40,7 +40,7 @@
 	return handover.Response{Body: false}, err
 }
 
-// handleClaimID claims a connection id for the predecessor. The reply says whether the id was already taken.
+// handleClaimID claims a flow id for the predecessor. The reply says whether the id was already taken.
 func (d *Daemon) handleClaimID(_ context.Context, request handover.Request) (handover.Response, error) {
 	var hash uint64
 	if err := json.Unmarshal(request.Body, &hash); err != nil {
--- a/internal/daemon/upgrade_test.go
+++ b/internal/daemon/upgrade_test.go
@@ -50,7 +50,7 @@
 	t.Helper()
 	conn, err := socket.Connect(t.Context())
 	if err != nil || conn == nil {
-		t.Fatalf("%v, %v", conn, err)
+		t.Fatalf("Connect: %v, %v", conn, err)
 	}
 	link := handover.NewLink(conn, nil, nil)
 	go func() { _ = link.Run(t.Context()) }() // an error shows in the replies
@@ -183,7 +183,7 @@
 				}
 			}
 			if now := old.daemon.lifecycle.current(); len(steps) > 1 && now != handingOver {
-				t.Errorf("phase %s", now)
+				t.Errorf("phase %s after the state was sent, want handing over", now)
 			}
 			link.Close()
 			old.awaitStatus("GET", "ready", http.StatusOK)
@@ -212,7 +212,7 @@
 	old.wantStatus("POST", "out-of-service", http.StatusOK)
 	next := old.successor().start(environment)
 	if now := next.daemon.lifecycle.current(); now != draining && now != drained {
-		t.Errorf("the successor is %s", now)
+		t.Errorf("the successor is %s, want out of service", now)
 	}
 	wantMigration(t, client)
 	old.wantStatus("POST", "in-service", http.StatusOK)
@@ -281,13 +281,13 @@
 	}
 	conn, err := socket.Connect(t.Context())
 	if err != nil || conn == nil {
-		t.Fatalf("%v, %v", conn, err)
+		t.Fatalf("Connect: %v, %v", conn, err)
 	}
 	_, _ = conn.Write([]byte("GET / HTTP/1.1\r\n\r\n"))
 	_, _ = io.Copy(io.Discard, conn) // until the other end closes it
 	_ = conn.Close()
 	if now := h.daemon.lifecycle.current(); now != serving {
-		t.Errorf("phase %s", now)
+		t.Errorf("phase %s after invalid peers, want serving", now)
 	}
 	h.wantFlow("afterwards", "UP 1")
 	h.end()
