--- a/internal/handover/link_test.go
+++ b/internal/handover/link_test.go
@@ -87,7 +87,7 @@
 		t.Errorf("slow reply: %q, %v", text, err)
 	}
 	if got := strings.Join(received, ""); got != `001122""` {
-		t.Errorf("received %q", got)
+		t.Errorf("the bodies of ordered messages were received as %q, want them in the order sent", got)
 	}
 	far.Close()
 	for range 2 {
@@ -134,7 +134,7 @@
 	var text string
 	files, err := request(ctx, near, "give", &text)
 	if err != nil || len(files) != 1 || text != "socket" {
-		t.Fatalf("%d files with %q, %v", len(files), text, err)
+		t.Fatalf("received %d files with %q, %v; want one file with the text socket", len(files), text, err)
 	}
 	received, err := net.FileListener(files[0])
 	closeFiles(files)
--- a/internal/handover/state.go
+++ b/internal/handover/state.go
@@ -25,7 +25,7 @@
 	DiscoveryAddress string `json:"discovery"`
 	Revision         int64  `json:"revision"` // of the endpoint list from that address; -1: none
 	IDHashKey        []byte `json:"ids_key"`  // key of the hash function for the ids
-	IDHashes         []byte `json:"ids"`      // concatenated hashes of the connection ids in use
+	IDHashes         []byte `json:"ids"`      // concatenated hashes of the flow ids in use
 	DescriptorsInUse int    `json:"held"`     // number of descriptors that the predecessor has in use
 
 	Router          routing.Snapshot `json:"memory"`
