--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -47,7 +47,7 @@
 
 	// budget is the one in which a client's connection is counted; nil: none. Its mutex guards the fields below.
 	budget       *DescriptorBudget
-	descriptors  int  // counted for this connection
+	descriptors  int  // number of descriptors counted for this connection
 	isUnfinished bool // it has not been sent its last line
 	idleElement  *list.Element
 	idleSince    time.Time
--- a/internal/transport/listener.go
+++ b/internal/transport/listener.go
@@ -29,7 +29,7 @@
 	Finish()
 }
 
-// errFinished means that the queue of a finishing listener is empty.
+// errFinished means that a finishing listener accepts no more connections.
 var errFinished = errors.New("listener has finished")
 
 // PausableListener is a listener that can be paused: new connections then wait in the kernel's accept queue, which
@@ -113,8 +113,9 @@
 // setAcceptDeadline sets the deadline of accepts, a pending one included; the zero time removes it.
 func (p *PausableListener) setAcceptDeadline(t time.Time) { _ = p.SetDeadline(t) } // fails on a closed listener only
 
-// Accept fails with errFinished once the queue of a finishing listener is empty. Before that, an exceeded deadline was
-// set by Pause, even if Resume has been called since, and Accept continues.
+// Accept fails with errFinished once the queue of a finishing listener counts as empty, or if that listener is paused.
+// It continues after any other exceeded deadline: that was set by Pause, even if Resume has been called since, or by
+// Finish while the accept was pending.
 func (p *PausableListener) Accept() (net.Conn, error) {
 	for {
 		isFinishing, err := p.prepareAccept()
@@ -132,7 +133,7 @@
 }
 
 // prepareAccept waits while the listener is paused. If the listener is finishing, it sets the deadline of the next
-// accept, or fails with errFinished.
+// accept, or fails with errFinished if no further connection is to be accepted.
 func (p *PausableListener) prepareAccept() (isFinishing bool, err error) {
 	p.mu.Lock()
 	resumed := p.resumed
