--- a/internal/daemon/admin_calls.go
+++ b/internal/daemon/admin_calls.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	callTimeout         = 750 * time.Millisecond // for both processes to apply a change
+	callTimeout         = 750 * time.Millisecond // limit on the time in which both processes apply a change
 	changeRetryInterval = time.Millisecond       // after a successor has exited, until this process decides on changes again
 )
 
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -40,7 +40,7 @@
 		h.t.Fatal(err)
 	}
 	if got, err := in.ReadString('\n'); got != "M 1\r\n" {
-		h.t.Fatalf("got %q, %v", got, err)
+		h.t.Fatalf("the line was echoed as %q, %v", got, err)
 	}
 	return in
 }
@@ -149,7 +149,7 @@
 					t.Fatal(err)
 				}
 				if got, err := bufio.NewReader(client).ReadString('\n'); err != nil {
-					t.Fatalf("received %q, %v", got, err)
+					t.Fatalf("the client received no line before the shutdown: %q, %v", got, err)
 				}
 			}
 			h.stop()
--- a/internal/daemon/harness_test.go
+++ b/internal/daemon/harness_test.go
@@ -238,7 +238,7 @@
 			return
 		}
 		if time.Now().After(end) {
-			h.t.Fatalf("%s %s: %d, want %d", method, call, got, want)
+			h.t.Fatalf("%s %s: status %d, want %d", method, call, got, want)
 		}
 	}
 }
@@ -247,7 +247,7 @@
 func (h *harness) wantStatus(method, call string, want int) {
 	h.t.Helper()
 	if got := h.callAdmin(h.t.Context(), method, call); got != want {
-		h.t.Errorf("%s %s: %d, want %d", method, call, got, want)
+		h.t.Errorf("%s %s: status %d, want %d", method, call, got, want)
 	}
 }
 
--- a/internal/daemon/migrate_test.go
+++ b/internal/daemon/migrate_test.go
@@ -168,7 +168,7 @@
 		t.Errorf("Migrate: error %v, output %q, want an error with %s and no output", err, output, c.err)
 	}
 	if got, want := errors.Is(err, ErrConfiguration), c.to == ""; got != want {
-		t.Errorf("%v is ErrConfiguration: %v", err, got)
+		t.Errorf("error %v matches ErrConfiguration: %v, want the opposite", err, got)
 	}
 }
 
--- a/internal/daemon/shutdown.go
+++ b/internal/daemon/shutdown.go
@@ -13,8 +13,8 @@
 	migrationMargin    = 450 * time.Millisecond // from the last request to migrate to the exit
 	exitMargin         = 150 * time.Millisecond // from the exit to the kill
 
-	// newClientsWindow is how long the platform still sends new connections to this process after the stop signal or
-	// the out-of-service call.
+	// newClientsWindow is how long the platform, by its layer in front of the balancers, still sends new connections to
+	// this process after the stop signal or the out-of-service call.
 	newClientsWindow = 400 * time.Millisecond
 	minDrainDuration = 50 * time.Millisecond
 )
--- a/internal/daemon/upgrade_test.go
+++ b/internal/daemon/upgrade_test.go
@@ -196,7 +196,7 @@
 	next.end()
 	old.awaitStatus("GET", "ready", http.StatusOK)
 	if now := old.daemon.lifecycle.current(); now != draining && now != drained {
-		t.Errorf("phase %s after an out-of-service call at the successor that exited", now)
+		t.Errorf("phase %s after an out-of-service call at the successor that exited, want draining or drained", now)
 	}
 	old.wantStatus("POST", "in-service", http.StatusOK)
 	third := old.successor().start(environment) // the predecessor can be found again
@@ -275,7 +275,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			link := connectLink(t, socket)
 			if _, err := link.Request(c.kind, c.body).Wait(t.Context(), nil); !errors.Is(err, handover.ErrRefused) {
-				t.Errorf("got %v, want ErrRefused", err)
+				t.Errorf("the request ended with %v, want ErrRefused", err)
 			}
 		})
 	}
--- a/internal/handover/state.go
+++ b/internal/handover/state.go
@@ -53,7 +53,7 @@
 // Change is an operator's call that both processes must apply.
 type Change struct {
 	Kind   ChangeKind `json:"kind"`
-	Server string     `json:"server,omitempty"` // of Offline and Online
+	Server string     `json:"server,omitempty"` // set for Offline and Online
 }
 
 // ChangeKind is the kind of a Change. Its values are sent on the link.
--- a/internal/protocol/discovery_test.go
+++ b/internal/protocol/discovery_test.go
@@ -162,7 +162,7 @@
 				return // cancelled before the request was written
 			}
 			if q.Host != "discovery:80" || number <= len(before) && q.FormValue("index") != "5" {
-				t.Errorf("%v: request %d to %s for %s", callNames(before), number, q.Host, q.URL)
+				t.Errorf("%v: unexpected request %d to %s for %s", callNames(before), number, q.Host, q.URL)
 			}
 			if number < len(before) {
 				before[number].serve(c, &upToDate)
--- a/internal/protocol/overload_test.go
+++ b/internal/protocol/overload_test.go
@@ -31,7 +31,7 @@
 		cancel()
 		running.Wait()
 		if service.answered != balancers { // a balancer that has the list sends no more requests
-			t.Errorf("%d of %d got the list within 40 s", service.answered, balancers)
+			t.Errorf("%d of %d balancers got the list within 40 s", service.answered, balancers)
 		}
 	})
 }
@@ -108,7 +108,7 @@
 	}
 	time.Sleep(outage + changeTimeout)
 	if n := int(answered.Load()); n != balancers {
-		t.Errorf("%d of %d got the list within %v", n, balancers, changeTimeout)
+		t.Errorf("%d of %d balancers got the list within %v", n, balancers, changeTimeout)
 	}
 	for _, stop := range stops {
 		stop()
--- a/internal/routing/flow.go
+++ b/internal/routing/flow.go
@@ -45,7 +45,7 @@
 	Customer string // empty: none
 	Key      string
 	Group    string        // shared by related flows; empty: none
-	Timeout  time.Duration // until the client gives up; ignored for a flow that is resumed or adopted
+	Timeout  time.Duration // time until the client gives up; ignored for a flow that is resumed or adopted
 	Flags    int           // any of the Flag constants
 }
 
--- a/internal/transport/conn_test.go
+++ b/internal/transport/conn_test.go
@@ -69,6 +69,6 @@
 	closeQuietly(peer)
 	<-done
 	if free := budget.Free(); free != 2 {
-		t.Errorf("%d of 2 descriptors are free", free)
+		t.Errorf("%d of 2 descriptors are free, want all", free)
 	}
 }
