--- a/internal/daemon/upgrade_test.go
+++ b/internal/daemon/upgrade_test.go
@@ -196,7 +196,7 @@
 	next.end()
 	old.awaitStatus("GET", "ready", http.StatusOK)
 	if now := old.daemon.lifecycle.current(); now != draining && now != drained {
-		t.Errorf("phase %s after an out-of-service call at the successor that exited, want draining or drained", now)
+		t.Errorf("phase %s after an out-of-service call at the successor that exited, want emptying or empty", now)
 	}
 	old.wantStatus("POST", "in-service", http.StatusOK)
 	third := old.successor().start(environment) // the predecessor can be found again
@@ -212,7 +212,7 @@
 	old.wantStatus("POST", "out-of-service", http.StatusOK)
 	next := old.successor().start(environment)
 	if now := next.daemon.lifecycle.current(); now != draining && now != drained {
-		t.Errorf("the successor is %s, want out of service", now)
+		t.Errorf("the successor is %s, want emptying or empty", now)
 	}
 	wantMigration(t, client)
 	old.wantStatus("POST", "in-service", http.StatusOK)
--- a/internal/protocol/frontend_test.go
+++ b/internal/protocol/frontend_test.go
@@ -170,7 +170,7 @@
 		time.AfterFunc(50*ms, func() { _, _ = io.WriteString(server, " 1\r\n") })
 		go func() {
 			if got := []string{client.line(), client.line()}; !slices.Equal(got, []string{"M 1", "MOVE"}) {
-				t.Errorf("a client received %q, want the rest of its line, then MOVE", got)
+				t.Errorf("a client received %q, want M 1 and then MOVE", got)
 			}
 			moved <- time.Since(start)
 			client.close()
