--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -40,7 +40,7 @@
 		h.t.Fatal(err)
 	}
 	if got, err := in.ReadString('\n'); got != "M 1\r\n" {
-		h.t.Fatalf("got %q, %v", got, err)
+		h.t.Fatalf("the line was echoed as %q, %v", got, err)
 	}
 	return in
 }
@@ -94,10 +94,10 @@
 	}
 	const clientTimeout = 800 * time.Millisecond // as configured
 	if took := time.Since(start); took > clientTimeout+shutdownDrainSlack {
-		t.Errorf("stopped after %v", took)
+		t.Errorf("the shutdown took %v, longer than the platform waits", took)
 	}
 	if now := h.daemon.lifecycle.current(); now != stopped {
-		t.Errorf("phase %s", now)
+		t.Errorf("phase %s after Serve returned, want stopped", now)
 	}
 }
 
@@ -149,7 +149,7 @@
 					t.Fatal(err)
 				}
 				if got, err := bufio.NewReader(client).ReadString('\n'); err != nil {
-					t.Fatalf("received %q, %v", got, err)
+					t.Fatalf("the client received no line before the shutdown: %q, %v", got, err)
 				}
 			}
 			h.stop()
@@ -171,7 +171,7 @@
 			writeConfig(t, path, c.text)
 			err := Check(t.Context(), Source{ConfigPath: path, Environment: os.Getenv})
 			if err == nil || !strings.HasPrefix(err.Error(), c.want) {
-				t.Errorf("%v, want %s", err, c.want)
+				t.Errorf("Check: %v, want %s", err, c.want)
 			}
 		})
 	}
--- a/internal/daemon/upgrade_test.go
+++ b/internal/daemon/upgrade_test.go
@@ -50,7 +50,7 @@
 	t.Helper()
 	conn, err := socket.Connect(t.Context())
 	if err != nil || conn == nil {
-		t.Fatalf("%v, %v", conn, err)
+		t.Fatalf("Connect: %v, %v", conn, err)
 	}
 	link := handover.NewLink(conn, nil, nil)
 	go func() { _ = link.Run(t.Context()) }() // an error shows in the replies
@@ -183,7 +183,7 @@
 				}
 			}
 			if now := old.daemon.lifecycle.current(); len(steps) > 1 && now != handingOver {
-				t.Errorf("phase %s", now)
+				t.Errorf("phase %s after the state was sent, want handing over", now)
 			}
 			link.Close()
 			old.awaitStatus("GET", "ready", http.StatusOK)
@@ -196,7 +196,7 @@
 	next.end()
 	old.awaitStatus("GET", "ready", http.StatusOK)
 	if now := old.daemon.lifecycle.current(); now != draining && now != drained {
-		t.Errorf("phase %s after an out-of-service call at the successor that exited", now)
+		t.Errorf("phase %s after an out-of-service call at the successor that exited, want emptying or empty", now)
 	}
 	old.wantStatus("POST", "in-service", http.StatusOK)
 	third := old.successor().start(environment) // the predecessor can be found again
@@ -212,7 +212,7 @@
 	old.wantStatus("POST", "out-of-service", http.StatusOK)
 	next := old.successor().start(environment)
 	if now := next.daemon.lifecycle.current(); now != draining && now != drained {
-		t.Errorf("the successor is %s", now)
+		t.Errorf("the successor is %s, want emptying or empty", now)
 	}
 	wantMigration(t, client)
 	old.wantStatus("POST", "in-service", http.StatusOK)
@@ -275,19 +275,19 @@
 		t.Run(c.name, func(t *testing.T) {
 			link := connectLink(t, socket)
 			if _, err := link.Request(c.kind, c.body).Wait(t.Context(), nil); !errors.Is(err, handover.ErrRefused) {
-				t.Errorf("got %v, want ErrRefused", err)
+				t.Errorf("the request ended with %v, want ErrRefused", err)
 			}
 		})
 	}
 	conn, err := socket.Connect(t.Context())
 	if err != nil || conn == nil {
-		t.Fatalf("%v, %v", conn, err)
+		t.Fatalf("Connect: %v, %v", conn, err)
 	}
 	_, _ = conn.Write([]byte("GET / HTTP/1.1\r\n\r\n"))
 	_, _ = io.Copy(io.Discard, conn) // until the other end closes it
 	_ = conn.Close()
 	if now := h.daemon.lifecycle.current(); now != serving {
-		t.Errorf("phase %s", now)
+		t.Errorf("phase %s after invalid peers, want serving", now)
 	}
 	h.wantFlow("afterwards", "UP 1")
 	h.end()
