--- a/internal/simulation/arrivals.go
+++ b/internal/simulation/arrivals.go
@@ -5,13 +5,13 @@
 // Arrival describes one client that an arrival source produces.
 type Arrival struct {
 	At            time.Duration
-	Lifetime      time.Duration // for which it wants a connection
+	Lifetime      time.Duration // how long it wants a connection
 	Service       ServiceID
 	Customer      CustomerID // negative: none
 	Group         GroupID
 	Locality      LocalityID
 	Load          float64 // usual work per second
-	IsBeyondShare bool    // it exceeds its customer's share
+	IsBeyondShare bool    // its connection is beyond its customer's share
 	IsEstablished bool    // its connection is established when the day begins
 }
 
--- a/internal/simulation/client.go
+++ b/internal/simulation/client.go
@@ -110,7 +110,8 @@
 	s.establish(k)
 }
 
-// initialWeights returns running sums of the servers' capacities, where those of servers in the client's locality count localWeight times.
+// initialWeights returns the running sums of the servers' weights. A weight is the server's capacity, times localWeight in the client's
+// locality; it is 0 for a server that is not serving or has started during the day.
 func (w *World) initialWeights(c *Client) []float64 {
 	sums, sum := make([]float64, len(w.Servers)), 0.0
 	for i, s := range w.Servers {
--- a/internal/simulation/connection.go
+++ b/internal/simulation/connection.go
@@ -165,7 +165,7 @@
 	s.phase = Leaving
 	incarnation := s.incarnation
 	if kind != Quiet {
-		s.scheduleMoves(d, kind)
+		s.scheduleMigrationRequests(d, kind)
 	}
 	s.w.Driver.ServerChanged(s.ID)
 	s.w.Schedule.After(d, Cause, func() {
@@ -176,8 +176,8 @@
 	})
 }
 
-// scheduleMoves schedules the requests to the clients of all connections to reconnect during a drain.
-func (s *Server) scheduleMoves(drain time.Duration, kind Drain) {
+// scheduleMigrationRequests schedules the requests to the clients of all connections to reconnect during a drain.
+func (s *Server) scheduleMigrationRequests(drain time.Duration, kind Drain) {
 	const pacedShare = 0.9 // part of the drain over which paced requests are spread
 	incarnation := s.incarnation
 	all := append([]*conn(nil), s.conns...)
--- a/internal/simulation/fault.go
+++ b/internal/simulation/fault.go
@@ -27,7 +27,7 @@
 	BalancerRollingRestart FaultKind = "balancer_roll"  // a share of balancers stops cleanly and starts again Extra later, Strength of all at a time
 	LocalityLost           FaultKind = "hall_lost"      // all servers of a locality stop responding, its balancers die; all restart at the end
 	Partition              FaultKind = "cut"            // Locality can't send to the others; nor they to it where Strength is 1 or more
-	Overload               FaultKind = "overload"       // the load is multiplied by Strength, that of established connections too
+	Overload               FaultKind = "overload"       // a burst that, if it starts with the day, multiplies the initially established connections, too
 )
 
 // FaultKinds lists all kinds.
@@ -131,7 +131,8 @@
 func (w *World) startReconnect(f timedFault) {
 	r := RandomSource(w.Seed, "reconnect", f.number)
 	for _, c := range append([]*Client(nil), w.clients...) {
-		// Draws for every client that is present, connected or not, so that the policy's earlier decisions don't change the draws of others.
+		// Draws for every client that is present, connected or not: which clients are connected depends on the policy, and must not change
+		// the draws of the others.
 		draw := r.Float64()
 		delay := UniformDuration(r, 0, f.Length)
 		if draw >= f.Share || c.state != Connected {
--- a/internal/simulation/list.go
+++ b/internal/simulation/list.go
@@ -30,7 +30,7 @@
 
 // subscriber is the state of one balancer's subscription.
 type subscriber struct {
-	revision     int // of the list, as the balancer last received it
+	revision     int // the revision of the list that the balancer last received
 	isSubscribed bool
 	needsFull    bool // the next update is the whole list
 	isPending    bool // an update is scheduled
--- a/internal/simulation/process.go
+++ b/internal/simulation/process.go
@@ -35,7 +35,7 @@
 	s.w.Driver.ServerChanged(s.ID)
 }
 
-// isInSlowStart reports whether a server warms up and connects may make it collapse.
+// isInSlowStart reports whether a server is warming up and can collapse under the load of connects.
 func (s *Server) isInSlowStart() bool {
 	return s.startedAt != LongAgo && s.w.slowStart.CollapseMultiple != 0 && s.WarmFraction() < 1
 }
@@ -66,7 +66,8 @@
 	}
 }
 
-// SlowStartBudget is the load that a server in slow start can still be sent now without collapsing; infinite for a warm server.
+// SlowStartBudget is the load that a server in slow start can still be sent now without collapsing, not counting the allowance for chance.
+// It is infinite for a server that is warm, or where servers don't collapse.
 func (s *Server) SlowStartBudget() float64 {
 	if !s.isInSlowStart() {
 		return math.Inf(1)
--- a/internal/simulation/queue.go
+++ b/internal/simulation/queue.go
@@ -122,8 +122,8 @@
 	})
 }
 
-// endJobs ends the running jobs that have no work left. It runs up to a nanosecond late (endRounding), so that no remainder of work smaller
-// than that keeps a job running.
+// endJobs ends the running jobs that have no work left. It runs up to a nanosecond late (endRounding): if it ran early, a tiny remainder of
+// work would keep a job running.
 func (q *Queue) endJobs() {
 	q.settle()
 	var ended []*Job
--- a/internal/simulation/server.go
+++ b/internal/simulation/server.go
@@ -73,7 +73,7 @@
 
 	demand         float64 // work per second
 	backlog        float64 // in seconds of a core of speed 1
-	workDone       float64 // since the start, relative to the work that completes the warm-up
+	workDone       float64 // work done since the start, relative to the work that completes the warm-up
 	settledAt      time.Duration
 	values         map[valueKey]float64 // value per second of the established connections
 	valueKeys      []valueKey           // in the order of their first use, so that iteration is deterministic
--- a/internal/simulation/types.go
+++ b/internal/simulation/types.go
@@ -133,11 +133,11 @@
 // Service is one service type.
 type Service struct {
 	Name                string
-	Share               float64       // of new connections
-	Value               float64       // of a connection per second
-	Effect              string        // effect of a repeated run, as settings write it
-	DeduplicationScope  string        // deduplication scope, as settings write it
-	DeduplicationWindow time.Duration // deduplication window
+	Share               float64 // of new connections
+	Value               float64 // of a connection per second
+	Effect              string  // effect of a repeated run, as settings write it
+	DeduplicationScope  string  // deduplication scope, as settings write it
+	DeduplicationWindow time.Duration
 
 	Target        time.Duration // setup target
 	Timeout       time.Duration // of an attempt
--- a/internal/simulation/world_test.go
+++ b/internal/simulation/world_test.go
@@ -159,7 +159,7 @@
 				}
 			}
 			if len(s.opened) != c.attempts {
-				t.Errorf("%d attempts, want %d", len(s.opened), c.attempts)
+				t.Errorf("%d attempts within 500 ms, want %d", len(s.opened), c.attempts)
 			}
 		})
 	}
@@ -224,7 +224,7 @@
 		}
 	}
 	if w.Servers[0].WarmFraction()+w.Servers[1].WarmFraction() != 2 {
-		t.Errorf("warm fractions = %v and %v, want 1 for both 20 s after the start", w.Servers[0].WarmFraction(), w.Servers[1].WarmFraction())
+		t.Errorf("warm fractions = %v and %v, want 1 for both 20 s after the restart of the crashed server", w.Servers[0].WarmFraction(), w.Servers[1].WarmFraction())
 	}
 }
 
@@ -239,10 +239,11 @@
 			w.ScheduleFaults([]Fault{{Kind: Partition, Start: time.Second, Length: time.Second, Strength: c.strength, Locality: 1}})
 			w.Schedule.RunTo(1500 * time.Millisecond)
 			if w.Network.IsBlocked(1, 0) != c.out || w.Network.IsBlocked(0, 1) != c.back {
-				t.Errorf("blocked = %v, in the opposite direction %v", w.Network.IsBlocked(1, 0), w.Network.IsBlocked(0, 1))
+				t.Errorf("blocked = %v, in the opposite direction %v; want %v and %v",
+					w.Network.IsBlocked(1, 0), w.Network.IsBlocked(0, 1), c.out, c.back)
 			}
 			if w.Reachability(0, 1) != Unresponsive {
-				t.Error("a connect got a reply, though it needs both directions")
+				t.Error("a connection opened across the partition got a reply, though a reply needs both directions")
 			}
 			w.Schedule.RunTo(3 * time.Second)
 			if w.Reachability(0, 1) != Open {
