--- a/internal/testbed/invariants/announcement.go
+++ b/internal/testbed/invariants/announcement.go
@@ -15,7 +15,7 @@
 	event     Event
 }
 
-// announceServer records a server's state as a balancer was told it. The drain grace runs from the first announcement that the server is
+// announceServer records a server's state as announced to a balancer. The drain grace runs from the first announcement that the server is
 // draining or gone; later ones don't prolong it.
 func (c *Checker) announceServer(e Event) {
 	key := announcementKey{e.Balancer, e.Server}
--- a/internal/testbed/invariants/checker_test.go
+++ b/internal/testbed/invariants/checker_test.go
@@ -275,7 +275,7 @@
 						})
 					}
 					if found := c.Finish(10 * time.Second); (len(found) > 0) != (sent > allowed) {
-						t.Errorf("%d connects: %d violations", sent, len(found))
+						t.Errorf("%d connects: %d violations; up to %d connects are allowed", sent, len(found), allowed)
 					}
 				}
 			})
@@ -291,7 +291,7 @@
 	many := func(n int, load float64) []float64 { return slices.Repeat([]float64{load}, n) }
 	for _, test := range []struct {
 		name   string
-		loads  []float64 // in mean loads
+		loads  []float64 // as multiples of the mean load
 		broken bool
 	}{
 		{"light ones up to the bound", many(17, 0.1), false},
--- a/internal/testbed/invariants/connect.go
+++ b/internal/testbed/invariants/connect.go
@@ -79,8 +79,8 @@
 	}
 }
 
-// endsOverlap reports whether the end of a connect shows that a later connect did not overlap with the earlier ones: all of them have ended
-// within the slack after it was sent, so that their ends may only have been observed late.
+// endsOverlap reports whether the end of a connect shows that a later connect need not have overlapped with the earlier ones: all earlier
+// ones have ended within the slack after the later one was sent, so that their ends may only have been observed late.
 func (c *Checker) endsOverlap(end, sent Event, f *flow) bool {
 	isEarlier := func(other Event) bool { return other.Connect < sent.Connect }
 	return sent.Connect != end.Connect && end.At <= sent.At+c.limits.Slack && !slices.ContainsFunc(f.outstanding, isEarlier)
--- a/internal/testbed/invariants/event.go
+++ b/internal/testbed/invariants/event.go
@@ -43,7 +43,7 @@
 // String returns the kind's name as used in reports.
 func (k Kind) String() string { return kindNames[k] }
 
-// Readiness is the state of a server that a balancer was told.
+// Readiness is the state of a server as announced to a balancer.
 type Readiness int
 
 // States of a server.
@@ -112,7 +112,7 @@
 	Deadline   time.Duration
 	Effect     Effect
 	KeyScope   KeyScope
-	KeyWindow  time.Duration // for which servers remember an idempotency key
+	KeyWindow  time.Duration // how long servers remember an idempotency key
 	Readiness  Readiness
 	StartedAt  time.Duration // of a server; LongAgo: before the run
 	MayHaveRun bool
--- a/internal/testbed/invariants/flow.go
+++ b/internal/testbed/invariants/flow.go
@@ -24,7 +24,7 @@
 
 type flow struct {
 	state        flowState
-	changedAt    time.Duration // of the state
+	changedAt    time.Duration // when the state last changed
 	accepted     Event
 	answer       Event // At is 0 if there was none
 	clientLeftAt time.Duration
--- a/internal/testbed/invariants/freeze.go
+++ b/internal/testbed/invariants/freeze.go
@@ -18,10 +18,10 @@
 type Cost struct {
 	Cut            int `json:"cut"`      // established connections lost when the balancer was killed
 	Unanswered     int `json:"waiting"`  // flows without an answer when the balancer was killed
-	Expired        int `json:"unheard"`  // flows whose deadline passed while it was suspended, or within resumeAllowance after
-	AnsweredLate   int `json:"too_late"` // expired flows that it answered after resuming
-	SentLate       int `json:"sent"`     // connects for expired flows, sent before it could notice that they had expired
-	AcceptedFrozen int `json:"asked"`    // flows that its operating system accepted while it was suspended
+	Expired        int `json:"unheard"`  // flows whose deadline passed while the balancer was suspended, or within resumeAllowance after
+	AnsweredLate   int `json:"too_late"` // expired flows that the balancer answered after resuming
+	SentLate       int `json:"sent"`     // connects for expired flows; those sent long after resuming are violations, too
+	AcceptedFrozen int `json:"asked"`    // flows that the balancer's operating system accepted while it was suspended
 }
 
 // Costs returns the costs of the balancers that were killed or suspended.
@@ -58,8 +58,8 @@
 	return until, wasFrozen
 }
 
-// resumedAt returns when a balancer resumed that was frozen at a time; the time itself if it was not frozen then, or has not
-// resumed yet.
+// resumedAt returns the time at which a balancer that was frozen at the time "at" resumed. It returns "at" itself if the balancer was not
+// frozen then, or has not resumed yet.
 func (c *Checker) resumedAt(b Balancer, at time.Duration) time.Duration {
 	for _, f := range c.freezes[b] {
 		if f.from <= at && f.to > at && f.to != stillFrozen {
--- a/internal/testbed/invariants/freeze_test.go
+++ b/internal/testbed/invariants/freeze_test.go
@@ -101,7 +101,7 @@
 				got = found[0].Rule
 			}
 			if got != test.broken || len(found) > 1 {
-				t.Errorf("found %v, want rule %d", found, test.broken)
+				t.Errorf("violations %v, want at most one, of rule %d (0: none)", found, test.broken)
 			}
 			if cost := c.Costs()[0]; cost != test.cost {
 				t.Errorf("costs %+v, want %+v", cost, test.cost)
--- a/internal/testbed/invariants/queue.go
+++ b/internal/testbed/invariants/queue.go
@@ -35,7 +35,7 @@
 type review struct {
 	at          time.Duration
 	flow        Flow
-	isAnswerDue bool // the time is that at which the flow's answer is due
+	isAnswerDue bool // the flow must have been answered by the time of the review
 }
 
 // reviewQueue is a heap of reviews, ordered by time.
--- a/internal/testbed/invariants/slowstart.go
+++ b/internal/testbed/invariants/slowstart.go
@@ -17,7 +17,7 @@
 }
 
 // arriveConnect checks the connects that arrived at a starting server within the window against its capacity. Both their number and the sum
-// of their loads must stay within the bound. The rule is stated in connects of the mean load, so the number is multiplied by that. In the
+// of their loads must stay within the bound. The rule is stated in connects of the mean load, so the number is multiplied by the mean load. In the
 // sum of loads the heaviest connect counts as one of the mean load: balancers can't know a connection's load before its connect, and a
 // single heavy one can exceed all that a starting server can take.
 func (c *Checker) arriveConnect(e Event) {
