--- a/internal/testbed/sockets/client.go
+++ b/internal/testbed/sockets/client.go
@@ -46,13 +46,13 @@
 	deadline  time.Duration
 	isInitial bool // established before the day begins
 
-	state            clientState
-	conn             net.Conn
-	answers          int
-	isAccepted       bool // the checker was told that the flow is accepted
-	hasLeft          bool // the client itself ended the connection
-	wasEstablished   bool
-	wasMovedByServer bool
+	state                    clientState
+	conn                     net.Conn
+	answers                  int
+	isAccepted               bool // the checker was told that the flow is accepted
+	hasLeft                  bool // the client itself ended the connection
+	wasEstablished           bool
+	serverRequestedMigration bool
 }
 
 // transition is the only place that changes a client's state.
@@ -292,12 +292,12 @@
 	}
 }
 
-// migrate handles a balancer's request to reconnect. Only requests of the balancer's own are counted as migrations: not those passed on
-// from a server, nor those of a shutdown.
+// migrate handles a balancer's request to reconnect. Only requests that the balancer itself decided on are counted as migrations: not those
+// that it relays from a server, nor those of its shutdown.
 func (c *client) migrate() {
 	d := c.driver
 	isBalancerUp := int(c.balancer) >= len(d.processes) || d.processes[c.balancer].isUp
-	if !c.wasMovedByServer && isBalancerUp {
+	if !c.serverRequestedMigration && isBalancerUp {
 		d.Counts.Migrations++
 		d.Counts.MigratedAt = append(d.Counts.MigratedAt, d.now())
 	}
@@ -354,7 +354,7 @@
 		d.ObserveBalancer(c.balancer, invariants.BalancerDied) // the rules apply to running balancers only
 		d.world.BreakFlow(c.flow, simulation.Cut)
 	case isUnanswered && !d.isProcessUp(c.balancer):
-		// If it is up, the checker reports the missing answer at its deadline, unless the exit of the process is observed before.
+		// If the process is up, the checker reports the missing answer at the flow's deadline, unless it observes the exit of the process before.
 		d.world.BreakFlow(c.flow, simulation.Cut)
 	}
 }
--- a/internal/testbed/sockets/connection.go
+++ b/internal/testbed/sockets/connection.go
@@ -194,7 +194,7 @@
 	d.world.DeliverConnect(c.id, c.server, c.flow, c.balancerLocality)
 }
 
-// finish processes the end of the connection by the balancer.
+// finish processes that the balancer has closed the connection.
 func (c *connection) finish() {
 	if c.isOver {
 		return
@@ -252,7 +252,7 @@
 		return
 	}
 	if client := d.clients[c.flow]; client != nil && reason == simulation.MigrationRequested {
-		client.wasMovedByServer = true
+		client.serverRequestedMigration = true
 	}
 	if line := closingLines[reason]; line != "" {
 		c.write(line)
--- a/internal/testbed/sockets/discovery.go
+++ b/internal/testbed/sockets/discovery.go
@@ -18,7 +18,7 @@
 	heartbeatInterval       = 2 * time.Second
 	unavailablePollInterval = 50 * time.Millisecond
 	headerTimeout           = 5 * time.Second
-	maxPendingUpdates       = 64 // after which a watch that does not read is closed
+	maxPendingUpdates       = 64 // a watch that leaves more updates unread is closed
 	minStartMillis          = 1  // 0 means that the server started before the day
 )
 
--- a/internal/testbed/sockets/driver.go
+++ b/internal/testbed/sockets/driver.go
@@ -61,7 +61,7 @@
 	processes           []*process   // by balancer
 	clients             map[simulation.FlowID]*client
 	connections         map[simulation.ConnID]*connection
-	awaitingEstablished map[simulation.FlowID]simulation.ConnID // initially established, but not yet up
+	awaitingEstablished map[simulation.FlowID]simulation.ConnID // initially established connections that are not up yet
 	lateness            *hdrhistogram.Histogram                 // of scheduled actions, in microseconds
 	maxObservationDelay time.Duration                           // from an event to its report to the checker
 	fault               error                                   // the first error of the driver itself
@@ -298,8 +298,8 @@
 	return maxPause
 }
 
-// finish ends the day. The checker stops maxReordering before the end, up to which all events have been observed. Answers that are
-// due later are not required.
+// finish ends the day and returns why the run is void, or an empty string. The checker stops maxReordering before the end, as later events
+// may not have been observed yet. Answers that are due after that time are not required.
 func (d *Driver) finish() (void string, err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/testbed/sockets/isolation.go
+++ b/internal/testbed/sockets/isolation.go
@@ -17,8 +17,8 @@
 	"yardwinch/internal/testbed/netfault"
 )
 
-// Isolation gives each balancer its own emulated network paths, and its own way of being started, so that faults can be injected between
-// balancers. Its functions are called with the driver locked.
+// Isolation gives each balancer its own emulated network paths, so that faults can be injected between balancers, and lets the caller change
+// how each balancer is started. Its functions are called with the driver locked.
 type Isolation struct {
 	Network        *netfault.Network
 	ControlAddress func(simulation.BalancerID) string // of the interface for operators
@@ -33,7 +33,7 @@
 
 // Endpoints of network paths, in addition to balancers and servers.
 const (
-	DiscoveryEndpoint netfault.Endpoint = "discovery" // of all balancers
+	DiscoveryEndpoint netfault.Endpoint = "discovery" // the discovery services of all balancers
 	OperatorEndpoint  netfault.Endpoint = "operator"  // caller of the balancers' control interface
 )
 
--- a/internal/testbed/sockets/server.go
+++ b/internal/testbed/sockets/server.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	addressesPerNetwork = 250 // used of each /24 network of loopback
+	addressesPerNetwork = 250 // number of addresses used in each /24 network of loopback
 	serverNetwork       = "127.77"
 )
 
@@ -26,7 +26,7 @@
 	*netfault.Listener
 	server   *server
 	locality simulation.LocalityID
-	balancer simulation.BalancerID // that connects here, or anyBalancer of the locality
+	balancer simulation.BalancerID // the balancer that connects here; anyBalancer: each of the locality
 }
 
 const anyBalancer simulation.BalancerID = -1
--- a/internal/testbed/sockets/sockets_test.go
+++ b/internal/testbed/sockets/sockets_test.go
@@ -156,7 +156,7 @@
 		t.Errorf("violation reported for a correct balancer: %v", v)
 	}
 	if n := d.World.Totals; n.Established < 20 || checker.CheckedFlows < 20 || dr.Counts.Connects < 20 {
-		t.Errorf("established %d, judged %d, connects %d: want at least 20 of each", n.Established, checker.CheckedFlows, dr.Counts.Connects)
+		t.Errorf("established %d, flows checked %d, connects %d: want at least 20 of each", n.Established, checker.CheckedFlows, dr.Counts.Connects)
 	}
 	for range 200 {
 		if runtime.NumGoroutine() <= before+1 {
@@ -164,7 +164,7 @@
 		}
 		time.Sleep(10 * time.Millisecond) // the HTTP server's connections close asynchronously
 	}
-	t.Errorf("%d goroutines before, %d after", before, runtime.NumGoroutine())
+	t.Errorf("%d goroutines before the run, %d after it; want at most one more", before, runtime.NumGoroutine())
 }
 
 func TestFaultyBalancersAreFoundOnSockets(t *testing.T) {
@@ -285,7 +285,7 @@
 	c.receive("T 0")
 	dr.mu.Unlock()
 	if found := checker.Finish(time.Minute); len(found) > 0 {
-		t.Errorf("%v", found)
+		t.Errorf("violations %v, want none", found)
 	}
 }
 
@@ -302,7 +302,7 @@
 		void := dr.voidReason()
 		dr.mu.Unlock()
 		if (void != "") != c.void {
-			t.Errorf("event reported %v late: void reason is %q", c.late, void)
+			t.Errorf("event reported %v late: void reason is %q, want one: %v", c.late, void, c.void)
 		}
 	}
 }
