--- a/internal/testbed/fleet/fault.go
+++ b/internal/testbed/fleet/fault.go
@@ -28,7 +28,7 @@
 	faultCall              faultKind = "call"             // the operator calls the targets
 	faultFalseReports      faultKind = "lie"              // peers report to the targets, for the length, that every server is late
 	faultSIGHUP            faultKind = "hangup"           // SIGHUP, a number of times spread over the length
-	faultIdleClients       faultKind = "crowd"            // as many idle clients as the rate connect to each target for the length
+	faultIdleClients       faultKind = "crowd"            // idle clients, as many as the key rate says, are connected to each target for the length
 	faultGarbage           faultKind = "garbage"          // datagrams of random bytes reach the targets at the rate, with peers as apparent senders
 )
 
@@ -69,7 +69,7 @@
 	direction      string // fromTargets, toTargets, or empty for both
 	method, path   string // of a call
 	rate           int
-	signals        int // SIGHUPs over the length, or SIGTERMs in a row; above 1, as many SIGHUPs during a start or restart
+	signals        int // number of SIGHUPs over the length, or of SIGTERMs in a row; above 1, also that of SIGHUPs during a start or restart
 }
 
 func (p *Plan) readFault(t strict.Table, names map[string]bool) {
--- a/internal/testbed/fleet/fleet_test.go
+++ b/internal/testbed/fleet/fleet_test.go
@@ -112,7 +112,7 @@
 	}
 }
 
-// Faults with a list so long that a decision considers only a part of it. Some servers vanish from the list and return.
+// Faults with an endpoint list so long that each decision considers only a part of it. Some servers vanish from the list and return.
 func TestFaultsOnALongList(t *testing.T) {
 	p, err := Open(shippedPlans + "long-list.toml")
 	if err != nil {
--- a/internal/testbed/fleet/process.go
+++ b/internal/testbed/fleet/process.go
@@ -38,7 +38,7 @@
 }
 
 const (
-	unprivilegedID      = 65534 // user and group of the processes if this process is root, as directory permissions don't restrict root
+	unprivilegedID      = 65534 // user and group of the balancers if the testbed runs as root, as directory permissions don't restrict root
 	addressesPerNetwork = 250   // in each /24 network of loopback addresses
 	privateDirMode      = 0o700
 	publicFileMode      = 0o644
@@ -51,12 +51,12 @@
 	name              string
 	program           string // the build that it is started from next
 	directory         string
-	controlAddress    string         // of its admin interface, for the operator's calls
+	controlAddress    string         // of its control interface, which the operator calls
 	bindAddress       netip.AddrPort // address that it binds for membership traffic
 	advertisedAddress netip.AddrPort // address that it advertises to other members
 
 	state      processState
-	generation int          // number of transitions, so that what an earlier fault scheduled doesn't undo a later one
+	generation int          // number of transitions; actions that were scheduled before the latest one are skipped (see ifUnchanged)
 	spans      []Span       // times in states other than running
 	views      []memberView // how it saw the other members
 }
@@ -107,7 +107,7 @@
 
 func isRoot() bool { return os.Getuid() == 0 }
 
-// dropPrivileges makes a command run as an unprivileged user if this process is root.
+// dropPrivileges makes a command run as an unprivileged user if the testbed runs as root.
 func dropPrivileges(command *exec.Cmd) {
 	if !isRoot() {
 		return
@@ -134,7 +134,7 @@
 		directory = p.directory
 	}
 	command.Env = append(command.Env, "YARDWINCH_OPTIONS="+options, "TMPDIR="+directory)
-	// Not an *os.File, so that this process writes the log: a limit on the size of the balancer's files must not apply to it.
+	// Not an *os.File, so that the testbed's process writes the log: a limit on the size of the balancer's files must not apply to the log.
 	command.Stdout = struct{ io.Writer }{&reopenedLog{path: filepath.Join(r.directory, fmt.Sprintf("balancer-%d.log", b))}}
 	command.Stderr = command.Stdout
 	dropPrivileges(command)
--- a/internal/testbed/fleet/run.go
+++ b/internal/testbed/fleet/run.go
@@ -54,7 +54,7 @@
 	events        []invariants.Event
 	timeline      []TimelineEvent
 	faultTimes    map[string]time.Duration  // start times of named faults
-	callResponses map[string][]callResponse // of the calls of named faults
+	callResponses map[string][]callResponse // responses to the calls of named faults
 	leftOutSpans  map[string][]Span         // by balancer: when the front left it out
 	faultySpans   map[int][]Span            // by server: when it had a fault
 	pathSpans     []Span                    // when paths had a condition
--- a/internal/testbed/fleet/sighup.go
+++ b/internal/testbed/fleet/sighup.go
@@ -15,7 +15,7 @@
 const (
 	sighupInterval = time.Millisecond // between signals to a process that is being started
 	sighupPoll     = 200 * time.Microsecond
-	sighupTimeout  = 2 * time.Second // for a started process to ignore SIGHUP or to handle it
+	sighupTimeout  = 2 * time.Second // time within which a started process has to ignore SIGHUP or handle it
 )
 
 // scheduleSIGHUPs schedules SIGHUP signals to a process, spread over the length of the fault. The caller holds the driver's mutex.
--- a/internal/testbed/fleet/soak.go
+++ b/internal/testbed/fleet/soak.go
@@ -183,7 +183,7 @@
 	}
 }
 
-// writeDisableInFailingDirectory writes an operator's call that disables a server around the time at which the process can't save that.
+// writeDisableInFailingDirectory writes an operator's call that disables a server around the time at which the process can't save that change.
 func writeDisableInFailingDirectory(to *strings.Builder, random *rand.Rand) {
 	kind := pick(random, []faultKind{faultDirectoryFull, faultDirectoryReadOnly})
 	callAt := disturbanceTime(random)
