--- a/internal/testbed/experiment/day.go
+++ b/internal/testbed/experiment/day.go
@@ -27,9 +27,9 @@
 	customers          []simulation.Customer
 	groups             []groupSampler // by customer
 	connectionsPerCore float64        // connections per core of speed 1 at full load
-	lifetime           time.Duration  // mean, of a connection of a service with Lifetime 1
+	lifetime           time.Duration  // mean lifetime of a connection, for a service type whose Lifetime is 1
 	lifetimeSigma      float64
-	loadShare          float64 // of the fleet's capacity
+	loadShare          float64 // load as a share of the fleet's capacity
 	rateAmplitude      float64 // amplitude of the arrival rate's variation
 	capacity           float64 // of the fleet, in cores of speed 1
 	localityWeight     []float64
--- a/internal/testbed/experiment/experiment.go
+++ b/internal/testbed/experiment/experiment.go
@@ -71,7 +71,7 @@
 
 // loadRanges are the ranges that a load is drawn from.
 type loadRanges struct {
-	share                        numberRange // of the fleet's capacity
+	share                        numberRange // load as a share of the fleet's capacity
 	rateAmplitude                numberRange // amplitude of the arrival rate's variation over the day
 	connectionsPerCore           numberRange // connections per core of speed 1 at full load
 	loadSpread, loadChangeSpread numberRange
--- a/internal/testbed/experiment/steady.go
+++ b/internal/testbed/experiment/steady.go
@@ -11,7 +11,7 @@
 type SteadyConfig struct {
 	Seed          uint64
 	Rate          float64       // arrivals per second
-	Lifetime      time.Duration // mean, of a connection
+	Lifetime      time.Duration // mean lifetime of a connection
 	LifetimeSigma float64
 	Groups        int
 	Localities    int
