--- a/internal/testbed/scenario/gossip.go
+++ b/internal/testbed/scenario/gossip.go
@@ -15,13 +15,13 @@
 const (
 	gossipInterval = 250 * time.Millisecond
 
-	// gossipDelay is the time from a record's publication until all other balancers have it. In a fleet of several hundred balancers, a
-	// record reaches half of them in this time; see the command testbed spread.
+	// gossipDelay is the time from a record's publication until all other balancers have it, which this model takes as fixed. According to
+	// the command testbed spread, a record reaches half of a fleet of several hundred balancers in this time.
 	gossipDelay = 600 * time.Millisecond
 )
 
-// gossip replaces the gossip protocol between balancers in virtual time: a published record reaches all others after a fixed delay. The
-// commands testbed spread and testbed fleet simulate delays and losses of gossip.
+// gossip replaces the gossip protocol between balancers in virtual time: a published record reaches all others after a fixed delay. Variable
+// delays and losses of gossip are covered by the commands testbed spread and testbed fleet.
 type gossip struct {
 	world        *simulation.World
 	exchanges    map[simulation.BalancerID]*signals.Exchange
--- a/internal/testbed/scenario/scenario.go
+++ b/internal/testbed/scenario/scenario.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	virtualSlack = 8 * time.Millisecond // tolerance for late answers in virtual time, for the network delay
+	virtualSlack = 8 * time.Millisecond // how late an answer may be in virtual time, due to the network delay
 	maxLoad      = 9.0                  // upper bound of a server's load relative to its capacity, in results
 	noProcess    = -1.0                 // recorded as the load of a server without a process
 	minCapacity  = 1e-9                 // lower bound of a divisor, against division by 0
--- a/internal/testbed/scenario/scenario_test.go
+++ b/internal/testbed/scenario/scenario_test.go
@@ -56,7 +56,7 @@
 		}
 	}
 	if judged < 100*len(results) {
-		t.Errorf("only %d flows were checked", judged)
+		t.Errorf("only %d flows were checked, want at least 100 for each of the %d days", judged, len(results))
 	}
 }
 
