--- a/internal/testbed/virtual/actions.go
+++ b/internal/testbed/virtual/actions.go
@@ -11,8 +11,8 @@
 // balancer carries out the actions of its decider.
 var _ decide.Actions = (*balancer)(nil)
 
-// Connect sends a connect for a flow to a server. It fails where the server does not establish it before the flow's deadline, or within
-// limit if that is positive. Connects beyond maxConnects of a flow fail without being sent.
+// Connect sends a connect for a flow to a server. The connect fails if the server does not establish it before the flow's deadline, or, if
+// limit is positive, within limit. A flow's connects beyond maxConnects fail without being sent.
 func (b *balancer) Connect(id decide.FlowID, to decide.ServerID, limit time.Duration) {
 	d, f := b.driver, b.flow(id)
 	server, known := d.serverOf[to]
--- a/internal/testbed/virtual/balancer.go
+++ b/internal/testbed/virtual/balancer.go
@@ -13,7 +13,7 @@
 
 const (
 	drainStart    = 400 * time.Millisecond // from the stop signal until the first clients are asked to reconnect
-	drainMargin   = 600 * time.Millisecond // from the time by which all have been asked to the end of the process
+	drainMargin   = 600 * time.Millisecond // from the time by which all clients have been asked until the end of the process
 	drainInterval = 50 * time.Millisecond
 )
 
--- a/internal/testbed/virtual/connect.go
+++ b/internal/testbed/virtual/connect.go
@@ -60,7 +60,7 @@
 	d.world.DeliverConnect(c.id, c.server, c.flow.id, b.locality)
 }
 
-// Establish delivers a server's message that a connection is established to its balancer.
+// Establish delivers to a balancer a server's message that its connection is established.
 func (d *Driver) Establish(id simulation.ConnID) {
 	c := d.connects[id]
 	if c == nil {
--- a/internal/testbed/virtual/flow.go
+++ b/internal/testbed/virtual/flow.go
@@ -97,7 +97,7 @@
 	b.decide().OnFlow(request)
 }
 
-// AdoptFlow adds a flow to a balancer that is established when the day begins.
+// AdoptFlow adds to a balancer a flow that is established when the day begins.
 func (d *Driver) AdoptFlow(id simulation.FlowID, client *simulation.Client, to simulation.BalancerID, conn simulation.ConnID,
 	server simulation.ServerID) {
 	b := d.balancers[to]
@@ -135,7 +135,7 @@
 	b.forget(f)
 }
 
-// forget removes a flow that has no outstanding connects.
+// forget removes a flow, unless it has outstanding connects.
 func (b *balancer) forget(f *flow) {
 	if len(f.outstanding) == 0 {
 		delete(b.driver.flows, f.id)
--- a/internal/testbed/virtual/list.go
+++ b/internal/testbed/virtual/list.go
@@ -104,7 +104,7 @@
 	}
 }
 
-// announce reports to the checker which state of a server the balancer was told.
+// announce reports to the checker that a server's state was announced to the balancer.
 func (b *balancer) announce(s simulation.ServerID, readiness simulation.Readiness, startedAt time.Duration) {
 	if startedAt == simulation.LongAgo {
 		startedAt = invariants.LongAgo
