--- a/internal/testbed/baseline/policy.go
+++ b/internal/testbed/baseline/policy.go
@@ -42,7 +42,7 @@
 	group       decide.GroupKey
 	deadline    time.Duration
 	effect      decide.Effect
-	server      *server // of its last connect
+	server      *server // the server of its last connect
 	attempted   []decide.ServerID
 	connects    int
 	established bool
--- a/internal/testbed/baseline/rules.go
+++ b/internal/testbed/baseline/rules.go
@@ -49,7 +49,7 @@
 }
 
 // boundedHashing is rendezvous hashing with bounded loads, keyed by the flow's group. It chooses the server with the highest hash among
-// those below the bound, or one with the fewest connections where all have reached it.
+// those below the bound, or one with the fewest connections where all have reached the bound.
 func boundedHashing(p *Policy, f *flow, ready []*server) *server {
 	key := string(f.group)
 	if key == "" {
@@ -81,7 +81,7 @@
 	return int(math.Ceil(maxLoadFactor * float64(open) / float64(servers)))
 }
 
-// hashOf hashes a key and a server, mixing as the finalizer of MurmurHash3 does.
+// hashOf hashes a key and a server, mixing the bits by a part of MurmurHash3's finalizer.
 func hashOf(key string, s *server) uint64 {
 	const goldenRatio64, mixer, shift = 0x9e3779b97f4a7c15, 0xff51afd7ed558ccd, 33
 	h := fnv.New64a()
