--- a/internal/testbed/count/count.go
+++ b/internal/testbed/count/count.go
@@ -51,7 +51,7 @@
 type valueSums struct {
 	bySecond      []serviceValue
 	byServiceType []serviceValue
-	byCustomer    []serviceValue // only requests within the customer's share
+	byCustomer    []serviceValue // only value within the customer's share
 }
 
 func sumsOf(a *simulation.Accounting, services, customers int) valueSums {
--- a/internal/testbed/count/result.go
+++ b/internal/testbed/count/result.go
@@ -7,14 +7,14 @@
 	Seed                uint64       `json:"seed"`
 	Service             float64      `json:"service"`    // service score: weighted mean of the shares, less the prices, as the experiment sets them
 	ServedShare         float64      `json:"whole"`      // value of served seconds over the value of all requested seconds
-	WorstWindow         float64      `json:"worst_10s"`  // the same over the worst 10 s window
-	WorstWindowStart    float64      `json:"worst_at_s"` // start of that window
+	WorstWindow         float64      `json:"worst_10s"`  // the served share of the worst 10 s window
+	WorstWindowStart    float64      `json:"worst_at_s"` // start of the worst window
 	WorstCustomer       float64      `json:"worst_customer"`
 	WorstServiceType    float64      `json:"worst_service_type"`
 	ByServiceType       []float64    `json:"by_service_type"`
 	ByCustomer          []float64    `json:"by_customer"`
 	BySecond            []float64    `json:"by_second"`
-	BySecondAndLocality [][]float64  `json:"by_hall_second"` // the same by the clients' locality
+	BySecondAndLocality [][]float64  `json:"by_hall_second"` // served share by the clients' locality, by second
 	SetupTimes          Quantiles    `json:"setup_ms"`       // from a client's attempt to its answer, over the established flows
 	FirstSetupTimes     Quantiles    `json:"first_up_ms"`    // from a client's arrival to its first connection, or to its end without one
 	NeverEstablished    int          `json:"never_up"`
