--- a/internal/testbed/logs/event.go
+++ b/internal/testbed/logs/event.go
@@ -32,7 +32,7 @@
 )
 
 // eventNames maps the messages of earlier builds, whose logs can still be read, to those of this build. Counts are printed under the former
-// messages, so that counts of both builds can be compared.
+// messages, so that counts of earlier builds and of this one can be compared.
 var eventNames = []struct {
 	former, text string
 	keys         map[string]string // former to present keys, where they differ
--- a/internal/testbed/logs/logs_test.go
+++ b/internal/testbed/logs/logs_test.go
@@ -56,7 +56,7 @@
 				"b.log": {Data: []byte(strings.Join(c.b, ""))},
 			})
 			if err != nil || skipped != 1 {
-				t.Fatalf("%d lines skipped, %v", skipped, err)
+				t.Fatalf("%d lines skipped, error %v; want 1 and no error", skipped, err)
 			}
 			var got strings.Builder
 			if err := Print(&got, seconds); err != nil {
@@ -85,7 +85,7 @@
 		former[name.former], present[name.text] = true, true
 		e := event{text: name.former}
 		if e.translate(); e.text != name.text || label(e.text) != name.former {
-			t.Errorf("%q becomes %q, counted as %q", name.former, e.text, label(e.text))
+			t.Errorf("%q becomes %q, counted as %q; want it to become %q", name.former, e.text, label(e.text), name.text)
 		}
 	}
 }
