--- a/internal/testbed/report/colour.go
+++ b/internal/testbed/report/colour.go
@@ -12,7 +12,7 @@
 	amber           = "#d08c2f"
 	red             = "#a33"
 	noProcessColour = "#8d8d8d"
-	defaultColour   = red // of policies that are not in policyColours
+	defaultColour   = red // colour of policies that are not in policyColours
 )
 
 // policyColours gives the most prominent colour to the project's own policy.
--- a/internal/testbed/report/plot.go
+++ b/internal/testbed/report/plot.go
@@ -26,7 +26,7 @@
 	firstFaultLabelOffset = 12.0
 	minFaultWidth         = 2.0
 
-	maxRowsHeight     = 420.0 // of all rows of a load plot
+	maxRowsHeight     = 420.0 // limit of the height of all rows of a load plot together, unless that takes rows below minRowHeight
 	minRowHeight      = 3.0
 	maxRowHeight      = 16.0
 	labelledRowHeight = 9.0 // from this height on, each row has a label
