--- a/internal/testbed/netfault/condition.go
+++ b/internal/testbed/netfault/condition.go
@@ -15,7 +15,7 @@
 	Reorder    float64       // probability that a datagram arrives after later ones
 	Rate       int           // bytes per second; 0: unlimited
 	Corruption float64       // probability that the bytes of a datagram or of a chunk of a stream are changed
-	Cut        bool          // datagrams are lost; streams are stalled until it ends, and none is established
+	Cut        bool          // datagrams are lost; streams are stalled until the cut ends, and none is established
 	Stalled    bool          // streams are established but stalled; datagrams are lost
 }
 
--- a/internal/testbed/netfault/listener_test.go
+++ b/internal/testbed/netfault/listener_test.go
@@ -31,7 +31,7 @@
 		}
 		err := connect(t, l.Address, 150*time.Millisecond)
 		if isTimeout(err) != step.silent || (err != nil && !isTimeout(err)) != step.refused {
-			t.Errorf("in state %d connect returned %v", step.to, err)
+			t.Errorf("in state %d connect returned %v; want a refusal: %v, a timeout: %v", step.to, err, step.refused, step.silent)
 		}
 	}
 }
@@ -62,7 +62,8 @@
 			}
 			err := connect(t, l.Address, timeout)
 			if (to == Open) != (err == nil) || (to == Unresponsive) != isTimeout(err) {
-				t.Errorf("%s in state %v: connect returned %v", l.Address, to, err)
+				t.Errorf("%s in state %v: connect returned %v; want no error only in state %v, a timeout only in state %v",
+					l.Address, to, err, Open, Unresponsive)
 			}
 		}
 	}
--- a/internal/testbed/netfault/proxy.go
+++ b/internal/testbed/netfault/proxy.go
@@ -38,7 +38,7 @@
 	tcp   net.Listener
 }
 
-// NewProxy returns a proxy without members. When the context ends, it dials no more connections to members.
+// NewProxy returns a proxy without members. Once the context has ended, the proxy dials no more connections to members.
 func NewProxy(ctx context.Context, n *Network) *Proxy {
 	ctx, cancel := context.WithCancel(ctx)
 	return &Proxy{network: n, ctx: ctx, cancel: cancel, members: map[Endpoint]*member{}, byBoundIP: map[netip.Addr]*member{}}
--- a/internal/testbed/netfault/proxy_test.go
+++ b/internal/testbed/netfault/proxy_test.go
@@ -57,7 +57,7 @@
 	n.SetCondition("a", "b", Condition{Cut: true})
 	a.send(b, "two")
 	if text, _, err := b.receive(100 * time.Millisecond); err == nil {
-		t.Errorf("got %q over a cut path", text)
+		t.Errorf("got %q over a cut path, want nothing", text)
 	}
 	b.send(a, "three")
 	if text, _, err := a.receive(testTimeout); text != "three" {
--- a/internal/testbed/netfault/stream_test.go
+++ b/internal/testbed/netfault/stream_test.go
@@ -96,7 +96,7 @@
 			case test.blocked && !isTimeout(err):
 				t.Errorf("got %q, %v; want a timeout", received, err)
 			case !test.blocked && (err != nil || (received == "hello") == test.corrupted):
-				t.Errorf("got %q, %v", received, err)
+				t.Errorf("got %q, %v; want \"hello\", corrupted: %v", received, err, test.corrupted)
 			case took < test.least:
 				t.Errorf("took %v, want at least %v", took, test.least)
 			}
@@ -115,7 +115,7 @@
 	_ = conn.SetDeadline(time.Now().Add(2 * testTimeout))
 	buffer := make([]byte, len("hello"))
 	if _, err := io.ReadFull(conn, buffer); err != nil || string(buffer) != "hello" {
-		t.Errorf("got %q, %v after all faults were removed", buffer, err)
+		t.Errorf("got %q, %v after all faults were removed, want \"hello\"", buffer, err)
 	}
 }
 
