--- a/internal/testbed/dissemination/dissemination.go
+++ b/internal/testbed/dissemination/dissemination.go
@@ -27,8 +27,8 @@
 const (
 	timeStep        = 10 * time.Millisecond
 	sampleInterval  = 100 * time.Millisecond
-	busyPeriod      = 5 * time.Second  // from the fault on
-	partitionPeriod = 10 * time.Second // from the fault on
+	busyPeriod      = 5 * time.Second  // time after the fault over which the busy traffic is measured
+	partitionPeriod = 10 * time.Second // time after the fault at which a partition ends
 	faultyServer    = decide.ServerID(1)
 	healthyServers  = 8 // number of servers besides the faulty one
 
@@ -37,7 +37,7 @@
 	observedDelay         = time.Second        // message delay of the faulty server
 	fastSetup             = time.Millisecond   // setup time of each connection
 	minObservers          = 2                  // minimum number of members that observe the fault themselves
-	connectionProbability = 0.5                // that a member has a connection to a healthy server
+	connectionProbability = 0.5                // probability that a member has a connection to a given healthy server
 	buildDigest           = "0123456789ab"     // as long as a real one
 	settingsDigest        = "0123456789abcdef" // as long as a real one
 	faultyServerFlow      = decide.FlowID("f") // connections to the faulty server
@@ -71,14 +71,14 @@
 	Members         int           `json:"members"`
 	Seed            uint64        `json:"seed"`
 	TimeToHalf      time.Duration `json:"half_ns"`     // from the fault until half of all members are informed of it; below 0: never
-	TimeToMost      time.Duration `json:"most_ns"`     // until 99 in 100 are; below 0: never
+	TimeToMost      time.Duration `json:"most_ns"`     // from the fault until 99 in 100 members are informed of it; below 0: never
 	QuietBytes      float64       `json:"quiet_bytes"` // sent before the fault
 	BusyBytes       float64       `json:"busy_bytes"`  // sent in the 5 s after the fault
 	MaxBusyBytes    float64       `json:"busiest_bytes"`
 	QuietPackets    float64       `json:"quiet_packets"`
 	QuietMessages   float64       `json:"messages_heard"` // received before the fault
 	InformedMembers []int         `json:"knowing"`        // number of informed members for each tenth of a second from the fault on
-	FalsePenalties  int           `json:"dear_before"`    // number of samples in which a member penalised the server before the fault
+	FalsePenalties  int           `json:"dear_before"`    // number of members that penalised the server before the fault, summed over the samples
 }
 
 // delivery is a packet in transit.
