--- a/cmd/testbed/fleet.go
+++ b/cmd/testbed/fleet.go
@@ -172,7 +172,7 @@
 	return fleet.Run(ctx, j.plan, fleet.Settings{Seed: j.seed, Program: j.program, OldProgram: j.old, Directory: directory, Progress: progress})
 }
 
-// writeFleetResults writes the results to the file of --json, and the first of them to that of --html, if given.
+// writeFleetResults writes all results to the file of --json, and the first result to the file of --html, if these flags are given.
 func writeFleetResults(c *cli.Command, results []*fleet.Result) error {
 	if path := c.String("json"); path != "" {
 		if err := writeFile(path, func(w io.Writer) error {
--- a/cmd/testbed/hunt.go
+++ b/cmd/testbed/hunt.go
@@ -16,11 +16,14 @@
 )
 
 const (
-	brokenRuleLoss = 10  // exceeds any loss of service, unless the prices of events are high
-	minLossShare   = 0.8 // of the original loss, which a minimized day must still show
-	shrinkFactor   = 0.6 // factor on a fault's length per step
-	maxShrinks     = 4   // steps per fault
-	listedDays     = 5
+	// brokenRuleLoss is the loss of a day on which a rule was broken, before the number of violations is added. It is above any loss of
+	// service, unless the experiment sets high prices of events.
+	brokenRuleLoss = 10
+
+	minLossShare = 0.8 // share of the original loss that a minimized day must still show
+	shrinkFactor = 0.6 // factor on a fault's length per step
+	maxShrinks   = 4   // steps per fault
+	listedDays   = 5
 )
 
 func huntCommand() *cli.Command {
--- a/cmd/testbed/spread_page.go
+++ b/cmd/testbed/spread_page.go
@@ -33,7 +33,7 @@
 	Lines  []plotLine
 	Legend []legendEntry
 
-	samples int // of the longest run
+	samples int // number of samples of the longest run
 	colours map[int]string
 }
 
