--- a/internal/simulation/arrivals.go
+++ b/internal/simulation/arrivals.go
@@ -68,7 +68,7 @@
 	c.attempt()
 }
 
-// scheduleLoadChange schedules the next random change of a client's load, and from there further ones until the client leaves.
+// scheduleLoadChange schedules the next random change of a client's load. Each change schedules the one after it, until the client leaves.
 func (c *Client) scheduleLoadChange() {
 	service := c.service()
 	if service.ChangeEvery <= 0 || service.LoadChangeSpread <= 0 {
--- a/internal/simulation/fault.go
+++ b/internal/simulation/fault.go
@@ -26,7 +26,7 @@
 	BalancerCrash          FaultKind = "balancer_crash" // a share of balancers crashes and restarts at the end
 	BalancerRollingRestart FaultKind = "balancer_roll"  // a share of balancers stops cleanly and starts again Extra later, Strength of all at a time
 	LocalityLost           FaultKind = "hall_lost"      // all servers of a locality stop responding, its balancers die; all restart at the end
-	Partition              FaultKind = "cut"            // Locality can't send to the others; nor they to it where Strength is 1 or more
+	Partition              FaultKind = "cut"            // Locality can't send to the others; if Strength is 1 or more, they can't send to it either
 	Overload               FaultKind = "overload"       // a burst that, if it starts with the day, multiplies the initially established connections, too
 )
 
--- a/internal/simulation/fault_balancers.go
+++ b/internal/simulation/fault_balancers.go
@@ -6,7 +6,7 @@
 	frontUpDelay   = 100 * time.Millisecond // until the front sends clients to a balancer that has started
 	frontDownDelay = 300 * time.Millisecond // until the front sends no more clients to a balancer that is stopping
 	maxStopWait    = 3 * time.Second        // upper bound of the time that a stopping balancer waits for its clients
-	stopMargin     = 700 * time.Millisecond // time that stopping takes beyond that wait
+	stopMargin     = 700 * time.Millisecond // time that stopping takes in addition to the wait
 )
 
 // faultyBalancers draws a share of all balancers and keeps those in the fault's locality.
--- a/internal/simulation/queue_test.go
+++ b/internal/simulation/queue_test.go
@@ -48,7 +48,7 @@
 			want := erlangC(c.cores, load) / (float64(c.cores)*10 - rate)
 			got := waited / float64(c.jobs)
 			if math.Abs(got/want-1) > 0.03 {
-				t.Errorf("mean wait = %.5f s, Erlang C gives %.5f s: a difference of %.1f %%", got, want, 100*(got/want-1))
+				t.Errorf("mean wait = %.5f s, Erlang C gives %.5f s: a difference of %.1f %%, want at most 3 %%", got, want, 100*(got/want-1))
 			}
 		})
 	}
@@ -71,7 +71,7 @@
 	q.Put(0.5, end)
 	schedule.RunTo(10 * time.Second)
 	if want := []time.Duration{3 * time.Second, 4 * time.Second}; len(ends) != 2 || ends[0] != want[0] || ends[1] != want[1] {
-		t.Errorf("ends at %v, want %v", ends, want)
+		t.Errorf("jobs ended at %v, want %v", ends, want)
 	}
 }
 
--- a/internal/simulation/types.go
+++ b/internal/simulation/types.go
@@ -115,7 +115,7 @@
 	Establish(c ConnID)
 	// EndConnect is called when a server ends a connect or a connection.
 	EndConnect(c ConnID, reason EndReason)
-	// ReportDelay is called once a second with a server's message delay while that is high, and once when it no longer is.
+	// ReportDelay is called once a second with a server's message delay while the delay is high, and once when it no longer is.
 	ReportDelay(s ServerID, delay time.Duration)
 	// UpdateList is called when the server list sends an update to a balancer.
 	UpdateList(b BalancerID, isFull bool, entries []Entry)
--- a/internal/simulation/world_test.go
+++ b/internal/simulation/world_test.go
@@ -126,11 +126,11 @@
 		most  float64
 	}{{"well within capacity", 1, 0.95, 1}, {"at capacity", 4, 0, 0.2}, {"above capacity", 8, 0, 0.05}} {
 		t.Run(c.name, func(t *testing.T) {
-			w, s := newSmallWorld(20*time.Second, RetryAtOnce)
+			w, d := newSmallWorld(20*time.Second, RetryAtOnce)
 			w.Servers[0].MaxMessageDelay = 0
 			w.StartLoad(&arrivalList{arrivalOf(0, 20*time.Second, c.load)})
 			w.Schedule.RunTo(10 * time.Millisecond)
-			s.connectNewest(0)
+			d.connectNewest(0)
 			w.Schedule.RunTo(20 * time.Second)
 			w.End()
 			if got := sum(w.Accounting.Served) / sum(w.Accounting.Requested); got < c.least || got > c.most {
@@ -150,34 +150,34 @@
 		attempts int // within 500 ms
 	}{{"never", NeverRetry, 1}, {"at once", RetryAtOnce, 3}, {"after a fixed delay", RetryAfterFixedDelay, 3}} {
 		t.Run(c.name, func(t *testing.T) {
-			w, s := newSmallWorld(10*time.Second, c.retry)
+			w, d := newSmallWorld(10*time.Second, c.retry)
 			w.StartLoad(&arrivalList{arrivalOf(0, 9*time.Second, 1)})
 			for at := time.Duration(0); at < 500*time.Millisecond; at += 5 * time.Millisecond {
 				w.Schedule.RunTo(at)
-				if n := len(s.opened); n > 0 {
-					w.AnswerFlow(s.opened[n-1], Rejected, 0)
+				if n := len(d.opened); n > 0 {
+					w.AnswerFlow(d.opened[n-1], Rejected, 0)
 				}
 			}
-			if len(s.opened) != c.attempts {
-				t.Errorf("%d attempts within 500 ms, want %d", len(s.opened), c.attempts)
+			if len(d.opened) != c.attempts {
+				t.Errorf("%d attempts within 500 ms, want %d", len(d.opened), c.attempts)
 			}
 		})
 	}
 }
 
 func TestClientsGiveUpSilentConnections(t *testing.T) {
-	w, s := newSmallWorld(30*time.Second, RetryAfterFixedDelay)
+	w, d := newSmallWorld(30*time.Second, RetryAfterFixedDelay)
 	w.StartLoad(&arrivalList{arrivalOf(0, 29*time.Second, 1)})
 	w.Schedule.RunTo(1100 * time.Millisecond)
-	if w.Totals.TimedOut != 1 || len(s.left) != 1 || len(s.opened) != 2 {
+	if w.Totals.TimedOut != 1 || len(d.left) != 1 || len(d.opened) != 2 {
 		t.Fatalf("timed out %d times, left flows %v, opened flows %v; want one attempt to time out and a second one to start",
-			w.Totals.TimedOut, s.left, s.opened)
+			w.Totals.TimedOut, d.left, d.opened)
 	}
-	s.connectNewest(1)
+	d.connectNewest(1)
 	w.Servers[1].goDown(Silent)
 	w.Schedule.RunTo(w.Schedule.Now() + 6*time.Second)
-	if w.Totals.Cut != 1 || len(s.opened) < 3 {
-		t.Errorf("cut %d, opened %d; want the client to close its unresponsive connection and reconnect", w.Totals.Cut, len(s.opened))
+	if w.Totals.Cut != 1 || len(d.opened) < 3 {
+		t.Errorf("cut %d, opened %d; want the client to close its unresponsive connection and reconnect", w.Totals.Cut, len(d.opened))
 	}
 }
 
@@ -188,18 +188,18 @@
 		collapses bool
 	}{{"many at once", 5 * time.Millisecond, true}, {"one per window", 1500 * time.Millisecond, false}} {
 		t.Run(c.name, func(t *testing.T) {
-			w, s := newSmallWorld(30*time.Second, RetryAfterFixedDelay)
+			w, d := newSmallWorld(30*time.Second, RetryAfterFixedDelay)
 			var arrivals arrivalList
 			for i := range 14 {
 				arrivals = append(arrivals, arrivalOf(time.Duration(i)*c.gap, 29*time.Second, 1))
 			}
 			w.Servers[0].boot()
 			w.StartLoad(&arrivals)
-			for len(s.opened) < 14 && w.Schedule.Now() < 25*time.Second {
-				n := len(s.opened)
+			for len(d.opened) < 14 && w.Schedule.Now() < 25*time.Second {
+				n := len(d.opened)
 				w.Schedule.RunTo(w.Schedule.Now() + time.Millisecond)
-				if len(s.opened) > n {
-					w.DeliverConnect(w.NewConnID(), 0, s.opened[len(s.opened)-1], 0)
+				if len(d.opened) > n {
+					w.DeliverConnect(w.NewConnID(), 0, d.opened[len(d.opened)-1], 0)
 				}
 			}
 			if collapsed := w.Servers[0].Phase() == Collapsed; collapsed != c.collapses {
@@ -210,7 +210,7 @@
 }
 
 func TestListIsDelayedAndCanBeUnavailable(t *testing.T) {
-	w, s := newSmallWorld(60*time.Second, RetryAfterFixedDelay)
+	w, d := newSmallWorld(60*time.Second, RetryAfterFixedDelay)
 	w.ScheduleFaults([]Fault{
 		{Kind: Crash, Start: time.Second, Length: 10 * time.Second, Share: 0.5, Locality: AnyLocality},
 		{Kind: ListOutage, Start: 10 * time.Second, Length: 20 * time.Second, Locality: AnyLocality}})
@@ -219,8 +219,8 @@
 		updates int
 	}{{1900 * time.Millisecond, 0}, {2200 * time.Millisecond, 1}, {29 * time.Second, 1}, {31 * time.Second, 2}} {
 		w.Schedule.RunTo(step.at)
-		if s.updates != step.updates {
-			t.Errorf("%d updates by %v, want %d", s.updates, step.at, step.updates)
+		if d.updates != step.updates {
+			t.Errorf("%d updates by %v, want %d", d.updates, step.at, step.updates)
 		}
 	}
 	if w.Servers[0].WarmFraction()+w.Servers[1].WarmFraction() != 2 {
