--- a/internal/testbed/invariants/checker_test.go
+++ b/internal/testbed/invariants/checker_test.go
@@ -242,7 +242,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			violations := violationsOf(test.events)
 			if len(violations) == 0 || violations[0].Rule != test.rule || !strings.Contains(violations[0].Description, test.what) {
-				t.Fatalf("found %v, want rule %d, %s", violations, test.rule, test.what)
+				t.Fatalf("violations %v, want the first to break rule %d with %q", violations, test.rule, test.what)
 			}
 			if len(violations[0].Events) == 0 || !strings.Contains(violations[0].String(), "seen: ") {
 				t.Error("the violation lists no events")
