--- a/internal/testbed/sockets/connection.go
+++ b/internal/testbed/sockets/connection.go
@@ -194,7 +194,7 @@
 	d.world.DeliverConnect(c.id, c.server, c.flow, c.balancerLocality)
 }
 
-// finish processes that the balancer has closed the connection.
+// finish cleans up after the balancer has closed the connection.
 func (c *connection) finish() {
 	if c.isOver {
 		return
@@ -241,7 +241,7 @@
 	c.write(fmt.Sprintf("UP %d\r\n", id)) // balancers relay the argument, and the testbed's clients ignore it
 }
 
-// closingLines are sent to a balancer before its connection is closed; other reasons send none.
+// closingLines are sent to a balancer before its connection is closed. For a reason that is not listed, no line is sent.
 var closingLines = map[simulation.EndReason]string{simulation.Full: "BUSY\r\n", simulation.Failed: "ERR it failed\r\n",
 	simulation.MigrationRequested: "MOVE\r\n", simulation.ServerStopped: "BYE\r\n"}
 
--- a/internal/testbed/sockets/sockets_test.go
+++ b/internal/testbed/sockets/sockets_test.go
@@ -188,7 +188,7 @@
 				t.Fatal(err)
 			}
 			if v := checker.Violations(); len(v) == 0 || v[0].Rule != invariants.OneAnswer || !strings.Contains(v[0].Description, c.what) {
-				t.Errorf("found %v, want %q", v, c.what)
+				t.Errorf("violations %v, want the first to break rule %d with %q", v, invariants.OneAnswer, c.what)
 			}
 		})
 	}
@@ -232,11 +232,11 @@
 	}
 	n := d.World.Totals
 	if n.Clients < 80 || n.Established != 0 || len(n.NeverEstablished) != n.Clients {
-		t.Errorf("%d clients, %d established, %d never established: arrivals must neither wait for answers nor be dropped",
+		t.Errorf("%d clients, %d established, %d never established; want at least 80, 0 and all: arrivals must neither wait for answers nor be dropped",
 			n.Clients, n.Established, len(n.NeverEstablished))
 	}
 	if n.TimedOut < n.Clients/2 {
-		t.Errorf("%d attempts timed out, want at least half of the clients", n.TimedOut)
+		t.Errorf("%d attempts timed out, want at least half of the number of clients, %d", n.TimedOut, n.Clients)
 	}
 }
 
