--- a/internal/testbed/fleet/fault.go
+++ b/internal/testbed/fleet/fault.go
@@ -18,7 +18,7 @@
 const (
 	faultKill              faultKind = "kill"             // SIGKILL; restarted after the length
 	faultFreeze            faultKind = "freeze"           // SIGSTOP for the length
-	faultTerminate         faultKind = "term"             // SIGTERM, SIGKILL after the time of a planned restart; restarted the length after that
+	faultTerminate         faultKind = "term"             // SIGTERM, then SIGKILL after the time that a planned restart allows; restarted the length after the SIGKILL
 	faultStart             faultKind = "start"            // start of a process that was killed without a restart
 	faultStarve            faultKind = "starve"           // the process runs only a quarter of the time for the length
 	faultDirectoryFull     faultKind = "folder-full"      // the files of the process's directory can't grow for the length
@@ -69,7 +69,7 @@
 	direction      string // fromTargets, toTargets, or empty for both
 	method, path   string // of a call
 	rate           int
-	signals        int // number of SIGHUPs over the length, or of SIGTERMs in a row; above 1, also that of SIGHUPs during a start or restart
+	signals        int // number of SIGHUPs over the length, or of SIGTERMs in a row; above 1, also the number of SIGHUPs during a start or restart
 }
 
 func (p *Plan) readFault(t strict.Table, names map[string]bool) {
--- a/internal/testbed/fleet/fleet_test.go
+++ b/internal/testbed/fleet/fleet_test.go
@@ -67,7 +67,7 @@
 			return r
 		}
 	}
-	t.Fatalf("void four times: %s", r.Void)
+	t.Fatalf("the run was void four times, the last time because %s", r.Void)
 	return nil
 }
 
@@ -80,7 +80,7 @@
 		once.Do(func() {
 			path = filepath.Join(os.TempDir(), fmt.Sprintf("yardwinch-gossip-test-%d", os.Getpid()))
 			if text, err := exec.Command("go", "build", "-o", path, "yardwinch/cmd/yardwinch-gossip").CombinedOutput(); err != nil {
-				t.Fatalf("%v: %s", err, text)
+				t.Fatalf("cannot build the membership engine: %v: %s", err, text)
 			}
 		})
 		return path
--- a/internal/testbed/fleet/idle_clients.go
+++ b/internal/testbed/fleet/idle_clients.go
@@ -9,7 +9,7 @@
 
 const reconnectInterval = 10 * time.Millisecond
 
-// startIdleClients connects clients to a balancer that send nothing until the end of the fault, and reconnect if they are disconnected.
+// startIdleClients starts clients of a balancer that send nothing until the end of the fault, and reconnect if they are disconnected.
 func (r *fleetRun) startIdleClients(p *process, f startedFault) {
 	ctx, cancel := context.WithTimeout(r.ctx, f.drawnLength)
 	context.AfterFunc(ctx, cancel)
--- a/internal/testbed/fleet/result.go
+++ b/internal/testbed/fleet/result.go
@@ -13,7 +13,7 @@
 const (
 	recentPeriod       = 2 * time.Second // window in which a faulty server's share of the connects is measured
 	earliestFault      = time.Second     // faults that began earlier have no result
-	stillChosenDivisor = 3               // a server still counts as chosen at its fair share divided by this
+	stillChosenDivisor = 3               // a server still counts as chosen if it gets at least its fair share of the connects divided by this
 )
 
 // Verdict says whether a requirement held, and what was observed.
--- a/internal/testbed/fleet/soak.go
+++ b/internal/testbed/fleet/soak.go
@@ -21,7 +21,7 @@
 	pauseLength         = 150 * time.Millisecond // a process may be descheduled for this long at any time
 	pauseInterval       = 3 * time.Second
 	soakAnswerTolerance = 500 * time.Millisecond  // an answer up to this late earns no service; a later one breaks a rule
-	minSoakDowntime     = 1300 * time.Millisecond // with a shorter one the front would not leave the process out, and could not take it back
+	minSoakDowntime     = 1300 * time.Millisecond // after a shorter downtime the front would not have left the process out, and could not take it back
 	takenBackWithin     = 10 * time.Second        // from a fault until the front uses the restarted process again
 	// File descriptors that a process may have open at the end: its own, and two for each established connection.
 	soakDescriptors = 200
