--- a/internal/testbed/experiment/experiment_test.go
+++ b/internal/testbed/experiment/experiment_test.go
@@ -75,10 +75,10 @@
 		t.Errorf("20 days have only the sizes %v, want at least 3", sizes)
 	}
 	if r := arrivals.outside / 30 / usualRate; math.Abs(r-1) > 0.1 {
-		t.Errorf("arrivals outside the burst at %.3f times the usual rate, want 1", r)
+		t.Errorf("arrivals outside the burst at %.3f times the usual rate, want 0.9 to 1.1", r)
 	}
 	if r := arrivals.inBurst / 10 / usualRate; math.Abs(r-3) > 0.3 {
-		t.Errorf("arrivals in the burst at %.3f times the usual rate, want 3", r)
+		t.Errorf("arrivals in the burst at %.3f times the usual rate, want 2.7 to 3.3", r)
 	}
 }
 
--- a/internal/testbed/experiment/faults.go
+++ b/internal/testbed/experiment/faults.go
@@ -10,7 +10,7 @@
 	"yardwinch/internal/strict"
 )
 
-const maxShareOfServer = 0.99 // largest share of a server that a neighbour may take, or of its set-ups that may fail
+const maxShareOfServer = 0.99 // largest share of a server's cores that a neighbour may use, and of a server's set-ups that may fail
 
 // faultRanges are the ranges that a fault is drawn from.
 type faultRanges struct {
--- a/internal/testbed/experiment/load.go
+++ b/internal/testbed/experiment/load.go
@@ -18,7 +18,7 @@
 )
 
 // meanEstablished returns the mean number of established connections that corresponds to the day's load. The groups' additional load,
-// at the lower end of its range, takes part of the capacity.
+// at the lower end of its range, uses up some of the capacity.
 func (d *Day) meanEstablished() float64 {
 	loadOfConnection := 1 + d.Experiment.fleet.groupLoad.lo*groupLoadShare
 	load, shares := 0.0, 0.0
