--- a/internal/testbed/baseline/omniscient.go
+++ b/internal/testbed/baseline/omniscient.go
@@ -23,7 +23,7 @@
 
 // leastCost is the rule that uses the true state of all servers and of the store, including the load that other balancers send. It chooses
 // the server with the lowest placementCost, which prefers one that has the flow's group, and keeps starting servers within their budget. It
-// rejects a flow where the store or all servers are too busy, as it would delay others.
+// rejects a flow where the store or all servers are too busy, as the flow would delay others.
 func leastCost(p *Policy, f *flow, ready []*server) *server {
 	if p.World.StoreWait() > maxStoreWait {
 		return nil
@@ -56,8 +56,8 @@
 	return score + setupLoadFactor*added + setupLoadFactor*s.QueueDelay(), true
 }
 
-// loadScore is a server's demand divided by its capacity, plus its queueing delay in seconds. Connections that are being set up count as
-// established.
+// loadScore is a server's demand divided by its capacity, plus its queueing delay in seconds. The demand includes a group's load for
+// each connection that is being set up.
 func loadScore(s *simulation.Server) float64 {
 	settingUp := float64(s.ConnectionCount()-s.Established()) * s.GroupLoad
 	return (s.Demand()+settingUp)/s.CurrentCapacity() + s.QueueDelay()
