--- a/internal/testbed/scenario/scenario_test.go
+++ b/internal/testbed/scenario/scenario_test.go
@@ -43,9 +43,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	judged := 0
+	checked := 0
 	for _, r := range results {
-		judged += r.CheckedFlows
+		checked += r.CheckedFlows
 		if r.ViolationCount > len(r.Violations) {
 			t.Errorf("seed %d: more violations than are listed", r.Seed)
 		}
@@ -55,8 +55,8 @@
 			}
 		}
 	}
-	if judged < 100*len(results) {
-		t.Errorf("only %d flows were checked, want at least 100 for each of the %d days", judged, len(results))
+	if checked < 100*len(results) {
+		t.Errorf("only %d flows were checked, want at least 100 for each of the %d days", checked, len(results))
 	}
 }
 
