--- a/internal/testbed/netfault/proxy_test.go
+++ b/internal/testbed/netfault/proxy_test.go
@@ -61,7 +61,7 @@
 	}
 	b.send(a, "three")
 	if text, _, err := a.receive(testTimeout); text != "three" {
-		t.Errorf("the other direction is open, but got %q, %v", text, err)
+		t.Errorf("the other direction is open, but got %q, %v; want \"three\"", text, err)
 	}
 	n.SetCondition("a", "b", Condition{Duplicate: 1})
 	a.send(b, "four")
