--- a/internal/testbed/dissemination/member.go
+++ b/internal/testbed/dissemination/member.go
@@ -90,7 +90,7 @@
 	return nil
 }
 
-// enqueue queues a record for gossip. It replaces a queued one of the same origin.
+// enqueue queues a record for gossip. A record of the same origin that is already queued is replaced.
 func (m *member) enqueue(origin signals.Origin, body []byte) {
 	for _, queued := range m.queue {
 		if queued.origin == origin {
