--- a/internal/simulation/types.go
+++ b/internal/simulation/types.go
@@ -115,7 +115,7 @@
 	Establish(c ConnID)
 	// EndConnect is called when a server ends a connect or a connection.
 	EndConnect(c ConnID, reason EndReason)
-	// ReportDelay is called once a second with a server's message delay while that is high, and once when it no longer is.
+	// ReportDelay is called once a second with a server's message delay while the delay is high, and once when it no longer is.
 	ReportDelay(s ServerID, delay time.Duration)
 	// UpdateList is called when the server list sends an update to a balancer.
 	UpdateList(b BalancerID, isFull bool, entries []Entry)
@@ -133,11 +133,11 @@
 // Service is one service type.
 type Service struct {
 	Name                string
-	Share               float64       // of new connections
-	Value               float64       // of a connection per second
-	Effect              string        // effect of a repeated run, as settings write it
-	DeduplicationScope  string        // deduplication scope, as settings write it
-	DeduplicationWindow time.Duration // deduplication window
+	Share               float64 // of new connections
+	Value               float64 // of a connection per second
+	Effect              string  // effect of a repeated run, as settings write it
+	DeduplicationScope  string  // deduplication scope, as settings write it
+	DeduplicationWindow time.Duration
 
 	Target        time.Duration // setup target
 	Timeout       time.Duration // of an attempt
--- a/internal/testbed/invariants/checker_test.go
+++ b/internal/testbed/invariants/checker_test.go
@@ -242,7 +242,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			violations := violationsOf(test.events)
 			if len(violations) == 0 || violations[0].Rule != test.rule || !strings.Contains(violations[0].Description, test.what) {
-				t.Fatalf("found %v, want rule %d, %s", violations, test.rule, test.what)
+				t.Fatalf("violations %v, want the first to break rule %d with %q", violations, test.rule, test.what)
 			}
 			if len(violations[0].Events) == 0 || !strings.Contains(violations[0].String(), "seen: ") {
 				t.Error("the violation lists no events")
@@ -275,7 +275,7 @@
 						})
 					}
 					if found := c.Finish(10 * time.Second); (len(found) > 0) != (sent > allowed) {
-						t.Errorf("%d connects: %d violations", sent, len(found))
+						t.Errorf("%d connects: %d violations; up to %d connects are allowed", sent, len(found), allowed)
 					}
 				}
 			})
@@ -291,7 +291,7 @@
 	many := func(n int, load float64) []float64 { return slices.Repeat([]float64{load}, n) }
 	for _, test := range []struct {
 		name   string
-		loads  []float64 // in mean loads
+		loads  []float64 // as multiples of the mean load
 		broken bool
 	}{
 		{"light ones up to the bound", many(17, 0.1), false},
--- a/internal/testbed/netfault/proxy_test.go
+++ b/internal/testbed/netfault/proxy_test.go
@@ -57,11 +57,11 @@
 	n.SetCondition("a", "b", Condition{Cut: true})
 	a.send(b, "two")
 	if text, _, err := b.receive(100 * time.Millisecond); err == nil {
-		t.Errorf("got %q over a cut path", text)
+		t.Errorf("got %q over a cut path, want nothing", text)
 	}
 	b.send(a, "three")
 	if text, _, err := a.receive(testTimeout); text != "three" {
-		t.Errorf("the other direction is open, but got %q, %v", text, err)
+		t.Errorf("the other direction is open, but got %q, %v; want \"three\"", text, err)
 	}
 	n.SetCondition("a", "b", Condition{Duplicate: 1})
 	a.send(b, "four")
--- a/internal/testbed/sockets/sockets_test.go
+++ b/internal/testbed/sockets/sockets_test.go
@@ -156,7 +156,7 @@
 		t.Errorf("violation reported for a correct balancer: %v", v)
 	}
 	if n := d.World.Totals; n.Established < 20 || checker.CheckedFlows < 20 || dr.Counts.Connects < 20 {
-		t.Errorf("established %d, judged %d, connects %d: want at least 20 of each", n.Established, checker.CheckedFlows, dr.Counts.Connects)
+		t.Errorf("established %d, flows checked %d, connects %d: want at least 20 of each", n.Established, checker.CheckedFlows, dr.Counts.Connects)
 	}
 	for range 200 {
 		if runtime.NumGoroutine() <= before+1 {
@@ -164,7 +164,7 @@
 		}
 		time.Sleep(10 * time.Millisecond) // the HTTP server's connections close asynchronously
 	}
-	t.Errorf("%d goroutines before, %d after", before, runtime.NumGoroutine())
+	t.Errorf("%d goroutines before the run, %d after it; want at most one more", before, runtime.NumGoroutine())
 }
 
 func TestFaultyBalancersAreFoundOnSockets(t *testing.T) {
@@ -188,7 +188,7 @@
 				t.Fatal(err)
 			}
 			if v := checker.Violations(); len(v) == 0 || v[0].Rule != invariants.OneAnswer || !strings.Contains(v[0].Description, c.what) {
-				t.Errorf("found %v, want %q", v, c.what)
+				t.Errorf("violations %v, want the first to break rule %d with %q", v, invariants.OneAnswer, c.what)
 			}
 		})
 	}
@@ -232,11 +232,11 @@
 	}
 	n := d.World.Totals
 	if n.Clients < 80 || n.Established != 0 || len(n.NeverEstablished) != n.Clients {
-		t.Errorf("%d clients, %d established, %d never established: arrivals must neither wait for answers nor be dropped",
+		t.Errorf("%d clients, %d established, %d never established; want at least 80, 0 and all: arrivals must neither wait for answers nor be dropped",
 			n.Clients, n.Established, len(n.NeverEstablished))
 	}
 	if n.TimedOut < n.Clients/2 {
-		t.Errorf("%d attempts timed out, want at least half of the clients", n.TimedOut)
+		t.Errorf("%d attempts timed out, want at least half of the number of clients, %d", n.TimedOut, n.Clients)
 	}
 }
 
@@ -285,7 +285,7 @@
 	c.receive("T 0")
 	dr.mu.Unlock()
 	if found := checker.Finish(time.Minute); len(found) > 0 {
-		t.Errorf("%v", found)
+		t.Errorf("violations %v, want none", found)
 	}
 }
 
@@ -302,7 +302,7 @@
 		void := dr.voidReason()
 		dr.mu.Unlock()
 		if (void != "") != c.void {
-			t.Errorf("event reported %v late: void reason is %q", c.late, void)
+			t.Errorf("event reported %v late: void reason is %q, want one: %v", c.late, void, c.void)
 		}
 	}
 }
