--- a/decide/snapshot.go
+++ b/decide/snapshot.go
@@ -25,16 +25,16 @@
 // LimitSnapshot is the state of a limit on flows, which grows with time since its last reduction.
 type LimitSnapshot struct {
 	Flows     float64       `json:"held"` // the limit at the last reduction
-	Target    float64       `json:"was"`  // by which the limit grows: the limit at the first reduction of a series
+	Growth    float64       `json:"was"`  // by which the limit grows in limitRecoveryTime: the limit at the first reduction of a series
 	ReducedAt time.Duration `json:"at"`   // time of the last reduction; 0: no limit
 }
 
 func (l flowLimit) snapshot() LimitSnapshot {
-	return LimitSnapshot{Flows: l.flows, Target: l.growth, ReducedAt: l.reducedAt}
+	return LimitSnapshot{Flows: l.flows, Growth: l.growth, ReducedAt: l.reducedAt}
 }
 
 func (l LimitSnapshot) limit() flowLimit {
-	return flowLimit{flows: l.Flows, growth: l.Target, reducedAt: l.ReducedAt}
+	return flowLimit{flows: l.Flows, growth: l.Growth, reducedAt: l.ReducedAt}
 }
 
 // ServerSnapshot is the state of one server.
