--- a/internal/testbed/scale/control.go
+++ b/internal/testbed/scale/control.go
@@ -1,6 +1,6 @@
 package scale
 
-// Quantities that the sizes of a sweep can count besides the keys of its file.
+// Quantities that the sizes of a sweep can count, in addition to those that are keys of an experiment file.
 const (
 	byReplacements = "replacements" // members replaced in a day
 	byChanges      = "changes"      // configuration changes in a day
--- a/internal/testbed/scale/control_gossip.go
+++ b/internal/testbed/scale/control_gossip.go
@@ -129,8 +129,8 @@
 	return model
 }
 
-// addKnownRecords gives a member one record each of other members, from a random one on, as many as signals.MaxOrigins
-// allows.
+// addKnownRecords gives a member one record of each other member, starting with a random one, up to signals.MaxOrigins
+// records.
 func (m *gossipModel) addKnownRecords(i int) {
 	member := &m.members[i]
 	capacity := min(m.run.members-1, signals.MaxOrigins)
--- a/internal/testbed/scale/control_measurements.go
+++ b/internal/testbed/scale/control_measurements.go
@@ -4,7 +4,7 @@
 type controlMeasurements struct {
 	settings                 Settings
 	role                     string
-	suffix                   string // of the series names, which distinguishes files that use the same sweep
+	suffix                   string // appended to the names of series; differs between experiment files that use the same sweep
 	series                   map[string]*Series
 	names                    []string
 	checks                   []Check
--- a/internal/testbed/scale/control_members.go
+++ b/internal/testbed/scale/control_members.go
@@ -17,13 +17,13 @@
 	unitCorePart       = "part of a core"
 	unitPart           = "part"
 
-	fewReports        = 4 // in a record, in a small fleet with few servers
+	fewReports        = 4 // in each record of a small fleet with few servers
 	latencyObjective  = 80 * time.Millisecond
 	setupObjective    = 300 * time.Millisecond
 	leaseDuration     = 6 * time.Second
 	measurementRounds = 3
 
-	membersPerMemoryMeasurement = 1000 // in total over the engines of a measurement, so that small engines are averaged
+	membersPerMemoryMeasurement = 1000 // approximate total over the engines of a measurement; several small engines are averaged
 )
 
 // recordBytesOf returns the size in bytes of an encoded record with the given number of reports.
@@ -149,7 +149,8 @@
 	return nil
 }
 
-// measureViews measures passing the list of members from the engine to its balancer and on to the decisions.
+// measureViews measures passing the list of members from the engine to its balancer, and from the balancer to its signal
+// exchange and lease manager.
 func (m *controlMeasurements) measureViews(size int) error {
 	view := newMemberView(size)
 	frame := view.frame()
@@ -164,7 +165,7 @@
 		name: "frame-processor", unit: unitCorePart, origin: Measured,
 		quantity: "processor time for the list of members between the engine and its balancer",
 	}, size, perSecond*(encoding.processor+decoding.processor).Seconds())
-	decider := signals.New(signals.Config{
+	signalExchange := signals.New(signals.Config{
 		Origin:           signals.Origin(memberName(0)),
 		Incarnation:      1,
 		LatencyThreshold: latencyObjective,
@@ -173,7 +174,7 @@
 	})
 	leases := lease.New(lease.Holder(memberName(0)), leaseDuration)
 	list := view.sorted()
-	applying := measure(measurementRounds, 1, func() { applyMembership(list, decider, leases) })
+	applying := measure(measurementRounds, 1, func() { applyMembership(list, signalExchange, leases) })
 	m.add(seriesKind{
 		name: "view-processor", unit: unitCorePart, origin: Measured,
 		quantity: "processor time for passing the live members to the deciders",
--- a/internal/testbed/scale/control_membership_view.go
+++ b/internal/testbed/scale/control_membership_view.go
@@ -80,14 +80,15 @@
 	return len(seen)
 }
 
-// applyMembership passes the live members to the deciders, as a balancer does every publishCheckInterval.
-func applyMembership(list []membership.Member, decider *signals.Exchange, leases *lease.Manager) {
+// applyMembership passes the live members to the signal exchange and the lease manager, as a balancer does every
+// publishCheckInterval.
+func applyMembership(list []membership.Member, signalExchange *signals.Exchange, leases *lease.Manager) {
 	var alive []lease.Member
 	var reporters []signals.Origin
 	for _, s := range list {
 		alive = append(alive, lease.Member{Name: lease.Holder(s.Name), Weight: 1, AliveFor: s.Since})
 		reporters = append(reporters, signals.Origin(s.Name))
 	}
-	decider.SetReporters(reporters)
+	signalExchange.SetReporters(reporters)
 	leases.SetMembers(alive)
 }
--- a/internal/testbed/scale/control_push.go
+++ b/internal/testbed/scale/control_push.go
@@ -18,7 +18,7 @@
 	reconnectSpread       = 800 * time.Millisecond  // over which internal/protocol spreads reconnects after a loss
 	fullListTimePerServer = 5 * time.Microsecond    // processor time of applying a full list or changes, per entry of the message
 	changeTimePerServer   = 100 * time.Nanosecond   // further processor time of applying an object with changes, per server of the list
-	startsPerDay          = 2300                    // of balancers without state, over requiredBalancers
+	startsPerDay          = 2300                    // starts of balancers without state, in a fleet of requiredBalancers
 	requiredChangesPerDay = 17_000
 	requiredLatency       = 16 * time.Second
 	bandwidthBudget       = 10_000 // bytes per second, for a balancer's control traffic
--- a/internal/testbed/scale/control_queue.go
+++ b/internal/testbed/scale/control_queue.go
@@ -72,8 +72,8 @@
 
 func (q *broadcastQueue) insert(tier int, queued queuedBroadcast) {
 	list := q.tiers[tier]
-	at, taken := slices.BinarySearchFunc(list, queued, func(a, b queuedBroadcast) int { return int(a.sequence - b.sequence) })
-	if taken {
+	at, found := slices.BinarySearchFunc(list, queued, func(a, b queuedBroadcast) int { return int(a.sequence - b.sequence) })
+	if found {
 		list[at] = queued
 		return
 	}
--- a/internal/testbed/scale/control_real.go
+++ b/internal/testbed/scale/control_real.go
@@ -57,14 +57,14 @@
 }
 
 // stateCounter is a log handler that counts how often an engine declares a member to be in a state. It discards all
-// records.
+// log records.
 type stateCounter struct {
 	slog.Handler
 	state membership.State
 	count atomic.Int64
 }
 
-// Handle counts the record if it logs a change to the counter's state.
+// Handle counts a log record that reports a change to the counter's state.
 func (c *stateCounter) Handle(_ context.Context, line slog.Record) error {
 	line.Attrs(func(a slog.Attr) bool {
 		if line.Message == memberStateMessage && a.Key == memberStateKey && a.Value.String() == string(c.state) {
@@ -245,8 +245,8 @@
 	}
 }
 
-// realMembersSweep compares the model with real engines in this process, which send on loopback for the length of the
-// settings.
+// realMembersSweep compares the model with real engines in this process, which send on loopback. They are measured for the
+// duration in the key length, rounded up by fullExchangeCycles.
 func realMembersSweep(ctx context.Context, s Settings, progress Progress) ([]Series, []Check, error) {
 	length, err := time.ParseDuration(s.Length)
 	if err != nil {
@@ -264,7 +264,7 @@
 }
 
 // checkRealMembers rejects more real engines than one process can run.
-func checkRealMembers(s Settings) (key, fault string) {
+func checkRealMembers(s Settings) (key, problem string) {
 	if s.Sizes[len(s.Sizes)-1] <= maxRealMembers {
 		return "", ""
 	}
--- a/internal/testbed/scale/control_sweep_changes.go
+++ b/internal/testbed/scale/control_sweep_changes.go
@@ -30,7 +30,7 @@
 }
 
 // checkBalancers rejects a fleet with fewer balancers than control machines.
-func checkBalancers(s Settings) (key, fault string) {
+func checkBalancers(s Settings) (key, problem string) {
 	if s.Balancers >= controlMachines {
 		return "", ""
 	}
--- a/internal/testbed/scale/control_sweep_leases.go
+++ b/internal/testbed/scale/control_sweep_leases.go
@@ -21,7 +21,7 @@
 	minRescoringInterval    = 15 * time.Second // one round of health checks, in which scores are calculated at most once
 	holderStep              = time.Second      // of virtual time, between renewals
 	holdersDuration         = time.Minute      // of virtual time
-	holdersCountedAtEnd     = 20 * time.Second // end of holdersDuration in which holders are counted
+	holdersCountedAtEnd     = 20 * time.Second // last part of holdersDuration, in which holders are counted
 	recordDelay             = time.Second      // until all members have received a record, in the best case
 	settledMembership       = time.Hour        // for which settled members have been alive
 	loadReportAge           = time.Second
--- a/internal/testbed/scale/control_sweep_signals.go
+++ b/internal/testbed/scale/control_sweep_signals.go
@@ -12,7 +12,7 @@
 
 const (
 	roleSignals              = "balancer control: signals"
-	distinctPublishers       = 5  // publishers that are simulated; the others repeat their records under their own names
+	distinctPublishers       = 5  // publishers that are simulated; their records are copied for the others, under the others' names
 	maxConnectionsPerServer  = 15 // that a publisher holds
 	defaultFaulty            = 2  // faulty servers, unless the sizes count them
 	maxAggregationsPerSecond = 20 // the inverse of fleet/signals minGatherInterval
@@ -42,7 +42,7 @@
 }
 
 // checkFaultyServers rejects more faulty servers than there are servers.
-func checkFaultyServers(s Settings) (key, fault string) {
+func checkFaultyServers(s Settings) (key, problem string) {
 	if s.Against != byFaulty || s.Sizes[len(s.Sizes)-1] <= s.Servers {
 		return "", ""
 	}
--- a/internal/testbed/scale/control_test.go
+++ b/internal/testbed/scale/control_test.go
@@ -51,7 +51,7 @@
 
 func TestGossipIsDeterministic(t *testing.T) {
 	if a, b := gossipAt(t, 60, 4), gossipAt(t, 60, 4); a != b {
-		t.Errorf("%+v\n%+v", a, b)
+		t.Errorf("two runs with one seed yielded %+v and %+v", a, b)
 	}
 }
 
@@ -69,7 +69,8 @@
 	const logarithmic = 0.2
 	checkGrowth(t, "records received", Point{Size: 110, Value: few.records}, Point{Size: 900, Value: many.records}, logarithmic)
 	if few.reachedShare < 0.99 || many.reachedShare < 0.99 {
-		t.Errorf("small records reach shares of %.3f and %.3f of the other members within 5 s", few.reachedShare, many.reachedShare)
+		t.Errorf("small records reach shares of %.3f and %.3f of the other members within 5 s, want at least 0.99",
+			few.reachedShare, many.reachedShare)
 	}
 }
 
@@ -188,7 +189,7 @@
 		t.Fatal(err)
 	}
 	if len(measurements.checks) != 1 || measurements.checks[0].Passed || measurements.series["memory"] != nil {
-		t.Errorf("%+v", measurements.checks)
+		t.Errorf("checks %+v, want one check that failed, and no point for the memory", measurements.checks)
 	}
 }
 
@@ -247,15 +248,17 @@
 	checkGrowth(t, "bytes of changes", Point{Size: 1000, Value: few.bytes - fewStarts}, Point{Size: 10_000, Value: many.bytes - starts}, 0)
 	fullLists := simulate(pushPlan{servers: 10_000, rate: rate, fullLists: true})
 	if fullLists.bytes < 100*many.bytes {
-		t.Errorf("full lists of 10,000 servers take %.0f bytes, changes %.0f", fullLists.bytes, many.bytes)
+		t.Errorf("full lists of 10,000 servers take %.0f bytes, changes %.0f; want at least 100 times as many", fullLists.bytes, many.bytes)
 	}
 	lost := simulate(pushPlan{servers: 10_000, rate: rate, takenOver: 405})
 	if lost.recovery < lossDetection || len(lost.fullListLatencies) < 405 {
-		t.Errorf("balancers of a lost machine have their list after %v, %d lists sent", lost.recovery, len(lost.fullListLatencies))
+		t.Errorf("balancers of a lost machine have their list after %v, %d lists sent; want at least %v and 405 lists",
+			lost.recovery, len(lost.fullListLatencies), lossDetection)
 	}
 	missed := simulate(pushPlan{servers: 1000, missed: 700, missedMode: catchUpMerged})
 	if missed.recovery <= 0 || len(missed.changeLatencies) != 405*700 {
-		t.Errorf("missed changes are in force after %v, %d latencies", missed.recovery, len(missed.changeLatencies))
+		t.Errorf("missed changes are in force after %v, %d latencies; want more than 0, and 405*700 latencies",
+			missed.recovery, len(missed.changeLatencies))
 	}
 }
 
@@ -317,8 +320,8 @@
 		{"sweep = \"members-real\"\nsizes = [5]\nlength = \"soon\"\n", "length"},
 	} {
 		_, err := Read("x.toml", []byte(c.text))
-		var fault *Error
-		if !errors.As(err, &fault) || !strings.Contains(err.Error(), c.want) || !strings.HasPrefix(fault.Where, "x.toml") {
+		var typed *Error
+		if !errors.As(err, &typed) || !strings.Contains(err.Error(), c.want) || !strings.HasPrefix(typed.Where, "x.toml") {
 			t.Errorf("%q: got %v, want an error that names the file and %s", c.text, err, c.want)
 		}
 	}
@@ -336,7 +339,7 @@
 	} {
 		series, _, err := sweeps[s.Sweep](ctx, s, func(int, int) {})
 		if err == nil || series != nil {
-			t.Errorf("%s did not stop: %v", s.Sweep, err)
+			t.Errorf("%s with a cancelled context: error %v, %d series; want an error and no series", s.Sweep, err, len(series))
 		}
 	}
 }
--- a/internal/testbed/scale/experiment.go
+++ b/internal/testbed/scale/experiment.go
@@ -12,7 +12,7 @@
 	"yardwinch/internal/strict"
 )
 
-// Keys of an experiment file. The sizes of a sweep replace one of those that withSize sets, or count something else.
+// Keys of an experiment file. The sizes of a sweep replace one of the keys that withSize sets, or count something else.
 const (
 	keySizes       = "sizes"
 	keyServers     = "servers"
@@ -44,7 +44,7 @@
 type sweepInput struct {
 	against []string // what the sizes may count; the key against selects one, and the first is the default
 	keys    []string
-	check   func(Settings) (key, fault string) // reports conflicting settings; an empty key means that there are none
+	check   func(Settings) (key, problem string) // reports conflicting settings; an empty key means that there are none
 }
 
 // inputs holds the input of each sweep. A sweep without one accepts any settings.
@@ -124,8 +124,8 @@
 		t.Fail(keyLength, "want a duration above zero")
 	}
 	if in.check != nil && len(s.Sizes) > 0 {
-		if key, fault := in.check(s); key != "" {
-			t.Fail(key, "%s", fault)
+		if key, problem := in.check(s); key != "" {
+			t.Fail(key, "%s", problem)
 		}
 	}
 	return s
--- a/internal/testbed/scale/fleet.go
+++ b/internal/testbed/scale/fleet.go
@@ -46,13 +46,13 @@
 	clients      []*client
 	flowCount    int64
 	connectCount int64
-	figures      figures
+	stats        fleetStats
 
 	busiestSecond time.Duration // largest processor time used for one virtual second, by all balancers and the simulation
 }
 
-// figures are the results of a fleet's run.
-type figures struct {
+// fleetStats are the results of a fleet's run.
+type fleetStats struct {
 	disconnected, migrated, rejected, aborted int
 	slowestSetup                              time.Duration      // from a flow's arrival until it is established
 	recoveryTimes                             []time.Duration    // of disconnected clients, from the fault until established again
@@ -65,7 +65,7 @@
 }
 
 // busiestConnects returns the largest number of connects that one balancer sent in a second.
-func (f figures) busiestConnects() (connects int) {
+func (f fleetStats) busiestConnects() (connects int) {
 	for _, n := range f.connectsSent {
 		connects = max(connects, n)
 	}
@@ -74,7 +74,7 @@
 
 // recoveryQuantile returns the time after which the given share of disconnected clients is established again; 0 if no
 // client was disconnected.
-func (f figures) recoveryQuantile(share float64) time.Duration {
+func (f fleetStats) recoveryQuantile(share float64) time.Duration {
 	if len(f.recoveryTimes) == 0 {
 		return 0
 	}
@@ -96,7 +96,7 @@
 // newFleet starts a fleet whose balancers are configured for the given number of peers.
 func newFleet(s Settings, peers int, seed uint64) *fleet {
 	f := &fleet{random: rand.New(rand.NewPCG(seed, 0)), settings: s, peers: peers}
-	f.figures.connectsSent = map[connectKey]int{}
+	f.stats.connectsSent = map[connectKey]int{}
 	f.checker = invariants.New(invariants.Limits{Slack: answerTolerance, DrainGrace: drainGrace,
 		SlowStartMultiple: overloadMultiple, SlowStartWindow: slowStartWindow, SlowStart: warmUp, MeanLoad: connectionLoad})
 	for range s.Servers {
--- a/internal/testbed/scale/fleet_client.go
+++ b/internal/testbed/scale/fleet_client.go
@@ -62,9 +62,10 @@
 	return up[f.random.IntN(len(up))]
 }
 
-// onDisconnected runs when the client loses its connection other than by a migration, or its balancer stops.
+// onDisconnected runs when the client's connection ends other than by a migration, or when its balancer stops. It also
+// runs when the client closes the connection itself; see leave.
 func (c *client) onDisconnected() {
-	c.fleet.figures.disconnected++
+	c.fleet.stats.disconnected++
 	c.wasDisconnected = true
 	c.scheduleReturn()
 }
@@ -80,12 +81,12 @@
 // onEstablished runs when the client's flow is established.
 func (c *client) onEstablished() {
 	now := c.fleet.schedule.now
-	figures := &c.fleet.figures
+	stats := &c.fleet.stats
 	if c.wasDisconnected {
-		figures.recoveryTimes = append(figures.recoveryTimes, now-faultAt)
+		stats.recoveryTimes = append(stats.recoveryTimes, now-faultAt)
 	}
 	c.wasDisconnected = false
-	figures.slowestSetup = max(figures.slowestSetup, now-c.flow.arrivedAt)
+	stats.slowestSetup = max(stats.slowestSetup, now-c.flow.arrivedAt)
 }
 
 // unservedClients counts the clients without a connection.
--- a/internal/testbed/scale/fleet_instance.go
+++ b/internal/testbed/scale/fleet_instance.go
@@ -90,7 +90,7 @@
 	b.flowsInOrder = nil
 }
 
-// event sets the decisions' clock to the current time and returns them for one event.
+// event returns the decisions, with their clock set to the current time, for the handling of one event.
 func (b *instance) event() *decide.Balancer {
 	b.decider.SetTime(b.fleet.schedule.now - b.started)
 	return b.decider
@@ -259,7 +259,7 @@
 		return
 	}
 	c := f.connect(flow, f.server(to))
-	f.figures.connectsSent[connectKey{b.id, f.schedule.now / time.Second}]++
+	f.stats.connectsSent[connectKey{b.id, f.schedule.now / time.Second}]++
 	f.observe(invariants.Event{
 		Kind:     invariants.ConnectSent,
 		Balancer: invariants.Balancer(b.id),
@@ -282,12 +282,12 @@
 }
 
 func (b *instance) Reject(name decide.FlowID, _ time.Duration) {
-	b.fleet.figures.rejected++
+	b.fleet.stats.rejected++
 	b.answer(name, invariants.Rejected)
 }
 
 func (b *instance) Abort(name decide.FlowID) {
-	b.fleet.figures.aborted++
+	b.fleet.stats.aborted++
 	b.answer(name, invariants.Aborted)
 }
 
@@ -296,7 +296,7 @@
 	if flow == nil || flow.current == nil {
 		return
 	}
-	b.fleet.figures.migrated++
+	b.fleet.stats.migrated++
 	c := flow.current
 	b.fleet.schedule.after(0, func() {
 		if !c.ended && !flow.clientLeft {
--- a/internal/testbed/scale/fleet_test.go
+++ b/internal/testbed/scale/fleet_test.go
@@ -30,8 +30,8 @@
 			if disturbs := one.name != "calm" && one.name != "two-lists" && one.name != "list-of-one"; disturbs && o.checkedFlows == 0 {
 				t.Errorf("%s with %d servers: no flow was checked", one.name, s.Servers)
 			}
-			if one.name == "calm" && (o.checkedFlows > 0 || o.figures.migrated > 0) {
-				t.Errorf("calm: %d flows were checked and %d migrated, want none", o.checkedFlows, o.figures.migrated)
+			if one.name == "calm" && (o.checkedFlows > 0 || o.stats.migrated > 0) {
+				t.Errorf("calm: %d flows were checked and %d migrated, want none", o.checkedFlows, o.stats.migrated)
 			}
 		}
 	}
@@ -51,12 +51,12 @@
 	if second := run(1); !reflect.DeepEqual(first, second) {
 		t.Errorf("seed 1 gave %+v and then %+v", first, second)
 	}
-	if other := run(2); reflect.DeepEqual(first.figures, other.figures) {
+	if other := run(2); reflect.DeepEqual(first.stats, other.stats) {
 		t.Error("seed 2 gave the same as seed 1")
 	}
-	if first.figures.disconnected == 0 || first.figures.recoveryQuantile(0.99) == 0 || first.unserved > 0 {
+	if first.stats.disconnected == 0 || first.stats.recoveryQuantile(0.99) == 0 || first.unserved > 0 {
 		t.Errorf("a lost zone disconnected %d clients, 99 %% of them for up to %v; %d are unserved at the end",
-			first.figures.disconnected, first.figures.recoveryQuantile(0.99), first.unserved)
+			first.stats.disconnected, first.stats.recoveryQuantile(0.99), first.unserved)
 	}
 }
 
@@ -64,7 +64,7 @@
 	ctx, stop := context.WithCancel(t.Context())
 	stop()
 	if _, err := faults[0].run(ctx, smallFaults[0], 1); err == nil {
-		t.Error("the run did not stop")
+		t.Error("the run returned no error, though its context was cancelled")
 	}
 }
 
--- a/internal/testbed/scale/page_comparison.go
+++ b/internal/testbed/scale/page_comparison.go
@@ -9,7 +9,7 @@
 
 const (
 	agreementTolerance = 0.20        // relative to the real figure
-	modelSuffix        = "-of-model" // of a series of the gossip model; that of real engines has the same name without it
+	modelSuffix        = "-of-model" // in names of series of the gossip model; the series of real engines have the names without it
 	busyMachineReason  = "the machine was too busy at that size: engines that answer late are suspected and pinged again"
 	unknownReason      = "cause unknown" // shown for a difference without a known reason
 )
@@ -21,7 +21,7 @@
 	simulated   seriesName
 	real        seriesName
 	reasonBelow string // known reason for a simulated figure below the real one by more than agreementTolerance
-	reasonAbove string // known reason for one above it by more than that
+	reasonAbove string // known reason for a simulated figure above the real one by more than agreementTolerance
 }
 
 // simulatedAgainstRealTable compares simulated and real figures at each size of the real series.
@@ -31,7 +31,7 @@
 		for _, point := range p.current.series[string(pair.real)].Points {
 			simulated, realFigure := p.valueAt(pair.simulated, point.Size), p.valueAt(pair.real, point.Size)
 			if simulated.value == 0 && realFigure.value == 0 {
-				continue // the memory beyond that of the smallest size is 0 there
+				continue // list-memory is relative to its value at the smallest size, so both figures are 0 at that size
 			}
 			ratio := simulated.value / realFigure.value
 			at := digits(point.Size) + " " + p.current.series[string(pair.real)].Against
--- a/internal/testbed/scale/page_faults.go
+++ b/internal/testbed/scale/page_faults.go
@@ -33,7 +33,7 @@
 	return slices.Compact(names)
 }
 
-// faultRow returns the cells of a fault. The last one is the origin of the number of disconnected clients.
+// faultRow returns the cells of a fault's row. The last cell is the origin of the number of disconnected clients.
 func (p *page) faultRow(fault string) []string {
 	size, against := 0.0, ""
 	var cells []string
--- a/internal/testbed/scale/page_figure.go
+++ b/internal/testbed/scale/page_figure.go
@@ -123,7 +123,7 @@
 	return show(f.value, f.unit)
 }
 
-// Origin states how the figure was obtained, and from which others it is derived.
+// Origin states how the figure was obtained, and the origins of the figures that it is derived from.
 func (f figure) Origin() string {
 	if !f.known() {
 		return notMeasured
@@ -216,8 +216,8 @@
 	return digits(value/last.from) + " " + last.name
 }
 
-// digits prints a number with significantDigits, or as an integer with all its digits if it has more, with commas
-// between thousands. Below 1e-4 it uses scientific notation.
+// digits prints a number with significantDigits, or as an integer if its integer part has more digits than that, with
+// commas between thousands. Numbers below 1e-4 are in scientific notation.
 func digits(value float64) string {
 	if value == 0 {
 		return "0"
--- a/internal/testbed/scale/page_figure_test.go
+++ b/internal/testbed/scale/page_figure_test.go
@@ -35,8 +35,8 @@
 		t.Errorf("the surviving balancers take over %v connections of a lost zone, want %v", taken, zoneConnections)
 	}
 	if groups := groupsPerBalancer(); groups > connectionsPerBalancer || groups < groupsPerBalancerInRegion() {
-		t.Errorf("%v groups at a balancer with %v connections, %v if groups are of one region", groups, connectionsPerBalancer,
-			groupsPerBalancerInRegion())
+		t.Errorf("%v groups at a balancer, want at most its %v connections and at least %v, the number if groups are of one region",
+			groups, connectionsPerBalancer, groupsPerBalancerInRegion())
 	}
 }
 
@@ -104,7 +104,7 @@
 		{"sum without an unmeasured part", measured.plusIfKnown("part", missing), 2, "measured"},
 	} {
 		if c.figure.value != c.value || c.figure.Origin() != c.origin {
-			t.Errorf("%s: %v, %s", c.what, c.figure.value, c.figure.Origin())
+			t.Errorf("%s: value %v, origin %q, want %v, %q", c.what, c.figure.value, c.figure.Origin(), c.value, c.origin)
 		}
 	}
 	if text := measured.plusIfKnown("part", missing).String(); !strings.Contains(text, "at least, without part") {
@@ -115,8 +115,8 @@
 	}
 }
 
-// The value of a series is that of a point, interpolated between neighbouring points or extrapolated by the fit. The origin
-// of an extrapolated value is calculated.
+// The value of a series at a size is that of the measured point, or is interpolated between neighbouring points, or is
+// extrapolated by the fit. An extrapolated value states "calculated" as its origin.
 func TestFigureFromSeries(t *testing.T) {
 	points := pointsOf(testSizes, func(n float64) float64 { return 10 + 2*n })
 	points[2].Value *= 1.01
@@ -131,7 +131,7 @@
 		baseline: &reportSet{series: map[string]*reportedSeries{"one": baseline, "two": baseline}},
 	}
 	if got := p.valueAt("two", testSizes[0]); got.Origin() != "measured; **before the bounded candidates**" {
-		t.Errorf("a series of the baseline only: %s", got.Origin())
+		t.Errorf("the origin of a series that only the baseline has is %q, want measured before the bounded candidates", got.Origin())
 	}
 	for _, c := range []struct {
 		size, want float64
@@ -144,10 +144,10 @@
 		got := p.valueAt("one", c.size)
 		checkNear(t, digits(c.size), got.value, c.want, 1e-9)
 		if got.Origin() != c.origin || got.unit != inSeconds {
-			t.Errorf("%v: %s, %s", c.size, got.Origin(), got.unit)
+			t.Errorf("size %v: origin %q, unit %q, want %q, %q", c.size, got.Origin(), got.unit, c.origin, inSeconds)
 		}
 	}
-	// Outside the range of sizes, a figure states the error of its fit.
+	// Outside the range of sizes, a figure states the error of its fit if that is above poorFitError.
 	current.Points[len(points)-1].Value *= 3
 	if current.Fit, err = FitPoints(current.Points); err != nil {
 		t.Fatal(err)
@@ -198,12 +198,12 @@
 			t.Errorf("%s: ratio %q, want %q", c.what, got, c.ratio)
 		}
 		if got := c.requirement.isUnmet(); got != c.unmet {
-			t.Errorf("%s: unmet: %v", c.what, got)
+			t.Errorf("%s: unmet: %v, want %v", c.what, got, c.unmet)
 		}
 	}
 }
 
-// Unmet requirements are sorted by decreasing excess, unknown ones last.
+// Unmet requirements are sorted by decreasing excess; those whose excess is unknown come last.
 func TestUnmetRequirementsAreSorted(t *testing.T) {
 	empty := &reportSet{series: map[string]*reportedSeries{}}
 	p := &page{current: empty, baseline: empty}
--- a/internal/testbed/scale/page_fit_test.go
+++ b/internal/testbed/scale/page_fit_test.go
@@ -82,7 +82,7 @@
 		_, err := FitPoints(pointsOf(testSizes[:count], func(n float64) float64 { return n }))
 		var tooFew *TooFewPointsError
 		if !errors.As(err, &tooFew) || tooFew.Sizes != count || tooFew.Advice() == "" {
-			t.Errorf("%d sizes: got %v", count, err)
+			t.Errorf("%d sizes: error %v, want a TooFewPointsError with that number and advice", count, err)
 		}
 	}
 	if _, err := FitPoints(pointsOf([]float64{5, 5, 5, 5, 9, 9}, func(n float64) float64 { return n })); err == nil {
@@ -108,7 +108,7 @@
 			t.Errorf("%s misses the largest point of a line by %.0f %%", fit.Form, 100*deviation)
 		}
 		if fit.At(0) < 0 || math.IsNaN(fit.At(1e7)) {
-			t.Errorf("%s: %v at 0, %v at 1e7", fit.Form, fit.At(0), fit.At(1e7))
+			t.Errorf("%s: %v at 0, %v at 1e7; want at least 0 at 0, and a number at 1e7", fit.Form, fit.At(0), fit.At(1e7))
 		}
 	})
 }
@@ -130,7 +130,7 @@
 	}
 }
 
-// Zero, equal and decreasing values have finite fits.
+// Zero, partly zero, decreasing and negative values have finite fits.
 func TestFitOfDegeneratePoints(t *testing.T) {
 	for name, value := range map[string]func(float64) float64{
 		"zero":       func(float64) float64 { return 0 },
@@ -144,7 +144,7 @@
 		}
 		for _, number := range []float64{fit.A, fit.B, fit.Residual, fit.Predicted, fit.HeldOutError()} {
 			if math.IsNaN(number) || math.IsInf(number, 0) {
-				t.Errorf("%s: %+v", name, fit)
+				t.Errorf("%s: fit %+v, want only finite numbers", name, fit)
 			}
 		}
 	}
--- a/internal/testbed/scale/page_limits.go
+++ b/internal/testbed/scale/page_limits.go
@@ -19,7 +19,7 @@
 	quantity   string // what the figures state
 	bound      figure // zero: none is stated
 	values     []variant
-	mechanism  string // that keeps the bound; empty: none
+	mechanism  string // mechanism that keeps the bound; empty: none
 	dependents string // what depends on the requirement
 	proposal   string // a mechanism that would keep the bound, not implemented
 	infeasible bool   // no mechanism could keep the bound
@@ -215,8 +215,8 @@
 	return text
 }
 
-// isUnmet reports whether a requirement does not hold under every assumption, or whether that is unknown and no mechanism
-// exists. Infeasible requirements and those without a bound are not counted.
+// isUnmet reports whether a requirement fails under at least one assumption, or whether its verdict is unknown and it has
+// no mechanism. Infeasible requirements and those without a bound do not count as unmet.
 func (r requirement) isUnmet() bool {
 	switch r.verdict() {
 	case verdictFails, verdictPartly:
--- a/internal/testbed/scale/page_loads.go
+++ b/internal/testbed/scale/page_loads.go
@@ -31,8 +31,8 @@
 	return l
 }
 
-// decisionMemory is the memory of the decisions without the list, for the groups of a balancer and proportional to the
-// connections.
+// decisionMemory is the memory of the decisions without the list. It is calculated for the groups of a balancer of the
+// planned fleet, from a series that includes a list of fewestServers, and scaled in proportion to the connections.
 func (p *page) decisionMemory(connections float64) figure {
 	list := p.valueAt(decisionListMemory, fewestServers)
 	withoutList := p.valueAt(decisionGroupMemory, math.Round(groupsPerBalancer())).plus(list.times(-1, inBytes))
@@ -57,8 +57,9 @@
 	return p.valueWithConnections(idleRecheckTime, servers, idleRecheckTimeByConnections, connections)
 }
 
-// unevenRecheckProcessor is the same for flows on random servers, with as many rechecks as a tick allows. It stands for
-// a real process, whose connections are on the servers that the decisions chose and not evenly spread.
+// unevenRecheckProcessor is the processor time of rechecks per second for flows on random servers, with as many rechecks
+// as a tick allows. It stands for a real process, whose connections are on the servers that the decisions chose and not
+// evenly spread.
 func (p *page) unevenRecheckProcessor(connections, servers float64) figure {
 	return p.valueWithConnections(unevenRecheckTime, servers, unevenRecheckTimeByConnections, connections)
 }
@@ -93,8 +94,8 @@
 func leaseLoad(p *page, s situation, servers float64) load {
 	l := zeroLoad()
 	fleetFactor := p.valueAt(leaseScoringTime, s.members).dividedBy(p.valueAt(leaseScoringTime, fleetBalancers), inCount)
-	// The series are measured at the rate of membership changes of an ordinary day. At most, all scores are calculated
-	// again in each round of health checks.
+	// The series assume the rate of membership changes of an ordinary day. At most, all scores are calculated again in
+	// each round of health checks.
 	changeRatio := min(s.membershipChanges, 1/healthCheckRound) / ordinaryMembershipChangeRate
 	scoring := p.valueAt(leaseScoringTimeByServers, servers).multipliedBy(fleetFactor).times(changeRatio, inCores)
 	l.processor = scoring.plus(p.valueAt(leaseMembershipTime, s.members))
--- a/internal/testbed/scale/page_parts.go
+++ b/internal/testbed/scale/page_parts.go
@@ -11,12 +11,12 @@
 // part is one part of a role.
 type part struct {
 	name       string
-	state      string // that it holds
-	owner      string // of that state
+	state      string // state that the part holds
+	owner      string // owner of that state
 	onFailure  string // effect of failures, in prose
-	mechanism  string // that bounds its cost; empty: none
-	dependents string // what depends on it
-	proposal   string // a mechanism that would bound it, not implemented
+	mechanism  string // mechanism that bounds the cost of the part; empty: none
+	dependents string // what depends on the part
+	proposal   string // mechanism that would bound the cost, not implemented
 	load       func(p *page, s situation, servers float64) load
 }
 
--- a/internal/testbed/scale/page_slopes.go
+++ b/internal/testbed/scale/page_slopes.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// quality is R², unless it is undefined or the form is constant, and the residual.
+// quality states R² and the residual. A dash replaces R² if R² is undefined or the form is constant.
 func (f Fit) quality() string {
 	residual := show(withoutRounding(f.Residual), inShare)
 	if math.IsNaN(f.R2) || f.Form == FormConstant {
--- a/internal/testbed/scale/page_stored_test.go
+++ b/internal/testbed/scale/page_stored_test.go
@@ -45,6 +45,6 @@
 // Reports keep the stored value of the origin, so that earlier versions of the program can read them.
 func TestStoredOrigin(t *testing.T) {
 	if got := string(mustJSON(t, Calculated)); got != `"reckoned"` {
-		t.Errorf("stored as %s", got)
+		t.Errorf("the origin Calculated is stored as %s, want \"reckoned\"", got)
 	}
 }
--- a/internal/testbed/scale/page_tables_test.go
+++ b/internal/testbed/scale/page_tables_test.go
@@ -95,11 +95,12 @@
 	}
 }
 
-// Each part of control has a row for each number of servers, and each part's table has a row for each situation.
+// The table of control costs has a row for each part of control and number of servers. The table of each part of each role
+// covers every situation.
 func TestRolesAreComplete(t *testing.T) {
 	p := pageFrom(t, nil, nil)
 	if got, want := len(p.sizesTable().rows), len(controlParts)*len(serverCounts); got != want {
-		t.Errorf("%d rows of parts of control, want %d", got, want)
+		t.Errorf("%d rows in the table of control costs, want %d", got, want)
 	}
 	for _, role := range p.roles() {
 		if len(role.Parts) == 0 {
@@ -116,13 +117,13 @@
 	}
 }
 
-// Without series, no requirement has a known figure that is derived from one.
+// Without any series, no requirement has a known figure that is derived from a series.
 func TestMissingMeasurementsAreMarked(t *testing.T) {
 	p := pageFrom(t, nil, nil)
 	for _, l := range p.requirements() {
 		for _, v := range l.values {
 			if v.known() && len(v.derivedFrom) > 0 {
-				t.Errorf("%s: %s, %s", l.quantity, v, v.Origin())
+				t.Errorf("%s is %s (%s), want %s without any series", l.quantity, v, v.Origin(), notMeasured)
 			}
 		}
 	}
--- a/internal/testbed/scale/page_test.go
+++ b/internal/testbed/scale/page_test.go
@@ -211,16 +211,17 @@
 	empty := &reportSet{directory: "results", series: map[string]*reportedSeries{}}
 	p := &page{current: empty, baseline: empty}
 	if got := p.valueAt(startMaxLatency, 5); got.String() != notMeasured || got.Origin() != notMeasured || p.err != nil {
-		t.Errorf("optional series: %v, %v, %v", got, got.Origin(), p.err)
+		t.Errorf("missing optional series: figure %v, origin %v, error %v, want %q for figure and origin, and no error",
+			got, got.Origin(), p.err, notMeasured)
 	}
 	p.valueAt("needed.one", 5)
 	p.valueAt("needed.two", 5)
 	var bad *Error
 	if !errors.As(p.err, &bad) || !strings.Contains(bad.Error(), "results: series needed.one: is missing") {
-		t.Errorf("got %v", p.err)
+		t.Errorf("error %v, want an Error about the first missing series, needed.one", p.err)
 	}
 	if _, err := p.render("whole"); !errors.As(err, &bad) {
-		t.Errorf("rendered with a missing series: %v", err)
+		t.Errorf("rendering with a missing series returned %v, want an Error", err)
 	}
 }
 
@@ -240,7 +241,7 @@
 	directory := shippedReports(t)
 	var bad *Error
 	if err := WritePage(directory, filepath.Join(directory, "absent", "CAPACITY.md")); !errors.As(err, &bad) {
-		t.Errorf("got %v", err)
+		t.Errorf("writing to a directory that does not exist returned %v, want an Error", err)
 	}
 }
 
--- a/internal/testbed/scale/real_clients.go
+++ b/internal/testbed/scale/real_clients.go
@@ -16,8 +16,8 @@
 	concurrentDialers = 8 // goroutines that open connections
 	openAttempts      = 5
 	lineTimeout       = 10 * time.Second
-	clientTimeout     = 3 * time.Second // of a client for its answer; so short that its timers end before a measurement
-	lineSettlingTime  = 2 * time.Second // in which the timers that lines start in the balancer end
+	clientTimeout     = 3 * time.Second // for the answer to a client; so short that the timers of its flow end before a measurement
+	lineSettlingTime  = 2 * time.Second // until the timers that the balancer started for lines have ended
 )
 
 // stubClients are clients that hold connections through a balancer.
--- a/internal/testbed/scale/real_compare.go
+++ b/internal/testbed/scale/real_compare.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	compareTolerance   = 0.2 // relative to the simulated figures, beyond their range
+	compareTolerance   = 0.2 // by which real figures may be outside the range of simulated ones, relative to its ends
 	compareRounds      = 3   // of each measurement
 	compareRepetitions = 5   // of each simulated figure, as it varies on a busy machine
 )
--- a/internal/testbed/scale/real_held.go
+++ b/internal/testbed/scale/real_held.go
@@ -113,7 +113,7 @@
 	return used / time.Duration(max(sent, 1)), nil
 }
 
-// awaitLines waits until clients have received sent lines more than receivedBefore.
+// awaitLines waits until the clients' count of received lines has grown from receivedBefore by the number sent.
 func (c *stubClients) awaitLines(ctx context.Context, receivedBefore int64, sent int) error {
 	for polls := 0; c.linesReceived.Load()-receivedBefore < int64(sent); polls++ {
 		if polls > maxLinePolls {
--- a/internal/testbed/scale/real_stubs.go
+++ b/internal/testbed/scale/real_stubs.go
@@ -78,7 +78,7 @@
 func (l *stubDiscovery) encode(o listObject) []byte {
 	text, err := json.Marshal(o)
 	if err != nil {
-		panic(err) // it has only strings, numbers and booleans
+		panic(err) // the type has only strings, numbers and booleans
 	}
 	return append(text, '\n')
 }
--- a/internal/testbed/scale/real_test.go
+++ b/internal/testbed/scale/real_test.go
@@ -70,7 +70,7 @@
 				}
 			}
 			if steps != len(x.settings.Sizes)+1 || len(list) == 0 {
-				t.Errorf("%d steps reported, %d series", steps, len(list))
+				t.Errorf("%d steps reported, %d series; want %d steps and at least one series", steps, len(list), len(x.settings.Sizes)+1)
 			}
 			for _, s := range list {
 				checkSeries(t, s, x.settings.Sizes)
@@ -82,7 +82,7 @@
 func checkSeries(t *testing.T, s Series, sizes []int) {
 	t.Helper()
 	if s.Name == "" || s.Role == "" || s.Quantity == "" || s.Unit == "" || s.Against == "" || s.Origin != Measured || s.Counted {
-		t.Errorf("%+v is incomplete", s)
+		t.Errorf("%+v is incomplete, of another origin than measured, or marked as counted", s)
 	}
 	if len(s.Points) != len(sizes) {
 		t.Fatalf("%s: %d points, want %d", s.Name, len(s.Points), len(sizes))
@@ -110,7 +110,7 @@
 	defer p.end()
 	before, err := p.processorTime()
 	if err != nil || before <= 0 {
-		t.Fatalf("%v, %v", before, err)
+		t.Fatalf("processor time %v before the work, error %v, want more than 0", before, err)
 	}
 	for range 200 {
 		p.list.publishFullList()
@@ -119,7 +119,7 @@
 		t.Fatal(err)
 	}
 	if after, err := p.processorTime(); err != nil || after <= before {
-		t.Errorf("%v before the work, %v after it, %v", before, after, err)
+		t.Errorf("processor time %v before the work and %v after it, error %v, want an increase", before, after, err)
 	}
 }
 
@@ -154,7 +154,7 @@
 		time.AfterFunc(100*time.Millisecond, cancel)
 	})
 	if !began || !errors.Is(err, context.Canceled) {
-		t.Errorf("began %v, ended with %v", began, err)
+		t.Errorf("sweep began: %v, error %v; want it to begin and end with the error of its context", began, err)
 	}
 }
 
@@ -164,13 +164,13 @@
 	_, _, err := realServers(ctx, Settings{Sizes: []int{10, 20}}, func(int, int) {})
 	var e *ProcessError
 	if !errors.As(err, &e) || !strings.Contains(err.Error(), "missing library") {
-		t.Errorf("got %v", err)
+		t.Errorf("error %v, want a ProcessError with the output of the program", err)
 	}
 }
 
-// While the largest list is published repeatedly, a process uses at most three quarters of the 64 MB that are budgeted
-// for control, including the pages of its program.
-func TestRealMemoryOfTheLongestList(t *testing.T) {
+// While a list of 12,800 servers, the most that are assumed for the planned fleet, is published repeatedly, a process uses
+// at most three quarters of the 64 MB that are budgeted for control, including the pages of its program.
+func TestRealMemoryOfTheLongestPlannedList(t *testing.T) {
 	const servers, most = 12_800, raceFactor * 48e6
 	s, err := newRealSettings(Settings{Sizes: []int{1, servers}}, maxRealServers, "servers")
 	if err != nil {
--- a/internal/testbed/scale/report_test.go
+++ b/internal/testbed/scale/report_test.go
@@ -74,7 +74,8 @@
 		t.Fatal(err)
 	}
 	complete, _ := os.ReadFile(file)
-	for n := range len(complete) - 2 { // the last two bytes are the closing brace and the newline
+	// The last two bytes are the closing brace and a newline. A report without only the newline is complete.
+	for n := range len(complete) - 2 {
 		if err := os.WriteFile(file, complete[:n], 0o644); err != nil {
 			t.Fatal(err)
 		}
@@ -104,12 +105,12 @@
 			_, err := ReadReport(file)
 			var typed *Error
 			if !errors.As(err, &typed) || !strings.HasPrefix(err.Error(), file+c.want) {
-				t.Errorf("error %v, want %s", err, c.want)
+				t.Errorf("error %v, want an Error that begins with the file and %q", err, c.want)
 			}
 		})
 	}
 	var typed *Error
 	if _, err := ReadReport(file + ".nowhere"); !errors.As(err, &typed) {
-		t.Errorf("error %v, want an Error", err)
+		t.Errorf("reading a missing file returned %v, want an Error", err)
 	}
 }
--- a/internal/testbed/scale/run_test.go
+++ b/internal/testbed/scale/run_test.go
@@ -51,7 +51,7 @@
 	}
 	report, err := Run(t.Context(), testExperiment(t, ignoresContext), Bounds{Memory: 1, Processes: 1}, noProgress)
 	if report != nil || err == nil {
-		t.Errorf("report %v, error %v", report, err)
+		t.Errorf("report %v, error %v, want an error and no report", report, err)
 	}
 }
 
@@ -63,7 +63,7 @@
 	}
 	report, err := Run(ctx, testExperiment(t, cancelsItself), DefaultBounds, noProgress)
 	if report != nil || !errors.Is(err, context.Canceled) {
-		t.Errorf("report %v, error %v", report, err)
+		t.Errorf("report %v, error %v, want no report and the error of the context", report, err)
 	}
 }
 
@@ -94,7 +94,7 @@
 			report, err := Run(t.Context(), testExperiment(t, returnsSeries), DefaultBounds, noProgress)
 			var typed *Error
 			if report != nil || !errors.As(err, &typed) {
-				t.Errorf("report %v, error %v", report, err)
+				t.Errorf("report %v, error %v, want an Error and no report", report, err)
 			}
 		})
 	}
@@ -109,6 +109,6 @@
 		t.Fatal(err)
 	}
 	if report.Command != "testbed scale run experiments/scale/x.toml" || report.Commit == "" || report.Format != reportFormat {
-		t.Errorf("report %+v", report)
+		t.Errorf("report %+v, want the command without the machine's path, a commit and format %d", report, reportFormat)
 	}
 }
--- a/internal/testbed/scale/scale.go
+++ b/internal/testbed/scale/scale.go
@@ -1,7 +1,7 @@
-// Package scale measures the resource use of yardwinch as a fleet grows. Each sweep varies one size, either on real
-// processes or on simulated balancers: the real decisions, endpoint lists, records and encodings without sockets, many
-// in one process, in virtual time. A sweep yields series of points, which are stored in report files;
-// docs/CAPACITY.md is generated from those files.
+// Package scale measures the resource use of yardwinch as a fleet grows. Each sweep varies one size. It runs real processes,
+// parts of the real code in this process, models of gossip and of the control machines, or simulated balancers: the real
+// decisions without sockets, many in one process, in virtual time. A sweep yields series of points, which are stored in
+// report files; docs/CAPACITY.md is generated from those files.
 package scale
 
 import (
@@ -15,7 +15,7 @@
 // The origins of a figure.
 const (
 	Measured   Origin = "measured"  // read from real processes or real code at that size
-	Simulated  Origin = "simulated" // from simulated balancers in virtual time
+	Simulated  Origin = "simulated" // from simulated balancers or models, mostly in virtual time
 	Calculated Origin = "reckoned"  // derived from other figures
 )
 
@@ -28,7 +28,7 @@
 // Series is one quantity as a function of one size, with all other sizes fixed. Its JSON keys are those of stored reports.
 type Series struct {
 	Name       string             `json:"name"`     // unique over all files, such as "placement.servers-looked-at.by-servers"
-	Role       string             `json:"role"`     // of the process that has the cost, and part of it: "server", "balancer control: leases"
+	Role       string             `json:"role"`     // of the process that has the cost, and the part of that role: "server", "balancer control: leases"
 	Quantity   string             `json:"quantity"` // in words
 	Unit       string             `json:"unit"`
 	Against    string             `json:"against"` // what the sizes count
@@ -61,7 +61,7 @@
 
 // Settings are the keys of an experiment file. A file must omit the keys that its sweep does not use.
 type Settings struct {
-	Sweep       string  `toml:"sweep"` // its name
+	Sweep       string  `toml:"sweep"` // name of the sweep
 	Seed        uint64  `toml:"seed"`
 	Sizes       []int   `toml:"sizes"`
 	Servers     int     `toml:"servers"`
--- a/internal/testbed/scale/simulated_balancer.go
+++ b/internal/testbed/scale/simulated_balancer.go
@@ -41,10 +41,10 @@
 	now            time.Duration
 	timers         timers
 	connecting     map[decide.FlowID]decide.ServerID // connects in flight
-	migrated       []decide.FlowID                   // requested since the sweep last cleared them
+	migrated       []decide.FlowID                   // flows asked to migrate since the sweep last cleared the list
 	rejected       int                               // number of flows rejected or aborted
 	migratedReturn bool                              // migrated flows are placed again at the end of a tick
-	healthChecked  []decide.ServerID                 // requested so far
+	healthChecked  []decide.ServerID                 // servers whose health checks were requested so far
 }
 
 func newSimulatedBalancer(seed uint64, t simulatedSettings) *simulatedBalancer {
--- a/internal/testbed/scale/sweep_faults.go
+++ b/internal/testbed/scale/sweep_faults.go
@@ -15,7 +15,7 @@
 
 // faultOutcome is the result of running a fault.
 type faultOutcome struct {
-	figures      figures
+	stats        fleetStats
 	processor    time.Duration // of the whole run: balancers, simulation and invariant checker
 	unserved     int           // clients without a connection at the end
 	checkedFlows int
@@ -60,7 +60,7 @@
 	if err := ctx.Err(); err != nil {
 		return o, err
 	}
-	o.figures = f.figures
+	o.stats = f.stats
 	o.unserved = f.unservedClients()
 	for _, v := range f.violations() {
 		o.violations = append(o.violations, v.String())
@@ -121,12 +121,12 @@
 
 func (o faultOutcome) values() []float64 {
 	return []float64{
-		float64(o.figures.disconnected),
-		float64(o.figures.migrated),
-		float64(o.figures.rejected + o.figures.aborted),
-		o.figures.recoveryQuantile(0.99).Seconds(),
-		o.figures.slowestSetup.Seconds(),
-		float64(o.figures.busiestConnects()),
+		float64(o.stats.disconnected),
+		float64(o.stats.migrated),
+		float64(o.stats.rejected + o.stats.aborted),
+		o.stats.recoveryQuantile(0.99).Seconds(),
+		o.stats.slowestSetup.Seconds(),
+		float64(o.stats.busiestConnects()),
 		float64(o.unserved),
 		o.processor.Seconds(),
 	}
--- a/internal/testbed/scale/sweep_zone.go
+++ b/internal/testbed/scale/sweep_zone.go
@@ -54,7 +54,7 @@
 		if err != nil {
 			return nil, nil, err
 		}
-		figures := f.figures
+		stats := f.stats
 		surviving := 0
 		for _, b := range f.balancers {
 			if b.up {
@@ -62,12 +62,12 @@
 			}
 		}
 		set.add(size,
-			float64(figures.disconnected)/float64(surviving),
-			figures.recoveryQuantile(0.5).Seconds(),
-			figures.recoveryQuantile(0.99).Seconds(),
-			float64(figures.rejected+figures.aborted)/float64(max(figures.disconnected, 1)),
-			figures.slowestSetup.Seconds(),
-			float64(figures.busiestConnects()),
+			float64(stats.disconnected)/float64(surviving),
+			stats.recoveryQuantile(0.5).Seconds(),
+			stats.recoveryQuantile(0.99).Seconds(),
+			float64(stats.rejected+stats.aborted)/float64(max(stats.disconnected, 1)),
+			stats.slowestSetup.Seconds(),
+			float64(stats.busiestConnects()),
 			f.busiestSecond.Seconds()/float64(surviving),
 			float64(f.unservedClients()),
 		)
--- a/internal/testbed/scale/sweeps_test.go
+++ b/internal/testbed/scale/sweeps_test.go
@@ -22,8 +22,8 @@
 	distinctCandidatesGrowth = 0.15
 )
 
-// shortSweeps are short forms of the sweeps, with bounds on their growth. Lists are so long that decisions evaluate only
-// a part of them; a short list is scanned in full.
+// shortSweeps are short forms of the sweeps, with bounds on their growth. Except in the sweep balancers, lists have more
+// servers than decide fullScanServers, so decisions evaluate only a part of them.
 var shortSweeps = []struct {
 	settings Settings
 	bounds   []growthBound
@@ -154,7 +154,7 @@
 	stop()
 	for _, short := range shortSweeps {
 		if _, _, err := sweeps[short.settings.Sweep](ctx, short.settings, noProgress); err == nil {
-			t.Errorf("%s did not stop", short.settings.Sweep)
+			t.Errorf("%s returned no error, though its context was cancelled", short.settings.Sweep)
 		}
 	}
 }
