--- a/internal/testbed/scale/control_test.go
+++ b/internal/testbed/scale/control_test.go
@@ -63,7 +63,7 @@
 	const spare = 1 // acks a second beyond the two that a member is asked for on average
 	const most = (gossipFanout/0.2 + 2/0.5 + spare) * (maxPacketBytes + datagramHeaders + checksumBytes)
 	if many.joinerBytes > most {
-		t.Errorf("a joining member sends %.0f bytes/s, and the settings allow %.0f", many.joinerBytes, float64(most))
+		t.Errorf("a joining member sends %.0f bytes/s, want at most the %.0f that the settings allow", many.joinerBytes, float64(most))
 	}
 	few, many = gossipAt(t, 110, fewReports), gossipAt(t, 900, fewReports)
 	const logarithmic = 0.2
@@ -220,7 +220,7 @@
 	measurements.countHolders(200, 200)
 	points := measurements.series["holders"].Points
 	if points[0].Value != 1 || points[1].Value > 4 {
-		t.Errorf("%v: want one holder at 50 members, at most four at 200", points)
+		t.Errorf("mean numbers of lease holders %v, want one at 50 members and at most four at 200", points)
 	}
 }
 
@@ -262,7 +262,7 @@
 	}
 }
 
-// One by one and merged, the same changes lead to the same list.
+// The same changes lead to the same list whether they are sent one by one or merged.
 func TestCatchUpFormsAgree(t *testing.T) {
 	changed := changedServers(newGossipModel(gossipRun{members: 1, seed: 3}).random, 50, 200)
 	last := map[string]string{}
@@ -271,11 +271,11 @@
 	}
 	merged := changesMerged(changed, 1)
 	if merged.Revision != len(changed) || len(merged.Members) != len(last) {
-		t.Errorf("revision %d with %d servers, want %d with %d", merged.Revision, len(merged.Members), len(changed), len(last))
+		t.Errorf("the merged object has revision %d and %d servers, want %d and %d", merged.Revision, len(merged.Members), len(changed), len(last))
 	}
 	for _, e := range merged.Members {
 		if last[e.ID] != e.Phase {
-			t.Errorf("%s is %s in the merged object, and %s one by one", e.ID, e.Phase, last[e.ID])
+			t.Errorf("%s is %s in the merged object, want %s as after the changes one by one", e.ID, e.Phase, last[e.ID])
 		}
 	}
 }
--- a/internal/testbed/scale/experiment_test.go
+++ b/internal/testbed/scale/experiment_test.go
@@ -53,7 +53,7 @@
 			e, err := Read("f.toml", []byte(c.text))
 			if c.want == "" {
 				if err != nil || e.Name != "f" || e.Settings.Seed != 1 || e.Settings.Sizes[1] != 128 {
-					t.Fatalf("read %+v, error %v", e, err)
+					t.Fatalf("read %+v, error %v, want the name f, the seed 1, a second size of 128 and no error", e, err)
 				}
 				return
 			}
--- a/internal/testbed/scale/fleet_test.go
+++ b/internal/testbed/scale/fleet_test.go
@@ -55,7 +55,7 @@
 		t.Error("seed 2 gave the same as seed 1")
 	}
 	if first.stats.disconnected == 0 || first.stats.recoveryQuantile(0.99) == 0 || first.unserved > 0 {
-		t.Errorf("a lost zone disconnected %d clients, 99 %% of them for up to %v; %d are unserved at the end",
+		t.Errorf("a lost zone disconnected %d clients, 99 %% of them for up to %v, and left %d unserved; want some, above 0, and none",
 			first.stats.disconnected, first.stats.recoveryQuantile(0.99), first.unserved)
 	}
 }
--- a/internal/testbed/scale/page_figure_test.go
+++ b/internal/testbed/scale/page_figure_test.go
@@ -111,7 +111,7 @@
 		t.Errorf("%q does not name the omitted part", text)
 	}
 	if text := measured.plus(missing).String(); text != notMeasured {
-		t.Errorf("got %q for a sum with an unmeasured figure", text)
+		t.Errorf("a sum with an unmeasured figure is shown as %q, want %q", text, notMeasured)
 	}
 }
 
--- a/internal/testbed/scale/page_stored_test.go
+++ b/internal/testbed/scale/page_stored_test.go
@@ -35,10 +35,10 @@
 		t.Errorf("quantity %q, want %q", got.Quantity, want)
 	}
 	if got.Unit != "observations" || got.Against != "faulty servers" {
-		t.Errorf("unit %q, against %q", got.Unit, got.Against)
+		t.Errorf("unit %q, against %q, want observations against faulty servers", got.Unit, got.Against)
 	}
 	if repeated := got.inCurrentTerms(); repeated.Quantity != got.Quantity || repeated.Unit != got.Unit || repeated.Against != got.Against {
-		t.Errorf("current terms became %+v", repeated)
+		t.Errorf("current terms became %+v, want them unchanged", repeated)
 	}
 }
 
--- a/internal/testbed/scale/page_test.go
+++ b/internal/testbed/scale/page_test.go
@@ -178,7 +178,7 @@
 	}
 	content, readErr := os.ReadFile(out)
 	if readErr != nil || string(content) != "as it was" {
-		t.Errorf("the existing page changed to %q, %v", content, readErr)
+		t.Errorf("the existing page is now %q, error %v when reading it; want it unchanged", content, readErr)
 	}
 	if files, _ := os.ReadDir(filepath.Dir(out)); len(files) != 1 {
 		t.Errorf("%d files were left beside the page", len(files)-1)
@@ -245,7 +245,7 @@
 	}
 }
 
-// The constants that are copied from the code match their sources.
+// The listed copies of constants of the code match their sources.
 func TestCodeConstantsMatch(t *testing.T) {
 	for _, c := range []struct {
 		directory, name string
--- a/internal/testbed/scale/real_test.go
+++ b/internal/testbed/scale/real_test.go
@@ -66,7 +66,7 @@
 			}
 			for _, c := range checks {
 				if !c.Passed {
-					t.Errorf("%s: %s", c.Name, c.Detail)
+					t.Errorf("failed check %q: %s", c.Name, c.Detail)
 				}
 			}
 			if steps != len(x.settings.Sizes)+1 || len(list) == 0 {
@@ -89,7 +89,7 @@
 	}
 	for i, p := range s.Points {
 		if p.Size != float64(sizes[i]) {
-			t.Errorf("%s: point %d is at size %v", s.Name, i, p.Size)
+			t.Errorf("%s: point %d is at size %v, want %d", s.Name, i, p.Size, sizes[i])
 		}
 		if s.Unit == "bytes" && p.Value < 1<<20 {
 			t.Errorf("%s: %v bytes is less than any process uses", s.Name, p.Value)
@@ -214,7 +214,7 @@
 	} {
 		c := comparison{name: "rest", unit: "cores", reasonBelow: x.below}.check(60, x.real, x.simulated)
 		if c.Passed != x.passed {
-			t.Errorf("real %v, simulated %v, reason %q: passed %v, %s", x.real, x.simulated, x.below, c.Passed, c.Detail)
+			t.Errorf("real %v, simulated %v, reason %q: passed %v, want %v (%s)", x.real, x.simulated, x.below, c.Passed, x.passed, c.Detail)
 		}
 	}
 }
--- a/internal/testbed/scale/report_test.go
+++ b/internal/testbed/scale/report_test.go
@@ -22,7 +22,7 @@
 	}
 	read, err := ReadReport(file)
 	if err != nil || !reflect.DeepEqual(read, sampleRunReport()) {
-		t.Errorf("read %+v, error %v", read, err)
+		t.Errorf("read %+v, error %v, want the report that was written", read, err)
 	}
 	if files, _ := os.ReadDir(directory); len(files) != 1 {
 		t.Errorf("%d files in the directory, want only the report", len(files))
--- a/internal/testbed/scale/sweeps_test.go
+++ b/internal/testbed/scale/sweeps_test.go
@@ -88,7 +88,7 @@
 		}
 		for _, c := range checks {
 			if !c.Passed {
-				t.Errorf("%s: %s: %s", short.settings.Sweep, c.Name, c.Detail)
+				t.Errorf("%s: failed check %q: %s", short.settings.Sweep, c.Name, c.Detail)
 			}
 		}
 		for _, bound := range short.bounds {
