--- a/internal/testbed/scale/fleet.go
+++ b/internal/testbed/scale/fleet.go
@@ -24,7 +24,7 @@
 
 	minReturnDelay    = 70 * time.Millisecond // until a disconnected or migrated client connects again
 	maxReturnDelay    = 680 * time.Millisecond
-	retryAfter        = time.Second // delay of a rejected client
+	retryAfter        = time.Second // least time until a rejected client connects again
 	minSilenceTimeout = 4 * time.Second
 	maxSilenceTimeout = 5 * time.Second // after which a client closes a connection to a silent server
 	minListDelay      = 1600 * time.Millisecond
--- a/internal/testbed/scale/page.go
+++ b/internal/testbed/scale/page.go
@@ -15,7 +15,7 @@
 type page struct {
 	current  *reportSet // of the current code
 	baseline *reportSet // of the code before the bounded-candidates mechanism
-	err      error      // the first missing series that a figure requires
+	err      error      // error for the first missing series that a figure requires
 }
 
 // Page generates docs/CAPACITY.md from a directory of reports. The same reports result in the same bytes.
--- a/internal/testbed/scale/page_catalog.go
+++ b/internal/testbed/scale/page_catalog.go
@@ -168,7 +168,7 @@
 func (s *reportedSeries) interpolate(size float64) float64 {
 	var curve interp.PiecewiseLinear
 	sizes, values := pointColumns(s.Points)
-	if err := curve.Fit(sizes, values); err != nil { // a single point, which has that size
+	if err := curve.Fit(sizes, values); err != nil { // there is a single point, which is at that size
 		return values[0]
 	}
 	return curve.Predict(size)
--- a/internal/testbed/scale/page_fit.go
+++ b/internal/testbed/scale/page_fit.go
@@ -25,7 +25,7 @@
 var slopeForms = []Form{FormLinear, FormLogLinear, FormPower}
 
 const (
-	slopeScatterShare = 0.5  // of the scatter around the mean; a slope that leaves more of it may be fitted to the noise of few points
+	slopeScatterShare = 0.5  // largest share of the scatter around the mean that a slope may leave; one that leaves more may be fitted to noise of few points
 	minFitSizes       = 4    // three for the fit and the one held out
 	minRelativeScale  = 0.01 // share of the largest value; the smallest divisor of a relative residual
 	roundingShare     = 1e-9 // share of the largest value; terms below it are rounding errors
--- a/internal/testbed/scale/page_fleet.go
+++ b/internal/testbed/scale/page_fleet.go
@@ -57,7 +57,7 @@
 	missedChanges                = changeRate * partitionSeconds // during a partition
 	deliveryRatePerBalancer      = fleetDeliveryRate / fleetBalancers
 	listenersPerBalancer         = largestTopic / fleetBalancers
-	ordinaryPlacementRate        = connectionsPerBalancer / connectionSeconds // at each balancer, without clients of replaced ones
+	ordinaryPlacementRate        = connectionsPerBalancer / connectionSeconds // at each balancer, without the clients of replaced balancers
 	replacementPlacementRate     = fleetReconnectRate / fleetBalancers        // at each balancer
 	balancersPerControlMachine   = fleetBalancers / fleetControlMachines
 	failureInterval              = daySeconds / failuresPerDay
--- a/internal/testbed/scale/page_limits.go
+++ b/internal/testbed/scale/page_limits.go
@@ -17,11 +17,11 @@
 type requirement struct {
 	statement  string // as the operators put it
 	quantity   string // what the figures state
-	bound      figure // zero: none is stated
+	bound      figure // without an origin: no bound is stated
 	values     []variant
 	mechanism  string // mechanism that keeps the bound; empty: none
 	dependents string // what depends on the requirement
-	proposal   string // a mechanism that would keep the bound, not implemented
+	proposal   string // mechanism that would keep the bound, not implemented
 	infeasible bool   // no mechanism could keep the bound
 }
 
